--- a/milletsill/edge/decide.py
+++ b/milletsill/edge/decide.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from milletsill.edge.stalls import BEAT, LATE_BEAT, io_first, taken_since  # noqa: F401: the edge's names for them
+from milletsill.edge.stalls import BEAT, LATE_BEAT, io_first, taken_since  # noqa: F401
 from milletsill.errors import Unfit
 from milletsill.files import packets
 
