--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -6,6 +6,7 @@
 one; all on loopback. `plain`: without numbers; `home`: numbered, the client is with the channel's keeper; `away`: with another;
 `four`: as home, four numbers told at a time.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -53,11 +54,23 @@
     from milletsill.lab.files import Files
     from milletsill.lab.registry import Registry, site
     from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, RegistryStand
+
     registry = Registry(reactor, RegistryStand(call_ms=1, notice_ms=10), 1)
     reactor.listenTCP(given.stand, site(registry), interface="127.0.0.1")
     kind = BoxKind(name="k", cores=8, slots=64, queue=2000, error_rate=0.0, cold_s=0.1)
     for number in range(given.boxes):
-        box = Box(reactor, number, number, 0, kind, NodeRules(), Files(), {"catch": (0.001, 0.1)}, 5 + number, None)
+        box = Box(
+            reactor,
+            number,
+            number,
+            0,
+            kind,
+            NodeRules(),
+            Files(),
+            {"catch": (0.001, 0.1)},
+            5 + number,
+            None,
+        )
         box.port = reactor.listenTCP(0, Gates(box), interface="127.0.0.1")
         registry.put(f"/milletsill/boxes/{number}", box.listing())
     reactor.run()
@@ -99,14 +112,22 @@
     """One client that writes again and again, numbered or not."""
 
     def __init__(self, port: int, name: str, numbered: bool) -> None:
-        self.port, self.name, self.numbered, self.number, self.at_once = port, name, numbered, 0, 1
+        self.port, self.name, self.numbered, self.number, self.at_once = (
+            port,
+            name,
+            numbered,
+            0,
+            1,
+        )
         self.spans: list[float] = []
         self.done: list[float] = []
 
     async def open(self, ends: float) -> None:
         self.client = await Client.to(self.port)
         while self.numbered:
-            told = await self.client.ask(wire.put_channel(0, wire.Opening("/v", self.name)))
+            told = await self.client.ask(
+                wire.put_channel(0, wire.Opening("/v", self.name))
+            )
             if isinstance(told, packets.ExtendedReply):
                 self.channel = wire.read_opened(told)
                 self.number = self.channel.next
@@ -115,14 +136,18 @@
                 raise TimeoutError(told)
             await asyncio.sleep((wire.read_sign(told.language).pause or 100) / 1000)
         flags = packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
-        self.handle = (await self.client.ask(packets.Open(0, f"/v/{self.name}", flags, Attrs()))).handle
+        self.handle = (
+            await self.client.ask(packets.Open(0, f"/v/{self.name}", flags, Attrs()))
+        ).handle
 
     async def put(self, after: int = 0) -> Any:
         """One write of 400 bytes, and its answer; `after` so many others that are told at once."""
         number = self.number + after
         write = packets.Write(0, self.handle, number % 64 * 400, b"%-400d" % number)
         if self.numbered:
-            said = wire.Numbered(self.channel.handle, number, 0, False, Terms(3000), write)
+            said = wire.Numbered(
+                self.channel.handle, number, 0, False, Terms(3000), write
+            )
             return await self.client.ask(wire.put_numbered(0, said))
         return await self.client.ask(extensions.put_terms(Terms(3000), write))
 
@@ -130,21 +155,33 @@
         await asyncio.sleep(chance.uniform(0, every))
         while time.monotonic() < ends:
             began = time.monotonic()
-            answers = await asyncio.gather(*[self.put(each) for each in range(self.at_once)])
-            answer = next((each for each in answers if each.code != packets.OK), answers[0])
+            answers = await asyncio.gather(
+                *[self.put(each) for each in range(self.at_once)]
+            )
+            answer = next(
+                (each for each in answers if each.code != packets.OK), answers[0]
+            )
             done = sum(each.code == packets.OK for each in answers)
             self.spans += [time.monotonic() - began] * done
             self.done += [time.monotonic()] * done
             self.number += done
-            if answer.code != packets.OK and (found := wire.read_sign(answer.language)) and found.pause:
+            if (
+                answer.code != packets.OK
+                and (found := wire.read_sign(answer.language))
+                and found.pause
+            ):
                 await asyncio.sleep(found.pause / 1000)
-            await asyncio.sleep(max(began + every * chance.uniform(0.5, 1.5) - time.monotonic(), 0))
+            await asyncio.sleep(
+                max(began + every * chance.uniform(0.5, 1.5) - time.monotonic(), 0)
+            )
 
 
 def figures(spans: list[float]) -> str:
     spans = sorted(spans) or [0.0]
-    return (f"{len(spans)} answered, median {spans[len(spans) // 2] * 1000:.1f} ms, "
-            f"p99 {spans[min(len(spans) * 99 // 100, len(spans) - 1)] * 1000:.1f} ms")
+    return (
+        f"{len(spans)} answered, median {spans[len(spans) // 2] * 1000:.1f} ms, "
+        f"p99 {spans[min(len(spans) * 99 // 100, len(spans) - 1)] * 1000:.1f} ms"
+    )
 
 
 def names_at(view: View, keeper: str, count: int, word: str) -> list[str]:
@@ -161,7 +198,10 @@
     made: list[Load] = []
     for place, member in enumerate(view.members):
         door = doors[(place + (kind == "away")) % len(doors)]
-        made += [Load(door, name, kind != "plain") for name in names_at(view, member.name, each, kind)]
+        made += [
+            Load(door, name, kind != "plain")
+            for name in names_at(view, member.name, each, kind)
+        ]
     return made
 
 
@@ -175,20 +215,36 @@
     return found
 
 
-async def phase(title: str, held: list[tuple[str, list[Load]]], seconds: float, every: float, edges: list[Any]) -> None:
+async def phase(
+    title: str,
+    held: list[tuple[str, list[Load]]],
+    seconds: float,
+    every: float,
+    edges: list[Any],
+) -> None:
     chance, ends, before = Random(3), time.monotonic() + seconds, worked(edges)
     for _, group in held:
         for each in group:
             each.spans = []
-    await asyncio.gather(*[each.run(ends, every, chance) for _, group in held for each in group])
+    await asyncio.gather(
+        *[each.run(ends, every, chance) for _, group in held for each in group]
+    )
     for kind, group in held:
         spans = [span for each in group for span in each.spans]
-        print(f"{title}: {kind}, {len(group)} clients: {figures(spans)}, {len(spans) / seconds:.0f}/s", flush=True)
+        print(
+            f"{title}: {kind}, {len(group)} clients: {figures(spans)}, {len(spans) / seconds:.0f}/s",
+            flush=True,
+        )
     total = sum(len(each.spans) for _, group in held for each in group)
-    print(f"  {(worked(edges) - before) * 1000 / max(total, 1):.2f} ms of the gateways' processors for each", flush=True)
+    print(
+        f"  {(worked(edges) - before) * 1000 / max(total, 1):.2f} ms of the gateways' processors for each",
+        flush=True,
+    )
 
 
-async def measured(given: argparse.Namespace, doors: list[int], edges: list[Any], view: View) -> None:
+async def measured(
+    given: argparse.Namespace, doors: list[int], edges: list[Any], view: View
+) -> None:
     ends = time.monotonic() + 30
     kinds = {kind: loads(kind, 2, doors, view) for kind in ("plain", "home", "away")}
     for group in kinds.values():
@@ -205,11 +261,16 @@
     await killed(given, doors, edges, view)
 
 
-async def killed(given: argparse.Namespace, doors: list[int], edges: list[Any], view: View) -> None:
+async def killed(
+    given: argparse.Namespace, doors: list[int], edges: list[Any], view: View
+) -> None:
     """SIGKILL of one keeper while its channels' clients, at other gateways, write on."""
     victim = len(doors) - 1
     keeper = view.members[victim].name
-    group = [Load(doors[place % victim], name, True) for place, name in enumerate(names_at(view, keeper, 14, "kill"))]
+    group = [
+        Load(doors[place % victim], name, True)
+        for place, name in enumerate(names_at(view, keeper, 14, "kill"))
+    ]
     await asyncio.gather(*[each.open(time.monotonic() + 30) for each in group])
     ends = time.monotonic() + 9
     running = [asyncio.create_task(on_and_on(each, ends)) for each in group]
@@ -217,15 +278,22 @@
     edges[victim].send_signal(signal.SIGKILL)
     at = time.monotonic()
     await asyncio.gather(*running)
-    gaps = [min((done - at for done in each.done if done > at), default=99.0) for each in group]
-    print(f"keeper {keeper} killed with {len(group)} channels: they go on after {figures(gaps)}, longest {max(gaps) * 1000:.0f} ms")
+    gaps = [
+        min((done - at for done in each.done if done > at), default=99.0)
+        for each in group
+    ]
+    print(
+        f"keeper {keeper} killed with {len(group)} channels: they go on after {figures(gaps)}, longest {max(gaps) * 1000:.0f} ms"
+    )
 
 
 async def on_and_on(load: Load, ends: float) -> None:
     """Writes on through declines and unsure ends; opens again as a client would that wants to know what became of a number."""
     while time.monotonic() < ends:
         answer = await load.put()
-        found = wire.read_sign(answer.language) if answer.code == packets.FAILURE else None
+        found = (
+            wire.read_sign(answer.language) if answer.code == packets.FAILURE else None
+        )
         if answer.code == packets.OK:
             load.done.append(time.monotonic())
             load.number += 1
@@ -233,8 +301,15 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    for name, default in (("gateways", 7), ("registers", 3), ("boxes", 8), ("stand", 0)):
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    for name, default in (
+        ("gateways", 7),
+        ("registers", 3),
+        ("boxes", 8),
+        ("stand", 0),
+    ):
         parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--folder", default="")
@@ -243,20 +318,52 @@
         return stand(given)
     with tempfile.TemporaryDirectory(dir=given.folder or None) as folder:
         ports = free_ports(2 * given.gateways + 1)
-        registry, doors, others = ports[0], ports[1:given.gateways + 1], ports[given.gateways + 1:]
-        started = [subprocess.Popen([sys.executable, "-m", "benchmarks.channels", "--stand", str(registry), "--boxes", str(given.boxes)])]
+        registry, doors, others = (
+            ports[0],
+            ports[1 : given.gateways + 1],
+            ports[given.gateways + 1 :],
+        )
+        started = [
+            subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "benchmarks.channels",
+                    "--stand",
+                    str(registry),
+                    "--boxes",
+                    str(given.boxes),
+                ]
+            )
+        ]
         try:
-            text = FILE.format(registry=registry, cells=" ".join(f"cell: {each}" for each in range(given.boxes)),
-                               registers=" ".join(f'register: "g{each}"' for each in range(given.registers)))
+            text = FILE.format(
+                registry=registry,
+                cells=" ".join(f"cell: {each}" for each in range(given.boxes)),
+                registers=" ".join(
+                    f'register: "g{each}"' for each in range(given.registers)
+                ),
+            )
             for number, door in enumerate(doors):
                 file = gateway_file(text, number, door, others, given, folder)
                 path = os.path.join(folder, f"g{number}.textproto")
                 with open(path, "w", encoding="utf-8") as sink:
                     sink.write(text_format.MessageToString(file))
-                started.append(subprocess.Popen([sys.executable, "-m", "milletsill", "edge", path], stdout=open(f"{folder}/log", "a")))
+                started.append(
+                    subprocess.Popen(
+                        [sys.executable, "-m", "milletsill", "edge", path],
+                        stdout=open(f"{folder}/log", "a"),
+                    )
+                )
             await_doors(doors)
             time.sleep(4)  # until all views have all of them
-            view = View(1, [Member(f"g{each}", "", 1, Standing.ALIVE) for each in range(given.gateways)])
+            view = View(
+                1,
+                [
+                    Member(f"g{each}", "", 1, Standing.ALIVE)
+                    for each in range(given.gateways)
+                ],
+            )
             asyncio.run(measured(given, doors, started[1:], view))
         finally:
             for each in started:
@@ -279,9 +386,21 @@
                 time.sleep(0.1)
 
 
-def gateway_file(text: str, number: int, door: int, others: list[int], given: argparse.Namespace, folder: str) -> GatewayFile:
+def gateway_file(
+    text: str,
+    number: int,
+    door: int,
+    others: list[int],
+    given: argparse.Namespace,
+    folder: str,
+) -> GatewayFile:
     """One gateway's file."""
-    file = GatewayFile(name=f"g{number}", gateways=given.gateways, listen=f"127.0.0.1:{door}", state_dir=f"{folder}/g{number}")
+    file = GatewayFile(
+        name=f"g{number}",
+        gateways=given.gateways,
+        listen=f"127.0.0.1:{door}",
+        state_dir=f"{folder}/g{number}",
+    )
     file.fleet.address = f"127.0.0.1:{others[number]}"
     file.fleet.join.append(f"127.0.0.1:{others[0]}")
     text_format.Merge(text, file)
--- a/benchmarks/cold_bound.py
+++ b/benchmarks/cold_bound.py
@@ -5,6 +5,7 @@
 Time is in windows of the rule. N is what the settings allow in one window, in transfers of mean work, at the node's start; it grows
 to five times that over 15 windows. The line is N + 2 root N + 2, N taken at the window's start. No product code runs here.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -12,9 +13,18 @@
 from math import exp, lgamma, log, sqrt
 from random import Random
 
-WARM, GROWN, HISTORY, HELD, ON_WAY = 15.0, 5.0, 60.0, 1.5, 0.25  # windows; of transfers held; of dispatches on their way
+WARM, GROWN, HISTORY, HELD, ON_WAY = (
+    15.0,
+    5.0,
+    60.0,
+    1.5,
+    0.25,
+)  # windows; of transfers held; of dispatches on their way
 RARE = 1e-6
-LOT, STEEP = 0.25, 12.0  # the draw's most, in N; by Chernoff it passes the line with a chance of e^-STEEP at most
+LOT, STEEP = (
+    0.25,
+    12.0,
+)  # the draw's most, in N; by Chernoff it passes the line with a chance of e^-STEEP at most
 
 
 def line(n: float) -> float:
@@ -28,7 +38,9 @@
 
 def tail(mean: float, least: int) -> float:
     """The chance that a Poisson number reaches `least`."""
-    return sum(exp(k * log(mean) - mean - lgamma(k + 1)) for k in range(least, least + 80))
+    return sum(
+        exp(k * log(mean) - mean - lgamma(k + 1)) for k in range(least, least + 80)
+    )
 
 
 def worst(n: float, factor: float) -> float:
@@ -46,7 +58,9 @@
     low, high = 0.0, 2 * n + 5
     for _ in range(50):
         middle = (low + high) / 2
-        low, high = (middle, high) if tail(middle, int(line(n)) + 1) < RARE else (low, middle)
+        low, high = (
+            (middle, high) if tail(middle, int(line(n)) + 1) < RARE else (low, middle)
+        )
     return low
 
 
@@ -57,8 +71,18 @@
 class Play:
     """One node's warm-up. `arrivals`: (when, gateway, weight); `births`: each gateway's starts."""
 
-    def __init__(self, chance: Random, gateways: int, n: float, demand: float, uneven: bool, surge: float, silent: float,
-                 retries: int, hot: float) -> None:
+    def __init__(
+        self,
+        chance: Random,
+        gateways: int,
+        n: float,
+        demand: float,
+        uneven: bool,
+        surge: float,
+        silent: float,
+        retries: int,
+        hot: float,
+    ) -> None:
         self.chance, self.gateways, self.n, self.hot = chance, gateways, n, hot
         few = max(gateways // 10, 1) if uneven else gateways
         self.arrivals: list[tuple[float, int, float]] = []
@@ -67,13 +91,20 @@
             at += chance.expovariate(demand * hot * (surge if 3 <= at < 8 else 1.0))
             if silent and 3 - silent <= at < 3:  # nobody comes, then all are back
                 continue
-            gateway = chance.randrange(few if uneven and chance.random() < 0.9 else gateways)
+            gateway = chance.randrange(
+                few if uneven and chance.random() < 0.9 else gateways
+            )
             weight = max(min(1 + int(chance.expovariate(0.7)), 8) / 1.9, 1.0)
             self.arrivals.append((at, gateway, weight))
             for again in range(1, retries + 1):  # to another gateway, as a rule
-                self.arrivals.append((at + 0.3 * again, chance.randrange(gateways), weight))
+                self.arrivals.append(
+                    (at + 0.3 * again, chance.randrange(gateways), weight)
+                )
         self.arrivals.sort()
-        self.births = {g: chance.uniform(0, WARM) for g in chance.sample(range(gateways), gateways // 2)}
+        self.births = {
+            g: chance.uniform(0, WARM)
+            for g in chance.sample(range(gateways), gateways // 2)
+        }
         self.told = [chance.uniform(0, 0.4) for _ in range(gateways)]
 
     def gap_draw(self, flat: bool = False) -> list[tuple[float, float]]:
@@ -119,15 +150,28 @@
         whens = [at for at, _, _ in self.arrivals]
         for turn in range(int(WARM / 1.5)):
             opens = turn * 1.5
-            takers = max(int(use * allowed(self.n, opens - 1)), 1) if use * allowed(self.n, opens - 1) >= 0.5 else 0
+            takers = (
+                max(int(use * allowed(self.n, opens - 1)), 1)
+                if use * allowed(self.n, opens - 1) >= 0.5
+                else 0
+            )
             mine = {(turn * 7 + place) % self.gateways for place in range(takers)}
             done = set()
-            for place in range(bisect_left(whens, opens - HELD), bisect_left(whens, opens + 0.25)):
+            for place in range(
+                bisect_left(whens, opens - HELD), bisect_left(whens, opens + 0.25)
+            ):
                 at, gateway, weight = self.arrivals[place]
-                if gateway in mine and gateway not in done and place not in taken and weight <= 1.0:
+                if (
+                    gateway in mine
+                    and gateway not in done
+                    and place not in taken
+                    and weight <= 1.0
+                ):
                     done.add(gateway)
                     taken.add(place)
-                    sent.append((max(at, opens) + self.chance.uniform(0, ON_WAY), weight))
+                    sent.append(
+                        (max(at, opens) + self.chance.uniform(0, ON_WAY), weight)
+                    )
         return sent
 
     def judged(self, sent: list[tuple[float, float]]) -> tuple[float, float]:
@@ -135,17 +179,29 @@
         sent.sort()
         nearest = 0.0
         for place, (at, _) in enumerate(sent):
-            inside = sum(weight for when, weight in sent[place:place + 200] if when < at + 1)
+            inside = sum(
+                weight for when, weight in sent[place : place + 200] if when < at + 1
+            )
             nearest = max(nearest, inside / line(allowed(self.n, at)))
         total = self.n * WARM * (1 + GROWN) / 2
         return nearest, sum(weight for _, weight in sent) / total
 
 
-CASES = {"even": {}, "uneven": {"uneven": True}, "surge of 3": {"surge": 3.0}, "4 windows of silence, then 3": {"surge": 3.0, "silent": 4.0},
-         "3 retries elsewhere": {"retries": 3}, "asked 3 times as much as other nodes": {"hot": 3.0}}
-WAYS = {"turns": lambda play, use: play.turns(0.6), "bucket of 1, chance phase": lambda play, use: play.buckets(use, 1.0),
-        "bucket of 3, chance phase": lambda play, use: play.buckets(use, 3.0),
-        "one draw, mean demand": lambda play, use: play.gap_draw(True), "one draw, own gap": lambda play, use: play.gap_draw()}
+CASES = {
+    "even": {},
+    "uneven": {"uneven": True},
+    "surge of 3": {"surge": 3.0},
+    "4 windows of silence, then 3": {"surge": 3.0, "silent": 4.0},
+    "3 retries elsewhere": {"retries": 3},
+    "asked 3 times as much as other nodes": {"hot": 3.0},
+}
+WAYS = {
+    "turns": lambda play, use: play.turns(0.6),
+    "bucket of 1, chance phase": lambda play, use: play.buckets(use, 1.0),
+    "bucket of 3, chance phase": lambda play, use: play.buckets(use, 3.0),
+    "one draw, mean demand": lambda play, use: play.gap_draw(True),
+    "one draw, own gap": lambda play, use: play.gap_draw(),
+}
 
 
 def main() -> None:
@@ -153,24 +209,58 @@
     parser.add_argument("--runs", type=int, default=200)
     parser.add_argument("--use", type=float, default=0.4)
     options = parser.parse_args()
-    print("N, line, largest mean (exact), the draw's mean, in parts of N; chance to pass with it, with it doubled, trebled: by transfers "
-          "of mean work, and by those of the worst one size")
+    print(
+        "N, line, largest mean (exact), the draw's mean, in parts of N; chance to pass with it, with it doubled, trebled: by transfers "
+        "of mean work, and by those of the worst one size"
+    )
     for n in (0.25, 0.5, 1, 2, 3, 5, 8, 12, 20, 30, 60):
-        over = [tail(drawn(n) * factor, int(line(n)) + 1) for factor in (1, 2, 3)] + [worst(n, factor) for factor in (1, 2, 3)]
-        print(f"{n:5} {line(n):6.1f} {exact(n) / n:6.2f} {drawn(n) / n:6.2f}  " + " ".join(f"{each:.0e}" for each in over))
-    print(f"\nsimulated, {options.runs} warm-ups each, turns at 0.6 N, buckets at {options.use} N: nearest approach to the line (most), "
-          "used of what is allowed")
-    for gateways, n, demand in ((5, 2.0, 8.0), (12, 3.0, 8.0), (20, 4.0, 10.0), (30, 4.0, 10.0), (200, 0.5, 5.0), (200, 2.0, 8.0),
-                                (200, 8.0, 40.0), (1024, 4.0, 20.0)):
+        over = [tail(drawn(n) * factor, int(line(n)) + 1) for factor in (1, 2, 3)] + [
+            worst(n, factor) for factor in (1, 2, 3)
+        ]
+        print(
+            f"{n:5} {line(n):6.1f} {exact(n) / n:6.2f} {drawn(n) / n:6.2f}  "
+            + " ".join(f"{each:.0e}" for each in over)
+        )
+    print(
+        f"\nsimulated, {options.runs} warm-ups each, turns at 0.6 N, buckets at {options.use} N: nearest approach to the line (most), "
+        "used of what is allowed"
+    )
+    for gateways, n, demand in (
+        (5, 2.0, 8.0),
+        (12, 3.0, 8.0),
+        (20, 4.0, 10.0),
+        (30, 4.0, 10.0),
+        (200, 0.5, 5.0),
+        (200, 2.0, 8.0),
+        (200, 8.0, 40.0),
+        (1024, 4.0, 20.0),
+    ):
         for case, given in CASES.items():
             found = []
             for name, way in WAYS.items():
                 chance = Random(1)
-                kwargs = {"uneven": False, "surge": 1.0, "silent": 0.0, "retries": 0, "hot": 1.0, **given}
-                plays = [play.judged(way(play, options.use)) for play in
-                         (Play(chance, gateways, n, demand, **kwargs) for _ in range(options.runs))]
-                found.append(f"{name}: {max(each[0] for each in plays):.2f} {sum(each[1] for each in plays) / len(plays):.2f}")
-            print(f"{gateways:5} N={n} asked {demand}, {case}: " + "; ".join(found), flush=True)
+                kwargs = {
+                    "uneven": False,
+                    "surge": 1.0,
+                    "silent": 0.0,
+                    "retries": 0,
+                    "hot": 1.0,
+                    **given,
+                }
+                plays = [
+                    play.judged(way(play, options.use))
+                    for play in (
+                        Play(chance, gateways, n, demand, **kwargs)
+                        for _ in range(options.runs)
+                    )
+                ]
+                found.append(
+                    f"{name}: {max(each[0] for each in plays):.2f} {sum(each[1] for each in plays) / len(plays):.2f}"
+                )
+            print(
+                f"{gateways:5} N={n} asked {demand}, {case}: " + "; ".join(found),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -1,4 +1,5 @@
 """Real gateways of one fleet under faults: `python -m benchmarks.fleet_view processes`. Times are read from their own logs."""
+
 from __future__ import annotations
 
 import signal
@@ -20,17 +21,42 @@
             fleet.close()
 
 
-def tell(fleet: Processes, what: str, among: list[int], since: float, joined: int | None = None) -> None:
+def tell(
+    fleet: Processes,
+    what: str,
+    among: list[int],
+    since: float,
+    joined: int | None = None,
+) -> None:
     """Seconds since an order; with `joined`, since that gateway's own first word about its fleet."""
     done = fleet.wait(lambda: fleet.agree(among, since), MOST)
     if joined is not None:
-        since = max([said_at(each) for each in fleet.log(joined) if each["event"] == "fleet_joining"], default=since)
+        since = max(
+            [
+                said_at(each)
+                for each in fleet.log(joined)
+                if each["event"] == "fleet_joining"
+            ],
+            default=since,
+        )
     times = fleet.times(among, since)
-    print(f"{what:44}" + (f"nine in ten {times[int(0.9 * (len(times) - 1))]:.2f} s, all {times[-1]:.2f} s" if done else "never"), flush=True)
+    print(
+        f"{what:44}"
+        + (
+            f"nine in ten {times[int(0.9 * (len(times) - 1))]:.2f} s, all {times[-1]:.2f} s"
+            if done
+            else "never"
+        ),
+        flush=True,
+    )
 
 
 def gone_said(fleet: Processes, among: list[int]) -> int:
-    return sum(each["event"] == "member" and each["change"] == "gone" for number in among for each in fleet.log(number))
+    return sum(
+        each["event"] == "member" and each["change"] == "gone"
+        for number in among
+        for each in fleet.log(number)
+    )
 
 
 def faults(fleet: Processes, count: int) -> None:
@@ -64,9 +90,16 @@
         for number in [each for each, at in due.items() if at <= now < ends]:
             fleet.send(number, signal.SIGSTOP)
             span = chance.uniform(0.66, 1.2)
-            standing[number], due[number], stalls = now + span, now + span + chance.uniform(0.8, 2.8), stalls + 1
+            standing[number], due[number], stalls = (
+                now + span,
+                now + span + chance.uniform(0.8, 2.8),
+                stalls + 1,
+            )
         time.sleep(0.01)
-    print(f"a minute of {stalls} stalls of 0.66 to 1.2 s: members declared gone {gone_said(fleet, rest + [last]) - before}", flush=True)
+    print(
+        f"a minute of {stalls} stalls of 0.66 to 1.2 s: members declared gone {gone_said(fleet, rest + [last]) - before}",
+        flush=True,
+    )
     began = time.time()
     code = fleet.end(last, signal.SIGTERM)
     tell(fleet, f"one leaves by SIGTERM (status {code})", rest, began)
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -8,6 +8,7 @@
 All but the last are simulated: datagrams take 0.2 to 2 ms, frames go through the codec where octets are counted. Each line says
 the seconds until nine in ten, and until all, of the live gateways hold the true view.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -25,8 +26,10 @@
     for part in (0.9, 1.0):
         done = clock.run(began + MOST_WAIT * SECOND, lambda: clock.right() >= part)
         times.append(f"{(clock.now - began) / SECOND:.1f}" if done else "never")
-    print(f"{what:36} nine in ten {times[0]:>5} s, all {times[1]:>5} s, live ones declared gone meanwhile {len(clock.false) - false}",
-          flush=True)
+    print(
+        f"{what:36} nine in ten {times[0]:>5} s, all {times[1]:>5} s, live ones declared gone meanwhile {len(clock.false) - false}",
+        flush=True,
+    )
     clock.run(clock.now + 10 * SECOND)
 
 
@@ -50,17 +53,23 @@
             clock.heal()
             settled(clock, f"healed after {span} s in halves")
     elif what == "one-way":
-        clock.cut(names[:len(names) // 10], names[len(names) // 10:], both=False)
+        clock.cut(names[: len(names) // 10], names[len(names) // 10 :], both=False)
         clock.run(clock.now + 20 * SECOND)
         clock.heal()
         settled(clock, "healed after 20 s, a tenth unheard")
         clock.cut(names[:1], names[1:2], both=False)
         clock.run(clock.now + 20 * SECOND)
-        print(f"20 s in which one does not hear one other: right views {clock.right():.3f}", flush=True)
+        print(
+            f"20 s in which one does not hear one other: right views {clock.right():.3f}",
+            flush=True,
+        )
     elif what == "loss":
         clock.loss, false = 0.1, len(clock.false)
         clock.run(clock.now + 60 * SECOND)
-        print(f"a minute of 10% loss: live ones declared gone {len(clock.false) - false}, right views {clock.right():.3f}", flush=True)
+        print(
+            f"a minute of 10% loss: live ones declared gone {len(clock.false) - false}, right views {clock.right():.3f}",
+            flush=True,
+        )
         clock.kill("gateway-7")
         settled(clock, "one is killed, 10% loss")
     elif what == "many":
@@ -89,10 +98,19 @@
     clock.run(began + 20 * SECOND)
     seconds = (clock.now - began) / SECOND * given.gateways
     for stream in (False, True):
-        packets = sum(count for (_, over), count in clock.packets.items() if over is stream) / seconds
-        octets = sum(count for (_, over), count in clock.octets.items() if over is stream) / seconds
-        print(f"simulated, {given.gateways} gateways, calm: {'streams' if stream else 'datagrams'} out of each "
-              f"{packets:.1f} a second, {octets:.0f} octets a second", flush=True)
+        packets = (
+            sum(count for (_, over), count in clock.packets.items() if over is stream)
+            / seconds
+        )
+        octets = (
+            sum(count for (_, over), count in clock.octets.items() if over is stream)
+            / seconds
+        )
+        print(
+            f"simulated, {given.gateways} gateways, calm: {'streams' if stream else 'datagrams'} out of each "
+            f"{packets:.1f} a second, {octets:.0f} octets a second",
+            flush=True,
+        )
 
 
 def stalls(given: argparse.Namespace) -> None:
@@ -104,8 +122,15 @@
         clock.at(clock.now + chance.randrange(20_000, 40_001), each, name)
 
     def together() -> None:
-        for name in chance.sample(sorted(clock.stands), int(chance.uniform(0.3, 0.87) * given.gateways)):
-            clock.at(clock.now + chance.randrange(1000), clock.stall, name, chance.randrange(6600, 12001))
+        for name in chance.sample(
+            sorted(clock.stands), int(chance.uniform(0.3, 0.87) * given.gateways)
+        ):
+            clock.at(
+                clock.now + chance.randrange(1000),
+                clock.stall,
+                name,
+                chance.randrange(6600, 12001),
+            )
         clock.at(clock.now + chance.randrange(20_000, 40_001), together)
 
     if given.together:
@@ -115,9 +140,11 @@
             clock.at(clock.now + chance.randrange(30_000), each, name)
     clock.run(clock.now + given.seconds * SECOND)
     how = "up to 87% at a time" if given.together else "each by itself"
-    print(f"simulated, {given.gateways} gateways, {given.seconds} s of stalls of 660 to 1,200 ms every 2 to 4 s, {how}: "
-          f"live ones declared gone {len(clock.false)}, suspicions refuted {sum(each.said['REFUTED'] for each in clock.stands.values())}",
-          flush=True)
+    print(
+        f"simulated, {given.gateways} gateways, {given.seconds} s of stalls of 660 to 1,200 ms every 2 to 4 s, {how}: "
+        f"live ones declared gone {len(clock.false)}, suspicions refuted {sum(each.said['REFUTED'] for each in clock.stands.values())}",
+        flush=True,
+    )
     times: list[tuple[float, float, float]] = []
     for _ in range(given.kills):
         victim = clock.live()[-2].name
@@ -136,17 +163,22 @@
         clock.run(clock.now + 5 * SECOND)
     for place, word in enumerate(("first", "nine in ten", "all")):
         held = sorted(each[place] for each in times)
-        print(f"  {len(held)} kills, seen by {word}: median {held[len(held) // 2]:.1f} s, longest {held[-1]:.1f} s")
+        print(
+            f"  {len(held)} kills, seen by {word}: median {held[len(held) // 2]:.1f} s, longest {held[-1]:.1f} s"
+        )
     print(f"  live ones declared gone with the kills: {len(clock.false)}", flush=True)
 
 
 def processes(given: argparse.Namespace) -> None:
     from benchmarks.fleet_processes import play
+
     play(given.gateways)
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=["events", "traffic", "stalls", "processes"])
     parser.add_argument("--gateways", type=int)
     parser.add_argument("--seed", type=int, default=1)
@@ -157,7 +189,9 @@
     parser.add_argument("--cuts", type=int, nargs="*", default=[1, 10, 300])
     given = parser.parse_args()
     given.gateways = given.gateways or (12 if given.what == "processes" else 200)
-    {"events": events, "traffic": traffic, "stalls": stalls, "processes": processes}[given.what](given)
+    {"events": events, "traffic": traffic, "stalls": stalls, "processes": processes}[
+        given.what
+    ](given)
 
 
 if __name__ == "__main__":
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -4,6 +4,7 @@
 
 What it costs client work: `milletsill lab run SCENARIO --out DIR --flows off|on|away|stuck`.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -19,9 +20,16 @@
 
 
 def updates() -> float:
-    meter = Meter(Cache(4096, 600_000, 150_000, lambda at: at, lambda out: None), Metering(Level.FLOWS, Level.FLOWS),
-                  lambda: 5, time.perf_counter)
-    keys = [ClientKey("10.0.0.1", each, "10.0.0.2", 1, "suva", "premium", "lot-read") for each in range(1000)]
+    meter = Meter(
+        Cache(4096, 600_000, 150_000, lambda at: at, lambda out: None),
+        Metering(Level.FLOWS, Level.FLOWS),
+        lambda: 5,
+        time.perf_counter,
+    )
+    keys = [
+        ClientKey("10.0.0.1", each, "10.0.0.2", 1, "suva", "premium", "lot-read")
+        for each in range(1000)
+    ]
     began = time.perf_counter()
     for number in range(COUNT):
         meter.command(keys[number % 1000], "satisfied", 90, 8200, True, 300)
@@ -44,7 +52,9 @@
     encoded = COUNT / 4 / (time.perf_counter() - began)
     decoder = codec.Decoder()  # type: ignore[attr-defined]
     first = codec.Message(9000)  # type: ignore[attr-defined]
-    for set_id, data in encoder.template_sets([each for each in TEMPLATES if not each.scope]):
+    for set_id, data in encoder.template_sets(
+        [each for each in TEMPLATES if not each.scope]
+    ):
         first.add(set_id, data)
     decoder.message(first.finish(0, 0, 1), 0)
     began = time.perf_counter()
@@ -53,15 +63,21 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--runs", type=int, default=5)
     runs = parser.parse_args().runs
-    print(f"cache updates a second: median {statistics.median(updates() for _ in range(runs)):.0f} of {runs}")
+    print(
+        f"cache updates a second: median {statistics.median(updates() for _ in range(runs)):.0f} of {runs}"
+    )
     for name, codec in (("ipfix", ipfix), ("netflow9", netflow9)):
         found = [coding(codec) for _ in range(runs)]
         encoded, decoded, size = (statistics.median(each) for each in zip(*found))
-        print(f"{name}: {encoded:.0f} records a second encoded, {decoded:.0f} decoded, {size:.0f} bytes each, message "
-              f"headers included (medians of {runs})")
+        print(
+            f"{name}: {encoded:.0f} records a second encoded, {decoded:.0f} decoded, {size:.0f} bytes each, message "
+            f"headers included (medians of {runs})"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -5,6 +5,7 @@
 Bytes are flipped, cut, doubled, zeroed in pages, lengths overwritten; compressed bodies are changed and given sound checksums, so that
 what lies behind the checksums is reached too. Anything but a reading or one line of `BadTrace` is a finding and ends the run.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -26,12 +27,31 @@
 
 def base(chance: Random) -> bytes:
     """A file of all kinds in several blocks."""
-    rows = [(at * 3, kind, tuple(f"{name}{chance.randrange(9)}" if coding == TEXT else chance.random() if coding == FLOAT
-                                 else chance.randrange(-5, 1 << chance.randrange(1, 40)) for name, coding in kind.fields))
-            for at in range(30) for kind in KINDS]
-    data, heads, stores = format.put_header({"name": "f", "seed": 1}), [], tools.Stores()
+    rows = [
+        (
+            at * 3,
+            kind,
+            tuple(
+                f"{name}{chance.randrange(9)}"
+                if coding == TEXT
+                else chance.random()
+                if coding == FLOAT
+                else chance.randrange(-5, 1 << chance.randrange(1, 40))
+                for name, coding in kind.fields
+            ),
+        )
+        for at in range(30)
+        for kind in KINDS
+    ]
+    data, heads, stores = (
+        format.put_header({"name": "f", "seed": 1}),
+        [],
+        tools.Stores(),
+    )
     for at in range(0, len(rows), 150):
-        block = format.put_block(rows[at:at + 150], stores.touched(rows[at:at + 150]))
+        block = format.put_block(
+            rows[at : at + 150], stores.touched(rows[at : at + 150])
+        )
         heads.append(format.get_head(block, len(data)))
         data += block
     return data + format.put_footer(heads, len(data), stores.blocks)
@@ -46,13 +66,13 @@
         if what == 0:
             held[at] ^= 1 << chance.randrange(8)
         elif what == 1:
-            del held[at:at + chance.randrange(1, 400)]
+            del held[at : at + chance.randrange(1, 400)]
         elif what == 2:
-            held[at:at] = held[at:at + chance.randrange(1, 200)]
+            held[at:at] = held[at : at + chance.randrange(1, 200)]
         elif what == 3:
-            held[at:at + 512] = bytes(len(held[at:at + 512]))
+            held[at : at + 512] = bytes(len(held[at : at + 512]))
         elif what == 4:
-            held[at:at + 4] = chance.randrange(1 << 32).to_bytes(4, "little")
+            held[at : at + 4] = chance.randrange(1 << 32).to_bytes(4, "little")
         else:
             del held[at:]
         if not held:
@@ -62,16 +82,39 @@
 
 def sealed(data: bytes, chance: Random) -> bytes:
     """A block's unpacked body changed, packed again, checksums made right."""
-    header = format.header_size(data[:format.HEAD.size])
+    header = format.header_size(data[: format.HEAD.size])
     head = format.get_head(data[header:], header)
-    raw = rough(zstandard.ZstdDecompressor().decompress(data[header + BLOCK_HEAD.size:head.end]), chance)
+    raw = rough(
+        zstandard.ZstdDecompressor().decompress(
+            data[header + BLOCK_HEAD.size : head.end]
+        ),
+        chance,
+    )
     body = zstandard.ZstdCompressor(level=1).compress(raw)
-    fields = BLOCK_HEAD.pack(format.BLOCK, len(body), len(raw), head.records, head.first, head.last, zlib.crc32(body), head.stores, 0)
-    return data[:header] + fields[:-4] + zlib.crc32(fields[:-4]).to_bytes(4, "little") + body + data[head.end:]
+    fields = BLOCK_HEAD.pack(
+        format.BLOCK,
+        len(body),
+        len(raw),
+        head.records,
+        head.first,
+        head.last,
+        zlib.crc32(body),
+        head.stores,
+        0,
+    )
+    return (
+        data[:header]
+        + fields[:-4]
+        + zlib.crc32(fields[:-4]).to_bytes(4, "little")
+        + body
+        + data[head.end :]
+    )
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--seconds", type=float, default=60)
     parser.add_argument("--seed", type=int, default=1)
     given = parser.parse_args()
@@ -82,10 +125,17 @@
         while time.monotonic() < ends:
             data = base(chance) if count % 200 == 0 else data
             with open(path, "wb") as sink:
-                sink.write(rough(data, chance) if chance.random() < 0.5 else sealed(data, chance))
+                sink.write(
+                    rough(data, chance)
+                    if chance.random() < 0.5
+                    else sealed(data, chance)
+                )
             count += 1
-            for name, call in (("verify", lambda: verify(path)), ("cut", lambda: tools.cut(path, out, store="store3")),
-                               ("summary", lambda: tools.summary(path))):
+            for name, call in (
+                ("verify", lambda: verify(path)),
+                ("cut", lambda: tools.cut(path, out, store="store3")),
+                ("summary", lambda: tools.summary(path)),
+            ):
                 try:
                     call()
                     said[f"{name} read"] += 1
@@ -94,8 +144,10 @@
                     said[f"{name} one line"] += 1
                 if os.path.exists(out):
                     os.unlink(out)
-    print(f"{count} files, seed {given.seed}: {dict(said)}; peak memory "
-          f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB")
+    print(
+        f"{count} files, seed {given.seed}: {dict(said)}; peak memory "
+        f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -8,6 +8,7 @@
 
 All processes run on this machine; figures are of stand-ins on loopback.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -34,9 +35,16 @@
 volume { name: "v" root: "/v" plan: "p" cell: [0, 1, 2, 3] }
 route { category: "read" }
 """
-GROUPS = (("module", "milletsill/policy/"), ("host", "milletsill/edge/host.py"), ("door, courses, map", "milletsill/edge/"),
-          ("links", "milletsill/links/"), ("codec", "milletsill/files/"), ("Twisted", "/twisted/"),
-          ("metrics", "/prometheus_client/"), ("logs", "/structlog/"))
+GROUPS = (
+    ("module", "milletsill/policy/"),
+    ("host", "milletsill/edge/host.py"),
+    ("door, courses, map", "milletsill/edge/"),
+    ("links", "milletsill/links/"),
+    ("codec", "milletsill/files/"),
+    ("Twisted", "/twisted/"),
+    ("metrics", "/prometheus_client/"),
+    ("logs", "/structlog/"),
+)
 
 
 def boxes(port: str, count: str) -> None:
@@ -47,12 +55,23 @@
     from milletsill.lab.files import Files
     from milletsill.lab.registry import Registry, site
     from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, RegistryStand
+
     registry = Registry(reactor, RegistryStand(call_ms=1, notice_ms=1), 1)
     reactor.listenTCP(int(port), site(registry), interface="127.0.0.1")
     for number in range(int(count)):
         files = Files()
-        box = Box(reactor, number, number, 0, BoxKind(name="k", cores=64, slots=256, speed=1e6), NodeRules(), files, {},
-                  number, None)
+        box = Box(
+            reactor,
+            number,
+            number,
+            0,
+            BoxKind(name="k", cores=64, slots=256, speed=1e6),
+            NodeRules(),
+            files,
+            {},
+            number,
+            None,
+        )
         for each in range(64):
             files.data[f"/v/f{each}"] = bytearray(4096)
         box.port = reactor.listenTCP(0, Gates(box), interface="127.0.0.1")
@@ -70,33 +89,67 @@
     from milletsill.files import extensions, packets
     from milletsill.links.decide import Bounds
     from milletsill.links.pool import Pool
-    call = urllib.request.Request(f"http://127.0.0.1:{registry}/v3/kv/range", b"{}", method="POST")
+
+    call = urllib.request.Request(
+        f"http://127.0.0.1:{registry}/v3/kv/range", b"{}", method="POST"
+    )
     with urllib.request.urlopen(call, timeout=5) as answer:
         kvs = json.load(answer)["kvs"]
     bounds = Bounds(4, 64, 1, 2500, 300_000, 10_000)
-    pools = [Pool(reactor, lambda: time.monotonic_ns() // 100_000, json.loads(base64.b64decode(each["value"]))["address"],
-                  bounds, "direct", 1, 1 << 20, print) for each in kvs]
+    pools = [
+        Pool(
+            reactor,
+            lambda: time.monotonic_ns() // 100_000,
+            json.loads(base64.b64decode(each["value"]))["address"],
+            bounds,
+            "direct",
+            1,
+            1 << 20,
+            print,
+        )
+        for each in kvs
+    ]
     spans, perf = [], time.perf_counter
 
     def ask(number: int) -> None:
         began = perf()
-        order = extensions.Order("direct", 1, number, 0, 1.0, number, 1000, f"d{number}", 1, 1, "read", "",
-                                 packets.Read(0, f"/v/f{number % 64}".encode(), 0, 4096))
-        pools[number % len(pools)].dispatch(order, lambda outcome, verdict: spans.append(perf() - began))
+        order = extensions.Order(
+            "direct",
+            1,
+            number,
+            0,
+            1.0,
+            number,
+            1000,
+            f"d{number}",
+            1,
+            1,
+            "read",
+            "",
+            packets.Read(0, f"/v/f{number % 64}".encode(), 0, 4096),
+        )
+        pools[number % len(pools)].dispatch(
+            order, lambda outcome, verdict: spans.append(perf() - began)
+        )
 
     def pace(number: int, begun: float) -> None:
         while begun + number / float(rate) <= perf():
             ask(number)
             number += 1
         if number < float(rate) * float(seconds):
-            reactor.callLater(max(begun + number / float(rate) - perf(), 0), pace, number, begun)
+            reactor.callLater(
+                max(begun + number / float(rate) - perf(), 0), pace, number, begun
+            )
         else:
             reactor.callLater(1, reactor.stop)
 
     reactor.callLater(0.1, pace, 0, perf() + 0.1)
     reactor.run()
     spans.sort()
-    print(len(spans) / float(seconds), *(spans[int(len(spans) * q)] * 1000 for q in (0.5, 0.99)))
+    print(
+        len(spans) / float(seconds),
+        *(spans[int(len(spans) * q)] * 1000 for q in (0.5, 0.99)),
+    )
 
 
 def client(port: str, connections: str, depth: str, rate: str, seconds: str) -> None:
@@ -108,24 +161,37 @@
     from milletsill.files import packets
     from milletsill.files.framing import Deframer
     from milletsill.files.wire import Attrs
+
     spans, ends, perf = [], [0.0], time.perf_counter
 
     class Reader(Protocol):
         def connectionMade(self) -> None:
             self.transport.setTcpNoDelay(True)
-            self.deframer, self.ids, self.sent, self.handles, self.opened = Deframer(1 << 24), 0, {}, [], 0
+            self.deframer, self.ids, self.sent, self.handles, self.opened = (
+                Deframer(1 << 24),
+                0,
+                {},
+                [],
+                0,
+            )
             self.transport.write(packets.encode(packets.Init(3)))
             for number in range(64):
                 self.ids += 1
-                self.transport.write(packets.encode(packets.Open(self.ids, f"/v/f{number}", 1, Attrs())))
+                self.transport.write(
+                    packets.encode(packets.Open(self.ids, f"/v/f{number}", 1, Attrs()))
+                )
 
         def dataReceived(self, data: bytes) -> None:
             self.deframer.feed(data)
             while (body := self.deframer.next()) is not None:
                 packet = packets.decode(body)
-                if getattr(packet, "id", 99) <= 64:  # the opens; one that was declined is done without
+                if (
+                    getattr(packet, "id", 99) <= 64
+                ):  # the opens; one that was declined is done without
                     self.opened += 1
-                    self.handles += [packet.handle] if isinstance(packet, packets.Handle) else []
+                    self.handles += (
+                        [packet.handle] if isinstance(packet, packets.Handle) else []
+                    )
                     if self.opened == 64 and self.handles:
                         self.begin()
                 elif not isinstance(packet, packets.Version):
@@ -151,21 +217,38 @@
         def ask(self) -> None:
             self.ids += 1
             self.sent[self.ids] = perf()
-            self.transport.write(packets.encode(packets.Read(self.ids, self.handles[self.ids % len(self.handles)], 0, 4096)))
+            self.transport.write(
+                packets.encode(
+                    packets.Read(
+                        self.ids, self.handles[self.ids % len(self.handles)], 0, 4096
+                    )
+                )
+            )
 
     for _ in range(int(connections)):
-        TCP4ClientEndpoint(reactor, "127.0.0.1", int(port)).connect(Factory.forProtocol(Reader))
+        TCP4ClientEndpoint(reactor, "127.0.0.1", int(port)).connect(
+            Factory.forProtocol(Reader)
+        )
     reactor.callLater(float(seconds) + 2, reactor.stop)
     reactor.run()
     spans.sort()
-    print(len(spans) / float(seconds), *(spans[int(len(spans) * q)] * 1000 for q in (0.5, 0.99)))
+    print(
+        len(spans) / float(seconds),
+        *(spans[int(len(spans) * q)] * 1000 for q in (0.5, 0.99)),
+    )
 
 
 class Bench:
     """One edge before stand-in boxes; a context."""
 
-    def __init__(self, profile: str = "", away: bool = False, trace: str = "", block_s: float = 5.0,
-                 flows: bool = False) -> None:
+    def __init__(
+        self,
+        profile: str = "",
+        away: bool = False,
+        trace: str = "",
+        block_s: float = 5.0,
+        flows: bool = False,
+    ) -> None:
         self.profile, self.away, self.processes = profile, away, []
         self.trace, self.block_s, self.flows = trace, block_s, flows
 
@@ -181,7 +264,9 @@
         if self.flows:
             collector = f"127.0.0.1:{free_ports(1)[0]}"
             file.flows.collector.add(address=collector)
-            self.start("milletsill", "flows", "collect", "--quiet", "--listen", collector)
+            self.start(
+                "milletsill", "flows", "collect", "--quiet", "--listen", collector
+            )
         if self.trace:
             file.trace.folder, file.trace.block_s = self.trace, self.block_s
         path = f"{self.folder.name}/edge.textproto"
@@ -211,16 +296,24 @@
         raise RuntimeError("the edge does not listen")
 
     def start(self, *words: str, before: list[str] = []) -> subprocess.Popen[bytes]:
-        made = subprocess.Popen([sys.executable, *before, "-m", *words], stderr=subprocess.DEVNULL)
+        made = subprocess.Popen(
+            [sys.executable, *before, "-m", *words], stderr=subprocess.DEVNULL
+        )
         self.processes.append(made)
         return made
 
-    def play(self, connections: int, depth: int, rate: float, seconds: float) -> list[float]:
+    def play(
+        self, connections: int, depth: int, rate: float, seconds: float
+    ) -> list[float]:
         return self.tool("client", self.door, connections, depth, rate, seconds)
 
     def tool(self, *words: object) -> list[float]:
-        done = subprocess.run([sys.executable, "-m", "benchmarks.gateway", *map(str, words)], capture_output=True,
-                              check=True, timeout=float(str(words[-1])) + 60)
+        done = subprocess.run(
+            [sys.executable, "-m", "benchmarks.gateway", *map(str, words)],
+            capture_output=True,
+            check=True,
+            timeout=float(str(words[-1])) + 60,
+        )
         return [float(each) for each in done.stdout.split()]
 
     def cpu(self) -> float:
@@ -258,11 +351,17 @@
             _, at_half, at_99 = bench.tool("direct", bench.registry, 200, seconds)
             bare.append(at_half)
             bare_99.append(at_99)
-    for name, held in (("commands a second, one edge", rates), ("processor us a command", costs),
-                       ("ms at 200 a second, median", middle), ("ms at 200 a second, 99th", tail),
-                       ("the same straight to the boxes, median", bare),
-                       ("the same straight to the boxes, 99th", bare_99)):
-        print(f"{name}: median {statistics.median(held):.2f} ({min(held):.2f} to {max(held):.2f}, {runs} runs)")
+    for name, held in (
+        ("commands a second, one edge", rates),
+        ("processor us a command", costs),
+        ("ms at 200 a second, median", middle),
+        ("ms at 200 a second, 99th", tail),
+        ("the same straight to the boxes, median", bare),
+        ("the same straight to the boxes, 99th", bare_99),
+    ):
+        print(
+            f"{name}: median {statistics.median(held):.2f} ({min(held):.2f} to {max(held):.2f}, {runs} runs)"
+        )
 
 
 def pairs(of: str, runs: int, seconds: float) -> None:
@@ -270,31 +369,53 @@
     held: dict[bool, list[tuple[float, ...]]] = {False: [], True: []}
     for number in range(runs):
         for with_it in (False, True) if number % 2 else (True, False):
-            with tempfile.TemporaryDirectory() as folder, Bench(
-                    trace=folder if with_it and of == "trace" else "", flows=with_it and of == "flows") as bench:
+            with (
+                tempfile.TemporaryDirectory() as folder,
+                Bench(
+                    trace=folder if with_it and of == "trace" else "",
+                    flows=with_it and of == "flows",
+                ) as bench,
+            ):
                 before = bench.cpu()
                 top, *_ = bench.play(4, 16, 0, seconds)
                 cost = (bench.cpu() - before) / (top * seconds) * 1e6
                 _, at_half, at_99 = bench.play(4, 2, 500, seconds)
                 held[with_it].append((top, cost, at_half, at_99))
-    for place, what in enumerate(("commands a second", "processor us a command", "ms at 500 a second, median",
-                                  "ms at 500 a second, 99th")):
+    for place, what in enumerate(
+        (
+            "commands a second",
+            "processor us a command",
+            "ms at 500 a second, median",
+            "ms at 500 a second, 99th",
+        )
+    ):
         off, on = ([each[place] for each in held[which]] for which in (False, True))
         ratios = sorted(b / a for a, b in zip(off, on))
-        print(f"{what}: without {statistics.median(off):.2f}, with {statistics.median(on):.2f}; ratio in pairs: median "
-              f"{statistics.median(ratios):.3f} ({ratios[0]:.3f} to {ratios[-1]:.3f}, {runs} pairs)")
+        print(
+            f"{what}: without {statistics.median(off):.2f}, with {statistics.median(on):.2f}; ratio in pairs: median "
+            f"{statistics.median(ratios):.3f} ({ratios[0]:.3f} to {ratios[-1]:.3f}, {runs} pairs)"
+        )
 
 
 def profile(seconds: float) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = f"{folder}/edge.prof"
         with Bench(path) as bench:
-            print(f"{bench.play(4, 16, 0, seconds)[0]:.0f} commands a second under the profiler")
+            print(
+                f"{bench.play(4, 16, 0, seconds)[0]:.0f} commands a second under the profiler"
+            )
         found = pstats.Stats(path)
         groups: dict[str, float] = {}
         for (file, line, name), (_, _, own, _, _) in found.stats.items():
             idle = name in ("<method 'poll' of 'select.epoll' objects>",)
-            group = "idle" if idle else next((each for each, part in GROUPS if part in file), "Python and the rest")
+            group = (
+                "idle"
+                if idle
+                else next(
+                    (each for each, part in GROUPS if part in file),
+                    "Python and the rest",
+                )
+            )
             groups[group] = groups.get(group, 0.0) + own
         whole = sum(own for group, own in groups.items() if group != "idle")
         for group, own in sorted(groups.items(), key=lambda each: -each[1]):
@@ -308,13 +429,20 @@
         ends, begun = time.monotonic() + seconds, time.monotonic()
         while time.monotonic() < ends:
             rate, *_ = bench.play(4, 4, 500, min(20, seconds))
-            print(f"{time.monotonic() - begun:.0f} s: {bench.memory():.1f} MiB at {rate:.0f} a second", flush=True)
+            print(
+                f"{time.monotonic() - begun:.0f} s: {bench.memory():.1f} MiB at {rate:.0f} a second",
+                flush=True,
+            )
 
 
 def main() -> None:
     if len(sys.argv) > 1 and sys.argv[1] in ("boxes", "client", "direct"):
-        return {"boxes": boxes, "client": client, "direct": direct}[sys.argv[1]](*sys.argv[2:])
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+        return {"boxes": boxes, "client": client, "direct": direct}[sys.argv[1]](
+            *sys.argv[2:]
+        )
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=("load", "pairs", "profile", "soak"))
     parser.add_argument("--of", choices=("flows", "trace"), default="trace")
     parser.add_argument("--runs", type=int, default=3)
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -8,6 +8,7 @@
 95% intervals (Student's t). `spread` has every gateway exchange rows for real and gives the time until nine in ten agree,
 octets a second, false verdicts, liars, partitions. Two processes at most; `--out FILE` keeps each run as a line of JSON.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -22,11 +23,26 @@
 
 from milletsill.lab import health_day, health_spread
 
-T95 = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 7: 2.447, 8: 2.365, 9: 2.306, 10: 2.262, 12: 2.201, 16: 2.131,
-       20: 2.093}
+T95 = {
+    2: 12.706,
+    3: 4.303,
+    4: 3.182,
+    5: 2.776,
+    6: 2.571,
+    7: 2.447,
+    8: 2.365,
+    9: 2.306,
+    10: 2.262,
+    12: 2.201,
+    16: 2.131,
+    20: 2.093,
+}
 
 
-JOBS = {"days": ("ill", "way", "seed", "cell", "liars"), "spread": ("case", "seed", "gateways")}  # as their runs tell them
+JOBS = {
+    "days": ("ill", "way", "seed", "cell", "liars"),
+    "spread": ("case", "seed", "gateways"),
+}  # as their runs tell them
 
 
 def key(made: dict[str, Any], given: Any) -> tuple[Any, ...]:
@@ -45,15 +61,27 @@
     os.nice(0)
     ill, way, seed, cell, liars = job
     made = health_day.Day(ill, way, seed, cell=cell, liars=liars)
-    return {"ill": ill, "way": way, "seed": seed, "cell": cell, "liars": liars, "service": made.play(),
-            "false": made.false_calls(), "hours": made.lasts / 36_000_000}
+    return {
+        "ill": ill,
+        "way": way,
+        "seed": seed,
+        "cell": cell,
+        "liars": liars,
+        "service": made.play(),
+        "false": made.false_calls(),
+        "hours": made.lasts / 36_000_000,
+    }
 
 
 def days(given: Any) -> None:
     ways = given.ways.split(",")
     ills = [each for each in given.ills.split(",")]
-    jobs = [(ill, way, seed, given.cell, given.liars if way == "shared" else 0.0) for seed in range(1, given.seeds + 1)
-            for ill in ills for way in ways]
+    jobs = [
+        (ill, way, seed, given.cell, given.liars if way == "shared" else 0.0)
+        for seed in range(1, given.seeds + 1)
+        for ill in ills
+        for way in ways
+    ]
     found: dict[tuple[str, str], dict[int, float]] = {}
     false: dict[str, list[float]] = {}
     for made in worked(day, jobs, given):
@@ -64,7 +92,11 @@
         said = [f"{way} {np.mean(list(found[ill, way].values())):.4f}" for way in ways]
         for one, two in (("shared", "alone"), ("truth", "alone")):
             if one in ways and two in ways:
-                pairs = [value - found[ill, two][seed] for seed, value in found[ill, one].items() if seed in found[ill, two]]
+                pairs = [
+                    value - found[ill, two][seed]
+                    for seed, value in found[ill, one].items()
+                    if seed in found[ill, two]
+                ]
                 said.append(f"{one} - {two} {interval(pairs)}")
         if ill in false:
             said.append(f"well boxes called ill {np.mean(false[ill]):.1f} an hour")
@@ -72,16 +104,26 @@
 
 
 def spread(given: Any) -> None:
-    jobs = [(case, seed, given.gateways) for seed in range(1, given.seeds + 1) for case in health_spread.CASES]
+    jobs = [
+        (case, seed, given.gateways)
+        for seed in range(1, given.seeds + 1)
+        for case in health_spread.CASES
+    ]
     found: dict[str, list[dict[str, Any]]] = {}
     for made in worked(health_spread.play, jobs, given):
         found.setdefault(made["case"], []).append(made)
     for case, runs in found.items():
         names = [each for each in runs[0] if each not in JOBS["spread"]]
-        print(f"{case}: " + ", ".join(
-            f"{name} {np.median(values):.2f} (worst {max(values):.2f})" if (values := [each[name] for each in runs if each[name]
-                                                                                      is not None]) else f"{name} never"
-            for name in names), flush=True)
+        print(
+            f"{case}: "
+            + ", ".join(
+                f"{name} {np.median(values):.2f} (worst {max(values):.2f})"
+                if (values := [each[name] for each in runs if each[name] is not None])
+                else f"{name} never"
+                for name in names
+            ),
+            flush=True,
+        )
 
 
 def cost(given: Any) -> None:
@@ -90,14 +132,24 @@
     from milletsill.fleet.health import codec
     from milletsill.fleet.health.decide import Judge
     from milletsill.fleet.health.rows import Rows, Word
+
     chance, boxes, now = Random(1), 44, 100_000
     origins = [Rows(each, 1, 2, 4096) for each in range(given.gateways)]
     rows, judge = Rows(-1, 1, 8192, 4096), Judge(0.34)
 
     def words(count: int) -> dict[int, Word]:
-        return {chance.randrange(boxes): Word(0, now, 1.0, 0.0, 0.0, 1.0, chance.gauss(0, 1)) for _ in range(count)}
-
-    frames = [next(codec.bodies([origin.write(words(5))], (), now)) for _ in range(2) for origin in origins]
+        return {
+            chance.randrange(boxes): Word(
+                0, now, 1.0, 0.0, 0.0, 1.0, chance.gauss(0, 1)
+            )
+            for _ in range(count)
+        }
+
+    frames = [
+        next(codec.bodies([origin.write(words(5))], (), now))
+        for _ in range(2)
+        for origin in origins
+    ]
     began = time.process_time()
     for body in frames:
         for each in codec.decoded(body).difference:
@@ -105,21 +157,34 @@
     heard = (time.process_time() - began) / len(frames)
     began = time.process_time()
     for step in range(20):
-        judge.look(rows, given.gateways, lambda box: {}, {box: box // 2 for box in range(boxes)}, now + step)
+        judge.look(
+            rows,
+            given.gateways,
+            lambda box: {},
+            {box: box // 2 for box in range(boxes)},
+            now + step,
+        )
     look = (time.process_time() - began) / 20
     size = sum(map(len, frames)) / len(frames)
     share = heard * given.gateways / 1.2 + look / 0.3
-    print(f"{given.gateways} gateways, {boxes} boxes: a row of 5 words is {size:.0f} octets and costs {heard * 1e6:.0f} us to read "
-          f"and merge, a look {look * 1e3:.1f} ms: {share:.3f} of a core on a calm day", flush=True)
+    print(
+        f"{given.gateways} gateways, {boxes} boxes: a row of 5 words is {size:.0f} octets and costs {heard * 1e6:.0f} us to read "
+        f"and merge, a look {look * 1e3:.1f} ms: {share:.3f} of a core on a calm day",
+        flush=True,
+    )
 
 
 def worked(call: Any, jobs: list[Any], given: Any) -> Any:
     """Runs as they end; those that `--out` has are not made again."""
     began, done = time.monotonic(), []
     if given.out and Path(given.out).exists():
-        done = [json.loads(line) for line in Path(given.out).read_text("utf-8").splitlines()]
+        done = [
+            json.loads(line) for line in Path(given.out).read_text("utf-8").splitlines()
+        ]
         done = [made for made in done if key(made, given) in jobs]
-        jobs = [each for each in jobs if each not in [key(made, given) for made in done]]
+        jobs = [
+            each for each in jobs if each not in [key(made, given) for made in done]
+        ]
     yield from done
     with multiprocessing.Pool(given.processes) as pool:
         for made in pool.imap_unordered(call, jobs):
@@ -127,13 +192,22 @@
                 with Path(given.out).open("a", encoding="utf-8") as out:
                     out.write(json.dumps(made) + "\n")
             yield made
-    print(f"simulated; {len(jobs)} runs in {time.monotonic() - began:.0f} s", flush=True)
+    print(
+        f"simulated; {len(jobs)} runs in {time.monotonic() - began:.0f} s", flush=True
+    )
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=("days", "spread", "cost"))
-    for name, default in (("seeds", 10), ("gateways", 150), ("cell", 2), ("processes", 2)):
+    for name, default in (
+        ("seeds", 10),
+        ("gateways", 150),
+        ("cell", 2),
+        ("processes", 2),
+    ):
         parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--liars", type=float, default=0.0)
     parser.add_argument("--ills", default=",".join(health_day.KINDS))
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -4,6 +4,7 @@
 
 Prints resident memory and the sizes of what the module holds as it goes. Simulated; one answer a dispatch, some lost.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -16,18 +17,51 @@
 from milletsill.interface import Answer, Arrival, Listed, News, Outcome, Readiness
 from milletsill.policy import Scheduler
 
-CATEGORY = {"target_time": 3000, "patience": 15_000, "utility": 1.0, "late_utility": 0.2, "repeats": "rerunnable",
-            "group": "all", "repeat_window": 20_000, "in_order": False}
-PLAN = {"usual_rate": 10.0, "reserve_rate": 10.0, "weight": 1.0, "price": 1.0, "limit_rate": 0.0, "limit_store": 0.0,
-        "limit_slack": 0.0}
+CATEGORY = {
+    "target_time": 3000,
+    "patience": 15_000,
+    "utility": 1.0,
+    "late_utility": 0.2,
+    "repeats": "rerunnable",
+    "group": "all",
+    "repeat_window": 20_000,
+    "in_order": False,
+}
+PLAN = {
+    "usual_rate": 10.0,
+    "reserve_rate": 10.0,
+    "weight": 1.0,
+    "price": 1.0,
+    "limit_rate": 0.0,
+    "limit_store": 0.0,
+    "limit_slack": 0.0,
+}
 LIMITED = {**PLAN, "limit_rate": 40.0, "limit_store": 100.0, "limit_slack": 10.0}
 FACTS: dict[str, Any] = {
-    "gateways": 3, "tick": 10, "plans": [PLAN, LIMITED],
-    "categories": [CATEGORY, {**CATEGORY, "in_order": True, "repeats": "exclusive"}], "share_utility": 0.3,
-    "largest_units": 8, "cold_units": 100.0, "may_cancel": True, "may_copy": True, "most_dispatches": 3,
-    "pause_told": True, "longest_pause": 5000, "list_on_request": False, "ask_within": 100_000, "cold_from": 0.25,
-    "cold_multiple": 2.0, "warm_after": 100_000, "cold_window": 10_000, "dial": 0, "further_free": 3, "further_ratio": 0.2,
-    "further_window": None, "key_rest": 3000}
+    "gateways": 3,
+    "tick": 10,
+    "plans": [PLAN, LIMITED],
+    "categories": [CATEGORY, {**CATEGORY, "in_order": True, "repeats": "exclusive"}],
+    "share_utility": 0.3,
+    "largest_units": 8,
+    "cold_units": 100.0,
+    "may_cancel": True,
+    "may_copy": True,
+    "most_dispatches": 3,
+    "pause_told": True,
+    "longest_pause": 5000,
+    "list_on_request": False,
+    "ask_within": 100_000,
+    "cold_from": 0.25,
+    "cold_multiple": 2.0,
+    "warm_after": 100_000,
+    "cold_window": 10_000,
+    "dial": 0,
+    "further_free": 3,
+    "further_ratio": 0.2,
+    "further_window": None,
+    "key_rest": 3000,
+}
 NODES, STEP, LOST = 40, 4, 0.002  # a transfer every STEP tenths of a millisecond
 
 
@@ -46,7 +80,9 @@
     def send(self, transfer: int, node: int, timeout: int) -> None:
         number = self.numbers[transfer] = self.numbers.get(transfer, -1) + 1
         lost = self.chance.random() < LOST
-        span = (timeout or 15_000) if lost else int(self.chance.expovariate(1 / 250)) + 50
+        span = (
+            (timeout or 15_000) if lost else int(self.chance.expovariate(1 / 250)) + 50
+        )
         self.push(self.now + span, "answer", (transfer, number, node, span, lost))
 
     def end(self, transfer: int, pause: int = 0) -> None:
@@ -73,7 +109,9 @@
 def play(transfers: int, report: int) -> None:
     world = World()
     module = Scheduler(FACTS, 1, 0, world)  # type: ignore[arg-type]
-    nodes = [Listed(each, Readiness.READY, 1.0, 0, 0, None, each) for each in range(NODES)]
+    nodes = [
+        Listed(each, Readiness.READY, 1.0, 0, 0, None, each) for each in range(NODES)
+    ]
     module.listed(0, News.CACHED, nodes)
     chance, began, next_node = Random(2), time.monotonic(), NODES
     for number in range(1, transfers + 1):
@@ -86,28 +124,50 @@
             transfer, go, node, span, lost = value
             outcome = Outcome.TIMED_OUT if lost else Outcome.SATISFIED
             over = not lost and transfer in module.transfers
-            module.returned(world.now, Answer(transfer, go, node, outcome, over, span, None, 0, {}))
+            module.returned(
+                world.now, Answer(transfer, go, node, outcome, over, span, None, 0, {})
+            )
             if over:
                 world.end(transfer)
         in_order = chance.random() < 0.2
-        module.taken(world.now, Arrival(number, number // 3, chance.randrange(1 << 40) if number % 2 else number // 50,
-                                        2, int(in_order), number % 2, False, False, nodes[number % NODES].cell, 2.0,
-                                        world.now + 15_000))
+        module.taken(
+            world.now,
+            Arrival(
+                number,
+                number // 3,
+                chance.randrange(1 << 40) if number % 2 else number // 50,
+                2,
+                int(in_order),
+                number % 2,
+                False,
+                False,
+                nodes[number % NODES].cell,
+                2.0,
+                world.now + 15_000,
+            ),
+        )
         module.settle(world.now)
         if number % 50_000 == 0:  # one node leaves for good, another takes its cell
             old = nodes.pop(0)
-            nodes.append(Listed(next_node, Readiness.READY, 1.0, 0, 0, world.now, old.cell))
+            nodes.append(
+                Listed(next_node, Readiness.READY, 1.0, 0, 0, world.now, old.cell)
+            )
             next_node += 1
             module.listed(world.now, News.WHOLE, nodes)
         if number % report == 0:
-            print(f"{number} transfers, {time.monotonic() - began:.0f} s: {resident():.1f} MiB; held "
-                  f"{len(module.transfers)} transfers, {len(module.volumes)} volumes, {len(module.nodes)} nodes, "
-                  f"{len(module.keys)} keys, {len(module.taken_at)} counts, "
-                  f"{len(module.outstanding)} out; {world.answered} answered", flush=True)
+            print(
+                f"{number} transfers, {time.monotonic() - began:.0f} s: {resident():.1f} MiB; held "
+                f"{len(module.transfers)} transfers, {len(module.volumes)} volumes, {len(module.nodes)} nodes, "
+                f"{len(module.keys)} keys, {len(module.taken_at)} counts, "
+                f"{len(module.outstanding)} out; {world.answered} answered",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--transfers", type=int, default=200_000)
     parser.add_argument("--report", type=int, default=0)
     given = parser.parse_args()
--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -5,6 +5,7 @@
 Each gateway keeps so many channels and writes each one's record again as soon as the last write is at a majority. With --kill the
 last one gets SIGKILL half way, and the one before it asks for its channels all the time. Loopback; the registers' files are in a temporary folder, or in --folder, and each commit is synced there.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -58,12 +59,41 @@
 
     ports = [int(each) for each in given.ports.split(",")]
     number, registry = given.child, CollectorRegistry()
-    link = FleetLink(name="bench", address=f"127.0.0.1:{ports[number]}", join=[f"127.0.0.1:{ports[0]}"])
-    quiet = lambda *words, **values: print(*words, values, file=sys.stderr) if given.loud else None
-    fleet = Fleet(reactor, now, SimpleNamespace(name=f"g{number}", fleet=link), number, 1, quiet, quiet, lambda run: None, registry)
+    link = FleetLink(
+        name="bench",
+        address=f"127.0.0.1:{ports[number]}",
+        join=[f"127.0.0.1:{ports[0]}"],
+    )
+    quiet = lambda *words, **values: (
+        print(*words, values, file=sys.stderr) if given.loud else None
+    )
+    fleet = Fleet(
+        reactor,
+        now,
+        SimpleNamespace(name=f"g{number}", fleet=link),
+        number,
+        1,
+        quiet,
+        quiet,
+        lambda run: None,
+        registry,
+    )
     fleet.start()
-    offices = Offices(reactor, now, fleet, [f"g{each}" for each in range(given.registers)], 2 * SECOND, 5, 3000, 100_000,
-                      os.path.join(given.folder, f"g{number}.sqlite"), number, quiet, registry, silent=SILENT)
+    offices = Offices(
+        reactor,
+        now,
+        fleet,
+        [f"g{each}" for each in range(given.registers)],
+        2 * SECOND,
+        5,
+        3000,
+        100_000,
+        os.path.join(given.folder, f"g{number}.sqlite"),
+        number,
+        quiet,
+        registry,
+        silent=SILENT,
+    )
     took: list[float] = []
     faults: dict[str, int] = {}
     span = {"from": 0.0, "to": 0.0}
@@ -81,20 +111,32 @@
             for each in range(given.channels):
                 reactor.callLater(3.5, heir, f"{given.gateways - 1}/{each}")
         if given.kill and number == given.gateways - 1:
-            reactor.callLater(3.0 + given.seconds / 2, lambda: (print(json.dumps({"killed": time.monotonic()}), flush=True),
-                                                                os.kill(os.getpid(), signal.SIGKILL)))
+            reactor.callLater(
+                3.0 + given.seconds / 2,
+                lambda: (
+                    print(json.dumps({"killed": time.monotonic()}), flush=True),
+                    os.kill(os.getpid(), signal.SIGKILL),
+                ),
+            )
         reactor.callLater(3.5 + given.seconds, end)
 
     def heir(channel: str) -> None:
         """Asks for another's channel until it has it, as late as it is told to come back."""
+
         def got(term: Any) -> None:
             if not isinstance(term, Fault):
                 return heirs.append(time.monotonic())
             reactor.callLater(max(term.pause, 100) / SECOND, heir, channel)
+
         offices.take(channel, got)
 
     def take(channel: str) -> None:
-        offices.take(channel, lambda term: again(channel, term) if isinstance(term, Fault) else write(term))
+        offices.take(
+            channel,
+            lambda term: (
+                again(channel, term) if isinstance(term, Fault) else write(term)
+            ),
+        )
 
     def again(channel: str, fault: Any) -> None:
         faults[type(fault).__name__] = faults.get(type(fault).__name__, 0) + 1
@@ -116,7 +158,12 @@
 
     def end() -> None:
         commits = registry.get_sample_value("milletsill_register_commits_total")
-        print(json.dumps({"took": took, "faults": faults, "commits": commits, "heirs": heirs}), flush=True)
+        print(
+            json.dumps(
+                {"took": took, "faults": faults, "commits": commits, "heirs": heirs}
+            ),
+            flush=True,
+        )
         offices.stop()
         fleet.stop()
         reactor.callLater(0.2, reactor.stop)
@@ -127,8 +174,16 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    for name, default in (("gateways", 7), ("registers", 3), ("channels", 20), ("seconds", 8), ("value", 200)):
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    for name, default in (
+        ("gateways", 7),
+        ("registers", 3),
+        ("channels", 20),
+        ("seconds", 8),
+        ("value", 200),
+    ):
         parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--folder")
     parser.add_argument("--loud", action="store_true")
@@ -140,25 +195,49 @@
         return gateway(given)
     with tempfile.TemporaryDirectory(dir=given.folder) as folder:
         ports = ",".join(map(str, free_ports(given.gateways)))
-        command = [sys.executable, "-m", "benchmarks.registers", *(word for name in ("gateways", "registers", "channels", "seconds", "value")
-                                                                  for word in (f"--{name}", str(getattr(given, name))))]
-        command += ["--folder", folder, "--ports", ports] + ["--loud"] * given.loud + ["--kill"] * given.kill
-        running = [subprocess.Popen([*command, "--child", str(each)], stdout=subprocess.PIPE) for each in range(given.gateways)]
+        command = [
+            sys.executable,
+            "-m",
+            "benchmarks.registers",
+            *(
+                word
+                for name in ("gateways", "registers", "channels", "seconds", "value")
+                for word in (f"--{name}", str(getattr(given, name)))
+            ),
+        ]
+        command += (
+            ["--folder", folder, "--ports", ports]
+            + ["--loud"] * given.loud
+            + ["--kill"] * given.kill
+        )
+        running = [
+            subprocess.Popen([*command, "--child", str(each)], stdout=subprocess.PIPE)
+            for each in range(given.gateways)
+        ]
         told = [json.loads(each.communicate()[0] or b"{}") for each in running]
     took = sorted(each for one in told for each in one.get("took", ()))
     if not took:
         sys.exit("nothing was written")
     commits = [one["commits"] for one in told if one.get("commits")]
-    print(f"{given.gateways} gateways, {given.registers} registers, {given.channels} channels each, records of {given.value} bytes, "
-          f"{given.seconds} s")
-    print(f"writes a second {len(took) / given.seconds:.0f}; a write took {1000 * took[len(took) // 2]:.1f} ms at the median, "
-          f"{1000 * took[len(took) * 99 // 100]:.1f} at p99; commits at a register {sum(commits) / max(len(commits), 1):.0f}")
+    print(
+        f"{given.gateways} gateways, {given.registers} registers, {given.channels} channels each, records of {given.value} bytes, "
+        f"{given.seconds} s"
+    )
+    print(
+        f"writes a second {len(took) / given.seconds:.0f}; a write took {1000 * took[len(took) // 2]:.1f} ms at the median, "
+        f"{1000 * took[len(took) * 99 // 100]:.1f} at p99; commits at a register {sum(commits) / max(len(commits), 1):.0f}"
+    )
     if given.kill:
         killed = next(one["killed"] for one in told if "killed" in one)
         heirs = sorted(each - killed for one in told for each in one.get("heirs", ()))
-        print(f"{len(heirs)} channels of the killed one were kept again after {heirs[0]:.2f} to {heirs[-1]:.2f} s"
-              if heirs else "the killed one's channels were not kept again")
-    print(f"faults {[one.get('faults') for one in told if one.get('faults')] or 'none'}")
+        print(
+            f"{len(heirs)} channels of the killed one were kept again after {heirs[0]:.2f} to {heirs[-1]:.2f} s"
+            if heirs
+            else "the killed one's channels were not kept again"
+        )
+    print(
+        f"faults {[one.get('faults') for one in told if one.get('faults')] or 'none'}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -7,6 +7,7 @@
 `hour` plays the scenario's traffic through the real modules (lab/clockwork.py), writes a trace for each gateway, then measures
 sizes against other formats, a cut of a minute and of a store, and the merge of all. Simulated: no sockets, no real time.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -33,6 +34,7 @@
 
 # --- The hour.
 
+
 class Tap(tools.Tap):
     """The time that writing takes is counted."""
 
@@ -55,31 +57,66 @@
         self.cpu += time.process_time() - began
 
 
-def part(path: str, out: str, number: int, of: int, gateways: int, rate: float, seconds: float, age: int,
-         traced: bool) -> None:
+def part(
+    path: str,
+    out: str,
+    number: int,
+    of: int,
+    gateways: int,
+    rate: float,
+    seconds: float,
+    age: int,
+    traced: bool,
+) -> None:
     """One process's gateways; prints what it counted."""
     from milletsill.lab.clockwork import Fleet, part_of
     from milletsill.trace.recorder import Recorder
+
     with open(path, encoding="utf-8") as source:
         scenario = part_of(text_format.Parse(source.read(), Scenario()), number, of)
     fleet = Fleet(scenario, gateways, rate, scenario.seed)
-    taps, names, finals = [], [each.name for each in fleet.volumes], {"satisfied": 0, "declined": 0, "aborted": 0}
+    taps, names, finals = (
+        [],
+        [each.name for each in fleet.volumes],
+        {"satisfied": 0, "declined": 0, "aborted": 0},
+    )
 
     def around(gateway: Any) -> Callable[[Any], Any]:
         def told(now: int, transfer: Any, final: str) -> None:
             finals[final] += 1
             if traced:
                 arrival = transfer.arrival
-                recorder.command(now, transfer.began, names[arrival.volume - 1], arrival.plan, arrival.category,
-                                 transfer.operation, arrival.units, 1, 0, final, "")
+                recorder.command(
+                    now,
+                    transfer.began,
+                    names[arrival.volume - 1],
+                    arrival.plan,
+                    arrival.category,
+                    transfer.operation,
+                    arrival.units,
+                    1,
+                    0,
+                    final,
+                    "",
+                )
 
         gateway.told = told
         if not traced:
             return lambda make: make
         name = f"edge-{number * gateways + gateway.place:03d}"
-        tap = Tap(f"{out}/{name}.mtrace", {"name": name, "seed": gateway.seed, "facts": gateway.facts, "opened": 0,
-                                           "wall_ms": 1_700_000_000_000, "made": 0,
-                                           "volumes": [[each.name, each.plan] for each in fleet.volumes]}, age)
+        tap = Tap(
+            f"{out}/{name}.mtrace",
+            {
+                "name": name,
+                "seed": gateway.seed,
+                "facts": gateway.facts,
+                "opened": 0,
+                "wall_ms": 1_700_000_000_000,
+                "made": 0,
+                "volumes": [[each.name, each.plan] for each in fleet.volumes],
+            },
+            age,
+        )
         taps.append(tap)
         recorder = Recorder(tap, names)
         gateway.before = recorder.path
@@ -90,38 +127,97 @@
     fleet.run(int(seconds * SECOND))
     for each in taps:
         each.close()
-    print(json.dumps({"cpu": time.process_time() - began, "writing": sum(each.cpu for each in taps),
-                      "records": sum(each.count for each in taps), "finals": finals}))
-
-
-def whole(given: argparse.Namespace, traced: bool, gateways: int, parts: int, age: int, out: str) -> dict[str, Any]:
+    print(
+        json.dumps(
+            {
+                "cpu": time.process_time() - began,
+                "writing": sum(each.cpu for each in taps),
+                "records": sum(each.count for each in taps),
+                "finals": finals,
+            }
+        )
+    )
+
+
+def whole(
+    given: argparse.Namespace,
+    traced: bool,
+    gateways: int,
+    parts: int,
+    age: int,
+    out: str,
+) -> dict[str, Any]:
     """All parts at once; their sums."""
     os.makedirs(out, exist_ok=True)
     for old in glob.glob(f"{out}/*"):
         os.unlink(old)
     words = [sys.executable, "-m", "benchmarks.trace", "part", given.scenario, out]
-    running = [subprocess.Popen([*words, *map(str, (number, parts, gateways // parts, given.rate / parts, given.seconds, age,
-                                                    int(traced)))], stdout=subprocess.PIPE) for number in range(parts)]
+    running = [
+        subprocess.Popen(
+            [
+                *words,
+                *map(
+                    str,
+                    (
+                        number,
+                        parts,
+                        gateways // parts,
+                        given.rate / parts,
+                        given.seconds,
+                        age,
+                        int(traced),
+                    ),
+                ),
+            ],
+            stdout=subprocess.PIPE,
+        )
+        for number in range(parts)
+    ]
     told = [json.loads(each.communicate()[0]) for each in running]
-    finals = {name: sum(each["finals"][name] for each in told) for name in told[0]["finals"]}
-    return {"finals": finals, **{name: sum(each[name] for each in told) for name in ("cpu", "writing", "records")}}
+    finals = {
+        name: sum(each["finals"][name] for each in told) for name in told[0]["finals"]
+    }
+    return {
+        "finals": finals,
+        **{
+            name: sum(each[name] for each in told)
+            for name in ("cpu", "writing", "records")
+        },
+    }
 
 
 def sizes(path: str, out: str) -> dict[str, int]:
     """The same records in other formats."""
     import zstandard
+
     plain, packed = 0, f"{out}/lines.zst"
     with Trace(path) as trace, open(packed, "wb") as sink:
         with zstandard.ZstdCompressor(level=6).stream_writer(sink) as pack:
             for at, kind, values in trace.rows():
-                line = json.dumps({"at": at, "kind": kind.name,
-                                   **{name: value for (name, _), value in zip(kind.fields, values)}}).encode() + b"\n"
+                line = (
+                    json.dumps(
+                        {
+                            "at": at,
+                            "kind": kind.name,
+                            **{
+                                name: value
+                                for (name, _), value in zip(kind.fields, values)
+                            },
+                        }
+                    ).encode()
+                    + b"\n"
+                )
                 plain += len(line)
                 pack.write(line)
     tools.convert(path, f"{out}/parquet", "parquet")
-    return {"json lines": plain, "json lines, zstandard 6": os.path.getsize(packed),
-            "parquet, zstandard": sum(os.path.getsize(each) for each in glob.glob(f"{out}/parquet/*.parquet")),
-            "trace": os.path.getsize(path)}
+    return {
+        "json lines": plain,
+        "json lines, zstandard 6": os.path.getsize(packed),
+        "parquet, zstandard": sum(
+            os.path.getsize(each) for each in glob.glob(f"{out}/parquet/*.parquet")
+        ),
+        "trace": os.path.getsize(path),
+    }
 
 
 def timed(what: str, call: Callable[[], Any]) -> Any:
@@ -133,33 +229,60 @@
 
 def hour(given: argparse.Namespace) -> None:
     os.makedirs(given.out, exist_ok=True)
-    bare = whole(given, False, given.gateways, given.parts, MOST_AGE, f"{given.out}/bare")
+    bare = whole(
+        given, False, given.gateways, given.parts, MOST_AGE, f"{given.out}/bare"
+    )
     count = sum(bare["finals"].values())
-    print(f"{given.gateways} gateways without a trace: {count} transfers, {bare['cpu'] / count * 1e6:.0f} us of processor each",
-          flush=True)
+    print(
+        f"{given.gateways} gateways without a trace: {count} transfers, {bare['cpu'] / count * 1e6:.0f} us of processor each",
+        flush=True,
+    )
     for seconds in (5, 60):
-        made = whole(given, True, given.gateways, given.parts, seconds * SECOND, f"{given.out}/edges-{seconds}")
+        made = whole(
+            given,
+            True,
+            given.gateways,
+            given.parts,
+            seconds * SECOND,
+            f"{given.out}/edges-{seconds}",
+        )
         files = sorted(glob.glob(f"{given.out}/edges-{seconds}/*.mtrace"))
         size = sum(map(os.path.getsize, files))
         count = sum(made["finals"].values())
-        print(f"blocks of {seconds} s: {made['finals']}, {made['records']} records, {size} bytes in {len(files)} files, "
-              f"{size / made['records']:.2f} bytes a record; {made['writing'] / count * 1e6:.1f} us of processor a transfer to "
-              f"write, {made['records'] / max(made['writing'], 1e-9):.0f} records a second; "
-              f"{made['cpu'] / count * 1e6:.0f} us a transfer in all", flush=True)
-    files, merged = sorted(glob.glob(f"{given.out}/edges-5/*.mtrace")), f"{given.out}/merged.mtrace"
+        print(
+            f"blocks of {seconds} s: {made['finals']}, {made['records']} records, {size} bytes in {len(files)} files, "
+            f"{size / made['records']:.2f} bytes a record; {made['writing'] / count * 1e6:.1f} us of processor a transfer to "
+            f"write, {made['records'] / max(made['writing'], 1e-9):.0f} records a second; "
+            f"{made['cpu'] / count * 1e6:.0f} us a transfer in all",
+            flush=True,
+        )
+    files, merged = (
+        sorted(glob.glob(f"{given.out}/edges-5/*.mtrace")),
+        f"{given.out}/merged.mtrace",
+    )
     if os.path.exists(merged):
         os.unlink(merged)
-    tool = subprocess.Popen([sys.executable, "-m", "benchmarks.trace", "merge", merged, *files], stdout=subprocess.PIPE)
+    tool = subprocess.Popen(
+        [sys.executable, "-m", "benchmarks.trace", "merge", merged, *files],
+        stdout=subprocess.PIPE,
+    )
     print(tool.communicate()[0].decode().strip(), flush=True)
     print("sizes of the whole hour:", sizes(merged, given.out), flush=True)
     size = os.path.getsize(merged)
     with Trace(merged) as trace:
         last = max(each.last for each in trace.map.heads)
-        store = sorted(trace.map.stores or {}, key=lambda each: len(trace.map.stores[each]))  # type: ignore[index]
+        store = sorted(
+            trace.map.stores or {}, key=lambda each: len(trace.map.stores[each])
+        )  # type: ignore[index]
     minute = (last // 2, last // 2 + 60 * SECOND)
-    for what, terms in (("a minute", {"since": minute[0], "until": minute[1]}),
-                        ("a store in a minute", {"since": minute[0], "until": minute[1], "store": store[-1]}),
-                        ("the rarest store", {"store": store[0]})):
+    for what, terms in (
+        ("a minute", {"since": minute[0], "until": minute[1]}),
+        (
+            "a store in a minute",
+            {"since": minute[0], "until": minute[1], "store": store[-1]},
+        ),
+        ("the rarest store", {"store": store[0]}),
+    ):
         out = f"{given.out}/cut.mtrace"
         if os.path.exists(out):
             os.unlink(out)
@@ -170,21 +293,41 @@
 def merge(out: str, *files: str) -> None:
     began = time.perf_counter()
     told = tools.merge(list(files), out)
-    print(f"merge of {len(files)} files: {told.records} records, {time.perf_counter() - began:.0f} s, peak memory "
-          f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB, {os.path.getsize(out)} bytes")
+    print(
+        f"merge of {len(files)} files: {told.records} records, {time.perf_counter() - began:.0f} s, peak memory "
+        f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB, {os.path.getsize(out)} bytes"
+    )
 
 
 # --- Kills.
 
+
 def killing(count: int, seed: int) -> None:
     """One bench, its edge killed again and again at chance moments under load; each file looked through after each kill."""
     from benchmarks.gateway import Bench
+
     chance, lost, files, open_ends, records = Random(seed), 0, 0, 0, 0
-    with tempfile.TemporaryDirectory() as folder, Bench(trace=folder, block_s=0.2) as bench:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        Bench(trace=folder, block_s=0.2) as bench,
+    ):
         for _ in range(count):
             bench.await_door()
-            client = subprocess.Popen([sys.executable, "-m", "benchmarks.gateway", "client", str(bench.door), "4", "4", "500",
-                                       "30"], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+            client = subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "benchmarks.gateway",
+                    "client",
+                    str(bench.door),
+                    "4",
+                    "4",
+                    "500",
+                    "30",
+                ],
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+            )
             time.sleep(chance.uniform(0.8, 2.5))
             seen = {each: synced(each) for each in glob.glob(f"{folder}/*.mtrace")}
             bench.edge.kill()
@@ -196,11 +339,25 @@
                 held = sum(head.records for head in found.heads)
                 records += held
                 open_ends += found.verdict is not Verdict.WHOLE
-                middle = [gap for gap in found.breaks if gap.offset + gap.size < os.path.getsize(each)]
+                middle = [
+                    gap
+                    for gap in found.breaks
+                    if gap.offset + gap.size < os.path.getsize(each)
+                ]
                 lost += held < seen.get(each, 0) or bool(middle)
                 os.unlink(each)
             bench.restart()
-    print(json.dumps({"kills": count, "files": files, "without an end": open_ends, "records": records, "lost": lost}))
+    print(
+        json.dumps(
+            {
+                "kills": count,
+                "files": files,
+                "without an end": open_ends,
+                "records": records,
+                "lost": lost,
+            }
+        )
+    )
 
 
 def synced(path: str) -> int:
@@ -213,8 +370,20 @@
 
 
 def kills(count: int, parts: int) -> None:
-    running = [subprocess.Popen([sys.executable, "-m", "benchmarks.trace", "killing", str(count // parts), str(seed)],
-                                stdout=subprocess.PIPE) for seed in range(parts)]
+    running = [
+        subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "benchmarks.trace",
+                "killing",
+                str(count // parts),
+                str(seed),
+            ],
+            stdout=subprocess.PIPE,
+        )
+        for seed in range(parts)
+    ]
     told = [json.loads(each.communicate()[0]) for each in running]
     print({name: sum(each[name] for each in told) for name in told[0]})
 
@@ -223,17 +392,34 @@
     words = sys.argv[1:]
     if words[:1] == ["part"]:
         path, out, number, of, gateways, a_second, seconds, age, traced = words[1:]
-        return part(path, out, int(number), int(of), int(gateways), float(a_second), float(seconds), int(age), bool(int(traced)))
+        return part(
+            path,
+            out,
+            int(number),
+            int(of),
+            int(gateways),
+            float(a_second),
+            float(seconds),
+            int(age),
+            bool(int(traced)),
+        )
     if words[:1] == ["merge"]:
         return merge(*words[1:])
     if words[:1] == ["killing"]:
         return killing(int(words[1]), int(words[2]))
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=("hour", "kills"))
     parser.add_argument("scenario", nargs="?")
     parser.add_argument("--out", default="out/trace")
-    for name, kind, default in (("gateways", int, 150), ("rate", float, 580.0), ("seconds", float, 3600.0), ("parts", int, 6),
-                                ("count", int, 200)):
+    for name, kind, default in (
+        ("gateways", int, 150),
+        ("rate", float, 580.0),
+        ("seconds", float, 3600.0),
+        ("parts", int, 6),
+        ("count", int, 200),
+    ):
         parser.add_argument(f"--{name}", type=kind, default=default)
     given = parser.parse_args()
     if given.what == "hour":
--- a/milletsill/__main__.py
+++ b/milletsill/__main__.py
@@ -1,12 +1,15 @@
 """`python -m milletsill`. `serve` loads only what it needs; all else goes through the command line."""
+
 import sys
 
 
 def main() -> None:
     if sys.argv[1:2] == ["serve"]:
         from milletsill.platform import process
+
         sys.exit(process.main(sys.argv[2:]))
     from milletsill.cli.main import main as others
+
     others(prog_name="milletsill")
 
 
--- a/milletsill/cli/files.py
+++ b/milletsill/cli/files.py
@@ -1,4 +1,5 @@
 """Files that commands are given: checked, or said what is wrong with them."""
+
 from __future__ import annotations
 
 import sys
--- a/milletsill/cli/main.py
+++ b/milletsill/cli/main.py
@@ -1,4 +1,5 @@
 """`milletsill`: run and check a gateway, play days in the laboratory. Exit status 0 fine, 1 failed, 2 bad input."""
+
 from __future__ import annotations
 
 import json
@@ -29,6 +30,7 @@
     """Run the gateway of each FILE until SIGTERM; SIGHUP reads the files again."""
     loaded = [taken(each, GatewayFile, check_gateway) for each in files]
     from milletsill.edge.process import run
+
     sys.exit(run(loaded, files))
 
 
@@ -36,6 +38,7 @@
 def serve() -> None:
     """Serve the platform's protocol until SIGTERM; NODE_CONFIG names the file."""
     from milletsill.platform import process
+
     sys.exit(process.main([]))
 
 
@@ -44,7 +47,9 @@
 @click.option("--scenario", is_flag=True, help="FILE is a day of the laboratory.")
 def check(file: str, scenario: bool) -> None:
     """Check FILE without starting anything."""
-    made, checks = (Scenario, check_scenario) if scenario else (GatewayFile, check_gateway)
+    made, checks = (
+        (Scenario, check_scenario) if scenario else (GatewayFile, check_gateway)
+    )
     taken(file, made, checks)
     click.echo(f"{file}: fine")
 
@@ -56,21 +61,65 @@
 
 @lab.command("run")
 @click.argument("scenario", type=click.Path())
-@click.option("--out", required=True, type=click.Path(), help="Folder for records, logs and results.")
-@click.option("--module", "modules", multiple=True, type=click.Choice(["bd-edf", "fifo", "flood"]),
-              help="What decides; several are played one after another. Baselines stand in only here.")
-@click.option("--per-process", default=1, show_default=True, type=click.IntRange(1, 400), help="Edges of one process.")
+@click.option(
+    "--out",
+    required=True,
+    type=click.Path(),
+    help="Folder for records, logs and results.",
+)
+@click.option(
+    "--module",
+    "modules",
+    multiple=True,
+    type=click.Choice(["bd-edf", "fifo", "flood"]),
+    help="What decides; several are played one after another. Baselines stand in only here.",
+)
+@click.option(
+    "--per-process",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 400),
+    help="Edges of one process.",
+)
 @click.option("--seed", type=int, help="In place of the scenario's.")
-@click.option("--flows", default="off", show_default=True, type=click.Choice(["off", "on", "away", "stuck"]),
-              help="Flow export: none, to a collector, to nobody, to one that never reads.")
-@click.option("--trace", "traced", is_flag=True, help="Each edge writes a trace, into OUT/traces.")
-@click.option("--planner", "planned", is_flag=True, help="With a planner; troubles of planners are played only then.")
-@click.option("--plant", default="", type=click.Choice(["", "each-in-order", "newest", "by-extent", "batches", "all", "linger"]),
-              help="A fault planted in the gate of one contract: the audit has to find it. `linger` is lawful by itself.")
-def lab_run(scenario: str, out: str, modules: tuple[str, ...], per_process: int, seed: int | None, flows: str,
-            traced: bool, planned: bool, plant: str) -> None:
+@click.option(
+    "--flows",
+    default="off",
+    show_default=True,
+    type=click.Choice(["off", "on", "away", "stuck"]),
+    help="Flow export: none, to a collector, to nobody, to one that never reads.",
+)
+@click.option(
+    "--trace", "traced", is_flag=True, help="Each edge writes a trace, into OUT/traces."
+)
+@click.option(
+    "--planner",
+    "planned",
+    is_flag=True,
+    help="With a planner; troubles of planners are played only then.",
+)
+@click.option(
+    "--plant",
+    default="",
+    type=click.Choice(
+        ["", "each-in-order", "newest", "by-extent", "batches", "all", "linger"]
+    ),
+    help="A fault planted in the gate of one contract: the audit has to find it. `linger` is lawful by itself.",
+)
+def lab_run(
+    scenario: str,
+    out: str,
+    modules: tuple[str, ...],
+    per_process: int,
+    seed: int | None,
+    flows: str,
+    traced: bool,
+    planned: bool,
+    plant: str,
+) -> None:
     """Play SCENARIO and audit what crossed the sockets. Exit status 1 where a rule was broken by the module."""
     from milletsill.lab.run import Run, broken, report
+
     day = taken(scenario, Scenario, check_scenario)
     if seed is not None:
         day.seed = seed
@@ -78,8 +127,17 @@
     for module in modules or ("bd-edf",):
         name = "" if module == "bd-edf" else module
         try:
-            result = Run(day, os.path.join(out, module) if len(modules) > 1 else out, name, per_process,
-                         lambda text: click.echo(text, err=True), flows, traced, planned, plant).play()
+            result = Run(
+                day,
+                os.path.join(out, module) if len(modules) > 1 else out,
+                name,
+                per_process,
+                lambda text: click.echo(text, err=True),
+                flows,
+                traced,
+                planned,
+                plant,
+            ).play()
         except (RuntimeError, OSError) as error:
             click.echo(f"milletsill: {error}", err=True)
             sys.exit(1)
@@ -92,10 +150,15 @@
 @click.argument("day", type=click.Path())
 @click.option("--edges", type=click.IntRange(1, 400), help="Cut down to so many edges.")
 @click.option("--boxes", type=click.IntRange(1, 400), help="Cut down to so many boxes.")
-@click.option("--seconds", type=click.FloatRange(1, 7200), help="Cut down to so many seconds.")
-def lab_from_day(day: str, edges: int | None, boxes: int | None, seconds: float | None) -> None:
+@click.option(
+    "--seconds", type=click.FloatRange(1, 7200), help="Cut down to so many seconds."
+)
+def lab_from_day(
+    day: str, edges: int | None, boxes: int | None, seconds: float | None
+) -> None:
     """Turn DAY, a day file that the bench drew, into a scenario on standard output."""
     from milletsill.lab.day import BadDay, scenario_of
+
     try:
         given = json.loads(text_from(day))
         made = scenario_of(given, edges, boxes, seconds)
@@ -116,14 +179,21 @@
 
     from milletsill.lab.audit import RULES, audit, gather
     from milletsill.lab.audit_contracts import audit_contracts
+
     terms = taken(os.path.join(out, "scenario.textproto"), Scenario, check_scenario)
     try:
         evidence = gather(out, len(glob.glob(os.path.join(out, "box-*.rec"))))
     except (OSError, ValueError) as error:
         click.echo(f"milletsill: {error}", err=True)
         sys.exit(2)
-    found = {f"rule {rule}, {RULES[rule]}": held for rule, held in audit(evidence, terms).items()}
-    found.update((f"contract {name}", held) for name, held in audit_contracts(evidence, terms).items())
+    found = {
+        f"rule {rule}, {RULES[rule]}": held
+        for rule, held in audit(evidence, terms).items()
+    }
+    found.update(
+        (f"contract {name}", held)
+        for name, held in audit_contracts(evidence, terms).items()
+    )
     for name, breaches in found.items():
         click.echo(f"{name}: {'kept' if not breaches else f'{len(breaches)} breaches'}")
         for each in breaches[:20]:
@@ -137,13 +207,36 @@
 
 
 @flows.command("collect")
-@click.option("--listen", default="127.0.0.1:4739", show_default=True, help="host:port for UDP and TCP alike.")
-@click.option("--seconds", type=click.FloatRange(0.1, 86_400), help="End by itself after so long.")
-@click.option("--within", multiple=True, help="Only flows with an end in this prefix; may be given again.")
-@click.option("--quiet", is_flag=True, help="No line for each record, what it came to alone.")
-@click.option("--table", "as_table", is_flag=True, help="A table at the end in place of a line for each record.")
-def flows_collect(listen: str, seconds: float | None, within: tuple[str, ...], quiet: bool,
-                  as_table: bool) -> None:
+@click.option(
+    "--listen",
+    default="127.0.0.1:4739",
+    show_default=True,
+    help="host:port for UDP and TCP alike.",
+)
+@click.option(
+    "--seconds", type=click.FloatRange(0.1, 86_400), help="End by itself after so long."
+)
+@click.option(
+    "--within",
+    multiple=True,
+    help="Only flows with an end in this prefix; may be given again.",
+)
+@click.option(
+    "--quiet", is_flag=True, help="No line for each record, what it came to alone."
+)
+@click.option(
+    "--table",
+    "as_table",
+    is_flag=True,
+    help="A table at the end in place of a line for each record.",
+)
+def flows_collect(
+    listen: str,
+    seconds: float | None,
+    within: tuple[str, ...],
+    quiet: bool,
+    as_table: bool,
+) -> None:
     """Hear IPFIX and NetFlow 9, decode strictly, print JSON lines; at the end what it came to."""
     import signal
 
@@ -151,14 +244,22 @@
     from twisted.internet.error import CannotListenError
 
     from milletsill.flows.collect import Collector, Ear, Lines, table
-    collector = Collector((lambda row: None) if as_table or quiet else lambda row: click.echo(json.dumps(row)),
-                          lambda text: click.echo(text, err=True), prefixes(within))
+
+    collector = Collector(
+        (lambda row: None)
+        if as_table or quiet
+        else lambda row: click.echo(json.dumps(row)),
+        lambda text: click.echo(text, err=True),
+        prefixes(within),
+    )
     host, _, port = listen.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65_535:
         click.echo(f"milletsill: {listen!r} is not host:port", err=True)
         sys.exit(2)
     try:
-        reactor.listenUDP(int(port), Ear(collector), interface=host, maxPacketSize=65_535)
+        reactor.listenUDP(
+            int(port), Ear(collector), interface=host, maxPacketSize=65_535
+        )
         reactor.listenTCP(int(port), Lines(collector), interface=host)
     except CannotListenError as error:
         click.echo(f"milletsill: {error}", err=True)
@@ -168,12 +269,15 @@
     if seconds:
         reactor.callLater(seconds, reactor.stop)
     reactor.run(installSignalHandlers=False)
-    click.echo(table(collector.summary()) if as_table else json.dumps(collector.summary()))
+    click.echo(
+        table(collector.summary()) if as_table else json.dumps(collector.summary())
+    )
 
 
 def prefixes(given: tuple[str, ...]) -> Any:
     """An address set, or None for all; a bad prefix is one line and status 2."""
     from netaddr import AddrFormatError, IPSet
+
     try:
         return IPSet(given) if given else None
     except (AddrFormatError, ValueError) as error:
@@ -183,13 +287,21 @@
 
 @flows.command("decode")
 @click.argument("file", type=click.Path())
-@click.option("--within", multiple=True, help="Only flows with an end in this prefix; may be given again.")
+@click.option(
+    "--within",
+    multiple=True,
+    help="Only flows with an end in this prefix; may be given again.",
+)
 def flows_decode(file: str, within: tuple[str, ...]) -> None:
     """Decode FILE, IPFIX messages one behind the other (RFC 5655). Exit status 1 where it ends in the middle of one."""
     from milletsill.flows.collect import Collector, Session
     from milletsill.flows.ipfix import Cutter, BadExport
-    collector = Collector(lambda row: click.echo(json.dumps(row)), lambda text: click.echo(text, err=True),
-                          prefixes(within))
+
+    collector = Collector(
+        lambda row: click.echo(json.dumps(row)),
+        lambda text: click.echo(text, err=True),
+        prefixes(within),
+    )
     session, cutter, at = Session(None), Cutter(), 0
     try:
         with open(file, "rb") as source:
@@ -204,7 +316,9 @@
         click.echo(error.at(f"{file} at {at}").line(), err=True)
         sys.exit(1)
     if cutter.held:
-        click.echo(f"{file}: cut {len(cutter.held)} bytes into a message at {at}", err=True)
+        click.echo(
+            f"{file}: cut {len(cutter.held)} bytes into a message at {at}", err=True
+        )
     sys.exit(1 if cutter.held or collector.malformed else 0)
 
 
@@ -212,9 +326,12 @@
 def flows_elements() -> None:
     """Print our enterprise elements."""
     from milletsill.flows.elements import ELEMENTS, OURS
+
     for each in ELEMENTS.values():
         if each.space == OURS:
-            click.echo(f"{each.id:>3} {each.name:<32} {each.type:<12} {each.semantics:<13} {each.text}")
+            click.echo(
+                f"{each.id:>3} {each.name:<32} {each.type:<12} {each.semantics:<13} {each.text}"
+            )
 
 
 main.add_command(trace)
--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -1,4 +1,5 @@
 """`milletsill plan` runs the planner, `milletsill ctl` asks it."""
+
 from __future__ import annotations
 
 import json
@@ -21,23 +22,28 @@
     from milletsill.cli.files import taken
     from milletsill.settings.decide import check_planner
     from milletsill.settings.milletsill_pb2 import PlannerFile
+
     loaded = taken(file, PlannerFile, check_planner)
     if check:
         return click.echo(f"{file}: fine")
     from milletsill.planner.service import run
+
     sys.exit(run(loaded))
 
 
 class Unanswered(Fault):
     """The planner said why it did not do what it was asked, or ended."""
 
-    remedy = "see what it says; `milletsill ctl --planner ADDRESS edges` tells whom it knows"
+    remedy = (
+        "see what it says; `milletsill ctl --planner ADDRESS edges` tells whom it knows"
+    )
 
 
 def ask(address: str, **question: Any) -> list[dict[str, Any]]:
     """One question to a planner; a fault or no answer is one line and status 1."""
     from milletsill.planner.codec import Frames, encoded
     from milletsill.planner.plan_pb2 import Question
+
     host, _, port = address.rpartition(":")
     try:
         if not host or not port.isdecimal():
@@ -67,7 +73,9 @@
 
 @ctl.command("shares")
 @click.option("--edge", default="", help="This edge's alone.")
-@click.option("--most", default=1000, show_default=True, type=click.IntRange(1, 100_000))
+@click.option(
+    "--most", default=1000, show_default=True, type=click.IntRange(1, 100_000)
+)
 @click.pass_obj
 def ctl_shares(address: str, edge: str, most: int) -> None:
     """Who holds what, until when: a line of JSON for each edge and thing."""
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -1,4 +1,5 @@
 """`milletsill trace`: look into traces, cut, merge, anonymise, mend, convert. A bad or missing file is one line and status 2."""
+
 from __future__ import annotations
 
 import json
@@ -11,10 +12,17 @@
 
 from milletsill.errors import line_of
 
-FILE, FILES = click.argument("file", type=click.Path()), click.argument("files", nargs=-1, required=True, type=click.Path())
+FILE, FILES = (
+    click.argument("file", type=click.Path()),
+    click.argument("files", nargs=-1, required=True, type=click.Path()),
+)
 OUT = click.argument("out", type=click.Path())
-FROM = click.option("--from", "since", help="Tenths of a millisecond on the writer's clock, +N[s|m|h] "
-                                            "after its opening, or ISO 8601 wall time.")
+FROM = click.option(
+    "--from",
+    "since",
+    help="Tenths of a millisecond on the writer's clock, +N[s|m|h] "
+    "after its opening, or ISO 8601 wall time.",
+)
 TO = click.option("--to", "until", help="Up to, not with.")
 
 
@@ -26,10 +34,15 @@
 def said(call: Callable[..., Any], *values: Any, **named: Any) -> Any:
     """What a call on traces gives; a bad or missing file is one line and status 2."""
     from milletsill.trace.format import BadTrace
+
     try:
         return call(*values, **named)
     except (BadTrace, OSError) as error:
-        what = f"{error.filename}: {error.strerror}" if isinstance(error, OSError) else error.line()
+        what = (
+            f"{error.filename}: {error.strerror}"
+            if isinstance(error, OSError)
+            else error.line()
+        )
         click.echo(f"milletsill: {what}", err=True)
         sys.exit(2)
 
@@ -40,6 +53,7 @@
         return said(call, None)
     from rich.console import Console
     from rich.progress import Progress
+
     total = sum(os.path.getsize(each) for each in files if os.path.exists(each))
     with Progress(console=Console(stderr=True), transient=True) as progress:
         bar = progress.add_task("reading", total=total * times)
@@ -54,8 +68,14 @@
     def found() -> list[int | None]:
         with Trace(file) as trace:
             about = trace.map.about
-            return [None if text is None else moment(text, int(about.get("opened", 0)), int(about.get("wall_ms", 0)))
-                    for text in texts]
+            return [
+                None
+                if text is None
+                else moment(
+                    text, int(about.get("opened", 0)), int(about.get("wall_ms", 0))
+                )
+                for text in texts
+            ]
 
     try:
         return said(found)
@@ -69,8 +89,11 @@
 def trace_info(files: tuple[str, ...]) -> None:
     """What each of FILES holds, a line of JSON for each."""
     from milletsill.trace.tools import summary
+
     for file in files:
-        click.echo(json.dumps(shown([file], lambda heard, file=file: summary(file, heard))))
+        click.echo(
+            json.dumps(shown([file], lambda heard, file=file: summary(file, heard)))
+        )
 
 
 @trace.command("cat")
@@ -80,7 +103,13 @@
 def trace_cat(file: str, since: str | None, until: str | None) -> None:
     """Print FILE's records as JSON lines."""
     from milletsill.trace.tools import lines
-    said(lines, file, *moments(file, since, until), lambda row: click.echo(json.dumps(row)))
+
+    said(
+        lines,
+        file,
+        *moments(file, since, until),
+        lambda row: click.echo(json.dumps(row)),
+    )
 
 
 @trace.command("verify")
@@ -88,11 +117,14 @@
 def trace_verify(files: tuple[str, ...]) -> None:
     """Unpack every block of FILES. Exit status 1 where anything is broken."""
     from milletsill.trace.reader import verify
+
     broken = False
     for file in files:
         found = shown([file], lambda heard, file=file: verify(file, heard))
-        click.echo(f"{file}: {found.verdict.name.lower()}, {len(found.heads)} blocks, "
-                   f"{sum(each.records for each in found.heads)} records")
+        click.echo(
+            f"{file}: {found.verdict.name.lower()}, {len(found.heads)} blocks, "
+            f"{sum(each.records for each in found.heads)} records"
+        )
         for each in found.breaks:
             broken = True
             click.echo(f"  at {each.offset}, {each.size} bytes: {each.reason}")
@@ -105,8 +137,11 @@
 def trace_repair(file: str, out: str) -> None:
     """Write the whole blocks of FILE, as they stand, to the new file OUT, with an index."""
     from milletsill.trace.reader import repair
+
     found = shown([file], lambda heard: repair(file, out, heard))
-    click.echo(f"{out}: {len(found.heads)} blocks kept, {sum(each.size for each in found.breaks)} bytes left out")
+    click.echo(
+        f"{out}: {len(found.heads)} blocks kept, {sum(each.size for each in found.breaks)} bytes left out"
+    )
 
 
 @trace.command("cut")
@@ -117,13 +152,33 @@
 @click.option("--store", help="Transfers of this store alone.")
 @click.option("--category", help="Of this category alone: its name or place.")
 @click.option("--box", type=int, help="Transfers that were dispatched to this box.")
-def trace_cut(file: str, out: str, since: str | None, until: str | None, store: str | None, category: str | None,
-              box: int | None) -> None:
+def trace_cut(
+    file: str,
+    out: str,
+    since: str | None,
+    until: str | None,
+    store: str | None,
+    category: str | None,
+    box: int | None,
+) -> None:
     """Write a part of FILE to the new file OUT."""
     from milletsill.trace.tools import cut, place_of
+
     begin, end = moments(file, since, until)
     place = None if category is None else said(place_of, file, category)
-    count, read = shown([file], lambda heard: cut(file, out, heard, since=begin, until=end, store=store, category=place, box=box))
+    count, read = shown(
+        [file],
+        lambda heard: cut(
+            file,
+            out,
+            heard,
+            since=begin,
+            until=end,
+            store=store,
+            category=place,
+            box=box,
+        ),
+    )
     click.echo(f"{out}: {count} records, {read} bytes read")
 
 
@@ -134,54 +189,103 @@
     """Write FILES of many gateways as one, by wall time, to the new file OUT. Clocks that are seconds off are mended by the
     list news that the gateways share; what each correction may be off by is told."""
     from milletsill.trace.tools import merge
+
     made = shown(list(files), lambda heard: merge(list(files), out, heard), 2)
     click.echo(f"{out}: {made.records} records")
     for name, shift, off in made.clocks:
         if shift or off is None:
-            click.echo(f"  {name}: clock set by {shift / 10:g} ms, "
-                       + ("nothing shared: the wall clock alone" if off is None else f"give or take {off / 10:g} ms"))
+            click.echo(
+                f"  {name}: clock set by {shift / 10:g} ms, "
+                + (
+                    "nothing shared: the wall clock alone"
+                    if off is None
+                    else f"give or take {off / 10:g} ms"
+                )
+            )
 
 
 @trace.command("anonymise")
 @FILE
 @OUT
-@click.option("--key-file", required=True, type=click.Path(), help="A secret of 16 bytes or more; one key, equal names.")
+@click.option(
+    "--key-file",
+    required=True,
+    type=click.Path(),
+    help="A secret of 16 bytes or more; one key, equal names.",
+)
 def trace_anonymise(file: str, out: str, key_file: str) -> None:
     """Write FILE to the new file OUT with stores, paths and categories' names replaced."""
     from milletsill.trace.tools import anonymise
+
     key = said(lambda: Path(key_file).read_bytes()[:4096])
     if len(key) < 16:
         click.echo(f"{key_file}: a key of {len(key)} bytes, 16 at least", err=True)
         sys.exit(2)
-    click.echo(f"{out}: {shown([file], lambda heard: anonymise(file, out, key, heard))} records")
+    click.echo(
+        f"{out}: {shown([file], lambda heard: anonymise(file, out, key, heard))} records"
+    )
 
 
 @trace.command("convert")
 @FILE
 @OUT
-@click.option("--to", "to", type=click.Choice(["mtrace", "parquet", "csv"]), default="mtrace", show_default=True,
-              help="mtrace: the present version, in full blocks. Others: OUT is a folder, one table for each kind.")
+@click.option(
+    "--to",
+    "to",
+    type=click.Choice(["mtrace", "parquet", "csv"]),
+    default="mtrace",
+    show_default=True,
+    help="mtrace: the present version, in full blocks. Others: OUT is a folder, one table for each kind.",
+)
 def trace_convert(file: str, out: str, to: str) -> None:
     """Write FILE in another form."""
     from milletsill.trace.tools import convert
-    click.echo(f"{out}: {shown([file], lambda heard: convert(file, out, to, heard))} records")
+
+    click.echo(
+        f"{out}: {shown([file], lambda heard: convert(file, out, to, heard))} records"
+    )
 
 
 @trace.command("summarise")
 @FILE
 @FROM
 @TO
-@click.option("--window", type=click.FloatRange(0.001), default=60.0, show_default=True, help="Seconds.")
-@click.option("--power", type=click.FloatRange(0, min_open=True), help="Units a second of all boxes, for the figure by reserve "
-                                                                     "and share of a gateway's own trace.")
+@click.option(
+    "--window",
+    type=click.FloatRange(0.001),
+    default=60.0,
+    show_default=True,
+    help="Seconds.",
+)
+@click.option(
+    "--power",
+    type=click.FloatRange(0, min_open=True),
+    help="Units a second of all boxes, for the figure by reserve "
+    "and share of a gateway's own trace.",
+)
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--plot", type=click.Path(), help="Also a picture, PNG or SVG by the name.")
-def trace_summarise(file: str, since: str | None, until: str | None, window: float, power: float | None, as_json: bool,
-                    plot: str | None) -> None:
+@click.option(
+    "--plot", type=click.Path(), help="Also a picture, PNG or SVG by the name."
+)
+def trace_summarise(
+    file: str,
+    since: str | None,
+    until: str | None,
+    window: float,
+    power: float | None,
+    as_json: bool,
+    plot: str | None,
+) -> None:
     """Service, quantiles, who was declined and why, by time window."""
     from milletsill.trace import service
+
     begin, end = moments(file, since, until)
-    found = shown([file], lambda heard: service.summarise(file, max(int(window * 10_000), 10), power, begin, end, heard))
+    found = shown(
+        [file],
+        lambda heard: service.summarise(
+            file, max(int(window * 10_000), 10), power, begin, end, heard
+        ),
+    )
     click.echo(json.dumps(found) if as_json else service.table(found))
     if plot:
         try:
--- a/milletsill/edge/channels.py
+++ b/milletsill/edge/channels.py
@@ -1,5 +1,6 @@
 """Channels at a gateway: words of its clients and of other gateways to whoever keeps the channel, and its part of the module's
 door. Made only where the file has a `fleet { channels }` block."""
+
 from __future__ import annotations
 
 import os
@@ -15,16 +16,36 @@
 from milletsill.files import extensions, packets
 from milletsill.files.extensions import Terms
 from milletsill.files.wire import bytes_of
-from milletsill.fleet.channels.contracts.decide import PAUSE, Book, Contract, Input, Order, Reach, Reaches, Unsure
+from milletsill.fleet.channels.contracts.decide import (
+    PAUSE,
+    Book,
+    Contract,
+    Input,
+    Order,
+    Reach,
+    Reaches,
+    Unsure,
+)
 from milletsill.fleet.channels.contracts.gone import Gone
 from milletsill.fleet.channels.contracts.keeper import Keeper
 from milletsill.fleet.channels.contracts.pieces import LetGo
 from milletsill.fleet.channels.contracts.ways import Ways
-from milletsill.fleet.channels.contracts.words import Elsewhere, Look, Open, Say, Transfer, Word
+from milletsill.fleet.channels.contracts.words import (
+    Elsewhere,
+    Look,
+    Open,
+    Say,
+    Transfer,
+    Word,
+)
 from milletsill.fleet.plane import Kind
 
 EXTENSIONS = (wire.CHANNEL, wire.NUMBERED)
-LOOK_EVERY, LEAVE_EVERY, QUIET = 5.0, 0.02, 5  # seconds between looks at quiet channels, and at what holds up the end; looks then
+LOOK_EVERY, LEAVE_EVERY, QUIET = (
+    5.0,
+    0.02,
+    5,
+)  # seconds between looks at quiet channels, and at what holds up the end; looks then
 HANDLE = b"channel"
 MOST_SENT_ON = 3  # times that a word follows what registers say of the keeper
 
@@ -33,20 +54,49 @@
     """The operator's contracts."""
     found = []
     for each in file.fleet.channels.contract:
-        contract = Contract(each.name, each.version, Order(each.order), Unsure(each.unsure), round(each.silent_s * 10_000),
-                            each.most_waiting, round(each.hole_ms * 10))
-        found.append((contract, frozenset(each.volume), frozenset(each.operation), each.chosen_by_client))
+        contract = Contract(
+            each.name,
+            each.version,
+            Order(each.order),
+            Unsure(each.unsure),
+            round(each.silent_s * 10_000),
+            each.most_waiting,
+            round(each.hole_ms * 10),
+        )
+        found.append(
+            (
+                contract,
+                frozenset(each.volume),
+                frozenset(each.operation),
+                each.chosen_by_client,
+            )
+        )
     return Book(found)
 
 
 def channels_of(edge: Any, seed: int) -> Channels:
     """A gateway's channels over its fleet, as its file has them."""
     from milletsill.fleet.channels.registers.service import Offices
+
     keeping = edge.file.fleet.channels
-    silent = max((round(each.silent_s * 10_000) for each in keeping.contract), default=0)
-    offices = Offices(edge.reactor, edge.now, edge.fleet, list(keeping.register), round(keeping.office_s * 10_000),
-                      keeping.drift_permille, round(keeping.call_ms * 10), keeping.most_channels,
-                      os.path.join(edge.file.state_dir, "registers.db"), seed, edge.remark, edge.figures.registry, silent=silent)
+    silent = max(
+        (round(each.silent_s * 10_000) for each in keeping.contract), default=0
+    )
+    offices = Offices(
+        edge.reactor,
+        edge.now,
+        edge.fleet,
+        list(keeping.register),
+        round(keeping.office_s * 10_000),
+        keeping.drift_permille,
+        round(keeping.call_ms * 10),
+        keeping.most_channels,
+        os.path.join(edge.file.state_dir, "registers.db"),
+        seed,
+        edge.remark,
+        edge.figures.registry,
+        silent=silent,
+    )
     made = Channels(edge, edge.fleet, offices)
     offices.others = made.heard
     return made
@@ -58,16 +108,38 @@
     __slots__ = ("volume", "name", "claim", "contract")
 
     def __init__(self, volume: Any, name: str, claim: int, contract: str) -> None:
-        self.volume, self.name, self.claim, self.contract = volume, name, claim, contract
+        self.volume, self.name, self.claim, self.contract = (
+            volume,
+            name,
+            claim,
+            contract,
+        )
 
 
 class Standing:
     """A client's word that is not answered yet, as its connection knows commands."""
 
-    __slots__ = ("command", "volume", "category", "octets", "final", "began", "answered", "late")
-
-    def __init__(self, command: Any, volume: Any, category: int, octets: int, began: int) -> None:
-        self.command, self.volume, self.category, self.octets, self.began = command, volume, category, octets, began
+    __slots__ = (
+        "command",
+        "volume",
+        "category",
+        "octets",
+        "final",
+        "began",
+        "answered",
+        "late",
+    )
+
+    def __init__(
+        self, command: Any, volume: Any, category: int, octets: int, began: int
+    ) -> None:
+        self.command, self.volume, self.category, self.octets, self.began = (
+            command,
+            volume,
+            category,
+            octets,
+            began,
+        )
         self.final = "abandoned"
         self.answered: Callable[[Any], None] = lambda packet: None
         self.late: Any = None
@@ -84,20 +156,49 @@
         self.edge, self.plane, self.offices = edge, plane, offices
         keeping = edge.file.fleet.channels
         registry = edge.figures.registry
-        self.words = Counter("milletsill_channel_words_total", "Final words on channels, and ways taken", ["word"],
-                             registry=registry)
-        self.kept = Gauge("milletsill_channels_kept", "Channels in this gateway's memory as their keeper", registry=registry)
+        self.words = Counter(
+            "milletsill_channel_words_total",
+            "Final words on channels, and ways taken",
+            ["word"],
+            registry=registry,
+        )
+        self.kept = Gauge(
+            "milletsill_channels_kept",
+            "Channels in this gateway's memory as their keeper",
+            registry=registry,
+        )
         self.held = 0
         self.standing: set[Standing] = set()
         self.book = book_of(edge.file)
-        self.keeper = Keeper(plane.name, edge.reactor, edge.now, offices, self.book, edge.host.facts["key_rest"],
-                             keeping.most_channels, self, edge.remark, self.count)
-        self.ways = Ways(edge.reactor, edge.now, plane, round(keeping.call_ms * 10), self.forwarded, self.keeper.word,
-                         self.volume, self.count, keeping.drift_permille)
+        self.keeper = Keeper(
+            plane.name,
+            edge.reactor,
+            edge.now,
+            offices,
+            self.book,
+            edge.host.facts["key_rest"],
+            keeping.most_channels,
+            self,
+            edge.remark,
+            self.count,
+        )
+        self.ways = Ways(
+            edge.reactor,
+            edge.now,
+            plane,
+            round(keeping.call_ms * 10),
+            self.forwarded,
+            self.keeper.word,
+            self.volume,
+            self.count,
+            keeping.drift_permille,
+        )
         # Handles and the marks of words begin by chance. Guards against a gateway that starts again under a run that it had before:
         # its OPEN would pass for an earlier one. Harm: none.
         self.handles = SystemRandom().getrandbits(62)
-        self.look_calls: list[Any] = []  # the next look, and where it goes down the next look at what is left
+        self.look_calls: list[
+            Any
+        ] = []  # the next look, and where it goes down the next look at what is left
 
     def start(self) -> None:
         self.look_calls = [self.edge.reactor.callLater(LOOK_EVERY, self.look)]
@@ -116,7 +217,9 @@
     def drained(self, quiet: int) -> None:
         quiet = 0 if self.keeper.kept else quiet + 1
         if quiet <= QUIET:
-            self.look_calls[1:] = [self.edge.reactor.callLater(LEAVE_EVERY, self.drained, quiet)]
+            self.look_calls[1:] = [
+                self.edge.reactor.callLater(LEAVE_EVERY, self.drained, quiet)
+            ]
         else:
             self.plane.leave()
             self.held -= 1
@@ -140,7 +243,14 @@
 
     def volume(self, name: str) -> Any:
         """A volume by name that has channels."""
-        return next((each for each in self.edge.atlas.roots.values() if each.name == name and self.book.covers(name)), None)
+        return next(
+            (
+                each
+                for each in self.edge.atlas.roots.values()
+                if each.name == name and self.book.covers(name)
+            ),
+            None,
+        )
 
     # A client's door.
 
@@ -152,32 +262,65 @@
         if isinstance(said, wire.Opening):
             volume = self.edge.atlas.volume(self.edge.canonical(said.path))
             if volume is None or not self.book.covers(volume.name):
-                return packets.Status(packet.id, packets.UNSUPPORTED, "no contract on order holds for this volume")
+                return packets.Status(
+                    packet.id,
+                    packets.UNSUPPORTED,
+                    "no contract on order holds for this volume",
+                )
             if len(client.channels) >= self.edge.file.door.most_handles:
                 return client.no_more_handles(packet.id)
-            return self.send(client, packet, volume, said.channel, Open(said.contract, said.version, said.first))
+            return self.send(
+                client,
+                packet,
+                volume,
+                said.channel,
+                Open(said.contract, said.version, said.first),
+            )
         channel = client.channels.get(said.handle)
         if channel is None:
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
-        what = Look(said.number) if isinstance(said, wire.Asking) else Say(said.number, said.word, channel.claim)
+        what = (
+            Look(said.number)
+            if isinstance(said, wire.Asking)
+            else Say(said.number, said.word, channel.claim)
+        )
         return self.send(client, packet, channel.volume, channel.name, what)
 
-    def numbered(self, client: Any, packet: packets.Extended, said: wire.Numbered) -> Any:
+    def numbered(
+        self, client: Any, packet: packets.Extended, said: wire.Numbered
+    ) -> Any:
         """One transfer of a channel: its command must write and be one transfer."""
         channel, command = client.channels.get(said.handle), said.command
         if channel is None:
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
         path, why = self.path(client, command, channel.volume)
-        if not why and not self.book.takes(channel.contract, channel.volume.name, OPERATIONS[type(command)]):
+        if not why and not self.book.takes(
+            channel.contract, channel.volume.name, OPERATIONS[type(command)]
+        ):
             why = f"contract {channel.contract} does not cover this operation: send it without a number"
         if why:
             return wire.put_sign(packet.id, "contract", why)
         if hasattr(command, "handle"):
             command = packets.with_id(command, 0)
-            command = type(command)(0, bytes_of(path), *[getattr(command, name) for name in packets.REST_OF[type(command)][1:]])
+            command = type(command)(
+                0,
+                bytes_of(path),
+                *[
+                    getattr(command, name)
+                    for name in packets.REST_OF[type(command)][1:]
+                ],
+            )
         elif isinstance(command, packets.Extended):
             command = extensions.put_fsync(0, bytes_of(path))
-        what = Transfer(said.number, channel.claim, said.batch, said.last, said.terms, path, packets.with_id(command, 0))
+        what = Transfer(
+            said.number,
+            channel.claim,
+            said.batch,
+            said.last,
+            said.terms,
+            path,
+            packets.with_id(command, 0),
+        )
         return self.send(client, packet, channel.volume, channel.name, what)
 
     def path(self, client: Any, command: Any, volume: Any) -> tuple[str, str]:
@@ -186,36 +329,65 @@
         if OPERATIONS.get(type(command)) not in WRITING:
             return "", "only a command that writes can have a number: send it without"
         if hasattr(command, "handle") or isinstance(command, packets.Extended):
-            handle = command.handle if hasattr(command, "handle") else extensions.read_fsync(command)
+            handle = (
+                command.handle
+                if hasattr(command, "handle")
+                else extensions.read_fsync(command)
+            )
             opened = client.handles.get(handle)
             if opened is None or opened.spot is None or opened.volume is not volume:
                 return "", "no such handle of this channel's volume"
-            if isinstance(command, packets.Write) and len(command.data) > edge.atlas.most_bytes:
-                return "", f"a write of {len(command.data)} bytes, {edge.atlas.most_bytes} at most"
+            if (
+                isinstance(command, packets.Write)
+                and len(command.data) > edge.atlas.most_bytes
+            ):
+                return (
+                    "",
+                    f"a write of {len(command.data)} bytes, {edge.atlas.most_bytes} at most",
+                )
             return opened.path, ""
         path = edge.canonical(command.path)
         if edge.atlas.volume(path) is not volume or path == volume.root:
             return "", "this lies outside the channel's volume"
         if isinstance(command, packets.Rename):
             target = edge.canonical(command.target)
-            if edge.atlas.volume(target) is not volume or not edge.renames(volume, path, target):
+            if edge.atlas.volume(target) is not volume or not edge.renames(
+                volume, path, target
+            ):
                 return "", "a numbered rename must stay within its volume and cell"
         if isinstance(command, packets.Rmdir) and len(volume.cells) > 1:
-            return "", "a directory over several cells is no single transfer: remove it without a number"
+            return (
+                "",
+                "a directory over several cells is no single transfer: remove it without a number",
+            )
         return path, ""
 
     def send(self, client: Any, packet: Any, volume: Any, name: str, what: Any) -> Any:
         """Put a word on its way to whoever keeps the channel."""
         edge, came = self.edge, client.came()
-        operation = OPERATIONS[type(what.command)] if isinstance(what, Transfer) else "change"
-        size = len(getattr(what.command, "data", b"")) if isinstance(what, Transfer) else 0
+        operation = (
+            OPERATIONS[type(what.command)] if isinstance(what, Transfer) else "change"
+        )
+        size = (
+            len(getattr(what.command, "data", b"")) if isinstance(what, Transfer) else 0
+        )
         category = edge.atlas.category(operation, volume, size)
         patience = edge.host.facts["categories"][category]["patience"]
         own = what.terms.patience * 10 if isinstance(what, Transfer) else 0
         ends = came + min(patience, own or patience) - edge.margin
-        why = edge.refusal(ends) or ("this gateway holds all that it may" if self.held >= edge.file.door.most_held else "")
+        why = edge.refusal(ends) or (
+            "this gateway holds all that it may"
+            if self.held >= edge.file.door.most_held
+            else ""
+        )
         if why:
-            return wire.put_sign(packet.id, "declined", f"declined: {why}", None, edge.host.facts["longest_pause"])
+            return wire.put_sign(
+                packet.id,
+                "declined",
+                f"declined: {why}",
+                None,
+                edge.host.facts["longest_pause"],
+            )
         standing = Standing(packet, volume, category, client.octets, came)
         client.out[packet.id] = standing
         self.held += 1
@@ -237,12 +409,21 @@
         standing.answered = answered
         # Guards rule 1 against a word that waits for what has no end at its client's patience: an office that is taken, a record that
         # is written, before a keeper's own timers even know of it. Harm: none, it comes after all their last words.
-        standing.late = edge.reactor.callLater(max(ends + edge.margin // 2 - edge.now(), 1) / 10_000, self.overdue, what, told)
+        standing.late = edge.reactor.callLater(
+            max(ends + edge.margin // 2 - edge.now(), 1) / 10_000,
+            self.overdue,
+            what,
+            told,
+        )
         self.standing.add(standing)
         self.handles += 1
         token = f"{self.plane.name}.{self.plane.run}.{self.handles}"
         word = Word(volume, name, ends, what, token, lambda answer: None)
-        word.answered = lambda answer: self.elsewhere(word, answer) if isinstance(answer, Elsewhere) else told(answer)
+        word.answered = lambda answer: (
+            self.elsewhere(word, answer)
+            if isinstance(answer, Elsewhere)
+            else told(answer)
+        )
         self.place(word)
         return None
 
@@ -253,7 +434,9 @@
             return told(wire.put_sign(0, "aborted", "aborted: no answer in time"))
         told(wire.put_sign(0, "declined", "declined: no answer in time", None, PAUSE))
 
-    def opened(self, client: Any, volume: Any, name: str, what: Any, answer: Any) -> Any:
+    def opened(
+        self, client: Any, volume: Any, name: str, what: Any, answer: Any
+    ) -> Any:
         """An OPEN that was answered gets a handle of this connection."""
         if not isinstance(what, Open) or not isinstance(answer, packets.ExtendedReply):
             return answer
@@ -261,7 +444,9 @@
         self.handles += 1
         handle = HANDLE + self.handles.to_bytes(8, "big")
         client.channels[handle] = Channel(volume, name, told.claim, told.contract)
-        return wire.put_opened(0, wire.Opened(handle, *[getattr(told, each) for each in OPENED_REST]))
+        return wire.put_opened(
+            0, wire.Opened(handle, *[getattr(told, each) for each in OPENED_REST])
+        )
 
     # Where a word goes.
 
@@ -278,11 +463,28 @@
         still, going down, and one that may not have it yet. Harm: a client comes back once more."""
         word.sent_on += 1
         if word.sent_on > MOST_SENT_ON:
-            return word.answered(wire.put_sign(0, "declined", f"declined: {told.who} hands the channel over", None,
-                                               max(told.pause // 4, PAUSE)))
-        if told.who in (self.plane.name, *word.away, *self.ways.silent) or told.who not in self.plane.view.by_name:
-            return word.answered(wire.put_sign(0, "declined", f"declined: {told.who} held the channel and is away", None,
-                                               told.pause))
+            return word.answered(
+                wire.put_sign(
+                    0,
+                    "declined",
+                    f"declined: {told.who} hands the channel over",
+                    None,
+                    max(told.pause // 4, PAUSE),
+                )
+            )
+        if (
+            told.who in (self.plane.name, *word.away, *self.ways.silent)
+            or told.who not in self.plane.view.by_name
+        ):
+            return word.answered(
+                wire.put_sign(
+                    0,
+                    "declined",
+                    f"declined: {told.who} held the channel and is away",
+                    None,
+                    told.pause,
+                )
+            )
         self.ways.forward(word, told.who, 1)
 
     def forwarded(self, word: Word, member: str) -> None:
@@ -302,7 +504,13 @@
         command, blocks = what.command, self.edge.atlas.extent_bytes
         object = xxhash.xxh64_intdigest(bytes_of(what.path))
         if isinstance(command, packets.Write):
-            return (Reach(object, command.offset // blocks, (command.offset + max(len(command.data), 1) - 1) // blocks),)
+            return (
+                Reach(
+                    object,
+                    command.offset // blocks,
+                    (command.offset + max(len(command.data), 1) - 1) // blocks,
+                ),
+            )
         if isinstance(command, packets.Rename):
             target = self.edge.canonical(command.target)
             return Reach(object), Reach(xxhash.xxh64_intdigest(bytes_of(target)))
@@ -313,7 +521,9 @@
         what = word.what
         assert isinstance(what, Transfer)
         size = len(getattr(what.command, "data", b""))
-        category = self.edge.atlas.category(OPERATIONS[type(what.command)], word.volume, size)
+        category = self.edge.atlas.category(
+            OPERATIONS[type(what.command)], word.volume, size
+        )
         return int(self.edge.host.facts["categories"][category]["repeat_window"])
 
     def run(self, word: Word, gone: LetGo, term: Any, ends: int, ended: Any) -> None:
@@ -321,9 +531,17 @@
         what, edge = word.what, self.edge
         assert isinstance(what, Transfer)
         spot = Spot(edge.atlas.home(word.volume, what.path), what.path)
-        by_handle = hasattr(what.command, "handle") or isinstance(what.command, packets.Extended)
+        by_handle = hasattr(what.command, "handle") or isinstance(
+            what.command, packets.Extended
+        )
         opened = Opened(word.volume, what.path, spot) if by_handle else None
-        gate = Gone(self.offices, term, wire.put_ticket(word.volume.name, word.channel, gone.number, gone.turn), ends, gone.again)
+        gate = Gone(
+            self.offices,
+            term,
+            wire.put_ticket(word.volume.name, word.channel, gone.number, gone.turn),
+            ends,
+            gone.again,
+        )
         terms = Terms(0, what.terms.tries, what.terms.mark)
 
         def answered(packet: Any) -> None:
@@ -331,7 +549,17 @@
                 return ended(Input.SETTLED, getattr(packet, "code", 0), 0, packet)
             ended(gate.input(), 0, edge.host.facts["longest_pause"], packet)
 
-        running = Running(edge, what.command, terms, word.volume, what.path, opened, answered, edge.now(), gate)
+        running = Running(
+            edge,
+            what.command,
+            terms,
+            word.volume,
+            what.path,
+            opened,
+            answered,
+            edge.now(),
+            gate,
+        )
         try:
             running.start()
         except BadPath:
@@ -340,10 +568,22 @@
 
 def final_of(answer: Any) -> str:
     """How a word ended, for flow records."""
-    sign = wire.read_sign(answer.language) if isinstance(answer, packets.Status) else None
+    sign = (
+        wire.read_sign(answer.language) if isinstance(answer, packets.Status) else None
+    )
     if sign is None:
         return "satisfied"
     return "aborted" if sign.word == "aborted" else "declined"
 
 
-OPENED_REST = ("claim", "contract", "version", "order", "next", "batch", "most_waiting", "remembered", "unsure")
+OPENED_REST = (
+    "claim",
+    "contract",
+    "version",
+    "order",
+    "next",
+    "batch",
+    "most_waiting",
+    "remembered",
+    "unsure",
+)
--- a/milletsill/edge/commands.py
+++ b/milletsill/edge/commands.py
@@ -1,11 +1,31 @@
 """One client command on its way: transfers one after another as edge/decide.py's table says, then one answer."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 from typing import Any, Callable
 
-from milletsill.edge.decide import (DOING, FREE, OPERATIONS, WRITING, Course, Leg, Locations, Reply, Spot, VolumePlace,
-                                    advance, course_of, ends_at, first_leg, page, reply_of, spot_of, spot_text, told)
+from milletsill.edge.decide import (
+    DOING,
+    FREE,
+    OPERATIONS,
+    WRITING,
+    Course,
+    Leg,
+    Locations,
+    Reply,
+    Spot,
+    VolumePlace,
+    advance,
+    course_of,
+    ends_at,
+    first_leg,
+    page,
+    reply_of,
+    spot_of,
+    spot_text,
+    told,
+)
 from milletsill.edge.seam import Around
 from milletsill.files import extensions, packets
 from milletsill.files.extensions import ELSEWHERE, Terms, Verdict
@@ -20,7 +40,9 @@
 
     __slots__ = ("volume", "path", "spot", "names", "after", "turn", "found")
 
-    def __init__(self, volume: VolumePlace | None, path: str, spot: Spot | None) -> None:
+    def __init__(
+        self, volume: VolumePlace | None, path: str, spot: Spot | None
+    ) -> None:
         self.volume, self.path, self.spot = volume, path, spot
         self.names: set[str] = set()
         self.after, self.turn, self.found = "", 0, False
@@ -29,12 +51,18 @@
 def declined(id: int, pause: int) -> packets.Status:
     """The answer to a declined command; the pause in tenths of a millisecond."""
     wait = -(-pause // 10)
-    return packets.Status(id, packets.FAILURE, f"declined: nothing was done, come again in {wait} ms",
-                          f"x-declined-{wait}")
+    return packets.Status(
+        id,
+        packets.FAILURE,
+        f"declined: nothing was done, come again in {wait} ms",
+        f"x-declined-{wait}",
+    )
 
 
 def aborted(id: int) -> packets.Status:
-    return packets.Status(id, packets.FAILURE, "aborted: it may have been done or not", "x-aborted")
+    return packets.Status(
+        id, packets.FAILURE, "aborted: it may have been done or not", "x-aborted"
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,27 +73,54 @@
     ticket: str
     mark: str
     category: str
-    gate: Any = None  # of a channel's transfer: whether it may still leave (fleet/channels)
+    gate: Any = (
+        None  # of a channel's transfer: whether it may still leave (fleet/channels)
+    )
 
 
 class Running:
     """One command that costs boxes work. Made, then `start`; `answered` is called once, unless it is abandoned."""
 
-    def __init__(self, edge: Around, command: Any, terms: Terms, volume: VolumePlace, path: str, opened: Opened | None,
-                 answered: Answered, came: int, gate: Any = None) -> None:
-        self.edge, self.command, self.terms, self.answered = edge, command, terms, answered
+    def __init__(
+        self,
+        edge: Around,
+        command: Any,
+        terms: Terms,
+        volume: VolumePlace,
+        path: str,
+        opened: Opened | None,
+        answered: Answered,
+        came: int,
+        gate: Any = None,
+    ) -> None:
+        self.edge, self.command, self.terms, self.answered = (
+            edge,
+            command,
+            terms,
+            answered,
+        )
         self.volume, self.path, self.opened = volume, path, opened
         self.operation = OPERATIONS[type(command)]
-        self.size = len(command.data) if isinstance(command, packets.Write) else getattr(command, "length", 0)
+        self.size = (
+            len(command.data)
+            if isinstance(command, packets.Write)
+            else getattr(command, "length", 0)
+        )
         self.category = edge.atlas.category(self.operation, volume, self.size)
         self.began = came
         figures = edge.host.facts["categories"][self.category]
-        self.ends = ends_at(self.began, figures["patience"], terms.patience * 10, edge.margin)
+        self.ends = ends_at(
+            self.began, figures["patience"], terms.patience * 10, edge.margin
+        )
         self.mark = f"{volume.number}/{terms.mark}" if terms.mark else edge.mark()
         self.gate, self.repeat = gate, terms.tries > 0
         if gate is not None:
             # Its end is the office's or its ticket's, which says nothing of when its client first tried.
-            self.mark, self.ends, self.repeat = gate.ticket, min(self.ends, gate.ends), False
+            self.mark, self.ends, self.repeat = (
+                gate.ticket,
+                min(self.ends, gate.ends),
+                False,
+            )
         self.course, self.leg = Course.PLAIN, Leg.HOME
         self.spot: Spot | None = None
         self.legs, self.done_before, self.turn = 0, False, 0
@@ -82,7 +137,9 @@
         if self.opened is not None and self.operation != "list":
             self.spot, self.leg = self.opened.spot, Leg.THERE
             return self.launch()
-        self.course, self.leg = course_of(self.command, self.volume.placement, len(self.volume.cells))
+        self.course, self.leg = course_of(
+            self.command, self.volume.placement, len(self.volume.cells)
+        )
         if self.volume.placement == FREE:
             self.spot = self.remembered.get(self.path)
             self.leg = first_leg(self.course, self.leg, self.spot)
@@ -105,18 +162,42 @@
             self.spot = Spot(-1, name)
             return None, name, replace(command, path=name)
         if self.leg is Leg.LINKING and self.spot is not None:
-            return home(self.volume, self.path), self.path, packets.Symlink(0, self.path, spot_text(self.spot))
+            return (
+                home(self.volume, self.path),
+                self.path,
+                packets.Symlink(0, self.path, spot_text(self.spot)),
+            )
         if self.leg is Leg.MOVING and self.spot is not None:
             target = self.edge.canonical(command.target)
-            return home(self.volume, target), target, packets.Symlink(0, target, spot_text(self.spot))
+            return (
+                home(self.volume, target),
+                target,
+                packets.Symlink(0, target, spot_text(self.spot)),
+            )
         if self.leg in (Leg.CLEARING, Leg.UNLINKING) and self.spot is not None:
-            return home(self.volume, self.path), self.path, packets.Symlink(0, self.path, "-" + spot_text(self.spot))
+            return (
+                home(self.volume, self.path),
+                self.path,
+                packets.Symlink(0, self.path, "-" + spot_text(self.spot)),
+            )
         if self.leg is Leg.SOURCE:
-            return home(self.volume, self.path), self.path, packets.Readlink(0, self.path)
+            return (
+                home(self.volume, self.path),
+                self.path,
+                packets.Readlink(0, self.path),
+            )
         if self.leg is Leg.SWEEPING:
             after = self.opened.after if self.opened is not None else ""
-            return self.cells()[self.turn], self.path, self.named(command, self.path + "\0" + after
-                                                                 if self.course is Course.LIST else self.path)
+            return (
+                self.cells()[self.turn],
+                self.path,
+                self.named(
+                    command,
+                    self.path + "\0" + after
+                    if self.course is Course.LIST
+                    else self.path,
+                ),
+            )
         if isinstance(command, packets.Open) and self.course is Course.MAKE:
             command = replace(command, flags=command.flags & ~packets.CREATE_FLAG)
         return home(self.volume, self.path), self.path, self.named(command, self.path)
@@ -128,10 +209,14 @@
         if hasattr(command, "handle"):
             command = replace(command, handle=name.encode("utf-8", "surrogateescape"))
             if isinstance(command, packets.Read):
-                command = replace(command, length=min(command.length, self.edge.atlas.most_bytes))
+                command = replace(
+                    command, length=min(command.length, self.edge.atlas.most_bytes)
+                )
             return command
         if isinstance(command, packets.Rename):
-            return replace(command, path=name, target=self.edge.canonical(command.target))
+            return replace(
+                command, path=name, target=self.edge.canonical(command.target)
+            )
         return replace(command, path=name)
 
     def launch(self) -> None:
@@ -143,16 +228,34 @@
         cell, name, command = self.target()
         self.transfer = edge.next_transfer()
         write = self.operation in WRITING or self.leg in DOING
-        arrival = Arrival(self.transfer, edge.atlas.extent(name, getattr(command, "offset", 0)), self.volume.number,
-                          self.volume.gateways, self.category, self.volume.plan, self.repeat, write, cell,
-                          edge.atlas.units(self.operation, self.size), self.ends)
+        arrival = Arrival(
+            self.transfer,
+            edge.atlas.extent(name, getattr(command, "offset", 0)),
+            self.volume.number,
+            self.volume.gateways,
+            self.category,
+            self.volume.plan,
+            self.repeat,
+            write,
+            cell,
+            edge.atlas.units(self.operation, self.size),
+            self.ends,
+        )
         if edge.parts is not None:
             edge.parts.arrived(arrival)
         if edge.traces is not None:
             edge.traces.path(name)
-        edge.host.take(arrival, self, Cargo(command, f"{self.mark}#{self.leg.name}.{self.turn}",
-                                            f"{self.terms.mark}~{self.terms.tries}" if self.terms.mark else "",
-                                            edge.category_name(self.category), self.gate))
+        edge.host.take(
+            arrival,
+            self,
+            Cargo(
+                command,
+                f"{self.mark}#{self.leg.name}.{self.turn}",
+                f"{self.terms.mark}~{self.terms.tries}" if self.terms.mark else "",
+                edge.category_name(self.category),
+                self.gate,
+            ),
+        )
 
     def abandon(self) -> None:
         """The client has left."""
@@ -167,7 +270,11 @@
         answer, moved = verdict.answer, verdict.verdict == ELSEWHERE
         code = answer.code if isinstance(answer, packets.Status) else None
         reply = reply_of(moved, code)
-        if self.leg is Leg.PLACING and self.spot is not None and verdict.text.isdecimal():
+        if (
+            self.leg is Leg.PLACING
+            and self.spot is not None
+            and verdict.text.isdecimal()
+        ):
             self.spot = Spot(int(verdict.text), self.spot.name)
         before, self.legs = self.leg, self.legs + 1
         self.leg, effect = advance(self.course, before, reply, self.legs)
@@ -193,7 +300,11 @@
         if effect in ("follow", "carry"):
             self.spot = spot_of(verdict.text)
             if self.spot is None:
-                return self.finish(packets.Status(self.command.id, packets.FAILURE, "a link that leads nowhere"))
+                return self.finish(
+                    packets.Status(
+                        self.command.id, packets.FAILURE, "a link that leads nowhere"
+                    )
+                )
             self.remembered.put(self.path, self.spot)
         elif effect == "forget":
             self.remembered.drop(self.path)
@@ -218,7 +329,9 @@
         elif effect == "done":
             answer = packets.Status(id, packets.OK)
         elif effect == "unsupported":
-            answer = packets.Status(id, packets.UNSUPPORTED, "this object cannot be renamed")
+            answer = packets.Status(
+                id, packets.UNSUPPORTED, "this object cannot be renamed"
+            )
         elif effect == "taken":
             answer = packets.Status(id, packets.FAILURE, "the new name stands already")
         elif effect == "tangled":
@@ -232,14 +345,27 @@
         opened, names = self.opened, ()
         assert opened is not None
         if isinstance(answer, packets.Names):
-            names = tuple(each for each in answer.names if each.filename not in opened.names)
-            opened.after, opened.found = answer.names[-1].filename if answer.names else "", True
-            folders = {each.filename for each in names if (each.attrs.mode or 0) & 0o170000 == 0o040000}
+            names = tuple(
+                each for each in answer.names if each.filename not in opened.names
+            )
+            opened.after, opened.found = (
+                answer.names[-1].filename if answer.names else "",
+                True,
+            )
+            folders = {
+                each.filename
+                for each in names
+                if (each.attrs.mode or 0) & 0o170000 == 0o040000
+            }
             if len(opened.names) < MOST_SEEN:
                 opened.names |= folders
         else:
             opened.found |= answer.code != packets.NO_SUCH_FILE
-        what = page(len(names), not isinstance(answer, packets.Names), len(self.volume.cells) - 1 - self.turn)
+        what = page(
+            len(names),
+            not isinstance(answer, packets.Names),
+            len(self.volume.cells) - 1 - self.turn,
+        )
         if what == "next":
             self.turn += 1
             opened.turn, opened.after = self.turn, ""
@@ -248,7 +374,13 @@
         if what == "end":
             root = self.path == self.volume.root
             code = packets.EOF if opened.found or root else packets.NO_SUCH_FILE
-            return self.finish(packets.Status(self.command.id, code, "the end" if code == packets.EOF else "no such file"))
+            return self.finish(
+                packets.Status(
+                    self.command.id,
+                    code,
+                    "the end" if code == packets.EOF else "no such file",
+                )
+            )
         self.launch()
 
     def finish(self, packet: Any, final: str = "satisfied", why: str = "") -> None:
--- a/milletsill/edge/decide.py
+++ b/milletsill/edge/decide.py
@@ -4,6 +4,7 @@
 commands to transfers (`Atlas`), the course of a command that takes several transfers (`COURSE_TABLE`), the phases of a
 client's connection (`DOOR_TABLE`) and of the process (`PROCESS_TABLE`). Times are whole tenths of a millisecond.
 """
+
 from __future__ import annotations
 
 from collections import OrderedDict
@@ -21,10 +22,21 @@
 # --- What a command is.
 
 OPERATIONS: Mapping[type, str] = {
-    packets.Read: "read", packets.Write: "write", packets.Open: "open", packets.Lstat: "look", packets.Stat: "look",
-    packets.Fstat: "look", packets.Setstat: "change", packets.Fsetstat: "change", packets.Remove: "change",
-    packets.Rename: "change", packets.Mkdir: "change", packets.Rmdir: "change", packets.Readdir: "list",
-    packets.Extended: "sync"}
+    packets.Read: "read",
+    packets.Write: "write",
+    packets.Open: "open",
+    packets.Lstat: "look",
+    packets.Stat: "look",
+    packets.Fstat: "look",
+    packets.Setstat: "change",
+    packets.Fsetstat: "change",
+    packets.Remove: "change",
+    packets.Rename: "change",
+    packets.Mkdir: "change",
+    packets.Rmdir: "change",
+    packets.Readdir: "list",
+    packets.Extended: "sync",
+}
 WRITING = ("write", "change", "sync")
 HASHED, FREE, BY_DIRECTORY = range(3)
 MOST_PATH = 4096
@@ -75,11 +87,22 @@
 class Atlas:
     """The operator's map from commands to transfers; built once, pure afterwards."""
 
-    def __init__(self, volumes: Sequence[VolumePlace], routes: Sequence[RouteRule], unit_bytes: int,
-                 largest_units: int, extent_bytes: int, meta_units: float = 0.5) -> None:
+    def __init__(
+        self,
+        volumes: Sequence[VolumePlace],
+        routes: Sequence[RouteRule],
+        unit_bytes: int,
+        largest_units: int,
+        extent_bytes: int,
+        meta_units: float = 0.5,
+    ) -> None:
         self.roots = {each.root: each for each in volumes}
         self.routes, self.unit_bytes = tuple(routes), unit_bytes
-        self.largest, self.extent_bytes, self.meta_units = largest_units, extent_bytes, meta_units
+        self.largest, self.extent_bytes, self.meta_units = (
+            largest_units,
+            extent_bytes,
+            meta_units,
+        )
 
     @property
     def most_bytes(self) -> int:
@@ -89,19 +112,35 @@
     def volume(self, path: str) -> VolumePlace | None:
         """The volume that a canonical path lies in; None for what lies above all of them."""
         parts = path.split("/")
-        return next((found for end in range(2, len(parts) + 1)
-                     if (found := self.roots.get("/".join(parts[:end])))), None)
+        return next(
+            (
+                found
+                for end in range(2, len(parts) + 1)
+                if (found := self.roots.get("/".join(parts[:end])))
+            ),
+            None,
+        )
 
     def above(self, path: str) -> list[str]:
         """The names right below a path that lies above volumes."""
         start = path if path.endswith("/") else path + "/"
-        return sorted({root[len(start):].split("/")[0] for root in self.roots if root.startswith(start)})
+        return sorted(
+            {
+                root[len(start) :].split("/")[0]
+                for root in self.roots
+                if root.startswith(start)
+            }
+        )
 
     def category(self, operation: str, volume: VolumePlace, size: int) -> int:
         """The category of the first route that fits; the last fits all."""
-        return next(each.category for each in self.routes
-                    if (not each.operations or operation in each.operations)
-                    and each.volume in ("", volume.name) and size >= each.least_bytes)
+        return next(
+            each.category
+            for each in self.routes
+            if (not each.operations or operation in each.operations)
+            and each.volume in ("", volume.name)
+            and size >= each.least_bytes
+        )
 
     def units(self, operation: str, size: int) -> float:
         """Units of so many bytes: at least one, at most the largest transfer. Of a command that moves no data a part
@@ -116,13 +155,22 @@
         """The cell that a path belongs to: the same at every gateway. Rendezvous hashing: a cell that joins or leaves
         a volume moves only the paths that it gains or loses.
         """
-        name = path.rpartition("/")[0] if volume.placement == BY_DIRECTORY and path != volume.root else path
+        name = (
+            path.rpartition("/")[0]
+            if volume.placement == BY_DIRECTORY and path != volume.root
+            else path
+        )
         data = name.encode("utf-8", "surrogateescape")
-        return max(volume.cells, key=lambda cell: (xxhash.xxh64_intdigest(data, seed=cell + 1), cell))
+        return max(
+            volume.cells,
+            key=lambda cell: (xxhash.xxh64_intdigest(data, seed=cell + 1), cell),
+        )
 
     def extent(self, name: str, offset: int) -> int:
         """The extent of an object that an offset lies in, never 0."""
-        data = f"{name}\0{offset // self.extent_bytes}".encode("utf-8", "surrogateescape")
+        data = f"{name}\0{offset // self.extent_bytes}".encode(
+            "utf-8", "surrogateescape"
+        )
         return xxhash.xxh64_intdigest(data) or 1
 
 
@@ -164,7 +212,11 @@
 def spot_of(text: str) -> Spot | None:
     """A spot from a link's target; None where it is none."""
     cell, colon, name = text.partition(":")
-    return Spot(int(cell), name) if colon and cell.isdecimal() and len(cell) < 10 and name else None
+    return (
+        Spot(int(cell), name)
+        if colon and cell.isdecimal() and len(cell) < 10 and name
+        else None
+    )
 
 
 # --- The course of a command: one transfer after another.
@@ -172,7 +224,9 @@
 # HOME: asked at the path's home. THERE: at the spot that a link or memory named. PLACING: a new object, wherever the
 # module puts it. LINKING: its link at home. SOURCE, MOVING, CLEARING: a rename by links. UNLINKING: after a removal.
 # SWEEPING: a directory's other cells, home last.
-Leg = Enum("Leg", "HOME THERE PLACING LINKING SOURCE MOVING CLEARING UNLINKING SWEEPING OVER")
+Leg = Enum(
+    "Leg", "HOME THERE PLACING LINKING SOURCE MOVING CLEARING UNLINKING SWEEPING OVER"
+)
 # What a transfer came to. FINE: the box did it. MISSING: no such file. MOVED: a link, with its spot. TAKEN: the name
 # stands already. BAD: another status. DECLINED, ABORTED: the module gave it up.
 Reply = Enum("Reply", "FINE MISSING MOVED TAKEN BAD DECLINED ABORTED")
@@ -184,8 +238,14 @@
 # (course, leg, reply) -> (next leg, effect). OVER ends the command; the effect says with which answer.
 COURSE_TABLE: Mapping[tuple[Course, Leg, Reply], tuple[Leg, str]] = {
     # A cached spot that is empty may be old: its home knows. A home whose link leads to nothing has the last word.
-    **{(course, Leg.HOME, Reply.MOVED): (Leg.THERE, "follow") for course in (Course.FOLLOW, Course.MAKE, Course.REMOVE)},
-    **{(course, Leg.THERE, Reply.MISSING): (Leg.HOME, "forget") for course in (Course.FOLLOW, Course.MAKE)},
+    **{
+        (course, Leg.HOME, Reply.MOVED): (Leg.THERE, "follow")
+        for course in (Course.FOLLOW, Course.MAKE, Course.REMOVE)
+    },
+    **{
+        (course, Leg.THERE, Reply.MISSING): (Leg.HOME, "forget")
+        for course in (Course.FOLLOW, Course.MAKE)
+    },
     (Course.REMOVE, Leg.THERE, Reply.FINE): (Leg.UNLINKING, ""),
     (Course.REMOVE, Leg.THERE, Reply.MISSING): (Leg.UNLINKING, "forget"),
     (Course.REMOVE, Leg.UNLINKING, Reply.MISSING): (Leg.OVER, "done"),
@@ -215,7 +275,11 @@
     `legs` counts those gone: a course that runs in a circle (links that two gateways keep moving) ends as aborted.
     """
     after, effect = COURSE_TABLE.get((course, leg, reply), (Leg.OVER, "answer"))
-    if after is not Leg.OVER and legs >= MOST_LEGS and course not in (Course.SWEEP, Course.LIST):
+    if (
+        after is not Leg.OVER
+        and legs >= MOST_LEGS
+        and course not in (Course.SWEEP, Course.LIST)
+    ):
         return Leg.OVER, "tangled"
     return after, effect
 
@@ -232,13 +296,19 @@
         return Course.PLAIN, Leg.HOME
     if kind is packets.Open and command.flags & packets.CREATE_FLAG:
         return Course.MAKE, Leg.HOME
-    return {packets.Remove: (Course.REMOVE, Leg.HOME), packets.Rename: (Course.RENAME, Leg.SOURCE)}.get(
-        kind, (Course.FOLLOW, Leg.HOME))
+    return {
+        packets.Remove: (Course.REMOVE, Leg.HOME),
+        packets.Rename: (Course.RENAME, Leg.SOURCE),
+    }.get(kind, (Course.FOLLOW, Leg.HOME))
 
 
 def first_leg(course: Course, leg: Leg, remembered: Spot | None) -> Leg:
     """A remembered spot spares the look at home, but for what must change the link there."""
-    return Leg.THERE if remembered is not None and course in (Course.FOLLOW, Course.MAKE) else leg
+    return (
+        Leg.THERE
+        if remembered is not None and course in (Course.FOLLOW, Course.MAKE)
+        else leg
+    )
 
 
 def page(names: int, ended: bool, cells_left: int) -> str:
@@ -280,8 +350,14 @@
     # Guards against a client that asks and never reads, which would hold answers for good.
     (Door.FULL, Knock.STUCK): (Door.CLOSED, "cut"),
     **{(door, Knock.IDLE): (Door.CLOSED, "close") for door in (Door.FRESH, Door.OPEN)},
-    **{(door, Knock.BROKEN): (Door.CLOSED, "cut") for door in (Door.FRESH, Door.OPEN, Door.FULL)},
-    **{(door, Knock.LOST): (Door.CLOSED, "abandon") for door in (Door.FRESH, Door.OPEN, Door.FULL)},
+    **{
+        (door, Knock.BROKEN): (Door.CLOSED, "cut")
+        for door in (Door.FRESH, Door.OPEN, Door.FULL)
+    },
+    **{
+        (door, Knock.LOST): (Door.CLOSED, "abandon")
+        for door in (Door.FRESH, Door.OPEN, Door.FULL)
+    },
 }
 
 
@@ -331,6 +407,7 @@
 
 # --- Time.
 
+
 def ends_at(came: int, patience: int, told_patience: int, margin: int) -> int:
     """When the client gives up, less the margin, from when its command may have come: the lesser of the operator's patience and the client's own; 0 is
     none told."""
@@ -341,11 +418,18 @@
     """Which final answers get a line: so many a second, the rest are counted into the next line."""
 
     def __init__(self, per_second: float) -> None:
-        self.rate, self.level, self.at, self.passed = per_second, max(per_second, 1.0), 0, 0
+        self.rate, self.level, self.at, self.passed = (
+            per_second,
+            max(per_second, 1.0),
+            0,
+            0,
+        )
 
     def take(self, now: int) -> int | None:
         """How many were passed over since the last line, or None where this one is passed over too."""
-        self.level = min(self.level + self.rate * (now - self.at) / 10_000, max(self.rate, 1.0))
+        self.level = min(
+            self.level + self.rate * (now - self.at) / 10_000, max(self.rate, 1.0)
+        )
         self.at = now
         if self.level < 1 or not self.rate:
             self.passed += 1
@@ -363,7 +447,32 @@
     return facts
 
 
-NEEDED = ("gateways", "tick", "categories", "plans", "share_utility", "largest_units", "cold_units", "may_cancel",
-          "may_copy", "most_dispatches", "pause_told", "longest_pause", "list_on_request", "ask_within", "cold_from",
-          "cold_multiple", "warm_after", "cold_window", "further_free", "further_ratio", "further_window", "key_rest",
-          "sized", "cross_fee", "zone", "unit_mean", "dial")
+NEEDED = (
+    "gateways",
+    "tick",
+    "categories",
+    "plans",
+    "share_utility",
+    "largest_units",
+    "cold_units",
+    "may_cancel",
+    "may_copy",
+    "most_dispatches",
+    "pause_told",
+    "longest_pause",
+    "list_on_request",
+    "ask_within",
+    "cold_from",
+    "cold_multiple",
+    "warm_after",
+    "cold_window",
+    "further_free",
+    "further_ratio",
+    "further_window",
+    "key_rest",
+    "sized",
+    "cross_fee",
+    "zone",
+    "unit_mean",
+    "dial",
+)
--- a/milletsill/edge/door.py
+++ b/milletsill/edge/door.py
@@ -1,4 +1,5 @@
 """The clients' door: SFTP version 3 packets straight over TCP, bounded on every side."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -15,7 +16,13 @@
 from milletsill.files.wire import Attrs, Name
 
 DIRECTORY = Attrs(mode=0o040755)
-BY_HANDLE = (packets.Read, packets.Write, packets.Fstat, packets.Fsetstat, packets.Readdir)
+BY_HANDLE = (
+    packets.Read,
+    packets.Write,
+    packets.Fstat,
+    packets.Fsetstat,
+    packets.Readdir,
+)
 
 
 class Connection(Protocol):
@@ -26,7 +33,9 @@
         self.deframer = Deframer(edge.file.door.most_packet)
         self.out: dict[int, Running] = {}
         self.handles: dict[bytes, Opened] = {}
-        self.channels: dict[bytes, Any] = {}  # handles of channels, where the gateway keeps any
+        self.channels: dict[
+            bytes, Any
+        ] = {}  # handles of channels, where the gateway keeps any
         self.handle_count, self.unread, self.reading = 0, False, False
         self.octets = 0  # of the packet at hand
         self.full_since: int | None = None
@@ -69,7 +78,10 @@
             return
         self.reading = True
         try:
-            while self.door in (Door.FRESH, Door.OPEN) and (body := self.deframer.next()) is not None:
+            while (
+                self.door in (Door.FRESH, Door.OPEN)
+                and (body := self.deframer.next()) is not None
+            ):
                 self.packet(body)
                 self.look()
         except BrokenStream as error:
@@ -80,7 +92,9 @@
 
     def look(self) -> None:
         """Read on, or do not, as the bounds say."""
-        sign = fullness(self.door, len(self.out), self.unread, self.edge.file.door.most_outstanding)
+        sign = fullness(
+            self.door, len(self.out), self.unread, self.edge.file.door.most_outstanding
+        )
         if sign is not None:
             self.knock(sign)
 
@@ -98,7 +112,11 @@
         if effect == "pause":
             self.full_since = self.edge.now()
         if effect == "version":
-            self.reply(packets.Version(packets.VERSION_SPOKEN, extensions.offered(*self.edge.extensions)))
+            self.reply(
+                packets.Version(
+                    packets.VERSION_SPOKEN, extensions.offered(*self.edge.extensions)
+                )
+            )
         elif effect == "pause":
             self.transport.pauseProducing()
         elif effect == "resume":
@@ -139,9 +157,16 @@
     def meter(self, running: Running, octets: int) -> None:
         """Tell flow export, where there is any, of a command that has ended."""
         if self.edge.flows is not None:
-            self.edge.flows.client(self.ends, running.volume.name, self.edge.plan_name(running.volume),
-                                   self.edge.category_name(running.category), running.final, running.octets, octets,
-                                   self.edge.now() - running.began)
+            self.edge.flows.client(
+                self.ends,
+                running.volume.name,
+                self.edge.plan_name(running.volume),
+                self.edge.category_name(running.category),
+                running.final,
+                running.octets,
+                octets,
+                self.edge.now() - running.began,
+            )
 
     def packet(self, body: bytes) -> None:
         """One packet; one that makes no sense gets its answer, if it has an id, and loses nothing else."""
@@ -153,12 +178,22 @@
         except Malformed as error:
             self.edge.remark("client_malformed", **error.at(self.ends[0]).said())
             if len(body) >= 5 and self.door is Door.OPEN:
-                return self.reply(packets.Status(int.from_bytes(body[1:5], "big"), packets.BAD_MESSAGE, error.what))
+                return self.reply(
+                    packets.Status(
+                        int.from_bytes(body[1:5], "big"),
+                        packets.BAD_MESSAGE,
+                        error.what,
+                    )
+                )
             return self.knock(Knock.BROKEN)
         if isinstance(packet, packets.Init):
             return self.knock(Knock.INIT)
         if not isinstance(packet, packets.COMMANDS):
-            return self.reply(packets.Status(packet.id, packets.BAD_MESSAGE, "an answer where a command was due"))
+            return self.reply(
+                packets.Status(
+                    packet.id, packets.BAD_MESSAGE, "an answer where a command was due"
+                )
+            )
         self.knock(Knock.COMMAND)
         if self.door is Door.OPEN:
             self.command(packet)
@@ -167,9 +202,14 @@
         """Answer at once what costs no box work; run the rest."""
         id, terms = packet.id, Terms()
         if id in self.out:
-            return self.reply(packets.Status(id, packets.BAD_MESSAGE, f"command {id} is still out"))
+            return self.reply(
+                packets.Status(id, packets.BAD_MESSAGE, f"command {id} is still out")
+            )
         try:
-            if isinstance(packet, packets.Extended) and packet.name == extensions.COMMAND:
+            if (
+                isinstance(packet, packets.Extended)
+                and packet.name == extensions.COMMAND
+            ):
                 terms, packet = extensions.read_terms(packet)
             answer = self.at_once(packet, terms)
         except (Malformed, BadPath) as error:
@@ -181,10 +221,18 @@
         """The answer, or None where the command was put on its way."""
         id, edge = packet.id, self.edge
         if isinstance(packet, packets.Realpath):
-            return packets.Names(id, (Name(path := edge.canonical(packet.path or "/"), path, Attrs()),))
+            return packets.Names(
+                id, (Name(path := edge.canonical(packet.path or "/"), path, Attrs()),)
+            )
         if isinstance(packet, packets.Close):
-            gone = self.handles.pop(packet.handle, None) or self.channels.pop(packet.handle, None)
-            return packets.Status(id, packets.OK if gone else packets.FAILURE, "" if gone else "no such handle")
+            gone = self.handles.pop(packet.handle, None) or self.channels.pop(
+                packet.handle, None
+            )
+            return packets.Status(
+                id,
+                packets.OK if gone else packets.FAILURE,
+                "" if gone else "no such handle",
+            )
         if isinstance(packet, packets.Extended):
             return self.extended(packet, terms)
         if isinstance(packet, BY_HANDLE):
@@ -197,11 +245,17 @@
         door = self.edge.file.door
         if packet.name == extensions.LIMITS:
             most = self.edge.atlas.most_bytes
-            return extensions.put_limits(packet.id, door.most_packet, most, most, door.most_handles)
+            return extensions.put_limits(
+                packet.id, door.most_packet, most, most, door.most_handles
+            )
         if packet.name in self.edge.extensions:
             return self.edge.channels.command(self, packet)
         if packet.name != extensions.FSYNC:
-            return packets.Status(packet.id, packets.UNSUPPORTED, f"unknown extension {packet.name[:40]!r}")
+            return packets.Status(
+                packet.id,
+                packets.UNSUPPORTED,
+                f"unknown extension {packet.name[:40]!r}",
+            )
         opened = self.handles.get(extensions.read_fsync(packet))
         if opened is None or opened.volume is None or opened.spot is None:
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
@@ -212,9 +266,16 @@
         listing = isinstance(packet, packets.Readdir)
         if opened is None or listing != (opened.spot is None):
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
-        if isinstance(packet, packets.Write) and len(packet.data) > self.edge.atlas.most_bytes:
-            return packets.Status(packet.id, packets.FAILURE, f"a write of {len(packet.data)} bytes, "
-                                                              f"{self.edge.atlas.most_bytes} at most")
+        if (
+            isinstance(packet, packets.Write)
+            and len(packet.data) > self.edge.atlas.most_bytes
+        ):
+            return packets.Status(
+                packet.id,
+                packets.FAILURE,
+                f"a write of {len(packet.data)} bytes, "
+                f"{self.edge.atlas.most_bytes} at most",
+            )
         if listing and opened.volume is None:
             return self.list_above(packet.id, opened)
         assert opened.volume is not None
@@ -226,28 +287,53 @@
         opened.found = True
         if not names:
             return packets.Status(id, packets.EOF, "the end")
-        return packets.Names(id, tuple(Name(each, f"drwxr-xr-x 1 - - 0 {each}", DIRECTORY) for each in names[:1000]))
+        return packets.Names(
+            id,
+            tuple(
+                Name(each, f"drwxr-xr-x 1 - - 0 {each}", DIRECTORY)
+                for each in names[:1000]
+            ),
+        )
 
     def by_path(self, packet: Any, terms: Terms) -> Any:
         edge, path = self.edge, self.edge.canonical(packet.path)
         volume = edge.atlas.volume(path)
         if isinstance(packet, packets.Rename):
             target = edge.canonical(packet.target)
-            if volume is None or edge.atlas.volume(target) is not volume or path == volume.root:
-                return packets.Status(packet.id, packets.UNSUPPORTED, "a rename must stay within its volume")
+            if (
+                volume is None
+                or edge.atlas.volume(target) is not volume
+                or path == volume.root
+            ):
+                return packets.Status(
+                    packet.id,
+                    packets.UNSUPPORTED,
+                    "a rename must stay within its volume",
+                )
             if not edge.renames(volume, path, target):
-                return packets.Status(packet.id, packets.UNSUPPORTED, "the new name lies in another cell")
+                return packets.Status(
+                    packet.id, packets.UNSUPPORTED, "the new name lies in another cell"
+                )
         above = volume is None and (path == "/" or edge.atlas.above(path))
         root = above or volume is not None and path == volume.root
         if isinstance(packet, packets.Opendir):
-            return self.opendir(packet, volume, path) if volume or above else self.missing(packet.id)
+            return (
+                self.opendir(packet, volume, path)
+                if volume or above
+                else self.missing(packet.id)
+            )
         if root and isinstance(packet, (packets.Stat, packets.Lstat)):
             return packets.AttrsAnswer(packet.id, DIRECTORY)
         if root:
-            return packets.Status(packet.id, packets.PERMISSION_DENIED, "this belongs to the operator")
+            return packets.Status(
+                packet.id, packets.PERMISSION_DENIED, "this belongs to the operator"
+            )
         if volume is None:
             return self.missing(packet.id)
-        if isinstance(packet, packets.Open) and len(self.handles) >= edge.file.door.most_handles:
+        if (
+            isinstance(packet, packets.Open)
+            and len(self.handles) >= edge.file.door.most_handles
+        ):
             return self.no_more_handles(packet.id)
         self.run(packet, terms, volume, path, None)
 
@@ -255,7 +341,9 @@
         return packets.Status(id, packets.NO_SUCH_FILE, "no such file")
 
     def no_more_handles(self, id: int) -> packets.Status:
-        return packets.Status(id, packets.FAILURE, f"more than {self.edge.file.door.most_handles} handles")
+        return packets.Status(
+            id, packets.FAILURE, f"more than {self.edge.file.door.most_handles} handles"
+        )
 
     def opendir(self, packet: Any, volume: Any, path: str) -> Any:
         if len(self.handles) >= self.edge.file.door.most_handles:
@@ -269,25 +357,49 @@
         self.handles[handle] = opened
         return handle
 
-    def run(self, packet: Any, terms: Terms, volume: Any, path: str, opened: Opened | None) -> None:
+    def run(
+        self, packet: Any, terms: Terms, volume: Any, path: str, opened: Opened | None
+    ) -> None:
         """Put a command on its way to the boxes."""
-        running = Running(self.edge, packet, terms, volume, path, opened, lambda answer: self.answer(running, answer), self.came())
+        running = Running(
+            self.edge,
+            packet,
+            terms,
+            volume,
+            path,
+            opened,
+            lambda answer: self.answer(running, answer),
+            self.came(),
+        )
         running.octets = self.octets
         self.out[packet.id] = running
         running.start()
 
     def came(self) -> int:
         """When the packet at hand may have come: it lay unread while this door was full or the process stood."""
-        known = [each for each in (self.full_since, self.edge.unread_since()) if each is not None]
+        known = [
+            each
+            for each in (self.full_since, self.edge.unread_since())
+            if each is not None
+        ]
         return min(known, default=self.edge.now())
 
     def answer(self, running: Running, packet: Any) -> None:
         """The one answer of a command."""
         self.out.pop(running.command.id, None)
-        if isinstance(packet, packets.Handle) and isinstance(running.command, packets.Open):
-            spot = running.spot or Spot(self.edge.atlas.home(running.volume, running.path), running.path)
-            packet = (packets.Handle(packet.id, self.keep(Opened(running.volume, running.path, spot)))
-                      if len(self.handles) < self.edge.file.door.most_handles else self.no_more_handles(packet.id))
+        if isinstance(packet, packets.Handle) and isinstance(
+            running.command, packets.Open
+        ):
+            spot = running.spot or Spot(
+                self.edge.atlas.home(running.volume, running.path), running.path
+            )
+            packet = (
+                packets.Handle(
+                    packet.id, self.keep(Opened(running.volume, running.path, spot))
+                )
+                if len(self.handles) < self.edge.file.door.most_handles
+                else self.no_more_handles(packet.id)
+            )
         self.meter(running, self.send(packet))
         self.look()
 
--- a/milletsill/edge/faults.py
+++ b/milletsill/edge/faults.py
@@ -1,4 +1,5 @@
 """What can go wrong at an edge as a whole, by type."""
+
 from __future__ import annotations
 
 from milletsill.errors import Refused, Unkept
--- a/milletsill/edge/host.py
+++ b/milletsill/edge/host.py
@@ -4,6 +4,7 @@
 Nothing about a transfer is decided here. A transfer lives from `take` to its one final answer (`finish`), and until
 all of its dispatches have ended.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -12,7 +13,16 @@
 from milletsill.edge.stalls import io_first
 from milletsill.edge.turns import NextTurn
 from milletsill.errors import whereabouts
-from milletsill.interface import Answer, Arrival, Decisions, Facts, Listed, News, Outcome, Port
+from milletsill.interface import (
+    Answer,
+    Arrival,
+    Decisions,
+    Facts,
+    Listed,
+    News,
+    Outcome,
+    Port,
+)
 
 NEVER = 1 << 60
 LONGEST_SLEEP = 60.0  # seconds; a timer for later is set again then
@@ -50,8 +60,15 @@
     """Starts one dispatch: cargo, transfer, its number, node, until when; None where no link leads to the node. `ended`
     is called once, never from within."""
 
-    def __call__(self, cargo: Any, arrival: Arrival, number: int, node: int, ends: int,
-                 ended: Ended) -> Sending | None: ...
+    def __call__(
+        self,
+        cargo: Any,
+        arrival: Arrival,
+        number: int,
+        node: int,
+        ends: int,
+        ended: Ended,
+    ) -> Sending | None: ...
 
 
 class Asker(Protocol):
@@ -89,8 +106,18 @@
     """Drives one Scheduler. `watch` asks for the list; `carry` starts a dispatch; `note` counts events by name and value
     for the metrics."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], facts: Facts, seed: int, make: Make, carry: Carry,
-                 watch: Callable[[], None], remark: Callable[[str], None], note: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        facts: Facts,
+        seed: int,
+        make: Make,
+        carry: Carry,
+        watch: Callable[[], None],
+        remark: Callable[[str], None],
+        note: Callable[..., None],
+    ) -> None:
         self.reactor, self.now, self.facts = reactor, now, facts
         self.carry, self.ask_list, self.log, self.note = carry, watch, remark, note
         self.live: dict[int, Live] = {}
@@ -101,7 +128,9 @@
         self.turn = NextTurn(reactor, now, self.settle)
         self.settled, self.most_stale = 0, NEVER
         self.module = make(facts, seed, now(), self)
-        self.overheard: Callable[[int, Arrival, Answer], None] = lambda now, arrival, answer: None  # of each dispatch's end
+        self.overheard: Callable[[int, Arrival, Answer], None] = (
+            lambda now, arrival, answer: None
+        )  # of each dispatch's end
 
     # Told by the edge.
 
@@ -133,7 +162,9 @@
         self.tell(self.module.listed, news, entries)
         self.settle_soon()
 
-    def part(self, what: str, id: int, share: float | None, ends: int, after: float) -> None:
+    def part(
+        self, what: str, id: int, share: float | None, ends: int, after: float
+    ) -> None:
         """Another part than the even one."""
         self.module.part(self.now(), what, id, share, ends, after)
         self.settle_soon()
@@ -149,7 +180,9 @@
         """One dispatch; how it ends is told later, never from within."""
         live, now = self.live.get(transfer), self.now()
         if live is None or live.answered:  # rule 1 at the last place that a send passes
-            return self.log(f"a dispatch of transfer {transfer} after its end was not sent")
+            return self.log(
+                f"a dispatch of transfer {transfer} after its end was not sent"
+            )
         arrival = live.arrival
         out = Out(len(live.outs), node, now)
         live.outs.append(out)
@@ -159,8 +192,14 @@
         # Guards rules 4 and 7 against a process that stood between a decision and its send, for whatever reason: the
         # part that it was decided on may be another's by now. Harm: a lawful send of a slow moment is put off.
         if now - self.settled <= self.most_stale:
-            out.sending = self.carry(live.cargo, arrival, out.number, node, ends,
-                                     lambda outcome, verdict: self.ended(live, out, outcome, verdict))
+            out.sending = self.carry(
+                live.cargo,
+                arrival,
+                out.number,
+                node,
+                ends,
+                lambda outcome, verdict: self.ended(live, out, outcome, verdict),
+            )
         if out.sending is None:
             self.at(now, self.ended, live, out, Outcome.UNREACHED, None)
 
@@ -179,7 +218,9 @@
     def cancel(self, transfer: int, number: int) -> None:
         live = self.live.get(transfer)
         if live is not None and number < len(live.outs) and not live.outs[number].over:
-            self.at(self.now(), self.give_up, live, live.outs[number], Outcome.CANCELLED)
+            self.at(
+                self.now(), self.give_up, live, live.outs[number], Outcome.CANCELLED
+            )
 
     def watch(self) -> None:
         self.ask_list()
@@ -224,7 +265,9 @@
         self.clear(live)
 
     def clear(self, live: Live) -> None:
-        live.cargo = None if live.answered else live.cargo  # timers hold the record until patience, not the data
+        live.cargo = (
+            None if live.answered else live.cargo
+        )  # timers hold the record until patience, not the data
         if live.answered and all(each.over for each in live.outs):
             self.live.pop(live.arrival.id, None)
 
@@ -242,11 +285,16 @@
                 out.sending.withdraw(outcome)
             self.ended(live, out, outcome, None)
 
-    def ended(self, live: Live, out: Out, outcome: Outcome, verdict: Verdict | None) -> None:
+    def ended(
+        self, live: Live, out: Out, outcome: Outcome, verdict: Verdict | None
+    ) -> None:
         """One dispatch has ended: the client's answer first, then the module, then what follows."""
         if out.over or self.stopped:
             return
-        out.over, out.sending = True, None  # cuts the circle of both and of what tells the end: freed at once
+        out.over, out.sending = (
+            True,
+            None,
+        )  # cuts the circle of both and of what tells the end: freed at once
         now, first = self.now(), not live.answered
         satisfied = outcome is Outcome.SATISFIED and first
         if satisfied:
@@ -254,9 +302,17 @@
         else:
             self.clear(live)
         self.note("ended", outcome.value, now - out.sent)
-        answer = Answer(live.arrival.id, out.number, out.node, outcome, satisfied, now - out.sent,
-                        verdict.used if verdict else None, verdict.elsewhere if verdict else 0,
-                        verdict.report if verdict else {})
+        answer = Answer(
+            live.arrival.id,
+            out.number,
+            out.node,
+            outcome,
+            satisfied,
+            now - out.sent,
+            verdict.used if verdict else None,
+            verdict.elsewhere if verdict else 0,
+            verdict.report if verdict else {},
+        )
         self.tell(self.module.returned, answer)
         self.overheard(now, live.arrival, answer)
         if satisfied and verdict is not None:
--- a/milletsill/edge/identity.py
+++ b/milletsill/edge/identity.py
@@ -1,4 +1,5 @@
 """Which run of a gateway this is: a number kept on disk that grows with each start."""
+
 from __future__ import annotations
 
 import os
--- a/milletsill/edge/process.py
+++ b/milletsill/edge/process.py
@@ -1,4 +1,5 @@
 """A process that carries one or several edges, which share nothing but the reactor."""
+
 from __future__ import annotations
 
 import gc
@@ -43,7 +44,12 @@
         reactor.callWhenRunning(edge.start)
     on_signal(signal.SIGTERM, lambda: [each.terminate() for each in list(left)])
     on_signal(signal.SIGINT, lambda: [each.terminate() for each in list(left)])
-    on_signal(signal.SIGHUP, lambda: [reload(each, path) for each, path in zip(edges, paths) if each in left])
+    on_signal(
+        signal.SIGHUP,
+        lambda: [
+            reload(each, path) for each, path in zip(edges, paths) if each in left
+        ],
+    )
     collector = Pauses(edges)
     reactor.callLater(SETTLED, settle_memory)
     gc.callbacks.append(collector.heard)
@@ -66,7 +72,9 @@
         for edge in self.edges:
             edge.figures.collections.observe(span)
         if span > SAID_FROM:
-            self.edges[0].remark("collector_pause", ms=round(span * 1000), generation=info["generation"])
+            self.edges[0].remark(
+                "collector_pause", ms=round(span * 1000), generation=info["generation"]
+            )
 
 
 def reload(edge: Edge, path: str) -> None:
--- a/milletsill/edge/quiet.py
+++ b/milletsill/edge/quiet.py
@@ -1,4 +1,5 @@
 """What every process with a gateway in it does about signals and the garbage collector."""
+
 from __future__ import annotations
 
 import gc
--- a/milletsill/edge/seam.py
+++ b/milletsill/edge/seam.py
@@ -1,4 +1,5 @@
 """What the door's connections and commands may ask of the gateway around them. `service.Edge` is it; arrows run to here."""
+
 from __future__ import annotations
 
 from typing import Any, Callable, Protocol
