--- a/milletsill/edge/service.py
+++ b/milletsill/edge/service.py
@@ -1,4 +1,5 @@
 """The edge as one object: door, host of the module, links, list, metrics; several can live in one process."""
+
 from __future__ import annotations
 
 import os
@@ -10,8 +11,19 @@
 
 from milletsill.edge import facts
 from milletsill.edge.commands import Cargo, Running
-from milletsill.edge.decide import (BEAT, FREE, AnswerLog, Event, Locations, Process, VolumePlace, admit,
-                                    canonical, pass_on, taken_since)
+from milletsill.edge.decide import (
+    BEAT,
+    FREE,
+    AnswerLog,
+    Event,
+    Locations,
+    Process,
+    VolumePlace,
+    admit,
+    canonical,
+    pass_on,
+    taken_since,
+)
 from milletsill.edge.door import Clients, Connection
 from milletsill.edge.faults import NeedsRestart
 from milletsill.edge.host import Ended, Host, Make
@@ -37,37 +49,82 @@
 class Edge:
     """One gateway. `make` is the module; the laboratory alone puts a baseline in its place."""
 
-    def __init__(self, file: Any, reactor: Any, make: Make = Scheduler, now: Callable[[], int] = monotonic,
-                 log: Any = None) -> None:
+    def __init__(
+        self,
+        file: Any,
+        reactor: Any,
+        make: Make = Scheduler,
+        now: Callable[[], int] = monotonic,
+        log: Any = None,
+    ) -> None:
         self.file, self.reactor, self.now = file, reactor, now
-        self.log = log or logger(file.logging.level, file.logging.json, gateway=file.name)
+        self.log = log or logger(
+            file.logging.level, file.logging.json, gateway=file.name
+        )
         os.makedirs(file.state_dir, exist_ok=True)
-        self.incarnation, complaint = next_incarnation(os.path.join(file.state_dir, "incarnation"))
+        self.incarnation, complaint = next_incarnation(
+            os.path.join(file.state_dir, "incarnation")
+        )
         if complaint is not None:
             self.remark("incarnation_not_kept", **complaint.said())
         self.figures, self.answer_log = Figures(), AnswerLog(file.logging.answers_per_s)
         self.process, self.atlas = Process.STARTING, facts.atlas_of(file)
-        self.locations, self.bounds = Locations(file.door.locations), facts.bounds_of(file)
+        self.locations, self.bounds = (
+            Locations(file.door.locations),
+            facts.bounds_of(file),
+        )
         self.margin = facts.at_least(file.door.answer_margin_ms)
         self.pools: dict[int, Pool] = {}
         self.clients: set[Connection] = set()
         self.transfers = self.objects = self.marks = 0
         given = facts.facts_of(file)
-        seed = file.seed if file.HasField("seed") else random.SystemRandom().getrandbits(63)
-        self.follower = Follower(reactor, now, file.registry, given["warm_after"],
-                                 os.path.join(file.state_dir, "boxes.json"), self.listed, self.moved,
-                                 lambda text: self.remark("list", reason=text), file.name, random.Random(f"{seed} list").uniform)
+        seed = (
+            file.seed
+            if file.HasField("seed")
+            else random.SystemRandom().getrandbits(63)
+        )
+        self.follower = Follower(
+            reactor,
+            now,
+            file.registry,
+            given["warm_after"],
+            os.path.join(file.state_dir, "boxes.json"),
+            self.listed,
+            self.moved,
+            lambda text: self.remark("list", reason=text),
+            file.name,
+            random.Random(f"{seed} list").uniform,
+        )
         self.traces = self.tracer(given, seed) if file.HasField("trace") else None
         if self.traces is not None:
             make = self.traces.around(make)
-        self.host = Host(reactor, now, given, seed, make, self.carry, self.follower.ask,
-                         lambda text: self.remark("module", reason=text), self.figures.note)
+        self.host = Host(
+            reactor,
+            now,
+            given,
+            seed,
+            make,
+            self.carry,
+            self.follower.ask,
+            lambda text: self.remark("module", reason=text),
+            self.figures.note,
+        )
         self.flows = self.exporter(seed) if file.HasField("flows") else None
         self.parts = self.planned(given, seed) if file.HasField("planner") else None
         self.fleet = self.among_others(seed) if file.HasField("fleet") else None
-        self.health = self.sharing(seed) if self.fleet is not None and file.fleet.HasField("health") else None
-        self.extensions: tuple[str, ...] = ()  # of the door, beside those that always stand
-        self.channels = self.channelled(seed) if self.fleet is not None and file.fleet.HasField("channels") else None
+        self.health = (
+            self.sharing(seed)
+            if self.fleet is not None and file.fleet.HasField("health")
+            else None
+        )
+        self.extensions: tuple[
+            str, ...
+        ] = ()  # of the door, beside those that always stand
+        self.channels = (
+            self.channelled(seed)
+            if self.fleet is not None and file.fleet.HasField("channels")
+            else None
+        )
         self.ports: list[Any] = []
         self.stopped: list[Callable[[], None]] = []
         self.look_call: Any = None
@@ -79,34 +136,66 @@
     def exporter(self, seed: int) -> Any:
         """Flow export; none of its code is loaded where the file does not ask for it."""
         from milletsill.flows.edge import Flows
+
         return Flows(self.reactor, self.now, self.file, seed, self.remark)
 
     def tracer(self, given: Any, seed: int) -> Any:
         """Traces; none of their code is loaded where the file does not ask for them."""
         from milletsill.trace.edge import Traces
-        return Traces(self.reactor, self.now, self.file, given, seed, self.incarnation, self.remark, self.figures.registry)
+
+        return Traces(
+            self.reactor,
+            self.now,
+            self.file,
+            given,
+            seed,
+            self.incarnation,
+            self.remark,
+            self.figures.registry,
+        )
 
     def planned(self, given: Any, seed: int) -> Any:
         """Parts from a planner; none of their code is loaded where the file does not ask for them."""
         from milletsill.planner.edge import Parts
-        return Parts(self.reactor, self.now, self.file, given, seed + 2, self.incarnation, self.host, self.remark,
-                     self.figures.registry)
+
+        return Parts(
+            self.reactor,
+            self.now,
+            self.file,
+            given,
+            seed + 2,
+            self.incarnation,
+            self.host,
+            self.remark,
+            self.figures.registry,
+        )
 
     def among_others(self, seed: int) -> Any:
         """The fleet's view; none of its code is loaded where the file does not ask for it."""
         from milletsill.fleet.service import Fleet
-        return Fleet(self.reactor, self.now, self.file, seed + 3, self.incarnation, self.remark,
-                     lambda event, **values: self.log.info(event, **values),
-                     self.keep_run, self.figures.registry)
+
+        return Fleet(
+            self.reactor,
+            self.now,
+            self.file,
+            seed + 3,
+            self.incarnation,
+            self.remark,
+            lambda event, **values: self.log.info(event, **values),
+            self.keep_run,
+            self.figures.registry,
+        )
 
     def sharing(self, seed: int) -> Any:
         """Health that is shared; none of its code is loaded where the file does not ask for it."""
         from milletsill.fleet.health.edge import sharing_of
+
         return sharing_of(self, seed + 5)
 
     def channelled(self, seed: int) -> Any:
         """Contracts on the order of channels; none of their code is loaded where the file does not ask for it."""
         from milletsill.edge.channels import EXTENSIONS, channels_of
+
         self.extensions = EXTENSIONS
         return channels_of(self, seed + 4)
 
@@ -157,7 +246,11 @@
         """Since when what is read now may have lain unread; None where it is as new as it looks. Asked at each read: a process that
         stood between a socket's being ready and its being read has had no beat yet."""
         since = taken_since(self.now(), self.last_beat + BEAT, self.last_beat)
-        return self.stood_since if since is None else min(since, since if self.stood_since is None else self.stood_since)
+        return (
+            self.stood_since
+            if since is None
+            else min(since, since if self.stood_since is None else self.stood_since)
+        )
 
     def caught_up(self) -> None:
         self.stood_since = None
@@ -178,7 +271,9 @@
             elif self.fleet is not None:
                 self.fleet.leave()
             self.close_ports()
-            self.overdue_call = self.reactor.callLater(self.file.door.drain_s, self.step, Event.OVERDUE)
+            self.overdue_call = self.reactor.callLater(
+                self.file.door.drain_s, self.step, Event.OVERDUE
+            )
             self.emptied()
         elif effect == "stop":
             self.stop()
@@ -199,16 +294,24 @@
 
     def listen(self, host: str, port: int, factory: Any, word: str) -> None:
         def up(got: Any) -> None:
-            if self.process is Process.STOPPED:  # another address could not be had meanwhile
+            if (
+                self.process is Process.STOPPED
+            ):  # another address could not be had meanwhile
                 got.stopListening()
                 return
             self.ports.append(got)
-            self.log.info(word, address=f"{host}:{got.getHost().port}", incarnation=self.incarnation)
+            self.log.info(
+                word,
+                address=f"{host}:{got.getHost().port}",
+                incarnation=self.incarnation,
+            )
 
         def not_up(failure: Any) -> None:
             self.cannot(CannotListen(failure.getErrorMessage(), f"{host}:{port}"))
 
-        TCP4ServerEndpoint(self.reactor, port, interface=host).listen(factory).addCallbacks(up, not_up)
+        TCP4ServerEndpoint(self.reactor, port, interface=host).listen(
+            factory
+        ).addCallbacks(up, not_up)
 
     def terminate(self) -> None:
         """SIGTERM: no new transfers, all held ones answered, then the end."""
@@ -217,17 +320,33 @@
     def reload(self, file: Any) -> None:
         """Another file for what a running gateway can change: bounds of the door, volumes, routes, logs. What the
         module was told at the start stands until a restart."""
-        if facts.facts_of(file) != self.host.facts or file.name != self.file.name or file.listen != self.file.listen or (
-                file.trace != self.file.trace or file.fleet != self.file.fleet):
-            return self.remark("file_refused", **NeedsRestart(
-                "plans, categories, rules, name, address, traces or fleet are not those of the start").said())
-        self.file, self.atlas, self.margin = file, facts.atlas_of(file), facts.at_least(file.door.answer_margin_ms)
+        if (
+            facts.facts_of(file) != self.host.facts
+            or file.name != self.file.name
+            or file.listen != self.file.listen
+            or (file.trace != self.file.trace or file.fleet != self.file.fleet)
+        ):
+            return self.remark(
+                "file_refused",
+                **NeedsRestart(
+                    "plans, categories, rules, name, address, traces or fleet are not those of the start"
+                ).said(),
+            )
+        self.file, self.atlas, self.margin = (
+            file,
+            facts.atlas_of(file),
+            facts.at_least(file.door.answer_margin_ms),
+        )
         self.answer_log = AnswerLog(file.logging.answers_per_s)
         self.log = logger(file.logging.level, file.logging.json, gateway=file.name)
         self.log.info("reloaded", volumes=len(file.volume), routes=len(file.route))
 
     def emptied(self) -> None:
-        if self.process is Process.DRAINING and not self.host.held and not (self.channels is not None and self.channels.held):
+        if (
+            self.process is Process.DRAINING
+            and not self.host.held
+            and not (self.channels is not None and self.channels.held)
+        ):
             self.reactor.callLater(0, self.step, Event.EMPTY)
 
     def close_ports(self) -> None:
@@ -298,14 +417,31 @@
                 if pool is not None:
                     pool.close()
                 pool = self.pools[box.id] = Pool(
-                    self.reactor, self.now, box.address, self.bounds, self.file.name, self.incarnation,
-                    self.file.links.most_packet, lambda text, id=box.id: self.remark("link", box=id, reason=text),
-                    metered=self.flows.box(box.id, box.address) if self.flows is not None else None)
+                    self.reactor,
+                    self.now,
+                    box.address,
+                    self.bounds,
+                    self.file.name,
+                    self.incarnation,
+                    self.file.links.most_packet,
+                    lambda text, id=box.id: self.remark("link", box=id, reason=text),
+                    metered=self.flows.box(box.id, box.address)
+                    if self.flows is not None
+                    else None,
+                )
             pool.bar(box.readiness is not Readiness.READY)
         for id in self.pools.keys() - {each.id for each in boxes}:
             self.pools.pop(id).close()
 
-    def carry(self, cargo: Cargo, arrival: Arrival, number: int, node: int, ends: int, ended: Ended) -> Sending | None:
+    def carry(
+        self,
+        cargo: Cargo,
+        arrival: Arrival,
+        number: int,
+        node: int,
+        ends: int,
+        ended: Ended,
+    ) -> Sending | None:
         """A dispatch as an order to a disk box."""
         pool = self.pools.get(node)
         if pool is None:
@@ -316,15 +452,34 @@
                 return None
             ended = gate.watched(ended)
         left = max((arrival.ends - self.now()) // 10, 1)
-        return pool.dispatch(Order(self.file.name, self.incarnation, arrival.id, number, arrival.units, arrival.extent, left,
-                                   cargo.ticket, arrival.volume, arrival.gateways, cargo.category, cargo.mark,
-                                   cargo.command), ended, gate)
+        return pool.dispatch(
+            Order(
+                self.file.name,
+                self.incarnation,
+                arrival.id,
+                number,
+                arrival.units,
+                arrival.extent,
+                left,
+                cargo.ticket,
+                arrival.volume,
+                arrival.gateways,
+                cargo.category,
+                cargo.mark,
+                cargo.command,
+            ),
+            ended,
+            gate,
+        )
 
     # The clients.
 
     def connected(self, client: Connection) -> bool:
         """Whether one more client is taken."""
-        if len(self.clients) >= self.file.door.most_connections or self.process is not Process.SERVING:
+        if (
+            len(self.clients) >= self.file.door.most_connections
+            or self.process is not Process.SERVING
+        ):
             self.remark("client_not_taken", clients=len(self.clients))
             return False
         self.clients.add(client)
@@ -336,22 +491,45 @@
 
     def refusal(self, ends: int) -> str:
         """Why a command cannot be taken now; '' for none."""
-        return admit(self.process, self.host.held, self.file.door.most_held, ends - self.now())
+        return admit(
+            self.process, self.host.held, self.file.door.most_held, ends - self.now()
+        )
 
     def told(self, running: Running, final: str, why: str) -> None:
         """A command has its answer: counted, and now and then said."""
         now, name = self.now(), self.category_name(running.category)
         self.figures.child(self.figures.answers, name, final).inc()
-        self.figures.child(self.figures.latency, name).observe((now - running.began) / 10_000)
+        self.figures.child(self.figures.latency, name).observe(
+            (now - running.began) / 10_000
+        )
         if self.traces is not None:
-            self.traces.command(now, running.began, running.volume.name, running.volume.plan, running.category,
-                                running.operation, self.atlas.units(running.operation, running.size), running.legs,
-                                running.terms.tries, final, why)
+            self.traces.command(
+                now,
+                running.began,
+                running.volume.name,
+                running.volume.plan,
+                running.category,
+                running.operation,
+                self.atlas.units(running.operation, running.size),
+                running.legs,
+                running.terms.tries,
+                final,
+                why,
+            )
         passed = self.answer_log.take(now)
         if passed is not None:
-            self.log.info("answer", final=final, why=why, category=name, volume=running.volume.name,
-                          operation=running.operation, ms=(now - running.began) / 10, legs=running.legs,
-                          tries=running.terms.tries, unsaid=passed)
+            self.log.info(
+                "answer",
+                final=final,
+                why=why,
+                category=name,
+                volume=running.volume.name,
+                operation=running.operation,
+                ms=(now - running.began) / 10,
+                legs=running.legs,
+                tries=running.terms.tries,
+                unsaid=passed,
+            )
         self.emptied()
 
     def remark(self, event: str, **values: Any) -> None:
@@ -364,7 +542,9 @@
 
     def renames(self, volume: VolumePlace, path: str, target: str) -> bool:
         """Whether a rename can be done: by links, or within one cell."""
-        return volume.placement == FREE or self.atlas.home(volume, path) == self.atlas.home(volume, target)
+        return volume.placement == FREE or self.atlas.home(
+            volume, path
+        ) == self.atlas.home(volume, target)
 
     def plan_name(self, volume: VolumePlace) -> str:
         return self.file.plan[volume.plan].name
@@ -384,6 +564,3 @@
     def mark(self) -> str:
         self.marks += 1
         return f"{self.file.name}.{self.incarnation}.{self.marks}"
-
-
-
--- a/milletsill/edge/stalls.py
+++ b/milletsill/edge/stalls.py
@@ -1,7 +1,10 @@
 """What a process that stood still must not believe: pure functions for any door and host. No I/O, no clock."""
+
 from __future__ import annotations
 
-LATE_BEAT = 200  # a reactor that comes back later than this has answers waiting in its sockets
+LATE_BEAT = (
+    200  # a reactor that comes back later than this has answers waiting in its sockets
+)
 
 
 def io_first(late: int, put_off: bool) -> bool:
--- a/milletsill/edge/turns.py
+++ b/milletsill/edge/turns.py
@@ -1,4 +1,5 @@
 """Calls that wait until all that lies in the sockets was read."""
+
 from __future__ import annotations
 
 from typing import Any, Callable
@@ -15,7 +16,9 @@
 
     __slots__ = ("reactor", "now", "call", "due", "pending", "put_off")
 
-    def __init__(self, reactor: Any, now: Callable[[], int], call: Callable[[], None]) -> None:
+    def __init__(
+        self, reactor: Any, now: Callable[[], int], call: Callable[[], None]
+    ) -> None:
         self.reactor, self.now, self.call = reactor, now, call
         self.due, self.pending, self.put_off = 0, False, False
 
--- a/milletsill/errors/__init__.py
+++ b/milletsill/errors/__init__.py
@@ -3,6 +3,7 @@
 Four kinds of things go wrong with what comes from outside: octets (`Malformed`), an operator's file (`Refused`), state on disk
 (`Unkept`), a single value (`Unfit`). Each package has its own types below these, beside the code that raises them.
 """
+
 from __future__ import annotations
 
 import traceback
@@ -28,11 +29,20 @@
 
     def line(self) -> str:
         """On one line of text: where, what, and what to do."""
-        return f"{' '.join(str(self).split())} ({self.remedy})" if self.remedy else " ".join(str(self).split())
+        return (
+            f"{' '.join(str(self).split())} ({self.remedy})"
+            if self.remedy
+            else " ".join(str(self).split())
+        )
 
     def said(self) -> dict[str, str]:
         """The values of its line of the log."""
-        told = {"error": type(self).__name__, "what": self.what, "where": self.where, "remedy": self.remedy}
+        told = {
+            "error": type(self).__name__,
+            "what": self.what,
+            "where": self.where,
+            "remedy": self.remedy,
+        }
         return {name: value for name, value in told.items() if value}
 
 
@@ -68,7 +78,9 @@
 
 def line_of(error: BaseException) -> str:
     """One line on any error: a fault's own, else what it says, cut to a bearable length."""
-    return error.line() if isinstance(error, Fault) else " ".join(str(error).split())[:200]
+    return (
+        error.line() if isinstance(error, Fault) else " ".join(str(error).split())[:200]
+    )
 
 
 def whereabouts(error: BaseException) -> str:
--- a/milletsill/errors/known.py
+++ b/milletsill/errors/known.py
@@ -1,4 +1,5 @@
 """Every type of error of the program, found by loading all of it; for the table in docs/operators.md and its test."""
+
 from __future__ import annotations
 
 import importlib
@@ -10,8 +11,12 @@
 def modules() -> list[str]:
     """The names of all modules but those that run when they are loaded."""
     import milletsill
-    return [each.name for each in pkgutil.walk_packages(milletsill.__path__, "milletsill.")
-            if not each.name.endswith("__main__")]
+
+    return [
+        each.name
+        for each in pkgutil.walk_packages(milletsill.__path__, "milletsill.")
+        if not each.name.endswith("__main__")
+    ]
 
 
 def known() -> dict[str, list[type[Fault]]]:
@@ -25,7 +30,11 @@
         made = wait.pop()
         wait += made.__subclasses__()
         family = made.__subclasses__() and not made.remedy
-        if made.__module__.startswith("milletsill.") and not family and made not in found.setdefault(made.__name__, []):
+        if (
+            made.__module__.startswith("milletsill.")
+            and not family
+            and made not in found.setdefault(made.__name__, [])
+        ):
             found[made.__name__].append(made)
     return found
 
--- a/milletsill/files/channels.py
+++ b/milletsill/files/channels.py
@@ -43,6 +43,7 @@
 At a disk box a numbered dispatch's ticket is `VOLUME@CHANNEL@NUMBER.TURN#LEG.0`: VOLUME the xxhash (64 bits, decimal) of the volume's
 name, the same at gateways whose files list volumes in another order; TURN 0 until a client says `again`. `read_ticket` takes it apart.
 """
+
 from __future__ import annotations
 
 import re
@@ -51,13 +52,30 @@
 import xxhash
 
 from milletsill.files.extensions import Terms, bare, dressed, put_terms, read_terms
-from milletsill.files.packets import FAILURE, Answer, Command, Extended, ExtendedReply, Status
-from milletsill.files.wire import U32, U64, Malformed, Reader, bytes_of, put_raw, put_text
+from milletsill.files.packets import (
+    FAILURE,
+    Answer,
+    Command,
+    Extended,
+    ExtendedReply,
+    Status,
+)
+from milletsill.files.wire import (
+    U32,
+    U64,
+    Malformed,
+    Reader,
+    bytes_of,
+    put_raw,
+    put_text,
+)
 
 CHANNEL, NUMBERED = "channel@milletsill", "numbered@milletsill"
 OPEN, ASK, SAY = 1, 2, 3
 DONE, AGAIN, LEFT_OUT = 1, 2, 3  # words of SAY
-IS_OPEN, IS_OUT, IS_SETTLED, IS_UNSURE, IS_LEFT_OUT, IS_FORGOTTEN = range(6)  # states of ASK
+IS_OPEN, IS_OUT, IS_SETTLED, IS_UNSURE, IS_LEFT_OUT, IS_FORGOTTEN = range(
+    6
+)  # states of ASK
 LAST = 1  # flag
 MOST_NAME, MOST_UNSURE, MOST_NUMBER = 128, 1024, (1 << 63) - 1
 
@@ -125,8 +143,14 @@
 
 def channel_name(text: str) -> str:
     """A channel's name, or Malformed."""
-    if not 0 < len(bytes_of(text)) <= MOST_NAME or not text.isprintable() or " " in text:
-        raise Malformed(f"a channel's name is 1 to {MOST_NAME} octets of printable characters without spaces")
+    if (
+        not 0 < len(bytes_of(text)) <= MOST_NAME
+        or not text.isprintable()
+        or " " in text
+    ):
+        raise Malformed(
+            f"a channel's name is 1 to {MOST_NAME} octets of printable characters without spaces"
+        )
     return text
 
 
@@ -140,12 +164,23 @@
 def put_channel(id: int, said: Opening | Asking | Saying) -> Extended:
     """A word on a channel as a packet."""
     if isinstance(said, Opening):
-        body = (U32.pack(OPEN) + put_text(said.path) + put_text(said.channel) + put_text(said.contract)
-                + U32.pack(said.version) + U64.pack(said.first))
+        body = (
+            U32.pack(OPEN)
+            + put_text(said.path)
+            + put_text(said.channel)
+            + put_text(said.contract)
+            + U32.pack(said.version)
+            + U64.pack(said.first)
+        )
     elif isinstance(said, Asking):
         body = U32.pack(ASK) + put_raw(said.handle) + U64.pack(said.number)
     else:
-        body = U32.pack(SAY) + put_raw(said.handle) + U64.pack(said.number) + U32.pack(said.word)
+        body = (
+            U32.pack(SAY)
+            + put_raw(said.handle)
+            + U64.pack(said.number)
+            + U32.pack(said.word)
+        )
     return Extended(id, CHANNEL, body)
 
 
@@ -154,8 +189,13 @@
     reader = Reader(packet.body)
     verb, said = reader.u32("a verb"), None
     if verb == OPEN:
-        said = Opening(reader.text("a path"), channel_name(reader.text("a channel")), reader.text("a contract"),
-                       reader.u32("a version"), reader.u64("a first number"))
+        said = Opening(
+            reader.text("a path"),
+            channel_name(reader.text("a channel")),
+            reader.text("a contract"),
+            reader.u32("a version"),
+            reader.u64("a first number"),
+        )
     elif verb == ASK:
         said = Asking(reader.raw("a handle"), number_of(reader))
     elif verb == SAY:
@@ -169,18 +209,40 @@
 
 
 def put_opened(id: int, told: Opened) -> ExtendedReply:
-    return ExtendedReply(id, b"".join((
-        put_raw(told.handle), U64.pack(told.claim), put_text(told.contract), U32.pack(told.version), U32.pack(told.order),
-        U64.pack(told.next), U64.pack(told.batch), U32.pack(told.most_waiting), U64.pack(told.remembered),
-        U32.pack(len(told.unsure)), *(U64.pack(each) for each in told.unsure))))
+    return ExtendedReply(
+        id,
+        b"".join(
+            (
+                put_raw(told.handle),
+                U64.pack(told.claim),
+                put_text(told.contract),
+                U32.pack(told.version),
+                U32.pack(told.order),
+                U64.pack(told.next),
+                U64.pack(told.batch),
+                U32.pack(told.most_waiting),
+                U64.pack(told.remembered),
+                U32.pack(len(told.unsure)),
+                *(U64.pack(each) for each in told.unsure),
+            )
+        ),
+    )
 
 
 def read_opened(packet: ExtendedReply) -> Opened:
     """The answer to OPEN from its packet."""
     reader = Reader(packet.body)
-    parts = (reader.raw("a handle"), reader.u64("a claim"), reader.text("a contract"), reader.u32("a version"),
-             reader.u32("an order"), reader.u64("a next number"), reader.u64("a batch"), reader.u32("a bound"),
-             reader.u64("a remembered number"))
+    parts = (
+        reader.raw("a handle"),
+        reader.u64("a claim"),
+        reader.text("a contract"),
+        reader.u32("a version"),
+        reader.u32("an order"),
+        reader.u64("a next number"),
+        reader.u64("a batch"),
+        reader.u32("a bound"),
+        reader.u64("a remembered number"),
+    )
     count = reader.u32("a count of numbers")
     if count > MOST_UNSURE:
         raise Malformed(f"{count} unsure numbers, {MOST_UNSURE} at most")
@@ -197,15 +259,29 @@
 def read_asked(packet: ExtendedReply) -> Asked:
     """The answer to ASK from its packet."""
     reader = Reader(packet.body)
-    state, following, rest = reader.u32("a state"), reader.u64("a next number"), reader.rest()
+    state, following, rest = (
+        reader.u32("a state"),
+        reader.u64("a next number"),
+        reader.rest(),
+    )
     return Asked(state, following, dressed(rest, packet.id) if rest else None)  # type: ignore[arg-type]
 
 
 def put_numbered(id: int, said: Numbered) -> Extended:
     """A transfer of a channel as a packet."""
-    return Extended(id, NUMBERED, b"".join((
-        put_raw(said.handle), U64.pack(said.number), U64.pack(said.batch), U32.pack(LAST if said.last else 0),
-        put_terms(said.terms, said.command).body)))
+    return Extended(
+        id,
+        NUMBERED,
+        b"".join(
+            (
+                put_raw(said.handle),
+                U64.pack(said.number),
+                U64.pack(said.batch),
+                U32.pack(LAST if said.last else 0),
+                put_terms(said.terms, said.command).body,
+            )
+        ),
+    )
 
 
 def read_numbered(packet: Extended) -> Numbered:
@@ -221,6 +297,7 @@
 
 # --- Language tags.
 
+
 @dataclass(frozen=True, slots=True)
 class Sign:
     """A language tag taken apart: its word, the pause in milliseconds and the number, where it has them."""
@@ -230,7 +307,9 @@
     number: int | None = None
 
 
-TAG = re.compile(r"x-(declined|aborted|claim-lost|superseded|over|left-out|stopped|contract)(?:-(\d+))?(?:-next-(\d+))?")
+TAG = re.compile(
+    r"x-(declined|aborted|claim-lost|superseded|over|left-out|stopped|contract)(?:-(\d+))?(?:-next-(\d+))?"
+)
 
 
 def read_sign(language: str) -> Sign | None:
@@ -240,11 +319,15 @@
         return None
     word, first, following = found[1], found[2], found[3]
     if word == "declined":
-        return Sign(word, int(first) if first else None, int(following) if following else None)
+        return Sign(
+            word, int(first) if first else None, int(following) if following else None
+        )
     return Sign(word, None, int(first) if first else None)
 
 
-def put_sign(id: int, word: str, message: str, number: int | None = None, pause: int = 0) -> Status:
+def put_sign(
+    id: int, word: str, message: str, number: int | None = None, pause: int = 0
+) -> Status:
     """A STATUS with one of our tags; the pause in tenths of a millisecond, for `declined` alone."""
     tag = f"x-{word}"
     if word == "declined":
@@ -256,6 +339,7 @@
 
 # --- Tickets.
 
+
 def put_ticket(volume: str, channel: str, number: int, turn: int) -> str:
     """What all dispatches of one number share, whichever gateway lets them go."""
     return f"{xxhash.xxh64_intdigest(bytes_of(volume))}@{channel}@{number}.{turn}"
@@ -266,7 +350,8 @@
     head, _, tail = ticket.rpartition("#")[0].rpartition("@")
     volume, at, channel = head.partition("@")
     number, dot, turn = tail.partition(".")
-    if not (at and dot and volume.isdecimal() and number.isdecimal() and turn.isdecimal()):
+    if not (
+        at and dot and volume.isdecimal() and number.isdecimal() and turn.isdecimal()
+    ):
         return None
     return int(volume), channel, int(number), int(turn)
-
--- a/milletsill/files/extensions.py
+++ b/milletsill/files/extensions.py
@@ -23,15 +23,29 @@
 Channels (client to gateway) have two more: files/channels.py.
 beat@milletsill (gateway to disk box): nothing; STATUS at once, beside the queue: tells a half-open link.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Mapping
 
-from milletsill.files.packets import (Answer, Command, Extended, ExtendedReply, Init, Version, decode, encode)
+from milletsill.files.packets import (
+    Answer,
+    Command,
+    Extended,
+    ExtendedReply,
+    Init,
+    Version,
+    decode,
+    encode,
+)
 from milletsill.files.wire import U32, U64, BadPacket, Reader, put_raw, put_text
 
-COMMAND, DISPATCH, CANCEL = "command@milletsill", "dispatch@milletsill", "cancel@milletsill"
+COMMAND, DISPATCH, CANCEL = (
+    "command@milletsill",
+    "dispatch@milletsill",
+    "cancel@milletsill",
+)
 HELLO, BEAT = "hello@milletsill", "beat@milletsill"
 FSYNC, LIMITS = "fsync@openssh.com", "limits@openssh.com"
 DONE, FULL, DRAINING, ELSEWHERE, ERROR = range(5)
@@ -90,7 +104,11 @@
     if not data:
         raise BadPacket("no command behind the terms")
     packet = decode(data[:1] + U32.pack(id) + data[1:])
-    if isinstance(packet, (Init, Version)) or isinstance(packet, Extended) and packet.name != FSYNC:
+    if (
+        isinstance(packet, (Init, Version))
+        or isinstance(packet, Extended)
+        and packet.name != FSYNC
+    ):
         raise BadPacket(f"{type(packet).__name__} cannot stand inside another packet")
     return packet
 
@@ -98,7 +116,9 @@
 def read_terms(packet: Extended) -> tuple[Terms, Command]:
     """The terms and the command of a command@milletsill."""
     reader = Reader(packet.body)
-    terms = Terms(reader.u32("a patience"), reader.u32("a count of tries"), reader.text("a mark"))
+    terms = Terms(
+        reader.u32("a patience"), reader.u32("a count of tries"), reader.text("a mark")
+    )
     if len(terms.mark) > MOST_MARK:
         raise BadPacket(f"a mark of {len(terms.mark)} characters, {MOST_MARK} at most")
     return terms, dressed(reader.rest(), packet.id)  # type: ignore[return-value]
@@ -106,47 +126,94 @@
 
 def put_terms(terms: Terms, command: Command) -> Extended:
     """A command under its terms."""
-    body = U32.pack(terms.patience) + U32.pack(terms.tries) + put_text(terms.mark) + bare(command)
+    body = (
+        U32.pack(terms.patience)
+        + U32.pack(terms.tries)
+        + put_text(terms.mark)
+        + bare(command)
+    )
     return Extended(command.id, COMMAND, body)  # type: ignore[union-attr]
 
 
 def put_order(id: int, order: Order) -> Extended:
     """A dispatch as a packet."""
-    body = b"".join((
-        put_text(order.gateway), U32.pack(order.incarnation), U64.pack(order.transfer), U32.pack(order.number),
-        U32.pack(min(round(order.units * 1000), MOST_U32)), U64.pack(order.extent), U32.pack(order.left),
-        put_text(order.ticket), U32.pack(order.volume), U32.pack(order.gateways), put_text(order.category),
-        put_text(order.mark), bare(order.command)))
+    body = b"".join(
+        (
+            put_text(order.gateway),
+            U32.pack(order.incarnation),
+            U64.pack(order.transfer),
+            U32.pack(order.number),
+            U32.pack(min(round(order.units * 1000), MOST_U32)),
+            U64.pack(order.extent),
+            U32.pack(order.left),
+            put_text(order.ticket),
+            U32.pack(order.volume),
+            U32.pack(order.gateways),
+            put_text(order.category),
+            put_text(order.mark),
+            bare(order.command),
+        )
+    )
     return Extended(id, DISPATCH, body)
 
 
 def read_order(packet: Extended) -> Order:
     """A dispatch from its packet."""
     reader = Reader(packet.body)
-    return Order(reader.text("a gateway"), reader.u32("an incarnation"), reader.u64("a transfer"),
-                 reader.u32("a number"), reader.u32("units") / 1000, reader.u64("an extent"),
-                 reader.u32("a time left"), reader.text("a ticket"), reader.u32("a volume"),
-                 reader.u32("gateways"), reader.text("a category"), reader.text("a mark"),
-                 dressed(reader.rest(), packet.id))  # type: ignore[arg-type]
+    return Order(
+        reader.text("a gateway"),
+        reader.u32("an incarnation"),
+        reader.u64("a transfer"),
+        reader.u32("a number"),
+        reader.u32("units") / 1000,
+        reader.u64("an extent"),
+        reader.u32("a time left"),
+        reader.text("a ticket"),
+        reader.u32("a volume"),
+        reader.u32("gateways"),
+        reader.text("a category"),
+        reader.text("a mark"),
+        dressed(reader.rest(), packet.id),
+    )  # type: ignore[arg-type]
 
 
 def put_verdict(id: int, verdict: Verdict) -> ExtendedReply:
     """A disk box's answer as a packet."""
     report = list((verdict.report or {}).items())[:MOST_REPORTS]
     body = [U32.pack(verdict.verdict), put_text(verdict.text), U32.pack(len(report))]
-    body += [put_text(name) + U32.pack(max(min(round(value * 1000), MOST_U32), 0)) for name, value in report]
-    body += [U32.pack(0 if verdict.used is None else verdict.used + 1), U32.pack(verdict.elsewhere)]
-    return ExtendedReply(id, b"".join(body) + (bare(verdict.answer) if verdict.answer is not None else b""))
+    body += [
+        put_text(name) + U32.pack(max(min(round(value * 1000), MOST_U32), 0))
+        for name, value in report
+    ]
+    body += [
+        U32.pack(0 if verdict.used is None else verdict.used + 1),
+        U32.pack(verdict.elsewhere),
+    ]
+    return ExtendedReply(
+        id,
+        b"".join(body) + (bare(verdict.answer) if verdict.answer is not None else b""),
+    )
 
 
 def read_verdict(packet: ExtendedReply) -> Verdict:
     """A disk box's answer from its packet."""
     reader = Reader(packet.body)
-    verdict, text, count = reader.u32("a verdict"), reader.text("a text"), reader.u32("a count of reports")
+    verdict, text, count = (
+        reader.u32("a verdict"),
+        reader.text("a text"),
+        reader.u32("a count of reports"),
+    )
     if verdict > ERROR or count > MOST_REPORTS:
         raise BadPacket(f"a verdict {verdict} with {count} reports")
-    report = {reader.text("a report's name"): reader.u32("a report") / 1000 for _ in range(count)}
-    used, elsewhere, rest = reader.u32("a use"), reader.u32("units elsewhere"), reader.rest()
+    report = {
+        reader.text("a report's name"): reader.u32("a report") / 1000
+        for _ in range(count)
+    }
+    used, elsewhere, rest = (
+        reader.u32("a use"),
+        reader.u32("units elsewhere"),
+        reader.rest(),
+    )
     answer = dressed(rest, packet.id) if rest else None
     return Verdict(verdict, text, report, used - 1 if used else None, elsewhere, answer)  # type: ignore[arg-type]
 
@@ -169,9 +236,13 @@
     return reader.text("a gateway"), reader.u32("an incarnation")
 
 
-def put_limits(id: int, packet: int, read: int, write: int, handles: int) -> ExtendedReply:
+def put_limits(
+    id: int, packet: int, read: int, write: int, handles: int
+) -> ExtendedReply:
     """The answer to limits@openssh.com: most bytes of a packet, a read and a write, most handles."""
-    return ExtendedReply(id, b"".join(U64.pack(each) for each in (packet, read, write, handles)))
+    return ExtendedReply(
+        id, b"".join(U64.pack(each) for each in (packet, read, write, handles))
+    )
 
 
 def read_limits(packet: ExtendedReply) -> tuple[int, int, int, int]:
@@ -189,7 +260,9 @@
 
 def offered(*further: str) -> bytes:
     """What a gateway's VERSION packet offers; `further` extensions where it has them (files/channels.py)."""
-    pairs = [(COMMAND, "1"), (FSYNC, "1"), (LIMITS, "1")] + [(each, "1") for each in further]
+    pairs = [(COMMAND, "1"), (FSYNC, "1"), (LIMITS, "1")] + [
+        (each, "1") for each in further
+    ]
     return b"".join(put_text(name) + put_text(value) for name, value in pairs)
 
 
@@ -200,5 +273,3 @@
         name = reader.text("an extension's name")
         found[name] = reader.text("an extension's value")
     return found
-
-
--- a/milletsill/files/framing.py
+++ b/milletsill/files/framing.py
@@ -3,6 +3,7 @@
 A packet is a uint32 length and that many bytes. A length of 0 or past the bound cannot be skipped, so it breaks the
 stream for good: `BrokenStream`.
 """
+
 from __future__ import annotations
 
 from milletsill.files.wire import U32, BadPacket
@@ -23,7 +24,7 @@
     def feed(self, data: bytes) -> None:
         """More bytes of the stream."""
         if self.at:
-            del self.held[:self.at]
+            del self.held[: self.at]
             self.at = 0
         self.held += data
 
@@ -39,7 +40,7 @@
             return None
         start = self.at + 4
         self.at = start + size
-        return bytes(self.held[start:self.at])
+        return bytes(self.held[start : self.at])
 
     def waiting(self) -> int:
         """Bytes held that are not yet handed out."""
--- a/milletsill/files/packets.py
+++ b/milletsill/files/packets.py
@@ -3,6 +3,7 @@
 Source: draft-ietf-secsh-filexfer-02; `fsync@openssh.com` and `limits@openssh.com` from OpenSSH's PROTOCOL file.
 A packet's bytes here are what stands behind its length: one byte of kind, then the fields.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, fields
@@ -12,7 +13,14 @@
 
 VERSION_SPOKEN = 3
 # Open flags, section 6.3.
-READ_FLAG, WRITE_FLAG, APPEND_FLAG, CREATE_FLAG, TRUNCATE_FLAG, EXCLUSIVE_FLAG = 1, 2, 4, 8, 16, 32
+READ_FLAG, WRITE_FLAG, APPEND_FLAG, CREATE_FLAG, TRUNCATE_FLAG, EXCLUSIVE_FLAG = (
+    1,
+    2,
+    4,
+    8,
+    16,
+    32,
+)
 # Status codes, section 7.
 OK, EOF, NO_SUCH_FILE, PERMISSION_DENIED, FAILURE, BAD_MESSAGE = 0, 1, 2, 3, 4, 5
 UNSUPPORTED = 8
@@ -250,18 +258,71 @@
     body: bytes = b""
 
 
-COMMANDS = (Init, Open, Close, Read, Write, Lstat, Fstat, Setstat, Fsetstat, Opendir, Readdir, Remove, Mkdir,
-            Rmdir, Realpath, Stat, Rename, Readlink, Symlink, Extended)
+COMMANDS = (
+    Init,
+    Open,
+    Close,
+    Read,
+    Write,
+    Lstat,
+    Fstat,
+    Setstat,
+    Fsetstat,
+    Opendir,
+    Readdir,
+    Remove,
+    Mkdir,
+    Rmdir,
+    Realpath,
+    Stat,
+    Rename,
+    Readlink,
+    Symlink,
+    Extended,
+)
 ANSWERS = (Version, Status, Handle, Data, Names, AttrsAnswer, ExtendedReply)
-Command = Union[Init, Open, Close, Read, Write, Lstat, Fstat, Setstat, Fsetstat, Opendir, Readdir, Remove, Mkdir,
-                Rmdir, Realpath, Stat, Rename, Readlink, Symlink, Extended]
+Command = Union[
+    Init,
+    Open,
+    Close,
+    Read,
+    Write,
+    Lstat,
+    Fstat,
+    Setstat,
+    Fsetstat,
+    Opendir,
+    Readdir,
+    Remove,
+    Mkdir,
+    Rmdir,
+    Realpath,
+    Stat,
+    Rename,
+    Readlink,
+    Symlink,
+    Extended,
+]
 Answer = Union[Version, Status, Handle, Data, Names, AttrsAnswer, ExtendedReply]
 Packet = Union[Command, Answer]
-BY_KIND = {each.kind: (each, tuple(READERS[kind] for kind in each.layout.split()),
-                       tuple(field.name for field in fields(each))) for each in COMMANDS + ANSWERS}
-PACKERS = {each.kind: tuple((field.name, WRITERS[kind]) for field, kind in zip(fields(each), each.layout.split()))
-           for each in COMMANDS + ANSWERS}
-REST_OF = {each: tuple(field.name for field in fields(each))[1:] for each in COMMANDS + ANSWERS}
+BY_KIND = {
+    each.kind: (
+        each,
+        tuple(READERS[kind] for kind in each.layout.split()),
+        tuple(field.name for field in fields(each)),
+    )
+    for each in COMMANDS + ANSWERS
+}
+PACKERS = {
+    each.kind: tuple(
+        (field.name, WRITERS[kind])
+        for field, kind in zip(fields(each), each.layout.split())
+    )
+    for each in COMMANDS + ANSWERS
+}
+REST_OF = {
+    each: tuple(field.name for field in fields(each))[1:] for each in COMMANDS + ANSWERS
+}
 
 
 class UnknownPacket(BadPacket):
@@ -280,7 +341,9 @@
         raise BadPacket("an empty packet")
     found = BY_KIND.get(data[0])
     if found is None:
-        raise UnknownPacket(data[0], U32.unpack_from(data, 1)[0] if len(data) >= 5 else 0)
+        raise UnknownPacket(
+            data[0], U32.unpack_from(data, 1)[0] if len(data) >= 5 else 0
+        )
     made, readers, names = found
     reader = Reader(data, 1)
     values = [read(reader, name) for read, name in zip(readers, names)]
@@ -290,7 +353,9 @@
 
 def encode(packet: Packet) -> bytes:
     """The bytes of a packet with the length before them."""
-    body = b"".join([write(getattr(packet, name)) for name, write in PACKERS[packet.kind]])
+    body = b"".join(
+        [write(getattr(packet, name)) for name, write in PACKERS[packet.kind]]
+    )
     return U32.pack(len(body) + 1) + bytes((packet.kind,)) + body
 
 
@@ -299,5 +364,3 @@
     if packet.id == id:  # type: ignore[union-attr]
         return packet
     return type(packet)(id, *[getattr(packet, name) for name in REST_OF[type(packet)]])
-
-
--- a/milletsill/files/wire.py
+++ b/milletsill/files/wire.py
@@ -3,6 +3,7 @@
 Nothing here knows a transport. `Reader` never reads past its packet and raises `BadPacket` with one line
 that says what was short or wrong.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -64,8 +65,10 @@
         """That many bytes."""
         end = self.at + size
         if end > len(self.data):
-            raise BadPacket(f"{what} needs {size} bytes, {len(self.data) - self.at} are left")
-        data, self.at = self.data[self.at:end], end
+            raise BadPacket(
+                f"{what} needs {size} bytes, {len(self.data) - self.at} are left"
+            )
+        data, self.at = self.data[self.at : end], end
         return data
 
     def u8(self, what: str = "a byte") -> int:
@@ -78,7 +81,9 @@
             return U32_FROM(self.data, at)[0]
         except StructError:
             self.at = at
-            raise BadPacket(f"{what} needs 4 bytes, {len(self.data) - at} are left") from None
+            raise BadPacket(
+                f"{what} needs 4 bytes, {len(self.data) - at} are left"
+            ) from None
 
     def u64(self, what: str = "a long number") -> int:
         return U64.unpack(self.take(8, what))[0]
@@ -89,7 +94,7 @@
         if size > len(data) - at:
             raise BadPacket(f"{what} needs {size} bytes, {len(data) - at} are left")
         self.at = at + size
-        return data[at:at + size]
+        return data[at : at + size]
 
     def text(self, what: str = "a text") -> str:
         return text_of(self.raw(what))
@@ -97,13 +102,23 @@
     def attrs(self, what: str = "attributes") -> Attrs:
         flags = self.u32(what)
         size = self.u64("a size") if flags & ATTR_SIZE else None
-        uid, gid = (self.u32("an owner"), self.u32("a group")) if flags & ATTR_OWNER else (None, None)
+        uid, gid = (
+            (self.u32("an owner"), self.u32("a group"))
+            if flags & ATTR_OWNER
+            else (None, None)
+        )
         mode = self.u32("a mode") if flags & ATTR_MODE else None
-        atime, mtime = (self.u32("a time"), self.u32("a time")) if flags & ATTR_TIMES else (None, None)
+        atime, mtime = (
+            (self.u32("a time"), self.u32("a time"))
+            if flags & ATTR_TIMES
+            else (None, None)
+        )
         if flags & ATTR_EXTENDED:
             count = self.u32("a count of attributes")
             if count > MOST_ATTR_PAIRS:
-                raise BadPacket(f"{count} extended attributes, {MOST_ATTR_PAIRS} at most")
+                raise BadPacket(
+                    f"{count} extended attributes, {MOST_ATTR_PAIRS} at most"
+                )
             for _ in range(2 * count):
                 self.raw("an extended attribute")
         return Attrs(size, uid, gid, mode, atime, mtime)
@@ -112,16 +127,21 @@
         count = self.u32(what)
         if count > MOST_NAMES:
             raise BadPacket(f"{count} names, {MOST_NAMES} at most")
-        return tuple(Name(self.text("a name"), self.text("a long name"), self.attrs()) for _ in range(count))
+        return tuple(
+            Name(self.text("a name"), self.text("a long name"), self.attrs())
+            for _ in range(count)
+        )
 
     def rest(self, what: str = "") -> bytes:
-        data, self.at = self.data[self.at:], len(self.data)
+        data, self.at = self.data[self.at :], len(self.data)
         return data
 
     def end(self) -> None:
         """Nothing may be left."""
         if self.at != len(self.data):
-            raise BadPacket(f"{len(self.data) - self.at} bytes left over at the end of a packet")
+            raise BadPacket(
+                f"{len(self.data) - self.at} bytes left over at the end of a packet"
+            )
 
 
 def put_raw(data: bytes) -> bytes:
@@ -138,20 +158,42 @@
     if attrs.size is not None:
         flags, body = flags | ATTR_SIZE, body + U64.pack(attrs.size)
     if attrs.uid is not None:
-        flags, body = flags | ATTR_OWNER, body + U32.pack(attrs.uid) + U32.pack(attrs.gid or 0)
+        flags, body = (
+            flags | ATTR_OWNER,
+            body + U32.pack(attrs.uid) + U32.pack(attrs.gid or 0),
+        )
     if attrs.mode is not None:
         flags, body = flags | ATTR_MODE, body + U32.pack(attrs.mode)
     if attrs.mtime is not None:
-        flags, body = flags | ATTR_TIMES, body + U32.pack(attrs.atime or 0) + U32.pack(attrs.mtime)
+        flags, body = (
+            flags | ATTR_TIMES,
+            body + U32.pack(attrs.atime or 0) + U32.pack(attrs.mtime),
+        )
     return U32.pack(flags) + body
 
 
 def put_names(names: tuple[Name, ...]) -> bytes:
     return U32.pack(len(names)) + b"".join(
-        put_text(each.filename) + put_text(each.longname) + put_attrs(each.attrs) for each in names)
-
-
-READERS = {"u32": Reader.u32, "u64": Reader.u64, "raw": Reader.raw, "text": Reader.text,
-           "attrs": Reader.attrs, "names": Reader.names, "rest": Reader.rest}
-WRITERS = {"u32": U32.pack, "u64": U64.pack, "raw": put_raw, "text": put_text, "attrs": put_attrs,
-           "names": put_names, "rest": bytes}
+        put_text(each.filename) + put_text(each.longname) + put_attrs(each.attrs)
+        for each in names
+    )
+
+
+READERS = {
+    "u32": Reader.u32,
+    "u64": Reader.u64,
+    "raw": Reader.raw,
+    "text": Reader.text,
+    "attrs": Reader.attrs,
+    "names": Reader.names,
+    "rest": Reader.rest,
+}
+WRITERS = {
+    "u32": U32.pack,
+    "u64": U64.pack,
+    "raw": put_raw,
+    "text": put_text,
+    "attrs": put_attrs,
+    "names": put_names,
+    "rest": bytes,
+}
--- a/milletsill/fleet/channels/clocks.py
+++ b/milletsill/fleet/channels/clocks.py
@@ -3,12 +3,13 @@
 No clock is set by another. A gateway that tells what its clock reads has read it by the time at which that is heard, so from then
 on it reads at the least that much more than what went by here since, less what the rates of two clocks may differ by.
 """
+
 from __future__ import annotations
 
 from collections import OrderedDict
 from typing import NamedTuple
 
-LOOSE = 500        # a reading that the clocks' rates may have carried off by more is not used any more
+LOOSE = 500  # a reading that the clocks' rates may have carried off by more is not used any more
 MOST_KNOWN = 4096  # gateways
 
 
@@ -40,7 +41,11 @@
     def least(self, held: Reading, at: int) -> int:
         """What that clock reads at the least when this one reads `at`, before or after the reading was heard."""
         slow, fast = 1000 - self.drift, 1000 + self.drift
-        return held.read + ((at - held.here) * slow // fast if at >= held.here else -(-((at - held.here) * fast) // slow) - 1)
+        return held.read + (
+            (at - held.here) * slow // fast
+            if at >= held.here
+            else -(-((at - held.here) * fast) // slow) - 1
+        )
 
     def there(self, member: str, at: int, now: int) -> tuple[int, int] | None:
         """(whose, what it reads at the least) at a time of ours; None where too little is known of that clock. Guards against a time
--- a/milletsill/fleet/channels/contracts/gone.py
+++ b/milletsill/fleet/channels/contracts/gone.py
@@ -1,4 +1,5 @@
 """What was let go, as the way to the boxes sees it."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -14,8 +15,16 @@
 
     __slots__ = ("offices", "term", "ticket", "ends", "again", "sent", "harmless")
 
-    def __init__(self, offices: Any, term: Any, ticket: str, ends: int, again: bool) -> None:
-        self.offices, self.term, self.ticket, self.ends, self.again = offices, term, ticket, ends, again
+    def __init__(
+        self, offices: Any, term: Any, ticket: str, ends: int, again: bool
+    ) -> None:
+        self.offices, self.term, self.ticket, self.ends, self.again = (
+            offices,
+            term,
+            ticket,
+            ends,
+            again,
+        )
         self.sent = self.harmless = 0
 
     def input(self) -> Input:
@@ -34,4 +43,5 @@
         def heard(outcome: Outcome, verdict: Any) -> None:
             self.harmless += outcome in NEVER_RAN
             ended(outcome, verdict)
+
         return heard
--- a/milletsill/fleet/channels/contracts/keeper.py
+++ b/milletsill/fleet/channels/contracts/keeper.py
@@ -2,6 +2,7 @@
 
 Nothing is decided here: `line.py` says what may go, `Offices` whether this gateway is the keeper. Callbacks come by the reactor.
 """
+
 from __future__ import annotations
 
 from typing import Any, Callable, Protocol
@@ -9,20 +10,63 @@
 from milletsill.files import channels as wire
 from milletsill.files import packets
 from milletsill.fleet.channels.contracts import codec
-from milletsill.fleet.channels.contracts.decide import PAUSE, Book, Input, Phase, Reaches
+from milletsill.fleet.channels.contracts.decide import (
+    PAUSE,
+    Book,
+    Input,
+    Phase,
+    Reaches,
+)
 from milletsill.fleet.channels.contracts.line import Line
-from milletsill.fleet.channels.contracts.pieces import LEFT_OUT, SETTLED, STAYED_UNSURE, Claimed, Coming, LetGo, Tell
-from milletsill.fleet.channels.contracts.words import Elsewhere, Look, Open, Say, Transfer, Word
-from milletsill.fleet.channels.errors import (ChannelFault, ContractOlder, ContractRefused, ContractsContradict, NotKeeper,
-                                              RecordUnread, TooMany)
+from milletsill.fleet.channels.contracts.pieces import (
+    LEFT_OUT,
+    SETTLED,
+    STAYED_UNSURE,
+    Claimed,
+    Coming,
+    LetGo,
+    Tell,
+)
+from milletsill.fleet.channels.contracts.words import (
+    Elsewhere,
+    Look,
+    Open,
+    Say,
+    Transfer,
+    Word,
+)
+from milletsill.fleet.channels.errors import (
+    ChannelFault,
+    ContractOlder,
+    ContractRefused,
+    ContractsContradict,
+    NotKeeper,
+    RecordUnread,
+    TooMany,
+)
 
 MOST_TAKING = 256  # words that wait while an office is taken
 FORGET = 600_000  # tenths of a millisecond: a quiet channel leaves this gateway's memory; its record stays with the registers
-SAYINGS = {wire.DONE: Input.SAID_DONE, wire.AGAIN: Input.SAID_AGAIN, wire.LEFT_OUT: Input.SAID_LEFT_OUT}
-STATES = {SETTLED: wire.IS_SETTLED, STAYED_UNSURE: wire.IS_UNSURE, LEFT_OUT: wire.IS_LEFT_OUT}
-TEXTS = {"declined": "declined: nothing was done", "aborted": "aborted: it may have been done or not",
-         "claim-lost": "a later claim holds this channel", "superseded": "a newer one is settled", "over": "over long ago",
-         "left-out": "left out", "stopped": "stands behind an unsure end; say what became of it", "contract": "contradicts"}
+SAYINGS = {
+    wire.DONE: Input.SAID_DONE,
+    wire.AGAIN: Input.SAID_AGAIN,
+    wire.LEFT_OUT: Input.SAID_LEFT_OUT,
+}
+STATES = {
+    SETTLED: wire.IS_SETTLED,
+    STAYED_UNSURE: wire.IS_UNSURE,
+    LEFT_OUT: wire.IS_LEFT_OUT,
+}
+TEXTS = {
+    "declined": "declined: nothing was done",
+    "aborted": "aborted: it may have been done or not",
+    "claim-lost": "a later claim holds this channel",
+    "superseded": "a newer one is settled",
+    "over": "over long ago",
+    "left-out": "left out",
+    "stopped": "stands behind an unsure end; say what became of it",
+    "contract": "contradicts",
+}
 CONTRADICTIONS = (ContractsContradict, ContractOlder, ContractRefused)
 
 
@@ -34,32 +78,73 @@
     def window(self, word: Word) -> int:
         """For how long boxes remember its ticket."""
 
-    def run(self, word: Word, gone: LetGo, term: Any, ends: int, ended: Callable[[Input, int, int, Any], None]) -> None:
+    def run(
+        self,
+        word: Word,
+        gone: LetGo,
+        term: Any,
+        ends: int,
+        ended: Callable[[Input, int, int, Any], None],
+    ) -> None:
         """Hand it to the module, to be over by `ends`; `ended` is told how it ended: input, code, pause, the packet."""
 
 
 class Kept:
     """One channel kept here."""
 
-    __slots__ = ("key", "term", "line", "written", "writing", "alarm", "alarm_at", "packets", "used", "lost")
-
-    def __init__(self, key: str, term: Any, line: Line, written: bytes, now: int) -> None:
-        self.key, self.term, self.line, self.written, self.used = key, term, line, written, now
+    __slots__ = (
+        "key",
+        "term",
+        "line",
+        "written",
+        "writing",
+        "alarm",
+        "alarm_at",
+        "packets",
+        "used",
+        "lost",
+    )
+
+    def __init__(
+        self, key: str, term: Any, line: Line, written: bytes, now: int
+    ) -> None:
+        self.key, self.term, self.line, self.written, self.used = (
+            key,
+            term,
+            line,
+            written,
+            now,
+        )
         self.writing, self.lost, self.alarm, self.alarm_at = False, False, None, 0
-        self.packets: dict[int, Any] = {}  # whole answers of those that were settled just now
+        self.packets: dict[
+            int, Any
+        ] = {}  # whole answers of those that were settled just now
 
 
 class Keeper:
     """`rest`: rule 5's; `most`: channels held in memory at once. `count` is told of each final word, by name."""
 
-    def __init__(self, name: str, reactor: Any, now: Callable[[], int], offices: Any, book: Book, rest: int, most: int, runs: Runs,
-                 remark: Callable[..., None], count: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        reactor: Any,
+        now: Callable[[], int],
+        offices: Any,
+        book: Book,
+        rest: int,
+        most: int,
+        runs: Runs,
+        remark: Callable[..., None],
+        count: Callable[[str], None],
+    ) -> None:
         self.name, self.reactor, self.now, self.offices = name, reactor, now, offices
         self.book, self.rest, self.most = book, rest, most
         self.runs, self.remark, self.count = runs, remark, count
         self.kept: dict[str, Kept] = {}
         self.taking: dict[str, list[Word]] = {}
-        self.runs_on: dict[str, int] = {}  # offices lost here, and when they would have ended
+        self.runs_on: dict[
+            str, int
+        ] = {}  # offices lost here, and when they would have ended
         self.leaving = False
 
     # What comes.
@@ -79,7 +164,10 @@
         waiting = self.taking.get(word.key)
         if waiting is None:
             if held is None and len(self.kept) + len(self.taking) >= self.most:
-                return self.fault(word, TooMany(f"{self.most} channels are kept here", word.key, PAUSE))
+                return self.fault(
+                    word,
+                    TooMany(f"{self.most} channels are kept here", word.key, PAUSE),
+                )
             self.taking[word.key] = [word]
             self.offices.take(word.key, lambda got: self.took(word.key, got))
         elif len(waiting) >= MOST_TAKING:
@@ -115,11 +203,17 @@
             if first is None or not isinstance(first.what, Open):
                 self.offices.give_up(term)
                 for each in words:
-                    self.answer(each, "claim-lost", text="nothing is known of this channel: open it")
+                    self.answer(
+                        each,
+                        "claim-lost",
+                        text="nothing is known of this channel: open it",
+                    )
                 words.clear()
                 return None
             try:
-                declared = self.book.declared(first.volume.name, first.what.contract, first.what.version, 0)
+                declared = self.book.declared(
+                    first.volume.name, first.what.contract, first.what.version, 0
+                )
             except CONTRADICTIONS as error:
                 self.offices.give_up(term)
                 for each in words:
@@ -129,7 +223,9 @@
             line = Line(declared.contract, self.rest, declared.named)
         else:
             try:
-                line = codec.read_record(term.value, self.rest, now, term.age, self.over(key))
+                line = codec.read_record(
+                    term.value, self.rest, now, term.age, self.over(key)
+                )
             except RecordUnread as error:
                 self.remark("channel_record", channel=key, **error.said())
                 self.offices.give_up(term)
@@ -150,10 +246,29 @@
         held.used = now
         try:
             if isinstance(what, Open):
-                line.open(now, self.book.declared(word.volume.name, what.contract, what.version, what.first), word.token, word)
+                line.open(
+                    now,
+                    self.book.declared(
+                        word.volume.name, what.contract, what.version, what.first
+                    ),
+                    word.token,
+                    word,
+                )
             elif isinstance(what, Transfer):
-                line.come(now, Coming(what.number, what.claim, what.digest(), self.runs.reaches(what), word.ends,
-                                      self.runs.window(word), word, what.batch, what.last))
+                line.come(
+                    now,
+                    Coming(
+                        what.number,
+                        what.claim,
+                        what.digest(),
+                        self.runs.reaches(what),
+                        word.ends,
+                        self.runs.window(word),
+                        word,
+                        what.batch,
+                        what.last,
+                    ),
+                )
             elif isinstance(what, Say):
                 line.say(now, what.number, SAYINGS[what.word], what.claim, word)
             else:
@@ -170,12 +285,24 @@
         entry, closed = line.entries.get(what.number), line.remembered.get(what.number)
         if closed is not None:
             state = STATES.get(closed.how, wire.IS_LEFT_OUT)
-            answer = packets.Status(0, closed.code, "remembered") if state == wire.IS_SETTLED else None
+            answer = (
+                packets.Status(0, closed.code, "remembered")
+                if state == wire.IS_SETTLED
+                else None
+            )
         elif line.is_closed(what.number):
             state = wire.IS_FORGOTTEN
         else:
-            state = wire.IS_OPEN if entry is None else wire.IS_UNSURE if entry.phase in (Phase.UNSURE, Phase.BACK) else wire.IS_OUT
-        self.answered(word, wire.put_asked(0, wire.Asked(state, line.floor, answer)), "look")
+            state = (
+                wire.IS_OPEN
+                if entry is None
+                else wire.IS_UNSURE
+                if entry.phase in (Phase.UNSURE, Phase.BACK)
+                else wire.IS_OUT
+            )
+        self.answered(
+            word, wire.put_asked(0, wire.Asked(state, line.floor, answer)), "look"
+        )
 
     # What follows.
 
@@ -192,7 +319,9 @@
             after, line.after = line.after, []
             held.written = codec.put_record(line, self.now())
             held.term.busy = True
-            return self.offices.write(held.term, held.written, lambda fault: self.wrote(held, after, fault))
+            return self.offices.write(
+                held.term, held.written, lambda fault: self.wrote(held, after, fault)
+            )
         after, line.after = line.after, []
         self.do(held, after)
         if line.after or line.at_once or line.dirty:
@@ -230,8 +359,15 @@
         ends = self.ends_of(gone, held.term)
         if not self.offices.holds(held.term) or now >= ends:
             return self.ended(held, gone.number, Input.NEVER_RAN, 0, PAUSE, None)
-        self.runs.run(word, gone, held.term, ends,
-                      lambda input, code, pause, packet: self.ended(held, gone.number, input, code, pause, packet))
+        self.runs.run(
+            word,
+            gone,
+            held.term,
+            ends,
+            lambda input, code, pause, packet: self.ended(
+                held, gone.number, input, code, pause, packet
+            ),
+        )
 
     def ends_of(self, gone: LetGo, term: Any) -> int:
         """Guards against a dispatch of an earlier keeper that is still lawfully at a box when the next one has rested: nothing
@@ -242,12 +378,20 @@
         """Guards against what was known here while another kept the channel. Harm: none, the record says all."""
         return got.value == held.written and not held.lost
 
-    def ended(self, held: Kept, number: int, input: Input, code: int, pause: int, packet: Any) -> None:
+    def ended(
+        self, held: Kept, number: int, input: Input, code: int, pause: int, packet: Any
+    ) -> None:
         """What was let go has come to its end."""
         if held.lost:
             entry = held.line.entries.pop(number, None)
             for each in entry.askers if entry is not None else ():
-                self.answer(each, "declined" if input is Input.NEVER_RAN and not entry.rests else "aborted", pause=pause)
+                self.answer(
+                    each,
+                    "declined"
+                    if input is Input.NEVER_RAN and not entry.rests
+                    else "aborted",
+                    pause=pause,
+                )
             return
         if input is Input.SETTLED:
             held.packets[number] = packet
@@ -270,8 +414,12 @@
             if isinstance(each, LetGo):  # its record may stand, but it never left
                 entry = line.entries.pop(each.number, None)
                 for asker in entry.askers if entry is not None else ():
-                    self.answer(asker, "aborted" if each.again else "declined", pause=pause)
-            elif isinstance(each, Tell):  # what the record was to say first: nobody knows whether it does
+                    self.answer(
+                        asker, "aborted" if each.again else "declined", pause=pause
+                    )
+            elif isinstance(
+                each, Tell
+            ):  # what the record was to say first: nobody knows whether it does
                 self.answer(each.asker, "aborted")
             else:
                 self.declined(each if isinstance(each, Word) else each.asker, pause)
@@ -285,7 +433,9 @@
             held.alarm.cancel()
         held.alarm, held.alarm_at = None, at or 0
         if at is not None:
-            held.alarm = self.reactor.callLater(max(at - self.now(), 1) / 10_000, self.rang, held)
+            held.alarm = self.reactor.callLater(
+                max(at - self.now(), 1) / 10_000, self.rang, held
+            )
 
     def rang(self, held: Kept) -> None:
         held.line.go_on(self.now())
@@ -297,7 +447,11 @@
         self.runs_on = {key: ends for key, ends in self.runs_on.items() if ends > now}
         for held in list(self.kept.values()):
             idle = not held.line.entries and not held.writing
-            if idle and (now - held.used > FORGET or self.offices.holds(held.term) and not self.at_home(held.key)):
+            if idle and (
+                now - held.used > FORGET
+                or self.offices.holds(held.term)
+                and not self.at_home(held.key)
+            ):
                 self.hand_over(held)
 
     def at_home(self, key: str) -> bool:
@@ -331,20 +485,50 @@
         if told.asker is None:
             return
         if told.word == "answer":
-            packet = held.packets.get(told.number or 0) or packets.Status(0, told.code, "remembered")
+            packet = held.packets.get(told.number or 0) or packets.Status(
+                0, told.code, "remembered"
+            )
             return self.answered(told.asker, packet, "answer")
         self.answer(told.asker, told.word, told.number, told.pause, told.text)
 
     def claimed(self, held: Kept, word: Word) -> None:
         line = held.line
-        first = min((each for each, closed in line.remembered.items() if closed.how == SETTLED), default=line.floor)
-        self.answered(word, wire.put_opened(0, wire.Opened(
-            b"", line.claim, line.contract.name, line.contract.version, line.contract.order.value, line.floor, line.batch,
-            line.contract.most_waiting, first, line.unsure()[:wire.MOST_UNSURE])), "claimed")
-
-    def answer(self, word: Word, name: str, number: int | None = None, pause: int = 0, text: str = "") -> None:
+        first = min(
+            (each for each, closed in line.remembered.items() if closed.how == SETTLED),
+            default=line.floor,
+        )
+        self.answered(
+            word,
+            wire.put_opened(
+                0,
+                wire.Opened(
+                    b"",
+                    line.claim,
+                    line.contract.name,
+                    line.contract.version,
+                    line.contract.order.value,
+                    line.floor,
+                    line.batch,
+                    line.contract.most_waiting,
+                    first,
+                    line.unsure()[: wire.MOST_UNSURE],
+                ),
+            ),
+            "claimed",
+        )
+
+    def answer(
+        self,
+        word: Word,
+        name: str,
+        number: int | None = None,
+        pause: int = 0,
+        text: str = "",
+    ) -> None:
         number = number if name in ("declined", "superseded", "stopped") else None
-        self.answered(word, wire.put_sign(0, name, text or TEXTS[name], number, pause), name)
+        self.answered(
+            word, wire.put_sign(0, name, text or TEXTS[name], number, pause), name
+        )
 
     def declined(self, word: Word, pause: int) -> None:
         self.answer(word, "declined", None, pause)
@@ -355,7 +539,13 @@
             return word.answered(Elsewhere(fault.who, fault.pause))
         if isinstance(fault, CONTRADICTIONS):
             return self.answer(word, "contract", text=fault.what)
-        self.answer(word, "declined", None, getattr(fault, "pause", 0) or PAUSE, f"declined: {getattr(fault, 'what', fault)}")
+        self.answer(
+            word,
+            "declined",
+            None,
+            getattr(fault, "pause", 0) or PAUSE,
+            f"declined: {getattr(fault, 'what', fault)}",
+        )
 
     def answered(self, word: Word, packet: Any, name: str) -> None:
         self.count(name)
--- a/milletsill/fleet/channels/contracts/model.py
+++ b/milletsill/fleet/channels/contracts/model.py
@@ -6,6 +6,7 @@
 client and each taking of the office whether what was told as settled is. `MUTANTS` take out one guard each; the tests demand that
 each is found.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -23,9 +24,26 @@
 from milletsill.fleet.channels.contracts.sea import Sea
 
 # How often each kind of event is chosen, by a word of its name; the first that is in it counts.
-WEIGHTS = {"say ": 0.2, " opens": 0.2, "claim before": 0.1, " to ": 1.5, "done": 14.0, "lost": 0.15, "unheard": 0.15, "dispatches": 8.0,
-           "rings": 5.0, "killed": 0.12, "box runs": 4.0, "answer": 7.0, "time-out": 3.0, "another": 1.0, "time 24": 0.8,
-           "time 120": 0.5, "time 500": 0.15, "time 1060": 0.25}
+WEIGHTS = {
+    "say ": 0.2,
+    " opens": 0.2,
+    "claim before": 0.1,
+    " to ": 1.5,
+    "done": 14.0,
+    "lost": 0.15,
+    "unheard": 0.15,
+    "dispatches": 8.0,
+    "rings": 5.0,
+    "killed": 0.12,
+    "box runs": 4.0,
+    "answer": 7.0,
+    "time-out": 3.0,
+    "another": 1.0,
+    "time 24": 0.8,
+    "time 120": 0.5,
+    "time 500": 0.15,
+    "time 1060": 0.25,
+}
 
 
 def weight(name: str) -> float:
@@ -35,12 +53,33 @@
 # How a channel stands when an exploration begins. OUT: number 1 is at a box. OVER: its keeper is gone and the office is over.
 OPENED = ["k0 opens", "k0 registers done", "k0 registers done"]
 OUT = OPENED + ["1 to k0", "k0 registers done", "k0 dispatches"]
-OVER = OUT + ["k0 killed", "time 500", "time 500", "time 24", "k1 opens", "k1 registers done", "k1 registers done"]
+OVER = OUT + [
+    "k0 killed",
+    "time 500",
+    "time 500",
+    "time 24",
+    "k1 opens",
+    "k1 registers done",
+    "k1 registers done",
+]
 STARTS = {"opened": OPENED, "out": OUT, "over": OVER}
-BUDGET = {"say ": 1, "claim before": 0, "killed": 1, "lost": 1, "unheard": 1, " opens": 1, "time 24": 0, "time 500": 1, "time 1060": 1, "time 120": 1}
+BUDGET = {
+    "say ": 1,
+    "claim before": 0,
+    "killed": 1,
+    "lost": 1,
+    "unheard": 1,
+    " opens": 1,
+    "time 24": 0,
+    "time 500": 1,
+    "time 1060": 1,
+    "time 120": 1,
+}
 
 
-def played(order: Order, unsure: Unsure, start: list[str], path: list[str], numbers: int) -> Sea:
+def played(
+    order: Order, unsure: Unsure, start: list[str], path: list[str], numbers: int
+) -> Sea:
     sea = Sea(order, unsure, 2, numbers)
     for name in start:
         sea.do(name)
@@ -50,11 +89,17 @@
     return sea
 
 
-def explore(order: Order, unsure: Unsure, start: str, depth: int, most: int, numbers: int = 2) -> tuple[int, int, str | None]:
+def explore(
+    order: Order, unsure: Unsure, start: str, depth: int, most: int, numbers: int = 2
+) -> tuple[int, int, str | None]:
     """Every order of events up to a depth after a start, worlds that are alike looked at once, at most so many: worlds, the depth that
     is whole, and what went wrong."""
     first = STARTS[start]
-    seen, layer, count = {played(order, unsure, first, [], numbers).key()}, [list[str]()], 1
+    seen, layer, count = (
+        {played(order, unsure, first, [], numbers).key()},
+        [list[str]()],
+        1,
+    )
     for level in range(depth):
         following = []
         for path in layer:
@@ -74,7 +119,14 @@
     return count, depth, None
 
 
-def walk(order: Order, unsure: Unsure, steps: int, seed: int, keepers: int = 3, numbers: int = 6) -> tuple[int, str | None, int]:
+def walk(
+    order: Order,
+    unsure: Unsure,
+    steps: int,
+    seed: int,
+    keepers: int = 3,
+    numbers: int = 6,
+) -> tuple[int, str | None, int]:
     """Chance through a larger world whose clocks drift: steps made, what went wrong, effects seen."""
     chance = Random(seed)
     sea = Sea(order, unsure, keepers, numbers, seed)
@@ -95,42 +147,142 @@
 
 
 # Cases that chance finds late, each for a guard; what cannot happen (the guard stands) is left out.
-AGAIN_LATE = ["time 1060", "time 1060", "1 to k0", *3 * ["k0 registers done"], "k0 dispatches", "box runs 0", "box runs 1"]
+AGAIN_LATE = [
+    "time 1060",
+    "time 1060",
+    "1 to k0",
+    *3 * ["k0 registers done"],
+    "k0 dispatches",
+    "box runs 0",
+    "box runs 1",
+]
 BEHIND = ["2 to k1", "k1 registers done", "k1 dispatches", "box runs 1", "box runs 0"]
 SCRIPTS: dict[str, list[str]] = {
-    "a late run behind a new keeper": OVER + BEHIND[:1] + ["time 24", "k1 rings"] + BEHIND[1:],
-    "a long patience behind a new keeper": OVER + BEHIND[:1] + ["time 120", "k1 rings"] + BEHIND[1:],
-    "a keeper that stood before the send": OUT[:-1] + OVER[len(OUT) + 1:] + [
-        "2 to k1", "time 120", "k1 rings", "k1 registers done", "k1 dispatches", "box runs 0", "k0 dispatches", "box runs 1"],
-    "a ticket that is forgotten": OUT + ["box runs 0", "time 500", "time 500", "time-out 0", "time 1060"] + AGAIN_LATE,
-    "a decline that was none": OUT + ["time 500", "time 500", "time-out 0", "box runs 0", "time 1060"] + AGAIN_LATE,
-    "a second try that never left": OUT + ["box runs 0", "time 500", "time 500", "time-out 0", "time 120", "1 to k0",
-                                           "k0 registers done", "k0 registers done", "time 1060", "k0 dispatches",
-                                           "k0 registers done"] + AGAIN_LATE,
-    "a keeper that comes back": OUT + ["box runs 0", "answer 0", "k0 registers done", "time 1060", "k1 opens", "k1 registers done",
-                                       "k1 registers done", "2 to k1", "k1 registers done", "k1 dispatches", "box runs 0",
-                                       "box runs 1", "answer 0", "answer 1", "k1 registers done", "time 1060", "k0 opens",
-                                       "k0 registers done", "k0 registers done", "time 1060", "k1 opens", "k1 registers done"],
+    "a late run behind a new keeper": OVER
+    + BEHIND[:1]
+    + ["time 24", "k1 rings"]
+    + BEHIND[1:],
+    "a long patience behind a new keeper": OVER
+    + BEHIND[:1]
+    + ["time 120", "k1 rings"]
+    + BEHIND[1:],
+    "a keeper that stood before the send": OUT[:-1]
+    + OVER[len(OUT) + 1 :]
+    + [
+        "2 to k1",
+        "time 120",
+        "k1 rings",
+        "k1 registers done",
+        "k1 dispatches",
+        "box runs 0",
+        "k0 dispatches",
+        "box runs 1",
+    ],
+    "a ticket that is forgotten": OUT
+    + ["box runs 0", "time 500", "time 500", "time-out 0", "time 1060"]
+    + AGAIN_LATE,
+    "a decline that was none": OUT
+    + ["time 500", "time 500", "time-out 0", "box runs 0", "time 1060"]
+    + AGAIN_LATE,
+    "a second try that never left": OUT
+    + [
+        "box runs 0",
+        "time 500",
+        "time 500",
+        "time-out 0",
+        "time 120",
+        "1 to k0",
+        "k0 registers done",
+        "k0 registers done",
+        "time 1060",
+        "k0 dispatches",
+        "k0 registers done",
+    ]
+    + AGAIN_LATE,
+    "a keeper that comes back": OUT
+    + [
+        "box runs 0",
+        "answer 0",
+        "k0 registers done",
+        "time 1060",
+        "k1 opens",
+        "k1 registers done",
+        "k1 registers done",
+        "2 to k1",
+        "k1 registers done",
+        "k1 dispatches",
+        "box runs 0",
+        "box runs 1",
+        "answer 0",
+        "answer 1",
+        "k1 registers done",
+        "time 1060",
+        "k0 opens",
+        "k0 registers done",
+        "k0 registers done",
+        "time 1060",
+        "k1 opens",
+        "k1 registers done",
+    ],
 }
 
 
 # Number 3 stands behind 1 on one extent, 4 goes past it on the other; 3 is declined, and comes back on the extent of 4.
-OVERTAKEN = OUT + ["2 to k0", "k0 registers done", "k0 dispatches", "box runs 1", "answer 1", "k0 registers done", "3 to k0", "4 to k0",
-                   "k0 registers done", "k0 dispatches", "box runs 2", "answer 2", "k0 registers done", "time 1060", "time 1060",
-                   "time-out 0", "3 becomes another", "time 120", "3 to k0", "k0 registers done", "k0 registers done",
-                   "k0 registers done", "k0 dispatches", "box runs 0", "box runs 1"]
+OVERTAKEN = OUT + [
+    "2 to k0",
+    "k0 registers done",
+    "k0 dispatches",
+    "box runs 1",
+    "answer 1",
+    "k0 registers done",
+    "3 to k0",
+    "4 to k0",
+    "k0 registers done",
+    "k0 dispatches",
+    "box runs 2",
+    "answer 2",
+    "k0 registers done",
+    "time 1060",
+    "time 1060",
+    "time-out 0",
+    "3 becomes another",
+    "time 120",
+    "3 to k0",
+    "k0 registers done",
+    "k0 registers done",
+    "k0 registers done",
+    "k0 dispatches",
+    "box runs 0",
+    "box runs 1",
+]
 
 
 # An office is lost by a write that came to nothing and taken again at once: what was let go under it may still run.
 SCRIPTS["an office lost and taken again"] = OUT + [
-    "k0 opens", "k0 registers lost", "k0 opens", "k0 registers done", "k0 registers done", "2 to k0", "time 120", "k0 rings",
-    "k0 registers done", "k0 dispatches", "box runs 1", "box runs 0"]
+    "k0 opens",
+    "k0 registers lost",
+    "k0 opens",
+    "k0 registers done",
+    "k0 registers done",
+    "2 to k0",
+    "time 120",
+    "k0 rings",
+    "k0 registers done",
+    "k0 dispatches",
+    "box runs 1",
+    "box runs 0",
+]
 
 
 def scripted() -> str | None:
     """What goes wrong in the scripts, if anything."""
     for name, script in [*SCRIPTS.items(), ("one that was overtaken", OVERTAKEN)]:
-        sea = Sea(Order.BY_EXTENT if script is OVERTAKEN else Order.EACH_IN_ORDER, Unsure.REST, 2, 4 if script is OVERTAKEN else 2)
+        sea = Sea(
+            Order.BY_EXTENT if script is OVERTAKEN else Order.EACH_IN_ORDER,
+            Unsure.REST,
+            2,
+            4 if script is OVERTAKEN else 2,
+        )
         for each in script:
             sea.do(each)
         if sea.wrong:
@@ -152,6 +304,7 @@
 
 # --- One guard out at a time.
 
+
 def _never(self: Any, *values: Any) -> None:
     return None
 
@@ -179,8 +332,14 @@
 def _known_only(line: Line, number: int) -> int | None:
     """A number that is not here is taken to be of another extent."""
     reaches = line.entries[number].reaches
-    return next((each for each, entry in sorted(line.entries.items())
-                 if each < number and decide.meet(entry.reaches, reaches)), None)
+    return next(
+        (
+            each
+            for each, entry in sorted(line.entries.items())
+            if each < number and decide.meet(entry.reaches, reaches)
+        ),
+        None,
+    )
 
 
 def _go_first(self: Keeper, held: Any) -> None:
@@ -224,7 +383,9 @@
     "each in order": without_order(Order.EACH_IN_ORDER),
     "the newest first": without_order(Order.NEWEST),
     "order on one extent": without_order(Order.BY_EXTENT),
-    "a number not here may be of any extent": without_order(Order.BY_EXTENT, _known_only),
+    "a number not here may be of any extent": without_order(
+        Order.BY_EXTENT, _known_only
+    ),
     "one that was overtaken is pinned": without_method(Line, "pin", _never),
     "a batch after the one before": without_order(Order.BATCHES),
     "the record before the send": without_method(Keeper, "pump", _go_first),
@@ -236,7 +397,9 @@
     "what another kept meanwhile": without_method(Keeper, "same", _yes),
     "a decline only of what cannot have run": without_method(Gone, "input", _harmless),
     "nor of what was tried before": without_method(Line, "tried_before", _no),
-    "an unsure number is not free": lambda: mock.patch.dict(decide.PHASE_TABLE, FREE_AGAIN),
+    "an unsure number is not free": lambda: mock.patch.dict(
+        decide.PHASE_TABLE, FREE_AGAIN
+    ),
     "one holds the claim": without_method(Line, "holds", _yes),
 }
 
@@ -249,7 +412,9 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--walks", type=int, default=400)
     parser.add_argument("--steps", type=int, default=300)
     parser.add_argument("--worlds", type=int, default=20_000)
@@ -259,20 +424,26 @@
         for start in STARTS:
             began = time.perf_counter()
             count, depth, found = explore(order, unsure, start, 12, given.worlds)
-            print(f"{order.name} {unsure.name} from {start}: every order of {depth} events, {count} worlds, "
-                  f"{time.perf_counter() - began:.1f} s, {found or 'kept'}")
+            print(
+                f"{order.name} {unsure.name} from {start}: every order of {depth} events, {count} worlds, "
+                f"{time.perf_counter() - began:.1f} s, {found or 'kept'}"
+            )
     for order, unsure in CASES:
         began, effects, broken = time.perf_counter(), 0, ""
         for seed in range(given.walks):
             _, found, seen = walk(order, unsure, given.steps, seed)
             effects, broken = effects + seen, broken or found or ""
-        print(f"{order.name} {unsure.name}: {given.walks} walks of {given.steps}, {effects} effects, "
-              f"{time.perf_counter() - began:.1f} s, {broken or 'kept'}")
+        print(
+            f"{order.name} {unsure.name}: {given.walks} walks of {given.steps}, {effects} effects, "
+            f"{time.perf_counter() - began:.1f} s, {broken or 'kept'}"
+        )
     for guard in MUTANTS:
         began = time.perf_counter()
         with without(guard):
             found = wrong(200)
-        print(f"without {guard}: {found or 'NOT FOUND'} ({time.perf_counter() - began:.1f} s)")
+        print(
+            f"without {guard}: {found or 'NOT FOUND'} ({time.perf_counter() - began:.1f} s)"
+        )
 
 
 if __name__ == "__main__":
--- a/milletsill/fleet/channels/contracts/pieces.py
+++ b/milletsill/fleet/channels/contracts/pieces.py
@@ -1,4 +1,5 @@
 """What a channel's line is made of: transfers that come, numbers that are open or closed, and what the line wants done."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
--- a/milletsill/fleet/channels/contracts/ways.py
+++ b/milletsill/fleet/channels/contracts/ways.py
@@ -1,5 +1,6 @@
 """Words on their way to another gateway that keeps the channel, and the answers back. Nothing told needs to arrive: a word is
 told again until it is answered or its client's patience is over; the one who hears it twice answers once. All bounded."""
+
 from __future__ import annotations
 
 from collections import OrderedDict
@@ -13,16 +14,28 @@
 from milletsill.fleet.channels.clocks import Clocks
 from milletsill.fleet.channels.contracts.codec import put_envelope, read_envelope
 from milletsill.fleet.channels.contracts.record_pb2 import Ask, Clock, Envelope, Reply
-from milletsill.fleet.channels.contracts.words import Elsewhere, Look, Open, Say, Transfer, Word, put_word, read_word
+from milletsill.fleet.channels.contracts.words import (
+    Elsewhere,
+    Look,
+    Open,
+    Say,
+    Transfer,
+    Word,
+    put_word,
+    read_word,
+)
 from milletsill.fleet.plane import Kind, Plane
 
-MOST_FORWARDS, MOST_HEARD = 20_000, 20_000  # words out, and words of others that are on hand or were answered
+MOST_FORWARDS, MOST_HEARD = (
+    20_000,
+    20_000,
+)  # words out, and words of others that are on hand or were answered
 MOST_ON_HAND = 5000  # words of others that are not answered yet
-SILENT_CALLS = 2     # calls without a sign of life until the keeper counts as away
+SILENT_CALLS = 2  # calls without a sign of life until the keeper counts as away
 MOST_HOPS = 3
-MOST_AT_ONCE = 3     # times that a word is told once more at once, as the other asked; then at the next call
-AWAY = 30_000        # tenths of a millisecond for which one that could not be reached is not asked again, unless it says something
-MARGIN = 100         # tenths of a millisecond that the way back may take
+MOST_AT_ONCE = 3  # times that a word is told once more at once, as the other asked; then at the next call
+AWAY = 30_000  # tenths of a millisecond for which one that could not be reached is not asked again, unless it says something
+MARGIN = 100  # tenths of a millisecond that the way back may take
 
 
 class Forward:
@@ -41,11 +54,15 @@
 def doubted(answered: Callable[[Any], None]) -> Callable[[Any], None]:
     """Guards against an untrue decline: a keeper that fell silent may have done the word, or do it yet. Harm: a client that could
     have been told that nothing was done asks again."""
+
     def answer(packet: Any) -> None:
         sign = wire.read_sign(getattr(packet, "language", ""))
         if sign is not None and sign.word in ("declined", "claim-lost"):
-            packet = wire.put_sign(0, "aborted", "aborted: a keeper that fell silent may have done it")
+            packet = wire.put_sign(
+                0, "aborted", "aborted: a keeper that fell silent may have done it"
+            )
         answered(packet)
+
     return answer
 
 
@@ -53,8 +70,18 @@
     """`own` handles another gateway's word here, `keep` one of ours that this gateway is to keep itself; `call` is how long a sign of
     life may take, in tenths of a millisecond. `volume` finds a volume by name; `drift` as the registers have it."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], plane: Plane, call: int, own: Callable[[Word, str], None],
-                 keep: Callable[[Word], None], volume: Callable[[str], Any], count: Callable[[str], None], drift: int = 5) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        plane: Plane,
+        call: int,
+        own: Callable[[Word, str], None],
+        keep: Callable[[Word], None],
+        volume: Callable[[str], Any],
+        count: Callable[[str], None],
+        drift: int = 5,
+    ) -> None:
         self.reactor, self.now, self.plane, self.call = reactor, now, plane, call
         self.whose, self.clocks = SystemRandom().getrandbits(64), Clocks(drift)
         self.own, self.keep, self.volume, self.count = own, keep, volume, count
@@ -72,7 +99,15 @@
     def forward(self, word: Word, to: str, hops: int = 0) -> None:
         """Tell it to the one who keeps the channel; `own` gets it where that one is away."""
         if hops >= MOST_HOPS or len(self.out) >= MOST_FORWARDS:
-            return word.answered(wire.put_sign(0, "declined", "declined: nobody found who keeps the channel", None, self.call))
+            return word.answered(
+                wire.put_sign(
+                    0,
+                    "declined",
+                    "declined: nobody found who keeps the channel",
+                    None,
+                    self.call,
+                )
+            )
         self.ids += 1
         forward = self.out[self.ids] = Forward(self.ids, word, to, self.now(), hops)
         self.count("forwarded")
@@ -92,14 +127,19 @@
         if left <= 0:
             return self.over(forward)
         left_ms = max(left // 10, 1)
-        ask = (Ask(id=forward.id, volume="", channel="", left=left_ms) if forward.held  # it has the rest
-               else put_word(word, forward.id, left_ms, forward.hops))
+        ask = (
+            Ask(id=forward.id, volume="", channel="", left=left_ms)
+            if forward.held  # it has the rest
+            else put_word(word, forward.id, left_ms, forward.hops)
+        )
         there = self.clocks.there(forward.to, word.ends - MARGIN, now)
         if there is not None:
             ask.until.whose, ask.until.at = there[0], max(there[1], 0)
         if not self.plane.tell(forward.to, Kind.CHANNEL, self.said(ask=ask)):
             return self.away(forward)
-        forward.alarm = self.reactor.callLater(min(self.call, left) / 10_000, self.again, forward)
+        forward.alarm = self.reactor.callLater(
+            min(self.call, left) / 10_000, self.again, forward
+        )
 
     def again(self, forward: Forward) -> None:
         """No answer yet: once more, unless there was no sign of life."""
@@ -111,12 +151,18 @@
 
     def said(self, **what: Any) -> bytes:
         """What leaves for another gateway, with what this one's clock reads."""
-        return put_envelope(Envelope(clock=Clock(whose=self.whose, at=self.now()), **what))
+        return put_envelope(
+            Envelope(clock=Clock(whose=self.whose, at=self.now()), **what)
+        )
 
     def asked_again(self, forward: Forward) -> None:
         """It was not taken: the other could not tell until when. Its clock has come with that."""
         forward.asked += 1
-        if forward.asked <= MOST_AT_ONCE and forward.alarm is not None and forward.alarm.active():
+        if (
+            forward.asked <= MOST_AT_ONCE
+            and forward.alarm is not None
+            and forward.alarm.active()
+        ):
             forward.alarm.cancel()
             self.tell(forward)
 
@@ -127,7 +173,9 @@
         word = forward.word
         word.away += (forward.to,)
         self.silent[forward.to] = self.now()
-        if forward.alarm is not None and isinstance(word.what, (Transfer, Say)):  # it was told
+        if forward.alarm is not None and isinstance(
+            word.what, (Transfer, Say)
+        ):  # it was told
             word.answered = doubted(word.answered)
         self.keep(word)
 
@@ -135,9 +183,21 @@
         """The client's patience ends: what another gateway may have done with it nobody knows here."""
         self.drop(forward)
         if isinstance(forward.word.what, (Open, Look)):
-            forward.word.answered(wire.put_sign(0, "declined", "declined: the keeper did not answer in time", None, self.call))
+            forward.word.answered(
+                wire.put_sign(
+                    0,
+                    "declined",
+                    "declined: the keeper did not answer in time",
+                    None,
+                    self.call,
+                )
+            )
         else:
-            forward.word.answered(wire.put_sign(0, "aborted", "aborted: its keeper did not answer in time"))
+            forward.word.answered(
+                wire.put_sign(
+                    0, "aborted", "aborted: its keeper did not answer in time"
+                )
+            )
 
     def drop(self, forward: Forward) -> None:
         self.out.pop(forward.id, None)
@@ -164,7 +224,9 @@
         try:
             answer = extensions.dressed(reply.answer, 0)
         except Malformed:
-            answer = wire.put_sign(0, "aborted", "aborted: the keeper's answer made no sense")
+            answer = wire.put_sign(
+                0, "aborted", "aborted: the keeper's answer made no sense"
+            )
         forward.word.answered(answer)
 
     # Theirs, to us.
@@ -176,7 +238,9 @@
         if envelope is None:
             return
         if envelope.HasField("clock") and envelope.clock.IsInitialized():
-            self.clocks.heard(member, envelope.clock.whose, envelope.clock.at, self.now())
+            self.clocks.heard(
+                member, envelope.clock.whose, envelope.clock.at, self.now()
+            )
         if envelope.HasField("reply") and envelope.reply.IsInitialized():
             return self.reply(member, envelope.reply)
         if not envelope.HasField("ask") or not envelope.ask.IsInitialized():
@@ -192,12 +256,33 @@
         if ends is None:
             return self.say(member, self.said(reply=Reply(id=ask.id, again=True)))
         try:
-            word = read_word(ask, volume, f"{member}.{run}.{ask.id}", ends, lambda packet: self.answered(key, packet))
+            word = read_word(
+                ask,
+                volume,
+                f"{member}.{run}.{ask.id}",
+                ends,
+                lambda packet: self.answered(key, packet),
+            )
         except Malformed:
             return
         if self.on_hand >= MOST_ON_HAND:
-            return self.say(member, self.said(reply=Reply(id=ask.id, answer=bare(
-                wire.put_sign(0, "declined", "declined: its keeper has all the words that it may", None, self.call)))))
+            return self.say(
+                member,
+                self.said(
+                    reply=Reply(
+                        id=ask.id,
+                        answer=bare(
+                            wire.put_sign(
+                                0,
+                                "declined",
+                                "declined: its keeper has all the words that it may",
+                                None,
+                                self.call,
+                            )
+                        ),
+                    )
+                ),
+            )
         self.on_hand += 1
         self.others[key] = None
         while len(self.others) > MOST_HEARD:
@@ -211,15 +296,22 @@
         round trip more for the first word in a while between two gateways. One of an earlier version tells no clock: its words count
         from when they are read, as they did."""
         ask, left = envelope.ask, self.now() + envelope.ask.left * 10
-        if ask.HasField("until") and ask.until.IsInitialized() and ask.until.whose == self.whose:
+        if (
+            ask.HasField("until")
+            and ask.until.IsInitialized()
+            and ask.until.whose == self.whose
+        ):
             return min(ask.until.at, left)
         return None if envelope.HasField("clock") else left
 
     def answered(self, key: tuple[str, int, int], packet: Any) -> None:
         self.on_hand -= 1
         member, _, id = key
-        body = self.said(reply=Reply(id=id, keeper=packet.who, pause=packet.pause) if isinstance(packet, Elsewhere)
-                         else Reply(id=id, answer=bare(packet)))
+        body = self.said(
+            reply=Reply(id=id, keeper=packet.who, pause=packet.pause)
+            if isinstance(packet, Elsewhere)
+            else Reply(id=id, answer=bare(packet))
+        )
         if key in self.others:
             self.others[key] = body
         self.say(member, body)
--- a/milletsill/fleet/channels/contracts/words.py
+++ b/milletsill/fleet/channels/contracts/words.py
@@ -1,4 +1,5 @@
 """A client's word on a channel inside a gateway: where it came from is its `answered`. Times in tenths of a millisecond."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -44,7 +45,9 @@
     command: Any
 
     def digest(self) -> int:
-        return xxhash.xxh64_intdigest(bytes_of(self.path) + b"\0" + extensions.bare(self.command))
+        return xxhash.xxh64_intdigest(
+            bytes_of(self.path) + b"\0" + extensions.bare(self.command)
+        )
 
 
 What = Union[Open, Look, Say, Transfer]
@@ -79,21 +82,40 @@
 
 def put_word(word: Word, id: int, left: int, hops: int) -> Ask:
     """A word for another gateway; `left` in milliseconds."""
-    ask, what = Ask(id=id, volume=word.volume.name, channel=word.channel, left=left, hops=hops), word.what
+    ask, what = (
+        Ask(id=id, volume=word.volume.name, channel=word.channel, left=left, hops=hops),
+        word.what,
+    )
     if isinstance(what, Open):
-        ask.open.contract, ask.open.version, ask.open.first = what.contract, what.version, what.first
+        ask.open.contract, ask.open.version, ask.open.first = (
+            what.contract,
+            what.version,
+            what.first,
+        )
     elif isinstance(what, Look):
         ask.look.number = what.number
     elif isinstance(what, Say):
         ask.say.number, ask.say.word, ask.say.claim = what.number, what.word, what.claim
     else:
         to = ask.transfer
-        to.number, to.claim, to.batch, to.last = what.number, what.claim, what.batch, what.last
-        to.tries, to.mark, to.path, to.command = what.terms.tries, what.terms.mark, what.path, extensions.bare(what.command)
+        to.number, to.claim, to.batch, to.last = (
+            what.number,
+            what.claim,
+            what.batch,
+            what.last,
+        )
+        to.tries, to.mark, to.path, to.command = (
+            what.terms.tries,
+            what.terms.mark,
+            what.path,
+            extensions.bare(what.command),
+        )
     return ask
 
 
-def read_word(ask: Ask, volume: Any, token: str, ends: int, answered: Callable[[Any], None]) -> Word:
+def read_word(
+    ask: Ask, volume: Any, token: str, ends: int, answered: Callable[[Any], None]
+) -> Word:
     """A word from another gateway, over at `ends`; Malformed where its command is none."""
     what: What
     if ask.HasField("open"):
@@ -102,8 +124,15 @@
         what = Say(ask.say.number, ask.say.word, ask.say.claim)
     elif ask.HasField("transfer"):
         sent = ask.transfer
-        what = Transfer(sent.number, sent.claim, sent.batch, sent.last, Terms(0, sent.tries, sent.mark), sent.path,
-                        extensions.dressed(sent.command, 0))
+        what = Transfer(
+            sent.number,
+            sent.claim,
+            sent.batch,
+            sent.last,
+            Terms(0, sent.tries, sent.mark),
+            sent.path,
+            extensions.dressed(sent.command, 0),
+        )
     else:
         what = Look(ask.look.number)
     return Word(volume, ask.channel, ends, what, token, answered)
--- a/milletsill/fleet/channels/errors.py
+++ b/milletsill/fleet/channels/errors.py
@@ -1,5 +1,6 @@
 """What can come to nothing about a channel, each a type. `pause` is when coming back helps, in tenths of a millisecond; 0 for not
 by itself."""
+
 from __future__ import annotations
 
 from milletsill.errors import Fault
@@ -24,7 +25,9 @@
 
     remedy = "none: the office goes over when it ends or is given up; with one name again and again, see that gateway's log"
 
-    def __init__(self, what: str, where: str = "", pause: int = 0, who: str = "") -> None:
+    def __init__(
+        self, what: str, where: str = "", pause: int = 0, who: str = ""
+    ) -> None:
         super().__init__(what, where, pause)
         self.who = who
 
@@ -32,7 +35,9 @@
 class Outvoted(ChannelFault):
     """A later ballot was promised: the term that this was to be done under is over."""
 
-    remedy = "none; if it comes often, compare the gateways' views and their clocks' rates"
+    remedy = (
+        "none; if it comes often, compare the gateways' views and their clocks' rates"
+    )
 
 
 class NotHeld(ChannelFault):
@@ -80,8 +85,10 @@
 class RegistersChanged(ChannelFault):
     """The file names other registers than when the register's state was made: majorities of the old and the new need not meet."""
 
-    remedy = ("put the old names back (a machine is replaced under its name); or stop all gateways, let every register that is kept "
-              "go on by a file FILE.go-on beside its own, and know that records at the removed ones alone are lost")
+    remedy = (
+        "put the old names back (a machine is replaced under its name); or stop all gateways, let every register that is kept "
+        "go on by a file FILE.go-on beside its own, and know that records at the removed ones alone are lost"
+    )
 
 
 class StateUnusable(ChannelFault):
--- a/milletsill/fleet/channels/model.py
+++ b/milletsill/fleet/channels/model.py
@@ -7,6 +7,7 @@
 and each write that counts whether all that counted before is in it, and whether no value passes for younger than it is. With any one
 guard out (mutants.py) it must go wrong.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -23,6 +24,7 @@
 
 # --- Every order of events.
 
+
 def spend(world: World, what: str) -> None:
     world.budget[what] -= 1
 
@@ -37,15 +39,26 @@
             found[f"{name} writes"] = lambda w, n=name: w.write(n)
             found[f"{name} gives up"] = lambda w, n=name: w.give_up(n)
         if world.budget["keeper"]:
-            found[f"{name} starts anew"] = lambda w, n=name: (spend(w, "keeper"), w.start_keeper(n))
+            found[f"{name} starts anew"] = lambda w, n=name: (
+                spend(w, "keeper"),
+                w.start_keeper(n),
+            )
     for place, message in enumerate(world.flying):
-        found[f"{message.sender}>{message.to} {place}"] = lambda w, p=place: w.arrive(p, False)
+        found[f"{message.sender}>{message.to} {place}"] = lambda w, p=place: w.arrive(
+            p, False
+        )
         if world.budget["double"]:
-            found[f"{message.sender}>{message.to} {place} twice"] = lambda w, p=place: (spend(w, "double"), w.arrive(p, True))
+            found[f"{message.sender}>{message.to} {place} twice"] = lambda w, p=place: (
+                spend(w, "double"),
+                w.arrive(p, True),
+            )
     for name in world.registers:
         for how in ("restart", "older", "lost"):
             if world.budget[how]:
-                found[f"{name} {how}"] = lambda w, n=name, h=how: (spend(w, h), w.start_register(n, h))
+                found[f"{name} {how}"] = lambda w, n=name, h=how: (
+                    spend(w, h),
+                    w.start_register(n, h),
+                )
     found["time"] = lambda w: w.pass_time(w.span.office // 2)
     return found
 
@@ -55,15 +68,33 @@
     found: dict[str, Callable[[World], None]] = {}
     names = tuple(world.registers)
     for name, each in world.keepers.items():
-        for reach in ((names[0], names[1]), (names[1], names[2]), (names[2],), (names[0],)):
+        for reach in (
+            (names[0], names[1]),
+            (names[1], names[2]),
+            (names[2],),
+            (names[0],),
+        ):
             where = "+".join(reach)
-            found[f"{name} takes at {where}"] = lambda w, n=name, r=reach: (w.take(n), alone(w, n, r))
+            found[f"{name} takes at {where}"] = lambda w, n=name, r=reach: (
+                w.take(n),
+                alone(w, n, r),
+            )
             if each.seat.state is Seated.SEATED:
-                found[f"{name} writes at {where}"] = lambda w, n=name, r=reach: (w.write(n), alone(w, n, r))
-                found[f"{name} gives up at {where}"] = lambda w, n=name, r=reach: (w.give_up(n), alone(w, n, r))
+                found[f"{name} writes at {where}"] = lambda w, n=name, r=reach: (
+                    w.write(n),
+                    alone(w, n, r),
+                )
+                found[f"{name} gives up at {where}"] = lambda w, n=name, r=reach: (
+                    w.give_up(n),
+                    alone(w, n, r),
+                )
     for name in names:
         if world.budget["restart"]:
-            found[f"{name} restart"] = lambda w, n=name: (spend(w, "restart"), w.start_register(n, "restart"), settle(w))
+            found[f"{name} restart"] = lambda w, n=name: (
+                spend(w, "restart"),
+                w.start_register(n, "restart"),
+                settle(w),
+            )
     found["call over"] = lambda w: w.pass_time(w.span.call * 51 // 50)
     found["time"] = lambda w: w.pass_time(w.span.office * 99 // 100)
     return found
@@ -78,7 +109,14 @@
 def settle(world: World) -> None:
     """All that registers say among themselves arrives."""
     for _ in range(40):
-        place = next((at for at, each in enumerate(world.flying) if isinstance(each.body, (Hello, Heard, Tell, Page))), None)
+        place = next(
+            (
+                at
+                for at, each in enumerate(world.flying)
+                if isinstance(each.body, (Hello, Heard, Tell, Page))
+            ),
+            None,
+        )
         if place is None:
             return
         world.arrive(place, False)
@@ -102,7 +140,9 @@
     return world
 
 
-def explore(how: str, depth: int, most: int, moves: Callable[[World], dict[str, Any]] = events) -> tuple[int, int, str | None]:
+def explore(
+    how: str, depth: int, most: int, moves: Callable[[World], dict[str, Any]] = events
+) -> tuple[int, int, str | None]:
     """Every order of events up to a depth, worlds that are alike looked at once, at most so many: worlds looked at, the depth that
     is whole, and the events that led to what is wrong."""
     first = opened(how)
@@ -129,6 +169,7 @@
 
 # --- Chance.
 
+
 def near(world: World, chance: Random, name: str) -> None:
     """What one keeper has under way reaches some registers at once, and most of what they say comes back."""
     reach = tuple(each for each in world.registers if chance.random() < 0.75)
@@ -234,11 +275,18 @@
         near(world, chance, each)
 
 
-def walk(registers: int, keepers: int, steps: int, seed: int) -> tuple[int, str | None, int]:
+def walk(
+    registers: int, keepers: int, steps: int, seed: int
+) -> tuple[int, str | None, int]:
     """Chance through a world whose clocks drift: the steps made, what went wrong, and the writes that were begun."""
     chance = Random(seed)
     drift = SPAN.drift
-    world = World(registers, keepers, SPAN, tuple(chance.choice((-drift, drift)) for _ in range(registers + keepers)))
+    world = World(
+        registers,
+        keepers,
+        SPAN,
+        tuple(chance.choice((-drift, drift)) for _ in range(registers + keepers)),
+    )
     world.silent = chance.choice((0, 6 * SPAN.office))
     names, places = tuple(world.keepers), tuple(world.registers)
     if chance.random() < 0.3:  # two gateways have one name
@@ -249,10 +297,33 @@
         turns: list[tuple[float, Callable[[], None]]] = [
             (0.08, lambda: world.take(keeper)),
             (0.08, lambda: (world.take(keeper), near(world, chance, keeper))),
-            (0.06, lambda: world.write(keeper) if world.keepers[keeper].seat.state is Seated.SEATED else None),
-            (0.14, lambda: (world.write(keeper), near(world, chance, keeper))
-             if world.keepers[keeper].seat.state in (Seated.SEATED, Seated.WRITING) else None),
-            (0.30, lambda: world.arrive(chance.randrange(len(world.flying)), chance.random() < 0.25) if world.flying else None),
+            (
+                0.06,
+                lambda: (
+                    world.write(keeper)
+                    if world.keepers[keeper].seat.state is Seated.SEATED
+                    else None
+                ),
+            ),
+            (
+                0.14,
+                lambda: (
+                    (world.write(keeper), near(world, chance, keeper))
+                    if world.keepers[keeper].seat.state
+                    in (Seated.SEATED, Seated.WRITING)
+                    else None
+                ),
+            ),
+            (
+                0.30,
+                lambda: (
+                    world.arrive(
+                        chance.randrange(len(world.flying)), chance.random() < 0.25
+                    )
+                    if world.flying
+                    else None
+                ),
+            ),
             (0.03, lambda: world.again(keeper)),
             (0.03, lambda: (world.give_up(keeper), near(world, chance, keeper))),
             (0.12, lambda: world.pass_time(chance.choice(spans))),
@@ -266,7 +337,8 @@
             (0.02, lambda: slow(world, chance, keeper)),
             (0.015, lambda: anew(world, chance, *chance.sample(names, 2))),
             (0.015, lambda: usurp(world, chance, *chance.sample(names, 2))),
-            (0.01, lambda: silence(world, chance) if world.silent else None)]
+            (0.01, lambda: silence(world, chance) if world.silent else None),
+        ]
         chance.choices([each for _, each in turns], [part for part, _ in turns])[0]()
         if world.wrong:
             return step, f"seed {seed}, step {step}: {world.wrong}", world.written
@@ -275,7 +347,10 @@
 
 # --- Cases that chance meets seldom.
 
-def at(world: World, keeper: str, reach: tuple[str, ...], event: Callable[[str], None]) -> None:
+
+def at(
+    world: World, keeper: str, reach: tuple[str, ...], event: Callable[[str], None]
+) -> None:
     """One thing that a keeper does, with some registers and no others."""
     event(keeper)
     for _ in range(3):
@@ -348,20 +423,37 @@
     for case in (copied, twice, fenced):
         if found := case():
             return f"case {case.__name__}: {found}"
-    return next((found for seed in range(first, first + walks) if (found := walk(3, 3, steps, seed)[1])), None)
+    return next(
+        (
+            found
+            for seed in range(first, first + walks)
+            if (found := walk(3, 3, steps, seed)[1])
+        ),
+        None,
+    )
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    for name, default in (("walks", 20), ("steps", 5000), ("registers", 5), ("keepers", 7), ("worlds", 100_000)):
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    for name, default in (
+        ("walks", 20),
+        ("steps", 5000),
+        ("registers", 5),
+        ("keepers", 7),
+        ("worlds", 100_000),
+    ):
         parser.add_argument(f"--{name}", type=int, default=default)
     given = parser.parse_args()
     for moves in (events, rounds):
         for how in ("nothing", "written", "unsure"):
             began = time.perf_counter()
             count, depth, found = explore(how, 12, given.worlds, moves)
-            print(f"{moves.__name__} from {how}: every order of {depth}, {count} worlds, {time.perf_counter() - began:.1f} s, "
-                  f"{found or 'kept'}")
+            print(
+                f"{moves.__name__} from {how}: every order of {depth}, {count} worlds, {time.perf_counter() - began:.1f} s, "
+                f"{found or 'kept'}"
+            )
     for seed in range(given.walks):
         steps, found, written = walk(given.registers, given.keepers, given.steps, seed)
         print(f"seed {seed}: {steps} steps, {written} writes, {found or 'kept'}")
--- a/milletsill/fleet/channels/mutants.py
+++ b/milletsill/fleet/channels/mutants.py
@@ -3,6 +3,7 @@
 `FOUND` is the seed of model.walk with three registers, three keepers and 600 steps at which it was, so that a test is short. When
 the model has changed, `python -m milletsill.fleet.channels.model` tells the new ones.
 """
+
 from __future__ import annotations
 
 from contextlib import contextmanager
@@ -17,7 +18,11 @@
 
 def _any_ballot(record: Any, floor: int, call: Any) -> Any:
     """A register takes each ballot as higher than what it promised."""
-    return decide.Rank.HIGHER if record is None or call.ballot != record.promised else decide.Rank.SAME
+    return (
+        decide.Rank.HIGHER
+        if record is None or call.ballot != record.promised
+        else decide.Rank.SAME
+    )
 
 
 def _no_office(record: Any, office: Any, call: Any, now: int) -> Any:
@@ -123,10 +128,14 @@
 
 def _copies_vote(answers: Any, best: Any, registers: int) -> bool:
     """A copy that a register was told of counts as a vote."""
-    return best.stamp == decide.UNWRITTEN or sum(each.stamp == best.stamp for each in answers) >= seat.majority(registers)
+    return best.stamp == decide.UNWRITTEN or sum(
+        each.stamp == best.stamp for each in answers
+    ) >= seat.majority(registers)
 
 
-def _young_again(self: Any, value: bytes, now: int, born: int, fresh: bool = True) -> None:
+def _young_again(
+    self: Any, value: bytes, now: int, born: int, fresh: bool = True
+) -> None:
     """What is written again is as young as if it were new."""
     _send(self, value, now, born)
 
@@ -138,7 +147,14 @@
 
 def _some_age(answers: Any, value: bytes) -> int | None:
     """Those that have the value and know since when are enough."""
-    return max((each.aged for each in answers if each.value == value and each.aged != decide.UNKNOWN), default=None)
+    return max(
+        (
+            each.aged
+            for each in answers
+            if each.value == value and each.aged != decide.UNKNOWN
+        ),
+        default=None,
+    )
 
 
 _send = seat.Seat.send
@@ -170,14 +186,32 @@
     "promises are told too": (standing, "merged", _promise_left),
 }
 FOUND: dict[str, int] = {
-    "lower ballots are refused": 11, "an office refuses others": 0, "drift at the register": 27,
-    "drift at the keeper": 5, "terms from the send": 14, "a majority": 0, "written again": 0, "copies are no votes": 0,
-    "the latest write is read": 6, "offices of a former self": 2, "a call's end": 14, "one renewal's answers": 13,
-    "no ballot twice": 0, "starts differ": 4, "the floor of what is forgotten": 0, "others' word of later things": 0,
-    "others are asked first": 63, "enough others tell": 0, "the rest before catching up": 112,
-    "what others tell is taken": 8, "what is written again is not new": 49, "all know the age": 27,
+    "lower ballots are refused": 11,
+    "an office refuses others": 0,
+    "drift at the register": 27,
+    "drift at the keeper": 5,
+    "terms from the send": 14,
+    "a majority": 0,
+    "written again": 0,
+    "copies are no votes": 0,
+    "the latest write is read": 6,
+    "offices of a former self": 2,
+    "a call's end": 14,
+    "one renewal's answers": 13,
+    "no ballot twice": 0,
+    "starts differ": 4,
+    "the floor of what is forgotten": 0,
+    "others' word of later things": 0,
+    "others are asked first": 63,
+    "enough others tell": 0,
+    "the rest before catching up": 112,
+    "what others tell is taken": 8,
+    "what is written again is not new": 49,
+    "all know the age": 27,
     "a value is as old as its making": 0,
-    "floors hold for what is told": 0, "promises are told too": 0}
+    "floors hold for what is told": 0,
+    "promises are told too": 0,
+}
 
 
 @contextmanager
--- a/milletsill/fleet/channels/registers/codec.py
+++ b/milletsill/fleet/channels/registers/codec.py
@@ -1,4 +1,5 @@
 """Bodies between keepers and registers: the byte "R" and one protobuf Frame; to and from what the deciding files speak of."""
+
 from __future__ import annotations
 
 from typing import Any, Callable, Iterable
@@ -7,8 +8,21 @@
 from google.protobuf.message import DecodeError
 
 from milletsill.fleet.channels.registers import registers_pb2 as wire
-from milletsill.fleet.channels.registers.decide import (JUST_NOW, MOST_NAME, MOST_VALUE, UNKNOWN, UNWRITTEN, Answer, Ask, Ballot, Call,
-                                                        Record, Say, Span, Stamp)
+from milletsill.fleet.channels.registers.decide import (
+    JUST_NOW,
+    MOST_NAME,
+    MOST_VALUE,
+    UNKNOWN,
+    UNWRITTEN,
+    Answer,
+    Ask,
+    Ballot,
+    Call,
+    Record,
+    Say,
+    Span,
+    Stamp,
+)
 from milletsill.fleet.channels.registers.standing import Identity, Page
 from milletsill.fleet.frames.codec import Unreadable
 
@@ -20,7 +34,9 @@
 
 def terms(names: Iterable[str], span: Span) -> int:
     """A digest of what must be the same at all gateways: the registers' names and the spans."""
-    return xxhash.xxh64_intdigest(repr((sorted(names), *span)).encode("utf-8", "surrogateescape"))
+    return xxhash.xxh64_intdigest(
+        repr((sorted(names), *span)).encode("utf-8", "surrogateescape")
+    )
 
 
 def encoded(**what: Any) -> bytes:
@@ -82,7 +98,13 @@
 
 def put_call(call: Call, born: int | None = None) -> wire.Call:
     """`born` on the clock of the register, where that is known."""
-    made = wire.Call(ask=call.ask.value, channel=call.channel, round=call.ballot.round, nonce=call.ballot.nonce, index=call.index)
+    made = wire.Call(
+        ask=call.ask.value,
+        channel=call.channel,
+        round=call.ballot.round,
+        nonce=call.ballot.nonce,
+        index=call.index,
+    )
     if call.ask is Ask.ACCEPT:
         made.value, made.fresh = call.value, call.fresh
         if born is not None:
@@ -93,16 +115,34 @@
 def get_call(sender: str, call: Any, born: int = JUST_NOW) -> Call | None:
     """None where it asks for what a later version may know. `born` where the call itself does not say."""
     ask = ASKS.get(call.ask)
-    return None if ask is None else Call(ask, name(call.channel), Ballot(number(call.round), sender, call.nonce), number(call.index),
-                                         content(call.value), call.fresh, number(call.born) if call.HasField("born") else born)
-
-
-def put_calls(calls: Iterable[Call], there: Callable[[int], "tuple[int, int] | None"]) -> tuple[int, list[wire.Call]]:
+    return (
+        None
+        if ask is None
+        else Call(
+            ask,
+            name(call.channel),
+            Ballot(number(call.round), sender, call.nonce),
+            number(call.index),
+            content(call.value),
+            call.fresh,
+            number(call.born) if call.HasField("born") else born,
+        )
+    )
+
+
+def put_calls(
+    calls: Iterable[Call], there: Callable[[int], "tuple[int, int] | None"]
+) -> tuple[int, list[wire.Call]]:
     """Whose clock calls to one register are dated by, 0 where too little is known of it, and the calls. `there`: whose, and what it
     reads at the least at a time of ours."""
     dated = [(call, there(call.born)) for call in calls]
-    return (next((found[0] for _, found in dated if found is not None), 0),
-            [put_call(call, found[1] if found is not None else None) for call, found in dated])
+    return (
+        next((found[0] for _, found in dated if found is not None), 0),
+        [
+            put_call(call, found[1] if found is not None else None)
+            for call, found in dated
+        ],
+    )
 
 
 def get_calls(sender: str, told: Any, whose: int) -> list[Call]:
@@ -112,13 +152,21 @@
     for each in told.call[:PER_FRAME]:
         if told.whose != whose:
             each.ClearField("born")
-        found.append(get_call(sender, each, UNKNOWN if told.HasField("whose") else JUST_NOW))
+        found.append(
+            get_call(sender, each, UNKNOWN if told.HasField("whose") else JUST_NOW)
+        )
     return [each for each in found if each is not None]
 
 
 def put_answer(answer: Answer) -> wire.Answer:
-    made = wire.Answer(ask=answer.ask.value, channel=answer.channel, round=answer.ballot.round, nonce=answer.ballot.nonce,
-                       index=answer.index, say=answer.say.value)
+    made = wire.Answer(
+        ask=answer.ask.value,
+        channel=answer.channel,
+        round=answer.ballot.round,
+        nonce=answer.ballot.nonce,
+        index=answer.index,
+        say=answer.say.value,
+    )
     if answer.stamp != UNWRITTEN:
         made.stamp.CopyFrom(put_ballot(answer.stamp.ballot))
         made.stamp_index, made.value = answer.stamp.index, answer.value
@@ -137,10 +185,26 @@
     ask, say = ASKS.get(answer.ask), SAYS.get(answer.say)
     if ask is None or say is None:
         return None
-    stamp = Stamp(get_ballot(answer.stamp), number(answer.stamp_index)) if answer.HasField("stamp") else UNWRITTEN
-    return Answer(ask, answer.channel, Ballot(answer.round, receiver, answer.nonce), answer.index, say, stamp, content(answer.value),
-                  number(answer.aged) if answer.HasField("aged") else UNKNOWN, number(answer.known), number(answer.pause), answer.who,
-                  answer.told, answer.fresh)
+    stamp = (
+        Stamp(get_ballot(answer.stamp), number(answer.stamp_index))
+        if answer.HasField("stamp")
+        else UNWRITTEN
+    )
+    return Answer(
+        ask,
+        answer.channel,
+        Ballot(answer.round, receiver, answer.nonce),
+        answer.index,
+        say,
+        stamp,
+        content(answer.value),
+        number(answer.aged) if answer.HasField("aged") else UNKNOWN,
+        number(answer.known),
+        number(answer.pause),
+        answer.who,
+        answer.told,
+        answer.fresh,
+    )
 
 
 def put_record(record: Record, channel: str = "") -> wire.Kept:
@@ -149,22 +213,40 @@
         made.channel = channel
     if record.stamp != UNWRITTEN:
         made.stamp.CopyFrom(put_ballot(record.stamp.ballot))
-        made.index, made.value, made.told = record.stamp.index, record.value, record.told
+        made.index, made.value, made.told = (
+            record.stamp.index,
+            record.value,
+            record.told,
+        )
     return made
 
 
 def get_record(kept: Any, touched: int = 0) -> Record:
-    stamp = Stamp(get_ballot(kept.stamp), number(kept.index)) if kept.HasField("stamp") else UNWRITTEN
-    return Record(get_ballot(kept.promised), stamp, content(kept.value), touched, kept.told)
+    stamp = (
+        Stamp(get_ballot(kept.stamp), number(kept.index))
+        if kept.HasField("stamp")
+        else UNWRITTEN
+    )
+    return Record(
+        get_ballot(kept.promised), stamp, content(kept.value), touched, kept.told
+    )
 
 
 def put_page(after: str, page: Page) -> wire.Page:
-    return wire.Page(after=after, kept=[put_record(record, channel) for channel, record in page.records], floor=page.floor,
-                     last=page.last)
+    return wire.Page(
+        after=after,
+        kept=[put_record(record, channel) for channel, record in page.records],
+        floor=page.floor,
+        last=page.last,
+    )
 
 
 def get_page(page: Any) -> Page:
-    return Page(tuple((name(each.channel), get_record(each)) for each in page.kept), number(page.floor), page.last)
+    return Page(
+        tuple((name(each.channel), get_record(each)) for each in page.kept),
+        number(page.floor),
+        page.last,
+    )
 
 
 def parted(pieces: Iterable[Any]) -> Iterable[list[Any]]:
--- a/milletsill/fleet/channels/registers/decide.py
+++ b/milletsill/fleet/channels/registers/decide.py
@@ -8,6 +8,7 @@
 
 Times are whole tenths of a millisecond of the clock of whoever decides.
 """
+
 from __future__ import annotations
 
 from enum import Enum
@@ -15,10 +16,15 @@
 
 SECOND = 10_000
 GUARD = 200  # a term is over this much before its end: a send that was decided just before may still be on its way out
-TRIES = 3  # ballots that are tried in one taking where only a higher one stands in the way
+TRIES = (
+    3  # ballots that are tried in one taking where only a higher one stands in the way
+)
 AGAIN = 0.5  # of a call's span: registers without an answer are told once more
 RENEW = 0.5  # of an office: a busy term is renewed
-PAUSE = (500, 3000)  # to come back after an outvoted ballot: by chance in between, so that two do not meet again and again
+PAUSE = (
+    500,
+    3000,
+)  # to come back after an outvoted ballot: by chance in between, so that two do not meet again and again
 MOST_NAME, MOST_VALUE = 255, 16_384  # bytes of a channel's name, of a record
 
 
@@ -43,7 +49,9 @@
 NOBODY = Ballot(0, "", 0)
 UNWRITTEN = Stamp(NOBODY, 0)
 UNKNOWN = -1  # an age, or a time, that nobody can tell
-JUST_NOW = 1 << 62  # of a caller of an earlier version, which does not say when its value was made
+JUST_NOW = (
+    1 << 62
+)  # of a caller of an earlier version, which does not say when its value was made
 Ask = Enum("Ask", "PREPARE ACCEPT RELEASE")
 Say = Enum("Say", "YES LOWER HELD AWAY")
 
@@ -113,6 +121,7 @@
 
 # --- The register: one channel's record, one call.
 
+
 class Record(NamedTuple):
     """What is on disk before any answer. `touched` is the register's time of being up at the last write. `told`: the write was not
     accepted here, another register told of it while this one caught up: it is read, but is no vote."""
@@ -139,16 +148,38 @@
 Deed = Enum("Deed", "PROMISE RENEW ACCEPT GIVE_UP SAY_LOWER SAY_HELD NOTHING")
 # (call, its ballot against the promise, the office) -> what the register does. PASSED: a write older than one under that ballot.
 REGISTER: dict[tuple[Ask, Rank, Hold], Deed] = {
-    **{(ask, rank, hold): Deed.NOTHING for ask in Ask for rank in Rank for hold in Hold},
-    **{(ask, rank, Hold.OTHER): Deed.SAY_HELD for ask in (Ask.PREPARE, Ask.ACCEPT) for rank in (Rank.LOWER, Rank.HIGHER)},
-    **{(ask, Rank.LOWER, hold): Deed.SAY_LOWER for ask in (Ask.PREPARE, Ask.ACCEPT) for hold in Hold if hold is not Hold.OTHER},
-    **{(Ask.PREPARE, Rank.HIGHER, hold): Deed.PROMISE for hold in Hold if hold is not Hold.OTHER},
-    **{(Ask.ACCEPT, Rank.HIGHER, hold): Deed.ACCEPT for hold in Hold if hold is not Hold.OTHER},
+    **{
+        (ask, rank, hold): Deed.NOTHING for ask in Ask for rank in Rank for hold in Hold
+    },
+    **{
+        (ask, rank, Hold.OTHER): Deed.SAY_HELD
+        for ask in (Ask.PREPARE, Ask.ACCEPT)
+        for rank in (Rank.LOWER, Rank.HIGHER)
+    },
+    **{
+        (ask, Rank.LOWER, hold): Deed.SAY_LOWER
+        for ask in (Ask.PREPARE, Ask.ACCEPT)
+        for hold in Hold
+        if hold is not Hold.OTHER
+    },
+    **{
+        (Ask.PREPARE, Rank.HIGHER, hold): Deed.PROMISE
+        for hold in Hold
+        if hold is not Hold.OTHER
+    },
+    **{
+        (Ask.ACCEPT, Rank.HIGHER, hold): Deed.ACCEPT
+        for hold in Hold
+        if hold is not Hold.OTHER
+    },
     **{(Ask.PREPARE, Rank.SAME, hold): Deed.RENEW for hold in Hold},
     **{(Ask.ACCEPT, Rank.SAME, hold): Deed.ACCEPT for hold in Hold},
     **{(Ask.RELEASE, Rank.SAME, hold): Deed.GIVE_UP for hold in Hold},
     # What was given up is over, also for what was sent before and comes late.
-    **{(ask, Rank.SAME, Hold.GIVEN_UP): Deed.SAY_LOWER for ask in (Ask.PREPARE, Ask.ACCEPT)},
+    **{
+        (ask, Rank.SAME, Hold.GIVEN_UP): Deed.SAY_LOWER
+        for ask in (Ask.PREPARE, Ask.ACCEPT)
+    },
 }
 
 
@@ -182,35 +213,71 @@
     answer: Answer | None
 
 
-def register(record: Record | None, office: Office | None, floor: int, call: Call, now: int, up: int, span: Span) -> Done:
+def register(
+    record: Record | None,
+    office: Office | None,
+    floor: int,
+    call: Call,
+    now: int,
+    up: int,
+    span: Span,
+) -> Done:
     """One call at one register. `up` is its time of being up; `office` of a record that was just read from disk is `loaded`."""
-    deed = REGISTER[call.ask, rank(record, floor, call), hold(record, office, call, now)]
+    deed = REGISTER[
+        call.ask, rank(record, floor, call), hold(record, office, call, now)
+    ]
     head = (call.ask, call.channel, call.ballot, call.index)
     if deed is Deed.NOTHING:
         return Done(record, office, None)
     if deed is Deed.GIVE_UP:
-        return Done(record, (office or Office(now))._replace(until=now, given_up=True), None)
+        return Done(
+            record, (office or Office(now))._replace(until=now, given_up=True), None
+        )
     if deed in (Deed.SAY_LOWER, Deed.SAY_HELD):
         known = floor if record is None else record.promised.round
         if deed is Deed.SAY_LOWER or record is None or office is None:
             return Done(record, office, Answer(*head, Say.LOWER, round=known))
-        return Done(record, office, Answer(*head, Say.HELD, round=known, pause=office.until - now, who=record.promised.name))
+        return Done(
+            record,
+            office,
+            Answer(
+                *head,
+                Say.HELD,
+                round=known,
+                pause=office.until - now,
+                who=record.promised.name,
+            ),
+        )
     since, fresh = (office.since, office.fresh) if office is not None else (None, False)
     if deed is Deed.ACCEPT:
         stamp = Stamp(call.ballot, call.index)
         if record is None or record.stamp != stamp or record.told:
             fresh = call.fresh and (record is None or record.value != call.value)
-            if record is None or record.value != call.value:  # what was there already is no younger for it
+            if (
+                record is None or record.value != call.value
+            ):  # what was there already is no younger for it
                 # Guards a ticket's window against a write that lay on its way: what the value says of times counts from its making,
                 # not from its coming. Harm: where nobody can tell, what is out in it stays unsure.
-                since = min(call.born, now) if call.fresh and call.born != UNKNOWN else None
+                since = (
+                    min(call.born, now) if call.fresh and call.born != UNKNOWN else None
+                )
             record = Record(call.ballot, stamp, call.value, up)
-        return Done(record, Office(now + span.refused(), False, since, fresh), Answer(*head, Say.YES))
+        return Done(
+            record,
+            Office(now + span.refused(), False, since, fresh),
+            Answer(*head, Say.YES),
+        )
     if deed is Deed.PROMISE:
-        record = Record(call.ballot, UNWRITTEN, b"", up) if record is None else record._replace(promised=call.ballot, touched=up)
+        record = (
+            Record(call.ballot, UNWRITTEN, b"", up)
+            if record is None
+            else record._replace(promised=call.ballot, touched=up)
+        )
     assert record is not None
     aged = 0 if record.stamp == UNWRITTEN else UNKNOWN if since is None else now - since
-    answer = Answer(*head, Say.YES, record.stamp, record.value, aged, told=record.told, fresh=fresh)
+    answer = Answer(
+        *head, Say.YES, record.stamp, record.value, aged, told=record.told, fresh=fresh
+    )
     return Done(record, Office(now + span.refused(), False, since, fresh), answer)
 
 
--- a/milletsill/fleet/channels/registers/desk.py
+++ b/milletsill/fleet/channels/registers/desk.py
@@ -3,6 +3,7 @@
 All that touches the file runs in one thread, one job at a time; what decides is register() of decide.py and Joining of standing.py.
 A job that cannot write answers nothing, and nothing of it counts.
 """
+
 from __future__ import annotations
 
 import os
@@ -12,10 +13,35 @@
 import xxhash
 
 from milletsill.errors import Fault
-from milletsill.fleet.channels.errors import DiskFull, RegistersChanged, StateLost, StateOlder, StateTorn, TermsDiffer
-from milletsill.fleet.channels.registers.decide import (Answer, Ask, Call, Office, Record, Say, Span, loaded, register)
+from milletsill.fleet.channels.errors import (
+    DiskFull,
+    RegistersChanged,
+    StateLost,
+    StateOlder,
+    StateTorn,
+    TermsDiffer,
+)
+from milletsill.fleet.channels.registers.decide import (
+    Answer,
+    Ask,
+    Call,
+    Office,
+    Record,
+    Say,
+    Span,
+    loaded,
+    register,
+)
 from milletsill.fleet.channels.registers.metrics import RegisterFigures
-from milletsill.fleet.channels.registers.standing import Identity, Joining, Page, Standing, Turn, fenced, merged
+from milletsill.fleet.channels.registers.standing import (
+    Identity,
+    Joining,
+    Page,
+    Standing,
+    Turn,
+    fenced,
+    merged,
+)
 from milletsill.fleet.channels.registers.store import Store, set_aside
 
 BATCH, MOST_WAITING = 1000, 20_000  # calls of one round; calls that wait
@@ -24,7 +50,9 @@
 AGAIN = 10_000  # after a full disk, in tenths of a millisecond
 SAY_EVERY = 100_000
 ORDER = ".go-on"  # a file beside the register's: an operator's order to go on with what there is
-In = Callable[[Callable[[], Any], Callable[[Any], None]], None]  # a job for the thread, and who gets its result or Fault
+In = Callable[
+    [Callable[[], Any], Callable[[Any], None]], None
+]  # a job for the thread, and who gets its result or Fault
 
 
 class Said(NamedTuple):
@@ -39,11 +67,41 @@
 class Desk:
     """`send` gets answers for a member; `ask` sends a Hello to the registers or to everybody, `tell` asks a register for a page."""
 
-    def __init__(self, now: Callable[[], int], name: str, others: Sequence[str], span: Span, most: int, silent: int, path: str,
-                 chance: int, terms: int, in_thread: In, remark: Callable[..., None], registry: Any, most_pages: int = 0) -> None:
-        self.now, self.name, self.others, self.span, self.most, self.silent = now, name, tuple(others), span, most, silent
-        self.terms, self.among = terms, xxhash.xxh64_intdigest("\0".join(sorted([name, *others])).encode())
-        self.path, self.chance, self.in_thread, self.remark, self.most_pages = path, chance, in_thread, remark, most_pages
+    def __init__(
+        self,
+        now: Callable[[], int],
+        name: str,
+        others: Sequence[str],
+        span: Span,
+        most: int,
+        silent: int,
+        path: str,
+        chance: int,
+        terms: int,
+        in_thread: In,
+        remark: Callable[..., None],
+        registry: Any,
+        most_pages: int = 0,
+    ) -> None:
+        self.now, self.name, self.others, self.span, self.most, self.silent = (
+            now,
+            name,
+            tuple(others),
+            span,
+            most,
+            silent,
+        )
+        self.terms, self.among = (
+            terms,
+            xxhash.xxh64_intdigest("\0".join(sorted([name, *others])).encode()),
+        )
+        self.path, self.chance, self.in_thread, self.remark, self.most_pages = (
+            path,
+            chance,
+            in_thread,
+            remark,
+            most_pages,
+        )
         self.figures = RegisterFigures(registry)
         self.born = now()
         self.up_before = 0
@@ -68,10 +126,14 @@
     def open(self) -> Any:
         """In the thread. What is torn is set aside; the new file knows that there was another."""
         try:
-            return Store.opened(self.path, self.chance, self.among, most_pages=self.most_pages), None
+            return Store.opened(
+                self.path, self.chance, self.among, most_pages=self.most_pages
+            ), None
         except StateTorn as error:
             set_aside(self.path)
-            return Store.opened(self.path, self.chance, self.among, True, self.most_pages), error
+            return Store.opened(
+                self.path, self.chance, self.among, True, self.most_pages
+            ), error
 
     def opened(self, result: Any) -> None:
         if isinstance(result, Fault):
@@ -82,9 +144,20 @@
         own, self.up_before = self.store.own, self.store.up
         ordered = os.path.exists(self.path + ORDER)
         if self.store.among != self.among and not ordered:
-            return self.say(RegistersChanged("not the registers that its state was made for", self.path))  # away until a restart
+            return self.say(
+                RegistersChanged(
+                    "not the registers that its state was made for", self.path
+                )
+            )  # away until a restart
         self.store.among = self.among
-        self.joining = Joining(own, self.others, self.span, self.born, own.generation == 0, self.store.doubted)
+        self.joining = Joining(
+            own,
+            self.others,
+            self.span,
+            self.born,
+            own.generation == 0,
+            self.store.doubted,
+        )
         if ordered:
             os.remove(self.path + ORDER)
             self.remark("register_ordered", file=self.path + ORDER)
@@ -132,7 +205,10 @@
     def told(self, member: str, after: str, page: Page) -> None:
         if self.joining is not None:
             self.turn(self.joining.page(member, after, page, self.up(), self.now()))
-            if self.joining.state is Standing.GATHERING and member not in self.joining.told:
+            if (
+                self.joining.state is Standing.GATHERING
+                and member not in self.joining.told
+            ):
                 self.tell(member, self.joining.after.get(member, ""))
 
     def turn(self, turn: Turn) -> None:
@@ -142,7 +218,12 @@
         self.note()
         if turn is Turn.DOUBT:
             kind = StateLost if store.own.generation == 0 else StateOlder
-            self.say(kind(f"others heard of state {joining.known_age}, past {store.own.age}.{store.own.generation}", self.path))
+            self.say(
+                kind(
+                    f"others heard of state {joining.known_age}, past {store.own.age}.{store.own.generation}",
+                    self.path,
+                )
+            )
             self.drop("doubted")
             up = self.up()
             self.in_thread(lambda: store.doubt(up), self.kept)
@@ -152,14 +233,21 @@
         elif turn is Turn.ANEW:
             self.renew()
         elif turn is Turn.BEGIN:
-            self.remark("register_begins", channels=store.count, generation=store.own.generation)
+            self.remark(
+                "register_begins", channels=store.count, generation=store.own.generation
+            )
             self.pump()
 
     def renew(self) -> None:
         """What others told goes to the file before a word is said; until then the register is busy."""
         joining, store = self.joining, self.store
         assert joining is not None and store is not None
-        records, floor, own, up = dict(joining.records), max(joining.floor, store.floor), joining.anew(self.chance), self.up()
+        records, floor, own, up = (
+            dict(joining.records),
+            max(joining.floor, store.floor),
+            joining.anew(self.chance),
+            self.up(),
+        )
         self.busy = True
 
         def write() -> None:
@@ -177,7 +265,12 @@
                 self.say(result)
                 joining.back(self.now() + AGAIN)  # gathered once more
                 return self.note()
-            self.offices, self.base, joining.own, joining.records = {}, self.now(), own, {}
+            self.offices, self.base, joining.own, joining.records = (
+                {},
+                self.now(),
+                own,
+                {},
+            )
             self.remark("register_caught_up", channels=store.count, age=own.age)
             self.pump()
 
@@ -200,10 +293,19 @@
     def calls(self, member: str, calls: Sequence[Call], terms: int) -> None:
         """Of one member; answered after the next commit, or at once with AWAY."""
         if terms != self.terms:
-            self.say(TermsDiffer("its registers or spans are not this gateway's", member))
+            self.say(
+                TermsDiffer("its registers or spans are not this gateway's", member)
+            )
         if terms != self.terms or not self.whole() or self.now() < self.full_until:
-            pause = self.joining.pause(self.now()) if self.joining is not None and not self.whole() else AGAIN
-            return self.send(member, [away(each, pause) for each in calls if each.ask is not Ask.RELEASE])
+            pause = (
+                self.joining.pause(self.now())
+                if self.joining is not None and not self.whole()
+                else AGAIN
+            )
+            return self.send(
+                member,
+                [away(each, pause) for each in calls if each.ask is not Ask.RELEASE],
+            )
         room = MOST_WAITING - len(self.waiting)
         self.waiting += [(member, each) for each in calls[:room]]
         if len(calls) > room:
@@ -215,7 +317,9 @@
             return
         batch, self.waiting = self.waiting[:BATCH], self.waiting[BATCH:]
         self.busy = True
-        self.in_thread(lambda: self.round(batch), lambda result: self.done(batch, result))
+        self.in_thread(
+            lambda: self.round(batch), lambda result: self.done(batch, result)
+        )
 
     def round(self, batch: Sequence[tuple[str, Call]]) -> Said:
         """In the thread: each call in its order, one commit, and only then offices and answers. The time is read once, after all
@@ -233,8 +337,20 @@
             if channel not in records:
                 records[channel] = store.read(channel)
             record = records[channel]
-            office = offices.get(channel) or self.offices.get(channel) or loaded(self.base, self.span)
-            done = register(record, office if record is not None else None, store.floor, call, now, up, self.span)
+            office = (
+                offices.get(channel)
+                or self.offices.get(channel)
+                or loaded(self.base, self.span)
+            )
+            done = register(
+                record,
+                office if record is not None else None,
+                store.floor,
+                call,
+                now,
+                up,
+                self.span,
+            )
             if record is None and done.record is not None:
                 if store.count + more >= self.most:
                     answers.append((member, away(call, AGAIN)))
@@ -249,7 +365,9 @@
         if changed:
             store.commit(changed, up, more=more)
         self.offices.update(offices)
-        return Said(answers, len(batch), 1 if changed else 0, time.perf_counter() - began)
+        return Said(
+            answers, len(batch), 1 if changed else 0, time.perf_counter() - began
+        )
 
     def done(self, batch: Sequence[tuple[str, Call]], result: Any) -> None:
         self.busy = False
@@ -298,7 +416,12 @@
         """For another that catches up; only a whole register tells."""
         store = self.store
         if self.whole() and store is not None:
-            self.in_thread(lambda: store.page(after), lambda result: then(result) if isinstance(result, Page) else self.say(result))
+            self.in_thread(
+                lambda: store.page(after),
+                lambda result: (
+                    then(result) if isinstance(result, Page) else self.say(result)
+                ),
+            )
 
     def remember(self, member: str, own: Identity) -> None:
         """What another register is; goes to disk with the next commit."""
@@ -312,7 +435,13 @@
         """In the thread: some records are looked at, and let go where they were silent for so long and nobody has the office."""
         store, now, up = self.store, self.now(), self.up()
         assert store is not None
-        self.cursor, gone = store.forget(self.cursor, LOOK, up, self.silent, lambda channel: now >= self.office_end(channel))
+        self.cursor, gone = store.forget(
+            self.cursor,
+            LOOK,
+            up,
+            self.silent,
+            lambda channel: now >= self.office_end(channel),
+        )
         for channel in gone:
             self.offices.pop(channel, None)
         return len(gone)
@@ -341,4 +470,6 @@
 
 
 def away(call: Call, pause: int) -> Answer:
-    return Answer(call.ask, call.channel, call.ballot, call.index, Say.AWAY, pause=pause)
+    return Answer(
+        call.ask, call.channel, call.ballot, call.index, Say.AWAY, pause=pause
+    )
--- a/milletsill/fleet/channels/registers/seat.py
+++ b/milletsill/fleet/channels/registers/seat.py
@@ -2,24 +2,44 @@
 
 A poll is one call to all registers. A term counts from when the poll was sent, and only answers to this very poll count.
 """
+
 from __future__ import annotations
 
 from enum import Enum
 from typing import Sequence
 
-from milletsill.fleet.channels.registers.decide import (Answer, Ask, Ballot, Call, NOBODY, Say, Span, TRIES, UNKNOWN, UNWRITTEN,
-                                                        majority)
+from milletsill.fleet.channels.registers.decide import (
+    Answer,
+    Ask,
+    Ballot,
+    Call,
+    NOBODY,
+    Say,
+    Span,
+    TRIES,
+    UNKNOWN,
+    UNWRITTEN,
+    majority,
+)
 
 Seated = Enum("Seated", "OUT ASKING MENDING SEATED RENEWING WRITING")
 Input = Enum("Input", "TAKE WRITE GIVE_UP EVEN UNEVEN REFUSED LOWER LATE")
-Effect = Enum("Effect", "NONE ASK ASK_HIGHER MEND SEAT EXTEND RENEW WRITE WROTE QUEUE RELEASE LOSE KEEP NOT_HELD")
+Effect = Enum(
+    "Effect",
+    "NONE ASK ASK_HIGHER MEND SEAT EXTEND RENEW WRITE WROTE QUEUE RELEASE LOSE KEEP NOT_HELD",
+)
 KEEPER: dict[tuple[Seated, Input], tuple[Seated, Effect]] = {
-    **{(state, Input.WRITE): (state, Effect.NOT_HELD) for state in (Seated.OUT, Seated.ASKING, Seated.MENDING)},
+    **{
+        (state, Input.WRITE): (state, Effect.NOT_HELD)
+        for state in (Seated.OUT, Seated.ASKING, Seated.MENDING)
+    },
     **{(state, Input.REFUSED): (Seated.OUT, Effect.LOSE) for state in Seated},
     **{(state, Input.LOWER): (Seated.OUT, Effect.LOSE) for state in Seated},
     **{(state, Input.LATE): (Seated.OUT, Effect.LOSE) for state in Seated},
     **{(state, Input.GIVE_UP): (Seated.OUT, Effect.RELEASE) for state in Seated},
-    **{(state, Input.TAKE): (state, Effect.NONE) for state in Seated},  # it is told when that comes out
+    **{
+        (state, Input.TAKE): (state, Effect.NONE) for state in Seated
+    },  # it is told when that comes out
     (Seated.OUT, Input.TAKE): (Seated.ASKING, Effect.ASK),
     (Seated.OUT, Input.GIVE_UP): (Seated.OUT, Effect.NONE),
     (Seated.ASKING, Input.EVEN): (Seated.SEATED, Effect.SEAT),
@@ -30,7 +50,10 @@
     (Seated.SEATED, Input.WRITE): (Seated.WRITING, Effect.WRITE),
     (Seated.RENEWING, Input.EVEN): (Seated.SEATED, Effect.EXTEND),
     (Seated.RENEWING, Input.UNEVEN): (Seated.SEATED, Effect.EXTEND),
-    (Seated.RENEWING, Input.LATE): (Seated.SEATED, Effect.KEEP),  # the term stands until its end
+    (Seated.RENEWING, Input.LATE): (
+        Seated.SEATED,
+        Effect.KEEP,
+    ),  # the term stands until its end
     (Seated.RENEWING, Input.WRITE): (Seated.RENEWING, Effect.QUEUE),
     (Seated.WRITING, Input.WRITE): (Seated.WRITING, Effect.QUEUE),
     (Seated.WRITING, Input.EVEN): (Seated.SEATED, Effect.WROTE),
@@ -48,12 +71,15 @@
         self.no: dict[str, Answer] = {}
 
 
-
 def fits(poll: Poll, answer: Answer) -> bool:
     """Whether an answer is to this very call. Guards, with the index, against a late one to an older renewal of the ballot, which
     would pass for a new grant."""
     call = poll.call
-    return answer.ask is call.ask and answer.ballot == call.ballot and answer.index == call.index
+    return (
+        answer.ask is call.ask
+        and answer.ballot == call.ballot
+        and answer.index == call.index
+    )
 
 
 def open_still(poll: Poll, now: int, span: Span) -> bool:
@@ -71,7 +97,9 @@
     """Whether a majority has accepted the latest write already, or there is none. Where not, it may be nowhere else, and is
     written again before anybody acts on it. What a register was only told of is no vote of its own: a later ballot that it had
     promised may be past it."""
-    return best.stamp == UNWRITTEN or sum(each.stamp == best.stamp and not each.told for each in answers) >= majority(registers)
+    return best.stamp == UNWRITTEN or sum(
+        each.stamp == best.stamp and not each.told for each in answers
+    ) >= majority(registers)
 
 
 def aged(answers: Sequence[Answer], value: bytes) -> int | None:
@@ -101,12 +129,50 @@
     """One channel at one gateway. `name` and `nonce` make its ballots; `ends` is the term's end on this gateway's clock, `since` when the
     value was surely there at the earliest; none for unknown. Effects that send have put their call into `poll`; `gone` is the call that gives up, if any."""
 
-    __slots__ = ("channel", "name", "nonce", "span", "registers", "state", "ballot", "index", "value", "ends", "poll", "queued",
-                 "since", "tries", "round", "renewals", "gone", "refusal")
-
-    def __init__(self, channel: str, name: str, nonce: int, span: Span, registers: int, used: int = 0) -> None:
-        self.channel, self.name, self.nonce, self.span, self.registers = channel, name, nonce, span, registers
-        self.state, self.ballot, self.index, self.value, self.ends = Seated.OUT, NOBODY, 0, b"", 0
+    __slots__ = (
+        "channel",
+        "name",
+        "nonce",
+        "span",
+        "registers",
+        "state",
+        "ballot",
+        "index",
+        "value",
+        "ends",
+        "poll",
+        "queued",
+        "since",
+        "tries",
+        "round",
+        "renewals",
+        "gone",
+        "refusal",
+    )
+
+    def __init__(
+        self,
+        channel: str,
+        name: str,
+        nonce: int,
+        span: Span,
+        registers: int,
+        used: int = 0,
+    ) -> None:
+        self.channel, self.name, self.nonce, self.span, self.registers = (
+            channel,
+            name,
+            nonce,
+            span,
+            registers,
+        )
+        self.state, self.ballot, self.index, self.value, self.ends = (
+            Seated.OUT,
+            NOBODY,
+            0,
+            b"",
+            0,
+        )
         self.since: int | None = 0
         self.poll: Poll | None = None
         self.queued: tuple[bytes, int] | None = None  # and when it was made
@@ -116,7 +182,10 @@
 
     def holds(self, now: int) -> bool:
         """Whether nobody else can be keeper now."""
-        return self.state in (Seated.SEATED, Seated.RENEWING, Seated.WRITING) and now < self.ends
+        return (
+            self.state in (Seated.SEATED, Seated.RENEWING, Seated.WRITING)
+            and now < self.ends
+        )
 
     def take(self, now: int) -> list[Effect]:
         """Become keeper, or renew."""
@@ -141,7 +210,12 @@
         """What a register says; what belongs to no open call is left."""
         poll = self.poll
         self.round = max(self.round, answer.round)
-        if poll is None or not fits(poll, answer) or not open_still(poll, now, self.span) or who in poll.yes:
+        if (
+            poll is None
+            or not fits(poll, answer)
+            or not open_still(poll, now, self.span)
+            or who in poll.yes
+        ):
             return []
         (poll.yes if answer.say is Say.YES else poll.no)[who] = answer
         if answer.say is Say.YES:
@@ -153,20 +227,37 @@
         """What the answers so far come to."""
         if len(poll.yes) >= majority(self.registers):
             answers = tuple(poll.yes.values())
-            return Input.EVEN if poll.call.ask is Ask.ACCEPT or even(answers, newest(answers), self.registers) else Input.UNEVEN
+            return (
+                Input.EVEN
+                if poll.call.ask is Ask.ACCEPT
+                or even(answers, newest(answers), self.registers)
+                else Input.UNEVEN
+            )
         if len(poll.no) <= self.registers - majority(self.registers):
             return None
         says = {each.say for each in poll.no.values()}
         self.refusal = self.worst(poll)
         if says == {Say.AWAY}:
             return Input.LATE  # nobody else has the office for that
-        return Input.LOWER if says == {Say.LOWER} and self.tries < TRIES else Input.REFUSED
+        return (
+            Input.LOWER if says == {Say.LOWER} and self.tries < TRIES else Input.REFUSED
+        )
 
     def worst(self, poll: Poll) -> Answer | None:
         """What tells most of why a poll came to nothing."""
-        return next((each for say in (Say.HELD, Say.LOWER, Say.AWAY) for each in poll.no.values() if each.say is say), None)
-
-    def step(self, found: Input, now: int, value: bytes = b"", born: int | None = None) -> list[Effect]:
+        return next(
+            (
+                each
+                for say in (Say.HELD, Say.LOWER, Say.AWAY)
+                for each in poll.no.values()
+                if each.say is say
+            ),
+            None,
+        )
+
+    def step(
+        self, found: Input, now: int, value: bytes = b"", born: int | None = None
+    ) -> list[Effect]:
         """The short loop around the table: the effect, and what follows from it by itself."""
         self.state, effect = KEEPER.get((self.state, found), (self.state, Effect.NONE))
         self.act(effect, now, value, now if born is None else born)
@@ -180,11 +271,18 @@
         poll = self.poll
         if effect in (Effect.ASK, Effect.ASK_HIGHER):
             self.tries, self.round, self.refusal = self.tries + 1, self.round + 1, None
-            self.ballot, self.index, self.ends, self.renewals = Ballot(self.round, self.name, self.nonce), 0, 0, 0
+            self.ballot, self.index, self.ends, self.renewals = (
+                Ballot(self.round, self.name, self.nonce),
+                0,
+                0,
+                0,
+            )
             self.poll = Poll(Call(Ask.PREPARE, self.channel, self.ballot), now)
         elif effect is Effect.RENEW:
             self.renewals += 1
-            self.poll = Poll(Call(Ask.PREPARE, self.channel, self.ballot, self.renewals), now)
+            self.poll = Poll(
+                Call(Ask.PREPARE, self.channel, self.ballot, self.renewals), now
+            )
         elif effect is Effect.MEND:
             assert poll is not None
             self.read(poll, now)
@@ -204,7 +302,11 @@
             self.poll = None
         elif effect in (Effect.LOSE, Effect.RELEASE):
             # An office that was held runs to its end where it is lost: something may be out under it.
-            self.gone = Call(Ask.RELEASE, self.channel, self.ballot) if effect is Effect.RELEASE or not self.ends else None
+            self.gone = (
+                Call(Ask.RELEASE, self.channel, self.ballot)
+                if effect is Effect.RELEASE or not self.ends
+                else None
+            )
             self.poll, self.queued, self.ends = None, None, 0
 
     def read(self, poll: Poll, now: int) -> None:
@@ -212,8 +314,13 @@
         answers = tuple(poll.yes.values())
         self.value = newest(answers).value
         known = aged(answers, self.value)
-        self.since = None if known is None else poll.sent - self.span.elsewhere(known + 1) - 1  # clocks are read in whole ticks
+        self.since = (
+            None if known is None else poll.sent - self.span.elsewhere(known + 1) - 1
+        )  # clocks are read in whole ticks
 
     def send(self, value: bytes, now: int, born: int, fresh: bool = True) -> None:
         self.index += 1
-        self.poll = Poll(Call(Ask.ACCEPT, self.channel, self.ballot, self.index, value, fresh, born), now)
+        self.poll = Poll(
+            Call(Ask.ACCEPT, self.channel, self.ballot, self.index, value, fresh, born),
+            now,
+        )
--- a/milletsill/fleet/channels/registers/service.py
+++ b/milletsill/fleet/channels/registers/service.py
@@ -3,6 +3,7 @@
 `Offices` is what the rest of channels builds on. Callbacks are called by the reactor, never from within. What decides is seat.py;
 where this gateway is a register itself, its desk is spoken to without a socket.
 """
+
 from __future__ import annotations
 
 from collections import deque
@@ -10,21 +11,53 @@
 from typing import Any, Callable, Iterable, Sequence
 
 from milletsill.errors import Fault
-from milletsill.fleet.channels.errors import ChannelFault, NoMajority, NotHeld, NotKeeper, Outvoted, TooMany
+from milletsill.fleet.channels.errors import (
+    ChannelFault,
+    NoMajority,
+    NotHeld,
+    NotKeeper,
+    Outvoted,
+    TooMany,
+)
 from milletsill.fleet.channels.clocks import Clocks
 from milletsill.fleet.channels.registers import codec, registers_pb2 as wire
-from milletsill.fleet.channels.registers.decide import AGAIN, MOST_NAME, MOST_VALUE, PAUSE, RENEW, Answer, Ask, Ballot, Call, Say, Span
+from milletsill.fleet.channels.registers.decide import (
+    AGAIN,
+    MOST_NAME,
+    MOST_VALUE,
+    PAUSE,
+    RENEW,
+    Answer,
+    Ask,
+    Ballot,
+    Call,
+    Say,
+    Span,
+)
 from milletsill.fleet.channels.registers.desk import Desk
 from milletsill.fleet.channels.registers.metrics import Figures
-from milletsill.fleet.channels.registers.seat import Effect, Poll, Seat, Seated, rounds_used
+from milletsill.fleet.channels.registers.seat import (
+    Effect,
+    Poll,
+    Seat,
+    Seated,
+    rounds_used,
+)
 from milletsill.fleet.channels.registers.standing import BEAT, HELLO, Identity, later
 from milletsill.fleet.channels.registers.terms import Place, Term, Took, Wrote
 from milletsill.fleet.channels.registers.thread import Worker
 from milletsill.fleet.plane import Kind, Plane
 
 TICK = 200  # between looks at calls whose span is over
-MOST_OPEN, MOST_CALLBACKS, MOST_REGISTERS = 20_000, 256, 31  # calls under way; of one channel; registers whose identity is kept
-FORGET, SWEEP = 600_000, 2000  # a seat that lapsed so long ago goes; seats that one look goes through
+MOST_OPEN, MOST_CALLBACKS, MOST_REGISTERS = (
+    20_000,
+    256,
+    31,
+)  # calls under way; of one channel; registers whose identity is kept
+FORGET, SWEEP = (
+    600_000,
+    2000,
+)  # a seat that lapsed so long ago goes; seats that one look goes through
 SENDS = (Effect.ASK, Effect.ASK_HIGHER, Effect.MEND, Effect.RENEW, Effect.WRITE)
 
 
@@ -32,11 +65,38 @@
     """Times in tenths of a millisecond, `drift` in parts of a thousand. `most` channels here and at a register each; a register
     forgets a channel that was `silent` for so long. `others` is called with what arrives for Kind.CHANNEL and is not for here."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], plane: Plane, register_names: Sequence[str], office: int, drift: int,
-                 call: int, most: int, store_path: str, seed: int, remark: Callable[..., None], registry_of_metrics: Any, *,
-                 silent: int, most_value: int = MOST_VALUE, worker: Any = None, most_pages: int = 0) -> None:
-        self.reactor, self.now, self.plane, self.names = reactor, now, plane, tuple(dict.fromkeys(register_names))
-        self.span, self.most, self.most_value, self.remark = Span(office, call, drift), most, min(most_value, MOST_VALUE), remark
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        plane: Plane,
+        register_names: Sequence[str],
+        office: int,
+        drift: int,
+        call: int,
+        most: int,
+        store_path: str,
+        seed: int,
+        remark: Callable[..., None],
+        registry_of_metrics: Any,
+        *,
+        silent: int,
+        most_value: int = MOST_VALUE,
+        worker: Any = None,
+        most_pages: int = 0,
+    ) -> None:
+        self.reactor, self.now, self.plane, self.names = (
+            reactor,
+            now,
+            plane,
+            tuple(dict.fromkeys(register_names)),
+        )
+        self.span, self.most, self.most_value, self.remark = (
+            Span(office, call, drift),
+            most,
+            min(most_value, MOST_VALUE),
+            remark,
+        )
         self.rounds, self.terms = 0, codec.terms(self.names, self.span)
         self.nonce, self.chance = SystemRandom().getrandbits(64), Random(seed)
         self.whose, self.clocks = SystemRandom().getrandbits(63) + 1, Clocks(drift)
@@ -57,9 +117,26 @@
         self.desk: Desk | None = None
         if plane.name in self.names:
             self.worker = worker or Worker(reactor)
-            self.desk = Desk(now, plane.name, [each for each in self.names if each != plane.name], self.span, most, silent, store_path,
-                             SystemRandom().getrandbits(64), self.terms, self.worker.run, remark, registry_of_metrics, most_pages)
-            self.desk.send, self.desk.ask, self.desk.tell = self.answer, self.hello, self.ask_page
+            self.desk = Desk(
+                now,
+                plane.name,
+                [each for each in self.names if each != plane.name],
+                self.span,
+                most,
+                silent,
+                store_path,
+                SystemRandom().getrandbits(64),
+                self.terms,
+                self.worker.run,
+                remark,
+                registry_of_metrics,
+                most_pages,
+            )
+            self.desk.send, self.desk.ask, self.desk.tell = (
+                self.answer,
+                self.hello,
+                self.ask_page,
+            )
             self.desk.start()
             self.later("beat", BEAT, self.beat)
             self.later("look", HELLO, self.look)
@@ -72,12 +149,32 @@
         """Become the channel's keeper, or renew; `then` gets a Term, or a fault whose `pause` says when to come back."""
         place = self.places.get(channel)
         if not codec.named(channel):
-            return self.soon(then, TooMany(f"a channel's name is UTF-8 of 1 to {MOST_NAME} bytes", "channels"))
-        if len(self.open) >= MOST_OPEN or (place is None and len(self.places) >= self.most) or (
-                place is not None and len(place.takers) >= MOST_CALLBACKS):
-            return self.soon(then, TooMany("too many channels or calls under way", "channels", self.span.call))
+            return self.soon(
+                then,
+                TooMany(
+                    f"a channel's name is UTF-8 of 1 to {MOST_NAME} bytes", "channels"
+                ),
+            )
+        if (
+            len(self.open) >= MOST_OPEN
+            or (place is None and len(self.places) >= self.most)
+            or (place is not None and len(place.takers) >= MOST_CALLBACKS)
+        ):
+            return self.soon(
+                then,
+                TooMany(
+                    "too many channels or calls under way", "channels", self.span.call
+                ),
+            )
         if place is None:
-            seat = Seat(channel, self.plane.name, self.nonce, self.span, len(self.names), self.rounds)
+            seat = Seat(
+                channel,
+                self.plane.name,
+                self.nonce,
+                self.span,
+                len(self.names),
+                self.rounds,
+            )
             place = self.places[channel] = Place(seat)
         place.takers.append(then)
         self.act(place, place.seat.take(self.now()))
@@ -89,15 +186,27 @@
         if term.over or place is None or place.term is not term:
             return self.soon(then, NotHeld("the term is over", term.channel))
         if len(value) > self.most_value:
-            return self.soon(then, TooMany(f"a record of {len(value)} bytes, {self.most_value} at most", term.channel))
+            return self.soon(
+                then,
+                TooMany(
+                    f"a record of {len(value)} bytes, {self.most_value} at most",
+                    term.channel,
+                ),
+            )
         if len(place.queued) >= MOST_CALLBACKS or len(self.open) >= MOST_OPEN:
-            return self.soon(then, TooMany("too many writes under way", term.channel, self.span.call))
+            return self.soon(
+                then, TooMany("too many writes under way", term.channel, self.span.call)
+            )
         place.queued.append(then)
         self.act(place, place.seat.write(value, self.now()))
 
     def holds(self, term: Term) -> bool:
         """Whether nobody else can be the channel's keeper now, by this gateway's clock."""
-        return not term.over and term.seat.ballot == term.ballot and term.seat.holds(self.now())
+        return (
+            not term.over
+            and term.seat.ballot == term.ballot
+            and term.seat.holds(self.now())
+        )
 
     def give_up(self, term: Term) -> None:
         """Nothing is out under it any more: others may come in at once. What waits here is told that it is over."""
@@ -131,7 +240,9 @@
             if effect in SENDS:
                 if effect is Effect.WRITE:
                     place.writing, place.queued = place.queued, []
-                if seat.poll is not None:  # the last of the effects is what is under way
+                if (
+                    seat.poll is not None
+                ):  # the last of the effects is what is under way
                     self.begin(seat, seat.poll)
             elif effect in (Effect.SEAT, Effect.EXTEND):
                 self.seated(place, effect is Effect.SEAT)
@@ -149,15 +260,25 @@
     def seated(self, place: Place, anew: bool) -> None:
         seat = place.seat
         if anew or place.term is None:
-            place.term = Term(seat.channel, seat, None if seat.since is None else max(self.now() - seat.since, 0) if seat.value else 0,
-                              self.busy)
+            place.term = Term(
+                seat.channel,
+                seat,
+                None
+                if seat.since is None
+                else max(self.now() - seat.since, 0)
+                if seat.value
+                else 0,
+                self.busy,
+            )
         place.term.ends = seat.ends
         self.told(place, place.term)
 
     def told(self, place: Place, result: Any) -> None:
         takers, place.takers = place.takers, []
         if takers:
-            self.figures.takes.labels(type(result).__name__ if isinstance(result, Fault) else "held").inc()
+            self.figures.takes.labels(
+                type(result).__name__ if isinstance(result, Fault) else "held"
+            ).inc()
         for each in takers:
             self.soon(each, result)
 
@@ -175,7 +296,11 @@
 
     def lost(self, place: Place, effect: Effect) -> None:
         seat = place.seat
-        fault = self.fault(seat) if effect is Effect.LOSE else NotHeld("the office was given up", seat.channel)
+        fault = (
+            self.fault(seat)
+            if effect is Effect.LOSE
+            else NotHeld("the office was given up", seat.channel)
+        )
         if place.term is not None:
             place.term.end()
             place.term = None
@@ -192,10 +317,18 @@
         """Why a poll came to nothing, and when to come back."""
         said = seat.refusal
         if said is None or said.say is Say.AWAY:
-            return NoMajority("too few registers answered", seat.channel, max(self.span.call, said.pause if said is not None else 0))
+            return NoMajority(
+                "too few registers answered",
+                seat.channel,
+                max(self.span.call, said.pause if said is not None else 0),
+            )
         if said.say is Say.HELD:
-            return NotKeeper(f"{said.who} has the office", seat.channel, said.pause, said.who)
-        return Outvoted("a later ballot was promised", seat.channel, self.chance.randint(*PAUSE))
+            return NotKeeper(
+                f"{said.who} has the office", seat.channel, said.pause, said.who
+            )
+        return Outvoted(
+            "a later ballot was promised", seat.channel, self.chance.randint(*PAUSE)
+        )
 
     # Calls to registers.
 
@@ -219,9 +352,17 @@
             if name == self.plane.name and self.desk is not None:
                 self.desk.calls(name, calls, self.terms)
                 continue
-            whose, made = codec.put_calls(calls, lambda at, name=name: self.clocks.there(name, at, self.now()))
+            whose, made = codec.put_calls(
+                calls, lambda at, name=name: self.clocks.there(name, at, self.now())
+            )
             for part in codec.parted(made):
-                if not self.plane.tell(name, Kind.CHANNEL, codec.encoded(calls=wire.Calls(call=part, terms=self.terms, whose=whose))):
+                if not self.plane.tell(
+                    name,
+                    Kind.CHANNEL,
+                    codec.encoded(
+                        calls=wire.Calls(call=part, terms=self.terms, whose=whose)
+                    ),
+                ):
                     self.figures.unsent.inc(len(part))
                     for each in part:
                         self.away(name, each)
@@ -230,8 +371,17 @@
         """A register that cannot even be told counts as one that said so: whoever waits hears it at once."""
         ask = codec.ASKS[call.ask]
         if ask is not Ask.RELEASE:
-            self.say(name, Answer(ask, call.channel, Ballot(call.round, self.plane.name, call.nonce), call.index, Say.AWAY,
-                                  pause=self.span.call))
+            self.say(
+                name,
+                Answer(
+                    ask,
+                    call.channel,
+                    Ballot(call.round, self.plane.name, call.nonce),
+                    call.index,
+                    Say.AWAY,
+                    pause=self.span.call,
+                ),
+            )
 
     def tick(self) -> None:
         """Calls that nobody answered are told once more at half of their span, and are over at its end."""
@@ -239,8 +389,12 @@
         while self.halves and now >= self.halves[0][0]:
             _, poll, seat = self.halves.popleft()
             if seat.poll is poll:
-                self.post(poll.call, [each for each in self.names if each not in poll.yes])
-        while self.open and (now >= self.open[0][0] or self.open[0][2].poll is not self.open[0][1]):
+                self.post(
+                    poll.call, [each for each in self.names if each not in poll.yes]
+                )
+        while self.open and (
+            now >= self.open[0][0] or self.open[0][2].poll is not self.open[0][1]
+        ):
             _, poll, seat = self.open.popleft()
             place = self.places.get(seat.channel)
             if seat.poll is poll and place is not None and place.seat is seat:
@@ -275,8 +429,10 @@
         if what == "answers" and member in self.names:
             self.learn(member, codec.get_identity(frame.answers.own))
             if frame.answers.whose:
-                self.clocks.heard(member, frame.answers.whose, frame.answers.read, self.now())
-            for each in frame.answers.answer[:codec.PER_FRAME]:
+                self.clocks.heard(
+                    member, frame.answers.whose, frame.answers.read, self.now()
+                )
+            for each in frame.answers.answer[: codec.PER_FRAME]:
                 if (answer := codec.get_answer(self.plane.name, each)) is not None:
                     self.say(member, answer)
         elif what == "beat" and member in self.names:
@@ -286,12 +442,25 @@
         elif desk is None:
             return
         elif what == "calls":
-            desk.calls(member, codec.get_calls(member, frame.calls, self.whose), frame.calls.terms)
+            desk.calls(
+                member,
+                codec.get_calls(member, frame.calls, self.whose),
+                frame.calls.terms,
+            )
         elif what == "witness":
-            desk.witnessed(member, codec.get_identity(frame.witness.known) if frame.witness.HasField("known") else None)
+            desk.witnessed(
+                member,
+                codec.get_identity(frame.witness.known)
+                if frame.witness.HasField("known")
+                else None,
+            )
         elif what == "tell" and member in self.names:
             after = frame.tell.after
-            desk.page(member, after, lambda page: self.tell(member, page=codec.put_page(after, page)))
+            desk.page(
+                member,
+                after,
+                lambda page: self.tell(member, page=codec.put_page(after, page)),
+            )
         elif what == "page" and member in self.names:
             desk.told(member, frame.page.after, codec.get_page(frame.page))
 
@@ -306,17 +475,32 @@
             self.desk.remember(member, own)
         if known is None or own > known:
             self.heard_of[member] = own
-        elif later(known, own) and self.now() - self.warned.get(member, -1 << 60) >= HELLO:
+        elif (
+            later(known, own)
+            and self.now() - self.warned.get(member, -1 << 60) >= HELLO
+        ):
             self.warned[member] = self.now()
             self.witness(member)
 
     def known(self, member: str) -> Identity | None:
-        found = [each for each in (self.heard_of.get(member), self.desk.known(member) if self.desk is not None else None) if each]
+        found = [
+            each
+            for each in (
+                self.heard_of.get(member),
+                self.desk.known(member) if self.desk is not None else None,
+            )
+            if each
+        ]
         return max(found, default=None)
 
     def witness(self, member: str) -> None:
         known = self.known(member)
-        self.tell(member, witness=wire.Witness(known=codec.put_identity(known)) if known is not None else wire.Witness())
+        self.tell(
+            member,
+            witness=wire.Witness(known=codec.put_identity(known))
+            if known is not None
+            else wire.Witness(),
+        )
 
     def answer(self, member: str, answers: list[Answer]) -> None:
         """From this gateway's register."""
@@ -329,7 +513,12 @@
             return
         own = codec.put_identity(desk.own())
         for part in codec.parted([codec.put_answer(each) for each in answers]):
-            self.tell(member, answers=wire.Answers(own=own, answer=part, whose=self.whose, read=self.now()))
+            self.tell(
+                member,
+                answers=wire.Answers(
+                    own=own, answer=part, whose=self.whose, read=self.now()
+                ),
+            )
 
     def hello(self, everybody: bool) -> None:
         for each in self.plane.view.by_name if everybody else self.names:
@@ -361,8 +550,12 @@
         now = self.now()
         for term in list(self.busy):
             place = self.places.get(term.channel)
-            if place is not None and place.term is term and term.seat.state is Seated.SEATED and (
-                    now >= term.seat.ends - self.span.office * RENEW):
+            if (
+                place is not None
+                and place.term is term
+                and term.seat.state is Seated.SEATED
+                and (now >= term.seat.ends - self.span.office * RENEW)
+            ):
                 self.act(place, term.seat.take(now))
         if not self.swept:
             self.figures.held.set(self.counted)
@@ -376,7 +569,12 @@
     def lapsed(self, place: Place, now: int) -> None:
         """A seat that nobody has used for long goes; its rounds are not used again."""
         seat, term = place.seat, place.term
-        if (term is None or not term.busy) and seat.poll is None and not place.takers and now >= seat.ends + FORGET:
+        if (
+            (term is None or not term.busy)
+            and seat.poll is None
+            and not place.takers
+            and now >= seat.ends + FORGET
+        ):
             if term is not None:
                 term.end()
             self.rounds = rounds_used(self.rounds, seat)
--- a/milletsill/fleet/channels/registers/standing.py
+++ b/milletsill/fleet/channels/registers/standing.py
@@ -5,6 +5,7 @@
 less than that has an older copy or none, and must not answer as if it had never promised: it waits until all is over that its
 former self may have granted or answered, then is told every record by so many others that they meet each majority it was part of.
 """
+
 from __future__ import annotations
 
 from enum import Enum
@@ -51,7 +52,11 @@
     """Whether what another heard of us is past what we have, or is of another state that is not older."""
     if known is None or known.age < own.age:
         return False
-    return known.age > own.age or known.chance != own.chance or known.generation > own.generation
+    return (
+        known.age > own.age
+        or known.chance != own.chance
+        or known.generation > own.generation
+    )
 
 
 def needed(registers: int) -> int:
@@ -59,7 +64,9 @@
     return majority(registers)
 
 
-def merged(records: dict[str, Record], told: Iterable[tuple[str, Record]], up: int) -> None:
+def merged(
+    records: dict[str, Record], told: Iterable[tuple[str, Record]], up: int
+) -> None:
     """What others told, into what is here: the highest promise and the latest write of each."""
     for channel, new in told:
         old = records.get(channel)
@@ -67,7 +74,13 @@
             records[channel] = new._replace(touched=up, told=True)
             continue
         later = new if new.stamp > old.stamp else old
-        records[channel] = Record(max(old.promised, new.promised), later.stamp, later.value, up, old.told or later is new)
+        records[channel] = Record(
+            max(old.promised, new.promised),
+            later.stamp,
+            later.value,
+            up,
+            old.told or later is new,
+        )
 
 
 def fenced(records: dict[str, Record], floor: int) -> None:
@@ -82,15 +95,31 @@
     """One register's way to answering. `fresh`: it has a file without a record; `doubted`: it is known to lack something (torn,
     or it was noticed before). `others` are the names of the other registers."""
 
-    def __init__(self, own: Identity, others: Iterable[str], span: Span, born: int, fresh: bool, doubted: bool) -> None:
-        self.own, self.others, self.span, self.born, self.fresh = own, tuple(others), span, born, fresh
+    def __init__(
+        self,
+        own: Identity,
+        others: Iterable[str],
+        span: Span,
+        born: int,
+        fresh: bool,
+        doubted: bool,
+    ) -> None:
+        self.own, self.others, self.span, self.born, self.fresh = (
+            own,
+            tuple(others),
+            span,
+            born,
+            fresh,
+        )
         self.state = Standing.WAITING if doubted else Standing.JOINING
         self.waits = born + span.rest()  # until then, where it lacks something
         self.clean: set[str] = set()  # registers that know nothing later
         self.known_age, self.by_order = own.age, False
         self.records: dict[str, Record] = {}
         self.floor = 0
-        self.after: dict[str, str] = {}  # of those that tell: the channel they have come to
+        self.after: dict[
+            str, str
+        ] = {}  # of those that tell: the channel they have come to
         self.told: set[str] = set()
 
     def word(self, found: Word) -> Turn:
@@ -103,7 +132,9 @@
             self.known_age = max(self.known_age, known.age)
         if later(known, self.own):
             if self.by_order:
-                return Turn.ANEW  # an operator has said to go on, so it goes on as later than that
+                return (
+                    Turn.ANEW
+                )  # an operator has said to go on, so it goes on as later than that
             if self.state is Standing.WHOLE:
                 self.waits = now + self.span.rest()
             return self.word(Word.LATER)
@@ -129,7 +160,12 @@
 
     def page(self, who: str, after: str, page: Page, up: int, now: int) -> Turn:
         """One page of another's records, asked for once all of our former self is over."""
-        if self.state is not Standing.GATHERING or who not in self.others or who in self.told or self.after.get(who, "") != after:
+        if (
+            self.state is not Standing.GATHERING
+            or who not in self.others
+            or who in self.told
+            or self.after.get(who, "") != after
+        ):
             return Turn.NONE
         merged(self.records, page.records, up)
         self.floor = max(self.floor, page.floor)
@@ -137,7 +173,11 @@
             self.after[who] = page.records[-1][0] if page.records else after
             return Turn.NONE
         self.told.add(who)
-        return self.word(Word.GATHERED) if len(self.told) >= needed(len(self.others) + 1) else Turn.NONE
+        return (
+            self.word(Word.GATHERED)
+            if len(self.told) >= needed(len(self.others) + 1)
+            else Turn.NONE
+        )
 
     def ordered(self) -> Turn:
         """An operator's order to go on with what there is."""
@@ -151,7 +191,11 @@
 
     def pause(self, now: int) -> int:
         """When to come back to a register that may not answer."""
-        return max(self.waits - now, HELLO) if self.state in (Standing.WAITING, Standing.GATHERING) else HELLO
+        return (
+            max(self.waits - now, HELLO)
+            if self.state in (Standing.WAITING, Standing.GATHERING)
+            else HELLO
+        )
 
     def anew(self, chance: int) -> Identity:
         """The identity of a state that was made out of the others' word."""
--- a/milletsill/fleet/channels/registers/terms.py
+++ b/milletsill/fleet/channels/registers/terms.py
@@ -1,4 +1,5 @@
 """What `Offices` keeps of a channel: the term that its holder sees, and who waits for what."""
+
 from __future__ import annotations
 
 from typing import Callable, Union
@@ -17,7 +18,9 @@
 
     __slots__ = ("channel", "ballot", "ends", "value", "age", "over", "seat", "crowd")
 
-    def __init__(self, channel: str, seat: Seat, age: int | None, crowd: set[Term]) -> None:
+    def __init__(
+        self, channel: str, seat: Seat, age: int | None, crowd: set[Term]
+    ) -> None:
         self.channel, self.seat, self.age, self.crowd = channel, seat, age, crowd
         self.ballot, self.ends, self.value = seat.ballot, seat.ends, seat.value
         self.over = False
--- a/milletsill/fleet/channels/registers/thread.py
+++ b/milletsill/fleet/channels/registers/thread.py
@@ -1,4 +1,5 @@
 """One thread for jobs that block, in their order; results come back by the reactor. A job's Fault is its result."""
+
 from __future__ import annotations
 
 import traceback
@@ -26,7 +27,11 @@
     """Bounded by those who call it: each keeps few jobs under way."""
 
     def __init__(self, reactor: Any) -> None:
-        self.reactor, self.pool, self.stopped = reactor, ThreadPool(1, 1, "register"), False
+        self.reactor, self.pool, self.stopped = (
+            reactor,
+            ThreadPool(1, 1, "register"),
+            False,
+        )
         self.pool.start()
 
     def run(self, job: Callable[[], Any], then: Callable[[Any], None]) -> None:
