--- a/milletsill/fleet/channels/world.py
+++ b/milletsill/fleet/channels/world.py
@@ -1,18 +1,39 @@
 """Keepers, registers and a network that loses, doubles, delays and reorders, for model.py: played with the very functions of
 registers/decide.py and registers/standing.py, one channel. A value is the line of all writes it was made from, so that a lost or a
 forked one shows."""
+
 from __future__ import annotations
 
 import copy
 from typing import Any, NamedTuple
 
 from milletsill.fleet.channels.registers import decide, standing
-from milletsill.fleet.channels.registers.decide import Answer, Call, Office, Record, Span
-from milletsill.fleet.channels.registers.seat import Effect, Poll, Seat, Seated, rounds_used
-from milletsill.fleet.channels.registers.standing import Identity, Joining, Page, Standing, Turn
+from milletsill.fleet.channels.registers.decide import (
+    Answer,
+    Call,
+    Office,
+    Record,
+    Span,
+)
+from milletsill.fleet.channels.registers.seat import (
+    Effect,
+    Poll,
+    Seat,
+    Seated,
+    rounds_used,
+)
+from milletsill.fleet.channels.registers.standing import (
+    Identity,
+    Joining,
+    Page,
+    Standing,
+    Turn,
+)
 
 C, MOST_FLYING = "c", 14
-SPAN = Span(10_000, 2_500, 50)  # clocks that are wrong by 5%, so that it shows past the guard of a send
+SPAN = Span(
+    10_000, 2_500, 50
+)  # clocks that are wrong by 5%, so that it shows past the guard of a send
 
 
 class Hello(NamedTuple):
@@ -63,9 +84,22 @@
 
     def key(self) -> Any:
         joining = self.joining
-        asked = joining and (joining.state, joining.own, joining.waits, tuple(sorted(joining.clean)), tuple(sorted(joining.told)),
-                             tuple(joining.records.values()))
-        return (self.record, self.office, self.floor, self.own, asked, tuple(sorted(self.known.items())))
+        asked = joining and (
+            joining.state,
+            joining.own,
+            joining.waits,
+            tuple(sorted(joining.clean)),
+            tuple(sorted(joining.told)),
+            tuple(joining.records.values()),
+        )
+        return (
+            self.record,
+            self.office,
+            self.floor,
+            self.own,
+            asked,
+            tuple(sorted(self.known.items())),
+        )
 
     def whole(self) -> bool:
         return self.joining is None or self.joining.state is Standing.WHOLE
@@ -94,24 +128,63 @@
 
     def key(self) -> Any:
         seat, poll = self.seat, self.seat.poll
-        return (seat.state, seat.ballot, seat.index, seat.value, seat.ends, seat.queued, seat.tries, seat.round, seat.nonce,
-                poll and (poll.call, poll.sent, tuple(sorted(poll.yes)), tuple(sorted(poll.no)), tuple(poll.yes.values())))
+        return (
+            seat.state,
+            seat.ballot,
+            seat.index,
+            seat.value,
+            seat.ends,
+            seat.queued,
+            seat.tries,
+            seat.round,
+            seat.nonce,
+            poll
+            and (
+                poll.call,
+                poll.sent,
+                tuple(sorted(poll.yes)),
+                tuple(sorted(poll.no)),
+                tuple(poll.yes.values()),
+            ),
+        )
 
 
 class World:
     """All of them, the messages that may still arrive, and what counted so far."""
 
-    def __init__(self, registers: int, keepers: int, span: Span = SPAN, rates: tuple[int, ...] = ()) -> None:
+    def __init__(
+        self,
+        registers: int,
+        keepers: int,
+        span: Span = SPAN,
+        rates: tuple[int, ...] = (),
+    ) -> None:
         self.span, self.now, self.nonce, self.written = span, 0, 100, 0
-        self.registers = {f"r{each}": Register(f"r{each}", 0) for each in range(registers)}
-        self.keepers = {f"k{each}": Keeper(f"k{each}", each + 1, span, registers) for each in range(keepers)}
+        self.registers = {
+            f"r{each}": Register(f"r{each}", 0) for each in range(registers)
+        }
+        self.keepers = {
+            f"k{each}": Keeper(f"k{each}", each + 1, span, registers)
+            for each in range(keepers)
+        }
         # Registers fast and keepers slow is the worst that drift allows.
-        self.rates = dict(zip([*self.registers, *self.keepers], rates or [span.drift] * registers + [-span.drift] * keepers))
+        self.rates = dict(
+            zip(
+                [*self.registers, *self.keepers],
+                rates or [span.drift] * registers + [-span.drift] * keepers,
+            )
+        )
         self.flying: list[Message] = []
         self.firsts: dict[bytes, int] = {}  # when each value counted first
         self.made: dict[bytes, int] = {}  # when it was made, by one that says so
-        self.earlier = frozenset(list(self.keepers)[1::2])  # of an earlier version, which does not
-        self.settled, self.settled_at, self.silent = b"", 0, 0  # silent: a register forgets a channel after it; 0 for never
+        self.earlier = frozenset(
+            list(self.keepers)[1::2]
+        )  # of an earlier version, which does not
+        self.settled, self.settled_at, self.silent = (
+            b"",
+            0,
+            0,
+        )  # silent: a register forgets a channel after it; 0 for never
         self.wrong: str | None = None
         self.budget = {"double": 1, "restart": 1, "older": 1, "lost": 1, "keeper": 1}
 
@@ -120,13 +193,23 @@
         made.__dict__.update(self.__dict__)
         made.registers = {name: each.copy() for name, each in self.registers.items()}
         made.keepers = {name: each.copy() for name, each in self.keepers.items()}
-        made.flying, made.budget, made.firsts = list(self.flying), dict(self.budget), dict(self.firsts)
+        made.flying, made.budget, made.firsts = (
+            list(self.flying),
+            dict(self.budget),
+            dict(self.firsts),
+        )
         made.made = dict(self.made)
         return made
 
     def key(self) -> Any:
-        return (self.now, self.settled, tuple(each.key() for each in self.registers.values()),
-                tuple(each.key() for each in self.keepers.values()), frozenset(self.flying), tuple(self.budget.values()))
+        return (
+            self.now,
+            self.settled,
+            tuple(each.key() for each in self.registers.values()),
+            tuple(each.key() for each in self.keepers.values()),
+            frozenset(self.flying),
+            tuple(self.budget.values()),
+        )
 
     def clock(self, name: str) -> int:
         return self.now * (1000 + self.rates[name]) // 1000
@@ -134,7 +217,11 @@
     # What is looked for.
 
     def look(self) -> None:
-        holding = [name for name, each in self.keepers.items() if each.seat.holds(self.clock(name))]
+        holding = [
+            name
+            for name, each in self.keepers.items()
+            if each.seat.holds(self.clock(name))
+        ]
         if len(holding) > 1:
             self.wrong = self.wrong or f"two hold the office: {holding}"
 
@@ -144,7 +231,10 @@
         older = self.settled.startswith(value) and not (seated and held)
         if not value.startswith(self.settled) and not older:
             if seated and self.silent and self.now - self.settled_at >= self.silent:
-                self.settled, self.settled_at = value, self.now  # forgotten as it was allowed to be
+                self.settled, self.settled_at = (
+                    value,
+                    self.now,
+                )  # forgotten as it was allowed to be
                 return
             self.wrong = self.wrong or f"{name} has {value!r}, {self.settled!r} counted"
         first_at = self.firsts.setdefault(value, self.now)
@@ -161,7 +251,17 @@
     def effects(self, name: str, effects: list[Effect]) -> None:
         seat = self.keepers[name].seat
         for effect in effects:
-            if effect in (Effect.ASK, Effect.ASK_HIGHER, Effect.RENEW, Effect.WRITE, Effect.MEND) and seat.poll is not None:
+            if (
+                effect
+                in (
+                    Effect.ASK,
+                    Effect.ASK_HIGHER,
+                    Effect.RENEW,
+                    Effect.WRITE,
+                    Effect.MEND,
+                )
+                and seat.poll is not None
+            ):
                 for register in self.registers:
                     self.fly(register, name, seat.poll.call)
             elif effect in (Effect.LOSE, Effect.RELEASE) and seat.gone is not None:
@@ -177,7 +277,11 @@
     def write(self, name: str) -> None:
         seat = self.keepers[name].seat
         self.written += 1
-        base = (seat.queued or (b"", 0))[0] or (seat.poll.call.value if seat.state is Seated.WRITING and seat.poll else seat.value)
+        base = (seat.queued or (b"", 0))[0] or (
+            seat.poll.call.value
+            if seat.state is Seated.WRITING and seat.poll
+            else seat.value
+        )
         value = base + self.written.to_bytes(2, "big")
         if name not in self.earlier:
             self.made[value] = self.now
@@ -198,11 +302,15 @@
         old = self.keepers[name].seat
         if old.poll is None and not old.holds(self.clock(name)):
             used = rounds_used(0, old)
-            self.keepers[name].seat = Seat(C, old.name, old.nonce, self.span, len(self.registers), used)
+            self.keepers[name].seat = Seat(
+                C, old.name, old.nonce, self.span, len(self.registers), used
+            )
 
     def start_keeper(self, name: str) -> None:
         self.nonce += 1
-        self.keepers[name] = Keeper(self.keepers[name].seat.name, self.nonce, self.span, len(self.registers))
+        self.keepers[name] = Keeper(
+            self.keepers[name].seat.name, self.nonce, self.span, len(self.registers)
+        )
 
     # Events of registers.
 
@@ -215,15 +323,30 @@
         now = self.clock(register.name)
         if sender in self.earlier:
             call = call._replace(born=decide.JUST_NOW)
-        if call.born != decide.JUST_NOW:  # as the offices date it: on the register's clock, at the earliest
+        if (
+            call.born != decide.JUST_NOW
+        ):  # as the offices date it: on the register's clock, at the earliest
             made = call.born * 1000 // (1000 + self.rates[sender])
             call = call._replace(born=made * (1000 + self.rates[register.name]) // 1000)
         if not register.whole():
-            answer = Answer(call.ask, C, call.ballot, call.index, decide.Say.AWAY, pause=1)
+            answer = Answer(
+                call.ask, C, call.ballot, call.index, decide.Say.AWAY, pause=1
+            )
         else:
-            office = register.office if register.office is not None else decide.loaded(register.base, self.span)
-            done = decide.register(register.record, office if register.record is not None else None, register.floor, call, now,
-                                   now - register.born, self.span)
+            office = (
+                register.office
+                if register.office is not None
+                else decide.loaded(register.base, self.span)
+            )
+            done = decide.register(
+                register.record,
+                office if register.record is not None else None,
+                register.floor,
+                call,
+                now,
+                now - register.born,
+                self.span,
+            )
             self.commit(register, done.record)
             register.office = done.office
             if done.answer is None:
@@ -245,7 +368,11 @@
             self.nonce += 1
             register.floor = max(register.floor, joining.floor)
             standing.fenced(records, register.floor)
-            register.own, register.record, register.office = joining.anew(self.nonce), records.get(C), None
+            register.own, register.record, register.office = (
+                joining.anew(self.nonce),
+                records.get(C),
+                None,
+            )
             register.base = self.clock(register.name)
             register.joining, register.doubted = None, False
         elif turn is Turn.BEGIN:
@@ -256,7 +383,13 @@
         register, now = self.registers[name], self.clock(name)
         others = [each for each in self.registers if each != name]
         if how == "older":
-            heard = min((self.registers[each].known.get(name, Identity(0, 0, 0)) for each in others), default=register.own)
+            heard = min(
+                (
+                    self.registers[each].known.get(name, Identity(0, 0, 0))
+                    for each in others
+                ),
+                default=register.own,
+            )
             copies = [each for each in register.copies if each[2] < heard]
             if not copies:
                 return
@@ -265,10 +398,27 @@
             if any(name not in self.registers[each].known for each in others):
                 return
             self.nonce += 1
-            register.record, register.floor, register.own, register.known = None, 0, Identity(1, self.nonce, 0), {}
+            register.record, register.floor, register.own, register.known = (
+                None,
+                0,
+                Identity(1, self.nonce, 0),
+                {},
+            )
             register.doubted = False
-        register.office, register.born, register.base, register.copies = None, now, now, []
-        register.joining = Joining(register.own, others, self.span, now, register.own.generation == 0, register.doubted)
+        register.office, register.born, register.base, register.copies = (
+            None,
+            now,
+            now,
+            [],
+        )
+        register.joining = Joining(
+            register.own,
+            others,
+            self.span,
+            now,
+            register.own.generation == 0,
+            register.doubted,
+        )
         self.hello(name)
 
     def hello(self, name: str) -> None:
@@ -284,8 +434,15 @@
     def forget(self, name: str) -> None:
         register = self.registers[name]
         record, up = register.record, self.clock(name) - register.born
-        if self.silent and record is not None and decide.forgettable(record, up, self.silent):
-            register.floor, register.office = decide.raised(register.floor, record), None
+        if (
+            self.silent
+            and record is not None
+            and decide.forgettable(record, up, self.silent)
+        ):
+            register.floor, register.office = (
+                decide.raised(register.floor, record),
+                None,
+            )
             self.commit(register, None)
 
     # The network.
@@ -294,7 +451,7 @@
         message = Message(to, sender, body)
         if message not in self.flying:
             self.flying.append(message)
-            del self.flying[:-MOST_FLYING * len(self.keepers)]
+            del self.flying[: -MOST_FLYING * len(self.keepers)]
 
     def arrive(self, place: int, stays: bool) -> None:
         to, sender, body = self.flying[place] if stays else self.flying.pop(place)
@@ -319,7 +476,9 @@
         elif isinstance(body, Hello):
             self.fly(sender, register.name, Heard(sender, register.known.get(sender)))
         elif isinstance(body, Heard) and body.of == sender:
-            register.known[sender] = max(register.known.get(sender, body.known), body.known)
+            register.known[sender] = max(
+                register.known.get(sender, body.known), body.known
+            )
         elif isinstance(body, Heard) and joining is not None:
             self.turn(register, joining.witnessed(sender, body.known, now))
         elif isinstance(body, Tell) and register.whole():
@@ -331,8 +490,15 @@
     def exchange(self, name: str, reach: tuple[str, ...], back: bool = True) -> None:
         """Everything of a keeper's open calls with some registers at once, until nothing moves; `back`: answers too."""
         for _ in range(8):
-            place = next((at for at, each in enumerate(self.flying) if (each.sender == name and each.to in reach) or (
-                back and each.to == name and each.sender in reach)), None)
+            place = next(
+                (
+                    at
+                    for at, each in enumerate(self.flying)
+                    if (each.sender == name and each.to in reach)
+                    or (back and each.to == name and each.sender in reach)
+                ),
+                None,
+            )
             if place is None:
                 break
             self.arrive(place, False)
--- a/milletsill/fleet/faults.py
+++ b/milletsill/fleet/faults.py
@@ -1,4 +1,5 @@
 """What can go wrong between gateways, by type. Each stands in docs/fleet.md with what to do."""
+
 from __future__ import annotations
 
 from milletsill.errors import Fault
@@ -7,8 +8,10 @@
 class LostState(Fault):
     """Others knew a run of this name as late as this gateway's, or later."""
 
-    remedy = ("if state_dir was lost or put back from a copy, nothing: the gateway has gone past that run; if not, see that no "
-              "other gateway bears this name")
+    remedy = (
+        "if state_dir was lost or put back from a copy, nothing: the gateway has gone past that run; if not, see that no "
+        "other gateway bears this name"
+    )
 
 
 class TwinName(Fault):
--- a/milletsill/fleet/frames/codec.py
+++ b/milletsill/fleet/frames/codec.py
@@ -1,4 +1,5 @@
 """Octets to words and back. What makes no sense is an error of a type of its own and loses nothing else."""
+
 from __future__ import annotations
 
 from struct import Struct
@@ -54,7 +55,12 @@
 
     def encode(self, message: Message) -> bytes:
         """Raises TooLong past a MiB; whoever sends datagrams looks at the length."""
-        frame = fleet_pb2.Frame(version=self.version, least=1, fleet=self.fleet, sender=put_row(message.sender))
+        frame = fleet_pb2.Frame(
+            version=self.version,
+            least=1,
+            fleet=self.fleet,
+            sender=put_row(message.sender),
+        )
         if message.what is not None:
             frame.what = message.what.value
         if message.number:
@@ -86,21 +92,49 @@
         except DecodeError:
             raise Unreadable("a frame that is no protobuf of ours") from None
         if frame.fleet != self.fleet:
-            raise OtherFleet(f"a frame of fleet {frame.fleet[:MOST_NAME]!r}", f"fleet {self.fleet!r}")
+            raise OtherFleet(
+                f"a frame of fleet {frame.fleet[:MOST_NAME]!r}", f"fleet {self.fleet!r}"
+            )
         if frame.least > self.version:
-            raise TooNew(f"a frame of version {frame.version} for {frame.least} and later", f"version {self.version}")
+            raise TooNew(
+                f"a frame of version {frame.version} for {frame.least} and later",
+                f"version {self.version}",
+            )
         sender = get_row(frame.sender)
         if sender is None or not sender.address:
             raise Unreadable("a frame without a sender")
-        if not named(frame.target or "-") or (frame.address and not addressed(frame.address)):
+        if not named(frame.target or "-") or (
+            frame.address and not addressed(frame.address)
+        ):
             raise Unreadable("a frame for a name or address that cannot be one")
-        rows = tuple(row for each in frame.row[:ROWS_A_FRAME] if (row := get_row(each)) is not None)
-        return Message(KNOWN_WHATS.get(frame.what), sender, rows, frame.number, frame.target, frame.address, frame.digest,
-                       KNOWN_KINDS.get(frame.kind), frame.body, frame.answer, frame.version)
+        rows = tuple(
+            row
+            for each in frame.row[:ROWS_A_FRAME]
+            if (row := get_row(each)) is not None
+        )
+        return Message(
+            KNOWN_WHATS.get(frame.what),
+            sender,
+            rows,
+            frame.number,
+            frame.target,
+            frame.address,
+            frame.digest,
+            KNOWN_KINDS.get(frame.kind),
+            frame.body,
+            frame.answer,
+            frame.version,
+        )
 
 
 def put_row(row: Row) -> Any:
-    made = fleet_pb2.Row(name=row.name, run=row.run, nonce=row.nonce, standing=row.standing.value, by=row.by)
+    made = fleet_pb2.Row(
+        name=row.name,
+        run=row.run,
+        nonce=row.nonce,
+        standing=row.standing.value,
+        by=row.by,
+    )
     if row.turn:
         made.turn = row.turn
     if row.address:
@@ -115,32 +149,62 @@
     standing = KNOWN_STANDINGS.get(row.standing)
     if max(row.run, row.turn, row.age) >= MOST_NUMBER:
         return None
-    if standing is None or not named(row.name) or (row.address and not addressed(row.address)):
+    if (
+        standing is None
+        or not named(row.name)
+        or (row.address and not addressed(row.address))
+    ):
         return None
-    return Row(row.name, row.run, row.nonce, row.turn, standing, row.address, row.age,
-               tuple(each for each in row.by[:MOST_BY] if named(each)))
+    return Row(
+        row.name,
+        row.run,
+        row.nonce,
+        row.turn,
+        standing,
+        row.address,
+        row.age,
+        tuple(each for each in row.by[:MOST_BY] if named(each)),
+    )
 
 
 def named(text: str) -> bool:
     """Whether it can be a name; protobuf hands over bytes where a string is not UTF-8."""
-    return isinstance(text, str) and 0 < len(text) <= MOST_NAME and text.isprintable() and " " not in text
+    return (
+        isinstance(text, str)
+        and 0 < len(text) <= MOST_NAME
+        and text.isprintable()
+        and " " not in text
+    )
 
 
 def addressed(text: str) -> bool:
     if not isinstance(text, str):
         return False
     host, _, port = text.rpartition(":")
-    return bool(host) and len(text) <= MOST_ADDRESS and port.isascii() and port.isdecimal() and 0 < int(port) < 65_536
+    return (
+        bool(host)
+        and len(text) <= MOST_ADDRESS
+        and port.isascii()
+        and port.isdecimal()
+        and 0 < int(port) < 65_536
+    )
 
 
 def row_room(row: Row) -> int:
     """Octets that a row takes at most, its head in the frame with it."""
-    return 42 + len(row.name.encode()) + len(row.address) + sum(2 + len(each.encode()) for each in row.by)
+    return (
+        42
+        + len(row.name.encode())
+        + len(row.address)
+        + sum(2 + len(each.encode()) for each in row.by)
+    )
 
 
 def head_room(fleet: str, sender: Row) -> int:
     """Octets of a datagram that are left for rows, with the longest target and address in it."""
-    return MOST_DATAGRAM - (64 + len(fleet.encode()) + row_room(sender) + 4 * MOST_NAME + MOST_ADDRESS)
+    return MOST_DATAGRAM - (
+        64 + len(fleet.encode()) + row_room(sender) + 4 * MOST_NAME + MOST_ADDRESS
+    )
 
 
 class Frames:
@@ -160,7 +224,7 @@
             if len(self.held) - at - LENGTH.size < size:
                 break
             at += LENGTH.size
-            yield bytes(self.held[at:at + size])
+            yield bytes(self.held[at : at + size])
             at += size
         del self.held[:at]
 
--- a/milletsill/fleet/frames/words.py
+++ b/milletsill/fleet/frames/words.py
@@ -1,4 +1,5 @@
 """What a frame says, apart from its octets: the words that decide.py of `members` speaks."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
--- a/milletsill/fleet/health/decide.py
+++ b/milletsill/fleet/health/decide.py
@@ -3,6 +3,7 @@
 `Judge.look` is a function of the rows, the view and what the judge held at the look before; gateways with equal rows and views
 agree within a few looks. Times are whole tenths of a millisecond. See docs/health.md.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
@@ -19,27 +20,53 @@
 CALM_PUBLISH = 4  # periods between rows that have nothing ill in them
 ROUND, EXCHANGE, FAN, MOST_WAITING = SECOND // 10, SECOND, 2, 8192
 FAINT = 0.05  # a word of fewer answers says nothing
-MOST_PACES, KNOWN, SIZES = 256, 8, 2.0  # of which the usual is the median; until it is known; doublings of a size class
+MOST_PACES, KNOWN, SIZES = (
+    256,
+    8,
+    2.0,
+)  # of which the usual is the median; until it is known; doublings of a size class
 MOST_KINDS, MOST_PACE = 4096, 8.0
 LASTS = 4  # periods that advice lasts when it is not renewed
 # Voices: one origin has at most one on each box.
 TRIM = 0.05  # of the gateways: the worst words of so many do not count
 FEWEST, FEWEST_ILL = 2.5, 0.6  # voices for a finding, and on a box that few try
 MOST_TRIM = 0.2  # the trimmed are at most this part of the voices, or one
-SPREAD_FREE, SPREAD_NONE = 0.3, 0.6  # past the usual, an origin's ill share that starts to cost it its voice, and all of it
-FATIGUE, IDLE_ILL = 20 * SECOND, 0.2  # over this an origin's ill words are held against the usual, plus so many
+SPREAD_FREE, SPREAD_NONE = (
+    0.3,
+    0.6,
+)  # past the usual, an origin's ill share that starts to cost it its voice, and all of it
+FATIGUE, IDLE_ILL = (
+    20 * SECOND,
+    0.2,
+)  # over this an origin's ill words are held against the usual, plus so many
 # Findings: to be called, and to be called no longer.
-ILL_LOST, ILL_LONG, WELL_LOST, FAILS_LOST = 0.2, 0.12, 0.06, 0.5  # the second of what is smoothed
+ILL_LOST, ILL_LONG, WELL_LOST, FAILS_LOST = (
+    0.2,
+    0.12,
+    0.06,
+    0.5,
+)  # the second of what is smoothed
 ILL_PACE, WELL_PACE = 0.5, 0.25  # log2
-PACED, PACE_TAU, LOST_TAU = 4.0, 2 * SECOND, 4 * SECOND  # voices with a pace that count; what a box's are smoothed over
+PACED, PACE_TAU, LOST_TAU = (
+    4.0,
+    2 * SECOND,
+    4 * SECOND,
+)  # voices with a pace that count; what a box's are smoothed over
 WARM = 3 * SECOND  # of a judge, until it calls
 CONFIRMED = 2  # looks in a row
 # Load: part of the gateways that may send. It sinks while most of what a box gets is wasted, and rises while little is.
 SINK_WASTE, RISE_WASTE, SINK, SINK_FAILING, RISE = 0.5, 0.25, 0.8, 0.5, 0.03
 RAMP, RAMP_STEP = 1.35, 0.02  # of a box that is well again
 STRAINED = 0.3  # waste of the middle box past which a slow one keeps its load: the others could not bear it
-PROBES, FEWEST_PROBERS = 3.0, 3  # a second on all ill boxes, by all gateways; gateways for one box at least
-MOST_STRAIN, LOST_STRAIN, TRIED = 4.0, 3.0, 0.0  # advice against a node, in shortest target times
+PROBES, FEWEST_PROBERS = (
+    3.0,
+    3,
+)  # a second on all ill boxes, by all gateways; gateways for one box at least
+MOST_STRAIN, LOST_STRAIN, TRIED = (
+    4.0,
+    3.0,
+    0.0,
+)  # advice against a node, in shortest target times
 
 Verdict = Enum("Verdict", "STEADY DEGRADED FAILING RECOVERING")
 CALLED = (Verdict.DEGRADED, Verdict.FAILING)
@@ -55,14 +82,23 @@
     (Verdict.RECOVERING, Finding.WELL): (Verdict.RECOVERING, "ramp"),
     (Verdict.RECOVERING, Finding.WHOLE): (Verdict.STEADY, ""),
     # In a small fleet all try a box that is called, so that it is whole as soon as it is well.
-    **{(verdict, Finding.WHOLE): (Verdict.RECOVERING, "ramp") for verdict in (Verdict.FAILING, Verdict.DEGRADED)},
+    **{
+        (verdict, Finding.WHOLE): (Verdict.RECOVERING, "ramp")
+        for verdict in (Verdict.FAILING, Verdict.DEGRADED)
+    },
     # Where too few may send to learn its pace, more must: a box that failed would else stay so for good.
     (Verdict.FAILING, Finding.UNSURE): (Verdict.FAILING, "ease"),
     (Verdict.DEGRADED, Finding.UNSURE): (Verdict.DEGRADED, "ease"),
     (Verdict.RECOVERING, Finding.UNSURE): (Verdict.RECOVERING, "ramp"),
     (Verdict.FAILING, Finding.SILENT): (Verdict.FAILING, "ramp"),
-    **{(verdict, Finding.SILENT): (Verdict.RECOVERING, "ramp") for verdict in (Verdict.DEGRADED, Verdict.RECOVERING)},
-    **{(verdict, Finding.DOUBTED): (Verdict.RECOVERING, "ramp") for verdict in (Verdict.DEGRADED, Verdict.FAILING)},
+    **{
+        (verdict, Finding.SILENT): (Verdict.RECOVERING, "ramp")
+        for verdict in (Verdict.DEGRADED, Verdict.RECOVERING)
+    },
+    **{
+        (verdict, Finding.DOUBTED): (Verdict.RECOVERING, "ramp")
+        for verdict in (Verdict.DEGRADED, Verdict.FAILING)
+    },
     (Verdict.RECOVERING, Finding.DOUBTED): (Verdict.RECOVERING, "ramp"),
 }
 
@@ -140,7 +176,14 @@
         self.rate = 0.0  # answers a second of the middle gateway from one box
         self.doubted = 0  # boxes whose ill findings were not believed at the last look
 
-    def look(self, rows: Rows, members: int, order: "Order", cells: Mapping[int, int], now: int) -> list[Turn]:
+    def look(
+        self,
+        rows: Rows,
+        members: int,
+        order: "Order",
+        cells: Mapping[int, int],
+        now: int,
+    ) -> list[Turn]:
         """One look at all rows. `cells`: the boxes that are listed, with their cells."""
         for box in [each for each in self.boxes if each not in cells]:
             del self.boxes[box]
@@ -156,32 +199,56 @@
             # Few try a called box, and in a small or quiet fleet PACED are never reached: what it is held for could not fade
             # else. Harm: noise, on boxes that are called already.
             if held.sum.paced >= (FEWEST_ILL if held.verdict in CALLED else PACED):
-                held.pace += (1 - exp(-span / PACE_TAU)) * (held.sum.pace - common - held.pace)
+                held.pace += (1 - exp(-span / PACE_TAU)) * (
+                    held.sum.pace - common - held.pace
+                )
             if held.sum.voices > FAINT:
                 held.lost += (1 - exp(-span / LOST_TAU)) * (held.sum.lost - held.lost)
         if self.began < 0:
             self.began = now
-        if now - self.began < WARM:  # guards against the few rows that come first; harm: it learns alone until then
+        if (
+            now - self.began < WARM
+        ):  # guards against the few rows that come first; harm: it learns alone until then
             return []
         found = {box: self.find(held) for box, held in self.boxes.items()}
         self.doubt(found, cells)
-        strained = median([each.sum.waste for each in self.boxes.values()] or [0.0]) > STRAINED
-        return [turn for box, finding in found.items()
-                if (turn := self.step(box, self.boxes[box], finding, members, strained))]
-
-    def gather(self, rows: Rows, cells: Mapping[int, int], now: int) -> dict[int, list[Voice]]:
+        strained = (
+            median([each.sum.waste for each in self.boxes.values()] or [0.0]) > STRAINED
+        )
+        return [
+            turn
+            for box, finding in found.items()
+            if (turn := self.step(box, self.boxes[box], finding, members, strained))
+        ]
+
+    def gather(
+        self, rows: Rows, cells: Mapping[int, int], now: int
+    ) -> dict[int, list[Voice]]:
         """Words that have not faded, by box."""
         found: dict[int, list[Voice]] = {}
         answers, since = [], now - 4 * TAU
-        spans = {box: TAU if held.verdict is Verdict.STEADY else TAU / 2 for box, held in self.boxes.items()}
+        spans = {
+            box: TAU if held.verdict is Verdict.STEADY else TAU / 2
+            for box, held in self.boxes.items()
+        }
         for row in rows.rows.values():
-            answers.append(sum(word.seen for word in row.words.values() if word.at >= now - TAU))
+            answers.append(
+                sum(word.seen for word in row.words.values() if word.at >= now - TAU)
+            )
             for box, word in row.words.items():
                 if word.at >= since and box in spans:
                     left = exp(-max(now - word.at, 0) / spans[box])
                     if word.seen * left > FAINT:
-                        found.setdefault(box, []).append(Voice(row.origin, min(word.seen * left, 1.0), word.lost, word.waste,
-                                                               min(word.paced * left, 1.0), word.pace))
+                        found.setdefault(box, []).append(
+                            Voice(
+                                row.origin,
+                                min(word.seen * left, 1.0),
+                                word.lost,
+                                word.waste,
+                                min(word.paced * left, 1.0),
+                                word.pace,
+                            )
+                        )
         self.rate = median(answers or [0.0]) / (TAU / SECOND) / max(len(cells), 1)
         return found
 
@@ -200,36 +267,65 @@
         usual_total = median(total.values())
         usual_share = median(ill[each] / total[each] for each in total)
         new = 1 - exp(-span / FATIGUE)
-        self.ills = {each: self.ills.get(each, 0.0) * (1 - new) + ill.get(each, 0.0) * new for each in total | self.ills
-                     if each in total or self.ills.get(each, 0.0) > FAINT}
+        self.ills = {
+            each: self.ills.get(each, 0.0) * (1 - new) + ill.get(each, 0.0) * new
+            for each in total | self.ills
+            if each in total or self.ills.get(each, 0.0) > FAINT
+        }
         usual_ill = 2 * median(self.ills.get(each, 0.0) for each in total) + IDLE_ILL
         weights = {}
         for each, whole in total.items():
             spread = ill[each] / whole - usual_share if whole > 1 else 0.0
-            weights[each] = (min(2 * usual_total / whole, 1.0) * min(usual_ill / max(self.ills[each], 1e-9), 1.0) ** 2
-                             * min(max((SPREAD_NONE - spread) / (SPREAD_NONE - SPREAD_FREE), 0.0), 1.0))
+            weights[each] = (
+                min(2 * usual_total / whole, 1.0)
+                * min(usual_ill / max(self.ills[each], 1e-9), 1.0) ** 2
+                * min(
+                    max((SPREAD_NONE - spread) / (SPREAD_NONE - SPREAD_FREE), 0.0), 1.0
+                )
+            )
         for each in (voice for held in voices.values() for voice in held):
             each.weight *= weights[each.origin]
             each.paced *= weights[each.origin]
 
-    def add(self, voices: list[Voice], members: int, part: float, order: "Order", box: int) -> Sum:
+    def add(
+        self, voices: list[Voice], members: int, part: float, order: "Order", box: int
+    ) -> Sum:
         """The voices on one box of those who may send to it: the worst words of a few do not count."""
         if part < 1:
             places = order(box)
-            voices = [each for each in voices if admitted(places.get(each.origin, members), members, part)]
+            voices = [
+                each
+                for each in voices
+                if admitted(places.get(each.origin, members), members, part)
+            ]
         whole = sum(each.weight for each in voices)
         if whole <= 0:
             return Sum()
         trim = max(min(TRIM * members * part, whole * MOST_TRIM), min(1.0, whole / 3))
         rest = whole - trim
-        return Sum(whole, max(sum(each.weight * each.lost for each in voices) - trim, 0.0) / rest,
-                   max(sum(each.weight * each.waste for each in voices) - trim, 0.0) / rest,
-                   weighted_median([(each.pace, each.paced) for each in voices if each.paced > 0]),
-                   sum(each.paced for each in voices))
+        return Sum(
+            whole,
+            max(sum(each.weight * each.lost for each in voices) - trim, 0.0) / rest,
+            max(sum(each.weight * each.waste for each in voices) - trim, 0.0) / rest,
+            weighted_median(
+                [(each.pace, each.paced) for each in voices if each.paced > 0]
+            ),
+            sum(each.paced for each in voices),
+        )
 
     def common(self) -> float:
         """The pace of the middle box: what all have is not a box's."""
-        return max(median([each.sum.pace for each in self.boxes.values() if each.sum.paced >= PACED] or [0.0]), 0.0)
+        return max(
+            median(
+                [
+                    each.sum.pace
+                    for each in self.boxes.values()
+                    if each.sum.paced >= PACED
+                ]
+                or [0.0]
+            ),
+            0.0,
+        )
 
     def find(self, held: Held) -> Finding:
         """What the voices say of a box, with hysteresis in both thresholds and time."""
@@ -243,7 +339,11 @@
             finding = Finding.LOST
         elif all_of.lost >= ILL_LOST or held.lost >= ILL_LONG or pace >= ILL_PACE:
             finding = Finding.ILL
-        elif max(all_of.lost, 0.0 if held.verdict is Verdict.FAILING else held.lost) <= WELL_LOST and pace <= WELL_PACE:
+        elif (
+            max(all_of.lost, 0.0 if held.verdict is Verdict.FAILING else held.lost)
+            <= WELL_LOST
+            and pace <= WELL_PACE
+        ):
             finding = Finding.WELL
         else:
             finding = Finding.UNSURE
@@ -251,8 +351,12 @@
         held.seems = finding
         if finding is Finding.ILL and held.times < CONFIRMED:
             return Finding.UNSURE
-        if finding in (Finding.WELL, Finding.SILENT, Finding.UNSURE) and held.part >= 1 and held.open >= 1 and (
-                finding is not Finding.UNSURE or held.verdict is Verdict.RECOVERING):
+        if (
+            finding in (Finding.WELL, Finding.SILENT, Finding.UNSURE)
+            and held.part >= 1
+            and held.open >= 1
+            and (finding is not Finding.UNSURE or held.verdict is Verdict.RECOVERING)
+        ):
             return Finding.WHOLE
         return finding
 
@@ -260,15 +364,26 @@
         """Guards the rest of the fleet against verdicts on too many at once: of a cell the less ill are not called, and past
         `most_part` of all none is believed, for the fault is elsewhere. Harm: many boxes that are truly ill go uncalled, and
         each gateway learns alone as without the others."""
-        ill = [box for box, each in found.items() if each in (Finding.LOST, Finding.ILL)
-               or each is Finding.UNSURE and self.boxes[box].verdict in CALLED]
+        ill = [
+            box
+            for box, each in found.items()
+            if each in (Finding.LOST, Finding.ILL)
+            or each is Finding.UNSURE
+            and self.boxes[box].verdict in CALLED
+        ]
         sizes: dict[int, int] = {}
         for cell in cells.values():
             sizes[cell] = sizes.get(cell, 0) + 1
         taken: dict[int, int] = {}
         self.doubted = 0
         spent = len(ill) > max(self.most_part * len(cells), 1.0)
-        ill.sort(key=lambda box: (self.boxes[box].verdict not in CALLED, -self.boxes[box].sum.lost, box))
+        ill.sort(
+            key=lambda box: (
+                self.boxes[box].verdict not in CALLED,
+                -self.boxes[box].sum.lost,
+                box,
+            )
+        )
         for box in ill:
             cell = cells[box]
             taken[cell] = taken.get(cell, 0) + 1
@@ -276,12 +391,17 @@
                 found[box] = Finding.DOUBTED
                 self.doubted += 1
 
-    def step(self, box: int, held: Held, finding: Finding, members: int, strained: bool) -> Turn | None:
+    def step(
+        self, box: int, held: Held, finding: Finding, members: int, strained: bool
+    ) -> Turn | None:
         """Read the table and act."""
         old = held.verdict
         held.verdict, effect = TABLE.get((old, finding), (old, ""))
         ill = max(sum(each.verdict in CALLED for each in self.boxes.values()), 1)
-        least = min(max(PROBES / ill / max(self.rate, 1e-9), FEWEST_PROBERS) / max(members, 1), 1.0)
+        least = min(
+            max(PROBES / ill / max(self.rate, 1e-9), FEWEST_PROBERS) / max(members, 1),
+            1.0,
+        )
         if effect == "sink":
             held.part = max(held.part * SINK_FAILING, least)
         elif effect == "ease" and held.sum.waste > SINK_WASTE and not strained:
@@ -297,12 +417,18 @@
             return None
         if old is Verdict.FAILING or held.verdict is Verdict.RECOVERING:
             held.lost = held.sum.lost  # what was is over
-        cause = (f"{finding.name.lower()}: {held.sum.voices:.1f} voices, {held.sum.lost:.2f} lost, {held.sum.waste:.2f} of no "
-                 f"use, pace {2 ** held.pace:.1f} of the usual")
+        cause = (
+            f"{finding.name.lower()}: {held.sum.voices:.1f} voices, {held.sum.lost:.2f} lost, {held.sum.waste:.2f} of no "
+            f"use, pace {2**held.pace:.1f} of the usual"
+        )
         return Turn(box, old, held.verdict, cause)
 
     def called(self) -> list[int]:
-        return [box for box, held in self.boxes.items() if held.verdict is not Verdict.STEADY]
+        return [
+            box
+            for box, held in self.boxes.items()
+            if held.verdict is not Verdict.STEADY
+        ]
 
     def advice(self, box: int, place: int, members: int) -> tuple[float, bool]:
         """Of a box that is not STEADY: what speaks against it, in shortest target times, and whether this gateway keeps away.
@@ -310,8 +436,10 @@
         held = self.boxes[box]
         if admitted(place, members, held.open):
             return TRIED, False
-        ill = LOST_STRAIN * held.sum.lost + max(2 ** held.pace - 1, 0.0)
-        strain = MOST_STRAIN if held.verdict is Verdict.FAILING else min(ill, MOST_STRAIN)
+        ill = LOST_STRAIN * held.sum.lost + max(2**held.pace - 1, 0.0)
+        strain = (
+            MOST_STRAIN if held.verdict is Verdict.FAILING else min(ill, MOST_STRAIN)
+        )
         return strain, not admitted(place, members, held.part)
 
 
@@ -329,5 +457,7 @@
     def __call__(self, box: int) -> dict[int, int]:
         found = self.places.get(box)
         if found is None:
-            found = self.places[box] = {origin: place for place, origin in enumerate(self.chosen(f"box {box}"))}  # type: ignore
+            found = self.places[box] = {
+                origin: place for place, origin in enumerate(self.chosen(f"box {box}"))
+            }  # type: ignore
         return found
--- a/milletsill/fleet/health/edge.py
+++ b/milletsill/fleet/health/edge.py
@@ -3,6 +3,7 @@
 Nothing here waits for another gateway. Advice ends by itself some periods after it was last said. A gateway whose file has no
 `health` block in its `fleet` loads none of this.
 """
+
 from __future__ import annotations
 
 from typing import Any, Callable, Sequence
@@ -10,7 +11,15 @@
 import xxhash
 from prometheus_client import Counter, Gauge
 
-from milletsill.fleet.health.decide import CALM_PUBLISH, LASTS, ROUND, TAU, Judge, Order, Verdict
+from milletsill.fleet.health.decide import (
+    CALM_PUBLISH,
+    LASTS,
+    ROUND,
+    TAU,
+    Judge,
+    Order,
+    Verdict,
+)
 from milletsill.fleet.health.observe import Observer, urgent
 from milletsill.fleet.health.rows import RowRefused, Rows
 from milletsill.fleet.health.spread import Spread
@@ -28,30 +37,83 @@
 class Sharing:
     """`remark` takes a line that someone should look at, `note` one that says what goes on."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], link: Any, seed: int, plane: Plane, host: Any,
-                 remark: Callable[..., None], note: Callable[..., None], registry: Any, most_boxes: int) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        link: Any,
+        seed: int,
+        plane: Plane,
+        host: Any,
+        remark: Callable[..., None],
+        note: Callable[..., None],
+        registry: Any,
+        most_boxes: int,
+    ) -> None:
         self.reactor, self.now, self.plane, self.host = reactor, now, plane, host
         self.remark, self.note = remark, note
-        self.period, self.lasts = int(link.health.publish_ms * 10), int(link.health.lasts_s * 10_000)
+        self.period, self.lasts = (
+            int(link.health.publish_ms * 10),
+            int(link.health.lasts_s * 10_000),
+        )
         self.key = key_of(plane.name)
         self.rows = Rows(self.key, plane.run, link.most_members, most_boxes)
-        self.spread = Spread(self.rows, seed, lambda member, body: plane.tell(member, Kind.HEALTH, body))
-        self.observer, self.judge, self.order = Observer(host.facts), Judge(link.health.most_part), Order()
+        self.spread = Spread(
+            self.rows, seed, lambda member, body: plane.tell(member, Kind.HEALTH, body)
+        )
+        self.observer, self.judge, self.order = (
+            Observer(host.facts),
+            Judge(link.health.most_part),
+            Order(),
+        )
         self.present: set[int] = {self.key}
         self.others: list[str] = []
         self.cells: dict[int, int] = {}
-        self.turn, self.refused_at, self.doubted, self.sent = 0, now() - SAY_EVERY, False, 0
+        self.turn, self.refused_at, self.doubted, self.sent = (
+            0,
+            now() - SAY_EVERY,
+            False,
+            0,
+        )
         self.calls: dict[str, Any] = {}
         self.stopped = False
-        self.verdicts = Gauge("milletsill_health_boxes", "Boxes by verdict", ("verdict",), registry=registry)
-        self.turns = Counter("milletsill_health_verdicts", "Changes of verdicts, by the new one", ("verdict",), registry=registry)
-        self.octets = Counter("milletsill_health_octets", "Octets of rows told to other gateways", registry=registry)
-        self.refused = Counter("milletsill_health_refused", "Frames and rows that were not taken", registry=registry)
-        self.held = Gauge("milletsill_health_rows", "Rows of gateways, this one's with them", registry=registry)
-        self.disbelieved = Gauge("milletsill_health_doubted", "Boxes that seem ill and are not called, for too many do",
-                                 registry=registry)
-        self.kept_away = Gauge("milletsill_health_away", "Boxes that this gateway was advised to keep away from",
-                               registry=registry)
+        self.verdicts = Gauge(
+            "milletsill_health_boxes",
+            "Boxes by verdict",
+            ("verdict",),
+            registry=registry,
+        )
+        self.turns = Counter(
+            "milletsill_health_verdicts",
+            "Changes of verdicts, by the new one",
+            ("verdict",),
+            registry=registry,
+        )
+        self.octets = Counter(
+            "milletsill_health_octets",
+            "Octets of rows told to other gateways",
+            registry=registry,
+        )
+        self.refused = Counter(
+            "milletsill_health_refused",
+            "Frames and rows that were not taken",
+            registry=registry,
+        )
+        self.held = Gauge(
+            "milletsill_health_rows",
+            "Rows of gateways, this one's with them",
+            registry=registry,
+        )
+        self.disbelieved = Gauge(
+            "milletsill_health_doubted",
+            "Boxes that seem ill and are not called, for too many do",
+            registry=registry,
+        )
+        self.kept_away = Gauge(
+            "milletsill_health_away",
+            "Boxes that this gateway was advised to keep away from",
+            registry=registry,
+        )
 
     # Life.
 
@@ -72,6 +134,7 @@
 
     def every(self, name: str, span: int, call: Callable[[], None]) -> None:
         """One timer a name, until the end."""
+
         def ring() -> None:
             self.every(name, span, call)
             call()
@@ -87,7 +150,11 @@
             return
         self.observer.list(entries)
         told = {each.node: each for each in entries}
-        ready = {each.node: each.cell for each in entries if each.readiness is Readiness.READY}
+        ready = {
+            each.node: each.cell
+            for each in entries
+            if each.readiness is Readiness.READY
+        }
         if news is News.CHANGES:
             ready |= {box: cell for box, cell in self.cells.items() if box not in told}
         self.cells = ready
@@ -131,11 +198,19 @@
         self.rows.keep(self.present, now - min(self.lasts, 4 * TAU))
         for turn in self.judge.look(self.rows, members, self.order, self.cells, now):
             self.turns.labels(turn.new.name.lower()).inc()
-            self.note("box_verdict", box=turn.box, old=turn.old.name.lower(), new=turn.new.name.lower(), cause=turn.cause)
+            self.note(
+                "box_verdict",
+                box=turn.box,
+                old=turn.old.name.lower(),
+                new=turn.new.name.lower(),
+                cause=turn.cause,
+            )
         away = 0
         for box, held in self.judge.boxes.items():
             if held.verdict is not Verdict.STEADY:  # orders are made for these alone
-                strain, keep_away = self.judge.advice(box, self.order(box).get(self.key, members), members)
+                strain, keep_away = self.judge.advice(
+                    box, self.order(box).get(self.key, members), members
+                )
                 away += keep_away
                 self.host.advised(box, strain, keep_away, now + LASTS * self.period)
         self.show(away)
@@ -152,12 +227,24 @@
         if doubted is not self.doubted:
             self.doubted = doubted
             if doubted:
-                self.remark("health_doubted", boxes=self.judge.doubted, of=len(self.cells))
+                self.remark(
+                    "health_doubted", boxes=self.judge.doubted, of=len(self.cells)
+                )
             else:
                 self.note("health_believed", boxes=len(self.cells))
 
 
 def sharing_of(edge: Any, seed: int) -> Sharing:
     """For a gateway whose file asks for it; `edge` has its parts."""
-    return Sharing(edge.reactor, edge.now, edge.file.fleet, seed, edge.fleet, edge.host, edge.remark,
-                   lambda event, **values: edge.log.info(event, **values), edge.figures.registry, edge.file.registry.most_boxes)
+    return Sharing(
+        edge.reactor,
+        edge.now,
+        edge.file.fleet,
+        seed,
+        edge.fleet,
+        edge.host,
+        edge.remark,
+        lambda event, **values: edge.log.info(event, **values),
+        edge.figures.registry,
+        edge.file.registry.most_boxes,
+    )
--- a/milletsill/fleet/health/observe.py
+++ b/milletsill/fleet/health/observe.py
@@ -1,5 +1,6 @@
 """Answers of this gateway's own dispatches as words on boxes: what came to nothing, what came late, and the pace beside the
 usual one of boxes of its kind with as much in work, size by size. No I/O, no clock."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -7,7 +8,15 @@
 from statistics import median
 from typing import Any, Iterable, Sequence
 
-from milletsill.fleet.health.decide import FAINT, KNOWN, MOST_KINDS, MOST_PACE, MOST_PACES, SIZES, TAU
+from milletsill.fleet.health.decide import (
+    FAINT,
+    KNOWN,
+    MOST_KINDS,
+    MOST_PACE,
+    MOST_PACES,
+    SIZES,
+    TAU,
+)
 from milletsill.fleet.health.rows import Word
 from milletsill.interface import Answer, Arrival, Listed, Outcome
 
@@ -36,17 +45,37 @@
     __slots__ = ("at", "seen", "lost", "waste", "paced", "pace", "told")
 
     def __init__(self, now: int) -> None:
-        self.at, self.seen, self.lost, self.waste, self.paced, self.pace, self.told = now, 0.0, 0.0, 0.0, 0.0, 0.0, True
+        self.at, self.seen, self.lost, self.waste, self.paced, self.pace, self.told = (
+            now,
+            0.0,
+            0.0,
+            0.0,
+            0.0,
+            0.0,
+            True,
+        )
 
     def add(self, lost: bool, waste: bool, past: float | None) -> None:
         """One answer: whether it came to nothing, was of no use, and how far from the usual pace, as log2."""
-        self.seen, self.lost, self.waste, self.told = self.seen + 1, self.lost + lost, self.waste + waste, False
+        self.seen, self.lost, self.waste, self.told = (
+            self.seen + 1,
+            self.lost + lost,
+            self.waste + waste,
+            False,
+        )
         if past is not None:
-            self.paced, self.pace = self.paced + 1, self.pace + min(max(past, -MOST_PACE), MOST_PACE)
+            self.paced, self.pace = (
+                self.paced + 1,
+                self.pace + min(max(past, -MOST_PACE), MOST_PACE),
+            )
 
     def fade(self, now: int) -> None:
         left, self.at = exp(-max(now - self.at, 0) / TAU), now
-        self.seen, self.lost, self.waste = self.seen * left, self.lost * left, self.waste * left
+        self.seen, self.lost, self.waste = (
+            self.seen * left,
+            self.lost * left,
+            self.waste * left,
+        )
         self.paced, self.pace = self.paced * left, self.pace * left
 
 
@@ -75,7 +104,9 @@
         entry = self.listed.get(answer.node)
         if entry is None or answer.outcome not in LOST + (Outcome.SATISFIED,):
             return
-        sight = self.sights.get(answer.node) or self.sights.setdefault(answer.node, Sight(now))
+        sight = self.sights.get(answer.node) or self.sights.setdefault(
+            answer.node, Sight(now)
+        )
         sight.fade(now)
         lost = answer.outcome is not Outcome.SATISFIED
         late = not lost and answer.latency > self.targets[arrival.category]
@@ -87,9 +118,21 @@
         """How much longer than usual, as log2: for its kind, size, and what it had in work. A box that reports nothing of that
         is taken as one with nothing in work: then much work looks like a slow box, and only the bounds hold."""
         cores = max(entry.size, 1.0)
-        work = answer.report.get("inflight", answer.report.get("queue", 0.0) + answer.report.get("busy", 0.0) * cores)
-        pace = log2(max(answer.latency, 1) / max(arrival.units, 1e-6) / max((work + 1) / cores, 1.0))
-        kind = (entry.kind, entry.size, arrival.write, int(log2(max(arrival.units, 1)) / SIZES))
+        work = answer.report.get(
+            "inflight",
+            answer.report.get("queue", 0.0) + answer.report.get("busy", 0.0) * cores,
+        )
+        pace = log2(
+            max(answer.latency, 1)
+            / max(arrival.units, 1e-6)
+            / max((work + 1) / cores, 1.0)
+        )
+        kind = (
+            entry.kind,
+            entry.size,
+            arrival.write,
+            int(log2(max(arrival.units, 1)) / SIZES),
+        )
         usual = self.usual.get(kind)
         if usual is None:
             if len(self.usual) >= MOST_KINDS:
@@ -116,6 +159,13 @@
             each.fade(now)
             each.told = True
             if each.seen > FAINT:
-                found[box] = Word(0, now, each.seen, each.lost / each.seen, each.waste / each.seen, each.paced,
-                                  each.pace / each.paced if each.paced > 0 else 0.0)
+                found[box] = Word(
+                    0,
+                    now,
+                    each.seen,
+                    each.lost / each.seen,
+                    each.waste / each.seen,
+                    each.paced,
+                    each.pace / each.paced if each.paced > 0 else 0.0,
+                )
     return found
--- a/milletsill/fleet/health/rows.py
+++ b/milletsill/fleet/health/rows.py
@@ -4,6 +4,7 @@
 A copy knows up to which sequence it has all (`upto`); a difference that leaves a gap gives its words and no more, and the gap
 is closed by an exchange. No I/O, no clock.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
@@ -62,7 +63,11 @@
 
     def __init__(self, own: int, run: int, most_rows: int, most_boxes: int) -> None:
         self.rows = {own: Row(own, run)}
-        self.own, self.most_rows, self.most_boxes = self.rows[own], most_rows, most_boxes
+        self.own, self.most_rows, self.most_boxes = (
+            self.rows[own],
+            most_rows,
+            most_boxes,
+        )
 
     def restart(self, run: int) -> None:
         """Another run of this gateway: its row begins anew, so that what others have of an older one gives way."""
@@ -74,7 +79,11 @@
         row = self.own
         base, row.sequence = row.sequence, row.sequence + 1
         row.upto = row.sequence
-        kept = {box: word for box, word in words.items() if box in row.words or len(row.words) < self.most_boxes}
+        kept = {
+            box: word
+            for box, word in words.items()
+            if box in row.words or len(row.words) < self.most_boxes
+        }
         for box, word in kept.items():
             word.sequence = row.sequence
             row.words[box] = word
@@ -92,7 +101,9 @@
         elif news.run < row.run:
             return False
         if len(row.words.keys() | news.words.keys()) > self.most_boxes:
-            raise RowRefused(f"a row of over {self.most_boxes} boxes", f"origin {news.origin:016x}")
+            raise RowRefused(
+                f"a row of over {self.most_boxes} boxes", f"origin {news.origin:016x}"
+            )
         newer = False
         for box, word in news.words.items():
             held = row.words.get(box)
@@ -114,8 +125,17 @@
         if row is None or (row.run, row.upto) <= (run, base):
             return None
         base = base if row.run == run else 0
-        return Difference(origin, row.run, base, row.upto,
-                          {box: word for box, word in row.words.items() if base < word.sequence <= row.upto})
+        return Difference(
+            origin,
+            row.run,
+            base,
+            row.upto,
+            {
+                box: word
+                for box, word in row.words.items()
+                if base < word.sequence <= row.upto
+            },
+        )
 
     def known(self) -> Iterator[tuple[int, int, int]]:
         """Origin, run and up to where all of it is here."""
@@ -125,7 +145,11 @@
         """Rows of those who left go, and words older than `since`. Guards memory, and verdicts on the words of the gone; harm:
         one that is back tells its words anew."""
         present = set(origins)
-        for origin in [each for each in self.rows if each not in present and each != self.own.origin]:
+        for origin in [
+            each
+            for each in self.rows
+            if each not in present and each != self.own.origin
+        ]:
             del self.rows[origin]
         for row in self.rows.values():
             for box in [box for box, word in row.words.items() if word.at < since]:
@@ -133,5 +157,11 @@
 
     def told(self) -> dict[int, tuple[object, ...]]:
         """What two gateways compare: all but when it arrived."""
-        return {row.origin: (row.run, row.upto, {box: word.told() for box, word in row.words.items()})
-                for row in self.rows.values()}
+        return {
+            row.origin: (
+                row.run,
+                row.upto,
+                {box: word.told() for box, word in row.words.items()},
+            )
+            for row in self.rows.values()
+        }
--- a/milletsill/fleet/members/decide.py
+++ b/milletsill/fleet/members/decide.py
@@ -4,6 +4,7 @@
 larger nonce (two with one run), then a later turn (only the gateway itself takes the next), then the graver standing. Every
 gateway keeps the greatest it has heard, so whatever is lost, late or doubled, they end equal.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -14,33 +15,46 @@
 from milletsill.fleet.frames.words import Row
 from milletsill.fleet.plane import Change, Standing
 
-ALIVE, SUSPECT, GONE, LEFT = Standing.ALIVE, Standing.SUSPECT, Standing.GONE, Standing.LEFT
+ALIVE, SUSPECT, GONE, LEFT = (
+    Standing.ALIVE,
+    Standing.SUSPECT,
+    Standing.GONE,
+    Standing.LEFT,
+)
 MS, SECOND = 10, 10_000
 
-BEAT = 1000              # between ticks
-LATE = 1000              # a tick that is later than this: this gateway stood still
-RING = 2                 # successors by hash that each gateway probes, beside one of all in turn: nobody waits for a probe
-DOUBT_SHARE = 2.4        # of the probe span: without a sign of life for so long, a member is told to be suspect
-ROUND_SHARE = 0.8        # of the probe span: between rounds of probes to one that is doubted
-LEAST_SHARE = 0.5        # of the suspicion span, where enough others suspect it too
-CONFIRMS = 1             # others that are enough
-MOST_WATCHES = 12        # members that one gateway doubts at a time; others doubt the rest
-HEARSAY_SHARE = 0.7      # of the suspicion span: one said to be gone, that I took for alive, has so long to answer me
-FRESH_ANSWERS = 2        # answer spans that are left of a doubt, at least, once this gateway stood still
-HEARSAYS = 16            # members that are asked so in one beat
-STALE_SPANS = 3          # suspicion spans: a suspicion that nobody ended is looked into
-NEWS_EVERY, NEWS_TO = 1000, 3    # while there is news: so many are told, so often
-LEAVE_TO = 4             # times the logarithm of the fleet's size: so many are told of a leave at once
-SOON = 5000              # the next whole exchange, after one that found a difference
-LOST_PART = 3            # one whole exchange in so many goes to a member believed gone, or an address of the file
-JOIN_EVERY = 5000        # while nobody else is known
+BEAT = 1000  # between ticks
+LATE = 1000  # a tick that is later than this: this gateway stood still
+RING = 2  # successors by hash that each gateway probes, beside one of all in turn: nobody waits for a probe
+DOUBT_SHARE = 2.4  # of the probe span: without a sign of life for so long, a member is told to be suspect
+ROUND_SHARE = 0.8  # of the probe span: between rounds of probes to one that is doubted
+LEAST_SHARE = 0.5  # of the suspicion span, where enough others suspect it too
+CONFIRMS = 1  # others that are enough
+MOST_WATCHES = 12  # members that one gateway doubts at a time; others doubt the rest
+HEARSAY_SHARE = 0.7  # of the suspicion span: one said to be gone, that I took for alive, has so long to answer me
+FRESH_ANSWERS = (
+    2  # answer spans that are left of a doubt, at least, once this gateway stood still
+)
+HEARSAYS = 16  # members that are asked so in one beat
+STALE_SPANS = 3  # suspicion spans: a suspicion that nobody ended is looked into
+NEWS_EVERY, NEWS_TO = 1000, 3  # while there is news: so many are told, so often
+LEAVE_TO = (
+    4  # times the logarithm of the fleet's size: so many are told of a leave at once
+)
+SOON = 5000  # the next whole exchange, after one that found a difference
+LOST_PART = 3  # one whole exchange in so many goes to a member believed gone, or an address of the file
+JOIN_EVERY = 5000  # while nobody else is known
 FORGET_EVERY = 100_000
-OWN_TROUBLE, LOOKED_AT, LEAST_TARGETS = 0.67, 8, 4  # part of the last so many probes, of so many members at least
-TROUBLE_TIMES = 3        # spans are this much longer for one that is its own trouble
-MOST_SCORE = 4           # of doubt in oneself; at the most all spans are twice as long
+OWN_TROUBLE, LOOKED_AT, LEAST_TARGETS = (
+    0.67,
+    8,
+    4,
+)  # part of the last so many probes, of so many members at least
+TROUBLE_TIMES = 3  # spans are this much longer for one that is its own trouble
+MOST_SCORE = 4  # of doubt in oneself; at the most all spans are twice as long
 JUST_WOKE = 2 * BEAT
 NEVER = -1
-RELAYS = 1024            # probes that others asked for, kept until answered
+RELAYS = 1024  # probes that others asked for, kept until answered
 TWIN_AFTER, TWIN_EVERY = 50_000, 300_000  # since the start; between words about it
 
 
@@ -72,8 +86,13 @@
     (ALIVE, GONE, Order.NEWER): (SUSPECT, "hearsay"),
     (SUSPECT, GONE, Order.SAME): (SUSPECT, "sentence"),
     (SUSPECT, GONE, Order.NEWER): (SUSPECT, "hearsay"),
-    **{(held, LEFT, order): (LEFT, "left") for held in (ALIVE, SUSPECT) for order in (Order.SAME, Order.NEWER)},
-    (GONE, LEFT, Order.SAME): (LEFT, "note"), (GONE, LEFT, Order.NEWER): (LEFT, "note"),
+    **{
+        (held, LEFT, order): (LEFT, "left")
+        for held in (ALIVE, SUSPECT)
+        for order in (Order.SAME, Order.NEWER)
+    },
+    (GONE, LEFT, Order.SAME): (LEFT, "note"),
+    (GONE, LEFT, Order.NEWER): (LEFT, "note"),
     (ALIVE, ALIVE, Order.NEWER): (ALIVE, "turn"),
     (ALIVE, SUSPECT, Order.NEWER): (SUSPECT, "suspect"),
     (SUSPECT, ALIVE, Order.NEWER): (ALIVE, "refuted"),
@@ -89,18 +108,34 @@
     **{(held, SUSPECT, Order.RUN): (SUSPECT, "again") for held in (GONE, LEFT)},
     **{(held, GONE, Order.RUN): (GONE, "gone") for held in (ALIVE, SUSPECT)},
     **{(held, LEFT, Order.RUN): (LEFT, "left") for held in (ALIVE, SUSPECT)},
-    **{(held, said, Order.RUN): (said, "note") for held in (GONE, LEFT) for said in (GONE, LEFT)},
+    **{
+        (held, said, Order.RUN): (said, "note")
+        for held in (GONE, LEFT)
+        for said in (GONE, LEFT)
+    },
 }
 CHANGES: Mapping[str, Change] = {
-    "suspect": Change.SUSPECTED, "hearsay": Change.SUSPECTED, "refuted": Change.REFUTED, "again": Change.JOINED, "left": Change.LEFT,
-    "gone": Change.GONE, "restarted": Change.RESTARTED}
+    "suspect": Change.SUSPECTED,
+    "hearsay": Change.SUSPECTED,
+    "refuted": Change.REFUTED,
+    "again": Change.JOINED,
+    "left": Change.LEFT,
+    "gone": Change.GONE,
+    "restarted": Change.RESTARTED,
+}
 
 
 def order_of(held: tuple[int, int, int], said: tuple[int, int, int]) -> Order:
     """Both are (run, nonce, turn)."""
     if said[:2] != held[:2]:
         return Order.RUN if said[:2] > held[:2] else Order.OLDER
-    return Order.SAME if said[2] == held[2] else Order.NEWER if said[2] > held[2] else Order.OLDER
+    return (
+        Order.SAME
+        if said[2] == held[2]
+        else Order.NEWER
+        if said[2] > held[2]
+        else Order.OLDER
+    )
 
 
 def believed(named: bool, told: int, woke: int, terms: Terms) -> bool:
@@ -125,12 +160,21 @@
     (Stage.SUSPECTED, Sign.OVER): (Stage.DONE, "gone"),
     (Stage.HEARSAY, Sign.ROUND): (Stage.HEARSAY, "ask"),
     (Stage.HEARSAY, Sign.OVER): (Stage.DONE, "gone"),
-    **{(stage, Sign.HEARD): (Stage.DONE, "well") for stage in (Stage.ASKED, Stage.THROUGH)},
-    **{(stage, Sign.HEARD): (Stage.DONE, "") for stage in (Stage.DOUBTED, Stage.SUSPECTED, Stage.HEARSAY)},
+    **{
+        (stage, Sign.HEARD): (Stage.DONE, "well")
+        for stage in (Stage.ASKED, Stage.THROUGH)
+    },
+    **{
+        (stage, Sign.HEARD): (Stage.DONE, "")
+        for stage in (Stage.DOUBTED, Stage.SUSPECTED, Stage.HEARSAY)
+    },
     # Guards the others against a gateway that stood still: what was out then says nothing of them, and what it doubts gets
     # that much longer and a new round. Harm: a death is seen later by one that stands still all the time; others see it.
     **{(stage, Sign.STOOD): (Stage.DONE, "") for stage in (Stage.ASKED, Stage.THROUGH)},
-    **{(stage, Sign.STOOD): (stage, "longer") for stage in (Stage.DOUBTED, Stage.SUSPECTED, Stage.HEARSAY)},
+    **{
+        (stage, Sign.STOOD): (stage, "longer")
+        for stage in (Stage.DOUBTED, Stage.SUSPECTED, Stage.HEARSAY)
+    },
 }
 
 
@@ -145,20 +189,31 @@
     round: int
 
 
-def due(watch: Watch, now: int, terms: Terms, times: float, confirms: int, wanted: int) -> Sign | None:
+def due(
+    watch: Watch, now: int, terms: Terms, times: float, confirms: int, wanted: int
+) -> Sign | None:
     """What the passing of time means for it. `times`: how much longer spans are for one that doubts itself."""
     stage = watch.stage
     if stage is Stage.ASKED:
         return Sign.LATE if now - watch.since >= terms.answer * min(times, 2) else None
     if stage is Stage.THROUGH:
         return Sign.MISSED if now - watch.since >= terms.probe * min(times, 2) else None
-    if stage is Stage.DOUBTED and now - watch.since >= terms.probe * DOUBT_SHARE * times:
+    if (
+        stage is Stage.DOUBTED
+        and now - watch.since >= terms.probe * DOUBT_SHARE * times
+    ):
         return Sign.SILENT
-    if stage is Stage.SUSPECTED and now - watch.began >= suspicion(terms.suspicion, confirms, wanted) * times:
+    if (
+        stage is Stage.SUSPECTED
+        and now - watch.began >= suspicion(terms.suspicion, confirms, wanted) * times
+    ):
         return Sign.OVER
     if watch.round == NEVER:
         return Sign.ROUND
-    if stage is Stage.HEARSAY and now - watch.began >= terms.suspicion * HEARSAY_SHARE * times:
+    if (
+        stage is Stage.HEARSAY
+        and now - watch.began >= terms.suspicion * HEARSAY_SHARE * times
+    ):
         return Sign.OVER
     return Sign.ROUND if now - watch.round >= terms.probe * ROUND_SHARE else None
 
@@ -169,7 +224,11 @@
     watch.began = min(watch.began + late, now)
     left = int(terms.probe * DOUBT_SHARE) - FRESH_ANSWERS * terms.answer
     doubted = watch.stage is Stage.DOUBTED
-    watch.since = max(watch.since, min(watch.since + late, now - left)) if doubted else min(watch.since + late, now)
+    watch.since = (
+        max(watch.since, min(watch.since + late, now - left))
+        if doubted
+        else min(watch.since + late, now)
+    )
 
 
 def suspicion(most: int, confirms: int, wanted: int) -> float:
--- a/milletsill/fleet/members/effects.py
+++ b/milletsill/fleet/members/effects.py
@@ -1,4 +1,5 @@
 """What a membership wants done; whoever holds the sockets does it."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
--- a/milletsill/fleet/members/membership.py
+++ b/milletsill/fleet/members/membership.py
@@ -4,6 +4,7 @@
 
 `tick` is called every BEAT; a call that comes late is how a gateway knows that it stood still itself.
 """
+
 from __future__ import annotations
 
 from collections import deque
@@ -13,16 +14,48 @@
 
 from milletsill.fleet.frames.codec import ROWS_A_FRAME, head_room, row_room
 from milletsill.fleet.frames.words import Message, Row, What
-from milletsill.fleet.members.decide import (BEAT, FORGET_EVERY, HEARSAYS, JOIN_EVERY, LATE, LEAVE_TO, LOOKED_AT, LOST_PART,
-                                             MOST_WATCHES, NEVER, NEWS_EVERY, NEWS_TO, RELAYS, RING, SOON, STALE_SPANS, WATCH, Own, Sign,
-                                             Stage, Terms, Watch, due, longer, score, times_longer, troubled, wanted_confirms)
+from milletsill.fleet.members.decide import (
+    BEAT,
+    FORGET_EVERY,
+    HEARSAYS,
+    JOIN_EVERY,
+    LATE,
+    LEAVE_TO,
+    LOOKED_AT,
+    LOST_PART,
+    MOST_WATCHES,
+    NEVER,
+    NEWS_EVERY,
+    NEWS_TO,
+    RELAYS,
+    RING,
+    SOON,
+    STALE_SPANS,
+    WATCH,
+    Own,
+    Sign,
+    Stage,
+    Terms,
+    Watch,
+    due,
+    longer,
+    score,
+    times_longer,
+    troubled,
+    wanted_confirms,
+)
 from milletsill.fleet.members.effects import Effect, Said, Say, Send
 from milletsill.fleet.members.rolls import Rolls
 from milletsill.fleet.members.table import Known
 from milletsill.fleet.plane import PRESENT, Standing
 from milletsill.fleet.spread.decide import bound
 
-LIVES = ("refuted", "again", "restarted", "turn")  # actions that only a word of the member itself brings about
+LIVES = (
+    "refuted",
+    "again",
+    "restarted",
+    "turn",
+)  # actions that only a word of the member itself brings about
 FIRST = (Stage.ASKED, Stage.THROUGH)
 DOUBTS = (Stage.DOUBTED, Stage.SUSPECTED)
 
@@ -30,11 +63,28 @@
 class Membership:
     """`join`: addresses of some others. `chance` is this gateway's own."""
 
-    def __init__(self, name: str, address: str, run: int, nonce: int, terms: Terms, chance: Random, join: Sequence[str],
-                 now: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        address: str,
+        run: int,
+        nonce: int,
+        terms: Terms,
+        chance: Random,
+        join: Sequence[str],
+        now: int,
+    ) -> None:
         self.rolls = Rolls(name, address, run, nonce, terms, now)
-        self.name, self.terms, self.join = name, terms, tuple(each for each in join if each != address)
-        self.draw, self.below, self.shuffle = chance.random, chance.randrange, chance.shuffle
+        self.name, self.terms, self.join = (
+            name,
+            terms,
+            tuple(each for each in join if each != address),
+        )
+        self.draw, self.below, self.shuffle = (
+            chance.random,
+            chance.randrange,
+            chance.shuffle,
+        )
         self.watches: dict[str, Watch] = {}
         self.relays: dict[int, tuple[str, int, str]] = {}
         self.last: deque[tuple[str, bool]] = deque(maxlen=LOOKED_AT)
@@ -42,7 +92,11 @@
         self.score, self.numbers, self.times, self.doubting = 0, 0, 1.0, 0
         self.beat = now
         self.next_probe = now + int(self.draw() * terms.probe)
-        self.next_exchange, self.next_news, self.next_forget = now, now, now + FORGET_EVERY
+        self.next_exchange, self.next_news, self.next_forget = (
+            now,
+            now,
+            now + FORGET_EVERY,
+        )
 
     @property
     def troubled(self) -> bool:
@@ -89,14 +143,24 @@
         """Members that are probed or doubted."""
         if self.watches:
             self.times = times_longer(self.score, self.troubled)
-            held, wanted = self.rolls.table.held, wanted_confirms(len(self.rolls.table.ring))
+            held, wanted = (
+                self.rolls.table.held,
+                wanted_confirms(len(self.rolls.table.ring)),
+            )
             asks = HEARSAYS
             for watch in list(self.watches.values()):
                 known = held.get(watch.name)
                 if known is None or known.standing not in PRESENT:
                     self.done(watch)
                     continue
-                found = due(watch, now, self.terms, self.times, max(len(known.by) - 1, 0), wanted)
+                found = due(
+                    watch,
+                    now,
+                    self.terms,
+                    self.times,
+                    max(len(known.by) - 1, 0),
+                    wanted,
+                )
                 if found is Sign.ROUND and watch.stage is Stage.HEARSAY:
                     asks -= 1
                     if asks < 0:
@@ -116,15 +180,26 @@
                     break
             name = self.turn_list.pop()
             known = table.get(name)
-            if known is not None and known.standing in PRESENT and name != self.name and name not in names:
+            if (
+                known is not None
+                and known.standing in PRESENT
+                and name != self.name
+                and name not in names
+            ):
                 names.append(name)
                 break
         for name in names:
-            if name not in self.watches and (name != self.name or self.rolls.own is Own.DISPLACED):
+            if name not in self.watches and (
+                name != self.name or self.rolls.own is Own.DISPLACED
+            ):
                 self.watches[name] = Watch(name, Stage.ASKED, now, now, now)
                 self.send(now, name, What.PROBE)
         stale = now - STALE_SPANS * self.terms.suspicion
-        for name in [each for each in table.suspects if each not in self.watches and table.held[each].since < stale]:
+        for name in [
+            each
+            for each in table.suspects
+            if each not in self.watches and table.held[each].since < stale
+        ]:
             if self.doubting < MOST_WATCHES:
                 self.watch(now, name, Stage.SUSPECTED)
                 self.round(now, self.watches[name])
@@ -138,17 +213,36 @@
         strange = [each for each in self.join if each not in present]
         if len(table.ring) < 2:
             self.next_exchange = now + JOIN_EVERY
-        lost = [each for each in table.away if table.held[each].standing is Standing.GONE]
+        lost = [
+            each for each in table.away if table.held[each].standing is Standing.GONE
+        ]
         to: list[str] = []
         if len(table.ring) < 2 and strange:
             to = strange
         elif (lost or strange) and self.below(LOST_PART) == 0 or len(table.ring) < 2:
             found = self.below(len(lost) + len(strange)) if lost or strange else -1
-            to = [] if found < 0 else [table.held[lost[found]].address if found < len(lost) else strange[found - len(lost)]]
+            to = (
+                []
+                if found < 0
+                else [
+                    table.held[lost[found]].address
+                    if found < len(lost)
+                    else strange[found - len(lost)]
+                ]
+            )
         else:
-            to = [table.held[each].address for each in table.some(1, self.below, self.name)]
+            to = [
+                table.held[each].address
+                for each in table.some(1, self.below, self.name)
+            ]
         for address in to:
-            self.rolls.out.append(Send(address, Message(What.DIGEST, self.rolls.sender, digest=table.mark), True))
+            self.rolls.out.append(
+                Send(
+                    address,
+                    Message(What.DIGEST, self.rolls.sender, digest=table.mark),
+                    True,
+                )
+            )
 
     # Members that are probed.
 
@@ -178,7 +272,10 @@
         elif effect in ("round", "longer"):
             self.round(now, watch)
         elif effect == "ask":
-            watch.began, watch.round = (now if watch.round == NEVER else watch.began), now
+            watch.began, watch.round = (
+                (now if watch.round == NEVER else watch.began),
+                now,
+            )
             self.send(now, watch.name, What.PROBE)
         elif effect == "suspect":
             self.rolls.suspect(now, watch.name)
@@ -191,7 +288,9 @@
         many costs each."""
         self.last.append((watch.name, False))
         known = self.rolls.table.held[watch.name]
-        if self.doubting > MOST_WATCHES or len(known.by) > wanted_confirms(len(self.rolls.table.ring)):
+        if self.doubting > MOST_WATCHES or len(known.by) > wanted_confirms(
+            len(self.rolls.table.ring)
+        ):
             return self.done(watch)
         self.round(now, watch)
 
@@ -204,12 +303,18 @@
     def through(self, now: int, watch: Watch) -> None:
         """Others are asked to probe it."""
         known = self.rolls.table.held[watch.name]
-        for helper in self.rolls.table.some(self.terms.through, self.below, self.name, watch.name):
-            self.send(now, helper, What.THROUGH, target=watch.name, address=known.address)
+        for helper in self.rolls.table.some(
+            self.terms.through, self.below, self.name, watch.name
+        ):
+            self.send(
+                now, helper, What.THROUGH, target=watch.name, address=known.address
+            )
 
     def lives(self, now: int, name: str) -> None:
         watch = self.watches.get(name)
-        if watch is not None and watch.round != NEVER:  # one said to be gone hears of it from me first, so that it refutes it
+        if (
+            watch is not None and watch.round != NEVER
+        ):  # one said to be gone hears of it from me first, so that it refutes it
             self.sign(now, watch, Sign.HEARD)
 
     # Frames.
@@ -220,9 +325,20 @@
         if sender.name == self.name and sender.nonce == rolls.nonce:
             return []
         before = rolls.table.get(sender.name)
-        if before is not None and before.run == sender.run and before.nonce < sender.nonce and before is not rolls.me:
+        if (
+            before is not None
+            and before.run == sender.run
+            and before.nonce < sender.nonce
+            and before is not rolls.me
+        ):
             # Another start with the run of an earlier one: its state is lost or a copy, and I alone may still know the earlier.
-            rolls.out.append(Send(sender.address, Message(What.NEWS, rolls.sender, (before.row(now),)), True))
+            rolls.out.append(
+                Send(
+                    sender.address,
+                    Message(What.NEWS, rolls.sender, (before.row(now),)),
+                    True,
+                )
+            )
         self.take(now, sender)
         if sender.name == self.name and rolls.own is not Own.DISPLACED:
             rolls.met_twin(now, sender)
@@ -232,7 +348,18 @@
         whole = message.what is What.ROWS
         found = [self.take(now, row, not whole) for row in message.rows]
         if message.what is What.PROBE and message.target == self.name:
-            rolls.out.append(Send(sender.address, Message(What.ACK, rolls.sender, self.rows(now, held), message.number, self.name)))
+            rolls.out.append(
+                Send(
+                    sender.address,
+                    Message(
+                        What.ACK,
+                        rolls.sender,
+                        self.rows(now, held),
+                        message.number,
+                        self.name,
+                    ),
+                )
+            )
         elif message.what is What.ACK:
             self.acked(now, message)
         elif message.what is What.THROUGH and message.address:
@@ -273,25 +400,63 @@
             return
         asked = self.relays.pop(message.number, None) if message.number else None
         if asked is not None and asked[2] == message.target:
-            self.rolls.out.append(Send(asked[0], Message(What.ACK, self.rolls.sender, (message.sender,), asked[1], message.target)))
+            self.rolls.out.append(
+                Send(
+                    asked[0],
+                    Message(
+                        What.ACK,
+                        self.rolls.sender,
+                        (message.sender,),
+                        asked[1],
+                        message.target,
+                    ),
+                )
+            )
 
     def relay(self, now: int, message: Message) -> None:
         """Probe one for another."""
         self.numbers += 1
-        self.relays[self.numbers] = (message.sender.address, message.number, message.target)
+        self.relays[self.numbers] = (
+            message.sender.address,
+            message.number,
+            message.target,
+        )
         if len(self.relays) > RELAYS:
             del self.relays[next(iter(self.relays))]
         held = self.rolls.table.get(message.target)
-        self.rolls.out.append(Send(message.address, Message(What.PROBE, self.rolls.sender, self.rows(now, held), self.numbers,
-                                                            message.target)))
+        self.rolls.out.append(
+            Send(
+                message.address,
+                Message(
+                    What.PROBE,
+                    self.rolls.sender,
+                    self.rows(now, held),
+                    self.numbers,
+                    message.target,
+                ),
+            )
+        )
 
     # Words to others.
 
-    def send(self, now: int, name: str, what: What, target: str = "", address: str = "") -> None:
+    def send(
+        self, now: int, name: str, what: What, target: str = "", address: str = ""
+    ) -> None:
         """A datagram to a member, with the news that has room in it."""
         held = self.rolls.table.held[name]
-        self.rolls.out.append(Send(held.address, Message(what, self.rolls.sender, self.rows(now, held), 0,
-                                                         target or (name if what is What.PROBE else ""), address)))
+        self.rolls.out.append(
+            Send(
+                held.address,
+                Message(
+                    what,
+                    self.rolls.sender,
+                    self.rows(now, held),
+                    0,
+                    target or (name if what is What.PROBE else ""),
+                    address,
+                ),
+            )
+        )
 
     def rows(self, now: int, to: Known | None) -> tuple[Row, ...]:
         """First what is held against whoever it goes to, so that it can refute it; then news."""
@@ -299,7 +464,16 @@
         spread = rolls.spread
         if to is not None and to.standing in (Standing.SUSPECT, Standing.GONE):
             first = to.name
-            found.append(Row(to.name, to.run, to.nonce, to.turn, to.standing, by=to.by or (self.name,)))
+            found.append(
+                Row(
+                    to.name,
+                    to.run,
+                    to.nonce,
+                    to.turn,
+                    to.standing,
+                    by=to.by or (self.name,),
+                )
+            )
         if not spread.at:
             return tuple(found)
         held = rolls.table.held
@@ -308,7 +482,11 @@
             return held[name].short()[1] if name in held else 0
 
         room = head_room(self.terms.fleet, rolls.sender) - sum(map(row_room, found))
-        found += [held[name].short()[0] for name in spread.take(room, bound(len(rolls.table.ring)), size) if name in held and name != first]
+        found += [
+            held[name].short()[0]
+            for name in spread.take(room, bound(len(rolls.table.ring)), size)
+            if name in held and name != first
+        ]
         return tuple(found)
 
     def tell_all(self, now: int, address: str, answer: bool) -> None:
@@ -316,8 +494,18 @@
         rows = [each.row(now) for each in self.rolls.table.held.values()]
         for at in range(0, len(rows), ROWS_A_FRAME):
             last = at + ROWS_A_FRAME >= len(rows)
-            self.rolls.out.append(Send(address, Message(What.ROWS, self.rolls.sender, tuple(rows[at:at + ROWS_A_FRAME]),
-                                                        answer=answer and last), True))
+            self.rolls.out.append(
+                Send(
+                    address,
+                    Message(
+                        What.ROWS,
+                        self.rolls.sender,
+                        tuple(rows[at : at + ROWS_A_FRAME]),
+                        answer=answer and last,
+                    ),
+                    True,
+                )
+            )
 
     def leave(self, now: int) -> list[Effect]:
         """SIGTERM: so many are told at once that it does not matter if this process ends with that."""
--- a/milletsill/fleet/members/rolls.py
+++ b/milletsill/fleet/members/rolls.py
@@ -1,10 +1,23 @@
 """What one gateway holds of the others and of itself, and how words change it: the tables of decide.py, read and acted on."""
+
 from __future__ import annotations
 
 from milletsill.fleet.frames.codec import MOST_BY
 from milletsill.fleet.frames.words import Message, Row, What
-from milletsill.fleet.members.decide import (CHANGES, HELD, OWN, TWIN_AFTER, TWIN_EVERY, Own, Order, Terms, Word, believed,
-                                             order_of, word_of)
+from milletsill.fleet.members.decide import (
+    CHANGES,
+    HELD,
+    OWN,
+    TWIN_AFTER,
+    TWIN_EVERY,
+    Own,
+    Order,
+    Terms,
+    Word,
+    believed,
+    order_of,
+    word_of,
+)
 from milletsill.fleet.members.effects import Changed, Claimed, Effect, Said, Say, Send
 from milletsill.fleet.members.table import Known, Table
 from milletsill.fleet.plane import PRESENT, Change, Standing
@@ -14,11 +27,22 @@
 class Rolls:
     """`out` gathers effects. Everything in it is bounded by the most members of the terms."""
 
-    def __init__(self, name: str, address: str, run: int, nonce: int, terms: Terms, now: int) -> None:
+    def __init__(
+        self, name: str, address: str, run: int, nonce: int, terms: Terms, now: int
+    ) -> None:
         self.name, self.nonce, self.terms, self.started = name, nonce, terms, now
-        self.own, self.claimed, self.told_twin, self.woke = Own.UP, None, now - TWIN_EVERY, now - TWIN_EVERY
+        self.own, self.claimed, self.told_twin, self.woke = (
+            Own.UP,
+            None,
+            now - TWIN_EVERY,
+            now - TWIN_EVERY,
+        )
         self.me = Known(Row(name, run, nonce, 0, Standing.ALIVE, address), now)
-        self.table, self.spread, self.out = Table(terms.most_members), Spread(), list[Effect]()
+        self.table, self.spread, self.out = (
+            Table(terms.most_members),
+            Spread(),
+            list[Effect](),
+        )
         self.table.add(self.me)
         self.sender = self.me.row(now)
         self.spread.add(name)
@@ -28,27 +52,46 @@
     def merge(self, now: int, row: Row, news: bool = True) -> str:
         """Take what is said of one; the action of the table, '' where it changes nothing. `news`: pass it on."""
         held = self.table.held.get(row.name)
-        if held is not None and row.turn == held.turn and row.nonce == held.nonce and row.run == held.run and (
-                row.standing is held.standing and row.by == held.by):
+        if (
+            held is not None
+            and row.turn == held.turn
+            and row.nonce == held.nonce
+            and row.run == held.run
+            and (row.standing is held.standing and row.by == held.by)
+        ):
             return ""  # most of what comes was known
-        if row.name == self.name and (self.own is not Own.DISPLACED or row.nonce == self.nonce):
+        if row.name == self.name and (
+            self.own is not Own.DISPLACED or row.nonce == self.nonce
+        ):
             return self.meant(now, row)
         if held is None:
             return self.meet(now, row, news)
         order = order_of(held.key, (row.run, row.nonce, row.turn))
-        standing, action = HELD.get((held.standing, row.standing, order), (held.standing, ""))
-        if not action or (order is Order.RUN and row.standing in PRESENT and not row.address):
+        standing, action = HELD.get(
+            (held.standing, row.standing, order), (held.standing, "")
+        )
+        if not action or (
+            order is Order.RUN and row.standing in PRESENT and not row.address
+        ):
             return ""
         if action == "confirm":
             return self.confirm(held, row.by)
         if action == "sentence":
-            told = believed(bool(held.by), now - held.since, now - self.woke, self.terms)
-            standing, action = (Standing.GONE, "gone") if told else (Standing.SUSPECT, "hearsay")
+            told = believed(
+                bool(held.by), now - held.since, now - self.woke, self.terms
+            )
+            standing, action = (
+                (Standing.GONE, "gone") if told else (Standing.SUSPECT, "hearsay")
+            )
         before = held.standing
         held.run, held.nonce, held.turn = row.run, row.nonce, row.turn
         held.address = row.address or held.address
-        held.by = row.by if action in ("suspect", "restarted", "again") and standing is Standing.SUSPECT else (
-            held.by if action == "hearsay" and before is Standing.SUSPECT else ())
+        held.by = (
+            row.by
+            if action in ("suspect", "restarted", "again")
+            and standing is Standing.SUSPECT
+            else (held.by if action == "hearsay" and before is Standing.SUSPECT else ())
+        )
         self.stand(now, held, standing, action, row.age)
         if news and action not in ("hearsay", "note"):
             self.spread.add(row.name)
@@ -56,7 +99,9 @@
 
     def meet(self, now: int, row: Row, news: bool) -> str:
         """One that was not known. One that is away is kept in mind only as long as others do, or it would go round for ever."""
-        if not row.address or (row.standing not in PRESENT and row.age >= self.terms.remember):
+        if not row.address or (
+            row.standing not in PRESENT and row.age >= self.terms.remember
+        ):
             return ""
         known = Known(row, now)
         if not self.table.add(known):
@@ -78,7 +123,9 @@
         self.spread.add(held.name)
         return "confirm"
 
-    def stand(self, now: int, held: Known, standing: Standing, action: str, age: int = 0) -> None:
+    def stand(
+        self, now: int, held: Known, standing: Standing, action: str, age: int = 0
+    ) -> None:
         """It stands so from now on."""
         before, held.standing = held.standing, standing
         if standing is not before or action == "restarted":
@@ -89,7 +136,11 @@
             change = None
         if change is not None:
             self.out.append(Changed(change, held.member()))
-        if held.name == self.name and standing not in PRESENT and self.own is Own.DISPLACED:
+        if (
+            held.name == self.name
+            and standing not in PRESENT
+            and self.own is Own.DISPLACED
+        ):
             self.mean(now, Word.FREE, held.row(now))
 
     def suspect(self, now: int, name: str) -> None:
@@ -139,7 +190,9 @@
         if effect == "twin rest":
             self.table.drop(self.name)
             self.table.add(Known(row, now))
-            self.out.append(Changed(Change.RESTARTED, self.table.held[self.name].member()))
+            self.out.append(
+                Changed(Change.RESTARTED, self.table.held[self.name].member())
+            )
         else:
             self.sender = self.me.row(now)
             self.spread.add(self.name)
@@ -173,7 +226,12 @@
         if self.own is Own.DISPLACED:
             self.own = Own.LEAVING
             return
-        self.own, before, self.me.standing, self.me.since = Own.LEAVING, self.me.standing, Standing.LEFT, now
+        self.own, before, self.me.standing, self.me.since = (
+            Own.LEAVING,
+            self.me.standing,
+            Standing.LEFT,
+            now,
+        )
         self.table.sort(self.me, before)
         self.sender = self.me.row(now)
         self.spread.add(self.name)
--- a/milletsill/fleet/members/table.py
+++ b/milletsill/fleet/members/table.py
@@ -1,4 +1,5 @@
 """Everything that one gateway holds of the members: rows, who is present, who follows whom by hash, a mark of it all."""
+
 from __future__ import annotations
 
 from bisect import bisect_left, insort
@@ -14,13 +15,36 @@
 class Known:
     """One member; `since` when its standing began here, `by` who suspects it, `place` its hash on the ring."""
 
-    __slots__ = ("name", "address", "run", "nonce", "turn", "standing", "by", "since", "mark", "place", "news")
+    __slots__ = (
+        "name",
+        "address",
+        "run",
+        "nonce",
+        "turn",
+        "standing",
+        "by",
+        "since",
+        "mark",
+        "place",
+        "news",
+    )
 
     def __init__(self, row: Row, now: int) -> None:
-        self.name, self.address, self.run, self.nonce, self.turn = row.name, row.address, row.run, row.nonce, row.turn
+        self.name, self.address, self.run, self.nonce, self.turn = (
+            row.name,
+            row.address,
+            row.run,
+            row.nonce,
+            row.turn,
+        )
         self.standing, self.by, self.since = row.standing, row.by, now - row.age
-        self.news: tuple[Row, int] | None = None  # as it rides on datagrams, and the octets it takes there
-        self.mark, self.place = 0, xxhash.xxh64_intdigest(row.name.encode("utf-8", "surrogateescape"))
+        self.news: tuple[Row, int] | None = (
+            None  # as it rides on datagrams, and the octets it takes there
+        )
+        self.mark, self.place = (
+            0,
+            xxhash.xxh64_intdigest(row.name.encode("utf-8", "surrogateescape")),
+        )
 
     @property
     def key(self) -> tuple[int, int, int]:
@@ -29,10 +53,21 @@
     def row(self, now: int, full: bool = True) -> Row:
         """What is said of it; without its address and age where that saves room and says nothing new. A suspicion that is
         nobody's own, only hearsay, is not passed on."""
-        standing = self.standing if self.by or self.standing is not Standing.SUSPECT else Standing.ALIVE
-        return Row(self.name, self.run, self.nonce, self.turn, standing, self.address if full or standing is Standing.ALIVE else "",
-                   max(now - self.since, 0) if full and standing not in PRESENT else 0,
-                   self.by if standing is Standing.SUSPECT else ())
+        standing = (
+            self.standing
+            if self.by or self.standing is not Standing.SUSPECT
+            else Standing.ALIVE
+        )
+        return Row(
+            self.name,
+            self.run,
+            self.nonce,
+            self.turn,
+            standing,
+            self.address if full or standing is Standing.ALIVE else "",
+            max(now - self.since, 0) if full and standing not in PRESENT else 0,
+            self.by if standing is Standing.SUSPECT else (),
+        )
 
     def short(self) -> tuple[Row, int]:
         """Its row as news, and the room that takes; made once for each change."""
@@ -45,7 +80,11 @@
         return Member(self.name, self.address, self.run, self.standing)
 
     def marked(self) -> int:
-        return xxhash.xxh64_intdigest(f"{self.name}\0{self.run}\0{self.nonce}\0{self.address}".encode("utf-8", "surrogateescape"))
+        return xxhash.xxh64_intdigest(
+            f"{self.name}\0{self.run}\0{self.nonce}\0{self.address}".encode(
+                "utf-8", "surrogateescape"
+            )
+        )
 
 
 class Table:
@@ -54,7 +93,7 @@
     def __init__(self, most: int) -> None:
         self.most, self.held, self.mark = most, dict[str, Known](), 0
         self.ring: list[tuple[int, str]] = []  # present ones by hash of the name
-        self.away: dict[str, None] = {}        # gone and left ones, the oldest first
+        self.away: dict[str, None] = {}  # gone and left ones, the oldest first
         self.suspects: dict[str, None] = {}
 
     def get(self, name: str) -> Known | None:
@@ -110,7 +149,9 @@
                 found.append(name)
         return found
 
-    def some(self, count: int, chance: Callable[[int], int], skip: str, other: str = "") -> list[str]:
+    def some(
+        self, count: int, chance: Callable[[int], int], skip: str, other: str = ""
+    ) -> list[str]:
         """Present members by chance, fewer where there are none."""
         found: dict[str, None] = {}
         for _ in range(3 * count):
--- a/milletsill/fleet/net/datagrams.py
+++ b/milletsill/fleet/net/datagrams.py
@@ -1,4 +1,5 @@
 """Probes and news: one UDP port."""
+
 from __future__ import annotations
 
 import socket
@@ -36,6 +37,10 @@
         return True
 
 
-def listen(reactor: IReactorUDP, host: str, port: int, heard: Callable[[bytes], None]) -> tuple[Datagrams, Any]:
+def listen(
+    reactor: IReactorUDP, host: str, port: int, heard: Callable[[bytes], None]
+) -> tuple[Datagrams, Any]:
     made = Datagrams(heard)
-    return made, reactor.listenUDP(port, made, interface=host, maxPacketSize=MOST_DATAGRAM + 1)
+    return made, reactor.listenUDP(
+        port, made, interface=host, maxPacketSize=MOST_DATAGRAM + 1
+    )
--- a/milletsill/fleet/net/streams.py
+++ b/milletsill/fleet/net/streams.py
@@ -3,6 +3,7 @@
 Each stream carries words one way. What is told to one member goes in order over one stream; a new stream begins anew, and what
 waited for the old one is lost.
 """
+
 from __future__ import annotations
 
 import socket
@@ -13,14 +14,27 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.fleet.frames.codec import Frames, TooLong, framed
-from milletsill.fleet.net.decide import DIAL, IDLE, MOST_IN, MOST_OUT, MOST_WAITING, STUCK, Line, Sign, due, step
+from milletsill.fleet.net.decide import (
+    DIAL,
+    IDLE,
+    MOST_IN,
+    MOST_OUT,
+    MOST_WAITING,
+    STUCK,
+    Line,
+    Sign,
+    due,
+    step,
+)
 
 
 def patient(transport: Any) -> None:
     """No delay for small words; the kernel ends a stream whose octets nobody confirms."""
     transport.setTcpNoDelay(True)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
-        transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STUCK // 10)
+        transport.getHandle().setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STUCK // 10
+        )
 
 
 class Ear(Protocol):
@@ -53,7 +67,12 @@
 
     noisy = False
 
-    def __init__(self, now: Callable[[], int], heard: Callable[[bytes], None], refused: Callable[[TooLong], None]) -> None:
+    def __init__(
+        self,
+        now: Callable[[], int],
+        heard: Callable[[bytes], None],
+        refused: Callable[[TooLong], None],
+    ) -> None:
         self.now, self.heard, self.refused = now, heard, refused
         self.ears: set[Ear] = set()
 
@@ -97,7 +116,10 @@
 
     def say(self, data: bytes) -> bool:
         """False where it rests, or too much waits."""
-        if self.line in (Line.RESTING, Line.CLOSED) or self.octets + len(data) > MOST_WAITING:
+        if (
+            self.line in (Line.RESTING, Line.CLOSED)
+            or self.octets + len(data) > MOST_WAITING
+        ):
             return False
         self.waiting.append(data)
         self.octets += len(data)
@@ -107,7 +129,9 @@
 
     def flush(self) -> None:
         self.since = self.streams.now()
-        while self.waiting and self.line is Line.OPEN:  # a write may fill the socket's buffer
+        while (
+            self.waiting and self.line is Line.OPEN
+        ):  # a write may fill the socket's buffer
             data = self.waiting.popleft()
             self.octets -= len(data)
             self.transport.write(data)
@@ -153,7 +177,9 @@
         factory = Factory.forProtocol(lambda: mouth)
         factory.noisy = False
         bind = None if self.host in ("", "0.0.0.0") else (self.host, 0)
-        mouth.dial = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=DIAL / 10_000, bindAddress=bind).connect(factory)
+        mouth.dial = TCP4ClientEndpoint(
+            self.reactor, host, int(port), timeout=DIAL / 10_000, bindAddress=bind
+        ).connect(factory)
         mouth.dial.addErrback(lambda failure: mouth.sign(Sign.UNREACHED))
         return mouth
 
--- a/milletsill/fleet/plane.py
+++ b/milletsill/fleet/plane.py
@@ -1,4 +1,5 @@
 """What the fleet's parts rest on: the view, and a way to tell a member something that may not arrive."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -25,7 +26,11 @@
 
 def digest_of(members: Iterable[Member]) -> int:
     """Equal for equal sets of present members and their runs. A suspicion alone is no other view."""
-    words = sorted(f"{each.name}\0{each.run}\0{each.address}" for each in members if each.standing in PRESENT)
+    words = sorted(
+        f"{each.name}\0{each.run}\0{each.address}"
+        for each in members
+        if each.standing in PRESENT
+    )
     return xxhash.xxh64_intdigest("\n".join(words).encode("utf-8", "surrogateescape"))
 
 
@@ -36,16 +41,33 @@
 
     def __init__(self, version: int, members: Iterable[Member]) -> None:
         self.version = version
-        self.members = tuple(sorted((each for each in members if each.standing in PRESENT), key=lambda each: each.name))
+        self.members = tuple(
+            sorted(
+                (each for each in members if each.standing in PRESENT),
+                key=lambda each: each.name,
+            )
+        )
         self.digest = digest_of(self.members)
         self.by_name = {each.name: each for each in self.members}
 
-    def chosen(self, name: str, count: int, among: Sequence[str] | None = None) -> tuple[str, ...]:
+    def chosen(
+        self, name: str, count: int, among: Sequence[str] | None = None
+    ) -> tuple[str, ...]:
         """The first `count` members for a name, by rendezvous hashing: one that joins or goes moves only what is its own."""
         names = self.by_name if among is None else among
         data = name.encode("utf-8", "surrogateescape")
-        weights = sorted(((xxhash.xxh64_intdigest(data + b"\0" + each.encode("utf-8", "surrogateescape")), each)
-                          for each in names), reverse=True)
+        weights = sorted(
+            (
+                (
+                    xxhash.xxh64_intdigest(
+                        data + b"\0" + each.encode("utf-8", "surrogateescape")
+                    ),
+                    each,
+                )
+                for each in names
+            ),
+            reverse=True,
+        )
         return tuple(each for _, each in weights[:count])
 
     def most(self, fleet: int) -> bool:
@@ -67,5 +89,7 @@
     def hear(self, kind: Kind, heard: Callable[[str, int, bytes], None]) -> None:
         """Who is called with what members say of that kind: member, its run, body."""
 
-    def watch(self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]) -> None:
+    def watch(
+        self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]
+    ) -> None:
         """Who is called after each change of the view, never from within."""
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -2,6 +2,7 @@
 
 A gateway whose file has no `fleet` block loads none of this.
 """
+
 from __future__ import annotations
 
 from random import Random, SystemRandom
@@ -11,7 +12,15 @@
 
 from milletsill.errors import Fault
 from milletsill.fleet import faults
-from milletsill.fleet.frames.codec import MOST_BODY, MOST_DATAGRAM, Codec, OtherFleet, TooLong, TooNew, Unreadable
+from milletsill.fleet.frames.codec import (
+    MOST_BODY,
+    MOST_DATAGRAM,
+    Codec,
+    OtherFleet,
+    TooLong,
+    TooNew,
+    Unreadable,
+)
 from milletsill.fleet.frames.words import VERSION, Message, What
 from milletsill.fleet.members.decide import BEAT, Own, Terms
 from milletsill.fleet.members.effects import Changed, Claimed, Effect, Said, Say, Send
@@ -21,32 +30,76 @@
 from milletsill.fleet.net.streams import Door, Streams
 from milletsill.fleet.plane import Change, Kind, Member, Standing, View
 
-GATHER = 200            # changes so close together make one view
-SAY_EVERY = 100_000     # between lines about frames of one cause
-LINES, LINES_OVER = 50, 10_000  # of members' changes, so many in that span; the rest are counted
+GATHER = 200  # changes so close together make one view
+SAY_EVERY = 100_000  # between lines about frames of one cause
+LINES, LINES_OVER = (
+    50,
+    10_000,
+)  # of members' changes, so many in that span; the rest are counted
 ALONE_AFTER = 100_000
-SAID_FROM = 5000        # a stall of this gateway that is worth a line
-CAUSES: dict[type[Fault], str] = {TooLong: "too_long", Unreadable: "unreadable", OtherFleet: "other_fleet", TooNew: "too_new"}
+SAID_FROM = 5000  # a stall of this gateway that is worth a line
+CAUSES: dict[type[Fault], str] = {
+    TooLong: "too_long",
+    Unreadable: "unreadable",
+    OtherFleet: "other_fleet",
+    TooNew: "too_new",
+}
 
 
 def terms_of(link: Any) -> Terms:
     """From the block of a file."""
-    return Terms(link.name, int(link.probe_ms * 10), int(link.answer_ms * 10), link.through, int(link.suspicion_ms * 10),
-                 int(link.exchange_s * 10_000), link.most_members, int(link.remember_s * 10_000))
+    return Terms(
+        link.name,
+        int(link.probe_ms * 10),
+        int(link.answer_ms * 10),
+        link.through,
+        int(link.suspicion_ms * 10),
+        int(link.exchange_s * 10_000),
+        link.most_members,
+        int(link.remember_s * 10_000),
+    )
 
 
 class Fleet:
     """`remark` takes a line that someone should look at, `note` one that says what goes on, `keep` a run to remember."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], file: Any, seed: int, run: int, remark: Callable[..., None],
-                 note: Callable[..., None], keep: Callable[[int], None], registry: Any, version: int = VERSION) -> None:
-        self.reactor, self.now, self.link, self.name, self.first_run = reactor, now, file.fleet, file.name, run
-        self.remark, self.note, self.keep, self.chance = remark, note, keep, Random(seed)
-        self.terms, self.codec, self.figures = terms_of(file.fleet), Codec(file.fleet.name, version), Figures(registry)
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        file: Any,
+        seed: int,
+        run: int,
+        remark: Callable[..., None],
+        note: Callable[..., None],
+        keep: Callable[[int], None],
+        registry: Any,
+        version: int = VERSION,
+    ) -> None:
+        self.reactor, self.now, self.link, self.name, self.first_run = (
+            reactor,
+            now,
+            file.fleet,
+            file.name,
+            run,
+        )
+        self.remark, self.note, self.keep, self.chance = (
+            remark,
+            note,
+            keep,
+            Random(seed),
+        )
+        self.terms, self.codec, self.figures = (
+            terms_of(file.fleet),
+            Codec(file.fleet.name, version),
+            Figures(registry),
+        )
         self.member: Membership | None = None
         self.view, self.version = View(0, ()), 0
         self.ears: dict[Kind, list[Callable[[str, int, bytes], None]]] = {}
-        self.watchers: list[Callable[[View, Sequence[tuple[Change, Member]]], None]] = []
+        self.watchers: list[
+            Callable[[View, Sequence[tuple[Change, Member]]], None]
+        ] = []
         self.changes: list[tuple[Change, Member]] = []
         self.said: dict[str, int] = {}
         self.lines, self.lines_since, self.began, self.alone = 0, 0, now(), False
@@ -62,17 +115,35 @@
         self.door = Door(self.now, lambda data: self.came(data, "stream"), self.refused)
         self.streams = Streams(self.reactor, self.now, host)
         try:
-            self.ports.append(self.reactor.listenTCP(int(port), self.door, interface=host))
+            self.ports.append(
+                self.reactor.listenTCP(int(port), self.door, interface=host)
+            )
             number = self.ports[0].getHost().port
-            self.datagrams, udp = listen(self.reactor, host, number, lambda data: self.came(data, "datagram"))
+            self.datagrams, udp = listen(
+                self.reactor, host, number, lambda data: self.came(data, "datagram")
+            )
             self.ports.append(udp)
         except CannotListenError as error:
             raise faults.NoFleetAddress(str(error), self.link.address) from None
         address = self.link.advertise or f"{host}:{number}"
         self.began = self.now()
-        self.member = Membership(self.name, address, self.first_run, SystemRandom().getrandbits(64), self.terms, self.chance,
-                                 self.link.join, self.began)
-        self.note("fleet_joining", fleet=self.link.name, address=address, run=self.run, join=len(self.link.join))
+        self.member = Membership(
+            self.name,
+            address,
+            self.first_run,
+            SystemRandom().getrandbits(64),
+            self.terms,
+            self.chance,
+            self.link.join,
+            self.began,
+        )
+        self.note(
+            "fleet_joining",
+            fleet=self.link.name,
+            address=address,
+            run=self.run,
+            join=len(self.link.join),
+        )
         self.change()
         self.tick()
         self.look()
@@ -122,7 +193,11 @@
             self.alone = False
         elif not self.alone and member.join and self.now() - self.began >= ALONE_AFTER:
             self.alone = True
-            self.say(faults.Alone("no other gateway has answered", f"fleet {self.link.name!r}"))
+            self.say(
+                faults.Alone(
+                    "no other gateway has answered", f"fleet {self.link.name!r}"
+                )
+            )
 
     # The plane.
 
@@ -137,14 +212,28 @@
 
     def tell(self, member: str, kind: Kind, body: bytes) -> bool:
         held = self.view.by_name.get(member)
-        if held is None or member == self.name or len(body) > MOST_BODY or self.stopped or self.member is None:
+        if (
+            held is None
+            or member == self.name
+            or len(body) > MOST_BODY
+            or self.stopped
+            or self.member is None
+        ):
             return False
-        return self.send(Send(held.address, Message(What.BODY, self.member.rolls.sender, kind=kind, body=body), True))
+        return self.send(
+            Send(
+                held.address,
+                Message(What.BODY, self.member.rolls.sender, kind=kind, body=body),
+                True,
+            )
+        )
 
     def hear(self, kind: Kind, heard: Callable[[str, int, bytes], None]) -> None:
         self.ears.setdefault(kind, []).append(heard)
 
-    def watch(self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]) -> None:
+    def watch(
+        self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]
+    ) -> None:
         self.watchers.append(told)
 
     # Frames.
@@ -169,8 +258,15 @@
     def body(self, message: Message) -> None:
         """What another part of the program is told; from one that is in the view, in that start."""
         held = self.member.rolls.table.get(message.sender.name)
-        if message.kind is None or held is None or held.nonce != message.sender.nonce or not held.mark:
-            return self.figures.refused.labels("unknown_kind" if message.kind is None else "not_a_member").inc()
+        if (
+            message.kind is None
+            or held is None
+            or held.nonce != message.sender.nonce
+            or not held.mark
+        ):
+            return self.figures.refused.labels(
+                "unknown_kind" if message.kind is None else "not_a_member"
+            ).inc()
         for each in self.ears.get(message.kind, ()):
             each(held.name, held.run, message.body)
 
@@ -187,8 +283,15 @@
         self.remark("fleet", **error.said(), **values)
 
     def send(self, sent: Send) -> bool:
-        data, over = self.codec.encode(sent.message), "stream" if sent.stream else "datagram"
-        went = self.streams.say(sent.address, data) if sent.stream else self.datagrams.send(sent.address, data)
+        data, over = (
+            self.codec.encode(sent.message),
+            "stream" if sent.stream else "datagram",
+        )
+        went = (
+            self.streams.say(sent.address, data)
+            if sent.stream
+            else self.datagrams.send(sent.address, data)
+        )
         if went:
             self.figures.count("out", over, len(data))
         else:
@@ -219,7 +322,13 @@
             self.lines, self.lines_since = 0, now
         self.lines += 1
         if self.lines <= LINES:
-            self.note("member", change=change.name.lower(), member=member.name, run=member.run, address=member.address)
+            self.note(
+                "member",
+                change=change.name.lower(),
+                member=member.name,
+                run=member.run,
+                address=member.address,
+            )
         if not self.changes:
             self.later("change", GATHER, self.change)
         self.changes.append((change, member))
@@ -228,26 +337,48 @@
         """The next view, told to all who watch."""
         changes, self.changes = self.changes, []
         self.version += 1
-        self.view = View(self.version, (each.member() for each in self.member.rolls.table.held.values()))
+        self.view = View(
+            self.version,
+            (each.member() for each in self.member.rolls.table.held.values()),
+        )
         self.figures.view.set(self.view.digest & ((1 << 48) - 1))
         self.figures.version.set(self.version)
-        self.note("view", version=self.version, members=len(self.view.members), digest=f"{self.view.digest:016x}")
+        self.note(
+            "view",
+            version=self.version,
+            members=len(self.view.members),
+            digest=f"{self.view.digest:016x}",
+        )
         for each in self.watchers:
             each(self.view, changes)
 
     def speak(self, said: Say) -> None:
         """Lines for an operator."""
         if said.what is Said.LOST_STATE:
-            self.say(faults.LostState(f"run {said.span} of {self.name!r} is known to others, at {said.where}", "state_dir"),
-                     run=self.run)
+            self.say(
+                faults.LostState(
+                    f"run {said.span} of {self.name!r} is known to others, at {said.where}",
+                    "state_dir",
+                ),
+                run=self.run,
+            )
         elif said.what is Said.TWIN:
-            self.say(faults.TwinName(f"another live gateway is called {self.name!r}", said.where),
-                     resting=self.member.rolls.own is Own.DISPLACED)
+            self.say(
+                faults.TwinName(
+                    f"another live gateway is called {self.name!r}", said.where
+                ),
+                resting=self.member.rolls.own is Own.DISPLACED,
+            )
         elif said.what is Said.FULL:
             now = self.now()
             if now - self.said.get("full", now - SAY_EVERY) >= SAY_EVERY:
                 self.said["full"] = now
-                self.say(faults.FleetFull(f"{said.where!r} has no place among {self.terms.most_members}", "fleet.most_members"))
+                self.say(
+                    faults.FleetFull(
+                        f"{said.where!r} has no place among {self.terms.most_members}",
+                        "fleet.most_members",
+                    )
+                )
         elif said.what is Said.STOOD and said.span >= SAID_FROM:
             self.remark("fleet_stood", ms=said.span / 10)
         elif said.what is Said.REFUTED:
--- a/milletsill/fleet/spread/decide.py
+++ b/milletsill/fleet/spread/decide.py
@@ -1,4 +1,5 @@
 """Which pieces of news ride on the next frame: those that went out least, each a bounded number of times. No I/O, no clock."""
+
 from __future__ import annotations
 
 from math import ceil, log2
--- a/milletsill/flows/collect.py
+++ b/milletsill/flows/collect.py
@@ -3,6 +3,7 @@
 Everything is bounded: sessions, templates (in the decoders), top lists. What is malformed is one line and loses only its
 message; over TCP it ends that connection, since the stream cannot be cut any further.
 """
+
 from __future__ import annotations
 
 import io
@@ -17,10 +18,24 @@
 from milletsill.flows import ipfix, netflow9
 from milletsill.flows.ipfix import Cutter, BadExport
 
-MOST_SESSIONS, MOST_TOP, LIFETIME = 1024, 100_000, 1800.0  # templates over UDP last as long, in seconds
-SUMMED = ("octetDeltaCount", "reverseOctetDeltaCount", "packetDeltaCount", "reversePacketDeltaCount", "commandDeltaCount",
-          "satisfiedDeltaCount", "declinedDeltaCount", "abortedDeltaCount", "abandonedDeltaCount", "dispatchDeltaCount",
-          "furtherDeltaCount")
+MOST_SESSIONS, MOST_TOP, LIFETIME = (
+    1024,
+    100_000,
+    1800.0,
+)  # templates over UDP last as long, in seconds
+SUMMED = (
+    "octetDeltaCount",
+    "reverseOctetDeltaCount",
+    "packetDeltaCount",
+    "reversePacketDeltaCount",
+    "commandDeltaCount",
+    "satisfiedDeltaCount",
+    "declinedDeltaCount",
+    "abortedDeltaCount",
+    "abandonedDeltaCount",
+    "dispatchDeltaCount",
+    "furtherDeltaCount",
+)
 
 
 class Gap:
@@ -36,7 +51,10 @@
             ahead = (sequence - self.expected) % ipfix.MODULO
             if ahead >= ipfix.MODULO // 2:  # from before: late or doubled
                 late = min(records, ipfix.MODULO - ahead)
-                self.missing, self.again = max(self.missing - late, 0), self.again + late
+                self.missing, self.again = (
+                    max(self.missing - late, 0),
+                    self.again + late,
+                )
                 return
             self.missing += ahead
         self.expected = (sequence + records) % ipfix.MODULO
@@ -46,16 +64,29 @@
     """One exporter's decoders and gaps, by version and domain."""
 
     def __init__(self, lifetime: float | None) -> None:
-        self.decoders: dict[int, Any] = {10: ipfix.Decoder(lifetime=lifetime), 9: netflow9.Decoder(lifetime=lifetime)}
+        self.decoders: dict[int, Any] = {
+            10: ipfix.Decoder(lifetime=lifetime),
+            9: netflow9.Decoder(lifetime=lifetime),
+        }
         self.gaps: OrderedDict[tuple[int, int], Gap] = OrderedDict()
 
 
 class Collector:
     """Counts what comes. `show` gets each record as a map; `complain` one line."""
 
-    def __init__(self, show: Callable[[dict[str, Any]], None], complain: Callable[[str], None],
-                 within: IPSet | None = None, clock: Callable[[], float] = time.monotonic) -> None:
-        self.show, self.complain, self.within, self.clock = show, complain, within, clock
+    def __init__(
+        self,
+        show: Callable[[dict[str, Any]], None],
+        complain: Callable[[str], None],
+        within: IPSet | None = None,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self.show, self.complain, self.within, self.clock = (
+            show,
+            complain,
+            within,
+            clock,
+        )
         self.udp: OrderedDict[Any, Session] = OrderedDict()
         self.gaps: list[Gap] = []
         self.sums: Counter[str] = Counter()
@@ -63,7 +94,9 @@
         self.boxes: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
         self.options: OrderedDict[Any, dict[str, Any]] = OrderedDict()
-        self.messages = self.records = self.unknown = self.malformed = self.templates = self.bytes = 0
+        self.messages = self.records = self.unknown = self.malformed = (
+            self.templates
+        ) = self.bytes = 0
 
     def datagram(self, data: bytes, source: Any) -> None:
         """One datagram from an address."""
@@ -107,10 +140,17 @@
         if not made.unknown:
             gap.hear(made.sequence, len(made.rows))
 
-    def row(self, template: int, scope: int, values: dict[str, Any], domain: int) -> None:
-        if self.within is not None and not scope and not any(
+    def row(
+        self, template: int, scope: int, values: dict[str, Any], domain: int
+    ) -> None:
+        if (
+            self.within is not None
+            and not scope
+            and not any(
                 name in values and IPAddress(values[name]) in self.within
-                for name in ("sourceIPv4Address", "destinationIPv4Address")):
+                for name in ("sourceIPv4Address", "destinationIPv4Address")
+            )
+        ):
             return
         self.records += 1
         if scope:
@@ -118,7 +158,9 @@
             self.options.move_to_end((template, domain))
             while len(self.options) > MOST_SESSIONS:
                 self.options.popitem(last=False)
-        elif "finalAnswer" not in values:  # a command's own record repeats what its flow sums up
+        elif (
+            "finalAnswer" not in values
+        ):  # a command's own record repeats what its flow sums up
             self.add(values)
         self.show({"template": template, "domain": domain, **values})
 
@@ -127,13 +169,21 @@
         for name in SUMMED:
             if name in values:
                 self.sums[f"{side} {name}"] += values[name]
-        octets = values.get("octetDeltaCount", 0) + values.get("reverseOctetDeltaCount", 0)
-        top, name = (self.boxes, str(values["boxId"])) if side == "box" else (self.stores, values.get("storeName", ""))
+        octets = values.get("octetDeltaCount", 0) + values.get(
+            "reverseOctetDeltaCount", 0
+        )
+        top, name = (
+            (self.boxes, str(values["boxId"]))
+            if side == "box"
+            else (self.stores, values.get("storeName", ""))
+        )
         top[name] += octets
         if side == "box":
-            self.outcomes[values.get("dispatchOutcome", "")] += values.get("dispatchDeltaCount", 0)
+            self.outcomes[values.get("dispatchOutcome", "")] += values.get(
+                "dispatchDeltaCount", 0
+            )
         if len(top) > MOST_TOP:
-            for gone, _ in top.most_common()[MOST_TOP // 2:]:
+            for gone, _ in top.most_common()[MOST_TOP // 2 :]:
                 del top[gone]
 
     @property
@@ -142,13 +192,24 @@
         return sum(each.missing for each in self.gaps)
 
     def summary(self) -> dict[str, Any]:
-        return {"messages": self.messages, "bytes": self.bytes, "records": self.records, "templates": self.templates,
-                "unknown_sets": self.unknown, "malformed": self.malformed, "missing": self.missing,
-                "doubled": sum(each.again for each in self.gaps), "sums": dict(self.sums),
-                "stores": dict(self.stores.most_common(20)), "boxes": dict(self.boxes.most_common(20)),
-                "outcomes": dict(self.outcomes), "options": [
-                    {"template": template, "domain": domain, **values}
-                    for (template, domain), values in self.options.items()]}
+        return {
+            "messages": self.messages,
+            "bytes": self.bytes,
+            "records": self.records,
+            "templates": self.templates,
+            "unknown_sets": self.unknown,
+            "malformed": self.malformed,
+            "missing": self.missing,
+            "doubled": sum(each.again for each in self.gaps),
+            "sums": dict(self.sums),
+            "stores": dict(self.stores.most_common(20)),
+            "boxes": dict(self.boxes.most_common(20)),
+            "outcomes": dict(self.outcomes),
+            "options": [
+                {"template": template, "domain": domain, **values}
+                for (template, domain), values in self.options.items()
+            ],
+        }
 
 
 class Ear(DatagramProtocol):
@@ -191,15 +252,30 @@
     """The summary for a person."""
     from rich.console import Console
     from rich.table import Table
+
     console = Console(width=110, record=True, file=io.StringIO())
-    for title, name in (("octets by store", "stores"), ("octets by box", "boxes"), ("dispatches by outcome", "outcomes"),
-                        ("sums", "sums")):
+    for title, name in (
+        ("octets by store", "stores"),
+        ("octets by box", "boxes"),
+        ("dispatches by outcome", "outcomes"),
+        ("sums", "sums"),
+    ):
         made = Table(title=title, title_justify="left")
         made.add_column("of")
         made.add_column("count", justify="right")
         for key, value in summary[name].items():
             made.add_row(key or "-", f"{value}")
         console.print(made)
-    counts = {name: summary[name] for name in ("messages", "records", "unknown_sets", "malformed", "missing", "doubled")}
+    counts = {
+        name: summary[name]
+        for name in (
+            "messages",
+            "records",
+            "unknown_sets",
+            "malformed",
+            "missing",
+            "doubled",
+        )
+    }
     console.print(json.dumps(counts))
     return console.export_text()
--- a/milletsill/flows/decide.py
+++ b/milletsill/flows/decide.py
@@ -3,6 +3,7 @@
 No I/O and no clock; times are whole tenths of a millisecond of the gateway's own clock. The tables and tuned values of
 `flows/` stand here alone.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
@@ -54,7 +55,13 @@
 
     def look(self, share: float, bound: float) -> str:
         """One look at the share of time that export took; '' or what to say in the stream."""
-        pressure = Pressure.HIGH if share > bound else Pressure.LOW if share < bound * RELIEF else Pressure.FAIR
+        pressure = (
+            Pressure.HIGH
+            if share > bound
+            else Pressure.LOW
+            if share < bound * RELIEF
+            else Pressure.FAIR
+        )
         self.streak = self.streak + 1 if pressure is self.last else 1
         self.last = pressure
         if self.streak < (HELD_HIGH if pressure is Pressure.HIGH else HELD_LOW):
@@ -66,12 +73,17 @@
             self.interval = min(self.interval * 2, MOST_INTERVAL)
         elif effect == "finer":
             self.interval //= 2
-            level, effect = (Level.SAMPLED, "say") if self.interval > 1 else (Level.FLOWS, "say")
+            level, effect = (
+                (Level.SAMPLED, "say") if self.interval > 1 else (Level.FLOWS, "say")
+            )
         elif level is Level.SAMPLED:
             self.interval = 2
         level = max(level, self.finest)
         effect = effect if (level, self.interval) != (self.level, 0) else ""
-        self.level, self.interval = level, self.interval if level is Level.SAMPLED else 1
+        self.level, self.interval = (
+            level,
+            self.interval if level is Level.SAMPLED else 1,
+        )
         return effect
 
     def selects(self) -> bool:
@@ -85,7 +97,9 @@
 LOOKED_AT = 8  # of those idle for longest
 
 
-def victim(oldest_first: Iterable[tuple[Any, Any]], size_of: Callable[[Any], int]) -> Any:
+def victim(
+    oldest_first: Iterable[tuple[Any, Any]], size_of: Callable[[Any], int]
+) -> Any:
     """The key of the flow that leaves: of the few idle for longest the smallest.
 
     Weighed: the oldest idle alone sends out a large flow that rests for a moment, and it comes back at once; the
@@ -126,7 +140,15 @@
 FIRST_AGAIN, SLOWER = SECOND, 4
 
 
-def templates_due(over_udp: bool, times: int, now: int, told_at: int, messages: int, every: int, every_messages: int) -> bool:
+def templates_due(
+    over_udp: bool,
+    times: int,
+    now: int,
+    told_at: int,
+    messages: int,
+    every: int,
+    every_messages: int,
+) -> bool:
     """Whether templates go before the next record: once on each connection; on UDP again by time and by count.
 
     `times` they were told on this stream. The first few are soon told again: a datagram lost at the start would leave the
@@ -147,7 +169,10 @@
     (Post.AWAY, Word.DUE): (Post.TRYING, "connect"),
     (Post.TRYING, Word.CONNECTED): (Post.UP, "begin"),
     (Post.TRYING, Word.FAILED): (Post.AWAY, "wait"),
-    **{(post, Word.LOST): (Post.AWAY, "wait") for post in (Post.TRYING, Post.UP, Post.STUCK)},
+    **{
+        (post, Word.LOST): (Post.AWAY, "wait")
+        for post in (Post.TRYING, Post.UP, Post.STUCK)
+    },
     (Post.UP, Word.FULL): (Post.STUCK, ""),
     (Post.STUCK, Word.DRAINED): (Post.UP, "pump"),
     # Guards against a collector that accepts and never reads: it is left for another, and tried again later.
@@ -166,10 +191,14 @@
     return int(min(FIRST_WAIT * 2 ** min(failures, 20), MOST_WAIT) * chance(0.5, 1.0))
 
 
-PROVEN = 30 * SECOND  # a collector that was away or stuck is doubted until it has been up for so long
+PROVEN = (
+    30 * SECOND
+)  # a collector that was away or stuck is doubted until it has been up for so long
 
 
-def receivers(states: Sequence[Post], doubted: Sequence[bool], copies: bool, chosen: int) -> list[int]:
+def receivers(
+    states: Sequence[Post], doubted: Sequence[bool], copies: bool, chosen: int
+) -> list[int]:
     """The places of the collectors that get the next record, in the operator's order.
 
     Copies: all of them, up or not (their queues hold what fits). Failover: the first that is up and not doubted, else the
--- a/milletsill/flows/exporter.py
+++ b/milletsill/flows/exporter.py
@@ -3,6 +3,7 @@
 One `Sender` for each collector: a bounded queue by kind, a state from decide.POST_TABLE, an account of what became of
 every record. `Exporter` owns cache, meter and senders and acts now and then on a reactor's timer.
 """
+
 from __future__ import annotations
 
 import time
@@ -14,14 +15,42 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 
 from milletsill.flows import ipfix, netflow9
-from milletsill.flows.decide import (PROVEN, SECOND, STUCK_FOR, Account, Kind, Level, Metering, Post, Tally, Word, back_off, post,
-                                     receivers, shed, templates_due)
-from milletsill.flows.elements import ELEMENTS, OURS, RELIABILITY, SELECTION, TEMPLATES, TYPE_INFO
+from milletsill.flows.decide import (
+    PROVEN,
+    SECOND,
+    STUCK_FOR,
+    Account,
+    Kind,
+    Level,
+    Metering,
+    Post,
+    Tally,
+    Word,
+    back_off,
+    post,
+    receivers,
+    shed,
+    templates_due,
+)
+from milletsill.flows.elements import (
+    ELEMENTS,
+    OURS,
+    RELIABILITY,
+    SELECTION,
+    TEMPLATES,
+    TYPE_INFO,
+)
 from milletsill.flows.ipfix import Record
 from milletsill.flows.meter import Cache, Meter, Out
 
-STEP, MOST_A_STEP = 0.1, 500  # seconds between the exporter's acts; flows let go and records sent in one of them
-LOOK_EVERY, REPORT_EVERY = 10, 100  # steps between looks at the cost, and between options
+STEP, MOST_A_STEP = (
+    0.1,
+    500,
+)  # seconds between the exporter's acts; flows let go and records sent in one of them
+LOOK_EVERY, REPORT_EVERY = (
+    10,
+    100,
+)  # steps between looks at the cost, and between options
 TCP_MESSAGE, SYSTEMATIC_COUNT = 8192, 1  # bytes; selectorAlgorithm of RFC 5477
 CODECS = {"ipfix": ipfix, "netflow9": netflow9}
 
@@ -67,7 +96,11 @@
         self.failures, self.due_at, self.stuck_at = 0, 0, 0
         self.queues = {kind: deque[Out]() for kind in Kind}
         self.account, self.sequence = Account(), 0
-        self.told, self.told_at, self.since_told = 0, 0, 0  # how often templates were told on this stream; when; messages since
+        self.told, self.told_at, self.since_told = (
+            0,
+            0,
+            0,
+        )  # how often templates were told on this stream; when; messages since
         self.up_at = 0
         host, _, port = given.address.rpartition(":")
         self.host, self.port = host, int(port)
@@ -83,7 +116,9 @@
         """A record for this collector; what a full queue drops is chosen and counted."""
         self.queues[out.kind].append(out)
         while self.queued > self.given.most_queued:
-            gone = self.queues[shed({kind: len(queue) for kind, queue in self.queues.items()})].popleft()
+            gone = self.queues[
+                shed({kind: len(queue) for kind, queue in self.queues.items()})
+            ].popleft()
             self.lose(gone, "queue full")
 
     def lose(self, out: Out, cause: str) -> None:
@@ -105,14 +140,19 @@
         elif effect == "begin":
             self.told, self.up_at = 0, now
             if not self.udp:
-                self.sequence, self.stream_began = 0, now  # RFC 7011: a connection is a stream of its own
+                self.sequence, self.stream_began = (
+                    0,
+                    now,
+                )  # RFC 7011: a connection is a stream of its own
             self.exporter.remark("collector_up", address=self.given.address)
             self.pump()
         elif effect == "pump":
             self.pump()
         elif effect in ("wait", "cut"):
             if not self.failures:
-                self.exporter.remark("collector_away", address=self.given.address, why=word.name.lower())
+                self.exporter.remark(
+                    "collector_away", address=self.given.address, why=word.name.lower()
+                )
             self.due_at = now + back_off(self.failures, self.exporter.uniform)
             self.failures += 1
             pipe, self.pipe = self.pipe, None
@@ -124,7 +164,9 @@
             return self.word(Word.CONNECTED)
         factory = Factory.forProtocol(lambda: Pipe(self))
         factory.noisy = False
-        endpoint = TCP4ClientEndpoint(self.exporter.reactor, self.host, self.port, timeout=3)
+        endpoint = TCP4ClientEndpoint(
+            self.exporter.reactor, self.host, self.port, timeout=3
+        )
         endpoint.connect(factory).addErrback(lambda failure: self.word(Word.FAILED))
 
     def look(self, now: int) -> None:
@@ -146,19 +188,32 @@
     def send_message(self) -> int:
         """One message: templates if they are due, then records, the most needed kind first. How many records."""
         now, exporter = self.exporter.now(), self.exporter
-        message = self.codec.Message(exporter.file.path_bytes if self.udp else TCP_MESSAGE)
-        if templates_due(self.udp, self.told, now, self.told_at, self.since_told,
-                         int(exporter.file.template_s * SECOND), exporter.file.template_messages):
+        message = self.codec.Message(
+            exporter.file.path_bytes if self.udp else TCP_MESSAGE
+        )
+        if templates_due(
+            self.udp,
+            self.told,
+            now,
+            self.told_at,
+            self.since_told,
+            int(exporter.file.template_s * SECOND),
+            exporter.file.template_messages,
+        ):
             self.send_templates(now)
         taken: list[Out] = []
         for kind in sorted(Kind, reverse=True):
             queue = self.queues[kind]
-            while queue and message.add(queue[0].record.template.id, self.encoder.record(queue[0].record)):
+            while queue and message.add(
+                queue[0].record.template.id, self.encoder.record(queue[0].record)
+            ):
                 taken.append(queue.popleft())
             if queue:
                 break
         if not taken:  # a record that fits no message by itself
-            kind = next(kind for kind in sorted(Kind, reverse=True) if self.queues[kind])
+            kind = next(
+                kind for kind in sorted(Kind, reverse=True) if self.queues[kind]
+            )
             self.lose(self.queues[kind].popleft(), "too large")
             return 1
         self.write(message, taken)
@@ -170,20 +225,34 @@
         wanted = [each for each in TEMPLATES if self.codec is ipfix or not each.scope]
         rows = list(self.encoder.template_sets(wanted))
         if self.codec is ipfix:
-            rows += [(TYPE_INFO.id, self.encoder.record(Record(TYPE_INFO, self.encoder.type_values(each))))
-                     for each in ELEMENTS.values() if each.space == OURS]
-        message = self.codec.Message(self.exporter.file.path_bytes if self.udp else TCP_MESSAGE)
+            rows += [
+                (
+                    TYPE_INFO.id,
+                    self.encoder.record(
+                        Record(TYPE_INFO, self.encoder.type_values(each))
+                    ),
+                )
+                for each in ELEMENTS.values()
+                if each.space == OURS
+            ]
+        message = self.codec.Message(
+            self.exporter.file.path_bytes if self.udp else TCP_MESSAGE
+        )
         for set_id, data in rows:
             if not message.add(set_id, data):
                 self.write(message, [])
-                message = self.codec.Message(self.exporter.file.path_bytes if self.udp else TCP_MESSAGE)
+                message = self.codec.Message(
+                    self.exporter.file.path_bytes if self.udp else TCP_MESSAGE
+                )
                 message.add(set_id, data)
         self.write(message, [])
 
     def write(self, message: Any, taken: list[Out]) -> None:
         """One message out, and into the account."""
         exporter = self.exporter
-        data = message.finish(int(exporter.wall_clock()), self.sequence, exporter.domain)
+        data = message.finish(
+            int(exporter.wall_clock()), self.sequence, exporter.domain
+        )
         self.sequence += message.records if self.codec is ipfix else 1
         self.account.messages += 1
         self.account.bytes += len(data)
@@ -198,12 +267,36 @@
 
     def reliability(self, exporter: Exporter) -> Record:
         """What became of everything, for the reader: RFC 7011's reliability elements and ours."""
-        sent, lost, skipped = self.account.sent, self.account.lost(), exporter.meter.not_metered
-        causes = "; ".join(f"{cause} {tally.records}" for cause, tally in self.account.dropped.items())
-        return Record(RELIABILITY, (
-            exporter.domain, exporter.domain, exporter.name, self.account.messages, sent.records, self.account.bytes,
-            lost.records, lost.packets, lost.octets, sent.commands, lost.commands, skipped.commands, sent.dispatches,
-            lost.dispatches, skipped.dispatches, exporter.cache.evicted, causes))
+        sent, lost, skipped = (
+            self.account.sent,
+            self.account.lost(),
+            exporter.meter.not_metered,
+        )
+        causes = "; ".join(
+            f"{cause} {tally.records}" for cause, tally in self.account.dropped.items()
+        )
+        return Record(
+            RELIABILITY,
+            (
+                exporter.domain,
+                exporter.domain,
+                exporter.name,
+                self.account.messages,
+                sent.records,
+                self.account.bytes,
+                lost.records,
+                lost.packets,
+                lost.octets,
+                sent.commands,
+                lost.commands,
+                skipped.commands,
+                sent.dispatches,
+                lost.dispatches,
+                skipped.dispatches,
+                exporter.cache.evicted,
+                causes,
+            ),
+        )
 
 
 class Silent(DatagramProtocol):
@@ -219,16 +312,46 @@
 class Exporter:
     """Flow export of one gateway: cache, meter, senders. `file` is the FlowExport message of its file."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], file: Any, name: str, domain: int, seed: int,
-                 remark: Callable[..., None], wall_clock: Callable[[], float] = time.time,
-                 timer: Callable[[], float] = time.perf_counter) -> None:
-        self.reactor, self.now, self.file, self.name, self.domain = reactor, now, file, name, domain
-        self.remark, self.wall_clock, self.timer, self.pen = remark, wall_clock, timer, file.enterprise
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        file: Any,
+        name: str,
+        domain: int,
+        seed: int,
+        remark: Callable[..., None],
+        wall_clock: Callable[[], float] = time.time,
+        timer: Callable[[], float] = time.perf_counter,
+    ) -> None:
+        self.reactor, self.now, self.file, self.name, self.domain = (
+            reactor,
+            now,
+            file,
+            name,
+            domain,
+        )
+        self.remark, self.wall_clock, self.timer, self.pen = (
+            remark,
+            wall_clock,
+            timer,
+            file.enterprise,
+        )
         self.uniform = Random(seed).uniform
-        self.metering = Metering(Level[file.closest.upper()], Level[file.closest.upper()])
-        self.cache = Cache(file.most_flows, int(file.active_s * SECOND), int(file.idle_s * SECOND), self.wall, self.put)
+        self.metering = Metering(
+            Level[file.closest.upper()], Level[file.closest.upper()]
+        )
+        self.cache = Cache(
+            file.most_flows,
+            int(file.active_s * SECOND),
+            int(file.idle_s * SECOND),
+            self.wall,
+            self.put,
+        )
         self.meter = Meter(self.cache, self.metering, now, timer)
-        self.senders = [Sender(self, place, each) for place, each in enumerate(file.collector)]
+        self.senders = [
+            Sender(self, place, each) for place, each in enumerate(file.collector)
+        ]
         self.chosen, self.steps, self.call, self.udp_port = 0, 0, None, None
         self.began = now()
         self.looked_at, self.spent_before, self.spent = now(), 0.0, 0.0
@@ -252,8 +375,12 @@
 
     def put(self, out: Out) -> None:
         """A record that left the cache, to whom it goes."""
-        places = receivers([each.state for each in self.senders], [each.failures > 0 for each in self.senders],
-                           self.file.copies, self.chosen)
+        places = receivers(
+            [each.state for each in self.senders],
+            [each.failures > 0 for each in self.senders],
+            self.file.copies,
+            self.chosen,
+        )
         for place in places:
             self.senders[place].offer(out)
         if places and not self.file.copies and places[0] != self.chosen:
@@ -289,18 +416,35 @@
         share = (spent - self.spent_before) / elapsed if elapsed > 0 else 0.0
         self.looked_at, self.spent_before = now, spent
         if self.metering.look(share, self.file.cpu_share):
-            self.remark("metering", level=self.metering.level.name.lower(), interval=self.metering.interval,
-                        share=round(share, 4))
+            self.remark(
+                "metering",
+                level=self.metering.level.name.lower(),
+                interval=self.metering.interval,
+                share=round(share, 4),
+            )
             self.report()
 
     def report(self) -> None:
         """Options: how closely it is metered, and what became of everything."""
         meter, metering = self.meter, self.metering
-        selection = Record(SELECTION, (self.domain, 1, SYSTEMATIC_COUNT, 1, metering.interval - 1, meter.observed,
-                                       meter.selected, int(metering.level)))
+        selection = Record(
+            SELECTION,
+            (
+                self.domain,
+                1,
+                SYSTEMATIC_COUNT,
+                1,
+                metering.interval - 1,
+                meter.observed,
+                meter.selected,
+                int(metering.level),
+            ),
+        )
         for each in self.senders:
             if each.codec is ipfix:
-                each.queues[Kind.OPTION].clear()  # the newest tells all that the older ones did
+                each.queues[
+                    Kind.OPTION
+                ].clear()  # the newest tells all that the older ones did
                 each.offer(Out(selection, Kind.OPTION, Tally(1)))
                 each.offer(Out(each.reliability(self), Kind.OPTION, Tally(1)))
 
@@ -318,9 +462,13 @@
         if self.call is not None and self.call.active():
             self.call.cancel()
         elapsed = (self.now() - self.began) / SECOND
-        self.remark("flows_ended", share=round((self.spent + self.meter.spent) / max(elapsed, 0.001), 5),
-                    evicted=self.cache.evicted, messages=sum(each.account.messages for each in self.senders),
-                    dropped=sum(each.account.lost().records for each in self.senders))
+        self.remark(
+            "flows_ended",
+            share=round((self.spent + self.meter.spent) / max(elapsed, 0.001), 5),
+            evicted=self.cache.evicted,
+            messages=sum(each.account.messages for each in self.senders),
+            dropped=sum(each.account.lost().records for each in self.senders),
+        )
 
     def stop(self) -> None:
         """Let the connections go; what they hold still leaves."""
--- a/milletsill/flows/ipfix.py
+++ b/milletsill/flows/ipfix.py
@@ -3,6 +3,7 @@
 `Encoder` writes records of `elements.TEMPLATES`; `Decoder` reads any stream strictly: a message is taken whole or refused
 with one line, templates are bounded in number and, where a lifetime is given, in time.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
@@ -12,8 +13,19 @@
 from typing import Any, Callable, Iterator, Mapping, Sequence
 
 from milletsill.errors import Malformed
-from milletsill.flows.elements import (DOCUMENTATION_PEN, ELEMENTS, IANA, OURS, REVERSE, REVERSE_PEN, SEMANTICS, TYPES,
-                                       VARIABLE, Element, Template)
+from milletsill.flows.elements import (
+    DOCUMENTATION_PEN,
+    ELEMENTS,
+    IANA,
+    OURS,
+    REVERSE,
+    REVERSE_PEN,
+    SEMANTICS,
+    TYPES,
+    VARIABLE,
+    Element,
+    Template,
+)
 
 VERSION, HEADER, SET = 10, Struct(">HHIII"), Struct(">HH")
 TEMPLATE_SET, OPTIONS_SET, FIRST_DATA = 2, 3, 256
@@ -40,7 +52,11 @@
 def put_string(value: str) -> bytes:
     """A variable-length string; one past MOST_STRING bytes is cut at a character's border."""
     data = cut(value, MOST_STRING)
-    return bytes((len(data),)) + data if len(data) < 255 else b"\xff" + WIDTHS[2].pack(len(data)) + data
+    return (
+        bytes((len(data),)) + data
+        if len(data) < 255
+        else b"\xff" + WIDTHS[2].pack(len(data)) + data
+    )
 
 
 def cut(value: str, most: int) -> bytes:
@@ -72,12 +88,16 @@
         """The bytes of one data record."""
         packers = self.packers.get(record.template.id)
         if packers is None:
-            packers = self.packers[record.template.id] = tuple(map(packer, record.template.elements))
+            packers = self.packers[record.template.id] = tuple(
+                map(packer, record.template.elements)
+            )
         return b"".join([pack(value) for pack, value in zip(packers, record.values)])
 
     def specifier(self, element: Element) -> bytes:
         pen, length = self.pens[element.space], element.width or VARIABLE
-        head = WIDTHS[2].pack(element.id | (0x8000 if pen is not None else 0)) + WIDTHS[2].pack(length)
+        head = WIDTHS[2].pack(element.id | (0x8000 if pen is not None else 0)) + WIDTHS[
+            2
+        ].pack(length)
         return head if pen is None else head + WIDTHS[4].pack(pen)
 
     def template(self, template: Template) -> bytes:
@@ -89,12 +109,21 @@
 
     def template_sets(self, templates: Sequence[Template]) -> list[tuple[int, bytes]]:
         """(set id, record) of each template."""
-        return [(OPTIONS_SET if each.scope else TEMPLATE_SET, self.template(each)) for each in templates]
+        return [
+            (OPTIONS_SET if each.scope else TEMPLATE_SET, self.template(each))
+            for each in templates
+        ]
 
     def type_values(self, element: Element) -> tuple[Any, ...]:
         """What RFC 5610 tells of one of our elements."""
-        return (self.pens[element.space] or 0, element.id, TYPES[element.type][0], SEMANTICS[element.semantics],
-                element.name, element.text)
+        return (
+            self.pens[element.space] or 0,
+            element.id,
+            TYPES[element.type][0],
+            SEMANTICS[element.semantics],
+            element.name,
+            element.text,
+        )
 
 
 class Message:
@@ -108,8 +137,14 @@
     def add(self, set_id: int, data: bytes) -> bool:
         """Whether it still went in; a first record always does, if any message could hold it."""
         same = bool(self.sets) and self.sets[-1][0] == set_id
-        need = len(data) + (0 if same else SET.size + 3)  # and at most three bytes of padding
-        if self.size + need > self.most and self.sets or self.size + need > MOST_MESSAGE:
+        need = len(data) + (
+            0 if same else SET.size + 3
+        )  # and at most three bytes of padding
+        if (
+            self.size + need > self.most
+            and self.sets
+            or self.size + need > MOST_MESSAGE
+        ):
             return False
         if not same:
             self.sets.append((set_id, []))
@@ -125,9 +160,20 @@
         for set_id, records in self.sets:
             data = b"".join(records)
             pad = -len(data) % 4 if min(map(len, records)) > 3 else 0
-            body.append(SET.pack(set_id, SET.size + len(data) + pad) + data + bytes(pad))
+            body.append(
+                SET.pack(set_id, SET.size + len(data) + pad) + data + bytes(pad)
+            )
         whole = b"".join(body)
-        return HEADER.pack(VERSION, HEADER.size + len(whole), export_time % MODULO, sequence % MODULO, domain) + whole
+        return (
+            HEADER.pack(
+                VERSION,
+                HEADER.size + len(whole),
+                export_time % MODULO,
+                sequence % MODULO,
+                domain,
+            )
+            + whole
+        )
 
 
 # --- Reading.
@@ -170,7 +216,9 @@
 class Decoder:
     """Reads one transport session. `lifetime` in seconds for UDP; None where templates last as long as the session."""
 
-    def __init__(self, pen: int = DOCUMENTATION_PEN, lifetime: float | None = None) -> None:
+    def __init__(
+        self, pen: int = DOCUMENTATION_PEN, lifetime: float | None = None
+    ) -> None:
         self.lifetime = lifetime
         self.templates: dict[tuple[int, int], Learnt] = {}
         self.names: dict[tuple[int | None, int], tuple[str, str]] = {}
@@ -187,7 +235,10 @@
             raise BadExport(f"version {version}, {VERSION} is read")
         if length != len(data):
             raise BadExport(f"a length of {length} in a message of {len(data)} bytes")
-        made, learnt = Decoded(export_time, sequence, domain), dict[tuple[int, int], Learnt | None]()
+        made, learnt = (
+            Decoded(export_time, sequence, domain),
+            dict[tuple[int, int], Learnt | None](),
+        )
         at = HEADER.size
         while at < length:
             if length - at < SET.size:
@@ -195,9 +246,11 @@
             set_id, size = SET.unpack_from(data, at)
             if size < SET.size or at + size > length:
                 raise BadExport(f"a set of {size} bytes where {length - at} are left")
-            body = data[at + SET.size:at + size]
+            body = data[at + SET.size : at + size]
             if set_id in (TEMPLATE_SET, OPTIONS_SET):
-                made.templates += self.learn(body, domain, set_id == OPTIONS_SET, now, learnt)
+                made.templates += self.learn(
+                    body, domain, set_id == OPTIONS_SET, now, learnt
+                )
             elif set_id >= FIRST_DATA:
                 self.data_set(body, domain, set_id, now, learnt, made)
             else:
@@ -216,8 +269,14 @@
         while len(self.templates) > MOST_TEMPLATES:
             self.templates.pop(next(iter(self.templates)))
 
-    def learn(self, body: bytes, domain: int, options: bool, now: float,
-              learnt: dict[tuple[int, int], Learnt | None]) -> int:
+    def learn(
+        self,
+        body: bytes,
+        domain: int,
+        options: bool,
+        now: float,
+        learnt: dict[tuple[int, int], Learnt | None],
+    ) -> int:
         """The templates of a set; a field count of 0 withdraws one."""
         at, count = 0, 0
         try:
@@ -231,8 +290,15 @@
                 if options:
                     scope = WIDTHS[2].unpack_from(body, at)[0]
                     at += 2
-                if template_id < FIRST_DATA or fields > MOST_FIELDS or options and not 0 < scope <= fields:
-                    raise BadExport(f"template {template_id} with {fields} fields, {scope} of scope")
+                if (
+                    template_id < FIRST_DATA
+                    or fields > MOST_FIELDS
+                    or options
+                    and not 0 < scope <= fields
+                ):
+                    raise BadExport(
+                        f"template {template_id} with {fields} fields, {scope} of scope"
+                    )
                 specifiers = []
                 for _ in range(fields):
                     id, length = SET.unpack_from(body, at)
@@ -250,17 +316,34 @@
             raise BadExport("a template is cut short") from None
         return count
 
-    def data_set(self, body: bytes, domain: int, set_id: int, now: float,
-                 learnt: Mapping[tuple[int, int], Learnt | None], made: Decoded) -> None:
+    def data_set(
+        self,
+        body: bytes,
+        domain: int,
+        set_id: int,
+        now: float,
+        learnt: Mapping[tuple[int, int], Learnt | None],
+        made: Decoded,
+    ) -> None:
         """The records of a set; padding is shorter than any record."""
         key = domain, set_id
         template = learnt[key] if key in learnt else self.templates.get(key)
-        if template is not None and self.lifetime is not None and now - template.at > self.lifetime:
+        if (
+            template is not None
+            and self.lifetime is not None
+            and now - template.at > self.lifetime
+        ):
             template = None
         if template is None:
             made.unknown += 1
             return
-        least, at = sum(1 if each.length == VARIABLE else each.length for each in template.fields), 0
+        least, at = (
+            sum(
+                1 if each.length == VARIABLE else each.length
+                for each in template.fields
+            ),
+            0,
+        )
         while len(body) - at >= least:
             values: dict[str, Any] = {}
             for each in template.fields:
@@ -275,7 +358,7 @@
                         length, at = WIDTHS[2].unpack_from(body, at)[0], at + 2
                 if at + length > len(body):
                     raise BadExport("a record is cut short")
-                name, value = self.value(each, body[at:at + length])
+                name, value = self.value(each, body[at : at + length])
                 values[name] = value
                 at += length
             made.rows.append((set_id, template.scope, values))
@@ -284,7 +367,9 @@
 
     def value(self, field: Field, data: bytes) -> tuple[str, Any]:
         """A field's name and value; of one that is not known, its numbers and bytes."""
-        name, kind = self.names.get((field.pen, field.id), (f"{field.pen or 0}/{field.id}", "octetArray"))
+        name, kind = self.names.get(
+            (field.pen, field.id), (f"{field.pen or 0}/{field.id}", "octetArray")
+        )
         if kind == "string":
             return name, text_value(data)
         if kind == "ipv4Address" and len(data) == 4:
@@ -293,16 +378,28 @@
             return name, FLOAT.unpack(data)[0]
         if kind in ("octetArray", "ipv4Address", "float64"):
             return name, data.hex()
-        return name, int.from_bytes(data, "big")  # any width up to the type's: reduced-size encoding
+        return name, int.from_bytes(
+            data, "big"
+        )  # any width up to the type's: reduced-size encoding
 
     def learn_name(self, values: Mapping[str, Any]) -> None:
         """RFC 5610: the type and name of an enterprise element, told in the stream."""
-        pen, id = values.get("privateEnterpriseNumber"), values.get("informationElementId")
-        if pen is None or id is None or not values.get("informationElementName") or len(self.names) > 8192:
+        pen, id = (
+            values.get("privateEnterpriseNumber"),
+            values.get("informationElementId"),
+        )
+        if (
+            pen is None
+            or id is None
+            or not values.get("informationElementName")
+            or len(self.names) > 8192
+        ):
             return
         kinds = {number: name for name, (number, _) in TYPES.items()}
         kind = kinds.get(values.get("informationElementDataType"), "octetArray")  # type: ignore[arg-type]
-        self.names.setdefault((pen, id & 0x7FFF), (str(values["informationElementName"])[:200], kind))
+        self.names.setdefault(
+            (pen, id & 0x7FFF), (str(values["informationElementName"])[:200], kind)
+        )
 
 
 class Cutter:
@@ -316,7 +413,9 @@
         while len(self.held) >= 4:
             version, length = SET.unpack_from(self.held)
             if version != VERSION or length < HEADER.size:
-                raise BadExport(f"version {version} and a length of {length} begin no message")
+                raise BadExport(
+                    f"version {version} and a length of {length} begin no message"
+                )
             if len(self.held) < length:
                 return
             message = bytes(self.held[:length])
--- a/milletsill/flows/meter.py
+++ b/milletsill/flows/meter.py
@@ -4,6 +4,7 @@
 to the client; commands by final answer. Box side: box, store, category, outcome; octets and packets to the box and back;
 dispatches. Every packet of a command or dispatch is counted when that has ended, once; other packets under an empty name.
 """
+
 from __future__ import annotations
 
 from collections import OrderedDict
@@ -11,7 +12,14 @@
 from typing import Any, Callable, NamedTuple
 
 from milletsill.flows.decide import Kind, Level, Metering, Tally, ended, victim
-from milletsill.flows.elements import (BOX_FLOW, CLIENT_FLOW, COMMAND, DONE_END, FORCED_END, NO_ROOM_END)
+from milletsill.flows.elements import (
+    BOX_FLOW,
+    CLIENT_FLOW,
+    COMMAND,
+    DONE_END,
+    FORCED_END,
+    NO_ROOM_END,
+)
 from milletsill.flows.ipfix import Record
 
 TCP = 6
@@ -61,7 +69,15 @@
     aborted: int = 0
     abandoned: int = 0
 
-    def add(self, now: int, octets_to: int, packets_to: int, octets_back: int, packets_back: int, span: int) -> None:
+    def add(
+        self,
+        now: int,
+        octets_to: int,
+        packets_to: int,
+        octets_back: int,
+        packets_back: int,
+        span: int,
+    ) -> None:
         self.last = now
         self.octets_to += octets_to
         self.packets_to += packets_to
@@ -86,8 +102,16 @@
 class Cache:
     """Flows by key, the least lately touched first. `put` takes what leaves."""
 
-    def __init__(self, most: int, active: int, idle: int, wall: Wall, put: Callable[[Out], None]) -> None:
-        self.most, self.active, self.idle, self.wall, self.put = most, active, idle, wall, put
+    def __init__(
+        self, most: int, active: int, idle: int, wall: Wall, put: Callable[[Out], None]
+    ) -> None:
+        self.most, self.active, self.idle, self.wall, self.put = (
+            most,
+            active,
+            idle,
+            wall,
+            put,
+        )
         self.flows: OrderedDict[ClientKey | BoxKey, Flow] = OrderedDict()
         self.starts: OrderedDict[ClientKey | BoxKey, None] = OrderedDict()
         self.evicted = 0
@@ -98,7 +122,12 @@
         if flow is None:
             while len(self.flows) >= self.most:
                 self.evicted += 1
-                self.leave(victim(self.flows.items(), lambda each: each.count + each.packets_to), NO_ROOM_END)
+                self.leave(
+                    victim(
+                        self.flows.items(), lambda each: each.count + each.packets_to
+                    ),
+                    NO_ROOM_END,
+                )
             flow = self.flows[key] = Flow(now, now)
             self.starts[key] = None
         else:
@@ -109,8 +138,11 @@
         """A flow goes out as a record."""
         flow = self.flows.pop(key)
         del self.starts[key]
-        self.put(client_out(key, flow, reason, self.wall) if isinstance(key, ClientKey)
-                 else box_out(key, flow, reason, self.wall))
+        self.put(
+            client_out(key, flow, reason, self.wall)
+            if isinstance(key, ClientKey)
+            else box_out(key, flow, reason, self.wall)
+        )
 
     def sweep(self, now: int, most: int) -> int:
         """Flows whose time is up leave, at most so many of each reason in one go; how many did. One order is by last
@@ -136,37 +168,104 @@
 
 
 def client_out(key: ClientKey, flow: Flow, reason: int, wall: Wall) -> Out:
-    values = (key.client, key.edge, key.client_port, key.edge_port, TCP, wall(flow.started), wall(flow.last), reason,
-              flow.octets_to, flow.packets_to, flow.octets_back, flow.packets_back, flow.count, flow.satisfied,
-              flow.declined, flow.aborted, flow.abandoned, flow.time_sum * 100, flow.time_max * 100, key.store, key.plan,
-              key.category)
-    tally = Tally(1, flow.count, 0, flow.packets_to + flow.packets_back, flow.octets_to + flow.octets_back)
+    values = (
+        key.client,
+        key.edge,
+        key.client_port,
+        key.edge_port,
+        TCP,
+        wall(flow.started),
+        wall(flow.last),
+        reason,
+        flow.octets_to,
+        flow.packets_to,
+        flow.octets_back,
+        flow.packets_back,
+        flow.count,
+        flow.satisfied,
+        flow.declined,
+        flow.aborted,
+        flow.abandoned,
+        flow.time_sum * 100,
+        flow.time_max * 100,
+        key.store,
+        key.plan,
+        key.category,
+    )
+    tally = Tally(
+        1,
+        flow.count,
+        0,
+        flow.packets_to + flow.packets_back,
+        flow.octets_to + flow.octets_back,
+    )
     return Out(Record(CLIENT_FLOW, values), Kind.FLOW, tally)
 
 
 def box_out(key: BoxKey, flow: Flow, reason: int, wall: Wall) -> Out:
-    values = (key.edge, key.box, 0, key.box_port, TCP, wall(flow.started), wall(flow.last), reason, flow.octets_to,
-              flow.packets_to, flow.octets_back, flow.packets_back, flow.count, flow.further, flow.time_sum * 100,
-              flow.time_max * 100, key.id, key.store, key.category, key.outcome)
-    tally = Tally(1, 0, flow.count, flow.packets_to + flow.packets_back, flow.octets_to + flow.octets_back)
+    values = (
+        key.edge,
+        key.box,
+        0,
+        key.box_port,
+        TCP,
+        wall(flow.started),
+        wall(flow.last),
+        reason,
+        flow.octets_to,
+        flow.packets_to,
+        flow.octets_back,
+        flow.packets_back,
+        flow.count,
+        flow.further,
+        flow.time_sum * 100,
+        flow.time_max * 100,
+        key.id,
+        key.store,
+        key.category,
+        key.outcome,
+    )
+    tally = Tally(
+        1,
+        0,
+        flow.count,
+        flow.packets_to + flow.packets_back,
+        flow.octets_to + flow.octets_back,
+    )
     return Out(Record(BOX_FLOW, values), Kind.FLOW, tally)
 
 
 class Meter:
     """What the edge tells of. Each call is cheap; `spent` sums the seconds that they took by `timer`."""
 
-    def __init__(self, cache: Cache, metering: Metering, now: Callable[[], int], timer: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        cache: Cache,
+        metering: Metering,
+        now: Callable[[], int],
+        timer: Callable[[], float],
+    ) -> None:
         self.cache, self.metering, self.now, self.timer = cache, metering, now, timer
         self.not_metered = Tally()
         self.observed = self.selected = 0
         self.spent = 0.0
 
-    def command(self, key: ClientKey, final: str, octets_in: int, octets_out: int, answered: bool, span: int) -> None:
+    def command(
+        self,
+        key: ClientKey,
+        final: str,
+        octets_in: int,
+        octets_out: int,
+        answered: bool,
+        span: int,
+    ) -> None:
         """A client's command has ended: `final` empty for packets that are no transfer's; `span` in tenths of a ms."""
         began, now, commands = self.timer(), self.now(), int(bool(final))
         self.observed += 1
         if self.metering.level is Level.SAMPLED and not self.metering.selects():
-            self.not_metered.add(Tally(0, commands, 0, 1 + answered, octets_in + octets_out))
+            self.not_metered.add(
+                Tally(0, commands, 0, 1 + answered, octets_in + octets_out)
+            )
             self.spent += self.timer() - began
             return
         self.selected += 1
@@ -176,24 +275,57 @@
         if final:
             setattr(flow, final, getattr(flow, final) + 1)
             if self.metering.level is Level.COMMANDS:
-                self.cache.put(self.command_out(key, final, octets_in, octets_out, answered, span, now))
+                self.cache.put(
+                    self.command_out(
+                        key, final, octets_in, octets_out, answered, span, now
+                    )
+                )
         self.spent += self.timer() - began
 
-    def command_out(self, key: ClientKey, final: str, octets_in: int, octets_out: int, answered: bool, span: int,
-                    now: int) -> Out:
+    def command_out(
+        self,
+        key: ClientKey,
+        final: str,
+        octets_in: int,
+        octets_out: int,
+        answered: bool,
+        span: int,
+        now: int,
+    ) -> Out:
         """A record of its own; its counts stand in the flow, so its tally holds the record alone."""
         wall = self.cache.wall
-        values = (key.client, key.edge, key.client_port, key.edge_port, TCP, wall(now - span), wall(now), DONE_END,
-                  octets_in, 1, octets_out, int(answered), span * 100, key.store, key.plan, key.category, final)
+        values = (
+            key.client,
+            key.edge,
+            key.client_port,
+            key.edge_port,
+            TCP,
+            wall(now - span),
+            wall(now),
+            DONE_END,
+            octets_in,
+            1,
+            octets_out,
+            int(answered),
+            span * 100,
+            key.store,
+            key.plan,
+            key.category,
+            final,
+        )
         return Out(Record(COMMAND, values), Kind.COMMAND, Tally(1))
 
-    def dispatch(self, key: BoxKey, further: bool, octets_to: int, octets_back: int, span: int) -> None:
+    def dispatch(
+        self, key: BoxKey, further: bool, octets_to: int, octets_back: int, span: int
+    ) -> None:
         """A dispatch has ended, or a control packet went or came (`outcome` empty)."""
         began, now, count = self.timer(), self.now(), int(bool(key.outcome))
         self.observed += 1
         packets_to, packets_back = int(octets_to > 0), int(octets_back > 0)
         if self.metering.level is Level.SAMPLED and not self.metering.selects():
-            self.not_metered.add(Tally(0, 0, count, packets_to + packets_back, octets_to + octets_back))
+            self.not_metered.add(
+                Tally(0, 0, count, packets_to + packets_back, octets_to + octets_back)
+            )
         else:
             self.selected += 1
             flow = self.cache.touch(key, now)
--- a/milletsill/flows/netflow9.py
+++ b/milletsill/flows/netflow9.py
@@ -3,13 +3,24 @@
 Version 9 has no enterprise numbers and no variable length: our elements stand at 40000 and more, reverse ones at 41000
 and more, and strings are STRING bytes, cut at a character's border and filled with zeros. Sequence numbers count packets.
 """
+
 from __future__ import annotations
 
 from struct import Struct
 from typing import Any, Callable, Sequence
 
 from milletsill.flows.elements import ELEMENTS, IANA, OURS, Element, Template
-from milletsill.flows.ipfix import MODULO, SET, WIDTHS, Decoded, BadExport, Record, cut, packer, text_value
+from milletsill.flows.ipfix import (
+    MODULO,
+    SET,
+    WIDTHS,
+    Decoded,
+    BadExport,
+    Record,
+    cut,
+    packer,
+    text_value,
+)
 
 VERSION, HEADER = 9, Struct(">HHIIII")
 TEMPLATE_SET, OPTIONS_SET, FIRST_DATA, STRING = 0, 1, 256, 48
@@ -41,21 +52,39 @@
     def record(self, record: Record) -> bytes:
         packers = self.packers.get(record.template.id)
         if packers is None:
-            packers = self.packers[record.template.id] = tuple(map(put, record.template.elements))
+            packers = self.packers[record.template.id] = tuple(
+                map(put, record.template.elements)
+            )
         return b"".join([pack(value) for pack, value in zip(packers, record.values)])
 
     def template(self, template: Template) -> bytes:
         """One template; a scope goes as a scope of the system with the element's own width."""
-        specifiers = [(SCOPE_SYSTEM if place < template.scope else number(each), width(each))
-                      for place, each in enumerate(template.elements)]
-        body = b"".join(WIDTHS[2].pack(each) + WIDTHS[2].pack(size) for each, size in specifiers)
+        specifiers = [
+            (SCOPE_SYSTEM if place < template.scope else number(each), width(each))
+            for place, each in enumerate(template.elements)
+        ]
+        body = b"".join(
+            WIDTHS[2].pack(each) + WIDTHS[2].pack(size) for each, size in specifiers
+        )
         if not template.scope:
             return WIDTHS[2].pack(template.id) + WIDTHS[2].pack(len(specifiers)) + body
-        return b"".join(WIDTHS[2].pack(each) for each in (
-            template.id, 4 * template.scope, 4 * (len(specifiers) - template.scope))) + body
+        return (
+            b"".join(
+                WIDTHS[2].pack(each)
+                for each in (
+                    template.id,
+                    4 * template.scope,
+                    4 * (len(specifiers) - template.scope),
+                )
+            )
+            + body
+        )
 
     def template_sets(self, templates: Sequence[Template]) -> list[tuple[int, bytes]]:
-        return [(OPTIONS_SET if each.scope else TEMPLATE_SET, self.template(each)) for each in templates]
+        return [
+            (OPTIONS_SET if each.scope else TEMPLATE_SET, self.template(each))
+            for each in templates
+        ]
 
 
 class Message:
@@ -78,14 +107,26 @@
         self.records += set_id >= FIRST_DATA
         return True
 
-    def finish(self, export_time: int, sequence: int, domain: int, uptime: int = 0) -> bytes:
+    def finish(
+        self, export_time: int, sequence: int, domain: int, uptime: int = 0
+    ) -> bytes:
         """The whole packet; `sequence` counts packets, `uptime` is in milliseconds."""
         body = b""
         for set_id, records in self.sets:
             data = b"".join(records)
             pad = -len(data) % 4
             body += SET.pack(set_id, SET.size + len(data) + pad) + data + bytes(pad)
-        return HEADER.pack(VERSION, self.count, uptime % MODULO, export_time % MODULO, sequence % MODULO, domain) + body
+        return (
+            HEADER.pack(
+                VERSION,
+                self.count,
+                uptime % MODULO,
+                export_time % MODULO,
+                sequence % MODULO,
+                domain,
+            )
+            + body
+        )
 
 
 class Decoder:
@@ -93,8 +134,12 @@
 
     def __init__(self, pen: int = 0, lifetime: float | None = None) -> None:
         self.lifetime = lifetime
-        self.names = {number(each): (each.name, each.type) for each in ELEMENTS.values()}
-        self.templates: dict[tuple[int, int], tuple[list[tuple[int, int]], int, float]] = {}
+        self.names = {
+            number(each): (each.name, each.type) for each in ELEMENTS.values()
+        }
+        self.templates: dict[
+            tuple[int, int], tuple[list[tuple[int, int]], int, float]
+        ] = {}
 
     def message(self, data: bytes, now: float) -> Decoded:
         if len(data) < HEADER.size:
@@ -105,11 +150,15 @@
         made, at = Decoded(export_time, sequence, domain), HEADER.size
         while at < len(data):
             if len(data) - at < SET.size:
-                raise BadExport(f"{len(data) - at} bytes left over behind the last flow set")
+                raise BadExport(
+                    f"{len(data) - at} bytes left over behind the last flow set"
+                )
             set_id, size = SET.unpack_from(data, at)
             if size < SET.size or at + size > len(data):
-                raise BadExport(f"a flow set of {size} bytes where {len(data) - at} are left")
-            body = data[at + SET.size:at + size]
+                raise BadExport(
+                    f"a flow set of {size} bytes where {len(data) - at} are left"
+                )
+            body = data[at + SET.size : at + size]
             if set_id in (TEMPLATE_SET, OPTIONS_SET):
                 made.templates += self.learn(body, domain, set_id == OPTIONS_SET, now)
             elif set_id >= FIRST_DATA:
@@ -124,9 +173,17 @@
         while len(body) - at >= head and any(body[at:]):
             id, first = SET.unpack_from(body, at)
             scope = first // 4 if options else 0
-            fields = scope + WIDTHS[2].unpack_from(body, at + 4)[0] // 4 if options else first
+            fields = (
+                scope + WIDTHS[2].unpack_from(body, at + 4)[0] // 4
+                if options
+                else first
+            )
             at += head
-            if id < FIRST_DATA or not 0 < fields <= MOST_FIELDS or at + 4 * fields > len(body):
+            if (
+                id < FIRST_DATA
+                or not 0 < fields <= MOST_FIELDS
+                or at + 4 * fields > len(body)
+            ):
                 raise BadExport(f"template {id} with {fields} fields")
             told = [SET.unpack_from(body, at + 4 * each) for each in range(fields)]
             if not sum(size for _, size in told):
@@ -139,9 +196,15 @@
             self.templates.pop(next(iter(self.templates)))
         return count
 
-    def data_set(self, body: bytes, domain: int, set_id: int, now: float, made: Decoded) -> None:
+    def data_set(
+        self, body: bytes, domain: int, set_id: int, now: float, made: Decoded
+    ) -> None:
         found = self.templates.get((domain, set_id))
-        if found is None or self.lifetime is not None and now - found[2] > self.lifetime:
+        if (
+            found is None
+            or self.lifetime is not None
+            and now - found[2] > self.lifetime
+        ):
             made.unknown += 1
             return
         fields, scope, _ = found
@@ -149,13 +212,17 @@
         while len(body) - at >= size:
             values: dict[str, Any] = {}
             for place, (kind, length) in enumerate(fields):
-                name, value = self.value(kind, body[at:at + length], place < scope)
+                name, value = self.value(kind, body[at : at + length], place < scope)
                 values[f"scope{place}" if place < scope else name] = value
                 at += length
             made.rows.append((set_id, scope, values))
 
     def value(self, kind: int, data: bytes, scope: bool) -> tuple[str, Any]:
-        name, type_name = self.names.get(kind, (str(kind), "unsigned64")) if not scope else ("scope", "unsigned64")
+        name, type_name = (
+            self.names.get(kind, (str(kind), "unsigned64"))
+            if not scope
+            else ("scope", "unsigned64")
+        )
         if type_name == "string":
             return name, text_value(data.rstrip(b"\0"))
         if type_name == "ipv4Address" and len(data) == 4:
--- a/milletsill/http1/decide.py
+++ b/milletsill/http1/decide.py
@@ -1,4 +1,5 @@
 """Bounds of HTTP/1.1 messages, and what of a head is not believed. No I/O, no clock."""
+
 from __future__ import annotations
 
 import re
@@ -18,6 +19,7 @@
     leaves it there, and takes a body for unchunked where it stands behind the coding. Harm: none; it carries no meaning."""
     return b"\r\n".join(line.rstrip(b" \t") or line for line in head.split(b"\r\n"))
 
+
 # How a head begins, as far as it is here. Guards against waiting for the end of what can become no head: the rest of a body that
 # was told too short, noise without an end of line. Harm: none to a message that could be read, it is refused sooner.
 REQUEST_BEGINS = re.compile(rb"(?:\r\n|\r\Z)*(?:[A-Z]{1,20} |[A-Z]{0,20}\Z)")
@@ -33,13 +35,27 @@
     body: int = 65_536
 
 
-def length_of(fields: dict[bytes, bytes], doubled: set[bytes], bounds: Bounds) -> tuple[int, bool, int, str]:
+def length_of(
+    fields: dict[bytes, bytes], doubled: set[bytes], bounds: Bounds
+) -> tuple[int, bool, int, str]:
     """How the body is told: its length, whether it is chunked, and status and reason of an error (0: none)."""
     length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
-    if b"content-length" in doubled or b"transfer-encoding" in doubled or None not in (length, coding):
+    if (
+        b"content-length" in doubled
+        or b"transfer-encoding" in doubled
+        or None not in (length, coding)
+    ):
         return 0, False, 400, "the body's length is told twice"
     if coding is not None:
-        return 0, True, *((0, "") if coding.lower() == b"chunked" else (501, "a transfer coding that is not chunked"))
+        return (
+            0,
+            True,
+            *(
+                (0, "")
+                if coding.lower() == b"chunked"
+                else (501, "a transfer coding that is not chunked")
+            ),
+        )
     if length is None:
         return -1, False, 0, ""
     if not length.isdigit() or len(length) > LONGEST_LENGTH:
--- a/milletsill/http1/lines.py
+++ b/milletsill/http1/lines.py
@@ -1,4 +1,5 @@
 """A long answer, line by line, as it comes: for watches. No sockets; every line is bounded."""
+
 from __future__ import annotations
 
 import re
@@ -18,7 +19,13 @@
 
     def __init__(self, most_line: int) -> None:
         self.most_line = most_line
-        self.status, self.ended, self.line, self.head, self.interim = 0, False, b"", b"", 0
+        self.status, self.ended, self.line, self.head, self.interim = (
+            0,
+            False,
+            b"",
+            b"",
+            0,
+        )
         self.lines: list[bytes] = []
         self.parser = httptools.HttpResponseParser(self)
 
@@ -40,7 +47,9 @@
         try:
             self.parser.feed_data(data if self.status else self.heads(data))
         except ERRORS as error:
-            raise BadMessage(502, f"a watch that cannot be read: {error}"[:200]) from None
+            raise BadMessage(
+                502, f"a watch that cannot be read: {error}"[:200]
+            ) from None
         if len(self.line) > self.most_line or len(self.head) > BOUNDS.head:
             raise BadMessage(502, "a line over the bound")
         lines, self.lines = self.lines, []
@@ -49,11 +58,11 @@
     def heads(self, data: bytes) -> bytes:
         """What the parser gets while the answer's head is not whole: nothing, or whole heads and what stands behind."""
         self.head = (self.head + data).lstrip(b"\r\n")
-        if not self.head.startswith(ANSWER[:len(self.head)]):
+        if not self.head.startswith(ANSWER[: len(self.head)]):
             raise BadMessage(502, "no answer of HTTP/1.1")
         taken = b""
         while (end := self.head.find(END)) >= 0:
-            head, self.head = self.head[:end + len(END)], self.head[end + len(END):]
+            head, self.head = self.head[: end + len(END)], self.head[end + len(END) :]
             taken += bare(head)
             self.interim += 1
             if not INTERIM.match(head):
--- a/milletsill/http1/reader.py
+++ b/milletsill/http1/reader.py
@@ -2,6 +2,7 @@
 
 A reader holds at most one message of its bounds and what came behind it; who feeds it bounds the rest by `pending`.
 """
+
 from __future__ import annotations
 
 from typing import Any
@@ -9,8 +10,17 @@
 import httptools
 
 from milletsill.errors import Malformed
-from milletsill.http1.decide import (AMBIGUOUS, ANSWER_BEGINS, END, MOST_CHUNKS, MOST_INTERIM, REQUEST_BEGINS, Bounds, bare,
-                                     length_of)
+from milletsill.http1.decide import (
+    AMBIGUOUS,
+    ANSWER_BEGINS,
+    END,
+    MOST_CHUNKS,
+    MOST_INTERIM,
+    REQUEST_BEGINS,
+    Bounds,
+    bare,
+    length_of,
+)
 
 ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade)
 
@@ -18,7 +28,9 @@
 class BadMessage(Malformed):
     """Octets that are no message of HTTP/1.1 within the bounds; `status` is what a server answers."""
 
-    remedy = "see which client, node or discovery sends them; its connection alone is closed"
+    remedy = (
+        "see which client, node or discovery sends them; its connection alone is closed"
+    )
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -28,19 +40,48 @@
 class Message:
     """One request or answer. `fields` by lower-case name, the first of each; `doubled` names came again."""
 
-    __slots__ = ("method", "target", "status", "fields", "doubled", "body", "keep", "length", "chunked", "open_ended",
-                 "parser", "ended", "count", "most", "pieces", "size", "line", "told", "chunks", "rest",
-                 "headed")
+    __slots__ = (
+        "method",
+        "target",
+        "status",
+        "fields",
+        "doubled",
+        "body",
+        "keep",
+        "length",
+        "chunked",
+        "open_ended",
+        "parser",
+        "ended",
+        "count",
+        "most",
+        "pieces",
+        "size",
+        "line",
+        "told",
+        "chunks",
+        "rest",
+        "headed",
+    )
 
     def __init__(self, most: int) -> None:
         self.method, self.target, self.status, self.body = b"", b"", 0, b""
         self.fields, self.doubled = dict[bytes, bytes](), set[bytes]()
-        self.keep = self.chunked = self.open_ended = self.ended = self.headed = False  # open-ended: up to the connection's close
+        self.keep = self.chunked = self.open_ended = self.ended = self.headed = (
+            False  # open-ended: up to the connection's close
+        )
         self.length = self.count = 0
         self.most = most
         # Of a body in chunks: what came of it and how much, the line of the next chunk's size, whether that is whole, how many
         # chunks, and octets of the present one still to come.
-        self.pieces, self.size, self.line, self.told, self.chunks, self.rest = list[bytes](), 0, b"", False, 0, 0
+        self.pieces, self.size, self.line, self.told, self.chunks, self.rest = (
+            list[bytes](),
+            0,
+            b"",
+            False,
+            0,
+            0,
+        )
         self.parser: Any = None
 
     # Called by the parser.
@@ -61,7 +102,9 @@
 
     def on_headers_complete(self) -> None:
         self.headed = True
-        self.keep = self.parser.should_keep_alive()  # asked later, of a message without a body, it says no
+        self.keep = (
+            self.parser.should_keep_alive()
+        )  # asked later, of a message without a body, it says no
 
     def on_chunk_header(self) -> None:
         self.told, self.chunks = True, self.chunks + 1
@@ -83,7 +126,9 @@
             return
         self.line += data
         if self.told:
-            self.rest = int(self.line.partition(b";")[0], 16)  # the parser has found it to be one
+            self.rest = int(
+                self.line.partition(b";")[0], 16
+            )  # the parser has found it to be one
         if self.line.endswith(b"\n"):
             self.line, self.told = b"", False
 
@@ -97,7 +142,9 @@
         self.bounds = bounds
         self.buffer, self.blank = b"", False  # an empty line was passed over
         self.message: Message | None = None  # whose head was read
-        self.pieces: list[bytes] = []  # of its body, where that is told by its length or ends with the connection
+        self.pieces: list[
+            bytes
+        ] = []  # of its body, where that is told by its length or ends with the connection
         self.gathered = 0  # octets in them
         self.wanted = 0  # octets of it still to come
         self.looked = 0  # octets of the buffer that are known to end no head
@@ -105,7 +152,11 @@
     @property
     def pending(self) -> int:
         """Octets that wait to be read, or for the rest of their message."""
-        return len(self.buffer) + self.gathered + (self.message.size if self.message is not None else 0)
+        return (
+            len(self.buffer)
+            + self.gathered
+            + (self.message.size if self.message is not None else 0)
+        )
 
     @property
     def begun(self) -> bool:
@@ -163,8 +214,8 @@
                 self.gather(self.buffer)
                 self.wanted, self.buffer = self.wanted - len(self.buffer), b""
             return False
-        self.gather(self.buffer[:self.wanted])
-        message.body, self.buffer = self.gathered_up(), self.buffer[self.wanted:]
+        self.gather(self.buffer[: self.wanted])
+        message.body, self.buffer = self.gathered_up(), self.buffer[self.wanted :]
         self.wanted = 0
         return True
 
@@ -177,14 +228,20 @@
         end = self.buffer.find(END, looked)
         if end < 0 and len(self.buffer) <= self.bounds.head:
             self.looked = len(self.buffer)
-            if AMBIGUOUS.search(self.buffer, looked, len(self.buffer) - self.buffer.endswith(b"\r")):
+            if AMBIGUOUS.search(
+                self.buffer, looked, len(self.buffer) - self.buffer.endswith(b"\r")
+            ):
                 raise BadMessage(400, "a head that can be read in two ways")
             if not self.BEGINS.match(self.buffer):
                 raise BadMessage(400, "what begins no message")
             return None
         if not 0 <= end <= self.bounds.head - len(END):
             raise BadMessage(431, "a head over the bound")
-        head, self.buffer, self.looked = self.buffer[:end + len(END)], self.buffer[end + len(END):], 0
+        head, self.buffer, self.looked = (
+            self.buffer[: end + len(END)],
+            self.buffer[end + len(END) :],
+            0,
+        )
         if AMBIGUOUS.search(head):
             raise BadMessage(400, "a head that can be read in two ways")
         message = Message(self.bounds.body)
@@ -192,7 +249,9 @@
         try:
             message.parser.feed_data(bare(head))
         except ERRORS as error:
-            raise BadMessage(400, f"a head that cannot be read: {error}"[:200]) from None
+            raise BadMessage(
+                400, f"a head that cannot be read: {error}"[:200]
+            ) from None
         self.blank = False
         if message.count > self.bounds.fields:
             raise BadMessage(431, "too many lines in a head")
@@ -201,7 +260,9 @@
 
     def read(self, message: Message) -> None:
         """What the head says of the whole."""
-        message.length, message.chunked, status, reason = length_of(message.fields, message.doubled, self.bounds)
+        message.length, message.chunked, status, reason = length_of(
+            message.fields, message.doubled, self.bounds
+        )
         if status:
             raise BadMessage(status, reason)
 
@@ -212,15 +273,24 @@
         """Feed a chunked body by lines and whole chunks, so that not an octet behind its end is taken."""
         buffer, at = self.buffer, 0
         while not message.ended and at < len(buffer):
-            cut = min(at + message.rest, len(buffer)) if message.rest else buffer.find(b"\n", at) + 1 or len(buffer)
+            cut = (
+                min(at + message.rest, len(buffer))
+                if message.rest
+                else buffer.find(b"\n", at) + 1 or len(buffer)
+            )
             data, at = buffer[at:cut], cut
             try:
                 message.parser.feed_data(data)
             except ERRORS as error:
-                raise BadMessage(400, f"chunks that cannot be read: {error}"[:200]) from None
+                raise BadMessage(
+                    400, f"chunks that cannot be read: {error}"[:200]
+                ) from None
             message.fed(data)
             message.length += len(data)  # with its framing
-            if message.size + message.rest > self.bounds.body or message.length > 2 * self.bounds.body + self.bounds.head:
+            if (
+                message.size + message.rest > self.bounds.body
+                or message.length > 2 * self.bounds.body + self.bounds.head
+            ):
                 raise BadMessage(413, "a body over the bound")
             if message.chunks > MOST_CHUNKS or len(message.line) > self.bounds.head:
                 raise BadMessage(413, "a body in too many chunks")
@@ -241,7 +311,11 @@
         version = message.parser.get_http_version()
         if version not in ("1.1", "1.0"):
             raise BadMessage(505, "not HTTP/1.1")
-        if b"host" in message.doubled or version == "1.1" and b"host" not in message.fields:
+        if (
+            b"host" in message.doubled
+            or version == "1.1"
+            and b"host" not in message.fields
+        ):
             raise BadMessage(400, "not one Host")
 
 
@@ -270,7 +344,11 @@
         if self.message is None:
             return 0
         untold = self.message.chunked or self.message.open_ended
-        return self.bounds.body if untold and self.message.length > short else self.message.length
+        return (
+            self.bounds.body
+            if untold and self.message.length > short
+            else self.message.length
+        )
 
     def closed(self) -> Message | None:
         """The connection was closed in order: the answer that ends with it, if one was on its way."""
--- a/milletsill/interface.py
+++ b/milletsill/interface.py
@@ -16,6 +16,7 @@
 late_utility, repeats, group, repeat_window, in_order, streams.  A plan is a map of: usual_rate, reserve_rate, weight, price, limit_rate (0: none),
 limit_store, limit_slack; rates are units a second.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -146,7 +147,9 @@
 
     def woken(self, now: int, what: object) -> None: ...
 
-    def part(self, now: int, what: str, id: int, share: float | None, ends: int, after: float) -> None:
+    def part(
+        self, now: int, what: str, id: int, share: float | None, ends: int, after: float
+    ) -> None:
         """Another part than the even one of a whole: `limit` or `reserve` of a volume, `cold` budget of a node; `share` until
         `ends`, then `after`; a share of None is the even part again."""
 
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -1,7 +1,8 @@
 """The laboratory's own processes, started by lab/run.py: `stand`, `relay`, `load`, `channels`, `edges`, `deaf`; `wire`, by the bench.
 
-    python -m milletsill.lab hunt list|fleet [--first N] [--seeds N] [--without GUARD] ...: runs with faults drawn by seed
+python -m milletsill.lab hunt list|fleet [--first N] [--seeds N] [--without GUARD] ...: runs with faults drawn by seed
 """
+
 from __future__ import annotations
 
 import gc
@@ -15,13 +16,17 @@
 from milletsill.settings.load import load
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
 
-START_WITHIN, LOOK = 300.0, 0.02  # seconds: that the day's start is waited for; between looks
+START_WITHIN, LOOK = (
+    300.0,
+    0.02,
+)  # seconds: that the day's start is waited for; between looks
 
 
 def deaf(port: int) -> None:
     """Accepts connections and never reads, for an hour at most."""
     import socket
     import time
+
     held = []
     with socket.create_server(("127.0.0.1", port), backlog=512) as server:
         server.settimeout(1)
@@ -38,24 +43,29 @@
     gc.freeze()
     if what == "hunt":
         from milletsill.lab.hunt.command import main as hunt
+
         sys.exit(hunt(values))
     if what == "edges":
         from milletsill.edge.process import run
         from milletsill.lab.baselines import MODULES
         from milletsill.lab.plants import PLANTS
         from milletsill.policy import Scheduler
+
         if values[0] in PLANTS:
             PLANTS[values[0]]()
         files = [load(each, GatewayFile, check_gateway) for each in values[1:]]
         sys.exit(run(files, values[1:], MODULES.get(values[0], Scheduler)))
     if what == "wire":
         from milletsill.lab.wire import main as wire
+
         sys.exit(wire(values[0]))
     if what == "deaf":
         return deaf(int(values[0]))
     out, *rest = values
     scenario = load(f"{out}/scenario.textproto", Scenario, check_scenario)
-    {"stand": stand, "relay": relay, "load": clients, "channels": channels}[what](scenario, out, *rest)
+    {"stand": stand, "relay": relay, "load": clients, "channels": channels}[what](
+        scenario, out, *rest
+    )
     settle()
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
     reactor.run(installSignalHandlers=False)
@@ -67,7 +77,9 @@
     gc.freeze()
 
 
-def when_told(out: str, call: Callable[[float], None], waits: float = START_WITHIN) -> None:
+def when_told(
+    out: str, call: Callable[[float], None], waits: float = START_WITHIN
+) -> None:
     """Called with the day's start once the run has said it; without a word the process ends."""
     try:
         with open(f"{out}/start", encoding="ascii") as source:
@@ -80,6 +92,7 @@
 
 def stand(scenario: Any, out: str, port: str) -> None:
     from milletsill.lab.stand import Stand
+
     held = Stand(reactor, scenario, out, int(port))
     held.flush()
     when_told(out, held.begin)
@@ -89,6 +102,7 @@
 def relay(scenario: Any, out: str, port: str, control: str) -> None:
     from milletsill.lab.record import Recorder
     from milletsill.lab.relay import LONGEST_SELF, Relay, controls
+
     recorder = Recorder(f"{out}/relay.rec", "relay", "relay")
     held = Relay(reactor, scenario, int(port), recorder)
     reactor.listenTCP(int(control), controls(held), interface="127.0.0.1")
@@ -99,11 +113,13 @@
 
 def clients(scenario: Any, out: str, doors: str) -> None:
     from milletsill.lab.load import Load
+
     begin_clients(Load, "load", scenario, out, doors)
 
 
 def channels(scenario: Any, out: str, doors: str) -> None:
     from milletsill.lab.channels import Channels
+
     begin_clients(Channels, "channels", scenario, out, doors)
 
 
