--- a/milletsill/lab/audit_fleet.py
+++ b/milletsill/lab/audit_fleet.py
@@ -3,6 +3,7 @@
 Read are their JSON lines: `view` with a digest, `member` with a change, `box_verdict`. Wall time becomes the run's monotonic time. A
 moment agrees when all gateways that run and can speak say the same; over a split network each side by itself.
 """
+
 from __future__ import annotations
 
 import json
@@ -16,7 +17,9 @@
 from milletsill.lab.evidence import entries
 
 Span = tuple[float, float]
-SLOW = 12.0  # seconds after a fault for which a member's being called gone may come of it
+SLOW = (
+    12.0  # seconds after a fault for which a member's being called gone may come of it
+)
 DOWN = ("balancer_crash", "balancer_lost", "balancer_old", "balancer_leave")
 APART = ("split", "isolate")
 OF_BOX, STEADY = ("slow", "pauses", "neighbour", "vanish"), "steady"
@@ -26,9 +29,13 @@
 class Told:
     """What gateways said in their logs: by gateway (time, digest, members), ordered; members called gone: (time, by, whom)."""
 
-    views: dict[str, list[tuple[float, str, int]]] = field(default_factory=lambda: defaultdict(list))
+    views: dict[str, list[tuple[float, str, int]]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
     gone: list[tuple[float, str, str]] = field(default_factory=list)
-    verdicts: list[tuple[float, str, int, str]] = field(default_factory=list)  # (time, by, box, what it is called)
+    verdicts: list[tuple[float, str, int, str]] = field(
+        default_factory=list
+    )  # (time, by, box, what it is called)
 
 
 @dataclass
@@ -59,7 +66,12 @@
         if not os.path.exists(f"{out}/{name}.log"):
             continue
         for line in json_lines(f"{out}/{name}.log"):
-            at = datetime.fromisoformat(line["timestamp"].replace("Z", "+00:00")).timestamp() - offset
+            at = (
+                datetime.fromisoformat(
+                    line["timestamp"].replace("Z", "+00:00")
+                ).timestamp()
+                - offset
+            )
             gateway = line.get("gateway", name)
             if line["event"] == "view":
                 told.views[gateway].append((at, line["digest"], line["members"]))
@@ -76,7 +88,13 @@
     return next((row[0] for row in told.views.get(name, ()) if row[0] >= at), at)
 
 
-def read_weather(out: str, names: Sequence[str], start: float, told: Told, troubles: Sequence[dict[str, Any]]) -> Weather:
+def read_weather(
+    out: str,
+    names: Sequence[str],
+    start: float,
+    told: Told,
+    troubles: Sequence[dict[str, Any]],
+) -> Weather:
     """From what the run did to processes, and from the relay's own record."""
     down: dict[str, list[Span]] = defaultdict(list)
     marks, network = [(start, "the day's start")], []
@@ -92,7 +110,9 @@
             for place, name in enumerate(each["on"]):
                 at = each["at"] + each["for_s"] * place / len(each["on"])
                 down[name].append((at, back_at(told, name, at + each["extra"])))
-            marks.append((max(down[name][-1][1] for name in each["on"]), "balancer_roll over"))
+            marks.append(
+                (max(down[name][-1][1] for name in each["on"]), "balancer_roll over")
+            )
     began: dict[tuple[str, float], tuple[float, frozenset[str]]] = {}
     for at, _, direction, _, data in entries(f"{out}/relay.rec"):
         note = json.loads(data) if direction == 2 else {}
@@ -111,11 +131,24 @@
 
 def groups(weather: Weather, names: Sequence[str], at: float) -> list[list[str]]:
     """Those that run at a time, by whom they can speak to."""
-    up = [name for name in names if not any(since <= at < to for since, to in weather.down.get(name, ()))]
-    now = [(what, on) for what, on, since, to in weather.network if since <= at < to and what in APART]
+    up = [
+        name
+        for name in names
+        if not any(since <= at < to for since, to in weather.down.get(name, ()))
+    ]
+    now = [
+        (what, on)
+        for what, on, since, to in weather.network
+        if since <= at < to and what in APART
+    ]
     sides: dict[tuple[Any, ...], list[str]] = defaultdict(list)
     for name in up:
-        sides[tuple(name if what == "isolate" and name in on else name in on for what, on in now)].append(name)
+        sides[
+            tuple(
+                name if what == "isolate" and name in on else name in on
+                for what, on in now
+            )
+        ].append(name)
     return list(sides.values())
 
 
@@ -136,13 +169,18 @@
     return True
 
 
-def agreements(told: Told, weather: Weather, names: Sequence[str], end: float) -> list[tuple[str, float, float | None]]:
+def agreements(
+    told: Told, weather: Weather, names: Sequence[str], end: float
+) -> list[tuple[str, float, float | None]]:
     """For each mark its name, its time, and after how many seconds all agreed and went on to; None where they did not
     before the next."""
     changes = sorted(row[0] for rows in told.views.values() for row in rows)
     found = []
     for place, (at, name) in enumerate(weather.marks):
-        if any(what == "cut_one_way" and since <= at < to for what, _, since, to in weather.network):
+        if any(
+            what == "cut_one_way" and since <= at < to
+            for what, _, since, to in weather.network
+        ):
             continue
         until = weather.marks[place + 1][0] if place + 1 < len(weather.marks) else end
         agreed: float | None = None
@@ -159,9 +197,16 @@
     """Members that were called gone while they ran and nothing had lain between in the last seconds."""
     found = []
     for at, by, whom in told.gone:
-        was_down = any(since <= at <= to + SLOW for name in (whom, by) for since, to in weather.down.get(name, ()))
-        was_apart = any(since <= at <= to + SLOW for what, _, since, to in weather.network
-                        if what in (*APART, "cut_one_way", "lossy"))
+        was_down = any(
+            since <= at <= to + SLOW
+            for name in (whom, by)
+            for since, to in weather.down.get(name, ())
+        )
+        was_apart = any(
+            since <= at <= to + SLOW
+            for what, _, since, to in weather.network
+            if what in (*APART, "cut_one_way", "lossy")
+        )
         if not was_down and not was_apart:
             found.append(f"{at:.3f} {by} called {whom} gone")
     return found
@@ -173,14 +218,20 @@
     return sorted(times)[needed - 1] if len(times) >= needed else None
 
 
-def verdicts(told: Told, scenario: Any, start: float, count: int) -> list[tuple[str, int, float | None, int, float | None]]:
+def verdicts(
+    told: Told, scenario: Any, start: float, count: int
+) -> list[tuple[str, int, float | None, int, float | None]]:
     """For each trouble of a named box: how many of `count` gateways called it anything but steady while it lasted and after how
     many seconds nine in ten did; and the same of `steady` after its end."""
     found = []
     for trouble in (each for each in scenario.trouble if each.what in OF_BOX):
         for box in trouble.on:
             since, until = start + trouble.at_s, start + trouble.at_s + trouble.for_s
-            rows = [(at, by, state) for at, by, about, state in told.verdicts if about == box]
+            rows = [
+                (at, by, state)
+                for at, by, about, state in told.verdicts
+                if about == box
+            ]
             ill: dict[str, float] = {}
             well: dict[str, float] = {}
             for at, by, state in rows:
@@ -188,8 +239,15 @@
                     ill.setdefault(by, at - since)
                 elif at >= until and state == STEADY and by in ill:
                     well.setdefault(by, at - until)
-            found.append((f"{trouble.what} of box {box}", len(ill), nine_in_ten(list(ill.values()), count),
-                          len(well), nine_in_ten(list(well.values()), count)))
+            found.append(
+                (
+                    f"{trouble.what} of box {box}",
+                    len(ill),
+                    nine_in_ten(list(ill.values()), count),
+                    len(well),
+                    nine_in_ten(list(well.values()), count),
+                )
+            )
     return found
 
 
@@ -203,5 +261,9 @@
     if len(rows) < 2:
         return {}
     (since, first), (to, last) = rows[0], rows[-1]
-    return {name: sum(b - a for a, b in zip(first[name], last[name])) / len(last[name]) / (to - since)
-            for name in ("packets", "octets", "stream_octets")}
+    return {
+        name: sum(b - a for a, b in zip(first[name], last[name]))
+        / len(last[name])
+        / (to - since)
+        for name in ("packets", "octets", "stream_octets")
+    }
--- a/milletsill/lab/baselines.py
+++ b/milletsill/lab/baselines.py
@@ -2,12 +2,22 @@
 
 `fifo`: one queue a box, in turn of arrival, so many out at a time. `flood`: everything at once.
 """
+
 from __future__ import annotations
 
 from collections import deque
 from typing import Any, Sequence
 
-from milletsill.interface import Answer, Arrival, Facts, Listed, News, Outcome, Port, Readiness
+from milletsill.interface import (
+    Answer,
+    Arrival,
+    Facts,
+    Listed,
+    News,
+    Outcome,
+    Port,
+    Readiness,
+)
 
 OUT_AT_A_BOX = 8
 
@@ -26,7 +36,9 @@
         self.turn = 0
         port.watch()
 
-    def part(self, now: int, what: str, id: int, share: float | None, ends: int, after: float) -> None:
+    def part(
+        self, now: int, what: str, id: int, share: float | None, ends: int, after: float
+    ) -> None:
         """Knows no rules."""
 
     def advised(self, now: int, id: int, strain: float, away: bool, until: int) -> None:
--- a/milletsill/lab/box.py
+++ b/milletsill/lab/box.py
@@ -1,4 +1,5 @@
 """The stand-in disk box on its socket: answers dispatches in the time its engine takes, with faults on command."""
+
 from __future__ import annotations
 
 import time
@@ -26,10 +27,27 @@
     `work` gives the mean and spread of a category's work: category -> (seconds a unit, cv).
     """
 
-    def __init__(self, reactor: Any, number: int, cell: int, zone: int, kind: Any, rules: Any, files: Files,
-                 work: dict[str, tuple[float, float]], seed: int, recorder: Recorder | None,
-                 clock: Callable[[], float] = time.monotonic) -> None:
-        self.reactor, self.clock, self.id, self.cell, self.zone = reactor, clock, number, cell, zone
+    def __init__(
+        self,
+        reactor: Any,
+        number: int,
+        cell: int,
+        zone: int,
+        kind: Any,
+        rules: Any,
+        files: Files,
+        work: dict[str, tuple[float, float]],
+        seed: int,
+        recorder: Recorder | None,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self.reactor, self.clock, self.id, self.cell, self.zone = (
+            reactor,
+            clock,
+            number,
+            cell,
+            zone,
+        )
         self.kind, self.rules, self.files, self.work = kind, rules, files, work
         self.chance, self.recorder = Random(seed), recorder
         self.speed, self.report_late = Speed(), 0.0
@@ -46,7 +64,9 @@
         now = self.clock()
         self.engine = Engine(self.kind, self.rules, self.chance, now, cold, self.speed)
         self.tickets: OrderedDict[str, tuple[float, Verdict]] = OrderedDict()
-        self.reports: list[tuple[float, dict[str, float]]] = [(now, {"queue": 0.0, "inflight": 0.0, "busy": 0.0})]
+        self.reports: list[tuple[float, dict[str, float]]] = [
+            (now, {"queue": 0.0, "inflight": 0.0, "busy": 0.0})
+        ]
         self.served: dict[int, int] = {}
         self.told: dict[tuple[str, int], int] = {}
         self.jobs: dict[tuple[str, int, int, int], Job] = {}
@@ -54,8 +74,16 @@
         self.silent = self.down = self.draining = False
         if self.recorder is not None:
             kind = self.kind
-            self.recorder.note(box=self.id, cell=self.cell, zone=self.zone, cold=cold, cores=kind.cores * kind.speed,
-                               cold_from=kind.cold_from, cold_s=kind.cold_s, what="boot")
+            self.recorder.note(
+                box=self.id,
+                cell=self.cell,
+                zone=self.zone,
+                cold=cold,
+                cores=kind.cores * kind.speed,
+                cold_from=kind.cold_from,
+                cold_s=kind.cold_s,
+                what="boot",
+            )
 
     # Faults.
 
@@ -95,8 +123,16 @@
         if not isinstance(order.command, (packets.Read, packets.Write)):
             mean = META_WORK
         work = mean * order.units * max(self.chance.gauss(1.0, min(cv, 1.0)), 0.1)
-        job = self.engine.take(now, work, order.units, order.extent, order.number == 0,
-                               isinstance(order.command, packets.Write), now + order.left / 1000, (gate, id, order))
+        job = self.engine.take(
+            now,
+            work,
+            order.units,
+            order.extent,
+            order.number == 0,
+            isinstance(order.command, packets.Write),
+            now + order.left / 1000,
+            (gate, id, order),
+        )
         if self.engine.fallen:
             self.fall()
         elif job is None:
@@ -108,7 +144,11 @@
     def remembered(self, ticket: str) -> Verdict | None:
         """What was done under a ticket, for as long as it is remembered."""
         held = self.tickets.get(ticket)
-        return held[1] if held is not None and self.clock() - held[0] <= self.kind.ticket_s else None
+        return (
+            held[1]
+            if held is not None and self.clock() - held[0] <= self.kind.ticket_s
+            else None
+        )
 
     def fall(self) -> None:
         """Pushed over while cold: down for good."""
@@ -122,7 +162,9 @@
     def key(self, order: Order) -> tuple[str, int, int, int]:
         return order.gateway, order.incarnation, order.transfer, order.number
 
-    def cancel(self, gateway: str, incarnation: int, transfer: int, number: int) -> None:
+    def cancel(
+        self, gateway: str, incarnation: int, transfer: int, number: int
+    ) -> None:
         job = self.jobs.pop((gateway, incarnation, transfer, number), None)
         if job is not None and not self.silent:
             self.engine.cancel(job)
@@ -132,7 +174,9 @@
         if self.call is not None and self.call.active():
             self.call.cancel()
         if self.engine.working and not self.down:
-            self.call = self.reactor.callLater(self.engine.soonest(self.clock()), self.tick)
+            self.call = self.reactor.callLater(
+                self.engine.soonest(self.clock()), self.tick
+            )
 
     def tick(self) -> None:
         self.finish(self.engine.advance(self.clock()))
@@ -148,7 +192,9 @@
             if self.silent:
                 continue
             known = self.remembered(order.ticket)
-            if known is not None:  # two dispatches under one ticket were here at once, and the other was first: one effect
+            if (
+                known is not None
+            ):  # two dispatches under one ticket were here at once, and the other was first: one effect
                 if not job.gone:
                     gate.answer(id, known, order)
                 continue
@@ -158,33 +204,65 @@
             verdict = self.files.run(order.command)
             self.took_effect(order, verdict)
             if not verdict.text:
-                verdict = Verdict(verdict.verdict, str(self.cell), answer=verdict.answer)
-            self.served[order.volume] = self.served.get(order.volume, 0) + int(order.units)
+                verdict = Verdict(
+                    verdict.verdict, str(self.cell), answer=verdict.answer
+                )
+            self.served[order.volume] = self.served.get(order.volume, 0) + int(
+                order.units
+            )
             mine = (order.gateway, order.volume)
-            elsewhere = max(self.served[order.volume] - self.told.get(mine, 0) - int(order.units), 0)
+            elsewhere = max(
+                self.served[order.volume] - self.told.get(mine, 0) - int(order.units), 0
+            )
             self.told[mine] = self.served[order.volume]
-            verdict = Verdict(verdict.verdict, verdict.text, {}, None, elsewhere, verdict.answer)
+            verdict = Verdict(
+                verdict.verdict, verdict.text, {}, None, elsewhere, verdict.answer
+            )
             self.tickets[order.ticket] = (self.clock(), verdict)
-            while len(self.tickets) > MOST_TICKETS or self.tickets and (
-                    next(iter(self.tickets.values()))[0] < self.clock() - self.kind.ticket_s):
+            while (
+                len(self.tickets) > MOST_TICKETS
+                or self.tickets
+                and (
+                    next(iter(self.tickets.values()))[0]
+                    < self.clock() - self.kind.ticket_s
+                )
+            ):
                 self.tickets.popitem(last=False)
             if not job.gone:
                 gate.answer(id, verdict, order)
 
     def took_effect(self, order: Order, verdict: Verdict) -> None:
         """What was written is noted when it is, also where nobody waits for the answer any more."""
-        if self.recorder is not None and isinstance(order.command, packets.Write) and not verdict.text:
-            self.recorder.note(what="effect", box=self.id, ticket=order.ticket, path=text_of(order.command.handle),
-                               offset=order.command.offset, gateway=order.gateway, transfer=order.transfer,
-                               code=getattr(verdict.answer, "code", -1))
+        if (
+            self.recorder is not None
+            and isinstance(order.command, packets.Write)
+            and not verdict.text
+        ):
+            self.recorder.note(
+                what="effect",
+                box=self.id,
+                ticket=order.ticket,
+                path=text_of(order.command.handle),
+                offset=order.command.offset,
+                gateway=order.gateway,
+                transfer=order.transfer,
+                code=getattr(verdict.answer, "code", -1),
+            )
 
     def report(self) -> dict[str, float]:
         """The newest report that is not younger than its delay."""
         now, engine = self.clock(), self.engine
         if now - self.reports[-1][0] >= self.kind.report_every_ms / 1000:
-            self.reports.append((now, {"queue": float(len(engine.queue)),
-                                       "inflight": float(len(engine.queue) + len(engine.working)),
-                                       "busy": min(len(engine.working) / self.kind.cores, 1.0)}))
+            self.reports.append(
+                (
+                    now,
+                    {
+                        "queue": float(len(engine.queue)),
+                        "inflight": float(len(engine.queue) + len(engine.working)),
+                        "busy": min(len(engine.working) / self.kind.cores, 1.0),
+                    },
+                )
+            )
         late = self.kind.report_late_ms / 1000 + self.report_late
         while len(self.reports) > 1 and self.reports[1][0] <= now - late:
             self.reports.pop(0)
@@ -194,8 +272,16 @@
     def listing(self, state: str = "ready") -> dict[str, Any]:
         """Its value in the registry."""
         host = self.port.getHost()
-        return {"id": self.id, "address": f"{host.host}:{host.port}", "state": state, "size": self.kind.cores,
-                "kind": 0, "zone": self.zone, "cell": self.cell, "started": self.started_wall}
+        return {
+            "id": self.id,
+            "address": f"{host.host}:{host.port}",
+            "state": state,
+            "size": self.kind.cores,
+            "kind": 0,
+            "zone": self.zone,
+            "cell": self.cell,
+            "started": self.started_wall,
+        }
 
 
 class Gate(Protocol):
@@ -231,7 +317,11 @@
         if box.silent:
             return
         if isinstance(packet, packets.Init):
-            box.reactor.callLater(box.kind.handshake_ms / 1000, self.send, packets.Version(packets.VERSION_SPOKEN))
+            box.reactor.callLater(
+                box.kind.handshake_ms / 1000,
+                self.send,
+                packets.Version(packets.VERSION_SPOKEN),
+            )
         elif packet.name == extensions.DISPATCH:
             box.order(self, packet.id, extensions.read_order(packet))
         elif packet.name == extensions.CANCEL:
@@ -245,12 +335,22 @@
         if self.box.silent:
             return
         self.box.answered += 1
-        told = Verdict(verdict.verdict, verdict.text, self.box.report(), verdict.used, verdict.elsewhere,
-                       verdict.answer)
+        told = Verdict(
+            verdict.verdict,
+            verdict.text,
+            self.box.report(),
+            verdict.used,
+            verdict.elsewhere,
+            verdict.answer,
+        )
         self.send(extensions.put_verdict(id, told))
 
     def send(self, packet: Any) -> None:
-        if self.transport is not None and self.transport.connected and not self.box.silent:
+        if (
+            self.transport is not None
+            and self.transport.connected
+            and not self.box.silent
+        ):
             data = packets.encode(packet)
             if self.box.recorder is not None:
                 self.box.recorder.put(self.number, OUT, data[4:])
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -4,6 +4,7 @@
 and breaks its connection off in the middle to come back at the same or another gateway, or comes in by a second connection
 beside the first. What was not settled is said again until it has an end. Nothing here judges: lab/audit_contracts.py does.
 """
+
 from __future__ import annotations
 
 import json
@@ -24,14 +25,35 @@
 from milletsill.lab.lateness import Lateness
 from milletsill.lab.record import Recorder
 
-TICK, DIAL, AGAIN, SETUP = 0.01, 2.0, 0.2, 3.0  # seconds: between looks; a dial; until the next; until claimed
+TICK, DIAL, AGAIN, SETUP = (
+    0.01,
+    2.0,
+    0.2,
+    3.0,
+)  # seconds: between looks; a dial; until the next; until claimed
 LEAST_PAUSE, MOST_PAUSE = 0.05, 1.0  # seconds until a declined number is said again
-SWAPPED, RIVAL = 0.3, 0.2  # parts of numbers that are held back, of reconnections beside the old connection
+SWAPPED, RIVAL = (
+    0.3,
+    0.2,
+)  # parts of numbers that are held back, of reconnections beside the old connection
 HELD_BACK = 0.15  # seconds at most
-BYTES, MOST_ASKED, ASK_EVERY = 512, 30, 0.2  # times that an unsure end is asked for, seconds between
-STATES = {wire.IS_SETTLED: "done", wire.IS_LEFT_OUT: "left out", wire.IS_FORGOTTEN: "over before"}
+BYTES, MOST_ASKED, ASK_EVERY = (
+    512,
+    30,
+    0.2,
+)  # times that an unsure end is asked for, seconds between
+STATES = {
+    wire.IS_SETTLED: "done",
+    wire.IS_LEFT_OUT: "left out",
+    wire.IS_FORGOTTEN: "over before",
+}
 IS_BATCHES = 3
-DONE_SIGNS = {"superseded": "superseded", "over": "over before", "left-out": "left out", "contract": "against the contract"}
+DONE_SIGNS = {
+    "superseded": "superseded",
+    "over": "over before",
+    "left-out": "left out",
+    "contract": "against the contract",
+}
 
 
 class ChannelLink(ClientLink):
@@ -79,8 +101,9 @@
         link = ChannelLink(Door(self, self.name), load.next_connection())
         factory = Factory.forProtocol(lambda: link)
         factory.noisy = False
-        TCP4ClientEndpoint(load.reactor, host, int(port), timeout=DIAL).connect(factory).addCallbacks(
-            lambda _: self.dialled(link), lambda _: self.missed())
+        TCP4ClientEndpoint(load.reactor, host, int(port), timeout=DIAL).connect(
+            factory
+        ).addCallbacks(lambda _: self.dialled(link), lambda _: self.missed())
 
     def missed(self) -> None:
         self.dialling = False
@@ -89,15 +112,20 @@
 
     def dialled(self, link: ChannelLink) -> None:
         self.dialling, self.link, self.since = False, link, self.load.now()
-        self.breaks_at = self.since + self.chance.expovariate(1 / self.terms.reconnect_s)
+        self.breaks_at = self.since + self.chance.expovariate(
+            1 / self.terms.reconnect_s
+        )
         if not link.transport.connected:
             self.lost(link)
 
     def ready(self, link: ChannelLink) -> None:
         """The file first, then the claim."""
         flags = packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
-        link.command(packets.Open(0, self.path, flags, Attrs()), Terms(int(SETUP * 1000), 0, self.mark("open")),
-                     lambda answer: self.opened(link, answer))
+        link.command(
+            packets.Open(0, self.path, flags, Attrs()),
+            Terms(int(SETUP * 1000), 0, self.mark("open")),
+            lambda answer: self.opened(link, answer),
+        )
 
     def mark(self, what: str) -> str:
         """A mark of its own for each thing said."""
@@ -110,7 +138,10 @@
             return
         self.file = answer.handle
         said = Opening(self.path, self.channel, self.terms.contract)
-        link.word(lambda id: wire.put_channel(id, said), lambda answer: self.claimed(link, answer))
+        link.word(
+            lambda id: wire.put_channel(id, said),
+            lambda answer: self.claimed(link, answer),
+        )
 
     def claimed(self, link: ChannelLink, answer: Any) -> None:
         if not isinstance(answer, packets.ExtendedReply):
@@ -137,7 +168,9 @@
             self.link, self.live = None, False
             for item in self.items.values():
                 item.out = False
-            self.load.reactor.callLater(AGAIN * self.chance.uniform(0.2, 1.5), self.dial)
+            self.load.reactor.callLater(
+                AGAIN * self.chance.uniform(0.2, 1.5), self.dial
+            )
 
     def break_off(self) -> None:
         """In the middle of whatever is out: an end, or a second connection beside it."""
@@ -160,7 +193,11 @@
             return self.drop(self.link, "no claim in time")
         if not self.load.draining and now >= self.breaks_at:
             return self.break_off()
-        if not self.load.draining and len(self.items) < self.terms.window and now >= self.makes_at:
+        if (
+            not self.load.draining
+            and len(self.items) < self.terms.window
+            and now >= self.makes_at
+        ):
             self.make(now)
         if self.live:
             self.send(now)
@@ -174,11 +211,15 @@
             self.made += 1
             batch = -(-self.made // size) if whole else 0
             late = chance.uniform(0.0, HELD_BACK) if chance.random() < SWAPPED else 0.0
-            self.items[self.made] = Item(self.made, batch, whole and not self.made % size, now + late)
+            self.items[self.made] = Item(
+                self.made, batch, whole and not self.made % size, now + late
+            )
 
     def send(self, now: float) -> None:
         """What is due."""
-        for item in [each for each in self.items.values() if not each.out and each.due <= now]:
+        for item in [
+            each for each in self.items.values() if not each.out and each.due <= now
+        ]:
             self.say(item, now)
 
     def say(self, item: Item, now: float) -> None:
@@ -189,9 +230,20 @@
         terms = Terms(int(patience), item.tries, f"{self.channel}.{item.number}")
         item.out, item.tries = True, item.tries + 1
         turn = item.tries
-        link.word(lambda id: wire.put_numbered(id, Numbered(
-            self.handle, item.number, item.batch, item.last, terms, packets.Write(id, self.file, offset, data))),
-            lambda answer: self.answered(link, item, turn, answer))
+        link.word(
+            lambda id: wire.put_numbered(
+                id,
+                Numbered(
+                    self.handle,
+                    item.number,
+                    item.batch,
+                    item.last,
+                    terms,
+                    packets.Write(id, self.file, offset, data),
+                ),
+            ),
+            lambda answer: self.answered(link, item, turn, answer),
+        )
 
     def answered(self, link: ChannelLink, item: Item, turn: int, answer: Any) -> None:
         if item.number not in self.items:
@@ -200,20 +252,31 @@
             return self.end(item, "done")
         if link is not self.link or turn != item.tries:
             return
-        sign = wire.read_sign(answer.language) if isinstance(answer, packets.Status) else None
+        sign = (
+            wire.read_sign(answer.language)
+            if isinstance(answer, packets.Status)
+            else None
+        )
         word = sign.word if sign is not None else "lost" if answer is None else "status"
         self.load.count(f"heard {word}")
         if word in DONE_SIGNS:
             return self.end(item, DONE_SIGNS[word])
         pause = (sign.pause or 0) / 1000 if sign is not None else LEAST_PAUSE
-        item.out, item.due = False, self.load.now() + min(max(pause, LEAST_PAUSE), MOST_PAUSE)
+        item.out, item.due = (
+            False,
+            self.load.now() + min(max(pause, LEAST_PAUSE), MOST_PAUSE),
+        )
         if word == "claim-lost":
             self.drop(link, "claims lost")
         elif word == "status":
             self.drop(link, f"status {answer.code}: {answer.message[:60]}")
         elif word in ("stopped", "aborted"):
             item.due = max(item.due, self.load.now() + ASK_EVERY)
-            self.settle_unsure(sign.number if sign is not None and word == "stopped" and sign.number else item.number)
+            self.settle_unsure(
+                sign.number
+                if sign is not None and word == "stopped" and sign.number
+                else item.number
+            )
 
     def settle_unsure(self, number: int) -> None:
         """Asks what became of it, now and then."""
@@ -222,7 +285,10 @@
             return
         self.asks_at[number] = now + ASK_EVERY
         handle = self.handle
-        link.word(lambda id: wire.put_channel(id, Asking(handle, number)), lambda answer: self.asked(link, number, answer))
+        link.word(
+            lambda id: wire.put_channel(id, Asking(handle, number)),
+            lambda answer: self.asked(link, number, answer),
+        )
 
     def asked(self, link: ChannelLink, number: int, answer: Any) -> None:
         """Over, or for the client to say, or worth another try."""
@@ -238,17 +304,30 @@
             if over is not None:
                 return self.end(item, over)
         if unsure and says:
-            self.tell(link, number, wire.AGAIN if item is not None and self.chance.random() < 0.5 else wire.LEFT_OUT)
+            self.tell(
+                link,
+                number,
+                wire.AGAIN
+                if item is not None and self.chance.random() < 0.5
+                else wire.LEFT_OUT,
+            )
 
     def tell(self, link: ChannelLink, number: int, word: int) -> None:
         """The client's word on an unsure number."""
         self.load.count("said again" if word == wire.AGAIN else "said left out")
         handle = self.handle
-        link.word(lambda id: wire.put_channel(id, Saying(handle, number, word)), lambda answer: self.heard(number, answer))
+        link.word(
+            lambda id: wire.put_channel(id, Saying(handle, number, word)),
+            lambda answer: self.heard(number, answer),
+        )
 
     def heard(self, number: int, answer: Any) -> None:
         """A word that comes too early is told when it may come again."""
-        sign = wire.read_sign(answer.language) if isinstance(answer, packets.Status) else None
+        sign = (
+            wire.read_sign(answer.language)
+            if isinstance(answer, packets.Status)
+            else None
+        )
         if sign is not None and sign.pause:
             self.asks_at[number] = self.load.now() + sign.pause / 1000
 
@@ -274,8 +353,20 @@
 class Channels:
     """All clients with channels of a scenario. `start` is on the monotonic clock, in seconds."""
 
-    def __init__(self, reactor: Any, scenario: Any, edges: list[tuple[str, str]], start: float, out: str) -> None:
-        self.reactor, self.scenario, self.start_at, self.out = reactor, scenario, start, out
+    def __init__(
+        self,
+        reactor: Any,
+        scenario: Any,
+        edges: list[tuple[str, str]],
+        start: float,
+        out: str,
+    ) -> None:
+        self.reactor, self.scenario, self.start_at, self.out = (
+            reactor,
+            scenario,
+            start,
+            out,
+        )
         self.doors, self.now = dict(edges), time.monotonic
         self.recorder = Recorder(f"{out}/channels.rec", "clients", "channels")
         self.lateness, self.due_at = Lateness(), start
@@ -285,10 +376,16 @@
         self.ends: dict[str, dict[str, int]] = {}
         self.took: dict[str, HdrHistogram] = {}
         self.draining = self.over = False
-        self.orders = {each.name: each.order for each in scenario.gateway.fleet.channels.contract}
+        self.orders = {
+            each.name: each.order for each in scenario.gateway.fleet.channels.contract
+        }
         volumes = {each.name: each for each in scenario.gateway.volume}
-        self.lines = [Line(self, place, terms, volumes[terms.volume]) for place, terms in enumerate(
-            terms for terms in scenario.channels for _ in range(terms.channels))]
+        self.lines = [
+            Line(self, place, terms, volumes[terms.volume])
+            for place, terms in enumerate(
+                terms for terms in scenario.channels for _ in range(terms.channels)
+            )
+        ]
         for place, line in enumerate(self.lines):
             reactor.callLater(max(start - self.now(), 0) + 0.02 * place, line.dial)
 
@@ -309,7 +406,8 @@
         row[what] = row.get(what, 0) + 1
         if what == "done":
             self.took.setdefault(name, HdrHistogram(1, 600_000_000, 3)).record_value(
-                max(int((self.now() - item.began) * 1e6), 1))
+                max(int((self.now() - item.began) * 1e6), 1)
+            )
 
     def run(self) -> None:
         """Every few milliseconds: what is due on each line, until all have an end or time is up."""
@@ -317,7 +415,9 @@
         self.due_at = now + TICK
         ended = self.start_at + scenario.seconds
         self.draining = now >= ended
-        if self.draining and (now >= ended + scenario.tail_s or not any(line.items for line in self.lines)):
+        if self.draining and (
+            now >= ended + scenario.tail_s or not any(line.items for line in self.lines)
+        ):
             return self.finish()
         if now >= self.start_at:
             for line in self.lines:
@@ -326,13 +426,28 @@
 
     def finish(self) -> None:
         self.over = True
-        quantiles = {name: {str(q): each.get_value_at_percentile(q) / 1000 for q in (50, 90, 99)}
-                     for name, each in self.took.items()}
-        result = {"ends": self.ends, "latency_ms": quantiles, "counts": self.counts, "late": self.lateness.told(),
-                  "worst_lag_ms": self.lateness.worst * 1000, "connections": self.connections,
-                  "unended": sum(len(line.items) for line in self.lines),
-                  "lines": {line.channel: {"contract": line.terms.contract, "volume": line.volume.name, "made": line.made,
-                                           "open": sorted(line.items)} for line in self.lines}}
+        quantiles = {
+            name: {str(q): each.get_value_at_percentile(q) / 1000 for q in (50, 90, 99)}
+            for name, each in self.took.items()
+        }
+        result = {
+            "ends": self.ends,
+            "latency_ms": quantiles,
+            "counts": self.counts,
+            "late": self.lateness.told(),
+            "worst_lag_ms": self.lateness.worst * 1000,
+            "connections": self.connections,
+            "unended": sum(len(line.items) for line in self.lines),
+            "lines": {
+                line.channel: {
+                    "contract": line.terms.contract,
+                    "volume": line.volume.name,
+                    "made": line.made,
+                    "open": sorted(line.items),
+                }
+                for line in self.lines
+            },
+        }
         with open(f"{self.out}/channels.json", "w", encoding="utf-8") as sink:
             json.dump(result, sink, indent=1)
         self.reactor.addSystemEventTrigger("after", "shutdown", self.recorder.close)
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -1,4 +1,5 @@
 """Scripted clients: their connections to edges, and one thing wanted with its tries; every byte read is checked."""
+
 from __future__ import annotations
 
 from collections import OrderedDict
@@ -15,7 +16,10 @@
 from milletsill.lab.files import pattern
 from milletsill.lab.record import IN, OUT
 
-MOST_HANDLES, AGAIN = 200, 0.25  # of a connection; seconds until a lost one is dialled again
+MOST_HANDLES, AGAIN = (
+    200,
+    0.25,
+)  # of a connection; seconds until a lost one is dialled again
 
 
 class ClientLink(Protocol):
@@ -32,7 +36,9 @@
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.door.load.recorder.note(what="connect", conn=self.number, edge=self.door.name)
+        self.door.load.recorder.note(
+            what="connect", conn=self.number, edge=self.door.name
+        )
         self.send(packets.Init(packets.VERSION_SPOKEN))
 
     def dataReceived(self, data: bytes) -> None:
@@ -65,7 +71,9 @@
 
     def command(self, command: Any, terms: Terms, call: Callable[[Any], None]) -> None:
         """A command under terms; `call` gets its answer, None where the connection ended."""
-        self.word(lambda id: extensions.put_terms(terms, packets.with_id(command, id)), call)
+        self.word(
+            lambda id: extensions.put_terms(terms, packets.with_id(command, id)), call
+        )
 
     def word(self, made: Callable[[int], Any], call: Callable[[Any], None]) -> None:
         """A packet made for its id."""
@@ -94,7 +102,9 @@
         factory = Factory.forProtocol(lambda: link)
         factory.noisy = False
         self.endpoint.connect(factory).addCallbacks(
-            lambda _: self.links.append(link), lambda _: self.load.reactor.callLater(AGAIN, self.dial))
+            lambda _: self.links.append(link),
+            lambda _: self.load.reactor.callLater(AGAIN, self.dial),
+        )
 
     def ready(self, link: ClientLink) -> None:
         """It may be used."""
@@ -112,11 +122,25 @@
 class Operation:
     """One thing that a client wants: its tries, and what came of it."""
 
-    def __init__(self, load: Any, row: Any, volume: Any, edge: EdgeDoor, path: str, offset: int, length: int) -> None:
+    def __init__(
+        self,
+        load: Any,
+        row: Any,
+        volume: Any,
+        edge: EdgeDoor,
+        path: str,
+        offset: int,
+        length: int,
+    ) -> None:
         self.load, self.row, self.volume, self.edge = load, row, volume, edge
         self.path, self.offset, self.length = path, offset, length
         self.category = load.categories[row.category]
-        self.began, self.tries, self.over, self.number = load.now(), 0, False, load.next_operation()
+        self.began, self.tries, self.over, self.number = (
+            load.now(),
+            0,
+            False,
+            load.next_operation(),
+        )
         self.retries = load.retries_of(volume.plan)
         self.patience = load.patience_of(self.category, volume.plan)
         self.turn = 0
@@ -127,7 +151,9 @@
         return self.try_ends - self.load.now()
 
     def terms(self, what: str) -> Terms:
-        return Terms(max(int(self.left() * 1000), 1), self.tries, f"op{self.number}.{what}")
+        return Terms(
+            max(int(self.left() * 1000), 1), self.tries, f"op{self.number}.{what}"
+        )
 
     def try_once(self) -> None:
         self.turn += 1
@@ -141,10 +167,17 @@
         handle = link.handles.get(self.path)
         if handle is not None:
             return self.use(link, handle)
-        flags = packets.READ_FLAG | packets.WRITE_FLAG | (packets.CREATE_FLAG if self.row.operation == "new" else 0)
+        flags = (
+            packets.READ_FLAG
+            | packets.WRITE_FLAG
+            | (packets.CREATE_FLAG if self.row.operation == "new" else 0)
+        )
         turn = self.turn
-        link.command(packets.Open(0, self.path, flags, Attrs()), self.terms("o"),
-                     lambda answer: self.opened(link, answer, turn))
+        link.command(
+            packets.Open(0, self.path, flags, Attrs()),
+            self.terms("o"),
+            lambda answer: self.opened(link, answer, turn),
+        )
 
     def opened(self, link: ClientLink, answer: Any, turn: int) -> None:
         if isinstance(answer, packets.Handle):
@@ -159,24 +192,40 @@
 
     def use(self, link: ClientLink, handle: bytes) -> None:
         if self.row.operation == "read":
-            return self.ask(link, "r", packets.Read(0, handle, self.offset, self.length))
-        self.ask(link, "w", packets.Write(0, handle, self.offset, pattern(self.path, self.offset, self.length)))
+            return self.ask(
+                link, "r", packets.Read(0, handle, self.offset, self.length)
+            )
+        self.ask(
+            link,
+            "w",
+            packets.Write(
+                0, handle, self.offset, pattern(self.path, self.offset, self.length)
+            ),
+        )
 
     def ask(self, link: ClientLink, what: str, command: Any) -> None:
         turn = self.turn
-        link.command(command, self.terms(what), lambda answer: self.answered(answer) if turn == self.turn else None)
+        link.command(
+            command,
+            self.terms(what),
+            lambda answer: self.answered(answer) if turn == self.turn else None,
+        )
 
     def answered(self, answer: Any) -> None:
         if self.over:
             return
         if answer is None:
             return self.again("lost", 0.0)
-        if isinstance(answer, packets.Status) and answer.language.startswith("x-declined-"):
+        if isinstance(answer, packets.Status) and answer.language.startswith(
+            "x-declined-"
+        ):
             return self.again("declined", int(answer.language[11:] or 0) / 1000)
         if isinstance(answer, packets.Status) and answer.language == "x-aborted":
             return self.again("aborted", 0.0)
         fine = not isinstance(answer, packets.Status) or answer.code == packets.OK
-        if isinstance(answer, packets.Data) and answer.data != pattern(self.path, self.offset, len(answer.data)):
+        if isinstance(answer, packets.Data) and answer.data != pattern(
+            self.path, self.offset, len(answer.data)
+        ):
             self.load.count("reads with wrong bytes")
         elif isinstance(answer, packets.Data):
             self.load.count("reads with right bytes")
@@ -196,7 +245,11 @@
         self.turn += 1
         clients = self.load.scenario.clients
         abused = self.retries > clients.retries
-        if self.tries >= self.retries or why == "aborted" and self.category.repeats == "exclusive":
+        if (
+            self.tries >= self.retries
+            or why == "aborted"
+            and self.category.repeats == "exclusive"
+        ):
             return self.end(why)
         self.tries += 1
         wait = 0.0 if abused else clients.pause_ms / 1000
--- a/milletsill/lab/clockwork.py
+++ b/milletsill/lab/clockwork.py
@@ -5,6 +5,7 @@
 `lab.engine.Engine`s. What is left out beside the processes' laboratory: sockets, the gateways' own processor time, legs of
 commands (each is one transfer), repeats by clients and the scenario's troubles.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -13,7 +14,15 @@
 from typing import Any, Callable
 
 from milletsill.edge.facts import atlas_of, facts_of
-from milletsill.interface import Answer, Arrival, Decisions, Listed, News, Outcome, Readiness
+from milletsill.interface import (
+    Answer,
+    Arrival,
+    Decisions,
+    Listed,
+    News,
+    Outcome,
+    Readiness,
+)
 from milletsill.lab.engine import Engine, Speed
 from milletsill.policy import Scheduler
 
@@ -24,10 +33,27 @@
 class Transfer:
     """One transfer of a gateway, until its answer and the end of its dispatches."""
 
-    __slots__ = ("arrival", "began", "work", "number", "out", "answered", "path", "operation")
-
-    def __init__(self, arrival: Arrival, began: int, work: float, path: str, operation: str) -> None:
-        self.arrival, self.began, self.work, self.path, self.operation = arrival, began, work, path, operation
+    __slots__ = (
+        "arrival",
+        "began",
+        "work",
+        "number",
+        "out",
+        "answered",
+        "path",
+        "operation",
+    )
+
+    def __init__(
+        self, arrival: Arrival, began: int, work: float, path: str, operation: str
+    ) -> None:
+        self.arrival, self.began, self.work, self.path, self.operation = (
+            arrival,
+            began,
+            work,
+            path,
+            operation,
+        )
         self.number = self.out = 0
         self.answered = False
 
@@ -35,12 +61,18 @@
 class Gateway:
     """The Port of one module. `around` may put something between it and the module; `told` hears of each final answer."""
 
-    def __init__(self, fleet: Fleet, place: int, facts: dict[str, Any], seed: int) -> None:
+    def __init__(
+        self, fleet: Fleet, place: int, facts: dict[str, Any], seed: int
+    ) -> None:
         self.fleet, self.place, self.facts, self.seed = fleet, place, facts, seed
         self.transfers: dict[int, Transfer] = {}
         self.count, self.settling = 0, False
-        self.before: Callable[[str], None] = lambda path: None  # an arrival, with its path
-        self.told: Callable[[int, Transfer, str], None] = lambda now, transfer, final: None
+        self.before: Callable[[str], None] = lambda path: (
+            None
+        )  # an arrival, with its path
+        self.told: Callable[[int, Transfer, str], None] = lambda now, transfer, final: (
+            None
+        )
         self.module: Decisions
 
     def start(self, around: Callable[[Any], Any] = lambda make: make) -> None:
@@ -68,15 +100,39 @@
         if not transfer.out:
             self.transfers.pop(transfer.arrival.id, None)
 
-    def returned(self, transfer: Transfer, number: int, node: int, sent: int, outcome: Outcome, done: list[bool]) -> None:
+    def returned(
+        self,
+        transfer: Transfer,
+        number: int,
+        node: int,
+        sent: int,
+        outcome: Outcome,
+        done: list[bool],
+    ) -> None:
         """One dispatch has ended, at most once."""
         if done[0]:
             return
         done[0] = True
-        now, over = self.fleet.now, outcome is Outcome.SATISFIED and not transfer.answered
+        now, over = (
+            self.fleet.now,
+            outcome is Outcome.SATISFIED and not transfer.answered,
+        )
         transfer.out -= 1
         report = self.fleet.boxes[node].report() if outcome is Outcome.SATISFIED else {}
-        self.module.returned(now, Answer(transfer.arrival.id, number, node, outcome, over, now - sent, None, 0, report))
+        self.module.returned(
+            now,
+            Answer(
+                transfer.arrival.id,
+                number,
+                node,
+                outcome,
+                over,
+                now - sent,
+                None,
+                0,
+                report,
+            ),
+        )
         if over:
             self.final(transfer, "satisfied")
         elif transfer.answered and not transfer.out:
@@ -123,13 +179,25 @@
 
     def __init__(self, fleet: Fleet, kind: Any, seed: int) -> None:
         self.fleet, self.chance, self.due = fleet, Random(seed), 0
-        self.engine = Engine(kind, fleet.rules, self.chance, fleet.now / SECOND, False, Speed())
+        self.engine = Engine(
+            kind, fleet.rules, self.chance, fleet.now / SECOND, False, Speed()
+        )
 
-    def take(self, transfer: Transfer, number: int, back: Callable[[Outcome], None]) -> None:
+    def take(
+        self, transfer: Transfer, number: int, back: Callable[[Outcome], None]
+    ) -> None:
         now, arrival = self.fleet.now / SECOND, transfer.arrival
         self.finish(self.engine.advance(now))
-        job = self.engine.take(now, transfer.work, arrival.units, arrival.extent, number == 0, arrival.write,
-                               arrival.ends / SECOND, back)
+        job = self.engine.take(
+            now,
+            transfer.work,
+            arrival.units,
+            arrival.extent,
+            number == 0,
+            arrival.write,
+            arrival.ends / SECOND,
+            back,
+        )
         if job is None:
             self.fleet.at(self.fleet.now + WAY, back, Outcome.TURNED_AWAY)
         self.look_again()
@@ -137,7 +205,9 @@
     def look_again(self) -> None:
         """One look at the soonest end; older looks find nothing to do."""
         if self.engine.working:
-            self.due = self.fleet.now + max(int(self.engine.soonest(self.fleet.now / SECOND) * SECOND) + 1, 1)
+            self.due = self.fleet.now + max(
+                int(self.engine.soonest(self.fleet.now / SECOND) * SECOND) + 1, 1
+            )
             self.fleet.at(self.due, self.look, self.due)
 
     def look(self, due: int) -> None:
@@ -152,8 +222,11 @@
 
     def report(self) -> dict[str, float]:
         engine = self.engine
-        held = {"queue": float(len(engine.queue)), "inflight": float(len(engine.queue) + len(engine.working)),
-                "busy": min(len(engine.working) / engine.kind.cores, 1.0)}
+        held = {
+            "queue": float(len(engine.queue)),
+            "inflight": float(len(engine.queue) + len(engine.working)),
+            "busy": min(len(engine.working) / engine.kind.cores, 1.0),
+        }
         return {name: held[name] for name in self.fleet.fields if name in held}
 
 
@@ -166,21 +239,43 @@
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.count, self.fields = 0, list(file.reports.field)
         kinds = {each.name: each for each in scenario.kind}
-        self.boxes = [Box(self, kinds[each.kind], seed * 1000 + number) for number, each in enumerate(
-            each for each in scenario.box for _ in range(each.count))]
-        self.entries = [Listed(number, Readiness.READY, float(box.engine.kind.cores), 0, 0, None, number)
-                        for number, box in enumerate(self.boxes)]
+        self.boxes = [
+            Box(self, kinds[each.kind], seed * 1000 + number)
+            for number, each in enumerate(
+                each for each in scenario.box for _ in range(each.count)
+            )
+        ]
+        self.entries = [
+            Listed(
+                number,
+                Readiness.READY,
+                float(box.engine.kind.cores),
+                0,
+                0,
+                None,
+                number,
+            )
+            for number, box in enumerate(self.boxes)
+        ]
         facts = facts_of(file)
-        self.gateways = [Gateway(self, each, facts, seed * 100_000 + each) for each in range(gateways)]
+        self.gateways = [
+            Gateway(self, each, facts, seed * 100_000 + each)
+            for each in range(gateways)
+        ]
         self.atlas, self.volumes = atlas_of(file), list(file.volume)
         plans = {each.name: each for each in file.plan}
         weights = [plans[each.plan].usual_rate for each in self.volumes]
         self.shares = list(accumulate(weights))
         self.rows = list(scenario.traffic)
         whole = sum(each.per_s for each in self.rows)
-        self.row_shares, self.rate = list(accumulate(each.per_s for each in self.rows)), rate
+        self.row_shares, self.rate = (
+            list(accumulate(each.per_s for each in self.rows)),
+            rate,
+        )
         self.runs: dict[int, tuple[int, int]] = {}
-        self.patience = {each.name: int(each.patience_ms * 10) for each in file.category}
+        self.patience = {
+            each.name: int(each.patience_ms * 10) for each in file.category
+        }
         self.categories = {each.name: place for place, each in enumerate(file.category)}
         assert whole > 0
 
@@ -188,7 +283,12 @@
         self.count += 1
         heapq.heappush(self.events, (max(at, self.now), self.count, call, values))
 
-    def start(self, around: Callable[[Gateway], Callable[[Any], Any]] = lambda gateway: lambda make: make) -> None:
+    def start(
+        self,
+        around: Callable[[Gateway], Callable[[Any], Any]] = lambda gateway: (
+            lambda make: make
+        ),
+    ) -> None:
         """Make the modules, give them the list, let the traffic begin."""
         for each in self.gateways:
             each.start(around(each))
@@ -207,24 +307,50 @@
     def arrive(self) -> None:
         """One transfer, and when the next comes."""
         chance = self.chance
-        row = self.rows[chance.choices(range(len(self.rows)), cum_weights=self.row_shares)[0]]
+        row = self.rows[
+            chance.choices(range(len(self.rows)), cum_weights=self.row_shares)[0]
+        ]
         place = chance.choices(range(len(self.volumes)), cum_weights=self.shares)[0]
         volume = self.atlas.roots[self.volumes[place].root]
         gateway = self.gateways[chance.randrange(len(self.gateways))]
         gateway.count += 1
         extent, left = self.runs.get(place, (0, 0))
         if left <= 0:
-            extent, left = chance.getrandbits(32) * 64 + place, int(chance.expovariate(1 / row.run)) + 1
+            extent, left = (
+                chance.getrandbits(32) * 64 + place,
+                int(chance.expovariate(1 / row.run)) + 1,
+            )
         self.runs[place] = (extent, left - 1)
         path = f"{volume.root}/f{extent >> 6:08x}"
-        units = min(max(int(chance.expovariate(1 / row.units)) + 1, 1), self.rules.largest_units)
-        work = row.work_ms / 1000 * units / self.rules.unit_mean * max(chance.gauss(1.0, min(row.cv, 1.0)), 0.1)
+        units = min(
+            max(int(chance.expovariate(1 / row.units)) + 1, 1), self.rules.largest_units
+        )
+        work = (
+            row.work_ms
+            / 1000
+            * units
+            / self.rules.unit_mean
+            * max(chance.gauss(1.0, min(row.cv, 1.0)), 0.1)
+        )
         write = row.operation in ("write", "new")
-        arrival = Arrival(gateway.count, self.atlas.extent(path, 0), volume.number, volume.gateways,
-                          self.categories[row.category], volume.plan, False, write, self.atlas.home(volume, path), units,
-                          self.now + self.patience[row.category])
+        arrival = Arrival(
+            gateway.count,
+            self.atlas.extent(path, 0),
+            volume.number,
+            volume.gateways,
+            self.categories[row.category],
+            volume.plan,
+            False,
+            write,
+            self.atlas.home(volume, path),
+            units,
+            self.now + self.patience[row.category],
+        )
         gateway.take(arrival, work, path, row.operation)
-        self.at(self.now + max(round(chance.expovariate(self.rate) * SECOND), 0), self.arrive)
+        self.at(
+            self.now + max(round(chance.expovariate(self.rate) * SECOND), 0),
+            self.arrive,
+        )
 
 
 def part_of(scenario: Any, part: int, of: int) -> Any:
@@ -235,5 +361,3 @@
         each.speed /= of
     made.seed += part
     return made
-
-
--- a/milletsill/lab/engine.py
+++ b/milletsill/lab/engine.py
@@ -3,6 +3,7 @@
 A model on any clock: `now` is handed in, in seconds. `Engine.take` puts a job in; `advance` works up to a time and
 gives the jobs that ended. Processor sharing among the slots in work, a queue in turn of arrival behind them.
 """
+
 from __future__ import annotations
 
 from collections import OrderedDict, deque
@@ -35,15 +36,31 @@
 class Engine:
     """The work of one box since its last start."""
 
-    def __init__(self, kind: Any, rules: Any, chance: Random, now: float, cold: bool, speed: Speed) -> None:
+    def __init__(
+        self,
+        kind: Any,
+        rules: Any,
+        chance: Random,
+        now: float,
+        cold: bool,
+        speed: Speed,
+    ) -> None:
         self.kind, self.chance, self.speed = kind, chance, speed
         self.started = now if cold else now - kind.cold_s
-        self.at, self.next_pause, self.next_flush = now, now + self.drawn(kind.pause_every_s), now + kind.flush_s
+        self.at, self.next_pause, self.next_flush = (
+            now,
+            now + self.drawn(kind.pause_every_s),
+            now + kind.flush_s,
+        )
         self.working: list[Job] = []
         self.queue: deque[Job] = deque()
         self.put_off, self.done_work = 0.0, 0.0
         self.extents: OrderedDict[int, None] = OrderedDict()
-        self.multiple, self.window, self.borne = rules.cold_multiple, rules.cold_window_ms / 1000, rules.cold_units
+        self.multiple, self.window, self.borne = (
+            rules.cold_multiple,
+            rules.cold_window_ms / 1000,
+            rules.cold_units,
+        )
         self.pushed: deque[tuple[float, float, float]] = deque()  # (time, work, units)
         self.fallen = False
 
@@ -60,11 +77,26 @@
         """Seconds of work a second."""
         kind, held = self.kind, len(self.working) + len(self.queue)
         over = min(max(held / kind.knee - 1, 0.0), 1.0) if kind.knee else 0.0
-        return kind.cores * kind.speed * (1 - self.speed.taken) * (1 - kind.thrash * over) / self.speed.slow * (
-            self.warmth(now))
-
-    def take(self, now: float, work: float, units: float, extent: int, first: bool, write: bool, expires: float,
-             what: Any) -> Job | None:
+        return (
+            kind.cores
+            * kind.speed
+            * (1 - self.speed.taken)
+            * (1 - kind.thrash * over)
+            / self.speed.slow
+            * (self.warmth(now))
+        )
+
+    def take(
+        self,
+        now: float,
+        work: float,
+        units: float,
+        extent: int,
+        first: bool,
+        write: bool,
+        expires: float,
+        what: Any,
+    ) -> Job | None:
         """A job, or None where the queue is full. The first dispatch on a remembered extent costs less; a part of a
         write is put off."""
         if first and extent in self.extents:
@@ -75,7 +107,10 @@
             self.extents.popitem(last=False)
         self.weigh(now, work, units)
         if write:
-            self.put_off, work = self.put_off + work * self.kind.defer, work * (1 - self.kind.defer)
+            self.put_off, work = (
+                self.put_off + work * self.kind.defer,
+                work * (1 - self.kind.defer),
+            )
         job = Job(work, what, expires)
         if len(self.working) < self.kind.slots:
             self.working.append(job)
@@ -92,8 +127,14 @@
         self.pushed.append((now, work, units))
         while self.pushed[0][0] < now - self.window:
             self.pushed.popleft()
-        bears = self.multiple * self.capacity(now) * self.window + FALL_SLACK * self.kind.cores
-        if sum(each[2] for each in self.pushed) > self.borne and sum(each[1] for each in self.pushed) > bears:
+        bears = (
+            self.multiple * self.capacity(now) * self.window
+            + FALL_SLACK * self.kind.cores
+        )
+        if (
+            sum(each[2] for each in self.pushed) > self.borne
+            and sum(each[1] for each in self.pushed) > bears
+        ):
             self.fallen = True
 
     def cancel(self, job: Job) -> None:
@@ -108,7 +149,9 @@
         """Work a second for each job in a slot."""
         if now < self.speed.still_until or not self.working:
             return 0.0
-        return min(self.capacity(now) / len(self.working), self.kind.speed / self.speed.slow)
+        return min(
+            self.capacity(now) / len(self.working), self.kind.speed / self.speed.slow
+        )
 
     def advance(self, now: float) -> list[Job]:
         """Work until now; the jobs that ended, in order."""
@@ -123,7 +166,14 @@
                 step = min(step, soon.left / rate)
             elif self.at < self.speed.still_until:
                 step = min(step, self.speed.still_until - self.at)
-            step = min([step] + [at - self.at for at in (self.next_pause, self.next_flush) if at > self.at])
+            step = min(
+                [step]
+                + [
+                    at - self.at
+                    for at in (self.next_pause, self.next_flush)
+                    if at > self.at
+                ]
+            )
             for each in self.working:
                 each.left -= rate * step
             self.at += step
@@ -138,7 +188,9 @@
         """The box's own pauses, and the work put off, done in one go."""
         if self.at >= self.next_pause:
             self.next_pause = self.at + self.drawn(self.kind.pause_every_s)
-            self.speed.still_until = max(self.speed.still_until, self.at + self.kind.pause_ms / 1000)
+            self.speed.still_until = max(
+                self.speed.still_until, self.at + self.kind.pause_ms / 1000
+            )
         if self.at >= self.next_flush:
             self.next_flush = self.at + self.kind.flush_s
             if self.put_off:
--- a/milletsill/lab/evidence.py
+++ b/milletsill/lab/evidence.py
@@ -3,6 +3,7 @@
 lab/record.py has the format; it is decoded here again, and so are the packets. Times are seconds of the machine's monotonic
 clock.
 """
+
 from __future__ import annotations
 
 import base64
@@ -16,7 +17,9 @@
 NUMBERED, WORD = "numbered@milletsill", "channel@milletsill"
 OPEN, ASK, SAY = 1, 2, 3
 CATCHES_UP = 0.1  # seconds
-READS_ON = 0.02  # seconds after a span without a read in which what came meanwhile is read
+READS_ON = (
+    0.02  # seconds after a span without a read in which what came meanwhile is read
+)
 
 
 @dataclass
@@ -31,7 +34,7 @@
     tries: int
     mark: str
     kind: int
-    handle: bytes = b""     # of its channel, and what it is there
+    handle: bytes = b""  # of its channel, and what it is there
     number: int = 0
     batch: int = 0
     answers: list[tuple[float, int, str, int]] = field(default_factory=list)
@@ -54,7 +57,9 @@
     handle: bytes = b""
     number: int = 0
     word: int = 0
-    told: dict[str, Any] = field(default_factory=dict)  # of OPEN: handle, claim, contract, order, next, unsure
+    told: dict[str, Any] = field(
+        default_factory=dict
+    )  # of OPEN: handle, claim, contract, order, next, unsure
     answers: list[tuple[float, int, str, int]] = field(default_factory=list)
     lost: float | None = None
 
@@ -80,8 +85,10 @@
     ended: float | None = None
 
     def line(self) -> str:
-        return (f"{self.at:.4f} box {self.box} <- {self.edge}.{self.incarnation} transfer {self.transfer} number "
-                f"{self.number} {self.units:g} units {self.category} verdict {self.verdict}")
+        return (
+            f"{self.at:.4f} box {self.box} <- {self.edge}.{self.incarnation} transfer {self.transfer} number "
+            f"{self.number} {self.units:g} units {self.category} verdict {self.verdict}"
+        )
 
 
 class Cursor:
@@ -92,12 +99,12 @@
 
     def number(self, size: int) -> int:
         self.at += size
-        return int.from_bytes(self.data[self.at - size:self.at], "big")
+        return int.from_bytes(self.data[self.at - size : self.at], "big")
 
     def raw(self) -> bytes:
         size = self.number(4)
         self.at += size
-        return self.data[self.at - size:self.at]
+        return self.data[self.at - size : self.at]
 
     def text(self) -> str:
         return self.raw().decode("utf-8", "replace")
@@ -116,29 +123,66 @@
             yield at / 1e9, conn, direction, whole, data
 
 
-def sent_of(cursor: Cursor, name: str, at: float, conn: int, id: int, edge: str) -> Sent | Word | None:
+def sent_of(
+    cursor: Cursor, name: str, at: float, conn: int, id: int, edge: str
+) -> Sent | Word | None:
     """A packet that goes out, where it is one of ours that is owed an answer."""
     handle, number, batch = b"", 0, 0
     if name == WORD:
         verb = cursor.number(4)
         if verb == OPEN:
             return Word(at, conn, edge, verb, cursor.text(), cursor.text())
-        return Word(at, conn, edge, verb, handle=cursor.raw(), number=cursor.number(8),
-                    word=cursor.number(4) if verb == SAY else 0)
+        return Word(
+            at,
+            conn,
+            edge,
+            verb,
+            handle=cursor.raw(),
+            number=cursor.number(8),
+            word=cursor.number(4) if verb == SAY else 0,
+        )
     if name == NUMBERED:
-        handle, number, batch, _ = cursor.raw(), cursor.number(8), cursor.number(8), cursor.number(4)
+        handle, number, batch, _ = (
+            cursor.raw(),
+            cursor.number(8),
+            cursor.number(8),
+            cursor.number(4),
+        )
     elif name != "command@milletsill":
         return None
     patience, tries, mark = cursor.number(4) / 1000, cursor.number(4), cursor.text()
-    return Sent(at, conn, edge, id, patience, tries, mark, cursor.number(1), handle, number, batch)
+    return Sent(
+        at,
+        conn,
+        edge,
+        id,
+        patience,
+        tries,
+        mark,
+        cursor.number(1),
+        handle,
+        number,
+        batch,
+    )
 
 
 def told_of(cursor: Cursor) -> dict[str, Any]:
     """The answer to OPEN."""
-    told = {"handle": cursor.raw(), "claim": cursor.number(8), "contract": cursor.text(), "version": cursor.number(4),
-            "order": cursor.number(4), "next": cursor.number(8), "batch": cursor.number(8), "waiting": cursor.number(4),
-            "remembered": cursor.number(8)}
-    return {**told, "unsure": [cursor.number(8) for _ in range(min(cursor.number(4), 1024))]}
+    told = {
+        "handle": cursor.raw(),
+        "claim": cursor.number(8),
+        "contract": cursor.text(),
+        "version": cursor.number(4),
+        "order": cursor.number(4),
+        "next": cursor.number(8),
+        "batch": cursor.number(8),
+        "waiting": cursor.number(4),
+        "remembered": cursor.number(8),
+    }
+    return {
+        **told,
+        "unsure": [cursor.number(8) for _ in range(min(cursor.number(4), 1024))],
+    }
 
 
 def read_clients(path: str) -> tuple[list[Sent], list[str], list[Word]]:
@@ -173,7 +217,9 @@
                 language = cursor.text()
             found = out.pop((conn, id), None)
             if found is None:
-                strays.append(f"{at:.4f} connection {conn} answer {kind} for command {id}, which is not out")
+                strays.append(
+                    f"{at:.4f} connection {conn} answer {kind} for command {id}, which is not out"
+                )
                 continue
             found.answers.append((at, kind, language, code))
             if isinstance(found, Word) and found.verb == OPEN and kind == 201:
@@ -195,11 +241,38 @@
             id, name = cursor.number(4), cursor.text()
             if name != "dispatch@milletsill":
                 continue
-            edge, incarnation, transfer, count = cursor.text(), cursor.number(4), cursor.number(8), cursor.number(4)
-            units, extent, _ = cursor.number(4) / 1000, cursor.number(8), cursor.number(4)
-            ticket, volume, _, category = cursor.text(), cursor.number(4), cursor.number(4), cursor.text()
-            made = Dispatch(at, number, edge, incarnation, transfer, count, units, extent, ticket, volume, category,
-                            cursor.text(), cursor.number(1))
+            edge, incarnation, transfer, count = (
+                cursor.text(),
+                cursor.number(4),
+                cursor.number(8),
+                cursor.number(4),
+            )
+            units, extent, _ = (
+                cursor.number(4) / 1000,
+                cursor.number(8),
+                cursor.number(4),
+            )
+            ticket, volume, _, category = (
+                cursor.text(),
+                cursor.number(4),
+                cursor.number(4),
+                cursor.text(),
+            )
+            made = Dispatch(
+                at,
+                number,
+                edge,
+                incarnation,
+                transfer,
+                count,
+                units,
+                extent,
+                ticket,
+                volume,
+                category,
+                cursor.text(),
+                cursor.number(1),
+            )
             found.append(made)
             out[conn, id] = made
         elif kind == 201:
@@ -227,7 +300,9 @@
                 value = json.loads(base64.b64decode(each["value"]))
                 there[each["key"]] = value["id"]
                 told[edge].append((at, value["id"], value["state"]))
-            told[edge] += [(at, box, "gone") for key, box in keys.items() if key not in there]
+            told[edge] += [
+                (at, box, "gone") for key, box in keys.items() if key not in there
+            ]
             known[edge] = there
         for event in message.get("events", []):
             key = event["kv"]["key"]
@@ -250,14 +325,21 @@
     dispatches: list[Dispatch]
     notes: list[dict[str, Any]]
     told: dict[str, list[tuple[float, int, str]]]
-    stops: list[tuple[str, float, float]] = field(default_factory=list)  # (edge, from, to): it did not run then
+    stops: list[tuple[str, float, float]] = field(
+        default_factory=list
+    )  # (edge, from, to): it did not run then
     late: float = 0.0  # seconds that the clients' own process was late at the worst: their times are that unsure
     words: list[Word] = field(default_factory=list)
-    deaf: list[tuple[float, float]] = field(default_factory=list)  # the boxes' process read nothing then
+    deaf: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # the boxes' process read nothing then
 
     def sent_by(self, at: float) -> float:
         """From when on a packet that a box read at a time may have lain in its socket."""
-        return min((since for since, to in self.deaf if since <= at <= to + READS_ON), default=at)
+        return min(
+            (since for since, to in self.deaf if since <= at <= to + READS_ON),
+            default=at,
+        )
 
 
 def merged(stops: list[Any]) -> list[Any]:
@@ -290,4 +372,14 @@
     if os.path.exists(f"{out}/stand.json"):
         with open(f"{out}/stand.json", encoding="utf-8") as source:
             deaf = [(since, to) for since, to in json.load(source)["deaf"]]
-    return Evidence(commands, strays, dispatches, notes, read_told(f"{out}/registry.rec"), stops, late, words, deaf)
+    return Evidence(
+        commands,
+        strays,
+        dispatches,
+        notes,
+        read_told(f"{out}/registry.rec"),
+        stops,
+        late,
+        words,
+        deaf,
+    )
--- a/milletsill/lab/files.py
+++ b/milletsill/lab/files.py
@@ -1,4 +1,5 @@
 """The bytes of a stand-in disk box, kept in memory: files, directories, links, and the answers to commands."""
+
 from __future__ import annotations
 
 from random import Random
@@ -19,7 +20,7 @@
 def pattern(path: str, offset: int, length: int) -> bytes:
     """What every file of the laboratory holds: told by its path alone, so that any read can be checked."""
     start = (xxhash.xxh32_intdigest(path.encode()) + offset) & PATTERN
-    return BLOCK[start:start + length]
+    return BLOCK[start : start + length]
 
 
 class Files:
@@ -35,43 +36,72 @@
         method = getattr(self, type(command).__name__.lower(), None)
         if method is None:
             return self.status(packets.UNSUPPORTED)
-        if type(command) in (packets.Readlink, packets.Symlink, packets.Readdir, packets.Mkdir, packets.Rmdir):
+        if type(command) in (
+            packets.Readlink,
+            packets.Symlink,
+            packets.Readdir,
+            packets.Mkdir,
+            packets.Rmdir,
+        ):
             return method(command)
-        name = text_of(command.handle) if hasattr(command, "handle") else getattr(command, "path", "")
+        name = (
+            text_of(command.handle)
+            if hasattr(command, "handle")
+            else getattr(command, "path", "")
+        )
         if name in self.links:
-            return Verdict(ELSEWHERE, self.links[name], answer=packets.Status(0, packets.OK))
+            return Verdict(
+                ELSEWHERE, self.links[name], answer=packets.Status(0, packets.OK)
+            )
         return method(command, name)
 
     def status(self, code: int, text: str = "") -> Verdict:
         return Verdict(DONE, answer=packets.Status(0, code, text))
 
     def attrs(self, name: str) -> Attrs:
-        return Attrs(size=len(self.data[name]), mode=0o100644) if name in self.data else Attrs(mode=0o040755)
+        return (
+            Attrs(size=len(self.data[name]), mode=0o100644)
+            if name in self.data
+            else Attrs(mode=0o040755)
+        )
 
     def open(self, command: packets.Open, name: str) -> Verdict:
         flags = command.flags
         if name in self.folders:
             return self.status(packets.FAILURE, "a directory")
-        if name in self.data and flags & packets.CREATE_FLAG and flags & packets.EXCLUSIVE_FLAG:
+        if (
+            name in self.data
+            and flags & packets.CREATE_FLAG
+            and flags & packets.EXCLUSIVE_FLAG
+        ):
             return self.status(packets.FAILURE, "it stands already")
         if name not in self.data and not flags & packets.CREATE_FLAG:
             return self.status(packets.NO_SUCH_FILE, "no such file")
         if name not in self.data or flags & packets.TRUNCATE_FLAG:
             self.data[name] = bytearray()
-        return Verdict(DONE, answer=packets.Handle(0, name.encode("utf-8", "surrogateescape")))
+        return Verdict(
+            DONE, answer=packets.Handle(0, name.encode("utf-8", "surrogateescape"))
+        )
 
     def read(self, command: packets.Read, name: str) -> Verdict:
         if name not in self.data:
             return self.status(packets.NO_SUCH_FILE, "no such file")
-        data = bytes(self.data[name][command.offset:command.offset + command.length])
-        return Verdict(DONE, answer=packets.Data(0, data)) if data else self.status(packets.EOF, "the end")
+        data = bytes(self.data[name][command.offset : command.offset + command.length])
+        return (
+            Verdict(DONE, answer=packets.Data(0, data))
+            if data
+            else self.status(packets.EOF, "the end")
+        )
 
     def write(self, command: packets.Write, name: str) -> Verdict:
         held, end = self.data.get(name), command.offset + len(command.data)
         if held is None or end > MOST_FILE:
-            return self.status(packets.NO_SUCH_FILE if held is None else packets.FAILURE, "cannot be written")
+            return self.status(
+                packets.NO_SUCH_FILE if held is None else packets.FAILURE,
+                "cannot be written",
+            )
         held.extend(bytes(max(command.offset - len(held), 0)))
-        held[command.offset:end] = command.data
+        held[command.offset : end] = command.data
         return self.status(packets.OK)
 
     def extended(self, command: Any, name: str) -> Verdict:
@@ -79,8 +109,11 @@
 
     def stat(self, command: Any, name: str) -> Verdict:
         known = name in self.data or name in self.folders or self.below(name)
-        return (Verdict(DONE, answer=packets.AttrsAnswer(0, self.attrs(name))) if known
-                else self.status(packets.NO_SUCH_FILE, "no such file"))
+        return (
+            Verdict(DONE, answer=packets.AttrsAnswer(0, self.attrs(name)))
+            if known
+            else self.status(packets.NO_SUCH_FILE, "no such file")
+        )
 
     lstat = fstat = stat
 
@@ -111,8 +144,14 @@
 
     def readlink(self, command: packets.Readlink) -> Verdict:
         if command.path in self.links:
-            return Verdict(ELSEWHERE, self.links[command.path], answer=packets.Status(0, packets.OK))
-        return self.status(packets.OK if command.path in self.data else packets.NO_SUCH_FILE)
+            return Verdict(
+                ELSEWHERE,
+                self.links[command.path],
+                answer=packets.Status(0, packets.OK),
+            )
+        return self.status(
+            packets.OK if command.path in self.data else packets.NO_SUCH_FILE
+        )
 
     def symlink(self, command: packets.Symlink) -> Verdict:
         """A link where none stands; `-TARGET` takes that very link away."""
@@ -145,7 +184,11 @@
 
     def below(self, name: str) -> bool:
         start = name.rstrip("/") + "/"
-        return any(each.startswith(start) for held in (self.data, self.links, self.folders) for each in held)
+        return any(
+            each.startswith(start)
+            for held in (self.data, self.links, self.folders)
+            for each in held
+        )
 
     def readdir(self, command: packets.Readdir) -> Verdict:
         """The names after one, a page; the handle is the directory, a zero byte and that name."""
@@ -154,14 +197,28 @@
         for held in (self.data, self.links, self.folders):
             for name in held:
                 if name.startswith(start):
-                    first, deeper, _ = name[len(start):].partition("/")
+                    first, deeper, _ = name[len(start) :].partition("/")
                     if first > after:
-                        found[first] = (Attrs(mode=0o040755) if deeper or name in self.folders else
-                                        self.attrs(name) if name in self.data else Attrs(mode=0o100644))
+                        found[first] = (
+                            Attrs(mode=0o040755)
+                            if deeper or name in self.folders
+                            else self.attrs(name)
+                            if name in self.data
+                            else Attrs(mode=0o100644)
+                        )
         if not found:
             known = path in self.folders or self.below(path)
-            return self.status(packets.EOF if known else packets.NO_SUCH_FILE, "the end")
+            return self.status(
+                packets.EOF if known else packets.NO_SUCH_FILE, "the end"
+            )
         names = sorted(found)[:MOST_NAMES]
-        lines = tuple(Name(each, f"{'d' if found[each].mode == 0o040755 else '-'}rw-r--r-- 1 - - "
-                                 f"{found[each].size or 0} {each}", found[each]) for each in names)
+        lines = tuple(
+            Name(
+                each,
+                f"{'d' if found[each].mode == 0o040755 else '-'}rw-r--r-- 1 - - "
+                f"{found[each].size or 0} {each}",
+                found[each],
+            )
+            for each in names
+        )
         return Verdict(DONE, answer=packets.Names(0, lines))
--- a/milletsill/lab/fleet_clock.py
+++ b/milletsill/lab/fleet_clock.py
@@ -3,6 +3,7 @@
 
 Times are tenths of a millisecond. The same seed plays the same run.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -26,13 +27,26 @@
 class Stand:
     """One simulated gateway; a `Plane` for what is built on the fleet."""
 
-    def __init__(self, clock: FleetClock, name: str, run: int, join: Sequence[str]) -> None:
+    def __init__(
+        self, clock: FleetClock, name: str, run: int, join: Sequence[str]
+    ) -> None:
         self.clock, self.name, self.address = clock, name, f"{name}:1"
         self.chance = Random(clock.chance.getrandbits(64))
-        self.member = Membership(name, self.address, run, self.chance.getrandbits(64), clock.terms, self.chance, join, clock.now)
+        self.member = Membership(
+            name,
+            self.address,
+            run,
+            self.chance.getrandbits(64),
+            clock.terms,
+            self.chance,
+            join,
+            clock.now,
+        )
         self.up, self.stands_until, self.backlog = True, 0, list[Message]()
         self.ears: dict[Kind, list[Callable[[str, int, bytes], None]]] = {}
-        self.watchers: list[Callable[[View, Sequence[tuple[Change, Member]]], None]] = []
+        self.watchers: list[
+            Callable[[View, Sequence[tuple[Change, Member]]], None]
+        ] = []
         self.changes: list[tuple[Change, Member]] = []
         self.version, self.made = 0, View(0, ())
         self.said: Counter[str] = Counter()
@@ -47,20 +61,37 @@
     @property
     def view(self) -> View:
         if self.made.version != self.version or not self.version:
-            self.made = View(self.version, (each.member() for each in self.member.rolls.table.held.values()))
+            self.made = View(
+                self.version,
+                (each.member() for each in self.member.rolls.table.held.values()),
+            )
         return self.made
 
     def tell(self, member: str, kind: Kind, body: bytes) -> bool:
         known = self.member.rolls.table.get(member)
-        if known is None or not known.mark or member == self.name or len(body) > MOST_BODY:
+        if (
+            known is None
+            or not known.mark
+            or member == self.name
+            or len(body) > MOST_BODY
+        ):
             return False
-        self.clock.send(self, Send(known.address, Message(What.BODY, self.member.rolls.sender, kind=kind, body=body), True))
+        self.clock.send(
+            self,
+            Send(
+                known.address,
+                Message(What.BODY, self.member.rolls.sender, kind=kind, body=body),
+                True,
+            ),
+        )
         return True
 
     def hear(self, kind: Kind, heard: Callable[[str, int, bytes], None]) -> None:
         self.ears.setdefault(kind, []).append(heard)
 
-    def watch(self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]) -> None:
+    def watch(
+        self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]
+    ) -> None:
         self.watchers.append(told)
 
     # Time and frames.
@@ -117,24 +148,43 @@
 class FleetClock:
     """`delay`: from and to, of a datagram one way. With `octets` every frame goes through the codec and is counted."""
 
-    def __init__(self, seed: int, terms: Terms | None = None, delay: tuple[int, int] = (2, 20), loss: float = 0.0,
-                 octets: bool = False) -> None:
-        self.chance, self.terms, self.delay, self.loss = Random(seed), terms or Terms("fleet"), delay, loss
-        self.now, self.events, self.numbers = 0, list[tuple[int, int, Callable[..., None], tuple[Any, ...]]](), 0
+    def __init__(
+        self,
+        seed: int,
+        terms: Terms | None = None,
+        delay: tuple[int, int] = (2, 20),
+        loss: float = 0.0,
+        octets: bool = False,
+    ) -> None:
+        self.chance, self.terms, self.delay, self.loss = (
+            Random(seed),
+            terms or Terms("fleet"),
+            delay,
+            loss,
+        )
+        self.now, self.events, self.numbers = (
+            0,
+            list[tuple[int, int, Callable[..., None], tuple[Any, ...]]](),
+            0,
+        )
         self.stands: dict[str, Stand] = {}
         self.walls: list[tuple[frozenset[str], frozenset[str]]] = []
         self.streams: dict[tuple[str, str], int] = {}
         self.codec = Codec(self.terms.fleet) if octets else None
         self.packets: Counter[str] = Counter()
         self.octets: Counter[str] = Counter()
-        self.false: list[tuple[int, str, str]] = []  # deaths of members that live: when, at whom, of whom
+        self.false: list[
+            tuple[int, str, str]
+        ] = []  # deaths of members that live: when, at whom, of whom
         self.frames = 0
 
     def at(self, when: int, call: Callable[..., None], *values: Any) -> None:
         self.numbers += 1
         heapq.heappush(self.events, (when, self.numbers, call, values))
 
-    def run(self, until: int, stop: Callable[[], bool] | None = None, look: int = 1000) -> bool:
+    def run(
+        self, until: int, stop: Callable[[], bool] | None = None, look: int = 1000
+    ) -> bool:
         """Up to that time, or until `stop` holds, looked at this often."""
         next_look = self.now + look
         while self.events and self.events[0][0] <= until:
@@ -153,7 +203,9 @@
 
     def start(self, name: str, run: int = 1, join: Sequence[str] = ()) -> Stand:
         """A new one, or a new start of one that was killed; `join` names of others."""
-        self.stands[name] = found = Stand(self, name, run, [f"{each}:1" for each in join])
+        self.stands[name] = found = Stand(
+            self, name, run, [f"{each}:1" for each in join]
+        )
         return found
 
     def whole(self, count: int, settle: int = 30 * SECOND) -> None:
@@ -172,7 +224,10 @@
             mark ^= each.mark
         for name, stand in self.stands.items():
             table = stand.member.rolls.table
-            table.held = {other: each if other == name else copy(each) for other, each in known.items()}
+            table.held = {
+                other: each if other == name else copy(each)
+                for other, each in known.items()
+            }
             table.ring, table.mark = list(ring), mark
             stand.member.rolls.spread.drop(name)
             stand.version += 1
@@ -209,7 +264,9 @@
             data = self.codec.encode(message)
             message = self.codec.decode(data)
             self.packets[stand.name, sent.stream] += 1
-            self.octets[stand.name, sent.stream] += len(framed(data)) if sent.stream else len(data)
+            self.octets[stand.name, sent.stream] += (
+                len(framed(data)) if sent.stream else len(data)
+            )
         self.frames += 1
         if any(stand.name in one and to in other for one, other in self.walls):
             return
@@ -218,7 +275,9 @@
         if sent.stream:
             while self.chance.random() < self.loss:
                 when += RETRY
-            when = self.streams[stand.name, to] = max(when + high, self.streams.get((stand.name, to), 0))
+            when = self.streams[stand.name, to] = max(
+                when + high, self.streams.get((stand.name, to), 0)
+            )
         elif self.chance.random() < self.loss:
             return
         self.at(when, self.arrive, to, message, sent.stream)
--- a/milletsill/lab/fleet_processes.py
+++ b/milletsill/lab/fleet_processes.py
@@ -1,4 +1,5 @@
 """Real gateways of one fleet on loopback, each a process of `python -m milletsill edge`; what they see is read from their own logs."""
+
 from __future__ import annotations
 
 import json
@@ -44,12 +45,26 @@
     def __init__(self, folder: str, count: int, more: str = "") -> None:
         self.folder, self.names = folder, [f"gw-{each}" for each in range(count)]
         self.running: dict[int, subprocess.Popen[bytes]] = {}
-        self.read_to, self.lines = [0] * count, [list[dict[str, Any]]() for _ in range(count)]
+        self.read_to, self.lines = (
+            [0] * count,
+            [list[dict[str, Any]]() for _ in range(count)],
+        )
         *self.ports, nobody = free_ports(count + 1)
         join = " ".join(f'join: "127.0.0.1:{each}"' for each in self.ports[:3])
         for number, name in enumerate(self.names):
-            self.write(number, FILE.format(name=name, count=count, folder=folder, nobody=nobody, fleet="lab", join=join, more=more,
-                                           port=self.ports[number]))
+            self.write(
+                number,
+                FILE.format(
+                    name=name,
+                    count=count,
+                    folder=folder,
+                    nobody=nobody,
+                    fleet="lab",
+                    join=join,
+                    more=more,
+                    port=self.ports[number],
+                ),
+            )
 
     def path(self, number: int, end: str) -> str:
         return os.path.join(self.folder, f"{self.names[number]}.{end}")
@@ -60,8 +75,17 @@
 
     def start(self, number: int) -> None:
         with open(self.path(number, "log"), "ab") as log:
-            self.running[number] = subprocess.Popen([sys.executable, "-m", "milletsill", "edge", self.path(number, "textproto")],
-                                                    stderr=log, stdout=log)
+            self.running[number] = subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "milletsill",
+                    "edge",
+                    self.path(number, "textproto"),
+                ],
+                stderr=log,
+                stdout=log,
+            )
 
     def send(self, number: int, which: signal.Signals) -> None:
         self.running[number].send_signal(which)
@@ -90,9 +114,11 @@
             with open(self.path(number, "log"), "rb") as source:
                 source.seek(self.read_to[number])
                 data = source.read()
-            whole = data[:data.rfind(b"\n") + 1]
+            whole = data[: data.rfind(b"\n") + 1]
             self.read_to[number] += len(whole)
-            self.lines[number] += [json.loads(each) for each in whole.splitlines() if each.startswith(b"{")]
+            self.lines[number] += [
+                json.loads(each) for each in whole.splitlines() if each.startswith(b"{")
+            ]
         return self.lines[number]
 
     def views(self, among: Sequence[int]) -> list[dict[str, Any]]:
@@ -106,8 +132,14 @@
     def agree(self, among: Sequence[int], since: float = 0.0) -> bool:
         """Whether all of them see just these, in one view, and each said so since then."""
         views = self.views(among)
-        return len(views) == len(among) and len({each["digest"] for each in views}) == 1 and all(
-            each["members"] == len(among) and said_at(each) >= since for each in views)
+        return (
+            len(views) == len(among)
+            and len({each["digest"] for each in views}) == 1
+            and all(
+                each["members"] == len(among) and said_at(each) >= since
+                for each in views
+            )
+        )
 
     def wait(self, holds: Callable[[], bool], most: float) -> bool:
         ends = time.monotonic() + most
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -4,6 +4,7 @@
 once: the best possible). All three draw their traffic from the same seeds. In `shared` rows reach one judge, which speaks for all
 gateways (`lab.health_spread` shows how they agree), 0.1 to 0.6 s after they are written; all else is the code of the product.
 """
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -12,7 +13,16 @@
 
 from google.protobuf import text_format
 
-from milletsill.fleet.health.decide import CALLED, CALM_PUBLISH, LASTS, SECOND, TAU, Judge, Order, Verdict
+from milletsill.fleet.health.decide import (
+    CALLED,
+    CALM_PUBLISH,
+    LASTS,
+    SECOND,
+    TAU,
+    Judge,
+    Order,
+    Verdict,
+)
 from milletsill.fleet.health.observe import Observer, urgent
 from milletsill.fleet.health.rows import Rows
 from milletsill.fleet.plane import Member, Standing, View
@@ -20,7 +30,12 @@
 from milletsill.lab.clockwork import Box, Fleet, Gateway, Transfer
 from milletsill.settings.milletsill_pb2 import Scenario
 
-PERIOD, JUDGES, NEAR, FAR = 3000, 1, 1000, 6000  # a row's way to a judge takes between the last two
+PERIOD, JUDGES, NEAR, FAR = (
+    3000,
+    1,
+    1000,
+    6000,
+)  # a row's way to a judge takes between the last two
 NONE = Outcome.ERROR
 
 SCENARIO = """
@@ -46,26 +61,42 @@
 def scenario_of(gateways: int, boxes: int, cell: int) -> Any:
     """`cell` boxes in each cell."""
     cells = boxes // cell
-    volumes = " ".join(f'volume {{ name: "v{each}" root: "/v{each}" plan: "standard" cell: [{each % cells}, '
-                       f'{(each + 1) % cells}, {(each + 2) % cells}] }}' for each in range(cells))
-    return text_format.Parse(SCENARIO.format(gateways=gateways, boxes=boxes, volumes=volumes), Scenario())
+    volumes = " ".join(
+        f'volume {{ name: "v{each}" root: "/v{each}" plan: "standard" cell: [{each % cells}, '
+        f"{(each + 1) % cells}, {(each + 2) % cells}] }}"
+        for each in range(cells)
+    )
+    return text_format.Parse(
+        SCENARIO.format(gateways=gateways, boxes=boxes, volumes=volumes), Scenario()
+    )
 
 
 class Ill:
     """What is wrong with a box: `slow` divides its speed, `fails` is the share that comes to nothing, `still` stops it."""
 
-    def __init__(self, slow: float = 1.0, fails: float = 0.0, still: bool = False) -> None:
+    def __init__(
+        self, slow: float = 1.0, fails: float = 0.0, still: bool = False
+    ) -> None:
         self.slow, self.fails, self.still = slow, fails, still
 
     def truth(self, load: float) -> tuple[float, float]:
         """Strain, and the part of the gateways that had best send, for a box loaded like that."""
         if self.still:
             return 4.0, 0.0
-        return min(self.slow - 1 + 3 * self.fails, 4.0), min(0.8 / (load * self.slow), 1.0)
-
-
-KINDS = {"slow 2": Ill(slow=2), "slow 5": Ill(slow=5), "slow 20": Ill(slow=20), "fails a third": Ill(fails=1 / 3),
-         "still": Ill(still=True), "calm": Ill(), "surge": Ill()}
+        return min(self.slow - 1 + 3 * self.fails, 4.0), min(
+            0.8 / (load * self.slow), 1.0
+        )
+
+
+KINDS = {
+    "slow 2": Ill(slow=2),
+    "slow 5": Ill(slow=5),
+    "slow 20": Ill(slow=20),
+    "fails a third": Ill(fails=1 / 3),
+    "still": Ill(still=True),
+    "calm": Ill(),
+    "surge": Ill(),
+}
 LOAD = 0.45
 
 
@@ -78,7 +109,9 @@
         for each in jobs:
             if each.what is not None:
                 lost = self.fails and self.chance.random() < self.fails
-                self.fleet.at(self.fleet.now + 5, each.what, NONE if lost else Outcome.SATISFIED)
+                self.fleet.at(
+                    self.fleet.now + 5, each.what, NONE if lost else Outcome.SATISFIED
+                )
 
 
 class Knowing(Gateway):
@@ -86,10 +119,30 @@
 
     observer: Observer | None = None
 
-    def returned(self, transfer: Transfer, number: int, node: int, sent: int, outcome: Outcome, done: list[bool]) -> None:
+    def returned(
+        self,
+        transfer: Transfer,
+        number: int,
+        node: int,
+        sent: int,
+        outcome: Outcome,
+        done: list[bool],
+    ) -> None:
         if self.observer is not None and not done[0]:
-            report = self.fleet.boxes[node].report() if outcome is Outcome.SATISFIED else {}
-            answer = Answer(transfer.arrival.id, number, node, outcome, False, self.fleet.now - sent, None, 0, report)
+            report = (
+                self.fleet.boxes[node].report() if outcome is Outcome.SATISFIED else {}
+            )
+            answer = Answer(
+                transfer.arrival.id,
+                number,
+                node,
+                outcome,
+                False,
+                self.fleet.now - sent,
+                None,
+                0,
+                report,
+            )
             self.observer.answer(self.fleet.now, transfer.arrival, answer)
         super().returned(transfer, number, node, sent, outcome, done)
 
@@ -102,17 +155,43 @@
 class Day(Fleet):
     """One day in one of the three ways."""
 
-    def __init__(self, ill: str, way: str, seed: int, gateways: int = 150, boxes: int = 44, rate: float = 580.0, cell: int = 2,
-                 begins: float = 6, ends: float = 20, lasts: float = 25, liars: float = 0.0, most_part: float = 0.34) -> None:
+    def __init__(
+        self,
+        ill: str,
+        way: str,
+        seed: int,
+        gateways: int = 150,
+        boxes: int = 44,
+        rate: float = 580.0,
+        cell: int = 2,
+        begins: float = 6,
+        ends: float = 20,
+        lasts: float = 25,
+        liars: float = 0.0,
+        most_part: float = 0.34,
+    ) -> None:
         super().__init__(scenario_of(gateways, boxes, cell), gateways, rate, seed)
-        self.boxes = [Ailing(self, each.engine.kind, seed * 1000 + number) for number, each in enumerate(self.boxes)]
+        self.boxes = [
+            Ailing(self, each.engine.kind, seed * 1000 + number)
+            for number, each in enumerate(self.boxes)
+        ]
         self.entries = [replace(each, cell=each.node // cell) for each in self.entries]
         self.ill, self.way, self.seed, self.liars = ill, way, seed, liars
-        self.begins, self.ends, self.lasts = int(begins * SECOND), int(ends * SECOND), int(lasts * SECOND)
-        self.sick = sorted(Random(seed + 7).sample(range(boxes), boxes // 8)) if ill not in ("calm", "surge") else []
+        self.begins, self.ends, self.lasts = (
+            int(begins * SECOND),
+            int(ends * SECOND),
+            int(lasts * SECOND),
+        )
+        self.sick = (
+            sorted(Random(seed + 7).sample(range(boxes), boxes // 8))
+            if ill not in ("calm", "surge")
+            else []
+        )
         self.cells = {each.node: each.cell for each in self.entries}
         self.worth = self.got = 0.0
-        self.calls: list[tuple[int, int, int, Verdict]] = []  # when, judge, box, verdict
+        self.calls: list[
+            tuple[int, int, int, Verdict]
+        ] = []  # when, judge, box, verdict
         for each in self.gateways:
             each.__class__ = Knowing
             each.told = self.told  # type: ignore[method-assign]
@@ -126,7 +205,13 @@
             self.at(self.begins, self.tell_truth)
 
     def order_of(self) -> Order:
-        view = View(1, [Member(str(each), "", 1, Standing.ALIVE) for each in range(len(self.gateways))])
+        view = View(
+            1,
+            [
+                Member(str(each), "", 1, Standing.ALIVE)
+                for each in range(len(self.gateways))
+            ],
+        )
         order = Order()
         order.see(lambda name: map(int, view.chosen(name, len(self.gateways))))
         return order
@@ -170,7 +255,9 @@
                 places = self.order(box)
                 for number, each in enumerate(self.gateways):
                     away = places[number] >= part * len(places)
-                    each.module.advised(self.now, box, strain, away, min(self.now + 4000, self.ends))
+                    each.module.advised(
+                        self.now, box, strain, away, min(self.now + 4000, self.ends)
+                    )
                     each.settle_soon()
             self.at(self.now + PERIOD, self.tell_truth)
 
@@ -180,9 +267,13 @@
         self.copies = [Rows(-1 - each, 1, 4096, 4096) for each in range(JUDGES)]
         self.judges = [Judge(most_part) for _ in range(JUDGES)]
         self.order = self.order_of()
-        self.false = Random(self.seed + 5).sample(range(len(self.gateways)), round(self.liars * len(self.gateways)))
-        self.slandered = Random(self.seed + 13).sample([each for each in self.cells if each not in self.sick],
-                                                       max(len(self.sick), 5))
+        self.false = Random(self.seed + 5).sample(
+            range(len(self.gateways)), round(self.liars * len(self.gateways))
+        )
+        self.slandered = Random(self.seed + 13).sample(
+            [each for each in self.cells if each not in self.sick],
+            max(len(self.sick), 5),
+        )
         for number, each in enumerate(self.gateways):
             each.observer = Observer(each.facts)
             each.observer.list(self.entries)
@@ -196,19 +287,27 @@
         gateway = self.gateways[number]
         gateway.turn += 1
         lies = number in self.false
-        if gateway.observer.ill or urgent(gateway.observer.sights, self.judges[0].called()) or gateway.turn % CALM_PUBLISH == 0 or lies:
+        if (
+            gateway.observer.ill
+            or urgent(gateway.observer.sights, self.judges[0].called())
+            or gateway.turn % CALM_PUBLISH == 0
+            or lies
+        ):
             words = gateway.observer.words(self.now)
             if lies:
                 words = self.lie(words)
             if words:
                 news = gateway.own.write(words)
                 for rows in self.copies:
-                    self.at(self.now + self.others.randrange(NEAR, FAR), rows.merge, news)
+                    self.at(
+                        self.now + self.others.randrange(NEAR, FAR), rows.merge, news
+                    )
         self.at(self.now + PERIOD, self.publish, number)
 
     def lie(self, words: dict[int, Any]) -> dict[int, Any]:
         """In concert: the same well boxes are ill, the ill ones are well."""
         from milletsill.fleet.health.rows import Word
+
         for box in self.slandered:
             words[box] = Word(0, self.now, 8.0, 1.0, 1.0, 0.0, 0.0)
         for box in self.sick:
@@ -218,20 +317,30 @@
     def judge(self, number: int) -> None:
         judge = self.judges[number]
         self.copies[number].keep(range(len(self.gateways)), self.now - 4 * TAU)
-        for each in judge.look(self.copies[number], len(self.gateways), self.order, self.cells, self.now):
+        for each in judge.look(
+            self.copies[number], len(self.gateways), self.order, self.cells, self.now
+        ):
             self.calls.append((self.now, number, each.box, each.new))
         for place in range(number, len(self.gateways), JUDGES):
             gateway = self.gateways[place]
             for box in judge.boxes:
                 if judge.boxes[box].verdict is not Verdict.STEADY:
-                    strain, away = judge.advice(box, self.order(box)[place], len(self.gateways))
-                    gateway.module.advised(self.now, box, strain, away, self.now + LASTS * PERIOD)
+                    strain, away = judge.advice(
+                        box, self.order(box)[place], len(self.gateways)
+                    )
+                    gateway.module.advised(
+                        self.now, box, strain, away, self.now + LASTS * PERIOD
+                    )
                     gateway.settle_soon()
         self.at(self.now + PERIOD, self.judge, number)
 
     def false_calls(self) -> int:
         """Boxes called ill that were not, by the first judge."""
-        return sum(1 for _, judge, box, verdict in self.calls if judge == 0 and box not in self.sick and verdict in CALLED)
+        return sum(
+            1
+            for _, judge, box, verdict in self.calls
+            if judge == 0 and box not in self.sick and verdict in CALLED
+        )
 
     def play(self) -> float:
         """The share of what the day was worth, from the trouble's start until 4 s after its end."""
--- a/milletsill/lab/health_spread.py
+++ b/milletsill/lab/health_spread.py
@@ -4,13 +4,23 @@
 some have a judge. What gateways see is drawn: each box answers at a rate, at some gateway by chance, and what is ill is lost,
 fails or is slow. Words, delays and losses are as in service; queues at boxes and clients are left out (`health_day` has them).
 """
+
 from __future__ import annotations
 
 import heapq
 from random import Random
 from typing import Any, Callable
 
-from milletsill.fleet.health.decide import CALLED, CALM_PUBLISH, ROUND, SECOND, TAU, Judge, Order, admitted
+from milletsill.fleet.health.decide import (
+    CALLED,
+    CALM_PUBLISH,
+    ROUND,
+    SECOND,
+    TAU,
+    Judge,
+    Order,
+    admitted,
+)
 from milletsill.fleet.health.observe import Sight, urgent, words_of
 from milletsill.fleet.health import codec
 from milletsill.fleet.health.rows import Difference, Rows, Word
@@ -18,28 +28,45 @@
 from milletsill.fleet.plane import Member, Standing, View
 
 BOXES, RATE, PERIOD, JUDGES, SPREAD_OF_PACE, KEEP = 44, 580.0, 3000, 10, 1.0, 2 * SECOND
-WAY, LOSS = (5, 60), 0.02  # tenths of a millisecond that a frame takes; the share that is lost
+WAY, LOSS = (
+    (5, 60),
+    0.02,
+)  # tenths of a millisecond that a frame takes; the share that is lost
 KNOWN_OCTETS = 17  # of a row in what a gateway says it knows
 SILENT = 4000  # what is not answered is known after this
 BEGINS, ENDS, LASTS = 6 * SECOND, 16 * SECOND, 28 * SECOND
-QUIET = 4 * SECOND  # without new rows at the end, after which all are looked at for equality
+QUIET = (
+    4 * SECOND
+)  # without new rows at the end, after which all are looked at for equality
 # What is ill with one box in eight: share lost, log2 of pace; and the share of liars, whether the fleet is in halves.
 CASES: dict[str, tuple[float, float, float, bool]] = {
-    "still": (1.0, 0.0, 0.0, False), "slow 5": (0.1, 2.3, 0.0, False), "fails a third": (1 / 3, 0.0, 0.0, False),
-    "still, 20% lie": (1.0, 0.0, 0.2, False), "still, 5% lie": (1.0, 0.0, 0.05, False), "halves": (1.0, 0.0, 0.0, True),
-    "slow 2": (0.0, 1.0, 0.0, False), "calm": (0.0, 0.0, 0.0, False)}
+    "still": (1.0, 0.0, 0.0, False),
+    "slow 5": (0.1, 2.3, 0.0, False),
+    "fails a third": (1 / 3, 0.0, 0.0, False),
+    "still, 20% lie": (1.0, 0.0, 0.2, False),
+    "still, 5% lie": (1.0, 0.0, 0.05, False),
+    "halves": (1.0, 0.0, 0.0, True),
+    "slow 2": (0.0, 1.0, 0.0, False),
+    "calm": (0.0, 0.0, 0.0, False),
+}
 
 
 class Carried(Spread):
     """Spreading without the work of encoding each frame: the octets are those of its pieces, each measured once."""
 
     def __init__(self, world: World, gateway: Gateway) -> None:
-        super().__init__(gateway.rows, world.seed * 10_000 + gateway.number, lambda member, body: None)
+        super().__init__(
+            gateway.rows,
+            world.seed * 10_000 + gateway.number,
+            lambda member, body: None,
+        )
         self.world, self.gateway = world, gateway
 
     def pass_on(self, members: Any, news: Any, known: Any, now: int) -> None:
         pieces, rest = list(news), list(known)
-        octets = sum(self.world.size_of(each) for each in pieces) + KNOWN_OCTETS * len(rest)
+        octets = sum(self.world.size_of(each) for each in pieces) + KNOWN_OCTETS * len(
+            rest
+        )
         for member in members:
             self.octets += octets
             self.world.send(self.gateway, int(member), pieces, rest)
@@ -57,7 +84,9 @@
         self.lies = False
 
     def answer(self, box: int, lost: bool, pace: float) -> None:
-        sight = self.sights.get(box) or self.sights.setdefault(box, Sight(self.world.now))
+        sight = self.sights.get(box) or self.sights.setdefault(
+            box, Sight(self.world.now)
+        )
         sight.fade(self.world.now)
         sight.add(lost, lost, None if lost else pace)
         self.ill |= lost or pace > 1
@@ -67,11 +96,22 @@
             return
         self.turn += 1
         judge = self.world.gateways[self.number % 2 if self.world.halves else 0].judge
-        if self.ill or self.lies or urgent(self.sights, judge.called()) or self.turn % CALM_PUBLISH == 0:
+        if (
+            self.ill
+            or self.lies
+            or urgent(self.sights, judge.called())
+            or self.turn % CALM_PUBLISH == 0
+        ):
             words, self.ill = words_of(self.sights, self.world.now), False
             if self.lies:
-                words |= {box: Word(0, self.world.now, 8.0, 1.0, 1.0, 0.0, 0.0) for box in self.world.slandered}
-                words |= {box: Word(0, self.world.now, 8.0, 0.0, 0.0, 8.0, 0.0) for box in self.world.sick}
+                words |= {
+                    box: Word(0, self.world.now, 8.0, 1.0, 1.0, 0.0, 0.0)
+                    for box in self.world.slandered
+                }
+                words |= {
+                    box: Word(0, self.world.now, 8.0, 0.0, 0.0, 8.0, 0.0)
+                    for box in self.world.sick
+                }
             self.spread.write(words)
         self.world.at(self.world.now + PERIOD, self.publish)
 
@@ -87,23 +127,39 @@
     def look(self) -> None:
         world = self.world
         present = world.present(self.number)
-        self.judge.look(self.rows, len(present), world.order(self.number), world.cells, world.now)
+        self.judge.look(
+            self.rows, len(present), world.order(self.number), world.cells, world.now
+        )
         world.at(world.now + PERIOD, self.look)
 
     def calls(self) -> frozenset[int]:
-        return frozenset(box for box, held in self.judge.boxes.items() if held.verdict in CALLED)
+        return frozenset(
+            box for box, held in self.judge.boxes.items() if held.verdict in CALLED
+        )
 
 
 class World:
     def __init__(self, case: str, seed: int, gateways: int) -> None:
         self.lost, self.pace, liars, self.halves = CASES[case]
-        self.seed, self.chance, self.now, self.count, self.quiet = seed, Random(seed), 0, 0, False
+        self.seed, self.chance, self.now, self.count, self.quiet = (
+            seed,
+            Random(seed),
+            0,
+            0,
+            False,
+        )
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.sizes: dict[int, tuple[Difference, int]] = {}
         self.cells = {box: box // 2 for box in range(BOXES)}
         draw = Random(seed + 7)
-        self.sick = sorted(draw.sample(range(BOXES), BOXES // 8)) if self.lost or self.pace else []
-        self.slandered = draw.sample([box for box in range(BOXES) if box not in self.sick], 5)
+        self.sick = (
+            sorted(draw.sample(range(BOXES), BOXES // 8))
+            if self.lost or self.pace
+            else []
+        )
+        self.slandered = draw.sample(
+            [box for box in range(BOXES) if box not in self.sick], 5
+        )
         self.gateways = [Gateway(self, each) for each in range(gateways)]
         for each in draw.sample(self.gateways[JUDGES:], round(liars * gateways)):
             each.lies = True
@@ -124,13 +180,21 @@
         return self.halves and BEGINS <= self.now < ENDS
 
     def present(self, number: int) -> list[int]:
-        return [each for each in range(len(self.gateways)) if not self.parted() or each % 2 == number % 2]
+        return [
+            each
+            for each in range(len(self.gateways))
+            if not self.parted() or each % 2 == number % 2
+        ]
 
     def others(self, number: int) -> list[str]:
         return [str(each) for each in self.present(number) if each != number]
 
     def order_of(self, half: str) -> Order:
-        names = [each for each in range(len(self.gateways)) if not half or each % 2 == int(half)]
+        names = [
+            each
+            for each in range(len(self.gateways))
+            if not half or each % 2 == int(half)
+        ]
         view = View(1, [Member(str(each), "", 1, Standing.ALIVE) for each in names])
         order = Order()
         order.see(lambda name: map(int, view.chosen(name, len(names))))
@@ -142,24 +206,56 @@
     def size_of(self, news: Difference) -> int:
         found = self.sizes.get(id(news))
         if found is None or found[0] is not news:
-            found = self.sizes[id(news)] = (news, codec.put(news, self.now).ByteSize() + 3)
+            found = self.sizes[id(news)] = (
+                news,
+                codec.put(news, self.now).ByteSize() + 3,
+            )
         return found[1]
 
-    def send(self, sender: Gateway, to: int, news: list[Difference], known: list[tuple[int, int, int]]) -> None:
-        if self.chance.random() >= LOSS and not (self.parted() and (sender.number - to) % 2):
-            self.at(self.now + self.chance.randrange(*WAY), self.hear, sender.number, to, news, known)
-
-    def hear(self, sender: int, to: int, news: list[Difference], known: list[tuple[int, int, int]]) -> None:
+    def send(
+        self,
+        sender: Gateway,
+        to: int,
+        news: list[Difference],
+        known: list[tuple[int, int, int]],
+    ) -> None:
+        if self.chance.random() >= LOSS and not (
+            self.parted() and (sender.number - to) % 2
+        ):
+            self.at(
+                self.now + self.chance.randrange(*WAY),
+                self.hear,
+                sender.number,
+                to,
+                news,
+                known,
+            )
+
+    def hear(
+        self,
+        sender: int,
+        to: int,
+        news: list[Difference],
+        known: list[tuple[int, int, int]],
+    ) -> None:
         if self.parted() and (sender - to) % 2:
             return
         parted, spread = self.parted(), self.gateways[to].spread
         spread.take(each for each in news if not (parted and (each.origin - to) % 2))
         if known:
-            spread.answer(self.now, str(sender), {origin: (run, upto) for origin, run, upto in known})
+            spread.answer(
+                self.now,
+                str(sender),
+                {origin: (run, upto) for origin, run, upto in known},
+            )
 
     def ill(self, box: int, gateway: Gateway) -> bool:
         """In halves a box is out of reach for one of them."""
-        return box in self.sick and BEGINS <= self.now < ENDS and (not self.halves or gateway.number % 2 == 1)
+        return (
+            box in self.sick
+            and BEGINS <= self.now < ENDS
+            and (not self.halves or gateway.number % 2 == 1)
+        )
 
     def work(self) -> None:
         """One transfer, and when the next comes. Who keeps away sends it to a box that is not kept away from."""
@@ -167,12 +263,21 @@
         gateway, box = chance.choice(self.gateways), chance.randrange(BOXES)
         judge = self.gateways[gateway.number % 2 if self.halves else 0].judge
         held = judge.boxes.get(box)
-        if held is None or held.verdict not in CALLED or admitted(
-                self.order(gateway.number)(box).get(gateway.number, 0), len(self.present(gateway.number)), held.open):
+        if (
+            held is None
+            or held.verdict not in CALLED
+            or admitted(
+                self.order(gateway.number)(box).get(gateway.number, 0),
+                len(self.present(gateway.number)),
+                held.open,
+            )
+        ):
             ill = self.ill(box, gateway)
             lost = ill and chance.random() < self.lost
             pace = chance.gauss(self.pace if ill else 0.0, SPREAD_OF_PACE)
-            self.at(self.now + (SILENT if lost else 800), gateway.answer, box, lost, pace)
+            self.at(
+                self.now + (SILENT if lost else 800), gateway.answer, box, lost, pace
+            )
         self.at(self.now + max(round(chance.expovariate(RATE) * SECOND), 1), self.work)
 
     def run(self, until: int) -> None:
@@ -182,11 +287,17 @@
         self.now = until
 
     def agreeing(self, truth: frozenset[int], half: int | None = None) -> float:
-        judges = [each for each in self.gateways[:JUDGES] if half is None or each.number % 2 == half]
+        judges = [
+            each
+            for each in self.gateways[:JUDGES]
+            if half is None or each.number % 2 == half
+        ]
         return sum(each.calls() == truth for each in judges) / len(judges)
 
 
-def until_agreed(world: World, truth: Callable[[], bool], since: int, ends: int) -> float | None:
+def until_agreed(
+    world: World, truth: Callable[[], bool], since: int, ends: int
+) -> float | None:
     """Seconds from a time until it holds, looked at each tenth of a second."""
     for now in range(since, ends, SECOND // 10):
         world.run(now)
@@ -203,8 +314,10 @@
     world.run(BEGINS)
     octets = sum(each.spread.octets for each in world.gateways)
     if world.halves:
-        truth = lambda: (world.agreeing(frozenset(world.sick), 1) >= 0.9  # noqa: E731
-                         and world.agreeing(frozenset(), 0) >= 0.9)
+        truth = lambda: (
+            world.agreeing(frozenset(world.sick), 1) >= 0.9  # noqa: E731
+            and world.agreeing(frozenset(), 0) >= 0.9
+        )
     else:
         truth = lambda: world.agreeing(frozenset(world.sick)) >= 0.9  # noqa: E731
     there, false, looks, agreed = until_agreed(world, truth, BEGINS, ENDS), 0, 0, 0
@@ -214,15 +327,34 @@
         world.run(now)
         looks += 1
         agreed += truth()
-        false += len(set().union(*(each.calls() for each in world.gateways[:JUDGES])) - set(world.sick))
-    per_s = (sum(each.spread.octets for each in world.gateways) - octets) / gateways / ((ENDS - BEGINS) / SECOND)
+        false += len(
+            set().union(*(each.calls() for each in world.gateways[:JUDGES]))
+            - set(world.sick)
+        )
+    per_s = (
+        (sum(each.spread.octets for each in world.gateways) - octets)
+        / gateways
+        / ((ENDS - BEGINS) / SECOND)
+    )
     back = until_agreed(world, lambda: world.agreeing(frozenset()) >= 0.9, ENDS, LASTS)
     world.run(LASTS)
     calls = sum(1 for each in world.gateways[:JUDGES] if each.calls())
     world.quiet = True
     world.run(LASTS + QUIET)
-    rows = [{origin: (row.run, row.upto) for origin, row in each.rows.rows.items()} for each in world.gateways]
+    rows = [
+        {origin: (row.run, row.upto) for origin, row in each.rows.rows.items()}
+        for each in world.gateways
+    ]
     behind = sum(each != rows[0] for each in rows)
-    return {"case": case, "seed": seed, "gateways": gateways, "there": there, "back": back, "stays": agreed / max(looks, 1),
-            "false_boxes": false / max(looks, 1), "octets_a_second": per_s, "judges_with_calls_at_the_end": calls,
-            "rows_behind": behind / gateways}
+    return {
+        "case": case,
+        "seed": seed,
+        "gateways": gateways,
+        "there": there,
+        "back": back,
+        "stays": agreed / max(looks, 1),
+        "false_boxes": false / max(looks, 1),
+        "octets_a_second": per_s,
+        "judges_with_calls_at_the_end": calls,
+        "rows_behind": behind / gateways,
+    }
--- a/milletsill/lab/hunt/again.py
+++ b/milletsill/lab/hunt/again.py
@@ -4,6 +4,7 @@
 
 One gateway in three comes back without its run's number; of the registers at most one without its file, as is promised.
 """
+
 from __future__ import annotations
 
 import resource
@@ -46,7 +47,11 @@
         assert self.right() == 1.0, "the fleet was not whole before"
         chance = Random(self.chance.getrandbits(32))
         for place in range(len(self.names)):
-            how = "lost" if lost and chance.random() < 1 / 3 and place >= len(self.registers) else "kept"
+            how = (
+                "lost"
+                if lost and chance.random() < 1 / 3 and place >= len(self.registers)
+                else "kept"
+            )
             self.down(place, SECOND + chance.randrange(SECOND), how)
         if lost:
             self.disks[self.registers[0]].base = None
@@ -62,16 +67,22 @@
 
         self.run(self.back + WITHIN, stop)
         found["first channel"], found["all channels"] = (
-            pick(self.first.values(), default=WITHIN) / SECOND for pick in (min, max))
+            pick(self.first.values(), default=WITHIN) / SECOND for pick in (min, max)
+        )
         self.run(self.now + CALM)
         if self.wrong or len(self.first) < len(CHANNELS) or "all views" not in found:
-            raise AssertionError(self.wrong or f"not whole again within {WITHIN / SECOND:.0f} s: {found}")
+            raise AssertionError(
+                self.wrong or f"not whole again within {WITHIN / SECOND:.0f} s: {found}"
+            )
         return found
 
 
 def played(seed: int, gateways: int, lost: bool) -> dict[str, float]:
     secrets = Random(seed + 1)
-    with mock.patch.object(service, "SystemRandom", lambda: secrets), mock.patch.object(desk, "Store", Kept):
+    with (
+        mock.patch.object(service, "SystemRandom", lambda: secrets),
+        mock.patch.object(desk, "Store", Kept),
+    ):
         return Again(seed, gateways).played(lost)
 
 
@@ -79,22 +90,31 @@
     """The mean with its interval of 95 in a hundred (by 2,000 draws of the sample), and the most."""
     draws = numpy.random.default_rng(1).choice(values, (2000, len(values))).mean(axis=1)
     low, high = numpy.quantile(draws, (0.025, 0.975))
-    return f"{numpy.mean(values):.2f} ({low:.2f} to {high:.2f}), at most {max(values):.2f}"
+    return (
+        f"{numpy.mean(values):.2f} ({low:.2f} to {high:.2f}), at most {max(values):.2f}"
+    )
 
 
 def report(sizes: Sequence[int], first: int, seeds: int) -> int:
     """Prints a table; 1 where something that was promised was not kept."""
     for size in sizes:
         for lost in (False, True):
-            began, found, wrong = time.process_time(), list[dict[str, float]](), list[str]()
+            began, found, wrong = (
+                time.process_time(),
+                list[dict[str, float]](),
+                list[str](),
+            )
             for seed in range(first, first + seeds):
                 try:
                     found.append(played(seed, size, lost))
                 except AssertionError as error:
                     wrong.append(f"seed {seed}: {error}")
-            print(f"{size} gateways, {'a third without their disk' if lost else 'disks kept'}: {len(found)} of {seeds} seeds kept, "
-                  f"{(time.process_time() - began) / seeds:.1f} s of CPU each, "
-                  f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB at most", flush=True)
+            print(
+                f"{size} gateways, {'a third without their disk' if lost else 'disks kept'}: {len(found)} of {seeds} seeds kept, "
+                f"{(time.process_time() - began) / seeds:.1f} s of CPU each, "
+                f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB at most",
+                flush=True,
+            )
             for name in found[0] if found else ():
                 print(f"  {name}: {interval([each[name] for each in found])} s")
             for each in wrong:
--- a/milletsill/lab/hunt/command.py
+++ b/milletsill/lab/hunt/command.py
@@ -4,6 +4,7 @@
 of a large fleet costs. With `--without` one guard is out (`all`: each in turn),
 and status 1 means that a guard's loss was not found.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -20,37 +21,57 @@
     """What is hunted, and the guards of it."""
     if given.what == "list":
         from milletsill.lab.hunt.list_world import MUTANTS, ListGame
+
         return ListGame(), MUTANTS
     from milletsill.lab.hunt.fleet_world import FleetGame
     from milletsill.lab.hunt.guards import MUTANTS as GUARDS
-    return FleetGame([int(each) for each in given.gateways.split(",")], jumps=given.jumps), GUARDS
+
+    return FleetGame(
+        [int(each) for each in given.gateways.split(",")], jumps=given.jumps
+    ), GUARDS
 
 
 def main(values: Sequence[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python -m milletsill.lab hunt", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="python -m milletsill.lab hunt",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("what", choices=("list", "fleet", "again", "scale"))
     parser.add_argument("--first", type=int, default=0, help="the first seed")
     parser.add_argument("--seeds", type=int, default=100)
     parser.add_argument("--most", type=int, default=1, help="failures to look for")
-    parser.add_argument("--gateways", default="5,6,7", help="sizes of the fleet, by seed in turn")
-    parser.add_argument("--jumps", action="store_true", help="clocks also jump past what drift allows")
-    parser.add_argument("--without", default="", help="a guard, by a part of its name, or `all`")
+    parser.add_argument(
+        "--gateways", default="5,6,7", help="sizes of the fleet, by seed in turn"
+    )
+    parser.add_argument(
+        "--jumps", action="store_true", help="clocks also jump past what drift allows"
+    )
+    parser.add_argument(
+        "--without", default="", help="a guard, by a part of its name, or `all`"
+    )
     given = parser.parse_args(values)
     if given.what == "again":
         from milletsill.lab.hunt.again import report
-        return report([int(each) for each in given.gateways.split(",")], given.first, given.seeds)
+
+        return report(
+            [int(each) for each in given.gateways.split(",")], given.first, given.seeds
+        )
     if given.what == "scale":
         from milletsill.lab.hunt.scale import report as scale
+
         return scale([int(each) for each in given.gateways.split(",")])
     game, guards = games(given)
     seeds, began = range(given.first, given.first + given.seeds), time.process_time()
     if not given.without:
         played, failed = 0, 0
         for at in range(0, len(seeds), TOLD):
-            count, found = hunt(game, seeds[at:at + TOLD], given.most - failed)
+            count, found = hunt(game, seeds[at : at + TOLD], given.most - failed)
             played, failed = played + count, failed + len(found)
-            print(f"{played} seeds, {failed} failed, {time.process_time() - began:.0f} s of CPU", flush=True)
+            print(
+                f"{played} seeds, {failed} failed, {time.process_time() - began:.0f} s of CPU",
+                flush=True,
+            )
             for each in found:
                 print(each.page(), flush=True)
             if failed >= given.most:
@@ -63,7 +84,15 @@
         with out():
             played, found = hunt(game, seeds, 1)
         unfound += not found
-        print(f"without {name}: " + (f"found by seed {played} of them" if found else f"NOT FOUND within {played}"), flush=True)
+        print(
+            f"without {name}: "
+            + (
+                f"found by seed {played} of them"
+                if found
+                else f"NOT FOUND within {played}"
+            ),
+            flush=True,
+        )
         for each in found:
             print(each.page(), flush=True)
     return int(unfound > 0)
--- a/milletsill/lab/hunt/decide.py
+++ b/milletsill/lab/hunt/decide.py
@@ -3,6 +3,7 @@
 An event stands for itself: played without those around it, it draws the same. So a run that fails is made smaller by leaving
 events out (delta debugging), and what is left is the same run for everybody.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -43,17 +44,24 @@
     events: tuple[Event, ...]
 
     def page(self) -> str:
-        lines = [f"seed {self.seed}: {self.broke}", f"{len(self.events)} of the {self.drawn} events drawn:"]
+        lines = [
+            f"seed {self.seed}: {self.broke}",
+            f"{len(self.events)} of the {self.drawn} events drawn:",
+        ]
         return "\n".join(lines + [f"  {each.line()}" for each in self.events])
 
 
-def smaller(events: Sequence[Event], breaks: Callable[[Sequence[Event]], bool], most: int = MOST_PLAYS) -> tuple[Event, ...]:
+def smaller(
+    events: Sequence[Event],
+    breaks: Callable[[Sequence[Event]], bool],
+    most: int = MOST_PLAYS,
+) -> tuple[Event, ...]:
     """The fewest events found that still break it, within so many plays: parts are left out, ever smaller ones."""
     held, parts, plays = list(events), 2, 0
     while held and plays < most:
         size = max(-(-len(held) // parts), 1)
         for at in range(0, len(held), size):
-            rest = held[:at] + held[at + size:]
+            rest = held[:at] + held[at + size :]
             plays += 1
             if breaks(rest):
                 held, parts = rest, max(parts - 1, 2)
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -4,6 +4,7 @@
 equal views; stalls, slow disks and lies alone make nobody gone; when all has been calm, views are the truth, rows are equal,
 every box that is well is called so, and each channel goes on.
 """
+
 from __future__ import annotations
 
 from random import Random
@@ -20,14 +21,33 @@
 
 LASTS, CALM, BOXES, CELL, QUIET = 20 * SECOND, 35 * SECOND, 10, 2, 5 * SECOND
 LOOK, COPY, HEALED = 1000, 3 * SECOND, 5 * SECOND
-MILD = frozenset((  # nobody may be called gone for these
-    "stall_", "stutter", "stutter_most", "slow", "full", "make_ill", "lie", "trouble", "doubles"))
+MILD = frozenset(
+    (  # nobody may be called gone for these
+        "stall_",
+        "stutter",
+        "stutter_most",
+        "slow",
+        "full",
+        "make_ill",
+        "lie",
+        "trouble",
+        "doubles",
+    )
+)
 
 
 class FleetWorld(FleetClock):
     """`users`: gateways that use channels; `judges`: that look at rows."""
 
-    def __init__(self, seed: int, gateways: int, registers: int = 3, users: int = 9, judges: int = 3, boxes: int = BOXES) -> None:
+    def __init__(
+        self,
+        seed: int,
+        gateways: int,
+        registers: int = 3,
+        users: int = 9,
+        judges: int = 3,
+        boxes: int = BOXES,
+    ) -> None:
         super().__init__(seed)
         self.names = [f"gateway-{each}" for each in range(gateways)]
         self.registers, self.users, self.judges = self.names[:registers], users, judges
@@ -35,16 +55,28 @@
         self.disks = {each: Disk() for each in self.names}
         Kept.disks = {f"/{name}": disk for name, disk in self.disks.items()}
         self.cells = {each: each // CELL for each in range(boxes)}
-        self.ill, self.liars, self.sick = dict[int, tuple[float, float]](), dict[str, list[int]](), set[str]()
+        self.ill, self.liars, self.sick = (
+            dict[int, tuple[float, float]](),
+            dict[str, list[int]](),
+            set[str](),
+        )
         self.jumped: dict[str, int] = {}
         self.losses, self.doubling = list[float](), list[float]()
         self.parents, self.settled = {0: 0}, dict.fromkeys(CHANNELS, 0)
         self.counts, self.last = 0, dict.fromkeys(CHANNELS, 0)
-        self.traffic = 0.25 if seed % 8 == 0 else 1.0  # answers that a gateway gets of a box: few in a quiet fleet
+        self.traffic = (
+            0.25 if seed % 8 == 0 else 1.0
+        )  # answers that a gateway gets of a box: few in a quiet fleet
         self.takes, self.mild, self.quiet = 0, True, False
         self.wrong: str | None = None
         for place, name in enumerate(self.names):
-            self.start(name, 1, self.names[:3] if place >= 3 else [each for each in self.names[:3] if each != name])
+            self.start(
+                name,
+                1,
+                self.names[:3]
+                if place >= 3
+                else [each for each in self.names[:3] if each != name],
+            )
         self.at(LOOK, self.look)
         self.at(COPY, self.copies)
 
@@ -57,7 +89,11 @@
 
     def send(self, stand: Any, sent: Send) -> None:
         super().send(stand, sent)
-        if self.doubling and not sent.stream and self.chance.random() < max(self.doubling):
+        if (
+            self.doubling
+            and not sent.stream
+            and self.chance.random() < max(self.doubling)
+        ):
             super().send(stand, sent)
 
     def break_(self, what: str) -> None:
@@ -75,12 +111,20 @@
         self.takes += 1
         self.alone(channel)
         if not self.knows(value, self.settled[channel]):
-            self.break_(f"{gate.name} takes {channel} without write {self.settled[channel]}, which counted")
+            self.break_(
+                f"{gate.name} takes {channel} without write {self.settled[channel]}, which counted"
+            )
 
     def counted(self, gate: Gate, channel: str, value: int) -> None:
         if not self.knows(value, self.settled[channel]):
-            self.break_(f"{gate.name} writes {channel} over write {self.settled[channel]}, which counted")
-        self.settled[channel], self.last[channel], self.counts = value, self.now, self.counts + 1
+            self.break_(
+                f"{gate.name} writes {channel} over write {self.settled[channel]}, which counted"
+            )
+        self.settled[channel], self.last[channel], self.counts = (
+            value,
+            self.now,
+            self.counts + 1,
+        )
 
     def knows(self, value: int, older: int) -> bool:
         while value > older:
@@ -88,7 +132,11 @@
         return value == older
 
     def alone(self, channel: str) -> None:
-        holding = [each.name for each in self.live() if each.place < self.users and each.holding(channel)]
+        holding = [
+            each.name
+            for each in self.live()
+            if each.place < self.users and each.holding(channel)
+        ]
         if len(holding) > 1:
             self.break_(f"{' and '.join(holding)} hold the office of {channel}")
 
@@ -108,8 +156,15 @@
             if box in lies:
                 bad, pace = 1.0, 4.0
             heard = seen * self.traffic
-            found[box] = Word(0, self.now, heard, bad, min(bad + 0.2 * (pace > 0), 1.0), heard,
-                              pace + gate.own_chance.gauss(0, 0.1))
+            found[box] = Word(
+                0,
+                self.now,
+                heard,
+                bad,
+                min(bad + 0.2 * (pace > 0), 1.0),
+                heard,
+                pace + gate.own_chance.gauss(0, 0.1),
+            )
         return found
 
     def trouble_for(self, gate: Gate) -> bool:
@@ -179,12 +234,21 @@
 
     def stutter_most(self, span: int, seed: int) -> None:
         """So do 87% of the fleet at once."""
-        for place in Random(seed).sample(range(len(self.names)), round(0.87 * len(self.names))):
+        for place in Random(seed).sample(
+            range(len(self.names)), round(0.87 * len(self.names))
+        ):
             self.stutter(place, span, seed + place)
 
     def split(self, parts: tuple[int, ...], span: int) -> None:
         """Into as many as there are labels, one of each gateway in turn."""
-        groups = [[name for place, name in enumerate(self.names) if parts[place % len(parts)] == each] for each in set(parts)]
+        groups = [
+            [
+                name
+                for place, name in enumerate(self.names)
+                if parts[place % len(parts)] == each
+            ]
+            for each in set(parts)
+        ]
         for one in groups:
             self.wall(one, [each for each in self.names if each not in one], span)
 
@@ -238,7 +302,9 @@
 
     def lie(self, place: int, seed: int, span: int) -> None:
         """It slanders a third of the boxes."""
-        self.liars[self.names[place]] = Random(seed).sample(list(self.cells), max(len(self.cells) // 3, 1))
+        self.liars[self.names[place]] = Random(seed).sample(
+            list(self.cells), max(len(self.cells) // 3, 1)
+        )
         self.after(span, self.liars.pop, self.names[place], None)
 
     def trouble(self, place: int, span: int) -> None:
@@ -263,7 +329,11 @@
         self.at(self.now + COPY, self.copies)
         for each in self.registers:
             stand = self.stands[each]
-            if stand.up and stand.register().store is not None and stand.register().whole():
+            if (
+                stand.up
+                and stand.register().store is not None
+                and stand.register().whole()
+            ):
                 self.disks[each].copy(stand.register().own())
 
     def same_views(self) -> None:
@@ -278,11 +348,23 @@
         truth = self.truth()
         for each in self.live():
             if each.member.rolls.table.mark != truth:
-                self.break_(f"{each.name} sees {sorted(each.view.by_name)} of {sorted(one.name for one in self.live())}")
+                self.break_(
+                    f"{each.name} sees {sorted(each.view.by_name)} of {sorted(one.name for one in self.live())}"
+                )
             judge = each.sharing.judge if self.judges else None
-            ill = [f"{box} {held.verdict.name}" for box, held in judge.boxes.items() if held.verdict in CALLED] if judge else []
+            ill = (
+                [
+                    f"{box} {held.verdict.name}"
+                    for box, held in judge.boxes.items()
+                    if held.verdict in CALLED
+                ]
+                if judge
+                else []
+            )
             if ill:
-                self.break_(f"{each.name} has verdicts on boxes that are well: {', '.join(ill)}")
+                self.break_(
+                    f"{each.name} has verdicts on boxes that are well: {', '.join(ill)}"
+                )
         self.same_views()
         for channel in CHANNELS if self.registers else ():
             if self.now - self.last[channel] > 20 * SECOND:
@@ -299,7 +381,13 @@
 class FleetGame:
     """`sizes` to draw from."""
 
-    def __init__(self, sizes: Sequence[int] = (5, 6, 7), most: int = 12, jumps: bool = False, **more: Any) -> None:
+    def __init__(
+        self,
+        sizes: Sequence[int] = (5, 6, 7),
+        most: int = 12,
+        jumps: bool = False,
+        **more: Any,
+    ) -> None:
         self.sizes, self.most, self.jumps, self.more = tuple(sizes), most, jumps, more
         self.world: Any = None
 
@@ -311,35 +399,77 @@
         place, box = lambda: chance.randrange(size), lambda: chance.randrange(BOXES)  # noqa: E731
         span = lambda most=12: chance.randrange(SECOND // 2, most * SECOND)  # noqa: E731
         kinds: dict[str, Callable[[], tuple[Any, ...]]] = {
-            "down": lambda: (place(), span(), chance.choice(("kept", "kept", "older", "lost"))), "away": lambda: (place(), span()),
-            "stall_": lambda: (place(), chance.randrange(5000, 12_000 if gentle else 60_000)),
+            "down": lambda: (
+                place(),
+                span(),
+                chance.choice(("kept", "kept", "older", "lost")),
+            ),
+            "away": lambda: (place(), span()),
+            "stall_": lambda: (
+                place(),
+                chance.randrange(5000, 12_000 if gentle else 60_000),
+            ),
             "stutter": lambda: (place(), span(), chance.getrandbits(16)),
             "stutter_most": lambda: (span(20), chance.getrandbits(16)),
             "cut_off": lambda: (place(), place(), chance.random() < 0.5, span()),
-            "split": lambda: (tuple(chance.randrange(chance.choice((2, 3))) for _ in range(min(size, 16))), span(20)),
+            "split": lambda: (
+                tuple(
+                    chance.randrange(chance.choice((2, 3)))
+                    for _ in range(min(size, 16))
+                ),
+                span(20),
+            ),
             "losing": lambda: (round(chance.uniform(0.02, 0.3), 2), span()),
             "doubles": lambda: (round(chance.uniform(0.05, 0.5), 2), span()),
-            "slow": lambda: (chance.randrange(min(size, 3)), chance.randrange(500, 20_000), span()),
+            "slow": lambda: (
+                chance.randrange(min(size, 3)),
+                chance.randrange(500, 20_000),
+                span(),
+            ),
             "full": lambda: (chance.randrange(min(size, 3)), span()),
-            "make_ill": lambda: (box(), chance.choice((0.0, 0.33, 1.0)), chance.choice((0.0, 1.0, 2.5)), span()),
-            "lie": lambda: (place(), chance.getrandbits(16), span()), "trouble": lambda: (place(), span()),
-            "all_down": lambda: (chance.randrange(2000, 5 * SECOND),)}
+            "make_ill": lambda: (
+                box(),
+                chance.choice((0.0, 0.33, 1.0)),
+                chance.choice((0.0, 1.0, 2.5)),
+                span(),
+            ),
+            "lie": lambda: (place(), chance.getrandbits(16), span()),
+            "trouble": lambda: (place(), span()),
+            "all_down": lambda: (chance.randrange(2000, 5 * SECOND),),
+        }
         if self.jumps:
-            kinds["jump"] = lambda: (place(), chance.choice((-1, 1)) * chance.randrange(SECOND, 10 * SECOND))
+            kinds["jump"] = lambda: (
+                place(),
+                chance.choice((-1, 1)) * chance.randrange(SECOND, 10 * SECOND),
+            )
         gentle = chance.random() < 0.25
         if not self.judges(seed):
             [kinds.pop(each) for each in ("make_ill", "lie", "trouble")]
         names = [each for each in kinds if not gentle or each in MILD]
-        names = chance.sample(names, chance.randrange(min(2, len(names)), len(names) + 1))  # few kinds at a time go deeper
+        names = chance.sample(
+            names, chance.randrange(min(2, len(names)), len(names) + 1)
+        )  # few kinds at a time go deeper
         if seed % 10 == 9:
             names, cuts = ["doubles", "slow", "full", "cut_off"], 2
         elif seed % 10 == 8:  # long partitions alone
-            return [Event(chance.randrange(SECOND, 5 * SECOND), "split", (
-                tuple(chance.randrange(3) for _ in range(min(size, 16))), 20 * SECOND))]
+            return [
+                Event(
+                    chance.randrange(SECOND, 5 * SECOND),
+                    "split",
+                    (
+                        tuple(chance.randrange(3) for _ in range(min(size, 16))),
+                        20 * SECOND,
+                    ),
+                )
+            ]
         else:
             cuts = self.most
         for _ in range(chance.randrange(2, self.most + 1)):
-            at = found[-1].at + chance.randrange(5000) if found and chance.random() < 0.4 else chance.randrange(5 * SECOND, LASTS)
+            at = (
+                found[-1].at + chance.randrange(5000)
+                if found and chance.random() < 0.4
+                else chance.randrange(5 * SECOND, LASTS)
+            )
             what = chance.choice(names)
             cuts -= what == "cut_off"
             if cuts < 0:
@@ -353,8 +483,13 @@
 
     def play(self, seed: int, events: Sequence[Event]) -> str | None:
         secrets = Random(seed + 1)
-        with mock.patch.object(service, "SystemRandom", lambda: secrets), mock.patch.object(desk, "Store", Kept):
-            world = self.world = FleetWorld(seed, self.size(seed), **{"judges": self.judges(seed), **self.more})
+        with (
+            mock.patch.object(service, "SystemRandom", lambda: secrets),
+            mock.patch.object(desk, "Store", Kept),
+        ):
+            world = self.world = FleetWorld(
+                seed, self.size(seed), **{"judges": self.judges(seed), **self.more}
+            )
             world.mild = mild(events)
             for each in events:
                 if each.what != "all_down" or world.now:
@@ -373,4 +508,8 @@
     cuts = sum(each.what == "cut_off" for each in events)
     stalls = any(each.what.startswith("st") for each in events)
     return cuts <= (0 if stalls else 2) and all(
-        each.what == "cut_off" or each.what in MILD and not (each.what == "stall_" and each.values[1] > 12_000) for each in events)
+        each.what == "cut_off"
+        or each.what in MILD
+        and not (each.what == "stall_" and each.values[1] > 12_000)
+        for each in events
+    )
--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -3,6 +3,7 @@
 What is between them is the product's own service of offices; the sockets, the thread and the file's folder are simulated (sqlite
 itself is real, in memory, and outlives a killed gateway).
 """
+
 from __future__ import annotations
 
 import sqlite3
@@ -13,14 +14,23 @@
 from prometheus_client import CollectorRegistry
 
 from milletsill.fleet.channels.registers.service import Offices, Term
-from milletsill.fleet.channels.registers.store import TABLES, Store, checksum, put_identity, wire
+from milletsill.fleet.channels.registers.store import (
+    TABLES,
+    Store,
+    checksum,
+    put_identity,
+    wire,
+)
 from milletsill.fleet.channels.registers.standing import Identity
 from milletsill.fleet.channels.registers.thread import tried
 from milletsill.fleet.health.edge import Sharing
 from milletsill.lab.fleet_clock import SECOND, Stand
 
 PERIOD, RIVALS = 5000, 9
-LINK = SimpleNamespace(health=SimpleNamespace(publish_ms=PERIOD / 10, lasts_s=60, most_part=0.34), most_members=4096)
+LINK = SimpleNamespace(
+    health=SimpleNamespace(publish_ms=PERIOD / 10, lasts_s=60, most_part=0.34),
+    most_members=4096,
+)
 CHANNELS = tuple(f"channel-{each}" for each in range(4))
 
 
@@ -33,7 +43,11 @@
 
     def __init__(self) -> None:
         self.base: sqlite3.Connection | None = None
-        self.wait, self.full, self.copies = 20, False, list[tuple[Identity, sqlite3.Connection]]()
+        self.wait, self.full, self.copies = (
+            20,
+            False,
+            list[tuple[Identity, sqlite3.Connection]](),
+        )
 
     def copy(self, own: Identity) -> None:
         if self.base is not None:
@@ -55,15 +69,33 @@
     disks: dict[str, Disk] = {}
 
     @classmethod
-    def opened(cls, path: str, chance: int, among: int = 0, doubted: bool = False, most_pages: int = 0) -> Store:
+    def opened(
+        cls,
+        path: str,
+        chance: int,
+        among: int = 0,
+        doubted: bool = False,
+        most_pages: int = 0,
+    ) -> Store:
         disk = cls.disks[path]
         if disk.base is None:
             base = disk.base = sqlite3.connect(":memory:", isolation_level=None)
-            state = wire.State(own=put_identity(Identity(1, chance, 0)), floor=0, up=0, doubted=doubted,
-                               among=among).SerializeToString()
-            for each in (*TABLES, "PRAGMA user_version=1", "PRAGMA application_id=1296257585"):
+            state = wire.State(
+                own=put_identity(Identity(1, chance, 0)),
+                floor=0,
+                up=0,
+                doubted=doubted,
+                among=among,
+            ).SerializeToString()
+            for each in (
+                *TABLES,
+                "PRAGMA user_version=1",
+                "PRAGMA application_id=1296257585",
+            ):
                 base.execute(each)
-            base.execute("INSERT INTO state VALUES(0, ?, ?)", (state, checksum("", 0, state)))
+            base.execute(
+                "INSERT INTO state VALUES(0, ?, ?)", (state, checksum("", 0, state))
+            )
         store = cls(path, disk.base)
         store.begin(0)
         return store
@@ -93,7 +125,15 @@
     def sights(self) -> dict[int, Any]:
         """There is news of each box that it sends to."""
         world = self.gate.world
-        return {} if world.quiet else {box: SimpleNamespace(told=False) for box in world.cells if not self.gate.keeps_away(box)}
+        return (
+            {}
+            if world.quiet
+            else {
+                box: SimpleNamespace(told=False)
+                for box in world.cells
+                if not self.gate.keeps_away(box)
+            }
+        )
 
     @property
     def ill(self) -> bool:
@@ -116,7 +156,10 @@
     def run(self, job: Callable[[], Any], then: Callable[[Any], None]) -> None:
         if not self.stopped:
             result = tried(job)
-            self.gate.callLater(self.gate.disk.wait / SECOND, lambda: None if self.stopped else then(result))
+            self.gate.callLater(
+                self.gate.disk.wait / SECOND,
+                lambda: None if self.stopped else then(result),
+            )
 
     def stop(self) -> None:
         self.stopped = True
@@ -138,31 +181,67 @@
 
     def begin(self, world: Any, place: int) -> None:
         """All that stands on the plane."""
-        self.world, self.place, self.rate, self.disk = world, place, world.rates[place], world.disks[self.name]
+        self.world, self.place, self.rate, self.disk = (
+            world,
+            place,
+            world.rates[place],
+            world.disks[self.name],
+        )
         self.own_chance = Random(self.chance.getrandbits(64))
         self.terms: dict[str, Term] = {}
         self.writes: dict[str, int] = {}
         if world.judges:
-            self.sharing = Sharing(self, lambda: self.clock.now, LINK, self.own_chance.getrandbits(64), self, Host(),
-                                   remark, remark, CollectorRegistry(), 64)
+            self.sharing = Sharing(
+                self,
+                lambda: self.clock.now,
+                LINK,
+                self.own_chance.getrandbits(64),
+                self,
+                Host(),
+                remark,
+                remark,
+                CollectorRegistry(),
+                64,
+            )
             self.sharing.observer = Eye(self)  # type: ignore[assignment]
             self.sharing.cells = dict(world.cells)
             if place >= world.judges:
                 self.sharing.look = lambda: None  # type: ignore[method-assign]
-            self.callLater(self.own_chance.random() * PERIOD / SECOND, self.sharing.start)
+            self.callLater(
+                self.own_chance.random() * PERIOD / SECOND, self.sharing.start
+            )
         if world.registers:
-            self.offices = Offices(self, self.own_now, self, world.registers, 2 * SECOND, 5, 3000, 64, f"/{self.name}",
-                                   self.own_chance.getrandbits(64), remark, CollectorRegistry(),
-                                   silent=1 << 50, worker=Worker(self))
+            self.offices = Offices(
+                self,
+                self.own_now,
+                self,
+                world.registers,
+                2 * SECOND,
+                5,
+                3000,
+                64,
+                f"/{self.name}",
+                self.own_chance.getrandbits(64),
+                remark,
+                CollectorRegistry(),
+                silent=1 << 50,
+                worker=Worker(self),
+            )
             if place < world.users:
                 self.callLater(self.own_chance.random(), self.use)
 
     # The reactor and the thread.
 
     def own_now(self) -> int:
-        return self.clock.now + self.clock.now * self.rate // 1_000_000 + self.world.jumped.get(self.name, 0)
-
-    def callLater(self, seconds: float, call: Callable[..., None], *values: Any) -> Timer:
+        return (
+            self.clock.now
+            + self.clock.now * self.rate // 1_000_000
+            + self.world.jumped.get(self.name, 0)
+        )
+
+    def callLater(
+        self, seconds: float, call: Callable[..., None], *values: Any
+    ) -> Timer:
         timer = Timer(lambda: call(*values))
         self.clock.at(self.clock.now + int(seconds * SECOND), self.fire, timer)
         return timer
@@ -191,18 +270,25 @@
                 base = int.from_bytes(term.value or b"\0", "big")
                 self.writes[channel] = value = self.world.value(base)
                 term.busy = True
-                self.offices.write(term, value.to_bytes(8, "big"), lambda fault: self.wrote(channel, term, value, fault))
+                self.offices.write(
+                    term,
+                    value.to_bytes(8, "big"),
+                    lambda fault: self.wrote(channel, term, value, fault),
+                )
                 if self.own_chance.random() < 0.05:
                     self.offices.give_up(term)
         elif self.offices.keeper_of(channel) == self.name or (
-                self.place < RIVALS and self.own_chance.random() < 0.05):
+            self.place < RIVALS and self.own_chance.random() < 0.05
+        ):
             self.offices.take(channel, lambda found: self.took(channel, found))
 
     def took(self, channel: str, found: Any) -> None:
         if isinstance(found, Term):
             self.terms[channel] = found
             if self.offices.holds(found):
-                self.world.seated(self, channel, int.from_bytes(found.value or b"\0", "big"))
+                self.world.seated(
+                    self, channel, int.from_bytes(found.value or b"\0", "big")
+                )
 
     def wrote(self, channel: str, term: Term, value: int, fault: Any) -> None:
         self.writes.pop(channel, None)
@@ -215,7 +301,14 @@
         return term is not None and self.offices.holds(term)
 
     def register(self) -> Any:
-        return self.offices.desk if self.world.registers and self.name in self.world.registers else None
+        return (
+            self.offices.desk
+            if self.world.registers and self.name in self.world.registers
+            else None
+        )
 
     def keeps_away(self, box: int) -> bool:
-        return self.sharing.host.away.get(box, (0, False))[1] and self.sharing.host.away[box][0] > self.clock.now
+        return (
+            self.sharing.host.away.get(box, (0, False))[1]
+            and self.sharing.host.away[box][0] > self.clock.now
+        )
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -1,4 +1,5 @@
 """Guards of the fleet that hunts must find missing, one out at a time."""
+
 from __future__ import annotations
 
 from functools import partial
@@ -23,17 +24,32 @@
 
 
 def _believed(held: Any) -> dict[Any, Any]:
-    return {(Standing.ALIVE, Standing.GONE, order): (Standing.GONE, "gone") for order in (Order.SAME, Order.NEWER)}
+    return {
+        (Standing.ALIVE, Standing.GONE, order): (Standing.GONE, "gone")
+        for order in (Order.SAME, Order.NEWER)
+    }
 
 
 MUTANTS: dict[str, Callable[[], Any]] = {
     "members: a suspicion is refuted": table(members.OWN, [(Own.UP, Word.MINE)]),
-    "members: one that stood still doubts itself": lambda: mock.patch.object(Membership, "stood", lambda self, now, late: None),
-    "members: who is said to be gone is asked": lambda: mock.patch.dict(members.HELD, _believed(members.HELD)),
-    "members: those gone are asked now and then": lambda: mock.patch.object(membership, "LOST_PART", 1 << 60),
-    "members: others probe for me": lambda: mock.patch.object(Membership, "through", lambda self, now, watch: None),
-    "health: a box that all may try is well again": table(health.TABLE, [(Verdict.DEGRADED, Finding.WHOLE),
-                                                                         (Verdict.FAILING, Finding.WHOLE)]),
-    "health: what is missing is asked for": lambda: mock.patch.object(Rows, "after", lambda self, origin, run, base: None),
+    "members: one that stood still doubts itself": lambda: mock.patch.object(
+        Membership, "stood", lambda self, now, late: None
+    ),
+    "members: who is said to be gone is asked": lambda: mock.patch.dict(
+        members.HELD, _believed(members.HELD)
+    ),
+    "members: those gone are asked now and then": lambda: mock.patch.object(
+        membership, "LOST_PART", 1 << 60
+    ),
+    "members: others probe for me": lambda: mock.patch.object(
+        Membership, "through", lambda self, now, watch: None
+    ),
+    "health: a box that all may try is well again": table(
+        health.TABLE,
+        [(Verdict.DEGRADED, Finding.WHOLE), (Verdict.FAILING, Finding.WHOLE)],
+    ),
+    "health: what is missing is asked for": lambda: mock.patch.object(
+        Rows, "after", lambda self, origin, run, base: None
+    ),
     **{f"registers: {each}": partial(model.without, each) for each in model.MUTANTS},
 }
--- a/milletsill/lab/hunt/list_world.py
+++ b/milletsill/lab/hunt/list_world.py
@@ -4,6 +4,7 @@
 back), changes come in floods. At the end the follower's view and what the module was told must be the registry's list, and
 nothing may have been told twice or out of order. Each write has a number of its own, carried as the box's size.
 """
+
 from __future__ import annotations
 
 import base64
@@ -23,7 +24,14 @@
 from milletsill.registry.decide import Box, Cue, Stage, View, box_of
 
 PREFIX, KEYS, LASTS, CALM = "b/", 8, 45.0, 90.0  # seconds
-LINK = SimpleNamespace(address="127.0.0.1:1", prefix=PREFIX, most_boxes=1024, connect_ms=500, call_ms=1000, most_line=1 << 22)
+LINK = SimpleNamespace(
+    address="127.0.0.1:1",
+    prefix=PREFIX,
+    most_boxes=1024,
+    connect_ms=500,
+    call_ms=1000,
+    most_line=1 << 22,
+)
 
 
 def coded(text: str) -> str:
@@ -34,13 +42,22 @@
     """One call's: what is said on it comes in order, until it is cut or falls silent."""
 
     def __init__(self, world: ListWorld, body: dict[str, Any]) -> None:
-        self.world, self.body, self.over, self.silent, self.since, self.due = world, body, False, False, 0, 0.0
+        self.world, self.body, self.over, self.silent, self.since, self.due = (
+            world,
+            body,
+            False,
+            False,
+            0,
+            0.0,
+        )
         self.protocol: Any = None
         self.answered: Deferred[Any] = Deferred(lambda _: self.loseConnection())
 
     def later(self, call: Callable[[], None]) -> None:
         self.due = max(self.due, self.world.clock.seconds() + self.world.delay())
-        self.world.clock.callLater(self.due - self.world.clock.seconds(), self.unless, call)
+        self.world.clock.callLater(
+            self.due - self.world.clock.seconds(), self.unless, call
+        )
 
     def unless(self, call: Callable[[], None]) -> None:
         if not self.over and not self.silent:
@@ -78,7 +95,13 @@
     def __init__(self, seed: int) -> None:
         self.clock, self.seed = Clock(), seed
         self.net = Random(seed)
-        self.revision, self.compacted, self.serial, self.starts, self.cluster = 1, 0, 0, 0, 1
+        self.revision, self.compacted, self.serial, self.starts, self.cluster = (
+            1,
+            0,
+            0,
+            0,
+            1,
+        )
         self.held: dict[str, tuple[bytes, int]] = {}
         self.log: list[tuple[int, dict[str, Any]]] = []
         self.backups: list[tuple[int, dict[str, tuple[bytes, int]]]] = [(1, {})]
@@ -101,7 +124,9 @@
             self.follower.stop()
         self.starts += 1
         self.known: dict[int, Listed] = {}
-        self.gone: dict[int, float] = {}  # writes of boxes that were told to be gone since the last whole list
+        self.gone: dict[
+            int, float
+        ] = {}  # writes of boxes that were told to be gone since the last whole list
         start, chance = self.starts, Random(self.seed * 1000 + self.starts)
         self.again = chance.uniform
 
@@ -109,8 +134,19 @@
             if start == self.starts:
                 self.hear(news, entries)
 
-        self.follower = follower.Follower(self.clock, lambda: int(self.clock.seconds() * 10_000), LINK, 0, "list", hear,
-                                          lambda boxes: None, lambda text: None, "g", chance.uniform, self.clock.seconds)
+        self.follower = follower.Follower(
+            self.clock,
+            lambda: int(self.clock.seconds() * 10_000),
+            LINK,
+            0,
+            "list",
+            hear,
+            lambda boxes: None,
+            lambda text: None,
+            "g",
+            chance.uniform,
+            self.clock.seconds,
+        )
         self.follower.agent = SimpleNamespace(request=self.call)
         self.follower.start()
 
@@ -122,10 +158,21 @@
             for each in entries:
                 old = self.known.get(each.node)
                 gone = each.readiness is Readiness.GONE
-                before = max(old.size if old is not None and not gone else 0, self.gone.get(each.node, 0))
-                if each.size <= before or gone and old is not None and each.size < old.size:
+                before = max(
+                    old.size if old is not None and not gone else 0,
+                    self.gone.get(each.node, 0),
+                )
+                if (
+                    each.size <= before
+                    or gone
+                    and old is not None
+                    and each.size < old.size
+                ):
                     order = "twice" if each.size == before else "out of order"
-                    self.wrong = self.wrong or f"write {each.size:.0f} of box {each.node}{' that went' * gone} is told {order}"
+                    self.wrong = (
+                        self.wrong
+                        or f"write {each.size:.0f} of box {each.node}{' that went' * gone} is told {order}"
+                    )
                 if gone:
                     self.gone[each.node] = each.size
                     self.known.pop(each.node, None)
@@ -145,7 +192,11 @@
     def call(self, method: bytes, url: bytes, headers: Any, body: Any) -> Deferred[Any]:
         made = Connection(self, json.loads(body.data))
         self.calls = [each for each in self.calls if not each.over] + [made]
-        self.clock.callLater(self.delay(), made.unless, lambda: self.arrived(made, url.endswith(b"range")))
+        self.clock.callLater(
+            self.delay(),
+            made.unless,
+            lambda: self.arrived(made, url.endswith(b"range")),
+        )
         return made.answered
 
     def arrived(self, made: Connection, whole: bool) -> None:
@@ -159,9 +210,20 @@
             (self.range if whole else self.watch)(made)
 
     def range(self, made: Connection) -> None:
-        kvs = [self.pair(key, value, revision) for key, (value, revision) in self.held.items()]
-        told = sorted(kvs, key=lambda each: -int(each["mod_revision"]))[:1] if made.body.get("keys_only") else kvs
-        made.say(json.dumps({"header": self.header(), "kvs": told, "count": str(len(kvs))}).encode())
+        kvs = [
+            self.pair(key, value, revision)
+            for key, (value, revision) in self.held.items()
+        ]
+        told = (
+            sorted(kvs, key=lambda each: -int(each["mod_revision"]))[:1]
+            if made.body.get("keys_only")
+            else kvs
+        )
+        made.say(
+            json.dumps(
+                {"header": self.header(), "kvs": told, "count": str(len(kvs))}
+            ).encode()
+        )
         made.end()
 
     def watch(self, made: Connection) -> None:
@@ -175,13 +237,19 @@
         self.watching[made] = None
 
     def tell(self, made: Connection, **what: Any) -> None:
-        made.say(json.dumps({"result": {"header": self.header(), **what}}).encode() + b"\n")
+        made.say(
+            json.dumps({"result": {"header": self.header(), **what}}).encode() + b"\n"
+        )
 
     def header(self) -> dict[str, str]:
         return {"cluster_id": str(self.cluster), "revision": str(self.revision)}
 
     def pair(self, key: str, value: bytes, revision: int) -> dict[str, str]:
-        return {"key": coded(key), "value": coded(value.decode()), "mod_revision": str(revision)}
+        return {
+            "key": coded(key),
+            "value": coded(value.decode()),
+            "mod_revision": str(revision),
+        }
 
     def changed(self, changes: Sequence[tuple[str, bytes | None]]) -> None:
         """One transaction: all at one revision."""
@@ -192,7 +260,12 @@
                 del self.held[key]
             else:
                 self.held[key] = (value, self.revision)
-            events.append({"type": "DELETE" if value is None else "PUT", "kv": self.pair(key, value or b"", self.revision)})
+            events.append(
+                {
+                    "type": "DELETE" if value is None else "PUT",
+                    "kv": self.pair(key, value or b"", self.revision),
+                }
+            )
         self.log += [(self.revision, each) for each in events]
         for each in list(self.watching):
             if self.revision >= each.since:
@@ -205,8 +278,15 @@
 
     def value(self, place: int, draining: bool, number: int) -> tuple[str, bytes]:
         self.serial += 1
-        return f"{PREFIX}{place}", json.dumps({"id": number, "address": "127.0.0.1:9", "state": "draining" if draining else "ready",
-                                               "size": self.serial, "cell": 0}).encode()
+        return f"{PREFIX}{place}", json.dumps(
+            {
+                "id": number,
+                "address": "127.0.0.1:9",
+                "state": "draining" if draining else "ready",
+                "size": self.serial,
+                "cell": 0,
+            }
+        ).encode()
 
     def delete(self, place: int) -> None:
         if f"{PREFIX}{place}" in self.held:
@@ -265,11 +345,20 @@
     def end(self) -> str | None:
         if self.wrong:
             return self.wrong
-        there = {key: box_of(json.loads(value)) for key, (value, _) in self.held.items()}
+        there = {
+            key: box_of(json.loads(value)) for key, (value, _) in self.held.items()
+        }
         if self.follower.view.by_key != there:
             return f"the view has {sizes(self.follower.view.by_key)}, the registry {sizes(there)}"
-        told, truth = {each.node: each.size for each in self.known.values()}, {each.id: each.size for each in there.values()}
-        return None if told == truth else f"the module was told {told}, the registry has {truth}"
+        told, truth = (
+            {each.node: each.size for each in self.known.values()},
+            {each.id: each.size for each in there.values()},
+        )
+        return (
+            None
+            if told == truth
+            else f"the module was told {told}, the registry has {truth}"
+        )
 
 
 class Anything:
@@ -283,19 +372,35 @@
 
 @contextmanager
 def restored_unseen() -> Iterator[None]:
-    with mock.patch.object(follower, "other_past", lambda *_: False), mock.patch.object(decide, "other_past", lambda *_: False):
+    with (
+        mock.patch.object(follower, "other_past", lambda *_: False),
+        mock.patch.object(decide, "other_past", lambda *_: False),
+    ):
         yield
 
 
 # One guard out at a time, as hunts must find it.
 MUTANTS: dict[str, Callable[[], Any]] = {
-    "what is compacted asks for the whole list": lambda: mock.patch.dict(decide.FOLLOW_TABLE, {
-        (Stage.WATCHING, Cue.COMPACTED): (Stage.WATCHING, ""), (Stage.JOINING, Cue.COMPACTED): (Stage.WATCHING, "")}),
-    "a broken watch is told": lambda: mock.patch.dict(decide.FOLLOW_TABLE, {(Stage.WATCHING, Cue.FAIL): (Stage.WATCHING, "")}),
-    "a silent watch is found": lambda: mock.patch.object(follower, "missed", lambda there, cluster, brought, keys: False),
-    "keys that went are counted": lambda: mock.patch.object(View, "keys", lambda self: Anything()),
+    "what is compacted asks for the whole list": lambda: mock.patch.dict(
+        decide.FOLLOW_TABLE,
+        {
+            (Stage.WATCHING, Cue.COMPACTED): (Stage.WATCHING, ""),
+            (Stage.JOINING, Cue.COMPACTED): (Stage.WATCHING, ""),
+        },
+    ),
+    "a broken watch is told": lambda: mock.patch.dict(
+        decide.FOLLOW_TABLE, {(Stage.WATCHING, Cue.FAIL): (Stage.WATCHING, "")}
+    ),
+    "a silent watch is found": lambda: mock.patch.object(
+        follower, "missed", lambda there, cluster, brought, keys: False
+    ),
+    "keys that went are counted": lambda: mock.patch.object(
+        View, "keys", lambda self: Anything()
+    ),
     "a restored registry is found": lambda: restored_unseen(),
-    "a box whose key took another id goes": lambda: mock.patch.object(View, "left", lambda self, old: {}),
+    "a box whose key took another id goes": lambda: mock.patch.object(
+        View, "left", lambda self, old: {}
+    ),
 }
 
 
@@ -309,25 +414,60 @@
     def drawn(self, seed: int) -> list[Event]:
         chance, found = Random(seed), list[Event]()
         kinds: dict[str, tuple[float, Callable[[], tuple[Any, ...]]]] = {
-            "put": (10, lambda: ((place := chance.randrange(KEYS)), chance.random() < 0.3,
-                                 place + KEYS * (chance.random() < 0.1))),
-            "delete": (4, lambda: (chance.randrange(KEYS),)), "swap": (2, lambda: (chance.randrange(KEYS), chance.randrange(KEYS))),
-            "flood": (1, lambda: (chance.choice((5, 40, 400)),)), "compact": (2, tuple), "backup": (2, tuple),
-            "restore": (1, lambda: (chance.randrange(3), chance.random() < 0.5)), "cut": (3, tuple), "silence": (2, tuple),
-            "progress": (2, tuple), "restart": (1, tuple),
-            "gone_for": (2, lambda: (chance.randrange(2000, 60_000), chance.random() < 0.5))}
-        times = sorted(int(chance.uniform(0, LASTS) * 10_000) for _ in range(chance.randrange(10, 40)))
+            "put": (
+                10,
+                lambda: (
+                    (place := chance.randrange(KEYS)),
+                    chance.random() < 0.3,
+                    place + KEYS * (chance.random() < 0.1),
+                ),
+            ),
+            "delete": (4, lambda: (chance.randrange(KEYS),)),
+            "swap": (2, lambda: (chance.randrange(KEYS), chance.randrange(KEYS))),
+            "flood": (1, lambda: (chance.choice((5, 40, 400)),)),
+            "compact": (2, tuple),
+            "backup": (2, tuple),
+            "restore": (1, lambda: (chance.randrange(3), chance.random() < 0.5)),
+            "cut": (3, tuple),
+            "silence": (2, tuple),
+            "progress": (2, tuple),
+            "restart": (1, tuple),
+            "gone_for": (
+                2,
+                lambda: (chance.randrange(2000, 60_000), chance.random() < 0.5),
+            ),
+        }
+        times = sorted(
+            int(chance.uniform(0, LASTS) * 10_000)
+            for _ in range(chance.randrange(10, 40))
+        )
         for at in times:
-            close = found and chance.random() < 0.4  # many things happen at nearly one moment
-            what = chance.choices(list(kinds), [weight for weight, _ in kinds.values()])[0]
-            found.append(Event(found[-1].at + chance.randrange(400) if close else at, what, kinds[what][1]()))
+            close = (
+                found and chance.random() < 0.4
+            )  # many things happen at nearly one moment
+            what = chance.choices(
+                list(kinds), [weight for weight, _ in kinds.values()]
+            )[0]
+            found.append(
+                Event(
+                    found[-1].at + chance.randrange(400) if close else at,
+                    what,
+                    kinds[what][1](),
+                )
+            )
         return sorted(found, key=lambda each: each.at)
 
     def play(self, seed: int, events: Sequence[Event]) -> str | None:
         kept: list[Any] = [({}, 0)]
-        disk = SimpleNamespace(get=lambda path: kept[-1], put=lambda path, boxes, revision: kept.append((dict(boxes), revision)),
-                               ListUnkept=cache.ListUnkept)
-        with mock.patch.object(follower, "cache", disk), mock.patch.object(follower, "deferToThread", maybeDeferred):
+        disk = SimpleNamespace(
+            get=lambda path: kept[-1],
+            put=lambda path, boxes, revision: kept.append((dict(boxes), revision)),
+            ListUnkept=cache.ListUnkept,
+        )
+        with (
+            mock.patch.object(follower, "cache", disk),
+            mock.patch.object(follower, "deferToThread", maybeDeferred),
+        ):
             world = ListWorld(seed)
             for each in events:
                 until(world.clock, each.at / 10_000)
@@ -338,6 +478,8 @@
 
 def until(clock: Clock, when: float) -> None:
     """To a time, call by call, so that each is made at its own."""
-    while (calls := clock.getDelayedCalls()) and (first := min(each.getTime() for each in calls)) <= when:
+    while (calls := clock.getDelayedCalls()) and (
+        first := min(each.getTime() for each in calls)
+    ) <= when:
         clock.advance(max(first - clock.seconds(), 0))
     clock.advance(max(when - clock.seconds(), 0))
--- a/milletsill/lab/hunt/scale.py
+++ b/milletsill/lab/hunt/scale.py
@@ -3,6 +3,7 @@
 Processor time is of this process, for all gateways together, divided by them and by the seconds that passed on the clock: what it
 costs to simulate one, and about what its machines cost a real one, without sockets. A look at all rows is timed by itself.
 """
+
 from __future__ import annotations
 
 import gc
@@ -37,17 +38,22 @@
     """Members, and offices at twenty of them."""
     gc.collect()
     secrets, before = Random(seed), resident()
-    with mock.patch.object(service, "SystemRandom", lambda: secrets), mock.patch.object(desk, "Store", Kept):
+    with (
+        mock.patch.object(service, "SystemRandom", lambda: secrets),
+        mock.patch.object(desk, "Store", Kept),
+    ):
         world = FleetWorld(seed, gateways, registers=5, users=20, judges=0, boxes=BOXES)
         world.acquaint()
         world.run(SETTLE)
         began, frames = time.process_time(), world.frames
         world.run(SETTLE + SPAN)
         spent = (time.process_time() - began) / gateways / (SPAN / SECOND) * 1000
-        return (f"{gateways} gateways: {spent:.2f} ms of CPU a gateway and second, "
-                f"{(world.frames - frames) / gateways / (SPAN / SECOND):.1f} frames a second out of each, "
-                f"{(resident() - before) / gateways:.2f} MiB a gateway, views right {world.right():.3f}"
-                + (f"; BROKE: {world.wrong}" if world.wrong else ""))
+        return (
+            f"{gateways} gateways: {spent:.2f} ms of CPU a gateway and second, "
+            f"{(world.frames - frames) / gateways / (SPAN / SECOND):.1f} frames a second out of each, "
+            f"{(resident() - before) / gateways:.2f} MiB a gateway, views right {world.right():.3f}"
+            + (f"; BROKE: {world.wrong}" if world.wrong else "")
+        )
 
 
 def health(gateways: int, seed: int = 1) -> str:
@@ -55,17 +61,39 @@
     chance, octets = Random(seed), [0]
     names = [f"gateway-{each}" for each in range(gateways)]
     view = View(1, [Member(each, f"{each}:1", 1, Standing.ALIVE) for each in names])
-    plane = SimpleNamespace(name=names[0], run=1, view=view, hear=lambda *what: None, watch=lambda told: None,
-                            tell=lambda member, kind, body: octets.__setitem__(0, octets[0] + len(body)))
+    plane = SimpleNamespace(
+        name=names[0],
+        run=1,
+        view=view,
+        hear=lambda *what: None,
+        watch=lambda told: None,
+        tell=lambda member, kind, body: octets.__setitem__(0, octets[0] + len(body)),
+    )
     now = [SECOND]
-    sharing = Sharing(None, lambda: now[0], LINK, seed, plane, Host(), remark, remark, CollectorRegistry(), 1024)  # type: ignore[arg-type]
+    sharing = Sharing(
+        None,
+        lambda: now[0],
+        LINK,
+        seed,
+        plane,
+        Host(),
+        remark,
+        remark,
+        CollectorRegistry(),
+        1024,
+    )  # type: ignore[arg-type]
     sharing.cells = {each: each // 2 for each in range(BOXES)}
     sharing.viewed(view, ())
     bodies = []
     for name in names[1:]:
         rows = Rows(key_of(name), 1, 2, 1024)
         rows.own.sequence = rows.own.upto = 1
-        words = {box: Word(0, now[0], 1 + 3 * chance.random(), 0.0, 0.0, 1.0, chance.gauss(0, 0.1)) for box in range(BOXES)}
+        words = {
+            box: Word(
+                0, now[0], 1 + 3 * chance.random(), 0.0, 0.0, 1.0, chance.gauss(0, 0.1)
+            )
+            for box in range(BOXES)
+        }
         bodies.append((name, next(iter(codec.bodies([rows.write(words)], (), now[0])))))
     began = time.process_time()
     for at, (name, body) in enumerate(bodies, 1):
@@ -78,8 +106,10 @@
     for _ in range(LOOKS):
         now[0] += 3000
         sharing.look()
-    return (f"{gateways} gateways, rows of {BOXES} boxes: {heard * 1000:.0f} ms of CPU to hear each row once and tell it on, "
-            f"{octets[0] / 1024:.0f} KiB told, {(time.process_time() - began) / LOOKS * 1000:.1f} ms a look")
+    return (
+        f"{gateways} gateways, rows of {BOXES} boxes: {heard * 1000:.0f} ms of CPU to hear each row once and tell it on, "
+        f"{octets[0] / 1024:.0f} KiB told, {(time.process_time() - began) / LOOKS * 1000:.1f} ms a look"
+    )
 
 
 def report(sizes: Sequence[int]) -> int:
--- a/milletsill/lab/lateness.py
+++ b/milletsill/lab/lateness.py
@@ -1,5 +1,6 @@
 """When a process of the laboratory was late itself, and what of that was the collector, its own work, a wait for a core, or a
 sleep (in a call that blocked, or past its time)."""
+
 from __future__ import annotations
 
 import gc
@@ -7,7 +8,11 @@
 from typing import Any, Callable
 
 SAID_FROM, MOST_KEPT = 0.015, 200  # seconds; moments
-LOOK, DEAF_FROM, MOST_DEAF = 0.01, 0.03, 10_000  # seconds between looks; a span worth noting; spans
+LOOK, DEAF_FROM, MOST_DEAF = (
+    0.01,
+    0.03,
+    10_000,
+)  # seconds between looks; a span worth noting; spans
 
 
 def queued() -> float:
@@ -44,9 +49,16 @@
         self.worst = max(self.worst, late if day >= 0 else 0.0)
         if day >= 0 and late > SAID_FROM and len(self.moments) < MOST_KEPT:
             span, worked, had = now - self.at, cpu - self.cpu, waited - self.queued
-            self.moments.append({"at_s": day, "late_ms": late * 1000, "collector_ms": self.collected * 1000,
-                                 "work_ms": max(worked - self.collected, 0.0) * 1000, "no_core_ms": had * 1000,
-                                 "asleep_ms": max(span - worked - had, 0.0) * 1000})
+            self.moments.append(
+                {
+                    "at_s": day,
+                    "late_ms": late * 1000,
+                    "collector_ms": self.collected * 1000,
+                    "work_ms": max(worked - self.collected, 0.0) * 1000,
+                    "no_core_ms": had * 1000,
+                    "asleep_ms": max(span - worked - had, 0.0) * 1000,
+                }
+            )
         self.cpu, self.at, self.queued, self.collected = cpu, now, waited, 0.0
         return now
 
@@ -74,6 +86,8 @@
     if not moments:
         return ""
     worst = moments[0]
-    return (f"late by over {SAID_FROM * 1000:.0f} ms {len(moments)} times; the worst at {worst['at_s']:.1f} s: collector "
-            f"{worst['collector_ms']:.0f}, own work {worst['work_ms']:.0f}, no core {worst['no_core_ms']:.0f}, asleep "
-            f"{worst['asleep_ms']:.0f} ms")
+    return (
+        f"late by over {SAID_FROM * 1000:.0f} ms {len(moments)} times; the worst at {worst['at_s']:.1f} s: collector "
+        f"{worst['collector_ms']:.0f}, own work {worst['work_ms']:.0f}, no core {worst['no_core_ms']:.0f}, asleep "
+        f"{worst['asleep_ms']:.0f} ms"
+    )
