--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -2,6 +2,7 @@
 
 Arrivals are drawn ahead of what comes back (open loop) and belong to their first try. One process plays all clients.
 """
+
 from __future__ import annotations
 
 import json
@@ -24,14 +25,29 @@
 from milletsill.trace.tools import Sink
 
 WEIGHED_FOR = 0.1  # seconds
-TICK, TAIL_TICK = 0.004, 0.05  # seconds between looks at what is due, and at what is left once the day is over
+TICK, TAIL_TICK = (
+    0.004,
+    0.05,
+)  # seconds between looks at what is due, and at what is left once the day is over
 
 
 class Load:
     """All clients of a scenario. `start` is on the monotonic clock, in seconds."""
 
-    def __init__(self, reactor: Any, scenario: Any, edges: list[tuple[str, str]], start: float, out: str) -> None:
-        self.reactor, self.scenario, self.start_at, self.out = reactor, scenario, start, out
+    def __init__(
+        self,
+        reactor: Any,
+        scenario: Any,
+        edges: list[tuple[str, str]],
+        start: float,
+        out: str,
+    ) -> None:
+        self.reactor, self.scenario, self.start_at, self.out = (
+            reactor,
+            scenario,
+            start,
+            out,
+        )
         self.chance, self.now = Random(scenario.seed), time.monotonic
         self.recorder = Recorder(f"{out}/clients.rec", "clients", "clients")
         self.categories = {each.name: each for each in scenario.gateway.category}
@@ -39,19 +55,35 @@
         self.connections = self.operations = self.live = 0
         self.counts: dict[str, int] = {}
         self.rows: dict[tuple[str, str], dict[str, float]] = {}
-        self.histograms = {name: HdrHistogram(1, 60_000_000, 3) for name in self.categories}
+        self.histograms = {
+            name: HdrHistogram(1, 60_000_000, 3) for name in self.categories
+        }
         self.worst: dict[int, list[float]] = {}
         self.done: list[Done] = []
-        self.trace: list[Any] = []  # one command a row, as many as the scenario's operations
-        self.category_places = {each.name: place for place, each in enumerate(scenario.gateway.category)}
-        self.plan_places = {each.name: place for place, each in enumerate(scenario.gateway.plan)}
+        self.trace: list[
+            Any
+        ] = []  # one command a row, as many as the scenario's operations
+        self.category_places = {
+            each.name: place for place, each in enumerate(scenario.gateway.category)
+        }
+        self.plan_places = {
+            each.name: place for place, each in enumerate(scenario.gateway.plan)
+        }
         self.shares: dict[str, tuple[float, list[float]]] = {}
         self.weighed_until = 0.0
         self.lateness = Lateness()
         self.new_files: list[tuple[Any, str, int]] = []
-        self.edges = [EdgeDoor(self, name, address, scenario.clients.connections) for name, address in edges]
-        self.number_of = {each.name: place for place, each in enumerate(scenario.gateway.volume)}
-        self.volumes, self.atlas = list(scenario.gateway.volume), atlas_of(scenario.gateway)
+        self.edges = [
+            EdgeDoor(self, name, address, scenario.clients.connections)
+            for name, address in edges
+        ]
+        self.number_of = {
+            each.name: place for place, each in enumerate(scenario.gateway.volume)
+        }
+        self.volumes, self.atlas = (
+            list(scenario.gateway.volume),
+            atlas_of(scenario.gateway),
+        )
         self.place()
         self.runs: dict[int, tuple[int, str, int, Any, EdgeDoor]] = {}
         self.tick_at = self.due_at = start
@@ -63,7 +95,9 @@
         for volume in self.volumes:
             hosts = min(volume.gateways or count, count)
             self.ways.append(chance.sample(range(count), hosts))
-            base = list(self.scenario.volume_base)[len(self.weights):len(self.weights) + 1] or [1.0]
+            base = list(self.scenario.volume_base)[
+                len(self.weights) : len(self.weights) + 1
+            ] or [1.0]
             self.weights.append(self.plans[volume.plan].usual_rate * base[0])
         self.leads = [chance.randrange(len(way)) for way in self.ways]
         self.shift_soon()
@@ -81,12 +115,18 @@
             self.reactor.callLater(habit, self.shift_again, habit)
         for each in self.scenario.trouble:
             if each.what == "reconnect":
-                self.reactor.callLater(max(self.start_at + each.at_s - self.now(), 0), self.shift, each.part)
+                self.reactor.callLater(
+                    max(self.start_at + each.at_s - self.now(), 0),
+                    self.shift,
+                    each.part,
+                )
 
     def shift_again(self, habit: float) -> None:
         if self.now() < self.start_at + self.scenario.seconds:
             self.shift(1.0)
-            self.reactor.callLater(habit * self.chance.uniform(0.5, 1.5), self.shift_again, habit)
+            self.reactor.callLater(
+                habit * self.chance.uniform(0.5, 1.5), self.shift_again, habit
+            )
 
     def count(self, what: str, by: int = 1) -> None:
         self.counts[what] = self.counts.get(what, 0) + by
@@ -99,17 +139,36 @@
 
     def troubles(self, *names: str) -> list[Any]:
         at = self.now() - self.start_at
-        return [each for each in self.scenario.trouble if each.what in names and each.at_s <= at < each.at_s + each.for_s]
+        return [
+            each
+            for each in self.scenario.trouble
+            if each.what in names and each.at_s <= at < each.at_s + each.for_s
+        ]
 
     def retries_of(self, plan: str) -> int:
-        abused = [int(each.size) for each in self.troubles("retry_abuse") if each.plan in ("", plan)]
+        abused = [
+            int(each.size)
+            for each in self.troubles("retry_abuse")
+            if each.plan in ("", plan)
+        ]
         return max(abused + [self.scenario.clients.retries])
 
     def patience_of(self, category: Any, plan: str) -> float:
         """Seconds that a try may take."""
-        hurried = [each.extra * category.target_ms for each in self.troubles("retry_abuse") if each.plan in ("", plan)]
-        hurried += [each.size * category.target_ms for each in self.troubles("give_up") if each.plan in ("", plan)]
-        return min(hurried + [category.patience_ms * self.scenario.clients.try_share]) / 1000
+        hurried = [
+            each.extra * category.target_ms
+            for each in self.troubles("retry_abuse")
+            if each.plan in ("", plan)
+        ]
+        hurried += [
+            each.size * category.target_ms
+            for each in self.troubles("give_up")
+            if each.plan in ("", plan)
+        ]
+        return (
+            min(hurried + [category.patience_ms * self.scenario.clients.try_share])
+            / 1000
+        )
 
     def times(self, number: int) -> float:
         """What a volume asks for now, in multiples of its usual rate."""
@@ -117,8 +176,12 @@
         for each in self.troubles("burst", "tenant_burst"):
             by *= each.size if each.what == "burst" or each.plan in ("", plan) else 1.0
         for each in self.scenario.surge:
-            if each.at_s <= at < each.at_s + each.for_s and each.plan in ("", plan) and not each.volumes and (
-                    not each.on or number in each.on):
+            if (
+                each.at_s <= at < each.at_s + each.for_s
+                and each.plan in ("", plan)
+                and not each.volumes
+                and (not each.on or number in each.on)
+            ):
                 by *= each.times
         return by
 
@@ -128,17 +191,31 @@
         if now < self.weighed_until:
             return
         self.weighed_until = now + WEIGHED_FOR
-        asked = [weight * self.times(number) for number, weight in enumerate(self.weights)]
+        asked = [
+            weight * self.times(number) for number, weight in enumerate(self.weights)
+        ]
         for plan in {row.plan for row in self.scenario.traffic}:
-            usual = [w if plan in ("", v.plan) else 0.0 for v, w in zip(self.volumes, self.weights)]
-            there = [w if plan in ("", v.plan) else 0.0 for v, w in zip(self.volumes, asked)]
-            self.shares[plan] = (sum(there) / (sum(usual) or 1.0), list(accumulate(there)))
+            usual = [
+                w if plan in ("", v.plan) else 0.0
+                for v, w in zip(self.volumes, self.weights)
+            ]
+            there = [
+                w if plan in ("", v.plan) else 0.0 for v, w in zip(self.volumes, asked)
+            ]
+            self.shares[plan] = (
+                sum(there) / (sum(usual) or 1.0),
+                list(accumulate(there)),
+            )
 
     def hot(self) -> tuple[float, list[int]]:
         """Extra traffic as a share of all, and the volumes that ask for it."""
         found = self.troubles("hot_key", "scan")
         at = self.now() - self.start_at
-        surges = [each for each in self.scenario.surge if each.volumes and each.at_s <= at < each.at_s + each.for_s]
+        surges = [
+            each
+            for each in self.scenario.surge
+            if each.volumes and each.at_s <= at < each.at_s + each.for_s
+        ]
         share = sum(each.size for each in found)
         few = max([int(each.extra) for each in found] + [1])
         volumes = list(range(min(few, len(self.volumes))))
@@ -159,7 +236,9 @@
             self.weigh()
             share, few = self.hot()
             for place, row in enumerate(self.scenario.traffic):
-                self.arrive(place, row, row.per_s * self.shares[row.plan][0] * span, None)
+                self.arrive(
+                    place, row, row.per_s * self.shares[row.plan][0] * span, None
+                )
                 if share:
                     self.arrive(place, row, row.per_s * span * share, few)
         if now < ended:
@@ -176,7 +255,9 @@
 
     def arrive(self, place: int, row: Any, mean: float, few: list[int] | None) -> None:
         chance, gap = self.chance, 0.0
-        while mean > 0 and (gap := gap + chance.expovariate(1 / max(row.run, 1))) < mean * max(row.run, 1):
+        while mean > 0 and (
+            gap := gap + chance.expovariate(1 / max(row.run, 1))
+        ) < mean * max(row.run, 1):
             self.one(place, row, few)
 
     def one(self, place: int, row: Any, few: list[int] | None) -> None:
@@ -190,13 +271,28 @@
             volume = self.volumes[number]
             edge = self.edge_of(number)
             path = f"{volume.root}/f{chance.randrange(self.scenario.files)}"
-            offset = chance.randrange(max(self.scenario.file_units // 2, 1)) * self.scenario.gateway.rules.unit_bytes
-            self.runs[place] = (int(chance.expovariate(1 / row.run)) if row.run > 1 else 0, path, offset, volume, edge)
+            offset = (
+                chance.randrange(max(self.scenario.file_units // 2, 1))
+                * self.scenario.gateway.rules.unit_bytes
+            )
+            self.runs[place] = (
+                int(chance.expovariate(1 / row.run)) if row.run > 1 else 0,
+                path,
+                offset,
+                volume,
+                edge,
+            )
         rules = self.scenario.gateway.rules
         units = self.units_of(row, volume)
-        length = min(units * rules.unit_bytes, self.scenario.file_units * rules.unit_bytes - offset)
+        length = min(
+            units * rules.unit_bytes,
+            self.scenario.file_units * rules.unit_bytes - offset,
+        )
         if row.operation == "new":
-            path, offset = f"{volume.root}/new-{self.operations}-{chance.getrandbits(32):08x}", 0
+            path, offset = (
+                f"{volume.root}/new-{self.operations}-{chance.getrandbits(32):08x}",
+                0,
+            )
         elif row.operation == "read" and self.new_files and chance.random() < 0.2:
             volume, path, length = self.new_files[chance.randrange(len(self.new_files))]
             offset, edge = 0, self.edge_of(self.volumes.index(volume))
@@ -210,7 +306,10 @@
         rules, place = self.scenario.gateway.rules, self.atlas.roots[volume.root]
         operation = "read" if row.operation == "read" else "write"
         for _ in range(30):
-            units = min(max(int(self.chance.expovariate(1 / row.units)) + 1, 1), rules.largest_units)
+            units = min(
+                max(int(self.chance.expovariate(1 / row.units)) + 1, 1),
+                rules.largest_units,
+            )
             category = self.atlas.category(operation, place, units * rules.unit_bytes)
             if self.scenario.gateway.category[category].name == row.category:
                 return units
@@ -223,13 +322,17 @@
 
     def draw(self, row: Any) -> int:
         """A volume by what it asks for now."""
-        return self.chance.choices(range(len(self.volumes)), cum_weights=self.shares[row.plan][1])[0]
+        return self.chance.choices(
+            range(len(self.volumes)), cum_weights=self.shares[row.plan][1]
+        )[0]
 
     def edge_of(self, volume: int) -> EdgeDoor:
         """One of its edges, its leading one more often."""
         way, lead = self.ways[volume], self.leads[volume]
         skew = self.scenario.clients.skew
-        weights = [1 / (1 + (place - lead) % len(way)) ** skew for place in range(len(way))]
+        weights = [
+            1 / (1 + (place - lead) % len(way)) ** skew for place in range(len(way))
+        ]
         return self.edges[self.chance.choices(way, weights)[0]]
 
     # Results.
@@ -238,22 +341,55 @@
         self.live -= 1
         took = self.now() - operation.began
         category, plan = operation.category, self.plans[operation.volume.plan]
-        utility = category.utility * plan.price * max(operation.length / self.scenario.gateway.rules.unit_bytes, 1)
-        row = self.rows.setdefault((category.name, plan.name), {"due": 0.0, "in_time": 0.0, "late": 0.0})
+        utility = (
+            category.utility
+            * plan.price
+            * max(operation.length / self.scenario.gateway.rules.unit_bytes, 1)
+        )
+        row = self.rows.setdefault(
+            (category.name, plan.name), {"due": 0.0, "in_time": 0.0, "late": 0.0}
+        )
         row["due"] += utility
         row[final] = row.get(final, 0) + 1
         second = int(operation.began - self.start_at)
         slot = self.worst.setdefault(second, [0.0, 0.0])
         slot[1] += utility
         in_time = final == "satisfied" and took * 1000 <= category.target_ms
-        counts = 1.0 if in_time else category.late_utility if final == "satisfied" else 0.0
+        counts = (
+            1.0 if in_time else category.late_utility if final == "satisfied" else 0.0
+        )
         units = max(operation.length / self.scenario.gateway.rules.unit_bytes, 1)
         span, place = ceil(took * SECOND), self.category_places[category.name]
-        self.trace.append((int((operation.began - self.start_at) * SECOND) + span, BY_NAME["command"], (
-            int((operation.began - self.start_at) * SECOND), span, operation.volume.name, self.plan_places[plan.name], place,
-            operation.row.operation, units, 1, 0, final, "")))
-        self.done.append(Done(second, self.number_of[operation.volume.name], category.name, units,
-                              category.utility * plan.price, counts, not in_time))
+        self.trace.append(
+            (
+                int((operation.began - self.start_at) * SECOND) + span,
+                BY_NAME["command"],
+                (
+                    int((operation.began - self.start_at) * SECOND),
+                    span,
+                    operation.volume.name,
+                    self.plan_places[plan.name],
+                    place,
+                    operation.row.operation,
+                    units,
+                    1,
+                    0,
+                    final,
+                    "",
+                ),
+            )
+        )
+        self.done.append(
+            Done(
+                second,
+                self.number_of[operation.volume.name],
+                category.name,
+                units,
+                category.utility * plan.price,
+                counts,
+                not in_time,
+            )
+        )
         if final == "satisfied":
             row["in_time" if in_time else "late"] += utility
             slot[0] += utility if in_time else 0.0
@@ -263,13 +399,36 @@
         """What the service figure needs."""
         rules, scenario = self.scenario.gateway.rules, self.scenario
         kinds = {each.name: each for each in scenario.kind}
-        cores = sum(kinds[each.kind].cores * kinds[each.kind].speed * each.count for each in scenario.box)
+        cores = sum(
+            kinds[each.kind].cores * kinds[each.kind].speed * each.count
+            for each in scenario.box
+        )
         asked = sum(row.per_s * row.units for row in scenario.traffic) or 1.0
-        work = sum(row.per_s * row.units * row.work_ms / 1000 / rules.unit_mean for row in scenario.traffic) / asked
-        claims = [Claim(self.plans[each.plan].reserve_rate, self.plans[each.plan].weight) for each in self.volumes]
-        categories = [(each.name, int(each.target_ms * 10), each.utility, each.late_utility) for each in scenario.gateway.category]
-        return ServiceTerms(categories, [each.price for each in scenario.gateway.plan], dict(self.number_of), claims,
-                     cores / max(work, 1e-9), rules.largest_units, rules.share_utility, rules.spare_utility)
+        work = (
+            sum(
+                row.per_s * row.units * row.work_ms / 1000 / rules.unit_mean
+                for row in scenario.traffic
+            )
+            / asked
+        )
+        claims = [
+            Claim(self.plans[each.plan].reserve_rate, self.plans[each.plan].weight)
+            for each in self.volumes
+        ]
+        categories = [
+            (each.name, int(each.target_ms * 10), each.utility, each.late_utility)
+            for each in scenario.gateway.category
+        ]
+        return ServiceTerms(
+            categories,
+            [each.price for each in scenario.gateway.plan],
+            dict(self.number_of),
+            claims,
+            cores / max(work, 1e-9),
+            rules.largest_units,
+            rules.share_utility,
+            rules.spare_utility,
+        )
 
     def counted(self) -> dict[str, float]:
         """Service by reserve, share and the rest, in all ('') and by category."""
@@ -277,8 +436,13 @@
 
     def write_trace(self) -> None:
         """What the clients asked for and got, as a trace; times count from the day's start."""
-        about = {"name": "clients", "seed": self.scenario.seed, "opened": 0, "wall_ms": int(time.time() * 1000),
-                 "terms": put_terms(self.terms())}
+        about = {
+            "name": "clients",
+            "seed": self.scenario.seed,
+            "opened": 0,
+            "wall_ms": int(time.time() * 1000),
+            "terms": put_terms(self.terms()),
+        }
         path = f"{self.out}/clients.mtrace"
         if os.path.exists(path):
             os.unlink(path)
@@ -288,12 +452,28 @@
         """Write what came of it and end."""
         for edge in self.edges:
             edge.over = True
-        quantiles = {name: {str(q): each.get_value_at_percentile(q) / 1000 for q in (50, 90, 99, 99.9)}
-                     for name, each in self.histograms.items() if each.total_count}
-        result = {"rows": [{"category": c, "plan": p, **row} for (c, p), row in sorted(self.rows.items())],
-                  "latency_ms": quantiles, "counted": self.counted(), "counts": self.counts, "operations": self.operations,
-                  "unended": self.live, "worst_lag_ms": self.lateness.worst * 1000, "late": self.lateness.told(),
-                  "seconds": self.worst}
+        quantiles = {
+            name: {
+                str(q): each.get_value_at_percentile(q) / 1000
+                for q in (50, 90, 99, 99.9)
+            }
+            for name, each in self.histograms.items()
+            if each.total_count
+        }
+        result = {
+            "rows": [
+                {"category": c, "plan": p, **row}
+                for (c, p), row in sorted(self.rows.items())
+            ],
+            "latency_ms": quantiles,
+            "counted": self.counted(),
+            "counts": self.counts,
+            "operations": self.operations,
+            "unended": self.live,
+            "worst_lag_ms": self.lateness.worst * 1000,
+            "late": self.lateness.told(),
+            "seconds": self.worst,
+        }
         self.write_trace()
         with open(f"{self.out}/load.json", "w", encoding="utf-8") as sink:
             json.dump(result, sink, indent=1)
--- a/milletsill/lab/processes.py
+++ b/milletsill/lab/processes.py
@@ -1,4 +1,5 @@
 """The processes of a run: edges, planner, relay; started, hurt and ended by their ids, their logs poured into files."""
+
 from __future__ import annotations
 
 import os
@@ -27,7 +28,11 @@
     for port in SystemRandom().sample(range(*PORTS), PORTS[1] - PORTS[0]):
         if len(found) == count:
             break
-        if all(is_free(host, port, kind) for host in hosts for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)):
+        if all(
+            is_free(host, port, kind)
+            for host in hosts
+            for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)
+        ):
             found.append(port)
     return found
 
@@ -115,7 +120,9 @@
         says ENOSPC where this says EFBIG, and lets old blocks be written over; this does not."""
         if self.process is not None and self.process.poll() is None:
             _, most = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
-            resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (0 if full else most, most))
+            resource.prlimit(
+                self.process.pid, resource.RLIMIT_FSIZE, (0 if full else most, most)
+            )
 
 
 class PlannerPart(Part):
@@ -124,9 +131,16 @@
     def __init__(self, run: Any, port: int) -> None:
         super().__init__(run, "planner")
         self.exits: list[int | None] = []
-        self.state, self.path = f"{run.out}/planner.state", f"{run.out}/planner.textproto"
-        file = PlannerFile(name="planner", listen=f"127.0.0.1:{port}", state_dir=self.state,
-                           metrics=f"127.0.0.1:{free_ports(1)[0]}")
+        self.state, self.path = (
+            f"{run.out}/planner.state",
+            f"{run.out}/planner.textproto",
+        )
+        file = PlannerFile(
+            name="planner",
+            listen=f"127.0.0.1:{port}",
+            state_dir=self.state,
+            metrics=f"127.0.0.1:{free_ports(1)[0]}",
+        )
         file.lending.CopyFrom(run.scenario.gateway.planner.lending)
         with open(self.path, "w", encoding="utf-8") as sink:
             sink.write(text_format.MessageToString(file))
@@ -145,7 +159,9 @@
     def start_again(self) -> None:
         """The true state again; the old run, which should have ended, is ended."""
         if self.process is not None:
-            self.exits.append(self.process.poll() if self.process.poll() is not None else -1)
+            self.exits.append(
+                self.process.poll() if self.process.poll() is not None else -1
+            )
         self.kill()
         shutil.rmtree(self.state, ignore_errors=True)
         os.rename(f"{self.state}.kept", self.state)
@@ -160,15 +176,26 @@
         self.made: list[subprocess.Popen[bytes]] = []
         self.pours: list[Thread] = []
 
-    def spawn(self, command: list[str], name: str, piped: bool = False) -> subprocess.Popen[bytes]:
+    def spawn(
+        self, command: list[str], name: str, piped: bool = False
+    ) -> subprocess.Popen[bytes]:
         path = f"{self.out}/{name}.log"
         if piped:
-            made = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
-            self.pours.append(Thread(target=pour, args=(made.stdout, path), daemon=True))
+            made = subprocess.Popen(
+                command,
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.PIPE,
+                stderr=subprocess.STDOUT,
+            )
+            self.pours.append(
+                Thread(target=pour, args=(made.stdout, path), daemon=True)
+            )
             self.pours[-1].start()
         else:
             with open(path, "ab") as log:
-                made = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log)
+                made = subprocess.Popen(
+                    command, stdin=subprocess.DEVNULL, stdout=log, stderr=log
+                )
         self.made.append(made)
         return made
 
--- a/milletsill/lab/record.py
+++ b/milletsill/lab/record.py
@@ -4,6 +4,7 @@
 in, 1 went out, 2 a note in JSON), u32 whole length, u32 kept length, the kept bytes. Big-endian. Data past KEPT bytes
 of a packet is not kept.
 """
+
 from __future__ import annotations
 
 import json
@@ -22,9 +23,14 @@
         self.sink: BinaryIO = open(path, "wb", buffering=1 << 18)
         self.sink.write(f"milletsill record 1 {role} {name}\n".encode())
 
-    def put(self, connection: int, direction: int, data: bytes, keep: int = KEPT) -> None:
+    def put(
+        self, connection: int, direction: int, data: bytes, keep: int = KEPT
+    ) -> None:
         kept = data[:keep]
-        self.sink.write(ENTRY.pack(time.monotonic_ns(), connection, direction, len(data), len(kept)) + kept)
+        self.sink.write(
+            ENTRY.pack(time.monotonic_ns(), connection, direction, len(data), len(kept))
+            + kept
+        )
 
     def note(self, **values: Any) -> None:
         data = json.dumps(values).encode()
--- a/milletsill/lab/registry.py
+++ b/milletsill/lab/registry.py
@@ -2,6 +2,7 @@
 
 Written from etcd's published API: POST /v3/kv/range and /v3/watch, keys and values in base64, numbers as strings.
 """
+
 from __future__ import annotations
 
 import base64
@@ -20,7 +21,9 @@
 class Registry:
     """Keys and values with revisions, and who watches them."""
 
-    def __init__(self, reactor: Any, stand: Any, seed: int, recorder: Recorder | None = None) -> None:
+    def __init__(
+        self, reactor: Any, stand: Any, seed: int, recorder: Recorder | None = None
+    ) -> None:
         self.reactor, self.stand, self.recorder = reactor, stand, recorder
         self.chance = Random(seed)
         self.revision, self.compacted = 1, 0
@@ -45,17 +48,24 @@
         self.events.append(event)
         del self.events[:-MOST_EVENTS]
         now = self.reactor.seconds()  # a watch tells changes in their order
-        self.due = max(self.due, now + self.stand.notice_ms / 1000 * self.chance.uniform(0.5, 1.0))
+        self.due = max(
+            self.due, now + self.stand.notice_ms / 1000 * self.chance.uniform(0.5, 1.0)
+        )
         self.reactor.callLater(self.due - now, self.spread, event, self.revision)
 
     def spread(self, event: dict[str, Any], revision: int) -> None:
         for request in list(self.watchers):
             if request.since <= revision:
-                self.tell(request, {"result": {"header": self.header(), "events": [event]}})
+                self.tell(
+                    request, {"result": {"header": self.header(), "events": [event]}}
+                )
 
     def pair(self, key: str, value: bytes, revision: int) -> dict[str, str]:
-        return {"key": base64.b64encode(key.encode()).decode(), "value": base64.b64encode(value).decode(),
-                "mod_revision": str(revision)}
+        return {
+            "key": base64.b64encode(key.encode()).decode(),
+            "value": base64.b64encode(value).decode(),
+            "mod_revision": str(revision),
+        }
 
     def header(self) -> dict[str, str]:
         return {"cluster_id": "1", "revision": str(self.revision)}
@@ -102,17 +112,24 @@
             request.setResponseCode(400)
             return b'{"error":"not JSON"}'
         stand = registry.stand
-        over = registry.calls >= stand.at_once * 8 or registry.chance.random() < stand.fail_rate
+        over = (
+            registry.calls >= stand.at_once * 8
+            or registry.chance.random() < stand.fail_rate
+        )
         if registry.away or over:
             request.setResponseCode(503)
             return b'{"error":"unavailable","code":14}'
         if request.path == b"/v3/kv/range":
             registry.calls += 1
             wait = stand.call_ms / 1000 * max(registry.calls / stand.at_once, 1)
-            registry.reactor.callLater(wait, self.range, request, bool(body.get("keys_only")))
+            registry.reactor.callLater(
+                wait, self.range, request, bool(body.get("keys_only"))
+            )
             return NOT_DONE_YET
         if request.path == b"/v3/watch":
-            return self.watch(request, int(body.get("create_request", {}).get("start_revision", 0)))
+            return self.watch(
+                request, int(body.get("create_request", {}).get("start_revision", 0))
+            )
         request.setResponseCode(404)
         return b'{"error":"no such call"}'
 
@@ -122,9 +139,16 @@
         registry.calls -= 1
         if request._disconnected or registry.away:
             return
-        kvs = [registry.pair(key, value, revision) for key, (value, revision) in sorted(registry.held.items())]
-        told = sorted(kvs, key=lambda kv: -int(kv["mod_revision"]))[:1] if newest else kvs
-        data = json.dumps({"header": registry.header(), "kvs": told, "count": str(len(kvs))}).encode()
+        kvs = [
+            registry.pair(key, value, revision)
+            for key, (value, revision) in sorted(registry.held.items())
+        ]
+        told = (
+            sorted(kvs, key=lambda kv: -int(kv["mod_revision"]))[:1] if newest else kvs
+        )
+        data = json.dumps(
+            {"header": registry.header(), "kvs": told, "count": str(len(kvs))}
+        ).encode()
         if not newest:  # that is no list
             registry.recorded(request, data)
         request.write(data)
@@ -133,16 +157,35 @@
     def watch(self, request: Any, since: int) -> Any:
         registry = self.registry
         request.since = since
-        request.notifyFinish().addBoth(lambda _: registry.watchers.remove(request)
-                                       if request in registry.watchers else None)
+        request.notifyFinish().addBoth(
+            lambda _: (
+                registry.watchers.remove(request)
+                if request in registry.watchers
+                else None
+            )
+        )
         if since <= registry.compacted:
-            registry.tell(request, {"result": {"header": registry.header(), "canceled": True,
-                                               "compact_revision": str(registry.compacted)}})
+            registry.tell(
+                request,
+                {
+                    "result": {
+                        "header": registry.header(),
+                        "canceled": True,
+                        "compact_revision": str(registry.compacted),
+                    }
+                },
+            )
             return NOT_DONE_YET
-        registry.tell(request, {"result": {"header": registry.header(), "created": True}})
-        missed = [each for each in registry.events if int(each["kv"]["mod_revision"]) >= since]
+        registry.tell(
+            request, {"result": {"header": registry.header(), "created": True}}
+        )
+        missed = [
+            each for each in registry.events if int(each["kv"]["mod_revision"]) >= since
+        ]
         if missed:
-            registry.tell(request, {"result": {"header": registry.header(), "events": missed}})
+            registry.tell(
+                request, {"result": {"header": registry.header(), "events": missed}}
+            )
         registry.watchers.append(request)
         return NOT_DONE_YET
 
--- a/milletsill/lab/relay.py
+++ b/milletsill/lab/relay.py
@@ -8,6 +8,7 @@
 A way that is cut holds streams as a real one does: nothing is reset, what was sent comes after the healing. A stream is
 reset by `reset_network`. Unlike a real network a new connection is taken at once even when the way is cut.
 """
+
 from __future__ import annotations
 
 import json
@@ -22,11 +23,25 @@
 
 from milletsill.lab.moment import at
 from milletsill.lab.record import Recorder
-from milletsill.lab.weather import CLEAR, OF_NETWORK, Fault, Way, fault_of, faults_of, way
-
-MOST_LATE_PACKETS, MOST_LATE_BYTES = 50_000, 1 << 20  # packets of all ways; bytes of one stream
+from milletsill.lab.weather import (
+    CLEAR,
+    OF_NETWORK,
+    Fault,
+    Way,
+    fault_of,
+    faults_of,
+    way,
+)
+
+MOST_LATE_PACKETS, MOST_LATE_BYTES = (
+    50_000,
+    1 << 20,
+)  # packets of all ways; bytes of one stream
 MOST_STREAMS, DIAL = 4096, 3.0  # at a time; seconds
-LOOK, LONGEST_SELF = 0.02, 3600.0  # seconds between looks at held streams; the relay ends by itself after that
+LOOK, LONGEST_SELF = (
+    0.02,
+    3600.0,
+)  # seconds between looks at held streams; the relay ends by itself after that
 MOST_MEMBERS = 250
 INSIDE, OUTSIDE = "127.0.1.", "127.0.2."
 
@@ -50,19 +65,34 @@
 class Relay:
     """The network among `count` gateways whose fleet addresses share one port."""
 
-    def __init__(self, reactor: Any, scenario: Any, port: int, recorder: Recorder) -> None:
-        self.reactor, self.scenario, self.count, self.port = reactor, scenario, scenario.edges, port
+    def __init__(
+        self, reactor: Any, scenario: Any, port: int, recorder: Recorder
+    ) -> None:
+        self.reactor, self.scenario, self.count, self.port = (
+            reactor,
+            scenario,
+            scenario.edges,
+            port,
+        )
         self.recorder, self.chance = recorder, Random(scenario.seed + 4)
         self.faults: list[Fault] = []
         self.ways: dict[tuple[int, int], Way] = {}
         self.streams: set[Stream] = set()
         self.waiting = 0
-        self.figures = {name: [0] * self.count for name in ("packets", "octets", "stream_octets")}
-        self.counts = dict.fromkeys(("lost", "twice", "late", "overfull", "strangers", "streams", "reset"), 0)
+        self.figures = {
+            name: [0] * self.count for name in ("packets", "octets", "stream_octets")
+        }
+        self.counts = dict.fromkeys(
+            ("lost", "twice", "late", "overfull", "strangers", "streams", "reset"), 0
+        )
         self.mouths = [Mouth(self, number) for number in range(self.count)]
         for number, mouth in enumerate(self.mouths):
-            reactor.listenUDP(port, mouth, interface=outside(number), maxPacketSize=65_535)
-            reactor.listenTCP(port, Ends(self, number), interface=outside(number), backlog=256)
+            reactor.listenUDP(
+                port, mouth, interface=outside(number), maxPacketSize=65_535
+            )
+            reactor.listenTCP(
+                port, Ends(self, number), interface=outside(number), backlog=256
+            )
         self.look()
         self.tell()
 
@@ -100,8 +130,15 @@
                 each.abort()
 
     def note(self, fault: Fault, edge: str) -> None:
-        self.recorder.note(what=edge, fault=fault.what, on=sorted(fault.on), size=fault.size, extra=fault.extra,
-                           planned=fault.since, until=fault.until)
+        self.recorder.note(
+            what=edge,
+            fault=fault.what,
+            on=sorted(fault.on),
+            size=fault.size,
+            extra=fault.extra,
+            planned=fault.since,
+            until=fault.until,
+        )
         self.recorder.flush()
 
     def way(self, a: int, b: int) -> Way:
@@ -179,8 +216,13 @@
         factory = Factory.forProtocol(lambda: self.far)
         factory.noisy = False
         self.far.begin(self, near, b, a)
-        endpoint = relay.reactor.connectTCP(inside(b), relay.port, Once(self.far, self.abort), timeout=DIAL,
-                                            bindAddress=(outside(a), 0))
+        endpoint = relay.reactor.connectTCP(
+            inside(b),
+            relay.port,
+            Once(self.far, self.abort),
+            timeout=DIAL,
+            bindAddress=(outside(a), 0),
+        )
         self.connector = endpoint
 
     def go_on(self) -> None:
@@ -282,7 +324,12 @@
 
     def buildProtocol(self, addr: Any) -> Half | None:
         who = speaker(addr.host)
-        if who is None or who >= self.relay.count or who == self.number or len(self.relay.streams) >= MOST_STREAMS:
+        if (
+            who is None
+            or who >= self.relay.count
+            or who == self.number
+            or len(self.relay.streams) >= MOST_STREAMS
+        ):
             self.relay.counts["strangers"] += 1
             return None
         half = Half()
@@ -311,12 +358,25 @@
         if what == "heal":
             self.relay.heal()
         elif what in OF_NETWORK:
-            given = {"part": 0.2, "for_s": 5.0, "size": 0.0, "extra": 0.0, "on": (), **told, "at_s": 0.0}
+            given = {
+                "part": 0.2,
+                "for_s": 5.0,
+                "size": 0.0,
+                "extra": 0.0,
+                "on": (),
+                **told,
+                "at_s": 0.0,
+            }
             trouble = SimpleNamespace(**given, HasField=lambda field: field in told)
-            self.relay.begin(fault_of(trouble, time.monotonic(), self.relay.count, self.relay.chance))
+            self.relay.begin(
+                fault_of(trouble, time.monotonic(), self.relay.count, self.relay.chance)
+            )
         elif what != "counts":
             raise ValueError(f"{what!r} is not heal, counts, {', '.join(OF_NETWORK)}")
-        return {"faults": [each.what for each in self.relay.faults], **self.relay.counts}
+        return {
+            "faults": [each.what for each in self.relay.faults],
+            **self.relay.counts,
+        }
 
 
 def controls(relay: Relay) -> Factory:
--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -2,6 +2,7 @@
 
 Everything started here is ended here, by its process id, within a bound. The day begins when all are there.
 """
+
 from __future__ import annotations
 
 import glob
@@ -20,8 +21,17 @@
 
 from milletsill.lab.audit import audit, gather
 from milletsill.lab.audit_contracts import audit_contracts, figures
-from milletsill.lab.audit_fleet import (Told, Weather, agree, agreements, false_deaths, read_logs, read_weather,
-                                        traffic, verdicts)
+from milletsill.lab.audit_fleet import (
+    Told,
+    Weather,
+    agree,
+    agreements,
+    false_deaths,
+    read_logs,
+    read_weather,
+    traffic,
+    verdicts,
+)
 from milletsill.lab.processes import LAB, Group, PlannerPart, Processes, free_ports
 from milletsill.lab.relay import inside, outside
 from milletsill.lab.report import broken, report
@@ -32,22 +42,49 @@
 __all__ = ["Run", "broken", "report"]
 READY_WITHIN, LEAD, ENDS_WITHIN, SETTLES_WITHIN = 60.0, 1.0, 60.0, 20.0  # seconds
 JOINED_THROUGH = 3  # gateways whose addresses the others' files have
-STALE = ("*.rec", "*.log", "load.json", "channels.json", "stand.json", "*.ready", "start", "stops.json", "traces/*.mtrace")
+STALE = (
+    "*.rec",
+    "*.log",
+    "load.json",
+    "channels.json",
+    "stand.json",
+    "*.ready",
+    "start",
+    "stops.json",
+    "traces/*.mtrace",
+)
 
 
 class Run:
     """One play of a scenario; `module` names a baseline, '' the module itself; `plant` a planted fault."""
 
-    def __init__(self, scenario: Scenario, out: str, module: str = "", per_process: int = 1,
-                 say: Callable[[str], None] = lambda text: None, flows: str = "off",
-                 trace: bool = False, planner: bool = False, plant: str = "") -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        out: str,
+        module: str = "",
+        per_process: int = 1,
+        say: Callable[[str], None] = lambda text: None,
+        flows: str = "off",
+        trace: bool = False,
+        planner: bool = False,
+        plant: str = "",
+    ) -> None:
         self.planner: PlannerPart | None = None
         self.planned, self.plant = planner, plant
         self.flows, self.flow_port, self.trace = flows, 0, trace
-        self.scenario, self.out, self.module, self.say = scenario, os.path.abspath(out), module, say
+        self.scenario, self.out, self.module, self.say = (
+            scenario,
+            os.path.abspath(out),
+            module,
+            say,
+        )
         self.processes = Processes(self.out)
         self.names = [f"edge-{number}" for number in range(scenario.edges)]
-        self.groups = [Group(self, self.names[at:at + per_process]) for at in range(0, len(self.names), per_process)]
+        self.groups = [
+            Group(self, self.names[at : at + per_process])
+            for at in range(0, len(self.names), per_process)
+        ]
         self.troubles = Troubles(self)
         self.starved = Starved()
         self.fleet_port, self.relay = 0, None
@@ -55,7 +92,9 @@
         os.makedirs(self.out, exist_ok=True)
         for old in [path for each in STALE for path in glob.glob(f"{self.out}/{each}")]:
             os.unlink(old)
-        if scenario.gateway.HasField("fleet"):  # what an earlier run promised is not promised now
+        if scenario.gateway.HasField(
+            "fleet"
+        ):  # what an earlier run promised is not promised now
             for name in self.names:
                 shutil.rmtree(f"{self.out}/{name}.state", ignore_errors=True)
 
@@ -64,7 +103,11 @@
         for number, name in enumerate(self.names):
             file = GatewayFile()
             file.CopyFrom(self.scenario.gateway)
-            file.name, file.listen, file.gateways = name, f"127.0.0.1:{ports[1 + number]}", len(self.names)
+            file.name, file.listen, file.gateways = (
+                name,
+                f"127.0.0.1:{ports[1 + number]}",
+                len(self.names),
+            )
             file.registry.address = f"127.0.0.1:{ports[0]}"
             if self.flows != "off":
                 file.flows.SetInParent()
@@ -76,7 +119,10 @@
                 self.write_fleet(file, number)
             if self.trace:
                 file.trace.folder = f"{self.out}/traces"
-            file.state_dir, file.seed = f"{self.out}/{name}.state", self.scenario.seed * 1000 + number
+            file.state_dir, file.seed = (
+                f"{self.out}/{name}.state",
+                self.scenario.seed * 1000 + number,
+            )
             with open(f"{self.out}/{name}.textproto", "w", encoding="utf-8") as sink:
                 sink.write(text_format.MessageToString(file))
         with open(f"{self.out}/scenario.textproto", "w", encoding="utf-8") as sink:
@@ -87,8 +133,11 @@
         file.fleet.address = f"{inside(number)}:{self.fleet_port}"
         file.fleet.advertise = f"{outside(number)}:{self.fleet_port}"
         del file.fleet.join[:]
-        file.fleet.join.extend(f"{outside(each)}:{self.fleet_port}" for each in range(min(JOINED_THROUGH, len(self.names)))
-                               if each != number)
+        file.fleet.join.extend(
+            f"{outside(each)}:{self.fleet_port}"
+            for each in range(min(JOINED_THROUGH, len(self.names)))
+            if each != number
+        )
 
     def wait_for(self, port: int, what: str) -> None:
         """Until something listens."""
@@ -116,18 +165,26 @@
             self.processes.end()
 
     def played(self) -> dict[str, Any]:
-        *ports, self.flow_port, self.planner_port, control = free_ports(4 + len(self.names))
+        *ports, self.flow_port, self.planner_port, control = free_ports(
+            4 + len(self.names)
+        )
         if self.planned:
             self.planner = PlannerPart(self, self.planner_port)
         if self.scenario.gateway.HasField("fleet"):
-            ends = tuple(address(number) for address in (inside, outside) for number in range(len(self.names)))
+            ends = tuple(
+                address(number)
+                for address in (inside, outside)
+                for number in range(len(self.names))
+            )
             self.fleet_port = free_ports(1, ends)[0]
         self.write_files(ports)
         spawn = self.processes.spawn
         stand = spawn(LAB + ["stand", self.out, str(ports[0])], "stand")
         self.wait_for(ports[0], "the stand-ins")
         if self.fleet_port:
-            self.relay = spawn(LAB + ["relay", self.out, str(self.fleet_port), str(control)], "relay")
+            self.relay = spawn(
+                LAB + ["relay", self.out, str(self.fleet_port), str(control)], "relay"
+            )
             self.wait_for(control, "the relay")
         collector = self.start_collector()
         if self.planner is not None:
@@ -136,14 +193,21 @@
             each.start()
         for number, name in enumerate(self.names):
             self.wait_for(ports[1 + number], name)
-        doors = ",".join(f"{name}=127.0.0.1:{ports[1 + number]}" for number, name in enumerate(self.names))
-        clients = [spawn(LAB + [name, self.out, doors], name)
-                   for name in (["load", "channels"] if self.scenario.channels else ["load"])]
+        doors = ",".join(
+            f"{name}=127.0.0.1:{ports[1 + number]}"
+            for number, name in enumerate(self.names)
+        )
+        clients = [
+            spawn(LAB + [name, self.out, doors], name)
+            for name in (["load", "channels"] if self.scenario.channels else ["load"])
+        ]
         for name, process in zip(("load", "channels"), clients):
             self.wait_for_file(f"{name}.ready", process)
         start = self.begin()
-        self.say(f"{len(self.names)} edges in {len(self.groups)} processes, {sum(b.count for b in self.scenario.box)} "
-                 f"boxes, {self.scenario.seconds:g} s")
+        self.say(
+            f"{len(self.names)} edges in {len(self.groups)} processes, {sum(b.count for b in self.scenario.box)} "
+            f"boxes, {self.scenario.seconds:g} s"
+        )
         self.troubles.plan(start)
         ends = start + self.scenario.seconds + self.scenario.tail_s + ENDS_WITHIN
         while any(each.poll() is None for each in clients) and time.monotonic() < ends:
@@ -151,7 +215,9 @@
             self.troubles.play(now)
             self.troubles.stops += self.starved.look(now, self.groups)
             time.sleep(0.01)
-        for number, name in enumerate(self.names):  # one that was killed late may still be starting
+        for number, name in enumerate(
+            self.names
+        ):  # one that was killed late may still be starting
             self.wait_for(ports[1 + number], name)
         self.ended = self.settled()
         return self.finish(clients, stand, collector)
@@ -168,8 +234,14 @@
 
     def logged(self) -> tuple[Told, Weather]:
         """What the gateways' logs say by now, and what was done to them."""
-        told = read_logs(self.out, [each.name for each in self.groups], time.time() - time.monotonic())
-        return told, read_weather(self.out, self.names, self.start, told, self.troubles.told)
+        told = read_logs(
+            self.out,
+            [each.name for each in self.groups],
+            time.time() - time.monotonic(),
+        )
+        return told, read_weather(
+            self.out, self.names, self.start, told, self.troubles.told
+        )
 
     def begin(self) -> float:
         """Tell all that wait for it when the day starts, on the monotonic clock."""
@@ -183,10 +255,23 @@
         """What flow export meets: a collector, one that never reads, or none."""
         address = f"127.0.0.1:{self.flow_port}"
         if self.flows == "on":
-            return self.processes.spawn([sys.executable, "-m", "milletsill", "flows", "collect", "--quiet", "--listen", address],
-                                        "collector")
+            return self.processes.spawn(
+                [
+                    sys.executable,
+                    "-m",
+                    "milletsill",
+                    "flows",
+                    "collect",
+                    "--quiet",
+                    "--listen",
+                    address,
+                ],
+                "collector",
+            )
         if self.flows == "stuck":
-            return self.processes.spawn(LAB + ["deaf", str(self.flow_port)], "collector")
+            return self.processes.spawn(
+                LAB + ["deaf", str(self.flow_port)], "collector"
+            )
         return None
 
     def heard(self, collector: Any, evidence: Any) -> dict[str, Any]:
@@ -195,14 +280,31 @@
             return {}
         collector.send_signal(signal.SIGTERM)
         collector.wait(30)
-        told = json.loads(Path(f"{self.out}/collector.log").read_text(encoding="utf-8").splitlines()[-1])
+        told = json.loads(
+            Path(f"{self.out}/collector.log")
+            .read_text(encoding="utf-8")
+            .splitlines()[-1]
+        )
         sums = told["sums"]
-        return {"commands": (sums.get("client commandDeltaCount", 0), len(evidence.commands)),
-                "dispatches": (sums.get("box dispatchDeltaCount", 0), len(evidence.dispatches)),
-                "missing": told["missing"], "malformed": told["malformed"], "unknown": told["unknown_sets"],
-                "bytes": told["bytes"], "traffic": sum(count for name, count in sums.items() if "ctet" in name)}
+        return {
+            "commands": (
+                sums.get("client commandDeltaCount", 0),
+                len(evidence.commands),
+            ),
+            "dispatches": (
+                sums.get("box dispatchDeltaCount", 0),
+                len(evidence.dispatches),
+            ),
+            "missing": told["missing"],
+            "malformed": told["malformed"],
+            "unknown": told["unknown_sets"],
+            "bytes": told["bytes"],
+            "traffic": sum(count for name, count in sums.items() if "ctet" in name),
+        }
 
-    def finish(self, clients: list[Any], stand: Any, collector: Any = None) -> dict[str, Any]:
+    def finish(
+        self, clients: list[Any], stand: Any, collector: Any = None
+    ) -> dict[str, Any]:
         """End the edges as an operator would, then the rest; audit."""
         exits = []
         for each in self.groups:
@@ -222,22 +324,35 @@
                 each.wait(30)
         for name, process in zip(("load", "channels"), clients):
             if process.poll() != 0:
-                raise RuntimeError(f"the process `{name}` ended with {process.poll()}, see {self.out}/{name}.log")
+                raise RuntimeError(
+                    f"the process `{name}` ended with {process.poll()}, see {self.out}/{name}.log"
+                )
         with open(f"{self.out}/load.json", encoding="utf-8") as source:
             result = json.load(source)
         with open(f"{self.out}/stops.json", "w", encoding="utf-8") as sink:
             json.dump(self.troubles.stops, sink)
         evidence = gather(self.out, len(glob.glob(f"{self.out}/box-*.rec")))
         result["flows"] = self.heard(collector, evidence)
-        result.update(exits=exits, faults=self.tracebacks(), breaches=audit(evidence, self.scenario),
-                      commands=len(evidence.commands), dispatches=len(evidence.dispatches), module=self.module or "BD-EDF",
-                      planner="on" if self.planned else "", starved=self.starved.total, **self.of_fleet(evidence))
+        result.update(
+            exits=exits,
+            faults=self.tracebacks(),
+            breaches=audit(evidence, self.scenario),
+            commands=len(evidence.commands),
+            dispatches=len(evidence.dispatches),
+            module=self.module or "BD-EDF",
+            planner="on" if self.planned else "",
+            starved=self.starved.total,
+            **self.of_fleet(evidence),
+        )
         return result
 
     def tracebacks(self) -> list[str]:
         """Logs with a fault that nobody caught."""
-        return [os.path.basename(each) for each in sorted(glob.glob(f"{self.out}/*.log"))
-                if b"Traceback" in Path(each).read_bytes()]
+        return [
+            os.path.basename(each)
+            for each in sorted(glob.glob(f"{self.out}/*.log"))
+            if b"Traceback" in Path(each).read_bytes()
+        ]
 
     def of_fleet(self, evidence: Any) -> dict[str, Any]:
         """What the gateways' logs say of views, and the audit of contracts with the clients that have channels."""
@@ -245,13 +360,22 @@
         if self.fleet_port:
             told, weather = self.logged()
             rows = agreements(told, weather, self.names, self.ended)
-            found = {"views": rows, "views_agree": rows[-1][2] is not None, "start": self.start, "traffic": traffic(self.out),
-                     "verdicts": verdicts(told, self.scenario, self.start, len(self.names)),
-                     "false_deaths": false_deaths(told, weather)}
+            found = {
+                "views": rows,
+                "views_agree": rows[-1][2] is not None,
+                "start": self.start,
+                "traffic": traffic(self.out),
+                "verdicts": verdicts(told, self.scenario, self.start, len(self.names)),
+                "false_deaths": false_deaths(told, weather),
+            }
         if self.scenario.channels:
             with open(f"{self.out}/channels.json", encoding="utf-8") as source:
                 found["channels"] = json.load(source)
-            kills = [(each["at"], each["on"]) for each in self.troubles.told if each["fault"] in OF_KILLS]
+            kills = [
+                (each["at"], each["on"])
+                for each in self.troubles.told
+                if each["fault"] in OF_KILLS
+            ]
             found["contracts"] = audit_contracts(evidence, self.scenario)
             found["contract_figures"] = figures(evidence, self.scenario, kills)
         return found
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -1,4 +1,5 @@
 """The process that holds the stand-in boxes and the registry of a scenario, and does to them what it says."""
+
 from __future__ import annotations
 
 import json
@@ -15,18 +16,36 @@
 from milletsill.lab.record import Recorder
 from milletsill.lab.registry import Registry, site
 
-OF_BOXES = ("vanish", "slow", "pauses", "neighbour", "report_late", "drain", "replace", "cut")
+OF_BOXES = (
+    "vanish",
+    "slow",
+    "pauses",
+    "neighbour",
+    "report_late",
+    "drain",
+    "replace",
+    "cut",
+)
 
 
 class Stand:
     """All boxes and the registry."""
 
-    def __init__(self, reactor: Any, scenario: Any, out: str, registry_port: int) -> None:
+    def __init__(
+        self, reactor: Any, scenario: Any, out: str, registry_port: int
+    ) -> None:
         self.reactor, self.scenario, self.out = reactor, scenario, out
-        self.chance, self.prefix = Random(scenario.seed + 1), scenario.gateway.registry.prefix
+        self.chance, self.prefix = (
+            Random(scenario.seed + 1),
+            scenario.gateway.registry.prefix,
+        )
         self.recorders = [Recorder(f"{out}/registry.rec", "registry", "registry")]
-        self.registry = Registry(reactor, scenario.registry, scenario.seed + 2, self.recorders[0])
-        reactor.listenTCP(registry_port, site(self.registry), interface="127.0.0.1", backlog=512)
+        self.registry = Registry(
+            reactor, scenario.registry, scenario.seed + 2, self.recorders[0]
+        )
+        reactor.listenTCP(
+            registry_port, site(self.registry), interface="127.0.0.1", backlog=512
+        )
         self.boxes: list[Box] = []
         self.deaf = Deaf(reactor)
         self.deaf.look()
@@ -44,20 +63,44 @@
     def works(self) -> dict[str, tuple[float, float]]:
         """Seconds a unit and spread, by category."""
         mean = self.scenario.gateway.rules.unit_mean
-        return {each.category: (each.work_ms / 1000 / mean, each.cv) for each in self.scenario.traffic}
+        return {
+            each.category: (each.work_ms / 1000 / mean, each.cv)
+            for each in self.scenario.traffic
+        }
 
     def make_boxes(self) -> None:
         kinds = {each.name: each for each in self.scenario.kind}
         for group in self.scenario.box:
             for _ in range(group.count):
-                self.add(len(self.boxes), len(self.boxes), group.zone, kinds[group.kind], Files(), False)
-
-    def add(self, number: int, cell: int, zone: int, kind: Any, files: Files, cold: bool) -> Box:
+                self.add(
+                    len(self.boxes),
+                    len(self.boxes),
+                    group.zone,
+                    kinds[group.kind],
+                    Files(),
+                    False,
+                )
+
+    def add(
+        self, number: int, cell: int, zone: int, kind: Any, files: Files, cold: bool
+    ) -> Box:
         recorder = Recorder(f"{self.out}/box-{number}.rec", "box", str(number))
         self.recorders.append(recorder)
-        box = Box(self.reactor, number, cell, zone, kind, self.scenario.gateway.rules, files, self.work,
-                  self.scenario.seed * 1000 + number, recorder)
-        box.port = self.reactor.listenTCP(0, Gates(box), interface="127.0.0.1", backlog=512)
+        box = Box(
+            self.reactor,
+            number,
+            cell,
+            zone,
+            kind,
+            self.scenario.gateway.rules,
+            files,
+            self.work,
+            self.scenario.seed * 1000 + number,
+            recorder,
+        )
+        box.port = self.reactor.listenTCP(
+            0, Gates(box), interface="127.0.0.1", backlog=512
+        )
         if cold:
             box.boot(cold=True)
         self.boxes.append(box)
@@ -73,7 +116,10 @@
                 home, name = atlas.home(volume, path), path
                 cell = home
                 if volume.placement == FREE:
-                    cell, name = self.chance.choice(volume.cells), f"#pre.{volume.number}.{number}"
+                    cell, name = (
+                        self.chance.choice(volume.cells),
+                        f"#pre.{volume.number}.{number}",
+                    )
                     self.boxes[home].files.links[path] = spot_text(Spot(cell, name))
                 self.boxes[cell].files.data[name] = bytearray(pattern(path, 0, size))
 
@@ -125,15 +171,30 @@
             box.finish(box.engine.advance(now))
             box.speed.still_until = now + trouble.size / 1000
             box.schedule()
-            self.later(trouble.extra * self.chance.uniform(0.5, 1.5), self.do_pauses, box, trouble, until)
-
-    def do_neighbour(self, box: Box, trouble: Any, until: float, on: bool = True) -> None:
+            self.later(
+                trouble.extra * self.chance.uniform(0.5, 1.5),
+                self.do_pauses,
+                box,
+                trouble,
+                until,
+            )
+
+    def do_neighbour(
+        self, box: Box, trouble: Any, until: float, on: bool = True
+    ) -> None:
         """`size` of the machine taken, on and off, about every `extra` seconds."""
         now = time.monotonic()
         box.finish(box.engine.advance(now))
         box.speed.taken = min(trouble.size, 0.95) if on and now < until else 0.0
         if now < until:
-            self.later(trouble.extra * self.chance.uniform(0.5, 1.5), self.do_neighbour, box, trouble, until, not on)
+            self.later(
+                trouble.extra * self.chance.uniform(0.5, 1.5),
+                self.do_neighbour,
+                box,
+                trouble,
+                until,
+                not on,
+            )
 
     def do_report_late(self, box: Box, trouble: Any, until: float) -> None:
         box.report_late = trouble.size
@@ -153,7 +214,9 @@
         self.registry.delete(self.key(old))
         old.vanish()
         old.drop()
-        self.list(self.add(len(self.boxes), old.cell, old.zone, old.kind, old.files, True))
+        self.list(
+            self.add(len(self.boxes), old.cell, old.zone, old.kind, old.files, True)
+        )
 
     def do_cut(self, box: Box, trouble: Any, until: float) -> None:
         box.cut()
--- a/milletsill/lab/starved.py
+++ b/milletsill/lab/starved.py
@@ -2,11 +2,15 @@
 
 Read from outside, from what the system says of each process's main thread. On a machine with enough cores nothing is found.
 """
+
 from __future__ import annotations
 
 from typing import Any, Sequence
 
-LOOK, FROM = 0.05, 0.02  # seconds: between looks; without a core between two looks, from which it counts
+LOOK, FROM = (
+    0.05,
+    0.02,
+)  # seconds: between looks; without a core between two looks, from which it counts
 
 
 def waited(pid: int) -> float | None:
--- a/milletsill/lab/weather.py
+++ b/milletsill/lab/weather.py
@@ -2,6 +2,7 @@
 
 A gateway is a number; a way goes from one to another. Times are seconds, on whichever clock the caller keeps to.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -10,9 +11,9 @@
 
 # what of a scenario's Trouble -> does it cut the way from a to b, given whether each is in the named set
 CUTS = {
-    "split": lambda a, b: a != b,       # the set on one side, the rest on the other
-    "isolate": lambda a, b: a or b,     # each of the set by itself
-    "cut_one_way": lambda a, b: a,      # none hears the set; the set hears all
+    "split": lambda a, b: a != b,  # the set on one side, the rest on the other
+    "isolate": lambda a, b: a or b,  # each of the set by itself
+    "cut_one_way": lambda a, b: a,  # none hears the set; the set hears all
 }
 OF_NETWORK = (*CUTS, "lossy", "slow_network", "reset_network")
 AGAIN_AFTER = 0.2  # seconds until a stream's lost piece is sent again
@@ -74,15 +75,30 @@
     """A scenario's trouble as a fault among `count` gateways; who is not named is drawn."""
     named = [each for each in trouble.on if each < count]
     by_part = trouble.what in CUTS or trouble.HasField("part")
-    drawn = chance.sample(range(count), min(max(round(trouble.part * count), 1), count)) if by_part else []
+    drawn = (
+        chance.sample(range(count), min(max(round(trouble.part * count), 1), count))
+        if by_part
+        else []
+    )
     since = start + trouble.at_s
-    return Fault(trouble.what, since, since + trouble.for_s, frozenset(named or drawn), trouble.size, trouble.extra)
+    return Fault(
+        trouble.what,
+        since,
+        since + trouble.for_s,
+        frozenset(named or drawn),
+        trouble.size,
+        trouble.extra,
+    )
 
 
 def faults_of(scenario: Any, start: float) -> list[Fault]:
     """All that the network does on a scenario's day, drawn in order."""
     chance = Random(scenario.seed + 5)
-    return [fault_of(each, start, scenario.edges, chance) for each in scenario.trouble if each.what in OF_NETWORK]
+    return [
+        fault_of(each, start, scenario.edges, chance)
+        for each in scenario.trouble
+        if each.what in OF_NETWORK
+    ]
 
 
 def way(faults: Iterable[Fault], a: int, b: int) -> Way:
@@ -94,4 +110,8 @@
             kept, twice = kept * (1 - each.size), max(twice, each.extra)
         elif each.what == "slow_network" and each.touches(a, b):
             late, uneven = late + each.size / 1000, max(uneven, each.extra / 1000)
-    return Way(cut, 1 - kept, twice, late, uneven) if cut or kept < 1 or twice or late or uneven else CLEAR
+    return (
+        Way(cut, 1 - kept, twice, late, uneven)
+        if cut or kept < 1 or twice or late or uneven
+        else CLEAR
+    )
--- a/milletsill/lab/wire.py
+++ b/milletsill/lab/wire.py
@@ -3,6 +3,7 @@
 
 The wire names no stores: they stand by number. An instance that is killed and born again gets a new file.
 """
+
 from __future__ import annotations
 
 import os
@@ -20,13 +21,29 @@
     """All the traces of one play; a folder of its own, since the bench runs several days."""
 
     def __init__(self, folder: str) -> None:
-        self.folder, self.taps, self.births = os.path.join(folder, str(os.getpid())), list[Tap](), 0
+        self.folder, self.taps, self.births = (
+            os.path.join(folder, str(os.getpid())),
+            list[Tap](),
+            0,
+        )
         os.makedirs(self.folder, exist_ok=True)
 
     def tap(self, number: int, facts: dict[str, Any], seed: int, now: int) -> Tap:
         self.births += 1
-        about = {"name": f"instance-{number}", "seed": seed, "facts": facts, "made": now, "opened": 0, "wall_ms": 0}
-        made = Tap(os.path.join(self.folder, f"instance-{number:04d}-{self.births:05d}.mtrace"), about)
+        about = {
+            "name": f"instance-{number}",
+            "seed": seed,
+            "facts": facts,
+            "made": now,
+            "opened": 0,
+            "wall_ms": 0,
+        }
+        made = Tap(
+            os.path.join(
+                self.folder, f"instance-{number:04d}-{self.births:05d}.mtrace"
+            ),
+            about,
+        )
         self.taps.append(made)
         return made
 
@@ -43,13 +60,17 @@
         self.kept = kept
 
     def born(self, facts: dict[str, Any], seed: int, now: int) -> Any:
-        return Recorder(self.kept.tap(self.number, facts, seed, now), ()).around(Scheduler)(facts, seed, now, self)
+        return Recorder(self.kept.tap(self.number, facts, seed, now), ()).around(
+            Scheduler
+        )(facts, seed, now, self)
 
 
 def main(folder: str) -> int:
     kept = Kept(folder)
     try:
-        serve(sys.stdin.buffer, sys.stdout.buffer, lambda number: Recorded(number, kept))
+        serve(
+            sys.stdin.buffer, sys.stdout.buffer, lambda number: Recorded(number, kept)
+        )
     except BadBatch as error:
         print(f"milletsill: malformed input: {error.line()}", file=sys.stderr)
         return 2
--- a/milletsill/links/decide.py
+++ b/milletsill/links/decide.py
@@ -2,6 +2,7 @@
 
 No I/O and no clock: figures in, one word out. Spans are tenths of a millisecond.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -26,7 +27,10 @@
     (Stage.DOUBTED, Sign.QUIET): (Stage.CLOSED, "cut"),
     (Stage.READY, Sign.SPENT): (Stage.CLOSED, "close"),
     (Stage.READY, Sign.RETIRE): (Stage.CLOSED, "close"),
-    **{(stage, Sign.LATE): (Stage.CLOSED, "cut") for stage in (Stage.DIALING, Stage.GREETING)},
+    **{
+        (stage, Sign.LATE): (Stage.CLOSED, "cut")
+        for stage in (Stage.DIALING, Stage.GREETING)
+    },
     **{(stage, Sign.BROKEN): (Stage.CLOSED, "cut") for stage in OPEN_STAGES},
     **{(stage, Sign.LOST): (Stage.CLOSED, "end") for stage in OPEN_STAGES},
 }
@@ -68,10 +72,22 @@
     else it waits for one that is being made, never more of them than those could carry; else it is refused, which
     tells the module that the box was not reached.
     """
-    best = min((place for place, each in enumerate(loads)
-                if each.stage is Stage.READY and not each.stuck and each.out < bounds.streams),
-               key=lambda place: loads[place].out, default=-1)
-    if best >= 0 and (loads[best].out == 0 or not may_dial(loads, bounds) or loads[best].out < bounds.streams // 2):
+    best = min(
+        (
+            place
+            for place, each in enumerate(loads)
+            if each.stage is Stage.READY
+            and not each.stuck
+            and each.out < bounds.streams
+        ),
+        key=lambda place: loads[place].out,
+        default=-1,
+    )
+    if best >= 0 and (
+        loads[best].out == 0
+        or not may_dial(loads, bounds)
+        or loads[best].out < bounds.streams // 2
+    ):
         return Way.USE, best
     if may_dial(loads, bounds):
         return Way.DIAL, -1
--- a/milletsill/links/pool.py
+++ b/milletsill/links/pool.py
@@ -2,6 +2,7 @@
 
 Every dispatch that is handed to `Pool.dispatch` gets exactly one `ended` call, never from within `dispatch` itself.
 """
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -22,11 +23,17 @@
 # Told of each dispatch that ended, and of other packets without an order: order, outcome, octets to the box and back,
 # the time it took.
 Metered = Callable[["Order | None", str, int, int, int], None]
-LOOKS_A_SPAN = 4  # how often within the shortest bound the connections of a pool are looked at
+LOOKS_A_SPAN = (
+    4  # how often within the shortest bound the connections of a pool are looked at
+)
 MOST_REPLY = 64_000_000
-OUTCOMES = {extensions.DONE: Outcome.SATISFIED, extensions.ELSEWHERE: Outcome.SATISFIED,
-            extensions.FULL: Outcome.TURNED_AWAY, extensions.DRAINING: Outcome.TURNED_AWAY,
-            extensions.ERROR: Outcome.ERROR}
+OUTCOMES = {
+    extensions.DONE: Outcome.SATISFIED,
+    extensions.ELSEWHERE: Outcome.SATISFIED,
+    extensions.FULL: Outcome.TURNED_AWAY,
+    extensions.DRAINING: Outcome.TURNED_AWAY,
+    extensions.ERROR: Outcome.ERROR,
+}
 
 
 def forget(outcome: Outcome, verdict: Verdict | None) -> None:
@@ -36,10 +43,28 @@
 class Sending:
     """One dispatch at the pool: where it is and whom to tell."""
 
-    __slots__ = ("pool", "order", "ended", "link", "id", "over", "since", "octets", "gate")
-
-    def __init__(self, pool: Pool, order: Order, ended: Ended, now: int, gate: Any = None) -> None:
-        self.pool, self.order, self.ended, self.since, self.gate = pool, order, ended, now, gate
+    __slots__ = (
+        "pool",
+        "order",
+        "ended",
+        "link",
+        "id",
+        "over",
+        "since",
+        "octets",
+        "gate",
+    )
+
+    def __init__(
+        self, pool: Pool, order: Order, ended: Ended, now: int, gate: Any = None
+    ) -> None:
+        self.pool, self.order, self.ended, self.since, self.gate = (
+            pool,
+            order,
+            ended,
+            now,
+            gate,
+        )
         self.link: Link | None = None
         self.id, self.over, self.octets = 0, False, 0
 
@@ -91,8 +116,14 @@
 
     def packet(self, packet: Any, octets: int) -> None:
         """One packet of the box."""
-        sending = self.out.get(packet.id) if isinstance(packet, packets.ExtendedReply) else None
-        if sending is None:  # a greeting, a beat, or the answer to a dispatch that was given up
+        sending = (
+            self.out.get(packet.id)
+            if isinstance(packet, packets.ExtendedReply)
+            else None
+        )
+        if (
+            sending is None
+        ):  # a greeting, a beat, or the answer to a dispatch that was given up
             self.pool.meter(None, "", 0, octets, 0)
         if isinstance(packet, packets.Version):
             return self.sign(Sign.VERSION)
@@ -102,7 +133,10 @@
         if not isinstance(packet, packets.ExtendedReply):
             raise BadPacket(f"{type(packet).__name__} where a verdict was due")
         verdict = extensions.read_verdict(packet)
-        if verdict.verdict in (extensions.DONE, extensions.ELSEWHERE) and verdict.answer is None:
+        if (
+            verdict.verdict in (extensions.DONE, extensions.ELSEWHERE)
+            and verdict.answer is None
+        ):
             raise BadPacket("a verdict without the answer it speaks of")
         if sending is not None:
             del self.out[packet.id]
@@ -134,7 +168,11 @@
             if sign is Sign.VERSION:
                 self.ids += 1
                 self.beats += 1
-                self.control(extensions.put_hello(self.ids, self.pool.gateway, self.pool.incarnation))
+                self.control(
+                    extensions.put_hello(
+                        self.ids, self.pool.gateway, self.pool.incarnation
+                    )
+                )
             self.pool.serve_waiting()
         elif effect == "beat":
             self.ids += 1
@@ -177,7 +215,9 @@
         sending.link, sending.id = self, self.ids
         self.out[self.ids] = sending
         self.load.out = len(self.out)
-        waited = (self.pool.now() - sending.since) // 10  # what is left to the client was told when it was decided on
+        waited = (
+            self.pool.now() - sending.since
+        ) // 10  # what is left to the client was told when it was decided on
         order = replace(sending.order, left=max(sending.order.left - waited, 1))
         sending.octets = self.send(extensions.put_order(self.ids, order))
 
@@ -186,20 +226,46 @@
         if self.out.pop(sending.id, None) is not None:
             self.load.out = len(self.out)
             self.ids += 1
-            self.control(extensions.put_cancel(self.ids, sending.order.transfer, sending.order.number))
+            self.control(
+                extensions.put_cancel(
+                    self.ids, sending.order.transfer, sending.order.number
+                )
+            )
 
 
 class Pool:
     """All connections to one disk box. `remark` takes one line for the log."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], address: str, bounds: Bounds, gateway: str,
-                 incarnation: int, most_packet: int, remark: Callable[[str], None],
-                 endpoint: Any = None, metered: Metered | None = None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        address: str,
+        bounds: Bounds,
+        gateway: str,
+        incarnation: int,
+        most_packet: int,
+        remark: Callable[[str], None],
+        endpoint: Any = None,
+        metered: Metered | None = None,
+    ) -> None:
         self.metered = metered
-        self.reactor, self.now, self.address, self.bounds = reactor, now, address, bounds
-        self.gateway, self.incarnation, self.most_packet, self.remark = gateway, incarnation, most_packet, remark
+        self.reactor, self.now, self.address, self.bounds = (
+            reactor,
+            now,
+            address,
+            bounds,
+        )
+        self.gateway, self.incarnation, self.most_packet, self.remark = (
+            gateway,
+            incarnation,
+            most_packet,
+            remark,
+        )
         host, _, port = address.rpartition(":")
-        self.endpoint = endpoint or TCP4ClientEndpoint(reactor, host, int(port), timeout=bounds.dial / 10_000)
+        self.endpoint = endpoint or TCP4ClientEndpoint(
+            reactor, host, int(port), timeout=bounds.dial / 10_000
+        )
         self.links: list[Link] = []
         self.waiting: list[Sending] = []
         self.look_call: Any = None
@@ -218,7 +284,9 @@
     def dispatch(self, order: Order, ended: Ended, gate: Any = None) -> Sending:
         """Send a dispatch as the bounds allow; `ended` is told how it went. A `gate` is asked again where it had to wait."""
         sending = Sending(self, order, ended, self.now(), gate)
-        way, place = route([each.load for each in self.links], len(self.waiting), self.bounds)
+        way, place = route(
+            [each.load for each in self.links], len(self.waiting), self.bounds
+        )
         if self.closed or self.barred:
             way = Way.REFUSE
         if way is Way.USE:
@@ -232,7 +300,14 @@
         self.look_soon()
         return sending
 
-    def meter(self, order: Order | None, outcome: str, octets_to: int, octets_back: int, span: int) -> None:
+    def meter(
+        self,
+        order: Order | None,
+        outcome: str,
+        octets_to: int,
+        octets_back: int,
+        span: int,
+    ) -> None:
         """Tell flow export, where there is any."""
         if self.metered is not None and (order is not None or octets_to or octets_back):
             self.metered(order, outcome, octets_to, octets_back, span)
@@ -240,7 +315,13 @@
     def ended(self, sending: Sending, outcome: Outcome, octets_back: int = 0) -> None:
         """Tell flow export how a dispatch ended, once."""
         if not sending.over:
-            self.meter(sending.order, outcome.value, sending.octets, octets_back, self.now() - sending.since)
+            self.meter(
+                sending.order,
+                outcome.value,
+                sending.octets,
+                octets_back,
+                self.now() - sending.since,
+            )
 
     def unreach(self, sending: Sending) -> None:
         """It was never sent; told later, never from within."""
@@ -264,7 +345,9 @@
         """A link that ended leaves; what waits with nothing left to wait for was not reached."""
         if link in self.links:
             self.links.remove(link)
-        if self.waiting and not any(each.load.stage is not Stage.CLOSED for each in self.links):
+        if self.waiting and not any(
+            each.load.stage is not Stage.CLOSED for each in self.links
+        ):
             waiting, self.waiting = self.waiting, []
             for each in waiting:
                 self.unreach(each)
@@ -276,7 +359,11 @@
             if way is not Way.USE:
                 return
             sending = self.waiting.pop(0)
-            if sending.gate is not None and not sending.over and not sending.gate.leaves():
+            if (
+                sending.gate is not None
+                and not sending.over
+                and not sending.gate.leaves()
+            ):
                 self.unreach(sending)
             elif not sending.over:
                 self.links[place].dispatch(sending)
@@ -293,7 +380,11 @@
     def look_soon(self) -> None:
         """One look at all connections in a while, as long as there are any."""
         if self.look_call is None and (self.links or self.waiting):
-            span = min(self.bounds.silent, self.bounds.dial, self.bounds.idle) / 10_000 / LOOKS_A_SPAN
+            span = (
+                min(self.bounds.silent, self.bounds.dial, self.bounds.idle)
+                / 10_000
+                / LOOKS_A_SPAN
+            )
             self.look_call = self.reactor.callLater(max(span, 0.001), self.look)
 
     def look(self) -> None:
@@ -301,7 +392,17 @@
         now = self.now()
         for link in list(self.links):
             spare = self.closed and not link.out
-            sign = Sign.RETIRE if spare else due(link.load.stage, len(link.out) + link.beats, now - link.heard, now - link.made, self.bounds)
+            sign = (
+                Sign.RETIRE
+                if spare
+                else due(
+                    link.load.stage,
+                    len(link.out) + link.beats,
+                    now - link.heard,
+                    now - link.made,
+                    self.bounds,
+                )
+            )
             if sign is not None:
                 link.sign(sign)
         late = [each for each in self.waiting if now - each.since >= self.bounds.dial]
--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -1,4 +1,5 @@
 """Frames of the planner's protocol: u32 length, big-endian, and one protobuf Frame; to and from what decide.py speaks of."""
+
 from __future__ import annotations
 
 from struct import Struct
@@ -37,7 +38,7 @@
             if len(self.held) - at - LENGTH.size < size:
                 break
             at += LENGTH.size
-            yield decoded(bytes(self.held[at:at + size]))
+            yield decoded(bytes(self.held[at : at + size]))
             at += size
         del self.held[:at]
 
@@ -59,25 +60,61 @@
 
 
 def put_ask(ask: Ask, asked: float = 0.0) -> Wish:
-    return Wish(epoch=ask.epoch, what=ask.thing[0], id=ask.thing[1], want=ask.want, capital=ask.capital,
-                lent=[Piece(part=part, heard=heard) for part, heard in ask.lent], sent=ask.sent, asked=min(int(asked * 1000), (1 << 32) - 1))
+    return Wish(
+        epoch=ask.epoch,
+        what=ask.thing[0],
+        id=ask.thing[1],
+        want=ask.want,
+        capital=ask.capital,
+        lent=[Piece(part=part, heard=heard) for part, heard in ask.lent],
+        sent=ask.sent,
+        asked=min(int(asked * 1000), (1 << 32) - 1),
+    )
 
 
 def get_ask(edge: str, incarnation: int, wish: Any) -> Ask:
     if wish.what not in WHATS:
         raise BadFrame(f"an ask for {wish.what[:20]!r}, not one of {', '.join(WHATS)}")
-    return Ask(edge, incarnation, wish.epoch, (wish.what, wish.id), wish.want, wish.capital,
-               tuple((each.part, each.heard) for each in wish.lent), wish.sent)
+    return Ask(
+        edge,
+        incarnation,
+        wish.epoch,
+        (wish.what, wish.id),
+        wish.want,
+        wish.capital,
+        tuple((each.part, each.heard) for each in wish.lent),
+        wish.sent,
+    )
 
 
 def put_grant(grant: Grant) -> Given:
-    return Given(epoch=grant.epoch, incarnation=grant.incarnation, what=grant.thing[0], id=grant.thing[1],
-                 sequence=grant.sequence, granted=grant.granted, lasts=grant.lasts, lend=grant.lend, asked=grant.asked,
-                 told=grant.told, again=grant.again)
+    return Given(
+        epoch=grant.epoch,
+        incarnation=grant.incarnation,
+        what=grant.thing[0],
+        id=grant.thing[1],
+        sequence=grant.sequence,
+        granted=grant.granted,
+        lasts=grant.lasts,
+        lend=grant.lend,
+        asked=grant.asked,
+        told=grant.told,
+        again=grant.again,
+    )
 
 
 def get_grant(given: Any) -> Grant:
     if given.what not in WHATS:
         raise BadFrame(f"a grant of {given.what[:20]!r}, not one of {', '.join(WHATS)}")
-    return Grant(given.epoch, given.incarnation, (given.what, given.id), given.sequence, given.granted, given.lasts, given.lend,
-                 given.asked, given.told, given.again)
+    return Grant(
+        given.epoch,
+        given.incarnation,
+        (given.what, given.id),
+        given.sequence,
+        given.granted,
+        given.lasts,
+        given.lend,
+        given.asked,
+        given.told,
+        given.again,
+    )
--- a/milletsill/planner/decide/granting.py
+++ b/milletsill/planner/decide/granting.py
@@ -1,27 +1,47 @@
 """The planner: what it counts on, and what it grants out of that."""
+
 from __future__ import annotations
 
 from milletsill.planner.decide.plan import LEAST_PART, PLAN_EVERY, Pot, Share, plan
-from milletsill.planner.decide.terms import MOST_PROMISES, SELDOM, SOON, WHOLE, Ask, Grant, Span, Thing
+from milletsill.planner.decide.terms import (
+    MOST_PROMISES,
+    SELDOM,
+    SOON,
+    WHOLE,
+    Ask,
+    Grant,
+    Span,
+    Thing,
+)
 
 
 class Planner:
     """One run of the planner under one epoch. `most_edges` and `most_things` bound its memory."""
 
-    def __init__(self, epoch: int, span: Span, most_edges: int = 1000, most_things: int = 100_000) -> None:
+    def __init__(
+        self, epoch: int, span: Span, most_edges: int = 1000, most_things: int = 100_000
+    ) -> None:
         self.epoch, self.span = epoch, span
         self.most_edges, self.most_things = most_edges, most_things
         self.pots: dict[Thing, Pot] = {}
         self.edges: dict[str, int] = {}  # the newest incarnation of each
         self.frozen = False
         self.drained: frozenset[str] = frozenset()  # edges that shall want nothing
-        self.linked: set[str] = set()  # edges that are there, though they may have nothing to ask
-        self.calls: list[tuple[str, Grant]] = []  # grants that nobody asked for; whoever carries messages takes them
+        self.linked: set[str] = (
+            set()
+        )  # edges that are there, though they may have nothing to ask
+        self.calls: list[
+            tuple[str, Grant]
+        ] = []  # grants that nobody asked for; whoever carries messages takes them
 
     def forget(self, now: int) -> None:
         """Things that nobody has asked about, with nothing out, leave; so do edges of which nothing is left."""
         for thing, pot in list(self.pots.items()):
-            if all(now - each.reported > self.span.longest * SELDOM * 3 and not each.out(now) for each in pot.shares.values()):
+            if all(
+                now - each.reported > self.span.longest * SELDOM * 3
+                and not each.out(now)
+                for each in pot.shares.values()
+            ):
                 del self.pots[thing]
         if len(self.edges) > self.most_edges // 2:
             held = {name for pot in self.pots.values() for name in pot.shares}
@@ -48,10 +68,25 @@
 
     def sound(self, ask: Ask, now: int) -> bool:
         """Whether an ask makes sense and there is room for it."""
-        known, pot = ask.edge in self.edges or len(self.edges) < self.most_edges, self.pots.get(ask.thing)
-        room = len(self.pots) < self.most_things if pot is None else pot.capital == ask.capital
-        return (known and room and 0 <= ask.want <= WHOLE and 0 < ask.capital <= WHOLE and len(ask.lent) <= MOST_PROMISES + 1
-                and all(0 <= part <= ask.capital and heard <= now for part, heard in ask.lent))
+        known, pot = (
+            ask.edge in self.edges or len(self.edges) < self.most_edges,
+            self.pots.get(ask.thing),
+        )
+        room = (
+            len(self.pots) < self.most_things
+            if pot is None
+            else pot.capital == ask.capital
+        )
+        return (
+            known
+            and room
+            and 0 <= ask.want <= WHOLE
+            and 0 < ask.capital <= WHOLE
+            and len(ask.lent) <= MOST_PROMISES + 1
+            and all(
+                0 <= part <= ask.capital and heard <= now for part, heard in ask.lent
+            )
+        )
 
     def born(self, edge: str, incarnation: int) -> None:
         """An edge has started again. It keeps its promises by resting; what it was granted is gone, but may have been used
@@ -65,8 +100,14 @@
     def count_on(self, share: Share, ask: Ask, now: int) -> None:
         """A promise is surely kept for a longest span from the planner's own time that the edge had heard before it made it.
         What was counted before stays true, and is kept as long as it says anything new."""
-        told = [(part, heard + self.span.least(self.span.longest)) for part, heard in ask.lent]
-        known = sorted({each for each in share.promises + told if each[1] > now}, key=lambda each: (-each[1], -each[0]))
+        told = [
+            (part, heard + self.span.least(self.span.longest))
+            for part, heard in ask.lent
+        ]
+        known = sorted(
+            {each for each in share.promises + told if each[1] > now},
+            key=lambda each: (-each[1], -each[0]),
+        )
         share.promises, most = [], 0
         for part, ends in known:
             if part > most and len(share.promises) < 2 * MOST_PROMISES:
@@ -94,17 +135,47 @@
             share.grants.append((granted, now + self.span.most(lasts)))
             pot.held += max(granted - before, 0)
         again = self.span.longest // SOON if pot.loud else self.span.longest * SELDOM
-        return Grant(self.epoch, ask.incarnation, ask.thing, share.sequence, granted, lasts, share.lend, ask.sent, now, again)
+        return Grant(
+            self.epoch,
+            ask.incarnation,
+            ask.thing,
+            share.sequence,
+            granted,
+            lasts,
+            share.lend,
+            ask.sent,
+            now,
+            again,
+        )
 
     def call(self, thing: Thing, pot: Pot, now: int) -> None:
         """Edges that are quiet about a thing which others now want are told what to lend. Guards the planner against 150 edges
         that ask about 400 idle stores each second; harm: a store that wakes up waits one message longer for its parts."""
         every = self.span.longest // SOON
         for name, share in pot.shares.items():
-            if share.lend and now - max(share.reported, share.called) > every and len(self.calls) < self.most_edges:
+            if (
+                share.lend
+                and now - max(share.reported, share.called) > every
+                and len(self.calls) < self.most_edges
+            ):
                 share.called, share.sequence = now, share.sequence + 1
-                self.calls.append((name, Grant(self.epoch, self.edges.get(name, 0), thing, share.sequence, 0, self.span.longest,
-                                               share.lend, share.asked, now, 0)))
+                self.calls.append(
+                    (
+                        name,
+                        Grant(
+                            self.epoch,
+                            self.edges.get(name, 0),
+                            thing,
+                            share.sequence,
+                            0,
+                            self.span.longest,
+                            share.lend,
+                            share.asked,
+                            now,
+                            0,
+                        ),
+                    )
+                )
 
     def drain_calls(self) -> list[tuple[str, Grant]]:
         """Those, once."""
--- a/milletsill/planner/decide/lending.py
+++ b/milletsill/planner/decide/lending.py
@@ -1,11 +1,23 @@
 """The edge: what it may use, what it lends, which grants it takes."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import Iterable, Sequence
 
-from milletsill.planner.decide.terms import GUARD, MOST_PROMISES, NEVER, WHOLE, Ask, Grant, Lent, Span, Thing, even
+from milletsill.planner.decide.terms import (
+    GUARD,
+    MOST_PROMISES,
+    NEVER,
+    WHOLE,
+    Ask,
+    Grant,
+    Lent,
+    Span,
+    Thing,
+    even,
+)
 
 
 @dataclass(slots=True)
@@ -27,7 +39,11 @@
 
     def part(self, now: int) -> int:
         """What the edge may use now."""
-        return self.capital - self.lent(now) + (self.granted if now < self.granted_ends else 0)
+        return (
+            self.capital
+            - self.lent(now)
+            + (self.granted if now < self.granted_ends else 0)
+        )
 
     def ends(self) -> list[int]:
         """When `part` changes by itself."""
@@ -36,7 +52,9 @@
     def promise(self, made: Lent, now: int) -> None:
         """One more promise. None that stands is made smaller or shorter: a larger one stays beside a new smaller one, until
         its end. Past MOST_PROMISES the two last become one, as large and as long as either."""
-        kept = [each for each in self.promises if now < each.ends and each.part > made.part]
+        kept = [
+            each for each in self.promises if now < each.ends and each.part > made.part
+        ]
         if len(kept) >= MOST_PROMISES:
             last = kept.pop()
             made = Lent(last.part, made.ends, last.heard)
@@ -50,8 +68,15 @@
     """One edge's side. `born` is its clock at its start: until a whole longest span has passed since, it has the floor alone,
     for its former self may have lent the rest."""
 
-    def __init__(self, name: str, incarnation: int, span: Span, born: int, fresh: bool = False) -> None:
-        self.name, self.incarnation, self.span, self.born = name, incarnation, span, born
+    def __init__(
+        self, name: str, incarnation: int, span: Span, born: int, fresh: bool = False
+    ) -> None:
+        self.name, self.incarnation, self.span, self.born = (
+            name,
+            incarnation,
+            span,
+            born,
+        )
         self.rests = 0 if fresh else born + span.longest
         self.epoch = 0
         self.holdings: dict[Thing, Holding] = {}
@@ -61,7 +86,9 @@
         held = self.holdings.get(thing)
         if held is None:
             capital = even(gateways)
-            held = self.holdings[thing] = Holding(capital, int(capital * self.span.floor))
+            held = self.holdings[thing] = Holding(
+                capital, int(capital * self.span.floor)
+            )
         return held
 
     def part(self, thing: Thing, now: int) -> int:
@@ -97,8 +124,21 @@
     def ask(self, thing: Thing, want: int, now: int) -> Ask:
         """What to send."""
         held = self.holdings[thing]
-        lent = tuple((each.part, each.heard) for each in held.promises if now < each.ends and held.lent_to == self.epoch)
-        return Ask(self.name, self.incarnation, self.epoch, thing, want, held.capital, lent, now)
+        lent = tuple(
+            (each.part, each.heard)
+            for each in held.promises
+            if now < each.ends and held.lent_to == self.epoch
+        )
+        return Ask(
+            self.name,
+            self.incarnation,
+            self.epoch,
+            thing,
+            want,
+            held.capital,
+            lent,
+            now,
+        )
 
     def meet(self, epoch: int) -> bool:
         """A planner's hello: whether its epoch is taken. One older than the newest heard is refused."""
@@ -113,8 +153,13 @@
     def take(self, grant: Grant, now: int) -> Heard:
         """A grant: kept if it is of this epoch, newer than the last, and not over already."""
         held = self.holdings.get(grant.thing)
-        if held is None or grant.incarnation != self.incarnation or grant.asked > now or not 0 < grant.lasts <= self.span.longest or not (
-                0 <= grant.granted <= WHOLE and 0 <= grant.lend <= WHOLE):
+        if (
+            held is None
+            or grant.incarnation != self.incarnation
+            or grant.asked > now
+            or not 0 < grant.lasts <= self.span.longest
+            or not (0 <= grant.granted <= WHOLE and 0 <= grant.lend <= WHOLE)
+        ):
             return Heard.SENSELESS
         if grant.epoch != self.epoch:
             return Heard.OLD_EPOCH
@@ -127,7 +172,10 @@
             self.promise(held, grant, now)
             return Heard.TOO_LATE
         held.sequence = grant.sequence
-        held.granted, held.granted_ends = grant.granted, grant.asked + grant.lasts - GUARD
+        held.granted, held.granted_ends = (
+            grant.granted,
+            grant.asked + grant.lasts - GUARD,
+        )
         self.promise(held, grant, now)
         return Heard.TAKEN
 
@@ -137,7 +185,14 @@
             return
         if held.lent_to != self.epoch:
             held.promises, held.lent_to = [], self.epoch
-        held.promise(Lent(min(grant.lend, self.free(held, now)), now + self.span.longest, grant.told), now)
+        held.promise(
+            Lent(
+                min(grant.lend, self.free(held, now)),
+                now + self.span.longest,
+                grant.told,
+            ),
+            now,
+        )
 
 
 def totals(edges: Iterable[Edge], thing: Thing, times: Sequence[int]) -> int:
--- a/milletsill/planner/decide/link.py
+++ b/milletsill/planner/decide/link.py
@@ -1,4 +1,5 @@
 """An edge's link to the planner, as a table."""
+
 from __future__ import annotations
 
 from enum import Enum
--- a/milletsill/planner/decide/terms.py
+++ b/milletsill/planner/decide/terms.py
@@ -1,4 +1,5 @@
 """What planner and edges say to each other, and the terms that both reckon by."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -7,8 +8,13 @@
 MOST_PROMISES, MOST_ENDS = 3, 64  # of one holding; ends that are tried for a grant
 GUARD = 200  # a grant is over this much before its end: a send that was decided just before it may still be on its way out
 SECOND = 10_000
-Thing = tuple[str, int]  # what is parted: ("limit", volume), ("reserve", volume), ("cold", node)
-SOON, SELDOM = 3, 8  # asks of what is idle: so many in a longest span where it is wanted, every so many spans where not
+Thing = tuple[
+    str, int
+]  # what is parted: ("limit", volume), ("reserve", volume), ("cold", node)
+SOON, SELDOM = (
+    3,
+    8,
+)  # asks of what is idle: so many in a longest span where it is wanted, every so many spans where not
 
 
 @dataclass(frozen=True, slots=True)
--- a/milletsill/planner/decide/wants.py
+++ b/milletsill/planner/decide/wants.py
@@ -1,4 +1,5 @@
 """What an edge wants of a thing, and when it asks."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -39,7 +40,9 @@
             fresh = self.units * SECOND / span
             # Up within UP, down within DOWN: a part that is given back too soon is asked for again with the next burst, and one
             # that a single large transfer asks for is missed elsewhere.
-            self.rate += (fresh - self.rate) * min(span / (UP if fresh >= self.rate else DOWN), 1.0)
+            self.rate += (fresh - self.rate) * min(
+                span / (UP if fresh >= self.rate else DOWN), 1.0
+            )
             self.units, self.since = 0.0, now
         return self.rate
 
--- a/milletsill/planner/edge.py
+++ b/milletsill/planner/edge.py
@@ -3,6 +3,7 @@
 Nothing here waits for the planner: without a word from it the edge has its even parts, or less where it has lent some, until that
 is over (decide.py). An edge without a `planner` in its file loads none of this.
 """
+
 from __future__ import annotations
 
 import random
@@ -13,7 +14,14 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.interface import Arrival, Listed, Readiness
-from milletsill.planner.codec import VERSION, Frames, BadFrame, encoded, get_grant, put_ask
+from milletsill.planner.codec import (
+    VERSION,
+    Frames,
+    BadFrame,
+    encoded,
+    get_grant,
+    put_ask,
+)
 from milletsill.planner.decide.lending import Edge, Heard
 from milletsill.planner.decide.link import Link, Said, dial_after, link_step
 from milletsill.planner.decide.terms import GUARD, SECOND, WHOLE, Thing
@@ -50,13 +58,25 @@
 class Parts:
     """One gateway's parts. `host` is told of each that changes."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], file: Any, facts: Mapping[str, Any], seed: int, incarnation: int,
-                 host: Any, remark: Callable[..., None], registry: Any) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        file: Any,
+        facts: Mapping[str, Any],
+        seed: int,
+        incarnation: int,
+        host: Any,
+        remark: Callable[..., None],
+        registry: Any,
+    ) -> None:
         self.reactor, self.now, self.file, self.facts = reactor, now, file, facts
         self.host, self.remark = host, remark
         self.span = span_of(file.planner.lending)
         # A first run has no former self. What cannot be told counts as a later one.
-        self.edge = Edge(file.name, incarnation, self.span, now(), fresh=incarnation == 1)
+        self.edge = Edge(
+            file.name, incarnation, self.span, now(), fresh=incarnation == 1
+        )
         self.chance = random.Random(seed)
         self.demand: dict[Thing, Demand] = {}
         self.wholes: dict[Thing, float] = {}  # units a second
@@ -67,16 +87,31 @@
         self.failures, self.last = 0, 0
         self.calls: dict[str, Any] = {}
         self.stopped = False
-        self.linked = Gauge("milletsill_planned", "1 while the planner answers", registry=registry)
-        self.takes = Counter("milletsill_grants", "Grants by what became of them", ("fate",), registry=registry)
-        self.granted = Gauge("milletsill_granted_parts", "Parts on top of the even ones, in wholes", registry=registry)
-        self.lent = Gauge("milletsill_lent_parts", "Parts lent, in wholes", registry=registry)
+        self.linked = Gauge(
+            "milletsill_planned", "1 while the planner answers", registry=registry
+        )
+        self.takes = Counter(
+            "milletsill_grants",
+            "Grants by what became of them",
+            ("fate",),
+            registry=registry,
+        )
+        self.granted = Gauge(
+            "milletsill_granted_parts",
+            "Parts on top of the even ones, in wholes",
+            registry=registry,
+        )
+        self.lent = Gauge(
+            "milletsill_lent_parts", "Parts lent, in wholes", registry=registry
+        )
         host.most_stale = GUARD
 
     # Life.
 
     def start(self) -> None:
-        for number, volume in enumerate(self.file.volume, 1):  # what comes through all gateways may be lent before it is used
+        for number, volume in enumerate(
+            self.file.volume, 1
+        ):  # what comes through all gateways may be lent before it is used
             plan = self.facts["plans"][self.plans[volume.plan]]
             if not volume.gateways or volume.gateways == self.file.gateways:
                 self.volume(number, self.file.gateways, plan, 0.0)
@@ -91,7 +126,9 @@
         if self.line is not None:
             self.line.transport.loseConnection()
 
-    def later(self, name: str, seconds: float, call: Callable[..., None], *values: Any) -> None:
+    def later(
+        self, name: str, seconds: float, call: Callable[..., None], *values: Any
+    ) -> None:
         """One timer a name; set anew."""
         old = self.calls.get(name)
         if old is not None and old.active():
@@ -104,14 +141,18 @@
         self.forget()
         now, held = self.now(), self.edge.holdings.values()
         self.linked.set(self.link is Link.PLANNED)
-        self.granted.set(sum(each.granted for each in held if now < each.granted_ends) / WHOLE)
+        self.granted.set(
+            sum(each.granted for each in held if now < each.granted_ends) / WHOLE
+        )
         self.lent.set(sum(each.lent(now) for each in held) / WHOLE)
 
     def forget(self) -> None:
         """Boxes that are warm or gone, with nothing lent, granted or rested on. Guards an edge that runs for months against
         every box that was ever replaced; stores are those of the file. Harm: none, a box that is cold again is known anew."""
         now, cold = self.now(), set(self.nodes.values())
-        for thing in [each for each in self.demand if each[0] == "cold" and each[1] not in cold]:
+        for thing in [
+            each for each in self.demand if each[0] == "cold" and each[1] not in cold
+        ]:
             if self.edge.idle(thing, now):
                 call = self.calls.pop(f"{thing[0]} {thing[1]}", None)
                 if call is not None and call.active():
@@ -130,9 +171,14 @@
         if node is not None and ("cold", node) in self.demand:
             self.demand["cold", node].add(arrival.units, now)
 
-    def volume(self, number: int, gateways: int, plan: Mapping[str, Any], units: float) -> None:
+    def volume(
+        self, number: int, gateways: int, plan: Mapping[str, Any], units: float
+    ) -> None:
         """What of a volume is parted, and how much of it was asked."""
-        for what, rate in (("limit", plan["limit_rate"]), ("reserve", plan["reserve_rate"])):
+        for what, rate in (
+            ("limit", plan["limit_rate"]),
+            ("reserve", plan["reserve_rate"]),
+        ):
             if rate > 0:
                 found = self.wish((what, number), gateways, rate)
                 if units:
@@ -152,10 +198,18 @@
         """News of the list: cold nodes are parted while they are cold, and said to the module before it sends."""
         now, window = self.now(), max(self.facts["cold_window"], 1)
         for each in entries:
-            cold = each.since is not None and now - each.since < self.facts["warm_after"] and each.readiness is Readiness.READY
+            cold = (
+                each.since is not None
+                and now - each.since < self.facts["warm_after"]
+                and each.readiness is Readiness.READY
+            )
             if cold:
                 self.nodes[each.cell] = each.node
-                self.wish(("cold", each.node), self.facts["gateways"], self.facts["cold_units"] * SECOND / window)
+                self.wish(
+                    ("cold", each.node),
+                    self.facts["gateways"],
+                    self.facts["cold_units"] * SECOND / window,
+                )
                 self.tell(("cold", each.node))
             elif self.nodes.get(each.cell) == each.node:
                 del self.nodes[each.cell]
@@ -167,12 +221,16 @@
         now = self.now()
         part, ends, after = found = self.edge.outlook(thing, now)
         if ends - now < 60 * SECOND:
-            self.later(f"{thing[0]} {thing[1]}", (ends - now) / SECOND, self.tell, thing)
+            self.later(
+                f"{thing[0]} {thing[1]}", (ends - now) / SECOND, self.tell, thing
+            )
         if self.told.get(thing) == found and thing[0] != "cold":
             return
         self.told[thing] = found
         even = part == self.edge.holdings[thing].capital and ends >= 1 << 60
-        self.host.part(thing[0], thing[1], None if even else part / WHOLE, ends, after / WHOLE)
+        self.host.part(
+            thing[0], thing[1], None if even else part / WHOLE, ends, after / WHOLE
+        )
 
     # The link.
 
@@ -181,18 +239,44 @@
         self.link, effect = link_step(self.link, said)
         if effect == "hello" and line is not None:
             terms = self.span
-            line.transport.write(encoded(hello=Hello(
-                version=VERSION, name=self.file.name, incarnation=self.edge.incarnation, epoch=self.edge.epoch,
-                longest=terms.longest, drift=terms.drift, floor=int(terms.floor * 1e6))))
+            line.transport.write(
+                encoded(
+                    hello=Hello(
+                        version=VERSION,
+                        name=self.file.name,
+                        incarnation=self.edge.incarnation,
+                        epoch=self.edge.epoch,
+                        longest=terms.longest,
+                        drift=terms.drift,
+                        floor=int(terms.floor * 1e6),
+                    )
+                )
+            )
         elif effect == "refuse" and line is not None:
-            self.remark("planner", **PlannerOld("an older planner than one that was heard", self.file.planner.address).said())
-            line.transport.write(encoded(refused=Refused(reason="a newer planner was heard", epoch=self.edge.epoch)))
+            self.remark(
+                "planner",
+                **PlannerOld(
+                    "an older planner than one that was heard",
+                    self.file.planner.address,
+                ).said(),
+            )
+            line.transport.write(
+                encoded(
+                    refused=Refused(
+                        reason="a newer planner was heard", epoch=self.edge.epoch
+                    )
+                )
+            )
             line.transport.loseConnection()
         elif effect == "cut" and line is not None:
             line.transport.abortConnection()
         if effect in ("refuse", "cut", "again"):
             self.failures += 1
-            self.later("dial", dial_after(self.failures, self.chance.random()) / SECOND, self.dial)
+            self.later(
+                "dial",
+                dial_after(self.failures, self.chance.random()) / SECOND,
+                self.dial,
+            )
         elif effect == "ask":
             self.failures = 0
             self.ask()
@@ -203,13 +287,21 @@
             return
         host, _, port = self.file.planner.address.rpartition(":")
         HostnameEndpoint(self.reactor, host, int(port), timeout=2).connect(
-            Factory.forProtocol(lambda: Line(self))).addErrback(self.not_up)
+            Factory.forProtocol(lambda: Line(self))
+        ).addErrback(self.not_up)
 
     def not_up(self, failure: Any) -> None:
         if self.failures == 0:
-            self.remark("planner", **PlannerAway(failure.getErrorMessage(), self.file.planner.address).said())
+            self.remark(
+                "planner",
+                **PlannerAway(
+                    failure.getErrorMessage(), self.file.planner.address
+                ).said(),
+            )
         self.failures += 1
-        self.later("dial", dial_after(self.failures, self.chance.random()) / SECOND, self.dial)
+        self.later(
+            "dial", dial_after(self.failures, self.chance.random()) / SECOND, self.dial
+        )
 
     def up(self, line: Line) -> None:
         if self.stopped:
@@ -228,12 +320,19 @@
         if line is not self.line:
             return
         if what == "welcome":
-            self.step(Said.WELCOME if self.edge.meet(frame.welcome.epoch) else Said.OLD, line)
+            self.step(
+                Said.WELCOME if self.edge.meet(frame.welcome.epoch) else Said.OLD, line
+            )
         elif what == "grants" and self.link is Link.PLANNED:
             for each in frame.grants.given:
                 self.take(get_grant(each))
         elif what == "refused":
-            self.remark("planner", **PlannerRefuses(frame.refused.reason[:200], self.file.planner.address).said())
+            self.remark(
+                "planner",
+                **PlannerRefuses(
+                    frame.refused.reason[:200], self.file.planner.address
+                ).said(),
+            )
             self.step(Said.REFUSED, line)
 
     def take(self, grant: Any) -> None:
@@ -250,15 +349,23 @@
         for live in self.host.live.values():
             if not live.answered and not live.outs:
                 arrival = live.arrival
-                node = self.nodes.get(arrival.cell) if arrival.cell is not None else None
-                for thing in (("limit", arrival.volume), ("reserve", arrival.volume), ("cold", node)):
+                node = (
+                    self.nodes.get(arrival.cell) if arrival.cell is not None else None
+                )
+                for thing in (
+                    ("limit", arrival.volume),
+                    ("reserve", arrival.volume),
+                    ("cold", node),
+                ):
                     if thing in self.demand:
                         found[thing] = found.get(thing, 0.0) + arrival.units
         return found
 
     def ask(self) -> None:
         """All that is wanted, in frames of so many; a planner that does not answer is cut."""
-        self.later("ask", self.file.planner.ask_s * self.chance.uniform(0.9, 1.1), self.ask)
+        self.later(
+            "ask", self.file.planner.ask_s * self.chance.uniform(0.9, 1.1), self.ask
+        )
         now = self.now()
         if self.line is not None and now - self.last > SILENT:
             self.step(Said.SILENT, self.line)
@@ -268,6 +375,13 @@
         for thing, demand in self.demand.items():
             rate = wanted(demand.look(now), waiting.get(thing, 0.0))
             if demand.asks(now, rate, self.span):
-                wishes.append(put_ask(self.edge.ask(thing, want_of(rate, self.wholes[thing]), now), rate))
+                wishes.append(
+                    put_ask(
+                        self.edge.ask(thing, want_of(rate, self.wholes[thing]), now),
+                        rate,
+                    )
+                )
         for at in range(0, max(len(wishes), 1), PER_FRAME):
-            self.line.transport.write(encoded(asks=Asks(wish=wishes[at:at + PER_FRAME])))
+            self.line.transport.write(
+                encoded(asks=Asks(wish=wishes[at : at + PER_FRAME]))
+            )
--- a/milletsill/planner/faults.py
+++ b/milletsill/planner/faults.py
@@ -1,4 +1,5 @@
 """What can go wrong between a planner and its edges, by type. Without a planner each edge goes on with its even parts."""
+
 from __future__ import annotations
 
 from milletsill.errors import Fault
@@ -25,8 +26,10 @@
 class OtherTerms(Fault):
     """An edge whose terms of lending are not the planner's."""
 
-    remedy = ("give `lending` the same values in the planner block of that edge and in the planner's file, then restart the one that "
-              "was wrong")
+    remedy = (
+        "give `lending` the same values in the planner block of that edge and in the planner's file, then restart the one that "
+        "was wrong"
+    )
 
 
 class Superseded(Fault):
--- a/milletsill/planner/model.py
+++ b/milletsill/planner/model.py
@@ -6,6 +6,7 @@
 Both look after each event whether the parts in use add up to more than the whole. `MUTANTS` take out one guard each; the tests
 demand that each of them is found.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -31,7 +32,9 @@
         self.planner = Planner(1, span)
         self.planner.linked = {f"e{each}" for each in range(edges)}
         self.born = 1
-        self.edges = [Edge(f"e{each}", 1, span, self.now, fresh=True) for each in range(edges)]
+        self.edges = [
+            Edge(f"e{each}", 1, span, self.now, fresh=True) for each in range(edges)
+        ]
         self.offsets = [each * 7 for each in range(edges)]  # each edge's clock differs
         self.rates = [0] * edges
         for each in self.edges:
@@ -44,7 +47,9 @@
         return self.now + self.offsets[edge]
 
     def used(self) -> int:
-        return sum(each.part(THING, self.clock(place)) for place, each in enumerate(self.edges))
+        return sum(
+            each.part(THING, self.clock(place)) for place, each in enumerate(self.edges)
+        )
 
     # Events.
 
@@ -54,7 +59,7 @@
     def fly(self, edge: int, message: Any) -> None:
         if message is not None and (edge, message) not in self.flying:
             self.flying.append((edge, message))
-            del self.flying[:-MOST_FLYING * len(self.edges)]
+            del self.flying[: -MOST_FLYING * len(self.edges)]
 
     def arrive(self, place: int, stays: bool) -> None:
         edge, message = self.flying[place] if stays else self.flying.pop(place)
@@ -86,7 +91,9 @@
 
     def restart_edge(self, edge: int) -> None:
         old = self.edges[edge]
-        self.edges[edge] = Edge(old.name, old.incarnation + 1, self.span, self.clock(edge))
+        self.edges[edge] = Edge(
+            old.name, old.incarnation + 1, self.span, self.clock(edge)
+        )
         self.edges[edge].know(THING, len(self.edges))
 
     def restart_planner(self) -> None:
@@ -105,20 +112,33 @@
             found.append((f"ask {each}", lambda each=each: self.ask(each)))
             found.append((f"restart {each}", lambda each=each: self.restart_edge(each)))
         for place in range(len(self.flying)):
-            found.append((f"arrive {place}", lambda place=place: self.arrive(place, False)))
-            found.append((f"double {place}", lambda place=place: self.arrive(place, True)))
+            found.append(
+                (f"arrive {place}", lambda place=place: self.arrive(place, False))
+            )
+            found.append(
+                (f"double {place}", lambda place=place: self.arrive(place, True))
+            )
         found.append(("time", lambda: self.pass_time(self.span.longest // 2)))
         found.append(("planner", self.restart_planner))
         return found
 
     def key(self) -> Any:
         """The same for worlds that go on alike."""
-        return (self.now, self.epoch, tuple(repr(sorted(vars(each).items(), key=lambda pair: pair[0])) for each in self.edges),
-                repr(sorted(vars(self.planner).items(), key=lambda pair: pair[0])),
-                tuple(sorted(map(repr, self.flying))))
-
-
-def explore(edges: int, depth: int, most: int, seed_steps: int = 0) -> tuple[int, list[str] | None]:
+        return (
+            self.now,
+            self.epoch,
+            tuple(
+                repr(sorted(vars(each).items(), key=lambda pair: pair[0]))
+                for each in self.edges
+            ),
+            repr(sorted(vars(self.planner).items(), key=lambda pair: pair[0])),
+            tuple(sorted(map(repr, self.flying))),
+        )
+
+
+def explore(
+    edges: int, depth: int, most: int, seed_steps: int = 0
+) -> tuple[int, list[str] | None]:
     """Every order of events up to a depth, worlds that are alike looked at once, at most so many. The worlds looked at, and
     the events that led past the whole, if any. `seed_steps` exchanges without loss come first, so that there is something to lose."""
     first = World(edges)
@@ -146,7 +166,9 @@
     return count, None
 
 
-def walk(edges: int, steps: int, seed: int, drift: int = 5) -> tuple[int, str | None, int]:
+def walk(
+    edges: int, steps: int, seed: int, drift: int = 5
+) -> tuple[int, str | None, int]:
     """Chance through a large fleet whose clocks drift; the steps made, what went wrong, and the most that one edge had."""
     chance, span = Random(seed), Span(4 * SECOND, drift, 0.2)
     world = World(edges, span)
@@ -161,7 +183,11 @@
         elif dice < 0.74 and world.flying:
             world.arrive(chance.randrange(len(world.flying)), chance.random() < 0.2)
         elif dice < 0.94:
-            world.pass_time(chance.choice((50, SECOND // 10, SECOND // 2, SECOND // 2, SECOND, 2 * SECOND)))
+            world.pass_time(
+                chance.choice(
+                    (50, SECOND // 10, SECOND // 2, SECOND // 2, SECOND, 2 * SECOND)
+                )
+            )
         elif dice < 0.955:
             world.restart_edge(edge)
         elif dice < 0.975:
@@ -169,7 +195,13 @@
         else:
             world.turn(edge)
         used = world.used()
-        best = max(best, *(each.part(THING, world.clock(place)) for place, each in enumerate(world.edges)))
+        best = max(
+            best,
+            *(
+                each.part(THING, world.clock(place))
+                for place, each in enumerate(world.edges)
+            ),
+        )
         if used > WHOLE:
             return step, f"seed {seed}, step {step}: {used} of {WHOLE} in use", best
     return steps, None, best
@@ -182,7 +214,9 @@
     for step in range(90):
         world.exchange(step % 3)
         world.pass_time(SECOND // 8)
-    large = world.planner.hear(world.edges[0].ask(THING, WHOLE, world.clock(0)), world.now)
+    large = world.planner.hear(
+        world.edges[0].ask(THING, WHOLE, world.clock(0)), world.now
+    )
     world.turn(1)
     worst = 0
     for _ in range(32):
@@ -201,14 +235,19 @@
     """What goes wrong first, if anything: the case of the overtaken grant, then chance through small fleets."""
     if (used := overtaken()) > WHOLE:
         return f"an overtaken grant: {used} of {WHOLE} in use"
-    return next((found for seed in range(walks) if (found := walk(4, steps, seed)[1])), None)
+    return next(
+        (found for seed in range(walks) if (found := walk(4, steps, seed)[1])), None
+    )
 
 
 # --- One guard out at a time.
 
+
 def _all_lent(self: Planner, pot: Any, share: Share, now: int, lent: int) -> int:
     """Promises that end before the grant are counted on."""
-    return sum(each.lent(now) for each in pot.shares.values()) - (pot.held - share.out(now))
+    return sum(each.lent(now) for each in pot.shares.values()) - (
+        pot.held - share.out(now)
+    )
 
 
 def _none_out(self: Planner, pot: Any, share: Share, now: int, lent: int) -> int:
@@ -252,7 +291,14 @@
 def _lent_twice(self: Edge, held: Holding, grant: Grant, now: int) -> None:
     """What one epoch has is promised to another."""
     held.lent_to = self.epoch
-    held.promise(Lent(min(grant.lend, held.capital - held.floor), now + self.span.longest, grant.told), now)
+    held.promise(
+        Lent(
+            min(grant.lend, held.capital - held.floor),
+            now + self.span.longest,
+            grant.told,
+        ),
+        now,
+    )
 
 
 def _no_rest(self: Edge, thing: Any, now: int) -> int:
@@ -283,17 +329,23 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--walks", type=int, default=20)
     parser.add_argument("--steps", type=int, default=5000)
     parser.add_argument("--edges", type=int, default=20)
     given = parser.parse_args()
     for edges, depth, first in ((2, 5, 6), (3, 4, 9)):
         count, found = explore(edges, depth, 200_000, first)
-        print(f"{edges} edges, every order of {depth} events after {first} exchanges: {count} worlds, {found or 'kept'}")
+        print(
+            f"{edges} edges, every order of {depth} events after {first} exchanges: {count} worlds, {found or 'kept'}"
+        )
     for seed in range(given.walks):
         steps, found, best = walk(given.edges, given.steps, seed)
-        print(f"seed {seed}: {steps} steps, most for one {best / WHOLE:.2f}, {found or 'kept'}")
+        print(
+            f"seed {seed}: {steps} steps, most for one {best / WHOLE:.2f}, {found or 'kept'}"
+        )
     for guard in MUTANTS:
         with without(guard):
             found = wrong(300)
--- a/milletsill/planner/service.py
+++ b/milletsill/planner/service.py
@@ -1,4 +1,5 @@
 """The planner as a program: takes edges' asks, answers with grants, and tells operators who holds what."""
+
 from __future__ import annotations
 
 import json
@@ -62,7 +63,11 @@
             for frame in self.frames.feed(data):
                 self.heard(frame)
         except BadFrame as error:
-            self.service.remark("malformed", edge=self.name or str(self.transport.getPeer()), **error.said())
+            self.service.remark(
+                "malformed",
+                edge=self.name or str(self.transport.getPeer()),
+                **error.said(),
+            )
             self.refuse(str(error))
 
     def heard(self, frame: Any) -> None:
@@ -95,7 +100,11 @@
 
     def send(self, **what: Any) -> None:
         """A frame, unless the other side has long not read: then the end."""
-        if len(self.transport.dataBuffer) > MOST_UNREAD if hasattr(self.transport, "dataBuffer") else False:
+        if (
+            len(self.transport.dataBuffer) > MOST_UNREAD
+            if hasattr(self.transport, "dataBuffer")
+            else False
+        ):
             self.service.remark("unread", edge=self.name)
             return self.transport.abortConnection()
         self.transport.write(encoded(**what))
@@ -111,12 +120,21 @@
 
     noisy = False
 
-    def __init__(self, file: Any, reactor: Any, log: Any = None, now: Any = monotonic) -> None:
+    def __init__(
+        self, file: Any, reactor: Any, log: Any = None, now: Any = monotonic
+    ) -> None:
         self.file, self.reactor, self.now = file, reactor, now
-        self.log = log or logger(file.logging.level, file.logging.json, planner=file.name)
+        self.log = log or logger(
+            file.logging.level, file.logging.json, planner=file.name
+        )
         self.span = span_of(file.lending)
         self.chance = random.Random(random.SystemRandom().getrandbits(63))
-        self.planner = Planner(next_epoch(file.state_dir, self.chance), self.span, file.most_edges, file.most_things)
+        self.planner = Planner(
+            next_epoch(file.state_dir, self.chance),
+            self.span,
+            file.most_edges,
+            file.most_things,
+        )
         self.links: set[Link] = set()
         self.by_name: dict[str, Link] = {}
         self.drained: set[str] = set()
@@ -128,12 +146,30 @@
 
     def figures(self) -> None:
         self.registry = registry = CollectorRegistry()
-        self.edges_gauge = Gauge("milletsill_planner_edges", "Edges connected", registry=registry)
-        self.things_gauge = Gauge("milletsill_planner_things", "Things that parts are asked for", registry=registry)
-        self.asks_count = Counter("milletsill_planner_asks", "Asks heard", ("fate",), registry=registry)
-        self.out_gauge = Gauge("milletsill_planner_granted", "Parts granted now, in wholes", registry=registry)
-        self.lag = Histogram("milletsill_planner_loop_lag_seconds", "How late the event loop was", registry=registry)
-        self.epoch_gauge = Gauge("milletsill_planner_epoch", "The epoch of this run", registry=registry)
+        self.edges_gauge = Gauge(
+            "milletsill_planner_edges", "Edges connected", registry=registry
+        )
+        self.things_gauge = Gauge(
+            "milletsill_planner_things",
+            "Things that parts are asked for",
+            registry=registry,
+        )
+        self.asks_count = Counter(
+            "milletsill_planner_asks", "Asks heard", ("fate",), registry=registry
+        )
+        self.out_gauge = Gauge(
+            "milletsill_planner_granted",
+            "Parts granted now, in wholes",
+            registry=registry,
+        )
+        self.lag = Histogram(
+            "milletsill_planner_loop_lag_seconds",
+            "How late the event loop was",
+            registry=registry,
+        )
+        self.epoch_gauge = Gauge(
+            "milletsill_planner_epoch", "The epoch of this run", registry=registry
+        )
 
     def start(self) -> None:
         host, _, port = self.file.listen.rpartition(":")
@@ -151,14 +187,21 @@
     def listen(self, host: str, port: int, factory: Any, word: str) -> None:
         def up(got: Any) -> None:
             self.ports.append(got)
-            self.log.info(word, address=f"{host}:{got.getHost().port}", epoch=self.planner.epoch)
+            self.log.info(
+                word, address=f"{host}:{got.getHost().port}", epoch=self.planner.epoch
+            )
 
         def not_up(failure: Any) -> None:
-            self.log.error("cannot_listen", **CannotListen(failure.getErrorMessage(), f"{host}:{port}").said())
+            self.log.error(
+                "cannot_listen",
+                **CannotListen(failure.getErrorMessage(), f"{host}:{port}").said(),
+            )
             self.failed = True
             self.stop()
 
-        TCP4ServerEndpoint(self.reactor, port, interface=host).listen(factory).addCallbacks(up, not_up)
+        TCP4ServerEndpoint(self.reactor, port, interface=host).listen(
+            factory
+        ).addCallbacks(up, not_up)
 
     def buildProtocol(self, addr: Any) -> Link:
         return Link(self)
@@ -176,7 +219,14 @@
                 each.transport.abortConnection()
         self.edges_gauge.set(len(self.by_name))
         self.things_gauge.set(len(self.planner.pots))
-        self.out_gauge.set(sum(share.out(now) for pot in self.planner.pots.values() for share in pot.shares.values()) / 1e6)
+        self.out_gauge.set(
+            sum(
+                share.out(now)
+                for pot in self.planner.pots.values()
+                for share in pot.shares.values()
+            )
+            / 1e6
+        )
         for fate in ("asks", "senseless"):
             self.asks_count.labels(fate).inc(self.counts[fate])
             self.counts[fate] = 0
@@ -189,10 +239,21 @@
         """An edge comes: its terms must be ours, and no newer planner known to it."""
         if hello.version != codec.VERSION:
             return link.refuse(f"version {hello.version}, {codec.VERSION} is spoken")
-        if (hello.longest, hello.drift, hello.floor) != (self.span.longest, self.span.drift, int(self.span.floor * 1e6)):
-            self.remark("other_terms", **OtherTerms("its terms of lending are others", hello.name[:64]).said())
+        if (hello.longest, hello.drift, hello.floor) != (
+            self.span.longest,
+            self.span.drift,
+            int(self.span.floor * 1e6),
+        ):
+            self.remark(
+                "other_terms",
+                **OtherTerms("its terms of lending are others", hello.name[:64]).said(),
+            )
             return link.refuse("other terms of lending")
-        if not 0 < len(hello.name) <= 64 or hello.name not in self.by_name and len(self.by_name) >= self.file.most_edges:
+        if (
+            not 0 < len(hello.name) <= 64
+            or hello.name not in self.by_name
+            and len(self.by_name) >= self.file.most_edges
+        ):
             return link.refuse("no such name, or too many edges")
         if hello.epoch > self.planner.epoch:
             return self.newer(link, hello.epoch)
@@ -225,8 +286,14 @@
         itself."""
         link.refuse("an edge knows a newer planner", epoch)
         if not self.superseded:
-            self.log.error("superseded", **Superseded("a newer planner was heard", link.name or "a hello").said(),
-                           epoch=self.planner.epoch, newer=epoch)
+            self.log.error(
+                "superseded",
+                **Superseded(
+                    "a newer planner was heard", link.name or "a hello"
+                ).said(),
+                epoch=self.planner.epoch,
+                newer=epoch,
+            )
         self.superseded = max(self.superseded, epoch)
         self.failed = True
         self.reactor.callLater(0, self.stop)
@@ -241,13 +308,21 @@
 
     def told(self, question: Any) -> Any:
         """The answer to an operator's question, as lines of JSON."""
-        calls = {"shares": self.told_shares, "edges": self.told_edges, "freeze": self.freeze, "thaw": self.freeze,
-                 "drain": self.drain, "undrain": self.drain}
+        calls = {
+            "shares": self.told_shares,
+            "edges": self.told_edges,
+            "freeze": self.freeze,
+            "thaw": self.freeze,
+            "drain": self.drain,
+            "undrain": self.drain,
+        }
         call = calls.get(question.what)
         if call is None:
-            return Told(fault=f"no question {question.what[:20]!r}; there are {', '.join(calls)}")
+            return Told(
+                fault=f"no question {question.what[:20]!r}; there are {', '.join(calls)}"
+            )
         lines = call(question)
-        return Told(line=[json.dumps(each) for each in lines[:max(question.most, 1)]])
+        return Told(line=[json.dumps(each) for each in lines[: max(question.most, 1)]])
 
     def told_shares(self, question: Any) -> list[dict[str, Any]]:
         """Who holds what, until when, and what it would have."""
@@ -255,19 +330,44 @@
         for (what, id), pot in sorted(self.planner.pots.items()):
             for name, share in sorted(pot.shares.items()):
                 if question.edge in ("", name):
-                    found.append({"what": what, "id": id, "edge": name, "even": share.capital, "want": share.want,
-                                  "lent": share.lent(now),
-                                  "lent_for_ms": max([ends for _, ends in share.promises] + [now]) // 10 - now // 10,
-                                  "granted": share.out(now),
-                                  "granted_for_ms": max((end for _, end in share.grants), default=now) // 10 - now // 10,
-                                  "reported_ms_ago": (now - share.reported) // 10})
+                    found.append(
+                        {
+                            "what": what,
+                            "id": id,
+                            "edge": name,
+                            "even": share.capital,
+                            "want": share.want,
+                            "lent": share.lent(now),
+                            "lent_for_ms": max(
+                                [ends for _, ends in share.promises] + [now]
+                            )
+                            // 10
+                            - now // 10,
+                            "granted": share.out(now),
+                            "granted_for_ms": max(
+                                (end for _, end in share.grants), default=now
+                            )
+                            // 10
+                            - now // 10,
+                            "reported_ms_ago": (now - share.reported) // 10,
+                        }
+                    )
         return found
 
     def told_edges(self, question: Any) -> list[dict[str, Any]]:
         now = self.now()
-        return [{"edge": name, "incarnation": link.incarnation, "epoch": self.planner.epoch, "asks": link.asked,
-                 "heard_ms_ago": (now - link.last) // 10, "drained": name in self.drained, "frozen": self.planner.frozen}
-                for name, link in sorted(self.by_name.items())]
+        return [
+            {
+                "edge": name,
+                "incarnation": link.incarnation,
+                "epoch": self.planner.epoch,
+                "asks": link.asked,
+                "heard_ms_ago": (now - link.last) // 10,
+                "drained": name in self.drained,
+                "frozen": self.planner.frozen,
+            }
+            for name, link in sorted(self.by_name.items())
+        ]
 
     def freeze(self, question: Any) -> list[dict[str, Any]]:
         """Plans stay as they are, or are made again."""
@@ -303,10 +403,13 @@
     import signal
 
     from twisted.internet import reactor
+
     try:
         service = Service(file, reactor)
     except EpochUnkept as error:
-        logger(file.logging.level, file.logging.json, planner=file.name).error("epoch_not_kept", **error.said())
+        logger(file.logging.level, file.logging.json, planner=file.name).error(
+            "epoch_not_kept", **error.said()
+        )
         return 1
     service.alone = True
     reactor.callWhenRunning(service.start)
--- a/milletsill/planner/store.py
+++ b/milletsill/planner/store.py
@@ -3,6 +3,7 @@
 That no two runs share an epoch is all that must be kept: grants and promises are of one run (docs/planner.md). An epoch is a count
 of starts in the upper 40 bits and chance in the lower 24, so that copies of one state that start at once differ all the same.
 """
+
 from __future__ import annotations
 
 import os
@@ -32,7 +33,9 @@
     if len(data) != PLACE.size:
         return 0
     magic, epoch, crc = PLACE.unpack(data)
-    return epoch if magic == MAGIC and crc == zlib.crc32(data[:-4]) and epoch < MOST else 0
+    return (
+        epoch if magic == MAGIC and crc == zlib.crc32(data[:-4]) and epoch < MOST else 0
+    )
 
 
 def next_epoch(folder: str, chance: Random, least: int = 0) -> int:
@@ -40,7 +43,9 @@
     try:
         os.makedirs(folder, exist_ok=True)
         held = [read(os.path.join(folder, each)) for each in NAMES]
-        epoch = ((max(*held, least) >> CHANCE_BITS) + 1 << CHANCE_BITS) | chance.getrandbits(CHANCE_BITS)
+        epoch = (
+            (max(*held, least) >> CHANCE_BITS) + 1 << CHANCE_BITS
+        ) | chance.getrandbits(CHANCE_BITS)
         write(os.path.join(folder, NAMES[held.index(min(held))]), epoch)
         sync_folder(folder)
     except OSError as error:
--- a/milletsill/platform/asks.py
+++ b/milletsill/platform/asks.py
@@ -1,4 +1,5 @@
 """A client's request as a transfer, by the platform's header names. What cannot be one is named, and reaches nobody."""
+
 from __future__ import annotations
 
 import re
@@ -35,7 +36,13 @@
 
     __slots__ = ("method", "target", "fields", "body")
 
-    def __init__(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]], body: bytes) -> None:
+    def __init__(
+        self,
+        method: bytes,
+        target: bytes,
+        fields: list[tuple[bytes, bytes]],
+        body: bytes,
+    ) -> None:
         self.method, self.target, self.fields, self.body = method, target, fields, body
 
 
@@ -44,21 +51,44 @@
 
     def __init__(self, facts: Mapping[str, Any]) -> None:
         self.facts = facts
-        self.categories = {each["name"].encode(): place for place, each in enumerate(facts["categories"])}
-        self.plans = {each["name"].encode(): place for place, each in enumerate(facts["plans"])}
-        self.planless = list(self.plans) == [b""]  # the settings name no plan: requests need not either
+        self.categories = {
+            each["name"].encode(): place
+            for place, each in enumerate(facts["categories"])
+        }
+        self.plans = {
+            each["name"].encode(): place for place, each in enumerate(facts["plans"])
+        }
+        self.planless = list(self.plans) == [
+            b""
+        ]  # the settings name no plan: requests need not either
         # Which categories write; where the settings leave it out, a request's method says it.
-        self.writes = {place for place, each in enumerate(facts["writes"]) if each} if facts["writes"] else None
-        self.largest, self.cells = facts["largest_units"] or MOST, facts["cells"] or MOST
-
-    def one(self, message: Message, name: bytes, form: re.Pattern[bytes] | None = None) -> bytes:
+        self.writes = (
+            {place for place, each in enumerate(facts["writes"]) if each}
+            if facts["writes"]
+            else None
+        )
+        self.largest, self.cells = (
+            facts["largest_units"] or MOST,
+            facts["cells"] or MOST,
+        )
+
+    def one(
+        self, message: Message, name: bytes, form: re.Pattern[bytes] | None = None
+    ) -> bytes:
         """A field that must be there once, in its form."""
         value = message.fields.get(name)
-        if value is None or name in message.doubled or form is not None and not form.match(value):
+        if (
+            value is None
+            or name in message.doubled
+            or form is not None
+            and not form.match(value)
+        ):
             raise BadAsk(400, f"{name.decode()} is missing, doubled or malformed")
         return value
 
-    def arrival(self, message: Message, came: int, margin: int, by: int | None = None) -> Arrival:
+    def arrival(
+        self, message: Message, came: int, margin: int, by: int | None = None
+    ) -> Arrival:
         """The transfer that a request asks for; `came` is when its last octet was read; it is over at `by` at the latest."""
         id = int(self.one(message, b"x-txn", HEX16), 16)
         category = self.pick(self.categories, message, b"x-lane")
@@ -66,8 +96,14 @@
         path = TARGET.match(message.target)
         if path is None or path.group(1) != message.fields[b"x-lane"]:
             raise BadAsk(404, "the path is not the category's")
-        write = message.method == b"PUT" if self.writes is None else category in self.writes
-        if message.method != (b"PUT" if write else b"GET") or not write and message.body:
+        write = (
+            message.method == b"PUT" if self.writes is None else category in self.writes
+        )
+        if (
+            message.method != (b"PUT" if write else b"GET")
+            or not write
+            and message.body
+        ):
             raise BadAsk(405, "method or body do not fit the category")
         if self.facts["categories"][category]["repeats"] == "ticketed":
             self.one(message, b"idempotency-key", KEY)
@@ -79,8 +115,19 @@
             raise BadAsk(400, "a time that nobody waits")
         ends = came + left - margin if by is None else min(came + left - margin, by)
         volume, units, cell, gateways = self.io(message)
-        return Arrival(id, int(block.group(1), 16), volume, gateways, category, plan,
-                       message.fields.get(b"x-resent") == b"1", write, cell, units, ends)
+        return Arrival(
+            id,
+            int(block.group(1), 16),
+            volume,
+            gateways,
+            category,
+            plan,
+            message.fields.get(b"x-resent") == b"1",
+            write,
+            cell,
+            units,
+            ends,
+        )
 
     def pick(self, names: Mapping[bytes, int], message: Message, field: bytes) -> int:
         """The place of a category or a plan."""
@@ -91,15 +138,26 @@
 
     def io(self, message: Message) -> tuple[int, float, int | None, int]:
         """Volume, units, cell and gateways."""
-        parts = dict(part.strip().split(b"=", 1) for part in self.one(message, b"x-io").split(b",") if b"=" in part)
+        parts = dict(
+            part.strip().split(b"=", 1)
+            for part in self.one(message, b"x-io").split(b",")
+            if b"=" in part
+        )
         volume, units = parts.get(b"volume", b""), parts.get(b"units", b"")
         shard, hosts = parts.get(b"shard", b""), parts.get(b"hosts", b"")
-        if not (HEX16.match(volume) and UNITS.match(units) and (shard == b"-1" or WHOLE.match(shard))
-                and WHOLE.match(hosts)):
+        if not (
+            HEX16.match(volume)
+            and UNITS.match(units)
+            and (shard == b"-1" or WHOLE.match(shard))
+            and WHOLE.match(hosts)
+        ):
             raise BadAsk(400, "x-io is malformed")
         cell = None if shard == b"-1" else int(shard)
-        if not 0 < float(units) <= self.largest or not 0 < int(hosts) <= MOST_GATEWAYS or (
-                cell is not None and cell >= self.cells):
+        if (
+            not 0 < float(units) <= self.largest
+            or not 0 < int(hosts) <= MOST_GATEWAYS
+            or (cell is not None and cell >= self.cells)
+        ):
             raise BadAsk(400, "x-io is out of bounds")
         return int(volume, 16), float(units), cell, int(hosts)
 
--- a/milletsill/platform/configuration.py
+++ b/milletsill/platform/configuration.py
@@ -1,4 +1,5 @@
 """What the platform tells a gateway at its start and on SIGHUP: a JSON file, checked."""
+
 from __future__ import annotations
 
 import json
@@ -15,9 +16,24 @@
 LEAST_MEMORY = 64  # MB, where no limit is told
 MOST_NAMES = 20  # in one line
 # Settings without which something is off or a plainer value stands in.
-WANTED = ("resolution_ns", "membership_mode", "plans", "extra.cold_bears", "extra.largest", "extra.slots_total", "extra.unit_mean",
-          "extra.writes", "limits.conn_idle_ns", "limits.dial_timeout_ns", "limits.max_attempts", "limits.most_held",
-          "rules.ask_within_ns", "rules.fall_multiple", "rules.fall_ns", "rules.warm_after_ns")
+WANTED = (
+    "resolution_ns",
+    "membership_mode",
+    "plans",
+    "extra.cold_bears",
+    "extra.largest",
+    "extra.slots_total",
+    "extra.unit_mean",
+    "extra.writes",
+    "limits.conn_idle_ns",
+    "limits.dial_timeout_ns",
+    "limits.max_attempts",
+    "limits.most_held",
+    "rules.ask_within_ns",
+    "rules.fall_multiple",
+    "rules.fall_ns",
+    "rules.warm_after_ns",
+)
 
 
 class RefusedPlace(Refused):
@@ -41,7 +57,9 @@
     grace: int  # to stop sending, where lists are pushed; else 0
 
 
-def read(environ: Mapping[str, str], clock: int, remark: Callable[[str], None]) -> Deployment:
+def read(
+    environ: Mapping[str, str], clock: int, remark: Callable[[str], None]
+) -> Deployment:
     """The file that NODE_CONFIG names; the other variables stand in for what it leaves out."""
     path = environ.get("NODE_CONFIG", "")
     if not path:
@@ -60,22 +78,35 @@
         raise RefusedPlace(" ".join(str(error).split())[:200], path) from None
 
 
-def deployment_of(given: Mapping[str, Any], environ: Mapping[str, str], clock: int,
-                  remark: Callable[[str], None]) -> Deployment:
+def deployment_of(
+    given: Mapping[str, Any],
+    environ: Mapping[str, str],
+    clock: int,
+    remark: Callable[[str], None],
+) -> Deployment:
     """The checked whole."""
     try:
         facts = facts_of(given.get("settings"))
-        grace = at_most(Part(given["settings"]).part("rules").number("stop_sending_within_ns"))
+        grace = at_most(
+            Part(given["settings"]).part("rules").number("stop_sending_within_ns")
+        )
     except ValueError as error:
         raise ValueError(f"settings: {error}") from None
     pushed = not facts["list_on_request"]
     facts["ask_within"] = ask_within(pushed, facts["ask_within"], grace)
     if not facts["categories"]:
         raise ValueError("settings: classes: none, so nothing can be taken")
-    for names, what in ((unknown_in(given["settings"]), "not known and passed over"),
-                        (missing_in(given["settings"], WANTED), "missing, what rests on them is off or at its plainest")):
+    for names, what in (
+        (unknown_in(given["settings"]), "not known and passed over"),
+        (
+            missing_in(given["settings"], WANTED),
+            "missing, what rests on them is off or at its plainest",
+        ),
+    ):
         if names:
-            remark(f"settings {what}: {', '.join(name[:60] for name in names[:MOST_NAMES])}")
+            remark(
+                f"settings {what}: {', '.join(name[:60] for name in names[:MOST_NAMES])}"
+            )
     limits = given.get("limits")
     sockets, memory = (limit_of(limits, name) for name in ("sockets", "memory_mb"))
     try:
@@ -83,11 +114,17 @@
     except ValueError:
         raise ValueError("seed: not a hexadecimal number") from None
     known = given.get("known")
-    return Deployment(str(given.get("name") or environ.get("NODE_NAME", "")),
-                      address_of(given.get("listen") or environ.get("NODE_LISTEN")),
-                      address_of(given.get("discovery") or environ.get("NODE_DISCOVERY")), seed,
-                      sockets or os.sysconf("SC_OPEN_MAX"), memory or LEAST_MEMORY, facts,
-                      news_of(known, facts["zones"], clock, remark) if known is not None else None, grace * pushed)
+    return Deployment(
+        str(given.get("name") or environ.get("NODE_NAME", "")),
+        address_of(given.get("listen") or environ.get("NODE_LISTEN")),
+        address_of(given.get("discovery") or environ.get("NODE_DISCOVERY")),
+        seed,
+        sockets or os.sysconf("SC_OPEN_MAX"),
+        memory or LEAST_MEMORY,
+        facts,
+        news_of(known, facts["zones"], clock, remark) if known is not None else None,
+        grace * pushed,
+    )
 
 
 def limit_of(limits: Any, name: str) -> int:
--- a/milletsill/platform/decide.py
+++ b/milletsill/platform/decide.py
@@ -2,6 +2,7 @@
 
 Spans are whole tenths of a millisecond. Nothing about a transfer stands here.
 """
+
 from __future__ import annotations
 
 import re
@@ -20,17 +21,35 @@
 CLIENT_TABLE: Mapping[tuple[Stage, Cue], tuple[Stage, str]] = {
     **{(stage, Cue.TAKEN): (Stage.BUSY, "") for stage in (Stage.FRESH, Stage.WAITING)},
     (Stage.BUSY, Cue.ANSWERED): (Stage.WAITING, "read on"),
-    **{(stage, Cue.LAST): (Stage.ENDING, "end") for stage in (Stage.FRESH, Stage.WAITING, Stage.BUSY)},
-    **{(stage, Cue.REFUSED): (Stage.ENDING, "end") for stage in (Stage.FRESH, Stage.WAITING)},
+    **{
+        (stage, Cue.LAST): (Stage.ENDING, "end")
+        for stage in (Stage.FRESH, Stage.WAITING, Stage.BUSY)
+    },
+    **{
+        (stage, Cue.REFUSED): (Stage.ENDING, "end")
+        for stage in (Stage.FRESH, Stage.WAITING)
+    },
     (Stage.BUSY, Cue.REFUSED): (Stage.ENDING, "abandon and end"),
     (Stage.FRESH, Cue.IDLE): (Stage.CLOSED, "close"),
     (Stage.WAITING, Cue.IDLE): (Stage.ENDING, "end"),
-    **{(stage, Cue.LEAVE): (Stage.ENDING, "end") for stage in (Stage.FRESH, Stage.WAITING)},
-    **{(stage, Cue.GONE): (Stage.ENDING, "part") for stage in (Stage.FRESH, Stage.WAITING, Stage.ENDING)},
+    **{
+        (stage, Cue.LEAVE): (Stage.ENDING, "end")
+        for stage in (Stage.FRESH, Stage.WAITING)
+    },
+    **{
+        (stage, Cue.GONE): (Stage.ENDING, "part")
+        for stage in (Stage.FRESH, Stage.WAITING, Stage.ENDING)
+    },
     (Stage.BUSY, Cue.GONE): (Stage.ENDING, "abandon and part"),
-    **{(stage, Cue.SLOW): (Stage.ENDING, "slow") for stage in (Stage.FRESH, Stage.WAITING)},
+    **{
+        (stage, Cue.SLOW): (Stage.ENDING, "slow")
+        for stage in (Stage.FRESH, Stage.WAITING)
+    },
     (Stage.ENDING, Cue.LINGERED): (Stage.CLOSED, "cut"),
-    **{(stage, Cue.LOST): (Stage.CLOSED, "") for stage in (Stage.FRESH, Stage.WAITING, Stage.ENDING)},
+    **{
+        (stage, Cue.LOST): (Stage.CLOSED, "")
+        for stage in (Stage.FRESH, Stage.WAITING, Stage.ENDING)
+    },
     (Stage.BUSY, Cue.LOST): (Stage.CLOSED, "abandon"),
 }
 
@@ -46,7 +65,9 @@
 LOOK_SHORT = 200  # between looks, where descriptors are short
 SPARED = 21_000  # and one between requests after this
 LINGER = 10_000  # a connection with its last answer handed over is cut after this
-MOST_AHEAD = 16_384  # octets of later requests held while one is open, behind the next one
+MOST_AHEAD = (
+    16_384  # octets of later requests held while one is open, behind the next one
+)
 MOST_REQUEST = 73_728  # octets of a usual one, with its head; a longer one is counted against the memory
 MOST_DISCARDED = 1 << 20  # octets read and thrown away behind a refused request
 ANSWER_MARGIN = 60  # an answer is written this long before the client's time is up
@@ -57,11 +78,17 @@
     return CLIENT_TABLE.get((stage, cue), (stage, ""))
 
 
-def due(stage: Stage, begun: bool, quiet: int, short: bool, taking: bool = False) -> Cue | None:
+def due(
+    stage: Stage, begun: bool, quiet: int, short: bool, taking: bool = False
+) -> Cue | None:
     """What the passing of time means for a client's connection; `short` where descriptors are. `taking`: the client still
     takes its last answer, and a cut would tear it. Harm: one that takes none holds a descriptor that much longer."""
     if stage is Stage.ENDING:
-        return Cue.LINGERED if quiet >= ((SPARED if short else IDLE) if taking else LINGER) else None
+        return (
+            Cue.LINGERED
+            if quiet >= ((SPARED if short else IDLE) if taking else LINGER)
+            else None
+        )
     if stage not in (Stage.FRESH, Stage.WAITING):
         return None
     if begun:
@@ -120,7 +147,9 @@
 
 # --- Long requests and answers.
 
-MOST_BODY = 1 << 20  # octets of one body; the platform's page says 64 KiB, its reads bring up to six times that
+MOST_BODY = (
+    1 << 20
+)  # octets of one body; the platform's page says 64 KiB, its reads bring up to six times that
 SHORT_BODY = 1 << 16  # up to this a body is not counted
 HELD_PART = 0.25  # of the memory: for long requests, and long answers coming in or waiting for clients that read slowly
 
@@ -144,7 +173,10 @@
 # --- Links.
 
 IDLE_PART = 0.7  # an idle link is closed after this part of the time after which the node may close it
-UNTOLD_DIAL, UNTOLD_IDLE = 10_000, 50_000  # where the settings do not say how long a dial and an idle link last
+UNTOLD_DIAL, UNTOLD_IDLE = (
+    10_000,
+    50_000,
+)  # where the settings do not say how long a dial and an idle link last
 MOST_EACH = 128  # links to one node
 MOST_WAITING = 128  # dispatches that wait for a link to one node
 
@@ -163,14 +195,22 @@
 # Where lists are pushed, what the agent has counts as told at once, and the drain grace is all that there is.
 TOLD, TOLD_MOVED = 60_000, 40_000
 QUIET = TOLD  # a watch without a word for this long is over
-OVERDUE = (26_000, 32_000)  # drawn: so long without one, and another is opened beside it; spread, where many fall silent at once
+OVERDUE = (
+    26_000,
+    32_000,
+)  # drawn: so long without one, and another is opened beside it; spread, where many fall silent at once
 DIAL = 10_000
 FIRST_WORD = 22_000  # from a call to the answer's head, and from there to its first line: a beat, and a little
-MARGIN, RETRY_PART = 5_000, 1 / 3  # the second call is made by chance within this part of what is left, less the margin
+MARGIN, RETRY_PART = (
+    5_000,
+    1 / 3,
+)  # the second call is made by chance within this part of what is left, less the margin
 LEAST_RETRY = 1_000
 PACE = 1.5  # of the grace, of which the module's longest pause is a quarter
 MOST_LINE = 4 << 20  # octets of one list
-MOST_OPEN = 1 << 16  # up to here a list counts without its line's end. Guards against a long one in many pieces, each looked at
+MOST_OPEN = (
+    1 << 16
+)  # up to here a list counts without its line's end. Guards against a long one in many pieces, each looked at
 TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -181,7 +221,9 @@
     return min(each for each in (TOLD, stated, int(grace * PACE) * pushed) if each)
 
 
-def retry_within(quiet: int, moved: int | None, hurried: bool = False) -> tuple[int, int, bool]:
+def retry_within(
+    quiet: int, moved: int | None, hurried: bool = False
+) -> tuple[int, int, bool]:
     """Between what bounds the next call is put off where one failed that was made beside a standing watch, or after SIGHUP:
     `quiet` since the standing one's last word, `moved` since SIGHUP, if it was. And whether it is made without the
     module: where that has heard of a failure since SIGHUP (`hurried`), its next pause may be longer than what is left. Guards a
@@ -201,7 +243,9 @@
 BESIDE_MOVED = 27_000, 31_000  # since SIGHUP
 
 
-def beside_within(stage: Call, mute: bool, grace: int, moved: int | None) -> tuple[int, int] | None:
+def beside_within(
+    stage: Call, mute: bool, grace: int, moved: int | None
+) -> tuple[int, int] | None:
     """Between what bounds a call that gets no further has another beside it, None: never. Guards against one that ends by our
     patience alone. Where lists are pushed (`grace`): soon, but not where the call is taken: a service with too many callers lets
     it wait, and speaks within two seconds; only where the last one was silent for all of its time (`mute`), half way
@@ -213,7 +257,10 @@
     elif grace and mute:
         spans.append(BESIDE_MUTE)
     if moved is not None and moved < TOLD_MOVED - MARGIN:
-        late = max(BESIDE_MOVED[0] - moved, BESIDE_SOON[0]), max(BESIDE_MOVED[1] - moved, BESIDE_SOON[1])
+        late = (
+            max(BESIDE_MOVED[0] - moved, BESIDE_SOON[0]),
+            max(BESIDE_MOVED[1] - moved, BESIDE_SOON[1]),
+        )
         spans.append(BESIDE_SOON if stage is Call.DIALLED else late)
     return min(spans, default=None)
 
@@ -242,7 +289,10 @@
     (Process.LEAVING, Event.SHUT): (Process.SHUTTING, "shut"),
     (Process.SHUTTING, Event.DRAIN): (Process.DRAINING, "drain"),
     (Process.DRAINING, Event.EMPTY): (Process.STOPPED, "stop"),
-    **{(stage, Event.OVERDUE): (Process.STOPPED, "stop") for stage in (Process.LEAVING, Process.SHUTTING, Process.DRAINING)},
+    **{
+        (stage, Event.OVERDUE): (Process.STOPPED, "stop")
+        for stage in (Process.LEAVING, Process.SHUTTING, Process.DRAINING)
+    },
 }
 # After SIGTERM the platform kills no sooner than the longest patience, counted as three seconds at most, and this much.
 KILLED_AFTER, COUNTED = 7_000, 30_000
@@ -261,7 +311,11 @@
 def ends_of(longest: int) -> tuple[tuple[int, Event], ...]:
     """Every step after SIGTERM, counted from it: whatever happens in between, none comes later."""
     shut = leave_within(longest)
-    return ((shut, Event.SHUT), (shut + REFUSED_FOR, Event.DRAIN), (shut + REFUSED_FOR + HEARD_OUT, Event.OVERDUE))
+    return (
+        (shut, Event.SHUT),
+        (shut + REFUSED_FOR, Event.DRAIN),
+        (shut + REFUSED_FOR + HEARD_OUT, Event.OVERDUE),
+    )
 
 
 def pass_on(process: Process, event: Event) -> tuple[Process, str]:
--- a/milletsill/platform/discovery.py
+++ b/milletsill/platform/discovery.py
@@ -1,4 +1,5 @@
 """Follows the platform's list: one watch at a time, opened when the module asks, told as `listed`."""
+
 from __future__ import annotations
 
 import json
@@ -12,8 +13,19 @@
 from milletsill.http1.reader import BadMessage
 from milletsill.http1.writer import request
 from milletsill.interface import News as Kind
-from milletsill.platform.decide import (DIAL, FIRST_WORD, MOST_LINE, MOST_OPEN, OVERDUE, QUIET, Call, beside_within, depth_of, is_mute,
-                                        retry_within)
+from milletsill.platform.decide import (
+    DIAL,
+    FIRST_WORD,
+    MOST_LINE,
+    MOST_OPEN,
+    OVERDUE,
+    QUIET,
+    Call,
+    beside_within,
+    depth_of,
+    is_mute,
+    retry_within,
+)
 from milletsill.platform.nodes import BadEntry, News, news_of
 
 PATH = b"/registry/instances?watch=1&from=%d"
@@ -35,7 +47,9 @@
             except json.JSONDecodeError as error:
                 if error.pos < len(error.doc):
                     raise
-            self.depth = self.octets = 0  # it ends too early and is otherwise right: the first of several
+            self.depth = self.octets = (
+                0  # it ends too early and is otherwise right: the first of several
+            )
         self.parts.append(line)
         self.depth += depth_of(line)
         self.octets += len(line)
@@ -50,7 +64,11 @@
         """The value that is whole with what came without a line's end, if one is: a list whose last line end is left out, or
         comes with the next beat."""
         depth, octets = (self.depth, self.octets) if self.parts else (0, 0)
-        if not line.endswith(b"}") or octets + len(line) > MOST_OPEN or depth + depth_of(line):
+        if (
+            not line.endswith(b"}")
+            or octets + len(line) > MOST_OPEN
+            or depth + depth_of(line)
+        ):
             return []
         with suppress(ValueError):  # a part of a line only
             value = json.loads(b"".join(self.parts) + line)
@@ -64,8 +82,14 @@
     call. Octets alone are no word. Guards against an answer that drips. Harm: a list that takes longer on its way is asked for
     again."""
 
-    def __init__(self, follower: Follower, host: str, version: int, overdue: int) -> None:
-        self.follower, self.host, self.version = follower, host, version  # the version is -1 once it has spoken
+    def __init__(
+        self, follower: Follower, host: str, version: int, overdue: int
+    ) -> None:
+        self.follower, self.host, self.version = (
+            follower,
+            host,
+            version,
+        )  # the version is -1 once it has spoken
         self.overdue = overdue
         self.answer, self.words = AnswerLines(MOST_LINE), Words()
         self.heard, self.over, self.stage = follower.now(), False, Call.DIALLED
@@ -74,7 +98,9 @@
     def connectionMade(self) -> None:
         if self.over:
             return self.transport.abortConnection()
-        self.transport.write(request(b"GET", PATH % self.version, self.host.encode(), [], b""))
+        self.transport.write(
+            request(b"GET", PATH % self.version, self.host.encode(), [], b"")
+        )
         self.reach(Call.TAKEN)
 
     def reach(self, stage: Call) -> None:
@@ -96,7 +122,11 @@
             if whole:
                 self.answer.line = b""
                 self.take(whole)
-            if self.stage is Call.TAKEN and self.version >= 0 and (self.answer.line or self.words.parts):
+            if (
+                self.stage is Call.TAKEN
+                and self.version >= 0
+                and (self.answer.line or self.words.parts)
+            ):
                 self.reach(Call.BEGUN)
         except (BadMessage, BadEntry, ValueError, RecursionError) as error:
             return self.end(line_of(error))
@@ -118,7 +148,9 @@
     @property
     def overlong(self) -> bool:
         """Whether it has been silent for longer than any watch is."""
-        return not self.over and self.quiet() > (QUIET if self.version < 0 else FIRST_WORD)
+        return not self.over and self.quiet() > (
+            QUIET if self.version < 0 else FIRST_WORD
+        )
 
     def catch_up(self) -> None:
         """Guards the list against a process that stood still: timers go before what has come, and words that lie here unread
@@ -168,10 +200,25 @@
     because that is silent, and a second call beside one that is not answered. `uniform` draws within two bounds; `grace` is the
     time to stop sending where lists are pushed, else 0."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], address: tuple[str, int], zones: Sequence[str], clock: int,
-                 told: Callable[[Kind, Sequence[Any]], None], remark: Callable[[str], None],
-                 uniform: Callable[[float, float], float], grace: int = 0) -> None:
-        self.reactor, self.now, self.address, self.zones, self.clock = reactor, now, address, zones, clock
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        address: tuple[str, int],
+        zones: Sequence[str],
+        clock: int,
+        told: Callable[[Kind, Sequence[Any]], None],
+        remark: Callable[[str], None],
+        uniform: Callable[[float, float], float],
+        grace: int = 0,
+    ) -> None:
+        self.reactor, self.now, self.address, self.zones, self.clock = (
+            reactor,
+            now,
+            address,
+            zones,
+            clock,
+        )
         self.told, self.remark, self.uniform, self.grace = told, remark, uniform, grace
         self.version = 0
         self.watch: Watch | None = None
@@ -179,7 +226,9 @@
         self.beside: Watch | None = None  # only while `watch` has not spoken
         self.asked = self.stopped = self.mute = False
         self.hurried = False  # the module has heard of a failure since SIGHUP
-        self.moved: int | None = None  # when discovery's address did, until a watch at the new one has spoken
+        self.moved: int | None = (
+            None  # when discovery's address did, until a watch at the new one has spoken
+        )
 
     def known(self, news: News) -> None:
         """The list as it was known at the start."""
@@ -206,7 +255,11 @@
             return
         host, port = self.address
         old = self.old
-        if old is not None and old.host == f"{host}:{port}" and old.quiet() <= old.overdue:
+        if (
+            old is not None
+            and old.host == f"{host}:{port}"
+            and old.quiet() <= old.overdue
+        ):
             self.watch, self.old = old, None  # it speaks again
             return
         self.watch = self.call()
@@ -214,7 +267,12 @@
     def call(self) -> Watch:
         host, port = self.address
         watch = Watch(self, f"{host}:{port}", self.version, int(self.uniform(*OVERDUE)))
-        watch.connector = self.reactor.connectTCP(host, port, Dial(watch, lambda: watch.end("not reached")), timeout=DIAL / 10_000)
+        watch.connector = self.reactor.connectTCP(
+            host,
+            port,
+            Dial(watch, lambda: watch.end("not reached")),
+            timeout=DIAL / 10_000,
+        )
         self.soon(watch)
         return watch
 
@@ -223,18 +281,29 @@
         moved = None if self.moved is None else self.now() - self.moved
         span = beside_within(watch.stage, self.mute, self.grace, moved)
         if span is not None:
-            self.reactor.callLater(self.uniform(*span) / 10_000, self.double, watch, watch.stage)
+            self.reactor.callLater(
+                self.uniform(*span) / 10_000, self.double, watch, watch.stage
+            )
 
     def double(self, watch: Watch, stage: Call) -> None:
         """Another call beside one that is no further; the first that speaks wins. Of two one that is not up gives way to a third:
         the service has not heard of it. None beside an old watch that is silent: until six seconds after its last word there is
         time for one after the other."""
-        if watch.over or watch.stage is not stage or watch.version < 0 or self.stopped or self.old and self.moved is None:
+        if (
+            watch.over
+            or watch.stage is not stage
+            or watch.version < 0
+            or self.stopped
+            or self.old
+            and self.moved is None
+        ):
             return
         if watch is not (self.watch if self.beside is None else self.beside):
             return
         if self.beside is not None and self.watch is not None:
-            gone, stays = (watch, self.watch) if stage is Call.DIALLED else (self.watch, watch)
+            gone, stays = (
+                (watch, self.watch) if stage is Call.DIALLED else (self.watch, watch)
+            )
             if gone.stage is not Call.DIALLED:
                 return
             gone.close()
@@ -247,11 +316,18 @@
             self.watch, self.beside = watch, self.watch
         first = watch is self.watch and watch.version >= 0
         if value is not BEAT:
-            self.news(news_of(value, self.zones, self.clock, self.remark), watch is self.old)
+            self.news(
+                news_of(value, self.zones, self.clock, self.remark), watch is self.old
+            )
         elif first:
             self.told(Kind.CHANGES, ())
         if first:
-            watch.version, self.moved, self.mute, self.hurried = -1, None, False, False  # has spoken
+            watch.version, self.moved, self.mute, self.hurried = (
+                -1,
+                None,
+                False,
+                False,
+            )  # has spoken
             self.drop()
 
     def news(self, news: News, old: bool) -> None:
@@ -272,7 +348,10 @@
             return
         self.mute = is_mute(self.mute, watch.quiet(), watch.answer.status)
         if self.beside is not None and watch in (self.watch, self.beside):
-            self.watch, self.beside = (self.beside if watch is self.watch else self.watch), None
+            self.watch, self.beside = (
+                (self.beside if watch is self.watch else self.watch),
+                None,
+            )
             self.remark(f"one of two calls at {watch.host} is over: {reason}")
             if watch.quiet() > FIRST_WORD:
                 self.double(self.watch, self.watch.stage)
@@ -284,9 +363,13 @@
             if self.old is None and self.moved is None:
                 return self.failed()
             moved = None if self.moved is None else self.now() - self.moved
-            *span, alone = retry_within(0 if self.old is None else self.old.quiet(), moved, self.hurried)
+            *span, alone = retry_within(
+                0 if self.old is None else self.old.quiet(), moved, self.hurried
+            )
             self.hurried = self.moved is not None
-            self.reactor.callLater(self.uniform(*span) / 10_000, self.ask if alone else self.failed)
+            self.reactor.callLater(
+                self.uniform(*span) / 10_000, self.ask if alone else self.failed
+            )
 
     def failed(self) -> None:
         if not self.stopped:
@@ -300,7 +383,12 @@
                 if watch.overlong:
                     watch.end("nothing came")
         watch = self.watch
-        if watch is not None and watch.version < 0 and self.old is None and watch.quiet() > watch.overdue:
+        if (
+            watch is not None
+            and watch.version < 0
+            and self.old is None
+            and watch.quiet() > watch.overdue
+        ):
             self.old, self.watch = watch, None
             self.ask()  # in the next turn: what came while this process stood still is read before
 
--- a/milletsill/platform/door.py
+++ b/milletsill/platform/door.py
@@ -1,4 +1,5 @@
 """The clients' door: one request at a time on a connection, one answer to each, bounds on all that is held."""
+
 from __future__ import annotations
 
 import typing
@@ -11,8 +12,21 @@
 from milletsill.http1 import writer
 from milletsill.http1.decide import Bounds
 from milletsill.http1.reader import BadMessage, Message, RequestReader
-from milletsill.platform.decide import (BEGUN_BY, LOOK_SHORT, MOST_AHEAD, MOST_BODY, MOST_DISCARDED, MOST_REQUEST, OVER,
-                                        SHORT_BODY, Cue, Octets, Stage, due, next_stage)
+from milletsill.platform.decide import (
+    BEGUN_BY,
+    LOOK_SHORT,
+    MOST_AHEAD,
+    MOST_BODY,
+    MOST_DISCARDED,
+    MOST_REQUEST,
+    OVER,
+    SHORT_BODY,
+    Cue,
+    Octets,
+    Stage,
+    due,
+    next_stage,
+)
 from milletsill.platform.links import Verdict
 
 BOUNDS = Bounds(body=MOST_BODY)
@@ -41,15 +55,25 @@
     """One connection of a client. It is the asker of its open transfer."""
 
     def __init__(self, gateway: Around) -> None:
-        self.gateway, self.reader, self.stage = gateway, RequestReader(BOUNDS), Stage.FRESH
+        self.gateway, self.reader, self.stage = (
+            gateway,
+            RequestReader(BOUNDS),
+            Stage.FRESH,
+        )
         self.since = gateway.now()  # of the stage, or of a request's first octet
         self.transfer: int | None = None
         self.keep, self.stuck, self.discarded = True, False, 0
         self.reading = False  # within `read_on`
-        self.gone = self.handed = False  # the client has closed its side; all that we had to write is the system's
+        self.gone = self.handed = (
+            False  # the client has closed its side; all that we had to write is the system's
+        )
         self.charged = 0  # octets of an answer that the client has not taken yet
-        self.ahead: Message | None = None  # the next request, whole, while one is open or the last answer is not taken
-        self.lent = self.borne = 0  # octets counted for what is ahead or comes in; for the open transfer's body
+        self.ahead: Message | None = (
+            None  # the next request, whole, while one is open or the last answer is not taken
+        )
+        self.lent = self.borne = (
+            0  # octets counted for what is ahead or comes in; for the open transfer's body
+        )
 
     @property
     def begun(self) -> bool:
@@ -83,7 +107,9 @@
             return
         if not self.begun:
             now = self.gateway.now()
-            self.since = min(now, self.since + BEGUN_BY) if self.stage is Stage.FRESH else now
+            self.since = (
+                min(now, self.since + BEGUN_BY) if self.stage is Stage.FRESH else now
+            )
         self.reader.feed(data)
         self.read_on()
 
@@ -128,7 +154,12 @@
         except BadMessage as error:
             self.refuse(error.status, error.reason)
             return False
-        if not self.ready and self.ahead is not None and self.reader.pending > (MOST_AHEAD if self.stage is Stage.BUSY else MOST_REQUEST):
+        if (
+            not self.ready
+            and self.ahead is not None
+            and self.reader.pending
+            > (MOST_AHEAD if self.stage is Stage.BUSY else MOST_REQUEST)
+        ):
             self.refuse(400, "too much ahead of an answer")
             return False
         return self.lend()
@@ -136,10 +167,14 @@
     def lend(self) -> bool:
         """Room for what is ahead, or for a long one that comes in: up to one whole request and a little. Short ones are not
         counted."""
-        held = self.reader.pending + (len(self.ahead.body) if self.ahead is not None else 0)
+        held = self.reader.pending + (
+            len(self.ahead.body) if self.ahead is not None else 0
+        )
         if held > max(MOST_REQUEST if self.ready else MOST_AHEAD, self.lent):
             if not self.gateway.octets.take(held - self.lent):
-                self.refuse(503, "no room for a request that is long or ahead of an answer")
+                self.refuse(
+                    503, "no room for a request that is long or ahead of an answer"
+                )
                 return False
             self.lent = held
         return True
@@ -149,7 +184,9 @@
         while the process stood still or the request waited before the door: octets are read a round before the end behind
         them. Harm: one more read for each request that is taken, and for each one more of what lies behind it."""
         came = -1
-        while came < self.reader.pending <= MOST_BODY + MOST_REQUEST:  # beyond, it is refused anyway
+        while (
+            came < self.reader.pending <= MOST_BODY + MOST_REQUEST
+        ):  # beyond, it is refused anyway
             came = self.reader.pending
             if self.transport.doRead() is not None:
                 self.step(Cue.GONE)
@@ -205,7 +242,13 @@
 
     def turn_away(self, pause: int) -> None:
         """A refusal, with the time to come back where there is one to tell."""
-        self.answer(503, b"", b"Retry-After: %d.%03d\r\n" % divmod(-(-pause // 10), 1000) if pause else b"")
+        self.answer(
+            503,
+            b"",
+            b"Retry-After: %d.%03d\r\n" % divmod(-(-pause // 10), 1000)
+            if pause
+            else b"",
+        )
 
     def aborted(self) -> None:
         self.gateway.note("answer", "aborted")
@@ -215,7 +258,9 @@
         """The one answer to the request that is open."""
         self.transfer = None
         self.unburden()
-        keep = self.keep and (self.gateway.keeps or self.ahead is not None)  # what is read whole has its answer
+        keep = self.keep and (
+            self.gateway.keeps or self.ahead is not None
+        )  # what is read whole has its answer
         if self.stage is not Stage.CLOSED:
             self.transport.write(writer.answer(status, body, keep, extra))
             if self.stuck and not self.charged:
@@ -229,7 +274,9 @@
         self.gateway.note("refused", reason)
         if self.stage in (Stage.ENDING, Stage.CLOSED):
             return
-        self.transport.write(writer.answer(status, reason.encode("latin-1", "replace") + b"\n", False))
+        self.transport.write(
+            writer.answer(status, reason.encode("latin-1", "replace") + b"\n", False)
+        )
         self.step(Cue.REFUSED)
 
     def step(self, cue: Cue) -> None:
@@ -247,7 +294,10 @@
             self.transport.loseConnection()
         elif effect == "cut":
             self.cut()
-        elif effect in ("abandon", "abandon and end", "abandon and part") and self.transfer is not None:
+        elif (
+            effect in ("abandon", "abandon and end", "abandon and part")
+            and self.transfer is not None
+        ):
             transfer, self.transfer = self.transfer, None
             self.gateway.abandoned(transfer)
         if effect in ("end", "abandon and end"):
@@ -296,7 +346,13 @@
                 self.step(cue)
 
     def due(self, now: int, short: bool) -> Cue | None:
-        return due(self.stage, self.begun, now - self.since, short, not (self.handed or self.gone))
+        return due(
+            self.stage,
+            self.begun,
+            now - self.since,
+            short,
+            not (self.handed or self.gone),
+        )
 
     def catch_up(self) -> None:
         """Guards clients against a process that stood still: timers go before what has come, and an idle close, a time-out or
@@ -350,7 +406,9 @@
         if self.paused:
             self.look(True)
         if self.paused:
-            self.look_call = self.gateway.reactor.callLater(LOOK_SHORT / 10_000, self.look_again)
+            self.look_call = self.gateway.reactor.callLater(
+                LOOK_SHORT / 10_000, self.look_again
+            )
 
     def left(self, client: Client) -> None:
         self.open.pop(client, None)
--- a/milletsill/platform/gateway.py
+++ b/milletsill/platform/gateway.py
@@ -1,4 +1,5 @@
 """The gateway on the platform as one object: door, host of the module, links, list, tallies."""
+
 from __future__ import annotations
 
 import resource
@@ -11,8 +12,18 @@
 from milletsill.interface import Arrival, News
 from milletsill.platform.asks import BadAsk, Cargo, Categories, cargo_of
 from milletsill.platform.configuration import Deployment, RefusedPlace
-from milletsill.platform.decide import (ANSWER_MARGIN, UNTOLD_DIAL, UNTOLD_IDLE, Event, Octets, Process, Spent, ends_of, pass_on,
-                                        shares_of)
+from milletsill.platform.decide import (
+    ANSWER_MARGIN,
+    UNTOLD_DIAL,
+    UNTOLD_IDLE,
+    Event,
+    Octets,
+    Process,
+    Spent,
+    ends_of,
+    pass_on,
+    shares_of,
+)
 from milletsill.platform.discovery import Follower
 from milletsill.platform.door import Client, Clients
 from milletsill.platform.links import Fleet, Sending
@@ -28,9 +39,21 @@
 class Gateway:
     """One gateway. `log` takes an event and its values."""
 
-    def __init__(self, deployment: Deployment, reactor: Any, now: Callable[[], int], clock: int, log: Any,
-                 make: Make = Scheduler) -> None:
-        self.deployment, self.reactor, self.now, self.log = deployment, reactor, now, log
+    def __init__(
+        self,
+        deployment: Deployment,
+        reactor: Any,
+        now: Callable[[], int],
+        clock: int,
+        log: Any,
+        make: Make = Scheduler,
+    ) -> None:
+        self.deployment, self.reactor, self.now, self.log = (
+            deployment,
+            reactor,
+            now,
+            log,
+        )
         self.process, self.keeps = Process.STARTING, True
         self.answers_by: int | None = None  # once it leaves
         self.ends = list[tuple[int, Event]]()  # its steps then
@@ -42,13 +65,37 @@
         self.categories = Categories(facts)
         self.clients = Clients(self, shares.clients)
         self.octets, self.spent = Octets(deployment.memory_mb), Spent()
-        self.fleet = Fleet(reactor, now, shares.links, self.octets, facts["dial"] or UNTOLD_DIAL,
-                           facts["link_idle"] or UNTOLD_IDLE, self.note)
-        self.follower = Follower(reactor, now, deployment.discovery, facts["zones"], clock, self.listed,
-                                 lambda text: self.remark("list", reason=text), Random(f"{deployment.seed} list").uniform,
-                                 deployment.grace)
-        self.host = Host(reactor, now, facts, deployment.seed, make, self.carry, self.follower.ask,
-                         lambda text: self.remark("module", reason=text), self.note)
+        self.fleet = Fleet(
+            reactor,
+            now,
+            shares.links,
+            self.octets,
+            facts["dial"] or UNTOLD_DIAL,
+            facts["link_idle"] or UNTOLD_IDLE,
+            self.note,
+        )
+        self.follower = Follower(
+            reactor,
+            now,
+            deployment.discovery,
+            facts["zones"],
+            clock,
+            self.listed,
+            lambda text: self.remark("list", reason=text),
+            Random(f"{deployment.seed} list").uniform,
+            deployment.grace,
+        )
+        self.host = Host(
+            reactor,
+            now,
+            facts,
+            deployment.seed,
+            make,
+            self.carry,
+            self.follower.ask,
+            lambda text: self.remark("module", reason=text),
+            self.note,
+        )
         self.port: Any = None
         self.stopped: Callable[[], None] = lambda: None
         self.calls: list[Any] = []
@@ -62,10 +109,16 @@
             self.follower.known(self.deployment.known)
         self.follower.ask()
         host, port = self.deployment.listen
-        self.port = self.clients.port = self.reactor.listenTCP(port, self.clients, BACKLOG, host)
+        self.port = self.clients.port = self.reactor.listenTCP(
+            port, self.clients, BACKLOG, host
+        )
         self.clients.ration()
         self.step(Event.UP)
-        self.log.info("listening", address=f"{host}:{self.port.getHost().port}", sockets=self.deployment.sockets)
+        self.log.info(
+            "listening",
+            address=f"{host}:{self.port.getHost().port}",
+            sockets=self.deployment.sockets,
+        )
         self.look(self.now())
         self.tell_tally()
 
@@ -74,7 +127,9 @@
         self.process, effect = pass_on(self.process, event)
         if effect == "leave":
             self.log.info("leaving", held=self.host.held)
-            ends = ends_of(max(each["patience"] for each in self.deployment.facts["categories"]))
+            ends = ends_of(
+                max(each["patience"] for each in self.deployment.facts["categories"])
+            )
             self.ends = [(self.now() + within, each) for within, each in ends]
             self.answers_by = self.ends[0][0]
             self.go_on()
@@ -133,8 +188,14 @@
     def reload(self, deployment: Deployment) -> None:
         """Another configuration: discovery's address moves; what the module was told at its start stands."""
         self.follower.move(deployment.discovery)
-        if deployment.facts != self.deployment.facts or deployment.listen != self.deployment.listen:
-            self.remark("configuration", **RefusedPlace("settings or address are not those of the start").said())
+        if (
+            deployment.facts != self.deployment.facts
+            or deployment.listen != self.deployment.listen
+        ):
+            self.remark(
+                "configuration",
+                **RefusedPlace("settings or address are not those of the start").said(),
+            )
         self.log.info("reloaded", discovery="%s:%d" % deployment.discovery)
 
     def look(self, since: int) -> None:
@@ -162,16 +223,24 @@
         """One whole request."""
         path = message.target.partition(b"?")[0]
         if path in (READY, LIVE) and message.method == b"GET":
-            client.answer(200 if path == LIVE or self.process is Process.SERVING else 503, b"")
+            client.answer(
+                200 if path == LIVE or self.process is Process.SERVING else 503, b""
+            )
             return
         try:
-            arrival = self.categories.arrival(message, self.now(), ANSWER_MARGIN, self.answers_by)
+            arrival = self.categories.arrival(
+                message, self.now(), ANSWER_MARGIN, self.answers_by
+            )
             if arrival.id in self.host.live or self.spent.known(arrival.id, self.now()):
                 raise BadAsk(409, "x-txn is another's open one")
         except BadAsk as error:
             return client.refuse(error.status, str(error))
         # Once shut, whatever the clocks say: what is sent on then has nobody left to hear its answer. Harm: none, all is refused.
-        if not self.keeps or arrival.ends <= self.now() or self.host.held >= (self.deployment.facts["most_held"] or BACKLOG):
+        if (
+            not self.keeps
+            or arrival.ends <= self.now()
+            or self.host.held >= (self.deployment.facts["most_held"] or BACKLOG)
+        ):
             self.note("answer", "too late or too many")
             return client.turn_away(self.pause)
         if client.has_gone():
@@ -181,7 +250,15 @@
         self.note("arrival", "repeat" if arrival.repeat else "first")
         self.host.take(arrival, client, cargo_of(message))
 
-    def carry(self, cargo: Cargo, arrival: Arrival, number: int, node: int, ends: int, ended: Ended) -> Sending | None:
+    def carry(
+        self,
+        cargo: Cargo,
+        arrival: Arrival,
+        number: int,
+        node: int,
+        ends: int,
+        ended: Ended,
+    ) -> Sending | None:
         return self.fleet.carry(cargo, node, ends, ended)
 
     def abandoned(self, transfer: int) -> None:
@@ -205,20 +282,44 @@
 
     def tell_tally(self) -> None:
         """Now and then: counts by cause, and of each node in use what the module believes beside what the sockets show."""
-        counts = {" ".join(filter(None, each)): count for each, count in sorted(self.tally.items())}
+        counts = {
+            " ".join(filter(None, each)): count
+            for each, count in sorted(self.tally.items())
+        }
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        self.log.info("tally", held=self.host.held, clients=len(self.clients.open), links=self.fleet.open,
-                      late_ms=self.late / 10, cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
-                      peak_mb=usage.ru_maxrss // 1024, unsaid=max(self.remarks - MOST_REMARKS, 0), **counts)
+        self.log.info(
+            "tally",
+            held=self.host.held,
+            clients=len(self.clients.open),
+            links=self.fleet.open,
+            late_ms=self.late / 10,
+            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
+            peak_mb=usage.ru_maxrss // 1024,
+            unsaid=max(self.remarks - MOST_REMARKS, 0),
+            **counts,
+        )
         self.tally.clear()
         self.late = self.remarks = 0
         nodes = getattr(self.host.module, "nodes", {})
         for number, there in self.fleet.nodes.items():
             node = nodes.get(number)
-            if node is not None and (there.links or there.waiting or node.extents or node.lapses):
-                self.log.info("node", id=there.name, health=node.health.name, out=len(node.out), held=len(node.extents),
-                              window=round(node.window, 1), lapses=node.lapses, latency_ms=round((node.latency or 0) / 10),
-                              pace_ms=round(node.pace / 10), best_ms=round(node.best / 10), links=len(there.links),
-                              free=len(there.free), waiting=len(there.waiting))
+            if node is not None and (
+                there.links or there.waiting or node.extents or node.lapses
+            ):
+                self.log.info(
+                    "node",
+                    id=there.name,
+                    health=node.health.name,
+                    out=len(node.out),
+                    held=len(node.extents),
+                    window=round(node.window, 1),
+                    lapses=node.lapses,
+                    latency_ms=round((node.latency or 0) / 10),
+                    pace_ms=round(node.pace / 10),
+                    best_ms=round(node.best / 10),
+                    links=len(there.links),
+                    free=len(there.free),
+                    waiting=len(there.waiting),
+                )
         if self.process is not Process.STOPPED:
             self.calls.append(self.reactor.callLater(TALLY_EVERY, self.tell_tally))
--- a/milletsill/platform/lines.py
+++ b/milletsill/platform/lines.py
@@ -2,6 +2,7 @@
 
 Not structlog itself: with what it brings along it took 0.11 of the 0.40 s of processor of a start, and 5 of 26 MB.
 """
+
 from __future__ import annotations
 
 import json
@@ -23,7 +24,16 @@
 
     def write(self, level: str, event: str, values: dict[str, Any]) -> None:
         stamp = datetime.now(timezone.utc).isoformat().replace("+00:00", "Z")
-        line = json.dumps({**self.bound, **values, "event": event, "level": level, "timestamp": stamp}, default=str)
+        line = json.dumps(
+            {
+                **self.bound,
+                **values,
+                "event": event,
+                "level": level,
+                "timestamp": stamp,
+            },
+            default=str,
+        )
         try:
             self.stream.write(line + "\n")
             self.stream.flush()
--- a/milletsill/platform/links.py
+++ b/milletsill/platform/links.py
@@ -1,4 +1,5 @@
 """Links to storage nodes: one dispatch at a time on each, none resent, every dispatch with exactly one end."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -15,7 +16,15 @@
 from milletsill.http1.writer import request
 from milletsill.interface import Outcome, Readiness
 from milletsill.platform.asks import Cargo, number_in, report_in
-from milletsill.platform.decide import IDLE_PART, MOST_BODY, MOST_EACH, MOST_WAITING, SHORT_BODY, Octets, kept_from
+from milletsill.platform.decide import (
+    IDLE_PART,
+    MOST_BODY,
+    MOST_EACH,
+    MOST_WAITING,
+    SHORT_BODY,
+    Octets,
+    kept_from,
+)
 from milletsill.platform.discovery import Dial
 from milletsill.platform.nodes import Place
 
@@ -39,7 +48,9 @@
     """How a dispatch ended that was answered whole."""
     if message.status == 200:
         return Outcome.SATISFIED
-    turned = message.status in (503, 504) and message.fields.get(b"x-turned-away") == b"1"
+    turned = (
+        message.status in (503, 504) and message.fields.get(b"x-turned-away") == b"1"
+    )
     return Outcome.TURNED_AWAY if turned else Outcome.ERROR
 
 
@@ -48,8 +59,16 @@
 
     __slots__ = ("node", "cargo", "ends", "ended", "link", "since", "over")
 
-    def __init__(self, node: Node, cargo: Cargo, ends: int, ended: Ended, now: int) -> None:
-        self.node, self.cargo, self.ends, self.ended, self.since = node, cargo, ends, ended, now
+    def __init__(
+        self, node: Node, cargo: Cargo, ends: int, ended: Ended, now: int
+    ) -> None:
+        self.node, self.cargo, self.ends, self.ended, self.since = (
+            node,
+            cargo,
+            ends,
+            ended,
+            now,
+        )
         self.link: Link | None = None
         self.over = False
 
@@ -99,12 +118,24 @@
         """Write one dispatch."""
         self.sending, sending.link, self.written = sending, self, False
         self.uses += 1
-        cargo, left = sending.cargo, max((sending.ends - self.node.fleet.now()) // 10, 1)
-        self.transport.write(request(cargo.method, cargo.target, self.node.host_field,
-                                     cargo.fields + [(b"X-Remaining-Ms", b"%d" % left)], cargo.body))
+        cargo, left = (
+            sending.cargo,
+            max((sending.ends - self.node.fleet.now()) // 10, 1),
+        )
+        self.transport.write(
+            request(
+                cargo.method,
+                cargo.target,
+                self.node.host_field,
+                cargo.fields + [(b"X-Remaining-Ms", b"%d" % left)],
+                cargo.body,
+            )
+        )
 
     def dataReceived(self, data: bytes) -> None:
-        if self.sending is None:  # behind a whole answer, or out of nothing: of no further use
+        if (
+            self.sending is None
+        ):  # behind a whole answer, or out of nothing: of no further use
             return self.close()
         if not self.written and self.uses > 1:
             # Guards a client against an answer to what this link carried before: octets that come while ours are not all
@@ -163,7 +194,11 @@
 
     def connectionLost(self, reason: Any = None) -> None:
         # An answer without a length ends with its connection, but a reset is no end: it may have lost octets on the way.
-        whole = self.reader.closed() if reason is not None and reason.check(ConnectionDone) else None
+        whole = (
+            self.reader.closed()
+            if reason is not None and reason.check(ConnectionDone)
+            else None
+        )
         sending, self.sending = self.sending, None
         self.gone()
         if sending is None:
@@ -172,7 +207,9 @@
             sending.end(outcome_of(whole), Verdict(whole))
         elif self.written:
             sending.end(Outcome.RESET)
-        elif self.uses > 1:  # an idle link that was closed before we wrote all: it never ran, and the node may be fine
+        elif (
+            self.uses > 1
+        ):  # an idle link that was closed before we wrote all: it never ran, and the node may be fine
             sending.link = None
             self.node.again(sending)
         else:
@@ -196,7 +233,10 @@
         """Where the list has it now."""
         self.name = place.name
         if place.host and (place.host, place.port) != self.address:
-            self.address, self.host_field = (place.host, place.port), f"{place.host}:{place.port}".encode()
+            self.address, self.host_field = (
+                (place.host, place.port),
+                f"{place.host}:{place.port}".encode(),
+            )
             self.clear()
         self.retired = place.listed.readiness is not Readiness.READY
         if self.retired:
@@ -235,12 +275,17 @@
 
     def dial(self) -> None:
         """New links for those that wait, as descriptors allow."""
-        while (self.dials + len(self.free) < len(self.waiting) and self.dials + len(self.links) < MOST_EACH
-               and self.fleet.room()):
+        while (
+            self.dials + len(self.free) < len(self.waiting)
+            and self.dials + len(self.links) < MOST_EACH
+            and self.fleet.room()
+        ):
             self.dials += 1
             self.fleet.open += 1
             self.fleet.note("dial", "")
-            self.fleet.connect(*self.address, Link(self), partial(self.failed, self.address))
+            self.fleet.connect(
+                *self.address, Link(self), partial(self.failed, self.address)
+            )
 
     def failed(self, address: tuple[str, int]) -> None:
         """A dial came to nothing, and so did the dispatch that waited longest, unless the node has moved since."""
@@ -309,23 +354,43 @@
 class Fleet:
     """All links to nodes, within one bound."""
 
-    def __init__(self, reactor: Any, now: Callable[[], int], most: int, octets: Octets, dial: int, idle: int,
-                 note: Callable[..., None]) -> None:
-        self.reactor, self.now, self.most, self.octets, self.note = reactor, now, most, octets, note
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        most: int,
+        octets: Octets,
+        dial: int,
+        idle: int,
+        note: Callable[..., None],
+    ) -> None:
+        self.reactor, self.now, self.most, self.octets, self.note = (
+            reactor,
+            now,
+            most,
+            octets,
+            note,
+        )
         self.dial_span, self.idle_span = dial, int(idle * IDLE_PART)
         self.nodes = dict[int, Node]()
         self.open = 0
         self.short = False  # somebody waits for a descriptor
-        self.cutting = False  # a link was cut under its dispatch in this turn of the reactor
+        self.cutting = (
+            False  # a link was cut under its dispatch in this turn of the reactor
+        )
 
     def listed(self, whole: bool, places: Sequence[Place]) -> None:
         """Nodes as the list has them."""
         for place in places:
             number = place.listed.node
             if place.listed.readiness is not Readiness.GONE or number in self.nodes:
-                node = self.nodes.get(number) or self.nodes.setdefault(number, Node(self, number))
+                node = self.nodes.get(number) or self.nodes.setdefault(
+                    number, Node(self, number)
+                )
                 node.moved(place)
-        for number in self.nodes.keys() - {each.listed.node for each in places} if whole else ():
+        for number in (
+            self.nodes.keys() - {each.listed.node for each in places} if whole else ()
+        ):
             self.nodes[number].retire()
 
     def carry(self, cargo: Cargo, node: int, ends: int, ended: Ended) -> Sending | None:
@@ -347,14 +412,21 @@
     def have_cut(self) -> None:
         self.cutting = False
 
-    def connect(self, host: str, port: int, link: Link, failed: Callable[[], None]) -> None:
-        self.reactor.connectTCP(host, port, Dial(link, failed), timeout=max(self.dial_span, 100) / 10_000)
+    def connect(
+        self, host: str, port: int, link: Link, failed: Callable[[], None]
+    ) -> None:
+        self.reactor.connectTCP(
+            host, port, Dial(link, failed), timeout=max(self.dial_span, 100) / 10_000
+        )
 
     def room(self) -> bool:
         """Whether one more link may be opened; the one idle longest makes way."""
         if self.open >= self.most:
-            oldest = min((node.free[0] for node in self.nodes.values() if node.free), key=lambda link: link.since,
-                         default=None)
+            oldest = min(
+                (node.free[0] for node in self.nodes.values() if node.free),
+                key=lambda link: link.since,
+                default=None,
+            )
             if oldest is not None:
                 oldest.close()
         self.short = self.open >= self.most
