--- a/milletsill/platform/nodes.py
+++ b/milletsill/platform/nodes.py
@@ -1,4 +1,5 @@
 """Entries of the platform's list: JSON in, checked places out. One that does not parse is left out alone."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -8,7 +9,11 @@
 from milletsill.errors import Unfit
 from milletsill.interface import Listed, Readiness
 
-STATES = {"active": Readiness.READY, "leaving": Readiness.DRAINING, "left": Readiness.GONE}
+STATES = {
+    "active": Readiness.READY,
+    "leaving": Readiness.DRAINING,
+    "left": Readiness.GONE,
+}
 MOST_ID, MOST_CELL = 200, 1 << 16
 
 
@@ -36,7 +41,12 @@
 def address_of(text: Any) -> tuple[str, int]:
     """Host and port; `BadEntry` where it is none."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or len(host) > MOST_ID or not (port.isascii() and port.isdigit()) or not 0 < int(port[:6]) < 65_536:
+    if (
+        not host
+        or len(host) > MOST_ID
+        or not (port.isascii() and port.isdigit())
+        or not 0 < int(port[:6]) < 65_536
+    ):
         raise BadEntry(f"address {str(text)[:40]!r} is not HOST:PORT")
     return host, int(port)
 
@@ -45,7 +55,9 @@
     """A whole number from 0 of an entry."""
     value = entry.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < most:
-        raise BadEntry(f"{name} {str(value)[:40]!r} is not a number from 0 to {most - 1}")
+        raise BadEntry(
+            f"{name} {str(value)[:40]!r} is not a number from 0 to {most - 1}"
+        )
     return value
 
 
@@ -54,7 +66,9 @@
     name is itself alone, and a node without any shares its zone with none. Harm: none to what they name."""
     if isinstance(zone, str) and zone in zones:
         return zones.index(zone)
-    return len(zones) + number_of(f"zone {zone}" if isinstance(zone, str) and zone else f"node {name}")
+    return len(zones) + number_of(
+        f"zone {zone}" if isinstance(zone, str) and zone else f"node {name}"
+    )
 
 
 def place_of(entry: Any, zones: Sequence[str], clock: int) -> Place:
@@ -66,7 +80,11 @@
         raise BadEntry(f"id {str(name)[:40]!r} is not a name")
     if not isinstance(state, str) or state not in STATES:
         raise BadEntry(f"state {str(state)[:40]!r} is not one of {', '.join(STATES)}")
-    if isinstance(size, bool) or not isinstance(size, (int, float)) or not 0 <= size < 1e6:
+    if (
+        isinstance(size, bool)
+        or not isinstance(size, (int, float))
+        or not 0 <= size < 1e6
+    ):
         raise BadEntry(f"weight {str(size)[:40]!r} is not a number from 0")
     readiness = STATES[state]
     gone = readiness is Readiness.GONE and "addr" not in entry
@@ -74,8 +92,20 @@
     started = whole(entry, "started_ms", 1 << 53)
     zone = zone_of(entry.get("zone"), name, zones)
     since = started * 10 + clock if started else None
-    return Place(name, host, port, Listed(number_of(name), readiness, float(size), 0, zone, since,
-                                          whole(entry, "cell", MOST_CELL)))
+    return Place(
+        name,
+        host,
+        port,
+        Listed(
+            number_of(name),
+            readiness,
+            float(size),
+            0,
+            zone,
+            since,
+            whole(entry, "cell", MOST_CELL),
+        ),
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +117,9 @@
     places: tuple[Place, ...]
 
 
-def news_of(value: Any, zones: Sequence[str], clock: int, remark: Callable[[str], None]) -> News:
+def news_of(
+    value: Any, zones: Sequence[str], clock: int, remark: Callable[[str], None]
+) -> News:
     """A list or its changes; `BadEntry` where it is neither."""
     if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
         raise BadEntry("no list of nodes")
@@ -97,4 +129,6 @@
             places.append(place_of(entry, zones, clock))
         except BadEntry as error:
             remark(f"an entry was left out: {error.line()}")
-    return News(whole(value, "version", 1 << 63), value.get("full") is True, tuple(places))
+    return News(
+        whole(value, "version", 1 << 63), value.get("full") is True, tuple(places)
+    )
--- a/milletsill/platform/process.py
+++ b/milletsill/platform/process.py
@@ -2,6 +2,7 @@
 
 Exit status 0 after SIGTERM, 1 where the address cannot be had, 2 for a configuration that cannot be used.
 """
+
 from __future__ import annotations
 
 import os
@@ -38,10 +39,14 @@
     """Run until told to end."""
     if arguments:
         wanted = arguments in (["--help"], ["-h"])
-        print(USAGE if wanted else "milletsill: serve takes no arguments", file=sys.stdout if wanted else sys.stderr)
+        print(
+            USAGE if wanted else "milletsill: serve takes no arguments",
+            file=sys.stdout if wanted else sys.stderr,
+        )
         return 0 if wanted else 2
     signals = Signals()
     from milletsill.platform.configuration import RefusedPlace, read
+
     clock = time.monotonic_ns() // 100_000 - time.time_ns() // 100_000
     faults = list[str]()
     try:
@@ -61,6 +66,7 @@
     from milletsill.platform.configuration import RefusedPlace, read
     from milletsill.platform.gateway import Gateway
     from milletsill.platform.lines import Lines
+
     # Guards every span, the end after SIGTERM first, against a wall clock that is set while the process runs: Twisted's timers
     # follow it. Harm: none known.
     reactor.seconds = time.monotonic  # type: ignore[attr-defined]
@@ -71,14 +77,22 @@
 
     def again() -> None:
         try:
-            gateway.reload(read(os.environ, clock, lambda text: gateway.remark("configuration", reason=text)))
+            gateway.reload(
+                read(
+                    os.environ,
+                    clock,
+                    lambda text: gateway.remark("configuration", reason=text),
+                )
+            )
         except RefusedPlace as error:
             log.warning("configuration", **error.said())
 
     def heard(number: int) -> None:
         reactor.callFromThread(again if number == signal.SIGHUP else gateway.terminate)
 
-    gateway.stopped = lambda: reactor.callLater(0, reactor.stop)  # what was owed had its time before
+    gateway.stopped = lambda: reactor.callLater(
+        0, reactor.stop
+    )  # what was owed had its time before
     status = list[int]()
 
     def begin() -> None:
--- a/milletsill/policy/__init__.py
+++ b/milletsill/policy/__init__.py
@@ -2,6 +2,7 @@
 
 A host makes one Scheduler per gateway with facts, seed, time and a Port, tells it events by `listed`,
 `taken`, `returned`, `abandoned`, `woken`, then calls `settle`; it acts through the Port, see interface.py."""
+
 from typing import Sequence
 from weakref import ReferenceType, ref
 
@@ -9,34 +10,67 @@
 from milletsill.policy.answers import Answers
 from milletsill.policy.ordinary import Ordinary
 from milletsill.policy.records import Node, Transfer, Volume
-from milletsill.policy.tables import (ASK_AGAIN, ASK_MOST, ENDING_TICKS, FIRST_WINDOW, IDLE, NEVER, PART,
-                                      SWEPT, UNSENT, Cue, Health, Phase, Sign)
+from milletsill.policy.tables import (
+    ASK_AGAIN,
+    ASK_MOST,
+    ENDING_TICKS,
+    FIRST_WINDOW,
+    IDLE,
+    NEVER,
+    PART,
+    SWEPT,
+    UNSENT,
+    Cue,
+    Health,
+    Phase,
+    Sign,
+)
 
 
 class Scheduler(Ordinary, Answers):
     def listed(self, now: int, news: News, entries: Sequence[Listed]) -> None:
         if news is News.FAILED:
             # Guards rule 3 against two failed watches in turn; could harm a slow list: the pause grows.
-            span = self.facts["ask_within"] or self.idle // IDLE  # the longest patience, where none is told
+            span = (
+                self.facts["ask_within"] or self.idle // IDLE
+            )  # the longest patience, where none is told
             pause = span * min(ASK_AGAIN * self.asks, ASK_MOST) * self.uniform(0.5, 1)
             return self.port.wake(now + int(pause), "ask")
         self.asks = int(news is News.CACHED)
         for entry in entries:
             node = self.nodes.get(entry.node)
-            fresh = entry.since is not None and (node is None or entry.since != node.since)
-            node = node or self.nodes.setdefault(entry.node, Node(entry, max(FIRST_WINDOW, self.least)))
+            fresh = entry.since is not None and (
+                node is None or entry.since != node.since
+            )
+            node = node or self.nodes.setdefault(
+                entry.node, Node(entry, max(FIRST_WINDOW, self.least))
+            )
             node.cell, node.zone, node.since = entry.cell, entry.zone, entry.since
-            node.size = entry.size if self.facts["sized"] and 0 < entry.size < NEVER else 1
-            for each in self.transfers.values() if fresh else ():  # guards rule 4: all that were held
+            node.size = (
+                entry.size if self.facts["sized"] and 0 < entry.size < NEVER else 1
+            )
+            for each in (
+                self.transfers.values() if fresh else ()
+            ):  # guards rule 4: all that were held
                 each.gap *= each.cell not in (None, entry.cell)
             if fresh and now - self.born <= self.facts["cold_window"]:
-                node.sends.append((now, NEVER))  # guards rule 4: a former self may have spent its part
+                node.sends.append(
+                    (now, NEVER)
+                )  # guards rule 4: a former self may have spent its part
             ready = Sign.FRESH if fresh else Sign.READY
-            self.sign(node, ready if entry.readiness is Readiness.READY else Sign.UNREADY, now)
-        missing = self.nodes.keys() - {entry.node for entry in entries} if news is not News.CHANGES else ()
+            self.sign(
+                node, ready if entry.readiness is Readiness.READY else Sign.UNREADY, now
+            )
+        missing = (
+            self.nodes.keys() - {entry.node for entry in entries}
+            if news is not News.CHANGES
+            else ()
+        )
         for each in sorted(missing):
             self.sign(self.nodes[each], Sign.UNREADY, now)
-        self.serving = [node for node in self.nodes.values() if node.health is not Health.BARRED]
+        self.serving = [
+            node for node in self.nodes.values() if node.health is not Health.BARRED
+        ]
         self.cells = {}
         for node in self.serving:
             self.cells.setdefault(node.cell, []).append(node)
@@ -47,7 +81,9 @@
         here: cold if the list tells its start. Harm: none once what was sent has left rule 4's window."""
         for node in list(self.nodes.values()):
             gone = node.health is Health.BARRED and not node.out and not node.extents
-            if gone and now > node.barred_at + max(self.idle, self.facts["cold_window"] + 2):
+            if gone and now > node.barred_at + max(
+                self.idle, self.facts["cold_window"] + 2
+            ):
                 del self.nodes[node.id]
 
     def forget_idle(self, now: int) -> None:
@@ -57,9 +93,14 @@
             volume = next(iter(self.volumes.values()), None)
             if volume is not None and now - volume.used_at > self.idle:
                 del self.volumes[volume.id]
-                if ("limit", volume.id) in self.parts or not volume.forgettable(now, self.largest):
+                if ("limit", volume.id) in self.parts or not volume.forgettable(
+                    now, self.largest
+                ):
                     self.volumes[volume.id], volume.used_at = volume, now
-            if now - self.last.get(cell := next(iter(self.last), None), now) > self.idle:
+            if (
+                now - self.last.get(cell := next(iter(self.last), None), now)
+                > self.idle
+            ):
                 del self.last[cell]
             key = next(iter(self.keys), None)
             if key is not None and (line := self.keys.pop(key)).live(now):
@@ -67,22 +108,40 @@
 
     def taken(self, now: int, arrival: Arrival) -> None:
         categories, plans = self.facts["categories"], self.plans
-        if arrival.category >= len(categories) or arrival.plan >= len(plans):  # no rule is told for it
+        if arrival.category >= len(categories) or arrival.plan >= len(
+            plans
+        ):  # no rule is told for it
             return self.port.decline(arrival.id, 0)
         category, plan = categories[arrival.category], plans[arrival.plan]
         units = arrival.units if 0 < arrival.units < NEVER else self.facts["unit_mean"]
         self.forget_idle(now)
-        gateways = arrival.gateways or self.facts["gateways"]  # guards rule 7: not told, it may be all
-        volume = self.volumes.pop(arrival.volume, None) or Volume(arrival.volume, plan, gateways, self.born)
-        self.volumes[arrival.volume], volume.used_at = volume, now  # the least lately used stands first
+        gateways = (
+            arrival.gateways or self.facts["gateways"]
+        )  # guards rule 7: not told, it may be all
+        volume = self.volumes.pop(arrival.volume, None) or Volume(
+            arrival.volume, plan, gateways, self.born
+        )
+        self.volumes[arrival.volume], volume.used_at = (
+            volume,
+            now,
+        )  # the least lately used stands first
         volume.gateways = max(volume.gateways, gateways)
-        transfer = self.transfers[arrival.id] = Transfer(arrival, category, volume, units, self.clear, now)
+        transfer = self.transfers[arrival.id] = Transfer(
+            arrival, category, volume, units, self.clear, now
+        )
         transfer.gap = min(now - self.last.pop(transfer.cell, self.born), self.idle)
         self.last[transfer.cell] = now
-        rate = plan["reserve_rate"] * volume.gateways ** -PART  # an estimate: others' use of it is not known
+        rate = (
+            plan["reserve_rate"] * volume.gateways**-PART
+        )  # an estimate: others' use of it is not known
         if ("reserve", volume.id) in self.parts:
-            rate = plan["reserve_rate"] / self.parted("reserve", volume.id, volume.gateways, now, now)
-        transfer.reserved = volume.reserve.fill(now, rate, rate + self.largest) >= units or self.unreserved
+            rate = plan["reserve_rate"] / self.parted(
+                "reserve", volume.id, volume.gateways, now, now
+            )
+        transfer.reserved = (
+            volume.reserve.fill(now, rate, rate + self.largest) >= units
+            or self.unreserved
+        )
         volume.reserve.level -= units if transfer.reserved else 0
         transfer.utility *= 1.0 if transfer.reserved else self.facts["share_utility"]
         if self.facts["further_window"] is not None:  # nothing older is ever counted
@@ -104,7 +163,10 @@
         if isinstance(what, Transfer):
             # What was never dispatched is given up while its client has time for another try. Guards against
             # holding it to the end for nothing (a cell without a node, a long surge). Harm: its late utility.
-            if not what.dispatches or now >= what.ends - ENDING_TICKS * self.facts["tick"]:
+            if (
+                not what.dispatches
+                or now >= what.ends - ENDING_TICKS * self.facts["tick"]
+            ):
                 self.cue(what, Cue.HOPELESS, now)
         elif isinstance(what, Node):
             what.wake_at = NEVER
@@ -114,7 +176,11 @@
             self.port.watch()
 
     def settle(self, now: int) -> None:  # place, then fill the windows
-        self.unplaced = [one for one in self.unplaced if one.phase is Phase.HELD and not self.place(one, now)]
+        self.unplaced = [
+            one
+            for one in self.unplaced
+            if one.phase is Phase.HELD and not self.place(one, now)
+        ]
         for node in list(self.touched.values()):
             self.relieve(node, now)
             self.pump(node, now)
--- a/milletsill/policy/answers.py
+++ b/milletsill/policy/answers.py
@@ -1,10 +1,28 @@
 """What comes back: the end of each dispatch, and what is learnt of its node."""
+
 from milletsill.interface import Answer, Outcome
 from milletsill.policy.queues import Queues
 from milletsill.policy.records import Dispatch
-from milletsill.policy.tables import (CLEAR, CLEAR_STEP, CREDITS, CROWDED, ENDING_TICKS, FOLLOW_WAIT, HEARD,
-                                      MOST_LAPSES, MOST_WINDOW, NARROWER, NEAR, NEVER, NO_WORD, SMOOTH,
-                                      STRAIN, UNSETTLED, Cue, Sign)
+from milletsill.policy.tables import (
+    CLEAR,
+    CLEAR_STEP,
+    CREDITS,
+    CROWDED,
+    ENDING_TICKS,
+    FOLLOW_WAIT,
+    HEARD,
+    MOST_LAPSES,
+    MOST_WINDOW,
+    NARROWER,
+    NEAR,
+    NEVER,
+    NO_WORD,
+    SMOOTH,
+    STRAIN,
+    UNSETTLED,
+    Cue,
+    Sign,
+)
 
 
 class Answers(Queues):
@@ -15,18 +33,30 @@
         node.out.remove(sent)
         self.touched[node.id] = node
         waited = answer.latency - transfer.units * self.clear / node.size
-        self.ease(sent, answer.outcome is not Outcome.SATISFIED or waited > CROWDED * self.shortest, now)
+        self.ease(
+            sent,
+            answer.outcome is not Outcome.SATISFIED or waited > CROWDED * self.shortest,
+            now,
+        )
         # Guards against resting a node for a dispatch that was lost alone (a connection fell silent): the
         # first without a word while the node was heard of late. Harm: a hung one is known later.
-        of_late = sent.sent - HEARD * max(answer.latency, self.shortest)  # a reset may come at once
+        of_late = sent.sent - HEARD * max(
+            answer.latency, self.shortest
+        )  # a reset may come at once
         alone = answer.outcome in NO_WORD and node.heard >= max(node.silent, of_late)
         node.silent = now if answer.outcome in NO_WORD else node.silent
-        if answer.outcome in NO_WORD + (Outcome.TURNED_AWAY,) and sent.sent >= node.lapsed and not alone:
+        if (
+            answer.outcome in NO_WORD + (Outcome.TURNED_AWAY,)
+            and sent.sent >= node.lapsed
+            and not alone
+        ):
             # Guards against many gateways that keep trying a node which is crowded, slow, hung or gone. Harm:
             # after a short fault it is left idle for a while.
             node.lapses, node.lapsed = min(node.lapses + 1, MOST_LAPSES), now
             span = max(answer.latency, node.latency or self.facts["tick"])
-            node.rest_until = now + int(span * (2 ** node.lapses - 1) * self.uniform(0.5, 1.5))
+            node.rest_until = now + int(
+                span * (2**node.lapses - 1) * self.uniform(0.5, 1.5)
+            )
             self.hand_back(node)
         if answer.outcome in NO_WORD and node.heard <= sent.sent and not alone:
             self.sign(node, Sign.LAPSE, now)
@@ -42,22 +72,29 @@
             transfer.spent = False
             late = now >= transfer.ends - ENDING_TICKS * self.facts["tick"]
             ended = late or sent.final and answer.outcome is Outcome.TIMED_OUT
-            never = ended or all(self.repeat_wait(transfer, each, now) >= NEVER
-                                 for each in self.choice(transfer))
+            never = ended or all(
+                self.repeat_wait(transfer, each, now) >= NEVER
+                for each in self.choice(transfer)
+            )
             self.cue(transfer, Cue.LAST if never else Cue.AGAIN, now)
         self.let_go(transfer)
 
     def learn(self, sent: Dispatch, answer: Answer, now: int) -> None:
         node, transfer = sent.node, sent.transfer
         node.lapses = max(node.lapses - 1, 0)
-        node.follow, node.follow_until = transfer, now + int(FOLLOW_WAIT * self.service(node, transfer))
+        node.follow, node.follow_until = (
+            transfer,
+            now + int(FOLLOW_WAIT * self.service(node, transfer)),
+        )
         pace = answer.latency / transfer.units
         self.clear *= 1 + CLEAR_STEP * (CLEAR - (pace * node.size < self.clear))
         self.clear = self.clear or pace * node.size
         waited = max(answer.latency - transfer.units * self.clear / node.size, 0)
         node.wait += SMOOTH * (waited - node.wait)
         strain = waited / self.shortest + answer.report.get("busy", 0.0)
-        node.strain += STRAIN * (strain - node.strain) if node.latency is not None else self.strain
+        node.strain += (
+            STRAIN * (strain - node.strain) if node.latency is not None else self.strain
+        )
         self.strain += STRAIN / 4 * (strain - self.strain)
         new = 1 if node.latency is None else SMOOTH
         node.latency = (node.latency or 0.0) * (1 - new) + answer.latency * new
--- a/milletsill/registry/cache.py
+++ b/milletsill/registry/cache.py
@@ -1,4 +1,5 @@
 """The last list on disk: a restarted gateway has it at once. Replaced whole, so a crash leaves the old or the new."""
+
 from __future__ import annotations
 
 import json
@@ -20,11 +21,22 @@
 
 def put(path: str, boxes: dict[str, Box], revision: int) -> None:
     """Write the list beside and move it into place; `ListUnkept` where the disk is full or refuses."""
-    rows = {key: {"id": each.id, "address": each.address, "size": each.size, "kind": each.kind, "zone": each.zone,
-                  "cell": each.cell, "started": each.started,
-                  "state": "ready" if each.readiness is Readiness.READY else "draining"}
-            for key, each in boxes.items()}
-    body = json.dumps({"format": FORMAT, "revision": revision, "boxes": rows}, sort_keys=True).encode()
+    rows = {
+        key: {
+            "id": each.id,
+            "address": each.address,
+            "size": each.size,
+            "kind": each.kind,
+            "zone": each.zone,
+            "cell": each.cell,
+            "started": each.started,
+            "state": "ready" if each.readiness is Readiness.READY else "draining",
+        }
+        for key, each in boxes.items()
+    }
+    body = json.dumps(
+        {"format": FORMAT, "revision": revision, "boxes": rows}, sort_keys=True
+    ).encode()
     beside = f"{path}.new"
     try:
         with open(beside, "wb") as sink:
@@ -56,6 +68,8 @@
         held = json.loads(body)
         if held["format"] != FORMAT:
             raise ListUnkept(f"format {held['format']}, {FORMAT} is read", path)
-        return {key: box_of(value) for key, value in held["boxes"].items()}, int(held["revision"])
+        return {key: box_of(value) for key, value in held["boxes"].items()}, int(
+            held["revision"]
+        )
     except (ValueError, KeyError, TypeError, AttributeError, BadBox) as error:
         raise ListUnkept(str(error), path) from None
--- a/milletsill/registry/decide.py
+++ b/milletsill/registry/decide.py
@@ -3,6 +3,7 @@
 The module asks (`Port.watch`, `Port.fetch`) and decides how soon to ask again; here stands only what one asking means.
 A view is what was last listed: one `Box` for each id. Spans and times are tenths of a millisecond.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
@@ -28,9 +29,15 @@
     (Stage.JOINING, Cue.EVENTS): (Stage.WATCHING, "changes"),
     (Stage.WATCHING, Cue.EVENTS): (Stage.WATCHING, "changes"),
     # Guards rule 3: a watch that broke is told to the module at once, which counts the time since the last word.
-    **{(stage, Cue.FAIL): (Stage.IDLE, "failed") for stage in (Stage.JOINING, Stage.WATCHING)},
+    **{
+        (stage, Cue.FAIL): (Stage.IDLE, "failed")
+        for stage in (Stage.JOINING, Stage.WATCHING)
+    },
     # What was compacted away cannot be made up by events: the whole list says what is gone.
-    **{(stage, Cue.COMPACTED): (Stage.RANGING, "range") for stage in (Stage.JOINING, Stage.WATCHING)},
+    **{
+        (stage, Cue.COMPACTED): (Stage.RANGING, "range")
+        for stage in (Stage.JOINING, Stage.WATCHING)
+    },
 }
 
 # A watch says nothing while nothing changes, so that a dead one looks like one with nothing to say. Where it is quiet the
@@ -55,14 +62,20 @@
     """Whether the registry was restored from a backup since it told a list: it is of another cluster, or behind what it told.
     What it does not say is no difference. Guards rule 3: changes up to the old revision would never be told. Harm: one list more
     where a member of the registry is late."""
-    return 0 < head[1] < before[1] or bool(head[0] and before[0] and head[0] != before[0])
+    return 0 < head[1] < before[1] or bool(
+        head[0] and before[0] and head[0] != before[0]
+    )
 
 
 def missed(there: Newest, cluster: str, brought: int, keys: int) -> bool:
     """Whether the watch has missed something; `keys` as they are known here. Guards rule 3 against a watch whose other end is
     gone without a word. Harm: one list more where the watch is only late."""
     fewer_or_more = there.count != keys and brought == there.brought
-    return there.revision > brought or fewer_or_more or other_past((cluster, there.brought), there.head)
+    return (
+        there.revision > brought
+        or fewer_or_more
+        or other_past((cluster, there.brought), there.head)
+    )
 
 
 STATES = {"ready": Readiness.READY, "draining": Readiness.DRAINING}
@@ -76,7 +89,9 @@
 class BadBox(Unfit):
     """A value of the registry that describes no box."""
 
-    remedy = "put the value right in the registry, or delete its key; the other boxes stand"
+    remedy = (
+        "put the value right in the registry, or delete its key; the other boxes stand"
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,22 +113,56 @@
     if not isinstance(value, dict):
         raise BadBox("not a JSON object")
     numbers = {}
-    for name, most in (("id", 1 << 32), ("kind", 1 << 16), ("zone", 1 << 16), ("cell", 1 << 31),
-                       ("started", 1 << 53)):
+    for name, most in (
+        ("id", 1 << 32),
+        ("kind", 1 << 16),
+        ("zone", 1 << 16),
+        ("cell", 1 << 31),
+        ("started", 1 << 53),
+    ):
         number = value.get(name, None if name in ("id", "cell") else 0)
-        if isinstance(number, bool) or not isinstance(number, int) or not 0 <= number < most:
-            raise BadBox(f"{name} {str(number)[:40]!r} is not a number from 0 to {most - 1}")
+        if (
+            isinstance(number, bool)
+            or not isinstance(number, int)
+            or not 0 <= number < most
+        ):
+            raise BadBox(
+                f"{name} {str(number)[:40]!r} is not a number from 0 to {most - 1}"
+            )
         numbers[name] = number
-    size, state, address = value.get("size", 1), value.get("state"), value.get("address")
-    if isinstance(size, bool) or not isinstance(size, (int, float)) or not 0 < size < 1e6:
+    size, state, address = (
+        value.get("size", 1),
+        value.get("state"),
+        value.get("address"),
+    )
+    if (
+        isinstance(size, bool)
+        or not isinstance(size, (int, float))
+        or not 0 < size < 1e6
+    ):
         raise BadBox(f"size {str(size)[:40]!r} is not a number above 0")
     if state not in STATES:
         raise BadBox(f"state {str(state)[:40]!r} is not one of {', '.join(STATES)}")
-    host, _, port = address.rpartition(":") if isinstance(address, str) else ("", "", "")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65_536 or len(address) > 300:
+    host, _, port = (
+        address.rpartition(":") if isinstance(address, str) else ("", "", "")
+    )
+    if (
+        not host
+        or not port.isdecimal()
+        or not 0 < int(port) < 65_536
+        or len(address) > 300
+    ):
         raise BadBox(f"address {str(address)[:40]!r} is not host:port")
-    return Box(numbers["id"], address, STATES[state], float(size), numbers["kind"], numbers["zone"],
-               numbers["cell"], numbers["started"])
+    return Box(
+        numbers["id"],
+        address,
+        STATES[state],
+        float(size),
+        numbers["kind"],
+        numbers["zone"],
+        numbers["cell"],
+        numbers["started"],
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,13 +184,19 @@
     def __init__(self, most: int, warm_after: int) -> None:
         self.most, self.warm_after = most, warm_after
         self.by_key: dict[str, Box] = {}
-        self.since: dict[int, tuple[int, int]] = {}  # id -> (started, the same on this process's clock)
+        self.since: dict[
+            int, tuple[int, int]
+        ] = {}  # id -> (started, the same on this process's clock)
         self.revision, self.overflow = 0, 0
-        self.others: set[str] = set()  # keys that the registry has and this view has no box of
+        self.others: set[str] = (
+            set()
+        )  # keys that the registry has and this view has no box of
 
-    def replace(self, boxes: Mapping[str, Box], revision: int, keys: Iterable[str] = ()) -> None:
+    def replace(
+        self, boxes: Mapping[str, Box], revision: int, keys: Iterable[str] = ()
+    ) -> None:
         """The whole list as at a revision; `keys` are all that the registry has."""
-        kept = list(boxes.items())[:self.most]
+        kept = list(boxes.items())[: self.most]
         self.overflow = len(boxes) - len(kept)
         self.by_key, self.revision = dict(kept), revision
         self.others = set(islice(keys, MOST_KEYS)) - self.by_key.keys()
@@ -185,20 +240,37 @@
 
     def left(self, old: Box) -> dict[int, Box]:
         """A box whose key went, or took another id: gone, unless another key claims it."""
-        return {} if any(each.id == old.id for each in self.by_key.values()) else {old.id: replace(old, readiness=Readiness.GONE)}
+        return (
+            {}
+            if any(each.id == old.id for each in self.by_key.values())
+            else {old.id: replace(old, readiness=Readiness.GONE)}
+        )
 
     def entries(self, boxes: list[Box], now: int, wall: int) -> list[Listed]:
         """Lines for the module; `wall` in milliseconds. A box's start is set against this process's clock once, when
         it is first told, so that a step of the wall clock does not make it look started again.
         """
-        return [Listed(each.id, each.readiness, each.size, each.kind, each.zone,
-                       self.since_of(each, now, wall), each.cell) for each in boxes]
+        return [
+            Listed(
+                each.id,
+                each.readiness,
+                each.size,
+                each.kind,
+                each.zone,
+                self.since_of(each, now, wall),
+                each.cell,
+            )
+            for each in boxes
+        ]
 
     def since_of(self, box: Box, now: int, wall: int) -> int | None:
         """When the box started, None for longer ago than a cold one takes."""
         held = self.since.get(box.id)
         if held is None or held[0] != box.started:
-            held = self.since[box.id] = (box.started, min(now - (wall - box.started) * 10, now))
+            held = self.since[box.id] = (
+                box.started,
+                min(now - (wall - box.started) * 10, now),
+            )
             if len(self.since) > 2 * self.most:
                 self.since.pop(next(iter(self.since)))
         return None if not box.started or held[1] <= now - self.warm_after else held[1]
@@ -208,4 +280,9 @@
         return list({each.id: each for each in self.by_key.values()}.values())
 
 
-NEWS = {"whole": News.WHOLE, "changes": News.CHANGES, "confirm": News.CHANGES, "failed": News.FAILED}
+NEWS = {
+    "whole": News.WHOLE,
+    "changes": News.CHANGES,
+    "confirm": News.CHANGES,
+    "failed": News.FAILED,
+}
--- a/milletsill/registry/follower.py
+++ b/milletsill/registry/follower.py
@@ -1,4 +1,5 @@
 """Twisted around registry/decide.py: one range, then a watch; each asking of the module gets one `listed` back."""
+
 from __future__ import annotations
 
 import time
@@ -14,7 +15,20 @@
 
 from milletsill.interface import Listed, News
 from milletsill.registry import cache, jsons
-from milletsill.registry.decide import LOOK, MOST_PUT_OFF, NEWS, SETTLED, Box, Cue, Newest, Stage, View, missed, other_past, step
+from milletsill.registry.decide import (
+    LOOK,
+    MOST_PUT_OFF,
+    NEWS,
+    SETTLED,
+    Box,
+    Cue,
+    Newest,
+    Stage,
+    View,
+    missed,
+    other_past,
+    step,
+)
 
 SAVE_WITHIN = 0.5  # seconds
 Hear = Callable[[News, "list[Listed]"], None]
@@ -43,9 +57,19 @@
 class Gather(Protocol):
     """Reads a whole body, bounded, then calls `done`; or each line as it comes."""
 
-    def __init__(self, most: int, line: Callable[[bytes], None] | None, done: Callable[[bytes | None], None]) -> None:
+    def __init__(
+        self,
+        most: int,
+        line: Callable[[bytes], None] | None,
+        done: Callable[[bytes | None], None],
+    ) -> None:
         self.most, self.line, self.done = most, line, done
-        self.lines, self.held, self.size, self.over = jsons.Lines(most), list[bytes](), 0, False
+        self.lines, self.held, self.size, self.over = (
+            jsons.Lines(most),
+            list[bytes](),
+            0,
+            False,
+        )
 
     def dataReceived(self, data: bytes) -> None:
         if self.over:
@@ -82,15 +106,35 @@
     `hear` gets what the module is told; `moved` the boxes whose links change; `remark` one line for the log; `uniform` draws.
     """
 
-    def __init__(self, reactor: Any, now: Callable[[], int], link: Any, warm_after: int, cache_path: str,
-                 hear: Hear, moved: Callable[[list[Box]], None], remark: Callable[[str], None],
-                 gateway: str, uniform: Callable[[float, float], float], wall: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        link: Any,
+        warm_after: int,
+        cache_path: str,
+        hear: Hear,
+        moved: Callable[[list[Box]], None],
+        remark: Callable[[str], None],
+        gateway: str,
+        uniform: Callable[[float, float], float],
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         self.reactor, self.now, self.wall, self.link = reactor, now, wall, link
         self.view, self.cache_path = View(link.most_boxes, warm_after), cache_path
         self.hear, self.moved, self.remark = hear, moved, remark
         self.stage, self.number, self.late = Stage.IDLE, 0, None
-        self.headers = Headers({b"Content-Type": [b"application/json"], b"User-Agent": [f"milletsill/{gateway}".encode()]})
-        self.agent = Agent(reactor, connectTimeout=link.connect_ms / 1000, pool=HTTPConnectionPool(reactor, False))
+        self.headers = Headers(
+            {
+                b"Content-Type": [b"application/json"],
+                b"User-Agent": [f"milletsill/{gateway}".encode()],
+            }
+        )
+        self.agent = Agent(
+            reactor,
+            connectTimeout=link.connect_ms / 1000,
+            pool=HTTPConnectionPool(reactor, False),
+        )
         self.stream: Gather | None = None
         self.body: Gather | None = None
         self.complaints: dict[str, None] = {}
@@ -135,8 +179,13 @@
             if changes:
                 self.save()
 
-    def call(self, path: str, body: bytes, line: Callable[[bytes], None] | None,
-             done: Callable[[bytes | None], None]) -> None:
+    def call(
+        self,
+        path: str,
+        body: bytes,
+        line: Callable[[bytes], None] | None,
+        done: Callable[[bytes | None], None],
+    ) -> None:
         """One call; `done` gets the body, or None where it failed, once. A stream ends with None."""
         url = f"http://{self.link.address}{path}".encode()
         answered = self.agent.request(b"POST", url, self.headers, Body(body))
@@ -151,7 +200,9 @@
             if got.code != 200:
                 self.remark(f"{path} answered {got.code}")
                 once(None)
-            gather = Gather(self.link.most_line, line if got.code == 200 else None, once)
+            gather = Gather(
+                self.link.most_line, line if got.code == 200 else None, once
+            )
             if line is not None:
                 self.stream = gather
             else:
@@ -165,7 +216,9 @@
     def range(self) -> None:
         """Ask for the whole list."""
         number = self.number = self.number + 1
-        self.late = self.reactor.callLater(self.link.call_ms / 1000, self.overdue, number)
+        self.late = self.reactor.callLater(
+            self.link.call_ms / 1000, self.overdue, number
+        )
 
         def done(data: bytes | None) -> None:
             if number != self.number or self.stage is not Stage.RANGING:
@@ -188,7 +241,9 @@
     def watch(self) -> None:
         """Open the watch from the revision after the list's."""
         number = self.number = self.number + 1
-        self.late = self.reactor.callLater(self.link.call_ms / 1000, self.overdue, number)
+        self.late = self.reactor.callLater(
+            self.link.call_ms / 1000, self.overdue, number
+        )
 
         def line(data: bytes) -> None:
             if number == self.number and not self.stopped:
@@ -199,7 +254,12 @@
                 self.no_longer_late()
                 self.cue(Cue.FAIL)
 
-        self.call("/v3/watch", jsons.watch_body(self.link.prefix, self.view.revision + 1), line, done)
+        self.call(
+            "/v3/watch",
+            jsons.watch_body(self.link.prefix, self.view.revision + 1),
+            line,
+            done,
+        )
 
     def watched(self, data: bytes) -> None:
         """One message of the watch."""
@@ -214,7 +274,9 @@
             return self.cue(Cue.COMPACTED)
         if opened is not None:
             if other_past((self.cluster, self.view.revision), opened):
-                self.remark("registry: it was restored since its list; the whole list is asked for")
+                self.remark(
+                    "registry: it was restored since its list; the whole list is asked for"
+                )
                 return self.cue(Cue.FAIL)
             self.cue(Cue.JOIN_OK)
         if self.look_call is None:
@@ -226,7 +288,9 @@
     def look_later(self) -> None:
         """Ask, a while from now, whether the watch has missed anything."""
         self.no_look()
-        self.look_call = self.reactor.callLater(self.uniform(*LOOK) * 2 ** self.put_off / 10_000, self.look)
+        self.look_call = self.reactor.callLater(
+            self.uniform(*LOOK) * 2**self.put_off / 10_000, self.look
+        )
 
     def look(self) -> None:
         """One small call; where it fails the watch stands, and the next comes later."""
@@ -247,7 +311,9 @@
             self.put_off = 0
             if not missed(there, self.cluster, self.brought, self.view.keys()):
                 return self.look_later()
-            self.look_call = self.reactor.callLater(SETTLED / 10_000, self.settled, there)
+            self.look_call = self.reactor.callLater(
+                SETTLED / 10_000, self.settled, there
+            )
 
         def late() -> None:
             self.give_up()
@@ -310,8 +376,13 @@
 
     def save_now(self) -> None:
         self.save_call = None
-        writing = deferToThread(cache.put, self.cache_path, dict(self.view.by_key), self.view.revision)
-        writing.addCallbacks(lambda _: self.saved(""), lambda failure: self.saved(failure.getErrorMessage()))
+        writing = deferToThread(
+            cache.put, self.cache_path, dict(self.view.by_key), self.view.revision
+        )
+        writing.addCallbacks(
+            lambda _: self.saved(""),
+            lambda failure: self.saved(failure.getErrorMessage()),
+        )
 
     def saved(self, complaint: str) -> None:
         """A disk that refuses is said once until it takes a list again."""
--- a/milletsill/registry/jsons.py
+++ b/milletsill/registry/jsons.py
@@ -3,6 +3,7 @@
 Source: etcd's api-reference for the gRPC gateway (`/v3/kv/range`, `/v3/watch`). `Lines` cuts a streamed body into its
 objects, one a line, bounded.
 """
+
 from __future__ import annotations
 
 import base64
@@ -45,18 +46,36 @@
 
 
 def range_body(prefix: str) -> bytes:
-    return json.dumps({"key": encoded(prefix), "range_end": encoded(after(prefix))}).encode()
+    return json.dumps(
+        {"key": encoded(prefix), "range_end": encoded(after(prefix))}
+    ).encode()
 
 
 def newest_body(prefix: str) -> bytes:
     """Asks only for the key that was changed last, without its value; the answer counts all."""
-    return json.dumps({"key": encoded(prefix), "range_end": encoded(after(prefix)), "limit": "1", "keys_only": True,
-                       "sort_order": "DESCEND", "sort_target": "MOD"}).encode()
+    return json.dumps(
+        {
+            "key": encoded(prefix),
+            "range_end": encoded(after(prefix)),
+            "limit": "1",
+            "keys_only": True,
+            "sort_order": "DESCEND",
+            "sort_target": "MOD",
+        }
+    ).encode()
 
 
 def watch_body(prefix: str, revision: int) -> bytes:
-    return json.dumps({"create_request": {"key": encoded(prefix), "range_end": encoded(after(prefix)),
-                                          "start_revision": str(revision), "progress_notify": True}}).encode()
+    return json.dumps(
+        {
+            "create_request": {
+                "key": encoded(prefix),
+                "range_end": encoded(after(prefix)),
+                "start_revision": str(revision),
+                "progress_notify": True,
+            }
+        }
+    ).encode()
 
 
 def parsed(data: bytes, what: str) -> dict[str, Any]:
@@ -74,7 +93,11 @@
     if not isinstance(kv, dict):
         raise BadAnswer("a pair is not a JSON object")
     key = decoded(kv.get("key", ""), "a key").decode("utf-8", "replace")
-    return key, decoded(kv.get("value", ""), "a value"), number(kv.get("mod_revision"), "a revision")
+    return (
+        key,
+        decoded(kv.get("value", ""), "a value"),
+        number(kv.get("mod_revision"), "a revision"),
+    )
 
 
 def read_box(key: str, value: bytes, complain: Callable[[str], None]) -> Box | None:
@@ -87,13 +110,19 @@
         return None
 
 
-def read_range(data: bytes, complain: Callable[[str], None]) -> tuple[dict[str, Box], int]:
+def read_range(
+    data: bytes, complain: Callable[[str], None]
+) -> tuple[dict[str, Box], int]:
     """Boxes by key, and the revision they are at."""
     body = parsed(data, "the list")
     header, kvs = body.get("header"), body.get("kvs") or []
     if not isinstance(header, dict) or not isinstance(kvs, list):
         raise BadAnswer("the list has no header or pairs")
-    boxes = {key: box for key, value, _ in map(pair, kvs) if (box := read_box(key, value, complain)) is not None}
+    boxes = {
+        key: box
+        for key, value, _ in map(pair, kvs)
+        if (box := read_box(key, value, complain)) is not None
+    }
     return boxes, number(header.get("revision"), "a revision")
 
 
@@ -101,7 +130,9 @@
     """The cluster's id, which a restore changes, and the registry's revision; nothing for what is not said."""
     if not isinstance(header, dict):
         return "", 0
-    return str(header.get("cluster_id") or "")[:40], number(header.get("revision"), "a revision")
+    return str(header.get("cluster_id") or "")[:40], number(
+        header.get("revision"), "a revision"
+    )
 
 
 def read_keys(data: bytes) -> tuple[list[str], str]:
@@ -116,10 +147,16 @@
     header, kvs = body.get("header"), body.get("kvs") or []
     if not isinstance(header, dict) or not isinstance(kvs, list):
         raise BadAnswer("the list has no header or pairs")
-    return max((pair(kv)[2] for kv in kvs), default=0), number(body.get("count"), "a count"), head_of(header)
+    return (
+        max((pair(kv)[2] for kv in kvs), default=0),
+        number(body.get("count"), "a count"),
+        head_of(header),
+    )
 
 
-def read_watch(line: bytes, complain: Callable[[str], None]) -> tuple[list[Told], int, tuple[str, int] | None, bool]:
+def read_watch(
+    line: bytes, complain: Callable[[str], None]
+) -> tuple[list[Told], int, tuple[str, int] | None, bool]:
     """One message of a watch: changes, its newest revision, how far the registry is itself where it opens, whether the past was
     compacted."""
     body = parsed(line, "a watch message")
@@ -129,7 +166,9 @@
     if result.get("canceled"):
         if number(result.get("compact_revision"), "a revision"):
             return [], 0, None, True
-        raise BadAnswer(f"the watch was ended: {str(result.get('cancel_reason', ''))[:200]}")
+        raise BadAnswer(
+            f"the watch was ended: {str(result.get('cancel_reason', ''))[:200]}"
+        )
     changes, newest = [], 0
     for event in result.get("events") or []:
         if not isinstance(event, dict):
@@ -139,7 +178,12 @@
         gone = event.get("type") == "DELETE"
         box = None if gone else read_box(key, value, complain)
         changes.append(Told(key, box, revision, not gone and box is None))
-    return changes, newest, head_of(result.get("header")) if result.get("created") else None, False
+    return (
+        changes,
+        newest,
+        head_of(result.get("header")) if result.get("created") else None,
+        False,
+    )
 
 
 class Lines:
--- a/milletsill/settings/addresses.py
+++ b/milletsill/settings/addresses.py
@@ -1,4 +1,5 @@
 """Addresses in an operator's file."""
+
 from __future__ import annotations
 
 from ipaddress import ip_address
--- a/milletsill/settings/health.py
+++ b/milletsill/settings/health.py
@@ -1,4 +1,5 @@
 """What an operator's file may say of health that is shared."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -17,5 +18,8 @@
     health, here = file.fleet.health, under + ("fleet", "health")
     check_figures(health, SHARING, here, report)
     if health.lasts_s * 1000 < CALM * health.publish_ms:
-        report.add(here + ("lasts_s",), f"rows last {health.lasts_s:g} s and come every {CALM * health.publish_ms:g} ms from a "
-                                        "calm gateway: they would be gone before they are renewed")
+        report.add(
+            here + ("lasts_s",),
+            f"rows last {health.lasts_s:g} s and come every {CALM * health.publish_ms:g} ms from a "
+            "calm gateway: they would be gone before they are renewed",
+        )
--- a/milletsill/settings/load.py
+++ b/milletsill/settings/load.py
@@ -3,6 +3,7 @@
 `load` raises `RefusedFile` with one `Flaw` for each thing wrong; a flaw is one line: file, line, reason. A file is
 at most MOST_BYTES long.
 """
+
 from __future__ import annotations
 
 import os
@@ -15,7 +16,9 @@
 from milletsill.errors import Refused
 
 MOST_BYTES, MOST_DEPTH, MOST_FAULTS = 4_000_000, 16, 20
-Path = tuple[str, ...]  # of a field: names, with the place of a repeated one, such as ("plan", "0", "weight")
+Path = tuple[
+    str, ...
+]  # of a field: names, with the place of a repeated one, such as ("plan", "0", "weight")
 M = TypeVar("M", bound=Message)
 
 
@@ -28,7 +31,11 @@
     reason: str
 
     def __str__(self) -> str:
-        return f"{self.file}:{self.line}: {self.reason}" if self.line else f"{self.file}: {self.reason}"
+        return (
+            f"{self.file}:{self.line}: {self.reason}"
+            if self.line
+            else f"{self.file}: {self.reason}"
+        )
 
 
 class RefusedFile(Refused):
@@ -65,7 +72,9 @@
                 self.value(at, name, counts, line, depth)
             tokens.TryConsume(",") or tokens.TryConsume(";")
 
-    def value(self, at: Path, name: str, counts: dict[str, int], line: int, depth: int) -> None:
+    def value(
+        self, at: Path, name: str, counts: dict[str, int], line: int, depth: int
+    ) -> None:
         """One value, itself a message or a scalar."""
         place, tokens = counts.get(name, 0), self.tokens
         counts[name] = place + 1
@@ -79,7 +88,10 @@
         else:
             first = tokens.token
             tokens.NextToken()
-            while first[:1] in "\"'" and tokens.token[:1] in ("\"", "'"):  # strings that stand side by side
+            while first[:1] in "\"'" and tokens.token[:1] in (
+                '"',
+                "'",
+            ):  # strings that stand side by side
                 tokens.NextToken()
 
     def line(self, path: Path) -> int:
@@ -126,7 +138,9 @@
     return parse(text_from(file), file, made, check)
 
 
-def parse(text: str, file: str, made: Callable[[], M], check: Callable[[M, Report], None]) -> M:
+def parse(
+    text: str, file: str, made: Callable[[], M], check: Callable[[M, Report], None]
+) -> M:
     """The same from its text."""
     message = made()
     try:
@@ -136,7 +150,9 @@
         reason = reason.split(" : ", 1)[-1] if line else reason
         raise RefusedFile([Flaw(file, line, " ".join(reason.split()))]) from None
     except (RecursionError, ValueError) as error:
-        raise RefusedFile([Flaw(file, 0, f"cannot be read: {' '.join(str(error).split())[:200]}")]) from None
+        raise RefusedFile(
+            [Flaw(file, 0, f"cannot be read: {' '.join(str(error).split())[:200]}")]
+        ) from None
     report = Report(file, Lines(text))
     missing = message.FindInitializationErrors()
     for each in missing:
@@ -150,4 +166,6 @@
 
 def path_of(dotted: str) -> Path:
     """A path from protobuf's way of writing one: plan[0].name."""
-    return tuple(part for each in dotted.split(".") for part in each.rstrip("]").split("["))
+    return tuple(
+        part for each in dotted.split(".") for part in each.rstrip("]").split("[")
+    )
--- a/milletsill/trace/columns.py
+++ b/milletsill/trace/columns.py
@@ -4,6 +4,7 @@
 then differences; a column whose differences pass 64 bits is written plain. Texts: u32 how many, each u16 long and its bytes,
 then a plain column of their places. Everything read is checked against the bytes at hand before memory is taken.
 """
+
 from __future__ import annotations
 
 from struct import Struct
@@ -31,7 +32,11 @@
 def narrow(values: np.ndarray) -> tuple[int, bytes]:
     """The narrowest width that holds them all, and the bytes."""
     low, high = (int(values.min()), int(values.max())) if len(values) else (0, 0)
-    width = next(width for width, kind in WIDTHS if np.iinfo(kind).min <= low and high <= np.iinfo(kind).max)
+    width = next(
+        width
+        for width, kind in WIDTHS
+        if np.iinfo(kind).min <= low and high <= np.iinfo(kind).max
+    )
     return width, values.astype(TYPES[width]).tobytes()
 
 
@@ -62,7 +67,9 @@
     places: dict[str, int] = {}
     numbers = [places.setdefault(each, len(places)) for each in values]
     entries = [each.encode("utf-8", "surrogateescape")[:MOST_TEXT] for each in places]
-    body = U32.pack(len(entries)) + b"".join(U16.pack(len(each)) + each for each in entries)
+    body = U32.pack(len(entries)) + b"".join(
+        U16.pack(len(each)) + each for each in entries
+    )
     body += put_numbers(numbers, PLAIN)
     return HEAD.pack(TEXT, 0, len(values), len(body)) + body
 
@@ -83,7 +90,9 @@
     start = at + HEAD.size
     end = start + size
     if end > len(data) or count > MOST_COUNT:
-        raise BadColumn(f"a column of {count} values in {size} bytes where {len(data) - start} are left")
+        raise BadColumn(
+            f"a column of {count} values in {size} bytes where {len(data) - start} are left"
+        )
     body = data[start:end]
     if coding == TEXT:
         return list(get_texts(body, count)), end
@@ -110,11 +119,20 @@
         return np.frombuffer(body, dtype="<u8").tolist()
     kind, first = TYPES.get(width), 8 if coding == STEP else 0
     rows = count - 1 if coding == STEP else count
-    if kind is None or coding not in (STEP, PLAIN) or rows < 0 or len(body) != first + rows * width:
-        raise BadColumn(f"{count} numbers of width {width} and coding {coding} in {len(body)} bytes")
+    if (
+        kind is None
+        or coding not in (STEP, PLAIN)
+        or rows < 0
+        or len(body) != first + rows * width
+    ):
+        raise BadColumn(
+            f"{count} numbers of width {width} and coding {coding} in {len(body)} bytes"
+        )
     held = np.frombuffer(body, dtype=kind, offset=first).astype(np.int64)
     if coding == STEP:
-        held = np.cumsum(np.concatenate((np.frombuffer(body, dtype="<i8", count=1), held)))
+        held = np.cumsum(
+            np.concatenate((np.frombuffer(body, dtype="<i8", count=1), held))
+        )
     return held.tolist()
 
 
@@ -129,11 +147,16 @@
             at += 2
             if at + size > len(body):
                 raise BadColumn("a dictionary is cut short")
-            texts.append(body[at:at + size].decode("utf-8", "surrogateescape"))
+            texts.append(body[at : at + size].decode("utf-8", "surrogateescape"))
             at += size
     except StructError:
         raise BadColumn("a dictionary is cut short") from None
     places, end = get(body, at)
-    if len(places) != count or end != len(body) or places and not 0 <= min(places) <= max(places) < entries:  # type: ignore[type-var]
+    if (
+        len(places) != count
+        or end != len(body)
+        or places
+        and not 0 <= min(places) <= max(places) < entries
+    ):  # type: ignore[type-var]
         raise BadColumn("places that are not in the dictionary")
     return [texts[each] for each in places]  # type: ignore[index]
--- a/milletsill/trace/decide.py
+++ b/milletsill/trace/decide.py
@@ -1,6 +1,7 @@
 """What tracing decides: what is shed when the hand-over is full, when blocks and files end, what a failing disk means,
 which files go, and how much of a broken file counts. No I/O and no clock; times are tenths of a millisecond.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -10,7 +11,14 @@
 from typing import Any, Callable, Iterable, Iterator, Mapping, Sequence
 
 from milletsill.errors import Unfit
-from milletsill.trace.records import BY_TRANSFER, CATEGORY_PLACE, STORE_PLACE, BlockHead, Kind, Row
+from milletsill.trace.records import (
+    BY_TRANSFER,
+    CATEGORY_PLACE,
+    STORE_PLACE,
+    BlockHead,
+    Kind,
+    Row,
+)
 
 SECOND = 10_000
 
@@ -45,11 +53,21 @@
 
 # The least needed first: what can be told from the others, then what explains, then what decides. A replay needs all but the
 # first group; a summary needs arrivals, outcomes and answers.
-SHED_ORDER = (("wake", "settled", "remark", "fetch", "probe"), ("woken", "listing", "listed", "watch", "cancelled"),
-              ("dispatch", "outcome"), ("arrival", "abandoned", "part", "advised"),
-              ("declined", "aborted", "satisfied", "command", "plan", "gap"))
+SHED_ORDER = (
+    ("wake", "settled", "remark", "fetch", "probe"),
+    ("woken", "listing", "listed", "watch", "cancelled"),
+    ("dispatch", "outcome"),
+    ("arrival", "abandoned", "part", "advised"),
+    ("declined", "aborted", "satisfied", "command", "plan", "gap"),
+)
 RANK = {name: rank for rank, names in enumerate(SHED_ORDER) for name in names}
-SHARES = (0.5, 0.7, 0.85, 0.95, 1.0)  # of the hand-over's bound, past which a group is no longer taken
+SHARES = (
+    0.5,
+    0.7,
+    0.85,
+    0.95,
+    1.0,
+)  # of the hand-over's bound, past which a group is no longer taken
 
 
 def room(name: str, most: int) -> float:
@@ -82,7 +100,13 @@
     against blocks of a hundred records, which cost three times the bytes and ten times the processor each. Harm: a kill of a
     quiet gateway loses more time, of which there is less to tell."""
     age = now - first
-    return rows >= MOST_ROWS or rows >= FEW_ROWS and age >= most_age or rows > 0 and age >= most_age * LONGER
+    return (
+        rows >= MOST_ROWS
+        or rows >= FEW_ROWS
+        and age >= most_age
+        or rows > 0
+        and age >= most_age * LONGER
+    )
 
 
 def file_ends(size: int, opened: int, now: int, most_bytes: int, most_age: int) -> bool:
@@ -119,7 +143,9 @@
 TOLERATED = SECOND  # between two gateways that hear the same news: the list's own way, not their clocks
 
 
-def align(origins: Sequence[int], news: Sequence[Mapping[Any, int]]) -> list[tuple[int, int | None]]:
+def align(
+    origins: Sequence[int], news: Sequence[Mapping[Any, int]]
+) -> list[tuple[int, int | None]]:
     """For each of several files how much to add to its wall time, and what that may be off by (None where it shares nothing).
 
     `origins` are the wall times of their clocks' zeros, `news` when each heard of what several may have heard of. An event's
@@ -134,22 +160,33 @@
     middles = {event: median(times) for event, times in heard.items() if len(times) > 1}
     made: list[tuple[int, int | None]] = []
     for origin, events in zip(origins, news):
-        off = sorted(origin + at - middles[event] for event, at in events.items() if event in middles)
+        off = sorted(
+            origin + at - middles[event]
+            for event, at in events.items()
+            if event in middles
+        )
         if not off:
             made.append((0, None))
             continue
         middle = median(off)
         spread = max(off[-1] - middle, middle - off[0])
-        made.append((-round(middle), round(spread)) if abs(middle) > TOLERATED else (0, round(max(abs(middle), spread))))
+        made.append(
+            (-round(middle), round(spread))
+            if abs(middle) > TOLERATED
+            else (0, round(max(abs(middle), spread)))
+        )
     return made
 
 
 # --- What a time on the command line means.
 
+
 class Unclear(Unfit):
     """A text on the command line that is no time."""
 
-    remedy = "give tenths of a millisecond, +90s, +5m or +1h after the opening, or ISO 8601"
+    remedy = (
+        "give tenths of a millisecond, +90s, +5m or +1h after the opening, or ISO 8601"
+    )
 
 
 SPANS = {"s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
@@ -170,14 +207,19 @@
     try:
         at = datetime.fromisoformat(text)
     except ValueError:
-        raise Unclear(f"{text!r} is no time: tenths of a millisecond, +90s or ISO 8601") from None
+        raise Unclear(
+            f"{text!r} is no time: tenths of a millisecond, +90s or ISO 8601"
+        ) from None
     at = at if at.tzinfo else at.replace(tzinfo=timezone.utc)
     return opened + round(at.timestamp() * SECOND) - wall_ms * 10
 
 
 # --- Which blocks and records tell of a store, a category, a box.
 
-MOST_INDEXED, MOST_FOLLOWED = 1 << 16, 1 << 16  # stores of a file's index; transfers whose store is remembered
+MOST_INDEXED, MOST_FOLLOWED = (
+    1 << 16,
+    1 << 16,
+)  # stores of a file's index; transfers whose store is remembered
 
 
 class Stores:
@@ -198,7 +240,9 @@
                 found.add(store)
                 if kind.number in BY_TRANSFER:
                     of[values[0]] = store
-            elif kind.number in BY_TRANSFER and (store := of.get(values[0])) is not None:
+            elif (
+                kind.number in BY_TRANSFER and (store := of.get(values[0])) is not None
+            ):
                 found.add(store)
         while len(of) > MOST_FOLLOWED:
             del of[next(iter(of))]
@@ -220,15 +264,20 @@
         self.count += 1
 
 
-def chosen(heads: Sequence[BlockHead], store: str, index: Mapping[str, Sequence[int]] | None, minor: int,
-           may_hold: Callable[[bytes, str], bool]) -> list[BlockHead]:
+def chosen(
+    heads: Sequence[BlockHead],
+    store: str,
+    index: Mapping[str, Sequence[int]] | None,
+    minor: int,
+    may_hold: Callable[[bytes, str], bool],
+) -> list[BlockHead]:
     """The blocks that may tell of a store: by the file's index, else by their filters. A filter of 1.0 tells of arrivals
     alone, and later records of their transfers may stand in any block after the first."""
     if index is not None:
         return [heads[each] for each in index.get(store, ())]
     found = [place for place, each in enumerate(heads) if may_hold(each.stores, store)]
     if minor < 1:
-        return list(heads[found[0]:]) if found else []
+        return list(heads[found[0] :]) if found else []
     return [heads[each] for each in found]
 
 
@@ -249,11 +298,17 @@
 
 def fits(wanted: Wanted, kind: Kind, values: tuple[Any, ...]) -> bool:
     """Whether a record that names store and category is wanted."""
-    return (wanted.store is None or values[STORE_PLACE[kind.number]] == wanted.store) and (
-        wanted.category is None or values[CATEGORY_PLACE[kind.number]] == wanted.category)
+    return (
+        wanted.store is None or values[STORE_PLACE[kind.number]] == wanted.store
+    ) and (
+        wanted.category is None
+        or values[CATEGORY_PLACE[kind.number]] == wanted.category
+    )
 
 
-def of_transfers(rows: Iterable[Row], wanted: Wanted, at_box: set[int] | None) -> Iterator[Row]:
+def of_transfers(
+    rows: Iterable[Row], wanted: Wanted, at_box: set[int] | None
+) -> Iterator[Row]:
     """What concerns the wanted transfers: their arrivals, and all later records of them. `at_box` holds those that were
     dispatched to the wanted box."""
     transfers: dict[int, None] = {}
@@ -261,7 +316,9 @@
         _, kind, values = row
         if kind.number in CATEGORY_PLACE:
             arrived = kind.number in BY_TRANSFER
-            if fits(wanted, kind, values) and (at_box is None or arrived and values[0] in at_box):
+            if fits(wanted, kind, values) and (
+                at_box is None or arrived and values[0] in at_box
+            ):
                 if arrived:
                     transfers[values[0]] = None
                     while len(transfers) > MOST_FOLLOWED:
--- a/milletsill/trace/format.py
+++ b/milletsill/trace/format.py
@@ -10,6 +10,7 @@
 All little-endian. A body is columns: the records' kinds, their times, then for each kind and field u8 kind, u8 field and a
 column; what a reader does not know it skips. The footer is a help: blocks alone say all of it.
 """
+
 from __future__ import annotations
 
 import json
@@ -26,7 +27,15 @@
 from milletsill.errors import Malformed
 from milletsill.trace import columns
 from milletsill.trace.decide import MOST_INDEXED, Stores
-from milletsill.trace.records import BLOCK_HEAD, BY_NUMBER, PLAIN, STEP, BlockHead, Kind, Row
+from milletsill.trace.records import (
+    BLOCK_HEAD,
+    BY_NUMBER,
+    PLAIN,
+    STEP,
+    BlockHead,
+    Kind,
+    Row,
+)
 
 MAGIC, BLOCK, FOOTER, STORES, END = b"MTRACE\r\n", b"MBLK", b"MFTR", b"MSTO", b"MEND"
 MAJOR, MINOR = 1, 2
@@ -34,7 +43,13 @@
 ENTRY = Struct("<QIqq32s")
 FIELD, NAME_SIZE, NUMBER = Struct("<BB"), Struct("<H"), Struct("<I")
 LEVEL, FILTER_BITS, FILTER_HASHES = 6, 256, 3
-MOST_BODY, MOST_RAW, MOST_RECORDS, MOST_HEADER, MOST_FOOTER = 1 << 26, 1 << 27, 1 << 20, 1 << 24, 1 << 28
+MOST_BODY, MOST_RAW, MOST_RECORDS, MOST_HEADER, MOST_FOOTER = (
+    1 << 26,
+    1 << 27,
+    1 << 20,
+    1 << 24,
+    1 << 28,
+)
 
 
 class BadTrace(Malformed):
@@ -46,7 +61,10 @@
 def store_bits(store: str) -> list[int]:
     """The bits that a store sets in a filter."""
     data = store.encode("utf-8", "surrogateescape")
-    return [xxhash.xxh32_intdigest(data, seed=each) % FILTER_BITS for each in range(FILTER_HASHES)]
+    return [
+        xxhash.xxh32_intdigest(data, seed=each) % FILTER_BITS
+        for each in range(FILTER_HASHES)
+    ]
 
 
 @lru_cache(maxsize=4096)
@@ -83,7 +101,7 @@
         raise BadTrace("not a trace")
     if major != MAJOR:
         raise BadTrace(f"format {major}.{minor}, {MAJOR}.x is read")
-    body = data[HEAD.size:HEAD.size + size]
+    body = data[HEAD.size : HEAD.size + size]
     if size > MOST_HEADER or len(body) < size or zlib.crc32(body) != crc:
         raise BadTrace("the header is cut or damaged")
     try:
@@ -111,8 +129,13 @@
         return b""
     parts = []
     for store, numbers in blocks.items():
-        name = store.encode("utf-8", "surrogateescape")[:columns.MOST_TEXT]
-        parts += [NAME_SIZE.pack(len(name)), name, NUMBER.pack(len(numbers)), np.array(numbers, "<u4").tobytes()]
+        name = store.encode("utf-8", "surrogateescape")[: columns.MOST_TEXT]
+        parts += [
+            NAME_SIZE.pack(len(name)),
+            name,
+            NUMBER.pack(len(numbers)),
+            np.array(numbers, "<u4").tobytes(),
+        ]
     body = zstandard.ZstdCompressor(level=LEVEL).compress(b"".join(parts))
     return FOOTER_HEAD.pack(STORES, len(body), zlib.crc32(body)) + body
 
@@ -122,10 +145,14 @@
     if len(data) < FOOTER_HEAD.size or not data.startswith(STORES):
         return None
     _, size, crc = FOOTER_HEAD.unpack_from(data)
-    body = data[FOOTER_HEAD.size:FOOTER_HEAD.size + size]
+    body = data[FOOTER_HEAD.size : FOOTER_HEAD.size + size]
     if len(body) != size or zlib.crc32(body) != crc:
         raise BadTrace("the index of stores is cut or damaged")
-    raw, at, found = unpack(body, MOST_FOOTER, "the index of stores"), 0, dict[str, list[int]]()
+    raw, at, found = (
+        unpack(body, MOST_FOOTER, "the index of stores"),
+        0,
+        dict[str, list[int]](),
+    )
     try:
         while at < len(raw):
             name_ends = at + NAME_SIZE.size + NAME_SIZE.unpack_from(raw, at)[0]
@@ -133,8 +160,12 @@
             ends = name_ends + NUMBER.size + 4 * count
             if ends > len(raw) or len(found) >= MOST_INDEXED:
                 raise BadTrace("the index of stores is cut short or too large")
-            name = raw[at + NAME_SIZE.size:name_ends].decode("utf-8", "surrogateescape")
-            found[name] = np.frombuffer(raw, "<u4", count, name_ends + NUMBER.size).tolist()
+            name = raw[at + NAME_SIZE.size : name_ends].decode(
+                "utf-8", "surrogateescape"
+            )
+            found[name] = np.frombuffer(
+                raw, "<u4", count, name_ends + NUMBER.size
+            ).tolist()
             at = ends
     except StructError:
         raise BadTrace("the index of stores is cut short") from None
@@ -145,7 +176,10 @@
     """A block of these records, in their order; `stores` are those that it tells of, where `Stores` has found them."""
     if stores is None:
         stores = Stores().touched(rows)
-    parts = [columns.put([kind.number for _, kind, _ in rows], PLAIN), columns.put([at for at, _, _ in rows], STEP)]
+    parts = [
+        columns.put([kind.number for _, kind, _ in rows], PLAIN),
+        columns.put([at for at, _, _ in rows], STEP),
+    ]
     by_kind: dict[int, list[tuple[Any, ...]]] = {}
     for _, kind, values in rows:
         by_kind.setdefault(kind.number, []).append(values)
@@ -156,8 +190,17 @@
     raw = b"".join(parts)
     body = zstandard.ZstdCompressor(level=LEVEL).compress(raw)
     times = [at for at, _, _ in rows]
-    head = BLOCK_HEAD.pack(BLOCK, len(body), len(raw), len(rows), min(times), max(times), zlib.crc32(body),
-                           filter_of(stores), 0)
+    head = BLOCK_HEAD.pack(
+        BLOCK,
+        len(body),
+        len(raw),
+        len(rows),
+        min(times),
+        max(times),
+        zlib.crc32(body),
+        filter_of(stores),
+        0,
+    )
     return head[:-4] + zlib.crc32(head[:-4]).to_bytes(4, "little") + body
 
 
@@ -165,8 +208,10 @@
     """The head of the block whose bytes begin `data`."""
     if len(data) < BLOCK_HEAD.size:
         raise BadTrace("a block's head is cut short")
-    magic, size, raw, records, first, last, crc, stores, own = BLOCK_HEAD.unpack_from(data)
-    if magic != BLOCK or zlib.crc32(data[:BLOCK_HEAD.size - 4]) != own:
+    magic, size, raw, records, first, last, crc, stores, own = BLOCK_HEAD.unpack_from(
+        data
+    )
+    if magic != BLOCK or zlib.crc32(data[: BLOCK_HEAD.size - 4]) != own:
         raise BadTrace("no block here, or its head is damaged")
     if size > MOST_BODY or raw > MOST_RAW or not 0 < records <= MOST_RECORDS:
         raise BadTrace(f"a block of {size} bytes and {records} records")
@@ -183,7 +228,9 @@
         raise BadTrace(f"{what} cannot be unpacked: {error}") from None
 
 
-def get_rows(head: BlockHead, body: bytes, only: frozenset[int] | None = None) -> list[Row]:
+def get_rows(
+    head: BlockHead, body: bytes, only: frozenset[int] | None = None
+) -> list[Row]:
     """The records of a block, those of unknown kinds left out, or all but the kinds of `only`; `BadTrace` where the body is
     not what the head says."""
     if len(body) != head.size or zlib.crc32(body) != head.crc:
@@ -197,11 +244,15 @@
         raise BadTrace(f"in a block: {error}") from None
 
 
-def rows_of(raw: bytes, records: int, only: frozenset[int] | None = None) -> Iterator[Row]:
+def rows_of(
+    raw: bytes, records: int, only: frozenset[int] | None = None
+) -> Iterator[Row]:
     kinds, at = columns.get(raw, 0)
     times, at = columns.get(raw, at)
     if len(kinds) != records or len(times) != records:
-        raise columns.BadColumn(f"{len(kinds)} kinds and {len(times)} times of {records} records")
+        raise columns.BadColumn(
+            f"{len(kinds)} kinds and {len(times)} times of {records} records"
+        )
     held: dict[int, dict[int, list[object]]] = {}
     while at < len(raw):
         if len(raw) - at < FIELD.size:
@@ -217,35 +268,54 @@
         kind = BY_NUMBER.get(number)  # type: ignore[call-overload]
         if kind is None or only is not None and number not in only:
             continue
-        fields = [held.get(kind.number, {}).get(place) for place in range(1, len(kind.fields) + 1)]
+        fields = [
+            held.get(kind.number, {}).get(place)
+            for place in range(1, len(kind.fields) + 1)
+        ]
         if any(each is None or len(each) != count for each in fields):
-            raise columns.BadColumn(f"fields of {kind.name} are missing or of another length")
+            raise columns.BadColumn(
+                f"fields of {kind.name} are missing or of another length"
+            )
         walks[number] = zip(*fields) if fields else iter([()] * count)  # type: ignore[arg-type]
     for number, time in zip(kinds, times):
         if number in walks:
             yield time, BY_NUMBER[number], next(walks[number])  # type: ignore[misc,index]
 
 
-def put_footer(heads: Sequence[BlockHead], offset: int, blocks: dict[str, list[int]] | None = None) -> bytes:
+def put_footer(
+    heads: Sequence[BlockHead], offset: int, blocks: dict[str, list[int]] | None = None
+) -> bytes:
     """The indexes by time and store and the trailer, to stand at `offset`."""
-    raw = b"".join(ENTRY.pack(each.offset, each.records, each.first, each.last, each.stores) for each in heads)
+    raw = b"".join(
+        ENTRY.pack(each.offset, each.records, each.first, each.last, each.stores)
+        for each in heads
+    )
     body = zstandard.ZstdCompressor(level=LEVEL).compress(raw)
-    return FOOTER_HEAD.pack(FOOTER, len(body), zlib.crc32(body)) + body + put_stores(blocks) + TRAILER.pack(offset, END)
+    return (
+        FOOTER_HEAD.pack(FOOTER, len(body), zlib.crc32(body))
+        + body
+        + put_stores(blocks)
+        + TRAILER.pack(offset, END)
+    )
 
 
-def get_footer(data: bytes) -> tuple[list[tuple[int, int, int, int, bytes]], dict[str, list[int]] | None]:
+def get_footer(
+    data: bytes,
+) -> tuple[list[tuple[int, int, int, int, bytes]], dict[str, list[int]] | None]:
     """The indexes from a footer's bytes, the trailer left out: offset, records, first, last, filter; blocks of stores."""
     if len(data) < FOOTER_HEAD.size:
         raise BadTrace("the footer is cut short")
     magic, size, crc = FOOTER_HEAD.unpack_from(data)
-    body = data[FOOTER_HEAD.size:FOOTER_HEAD.size + size]
+    body = data[FOOTER_HEAD.size : FOOTER_HEAD.size + size]
     if magic != FOOTER or len(body) != size or zlib.crc32(body) != crc:
         raise BadTrace("the footer is cut or damaged")
     raw = unpack(body, MOST_FOOTER, "the footer")
     if len(raw) % ENTRY.size:
         raise BadTrace("the footer is no list of blocks")
     entries = list(ENTRY.iter_unpack(raw))
-    stores = get_stores(data[FOOTER_HEAD.size + size:])
-    if stores is not None and any(each and not 0 <= each[-1] < len(entries) for each in stores.values()):
+    stores = get_stores(data[FOOTER_HEAD.size + size :])
+    if stores is not None and any(
+        each and not 0 <= each[-1] < len(entries) for each in stores.values()
+    ):
         raise BadTrace("the index of stores names blocks that are not there")
     return entries, stores
--- a/milletsill/trace/reader.py
+++ b/milletsill/trace/reader.py
@@ -1,5 +1,6 @@
 """Reads traces: by the footer's index where there is one, by the blocks where not; up to the break and, where a block is damaged
 in the middle, past it. Memory is bounded by the largest block."""
+
 from __future__ import annotations
 
 import os
@@ -11,7 +12,9 @@
 from milletsill.trace.format import BadTrace
 from milletsill.trace.records import BLOCK_HEAD, BlockHead, Row
 
-Heard = Optional[Callable[[int], None]]  # told how many bytes were read, for those who show progress
+Heard = Optional[
+    Callable[[int], None]
+]  # told how many bytes were read, for those who show progress
 SCAN = 1 << 20  # bytes looked through at a time for the next block after a break
 
 
@@ -34,7 +37,9 @@
     breaks: list[Break] = field(default_factory=list)
     verdict: Verdict = Verdict.WHOLE
     read: int = 0  # bytes read so far
-    stores: dict[str, list[int]] | None = None  # numbers of the blocks of each store, where the file has that index
+    stores: dict[str, list[int]] | None = (
+        None  # numbers of the blocks of each store, where the file has that index
+    )
 
 
 class Trace:
@@ -81,14 +86,26 @@
             raise BadTrace("no trailer")
         offset, end = format.TRAILER.unpack(tail)
         last = self.size - format.TRAILER.size
-        if end != format.END or not self.start <= offset <= last or last - offset > format.MOST_FOOTER:
+        if (
+            end != format.END
+            or not self.start <= offset <= last
+            or last - offset > format.MOST_FOOTER
+        ):
             raise BadTrace("no trailer")
         entries, self.map.stores = format.get_footer(self.take(offset, last - offset))
         ends = [each[0] for each in entries[1:]] + [offset]
-        if any(a >= b for a, b in zip([each[0] for each in entries], ends)) or entries and entries[0][0] != self.start:
+        if (
+            any(a >= b for a, b in zip([each[0] for each in entries], ends))
+            or entries
+            and entries[0][0] != self.start
+        ):
             raise BadTrace("the footer's blocks do not follow each other")
-        return [BlockHead(at, end - at - BLOCK_HEAD.size, 0, records, first, last_at, 0, stores)
-                for (at, records, first, last_at, stores), end in zip(entries, ends)]
+        return [
+            BlockHead(
+                at, end - at - BLOCK_HEAD.size, 0, records, first, last_at, 0, stores
+            )
+            for (at, records, first, last_at, stores), end in zip(entries, ends)
+        ]
 
     def walk(self) -> None:
         """Block after block; past a break the next head that checks out is looked for."""
@@ -100,7 +117,9 @@
                 at = head.end
                 continue
             if self.take(at, 4) == format.FOOTER:
-                self.map.breaks.append(Break(at, self.size - at, "a footer that is cut or damaged"))
+                self.map.breaks.append(
+                    Break(at, self.size - at, "a footer that is cut or damaged")
+                )
                 break
             following = self.next_head(at + 1)
             self.map.breaks.append(Break(at, following - at, reason))
@@ -113,7 +132,11 @@
             head = format.get_head(self.take(at, BLOCK_HEAD.size), at)
         except BadTrace as error:
             return None, str(error)
-        return (head, "") if head.end <= self.size else (None, "the last block is cut short")
+        return (
+            (head, "")
+            if head.end <= self.size
+            else (None, "the last block is cut short")
+        )
 
     def next_head(self, at: int) -> int:
         """Where the next block begins that checks out, or the end."""
@@ -130,28 +153,53 @@
     def heads(self, store: str | None) -> list[BlockHead]:
         """The blocks that may tell of a store; all for None."""
         known = self.map
-        return known.heads if store is None else chosen(known.heads, store, known.stores, known.about.get("minor", 0),
-                                                        format.may_hold)
-
-    def rows(self, since: int | None = None, until: int | None = None, store: str | None = None,
-             only: frozenset[int] | None = None) -> Iterator[Row]:
+        return (
+            known.heads
+            if store is None
+            else chosen(
+                known.heads,
+                store,
+                known.stores,
+                known.about.get("minor", 0),
+                format.may_hold,
+            )
+        )
+
+    def rows(
+        self,
+        since: int | None = None,
+        until: int | None = None,
+        store: str | None = None,
+        only: frozenset[int] | None = None,
+    ) -> Iterator[Row]:
         """Records of blocks that may hold what is asked for, those outside the times or of other kinds than `only` left out;
         a damaged block is noted as a break and passed over. Records of one store are not picked out here: only its blocks."""
         for head in self.heads(store):
-            if since is not None and head.last < since or until is not None and head.first >= until:
+            if (
+                since is not None
+                and head.last < since
+                or until is not None
+                and head.first >= until
+            ):
                 continue
             for row in self.block(head, only):
-                if (since is None or row[0] >= since) and (until is None or row[0] < until):
+                if (since is None or row[0] >= since) and (
+                    until is None or row[0] < until
+                ):
                     yield row
 
     def block(self, head: BlockHead, only: frozenset[int] | None = None) -> list[Row]:
         """The records of one block; none, and a break, where it is damaged."""
         try:
             data = self.take(head.offset, BLOCK_HEAD.size + head.size)
-            return format.get_rows(format.get_head(data, head.offset), data[BLOCK_HEAD.size:], only)
+            return format.get_rows(
+                format.get_head(data, head.offset), data[BLOCK_HEAD.size :], only
+            )
         except BadTrace as error:
             if all(each.offset != head.offset for each in self.map.breaks):
-                self.map.breaks.append(Break(head.offset, BLOCK_HEAD.size + head.size, str(error)))
+                self.map.breaks.append(
+                    Break(head.offset, BLOCK_HEAD.size + head.size, str(error))
+                )
             return []
 
 
@@ -179,7 +227,18 @@
         for head in found.heads:
             offset = sink.tell()
             copy(source, sink, head.offset, BLOCK_HEAD.size + head.size)
-            heads.append(BlockHead(offset, head.size, head.raw, head.records, head.first, head.last, head.crc, head.stores))
+            heads.append(
+                BlockHead(
+                    offset,
+                    head.size,
+                    head.raw,
+                    head.records,
+                    head.first,
+                    head.last,
+                    head.crc,
+                    head.stores,
+                )
+            )
         sink.write(format.put_footer(heads, sink.tell(), found.stores))
         sink.flush()
         os.fsync(sink.fileno())
--- a/milletsill/trace/reckoning.py
+++ b/milletsill/trace/reckoning.py
@@ -5,6 +5,7 @@
 `share`, then the rest at `spare`. A transfer in time takes the best that is still due, a late one the worst. The
 bench reckons the share box by box; here it is reckoned over all boxes together, since only the lab knows their power.
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -36,7 +37,9 @@
     weight: float
 
 
-def parted(extra: Mapping[int, float], claims: Sequence[Claim], spare: float) -> dict[int, float]:
+def parted(
+    extra: Mapping[int, float], claims: Sequence[Claim], spare: float
+) -> dict[int, float]:
     """What each volume gets of the spare units by weight, none more than it asks."""
     got = {volume: 0.0 for volume in extra}
     asking = {volume for volume, units in extra.items() if units > 0}
@@ -55,8 +58,14 @@
     return got
 
 
-def reckon(done: Sequence[Done], claims: Sequence[Claim], power: float, largest: float, share: float,
-           spare: float) -> dict[str, tuple[float, float]]:
+def reckon(
+    done: Sequence[Done],
+    claims: Sequence[Claim],
+    power: float,
+    largest: float,
+    share: float,
+    spare: float,
+) -> dict[str, tuple[float, float]]:
     """(utility that counts, utility due) by category and, under '', in all; `power` in units a second."""
     by_second: dict[int, dict[int, list[Done]]] = defaultdict(lambda: defaultdict(list))
     for each in done:
@@ -69,14 +78,22 @@
         inside, extra = {}, {}
         for volume, rows in by_second[second].items():
             claim, asked = claims[volume], sum(each.units for each in rows)
-            level = min(levels[volume] + claim.reserve * (second - at[volume]), most[volume])
+            level = min(
+                levels[volume] + claim.reserve * (second - at[volume]), most[volume]
+            )
             inside[volume] = min(level, asked)
             levels[volume], at[volume] = level - inside[volume], second
             extra[volume] = asked - inside[volume]
         part = parted(extra, claims, max(USABLE * power - sum(inside.values()), 0.0))
         for volume, rows in by_second[second].items():
-            tiers = [[inside[volume], 1.0], [part[volume], share], [extra[volume] - part[volume], spare]]
-            mean = sum(units * weight for units, weight in tiers) / max(sum(units for units, _ in tiers), 1e-9)
+            tiers = [
+                [inside[volume], 1.0],
+                [part[volume], share],
+                [extra[volume] - part[volume], spare],
+            ]
+            mean = sum(units * weight for units, weight in tiers) / max(
+                sum(units for units, _ in tiers), 1e-9
+            )
             for each in sorted(rows, key=lambda each: each.late):
                 held = taken(tiers, each.units, each.late) if each.counts else 0.0
                 for name in (each.category, ""):
--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -1,6 +1,7 @@
 """Stands between a host and the decision module, both ways: what the module is told and what it does goes to a writer, in
 order. Neither of them knows of it, and without it none of this is loaded.
 """
+
 from __future__ import annotations
 
 import json
@@ -74,7 +75,16 @@
 class Told:
     """The module as the host sees it: each input is recorded, then passed on. `path` is of the next arrival."""
 
-    def __init__(self, make: Make, facts: Facts, seed: int, now: int, port: Port, put: Put, names: Sequence[str]) -> None:
+    def __init__(
+        self,
+        make: Make,
+        facts: Facts,
+        seed: int,
+        now: int,
+        port: Port,
+        put: Put,
+        names: Sequence[str],
+    ) -> None:
         self.put, self.names, self.path = put, names, ""
         self.done = Done(port, put, now)
         self.module = make(facts, seed, now, self.done)
@@ -83,24 +93,63 @@
         self.done.now = now
         self.put("listed", now, news.value, len(entries))
         for each in entries:
-            self.put("listing", now, each.node, each.readiness.value, each.size, each.kind, each.zone, each.since or 0,
-                     each.since is not None, each.cell)
+            self.put(
+                "listing",
+                now,
+                each.node,
+                each.readiness.value,
+                each.size,
+                each.kind,
+                each.zone,
+                each.since or 0,
+                each.since is not None,
+                each.cell,
+            )
         self.module.listed(now, news, entries)
 
     def taken(self, now: int, arrival: Arrival) -> None:
         self.done.now = now
         each, names = arrival, self.names
-        store = names[each.volume - 1] if 0 < each.volume <= len(names) else str(each.volume)
-        self.put("arrival", now, each.id, each.extent, each.volume, store, each.gateways, each.category, each.plan, each.repeat,
-                 each.write, -1 if each.cell is None else each.cell, each.units, each.ends, self.path)
+        store = (
+            names[each.volume - 1]
+            if 0 < each.volume <= len(names)
+            else str(each.volume)
+        )
+        self.put(
+            "arrival",
+            now,
+            each.id,
+            each.extent,
+            each.volume,
+            store,
+            each.gateways,
+            each.category,
+            each.plan,
+            each.repeat,
+            each.write,
+            -1 if each.cell is None else each.cell,
+            each.units,
+            each.ends,
+            self.path,
+        )
         self.path = ""
         self.module.taken(now, arrival)
 
     def returned(self, now: int, answer: Answer) -> None:
         self.done.now = now
-        self.put("outcome", now, answer.id, answer.number, answer.node, answer.outcome.value, answer.over, answer.latency,
-                 -1 if answer.used is None else answer.used, answer.elsewhere,
-                 json.dumps(answer.report, sort_keys=True) if answer.report else "")
+        self.put(
+            "outcome",
+            now,
+            answer.id,
+            answer.number,
+            answer.node,
+            answer.outcome.value,
+            answer.over,
+            answer.latency,
+            -1 if answer.used is None else answer.used,
+            answer.elsewhere,
+            json.dumps(answer.report, sort_keys=True) if answer.report else "",
+        )
         self.module.returned(now, answer)
 
     def abandoned(self, now: int, transfer: int) -> None:
@@ -113,7 +162,9 @@
         self.put("woken", now, what.number)
         self.module.woken(now, what.what)
 
-    def part(self, now: int, what: str, id: int, share: float | None, ends: int, after: float) -> None:
+    def part(
+        self, now: int, what: str, id: int, share: float | None, ends: int, after: float
+    ) -> None:
         self.done.now = now
         self.put("part", now, what, id, -1.0 if share is None else share, ends, after)
         self.module.part(now, what, id, share, ends, after)
@@ -139,6 +190,7 @@
 
     def around(self, make: Make) -> Make:
         """The same module with its record."""
+
         def made(facts: Facts, seed: int, now: int, port: Port) -> Decisions:
             self.made = now
             self.told = Told(make, facts, seed, now, port, self.writer.put, self.names)
@@ -151,7 +203,33 @@
         if self.told is not None:
             self.told.path = path
 
-    def command(self, now: int, began: int, store: str, plan: int, category: int, operation: str, units: float, legs: int,
-                tries: int, final: str, why: str) -> None:
+    def command(
+        self,
+        now: int,
+        began: int,
+        store: str,
+        plan: int,
+        category: int,
+        operation: str,
+        units: float,
+        legs: int,
+        tries: int,
+        final: str,
+        why: str,
+    ) -> None:
         """What a client asked for, with its answer."""
-        self.writer.put("command", now, began, now - began, store, plan, category, operation, units, legs, tries, final, why)
+        self.writer.put(
+            "command",
+            now,
+            began,
+            now - began,
+            store,
+            plan,
+            category,
+            operation,
+            units,
+            legs,
+            tries,
+            final,
+            why,
+        )
--- a/milletsill/trace/tools.py
+++ b/milletsill/trace/tools.py
@@ -1,4 +1,5 @@
 """What is done with whole traces: cut, merge, anonymise, summarise, dump. Memory is bounded by a block of each file at hand."""
+
 from __future__ import annotations
 
 import csv
@@ -12,16 +13,41 @@
 from typing import Any, Callable, Iterable, Iterator
 
 from milletsill.trace import format
-from milletsill.trace.decide import MOST_AGE, MOST_ROWS, Stores, Wanted, align, block_ends, of_transfers
+from milletsill.trace.decide import (
+    MOST_AGE,
+    MOST_ROWS,
+    Stores,
+    Wanted,
+    align,
+    block_ends,
+    of_transfers,
+)
 from milletsill.trace.format import LEVEL, BadTrace
 from milletsill.trace.reader import Heard, Trace
 from milletsill.trace.records import BY_NAME, FLOAT, KINDS, TEXT, BlockHead, Kind, Row
 
-ALIKE = ("facts", "volumes", "plans", "terms")  # of many headers, mostly the same: they stand once in a merge
-MOST_STORES, MOST_NEWS, MOST_OPEN, MOST_GROUP, DIGEST = 100_000, 10_000, 200, 100_000, 12
+ALIKE = (
+    "facts",
+    "volumes",
+    "plans",
+    "terms",
+)  # of many headers, mostly the same: they stand once in a merge
+MOST_STORES, MOST_NEWS, MOST_OPEN, MOST_GROUP, DIGEST = (
+    100_000,
+    10_000,
+    200,
+    100_000,
+    12,
+)
 # Fields that a merge makes anew: (place, whether it is a transfer's number; else a time of the clock).
-MOVED = {each.number: [(place, name == "transfer") for place, (name, _) in enumerate(each.fields)
-                       if name in ("transfer", "ends", "at", "since", "began")] for each in KINDS}
+MOVED = {
+    each.number: [
+        (place, name == "transfer")
+        for place, (name, _) in enumerate(each.fields)
+        if name in ("transfer", "ends", "at", "since", "began")
+    ]
+    for each in KINDS
+}
 
 
 class Sink:
@@ -29,9 +55,16 @@
 
     def __init__(self, path: str, about: dict[str, Any]) -> None:
         self.sink = open(path, "xb")
-        header = format.put_header({name: value for name, value in about.items() if name != "minor"})
+        header = format.put_header(
+            {name: value for name, value in about.items() if name != "minor"}
+        )
         self.sink.write(header)
-        self.size, self.rows, self.heads, self.stores = len(header), list[Row](), list[BlockHead](), Stores()
+        self.size, self.rows, self.heads, self.stores = (
+            len(header),
+            list[Row](),
+            list[BlockHead](),
+            Stores(),
+        )
 
     def put(self, row: Row) -> None:
         self.rows.append(row)
@@ -80,7 +113,11 @@
 def dispatched_to(trace: Trace, wanted: Wanted) -> set[int]:
     """The transfers that were dispatched to the wanted box in the wanted time."""
     only = frozenset((BY_NAME["dispatch"].number,))
-    return {values[0] for _, _, values in trace.rows(wanted.since, wanted.until, wanted.store, only) if values[1] == wanted.box}
+    return {
+        values[0]
+        for _, _, values in trace.rows(wanted.since, wanted.until, wanted.store, only)
+        if values[1] == wanted.box
+    }
 
 
 def cut(source: str, out: str, heard: Heard = None, **terms: Any) -> tuple[int, int]:
@@ -88,7 +125,15 @@
     before `since` are left out of a cut by store, category or box: their arrivals are not read."""
     wanted = Wanted(**terms)
     with Trace(source, heard) as trace:
-        sink = Sink(out, {**trace.map.about, "cut": {name: value for name, value in terms.items() if value is not None}})
+        sink = Sink(
+            out,
+            {
+                **trace.map.about,
+                "cut": {
+                    name: value for name, value in terms.items() if value is not None
+                },
+            },
+        )
         at_box = dispatched_to(trace, wanted) if wanted.box is not None else None
         rows = trace.rows(wanted.since, wanted.until, wanted.store)
         count = sink.put_all(rows if wanted.all else of_transfers(rows, wanted, at_box))
@@ -116,13 +161,34 @@
     clocks = align([origin(each) for each in abouts], news)
     base = min(origin(about) + shift for about, (shift, _) in zip(abouts, clocks))
     shifts = [origin(about) + shift - base for about, (shift, _) in zip(abouts, clocks)]
-    told = [(str(about.get("name", "")), shift, off) for about, (shift, off) in zip(abouts, clocks)]
-    about = {**{name: abouts[0][name] for name in ALIKE if name in abouts[0]},
-             "merged": [{**{name: value for name, value in about.items() if name not in ALIKE or value != abouts[0].get(name)},
-                         "correction": shift, "uncertain": off} for about, (_, shift, off) in zip(abouts, told)],
-             "opened": 0, "wall_ms": base // 10}
-    with tempfile.TemporaryDirectory(dir=os.path.dirname(os.path.abspath(out))) as folder:
-        groups = [range(at, min(at + MOST_OPEN, len(sources))) for at in range(0, len(sources), MOST_OPEN)]
+    told = [
+        (str(about.get("name", "")), shift, off)
+        for about, (shift, off) in zip(abouts, clocks)
+    ]
+    about = {
+        **{name: abouts[0][name] for name in ALIKE if name in abouts[0]},
+        "merged": [
+            {
+                **{
+                    name: value
+                    for name, value in about.items()
+                    if name not in ALIKE or value != abouts[0].get(name)
+                },
+                "correction": shift,
+                "uncertain": off,
+            }
+            for about, (_, shift, off) in zip(abouts, told)
+        ],
+        "opened": 0,
+        "wall_ms": base // 10,
+    }
+    with tempfile.TemporaryDirectory(
+        dir=os.path.dirname(os.path.abspath(out))
+    ) as folder:
+        groups = [
+            range(at, min(at + MOST_OPEN, len(sources)))
+            for at in range(0, len(sources), MOST_OPEN)
+        ]
         if len(groups) == 1:
             return Merged(merged(sources, groups[0], shifts, out, about, heard), told)
         parts = [f"{folder}/{number}" for number in range(len(groups))]
@@ -131,12 +197,23 @@
         return Merged(merged(parts, range(len(parts)), None, out, about, None), told)
 
 
-def merged(sources: list[str], group: range, shifts: list[int] | None, out: str, about: dict[str, Any], heard: Heard) -> int:
+def merged(
+    sources: list[str],
+    group: range,
+    shifts: list[int] | None,
+    out: str,
+    about: dict[str, Any],
+    heard: Heard,
+) -> int:
     """Some of the files as one, each open once; records as they stand where `shifts` is None."""
     traces = [Trace(sources[place], heard) for place in group]
     try:
-        streams = [trace.rows() if shifts is None else shifted(trace, place, len(sources), shifts[place])
-                   for place, trace in zip(group, traces)]
+        streams = [
+            trace.rows()
+            if shifts is None
+            else shifted(trace, place, len(sources), shifts[place])
+            for place, trace in zip(group, traces)
+        ]
         return Sink(out, about).put_all(heapq.merge(*streams, key=lambda row: row[0]))
     finally:
         for each in traces:
@@ -175,24 +252,40 @@
         yield last, kind, numbered(kind, values, place, of, shift)
 
 
-def numbered(kind: Kind, values: tuple[Any, ...], place: int, of: int, shift: int) -> tuple[Any, ...]:
+def numbered(
+    kind: Kind, values: tuple[Any, ...], place: int, of: int, shift: int
+) -> tuple[Any, ...]:
     plan = MOVED.get(kind.number)
     if plan is None:
         return values
     made = list(values)
     for number, transfer in plan:
-        made[number] = values[number] * of + place if transfer else values[number] + shift
+        made[number] = (
+            values[number] * of + place if transfer else values[number] + shift
+        )
     return tuple(made)
 
 
 def hide(about: dict[str, Any], hidden: Callable[[str], str]) -> dict[str, Any]:
     """A header without names: figures of the facts stay, names in them are replaced."""
-    made = {name: about[name] for name in ("seed", "opened", "wall_ms", "made") if name in about}
+    made = {
+        name: about[name]
+        for name in ("seed", "opened", "wall_ms", "made")
+        if name in about
+    }
     facts = about.get("facts")
     if isinstance(facts, dict):
-        made["facts"] = {name: [{**each, "name": hidden(str(each["name"]))} if isinstance(each, dict) and "name" in each
-                                else each for each in value] if isinstance(value, list) else value
-                         for name, value in facts.items()}
+        made["facts"] = {
+            name: [
+                {**each, "name": hidden(str(each["name"]))}
+                if isinstance(each, dict) and "name" in each
+                else each
+                for each in value
+            ]
+            if isinstance(value, list)
+            else value
+            for name, value in facts.items()
+        }
     return made
 
 
@@ -204,7 +297,11 @@
     def hidden(text: str) -> str:
         found = made.get(text)
         if found is None:
-            digest = hmac.new(key, text.encode("utf-8", "surrogateescape"), lambda data=b"": blake2b(data, digest_size=32))
+            digest = hmac.new(
+                key,
+                text.encode("utf-8", "surrogateescape"),
+                lambda data=b"": blake2b(data, digest_size=32),
+            )
             found = digest.hexdigest()[:DIGEST]
             if len(made) < MOST_STORES:
                 made[text] = found
@@ -215,14 +312,18 @@
             if kind.name in ("remark", "plan"):
                 continue
             if kind.name == "arrival":
-                path = "/".join(hidden(part) if part else "" for part in values[12].split("/"))
+                path = "/".join(
+                    hidden(part) if part else "" for part in values[12].split("/")
+                )
                 values = values[:3] + (hidden(values[3]),) + values[4:12] + (path,)
             elif kind.name == "command":
                 values = values[:2] + (hidden(values[2]),) + values[3:10] + ("",)
             yield at, kind, values
 
     with Trace(source, heard) as trace:
-        return Sink(out, {**hide(trace.map.about, hidden), "anonymised": True}).put_all(rows(trace))
+        return Sink(out, {**hide(trace.map.about, hidden), "anonymised": True}).put_all(
+            rows(trace)
+        )
 
 
 def convert(source: str, out: str, to: str, heard: Heard = None) -> int:
@@ -264,21 +365,43 @@
             return
         if self.to == "csv":
             if kind not in self.sinks:
-                self.sinks[kind] = open(f"{self.folder}/{kind.name}.csv", "w", newline="", encoding="utf-8",
-                                        errors="surrogateescape")
+                self.sinks[kind] = open(
+                    f"{self.folder}/{kind.name}.csv",
+                    "w",
+                    newline="",
+                    encoding="utf-8",
+                    errors="surrogateescape",
+                )
                 csv.writer(self.sinks[kind]).writerow(names)
             return csv.writer(self.sinks[kind]).writerows(rows)
         import pyarrow
         import pyarrow.parquet
-        columns = [[printable(each) if isinstance(each, str) else each for each in column] for column in zip(*rows)]
-        types = [pyarrow.int64()] + [pyarrow.string() if coding == TEXT else pyarrow.float64() if coding == FLOAT else
-                                    pyarrow.int64() for _, coding in kind.fields]
+
+        columns = [
+            [printable(each) if isinstance(each, str) else each for each in column]
+            for column in zip(*rows)
+        ]
+        types = [pyarrow.int64()] + [
+            pyarrow.string()
+            if coding == TEXT
+            else pyarrow.float64()
+            if coding == FLOAT
+            else pyarrow.int64()
+            for _, coding in kind.fields
+        ]
         if kind.name == "arrival":
             types[2] = pyarrow.uint64()
-        table = pyarrow.table([pyarrow.array(column, kept) for column, kept in zip(columns, types)], names=names)
+        table = pyarrow.table(
+            [pyarrow.array(column, kept) for column, kept in zip(columns, types)],
+            names=names,
+        )
         if kind not in self.sinks:
-            self.sinks[kind] = pyarrow.parquet.ParquetWriter(f"{self.folder}/{kind.name}.parquet", table.schema,
-                                                            compression="zstd", compression_level=LEVEL)
+            self.sinks[kind] = pyarrow.parquet.ParquetWriter(
+                f"{self.folder}/{kind.name}.parquet",
+                table.schema,
+                compression="zstd",
+                compression_level=LEVEL,
+            )
         self.sinks[kind].write_table(table)
 
 
@@ -297,7 +420,9 @@
     with Trace(source, heard) as trace:
         for _, kind, values in trace.rows():
             kinds[kind.name] += 1
-            if kind.name == "arrival" and (len(stores) < MOST_STORES or values[3] in stores):
+            if kind.name == "arrival" and (
+                len(stores) < MOST_STORES or values[3] in stores
+            ):
                 stores[values[3]] += 1
             elif kind.name in ("satisfied", "declined", "aborted", "abandoned"):
                 finals[kind.name] += 1
@@ -307,20 +432,42 @@
             elif kind.name == "gap":
                 lost[str(values[0])] += values[1]
         heads, known = trace.map.heads, trace.map
-        return {"file": source, "state": known.verdict.name.lower(), "bytes": trace.size, "blocks": len(heads),
-                "records": sum(kinds.values()), "first": min((each.first for each in heads), default=None),
-                "last": max((each.last for each in heads), default=None), "kinds": dict(kinds), "finals": dict(finals),
-                "outcomes": dict(outcomes), "stores": dict(stores.most_common(20)), "shed": dict(lost),
-                "breaks": [{"offset": each.offset, "bytes": each.size, "reason": each.reason} for each in known.breaks]}
-
-
-def lines(source: str, since: int | None, until: int | None, write: Callable[[dict[str, Any]], None]) -> None:
+        return {
+            "file": source,
+            "state": known.verdict.name.lower(),
+            "bytes": trace.size,
+            "blocks": len(heads),
+            "records": sum(kinds.values()),
+            "first": min((each.first for each in heads), default=None),
+            "last": max((each.last for each in heads), default=None),
+            "kinds": dict(kinds),
+            "finals": dict(finals),
+            "outcomes": dict(outcomes),
+            "stores": dict(stores.most_common(20)),
+            "shed": dict(lost),
+            "breaks": [
+                {"offset": each.offset, "bytes": each.size, "reason": each.reason}
+                for each in known.breaks
+            ],
+        }
+
+
+def lines(
+    source: str,
+    since: int | None,
+    until: int | None,
+    write: Callable[[dict[str, Any]], None],
+) -> None:
     """Each record as a map."""
     with Trace(source) as trace:
         for at, kind, values in trace.rows(since, until):
-            write({"at": at, "kind": kind.name, **{name: value for (name, _), value in zip(kind.fields, values)}})
-
-
+            write(
+                {
+                    "at": at,
+                    "kind": kind.name,
+                    **{name: value for (name, _), value in zip(kind.fields, values)},
+                }
+            )
 
 
 def place_of(source: str, category: str) -> int:
@@ -333,4 +480,6 @@
         return names.index(category)
     if category.isdecimal():
         return int(category)
-    raise BadTrace(f"no category {category!r}; there are {', '.join(names) or 'none named'}")
+    raise BadTrace(
+        f"no category {category!r}; there are {', '.join(names) or 'none named'}"
+    )
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -3,6 +3,7 @@
 `Writer.put` is called by the reactor's thread and only appends to a bounded list. The thread forms blocks, writes and syncs
 them, ends files by size and age, and deletes the oldest past the total. A disk that refuses ends the file at hand.
 """
+
 from __future__ import annotations
 
 import os
@@ -13,8 +14,21 @@
 
 from milletsill.errors import Unkept
 from milletsill.trace import format
-from milletsill.trace.decide import (MOST_AGE, MOST_ROWS, SECOND, Shed, Stores, Tracing, Word, block_ends, file_ends,
-                                     retry_after, step, room, to_delete)
+from milletsill.trace.decide import (
+    MOST_AGE,
+    MOST_ROWS,
+    SECOND,
+    Shed,
+    Stores,
+    Tracing,
+    Word,
+    block_ends,
+    file_ends,
+    retry_after,
+    step,
+    room,
+    to_delete,
+)
 from milletsill.trace.records import BY_NAME, BlockHead, Row
 
 LOOK, SUFFIX = 0.1, ".mtrace"
@@ -30,15 +44,33 @@
     """One gateway's traces in one folder. `about` goes into each file's header; `remark` gets one line for the log, from
     the writer's thread; `now` is the gateway's clock."""
 
-    def __init__(self, folder: str, name: str, about: dict[str, Any], now: Callable[[], int],
-                 remark: Callable[[str], None], most_held: int = 200_000, most_bytes: int = 64 << 20,
-                 most_age: int = 3600 * SECOND, most_total: int = 1 << 30, sync: str = "blocks",
-                 block_age: int = MOST_AGE) -> None:
-        self.folder, self.name, self.about, self.now, self.remark = folder, name, about, now, remark
+    def __init__(
+        self,
+        folder: str,
+        name: str,
+        about: dict[str, Any],
+        now: Callable[[], int],
+        remark: Callable[[str], None],
+        most_held: int = 200_000,
+        most_bytes: int = 64 << 20,
+        most_age: int = 3600 * SECOND,
+        most_total: int = 1 << 30,
+        sync: str = "blocks",
+        block_age: int = MOST_AGE,
+    ) -> None:
+        self.folder, self.name, self.about, self.now, self.remark = (
+            folder,
+            name,
+            about,
+            now,
+            remark,
+        )
         self.most_held, self.most_bytes, self.most_age = most_held, most_bytes, most_age
         self.most_total, self.sync, self.block_age = most_total, sync, block_age
         self.held: deque[Row] = deque()
-        self.kinds = {name: (kind, room(name, most_held)) for name, kind in BY_NAME.items()}
+        self.kinds = {
+            name: (kind, room(name, most_held)) for name, kind in BY_NAME.items()
+        }
         self.over = False
         self.shed: dict[str, Shed] = {}
         self.rows: list[Row] = []
@@ -49,7 +81,9 @@
         self.tracing, self.failures, self.retry_at = Tracing.OFF, 0, 0
         self.written = self.lost = 0
         self.ending = threading.Event()
-        self.thread = threading.Thread(target=self.run, name=f"trace-{name}", daemon=True)
+        self.thread = threading.Thread(
+            target=self.run, name=f"trace-{name}", daemon=True
+        )
 
     def start(self) -> None:
         self.word(Word.START)
@@ -62,9 +96,13 @@
             self.lost += 1
             self.shed.setdefault(name, Shed()).add(at)
             return
-        gone = self.shed.pop(name, None) if self.shed else None  # the thread may take it at the same moment
+        gone = (
+            self.shed.pop(name, None) if self.shed else None
+        )  # the thread may take it at the same moment
         if gone is not None:
-            self.held.append((at, BY_NAME["gap"], (kind.number, gone.count, gone.since)))
+            self.held.append(
+                (at, BY_NAME["gap"], (kind.number, gone.count, gone.since))
+            )
         self.held.append((at, kind, values))
 
     def stop(self, within: float = 5.0) -> None:
@@ -95,10 +133,14 @@
             if len(self.rows) >= MOST_ROWS:
                 self.guarded(self.end_block)
         if self.tracing is Tracing.ON and block_ends(
-                len(self.rows), self.rows[0][0] if self.rows else 0, now, self.block_age):
+            len(self.rows), self.rows[0][0] if self.rows else 0, now, self.block_age
+        ):
             self.guarded(self.end_block)
-        if self.tracing is Tracing.ON and self.heads and file_ends(self.size, self.opened, now, self.most_bytes,
-                                                                   self.most_age):
+        if (
+            self.tracing is Tracing.ON
+            and self.heads
+            and file_ends(self.size, self.opened, now, self.most_bytes, self.most_age)
+        ):
             self.guarded(self.turn_over)
 
     def flush_gaps(self) -> None:
@@ -107,7 +149,13 @@
         for name in list(self.shed):
             gone = self.shed.pop(name, None)
             if gone is not None:
-                self.rows.append((now, BY_NAME["gap"], (BY_NAME[name].number, gone.count, gone.since)))
+                self.rows.append(
+                    (
+                        now,
+                        BY_NAME["gap"],
+                        (BY_NAME[name].number, gone.count, gone.since),
+                    )
+                )
 
     def word(self, word: Word) -> None:
         """Read the table and act."""
@@ -136,7 +184,9 @@
             call()
         except OSError as error:
             if not self.failures:
-                self.remark(f"tracing stops: {TraceUnkept(error.strerror or str(error), self.folder).line()}")
+                self.remark(
+                    f"tracing stops: {TraceUnkept(error.strerror or str(error), self.folder).line()}"
+                )
             self.word(Word.FAILED)
 
     def open(self) -> None:
@@ -146,15 +196,24 @@
         while True:
             self.count += 1
             stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
-            self.path = os.path.join(self.folder, f"{self.name}-{stamp}-{self.count:06d}{SUFFIX}")
+            self.path = os.path.join(
+                self.folder, f"{self.name}-{stamp}-{self.count:06d}{SUFFIX}"
+            )
             try:
                 self.sink = open(self.path, "xb", buffering=0)
                 break
             except FileExistsError:
                 continue
-        header = format.put_header({**self.about, "opened": self.now(), "wall_ms": int(time.time() * 1000)})
+        header = format.put_header(
+            {**self.about, "opened": self.now(), "wall_ms": int(time.time() * 1000)}
+        )
         self.write(header)
-        self.size, self.opened, self.heads, self.stores = len(header), self.now(), [], self.stores.next_file()
+        self.size, self.opened, self.heads, self.stores = (
+            len(header),
+            self.now(),
+            [],
+            self.stores.next_file(),
+        )
         if self.failures:
             self.remark(f"tracing goes on: {self.path}")
         self.failures = 0
@@ -163,7 +222,7 @@
         """All of it, synced where set."""
         view = memoryview(data)
         while view:
-            view = view[self.sink.write(view):]
+            view = view[self.sink.write(view) :]
         if self.sync == "blocks" or self.sync == "files" and last:
             os.fsync(self.sink.fileno())
 
@@ -186,14 +245,21 @@
     def finish(self) -> None:
         """The index, and the end of the file."""
         if self.sink is not None:
-            self.write(format.put_footer(self.heads, self.size, self.stores.blocks), last=True)
+            self.write(
+                format.put_footer(self.heads, self.size, self.stores.blocks), last=True
+            )
             self.sink.close()
             self.sink = None
 
     def prune(self) -> None:
         """The oldest files of this gateway go while the total is passed."""
-        names = sorted(each for each in os.listdir(self.folder) if each.startswith(f"{self.name}-")
-                       and each.endswith(SUFFIX))
-        files = [(each, os.path.getsize(os.path.join(self.folder, each))) for each in names]
+        names = sorted(
+            each
+            for each in os.listdir(self.folder)
+            if each.startswith(f"{self.name}-") and each.endswith(SUFFIX)
+        )
+        files = [
+            (each, os.path.getsize(os.path.join(self.folder, each))) for each in names
+        ]
         for each in to_delete(files + [("", 0)], self.most_total):
             os.unlink(os.path.join(self.folder, each))
--- a/milletsill/wirehost/__main__.py
+++ b/milletsill/wirehost/__main__.py
@@ -1,4 +1,5 @@
 """Speaks the bench's wire on standard input and output."""
+
 import sys
 
 from milletsill.wirehost.codec import BadBatch
--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -1,4 +1,5 @@
 """Frames and records of the wire, to and from plain Python values. Nothing is decided here."""
+
 from __future__ import annotations
 
 import json
@@ -13,18 +14,62 @@
 HEADER = Struct("<IIIQ")
 REPLY = Struct("<II")
 RECORD = Struct("<BI")
-BORN, UPDATE, TAKEN, FLOWING, RETURNED, ABANDONED, RING, PROBED, NOTE, CRASH, ROSTER, INSTANCE = range(12)
-NAMES = ("Born", "Update", "Req", "Flowing", "Returned", "Abandoned", "Ring", "Probed", "NoteFrom",
-         "CrashNow", "Roster", "Instance")
+(
+    BORN,
+    UPDATE,
+    TAKEN,
+    FLOWING,
+    RETURNED,
+    ABANDONED,
+    RING,
+    PROBED,
+    NOTE,
+    CRASH,
+    ROSTER,
+    INSTANCE,
+) = range(12)
+NAMES = (
+    "Born",
+    "Update",
+    "Req",
+    "Flowing",
+    "Returned",
+    "Abandoned",
+    "Ring",
+    "Probed",
+    "NoteFrom",
+    "CrashNow",
+    "Roster",
+    "Instance",
+)
 # The fixed part of each event; what follows it is counted by its last field.
-FIXED = {BORN: Struct("<QI"), UPDATE: Struct("<BQB"), TAKEN: Struct("<QQfHHBffQQ"), FLOWING: Struct("<QBQI"),
-         RETURNED: Struct("<QHIHHBBQB"), ABANDONED: Struct("<Q"), RING: Struct("<Q"), PROBED: Struct("<IQHB"),
-         NOTE: Struct("<IH"), CRASH: Struct("<"), ROSTER: Struct("<BI"), INSTANCE: Struct("<I")}
+FIXED = {
+    BORN: Struct("<QI"),
+    UPDATE: Struct("<BQB"),
+    TAKEN: Struct("<QQfHHBffQQ"),
+    FLOWING: Struct("<QBQI"),
+    RETURNED: Struct("<QHIHHBBQB"),
+    ABANDONED: Struct("<Q"),
+    RING: Struct("<Q"),
+    PROBED: Struct("<IQHB"),
+    NOTE: Struct("<IH"),
+    CRASH: Struct("<"),
+    ROSTER: Struct("<BI"),
+    INSTANCE: Struct("<I"),
+}
 TAIL = {BORN: 1, RETURNED: 4, PROBED: 4, NOTE: 1, ROSTER: 22}
 ENTRY = Struct("<IBfHBQH")
 
-OUTCOMES = {0: Outcome.SATISFIED, 255: Outcome.ERROR, 254: Outcome.TURNED_AWAY, 253: Outcome.TIMED_OUT,
-            252: Outcome.UNREACHED, 251: Outcome.RESET, 250: Outcome.CANCELLED, 249: Outcome.MOOT}
+OUTCOMES = {
+    0: Outcome.SATISFIED,
+    255: Outcome.ERROR,
+    254: Outcome.TURNED_AWAY,
+    253: Outcome.TIMED_OUT,
+    252: Outcome.UNREACHED,
+    251: Outcome.RESET,
+    250: Outcome.CANCELLED,
+    249: Outcome.MOOT,
+}
 READINESS = {0: Readiness.GONE, 1: Readiness.READY, 2: Readiness.DRAINING}
 NEWS = {0: News.CHANGES, 1: News.WHOLE, 2: News.CACHED, 3: News.FAILED}
 
@@ -51,7 +96,9 @@
     events: list[Event]
 
 
-def read_exactly(stream: BinaryIO, size: int, what: str, may_end: bool = False) -> bytes | None:
+def read_exactly(
+    stream: BinaryIO, size: int, what: str, may_end: bool = False
+) -> bytes | None:
     """That many bytes; None where the input ends cleanly before the first of them."""
     data = stream.read(size)
     if may_end and not data:
@@ -68,12 +115,16 @@
         return None
     number, size, count, clock = HEADER.unpack(head)
     if size < HEADER.size + count * RECORD.size:
-        raise BadBatch(f"batch {number}: a length of {size} cannot hold {count} records")
+        raise BadBatch(
+            f"batch {number}: a length of {size} cannot hold {count} records"
+        )
     body = read_exactly(stream, size - HEADER.size, f"batch {number}")
     assert body is not None
     events = list(events_of(body, number))
     if len(events) != count:
-        raise BadBatch(f"batch {number}: {len(events)} records where the header says {count}")
+        raise BadBatch(
+            f"batch {number}: {len(events)} records where the header says {count}"
+        )
     return Batch(number, clock, events)
 
 
@@ -82,7 +133,9 @@
     at = 0
     while at < len(body):
         if len(body) - at < RECORD.size:
-            raise BadBatch(f"batch {number}: {len(body) - at} bytes left over after the last record")
+            raise BadBatch(
+                f"batch {number}: {len(body) - at} bytes left over after the last record"
+            )
         code, size = RECORD.unpack_from(body, at)
         fixed = FIXED.get(code)
         if fixed is None:
@@ -90,12 +143,16 @@
         start = at + RECORD.size
         at = start + size
         if at > len(body) or size < fixed.size:
-            raise BadBatch(f"batch {number}: {NAMES[code]} cannot have a length of {size}")
+            raise BadBatch(
+                f"batch {number}: {NAMES[code]} cannot have a length of {size}"
+            )
         fields = fixed.unpack_from(body, start)
         counted = fields[-1] * TAIL[code] if code in TAIL else 0
         if size != fixed.size + counted:
-            raise BadBatch(f"batch {number}: {NAMES[code]} is {size} bytes long, not {fixed.size + counted}")
-        yield Event(code, fields, body[start + fixed.size:at])
+            raise BadBatch(
+                f"batch {number}: {NAMES[code]} is {size} bytes long, not {fixed.size + counted}"
+            )
+        yield Event(code, fields, body[start + fixed.size : at])
 
 
 def pick(table: Mapping[int, Any], code: int, what: str) -> Any:
@@ -107,9 +164,18 @@
 
 def entries_of(tail: bytes) -> tuple[Listed, ...]:
     """The lines of a Roster."""
-    return tuple(Listed(node, pick(READINESS, ready, "readiness"), size, kind, zone,
-                        -(-since // UNIT) if since else None, cell)
-                 for node, ready, size, kind, zone, since, cell in ENTRY.iter_unpack(tail))
+    return tuple(
+        Listed(
+            node,
+            pick(READINESS, ready, "readiness"),
+            size,
+            kind,
+            zone,
+            -(-since // UNIT) if since else None,
+            cell,
+        )
+        for node, ready, size, kind, zone, since, cell in ENTRY.iter_unpack(tail)
+    )
 
 
 def report_of(tail: bytes, fields: list[str]) -> dict[str, float]:
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -1,4 +1,5 @@
 """Hosts instances of the decision module: turns events into calls and calls into actions."""
+
 from __future__ import annotations
 
 from typing import Any, BinaryIO, Callable
@@ -51,13 +52,19 @@
     def wake(self, at: int, what: object) -> None:
         self.cookies += 1
         self.timers[self.cookies] = what
-        self.said.append(codec.NOTIFY(self.cookies, min(max(at * UNIT - self.clock, 0), LONGEST_TIMER)))
+        self.said.append(
+            codec.NOTIFY(
+                self.cookies, min(max(at * UNIT - self.clock, 0), LONGEST_TIMER)
+            )
+        )
 
     def born(self, facts: dict[str, Any], seed: int, now: int) -> Scheduler:
         """The module of this instance."""
         return Scheduler(facts, seed, now, self)
 
-    def hear(self, event: Event, now: int, banks: dict[int, tuple[Listed, ...]]) -> None:
+    def hear(
+        self, event: Event, now: int, banks: dict[int, tuple[Listed, ...]]
+    ) -> None:
         """Hand one event to the module."""
         fields = event.fields
         if event.code == codec.BORN:
@@ -67,22 +74,51 @@
             return
         module = self.module
         if module is None:
-            raise BadBatch(f"{codec.NAMES[event.code]} for instance {self.number}, which was never born")
+            raise BadBatch(
+                f"{codec.NAMES[event.code]} for instance {self.number}, which was never born"
+            )
         if event.code == codec.UPDATE:
             news = codec.pick(codec.NEWS, fields[0], "kind of Update")
             if news is not News.FAILED and fields[2] not in banks:
                 raise BadBatch(f"Update names list {fields[2]}, which never came")
             module.listed(now, news, () if news is News.FAILED else banks[fields[2]])
         elif event.code == codec.TAKEN:
-            tid, key, sharers, category, plan, flags, shard, units, volume, ends = fields
+            tid, key, sharers, category, plan, flags, shard, units, volume, ends = (
+                fields
+            )
             cell = int(shard) if shard >= 0 else None
-            module.taken(now, Arrival(tid, key, volume, max(int(sharers), 0), category, plan, bool(flags & 2),
-                                      bool(flags & 4), cell, units, ends // UNIT))
+            module.taken(
+                now,
+                Arrival(
+                    tid,
+                    key,
+                    volume,
+                    max(int(sharers), 0),
+                    category,
+                    plan,
+                    bool(flags & 2),
+                    bool(flags & 4),
+                    cell,
+                    units,
+                    ends // UNIT,
+                ),
+            )
         elif event.code == codec.RETURNED:
             tid, outcome, node, others, used, over, number, lag, _ = fields
-            module.returned(now, Answer(tid, number, node, codec.pick(codec.OUTCOMES, outcome, "outcome"),
-                                        bool(over), lag // UNIT, used - 1 if used else None, others,
-                                        codec.report_of(event.tail, self.fields)))
+            module.returned(
+                now,
+                Answer(
+                    tid,
+                    number,
+                    node,
+                    codec.pick(codec.OUTCOMES, outcome, "outcome"),
+                    bool(over),
+                    lag // UNIT,
+                    used - 1 if used else None,
+                    others,
+                    codec.report_of(event.tail, self.fields),
+                ),
+            )
         elif event.code == codec.RING:
             module.woken(now, self.timers.pop(fields[0], None))
         elif event.code == codec.ABANDONED:
@@ -109,10 +145,14 @@
                 self.banks[event.fields[0]] = codec.entries_of(event.tail)
             elif event.code == codec.INSTANCE:
                 number = event.fields[0]
-                current = self.instances.get(number) or self.instances.setdefault(number, self.make(number))
+                current = self.instances.get(number) or self.instances.setdefault(
+                    number, self.make(number)
+                )
                 heard[number], current.clock = current, batch.clock
             elif current is None:
-                raise BadBatch(f"batch {batch.number}: {codec.NAMES[event.code]} before any Instance")
+                raise BadBatch(
+                    f"batch {batch.number}: {codec.NAMES[event.code]} before any Instance"
+                )
             elif event.code in (codec.CRASH, codec.BORN) and current.module is not None:
                 current = self.fresh(current, heard)
                 if event.code == codec.BORN:
@@ -151,7 +191,9 @@
         return actions
 
 
-def serve(source: BinaryIO, sink: BinaryIO, make: Callable[[int], Instance] = Instance) -> None:
+def serve(
+    source: BinaryIO, sink: BinaryIO, make: Callable[[int], Instance] = Instance
+) -> None:
     """Answer batches until the input ends."""
     host = Host(make)
     while (batch := codec.read_batch(source)) is not None:
--- a/tests/crossing_agents.py
+++ b/tests/crossing_agents.py
@@ -1,4 +1,5 @@
 """Who a gateway meets in a hunt of crossings: clients, storage nodes and discovery, each doing what a move of the hunt says."""
+
 import json
 from functools import partial
 
@@ -8,10 +9,17 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 FORMS = {  # answers whole, by how their body ends
     "whole": lambda body: HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body,
-    "chunked": lambda body: HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body),
+    "chunked": lambda body: (
+        HEAD
+        + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
+    ),
     "interim": lambda body: b"HTTP/1.1 100 Continue\r\n\r\n" * 3 + FORMS["whole"](body),
-    "last": lambda body: HEAD + b"Connection: close\r\nContent-Length: %d\r\n\r\n" % len(body) + body,
-    "behind": lambda body: FORMS["whole"](body) + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
+    "last": lambda body: (
+        HEAD + b"Connection: close\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+    ),
+    "behind": lambda body: (
+        FORMS["whole"](body) + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
+    ),
     "bare": lambda body: HEAD + b"\r\n" + body,
 }
 ERROR = b"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"
@@ -47,7 +55,9 @@
         if self.world.door is None or self.world.door.closed:
             return
         self.world.door.backlog.append(self.sock)
-        for span, call in self.plan["crossing"] + [(span, partial(self.leave, how)) for how, span in self.plan["leave"]]:
+        for span, call in self.plan["crossing"] + [
+            (span, partial(self.leave, how)) for how, span in self.plan["leave"]
+        ]:
             self.around(span, call)
         if self.takes_nothing and self.plan["resumes"]:
             self.world.later(self.plan["resumes"], self.resume)
@@ -81,11 +91,16 @@
             size = -(-len(octets) // pieces)
             self.line.extra += 1  # it may be refused half sent
             for number in range(pieces):
-                self.world.later(pause * (number + 1), partial(self.piece, request, octets, size, number, number + 1 == pieces))
+                self.world.later(
+                    pause * (number + 1),
+                    partial(
+                        self.piece, request, octets, size, number, number + 1 == pieces
+                    ),
+                )
 
     def piece(self, request, octets, size, number, last):
         if not self.left and not self.sock.closed and not self.away:
-            self.sock.put(octets[number * size:(number + 1) * size])
+            self.sock.put(octets[number * size : (number + 1) * size])
             if last:
                 self.line.extra -= 1
                 self.watch.sent(self.line, request)
@@ -137,14 +152,27 @@
             return self.half()
         _, fields, _, self.text = parts
         request = self.world.watch.requests[int(fields[b"x-txn"], 16)]
-        self.tried = next((each for each in request.tries if each.sock is self.sock and not each.whole), None)
+        self.tried = next(
+            (
+                each
+                for each in request.tries
+                if each.sock is self.sock and not each.whole
+            ),
+            None,
+        )
         if self.tried is None:
-            return self.world.watch.breach("a request twice on one connection:", f"{request.txn:x}")
+            return self.world.watch.breach(
+                "a request twice on one connection:", f"{request.txn:x}"
+            )
         self.tried.whole, self.open = True, self.open + 1
         number = sum(each.whole for each in request.tries) - 1
         fates = self.world.fates.get(request.txn, ())
-        kind, span, size = fates[number] if number < len(fates) else ("whole", 2 * MS, 10)
-        body = b"%x.%d.%s." % (request.txn, number, self.node.name.encode()) + b"x" * size
+        kind, span, size = (
+            fates[number] if number < len(fates) else ("whole", 2 * MS, 10)
+        )
+        body = (
+            b"%x.%d.%s." % (request.txn, number, self.node.name.encode()) + b"x" * size
+        )
         self.tried.ran = kind != "away"
         self.world.cue(("came", request.txn))
         self.world.cue("came")
@@ -194,11 +222,18 @@
             cut = max(len(text) // 5, 1)
             for number, at in enumerate(range(0, len(text), cut)):
                 last = at + cut >= len(text)
-                world.later(number * 3 * MS, partial(self.done if last else self.more, tried, text[at:at + cut]))
+                world.later(
+                    number * 3 * MS,
+                    partial(
+                        self.done if last else self.more, tried, text[at : at + cut]
+                    ),
+                )
         elif kind == "twice":
             request.made.append(body)
             self.done(tried, FORMS["whole"](body))
-            world.later(size * 20, partial(self.second, self.sock.sent, FORMS["whole"](body)))
+            world.later(
+                size * 20, partial(self.second, self.sock.sent, FORMS["whole"](body))
+            )
         elif kind in FORMS:
             request.made.append(body)
             self.done(tried, FORMS[kind](body))
@@ -211,7 +246,9 @@
 
     def done(self, tried, data):
         self.write(data)
-        if tried.request.made and len(tried.request.made[-1]) < ONE_READ:  # a longer one takes several turns
+        if (
+            tried.request.made and len(tried.request.made[-1]) < ONE_READ
+        ):  # a longer one takes several turns
             tried.good = self.world.time, self.sock.came
         tried.over, self.open = True, self.open - 1
         self.world.cue(("answered", tried.request.txn))
@@ -247,8 +284,16 @@
         self.dials = []  # (from, to, how, span): what becomes of a dial
 
     def entry(self):
-        return {"id": self.name, "addr": f"127.0.0.1:{self.port}", "zone": "z", "kind": "m", "cell": self.cell,
-                "state": self.state, "weight": 1.0, "started_ms": self.started}
+        return {
+            "id": self.name,
+            "addr": f"127.0.0.1:{self.port}",
+            "zone": "z",
+            "kind": "m",
+            "cell": self.cell,
+            "state": self.state,
+            "weight": 1.0,
+            "started_ms": self.started,
+        }
 
     def dialled(self, sock):
         now, how, span = self.world.time, "up", self.world.chance.randrange(50, 1000)
@@ -286,7 +331,13 @@
     """Discovery's end of one call."""
 
     def __init__(self, discovery, sock):
-        self.discovery, self.sock, self.text, self.watch, self.mute = discovery, sock, b"", False, False
+        self.discovery, self.sock, self.text, self.watch, self.mute = (
+            discovery,
+            sock,
+            b"",
+            False,
+            False,
+        )
 
     def heard(self, data):
         self.text += data
@@ -305,14 +356,25 @@
     """The one service, at all its addresses."""
 
     def __init__(self, world, nodes):
-        self.world, self.nodes, self.version, self.calls = world, {each.name: each for each in nodes}, 4, []
+        self.world, self.nodes, self.version, self.calls = (
+            world,
+            {each.name: each for each in nodes},
+            4,
+            [],
+        )
         self.log = []  # (version, entry)
         self.troubles = []  # (from, to, how)
-        self.whole, self.forgot = False, 0  # answers with whole lists; the version that left one out without a word
+        self.whole, self.forgot = (
+            False,
+            0,
+        )  # answers with whole lists; the version that left one out without a word
         world.later(2 * SECOND, self.beat)
 
     def trouble(self):
-        return next((how for since, to, how in self.troubles if since <= self.world.time < to), "")
+        return next(
+            (how for since, to, how in self.troubles if since <= self.world.time < to),
+            "",
+        )
 
     def dialled(self, sock):
         how = self.trouble()
@@ -335,7 +397,11 @@
         call.watch = True
         call.sock.put(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
         if version != self.version:
-            self.tell(call, self.whole or version > self.version or version < self.forgot, version)
+            self.tell(
+                call,
+                self.whole or version > self.version or version < self.forgot,
+                version,
+            )
 
     def beat(self):
         for call in self.calls:
@@ -344,9 +410,21 @@
         self.world.later(2 * SECOND, self.beat)
 
     def tell(self, call, whole, since):
-        entries = [each.entry() for each in self.nodes.values() if each.state != "left"] if whole else list(
-            {entry["id"]: entry for version, entry in self.log if version > since}.values())
-        text = json.dumps({"version": self.version, "full": whole, "servers": entries}).encode() + b"\n"
+        entries = (
+            [each.entry() for each in self.nodes.values() if each.state != "left"]
+            if whole
+            else list(
+                {
+                    entry["id"]: entry for version, entry in self.log if version > since
+                }.values()
+            )
+        )
+        text = (
+            json.dumps(
+                {"version": self.version, "full": whole, "servers": entries}
+            ).encode()
+            + b"\n"
+        )
         if call.line(text):
             self.told(entries, whole)
 
@@ -356,9 +434,14 @@
             name, port = entry["id"], int(entry["addr"].rpartition(":")[2])
             if watch.told.get(name, (0, "active"))[1] != entry["state"]:
                 watch.told[name] = now, entry["state"]
-            if watch.addresses.get(name, (0, port))[1] != port or name not in watch.addresses:
+            if (
+                watch.addresses.get(name, (0, port))[1] != port
+                or name not in watch.addresses
+            ):
                 watch.addresses[name] = now, port
-        for name in set(watch.addresses) - {each["id"] for each in entries} if whole else ():
+        for name in (
+            set(watch.addresses) - {each["id"] for each in entries} if whole else ()
+        ):
             if watch.told.get(name, (0, "active"))[1] != "left":
                 watch.told[name] = now, "left"
 
--- a/tests/crossing_guards.py
+++ b/tests/crossing_guards.py
@@ -1,4 +1,5 @@
 """Guards of the gateway taken out one at a time: what the hunt of crossings has to find."""
+
 from contextlib import contextmanager
 from unittest.mock import patch
 
@@ -95,20 +96,44 @@
 
 
 GUARDS = {
-    "what came is read before anything is begun": lambda: patch.object(turns, "io_first", never),
-    "what came is read before a time-out": lambda: patch.object(host, "io_first", never),
-    "what waits at a node that retires is moot": lambda: patch.multiple(Node, retire=retire, idle=idle_anywhere),
-    "a client's end is looked for behind its request": lambda: patch.object(Client, "has_gone", never),
+    "what came is read before anything is begun": lambda: patch.object(
+        turns, "io_first", never
+    ),
+    "what came is read before a time-out": lambda: patch.object(
+        host, "io_first", never
+    ),
+    "what waits at a node that retires is moot": lambda: patch.multiple(
+        Node, retire=retire, idle=idle_anywhere
+    ),
+    "a client's end is looked for behind its request": lambda: patch.object(
+        Client, "has_gone", never
+    ),
     "a reset is no end": lambda: patch.object(Link, "connectionLost", lost),
-    "a dispatch begins within a dial of its decision": lambda: patch.object(links, "kept_from", never),
-    "a link to where the node was is of no use": lambda: patch.object(Node, "idle", idle),
-    "what waits for a link goes with its transfer": lambda: patch.object(Host, "close", close),
-    "octets before ours are written are no answer": lambda: patch.object(Link, "dataReceived", received),
-    "a link that brought more is not used again": lambda: patch.object(Link, "finish", finish),
+    "a dispatch begins within a dial of its decision": lambda: patch.object(
+        links, "kept_from", never
+    ),
+    "a link to where the node was is of no use": lambda: patch.object(
+        Node, "idle", idle
+    ),
+    "what waits for a link goes with its transfer": lambda: patch.object(
+        Host, "close", close
+    ),
+    "octets before ours are written are no answer": lambda: patch.object(
+        Link, "dataReceived", received
+    ),
+    "a link that brought more is not used again": lambda: patch.object(
+        Link, "finish", finish
+    ),
     "our side alone is closed": lambda: patch.object(Client, "end", end),
-    "what lies unread is read before an end": lambda: patch.object(Client, "catch_up", never),
-    "what lies unread is read before what is held ends": lambda: patch.multiple(Gateway, step=stepped, end_all=end_all),
-    "what lies unread is read before a watch is over": lambda: patch.object(Watch, "catch_up", never),
+    "what lies unread is read before an end": lambda: patch.object(
+        Client, "catch_up", never
+    ),
+    "what lies unread is read before what is held ends": lambda: patch.multiple(
+        Gateway, step=stepped, end_all=end_all
+    ),
+    "what lies unread is read before a watch is over": lambda: patch.object(
+        Watch, "catch_up", never
+    ),
 }
 
 # The first seed of the game as it is that finds the loss of each.
--- a/tests/crossing_moves.py
+++ b/tests/crossing_moves.py
@@ -2,6 +2,7 @@
 
 A move stands for itself: it brings its own stream of chance, so leaving others out leaves it as it was.
 """
+
 import copy
 from functools import partial
 from random import Random
@@ -20,11 +21,37 @@
 BEGIN, LENGTH = 100 * SECOND, 5 * SECOND
 ADDRESSES = (8500, 8501)  # discovery's
 FATES = ("whole",) * 8 + (
-    "pieces", "chunked", "interim", "last", "behind", "bare close", "bare reset", "half reset", "half close", "500", "503",
-    "away", "away", "reset", "reset", "close", "never", "never", "twice", "twice", "endless")
+    "pieces",
+    "chunked",
+    "interim",
+    "last",
+    "behind",
+    "bare close",
+    "bare reset",
+    "half reset",
+    "half close",
+    "500",
+    "503",
+    "away",
+    "away",
+    "reset",
+    "reset",
+    "close",
+    "never",
+    "never",
+    "twice",
+    "twice",
+    "endless",
+)
 CUES = (None, None, "sent", "begin", "came", "answered", "up", "dial")
-BAD = (b"GET / HTTP/1.1\r\n\r\n", b"\x00\xff\r\n\r\n", b"PUT /put HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n",
-       b"GET /get HTTP/1.1\r\nHo", b"G" * 9000, b"PUT /put HTTP/1.1\r\nHost: a\r\nContent-Length: 90\r\n\r\nabc")
+BAD = (
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"\x00\xff\r\n\r\n",
+    b"PUT /put HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n",
+    b"GET /get HTTP/1.1\r\nHo",
+    b"G" * 9000,
+    b"PUT /put HTTP/1.1\r\nHost: a\r\nContent-Length: 90\r\n\r\nabc",
+)
 
 
 def settings_of(chance):
@@ -32,14 +59,21 @@
     told = copy.deepcopy(SETTINGS)
     patience = chance.choice((400, 1000, 3000, 3000))
     for each in told["classes"]:
-        each |= {"hard_limit_ns": patience * 1_000_000, "aim_ns": patience * 600_000,
-                 "idempotency": chance.choice(("free", "guarded", "guarded", "single_shot")),
-                 "group": chance.choice(("all", "cell")),
-                 "window_ns": chance.choice((0.3, 0.5, 5.0)) * patience * 1_000_000}
-    told["limits"] |= {"cancel": chance.random() < 0.7, "second_copies": chance.random() < 0.7,
-                       "max_attempts": chance.choice((1, 2, 3, 3, 4)), "retry_after": chance.random() < 0.8,
-                       "dial_timeout_ns": chance.choice((100, 250, 1000)) * 1_000_000,
-                       "conn_idle_ns": chance.choice((200, 1000, 30_000, 30_000)) * 1_000_000}
+        each |= {
+            "hard_limit_ns": patience * 1_000_000,
+            "aim_ns": patience * 600_000,
+            "idempotency": chance.choice(("free", "guarded", "guarded", "single_shot")),
+            "group": chance.choice(("all", "cell")),
+            "window_ns": chance.choice((0.3, 0.5, 5.0)) * patience * 1_000_000,
+        }
+    told["limits"] |= {
+        "cancel": chance.random() < 0.7,
+        "second_copies": chance.random() < 0.7,
+        "max_attempts": chance.choice((1, 2, 3, 3, 4)),
+        "retry_after": chance.random() < 0.8,
+        "dial_timeout_ns": chance.choice((100, 250, 1000)) * 1_000_000,
+        "conn_idle_ns": chance.choice((200, 1000, 30_000, 30_000)) * 1_000_000,
+    }
     told["membership_mode"] = chance.choice(("on_request", "on_request", "pushed"))
     told["rules"]["stop_sending_within_ns"] = chance.choice((350, 1000)) * 1_000_000
     return told
@@ -51,23 +85,46 @@
     def __init__(self, seed, settings=settings_of):
         chance = Random(f"{seed} settings")
         self.settings = settings(chance)
-        self.nodes = [Node(None, f"s-{number}", 7100 + number, number % 2) for number in range(chance.choice((2, 3, 4)))]
-        given = GIVEN | {"settings": self.settings, "discovery": f"127.0.0.1:{ADDRESSES[0]}", "seed": f"{seed:x}",
-                         "limits": {"sockets": chance.choice((256, 256, 64, 58)), "memory_mb": 64},
-                         "known": {"version": 4, "full": True, "servers": [each.entry() for each in self.nodes]}}
+        self.nodes = [
+            Node(None, f"s-{number}", 7100 + number, number % 2)
+            for number in range(chance.choice((2, 3, 4)))
+        ]
+        given = GIVEN | {
+            "settings": self.settings,
+            "discovery": f"127.0.0.1:{ADDRESSES[0]}",
+            "seed": f"{seed:x}",
+            "limits": {"sockets": chance.choice((256, 256, 64, 58)), "memory_mb": 64},
+            "known": {
+                "version": 4,
+                "full": True,
+                "servers": [each.entry() for each in self.nodes],
+            },
+        }
         self.given = given
         deployment = deployment_of(given, {}, 0, lambda text: None)
         facts = deployment.facts
         self.longest = max(each["patience"] for each in facts["categories"]) * 100
-        self.watch = Watch({"categories": facts["categories"], "tries": facts["most_dispatches"], "copies": facts["may_copy"],
-                            "short": given["limits"]["sockets"] < 256, "pause": facts["pause_told"] and facts["longest_pause"],
-                            "grace": self.settings["rules"]["stop_sending_within_ns"] // 1000})
+        self.watch = Watch(
+            {
+                "categories": facts["categories"],
+                "tries": facts["most_dispatches"],
+                "copies": facts["may_copy"],
+                "short": given["limits"]["sockets"] < 256,
+                "pause": facts["pause_told"] and facts["longest_pause"],
+                "grace": self.settings["rules"]["stop_sending_within_ns"] // 1000,
+            }
+        )
         self.world = self.watch.world = World(seed, self.watch)
-        self.world.early, self.world.node_window = chance.random() < 0.1, chance.choice((1 << 20, 1 << 20, 700))
+        self.world.early, self.world.node_window = (
+            chance.random() < 0.1,
+            chance.choice((1 << 20, 1 << 20, 700)),
+        )
         for each in self.nodes:
             each.world = self.world
             self.watch.addresses[each.name] = 0, each.port
-        self.mild = chance.random() < 0.5  # nodes answer as a rule, and links stand idle
+        self.mild = (
+            chance.random() < 0.5
+        )  # nodes answer as a rule, and links stand idle
         self.discovery = Discovery(self.world, self.nodes)
         self.discovery.whole = chance.random() < 0.4
         self.world.dialled, self.world.node_at = self.dialled, self.node_at
@@ -102,23 +159,40 @@
     def move(self, event):
         """One move; its last two values are a cue to wait for and the time behind it."""
         *values, cue, span = event.values
-        do = partial(getattr(self, event.what), Random(f"{values[0]} move"), *values[1:])
-        self.world.at(BEGIN + event.at * 100, partial(self.world.when, cue, span, do) if cue else do)
+        do = partial(
+            getattr(self, event.what), Random(f"{values[0]} move"), *values[1:]
+        )
+        self.world.at(
+            BEGIN + event.at * 100,
+            partial(self.world.when, cue, span, do) if cue else do,
+        )
 
     def client(self, chance):
         if self.world.exited:
             return
         asks = [self.request(chance) for _ in range(chance.choice((1, 1, 2, 3)))]
         pick = chance.choice(asks)[0].txn
-        cue = chance.choice((None, "sent", "sent", "begin", "came", "answered", "dial", "up"))
+        cue = chance.choice(
+            (None, "sent", "sent", "begin", "came", "answered", "dial", "up")
+        )
         how = chance.choice(("", "", "close", "half", "reset"))
         near = (0, 0, 10, 1000, 30_000, 30_000, 60_000, 150_000)
-        plan = {"asks": asks, "at once": chance.random() < 0.25, "takes": chance.random() < 0.85,
-                "window": chance.choice((1 << 20, 1 << 20, 2000)),
-                "cue": cue, "pick": pick, "leave": [(how, chance.choice(near))] if how else [],
-                "crossing": [(chance.choice(near), self.crossing(chance)) for _ in range(chance.choice((0, 0, 1, 1, 2)))],
-                "bad": chance.choice(BAD) if chance.random() < 0.08 else b"", "lingers": chance.choice((0, 2, 300)) * MS,
-                "resumes": chance.choice((0, 20, 300, 900)) * MS}
+        plan = {
+            "asks": asks,
+            "at once": chance.random() < 0.25,
+            "takes": chance.random() < 0.85,
+            "window": chance.choice((1 << 20, 1 << 20, 2000)),
+            "cue": cue,
+            "pick": pick,
+            "leave": [(how, chance.choice(near))] if how else [],
+            "crossing": [
+                (chance.choice(near), self.crossing(chance))
+                for _ in range(chance.choice((0, 0, 1, 1, 2)))
+            ],
+            "bad": chance.choice(BAD) if chance.random() < 0.08 else b"",
+            "lingers": chance.choice((0, 2, 300)) * MS,
+            "resumes": chance.choice((0, 20, 300, 900)) * MS,
+        }
         self.come(plan)
 
     def come(self, plan):
@@ -131,12 +205,39 @@
         if not self.world.exited:
             asked = self.request(chance)
             self.world.fates[asked[0].txn] = [("whole", MS, 5)] * 4
-            self.come({"asks": [asked], "at once": True, "takes": True, "window": 1 << 20, "cue": None, "leave": [], "crossing": [],
-                       "bad": b"", "lingers": 0, "resumes": 0})
+            self.come(
+                {
+                    "asks": [asked],
+                    "at once": True,
+                    "takes": True,
+                    "window": 1 << 20,
+                    "cue": None,
+                    "leave": [],
+                    "crossing": [],
+                    "bad": b"",
+                    "lingers": 0,
+                    "resumes": 0,
+                }
+            )
 
     def crossing(self, chance):
         """Something that happens around one of the client's moments."""
-        what, *values = drawn_of(chance, chance.choice(("list", "list", "stall", "stall", "stall", "rest", "cut", "dial", "crash")))
+        what, *values = drawn_of(
+            chance,
+            chance.choice(
+                (
+                    "list",
+                    "list",
+                    "stall",
+                    "stall",
+                    "stall",
+                    "rest",
+                    "cut",
+                    "dial",
+                    "crash",
+                )
+            ),
+        )
         return partial(getattr(self, what), chance, *values)
 
     def request(self, chance):
@@ -145,17 +246,50 @@
         told = self.settings["classes"][place]
         write = bool(self.settings["extra"]["writes"][place])
         body = b"x" * chance.choice((20, 400, 3000)) if write else b""
-        patience = int(told["hard_limit_ns"] // 1_000_000 * chance.choice((1, 1, 1, 0.4)))
+        patience = int(
+            told["hard_limit_ns"] // 1_000_000 * chance.choice((1, 1, 1, 0.4))
+        )
         key = b"k%x" % txn
-        text = ask(txn, "PUT" if write else "GET", told["name"], body, X_Remaining_Ms=str(patience),
-                   X_Plan=self.settings["plans"][0]["name"], Idempotency_Key=key.decode(), Cookie="block=%016x" % chance.randrange(1, 9),
-                   X_IO="volume=%016x,units=%d,shard=%d,hosts=1" % (chance.randrange(1, 4), chance.choice((1, 2, 4)),
-                                                                    chance.choice((0, 1, -1))))
+        text = ask(
+            txn,
+            "PUT" if write else "GET",
+            told["name"],
+            body,
+            X_Remaining_Ms=str(patience),
+            X_Plan=self.settings["plans"][0]["name"],
+            Idempotency_Key=key.decode(),
+            Cookie="block=%016x" % chance.randrange(1, 9),
+            X_IO="volume=%016x,units=%d,shard=%d,hosts=1"
+            % (
+                chance.randrange(1, 4),
+                chance.choice((1, 2, 4)),
+                chance.choice((0, 1, -1)),
+            ),
+        )
         fates = ("whole",) if self.mild and chance.random() < 0.85 else FATES
-        self.world.fates[txn] = [(chance.choice(fates), chance.choice((0, 1, 5, 60, 300)) * MS,
-                                  chance.choice((5, 5, 2000, 90_000))) for _ in range(4)]
-        request = Request(txn, place, b"PUT" if write else b"GET", b"/" + told["name"].encode(), body, key, patience * MS)
-        return request, text, chance.choice((1, 1, 2, 5)), chance.choice((0, 0, 1, 40)) * MS
+        self.world.fates[txn] = [
+            (
+                chance.choice(fates),
+                chance.choice((0, 1, 5, 60, 300)) * MS,
+                chance.choice((5, 5, 2000, 90_000)),
+            )
+            for _ in range(4)
+        ]
+        request = Request(
+            txn,
+            place,
+            b"PUT" if write else b"GET",
+            b"/" + told["name"].encode(),
+            body,
+            key,
+            patience * MS,
+        )
+        return (
+            request,
+            text,
+            chance.choice((1, 1, 2, 5)),
+            chance.choice((0, 0, 1, 40)) * MS,
+        )
 
     def place(self, place):
         """A node by its place, or the one that was dialled last."""
@@ -171,7 +305,12 @@
         elif what == "replaced":
             node.state = "left"
             self.discovery.change(node)
-            made = Node(self.world, f"s-{len(self.discovery.nodes)}", 7200 + len(self.by_port), node.cell)
+            made = Node(
+                self.world,
+                f"s-{len(self.discovery.nodes)}",
+                7200 + len(self.by_port),
+                node.cell,
+            )
             self.by_port[made.port] = made
             self.nodes[place] = node = made
         elif what == "back":
@@ -207,7 +346,9 @@
 
     def hup(self, chance):
         other = self.given | {"discovery": f"127.0.0.1:{ADDRESSES[1]}"}
-        self.world.reactor.callFromThread(self.gateway.reload, deployment_of(other, {}, 0, lambda text: None))
+        self.world.reactor.callFromThread(
+            self.gateway.reload, deployment_of(other, {}, 0, lambda text: None)
+        )
 
     def term(self, chance):
         self.term_at = self.term_at or self.world.time
@@ -247,11 +388,15 @@
         if self.term_at is not None:
             world.run(self.term_at + 8 * SECOND)
             kill = self.heard_at + min(self.longest, 3 * SECOND) + 700 * MS
-            if not world.exited or world.time > kill + self.watch.standing(kill - 400 * MS, kill + 2 * SECOND):
+            if not world.exited or world.time > kill + self.watch.standing(
+                kill - 400 * MS, kill + 2 * SECOND
+            ):
                 self.watch.breach("not away in time:", world.exited, world.time - kill)
             world.pass_time(world.time + SECOND)
             return self.watch.settle()
-        world.run(world.time + 3 * self.longest + SECOND)  # those behind another on their connection wait for it
+        world.run(
+            world.time + 3 * self.longest + SECOND
+        )  # those behind another on their connection wait for it
         self.watch.settle()
         for each in self.clients:
             each.leave("close")
@@ -263,41 +408,100 @@
 
     def held(self):
         gateway, fleet = self.gateway, self.gateway.fleet
-        listed = {each.name for each in self.discovery.nodes.values() if each.state != "left"}
-        stand = sum(each.where is not None and each.where[1] in self.by_port for each in self.world.socks.values())
-        found = {"live": len(gateway.host.live), "held": gateway.host.held, "clients": len(gateway.clients.open),
-                 "links": fleet.open - stand, "octets": fleet.octets.held, "dials": sum(each.dials for each in fleet.nodes.values()),
-                 "waiting": sum(len(each.waiting) for each in fleet.nodes.values()),
-                 "out": len(gateway.host.module.outstanding), "transfers": len(gateway.host.module.transfers)}
+        listed = {
+            each.name for each in self.discovery.nodes.values() if each.state != "left"
+        }
+        stand = sum(
+            each.where is not None and each.where[1] in self.by_port
+            for each in self.world.socks.values()
+        )
+        found = {
+            "live": len(gateway.host.live),
+            "held": gateway.host.held,
+            "clients": len(gateway.clients.open),
+            "links": fleet.open - stand,
+            "octets": fleet.octets.held,
+            "dials": sum(each.dials for each in fleet.nodes.values()),
+            "waiting": sum(len(each.waiting) for each in fleet.nodes.values()),
+            "out": len(gateway.host.module.outstanding),
+            "transfers": len(gateway.host.module.transfers),
+        }
         if any(found.values()):
             self.watch.breach("held after all is quiet:", found)
         if len(self.world.reactor.getDelayedCalls()) > 12:
             self.watch.breach("timers:", len(self.world.reactor.getDelayedCalls()))
         if len(fleet.nodes) > len(listed) + 1:
-            self.watch.breach("nodes that left are kept:", len(fleet.nodes), len(listed))
+            self.watch.breach(
+                "nodes that left are kept:", len(fleet.nodes), len(listed)
+            )
 
 
 def drawn_of(chance, what):
     """A move but its client, by name and values."""
     place = chance.choice((-1, -1, 0, 1, 2, 3))
     if what == "list":
-        return what, place, chance.choice(("leaving", "leaving", "left", "active", "moved", "replaced", "back", "forgotten"))
+        return (
+            what,
+            place,
+            chance.choice(
+                (
+                    "leaving",
+                    "leaving",
+                    "left",
+                    "active",
+                    "moved",
+                    "replaced",
+                    "back",
+                    "forgotten",
+                )
+            ),
+        )
     if what == "dial":
         how = chance.choice(("up", "up", "up", "refused", "never"))
-        return what, place, how, chance.choice((1, 20, 200, 600, 1500)) * MS, chance.choice((50, 500, 3000)) * MS
+        return (
+            what,
+            place,
+            how,
+            chance.choice((1, 20, 200, 600, 1500)) * MS,
+            chance.choice((50, 500, 3000)) * MS,
+        )
     if what == "stall":
-        return what, chance.choice(("timers", "timers", "timers", "poll", "collected")), chance.choice((200, 300, 500, 1200)) * MS
+        return (
+            what,
+            chance.choice(("timers", "timers", "timers", "poll", "collected")),
+            chance.choice((200, 300, 500, 1200)) * MS,
+        )
     if what in ("rest", "crash"):
-        return what, place, chance.random() < 0.5 if what == "rest" else chance.choice((20, 400)) * MS
+        return (
+            what,
+            place,
+            chance.random() < 0.5 if what == "rest" else chance.choice((20, 400)) * MS,
+        )
     if what == "cut":
         return what, chance.random() < 0.5, chance.random() < 0.5
     if what == "trouble":
-        return what, chance.choice(("refused", "not up", "503", "mute")), chance.choice((300, 2000)) * MS
+        return (
+            what,
+            chance.choice(("refused", "not up", "503", "mute")),
+            chance.choice((300, 2000)) * MS,
+        )
     return (what,)
 
 
-WHAT = ("client",) * 12 + ("list",) * 4 + ("dial",) * 4 + ("rest", "crash", "hush", "cut", "trouble", "hup", "stall", "stall")
-ENDS = (0, 0, 5000, 5500, 6000, 6100)  # about when a leaving process takes its steps; all but the first behind the longest patience
+WHAT = (
+    ("client",) * 12
+    + ("list",) * 4
+    + ("dial",) * 4
+    + ("rest", "crash", "hush", "cut", "trouble", "hup", "stall", "stall")
+)
+ENDS = (
+    0,
+    0,
+    5000,
+    5500,
+    6000,
+    6100,
+)  # about when a leaving process takes its steps; all but the first behind the longest patience
 
 
 class Crossings:
@@ -312,12 +516,23 @@
         events = []
         if chance.random() < 0.5:
             told = self.settings(Random(f"{seed} settings"))["classes"]
-            longest = min(max(each["hard_limit_ns"] for each in told) // 100_000, 30_000)
+            longest = min(
+                max(each["hard_limit_ns"] for each in told) // 100_000, 30_000
+            )
             term = chance.randrange(5000, max(45_000 - int(longest), 6000))
-            knots = [int(term + each + longest * (each > 0)) for each in chance.sample(ENDS, 3)] + knots[:1]
-            events = [Event(at, "term", (0, None, 0)) for at in {term, term + chance.choice((0, 0, 3000))}]
+            knots = [
+                int(term + each + longest * (each > 0))
+                for each in chance.sample(ENDS, 3)
+            ] + knots[:1]
+            events = [
+                Event(at, "term", (0, None, 0))
+                for at in {term, term + chance.choice((0, 0, 3000))}
+            ]
         for knot in knots:
-            events += [Event(max(knot - each, 1), "warm", (chance.getrandbits(32), None, 0)) for each in (900, 650, 640, 400)]
+            events += [
+                Event(max(knot - each, 1), "warm", (chance.getrandbits(32), None, 0))
+                for each in (900, 650, 640, 400)
+            ]
         events += [self.one(chance, chance.choice(knots)) for _ in range(self.moves)]
         return sorted(events, key=lambda each: each.at)
 
@@ -325,7 +540,16 @@
         at = max(knot + chance.choice((0, 0, 1, 5, 20, 300, -300, 3000, -3000)), 1)
         what, *values = drawn_of(chance, chance.choice(WHAT))
         cue = chance.choice(CUES) if what != "client" else None
-        return Event(at, what, (chance.getrandbits(32), *values, cue, chance.choice((0, 0, 50, 200, 1000, 20_000))))
+        return Event(
+            at,
+            what,
+            (
+                chance.getrandbits(32),
+                *values,
+                cue,
+                chance.choice((0, 0, 50, 200, 1000, 20_000)),
+            ),
+        )
 
     def play(self, seed, events):
         return Play(seed, self.settings).play(events)
--- a/tests/crossing_watch.py
+++ b/tests/crossing_watch.py
@@ -2,8 +2,13 @@
 
 Times are the world's microseconds. Every breach is one line, by the name of what was to hold.
 """
+
 SECOND, MS = 1_000_000, 1_000
-LATE, GONE_LATE, TOLD_LATE = 50 * MS, 100 * MS, 150 * MS  # the page's slack of each span, of a leaver's, of a told time
+LATE, GONE_LATE, TOLD_LATE = (
+    50 * MS,
+    100 * MS,
+    150 * MS,
+)  # the page's slack of each span, of a leaver's, of a told time
 ROUNDS = 20 * MS  # a few rounds, once the process runs again
 
 
@@ -13,7 +18,10 @@
     if not mark:
         return None
     first, *lines = head.split(b"\r\n")
-    fields = {name.strip().lower(): value.strip() for name, _, value in (line.partition(b":") for line in lines)}
+    fields = {
+        name.strip().lower(): value.strip()
+        for name, _, value in (line.partition(b":") for line in lines)
+    }
     length = int(fields.get(b"content-length", 0))
     return None if len(rest) < length else (first, fields, rest[:length], rest[length:])
 
@@ -22,12 +30,22 @@
     """One request that a client sends whole."""
 
     def __init__(self, txn, category, method, target, body, key, patience):
-        self.txn, self.category, self.method, self.target, self.body, self.key = txn, category, method, target, body, key
+        self.txn, self.category, self.method, self.target, self.body, self.key = (
+            txn,
+            category,
+            method,
+            target,
+            body,
+            key,
+        )
         self.patience = patience  # microseconds
         self.line = None  # the client's connection, as the watch has it
         self.sent_at = self.read_at = self.gone_at = self.answered_at = None
         self.after = 0  # octets on its connection up to its end
-        self.tries, self.made = [], []  # dispatches begun; bodies that a node made for it and sent with 200
+        self.tries, self.made = (
+            [],
+            [],
+        )  # dispatches begun; bodies that a node made for it and sent with 200
         self.behind = None  # the request before it on the connection
 
 
@@ -37,8 +55,12 @@
     def __init__(self, request, node, at):
         self.request, self.node, self.at = request, node, at
         self.first = None  # when its first octet was the system's
-        self.ran = self.whole = False  # whether it may have run, whether the node has all of it
-        self.sock = self.good = None  # good: when the whole of a good answer came, and up to which octet
+        self.ran = self.whole = (
+            False  # whether it may have run, whether the node has all of it
+        )
+        self.sock = self.good = (
+            None  # good: when the whole of a good answer came, and up to which octet
+        )
         self.over = False  # its answer is written whole, or its connection has ended
 
 
@@ -78,7 +100,10 @@
 
     def standing(self, since, to):
         """How long the process stood between two moments."""
-        return sum(max(min(end, to) - max(begin, since), 0) for begin, end, _ in self.world.stalls)
+        return sum(
+            max(min(end, to) - max(begin, since), 0)
+            for begin, end, _ in self.world.stalls
+        )
 
     # The clients' side.
 
@@ -95,7 +120,11 @@
 
     def sent(self, line, request):
         """A request's last octet is on its connection."""
-        request.line, request.sent_at, request.after = line, self.world.time, line.sock.came
+        request.line, request.sent_at, request.after = (
+            line,
+            self.world.time,
+            line.sock.came,
+        )
         request.behind = line.requests[-1] if line.requests else None
         line.requests.append(request)
         self.requests[request.txn] = request
@@ -126,16 +155,34 @@
         request.answered_at, request.status = now, status
         line.answers.append((now, status))
         if status == 200 and body not in request.made:
-            self.breach("a 200 that no node made for it:", f"{request.txn:x}", body[:40])
-        lying = [each for each in request.tries if each.good and each.sock.read < each.good[1] and not each.sock.closed
-                 and each.good[0] < request.sent_at + request.patience]
-        if status != 200 and any(now - each.good[0] > ROUNDS and not self.unseen(each.good[0]) for each in lying):
-            self.breach("failed over a good answer that lay there:", f"{request.txn:x}", status)
+            self.breach(
+                "a 200 that no node made for it:", f"{request.txn:x}", body[:40]
+            )
+        lying = [
+            each
+            for each in request.tries
+            if each.good
+            and each.sock.read < each.good[1]
+            and not each.sock.closed
+            and each.good[0] < request.sent_at + request.patience
+        ]
+        if status != 200 and any(
+            now - each.good[0] > ROUNDS and not self.unseen(each.good[0])
+            for each in lying
+        ):
+            self.breach(
+                "failed over a good answer that lay there:", f"{request.txn:x}", status
+            )
         if status not in (200, 502, 503) and not line.extra and line.takes:
             self.breach("a good request is called bad:", status, body[:60])
         by = self.limit(request)
         if now > by and line.gone_at is None and (line.takes or request.behind is None):
-            self.breach("an answer after its time:", f"{request.txn:x}", status, f"{(now - by) / MS:.1f} ms")
+            self.breach(
+                "an answer after its time:",
+                f"{request.txn:x}",
+                status,
+                f"{(now - by) / MS:.1f} ms",
+            )
         if status == 503 and b"retry-after" not in fields and self.terms["pause"]:
             self.breach("a refusal without a time to come back")
 
@@ -171,9 +218,14 @@
         request = self.requests.get(int(fields.get(b"x-txn", b"0"), 16))
         if request is None:
             return self.breach("a dispatch that nobody asked for:", fields)
-        if (first != b"%s %s HTTP/1.1" % (request.method, request.target) or body != request.body
-                or fields.get(b"idempotency-key") != request.key):
-            self.breach("a dispatch that is not what was asked:", first, f"{request.txn:x}")
+        if (
+            first != b"%s %s HTTP/1.1" % (request.method, request.target)
+            or body != request.body
+            or fields.get(b"idempotency-key") != request.key
+        ):
+            self.breach(
+                "a dispatch that is not what was asked:", first, f"{request.txn:x}"
+            )
         tried = Try(request, node, self.world.time)
         tried.sock = sock
         self.check_begin(request, tried, fields)
@@ -187,13 +239,26 @@
         tried.first = self.world.time
         for at, slack, what in self.reasons(tried):
             if tried.first - at > slack and not self.unseen(at, 2):
-                self.breach("first octet", what, f"{tried.request.txn:x}", f"{(tried.first - at) / MS:.1f} ms after")
-        before = [each for each in tried.request.tries if each is not tried and each.first is not None and each.ran]
+                self.breach(
+                    "first octet",
+                    what,
+                    f"{tried.request.txn:x}",
+                    f"{(tried.first - at) / MS:.1f} ms after",
+                )
+        before = [
+            each
+            for each in tried.request.tries
+            if each is not tried and each.first is not None and each.ran
+        ]
         category = self.terms["categories"][tried.request.category]
         if before and category["repeats"] == "ticketed":
             span = category["repeat_window"] * 100
-            if tried.first - before[0].first > span + LATE + self.standing(tried.at, tried.first):
-                self.breach("a ticketed repeat outside its window:", f"{tried.request.txn:x}")
+            if tried.first - before[0].first > span + LATE + self.standing(
+                tried.at, tried.first
+            ):
+                self.breach(
+                    "a ticketed repeat outside its window:", f"{tried.request.txn:x}"
+                )
 
     def reasons(self, tried):
         """Since when, and with what slack, it should not have begun."""
@@ -215,13 +280,21 @@
             if now - at > slack and not self.unseen(at):
                 self.breach("begun", what, txn, f"{(now - at) / MS:.1f} ms after")
         late = now - self.limit(request)
-        if late > 0 and request.line.takes and not self.unseen(self.limit(request) - ROUNDS):
+        if (
+            late > 0
+            and request.line.takes
+            and not self.unseen(self.limit(request) - ROUNDS)
+        ):
             self.breach("begun after its client's time:", txn, f"{late / MS:.1f} ms")
-        if request.line.gone_at is None and request.line.takes:  # else what waits behind an answer is read when that is taken
+        if (
+            request.line.gone_at is None and request.line.takes
+        ):  # else what waits behind an answer is read when that is taken
             left = self.begins(request) + request.patience - now
             if request.behind is not None and request.behind.answered_at is not None:
                 left = max(left, request.behind.answered_at + request.patience - now)
-            if int(fields[b"x-remaining-ms"]) * MS > left + TOLD_LATE + self.standing(request.sent_at, now):
+            if int(fields[b"x-remaining-ms"]) * MS > left + TOLD_LATE + self.standing(
+                request.sent_at, now
+            ):
                 self.breach("a node is told more time than is left:", txn)
         category = self.terms["categories"][request.category]
         ran = [each for each in request.tries if each.ran]
@@ -232,11 +305,23 @@
         if ran and category["repeats"] == "ticketed":
             span = category["repeat_window"] * 100
             if now > ran[0].first + span and not self.unseen(ran[0].first + span):
-                self.breach("a ticketed repeat begun outside its window:", txn, f"{(now - ran[0].first) / MS:.1f} ms")
+                self.breach(
+                    "a ticketed repeat begun outside its window:",
+                    txn,
+                    f"{(now - ran[0].first) / MS:.1f} ms",
+                )
             if category["group"] == "cell" and tried.node.cell != ran[0].node.cell:
                 self.breach("a ticketed repeat in another cell:", txn)
-        out = [each for each in request.tries if each.whole and not each.over and not each.sock.closed
-               and not each.sock.rst and not each.sock.fin and not each.sock.shut]
+        out = [
+            each
+            for each in request.tries
+            if each.whole
+            and not each.over
+            and not each.sock.closed
+            and not each.sock.rst
+            and not each.sock.fin
+            and not each.sock.shut
+        ]
         if out and not self.terms["copies"]:
             self.breach("a second copy:", txn)
 
@@ -246,12 +331,25 @@
         """After all is quiet: what is still owed."""
         for request in self.requests.values():
             line = request.line
-            waits = request.behind is not None and request.behind.answered_at is None  # that one is looked at
+            waits = (
+                request.behind is not None and request.behind.answered_at is None
+            )  # that one is looked at
             waits = waits or self.limit(request) > self.world.time
-            if request.answered_at is not None or waits or line.gone_at is not None and line.gone_at <= self.limit(request):
+            if (
+                request.answered_at is not None
+                or waits
+                or line.gone_at is not None
+                and line.gone_at <= self.limit(request)
+            ):
                 continue
-            if request.read_at is None or line.ended_at is not None and request.read_at >= line.ended_at:
-                waits = self.terms["short"] and not line.sock.accepted_at  # before the door, for a descriptor
+            if (
+                request.read_at is None
+                or line.ended_at is not None
+                and request.read_at >= line.ended_at
+            ):
+                waits = (
+                    self.terms["short"] and not line.sock.accepted_at
+                )  # before the door, for a descriptor
                 if line.ended_at is None and line.takes and not waits:
                     self.breach("a request that was never read:", f"{request.txn:x}")
                 continue  # the close crossed it
@@ -259,6 +357,13 @@
                 continue
             self.breach("a request without an answer:", f"{request.txn:x}")
         for line in self.lines.values():
-            taking = not line.sock.closed and self.world.time - line.written_at < 300 * MS
-            if line.gone_at is None and line.takes and line.got() < line.written and not taking:
+            taking = (
+                not line.sock.closed and self.world.time - line.written_at < 300 * MS
+            )
+            if (
+                line.gone_at is None
+                and line.takes
+                and line.got() < line.written
+                and not taking
+            ):
                 self.breach("an answer is torn:", line.got(), "of", line.written)
--- a/tests/crossing_wires.py
+++ b/tests/crossing_wires.py
@@ -3,6 +3,7 @@
 `Reactor` is Twisted's epoll reactor, its poller, sockets and clock put into `World`. So the order of timers, reads and writes
 within a turn, half-closes, aborts and producers are Twisted's. All that chance decides is drawn from the world's one stream.
 """
+
 import errno
 import heapq
 from random import Random
@@ -24,11 +25,16 @@
         self.world, self.agent, self.window = world, agent, window
         self.fd = world.next_fd = world.next_fd + 1
         world.socks[self.fd] = self
-        self.inbox, self.queue = bytearray(), bytearray()  # unread by the gateway; unread by the agent
+        self.inbox, self.queue = (
+            bytearray(),
+            bytearray(),
+        )  # unread by the gateway; unread by the agent
         self.fin = self.rst = self.shut = self.closed = self.lingers = False
         self.error, self.up = 0, agent is not None  # of a dial
         self.where = None
-        self.came = self.read = self.sent = 0  # octets from the agent, read by the gateway, written by it
+        self.came = self.read = self.sent = (
+            0  # octets from the agent, read by the gateway, written by it
+        )
         self.told_end = self.taking = False
         self.accepted_at = 0
         self.begun = []  # what the watch hears with the first octet that is written next: (offset, call)
@@ -75,7 +81,7 @@
     def send(self, data):
         if self.rst or self.shut:
             raise BrokenPipeError(errno.EPIPE, "pipe")
-        data = bytes(data[:self.window - len(self.queue)])
+        data = bytes(data[: self.window - len(self.queue)])
         if not data:
             raise BlockingIOError(errno.EWOULDBLOCK, "full")
         self.sent += len(data)
@@ -143,7 +149,10 @@
     def end(self, reset):
         if not self.told_end and self.agent is not None:
             self.told_end = True
-            self.world.later(self.world.chance.randrange(20, 400), lambda: self.agent.away or self.agent.ended(reset))
+            self.world.later(
+                self.world.chance.randrange(20, 400),
+                lambda: self.agent.away or self.agent.ended(reset),
+            )
 
     def put(self, data):
         """The agent sends: the gateway can read it at once."""
@@ -248,7 +257,9 @@
         found = []
         for fd, flags in self.wanted.items():
             sock = self.world.socks.get(fd)
-            mask = sock.mask() & (flags | EPOLLERR | EPOLLHUP) if sock is not None else 0
+            mask = (
+                sock.mask() & (flags | EPOLLERR | EPOLLHUP) if sock is not None else 0
+            )
             if mask:
                 found.append((fd, mask))
         return found
@@ -294,16 +305,32 @@
     """Time, what happens in it, and the turns of the gateway's reactor."""
 
     def __init__(self, seed, watch):
-        self.time, self.chance, self.watch = 100 * SECOND, Random(f"{seed} world"), watch
-        self.socks, self.events, self.count, self.door, self.next_fd = {}, [], 0, None, 1000
-        self.fates, self.early, self.node_window = {}, False, 1 << 20  # what nodes do, by request
+        self.time, self.chance, self.watch = (
+            100 * SECOND,
+            Random(f"{seed} world"),
+            watch,
+        )
+        self.socks, self.events, self.count, self.door, self.next_fd = (
+            {},
+            [],
+            0,
+            None,
+            1000,
+        )
+        self.fates, self.early, self.node_window = (
+            {},
+            False,
+            1 << 20,
+        )  # what nodes do, by request
         self.looked = False  # whether it has looked and not acted yet
         self.polls = []  # when the gateway looked at its sockets
         self.cues = {}  # what waits for something to happen: name -> calls
         self.stalls = []  # (from, to, where)
         self.stalling = []  # (where, span), to come
         self.exited = False
-        self.dialled = lambda sock: errno.ECONNREFUSED  # who lives at an address: the site says
+        self.dialled = lambda sock: (
+            errno.ECONNREFUSED
+        )  # who lives at an address: the site says
         self.reactor = Reactor(self)
 
     # What happens in the world.
@@ -335,7 +362,9 @@
 
     def stall(self, where, span):
         """The next time the process is there; not right behind another, which would be one long one in two places."""
-        if not self.stalling and (not self.stalls or self.time - self.stalls[-1][1] > RUNS):
+        if not self.stalling and (
+            not self.stalls or self.time - self.stalls[-1][1] > RUNS
+        ):
             self.stalling.append((where, span))
 
     def stand(self, where):
@@ -359,9 +388,19 @@
         reactor.runUntilCurrent()
         self.pass_time(self.time + self.chance.choice((0, 0, 20, 60, 300)))
         self.stand("poll")
-        while not (poller.ready() or reactor.threadCallQueue or self.time >= until or self.stalling or self.exited):
+        while not (
+            poller.ready()
+            or reactor.threadCallQueue
+            or self.time >= until
+            or self.stalling
+            or self.exited
+        ):
             timeout = reactor.timeout()
-            wake = until if timeout is None else min(self.time + -int(-timeout * SECOND // 1), until)
+            wake = (
+                until
+                if timeout is None
+                else min(self.time + -int(-timeout * SECOND // 1), until)
+            )
             if wake <= self.time:
                 break
             self.pass_time(min(wake, self.events[0][0]) if self.events else wake)
--- a/tests/discovery_door.py
+++ b/tests/discovery_door.py
@@ -1,5 +1,6 @@
 """Discovery's end of each connection in the test's hand, over loopback sockets: what the tests of crossings there share. The test
 runs the reactor by hand and sets the clock on itself, so a busy machine changes nothing."""
+
 import json
 import socket
 import struct
@@ -19,7 +20,12 @@
 
 
 def said(version, whole=False, **changed):
-    text = json.dumps({"version": version, "full": whole, "servers": [NODE | changed]}).encode() + b"\n"
+    text = (
+        json.dumps(
+            {"version": version, "full": whole, "servers": [NODE | changed]}
+        ).encode()
+        + b"\n"
+    )
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
@@ -45,8 +51,16 @@
         self.clock, self.told, self.log, self.due = 0, [], [], []
         self.reactor.callLater = self.later
         self.there = self.discovery()
-        self.follower = Follower(self.reactor, lambda: self.clock, self.there.address, ["z"], 0, self.hear, self.log.append,
-                                 lambda least, most: most)
+        self.follower = Follower(
+            self.reactor,
+            lambda: self.clock,
+            self.there.address,
+            ["z"],
+            0,
+            self.hear,
+            self.log.append,
+            lambda least, most: most,
+        )
 
     def tearDown(self):
         self.follower.stop()
@@ -100,7 +114,13 @@
         """Discovery takes the next call and has read it whole."""
         there = there or self.there
         there.door.settimeout(PATIENT)
-        self.until(lambda: (watch := self.follower.watch) is not None and watch.version >= 0 and watch.transport is not None)
+        self.until(
+            lambda: (
+                (watch := self.follower.watch) is not None
+                and watch.version >= 0
+                and watch.transport is not None
+            )
+        )
         end, _ = there.door.accept()
         there.ends.append(end)
         end.settimeout(PATIENT)
@@ -123,7 +143,12 @@
         """Discovery takes the call that is made beside one."""
         there = there or self.there
         there.door.settimeout(PATIENT)
-        self.until(lambda: self.follower.beside is not None and self.follower.beside.transport is not None)
+        self.until(
+            lambda: (
+                self.follower.beside is not None
+                and self.follower.beside.transport is not None
+            )
+        )
         end, _ = there.door.accept()
         there.ends.append(end)
         return end
@@ -149,6 +174,7 @@
                 except ConnectionError:
                     gone.append(True)
             return gone and gone[-1]
+
         self.until(looked)
 
     def standing(self):
--- a/tests/discovery_rig.py
+++ b/tests/discovery_rig.py
@@ -1,4 +1,5 @@
 """A stand-in of discovery on a clock of the test's own, and gateways that call it: what the tests of discovery's clock share."""
+
 import json
 from random import Random
 
@@ -9,12 +10,21 @@
 from tests import platform_rig as shared
 from tests.helpers import scheduler
 
-TOLD, MOVED = 6.0, 4.0  # seconds: the platform counts what a silent watch missed, and what came after SIGHUP, as told by then
+TOLD, MOVED = (
+    6.0,
+    4.0,
+)  # seconds: the platform counts what a silent watch missed, and what came after SIGHUP, as told by then
 GRACE = 1.0  # after that, to the last dispatch to a draining node; where lists are pushed, what the agent has counts at once
 BEAT, STEP, MANY = 2.0, 0.05, 100
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-WAYS = ("good", "refused", "not up", "503", "no word")  # what becomes of the first new call
+WAYS = (
+    "good",
+    "refused",
+    "not up",
+    "503",
+    "no word",
+)  # what becomes of the first new call
 QUICK = ("refused", "503", "torn")  # the calls that end by themselves
 FAILING = QUICK + ("late 503", "not up", "no word", "head", "half", "drip")
 DRIP = 0.4  # between two octets
@@ -25,7 +35,11 @@
 
 
 def said(version, state, indent=None, end=b"\n"):
-    line = {"version": version, "full": True, "servers": [shared.NODE | {"state": state}]}
+    line = {
+        "version": version,
+        "full": True,
+        "servers": [shared.NODE | {"state": state}],
+    }
     return chunk(json.dumps(line, indent=indent).encode() + end)
 
 
@@ -41,19 +55,39 @@
     at once or after so long. Up to `back`, calls end as `bad` says."""
 
     def __init__(self, reactor, ways=(), takes=0.0, bears=1.0, patient=True):
-        self.reactor, self.ways, self.takes, self.seen, self.calls = reactor, list(ways), takes, len(reactor.tcpClients), []
-        self.watches, self.drips, self.version, self.state, self.free = [], [], 4, "active", 0.0
-        self.bears, self.patient, self.bad, self.back, self.indent = bears, patient, "good", 0.0, None
+        self.reactor, self.ways, self.takes, self.seen, self.calls = (
+            reactor,
+            list(ways),
+            takes,
+            len(reactor.tcpClients),
+            [],
+        )
+        self.watches, self.drips, self.version, self.state, self.free = (
+            [],
+            [],
+            4,
+            "active",
+            0.0,
+        )
+        self.bears, self.patient, self.bad, self.back, self.indent = (
+            bears,
+            patient,
+            "good",
+            0.0,
+            None,
+        )
         self.wires, self.end = [], b"\n"
 
     def look(self):
         now = self.reactor.seconds()
-        for _, port, factory, timeout, _ in self.reactor.tcpClients[self.seen:]:
+        for _, port, factory, timeout, _ in self.reactor.tcpClients[self.seen :]:
             if port in (8500, 8501):
                 self.calls.append(now)
                 wait = max(self.free - now, 0.0)
                 way = self.way(now, wait)
-                self.free = now + wait + self.takes * (wait <= self.bears and way != "refused")
+                self.free = (
+                    now + wait + self.takes * (wait <= self.bears and way != "refused")
+                )
                 wait = wait if wait <= self.bears else self.bears * self.patient
                 self.taken(way, 2 if way == "late 503" else wait, factory, timeout)
         self.seen = len(self.reactor.tcpClients)
@@ -75,7 +109,9 @@
         """A connection is up at once, or never; the call on it waits for its turn, also if it was given up by then."""
         if way in ("refused", "not up"):
             after = timeout if way == "not up" else 0
-            return self.reactor.callLater(after, factory.clientConnectionFailed, Connector(), None)
+            return self.reactor.callLater(
+                after, factory.clientConnectionFailed, Connector(), None
+            )
         protocol, wire = factory.buildProtocol(None), shared.Wire()
         protocol.makeConnection(wire)
         self.wires.append(wire)
@@ -88,7 +124,9 @@
         if way in ("503", "late 503"):
             protocol.dataReceived(BUSY)
         elif way in ("head", "half", "torn", "drip"):
-            protocol.dataReceived(HEAD + (text[:30] if way in ("half", "torn") else b""))
+            protocol.dataReceived(
+                HEAD + (text[:30] if way in ("half", "torn") else b"")
+            )
         elif way == "good" and wire.value():
             asked = int(wire.value().split(b"from=")[1].split()[0])
             protocol.dataReceived(HEAD + (text if asked < self.version else b""))
@@ -111,7 +149,6 @@
 
 
 class Played(shared.Served):
-
     def start(self, draw=None, **service):
         """A gateway that chance serves worst, or best, and discovery."""
         self.setUp()
@@ -128,7 +165,10 @@
         return self.reactor.seconds() - began
 
     def drains(self, gateway=None):
-        return any(node.health.name == "BARRED" for node in (gateway or self.gateway).host.module.nodes.values())
+        return any(
+            node.health.name == "BARRED"
+            for node in (gateway or self.gateway).host.module.nodes.values()
+        )
 
 
 class Called(Played):
@@ -138,16 +178,39 @@
         """A process that starts, served worst or best by chance. Of lists that are pushed the settings say no time to ask in."""
         self.setUp()
         self.gateway.stop()
-        rules = {name: value for name, value in shared.SETTINGS["rules"].items() if mode != "pushed" or name != "ask_within_ns"}
-        classes = [each | {"hard_limit_ns": patience * 10 ** 9} for each in shared.SETTINGS["classes"]]
+        rules = {
+            name: value
+            for name, value in shared.SETTINGS["rules"].items()
+            if mode != "pushed" or name != "ask_within_ns"
+        }
+        classes = [
+            each | {"hard_limit_ns": patience * 10**9}
+            for each in shared.SETTINGS["classes"]
+        ]
         service = Service(self.reactor)
-        settings = shared.SETTINGS | {"membership_mode": mode, "rules": rules, "classes": classes}
-        self.gateway = Gateway(self.deployment(settings=settings), self.reactor, self.now, 0, self.gateway.log)
-        self.gateway.follower.uniform = self.gateway.host.module.uniform = lambda least, most: (least, most)[draw]
+        settings = shared.SETTINGS | {
+            "membership_mode": mode,
+            "rules": rules,
+            "classes": classes,
+        }
+        self.gateway = Gateway(
+            self.deployment(settings=settings),
+            self.reactor,
+            self.now,
+            0,
+            self.gateway.log,
+        )
+        self.gateway.follower.uniform = self.gateway.host.module.uniform = (
+            lambda least, most: (least, most)[draw]
+        )
         return service
 
     def spoil(self, service, way, length):
-        service.bad, service.back, service.calls = way, self.reactor.seconds() + length, []
+        service.bad, service.back, service.calls = (
+            way,
+            self.reactor.seconds() + length,
+            [],
+        )
         return service.change()
 
     def owed(self, service):
@@ -190,7 +253,17 @@
 
     def __init__(self, reactor, now, seed, within, grace):
         self.reactor, self.now, self.has = reactor, now, False
-        self.follower = Follower(reactor, now, ("127.0.0.1", 8500), ["z"], 0, self.hear, lambda text: None, Random(seed).uniform, grace)
+        self.follower = Follower(
+            reactor,
+            now,
+            ("127.0.0.1", 8500),
+            ["z"],
+            0,
+            self.hear,
+            lambda text: None,
+            Random(seed).uniform,
+            grace,
+        )
         self.module, _ = scheduler(ask_within=within)
         self.module.port, self.module.uniform = self, Random(-seed - 1).uniform
         self.follower.ask()
@@ -201,7 +274,10 @@
 
     def wake(self, at, what):
         if what == "ask":
-            self.reactor.callLater(max(at - self.now(), 0) / 10_000, lambda: self.module.woken(self.now(), what))
+            self.reactor.callLater(
+                max(at - self.now(), 0) / 10_000,
+                lambda: self.module.woken(self.now(), what),
+            )
 
     def watch(self):
         self.follower.ask()
@@ -219,7 +295,10 @@
         grace = 9_999 * pushed
         within = ask_within(pushed, 0, grace)
         made = Service(self.reactor, bears=2.0, **service)
-        members = [Member(self.reactor, self.now, seed, within, grace) for seed in range(self.FLEET)]
+        members = [
+            Member(self.reactor, self.now, seed, within, grace)
+            for seed in range(self.FLEET)
+        ]
         self.looked(made, members, self.SPAN, lambda: False)
         return made, members
 
@@ -236,5 +315,7 @@
     def back(self, service, members, takes):
         """Seconds until all have the list, calls each."""
         service.takes, service.free, service.calls = takes, 0.0, []
-        waited = self.looked(service, members, 25, lambda: all(each.has for each in members))
+        waited = self.looked(
+            service, members, 25, lambda: all(each.has for each in members)
+        )
         return waited, len(service.calls) / self.FLEET
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,5 @@
 """Real sockets on the loopback, turned by hand: the test says when the reactor looks, so that what is to cross does cross."""
+
 import socket
 import time
 
@@ -53,6 +54,7 @@
         def more():
             data.extend(receive(sock) or b"")
             return data and enough(bytes(data))
+
         self.until(more, "nothing to read")
         return bytes(data)
 
