--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -1,4 +1,5 @@
 """What the platform gateway's tests share: its file, requests, connections in memory, a stand-in node."""
+
 import select
 import socket
 import socketserver
@@ -18,33 +19,102 @@
 from milletsill.platform.gateway import Gateway
 
 SETTINGS = {
-    "peers_total": 2, "resolution_ns": 2_000_000, "membership_mode": "on_request", "zones": ["z"],
-    "classes": [{"name": "get", "aim_ns": 400_000_000, "hard_limit_ns": 1_000_000_000, "worth": 1.0, "idempotency": "free",
-                 "group": "all", "window_ns": 5_000_000_000},
-                {"name": "put", "aim_ns": 400_000_000, "hard_limit_ns": 1_000_000_000, "worth": 1.0,
-                 "idempotency": "guarded", "group": "cell", "window_ns": 5_000_000_000}],
-    "plans": [{"name": "gold", "usual_rate": 50.0, "guaranteed": 50.0, "pays": 1.0, "shares": 1.0}],
-    "extra": {"writes": [False, True], "largest": 8, "slots_total": 4, "unit_mean": 2.0, "cold_bears": 10.0, "fair_worth": 0.4},
-    "limits": {"cancel": True, "second_copies": True, "max_attempts": 3, "retry_after": True, "most_held": 100,
-               "max_retry_after_ns": 1_500_000_000, "conn_idle_ns": 30_000_000_000, "dial_timeout_ns": 250_000_000},
-    "rules": {"ask_within_ns": 10_000_000_000, "stop_sending_within_ns": 1_000_000_000, "fall_ns": 1_000_000_000},
+    "peers_total": 2,
+    "resolution_ns": 2_000_000,
+    "membership_mode": "on_request",
+    "zones": ["z"],
+    "classes": [
+        {
+            "name": "get",
+            "aim_ns": 400_000_000,
+            "hard_limit_ns": 1_000_000_000,
+            "worth": 1.0,
+            "idempotency": "free",
+            "group": "all",
+            "window_ns": 5_000_000_000,
+        },
+        {
+            "name": "put",
+            "aim_ns": 400_000_000,
+            "hard_limit_ns": 1_000_000_000,
+            "worth": 1.0,
+            "idempotency": "guarded",
+            "group": "cell",
+            "window_ns": 5_000_000_000,
+        },
+    ],
+    "plans": [
+        {
+            "name": "gold",
+            "usual_rate": 50.0,
+            "guaranteed": 50.0,
+            "pays": 1.0,
+            "shares": 1.0,
+        }
+    ],
+    "extra": {
+        "writes": [False, True],
+        "largest": 8,
+        "slots_total": 4,
+        "unit_mean": 2.0,
+        "cold_bears": 10.0,
+        "fair_worth": 0.4,
+    },
+    "limits": {
+        "cancel": True,
+        "second_copies": True,
+        "max_attempts": 3,
+        "retry_after": True,
+        "most_held": 100,
+        "max_retry_after_ns": 1_500_000_000,
+        "conn_idle_ns": 30_000_000_000,
+        "dial_timeout_ns": 250_000_000,
+    },
+    "rules": {
+        "ask_within_ns": 10_000_000_000,
+        "stop_sending_within_ns": 1_000_000_000,
+        "fall_ns": 1_000_000_000,
+    },
+}
+NODE = {
+    "id": "s-1",
+    "addr": "127.0.0.1:7070",
+    "zone": "z",
+    "kind": "m",
+    "cell": 0,
+    "state": "active",
+    "weight": 1.0,
+    "started_ms": 0,
+}
+GIVEN = {
+    "name": "n",
+    "listen": "127.0.0.1:7000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"sockets": 256, "memory_mb": 64},
+    "settings": SETTINGS,
+    "known": {"version": 4, "full": True, "servers": [NODE]},
 }
-NODE = {"id": "s-1", "addr": "127.0.0.1:7070", "zone": "z", "kind": "m", "cell": 0, "state": "active", "weight": 1.0,
-        "started_ms": 0}
-GIVEN = {"name": "n", "listen": "127.0.0.1:7000", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
-         "limits": {"sockets": 256, "memory_mb": 64}, "settings": SETTINGS,
-         "known": {"version": 4, "full": True, "servers": [NODE]}}
-TXN = 0x9b1f03aa5c7e2d41
+TXN = 0x9B1F03AA5C7E2D41
 
 
 def ask(txn=TXN, method="GET", name="get", body=b"", drop=(), **fields):
     """A client's request as bytes."""
-    lines = {"Host": "api", "X-Txn": f"{txn:016x}", "X-Lane": name, "X-Plan": "gold", "Cookie": "block=7f3a9c21e0b4d655",
-             "X-Remaining-Ms": "900", "X-IO": "volume=00000003b4d60021,units=2,shard=0,hosts=1"}
+    lines = {
+        "Host": "api",
+        "X-Txn": f"{txn:016x}",
+        "X-Lane": name,
+        "X-Plan": "gold",
+        "Cookie": "block=7f3a9c21e0b4d655",
+        "X-Remaining-Ms": "900",
+        "X-IO": "volume=00000003b4d60021,units=2,shard=0,hosts=1",
+    }
     lines.update({key.replace("_", "-"): value for key, value in fields.items()})
     if body:
         lines["Content-Length"] = str(len(body))
-    head = "".join(f"{key}: {value}\r\n" for key, value in lines.items() if key not in drop)
+    head = "".join(
+        f"{key}: {value}\r\n" for key, value in lines.items() if key not in drop
+    )
     return f"{method} /{name} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
@@ -54,6 +124,7 @@
 @contextmanager
 def node_stand_in(body):
     """A node that answers each request with one octet after 30 ms; gives its port."""
+
     class Answer(socketserver.StreamRequestHandler):
         def handle(self):
             with suppress(ConnectionError):
@@ -61,7 +132,9 @@
                     while self.rfile.readline(4000).strip():
                         pass
                     time.sleep(0.03)
-                    self.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body)
+                    self.wfile.write(
+                        b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body
+                    )
 
     class Server(socketserver.ThreadingTCPServer):
         daemon_threads = allow_reuse_address = True
@@ -124,11 +197,15 @@
     def setUp(self):
         self.reactor, self.log = Reactor(), []
         self.reactor.advance(100)
-        said = SimpleNamespace(info=lambda event, **values: self.log.append((event, values)),
-                               warning=lambda event, **values: self.log.append((event, values)))
+        said = SimpleNamespace(
+            info=lambda event, **values: self.log.append((event, values)),
+            warning=lambda event, **values: self.log.append((event, values)),
+        )
         self.gateway = Gateway(self.deployment(), self.reactor, self.now, 0, said)
         self.gateway.start()
-        self.gateway.port.pauseProducing = self.gateway.port.resumeProducing = lambda: None
+        self.gateway.port.pauseProducing = self.gateway.port.resumeProducing = lambda: (
+            None
+        )
 
     def now(self):
         return int(self.reactor.seconds() * 10_000 + 0.5)
@@ -145,10 +222,16 @@
         return protocol, wire
 
     def lost(self, protocol, clean=True):
-        protocol.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
+        protocol.connectionLost(
+            Failure(ConnectionDone() if clean else ConnectionLost())
+        )
 
     def dialled(self, port):
-        return [place for place, each in enumerate(self.reactor.tcpClients) if each[1] == port]
+        return [
+            place
+            for place, each in enumerate(self.reactor.tcpClients)
+            if each[1] == port
+        ]
 
     def served(self, answer=ANSWER, **kwargs):
         """A client's request on its way: both connections."""
@@ -172,14 +255,33 @@
         self.node, self.listener = self.sockets
         self.reactor = EPollReactor()
         self.reactor.seconds = lambda: self.time
-        said = SimpleNamespace(info=lambda event, **values: self.log.append((event, values)),
-                               warning=lambda event, **values: self.log.append((event, values)))
+        said = SimpleNamespace(
+            info=lambda event, **values: self.log.append((event, values)),
+            warning=lambda event, **values: self.log.append((event, values)),
+        )
         self.door = self.free_port()
-        given = GIVEN | {"listen": f"127.0.0.1:{self.door}",
-                         "discovery": "127.0.0.1:%d" % self.listener.getsockname()[1],
-                         "known": {"version": 4, "full": True,
-                                   "servers": [NODE | {"addr": "127.0.0.1:%d" % self.node.getsockname()[1]}]}} | self.changed
-        self.gateway = Gateway(deployment_of(given, {}, 0, self.log.append), self.reactor, self.now, 0, said)
+        given = (
+            GIVEN
+            | {
+                "listen": f"127.0.0.1:{self.door}",
+                "discovery": "127.0.0.1:%d" % self.listener.getsockname()[1],
+                "known": {
+                    "version": 4,
+                    "full": True,
+                    "servers": [
+                        NODE | {"addr": "127.0.0.1:%d" % self.node.getsockname()[1]}
+                    ],
+                },
+            }
+            | self.changed
+        )
+        self.gateway = Gateway(
+            deployment_of(given, {}, 0, self.log.append),
+            self.reactor,
+            self.now,
+            0,
+            said,
+        )
         self.gateway.stopped = lambda: self.ended.append(self.time)
         self.gateway.start()
         self.turn()
@@ -245,7 +347,13 @@
         one.setblocking(False)
         self.sockets.append(one)
         port = one.getsockname()[1]
-        self.until(lambda: any(each.transport.getPeer().port == port for each in self.gateway.clients.open), "not accepted")
+        self.until(
+            lambda: any(
+                each.transport.getPeer().port == port
+                for each in self.gateway.clients.open
+            ),
+            "not accepted",
+        )
         for each in data:
             one.sendall(each)
         return one
@@ -270,6 +378,7 @@
                 with suppress(BlockingIOError):
                     text += link[0].recv(65_536)
             return text.count(b"X-Txn") >= count
+
         self.until(come, "nothing came to the node")
         return link[0]
 
@@ -296,6 +405,7 @@
             piece, how = self.got(one)
             data += piece
             return how != "open"
+
         self.until(over, "the connection is not over")
         return data, how
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,5 @@
 """What the end-to-end tests share: an edge, stand-in boxes and registry in this process, on loopback, and a client."""
+
 from __future__ import annotations
 
 import io
@@ -46,7 +47,12 @@
     """A client of the door; `command` gives a Deferred of the answer."""
 
     def __init__(self):
-        self.deframer, self.waiting, self.answers, self.ids = Deframer(1 << 24), {}, [], 0
+        self.deframer, self.waiting, self.answers, self.ids = (
+            Deframer(1 << 24),
+            {},
+            [],
+            0,
+        )
         self.lost, self.ready = defer.Deferred(), defer.Deferred()
 
     def connectionMade(self):
@@ -76,7 +82,9 @@
         self.transport.write(packets.encode(packet))
         return self.waiting[self.ids]
 
-    async def open(self, path, flags=packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG):
+    async def open(
+        self, path, flags=packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
+    ):
         answer = await self.command(packets.Open(0, path, flags, Attrs()))
         return answer.handle if isinstance(answer, packets.Handle) else answer
 
@@ -107,7 +115,18 @@
 
     def add_box(self, number, cell, files, cold=False):
         work = {"read": (0.002, 0.1), "write": (0.002, 0.1)}
-        box = Box(reactor, number, cell, 0, self.kind, self.file.rules, files, work, 5 + number, None)
+        box = Box(
+            reactor,
+            number,
+            cell,
+            0,
+            self.kind,
+            self.file.rules,
+            files,
+            work,
+            5 + number,
+            None,
+        )
         box.port = self.listen(Gates(box))
         if cold:
             box.boot(cold=True)
@@ -128,7 +147,9 @@
         self.edges.append(edge)
         edge.start()
         ends = time.monotonic() + 2
-        while time.monotonic() < ends and not (edge.ports and edge.follower.stage.name == "WATCHING"):
+        while time.monotonic() < ends and not (
+            edge.ports and edge.follower.stage.name == "WATCHING"
+        ):
             await later(0.01)
         return edge
 
@@ -137,6 +158,7 @@
         factory = protocol.Factory.forProtocol(lambda: client)
         factory.noisy = False
         from twisted.internet.endpoints import TCP4ClientEndpoint
+
         port = edge.ports[0].getHost().port
         await TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(factory)
         self.clients.append(client)
@@ -156,7 +178,9 @@
         await later(0.05)
 
     def traces(self):
-        return [line for line in self.log.getvalue().splitlines() if "Traceback" in line]
+        return [
+            line for line in self.log.getvalue().splitlines() if "Traceback" in line
+        ]
 
 
 def pattern(size, seed=1):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,5 @@
 """The auditor is able to fail: each rule is broken on purpose in a scripted record, and caught; a lawful one is not."""
+
 import base64
 import json
 import os
@@ -34,53 +35,131 @@
     def __init__(self, folder):
         self.folder, self.at, self.deaf = folder, 0.0, []
         self.clients = record.Recorder(f"{folder}/clients.rec", "clients", "c")
-        self.boxes = [record.Recorder(f"{folder}/box-{each}.rec", "box", str(each)) for each in (0, 1)]
+        self.boxes = [
+            record.Recorder(f"{folder}/box-{each}.rec", "box", str(each))
+            for each in (0, 1)
+        ]
         self.registry = record.Recorder(f"{folder}/registry.rec", "registry", "r")
         self.put(0, self.clients.note, what="connect", conn=1, edge="e")
         for number, box in enumerate(self.boxes):
-            self.put(0, box.note, what="boot", box=number, cell=number, zone=0, cold=False, cores=1, cold_from=0.2,
-                     cold_s=10)
+            self.put(
+                0,
+                box.note,
+                what="boot",
+                box=number,
+                cell=number,
+                zone=0,
+                cold=False,
+                cores=1,
+                cold_from=0.2,
+                cold_s=10,
+            )
 
     def put(self, at, call, *values, **named):
-        with mock.patch.object(record.time, "monotonic_ns", return_value=int((100 + at) * 1e9)):
+        with mock.patch.object(
+            record.time, "monotonic_ns", return_value=int((100 + at) * 1e9)
+        ):
             call(*values, **named)
 
     def command(self, at, id=1, mark="m", tries=0, patience=1000):
-        packet = extensions.put_terms(Terms(patience, tries, mark), packets.Read(id, b"h", 0, 1))
+        packet = extensions.put_terms(
+            Terms(patience, tries, mark), packets.Read(id, b"h", 0, 1)
+        )
         self.put(at, self.clients.put, 1, record.OUT, packets.encode(packet)[4:])
 
     def answer(self, at, id=1, language=""):
-        self.put(at, self.clients.put, 1, record.IN, packets.encode(packets.Status(id, 0, "", language))[4:])
-
-    def dispatch(self, at, transfer=1, number=0, box=0, category="free", units=1.0, extent=5, mark="m~0", id=1,
-                 verdict=None, ended=None):
-        order = Order("e", 1, transfer, number, units, extent, 100, "t", 1, 1, category, mark,
-                      packets.Read(0, b"/v/a", 0, 1))
-        self.put(at, self.boxes[box].put, 1, record.IN, packets.encode(extensions.put_order(id, order))[4:])
+        self.put(
+            at,
+            self.clients.put,
+            1,
+            record.IN,
+            packets.encode(packets.Status(id, 0, "", language))[4:],
+        )
+
+    def dispatch(
+        self,
+        at,
+        transfer=1,
+        number=0,
+        box=0,
+        category="free",
+        units=1.0,
+        extent=5,
+        mark="m~0",
+        id=1,
+        verdict=None,
+        ended=None,
+    ):
+        order = Order(
+            "e",
+            1,
+            transfer,
+            number,
+            units,
+            extent,
+            100,
+            "t",
+            1,
+            1,
+            category,
+            mark,
+            packets.Read(0, b"/v/a", 0, 1),
+        )
+        self.put(
+            at,
+            self.boxes[box].put,
+            1,
+            record.IN,
+            packets.encode(extensions.put_order(id, order))[4:],
+        )
         if ended is not None:
-            reply = extensions.put_verdict(id, Verdict(verdict or 0, "", {}, None, 0, packets.Data(id, b"x")))
-            self.put(ended, self.boxes[box].put, 1, record.OUT, packets.encode(reply)[4:])
+            reply = extensions.put_verdict(
+                id, Verdict(verdict or 0, "", {}, None, 0, packets.Data(id, b"x"))
+            )
+            self.put(
+                ended, self.boxes[box].put, 1, record.OUT, packets.encode(reply)[4:]
+            )
 
     def told(self, at, state):
         value = json.dumps({"id": 0, "state": state}).encode()
-        event = {"type": "PUT", "kv": {"key": "k0", "value": base64.b64encode(value).decode()}}
+        event = {
+            "type": "PUT",
+            "kv": {"key": "k0", "value": base64.b64encode(value).decode()},
+        }
         body = json.dumps({"result": {"events": [event]}}).encode()
         self.put(at, self.registry.put, 0, record.OUT, b"e\n" + body, 1 << 20)
 
     def breaches(self, lines=False):
         for each in [self.clients, self.registry, *self.boxes]:
             each.close()
-        with open(os.path.join(self.folder, "stops.json"), "w", encoding="utf-8") as sink:
+        with open(
+            os.path.join(self.folder, "stops.json"), "w", encoding="utf-8"
+        ) as sink:
             sink.write("[]")
-        with open(os.path.join(self.folder, "load.json"), "w", encoding="utf-8") as sink:
+        with open(
+            os.path.join(self.folder, "load.json"), "w", encoding="utf-8"
+        ) as sink:
             sink.write('{"worst_lag_ms": 0}')
-        with open(os.path.join(self.folder, "stand.json"), "w", encoding="utf-8") as sink:
+        with open(
+            os.path.join(self.folder, "stand.json"), "w", encoding="utf-8"
+        ) as sink:
             json.dump({"deaf": self.deaf}, sink)
         from google.protobuf import text_format
-        found = audit.audit(audit.gather(self.folder, 2), text_format.Parse(TERMS, Scenario()))
+
+        found = audit.audit(
+            audit.gather(self.folder, 2), text_format.Parse(TERMS, Scenario())
+        )
         if lines:
-            return {rule: [each.packets for each in breaches] for rule, breaches in found.items() if breaches}
-        return {rule: [each.text for each in breaches] for rule, breaches in found.items() if breaches}
+            return {
+                rule: [each.packets for each in breaches]
+                for rule, breaches in found.items()
+                if breaches
+            }
+        return {
+            rule: [each.text for each in breaches]
+            for rule, breaches in found.items()
+            if breaches
+        }
 
 
 class Audited(unittest.TestCase):
@@ -124,12 +203,24 @@
     def test_rule_1_sent_after_the_answer_but_read_late_by_the_box(self):
         """Only what the boxes' own standing still explains is left out, and only right after it."""
         self.script.deaf = [(101.05, 101.3)]
-        for number, (at, answered) in enumerate(((1.3, 1.1), (1.3, 0.8), (1.35, 1.1)), 1):
+        for number, (at, answered) in enumerate(
+            ((1.3, 1.1), (1.3, 0.8), (1.35, 1.1)), 1
+        ):
             self.script.command(0.5 + number / 1000, number, f"m{number}")
             self.script.answer(answered + number / 1000, number)
-            self.script.dispatch(at + number / 1000, number, mark=f"m{number}~0", id=number, ended=1.4 + number / 1000)
+            self.script.dispatch(
+                at + number / 1000,
+                number,
+                mark=f"m{number}~0",
+                id=number,
+                ended=1.4 + number / 1000,
+            )
         found = self.script.breaches(lines=True)
-        self.assertEqual([text.split(" ")[6] for breach in found[1] for text in breach[1:]], ["2", "3"], found)
+        self.assertEqual(
+            [text.split(" ")[6] for breach in found[1] for text in breach[1:]],
+            ["2", "3"],
+            found,
+        )
 
     def test_rule_2_an_exclusive_one_sent_twice(self):
         self.script.dispatch(1, category="once", mark="")
@@ -159,10 +250,22 @@
         self.only(3, "draining")
 
     def test_rule_4_a_cold_box_pushed(self):
-        self.script.put(1, self.script.boxes[0].note, what="boot", box=0, cell=0, zone=0, cold=True, cores=1,
-                        cold_from=0.2, cold_s=10)
+        self.script.put(
+            1,
+            self.script.boxes[0].note,
+            what="boot",
+            box=0,
+            cell=0,
+            zone=0,
+            cold=True,
+            cores=1,
+            cold_from=0.2,
+            cold_s=10,
+        )
         for each in range(8):
-            self.script.dispatch(1.1 + each / 100, transfer=each, mark="", id=each, units=1.0)
+            self.script.dispatch(
+                1.1 + each / 100, transfer=each, mark="", id=each, units=1.0
+            )
         self.only(4, "cold box bears")
 
     def test_rule_4_a_box_that_fell(self):
@@ -187,11 +290,17 @@
     def test_a_wait_for_a_core_lies_before_the_look_that_hears_of_it(self):
         """The system adds it when it is over."""
         waits = {0.0: 0.0, 0.06: 0.0, 0.8: 0.7, 0.9: 0.7}
-        edge, starved = SimpleNamespace(process=SimpleNamespace(pid=7), names=["e"]), Starved()
+        edge, starved = (
+            SimpleNamespace(process=SimpleNamespace(pid=7), names=["e"]),
+            Starved(),
+        )
         found = []
         for at, total in waits.items():
             with mock.patch.object(lab_starved, "waited", return_value=total):
-                found += [(name, round(since, 2), to) for name, since, to in starved.look(100 + at, [edge])]
+                found += [
+                    (name, round(since, 2), to)
+                    for name, since, to in starved.look(100 + at, [edge])
+                ]
         self.assertEqual(found, [("e", 99.36, 100.8)])
 
     def test_a_record_torn_at_its_end_is_read_up_to_there(self):
--- a/tests/test_audit_fleet.py
+++ b/tests/test_audit_fleet.py
@@ -1,4 +1,5 @@
 """When views agree, and who was called gone without a cause: from scripted logs and faults."""
+
 import unittest
 
 from google.protobuf import text_format
@@ -13,38 +14,74 @@
     def found(self, views, weather, end=20.0):
         told = Told()
         for name, rows in views.items():
-            told.views[name] = [(at, digest, {"x": 3, "a": 1}.get(digest, 2)) for at, digest in rows]
-        return [None if took is None else round(took, 3) for _, _, took in agreements(told, weather, NAMES, end)]
+            told.views[name] = [
+                (at, digest, {"x": 3, "a": 1}.get(digest, 2)) for at, digest in rows
+            ]
+        return [
+            None if took is None else round(took, 3)
+            for _, _, took in agreements(told, weather, NAMES, end)
+        ]
 
     def test_a_killed_one_and_its_return(self):
-        weather = Weather({"c": [(5.0, 8.0)]}, [], [(0.0, "start"), (5.0, "kill"), (8.0, "back")])
-        views = {"a": [(1.0, "x"), (7.0, "y"), (9.0, "x")], "b": [(1.5, "x"), (6.5, "y"), (9.5, "x")],
-                 "c": [(1.2, "x"), (9.2, "x")]}
+        weather = Weather(
+            {"c": [(5.0, 8.0)]}, [], [(0.0, "start"), (5.0, "kill"), (8.0, "back")]
+        )
+        views = {
+            "a": [(1.0, "x"), (7.0, "y"), (9.0, "x")],
+            "b": [(1.5, "x"), (6.5, "y"), (9.5, "x")],
+            "c": [(1.2, "x"), (9.2, "x")],
+        }
         self.assertEqual(self.found(views, weather), [1.5, 2.0, 1.5])
-        self.assertEqual(self.found({**views, "c": [(1.2, "x")]}, weather), [1.5, 2.0, None])
+        self.assertEqual(
+            self.found({**views, "c": [(1.2, "x")]}, weather), [1.5, 2.0, None]
+        )
 
     def test_each_side_of_a_split_agrees_by_itself(self):
-        weather = Weather({}, [("split", frozenset("a"), 5.0, 9.0)], [(0.0, "start"), (5.0, "split"), (9.0, "healed")])
-        views = {"a": [(1.0, "x"), (6.0, "a"), (10.0, "x")], "b": [(1.0, "x"), (7.0, "bc"), (11.0, "x")],
-                 "c": [(1.0, "x"), (8.0, "bc"), (10.0, "x")]}
+        weather = Weather(
+            {},
+            [("split", frozenset("a"), 5.0, 9.0)],
+            [(0.0, "start"), (5.0, "split"), (9.0, "healed")],
+        )
+        views = {
+            "a": [(1.0, "x"), (6.0, "a"), (10.0, "x")],
+            "b": [(1.0, "x"), (7.0, "bc"), (11.0, "x")],
+            "c": [(1.0, "x"), (8.0, "bc"), (10.0, "x")],
+        }
         self.assertEqual(self.found(views, weather), [1.0, 3.0, 2.0])
         weather.network[0] = ("isolate", frozenset("ab"), 5.0, 9.0)
         self.assertEqual(self.found(views, weather)[1], None)
 
     def test_who_is_called_gone_without_a_cause(self):
         told = Told(gone=[(6.0, "a", "c"), (40.0, "a", "b"), (60.0, "b", "a")])
-        weather = Weather({"c": [(5.0, 8.0)]}, [("split", frozenset("a"), 50.0, 55.0)], [])
+        weather = Weather(
+            {"c": [(5.0, 8.0)]}, [("split", frozenset("a"), 50.0, 55.0)], []
+        )
         self.assertEqual(false_deaths(told, weather), ["40.000 a called b gone"])
 
 
 class Verdicts(unittest.TestCase):
     def test_how_long_nine_in_ten_took_to_call_a_box_slow_and_steady_again(self):
-        scenario = text_format.Parse('name: "x" edges: 1 gateway { name: "e" gateways: 1 registry { address: "a:1" } } '
-                                     'trouble { what: "slow" at_s: 5 for_s: 5 on: 3 }', Scenario())
-        told = Told(verdicts=[(5.5, "a", 3, "degraded"), (5.6, "a", 2, "degraded"), (6.0, "b", 3, "degraded"),
-                              (9.0, "b", 3, "recovering"), (12.0, "a", 3, "steady"), (13.0, "b", 3, "steady")])
-        self.assertEqual(verdicts(told, scenario, 0.0, 2), [("slow of box 3", 2, 1.0, 2, 3.0)])
-        self.assertEqual(verdicts(told, scenario, 0.0, 3), [("slow of box 3", 2, None, 2, None)])
+        scenario = text_format.Parse(
+            'name: "x" edges: 1 gateway { name: "e" gateways: 1 registry { address: "a:1" } } '
+            'trouble { what: "slow" at_s: 5 for_s: 5 on: 3 }',
+            Scenario(),
+        )
+        told = Told(
+            verdicts=[
+                (5.5, "a", 3, "degraded"),
+                (5.6, "a", 2, "degraded"),
+                (6.0, "b", 3, "degraded"),
+                (9.0, "b", 3, "recovering"),
+                (12.0, "a", 3, "steady"),
+                (13.0, "b", 3, "steady"),
+            ]
+        )
+        self.assertEqual(
+            verdicts(told, scenario, 0.0, 2), [("slow of box 3", 2, 1.0, 2, 3.0)]
+        )
+        self.assertEqual(
+            verdicts(told, scenario, 0.0, 3), [("slow of box 3", 2, None, 2, None)]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -1,9 +1,19 @@
 """A second call to discovery beside one that is not answered: how soon the list is in, and what that costs a service with many
 callers. On the clock of the test's own."""
+
 import unittest
 from itertools import product
 
-from milletsill.platform.decide import BESIDE_MOVED, BESIDE_MUTE, BESIDE_SOON, FIRST_WORD, TOLD_MOVED, Call, beside_within, is_mute
+from milletsill.platform.decide import (
+    BESIDE_MOVED,
+    BESIDE_MUTE,
+    BESIDE_SOON,
+    FIRST_WORD,
+    TOLD_MOVED,
+    Call,
+    beside_within,
+    is_mute,
+)
 from tests.discovery_rig import GRACE, MOVED, QUICK, Called, Fleet
 
 ANY = QUICK + ("late 503", "not up", "no word", "head", "drip")
@@ -13,19 +23,38 @@
 class Pushed(Called):
     """What the agent has counts as told at once, and the grace to stop sending is all that there is."""
 
-    def test_a_dial_that_is_not_up_and_a_list_that_stops_on_its_way_leave_time_within_the_grace(self):
-        for play, way, draw, length in product((self.started, self.outage), ("not up", "torn"), (0, 1), range(0, 130, 3)):
-            self.assertLess(play(way, draw, length / 10, "pushed")[0], GRACE / 2, (play.__name__, way, draw, length))
-        for play, way, last, draw, length in product((self.started, self.outage), ("refused", "503", "not up"), ("half", "not up"),
-                                                     (0, 1), range(3, 130, 11)):
+    def test_a_dial_that_is_not_up_and_a_list_that_stops_on_its_way_leave_time_within_the_grace(
+        self,
+    ):
+        for play, way, draw, length in product(
+            (self.started, self.outage), ("not up", "torn"), (0, 1), range(0, 130, 3)
+        ):
+            self.assertLess(
+                play(way, draw, length / 10, "pushed")[0],
+                GRACE / 2,
+                (play.__name__, way, draw, length),
+            )
+        for play, way, last, draw, length in product(
+            (self.started, self.outage),
+            ("refused", "503", "not up"),
+            ("half", "not up"),
+            (0, 1),
+            range(3, 130, 11),
+        ):
             waited, _ = play(way, draw, length / 10, "pushed", (last,))
             self.assertLess(waited, GRACE, (play.__name__, way, last, draw, length))
 
-    def test_a_discovery_that_takes_calls_and_says_nothing_is_called_twice_as_often_once_that_is_seen(self):
-        for play, way, draw, length in product((self.started, self.outage), SILENT, (0, 1), range(30, 130, 3)):
+    def test_a_discovery_that_takes_calls_and_says_nothing_is_called_twice_as_often_once_that_is_seen(
+        self,
+    ):
+        for play, way, draw, length in product(
+            (self.started, self.outage), SILENT, (0, 1), range(30, 130, 3)
+        ):
             waited, calls = play(way, draw, length / 10, "pushed")
             self.assertLess(waited, 2.2, (play.__name__, way, draw, length))
-            self.assertLessEqual(calls, 2 + length / 10, (play.__name__, way, draw, length))
+            self.assertLessEqual(
+                calls, 2 + length / 10, (play.__name__, way, draw, length)
+            )
 
     def test_a_call_whose_first_word_is_a_beat_stays_alone(self):
         for mode, draw in product(("pushed", "on_request"), (0, 1)):
@@ -35,7 +64,9 @@
             self.assertEqual(len(service.calls), 1, (mode, draw))
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.play(service, 10)
-            self.assertEqual((len(service.calls), len(service.open())), (2, 1), (mode, draw))
+            self.assertEqual(
+                (len(service.calls), len(service.open())), (2, 1), (mode, draw)
+            )
 
     def test_never_more_than_two_calls_are_under_way_at_one_address(self):
         for mode, way, draw in product(("pushed", "on_request"), ANY, (0, 1)):
@@ -46,7 +77,9 @@
                 protocol.connectionLost()
             self.play(service, 6, lambda: self.most(service, 2))
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
-            self.play(service, 8, lambda: self.most(service, 3))  # one at the old address
+            self.play(
+                service, 8, lambda: self.most(service, 3)
+            )  # one at the old address
             self.assertTrue(self.drains(), (mode, way, draw))
             self.assertEqual(len(service.open()), 1, (mode, way, draw))
             self.gateway.stop()
@@ -56,7 +89,6 @@
 
 
 class Moved(Called):
-
     def test_after_sighup_two_failures_in_turn_leave_time_within_the_four_seconds(self):
         for first, second, draw, beats in product(ANY, ANY, (0, 1), (True, False)):
             service = self.begin(draw)
@@ -65,7 +97,11 @@
             gone, service.calls = service.change(), []
             service.ways, service.watches = [first, second], gone if beats else []
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
-            self.assertLess(self.play(service, 20, self.drains), MOVED - 0.1, (first, second, draw, beats))
+            self.assertLess(
+                self.play(service, 20, self.drains),
+                MOVED - 0.1,
+                (first, second, draw, beats),
+            )
             self.assertLessEqual(len(service.calls), 4, (first, second, draw, beats))
             self.gateway.stop()
 
@@ -76,7 +112,11 @@
     def test_after_an_outage_in_which_calls_were_taken_and_never_answered(self):
         for takes, within, most in ((0.01, 3.0, 1.5), (0.02, 5.0, 2), (0.04, 9.0, 5)):
             service, members = self.fleet(True, patient=False)
-            service.bad, service.back, service.calls = "no word", self.reactor.seconds() + self.SPAN, []
+            service.bad, service.back, service.calls = (
+                "no word",
+                self.reactor.seconds() + self.SPAN,
+                [],
+            )
             for _, protocol, _ in service.change():
                 protocol.connectionLost()
             self.looked(service, members, self.SPAN, lambda: False)
@@ -86,8 +126,13 @@
             self.assertLess(calls, most, takes)
 
     def test_after_sighup(self):
-        for pushed, takes, patient, within, most in ((False, 0.01, False, 2.2, 1.1), (False, 0.02, False, 4.3, 2.4), (True, 0.04, False, 9.5, 10),
-                                                     (True, 0.01, True, 2.2, 1.1), (False, 0.02, True, 4.3, 2.2)):
+        for pushed, takes, patient, within, most in (
+            (False, 0.01, False, 2.2, 1.1),
+            (False, 0.02, False, 4.3, 2.4),
+            (True, 0.04, False, 9.5, 10),
+            (True, 0.01, True, 2.2, 1.1),
+            (False, 0.02, True, 4.3, 2.2),
+        ):
             service, members = self.fleet(pushed, patient=patient)
             service.watches = service.change()
             for each in members:
@@ -98,24 +143,44 @@
 
 
 class Decided(unittest.TestCase):
-
     def test_when_another_call_is_made_beside_one(self):
         late = BESIDE_MOVED[0] - 12_000, BESIDE_MOVED[1] - 12_000
         for stage, mute, grace, moved, wanted in (
-                (Call.DIALLED, False, 8_000, None, (1_000, 2_000)), (Call.BEGUN, False, 8_000, None, (1_000, 2_000)),
-                (Call.TAKEN, False, 8_000, None, None), (Call.TAKEN, True, 8_000, None, BESIDE_MUTE),
-                (Call.DIALLED, True, 0, None, None), (Call.TAKEN, True, 0, None, None), (Call.BEGUN, False, 0, None, None),
-                (Call.TAKEN, False, 0, 12_000, late), (Call.BEGUN, False, 0, 12_000, late), (Call.DIALLED, False, 0, 12_000, BESIDE_SOON),
-                (Call.BEGUN, False, 8_000, 12_000, (1_000, 2_000)), (Call.TAKEN, False, 0, 34_000, BESIDE_SOON),
-                (Call.TAKEN, False, 0, TOLD_MOVED, None), (Call.DIALLED, False, 0, TOLD_MOVED, None)):
-            self.assertEqual(beside_within(stage, mute, grace, moved), wanted, (stage, mute, grace, moved))
+            (Call.DIALLED, False, 8_000, None, (1_000, 2_000)),
+            (Call.BEGUN, False, 8_000, None, (1_000, 2_000)),
+            (Call.TAKEN, False, 8_000, None, None),
+            (Call.TAKEN, True, 8_000, None, BESIDE_MUTE),
+            (Call.DIALLED, True, 0, None, None),
+            (Call.TAKEN, True, 0, None, None),
+            (Call.BEGUN, False, 0, None, None),
+            (Call.TAKEN, False, 0, 12_000, late),
+            (Call.BEGUN, False, 0, 12_000, late),
+            (Call.DIALLED, False, 0, 12_000, BESIDE_SOON),
+            (Call.BEGUN, False, 8_000, 12_000, (1_000, 2_000)),
+            (Call.TAKEN, False, 0, 34_000, BESIDE_SOON),
+            (Call.TAKEN, False, 0, TOLD_MOVED, None),
+            (Call.DIALLED, False, 0, TOLD_MOVED, None),
+        ):
+            self.assertEqual(
+                beside_within(stage, mute, grace, moved),
+                wanted,
+                (stage, mute, grace, moved),
+            )
 
     def test_a_service_that_may_only_be_busy_is_not_mute(self):
         """It takes a call and speaks within two seconds, be it a 503."""
         self.assertGreater(FIRST_WORD, 20_000)
-        for mute, quiet, status, wanted in ((False, 20_000, 503, False), (False, FIRST_WORD + 1, 0, True), (False, FIRST_WORD + 1, 200, True),
-                                            (True, 0, 0, True), (True, 20_000, 503, False), (True, 3_000, 200, False)):
-            self.assertEqual(is_mute(mute, quiet, status), wanted, (mute, quiet, status))
+        for mute, quiet, status, wanted in (
+            (False, 20_000, 503, False),
+            (False, FIRST_WORD + 1, 0, True),
+            (False, FIRST_WORD + 1, 200, True),
+            (True, 0, 0, True),
+            (True, 20_000, 503, False),
+            (True, 3_000, 200, False),
+        ):
+            self.assertEqual(
+                is_mute(mute, quiet, status), wanted, (mute, quiet, status)
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,13 +1,33 @@
 """The contract machines: each case a table of what comes and what is heard; the record out and in again; the model."""
+
 from __future__ import annotations
 
 import unittest
 
 from milletsill.fleet.channels.contracts import codec, decide, model
-from milletsill.fleet.channels.contracts.decide import (REMEMBERED, Contract, Declared, Input, Order, Reach, Unsure)
+from milletsill.fleet.channels.contracts.decide import (
+    REMEMBERED,
+    Contract,
+    Declared,
+    Input,
+    Order,
+    Reach,
+    Unsure,
+)
 from milletsill.fleet.channels.contracts.line import Line
-from milletsill.fleet.channels.contracts.pieces import Claimed, Closed, Coming, Entry, LetGo, Tell
-from milletsill.fleet.channels.errors import ContractOlder, ContractsContradict, RecordUnread
+from milletsill.fleet.channels.contracts.pieces import (
+    Claimed,
+    Closed,
+    Coming,
+    Entry,
+    LetGo,
+    Tell,
+)
+from milletsill.fleet.channels.errors import (
+    ContractOlder,
+    ContractsContradict,
+    RecordUnread,
+)
 
 REST, WINDOW, HOLE = 100, 5000, 1000
 
@@ -24,9 +44,16 @@
     found = []
     for each in line.at_once + line.after:
         if isinstance(each, LetGo):
-            found.append(f"go {each.number}" + (f"/{each.turn}" if each.turn else "") + (" again" if each.again else ""))
+            found.append(
+                f"go {each.number}"
+                + (f"/{each.turn}" if each.turn else "")
+                + (" again" if each.again else "")
+            )
         elif isinstance(each, Tell):
-            found.append(f"{each.asker} {each.word}" + (f" {each.number}" if each.number is not None else ""))
+            found.append(
+                f"{each.asker} {each.word}"
+                + (f" {each.number}" if each.number is not None else "")
+            )
         elif isinstance(each, Claimed):
             found.append(f"{each.asker} claimed")
     line.at_once, line.after = [], []
@@ -34,8 +61,19 @@
 
 
 def come(line, number, now=1, on=1, claim=None, digest=None, ends=50_000, **more):
-    line.come(now, Coming(number, line.claim if claim is None else claim, digest or number, (Reach(on),), ends, WINDOW, f"a{number}",
-                          **more))
+    line.come(
+        now,
+        Coming(
+            number,
+            line.claim if claim is None else claim,
+            digest or number,
+            (Reach(on),),
+            ends,
+            WINDOW,
+            f"a{number}",
+            **more,
+        ),
+    )
     return said(line)
 
 
@@ -81,7 +119,9 @@
         self.assertEqual(end(line, 1, Input.LOST, 10), ["a1 aborted 1"])
         self.assertEqual(come(line, 1, now=50), [])
         self.assertEqual(on(line, 10 + REST), ["go 1 again"])
-        self.assertEqual(end(line, 1, Input.NEVER_RAN, 200), ["a1 aborted 1"])  # an earlier try may have run
+        self.assertEqual(
+            end(line, 1, Input.NEVER_RAN, 200), ["a1 aborted 1"]
+        )  # an earlier try may have run
         self.assertEqual(on(line, 200 + REST), ["go 2"])
         self.assertEqual(come(line, 1), ["a1 aborted"])
 
@@ -91,7 +131,9 @@
         line.say(50, 1, Input.SAID_AGAIN, line.claim, "s")
         self.assertEqual(said(line), ["s declined"])  # the rest first
         self.assertEqual(on(line, 10 + REST), ["a2 stopped 1"])
-        self.assertEqual(come(line, 1, now=WINDOW + 10), ["a1 stopped 1"])  # no ticket is remembered any more
+        self.assertEqual(
+            come(line, 1, now=WINDOW + 10), ["a1 stopped 1"]
+        )  # no ticket is remembered any more
         line.say(WINDOW + 10, 1, Input.SAID_AGAIN, line.claim, "s")
         self.assertEqual(said(line), ["s answer 1"])
         self.assertEqual(come(line, 1, now=WINDOW + 20), ["go 1/1"])
@@ -126,10 +168,17 @@
     def test_the_largest_record_is_taken_by_a_register(self):
         far, two = (1 << 62) + 1, (Reach((1 << 64) - 1, 1 << 60, 1 << 61),) * 2
         line = channel(Order.BY_EXTENT, name="n" * 64)
-        line.coming, line.token, line.floor, line.claim = (far, line.contract), "t" * 100, far, 1 << 60
+        line.coming, line.token, line.floor, line.claim = (
+            (far, line.contract),
+            "t" * 100,
+            far,
+            1 << 60,
+        )
         line.closed = {far + each for each in range(1, decide.SPAN, 2)}
         for each in range(64):
-            line.entries[far + 2 * each] = Entry(decide.Phase.OUT, (1 << 64) - 1, two, 1 << 60, True, since=-(1 << 50))
+            line.entries[far + 2 * each] = Entry(
+                decide.Phase.OUT, (1 << 64) - 1, two, 1 << 60, True, since=-(1 << 50)
+            )
         for each in range(REMEMBERED):
             line.remembered[far + each] = Closed(3, 255, (1 << 64) - 1)
         line.pinned = {far + each: two for each in range(decide.MOST_PINNED)}
@@ -159,7 +208,9 @@
         self.assertEqual(come(line, 5, on=3), [])  # 4 may be of any extent
         self.assertEqual(come(line, 4, on=4), ["go 4", "go 5"])
         on(line, 50_000)
-        self.assertEqual(come(line, 2, on=3), ["a2 contract 2"])  # it was overtaken: pinned to what it touched
+        self.assertEqual(
+            come(line, 2, on=3), ["a2 contract 2"]
+        )  # it was overtaken: pinned to what it touched
         self.assertEqual(end(line, 1, Input.LOST, 60_000), ["a1 aborted 1"])
         self.assertEqual(come(line, 2, on=1, now=60_001, ends=90_000), [])
         self.assertEqual(on(line, 60_000 + REST), ["go 2"])
@@ -197,16 +248,19 @@
         with self.assertRaises(ContractOlder):
             line.open(3, Declared(Contract("c", 1, Order.EACH_IN_ORDER)), "w", "o")
 
-
     def test_from_the_newest_to_another_contract(self):
         line = channel(Order.NEWEST)
         come(line, 3)
         line.open(3, Declared(Contract("c", 2, Order.EACH_IN_ORDER), 8), "y", "o")
         said(line)
         self.assertEqual((come(line, 9), come(line, 8), come(line, 5)), ([], [], []))
-        self.assertEqual(end(line, 3), ["a3 answer 3", "go 5"])  # not held up by what waits for the change
+        self.assertEqual(
+            end(line, 3), ["a3 answer 3", "go 5"]
+        )  # not held up by what waits for the change
         self.assertEqual(end(line, 5), ["a5 answer 5", "go 8"])
-        self.assertEqual((end(line, 8), line.contract.version), (["a8 answer 8", "go 9"], 2))
+        self.assertEqual(
+            (end(line, 8), line.contract.version), (["a8 answer 8", "go 9"], 2)
+        )
 
 
 class Records(unittest.TestCase):
@@ -215,14 +269,19 @@
         come(line, 1, on=1), come(line, 2, on=1), come(line, 3, on=2), end(line, 3)
         data = codec.put_record(line, 11)
         found = codec.read_record(data, REST, 1000, 40)
-        self.assertEqual((found.floor, found.closed, found.claim, found.top, list(found.pinned)), (1, {3}, 1, 3, [2]))
+        self.assertEqual(
+            (found.floor, found.closed, found.claim, found.top, list(found.pinned)),
+            (1, {3}, 1, 3, [2]),
+        )
         self.assertEqual(found.entries[1].since, 1000 - 40 - 10)
         self.assertEqual(come(found, 1, on=1, now=1001), [])
         self.assertEqual(on(found, 1000 + REST), ["go 1 again"])
         unknown = codec.read_record(data, REST, 1000, None)
         self.assertEqual(come(unknown, 1, on=1, now=1001), ["a1 aborted 1"])
         self.assertEqual(come(unknown, 2, on=1, now=1001), [])
-        self.assertEqual(on(unknown, 1000 + REST), [])  # its client may come again for as long as a hole waits
+        self.assertEqual(
+            on(unknown, 1000 + REST), []
+        )  # its client may come again for as long as a hole waits
         self.assertEqual(on(unknown, 1000 + HOLE), ["go 2"])
         for torn in (b"", data[:9], b"\xff" * 40):
             with self.assertRaises(RecordUnread):
@@ -235,7 +294,10 @@
     def test_every_order_of_events_at_small_sizes(self):
         for order, unsure in model.CASES:
             for start in model.STARTS:
-                self.assertIsNone(model.explore(order, unsure, start, 4, 120)[2], (order, unsure, start))
+                self.assertIsNone(
+                    model.explore(order, unsure, start, 4, 120)[2],
+                    (order, unsure, start),
+                )
 
     def test_scripts_and_chance(self):
         self.assertIsNone(model.wrong(8))
--- a/tests/test_crossings_beside.py
+++ b/tests/test_crossings_beside.py
@@ -1,9 +1,19 @@
 """A second call beside one that discovery does not answer, over real sockets: what crosses between the two."""
+
 import socket
 import unittest
 
 from milletsill.interface import News
-from milletsill.platform.decide import BESIDE, BESIDE_MOVED, BESIDE_MUTE, DIAL, FIRST_WORD, MARGIN, TOLD_MOVED, Call
+from milletsill.platform.decide import (
+    BESIDE,
+    BESIDE_MOVED,
+    BESIDE_MUTE,
+    DIAL,
+    FIRST_WORD,
+    MARGIN,
+    TOLD_MOVED,
+    Call,
+)
 from tests.discovery_door import HEAD, LOOK, Held, said
 from tests.platform_rig import SETTINGS, Loopback, reset
 
@@ -11,8 +21,9 @@
 
 
 class Beside(Held):
-
-    def test_where_lists_are_pushed_a_list_that_stops_in_mid_line_has_another_call_beside_it_in_time(self):
+    def test_where_lists_are_pushed_a_list_that_stops_in_mid_line_has_another_call_beside_it_in_time(
+        self,
+    ):
         for wins in ("second", "first"):
             self.again()
             self.follower.grace = GRACE
@@ -22,16 +33,24 @@
             self.until(lambda: self.follower.watch.stage is Call.BEGUN)
             self.go(GRACE * BESIDE[1])
             second = self.second()
-            end, other, rest = (second, first, HEAD + said(8, True)) if wins == "second" else (first, second, said(8, True)[40:])
+            end, other, rest = (
+                (second, first, HEAD + said(8, True))
+                if wins == "second"
+                else (first, second, said(8, True)[40:])
+            )
             end.sendall(rest)
             self.until(lambda: self.told)
             self.over(other)
             self.go(FIRST_WORD)
-            self.assertEqual((self.told, self.follower.beside), ([(News.WHOLE, "ready")], None), wins)
+            self.assertEqual(
+                (self.told, self.follower.beside), ([(News.WHOLE, "ready")], None), wins
+            )
             end.sendall(said(9, state="leaving"))
             self.until(lambda: self.told[-1] == (News.CHANGES, "draining"))
 
-    def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(self):
+    def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(
+        self,
+    ):
         self.follower.grace = GRACE
         self.follower.ask()
         first, _ = self.taken()
@@ -46,7 +65,9 @@
         self.until(lambda: self.told)
         self.assertEqual(self.told, [(News.WHOLE, "ready")])
 
-    def test_where_lists_are_pushed_a_dial_that_is_not_up_has_another_beside_it_and_two_at_most(self):
+    def test_where_lists_are_pushed_a_dial_that_is_not_up_has_another_beside_it_and_two_at_most(
+        self,
+    ):
         hole = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.addCleanup(hole.close)
         for _ in range(3):  # its queue is full: what comes now is never up
@@ -58,7 +79,13 @@
 
         def held_back(host, port, factory, timeout):
             dials.append(port)
-            return dial(host, hole.getsockname()[1] if len(dials) <= 2 else port, factory, timeout=timeout)
+            return dial(
+                host,
+                hole.getsockname()[1] if len(dials) <= 2 else port,
+                factory,
+                timeout=timeout,
+            )
+
         self.reactor.connectTCP = held_back
         self.follower.grace = GRACE
         self.follower.ask()
@@ -71,13 +98,20 @@
         self.assertLess(self.clock, DIAL)
         second = self.second()
         self.turn(3)
-        self.assertEqual(len(self.reactor.getWriters()), 1)  # the first, which may still come up
+        self.assertEqual(
+            len(self.reactor.getWriters()), 1
+        )  # the first, which may still come up
         second.sendall(HEAD + said(8, True))
         self.until(lambda: self.told)
         self.turn(3)
-        self.assertEqual((self.told, self.reactor.getWriters(), self.follower.beside), ([(News.WHOLE, "ready")], [], None))
+        self.assertEqual(
+            (self.told, self.reactor.getWriters(), self.follower.beside),
+            ([(News.WHOLE, "ready")], [], None),
+        )
 
-    def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(self):
+    def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(
+        self,
+    ):
         self.follower.grace = GRACE
         self.follower.ask()
         self.taken()
@@ -94,7 +128,9 @@
         self.over(first)
         self.assertEqual(self.told, [(News.FAILED,), (News.WHOLE, "ready")])
 
-    def test_after_sighup_a_call_that_is_reset_and_one_that_is_never_answered_leave_time_for_a_third(self):
+    def test_after_sighup_a_call_that_is_reset_and_one_that_is_never_answered_leave_time_for_a_third(
+        self,
+    ):
         self.standing()
         there = self.discovery()
         self.follower.move(there.address)
@@ -113,7 +149,9 @@
         self.assertLess(self.clock - moved, TOLD_MOVED - MARGIN)
         self.assertEqual(self.failed(), 1)
 
-    def test_after_sighup_the_call_behind_two_that_are_reset_waits_for_no_pause_of_the_modules(self):
+    def test_after_sighup_the_call_behind_two_that_are_reset_waits_for_no_pause_of_the_modules(
+        self,
+    ):
         self.standing()
         there = self.discovery()
         self.follower.move(there.address)
@@ -138,12 +176,17 @@
 
     changed = {"settings": SETTINGS | {"membership_mode": "pushed"}}
 
-    def test_an_outage_costs_at_most_four_calls_a_second_and_its_end_is_seen_within_half_the_grace(self):
+    def test_an_outage_costs_at_most_four_calls_a_second_and_its_end_is_seen_within_half_the_grace(
+        self,
+    ):
         address = self.listener.getsockname()
         self.listener.close()
         self.gateway.follower.watch.end("down")
         told, failed = self.gateway.follower.told, []
-        self.gateway.follower.told = lambda kind, places: (failed.append(kind), told(kind, places))
+        self.gateway.follower.told = lambda kind, places: (
+            failed.append(kind),
+            told(kind, places),
+        )
         self.pass_time(20.0)
         self.assertEqual({News.FAILED}, set(failed))
         self.assertLess(len(failed) / 20, 4)
@@ -160,7 +203,10 @@
     BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
     def drains(self):
-        return any(node.health.name == "BARRED" for node in self.gateway.host.module.nodes.values())
+        return any(
+            node.health.name == "BARRED"
+            for node in self.gateway.host.module.nodes.values()
+        )
 
     def calls(self):
         while True:
@@ -186,10 +232,18 @@
         return self.time - began
 
     def test_what_the_known_list_lacks_is_in_whatever_becomes_of_the_first_call(self):
-        for mode, first, most in (("on_request", self.BUSY, 2.0), ("on_request", "reset", 2.0), ("on_request", b"", 4.5),
-                                  ("on_request", HEAD + said(5)[:30], 4.5), ("on_request", "refused", 2.0), ("pushed", self.BUSY, 0.8),
-                                  ("pushed", "reset", 0.8), ("pushed", b"", 3.0), ("pushed", HEAD + said(5)[:30], 0.8),
-                                  ("pushed", "refused", 0.8)):
+        for mode, first, most in (
+            ("on_request", self.BUSY, 2.0),
+            ("on_request", "reset", 2.0),
+            ("on_request", b"", 4.5),
+            ("on_request", HEAD + said(5)[:30], 4.5),
+            ("on_request", "refused", 2.0),
+            ("pushed", self.BUSY, 0.8),
+            ("pushed", "reset", 0.8),
+            ("pushed", b"", 3.0),
+            ("pushed", HEAD + said(5)[:30], 0.8),
+            ("pushed", "refused", 0.8),
+        ):
             self.changed = {"settings": SETTINGS | {"membership_mode": mode}}
             self.again()
             self.assertFalse(self.drains())
--- a/tests/test_crossings_boxes.py
+++ b/tests/test_crossings_boxes.py
@@ -1,5 +1,6 @@
 """Dispatches to disk boxes over loopback sockets, in the instants in which a box drains, goes or moves under a handshake that is held
 back: the box is a plain listening socket, and the test turns the reactor."""
+
 import unittest
 from types import SimpleNamespace
 from unittest import mock
@@ -15,18 +16,38 @@
 from milletsill.registry.decide import Box
 from tests.loopback import Loop, listening, receive
 
-BOUNDS = Bounds(connections=2, streams=4, handshakes=1, dial=50_000, idle=300_000, silent=100_000)
+BOUNDS = Bounds(
+    connections=2, streams=4, handshakes=1, dial=50_000, idle=300_000, silent=100_000
+)
 
 
 def order(number):
-    return Order("e", 1, 7, number, 1.0, 5, 1000, "t", 1, 1, "read", "", packets.Read(0, b"/a", 0, 1))
+    return Order(
+        "e",
+        1,
+        7,
+        number,
+        1.0,
+        5,
+        1000,
+        "t",
+        1,
+        1,
+        "read",
+        "",
+        packets.Read(0, b"/a", 0, 1),
+    )
 
 
 class Door:
     """The box's end of one connection, a packet at a time."""
 
     def __init__(self, loop, listener):
-        self.loop, self.sock, self.deframer = loop, loop.accepted(listener), Deframer(1 << 20)
+        self.loop, self.sock, self.deframer = (
+            loop,
+            loop.accepted(listener),
+            Deframer(1 << 20),
+        )
         self.found = []
 
     def come(self):
@@ -38,12 +59,22 @@
 
     def greet(self):
         """The handshake's other half, at last."""
-        self.loop.until(lambda: any(isinstance(each, packets.Init) for each in self.come()), "no greeting")
+        self.loop.until(
+            lambda: any(isinstance(each, packets.Init) for each in self.come()),
+            "no greeting",
+        )
         self.sock.sendall(packets.encode(packets.Version(3)))
-        self.loop.until(lambda: any(isinstance(each, packets.Extended) for each in self.come()), "no hello")
+        self.loop.until(
+            lambda: any(isinstance(each, packets.Extended) for each in self.come()),
+            "no hello",
+        )
 
     def orders(self):
-        found = [each for each in self.come() if isinstance(each, packets.Extended) and each.name == extensions.DISPATCH]
+        found = [
+            each
+            for each in self.come()
+            if isinstance(each, packets.Extended) and each.name == extensions.DISPATCH
+        ]
         return [extensions.read_order(each) for each in found]
 
 
@@ -61,11 +92,21 @@
         return self.loop.now() + self.passed
 
     def made(self):
-        return Pool(self.loop.reactor, self.now, "127.0.0.1:%d" % self.listener.getsockname()[1], BOUNDS, "e", 1, 1 << 20,
-                    lambda text: None)
+        return Pool(
+            self.loop.reactor,
+            self.now,
+            "127.0.0.1:%d" % self.listener.getsockname()[1],
+            BOUNDS,
+            "e",
+            1,
+            1 << 20,
+            lambda text: None,
+        )
 
     def send(self, number=0):
-        return self.pool.dispatch(order(number), lambda outcome, verdict: self.ended.append((number, outcome)))
+        return self.pool.dispatch(
+            order(number), lambda outcome, verdict: self.ended.append((number, outcome))
+        )
 
     def test_what_waits_for_a_box_that_drains_or_goes_never_begins(self):
         for ends in (lambda: self.pool.bar(True), lambda: self.pool.close()):
@@ -74,13 +115,19 @@
                 self.send()
                 door = Door(self.loop, self.listener)
                 ends()
-                self.assertEqual(self.ended, [(0, Outcome.MOOT)], "told at once, to be placed elsewhere")
+                self.assertEqual(
+                    self.ended,
+                    [(0, Outcome.MOOT)],
+                    "told at once, to be placed elsewhere",
+                )
                 door.greet()
                 self.loop.turn(20)
                 self.assertEqual((door.orders(), self.ended), ([], [(0, Outcome.MOOT)]))
                 self.send(1)
                 self.loop.until(lambda: len(self.ended) == 2)
-                self.assertEqual((self.ended[1:], door.orders()), ([(1, Outcome.UNREACHED)], []))
+                self.assertEqual(
+                    (self.ended[1:], door.orders()), ([(1, Outcome.UNREACHED)], [])
+                )
                 self.pool.abort()
 
     def test_a_box_that_comes_back_takes_what_is_sent_then(self):
@@ -93,7 +140,9 @@
         self.loop.until(lambda: door.orders(), "nothing came to the box")
         self.assertEqual([each.number for each in door.orders()], [1])
 
-    def test_a_handshake_that_was_held_back_is_taken_off_what_is_left_to_the_client(self):
+    def test_a_handshake_that_was_held_back_is_taken_off_what_is_left_to_the_client(
+        self,
+    ):
         for waited, left in ((0, 1000), (400, 600), (2000, 1)):
             with self.subTest(waited=waited):
                 self.pool = self.made()
@@ -126,13 +175,18 @@
         edge = Edge.__new__(Edge)
         edge.pools = {}
         for boxes, expected in (
-                ([("a:1", Readiness.READY)], [("a:1", False)]),
-                ([("a:1", Readiness.DRAINING)], [("a:1", True)]),
-                ([("a:1", Readiness.READY)], [("a:1", False)]),
-                ([("b:1", Readiness.READY)], [("a:1", "closed"), ("b:1", False)]),
-                ([], [("b:1", "closed")])):
+            ([("a:1", Readiness.READY)], [("a:1", False)]),
+            ([("a:1", Readiness.DRAINING)], [("a:1", True)]),
+            ([("a:1", Readiness.READY)], [("a:1", False)]),
+            ([("b:1", Readiness.READY)], [("a:1", "closed"), ("b:1", False)]),
+            ([], [("b:1", "closed")]),
+        ):
             said.clear()
-            follow(edge, Spy, [Box(1, address, state, 1.0, 0, 0, 0, 0) for address, state in boxes])
+            follow(
+                edge,
+                Spy,
+                [Box(1, address, state, 1.0, 0, 0, 0, 0) for address, state in boxes],
+            )
             self.assertEqual(said, expected)
 
 
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -1,4 +1,5 @@
 """Descriptors at their edge: what clients, discovery and links are owed there, on loopback sockets."""
+
 import json
 import os
 import resource
@@ -21,7 +22,6 @@
 
 
 class Share(Loopback):
-
     changed = {"limits": {"sockets": 64, "memory_mb": 64}}
 
     def burst(self, count, *data):
@@ -37,12 +37,16 @@
     def test_a_burst_in_the_first_round_stays_within_the_share_and_closes_nobody(self):
         self.burst(150)
         self.reactor.iterate(0)
-        self.assertLessEqual(len(self.gateway.clients.open), self.gateway.clients.most + OVER)
+        self.assertLessEqual(
+            len(self.gateway.clients.open), self.gateway.clients.most + OVER
+        )
         self.assertEqual(self.gateway.tally["refused", "no descriptor for a client"], 0)
         self.pass_time(1.0)
         self.assertEqual(self.gateway.tally["refused", "no descriptor for a client"], 0)
 
-    def test_hundreds_that_say_nothing_go_and_usual_clients_beside_them_are_served(self):
+    def test_hundreds_that_say_nothing_go_and_usual_clients_beside_them_are_served(
+        self,
+    ):
         """One that stands, without the clock moving; and one that waits before the door behind them all."""
         usual = self.client(ask())
         link = self.taken()
@@ -56,7 +60,10 @@
         late.sendall(READY)
         for number in range(3):
             link.sendall(ANSWER)
-            self.until(lambda: self.got(usual)[0].endswith(b"hi"), "the usual client is not served")
+            self.until(
+                lambda: self.got(usual)[0].endswith(b"hi"),
+                "the usual client is not served",
+            )
             usual.sendall(ask(TXN + 1 + number))
             self.until(lambda: b"X-Txn" in self.got(link)[0])
         began, data = self.time, b""
@@ -72,7 +79,11 @@
         most = self.gateway.clients.most
         self.burst(most, READY)
         self.until(lambda: self.gateway.clients.paused)
-        young = [each for each in self.gateway.clients.open if not each.reader.begun and each.stage.name == "FRESH"]
+        young = [
+            each
+            for each in self.gateway.clients.open
+            if not each.reader.begun and each.stage.name == "FRESH"
+        ]
         self.time += 0.06
         self.turn()
         self.assertEqual(len(young), most, "read before the process stood still")
@@ -88,7 +99,9 @@
         self.assertTrue(self.gateway.clients.paused)
         moved = socket.create_server(("127.0.0.1", 0))
         self.sockets.append(moved)
-        self.gateway.reload(replace(self.gateway.deployment, discovery=moved.getsockname()))
+        self.gateway.reload(
+            replace(self.gateway.deployment, discovery=moved.getsockname())
+        )
         self.turn(5)
         moved.setblocking(False)
         moved.accept()[0].close()  # the call is there, with nobody gone yet
@@ -111,13 +124,23 @@
 
     def descriptors(self):
         """Those of the gateway: the reactor's own, the door, clients, and whatever else is read or written."""
-        return 1 + len({self.gateway.port, *self.reactor.getReaders(), *self.reactor.getWriters(),
-                        *(each.transport for each in self.gateway.clients.open)})
-
-    def test_idle_clients_up_to_the_share_leave_a_descriptor_for_the_call_at_discoverys_return(self):
+        return 1 + len(
+            {
+                self.gateway.port,
+                *self.reactor.getReaders(),
+                *self.reactor.getWriters(),
+                *(each.transport for each in self.gateway.clients.open),
+            }
+        )
+
+    def test_idle_clients_up_to_the_share_leave_a_descriptor_for_the_call_at_discoverys_return(
+        self,
+    ):
         """They ask now and then, so none makes way. Each call that fails gives its descriptor back, and the next gets one."""
         for mode, within in (("on_request", 2.0), ("pushed", 0.6)):
-            self.changed = Share.changed | {"settings": GIVEN["settings"] | {"membership_mode": mode}}
+            self.changed = Share.changed | {
+                "settings": GIVEN["settings"] | {"membership_mode": mode}
+            }
             self.again()
             address = self.listener.getsockname()
             self.listener.close()
@@ -136,7 +159,9 @@
                     self.assertIn(b" 200 ", self.got(each)[0], mode)
                     each.sendall(LIVE)
             self.assertGreaterEqual(min(held), self.gateway.clients.most, mode)
-            self.assertLessEqual(max(held), self.gateway.deployment.sockets - 4, mode)  # two calls, the old watch, the file
+            self.assertLessEqual(
+                max(held), self.gateway.deployment.sockets - 4, mode
+            )  # two calls, the old watch, the file
             back = socket.create_server(address)
             self.sockets.append(back)
             back.setblocking(False)
@@ -152,7 +177,9 @@
         self.assertIn(b"Retry-After: 1.500\r\n", data)
 
     def test_where_the_settings_tell_no_time_none_is_named(self):
-        settings = GIVEN["settings"] | {"limits": GIVEN["settings"]["limits"] | {"retry_after": False}}
+        settings = GIVEN["settings"] | {
+            "limits": GIVEN["settings"]["limits"] | {"retry_after": False}
+        }
         self.changed = {"settings": settings}
         self.again()
         one = self.client(ask(X_Remaining_Ms="3"))
@@ -189,6 +216,7 @@
             with suppress(BlockingIOError):
                 text.extend(link.recv(65_536))
             return b"X-Txn" in text
+
         self.until(come, "nothing came to the node")
 
     def before_the_door(self):
@@ -205,9 +233,16 @@
         resting, _ = self.resting(self.gateway.clients.most)
         late = self.before_the_door()
         self.pass_time(self.SPAN - 0.1)
-        self.assertEqual([self.got(each) for each in [*resting, late]], [(b"", "open")] * (len(resting) + 1))
+        self.assertEqual(
+            [self.got(each) for each in [*resting, late]],
+            [(b"", "open")] * (len(resting) + 1),
+        )
         self.pass_time(0.2)
-        self.assertEqual([self.got(each) for each in resting], [(b"", "ended")] * len(resting), "no end in order")
+        self.assertEqual(
+            [self.got(each) for each in resting],
+            [(b"", "ended")] * len(resting),
+            "no end in order",
+        )
         for each in resting:
             each.close()
         self.until(lambda: b" 200 " in self.got(late)[0], "nobody made way")
@@ -218,7 +253,9 @@
             self.again()
             crowd = [self.client(asks) for _ in range(self.gateway.clients.most)]
             self.turn()
-            crowd += [self.before_the_door() for _ in range(2 * self.gateway.clients.most)]
+            crowd += [
+                self.before_the_door() for _ in range(2 * self.gateway.clients.most)
+            ]
             usual = socket.socket()
             usual.setblocking(False)
             usual.connect_ex(("127.0.0.1", self.door))
@@ -226,7 +263,9 @@
             usual.sendall(ask())
             self.pass_time(0.4)
             self.taken().sendall(ANSWER)
-            self.until(lambda: b" 200 " in self.got(usual)[0], "a usual client is not served")
+            self.until(
+                lambda: b" 200 " in self.got(usual)[0], "a usual client is not served"
+            )
 
     def test_a_request_unread_on_what_makes_way_is_read_first(self):
         """The process stood still for the whole span; the request came just before it was over."""
@@ -239,9 +278,14 @@
         self.carried(link)
         link.sendall(ANSWER)
         data = bytearray()
-        self.until(lambda: data.extend(self.got(resting[0])[0]) or data.endswith(b"hi"), "not answered")
+        self.until(
+            lambda: data.extend(self.got(resting[0])[0]) or data.endswith(b"hi"),
+            "not answered",
+        )
         self.assertEqual(data.count(b"HTTP/1.1 "), 1)
-        self.assertEqual([self.got(each)[1] for each in resting[1:]], ["ended"] * (len(resting) - 1))
+        self.assertEqual(
+            [self.got(each)[1] for each in resting[1:]], ["ended"] * (len(resting) - 1)
+        )
 
     def test_a_last_answer_that_is_being_taken_is_not_torn_before_it(self):
         for takes in (True, False):
@@ -249,9 +293,14 @@
                 self.again()
                 one = self.client(ask(Connection="close"), window=4096)
                 protocol = self.server_side()
-                protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+                protocol.transport.socket.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
+                )
                 link = self.taken()
-                link.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"x" * 400_000)
+                link.sendall(
+                    b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
+                    + b"x" * 400_000
+                )
                 self.until(lambda: protocol.stage.name == "ENDING", "not answered")
                 self.resting(self.gateway.clients.most - 1, link)
                 self.before_the_door()
@@ -260,14 +309,22 @@
                     self.pass_time((self.SPAN - 0.1) / 4)
                     data.extend(one.recv(4096))
                 if takes:
-                    self.until(lambda: data.extend(self.got(one)[0]) or data.count(b"x") == 400_000, "the answer is torn")
+                    self.until(
+                        lambda: (
+                            data.extend(self.got(one)[0]) or data.count(b"x") == 400_000
+                        ),
+                        "the answer is torn",
+                    )
                 else:
                     self.pass_time(self.SPAN + 0.2)
-                    self.assertEqual(self.got(one)[1], "reset", "who takes nothing holds its descriptor")
+                    self.assertEqual(
+                        self.got(one)[1],
+                        "reset",
+                        "who takes nothing holds its descriptor",
+                    )
 
 
 class Whole(unittest.TestCase):
-
     def test_a_whole_process_at_its_limit_hears_sighup_finds_discovery_and_serves(self):
         limit = 64
         down, moved, door = (socket.create_server(("127.0.0.1", 0)) for _ in range(3))
@@ -278,15 +335,34 @@
 
             def write(discovery):
                 with open(path, "w") as file:
-                    json.dump(GIVEN | {"listen": f"127.0.0.1:{names[2]}", "discovery": f"127.0.0.1:{discovery}",
-                                       "limits": {"sockets": limit, "memory_mb": 64},
-                                       "known": {"version": 1, "full": True,
-                                                 "servers": [NODE | {"addr": f"127.0.0.1:{node}"}]}}, file)
+                    json.dump(
+                        GIVEN
+                        | {
+                            "listen": f"127.0.0.1:{names[2]}",
+                            "discovery": f"127.0.0.1:{discovery}",
+                            "limits": {"sockets": limit, "memory_mb": 64},
+                            "known": {
+                                "version": 1,
+                                "full": True,
+                                "servers": [NODE | {"addr": f"127.0.0.1:{node}"}],
+                            },
+                        },
+                        file,
+                    )
+
             write(names[0])
-            with open(os.path.join(folder, "log"), "w+b") as log, subprocess.Popen(
-                    [sys.executable, "-m", "milletsill", "serve"], stdout=log, stderr=subprocess.STDOUT,
+            with (
+                open(os.path.join(folder, "log"), "w+b") as log,
+                subprocess.Popen(
+                    [sys.executable, "-m", "milletsill", "serve"],
+                    stdout=log,
+                    stderr=subprocess.STDOUT,
                     env=os.environ | {"NODE_CONFIG": path},
-                    preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))) as process:
+                    preexec_fn=lambda: resource.setrlimit(
+                        resource.RLIMIT_NOFILE, (limit, limit)
+                    ),
+                ) as process,
+            ):
                 silent = []
                 try:
                     usual = self.reached(names[2])
@@ -300,7 +376,10 @@
                     process.send_signal(signal.SIGHUP)
                     moved.settimeout(5)
                     moved.accept()[0].close()
-                    for each in (ask(X_Remaining_Ms="5000"), READY):  # on new connections: they wait before the door
+                    for each in (
+                        ask(X_Remaining_Ms="5000"),
+                        READY,
+                    ):  # on new connections: they wait before the door
                         other = self.reached(names[2])
                         other.sendall(each)
                         self.assertIn(b" 200 ", other.recv(1000))
@@ -312,7 +391,12 @@
                     process.kill()
                 log.seek(0)
                 text = log.read()
-                self.assertTrue(b"reloaded" in text and b"Traceback" not in text and b"EMFILE" not in text, text[-2000:])
+                self.assertTrue(
+                    b"reloaded" in text
+                    and b"Traceback" not in text
+                    and b"EMFILE" not in text,
+                    text[-2000:],
+                )
         moved.close()
 
     def reached(self, port):
--- a/tests/test_crossings_forms.py
+++ b/tests/test_crossings_forms.py
@@ -1,4 +1,5 @@
 """The forms that HTTP/1.1 leaves open, over loopback sockets: each message that is right is taken, in one piece and octet by octet."""
+
 import json
 import socket
 import unittest
@@ -19,16 +20,39 @@
     head, body = message.split(b"\r\n\r\n", 1)
     first, *lines = head.split(b"\r\n")
     fields = [each.split(b": ", 1) for each in lines]
-    return b"\r\n".join([first, *(name + b":" + before + value + behind for name, value in fields)]) + b"\r\n\r\n" + body
+    return (
+        b"\r\n".join(
+            [first, *(name + b":" + before + value + behind for name, value in fields)]
+        )
+        + b"\r\n\r\n"
+        + body
+    )
 
 
 def chunked(message):
     """A request's body in two chunks, one of them with an extension, and a trailer."""
     head, body = message.split(b"\r\n\r\n", 1)
-    lines = [each for each in head.split(b"\r\n") if not each.lower().startswith(b"content-length")]
+    lines = [
+        each
+        for each in head.split(b"\r\n")
+        if not each.lower().startswith(b"content-length")
+    ]
     half = len(body) // 2
-    return b"\r\n".join([*lines, b"Transfer-Encoding: Chunked", b"", b"%x;a=\"b\"" % half, body[:half],
-                         b"%X" % (len(body) - half), body[half:], b"0", b"X-Trailer: t ", b"", b""])
+    return b"\r\n".join(
+        [
+            *lines,
+            b"Transfer-Encoding: Chunked",
+            b"",
+            b'%x;a="b"' % half,
+            body[:half],
+            b"%X" % (len(body) - half),
+            body[half:],
+            b"0",
+            b"X-Trailer: t ",
+            b"",
+            b"",
+        ]
+    )
 
 
 def put(txn):
@@ -36,18 +60,36 @@
 
 
 def requests():
-    yield from (spaced(put(TXN + number), b" ", behind) for number, behind in enumerate(OWS))
-    yield from (spaced(put(TXN + 8 + number), before, b"") for number, before in enumerate((b"", b"\t", b"  ")))
+    yield from (
+        spaced(put(TXN + number), b" ", behind) for number, behind in enumerate(OWS)
+    )
+    yield from (
+        spaced(put(TXN + 8 + number), before, b"")
+        for number, before in enumerate((b"", b"\t", b"  "))
+    )
     yield b"\r\n" + put(TXN + 16)
     yield chunked(put(TXN + 17))
     yield spaced(chunked(put(TXN + 18)), b"", b"\t ")
-    yield put(TXN + 19).replace(b"X-Txn", b"x-TXN").replace(b"Content-Length", b"content-length")
-
-
-ANSWERS = [*(spaced(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Turned-Away: 0\r\n\r\nhi", b"", behind) for behind in OWS),
-           b"HTTP/1.1 200 OK\r\nTransfer-Encoding:chunked \t\r\n\r\n1;a=b\r\nh\r\n1\r\ni\r\n0\r\nA: b\r\n\r\n",
-           b"HTTP/1.1 200\r\ncontent-length:\t2\r\n\r\nhi",
-           b"HTTP/1.1 100 Continue\r\nA: b \r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2 \r\n\r\nhi"]
+    yield (
+        put(TXN + 19)
+        .replace(b"X-Txn", b"x-TXN")
+        .replace(b"Content-Length", b"content-length")
+    )
+
+
+ANSWERS = [
+    *(
+        spaced(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Turned-Away: 0\r\n\r\nhi",
+            b"",
+            behind,
+        )
+        for behind in OWS
+    ),
+    b"HTTP/1.1 200 OK\r\nTransfer-Encoding:chunked \t\r\n\r\n1;a=b\r\nh\r\n1\r\ni\r\n0\r\nA: b\r\n\r\n",
+    b"HTTP/1.1 200\r\ncontent-length:\t2\r\n\r\nhi",
+    b"HTTP/1.1 100 Continue\r\nA: b \r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2 \r\n\r\nhi",
+]
 
 
 class Forms(Loopback):
@@ -55,7 +97,7 @@
 
     def sent(self, one, data, step):
         for at in range(0, len(data), step):
-            one.sendall(data[at:at + step])
+            one.sendall(data[at : at + step])
             self.turn(2)
 
     def answered(self, one, link, answer, step=1 << 20):
@@ -67,6 +109,7 @@
             nonlocal got
             got += self.got(one)[0]
             return got.endswith(b"hi") or b" 200 " not in got and got
+
         self.until(whole, "no answer")
         self.assertTrue(got.startswith(b"HTTP/1.1 200 "), got)
 
@@ -93,14 +136,30 @@
         """Else it counts as one that may have run, and as the node's error."""
         self.client(ask())
         link = self.taken()
-        link.sendall(b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\t\r\n\r\n")
+        link.sendall(
+            b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\t\r\n\r\n"
+        )
         ends = [each for each in self.gateway.tally if each[0] == "ended"]
-        self.until(lambda: [each for each in self.gateway.tally if each[0] == "ended"] != ends, "no end")
-        self.assertEqual(self.gateway.tally["ended", "turned away"], 1, self.gateway.tally)
+        self.until(
+            lambda: [each for each in self.gateway.tally if each[0] == "ended"] != ends,
+            "no end",
+        )
+        self.assertEqual(
+            self.gateway.tally["ended", "turned away"], 1, self.gateway.tally
+        )
 
     def test_a_list_in_every_form_is_taken(self):
-        line = json.dumps({"version": 9, "full": True, "servers": [NODE | {"id": "s-9"}]}).encode() + b"\n"
-        for coding in (b"Transfer-Encoding: chunked \t", b"transfer-encoding:chunked", b"Transfer-Encoding:\tChunked "):
+        line = (
+            json.dumps(
+                {"version": 9, "full": True, "servers": [NODE | {"id": "s-9"}]}
+            ).encode()
+            + b"\n"
+        )
+        for coding in (
+            b"Transfer-Encoding: chunked \t",
+            b"transfer-encoding:chunked",
+            b"Transfer-Encoding:\tChunked ",
+        ):
             for ahead in (b"", b"\r\n", b"HTTP/1.1 103 Early \r\nA: b\r\n\r\n"):
                 for step in (1 << 20, 1):
                     with self.subTest(coding=coding, ahead=ahead, step=step):
@@ -108,8 +167,18 @@
                         call, _ = self.listener.accept()
                         self.sockets.append(call)
                         call.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                        self.sent(call, ahead + b"HTTP/1.1 200 OK\r\n" + coding + b"\r\n\r\n%x;a=b\r\n%s\r\n" % (len(line), line), step)
-                        self.until(lambda: self.gateway.follower.version == 9, "the list was not taken")
+                        self.sent(
+                            call,
+                            ahead
+                            + b"HTTP/1.1 200 OK\r\n"
+                            + coding
+                            + b"\r\n\r\n%x;a=b\r\n%s\r\n" % (len(line), line),
+                            step,
+                        )
+                        self.until(
+                            lambda: self.gateway.follower.version == 9,
+                            "the list was not taken",
+                        )
                         self.again()
 
 
@@ -124,7 +193,7 @@
         def step():
             nonlocal came, at, link
             with suppress(BlockingIOError):
-                at += one.send(request[at:at + 30_000])
+                at += one.send(request[at : at + 30_000])
             with suppress(BlockingIOError):
                 if link is None:
                     link = self.node.accept()[0]
@@ -132,6 +201,7 @@
                     self.sockets.append(link)
                 came += link.recv(1 << 20)
             return came.endswith(BEHIND)
+
         self.until(step, "not whole at the node")
         return came, link
 
@@ -141,9 +211,16 @@
                 with self.subTest(octets=octets, form=form):
                     self.again()
                     body = bytes(range(256)) * (octets // 256 + 1)
-                    body = body[:octets - len(BEHIND)] + BEHIND
+                    body = body[: octets - len(BEHIND)] + BEHIND
                     one = self.client()
-                    came, link = self.served(one, form(ask(method="PUT", name="put", body=body, Idempotency_Key="k")))
+                    came, link = self.served(
+                        one,
+                        form(
+                            ask(
+                                method="PUT", name="put", body=body, Idempotency_Key="k"
+                            )
+                        ),
+                    )
                     self.assertEqual(came.partition(b"\r\n\r\n")[2], body)
                     self.assertEqual(self.gateway.octets.held, 2 * octets)
                     link.sendall(ANSWERS[0])
@@ -154,30 +231,44 @@
         for whole in (True, False):
             one = self.client()
             body = b"x" * 300_000 + BEHIND
-            request = ask(TXN + whole, method="PUT", name="put", body=body, Idempotency_Key="k")
+            request = ask(
+                TXN + whole, method="PUT", name="put", body=body, Idempotency_Key="k"
+            )
             if whole:
                 self.served(one, request)
             else:
                 one.sendall(request[:150_000])
                 self.until(lambda: self.gateway.octets.held > 65_536, "not counted")
             one.close()
-            self.until(lambda: not self.gateway.clients.open and not self.gateway.host.live, "not left")
+            self.until(
+                lambda: not self.gateway.clients.open and not self.gateway.host.live,
+                "not left",
+            )
             self.assertEqual(self.gateway.octets.held, 0)
 
     def test_past_the_memory_a_long_request_is_turned_away_and_a_usual_one_served(self):
         self.gateway.octets.most = 700_000
         ones = [self.client() for _ in range(2)]
-        request = [ask(TXN + number, method="PUT", name="put", body=b"x" * 300_000 + BEHIND, Idempotency_Key="k")
-                   for number in range(2)]
+        request = [
+            ask(
+                TXN + number,
+                method="PUT",
+                name="put",
+                body=b"x" * 300_000 + BEHIND,
+                Idempotency_Key="k",
+            )
+            for number in range(2)
+        ]
         self.served(ones[0], request[0])
         said, at = b"", 0
 
         def refused():
             nonlocal said, at
             with suppress(OSError):
-                at += ones[1].send(request[1][at:at + 30_000])
+                at += ones[1].send(request[1][at : at + 30_000])
             said += self.got(ones[1])[0]
             return b"\r\n\r\n" in said
+
         self.until(refused, "no word")
         self.assertTrue(said.startswith(b"HTTP/1.1 503 "), said)
         usual = self.client(ask(TXN + 9))
@@ -185,7 +276,14 @@
         usual.close()
 
     def test_one_over_the_bound_is_refused(self):
-        one = self.client(ask(method="PUT", name="put", Content_Length=str(MOST_BODY + 1), Idempotency_Key="k"))
+        one = self.client(
+            ask(
+                method="PUT",
+                name="put",
+                Content_Length=str(MOST_BODY + 1),
+                Idempotency_Key="k",
+            )
+        )
         self.assertEqual(self.all_of(one)[0][:12], b"HTTP/1.1 413")
 
 
@@ -193,7 +291,10 @@
     def test_a_head_of_spaces_costs_as_little_as_any_other(self):
         """One octet at a time each look would go over all of it: one look must not cost the square of the head's length."""
         steps = []
-        for head in (b"GET / HTTP/1.1\r\nA" + b" " * 8000 + b"x", b"GET / HTTP/1.1\r\nA" + b"y" * 8000 + b"x"):
+        for head in (
+            b"GET / HTTP/1.1\r\nA" + b" " * 8000 + b"x",
+            b"GET / HTTP/1.1\r\nA" + b"y" * 8000 + b"x",
+        ):
             steps.append(min(self.seconds(head) for _ in range(5)))
         self.assertLess(steps[0], 20 * steps[1] + 0.01, steps)
 
--- a/tests/test_crossings_going.py
+++ b/tests/test_crossings_going.py
@@ -1,4 +1,5 @@
 """The instants in which the platform gateway ends something that is still owed: each crossing forced on loopback sockets."""
+
 import copy
 import json
 import os
@@ -25,7 +26,6 @@
 
 
 class Going(Loopback):
-
     def served(self, one, octets=2):
         """A client's request, answered by the node."""
         one.sendall(ask())
@@ -35,7 +35,9 @@
         self.terminate()
         self.to(at)
 
-    def test_what_a_resting_connection_holds_unread_at_the_shut_is_read_and_refused(self):
+    def test_what_a_resting_connection_holds_unread_at_the_shut_is_read_and_refused(
+        self,
+    ):
         one, other = self.client(), self.client()
         self.served(one)
         self.until(lambda: b"xx" in self.got(one)[0])
@@ -48,13 +50,24 @@
         other.sendall(ask(TXN + 2)[40:])
         for each in (one, other):
             data, how = self.all_of(each)
-            self.assertEqual((data.count(b"HTTP/1.1 "), data[:12], how), (1, b"HTTP/1.1 503", "ended"))
+            self.assertEqual(
+                (data.count(b"HTTP/1.1 "), data[:12], how),
+                (1, b"HTTP/1.1 503", "ended"),
+            )
             self.assertIn(b"Retry-After: 1.500\r\n", data)
             self.assertIn(b"Connection: close\r\n", data)
-        self.assertEqual(self.gateway.tally["dispatch", "1"] + self.gateway.tally["dispatch", "0"], 1)
+        self.assertEqual(
+            self.gateway.tally["dispatch", "1"] + self.gateway.tally["dispatch", "0"], 1
+        )
 
-    def test_half_a_request_at_the_end_is_refused_and_a_resting_client_sees_an_end(self):
-        half, resting, fresh = self.client(ask()[:60]), self.client(READY), self.client()
+    def test_half_a_request_at_the_end_is_refused_and_a_resting_client_sees_an_end(
+        self,
+    ):
+        half, resting, fresh = (
+            self.client(ask()[:60]),
+            self.client(READY),
+            self.client(),
+        )
         self.until(lambda: b" 200 " in self.got(resting)[0])
         self.leave(SHUT + 0.01)
         half_at = self.got(half)
@@ -62,12 +75,16 @@
         self.assertEqual(half_at, (b"", "open"))
         data, how = self.all_of(half)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
-        self.assertEqual((self.all_of(resting), self.all_of(fresh)), ((b"", "ended"),) * 2)
+        self.assertEqual(
+            (self.all_of(resting), self.all_of(fresh)), ((b"", "ended"),) * 2
+        )
         self.assertEqual(self.ended, [])  # they rest, and are heard out
         self.to(OVER)
         self.assertEqual(len(self.ended), 1)
 
-    def test_a_request_that_crosses_the_end_tears_no_former_answer_and_is_not_sent_on(self):
+    def test_a_request_that_crosses_the_end_tears_no_former_answer_and_is_not_sent_on(
+        self,
+    ):
         """Unread at the end of our side it is refused; behind it, it is thrown away, and its client sees an end."""
         for behind in (False, True):
             with self.subTest(behind=behind):
@@ -77,7 +94,7 @@
                 self.until(lambda: self.gateway.tally["answer", "satisfied"])
                 self.turn(20)
                 self.leave(DRAIN - 0.005)
-                for step in ((0.01, one) if behind else (one, 0.01)):
+                for step in (0.01, one) if behind else (one, 0.01):
                     if step is one:
                         one.sendall(ask(TXN + 1))
                         self.unread()
@@ -86,7 +103,10 @@
                     self.turn(2 if behind else 0)
                 self.turn()
                 data, how = self.all_of(one)
-                self.assertEqual((data.count(b"x"), data.count(b"HTTP/1.1 503"), how), (LONG, 0 if behind else 1, "ended"))
+                self.assertEqual(
+                    (data.count(b"x"), data.count(b"HTTP/1.1 503"), how),
+                    (LONG, 0 if behind else 1, "ended"),
+                )
                 self.assertEqual(self.gateway.tally["dispatch", "0"], 1)
 
     def test_what_a_slow_client_has_not_taken_keeps_the_process_until_its_bound(self):
@@ -102,9 +122,16 @@
                 self.assertEqual(self.ended, [])
                 taken = bytearray()
                 if takes:
-                    self.until(lambda: taken.extend(self.got(one)[0]) or taken.count(b"x") >= LONG, "the answer is torn")
+                    self.until(
+                        lambda: (
+                            taken.extend(self.got(one)[0]) or taken.count(b"x") >= LONG
+                        ),
+                        "the answer is torn",
+                    )
                     one.close()
-                    self.until(lambda: self.ended, "the process stays though nobody is left")
+                    self.until(
+                        lambda: self.ended, "the process stays though nobody is left"
+                    )
                 else:
                     self.to(OVER + 0.01)
                     self.assertEqual(len(self.ended), 1)
@@ -120,9 +147,18 @@
         self.assertEqual((data[:12], how), (b"HTTP/1.1 502", "ended"))
         self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
         self.assertEqual(self.gateway.host.live, {})
-        self.assertEqual(sum(count for (what, _), count in self.gateway.tally.items() if what == "answer"), 1)
+        self.assertEqual(
+            sum(
+                count
+                for (what, _), count in self.gateway.tally.items()
+                if what == "answer"
+            ),
+            1,
+        )
 
-    def test_requests_at_every_step_up_to_the_end_have_one_answer_or_were_never_read(self):
+    def test_requests_at_every_step_up_to_the_end_have_one_answer_or_were_never_read(
+        self,
+    ):
         for back in range(30, -1, -1):
             came = DRAIN + 0.01 - back * 0.005
             self.again()
@@ -138,8 +174,16 @@
                 self.to(OVER + 0.01)
                 data, how = self.all_of(one)
             crossed = came >= DRAIN - 0.0075
-            self.assertTrue(data.count(b"HTTP/1.1 ") == 1 or crossed and not data and how == "ended", (back, sent, data, how))
-            self.assertTrue(came < SHUT - 0.0075 or not self.gateway.tally["dispatch", "0"], back)
+            self.assertTrue(
+                data.count(b"HTTP/1.1 ") == 1
+                or crossed
+                and not data
+                and how == "ended",
+                (back, sent, data, how),
+            )
+            self.assertTrue(
+                came < SHUT - 0.0075 or not self.gateway.tally["dispatch", "0"], back
+            )
             self.assertEqual(len(self.ended), 0 if not sent else 1, back)
 
     def test_a_second_sigterm_and_a_sighup_move_nothing(self):
@@ -157,7 +201,13 @@
         self.gateway.terminate()
         self.gateway.reload(self.gateway.deployment)
         self.turn()
-        self.assertEqual((len(self.ended), self.gateway.follower.watch and self.gateway.follower.watch.over), (1, True))
+        self.assertEqual(
+            (
+                len(self.ended),
+                self.gateway.follower.watch and self.gateway.follower.watch.over,
+            ),
+            (1, True),
+        )
 
     def test_sigterm_at_once_ends_with_nobody_left_in_time(self):
         self.leave(OVER + 0.01)
@@ -190,15 +240,34 @@
 
     def run_with(self, lines, told=lambda process, folder: None, within=15):
         """Its status and log, once it has ended by itself; `told` is called once it listens."""
-        with socket.create_server(("127.0.0.1", 0)) as one, socket.create_server(("127.0.0.1", 0)) as other:
+        with (
+            socket.create_server(("127.0.0.1", 0)) as one,
+            socket.create_server(("127.0.0.1", 0)) as other,
+        ):
             door, discovery = one.getsockname()[1], other.getsockname()[1]
-        with tempfile.TemporaryDirectory() as folder, open(os.path.join(folder, "log"), "w+") as log:
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            open(os.path.join(folder, "log"), "w+") as log,
+        ):
             path = os.path.join(folder, "c.json")
             with open(path, "w") as file:
-                json.dump(GIVEN | {"listen": f"127.0.0.1:{door}", "discovery": f"127.0.0.1:{discovery}"}, file)
-            end = "from milletsill.platform import process\nsys.exit(process.main([]))\n"
-            with subprocess.Popen([sys.executable, "-c", "import os, signal, sys, time\n" + lines + end], stdout=log,
-                                  stderr=subprocess.STDOUT, env=os.environ | {"NODE_CONFIG": path, "FOLDER": folder}) as process:
+                json.dump(
+                    GIVEN
+                    | {
+                        "listen": f"127.0.0.1:{door}",
+                        "discovery": f"127.0.0.1:{discovery}",
+                    },
+                    file,
+                )
+            end = (
+                "from milletsill.platform import process\nsys.exit(process.main([]))\n"
+            )
+            with subprocess.Popen(
+                [sys.executable, "-c", "import os, signal, sys, time\n" + lines + end],
+                stdout=log,
+                stderr=subprocess.STDOUT,
+                env=os.environ | {"NODE_CONFIG": path, "FOLDER": folder},
+            ) as process:
                 try:
                     self.listening(process, log)
                     told(process, folder)
@@ -218,30 +287,46 @@
         self.fail("it does not listen")
 
     def test_signals_that_came_before_the_reactor_ran_are_heard_once_each(self):
-        status, log = self.run_with("from milletsill.platform.process import Signals\n"
-                                    "first = Signals.__init__\n"
-                                    "def begin(self):\n"
-                                    "    first(self)\n"
-                                    "    for each in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):\n"
-                                    "        os.kill(os.getpid(), each)\n"
-                                    "Signals.__init__ = begin\n")
-        heard = [log.count(f'"event": "{each}"') for each in ("leaving", "reloaded", "stopped")]
-        self.assertEqual((status, heard, "Traceback" in log), (0, [1, 1, 1], False), log)
+        status, log = self.run_with(
+            "from milletsill.platform.process import Signals\n"
+            "first = Signals.__init__\n"
+            "def begin(self):\n"
+            "    first(self)\n"
+            "    for each in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):\n"
+            "        os.kill(os.getpid(), each)\n"
+            "Signals.__init__ = begin\n"
+        )
+        heard = [
+            log.count(f'"event": "{each}"')
+            for each in ("leaving", "reloaded", "stopped")
+        ]
+        self.assertEqual(
+            (status, heard, "Traceback" in log), (0, [1, 1, 1], False), log
+        )
 
     def test_the_interpreters_own_end_is_not_waited_for(self):
         """It takes a tenth of a second of a core, and is counted on the span before the earliest kill."""
-        status, log = self.run_with("import atexit\natexit.register(time.sleep, 60)\n",
-                                    lambda process, folder: process.terminate())
-        self.assertEqual((status, log.count('"event": "stopped"'), log[-2:]), (0, 1, "}\n"), log)
+        status, log = self.run_with(
+            "import atexit\natexit.register(time.sleep, 60)\n",
+            lambda process, folder: process.terminate(),
+        )
+        self.assertEqual(
+            (status, log.count('"event": "stopped"'), log[-2:]), (0, 1, "}\n"), log
+        )
 
     def test_a_wall_clock_that_is_set_back_puts_no_end_off(self):
         """By a minute, right after SIGTERM."""
+
         def told(process, folder):
             process.send_signal(signal.SIGTERM)
             time.sleep(0.3)
             open(os.path.join(folder, "back"), "w").close()
-        status, log = self.run_with("wall, back = time.time, os.path.join(os.environ['FOLDER'], 'back')\n"
-                                    "time.time = lambda: wall() - 60 * os.path.exists(back)\n", told)
+
+        status, log = self.run_with(
+            "wall, back = time.time, os.path.join(os.environ['FOLDER'], 'back')\n"
+            "time.time = lambda: wall() - 60 * os.path.exists(back)\n",
+            told,
+        )
         self.assertEqual((status, "Traceback" in log), (0, False), log)
 
 
--- a/tests/test_crossings_hunt.py
+++ b/tests/test_crossings_hunt.py
@@ -1,4 +1,5 @@
 """The hunt of crossings: a whole gateway on a simulated clock under moves that chance draws, and that a guard's loss is found."""
+
 import unittest
 
 from tests.crossing_guards import FOUND_BY, without
@@ -38,7 +39,9 @@
             with self.subTest(name):
                 self.assertIsNone(game.play(seed, game.drawn(seed)), "kept with it")
                 with without(name):
-                    self.assertIsNotNone(game.play(seed, game.drawn(seed)), "not found without it")
+                    self.assertIsNotNone(
+                        game.play(seed, game.drawn(seed)), "not found without it"
+                    )
 
 
 if __name__ == "__main__":
--- a/tests/test_crossings_leavers.py
+++ b/tests/test_crossings_leavers.py
@@ -1,5 +1,6 @@
 """Clients that leave, take nothing or send what cannot be read, each at the instant in which something is still owed, on
 loopback sockets."""
+
 import socket
 import unittest
 
@@ -27,19 +28,31 @@
 
 
 class Leavers(Loopback):
-
     def sent_on(self):
-        return sum(count for (what, _), count in self.gateway.tally.items() if what == "dispatch")
+        return sum(
+            count
+            for (what, _), count in self.gateway.tally.items()
+            if what == "dispatch"
+        )
 
     def answers(self):
-        return {value: count for (what, value), count in self.gateway.tally.items() if what == "answer"}
+        return {
+            value: count
+            for (what, value), count in self.gateway.tally.items()
+            if what == "answer"
+        }
 
     def over(self, left=0):
         """Nobody is left, nothing is held, and nothing more is sent on."""
-        self.until(lambda: len(self.gateway.clients.open) == left, "the connection stands")
+        self.until(
+            lambda: len(self.gateway.clients.open) == left, "the connection stands"
+        )
         sent = self.sent_on()
         self.pass_time(1.2)
-        self.assertEqual((self.gateway.host.live, self.gateway.host.held, self.sent_on()), ({}, 0, sent))
+        self.assertEqual(
+            (self.gateway.host.live, self.gateway.host.held, self.sent_on()),
+            ({}, 0, sent),
+        )
 
     def stuck(self):
         """A client that takes nothing of its answer: one that does not fit into the system's buffers."""
@@ -57,16 +70,24 @@
                 for times in (1, 3):
                     with self.subTest(how=how, let_in=let_in, times=times):
                         self.again()
-                        one = self.client() if let_in else socket.create_connection(("127.0.0.1", self.door))
+                        one = (
+                            self.client()
+                            if let_in
+                            else socket.create_connection(("127.0.0.1", self.door))
+                        )
                         self.sockets.append(one)
-                        one.sendall(b"".join(ask(TXN + number) for number in range(times)))
+                        one.sendall(
+                            b"".join(ask(TXN + number) for number in range(times))
+                        )
                         leaves(one, how)
                         self.time += 0.5
                         self.turn(10)
                         self.assertEqual((self.sent_on(), self.answers()), (0, {}))
                         self.over()
 
-    def test_who_leaves_with_a_request_open_and_one_behind_it_has_both_given_up_at_once(self):
+    def test_who_leaves_with_a_request_open_and_one_behind_it_has_both_given_up_at_once(
+        self,
+    ):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
                 self.again()
@@ -77,13 +98,18 @@
                 leaves(one, how)
                 self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
                 self.over()
-                self.assertEqual((self.sent_on(), self.answers()), (1, {"abandoned": 1}))
+                self.assertEqual(
+                    (self.sent_on(), self.answers()), (1, {"abandoned": 1})
+                )
 
     def test_who_leaves_while_the_process_stands_still_has_no_further_dispatch(self):
         """The node's failure and the client's end are both unread, half a second later."""
         for how in ("close", "reset"):
-            for said in (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                         b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", b""):
+            for said in (
+                b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+                b"",
+            ):
                 with self.subTest(how=how, said=said):
                     self.again()
                     one = self.client(ask())
@@ -92,23 +118,35 @@
                     leaves(one, how)
                     self.time += 0.5
                     self.turn(10)
-                    self.assertEqual((self.sent_on(), self.answers()), (1, {"abandoned": 1}))
+                    self.assertEqual(
+                        (self.sent_on(), self.answers()), (1, {"abandoned": 1})
+                    )
                     self.over()
 
     def test_what_waits_for_a_node_is_not_sent_on_once_its_client_has_left(self):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
                 self.again()
-                one = self.client(ask(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1"))
+                one = self.client(
+                    ask(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
+                )
                 self.until(lambda: self.gateway.host.held, "not taken")
                 leaves(one, how)
                 self.turn(5)
-                place = NODE | {"id": "s-2", "cell": 2, "addr": "127.0.0.1:%d" % self.node.getsockname()[1]}
+                place = NODE | {
+                    "id": "s-2",
+                    "cell": 2,
+                    "addr": "127.0.0.1:%d" % self.node.getsockname()[1],
+                }
                 self.gateway.listed(News.CHANGES, [place_of(place, ["z"], 0)])
                 self.over()
-                self.assertEqual((self.sent_on(), self.answers()), (0, {"abandoned": 1}))
+                self.assertEqual(
+                    (self.sent_on(), self.answers()), (0, {"abandoned": 1})
+                )
 
-    def test_who_takes_nothing_and_leaves_is_noticed_and_what_is_behind_is_not_sent_on(self):
+    def test_who_takes_nothing_and_leaves_is_noticed_and_what_is_behind_is_not_sent_on(
+        self,
+    ):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
                 self.again()
@@ -121,12 +159,17 @@
                 self.assertIn(protocol.stage.name, ("ENDING", "CLOSED"))
                 self.pass_time(LINGER / 10_000 + 0.2)
                 self.over()
-                self.assertEqual((self.sent_on(), self.answers(), self.gateway.octets.held), (1, {"satisfied": 1}, 0))
+                self.assertEqual(
+                    (self.sent_on(), self.answers(), self.gateway.octets.held),
+                    (1, {"satisfied": 1}, 0),
+                )
 
     def test_who_takes_nothing_and_stays_does_not_stay_for_ever(self):
         one, protocol = self.stuck()
         self.pass_time(2 * IDLE / 10_000 + 0.5)
-        self.assertEqual((len(self.gateway.clients.open), self.gateway.octets.held), (0, 0))
+        self.assertEqual(
+            (len(self.gateway.clients.open), self.gateway.octets.held), (0, 0)
+        )
         self.assertEqual(self.got(one)[1], "reset")
 
     def test_a_last_answer_that_is_taken_slowly_comes_whole(self):
@@ -135,7 +178,9 @@
                 self.again()
                 one = self.client(ask(Connection="close"), window=4096)
                 protocol = self.server_side()
-                protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+                protocol.transport.socket.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
+                )
                 self.taken().sendall(answer(LONG))
                 self.until(lambda: protocol.stage.name == "ENDING", "not answered")
                 data = bytearray()
@@ -150,6 +195,7 @@
                     piece, how = self.got(one)
                     data.extend(piece)
                     return how != "open"
+
                 self.until(whole)
                 self.assertEqual(data.count(b"x"), LONG)
 
@@ -181,6 +227,7 @@
             piece, how = self.got(one)
             data.extend(piece)
             return how != "open"
+
         self.until(whole)
         self.assertEqual((data.count(b"x"), self.sent_on()), (LONG, 1))
 
@@ -209,9 +256,18 @@
 
     def test_what_is_read_beyond_a_request_as_it_is_taken_waits_for_its_answer(self):
         """The first fills one read of the socket to its last octet; the second comes with the look for the client's end."""
-        rest = 65_536 - len(ask(method="PUT", name="put", body=b"y" * 60_000, Idempotency_Key="k")) + 60_000
+        rest = (
+            65_536
+            - len(
+                ask(method="PUT", name="put", body=b"y" * 60_000, Idempotency_Key="k")
+            )
+            + 60_000
+        )
         one = self.client()
-        one.sendall(ask(method="PUT", name="put", body=b"y" * rest, Idempotency_Key="k") + ask(TXN + 1))
+        one.sendall(
+            ask(method="PUT", name="put", body=b"y" * rest, Idempotency_Key="k")
+            + ask(TXN + 1)
+        )
         link = self.taken()
         self.turn(5)
         self.assertEqual((self.sent_on(), self.gateway.host.held), (1, 1))
@@ -222,13 +278,19 @@
             nonlocal text
             text += self.got(link)[0]
             return b"X-Txn: %016x" % (TXN + 1) in text
+
         self.until(second)
         self.assertEqual(self.got(one)[0].count(b"HTTP/1.1 200"), 1)
 
     def test_hundreds_of_requests_answered_at_once_are_all_answered(self):
-        one = self.client(READY * 700)  # not one from within the other: deeper than Python bears
+        one = self.client(
+            READY * 700
+        )  # not one from within the other: deeper than Python bears
         data = bytearray()
-        self.until(lambda: data.extend(self.got(one)[0]) or data.count(b"HTTP/1.1 200") == 700, "not all")
+        self.until(
+            lambda: data.extend(self.got(one)[0]) or data.count(b"HTTP/1.1 200") == 700,
+            "not all",
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_crossings_links.py
+++ b/tests/test_crossings_links.py
@@ -1,5 +1,6 @@
 """Dispatches and their links on real sockets, in the instants in which something else ends: no wait decides, the test turns the
 reactor. Each node is a plain listening socket."""
+
 import socket
 import unittest
 
@@ -22,7 +23,15 @@
         self.loop = Loop()
         self.addCleanup(self.loop.close)
         self.ended, self.notes = [], []
-        self.fleet = Fleet(self.loop.reactor, self.loop.now, 16, Octets(64), 100_000, 300_000, lambda *values: self.notes.append(values))
+        self.fleet = Fleet(
+            self.loop.reactor,
+            self.loop.now,
+            16,
+            Octets(64),
+            100_000,
+            300_000,
+            lambda *values: self.notes.append(values),
+        )
         self.addCleanup(self.fleet.stop)
 
     def node(self):
@@ -39,7 +48,9 @@
             sock.close()
 
     def listed(self, port, **entry):
-        self.fleet.listed(False, [place_of(NODE | {"addr": f"127.0.0.1:{port}"} | entry, ["z"], 0)])
+        self.fleet.listed(
+            False, [place_of(NODE | {"addr": f"127.0.0.1:{port}"} | entry, ["z"], 0)]
+        )
 
     def carry(self, body=b"", left=50_000):
         number = len(self.ended)
@@ -48,8 +59,13 @@
         def ended(outcome, verdict):
             self.assertIsNone(self.ended[number], "ended twice")
             self.ended[number] = outcome if verdict is None else (outcome, verdict.body)
-        return self.fleet.carry(Cargo(b"PUT", b"/put", [(b"X-Txn", b"%d" % number)], body), number_of("s-1"),
-                                self.loop.now() + left, ended)
+
+        return self.fleet.carry(
+            Cargo(b"PUT", b"/put", [(b"X-Txn", b"%d" % number)], body),
+            number_of("s-1"),
+            self.loop.now() + left,
+            ended,
+        )
 
     def outcome(self, number=0):
         return self.loop.until(lambda: self.ended[number], "no end")
@@ -99,7 +115,9 @@
             self.listed(port)
             self.carry()  # the kernel has it up at once; the gateway has not looked yet
             self.listed(port, state=state)
-            self.assertIs(self.ended[-1], Outcome.MOOT, "told at once, to be placed elsewhere")
+            self.assertIs(
+                self.ended[-1], Outcome.MOOT, "told at once, to be placed elsewhere"
+            )
             self.silent(listener)
 
     def test_a_node_that_a_whole_list_leaves_out_gets_nothing(self):
@@ -144,7 +162,9 @@
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(new)))
         self.assertIn(receive(sock), (None, b""))
 
-    def test_an_idle_link_that_the_node_closes_under_a_dispatch_does_not_bring_it_to_a_node_that_drains(self):
+    def test_an_idle_link_that_the_node_closes_under_a_dispatch_does_not_bring_it_to_a_node_that_drains(
+        self,
+    ):
         listener, port = self.node()
         self.listed(port)
         sock = self.served(listener)
@@ -156,7 +176,9 @@
         self.assertIsNotNone(self.ended[1])
         self.silent(listener)
 
-    def test_an_idle_link_that_the_node_closes_costs_another_link_and_nothing_else(self):
+    def test_an_idle_link_that_the_node_closes_costs_another_link_and_nothing_else(
+        self,
+    ):
         listener, port = self.node()
         self.listed(port)
         self.served(listener).close()
@@ -173,7 +195,9 @@
         self.assertIs(self.outcome(), Outcome.UNREACHED)
         self.silent(listener)
 
-    def test_one_that_was_withdrawn_before_its_link_is_up_does_not_begin_and_the_next_takes_the_link(self):
+    def test_one_that_was_withdrawn_before_its_link_is_up_does_not_begin_and_the_next_takes_the_link(
+        self,
+    ):
         listener, port = self.node()
         self.listed(port)
         first = self.carry()
@@ -183,7 +207,10 @@
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
 
     def test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset(self):
-        for end, wanted in ((socket.socket.close, (Outcome.SATISFIED, b"all of it")), (reset, Outcome.RESET)):
+        for end, wanted in (
+            (socket.socket.close, (Outcome.SATISFIED, b"all of it")),
+            (reset, Outcome.RESET),
+        ):
             listener, port = self.node()
             self.listed(port)
             self.carry()
@@ -197,7 +224,12 @@
             self.assertEqual(self.outcome(len(self.ended) - 1), wanted)
 
     def test_half_an_answer_is_none_whichever_way_it_ends(self):
-        for half in (b"HTT", HEAD, HEAD + b"Content-Length: 5\r\n\r\nab", HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"):
+        for half in (
+            b"HTT",
+            HEAD,
+            HEAD + b"Content-Length: 5\r\n\r\nab",
+            HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+        ):
             for end in (socket.socket.close, reset):
                 listener, port = self.node()
                 self.listed(port)
@@ -223,6 +255,7 @@
             except (BlockingIOError, ConnectionError):
                 pass
             return self.ended[0]
+
         self.assertIs(self.loop.until(pour), Outcome.ERROR)
         self.assertEqual((self.fleet.octets.held, self.fleet.open), (0, 0))
 
@@ -244,7 +277,9 @@
         listener, port = self.node()
         self.listed(port)
         sock = self.served(listener)
-        sock.sendall(HEAD + b"Content-Length: 5\r\n\r\nwrong")  # unread when the next dispatch takes the link
+        sock.sendall(
+            HEAD + b"Content-Length: 5\r\n\r\nwrong"
+        )  # unread when the next dispatch takes the link
         self.carry()
         other = self.loop.accepted(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(other))
@@ -259,7 +294,10 @@
         self.carry(body=b"x" * (8 << 20))  # more than both kernels hold
         sock = self.loop.accepted(listener)
         self.loop.read(sock)
-        sock.sendall(HEAD.replace(b"200 OK", b"503 Full") + b"X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+        sock.sendall(
+            HEAD.replace(b"200 OK", b"503 Full")
+            + b"X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+        )
         self.assertEqual(self.outcome(), (Outcome.TURNED_AWAY, b""))
         self.loop.until(lambda: self.fleet.open == 0)
 
@@ -271,12 +309,16 @@
         here = [NODE | {"state": "left"}, *others]
         self.gateway.listed(News.CHANGES, [place_of(each, ["z"], 0) for each in here])
 
-    def test_a_dispatch_that_waits_at_a_node_that_is_replaced_goes_to_its_successor(self):
+    def test_a_dispatch_that_waits_at_a_node_that_is_replaced_goes_to_its_successor(
+        self,
+    ):
         successor = socket.create_server(("127.0.0.1", 0))
         self.sockets.append(successor)
         client = self.client(ask())
         self.until(lambda: self.gateway.tally["dial", ""])
-        self.goes(NODE | {"id": "s-2", "addr": "127.0.0.1:%d" % successor.getsockname()[1]})
+        self.goes(
+            NODE | {"id": "s-2", "addr": "127.0.0.1:%d" % successor.getsockname()[1]}
+        )
         first, self.node = self.node, successor
         link = self.taken()
         first.setblocking(False)
@@ -285,7 +327,9 @@
             self.assertIn(receive(sock), (None, b""), "a request went to what is gone")
             sock.close()
         link.sendall(WHOLE)
-        self.until(lambda: self.unread_by(client).endswith(b"hi"), "the client has no answer")
+        self.until(
+            lambda: self.unread_by(client).endswith(b"hi"), "the client has no answer"
+        )
 
     def test_a_node_that_goes_while_it_works_is_heard_out(self):
         client = self.client(ask())
@@ -293,7 +337,9 @@
         self.goes()
         self.pass_time(0.3)  # looks at what is over and forgets it
         link.sendall(WHOLE)
-        self.until(lambda: self.unread_by(client).endswith(b"hi"), "the client has no answer")
+        self.until(
+            lambda: self.unread_by(client).endswith(b"hi"), "the client has no answer"
+        )
         self.until(lambda: self.gateway.fleet.open == 0)
         self.pass_time(0.3)
         self.assertEqual(self.gateway.fleet.nodes, {})
@@ -308,7 +354,13 @@
 class Leaving(Loopback):
     """A whole gateway whose client leaves while its dispatch waits for a link; settings allow no cancel."""
 
-    changed = {"settings": SETTINGS | {"limits": SETTINGS["limits"] | {"cancel": False, "dial_timeout_ns": 10_000_000_000}}}
+    changed = {
+        "settings": SETTINGS
+        | {
+            "limits": SETTINGS["limits"]
+            | {"cancel": False, "dial_timeout_ns": 10_000_000_000}
+        }
+    }
 
     def dialled(self):
         return self.gateway.tally["dial", ""]
@@ -322,11 +374,15 @@
             self.assertIn(receive(sock), (None, b""), "a request went to it")
             sock.close()
 
-    def test_a_client_that_leaves_in_the_round_in_which_the_link_comes_up_is_not_served(self):
+    def test_a_client_that_leaves_in_the_round_in_which_the_link_comes_up_is_not_served(
+        self,
+    ):
         for number, leave in enumerate((socket.socket.close, reset)):
             client = self.client(ask(TXN + number))
             before = self.dialled()
-            self.until(lambda: self.dialled() > before)  # the next turn finds the link up and the client gone
+            self.until(
+                lambda: self.dialled() > before
+            )  # the next turn finds the link up and the client gone
             leave(client)
             self.untouched()
             self.assertEqual(self.gateway.host.held, 0)
@@ -336,7 +392,9 @@
         self.until(self.dialled)
         self.gateway.host.abandon(next(iter(self.gateway.host.live)))
         self.untouched()
-        self.assertEqual((self.gateway.tally["ended", "moot"], self.gateway.host.live), (1, {}))
+        self.assertEqual(
+            (self.gateway.tally["ended", "moot"], self.gateway.host.live), (1, {})
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -1,4 +1,5 @@
 """What crosses on the way to and from discovery, over real sockets: each crossing is brought about step by step."""
+
 import json
 import socket
 import unittest
@@ -10,7 +11,6 @@
 
 
 class Crossing(Held):
-
     def test_a_call_that_is_taken_and_never_answered_is_over_after_its_time(self):
         for answer in (b"", HEAD, HEAD + said(9)[:40]):
             self.told.clear()
@@ -27,24 +27,29 @@
         self.follower.ask()
         end, _ = self.taken()
         for place in range(len(HEAD)):
-            end.sendall(HEAD[place:place + 1])
+            end.sendall(HEAD[place : place + 1])
         self.until(lambda: self.follower.watch.answer.status)
         text = said(7, True)
         spent = 0
         while not self.failed():
             self.assertLess(spent, FIRST_WORD + 3 * LOOK)
-            end.sendall(text[spent // LOOK:spent // LOOK + 1])
+            end.sendall(text[spent // LOOK : spent // LOOK + 1])
             self.go(LOOK)
             spent += LOOK
         self.follower.ask()
         end, _ = self.taken()
         for place in range(len(HEAD + text)):
-            end.sendall((HEAD + text)[place:place + 1])
+            end.sendall((HEAD + text)[place : place + 1])
             self.turn()
         self.until(lambda: self.told[-1] == (News.WHOLE, "ready"))
 
     def test_an_indented_list_that_comes_in_pieces_and_one_that_stops_half_way(self):
-        text = json.dumps({"version": 9, "full": True, "servers": [NODE]}, indent=1).encode() + b"\n"
+        text = (
+            json.dumps(
+                {"version": 9, "full": True, "servers": [NODE]}, indent=1
+            ).encode()
+            + b"\n"
+        )
         for cut in range(1, len(text), 17):
             self.told.clear()
             self.follower.ask()
@@ -60,9 +65,15 @@
             self.reset(end)
             self.until(self.failed)
 
-    def test_a_list_without_a_line_end_is_told_at_once_and_what_is_no_whole_one_is_not(self):
+    def test_a_list_without_a_line_end_is_told_at_once_and_what_is_no_whole_one_is_not(
+        self,
+    ):
         for indent, version in ((None, 9), (1, 10)):
-            whole = {"version": version, "full": True, "servers": [NODE, NODE | {"id": "} ] }", "zone": "{"}]}
+            whole = {
+                "version": version,
+                "full": True,
+                "servers": [NODE, NODE | {"id": "} ] }", "zone": "{"}],
+            }
             text = json.dumps(whole, indent=indent).encode()
             self.told.clear()
             self.follower.ask()
@@ -70,31 +81,41 @@
             end.sendall(HEAD)
             for place in range(len(text)):
                 self.assertEqual(self.told, [], text[:place])
-                end.sendall(b"1\r\n%s\r\n" % text[place:place + 1])
+                end.sendall(b"1\r\n%s\r\n" % text[place : place + 1])
                 self.turn()
             self.until(lambda: self.told)
             self.go(2 * LOOK)
             end.sendall(BEAT)  # its line end
             end.sendall(said(version + 1, state="leaving"))
             self.until(lambda: len(self.told) > 1)
-            self.assertEqual(self.told, [(News.WHOLE, "ready", "ready"), (News.CHANGES, "draining")], indent)
+            self.assertEqual(
+                self.told,
+                [(News.WHOLE, "ready", "ready"), (News.CHANGES, "draining")],
+                indent,
+            )
             self.reset(end)
             self.until(self.failed)
 
-    def test_half_a_line_then_silence_on_a_watch_that_stands_opens_another_in_time(self):
+    def test_half_a_line_then_silence_on_a_watch_that_stands_opens_another_in_time(
+        self,
+    ):
         old = self.standing()
         old.sendall(said(8)[:40])
         self.until(lambda: self.follower.watch.answer.line)
         for place in range(OVERDUE[1] // LOOK + 2):  # and it drips
-            old.sendall(said(8)[40 + place:41 + place])
+            old.sendall(said(8)[40 + place : 41 + place])
             self.go(LOOK)
         end, asked = self.taken()
         end.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: len(self.told) == 2)
-        self.assertEqual((asked, self.told[-1], self.failed()), (7, (News.CHANGES, "draining"), 0))
+        self.assertEqual(
+            (asked, self.told[-1], self.failed()), (7, (News.CHANGES, "draining"), 0)
+        )
         self.assertLess(self.clock, TOLD - FIRST_WORD)
 
-    def test_a_reset_in_mid_line_tells_nothing_of_it_and_asks_from_the_version_held(self):
+    def test_a_reset_in_mid_line_tells_nothing_of_it_and_asks_from_the_version_held(
+        self,
+    ):
         end = self.standing()
         end.sendall(said(8)[:40])
         self.until(lambda: self.follower.watch.answer.line)
@@ -113,7 +134,10 @@
             end.sendall(HEAD + said(7, True) + said(8, state="leaving") + end_of_it)
             end.shutdown(socket.SHUT_WR)
             self.until(self.failed)
-            self.assertEqual(self.told, [(News.WHOLE, "ready"), (News.CHANGES, "draining"), (News.FAILED,)])
+            self.assertEqual(
+                self.told,
+                [(News.WHOLE, "ready"), (News.CHANGES, "draining"), (News.FAILED,)],
+            )
 
     def test_the_old_watch_speaks_in_the_moment_of_the_new_ones_first_line(self):
         for first in ("old", "new"):
@@ -121,13 +145,20 @@
             old = self.standing()
             self.go(OVERDUE[1] + 2 * LOOK)
             new, asked = self.taken()
-            lines = {"old": (old, said(8, state="leaving")), "new": (new, HEAD + said(8, state="leaving"))}
+            lines = {
+                "old": (old, said(8, state="leaving")),
+                "new": (new, HEAD + said(8, state="leaving")),
+            }
             for name in (first, "old" if first == "new" else "new"):
                 end, text = lines[name]
                 end.sendall(text)
             self.until(lambda: self.follower.old is None)
             self.turn(5)
-            self.assertEqual((asked, self.failed(), {each[1:] for each in self.told[1:]}), (7, 0, {("draining",)}), first)
+            self.assertEqual(
+                (asked, self.failed(), {each[1:] for each in self.told[1:]}),
+                (7, 0, {("draining",)}),
+                first,
+            )
             new.sendall(said(9))
             self.until(lambda: self.told[-1] == (News.CHANGES, "ready"))
 
@@ -140,10 +171,16 @@
         end, asked = self.taken()
         end.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: len(self.told) == 2)
-        self.assertEqual((asked, self.told[-1], self.failed()), (7, (News.CHANGES, "draining"), 0))
+        self.assertEqual(
+            (asked, self.told[-1], self.failed()), (7, (News.CHANGES, "draining"), 0)
+        )
 
     def test_sighup_while_a_call_is_under_way_and_its_answer_crosses(self):
-        for crosses, wanted in (("before the new call", 7), ("after it", 0), ("never", 0)):
+        for crosses, wanted in (
+            ("before the new call", 7),
+            ("after it", 0),
+            ("never", 0),
+        ):
             self.again()
             self.follower.ask()
             first, _ = self.taken()
@@ -160,9 +197,13 @@
             new.sendall(HEAD + said(8, True, state="leaving"))
             self.until(lambda: (News.WHOLE, "draining") in self.told)
             self.until(lambda: self.follower.old is None)
-            self.assertEqual((self.failed(), len(self.told)), (0, 2 - (crosses == "never")), crosses)
+            self.assertEqual(
+                (self.failed(), len(self.told)), (0, 2 - (crosses == "never")), crosses
+            )
 
-    def test_sighup_to_an_address_that_takes_the_call_and_never_answers_while_the_old_watch_beats_on(self):
+    def test_sighup_to_an_address_that_takes_the_call_and_never_answers_while_the_old_watch_beats_on(
+        self,
+    ):
         old = self.standing()
         there = self.discovery()
         self.follower.move(there.address)
--- a/tests/test_edge_decide.py
+++ b/tests/test_edge_decide.py
@@ -1,10 +1,42 @@
 """What the edge decides around the module: each test calls one function or reads one row."""
+
 import unittest
 
-from milletsill.edge.decide import (BY_DIRECTORY, FREE, HASHED, AnswerLog, Atlas, BadPath, Course, Door, Event, Knock,
-                                    Leg, Locations, Process, Reply, RouteRule, Spot, VolumePlace, admit, advance,
-                                    canonical, course_of, ends_at, first_leg, fullness, io_first, knock, page, pass_on,
-                                    reply_of, spot_of, spot_text, taken_since, told)
+from milletsill.edge.decide import (
+    BY_DIRECTORY,
+    FREE,
+    HASHED,
+    AnswerLog,
+    Atlas,
+    BadPath,
+    Course,
+    Door,
+    Event,
+    Knock,
+    Leg,
+    Locations,
+    Process,
+    Reply,
+    RouteRule,
+    Spot,
+    VolumePlace,
+    admit,
+    advance,
+    canonical,
+    course_of,
+    ends_at,
+    first_leg,
+    fullness,
+    io_first,
+    knock,
+    page,
+    pass_on,
+    reply_of,
+    spot_of,
+    spot_text,
+    taken_since,
+    told,
+)
 from milletsill.files import packets
 from milletsill.files.wire import Attrs
 
@@ -14,14 +46,22 @@
 
 
 def atlas(*volumes):
-    routes = [RouteRule(frozenset({"read"}), "", 9000, 2), RouteRule(frozenset({"read"}), "suva", 0, 1),
-              RouteRule(frozenset(), "", 0, 0)]
+    routes = [
+        RouteRule(frozenset({"read"}), "", 9000, 2),
+        RouteRule(frozenset({"read"}), "suva", 0, 1),
+        RouteRule(frozenset(), "", 0, 0),
+    ]
     return Atlas(volumes or (place(), place(2, "b", "/a/b")), routes, 4096, 8, 65536)
 
 
 class Paths(unittest.TestCase):
     def test_a_path_is_made_absolute_and_cannot_climb_out(self):
-        for given, made in (("", "/"), ("a//b/./c", "/a/b/c"), ("/../../a", "/a"), ("/a/b/../c/", "/a/c")):
+        for given, made in (
+            ("", "/"),
+            ("a//b/./c", "/a/b/c"),
+            ("/../../a", "/a"),
+            ("/a/b/../c/", "/a/c"),
+        ):
             self.assertEqual(canonical(given), made)
 
     def test_a_zero_byte_or_endless_path_is_refused(self):
@@ -30,19 +70,37 @@
                 canonical(bad)
 
     def test_the_volume_is_that_of_the_root_above(self):
-        self.assertEqual([getattr(atlas().volume(each), "name", None) for each in
-                          ("/suva", "/suva/x/y", "/suvarov", "/a", "/a/b/c")], ["suva", "suva", None, None, "b"])
+        self.assertEqual(
+            [
+                getattr(atlas().volume(each), "name", None)
+                for each in ("/suva", "/suva/x/y", "/suvarov", "/a", "/a/b/c")
+            ],
+            ["suva", "suva", None, None, "b"],
+        )
 
     def test_names_above_volumes(self):
-        self.assertEqual((atlas().above("/"), atlas().above("/a"), atlas().above("/suva")), (["a", "suva"], ["b"], []))
+        self.assertEqual(
+            (atlas().above("/"), atlas().above("/a"), atlas().above("/suva")),
+            (["a", "suva"], ["b"], []),
+        )
 
     def test_the_first_route_that_fits_gives_the_category(self):
         of = atlas()
-        self.assertEqual([of.category("read", place(), 9000), of.category("read", place(), 5),
-                          of.category("read", place(2, "b"), 5), of.category("write", place(), 9000)], [2, 1, 0, 0])
+        self.assertEqual(
+            [
+                of.category("read", place(), 9000),
+                of.category("read", place(), 5),
+                of.category("read", place(2, "b"), 5),
+                of.category("write", place(), 9000),
+            ],
+            [2, 1, 0, 0],
+        )
 
     def test_units_are_between_one_and_the_largest(self):
-        self.assertEqual([atlas().units("read", each) for each in (0, 1, 4096, 4097, 1 << 30)], [1, 1, 1, 2, 8])
+        self.assertEqual(
+            [atlas().units("read", each) for each in (0, 1, 4096, 4097, 1 << 30)],
+            [1, 1, 1, 2, 8],
+        )
 
     def test_a_command_that_moves_no_data_is_a_part_of_a_unit(self):
         self.assertEqual(atlas().units("look", 0), 0.5)
@@ -50,18 +108,27 @@
 
 class Homes(unittest.TestCase):
     def test_every_gateway_finds_the_same_home(self):
-        self.assertEqual(atlas().home(place(), "/suva/x"), atlas().home(place(cells=(2, 1, 0)), "/suva/x"))
+        self.assertEqual(
+            atlas().home(place(), "/suva/x"),
+            atlas().home(place(cells=(2, 1, 0)), "/suva/x"),
+        )
 
     def test_a_cell_that_leaves_moves_only_its_own_paths(self):
         of, paths = atlas(), [f"/suva/{each}" for each in range(500)]
         before = {each: of.home(place(), each) for each in paths}
         after = {each: of.home(place(cells=(0, 1)), each) for each in paths}
-        self.assertTrue(all(after[each] == before[each] for each in paths if before[each] != 2))
-        self.assertTrue(all(100 < list(before.values()).count(cell) < 240 for cell in (0, 1, 2)))
+        self.assertTrue(
+            all(after[each] == before[each] for each in paths if before[each] != 2)
+        )
+        self.assertTrue(
+            all(100 < list(before.values()).count(cell) < 240 for cell in (0, 1, 2))
+        )
 
     def test_by_directory_a_directorys_files_share_a_cell(self):
         volume = place(placement=BY_DIRECTORY, cells=range(9))
-        self.assertEqual(len({atlas().home(volume, f"/suva/day/{each}") for each in range(50)}), 1)
+        self.assertEqual(
+            len({atlas().home(volume, f"/suva/day/{each}") for each in range(50)}), 1
+        )
 
     def test_extents_differ_by_offset_and_are_never_none(self):
         of = atlas()
@@ -70,58 +137,104 @@
 
     def test_a_spot_comes_back_from_its_text(self):
         self.assertEqual(spot_of(spot_text(Spot(7, "#e.1.2:x"))), Spot(7, "#e.1.2:x"))
-        self.assertEqual([spot_of(each) for each in ("", "7", ":x", "7:", "x:y", "9" * 20 + ":x")], [None] * 6)
+        self.assertEqual(
+            [spot_of(each) for each in ("", "7", ":x", "7:", "x:y", "9" * 20 + ":x")],
+            [None] * 6,
+        )
 
     def test_remembered_places_are_bounded(self):
         held = Locations(2)
         for each in "abc":
             held.put(each, Spot(1, each))
-        self.assertEqual((held.get("a"), held.get("c"), len(held.held)), (None, Spot(1, "c"), 2))
+        self.assertEqual(
+            (held.get("a"), held.get("c"), len(held.held)), (None, Spot(1, "c"), 2)
+        )
 
 
 class Courses(unittest.TestCase):
     def test_how_commands_go(self):
         opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, Attrs())
-        for command, placement, course in ((opening, HASHED, Course.PLAIN), (opening, FREE, Course.MAKE),
-                                           (packets.Stat(1, "x"), FREE, Course.FOLLOW),
-                                           (packets.Remove(1, "x"), FREE, Course.REMOVE),
-                                           (packets.Rename(1, "x", "y"), FREE, Course.RENAME),
-                                           (packets.Rmdir(1, "x"), HASHED, Course.SWEEP),
-                                           (packets.Readdir(1, b"h"), FREE, Course.LIST)):
+        for command, placement, course in (
+            (opening, HASHED, Course.PLAIN),
+            (opening, FREE, Course.MAKE),
+            (packets.Stat(1, "x"), FREE, Course.FOLLOW),
+            (packets.Remove(1, "x"), FREE, Course.REMOVE),
+            (packets.Rename(1, "x", "y"), FREE, Course.RENAME),
+            (packets.Rmdir(1, "x"), HASHED, Course.SWEEP),
+            (packets.Readdir(1, b"h"), FREE, Course.LIST),
+        ):
             self.assertEqual(course_of(command, placement, 3)[0], course)
 
     def test_a_new_object_is_looked_for_placed_and_linked(self):
-        self.assertEqual(advance(Course.MAKE, Leg.HOME, Reply.MISSING, 1), (Leg.PLACING, ""))
-        self.assertEqual(advance(Course.MAKE, Leg.PLACING, Reply.FINE, 2), (Leg.LINKING, "keep"))
-        self.assertEqual(advance(Course.MAKE, Leg.LINKING, Reply.FINE, 3), (Leg.OVER, "made"))
+        self.assertEqual(
+            advance(Course.MAKE, Leg.HOME, Reply.MISSING, 1), (Leg.PLACING, "")
+        )
+        self.assertEqual(
+            advance(Course.MAKE, Leg.PLACING, Reply.FINE, 2), (Leg.LINKING, "keep")
+        )
+        self.assertEqual(
+            advance(Course.MAKE, Leg.LINKING, Reply.FINE, 3), (Leg.OVER, "made")
+        )
 
     def test_who_loses_a_race_for_a_name_follows_the_winner(self):
-        self.assertEqual(advance(Course.MAKE, Leg.LINKING, Reply.MOVED, 3), (Leg.THERE, "follow"))
+        self.assertEqual(
+            advance(Course.MAKE, Leg.LINKING, Reply.MOVED, 3), (Leg.THERE, "follow")
+        )
 
     def test_an_old_memory_of_a_place_leads_home_not_to_a_wrong_answer(self):
-        self.assertEqual(advance(Course.FOLLOW, Leg.THERE, Reply.MISSING, 1), (Leg.HOME, "forget"))
+        self.assertEqual(
+            advance(Course.FOLLOW, Leg.THERE, Reply.MISSING, 1), (Leg.HOME, "forget")
+        )
 
     def test_links_in_a_circle_end(self):
-        self.assertEqual(advance(Course.FOLLOW, Leg.HOME, Reply.MOVED, 6), (Leg.OVER, "tangled"))
+        self.assertEqual(
+            advance(Course.FOLLOW, Leg.HOME, Reply.MOVED, 6), (Leg.OVER, "tangled")
+        )
 
     def test_a_rename_never_covers_a_name_that_stands(self):
-        self.assertEqual(advance(Course.RENAME, Leg.MOVING, Reply.MOVED, 2), (Leg.OVER, "taken"))
+        self.assertEqual(
+            advance(Course.RENAME, Leg.MOVING, Reply.MOVED, 2), (Leg.OVER, "taken")
+        )
 
     def test_a_decline_after_something_was_done_is_an_abort(self):
-        self.assertEqual([told(Reply.DECLINED, each) for each in (False, True)], [Reply.DECLINED, Reply.ABORTED])
+        self.assertEqual(
+            [told(Reply.DECLINED, each) for each in (False, True)],
+            [Reply.DECLINED, Reply.ABORTED],
+        )
 
     def test_memory_spares_the_look_at_home_but_not_for_changes_of_the_link(self):
         spot = Spot(1, "x")
-        self.assertEqual([first_leg(course, Leg.HOME, spot) for course in (Course.FOLLOW, Course.MAKE, Course.REMOVE)],
-                         [Leg.THERE, Leg.THERE, Leg.HOME])
+        self.assertEqual(
+            [
+                first_leg(course, Leg.HOME, spot)
+                for course in (Course.FOLLOW, Course.MAKE, Course.REMOVE)
+            ],
+            [Leg.THERE, Leg.THERE, Leg.HOME],
+        )
 
     def test_what_a_box_answers(self):
-        self.assertEqual([reply_of(*each) for each in ((True, 0), (False, None), (False, 1), (False, 2), (False, 4))],
-                         [Reply.MOVED, Reply.FINE, Reply.FINE, Reply.MISSING, Reply.BAD])
+        self.assertEqual(
+            [
+                reply_of(*each)
+                for each in (
+                    (True, 0),
+                    (False, None),
+                    (False, 1),
+                    (False, 2),
+                    (False, 4),
+                )
+            ],
+            [Reply.MOVED, Reply.FINE, Reply.FINE, Reply.MISSING, Reply.BAD],
+        )
 
     def test_a_page_without_names_is_never_given_before_the_end(self):
-        self.assertEqual([page(*each) for each in ((3, False, 0), (0, False, 0), (0, True, 2), (0, True, 0))],
-                         ["answer", "again", "next", "end"])
+        self.assertEqual(
+            [
+                page(*each)
+                for each in ((3, False, 0), (0, False, 0), (0, True, 2), (0, True, 0))
+            ],
+            ["answer", "again", "next", "end"],
+        )
 
 
 class Doors(unittest.TestCase):
@@ -130,9 +243,15 @@
         self.assertEqual(knock(Door.OPEN, Knock.INIT), (Door.CLOSED, "cut"))
 
     def test_a_full_connection_is_read_again_at_half(self):
-        self.assertEqual([fullness(Door.OPEN, 64, False, 64), fullness(Door.FULL, 33, False, 64),
-                          fullness(Door.FULL, 32, False, 64), fullness(Door.FULL, 0, True, 64)],
-                         [Knock.FULL, None, Knock.ROOM, None])
+        self.assertEqual(
+            [
+                fullness(Door.OPEN, 64, False, 64),
+                fullness(Door.FULL, 33, False, 64),
+                fullness(Door.FULL, 32, False, 64),
+                fullness(Door.FULL, 0, True, 64),
+            ],
+            [Knock.FULL, None, Knock.ROOM, None],
+        )
 
     def test_a_client_that_does_not_read_is_paused_then_cut(self):
         self.assertEqual(fullness(Door.OPEN, 0, True, 64), Knock.FULL)
@@ -145,28 +264,53 @@
 
 class Processes(unittest.TestCase):
     def test_term_drains_and_stops_when_empty_or_overdue_or_told_twice(self):
-        self.assertEqual(pass_on(Process.SERVING, Event.TERM), (Process.DRAINING, "drain"))
+        self.assertEqual(
+            pass_on(Process.SERVING, Event.TERM), (Process.DRAINING, "drain")
+        )
         for event in (Event.EMPTY, Event.OVERDUE, Event.TERM):
-            self.assertEqual(pass_on(Process.DRAINING, event), (Process.STOPPED, "stop"))
+            self.assertEqual(
+                pass_on(Process.DRAINING, event), (Process.STOPPED, "stop")
+            )
 
     def test_what_is_not_taken(self):
-        self.assertEqual([bool(admit(*each)) for each in (
-            (Process.SERVING, 0, 5, 9), (Process.DRAINING, 0, 5, 9), (Process.SERVING, 5, 5, 9),
-            (Process.SERVING, 0, 5, 0))], [False, True, True, True])
+        self.assertEqual(
+            [
+                bool(admit(*each))
+                for each in (
+                    (Process.SERVING, 0, 5, 9),
+                    (Process.DRAINING, 0, 5, 9),
+                    (Process.SERVING, 5, 5, 9),
+                    (Process.SERVING, 0, 5, 0),
+                )
+            ],
+            [False, True, True, True],
+        )
 
     def test_the_lesser_patience_counts_less_the_margin(self):
-        self.assertEqual([ends_at(0, 100, each, 5) for each in (0, 50, 900)], [95, 45, 95])
+        self.assertEqual(
+            [ends_at(0, 100, each, 5) for each in (0, 50, 900)], [95, 45, 95]
+        )
 
     def test_after_a_stall_sockets_go_before_timeouts_once(self):
-        self.assertEqual([io_first(*each) for each in ((20_000, False), (20_000, True), (10, False))],
-                         [True, False, False])
+        self.assertEqual(
+            [
+                io_first(*each)
+                for each in ((20_000, False), (20_000, True), (10, False))
+            ],
+            [True, False, False],
+        )
 
     def test_what_is_read_after_a_stall_may_be_as_old_as_the_last_beat(self):
-        self.assertEqual([taken_since(1500, 1490, 990), taken_since(9000, 1490, 990)], [None, 990])
+        self.assertEqual(
+            [taken_since(1500, 1490, 990), taken_since(9000, 1490, 990)], [None, 990]
+        )
 
     def test_answers_are_logged_at_a_bounded_rate_and_the_rest_counted(self):
         log = AnswerLog(2)
-        self.assertEqual([log.take(0), log.take(0), log.take(0), log.take(0), log.take(10_000)], [0, 0, None, None, 2])
+        self.assertEqual(
+            [log.take(0), log.take(0), log.take(0), log.take(0), log.take(10_000)],
+            [0, 0, None, None, 2],
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,5 @@
 """The whole path on loopback, client to boxes and back, and the failures that it exists for."""
+
 import time
 
 from twisted.conch.ssh.filetransfer import FileTransferClient, SFTPError
@@ -12,7 +13,9 @@
 
 
 def declined(answer):
-    return isinstance(answer, packets.Status) and answer.language.startswith("x-declined-")
+    return isinstance(answer, packets.Status) and answer.language.startswith(
+        "x-declined-"
+    )
 
 
 def aborted(answer):
@@ -30,11 +33,18 @@
             data = pattern(20_000)
             handle = await first.open(path)
             for at in range(0, len(data), 8192):
-                answer = await first.command(packets.Write(0, handle, at, data[at:at + 8192]))
+                answer = await first.command(
+                    packets.Write(0, handle, at, data[at : at + 8192])
+                )
                 self.assertEqual(answer.code, packets.OK, answer)
             handle = await second.open(path, packets.READ_FLAG)
             read = b""
-            while isinstance(answer := await second.command(packets.Read(0, handle, len(read), 8192)), packets.Data):
+            while isinstance(
+                answer := await second.command(
+                    packets.Read(0, handle, len(read), 8192)
+                ),
+                packets.Data,
+            ):
                 read += answer.data
             self.assertEqual((read == data, answer.code), (True, packets.EOF))
 
@@ -43,15 +53,21 @@
         client = await rig.client(await rig.edge(most_handles=50))
         for number in range(12):
             await client.open(f"/f/{number}")
-        held = [sum(name.startswith("#") for name in box.files.data) for box in rig.boxes]
-        self.assertEqual((sum(held), sum(len(box.files.links) for box in rig.boxes)), (12, 12))
+        held = [
+            sum(name.startswith("#") for name in box.files.data) for box in rig.boxes
+        ]
+        self.assertEqual(
+            (sum(held), sum(len(box.files.links) for box in rig.boxes)), (12, 12)
+        )
 
     async def test_an_independent_client_does_its_commands(self):
         rig = Rig(self)
         edge = await rig.edge()
         client = FileTransferClient()
         port = edge.ports[0].getHost().port
-        await TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(protocol.Factory.forProtocol(lambda: client))
+        await TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(
+            protocol.Factory.forProtocol(lambda: client)
+        )
         self.addCleanup(client.transport.abortConnection)
         await later(0.1)
         file = await client.openFile(b"/f/conch", 2 | 8 | 1, {})
@@ -82,17 +98,28 @@
             await client.open(f"/h/sub/{number}")
         handle = (await client.command(packets.Opendir(0, "/h"))).handle
         names = []
-        while isinstance(answer := await client.command(packets.Readdir(0, handle)), packets.Names):
+        while isinstance(
+            answer := await client.command(packets.Readdir(0, handle)), packets.Names
+        ):
             names += [each.filename for each in answer.names]
-        self.assertEqual(sorted(names), sorted([str(each) for each in range(30)] + ["sub"]))
+        self.assertEqual(
+            sorted(names), sorted([str(each) for each in range(30)] + ["sub"])
+        )
         root = (await client.command(packets.Opendir(0, "/"))).handle
-        self.assertEqual([each.filename for each in (await client.command(packets.Readdir(0, root))).names],
-                         ["d", "f", "h"])
+        self.assertEqual(
+            [
+                each.filename
+                for each in (await client.command(packets.Readdir(0, root))).names
+            ],
+            ["d", "f", "h"],
+        )
 
     async def test_two_gateways_that_make_the_same_name_end_with_one_object(self):
         rig = Rig(self)
         clients = [await rig.client(await rig.edge(f"edge-{each}")) for each in "ab"]
-        handles = await defer.gatherResults([defer.ensureDeferred(each.open("/f/same")) for each in clients])
+        handles = await defer.gatherResults(
+            [defer.ensureDeferred(each.open("/f/same")) for each in clients]
+        )
         await clients[0].command(packets.Write(0, handles[0], 0, b"one"))
         answer = await clients[1].command(packets.Read(0, handles[1], 0, 10))
         self.assertEqual(answer.data, b"one")
@@ -106,9 +133,16 @@
         self.assertEqual(extensions.read_limits(answer)[1:], (32768, 32768, 6))
         await client.command(packets.Close(0, answers[0].handle))
         handle = await client.open("/h/x")
-        self.assertEqual((await client.command(packets.Write(0, handle, 0, bytes(32769)))).code, packets.FAILURE)
-        self.assertEqual((await client.command(extensions.put_fsync(0, handle))).code, packets.OK)
-        self.assertEqual((await client.command(packets.Extended(0, "x@y"))).code, packets.UNSUPPORTED)
+        self.assertEqual(
+            (await client.command(packets.Write(0, handle, 0, bytes(32769)))).code,
+            packets.FAILURE,
+        )
+        self.assertEqual(
+            (await client.command(extensions.put_fsync(0, handle))).code, packets.OK
+        )
+        self.assertEqual(
+            (await client.command(packets.Extended(0, "x@y"))).code, packets.UNSUPPORTED
+        )
 
 
 class Failures(TestCase):
@@ -121,7 +155,9 @@
         for box in rig.boxes:
             box.vanish()
         began = time.monotonic()
-        answer = await client.command(packets.Read(0, handle, 0, 10), Terms(400, 0, "m"))
+        answer = await client.command(
+            packets.Read(0, handle, 0, 10), Terms(400, 0, "m")
+        )
         self.assertTrue(declined(answer), answer)
         self.assertLess(time.monotonic() - began, 0.4)
         await later(0.3)
@@ -133,7 +169,9 @@
         handle = await client.open("/h/x")
         for box in rig.boxes:
             box.vanish()
-        answer = await client.command(packets.Write(0, handle, 0, b"x"), Terms(400, 0, "m"))
+        answer = await client.command(
+            packets.Write(0, handle, 0, b"x"), Terms(400, 0, "m")
+        )
         self.assertTrue(aborted(answer), answer)
 
     async def test_an_answer_after_the_dispatch_was_given_up_is_dropped(self):
@@ -144,10 +182,15 @@
         for box in rig.boxes:
             box.kind.cancel = "none"
             box.speed.still_until = time.monotonic() + 0.5
-        answer = await client.command(packets.Read(0, handle, 0, 10), Terms(250, 0, "m"))
+        answer = await client.command(
+            packets.Read(0, handle, 0, 10), Terms(250, 0, "m")
+        )
         self.assertTrue(declined(answer), answer)
         await later(0.6)
-        self.assertEqual((len(edge.host.live), sum(each.id == answer.id for each in client.answers)), (0, 1))
+        self.assertEqual(
+            (len(edge.host.live), sum(each.id == answer.id for each in client.answers)),
+            (0, 1),
+        )
 
     async def test_a_client_that_leaves_is_forgotten(self):
         rig = Rig(self)
@@ -180,7 +223,9 @@
         bad, good = await rig.client(edge), await rig.client(edge)
         bad.transport.write(b"\xff\xff\xff\xff" + bytes(100))
         await bad.lost
-        self.assertEqual((await good.command(packets.Stat(0, "/h"))).attrs.mode, 0o040755)
+        self.assertEqual(
+            (await good.command(packets.Stat(0, "/h"))).attrs.mode, 0o040755
+        )
 
     async def test_a_malformed_packet_loses_nothing_else(self):
         rig = Rig(self)
@@ -188,9 +233,13 @@
         client.transport.write(b"\0\0\0\x06\x05\0\0\0\x09\x01")  # READ cut short
         client.transport.write(b"\0\0\0\x05\x63\0\0\0\x08")  # a kind that there is not
         await later(0.1)
-        self.assertEqual([(each.id, each.code) for each in client.answers],
-                         [(9, packets.BAD_MESSAGE), (8, packets.UNSUPPORTED)])
-        self.assertIsInstance(await client.command(packets.Realpath(0, ".")), packets.Names)
+        self.assertEqual(
+            [(each.id, each.code) for each in client.answers],
+            [(9, packets.BAD_MESSAGE), (8, packets.UNSUPPORTED)],
+        )
+        self.assertIsInstance(
+            await client.command(packets.Realpath(0, ".")), packets.Names
+        )
 
     async def test_a_client_that_never_reads_is_bounded_and_cut(self):
         rig = Rig(self)
@@ -201,17 +250,25 @@
         client.transport.pauseProducing()
         for _ in range(4000):
             client.ids += 1
-            client.transport.write(packets.encode(packets.Read(client.ids, handle, 0, 32768)))
+            client.transport.write(
+                packets.encode(packets.Read(client.ids, handle, 0, 32768))
+            )
         most = 0
-        for _ in range(100):  # a busy machine needs more than the 2 s that it takes alone
+        for _ in range(
+            100
+        ):  # a busy machine needs more than the 2 s that it takes alone
             await later(0.1)
             await other.command(packets.Stat(0, "/h"))
-            most = max([most, edge.host.held] + [len(each.out) for each in edge.clients])
+            most = max(
+                [most, edge.host.held] + [len(each.out) for each in edge.clients]
+            )
             if len(edge.clients) == 1:
                 break
         self.assertLessEqual(most, 8)
         self.assertEqual(len(edge.clients), 1)
-        self.assertIsInstance(await other.command(packets.Stat(0, "/h")), packets.AttrsAnswer)
+        self.assertIsInstance(
+            await other.command(packets.Stat(0, "/h")), packets.AttrsAnswer
+        )
 
     async def test_a_registry_that_is_away_at_the_start_is_asked_again(self):
         rig = Rig(self)
@@ -222,7 +279,9 @@
         self.assertTrue(declined(answer), answer)
         rig.registry.set_away(False)
         await later(1.2)
-        self.assertEqual((await client.command(packets.Stat(0, "/h/x"))).code, packets.NO_SUCH_FILE)
+        self.assertEqual(
+            (await client.command(packets.Stat(0, "/h/x"))).code, packets.NO_SUCH_FILE
+        )
 
     async def test_a_restarted_gateway_has_its_last_list_with_the_registry_away(self):
         rig = Rig(self)
@@ -234,7 +293,9 @@
         second = await rig.edge()
         self.assertEqual(second.incarnation, first.incarnation + 1)
         client = await rig.client(second)
-        self.assertIsInstance(await client.command(packets.Stat(0, "/h/x")), packets.AttrsAnswer)
+        self.assertIsInstance(
+            await client.command(packets.Stat(0, "/h/x")), packets.AttrsAnswer
+        )
 
     async def test_a_drain_told_is_a_drain_kept(self):
         rig = Rig(self)
@@ -276,7 +337,9 @@
         self.assertEqual((len(answers), edge.host.held), (8, 0))
         self.assertEqual(len({each.id for each in answers}), 8)
         ends = time.monotonic() + 8
-        while not isinstance(answer := await client.command(packets.Read(0, handle, 0, 4)), packets.Data):
+        while not isinstance(
+            answer := await client.command(packets.Read(0, handle, 0, 4)), packets.Data
+        ):
             self.assertLess(time.monotonic(), ends, answer)
             await later(0.2)
 
@@ -287,7 +350,9 @@
         handle = await client.open("/h/x")
         for box in rig.boxes:
             box.vanish()
-        asking = extensions.put_terms(Terms(900, 0, "m"), packets.Read(99, handle, 0, 4))
+        asking = extensions.put_terms(
+            Terms(900, 0, "m"), packets.Read(99, handle, 0, 4)
+        )
         client.transport.socket.send(packets.encode(asking))
         began = time.monotonic()
         time.sleep(0.6)
@@ -295,7 +360,9 @@
             await later(0.005)
         self.assertLess(time.monotonic() - began, 0.9)
 
-    async def test_patience_runs_where_the_process_stood_before_it_read_what_was_ready(self):
+    async def test_patience_runs_where_the_process_stood_before_it_read_what_was_ready(
+        self,
+    ):
         rig = Rig(self)
         edge = await rig.edge()
         client = await rig.client(edge)
@@ -323,7 +390,9 @@
         edge.terminate()
         late = client.command(packets.Stat(0, "/h/x"))
         answers = await defer.gatherResults(going)
-        self.assertTrue(all(isinstance(each, (packets.Data, packets.Status)) for each in answers))
+        self.assertTrue(
+            all(isinstance(each, (packets.Data, packets.Status)) for each in answers)
+        )
         await ended
         self.assertEqual(edge.process.name, "STOPPED")
         self.assertTrue(not late.called or declined(late.result))
@@ -336,7 +405,9 @@
             rig.tell(rig.boxes[0])
             await later(0.7)
         client = await rig.client(edge)
-        self.assertEqual((await client.command(packets.Stat(0, "/h/x"))).code, packets.NO_SUCH_FILE)
+        self.assertEqual(
+            (await client.command(packets.Stat(0, "/h/x"))).code, packets.NO_SUCH_FILE
+        )
         self.assertEqual(rig.log.getvalue().count("cannot be kept"), 1)
 
     async def test_a_watch_that_is_compacted_asks_for_the_whole_list(self):
@@ -347,15 +418,18 @@
         rig.registry.compact()
         rig.registry.set_away(False)
         await later(1.5)
-        self.assertEqual((sorted(edge.pools), edge.follower.stage.name), ([0, 1], "WATCHING"))
+        self.assertEqual(
+            (sorted(edge.pools), edge.follower.stage.name), ([0, 1], "WATCHING")
+        )
 
     async def test_plain_metrics_tell_answers(self):
         rig = Rig(self)
         edge = await rig.edge()
         client = await rig.client(edge)
         await client.command(packets.Stat(0, "/h/x"))
-        value = edge.figures.registry.get_sample_value("milletsill_answers_total",
-                                                       {"category": "read", "final": "satisfied"})
+        value = edge.figures.registry.get_sample_value(
+            "milletsill_answers_total", {"category": "read", "final": "satisfied"}
+        )
         self.assertEqual(value, 1.0)
 
     async def test_a_reload_takes_volumes_and_refuses_plans(self):
@@ -366,11 +440,11 @@
         file.volume.add(name="new", root="/new", plan="p", cell=[1])
         edge.reload(file)
         client = await rig.client(edge)
-        self.assertIsInstance(await client.command(packets.Stat(0, "/new")), packets.AttrsAnswer)
+        self.assertIsInstance(
+            await client.command(packets.Stat(0, "/new")), packets.AttrsAnswer
+        )
         other = type(file)()
         other.CopyFrom(file)
         other.plan[0].usual_rate = 1
         edge.reload(other)
         self.assertIs(edge.file, file)
-
-
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,5 @@
 """The family of errors: none without a remedy, none missing in the operators' page, none outside of the family."""
+
 import ast
 import re
 import unittest
@@ -16,7 +17,11 @@
 def told(page: str) -> dict[str, str]:
     """The rows of the page's table by the name that stands first."""
     part = page.split("## Errors by name", 1)[1].split("\n## ", 1)[0]
-    return {found[1]: line.strip() for line in part.splitlines() if (found := re.match(r"\| `(\w+)` \|", line))}
+    return {
+        found[1]: line.strip()
+        for line in part.splitlines()
+        if (found := re.match(r"\| `(\w+)` \|", line))
+    }
 
 
 class Family(unittest.TestCase):
@@ -34,50 +39,96 @@
                 self.assertNotIn("\n", types[0].remedy)
                 self.assertTrue((types[0].__dict__.get("__doc__") or "").strip())
 
-    def test_each_type_stands_in_the_operators_page_with_its_remedy_and_no_other_does(self):
+    def test_each_type_stands_in_the_operators_page_with_its_remedy_and_no_other_does(
+        self,
+    ):
         self.assertEqual(sorted(self.rows), sorted(self.known))
         for name, types in self.known.items():
             with self.subTest(name):
                 self.assertEqual(self.rows[name], row(types[0]))
 
-    def test_no_error_of_the_program_is_outside_of_the_family_and_none_raised_has_no_remedy(self):
-        names = {"Exception", "BaseException", "ValueError", "RuntimeError", "OSError", "KeyError", "TypeError"}
+    def test_no_error_of_the_program_is_outside_of_the_family_and_none_raised_has_no_remedy(
+        self,
+    ):
+        names = {
+            "Exception",
+            "BaseException",
+            "ValueError",
+            "RuntimeError",
+            "OSError",
+            "KeyError",
+            "TypeError",
+        }
         for path in sorted((ROOT / "milletsill").rglob("*.py")):
             for node in ast.walk(ast.parse(path.read_text("utf-8"))):
-                if isinstance(node, ast.Raise) and isinstance(node.exc, ast.Call) and isinstance(node.exc.func, ast.Name):
+                if (
+                    isinstance(node, ast.Raise)
+                    and isinstance(node.exc, ast.Call)
+                    and isinstance(node.exc.func, ast.Name)
+                ):
                     self.assertNotIn(node.exc.func.id, {"Fault", "ChannelFault"}, path)
                 if isinstance(node, ast.ClassDef) and node.name != "Fault":
-                    bases = {each.id for each in node.bases if isinstance(each, ast.Name)}
+                    bases = {
+                        each.id for each in node.bases if isinstance(each, ast.Name)
+                    }
                     self.assertEqual(bases & names, set(), f"{path}: {node.name}")
 
     def test_each_of_the_four_kinds_has_types_below_it(self):
         for kind in (Malformed, Refused, Unfit, Unkept):
-            self.assertGreater(len([each for types in self.known.values() for each in types if kind in each.__mro__]), 2, kind)
+            self.assertGreater(
+                len(
+                    [
+                        each
+                        for types in self.known.values()
+                        for each in types
+                        if kind in each.__mro__
+                    ]
+                ),
+                2,
+                kind,
+            )
 
 
 class Said(unittest.TestCase):
     def test_a_line_carries_what_where_and_what_to_do(self):
         one = Unkept("no space left", "/state/boxes.json")
-        self.assertEqual(one.said(), {"error": "Unkept", "what": "no space left", "where": "/state/boxes.json",
-                                      "remedy": Unkept.remedy})
-        self.assertEqual(one.line(), f"/state/boxes.json: no space left ({Unkept.remedy})")
+        self.assertEqual(
+            one.said(),
+            {
+                "error": "Unkept",
+                "what": "no space left",
+                "where": "/state/boxes.json",
+                "remedy": Unkept.remedy,
+            },
+        )
+        self.assertEqual(
+            one.line(), f"/state/boxes.json: no space left ({Unkept.remedy})"
+        )
         self.assertEqual(Malformed("a\nb").said().keys(), {"error", "what", "remedy"})
         self.assertEqual(line_of(Malformed("a\nb")), f"a b ({Malformed.remedy})")
         self.assertEqual(line_of(ValueError("x " * 500)), ("x " * 500)[:200])
 
     def test_a_place_is_said_once_by_who_knows_it_best(self):
         self.assertEqual(str(Malformed("short").at("10.0.0.7")), "10.0.0.7: short")
-        self.assertEqual(str(Malformed("short", "byte 7").at("10.0.0.7")), "byte 7: short")
+        self.assertEqual(
+            str(Malformed("short", "byte 7").at("10.0.0.7")), "byte 7: short"
+        )
         self.assertEqual(str(Fault("alone")), "alone")
 
     def test_a_run_that_cannot_be_kept_is_a_fault_with_its_path(self):
         number, complaint = next_incarnation("/proc/none/incarnation")
         self.assertGreater(number, 1_000_000)
-        self.assertEqual((type(complaint), complaint.where), (RunUnkept, "/proc/none/incarnation"))
+        self.assertEqual(
+            (type(complaint), complaint.where), (RunUnkept, "/proc/none/incarnation")
+        )
 
     def test_a_refused_file_names_each_flaw(self):
-        error = RefusedFile([Flaw("g.textproto", 3, "no such plan"), Flaw("g.textproto", 0, "too long")])
-        self.assertEqual(error.said()["what"], "g.textproto:3: no such plan; g.textproto: too long")
+        error = RefusedFile(
+            [Flaw("g.textproto", 3, "no such plan"), Flaw("g.textproto", 0, "too long")]
+        )
+        self.assertEqual(
+            error.said()["what"], "g.textproto:3: no such plan; g.textproto: too long"
+        )
         self.assertIsInstance(error, Refused)
 
 
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,5 @@
 """The file codec: bytes to packets and back, and what is refused."""
+
 import unittest
 
 from milletsill.files import extensions, packets
@@ -7,16 +8,49 @@
 from milletsill.files.wire import Attrs, BadPacket, Name
 
 SAMPLES = [
-    packets.Init(3), packets.Version(3, extensions.offered()), packets.Open(1, "/a/\udcff", 26, Attrs(size=5, mode=0o644)),
-    packets.Close(2, b"h"), packets.Read(3, b"h", 1 << 40, 9), packets.Write(4, b"h", 0, b"data"),
-    packets.Lstat(5, "/a"), packets.Fstat(6, b"h"), packets.Setstat(7, "/a", Attrs(uid=1, gid=2)),
-    packets.Fsetstat(8, b"h", Attrs(atime=1, mtime=2)), packets.Opendir(9, "/"), packets.Readdir(10, b"h"),
-    packets.Remove(11, "/a"), packets.Mkdir(12, "/a", Attrs()), packets.Rmdir(13, "/a"), packets.Realpath(14, "."),
-    packets.Stat(15, "/a"), packets.Rename(16, "/a", "/b"), packets.Readlink(17, "/a"), packets.Symlink(18, "/a", "7:b"),
-    packets.Status(19, 4, "why", "en"), packets.Handle(20, b"h"), packets.Data(21, b"x" * 1000),
-    packets.Names(22, (Name("a", "-rw a", Attrs(size=1)),)), packets.AttrsAnswer(23, Attrs()),
-    packets.Extended(24, "x@y", b"\0\1"), packets.ExtendedReply(25, b"z")]
-ORDER = Order("edge", 3, 99, 1, 2.5, 1 << 63, 250, "t#1", 4, 2, "lot-read", "op1", packets.Read(0, b"/a", 0, 10))
+    packets.Init(3),
+    packets.Version(3, extensions.offered()),
+    packets.Open(1, "/a/\udcff", 26, Attrs(size=5, mode=0o644)),
+    packets.Close(2, b"h"),
+    packets.Read(3, b"h", 1 << 40, 9),
+    packets.Write(4, b"h", 0, b"data"),
+    packets.Lstat(5, "/a"),
+    packets.Fstat(6, b"h"),
+    packets.Setstat(7, "/a", Attrs(uid=1, gid=2)),
+    packets.Fsetstat(8, b"h", Attrs(atime=1, mtime=2)),
+    packets.Opendir(9, "/"),
+    packets.Readdir(10, b"h"),
+    packets.Remove(11, "/a"),
+    packets.Mkdir(12, "/a", Attrs()),
+    packets.Rmdir(13, "/a"),
+    packets.Realpath(14, "."),
+    packets.Stat(15, "/a"),
+    packets.Rename(16, "/a", "/b"),
+    packets.Readlink(17, "/a"),
+    packets.Symlink(18, "/a", "7:b"),
+    packets.Status(19, 4, "why", "en"),
+    packets.Handle(20, b"h"),
+    packets.Data(21, b"x" * 1000),
+    packets.Names(22, (Name("a", "-rw a", Attrs(size=1)),)),
+    packets.AttrsAnswer(23, Attrs()),
+    packets.Extended(24, "x@y", b"\0\1"),
+    packets.ExtendedReply(25, b"z"),
+]
+ORDER = Order(
+    "edge",
+    3,
+    99,
+    1,
+    2.5,
+    1 << 63,
+    250,
+    "t#1",
+    4,
+    2,
+    "lot-read",
+    "op1",
+    packets.Read(0, b"/a", 0, 10),
+)
 
 
 class Codec(unittest.TestCase):
@@ -48,10 +82,23 @@
 
     def test_terms_and_orders_and_verdicts_come_back(self):
         wrapped = extensions.put_terms(Terms(1500, 2, "m"), packets.Stat(6, "/a"))
-        self.assertEqual(extensions.read_terms(wrapped), (Terms(1500, 2, "m"), packets.Stat(6, "/a")))
-        self.assertEqual(extensions.read_order(extensions.put_order(8, ORDER)).ticket, "t#1")
-        verdict = Verdict(extensions.DONE, "3", {"queue": 2.0, "busy": 0.5}, 12, 7, packets.Data(9, b"x"))
-        self.assertEqual(extensions.read_verdict(extensions.put_verdict(9, verdict)), verdict)
+        self.assertEqual(
+            extensions.read_terms(wrapped), (Terms(1500, 2, "m"), packets.Stat(6, "/a"))
+        )
+        self.assertEqual(
+            extensions.read_order(extensions.put_order(8, ORDER)).ticket, "t#1"
+        )
+        verdict = Verdict(
+            extensions.DONE,
+            "3",
+            {"queue": 2.0, "busy": 0.5},
+            12,
+            7,
+            packets.Data(9, b"x"),
+        )
+        self.assertEqual(
+            extensions.read_verdict(extensions.put_verdict(9, verdict)), verdict
+        )
 
     def test_a_command_within_a_command_within_a_command_is_refused(self):
         inner = extensions.put_terms(Terms(), packets.Stat(1, "/a"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,5 @@
 """Many modules in front of one node that has just come up: what they send it together (rule 4). Simulated time, no bench."""
+
 import heapq
 import unittest
 from collections import deque
@@ -18,7 +19,12 @@
 
     def __init__(self, fleet, index):
         self.fleet, self.dispatches = fleet, {}
-        self.module = Scheduler({**fleet.facts, "index": index}, fleet.chance.getrandbits(32), fleet.now, self)
+        self.module = Scheduler(
+            {**fleet.facts, "index": index},
+            fleet.chance.getrandbits(32),
+            fleet.now,
+            self,
+        )
 
     def send(self, transfer, node, timeout):
         number = self.dispatches[transfer] = self.dispatches.get(transfer, -1) + 1
@@ -41,27 +47,74 @@
     whose connection to it comes up late; `told`: the span in which all are told of its start; `largest`: of the transfers;
     `others`: warm nodes beside it, where new objects, the share `new`, may go; `at_once`: all restart in one second."""
 
-    def __init__(self, seed, gateways, rate, even, surge=1.0, retries=0, quick=1.0, way=0, late=0.0, told=SECOND, largest=8,
-                 others=0, new=0.0, at_once=False, **facts):
+    def __init__(
+        self,
+        seed,
+        gateways,
+        rate,
+        even,
+        surge=1.0,
+        retries=0,
+        quick=1.0,
+        way=0,
+        late=0.0,
+        told=SECOND,
+        largest=8,
+        others=0,
+        new=0.0,
+        at_once=False,
+        **facts,
+    ):
         self.chance, self.now, self.events, self.numbers = Random(seed), 0, [], count()
         self.facts = {**BASE, "categories": [CATEGORY], "gateways": gateways, **facts}
-        self.retries, self.again, self.quick, self.way, self.late, self.new = retries, {}, quick, way, late, new
-        self.lines = [line(7, since=STARTS)] + [line(8 + each, cell=1 + each) for each in range(others)]
-        self.units, self.sent, self.busy_until, self.even, self.largest, self.met = {}, [], STARTS, even, largest, set()
+        self.retries, self.again, self.quick, self.way, self.late, self.new = (
+            retries,
+            {},
+            quick,
+            way,
+            late,
+            new,
+        )
+        self.lines = [line(7, since=STARTS)] + [
+            line(8 + each, cell=1 + each) for each in range(others)
+        ]
+        self.units, self.sent, self.busy_until, self.even, self.largest, self.met = (
+            {},
+            [],
+            STARTS,
+            even,
+            largest,
+            set(),
+        )
         self.gateways = [Gateway(self, each) for each in range(gateways)]
         for index in range(gateways):
-            self.at(STARTS + int(self.chance.uniform(0, told)), lambda index=index: self.told(index))
+            self.at(
+                STARTS + int(self.chance.uniform(0, told)),
+                lambda index=index: self.told(index),
+            )
         warm = self.facts["warm_after"]
         first, last = (warm // 2, warm // 2 + SECOND) if at_once else (0, warm)
-        for index in self.chance.sample(range(gateways), gateways if at_once else gateways // 2):  # restarts inside the warm-up
-            self.at(STARTS + int(self.chance.uniform(first, last)), lambda index=index: self.restart(index))
+        for index in self.chance.sample(
+            range(gateways), gateways if at_once else gateways // 2
+        ):  # restarts inside the warm-up
+            self.at(
+                STARTS + int(self.chance.uniform(first, last)),
+                lambda index=index: self.restart(index),
+            )
         at = 0.0
         while at < STARTS + warm:
             self.at(int(at), self.arrival)
-            at += self.chance.expovariate(rate * (surge if 1 / 3 < (at - STARTS) / warm < 2 / 3 else 1.0)) * SECOND
+            at += (
+                self.chance.expovariate(
+                    rate * (surge if 1 / 3 < (at - STARTS) / warm < 2 / 3 else 1.0)
+                )
+                * SECOND
+            )
 
     def at(self, at, call, gateway=None):
-        heapq.heappush(self.events, (max(at, self.now), next(self.numbers), call, gateway))
+        heapq.heappush(
+            self.events, (max(at, self.now), next(self.numbers), call, gateway)
+        )
 
     def told(self, index):
         self.gateways[index].module.listed(self.now, News.CHANGES, self.lines)
@@ -73,16 +126,37 @@
     def declined(self, transfer):
         again = self.again.pop(transfer, 0)
         if again < self.retries:
-            self.at(self.now + int(self.chance.uniform(0, SECOND)), lambda: self.arrival(again + 1))
+            self.at(
+                self.now + int(self.chance.uniform(0, SECOND)),
+                lambda: self.arrival(again + 1),
+            )
 
     def arrival(self, again=0):
-        some = len(self.gateways) if self.even or self.chance.random() < 0.1 else len(self.gateways) // 10 + 1
+        some = (
+            len(self.gateways)
+            if self.even or self.chance.random() < 0.1
+            else len(self.gateways) // 10 + 1
+        )
         gateway, id = self.gateways[self.chance.randrange(some)], next(self.numbers)
         self.again[id] = again
         self.units[id] = min(1 + int(self.chance.expovariate(1.0)), self.largest)
         cell = None if self.chance.random() < self.new else 0
-        gateway.module.taken(self.now, Arrival(
-            id, id, id % 50, 9, 0, 0, False, False, cell, float(self.units[id]), self.now + 15_000))
+        gateway.module.taken(
+            self.now,
+            Arrival(
+                id,
+                id,
+                id % 50,
+                9,
+                0,
+                0,
+                False,
+                False,
+                cell,
+                float(self.units[id]),
+                self.now + 15_000,
+            ),
+        )
         self.at(self.now, lambda: None, gateway)
 
     def leaves(self, gateway, transfer, number, node, timeout):
@@ -94,26 +168,51 @@
         if gateway not in self.met and self.chance.random() < self.late:
             way = LATE
         self.met.add(gateway)
-        self.at(sent + way, lambda: self.reached(gateway, transfer, number, sent, timeout))
+        self.at(
+            sent + way, lambda: self.reached(gateway, transfer, number, sent, timeout)
+        )
 
     def reached(self, gateway, transfer, number, sent, timeout):
         """The node works off what comes at what the settings promise of it; one answer in ten is lost."""
         age, facts = self.now - STARTS, self.facts
         self.sent.append((self.now, self.units[transfer]))
-        rate = facts["cold_units"] / facts["cold_multiple"] / facts["cold_window"] * self.grown(age) * self.quick
-        self.busy_until = max(self.busy_until, self.now) + int(self.units[transfer] / rate)
+        rate = (
+            facts["cold_units"]
+            / facts["cold_multiple"]
+            / facts["cold_window"]
+            * self.grown(age)
+            * self.quick
+        )
+        self.busy_until = max(self.busy_until, self.now) + int(
+            self.units[transfer] / rate
+        )
         if self.chance.random() < 0.9 and self.busy_until < sent + (timeout or 1 << 40):
             self.ends(gateway, transfer, number, 7, sent, self.busy_until)
         elif timeout:
-            self.ends(gateway, transfer, number, 7, sent, sent + timeout, Outcome.TIMED_OUT)
+            self.ends(
+                gateway, transfer, number, 7, sent, sent + timeout, Outcome.TIMED_OUT
+            )
 
-    def ends(self, gateway, transfer, number, node, sent, at, outcome=Outcome.SATISFIED):
+    def ends(
+        self, gateway, transfer, number, node, sent, at, outcome=Outcome.SATISFIED
+    ):
         over = outcome is Outcome.SATISFIED
-        self.at(at, lambda: gateway.module.returned(self.now, Answer(
-            transfer, number, node, outcome, over, self.now - sent, None, 0, {})), gateway)
+        self.at(
+            at,
+            lambda: gateway.module.returned(
+                self.now,
+                Answer(
+                    transfer, number, node, outcome, over, self.now - sent, None, 0, {}
+                ),
+            ),
+            gateway,
+        )
 
     def grown(self, age):
-        return 1 + (1 / self.facts["cold_from"] - 1) * max(age, 0) / self.facts["warm_after"]
+        return (
+            1
+            + (1 / self.facts["cold_from"] - 1) * max(age, 0) / self.facts["warm_after"]
+        )
 
     def play(self):
         ends = STARTS + self.facts["warm_after"]
@@ -133,14 +232,23 @@
             sent += window[-1][1]
             while window[0][0] <= at - self.facts["cold_window"]:
                 sent -= window.popleft()[1]
-            n = self.facts["cold_units"] / mean * self.grown(at - self.facts["cold_window"] - STARTS)
-            most = max(most, sent / (n + 2 * n ** 0.5 + 2))
+            n = (
+                self.facts["cold_units"]
+                / mean
+                * self.grown(at - self.facts["cold_window"] - STARTS)
+            )
+            most = max(most, sent / (n + 2 * n**0.5 + 2))
         return most
 
     def used(self):
         """What was sent over the warm-up, in parts of N."""
         facts = self.facts
-        n = facts["cold_units"] / facts["unit_mean"] * (1 + self.grown(facts["warm_after"])) / 2
+        n = (
+            facts["cold_units"]
+            / facts["unit_mean"]
+            * (1 + self.grown(facts["warm_after"]))
+            / 2
+        )
         sent = sum(max(units / facts["unit_mean"], 1.0) for _, units in self.sent)
         return sent / n * facts["cold_window"] / facts["warm_after"]
 
@@ -148,78 +256,227 @@
 class ColdNode(unittest.TestCase):
     """No gateway knows of another, and all together stay within what the node bears."""
 
-    def check(self, gateways, rate, uses=0.0, kinds=((1, True), (2, False), (3, True)), **facts):
-        plays = [Fleet(seed, gateways, rate, even, **facts).play() for seed, even in kinds]
+    def check(
+        self,
+        gateways,
+        rate,
+        uses=0.0,
+        kinds=((1, True), (2, False), (3, True)),
+        **facts,
+    ):
+        plays = [
+            Fleet(seed, gateways, rate, even, **facts).play() for seed, even in kinds
+        ]
         for play in plays:
             self.assertLessEqual(play.most(), 1.0, (gateways, play.even))
-        self.assertGreater(sum(play.used() for play in plays) / len(plays), uses, f"a guard that sends nothing, {gateways}")
+        self.assertGreater(
+            sum(play.used() for play in plays) / len(plays),
+            uses,
+            f"a guard that sends nothing, {gateways}",
+        )
 
     def test_two_hundred_gateways_and_little_traffic(self):
         # Less than the 0.15 that N + 3 root N + 3 left room for: at N from 1 to 5.5 a draw may have 0.17 to 0.25 N, not 0.4.
-        self.check(200, 40.0, 0.11, cold_units=2.0, cold_multiple=2.5, cold_from=0.18, warm_after=150_000)
+        self.check(
+            200,
+            40.0,
+            0.11,
+            cold_units=2.0,
+            cold_multiple=2.5,
+            cold_from=0.18,
+            warm_after=150_000,
+        )
 
     def test_two_hundred_gateways_that_all_have_much_to_send(self):
-        self.check(200, 300.0, 0.15, cold_units=2.0, cold_multiple=2.5, cold_from=0.18, warm_after=150_000)
+        self.check(
+            200,
+            300.0,
+            0.15,
+            cold_units=2.0,
+            cold_multiple=2.5,
+            cold_from=0.18,
+            warm_after=150_000,
+        )
 
     def test_a_larger_budget_over_a_longer_window(self):
-        self.check(200, 200.0, 0.15, cold_units=27.0, cold_multiple=3.0, cold_from=0.19, warm_after=170_000, cold_window=30_000)
+        self.check(
+            200,
+            200.0,
+            0.15,
+            cold_units=27.0,
+            cold_multiple=3.0,
+            cold_from=0.19,
+            warm_after=170_000,
+            cold_window=30_000,
+        )
 
     def test_a_thousand_gateways(self):
-        self.check(1024, 150.0, 0.04, cold_units=12.0, cold_multiple=3.0, cold_from=0.3, warm_after=60_000)
+        self.check(
+            1024,
+            150.0,
+            0.04,
+            cold_units=12.0,
+            cold_multiple=3.0,
+            cold_from=0.3,
+            warm_after=60_000,
+        )
 
     def test_few_gateways(self):
-        facts = {"cold_multiple": 3.0, "cold_from": 0.19, "warm_after": 100_000, "cold_window": 30_000}
+        facts = {
+            "cold_multiple": 3.0,
+            "cold_from": 0.19,
+            "warm_after": 100_000,
+            "cold_window": 30_000,
+        }
         for gateways, units in ((5, 27.0), (5, 3.0), (12, 9.0), (40, 12.0)):
             self.check(gateways, 60.0, 0.12, cold_units=units, **facts)
 
     def test_few_gateways_and_a_node_quicker_than_promised(self):
         """What it answers is no leave to send it more than the settings let all together send."""
-        facts = {"quick": 5.0, "cold_multiple": 3.0, "cold_from": 0.19, "warm_after": 100_000, "cold_window": 30_000}
-        for gateways, rate, units in ((5, 60.0, 27.0), (5, 90.0, 60.0), (12, 120.0, 60.0)):
-            self.check(gateways, rate, 0.4, ((1, True), (2, False)), cold_units=units, **facts)
+        facts = {
+            "quick": 5.0,
+            "cold_multiple": 3.0,
+            "cold_from": 0.19,
+            "warm_after": 100_000,
+            "cold_window": 30_000,
+        }
+        for gateways, rate, units in (
+            (5, 60.0, 27.0),
+            (5, 90.0, 60.0),
+            (12, 120.0, 60.0),
+        ):
+            self.check(
+                gateways, rate, 0.4, ((1, True), (2, False)), cold_units=units, **facts
+            )
 
     def test_parts_that_pass_a_usual_transfer_while_the_node_warms(self):
         """Draws at first, whole parts later: both sides of that switch and the windows over it."""
         facts = {"cold_multiple": 2.5, "cold_from": 0.18, "warm_after": 60_000}
-        for gateways, units, quick, uses in ((12, 9.0, 1.0, 0.3), (20, 20.0, 5.0, 0.35), (30, 20.0, 1.0, 0.3),
-                                             (30, 12.0, 5.0, 0.15)):
+        for gateways, units, quick, uses in (
+            (12, 9.0, 1.0, 0.3),
+            (20, 20.0, 5.0, 0.35),
+            (30, 20.0, 1.0, 0.3),
+            (30, 12.0, 5.0, 0.15),
+        ):
             self.check(gateways, 100.0, uses, quick=quick, cold_units=units, **facts)
 
     def test_small_transfers_where_a_part_is_below_a_usual_one(self):
         for gateways, units in ((30, 52.0), (60, 104.0)):
-            self.check(gateways, 10.0 * gateways, 0.3, ((1, True), (3, True)), largest=1, unit_mean=4.0, cold_units=units,
-                       cold_multiple=2.5, cold_from=0.18, warm_after=60_000)
+            self.check(
+                gateways,
+                10.0 * gateways,
+                0.3,
+                ((1, True), (3, True)),
+                largest=1,
+                unit_mean=4.0,
+                cold_units=units,
+                cold_multiple=2.5,
+                cold_from=0.18,
+                warm_after=60_000,
+            )
 
     def test_connections_to_a_quick_node_that_come_up_late(self):
         for gateways, units, way in ((5, 120.0, 10), (20, 80.0, 300)):
-            self.check(gateways, 300.0, 0.5, ((1, True), (2, True)), quick=5.0, way=way, late=0.33, told=200, cold_units=units,
-                       cold_multiple=2.5, cold_from=0.18, warm_after=60_000)
+            self.check(
+                gateways,
+                300.0,
+                0.5,
+                ((1, True), (2, True)),
+                quick=5.0,
+                way=way,
+                late=0.33,
+                told=200,
+                cold_units=units,
+                cold_multiple=2.5,
+                cold_from=0.18,
+                warm_after=60_000,
+            )
 
     def test_all_gateways_restart_at_once(self):
-        for gateways, units, uses in ((5, 27.0, 0.25), (20, 20.0, 0.25), (200, 12.0, 0.05)):
-            self.check(gateways, 100.0, uses, ((1, True), (2, False)), at_once=True, quick=5.0, cold_units=units,
-                       cold_multiple=2.5, cold_from=0.18, warm_after=60_000)
+        for gateways, units, uses in (
+            (5, 27.0, 0.25),
+            (20, 20.0, 0.25),
+            (200, 12.0, 0.05),
+        ):
+            self.check(
+                gateways,
+                100.0,
+                uses,
+                ((1, True), (2, False)),
+                at_once=True,
+                quick=5.0,
+                cold_units=units,
+                cold_multiple=2.5,
+                cold_from=0.18,
+                warm_after=60_000,
+            )
 
     def test_new_objects_that_may_go_to_other_nodes_as_well(self):
         for gateways, others in ((30, 4), (100, 1)):
-            self.check(gateways, 200.0, 0.1, ((1, True), (2, False)), others=others, new=0.5, cold_units=8.0, cold_multiple=2.5,
-                       cold_from=0.18, warm_after=60_000)
+            self.check(
+                gateways,
+                200.0,
+                0.1,
+                ((1, True), (2, False)),
+                others=others,
+                new=0.5,
+                cold_units=8.0,
+                cold_multiple=2.5,
+                cold_from=0.18,
+                warm_after=60_000,
+            )
 
     def test_a_surge_and_clients_that_come_again_elsewhere(self):
         facts = {"surge": 3.0, "retries": 2, "cold_multiple": 2.5, "cold_from": 0.18}
-        self.check(100, 30.0, 0.15, ((1, True), (2, False)), cold_units=4.0, warm_after=150_000, **facts)
-        for gateways, units, uses in ((5, 10.0, 0.2), (12, 10.0, 0.2), (20, 10.0, 0.15), (30, 10.0, 0.15), (200, 1.0, 0.02),
-                                      (1024, 12.0, 0.02)):
-            self.check(gateways, 60.0, uses, ((1, True), (2, False)), cold_units=units, warm_after=60_000, **facts)
+        self.check(
+            100,
+            30.0,
+            0.15,
+            ((1, True), (2, False)),
+            cold_units=4.0,
+            warm_after=150_000,
+            **facts,
+        )
+        for gateways, units, uses in (
+            (5, 10.0, 0.2),
+            (12, 10.0, 0.2),
+            (20, 10.0, 0.15),
+            (30, 10.0, 0.15),
+            (200, 1.0, 0.02),
+            (1024, 12.0, 0.02),
+        ):
+            self.check(
+                gateways,
+                60.0,
+                uses,
+                ((1, True), (2, False)),
+                cold_units=units,
+                warm_after=60_000,
+                **facts,
+            )
 
     def test_what_was_held_before_the_start_was_known_stays(self):
-        fleet = Fleet(1, 200, 0.001, True, cold_units=12.0, cold_multiple=2.5, cold_from=0.18, warm_after=150_000)
+        fleet = Fleet(
+            1,
+            200,
+            0.001,
+            True,
+            cold_units=12.0,
+            cold_multiple=2.5,
+            cold_from=0.18,
+            warm_after=150_000,
+        )
         fleet.events.clear()
         for at in range(0, 4000, 1000):
             for gateway in fleet.gateways:
                 fleet.now, id = 50_000 + at, next(fleet.numbers)
                 fleet.units[id] = 2
-                gateway.module.taken(fleet.now, Arrival(id, id, 1, 9, 0, 0, False, False, 0, 2.0, fleet.now + 15_000))
+                gateway.module.taken(
+                    fleet.now,
+                    Arrival(
+                        id, id, 1, 9, 0, 0, False, False, 0, 2.0, fleet.now + 15_000
+                    ),
+                )
                 gateway.module.settle(fleet.now)
         for gateway in fleet.gateways:
             gateway.module.listed(fleet.now, News.WHOLE, [line(7, since=54_000)])
