--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -1,4 +1,5 @@
 """The view's machines: tables, what ends equal whatever is lost, lost state, two with one name, frames of later versions."""
+
 import os
 import unittest
 from random import Random
@@ -8,11 +9,32 @@
 
 from milletsill.errors import Fault
 from milletsill.fleet.frames import fleet_pb2
-from milletsill.fleet.frames.codec import (LENGTH, MAGIC, MOST_DATAGRAM, MOST_FRAME, Codec, Frames, OtherFleet, TooLong, TooNew,
-                                           Unreadable, framed)
+from milletsill.fleet.frames.codec import (
+    LENGTH,
+    MAGIC,
+    MOST_DATAGRAM,
+    MOST_FRAME,
+    Codec,
+    Frames,
+    OtherFleet,
+    TooLong,
+    TooNew,
+    Unreadable,
+    framed,
+)
 from milletsill.fleet.frames.words import Message, Row, What
 from milletsill.fleet.members import decide
-from milletsill.fleet.members.decide import BEAT, HELD, Order, Own, Sign, Stage, Terms, Watch, Word
+from milletsill.fleet.members.decide import (
+    BEAT,
+    HELD,
+    Order,
+    Own,
+    Sign,
+    Stage,
+    Terms,
+    Watch,
+    Word,
+)
 from milletsill.fleet.members.effects import Send
 from milletsill.fleet.members.membership import Membership
 from milletsill.fleet.net.decide import Line, due, step
@@ -22,14 +44,26 @@
 from milletsill.lab.fleet_clock import SECOND, FleetClock
 
 FIXTURE = os.path.join(os.path.dirname(__file__), "fixtures", "fleet-1.hex")
-ALIVE, SUSPECT, GONE, LEFT = Standing.ALIVE, Standing.SUSPECT, Standing.GONE, Standing.LEFT
+ALIVE, SUSPECT, GONE, LEFT = (
+    Standing.ALIVE,
+    Standing.SUSPECT,
+    Standing.GONE,
+    Standing.LEFT,
+)
 ME = Row("gw-1", 7, 0xABCDEF, 2, ALIVE, "10.0.0.1:7700")
 OTHER = Row("gw-2", 3, 5, 1, SUSPECT, by=("gw-1", "gw-9"))
 FRAMES = [
-    Message(What.PROBE, ME, (OTHER,), 4, "gw-2"), Message(What.ACK, ME, (), 4, "gw-1"),
-    Message(What.THROUGH, ME, (), 0, "gw-2", "10.0.0.2:7700"), Message(What.NEWS, ME, (OTHER, Row("gw-3", 1, 9, 0, LEFT))),
-    Message(What.DIGEST, ME, digest=2 ** 63 + 1), Message(What.ROWS, ME, (Row("gw-3", 1, 9, 0, GONE, "10.0.0.3:7700", 55),), answer=True),
-    Message(What.BODY, ME, kind=Kind.HEALTH, body=b"row"), Message(What.TWIN, ME)]
+    Message(What.PROBE, ME, (OTHER,), 4, "gw-2"),
+    Message(What.ACK, ME, (), 4, "gw-1"),
+    Message(What.THROUGH, ME, (), 0, "gw-2", "10.0.0.2:7700"),
+    Message(What.NEWS, ME, (OTHER, Row("gw-3", 1, 9, 0, LEFT))),
+    Message(What.DIGEST, ME, digest=2**63 + 1),
+    Message(
+        What.ROWS, ME, (Row("gw-3", 1, 9, 0, GONE, "10.0.0.3:7700", 55),), answer=True
+    ),
+    Message(What.BODY, ME, kind=Kind.HEALTH, body=b"row"),
+    Message(What.TWIN, ME),
+]
 
 
 class Octets(unittest.TestCase):
@@ -43,27 +77,52 @@
 
     def test_what_makes_no_sense_has_its_own_error(self):
         codec, data = Codec("dock"), Codec("dock").encode(FRAMES[0])
-        newer = MAGIC + fleet_pb2.Frame(version=9, least=9, fleet="dock").SerializeToString()
-        senderless = MAGIC + fleet_pb2.Frame(version=1, fleet="dock", what=1).SerializeToString()
-        for error, octets in ((Unreadable, b""), (Unreadable, b"GET / HTTP/1.1"), (Unreadable, MAGIC + b"\xff\xff"), (TooNew, newer),
-                              (Unreadable, senderless), (OtherFleet, Codec("other").encode(FRAMES[0])), (TooLong, bytes(MOST_FRAME + 1))):
+        newer = (
+            MAGIC
+            + fleet_pb2.Frame(version=9, least=9, fleet="dock").SerializeToString()
+        )
+        senderless = (
+            MAGIC + fleet_pb2.Frame(version=1, fleet="dock", what=1).SerializeToString()
+        )
+        for error, octets in (
+            (Unreadable, b""),
+            (Unreadable, b"GET / HTTP/1.1"),
+            (Unreadable, MAGIC + b"\xff\xff"),
+            (TooNew, newer),
+            (Unreadable, senderless),
+            (OtherFleet, Codec("other").encode(FRAMES[0])),
+            (TooLong, bytes(MOST_FRAME + 1)),
+        ):
             with self.assertRaises(error) as caught:
                 codec.decode(octets)
-            self.assertTrue(isinstance(caught.exception, Fault) and caught.exception.remedy)
+            self.assertTrue(
+                isinstance(caught.exception, Fault) and caught.exception.remedy
+            )
         frames = Frames()
-        self.assertEqual(list(frames.feed(framed(data)[:9])) + list(frames.feed(framed(data)[9:] + framed(data))), [data, data])
+        self.assertEqual(
+            list(frames.feed(framed(data)[:9]))
+            + list(frames.feed(framed(data)[9:] + framed(data))),
+            [data, data],
+        )
         with self.assertRaises(TooLong):
             list(Frames().feed(LENGTH.pack(MOST_FRAME + 1)))
         with self.assertRaises(TooLong):
-            codec.encode(Message(What.BODY, ME, kind=Kind.HEALTH, body=bytes(MOST_FRAME)))
+            codec.encode(
+                Message(What.BODY, ME, kind=Kind.HEALTH, body=bytes(MOST_FRAME))
+            )
 
     def test_what_a_later_version_adds_is_passed_over(self):
         frame = fleet_pb2.Frame.FromString(Codec("dock", 2).encode(FRAMES[3])[4:])
         frame.what = 99
         frame.row.add(name="gw-4", run=1, standing=77)
-        data = MAGIC + frame.SerializeToString() + b"\xfa\x3f\x03new" + b"\xf8\x42\x07"  # two fields that nobody here knows
+        data = (
+            MAGIC + frame.SerializeToString() + b"\xfa\x3f\x03new" + b"\xf8\x42\x07"
+        )  # two fields that nobody here knows
         heard = Codec("dock").decode(data)
-        self.assertEqual((heard.what, heard.version, heard.sender, heard.rows), (None, 2, ME, FRAMES[3].rows))
+        self.assertEqual(
+            (heard.what, heard.version, heard.sender, heard.rows),
+            (None, 2, ME, FRAMES[3].rows),
+        )
 
     @given(st.binary(max_size=300), st.integers(0, 300), st.integers(0, 255))
     def test_any_octets_are_a_message_or_a_typed_error(self, octets, at, value):
@@ -78,47 +137,126 @@
 
 class Tables(unittest.TestCase):
     def test_what_is_said_against_what_is_held(self):
-        for case, wanted in (((ALIVE, SUSPECT, Order.SAME), "suspect"), ((SUSPECT, ALIVE, Order.NEWER), "refuted"),
-                             ((ALIVE, GONE, Order.SAME), "hearsay"), ((SUSPECT, GONE, Order.SAME), "sentence"),
-                             ((GONE, ALIVE, Order.NEWER), "again"), ((ALIVE, ALIVE, Order.RUN), "restarted"),
-                             ((SUSPECT, LEFT, Order.SAME), "left"), ((LEFT, ALIVE, Order.NEWER), "again")):
+        for case, wanted in (
+            ((ALIVE, SUSPECT, Order.SAME), "suspect"),
+            ((SUSPECT, ALIVE, Order.NEWER), "refuted"),
+            ((ALIVE, GONE, Order.SAME), "hearsay"),
+            ((SUSPECT, GONE, Order.SAME), "sentence"),
+            ((GONE, ALIVE, Order.NEWER), "again"),
+            ((ALIVE, ALIVE, Order.RUN), "restarted"),
+            ((SUSPECT, LEFT, Order.SAME), "left"),
+            ((LEFT, ALIVE, Order.NEWER), "again"),
+        ):
             self.assertEqual(HELD[case][1], wanted)
         self.assertFalse([each for each in HELD if each[2] is Order.OLDER])
-        self.assertFalse([each for each in HELD if each[0] in (GONE, LEFT) and each[2] is Order.SAME and each[1] in (ALIVE, SUSPECT)])
-        self.assertEqual([decide.order_of((2, 5, 1), each) for each in ((1, 9, 9), (2, 4, 9), (2, 5, 0), (2, 5, 1), (2, 5, 2), (2, 6, 0),
-                                                                        (3, 0, 0))],
-                         [Order.OLDER] * 3 + [Order.SAME, Order.NEWER, Order.RUN, Order.RUN])
+        self.assertFalse(
+            [
+                each
+                for each in HELD
+                if each[0] in (GONE, LEFT)
+                and each[2] is Order.SAME
+                and each[1] in (ALIVE, SUSPECT)
+            ]
+        )
+        self.assertEqual(
+            [
+                decide.order_of((2, 5, 1), each)
+                for each in (
+                    (1, 9, 9),
+                    (2, 4, 9),
+                    (2, 5, 0),
+                    (2, 5, 1),
+                    (2, 5, 2),
+                    (2, 6, 0),
+                    (3, 0, 0),
+                )
+            ],
+            [Order.OLDER] * 3 + [Order.SAME, Order.NEWER, Order.RUN, Order.RUN],
+        )
 
     def test_spans_of_a_watch(self):
         terms = Terms("t")
-        for stage, since, began, wanted in ((Stage.ASKED, 1999, 0, None), (Stage.ASKED, 2000, 0, Sign.LATE), (Stage.THROUGH, 5000, 0, Sign.MISSED),
-                                            (Stage.DOUBTED, 11_999, 0, None), (Stage.DOUBTED, 12_000, 0, Sign.SILENT),
-                                            (Stage.SUSPECTED, 0, 19_999, None), (Stage.SUSPECTED, 0, 20_000, Sign.OVER)):
+        for stage, since, began, wanted in (
+            (Stage.ASKED, 1999, 0, None),
+            (Stage.ASKED, 2000, 0, Sign.LATE),
+            (Stage.THROUGH, 5000, 0, Sign.MISSED),
+            (Stage.DOUBTED, 11_999, 0, None),
+            (Stage.DOUBTED, 12_000, 0, Sign.SILENT),
+            (Stage.SUSPECTED, 0, 19_999, None),
+            (Stage.SUSPECTED, 0, 20_000, Sign.OVER),
+        ):
             watch = Watch("x", stage, 100_000 - since, 100_000 - began, 100_000)
             self.assertEqual(decide.due(watch, 100_000, terms, 1.0, 0, 2), wanted)
-        self.assertEqual(decide.due(Watch("x", Stage.SUSPECTED, 0, 100_000 - 10_001, 100_000), 100_000, terms, 1.0, 2, 2), Sign.OVER)
+        self.assertEqual(
+            decide.due(
+                Watch("x", Stage.SUSPECTED, 0, 100_000 - 10_001, 100_000),
+                100_000,
+                terms,
+                1.0,
+                2,
+                2,
+            ),
+            Sign.OVER,
+        )
 
     def test_doubt_in_oneself(self):
         lost, well = [(f"m{each}", False) for each in range(6)], [("w", True)] * 2
         self.assertTrue(decide.troubled(lost + well))
         self.assertFalse(decide.troubled(lost[:4] + well * 2))
-        self.assertFalse(decide.troubled([("m1", False)] * 8))  # one member that is gone is no trouble of mine
-        self.assertEqual((decide.score(4, "stood"), decide.score(0, "well"), decide.times_longer(4, False)), (4, 0, 2.0))
+        self.assertFalse(
+            decide.troubled([("m1", False)] * 8)
+        )  # one member that is gone is no trouble of mine
+        self.assertEqual(
+            (
+                decide.score(4, "stood"),
+                decide.score(0, "well"),
+                decide.times_longer(4, False),
+            ),
+            (4, 0, 2.0),
+        )
 
     def test_words_about_this_gateway(self):
-        for row, claimed, wanted in ((("me", 5, 9, 0, SUSPECT), None, Word.MINE), (("me", 5, 9, 0, ALIVE), None, Word.OLD),
-                                     (("me", 4, 1, 0, ALIVE), None, Word.OLD), (("me", 5, 1, 0, GONE), None, Word.FIRST),
-                                     (("me", 8, 1, 0, ALIVE), 5, Word.PAST_WON), (("me", 8, 99, 0, ALIVE), 5, Word.PAST_LOST)):
+        for row, claimed, wanted in (
+            (("me", 5, 9, 0, SUSPECT), None, Word.MINE),
+            (("me", 5, 9, 0, ALIVE), None, Word.OLD),
+            (("me", 4, 1, 0, ALIVE), None, Word.OLD),
+            (("me", 5, 1, 0, GONE), None, Word.FIRST),
+            (("me", 8, 1, 0, ALIVE), 5, Word.PAST_WON),
+            (("me", 8, 99, 0, ALIVE), 5, Word.PAST_LOST),
+        ):
             self.assertEqual(decide.word_of(Row(*row), 5, 9, 0, claimed), wanted)
         self.assertEqual(decide.OWN.get((Own.LEAVING, Word.MINE)), None)
 
     def test_streams_end_when_they_should(self):
-        self.assertEqual([step(*each) for each in ((Line.DIALING, LineSign.UP), (Line.DIALING, LineSign.UNREACHED), (Line.OPEN, LineSign.FULL),
-                                                   (Line.STUCK, LineSign.RIPE), (Line.OPEN, LineSign.AWAY), (Line.CLOSED, LineSign.LOST))],
-                         [(Line.OPEN, "flush"), (Line.RESTING, "rest"), (Line.STUCK, "stuck"), (Line.CLOSED, "cut"), (Line.CLOSED, "cut"),
-                          (Line.CLOSED, "")])
-        self.assertEqual([due(Line.OPEN, 300_000, 0), due(Line.STUCK, 49_999, 0), due(Line.RESTING, 3000, 0)],
-                         [LineSign.SPENT, None, LineSign.RIPE])
+        self.assertEqual(
+            [
+                step(*each)
+                for each in (
+                    (Line.DIALING, LineSign.UP),
+                    (Line.DIALING, LineSign.UNREACHED),
+                    (Line.OPEN, LineSign.FULL),
+                    (Line.STUCK, LineSign.RIPE),
+                    (Line.OPEN, LineSign.AWAY),
+                    (Line.CLOSED, LineSign.LOST),
+                )
+            ],
+            [
+                (Line.OPEN, "flush"),
+                (Line.RESTING, "rest"),
+                (Line.STUCK, "stuck"),
+                (Line.CLOSED, "cut"),
+                (Line.CLOSED, "cut"),
+                (Line.CLOSED, ""),
+            ],
+        )
+        self.assertEqual(
+            [
+                due(Line.OPEN, 300_000, 0),
+                due(Line.STUCK, 49_999, 0),
+                due(Line.RESTING, 3000, 0),
+            ],
+            [LineSign.SPENT, None, LineSign.RIPE],
+        )
 
     def test_news_goes_out_least_told_first_and_a_bounded_number_of_times(self):
         spread, told = Spread(), []
@@ -128,17 +266,28 @@
         self.assertEqual(list(spread.take(30, 4, lambda name: 10)), ["n3", "n4", "n5"])
         while spread:
             told += list(spread.take(70, 4, lambda name: 10))
-        self.assertEqual({each: told.count(each) for each in ("n0", "n9")}, {"n0": 3, "n9": 4})
+        self.assertEqual(
+            {each: told.count(each) for each in ("n0", "n9")}, {"n0": 3, "n9": 4}
+        )
         self.assertEqual(bound(1024), 33)
 
     def test_a_name_moves_only_where_its_own_member_goes(self):
-        rows = [Row(f"m{each}", 1, each, 0, ALIVE, f"a:{each + 1}") for each in range(40)]
+        rows = [
+            Row(f"m{each}", 1, each, 0, ALIVE, f"a:{each + 1}") for each in range(40)
+        ]
         from milletsill.fleet.members.table import Known
+
         whole = View(1, [Known(each, 0).member() for each in rows])
         less = View(2, [each for each in whole.members if each.name != "m7"])
         for number in range(200):
-            before, after = whole.chosen(f"box {number}", 3), less.chosen(f"box {number}", 3)
-            self.assertEqual([each for each in before if each != "m7"], list(after)[:len([each for each in before if each != "m7"])])
+            before, after = (
+                whole.chosen(f"box {number}", 3),
+                less.chosen(f"box {number}", 3),
+            )
+            self.assertEqual(
+                [each for each in before if each != "m7"],
+                list(after)[: len([each for each in before if each != "m7"])],
+            )
         self.assertTrue(less.most(77) and not less.most(78))
 
 
@@ -146,12 +295,34 @@
     """Whole fleets on the simulated clock."""
 
     def settle(self, clock, seconds=90):
-        self.assertTrue(clock.run(clock.now + seconds * SECOND, lambda: clock.right() == 1), clock.right())
+        self.assertTrue(
+            clock.run(clock.now + seconds * SECOND, lambda: clock.right() == 1),
+            clock.right(),
+        )
         self.assertEqual(len({each.view.digest for each in clock.live()}), 1)
 
     @settings(max_examples=12, deadline=None, suppress_health_check=list(HealthCheck))
-    @given(st.integers(0, 1 << 30), st.lists(st.sampled_from(
-        ["kill", "leave", "back", "lost", "cut", "one way", "stall", "heal", "loss", "new"]), min_size=2, max_size=8))
+    @given(
+        st.integers(0, 1 << 30),
+        st.lists(
+            st.sampled_from(
+                [
+                    "kill",
+                    "leave",
+                    "back",
+                    "lost",
+                    "cut",
+                    "one way",
+                    "stall",
+                    "heal",
+                    "loss",
+                    "new",
+                ]
+            ),
+            min_size=2,
+            max_size=8,
+        ),
+    )
     def test_after_any_faults_heal_all_views_are_equal(self, seed, faults):
         clock, chance = FleetClock(seed), Random(seed)
         clock.whole(8, 2 * SECOND)
@@ -164,12 +335,20 @@
                 ends.append(name)
             elif fault in ("back", "lost") and ends:
                 old = ends.pop()
-                clock.start(old, clock.stands[old].run + 1 if fault == "back" else 1, join=live[:3])
+                clock.start(
+                    old,
+                    clock.stands[old].run + 1 if fault == "back" else 1,
+                    join=live[:3],
+                )
             elif fault == "new":
                 clock.start(f"new-{len(clock.stands)}", join=live[:3])
             elif fault in ("cut", "one way"):
                 half = chance.sample(live, len(live) // 2)
-                clock.cut(half, [each for each in clock.stands if each not in half], fault == "cut")
+                clock.cut(
+                    half,
+                    [each for each in clock.stands if each not in half],
+                    fault == "cut",
+                )
             elif fault == "stall":
                 clock.stall(name, chance.randrange(5000, 80_000))
             elif fault == "loss":
@@ -187,8 +366,14 @@
 
         def together():
             for name in chance.sample(sorted(clock.stands), 13):
-                clock.at(clock.now + chance.randrange(1000), clock.stall, name, chance.randrange(6600, 12_001))
+                clock.at(
+                    clock.now + chance.randrange(1000),
+                    clock.stall,
+                    name,
+                    chance.randrange(6600, 12_001),
+                )
             clock.at(clock.now + chance.randrange(20_000, 40_001), together)
+
         together()
         clock.run(clock.now + 60 * SECOND)
         self.assertEqual(clock.false, [])
@@ -204,24 +389,44 @@
             found = clock.start("gateway-3", run=1, join=["gateway-0"])
             self.settle(clock, 10)
             clock.run(clock.now + SECOND)
-            self.assertEqual((found.said["LOST_STATE"], found.run, found.said["TWIN"]), (1, 2, 0))
+            self.assertEqual(
+                (found.said["LOST_STATE"], found.run, found.said["TWIN"]), (1, 2, 0)
+            )
 
     def test_two_with_one_name_are_said_at_both_and_settle(self):
         clock = FleetClock(6)
         clock.whole(6, 2 * SECOND)
         first = clock.stands["gateway-2"]
         twin = clock.start("twin", run=1, join=["gateway-0"])
-        twin.member = Membership("gateway-2", "twin:1", 9, 77, clock.terms, Random(3), ["gateway-0:1"], clock.now)
+        twin.member = Membership(
+            "gateway-2",
+            "twin:1",
+            9,
+            77,
+            clock.terms,
+            Random(3),
+            ["gateway-0:1"],
+            clock.now,
+        )
         twin.name = "gateway-2"
         clock.run(clock.now + 20 * SECOND)
         self.assertTrue(first.said["TWIN"] and twin.said["TWIN"])
-        held, versions = {each.view.digest for each in clock.live()}, [each.version for each in clock.live()]
+        held, versions = (
+            {each.view.digest for each in clock.live()},
+            [each.version for each in clock.live()],
+        )
         self.assertEqual(len(held), 1)
         clock.run(clock.now + 120 * SECOND)
-        self.assertEqual([each.version for each in clock.live()], versions)  # nobody flaps
-        rests = next(each for each in (first, twin) if each.member.rolls.own is Own.DISPLACED)
+        self.assertEqual(
+            [each.version for each in clock.live()], versions
+        )  # nobody flaps
+        rests = next(
+            each for each in (first, twin) if each.member.rolls.own is Own.DISPLACED
+        )
         (first if rests is twin else twin).up = False
-        self.assertTrue(clock.run(clock.now + 20 * SECOND, lambda: rests.member.rolls.own is Own.UP))
+        self.assertTrue(
+            clock.run(clock.now + 20 * SECOND, lambda: rests.member.rolls.own is Own.UP)
+        )
 
     def test_two_versions_in_one_fleet(self):
         """Every other gateway says later words too, and kinds that the rest do not know."""
@@ -242,6 +447,7 @@
 
             def decode(self, data):
                 return plain.decode(data)
+
         clock.codec = Both()
         clock.whole(9, 2 * SECOND)
         clock.kill("gateway-3")
@@ -252,14 +458,41 @@
 
     def test_datagrams_and_maps_stay_in_their_bounds(self):
         terms = Terms("f" * 64, most_members=1024)
-        member = Membership("m" * 64, "255.255.255.255:65535", 1 << 32, 1 << 63, terms, Random(1), [], 0)
+        member = Membership(
+            "m" * 64, "255.255.255.255:65535", 1 << 32, 1 << 63, terms, Random(1), [], 0
+        )
         codec = Codec("f" * 64)
         for each in range(3000):
-            row = Row(f"{each:064}", each + 1, each, 1 << 20, SUSPECT, "255.255.255.255:65535", by=tuple(f"{each}{by}".zfill(64) for by in range(3)))
-            member.heard(1, Message(What.THROUGH, Row(f"s{each % 50}", 1, 1, 0, ALIVE, "1.1.1.1:1"), (row,), each, "x", "1.1.1.1:1"))
-        sent = [each for now in range(1, 200) for each in member.tick(now * BEAT) if isinstance(each, Send) and not each.stream]
+            row = Row(
+                f"{each:064}",
+                each + 1,
+                each,
+                1 << 20,
+                SUSPECT,
+                "255.255.255.255:65535",
+                by=tuple(f"{each}{by}".zfill(64) for by in range(3)),
+            )
+            member.heard(
+                1,
+                Message(
+                    What.THROUGH,
+                    Row(f"s{each % 50}", 1, 1, 0, ALIVE, "1.1.1.1:1"),
+                    (row,),
+                    each,
+                    "x",
+                    "1.1.1.1:1",
+                ),
+            )
+        sent = [
+            each
+            for now in range(1, 200)
+            for each in member.tick(now * BEAT)
+            if isinstance(each, Send) and not each.stream
+        ]
         self.assertGreater(len(sent), 200)
-        self.assertLessEqual(max(len(codec.encode(each.message)) for each in sent), MOST_DATAGRAM)
+        self.assertLessEqual(
+            max(len(codec.encode(each.message)) for each in sent), MOST_DATAGRAM
+        )
         self.assertLessEqual(len(member.rolls.table.held), 1024)
         self.assertLessEqual(len(member.relays), decide.RELAYS)
 
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,5 +1,6 @@
 """The view over real sockets. Gateways that are processes join, one is killed, one is back with its state lost, one leaves; all end
 in one view. In this process: what the plane promises those who tell and hear, and what it does with octets that are none of its."""
+
 import signal
 import socket
 import subprocess
@@ -36,24 +37,49 @@
         self.addCleanup(fleet.close)
 
         def agree(among, what, since=0.0):
-            self.assertTrue(fleet.wait(lambda: fleet.agree(among, since), MOST), (what, fleet.views(among)))
+            self.assertTrue(
+                fleet.wait(lambda: fleet.agree(among, since), MOST),
+                (what, fleet.views(among)),
+            )
+
         for each in range(4):
             fleet.start(each)
         agree([0, 1, 2, 3], "start")
         fleet.end(3)
         agree([0, 1, 2], "kill")
-        said = [line for number in range(3) for line in fleet.log(number) if line["event"] == "member" and line["member"] == "gw-3"]
+        said = [
+            line
+            for number in range(3)
+            for line in fleet.log(number)
+            if line["event"] == "member" and line["member"] == "gw-3"
+        ]
         self.assertIn("gone", {line["change"] for line in said})
         fleet.forget_state(3)
         since = time.time()
         fleet.start(3)
         agree([0, 1, 2, 3], "back", since)
-        self.assertTrue(fleet.wait(lambda: any(each.get("error") == "LostState" for each in fleet.log(3)), MOST))
+        self.assertTrue(
+            fleet.wait(
+                lambda: any(each.get("error") == "LostState" for each in fleet.log(3)),
+                MOST,
+            )
+        )
         self.assertEqual(fleet.end(2, signal.SIGTERM), 0)
         agree([0, 1, 3], "leave")
-        said = [line for line in fleet.log(0) if line["event"] == "member" and line["member"] == "gw-2"]
+        said = [
+            line
+            for line in fleet.log(0)
+            if line["event"] == "member" and line["member"] == "gw-2"
+        ]
         self.assertEqual(said[-1]["change"], "left")
-        self.assertFalse([line for number in range(4) for line in fleet.log(number) if "exception" in line])
+        self.assertFalse(
+            [
+                line
+                for number in range(4)
+                for line in fleet.log(number)
+                if "exception" in line
+            ]
+        )
 
 
 class Planes(TestCase):
@@ -64,11 +90,23 @@
         self.places = [self.place(each) for each in range(2)]
 
     def place(self, number):
-        file = text_format.Parse(f"""name: "p-{number}" gateways: 2 registry {{ address: "127.0.0.1:1" }}
-            fleet {{ name: "one" address: "127.0.0.1:{self.ports[number]}" join: "127.0.0.1:{self.ports[0]}" }}""", GatewayFile())
+        file = text_format.Parse(
+            f"""name: "p-{number}" gateways: 2 registry {{ address: "127.0.0.1:1" }}
+            fleet {{ name: "one" address: "127.0.0.1:{self.ports[number]}" join: "127.0.0.1:{self.ports[0]}" }}""",
+            GatewayFile(),
+        )
         self.figures.append(CollectorRegistry())
-        place = Place(reactor, monotonic, file, number, 1, lambda event, **values: self.lines.append(values.get("error", event)),
-                      lambda event, **values: None, lambda run: None, self.figures[-1])
+        place = Place(
+            reactor,
+            monotonic,
+            file,
+            number,
+            1,
+            lambda event, **values: self.lines.append(values.get("error", event)),
+            lambda event, **values: None,
+            lambda run: None,
+            self.figures[-1],
+        )
         place.start()
         self.addCleanup(lambda: later(0.1))
         self.addCleanup(place.stop)
@@ -81,23 +119,45 @@
             await later(0.02)
 
     def refused(self, cause):
-        return self.figures[0].get_sample_value("milletsill_fleet_refused_total", {"cause": cause}) or 0
+        return (
+            self.figures[0].get_sample_value(
+                "milletsill_fleet_refused_total", {"cause": cause}
+            )
+            or 0
+        )
 
     async def test_what_is_told_arrives_in_order_and_what_cannot_be_tried_is_said(self):
         one, other = self.places
         heard, told = [], []
-        other.hear(Kind.CHANNEL, lambda member, run, body: heard.append((member, run, body)))
-        one.watch(lambda view, changes: told.append((view.version, [(change.name, member.name) for change, member in changes])))
+        other.hear(
+            Kind.CHANNEL, lambda member, run, body: heard.append((member, run, body))
+        )
+        one.watch(
+            lambda view, changes: told.append(
+                (
+                    view.version,
+                    [(change.name, member.name) for change, member in changes],
+                )
+            )
+        )
         self.assertFalse(one.tell("p-1", Kind.CHANNEL, b"too early"))
         await self.until(lambda: len(one.view.members) == len(other.view.members) == 2)
         self.assertEqual(one.view.digest, other.view.digest)
-        self.assertIn(("JOINED", "p-1"), [each for _, changes in told for each in changes])
+        self.assertIn(
+            ("JOINED", "p-1"), [each for _, changes in told for each in changes]
+        )
         bodies = [bytes([each % 256]) * (each * 100) for each in range(100)]
         self.assertTrue(all(one.tell("p-1", Kind.CHANNEL, each) for each in bodies))
         await self.until(lambda: len(heard) == 100)
         self.assertEqual(heard, [("p-0", 1, each) for each in bodies])
-        self.assertFalse(one.tell("p-1", Kind.CHANNEL, bytes(MOST_BODY + 1)) or one.tell("p-0", Kind.CHANNEL, b"") or one.tell("x", Kind.CHANNEL, b""))
-        taken = [one.tell("p-1", Kind.CHANNEL, bytes(MOST_BODY)) for _ in range(9)]  # nobody reads meanwhile
+        self.assertFalse(
+            one.tell("p-1", Kind.CHANNEL, bytes(MOST_BODY + 1))
+            or one.tell("p-0", Kind.CHANNEL, b"")
+            or one.tell("x", Kind.CHANNEL, b"")
+        )
+        taken = [
+            one.tell("p-1", Kind.CHANNEL, bytes(MOST_BODY)) for _ in range(9)
+        ]  # nobody reads meanwhile
         self.assertTrue(taken[0] and not taken[-1])
         with self.assertRaises(NoFleetAddress):
             self.place(1)
@@ -111,7 +171,13 @@
                 one.sendto(data, ("127.0.0.1", self.ports[0]))
         with socket.create_connection(("127.0.0.1", self.ports[0])) as two:
             two.sendall(LENGTH.pack(len(other)) + other + LENGTH.pack(1 << 30))
-            await self.until(lambda: self.refused("too_long") == 2 and self.refused("other_fleet") == 2 and self.refused("unreadable") == 1)
+            await self.until(
+                lambda: (
+                    self.refused("too_long") == 2
+                    and self.refused("other_fleet") == 2
+                    and self.refused("unreadable") == 1
+                )
+            )
         self.assertLessEqual({"OtherFleet", "TooLong", "Unreadable"}, set(self.lines))
         self.assertEqual(len(self.places[0].view.members), 2)
 
@@ -120,9 +186,17 @@
     def test_blocks_that_cannot_stand_are_refused_with_a_line_each(self):
         with open("examples/fleet-2.textproto", encoding="utf-8") as source:
             text = source.read()
-        for given, why in (("", None), ("advertise: \"0.0.0.0:7\"", "cannot reach"), ("join: \"x\"", "not host:port"), ("answer_ms: 400", "no time"),
-                           ("suspicion_ms: 500", "not two probes"), ("remember_s: 20", "not ten whole"), ("most_members: 100", "from 1024"),
-                           ("advertise: \"host:7\"", "IPv4"), ("advertise: \"10.0.0.1:0\"", "port 0")):
+        for given, why in (
+            ("", None),
+            ('advertise: "0.0.0.0:7"', "cannot reach"),
+            ('join: "x"', "not host:port"),
+            ("answer_ms: 400", "no time"),
+            ("suspicion_ms: 500", "not two probes"),
+            ("remember_s: 20", "not ten whole"),
+            ("most_members: 100", "from 1024"),
+            ('advertise: "host:7"', "IPv4"),
+            ('advertise: "10.0.0.1:0"', "port 0"),
+        ):
             made = text.replace('fleet { name: "dock"', 'fleet { name: "dock" ' + given)
             try:
                 parse(made, "f", GatewayFile, check_gateway)
@@ -133,9 +207,16 @@
             self.assertIn(why or "", found or "")
 
     def test_a_gateway_without_the_block_loads_none_of_it(self):
-        code = ("import sys; from milletsill.edge.service import Edge; "
-                "sys.exit(any(each.startswith(('milletsill.fleet.service', 'milletsill.fleet.members')) for each in sys.modules))")
-        self.assertEqual(subprocess.run([sys.executable, "-c", code], timeout=60, check=False).returncode, 0)
+        code = (
+            "import sys; from milletsill.edge.service import Edge; "
+            "sys.exit(any(each.startswith(('milletsill.fleet.service', 'milletsill.fleet.members')) for each in sys.modules))"
+        )
+        self.assertEqual(
+            subprocess.run(
+                [sys.executable, "-c", code], timeout=60, check=False
+            ).returncode,
+            0,
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_flows_through.py
+++ b/tests/test_flows_through.py
@@ -1,4 +1,5 @@
 """Flow export from a gateway's door to a collector, through sockets."""
+
 import socket
 import unittest
 
@@ -44,10 +45,16 @@
     async def work(self, rig, client, reads=30):
         """Commands of all sorts; bytes as the client counted them."""
         handle = await client.open("/f/x")
-        going = [client.command(packets.Write(0, handle, each, b"data")) for each in range(4)]
+        going = [
+            client.command(packets.Write(0, handle, each, b"data")) for each in range(4)
+        ]
         await defer.gatherResults(going)
         for each in range(reads):
-            await client.command(packets.Read(0, handle, 0, each + 1) if each % 2 else packets.Stat(0, f"/h/{each}"))
+            await client.command(
+                packets.Read(0, handle, 0, each + 1)
+                if each % 2
+                else packets.Stat(0, f"/h/{each}")
+            )
 
     def client_of(self, rig):
         counted = {"to": 0, "back": 0, "packets": 0}
@@ -60,12 +67,14 @@
                     counted["to"] += len(data)
                     counted["packets"] += 1
                     write(data)
+
                 self.transport.write = counting
                 super().connectionMade()
 
             def dataReceived(self, data):
                 counted["back"] += len(data)
                 super().dataReceived(data)
+
         return Counted(), counted
 
     async def test_sums_equal_what_client_and_boxes_counted(self):
@@ -73,8 +82,11 @@
         rig = await self.rig(self.listen(Lines(collector)))
         client, counted = self.client_of(rig)
         from twisted.internet.endpoints import TCP4ClientEndpoint
+
         factory = Factory.forProtocol(lambda: client)
-        await TCP4ClientEndpoint(reactor, "127.0.0.1", self.edge.ports[0].getHost().port).connect(factory)
+        await TCP4ClientEndpoint(
+            reactor, "127.0.0.1", self.edge.ports[0].getHost().port
+        ).connect(factory)
         rig.clients.append(client)
         await client.ready
         await self.work(rig, client)
@@ -84,16 +96,38 @@
         await ended
         await later(0.3)
         sums = collector.sums
-        self.assertEqual((sums["client octetDeltaCount"], sums["client reverseOctetDeltaCount"],
-                          sums["client packetDeltaCount"]), (counted["to"], counted["back"], counted["packets"]))
-        self.assertEqual((sums["client commandDeltaCount"], sums["client satisfiedDeltaCount"]), (35, 35))
-        self.assertEqual(sums["box dispatchDeltaCount"], sum(box.answered for box in rig.boxes))
-        self.assertEqual((collector.unknown, collector.malformed, collector.missing), (0, 0, 0))
-        report = [each for each in collector.options.values() if "exportedCommandTotalCount" in each][0]
-        self.assertEqual((report["exportedCommandTotalCount"], report["gatewayName"]), (35, "edge-t"))
+        self.assertEqual(
+            (
+                sums["client octetDeltaCount"],
+                sums["client reverseOctetDeltaCount"],
+                sums["client packetDeltaCount"],
+            ),
+            (counted["to"], counted["back"], counted["packets"]),
+        )
+        self.assertEqual(
+            (sums["client commandDeltaCount"], sums["client satisfiedDeltaCount"]),
+            (35, 35),
+        )
+        self.assertEqual(
+            sums["box dispatchDeltaCount"], sum(box.answered for box in rig.boxes)
+        )
+        self.assertEqual(
+            (collector.unknown, collector.malformed, collector.missing), (0, 0, 0)
+        )
+        report = [
+            each
+            for each in collector.options.values()
+            if "exportedCommandTotalCount" in each
+        ][0]
+        self.assertEqual(
+            (report["exportedCommandTotalCount"], report["gatewayName"]), (35, "edge-t")
+        )
 
     async def test_a_collector_that_never_reads_slows_nobody_and_is_left(self):
-        deaf, collector = Factory.forProtocol(Deaf), Collector(lambda row: None, lambda text: None)
+        deaf, collector = (
+            Factory.forProtocol(Deaf),
+            Collector(lambda row: None, lambda text: None),
+        )
         deaf.held = []
         rig = await self.rig(self.listen(deaf), self.listen(Lines(collector)))
         sender = self.edge.flows.exporter.senders[0]
@@ -112,9 +146,13 @@
         for each in deaf.held:
             each.transport.abortConnection()
 
-    async def test_a_collector_away_at_the_start_and_restarted_gets_templates_again(self):
+    async def test_a_collector_away_at_the_start_and_restarted_gets_templates_again(
+        self,
+    ):
         collector = Collector(lambda row: None, lambda text: None)
-        held = socket.socket()  # keeps its number from everybody else's listeners, and refuses connections
+        held = (
+            socket.socket()
+        )  # keeps its number from everybody else's listeners, and refuses connections
         self.addCleanup(held.close)
         held.bind(("127.0.0.1", 0))
         number = held.getsockname()[1]
@@ -127,29 +165,40 @@
         port = reactor.listenTCP(number, Lines(collector), interface="127.0.0.1")
         self.addCleanup(port.stopListening)
         await later(3)
-        self.assertEqual((collector.sums["client commandDeltaCount"], collector.unknown), (1, 0))
+        self.assertEqual(
+            (collector.sums["client commandDeltaCount"], collector.unknown), (1, 0)
+        )
         self.edge.flows.exporter.senders[0].pipe.transport.abortConnection()
         await client.command(packets.Stat(0, "/f/x"))
         await later(2.5)
-        self.assertEqual((collector.sums["client commandDeltaCount"], collector.unknown), (2, 0))
+        self.assertEqual(
+            (collector.sums["client commandDeltaCount"], collector.unknown), (2, 0)
+        )
 
     async def test_udp_and_netflow9(self):
         collector = Collector(lambda row: None, lambda text: self.fail(text))
         port = reactor.listenUDP(0, Ear(collector), interface="127.0.0.1")
         self.addCleanup(port.stopListening)
-        rig = await self.rig(f"127.0.0.1:{port.getHost().port}", transport="udp", copies=True)
+        rig = await self.rig(
+            f"127.0.0.1:{port.getHost().port}", transport="udp", copies=True
+        )
         other = rig.file.flows.collector[0]
         self.assertEqual(other.protocol, "ipfix")
         client = await rig.client(self.edge)
         await self.work(rig, client, 10)
         await later(1.5)
-        self.assertEqual((collector.sums["client commandDeltaCount"], collector.unknown), (15, 0))
+        self.assertEqual(
+            (collector.sums["client commandDeltaCount"], collector.unknown), (15, 0)
+        )
 
     async def test_export_switched_off_runs_none_of_it(self):
         import subprocess
         import sys
-        code = ("import sys, milletsill.edge.process, milletsill.edge.door; "
-                "sys.exit(any(name.startswith('milletsill.flows') for name in sys.modules))")
+
+        code = (
+            "import sys, milletsill.edge.process, milletsill.edge.door; "
+            "sys.exit(any(name.startswith('milletsill.flows') for name in sys.modules))"
+        )
         self.assertEqual(subprocess.run([sys.executable, "-c", code]).returncode, 0)
         rig = Rig(self)
         self.assertIsNone((await rig.edge()).flows)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,5 @@
 """Health that is shared: rows that become equal, verdicts by their table, liars, bounds, ramps, the module on advice."""
+
 import re
 import unittest
 from pathlib import Path
@@ -10,7 +11,17 @@
 from hypothesis import strategies as st
 
 from milletsill.fleet.health import codec, decide
-from milletsill.fleet.health.decide import CALLED, LASTS, SECOND, TABLE, Finding, Held, Judge, Order, Verdict
+from milletsill.fleet.health.decide import (
+    CALLED,
+    LASTS,
+    SECOND,
+    TABLE,
+    Finding,
+    Held,
+    Judge,
+    Order,
+    Verdict,
+)
 from milletsill.fleet.health.edge import Sharing
 from milletsill.fleet.health.observe import Observer
 from milletsill.fleet.health.rows import RowRefused, Rows, Word
@@ -41,7 +52,11 @@
     """Rows of some gateways, all at one judge."""
 
     def __init__(self, gateways=GATEWAYS, cells=CELLS, most_part=0.34):
-        self.rows, self.judge, self.now = Rows(-1, 1, 4096, 4096), Judge(most_part), SECOND
+        self.rows, self.judge, self.now = (
+            Rows(-1, 1, 4096, 4096),
+            Judge(most_part),
+            SECOND,
+        )
         self.origins = [Rows(each, 1, 2, 4096) for each in range(gateways)]
         self.cells, self.order = cells, order_of(gateways)
         self.turns = []
@@ -51,19 +66,31 @@
         for _ in range(round(seconds * SECOND) // 3000):
             self.now += 3000
             for number, origin in enumerate(self.origins):
-                words = {box: each for box in self.cells if (each := said(number, box)) is not None}
+                words = {
+                    box: each
+                    for box in self.cells
+                    if (each := said(number, box)) is not None
+                }
                 for each in words.values():
                     each.at = self.now
                 if words:
                     self.rows.merge(origin.write(words))
-            self.turns += self.judge.look(self.rows, len(self.origins), self.order, self.cells, self.now)
+            self.turns += self.judge.look(
+                self.rows, len(self.origins), self.order, self.cells, self.now
+            )
         return {box for box, held in self.judge.boxes.items() if held.verdict in CALLED}
 
 
 def seen(chance, lost=None, pace=None, part=0.2):
     """What honest gateways say: each of a box now and then; `lost` and `pace` by box."""
-    return lambda origin, box: word(float(chance.random() < (lost or {}).get(box, 0.0)), (pace or {}).get(box, 0.0)
-                                    + chance.gauss(0, 0.8)) if chance.random() < part else None
+    return lambda origin, box: (
+        word(
+            float(chance.random() < (lost or {}).get(box, 0.0)),
+            (pace or {}).get(box, 0.0) + chance.gauss(0, 0.8),
+        )
+        if chance.random() < part
+        else None
+    )
 
 
 class RowsBecomeEqual(unittest.TestCase):
@@ -72,27 +99,40 @@
     def test_whatever_is_lost_late_or_doubled(self, seed, loss):
         chance, frames = Random(seed), []
         nodes = {str(each): Rows(each, 1, 8, 8) for each in range(4)}
-        spreads = {name: Spread(rows, seed + int(name), lambda to, body, name=name: frames.append((name, to, body)))
-                   for name, rows in nodes.items()}
+        spreads = {
+            name: Spread(
+                rows,
+                seed + int(name),
+                lambda to, body, name=name: frames.append((name, to, body)),
+            )
+            for name, rows in nodes.items()
+        }
 
         def deliver(keep):
             chance.shuffle(frames)
             sent, frames[:] = frames[:], []
             for sender, to, body in sent:
-                for _ in range(chance.choice((1, 1, 2)) if chance.random() >= keep else 0):
+                for _ in range(
+                    chance.choice((1, 1, 2)) if chance.random() >= keep else 0
+                ):
                     spreads[to].hear(0, sender, body, lambda origin: True)
 
         for step in range(12):
             one = chance.choice(list(nodes))
             if chance.random() < 0.1:
                 nodes[one].restart(nodes[one].own.run + 1)
-            spreads[one].write({chance.randrange(8): word(chance.random(), chance.random())})
+            spreads[one].write(
+                {chance.randrange(8): word(chance.random(), chance.random())}
+            )
             for name, each in spreads.items():
                 each.round(step * 2000, [other for other in nodes if other != name])
             deliver(loss)
         for step in range(40):
             for name, each in spreads.items():
-                each.round(100 * SECOND + step * SECOND, [other for other in nodes if other != name])
+                each.round(
+                    100 * SECOND + step * SECOND,
+                    [other for other in nodes if other != name],
+                )
             while frames:
                 deliver(0.0)
         told = [rows.told() for rows in nodes.values()]
@@ -103,7 +143,9 @@
         news = other.write({1: word()})
         self.assertTrue(rows.merge(news))
         self.assertFalse(rows.merge(news))
-        self.assertFalse(rows.merge(Rows(2, 4, 3, 9).write({1: word()})))  # an older run
+        self.assertFalse(
+            rows.merge(Rows(2, 4, 3, 9).write({1: word()}))
+        )  # an older run
         with self.assertRaises(RowRefused):
             rows.merge(other.write({box: word() for box in range(9)}))
         for each in (3, 4):
@@ -118,9 +160,17 @@
 
 class Verdicts(unittest.TestCase):
     def test_the_table_calls_ramps_and_clears(self):
-        path = [(Finding.ILL, Verdict.DEGRADED), (Finding.LOST, Verdict.FAILING), (Finding.UNSURE, Verdict.FAILING),
-                (Finding.WELL, Verdict.RECOVERING), (Finding.ILL, Verdict.DEGRADED), (Finding.DOUBTED, Verdict.RECOVERING),
-                (Finding.WHOLE, Verdict.STEADY), (Finding.UNSURE, Verdict.STEADY), (Finding.DOUBTED, Verdict.STEADY)]
+        path = [
+            (Finding.ILL, Verdict.DEGRADED),
+            (Finding.LOST, Verdict.FAILING),
+            (Finding.UNSURE, Verdict.FAILING),
+            (Finding.WELL, Verdict.RECOVERING),
+            (Finding.ILL, Verdict.DEGRADED),
+            (Finding.DOUBTED, Verdict.RECOVERING),
+            (Finding.WHOLE, Verdict.STEADY),
+            (Finding.UNSURE, Verdict.STEADY),
+            (Finding.DOUBTED, Verdict.STEADY),
+        ]
         verdict = Verdict.STEADY
         for finding, expected in path:
             verdict = TABLE.get((verdict, finding), (verdict, ""))[0]
@@ -130,20 +180,28 @@
         for lost, pace in (({3: 1.0}, {}), ({3: 0.4}, {}), ({}, {3: 1.3})):
             fleet, chance = Fleet(), Random(4)
             self.assertEqual(fleet.play(8, seen(chance)), set())
-            self.assertEqual(fleet.play(12, seen(chance, lost, pace)), {3}, (lost, pace))
+            self.assertEqual(
+                fleet.play(12, seen(chance, lost, pace)), {3}, (lost, pace)
+            )
             parts = []
             for _ in range(40):
                 fleet.play(0.3, seen(chance))
                 parts.append(fleet.judge.boxes[3].open)
             self.assertIs(fleet.judge.boxes[3].verdict, Verdict.STEADY)
-            self.assertTrue(all(later - one < 0.5 for one, later in zip(parts, parts[1:])), parts)
+            self.assertTrue(
+                all(later - one < 0.5 for one, later in zip(parts, parts[1:])), parts
+            )
             self.assertEqual({each.box for each in fleet.turns}, {3})
 
     def test_much_work_everywhere_calls_nobody_and_too_many_are_not_believed(self):
         fleet, chance = Fleet(), Random(5)
         fleet.play(6, seen(chance))
-        self.assertEqual(fleet.play(8, seen(chance, {}, {box: 1.5 for box in CELLS})), set())
-        self.assertEqual(fleet.play(8, seen(chance, {box: 1.0 for box in range(8)})), set())
+        self.assertEqual(
+            fleet.play(8, seen(chance, {}, {box: 1.5 for box in CELLS})), set()
+        )
+        self.assertEqual(
+            fleet.play(8, seen(chance, {box: 1.0 for box in range(8)})), set()
+        )
         self.assertGreater(fleet.judge.doubted, 4)
 
     def test_of_a_cell_not_all_are_called(self):
@@ -152,12 +210,29 @@
         self.assertEqual(len(called), 1)
 
     def test_liars_and_the_sick_move_nothing(self):
-        for part, lies in ((0.05, lambda box: box in (1, 2)), (0.2, lambda box: box in (1, 2, 3)), (0.3, lambda box: True)):
+        for part, lies in (
+            (0.05, lambda box: box in (1, 2)),
+            (0.2, lambda box: box in (1, 2, 3)),
+            (0.3, lambda box: True),
+        ):
             fleet, chance = Fleet(100), Random(7)
             honest = seen(chance, {5: 1.0}, part=0.1)
-            fleet.play(60, lambda origin, box: word(1.0, seen=8.0) if origin < part * 100 and lies(box) else honest(origin, box))
+            fleet.play(
+                60,
+                lambda origin, box: (
+                    word(1.0, seen=8.0)
+                    if origin < part * 100 and lies(box)
+                    else honest(origin, box)
+                ),
+            )
             late = {each.box for each in fleet.turns[-1:]} | fleet.play(
-                6, lambda origin, box: word(1.0, seen=8.0) if origin < part * 100 and lies(box) else honest(origin, box))
+                6,
+                lambda origin, box: (
+                    word(1.0, seen=8.0)
+                    if origin < part * 100 and lies(box)
+                    else honest(origin, box)
+                ),
+            )
             self.assertEqual(late & {1, 2, 3}, set(), part)
             self.assertIs(fleet.judge.boxes[5].verdict, Verdict.FAILING)
 
@@ -166,7 +241,9 @@
         fleet.play(6, seen(chance))
         fleet.play(12, seen(chance, {3: 1.0}))
         judge = fleet.judge
-        advice = [judge.advice(3, fleet.order(3)[each], GATEWAYS) for each in range(GATEWAYS)]
+        advice = [
+            judge.advice(3, fleet.order(3)[each], GATEWAYS) for each in range(GATEWAYS)
+        ]
         tries = sum(strain <= 0 for strain, _ in advice)
         self.assertTrue(decide.FEWEST_PROBERS <= tries <= GATEWAYS / 3, tries)
         self.assertEqual(sum(away for _, away in advice), GATEWAYS - tries)
@@ -177,15 +254,36 @@
     def test_slow_is_told_from_much_work_size_by_size(self):
         def seen_by(latency, inflight):
             observer = Observer({"categories": [{"target_time": 3000}]})
-            observer.list([Listed(each, Readiness.READY, 2.0, 0, 0, None, each) for each in range(2)])
+            observer.list(
+                [
+                    Listed(each, Readiness.READY, 2.0, 0, 0, None, each)
+                    for each in range(2)
+                ]
+            )
+
             def answer(box, units, latency, inflight):
-                observer.answer(0, Arrival(1, 1, 1, 1, 0, 0, False, False, None, units, 9000),
-                                Answer(1, 0, box, Outcome.SATISFIED, True, latency, None, 0, {"inflight": inflight}))
+                observer.answer(
+                    0,
+                    Arrival(1, 1, 1, 1, 0, 0, False, False, None, units, 9000),
+                    Answer(
+                        1,
+                        0,
+                        box,
+                        Outcome.SATISFIED,
+                        True,
+                        latency,
+                        None,
+                        0,
+                        {"inflight": inflight},
+                    ),
+                )
+
             for _ in range(60):
                 answer(0, 1, 200, 1)
                 answer(0, 8, 1600, 1)
             answer(1, 8, latency, inflight)
             return observer.words(0)[1].pace
+
         self.assertAlmostEqual(seen_by(1600, 1), 0, places=2)
         self.assertAlmostEqual(seen_by(6400, 7), 0, places=2)
         self.assertAlmostEqual(seen_by(6400, 1), 2, places=2)
@@ -193,15 +291,21 @@
 
 class Advice(unittest.TestCase):
     def day(self, ill="calm"):
-        return Day(ill, "alone", 3, gateways=6, boxes=8, rate=60.0, begins=1, ends=3, lasts=4)
+        return Day(
+            ill, "alone", 3, gateways=6, boxes=8, rate=60.0, begins=1, ends=3, lasts=4
+        )
 
     def test_without_advice_each_decision_is_as_before_and_with_it_choice_moves(self):
         def played(advise):
             day, sent = self.day(), []
             for number, gateway in enumerate(day.gateways):
                 send = gateway.send
-                gateway.send = lambda transfer, node, timeout, send=send, number=number: (
-                    sent.append((day.now, number, transfer, node, timeout)), send(transfer, node, timeout))
+                gateway.send = (
+                    lambda transfer, node, timeout, send=send, number=number: (
+                        sent.append((day.now, number, transfer, node, timeout)),
+                        send(transfer, node, timeout),
+                    )
+                )
             for at in range(0, 4 * SECOND, 1000):
                 day.at(at, advise, day)
             day.play()
@@ -209,11 +313,26 @@
 
         plain = played(lambda day: None)
         self.assertGreater(len(plain), 200)
-        for neutral in (lambda day: [each.module.advised(day.now, 99, 4.0, True, day.now + 3000) for each in day.gateways],
-                        lambda day: [each.module.advised(day.now, 1, 4.0, True, day.now) for each in day.gateways]):
+        for neutral in (
+            lambda day: [
+                each.module.advised(day.now, 99, 4.0, True, day.now + 3000)
+                for each in day.gateways
+            ],
+            lambda day: [
+                each.module.advised(day.now, 1, 4.0, True, day.now)
+                for each in day.gateways
+            ],
+        ):
             self.assertEqual(played(neutral), plain)
-        away = played(lambda day: [(each.module.advised(day.now, 1, 4.0, True, day.now + 3000), each.settle_soon())
-                                   for each in day.gateways])
+        away = played(
+            lambda day: [
+                (
+                    each.module.advised(day.now, 1, 4.0, True, day.now + 3000),
+                    each.settle_soon(),
+                )
+                for each in day.gateways
+            ]
+        )
         count = [sum(node == 1 for _, _, _, node, _ in each) for each in (plain, away)]
         self.assertLess(count[1], count[0] / 2)
 
@@ -226,9 +345,13 @@
         node.heard = node.lapsed = -9 * SECOND
         module.advised(day.now, 1, 4.0, True, day.now + 3000)
         self.assertEqual(node.rest_until, day.now + 3000)
-        transfer = SimpleNamespace(cell=None, extent=0, node=None, dispatches=[], units=1)
+        transfer = SimpleNamespace(
+            cell=None, extent=0, node=None, dispatches=[], units=1
+        )
         spoken = module.reluctance(transfer, node, day.now)[3]
-        self.assertAlmostEqual(spoken - module.reluctance(transfer, node, day.now + 3000)[3], 4.0)
+        self.assertAlmostEqual(
+            spoken - module.reluctance(transfer, node, day.now + 3000)[3], 4.0
+        )
         node.rest_until, node.lapses = 0, 2
         node.heard = day.now
         module.advised(day.now, 1, 4.0, True, day.now + 3000)
@@ -243,10 +366,17 @@
         from milletsill.settings.decide import check_gateway
         from milletsill.settings.load import parse
         from milletsill.settings.milletsill_pb2 import GatewayFile
+
         text = Path("examples/fleet-1.textproto").read_text("utf-8")
-        text = re.sub(r"health *{[^}]*}", "", text).replace("fleet {", "fleet { health { HERE }", 1)
+        text = re.sub(r"health *{[^}]*}", "", text).replace(
+            "fleet {", "fleet { health { HERE }", 1
+        )
         parse(text.replace("HERE", "lasts_s: 3"), "f", GatewayFile, check_gateway)
-        for wrong, word_of in (("publish_ms: 2", "publish_ms"), ("lasts_s: 1", "renewed"), ("most_part: 0.9", "most_part")):
+        for wrong, word_of in (
+            ("publish_ms: 2", "publish_ms"),
+            ("lasts_s: 1", "renewed"),
+            ("most_part: 0.9", "most_part"),
+        ):
             with self.assertRaisesRegex(Exception, word_of):
                 parse(text.replace("HERE", wrong), "f", GatewayFile, check_gateway)
 
@@ -275,32 +405,82 @@
     def test_gateways_agree_advise_their_modules_and_stop(self):
         from prometheus_client import CollectorRegistry
         from twisted.internet.task import Clock
+
         clock, planes, sharings, notes = Clock(), {}, [], []
         now = lambda: int(clock.seconds() * SECOND)  # noqa: E731
-        link = SimpleNamespace(most_members=1024, health=SimpleNamespace(publish_ms=300, lasts_s=6, most_part=0.34))
-        entries = [Listed(each, Readiness.READY, 2.0, 0, 0, None, each) for each in range(6)]
+        link = SimpleNamespace(
+            most_members=1024,
+            health=SimpleNamespace(publish_ms=300, lasts_s=6, most_part=0.34),
+        )
+        entries = [
+            Listed(each, Readiness.READY, 2.0, 0, 0, None, each) for each in range(6)
+        ]
         for each in range(6):
             host = mock.Mock(facts={"categories": [{"target_time": 3000}]})
-            sharings.append(Sharing(clock, now, link, each, Plane(f"edge-{each}", planes), host, mock.Mock(),
-                                    lambda event, **values: notes.append((event, values)), CollectorRegistry(), 64))
+            sharings.append(
+                Sharing(
+                    clock,
+                    now,
+                    link,
+                    each,
+                    Plane(f"edge-{each}", planes),
+                    host,
+                    mock.Mock(),
+                    lambda event, **values: notes.append((event, values)),
+                    CollectorRegistry(),
+                    64,
+                )
+            )
             sharings[-1].start()
             sharings[-1].listed(News.WHOLE, entries)
         for each in sharings:
-            each.viewed(View(1, [Member(name, "", 1, Standing.ALIVE) for name in planes]), ())
+            each.viewed(
+                View(1, [Member(name, "", 1, Standing.ALIVE) for name in planes]), ()
+            )
         arrival = Arrival(1, 1, 1, 1, 0, 0, False, False, None, 1, 99_000)
         for step in range(200):
             clock.advance(0.1)
             for each in sharings:
                 box = step % 6
                 lost = box == 2 and step > 60
-                each.host.overheard(now(), arrival, Answer(1, 0, box, Outcome.TIMED_OUT if lost else Outcome.SATISFIED, not lost,
-                                                           300, None, 0, {}))
-        self.assertTrue(all(each.judge.boxes[2].verdict is Verdict.FAILING for each in sharings))
-        self.assertTrue(any(event == "box_verdict" and values["box"] == 2 and values["new"] == "failing"
-                            for event, values in notes))
-        kept = [call.args for each in sharings for call in each.host.advised.call_args_list[-1:]]
-        self.assertTrue(any(away for _, _, away, _ in kept) and all(until == now() + LASTS * 3000 or until > now()
-                                                                    for _, _, _, until in kept))
+                each.host.overheard(
+                    now(),
+                    arrival,
+                    Answer(
+                        1,
+                        0,
+                        box,
+                        Outcome.TIMED_OUT if lost else Outcome.SATISFIED,
+                        not lost,
+                        300,
+                        None,
+                        0,
+                        {},
+                    ),
+                )
+        self.assertTrue(
+            all(each.judge.boxes[2].verdict is Verdict.FAILING for each in sharings)
+        )
+        self.assertTrue(
+            any(
+                event == "box_verdict"
+                and values["box"] == 2
+                and values["new"] == "failing"
+                for event, values in notes
+            )
+        )
+        kept = [
+            call.args
+            for each in sharings
+            for call in each.host.advised.call_args_list[-1:]
+        ]
+        self.assertTrue(
+            any(away for _, _, away, _ in kept)
+            and all(
+                until == now() + LASTS * 3000 or until > now()
+                for _, _, _, until in kept
+            )
+        )
         sharings[0].heard("edge-1", 1, b"\xff")
         self.assertEqual(sharings[0].remark.call_args.kwargs["error"], "RowRefused")
         for each in sharings:
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -1,4 +1,5 @@
 """The host of the module on a clock of the test's own: what it tells the module, and when."""
+
 import unittest
 
 from twisted.internet.task import Clock
@@ -54,8 +55,17 @@
 class Hosted(unittest.TestCase):
     def setUp(self):
         self.clock, self.pool, self.asker, self.log = Clock(), Links(), Asker(), []
-        self.host = Host(self.clock, lambda: int(self.clock.seconds() * 10_000 + 0.5), {}, 1, Module,
-                         self.pool.carry, lambda: None, self.log.append, lambda *values: None)
+        self.host = Host(
+            self.clock,
+            lambda: int(self.clock.seconds() * 10_000 + 0.5),
+            {},
+            1,
+            Module,
+            self.pool.carry,
+            lambda: None,
+            self.log.append,
+            lambda *values: None,
+        )
         arrival = Arrival(1, 5, 1, 1, 0, 0, False, False, 0, 2.0, 10_000)
         self.host.take(arrival, self.asker, "cargo")
         self.module = self.host.module
@@ -72,15 +82,22 @@
     def test_events_of_one_moment_are_settled_once(self):
         self.host.abandon(1)
         self.clock.advance(0)
-        self.assertEqual([len(self.module.of(each)) for each in ("taken", "abandoned", "settle")], [1, 1, 1])
+        self.assertEqual(
+            [len(self.module.of(each)) for each in ("taken", "abandoned", "settle")],
+            [1, 1, 1],
+        )
 
     def test_what_still_waits_for_a_link_is_withdrawn_when_its_client_leaves(self):
         self.pool.begun = False
         self.host.send(1, 7, 5000)
         self.host.abandon(1)
-        self.assertEqual(self.pool.withdrawn, 1, "at once, whether or not the module may cancel")
+        self.assertEqual(
+            self.pool.withdrawn, 1, "at once, whether or not the module may cancel"
+        )
         self.clock.advance(0)
-        self.assertEqual([each[1].outcome for each in self.module.of("returned")], [Outcome.MOOT])
+        self.assertEqual(
+            [each[1].outcome for each in self.module.of("returned")], [Outcome.MOOT]
+        )
         self.assertEqual(self.host.live, {})
 
     def test_what_is_on_its_way_when_its_client_leaves_is_the_modules_to_cancel(self):
@@ -92,31 +109,50 @@
     def test_after_a_stall_what_came_is_read_before_anything_is_settled(self):
         self.clock.advance(0)
         self.host.listed(None, [])  # an event of this round
-        self.clock.rightNow += 0.5  # the process stood: a turn of the sockets comes first
+        self.clock.rightNow += (
+            0.5  # the process stood: a turn of the sockets comes first
+        )
         self.host.turn.ring()
         self.assertEqual(len(self.module.of("settle")), 1)
         self.clock.advance(0)
         self.assertGreater(len(self.module.of("settle")), 1)
 
-    def test_a_satisfied_dispatch_answers_once_and_tells_the_module_that_it_is_over(self):
+    def test_a_satisfied_dispatch_answers_once_and_tells_the_module_that_it_is_over(
+        self,
+    ):
         self.host.send(1, 7, 500)
         self.pool.held[0][1](Outcome.SATISFIED, self.verdict())
         self.pool.held[0][1](Outcome.SATISFIED, self.verdict())
-        answer, = [each[1] for each in self.module.of("returned")]
-        self.assertEqual((self.asker.told, answer.over, answer.elsewhere, dict(answer.report), self.host.live),
-                         (["satisfied"], True, 2, {"queue": 3.0}, {}))
-
-    def test_an_error_in_the_module_is_said_and_every_transfer_still_gets_its_answer(self):
+        (answer,) = [each[1] for each in self.module.of("returned")]
+        self.assertEqual(
+            (
+                self.asker.told,
+                answer.over,
+                answer.elsewhere,
+                dict(answer.report),
+                self.host.live,
+            ),
+            (["satisfied"], True, 2, {"queue": 3.0}, {}),
+        )
+
+    def test_an_error_in_the_module_is_said_and_every_transfer_still_gets_its_answer(
+        self,
+    ):
         def failing(now, *values):
             raise KeyError("lost")
+
         self.module.settle = failing
         self.host.abandon(1)  # settles
         self.clock.advance(0)
         arrival = Arrival(2, 5, 1, 1, 0, 0, False, False, 0, 2.0, 20_000)
         self.host.take(arrival, self.asker, "cargo")
         self.clock.advance(2.01)
-        self.assertEqual((self.asker.told, self.host.live, self.host.held), (["aborted"], {}, 0))
-        self.assertTrue(self.log and all("KeyError" in each for each in self.log), self.log)
+        self.assertEqual(
+            (self.asker.told, self.host.live, self.host.held), (["aborted"], {}, 0)
+        )
+        self.assertTrue(
+            self.log and all("KeyError" in each for each in self.log), self.log
+        )
 
     def test_a_send_decided_before_the_process_stood_is_not_made(self):
         self.host.most_stale = 200
@@ -125,14 +161,17 @@
         self.host.send(1, 7, 500)
         self.assertEqual(self.pool.held, [])
         self.clock.advance(0)
-        answer, = [each[1] for each in self.module.of("returned")]
+        (answer,) = [each[1] for each in self.module.of("returned")]
         self.assertIs(answer.outcome, Outcome.UNREACHED)
 
     def test_a_time_out_is_told_and_the_box_is_told_too(self):
         self.host.send(1, 7, 500)
         self.clock.advance(0.051)
-        answer, = [each[1] for each in self.module.of("returned")]
-        self.assertEqual((answer.outcome, self.pool.withdrawn, self.asker.told), (Outcome.TIMED_OUT, 1, []))
+        (answer,) = [each[1] for each in self.module.of("returned")]
+        self.assertEqual(
+            (answer.outcome, self.pool.withdrawn, self.asker.told),
+            (Outcome.TIMED_OUT, 1, []),
+        )
 
     def test_no_time_out_means_until_the_client_leaves(self):
         self.host.send(1, 7, 0)
@@ -160,7 +199,10 @@
         self.host.decline(1, 70)
         self.host.send(1, 7, 500)
         self.host.abort(1)
-        self.assertEqual((self.pool.held, self.asker.told, len(self.log)), ([], [("declined", 70)], 1))
+        self.assertEqual(
+            (self.pool.held, self.asker.told, len(self.log)),
+            ([], [("declined", 70)], 1),
+        )
 
     def test_a_transfer_stays_until_its_dispatches_have_ended_without_its_data(self):
         self.host.send(1, 7, 500)
@@ -179,7 +221,16 @@
     def test_wakes_come_in_order_and_one_timer_serves_all(self):
         for at, what in ((300, "c"), (100, "a"), (200, "b")):
             self.host.wake(at, what)
-        self.assertEqual(len([each for each in self.clock.getDelayedCalls() if each.func == self.host.ring]), 1)
+        self.assertEqual(
+            len(
+                [
+                    each
+                    for each in self.clock.getDelayedCalls()
+                    if each.func == self.host.ring
+                ]
+            ),
+            1,
+        )
         for _ in range(40):
             self.clock.advance(0.001)
         self.assertEqual([each[1] for each in self.module.of("woken")], ["a", "b", "c"])
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -1,4 +1,5 @@
 """How the house hangs together: no circle of imports, arrows one way, the decisions within their bounds."""
+
 import ast
 import subprocess
 import sys
@@ -80,7 +81,12 @@
         if isinstance(node, ast.Import):
             found |= {each.name for each in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found |= {whole if (whole := f"{node.module}.{each.name}") in known else node.module for each in node.names}
+            found |= {
+                whole
+                if (whole := f"{node.module}.{each.name}") in known
+                else node.module
+                for each in node.names
+            }
     return found & known.keys()
 
 
@@ -114,7 +120,10 @@
     @classmethod
     def setUpClass(cls):
         known = names(ROOT / "milletsill")
-        cls.graph = {name: imports(path.read_text("utf-8"), known) for name, path in known.items()}
+        cls.graph = {
+            name: imports(path.read_text("utf-8"), known)
+            for name, path in known.items()
+        }
 
     def test_no_module_is_in_a_circle(self):
         self.assertGreater(sum(map(len, self.graph.values())), 300)
@@ -123,7 +132,9 @@
     def test_no_package_is_in_a_circle(self):
         packages: dict[str, set[str]] = {}
         for module, others in self.graph.items():
-            packages.setdefault(part(module), set()).update(part(each) for each in others if part(each) != part(module))
+            packages.setdefault(part(module), set()).update(
+                part(each) for each in others if part(each) != part(module)
+            )
         self.assertEqual(circle(packages), [])
 
     def test_arrows_point_from_programs_to_subsystems_and_none_to_the_laboratory(self):
@@ -141,22 +152,40 @@
 
 class Sizes(unittest.TestCase):
     def test_files_hold_at_most_400_lines(self):
-        long = {str(path.relative_to(ROOT)) for folder in ("milletsill", "tests") for path in (ROOT / folder).rglob("*.py")
-                if not path.name.endswith("_pb2.py") and len(path.read_text("utf-8").splitlines()) > 400}
+        long = {
+            str(path.relative_to(ROOT))
+            for folder in ("milletsill", "tests")
+            for path in (ROOT / folder).rglob("*.py")
+            if not path.name.endswith("_pb2.py")
+            and len(path.read_text("utf-8").splitlines()) > 400
+        }
         self.assertEqual(long - TO_BE_SPLIT, set())
 
 
 class Decisions(unittest.TestCase):
     def test_the_files_of_the_module_are_named(self):
         deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-        stand = sorted(str(each.relative_to(ROOT)) for each in (ROOT / "milletsill/policy").rglob("*.py"))
+        stand = sorted(
+            str(each.relative_to(ROOT))
+            for each in (ROOT / "milletsill/policy").rglob("*.py")
+        )
         self.assertEqual(sorted(deploy["policy"]), stand)
         for each in deploy["node"]:
             self.assertTrue((ROOT / each).exists(), each)
 
     def test_the_wire_and_the_facts_need_the_standard_library_alone(self):
-        for module in ("milletsill.wirehost.host", "milletsill.wirehost.__main__", "milletsill.facts", "milletsill.policy"):
-            done = subprocess.run([sys.executable, "-S", "-c", f"import {module}"], cwd=ROOT, capture_output=True, text=True)
+        for module in (
+            "milletsill.wirehost.host",
+            "milletsill.wirehost.__main__",
+            "milletsill.facts",
+            "milletsill.policy",
+        ):
+            done = subprocess.run(
+                [sys.executable, "-S", "-c", f"import {module}"],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+            )
             self.assertEqual(done.returncode, 0, done.stderr)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,5 @@
 """The laboratory: its engine by itself, days turned into scenarios, and one short day played with faults and audited."""
+
 import json
 import os
 import tempfile
@@ -50,28 +51,145 @@
 trouble { what: "balancer_stall" at_s: 3.2 for_s: 1 on: 1 size: 300 extra: 0.6 }
 """
 DAY = {
-    "family": "stores", "site": "s", "kind": "big", "noise": 7, "length": 9_000_000, "tick": 2000, "drain_grace": 250_000,
-    "fall_multiple": 3.0, "fall_for": 1_000_000,
-    "fam": {"most_units": 8.0, "mean_units": 2.0, "worths": [1.0, 0.4, 0.1], "meter": 1_000_000, "unit_work": 20_000,
-            "run": [1, 2], "seek": 0.5, "defer": 0.3, "flush": 1_000_000, "remembers": 1, "shift_s": 9, "skew": 1,
-            "plans": [{"rate": 5, "reserve": 2, "weight": 1, "price": 1, "limit": 0, "limit_burst": 0, "slack": 0}],
-            "volumes": [{"nodes": [0, 5], "hosts": 3, "plan": 0, "base": 1.2, "high": 9.0, "len": 5},
-                        {"nodes": [2], "hosts": 1, "plan": 0, "base": 0.8, "high": 0.0, "len": 0}]},
-    "tiers": [{"stated_cold_from": 0.2, "stated_cold": 9_000_000, "report_how": "answers", "report_fields": ["queue"],
-               "report_period": 1000, "report_delay": 100, "streams": 32, "connect_timeout": 250_000,
-               "handshake_work": 500, "conn_cap_per_core": 100, "kinds": [
-                   {"cores": 2, "slots": 8, "queue": 50, "cold_from": 0.2, "cold": 5_000_000, "pause_every": 5_000_000,
-                    "pause": 50_000, "cancel": "all", "drops_expired": False, "error_rate": 0.0, "thrash": 0.2, "knee": 9}]}],
+    "family": "stores",
+    "site": "s",
+    "kind": "big",
+    "noise": 7,
+    "length": 9_000_000,
+    "tick": 2000,
+    "drain_grace": 250_000,
+    "fall_multiple": 3.0,
+    "fall_for": 1_000_000,
+    "fam": {
+        "most_units": 8.0,
+        "mean_units": 2.0,
+        "worths": [1.0, 0.4, 0.1],
+        "meter": 1_000_000,
+        "unit_work": 20_000,
+        "run": [1, 2],
+        "seek": 0.5,
+        "defer": 0.3,
+        "flush": 1_000_000,
+        "remembers": 1,
+        "shift_s": 9,
+        "skew": 1,
+        "plans": [
+            {
+                "rate": 5,
+                "reserve": 2,
+                "weight": 1,
+                "price": 1,
+                "limit": 0,
+                "limit_burst": 0,
+                "slack": 0,
+            }
+        ],
+        "volumes": [
+            {
+                "nodes": [0, 5],
+                "hosts": 3,
+                "plan": 0,
+                "base": 1.2,
+                "high": 9.0,
+                "len": 5,
+            },
+            {"nodes": [2], "hosts": 1, "plan": 0, "base": 0.8, "high": 0.0, "len": 0},
+        ],
+    },
+    "tiers": [
+        {
+            "stated_cold_from": 0.2,
+            "stated_cold": 9_000_000,
+            "report_how": "answers",
+            "report_fields": ["queue"],
+            "report_period": 1000,
+            "report_delay": 100,
+            "streams": 32,
+            "connect_timeout": 250_000,
+            "handshake_work": 500,
+            "conn_cap_per_core": 100,
+            "kinds": [
+                {
+                    "cores": 2,
+                    "slots": 8,
+                    "queue": 50,
+                    "cold_from": 0.2,
+                    "cold": 5_000_000,
+                    "pause_every": 5_000_000,
+                    "pause": 50_000,
+                    "cancel": "all",
+                    "drops_expired": False,
+                    "error_rate": 0.0,
+                    "thrash": 0.2,
+                    "knee": 9,
+                }
+            ],
+        }
+    ],
     "allow": {"cancel": True, "second_copies": True, "max_attempts": 3},
-    "classes": [{"name": "r", "share": 0.7, "work": 30_000, "cv": 0.5, "aim": 300_000, "deadline": 900_000, "worth": 2,
-                 "late_worth": 0.2, "effect": "safe", "group": "all", "window": 5_000_000, "write": False},
-                {"name": "w", "share": 0.3, "work": 40_000, "cv": 0.5, "aim": 300_000, "deadline": 900_000, "worth": 2,
-                 "late_worth": 0.2, "effect": "keyed", "group": "cell", "window": 5_000_000, "write": True}],
-    "tenants": [{"name": "p"}], "servers": [{"kind": 0, "speed": 1.0, "zone": 0}] * 6, "balancers": [{}] * 4,
-    "traffic": {"load": 0.5}, "discovery": {"notice": 500_000, "silent_notice": 2_000_000},
-    "clients": {"retries": 1.4, "backoff_us": 100_000, "honour": 0.5, "try_share": 1.0, "max_retry_after": 1_000_000},
-    "troubles": [{"kind": "slow", "at": 1_000_000, "len": 2_000_000, "size": 3, "extra": 0, "on": [1, 5], "which": 0},
-                 {"kind": "unheard_of", "at": 1, "len": 1, "size": 1, "extra": 1, "on": [], "which": 0}]}
+    "classes": [
+        {
+            "name": "r",
+            "share": 0.7,
+            "work": 30_000,
+            "cv": 0.5,
+            "aim": 300_000,
+            "deadline": 900_000,
+            "worth": 2,
+            "late_worth": 0.2,
+            "effect": "safe",
+            "group": "all",
+            "window": 5_000_000,
+            "write": False,
+        },
+        {
+            "name": "w",
+            "share": 0.3,
+            "work": 40_000,
+            "cv": 0.5,
+            "aim": 300_000,
+            "deadline": 900_000,
+            "worth": 2,
+            "late_worth": 0.2,
+            "effect": "keyed",
+            "group": "cell",
+            "window": 5_000_000,
+            "write": True,
+        },
+    ],
+    "tenants": [{"name": "p"}],
+    "servers": [{"kind": 0, "speed": 1.0, "zone": 0}] * 6,
+    "balancers": [{}] * 4,
+    "traffic": {"load": 0.5},
+    "discovery": {"notice": 500_000, "silent_notice": 2_000_000},
+    "clients": {
+        "retries": 1.4,
+        "backoff_us": 100_000,
+        "honour": 0.5,
+        "try_share": 1.0,
+        "max_retry_after": 1_000_000,
+    },
+    "troubles": [
+        {
+            "kind": "slow",
+            "at": 1_000_000,
+            "len": 2_000_000,
+            "size": 3,
+            "extra": 0,
+            "on": [1, 5],
+            "which": 0,
+        },
+        {
+            "kind": "unheard_of",
+            "at": 1,
+            "len": 1,
+            "size": 1,
+            "extra": 1,
+            "on": [],
+            "which": 0,
+        },
+    ],
+}
 
 
 class Played(unittest.TestCase):
@@ -84,27 +202,95 @@
 
 
 class Boxes(unittest.TestCase):
-    def test_two_dispatches_under_one_ticket_at_once_have_one_effect_and_an_answer_each(self):
+    def test_two_dispatches_under_one_ticket_at_once_have_one_effect_and_an_answer_each(
+        self,
+    ):
         clock, answers, effects = Clock(), [], []
-        box = Box(clock, 0, 0, 0, BoxKind(name="k", cores=2), NodeRules(), Files(), {}, 1, None, clock.seconds)
-        box.files.run = lambda command: effects.append(command) or Verdict(extensions.DONE, "", answer=packets.Status(0, packets.OK))
-        gate = SimpleNamespace(answer=lambda id, verdict, order: answers.append((id, verdict.answer)))
+        box = Box(
+            clock,
+            0,
+            0,
+            0,
+            BoxKind(name="k", cores=2),
+            NodeRules(),
+            Files(),
+            {},
+            1,
+            None,
+            clock.seconds,
+        )
+        box.files.run = lambda command: (
+            effects.append(command)
+            or Verdict(extensions.DONE, "", answer=packets.Status(0, packets.OK))
+        )
+        gate = SimpleNamespace(
+            answer=lambda id, verdict, order: answers.append((id, verdict.answer))
+        )
         for id, (ticket, number) in enumerate((("t", 0), ("t", 1), ("u", 0))):
-            box.order(gate, id, Order("g", 1, 7, number, 1.0, 5, 100, ticket, 1, 1, "write", "m", packets.Write(0, b"/a/f", 0, b"x")))
+            box.order(
+                gate,
+                id,
+                Order(
+                    "g",
+                    1,
+                    7,
+                    number,
+                    1.0,
+                    5,
+                    100,
+                    ticket,
+                    1,
+                    1,
+                    "write",
+                    "m",
+                    packets.Write(0, b"/a/f", 0, b"x"),
+                ),
+            )
         clock.pump([0.001] * 100)
-        self.assertEqual((sorted(answers), len(effects)), ([(id, packets.Status(0, packets.OK)) for id in range(3)], 2))
-        box.order(gate, 9, Order("g", 1, 7, 2, 1.0, 5, 100, "t", 1, 1, "write", "m", packets.Write(0, b"/a/f", 0, b"x")))
+        self.assertEqual(
+            (sorted(answers), len(effects)),
+            ([(id, packets.Status(0, packets.OK)) for id in range(3)], 2),
+        )
+        box.order(
+            gate,
+            9,
+            Order(
+                "g",
+                1,
+                7,
+                2,
+                1.0,
+                5,
+                100,
+                "t",
+                1,
+                1,
+                "write",
+                "m",
+                packets.Write(0, b"/a/f", 0, b"x"),
+            ),
+        )
         self.assertEqual((answers[-1][0], len(effects)), (9, 2))
 
 
 class Engines(unittest.TestCase):
     def engine(self, cold=False, **figures):
-        kind = BoxKind(name="k", **{"cores": 1, "slots": 2, "queue": 2, "cold_s": 10, **figures})
+        kind = BoxKind(
+            name="k", **{"cores": 1, "slots": 2, "queue": 2, "cold_s": 10, **figures}
+        )
         return Engine(kind, NodeRules(), Random(1), 0.0, cold, Speed())
 
     def take(self, engine, now, work=1.0, extent=1, **named):
-        return engine.take(now, work, 1.0, extent, named.get("first", True), named.get("write", False),
-                           named.get("expires", 1e9), extent)
+        return engine.take(
+            now,
+            work,
+            1.0,
+            extent,
+            named.get("first", True),
+            named.get("write", False),
+            named.get("expires", 1e9),
+            extent,
+        )
 
     def test_two_share_one_core_and_end_together(self):
         engine = self.engine()
@@ -113,12 +299,18 @@
 
     def test_a_full_queue_turns_away(self):
         engine = self.engine()
-        self.assertEqual([self.take(engine, 0, extent=each) is None for each in range(5)], [False] * 4 + [True])
+        self.assertEqual(
+            [self.take(engine, 0, extent=each) is None for each in range(5)],
+            [False] * 4 + [True],
+        )
 
     def test_a_remembered_extent_costs_less_at_the_first_dispatch_only(self):
         engine = self.engine(seek=0.5)
         self.take(engine, 0)
-        self.assertEqual([self.take(engine, 0, first=each).left for each in (True, False)], [0.5, 1.0])
+        self.assertEqual(
+            [self.take(engine, 0, first=each).left for each in (True, False)],
+            [0.5, 1.0],
+        )
 
     def test_standing_still_does_no_work(self):
         engine = self.engine()
@@ -150,7 +342,10 @@
 
 class Services(unittest.TestCase):
     def reckon(self, *rows, claims=(Claim(2, 1), Claim(0, 1)), power=10):
-        done = [Done(0, volume, "c", units, 1.0, counts, late) for volume, units, counts, late in rows]
+        done = [
+            Done(0, volume, "c", units, 1.0, counts, late)
+            for volume, units, counts, late in rows
+        ]
         return reckon(done, claims, power, 1, 0.5, 0.1)[""]
 
     def test_inside_the_reserve_counts_in_full(self):
@@ -167,16 +362,24 @@
         self.assertAlmostEqual(counted, 0.2 * 3 * 0.5)
 
     def test_spare_power_goes_by_weight_and_none_gets_more_than_it_asks(self):
-        got = parted({0: 1.0, 1: 100.0, 2: 100.0}, [Claim(0, 1), Claim(0, 1), Claim(0, 3)], 9.0)
+        got = parted(
+            {0: 1.0, 1: 100.0, 2: 100.0}, [Claim(0, 1), Claim(0, 1), Claim(0, 3)], 9.0
+        )
         self.assertEqual([round(got[each], 6) for each in range(3)], [1.0, 2.0, 6.0])
 
 
 class Stored(unittest.TestCase):
     def test_a_link_stands_once_and_goes_only_with_its_target(self):
         files = Files()
-        codes = [files.run(packets.Symlink(0, "/a", each)).verdict for each in ("1:x", "1:x", "2:y")]
+        codes = [
+            files.run(packets.Symlink(0, "/a", each)).verdict
+            for each in ("1:x", "1:x", "2:y")
+        ]
         self.assertEqual((codes, files.links), ([0, 0, 3], {"/a": "1:x"}))
-        self.assertEqual(files.run(packets.Symlink(0, "/a", "-2:y")).answer.code, packets.NO_SUCH_FILE)
+        self.assertEqual(
+            files.run(packets.Symlink(0, "/a", "-2:y")).answer.code,
+            packets.NO_SUCH_FILE,
+        )
         files.run(packets.Symlink(0, "/a", "-1:x"))
         self.assertEqual(files.links, {})
 
@@ -184,7 +387,9 @@
         files = Files()
         files.run(packets.Open(0, "/a", packets.CREATE_FLAG, Attrs()))
         files.run(packets.Write(0, b"/a", 4, b"x"))
-        self.assertEqual(files.run(packets.Read(0, b"/a", 0, 9)).answer.data, b"\0\0\0\0x")
+        self.assertEqual(
+            files.run(packets.Read(0, b"/a", 0, 9)).answer.data, b"\0\0\0\0x"
+        )
 
 
 class CommandLine(unittest.TestCase):
@@ -196,26 +401,56 @@
             path = os.path.join(folder, "day.json")
             with open(path, "w", encoding="utf-8") as sink:
                 json.dump(DAY, sink)
-            made = self.run_it("lab", "from-day", path, "--edges", "2", "--boxes", "3", "--seconds", "4")
+            made = self.run_it(
+                "lab",
+                "from-day",
+                path,
+                "--edges",
+                "2",
+                "--boxes",
+                "3",
+                "--seconds",
+                "4",
+            )
             scenario = text_format.Parse(made.output, Scenario())
             with open(path, "w", encoding="utf-8") as sink:
                 sink.write(made.output)
             self.assertEqual(self.run_it("check", "--scenario", path).exit_code, 0)
         self.assertLessEqual({tuple(each.on) for each in scenario.surge}, {(0,)})
-        self.assertEqual((scenario.edges, len(scenario.box), scenario.seconds, [each.what for each in scenario.trouble],
-                          list(scenario.gateway.volume[0].cell)), (2, 3, 4.0, ["slow"], [0, 2]))
+        self.assertEqual(
+            (
+                scenario.edges,
+                len(scenario.box),
+                scenario.seconds,
+                [each.what for each in scenario.trouble],
+                list(scenario.gateway.volume[0].cell),
+            ),
+            (2, 3, 4.0, ["slow"], [0, 2]),
+        )
 
     def test_nonsense_is_one_line_and_status_2(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "x")
-            for text, words in (("{}", ("lab", "from-day", path)), ("[", ("lab", "from-day", path)),
-                                ("name: 1", ("check", path)), ("", ("edge", path)),
-                                ("", ("lab", "run", path, "--out", folder)), ("", ("lab", "audit", folder))):
+            for text, words in (
+                ("{}", ("lab", "from-day", path)),
+                ("[", ("lab", "from-day", path)),
+                ("name: 1", ("check", path)),
+                ("", ("edge", path)),
+                ("", ("lab", "run", path, "--out", folder)),
+                ("", ("lab", "audit", folder)),
+            ):
                 with open(path, "w", encoding="utf-8") as sink:
                     sink.write(text)
                 made = self.run_it(*words)
-                self.assertEqual((made.exit_code, made.output.count("\n") <= 3, "Traceback" in made.output),
-                                 (2, True, False), (words, made.output))
+                self.assertEqual(
+                    (
+                        made.exit_code,
+                        made.output.count("\n") <= 3,
+                        "Traceback" in made.output,
+                    ),
+                    (2, True, False),
+                    (words, made.output),
+                )
 
 
 if __name__ == "__main__":
--- a/tests/test_layouts.py
+++ b/tests/test_layouts.py
@@ -1,4 +1,5 @@
 """Settings of shapes that no deployment at hand has, from the first message to what the module does with them."""
+
 import unittest
 
 from milletsill.facts import facts_of, missing_in, unknown_in
@@ -12,18 +13,54 @@
 
 def settings(**parts):
     """The first message of a small layout; each part is laid over the base's, None takes it away."""
-    base = {"peers_total": 4, "self_index": 0, "resolution_ns": 2_000_000, "membership_mode": "pushed", "weights": "nominal",
-            "zone": 0, "zones": ["a", "b"],
-            "classes": [{"name": "read", "aim_ns": SECOND // 2, "hard_limit_ns": 2 * SECOND, "worth": 1.0,
-                         "idempotency": "free", "group": "all"}],
-            "plans": [{"name": "p", "guaranteed": 10.0}],
-            "extra": {"writes": [False], "largest": 8, "slots_total": 2, "unit_mean": 2.0, "cold_bears": 20.0},
-            "limits": {"max_attempts": 3, "second_copies": True, "retry_after": True, "max_retry_after_ns": SECOND},
-            "rules": {"stop_sending_within_ns": SECOND, "ask_within_ns": 10 * SECOND, "fall_multiple": 3.0,
-                      "fall_ns": SECOND, "cold_from": 0.25, "warm_after_ns": 10 * SECOND}}
+    base = {
+        "peers_total": 4,
+        "self_index": 0,
+        "resolution_ns": 2_000_000,
+        "membership_mode": "pushed",
+        "weights": "nominal",
+        "zone": 0,
+        "zones": ["a", "b"],
+        "classes": [
+            {
+                "name": "read",
+                "aim_ns": SECOND // 2,
+                "hard_limit_ns": 2 * SECOND,
+                "worth": 1.0,
+                "idempotency": "free",
+                "group": "all",
+            }
+        ],
+        "plans": [{"name": "p", "guaranteed": 10.0}],
+        "extra": {
+            "writes": [False],
+            "largest": 8,
+            "slots_total": 2,
+            "unit_mean": 2.0,
+            "cold_bears": 20.0,
+        },
+        "limits": {
+            "max_attempts": 3,
+            "second_copies": True,
+            "retry_after": True,
+            "max_retry_after_ns": SECOND,
+        },
+        "rules": {
+            "stop_sending_within_ns": SECOND,
+            "ask_within_ns": 10 * SECOND,
+            "fall_multiple": 3.0,
+            "fall_ns": SECOND,
+            "cold_from": 0.25,
+            "warm_after_ns": 10 * SECOND,
+        },
+    }
     for name, part in parts.items():
         laid = {**base.get(name, {}), **part} if isinstance(part, dict) else part
-        base[name] = {key: value for key, value in laid.items() if value is not None} if isinstance(laid, dict) else laid
+        base[name] = (
+            {key: value for key, value in laid.items() if value is not None}
+            if isinstance(laid, dict)
+            else laid
+        )
     return {name: part for name, part in base.items() if part is not None}
 
 
@@ -37,8 +74,12 @@
     return Scheduler(facts_of(settings(**parts)), 1, 0, port), port
 
 
-def arrival(number, cell=0, extent=0, gateways=1, units=2.0, category=0, plan=0, ends=20_000):
-    return Arrival(number, extent, 1, gateways, category, plan, False, False, cell, units, ends)
+def arrival(
+    number, cell=0, extent=0, gateways=1, units=2.0, category=0, plan=0, ends=20_000
+):
+    return Arrival(
+        number, extent, 1, gateways, category, plan, False, False, cell, units, ends
+    )
 
 
 class Rules(unittest.TestCase):
@@ -53,7 +94,9 @@
 
     def test_a_limit_is_parted_among_all_where_a_volumes_gateways_are_not_told(self):
         for told, parts in ((0, 4), (1, 1), (3, 3)):
-            of, _ = module(plans=[{"name": "p", "ceiling_rate": 8.0, "most_at_once": 8.0}])
+            of, _ = module(
+                plans=[{"name": "p", "ceiling_rate": 8.0, "most_at_once": 8.0}]
+            )
             of.taken(100_000, arrival(1, gateways=told, ends=200_000))
             of.limit_wait(of.transfers[1], 100_000)
             self.assertAlmostEqual(of.volumes[1].limit.level, 8.0 / parts)
@@ -93,7 +136,9 @@
             of, _ = module(rules=rules)
             of.listed(20_000, News.WHOLE, [line(7, since=20_000)])
             of.taken(20_000, arrival(1, units=8.0, ends=60_000))
-            self.assertEqual(of.cold_wait(of.transfers[1], of.nodes[7], 20_000), 0, rules)
+            self.assertEqual(
+                of.cold_wait(of.transfers[1], of.nodes[7], 20_000), 0, rules
+            )
 
 
 class Choice(unittest.TestCase):
@@ -109,7 +154,13 @@
         for number in range(12):
             of.taken(0, arrival(number))
         of.settle(0)
-        self.assertEqual([len(of.nodes[each].out) + len(of.nodes[each].extents) for each in (7, 8, 9)], [4, 4, 4])
+        self.assertEqual(
+            [
+                len(of.nodes[each].out) + len(of.nodes[each].extents)
+                for each in (7, 8, 9)
+            ],
+            [4, 4, 4],
+        )
 
     def test_without_cells_any_node_takes_any_transfer(self):
         of, port = self.cell((7, {}), (8, {}), extra={"slots_total": None})
@@ -129,20 +180,33 @@
         of.settle(100)
         self.assertFalse(of.nodes[7].extents)
 
-    def test_a_further_dispatch_prefers_another_node_of_the_cell_where_the_rules_let_it(self):
-        for repeats, group, zone, elsewhere in (("free", "all", 1, True), ("guarded", "zone", 0, True),
-                                                ("guarded", "zone", 1, False), ("guarded", "cell", 1, True)):
-            of, _ = self.cell((7, {}), (8, {"zone": zone}), classes=category(idempotency=repeats, group=group,
-                                                                            window_ns=SECOND))
+    def test_a_further_dispatch_prefers_another_node_of_the_cell_where_the_rules_let_it(
+        self,
+    ):
+        for repeats, group, zone, elsewhere in (
+            ("free", "all", 1, True),
+            ("guarded", "zone", 0, True),
+            ("guarded", "zone", 1, False),
+            ("guarded", "cell", 1, True),
+        ):
+            of, _ = self.cell(
+                (7, {}),
+                (8, {"zone": zone}),
+                classes=category(idempotency=repeats, group=group, window_ns=SECOND),
+            )
             of.taken(0, arrival(1))
             one = of.transfers[1]
             of.hold(one, of.nodes[7], 0)
             of.dispatch(one, of.nodes[7], 0)
             of.returned(100, answer(1, Outcome.ERROR, latency=100))
             self.assertTrue(of.place(one, 100))
-            self.assertIs(one.node, of.nodes[8 if elsewhere else 7], (repeats, group, zone))
+            self.assertIs(
+                one.node, of.nodes[8 if elsewhere else 7], (repeats, group, zone)
+            )
 
-    def test_what_finds_no_credit_any_more_stands_in_a_queue_and_is_given_up_in_time(self):
+    def test_what_finds_no_credit_any_more_stands_in_a_queue_and_is_given_up_in_time(
+        self,
+    ):
         of, port = self.cell((7, {}), (8, {}))
         of.taken(0, arrival(1))
         of.unplaced.clear()
@@ -182,7 +246,11 @@
             for number in range(60):
                 of.taken(0, arrival(number, ends=200_000))
                 of.dispatch(of.transfers[number], of.nodes[7], 0)
-                of.learn(of.nodes[7].out[-1], answer(number, Outcome.SATISFIED, latency=20_000), 0)
+                of.learn(
+                    of.nodes[7].out[-1],
+                    answer(number, Outcome.SATISFIED, latency=20_000),
+                    0,
+                )
                 of.nodes[7].best = 1.0
                 of.clear = 1.0
             self.assertEqual(of.nodes[7].window, least)
@@ -197,7 +265,11 @@
         of.hold(of.transfers[1], of.nodes[7], 0)
         of.nodes[8].strain = of.nodes[7].strain = 0.0
         of.nodes[7].latency = of.nodes[8].latency = 1.0
-        grudge = [of.reluctance(of.transfers[2], of.nodes[each], 0)[3] - of.strain_of(of.nodes[each]) for each in (7, 8)]
+        grudge = [
+            of.reluctance(of.transfers[2], of.nodes[each], 0)[3]
+            - of.strain_of(of.nodes[each])
+            for each in (7, 8)
+        ]
         self.assertEqual(grudge, [-0.04, 0.0])
 
 
@@ -213,8 +285,13 @@
             self.assertEqual(len(port.of("send")), 1)
 
     def test_where_no_plan_has_a_reserve_all_go_by_their_target_times(self):
-        for plans, reserved in (([{}], True), ([{}, {"guaranteed": 1.0}], False), ([{"usual_rate": 1.0}], False),
-                                ([{"usual_rate": 80.0}], True), ([{"usual_rate": 80.0}, {"guaranteed": 1.0}], False)):
+        for plans, reserved in (
+            ([{}], True),
+            ([{}, {"guaranteed": 1.0}], False),
+            ([{"usual_rate": 1.0}], False),
+            ([{"usual_rate": 80.0}], True),
+            ([{"usual_rate": 80.0}, {"guaranteed": 1.0}], False),
+        ):
             of, _ = module(plans=plans)
             for number in range(9):
                 of.taken(0, arrival(number, units=8.0))
@@ -230,14 +307,22 @@
             self.assertEqual(of.nodes[7].pace, 200.0)
 
     def test_one_time_of_a_category_stands_for_the_other(self):
-        for given, both in (({"aim_ns": None}, 20_000), ({"hard_limit_ns": None}, 5_000), ({"aim_ns": 0}, 20_000)):
+        for given, both in (
+            ({"aim_ns": None}, 20_000),
+            ({"hard_limit_ns": None}, 5_000),
+            ({"aim_ns": 0}, 20_000),
+        ):
             one = facts_of(settings(classes=category(**given)))["categories"][0]
             self.assertEqual((one["target_time"], one["patience"]), (both, both))
 
     def test_a_stretched_target_grows_with_the_work(self):
         of, _ = module(classes=category(aim_stretch=3.0))
         of.clear = 100.0
-        for number, units, target in ((1, 2.0, 5_600), (2, 8.0, 7_400), (3, 80.0, 20_000)):
+        for number, units, target in (
+            (1, 2.0, 5_600),
+            (2, 8.0, 7_400),
+            (3, 80.0, 20_000),
+        ):
             of.taken(0, arrival(number, units=units))
             self.assertEqual(of.transfers[number].target, target)
 
@@ -272,7 +357,10 @@
             of.taken(0, arrival(1, **strange))
             of.taken(0, arrival(2))
             of.settle(0)
-            self.assertEqual((port.of("decline"), [sent[0] for sent in port.of("send")]), ([(1, 0)], [2]))
+            self.assertEqual(
+                (port.of("decline"), [sent[0] for sent in port.of("send")]),
+                ([(1, 0)], [2]),
+            )
 
     def test_news_of_what_was_never_heard_of_costs_nothing(self):
         of, port = module()
@@ -286,42 +374,67 @@
         self.assertEqual([sent[:2] for sent in port.of("send")], [(1, 7)])
 
     def test_nothing_is_kept_to_be_late_where_late_answers_have_no_utility(self):
-        for late, plan, kept in ((0.2, {"guaranteed": 90.0}, 1), (0.0, {"guaranteed": 90.0}, 0), (0.2, {}, 0)):
+        for late, plan, kept in (
+            (0.2, {"guaranteed": 90.0}, 1),
+            (0.0, {"guaranteed": 90.0}, 0),
+            (0.2, {}, 0),
+        ):
             of, port = module(classes=category(late_value=late), plans=[plan])
             of.listed(0, News.WHOLE, [line(7)])
             of.taken(0, arrival(1))
-            of.nodes[7].rest_until = 6_000  # behind its target, before its client's time
+            of.nodes[
+                7
+            ].rest_until = 6_000  # behind its target, before its client's time
             of.settle(0)
-            self.assertEqual((len(of.nodes[7].background), len(port.of("decline"))), (kept, 1 - kept))
+            self.assertEqual(
+                (len(of.nodes[7].background), len(port.of("decline"))), (kept, 1 - kept)
+            )
 
 
 class Words(unittest.TestCase):
     """What cannot be meant is one line that names its field."""
 
     def test_each_names_its_field(self):
-        for field, parts in (("classes[0].aim_ns", {"classes": category(aim_ns="soon")}),
-                             ("classes[0].aim_ns", {"classes": category(aim_ns=None, hard_limit_ns=0)}),
-                             ("classes[0].worth", {"classes": category(worth=-1)}), ("classes", {"classes": 5}),
-                             ("plans[0].ceiling_rate", {"plans": [{"ceiling_rate": float("nan")}]}),
-                             ("plans", {"plans": [3]}), ("peers_total", {"peers_total": float("inf")}),
-                             ("rules.cold_from", {"rules": {"cold_from": 2}}), ("limits.cancel", {"limits": {"cancel": "no"}}),
-                             ("extra.largest", {"extra": {"largest": [8]}}), ("extra.writes", {"extra": {"writes": [1]}}),
-                             ("zones", {"zones": "a"}), ("membership_mode", {"membership_mode": 1}), ("rules", {"rules": [1]}),
-                             ("resolution_ns", {"resolution_ns": True}), ("report.fields", {"report": {"fields": [None]}})):
+        for field, parts in (
+            ("classes[0].aim_ns", {"classes": category(aim_ns="soon")}),
+            ("classes[0].aim_ns", {"classes": category(aim_ns=None, hard_limit_ns=0)}),
+            ("classes[0].worth", {"classes": category(worth=-1)}),
+            ("classes", {"classes": 5}),
+            ("plans[0].ceiling_rate", {"plans": [{"ceiling_rate": float("nan")}]}),
+            ("plans", {"plans": [3]}),
+            ("peers_total", {"peers_total": float("inf")}),
+            ("rules.cold_from", {"rules": {"cold_from": 2}}),
+            ("limits.cancel", {"limits": {"cancel": "no"}}),
+            ("extra.largest", {"extra": {"largest": [8]}}),
+            ("extra.writes", {"extra": {"writes": [1]}}),
+            ("zones", {"zones": "a"}),
+            ("membership_mode", {"membership_mode": 1}),
+            ("rules", {"rules": [1]}),
+            ("resolution_ns", {"resolution_ns": True}),
+            ("report.fields", {"report": {"fields": [None]}}),
+        ):
             whole = {**settings(), "report": {}}
             for name, part in parts.items():
-                whole[name] = {**whole[name], **part} if isinstance(part, dict) else part
+                whole[name] = (
+                    {**whole[name], **part} if isinstance(part, dict) else part
+                )
             with self.assertRaises(ValueError, msg=field) as caught:
                 facts_of(whole)
-            self.assertTrue(str(caught.exception).startswith(field + ":"), str(caught.exception))
+            self.assertTrue(
+                str(caught.exception).startswith(field + ":"), str(caught.exception)
+            )
             self.assertNotIn("\n", str(caught.exception))
 
     def test_unknown_names_are_found_and_missing_ones(self):
         given = settings(limits={"burst": 3}, rules={"fall_ns": None})
         given["classes"][0]["colour"] = given["shape"] = 1
         self.assertEqual(unknown_in(given), ["shape", "classes.colour", "limits.burst"])
-        self.assertEqual(missing_in(given, ("rules.fall_ns", "rules.fall_multiple", "fees.waste", "tier")),
-                         ["rules.fall_ns", "fees.waste", "tier"])
+        self.assertEqual(
+            missing_in(
+                given, ("rules.fall_ns", "rules.fall_multiple", "fees.waste", "tier")
+            ),
+            ["rules.fall_ns", "fees.waste", "tier"],
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,27 +1,45 @@
 """After SIGTERM: what comes on connections that stay open has one final answer before the earliest kill, whatever nodes do, and
 nothing is taken that would have none."""
+
 import copy
 
 from milletsill.platform.gateway import Gateway
 from tests import platform_rig as shared
 
-KILLED, COUNTED, STEP = 0.7, 3.0, 0.05  # seconds after the longest patience, which counts as three at most
+KILLED, COUNTED, STEP = (
+    0.7,
+    3.0,
+    0.05,
+)  # seconds after the longest patience, which counts as three at most
 
 
 class Leaving(shared.Served):
-
     def leave(self, patience, came, left):
         """One client sends `came` seconds after SIGTERM (before it, below zero) and waits for `left`; no node answers. Another
         has half a request out. What both had got by the earliest kill, and whether the process was away by then."""
         self.setUp()
         settings = copy.deepcopy(shared.SETTINGS)
         for each in settings["classes"]:
-            each |= {"hard_limit_ns": int(patience * 1e9), "idempotency": "single_shot"}  # awaited to the end
-        self.gateway = Gateway(self.deployment(settings=settings), self.reactor, self.now, 0, self.gateway.log)
+            each |= {
+                "hard_limit_ns": int(patience * 1e9),
+                "idempotency": "single_shot",
+            }  # awaited to the end
+        self.gateway = Gateway(
+            self.deployment(settings=settings),
+            self.reactor,
+            self.now,
+            0,
+            self.gateway.log,
+        )
         self.gateway.start()
         protocol, wire = self.client()
         half, other = self.client()
-        kill, at, sent, ended = min(patience, COUNTED) + KILLED, min(came, 0.0), False, []
+        kill, at, sent, ended = (
+            min(patience, COUNTED) + KILLED,
+            min(came, 0.0),
+            False,
+            [],
+        )
         self.gateway.stopped = lambda: ended.append(self.now())
         dialled = len(self.reactor.tcpClients)
         while at < kill - STEP / 2:
@@ -32,7 +50,11 @@
                 protocol.dataReceived(shared.ask(X_Remaining_Ms=str(int(left * 1000))))
                 if half is not None:
                     half.dataReceived(shared.ask(txn=5)[:40])
-            if at >= kill - 0.25 and half is not None and not (other.disconnecting or other.half_closed):
+            if (
+                at >= kill - 0.25
+                and half is not None
+                and not (other.disconnecting or other.half_closed)
+            ):
                 half = half.dataReceived(shared.ask(txn=5)[40:])
             self.reactor.advance(STEP)
             for place in self.dialled(7070):
@@ -42,12 +64,31 @@
             at += STEP
         return sent, wire, other, ended
 
-    def test_each_has_one_final_answer_before_the_earliest_kill_or_a_close_that_crosses_it(self):
-        for patience, left in ((1.0, 1.0), (1.0, 0.2), (3.0, 3.0), (3.0, 0.7), (8.0, 8.0), (8.0, 3.0)):
+    def test_each_has_one_final_answer_before_the_earliest_kill_or_a_close_that_crosses_it(
+        self,
+    ):
+        for patience, left in (
+            (1.0, 1.0),
+            (1.0, 0.2),
+            (3.0, 3.0),
+            (3.0, 0.7),
+            (8.0, 8.0),
+            (8.0, 3.0),
+        ):
             last = min(patience, COUNTED) + KILLED
-            for came in [-0.5, -0.1, 0.0, 0.3] + [last - 0.1 * back for back in range(8, 0, -1)]:
+            for came in [-0.5, -0.1, 0.0, 0.3] + [
+                last - 0.1 * back for back in range(8, 0, -1)
+            ]:
                 sent, wire, other, ended = self.leave(patience, came, left)
                 seen = wire.value().count(b"HTTP/1.1 ")
-                self.assertTrue(seen == 1 if sent else seen == 0 and wire.disconnecting, (patience, left, came, seen))
+                self.assertTrue(
+                    seen == 1 if sent else seen == 0 and wire.disconnecting,
+                    (patience, left, came, seen),
+                )
                 self.assertEqual(len(ended), 1, (patience, left, came))
-                self.assertTrue(not sent or came > last - 0.3 or other.value().count(b"HTTP/1.1 ") == 1, (patience, left, came))
+                self.assertTrue(
+                    not sent
+                    or came > last - 0.3
+                    or other.value().count(b"HTTP/1.1 ") == 1,
+                    (patience, left, came),
+                )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,5 @@
 """Links: the pool's table by itself, and the pool on a fake transport and clock."""
+
 import unittest
 
 from twisted.internet.defer import Deferred
@@ -11,11 +12,27 @@
 from milletsill.links.decide import Bounds, Load, Sign, Stage, Way, due, route, step
 from milletsill.links.pool import Pool
 
-BOUNDS = Bounds(connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silent=10_000)
+BOUNDS = Bounds(
+    connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silent=10_000
+)
 
 
 def order(number=0):
-    return Order("e", 1, 7, number, 1.0, 5, 100, "t", 1, 1, "read", "", packets.Read(0, b"/a", 0, 1))
+    return Order(
+        "e",
+        1,
+        7,
+        number,
+        1.0,
+        5,
+        100,
+        "t",
+        1,
+        1,
+        "read",
+        "",
+        packets.Read(0, b"/a", 0, 1),
+    )
 
 
 class Table(unittest.TestCase):
@@ -24,7 +41,10 @@
 
     def test_a_handshake_that_runs_is_waited_for_within_bounds(self):
         dialling = [Load(Stage.DIALING)]
-        self.assertEqual([route(dialling, each, BOUNDS)[0] for each in (0, 3, 4)], [Way.WAIT, Way.WAIT, Way.REFUSE])
+        self.assertEqual(
+            [route(dialling, each, BOUNDS)[0] for each in (0, 3, 4)],
+            [Way.WAIT, Way.WAIT, Way.REFUSE],
+        )
 
     def test_the_least_loaded_connection_is_used(self):
         loads = [Load(Stage.READY, 1), Load(Stage.READY, 0)]
@@ -35,10 +55,15 @@
 
     def test_a_stuck_or_doubted_connection_is_passed_over(self):
         for load in (Load(Stage.READY, 0, True), Load(Stage.DOUBTED)):
-            self.assertEqual(route([load, Load(Stage.READY, 3)], 0, BOUNDS), (Way.USE, 1))
+            self.assertEqual(
+                route([load, Load(Stage.READY, 3)], 0, BOUNDS), (Way.USE, 1)
+            )
 
     def test_full_everywhere_is_refused(self):
-        self.assertEqual(route([Load(Stage.READY, 4), Load(Stage.READY, 4)], 0, BOUNDS)[0], Way.REFUSE)
+        self.assertEqual(
+            route([Load(Stage.READY, 4), Load(Stage.READY, 4)], 0, BOUNDS)[0],
+            Way.REFUSE,
+        )
 
     def test_silence_that_owes_is_doubted_then_cut(self):
         self.assertEqual(due(Stage.READY, 1, 10_000, 99_999, BOUNDS), Sign.QUIET)
@@ -75,8 +100,17 @@
 class Pooled(unittest.TestCase):
     def setUp(self):
         self.clock, self.endpoint, self.ended = Clock(), Endpoint(), []
-        self.pool = Pool(self.clock, lambda: int(self.clock.seconds() * 10_000), "h:1", BOUNDS, "e", 1, 1 << 20,
-                         lambda text: None, self.endpoint)
+        self.pool = Pool(
+            self.clock,
+            lambda: int(self.clock.seconds() * 10_000),
+            "h:1",
+            BOUNDS,
+            "e",
+            1,
+            1 << 20,
+            lambda text: None,
+            self.endpoint,
+        )
 
     def connect(self):
         factory, done = self.endpoint.dials[-1]
@@ -88,7 +122,9 @@
         return link, transport
 
     def send(self, number=0):
-        return self.pool.dispatch(order(number), lambda outcome, verdict: self.ended.append((number, outcome)))
+        return self.pool.dispatch(
+            order(number), lambda outcome, verdict: self.ended.append((number, outcome))
+        )
 
     def test_a_dispatch_waits_for_the_handshake_and_gets_its_verdict(self):
         self.send()
@@ -108,7 +144,11 @@
     def test_half_a_packet_and_a_break_is_a_reset_once(self):
         self.send()
         link, _ = self.connect()
-        data = packets.encode(extensions.put_verdict(2, Verdict(extensions.DONE, "", {}, None, 0, packets.Data(2, b"x"))))
+        data = packets.encode(
+            extensions.put_verdict(
+                2, Verdict(extensions.DONE, "", {}, None, 0, packets.Data(2, b"x"))
+            )
+        )
         link.dataReceived(data[:9])
         link.connectionLost()
         link.connectionLost()
@@ -118,7 +158,10 @@
         self.send()
         link, transport = self.connect()
         link.dataReceived(b"\xff\xff\xff\xff")
-        self.assertEqual((self.ended, transport.aborted, self.pool.links), ([(0, Outcome.RESET)], True, []))
+        self.assertEqual(
+            (self.ended, transport.aborted, self.pool.links),
+            ([(0, Outcome.RESET)], True, []),
+        )
 
     def test_a_half_open_link_is_beaten_then_cut(self):
         self.send()
@@ -132,7 +175,9 @@
         sending = self.send()
         link, transport = self.connect()
         self.pool.withdraw(sending)
-        link.dataReceived(packets.encode(extensions.put_verdict(2, Verdict(extensions.FULL))))
+        link.dataReceived(
+            packets.encode(extensions.put_verdict(2, Verdict(extensions.FULL)))
+        )
         self.assertIn(b"cancel@milletsill", transport.value())
         self.assertEqual(self.ended, [])
 
--- a/tests/test_months.py
+++ b/tests/test_months.py
@@ -1,4 +1,5 @@
 """What a gateway that runs for months must not keep: each test builds its state and calls one function."""
+
 import gc
 import unittest
 
@@ -45,7 +46,9 @@
         old = transfer(of, 1, volume=1).volume
         of.taken(LONG, arrival(2, volume=2, ends=LONG + 15_000))
         new = transfer(of, 3, now=LONG, volume=1, ends=LONG + 15_000).volume
-        self.assertLessEqual(new.limit.fill(LONG, 10.0, 100.0), old.limit.fill(LONG, 10.0, 100.0))
+        self.assertLessEqual(
+            new.limit.fill(LONG, 10.0, 100.0), old.limit.fill(LONG, 10.0, 100.0)
+        )
 
     def test_a_node_gone_for_long_is_forgotten_and_new_when_it_returns(self):
         of, _ = scheduler()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,5 @@
 """The planner and edges over sockets: parts that move, planners that die, come back old or stand, frames that make no sense."""
+
 import json
 import os
 import tempfile
@@ -46,11 +47,27 @@
 
 class Decided(unittest.TestCase):
     def test_a_planner_that_is_old_silent_or_gone_is_left_and_dialled_again(self):
-        self.assertEqual([link_step(*each) for each in (
-            (Link.DOWN, Said.UP), (Link.GREETED, Said.WELCOME), (Link.PLANNED, Said.OLD), (Link.PLANNED, Said.SILENT),
-            (Link.PLANNED, Said.LOST), (Link.DOWN, Said.LOST))],
-            [(Link.GREETED, "hello"), (Link.PLANNED, "ask"), (Link.DOWN, "refuse"), (Link.DOWN, "cut"), (Link.DOWN, "again"),
-             (Link.DOWN, "")])
+        self.assertEqual(
+            [
+                link_step(*each)
+                for each in (
+                    (Link.DOWN, Said.UP),
+                    (Link.GREETED, Said.WELCOME),
+                    (Link.PLANNED, Said.OLD),
+                    (Link.PLANNED, Said.SILENT),
+                    (Link.PLANNED, Said.LOST),
+                    (Link.DOWN, Said.LOST),
+                )
+            ],
+            [
+                (Link.GREETED, "hello"),
+                (Link.PLANNED, "ask"),
+                (Link.DOWN, "refuse"),
+                (Link.DOWN, "cut"),
+                (Link.DOWN, "again"),
+                (Link.DOWN, ""),
+            ],
+        )
 
     def test_pauses_grow_to_a_bound_and_are_spread(self):
         self.assertLess(dial_after(1, 0.0), dial_after(1, 1.0))
@@ -64,7 +81,10 @@
         self.assertAlmostEqual(demand.look(2 * SECOND + 1), 25.0 * 2 / 3)
 
     def test_what_a_rate_is_of_a_whole(self):
-        self.assertEqual([want_of(*each) for each in ((5, 10), (50, 10), (0, 10), (1, 0))], [500_000, 1_000_000, 0, 1_000_000])
+        self.assertEqual(
+            [want_of(*each) for each in ((5, 10), (50, 10), (0, 10), (1, 0))],
+            [500_000, 1_000_000, 0, 1_000_000],
+        )
 
     def test_the_outlook_never_promises_more_than_any_later_moment_holds(self):
         span, thing = Span(40_000, 0, 0.2), ("limit", 1)
@@ -73,8 +93,13 @@
             edge = Edge("e", 1, span, 0, fresh=chance.random() < 0.5)
             held = edge.know(thing, 4)
             for _ in range(chance.randrange(4)):
-                held.promise(Lent(chance.randrange(200_000), chance.randrange(50_000), 0), 0)
-            held.granted, held.granted_ends = chance.randrange(500_000), chance.randrange(50_000)
+                held.promise(
+                    Lent(chance.randrange(200_000), chance.randrange(50_000), 0), 0
+                )
+            held.granted, held.granted_ends = (
+                chance.randrange(500_000),
+                chance.randrange(50_000),
+            )
             now = chance.randrange(50_000)
             part, ends, after = edge.outlook(thing, now)
             for at in range(now, 60_000, 500):
@@ -103,7 +128,9 @@
             for size in range(len(data)):
                 with open(path, "wb") as sink:
                     sink.write(data[:size])
-                found = [store.read(os.path.join(self.folder, each)) for each in store.NAMES]
+                found = [
+                    store.read(os.path.join(self.folder, each)) for each in store.NAMES
+                ]
                 self.assertIn(max(found), (before, last))
             with open(path, "wb") as sink:
                 sink.write(data)
@@ -139,8 +166,14 @@
         data = encoded(welcome=Welcome(version=1, epoch=5)) + encoded(asks=Asks())
         for size in range(1, len(data)):
             frames = Frames()
-            found = [frame for at in range(0, len(data), size) for frame in frames.feed(data[at:at + size])]
-            self.assertEqual([each.WhichOneof("what") for each in found], ["welcome", "asks"])
+            found = [
+                frame
+                for at in range(0, len(data), size)
+                for frame in frames.feed(data[at : at + size])
+            ]
+            self.assertEqual(
+                [each.WhichOneof("what") for each in found], ["welcome", "asks"]
+            )
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=300))
@@ -172,16 +205,31 @@
     def parts(self, incarnation=1, **planner):
         file = text_format.Parse(EDGE, GatewayFile())
         given = facts_of(file)
-        made = Parts(self.clock, lambda: self.now, file, given, 1, incarnation, self.host, lambda *_, **__: None,
-                     CollectorRegistry())
+        made = Parts(
+            self.clock,
+            lambda: self.now,
+            file,
+            given,
+            1,
+            incarnation,
+            self.host,
+            lambda *_, **__: None,
+            CollectorRegistry(),
+        )
         return made
 
     def test_a_cold_box_is_parted_from_the_moment_it_is_listed(self):
         parts = self.parts(incarnation=2)
-        parts.listed([Listed(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3),
-                      Listed(8, Readiness.READY, 4.0, 0, 0, None, 4)])
+        parts.listed(
+            [
+                Listed(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3),
+                Listed(8, Readiness.READY, 4.0, 0, 0, None, 4),
+            ]
+        )
         self.assertEqual({each[:2] for each in self.host.parts}, {("cold", 7)})
-        self.assertAlmostEqual(self.host.parts[0][2], 0.2 / 4, delta=1e-5)  # it rests at the floor
+        self.assertAlmostEqual(
+            self.host.parts[0][2], 0.2 / 4, delta=1e-5
+        )  # it rests at the floor
         self.assertEqual(parts.nodes, {3: 7})
 
     def test_what_it_hears_of_again_is_said_again(self):
@@ -189,13 +237,17 @@
         parts = self.parts(incarnation=2)
         for _ in range(2):
             parts.listed([Listed(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)])
-        self.assertGreaterEqual(sum(each[:2] == ("cold", 7) for each in self.host.parts), 2)
+        self.assertGreaterEqual(
+            sum(each[:2] == ("cold", 7) for each in self.host.parts), 2
+        )
 
     def test_stores_of_the_file_are_known_from_the_start_and_rest_ends_by_itself(self):
         parts = self.parts(incarnation=2)
         parts.start()
         self.addCleanup(parts.stop)
-        self.assertEqual({each[:2] for each in self.host.parts}, {("limit", 1), ("reserve", 1)})
+        self.assertEqual(
+            {each[:2] for each in self.host.parts}, {("limit", 1), ("reserve", 1)}
+        )
         self.host.parts.clear()
         self.now += 2 * SECOND
         self.clock.advance(2)
@@ -204,17 +256,29 @@
     def test_boxes_that_were_cold_once_are_forgotten(self):
         parts = self.parts()
         for node in range(50):
-            parts.listed([Listed(node, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)])
+            parts.listed(
+                [Listed(node, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)]
+            )
         parts.look()
-        self.assertEqual([each for each in parts.demand if each[0] == "cold"], [("cold", 49)])
-        self.assertEqual((len(parts.edge.holdings), len(parts.told), len(parts.wholes)), (1, 1, 1))
+        self.assertEqual(
+            [each for each in parts.demand if each[0] == "cold"], [("cold", 49)]
+        )
+        self.assertEqual(
+            (len(parts.edge.holdings), len(parts.told), len(parts.wholes)), (1, 1, 1)
+        )
         self.assertIn(("cold", 3, None, 0, 0.0), self.host.parts)
 
     def test_what_waits_is_wanted(self):
         parts = self.parts()
         parts.volume(1, 4, parts.facts["plans"][0], 0.0)
-        self.host.live = {1: Mock(answered=False, outs=[], arrival=Mock(volume=1, cell=None, units=3.0)),
-                          2: Mock(answered=False, outs=[1], arrival=Mock(volume=1, cell=None, units=9.0))}
+        self.host.live = {
+            1: Mock(
+                answered=False, outs=[], arrival=Mock(volume=1, cell=None, units=3.0)
+            ),
+            2: Mock(
+                answered=False, outs=[1], arrival=Mock(volume=1, cell=None, units=9.0)
+            ),
+        }
         self.assertEqual(parts.waiting()["limit", 1], 3.0)
 
     def test_a_send_that_was_decided_long_ago_is_not_made(self):
@@ -265,14 +329,17 @@
             if len(client.waiting) < 40:
                 for _ in range(6):
                     client.command(packets.Read(0, handle, 0, 100)).addCallback(
-                        lambda packet: done.append(isinstance(packet, packets.Data)))
+                        lambda packet: done.append(isinstance(packet, packets.Data))
+                    )
             await later(0.03)
         return sum(done)
 
     def parts(self, edge, thing=("limit", 1)):
         return edge.parts.edge.part(thing, edge.now())
 
-    async def test_what_two_edges_do_not_use_a_third_gets_and_the_sum_stays_lawful(self):
+    async def test_what_two_edges_do_not_use_a_third_gets_and_the_sum_stays_lawful(
+        self,
+    ):
         service = await self.planner()
         rig = self.rig()
         edges = [await rig.edge(f"edge-{each}") for each in range(3)]
@@ -280,16 +347,28 @@
             client = await rig.client(each)
             await client.open("/h/b")
         seen = []
-        looking = LoopingCall(lambda: seen.append([self.parts(each) if ("limit", 1) in each.parts.edge.holdings else 333_333
-                                                   for each in edges]))
+        looking = LoopingCall(
+            lambda: seen.append(
+                [
+                    self.parts(each)
+                    if ("limit", 1) in each.parts.edge.holdings
+                    else 333_333
+                    for each in edges
+                ]
+            )
+        )
         looking.start(0.05)
         count = await self.flood(rig, edges[0], 4.5)
         looking.stop()
         self.assertTrue(all(sum(each) <= 1_000_000 for each in seen))
         self.assertGreater(max(each[0] for each in seen), 600_000)
         self.assertGreater(count, 1.3 * 20 * 4.5)  # an even part is 20 a second
-        shares = service.told_shares(type("Q", (), {"edge": "", "what": "shares", "most": 9}))
-        self.assertEqual({each["edge"] for each in shares}, {"edge-0", "edge-1", "edge-2"})
+        shares = service.told_shares(
+            type("Q", (), {"edge": "", "what": "shares", "most": 9})
+        )
+        self.assertEqual(
+            {each["edge"] for each in shares}, {"edge-0", "edge-1", "edge-2"}
+        )
 
     async def test_without_the_planner_parts_go_back_to_even_and_commands_go_on(self):
         service = await self.planner()
@@ -304,7 +383,9 @@
         self.assertEqual([self.parts(each) for each in edges], [333_333] * 3)
         self.assertGreater(await self.flood(rig, edges[0], 1), 10)
 
-    async def test_a_planner_that_comes_back_with_an_old_state_is_refused_and_ends(self):
+    async def test_a_planner_that_comes_back_with_an_old_state_is_refused_and_ends(
+        self,
+    ):
         newer = await self.planner(state="new")
         for _ in range(3):
             store.next_epoch(f"{self.folder}/new", Random(1))
@@ -345,9 +426,20 @@
         await later(0.3)
         from twisted.internet.endpoints import TCP4ClientEndpoint
         from twisted.internet.protocol import Factory, Protocol
-        for data in (b"\xff" * 50, b"GET / HTTP/1.0\r\n\r\n", encoded(asks=Asks()),
-                     encoded(asks=Asks(wish=[Wish(epoch=1, what="gold", id=1, want=1, capital=1, sent=1)]))):
-            wire = await TCP4ClientEndpoint(reactor, "127.0.0.1", self.port).connect(Factory.forProtocol(Protocol))
+
+        for data in (
+            b"\xff" * 50,
+            b"GET / HTTP/1.0\r\n\r\n",
+            encoded(asks=Asks()),
+            encoded(
+                asks=Asks(
+                    wish=[Wish(epoch=1, what="gold", id=1, want=1, capital=1, sent=1)]
+                )
+            ),
+        ):
+            wire = await TCP4ClientEndpoint(reactor, "127.0.0.1", self.port).connect(
+                Factory.forProtocol(Protocol)
+            )
             wire.transport.write(data)
         await later(0.3)
         self.assertEqual(list(service.by_name), ["edge-0"])
@@ -361,11 +453,17 @@
         await later(0.5)
 
         def ask(*words):
-            return CliRunner().invoke(main, ["ctl", "--planner", f"127.0.0.1:{self.port}", *words])
-
-        shares, edges, frozen, drained = [await threads.deferToThread(ask, *words) for words in (
-            ("shares",), ("edges",), ("freeze",), ("drain", "edge-0"))]
-        self.assertEqual({each.exit_code for each in (shares, edges, frozen, drained)}, {0})
+            return CliRunner().invoke(
+                main, ["ctl", "--planner", f"127.0.0.1:{self.port}", *words]
+            )
+
+        shares, edges, frozen, drained = [
+            await threads.deferToThread(ask, *words)
+            for words in (("shares",), ("edges",), ("freeze",), ("drain", "edge-0"))
+        ]
+        self.assertEqual(
+            {each.exit_code for each in (shares, edges, frozen, drained)}, {0}
+        )
         self.assertEqual(json.loads(edges.output.splitlines()[0])["edge"], "edge-0")
         self.assertIn('"even": 333333', shares.output)
         self.assertTrue(service.planner.frozen)
--- a/tests/test_plants.py
+++ b/tests/test_plants.py
@@ -1,4 +1,5 @@
 """The laboratory's planted faults meet a crossing for sure: a higher number takes effect before a lower one. Lingering alone does not."""
+
 import unittest
 from types import SimpleNamespace
 from unittest import mock
@@ -8,7 +9,13 @@
 from milletsill.files import packets
 from milletsill.files.extensions import Terms
 from milletsill.fleet.channels.contracts import decide
-from milletsill.fleet.channels.contracts.decide import Book, Contract, Input, Order, Reach
+from milletsill.fleet.channels.contracts.decide import (
+    Book,
+    Contract,
+    Input,
+    Order,
+    Reach,
+)
 from milletsill.fleet.channels.contracts.keeper import Keeper
 from milletsill.fleet.channels.contracts.words import Open, Transfer, Word
 from milletsill.lab.plants import LINGER, LINGERS, PLANTS
@@ -21,19 +28,43 @@
 
     def __init__(self, order):
         self.clock, self.effects, self.answers = Clock(), [], []
-        offices = SimpleNamespace(holds=lambda term: True, write=lambda term, value, wrote: wrote(None), take=lambda key, got: got(
-            SimpleNamespace(value=b"", ends=1 << 40, busy=False)))
+        offices = SimpleNamespace(
+            holds=lambda term: True,
+            write=lambda term, value, wrote: wrote(None),
+            take=lambda key, got: got(
+                SimpleNamespace(value=b"", ends=1 << 40, busy=False)
+            ),
+        )
         book = Book([(Contract("c", 1, order), frozenset(["v"]), frozenset(), False)])
-        self.keeper = Keeper("a", self.clock, lambda: int(self.clock.seconds() * 10_000), offices, book, 1000, 9, self, lambda *said, **more: None, lambda what: None)
+        self.keeper = Keeper(
+            "a",
+            self.clock,
+            lambda: int(self.clock.seconds() * 10_000),
+            offices,
+            book,
+            1000,
+            9,
+            self,
+            lambda *said, **more: None,
+            lambda what: None,
+        )
         self.say(Open("c", 1, 0))
 
     def say(self, what):
-        self.keeper.word(Word(VOLUME, "x", 1 << 40, what, f"t{len(self.answers)}", self.answers.append))
+        self.keeper.word(
+            Word(
+                VOLUME, "x", 1 << 40, what, f"t{len(self.answers)}", self.answers.append
+            )
+        )
 
     def send(self, number, order):
         write = packets.Write(0, b"/v/f", number % 2 * 100, b"%d" % number)
         batch = (number + 1) // 2 if order is Order.BATCHES else 0
-        self.say(Transfer(number, 1, batch, batch > 0 and number % 2 == 0, Terms(), "/v/f", write))
+        self.say(
+            Transfer(
+                number, 1, batch, batch > 0 and number % 2 == 0, Terms(), "/v/f", write
+            )
+        )
 
     def reaches(self, what):
         return (Reach(1, what.number % 2, what.number % 2),)
@@ -48,8 +79,11 @@
 
 class Planted(unittest.TestCase):
     def effects(self, plant, order):
-        with mock.patch.dict(decide.ORDER_TABLE), mock.patch.object(Keeper, "let_go", Keeper.let_go), (
-                mock.patch.object(Keeper, "ended", Keeper.ended)):
+        with (
+            mock.patch.dict(decide.ORDER_TABLE),
+            mock.patch.object(Keeper, "let_go", Keeper.let_go),
+            mock.patch.object(Keeper, "ended", Keeper.ended),
+        ):
             PLANTS[plant]()
             way = Way(order)
             for number in range(1, 7):
@@ -62,22 +96,44 @@
     def crossed(self, effects, order):
         """Pairs in which one took effect before another that its contract orders before it."""
         follows = LINGER[order.name][1]
-        made = {number: SimpleNamespace(reaches=(Reach(1, number % 2, number % 2),), batch=(number + 1) // 2) for number in effects}
-        return [(one, two) for place, one in enumerate(effects) for two in effects[place + 1:]
-                if one > two and follows(made[two], made[one])]
+        made = {
+            number: SimpleNamespace(
+                reaches=(Reach(1, number % 2, number % 2),), batch=(number + 1) // 2
+            )
+            for number in effects
+        }
+        return [
+            (one, two)
+            for place, one in enumerate(effects)
+            for two in effects[place + 1 :]
+            if one > two and follows(made[two], made[one])
+        ]
 
     def test_each_plant_makes_a_crossing_and_only_under_its_own_order(self):
-        for name, of in (("each-in-order", "EACH_IN_ORDER"), ("newest", "NEWEST"), ("by-extent", "BY_EXTENT"), ("batches", "BATCHES")):
+        for name, of in (
+            ("each-in-order", "EACH_IN_ORDER"),
+            ("newest", "NEWEST"),
+            ("by-extent", "BY_EXTENT"),
+            ("batches", "BATCHES"),
+        ):
             for order in Order:
                 effects = self.effects(name, order)
-                self.assertEqual(bool(self.crossed(effects, order)), order.name == of, (name, order, effects))
+                self.assertEqual(
+                    bool(self.crossed(effects, order)),
+                    order.name == of,
+                    (name, order, effects),
+                )
                 self.assertTrue(self.crossed(self.effects("all", order), order))
 
     def test_lingering_alone_is_lawful_and_ends(self):
         for order in Order:
             effects = self.effects("linger", order)
             self.assertEqual(self.crossed(effects, order), [])
-            self.assertEqual(set(effects) - {1, 2, 3, 4, 5}, {6}, "the newest leaves whatever lingers")
+            self.assertEqual(
+                set(effects) - {1, 2, 3, 4, 5},
+                {6},
+                "the newest leaves whatever lingers",
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,5 @@
 """The gateway on the platform: door, links and many nodes, on memory transports and a clock of the test's own."""
+
 import gc
 import unittest
 import weakref
@@ -17,28 +18,57 @@
 
 
 class Door(Served):
-
     def test_a_transfer_passes_unchanged_and_its_answer_comes_back(self):
-        for txn, one in ((TXN, ask(method="PUT", name="put", body=b"body", Idempotency_Key="k-1")), (TXN + 1, ask(TXN + 1))):
-            client, wire = self.client(*[one[place:place + 1] for place in range(len(one))])
-            link, sent = self.reactor.up(self.dialled(7070)[-1]) if txn == TXN else (link, sent)
+        for txn, one in (
+            (TXN, ask(method="PUT", name="put", body=b"body", Idempotency_Key="k-1")),
+            (TXN + 1, ask(TXN + 1)),
+        ):
+            client, wire = self.client(
+                *[one[place : place + 1] for place in range(len(one))]
+            )
+            link, sent = (
+                self.reactor.up(self.dialled(7070)[-1]) if txn == TXN else (link, sent)
+            )
             text = sent.value()
             self.assertIn(b"X-Txn: %016x\r\n" % txn, text)
             self.assertIn(b"X-Remaining-Ms: ", text)
-            self.assertEqual((b"Idempotency-Key: k-1\r\n" in text, text.endswith(b"\r\n\r\nbody")), (txn == TXN,) * 2)
+            self.assertEqual(
+                (b"Idempotency-Key: k-1\r\n" in text, text.endswith(b"\r\n\r\nbody")),
+                (txn == TXN,) * 2,
+            )
             sent.clear()
             link.dataReceived(ANSWER)
-            self.assertTrue(wire.value().startswith(b"HTTP/1.1 200") and wire.value().endswith(b"\r\n\r\nhi"))
-        self.assertEqual(len(self.dialled(7070)), 1)  # the second went over the same link
+            self.assertTrue(
+                wire.value().startswith(b"HTTP/1.1 200")
+                and wire.value().endswith(b"\r\n\r\nhi")
+            )
+        self.assertEqual(
+            len(self.dialled(7070)), 1
+        )  # the second went over the same link
 
     def test_what_is_no_transfer_gets_an_error_and_reaches_nobody(self):
-        for bad in (ask(drop=["X-Txn"]), ask(drop=["X-IO"]), ask(X_Txn="xyz"), ask(X_Remaining_Ms="NaN"),
-                    ask(X_Remaining_Ms="-5"), ask(X_Remaining_Ms="0"), ask(X_Remaining_Ms="9" * 9), ask(X_Lane="put"),
-                    ask(name="none"), ask(X_Plan="none"), ask(method="PUT"), ask(body=b"x"), ask(Cookie="block=1"),
-                    ask(method="PUT", name="put"), ask(X_IO="volume=00000003b4d60021,units=1e9,shard=0,hosts=1"),
-                    ask(X_IO="volume=00000003b4d60021,units=99,shard=0,hosts=1"),
-                    ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"), b"\x00\xff\n\n", b"x" * 9000,
-                    ask(Transfer_Encoding="chunked", Content_Length="4") + b"abcd"):
+        for bad in (
+            ask(drop=["X-Txn"]),
+            ask(drop=["X-IO"]),
+            ask(X_Txn="xyz"),
+            ask(X_Remaining_Ms="NaN"),
+            ask(X_Remaining_Ms="-5"),
+            ask(X_Remaining_Ms="0"),
+            ask(X_Remaining_Ms="9" * 9),
+            ask(X_Lane="put"),
+            ask(name="none"),
+            ask(X_Plan="none"),
+            ask(method="PUT"),
+            ask(body=b"x"),
+            ask(Cookie="block=1"),
+            ask(method="PUT", name="put"),
+            ask(X_IO="volume=00000003b4d60021,units=1e9,shard=0,hosts=1"),
+            ask(X_IO="volume=00000003b4d60021,units=99,shard=0,hosts=1"),
+            ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"),
+            b"\x00\xff\n\n",
+            b"x" * 9000,
+            ask(Transfer_Encoding="chunked", Content_Length="4") + b"abcd",
+        ):
             client, wire = self.client(bad)
             self.assertRegex(wire.value(), rb"HTTP/1\.1 (4|5)\d\d ", bad[:200])
             self.assertTrue(wire.half_closed)
@@ -51,7 +81,9 @@
         self.assertIn(b" 200 ", first.value())
 
     def test_sixty_megabytes_are_refused_at_the_head_and_not_read(self):
-        head = ask(method="PUT", name="put", Content_Length="62914560", Idempotency_Key="k")
+        head = ask(
+            method="PUT", name="put", Content_Length="62914560", Idempotency_Key="k"
+        )
         client, wire = self.client(head)
         self.assertIn(b" 413 ", wire.value())
         for _ in range(40):
@@ -65,20 +97,29 @@
         (client, _), (_, sent) = self.served(answer=None)
         self.lost(client)
         self.reactor.advance(0.01)
-        self.assertEqual((self.gateway.host.held, sent.aborted, self.gateway.host.live), (0, True, {}))
-
-    def test_two_requests_in_one_packet_are_answered_in_turn_and_hundreds_are_not_held(self):
+        self.assertEqual(
+            (self.gateway.host.held, sent.aborted, self.gateway.host.live),
+            (0, True, {}),
+        )
+
+    def test_two_requests_in_one_packet_are_answered_in_turn_and_hundreds_are_not_held(
+        self,
+    ):
         client, wire = self.client(ask() + ask(TXN + 1))
         link, sent = self.reactor.up(self.dialled(7070)[-1])
         link.dataReceived(ANSWER)
         self.reactor.advance(0.01)
-        self.assertEqual((sent.value().count(b"X-Txn"), wire.value().count(b" 200 ")), (2, 1))
+        self.assertEqual(
+            (sent.value().count(b"X-Txn"), wire.value().count(b" 200 ")), (2, 1)
+        )
         client, wire = self.client(b"".join(ask(number) for number in range(100, 400)))
         client.dataReceived(b"x")
         self.assertIn(b" 400 ", wire.value())
 
     def test_what_the_module_gives_up_is_declined_with_a_time_to_come_back(self):
-        client, wire = self.client(ask(X_IO="volume=00000003b4d60021,units=2,shard=3,hosts=1"))
+        client, wire = self.client(
+            ask(X_IO="volume=00000003b4d60021,units=2,shard=3,hosts=1")
+        )
         self.reactor.pump([0.05] * 20)
         self.assertIn(b" 503 ", wire.value())
         self.assertIn(b"Retry-After: 1.500\r\n", wire.value())
@@ -87,7 +128,9 @@
         _, silent = self.client()
         _, slow = self.client(ask()[:40])
         self.reactor.pump([0.1] * 24)
-        self.assertEqual((silent.disconnecting, slow.value()[:12]), (True, b"HTTP/1.1 408"))
+        self.assertEqual(
+            (silent.disconnecting, slow.value()[:12]), (True, b"HTTP/1.1 408")
+        )
 
     def test_silent_connections_make_way_where_descriptors_are_short(self):
         most = self.gateway.clients.most + OVER
@@ -99,7 +142,9 @@
         self.assertTrue(self.gateway.clients.paused)  # still over its share
         for protocol, _ in silent[1:]:
             self.lost(protocol)
-        self.assertEqual(self.gateway.port.numberAccepts, 1)  # as when the first was let in again
+        self.assertEqual(
+            self.gateway.port.numberAccepts, 1
+        )  # as when the first was let in again
         self.assertFalse(self.gateway.clients.paused or self.gateway.clients.open)
 
     def test_an_answer_that_is_not_taken_is_counted_until_it_is(self):
@@ -126,30 +171,45 @@
         link.dataReceived(ANSWER)
         self.assertIn(b" 200 ", busy.value())
         self.reactor.pump([0.05] * 40)
-        self.assertEqual((wire.disconnecting, len(ended), self.gateway.process), (True, 1, Process.STOPPED))
+        self.assertEqual(
+            (wire.disconnecting, len(ended), self.gateway.process),
+            (True, 1, Process.STOPPED),
+        )
 
 
 class Links(Served):
-
     def ended(self):
         """How the dispatches ended that were counted."""
-        return {key[1]: count for key, count in self.gateway.tally.items() if key[0] == "ended"}
+        return {
+            key[1]: count
+            for key, count in self.gateway.tally.items()
+            if key[0] == "ended"
+        }
 
     def test_each_way_to_end(self):
-        for answer, outcome in ((b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-                                (b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", Outcome.TURNED_AWAY),
-                                (b"noise\r\n\r\n", Outcome.ERROR),
-                                (b"HTTP/1.1 200 OK\r\n\r\n" + b"ab" * 600_000, Outcome.ERROR),
-                                (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", Outcome.ERROR),
-                                (b"HTTP/1.1 100 Go\r\n\r\n" + ANSWER, Outcome.SATISFIED)):
+        for answer, outcome in (
+            (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
+            (
+                b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+                Outcome.TURNED_AWAY,
+            ),
+            (b"noise\r\n\r\n", Outcome.ERROR),
+            (b"HTTP/1.1 200 OK\r\n\r\n" + b"ab" * 600_000, Outcome.ERROR),
+            (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", Outcome.ERROR),
+            (b"HTTP/1.1 100 Go\r\n\r\n" + ANSWER, Outcome.SATISFIED),
+        ):
             self.setUp()
             (_, wire), (link, sent) = self.served(answer)
             self.assertEqual(self.ended(), {outcome.value: 1}, answer)
-            self.assertEqual(sent.aborted, outcome is Outcome.ERROR and b"500" not in answer, answer)
+            self.assertEqual(
+                sent.aborted, outcome is Outcome.ERROR and b"500" not in answer, answer
+            )
 
     def test_an_answer_without_a_length_is_whole_at_a_close_and_lost_at_a_reset(self):
-        for clean, outcome, said in ((True, Outcome.SATISFIED, b"200 OK\r\nContent-Length: 2\r\n\r\nab"),
-                                     (False, Outcome.RESET, b"")):
+        for clean, outcome, said in (
+            (True, Outcome.SATISFIED, b"200 OK\r\nContent-Length: 2\r\n\r\nab"),
+            (False, Outcome.RESET, b""),
+        ):
             self.setUp()
             (_, wire), (link, _) = self.served(b"HTTP/1.1 200 OK\r\n\r\nab")
             self.assertEqual((self.ended(), wire.value()), ({}, b""))
@@ -159,12 +219,16 @@
 
     def test_octets_behind_a_good_answer_retire_its_link(self):
         (_, wire), (_, sent) = self.served(ANSWER + b"HTTP/1.1 200 OK\r\n")
-        self.assertEqual((wire.value()[-2:], sent.aborted, self.gateway.fleet.open), (b"hi", True, 0))
+        self.assertEqual(
+            (wire.value()[-2:], sent.aborted, self.gateway.fleet.open), (b"hi", True, 0)
+        )
         (_, wire), (link, sent) = self.served(ANSWER, txn=TXN + 1)
         link.dataReceived(b"noise")  # later, nothing waits
         self.assertTrue(sent.aborted)
 
-    def test_a_break_before_the_last_octet_was_handed_over_never_ran_after_it_may_have(self):
+    def test_a_break_before_the_last_octet_was_handed_over_never_ran_after_it_may_have(
+        self,
+    ):
         for written, outcome in ((False, Outcome.UNREACHED), (True, Outcome.RESET)):
             self.setUp()
             _, (link, _) = self.served(None)
@@ -185,11 +249,24 @@
 
     def test_a_dial_that_fails_is_unreached(self):
         self.client(ask())
-        self.reactor.tcpClients[self.dialled(7070)[0]][2].clientConnectionFailed(SimpleNamespace(transport=None), None)
-        self.assertEqual((self.ended()["unreached"], self.gateway.fleet.open), (1, len(self.dialled(7070)) - 1))
+        self.reactor.tcpClients[self.dialled(7070)[0]][2].clientConnectionFailed(
+            SimpleNamespace(transport=None), None
+        )
+        self.assertEqual(
+            (self.ended()["unreached"], self.gateway.fleet.open),
+            (1, len(self.dialled(7070)) - 1),
+        )
 
     def fleet(self, most=4, octets=None):
-        fleet = Fleet(self.reactor, self.now, most, octets or Octets(64), 2500, 300_000, lambda *values: None)
+        fleet = Fleet(
+            self.reactor,
+            self.now,
+            most,
+            octets or Octets(64),
+            2500,
+            300_000,
+            lambda *values: None,
+        )
         fleet.listed(True, [place_of(NODE, ["z"], 0)])
         return fleet, fleet.nodes[number_of("s-1")]
 
@@ -197,7 +274,12 @@
         fleet, node = self.fleet()
         ended = []
         for _ in range(6):
-            fleet.carry(Cargo(b"GET", b"/get", [], b""), node.number, self.now() + 9000, lambda *values: ended.append(values))
+            fleet.carry(
+                Cargo(b"GET", b"/get", [], b""),
+                node.number,
+                self.now() + 9000,
+                lambda *values: ended.append(values),
+            )
         self.assertEqual((fleet.open, len(node.waiting)), (4, 6))
         self.reactor.advance(0.26)
         fleet.look()
@@ -205,11 +287,23 @@
 
     def test_idle_links_close_before_the_node_does_and_the_longest_idle_makes_way(self):
         fleet, node = self.fleet(most=1)
-        fleet.carry(Cargo(b"GET", b"/get", [], b""), node.number, self.now() + 9000, lambda *values: None)
+        fleet.carry(
+            Cargo(b"GET", b"/get", [], b""),
+            node.number,
+            self.now() + 9000,
+            lambda *values: None,
+        )
         link, wire = self.reactor.up()
         link.dataReceived(ANSWER)
-        fleet.listed(False, [place_of(NODE | {"id": "s-2", "addr": "127.0.0.1:7071"}, ["z"], 0)])
-        fleet.carry(Cargo(b"GET", b"/get", [], b""), number_of("s-2"), self.now() + 9000, lambda *values: None)
+        fleet.listed(
+            False, [place_of(NODE | {"id": "s-2", "addr": "127.0.0.1:7071"}, ["z"], 0)]
+        )
+        fleet.carry(
+            Cargo(b"GET", b"/get", [], b""),
+            number_of("s-2"),
+            self.now() + 9000,
+            lambda *values: None,
+        )
         self.assertEqual((wire.aborted, fleet.open), (True, 1))
         other, wire = self.reactor.up()
         other.dataReceived(ANSWER)
@@ -223,24 +317,39 @@
         octets.held = octets.most - 500_000
         ended = []
         for _ in range(2):
-            fleet.carry(Cargo(b"GET", b"/get", [], b""), node.number, self.now() + 9000, lambda *values: ended.append(values[0]))
+            fleet.carry(
+                Cargo(b"GET", b"/get", [], b""),
+                node.number,
+                self.now() + 9000,
+                lambda *values: ended.append(values[0]),
+            )
         links = [self.reactor.up(place)[0] for place in self.dialled(7070)[-2:]]
         for link in links:
             link.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n")
         links[0].dataReceived(b"x" * 400_000)
-        self.assertEqual((ended, octets.held), ([Outcome.ERROR, Outcome.SATISFIED], octets.most - 500_000))
+        self.assertEqual(
+            (ended, octets.held),
+            ([Outcome.ERROR, Outcome.SATISFIED], octets.most - 500_000),
+        )
 
     def test_a_thousand_nodes_come_and_go_and_leave_nothing(self):
         fleet, _ = self.fleet()
         for turn in range(1000):
-            fleet.listed(False, [place_of(NODE | {"id": f"t-{turn}"}, ["z"], 0),
-                                 place_of({"id": f"t-{turn - 1}", "state": "left"}, ["z"], 0)])
+            fleet.listed(
+                False,
+                [
+                    place_of(NODE | {"id": f"t-{turn}"}, ["z"], 0),
+                    place_of({"id": f"t-{turn - 1}", "state": "left"}, ["z"], 0),
+                ],
+            )
             fleet.look()
         self.assertEqual(len(fleet.nodes), 2)
 
     def test_a_dial_that_ended_leaves_no_circle(self):
         protocol, wire = Protocol(), Wire()
-        connector = SimpleNamespace(transport=wire, factory=Dial(protocol, lambda: None))
+        connector = SimpleNamespace(
+            transport=wire, factory=Dial(protocol, lambda: None)
+        )
         protocol.transport, wire.connector = wire, connector
         connector.factory.clientConnectionLost(connector, None)
         there = weakref.ref(protocol)
@@ -252,24 +361,46 @@
     def test_a_node_that_moved_is_reached_at_its_new_address(self):
         fleet, node = self.fleet()
         fleet.listed(False, [place_of(NODE | {"addr": "127.0.0.1:9"}, ["z"], 0)])
-        self.assertEqual((node.address, node.host_field), (("127.0.0.1", 9), b"127.0.0.1:9"))
+        self.assertEqual(
+            (node.address, node.host_field), (("127.0.0.1", 9), b"127.0.0.1:9")
+        )
 
 
 class AtSize(Served):
     """A thousand nodes and gateways in the settings, within the descriptors that the configuration states."""
 
     def deployment(self, **changed):
-        servers = [NODE | {"id": f"s-{cell}", "cell": cell, "addr": f"127.0.0.1:{10_000 + cell}"} for cell in range(1024)]
+        servers = [
+            NODE
+            | {"id": f"s-{cell}", "cell": cell, "addr": f"127.0.0.1:{10_000 + cell}"}
+            for cell in range(1024)
+        ]
         extra = SETTINGS["extra"] | {"slots_total": 1024}
         settings = SETTINGS | {"peers_total": 1024, "self_index": 1023, "extra": extra}
-        return deployment_of(GIVEN | {"settings": settings, "known": {"version": 4, "full": True, "servers": servers}}, {}, 0,
-                             self.log.append)
+        return deployment_of(
+            GIVEN
+            | {
+                "settings": settings,
+                "known": {"version": 4, "full": True, "servers": servers},
+            },
+            {},
+            0,
+            self.log.append,
+        )
 
     def test_every_node_is_reached_and_links_stay_within_their_bound(self):
         module, fleet = self.gateway.host.module, self.gateway.fleet
-        self.assertEqual((len(module.nodes), len(fleet.nodes), module.facts["index"]), (1024, 1024, 1023))
+        self.assertEqual(
+            (len(module.nodes), len(fleet.nodes), module.facts["index"]),
+            (1024, 1024, 1023),
+        )
         for cell in range(1024):
-            client, wire = self.client(ask(txn=cell + 1, X_IO=f"volume=00000003b4d60021,units=2,shard={cell},hosts=1"))
+            client, wire = self.client(
+                ask(
+                    txn=cell + 1,
+                    X_IO=f"volume=00000003b4d60021,units=2,shard={cell},hosts=1",
+                )
+            )
             node, _ = self.reactor.up(self.dialled(10_000 + cell)[-1])
             node.dataReceived(ANSWER)
             self.assertIn(b"200 OK", wire.value())
@@ -282,7 +413,9 @@
         self.reactor.up(self.dialled(10_009)[-1])
         self.log.clear()
         self.gateway.tell_tally()
-        self.assertEqual([values["id"] for event, values in self.log if event == "node"], ["s-9"])
+        self.assertEqual(
+            [values["id"] for event, values in self.log if event == "node"], ["s-9"]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_lists.py
+++ b/tests/test_platform_lists.py
@@ -1,4 +1,5 @@
 """The gateway on the platform: its list of nodes, its file, its lines, what it decides."""
+
 import io
 import json
 import os
@@ -15,7 +16,18 @@
 from milletsill.interface import News, Readiness
 from milletsill.platform.asks import BadAsk, Categories, report_in
 from milletsill.platform.configuration import RefusedPlace, deployment_of, read
-from milletsill.platform.decide import MOST_SPENT, OVER, SILENT, WHOLE, Spent, Stage, due, ends_of, leave_within, shares_of
+from milletsill.platform.decide import (
+    MOST_SPENT,
+    OVER,
+    SILENT,
+    WHOLE,
+    Spent,
+    Stage,
+    due,
+    ends_of,
+    leave_within,
+    shares_of,
+)
 from milletsill.platform.discovery import Follower
 from milletsill.platform.gateway import Gateway
 from milletsill.platform.lines import Lines
@@ -31,18 +43,34 @@
         Lines(stream, gateway="n1").warning("list", reason="gone\nby", at=1)
         told = json.loads(stream.getvalue())
         told.pop("timestamp")
-        self.assertEqual(told, {"gateway": "n1", "reason": "gone\nby", "at": 1, "event": "list", "level": "warning"})
+        self.assertEqual(
+            told,
+            {
+                "gateway": "n1",
+                "reason": "gone\nby",
+                "at": 1,
+                "event": "list",
+                "level": "warning",
+            },
+        )
         self.assertEqual(stream.getvalue().count("\n"), 1)
         stream.close()
         Lines(stream).info("list")
 
 
 class Lists(unittest.TestCase):
-
     def setUp(self):
         self.reactor, self.told, self.log = Reactor(), [], []
-        self.follower = Follower(self.reactor, lambda: int(self.reactor.seconds() * 10_000), ("127.0.0.1", 8500), ["z"], 0,
-                                 lambda kind, places: self.told.append((kind, len(places))), self.log.append, Random(1).uniform)
+        self.follower = Follower(
+            self.reactor,
+            lambda: int(self.reactor.seconds() * 10_000),
+            ("127.0.0.1", 8500),
+            ["z"],
+            0,
+            lambda kind, places: self.told.append((kind, len(places))),
+            self.log.append,
+            Random(1).uniform,
+        )
 
     def watch(self):
         self.follower.ask()
@@ -50,16 +78,29 @@
         return self.reactor.up()
 
     def line(self, version, whole=False, entries=(NODE,)):
-        text = json.dumps({"version": version, "full": whole, "servers": list(entries)}).encode() + b"\n"
+        text = (
+            json.dumps(
+                {"version": version, "full": whole, "servers": list(entries)}
+            ).encode()
+            + b"\n"
+        )
         return b"%x\r\n%s\r\n" % (len(text), text)
 
     HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     def test_a_watch_tells_each_change_and_its_break_and_goes_on_from_its_version(self):
         watch, wire = self.watch()
-        watch.dataReceived(self.HEAD + self.line(7, True) + self.line(8) + self.line(6) + self.line(9)[:20])
+        watch.dataReceived(
+            self.HEAD
+            + self.line(7, True)
+            + self.line(8)
+            + self.line(6)
+            + self.line(9)[:20]
+        )
         watch.connectionLost(Failure(ConnectionLost()))
-        self.assertEqual(self.told, [(News.WHOLE, 1), (News.CHANGES, 1), (News.FAILED, 0)])
+        self.assertEqual(
+            self.told, [(News.WHOLE, 1), (News.CHANGES, 1), (News.FAILED, 0)]
+        )
         _, wire = self.watch()
         self.assertIn(b"from=8 ", wire.value())
 
@@ -68,11 +109,17 @@
         watch.dataReceived(self.HEAD + b"1\r\n\n\r\n")
         self.reactor.advance(6.1)
         self.follower.look()
-        self.assertEqual((self.told, wire.aborted), ([(News.CHANGES, 0), (News.FAILED, 0)], True))
+        self.assertEqual(
+            (self.told, wire.aborted), ([(News.CHANGES, 0), (News.FAILED, 0)], True)
+        )
 
     def test_what_cannot_be_read_ends_the_watch_with_one_line(self):
-        for data in (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", b"noise\r\n", self.HEAD + b"3\r\n{[\n\r\n",
-                     self.HEAD + b"5\r\n[1]\n\n\r\n"):
+        for data in (
+            b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+            b"noise\r\n",
+            self.HEAD + b"3\r\n{[\n\r\n",
+            self.HEAD + b"5\r\n[1]\n\n\r\n",
+        ):
             self.setUp()
             self.watch()[0].dataReceived(data)
             self.assertEqual((self.told, len(self.log)), ([(News.FAILED, 0)], 1), data)
@@ -87,34 +134,74 @@
         self.assertIn(b"from=7 ", other.value())
         self.assertFalse(wire.aborted)
         new.dataReceived(self.HEAD + self.line(9))
-        self.assertEqual((wire.aborted, [kind for kind, _ in self.told]), (True, [News.WHOLE, News.CHANGES, News.CHANGES]))
+        self.assertEqual(
+            (wire.aborted, [kind for kind, _ in self.told]),
+            (True, [News.WHOLE, News.CHANGES, News.CHANGES]),
+        )
 
     def test_a_zone_that_the_settings_do_not_name_is_shared_only_with_its_like(self):
-        zones = [place_of(NODE | {"id": name, "zone": zone}, ["z"], 0).listed.zone
-                 for name, zone in (("a", "z"), ("b", "z"), ("c", "y"), ("d", "y"), ("e", "x"), ("f", None), ("g", None))]
+        zones = [
+            place_of(NODE | {"id": name, "zone": zone}, ["z"], 0).listed.zone
+            for name, zone in (
+                ("a", "z"),
+                ("b", "z"),
+                ("c", "y"),
+                ("d", "y"),
+                ("e", "x"),
+                ("f", None),
+                ("g", None),
+            )
+        ]
         self.assertEqual([zones[0], zones[2]], [zones[1], zones[3]])
         self.assertEqual(len(set(zones)), 5)
 
     def test_an_entry_that_does_not_parse_is_left_out_alone(self):
-        bad = [{}, 5, NODE | {"addr": "x"}, NODE | {"state": "new"}, NODE | {"cell": -1}, NODE | {"weight": float("nan")}]
-        news = news_of({"version": 3, "servers": bad + [NODE | {"started_ms": 5}]}, ["z"], 7, self.log.append)
-        self.assertEqual((len(news.places), news.places[0].listed.since, len(self.log)), (1, 57, len(bad)))
+        bad = [
+            {},
+            5,
+            NODE | {"addr": "x"},
+            NODE | {"state": "new"},
+            NODE | {"cell": -1},
+            NODE | {"weight": float("nan")},
+        ]
+        news = news_of(
+            {"version": 3, "servers": bad + [NODE | {"started_ms": 5}]},
+            ["z"],
+            7,
+            self.log.append,
+        )
+        self.assertEqual(
+            (len(news.places), news.places[0].listed.since, len(self.log)),
+            (1, 57, len(bad)),
+        )
         self.assertIs(news.places[0].listed.readiness, Readiness.READY)
         with self.assertRaises(BadEntry):
             news_of({"version": -1, "servers": []}, [], 0, self.log.append)
 
 
 class Decided(unittest.TestCase):
-
     def test_descriptors_are_parted(self):
         for sockets in (256, 384, 1024):
             shares = shares_of(sockets)
-            self.assertTrue(shares.clients >= sockets / 3 and shares.clients + OVER + shares.links <= sockets - 20)
+            self.assertTrue(
+                shares.clients >= sockets / 3
+                and shares.clients + OVER + shares.links <= sockets - 20
+            )
 
     def test_time_and_a_clients_connection(self):
-        self.assertEqual([due(stage, begun, quiet, short) is not None for stage, begun, quiet, short in (
-            (Stage.FRESH, False, SILENT, False), (Stage.FRESH, False, 600, False), (Stage.FRESH, False, 600, True),
-            (Stage.FRESH, True, WHOLE, False), (Stage.BUSY, False, 1 << 40, True))], [True, False, True, True, False])
+        self.assertEqual(
+            [
+                due(stage, begun, quiet, short) is not None
+                for stage, begun, quiet, short in (
+                    (Stage.FRESH, False, SILENT, False),
+                    (Stage.FRESH, False, 600, False),
+                    (Stage.FRESH, False, 600, True),
+                    (Stage.FRESH, True, WHOLE, False),
+                    (Stage.BUSY, False, 1 << 40, True),
+                )
+            ],
+            [True, False, True, True, False],
+        )
 
     def test_the_leave_ends_before_the_platform_kills(self):
         self.assertEqual([leave_within(10_000), leave_within(90_000)], [15_000, 35_000])
@@ -126,25 +213,46 @@
         spent = Spent()
         for id in range(3 * MOST_SPENT):
             spent.take(id, id + 1000, id)
-            self.assertEqual([spent.known(each, id) for each in (id, id - 999, id - 1000)], [True, id >= 999, False])
+            self.assertEqual(
+                [spent.known(each, id) for each in (id, id - 999, id - 1000)],
+                [True, id >= 999, False],
+            )
         self.assertLessEqual(len(spent.until), 1001)
         for id in range(3 * MOST_SPENT):
             spent.take(id, 1 << 40, 0)
         self.assertEqual(len(spent.until), MOST_SPENT)
-        self.assertEqual([spent.known(each, 0) for each in (3 * MOST_SPENT - 1, 2 * MOST_SPENT, 2 * MOST_SPENT - 1)],
-                         [True, True, False])
+        self.assertEqual(
+            [
+                spent.known(each, 0)
+                for each in (3 * MOST_SPENT - 1, 2 * MOST_SPENT, 2 * MOST_SPENT - 1)
+            ],
+            [True, True, False],
+        )
 
     def test_a_report_is_read_field_by_field(self):
-        self.assertEqual(report_in(b"inflight=7,queue=nan,util=-1,depth=x,concurrent=2.5,\xff=1,,="), {"inflight": 2.5})
+        self.assertEqual(
+            report_in(b"inflight=7,queue=nan,util=-1,depth=x,concurrent=2.5,\xff=1,,="),
+            {"inflight": 2.5},
+        )
         self.assertEqual(report_in(None), {})
 
     def test_a_repeat_and_a_leave_are_told_to_the_module(self):
         deployment = deployment_of(GIVEN, {}, 0, print)
         reader = RequestReader(Bounds())
-        reader.feed(ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3"))
+        reader.feed(
+            ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
+        )
         arrival = Categories(deployment.facts).arrival(reader.next(), 1000, 60, 5000)
-        self.assertEqual((arrival.repeat, arrival.cell, arrival.units, arrival.gateways, arrival.ends),
-                         (True, None, 2.5, 3, 5000))
+        self.assertEqual(
+            (
+                arrival.repeat,
+                arrival.cell,
+                arrival.units,
+                arrival.gateways,
+                arrival.ends,
+            ),
+            (True, None, 2.5, 3, 5000),
+        )
         with self.assertRaises(BadAsk):
             reader.feed(ask(X_Lane="none"))
             Categories(deployment.facts).arrival(reader.next(), 1000, 60)
@@ -152,9 +260,16 @@
     def test_a_configuration_that_cannot_be_used_is_one_line(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "c.json")
-            for text in ("", "[]", "{", json.dumps(GIVEN | {"listen": "x"}), json.dumps(GIVEN | {"settings": None}),
-                         json.dumps(GIVEN | {"seed": "x"}), json.dumps(GIVEN | {"limits": {"sockets": "many"}}),
-                         json.dumps(GIVEN | {"settings": SETTINGS | {"classes": 5}})):
+            for text in (
+                "",
+                "[]",
+                "{",
+                json.dumps(GIVEN | {"listen": "x"}),
+                json.dumps(GIVEN | {"settings": None}),
+                json.dumps(GIVEN | {"seed": "x"}),
+                json.dumps(GIVEN | {"limits": {"sockets": "many"}}),
+                json.dumps(GIVEN | {"settings": SETTINGS | {"classes": 5}}),
+            ):
                 with open(path, "w") as file:
                     file.write(text)
                 with self.assertRaises(RefusedPlace, msg=text[:50]) as caught:
@@ -168,8 +283,17 @@
     """Settings that leave out what others state: served with that off, or one line."""
 
     def deployment(self, said=None, drop=(), **changed):
-        parts = {name: value for name, value in (SETTINGS | changed).items() if name not in drop}
-        return deployment_of(GIVEN | {"settings": parts}, {}, 0, (said if said is not None else []).append)
+        parts = {
+            name: value
+            for name, value in (SETTINGS | changed).items()
+            if name not in drop
+        }
+        return deployment_of(
+            GIVEN | {"settings": parts},
+            {},
+            0,
+            (said if said is not None else []).append,
+        )
 
     def arrival(self, deployment, data):
         reader = RequestReader(Bounds())
@@ -178,7 +302,9 @@
 
     def test_without_plans_a_request_needs_none(self):
         for changed in ({"plans": []}, {"drop": ("plans",)}):
-            self.assertEqual(self.arrival(self.deployment(**changed), ask(drop=("X-Plan",))).plan, 0)
+            self.assertEqual(
+                self.arrival(self.deployment(**changed), ask(drop=("X-Plan",))).plan, 0
+            )
         with self.assertRaises(BadAsk):
             self.arrival(self.deployment(), ask(drop=("X-Plan",)))
 
@@ -196,24 +322,38 @@
 
     def test_dials_and_idle_links_last_a_while_where_the_settings_do_not_say(self):
         reactor = Reactor()
-        said = SimpleNamespace(info=lambda *given, **values: None, warning=lambda *given, **values: None)
+        said = SimpleNamespace(
+            info=lambda *given, **values: None, warning=lambda *given, **values: None
+        )
         fleet = Gateway(self.deployment(limits={}), reactor, lambda: 0, 0, said).fleet
         self.assertEqual((fleet.dial_span, fleet.idle_span), (10_000, 35_000))
 
     def test_what_is_unknown_or_missing_is_one_line_each(self):
         said = []
-        self.deployment(said, extra=SETTINGS["extra"] | {"moons": 2}, shape="ring", plans=[])
+        self.deployment(
+            said, extra=SETTINGS["extra"] | {"moons": 2}, shape="ring", plans=[]
+        )
         self.assertEqual(len(said), 2)
         self.assertIn("extra.moons", said[0])
         self.assertIn("plans", said[1])
 
     def test_what_cannot_be_used_names_its_field(self):
-        for field, changed in (("classes", {"classes": []}), ("peers_total", {"peers_total": 0}), ("peers_total", {"drop": ("peers_total",)}),
-                               ("plans[0].ceiling_rate", {"plans": [{"name": "gold", "ceiling_rate": -1}]}),
-                               ("limits.most_held", {"limits": {"most_held": "many"}})):
+        for field, changed in (
+            ("classes", {"classes": []}),
+            ("peers_total", {"peers_total": 0}),
+            ("peers_total", {"drop": ("peers_total",)}),
+            (
+                "plans[0].ceiling_rate",
+                {"plans": [{"name": "gold", "ceiling_rate": -1}]},
+            ),
+            ("limits.most_held", {"limits": {"most_held": "many"}}),
+        ):
             with self.assertRaises(ValueError) as caught:
                 self.deployment(**changed)
-            self.assertTrue(str(caught.exception).startswith(f"settings: {field}:"), str(caught.exception))
+            self.assertTrue(
+                str(caught.exception).startswith(f"settings: {field}:"),
+                str(caught.exception),
+            )
 
     def test_a_node_listed_with_a_weight_of_nothing_stays(self):
         self.assertEqual(place_of(NODE | {"weight": 0}, ["z"], 0).listed.size, 0.0)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,5 @@
 """Each test builds the state that it needs and calls one function of the module."""
+
 import unittest
 
 from milletsill.interface import Outcome
@@ -29,7 +30,10 @@
         of, _ = scheduler()
         at, last = node(of), transfer(of, 9, extent=5, volume=1)
         at.follow = last
-        head, follower = transfer(of, 1, volume=2), transfer(of, 2, extent=extent, volume=volume, units=units)
+        head, follower = (
+            transfer(of, 1, volume=2),
+            transfer(of, 2, extent=extent, volume=volume, units=units),
+        )
         for each in (head, follower):
             of.hold(each, at, 0)
         return of.choose(at, head.tag - slack), head, follower
@@ -89,7 +93,9 @@
     def test_units_beyond_the_reserve_are_not_reserved(self):
         of, _ = scheduler()
         transfer(of, 1).volume.reserve.level = 3.0
-        self.assertEqual([transfer(of, number).reserved for number in (2, 3)], [True, False])
+        self.assertEqual(
+            [transfer(of, number).reserved for number in (2, 3)], [True, False]
+        )
 
     def test_the_rest_of_a_run_leaves_at_once_within_the_heads_slack(self):
         of, port = scheduler()
@@ -113,7 +119,10 @@
         self.assertEqual(port.of("decline"), [])
 
     def test_what_cannot_leave_within_patience_is_declined_at_once(self):
-        for best, declined in ((2000.0, 1), (200.0, 3)):  # a crowded node keeps nothing late
+        for best, declined in (
+            (2000.0, 1),
+            (200.0, 3),
+        ):  # a crowded node keeps nothing late
             of, port = scheduler()
             at = node(of)
             at.pace, at.best, of.clear = 2000.0, best, 2000.0
@@ -133,11 +142,15 @@
 
     def test_a_clients_repeat_counts_from_its_first_try(self):
         of, _ = scheduler()
-        self.assertEqual(transfer(of, 1, now=2000, ends=15_000, repeat=True).target, 3000)
+        self.assertEqual(
+            transfer(of, 1, now=2000, ends=15_000, repeat=True).target, 3000
+        )
 
     def test_a_repeat_with_less_than_its_target_time_left_is_a_short_try(self):
         of, _ = scheduler()
-        self.assertEqual(transfer(of, 1, now=20_000, ends=21_000, repeat=True).target, 21_000)
+        self.assertEqual(
+            transfer(of, 1, now=20_000, ends=21_000, repeat=True).target, 21_000
+        )
 
     def test_the_window_widens_near_the_best_pace_and_narrows_far_from_it(self):
         for latency, wider in ((380, True), (4000, False)):
@@ -190,25 +203,45 @@
 
     def test_a_dispatch_times_out_after_some_latencies_but_not_before_its_target(self):
         for repeats, reserved, lapses, now, timeout in (
-                ("rerunnable", True, 0, 0, 3000), ("rerunnable", True, 0, 1000, 2400),
-                ("rerunnable", False, 0, 1000, 2000), ("rerunnable", True, 1, 1000, 2000),
-                ("rerunnable", True, 1, 4000, 2400), ("exclusive", True, 0, 0, 0)):
+            ("rerunnable", True, 0, 0, 3000),
+            ("rerunnable", True, 0, 1000, 2400),
+            ("rerunnable", False, 0, 1000, 2000),
+            ("rerunnable", True, 1, 1000, 2000),
+            ("rerunnable", True, 1, 4000, 2400),
+            ("exclusive", True, 0, 0, 0),
+        ):
             of, port = scheduler({"repeats": repeats})
             at, one = node(of), transfer(of, 1)
             at.lapses, one.reserved = lapses, reserved
             of.dispatch(one, at, now)
             self.assertEqual(port.of("send"), [(1, 7, timeout)])
 
-    def test_a_first_dispatch_is_lost_sooner_where_its_target_leaves_time_for_another(self):
-        for latency, number, credit, timeout, final in ((400.0, 0, 2, 2400, False), (None, 0, 2, 6000, True),
-                                                        (600.0, 0, 2, 6000, True), (400.0, 1, 2, 6000, True),
-                                                        (400.0, 0, 0, 6000, True)):
+    def test_a_first_dispatch_is_lost_sooner_where_its_target_leaves_time_for_another(
+        self,
+    ):
+        for latency, number, credit, timeout, final in (
+            (400.0, 0, 2, 2400, False),
+            (None, 0, 2, 6000, True),
+            (600.0, 0, 2, 6000, True),
+            (400.0, 1, 2, 6000, True),
+            (400.0, 0, 0, 6000, True),
+        ):
             of, port = scheduler()
             at, one = node(of), transfer(of, 1, ends=50_000)
-            one.target, one.reserved, at.latency, at.wait, at.credit = 6000, False, latency, 0.0, credit
+            one.target, one.reserved, at.latency, at.wait, at.credit = (
+                6000,
+                False,
+                latency,
+                0.0,
+                credit,
+            )
             one.dispatches = [None] * number
             of.dispatch(one, at, 0)
-            self.assertEqual((port.of("send")[-1][2], at.out[0].final), (timeout, final), (latency, number, credit))
+            self.assertEqual(
+                (port.of("send")[-1][2], at.out[0].final),
+                (timeout, final),
+                (latency, number, credit),
+            )
 
     def test_surplus_that_timed_out_at_its_target_is_declined_at_once(self):
         of, port = scheduler()
@@ -232,16 +265,23 @@
 
     def test_a_dispatch_lost_alone_at_a_node_heard_of_late_is_no_lapse(self):
         for heard, silent, outcome, lapses, health in (
-                (1000, 0, Outcome.TIMED_OUT, 0, Health.STEADY), (0, 0, Outcome.TIMED_OUT, 1, Health.RETURNED),
-                (1000, 1500, Outcome.RESET, 1, Health.RETURNED), (1000, 0, Outcome.TURNED_AWAY, 1, Health.STEADY)):
+            (1000, 0, Outcome.TIMED_OUT, 0, Health.STEADY),
+            (0, 0, Outcome.TIMED_OUT, 1, Health.RETURNED),
+            (1000, 1500, Outcome.RESET, 1, Health.RETURNED),
+            (1000, 0, Outcome.TURNED_AWAY, 1, Health.STEADY),
+        ):
             of, _ = scheduler()
             at, of.shortest = node(of), 100
             of.dispatch(transfer(of, 1), at, 1500)
             at.heard, at.silent = heard, silent
             of.returned(1900, answer(1, outcome, latency=400))
-            self.assertEqual((at.lapses, at.health), (lapses, health), (heard, silent, outcome))
+            self.assertEqual(
+                (at.lapses, at.health), (lapses, health), (heard, silent, outcome)
+            )
 
-    def test_a_reset_that_comes_at_once_is_lost_alone_where_the_node_was_heard_within_target_times(self):
+    def test_a_reset_that_comes_at_once_is_lost_alone_where_the_node_was_heard_within_target_times(
+        self,
+    ):
         of, _ = scheduler()
         at, of.shortest = node(of), 1000
         of.dispatch(transfer(of, 1), at, 2500)
@@ -255,7 +295,9 @@
         of.hold(one, at, 0)
         of.dispatch(one, at, 0)
         of.returned(2400, answer(1, Outcome.TIMED_OUT))
-        self.assertEqual((at.out, of.unplaced[-1], of.wait_for(one, at, 2400)), ([], one, 0))
+        self.assertEqual(
+            (at.out, of.unplaced[-1], of.wait_for(one, at, 2400)), ([], one, 0)
+        )
 
     def test_a_cell_without_a_node_waits_for_the_one_that_replaces_it(self):
         of, _ = scheduler()
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,4 +1,5 @@
 """The seven rules, and their parts: each test builds the state it needs and calls one function."""
+
 import unittest
 
 from milletsill.interface import News, Outcome, Readiness
@@ -31,7 +32,9 @@
             of.woken(one.ends // 2, one)
             self.assertEqual(port.of("decline"), told)
 
-    def test_what_is_given_up_is_answered_in_the_same_settle_with_a_time_to_come_back(self):
+    def test_what_is_given_up_is_answered_in_the_same_settle_with_a_time_to_come_back(
+        self,
+    ):
         of, port = scheduler()
         at = node(of)
         at.rest_until = 4000  # behind its target, and the node is crowded: nothing can be in time there
@@ -77,18 +80,28 @@
         self.assertEqual((one.phase, of.repeat_wait(one, at, 100)), (Phase.HELD, 0))
 
     def test_a_ticketed_transfer_keeps_to_its_group_and_window(self):
-        for group, cell, zone, now, lawful in (("cell", 0, 1, 5, True), ("cell", 1, 0, 5, False),
-                                               ("zone", 1, 0, 5, True), ("zone", 0, 1, 5, False),
-                                               ("all", 1, 1, 5, True), ("all", 0, 0, 20_000, False)):
+        for group, cell, zone, now, lawful in (
+            ("cell", 0, 1, 5, True),
+            ("cell", 1, 0, 5, False),
+            ("zone", 1, 0, 5, True),
+            ("zone", 0, 1, 5, False),
+            ("all", 1, 1, 5, True),
+            ("all", 0, 0, 20_000, False),
+        ):
             of, _ = scheduler({"repeats": "ticketed", "group": group})
             one, other = transfer(of, 1, ends=90_000), node(of, 8, cell=cell, zone=zone)
             of.dispatch(one, node(of), 0)
             one.dispatches[0].outcome = Outcome.TIMED_OUT
-            self.assertEqual(of.repeat_wait(one, other, now) == 0, lawful, (group, cell, zone, now))
+            self.assertEqual(
+                of.repeat_wait(one, other, now) == 0, lawful, (group, cell, zone, now)
+            )
 
     def test_a_ticketed_repeat_that_waits_for_a_link_begins_within_the_window(self):
         for now, lawful in ((17_499, True), (17_500, False), (19_999, False)):
-            of, _ = scheduler({"repeats": "ticketed", "group": "all", "repeat_window": 20_000}, dial=2500)
+            of, _ = scheduler(
+                {"repeats": "ticketed", "group": "all", "repeat_window": 20_000},
+                dial=2500,
+            )
             one = transfer(of, 1, ends=90_000)
             of.dispatch(one, node(of), 0)
             one.dispatches[0].outcome = Outcome.TIMED_OUT
@@ -121,7 +134,9 @@
             at, one = node(of), transfer(of, 1)
             of.hold(one, at, 0)
             of.listed(5, News.CHANGES, [line(7, readiness=readiness)])
-            self.assertEqual((of.wait_for(one, at, 5), of.unplaced[-1], at.extents), (NEVER, one, []))
+            self.assertEqual(
+                (of.wait_for(one, at, 5), of.unplaced[-1], at.extents), (NEVER, one, [])
+            )
 
     def test_a_node_missing_from_a_whole_list_is_barred(self):
         of, _ = scheduler()
@@ -139,16 +154,29 @@
 
     def test_a_cold_node_gets_this_gateways_part_and_more_as_it_warms(self):
         # All together bear twenty units in a window, by its age a window ago; half of that is this gateway's.
-        for now, units, lawful in ((0, 10.0, True), (0, 11.0, False), (50_000, 21.0, True), (50_000, 22.0, False),
-                                   (100_001, 99.0, True)):
+        for now, units, lawful in (
+            (0, 10.0, True),
+            (0, 11.0, False),
+            (50_000, 21.0, True),
+            (50_000, 22.0, False),
+            (100_001, 99.0, True),
+        ):
             of, _ = scheduler()
             one = transfer(of, 1, units=units)
-            self.assertEqual(of.cold_wait(one, node(of, since=1), now) == 0, lawful, (now, units))
+            self.assertEqual(
+                of.cold_wait(one, node(of, since=1), now) == 0, lawful, (now, units)
+            )
 
     def test_where_a_cold_part_is_below_a_usual_transfer_each_is_drawn_for_once(self):
         # All together bear ten of mean work in a window: a hundredth of 0.25 of that for each window since the cell's last.
-        for gap, units, age, odds in ((10_002, 2.0, 0, 0.025), (5_001, 2.0, 0, 0.0125), (5_001, 1.0, 0, 0.0125), (0, 2.0, 0, 0.0),
-                                      (10_002, 4.0, 0, 0.025 / 7.3298), (10_002, 2.0, 60_002, 0.025 * 2.5)):
+        for gap, units, age, odds in (
+            (10_002, 2.0, 0, 0.025),
+            (5_001, 2.0, 0, 0.0125),
+            (5_001, 1.0, 0, 0.0125),
+            (0, 2.0, 0, 0.0),
+            (10_002, 4.0, 0, 0.025 / 7.3298),
+            (10_002, 2.0, 60_002, 0.025 * 2.5),
+        ):
             self.check_odds(odds, gap, units, age)
 
     def test_a_small_cold_budget_is_drawn_for_with_lower_odds(self):
@@ -161,11 +189,15 @@
             of, _ = scheduler(gateways=100, **facts)
             one, at = transfer(of, 1, units=units), node(of, since=1)
             one.gap, one.lot = gap, lot
-            self.assertEqual(of.cold_wait(one, at, 1 + age) == 0, lawful, (gap, units, age, lot))
+            self.assertEqual(
+                of.cold_wait(one, at, 1 + age) == 0, lawful, (gap, units, age, lot)
+            )
 
     def test_a_small_transfer_does_not_pass_a_part_below_a_usual_one(self):
         """Each gateway's would be one of mean work, and all together more than the node bears."""
-        of, _ = scheduler(gateways=13, cold_multiple=100.0)  # its part is one and a half units, a usual transfer two
+        of, _ = scheduler(
+            gateways=13, cold_multiple=100.0
+        )  # its part is one and a half units, a usual transfer two
         small = transfer(of, 1, units=1.0)
         small.gap, small.lot = 0, 0.0
         self.assertGreater(of.cold_wait(small, node(of, since=1), 1), 0)
@@ -174,7 +206,10 @@
 
     def test_the_gap_is_the_cells_and_what_was_held_or_left_once_is_not_drawn_for(self):
         of, _ = scheduler(gateways=100)
-        gaps = [(at, transfer(of, at, now=at, cell=cell).gap) for at, cell in ((700, 0), (900, 1), (1000, 0), (1300, None))]
+        gaps = [
+            (at, transfer(of, at, now=at, cell=cell).gap)
+            for at, cell in ((700, 0), (900, 1), (1000, 0), (1300, None))
+        ]
         self.assertEqual(gaps, [(700, 700), (900, 900), (1000, 300), (1300, 1300)])
         of.listed(1400, News.CHANGES, [line(7, since=1400)])
         self.assertEqual([each.gap for each in of.transfers.values()], [0, 900, 0, 0])
@@ -300,7 +335,9 @@
 
     def test_a_store_fills_to_its_most(self):
         store = Store(1.0, 0)
-        self.assertEqual([store.fill(5_000, 4.0, 10.0), store.fill(90_000, 4.0, 10.0)], [3.0, 10.0])
+        self.assertEqual(
+            [store.fill(5_000, 4.0, 10.0), store.fill(90_000, 4.0, 10.0)], [3.0, 10.0]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -1,4 +1,5 @@
 """What is on the wire and on disk stays to the octet: recorded octets are read, and the same values give the same octets."""
+
 import json
 import os
 import tempfile
@@ -27,7 +28,10 @@
             self.assertEqual(found[name], value, name)
 
     def test_the_same_values_give_the_same_octets(self):
-        for file, made in (("wire-1.json", make_wire.write()), ("octets-1.json", make_octets.octets())):
+        for file, made in (
+            ("wire-1.json", make_wire.write()),
+            ("octets-1.json", make_octets.octets()),
+        ):
             held = recorded(file)
             self.assertEqual(made.keys(), held.keys())
             for name, data in held.items():
@@ -40,19 +44,26 @@
                 with open(os.path.join(folder, name), "wb") as sink:
                     sink.write(held[f"file {name}"])
             epochs = [store.read(os.path.join(folder, name)) for name in store.NAMES]
-            self.assertEqual(sorted(each >> store.CHANCE_BITS for each in epochs), [2, 3])
+            self.assertEqual(
+                sorted(each >> store.CHANCE_BITS for each in epochs), [2, 3]
+            )
             self.assertEqual(next_incarnation(os.path.join(folder, "run")), (43, None))
 
     def test_the_tables_of_a_register_file_are_as_recorded(self):
         def tables(path):
             import sqlite3
+
             with sqlite3.connect(path) as base:
-                return sorted(base.execute("select name, sql from sqlite_master").fetchall())
+                return sorted(
+                    base.execute("select name, sql from sqlite_master").fetchall()
+                )
 
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
             Store.opened(path, 77).close()
-            self.assertEqual(tables(path), tables(os.path.join(HERE, "register-1.sqlite")))
+            self.assertEqual(
+                tables(path), tables(os.path.join(HERE, "register-1.sqlite"))
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_registers_plane.py
+++ b/tests/test_registers_plane.py
@@ -1,4 +1,5 @@
 """Offices over the plane: gateways, registers and a network between them on a fake clock."""
+
 import os
 import shutil
 import tempfile
@@ -32,7 +33,13 @@
 
     @property
     def view(self):
-        return View(1, [Member(each, "h:1", 1, Standing.ALIVE) for each in sorted(self.net.planes)])
+        return View(
+            1,
+            [
+                Member(each, "h:1", 1, Standing.ALIVE)
+                for each in sorted(self.net.planes)
+            ],
+        )
 
     def tell(self, member, kind, body):
         if member not in self.net.planes or {member, self.name} & self.net.cut:
@@ -80,17 +87,33 @@
     def start(self, name, **values):
         self.planes[name] = Wire(name, self)
         given = {"silent": 36_000_000, **self.values, **values}
-        self.offices[name] = Offices(self.clock, self.now, self.planes[name], given.pop("names", ("r0", "r1", "r2")),
-                                     given.pop("office", 20_000), 5, 3_000, given.pop("most", 1000), self.path(name), 1,
-                                     lambda line, **said: self.lines.append((name, said.get("error", line))), CollectorRegistry(),
-                                     worker=Thread(self.clock), **given)
+        self.offices[name] = Offices(
+            self.clock,
+            self.now,
+            self.planes[name],
+            given.pop("names", ("r0", "r1", "r2")),
+            given.pop("office", 20_000),
+            5,
+            3_000,
+            given.pop("most", 1000),
+            self.path(name),
+            1,
+            lambda line, **said: self.lines.append((name, said.get("error", line))),
+            CollectorRegistry(),
+            worker=Thread(self.clock),
+            **given,
+        )
 
     def stop(self, name):
         self.offices.pop(name).stop()
         del self.planes[name]
 
     def bring(self, sender, member, body):
-        for each in self.planes[member].ears if member in self.planes and not {sender, member} & self.cut else ():
+        for each in (
+            self.planes[member].ears
+            if member in self.planes and not {sender, member} & self.cut
+            else ()
+        ):
             each(sender, 1, body)
 
     def go(self, seconds):
@@ -125,7 +148,9 @@
         term = net.take("x")
         self.assertEqual(net.write("x", term, b"1"), [None])
         bring, made = net.bring, net.now()
-        net.bring = lambda sender, *rest: held.append((sender, *rest)) if sender == "x" else bring(sender, *rest)
+        net.bring = lambda sender, *rest: (
+            held.append((sender, *rest)) if sender == "x" else bring(sender, *rest)
+        )
         self.assertIsInstance(net.write("x", term, b"2")[0], errors.NoMajority)
         net.go(6)
         net.bring = bring
@@ -134,13 +159,17 @@
         net.go(2.5)
         later = net.take("y")
         self.assertEqual(later.value, b"2")
-        self.assertLessEqual(net.now() - made - 5000, later.age)  # it was had half a second ago
+        self.assertLessEqual(
+            net.now() - made - 5000, later.age
+        )  # it was had half a second ago
         self.assertLess(later.age, net.now() - made + 2000)
 
     def test_an_office_is_taken_written_under_and_handed_over(self):
         net = self.net()
         term = net.take("x")
-        self.assertEqual((term.value, term.age, net.offices["x"].holds(term)), (b"", 0, True))
+        self.assertEqual(
+            (term.value, term.age, net.offices["x"].holds(term)), (b"", 0, True)
+        )
         self.assertEqual(net.write("x", term, b"1", b"2", b"3"), [None] * 3)
         self.assertEqual(term.value, b"3")
         refused = net.take("y")
@@ -169,7 +198,9 @@
         self.assertFalse(net.offices["x"].holds(term))
         self.assertEqual(got.value, b"1")
         net.cut.clear()
-        self.assertEqual([type(each) for each in net.write("x", term, b"2")], [errors.NotKeeper])
+        self.assertEqual(
+            [type(each) for each in net.write("x", term, b"2")], [errors.NotKeeper]
+        )
 
     def test_without_a_majority_it_is_declined_soon_with_a_time_to_come_back(self):
         net = self.net()
@@ -185,7 +216,12 @@
         self.assertIn(again.value, (b"", b"1"))
 
     def test_registers_come_back_with_what_they_have_without_or_with_less(self):
-        for how, error in (("kept", "register_begins"), ("torn", "StateTorn"), ("lost", "StateLost"), ("older", "StateOlder")):
+        for how, error in (
+            ("kept", "register_begins"),
+            ("torn", "StateTorn"),
+            ("lost", "StateLost"),
+            ("older", "StateOlder"),
+        ):
             with self.subTest(how):
                 net = self.net()
                 term = net.take("x")
@@ -202,7 +238,9 @@
                 net.go(0.3)
                 net.stop("r1")
                 if how == "torn":
-                    Path(net.path("r1")).write_bytes(Path(net.path("r1")).read_bytes()[:5000])
+                    Path(net.path("r1")).write_bytes(
+                        Path(net.path("r1")).read_bytes()[:5000]
+                    )
                 elif how == "lost":
                     os.remove(net.path("r1"))
                 elif how == "older":
@@ -225,10 +263,14 @@
         net.start("r0", most_pages=14)
         net.go(0.5)
         terms = [net.take("x", f"c{each}", seconds=0.1) for each in range(12)]
-        self.assertEqual(sum([net.write("x", term, b"x" * 6000) for term in terms], []), [None] * 12)  # the two others do
+        self.assertEqual(
+            sum([net.write("x", term, b"x" * 6000) for term in terms], []), [None] * 12
+        )  # the two others do
         self.assertIn(("r0", "DiskFull"), net.lines)
         net.cut.add("r1")
-        self.assertIsInstance(net.write("x", terms[11], b"y" * 6000)[0], errors.NoMajority)
+        self.assertIsInstance(
+            net.write("x", terms[11], b"y" * 6000)[0], errors.NoMajority
+        )
         net.offices["r0"].desk.store.base.execute("PRAGMA max_page_count=1000")
         net.go(3)
         self.assertIsInstance(net.take("x", "c11"), Term)
@@ -239,7 +281,9 @@
             term = net.take("x", f"c{each}")
             net.write("x", term, b"v")
         self.assertIsInstance(net.take("x", "c3"), errors.TooMany)  # here
-        self.assertIsInstance(net.take("y", "c3"), errors.NoMajority)  # at the registers
+        self.assertIsInstance(
+            net.take("y", "c3"), errors.NoMajority
+        )  # at the registers
         self.assertIsInstance(net.write("x", term, b"v" * 20_000)[0], errors.TooMany)
         net.go(8)
         got = net.take("y", "c3")
@@ -252,7 +296,9 @@
         net.offices["x"].others = lambda *what: heard.append(what)
         net.offices["x"].heard("y", 1, b"Cours")
         self.assertEqual(heard, [("y", 1, b"Cours")])
-        self.assertEqual(net.offices["x"].keeper_of("c1"), net.offices["y"].keeper_of("c1"))
+        self.assertEqual(
+            net.offices["x"].keeper_of("c1"), net.offices["y"].keeper_of("c1")
+        )
 
     def test_other_terms_are_declined_and_other_registers_need_an_order(self):
         net = self.net()
@@ -278,7 +324,9 @@
         net = self.net()
         net.write("x", net.take("x"), b"1")
         desk = net.offices["r0"].desk
-        desk.witnessed("y", Identity(desk.own().age, desk.own().chance, desk.own().generation + 5))
+        desk.witnessed(
+            "y", Identity(desk.own().age, desk.own().chance, desk.own().generation + 5)
+        )
         self.assertFalse(desk.whole())
         self.assertIn(("r0", "StateOlder"), net.lines)
         net.go(4)
