--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,5 @@
 """The list follower: its table, the view, the JSON, the cache."""
+
 import json
 import os
 import tempfile
@@ -13,7 +14,14 @@
 from milletsill.registry.decide import BadBox, Box, Cue, Stage, Told, View, box_of, step
 from milletsill.registry.follower import Follower
 
-VALUE = {"id": 7, "address": "127.0.0.1:9", "state": "ready", "size": 2, "cell": 3, "started": 0}
+VALUE = {
+    "id": 7,
+    "address": "127.0.0.1:9",
+    "state": "ready",
+    "size": 2,
+    "cell": 3,
+    "started": 0,
+}
 
 
 def box(id=7, started=0, cell=3, readiness=Readiness.READY):
@@ -43,7 +51,9 @@
         view = View(10, 1000)
         view.replace({"a": box()}, 5)
         drain = box(readiness=Readiness.DRAINING)
-        self.assertEqual(view.apply([Told("a", box(), 5), Told("a", drain, 6)]), [drain])
+        self.assertEqual(
+            view.apply([Told("a", box(), 5), Told("a", drain, 6)]), [drain]
+        )
         self.assertEqual(view.apply([Told("a", drain, 6)]), [])
 
     def test_a_key_that_goes_makes_its_box_gone(self):
@@ -59,12 +69,25 @@
     def test_a_key_that_takes_another_id_makes_the_old_box_gone(self):
         view = View(10, 1000)
         view.replace({"a": box(1)}, 5)
-        self.assertEqual([(each.id, each.readiness.name) for each in view.apply([Told("a", box(2), 6)])], [(1, "GONE"), (2, "READY")])
+        self.assertEqual(
+            [
+                (each.id, each.readiness.name)
+                for each in view.apply([Told("a", box(2), 6)])
+            ],
+            [(1, "GONE"), (2, "READY")],
+        )
 
     def test_keys_are_counted_also_those_without_a_box(self):
         view = View(1, 1000)
         view.replace({"a": box(1)}, 5, ["a", "odd"])
-        view.apply([Told("a", None, 6, odd=True), Told("more", box(2), 7), Told("odd", None, 8), Told("new", None, 8, odd=True)])
+        view.apply(
+            [
+                Told("a", None, 6, odd=True),
+                Told("more", box(2), 7),
+                Told("odd", None, 8),
+                Told("new", None, 8, odd=True),
+            ]
+        )
         self.assertEqual((view.keys(), list(view.by_key)), (3, ["a"]))
 
     def test_a_flood_of_boxes_is_bounded_and_counted(self):
@@ -77,8 +100,12 @@
         view = View(10, 100_000)
         first = view.since_of(box(started=1_000_000), 50_000, 1_001_000)
         self.assertEqual(first, 40_000)
-        self.assertEqual(view.since_of(box(started=1_000_000), 60_000, 9_999_999), first)
-        self.assertNotEqual(view.since_of(box(started=1_001_500), 60_000, 1_002_000), first)
+        self.assertEqual(
+            view.since_of(box(started=1_000_000), 60_000, 9_999_999), first
+        )
+        self.assertNotEqual(
+            view.since_of(box(started=1_001_500), 60_000, 1_002_000), first
+        )
 
     def test_long_ago_is_none(self):
         view = View(10, 1000)
@@ -89,32 +116,68 @@
 class Json(unittest.TestCase):
     def kv(self, key="k/7", value=VALUE, revision=4):
         text = value if isinstance(value, str) else json.dumps(value)
-        return {"key": jsons.encoded(key), "value": jsons.encoded(text), "mod_revision": str(revision)}
+        return {
+            "key": jsons.encoded(key),
+            "value": jsons.encoded(text),
+            "mod_revision": str(revision),
+        }
 
     def test_a_list_with_one_bad_box_keeps_the_others_and_says_so(self):
         said = []
-        body = {"header": {"revision": "9"}, "kvs": [self.kv(), self.kv("k/8", "nonsense"), self.kv("k/9", {"id": -1})]}
+        body = {
+            "header": {"revision": "9"},
+            "kvs": [self.kv(), self.kv("k/8", "nonsense"), self.kv("k/9", {"id": -1})],
+        }
         boxes, revision = jsons.read_range(json.dumps(body).encode(), said.append)
         self.assertEqual((list(boxes), revision, len(said)), (["k/7"], 9, 2))
 
     def test_a_watch_tells_changes_deletes_opening_and_compaction(self):
-        line = {"result": {"header": {"revision": "9"}, "events": [
-            {"kv": self.kv()}, {"type": "DELETE", "kv": {"key": jsons.encoded("k/8"), "mod_revision": "5"}}]}}
-        changes, _, opened, compacted = jsons.read_watch(json.dumps(line).encode(), print)
-        self.assertEqual([(each.key, each.box is None, each.revision) for each in changes],
-                         [("k/7", False, 4), ("k/8", True, 5)])
+        line = {
+            "result": {
+                "header": {"revision": "9"},
+                "events": [
+                    {"kv": self.kv()},
+                    {
+                        "type": "DELETE",
+                        "kv": {"key": jsons.encoded("k/8"), "mod_revision": "5"},
+                    },
+                ],
+            }
+        }
+        changes, _, opened, compacted = jsons.read_watch(
+            json.dumps(line).encode(), print
+        )
+        self.assertEqual(
+            [(each.key, each.box is None, each.revision) for each in changes],
+            [("k/7", False, 4), ("k/8", True, 5)],
+        )
         cancelled = {"result": {"canceled": True, "compact_revision": "12"}}
         self.assertTrue(jsons.read_watch(json.dumps(cancelled).encode(), print)[3])
 
     def test_nonsense_is_one_line(self):
-        for data in (b"[", b"1", b"{}", b'{"result": {"events": [1]}}', b'{"error": "x"}', b"[" * 100_000,
-                     b'{"result": {"events": [{"kv": {"key": "!"}}]}}'):
+        for data in (
+            b"[",
+            b"1",
+            b"{}",
+            b'{"result": {"events": [1]}}',
+            b'{"error": "x"}',
+            b"[" * 100_000,
+            b'{"result": {"events": [{"kv": {"key": "!"}}]}}',
+        ):
             with self.assertRaises(jsons.BadAnswer):
                 jsons.read_watch(data, print)
 
     def test_boxes_of_all_wrong_kinds_are_refused(self):
-        for field, value in (("id", True), ("id", "7"), ("size", 0), ("state", "up"), ("address", "x"), ("cell", None),
-                             ("started", -1), ("address", 5)):
+        for field, value in (
+            ("id", True),
+            ("id", "7"),
+            ("size", 0),
+            ("state", "up"),
+            ("address", "x"),
+            ("cell", None),
+            ("started", -1),
+            ("address", 5),
+        ):
             with self.assertRaises(BadBox):
                 box_of({**VALUE, field: value})
 
@@ -129,13 +192,38 @@
     """A watch whose other end is gone without a word, against a registry of the test's own, on its clock."""
 
     def setUp(self):
-        self.clock, self.told, self.ways, self.calls, self.keys, self.revision = Clock(), [], [], 0, {"k/7": (VALUE, 4)}, 4
-        link = SimpleNamespace(address="127.0.0.1:1", prefix="k/", call_ms=2000, connect_ms=500, most_line=1 << 20, most_boxes=99)
+        self.clock, self.told, self.ways, self.calls, self.keys, self.revision = (
+            Clock(),
+            [],
+            [],
+            0,
+            {"k/7": (VALUE, 4)},
+            4,
+        )
+        link = SimpleNamespace(
+            address="127.0.0.1:1",
+            prefix="k/",
+            call_ms=2000,
+            connect_ms=500,
+            most_line=1 << 20,
+            most_boxes=99,
+        )
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.follower = Follower(self.clock, lambda: int(self.clock.seconds() * 10_000), link, 0, f"{folder.name}/boxes",
-                                 lambda news, boxes: self.told.append((news, [each.readiness.name for each in boxes])),
-                                 lambda boxes: None, lambda text: None, "g", lambda least, most: most)
+        self.follower = Follower(
+            self.clock,
+            lambda: int(self.clock.seconds() * 10_000),
+            link,
+            0,
+            f"{folder.name}/boxes",
+            lambda news, boxes: self.told.append(
+                (news, [each.readiness.name for each in boxes])
+            ),
+            lambda boxes: None,
+            lambda text: None,
+            "g",
+            lambda least, most: most,
+        )
         self.follower.call, self.follower.save = self.call, lambda: None
         self.follower.ask()
 
@@ -148,17 +236,32 @@
         if line is not None:
             self.line = line
             return line(json.dumps({"result": {"created": True}}).encode())
-        kvs = [Json.kv(self, key, *each) for key, each in sorted(self.keys.items(), key=lambda each: -each[1][1])]
+        kvs = [
+            Json.kv(self, key, *each)
+            for key, each in sorted(self.keys.items(), key=lambda each: -each[1][1])
+        ]
         newest = b"keys_only" in body
-        done(json.dumps({"header": {"revision": self.revision}, "kvs": kvs[:1] if newest else kvs, "count": str(len(kvs))}).encode())
+        done(
+            json.dumps(
+                {
+                    "header": {"revision": self.revision},
+                    "kvs": kvs[:1] if newest else kvs,
+                    "count": str(len(kvs)),
+                }
+            ).encode()
+        )
 
     def passing(self, seconds):
         for _ in range(int(seconds * 10)):
             self.clock.advance(0.1)
 
     def test_what_it_misses_is_found(self):
-        for change, ways, within in ((VALUE | {"state": "draining"}, [], 4), (None, [], 4), (VALUE | {"state": "draining"}, ["fails"], 8),
-                                     (VALUE | {"state": "draining"}, ["no word"], 10)):
+        for change, ways, within in (
+            (VALUE | {"state": "draining"}, [], 4),
+            (None, [], 4),
+            (VALUE | {"state": "draining"}, ["fails"], 8),
+            (VALUE | {"state": "draining"}, ["no word"], 10),
+        ):
             self.setUp()
             self.passing(7.1)
             self.assertEqual(self.told, [(News.WHOLE, ["READY"])])
@@ -175,14 +278,21 @@
         self.assertEqual([news for news, _ in self.told], [News.WHOLE, News.FAILED])
         self.follower.ask()
         self.passing(7.1)
-        self.line(json.dumps({"result": {"created": True, "header": {"revision": "2"}}}).encode())
+        self.line(
+            json.dumps(
+                {"result": {"created": True, "header": {"revision": "2"}}}
+            ).encode()
+        )
         self.assertEqual(self.told[-1][0], News.FAILED)
 
     def test_a_watch_that_is_late_or_has_nothing_to_say_stands(self):
         self.passing(7.1)
         self.keys, self.revision = {}, 5
         self.passing(1.5)  # looked at in between
-        gone = {"type": "DELETE", "kv": {"key": jsons.encoded("k/7"), "mod_revision": "5"}}
+        gone = {
+            "type": "DELETE",
+            "kv": {"key": jsons.encoded("k/7"), "mod_revision": "5"},
+        }
         self.line(json.dumps({"result": {"events": [gone]}}).encode())
         self.ways = ["fails"] * 4 + ["no word"]
         self.passing(60)
@@ -208,7 +318,7 @@
         with open(self.path, "rb") as source:
             data = source.read()
         for at in range(0, len(data), 7):
-            for bad in (data[:at], data[:at] + bytes((data[at] ^ 1,)) + data[at + 1:]):
+            for bad in (data[:at], data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :]):
                 with open(self.path, "wb") as sink:
                     sink.write(bad)
                 with self.assertRaises(cache.ListUnkept):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,5 @@
 """The stand-in network: what it decides, and two gateways' addresses that speak through it over UDP and TCP."""
+
 import json
 import socket
 import subprocess
@@ -45,29 +46,54 @@
 class Weather(unittest.TestCase):
     def test_who_is_cut_from_whom(self):
         pairs = [(a, b) for a in range(3) for b in range(3) if a != b]
-        for what, on, cut in (("split", {0, 1}, {(0, 2), (1, 2), (2, 0), (2, 1)}), ("cut_one_way", {0}, {(0, 1), (0, 2)}),
-                              ("isolate", {0, 1}, set(pairs)), ("lossy", {0}, set())):
+        for what, on, cut in (
+            ("split", {0, 1}, {(0, 2), (1, 2), (2, 0), (2, 1)}),
+            ("cut_one_way", {0}, {(0, 1), (0, 2)}),
+            ("isolate", {0, 1}, set(pairs)),
+            ("lossy", {0}, set()),
+        ):
             fault = Fault(what, 0, 1, frozenset(on), 0.5)
-            self.assertEqual({pair for pair in pairs if way([fault], *pair).cut}, cut, what)
+            self.assertEqual(
+                {pair for pair in pairs if way([fault], *pair).cut}, cut, what
+            )
 
     def test_faults_add_up_and_no_fault_is_clear(self):
-        both = way([Fault("lossy", 0, 1, frozenset(), 0.5, 0.1), Fault("slow_network", 0, 1, frozenset({1}), 30, 40)], 0, 1)
+        both = way(
+            [
+                Fault("lossy", 0, 1, frozenset(), 0.5, 0.1),
+                Fault("slow_network", 0, 1, frozenset({1}), 30, 40),
+            ],
+            0,
+            1,
+        )
         self.assertEqual(both, Way(False, 0.5, 0.1, 0.03, 0.04))
-        self.assertIs(way([Fault("slow_network", 0, 1, frozenset({1}), 30)], 0, 2), CLEAR)
+        self.assertIs(
+            way([Fault("slow_network", 0, 1, frozenset({1}), 30)], 0, 2), CLEAR
+        )
 
     def test_packets_are_lost_doubled_and_late_by_chance_and_streams_lose_nothing(self):
         chance, poor = Random(1), Way(False, 0.5, 0.5, 0.01, 0.02)
         copies = [poor.packet(chance) for _ in range(1000)]
-        self.assertTrue(all(400 < sum(len(each) == count for each in copies) < 600 for count in (0,)), "half is lost")
+        self.assertTrue(
+            all(
+                400 < sum(len(each) == count for each in copies) < 600 for count in (0,)
+            ),
+            "half is lost",
+        )
         self.assertTrue(150 < sum(len(each) == 2 for each in copies) < 350)
         self.assertTrue(all(0.01 <= each < 0.06 for found in copies for each in found))
         self.assertEqual((Way(True).packet(chance), CLEAR.packet(chance)), ((), (0.0,)))
         self.assertTrue(all(poor.piece(chance) >= 0.01 for _ in range(100)))
 
     def test_the_same_seed_draws_the_same_sets(self):
-        first, again = (faults_of(text_format.Parse(SCENARIO, Scenario()), 100.0) for _ in range(2))
+        first, again = (
+            faults_of(text_format.Parse(SCENARIO, Scenario()), 100.0) for _ in range(2)
+        )
         self.assertEqual(first, again)
-        self.assertEqual([(each.since, sorted(each.on), len(each.on)) for each in first][0], (101.0, [0, 1], 2))
+        self.assertEqual(
+            [(each.since, sorted(each.on), len(each.on)) for each in first][0],
+            (101.0, [0, 1], 2),
+        )
         self.assertEqual([len(each.on) for each in first], [2, 1, 0])
 
 
@@ -77,17 +103,25 @@
     @classmethod
     def setUpClass(cls):
         cls.folder = tempfile.TemporaryDirectory()
-        with open(f"{cls.folder.name}/scenario.textproto", "w", encoding="utf-8") as sink:
+        with open(
+            f"{cls.folder.name}/scenario.textproto", "w", encoding="utf-8"
+        ) as sink:
             sink.write(SCENARIO)
-        ends = tuple(address(number) for address in (inside, outside) for number in range(3))
+        ends = tuple(
+            address(number) for address in (inside, outside) for number in range(3)
+        )
         cls.port, control = free_ports(1, ends)[0], free_ports(1)[0]
         cls.addClassCleanup(cls.folder.cleanup)
-        cls.process = subprocess.Popen(LAB + ["relay", cls.folder.name, str(cls.port), str(control)])
+        cls.process = subprocess.Popen(
+            LAB + ["relay", cls.folder.name, str(cls.port), str(control)]
+        )
         cls.addClassCleanup(cls.process.wait, 10)
         cls.addClassCleanup(cls.process.terminate)
         for _ in range(1200):
             try:
-                with socket.create_connection(("127.0.0.1", control), timeout=5) as made:
+                with socket.create_connection(
+                    ("127.0.0.1", control), timeout=5
+                ) as made:
                     cls.line = made.makefile("rw")
                 cls.addClassCleanup(cls.line.close)
                 break
@@ -126,7 +160,9 @@
         self.assertEqual(self.heard(0), (b"y", (outside(1), self.port)))
 
     def test_one_way_is_cut_and_heals(self):
-        self.assertEqual(self.order(what="cut_one_way", on=[0], for_s=60)["faults"], ["cut_one_way"])
+        self.assertEqual(
+            self.order(what="cut_one_way", on=[0], for_s=60)["faults"], ["cut_one_way"]
+        )
         self.say(0, 1), self.say(1, 0)
         self.assertEqual((self.heard(1), self.heard(0)[0]), (None, b"x"))
         self.assertEqual(self.order(what="heal")["faults"], [])
@@ -136,7 +172,9 @@
     def test_a_stream_waits_behind_a_cut_and_ends_with_a_reset(self):
         with socket.create_server((inside(1), self.port)) as server:
             server.settimeout(3)
-            near = socket.create_connection((outside(1), self.port), timeout=3, source_address=(inside(0), 0))
+            near = socket.create_connection(
+                (outside(1), self.port), timeout=3, source_address=(inside(0), 0)
+            )
             near.sendall(b"a")
             far, address = server.accept()
             far.settimeout(0.3)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,5 @@
 """The operator's files: bad ones refused with line and reason, good ones taken as they are."""
+
 import unittest
 
 from milletsill.settings.decide import check_gateway, check_scenario
@@ -14,44 +15,80 @@
 route { category: "read" }
 """
 BAD = [
-    ('plan: "basic"', 'plan: "none"', 6, "missing"), ("gateways: 3", "gateways: 0", 2, "not from 1"),
-    ("target_ms: 300", "target_ms: 3000", 5, "past the patience"), ('root: "/suva"', 'root: "suva"', 6, "absolute"),
-    ("cell: [0, 1]", "cell: [1, 1]", 6, "twice"), ("cell: [0, 1]", "", 6, "no cell"),
-    ('route { category: "read" }', 'route { category: "read" operation: "fly" }', 7, "not one of"),
-    ('route { category: "read" }', 'route { category: "read" volume: "suva" }', 7, "fit every command"),
-    ("reserve_rate: 3", "reserve_rate: 3 limit_rate: 2 limit_store: 99", 4, "under the reserve"),
+    ('plan: "basic"', 'plan: "none"', 6, "missing"),
+    ("gateways: 3", "gateways: 0", 2, "not from 1"),
+    ("target_ms: 300", "target_ms: 3000", 5, "past the patience"),
+    ('root: "/suva"', 'root: "suva"', 6, "absolute"),
+    ("cell: [0, 1]", "cell: [1, 1]", 6, "twice"),
+    ("cell: [0, 1]", "", 6, "no cell"),
+    (
+        'route { category: "read" }',
+        'route { category: "read" operation: "fly" }',
+        7,
+        "not one of",
+    ),
+    (
+        'route { category: "read" }',
+        'route { category: "read" volume: "suva" }',
+        7,
+        "fit every command",
+    ),
+    (
+        "reserve_rate: 3",
+        "reserve_rate: 3 limit_rate: 2 limit_store: 99",
+        4,
+        "under the reserve",
+    ),
     ("reserve_rate: 3", "limit_rate: 20 limit_store: 2", 4, "not one largest"),
     ("patience_ms: 1500", 'patience_ms: 1500 repeats: "often"', 5, "not one of"),
     ("patience_ms: 1500", "patience_ms: 1500 in_order: true", 5, "key_rest_ms"),
-    ("127.0.0.1:2379", "127.0.0.1", 3, "host:port"), ("usual_rate: 10", "usual_rate: nan", 4, "not from"),
-    ("gateways: 3", "gatevays: 3", 2, "gatevays"), ("gateways: 3", 'gateways: "x"', 2, ""),
-    ("gateways: 3\n", "gateways: 3\ndoor { most_packet: 34000 }\nrules { unit_bytes: 8192 }\n", 3, "cannot hold a largest"),
+    ("127.0.0.1:2379", "127.0.0.1", 3, "host:port"),
+    ("usual_rate: 10", "usual_rate: nan", 4, "not from"),
+    ("gateways: 3", "gatevays: 3", 2, "gatevays"),
+    ("gateways: 3", 'gateways: "x"', 2, ""),
+    (
+        "gateways: 3\n",
+        "gateways: 3\ndoor { most_packet: 34000 }\nrules { unit_bytes: 8192 }\n",
+        3,
+        "cannot hold a largest",
+    ),
     ("gateways: 3\n", "gateways: 3\ndoor { most_buffered: 65536 }\n", 3, "unread"),
     ("gateways: 3\n", "gateways: 3\nrules {\n  further_ratio: 0.1\n}\n", 3, "budget"),
     ("gateways: 3\n", "gateways: 3\nlinks {\n  dial_ms: 5000\n}\n", 4, "outlasts"),
-    ('name: "edge-1"\n', "", 0, "missing name")]
+    ('name: "edge-1"\n', "", 0, "missing name"),
+]
 
 
 class Files(unittest.TestCase):
     def test_a_good_file_is_taken_unchanged(self):
         file = parse(GOOD, "f", GatewayFile, check_gateway)
-        self.assertEqual((file.name, list(file.volume[0].cell), file.door.most_outstanding), ("edge-1", [0, 1], 64))
+        self.assertEqual(
+            (file.name, list(file.volume[0].cell), file.door.most_outstanding),
+            ("edge-1", [0, 1], 64),
+        )
 
     def test_each_bad_file_is_refused_with_its_line_and_reason(self):
         for old, new, line, reason in BAD:
             with self.subTest(new), self.assertRaises(RefusedFile) as caught:
                 parse(GOOD.replace(old, new), "f", GatewayFile, check_gateway)
             fault = caught.exception.faults[0]
-            self.assertEqual((fault.line, reason in fault.reason, "\n" in str(fault)), (line, True, False), str(fault))
+            self.assertEqual(
+                (fault.line, reason in fault.reason, "\n" in str(fault)),
+                (line, True, False),
+                str(fault),
+            )
 
     def test_roots_within_each_other_are_refused(self):
         text = GOOD + 'volume { name: "b" root: "/suva/b" plan: "basic" cell: 0 }\n'
         with self.assertRaises(RefusedFile) as caught:
             parse(text, "f", GatewayFile, check_gateway)
-        self.assertEqual((caught.exception.faults[0].line, "within" in str(caught.exception)), (8, True))
+        self.assertEqual(
+            (caught.exception.faults[0].line, "within" in str(caught.exception)),
+            (8, True),
+        )
 
     def test_a_file_of_nonsense_gives_one_line(self):
-        for text in ("{" * 5000, "\0", "name: \"", "a { " * 200):
+        for text in ("{" * 5000, "\0", 'name: "', "a { " * 200):
             with self.assertRaises(RefusedFile) as caught:
                 parse(text, "f", GatewayFile, check_gateway)
             self.assertNotIn("\n", str(caught.exception))
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,35 +1,54 @@
 """The clock of discovery, played against a stand-in of it on a clock of the test's own: a list that is missed is in the module
 within the platform's six seconds, counted from when a watch fell silent or from when discovery could be reached again, whatever
 became of the calls before that; after SIGHUP within four; where lists are pushed within the drain grace."""
+
 import unittest
 from itertools import product
 
 from milletsill.interface import News
 from milletsill.platform.gateway import Gateway
 from tests import platform_rig as shared
-from tests.discovery_rig import FAILING, GRACE, MANY, MOVED, QUICK, TOLD, WAYS, Called, Fleet, Played, Service, chunk
+from tests.discovery_rig import (
+    FAILING,
+    GRACE,
+    MANY,
+    MOVED,
+    QUICK,
+    TOLD,
+    WAYS,
+    Called,
+    Fleet,
+    Played,
+    Service,
+    chunk,
+)
 from tests.helpers import line, scheduler
 
 
 class Silence(Played):
-
     def test_what_a_silent_watch_misses_is_in_before_it_counts_as_told(self):
         for way, draw, phase in product(WAYS, (0, 1), range(0, 20, 3)):
             service = self.start(draw)
             self.play(service, 8 + phase * 0.1)
             service.ways, service.calls = [way], []
             service.change()
-            self.assertLess(self.play(service, 20, self.drains), TOLD - 0.2, (way, draw, phase))
+            self.assertLess(
+                self.play(service, 20, self.drains), TOLD - 0.2, (way, draw, phase)
+            )
             self.assertLessEqual(len(service.calls), 2, (way, draw, phase))
 
-    def test_a_beat_that_is_late_costs_a_call_and_not_the_list_and_a_pause_of_our_own_costs_nothing(self):
+    def test_a_beat_that_is_late_costs_a_call_and_not_the_list_and_a_pause_of_our_own_costs_nothing(
+        self,
+    ):
         service = self.start(1)
         self.play(service, 6)
-        (beat, protocol, wire), = service.watches
+        ((beat, protocol, wire),) = service.watches
         beat[0] += 1.5
         service.ways, service.calls = ["503"], []
         self.play(service, 8)
-        self.assertEqual((len(service.calls), wire.aborted, len(service.watches)), (1, False, 1))
+        self.assertEqual(
+            (len(service.calls), wire.aborted, len(service.watches)), (1, False, 1)
+        )
         self.reactor.rightNow += 4  # the process stood still; what had come meanwhile is read after the timers
         self.gateway.follower.look()
         protocol.dataReceived(chunk(b"\n"))
@@ -43,47 +62,94 @@
             service.ways = [way]
             service.change()
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
-            self.assertLess(self.play(service, 20, self.drains), MOVED - 0.2, (way, draw))
+            self.assertLess(
+                self.play(service, 20, self.drains), MOVED - 0.2, (way, draw)
+            )
 
     def test_a_new_process_asks_at_once_whether_lists_are_pushed_or_asked_for(self):
-        for mode, (way, within) in product(("pushed", "on_request"), {"good": 0.2, "refused": 1.5, "503": 1.5, "not up": 2.5}.items()):
+        for mode, (way, within) in product(
+            ("pushed", "on_request"),
+            {"good": 0.2, "refused": 1.5, "503": 1.5, "not up": 2.5}.items(),
+        ):
             service = Service(self.reactor, [way])
             service.change()
-            self.gateway = Gateway(self.deployment(settings=shared.SETTINGS | {"membership_mode": mode}), self.reactor, self.now, 0,
-                                   self.gateway.log)
+            self.gateway = Gateway(
+                self.deployment(settings=shared.SETTINGS | {"membership_mode": mode}),
+                self.reactor,
+                self.now,
+                0,
+                self.gateway.log,
+            )
             self.gateway.start()
             self.assertLess(self.play(service, 20, self.drains), within, (mode, way))
 
     def test_many_whose_watches_fall_silent_at_once(self):
         service = self.start(takes=0.008)
-        fleet = [Gateway(self.deployment(seed=f"{seed:016x}"), self.reactor, self.now, 0, self.gateway.log) for seed in range(MANY)]
+        fleet = [
+            Gateway(
+                self.deployment(seed=f"{seed:016x}"),
+                self.reactor,
+                self.now,
+                0,
+                self.gateway.log,
+            )
+            for seed in range(MANY)
+        ]
         for gateway in fleet:
             gateway.start()
         self.play(service, 8)
         service.ways, service.calls = ["503", "good"] * (MANY // 4), []
         service.change()
-        self.assertLess(self.play(service, 20, lambda: all(map(self.drains, fleet))), TOLD)
+        self.assertLess(
+            self.play(service, 20, lambda: all(map(self.drains, fleet))), TOLD
+        )
         self.assertLess(len(service.calls), 1.4 * MANY)
 
 
 class Outage(Called):
-
-    def test_whatever_failed_before_the_list_is_in_six_seconds_after_discovery_can_be_reached(self):
-        for play, way, draw, length in product((self.started, self.outage), FAILING, (0, 1), range(0, 130, 7)):
+    def test_whatever_failed_before_the_list_is_in_six_seconds_after_discovery_can_be_reached(
+        self,
+    ):
+        for play, way, draw, length in product(
+            (self.started, self.outage), FAILING, (0, 1), range(0, 130, 7)
+        ):
             waited, calls = play(way, draw, length / 10)
             self.assertLess(waited, TOLD - 0.2, (play.__name__, way, draw, length))
-            self.assertLessEqual(calls, 3 + length / 7.5, (play.__name__, way, draw, length))  # later ones 0.75 s apart at least
+            self.assertLessEqual(
+                calls, 3 + length / 7.5, (play.__name__, way, draw, length)
+            )  # later ones 0.75 s apart at least
 
-    def test_a_call_that_is_taken_and_never_answered_right_after_the_outage_leaves_time_for_another(self):
-        for play, way, ways, draw, length in product((self.started, self.outage), QUICK, (("no word",), ("head",), ("drip",)), (0, 1),
-                                                     range(0, 130, 11)):
-            self.assertLess(play(way, draw, length / 10, ways=ways)[0], TOLD - 0.1, (play.__name__, way, ways, draw, length))
+    def test_a_call_that_is_taken_and_never_answered_right_after_the_outage_leaves_time_for_another(
+        self,
+    ):
+        for play, way, ways, draw, length in product(
+            (self.started, self.outage),
+            QUICK,
+            (("no word",), ("head",), ("drip",)),
+            (0, 1),
+            range(0, 130, 11),
+        ):
+            self.assertLess(
+                play(way, draw, length / 10, ways=ways)[0],
+                TOLD - 0.1,
+                (play.__name__, way, ways, draw, length),
+            )
 
-    def test_a_new_address_that_fails_at_first_has_told_four_seconds_after_it_can_be_reached(self):
-        for way, draw, length, beats in product(FAILING, (0, 1), range(0, 130, 7), (True, False)):
-            self.assertLess(self.sighup(way, draw, length / 10, beats)[0], MOVED - 0.15, (way, draw, length, beats))
+    def test_a_new_address_that_fails_at_first_has_told_four_seconds_after_it_can_be_reached(
+        self,
+    ):
+        for way, draw, length, beats in product(
+            FAILING, (0, 1), range(0, 130, 7), (True, False)
+        ):
+            self.assertLess(
+                self.sighup(way, draw, length / 10, beats)[0],
+                MOVED - 0.15,
+                (way, draw, length, beats),
+            )
 
-    def test_a_call_at_the_new_address_that_is_never_answered_leaves_time_for_another_within_the_four(self):
+    def test_a_call_at_the_new_address_that_is_never_answered_leaves_time_for_another_within_the_four(
+        self,
+    ):
         for way, draw, beats in product(WAYS, (0, 1), (True, False)):
             service = self.begin(draw)
             self.gateway.start()
@@ -91,13 +157,21 @@
             gone = service.change()
             service.ways, service.watches = [way], gone if beats else []
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
-            self.assertLess(self.play(service, 20, self.drains), MOVED - 0.2, (way, draw, beats))
+            self.assertLess(
+                self.play(service, 20, self.drains), MOVED - 0.2, (way, draw, beats)
+            )
 
-    def test_where_lists_are_pushed_the_list_is_in_within_the_grace_after_the_return(self):
-        for play, way, draw, length in product((self.started, self.outage), QUICK, (0, 1), range(3, 130, 7)):
+    def test_where_lists_are_pushed_the_list_is_in_within_the_grace_after_the_return(
+        self,
+    ):
+        for play, way, draw, length in product(
+            (self.started, self.outage), QUICK, (0, 1), range(3, 130, 7)
+        ):
             waited, calls = play(way, draw, length / 10, "pushed")
             self.assertLess(waited, GRACE - 0.2, (play.__name__, way, draw, length))
-            self.assertLessEqual(calls, 3 + length / 1.25, (play.__name__, way, draw, length))
+            self.assertLessEqual(
+                calls, 3 + length / 1.25, (play.__name__, way, draw, length)
+            )
 
     def test_a_list_may_come_indented(self):
         for mode, indent in product(("pushed", "on_request"), (0, 1, 2, "\t")):
@@ -118,7 +192,9 @@
             self.play(service, 10)  # the beat ends its line
             self.assertEqual((len(service.calls), len(service.open())), (1, 1))
 
-    def test_a_first_call_that_is_turned_away_is_followed_by_a_pause_drawn_by_chance(self):
+    def test_a_first_call_that_is_turned_away_is_followed_by_a_pause_drawn_by_chance(
+        self,
+    ):
         for mode in ("pushed", "on_request"):
             pauses = []
             for draw in (0, 1):
@@ -132,22 +208,40 @@
 
 
 class FullFleet(Fleet):
-
     def test_after_an_outage_all_have_the_list_as_soon_as_the_service_can_give_it(self):
-        for pushed, each_second, most, takes, patient in ((False, 1.2, 3, 0.01, False), (False, 1.2, 3, 0.04, False),
-                                                          (True, 3.6, 8, 0.01, False), (True, 3.6, 8, 0.04, False),
-                                                          (False, 1.2, 3, 0.02, True), (True, 3.6, 8, 0.02, True)):
+        for pushed, each_second, most, takes, patient in (
+            (False, 1.2, 3, 0.01, False),
+            (False, 1.2, 3, 0.04, False),
+            (True, 3.6, 8, 0.01, False),
+            (True, 3.6, 8, 0.04, False),
+            (False, 1.2, 3, 0.02, True),
+            (True, 3.6, 8, 0.02, True),
+        ):
             service, members = self.fleet(pushed, patient=patient)
-            service.bad, service.back, service.calls = "refused", self.reactor.seconds() + self.SPAN, []
+            service.bad, service.back, service.calls = (
+                "refused",
+                self.reactor.seconds() + self.SPAN,
+                [],
+            )
             for _, protocol, _ in service.change():
                 protocol.connectionLost()
             self.looked(service, members, self.SPAN, lambda: False)
-            self.assertLess(len(service.calls) / self.FLEET / self.SPAN, each_second, (pushed, takes))
+            self.assertLess(
+                len(service.calls) / self.FLEET / self.SPAN,
+                each_second,
+                (pushed, takes),
+            )
             waited, calls = self.back(service, members, takes)
-            self.assertLess(waited, takes * self.FLEET + (2.0 if patient else 1.0), (pushed, takes, patient))
+            self.assertLess(
+                waited,
+                takes * self.FLEET + (2.0 if patient else 1.0),
+                (pushed, takes, patient),
+            )
             self.assertLess(calls, most, (pushed, takes, patient))
 
-    def test_where_all_watches_fall_silent_at_once_all_have_the_list_as_soon_as_the_service_can_give_it(self):
+    def test_where_all_watches_fall_silent_at_once_all_have_the_list_as_soon_as_the_service_can_give_it(
+        self,
+    ):
         for takes, most in ((0.01, 1.1), (0.02, 2), (0.04, 4)):
             service, members = self.fleet()
             service.patient = False
@@ -160,30 +254,64 @@
 class Pause(unittest.TestCase):
     """The module's pause after a failed watch, and the time that it is a share of."""
 
-    def test_a_share_of_the_time_in_which_a_change_counts_as_told_that_grows_to_a_quarter(self):
+    def test_a_share_of_the_time_in_which_a_change_counts_as_told_that_grows_to_a_quarter(
+        self,
+    ):
         for draw, part in ((0, 0.5), (1, 1.0)):
             of, port = scheduler(ask_within=60_000)
             of.uniform = lambda least, most: (least, most)[draw]
-            for asks, share in ((0, 0), (1, 1 / 8), (2, 1 / 4), (3, 1 / 4), (9, 1 / 4), (400, 1 / 4)):
+            for asks, share in (
+                (0, 0),
+                (1, 1 / 8),
+                (2, 1 / 4),
+                (3, 1 / 4),
+                (9, 1 / 4),
+                (400, 1 / 4),
+            ):
                 of.asks = asks
                 of.listed(1000, News.FAILED, [])
-                self.assertEqual(port.of("wake")[-1], (1000 + int(60_000 * share * part), "ask"))
+                self.assertEqual(
+                    port.of("wake")[-1], (1000 + int(60_000 * share * part), "ask")
+                )
 
     def test_the_list_as_it_was_known_is_no_proof_that_discovery_can_be_reached(self):
-        for asked, news, left in ((False, News.CACHED, 1), (True, News.CACHED, 1), (True, News.WHOLE, 0), (True, News.CHANGES, 0)):
+        for asked, news, left in (
+            (False, News.CACHED, 1),
+            (True, News.CACHED, 1),
+            (True, News.WHOLE, 0),
+            (True, News.CHANGES, 0),
+        ):
             of, _ = scheduler(list_on_request=asked)
             of.listed(0, news, [line(7)])
             self.assertEqual(of.asks, left, (asked, news))
 
-    def test_the_time_is_the_least_that_settings_and_page_say_and_the_grace_where_lists_are_pushed(self):
-        for mode, stated, grace, wanted in (("on_request", 10, 1, 60_000), ("on_request", 4, 1, 39_999), ("on_request", 0, 1, 60_000),
-                                            ("pushed", 0, 1, 14_998), ("pushed", 10, 1, 14_998), ("pushed", 10, 0, 60_000), ("pushed", 0, 9, 60_000),
-                                            (None, 0, 0, 60_000)):
-            rules = shared.SETTINGS["rules"] | {"ask_within_ns": stated * 10 ** 9, "stop_sending_within_ns": grace * 10 ** 9}
+    def test_the_time_is_the_least_that_settings_and_page_say_and_the_grace_where_lists_are_pushed(
+        self,
+    ):
+        for mode, stated, grace, wanted in (
+            ("on_request", 10, 1, 60_000),
+            ("on_request", 4, 1, 39_999),
+            ("on_request", 0, 1, 60_000),
+            ("pushed", 0, 1, 14_998),
+            ("pushed", 10, 1, 14_998),
+            ("pushed", 10, 0, 60_000),
+            ("pushed", 0, 9, 60_000),
+            (None, 0, 0, 60_000),
+        ):
+            rules = shared.SETTINGS["rules"] | {
+                "ask_within_ns": stated * 10**9,
+                "stop_sending_within_ns": grace * 10**9,
+            }
             settings = shared.SETTINGS | {"membership_mode": mode, "rules": rules}
-            made = shared.deployment_of(shared.GIVEN | {"settings": settings}, {}, 0, list[str]().append)
+            made = shared.deployment_of(
+                shared.GIVEN | {"settings": settings}, {}, 0, list[str]().append
+            )
             self.assertEqual(made.facts["ask_within"], wanted, (mode, stated, grace))
-            self.assertEqual(made.grace, max(grace * 10_000 - 1, 0) if mode == "pushed" else 0, (mode, stated, grace))
+            self.assertEqual(
+                made.grace,
+                max(grace * 10_000 - 1, 0) if mode == "pushed" else 0,
+                (mode, stated, grace),
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,5 @@
 """Our own site variants for the bench: whole, apart from each other and from the examples, and unknown to the gateway."""
+
 import ast
 import json
 import re
@@ -25,7 +26,11 @@
 def names(name):
     """Categories, tenants (each is a plan's name as well) and zones."""
     told = site(name)
-    return categories(name) | {each["name"] for each in told["tenant"]} | set(told["net"]["zones"])
+    return (
+        categories(name)
+        | {each["name"] for each in told["tenant"]}
+        | set(told["net"]["zones"])
+    )
 
 
 def words(texts):
@@ -47,9 +52,18 @@
 def held():
     """Words that the gateway and its deploy file hold as literals, and where."""
     found = {}
-    texts = [(path, text) for path in sorted((ROOT / "milletsill").rglob("*.py")) for text in literals(path)]
-    other = [*sorted((ROOT / "milletsill").rglob("*.proto")), ROOT / "deploy" / "balancer.toml"]
-    texts += [(path, text) for path in other for text in QUOTED.findall(path.read_text())]
+    texts = [
+        (path, text)
+        for path in sorted((ROOT / "milletsill").rglob("*.py"))
+        for text in literals(path)
+    ]
+    other = [
+        *sorted((ROOT / "milletsill").rglob("*.proto")),
+        ROOT / "deploy" / "balancer.toml",
+    ]
+    texts += [
+        (path, text) for path in other for text in QUOTED.findall(path.read_text())
+    ]
     for path, text in texts:
         for word in words([text]):
             found.setdefault(word, path.relative_to(ROOT).as_posix())
@@ -58,15 +72,25 @@
 
 class Sites(unittest.TestCase):
     def test_each_folder_holds_a_site_that_parses(self):
-        self.assertEqual(sorted(each.name for each in SITES.iterdir()), sorted(VARIANTS))
+        self.assertEqual(
+            sorted(each.name for each in SITES.iterdir()), sorted(VARIANTS)
+        )
         for name in VARIANTS:
             with self.subTest(name):
                 told = site(name)
-                self.assertEqual((told["name"], told["family"], told["wire"]), (name, "stores", "wire.json"))
+                self.assertEqual(
+                    (told["name"], told["family"], told["wire"]),
+                    (name, "stores", "wire.json"),
+                )
                 self.assertEqual(len(told["tenant"]), len(told["fam"]["plan"]))
-                self.assertTrue(all(each["aim_ms"] < each["deadline_ms"] for each in told["class"]))
+                self.assertTrue(
+                    all(each["aim_ms"] < each["deadline_ms"] for each in told["class"])
+                )
                 for file in ("real.json", "wire.json"):
-                    self.assertEqual(json.loads((SITES / name / file).read_text())["family"], "stores")
+                    self.assertEqual(
+                        json.loads((SITES / name / file).read_text())["family"],
+                        "stores",
+                    )
                 lines = (SITES / name / "unlock.txt").read_text().splitlines()
                 self.assertTrue(lines and all(UNLOCK.match(line) for line in lines))
 
@@ -74,7 +98,9 @@
         for name in VARIANTS:
             with self.subTest(name):
                 told = site(name)["class"]
-                self.assertEqual({each["effect"] for each in told}, {"safe", "keyed", "unsafe"})
+                self.assertEqual(
+                    {each["effect"] for each in told}, {"safe", "keyed", "unsafe"}
+                )
                 for each in told:
                     if each["effect"] == "keyed":
                         self.assertLess(each["window_ms"], each["deadline_ms"])
@@ -92,7 +118,10 @@
         self.assertIn("active", found)  # discovery's word is one: literals were read
         for name in VARIANTS:
             with self.subTest(name):
-                self.assertEqual({word: found[word] for word in words(names(name)) if word in found}, {})
+                self.assertEqual(
+                    {word: found[word] for word in words(names(name)) if word in found},
+                    {},
+                )
 
 
 if __name__ == "__main__":
--- a/tests/test_steady.py
+++ b/tests/test_steady.py
@@ -1,4 +1,5 @@
 """A gateway's timers and a wall clock that is set back."""
+
 import time
 import unittest
 
--- a/tests/test_torn_fleet.py
+++ b/tests/test_torn_fleet.py
@@ -2,6 +2,7 @@
 
 One short day; the laboratory says by itself where the machine was too slow for it. A planted fault ends the other way.
 """
+
 import re
 import tempfile
 import unittest
@@ -66,10 +67,20 @@
 
     def test_a_fault_planted_in_each_gate_is_found(self):
         """By boxes' notes of numbers that took effect before others which their contract orders before them."""
-        result = played(TORN.replace("seconds: 24 tail_s: 20", "seconds: 8 tail_s: 3"), "all")
-        crossed = {name: [each.text for each in held if re.search("took effect (after|before) number", each.text)]
-                   for name, held in result["contracts"].items()}
-        self.assertEqual([name for name, found in crossed.items() if not found], [], report(result))
+        result = played(
+            TORN.replace("seconds: 24 tail_s: 20", "seconds: 8 tail_s: 3"), "all"
+        )
+        crossed = {
+            name: [
+                each.text
+                for each in held
+                if re.search("took effect (after|before) number", each.text)
+            ]
+            for name, held in result["contracts"].items()
+        }
+        self.assertEqual(
+            [name for name, found in crossed.items() if not found], [], report(result)
+        )
         self.assertEqual(len(crossed), 4)
         self.assertTrue(broken(result))
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,5 @@
 """Traces: round trips, every cut of a small file, flipped bits, hostile files, a failing disk, shedding."""
+
 import os
 import tempfile
 import unittest
@@ -10,8 +11,22 @@
 
 from milletsill.cli.main import main
 from milletsill.trace import columns, format, tools
-from milletsill.trace.decide import (FEW_ROWS, LONGER, MOST_AGE, MOST_ROWS, Tracing, Verdict, Word, block_ends, file_ends, judge, retry_after,
-                                     room, step, to_delete)
+from milletsill.trace.decide import (
+    FEW_ROWS,
+    LONGER,
+    MOST_AGE,
+    MOST_ROWS,
+    Tracing,
+    Verdict,
+    Word,
+    block_ends,
+    file_ends,
+    judge,
+    retry_after,
+    room,
+    step,
+    to_delete,
+)
 from milletsill.trace.format import BadTrace
 from milletsill.trace.reader import Trace, repair, verify
 from milletsill.trace.records import BLOCK_HEAD, BY_NAME, FLOAT, KINDS, TEXT
@@ -24,9 +39,29 @@
     made = []
     for each in range(count):
         at = start + each * 7
-        made += [(at, BY_NAME["arrival"], (each, (1 << 63) + each, 1, f"{store}{each % 3}", 2, 0, 0, 0, 1, -1, 2.5, at + 15_000,
-                                           f"/v/{each}\udcff")),
-                 (at, BY_NAME["settled"], ()), (at + 3, BY_NAME["satisfied"], (each, 3))]
+        made += [
+            (
+                at,
+                BY_NAME["arrival"],
+                (
+                    each,
+                    (1 << 63) + each,
+                    1,
+                    f"{store}{each % 3}",
+                    2,
+                    0,
+                    0,
+                    0,
+                    1,
+                    -1,
+                    2.5,
+                    at + 15_000,
+                    f"/v/{each}\udcff",
+                ),
+            ),
+            (at, BY_NAME["settled"], ()),
+            (at + 3, BY_NAME["satisfied"], (each, 3)),
+        ]
     return made
 
 
@@ -76,7 +111,10 @@
 
     def test_floats_come_back_bit_for_bit(self):
         values = [0.1, -0.0, 1e308, 5e-324]
-        self.assertEqual([each.hex() for each in columns.get(columns.put(values, FLOAT), 0)[0]], [v.hex() for v in values])
+        self.assertEqual(
+            [each.hex() for each in columns.get(columns.put(values, FLOAT), 0)[0]],
+            [v.hex() for v in values],
+        )
 
     def test_neighbours_cost_a_byte(self):
         self.assertLess(len(columns.put(list(range(10**9, 10**9 + 1000)), 1)), 1100)
@@ -94,17 +132,28 @@
     def test_a_whole_file_comes_back_and_tells_who_wrote_it(self):
         one, two = rows(), rows(40, 10_000)
         found, known = self.read(whole(one, two)[0])
-        self.assertEqual((found, known.about["seed"], known.verdict, known.breaks), (one + two, 5, Verdict.WHOLE, []))
+        self.assertEqual(
+            (found, known.about["seed"], known.verdict, known.breaks),
+            (one + two, 5, Verdict.WHOLE, []),
+        )
 
     def test_every_kind_of_record_comes_back(self):
-        held = [(each, kind, tuple({1: 5, 2: -7, 3: 0.5, 4: "x"}[coding] for _, coding in kind.fields))
-                for each, kind in enumerate(KINDS)]
+        held = [
+            (
+                each,
+                kind,
+                tuple(
+                    {1: 5, 2: -7, 3: 0.5, 4: "x"}[coding] for _, coding in kind.fields
+                ),
+            )
+            for each, kind in enumerate(KINDS)
+        ]
         self.assertEqual(self.read(whole(held)[0])[0], held)
 
     def test_a_file_cut_at_every_byte_reads_up_to_the_break(self):
         blocks = [rows(3, each * 1000) for each in range(3)]
         data, ends = whole(*blocks)
-        header = format.header_size(data[:format.HEAD.size])
+        header = format.header_size(data[: format.HEAD.size])
         for cut in range(len(data)):
             if cut < header:
                 with self.assertRaises(BadTrace):
@@ -112,8 +161,14 @@
                 continue
             found, known = self.read(data[:cut])
             there = sum(end <= cut for end in ends)
-            self.assertEqual(found, [row for each in blocks[:there] for row in each], cut)
-            self.assertEqual(known.verdict, Verdict.OPEN if cut in [header] + ends else Verdict.BROKEN, cut)
+            self.assertEqual(
+                found, [row for each in blocks[:there] for row in each], cut
+            )
+            self.assertEqual(
+                known.verdict,
+                Verdict.OPEN if cut in [header] + ends else Verdict.BROKEN,
+                cut,
+            )
 
     def test_a_flipped_bit_costs_its_block_and_no_other(self):
         blocks = [rows(5, each * 1000) for each in range(3)]
@@ -128,9 +183,15 @@
     def test_a_zeroed_page_in_the_middle_is_passed_over(self):
         blocks = [rows(5, each * 1000) for each in range(4)]
         data, ends = whole(*blocks)
-        bad = data[:ends[0] + 9] + bytes(ends[2] - ends[0] - 20) + data[ends[2] - 11:ends[3]]
+        bad = (
+            data[: ends[0] + 9]
+            + bytes(ends[2] - ends[0] - 20)
+            + data[ends[2] - 11 : ends[3]]
+        )
         found, known = self.read(bad)
-        self.assertEqual((found, known.verdict), (blocks[0] + blocks[3], Verdict.BROKEN))
+        self.assertEqual(
+            (found, known.verdict), (blocks[0] + blocks[3], Verdict.BROKEN)
+        )
 
     def test_a_time_range_reads_only_its_blocks(self):
         blocks = [rows(50, each * 1000) for each in range(20)]
@@ -141,19 +202,34 @@
         self.assertEqual(self.read(data, since=7900, until=7990)[0], [])
 
     def test_a_store_that_appears_once_is_found_by_its_blocks_filter(self):
-        blocks = [rows(50, each * 1000, "common") for each in range(19)] + [rows(1, 99_000, "rare")]
+        blocks = [rows(50, each * 1000, "common") for each in range(19)] + [
+            rows(1, 99_000, "rare")
+        ]
         found, known = self.read(whole(*blocks)[0], store="rare0")
         self.assertIn("rare0", [row[2][3] for row in found if row[1].name == "arrival"])
         self.assertLess(len(found), 500)
 
     def test_a_newer_minor_version_with_unknown_kinds_and_fields_is_read(self):
         block = rows(2)
-        raw = b"".join((columns.put([1, 99, 3], 2), columns.put([5, 6, 7], 1),
-                        format.FIELD.pack(99, 1) + columns.put([1], 2), format.FIELD.pack(3, 1) + columns.put([8], 2),
-                        format.FIELD.pack(3, 9) + columns.put(["new"], TEXT)))
-        raw += b"".join(format.FIELD.pack(1, place) + columns.put([value], coding) for place, ((_, coding), value) in
-                        enumerate(zip(BY_NAME["arrival"].fields, block[0][2]), 1))
-        self.assertEqual([(at, kind.name) for at, kind, _ in format.rows_of(raw, 3)], [(5, "arrival"), (7, "abandoned")])
+        raw = b"".join(
+            (
+                columns.put([1, 99, 3], 2),
+                columns.put([5, 6, 7], 1),
+                format.FIELD.pack(99, 1) + columns.put([1], 2),
+                format.FIELD.pack(3, 1) + columns.put([8], 2),
+                format.FIELD.pack(3, 9) + columns.put(["new"], TEXT),
+            )
+        )
+        raw += b"".join(
+            format.FIELD.pack(1, place) + columns.put([value], coding)
+            for place, ((_, coding), value) in enumerate(
+                zip(BY_NAME["arrival"].fields, block[0][2]), 1
+            )
+        )
+        self.assertEqual(
+            [(at, kind.name) for at, kind, _ in format.rows_of(raw, 3)],
+            [(5, "arrival"), (7, "abandoned")],
+        )
 
     def test_another_major_version_is_refused_in_one_line(self):
         data = bytearray(whole(rows(1))[0])
@@ -164,19 +240,36 @@
 
     def test_a_bomb_and_lengths_that_lie_take_no_memory(self):
         body = zstandard.ZstdCompressor().compress(bytes(1 << 28))
-        head = BLOCK_HEAD.pack(format.BLOCK, len(body), 1000, 5, 0, 9, __import__("zlib").crc32(body), bytes(32), 0)
-        block = head[:-4] + __import__("zlib").crc32(head[:-4]).to_bytes(4, "little") + body
+        head = BLOCK_HEAD.pack(
+            format.BLOCK,
+            len(body),
+            1000,
+            5,
+            0,
+            9,
+            __import__("zlib").crc32(body),
+            bytes(32),
+            0,
+        )
+        block = (
+            head[:-4] + __import__("zlib").crc32(head[:-4]).to_bytes(4, "little") + body
+        )
         found, known = self.read(format.put_header({}) + block)
-        self.assertEqual((found, "more than 1000 bytes" in known.breaks[0].reason), ([], True))
+        self.assertEqual(
+            (found, "more than 1000 bytes" in known.breaks[0].reason), ([], True)
+        )
 
     def test_repair_keeps_whole_blocks_byte_for_byte(self):
         blocks = [rows(5, each * 1000) for each in range(3)]
         data, ends = whole(*blocks)
-        path, out = self.file(data[:ends[1] + 30]), os.path.join(self.folder, "mended")
+        path, out = self.file(data[: ends[1] + 30]), os.path.join(self.folder, "mended")
         found = repair(path, out)
         with open(out, "rb") as source:
-            self.assertTrue(source.read().startswith(data[:ends[1]]))
-        self.assertEqual((len(found.breaks), verify(out).verdict, len(verify(out).heads)), (1, Verdict.WHOLE, 2))
+            self.assertTrue(source.read().startswith(data[: ends[1]]))
+        self.assertEqual(
+            (len(found.breaks), verify(out).verdict, len(verify(out).heads)),
+            (1, Verdict.WHOLE, 2),
+        )
         with self.assertRaises(FileExistsError):
             repair(path, out)
 
@@ -186,7 +279,7 @@
         data, _ = whole(rows(4), rows(4, 1000))
         at %= len(data)
         try:
-            self.read(data[:at] + noise + data[at + len(noise):])
+            self.read(data[:at] + noise + data[at + len(noise) :])
         except BadTrace as error:
             self.assertNotIn("\n", str(error))
 
@@ -203,86 +296,174 @@
         path = self.file(whole(rows(20), rows(20, 1000))[0])
         tools.cut(path, self.out("c"), store="s1")
         found = self.rows_of(self.out("c"))
-        self.assertEqual({row[2][3] for row in found if row[1].name == "arrival"}, {"s1"})
-        self.assertEqual({row[2][0] for row in found if row[1].name == "satisfied"},
-                         {row[2][0] for row in found if row[1].name == "arrival"})
+        self.assertEqual(
+            {row[2][3] for row in found if row[1].name == "arrival"}, {"s1"}
+        )
+        self.assertEqual(
+            {row[2][0] for row in found if row[1].name == "satisfied"},
+            {row[2][0] for row in found if row[1].name == "arrival"},
+        )
         self.assertEqual(tools.cut(path, self.out("none"), store="nobody")[0], 0)
 
     def test_a_merge_sets_clocks_that_disagree_and_keeps_equal_times_in_order(self):
         paths = []
-        for name, opened, wall in (("a", 0, 10_000), ("b", 50_000, 15_000), ("c", 0, 10_000)):
+        for name, opened, wall in (
+            ("a", 0, 10_000),
+            ("b", 50_000, 15_000),
+            ("c", 0, 10_000),
+        ):
             data = format.put_header({"name": name, "opened": opened, "wall_ms": wall})
             start = opened  # all three at the same wall time
-            block = format.put_block([(start + each, BY_NAME["satisfied"], (each, ord(name))) for each in range(3)])
+            block = format.put_block(
+                [
+                    (start + each, BY_NAME["satisfied"], (each, ord(name)))
+                    for each in range(3)
+                ]
+            )
             if name == "b":
-                block = format.put_block([(start + each, BY_NAME["satisfied"], (each, 98)) for each in range(3)])
+                block = format.put_block(
+                    [
+                        (start + each, BY_NAME["satisfied"], (each, 98))
+                        for each in range(3)
+                    ]
+                )
             paths.append(self.file(data + block, name))
         tools.merge(paths, self.out("m"))
         found = self.rows_of(self.out("m"))
-        self.assertEqual([row[2][1] for row in found if row[1].name == "satisfied"],
-                         [97, 99, 97, 99, 97, 99, 98, 98, 98] if found[0][0] == found[1][0] and found[-1][0] > 2 else
-                         [97, 98, 99] * 3)
+        self.assertEqual(
+            [row[2][1] for row in found if row[1].name == "satisfied"],
+            [97, 99, 97, 99, 97, 99, 98, 98, 98]
+            if found[0][0] == found[1][0] and found[-1][0] > 2
+            else [97, 98, 99] * 3,
+        )
         self.assertEqual(len({row[2][0] for row in found}), 9)
 
     def test_anonymised_names_are_equal_under_one_key_and_differ_under_two(self):
         path = self.file(whole(rows(6))[0])
         for name, key in (("one", b"k" * 16), ("again", b"k" * 16), ("two", b"x" * 16)):
             tools.anonymise(path, self.out(name), key)
-        one, again, two = (self.rows_of(self.out(each)) for each in ("one", "again", "two"))
-        names = [{row[2][3] for row in each if row[1].name == "arrival"} for each in (one, two)]
-        self.assertEqual((one == again, names[0] & names[1], len(names[0])), (True, set(), 3))
+        one, again, two = (
+            self.rows_of(self.out(each)) for each in ("one", "again", "two")
+        )
+        names = [
+            {row[2][3] for row in each if row[1].name == "arrival"}
+            for each in (one, two)
+        ]
+        self.assertEqual(
+            (one == again, names[0] & names[1], len(names[0])), (True, set(), 3)
+        )
         with open(self.out("one"), "rb") as source:
             self.assertNotIn(b"s1", source.read())
 
     def test_a_summary_counts_what_is_there_and_what_is_not(self):
         data, ends = whole(rows(20), rows(20, 1000))
-        found = tools.summary(self.file(data[:ends[0] + 40]))
-        self.assertEqual((found["records"], found["finals"], found["state"], len(found["breaks"])),
-                         (60, {"satisfied": 20}, "broken", 1))
+        found = tools.summary(self.file(data[: ends[0] + 40]))
+        self.assertEqual(
+            (found["records"], found["finals"], found["state"], len(found["breaks"])),
+            (60, {"satisfied": 20}, "broken", 1),
+        )
 
     def test_the_command_line_gives_one_line_for_what_is_no_trace(self):
         path = self.file(b"nonsense")
-        for words in (("info", path), ("cat", path), ("verify", path), ("cut", path, self.out("o")),
-                      ("merge", self.out("o"), path), ("info", self.out("missing"))):
+        for words in (
+            ("info", path),
+            ("cat", path),
+            ("verify", path),
+            ("cut", path, self.out("o")),
+            ("merge", self.out("o"), path),
+            ("info", self.out("missing")),
+        ):
             made = CliRunner().invoke(main, ["trace", *words])
-            self.assertEqual((made.exit_code, made.output.count("\n"), "Traceback" in made.output), (2, 1, False), words)
+            self.assertEqual(
+                (made.exit_code, made.output.count("\n"), "Traceback" in made.output),
+                (2, 1, False),
+                words,
+            )
 
 
 class Decided(unittest.TestCase):
     def test_a_disk_that_refuses_is_left_alone_and_tried_again(self):
-        self.assertEqual([step(*each) for each in ((Tracing.ON, Word.FAILED), (Tracing.AILING, Word.RETRY),
-                                                   (Tracing.AILING, Word.FAILED))],
-                         [(Tracing.AILING, "give_up"), (Tracing.ON, "open"), (Tracing.AILING, "")])
-        self.assertEqual([retry_after(each) for each in (0, 1, 99)], [10_000, 20_000, 3_000_000])
+        self.assertEqual(
+            [
+                step(*each)
+                for each in (
+                    (Tracing.ON, Word.FAILED),
+                    (Tracing.AILING, Word.RETRY),
+                    (Tracing.AILING, Word.FAILED),
+                )
+            ],
+            [(Tracing.AILING, "give_up"), (Tracing.ON, "open"), (Tracing.AILING, "")],
+        )
+        self.assertEqual(
+            [retry_after(each) for each in (0, 1, 99)], [10_000, 20_000, 3_000_000]
+        )
 
     def test_the_least_needed_is_shed_first_and_answers_last(self):
-        self.assertEqual([60 < room(each, 100) for each in ("wake", "woken", "arrival", "declined")],
-                         [False, True, True, True])
-        self.assertEqual([96 < room(each, 100) for each in ("wake", "woken", "arrival", "declined")],
-                         [False, False, False, True])
+        self.assertEqual(
+            [60 < room(each, 100) for each in ("wake", "woken", "arrival", "declined")],
+            [False, True, True, True],
+        )
+        self.assertEqual(
+            [96 < room(each, 100) for each in ("wake", "woken", "arrival", "declined")],
+            [False, False, False, True],
+        )
 
     def test_blocks_and_files_end_by_size_and_age(self):
-        self.assertEqual([block_ends(*each) for each in ((MOST_ROWS, 0, 0), (FEW_ROWS, 0, MOST_AGE), (0, 0, 9 * MOST_AGE),
-                                                        (1, 0, MOST_AGE), (1, 0, LONGER * MOST_AGE))],
-                         [True, True, False, False, True])
-        self.assertEqual([file_ends(*each) for each in ((10, 0, 1, 10, 99), (1, 0, 99, 10, 99), (1, 0, 1, 10, 99))],
-                         [True, True, False])
+        self.assertEqual(
+            [
+                block_ends(*each)
+                for each in (
+                    (MOST_ROWS, 0, 0),
+                    (FEW_ROWS, 0, MOST_AGE),
+                    (0, 0, 9 * MOST_AGE),
+                    (1, 0, MOST_AGE),
+                    (1, 0, LONGER * MOST_AGE),
+                )
+            ],
+            [True, True, False, False, True],
+        )
+        self.assertEqual(
+            [
+                file_ends(*each)
+                for each in ((10, 0, 1, 10, 99), (1, 0, 99, 10, 99), (1, 0, 1, 10, 99))
+            ],
+            [True, True, False],
+        )
 
     def test_the_oldest_go_and_the_one_being_written_stays(self):
         self.assertEqual(to_delete([("a", 5), ("b", 5), ("c", 50)], 50), ["a", "b"])
 
     def test_what_a_file_is(self):
-        self.assertEqual([judge(*each) for each in ((5, 9, True, False), (9, 9, False, False), (5, 9, False, True))],
-                         [Verdict.WHOLE, Verdict.OPEN, Verdict.BROKEN])
+        self.assertEqual(
+            [
+                judge(*each)
+                for each in (
+                    (5, 9, True, False),
+                    (9, 9, False, False),
+                    (5, 9, False, True),
+                )
+            ],
+            [Verdict.WHOLE, Verdict.OPEN, Verdict.BROKEN],
+        )
 
 
 class Writing(Files):
     def writer(self, folder=None, **given_bounds):
         self.said, self.now = [], 0
-        return Writer(folder or self.folder, "g", {"seed": 1}, lambda: self.now, self.said.append, sync="never", **given_bounds)
+        return Writer(
+            folder or self.folder,
+            "g",
+            {"seed": 1},
+            lambda: self.now,
+            self.said.append,
+            sync="never",
+            **given_bounds,
+        )
 
     def files(self):
-        return sorted(each for each in os.listdir(self.folder) if each.endswith(".mtrace"))
+        return sorted(
+            each for each in os.listdir(self.folder) if each.endswith(".mtrace")
+        )
 
     def test_what_is_put_is_read_and_a_stop_ends_the_file(self):
         writer = self.writer()
@@ -290,19 +471,29 @@
         for each in range(100):
             writer.put("satisfied", each, each, 7)
         writer.stop()
-        name, = self.files()
+        (name,) = self.files()
         with Trace(os.path.join(self.folder, name)) as trace:
-            self.assertEqual((len(list(trace.rows())), trace.map.verdict), (100, Verdict.WHOLE))
+            self.assertEqual(
+                (len(list(trace.rows())), trace.map.verdict), (100, Verdict.WHOLE)
+            )
 
     def test_files_turn_over_by_size_and_the_oldest_go(self):
         writer = self.writer(most_bytes=2000, most_total=6000)
         writer.word(Word.START)
         for each in range(20):
             for number in range(200):
-                writer.put("satisfied", each * 600_000, number * 7919 % 1009, number * 31 % 503)
+                writer.put(
+                    "satisfied", each * 600_000, number * 7919 % 1009, number * 31 % 503
+                )
             self.now = each * 600_000 + LONGER * MOST_AGE
             writer.look()
-        self.assertLess(sum(os.path.getsize(os.path.join(self.folder, each)) for each in self.files()), 10_000)
+        self.assertLess(
+            sum(
+                os.path.getsize(os.path.join(self.folder, each))
+                for each in self.files()
+            ),
+            10_000,
+        )
         self.assertGreater(writer.count, len(self.files()))
 
     def test_a_full_disk_turns_tracing_off_with_one_line_and_on_again(self):
@@ -312,7 +503,9 @@
             writer.put("satisfied", 5, 1, 1)
             self.now += 10**7
             writer.look()
-        self.assertEqual((writer.tracing, len(self.said), writer.lost), (Tracing.AILING, 1, 3))
+        self.assertEqual(
+            (writer.tracing, len(self.said), writer.lost), (Tracing.AILING, 1, 3)
+        )
         writer.folder = self.folder
         self.now += 10**7
         writer.look()
--- a/tests/test_trace_edge.py
+++ b/tests/test_trace_edge.py
@@ -1,4 +1,5 @@
 """The trace of a gateway: all that the module was told and did stands in it, in order, and can be played again."""
+
 import glob
 import json
 import os
@@ -62,7 +63,16 @@
         self.did.append(("remark", (text,)))
 
 
-DID = {"dispatch", "declined", "aborted", "cancelled", "watch", "fetch", "wake", "remark"}
+DID = {
+    "dispatch",
+    "declined",
+    "aborted",
+    "cancelled",
+    "watch",
+    "fetch",
+    "wake",
+    "remark",
+}
 
 
 def play(facts, seed, opened, rows):
@@ -76,16 +86,66 @@
             news, left, entries = News(values[0]), values[1], []
         elif kind == "listing":
             node, ready, size, machine, zone, since, known, cell = values
-            entries.append(Listed(node, Readiness(ready), size, machine, zone, since if known else None, cell))
+            entries.append(
+                Listed(
+                    node,
+                    Readiness(ready),
+                    size,
+                    machine,
+                    zone,
+                    since if known else None,
+                    cell,
+                )
+            )
             left -= 1
         elif kind == "arrival":
-            id, extent, volume, _, gateways, category, plan, repeat, write, cell, units, ends, _ = values
-            module.taken(at, Arrival(id, extent, volume, gateways, category, plan, bool(repeat), bool(write),
-                                     None if cell < 0 else cell, units, ends))
+            (
+                id,
+                extent,
+                volume,
+                _,
+                gateways,
+                category,
+                plan,
+                repeat,
+                write,
+                cell,
+                units,
+                ends,
+                _,
+            ) = values
+            module.taken(
+                at,
+                Arrival(
+                    id,
+                    extent,
+                    volume,
+                    gateways,
+                    category,
+                    plan,
+                    bool(repeat),
+                    bool(write),
+                    None if cell < 0 else cell,
+                    units,
+                    ends,
+                ),
+            )
         elif kind == "outcome":
             id, number, node, outcome, over, latency, used, elsewhere, report = values
-            module.returned(at, Answer(id, number, node, Outcome(outcome), bool(over), latency, None if used < 0 else used,
-                                       elsewhere, json.loads(report) if report else {}))
+            module.returned(
+                at,
+                Answer(
+                    id,
+                    number,
+                    node,
+                    Outcome(outcome),
+                    bool(over),
+                    latency,
+                    None if used < 0 else used,
+                    elsewhere,
+                    json.loads(report) if report else {},
+                ),
+            )
         elif kind == "abandoned":
             module.abandoned(at, values[0])
         elif kind == "woken":
@@ -122,9 +182,19 @@
         recorder.path("/p")
         told.taken(10, Arrival(1, 2, 1, 1, 0, 0, False, True, None, 1.0, 99))
         told.woken(19, port.wakes[0])
-        self.assertEqual([(name, at) for name, at, _ in held.rows],
-                         [("arrival", 10), ("dispatch", 10), ("wake", 10), ("woken", 19), ("declined", 19)])
-        self.assertEqual(held.rows[0][2], (1, 2, 1, "shop", 1, 0, 0, False, True, -1, 1.0, 99, "/p"))
+        self.assertEqual(
+            [(name, at) for name, at, _ in held.rows],
+            [
+                ("arrival", 10),
+                ("dispatch", 10),
+                ("wake", 10),
+                ("woken", 19),
+                ("declined", 19),
+            ],
+        )
+        self.assertEqual(
+            held.rows[0][2], (1, 2, 1, "shop", 1, 0, 0, False, True, -1, 1.0, 99, "/p")
+        )
         self.assertEqual(port.did[-1], ("declined", (1, 7)))
 
     def test_a_store_without_a_name_stands_by_its_number(self):
@@ -181,10 +251,15 @@
         rig = Rig(self)
         edge = await rig.edge()
         self.assertIsNone(edge.traces)
-        code = ("import sys; from milletsill.edge.process import run; import milletsill.cli.main; "
-                "print([each for each in sys.modules if each.startswith('milletsill.trace') or each == 'numpy'])")
+        code = (
+            "import sys; from milletsill.edge.process import run; import milletsill.cli.main; "
+            "print([each for each in sys.modules if each.startswith('milletsill.trace') or each == 'numpy'])"
+        )
         from twisted.internet.utils import getProcessOutput
-        out = await getProcessOutput(sys.executable, ["-c", code], env=os.environ, reactor=reactor)
+
+        out = await getProcessOutput(
+            sys.executable, ["-c", code], env=os.environ, reactor=reactor
+        )
         self.assertEqual(out.strip(), b"[]")
 
     async def test_a_disk_that_refuses_costs_the_trace_alone(self):
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -1,4 +1,5 @@
 """Tools on traces: what is cut, merged, aligned, converted, reckoned; old versions; what hostile indexes do."""
+
 import csv
 import glob
 import io
@@ -15,7 +16,16 @@
 from milletsill.cli.main import main
 from milletsill.lab.wire import Kept, Recorded
 from milletsill.trace import format, tools
-from milletsill.trace.decide import MOST_FOLLOWED, MOST_INDEXED, TOLERATED, Stores, Unclear, Verdict, align, moment
+from milletsill.trace.decide import (
+    MOST_FOLLOWED,
+    MOST_INDEXED,
+    TOLERATED,
+    Stores,
+    Unclear,
+    Verdict,
+    align,
+    moment,
+)
 from milletsill.trace.format import BadTrace
 from milletsill.trace.reader import Trace, repair, verify
 from milletsill.trace.records import BY_NAME, KINDS
@@ -27,7 +37,11 @@
 
 
 def arrival(at, transfer, store, category=0, path="/p"):
-    return at, BY_NAME["arrival"], (transfer, 1, 1, store, 2, category, 0, 0, 0, -1, 1.0, at + 9000, path)
+    return (
+        at,
+        BY_NAME["arrival"],
+        (transfer, 1, 1, store, 2, category, 0, 0, 0, -1, 1.0, at + 9000, path),
+    )
 
 
 def dispatch(at, transfer, node):
@@ -38,8 +52,14 @@
     return at, BY_NAME["outcome"], (transfer, 0, node, "satisfied", 1, 30, -1, 0, "")
 
 
-def command(began, span, store, final="satisfied", category=0, plan=0, units=1.0, why=""):
-    return began + span, BY_NAME["command"], (began, span, store, plan, category, "read", units, 1, 0, final, why)
+def command(
+    began, span, store, final="satisfied", category=0, plan=0, units=1.0, why=""
+):
+    return (
+        began + span,
+        BY_NAME["command"],
+        (began, span, store, plan, category, "read", units, 1, 0, final, why),
+    )
 
 
 def listing(at, node, ready):
@@ -55,7 +75,9 @@
         self.assertLessEqual(off, 30)
 
     def test_what_the_news_own_way_explains_is_left_alone(self):
-        self.assertEqual(align([0, 0], [{"a": 0}, {"a": TOLERATED}]), [(0, TOLERATED // 2)] * 2)
+        self.assertEqual(
+            align([0, 0], [{"a": 0}, {"a": TOLERATED}]), [(0, TOLERATED // 2)] * 2
+        )
 
     def test_a_file_that_shares_nothing_keeps_its_wall_clock_and_says_so(self):
         self.assertEqual(align([0, 5], [{"a": 0}, {"b": 7}]), [(0, None), (0, None)])
@@ -65,8 +87,13 @@
         self.assertEqual(corrected, [(0, 0), (0, 0), (-70_000, 0)])
 
     def test_times_on_the_command_line(self):
-        self.assertEqual([moment(each, 500, 1_000_000) for each in ("7", "+2", "+2s", "+1.5m", "+1h", "1970-01-01T00:16:41")],
-                         [7, 20_500, 20_500, 900_500, 36_000_500, 500 + SECOND])
+        self.assertEqual(
+            [
+                moment(each, 500, 1_000_000)
+                for each in ("7", "+2", "+2s", "+1.5m", "+1h", "1970-01-01T00:16:41")
+            ],
+            [7, 20_500, 20_500, 900_500, 36_000_500, 500 + SECOND],
+        )
         for each in ("soon", "+", "+xs", "", "+1e999h", "2026-13-01"):
             with self.assertRaises(Unclear, msg=each):
                 moment(each, 0, 0)
@@ -82,7 +109,10 @@
         return os.path.join(self.folder, name)
 
     def trace(self, name, *blocks, **about):
-        sink = tools.Sink(self.out(name), {"name": name, "seed": 1, "opened": 0, "wall_ms": 0, **about})
+        sink = tools.Sink(
+            self.out(name),
+            {"name": name, "seed": 1, "opened": 0, "wall_ms": 0, **about},
+        )
         for block in blocks:
             for row in block:
                 sink.put(row)
@@ -97,14 +127,24 @@
 
 class Index(Files):
     def test_later_records_of_a_transfer_count_for_its_store(self):
-        path = self.trace("t", [arrival(1, 1, "a"), arrival(2, 2, "b")], [outcome(9, 1, 4)], [outcome(10, 2, 4)])
+        path = self.trace(
+            "t",
+            [arrival(1, 1, "a"), arrival(2, 2, "b")],
+            [outcome(9, 1, 4)],
+            [outcome(10, 2, 4)],
+        )
         with Trace(path) as trace:
             self.assertEqual(trace.map.stores, {"a": [0, 1], "b": [0, 2]})
             self.assertEqual([each.records for each in trace.heads("a")], [2, 1])
             self.assertEqual(trace.heads("nobody"), [])
 
     def test_without_the_index_the_filters_tell_the_same(self):
-        path = self.trace("t", [arrival(1, 1, "a"), arrival(2, 2, "b")], [outcome(9, 1, 4)], [outcome(10, 2, 4)])
+        path = self.trace(
+            "t",
+            [arrival(1, 1, "a"), arrival(2, 2, "b")],
+            [outcome(9, 1, 4)],
+            [outcome(10, 2, 4)],
+        )
         with open(path, "r+b") as sink:
             sink.truncate(os.path.getsize(path) - 5)
         with Trace(path) as trace:
@@ -113,8 +153,18 @@
 
     def test_a_store_that_appears_once_is_found_by_reading_little(self):
         chance = Random(4)
-        blocks = [[arrival(block * SECOND + n, block * 100 + n, f"s{n % 9}", path=f"/{chance.random()}") for n in range(100)]
-                  for block in range(200)]
+        blocks = [
+            [
+                arrival(
+                    block * SECOND + n,
+                    block * 100 + n,
+                    f"s{n % 9}",
+                    path=f"/{chance.random()}",
+                )
+                for n in range(100)
+            ]
+            for block in range(200)
+        ]
         blocks[77].append(arrival(77 * SECOND + 100, 999_999, "rare"))
         path = self.trace("t", *blocks)
         count, read = tools.cut(path, self.out(), store="rare")
@@ -122,7 +172,9 @@
         self.assertLess(read, os.path.getsize(path) / 20)
 
     def test_a_repaired_file_has_the_index_made_anew(self):
-        path = self.trace("t", [arrival(1, 1, "a")], [arrival(2, 2, "b")], [outcome(9, 1, 4)])
+        path = self.trace(
+            "t", [arrival(1, 1, "a")], [arrival(2, 2, "b")], [outcome(9, 1, 4)]
+        )
         with Trace(path) as trace:
             second = trace.map.heads[1]
         with open(path, "r+b") as sink:
@@ -130,11 +182,15 @@
             sink.write(b"\xff\xff")
         repair(path, self.out())
         with Trace(self.out()) as trace:
-            self.assertEqual((trace.map.stores, len(trace.map.heads)), ({"a": [0, 1]}, 2))
+            self.assertEqual(
+                (trace.map.stores, len(trace.map.heads)), ({"a": [0, 1]}, 2)
+            )
 
     def test_too_many_stores_give_up_the_index_and_nothing_else(self):
         stores = Stores()
-        stores.touched([arrival(1, each, f"s{each}") for each in range(MOST_INDEXED + 1)])
+        stores.touched(
+            [arrival(1, each, f"s{each}") for each in range(MOST_INDEXED + 1)]
+        )
         self.assertIsNone(stores.blocks)
         self.assertEqual(format.put_stores(stores.blocks), b"")
         self.assertLessEqual(len(stores.of), MOST_FOLLOWED)
@@ -144,8 +200,12 @@
     def test_a_hostile_index_is_one_line(self, body):
         import zlib
         import zstandard
+
         packed = zstandard.ZstdCompressor().compress(body)
-        data = format.FOOTER_HEAD.pack(format.STORES, len(packed), zlib.crc32(packed)) + packed
+        data = (
+            format.FOOTER_HEAD.pack(format.STORES, len(packed), zlib.crc32(packed))
+            + packed
+        )
         try:
             format.get_stores(data)
         except BadTrace as error:
@@ -156,7 +216,10 @@
     def test_any_byte_of_a_file_changed_reads_up_to_there_or_says_so(self, data):
         self.made = getattr(self, "made", 0) + 1
         if self.made == 1:
-            with open(self.trace("whole", [arrival(1, 1, "a")] * 20, [outcome(9, 1, 4)] * 20), "rb") as source:
+            with open(
+                self.trace("whole", [arrival(1, 1, "a")] * 20, [outcome(9, 1, 4)] * 20),
+                "rb",
+            ) as source:
                 self.whole = source.read()
         held, path = bytearray(self.whole), self.out(f"t{self.made}")
         at = data.draw(st.integers(0, len(held) - 1))
@@ -169,16 +232,31 @@
         except BadTrace as error:
             self.assertNotIn("\n", str(error))
         else:
-            self.assertTrue(found.verdict is not Verdict.WHOLE or len(found.heads) == 2 or found.breaks)
+            self.assertTrue(
+                found.verdict is not Verdict.WHOLE
+                or len(found.heads) == 2
+                or found.breaks
+            )
 
 
 class Cutting(Files):
     def setUp(self):
         super().setUp()
         facts = {"categories": [{"name": "read"}, {"name": "write"}]}
-        self.path = self.trace("t", [arrival(1, 1, "a", 0), arrival(2, 2, "a", 1), arrival(3, 3, "b", 1)],
-                               [dispatch(4, 1, 7), dispatch(5, 2, 8), dispatch(6, 3, 7), outcome(9, 1, 7), outcome(9, 2, 8),
-                                outcome(9, 3, 7), command(3, 6, "b", category=1)], facts=facts)
+        self.path = self.trace(
+            "t",
+            [arrival(1, 1, "a", 0), arrival(2, 2, "a", 1), arrival(3, 3, "b", 1)],
+            [
+                dispatch(4, 1, 7),
+                dispatch(5, 2, 8),
+                dispatch(6, 3, 7),
+                outcome(9, 1, 7),
+                outcome(9, 2, 8),
+                outcome(9, 3, 7),
+                command(3, 6, "b", category=1),
+            ],
+            facts=facts,
+        )
 
     def kept(self, **terms):
         out = self.out(str(len(os.listdir(self.folder))))
@@ -186,14 +264,29 @@
         return [(row[1].name, row[2][0]) for row in self.rows(out)]
 
     def test_by_category(self):
-        self.assertEqual(self.kept(category=1), [("arrival", 2), ("arrival", 3), ("dispatch", 2), ("dispatch", 3),
-                                                 ("outcome", 2), ("outcome", 3), ("command", 3)])
+        self.assertEqual(
+            self.kept(category=1),
+            [
+                ("arrival", 2),
+                ("arrival", 3),
+                ("dispatch", 2),
+                ("dispatch", 3),
+                ("outcome", 2),
+                ("outcome", 3),
+                ("command", 3),
+            ],
+        )
 
     def test_by_box_all_records_of_the_transfers_that_it_saw(self):
-        self.assertEqual(self.kept(box=8), [("arrival", 2), ("dispatch", 2), ("outcome", 2)])
+        self.assertEqual(
+            self.kept(box=8), [("arrival", 2), ("dispatch", 2), ("outcome", 2)]
+        )
 
     def test_by_all_at_once(self):
-        self.assertEqual(self.kept(store="b", category=1, box=7), [("arrival", 3), ("dispatch", 3), ("outcome", 3)])
+        self.assertEqual(
+            self.kept(store="b", category=1, box=7),
+            [("arrival", 3), ("dispatch", 3), ("outcome", 3)],
+        )
         self.assertEqual(self.kept(store="b", category=0), [])
 
     def test_a_range_between_blocks_holds_nothing(self):
@@ -201,33 +294,70 @@
         self.assertEqual(tools.cut(path, self.out(), since=100, until=800)[0], 0)
 
     def test_names_of_categories_on_the_command_line(self):
-        run = CliRunner().invoke(main, ["trace", "cut", self.path, self.out("c"), "--category", "write", "--to", "+1s"])
-        self.assertEqual((run.exit_code, run.output.split(",")[0]), (0, f"{self.out('c')}: 7 records"))
-        run = CliRunner().invoke(main, ["trace", "cut", self.path, self.out("d"), "--category", "lend"])
+        run = CliRunner().invoke(
+            main,
+            [
+                "trace",
+                "cut",
+                self.path,
+                self.out("c"),
+                "--category",
+                "write",
+                "--to",
+                "+1s",
+            ],
+        )
+        self.assertEqual(
+            (run.exit_code, run.output.split(",")[0]),
+            (0, f"{self.out('c')}: 7 records"),
+        )
+        run = CliRunner().invoke(
+            main, ["trace", "cut", self.path, self.out("d"), "--category", "lend"]
+        )
         self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1))
-        run = CliRunner().invoke(main, ["trace", "cut", self.path, self.out("e"), "--from", "soon"])
+        run = CliRunner().invoke(
+            main, ["trace", "cut", self.path, self.out("e"), "--from", "soon"]
+        )
         self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1))
 
 
 class Merging(Files):
     def test_clocks_that_disagree_by_seconds_are_set_and_the_rest_is_told(self):
-        flips = [(at, node, state) for at, node, state in ((10, 1, "ready"), (20_000, 1, "draining"), (60_000, 1, "ready"))]
-        paths = [self.trace(name, [listing(at + off, node, state) for at, node, state in flips]
-                            + [arrival(70_000 + off, 1, name)]) for name, off in (("a", 0), ("b", 30), ("c", 90_000))]
+        flips = [
+            (at, node, state)
+            for at, node, state in (
+                (10, 1, "ready"),
+                (20_000, 1, "draining"),
+                (60_000, 1, "ready"),
+            )
+        ]
+        paths = [
+            self.trace(
+                name,
+                [listing(at + off, node, state) for at, node, state in flips]
+                + [arrival(70_000 + off, 1, name)],
+            )
+            for name, off in (("a", 0), ("b", 30), ("c", 90_000))
+        ]
         made = tools.merge(paths, self.out())
         self.assertEqual([name for name, shift, _ in made.clocks if shift], ["c"])
         times = [at for at, kind, _ in self.rows(self.out()) if kind.name == "arrival"]
         self.assertLess(max(times) - min(times), 100)
 
     def test_more_files_than_may_be_open(self):
-        paths = [self.trace(f"g{each:03d}", [arrival(at, at, f"s{each}") for at in range(3)])
-                 for each in range(tools.MOST_OPEN + 5)]
+        paths = [
+            self.trace(f"g{each:03d}", [arrival(at, at, f"s{each}") for at in range(3)])
+            for each in range(tools.MOST_OPEN + 5)
+        ]
         made = tools.merge(paths, self.out())
         rows = self.rows(self.out())
         self.assertEqual(made.records, 3 * len(paths))
         self.assertEqual([row[0] for row in rows], sorted(row[0] for row in rows))
         self.assertEqual(len({row[2][0] for row in rows}), len(rows))
-        self.assertEqual([row[2][3] for row in rows[:len(paths)]], [f"s{each}" for each in range(len(paths))])
+        self.assertEqual(
+            [row[2][3] for row in rows[: len(paths)]],
+            [f"s{each}" for each in range(len(paths))],
+        )
 
     def test_a_header_that_lies_about_its_clock_is_one_line(self):
         path = self.trace("t", [arrival(1, 1, "a")], wall_ms="late")
@@ -257,36 +387,78 @@
     def test_convert_brings_it_to_the_present_version(self):
         tools.convert(self.OLD, self.out(), "mtrace")
         with Trace(self.out()) as trace, Trace(self.OLD) as old:
-            self.assertEqual((trace.map.about["minor"], old.map.about["minor"]), (format.MINOR, 0))
+            self.assertEqual(
+                (trace.map.about["minor"], old.map.about["minor"]), (format.MINOR, 0)
+            )
             self.assertEqual(list(trace.rows()), list(old.rows()))
             self.assertIsNotNone(trace.map.stores)
 
     def test_csv_and_parquet_hold_the_same(self):
         import pyarrow.parquet
-        path = self.trace("t", [arrival(1, 1, "a", path="/\udcff"), outcome(2, 1, 4), (3, BY_NAME["settled"], ())])
+
+        path = self.trace(
+            "t",
+            [
+                arrival(1, 1, "a", path="/\udcff"),
+                outcome(2, 1, 4),
+                (3, BY_NAME["settled"], ()),
+            ],
+        )
         tools.convert(path, self.out("c"), "csv")
         tools.convert(path, self.out("p"), "parquet")
         with open(self.out("c/outcome.csv"), encoding="utf-8", newline="") as source:
             rows = list(csv.DictReader(source))
-        self.assertEqual((rows[0]["at"], rows[0]["node"], rows[0]["outcome"]), ("2", "4", "satisfied"))
+        self.assertEqual(
+            (rows[0]["at"], rows[0]["node"], rows[0]["outcome"]),
+            ("2", "4", "satisfied"),
+        )
         table = pyarrow.parquet.read_table(self.out("p/outcome.parquet")).to_pylist()
-        self.assertEqual((table[0]["at"], table[0]["node"], table[0]["outcome"]), (2, 4, "satisfied"))
-        self.assertEqual(pyarrow.parquet.read_table(self.out("p/arrival.parquet")).to_pylist()[0]["path"], "/\\xff")
-        self.assertEqual(sorted(os.listdir(self.out("p"))), ["arrival.parquet", "outcome.parquet", "settled.parquet"])
+        self.assertEqual(
+            (table[0]["at"], table[0]["node"], table[0]["outcome"]), (2, 4, "satisfied")
+        )
+        self.assertEqual(
+            pyarrow.parquet.read_table(self.out("p/arrival.parquet")).to_pylist()[0][
+                "path"
+            ],
+            "/\\xff",
+        )
+        self.assertEqual(
+            sorted(os.listdir(self.out("p"))),
+            ["arrival.parquet", "outcome.parquet", "settled.parquet"],
+        )
 
 
 class Hiding(Files):
     def test_no_original_name_survives_in_any_byte(self):
-        facts = {"categories": [{"name": "night-export", "target_time": 5}], "plans": [{"usual_rate": 1.0}], "tick": 1}
-        path = self.trace("gate-way", [arrival(1, 1, "fish-shop", path="/lagoon/log"), command(1, 3, "fish-shop", why="secret")],
-                          facts=facts, volumes=[["fish-shop", "premium-plan"]], plans=["premium-plan"])
+        facts = {
+            "categories": [{"name": "night-export", "target_time": 5}],
+            "plans": [{"usual_rate": 1.0}],
+            "tick": 1,
+        }
+        path = self.trace(
+            "gate-way",
+            [
+                arrival(1, 1, "fish-shop", path="/lagoon/log"),
+                command(1, 3, "fish-shop", why="secret"),
+            ],
+            facts=facts,
+            volumes=[["fish-shop", "premium-plan"]],
+            plans=["premium-plan"],
+        )
         tools.anonymise(path, self.out(), b"k" * 16)
         with open(self.out(), "rb") as source:
             data = source.read()
         found = data + json.dumps([row[2] for row in self.rows(self.out())]).encode()
         with Trace(self.out()) as trace:
             found += json.dumps([trace.map.about, trace.map.stores]).encode()
-        for name in (b"fish-shop", b"lagoon", b"night-export", b"premium-plan", b"gate-way", b"secret"):
+        for name in (
+            b"fish-shop",
+            b"lagoon",
+            b"night-export",
+            b"premium-plan",
+            b"gate-way",
+            b"secret",
+        ):
             self.assertNotIn(name, found)
 
 
--- a/tests/test_trace_writing.py
+++ b/tests/test_trace_writing.py
@@ -1,4 +1,5 @@
 """Traces that bound what they write and what they say of the service."""
+
 import glob
 import json
 import os
@@ -20,30 +21,71 @@
 
 
 class Service(Files):
-    TERMS = ServiceTerms([("read", 3000, 1.0, 0.25), ("write", 5000, 2.0, 0.0)], [1.0, 3.0], {"a": 0, "b": 1},
-                         [Claim(2.0, 1.0), Claim(5.0, 2.0)], 20.0, 8.0, 0.35, 0.1)
+    TERMS = ServiceTerms(
+        [("read", 3000, 1.0, 0.25), ("write", 5000, 2.0, 0.0)],
+        [1.0, 3.0],
+        {"a": 0, "b": 1},
+        [Claim(2.0, 1.0), Claim(5.0, 2.0)],
+        20.0,
+        8.0,
+        0.35,
+        0.1,
+    )
 
     def test_the_figure_from_the_trace_is_that_of_what_was_done(self):
         chance, done, rows = Random(9), [], []
         for each in range(500):
-            began, span, category, plan = each * 300, chance.randrange(1, 8000), chance.randrange(2), chance.randrange(2)
-            final, units, place = chance.choice(("satisfied", "satisfied", "declined")), chance.choice((1.0, 2.5)), each % 2
+            began, span, category, plan = (
+                each * 300,
+                chance.randrange(1, 8000),
+                chance.randrange(2),
+                chance.randrange(2),
+            )
+            final, units, place = (
+                chance.choice(("satisfied", "satisfied", "declined")),
+                chance.choice((1.0, 2.5)),
+                each % 2,
+            )
             name, target, utility, late = self.TERMS.categories[category]
             counts = 0.0 if final != "satisfied" else 1.0 if span <= target else late
-            done.append(Done(began // SECOND, place, name, units, utility * self.TERMS.prices[plan], counts, counts != 1.0))
+            done.append(
+                Done(
+                    began // SECOND,
+                    place,
+                    name,
+                    units,
+                    utility * self.TERMS.prices[plan],
+                    counts,
+                    counts != 1.0,
+                )
+            )
             rows.append(command(began, span, "ab"[place], final, category, plan, units))
         terms = self.TERMS
-        expected = reckon(done, terms.claims, terms.power, terms.largest, terms.share, terms.spare)
+        expected = reckon(
+            done, terms.claims, terms.power, terms.largest, terms.share, terms.spare
+        )
         path = self.trace("t", rows, terms=put_terms(terms))
         found = summarise(path, 10 * SECOND)
-        self.assertEqual(found["service"], {name: counted / due for name, (counted, due) in expected.items()})
-        self.assertEqual(sum(each.get("declined", 0) for each in found["windows"]),
-                         sum(each["count"] for each in found["not satisfied"]))
+        self.assertEqual(
+            found["service"],
+            {name: counted / due for name, (counted, due) in expected.items()},
+        )
+        self.assertEqual(
+            sum(each.get("declined", 0) for each in found["windows"]),
+            sum(each["count"] for each in found["not satisfied"]),
+        )
 
     def test_text_picture_and_json_on_the_command_line(self):
-        path = self.trace("t", [command(each * SECOND, 40, "a") for each in range(50)]
-                          + [command(5, 9, "b", "declined", why="full")], terms=put_terms(self.TERMS))
-        run = CliRunner().invoke(main, ["trace", "summarise", path, "--window", "10", "--plot", self.out("p.png")])
+        path = self.trace(
+            "t",
+            [command(each * SECOND, 40, "a") for each in range(50)]
+            + [command(5, 9, "b", "declined", why="full")],
+            terms=put_terms(self.TERMS),
+        )
+        run = CliRunner().invoke(
+            main,
+            ["trace", "summarise", path, "--window", "10", "--plot", self.out("p.png")],
+        )
         self.assertEqual(run.exit_code, 0, run.output)
         self.assertIn("read declined: full", run.output)
         self.assertGreater(os.path.getsize(self.out("p.png")), 1000)
@@ -52,15 +94,28 @@
 
     def test_headers_without_terms_and_too_small_windows_are_one_line(self):
         bare = self.trace("bare", [command(1, 2, "a")])
-        long = self.trace("long", [command(each * SECOND, 2, "a") for each in range(20_000)], terms=put_terms(self.TERMS))
+        long = self.trace(
+            "long",
+            [command(each * SECOND, 2, "a") for each in range(20_000)],
+            terms=put_terms(self.TERMS),
+        )
         for words in (("summarise", bare), ("summarise", long, "--window", "1")):
             run = CliRunner().invoke(main, ["trace", *words])
-            self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1), run.output)
+            self.assertEqual(
+                (run.exit_code, run.output.count("\n")), (2, 1), run.output
+            )
 
 
 class Writing(Files):
     def writer(self, name="g", **terms):
-        made = Writer(self.folder, name, {"name": name}, lambda: time.monotonic_ns() // 100_000, lambda text: None, **terms)
+        made = Writer(
+            self.folder,
+            name,
+            {"name": name},
+            lambda: time.monotonic_ns() // 100_000,
+            lambda text: None,
+            **terms,
+        )
         self.addCleanup(made.stop)
         return made
 
@@ -72,12 +127,19 @@
         for each in writers:
             each.stop()
         files = glob.glob(f"{self.folder}/*.mtrace")
-        self.assertEqual(([verify(each).verdict for each in files], len({each.path for each in writers})),
-                         ([Verdict.WHOLE] * 2, 2))
+        self.assertEqual(
+            (
+                [verify(each).verdict for each in files],
+                len({each.path for each in writers}),
+            ),
+            ([Verdict.WHOLE] * 2, 2),
+        )
 
     def test_ten_thousand_files_in_the_folder_are_pruned_in_bounded_time(self):
         for each in range(10_000):
-            with open(f"{self.folder}/g-20200101T000000-{each:06d}.mtrace", "wb") as sink:
+            with open(
+                f"{self.folder}/g-20200101T000000-{each:06d}.mtrace", "wb"
+            ) as sink:
                 sink.write(b"x" * 100)
         began = time.monotonic()
         writer = self.writer(most_total=200_000)
@@ -85,7 +147,9 @@
         writer.stop()
         left = sorted(os.listdir(self.folder))
         self.assertLess(time.monotonic() - began, 10)
-        self.assertLessEqual(sum(os.path.getsize(f"{self.folder}/{each}") for each in left[:-1]), 200_000)
+        self.assertLessEqual(
+            sum(os.path.getsize(f"{self.folder}/{each}") for each in left[:-1]), 200_000
+        )
         self.assertEqual(left[-2], "g-20200101T000000-009999.mtrace")
 
     def test_a_reader_beside_the_writer_sees_whole_blocks_alone(self):
@@ -98,7 +162,15 @@
                 for each in glob.glob(f"{self.folder}/*.mtrace"):
                     with Trace(each) as trace:
                         seen.append(len(list(trace.rows())))
-                        seen.append(-len([gap for gap in trace.map.breaks if "cut short" not in gap.reason]))
+                        seen.append(
+                            -len(
+                                [
+                                    gap
+                                    for gap in trace.map.breaks
+                                    if "cut short" not in gap.reason
+                                ]
+                            )
+                        )
 
         reader = threading.Thread(target=read)
         time.sleep(0.05)
@@ -114,10 +186,19 @@
         self.assertEqual(len(self.rows(writer.path)), 3000)
 
     def test_a_dictionary_with_more_texts_than_a_block_should_hold(self):
-        rows = [arrival(each, each, f"store-{each}", path=f"/{each}") for each in range(70_000)]
+        rows = [
+            arrival(each, each, f"store-{each}", path=f"/{each}")
+            for each in range(70_000)
+        ]
         data = format.put_block(rows)
         head = format.get_head(data, 0)
-        self.assertEqual([row[2][3] for row in format.get_rows(head, data[format.BLOCK_HEAD.size:])][-1], "store-69999")
+        self.assertEqual(
+            [
+                row[2][3]
+                for row in format.get_rows(head, data[format.BLOCK_HEAD.size :])
+            ][-1],
+            "store-69999",
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,5 @@
 """Two versions at once: recorded octets of a version are read, and what a later version adds is borne."""
+
 import json
 import os
 import shutil
@@ -9,8 +10,16 @@
 from unittest import mock
 
 from milletsill.fleet.channels.contracts import codec as contracts
-from milletsill.fleet.channels.contracts.record_pb2 import Envelope, Record as RecordOctets
-from milletsill.fleet.channels.registers import codec as registers, desk, registers_pb2 as wire, service
+from milletsill.fleet.channels.contracts.record_pb2 import (
+    Envelope,
+    Record as RecordOctets,
+)
+from milletsill.fleet.channels.registers import (
+    codec as registers,
+    desk,
+    registers_pb2 as wire,
+    service,
+)
 from milletsill.fleet.channels.registers.standing import Identity
 from milletsill.fleet.channels.registers.store import Store
 from milletsill.fleet.frames import fleet_pb2
@@ -29,8 +38,13 @@
 
 HERE = os.path.join(os.path.dirname(__file__), "fixtures")
 LATER = b"\xc2\x3e\x05later\xc8\x3e\x07"  # two fields that nobody knows: octets as 1000, a number as 1001
-NEXT = {"frame": (MAGIC, fleet_pb2.Frame), "registers": (b"R", wire.Frame), "health": (b"", health_pb2.Frame),
-        "record": (b"", RecordOctets), "envelope": (b"C", Envelope)}
+NEXT = {
+    "frame": (MAGIC, fleet_pb2.Frame),
+    "registers": (b"R", wire.Frame),
+    "health": (b"", health_pb2.Frame),
+    "record": (b"", RecordOctets),
+    "envelope": (b"C", Envelope),
+}
 
 
 def recorded():
@@ -41,7 +55,7 @@
 def of_later(name, data):
     """The same, with fields of a later version in it and in all that it holds."""
     mark, kind = NEXT[name.split()[0]]
-    whole = kind.FromString(data[len(mark):])
+    whole = kind.FromString(data[len(mark) :])
 
     def add(message):
         for field, value in message.ListFields():
@@ -64,19 +78,29 @@
         for name, message in made.frames().items():
             self.assertEqual(codec.decode(octets[f"frame {name}"]), message, name)
         calls = registers.decoded(octets["registers calls"]).calls.call
-        self.assertEqual([registers.get_call("gateway-1", each) for each in calls], made.CALLS)
+        self.assertEqual(
+            [registers.get_call("gateway-1", each) for each in calls], made.CALLS
+        )
         answers = registers.decoded(octets["registers answers"]).answers
-        self.assertEqual([registers.get_answer("gateway-1", each) for each in answers.answer], made.ANSWERS)
+        self.assertEqual(
+            [registers.get_answer("gateway-1", each) for each in answers.answer],
+            made.ANSWERS,
+        )
         self.assertEqual(registers.get_identity(answers.own), made.IDENTITY)
-        self.assertEqual(registers.get_page(registers.decoded(octets["registers page"]).page), made.PAGE)
+        self.assertEqual(
+            registers.get_page(registers.decoded(octets["registers page"]).page),
+            made.PAGE,
+        )
         frame = health.decoded(octets["health"])
         self.assertEqual(health.get(frame.difference[0], 0), made.NEWS)
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
         found = contracts.read_record(octets["record"], 100, 1000, 0)
         self.assertEqual(line_told(found), line_told(made.line()))
         told, sent = contracts.read_envelope(octets["envelope"]), made.envelope()
-        self.assertEqual((told.ask.transfer.path, told.ask.transfer.command, told.ask.left),
-                         (sent.ask.transfer.path, sent.ask.transfer.command, sent.ask.left))
+        self.assertEqual(
+            (told.ask.transfer.path, told.ask.transfer.command, told.ask.left),
+            (sent.ask.transfer.path, sent.ask.transfer.command, sent.ask.left),
+        )
 
     def test_messages_and_records_are_read(self):
         self.check(recorded())
@@ -91,7 +115,10 @@
             shutil.copy(os.path.join(HERE, "register-1.sqlite"), path)
             store = Store.opened(path, 1)
             self.addCleanup(store.close)
-            self.assertEqual((store.read("v/c"), store.floor, store.own), (made.RECORD, 11, Identity(1, 77, 1)))
+            self.assertEqual(
+                (store.read("v/c"), store.floor, store.own),
+                (made.RECORD, 11, Identity(1, 77, 1)),
+            )
             self.assertEqual(store.known, {"gateway-2": made.IDENTITY})
 
 
@@ -103,7 +130,9 @@
         frame.version, frame.what, frame.kind = 2, 99, 99
         frame.row[0].standing = 77
         read = Codec("fleet").decode(MAGIC + frame.SerializeToString())
-        self.assertEqual((read.what, read.kind, read.version, read.sender), (None, None, 2, made.ME))
+        self.assertEqual(
+            (read.what, read.kind, read.version, read.sender), (None, None, 2, made.ME)
+        )
         self.assertEqual(read.rows, made.ROWS[1:])
         frame.least = 2
         with self.assertRaises(TooNew):
@@ -111,13 +140,34 @@
 
     def test_numbers_that_could_not_be_answered_are_no_rows(self):
         codec = Codec("fleet")
-        for run, turn in ((1 << 63, 0), (MOST_NUMBER, 0), (1, (1 << 64) - 1), (1, MOST_NUMBER)):
+        for run, turn in (
+            (1 << 63, 0),
+            (MOST_NUMBER, 0),
+            (1, (1 << 64) - 1),
+            (1, MOST_NUMBER),
+        ):
             with self.assertRaises(Unreadable):
-                codec.decode(codec.encode(Message(What.NEWS, Row("x", run, 1, turn, Standing.ALIVE, "h:1"))))
+                codec.decode(
+                    codec.encode(
+                        Message(
+                            What.NEWS, Row("x", run, 1, turn, Standing.ALIVE, "h:1")
+                        )
+                    )
+                )
         member = Membership("me", "h:1", 1, 5, Terms("fleet"), Random(1), (), 0)
-        for row in (Row("me", 1, 5, MOST_NUMBER - 1, Standing.SUSPECT, "h:1"), Row("me", MOST_NUMBER - 1, 6, 0, Standing.ALIVE, "h:2"),
-                    Row("other", 1, 7, 1, Standing.GONE, "h:3", MOST_NUMBER - 1)):
-            news = codec.encode(Message(What.ROWS, Row("other", 1, 7, 0, Standing.ALIVE, "h:3"), (row,), answer=True))
+        for row in (
+            Row("me", 1, 5, MOST_NUMBER - 1, Standing.SUSPECT, "h:1"),
+            Row("me", MOST_NUMBER - 1, 6, 0, Standing.ALIVE, "h:2"),
+            Row("other", 1, 7, 1, Standing.GONE, "h:3", MOST_NUMBER - 1),
+        ):
+            news = codec.encode(
+                Message(
+                    What.ROWS,
+                    Row("other", 1, 7, 0, Standing.ALIVE, "h:3"),
+                    (row,),
+                    answer=True,
+                )
+            )
             for each in member.heard(1000, codec.decode(news)):
                 if isinstance(each, Send):
                     codec.encode(each.message)
@@ -127,7 +177,11 @@
                     codec.encode(each.message)
 
     def test_registers(self):
-        self.assertIsNone(registers.decoded(b"R" + wire.Frame(version=2).SerializeToString() + LATER).WhichOneof("what"))
+        self.assertIsNone(
+            registers.decoded(
+                b"R" + wire.Frame(version=2).SerializeToString() + LATER
+            ).WhichOneof("what")
+        )
         call = registers.put_call(made.CALLS[0])
         call.ask = 99
         self.assertIsNone(registers.get_call("gateway-1", call))
@@ -138,7 +192,9 @@
 
     def test_health_and_contracts(self):
         frame = health_pb2.Frame(version=2)
-        self.assertEqual(len(health.decoded(frame.SerializeToString() + LATER).difference), 0)
+        self.assertEqual(
+            len(health.decoded(frame.SerializeToString() + LATER).difference), 0
+        )
         for body in (b"X" + LATER, b"", b"C" + b"\xff"):
             self.assertIsNone(contracts.read_envelope(body))
         later = contracts.read_envelope(b"C" + LATER)
@@ -163,7 +219,15 @@
             if self.frames % 50 == 0:
                 frame = fleet_pb2.Frame.FromString(data[4:])
                 frame.what = 99
-                super().send(stand, replace(sent, message=Codec("fleet").decode(MAGIC + frame.SerializeToString())))
+                super().send(
+                    stand,
+                    replace(
+                        sent,
+                        message=Codec("fleet").decode(
+                            MAGIC + frame.SerializeToString()
+                        ),
+                    ),
+                )
         else:
             data = Codec("fleet").encode(message)
         super().send(stand, replace(sent, message=Codec("fleet").decode(data)))
@@ -176,9 +240,21 @@
 class Rolling(unittest.TestCase):
     def test_a_third_at_a_time_and_back_half_way(self):
         secrets = Random(3)
-        with mock.patch.object(service, "SystemRandom", lambda: secrets), mock.patch.object(desk, "Store", Kept):
+        with (
+            mock.patch.object(service, "SystemRandom", lambda: secrets),
+            mock.patch.object(desk, "Store", Kept),
+        ):
             world = Mixed(2)
-            steps = [(0, True), (1, True), (2, True), (3, True), (0, False), (1, False), (2, False), (3, False)]
+            steps = [
+                (0, True),
+                (1, True),
+                (2, True),
+                (3, True),
+                (0, False),
+                (1, False),
+                (2, False),
+                (3, False),
+            ]
             for at, (place, later) in enumerate(steps):
                 world.at((6 + at + at // 2) * SECOND, world.restart, place, later)
             world.run(45 * SECOND, lambda: world.wrong is not None)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,5 @@
 """The adapter: frames, records, rounding, killed instances and malformed input."""
+
 import io
 import json
 import unittest
@@ -9,9 +10,17 @@
 from milletsill.wirehost.codec import Batch, Event, BadBatch
 from milletsill.wirehost.host import Host, serve
 
-FACTS = json.dumps({"peers_total": 2, "resolution_ns": 2_000_000, "membership_mode": "on_request",
-                    "unknown": 1, "rules": {"ask_within_ns": 10_000_000_000}, "classes": [],
-                    "plans": []}).encode()
+FACTS = json.dumps(
+    {
+        "peers_total": 2,
+        "resolution_ns": 2_000_000,
+        "membership_mode": "on_request",
+        "unknown": 1,
+        "rules": {"ask_within_ns": 10_000_000_000},
+        "classes": [],
+        "plans": [],
+    }
+).encode()
 
 
 def event(code, *fields, tail=b""):
@@ -23,14 +32,16 @@
 def frame(number, clock, *records, size=None, count=None):
     body = b"".join(records)
     size = codec.HEADER.size + len(body) if size is None else size
-    return codec.HEADER.pack(number, size, len(records) if count is None else count, clock) + body
+    return (
+        codec.HEADER.pack(number, size, len(records) if count is None else count, clock)
+        + body
+    )
 
 
 BORN = event(codec.INSTANCE, 3) + event(codec.BORN, 1, len(FACTS), tail=FACTS)
 
 
 class Wire(unittest.TestCase):
-
     def answered(self, data):
         sink = io.BytesIO()
         serve(io.BytesIO(data), sink)
@@ -40,28 +51,42 @@
         self.assertEqual(self.answered(frame(1, 5)).hex(), "0100000008000000")
 
     def test_malformed_input_is_named(self):
-        for data in (frame(1, 5)[:7], frame(1, 5, size=3), frame(1, 5, count=2), frame(1, 5, b"\x63\0\0\0\0"),
-                     frame(1, 5, event(codec.INSTANCE, 1)[:-1]), frame(1, 5, event(codec.RING, 1)),
-                     frame(1, 5, event(codec.INSTANCE, 1), event(codec.RING, 1)),
-                     frame(1, 5, b"\x0b\xff\xff\xff\xff")):
+        for data in (
+            frame(1, 5)[:7],
+            frame(1, 5, size=3),
+            frame(1, 5, count=2),
+            frame(1, 5, b"\x63\0\0\0\0"),
+            frame(1, 5, event(codec.INSTANCE, 1)[:-1]),
+            frame(1, 5, event(codec.RING, 1)),
+            frame(1, 5, event(codec.INSTANCE, 1), event(codec.RING, 1)),
+            frame(1, 5, b"\x0b\xff\xff\xff\xff"),
+        ):
             with self.assertRaises(BadBatch):
                 self.answered(data)
 
     def test_limits_round_so_that_none_is_passed(self):
-        self.assertEqual([shared.at_most(250_000_000), shared.at_least(250_050_000)], [2499, 2502])
+        self.assertEqual(
+            [shared.at_most(250_000_000), shared.at_least(250_050_000)], [2499, 2502]
+        )
 
     def test_facts_take_our_names_and_pass_over_unknown_ones(self):
         facts = codec.facts_of(FACTS)
-        self.assertEqual((facts["gateways"], facts["ask_within"], facts["further_window"]), (2, 99_999, None))
+        self.assertEqual(
+            (facts["gateways"], facts["ask_within"], facts["further_window"]),
+            (2, 99_999, None),
+        )
         self.assertNotIn("unknown", facts)
 
     def test_a_list_number_is_reused_within_a_batch(self):
         host, heard = Host(), []
         host.answer(Batch(1, 0, list(codec.events_of(BORN, 1))))
         host.instances[3].module.listed = lambda now, news, entries: heard.append(
-            (news, [entry.node for entry in entries]))
-        rosters = [event(codec.ROSTER, 0, 1, tail=codec.ENTRY.pack(node, 1, 1.0, 0, 0, 0, 0))
-                   for node in (5, 6)]
+            (news, [entry.node for entry in entries])
+        )
+        rosters = [
+            event(codec.ROSTER, 0, 1, tail=codec.ENTRY.pack(node, 1, 1.0, 0, 0, 0, 0))
+            for node in (5, 6)
+        ]
         update = event(codec.UPDATE, 1, 9, 0)
         body = event(codec.INSTANCE, 3) + rosters[0] + update + rosters[1] + update
         host.answer(Batch(2, 0, list(codec.events_of(body, 2))))
@@ -87,12 +112,27 @@
     def test_an_answer_comes_in_our_words(self):
         host, heard = Host(), []
         host.answer(Batch(1, 0, list(codec.events_of(BORN, 1))))
-        host.instances[3].module.returned = lambda now, answer: heard.append((now, answer))
+        host.instances[3].module.returned = lambda now, answer: heard.append(
+            (now, answer)
+        )
         record = event(codec.RETURNED, 1, 253, 7, 0, 0, 1, 2, 250_000, 0)
-        host.answer(Batch(2, 150_000, list(codec.events_of(event(codec.INSTANCE, 3) + record, 2))))
+        host.answer(
+            Batch(
+                2, 150_000, list(codec.events_of(event(codec.INSTANCE, 3) + record, 2))
+            )
+        )
         now, answer = heard[0]
-        self.assertEqual((now, answer.outcome, answer.over, answer.number, answer.latency, answer.used),
-                         (2, Outcome.TIMED_OUT, True, 2, 2, None))
+        self.assertEqual(
+            (
+                now,
+                answer.outcome,
+                answer.over,
+                answer.number,
+                answer.latency,
+                answer.used,
+            ),
+            (2, Outcome.TIMED_OUT, True, 2, 2, None),
+        )
 
 
 if __name__ == "__main__":
