--- a/Makefile
+++ b/Makefile
@@ -1,23 +1,37 @@
-# `make day` sets up and plays the scripted bad day; `make test` sets up and runs the tests.
+# `make day` sets up and plays the scripted bad day; `make test` sets up and runs the tests;
+# `make lint` checks the form of the source; `make proto` generates the protobuf modules.
 PYTHON ?= python3
 VENV = .venv
 RUN = $(VENV)/bin/python
+PROTOS = $(shell find milletsill -name '*.proto')
+# Packages that are checked with all of mypy's rules: each package joins once it is done.
+TYPED =
 
-.PHONY: setup test day proto
+.PHONY: setup setup-dev lint test day proto
 
 setup: $(VENV)/.installed
 
+setup-dev: $(VENV)/.installed-dev
+
 $(VENV)/.installed: requirements.txt
 	test -d $(VENV) || $(PYTHON) -m venv $(VENV)
 	$(VENV)/bin/pip -q install -r requirements.txt
 	touch $@
 
-test: setup
+$(VENV)/.installed-dev: requirements-dev.txt $(VENV)/.installed
+	$(VENV)/bin/pip -q install -r requirements-dev.txt
+	touch $@
+
+lint: setup-dev
+	$(RUN) -m ruff format --check .
+	$(RUN) -m ruff check .
+	test -z "$(TYPED)" || $(RUN) -m mypy --strict $(TYPED)
+
+test: setup-dev
 	$(RUN) -m unittest discover -s tests -t .
 
 day: setup
 	$(RUN) -m milletsill lab run examples/bad-day.textproto --out out/day
 
-proto: setup
-	$(VENV)/bin/pip -q install grpcio-tools==1.66.2
-	$(RUN) -m grpc_tools.protoc -I. --python_out=. milletsill/settings/milletsill.proto milletsill/planner/plan.proto milletsill/fleet/frames/fleet.proto milletsill/fleet/channels/registers/registers.proto milletsill/fleet/channels/contracts/record.proto
+proto: setup-dev
+	$(RUN) -m grpc_tools.protoc -I. --python_out=. --pyi_out=. $(PROTOS)
