--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -24,13 +24,13 @@
 from google.protobuf import text_format
 
 from benchmarks.registers import free_ports
-from milletsill.files import channels as wire
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Terms
-from milletsill.files.framing import Deframer
-from milletsill.files.wire import Attrs
-from milletsill.fleet.plane import Member, Standing, View
+from milletsill.fleet.transport import Member, Standing, View
 from milletsill.settings.milletsill_pb2 import GatewayFile
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Terms
+from milletsill.sftp.framing import Deframer
+from milletsill.sftp.wire import Attrs
 
 FILE = """
 registry {{ address: "127.0.0.1:{registry}" }}
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -12,8 +12,8 @@
 import time
 
 from milletsill.flows import ipfix, netflow9
-from milletsill.flows.decide import Level, Metering
 from milletsill.flows.elements import TEMPLATES
+from milletsill.flows.export_policy import Level, Metering
 from milletsill.flows.meter import Cache, ClientKey, Meter, client_out
 
 COUNT = 100_000
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -36,11 +36,11 @@
 route { category: "read" }
 """
 GROUPS = (
-    ("module", "milletsill/policy/"),
-    ("host", "milletsill/edge/host.py"),
-    ("door, courses, map", "milletsill/edge/"),
-    ("links", "milletsill/links/"),
-    ("codec", "milletsill/files/"),
+    ("module", "milletsill/scheduler/"),
+    ("host", "milletsill/gateway/scheduler_host.py"),
+    ("door, courses, map", "milletsill/sftp_gateway/"),
+    ("links", "milletsill/node_connections/"),
+    ("codec", "milletsill/sftp/"),
     ("Twisted", "/twisted/"),
     ("metrics", "/prometheus_client/"),
     ("logs", "/structlog/"),
@@ -86,9 +86,10 @@
     import urllib.request
 
     from twisted.internet import reactor
-    from milletsill.files import extensions, packets
-    from milletsill.links.decide import Bounds
-    from milletsill.links.pool import Pool
+
+    from milletsill.node_connections.connection_pool import Pool
+    from milletsill.node_connections.connection_state import Bounds
+    from milletsill.sftp import extensions, packets
 
     call = urllib.request.Request(
         f"http://127.0.0.1:{registry}/v3/kv/range", b"{}", method="POST"
@@ -158,9 +159,9 @@
     from twisted.internet.endpoints import TCP4ClientEndpoint
     from twisted.internet.protocol import Factory, Protocol
 
-    from milletsill.files import packets
-    from milletsill.files.framing import Deframer
-    from milletsill.files.wire import Attrs
+    from milletsill.sftp import packets
+    from milletsill.sftp.framing import Deframer
+    from milletsill.sftp.wire import Attrs
 
     spans, ends, perf = [], [0.0], time.perf_counter
 
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -129,9 +129,10 @@
 def cost(given: Any) -> None:
     """One gateway's work: a second's rows of all others, in and merged, and its looks."""
     from random import Random
+
     from milletsill.fleet.health import codec
-    from milletsill.fleet.health.decide import Judge
-    from milletsill.fleet.health.rows import Rows, Word
+    from milletsill.fleet.health.health_evaluator import Judge
+    from milletsill.fleet.health.report_store import Rows, Word
 
     chance, boxes, now = Random(1), 44, 100_000
     origins = [Rows(each, 1, 2, 4096) for each in range(given.gateways)]
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from milletsill.interface import Answer, Arrival, Listed, News, Outcome, Readiness
-from milletsill.policy import Scheduler
+from milletsill.scheduler import Scheduler
 
 CATEGORY = {
     "target_time": 3000,
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -13,10 +13,10 @@
 from random import Random
 
 from milletsill.planner import codec
-from milletsill.planner.decide.granting import Planner
-from milletsill.planner.decide.lending import Edge
-from milletsill.planner.decide.terms import SECOND, WHOLE, Span
 from milletsill.planner.plan_pb2 import Asks, Frame, Grants
+from milletsill.planner.quota_granting import Planner
+from milletsill.planner.quota_lending import Edge
+from milletsill.planner.quota_terms import SECOND, WHOLE, Span
 
 
 def main() -> None:
--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -53,7 +53,7 @@
     from twisted.internet import reactor
 
     from milletsill.errors import Fault
-    from milletsill.fleet.channels.registers.service import Offices
+    from milletsill.fleet.leases.lease_manager import Offices
     from milletsill.fleet.service import Fleet
     from milletsill.settings.milletsill_pb2 import FleetLink
 
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -26,8 +26,8 @@
 
 from milletsill.settings.milletsill_pb2 import Scenario
 from milletsill.trace import tools
-from milletsill.trace.decide import MOST_AGE, Verdict
 from milletsill.trace.reader import Trace, verify
+from milletsill.trace.recording_policy import MOST_AGE, Verdict
 
 SECOND = 10_000
 
--- a/milletsill/__main__.py
+++ b/milletsill/__main__.py
@@ -5,7 +5,7 @@
 
 def main() -> None:
     if sys.argv[1:2] == ["serve"]:
-        from milletsill.platform import process
+        from milletsill.http_gateway import process
 
         sys.exit(process.main(sys.argv[2:]))
     from milletsill.cli.main import main as others
--- a/milletsill/cli/main.py
+++ b/milletsill/cli/main.py
@@ -14,9 +14,9 @@
 from milletsill.cli.planner import ctl, plan
 from milletsill.cli.traces import trace
 from milletsill.errors import line_of
-from milletsill.settings.decide import check_gateway, check_scenario
 from milletsill.settings.load import RefusedFile, text_from
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
+from milletsill.settings.validation import check_gateway, check_scenario
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -29,7 +29,7 @@
 def edge(files: tuple[str, ...]) -> None:
     """Run the gateway of each FILE until SIGTERM; SIGHUP reads the files again."""
     loaded = [taken(each, GatewayFile, check_gateway) for each in files]
-    from milletsill.edge.process import run
+    from milletsill.sftp_gateway.process import run
 
     sys.exit(run(loaded, files))
 
@@ -37,7 +37,7 @@
 @main.command()
 def serve() -> None:
     """Serve the platform's protocol until SIGTERM; NODE_CONFIG names the file."""
-    from milletsill.platform import process
+    from milletsill.http_gateway import process
 
     sys.exit(process.main([]))
 
@@ -295,7 +295,7 @@
 def flows_decode(file: str, within: tuple[str, ...]) -> None:
     """Decode FILE, IPFIX messages one behind the other (RFC 5655). Exit status 1 where it ends in the middle of one."""
     from milletsill.flows.collect import Collector, Session
-    from milletsill.flows.ipfix import Cutter, BadExport
+    from milletsill.flows.ipfix import BadExport, Cutter
 
     collector = Collector(
         lambda row: click.echo(json.dumps(row)),
--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -20,13 +20,13 @@
 def plan(file: str, check: bool) -> None:
     """Run the planner of FILE until SIGTERM. Exit status 1 where another planner took over or it could not start."""
     from milletsill.cli.files import taken
-    from milletsill.settings.decide import check_planner
     from milletsill.settings.milletsill_pb2 import PlannerFile
+    from milletsill.settings.validation import check_planner
 
     loaded = taken(file, PlannerFile, check_planner)
     if check:
         return click.echo(f"{file}: fine")
-    from milletsill.planner.service import run
+    from milletsill.planner.planner_service import run
 
     sys.exit(run(loaded))
 
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -62,8 +62,8 @@
 
 def moments(file: str, *texts: str | None) -> list[int | None]:
     """Times as given on the command line, on the file's clock."""
-    from milletsill.trace.decide import Unclear, moment
     from milletsill.trace.reader import Trace
+    from milletsill.trace.recording_policy import Unclear, moment
 
     def found() -> list[int | None]:
         with Trace(file) as trace:
--- a/milletsill/fleet/channels/contracts/keeper.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -7,18 +7,30 @@
 
 from typing import Any, Callable, Protocol
 
-from milletsill.files import channels as wire
-from milletsill.files import packets
-from milletsill.fleet.channels.contracts import codec
-from milletsill.fleet.channels.contracts.decide import (
+from milletsill.fleet.channels import codec
+from milletsill.fleet.channels.channel_sequencer import Line
+from milletsill.fleet.channels.commands import (
+    Elsewhere,
+    Look,
+    Open,
+    Say,
+    Transfer,
+    Word,
+)
+from milletsill.fleet.channels.errors import (
+    ContractOlder,
+    ContractRefused,
+    ContractsContradict,
+    RecordUnread,
+)
+from milletsill.fleet.channels.ordering import (
     PAUSE,
     Book,
     Input,
     Phase,
     Reaches,
 )
-from milletsill.fleet.channels.contracts.line import Line
-from milletsill.fleet.channels.contracts.pieces import (
+from milletsill.fleet.channels.sequences import (
     LEFT_OUT,
     SETTLED,
     STAYED_UNSURE,
@@ -27,23 +39,9 @@
     LetGo,
     Tell,
 )
-from milletsill.fleet.channels.contracts.words import (
-    Elsewhere,
-    Look,
-    Open,
-    Say,
-    Transfer,
-    Word,
-)
-from milletsill.fleet.channels.errors import (
-    ChannelFault,
-    ContractOlder,
-    ContractRefused,
-    ContractsContradict,
-    NotKeeper,
-    RecordUnread,
-    TooMany,
-)
+from milletsill.fleet.leases.errors import ChannelFault, NotKeeper, TooMany
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
 
 MOST_TAKING = 256  # words that wait while an office is taken
 FORGET = 600_000  # tenths of a millisecond: a quiet channel leaves this gateway's memory; its record stays with the registers
--- a/milletsill/fleet/channels/contracts/line.py
+++ b/milletsill/fleet/channels/channel_sequencer.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Any
 
-from milletsill.fleet.channels.contracts.decide import (
+from milletsill.fleet.channels.ordering import (
     GATE_OF,
     MOST_ASKERS,
     MOST_TURNS,
@@ -29,7 +29,7 @@
     meaning,
     step,
 )
-from milletsill.fleet.channels.contracts.pieces import (
+from milletsill.fleet.channels.sequences import (
     LEFT_OUT,
     SETTLED,
     STAYED_UNSURE,
--- a/milletsill/fleet/channels/contracts/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -4,7 +4,9 @@
 
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.channels.contracts.decide import (
+from milletsill.fleet.channels.channel_sequencer import Line
+from milletsill.fleet.channels.errors import RecordUnread
+from milletsill.fleet.channels.ordering import (
     MOST_PINNED,
     REMEMBERED,
     SPAN,
@@ -15,14 +17,12 @@
     Reaches,
     Unsure,
 )
-from milletsill.fleet.channels.contracts.line import Line
-from milletsill.fleet.channels.contracts.pieces import LONG_AGO, Closed, Entry
-from milletsill.fleet.channels.contracts.record_pb2 import (
+from milletsill.fleet.channels.record_pb2 import (
     ContractTerms,
     Envelope,
     Record,
 )
-from milletsill.fleet.channels.errors import RecordUnread
+from milletsill.fleet.channels.sequences import LONG_AGO, Closed, Entry
 
 FORMAT, MOST_RECORD, MOST_OUT, WHOLE = 1, 16_384, 1024, (1 << 64) - 1
 MARK = b"C"  # the first byte of what contracts tell; registers have their own
--- a/milletsill/fleet/channels/contracts/words.py
+++ b/milletsill/fleet/channels/commands.py
@@ -7,10 +7,10 @@
 
 import xxhash
 
-from milletsill.files import extensions
-from milletsill.files.extensions import Terms
-from milletsill.files.wire import bytes_of
-from milletsill.fleet.channels.contracts.record_pb2 import Ask
+from milletsill.fleet.channels.record_pb2 import Ask
+from milletsill.sftp import extensions
+from milletsill.sftp.extensions import Terms
+from milletsill.sftp.wire import bytes_of
 
 
 @dataclass(frozen=True, slots=True)
--- a/milletsill/fleet/channels/contracts/ways.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -7,14 +7,8 @@
 from random import SystemRandom
 from typing import Any, Callable
 
-from milletsill.files import channels as wire
-from milletsill.files import extensions
-from milletsill.files.extensions import bare
-from milletsill.files.wire import Malformed
-from milletsill.fleet.channels.clocks import Clocks
-from milletsill.fleet.channels.contracts.codec import put_envelope, read_envelope
-from milletsill.fleet.channels.contracts.record_pb2 import Ask, Clock, Envelope, Reply
-from milletsill.fleet.channels.contracts.words import (
+from milletsill.fleet.channels.codec import put_envelope, read_envelope
+from milletsill.fleet.channels.commands import (
     Elsewhere,
     Look,
     Open,
@@ -24,7 +18,13 @@
     put_word,
     read_word,
 )
-from milletsill.fleet.plane import Kind, Plane
+from milletsill.fleet.channels.record_pb2 import Ask, Clock, Envelope, Reply
+from milletsill.fleet.peer_clocks import Clocks
+from milletsill.fleet.transport import Kind, Plane
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import extensions
+from milletsill.sftp.extensions import bare
+from milletsill.sftp.wire import Malformed
 
 MOST_FORWARDS, MOST_HEARD = (
     20_000,
--- a/milletsill/fleet/channels/contracts/gone.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from milletsill.fleet.channels.contracts.decide import Input
+from milletsill.fleet.channels.ordering import Input
 from milletsill.interface import Outcome
 
 NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNREACHED)
--- a/milletsill/fleet/channels/contracts/pieces.py
+++ b/milletsill/fleet/channels/sequences.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from milletsill.fleet.channels.contracts.decide import Phase, Reaches
+from milletsill.fleet.channels.ordering import Phase, Reaches
 
 SETTLED, STAYED_UNSURE, LEFT_OUT, SUPERSEDED = range(4)  # how a number closed
 LONG_AGO = -(1 << 60)
--- a/milletsill/fleet/frames/codec.py
+++ b/milletsill/fleet/frames/codec.py
@@ -9,8 +9,8 @@
 
 from milletsill.errors import Fault
 from milletsill.fleet.frames import fleet_pb2
-from milletsill.fleet.frames.words import VERSION, Message, Row, What
-from milletsill.fleet.plane import Kind, Standing
+from milletsill.fleet.frames.messages import VERSION, Message, Row, What
+from milletsill.fleet.transport import Kind, Standing
 
 MAGIC = b"mslf"
 LENGTH = Struct(">I")
--- a/milletsill/fleet/frames/words.py
+++ b/milletsill/fleet/frames/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from milletsill.fleet.plane import Kind, Standing
+from milletsill.fleet.transport import Kind, Standing
 
 # PROBE: are you there. ACK: the target is. THROUGH: probe it for me. NEWS: rows alone. DIGEST: is your view mine.
 # ROWS: all I know. BODY: what another part of the program tells. TWIN: there are two with your name.
--- a/milletsill/fleet/health/codec.py
+++ b/milletsill/fleet/health/codec.py
@@ -8,7 +8,7 @@
 
 from milletsill.fleet.health.health_pb2 import Difference as DifferenceFrame
 from milletsill.fleet.health.health_pb2 import Frame, Known
-from milletsill.fleet.health.rows import Difference, RowRefused, Word
+from milletsill.fleet.health.report_store import Difference, RowRefused, Word
 
 VERSION, MOST_FRAME, MOST_WORDS, MOST_AGE = (
     1,
--- a/milletsill/fleet/health/decide.py
+++ b/milletsill/fleet/health/health_evaluator.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Mapping, Sequence
 
-from milletsill.fleet.health.rows import Rows
+from milletsill.fleet.health.report_store import Rows
 
 SECOND = 10_000
 # Words and their spreading.
--- a/milletsill/fleet/health/edge.py
+++ b/milletsill/fleet/health/health_sharing.py
@@ -11,7 +11,7 @@
 import xxhash
 from prometheus_client import Counter, Gauge
 
-from milletsill.fleet.health.decide import (
+from milletsill.fleet.health.health_evaluator import (
     CALM_PUBLISH,
     LASTS,
     ROUND,
@@ -20,10 +20,10 @@
     Order,
     Verdict,
 )
-from milletsill.fleet.health.observe import Observer, urgent
-from milletsill.fleet.health.rows import RowRefused, Rows
-from milletsill.fleet.health.spread import Spread
-from milletsill.fleet.plane import Change, Kind, Member, Plane, View
+from milletsill.fleet.health.node_observer import Observer, urgent
+from milletsill.fleet.health.report_exchange import Spread
+from milletsill.fleet.health.report_store import RowRefused, Rows
+from milletsill.fleet.transport import Change, Kind, Member, Plane, View
 from milletsill.interface import Answer, Arrival, Listed, News, Readiness
 
 SAY_EVERY = 100_000  # between lines about rows that were refused
--- a/milletsill/fleet/health/observe.py
+++ b/milletsill/fleet/health/node_observer.py
@@ -8,7 +8,7 @@
 from statistics import median
 from typing import Any, Iterable, Sequence
 
-from milletsill.fleet.health.decide import (
+from milletsill.fleet.health.health_evaluator import (
     FAINT,
     KNOWN,
     MOST_KINDS,
@@ -17,7 +17,7 @@
     SIZES,
     TAU,
 )
-from milletsill.fleet.health.rows import Word
+from milletsill.fleet.health.report_store import Word
 from milletsill.interface import Answer, Arrival, Listed, Outcome
 
 LOST = (Outcome.TIMED_OUT, Outcome.UNREACHED, Outcome.RESET, Outcome.ERROR)
--- a/milletsill/fleet/health/spread.py
+++ b/milletsill/fleet/health/report_exchange.py
@@ -9,8 +9,8 @@
 from typing import Callable, Iterable, Sequence
 
 from milletsill.fleet.health import codec
-from milletsill.fleet.health.decide import EXCHANGE, FAN, MOST_WAITING
-from milletsill.fleet.health.rows import Difference, Rows
+from milletsill.fleet.health.health_evaluator import EXCHANGE, FAN, MOST_WAITING
+from milletsill.fleet.health.report_store import Difference, Rows
 
 Tell = Callable[[str, bytes], object]
 
--- a/milletsill/fleet/channels/registers/standing.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Iterable, NamedTuple
 
-from milletsill.fleet.channels.registers.decide import Ballot, Record, Span, majority
+from milletsill.fleet.leases.acceptor import Ballot, Record, Span, majority
 
 BEAT = 1000  # between words of a register to all about its identity, where it changed
 HELLO = 2000  # between its questions while it may not answer
--- a/milletsill/fleet/channels/registers/desk.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -13,15 +13,7 @@
 import xxhash
 
 from milletsill.errors import Fault
-from milletsill.fleet.channels.errors import (
-    DiskFull,
-    RegistersChanged,
-    StateLost,
-    StateOlder,
-    StateTorn,
-    TermsDiffer,
-)
-from milletsill.fleet.channels.registers.decide import (
+from milletsill.fleet.leases.acceptor import (
     Answer,
     Ask,
     Call,
@@ -32,8 +24,7 @@
     loaded,
     register,
 )
-from milletsill.fleet.channels.registers.metrics import RegisterFigures
-from milletsill.fleet.channels.registers.standing import (
+from milletsill.fleet.leases.acceptor_recovery import (
     Identity,
     Joining,
     Page,
@@ -42,7 +33,16 @@
     fenced,
     merged,
 )
-from milletsill.fleet.channels.registers.store import Store, set_aside
+from milletsill.fleet.leases.acceptor_store import Store, set_aside
+from milletsill.fleet.leases.errors import (
+    DiskFull,
+    RegistersChanged,
+    StateLost,
+    StateOlder,
+    StateTorn,
+    TermsDiffer,
+)
+from milletsill.fleet.leases.metrics import RegisterFigures
 
 BATCH, MOST_WAITING = 1000, 20_000  # calls of one round; calls that wait
 LOOK = 500  # records that one round of forgetting looks at
--- a/milletsill/fleet/channels/registers/store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -13,26 +13,26 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.channels.errors import (
-    ChannelFault,
-    DiskFull,
-    StateTorn,
-    StateUnusable,
+from milletsill.fleet.leases import registers_pb2 as wire
+from milletsill.fleet.leases.acceptor import Record, forgettable, raised
+from milletsill.fleet.leases.acceptor_recovery import (
+    PAGE_BYTES,
+    PER_PAGE,
+    Identity,
+    Page,
 )
-from milletsill.fleet.channels.registers import registers_pb2 as wire
-from milletsill.fleet.channels.registers.codec import (
+from milletsill.fleet.leases.codec import (
     Unreadable,
     get_identity,
     get_record,
     put_identity,
     put_record,
 )
-from milletsill.fleet.channels.registers.decide import Record, forgettable, raised
-from milletsill.fleet.channels.registers.standing import (
-    PAGE_BYTES,
-    PER_PAGE,
-    Identity,
-    Page,
+from milletsill.fleet.leases.errors import (
+    ChannelFault,
+    DiskFull,
+    StateTorn,
+    StateUnusable,
 )
 
 SCHEMA, MARK = 1, 0x4D435231  # a later schema is left alone; sqlite's application_id
--- a/milletsill/fleet/channels/registers/thread.py
+++ b/milletsill/fleet/leases/blocking_worker.py
@@ -9,7 +9,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from milletsill.errors import Fault
-from milletsill.fleet.channels.errors import StateUnusable
+from milletsill.fleet.leases.errors import StateUnusable
 
 
 def tried(job: Callable[[], Any]) -> Any:
--- a/milletsill/fleet/channels/registers/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -7,8 +7,9 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.channels.registers import registers_pb2 as wire
-from milletsill.fleet.channels.registers.decide import (
+from milletsill.fleet.frames.codec import Unreadable
+from milletsill.fleet.leases import registers_pb2 as wire
+from milletsill.fleet.leases.acceptor import (
     JUST_NOW,
     MOST_NAME,
     MOST_VALUE,
@@ -23,8 +24,7 @@
     Span,
     Stamp,
 )
-from milletsill.fleet.channels.registers.standing import Identity, Page
-from milletsill.fleet.frames.codec import Unreadable
+from milletsill.fleet.leases.acceptor_recovery import Identity, Page
 
 MARK, VERSION, MOST_FRAME, PER_FRAME = b"R", 1, 1 << 19, 2000
 FRAME_BYTES = 200_000  # calls or answers are parted into frames of about so many
--- /dev/null
+++ b/milletsill/fleet/leases/errors.py
@@ -0,0 +1,97 @@
+"""What can come to nothing about a channel, each a type. `pause` is when coming back helps, in tenths of a millisecond; 0 for not
+by itself."""
+
+from __future__ import annotations
+
+from milletsill.errors import Fault
+
+
+class ChannelFault(Fault):
+    """One of a channel."""
+
+    def __init__(self, what: str, where: str = "", pause: int = 0) -> None:
+        super().__init__(what, where)
+        self.pause = pause
+
+
+class NoMajority(ChannelFault):
+    """Too few registers answered in time."""
+
+    remedy = "see that over half of the gateways named in fleet.channels.register run and reach each other"
+
+
+class NotKeeper(ChannelFault):
+    """Another gateway holds the office of this channel; `who`."""
+
+    remedy = "none: the office goes over when it ends or is given up; with one name again and again, see that gateway's log"
+
+    def __init__(
+        self, what: str, where: str = "", pause: int = 0, who: str = ""
+    ) -> None:
+        super().__init__(what, where, pause)
+        self.who = who
+
+
+class Outvoted(ChannelFault):
+    """A later ballot was promised: the term that this was to be done under is over."""
+
+    remedy = (
+        "none; if it comes often, compare the gateways' views and their clocks' rates"
+    )
+
+
+class NotHeld(ChannelFault):
+    """The term was given up, lost, or never held here."""
+
+    remedy = "none: the office is taken again"
+
+
+class TooMany(ChannelFault):
+    """A bound of this gateway: channels, pending calls, or bytes of a record."""
+
+    remedy = "raise fleet.channels.most_channels, or have clients use fewer channels; see milletsill_offices_pending"
+
+
+class StateTorn(ChannelFault):
+    """The register's file cannot be read whole, or a row fails its checksum."""
+
+    remedy = "look at the disk; the file was set aside and the register catches up from the others by itself"
+
+
+class StateOlder(ChannelFault):
+    """The register's file is an older copy: others have heard later things from it."""
+
+    remedy = "never put back copies of state_dir; the register catches up from the others by itself"
+
+
+class StateLost(ChannelFault):
+    """The register's file is gone, though others know that there was one."""
+
+    remedy = "see that state_dir is kept over restarts; the register catches up from the others by itself"
+
+
+class DiskFull(ChannelFault):
+    """The register cannot write; it answers nothing that it has not written."""
+
+    remedy = "make room on the disk of state_dir; the register goes on by itself"
+
+
+class TermsDiffer(ChannelFault):
+    """Another gateway has other registers or spans in its file: its calls are declined."""
+
+    remedy = "make fleet.channels.register, office_s, call_ms and drift_permille the same in all gateways' files"
+
+
+class RegistersChanged(ChannelFault):
+    """The file names other registers than when the register's state was made: majorities of the old and the new need not meet."""
+
+    remedy = (
+        "put the old names back (a machine is replaced under its name); or stop all gateways, let every register that is kept "
+        "go on by a file FILE.go-on beside its own, and know that records at the removed ones alone are lost"
+    )
+
+
+class StateUnusable(ChannelFault):
+    """The register's disk does not take writes, or its file is of a later version of the program."""
+
+    remedy = "see that state_dir is writable, on a disk in order, and that no later version has written there; then restart"
--- a/milletsill/fleet/channels/registers/service.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -11,17 +11,9 @@
 from typing import Any, Callable, Iterable, Sequence
 
 from milletsill.errors import Fault
-from milletsill.fleet.channels.errors import (
-    ChannelFault,
-    NoMajority,
-    NotHeld,
-    NotKeeper,
-    Outvoted,
-    TooMany,
-)
-from milletsill.fleet.channels.clocks import Clocks
-from milletsill.fleet.channels.registers import codec, registers_pb2 as wire
-from milletsill.fleet.channels.registers.decide import (
+from milletsill.fleet.leases import codec
+from milletsill.fleet.leases import registers_pb2 as wire
+from milletsill.fleet.leases.acceptor import (
     AGAIN,
     MOST_NAME,
     MOST_VALUE,
@@ -34,19 +26,28 @@
     Say,
     Span,
 )
-from milletsill.fleet.channels.registers.desk import Desk
-from milletsill.fleet.channels.registers.metrics import Figures
-from milletsill.fleet.channels.registers.seat import (
+from milletsill.fleet.leases.acceptor_recovery import BEAT, HELLO, Identity, later
+from milletsill.fleet.leases.acceptor_service import Desk
+from milletsill.fleet.leases.blocking_worker import Worker
+from milletsill.fleet.leases.errors import (
+    ChannelFault,
+    NoMajority,
+    NotHeld,
+    NotKeeper,
+    Outvoted,
+    TooMany,
+)
+from milletsill.fleet.leases.lease_proposer import (
     Effect,
     Poll,
     Seat,
     Seated,
     rounds_used,
 )
-from milletsill.fleet.channels.registers.standing import BEAT, HELLO, Identity, later
-from milletsill.fleet.channels.registers.terms import Place, Term, Took, Wrote
-from milletsill.fleet.channels.registers.thread import Worker
-from milletsill.fleet.plane import Kind, Plane
+from milletsill.fleet.leases.lease_state import Place, Term, Took, Wrote
+from milletsill.fleet.leases.metrics import Figures
+from milletsill.fleet.peer_clocks import Clocks
+from milletsill.fleet.transport import Kind, Plane
 
 TICK = 200  # between looks at calls whose span is over
 MOST_OPEN, MOST_CALLBACKS, MOST_REGISTERS = (
--- a/milletsill/fleet/channels/registers/seat.py
+++ b/milletsill/fleet/leases/lease_proposer.py
@@ -8,17 +8,17 @@
 from enum import Enum
 from typing import Sequence
 
-from milletsill.fleet.channels.registers.decide import (
+from milletsill.fleet.leases.acceptor import (
+    NOBODY,
+    TRIES,
+    UNKNOWN,
+    UNWRITTEN,
     Answer,
     Ask,
     Ballot,
     Call,
-    NOBODY,
     Say,
     Span,
-    TRIES,
-    UNKNOWN,
-    UNWRITTEN,
     majority,
 )
 
--- a/milletsill/fleet/channels/registers/terms.py
+++ b/milletsill/fleet/leases/lease_state.py
@@ -5,7 +5,7 @@
 from typing import Callable, Union
 
 from milletsill.errors import Fault
-from milletsill.fleet.channels.registers.seat import Seat
+from milletsill.fleet.leases.lease_proposer import Seat
 
 Took = Callable[[Union["Term", Fault]], None]
 Wrote = Callable[[Union[Fault, None]], None]
--- a/milletsill/fleet/members/effects.py
+++ b/milletsill/fleet/membership/effects.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from milletsill.fleet.frames.words import Message
-from milletsill.fleet.plane import Change, Member
+from milletsill.fleet.frames.messages import Message
+from milletsill.fleet.transport import Change, Member
 
 # LOST_STATE: others knew a later run of this name. TWIN: two live ones have it. REFUTED: others suspected this one.
 # STOOD: this one stood still. FULL: a member more than the bound.
--- a/milletsill/fleet/members/decide.py
+++ b/milletsill/fleet/membership/failure_detector.py
@@ -12,8 +12,8 @@
 from math import log
 from typing import Mapping, Sequence
 
-from milletsill.fleet.frames.words import Row
-from milletsill.fleet.plane import Change, Standing
+from milletsill.fleet.frames.messages import Row
+from milletsill.fleet.transport import Change, Standing
 
 ALIVE, SUSPECT, GONE, LEFT = (
     Standing.ALIVE,
--- a/milletsill/fleet/members/table.py
+++ b/milletsill/fleet/membership/member_table.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from milletsill.fleet.frames.codec import row_room
-from milletsill.fleet.frames.words import Row
-from milletsill.fleet.plane import PRESENT, Member, Standing
+from milletsill.fleet.frames.messages import Row
+from milletsill.fleet.transport import PRESENT, Member, Standing
 
 
 class Known:
--- a/milletsill/fleet/members/membership.py
+++ b/milletsill/fleet/membership/membership.py
@@ -13,8 +13,10 @@
 from typing import Iterable, Sequence
 
 from milletsill.fleet.frames.codec import ROWS_A_FRAME, head_room, row_room
-from milletsill.fleet.frames.words import Message, Row, What
-from milletsill.fleet.members.decide import (
+from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.gossip.gossip_queue import bound
+from milletsill.fleet.membership.effects import Effect, Said, Say, Send
+from milletsill.fleet.membership.failure_detector import (
     BEAT,
     FORGET_EVERY,
     HEARSAYS,
@@ -44,11 +46,9 @@
     troubled,
     wanted_confirms,
 )
-from milletsill.fleet.members.effects import Effect, Said, Say, Send
-from milletsill.fleet.members.rolls import Rolls
-from milletsill.fleet.members.table import Known
-from milletsill.fleet.plane import PRESENT, Standing
-from milletsill.fleet.spread.decide import bound
+from milletsill.fleet.membership.member_table import Known
+from milletsill.fleet.membership.membership_state import Rolls
+from milletsill.fleet.transport import PRESENT, Standing
 
 LIVES = (
     "refuted",
--- a/milletsill/fleet/members/rolls.py
+++ b/milletsill/fleet/membership/membership_state.py
@@ -3,25 +3,32 @@
 from __future__ import annotations
 
 from milletsill.fleet.frames.codec import MOST_BY
-from milletsill.fleet.frames.words import Message, Row, What
-from milletsill.fleet.members.decide import (
+from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.gossip.gossip_queue import Spread
+from milletsill.fleet.membership.effects import (
+    Changed,
+    Claimed,
+    Effect,
+    Said,
+    Say,
+    Send,
+)
+from milletsill.fleet.membership.failure_detector import (
     CHANGES,
     HELD,
     OWN,
     TWIN_AFTER,
     TWIN_EVERY,
-    Own,
     Order,
+    Own,
     Terms,
     Word,
     believed,
     order_of,
     word_of,
 )
-from milletsill.fleet.members.effects import Changed, Claimed, Effect, Said, Say, Send
-from milletsill.fleet.members.table import Known, Table
-from milletsill.fleet.plane import PRESENT, Change, Standing
-from milletsill.fleet.spread.decide import Spread
+from milletsill.fleet.membership.member_table import Known, Table
+from milletsill.fleet.transport import PRESENT, Change, Standing
 
 
 class Rolls:
--- a/milletsill/fleet/net/datagrams.py
+++ b/milletsill/fleet/net/datagrams.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from milletsill.fleet.frames.codec import MOST_DATAGRAM
-from milletsill.fleet.net.decide import RECEIVES
+from milletsill.fleet.net.stream_state import RECEIVES
 
 
 class Datagrams(DatagramProtocol):
--- a/milletsill/fleet/net/streams.py
+++ b/milletsill/fleet/net/streams.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.fleet.frames.codec import Frames, TooLong, framed
-from milletsill.fleet.net.decide import (
+from milletsill.fleet.net.stream_state import (
     DIAL,
     IDLE,
     MOST_IN,
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 
 from milletsill.errors import Fault
-from milletsill.fleet import faults
+from milletsill.fleet import errors
 from milletsill.fleet.frames.codec import (
     MOST_BODY,
     MOST_DATAGRAM,
@@ -21,14 +21,21 @@
     TooNew,
     Unreadable,
 )
-from milletsill.fleet.frames.words import VERSION, Message, What
-from milletsill.fleet.members.decide import BEAT, Own, Terms
-from milletsill.fleet.members.effects import Changed, Claimed, Effect, Said, Say, Send
-from milletsill.fleet.members.membership import Membership
+from milletsill.fleet.frames.messages import VERSION, Message, What
+from milletsill.fleet.membership.effects import (
+    Changed,
+    Claimed,
+    Effect,
+    Said,
+    Say,
+    Send,
+)
+from milletsill.fleet.membership.failure_detector import BEAT, Own, Terms
+from milletsill.fleet.membership.membership import Membership
 from milletsill.fleet.metrics import Figures
 from milletsill.fleet.net.datagrams import listen
 from milletsill.fleet.net.streams import Door, Streams
-from milletsill.fleet.plane import Change, Kind, Member, Standing, View
+from milletsill.fleet.transport import Change, Kind, Member, Standing, View
 
 GATHER = 200  # changes so close together make one view
 SAY_EVERY = 100_000  # between lines about frames of one cause
@@ -124,7 +131,7 @@
             )
             self.ports.append(udp)
         except CannotListenError as error:
-            raise faults.NoFleetAddress(str(error), self.link.address) from None
+            raise errors.NoFleetAddress(str(error), self.link.address) from None
         address = self.link.advertise or f"{host}:{number}"
         self.began = self.now()
         self.member = Membership(
@@ -194,7 +201,7 @@
         elif not self.alone and member.join and self.now() - self.began >= ALONE_AFTER:
             self.alone = True
             self.say(
-                faults.Alone(
+                errors.Alone(
                     "no other gateway has answered", f"fleet {self.link.name!r}"
                 )
             )
@@ -356,7 +363,7 @@
         """Lines for an operator."""
         if said.what is Said.LOST_STATE:
             self.say(
-                faults.LostState(
+                errors.LostState(
                     f"run {said.span} of {self.name!r} is known to others, at {said.where}",
                     "state_dir",
                 ),
@@ -364,7 +371,7 @@
             )
         elif said.what is Said.TWIN:
             self.say(
-                faults.TwinName(
+                errors.TwinName(
                     f"another live gateway is called {self.name!r}", said.where
                 ),
                 resting=self.member.rolls.own is Own.DISPLACED,
@@ -374,7 +381,7 @@
             if now - self.said.get("full", now - SAY_EVERY) >= SAY_EVERY:
                 self.said["full"] = now
                 self.say(
-                    faults.FleetFull(
+                    errors.FleetFull(
                         f"{said.where!r} has no place among {self.terms.most_members}",
                         "fleet.most_members",
                     )
--- a/milletsill/flows/collect.py
+++ b/milletsill/flows/collect.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 
 from milletsill.flows import ipfix, netflow9
-from milletsill.flows.ipfix import Cutter, BadExport
+from milletsill.flows.ipfix import BadExport, Cutter
 
 MOST_SESSIONS, MOST_TOP, LIFETIME = (
     1024,
--- a/milletsill/flows/exporter.py
+++ b/milletsill/flows/exporter.py
@@ -15,7 +15,15 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 
 from milletsill.flows import ipfix, netflow9
-from milletsill.flows.decide import (
+from milletsill.flows.elements import (
+    ELEMENTS,
+    OURS,
+    RELIABILITY,
+    SELECTION,
+    TEMPLATES,
+    TYPE_INFO,
+)
+from milletsill.flows.export_policy import (
     PROVEN,
     SECOND,
     STUCK_FOR,
@@ -32,14 +40,6 @@
     shed,
     templates_due,
 )
-from milletsill.flows.elements import (
-    ELEMENTS,
-    OURS,
-    RELIABILITY,
-    SELECTION,
-    TEMPLATES,
-    TYPE_INFO,
-)
 from milletsill.flows.ipfix import Record
 from milletsill.flows.meter import Cache, Meter, Out
 
--- a/milletsill/flows/edge.py
+++ b/milletsill/flows/gateway_export.py
@@ -6,9 +6,9 @@
 
 import xxhash
 
-from milletsill.files.extensions import Order
 from milletsill.flows.exporter import Exporter
 from milletsill.flows.meter import BoxKey, ClientKey
+from milletsill.sftp.extensions import Order
 
 
 def domain_of(name: str) -> int:
--- a/milletsill/flows/meter.py
+++ b/milletsill/flows/meter.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass
 from typing import Any, Callable, NamedTuple
 
-from milletsill.flows.decide import Kind, Level, Metering, Tally, ended, victim
 from milletsill.flows.elements import (
     BOX_FLOW,
     CLIENT_FLOW,
@@ -20,6 +19,7 @@
     FORCED_END,
     NO_ROOM_END,
 )
+from milletsill.flows.export_policy import Kind, Level, Metering, Tally, ended, victim
 from milletsill.flows.ipfix import Record
 
 TCP = 6
--- a/milletsill/edge/turns.py
+++ b/milletsill/gateway/reactor_turn.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Callable
 
-from milletsill.edge.stalls import io_first
+from milletsill.gateway.stall_detection import io_first
 
 
 class NextTurn:
--- a/milletsill/edge/host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -10,9 +10,9 @@
 import heapq
 from typing import Any, Callable, Mapping, Protocol, Sequence
 
-from milletsill.edge.stalls import io_first
-from milletsill.edge.turns import NextTurn
 from milletsill.errors import whereabouts
+from milletsill.gateway.reactor_turn import NextTurn
+from milletsill.gateway.stall_detection import io_first
 from milletsill.interface import (
     Answer,
     Arrival,
--- a/milletsill/http1/lines.py
+++ b/milletsill/http1/line_reader.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from milletsill.http1.decide import END, MOST_INTERIM, Bounds, bare
+from milletsill.http1.message_limits import END, MOST_INTERIM, Bounds, bare
 from milletsill.http1.reader import ERRORS, BadMessage
 
 BOUNDS = Bounds()
--- a/milletsill/http1/reader.py
+++ b/milletsill/http1/reader.py
@@ -10,7 +10,7 @@
 import httptools
 
 from milletsill.errors import Malformed
-from milletsill.http1.decide import (
+from milletsill.http1.message_limits import (
     AMBIGUOUS,
     ANSWER_BEGINS,
     END,
--- a/milletsill/platform/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -9,8 +9,8 @@
 
 from milletsill.errors import Refused
 from milletsill.facts import Part, at_most, facts_of, missing_in, unknown_in
-from milletsill.platform.decide import ask_within
-from milletsill.platform.nodes import BadEntry, News, address_of, news_of
+from milletsill.http_gateway.endpoints import BadEntry, News, address_of, news_of
+from milletsill.http_gateway.gateway_limits import ask_within
 
 MOST_OCTETS = 8 << 20
 LEAST_MEMORY = 64  # MB, where no limit is told
--- a/milletsill/platform/discovery.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -9,11 +9,11 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from milletsill.errors import line_of
-from milletsill.http1.lines import AnswerLines
+from milletsill.http1.line_reader import AnswerLines
 from milletsill.http1.reader import BadMessage
 from milletsill.http1.writer import request
-from milletsill.interface import News as Kind
-from milletsill.platform.decide import (
+from milletsill.http_gateway.endpoints import BadEntry, News, news_of
+from milletsill.http_gateway.gateway_limits import (
     DIAL,
     FIRST_WORD,
     MOST_LINE,
@@ -26,7 +26,7 @@
     is_mute,
     retry_within,
 )
-from milletsill.platform.nodes import BadEntry, News, news_of
+from milletsill.interface import News as Kind
 
 PATH = b"/registry/instances?watch=1&from=%d"
 BEAT = object()  # an empty line: nothing changed
--- a/milletsill/platform/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -7,12 +7,12 @@
 from random import Random
 from typing import Any, Callable, Sequence
 
-from milletsill.edge.host import Ended, Host, Make
+from milletsill.gateway.scheduler_host import Ended, Host, Make
 from milletsill.http1.reader import Message
-from milletsill.interface import Arrival, News
-from milletsill.platform.asks import BadAsk, Cargo, Categories, cargo_of
-from milletsill.platform.configuration import Deployment, RefusedPlace
-from milletsill.platform.decide import (
+from milletsill.http_gateway.configuration import Deployment, RefusedPlace
+from milletsill.http_gateway.endpoint_watcher import Follower
+from milletsill.http_gateway.endpoints import Place
+from milletsill.http_gateway.gateway_limits import (
     ANSWER_MARGIN,
     UNTOLD_DIAL,
     UNTOLD_IDLE,
@@ -24,11 +24,11 @@
     pass_on,
     shares_of,
 )
-from milletsill.platform.discovery import Follower
-from milletsill.platform.door import Client, Clients
-from milletsill.platform.links import Fleet, Sending
-from milletsill.platform.nodes import Place
-from milletsill.policy import Scheduler
+from milletsill.http_gateway.http_server import Client, Clients
+from milletsill.http_gateway.node_connections import Fleet, Sending
+from milletsill.http_gateway.request_parser import BadAsk, Cargo, Categories, cargo_of
+from milletsill.interface import Arrival, News
+from milletsill.scheduler import Scheduler
 
 LOOK_EVERY, TALLY_EVERY = 0.1, 5.0  # seconds
 MOST_REMARKS = 20  # lines between two tallies
--- a/milletsill/platform/door.py
+++ b/milletsill/http_gateway/http_server.py
@@ -10,9 +10,9 @@
 from zope.interface import implementer
 
 from milletsill.http1 import writer
-from milletsill.http1.decide import Bounds
+from milletsill.http1.message_limits import Bounds
 from milletsill.http1.reader import BadMessage, Message, RequestReader
-from milletsill.platform.decide import (
+from milletsill.http_gateway.gateway_limits import (
     BEGUN_BY,
     LOOK_SHORT,
     MOST_AHEAD,
@@ -27,7 +27,7 @@
     due,
     next_stage,
 )
-from milletsill.platform.links import Verdict
+from milletsill.http_gateway.node_connections import Verdict
 
 BOUNDS = Bounds(body=MOST_BODY)
 
--- a/milletsill/platform/links.py
+++ b/milletsill/http_gateway/node_connections.py
@@ -9,14 +9,14 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import Protocol
 
-from milletsill.edge.host import Ended
-from milletsill.edge.turns import NextTurn
-from milletsill.http1.decide import Bounds
+from milletsill.gateway.reactor_turn import NextTurn
+from milletsill.gateway.scheduler_host import Ended
+from milletsill.http1.message_limits import Bounds
 from milletsill.http1.reader import AnswerReader, BadMessage, Message
 from milletsill.http1.writer import request
-from milletsill.interface import Outcome, Readiness
-from milletsill.platform.asks import Cargo, number_in, report_in
-from milletsill.platform.decide import (
+from milletsill.http_gateway.endpoint_watcher import Dial
+from milletsill.http_gateway.endpoints import Place
+from milletsill.http_gateway.gateway_limits import (
     IDLE_PART,
     MOST_BODY,
     MOST_EACH,
@@ -25,8 +25,8 @@
     Octets,
     kept_from,
 )
-from milletsill.platform.discovery import Dial
-from milletsill.platform.nodes import Place
+from milletsill.http_gateway.request_parser import Cargo, number_in, report_in
+from milletsill.interface import Outcome, Readiness
 
 BOUNDS = Bounds(body=MOST_BODY)
 
--- a/milletsill/platform/process.py
+++ b/milletsill/http_gateway/process.py
@@ -45,7 +45,7 @@
         )
         return 0 if wanted else 2
     signals = Signals()
-    from milletsill.platform.configuration import RefusedPlace, read
+    from milletsill.http_gateway.configuration import RefusedPlace, read
 
     clock = time.monotonic_ns() // 100_000 - time.time_ns() // 100_000
     faults = list[str]()
@@ -62,10 +62,10 @@
     from twisted.internet import reactor
     from twisted.internet.error import CannotListenError
 
-    from milletsill.edge.quiet import SETTLED, settle_memory
-    from milletsill.platform.configuration import RefusedPlace, read
-    from milletsill.platform.gateway import Gateway
-    from milletsill.platform.lines import Lines
+    from milletsill.gateway.process_setup import SETTLED, settle_memory
+    from milletsill.http_gateway.configuration import RefusedPlace, read
+    from milletsill.http_gateway.gateway import Gateway
+    from milletsill.http_gateway.json_log import Lines
 
     # Guards every span, the end after SIGTERM first, against a wall clock that is set while the process runs: Twisted's timers
     # follow it. Harm: none known.
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -12,9 +12,9 @@
 
 from twisted.internet import reactor
 
-from milletsill.settings.decide import check_gateway, check_scenario
 from milletsill.settings.load import load
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
+from milletsill.settings.validation import check_gateway, check_scenario
 
 START_WITHIN, LOOK = (
     300.0,
@@ -46,10 +46,10 @@
 
         sys.exit(hunt(values))
     if what == "edges":
-        from milletsill.edge.process import run
         from milletsill.lab.baselines import MODULES
         from milletsill.lab.plants import PLANTS
-        from milletsill.policy import Scheduler
+        from milletsill.scheduler import Scheduler
+        from milletsill.sftp_gateway.process import run
 
         if values[0] in PLANTS:
             PLANTS[values[0]]()
--- a/milletsill/lab/box.py
+++ b/milletsill/lab/box.py
@@ -10,13 +10,13 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.errors import Malformed
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import DRAINING, ERROR, FULL, Order, Verdict
-from milletsill.files.framing import Deframer
-from milletsill.files.wire import text_of
 from milletsill.lab.engine import Engine, Job, Speed
 from milletsill.lab.files import Files
 from milletsill.lab.record import IN, OUT, Recorder
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import DRAINING, ERROR, FULL, Order, Verdict
+from milletsill.sftp.framing import Deframer
+from milletsill.sftp.wire import text_of
 
 MOST_TICKETS, MOST_PACKET, META_WORK = 100_000, 64_000_000, 0.001
 
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -16,14 +16,14 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
-from milletsill.files import channels as wire
-from milletsill.files import packets
-from milletsill.files.channels import Asking, Numbered, Opening, Saying
-from milletsill.files.extensions import Terms
-from milletsill.files.wire import Attrs
 from milletsill.lab.clients import ClientLink
 from milletsill.lab.lateness import Lateness
 from milletsill.lab.record import Recorder
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
+from milletsill.sftp.channel_extensions import Asking, Numbered, Opening, Saying
+from milletsill.sftp.extensions import Terms
+from milletsill.sftp.wire import Attrs
 
 TICK, DIAL, AGAIN, SETUP = (
     0.01,
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -9,12 +9,12 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Terms
-from milletsill.files.framing import Deframer
-from milletsill.files.wire import Attrs
 from milletsill.lab.files import pattern
 from milletsill.lab.record import IN, OUT
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Terms
+from milletsill.sftp.framing import Deframer
+from milletsill.sftp.wire import Attrs
 
 MOST_HANDLES, AGAIN = (
     200,
--- a/milletsill/lab/clockwork.py
+++ b/milletsill/lab/clockwork.py
@@ -13,7 +13,6 @@
 from random import Random
 from typing import Any, Callable
 
-from milletsill.edge.facts import atlas_of, facts_of
 from milletsill.interface import (
     Answer,
     Arrival,
@@ -24,7 +23,8 @@
     Readiness,
 )
 from milletsill.lab.engine import Engine, Speed
-from milletsill.policy import Scheduler
+from milletsill.scheduler import Scheduler
+from milletsill.sftp_gateway.deployment import atlas_of, facts_of
 
 WAY = 5  # tenths of a millisecond from a gateway to a box, and back
 SECOND = 10_000
--- a/milletsill/lab/day.py
+++ b/milletsill/lab/day.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from milletsill.errors import Unfit
-from milletsill.settings.decide import TROUBLES
 from milletsill.settings.milletsill_pb2 import Scenario
+from milletsill.settings.validation import TROUBLES
 
 MICRO = 1_000_000
 REPEATS = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
--- a/milletsill/lab/files.py
+++ b/milletsill/lab/files.py
@@ -7,9 +7,9 @@
 
 import xxhash
 
-from milletsill.files import packets
-from milletsill.files.extensions import DONE, ELSEWHERE, Verdict
-from milletsill.files.wire import Attrs, Name, text_of
+from milletsill.sftp import packets
+from milletsill.sftp.extensions import DONE, ELSEWHERE, Verdict
+from milletsill.sftp.wire import Attrs, Name, text_of
 
 MOST_NAMES = 100  # on a page
 MOST_FILE = 64_000_000
--- a/milletsill/lab/fleet_clock.py
+++ b/milletsill/lab/fleet_clock.py
@@ -13,11 +13,11 @@
 from typing import Any, Callable, Iterable, Sequence
 
 from milletsill.fleet.frames.codec import MOST_BODY, Codec, framed
-from milletsill.fleet.frames.words import Message, What
-from milletsill.fleet.members.decide import BEAT, Terms
-from milletsill.fleet.members.effects import Changed, Effect, Say, Send
-from milletsill.fleet.members.membership import Membership
-from milletsill.fleet.plane import Change, Kind, Member, View
+from milletsill.fleet.frames.messages import Message, What
+from milletsill.fleet.membership.effects import Changed, Effect, Say, Send
+from milletsill.fleet.membership.failure_detector import BEAT, Terms
+from milletsill.fleet.membership.membership import Membership
+from milletsill.fleet.transport import Change, Kind, Member, View
 
 MS, SECOND = 10, 10_000
 SOCKET = 400  # datagrams that a socket holds for a gateway that stands still
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -13,7 +13,7 @@
 
 from google.protobuf import text_format
 
-from milletsill.fleet.health.decide import (
+from milletsill.fleet.health.health_evaluator import (
     CALLED,
     CALM_PUBLISH,
     LASTS,
@@ -23,9 +23,9 @@
     Order,
     Verdict,
 )
-from milletsill.fleet.health.observe import Observer, urgent
-from milletsill.fleet.health.rows import Rows
-from milletsill.fleet.plane import Member, Standing, View
+from milletsill.fleet.health.node_observer import Observer, urgent
+from milletsill.fleet.health.report_store import Rows
+from milletsill.fleet.transport import Member, Standing, View
 from milletsill.interface import Answer, Arrival, Outcome
 from milletsill.lab.clockwork import Box, Fleet, Gateway, Transfer
 from milletsill.settings.milletsill_pb2 import Scenario
@@ -306,7 +306,7 @@
 
     def lie(self, words: dict[int, Any]) -> dict[int, Any]:
         """In concert: the same well boxes are ill, the ill ones are well."""
-        from milletsill.fleet.health.rows import Word
+        from milletsill.fleet.health.report_store import Word
 
         for box in self.slandered:
             words[box] = Word(0, self.now, 8.0, 1.0, 1.0, 0.0, 0.0)
--- a/milletsill/lab/health_spread.py
+++ b/milletsill/lab/health_spread.py
@@ -11,7 +11,8 @@
 from random import Random
 from typing import Any, Callable
 
-from milletsill.fleet.health.decide import (
+from milletsill.fleet.health import codec
+from milletsill.fleet.health.health_evaluator import (
     CALLED,
     CALM_PUBLISH,
     ROUND,
@@ -21,11 +22,10 @@
     Order,
     admitted,
 )
-from milletsill.fleet.health.observe import Sight, urgent, words_of
-from milletsill.fleet.health import codec
-from milletsill.fleet.health.rows import Difference, Rows, Word
-from milletsill.fleet.health.spread import Spread
-from milletsill.fleet.plane import Member, Standing, View
+from milletsill.fleet.health.node_observer import Sight, urgent, words_of
+from milletsill.fleet.health.report_exchange import Spread
+from milletsill.fleet.health.report_store import Difference, Rows, Word
+from milletsill.fleet.transport import Member, Standing, View
 
 BOXES, RATE, PERIOD, JUDGES, SPREAD_OF_PACE, KEEP = 44, 580.0, 3000, 10, 1.0, 2 * SECOND
 WAY, LOSS = (
--- a/milletsill/lab/hunt/again.py
+++ b/milletsill/lab/hunt/again.py
@@ -15,7 +15,7 @@
 
 import numpy
 
-from milletsill.fleet.channels.registers import desk, service
+from milletsill.fleet.leases import acceptor_service, lease_manager
 from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_world import FleetWorld
 from milletsill.lab.hunt.gate import CHANNELS, Kept
@@ -80,8 +80,8 @@
 def played(seed: int, gateways: int, lost: bool) -> dict[str, float]:
     secrets = Random(seed + 1)
     with (
-        mock.patch.object(service, "SystemRandom", lambda: secrets),
-        mock.patch.object(desk, "Store", Kept),
+        mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
+        mock.patch.object(acceptor_service, "Store", Kept),
     ):
         return Again(seed, gateways).played(lost)
 
--- a/milletsill/lab/hunt/command.py
+++ b/milletsill/lab/hunt/command.py
@@ -13,7 +13,6 @@
 
 from milletsill.lab.hunt.decide import Game, hunt
 
-
 TOLD = 50  # seeds between lines
 
 
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -11,10 +11,10 @@
 from typing import Any, Callable, Sequence
 from unittest import mock
 
-from milletsill.fleet.channels.registers import desk, service
-from milletsill.fleet.health.decide import CALLED
-from milletsill.fleet.health.rows import Word
-from milletsill.fleet.members.effects import Send
+from milletsill.fleet.health.health_evaluator import CALLED
+from milletsill.fleet.health.report_store import Word
+from milletsill.fleet.leases import acceptor_service, lease_manager
+from milletsill.fleet.membership.effects import Send
 from milletsill.lab.fleet_clock import SECOND, FleetClock
 from milletsill.lab.hunt.decide import Event
 from milletsill.lab.hunt.gate import CHANNELS, Disk, Gate, Kept
@@ -484,8 +484,8 @@
     def play(self, seed: int, events: Sequence[Event]) -> str | None:
         secrets = Random(seed + 1)
         with (
-            mock.patch.object(service, "SystemRandom", lambda: secrets),
-            mock.patch.object(desk, "Store", Kept),
+            mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
+            mock.patch.object(acceptor_service, "Store", Kept),
         ):
             world = self.world = FleetWorld(
                 seed, self.size(seed), **{"judges": self.judges(seed), **self.more}
--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -13,17 +13,17 @@
 
 from prometheus_client import CollectorRegistry
 
-from milletsill.fleet.channels.registers.service import Offices, Term
-from milletsill.fleet.channels.registers.store import (
+from milletsill.fleet.health.health_sharing import Sharing
+from milletsill.fleet.leases.acceptor_recovery import Identity
+from milletsill.fleet.leases.acceptor_store import (
     TABLES,
     Store,
     checksum,
     put_identity,
     wire,
 )
-from milletsill.fleet.channels.registers.standing import Identity
-from milletsill.fleet.channels.registers.thread import tried
-from milletsill.fleet.health.edge import Sharing
+from milletsill.fleet.leases.blocking_worker import tried
+from milletsill.fleet.leases.lease_manager import Offices, Term
 from milletsill.lab.fleet_clock import SECOND, Stand
 
 PERIOD, RIVALS = 5000, 9
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -6,15 +6,15 @@
 from typing import Any, Callable
 from unittest import mock
 
-from milletsill.fleet.channels import model
-from milletsill.fleet.health import decide as health
-from milletsill.fleet.health.decide import Finding, Verdict
-from milletsill.fleet.health.rows import Rows
-from milletsill.fleet.members import decide as members
-from milletsill.fleet.members import membership
-from milletsill.fleet.members.decide import Order, Own, Word
-from milletsill.fleet.members.membership import Membership
-from milletsill.fleet.plane import Standing
+from milletsill.fleet.health import health_evaluator as health
+from milletsill.fleet.health.health_evaluator import Finding, Verdict
+from milletsill.fleet.health.report_store import Rows
+from milletsill.fleet.membership import failure_detector as members
+from milletsill.fleet.membership import membership
+from milletsill.fleet.membership.failure_detector import Order, Own, Word
+from milletsill.fleet.membership.membership import Membership
+from milletsill.fleet.transport import Standing
+from milletsill.lab.model_checks import lease_model
 
 
 def table(held: Any, without: Any = (), **more: Any) -> Callable[[], Any]:
@@ -51,5 +51,8 @@
     "health: what is missing is asked for": lambda: mock.patch.object(
         Rows, "after", lambda self, origin, run, base: None
     ),
-    **{f"registers: {each}": partial(model.without, each) for each in model.MUTANTS},
+    **{
+        f"registers: {each}": partial(lease_model.without, each)
+        for each in lease_model.MUTANTS
+    },
 }
--- a/milletsill/lab/hunt/list_world.py
+++ b/milletsill/lab/hunt/list_world.py
@@ -20,8 +20,8 @@
 
 from milletsill.interface import Listed, News, Readiness
 from milletsill.lab.hunt.decide import Event
-from milletsill.registry import cache, decide, follower
-from milletsill.registry.decide import Box, Cue, Stage, View, box_of
+from milletsill.registry import endpoint_cache, endpoint_view, registry_watcher
+from milletsill.registry.endpoint_view import Box, Cue, Stage, View, box_of
 
 PREFIX, KEYS, LASTS, CALM = "b/", 8, 45.0, 90.0  # seconds
 LINK = SimpleNamespace(
@@ -134,7 +134,7 @@
             if start == self.starts:
                 self.hear(news, entries)
 
-        self.follower = follower.Follower(
+        self.follower = registry_watcher.Follower(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000),
             LINK,
@@ -373,8 +373,8 @@
 @contextmanager
 def restored_unseen() -> Iterator[None]:
     with (
-        mock.patch.object(follower, "other_past", lambda *_: False),
-        mock.patch.object(decide, "other_past", lambda *_: False),
+        mock.patch.object(registry_watcher, "other_past", lambda *_: False),
+        mock.patch.object(endpoint_view, "other_past", lambda *_: False),
     ):
         yield
 
@@ -382,17 +382,17 @@
 # One guard out at a time, as hunts must find it.
 MUTANTS: dict[str, Callable[[], Any]] = {
     "what is compacted asks for the whole list": lambda: mock.patch.dict(
-        decide.FOLLOW_TABLE,
+        endpoint_view.FOLLOW_TABLE,
         {
             (Stage.WATCHING, Cue.COMPACTED): (Stage.WATCHING, ""),
             (Stage.JOINING, Cue.COMPACTED): (Stage.WATCHING, ""),
         },
     ),
     "a broken watch is told": lambda: mock.patch.dict(
-        decide.FOLLOW_TABLE, {(Stage.WATCHING, Cue.FAIL): (Stage.WATCHING, "")}
+        endpoint_view.FOLLOW_TABLE, {(Stage.WATCHING, Cue.FAIL): (Stage.WATCHING, "")}
     ),
     "a silent watch is found": lambda: mock.patch.object(
-        follower, "missed", lambda there, cluster, brought, keys: False
+        registry_watcher, "missed", lambda there, cluster, brought, keys: False
     ),
     "keys that went are counted": lambda: mock.patch.object(
         View, "keys", lambda self: Anything()
@@ -462,11 +462,11 @@
         disk = SimpleNamespace(
             get=lambda path: kept[-1],
             put=lambda path, boxes, revision: kept.append((dict(boxes), revision)),
-            ListUnkept=cache.ListUnkept,
+            ListUnkept=endpoint_cache.ListUnkept,
         )
         with (
-            mock.patch.object(follower, "cache", disk),
-            mock.patch.object(follower, "deferToThread", maybeDeferred),
+            mock.patch.object(registry_watcher, "cache", disk),
+            mock.patch.object(registry_watcher, "deferToThread", maybeDeferred),
         ):
             world = ListWorld(seed)
             for each in events:
--- a/milletsill/lab/hunt/scale.py
+++ b/milletsill/lab/hunt/scale.py
@@ -16,11 +16,11 @@
 
 from prometheus_client import CollectorRegistry
 
-from milletsill.fleet.channels.registers import desk, service
 from milletsill.fleet.health import codec
-from milletsill.fleet.health.edge import Sharing, key_of
-from milletsill.fleet.health.rows import Rows, Word
-from milletsill.fleet.plane import Member, Standing, View
+from milletsill.fleet.health.health_sharing import Sharing, key_of
+from milletsill.fleet.health.report_store import Rows, Word
+from milletsill.fleet.leases import acceptor_service, lease_manager
+from milletsill.fleet.transport import Member, Standing, View
 from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_world import FleetWorld
 from milletsill.lab.hunt.gate import LINK, Host, Kept, remark
@@ -39,8 +39,8 @@
     gc.collect()
     secrets, before = Random(seed), resident()
     with (
-        mock.patch.object(service, "SystemRandom", lambda: secrets),
-        mock.patch.object(desk, "Store", Kept),
+        mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
+        mock.patch.object(acceptor_service, "Store", Kept),
     ):
         world = FleetWorld(seed, gateways, registers=5, users=20, judges=0, boxes=BOXES)
         world.acquaint()
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -15,10 +15,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from milletsill.edge.facts import atlas_of
 from milletsill.lab.clients import EdgeDoor, Operation
 from milletsill.lab.lateness import Lateness
 from milletsill.lab.record import Recorder
+from milletsill.sftp_gateway.deployment import atlas_of
 from milletsill.trace.reckoning import Claim, Done
 from milletsill.trace.records import BY_NAME
 from milletsill.trace.service import SECOND, ServiceTerms, put_terms, reckoned
--- a/milletsill/fleet/channels/contracts/model.py
+++ b/milletsill/lab/model_checks/channel_model.py
@@ -1,6 +1,6 @@
 """A model of contracts: the very Keeper and Line under every order of events up to a depth, and under chance (sea.py).
 
-    python -m milletsill.fleet.channels.contracts.model [--walks N --steps N --worlds N]
+    python -m milletsill.lab.model_checks.channel_model [--walks N --steps N --worlds N]
 
 After each effect at a box it looks at the contract: the order, none twice, none left out that was never let go; at each word to a
 client and each taking of the office whether what was told as settled is. `MUTANTS` take out one guard each; the tests demand that
@@ -16,12 +16,12 @@
 from typing import Any, Callable, Iterator
 from unittest import mock
 
-from milletsill.fleet.channels.contracts import decide
-from milletsill.fleet.channels.contracts.decide import Input, Order, Phase, Unsure
-from milletsill.fleet.channels.contracts.gone import Gone
-from milletsill.fleet.channels.contracts.keeper import Keeper
-from milletsill.fleet.channels.contracts.line import Line
-from milletsill.fleet.channels.contracts.sea import Sea
+from milletsill.fleet.channels import ordering
+from milletsill.fleet.channels.channel_owner import Keeper
+from milletsill.fleet.channels.channel_sequencer import Line
+from milletsill.fleet.channels.ordering import Input, Order, Phase, Unsure
+from milletsill.fleet.channels.released_attempts import Gone
+from milletsill.lab.model_checks.channel_simulation import Sea
 
 # How often each kind of event is chosen, by a word of its name; the first that is in it counts.
 WEIGHTS = {
@@ -336,7 +336,7 @@
         (
             each
             for each, entry in sorted(line.entries.items())
-            if each < number and decide.meet(entry.reaches, reaches)
+            if each < number and ordering.meet(entry.reaches, reaches)
         ),
         None,
     )
@@ -368,11 +368,14 @@
 
 
 _pump = Keeper.pump
-FREE_AGAIN = {**decide.PHASE_TABLE, (Phase.OUT, Input.LOST): (Phase.AWAITED, "decline")}
+FREE_AGAIN = {
+    **ordering.PHASE_TABLE,
+    (Phase.OUT, Input.LOST): (Phase.AWAITED, "decline"),
+}
 
 
 def without_order(order: Order, made: Callable[..., Any] = _none_before) -> Any:
-    return lambda: mock.patch.dict(decide.ORDER_TABLE, {order: made})
+    return lambda: mock.patch.dict(ordering.ORDER_TABLE, {order: made})
 
 
 def without_method(owner: Any, name: str, made: Any) -> Any:
@@ -398,7 +401,7 @@
     "a decline only of what cannot have run": without_method(Gone, "input", _harmless),
     "nor of what was tried before": without_method(Line, "tried_before", _no),
     "an unsure number is not free": lambda: mock.patch.dict(
-        decide.PHASE_TABLE, FREE_AGAIN
+        ordering.PHASE_TABLE, FREE_AGAIN
     ),
     "one holds the claim": without_method(Line, "holds", _yes),
 }
--- a/milletsill/fleet/channels/contracts/sea.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -10,11 +10,16 @@
 from random import Random
 from typing import Any, Callable
 
-from milletsill.files import channels as wire
-from milletsill.files import packets
-from milletsill.files.extensions import Terms
-from milletsill.fleet.channels.contracts import codec
-from milletsill.fleet.channels.contracts.decide import (
+from milletsill.fleet.channels import codec
+from milletsill.fleet.channels.channel_owner import Keeper
+from milletsill.fleet.channels.commands import (
+    Elsewhere,
+    Open,
+    Say,
+    Transfer,
+    Word,
+)
+from milletsill.fleet.channels.ordering import (
     Book,
     Contract,
     Input,
@@ -23,17 +28,12 @@
     Reaches,
     Unsure,
 )
-from milletsill.fleet.channels.contracts.gone import Gone
-from milletsill.fleet.channels.contracts.keeper import Keeper
-from milletsill.fleet.channels.contracts.pieces import SETTLED, LetGo
-from milletsill.fleet.channels.contracts.words import (
-    Elsewhere,
-    Open,
-    Say,
-    Transfer,
-    Word,
-)
-from milletsill.fleet.channels.errors import NoMajority, NotKeeper, Outvoted
+from milletsill.fleet.channels.released_attempts import Gone
+from milletsill.fleet.channels.sequences import SETTLED, LetGo
+from milletsill.fleet.leases.errors import NoMajority, NotKeeper, Outvoted
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
+from milletsill.sftp.extensions import Terms
 
 OFFICE, REST, WINDOW, HOLE, PATIENCE, DRIFT = (
     1000,
--- a/milletsill/fleet/channels/world.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -7,28 +7,28 @@
 import copy
 from typing import Any, NamedTuple
 
-from milletsill.fleet.channels.registers import decide, standing
-from milletsill.fleet.channels.registers.decide import (
+from milletsill.fleet.leases import acceptor, acceptor_recovery
+from milletsill.fleet.leases.acceptor import (
     Answer,
     Call,
     Office,
     Record,
     Span,
 )
-from milletsill.fleet.channels.registers.seat import (
-    Effect,
-    Poll,
-    Seat,
-    Seated,
-    rounds_used,
-)
-from milletsill.fleet.channels.registers.standing import (
+from milletsill.fleet.leases.acceptor_recovery import (
     Identity,
     Joining,
     Page,
     Standing,
     Turn,
 )
+from milletsill.fleet.leases.lease_proposer import (
+    Effect,
+    Poll,
+    Seat,
+    Seated,
+    rounds_used,
+)
 
 C, MOST_FLYING = "c", 14
 SPAN = Span(
@@ -322,23 +322,23 @@
     def call(self, register: Register, sender: str, call: Call) -> None:
         now = self.clock(register.name)
         if sender in self.earlier:
-            call = call._replace(born=decide.JUST_NOW)
+            call = call._replace(born=acceptor.JUST_NOW)
         if (
-            call.born != decide.JUST_NOW
+            call.born != acceptor.JUST_NOW
         ):  # as the offices date it: on the register's clock, at the earliest
             made = call.born * 1000 // (1000 + self.rates[sender])
             call = call._replace(born=made * (1000 + self.rates[register.name]) // 1000)
         if not register.whole():
             answer = Answer(
-                call.ask, C, call.ballot, call.index, decide.Say.AWAY, pause=1
+                call.ask, C, call.ballot, call.index, acceptor.Say.AWAY, pause=1
             )
         else:
             office = (
                 register.office
                 if register.office is not None
-                else decide.loaded(register.base, self.span)
+                else acceptor.loaded(register.base, self.span)
             )
-            done = decide.register(
+            done = acceptor.register(
                 register.record,
                 office if register.record is not None else None,
                 register.floor,
@@ -364,10 +364,10 @@
                 self.fly(other, register.name, Tell())
         elif turn is Turn.ANEW:
             records = {C: register.record} if register.record is not None else {}
-            standing.merged(records, joining.records.items(), 0)
+            acceptor_recovery.merged(records, joining.records.items(), 0)
             self.nonce += 1
             register.floor = max(register.floor, joining.floor)
-            standing.fenced(records, register.floor)
+            acceptor_recovery.fenced(records, register.floor)
             register.own, register.record, register.office = (
                 joining.anew(self.nonce),
                 records.get(C),
@@ -437,10 +437,10 @@
         if (
             self.silent
             and record is not None
-            and decide.forgettable(record, up, self.silent)
+            and acceptor.forgettable(record, up, self.silent)
         ):
             register.floor, register.office = (
-                decide.raised(register.floor, record),
+                acceptor.raised(register.floor, record),
                 None,
             )
             self.commit(register, None)
--- a/milletsill/fleet/channels/model.py
+++ b/milletsill/lab/model_checks/lease_model.py
@@ -1,6 +1,6 @@
 """A model of keepers, registers and a network that misbehaves, run on the very functions of registers/decide.py and standing.py.
 
-    python -m milletsill.fleet.channels.model [--walks N --steps N --registers N --keepers N]
+    python -m milletsill.lab.model_checks.lease_model [--walks N --steps N --registers N --keepers N]
 
 `explore` goes through every order of events up to a depth for three registers, two keepers and one channel; `walk` goes by seeded
 chance through larger ones. After each event they look whether two gateways hold the office at one true moment, and at each seat
@@ -15,12 +15,11 @@
 from random import Random
 from typing import Any, Callable
 
-from milletsill.fleet.channels.mutants import MUTANTS, without
-from milletsill.fleet.channels.registers import decide, standing
-from milletsill.fleet.channels.registers.seat import Seated
-from milletsill.fleet.channels.registers.standing import Page
-from milletsill.fleet.channels.world import SPAN, Heard, Hello, Tell, World
-
+from milletsill.fleet.leases import acceptor, acceptor_recovery
+from milletsill.fleet.leases.acceptor_recovery import Page
+from milletsill.fleet.leases.lease_proposer import Seated
+from milletsill.lab.model_checks.lease_cluster import SPAN, Heard, Hello, Tell, World
+from milletsill.lab.model_checks.lease_mutation_checks import MUTANTS, without
 
 # --- Every order of events.
 
@@ -181,7 +180,7 @@
     joining = world.registers[name].joining
     if joining is None:
         return
-    if joining.state is standing.Standing.GATHERING:
+    if joining.state is acceptor_recovery.Standing.GATHERING:
         for other in joining.others:
             world.fly(other, name, Tell())
     else:
@@ -230,7 +229,7 @@
     places = tuple(world.registers)
     [world.beat(each) for each in places]
     settle(world)
-    reach = chance.sample(places, decide.majority(len(places)))
+    reach = chance.sample(places, acceptor.majority(len(places)))
     for _ in range(2):
         world.take(keeper)
         world.exchange(keeper, tuple(reach))
@@ -260,7 +259,7 @@
     settle(world)
     if world.silent and chance.random() < 0.4:
         silence(world, chance)
-    reach = chance.sample(places, decide.majority(len(places)))
+    reach = chance.sample(places, acceptor.majority(len(places)))
     world.take(new)
     world.exchange(new, tuple(reach), chance.random() < 0.5)
     if chance.random() < 0.4:
--- a/milletsill/fleet/channels/mutants.py
+++ b/milletsill/lab/model_checks/lease_mutation_checks.py
@@ -1,7 +1,7 @@
 """The guards of registers and offices, one out at a time: each of them must be found missing by the model.
 
 `FOUND` is the seed of model.walk with three registers, three keepers and 600 steps at which it was, so that a test is short. When
-the model has changed, `python -m milletsill.fleet.channels.model` tells the new ones.
+the model has changed, `python -m milletsill.lab.model_checks.lease_model` tells the new ones.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 from typing import Any, Iterator
 from unittest import mock
 
-from milletsill.fleet.channels import world as world_of
-from milletsill.fleet.channels.registers import decide, seat, standing
-from milletsill.fleet.channels.registers.decide import Office, Span
-from milletsill.fleet.channels.registers.standing import Joining
+from milletsill.fleet.leases import acceptor, acceptor_recovery, lease_proposer
+from milletsill.fleet.leases.acceptor import Office, Span
+from milletsill.fleet.leases.acceptor_recovery import Joining
+from milletsill.lab.model_checks import lease_cluster as world_of
 
 
 def _any_ballot(record: Any, floor: int, call: Any) -> Any:
     """A register takes each ballot as higher than what it promised."""
     return (
-        decide.Rank.HIGHER
+        acceptor.Rank.HIGHER
         if record is None or call.ballot != record.promised
-        else decide.Rank.SAME
+        else acceptor.Rank.SAME
     )
 
 
 def _no_office(record: Any, office: Any, call: Any, now: int) -> Any:
     """A register refuses nobody for an office."""
-    return decide.Hold.FREE
+    return acceptor.Hold.FREE
 
 
 def _shorter(self: Span) -> int:
@@ -128,9 +128,9 @@
 
 def _copies_vote(answers: Any, best: Any, registers: int) -> bool:
     """A copy that a register was told of counts as a vote."""
-    return best.stamp == decide.UNWRITTEN or sum(
+    return best.stamp == acceptor.UNWRITTEN or sum(
         each.stamp == best.stamp for each in answers
-    ) >= seat.majority(registers)
+    ) >= lease_proposer.majority(registers)
 
 
 def _young_again(
@@ -142,7 +142,7 @@
 
 def _unborn(self: Any, value: bytes, now: int, born: int, fresh: bool = True) -> None:
     """What a value says of times counts from when it came."""
-    _send(self, value, now, decide.JUST_NOW, fresh)
+    _send(self, value, now, acceptor.JUST_NOW, fresh)
 
 
 def _some_age(answers: Any, value: bytes) -> int | None:
@@ -151,39 +151,39 @@
         (
             each.aged
             for each in answers
-            if each.value == value and each.aged != decide.UNKNOWN
+            if each.value == value and each.aged != acceptor.UNKNOWN
         ),
         default=None,
     )
 
 
-_send = seat.Seat.send
+_send = lease_proposer.Seat.send
 MUTANTS: dict[str, tuple[Any, str, Any]] = {
-    "lower ballots are refused": (decide, "rank", _any_ballot),
-    "an office refuses others": (decide, "hold", _no_office),
+    "lower ballots are refused": (acceptor, "rank", _any_ballot),
+    "an office refuses others": (acceptor, "hold", _no_office),
     "drift at the register": (Span, "refused", _shorter),
     "drift at the keeper": (Span, "kept", _longer),
-    "terms from the send": (seat, "term_end", _from_answer),
-    "a majority": (seat, "majority", _half),
-    "written again": (seat, "even", _always_even),
-    "copies are no votes": (seat, "even", _copies_vote),
-    "the latest write is read": (seat, "newest", _first_told),
-    "offices of a former self": (decide, "loaded", _none_loaded),
-    "a call's end": (seat, "open_still", _each_answer),
-    "one renewal's answers": (seat, "fits", _any_renewal),
+    "terms from the send": (lease_proposer, "term_end", _from_answer),
+    "a majority": (lease_proposer, "majority", _half),
+    "written again": (lease_proposer, "even", _always_even),
+    "copies are no votes": (lease_proposer, "even", _copies_vote),
+    "the latest write is read": (lease_proposer, "newest", _first_told),
+    "offices of a former self": (acceptor, "loaded", _none_loaded),
+    "a call's end": (lease_proposer, "open_still", _each_answer),
+    "one renewal's answers": (lease_proposer, "fits", _any_renewal),
     "no ballot twice": (world_of, "rounds_used", _from_one),
-    "starts differ": (decide.Ballot, "same_holder", _one_holder),
-    "the floor of what is forgotten": (decide, "raised", _no_floor),
-    "others' word of later things": (standing, "later", _never_later),
+    "starts differ": (acceptor.Ballot, "same_holder", _one_holder),
+    "the floor of what is forgotten": (acceptor, "raised", _no_floor),
+    "others' word of later things": (acceptor_recovery, "later", _never_later),
     "others are asked first": (Joining, "enough", _anybody),
-    "enough others tell": (standing, "needed", _one_tells),
+    "enough others tell": (acceptor_recovery, "needed", _one_tells),
     "the rest before catching up": (Span, "rest", _no_rest),
-    "what others tell is taken": (standing, "merged", _nothing_merged),
-    "what is written again is not new": (seat.Seat, "send", _young_again),
-    "a value is as old as its making": (seat.Seat, "send", _unborn),
-    "all know the age": (seat, "aged", _some_age),
-    "floors hold for what is told": (standing, "fenced", _no_fence),
-    "promises are told too": (standing, "merged", _promise_left),
+    "what others tell is taken": (acceptor_recovery, "merged", _nothing_merged),
+    "what is written again is not new": (lease_proposer.Seat, "send", _young_again),
+    "a value is as old as its making": (lease_proposer.Seat, "send", _unborn),
+    "all know the age": (lease_proposer, "aged", _some_age),
+    "floors hold for what is told": (acceptor_recovery, "fenced", _no_fence),
+    "promises are told too": (acceptor_recovery, "merged", _promise_left),
 }
 FOUND: dict[str, int] = {
     "lower ballots are refused": 11,
--- a/milletsill/planner/model.py
+++ b/milletsill/lab/model_checks/quota_model.py
@@ -1,6 +1,6 @@
 """A model of planner, edges and a network that loses, doubles, delays and reorders, run on the very functions of decide.
 
-    python -m milletsill.planner.model [--walks N --steps N --edges N]
+    python -m milletsill.lab.model_checks.quota_model [--walks N --steps N --edges N]
 
 `explore` goes through every order of events up to a depth for a small fleet; `walk` goes by seeded chance through a large one.
 Both look after each event whether the parts in use add up to more than the whole. `MUTANTS` take out one guard each; the tests
@@ -16,10 +16,10 @@
 from typing import Any, Callable, Iterator
 from unittest import mock
 
-from milletsill.planner.decide.granting import Planner
-from milletsill.planner.decide.lending import Heard, Edge, Holding
-from milletsill.planner.decide.plan import Share
-from milletsill.planner.decide.terms import SECOND, WHOLE, Ask, Grant, Lent, Span
+from milletsill.planner.quota_granting import Planner
+from milletsill.planner.quota_lending import Edge, Heard, Holding
+from milletsill.planner.quota_plan import Share
+from milletsill.planner.quota_terms import SECOND, WHOLE, Ask, Grant, Lent, Span
 
 THING, SPAN, MOST_FLYING = ("limit", 1), Span(4 * SECOND, 0, 0.2), 6
 
--- a/milletsill/lab/plants.py
+++ b/milletsill/lab/plants.py
@@ -14,7 +14,7 @@
 
 
 def same_extent(one: Any, other: Any) -> bool:
-    from milletsill.fleet.channels.contracts.decide import meet
+    from milletsill.fleet.channels.ordering import meet
 
     return meet(one.reaches, other.reaches)
 
@@ -77,7 +77,7 @@
 
 
 def linger(*names: str) -> None:
-    from milletsill.fleet.channels.contracts.keeper import Keeper
+    from milletsill.fleet.channels.channel_owner import Keeper
 
     Lingering(Keeper, set(names))
 
@@ -86,11 +86,11 @@
     """Nothing ever stands before a number under these orders."""
 
     def plant() -> None:
-        from milletsill.fleet.channels.contracts import decide
+        from milletsill.fleet.channels import ordering
 
-        table: Any = decide.ORDER_TABLE
+        table: Any = ordering.ORDER_TABLE
         for name in names:
-            table[decide.Order[name]] = lambda line, number: None
+            table[ordering.Order[name]] = lambda line, number: None
         linger(*names)
 
     return plant
--- a/milletsill/lab/processes.py
+++ b/milletsill/lab/processes.py
@@ -15,7 +15,7 @@
 
 from google.protobuf import text_format
 
-from milletsill.planner.store import next_epoch
+from milletsill.planner.epoch_store import next_epoch
 from milletsill.settings.milletsill_pb2 import PlannerFile
 
 PORTS = (20_000, 32_000)
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -7,14 +7,14 @@
 from random import Random
 from typing import Any
 
-from milletsill.edge.decide import FREE, Spot, spot_text
-from milletsill.edge.facts import atlas_of
 from milletsill.lab.box import Box, Gates
 from milletsill.lab.files import Files, pattern
 from milletsill.lab.lateness import Deaf
 from milletsill.lab.moment import at
 from milletsill.lab.record import Recorder
 from milletsill.lab.registry import Registry, site
+from milletsill.sftp_gateway.deployment import atlas_of
+from milletsill.sftp_gateway.routing import FREE, Spot, spot_text
 
 OF_BOXES = (
     "vanish",
--- a/milletsill/lab/wire.py
+++ b/milletsill/lab/wire.py
@@ -10,7 +10,7 @@
 import sys
 from typing import Any
 
-from milletsill.policy import Scheduler
+from milletsill.scheduler import Scheduler
 from milletsill.trace.recorder import Recorder
 from milletsill.trace.tools import Tap
 from milletsill.wirehost.codec import BadBatch
--- a/milletsill/links/pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -12,12 +12,21 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.errors import Malformed
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Order, Verdict
-from milletsill.files.framing import Deframer
-from milletsill.files.wire import BadPacket
 from milletsill.interface import Outcome
-from milletsill.links.decide import Bounds, Load, Sign, Stage, Way, due, route, step
+from milletsill.node_connections.connection_state import (
+    Bounds,
+    Load,
+    Sign,
+    Stage,
+    Way,
+    due,
+    route,
+    step,
+)
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Order, Verdict
+from milletsill.sftp.framing import Deframer
+from milletsill.sftp.wire import BadPacket
 
 Ended = Callable[[Outcome, "Verdict | None"], None]
 # Told of each dispatch that ended, and of other packets without an order: order, outcome, octets to the box and back,
--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -8,8 +8,8 @@
 from google.protobuf.message import DecodeError
 
 from milletsill.errors import Malformed
-from milletsill.planner.decide.terms import Ask, Grant
 from milletsill.planner.plan_pb2 import Frame, Given, Piece, Wish
+from milletsill.planner.quota_terms import Ask, Grant
 
 LENGTH, MOST_FRAME, VERSION = Struct(">I"), 1 << 20, 1
 WHATS = ("limit", "reserve", "cold")
--- a/milletsill/planner/decide/wants.py
+++ b/milletsill/planner/demand_estimate.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from milletsill.planner.decide.terms import SECOND, SOON, WHOLE, Grant, Span
+from milletsill.planner.quota_terms import SECOND, SOON, WHOLE, Grant, Span
 
 UP, DOWN = 2 * SECOND, 3 * SECOND
 
--- a/milletsill/planner/decide/link.py
+++ b/milletsill/planner/planner_link.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Mapping
 
-from milletsill.planner.decide.terms import SECOND
+from milletsill.planner.quota_terms import SECOND
 
 # DOWN: nothing. GREETED: connected, the planner has not answered. PLANNED: grants come.
 Link = Enum("Link", "DOWN GREETED PLANNED")
--- a/milletsill/planner/service.py
+++ b/milletsill/planner/planner_service.py
@@ -19,12 +19,12 @@
 from milletsill.errors import CannotListen
 from milletsill.logs import logger
 from milletsill.planner import codec
-from milletsill.planner.codec import Frames, BadFrame, encoded, get_ask, put_grant
-from milletsill.planner.decide.granting import Planner
-from milletsill.planner.decide.terms import SECOND, Span
-from milletsill.planner.faults import OtherTerms, Superseded
+from milletsill.planner.codec import BadFrame, Frames, encoded, get_ask, put_grant
+from milletsill.planner.epoch_store import EpochUnkept, next_epoch
+from milletsill.planner.errors import OtherTerms, Superseded
 from milletsill.planner.plan_pb2 import Grants, Refused, Told, Welcome
-from milletsill.planner.store import EpochUnkept, next_epoch
+from milletsill.planner.quota_granting import Planner
+from milletsill.planner.quota_terms import SECOND, Span
 
 MOST_UNREAD, LOOK_EVERY = 4 << 20, 1.0  # bytes that an edge has not read; seconds
 
--- a/milletsill/planner/edge.py
+++ b/milletsill/planner/quota_client.py
@@ -16,19 +16,19 @@
 from milletsill.interface import Arrival, Listed, Readiness
 from milletsill.planner.codec import (
     VERSION,
-    Frames,
     BadFrame,
+    Frames,
     encoded,
     get_grant,
     put_ask,
 )
-from milletsill.planner.decide.lending import Edge, Heard
-from milletsill.planner.decide.link import Link, Said, dial_after, link_step
-from milletsill.planner.decide.terms import GUARD, SECOND, WHOLE, Thing
-from milletsill.planner.decide.wants import Demand, want_of, wanted
-from milletsill.planner.faults import PlannerAway, PlannerOld, PlannerRefuses
+from milletsill.planner.demand_estimate import Demand, want_of, wanted
+from milletsill.planner.errors import PlannerAway, PlannerOld, PlannerRefuses
 from milletsill.planner.plan_pb2 import Asks, Hello, Refused
-from milletsill.planner.service import span_of
+from milletsill.planner.planner_link import Link, Said, dial_after, link_step
+from milletsill.planner.planner_service import span_of
+from milletsill.planner.quota_lending import Edge, Heard
+from milletsill.planner.quota_terms import GUARD, SECOND, WHOLE, Thing
 
 PER_FRAME, SILENT = 5000, 5 * SECOND  # asks; a planner without a word is cut
 
--- a/milletsill/planner/decide/granting.py
+++ b/milletsill/planner/quota_granting.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from milletsill.planner.decide.plan import LEAST_PART, PLAN_EVERY, Pot, Share, plan
-from milletsill.planner.decide.terms import (
+from milletsill.planner.quota_plan import LEAST_PART, PLAN_EVERY, Pot, Share, plan
+from milletsill.planner.quota_terms import (
     MOST_PROMISES,
     SELDOM,
     SOON,
--- a/milletsill/planner/decide/lending.py
+++ b/milletsill/planner/quota_lending.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Iterable, Sequence
 
-from milletsill.planner.decide.terms import (
+from milletsill.planner.quota_terms import (
     GUARD,
     MOST_PROMISES,
     NEVER,
--- a/milletsill/planner/decide/plan.py
+++ b/milletsill/planner/quota_plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Container, Mapping
 
-from milletsill.planner.decide.terms import MOST_ENDS, SECOND, SELDOM, Span, Thing
+from milletsill.planner.quota_terms import MOST_ENDS, SECOND, SELDOM, Span, Thing
 
 PLAN_EVERY, LEAST_PART = (
     SECOND // 2,
--- a/milletsill/registry/cache.py
+++ b/milletsill/registry/endpoint_cache.py
@@ -8,7 +8,7 @@
 
 from milletsill.errors import Unkept
 from milletsill.interface import Readiness
-from milletsill.registry.decide import BadBox, Box, box_of
+from milletsill.registry.endpoint_view import BadBox, Box, box_of
 
 FORMAT, MOST_BYTES = 1, 16_000_000
 
--- a/milletsill/registry/jsons.py
+++ b/milletsill/registry/etcd_json.py
@@ -12,7 +12,7 @@
 from typing import Any, Callable
 
 from milletsill.errors import Malformed
-from milletsill.registry.decide import BadBox, Box, Told, box_of
+from milletsill.registry.endpoint_view import BadBox, Box, Told, box_of
 
 
 class BadAnswer(Malformed):
--- a/milletsill/registry/follower.py
+++ b/milletsill/registry/registry_watcher.py
@@ -14,8 +14,8 @@
 from zope.interface import implementer
 
 from milletsill.interface import Listed, News
-from milletsill.registry import cache, jsons
-from milletsill.registry.decide import (
+from milletsill.registry import endpoint_cache, etcd_json
+from milletsill.registry.endpoint_view import (
     LOOK,
     MOST_PUT_OFF,
     NEWS,
@@ -65,7 +65,7 @@
     ) -> None:
         self.most, self.line, self.done = most, line, done
         self.lines, self.held, self.size, self.over = (
-            jsons.Lines(most),
+            etcd_json.Lines(most),
             list[bytes](),
             0,
             False,
@@ -84,7 +84,7 @@
             for each in self.lines.feed(data):
                 if not self.over:
                     self.line(each)
-        except jsons.BadAnswer:
+        except etcd_json.BadAnswer:
             self.stop()
 
     def stop(self) -> None:
@@ -147,8 +147,8 @@
         """Tell the module the last list, or an empty one."""
         boxes: dict[str, Box] = {}
         try:
-            boxes, _ = cache.get(self.cache_path)
-        except cache.ListUnkept as error:
+            boxes, _ = endpoint_cache.get(self.cache_path)
+        except endpoint_cache.ListUnkept as error:
             self.remark(f"the last list is not used: {error.line()}")
         self.view.replace(boxes, 0)
         self.tell(News.CACHED, self.view.whole())
@@ -226,17 +226,17 @@
             self.no_longer_late()
             try:
                 if data is None:
-                    raise jsons.BadAnswer("the list did not come")
-                boxes, revision = jsons.read_range(data, self.complain)
-                keys, self.cluster = jsons.read_keys(data)
-            except jsons.BadAnswer as error:
+                    raise etcd_json.BadAnswer("the list did not come")
+                boxes, revision = etcd_json.read_range(data, self.complain)
+                keys, self.cluster = etcd_json.read_keys(data)
+            except etcd_json.BadAnswer as error:
                 self.remark(f"registry: {error.line()}")
                 return self.cue(Cue.FAIL)
             self.view.replace(boxes, revision, keys)
             self.brought, self.put_off = revision, 0
             self.cue(Cue.RANGE_OK)
 
-        self.call("/v3/kv/range", jsons.range_body(self.link.prefix), None, done)
+        self.call("/v3/kv/range", etcd_json.range_body(self.link.prefix), None, done)
 
     def watch(self) -> None:
         """Open the watch from the revision after the list's."""
@@ -256,7 +256,7 @@
 
         self.call(
             "/v3/watch",
-            jsons.watch_body(self.link.prefix, self.view.revision + 1),
+            etcd_json.watch_body(self.link.prefix, self.view.revision + 1),
             line,
             done,
         )
@@ -264,8 +264,10 @@
     def watched(self, data: bytes) -> None:
         """One message of the watch."""
         try:
-            changes, newest, opened, compacted = jsons.read_watch(data, self.complain)
-        except jsons.BadAnswer as error:
+            changes, newest, opened, compacted = etcd_json.read_watch(
+                data, self.complain
+            )
+        except etcd_json.BadAnswer as error:
             self.remark(f"registry: {error.line()}")
             return self.cue(Cue.FAIL)
         self.no_longer_late()
@@ -303,9 +305,9 @@
             self.no_look()
             try:
                 if data is None:
-                    raise jsons.BadAnswer("no answer")
-                there = Newest(*jsons.read_newest(data), self.brought)
-            except jsons.BadAnswer:
+                    raise etcd_json.BadAnswer("no answer")
+                there = Newest(*etcd_json.read_newest(data), self.brought)
+            except etcd_json.BadAnswer:
                 self.put_off = min(self.put_off + 1, MOST_PUT_OFF)
                 return self.look_later()
             self.put_off = 0
@@ -320,7 +322,7 @@
             done(None)
 
         self.look_call = self.reactor.callLater(self.link.call_ms / 1000, late)
-        self.call("/v3/kv/range", jsons.newest_body(self.link.prefix), None, done)
+        self.call("/v3/kv/range", etcd_json.newest_body(self.link.prefix), None, done)
 
     def settled(self, there: Newest) -> None:
         """What a look found missing has come by now, or does not come by this watch."""
@@ -377,7 +379,10 @@
     def save_now(self) -> None:
         self.save_call = None
         writing = deferToThread(
-            cache.put, self.cache_path, dict(self.view.by_key), self.view.revision
+            endpoint_cache.put,
+            self.cache_path,
+            dict(self.view.by_key),
+            self.view.revision,
         )
         writing.addCallbacks(
             lambda _: self.saved(""),
@@ -396,8 +401,10 @@
             self.save_call.cancel()
             self.save_call = None
             try:
-                cache.put(self.cache_path, self.view.by_key, self.view.revision)
-            except cache.ListUnkept as error:
+                endpoint_cache.put(
+                    self.cache_path, self.view.by_key, self.view.revision
+                )
+            except endpoint_cache.ListUnkept as error:
                 self.saved(error.line())
         self.close_stream()
         if getattr(self, "pending", None) is not None:
--- a/milletsill/policy/__init__.py
+++ b/milletsill/scheduler/__init__.py
@@ -7,10 +7,10 @@
 from weakref import ReferenceType, ref
 
 from milletsill.interface import Arrival, Listed, News, Readiness
-from milletsill.policy.answers import Answers
-from milletsill.policy.ordinary import Ordinary
-from milletsill.policy.records import Node, Transfer, Volume
-from milletsill.policy.tables import (
+from milletsill.scheduler.answers import Answers
+from milletsill.scheduler.ordinary import Ordinary
+from milletsill.scheduler.records import Node, Transfer, Volume
+from milletsill.scheduler.tables import (
     ASK_AGAIN,
     ASK_MOST,
     ENDING_TICKS,
--- a/milletsill/policy/answers.py
+++ b/milletsill/scheduler/answers.py
@@ -1,9 +1,9 @@
 """What comes back: the end of each dispatch, and what is learnt of its node."""
 
 from milletsill.interface import Answer, Outcome
-from milletsill.policy.queues import Queues
-from milletsill.policy.records import Dispatch
-from milletsill.policy.tables import (
+from milletsill.scheduler.queues import Queues
+from milletsill.scheduler.records import Dispatch
+from milletsill.scheduler.tables import (
     CLEAR,
     CLEAR_STEP,
     CREDITS,
--- a/milletsill/policy/limits.py
+++ b/milletsill/scheduler/limits.py
@@ -2,8 +2,8 @@
 
 from math import exp
 
-from milletsill.policy.records import Dispatch, Node, State, Transfer
-from milletsill.policy.tables import (
+from milletsill.scheduler.records import Dispatch, Node, State, Transfer
+from milletsill.scheduler.tables import (
     CROWDED,
     EASE,
     LEAST_SURPLUS,
--- a/milletsill/policy/ordinary.py
+++ b/milletsill/scheduler/ordinary.py
@@ -1,11 +1,11 @@
 """The ordinary path (docs/design.md): what a node gets next, and what gives way. The gate: every send passes
 `wait_for` and then `dispatch`, and nothing else sends."""
 
-from milletsill.policy.queues import Queues
-from milletsill.policy.records import Dispatch, Node, Queue, Transfer
-from milletsill.policy.tables import (
-    HOPE,
+from milletsill.scheduler.queues import Queues
+from milletsill.scheduler.records import Dispatch, Node, Queue, Transfer
+from milletsill.scheduler.tables import (
     HIT,
+    HOPE,
     LOST,
     MOST_WINDOW,
     NEVER,
--- a/milletsill/policy/queues.py
+++ b/milletsill/scheduler/queues.py
@@ -2,10 +2,10 @@
 
 from bisect import insort
 
-from milletsill.policy.limits import Limits
-from milletsill.policy.records import Node, Queue, Transfer
-from milletsill.policy.repeats import Repeats
-from milletsill.policy.tables import (
+from milletsill.scheduler.limits import Limits
+from milletsill.scheduler.records import Node, Queue, Transfer
+from milletsill.scheduler.repeats import Repeats
+from milletsill.scheduler.tables import (
     DRAWN,
     FIRST_M,
     HEARD,
--- a/milletsill/policy/records.py
+++ b/milletsill/scheduler/records.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from milletsill.interface import Arrival, Facts, Listed, Outcome, Port
-from milletsill.policy.tables import (
+from milletsill.scheduler.tables import (
     CREDITS,
     FAR,
     IDLE,
--- a/milletsill/policy/repeats.py
+++ b/milletsill/scheduler/repeats.py
@@ -1,7 +1,7 @@
 """Repeats (rules 2 and 6), order by key (rule 5), and the one place that ends a transfer (rule 1)."""
 
-from milletsill.policy.records import Node, State, Transfer
-from milletsill.policy.tables import NEVER, TRANSFER_TABLE, Cue, Phase
+from milletsill.scheduler.records import Node, State, Transfer
+from milletsill.scheduler.tables import NEVER, TRANSFER_TABLE, Cue, Phase
 
 
 class Repeats(State):
--- a/milletsill/files/channels.py
+++ b/milletsill/sftp/channel_extensions.py
@@ -51,8 +51,8 @@
 
 import xxhash
 
-from milletsill.files.extensions import Terms, bare, dressed, put_terms, read_terms
-from milletsill.files.packets import (
+from milletsill.sftp.extensions import Terms, bare, dressed, put_terms, read_terms
+from milletsill.sftp.packets import (
     FAILURE,
     Answer,
     Command,
@@ -60,7 +60,7 @@
     ExtendedReply,
     Status,
 )
-from milletsill.files.wire import (
+from milletsill.sftp.wire import (
     U32,
     U64,
     Malformed,
--- a/milletsill/files/extensions.py
+++ b/milletsill/sftp/extensions.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass
 from typing import Mapping
 
-from milletsill.files.packets import (
+from milletsill.sftp.packets import (
     Answer,
     Command,
     Extended,
@@ -39,7 +39,7 @@
     decode,
     encode,
 )
-from milletsill.files.wire import U32, U64, BadPacket, Reader, put_raw, put_text
+from milletsill.sftp.wire import U32, U64, BadPacket, Reader, put_raw, put_text
 
 COMMAND, DISPATCH, CANCEL = (
     "command@milletsill",
--- a/milletsill/files/framing.py
+++ b/milletsill/sftp/framing.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from milletsill.files.wire import U32, BadPacket
+from milletsill.sftp.wire import U32, BadPacket
 
 
 class BrokenStream(BadPacket):
--- a/milletsill/files/packets.py
+++ b/milletsill/sftp/packets.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, fields
 from typing import ClassVar, Union
 
-from milletsill.files.wire import READERS, U32, WRITERS, Attrs, BadPacket, Name, Reader
+from milletsill.sftp.wire import READERS, U32, WRITERS, Attrs, BadPacket, Name, Reader
 
 VERSION_SPOKEN = 3
 # Open flags, section 6.3.
--- a/milletsill/edge/channels.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -10,13 +10,16 @@
 import xxhash
 from prometheus_client import Counter, Gauge
 
-from milletsill.edge.commands import Opened, Running
-from milletsill.edge.decide import OPERATIONS, WRITING, BadPath, Spot
-from milletsill.files import channels as wire
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Terms
-from milletsill.files.wire import bytes_of
-from milletsill.fleet.channels.contracts.decide import (
+from milletsill.fleet.channels.channel_owner import Keeper
+from milletsill.fleet.channels.commands import (
+    Elsewhere,
+    Look,
+    Open,
+    Say,
+    Transfer,
+    Word,
+)
+from milletsill.fleet.channels.ordering import (
     PAUSE,
     Book,
     Contract,
@@ -26,19 +29,16 @@
     Reaches,
     Unsure,
 )
-from milletsill.fleet.channels.contracts.gone import Gone
-from milletsill.fleet.channels.contracts.keeper import Keeper
-from milletsill.fleet.channels.contracts.pieces import LetGo
-from milletsill.fleet.channels.contracts.ways import Ways
-from milletsill.fleet.channels.contracts.words import (
-    Elsewhere,
-    Look,
-    Open,
-    Say,
-    Transfer,
-    Word,
-)
-from milletsill.fleet.plane import Kind
+from milletsill.fleet.channels.peer_forwarder import Ways
+from milletsill.fleet.channels.released_attempts import Gone
+from milletsill.fleet.channels.sequences import LetGo
+from milletsill.fleet.transport import Kind
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Terms
+from milletsill.sftp.wire import bytes_of
+from milletsill.sftp_gateway.command_execution import Opened, Running
+from milletsill.sftp_gateway.routing import OPERATIONS, WRITING, BadPath, Spot
 
 EXTENSIONS = (wire.CHANNEL, wire.NUMBERED)
 LOOK_EVERY, LEAVE_EVERY, QUIET = (
@@ -76,7 +76,7 @@
 
 def channels_of(edge: Any, seed: int) -> Channels:
     """A gateway's channels over its fleet, as its file has them."""
-    from milletsill.fleet.channels.registers.service import Offices
+    from milletsill.fleet.leases.lease_manager import Offices
 
     keeping = edge.file.fleet.channels
     silent = max(
--- a/milletsill/edge/commands.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -5,7 +5,11 @@
 from dataclasses import dataclass, replace
 from typing import Any, Callable
 
-from milletsill.edge.decide import (
+from milletsill.interface import Arrival
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import ELSEWHERE, Terms, Verdict
+from milletsill.sftp_gateway.gateway_context import Around
+from milletsill.sftp_gateway.routing import (
     DOING,
     FREE,
     OPERATIONS,
@@ -26,10 +30,6 @@
     spot_text,
     told,
 )
-from milletsill.edge.seam import Around
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import ELSEWHERE, Terms, Verdict
-from milletsill.interface import Arrival
 
 Answered = Callable[[Any], None]
 MOST_SEEN = 10_000  # names of directories that a listing remembers, to tell each once
--- a/milletsill/edge/facts.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -9,8 +9,8 @@
 from math import ceil
 from typing import Any
 
-from milletsill.edge.decide import Atlas, RouteRule, VolumePlace, pick_facts
-from milletsill.links.decide import Bounds
+from milletsill.node_connections.connection_state import Bounds
+from milletsill.sftp_gateway.routing import Atlas, RouteRule, VolumePlace, pick_facts
 
 
 def at_most(ms: float) -> int:
--- a/milletsill/edge/service.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -9,9 +9,21 @@
 
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
-from milletsill.edge import facts
-from milletsill.edge.commands import Cargo, Running
-from milletsill.edge.decide import (
+from milletsill.errors import CannotListen, Fault
+from milletsill.gateway.scheduler_host import Ended, Host, Make
+from milletsill.interface import Arrival, Listed, News, Readiness
+from milletsill.logs import logger
+from milletsill.node_connections.connection_pool import Pool, Sending
+from milletsill.registry.endpoint_view import Box
+from milletsill.registry.registry_watcher import Follower
+from milletsill.scheduler import Scheduler
+from milletsill.sftp.extensions import Order
+from milletsill.sftp_gateway import deployment
+from milletsill.sftp_gateway.command_execution import Cargo, Running
+from milletsill.sftp_gateway.errors import NeedsRestart
+from milletsill.sftp_gateway.incarnation import keep, next_incarnation
+from milletsill.sftp_gateway.metrics import Figures
+from milletsill.sftp_gateway.routing import (
     BEAT,
     FREE,
     AnswerLog,
@@ -24,19 +36,7 @@
     pass_on,
     taken_since,
 )
-from milletsill.edge.door import Clients, Connection
-from milletsill.edge.faults import NeedsRestart
-from milletsill.edge.host import Ended, Host, Make
-from milletsill.edge.identity import keep, next_incarnation
-from milletsill.logs import logger
-from milletsill.edge.metrics import Figures
-from milletsill.errors import CannotListen, Fault
-from milletsill.files.extensions import Order
-from milletsill.interface import Arrival, Listed, News, Readiness
-from milletsill.links.pool import Pool, Sending
-from milletsill.policy import Scheduler
-from milletsill.registry.decide import Box
-from milletsill.registry.follower import Follower
+from milletsill.sftp_gateway.sftp_server import Clients, Connection
 
 LOOK_EVERY = 1.0  # seconds between looks at idle clients and the loop's lag
 
@@ -68,16 +68,16 @@
         if complaint is not None:
             self.remark("incarnation_not_kept", **complaint.said())
         self.figures, self.answer_log = Figures(), AnswerLog(file.logging.answers_per_s)
-        self.process, self.atlas = Process.STARTING, facts.atlas_of(file)
+        self.process, self.atlas = Process.STARTING, deployment.atlas_of(file)
         self.locations, self.bounds = (
             Locations(file.door.locations),
-            facts.bounds_of(file),
+            deployment.bounds_of(file),
         )
-        self.margin = facts.at_least(file.door.answer_margin_ms)
+        self.margin = deployment.at_least(file.door.answer_margin_ms)
         self.pools: dict[int, Pool] = {}
         self.clients: set[Connection] = set()
         self.transfers = self.objects = self.marks = 0
-        given = facts.facts_of(file)
+        given = deployment.facts_of(file)
         seed = (
             file.seed
             if file.HasField("seed")
@@ -135,13 +135,13 @@
 
     def exporter(self, seed: int) -> Any:
         """Flow export; none of its code is loaded where the file does not ask for it."""
-        from milletsill.flows.edge import Flows
+        from milletsill.flows.gateway_export import Flows
 
         return Flows(self.reactor, self.now, self.file, seed, self.remark)
 
     def tracer(self, given: Any, seed: int) -> Any:
         """Traces; none of their code is loaded where the file does not ask for them."""
-        from milletsill.trace.edge import Traces
+        from milletsill.trace.gateway_trace import Traces
 
         return Traces(
             self.reactor,
@@ -156,7 +156,7 @@
 
     def planned(self, given: Any, seed: int) -> Any:
         """Parts from a planner; none of their code is loaded where the file does not ask for them."""
-        from milletsill.planner.edge import Parts
+        from milletsill.planner.quota_client import Parts
 
         return Parts(
             self.reactor,
@@ -188,13 +188,13 @@
 
     def sharing(self, seed: int) -> Any:
         """Health that is shared; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.health.edge import sharing_of
+        from milletsill.fleet.health.health_sharing import sharing_of
 
         return sharing_of(self, seed + 5)
 
     def channelled(self, seed: int) -> Any:
         """Contracts on the order of channels; none of their code is loaded where the file does not ask for it."""
-        from milletsill.edge.channels import EXTENSIONS, channels_of
+        from milletsill.sftp_gateway.channel_commands import EXTENSIONS, channels_of
 
         self.extensions = EXTENSIONS
         return channels_of(self, seed + 4)
@@ -321,7 +321,7 @@
         """Another file for what a running gateway can change: bounds of the door, volumes, routes, logs. What the
         module was told at the start stands until a restart."""
         if (
-            facts.facts_of(file) != self.host.facts
+            deployment.facts_of(file) != self.host.facts
             or file.name != self.file.name
             or file.listen != self.file.listen
             or (file.trace != self.file.trace or file.fleet != self.file.fleet)
@@ -334,8 +334,8 @@
             )
         self.file, self.atlas, self.margin = (
             file,
-            facts.atlas_of(file),
-            facts.at_least(file.door.answer_margin_ms),
+            deployment.atlas_of(file),
+            deployment.at_least(file.door.answer_margin_ms),
         )
         self.answer_log = AnswerLog(file.logging.answers_per_s)
         self.log = logger(file.logging.level, file.logging.json, gateway=file.name)
@@ -393,7 +393,7 @@
             self.traces.look()
         if self.parts is not None:
             self.parts.look()
-        idle = facts.at_least(self.file.door.idle_s * 1000)
+        idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
             client.tick(idle)
         self.look_call = self.reactor.callLater(LOOK_EVERY, self.look, now)
--- a/milletsill/edge/seam.py
+++ b/milletsill/sftp_gateway/gateway_context.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Callable, Protocol
 
-from milletsill.edge.decide import Locations, VolumePlace
+from milletsill.sftp_gateway.routing import Locations, VolumePlace
 
 
 class Around(Protocol):
--- a/milletsill/edge/identity.py
+++ b/milletsill/sftp_gateway/incarnation.py
@@ -5,7 +5,7 @@
 import os
 import time
 
-from milletsill.edge.faults import RunUnkept
+from milletsill.sftp_gateway.errors import RunUnkept
 
 MOST = 0xFFFFFFFF
 
--- a/milletsill/edge/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -9,13 +9,13 @@
 
 from twisted.internet import reactor
 
-from milletsill.edge.host import Make
-from milletsill.edge.quiet import SETTLED, on_signal, settle_memory
-from milletsill.edge.service import Edge
-from milletsill.policy import Scheduler
-from milletsill.settings.decide import check_gateway
+from milletsill.gateway.process_setup import SETTLED, on_signal, settle_memory
+from milletsill.gateway.scheduler_host import Make
+from milletsill.scheduler import Scheduler
 from milletsill.settings.load import RefusedFile, load
 from milletsill.settings.milletsill_pb2 import GatewayFile
+from milletsill.settings.validation import check_gateway
+from milletsill.sftp_gateway.gateway import Edge
 
 SAID_FROM = 0.05  # seconds: a pause worth a line
 
--- a/milletsill/edge/decide.py
+++ b/milletsill/sftp_gateway/routing.py
@@ -15,9 +15,9 @@
 
 import xxhash
 
-from milletsill.edge.stalls import BEAT, LATE_BEAT, io_first, taken_since  # noqa: F401
 from milletsill.errors import Unfit
-from milletsill.files import packets
+from milletsill.gateway.stall_detection import BEAT, LATE_BEAT, io_first, taken_since  # noqa: F401
+from milletsill.sftp import packets
 
 # --- What a command is.
 
--- a/milletsill/edge/door.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -6,14 +6,14 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.edge.commands import Opened, Running
-from milletsill.edge.decide import BadPath, Door, Knock, Spot, fullness, knock
-from milletsill.edge.seam import Around
 from milletsill.errors import Malformed
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Terms
-from milletsill.files.framing import BrokenStream, Deframer
-from milletsill.files.wire import Attrs, Name
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Terms
+from milletsill.sftp.framing import BrokenStream, Deframer
+from milletsill.sftp.wire import Attrs, Name
+from milletsill.sftp_gateway.command_execution import Opened, Running
+from milletsill.sftp_gateway.gateway_context import Around
+from milletsill.sftp_gateway.routing import BadPath, Door, Knock, Spot, fullness, knock
 
 DIRECTORY = Attrs(mode=0o040755)
 BY_HANDLE = (
--- a/milletsill/trace/format.py
+++ b/milletsill/trace/format.py
@@ -26,7 +26,7 @@
 
 from milletsill.errors import Malformed
 from milletsill.trace import columns
-from milletsill.trace.decide import MOST_INDEXED, Stores
+from milletsill.trace.recording_policy import MOST_INDEXED, Stores
 from milletsill.trace.records import (
     BLOCK_HEAD,
     BY_NUMBER,
--- a/milletsill/trace/edge.py
+++ b/milletsill/trace/gateway_trace.py
@@ -8,8 +8,8 @@
 
 from prometheus_client import Counter, Gauge
 
-from milletsill.trace.decide import Tracing
 from milletsill.trace.recorder import Recorder
+from milletsill.trace.recording_policy import Tracing
 from milletsill.trace.writer import Writer
 
 STOP_WITHIN, SWITCH = (
--- a/milletsill/trace/reader.py
+++ b/milletsill/trace/reader.py
@@ -8,8 +8,8 @@
 from typing import Any, BinaryIO, Callable, Iterator, Optional
 
 from milletsill.trace import format
-from milletsill.trace.decide import Stores, Verdict, chosen, judge
 from milletsill.trace.format import BadTrace
+from milletsill.trace.recording_policy import Stores, Verdict, chosen, judge
 from milletsill.trace.records import BLOCK_HEAD, BlockHead, Row
 
 Heard = Optional[
--- a/milletsill/trace/service.py
+++ b/milletsill/trace/service.py
@@ -12,9 +12,9 @@
 
 import numpy as np
 
-from milletsill.trace.reckoning import Claim, Done, reckon
 from milletsill.trace.format import BadTrace
 from milletsill.trace.reader import Heard, Trace
+from milletsill.trace.reckoning import Claim, Done, reckon
 from milletsill.trace.records import BY_NAME
 
 SECOND, MOST_WINDOWS, MOST_SPANS, MOST_REASONS = 10_000, 10_000, 2_000_000, 100
--- a/milletsill/trace/tools.py
+++ b/milletsill/trace/tools.py
@@ -13,7 +13,9 @@
 from typing import Any, Callable, Iterable, Iterator
 
 from milletsill.trace import format
-from milletsill.trace.decide import (
+from milletsill.trace.format import LEVEL, BadTrace
+from milletsill.trace.reader import Heard, Trace
+from milletsill.trace.recording_policy import (
     MOST_AGE,
     MOST_ROWS,
     Stores,
@@ -22,8 +24,6 @@
     block_ends,
     of_transfers,
 )
-from milletsill.trace.format import LEVEL, BadTrace
-from milletsill.trace.reader import Heard, Trace
 from milletsill.trace.records import BY_NAME, FLOAT, KINDS, TEXT, BlockHead, Kind, Row
 
 ALIKE = (
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -14,7 +14,7 @@
 
 from milletsill.errors import Unkept
 from milletsill.trace import format
-from milletsill.trace.decide import (
+from milletsill.trace.recording_policy import (
     MOST_AGE,
     MOST_ROWS,
     SECOND,
@@ -25,8 +25,8 @@
     block_ends,
     file_ends,
     retry_after,
-    step,
     room,
+    step,
     to_delete,
 )
 from milletsill.trace.records import BY_NAME, BlockHead, Row
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -6,9 +6,9 @@
 
 from milletsill.errors import whereabouts
 from milletsill.interface import Answer, Arrival, Listed, News
-from milletsill.policy import Scheduler
+from milletsill.scheduler import Scheduler
 from milletsill.wirehost import codec
-from milletsill.wirehost.codec import UNIT, Event, BadBatch
+from milletsill.wirehost.codec import UNIT, BadBatch, Event
 
 LONGEST_TIMER = 70 * 60 * 1_000_000_000  # the wire takes timers of up to 71 minutes
 
--- a/tests/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -5,13 +5,12 @@
 import unittest
 from pathlib import Path
 
-from milletsill.edge.faults import RunUnkept
-from milletsill.edge.identity import next_incarnation
 from milletsill.errors import Fault, Malformed, Refused, Unfit, Unkept, line_of
 from milletsill.errors.known import known, row
 from milletsill.settings.load import Flaw, RefusedFile
-
-ROOT = Path(__file__).parents[1]
+from milletsill.sftp_gateway.errors import RunUnkept
+from milletsill.sftp_gateway.incarnation import next_incarnation
+from tests.support.paths import ROOT
 
 
 def told(page: str) -> dict[str, str]:
--- a/tests/test_contracts.py
+++ b/tests/fleet/channels/test_channel_contracts.py
@@ -4,8 +4,14 @@
 
 import unittest
 
-from milletsill.fleet.channels.contracts import codec, decide, model
-from milletsill.fleet.channels.contracts.decide import (
+from milletsill.fleet.channels import codec, ordering
+from milletsill.fleet.channels.channel_sequencer import Line
+from milletsill.fleet.channels.errors import (
+    ContractOlder,
+    ContractsContradict,
+    RecordUnread,
+)
+from milletsill.fleet.channels.ordering import (
     REMEMBERED,
     Contract,
     Declared,
@@ -14,8 +20,7 @@
     Reach,
     Unsure,
 )
-from milletsill.fleet.channels.contracts.line import Line
-from milletsill.fleet.channels.contracts.pieces import (
+from milletsill.fleet.channels.sequences import (
     Claimed,
     Closed,
     Coming,
@@ -23,11 +28,7 @@
     LetGo,
     Tell,
 )
-from milletsill.fleet.channels.errors import (
-    ContractOlder,
-    ContractsContradict,
-    RecordUnread,
-)
+from milletsill.lab.model_checks import channel_model
 
 REST, WINDOW, HOLE = 100, 5000, 1000
 
@@ -174,15 +175,15 @@
             far,
             1 << 60,
         )
-        line.closed = {far + each for each in range(1, decide.SPAN, 2)}
+        line.closed = {far + each for each in range(1, ordering.SPAN, 2)}
         for each in range(64):
             line.entries[far + 2 * each] = Entry(
-                decide.Phase.OUT, (1 << 64) - 1, two, 1 << 60, True, since=-(1 << 50)
+                ordering.Phase.OUT, (1 << 64) - 1, two, 1 << 60, True, since=-(1 << 50)
             )
         for each in range(REMEMBERED):
             line.remembered[far + each] = Closed(3, 255, (1 << 64) - 1)
-        line.pinned = {far + each: two for each in range(decide.MOST_PINNED)}
-        line.turns = {far + each: 1 << 30 for each in range(decide.MOST_TURNS)}
+        line.pinned = {far + each: two for each in range(ordering.MOST_PINNED)}
+        line.turns = {far + each: 1 << 30 for each in range(ordering.MOST_TURNS)}
         self.assertLess(len(codec.put_record(line, 5)), codec.MOST_RECORD)
 
 
@@ -292,17 +293,17 @@
     """The very keeper under losses, doubles, late runs, stalls and kills; sizes for a few seconds, more by the module's own command."""
 
     def test_every_order_of_events_at_small_sizes(self):
-        for order, unsure in model.CASES:
-            for start in model.STARTS:
+        for order, unsure in channel_model.CASES:
+            for start in channel_model.STARTS:
                 self.assertIsNone(
-                    model.explore(order, unsure, start, 4, 120)[2],
+                    channel_model.explore(order, unsure, start, 4, 120)[2],
                     (order, unsure, start),
                 )
 
     def test_scripts_and_chance(self):
-        self.assertIsNone(model.wrong(8))
+        self.assertIsNone(channel_model.wrong(8))
 
     def test_each_guard_is_needed(self):
-        for guard in model.MUTANTS:
-            with model.without(guard):
-                self.assertIsNotNone(model.wrong(14), guard)
+        for guard in channel_model.MUTANTS:
+            with channel_model.without(guard):
+                self.assertIsNotNone(channel_model.wrong(14), guard)
--- a/tests/test_channels.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -7,13 +7,13 @@
 from twisted.internet import defer, reactor
 from twisted.trial.unittest import TestCase
 
-from milletsill.files import channels as wire
-from milletsill.files import packets
-from milletsill.files.extensions import Terms
-from milletsill.settings.decide import check_gateway
 from milletsill.settings.load import Lines, Report
 from milletsill.settings.milletsill_pb2 import Category, ChannelKeeping, Contract, Route
-from tests.rig import Rig, later
+from milletsill.settings.validation import check_gateway
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
+from milletsill.sftp.extensions import Terms
+from tests.support.sftp_gateway_rig import Rig, later
 
 
 class Fleet(Rig):
--- a/tests/test_ways.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -5,12 +5,12 @@
 
 from twisted.internet.task import Clock
 
-from milletsill.files import channels as wire
-from milletsill.files import packets
-from milletsill.files.extensions import Terms
-from milletsill.fleet.channels.contracts import codec
-from milletsill.fleet.channels.contracts.ways import Ways
-from milletsill.fleet.channels.contracts.words import Look, Transfer, Word
+from milletsill.fleet.channels import codec
+from milletsill.fleet.channels.commands import Look, Transfer, Word
+from milletsill.fleet.channels.peer_forwarder import Ways
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
+from milletsill.sftp.extensions import Terms
 
 
 class Found(unittest.TestCase):
--- a/tests/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from milletsill.fleet.health import codec, decide
-from milletsill.fleet.health.decide import (
+from milletsill.fleet.health import codec, health_evaluator
+from milletsill.fleet.health.health_evaluator import (
     CALLED,
     LASTS,
     SECOND,
@@ -22,11 +22,11 @@
     Order,
     Verdict,
 )
-from milletsill.fleet.health.edge import Sharing
-from milletsill.fleet.health.observe import Observer
-from milletsill.fleet.health.rows import RowRefused, Rows, Word
-from milletsill.fleet.health.spread import Spread
-from milletsill.fleet.plane import Kind, Member, Standing, View
+from milletsill.fleet.health.health_sharing import Sharing
+from milletsill.fleet.health.node_observer import Observer
+from milletsill.fleet.health.report_exchange import Spread
+from milletsill.fleet.health.report_store import RowRefused, Rows, Word
+from milletsill.fleet.transport import Kind, Member, Standing, View
 from milletsill.interface import Answer, Arrival, Listed, News, Outcome, Readiness
 from milletsill.lab.health_day import Day
 
@@ -245,11 +245,11 @@
             judge.advice(3, fleet.order(3)[each], GATEWAYS) for each in range(GATEWAYS)
         ]
         tries = sum(strain <= 0 for strain, _ in advice)
-        self.assertTrue(decide.FEWEST_PROBERS <= tries <= GATEWAYS / 3, tries)
+        self.assertTrue(health_evaluator.FEWEST_PROBERS <= tries <= GATEWAYS / 3, tries)
         self.assertEqual(sum(away for _, away in advice), GATEWAYS - tries)
         held = Held(Verdict.FAILING)
         judge.step(3, held, Finding.LOST, GATEWAYS, False)
-        self.assertEqual(held.part, decide.SINK_FAILING)
+        self.assertEqual(held.part, health_evaluator.SINK_FAILING)
 
     def test_slow_is_told_from_much_work_size_by_size(self):
         def seen_by(latency, inflight):
@@ -363,9 +363,9 @@
 
 class Settings(unittest.TestCase):
     def test_figures_that_cannot_stand_are_said(self):
-        from milletsill.settings.decide import check_gateway
         from milletsill.settings.load import parse
         from milletsill.settings.milletsill_pb2 import GatewayFile
+        from milletsill.settings.validation import check_gateway
 
         text = Path("examples/fleet-1.textproto").read_text("utf-8")
         text = re.sub(r"health *{[^}]*}", "", text).replace(
--- a/tests/test_registers_plane.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -10,12 +10,12 @@
 from twisted.internet.task import Clock
 
 from milletsill.fleet.channels import errors
-from milletsill.fleet.channels.registers.decide import Ballot, Record, Span, Stamp
-from milletsill.fleet.channels.registers.service import Offices
-from milletsill.fleet.channels.registers.terms import Term
-from milletsill.fleet.channels.registers.standing import Identity
-from milletsill.fleet.channels.registers.thread import tried
-from milletsill.fleet.plane import Member, Standing, View
+from milletsill.fleet.leases.acceptor import Ballot, Record, Span, Stamp
+from milletsill.fleet.leases.acceptor_recovery import Identity
+from milletsill.fleet.leases.blocking_worker import tried
+from milletsill.fleet.leases.lease_manager import Offices
+from milletsill.fleet.leases.lease_state import Term
+from milletsill.fleet.transport import Member, Standing, View
 
 SPAN = Span()
 A, B = Ballot(5, "a", 1), Ballot(6, "b", 2)
--- a/tests/test_registers.py
+++ b/tests/fleet/leases/test_leases.py
@@ -8,10 +8,10 @@
 import unittest
 from pathlib import Path
 
-
-from milletsill.fleet.channels import errors, model, mutants
-from milletsill.fleet.channels.registers import codec, registers_pb2 as wire
-from milletsill.fleet.channels.registers.decide import (
+from milletsill.fleet.channels import errors
+from milletsill.fleet.leases import codec
+from milletsill.fleet.leases import registers_pb2 as wire
+from milletsill.fleet.leases.acceptor import (
     UNWRITTEN,
     Answer,
     Ask,
@@ -25,8 +25,9 @@
     loaded,
     register,
 )
-from milletsill.fleet.channels.registers.standing import Page
-from milletsill.fleet.channels.registers.store import Store
+from milletsill.fleet.leases.acceptor_recovery import Page
+from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.lab.model_checks import lease_model, lease_mutation_checks
 
 SPAN = Span()
 A, B = Ballot(5, "a", 1), Ballot(6, "b", 2)
@@ -34,23 +35,25 @@
 
 class TheModel(unittest.TestCase):
     def test_every_order_of_events_keeps_what_is_promised(self):
-        for moves, most in ((model.events, 3000), (model.rounds, 3000)):
+        for moves, most in ((lease_model.events, 3000), (lease_model.rounds, 3000)):
             for how in ("nothing", "written", "unsure"):
-                count, depth, found = model.explore(how, 12, most, moves)
+                count, depth, found = lease_model.explore(how, 12, most, moves)
                 self.assertIsNone(found)
                 self.assertGreaterEqual(depth, 2)
                 self.assertEqual(count, most)
 
     def test_chance_keeps_what_is_promised(self):
-        self.assertIsNone(model.wrong(25))
-        steps, found, written = model.walk(5, 5, 1500, 1)
+        self.assertIsNone(lease_model.wrong(25))
+        steps, found, written = lease_model.walk(5, 5, 1500, 1)
         self.assertIsNone(found)
         self.assertGreater(written, 50)  # it did come to something
 
     def test_it_goes_wrong_without_each_guard(self):
-        for guard in mutants.MUTANTS:
-            with self.subTest(guard), mutants.without(guard):
-                self.assertIsNotNone(model.wrong(40, first=mutants.FOUND[guard]))
+        for guard in lease_mutation_checks.MUTANTS:
+            with self.subTest(guard), lease_mutation_checks.without(guard):
+                self.assertIsNotNone(
+                    lease_model.wrong(40, first=lease_mutation_checks.FOUND[guard])
+                )
 
 
 class OneCall(unittest.TestCase):
@@ -290,7 +293,7 @@
 
     def test_what_was_acknowledged_is_there_after_a_kill(self):
         code = (
-            "import sys; sys.path.insert(0, '.')\nfrom tests.test_registers import Store, record\n"
+            "import sys; sys.path.insert(0, '.')\nfrom tests.fleet.leases.test_leases import Store, record\n"
             "store = Store.opened(sys.argv[1], 7)\n"
             "for number in range(1, 100000):\n    store.commit({f'c{number % 50}': record(number)}, number)\n    print(number, flush=True)"
         )
--- a/tests/test_fleet_members.py
+++ b/tests/fleet/membership/test_membership.py
@@ -22,9 +22,11 @@
     Unreadable,
     framed,
 )
-from milletsill.fleet.frames.words import Message, Row, What
-from milletsill.fleet.members import decide
-from milletsill.fleet.members.decide import (
+from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.gossip.gossip_queue import Spread, bound
+from milletsill.fleet.membership import failure_detector
+from milletsill.fleet.membership.effects import Send
+from milletsill.fleet.membership.failure_detector import (
     BEAT,
     HELD,
     Order,
@@ -35,15 +37,14 @@
     Watch,
     Word,
 )
-from milletsill.fleet.members.effects import Send
-from milletsill.fleet.members.membership import Membership
-from milletsill.fleet.net.decide import Line, due, step
-from milletsill.fleet.net.decide import Sign as LineSign
-from milletsill.fleet.plane import Kind, Standing, View
-from milletsill.fleet.spread.decide import Spread, bound
+from milletsill.fleet.membership.membership import Membership
+from milletsill.fleet.net.stream_state import Line, due, step
+from milletsill.fleet.net.stream_state import Sign as LineSign
+from milletsill.fleet.transport import Kind, Standing, View
 from milletsill.lab.fleet_clock import SECOND, FleetClock
+from tests.support.paths import FIXTURES
 
-FIXTURE = os.path.join(os.path.dirname(__file__), "fixtures", "fleet-1.hex")
+FIXTURE = str(FIXTURES / "fleet-1.hex")
 ALIVE, SUSPECT, GONE, LEFT = (
     Standing.ALIVE,
     Standing.SUSPECT,
@@ -160,7 +161,7 @@
         )
         self.assertEqual(
             [
-                decide.order_of((2, 5, 1), each)
+                failure_detector.order_of((2, 5, 1), each)
                 for each in (
                     (1, 9, 9),
                     (2, 4, 9),
@@ -186,9 +187,11 @@
             (Stage.SUSPECTED, 0, 20_000, Sign.OVER),
         ):
             watch = Watch("x", stage, 100_000 - since, 100_000 - began, 100_000)
-            self.assertEqual(decide.due(watch, 100_000, terms, 1.0, 0, 2), wanted)
+            self.assertEqual(
+                failure_detector.due(watch, 100_000, terms, 1.0, 0, 2), wanted
+            )
         self.assertEqual(
-            decide.due(
+            failure_detector.due(
                 Watch("x", Stage.SUSPECTED, 0, 100_000 - 10_001, 100_000),
                 100_000,
                 terms,
@@ -201,16 +204,16 @@
 
     def test_doubt_in_oneself(self):
         lost, well = [(f"m{each}", False) for each in range(6)], [("w", True)] * 2
-        self.assertTrue(decide.troubled(lost + well))
-        self.assertFalse(decide.troubled(lost[:4] + well * 2))
+        self.assertTrue(failure_detector.troubled(lost + well))
+        self.assertFalse(failure_detector.troubled(lost[:4] + well * 2))
         self.assertFalse(
-            decide.troubled([("m1", False)] * 8)
+            failure_detector.troubled([("m1", False)] * 8)
         )  # one member that is gone is no trouble of mine
         self.assertEqual(
             (
-                decide.score(4, "stood"),
-                decide.score(0, "well"),
-                decide.times_longer(4, False),
+                failure_detector.score(4, "stood"),
+                failure_detector.score(0, "well"),
+                failure_detector.times_longer(4, False),
             ),
             (4, 0, 2.0),
         )
@@ -224,8 +227,10 @@
             (("me", 8, 1, 0, ALIVE), 5, Word.PAST_WON),
             (("me", 8, 99, 0, ALIVE), 5, Word.PAST_LOST),
         ):
-            self.assertEqual(decide.word_of(Row(*row), 5, 9, 0, claimed), wanted)
-        self.assertEqual(decide.OWN.get((Own.LEAVING, Word.MINE)), None)
+            self.assertEqual(
+                failure_detector.word_of(Row(*row), 5, 9, 0, claimed), wanted
+            )
+        self.assertEqual(failure_detector.OWN.get((Own.LEAVING, Word.MINE)), None)
 
     def test_streams_end_when_they_should(self):
         self.assertEqual(
@@ -275,7 +280,7 @@
         rows = [
             Row(f"m{each}", 1, each, 0, ALIVE, f"a:{each + 1}") for each in range(40)
         ]
-        from milletsill.fleet.members.table import Known
+        from milletsill.fleet.membership.member_table import Known
 
         whole = View(1, [Known(each, 0).member() for each in rows])
         less = View(2, [each for each in whole.members if each.name != "m7"])
@@ -494,7 +499,7 @@
             max(len(codec.encode(each.message)) for each in sent), MOST_DATAGRAM
         )
         self.assertLessEqual(len(member.rolls.table.held), 1024)
-        self.assertLessEqual(len(member.relays), decide.RELAYS)
+        self.assertLessEqual(len(member.relays), failure_detector.RELAYS)
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_view.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -14,17 +14,17 @@
 from twisted.internet import reactor
 from twisted.trial.unittest import TestCase
 
-from milletsill.edge.service import monotonic
-from milletsill.fleet.faults import NoFleetAddress
+from milletsill.fleet.errors import NoFleetAddress
 from milletsill.fleet.frames.codec import LENGTH, MOST_BODY, Codec
-from milletsill.fleet.frames.words import Message, Row, What
-from milletsill.fleet.plane import Kind, Standing
+from milletsill.fleet.frames.messages import Message, Row, What
 from milletsill.fleet.service import Fleet as Place
+from milletsill.fleet.transport import Kind, Standing
 from milletsill.lab.fleet_processes import Processes, free_ports
-from milletsill.settings.decide import check_gateway
 from milletsill.settings.load import Refused, parse
 from milletsill.settings.milletsill_pb2 import GatewayFile
-from tests.rig import later
+from milletsill.settings.validation import check_gateway
+from milletsill.sftp_gateway.gateway import monotonic
+from tests.support.sftp_gateway_rig import later
 
 MOST = 60.0  # seconds; far more than it takes, for a busy machine
 
@@ -208,8 +208,8 @@
 
     def test_a_gateway_without_the_block_loads_none_of_it(self):
         code = (
-            "import sys; from milletsill.edge.service import Edge; "
-            "sys.exit(any(each.startswith(('milletsill.fleet.service', 'milletsill.fleet.members')) for each in sys.modules))"
+            "import sys; from milletsill.sftp_gateway.gateway import Edge; "
+            "sys.exit(any(each.startswith(('milletsill.fleet.service', 'milletsill.fleet.membership')) for each in sys.modules))"
         )
         self.assertEqual(
             subprocess.run(
--- a/tests/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -9,34 +9,35 @@
 from random import Random
 from unittest import mock
 
-from milletsill.fleet.channels.contracts import codec as contracts
-from milletsill.fleet.channels.contracts.record_pb2 import (
+from milletsill.fleet.channels import codec as contracts
+from milletsill.fleet.channels.record_pb2 import (
     Envelope,
-    Record as RecordOctets,
 )
-from milletsill.fleet.channels.registers import (
-    codec as registers,
-    desk,
-    registers_pb2 as wire,
-    service,
+from milletsill.fleet.channels.record_pb2 import (
+    Record as RecordOctets,
 )
-from milletsill.fleet.channels.registers.standing import Identity
-from milletsill.fleet.channels.registers.store import Store
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.codec import MAGIC, MOST_NUMBER, Codec, TooNew, Unreadable
-from milletsill.fleet.frames.words import Message, Row, What
-from milletsill.fleet.health import codec as health, health_pb2
-from milletsill.fleet.members.decide import Terms
-from milletsill.fleet.members.membership import Membership
-from milletsill.fleet.members.effects import Send
-from milletsill.fleet.plane import Kind, Standing
+from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.health import codec as health
+from milletsill.fleet.health import health_pb2
+from milletsill.fleet.leases import acceptor_service, lease_manager
+from milletsill.fleet.leases import codec as registers
+from milletsill.fleet.leases import registers_pb2 as wire
+from milletsill.fleet.leases.acceptor_recovery import Identity
+from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.fleet.membership.effects import Send
+from milletsill.fleet.membership.failure_detector import Terms
+from milletsill.fleet.membership.membership import Membership
+from milletsill.fleet.transport import Kind, Standing
 from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_world import FleetWorld
 from milletsill.lab.hunt.gate import Kept
-from milletsill.registry import cache
+from milletsill.registry import endpoint_cache
 from tests.fixtures import make_octets as made
+from tests.support.paths import FIXTURES
 
-HERE = os.path.join(os.path.dirname(__file__), "fixtures")
+HERE = str(FIXTURES)
 LATER = b"\xc2\x3e\x05later\xc8\x3e\x07"  # two fields that nobody knows: octets as 1000, a number as 1001
 NEXT = {
     "frame": (MAGIC, fleet_pb2.Frame),
@@ -109,7 +110,9 @@
         self.check({name: of_later(name, data) for name, data in recorded().items()})
 
     def test_files_are_read(self):
-        self.assertEqual(cache.get(os.path.join(HERE, "list-1")), (made.BOXES, 12))
+        self.assertEqual(
+            endpoint_cache.get(os.path.join(HERE, "list-1")), (made.BOXES, 12)
+        )
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
             shutil.copy(os.path.join(HERE, "register-1.sqlite"), path)
@@ -241,8 +244,8 @@
     def test_a_third_at_a_time_and_back_half_way(self):
         secrets = Random(3)
         with (
-            mock.patch.object(service, "SystemRandom", lambda: secrets),
-            mock.patch.object(desk, "Store", Kept),
+            mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
+            mock.patch.object(acceptor_service, "Store", Kept),
         ):
             world = Mixed(2)
             steps = [
--- a/tests/test_flows_through.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -7,10 +7,10 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.trial.unittest import TestCase
 
-from milletsill.files import packets
 from milletsill.flows.collect import Collector, Ear, Lines
-from milletsill.flows.decide import Post, ended
-from tests.rig import Client, Rig, later
+from milletsill.flows.export_policy import Post, ended
+from milletsill.sftp import packets
+from tests.support.sftp_gateway_rig import Client, Rig, later
 
 
 class Deaf(Protocol):
@@ -196,7 +196,7 @@
         import sys
 
         code = (
-            "import sys, milletsill.edge.process, milletsill.edge.door; "
+            "import sys, milletsill.sftp_gateway.process, milletsill.sftp_gateway.sftp_server; "
             "sys.exit(any(name.startswith('milletsill.flows') for name in sys.modules))"
         )
         self.assertEqual(subprocess.run([sys.executable, "-c", code]).returncode, 0)
--- a/tests/test_flows.py
+++ b/tests/flows/test_flows.py
@@ -7,7 +7,8 @@
 from twisted.internet.task import Clock
 
 from milletsill.flows.collect import Collector, Gap
-from milletsill.flows.decide import (
+from milletsill.flows.elements import CLIENT_FLOW, NO_ROOM_END
+from milletsill.flows.export_policy import (
     Account,
     Kind,
     Level,
@@ -23,7 +24,6 @@
     templates_due,
     victim,
 )
-from milletsill.flows.elements import CLIENT_FLOW, NO_ROOM_END
 from milletsill.flows.exporter import Exporter
 from milletsill.flows.meter import BoxKey, Cache, ClientKey, Meter
 from milletsill.settings.milletsill_pb2 import FlowExport
--- a/tests/test_steady.py
+++ b/tests/gateway/test_process_setup.py
@@ -5,7 +5,7 @@
 
 from twisted.internet.selectreactor import SelectReactor
 
-from milletsill.edge.process import steady
+from milletsill.sftp_gateway.process import steady
 
 
 class Steady(unittest.TestCase):
--- a/tests/test_host.py
+++ b/tests/gateway/test_scheduler_host.py
@@ -4,10 +4,10 @@
 
 from twisted.internet.task import Clock
 
-from milletsill.edge.host import Host
-from milletsill.files import packets
-from milletsill.files.extensions import DONE, Verdict
+from milletsill.gateway.scheduler_host import Host
 from milletsill.interface import Arrival, Outcome
+from milletsill.sftp import packets
+from milletsill.sftp.extensions import DONE, Verdict
 
 
 class Module:
--- a/tests/test_http1.py
+++ b/tests/http1/test_messages.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from milletsill.http1 import writer
-from milletsill.http1.decide import AMBIGUOUS, MOST_CHUNKS, Bounds
-from milletsill.http1.lines import AnswerLines
+from milletsill.http1.line_reader import AnswerLines
+from milletsill.http1.message_limits import AMBIGUOUS, MOST_CHUNKS, Bounds
 from milletsill.http1.reader import AnswerReader, BadMessage, RequestReader
 
 HOST = b"Host: a\r\n"
--- a/tests/test_platform_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -11,12 +11,13 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from milletsill.http1.decide import Bounds
+from milletsill.http1.message_limits import Bounds
 from milletsill.http1.reader import RequestReader
-from milletsill.interface import News, Readiness
-from milletsill.platform.asks import BadAsk, Categories, report_in
-from milletsill.platform.configuration import RefusedPlace, deployment_of, read
-from milletsill.platform.decide import (
+from milletsill.http_gateway.configuration import RefusedPlace, deployment_of, read
+from milletsill.http_gateway.endpoint_watcher import Follower
+from milletsill.http_gateway.endpoints import BadEntry, news_of, place_of
+from milletsill.http_gateway.gateway import Gateway
+from milletsill.http_gateway.gateway_limits import (
     MOST_SPENT,
     OVER,
     SILENT,
@@ -28,11 +29,10 @@
     leave_within,
     shares_of,
 )
-from milletsill.platform.discovery import Follower
-from milletsill.platform.gateway import Gateway
-from milletsill.platform.lines import Lines
-from milletsill.platform.nodes import BadEntry, news_of, place_of
-from tests.platform_rig import GIVEN, NODE, SETTINGS, Reactor, ask
+from milletsill.http_gateway.json_log import Lines
+from milletsill.http_gateway.request_parser import BadAsk, Categories, report_in
+from milletsill.interface import News, Readiness
+from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
 
 
 class Said(unittest.TestCase):
--- a/tests/test_platform_whole.py
+++ b/tests/http_gateway/test_gateway_process.py
@@ -10,7 +10,14 @@
 import time
 import unittest
 
-from tests.platform_rig import ANSWER, GIVEN, NODE, SETTINGS, ask, node_stand_in
+from tests.support.http_gateway_rig import (
+    ANSWER,
+    GIVEN,
+    NODE,
+    SETTINGS,
+    ask,
+    node_stand_in,
+)
 
 
 class Whole(unittest.TestCase):
@@ -179,9 +186,9 @@
             (done.returncode, done.stderr.count(b"\n"), done.stdout), (2, 1, b"")
         )
         probe = (
-            "import milletsill.platform.gateway, milletsill.platform.process, milletsill.edge.quiet, milletsill.platform.lines, sys; "
+            "import milletsill.http_gateway.gateway, milletsill.http_gateway.process, milletsill.gateway.process_setup, milletsill.http_gateway.json_log, sys; "
             "print([each for each in ('numpy', 'pyarrow', 'matplotlib', 'scapy', 'google.protobuf', 'click', "
-            "'milletsill.flows', 'milletsill.trace', 'milletsill.planner', 'milletsill.files', 'structlog', 'rich') if each in sys.modules])"
+            "'milletsill.flows', 'milletsill.trace', 'milletsill.planner', 'milletsill.sftp', 'structlog', 'rich') if each in sys.modules])"
         )
         done = subprocess.run(
             [sys.executable, "-c", probe], capture_output=True, timeout=20
--- a/tests/test_leaving.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -3,8 +3,8 @@
 
 import copy
 
-from milletsill.platform.gateway import Gateway
-from tests import platform_rig as shared
+from milletsill.http_gateway.gateway import Gateway
+from tests.support import http_gateway_rig as shared
 
 KILLED, COUNTED, STEP = (
     0.7,
--- a/tests/test_platform.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -7,14 +7,23 @@
 
 from twisted.internet.protocol import Protocol
 
+from milletsill.http_gateway.configuration import deployment_of
+from milletsill.http_gateway.endpoint_watcher import Dial
+from milletsill.http_gateway.endpoints import number_of, place_of
+from milletsill.http_gateway.gateway_limits import OVER, Octets, Process
+from milletsill.http_gateway.node_connections import Fleet
+from milletsill.http_gateway.request_parser import Cargo
 from milletsill.interface import Outcome
-from milletsill.platform.asks import Cargo
-from milletsill.platform.configuration import deployment_of
-from milletsill.platform.decide import OVER, Octets, Process
-from milletsill.platform.discovery import Dial
-from milletsill.platform.links import Fleet
-from milletsill.platform.nodes import number_of, place_of
-from tests.platform_rig import ANSWER, GIVEN, NODE, SETTINGS, TXN, Served, Wire, ask
+from tests.support.http_gateway_rig import (
+    ANSWER,
+    GIVEN,
+    NODE,
+    SETTINGS,
+    TXN,
+    Served,
+    Wire,
+    ask,
+)
 
 
 class Door(Served):
--- a/tests/test_crossings_hunt.py
+++ b/tests/http_gateway/test_race_hunt.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from tests.crossing_guards import FOUND_BY, without
-from tests.crossing_moves import Crossings
-from tests.crossing_sites import site
-from tests.test_sites import VARIANTS
+from tests.http_gateway.test_sites import VARIANTS
+from tests.support.race_guards import FOUND_BY, without
+from tests.support.race_scenarios import Crossings
+from tests.support.race_sites import site
 
 SEEDS, OF_SITES = range(100), range(10)
 
--- a/tests/test_crossings_bad.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -5,8 +5,8 @@
 import unittest
 from contextlib import suppress
 
-from milletsill.platform.decide import IDLE
-from tests.platform_rig import TXN, Loopback, ask
+from milletsill.http_gateway.gateway_limits import IDLE
+from tests.support.http_gateway_rig import TXN, Loopback, ask
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 LIVE = b"GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"
--- a/tests/test_crossings_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -13,8 +13,15 @@
 from contextlib import suppress
 from dataclasses import replace
 
-from milletsill.platform.decide import OVER, SPARED, Stage
-from tests.platform_rig import GIVEN, NODE, TXN, Loopback, ask, node_stand_in
+from milletsill.http_gateway.gateway_limits import OVER, SPARED, Stage
+from tests.support.http_gateway_rig import (
+    GIVEN,
+    NODE,
+    TXN,
+    Loopback,
+    ask,
+    node_stand_in,
+)
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 LIVE = b"GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"
--- a/tests/test_crossings_lists.py
+++ b/tests/http_gateway/test_races_endpoint_lists.py
@@ -4,10 +4,10 @@
 import socket
 import unittest
 
+from milletsill.http_gateway.gateway_limits import FIRST_WORD, OVERDUE, TOLD, TOLD_MOVED
 from milletsill.interface import News
-from milletsill.platform.decide import FIRST_WORD, OVERDUE, TOLD, TOLD_MOVED
-from tests.discovery_door import BEAT, HEAD, LOOK, Held, said
-from tests.platform_rig import NODE
+from tests.support.discovery_connections import BEAT, HEAD, LOOK, Held, said
+from tests.support.http_gateway_rig import NODE
 
 
 class Crossing(Held):
--- a/tests/test_crossings_found.py
+++ b/tests/http_gateway/test_races_found_by_hunt.py
@@ -4,7 +4,7 @@
 import select
 import unittest
 
-from tests.platform_rig import NODE, Loopback, ask
+from tests.support.http_gateway_rig import NODE, Loopback, ask
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
--- a/tests/test_crossings_leavers.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -4,10 +4,10 @@
 import socket
 import unittest
 
+from milletsill.http_gateway.endpoints import place_of
+from milletsill.http_gateway.gateway_limits import IDLE, LINGER, SILENT, SPARED, WHOLE
 from milletsill.interface import News
-from milletsill.platform.decide import IDLE, LINGER, SILENT, SPARED, WHOLE
-from milletsill.platform.nodes import place_of
-from tests.platform_rig import NODE, TXN, Loopback, ask, reset
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 LONG = 400_000
--- a/tests/test_crossings_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -6,9 +6,9 @@
 from contextlib import suppress
 from time import thread_time
 
-from milletsill.http1.decide import AMBIGUOUS
-from milletsill.platform.decide import MOST_BODY
-from tests.platform_rig import NODE, TXN, Loopback, ask
+from milletsill.http1.message_limits import AMBIGUOUS
+from milletsill.http_gateway.gateway_limits import MOST_BODY
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask
 
 OWS = (b" ", b"\t", b" \t  ")
 BODY = b"x" * 40
--- a/tests/test_crossings_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -5,9 +5,9 @@
 import unittest
 from contextlib import suppress
 
+from milletsill.http_gateway.endpoints import place_of
 from milletsill.interface import News
-from milletsill.platform.nodes import place_of
-from tests.platform_rig import NODE, TXN, Loopback, ask, reset
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
--- a/tests/test_crossings_links.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -4,13 +4,13 @@
 import socket
 import unittest
 
+from milletsill.http_gateway.endpoints import number_of, place_of
+from milletsill.http_gateway.gateway_limits import Octets
+from milletsill.http_gateway.node_connections import Fleet
+from milletsill.http_gateway.request_parser import Cargo
 from milletsill.interface import News, Outcome
-from milletsill.platform.asks import Cargo
-from milletsill.platform.decide import Octets
-from milletsill.platform.links import Fleet
-from milletsill.platform.nodes import number_of, place_of
-from tests.loopback import Loop, accept, listening, receive
-from tests.platform_rig import NODE, SETTINGS, TXN, Loopback, ask, reset
+from tests.support.http_gateway_rig import NODE, SETTINGS, TXN, Loopback, ask, reset
+from tests.support.loopback import Loop, accept, listening, receive
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
--- a/tests/test_crossings_ahead.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -5,10 +5,10 @@
 import time
 import unittest
 
-from milletsill.platform.decide import MOST_AHEAD, ends_of
-from tests.platform_rig import TXN, Loopback, ask
-from tests.test_crossings_going import patient
-from tests.test_crossings_leavers import leaves
+from milletsill.http_gateway.gateway_limits import MOST_AHEAD, ends_of
+from tests.http_gateway.test_races_leaving_clients import leaves
+from tests.http_gateway.test_races_shutdown import patient
+from tests.support.http_gateway_rig import TXN, Loopback, ask
 
 BODY = bytes(range(256)) * 256  # the longest that the page allows: 64 KiB
 KEYED = {"method": "PUT", "name": "put", "Idempotency_Key": "k"}
--- a/tests/test_crossings_beside.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -3,8 +3,7 @@
 import socket
 import unittest
 
-from milletsill.interface import News
-from milletsill.platform.decide import (
+from milletsill.http_gateway.gateway_limits import (
     BESIDE,
     BESIDE_MOVED,
     BESIDE_MUTE,
@@ -14,8 +13,9 @@
     TOLD_MOVED,
     Call,
 )
-from tests.discovery_door import HEAD, LOOK, Held, said
-from tests.platform_rig import SETTINGS, Loopback, reset
+from milletsill.interface import News
+from tests.support.discovery_connections import HEAD, LOOK, Held, said
+from tests.support.http_gateway_rig import SETTINGS, Loopback, reset
 
 GRACE = 8_000  # to stop sending, where lists are pushed
 
--- a/tests/test_crossings_going.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -11,8 +11,8 @@
 import time
 import unittest
 
-from milletsill.platform.decide import Event, ends_of
-from tests.platform_rig import GIVEN, SETTINGS, TXN, Loopback, ask
+from milletsill.http_gateway.gateway_limits import Event, ends_of
+from tests.support.http_gateway_rig import GIVEN, SETTINGS, TXN, Loopback, ask
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 PATIENCE = 1.0  # of the rig's settings
@@ -259,9 +259,7 @@
                     },
                     file,
                 )
-            end = (
-                "from milletsill.platform import process\nsys.exit(process.main([]))\n"
-            )
+            end = "from milletsill.http_gateway import process\nsys.exit(process.main([]))\n"
             with subprocess.Popen(
                 [sys.executable, "-c", "import os, signal, sys, time\n" + lines + end],
                 stdout=log,
@@ -288,7 +286,7 @@
 
     def test_signals_that_came_before_the_reactor_ran_are_heard_once_each(self):
         status, log = self.run_with(
-            "from milletsill.platform.process import Signals\n"
+            "from milletsill.http_gateway.process import Signals\n"
             "first = Signals.__init__\n"
             "def begin(self):\n"
             "    first(self)\n"
--- a/tests/test_beside.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -4,7 +4,7 @@
 import unittest
 from itertools import product
 
-from milletsill.platform.decide import (
+from milletsill.http_gateway.gateway_limits import (
     BESIDE_MOVED,
     BESIDE_MUTE,
     BESIDE_SOON,
@@ -14,7 +14,7 @@
     beside_within,
     is_mute,
 )
-from tests.discovery_rig import GRACE, MOVED, QUICK, Called, Fleet
+from tests.support.discovery_rig import GRACE, MOVED, QUICK, Called, Fleet
 
 ANY = QUICK + ("late 503", "not up", "no word", "head", "drip")
 SILENT = ("no word", "head", "half", "drip")
--- a/tests/test_silence.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -5,10 +5,10 @@
 import unittest
 from itertools import product
 
+from milletsill.http_gateway.gateway import Gateway
 from milletsill.interface import News
-from milletsill.platform.gateway import Gateway
-from tests import platform_rig as shared
-from tests.discovery_rig import (
+from tests.support import http_gateway_rig as shared
+from tests.support.discovery_rig import (
     FAILING,
     GRACE,
     MANY,
@@ -22,7 +22,7 @@
     Service,
     chunk,
 )
-from tests.helpers import line, scheduler
+from tests.support.scheduler_builders import line, scheduler
 
 
 class Silence(Played):
--- a/tests/test_sites.py
+++ b/tests/http_gateway/test_sites.py
@@ -7,7 +7,8 @@
 import unittest
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+from tests.support.paths import ROOT
+
 SITES = ROOT / "deploy" / "sites"
 VARIANTS = ("heron-mill", "tallow-ford")
 WORD = re.compile(r"[^\W_]+")
--- a/tests/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -8,11 +8,12 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Order, Terms, Verdict
-from milletsill.lab import audit, record, starved as lab_starved
+from milletsill.lab import audit, record
+from milletsill.lab import starved as lab_starved
 from milletsill.lab.starved import Starved
 from milletsill.settings.milletsill_pb2 import Scenario
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Order, Terms, Verdict
 
 TERMS = """
 name: "x" edges: 1
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -12,15 +12,15 @@
 from twisted.internet.task import Clock
 
 from milletsill.cli.main import main
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Order, Verdict
-from milletsill.files.wire import Attrs
 from milletsill.lab.box import Box
 from milletsill.lab.engine import Engine, Speed
 from milletsill.lab.files import Files
 from milletsill.lab.run import Run, broken, report
-from milletsill.trace.reckoning import Claim, Done, parted, reckon
 from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, Scenario
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Order, Verdict
+from milletsill.sftp.wire import Attrs
+from milletsill.trace.reckoning import Claim, Done, parted, reckon
 
 SHORT = """
 name: "short" seed: 3 seconds: 5 tail_s: 3 edges: 2 files: 4 file_units: 8
--- a/tests/test_plants.py
+++ b/tests/lab/test_planted_faults.py
@@ -6,19 +6,19 @@
 
 from twisted.internet.task import Clock
 
-from milletsill.files import packets
-from milletsill.files.extensions import Terms
-from milletsill.fleet.channels.contracts import decide
-from milletsill.fleet.channels.contracts.decide import (
+from milletsill.fleet.channels import ordering
+from milletsill.fleet.channels.channel_owner import Keeper
+from milletsill.fleet.channels.commands import Open, Transfer, Word
+from milletsill.fleet.channels.ordering import (
     Book,
     Contract,
     Input,
     Order,
     Reach,
 )
-from milletsill.fleet.channels.contracts.keeper import Keeper
-from milletsill.fleet.channels.contracts.words import Open, Transfer, Word
 from milletsill.lab.plants import LINGER, LINGERS, PLANTS
+from milletsill.sftp import packets
+from milletsill.sftp.extensions import Terms
 
 VOLUME = SimpleNamespace(name="v", number=1)
 
@@ -80,7 +80,7 @@
 class Planted(unittest.TestCase):
     def effects(self, plant, order):
         with (
-            mock.patch.dict(decide.ORDER_TABLE),
+            mock.patch.dict(ordering.ORDER_TABLE),
             mock.patch.object(Keeper, "let_go", Keeper.let_go),
             mock.patch.object(Keeper, "ended", Keeper.ended),
         ):
--- a/tests/test_links.py
+++ b/tests/node_connections/test_connection_pool.py
@@ -6,11 +6,20 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Order, Verdict
 from milletsill.interface import Outcome
-from milletsill.links.decide import Bounds, Load, Sign, Stage, Way, due, route, step
-from milletsill.links.pool import Pool
+from milletsill.node_connections.connection_pool import Pool
+from milletsill.node_connections.connection_state import (
+    Bounds,
+    Load,
+    Sign,
+    Stage,
+    Way,
+    due,
+    route,
+    step,
+)
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Order, Verdict
 
 BOUNDS = Bounds(
     connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silent=10_000
--- a/tests/test_crossings_boxes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -5,16 +5,16 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from milletsill.edge import service
-from milletsill.edge.service import Edge
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Order
-from milletsill.files.framing import Deframer
 from milletsill.interface import Outcome, Readiness
-from milletsill.links.decide import Bounds
-from milletsill.links.pool import Pool
-from milletsill.registry.decide import Box
-from tests.loopback import Loop, listening, receive
+from milletsill.node_connections.connection_pool import Pool
+from milletsill.node_connections.connection_state import Bounds
+from milletsill.registry.endpoint_view import Box
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Order
+from milletsill.sftp.framing import Deframer
+from milletsill.sftp_gateway import gateway
+from milletsill.sftp_gateway.gateway import Edge
+from tests.support.loopback import Loop, listening, receive
 
 BOUNDS = Bounds(
     connections=2, streams=4, handshakes=1, dial=50_000, idle=300_000, silent=100_000
@@ -195,7 +195,7 @@
     edge.figures = SimpleNamespace(boxes=SimpleNamespace(set=lambda value: None))
     edge.reactor = edge.now = edge.bounds = edge.incarnation = edge.flows = None
     edge.file = SimpleNamespace(name="e", links=SimpleNamespace(most_packet=1))
-    with mock.patch.object(service, "Pool", pool):
+    with mock.patch.object(gateway, "Pool", pool):
         edge.moved(boxes)
 
 
--- a/tests/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -17,21 +17,21 @@
 from twisted.trial.unittest import TestCase
 
 from milletsill.cli.main import main
-from milletsill.edge.facts import facts_of
-from milletsill.logs import logger
-from milletsill.files import packets
 from milletsill.interface import Listed, Readiness
-from milletsill.planner import codec, store
-from milletsill.planner.codec import Frames, BadFrame, encoded
-from milletsill.planner.decide.lending import Edge
-from milletsill.planner.decide.link import MOST_WAIT, Link, Said, dial_after, link_step
-from milletsill.planner.decide.terms import GUARD, SECOND, Ask, Grant, Lent, Span
-from milletsill.planner.decide.wants import Demand, want_of
-from milletsill.planner.edge import Parts
+from milletsill.logs import logger
+from milletsill.planner import codec, epoch_store
+from milletsill.planner.codec import BadFrame, Frames, encoded
+from milletsill.planner.demand_estimate import Demand, want_of
 from milletsill.planner.plan_pb2 import Asks, Welcome, Wish
-from milletsill.planner.service import Service
+from milletsill.planner.planner_link import MOST_WAIT, Link, Said, dial_after, link_step
+from milletsill.planner.planner_service import Service
+from milletsill.planner.quota_client import Parts
+from milletsill.planner.quota_lending import Edge
+from milletsill.planner.quota_terms import GUARD, SECOND, Ask, Grant, Lent, Span
 from milletsill.settings.milletsill_pb2 import GatewayFile, PlannerFile
-from tests.rig import Rig, later
+from milletsill.sftp import packets
+from milletsill.sftp_gateway.deployment import facts_of
+from tests.support.sftp_gateway_rig import Rig, later
 
 EDGE = """
 name: "e" listen: "127.0.0.1:0" gateways: 4 seed: 5 registry { address: "127.0.0.1:1" }
@@ -113,15 +113,17 @@
         self.folder = folder.name
 
     def test_each_start_has_a_newer_one_and_copies_differ(self):
-        made = [store.next_epoch(self.folder, Random(each)) for each in range(4)]
+        made = [epoch_store.next_epoch(self.folder, Random(each)) for each in range(4)]
         self.assertEqual(made, sorted(set(made)))
-        other = store.next_epoch(f"{self.folder}/copy", Random(9))
-        self.assertNotEqual(other, store.next_epoch(f"{self.folder}/copy2", Random(10)))
+        other = epoch_store.next_epoch(f"{self.folder}/copy", Random(9))
+        self.assertNotEqual(
+            other, epoch_store.next_epoch(f"{self.folder}/copy2", Random(10))
+        )
 
     def test_a_write_cut_at_any_byte_leaves_the_other(self):
-        before = store.next_epoch(self.folder, Random(1))
-        last = store.next_epoch(self.folder, Random(2))
-        for name in store.NAMES:
+        before = epoch_store.next_epoch(self.folder, Random(1))
+        last = epoch_store.next_epoch(self.folder, Random(2))
+        for name in epoch_store.NAMES:
             path = os.path.join(self.folder, name)
             with open(path, "rb") as source:
                 data = source.read()
@@ -129,30 +131,31 @@
                 with open(path, "wb") as sink:
                     sink.write(data[:size])
                 found = [
-                    store.read(os.path.join(self.folder, each)) for each in store.NAMES
+                    epoch_store.read(os.path.join(self.folder, each))
+                    for each in epoch_store.NAMES
                 ]
                 self.assertIn(max(found), (before, last))
             with open(path, "wb") as sink:
                 sink.write(data)
 
     def test_a_flipped_bit_counts_as_torn(self):
-        store.next_epoch(self.folder, Random(1))
-        path = os.path.join(self.folder, store.NAMES[0])
+        epoch_store.next_epoch(self.folder, Random(1))
+        path = os.path.join(self.folder, epoch_store.NAMES[0])
         with open(path, "rb") as source:
             data = bytearray(source.read())
         for at in range(len(data)):
             data[at] ^= 4
             with open(path, "wb") as sink:
                 sink.write(data)
-            self.assertEqual(store.read(path), 0)
+            self.assertEqual(epoch_store.read(path), 0)
             data[at] ^= 4
 
     def test_a_folder_that_cannot_be_written_is_one_line(self):
         path = os.path.join(self.folder, "file")
         with open(path, "w", encoding="ascii") as sink:
             sink.write("in the way")
-        with self.assertRaises(store.EpochUnkept):
-            store.next_epoch(path, Random(1))
+        with self.assertRaises(epoch_store.EpochUnkept):
+            epoch_store.next_epoch(path, Random(1))
 
 
 class Frame(unittest.TestCase):
@@ -388,7 +391,7 @@
     ):
         newer = await self.planner(state="new")
         for _ in range(3):
-            store.next_epoch(f"{self.folder}/new", Random(1))
+            epoch_store.next_epoch(f"{self.folder}/new", Random(1))
         newer.stop()
         newer = await self.planner(state="new")
         rig = self.rig()
--- a/tests/test_planner_decide.py
+++ b/tests/planner/test_quota_decisions.py
@@ -3,11 +3,11 @@
 import unittest
 from dataclasses import replace
 
-from milletsill.planner import model
-from milletsill.planner.decide.granting import Planner
-from milletsill.planner.decide.lending import Edge, Heard, Holding
-from milletsill.planner.decide.plan import PLAN_EVERY, Pot, Share, fair, plan
-from milletsill.planner.decide.terms import (
+from milletsill.lab.model_checks import quota_model
+from milletsill.planner.quota_granting import Planner
+from milletsill.planner.quota_lending import Edge, Heard, Holding
+from milletsill.planner.quota_plan import PLAN_EVERY, Pot, Share, fair, plan
+from milletsill.planner.quota_terms import (
     GUARD,
     MOST_PROMISES,
     SECOND,
@@ -310,24 +310,24 @@
 class TheModel(unittest.TestCase):
     def test_every_order_of_events_of_a_small_fleet(self):
         for edges, depth, first in ((2, 4, 6), (3, 3, 9)):
-            count, wrong = model.explore(edges, depth, 100_000, first)
+            count, wrong = quota_model.explore(edges, depth, 100_000, first)
             self.assertIsNone(wrong)
             self.assertGreater(count, 300)
 
     def test_chance_through_a_large_fleet_whose_clocks_drift(self):
         for seed in range(6):
-            self.assertIsNone(model.walk(20, 1500, seed)[1])
+            self.assertIsNone(quota_model.walk(20, 1500, seed)[1])
 
     def test_each_guard_taken_out_is_found(self):
-        for guard in model.MUTANTS:
-            with self.subTest(guard), model.without(guard):
-                self.assertIsNotNone(model.wrong(300))
+        for guard in quota_model.MUTANTS:
+            with self.subTest(guard), quota_model.without(guard):
+                self.assertIsNotNone(quota_model.wrong(300))
 
     def test_a_grant_that_was_overtaken_is_counted_until_its_end(self):
-        self.assertLessEqual(model.overtaken(), WHOLE)
+        self.assertLessEqual(quota_model.overtaken(), WHOLE)
 
     def test_the_model_does_grant(self):
-        world = model.World(4)
+        world = quota_model.World(4)
         for step in range(80):
             world.exchange(step % 4)
             world.pass_time(SECOND // 8)
--- a/tests/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -10,9 +10,18 @@
 from twisted.internet.task import Clock
 
 from milletsill.interface import News, Readiness
-from milletsill.registry import cache, jsons
-from milletsill.registry.decide import BadBox, Box, Cue, Stage, Told, View, box_of, step
-from milletsill.registry.follower import Follower
+from milletsill.registry import endpoint_cache, etcd_json
+from milletsill.registry.endpoint_view import (
+    BadBox,
+    Box,
+    Cue,
+    Stage,
+    Told,
+    View,
+    box_of,
+    step,
+)
+from milletsill.registry.registry_watcher import Follower
 
 VALUE = {
     "id": 7,
@@ -117,8 +126,8 @@
     def kv(self, key="k/7", value=VALUE, revision=4):
         text = value if isinstance(value, str) else json.dumps(value)
         return {
-            "key": jsons.encoded(key),
-            "value": jsons.encoded(text),
+            "key": etcd_json.encoded(key),
+            "value": etcd_json.encoded(text),
             "mod_revision": str(revision),
         }
 
@@ -128,7 +137,7 @@
             "header": {"revision": "9"},
             "kvs": [self.kv(), self.kv("k/8", "nonsense"), self.kv("k/9", {"id": -1})],
         }
-        boxes, revision = jsons.read_range(json.dumps(body).encode(), said.append)
+        boxes, revision = etcd_json.read_range(json.dumps(body).encode(), said.append)
         self.assertEqual((list(boxes), revision, len(said)), (["k/7"], 9, 2))
 
     def test_a_watch_tells_changes_deletes_opening_and_compaction(self):
@@ -139,12 +148,12 @@
                     {"kv": self.kv()},
                     {
                         "type": "DELETE",
-                        "kv": {"key": jsons.encoded("k/8"), "mod_revision": "5"},
+                        "kv": {"key": etcd_json.encoded("k/8"), "mod_revision": "5"},
                     },
                 ],
             }
         }
-        changes, _, opened, compacted = jsons.read_watch(
+        changes, _, opened, compacted = etcd_json.read_watch(
             json.dumps(line).encode(), print
         )
         self.assertEqual(
@@ -152,7 +161,7 @@
             [("k/7", False, 4), ("k/8", True, 5)],
         )
         cancelled = {"result": {"canceled": True, "compact_revision": "12"}}
-        self.assertTrue(jsons.read_watch(json.dumps(cancelled).encode(), print)[3])
+        self.assertTrue(etcd_json.read_watch(json.dumps(cancelled).encode(), print)[3])
 
     def test_nonsense_is_one_line(self):
         for data in (
@@ -164,8 +173,8 @@
             b"[" * 100_000,
             b'{"result": {"events": [{"kv": {"key": "!"}}]}}',
         ):
-            with self.assertRaises(jsons.BadAnswer):
-                jsons.read_watch(data, print)
+            with self.assertRaises(etcd_json.BadAnswer):
+                etcd_json.read_watch(data, print)
 
     def test_boxes_of_all_wrong_kinds_are_refused(self):
         for field, value in (
@@ -182,9 +191,9 @@
                 box_of({**VALUE, field: value})
 
     def test_a_line_without_an_end_is_bounded(self):
-        lines = jsons.Lines(100)
+        lines = etcd_json.Lines(100)
         self.assertEqual(lines.feed(b"a\nb"), [b"a"])
-        with self.assertRaises(jsons.BadAnswer):
+        with self.assertRaises(etcd_json.BadAnswer):
             lines.feed(b"x" * 200)
 
 
@@ -291,7 +300,7 @@
         self.passing(1.5)  # looked at in between
         gone = {
             "type": "DELETE",
-            "kv": {"key": jsons.encoded("k/7"), "mod_revision": "5"},
+            "kv": {"key": etcd_json.encoded("k/7"), "mod_revision": "5"},
         }
         self.line(json.dumps({"result": {"events": [gone]}}).encode())
         self.ways = ["fails"] * 4 + ["no word"]
@@ -307,26 +316,26 @@
         self.path = os.path.join(self.folder.name, "boxes")
 
     def test_what_is_put_comes_back(self):
-        cache.put(self.path, {"k": box()}, 12)
-        self.assertEqual(cache.get(self.path), ({"k": box()}, 12))
+        endpoint_cache.put(self.path, {"k": box()}, 12)
+        self.assertEqual(endpoint_cache.get(self.path), ({"k": box()}, 12))
 
     def test_none_is_empty(self):
-        self.assertEqual(cache.get(self.path), ({}, 0))
+        self.assertEqual(endpoint_cache.get(self.path), ({}, 0))
 
     def test_a_file_cut_or_flipped_anywhere_is_not_used(self):
-        cache.put(self.path, {"k": box()}, 12)
+        endpoint_cache.put(self.path, {"k": box()}, 12)
         with open(self.path, "rb") as source:
             data = source.read()
         for at in range(0, len(data), 7):
             for bad in (data[:at], data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :]):
                 with open(self.path, "wb") as sink:
                     sink.write(bad)
-                with self.assertRaises(cache.ListUnkept):
-                    cache.get(self.path)
+                with self.assertRaises(endpoint_cache.ListUnkept):
+                    endpoint_cache.get(self.path)
 
     def test_a_full_disk_leaves_the_old_list_and_one_line(self):
-        with self.assertRaises(cache.ListUnkept) as caught:
-            cache.put("/dev/full/x", {}, 1)
+        with self.assertRaises(endpoint_cache.ListUnkept) as caught:
+            endpoint_cache.put("/dev/full/x", {}, 1)
         self.assertNotIn("\n", str(caught.exception))
 
 
--- a/tests/test_months.py
+++ b/tests/scheduler/test_long_running.py
@@ -4,7 +4,14 @@
 import unittest
 
 from milletsill.interface import News, Outcome, Readiness
-from tests.helpers import answer, arrival, line, node, scheduler, transfer
+from tests.support.scheduler_builders import (
+    answer,
+    arrival,
+    line,
+    node,
+    scheduler,
+    transfer,
+)
 
 LONG = 10_000_000
 
--- a/tests/test_policy_rules.py
+++ b/tests/scheduler/test_rules.py
@@ -3,9 +3,16 @@
 import unittest
 
 from milletsill.interface import News, Outcome, Readiness
-from milletsill.policy.records import Store
-from milletsill.policy.tables import NEVER, Health, Phase
-from tests.helpers import answer, arrival, line, node, scheduler, transfer
+from milletsill.scheduler.records import Store
+from milletsill.scheduler.tables import NEVER, Health, Phase
+from tests.support.scheduler_builders import (
+    answer,
+    arrival,
+    line,
+    node,
+    scheduler,
+    transfer,
+)
 
 
 class Rules(unittest.TestCase):
--- a/tests/test_policy.py
+++ b/tests/scheduler/test_scheduler.py
@@ -3,8 +3,8 @@
 import unittest
 
 from milletsill.interface import Outcome
-from milletsill.policy.tables import CREDITS, Health, Sign
-from tests.helpers import answer, arrival, node, scheduler, transfer
+from milletsill.scheduler.tables import CREDITS, Health, Sign
+from tests.support.scheduler_builders import answer, arrival, node, scheduler, transfer
 
 
 class Path(unittest.TestCase):
--- a/tests/test_layouts.py
+++ b/tests/scheduler/test_settings_layouts.py
@@ -4,9 +4,9 @@
 
 from milletsill.facts import facts_of, missing_in, unknown_in
 from milletsill.interface import Arrival, News, Outcome, Readiness
-from milletsill.policy import Scheduler
-from milletsill.policy.tables import Sign
-from tests.helpers import Noted, answer, line
+from milletsill.scheduler import Scheduler
+from milletsill.scheduler.tables import Sign
+from tests.support.scheduler_builders import Noted, answer, line
 
 SECOND = 1_000_000_000
 
--- a/tests/test_fleet.py
+++ b/tests/scheduler/test_slow_start_across_fleet.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from milletsill.interface import Answer, Arrival, News, Outcome
-from milletsill.policy import Scheduler
-from tests.helpers import BASE, CATEGORY, line
+from milletsill.scheduler import Scheduler
+from tests.support.scheduler_builders import BASE, CATEGORY, line
 
 STARTS, SECOND = 5_000, 10_000  # the node's start
 LATE = 9_000  # a connection that comes up late
--- a/tests/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from milletsill.settings.decide import check_gateway, check_scenario
 from milletsill.settings.load import RefusedFile, parse
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
+from milletsill.settings.validation import check_gateway, check_scenario
 
 GOOD = """name: "edge-1"
 gateways: 3
--- a/tests/test_files.py
+++ b/tests/sftp/test_packets.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Order, Terms, Verdict
-from milletsill.files.framing import BrokenStream, Deframer
-from milletsill.files.wire import Attrs, BadPacket, Name
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Order, Terms, Verdict
+from milletsill.sftp.framing import BrokenStream, Deframer
+from milletsill.sftp.wire import Attrs, BadPacket, Name
 
 SAMPLES = [
     packets.Init(3),
--- a/tests/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -7,9 +7,9 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.trial.unittest import TestCase
 
-from milletsill.files import extensions, packets
-from milletsill.files.extensions import Terms
-from tests.rig import Rig, later, pattern
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Terms
+from tests.support.sftp_gateway_rig import Rig, later, pattern
 
 
 def declined(answer):
--- a/tests/test_edge_decide.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -2,7 +2,9 @@
 
 import unittest
 
-from milletsill.edge.decide import (
+from milletsill.sftp import packets
+from milletsill.sftp.wire import Attrs
+from milletsill.sftp_gateway.routing import (
     BY_DIRECTORY,
     FREE,
     HASHED,
@@ -37,8 +39,6 @@
     taken_since,
     told,
 )
-from milletsill.files import packets
-from milletsill.files.wire import Attrs
 
 
 def place(number=1, name="suva", root="/suva", cells=(0, 1, 2), placement=HASHED):
--- a/tests/discovery_door.py
+++ b/tests/support/discovery_connections.py
@@ -9,9 +9,9 @@
 
 from twisted.internet.selectreactor import SelectReactor
 
+from milletsill.http_gateway.endpoint_watcher import Follower
 from milletsill.interface import News
-from milletsill.platform.discovery import Follower
-from tests.platform_rig import NODE
+from tests.support.http_gateway_rig import NODE
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BEAT = b"1\r\n\n\r\n"
--- a/tests/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -3,12 +3,12 @@
 import json
 from random import Random
 
+from milletsill.http_gateway.endpoint_watcher import Follower
+from milletsill.http_gateway.gateway import Gateway
+from milletsill.http_gateway.gateway_limits import ask_within
 from milletsill.interface import Readiness
-from milletsill.platform.decide import ask_within
-from milletsill.platform.discovery import Follower
-from milletsill.platform.gateway import Gateway
-from tests import platform_rig as shared
-from tests.helpers import scheduler
+from tests.support import http_gateway_rig as shared
+from tests.support.scheduler_builders import scheduler
 
 TOLD, MOVED = (
     6.0,
--- a/tests/platform_rig.py
+++ b/tests/support/http_gateway_rig.py
@@ -15,8 +15,8 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from milletsill.platform.configuration import deployment_of
-from milletsill.platform.gateway import Gateway
+from milletsill.http_gateway.configuration import deployment_of
+from milletsill.http_gateway.gateway import Gateway
 
 SETTINGS = {
     "peers_total": 2,
--- a/tests/crossing_agents.py
+++ b/tests/support/race_actors.py
@@ -3,8 +3,8 @@
 import json
 from functools import partial
 
-from tests.crossing_watch import MS, SECOND, Line, parts_of
-from tests.crossing_wires import Sock
+from tests.support.race_observer import MS, SECOND, Line, parts_of
+from tests.support.race_transports import Sock
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 FORMS = {  # answers whole, by how their body ends
--- a/tests/crossing_guards.py
+++ b/tests/support/race_guards.py
@@ -3,14 +3,14 @@
 from contextlib import contextmanager
 from unittest.mock import patch
 
-from milletsill.edge import host, turns
-from milletsill.edge.host import Host
-from milletsill.platform import links
-from milletsill.platform.decide import Event
-from milletsill.platform.discovery import Watch
-from milletsill.platform.door import Client
-from milletsill.platform.gateway import Gateway
-from milletsill.platform.links import Link, Node
+from milletsill.gateway import reactor_turn, scheduler_host
+from milletsill.gateway.scheduler_host import Host
+from milletsill.http_gateway import node_connections
+from milletsill.http_gateway.endpoint_watcher import Watch
+from milletsill.http_gateway.gateway import Gateway
+from milletsill.http_gateway.gateway_limits import Event
+from milletsill.http_gateway.http_server import Client
+from milletsill.http_gateway.node_connections import Link, Node
 
 
 def retire(self):
@@ -24,9 +24,9 @@
     sending, self.sending = self.sending, None
     self.gone()
     if sending is not None and whole is not None:
-        sending.end(links.outcome_of(whole), links.Verdict(whole))
+        sending.end(node_connections.outcome_of(whole), node_connections.Verdict(whole))
     elif sending is not None:
-        sending.end(links.Outcome.RESET)
+        sending.end(node_connections.Outcome.RESET)
 
 
 def idle(self, link):
@@ -97,10 +97,10 @@
 
 GUARDS = {
     "what came is read before anything is begun": lambda: patch.object(
-        turns, "io_first", never
+        reactor_turn, "io_first", never
     ),
     "what came is read before a time-out": lambda: patch.object(
-        host, "io_first", never
+        scheduler_host, "io_first", never
     ),
     "what waits at a node that retires is moot": lambda: patch.multiple(
         Node, retire=retire, idle=idle_anywhere
@@ -110,7 +110,7 @@
     ),
     "a reset is no end": lambda: patch.object(Link, "connectionLost", lost),
     "a dispatch begins within a dial of its decision": lambda: patch.object(
-        links, "kept_from", never
+        node_connections, "kept_from", never
     ),
     "a link to where the node was is of no use": lambda: patch.object(
         Node, "idle", idle
--- a/tests/crossing_moves.py
+++ b/tests/support/race_scenarios.py
@@ -10,13 +10,13 @@
 
 from twisted.python import log
 
+from milletsill.http_gateway.configuration import deployment_of
+from milletsill.http_gateway.gateway import Gateway
 from milletsill.lab.hunt.decide import Event
-from milletsill.platform.configuration import deployment_of
-from milletsill.platform.gateway import Gateway
-from tests.crossing_agents import Client, Discovery, Node
-from tests.crossing_watch import MS, SECOND, Request, Watch
-from tests.crossing_wires import World
-from tests.platform_rig import GIVEN, SETTINGS, ask
+from tests.support.http_gateway_rig import GIVEN, SETTINGS, ask
+from tests.support.race_actors import Client, Discovery, Node
+from tests.support.race_observer import MS, SECOND, Request, Watch
+from tests.support.race_transports import World
 
 BEGIN, LENGTH = 100 * SECOND, 5 * SECOND
 ADDRESSES = (8500, 8501)  # discovery's
--- a/tests/crossing_sites.py
+++ b/tests/support/race_sites.py
@@ -4,9 +4,10 @@
 import tomllib
 from pathlib import Path
 
-from tests.platform_rig import SETTINGS
+from tests.support.http_gateway_rig import SETTINGS
+from tests.support.paths import ROOT
 
-SITES = Path(__file__).parent.parent / "deploy" / "sites"
+SITES = ROOT / "deploy" / "sites"
 EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 NS = 1_000_000  # of a millisecond
 
--- a/tests/helpers.py
+++ b/tests/support/scheduler_builders.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from milletsill.interface import Answer, Arrival, Listed, Outcome, Readiness
-from milletsill.policy import Scheduler
-from milletsill.policy.records import Node, Transfer
+from milletsill.scheduler import Scheduler
+from milletsill.scheduler.records import Node, Transfer
 
 BASE: dict[str, Any] = {
     "gateways": 2,
--- a/tests/rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -11,15 +11,15 @@
 from twisted.internet import defer, protocol, reactor
 from twisted.internet.task import deferLater
 
-from milletsill.logs import logger
-from milletsill.edge.service import Edge
-from milletsill.files import extensions, packets
-from milletsill.files.framing import Deframer
-from milletsill.files.wire import Attrs
 from milletsill.lab.box import Box, Gates
 from milletsill.lab.files import Files
 from milletsill.lab.registry import Registry, site
+from milletsill.logs import logger
 from milletsill.settings.milletsill_pb2 import BoxKind, GatewayFile, RegistryStand
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.framing import Deframer
+from milletsill.sftp.wire import Attrs
+from milletsill.sftp_gateway.gateway import Edge
 
 FILE = """
 name: "edge-t" listen: "127.0.0.1:0" gateways: 1 seed: 5
--- a/tests/test_house.py
+++ b/tests/test_architecture.py
@@ -8,28 +8,29 @@
 from graphlib import CycleError, TopologicalSorter
 from pathlib import Path
 
-ROOT = Path(__file__).parents[1]
-PROGRAMS = {"edge", "platform", "planner"}
+from tests.support.paths import ROOT
+
+PROGRAMS = {"sftp_gateway", "http_gateway", "planner"}
 ABOVE = {"cli", "lab", "__main__"}
-# Programs that use a part of another: the platform's gateway is the host of `edge` behind another door; `edge` loads a planner's
-# client where its file has the block.
-BETWEEN = {("platform", "edge"), ("edge", "planner")}
+# The one program that uses a part of another: the SFTP gateway loads the planner's client
+# where its file has the block.
+BETWEEN = {("sftp_gateway", "planner")}
 # Over 400 lines once the formatter has been over them, to be split by concern; none is to join them.
 TO_BE_SPLIT: set[str] = {
-    "milletsill/edge/channels.py",
-    "milletsill/edge/decide.py",
-    "milletsill/edge/door.py",
-    "milletsill/edge/service.py",
-    "milletsill/fleet/channels/contracts/keeper.py",
-    "milletsill/fleet/channels/contracts/line.py",
-    "milletsill/fleet/channels/contracts/model.py",
-    "milletsill/fleet/channels/contracts/sea.py",
-    "milletsill/fleet/channels/model.py",
-    "milletsill/fleet/channels/registers/desk.py",
-    "milletsill/fleet/channels/registers/service.py",
-    "milletsill/fleet/channels/world.py",
-    "milletsill/fleet/health/decide.py",
-    "milletsill/fleet/members/membership.py",
+    "milletsill/sftp_gateway/channel_commands.py",
+    "milletsill/sftp_gateway/routing.py",
+    "milletsill/sftp_gateway/sftp_server.py",
+    "milletsill/sftp_gateway/gateway.py",
+    "milletsill/fleet/channels/channel_owner.py",
+    "milletsill/fleet/channels/channel_sequencer.py",
+    "milletsill/lab/model_checks/channel_model.py",
+    "milletsill/lab/model_checks/channel_simulation.py",
+    "milletsill/lab/model_checks/lease_model.py",
+    "milletsill/fleet/leases/acceptor_service.py",
+    "milletsill/fleet/leases/lease_manager.py",
+    "milletsill/lab/model_checks/lease_cluster.py",
+    "milletsill/fleet/health/health_evaluator.py",
+    "milletsill/fleet/membership/membership.py",
     "milletsill/flows/exporter.py",
     "milletsill/flows/ipfix.py",
     "milletsill/lab/audit_contracts.py",
@@ -37,31 +38,31 @@
     "milletsill/lab/hunt/fleet_world.py",
     "milletsill/lab/hunt/list_world.py",
     "milletsill/lab/load.py",
-    "milletsill/links/pool.py",
-    "milletsill/planner/service.py",
-    "milletsill/platform/door.py",
-    "milletsill/platform/links.py",
-    "milletsill/registry/follower.py",
-    "milletsill/settings/decide.py",
+    "milletsill/node_connections/connection_pool.py",
+    "milletsill/planner/planner_service.py",
+    "milletsill/http_gateway/http_server.py",
+    "milletsill/http_gateway/node_connections.py",
+    "milletsill/registry/registry_watcher.py",
+    "milletsill/settings/validation.py",
     "milletsill/trace/tools.py",
-    "tests/crossing_agents.py",
-    "tests/crossing_moves.py",
-    "tests/crossing_wires.py",
-    "tests/platform_rig.py",
-    "tests/test_channels.py",
-    "tests/test_crossings_ahead.py",
-    "tests/test_crossings_descriptors.py",
-    "tests/test_crossings_links.py",
-    "tests/test_end_to_end.py",
-    "tests/test_fleet.py",
-    "tests/test_fleet_members.py",
-    "tests/test_health.py",
-    "tests/test_lab.py",
-    "tests/test_layouts.py",
-    "tests/test_planner.py",
-    "tests/test_platform.py",
-    "tests/test_trace.py",
-    "tests/test_trace_tools.py",
+    "tests/support/race_actors.py",
+    "tests/support/race_scenarios.py",
+    "tests/support/race_transports.py",
+    "tests/support/http_gateway_rig.py",
+    "tests/fleet/channels/test_channels_end_to_end.py",
+    "tests/http_gateway/test_races_pipelined_requests.py",
+    "tests/http_gateway/test_races_descriptors.py",
+    "tests/http_gateway/test_races_node_connections.py",
+    "tests/sftp_gateway/test_end_to_end.py",
+    "tests/scheduler/test_slow_start_across_fleet.py",
+    "tests/fleet/membership/test_membership.py",
+    "tests/fleet/health/test_health.py",
+    "tests/lab/test_lab.py",
+    "tests/scheduler/test_settings_layouts.py",
+    "tests/planner/test_planner.py",
+    "tests/http_gateway/test_http_gateway.py",
+    "tests/trace/test_trace.py",
+    "tests/trace/test_trace_tools.py",
 }
 
 
@@ -142,10 +143,14 @@
 
     def test_what_is_wrong_is_found(self):
         known = names(ROOT / "milletsill")
-        text = "if 1:\n    from milletsill.lab import box\ndef f():\n    import milletsill.edge.door\n"
+        text = "if 1:\n    from milletsill.lab import box\ndef f():\n    import milletsill.sftp_gateway.sftp_server\n"
         found = imports(text, known)
-        self.assertEqual(found, {"milletsill.lab.box", "milletsill.edge.door"})
-        self.assertEqual(len(wrong({"milletsill.links.pool": found})), 2)
+        self.assertEqual(
+            found, {"milletsill.lab.box", "milletsill.sftp_gateway.sftp_server"}
+        )
+        self.assertEqual(
+            len(wrong({"milletsill.node_connections.connection_pool": found})), 2
+        )
         self.assertEqual(wrong({"milletsill.cli.main": found}), [])
         self.assertEqual(len(circle({"a": {"b"}, "b": {"c"}, "c": {"a"}})), 4)
 
@@ -167,7 +172,7 @@
         deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
         stand = sorted(
             str(each.relative_to(ROOT))
-            for each in (ROOT / "milletsill/policy").rglob("*.py")
+            for each in (ROOT / "milletsill/scheduler").rglob("*.py")
         )
         self.assertEqual(sorted(deploy["policy"]), stand)
         for each in deploy["node"]:
@@ -178,7 +183,7 @@
             "milletsill.wirehost.host",
             "milletsill.wirehost.__main__",
             "milletsill.facts",
-            "milletsill.policy",
+            "milletsill.scheduler",
         ):
             done = subprocess.run(
                 [sys.executable, "-S", "-c", f"import {module}"],
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -5,12 +5,13 @@
 import tempfile
 import unittest
 
-from milletsill.edge.identity import next_incarnation
-from milletsill.fleet.channels.registers.store import Store
-from milletsill.planner import store
+from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.planner import epoch_store
+from milletsill.sftp_gateway.incarnation import next_incarnation
 from tests.fixtures import make_octets, make_wire
+from tests.support.paths import FIXTURES
 
-HERE = os.path.join(os.path.dirname(__file__), "fixtures")
+HERE = str(FIXTURES)
 
 
 def recorded(name):
@@ -40,12 +41,15 @@
     def test_the_state_files_are_read(self):
         held = recorded("wire-1.json")
         with tempfile.TemporaryDirectory() as folder:
-            for name in (*store.NAMES, "run"):
+            for name in (*epoch_store.NAMES, "run"):
                 with open(os.path.join(folder, name), "wb") as sink:
                     sink.write(held[f"file {name}"])
-            epochs = [store.read(os.path.join(folder, name)) for name in store.NAMES]
+            epochs = [
+                epoch_store.read(os.path.join(folder, name))
+                for name in epoch_store.NAMES
+            ]
             self.assertEqual(
-                sorted(each >> store.CHANCE_BITS for each in epochs), [2, 3]
+                sorted(each >> epoch_store.CHANCE_BITS for each in epochs), [2, 3]
             )
             self.assertEqual(next_incarnation(os.path.join(folder, "run")), (43, None))
 
--- a/tests/test_trace_edge.py
+++ b/tests/trace/test_gateway_trace.py
@@ -12,13 +12,13 @@
 from twisted.internet import reactor
 from twisted.trial.unittest import TestCase
 
-from milletsill.files import packets
 from milletsill.interface import Answer, Arrival, Listed, News, Outcome, Readiness
-from milletsill.policy import Scheduler
-from milletsill.trace.decide import Verdict
+from milletsill.scheduler import Scheduler
+from milletsill.sftp import packets
 from milletsill.trace.reader import Trace, verify
 from milletsill.trace.recorder import Recorder
-from tests.rig import Rig, later
+from milletsill.trace.recording_policy import Verdict
+from tests.support.sftp_gateway_rig import Rig, later
 
 
 class Held:
@@ -252,7 +252,7 @@
         edge = await rig.edge()
         self.assertIsNone(edge.traces)
         code = (
-            "import sys; from milletsill.edge.process import run; import milletsill.cli.main; "
+            "import sys; from milletsill.sftp_gateway.process import run; import milletsill.cli.main; "
             "print([each for each in sys.modules if each.startswith('milletsill.trace') or each == 'numpy'])"
         )
         from twisted.internet.utils import getProcessOutput
--- a/tests/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -11,7 +11,9 @@
 
 from milletsill.cli.main import main
 from milletsill.trace import columns, format, tools
-from milletsill.trace.decide import (
+from milletsill.trace.format import BadTrace
+from milletsill.trace.reader import Trace, repair, verify
+from milletsill.trace.recording_policy import (
     FEW_ROWS,
     LONGER,
     MOST_AGE,
@@ -27,8 +29,6 @@
     step,
     to_delete,
 )
-from milletsill.trace.format import BadTrace
-from milletsill.trace.reader import Trace, repair, verify
 from milletsill.trace.records import BLOCK_HEAD, BY_NAME, FLOAT, KINDS, TEXT
 from milletsill.trace.writer import Writer
 
--- a/tests/test_trace_tools.py
+++ b/tests/trace/test_trace_tools.py
@@ -16,7 +16,9 @@
 from milletsill.cli.main import main
 from milletsill.lab.wire import Kept, Recorded
 from milletsill.trace import format, tools
-from milletsill.trace.decide import (
+from milletsill.trace.format import BadTrace
+from milletsill.trace.reader import Trace, repair, verify
+from milletsill.trace.recording_policy import (
     MOST_FOLLOWED,
     MOST_INDEXED,
     TOLERATED,
@@ -26,12 +28,11 @@
     align,
     moment,
 )
-from milletsill.trace.format import BadTrace
-from milletsill.trace.reader import Trace, repair, verify
 from milletsill.trace.records import BY_NAME, KINDS
 from milletsill.wirehost.host import serve
 from tests.fixtures.make_trace import put_all
-from tests.test_wirehost import BORN, frame
+from tests.support.paths import FIXTURES
+from tests.wirehost.test_wirehost import BORN, frame
 
 SECOND = 10_000
 
@@ -199,6 +200,7 @@
     @given(st.binary(max_size=200))
     def test_a_hostile_index_is_one_line(self, body):
         import zlib
+
         import zstandard
 
         packed = zstandard.ZstdCompressor().compress(body)
@@ -366,7 +368,7 @@
 
 
 class Versions(Files):
-    OLD = os.path.join(os.path.dirname(__file__), "fixtures", "trace-1.0.mtrace")
+    OLD = str(FIXTURES / "trace-1.0.mtrace")
 
     def test_a_trace_of_1_0_is_read_in_full(self):
         class Held:
--- a/tests/test_trace_writing.py
+++ b/tests/trace/test_trace_writing.py
@@ -12,12 +12,12 @@
 
 from milletsill.cli.main import main
 from milletsill.trace import format
-from milletsill.trace.decide import Verdict
 from milletsill.trace.reader import Trace, verify
 from milletsill.trace.reckoning import Claim, Done, reckon
+from milletsill.trace.recording_policy import Verdict
 from milletsill.trace.service import ServiceTerms, put_terms, summarise
 from milletsill.trace.writer import Writer
-from tests.test_trace_tools import SECOND, Files, arrival, command
+from tests.trace.test_trace_tools import SECOND, Files, arrival, command
 
 
 class Service(Files):
--- a/tests/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -7,7 +7,7 @@
 from milletsill import facts as shared
 from milletsill.interface import News, Outcome
 from milletsill.wirehost import codec
-from milletsill.wirehost.codec import Batch, Event, BadBatch
+from milletsill.wirehost.codec import BadBatch, Batch, Event
 from milletsill.wirehost.host import Host, serve
 
 FACTS = json.dumps(
