--- a/benchmarks/cold_bound.py
+++ b/benchmarks/cold_bound.py
@@ -45,7 +45,8 @@
 
 def worst(n: float, factor: float) -> float:
     """The chance to pass the line at `factor` times the draw's mean, for the one size of transfers that is worst: k of them
-    pass it that weigh just over a k-th of it each, and a larger one's odds are cut."""
+    pass it that weigh just over a k-th of it each, and a larger one's odds are cut.
+    """
     mean, most = drawn(n), 0.0
     for k in range(1, int(line(n)) + 1):
         odds = factor * mean * (line(n) / mean) ** (1 - line(n) / k)
@@ -109,7 +110,8 @@
 
     def gap_draw(self, flat: bool = False) -> list[tuple[float, float]]:
         """Each transfer is drawn for once, as it comes, with odds of the even part that has filled since the last one for that
-        node's cell; `flat`: with the odds that the mean demand over all nodes asks for, whatever comes."""
+        node's cell; `flat`: with the odds that the mean demand over all nodes asks for, whatever comes.
+        """
         last: dict[int, float] = {}
         sent, mean = [], len(self.arrivals) / (HISTORY + WARM) / self.hot
         for at, gateway, weight in self.arrivals:
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -19,8 +19,9 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from google.protobuf import text_format
 
--- a/milletsill/cli/files.py
+++ b/milletsill/cli/files.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import sys
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 import click
 
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -5,8 +5,9 @@
 import json
 import os
 import sys
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Callable
+from typing import Any
 
 import click
 
@@ -187,7 +188,8 @@
 @FILES
 def trace_merge(out: str, files: tuple[str, ...]) -> None:
     """Write FILES of many gateways as one, by wall time, to the new file OUT. Clocks that are seconds off are mended by the
-    list news that the gateways share; what each correction may be off by is told."""
+    list news that the gateways share; what each correction may be off by is told.
+    """
     from milletsill.trace.tools import merge
 
     made = shown(list(files), lambda heard: merge(list(files), out, heard), 2)
--- a/milletsill/errors/known.py
+++ b/milletsill/errors/known.py
@@ -21,7 +21,8 @@
 
 def known() -> dict[str, list[type[Fault]]]:
     """The types by name; more than one of a name is a fault of the program. A family without a remedy of its own is never raised
-    and does not count."""
+    and does not count.
+    """
     for each in modules():
         importlib.import_module(each)
     found: dict[str, list[type[Fault]]] = {}
--- a/milletsill/facts.py
+++ b/milletsill/facts.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Mapping, Sequence
+from collections.abc import Mapping, Sequence
+from typing import Any
 
 UNIT = 100_000  # nanoseconds in a tenth of a millisecond
 MOST = float(1 << 60)
@@ -161,7 +162,8 @@
 
 def facts_of(given: Any) -> dict[str, Any]:
     """The settings under our names and in our units; names that are not known are passed over. ValueError where they
-    are of no use."""
+    are of no use.
+    """
     if not isinstance(given, dict):
         raise ValueError("not a JSON object")
     whole = Part(given)
--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Callable, Protocol
+from collections.abc import Callable
+from typing import Any, Protocol
 
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.channel_sequencer import Line
@@ -233,7 +234,8 @@
 
     def over(self, key: str) -> int:
         """When the last office of a channel that was lost here ends. Guards against what this gateway itself let go under it, which
-        lasts to its end though the same gateway may take the office again at once. Harm: what stands behind waits so long."""
+        lasts to its end though the same gateway may take the office again at once. Harm: what stands behind waits so long.
+        """
         return self.runs_on.get(key, 0)
 
     def hear(self, held: Kept, word: Word) -> None:
@@ -311,7 +313,7 @@
         for each in at_once:
             self.tell(held, each)
         if held.lost or held.writing:
-            return
+            return None
         if line.dirty:
             held.writing, line.dirty = True, False
             after, line.after = line.after, []
@@ -369,7 +371,8 @@
 
     def ends_of(self, gone: LetGo, term: Any) -> int:
         """Guards against a dispatch of an earlier keeper that is still lawfully at a box when the next one has rested: nothing
-        that is let go outlives the office under which it was. Harm: a patience longer than an office is cut to it."""
+        that is let go outlives the office under which it was. Harm: a patience longer than an office is cut to it.
+        """
         return min(gone.ends, term.ends)
 
     def same(self, held: Kept, got: Any) -> bool:
@@ -481,7 +484,7 @@
 
     def tell(self, held: Kept, told: Tell) -> None:
         if told.asker is None:
-            return
+            return None
         if told.word == "answer":
             packet = held.packets.get(told.number or 0) or packets.Status(
                 0, told.code, "remembered"
--- a/milletsill/fleet/channels/channel_sequencer.py
+++ b/milletsill/fleet/channels/channel_sequencer.py
@@ -76,7 +76,8 @@
 
     def rested(self, now: int, rest: int) -> int:
         """Until when an unsure number stands in the way. Guards against its dispatch, which may run until rule 5's rest is over;
-        of a keeper before, its office is over, and what it let go never outlives an office. Harm: what stands behind waits."""
+        of a keeper before, its office is over, and what it let go never outlives an office. Harm: what stands behind waits.
+        """
         return now + rest
 
     # What comes.
@@ -142,7 +143,8 @@
 
     def window_end(self, entry: Entry, coming: Coming) -> int:
         """Guards against a second effect: a ticket is remembered no longer than its window from its first dispatch, and the last
-        one may run as late as the rest. Harm: an unsure end stays unsure."""
+        one may run as late as the rest. Harm: an unsure end stays unsure.
+        """
         return entry.since + coming.window - self.rest
 
     def tried_before(self, entry: Entry) -> bool:
@@ -445,7 +447,7 @@
             del self.remembered[next(iter(self.remembered))]
         self.dirty = True
         if self.contract.order is Order.NEWEST:
-            for each in sorted((each for each in self.entries if each < number)):
+            for each in sorted(each for each in self.entries if each < number):
                 self.after.append(
                     Tell(self.input(each, Input.PASSED), "superseded", number)
                 )
--- a/milletsill/fleet/channels/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -112,7 +112,8 @@
     data: bytes, rest: int, now: int, age: int | None, over: int = 0
 ) -> Line:
     """The channel from its record, as a new keeper finds it: what is out has an unsure end. `age`: how long ago the record
-    was written at most, None where nobody knows. `over`: when the last office under which anything was let go here ends."""
+    was written at most, None where nobody knows. `over`: when the last office under which anything was let go here ends.
+    """
     record = Record()
     try:
         record.ParseFromString(data)
--- a/milletsill/fleet/channels/commands.py
+++ b/milletsill/fleet/channels/commands.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Callable, Union
+from typing import Any, Union
 
 import xxhash
 
@@ -56,7 +57,8 @@
 @dataclass(slots=True, eq=False)
 class Word:
     """One word; `answered` is called once, with a packet for the client or with the name of the gateway to ask instead
-    (`Elsewhere`). `token` is the same for the same word told twice."""
+    (`Elsewhere`). `token` is the same for the same word told twice.
+    """
 
     volume: Any
     channel: str
--- a/milletsill/fleet/channels/ordering.py
+++ b/milletsill/fleet/channels/ordering.py
@@ -5,9 +5,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any, Callable, Mapping
+from typing import Any
 
 from milletsill.fleet.channels.errors import (
     ContractOlder,
@@ -134,7 +135,8 @@
 
 def before_newest(line: Any, number: int) -> int | None:
     """Guards against an older one that takes effect after a newer one: one under way at a time, and the newest that waits
-    goes first. Harm: a newer one waits for an older one's answer."""
+    goes first. Harm: a newer one waits for an older one's answer.
+    """
     out = next(
         (
             each
@@ -161,7 +163,8 @@
 
 def before_by_extent(line: Any, number: int) -> int | None:
     """Guards the order on one extent: a lower number that is not here may be of any extent, unless it was here before and
-    was overtaken; then it is pinned to what it touches."""
+    was overtaken; then it is pinned to what it touches.
+    """
     reaches = line.entries[number].reaches
     for each in range(line.floor, number):
         if each not in line.closed:
@@ -183,7 +186,7 @@
     return line.floor if line.entries[number].batch != line.batch else None
 
 
-ORDER_TABLE: Mapping[Order, Callable[[Any, int], "int | None"]] = {
+ORDER_TABLE: Mapping[Order, Callable[[Any, int], int | None]] = {
     Order.EACH_IN_ORDER: before_in_order,
     Order.NEWEST: before_newest,
     Order.BY_EXTENT: before_by_extent,
@@ -197,7 +200,8 @@
 @dataclass(frozen=True, slots=True)
 class Declared:
     """What an OPEN declares, after the operator's file was read: the contract and the number from which it holds, 0 for
-    the next that is free. `named` where the client chose it by name."""
+    the next that is free. `named` where the client chose it by name.
+    """
 
     contract: Contract
     first: int = 0
@@ -216,7 +220,8 @@
 ) -> Meaning:
     """What a declaration means to a channel that has a contract, perhaps with another `coming` from a number on; `named`
     where a client chose it; `free` is the lowest number past all that were let go. Raises what says which two contradict
-    and what to do."""
+    and what to do.
+    """
     said = declared.contract
     known = [now] + ([coming[1]] if coming else [])
     last = known[-1]
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -1,11 +1,13 @@
 """Words on their way to another gateway that keeps the channel, and the answers back. Nothing told needs to arrive: a word is
-told again until it is answered or its client's patience is over; the one who hears it twice answers once. All bounded."""
+told again until it is answered or its client's patience is over; the one who hears it twice answers once. All bounded.
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Callable
 from random import SystemRandom
-from typing import Any, Callable
+from typing import Any
 
 from milletsill.fleet.channels.codec import put_envelope, read_envelope
 from milletsill.fleet.channels.commands import (
@@ -53,7 +55,8 @@
 
 def doubted(answered: Callable[[Any], None]) -> Callable[[Any], None]:
     """Guards against an untrue decline: a keeper that fell silent may have done the word, or do it yet. Harm: a client that could
-    have been told that nothing was done asks again."""
+    have been told that nothing was done asks again.
+    """
 
     def answer(packet: Any) -> None:
         sign = wire.read_sign(getattr(packet, "language", ""))
@@ -68,7 +71,8 @@
 
 class Ways:
     """`own` handles another gateway's word here, `keep` one of ours that this gateway is to keep itself; `call` is how long a sign of
-    life may take, in tenths of a millisecond. `volume` finds a volume by name; `drift` as the registers have it."""
+    life may take, in tenths of a millisecond. `volume` finds a volume by name; `drift` as the registers have it.
+    """
 
     def __init__(
         self,
@@ -115,7 +119,8 @@
 
     def reachable(self, member: str) -> bool:
         """Guards against a client that waits again and again for one that is gone, while the view still has it. Harm: a keeper
-        that was cut off for a moment is passed over for a while; the registers say who may keep."""
+        that was cut off for a moment is passed over for a while; the registers say who may keep.
+        """
         since = self.silent.get(member)
         if since is not None and self.now() - since >= AWAY:
             del self.silent[member]
@@ -144,7 +149,7 @@
     def again(self, forward: Forward) -> None:
         """No answer yet: once more, unless there was no sign of life."""
         if forward.id not in self.out:
-            return
+            return None
         if self.now() - forward.heard >= SILENT_CALLS * self.call:
             return self.away(forward)
         self.tell(forward)
@@ -207,11 +212,11 @@
     def reply(self, member: str, reply: Reply) -> None:
         forward = self.out.get(reply.id)
         if forward is None or forward.to != member:
-            return
+            return None
         forward.heard = self.now()
         if reply.held:
             forward.held = True
-            return
+            return None
         if reply.again:
             return self.asked_again(forward)
         self.drop(forward)
@@ -236,7 +241,7 @@
         envelope = read_envelope(body)
         self.silent.pop(member, None)
         if envelope is None:
-            return
+            return None
         if envelope.HasField("clock") and envelope.clock.IsInitialized():
             self.clocks.heard(
                 member, envelope.clock.whose, envelope.clock.at, self.now()
@@ -244,14 +249,14 @@
         if envelope.HasField("reply") and envelope.reply.IsInitialized():
             return self.reply(member, envelope.reply)
         if not envelope.HasField("ask") or not envelope.ask.IsInitialized():
-            return
+            return None
         ask = envelope.ask
         key = (member, run, ask.id)
         if key in self.others:
             return self.say(member, self.others[key] or self.still(ask.id))
         volume = self.volume(ask.volume)
         if volume is None:
-            return
+            return None
         ends = self.ends_of(envelope)
         if ends is None:
             return self.say(member, self.said(reply=Reply(id=ask.id, again=True)))
@@ -264,7 +269,7 @@
                 lambda packet: self.answered(key, packet),
             )
         except Malformed:
-            return
+            return None
         if self.on_hand >= MOST_ON_HAND:
             return self.say(
                 member,
@@ -294,7 +299,8 @@
         """When another gateway's word is over, on this clock; None where nobody can tell. Guards rule 1 against a word that lay in a
         cut network, or unread while this process stood: what its client still waited when it was told says nothing of now. Harm: a
         round trip more for the first word in a while between two gateways. One of an earlier version tells no clock: its words count
-        from when they are read, as they did."""
+        from when they are read, as they did.
+        """
         ask, left = envelope.ask, self.now() + envelope.ask.left * 10
         if (
             ask.HasField("until")
--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -33,7 +33,8 @@
 
     def leaves(self) -> bool:
         """Guards against a process that stood between the gate and the send: another may keep the channel by now, or its ticket be
-        forgotten. Asked at the last place, also for what waited for a link. Harm: a lawful dispatch is put off."""
+        forgotten. Asked at the last place, also for what waited for a link. Harm: a lawful dispatch is put off.
+        """
         return bool(self.offices.holds(self.term)) and self.offices.now() < self.ends
 
     def watched(self, ended: Any) -> Any:
--- a/milletsill/fleet/channels/sequences.py
+++ b/milletsill/fleet/channels/sequences.py
@@ -14,7 +14,8 @@
 @dataclass(slots=True)
 class Coming:
     """A transfer with a number as it comes to the gate. `window`: how long boxes remember its ticket; `ends`: when its client
-    gives up; `asker`: whom to tell, opaque here."""
+    gives up; `asker`: whom to tell, opaque here.
+    """
 
     number: int
     claim: int
@@ -30,7 +31,8 @@
 @dataclass(slots=True)
 class Entry:
     """A number that is open and known. `since`: when it was first let go; `rests`: until when it may still run; `closes`: until
-    when it is left open for its client to come again, where its end is unsure."""
+    when it is left open for its client to come again, where its end is unsure.
+    """
 
     phase: Phase
     digest: int
--- a/milletsill/fleet/gossip/gossip_queue.py
+++ b/milletsill/fleet/gossip/gossip_queue.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterator
 from math import ceil, log2
-from typing import Callable, Iterator
 
 TIMES = 3  # of the logarithm of the fleet's size; SWIM's lambda
 
--- a/milletsill/fleet/health/codec.py
+++ b/milletsill/fleet/health/codec.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Iterable, Iterator
+from collections.abc import Iterable, Iterator
+from typing import Any
 
 from google.protobuf.message import DecodeError
 
@@ -80,7 +81,8 @@
     news: Iterable[Difference], known: Iterable[tuple[int, int, int]], now: int
 ) -> Iterator[bytes]:
     """Frames for some differences and what is known, each within the bound on length. A part of a difference would say that
-    it is whole: one that is too long goes alone, one past the bound not at all (4,096 words need more than a frame)."""
+    it is whole: one that is too long goes alone, one past the bound not at all (4,096 words need more than a frame).
+    """
     frame, size = Frame(version=VERSION), 0
     for kind, each in [("difference", put(one, now)) for one in news] + [
         ("known", Known(origin=origin, run=run, sequence=upto))
--- a/milletsill/fleet/health/health_evaluator.py
+++ b/milletsill/fleet/health/health_evaluator.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 from math import exp
 from statistics import median
-from typing import Mapping, Sequence
 
 from milletsill.fleet.health.report_store import Rows
 
@@ -180,7 +180,7 @@
         self,
         rows: Rows,
         members: int,
-        order: "Order",
+        order: Order,
         cells: Mapping[int, int],
         now: int,
     ) -> list[Turn]:
@@ -255,7 +255,8 @@
     def weigh(self, voices: dict[int, list[Voice]], span: int) -> None:
         """Each origin's weight. Guards against a gateway that is sick itself (ill words on all it sees), one that claims to see
         more than others do, and those who speak ill of the same boxes without pause. Harm: a true word of such a one is
-        weaker."""
+        weaker.
+        """
         total: dict[int, float] = {}
         ill: dict[int, float] = {}
         for each in (voice for held in voices.values() for voice in held):
@@ -288,7 +289,7 @@
             each.paced *= weights[each.origin]
 
     def add(
-        self, voices: list[Voice], members: int, part: float, order: "Order", box: int
+        self, voices: list[Voice], members: int, part: float, order: Order, box: int
     ) -> Sum:
         """The voices on one box of those who may send to it: the worst words of a few do not count."""
         if part < 1:
@@ -363,7 +364,8 @@
     def doubt(self, found: dict[int, Finding], cells: Mapping[int, int]) -> None:
         """Guards the rest of the fleet against verdicts on too many at once: of a cell the less ill are not called, and past
         `most_part` of all none is believed, for the fault is elsewhere. Harm: many boxes that are truly ill go uncalled, and
-        each gateway learns alone as without the others."""
+        each gateway learns alone as without the others.
+        """
         ill = [
             box
             for box, each in found.items()
@@ -432,7 +434,8 @@
 
     def advice(self, box: int, place: int, members: int) -> tuple[float, bool]:
         """Of a box that is not STEADY: what speaks against it, in shortest target times, and whether this gateway keeps away.
-        Nothing speaks against it for those chosen to try it, and later for those for whom it is well again."""
+        Nothing speaks against it for those chosen to try it, and later for those for whom it is well again.
+        """
         held = self.boxes[box]
         if admitted(place, members, held.open):
             return TRIED, False
--- a/milletsill/fleet/health/health_sharing.py
+++ b/milletsill/fleet/health/health_sharing.py
@@ -6,7 +6,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Callable, Sequence
+from collections.abc import Callable, Sequence
+from typing import Any
 
 import xxhash
 from prometheus_client import Counter, Gauge
@@ -24,7 +25,7 @@
 from milletsill.fleet.health.report_exchange import Spread
 from milletsill.fleet.health.report_store import RowRefused, Rows
 from milletsill.fleet.transport import Change, Kind, Member, Plane, View
-from milletsill.interface import Answer, Arrival, Listed, News, Readiness
+from milletsill.interface import Listed, News, Readiness
 
 SAY_EVERY = 100_000  # between lines about rows that were refused
 
--- a/milletsill/fleet/health/node_observer.py
+++ b/milletsill/fleet/health/node_observer.py
@@ -1,12 +1,14 @@
 """Answers of this gateway's own dispatches as words on boxes: what came to nothing, what came late, and the pace beside the
-usual one of boxes of its kind with as much in work, size by size. No I/O, no clock."""
+usual one of boxes of its kind with as much in work, size by size. No I/O, no clock.
+"""
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Iterable, Sequence
 from math import exp, log2
 from statistics import median
-from typing import Any, Iterable, Sequence
+from typing import Any
 
 from milletsill.fleet.health.health_evaluator import (
     FAINT,
@@ -116,7 +118,8 @@
 
     def pace(self, entry: Listed, arrival: Arrival, answer: Answer) -> float | None:
         """How much longer than usual, as log2: for its kind, size, and what it had in work. A box that reports nothing of that
-        is taken as one with nothing in work: then much work looks like a slow box, and only the bounds hold."""
+        is taken as one with nothing in work: then much work looks like a slow box, and only the bounds hold.
+        """
         cores = max(entry.size, 1.0)
         work = answer.report.get(
             "inflight",
--- a/milletsill/fleet/health/report_exchange.py
+++ b/milletsill/fleet/health/report_exchange.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable, Sequence
 from random import Random
-from typing import Callable, Iterable, Sequence
 
 from milletsill.fleet.health import codec
 from milletsill.fleet.health.health_evaluator import EXCHANGE, FAN, MOST_WAITING
@@ -62,12 +62,10 @@
         """A frame of a member. RowRefused for what is none; words of those who are not in the view are left out."""
         frame = codec.decoded(body)
         self.take(
-            (
-                codec.get(each, now)
-                for each in frame.difference
-                if present(each.origin)
-                and not self.rows.has(each.origin, each.run, each.sequence)
-            )
+            codec.get(each, now)
+            for each in frame.difference
+            if present(each.origin)
+            and not self.rows.has(each.origin, each.run, each.sequence)
         )
         if frame.known:
             self.answer(
--- a/milletsill/fleet/health/report_store.py
+++ b/milletsill/fleet/health/report_store.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
-from typing import Iterable, Iterator
 
 from milletsill.errors import Malformed
 
@@ -22,7 +22,8 @@
 @dataclass(slots=True)
 class Word:
     """Of one box; `at` is when it was true on the holder's clock. Sums fade with time, shares are of `seen`, `pace` is the mean
-    log2 of pace over the usual one, of `paced` answers."""
+    log2 of pace over the usual one, of `paced` answers.
+    """
 
     sequence: int
     at: int
@@ -143,7 +144,8 @@
 
     def keep(self, origins: Iterable[int], since: int) -> None:
         """Rows of those who left go, and words older than `since`. Guards memory, and verdicts on the words of the gone; harm:
-        one that is back tells its words anew."""
+        one that is back tells its words anew.
+        """
         present = set(origins)
         for origin in [
             each
--- a/milletsill/fleet/leases/acceptor.py
+++ b/milletsill/fleet/leases/acceptor.py
@@ -59,7 +59,8 @@
 class Call(NamedTuple):
     """To each register. `value` is of an ACCEPT, `index` its number under the ballot, `fresh` for one that is new and not only
     written again. A PREPARE of a ballot that stands is a renewal, and `index` its number. `born`: when the value was made, at the
-    earliest, on the clock of who has the call."""
+    earliest, on the clock of who has the call.
+    """
 
     ask: Ask
     channel: str
@@ -72,7 +73,8 @@
 
 class Answer(NamedTuple):
     """To a call, whose first four fields it repeats. A YES to a PREPARE has what was accepted and how long ago; a LOWER and a
-    HELD have the round that was promised; HELD and AWAY say when to come back, HELD also who holds it."""
+    HELD have the round that was promised; HELD and AWAY say when to come back, HELD also who holds it.
+    """
 
     ask: Ask
     channel: str
@@ -91,7 +93,8 @@
 
 class Span(NamedTuple):
     """How long things last, the same at all gateways: an office, a call, and how much a clock's rate may be wrong, in parts of a
-    thousand."""
+    thousand.
+    """
 
     office: int = 2 * SECOND
     call: int = 3_000
@@ -124,7 +127,8 @@
 
 class Record(NamedTuple):
     """What is on disk before any answer. `touched` is the register's time of being up at the last write. `told`: the write was not
-    accepted here, another register told of it while this one caught up: it is read, but is no vote."""
+    accepted here, another register told of it while this one caught up: it is read, but is no vote.
+    """
 
     promised: Ballot
     stamp: Stamp
@@ -135,7 +139,8 @@
 
 class Office(NamedTuple):
     """What is only in memory: until when others are refused, whether its holder gave it up before, and since when the record's
-    value stands, on the register's clock; none where a former self took it. `fresh`: it came with the write that it was new in."""
+    value stands, on the register's clock; none where a former self took it. `fresh`: it came with the write that it was new in.
+    """
 
     until: int
     given_up: bool = False
--- a/milletsill/fleet/leases/acceptor_recovery.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -8,8 +8,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from enum import Enum
-from typing import Iterable, NamedTuple
+from typing import NamedTuple
 
 from milletsill.fleet.leases.acceptor import Ballot, Record, Span, majority
 
@@ -93,7 +94,8 @@
 
 class Joining:
     """One register's way to answering. `fresh`: it has a file without a record; `doubted`: it is known to lack something (torn,
-    or it was noticed before). `others` are the names of the other registers."""
+    or it was noticed before). `others` are the names of the other registers.
+    """
 
     def __init__(
         self,
@@ -153,7 +155,8 @@
 
     def enough(self, now: int) -> bool:
         """Nobody who answered knows of more: so many others that they meet each majority, or, with a file that has records,
-        after a whole rest one fewer, that a register which is down does not keep another from coming back."""
+        after a whole rest one fewer, that a register which is down does not keep another from coming back.
+        """
         most = min(needed(len(self.others) + 1), len(self.others))
         least = most if self.fresh or now < self.born + self.span.rest() else most - 1
         return len(self.clean) >= max(least, 0)
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -8,7 +8,8 @@
 
 import os
 import time
-from typing import Any, Callable, NamedTuple, Sequence
+from collections.abc import Callable, Sequence
+from typing import Any, NamedTuple
 
 import xxhash
 
@@ -323,7 +324,8 @@
 
     def round(self, batch: Sequence[tuple[str, Call]]) -> Said:
         """In the thread: each call in its order, one commit, and only then offices and answers. The time is read once, after all
-        of the calls came: an office that is granted counts from no earlier."""
+        of the calls came: an office that is granted counts from no earlier.
+        """
         store, began, now = self.store, time.perf_counter(), self.now()
         assert store is not None
         up = self.up()
--- a/milletsill/fleet/leases/acceptor_store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -8,7 +8,7 @@
 
 import os
 import sqlite3
-from typing import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 
 import xxhash
 from google.protobuf.message import DecodeError
@@ -49,7 +49,7 @@
 
 
 def fault_of(error: sqlite3.Error, path: str) -> ChannelFault:
-    """sqlite's words as ours."""
+    """Sqlite's words as ours."""
     code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     if code == sqlite3.SQLITE_FULL:
         return DiskFull("no room for the register's file", path)
@@ -103,7 +103,8 @@
 
 class Store:
     """The file, open. `opened` finds or makes it; `chance` is for the identity of a new one, `among` a digest of
-    the registers it is of."""
+    the registers it is of.
+    """
 
     def __init__(self, path: str, base: sqlite3.Connection) -> None:
         self.path, self.base = path, base
@@ -227,7 +228,8 @@
         more: int = 0,
     ) -> None:
         """All of them, or none, on disk when it returns; None is a record that goes; `more` are new. Raises DiskFull, StateUnusable,
-        StateTorn; then nothing has changed."""
+        StateTorn; then nothing has changed.
+        """
         own, floor = (
             self.own._replace(generation=self.own.generation + 1),
             self.floor if floor is None else floor,
@@ -324,7 +326,8 @@
         self, after: str, some: int, up: int, silent: int, free: Callable[[str], bool]
     ) -> tuple[str, list[str]]:
         """Looks at some records after a channel and lets those go that were silent for so long and that are `free`; the channel it
-        came to, empty at the end, and what went. Raises as `commit`."""
+        came to, empty at the end, and what went. Raises as `commit`.
+        """
         try:
             rows = self.base.execute(
                 "SELECT channel, touched, body, sum FROM record WHERE channel > ? ORDER BY channel LIMIT ?",
--- a/milletsill/fleet/leases/blocking_worker.py
+++ b/milletsill/fleet/leases/blocking_worker.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import traceback
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Callable, Iterable
+from collections.abc import Callable, Iterable
+from typing import Any
 
 import xxhash
 from google.protobuf.message import DecodeError
@@ -131,10 +132,11 @@
 
 
 def put_calls(
-    calls: Iterable[Call], there: Callable[[int], "tuple[int, int] | None"]
+    calls: Iterable[Call], there: Callable[[int], tuple[int, int] | None]
 ) -> tuple[int, list[wire.Call]]:
     """Whose clock calls to one register are dated by, 0 where too little is known of it, and the calls. `there`: whose, and what it
-    reads at the least at a time of ours."""
+    reads at the least at a time of ours.
+    """
     dated = [(call, there(call.born)) for call in calls]
     return (
         next((found[0] for _, found in dated if found is not None), 0),
@@ -147,7 +149,8 @@
 
 def get_calls(sender: str, told: Any, whose: int) -> list[Call]:
     """What can be read of a frame's calls. Dates on a clock that is not this one's, `whose`, say nothing; one of an earlier version
-    gives none at all."""
+    gives none at all.
+    """
     found = []
     for each in told.call[:PER_FRAME]:
         if told.whose != whose:
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -1,5 +1,6 @@
 """What can come to nothing about a channel, each a type. `pause` is when coming back helps, in tenths of a millisecond; 0 for not
-by itself."""
+by itself.
+"""
 
 from __future__ import annotations
 
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable, Iterable, Sequence
 from random import Random, SystemRandom
-from typing import Any, Callable, Iterable, Sequence
+from typing import Any
 
 from milletsill.errors import Fault
 from milletsill.fleet.leases import codec
@@ -64,7 +65,8 @@
 
 class Offices:
     """Times in tenths of a millisecond, `drift` in parts of a thousand. `most` channels here and at a register each; a register
-    forgets a channel that was `silent` for so long. `others` is called with what arrives for Kind.CHANNEL and is not for here."""
+    forgets a channel that was `silent` for so long. `others` is called with what arrives for Kind.CHANNEL and is not for here.
+    """
 
     def __init__(
         self,
@@ -182,7 +184,8 @@
 
     def write(self, term: Term, value: bytes, then: Wrote) -> None:
         """The channel's whole record, at a majority when `then` gets None; also renews. Writes that come while one is under way
-        become one, the last. After a fault the term is over."""
+        become one, the last. After a fault the term is over.
+        """
         place = self.places.get(term.channel)
         if term.over or place is None or place.term is not term:
             return self.soon(then, NotHeld("the term is over", term.channel))
@@ -413,7 +416,7 @@
 
     def heard(self, member: str, run: int, body: bytes) -> None:
         if self.stopped:
-            return
+            return None
         if not body.startswith(codec.MARK):
             return self.others(member, run, body)
         try:
--- a/milletsill/fleet/leases/lease_proposer.py
+++ b/milletsill/fleet/leases/lease_proposer.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from enum import Enum
-from typing import Sequence
 
 from milletsill.fleet.leases.acceptor import (
     NOBODY,
@@ -73,7 +73,8 @@
 
 def fits(poll: Poll, answer: Answer) -> bool:
     """Whether an answer is to this very call. Guards, with the index, against a late one to an older renewal of the ballot, which
-    would pass for a new grant."""
+    would pass for a new grant.
+    """
     call = poll.call
     return (
         answer.ask is call.ask
@@ -84,7 +85,8 @@
 
 def open_still(poll: Poll, now: int, span: Span) -> bool:
     """Whether an answer may count. Guards against one of a register that has since lost its state: it catches up only after
-    all calls are over that it may have answered."""
+    all calls are over that it may have answered.
+    """
     return now < poll.sent + span.call
 
 
@@ -96,7 +98,8 @@
 def even(answers: Sequence[Answer], best: Answer, registers: int) -> bool:
     """Whether a majority has accepted the latest write already, or there is none. Where not, it may be nowhere else, and is
     written again before anybody acts on it. What a register was only told of is no vote of its own: a later ballot that it had
-    promised may be past it."""
+    promised may be past it.
+    """
     return best.stamp == UNWRITTEN or sum(
         each.stamp == best.stamp and not each.told for each in answers
     ) >= majority(registers)
@@ -105,7 +108,8 @@
 def aged(answers: Sequence[Answer], value: bytes) -> int | None:
     """For how long the value has surely stood at the most. One of the majority that was read took it before anybody acted on it,
     others may have taken it much later. Where the latest write is the one that it was new in, that one has this very write.
-    Where it was written again, that one may have gone on to another value meanwhile, so all must have it."""
+    Where it was written again, that one may have gone on to another value meanwhile, so all must have it.
+    """
     best = newest(answers)
     have = [each for each in answers if each.stamp == best.stamp]
     if not any(each.fresh for each in have):
@@ -127,7 +131,8 @@
 
 class Seat:
     """One channel at one gateway. `name` and `nonce` make its ballots; `ends` is the term's end on this gateway's clock, `since` when the
-    value was surely there at the earliest; none for unknown. Effects that send have put their call into `poll`; `gone` is the call that gives up, if any."""
+    value was surely there at the earliest; none for unknown. Effects that send have put their call into `poll`; `gone` is the call that gives up, if any.
+    """
 
     __slots__ = (
         "channel",
--- a/milletsill/fleet/leases/lease_state.py
+++ b/milletsill/fleet/leases/lease_state.py
@@ -2,19 +2,21 @@
 
 from __future__ import annotations
 
-from typing import Callable, Union
+from collections.abc import Callable
+from typing import Union
 
 from milletsill.errors import Fault
 from milletsill.fleet.leases.lease_proposer import Seat
 
 Took = Callable[[Union["Term", Fault]], None]
-Wrote = Callable[[Union[Fault, None]], None]
+Wrote = Callable[[Fault | None], None]
 
 
 class Term:
     """An office of one channel: `value` is what was accepted last, `ends` on this gateway's clock; `age` is for how long the value
     has stood at the most when the office was taken, None where nobody can tell. `busy` is for the holder to set: the office is
-    renewed by itself while it is."""
+    renewed by itself while it is.
+    """
 
     __slots__ = ("channel", "ballot", "ends", "value", "age", "over", "seat", "crowd")
 
--- a/milletsill/fleet/membership/failure_detector.py
+++ b/milletsill/fleet/membership/failure_detector.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
 from math import log
-from typing import Mapping, Sequence
 
 from milletsill.fleet.frames.messages import Row
 from milletsill.fleet.transport import Change, Standing
@@ -140,7 +140,8 @@
 
 def believed(named: bool, told: int, woke: int, terms: Terms) -> bool:
     """Whether a death is believed unheard: somebody is named who suspected it, and it had the least span to refute that. What
-    is read right after this gateway stood still has lain there, suspicion and sentence alike."""
+    is read right after this gateway stood still has lain there, suspicion and sentence alike.
+    """
     return named and (told >= terms.suspicion * LEAST_SHARE or woke <= JUST_WOKE)
 
 
@@ -220,7 +221,8 @@
 
 def longer(watch: Watch, now: int, late: int, terms: Terms) -> None:
     """This gateway stood still for `late`. What ends in a death counts the time it was awake alone; a doubt, which only ends in
-    a suspicion that can be refuted, has a new round to answer and goes on."""
+    a suspicion that can be refuted, has a new round to answer and goes on.
+    """
     watch.began = min(watch.began + late, now)
     left = int(terms.probe * DOUBT_SHARE) - FRESH_ANSWERS * terms.answer
     doubted = watch.stage is Stage.DOUBTED
--- a/milletsill/fleet/membership/member_table.py
+++ b/milletsill/fleet/membership/member_table.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bisect import bisect_left, insort
-from typing import Callable, Iterator
+from collections.abc import Callable, Iterator
 
 import xxhash
 
@@ -52,7 +52,8 @@
 
     def row(self, now: int, full: bool = True) -> Row:
         """What is said of it; without its address and age where that saves room and says nothing new. A suspicion that is
-        nobody's own, only hearsay, is not passed on."""
+        nobody's own, only hearsay, is not passed on.
+        """
         standing = (
             self.standing
             if self.by or self.standing is not Standing.SUSPECT
--- a/milletsill/fleet/membership/membership.py
+++ b/milletsill/fleet/membership/membership.py
@@ -8,9 +8,9 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Sequence
 from math import ceil, log2
 from random import Random
-from typing import Iterable, Sequence
 
 from milletsill.fleet.frames.codec import ROWS_A_FRAME, head_room, row_room
 from milletsill.fleet.frames.messages import Message, Row, What
@@ -206,7 +206,8 @@
 
     def exchange(self, now: int) -> None:
         """A whole exchange begins with a word on what the view comes to; rows follow only where it differs. Now and then with
-        one believed gone, or an address of the file where nobody is: so halves find each other after any time."""
+        one believed gone, or an address of the file where nobody is: so halves find each other after any time.
+        """
         table = self.rolls.table
         self.next_exchange = now + int(self.terms.exchange * (0.75 + 0.5 * self.draw()))
         present = {table.held[name].address for _, name in table.ring}
@@ -285,7 +286,8 @@
 
     def miss(self, now: int, watch: Watch) -> None:
         """A whole round came to nothing. Enough of us doubt a member: the rest leave it to them, which bounds what a fault of
-        many costs each."""
+        many costs each.
+        """
         self.last.append((watch.name, False))
         known = self.rolls.table.held[watch.name]
         if self.doubting > MOST_WATCHES or len(known.by) > wanted_confirms(
--- a/milletsill/fleet/membership/membership_state.py
+++ b/milletsill/fleet/membership/membership_state.py
@@ -224,7 +224,8 @@
 
     def met_twin(self, now: int, sender: Row) -> None:
         """A frame straight from one with this name. Guards against a former start's last frames: none is on its way for so
-        long. Harm: two that start together hear of it that much later."""
+        long. Harm: two that start together hear of it that much later.
+        """
         if now - self.started >= TWIN_AFTER:
             self.twin(now, sender.address)
 
--- a/milletsill/fleet/net/datagrams.py
+++ b/milletsill/fleet/net/datagrams.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import socket
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet.error import MessageLengthError
 from twisted.internet.interfaces import IReactorUDP
--- a/milletsill/fleet/net/stream_state.py
+++ b/milletsill/fleet/net/stream_state.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from enum import Enum
-from typing import Mapping
 
 DIAL = 15_000  # a stream not open by then has not been reached
 REST = 3000  # after a dial that came to nothing; what is told meanwhile cannot be tried
--- a/milletsill/fleet/net/streams.py
+++ b/milletsill/fleet/net/streams.py
@@ -8,7 +8,8 @@
 
 import socket
 from collections import deque
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
@@ -156,7 +157,8 @@
 
 class Streams:
     """Streams to others by address. They leave from the host part of this gateway's own address, so that whoever stands between
-    can tell who speaks."""
+    can tell who speaks.
+    """
 
     def __init__(self, reactor: Any, now: Callable[[], int], host: str) -> None:
         self.reactor, self.now, self.host = reactor, now, host
--- a/milletsill/fleet/peer_clocks.py
+++ b/milletsill/fleet/peer_clocks.py
@@ -50,7 +50,8 @@
     def there(self, member: str, at: int, now: int) -> tuple[int, int] | None:
         """(whose, what it reads at the least) at a time of ours; None where too little is known of that clock. Guards against a time
         that another gateway would take for later than it is. Harm: it is taken for earlier, by as long as the reading was on its way
-        and by what the rates may differ by."""
+        and by what the rates may differ by.
+        """
         held = self.known.get(member)
         if held is None or (now - held.here) * 2 * self.drift // 1000 > LOOSE:
             return None
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -5,8 +5,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Sequence
 from random import Random, SystemRandom
-from typing import Any, Callable, Sequence
+from typing import Any
 
 from twisted.internet.error import CannotListenError
 
@@ -248,7 +249,7 @@
     def came(self, data: bytes, over: str) -> None:
         """One frame's octets."""
         if self.stopped or self.member is None:
-            return
+            return None
         self.figures.count("in", over, len(data))
         try:
             if over == "datagram" and len(data) > MOST_DATAGRAM:
--- a/milletsill/fleet/transport.py
+++ b/milletsill/fleet/transport.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from enum import Enum
-from typing import Callable, Iterable, Protocol, Sequence
+from typing import Protocol
 
 import xxhash
 
@@ -77,7 +78,8 @@
 
 class Plane(Protocol):
     """One gateway's place among the others. Nothing told needs to arrive; what arrives is in order for one member, kind and
-    connection, and may come twice."""
+    connection, and may come twice.
+    """
 
     name: str
     run: int
--- a/milletsill/flows/collect.py
+++ b/milletsill/flows/collect.py
@@ -10,7 +10,8 @@
 import json
 import time
 from collections import Counter, OrderedDict
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from netaddr import IPAddress, IPSet
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
@@ -40,7 +41,8 @@
 
 class Gap:
     """Follows the sequence of one stream: how many records it says were sent that never came. A record that comes late
-    or twice is told apart from loss within half the number space."""
+    or twice is told apart from loss within half the number space.
+    """
 
     def __init__(self) -> None:
         self.expected: int | None = None
--- a/milletsill/flows/export_policy.py
+++ b/milletsill/flows/export_policy.py
@@ -6,10 +6,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 from itertools import islice
-from typing import Any, Callable, Iterable, Mapping, Sequence
+from typing import Any
 
 SECOND = 10_000
 
@@ -130,7 +131,8 @@
 
 def shed(counts: Mapping[Kind, int]) -> Kind:
     """The kind of which the oldest goes: the least needed that there is. Flows hold sums that nothing else tells;
-    commands repeat what flows sum up; options are few and tell of the drops themselves."""
+    commands repeat what flows sum up; options are few and tell of the drops themselves.
+    """
     return min(kind for kind, count in counts.items() if count)
 
 
--- a/milletsill/flows/exporter.py
+++ b/milletsill/flows/exporter.py
@@ -8,8 +8,9 @@
 
 import time
 from collections import deque
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
--- a/milletsill/flows/gateway_export.py
+++ b/milletsill/flows/gateway_export.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 import xxhash
 
--- a/milletsill/flows/ipfix.py
+++ b/milletsill/flows/ipfix.py
@@ -6,11 +6,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 from ipaddress import IPv4Address
 from struct import Struct
 from struct import error as StructError
-from typing import Any, Callable, Iterator, Mapping, Sequence
+from typing import Any
 
 from milletsill.errors import Malformed
 from milletsill.flows.elements import (
@@ -155,7 +156,8 @@
 
     def finish(self, export_time: int, sequence: int, domain: int) -> bytes:
         """The whole message; `sequence` counts the data records sent before it. Sets are padded to four bytes, but
-        where the padding could be read as a record."""
+        where the padding could be read as a record.
+        """
         body = []
         for set_id, records in self.sets:
             data = b"".join(records)
--- a/milletsill/flows/meter.py
+++ b/milletsill/flows/meter.py
@@ -8,8 +8,9 @@
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Callable, NamedTuple
+from typing import Any, NamedTuple
 
 from milletsill.flows.elements import (
     BOX_FLOW,
@@ -146,7 +147,8 @@
 
     def sweep(self, now: int, most: int) -> int:
         """Flows whose time is up leave, at most so many of each reason in one go; how many did. One order is by last
-        touch, for the idle ones, the other by start, for the active ones; so only what leaves is looked at."""
+        touch, for the idle ones, the other by start, for the active ones; so only what leaves is looked at.
+        """
         gone = 0
         for order in (self.flows, self.starts):
             for _ in range(most):
--- a/milletsill/flows/netflow9.py
+++ b/milletsill/flows/netflow9.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Sequence
 from struct import Struct
-from typing import Any, Callable, Sequence
+from typing import Any
 
 from milletsill.flows.elements import ELEMENTS, IANA, OURS, Element, Template
 from milletsill.flows.ipfix import (
--- a/milletsill/gateway/scheduler_host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -8,7 +8,8 @@
 from __future__ import annotations
 
 import heapq
-from typing import Any, Callable, Mapping, Protocol, Sequence
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any, Protocol
 
 from milletsill.errors import whereabouts
 from milletsill.gateway.reactor_turn import NextTurn
@@ -58,7 +59,8 @@
 
 class Carry(Protocol):
     """Starts one dispatch: cargo, transfer, its number, node, until when; None where no link leads to the node. `ended`
-    is called once, never from within."""
+    is called once, never from within.
+    """
 
     def __call__(
         self,
@@ -104,7 +106,8 @@
 
 class Host:
     """Drives one Scheduler. `watch` asks for the list; `carry` starts a dispatch; `note` counts events by name and value
-    for the metrics."""
+    for the metrics.
+    """
 
     def __init__(
         self,
@@ -241,7 +244,8 @@
 
     def tell(self, call: Callable[..., None], *values: Any) -> None:
         """One word to the module. Guards the process and its clients against an error in there, which is said with its
-        place. Harm: what the module was about to do is left undone."""
+        place. Harm: what the module was about to do is left undone.
+        """
         try:
             call(self.now(), *values)
         except Exception as error:
@@ -255,7 +259,8 @@
 
     def close(self, live: Live) -> None:
         """A transfer has its end; its record stays until its dispatches have theirs. Guards rule 1, and nodes, against work
-        whose client has its answer or has left: what still waits for a link does not begin. Harm: none."""
+        whose client has its answer or has left: what still waits for a link does not begin. Harm: none.
+        """
         live.answered = True
         self.held -= 1
         for out in live.outs:
--- a/milletsill/gateway/stall_detection.py
+++ b/milletsill/gateway/stall_detection.py
@@ -9,7 +9,8 @@
 
 def io_first(late: int, put_off: bool) -> bool:
     """Whether wakes that are overdue wait for one round of the sockets: after a stall of the process, answers that
-    came in time lie there unread, and their time-outs must not be believed before. Put off once at most."""
+    came in time lie there unread, and their time-outs must not be believed before. Put off once at most.
+    """
     return late > LATE_BEAT and not put_off
 
 
--- a/milletsill/http1/message_limits.py
+++ b/milletsill/http1/message_limits.py
@@ -16,7 +16,8 @@
 
 def bare(head: bytes) -> bytes:
     """A head without the whitespace that may stand behind a field's value and is no part of it. Guards against llhttp, which
-    leaves it there, and takes a body for unchunked where it stands behind the coding. Harm: none; it carries no meaning."""
+    leaves it there, and takes a body for unchunked where it stands behind the coding. Harm: none; it carries no meaning.
+    """
     return b"\r\n".join(line.rstrip(b" \t") or line for line in head.split(b"\r\n"))
 
 
--- a/milletsill/http1/reader.py
+++ b/milletsill/http1/reader.py
@@ -221,7 +221,8 @@
 
     def head(self) -> Message | None:
         """Cut a head off and read it. What was looked at before is not again: a head may come octet by octet. One empty line
-        ahead of it is passed over."""
+        ahead of it is passed over.
+        """
         if self.buffer.startswith(b"\r\n") and not self.blank:
             self.blank, self.buffer, self.looked = True, self.buffer[2:], 0
         looked = max(self.looked - len(END), 0)
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -4,8 +4,9 @@
 
 import json
 import os
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any, Callable, Mapping
+from typing import Any
 
 from milletsill.errors import Refused
 from milletsill.facts import Part, at_most, facts_of, missing_in, unknown_in
--- a/milletsill/http_gateway/endpoint_watcher.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import json
+from collections.abc import Callable, Sequence
 from contextlib import suppress
-from typing import Any, Callable, Sequence
+from typing import Any
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
@@ -62,7 +63,8 @@
 
     def rest(self, line: bytes) -> list[Any]:
         """The value that is whole with what came without a line's end, if one is: a list whose last line end is left out, or
-        comes with the next beat."""
+        comes with the next beat.
+        """
         depth, octets = (self.depth, self.octets) if self.parts else (0, 0)
         if (
             not line.endswith(b"}")
@@ -80,7 +82,8 @@
 class Watch(Protocol):
     """One open watch. `heard` is when its last word came: a whole line, before the first the answer's head, before that the
     call. Octets alone are no word. Guards against an answer that drips. Harm: a list that takes longer on its way is asked for
-    again."""
+    again.
+    """
 
     def __init__(
         self, follower: Follower, host: str, version: int, overdue: int
@@ -154,7 +157,8 @@
 
     def catch_up(self) -> None:
         """Guards the list against a process that stood still: timers go before what has come, and words that lie here unread
-        would go with the watch that is ended for their want. Harm: one more read on a watch that is about to end."""
+        would go with the watch that is ended for their want. Harm: one more read on a watch that is about to end.
+        """
         if self.transport is not None:
             self.transport.doRead()  # an end is told again in the next turn
 
@@ -198,7 +202,8 @@
 class Follower:
     """Keeps the watch that stands or the call that is to be it, the old one that it takes the place of, at a new address or
     because that is silent, and a second call beside one that is not answered. `uniform` draws within two bounds; `grace` is the
-    time to stop sending where lists are pushed, else 0."""
+    time to stop sending where lists are pushed, else 0.
+    """
 
     def __init__(
         self,
@@ -288,7 +293,8 @@
     def double(self, watch: Watch, stage: Call) -> None:
         """Another call beside one that is no further; the first that speaks wins. Of two one that is not up gives way to a third:
         the service has not heard of it. None beside an old watch that is silent: until six seconds after its last word there is
-        time for one after the other."""
+        time for one after the other.
+        """
         if (
             watch.over
             or watch.stage is not stage
@@ -345,7 +351,7 @@
         """A watch is over: the module hears of it, and says when to ask again."""
         if watch is self.old:
             self.old = None
-            return
+            return None
         self.mute = is_mute(self.mute, watch.quiet(), watch.answer.status)
         if self.beside is not None and watch in (self.watch, self.beside):
             self.watch, self.beside = (
--- a/milletsill/http_gateway/endpoints.py
+++ b/milletsill/http_gateway/endpoints.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import Any, Callable, Sequence
+from typing import Any
 
 from milletsill.errors import Unfit
 from milletsill.interface import Listed, Readiness
@@ -63,7 +64,8 @@
 
 def zone_of(zone: Any, name: str, zones: Sequence[str]) -> int:
     """The place of a node's zone in the settings. Guards rule 2, which may turn on the zone: one that the settings do not
-    name is itself alone, and a node without any shares its zone with none. Harm: none to what they name."""
+    name is itself alone, and a node without any shares its zone with none. Harm: none to what they name.
+    """
     if isinstance(zone, str) and zone in zones:
         return zones.index(zone)
     return len(zones) + number_of(
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -4,8 +4,9 @@
 
 import resource
 from collections import Counter
+from collections.abc import Callable, Sequence
 from random import Random
-from typing import Any, Callable, Sequence
+from typing import Any
 
 from milletsill.gateway.scheduler_host import Ended, Host, Make
 from milletsill.http1.reader import Message
@@ -155,7 +156,8 @@
 
     def end_all(self) -> None:
         """The end of what is held once shut. In the turn behind it: guards answers that came in time against a process that stood
-        still, where timers go before what lies in the sockets. Harm: one turn of the loop, of what is left before the kill."""
+        still, where timers go before what lies in the sockets. Harm: one turn of the loop, of what is left before the kill.
+        """
         self.host.end_all()  # taken before SIGTERM by a client that would wait until after the earliest kill
         self.go_on()
 
@@ -226,7 +228,7 @@
             client.answer(
                 200 if path == LIVE or self.process is Process.SERVING else 503, b""
             )
-            return
+            return None
         try:
             arrival = self.categories.arrival(
                 message, self.now(), ANSWER_MARGIN, self.answers_by
--- a/milletsill/http_gateway/gateway_limits.py
+++ b/milletsill/http_gateway/gateway_limits.py
@@ -6,10 +6,10 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 from itertools import islice
-from typing import Mapping
 
 # --- A client's connection.
 
@@ -82,7 +82,8 @@
     stage: Stage, begun: bool, quiet: int, short: bool, taking: bool = False
 ) -> Cue | None:
     """What the passing of time means for a client's connection; `short` where descriptors are. `taking`: the client still
-    takes its last answer, and a cut would tear it. Harm: one that takes none holds a descriptor that much longer."""
+    takes its last answer, and a cut would tear it. Harm: one that takes none holds a descriptor that much longer.
+    """
     if stage is Stage.ENDING:
         return (
             Cue.LINGERED
@@ -106,7 +107,8 @@
 class Spent:
     """Ids of transfers whose clients may still wait for them, also where they are over. Guards rule 2 and nodes against the id of
     another's request sent once more: every request has a fresh one, a client's repeat too. Harm: who uses one again within the
-    patience of its first use is refused, and so is who comes behind a stranger that used its id."""
+    patience of its first use is refused, and so is who comes behind a stranger that used its id.
+    """
 
     def __init__(self) -> None:
         self.until = dict[int, int]()  # in the order of their coming
@@ -157,7 +159,8 @@
 class Octets:
     """What long requests and answers, and requests ahead of one, hold of the memory. Guards the process against being killed for
     memory by bodies that are long or clients that do not read. Harm: past the bound a good answer counts as spoilt, and a long
-    request is turned away."""
+    request is turned away.
+    """
 
     def __init__(self, memory_mb: int) -> None:
         self.most, self.held = int(memory_mb * HELD_PART) << 20, 0
@@ -184,7 +187,8 @@
 def kept_from(waited: int, dial: int, left: int) -> bool:
     """Whether a dispatch that waited for a link does not begin any more. Guards the rules against a dispatch that begins long
     after it was decided on: limits, cold windows and a repeat's span may be others by then. Harm: one that the node
-    would still have served is tried again later."""
+    would still have served is tried again later.
+    """
     return waited >= dial or left <= 0
 
 
@@ -217,7 +221,8 @@
 def ask_within(pushed: bool, stated: int, grace: int) -> int:
     """The span of which the module draws its pauses, up to a quarter: the time within which a change counts as told where calls
     fail, the least that the settings and the platform's page say. Where lists are pushed nothing is left but the grace to
-    stop sending; the longest pause, and what passes until another call is made beside one, are under two thirds of it."""
+    stop sending; the longest pause, and what passes until another call is made beside one, are under two thirds of it.
+    """
     return min(each for each in (TOLD, stated, int(grace * PACE) * pushed) if each)
 
 
@@ -228,7 +233,8 @@
     `quiet` since the standing one's last word, `moved` since SIGHUP, if it was. And whether it is made without the
     module: where that has heard of a failure since SIGHUP (`hurried`), its next pause may be longer than what is left. Guards a
     service with too many callers against all of them coming again at once. Harm: the list is that much later, never past its
-    time."""
+    time.
+    """
     left = TOLD - quiet if moved is None else min(TOLD - quiet, TOLD_MOVED - moved)
     most = int(max(left - MARGIN, 0) * RETRY_PART)
     alone = hurried and most > LEAST_RETRY
@@ -250,7 +256,8 @@
     patience alone. Where lists are pushed (`grace`): soon, but not where the call is taken: a service with too many callers lets
     it wait, and speaks within two seconds; only where the last one was silent for all of its time (`mute`), half way
     through. After SIGHUP (`moved`: so long ago): just in time, or where the service has not heard of it. Harm: up to
-    twice the calls."""
+    twice the calls.
+    """
     spans = []
     if grace and stage is not Call.TAKEN:
         spans.append((int(grace * BESIDE[0]), int(grace * BESIDE[1])))
@@ -304,7 +311,8 @@
 def leave_within(longest: int) -> int:
     """How long after SIGTERM transfers are taken and answered. Clients use the connections that they have for as long as
     these stand, and have no others: closed early, they only fail. Harm: where the platform restarts a gateway as soon as
-    it ends, it is back later than it could be."""
+    it ends, it is back later than it could be.
+    """
     return max(min(longest, COUNTED) + KILLED_AFTER - LEFT_OVER, 0)
 
 
--- a/milletsill/http_gateway/http_server.py
+++ b/milletsill/http_gateway/http_server.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import typing
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet.interfaces import IHalfCloseableProtocol
 from twisted.internet.protocol import Factory, Protocol
@@ -145,7 +146,8 @@
         """Read one request ahead, also while one is open. Guards a node against the first part of a body whose length was told
         too short, and the client's next ones against waiting behind what cannot be read: an error is known, and said, as soon
         as it is here. Harm: it takes the place of the open one's answer, for a client that does not tell its own requests
-        apart. False once refused."""
+        apart. False once refused.
+        """
         if self.stage in (Stage.ENDING, Stage.CLOSED):
             return False
         try:
@@ -166,7 +168,8 @@
 
     def lend(self) -> bool:
         """Room for what is ahead, or for a long one that comes in: up to one whole request and a little. Short ones are not
-        counted."""
+        counted.
+        """
         held = self.reader.pending + (
             len(self.ahead.body) if self.ahead is not None else 0
         )
@@ -182,7 +185,8 @@
     def has_gone(self) -> bool:
         """Whether the client's end came behind its request, whatever lies between. Guards nodes against work for who has left
         while the process stood still or the request waited before the door: octets are read a round before the end behind
-        them. Harm: one more read for each request that is taken, and for each one more of what lies behind it."""
+        them. Harm: one more read for each request that is taken, and for each one more of what lies behind it.
+        """
         came = -1
         while (
             came < self.reader.pending <= MOST_BODY + MOST_REQUEST
@@ -321,7 +325,8 @@
 
     def cut(self) -> None:
         """The end of a connection that its client leaves open. Where all is the system's, what the client has not fetched
-        yet stays for it; a reset would throw it away. Who goes on sending, or takes nothing, gets the reset."""
+        yet stays for it; a reset would throw it away. Who goes on sending, or takes nothing, gets the reset.
+        """
         if self.handed and self.discarded <= MOST_DISCARDED:
             self.transport.loseConnection()
         else:
@@ -356,7 +361,8 @@
 
     def catch_up(self) -> None:
         """Guards clients against a process that stood still: timers go before what has come, and an idle close, a time-out or
-        the end would meet a request that is here. Harm: one more read on a connection that is about to end."""
+        the end would meet a request that is here. Harm: one more read on a connection that is about to end.
+        """
         if self.stage in (Stage.FRESH, Stage.WAITING):
             self.transport.doRead()  # an end is told again in the next turn
 
@@ -388,7 +394,8 @@
 
     def ration(self) -> None:
         """The reactor accepts no more in a round than there is room for: those beyond wait before the door. Guards clients
-        against being closed there, after which each comes again at once. Harm: they wait."""
+        against being closed there, after which each comes again at once. Harm: they wait.
+        """
         if self.port is not None:
             self.port.numberAccepts = max(self.most - len(self.open), 1)
 
--- a/milletsill/http_gateway/json_log.py
+++ b/milletsill/http_gateway/json_log.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import json
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 from typing import Any, TextIO
 
 
@@ -23,7 +23,7 @@
         self.write("warning", event, values)
 
     def write(self, level: str, event: str, values: dict[str, Any]) -> None:
-        stamp = datetime.now(timezone.utc).isoformat().replace("+00:00", "Z")
+        stamp = datetime.now(UTC).isoformat().replace("+00:00", "Z")
         line = json.dumps(
             {
                 **self.bound,
--- a/milletsill/http_gateway/node_connections.py
+++ b/milletsill/http_gateway/node_connections.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable, Sequence
 from functools import partial
-from typing import Any, Callable, Sequence
+from typing import Any
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import Protocol
@@ -313,7 +314,8 @@
 
     def serve_soon(self) -> None:
         """Those that wait are served in the next turn, once all that lies in the sockets was read. Guards against beginning a
-        dispatch whose client's close, or whose node's end, came in the same round. Harm: a turn of the loop."""
+        dispatch whose client's close, or whose node's end, came in the same round. Harm: a turn of the loop.
+        """
         if self.waiting:
             self.turn.ask()
 
@@ -404,7 +406,8 @@
     def cut(self) -> None:
         """A dispatch was given up. Guards rule 2 where settings allow no second copy: the system closes its connection in the next
         turn, before any octet of that one goes; a further dispatch that began in this one would be out beside it. Harm: what
-        begins now waits for a turn."""
+        begins now waits for a turn.
+        """
         if not self.cutting:
             self.cutting = True
             self.reactor.callLater(0, self.have_cut)
--- a/milletsill/http_gateway/process.py
+++ b/milletsill/http_gateway/process.py
@@ -9,8 +9,9 @@
 import signal
 import sys
 import time
+from collections.abc import Callable
 from contextlib import suppress
-from typing import Any, Callable, NoReturn
+from typing import Any, NoReturn
 
 USAGE = """Usage: milletsill serve
 
@@ -112,7 +113,8 @@
 
 def end(status: int) -> NoReturn:
     """The process's end. Guards the time before the earliest kill against the interpreter's own end, which frees a gateway's
-    memory piece by piece. Harm: what is registered for that end is not called; `serve` registers nothing."""
+    memory piece by piece. Harm: what is registered for that end is not called; `serve` registers nothing.
+    """
     with suppress(OSError, ValueError):
         sys.stdout.flush()
         sys.stderr.flush()
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import re
-from typing import Any, Mapping
+from collections.abc import Mapping
+from typing import Any
 
 from milletsill.errors import Unfit
 from milletsill.facts import REPORTS
--- a/milletsill/interface.py
+++ b/milletsill/interface.py
@@ -19,9 +19,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any, Mapping, Protocol, Sequence
+from typing import Any, Protocol
 
 Facts = Mapping[str, Any]
 
@@ -72,7 +73,8 @@
 @dataclass(frozen=True, slots=True)
 class Arrival:
     """A transfer that the gateway has taken; `cell` is None for a new object; `ends` is a clock time; `gateways` is 0 where
-    it is not told how many share its volume."""
+    it is not told how many share its volume.
+    """
 
     id: int
     extent: int
@@ -90,7 +92,8 @@
 @dataclass(frozen=True, slots=True)
 class Answer:
     """The end of one dispatch; `used` is the volume's use everywhere in units a second times 100 over its
-    usual rate, None where it is not told."""
+    usual rate, None where it is not told.
+    """
 
     id: int
     number: int
@@ -151,10 +154,12 @@
         self, now: int, what: str, id: int, share: float | None, ends: int, after: float
     ) -> None:
         """Another part than the even one of a whole: `limit` or `reserve` of a volume, `cold` budget of a node; `share` until
-        `ends`, then `after`; a share of None is the even part again."""
+        `ends`, then `after`; a share of None is the even part again.
+        """
 
     def advised(self, now: int, id: int, strain: float, away: bool, until: int) -> None:
         """What other gateways make of a node, in shortest target times of strain; `away`: this one better sends it nothing. It
-        ends at `until` where it is not said again; nothing that is safe rests on it."""
+        ends at `until` where it is not said again; nothing that is safe rests on it.
+        """
 
     def settle(self, now: int) -> None: ...
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -8,7 +8,8 @@
 import gc
 import signal
 import sys
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet import reactor
 
--- a/milletsill/lab/audit.py
+++ b/milletsill/lab/audit.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any, Iterator
+from typing import Any
 
 from milletsill.lab.evidence import Dispatch, Evidence, gather
 
--- a/milletsill/lab/audit_contracts.py
+++ b/milletsill/lab/audit_contracts.py
@@ -10,8 +10,9 @@
 
 import re
 from collections import defaultdict
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
-from typing import Any, Callable, Iterable, Iterator, Sequence
+from typing import Any
 
 import xxhash
 
--- a/milletsill/lab/audit_fleet.py
+++ b/milletsill/lab/audit_fleet.py
@@ -10,9 +10,10 @@
 import os
 from bisect import bisect_right
 from collections import defaultdict
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 from datetime import datetime
-from typing import Any, Iterator, Sequence
+from typing import Any
 
 from milletsill.lab.evidence import entries
 
@@ -173,7 +174,8 @@
     told: Told, weather: Weather, names: Sequence[str], end: float
 ) -> list[tuple[str, float, float | None]]:
     """For each mark its name, its time, and after how many seconds all agreed and went on to; None where they did not
-    before the next."""
+    before the next.
+    """
     changes = sorted(row[0] for rows in told.views.values() for row in rows)
     found = []
     for place, (at, name) in enumerate(weather.marks):
@@ -222,7 +224,8 @@
     told: Told, scenario: Any, start: float, count: int
 ) -> list[tuple[str, int, float | None, int, float | None]]:
     """For each trouble of a named box: how many of `count` gateways called it anything but steady while it lasted and after how
-    many seconds nine in ten did; and the same of `steady` after its end."""
+    many seconds nine in ten did; and the same of `steady` after its end.
+    """
     found = []
     for trouble in (each for each in scenario.trouble if each.what in OF_BOX):
         for box in trouble.on:
--- a/milletsill/lab/baselines.py
+++ b/milletsill/lab/baselines.py
@@ -6,7 +6,8 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import Any, Sequence
+from collections.abc import Sequence
+from typing import Any
 
 from milletsill.interface import (
     Answer,
--- a/milletsill/lab/box.py
+++ b/milletsill/lab/box.py
@@ -4,8 +4,9 @@
 
 import time
 from collections import OrderedDict
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from twisted.internet.protocol import Factory, Protocol
 
@@ -112,7 +113,7 @@
         """One dispatch."""
         now = self.clock()
         if self.down:
-            return
+            return None
         self.finish(self.engine.advance(now))
         held = self.remembered(order.ticket)
         if held is not None:
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -135,7 +135,7 @@
         if not isinstance(answer, packets.Handle):
             return self.drop(link, "file not opened")
         if link is not self.link:
-            return
+            return None
         self.file = answer.handle
         said = Opening(self.path, self.channel, self.terms.contract)
         link.word(
@@ -147,7 +147,7 @@
         if not isinstance(answer, packets.ExtendedReply):
             return self.drop(link, f"not claimed {getattr(answer, 'language', '')}")
         if link is not self.link:
-            return
+            return None
         told = wire.read_opened(answer)
         self.handle, self.live = told.handle, True
         self.load.count("claims")
@@ -176,7 +176,7 @@
         """In the middle of whatever is out: an end, or a second connection beside it."""
         link, self.breaks_at = self.link, float("inf")
         if link is None:
-            return
+            return None
         if self.chance.random() < RIVAL:
             self.load.count("second connections")
             self.load.reactor.callLater(SETUP, self.drop, link, "old connections ended")
@@ -188,7 +188,7 @@
 
     def tick(self, now: float) -> None:
         if self.link is None and not self.dialling:
-            return
+            return None
         if self.link is not None and not self.live and now - self.since > SETUP * 2:
             return self.drop(self.link, "no claim in time")
         if not self.load.draining and now >= self.breaks_at:
@@ -247,11 +247,11 @@
 
     def answered(self, link: ChannelLink, item: Item, turn: int, answer: Any) -> None:
         if item.number not in self.items:
-            return
+            return None
         if isinstance(answer, packets.Status) and answer.code == packets.OK:
             return self.end(item, "done")
         if link is not self.link or turn != item.tries:
-            return
+            return None
         sign = (
             wire.read_sign(answer.language)
             if isinstance(answer, packets.Status)
@@ -293,7 +293,7 @@
     def asked(self, link: ChannelLink, number: int, answer: Any) -> None:
         """Over, or for the client to say, or worth another try."""
         if not isinstance(answer, packets.ExtendedReply) or link is not self.link:
-            return
+            return None
         told, item = wire.read_asked(answer), self.items.get(number)
         unsure, says = told.state == wire.IS_UNSURE, self.terms.says
         over = STATES.get(told.state)
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
@@ -213,7 +214,7 @@
 
     def answered(self, answer: Any) -> None:
         if self.over:
-            return
+            return None
         if answer is None:
             return self.again("lost", 0.0)
         if isinstance(answer, packets.Status) and answer.language.startswith(
--- a/milletsill/lab/clockwork.py
+++ b/milletsill/lab/clockwork.py
@@ -9,9 +9,10 @@
 from __future__ import annotations
 
 import heapq
+from collections.abc import Callable
 from itertools import accumulate
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from milletsill.interface import (
     Answer,
--- a/milletsill/lab/engine.py
+++ b/milletsill/lab/engine.py
@@ -98,7 +98,8 @@
         what: Any,
     ) -> Job | None:
         """A job, or None where the queue is full. The first dispatch on a remembered extent costs less; a part of a
-        write is put off."""
+        write is put off.
+        """
         if first and extent in self.extents:
             work *= 1 - self.kind.seek
         self.extents[extent] = None
--- a/milletsill/lab/evidence.py
+++ b/milletsill/lab/evidence.py
@@ -11,8 +11,9 @@
 import os
 import struct
 from collections import defaultdict
+from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any, Iterator
+from typing import Any
 
 NUMBERED, WORD = "numbered@milletsill", "channel@milletsill"
 OPEN, ASK, SAY = 1, 2, 3
--- a/milletsill/lab/fleet_clock.py
+++ b/milletsill/lab/fleet_clock.py
@@ -8,9 +8,10 @@
 
 import heapq
 from collections import Counter
+from collections.abc import Callable, Iterable, Sequence
 from copy import copy
 from random import Random
-from typing import Any, Callable, Iterable, Sequence
+from typing import Any
 
 from milletsill.fleet.frames.codec import MOST_BODY, Codec, framed
 from milletsill.fleet.frames.messages import Message, What
@@ -98,7 +99,7 @@
 
     def beat(self) -> None:
         if not self.up:
-            return
+            return None
         if self.clock.now < self.stands_until:
             return self.clock.at(self.stands_until, self.beat)
         self.act(self.member.tick(self.clock.now))
--- a/milletsill/lab/fleet_processes.py
+++ b/milletsill/lab/fleet_processes.py
@@ -10,8 +10,9 @@
 import subprocess
 import sys
 import time
+from collections.abc import Callable, Sequence
 from datetime import datetime
-from typing import Any, Callable, Sequence
+from typing import Any
 
 FILE = """
 name: "{name}" listen: "127.0.0.1:0" gateways: {count} state_dir: "{folder}/{name}"
--- a/milletsill/lab/health_spread.py
+++ b/milletsill/lab/health_spread.py
@@ -8,8 +8,9 @@
 from __future__ import annotations
 
 import heapq
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from milletsill.fleet.health import codec
 from milletsill.fleet.health.health_evaluator import (
@@ -308,7 +309,8 @@
 
 def play(job: tuple[str, int, int]) -> dict[str, Any]:
     """One case. `there`, `back`: seconds until nine in ten judges call just the ill boxes, and none again; `false`: boxes
-    called by some judge that are well, at the looks of half seconds."""
+    called by some judge that are well, at the looks of half seconds.
+    """
     case, seed, gateways = job
     world = World(case, seed, gateways)
     world.run(BEGINS)
--- a/milletsill/lab/hunt/again.py
+++ b/milletsill/lab/hunt/again.py
@@ -9,8 +9,9 @@
 
 import resource
 import time
+from collections.abc import Sequence
 from random import Random
-from typing import Any, Sequence
+from typing import Any
 from unittest import mock
 
 import numpy
--- a/milletsill/lab/hunt/command.py
+++ b/milletsill/lab/hunt/command.py
@@ -9,7 +9,8 @@
 
 import argparse
 import time
-from typing import Any, Callable, Sequence
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from milletsill.lab.hunt.decide import Game, hunt
 
--- a/milletsill/lab/hunt/decide.py
+++ b/milletsill/lab/hunt/decide.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any, Callable, Protocol, Sequence
+from typing import Any, Protocol
 
 MOST_PLAYS = 250  # to make one failure small
 
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -7,8 +7,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Sequence
 from random import Random
-from typing import Any, Callable, Sequence
+from typing import Any
 from unittest import mock
 
 from milletsill.fleet.health.health_evaluator import CALLED
@@ -287,7 +288,8 @@
 
     def jump(self, place: int, span: int) -> None:
         """Its clock goes on by so much at once; or, below 0, its host is suspended for so long and the clock with it. Both are
-        past what drift allows."""
+        past what drift allows.
+        """
         name = self.names[place]
         self.jumped[name] = self.jumped.get(name, 0) + span
         if span < 0:
--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 import sqlite3
+from collections.abc import Callable
 from random import Random
 from types import SimpleNamespace
-from typing import Any, Callable
+from typing import Any
 
 from prometheus_client import CollectorRegistry
 
@@ -248,7 +249,7 @@
 
     def fire(self, timer: Timer) -> None:
         if not self.up or timer.call is None:
-            return
+            return None
         if self.clock.now < self.stands_until:
             return self.clock.at(self.stands_until, self.fire, timer)
         call, timer.call = timer.call, None
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from functools import partial
-from typing import Any, Callable
+from typing import Any
 from unittest import mock
 
 from milletsill.fleet.health import health_evaluator as health
--- a/milletsill/lab/hunt/list_world.py
+++ b/milletsill/lab/hunt/list_world.py
@@ -9,10 +9,11 @@
 
 import base64
 import json
+from collections.abc import Callable, Iterator, Sequence
 from contextlib import contextmanager
 from random import Random
 from types import SimpleNamespace
-from typing import Any, Callable, Iterator, Sequence
+from typing import Any
 from unittest import mock
 
 from twisted.internet.defer import Deferred, maybeDeferred
@@ -309,7 +310,8 @@
 
     def restore(self, back: int, silently: bool) -> None:
         """The registry is what it was, under a new cluster's id, as its tool does it. Its watches break, or stand at something
-        between that does not tell."""
+        between that does not tell.
+        """
         self.cluster += 1
         self.revision, held = self.backups[-1 - back % len(self.backups)]
         self.held, self.log, self.compacted = dict(held), [], self.revision
--- a/milletsill/lab/hunt/scale.py
+++ b/milletsill/lab/hunt/scale.py
@@ -9,9 +9,9 @@
 import gc
 import resource
 import time
+from collections.abc import Sequence
 from random import Random
 from types import SimpleNamespace
-from typing import Sequence
 from unittest import mock
 
 from prometheus_client import CollectorRegistry
--- a/milletsill/lab/lateness.py
+++ b/milletsill/lab/lateness.py
@@ -1,11 +1,13 @@
 """When a process of the laboratory was late itself, and what of that was the collector, its own work, a wait for a core, or a
-sleep (in a call that blocked, or past its time)."""
+sleep (in a call that blocked, or past its time).
+"""
 
 from __future__ import annotations
 
 import gc
 import time
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 SAID_FROM, MOST_KEPT = 0.015, 200  # seconds; moments
 LOOK, DEAF_FROM, MOST_DEAF = (
--- a/milletsill/lab/model_checks/channel_model.py
+++ b/milletsill/lab/model_checks/channel_model.py
@@ -11,9 +11,10 @@
 
 import argparse
 import time
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from random import Random
-from typing import Any, Callable, Iterator
+from typing import Any
 from unittest import mock
 
 from milletsill.fleet.channels import ordering
@@ -93,7 +94,8 @@
     order: Order, unsure: Unsure, start: str, depth: int, most: int, numbers: int = 2
 ) -> tuple[int, int, str | None]:
     """Every order of events up to a depth after a start, worlds that are alike looked at once, at most so many: worlds, the depth that
-    is whole, and what went wrong."""
+    is whole, and what went wrong.
+    """
     first = STARTS[start]
     seen, layer, count = (
         {played(order, unsure, first, [], numbers).key()},
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -7,8 +7,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.channel_owner import Keeper
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -1,6 +1,7 @@
 """Keepers, registers and a network that loses, doubles, delays and reorders, for model.py: played with the very functions of
 registers/decide.py and registers/standing.py, one channel. A value is the line of all writes it was made from, so that a lost or a
-forked one shows."""
+forked one shows.
+"""
 
 from __future__ import annotations
 
@@ -111,7 +112,8 @@
 
 class Keeper:
     """One keeper's seat of the channel, and what it heard of registers. `called`: the name that it has, which may be another's
-    too."""
+    too.
+    """
 
     def __init__(self, called: str, nonce: int, span: Span, registers: int) -> None:
         self.seat = Seat(C, called, nonce, span, registers)
--- a/milletsill/lab/model_checks/lease_model.py
+++ b/milletsill/lab/model_checks/lease_model.py
@@ -12,8 +12,9 @@
 
 import argparse
 import time
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from milletsill.fleet.leases import acceptor, acceptor_recovery
 from milletsill.fleet.leases.acceptor_recovery import Page
@@ -143,7 +144,8 @@
     how: str, depth: int, most: int, moves: Callable[[World], dict[str, Any]] = events
 ) -> tuple[int, int, str | None]:
     """Every order of events up to a depth, worlds that are alike looked at once, at most so many: worlds looked at, the depth that
-    is whole, and the events that led to what is wrong."""
+    is whole, and the events that led to what is wrong.
+    """
     first = opened(how)
     seen, layer, count = {first.key()}, [(first, ())], 1
     for level in range(depth):
@@ -359,7 +361,8 @@
 
 def copied() -> str | None:
     """A write that only one register took is told to another that catches up, which had let a later ballot in: it looks as if two
-    had taken it."""
+    had taken it.
+    """
     world = World(3, 3)
     at(world, "k0", ("r0", "r1", "r2"), world.take)
     at(world, "k0", ("r0", "r1", "r2"), world.write)
--- a/milletsill/lab/model_checks/lease_mutation_checks.py
+++ b/milletsill/lab/model_checks/lease_mutation_checks.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from contextlib import contextmanager
-from typing import Any, Iterator
+from typing import Any
 from unittest import mock
 
 from milletsill.fleet.leases import acceptor, acceptor_recovery, lease_proposer
--- a/milletsill/lab/model_checks/quota_model.py
+++ b/milletsill/lab/model_checks/quota_model.py
@@ -11,9 +11,10 @@
 
 import argparse
 import copy
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from random import Random
-from typing import Any, Callable, Iterator
+from typing import Any
 from unittest import mock
 
 from milletsill.planner.quota_granting import Planner
@@ -140,7 +141,8 @@
     edges: int, depth: int, most: int, seed_steps: int = 0
 ) -> tuple[int, list[str] | None]:
     """Every order of events up to a depth, worlds that are alike looked at once, at most so many. The worlds looked at, and
-    the events that led past the whole, if any. `seed_steps` exchanges without loss come first, so that there is something to lose."""
+    the events that led past the whole, if any. `seed_steps` exchanges without loss come first, so that there is something to lose.
+    """
     first = World(edges)
     for step in range(seed_steps):
         first.exchange(step % edges)
@@ -209,7 +211,8 @@
 
 def overtaken() -> int:
     """A large grant is on its way for long while newer, smaller ones are lost and another edge gets the rest; then it comes.
-    The most that is in use with it at any moment of that."""
+    The most that is in use with it at any moment of that.
+    """
     world = World(3)
     for step in range(90):
         world.exchange(step % 3)
--- a/milletsill/lab/moment.py
+++ b/milletsill/lab/moment.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import time
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 LOOK = 0.5  # seconds: a wall clock that is set back puts a call off by this at most
 
@@ -16,7 +17,8 @@
     now: Callable[[], float] = time.monotonic,
 ) -> None:
     """Call once the monotonic clock has come to `when` (seconds). Guards a day's faults against a wall clock that is set on or
-    back while it runs, since the reactor's timers follow that one. Harm: none, it looks twice a second."""
+    back while it runs, since the reactor's timers follow that one. Harm: none, it looks twice a second.
+    """
     left = when - now()
     if left <= 0:
         call(*values)
--- a/milletsill/lab/plants.py
+++ b/milletsill/lab/plants.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 LINGERS = 1.0  # seconds that one number is kept back at the most
 Follows = Callable[[Any, Any], bool]
--- a/milletsill/lab/processes.py
+++ b/milletsill/lab/processes.py
@@ -117,7 +117,8 @@
 
     def fill_disk(self, full: bool) -> None:
         """No write to a file goes through any more, or all do again: RLIMIT_FSIZE of the running process, at 0. A full disk
-        says ENOSPC where this says EFBIG, and lets old blocks be written over; this does not."""
+        says ENOSPC where this says EFBIG, and lets old blocks be written over; this does not.
+        """
         if self.process is not None and self.process.poll() is None:
             _, most = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(
--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -14,8 +14,9 @@
 import subprocess
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Callable
+from typing import Any
 
 from google.protobuf import text_format
 
--- a/milletsill/lab/starved.py
+++ b/milletsill/lab/starved.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Sequence
+from collections.abc import Sequence
+from typing import Any
 
 LOOK, FROM = (
     0.05,
@@ -32,7 +33,8 @@
 
     def look(self, now: float, groups: Sequence[Any]) -> list[tuple[str, float, float]]:
         """(edge, from, to) of those that had no core for long. The system adds a wait to its sum when it is over: one that ended since
-        the last look may have begun as long before that as it lasted."""
+        the last look may have begun as long before that as it lasted.
+        """
         if now - self.at < LOOK:
             return []
         since, self.at = self.at, now
--- a/milletsill/lab/troubles.py
+++ b/milletsill/lab/troubles.py
@@ -4,8 +4,9 @@
 
 import signal
 import time
+from collections.abc import Callable
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from milletsill.lab.processes import Group
 
--- a/milletsill/lab/weather.py
+++ b/milletsill/lab/weather.py
@@ -5,9 +5,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 from random import Random
-from typing import Any, Iterable
+from typing import Any
 
 # what of a scenario's Trouble -> does it cut the way from a to b, given whether each is in the named set
 CUTS = {
@@ -23,7 +24,8 @@
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One trouble of the network, from `since` until `until`. Figures: lossy: size the share lost, extra the share that comes
-    twice; slow_network: size milliseconds late, extra milliseconds more by chance, which reorders."""
+    twice; slow_network: size milliseconds late, extra milliseconds more by chance, which reorders.
+    """
 
     what: str
     since: float
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -5,8 +5,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import replace
-from typing import Any, Callable
+from typing import Any
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
@@ -138,7 +139,7 @@
             return self.sign(Sign.VERSION)
         if isinstance(packet, packets.Status):
             self.beats = max(self.beats - 1, 0)
-            return
+            return None
         if not isinstance(packet, packets.ExtendedReply):
             raise BadPacket(f"{type(packet).__name__} where a verdict was due")
         verdict = extensions.read_verdict(packet)
@@ -282,7 +283,8 @@
 
     def bar(self, barred: bool) -> None:
         """Whether the box drains or is gone: then nothing begins here, and what waits for a link is told so at once, to be
-        placed elsewhere. Guards rule 3 against a handshake that ends long after the list said it. Harm: none."""
+        placed elsewhere. Guards rule 3 against a handshake that ends long after the list said it. Harm: none.
+        """
         self.barred = barred
         if barred:
             waiting, self.waiting = self.waiting, []
--- a/milletsill/node_connections/connection_state.py
+++ b/milletsill/node_connections/connection_state.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
-from typing import Mapping, Sequence
 
 # DIALING: no connection yet. GREETING: waits for VERSION. READY: takes dispatches. DOUBTED: owes a beat.
 Stage = Enum("Stage", "DIALING GREETING READY DOUBTED CLOSED")
--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from struct import Struct
-from typing import Any, Iterator
+from typing import Any
 
 from google.protobuf.message import DecodeError
 
--- a/milletsill/planner/demand_estimate.py
+++ b/milletsill/planner/demand_estimate.py
@@ -50,7 +50,8 @@
 def wanted(rate: float, waiting: float) -> float:
     """Units a second that would carry what arrives and send what waits within a second. Guards against clients that ask for no
     more until they are answered: what arrives is then no more than what the present part lets through. Harm: what waits for
-    another reason (a slow box) asks for parts that it cannot use, for as long as it waits."""
+    another reason (a slow box) asks for parts that it cannot use, for as long as it waits.
+    """
     return rate + waiting
 
 
--- a/milletsill/planner/planner_link.py
+++ b/milletsill/planner/planner_link.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from enum import Enum
-from typing import Mapping
 
 from milletsill.planner.quota_terms import SECOND
 
--- a/milletsill/planner/planner_service.py
+++ b/milletsill/planner/planner_service.py
@@ -283,7 +283,8 @@
 
     def newer(self, link: Link, epoch: int) -> None:
         """Some edge has a newer planner: this run grants nothing more, whichever of the two is right. What it granted ends by
-        itself."""
+        itself.
+        """
         link.refuse("an edge knows a newer planner", epoch)
         if not self.superseded:
             self.log.error(
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 import random
-from typing import Any, Callable, Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
 
 from prometheus_client import Counter, Gauge
 from twisted.internet.endpoints import HostnameEndpoint
@@ -148,7 +149,8 @@
 
     def forget(self) -> None:
         """Boxes that are warm or gone, with nothing lent, granted or rested on. Guards an edge that runs for months against
-        every box that was ever replaced; stores are those of the file. Harm: none, a box that is cold again is known anew."""
+        every box that was ever replaced; stores are those of the file. Harm: none, a box that is cold again is known anew.
+        """
         now, cold = self.now(), set(self.nodes.values())
         for thing in [
             each for each in self.demand if each[0] == "cold" and each[1] not in cold
--- a/milletsill/planner/quota_granting.py
+++ b/milletsill/planner/quota_granting.py
@@ -90,7 +90,8 @@
 
     def born(self, edge: str, incarnation: int) -> None:
         """An edge has started again. It keeps its promises by resting; what it was granted is gone, but may have been used
-        until just now, so that it stays counted until its end."""
+        until just now, so that it stays counted until its end.
+        """
         self.edges[edge] = incarnation
         for pot in self.pots.values():
             share = pot.shares.get(edge)
@@ -99,7 +100,8 @@
 
     def count_on(self, share: Share, ask: Ask, now: int) -> None:
         """A promise is surely kept for a longest span from the planner's own time that the edge had heard before it made it.
-        What was counted before stays true, and is kept as long as it says anything new."""
+        What was counted before stays true, and is kept as long as it says anything new.
+        """
         told = [
             (part, heard + self.span.least(self.span.longest))
             for part, heard in ask.lent
@@ -150,7 +152,8 @@
 
     def call(self, thing: Thing, pot: Pot, now: int) -> None:
         """Edges that are quiet about a thing which others now want are told what to lend. Guards the planner against 150 edges
-        that ask about 400 idle stores each second; harm: a store that wakes up waits one message longer for its parts."""
+        that ask about 400 idle stores each second; harm: a store that wakes up waits one message longer for its parts.
+        """
         every = self.span.longest // SOON
         for name, share in pot.shares.items():
             if (
--- a/milletsill/planner/quota_lending.py
+++ b/milletsill/planner/quota_lending.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Iterable, Sequence
 
 from milletsill.planner.quota_terms import (
     GUARD,
@@ -23,7 +23,8 @@
 @dataclass(slots=True)
 class Holding:
     """What one edge has of one thing: promises to the epoch `lent_to`, the largest first, each shorter than the next and
-    smaller ones longer; `granted` on top until `granted_ends`."""
+    smaller ones longer; `granted` on top until `granted_ends`.
+    """
 
     capital: int
     floor: int
@@ -51,7 +52,8 @@
 
     def promise(self, made: Lent, now: int) -> None:
         """One more promise. None that stands is made smaller or shorter: a larger one stays beside a new smaller one, until
-        its end. Past MOST_PROMISES the two last become one, as large and as long as either."""
+        its end. Past MOST_PROMISES the two last become one, as large and as long as either.
+        """
         kept = [
             each for each in self.promises if now < each.ends and each.part > made.part
         ]
@@ -66,7 +68,8 @@
 
 class Edge:
     """One edge's side. `born` is its clock at its start: until a whole longest span has passed since, it has the floor alone,
-    for its former self may have lent the rest."""
+    for its former self may have lent the rest.
+    """
 
     def __init__(
         self, name: str, incarnation: int, span: Span, born: int, fresh: bool = False
@@ -100,7 +103,8 @@
 
     def free(self, held: Holding, now: int) -> int:
         """How much of its capital an edge may newly promise to the present epoch: nothing while it rests, and nothing of what
-        another epoch still has."""
+        another epoch still has.
+        """
         if now < self.rests:
             return 0
         other = held.lent(now) if held.lent_to != self.epoch else 0
@@ -108,7 +112,8 @@
 
     def outlook(self, thing: Thing, now: int) -> tuple[int, int, int]:
         """The part now, until when it surely holds, and the least that any later moment holds without another word: what the
-        module is told, so that it stays lawful however late the next word to it comes."""
+        module is told, so that it stays lawful however late the next word to it comes.
+        """
         held = self.holdings[thing]
         ends = [each for each in (*held.ends(), self.rests) if each > now]
         part = self.part(thing, now)
--- a/milletsill/planner/quota_plan.py
+++ b/milletsill/planner/quota_plan.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Container, Mapping
 from dataclasses import dataclass, field
-from typing import Container, Mapping
 
-from milletsill.planner.quota_terms import MOST_ENDS, SECOND, SELDOM, Span, Thing
+from milletsill.planner.quota_terms import MOST_ENDS, SECOND, SELDOM, Span
 
 PLAN_EVERY, LEAST_PART = (
     SECOND // 2,
@@ -60,7 +60,8 @@
 
     def recount(self, now: int) -> None:
         """Both sums anew. Between two counts `held` only grows and what is lent is not counted higher: what was true of
-        promises stays true, and what runs out is counted on, which is safe."""
+        promises stays true, and what runs out is counted on, which is safe.
+        """
         self.held = sum(each.out(now) for each in self.shares.values())
         ends = sorted(
             (
--- a/milletsill/planner/quota_terms.py
+++ b/milletsill/planner/quota_terms.py
@@ -20,7 +20,8 @@
 @dataclass(frozen=True, slots=True)
 class Span:
     """How long things last, the same for planner and edges: the longest promise or grant, how much of a clock's rate may be
-    wrong (parts in a thousand), the share of the even part that is never lent."""
+    wrong (parts in a thousand), the share of the even part that is never lent.
+    """
 
     longest: int = 4 * SECOND
     drift: int = 5
@@ -52,7 +53,8 @@
 @dataclass(frozen=True, slots=True)
 class Ask:
     """From an edge: what it wants of a thing, and what it has promised, as (part, heard). `sent` is its clock, sent back with
-    the answer; `heard` is the planner's own time that stood in the grant that made a promise: it is not older than that."""
+    the answer; `heard` is the planner's own time that stood in the grant that made a promise: it is not older than that.
+    """
 
     edge: str
     incarnation: int
@@ -67,7 +69,8 @@
 @dataclass(frozen=True, slots=True)
 class Grant:
     """From the planner, in answer to one ask: what it grants on top for `lasts` from when it was asked for, what it would have
-    lent, and its own time."""
+    lent, and its own time.
+    """
 
     epoch: int
     incarnation: int
--- a/milletsill/registry/endpoint_view.py
+++ b/milletsill/registry/endpoint_view.py
@@ -6,10 +6,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from enum import Enum
 from itertools import islice
-from typing import Any, Iterable, Mapping
+from typing import Any
 
 from milletsill.errors import Unfit
 from milletsill.interface import Listed, News, Readiness
@@ -50,7 +51,8 @@
 @dataclass(frozen=True, slots=True)
 class Newest:
     """What the registry says of its newest change, how many keys it holds and how far it is itself (a cluster's id, its
-    revision), beside what the watch had brought by then."""
+    revision), beside what the watch had brought by then.
+    """
 
     revision: int
     count: int
@@ -61,7 +63,8 @@
 def other_past(before: tuple[str, int], head: tuple[str, int]) -> bool:
     """Whether the registry was restored from a backup since it told a list: it is of another cluster, or behind what it told.
     What it does not say is no difference. Guards rule 3: changes up to the old revision would never be told. Harm: one list more
-    where a member of the registry is late."""
+    where a member of the registry is late.
+    """
     return 0 < head[1] < before[1] or bool(
         head[0] and before[0] and head[0] != before[0]
     )
@@ -69,7 +72,8 @@
 
 def missed(there: Newest, cluster: str, brought: int, keys: int) -> bool:
     """Whether the watch has missed something; `keys` as they are known here. Guards rule 3 against a watch whose other end is
-    gone without a word. Harm: one list more where the watch is only late."""
+    gone without a word. Harm: one list more where the watch is only late.
+    """
     fewer_or_more = there.count != keys and brought == there.brought
     return (
         there.revision > brought
@@ -168,7 +172,8 @@
 @dataclass(frozen=True, slots=True)
 class Told:
     """One change: the key's box, or None where the key is gone, and the revision that made it. `odd`: it is there, with a value
-    that describes no box."""
+    that describes no box.
+    """
 
     key: str
     box: Box | None
--- a/milletsill/registry/etcd_json.py
+++ b/milletsill/registry/etcd_json.py
@@ -9,7 +9,8 @@
 import base64
 import binascii
 import json
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from milletsill.errors import Malformed
 from milletsill.registry.endpoint_view import BadBox, Box, Told, box_of
@@ -158,7 +159,8 @@
     line: bytes, complain: Callable[[str], None]
 ) -> tuple[list[Told], int, tuple[str, int] | None, bool]:
     """One message of a watch: changes, its newest revision, how far the registry is itself where it opens, whether the past was
-    compacted."""
+    compacted.
+    """
     body = parsed(line, "a watch message")
     result = body.get("result")
     if not isinstance(result, dict):
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import time
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Protocol
@@ -73,13 +74,13 @@
 
     def dataReceived(self, data: bytes) -> None:
         if self.over:
-            return
+            return None
         if self.line is None:
             self.size += len(data)
             if self.size > self.most:
                 return self.stop()
             self.held.append(data)
-            return
+            return None
         try:
             for each in self.lines.feed(data):
                 if not self.over:
@@ -222,7 +223,7 @@
 
         def done(data: bytes | None) -> None:
             if number != self.number or self.stage is not Stage.RANGING:
-                return
+                return None
             self.no_longer_late()
             try:
                 if data is None:
@@ -300,7 +301,7 @@
 
         def done(data: bytes | None) -> None:
             if over[0] or number != self.number or self.stopped:
-                return
+                return None
             over[0] = True
             self.no_look()
             try:
--- a/milletsill/scheduler/__init__.py
+++ b/milletsill/scheduler/__init__.py
@@ -1,9 +1,10 @@
 """Every decision of milletsill: what leaves when, for which storage node, and what is given up.
 
 A host makes one Scheduler per gateway with facts, seed, time and a Port, tells it events by `listed`,
-`taken`, `returned`, `abandoned`, `woken`, then calls `settle`; it acts through the Port, see interface.py."""
+`taken`, `returned`, `abandoned`, `woken`, then calls `settle`; it acts through the Port, see interface.py.
+"""
 
-from typing import Sequence
+from collections.abc import Sequence
 from weakref import ReferenceType, ref
 
 from milletsill.interface import Arrival, Listed, News, Readiness
@@ -78,7 +79,8 @@
 
     def forget_nodes(self, now: int) -> None:
         """Guards a gateway that runs for months against nodes that left for good. One that comes back is new
-        here: cold if the list tells its start. Harm: none once what was sent has left rule 4's window."""
+        here: cold if the list tells its start. Harm: none once what was sent has left rule 4's window.
+        """
         for node in list(self.nodes.values()):
             gone = node.health is Health.BARRED and not node.out and not node.extents
             if gone and now > node.barred_at + max(
@@ -88,7 +90,8 @@
 
     def forget_idle(self, now: int) -> None:
         """Guards the same against volumes and keys seen once: the least lately used are looked at, a few with
-        each transfer. Harm: a surplus window learnt long ago starts again at one."""
+        each transfer. Harm: a surplus window learnt long ago starts again at one.
+        """
         for _ in range(SWEPT):
             volume = next(iter(self.volumes.values()), None)
             if volume is not None and now - volume.used_at > self.idle:
--- a/milletsill/scheduler/limits.py
+++ b/milletsill/scheduler/limits.py
@@ -30,7 +30,8 @@
 
     def parted(self, what: str, id: int, gateways: int, since: int, now: int) -> float:
         """Into how many parts like this gateway's a whole goes: rules 4 and 7 ask here at each send. A part
-        whose time is over counts no longer, whatever kept the one who gave it from saying so."""
+        whose time is over counts no longer, whatever kept the one who gave it from saying so.
+        """
         if (what, id) not in self.parts:
             return gateways
         share, ends, after = self.parts[what, id]
@@ -52,7 +53,8 @@
 
     def surplus_wait(self, transfer: Transfer, now: int) -> int:
         """A volume's surplus waits for its window over all nodes. Guards against surges over so many gateways
-        and nodes that no node's window holds them back. Harm: one slow node narrows it for the others."""
+        and nodes that no node's window holds them back. Harm: one slow node narrows it for the others.
+        """
         volume = transfer.volume
         if transfer.queue is None or transfer.queue is transfer.node.due:
             return 0
@@ -88,7 +90,8 @@
     def cold_wait(self, transfer: Transfer, node: Node, now: int) -> int:
         """Rule 4: what leaves in a window stays under this gateway's part of what a cold node bears, answered
         or not: guards against a node quicker than promised, which would get more than the settings allow. A
-        send weighs as a usual transfer at least: guards against many small ones. Harm: that node idles."""
+        send weighs as a usual transfer at least: guards against many small ones. Harm: that node idles.
+        """
         facts, age = self.facts, now - (node.since or -NEVER)
         span = facts["cold_window"] + 2
         while node.sends and node.sends[0][0] + span <= now:
@@ -122,7 +125,8 @@
         """Where an even part is below one usual transfer each is drawn for once, with odds of the part that
         filled since this gateway's last one for the cell: over the fleet the mean is LOT of what the node may
         get, or less where the spread (RARE, design.md) leaves less; large ones pay for their weight. Guards
-        rule 4. Harm: most of what is held there never goes."""
+        rule 4. Harm: most of what is held there never goes.
+        """
         mean, gateways = self.facts["unit_mean"], self.facts["gateways"]
         bears = self.bears(age - span) / mean
         line = bears + 2 * bears**0.5 + 2
--- a/milletsill/scheduler/ordinary.py
+++ b/milletsill/scheduler/ordinary.py
@@ -1,5 +1,6 @@
 """The ordinary path (docs/design.md): what a node gets next, and what gives way. The gate: every send passes
-`wait_for` and then `dispatch`, and nothing else sends."""
+`wait_for` and then `dispatch`, and nothing else sends.
+"""
 
 from milletsill.scheduler.queues import Queues
 from milletsill.scheduler.records import Dispatch, Node, Queue, Transfer
@@ -42,7 +43,8 @@
 
     def run_on(self, node: Node, first: Transfer, now: int) -> None:
         """The rest of a run leaves behind its first, beyond the window, as far as the head's slack bears it:
-        else others' sends come between and the node forgets the extent. Harms short work behind: bounded."""
+        else others' sends come between and the node forgets the extent. Harms short work behind: bounded.
+        """
         slack = min((each[2].tag - now for each in node.due[:1]), default=NEVER)
         for transfer in node.run_of(first):
             slack -= self.service(node, transfer) * HIT
@@ -136,7 +138,8 @@
     def relieve(self, node: Node, now: int) -> None:
         """What cannot leave in time gives way, least useful first: reserved work to the background, to be
         late unless the node is crowded; the rest is declined. Guards against any backlog that would make EDF
-        satisfy late work only; harm where the pace misleads: a quicker node would still have done it."""
+        satisfy late work only; harm where the pace misleads: a quicker node would still have done it.
+        """
         clock, step = float(max(now, node.rest_until)), node.pace / node.window
         for queue in (node.due, node.background):
             while (found := self.least_useful(node, queue, clock, step)) is not None:
--- a/milletsill/scheduler/queues.py
+++ b/milletsill/scheduler/queues.py
@@ -21,7 +21,8 @@
 class Queues(Limits, Repeats):
     def place(self, transfer: Transfer, now: int) -> bool:
         """To the node of its cell; where there is a choice, to the best of some drawn by chance: gateways
-        that see the same must not all choose the same. A new object is held until one has credit."""
+        that see the same must not all choose the same. A new object is held until one has credit.
+        """
         nodes, new = self.choice(transfer), transfer.free()
         if transfer.dispatches:
             nodes = [
@@ -44,7 +45,8 @@
         self, transfer: Transfer, node: Node, now: int
     ) -> tuple[bool, bool, bool, float]:
         """What speaks against a node, weightiest first: no credit, a wait, that it was there, then its strain
-        less what the transfer, where it is no new object, saves behind its extent."""
+        less what the transfer, where it is no new object, saves behind its extent.
+        """
         waits = now < node.rest_until or self.cold_wait(transfer, node, now) > 0
         near = (
             transfer.cell is not None
@@ -108,7 +110,8 @@
 
     def hand_back(self, node: Node) -> None:
         """What is held at a node that left or rests is placed again where there is a choice. Guards against
-        waiting for one node while others could. Harm: it loses its run; what credit was spent on stays."""
+        waiting for one node while others could. Harm: it loses its run; what credit was spent on stays.
+        """
         for _, _, transfer in list(node.extents):
             if (
                 node.health is Health.BARRED
--- a/milletsill/scheduler/records.py
+++ b/milletsill/scheduler/records.py
@@ -46,7 +46,8 @@
 
     def forgettable(self, now: int, largest: float) -> bool:
         """Whether a new record would be no freer: nothing out, both stores full again (rule 7: a new limit
-        store holds no more than one that has filled since this gateway's start)."""
+        store holds no more than one that has filled since this gateway's start).
+        """
         plan, gateways = self.plan, self.gateways
         most, rate = (
             plan["limit_store"] / gateways,
--- a/milletsill/scheduler/repeats.py
+++ b/milletsill/scheduler/repeats.py
@@ -89,6 +89,7 @@
 
     def let_go(self, transfer: Transfer) -> None:
         """Cuts the circle of transfer and dispatches once nothing is out: freed at once, no host stands still
-        while a garbage collector looks for it. Rule 5 needs only that it is over."""
+        while a garbage collector looks for it. Rule 5 needs only that it is over.
+        """
         if transfer.phase is Phase.OVER and not transfer.out():
             transfer.dispatches = []
--- a/milletsill/settings/channels.py
+++ b/milletsill/settings/channels.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Iterator
+from collections.abc import Iterator
+from typing import Any
 
 from milletsill.settings.load import Report
 
--- a/milletsill/settings/load.py
+++ b/milletsill/settings/load.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 import os
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Callable, Iterable, TypeVar
+from typing import TypeVar
 
 from google.protobuf import text_format
 from google.protobuf.message import Message
--- a/milletsill/settings/validation.py
+++ b/milletsill/settings/validation.py
@@ -251,7 +251,8 @@
 
 def check_fleet(file: Any, report: Report, under: tuple[str, ...]) -> None:
     """A gateway's place among others: addresses that others can use, spans in sane relation. What is shared on top of the view
-    (`health`, `channels`) has checks of its own."""
+    (`health`, `channels`) has checks of its own.
+    """
     if not file.HasField("fleet"):
         return
     fleet, here = file.fleet, under + ("fleet",)
--- a/milletsill/sftp/extensions.py
+++ b/milletsill/sftp/extensions.py
@@ -26,8 +26,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Mapping
 
 from milletsill.sftp.packets import (
     Answer,
@@ -55,7 +55,8 @@
 @dataclass(frozen=True, slots=True)
 class Terms:
     """What a client says of its command: patience in milliseconds (0: the operator's), tries made before, and
-    a mark that all tries share ('' for none)."""
+    a mark that all tries share ('' for none).
+    """
 
     patience: int = 0
     tries: int = 0
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -1,11 +1,13 @@
 """Channels at a gateway: words of its clients and of other gateways to whoever keeps the channel, and its part of the module's
-door. Made only where the file has a `fleet { channels }` block."""
+door. Made only where the file has a `fleet { channels }` block.
+"""
 
 from __future__ import annotations
 
 import os
+from collections.abc import Callable
 from random import SystemRandom
-from typing import Any, Callable
+from typing import Any
 
 import xxhash
 from prometheus_client import Counter, Gauge
@@ -32,7 +34,6 @@
 from milletsill.fleet.channels.peer_forwarder import Ways
 from milletsill.fleet.channels.released_attempts import Gone
 from milletsill.fleet.channels.sequences import LetGo
-from milletsill.fleet.transport import Kind
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Terms
@@ -460,7 +461,8 @@
 
     def elsewhere(self, word: Word, told: Elsewhere) -> None:
         """The registers say that another holds the office. Guards against a word that goes to and fro between one that has it
-        still, going down, and one that may not have it yet. Harm: a client comes back once more."""
+        still, going down, and one that may not have it yet. Harm: a client comes back once more.
+        """
         word.sent_on += 1
         if word.sent_on > MOST_SENT_ON:
             return word.answered(
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any, Callable
+from typing import Any
 
 from milletsill.interface import Arrival
 from milletsill.sftp import extensions, packets
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -5,7 +5,8 @@
 import os
 import random
 import time
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
@@ -201,7 +202,8 @@
 
     def keep_run(self, run: int) -> None:
         """The fleet knew a later run than this one: what leaves from now on has the new one, the next start goes past both. Guards
-        boxes against names and tickets of a former run whose state was lost. Harm: what left before the fleet's word has the old."""
+        boxes against names and tickets of a former run whose state was lost. Harm: what left before the fleet's word has the old.
+        """
         self.incarnation = max(self.incarnation, run)
         complaint = keep(os.path.join(self.file.state_dir, "incarnation"), run)
         if complaint is not None:
@@ -244,7 +246,8 @@
 
     def unread_since(self) -> int | None:
         """Since when what is read now may have lain unread; None where it is as new as it looks. Asked at each read: a process that
-        stood between a socket's being ready and its being read has had no beat yet."""
+        stood between a socket's being ready and its being read has had no beat yet.
+        """
         since = taken_since(self.now(), self.last_beat + BEAT, self.last_beat)
         return (
             self.stood_since
@@ -319,7 +322,8 @@
 
     def reload(self, file: Any) -> None:
         """Another file for what a running gateway can change: bounds of the door, volumes, routes, logs. What the
-        module was told at the start stands until a restart."""
+        module was told at the start stands until a restart.
+        """
         if (
             deployment.facts_of(file) != self.host.facts
             or file.name != self.file.name
--- a/milletsill/sftp_gateway/gateway_context.py
+++ b/milletsill/sftp_gateway/gateway_context.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any, Callable, Protocol
+from collections.abc import Callable
+from typing import Any, Protocol
 
 from milletsill.sftp_gateway.routing import Locations, VolumePlace
 
--- a/milletsill/sftp_gateway/incarnation.py
+++ b/milletsill/sftp_gateway/incarnation.py
@@ -12,7 +12,8 @@
 
 def next_incarnation(path: str) -> tuple[int, RunUnkept | None]:
     """The number of this run and a complaint, None for none. Where it cannot be kept it is taken from the wall clock,
-    which is past any count of starts, so no two runs share one."""
+    which is past any count of starts, so no two runs share one.
+    """
     held, complaint = 0, None
     try:
         with open(path, encoding="ascii") as source:
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -5,7 +5,8 @@
 import gc
 import signal
 import time
-from typing import Any, Callable, Sequence
+from collections.abc import Sequence
+from typing import Any
 
 from twisted.internet import reactor
 
@@ -22,7 +23,8 @@
 
 def steady(reactor: Any) -> None:
     """Timers follow the monotonic clock. Guards rule 1 and all spans against a wall clock that is set back while the process runs,
-    which Twisted's timers follow: answers would leave late by as much. Harm: none known."""
+    which Twisted's timers follow: answers would leave late by as much. Harm: none known.
+    """
     reactor.seconds = time.monotonic
 
 
--- a/milletsill/sftp_gateway/routing.py
+++ b/milletsill/sftp_gateway/routing.py
@@ -8,10 +8,11 @@
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
 from math import ceil
-from typing import Any, Mapping, Sequence
+from typing import Any
 
 import xxhash
 
@@ -176,7 +177,8 @@
 
 class Locations:
     """Where new objects were last seen, by path; bounded, the least lately used leaves. A wrong one costs a look at
-    the path's home, never a wrong answer."""
+    the path's home, never a wrong answer.
+    """
 
     def __init__(self, most: int) -> None:
         self.most, self.held = most, OrderedDict[str, "Spot"]()
@@ -286,7 +288,8 @@
 
 def course_of(command: Any, placement: int, cells: int) -> tuple[Course, Leg]:
     """How a command on a path goes, and its first leg. Objects of hashed volumes lie at their home, those of free ones
-    where a link at home says."""
+    where a link at home says.
+    """
     kind = type(command)
     if kind is packets.Readdir:
         return Course.LIST, Leg.SWEEPING
@@ -313,7 +316,8 @@
 
 def page(names: int, ended: bool, cells_left: int) -> str:
     """What one cell's part of a directory means: an answer, the same cell again, the next one, or the end. A client
-    takes an answer without names for the end, so one that was emptied (names seen before) is never given."""
+    takes an answer without names for the end, so one that was emptied (names seen before) is never given.
+    """
     if names:
         return "answer"
     if not ended:
@@ -323,7 +327,8 @@
 
 def told(reply: Reply, done_before: bool) -> Reply:
     """What the client hears of a command that a decline ends: if an earlier transfer of it has already done something,
-    trying again is not known to be harmless, so it is aborted."""
+    trying again is not known to be harmless, so it is aborted.
+    """
     return Reply.ABORTED if reply is Reply.DECLINED and done_before else reply
 
 
@@ -368,7 +373,8 @@
 
 def fullness(door: Door, out: int, unread: bool, most_out: int) -> Knock | None:
     """Whether a connection is to be read: not while too many commands are out, or its answers are not taken; again
-    once half of them are done (a bound on both sides keeps it from flapping)."""
+    once half of them are done (a bound on both sides keeps it from flapping).
+    """
     if door is Door.OPEN and (unread or out >= most_out):
         return Knock.FULL
     if door is Door.FULL and not unread and out <= most_out // 2:
@@ -397,7 +403,8 @@
 
 def admit(process: Process, held: int, most_held: int, left: int) -> str:
     """Why a command is not handed to the module, or nothing: "" for admitted. What is refused here was never taken,
-    so a decline is always true."""
+    so a decline is always true.
+    """
     if process is not Process.SERVING:
         return "this gateway is going down"
     if held >= most_held:
@@ -410,7 +417,8 @@
 
 def ends_at(came: int, patience: int, told_patience: int, margin: int) -> int:
     """When the client gives up, less the margin, from when its command may have come: the lesser of the operator's patience and the client's own; 0 is
-    none told."""
+    none told.
+    """
     return came + min(patience, told_patience or patience) - margin
 
 
--- a/milletsill/trace/columns.py
+++ b/milletsill/trace/columns.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from struct import Struct
 from struct import error as StructError
-from typing import Sequence
 
 import numpy as np
 
--- a/milletsill/trace/format.py
+++ b/milletsill/trace/format.py
@@ -15,10 +15,11 @@
 
 import json
 import zlib
+from collections.abc import Iterable, Iterator, Sequence
 from functools import lru_cache
 from struct import Struct
 from struct import error as StructError
-from typing import Any, Iterable, Iterator, Sequence
+from typing import Any
 
 import numpy as np
 import xxhash
@@ -33,7 +34,6 @@
     PLAIN,
     STEP,
     BlockHead,
-    Kind,
     Row,
 )
 
@@ -232,7 +232,8 @@
     head: BlockHead, body: bytes, only: frozenset[int] | None = None
 ) -> list[Row]:
     """The records of a block, those of unknown kinds left out, or all but the kinds of `only`; `BadTrace` where the body is
-    not what the head says."""
+    not what the head says.
+    """
     if len(body) != head.size or zlib.crc32(body) != head.crc:
         raise BadTrace("a block is cut or damaged")
     raw = unpack(body, head.raw, "a block")
--- a/milletsill/trace/gateway_trace.py
+++ b/milletsill/trace/gateway_trace.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import sys
+from collections.abc import Callable, Mapping
 from math import ceil
-from typing import Any, Callable, Mapping
+from typing import Any
 
 from prometheus_client import Counter, Gauge
 
--- a/milletsill/trace/reader.py
+++ b/milletsill/trace/reader.py
@@ -1,11 +1,13 @@
 """Reads traces: by the footer's index where there is one, by the blocks where not; up to the break and, where a block is damaged
-in the middle, past it. Memory is bounded by the largest block."""
+in the middle, past it. Memory is bounded by the largest block.
+"""
 
 from __future__ import annotations
 
 import os
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
-from typing import Any, BinaryIO, Callable, Iterator, Optional
+from typing import Any, BinaryIO, Optional
 
 from milletsill.trace import format
 from milletsill.trace.format import BadTrace
@@ -173,7 +175,8 @@
         only: frozenset[int] | None = None,
     ) -> Iterator[Row]:
         """Records of blocks that may hold what is asked for, those outside the times or of other kinds than `only` left out;
-        a damaged block is noted as a break and passed over. Records of one store are not picked out here: only its blocks."""
+        a damaged block is noted as a break and passed over. Records of one store are not picked out here: only its blocks.
+        """
         for head in self.heads(store):
             if (
                 since is not None
--- a/milletsill/trace/reckoning.py
+++ b/milletsill/trace/reckoning.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Mapping, Sequence
 
 USABLE = 0.9
 
@@ -18,7 +18,8 @@
 @dataclass(frozen=True, slots=True)
 class Done:
     """One operation: its second of arrival, volume, units, utility of a unit, and what of it counts (1 in time, the
-    late utility for a late one, 0 for none)."""
+    late utility for a late one, 0 for none).
+    """
 
     second: int
     volume: int
@@ -41,7 +42,7 @@
     extra: Mapping[int, float], claims: Sequence[Claim], spare: float
 ) -> dict[int, float]:
     """What each volume gets of the spare units by weight, none more than it asks."""
-    got = {volume: 0.0 for volume in extra}
+    got = dict.fromkeys(extra, 0.0)
     asking = {volume for volume, units in extra.items() if units > 0}
     while asking and spare > 1e-9:
         whole = sum(claims[each].weight for each in asking)
--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -5,7 +5,8 @@
 from __future__ import annotations
 
 import json
-from typing import Any, Callable, Protocol, Sequence
+from collections.abc import Callable, Sequence
+from typing import Any, Protocol
 
 from milletsill.interface import Answer, Arrival, Decisions, Facts, Listed, News, Port
 
--- a/milletsill/trace/recording_policy.py
+++ b/milletsill/trace/recording_policy.py
@@ -4,11 +4,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 from enum import Enum
 from statistics import median
-from typing import Any, Callable, Iterable, Iterator, Mapping, Sequence
+from typing import Any
 
 from milletsill.errors import Unfit
 from milletsill.trace.records import (
@@ -72,7 +73,8 @@
 
 def room(name: str, most: int) -> float:
     """While fewer than this wait for the writer a record of this kind is taken, of at most `most`. Groups are shut out one
-    after another as it fills, so that the last places are left for answers."""
+    after another as it fills, so that the last places are left for answers.
+    """
     return most * SHARES[RANK.get(name, 0)]
 
 
@@ -98,7 +100,8 @@
 def block_ends(rows: int, first: int, now: int, most_age: int = MOST_AGE) -> bool:
     """A block is written when it is full, or old: what a kill loses is bounded by its age, or by FEW_ROWS. Guards quiet gateways
     against blocks of a hundred records, which cost three times the bytes and ten times the processor each. Harm: a kill of a
-    quiet gateway loses more time, of which there is less to tell."""
+    quiet gateway loses more time, of which there is less to tell.
+    """
     age = now - first
     return (
         rows >= MOST_ROWS
@@ -115,7 +118,8 @@
 
 def to_delete(files: Sequence[tuple[str, int]], most_total: int) -> list[str]:
     """The names that go, of (name, size) from oldest to newest: as many of the oldest as it takes; the newest, which is
-    being written, stays."""
+    being written, stays.
+    """
     total, gone = sum(size for _, size in files), []
     for name, size in files[:-1]:
         if total <= most_total:
@@ -132,7 +136,8 @@
 
 def judge(blocks_end: int, size: int, footer: bool, bad_after: bool) -> Verdict:
     """What a file is: WHOLE with its footer; OPEN where its blocks reach its end without one (being written, or cut between
-    blocks); BROKEN where something follows that is no block."""
+    blocks); BROKEN where something follows that is no block.
+    """
     if footer:
         return Verdict.WHOLE
     return Verdict.OPEN if blocks_end == size and not bad_after else Verdict.BROKEN
@@ -194,11 +199,12 @@
 
 def moment(text: str, opened: int, wall_ms: int) -> int:
     """A time on a writer's clock: its own tenths of a millisecond, `+90s` after its opening, or ISO 8601 wall time (UTC where
-    it names no zone)."""
+    it names no zone).
+    """
     if text.lstrip("-").isdecimal():
         return int(text)
     if text.startswith("+"):
-        unit = SPANS.get(text[-1:], None)
+        unit = SPANS.get(text[-1:])
         number = text[1:-1] if unit else text[1:]
         try:
             return opened + int(float(number) * (unit or SECOND))
@@ -210,7 +216,7 @@
         raise Unclear(
             f"{text!r} is no time: tenths of a millisecond, +90s or ISO 8601"
         ) from None
-    at = at if at.tzinfo else at.replace(tzinfo=timezone.utc)
+    at = at if at.tzinfo else at.replace(tzinfo=UTC)
     return opened + round(at.timestamp() * SECOND) - wall_ms * 10
 
 
@@ -224,7 +230,8 @@
 
 class Stores:
     """Which stores a file's blocks tell of, one block after another: later records of a transfer name no store, so that of
-    its arrival is remembered, for the latest transfers. `blocks` becomes the file's index; None once it is past its bound."""
+    its arrival is remembered, for the latest transfers. `blocks` becomes the file's index; None once it is past its bound.
+    """
 
     def __init__(self) -> None:
         self.of: dict[int, str] = {}
@@ -272,7 +279,8 @@
     may_hold: Callable[[bytes, str], bool],
 ) -> list[BlockHead]:
     """The blocks that may tell of a store: by the file's index, else by their filters. A filter of 1.0 tells of arrivals
-    alone, and later records of their transfers may stand in any block after the first."""
+    alone, and later records of their transfers may stand in any block after the first.
+    """
     if index is not None:
         return [heads[each] for each in index.get(store, ())]
     found = [place for place, each in enumerate(heads) if may_hold(each.stores, store)]
@@ -310,7 +318,8 @@
     rows: Iterable[Row], wanted: Wanted, at_box: set[int] | None
 ) -> Iterator[Row]:
     """What concerns the wanted transfers: their arrivals, and all later records of them. `at_box` holds those that were
-    dispatched to the wanted box."""
+    dispatched to the wanted box.
+    """
     transfers: dict[int, None] = {}
     for row in rows:
         _, kind, values = row
--- a/milletsill/trace/service.py
+++ b/milletsill/trace/service.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any, Iterator
+from typing import Any
 
 import numpy as np
 
@@ -24,7 +25,8 @@
 @dataclass(frozen=True, slots=True)
 class ServiceTerms:
     """What the figure needs: categories (name, target time, utility, late utility), prices of plans, claims of stores by
-    name, the boxes' power in units a second, largest transfer, utilities of share and spare."""
+    name, the boxes' power in units a second, largest transfer, utilities of share and spare.
+    """
 
     categories: list[tuple[str, int, float, float]]
     prices: list[float]
--- a/milletsill/trace/tools.py
+++ b/milletsill/trace/tools.py
@@ -8,9 +8,10 @@
 import os
 import tempfile
 from collections import Counter
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import Any, Callable, Iterable, Iterator
+from typing import Any
 
 from milletsill.trace import format
 from milletsill.trace.format import LEVEL, BadTrace
@@ -122,7 +123,8 @@
 
 def cut(source: str, out: str, heard: Heard = None, **terms: Any) -> tuple[int, int]:
     """A part of a trace, as `Wanted` has the terms; records written, and bytes read of the source. Transfers that arrived
-    before `since` are left out of a cut by store, category or box: their arrivals are not read."""
+    before `since` are left out of a cut by store, category or box: their arrivals are not read.
+    """
     wanted = Wanted(**terms)
     with Trace(source, heard) as trace:
         sink = Sink(
@@ -143,7 +145,8 @@
 @dataclass(frozen=True)
 class Merged:
     """What a merge did: records, and for each file its name, the correction of its clock and what that may be off by, in
-    tenths of a millisecond (None: nothing shared, the wall clock alone)."""
+    tenths of a millisecond (None: nothing shared, the wall clock alone).
+    """
 
     records: int
     clocks: list[tuple[str, int, int | None]]
@@ -152,7 +155,8 @@
 def merge(sources: list[str], out: str, heard: Heard = None) -> Merged:
     """Traces of many gateways as one, by wall time: each file's clock is set by its header's origin and mended by the list
     news that it shares with the others. Equal times stand in the order of the files, so the result does not depend on chance.
-    Transfers are numbered anew; who wrote which is in the header."""
+    Transfers are numbered anew; who wrote which is in the header.
+    """
     abouts, news = [], []
     for each in sources:
         with Trace(each, heard) as trace:
@@ -222,7 +226,8 @@
 
 def news_of(trace: Trace) -> dict[tuple[int, str, int], int]:
     """When the file's gateway heard of each change of a node: (node, what it became, the how many-eth time) to clock time.
-    What the first list says is no change."""
+    What the first list says is no change.
+    """
     state: dict[int, str] = {}
     times: Counter[tuple[int, str]] = Counter()
     found: dict[tuple[int, str, int], int] = {}
@@ -291,7 +296,8 @@
 
 def anonymise(source: str, out: str, key: bytes, heard: Heard = None) -> int:
     """The same trace with stores and paths replaced: equal names stay equal under one key, and cannot be told without it.
-    A path keeps its depth and the size of each part up to DIGEST letters; remarks, plans and reasons are left out."""
+    A path keeps its depth and the size of each part up to DIGEST letters; remarks, plans and reasons are left out.
+    """
     made: dict[str, str] = {}
 
     def hidden(text: str) -> str:
@@ -328,7 +334,8 @@
 
 def convert(source: str, out: str, to: str, heard: Heard = None) -> int:
     """A trace in another form: `mtrace` in the present version and full blocks, or a folder with one table for each kind as
-    `parquet` or `csv`; records written."""
+    `parquet` or `csv`; records written.
+    """
     with Trace(source, heard) as trace:
         if to == "mtrace":
             return Sink(out, trace.map.about).put_all(trace.rows())
@@ -362,7 +369,7 @@
         rows, self.held[kind] = self.held[kind], []
         names = ["at"] + [name for name, _ in kind.fields]
         if not rows:
-            return
+            return None
         if self.to == "csv":
             if kind not in self.sinks:
                 self.sinks[kind] = open(
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -10,7 +10,8 @@
 import threading
 import time
 from collections import deque
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from milletsill.errors import Unkept
 from milletsill.trace import format
@@ -42,7 +43,8 @@
 
 class Writer:
     """One gateway's traces in one folder. `about` goes into each file's header; `remark` gets one line for the log, from
-    the writer's thread; `now` is the gateway's clock."""
+    the writer's thread; `now` is the gateway's clock.
+    """
 
     def __init__(
         self,
--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import json
+from collections.abc import Iterator, Mapping
 from struct import Struct
-from typing import Any, BinaryIO, Iterator, Mapping, NamedTuple
+from typing import Any, BinaryIO, NamedTuple
 
 from milletsill import facts
 from milletsill.errors import Malformed
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any, BinaryIO, Callable
+from collections.abc import Callable
+from typing import Any, BinaryIO
 
 from milletsill.errors import whereabouts
 from milletsill.interface import Answer, Arrival, Listed, News
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -3,7 +3,6 @@
 import ast
 import re
 import unittest
-from pathlib import Path
 
 from milletsill.errors import Fault, Malformed, Refused, Unfit, Unkept, line_of
 from milletsill.errors.known import known, row
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -197,10 +197,10 @@
         fleet, chance = Fleet(), Random(5)
         fleet.play(6, seen(chance))
         self.assertEqual(
-            fleet.play(8, seen(chance, {}, {box: 1.5 for box in CELLS})), set()
+            fleet.play(8, seen(chance, {}, dict.fromkeys(CELLS, 1.5))), set()
         )
         self.assertEqual(
-            fleet.play(8, seen(chance, {box: 1.0 for box in range(8)})), set()
+            fleet.play(8, seen(chance, dict.fromkeys(range(8), 1.0))), set()
         )
         self.assertGreater(fleet.judge.doubted, 4)
 
--- a/tests/fleet/membership/test_membership.py
+++ b/tests/fleet/membership/test_membership.py
@@ -1,6 +1,5 @@
 """The view's machines: tables, what ends equal whatever is lost, lost state, two with one name, frames of later versions."""
 
-import os
 import unittest
 from random import Random
 
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -1,5 +1,6 @@
 """The view over real sockets. Gateways that are processes join, one is killed, one is back with its state lost, one leaves; all end
-in one view. In this process: what the plane promises those who tell and hear, and what it does with octets that are none of its."""
+in one view. In this process: what the plane promises those who tell and hear, and what it does with octets that are none of its.
+"""
 
 import signal
 import socket
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -8,7 +8,7 @@
 from twisted.trial.unittest import TestCase
 
 from milletsill.flows.collect import Collector, Ear, Lines
-from milletsill.flows.export_policy import Post, ended
+from milletsill.flows.export_policy import Post
 from milletsill.sftp import packets
 from tests.support.sftp_gateway_rig import Client, Rig, later
 
--- a/tests/http_gateway/test_graceful_shutdown.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -1,5 +1,6 @@
 """After SIGTERM: what comes on connections that stay open has one final answer before the earliest kill, whatever nodes do, and
-nothing is taken that would have none."""
+nothing is taken that would have none.
+"""
 
 import copy
 
@@ -16,7 +17,8 @@
 class Leaving(shared.Served):
     def leave(self, patience, came, left):
         """One client sends `came` seconds after SIGTERM (before it, below zero) and waits for `left`; no node answers. Another
-        has half a request out. What both had got by the earliest kill, and whether the process was away by then."""
+        has half a request out. What both had got by the earliest kill, and whether the process was away by then.
+        """
         self.setUp()
         settings = copy.deepcopy(shared.SETTINGS)
         for each in settings["classes"]:
--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -1,5 +1,6 @@
 """Clients that send what cannot be read, never end, or flood: one error or a close in time, counted by cause, and a usual client served
-beside each, on loopback sockets."""
+beside each, on loopback sockets.
+"""
 
 import socket
 import unittest
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -197,7 +197,8 @@
 
 class Spared(Loopback):
     """The share is full; somebody waits before the door. Who rests between requests, or takes a last answer, makes way after
-    `SPARED`, not before, and has lost nothing."""
+    `SPARED`, not before, and has lost nothing.
+    """
 
     changed = {"limits": {"sockets": 64, "memory_mb": 64}}
     SPAN = SPARED / 10_000
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -1,5 +1,6 @@
 """Clients that leave, take nothing or send what cannot be read, each at the instant in which something is still owed, on
-loopback sockets."""
+loopback sockets.
+"""
 
 import socket
 import unittest
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -1,5 +1,6 @@
 """Answers of nodes that cannot be believed, on loopback sockets: each ends its own dispatch by one cause, its client has one answer in
-time, and neighbours at the same gateway, at the same node too, are served as ever."""
+time, and neighbours at the same gateway, at the same node too, are served as ever.
+"""
 
 import socket
 import unittest
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -1,5 +1,6 @@
 """Dispatches and their links on real sockets, in the instants in which something else ends: no wait decides, the test turns the
-reactor. Each node is a plain listening socket."""
+reactor. Each node is a plain listening socket.
+"""
 
 import socket
 import unittest
@@ -82,7 +83,8 @@
 
     def test_what_is_given_up_is_over_at_its_node_before_another_begins(self):
         """In one turn a dispatch is given up and a further one is there, with a link that is free; also
-        where the look at those that wait was due before."""
+        where the look at those that wait was due before.
+        """
         for due in (False, True):
             with self.subTest(due=due):
                 listener, port = self.node()
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -1,5 +1,6 @@
 """Requests that lie behind an open one on their connection: long ones, many, some that cannot be read, and clients that go while
-they lie there; on loopback sockets."""
+they lie there; on loopback sockets.
+"""
 
 import socket
 import time
@@ -143,7 +144,8 @@
         self,
     ):
         """The clock stands: nobody waits for the open one's end. Here in time, the first is not sent on either: what lies behind
-        it may be the rest of a body that was told too short."""
+        it may be the rest of a body that was told too short.
+        """
         short = (
             ask(Content_Length="4", **KEYED)
             + b"body and\r\nmuch more than that\r\n\r\n"
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -1,6 +1,7 @@
 """The clock of discovery, played against a stand-in of it on a clock of the test's own: a list that is missed is in the module
 within the platform's six seconds, counted from when a watch fell silent or from when discovery could be reached again, whatever
-became of the calls before that; after SIGHUP within four; where lists are pushed within the drain grace."""
+became of the calls before that; after SIGHUP within four; where lists are pushed within the drain grace.
+"""
 
 import unittest
 from itertools import product
--- a/tests/http_gateway/test_sites.py
+++ b/tests/http_gateway/test_sites.py
@@ -5,7 +5,6 @@
 import re
 import tomllib
 import unittest
-from pathlib import Path
 
 from tests.support.paths import ROOT
 
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -1,5 +1,6 @@
 """Dispatches to disk boxes over loopback sockets, in the instants in which a box drains, goes or moves under a handshake that is held
-back: the box is a plain listening socket, and the test turns the reactor."""
+back: the box is a plain listening socket, and the test turns the reactor.
+"""
 
 import unittest
 from types import SimpleNamespace
--- a/tests/scheduler/test_slow_start_across_fleet.py
+++ b/tests/scheduler/test_slow_start_across_fleet.py
@@ -45,7 +45,8 @@
     traffic in the middle third; `retries`: how often a client comes again, at another gateway, when it was declined. `quick`:
     so many times what is promised the node does; `way`: the longest way of a dispatch to it; `late`: the share of gateways
     whose connection to it comes up late; `told`: the span in which all are told of its start; `largest`: of the transfers;
-    `others`: warm nodes beside it, where new objects, the share `new`, may go; `at_once`: all restart in one second."""
+    `others`: warm nodes beside it, where new objects, the share `new`, may go; `at_once`: all restart in one second.
+    """
 
     def __init__(
         self,
@@ -225,7 +226,8 @@
 
     def most(self):
         """The most that came in one window, in parts of what fells a node: more than N + 2 root N + 2 transfers of mean work, N
-        being what the settings let all together send at the window's start. A small one counts as a mean one."""
+        being what the settings let all together send at the window's start. A small one counts as a mean one.
+        """
         window, sent, most, mean = deque(), 0.0, 0.0, self.facts["unit_mean"]
         for at, units in self.sent:
             window.append((at, max(units / mean, 1.0)))
--- a/tests/support/discovery_connections.py
+++ b/tests/support/discovery_connections.py
@@ -1,5 +1,6 @@
 """Discovery's end of each connection in the test's hand, over loopback sockets: what the tests of crossings there share. The test
-runs the reactor by hand and sets the clock on itself, so a busy machine changes nothing."""
+runs the reactor by hand and sets the clock on itself, so a busy machine changes nothing.
+"""
 
 import json
 import socket
--- a/tests/support/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -52,7 +52,8 @@
 class Service:
     """Discovery as the platform's page has it: a watch's first line when something changed, a beat every two seconds. With
     `takes`, calls are handled in turn, each in so many seconds, and one that would wait for over `bears` seconds gets a 503,
-    at once or after so long. Up to `back`, calls end as `bad` says."""
+    at once or after so long. Up to `back`, calls end as `bad` says.
+    """
 
     def __init__(self, reactor, ways=(), takes=0.0, bears=1.0, patient=True):
         self.reactor, self.ways, self.takes, self.seen, self.calls = (
--- a/tests/support/http_gateway_rig.py
+++ b/tests/support/http_gateway_rig.py
@@ -245,7 +245,8 @@
 class Loopback(unittest.TestCase):
     """A gateway on real loopback sockets, in the test's own hand: its reactor turns only when the test says so, and its clock
     moves only by `to` and `pass_time`. So what is unread in the system at a certain step is the test's choice, however busy the
-    machine."""
+    machine.
+    """
 
     changed = {}
 
--- a/tests/support/race_actors.py
+++ b/tests/support/race_actors.py
@@ -40,7 +40,8 @@
 
 class Client(Agent):
     """One connection of a client's. `plan`: requests as (request, octets, pieces, pause before), whether they go at once, how
-    and when it leaves, and what it takes."""
+    and when it leaves, and what it takes.
+    """
 
     def __init__(self, world, watch, plan):
         self.world, self.watch, self.plan = world, watch, plan
@@ -393,7 +394,7 @@
         if how == "503":
             return call.sock.put(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         if how == "mute":
-            return
+            return None
         call.watch = True
         call.sock.put(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
         if version != self.version:
--- a/tests/support/race_observer.py
+++ b/tests/support/race_observer.py
@@ -92,7 +92,8 @@
 
     def unseen(self, at, looks=1):
         """Whether the gateway could not know by now what happened then: so many looks at its sockets ago. A process that stood
-        between two turns is to look before it begins anything; one that stood behind a look goes on with what it was doing."""
+        between two turns is to look before it begins anything; one that stood behind a look goes on with what it was doing.
+        """
         polls = self.world.polls
         where = self.world.stalls[-1] if self.world.stalls else (0, 0, "")
         seen = len(polls) >= looks and polls[-looks] > at
@@ -211,7 +212,7 @@
         parts = parts_of(data)
         node = self.world.node_at(sock)
         if node is None:
-            return
+            return None
         if parts is None or parts[3]:
             return self.breach("octets to a node that are no request:", data[:60])
         first, fields, body, _ = parts
--- a/tests/support/race_sites.py
+++ b/tests/support/race_sites.py
@@ -2,7 +2,6 @@
 
 import copy
 import tomllib
-from pathlib import Path
 
 from tests.support.http_gateway_rig import SETTINGS
 from tests.support.paths import ROOT
--- a/tests/support/race_transports.py
+++ b/tests/support/race_transports.py
@@ -19,7 +19,8 @@
 
 class Sock:
     """The gateway's end of one connection, and the system's part of it. `agent` is the other end: `heard(data)` and
-    `ended(reset)` reach it a little later, unless it takes nothing."""
+    `ended(reset)` reach it a little later, unless it takes nothing.
+    """
 
     def __init__(self, world, agent=None, window=1 << 20):
         self.world, self.agent, self.window = world, agent, window
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -400,11 +400,11 @@
 
     def test_the_least_needed_is_shed_first_and_answers_last(self):
         self.assertEqual(
-            [60 < room(each, 100) for each in ("wake", "woken", "arrival", "declined")],
+            [room(each, 100) > 60 for each in ("wake", "woken", "arrival", "declined")],
             [False, True, True, True],
         )
         self.assertEqual(
-            [96 < room(each, 100) for each in ("wake", "woken", "arrival", "declined")],
+            [room(each, 100) > 96 for each in ("wake", "woken", "arrival", "declined")],
             [False, False, False, True],
         )
 
