--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -14,7 +14,14 @@
 from random import Random
 from typing import Any
 
-from milletsill.interface import Answer, Arrival, Listed, News, Outcome, Readiness
+from milletsill.interface import (
+    AttemptResult,
+    Request,
+    Endpoint,
+    EndpointUpdateKind,
+    AttemptOutcome,
+    Readiness,
+)
 from milletsill.scheduler import Scheduler
 
 CATEGORY = {
@@ -77,7 +84,7 @@
         self.count += 1
         heapq.heappush(self.events, (at, self.count, what, value))
 
-    def send(self, transfer: int, node: int, timeout: int) -> None:
+    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
         number = self.numbers[transfer] = self.numbers.get(transfer, -1) + 1
         lost = self.chance.random() < LOST
         span = (
@@ -89,16 +96,16 @@
         self.answered += 1
         self.numbers.pop(transfer, None)
 
-    decline = abort = end
+    reject = fail = end
 
-    def wake(self, at: int, what: object) -> None:
+    def set_timer(self, at: int, what: object) -> None:
         self.push(at, "wake", what)
 
-    def cancel(self, transfer: int, number: int) -> None: ...
+    def cancel_attempt(self, transfer: int, number: int) -> None: ...
 
-    def watch(self) -> None: ...
+    def watch_endpoints(self) -> None: ...
 
-    def remark(self, text: str) -> None: ...
+    def log(self, text: str) -> None: ...
 
 
 def resident() -> float:
@@ -110,29 +117,30 @@
     world = World()
     module = Scheduler(FACTS, 1, 0, world)  # type: ignore[arg-type]
     nodes = [
-        Listed(each, Readiness.READY, 1.0, 0, 0, None, each) for each in range(NODES)
+        Endpoint(each, Readiness.READY, 1.0, 0, 0, None, each) for each in range(NODES)
     ]
-    module.listed(0, News.CACHED, nodes)
+    module.on_endpoints(0, EndpointUpdateKind.CACHED, nodes)
     chance, began, next_node = Random(2), time.monotonic(), NODES
     for number in range(1, transfers + 1):
         world.now = number * STEP
         while world.events and world.events[0][0] <= world.now:
             _, _, what, value = heapq.heappop(world.events)
             if what == "wake":
-                module.woken(world.now, value)
+                module.on_timer(world.now, value)
                 continue
             transfer, go, node, span, lost = value
-            outcome = Outcome.TIMED_OUT if lost else Outcome.SATISFIED
+            outcome = AttemptOutcome.TIMED_OUT if lost else AttemptOutcome.SUCCEEDED
             over = not lost and transfer in module.transfers
-            module.returned(
-                world.now, Answer(transfer, go, node, outcome, over, span, None, 0, {})
+            module.on_attempt_result(
+                world.now,
+                AttemptResult(transfer, go, node, outcome, over, span, None, 0, {}),
             )
             if over:
                 world.end(transfer)
         in_order = chance.random() < 0.2
-        module.taken(
+        module.on_request(
             world.now,
-            Arrival(
+            Request(
                 number,
                 number // 3,
                 chance.randrange(1 << 40) if number % 2 else number // 50,
@@ -141,19 +149,19 @@
                 number % 2,
                 False,
                 False,
-                nodes[number % NODES].cell,
+                nodes[number % NODES].shard,
                 2.0,
                 world.now + 15_000,
             ),
         )
-        module.settle(world.now)
+        module.dispatch_pending(world.now)
         if number % 50_000 == 0:  # one node leaves for good, another takes its cell
             old = nodes.pop(0)
             nodes.append(
-                Listed(next_node, Readiness.READY, 1.0, 0, 0, world.now, old.cell)
+                Endpoint(next_node, Readiness.READY, 1.0, 0, 0, world.now, old.shard)
             )
             next_node += 1
-            module.listed(world.now, News.WHOLE, nodes)
+            module.on_endpoints(world.now, EndpointUpdateKind.SNAPSHOT, nodes)
         if number % report == 0:
             print(
                 f"{number} transfers, {time.monotonic() - began:.0f} s: {resident():.1f} MiB; held "
--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from milletsill.fleet.channels.ordering import Input
-from milletsill.interface import Outcome
+from milletsill.interface import AttemptOutcome
 
-NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNREACHED)
+NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE)
 
 
 class Gone:
@@ -41,7 +41,7 @@
         """Counts dispatches that came back without having run."""
         self.sent += 1
 
-        def heard(outcome: Outcome, verdict: Any) -> None:
+        def heard(outcome: AttemptOutcome, verdict: Any) -> None:
             self.harmless += outcome in NEVER_RAN
             ended(outcome, verdict)
 
--- a/milletsill/fleet/health/health_sharing.py
+++ b/milletsill/fleet/health/health_sharing.py
@@ -25,7 +25,7 @@
 from milletsill.fleet.health.report_exchange import Spread
 from milletsill.fleet.health.report_store import RowRefused, Rows
 from milletsill.fleet.transport import Change, Kind, Member, Plane, View
-from milletsill.interface import Listed, News, Readiness
+from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness
 
 SAY_EVERY = 100_000  # between lines about rows that were refused
 
@@ -145,18 +145,18 @@
 
     # What is told.
 
-    def listed(self, news: News, entries: Sequence[Listed]) -> None:
+    def listed(self, news: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
         """News of the list: verdicts are on those that are ready."""
-        if news is News.FAILED:
+        if news is EndpointUpdateKind.FAILED:
             return
         self.observer.list(entries)
         told = {each.node: each for each in entries}
         ready = {
-            each.node: each.cell
+            each.node: each.shard
             for each in entries
             if each.readiness is Readiness.READY
         }
-        if news is News.CHANGES:
+        if news is EndpointUpdateKind.DELTA:
             ready |= {box: cell for box, cell in self.cells.items() if box not in told}
         self.cells = ready
         self.observer.forget(ready)
@@ -213,7 +213,9 @@
                     box, self.order(box).get(self.key, members), members
                 )
                 away += keep_away
-                self.host.advised(box, strain, keep_away, now + LASTS * self.period)
+                self.host.on_health_advice(
+                    box, strain, keep_away, now + LASTS * self.period
+                )
         self.show(away)
 
     def show(self, away: int) -> None:
--- a/milletsill/fleet/health/node_observer.py
+++ b/milletsill/fleet/health/node_observer.py
@@ -20,9 +20,14 @@
     TAU,
 )
 from milletsill.fleet.health.report_store import Word
-from milletsill.interface import Answer, Arrival, Listed, Outcome
+from milletsill.interface import AttemptResult, Request, Endpoint, AttemptOutcome
 
-LOST = (Outcome.TIMED_OUT, Outcome.UNREACHED, Outcome.RESET, Outcome.ERROR)
+LOST = (
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.RESET,
+    AttemptOutcome.ERROR,
+)
 
 
 class Usual:
@@ -88,10 +93,10 @@
         self.targets = [each["target_time"] for each in facts["categories"]]
         self.sights: dict[int, Sight] = {}
         self.usual: dict[tuple[Any, ...], Usual] = {}
-        self.listed: dict[int, Listed] = {}
+        self.listed: dict[int, Endpoint] = {}
         self.ill = False  # something since the last row came to nothing
 
-    def list(self, entries: Sequence[Listed]) -> None:
+    def list(self, entries: Sequence[Endpoint]) -> None:
         for each in entries:
             self.listed[each.node] = each
 
@@ -101,29 +106,32 @@
             for box in [each for each in held if each not in boxes]:
                 del held[box]
 
-    def answer(self, now: int, arrival: Arrival, answer: Answer) -> None:
+    def answer(self, now: int, arrival: Request, answer: AttemptResult) -> None:
         """One dispatch has ended. What was called off, turned away by a full box or overtaken says nothing of its health."""
         entry = self.listed.get(answer.node)
-        if entry is None or answer.outcome not in LOST + (Outcome.SATISFIED,):
+        if entry is None or answer.outcome not in LOST + (AttemptOutcome.SUCCEEDED,):
             return
         sight = self.sights.get(answer.node) or self.sights.setdefault(
             answer.node, Sight(now)
         )
         sight.fade(now)
-        lost = answer.outcome is not Outcome.SATISFIED
-        late = not lost and answer.latency > self.targets[arrival.category]
+        lost = answer.outcome is not AttemptOutcome.SUCCEEDED
+        late = not lost and answer.latency > self.targets[arrival.request_class]
         past = None if lost else self.pace(entry, arrival, answer)
         sight.add(lost, lost or late, past)
         self.ill |= lost or past is not None and past > 1
 
-    def pace(self, entry: Listed, arrival: Arrival, answer: Answer) -> float | None:
+    def pace(
+        self, entry: Endpoint, arrival: Request, answer: AttemptResult
+    ) -> float | None:
         """How much longer than usual, as log2: for its kind, size, and what it had in work. A box that reports nothing of that
         is taken as one with nothing in work: then much work looks like a slow box, and only the bounds hold.
         """
         cores = max(entry.size, 1.0)
-        work = answer.report.get(
+        work = answer.load_report.get(
             "inflight",
-            answer.report.get("queue", 0.0) + answer.report.get("busy", 0.0) * cores,
+            answer.load_report.get("queue", 0.0)
+            + answer.load_report.get("busy", 0.0) * cores,
         )
         pace = log2(
             max(answer.latency, 1)
@@ -133,7 +141,7 @@
         kind = (
             entry.kind,
             entry.size,
-            arrival.write,
+            arrival.is_write,
             int(log2(max(arrival.units, 1)) / SIZES),
         )
         usual = self.usual.get(kind)
--- a/milletsill/gateway/scheduler_host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -15,19 +15,19 @@
 from milletsill.gateway.reactor_turn import NextTurn
 from milletsill.gateway.stall_detection import io_first
 from milletsill.interface import (
-    Answer,
-    Arrival,
-    Decisions,
+    AttemptResult,
+    Request,
+    SchedulerEvents,
     Facts,
-    Listed,
-    News,
-    Outcome,
-    Port,
+    Endpoint,
+    EndpointUpdateKind,
+    AttemptOutcome,
+    SchedulerEffects,
 )
 
 NEVER = 1 << 60
 LONGEST_SLEEP = 60.0  # seconds; a timer for later is set again then
-Make = Callable[[Facts, int, int, Port], Decisions]
+Make = Callable[[Facts, int, int, SchedulerEffects], SchedulerEvents]
 
 
 class Verdict(Protocol):
@@ -43,7 +43,7 @@
     def report(self) -> Mapping[str, float]: ...
 
 
-Ended = Callable[[Outcome, "Verdict | None"], None]
+Ended = Callable[[AttemptOutcome, "Verdict | None"], None]
 
 
 class Sending(Protocol):
@@ -53,7 +53,7 @@
     def begun(self) -> bool:
         """Whether an octet of it may be on its way."""
 
-    def withdraw(self, outcome: Outcome) -> None:
+    def withdraw(self, outcome: AttemptOutcome) -> None:
         """Nobody waits for it any more; `ended` is not called."""
 
 
@@ -65,7 +65,7 @@
     def __call__(
         self,
         cargo: Any,
-        arrival: Arrival,
+        arrival: Request,
         number: int,
         node: int,
         ends: int,
@@ -98,7 +98,7 @@
 
     __slots__ = ("arrival", "asker", "cargo", "outs", "answered")
 
-    def __init__(self, arrival: Arrival, asker: Asker, cargo: Any) -> None:
+    def __init__(self, arrival: Request, asker: Asker, cargo: Any) -> None:
         self.arrival, self.asker, self.cargo = arrival, asker, cargo
         self.outs: list[Out] = []
         self.answered = False
@@ -128,23 +128,23 @@
         self.timers: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.timer_count, self.alarm, self.alarm_at = 0, None, 0
         self.put_off, self.stopped = False, False
-        self.turn = NextTurn(reactor, now, self.settle)
+        self.turn = NextTurn(reactor, now, self.dispatch_pending)
         self.settled, self.most_stale = 0, NEVER
         self.module = make(facts, seed, now(), self)
-        self.overheard: Callable[[int, Arrival, Answer], None] = (
+        self.overheard: Callable[[int, Request, AttemptResult], None] = (
             lambda now, arrival, answer: None
         )  # of each dispatch's end
 
     # Told by the edge.
 
-    def take(self, arrival: Arrival, asker: Asker, cargo: Any) -> None:
+    def take(self, arrival: Request, asker: Asker, cargo: Any) -> None:
         """A transfer for the module; its id is not live."""
         self.live[arrival.id] = Live(arrival, asker, cargo)
         self.held += 1
         # Guards rule 1 against a module that failed before it said what becomes of a transfer. Harm: none, it comes after
         # the last time-out and the module's own last word.
-        self.at(arrival.ends + 1, self.overdue, self.live[arrival.id])
-        self.tell(self.module.taken, arrival)
+        self.at(arrival.deadline + 1, self.overdue, self.live[arrival.id])
+        self.tell(self.module.on_request, arrival)
         self.settle_soon()
 
     def abandon(self, transfer: int) -> None:
@@ -152,7 +152,7 @@
         live = self.live.get(transfer)
         if live is not None and not live.answered:
             self.close(live)
-            self.tell(self.module.abandoned, transfer)
+            self.tell(self.module.on_client_cancelled, transfer)
             self.settle_soon()
 
     def end_all(self) -> None:
@@ -160,26 +160,30 @@
         for live in list(self.live.values()):
             self.overdue(live)
 
-    def listed(self, news: News, entries: Sequence[Listed]) -> None:
+    def on_endpoints(
+        self, news: EndpointUpdateKind, entries: Sequence[Endpoint]
+    ) -> None:
         """News of the list."""
-        self.tell(self.module.listed, news, entries)
+        self.tell(self.module.on_endpoints, news, entries)
         self.settle_soon()
 
-    def part(
+    def on_quota_share(
         self, what: str, id: int, share: float | None, ends: int, after: float
     ) -> None:
         """Another part than the even one."""
-        self.module.part(self.now(), what, id, share, ends, after)
+        self.module.on_quota_share(self.now(), what, id, share, ends, after)
         self.settle_soon()
 
-    def advised(self, node: int, strain: float, away: bool, until: int) -> None:
+    def on_health_advice(
+        self, node: int, strain: float, away: bool, until: int
+    ) -> None:
         """What other gateways make of a node."""
-        self.tell(self.module.advised, node, strain, away, until)
+        self.tell(self.module.on_health_advice, node, strain, away, until)
         self.settle_soon()
 
     # The Port.
 
-    def send(self, transfer: int, node: int, timeout: int) -> None:
+    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
         """One dispatch; how it ends is told later, never from within."""
         live, now = self.live.get(transfer), self.now()
         if live is None or live.answered:  # rule 1 at the last place that a send passes
@@ -189,7 +193,7 @@
         arrival = live.arrival
         out = Out(len(live.outs), node, now)
         live.outs.append(out)
-        ends = min(now + timeout, arrival.ends) if timeout else arrival.ends
+        ends = min(now + timeout, arrival.deadline) if timeout else arrival.deadline
         self.at(ends, self.timed_out, live, out)
         self.note("dispatch", out.number)
         # Guards rules 4 and 7 against a process that stood between a decision and its send, for whatever reason: the
@@ -204,41 +208,42 @@
                 lambda outcome, verdict: self.ended(live, out, outcome, verdict),
             )
         if out.sending is None:
-            self.at(now, self.ended, live, out, Outcome.UNREACHED, None)
+            self.at(now, self.ended, live, out, AttemptOutcome.UNREACHABLE, None)
 
-    def decline(self, transfer: int, pause: int) -> None:
+    def reject(self, transfer: int, pause: int) -> None:
         live = self.live.get(transfer)
         if live is not None and not live.answered:
             self.close(live)
             live.asker.declined(max(pause, 0))
 
-    def abort(self, transfer: int) -> None:
+    def fail(self, transfer: int) -> None:
         live = self.live.get(transfer)
         if live is not None and not live.answered:
             self.close(live)
             live.asker.aborted()
 
-    def cancel(self, transfer: int, number: int) -> None:
+    def cancel_attempt(self, transfer: int, number: int) -> None:
         live = self.live.get(transfer)
         if live is not None and number < len(live.outs) and not live.outs[number].over:
             self.at(
-                self.now(), self.give_up, live, live.outs[number], Outcome.CANCELLED
+                self.now(),
+                self.give_up,
+                live,
+                live.outs[number],
+                AttemptOutcome.CANCELLED,
             )
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         self.ask_list()
 
-    def fetch(self) -> None:
+    def fetch_endpoints(self) -> None:
         self.ask_list()
 
-    def probe(self, node: int) -> None:
+    def probe_node(self, node: int) -> None:
         """Nothing to ask beside the reports."""
 
-    def wake(self, at: int, what: object) -> None:
-        self.at(at, self.woken, what)
-
-    def remark(self, text: str) -> None:
-        self.log(text)
+    def set_timer(self, at: int, what: object) -> None:
+        self.at(at, self.on_timer, what)
 
     # What happens.
 
@@ -254,7 +259,7 @@
     def overdue(self, live: Live) -> None:
         if not live.answered:
             self.close(live)
-            self.tell(self.module.abandoned, live.arrival.id)
+            self.tell(self.module.on_client_cancelled, live.arrival.id)
             live.asker.aborted()
 
     def close(self, live: Live) -> None:
@@ -265,8 +270,10 @@
         self.held -= 1
         for out in live.outs:
             if not out.over and out.sending is not None and not out.sending.begun:
-                out.sending.withdraw(Outcome.MOOT)
-                self.at(self.now(), self.ended, live, out, Outcome.MOOT, None)
+                out.sending.withdraw(AttemptOutcome.WITHDRAWN)
+                self.at(
+                    self.now(), self.ended, live, out, AttemptOutcome.WITHDRAWN, None
+                )
         self.clear(live)
 
     def clear(self, live: Live) -> None:
@@ -276,14 +283,14 @@
         if live.answered and all(each.over for each in live.outs):
             self.live.pop(live.arrival.id, None)
 
-    def woken(self, what: object) -> None:
-        self.tell(self.module.woken, what)
+    def on_timer(self, what: object) -> None:
+        self.tell(self.module.on_timer, what)
 
     def timed_out(self, live: Live, out: Out) -> None:
         if not out.over:
-            self.give_up(live, out, Outcome.TIMED_OUT)
+            self.give_up(live, out, AttemptOutcome.TIMED_OUT)
 
-    def give_up(self, live: Live, out: Out, outcome: Outcome) -> None:
+    def give_up(self, live: Live, out: Out, outcome: AttemptOutcome) -> None:
         """Nobody waits for a dispatch any more; the box may still run it."""
         if not out.over:
             if out.sending is not None:
@@ -291,7 +298,7 @@
             self.ended(live, out, outcome, None)
 
     def ended(
-        self, live: Live, out: Out, outcome: Outcome, verdict: Verdict | None
+        self, live: Live, out: Out, outcome: AttemptOutcome, verdict: Verdict | None
     ) -> None:
         """One dispatch has ended: the client's answer first, then the module, then what follows."""
         if out.over or self.stopped:
@@ -301,13 +308,13 @@
             None,
         )  # cuts the circle of both and of what tells the end: freed at once
         now, first = self.now(), not live.answered
-        satisfied = outcome is Outcome.SATISFIED and first
+        satisfied = outcome is AttemptOutcome.SUCCEEDED and first
         if satisfied:
             self.close(live)
         else:
             self.clear(live)
         self.note("ended", outcome.value, now - out.sent)
-        answer = Answer(
+        answer = AttemptResult(
             live.arrival.id,
             out.number,
             out.node,
@@ -318,7 +325,7 @@
             verdict.elsewhere if verdict else 0,
             verdict.report if verdict else {},
         )
-        self.tell(self.module.returned, answer)
+        self.tell(self.module.on_attempt_result, answer)
         self.overheard(now, live.arrival, answer)
         if satisfied and verdict is not None:
             live.asker.satisfied(verdict)
@@ -368,10 +375,10 @@
         if not self.stopped:
             self.turn.ask()
 
-    def settle(self) -> None:
+    def dispatch_pending(self) -> None:
         if not self.stopped:
             self.settled = self.now()
-            self.tell(self.module.settle)
+            self.tell(self.module.dispatch_pending)
 
     def stop(self) -> None:
         """Hear and say nothing any more."""
--- a/milletsill/http_gateway/endpoint_watcher.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -13,7 +13,7 @@
 from milletsill.http1.line_reader import AnswerLines
 from milletsill.http1.reader import BadMessage
 from milletsill.http1.writer import request
-from milletsill.http_gateway.endpoints import BadEntry, News, news_of
+from milletsill.http_gateway.endpoints import BadEntry, EndpointUpdateKind, news_of
 from milletsill.http_gateway.gateway_limits import (
     DIAL,
     FIRST_WORD,
@@ -27,7 +27,7 @@
     is_mute,
     retry_within,
 )
-from milletsill.interface import News as Kind
+from milletsill.interface import EndpointUpdateKind as Kind
 
 PATH = b"/registry/instances?watch=1&from=%d"
 BEAT = object()  # an empty line: nothing changed
@@ -235,7 +235,7 @@
             None  # when discovery's address did, until a watch at the new one has spoken
         )
 
-    def known(self, news: News) -> None:
+    def known(self, news: EndpointUpdateKind) -> None:
         """The list as it was known at the start."""
         self.version = news.version
         self.told(Kind.CACHED, news.places)
@@ -326,7 +326,7 @@
                 news_of(value, self.zones, self.clock, self.remark), watch is self.old
             )
         elif first:
-            self.told(Kind.CHANGES, ())
+            self.told(Kind.DELTA, ())
         if first:
             watch.version, self.moved, self.mute, self.hurried = (
                 -1,
@@ -336,10 +336,10 @@
             )  # has spoken
             self.drop()
 
-    def news(self, news: News, old: bool) -> None:
+    def news(self, news: EndpointUpdateKind, old: bool) -> None:
         if news.whole and not old or news.version >= self.version:
             self.version = news.version
-            self.told(Kind.WHOLE if news.whole else Kind.CHANGES, news.places)
+            self.told(Kind.SNAPSHOT if news.whole else Kind.DELTA, news.places)
 
     def drop(self) -> None:
         for each in (self.old, self.beside):
--- a/milletsill/http_gateway/endpoints.py
+++ b/milletsill/http_gateway/endpoints.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from milletsill.errors import Unfit
-from milletsill.interface import Listed, Readiness
+from milletsill.interface import Endpoint, Readiness
 
 STATES = {
     "active": Readiness.READY,
@@ -31,7 +31,7 @@
     name: str
     host: str
     port: int
-    listed: Listed
+    listed: Endpoint
 
 
 def number_of(name: str) -> int:
@@ -98,7 +98,7 @@
         name,
         host,
         port,
-        Listed(
+        Endpoint(
             number_of(name),
             readiness,
             float(size),
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -28,7 +28,7 @@
 from milletsill.http_gateway.http_server import Client, Clients
 from milletsill.http_gateway.node_connections import Fleet, Sending
 from milletsill.http_gateway.request_parser import BadAsk, Cargo, Categories, cargo_of
-from milletsill.interface import Arrival, News
+from milletsill.interface import Request, EndpointUpdateKind
 from milletsill.scheduler import Scheduler
 
 LOOK_EVERY, TALLY_EVERY = 0.1, 5.0  # seconds
@@ -213,11 +213,11 @@
 
     # The list.
 
-    def listed(self, kind: News, places: Sequence[Place]) -> None:
-        if kind is not News.FAILED:
-            self.fleet.listed(kind is not News.CHANGES, places)
+    def listed(self, kind: EndpointUpdateKind, places: Sequence[Place]) -> None:
+        if kind is not EndpointUpdateKind.FAILED:
+            self.fleet.listed(kind is not EndpointUpdateKind.DELTA, places)
         self.note("list", kind.value)
-        self.host.listed(kind, [each.listed for each in places])
+        self.host.on_endpoints(kind, [each.listed for each in places])
 
     # The clients.
 
@@ -240,7 +240,7 @@
         # Once shut, whatever the clocks say: what is sent on then has nobody left to hear its answer. Harm: none, all is refused.
         if (
             not self.keeps
-            or arrival.ends <= self.now()
+            or arrival.deadline <= self.now()
             or self.host.held >= (self.deployment.facts["most_held"] or BACKLOG)
         ):
             self.note("answer", "too late or too many")
@@ -248,14 +248,14 @@
         if client.has_gone():
             return self.note("arrival", "its client has left")
         client.busy(arrival.id)
-        self.spent.take(arrival.id, arrival.ends, self.now())
-        self.note("arrival", "repeat" if arrival.repeat else "first")
+        self.spent.take(arrival.id, arrival.deadline, self.now())
+        self.note("arrival", "repeat" if arrival.is_retry else "first")
         self.host.take(arrival, client, cargo_of(message))
 
     def carry(
         self,
         cargo: Cargo,
-        arrival: Arrival,
+        arrival: Request,
         number: int,
         node: int,
         ends: int,
--- a/milletsill/http_gateway/node_connections.py
+++ b/milletsill/http_gateway/node_connections.py
@@ -27,7 +27,7 @@
     kept_from,
 )
 from milletsill.http_gateway.request_parser import Cargo, number_in, report_in
-from milletsill.interface import Outcome, Readiness
+from milletsill.interface import AttemptOutcome, Readiness
 
 BOUNDS = Bounds(body=MOST_BODY)
 
@@ -45,14 +45,14 @@
         self.report = report_in(fields.get(b"x-pressure"))
 
 
-def outcome_of(message: Message) -> Outcome:
+def outcome_of(message: Message) -> AttemptOutcome:
     """How a dispatch ended that was answered whole."""
     if message.status == 200:
-        return Outcome.SATISFIED
+        return AttemptOutcome.SUCCEEDED
     turned = (
         message.status in (503, 504) and message.fields.get(b"x-turned-away") == b"1"
     )
-    return Outcome.TURNED_AWAY if turned else Outcome.ERROR
+    return AttemptOutcome.REJECTED if turned else AttemptOutcome.ERROR
 
 
 class Sending:
@@ -78,13 +78,13 @@
         """Whether an octet of it may be on its way."""
         return self.link is not None
 
-    def end(self, outcome: Outcome, verdict: Verdict | None = None) -> None:
+    def end(self, outcome: AttemptOutcome, verdict: Verdict | None = None) -> None:
         """The one word on it."""
         if not self.over:
             self.over, self.link = True, None
             self.ended(outcome, verdict)
 
-    def withdraw(self, outcome: Outcome) -> None:
+    def withdraw(self, outcome: AttemptOutcome) -> None:
         """Given up: its connection closes, which tells the node."""
         link, self.over, self.link = self.link, True, None
         if link is not None:
@@ -150,7 +150,7 @@
             message = self.reader.next()
         except BadMessage as error:
             self.node.fleet.note("spoilt", error.reason)
-            return self.finish(Outcome.ERROR, None, False)
+            return self.finish(AttemptOutcome.ERROR, None, False)
         if message is None:
             return self.charge()
         keep = message.keep and self.written and not self.reader.begun
@@ -162,14 +162,16 @@
         if length > SHORT_BODY and not self.charged:
             if not self.node.fleet.octets.take(length):
                 self.node.fleet.note("spoilt", "no room for a long answer")
-                return self.finish(Outcome.ERROR, None, False)
+                return self.finish(AttemptOutcome.ERROR, None, False)
             self.charged = length
 
     def discharge(self) -> None:
         self.node.fleet.octets.held -= self.charged
         self.charged = 0
 
-    def finish(self, outcome: Outcome, verdict: Verdict | None, keep: bool) -> None:
+    def finish(
+        self, outcome: AttemptOutcome, verdict: Verdict | None, keep: bool
+    ) -> None:
         """The present dispatch has its answer."""
         sending, self.sending = self.sending, None
         self.discharge()
@@ -207,14 +209,14 @@
         if whole is not None:
             sending.end(outcome_of(whole), Verdict(whole))
         elif self.written:
-            sending.end(Outcome.RESET)
+            sending.end(AttemptOutcome.RESET)
         elif (
             self.uses > 1
         ):  # an idle link that was closed before we wrote all: it never ran, and the node may be fine
             sending.link = None
             self.node.again(sending)
         else:
-            sending.end(Outcome.UNREACHED)
+            sending.end(AttemptOutcome.UNREACHABLE)
 
 
 class Node:
@@ -249,7 +251,7 @@
         self.clear()
         waiting, self.waiting = self.waiting, deque()
         for sending in waiting:
-            sending.end(Outcome.MOOT)
+            sending.end(AttemptOutcome.WITHDRAWN)
 
     def clear(self) -> None:
         """Idle links close."""
@@ -294,7 +296,7 @@
         self.fleet.open -= 1
         self.fleet.note("dial failed", "")
         if self.waiting and address == self.address:
-            self.waiting.popleft().end(Outcome.UNREACHED)
+            self.waiting.popleft().end(AttemptOutcome.UNREACHABLE)
         self.serve_soon()
         self.fleet.freed()
 
@@ -326,7 +328,7 @@
             sending = self.waiting.popleft()
             if self.kept(sending, now):
                 self.fleet.note("kept from", "")
-                sending.end(Outcome.UNREACHED)
+                sending.end(AttemptOutcome.UNREACHABLE)
             else:
                 self.free.pop().start(sending)
         self.dial()
@@ -344,7 +346,7 @@
     def look(self, now: int, idle: int) -> None:
         """Dispatches that waited too long for a link, and links that stood idle too long."""
         while self.waiting and self.kept(self.waiting[0], now):
-            self.waiting.popleft().end(Outcome.UNREACHED)
+            self.waiting.popleft().end(AttemptOutcome.UNREACHABLE)
         while self.free and now - self.free[0].since >= idle:
             self.free[0].close()
 
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -9,7 +9,7 @@
 from milletsill.errors import Unfit
 from milletsill.facts import REPORTS
 from milletsill.http1.reader import Message
-from milletsill.interface import Arrival
+from milletsill.interface import Request
 
 HEX16 = re.compile(rb"[0-9a-f]{16}\Z")
 TARGET = re.compile(rb"/([^/?#]+)(?:[/?][!-\"$-~]*)?\Z")
@@ -89,7 +89,7 @@
 
     def arrival(
         self, message: Message, came: int, margin: int, by: int | None = None
-    ) -> Arrival:
+    ) -> Request:
         """The transfer that a request asks for; `came` is when its last octet was read; it is over at `by` at the latest."""
         id = int(self.one(message, b"x-txn", HEX16), 16)
         category = self.pick(self.categories, message, b"x-lane")
@@ -116,7 +116,7 @@
             raise BadAsk(400, "a time that nobody waits")
         ends = came + left - margin if by is None else min(came + left - margin, by)
         volume, units, cell, gateways = self.io(message)
-        return Arrival(
+        return Request(
             id,
             int(block.group(1), 16),
             volume,
--- a/milletsill/interface.py
+++ b/milletsill/interface.py
@@ -27,17 +27,17 @@
 Facts = Mapping[str, Any]
 
 
-class Outcome(Enum):
+class AttemptOutcome(Enum):
     """How one dispatch ended."""
 
-    SATISFIED = "satisfied"
+    SUCCEEDED = "satisfied"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    WITHDRAWN = "moot"
 
 
 class Readiness(Enum):
@@ -48,17 +48,17 @@
     DRAINING = "draining"
 
 
-class News(Enum):
+class EndpointUpdateKind(Enum):
     """What kind of news the list brings."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
+    DELTA = "changes"
+    SNAPSHOT = "whole"
     CACHED = "cached"
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class Endpoint:
     """One line of the list of nodes; `since` is the node's last start, None for long ago."""
 
     node: int
@@ -66,100 +66,104 @@
     size: float
     kind: int
     zone: int
-    since: int | None
-    cell: int
+    started_at: int | None
+    shard: int
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class Request:
     """A transfer that the gateway has taken; `cell` is None for a new object; `ends` is a clock time; `gateways` is 0 where
     it is not told how many share its volume.
     """
 
     id: int
-    extent: int
+    key: int
     volume: int
-    gateways: int
-    category: int
-    plan: int
-    repeat: bool
-    write: bool
-    cell: int | None
+    sharing_gateways: int
+    request_class: int
+    service_plan: int
+    is_retry: bool
+    is_write: bool
+    shard: int | None
     units: float
-    ends: int
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AttemptResult:
     """The end of one dispatch; `used` is the volume's use everywhere in units a second times 100 over its
     usual rate, None where it is not told.
     """
 
-    id: int
-    number: int
+    request_id: int
+    attempt_number: int
     node: int
-    outcome: Outcome
-    over: bool
+    outcome: AttemptOutcome
+    request_finished: bool
     latency: int
-    used: int | None
-    elsewhere: int
-    report: Mapping[str, float]
+    volume_usage: int | None
+    units_elsewhere: int
+    load_report: Mapping[str, float]
 
 
-class Port(Protocol):
+class SchedulerEffects(Protocol):
     """What the module may do."""
 
-    def send(self, transfer: int, node: int, timeout: int) -> None:
+    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
         """Dispatch the transfer; a time-out of 0 means until the client gives up."""
 
-    def decline(self, transfer: int, pause: int) -> None:
+    def reject(self, transfer: int, pause: int) -> None:
         """Final answer: trying again is harmless, best after the pause."""
 
-    def abort(self, transfer: int) -> None:
+    def fail(self, transfer: int) -> None:
         """Final answer: nothing is promised."""
 
-    def cancel(self, transfer: int, number: int) -> None:
+    def cancel_attempt(self, transfer: int, number: int) -> None:
         """Stop waiting for one dispatch."""
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         """Ask for changes of the list from now on."""
 
-    def fetch(self) -> None:
+    def fetch_endpoints(self) -> None:
         """Ask for the whole list once."""
 
-    def probe(self, node: int) -> None:
+    def probe_node(self, node: int) -> None:
         """Ask a node for its health."""
 
-    def wake(self, at: int, what: object) -> None:
+    def set_timer(self, at: int, what: object) -> None:
         """Call `woken` with `what` at that time or just after."""
 
-    def remark(self, text: str) -> None:
+    def log(self, text: str) -> None:
         """Leave a line in the log."""
 
 
-class Decisions(Protocol):
+class SchedulerEvents(Protocol):
     """What a host calls."""
 
-    def listed(self, now: int, news: News, entries: Sequence[Listed]) -> None: ...
+    def on_endpoints(
+        self, now: int, news: EndpointUpdateKind, entries: Sequence[Endpoint]
+    ) -> None: ...
 
-    def taken(self, now: int, arrival: Arrival) -> None: ...
+    def on_request(self, now: int, arrival: Request) -> None: ...
 
-    def returned(self, now: int, answer: Answer) -> None: ...
+    def on_attempt_result(self, now: int, answer: AttemptResult) -> None: ...
 
-    def abandoned(self, now: int, transfer: int) -> None: ...
+    def on_client_cancelled(self, now: int, transfer: int) -> None: ...
 
-    def woken(self, now: int, what: object) -> None: ...
+    def on_timer(self, now: int, what: object) -> None: ...
 
-    def part(
+    def on_quota_share(
         self, now: int, what: str, id: int, share: float | None, ends: int, after: float
     ) -> None:
         """Another part than the even one of a whole: `limit` or `reserve` of a volume, `cold` budget of a node; `share` until
         `ends`, then `after`; a share of None is the even part again.
         """
 
-    def advised(self, now: int, id: int, strain: float, away: bool, until: int) -> None:
+    def on_health_advice(
+        self, now: int, id: int, strain: float, away: bool, until: int
+    ) -> None:
         """What other gateways make of a node, in shortest target times of strain; `away`: this one better sends it nothing. It
         ends at `until` where it is not said again; nothing that is safe rests on it.
         """
 
-    def settle(self, now: int) -> None: ...
+    def dispatch_pending(self, now: int) -> None: ...
--- a/milletsill/lab/baselines.py
+++ b/milletsill/lab/baselines.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 from milletsill.interface import (
-    Answer,
-    Arrival,
+    AttemptResult,
+    Request,
     Facts,
-    Listed,
-    News,
-    Outcome,
-    Port,
+    Endpoint,
+    EndpointUpdateKind,
+    AttemptOutcome,
+    SchedulerEffects,
     Readiness,
 )
 
@@ -28,68 +28,74 @@
 
     most_out = OUT_AT_A_BOX
 
-    def __init__(self, facts: Facts, seed: int, now: int, port: Port) -> None:
+    def __init__(
+        self, facts: Facts, seed: int, now: int, port: SchedulerEffects
+    ) -> None:
         self.facts, self.port = facts, port
         self.cells: dict[int, int] = {}
         self.ready: dict[int, int] = {}  # node -> out
-        self.queues: dict[int, deque[Arrival]] = {}
-        self.held: dict[int, Arrival] = {}
+        self.queues: dict[int, deque[Request]] = {}
+        self.held: dict[int, Request] = {}
         self.turn = 0
-        port.watch()
+        port.watch_endpoints()
 
-    def part(
+    def on_quota_share(
         self, now: int, what: str, id: int, share: float | None, ends: int, after: float
     ) -> None:
         """Knows no rules."""
 
-    def advised(self, now: int, id: int, strain: float, away: bool, until: int) -> None:
+    def on_health_advice(
+        self, now: int, id: int, strain: float, away: bool, until: int
+    ) -> None:
         """Hears no advice."""
 
-    def listed(self, now: int, news: News, entries: Sequence[Listed]) -> None:
-        if news is News.FAILED:
-            return self.port.wake(now + self.facts["ask_within"] // 4, "ask")
-        if news is News.WHOLE:
+    def on_endpoints(
+        self, now: int, news: EndpointUpdateKind, entries: Sequence[Endpoint]
+    ) -> None:
+        if news is EndpointUpdateKind.FAILED:
+            return self.port.set_timer(now + self.facts["ask_within"] // 4, "ask")
+        if news is EndpointUpdateKind.SNAPSHOT:
             self.cells.clear()
         for each in entries:
             if each.readiness is Readiness.READY:
-                self.cells[each.cell] = each.node
+                self.cells[each.shard] = each.node
                 self.ready.setdefault(each.node, 0)
-            elif self.cells.get(each.cell) == each.node:
-                del self.cells[each.cell]
+            elif self.cells.get(each.shard) == each.node:
+                del self.cells[each.shard]
 
-    def taken(self, now: int, arrival: Arrival) -> None:
+    def on_request(self, now: int, arrival: Request) -> None:
         self.held[arrival.id] = arrival
-        self.port.wake(arrival.ends - 2 * self.facts["tick"], arrival.id)
-        cell = arrival.cell
+        self.port.set_timer(arrival.deadline - 2 * self.facts["tick"], arrival.id)
+        cell = arrival.shard
         if cell is None and self.cells:
             self.turn += 1
             cell = sorted(self.cells)[self.turn % len(self.cells)]
         self.queues.setdefault(-1 if cell is None else cell, deque()).append(arrival)
 
-    def settle(self, now: int) -> None:
+    def dispatch_pending(self, now: int) -> None:
         for cell, queue in self.queues.items():
             node = self.cells.get(cell)
             while queue and node is not None and self.ready[node] < self.most_out:
                 arrival = queue.popleft()
                 if arrival.id in self.held:
                     self.ready[node] += 1
-                    self.port.send(arrival.id, node, 0)
+                    self.port.send_attempt(arrival.id, node, 0)
 
-    def returned(self, now: int, answer: Answer) -> None:
+    def on_attempt_result(self, now: int, answer: AttemptResult) -> None:
         self.ready[answer.node] = self.ready.get(answer.node, 1) - 1
-        if answer.over or answer.outcome is Outcome.SATISFIED:
-            self.held.pop(answer.id, None)
-        elif self.held.pop(answer.id, None) is not None:
-            self.port.abort(answer.id)
+        if answer.request_finished or answer.outcome is AttemptOutcome.SUCCEEDED:
+            self.held.pop(answer.request_id, None)
+        elif self.held.pop(answer.request_id, None) is not None:
+            self.port.fail(answer.request_id)
 
-    def abandoned(self, now: int, transfer: int) -> None:
+    def on_client_cancelled(self, now: int, transfer: int) -> None:
         self.held.pop(transfer, None)
 
-    def woken(self, now: int, what: Any) -> None:
+    def on_timer(self, now: int, what: Any) -> None:
         if what == "ask":
-            self.port.watch()
+            self.port.watch_endpoints()
         elif self.held.pop(what, None) is not None:
-            self.port.abort(what)
+            self.port.fail(what)
 
 
 class Flood(Fifo):
--- a/milletsill/lab/clockwork.py
+++ b/milletsill/lab/clockwork.py
@@ -15,12 +15,12 @@
 from typing import Any
 
 from milletsill.interface import (
-    Answer,
-    Arrival,
-    Decisions,
-    Listed,
-    News,
-    Outcome,
+    AttemptResult,
+    Request,
+    SchedulerEvents,
+    Endpoint,
+    EndpointUpdateKind,
+    AttemptOutcome,
     Readiness,
 )
 from milletsill.lab.engine import Engine, Speed
@@ -46,7 +46,7 @@
     )
 
     def __init__(
-        self, arrival: Arrival, began: int, work: float, path: str, operation: str
+        self, arrival: Request, began: int, work: float, path: str, operation: str
     ) -> None:
         self.arrival, self.began, self.work, self.path, self.operation = (
             arrival,
@@ -74,16 +74,16 @@
         self.told: Callable[[int, Transfer, str], None] = lambda now, transfer, final: (
             None
         )
-        self.module: Decisions
+        self.module: SchedulerEvents
 
     def start(self, around: Callable[[Any], Any] = lambda make: make) -> None:
         self.module = around(Scheduler)(self.facts, self.seed, self.fleet.now, self)
 
-    def take(self, arrival: Arrival, work: float, path: str, operation: str) -> None:
+    def take(self, arrival: Request, work: float, path: str, operation: str) -> None:
         now = self.fleet.now
         self.transfers[arrival.id] = Transfer(arrival, now, work, path, operation)
         self.before(path)
-        self.module.taken(now, arrival)
+        self.module.on_request(now, arrival)
         self.settle_soon()
 
     def settle_soon(self) -> None:
@@ -93,7 +93,7 @@
 
     def settle(self) -> None:
         self.settling = False
-        self.module.settle(self.fleet.now)
+        self.module.dispatch_pending(self.fleet.now)
 
     def final(self, transfer: Transfer, final: str) -> None:
         transfer.answered = True
@@ -107,7 +107,7 @@
         number: int,
         node: int,
         sent: int,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         done: list[bool],
     ) -> None:
         """One dispatch has ended, at most once."""
@@ -116,13 +116,17 @@
         done[0] = True
         now, over = (
             self.fleet.now,
-            outcome is Outcome.SATISFIED and not transfer.answered,
+            outcome is AttemptOutcome.SUCCEEDED and not transfer.answered,
         )
         transfer.out -= 1
-        report = self.fleet.boxes[node].report() if outcome is Outcome.SATISFIED else {}
-        self.module.returned(
+        report = (
+            self.fleet.boxes[node].report()
+            if outcome is AttemptOutcome.SUCCEEDED
+            else {}
+        )
+        self.module.on_attempt_result(
             now,
-            Answer(
+            AttemptResult(
                 transfer.arrival.id,
                 number,
                 node,
@@ -142,37 +146,41 @@
 
     # The Port.
 
-    def send(self, transfer: int, node: int, timeout: int) -> None:
+    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
         held, fleet = self.transfers[transfer], self.fleet
         number, held.number, held.out = held.number, held.number + 1, held.out + 1
         done, now = [False], fleet.now
         back = lambda outcome: self.returned(held, number, node, now, outcome, done)  # noqa: E731
-        ends = min(now + timeout, held.arrival.ends) if timeout else held.arrival.ends
-        fleet.at(ends, back, Outcome.TIMED_OUT)
+        ends = (
+            min(now + timeout, held.arrival.deadline)
+            if timeout
+            else held.arrival.deadline
+        )
+        fleet.at(ends, back, AttemptOutcome.TIMED_OUT)
         fleet.at(now + WAY, fleet.boxes[node].take, held, number, back)
 
-    def decline(self, transfer: int, pause: int) -> None:
+    def reject(self, transfer: int, pause: int) -> None:
         held = self.transfers.get(transfer)
         if held is not None and not held.answered:
             self.final(held, "declined")
 
-    def abort(self, transfer: int) -> None:
+    def fail(self, transfer: int) -> None:
         held = self.transfers.get(transfer)
         if held is not None and not held.answered:
             self.final(held, "aborted")
 
-    def cancel(self, transfer: int, number: int) -> None: ...
+    def cancel_attempt(self, transfer: int, number: int) -> None: ...
 
-    def watch(self) -> None: ...
+    def watch_endpoints(self) -> None: ...
 
-    def fetch(self) -> None: ...
+    def fetch_endpoints(self) -> None: ...
 
-    def probe(self, node: int) -> None: ...
+    def probe_node(self, node: int) -> None: ...
 
-    def wake(self, at: int, what: object) -> None:
-        self.fleet.at(at, lambda: self.module.woken(self.fleet.now, what))
+    def set_timer(self, at: int, what: object) -> None:
+        self.fleet.at(at, lambda: self.module.on_timer(self.fleet.now, what))
 
-    def remark(self, text: str) -> None: ...
+    def log(self, text: str) -> None: ...
 
 
 class Box:
@@ -185,7 +193,7 @@
         )
 
     def take(
-        self, transfer: Transfer, number: int, back: Callable[[Outcome], None]
+        self, transfer: Transfer, number: int, back: Callable[[AttemptOutcome], None]
     ) -> None:
         now, arrival = self.fleet.now / SECOND, transfer.arrival
         self.finish(self.engine.advance(now))
@@ -193,14 +201,14 @@
             now,
             transfer.work,
             arrival.units,
-            arrival.extent,
+            arrival.key,
             number == 0,
-            arrival.write,
-            arrival.ends / SECOND,
+            arrival.is_write,
+            arrival.deadline / SECOND,
             back,
         )
         if job is None:
-            self.fleet.at(self.fleet.now + WAY, back, Outcome.TURNED_AWAY)
+            self.fleet.at(self.fleet.now + WAY, back, AttemptOutcome.REJECTED)
         self.look_again()
 
     def look_again(self) -> None:
@@ -219,7 +227,7 @@
     def finish(self, jobs: list[Any]) -> None:
         for each in jobs:
             if each.what is not None:
-                self.fleet.at(self.fleet.now + WAY, each.what, Outcome.SATISFIED)
+                self.fleet.at(self.fleet.now + WAY, each.what, AttemptOutcome.SUCCEEDED)
 
     def report(self) -> dict[str, float]:
         engine = self.engine
@@ -247,7 +255,7 @@
             )
         ]
         self.entries = [
-            Listed(
+            Endpoint(
                 number,
                 Readiness.READY,
                 float(box.engine.kind.cores),
@@ -293,7 +301,9 @@
         """Make the modules, give them the list, let the traffic begin."""
         for each in self.gateways:
             each.start(around(each))
-            each.module.listed(self.now, News.WHOLE, self.entries)
+            each.module.on_endpoints(
+                self.now, EndpointUpdateKind.SNAPSHOT, self.entries
+            )
             each.settle_soon()
         self.at(self.now, self.arrive)
 
@@ -334,7 +344,7 @@
             * max(chance.gauss(1.0, min(row.cv, 1.0)), 0.1)
         )
         write = row.operation in ("write", "new")
-        arrival = Arrival(
+        arrival = Request(
             gateway.count,
             self.atlas.extent(path, 0),
             volume.number,
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -26,7 +26,7 @@
 from milletsill.fleet.health.node_observer import Observer, urgent
 from milletsill.fleet.health.report_store import Rows
 from milletsill.fleet.transport import Member, Standing, View
-from milletsill.interface import Answer, Arrival, Outcome
+from milletsill.interface import AttemptResult, Request, AttemptOutcome
 from milletsill.lab.clockwork import Box, Fleet, Gateway, Transfer
 from milletsill.settings.milletsill_pb2 import Scenario
 
@@ -36,7 +36,7 @@
     1000,
     6000,
 )  # a row's way to a judge takes between the last two
-NONE = Outcome.ERROR
+NONE = AttemptOutcome.ERROR
 
 SCENARIO = """
 name: "health" edges: 1
@@ -110,7 +110,9 @@
             if each.what is not None:
                 lost = self.fails and self.chance.random() < self.fails
                 self.fleet.at(
-                    self.fleet.now + 5, each.what, NONE if lost else Outcome.SATISFIED
+                    self.fleet.now + 5,
+                    each.what,
+                    NONE if lost else AttemptOutcome.SUCCEEDED,
                 )
 
 
@@ -125,14 +127,16 @@
         number: int,
         node: int,
         sent: int,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         done: list[bool],
     ) -> None:
         if self.observer is not None and not done[0]:
             report = (
-                self.fleet.boxes[node].report() if outcome is Outcome.SATISFIED else {}
+                self.fleet.boxes[node].report()
+                if outcome is AttemptOutcome.SUCCEEDED
+                else {}
             )
-            answer = Answer(
+            answer = AttemptResult(
                 transfer.arrival.id,
                 number,
                 node,
@@ -146,9 +150,9 @@
             self.observer.answer(self.fleet.now, transfer.arrival, answer)
         super().returned(transfer, number, node, sent, outcome, done)
 
-    def take(self, arrival: Arrival, work: float, path: str, operation: str) -> None:
+    def take(self, arrival: Request, work: float, path: str, operation: str) -> None:
         if operation == "new":
-            arrival = replace(arrival, cell=None)
+            arrival = replace(arrival, shard=None)
         super().take(arrival, work, path, operation)
 
 
@@ -175,7 +179,7 @@
             Ailing(self, each.engine.kind, seed * 1000 + number)
             for number, each in enumerate(self.boxes)
         ]
-        self.entries = [replace(each, cell=each.node // cell) for each in self.entries]
+        self.entries = [replace(each, shard=each.node // cell) for each in self.entries]
         self.ill, self.way, self.seed, self.liars = ill, way, seed, liars
         self.begins, self.ends, self.lasts = (
             int(begins * SECOND),
@@ -187,7 +191,7 @@
             if ill not in ("calm", "surge")
             else []
         )
-        self.cells = {each.node: each.cell for each in self.entries}
+        self.cells = {each.node: each.shard for each in self.entries}
         self.worth = self.got = 0.0
         self.calls: list[
             tuple[int, int, int, Verdict]
@@ -239,7 +243,7 @@
     def told(self, now: int, transfer: Transfer, final: str) -> None:
         if not self.begins <= transfer.began < self.ends + 4 * SECOND:
             return
-        category = self.gateways[0].facts["categories"][transfer.arrival.category]
+        category = self.gateways[0].facts["categories"][transfer.arrival.request_class]
         worth = category["utility"] * transfer.arrival.units
         self.worth += worth
         if final == "satisfied":
@@ -255,7 +259,7 @@
                 places = self.order(box)
                 for number, each in enumerate(self.gateways):
                     away = places[number] >= part * len(places)
-                    each.module.advised(
+                    each.module.on_health_advice(
                         self.now, box, strain, away, min(self.now + 4000, self.ends)
                     )
                     each.settle_soon()
@@ -328,7 +332,7 @@
                     strain, away = judge.advice(
                         box, self.order(box)[place], len(self.gateways)
                     )
-                    gateway.module.advised(
+                    gateway.module.on_health_advice(
                         self.now, box, strain, away, self.now + LASTS * PERIOD
                     )
                     gateway.settle_soon()
--- a/milletsill/lab/hunt/list_world.py
+++ b/milletsill/lab/hunt/list_world.py
@@ -19,7 +19,7 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.internet.task import Clock
 
-from milletsill.interface import Listed, News, Readiness
+from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness
 from milletsill.lab.hunt.decide import Event
 from milletsill.registry import endpoint_cache, endpoint_view, registry_watcher
 from milletsill.registry.endpoint_view import Box, Cue, Stage, View, box_of
@@ -124,14 +124,14 @@
         if self.follower is not None:
             self.follower.stop()
         self.starts += 1
-        self.known: dict[int, Listed] = {}
+        self.known: dict[int, Endpoint] = {}
         self.gone: dict[
             int, float
         ] = {}  # writes of boxes that were told to be gone since the last whole list
         start, chance = self.starts, Random(self.seed * 1000 + self.starts)
         self.again = chance.uniform
 
-        def hear(news: News, entries: Sequence[Listed]) -> None:
+        def hear(news: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
             if start == self.starts:
                 self.hear(news, entries)
 
@@ -151,11 +151,11 @@
         self.follower.agent = SimpleNamespace(request=self.call)
         self.follower.start()
 
-    def hear(self, news: News, entries: Sequence[Listed]) -> None:
+    def hear(self, news: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
         """What a module does with it; what comes as a change must be one."""
-        if news is News.FAILED:
+        if news is EndpointUpdateKind.FAILED:
             self.clock.callLater(self.again(0.3, 2.0), self.ask, self.starts)
-        elif news is News.CHANGES:
+        elif news is EndpointUpdateKind.DELTA:
             for each in entries:
                 old = self.known.get(each.node)
                 gone = each.readiness is Readiness.GONE
@@ -181,7 +181,7 @@
                     self.known[each.node] = each
         else:
             self.known, self.gone = {each.node: each for each in entries}, {}
-            if news is News.CACHED:
+            if news is EndpointUpdateKind.CACHED:
                 self.clock.callLater(0, self.ask, self.starts)
 
     def ask(self, start: int) -> None:
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.errors import Malformed
-from milletsill.interface import Outcome
+from milletsill.interface import AttemptOutcome
 from milletsill.node_connections.connection_state import (
     Bounds,
     Load,
@@ -29,7 +29,7 @@
 from milletsill.sftp.framing import Deframer
 from milletsill.sftp.wire import BadPacket
 
-Ended = Callable[[Outcome, "Verdict | None"], None]
+Ended = Callable[[AttemptOutcome, "Verdict | None"], None]
 # Told of each dispatch that ended, and of other packets without an order: order, outcome, octets to the box and back,
 # the time it took.
 Metered = Callable[["Order | None", str, int, int, int], None]
@@ -38,15 +38,15 @@
 )
 MOST_REPLY = 64_000_000
 OUTCOMES = {
-    extensions.DONE: Outcome.SATISFIED,
-    extensions.ELSEWHERE: Outcome.SATISFIED,
-    extensions.FULL: Outcome.TURNED_AWAY,
-    extensions.DRAINING: Outcome.TURNED_AWAY,
-    extensions.ERROR: Outcome.ERROR,
+    extensions.DONE: AttemptOutcome.SUCCEEDED,
+    extensions.ELSEWHERE: AttemptOutcome.SUCCEEDED,
+    extensions.FULL: AttemptOutcome.REJECTED,
+    extensions.DRAINING: AttemptOutcome.REJECTED,
+    extensions.ERROR: AttemptOutcome.ERROR,
 }
 
 
-def forget(outcome: Outcome, verdict: Verdict | None) -> None:
+def forget(outcome: AttemptOutcome, verdict: Verdict | None) -> None:
     """Whom a dispatch that is over tells."""
 
 
@@ -83,11 +83,11 @@
         """Whether an octet of it may be on its way."""
         return self.link is not None
 
-    def withdraw(self, outcome: Outcome) -> None:
+    def withdraw(self, outcome: AttemptOutcome) -> None:
         """Given up: silent for good."""
         self.pool.withdraw(self, outcome)
 
-    def end(self, outcome: Outcome, verdict: Verdict | None = None) -> None:
+    def end(self, outcome: AttemptOutcome, verdict: Verdict | None = None) -> None:
         """The one word on this dispatch; later ones are dropped."""
         if not self.over:
             self.over = True
@@ -202,8 +202,8 @@
         self.load.out = 0
         self.pool.drop(self)
         for each in out:
-            self.pool.ended(each, Outcome.RESET)
-            each.end(Outcome.RESET)
+            self.pool.ended(each, AttemptOutcome.RESET)
+            each.end(AttemptOutcome.RESET)
 
     def send(self, packet: Any) -> int:
         """Bytes put on the link."""
@@ -289,8 +289,8 @@
         if barred:
             waiting, self.waiting = self.waiting, []
             for each in waiting:
-                self.ended(each, Outcome.MOOT)
-                each.end(Outcome.MOOT)
+                self.ended(each, AttemptOutcome.WITHDRAWN)
+                each.end(AttemptOutcome.WITHDRAWN)
 
     def dispatch(self, order: Order, ended: Ended, gate: Any = None) -> Sending:
         """Send a dispatch as the bounds allow; `ended` is told how it went. A `gate` is asked again where it had to wait."""
@@ -323,7 +323,9 @@
         if self.metered is not None and (order is not None or octets_to or octets_back):
             self.metered(order, outcome, octets_to, octets_back, span)
 
-    def ended(self, sending: Sending, outcome: Outcome, octets_back: int = 0) -> None:
+    def ended(
+        self, sending: Sending, outcome: AttemptOutcome, octets_back: int = 0
+    ) -> None:
         """Tell flow export how a dispatch ended, once."""
         if not sending.over:
             self.meter(
@@ -336,8 +338,8 @@
 
     def unreach(self, sending: Sending) -> None:
         """It was never sent; told later, never from within."""
-        self.ended(sending, Outcome.UNREACHED)
-        self.reactor.callLater(0, sending.end, Outcome.UNREACHED)
+        self.ended(sending, AttemptOutcome.UNREACHABLE)
+        self.reactor.callLater(0, sending.end, AttemptOutcome.UNREACHABLE)
 
     def dial(self) -> None:
         """Start one connection."""
@@ -379,7 +381,9 @@
             elif not sending.over:
                 self.links[place].dispatch(sending)
 
-    def withdraw(self, sending: Sending, outcome: Outcome = Outcome.CANCELLED) -> None:
+    def withdraw(
+        self, sending: Sending, outcome: AttemptOutcome = AttemptOutcome.CANCELLED
+    ) -> None:
         """Give a dispatch up: silent for good."""
         self.ended(sending, outcome)
         sending.over, sending.ended = True, forget
@@ -419,8 +423,8 @@
         late = [each for each in self.waiting if now - each.since >= self.bounds.dial]
         for each in late:
             self.waiting.remove(each)
-            self.ended(each, Outcome.UNREACHED)
-            each.end(Outcome.UNREACHED)
+            self.ended(each, AttemptOutcome.UNREACHABLE)
+            each.end(AttemptOutcome.UNREACHABLE)
         self.look_soon()
 
     def close(self) -> None:
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -14,7 +14,7 @@
 from twisted.internet.endpoints import HostnameEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.interface import Arrival, Listed, Readiness
+from milletsill.interface import Request, Endpoint, Readiness
 from milletsill.planner.codec import (
     VERSION,
     BadFrame,
@@ -161,15 +161,15 @@
                     call.cancel()
                 for held in (self.demand, self.wholes, self.told, self.edge.holdings):
                     del held[thing]
-                self.host.part(thing[0], thing[1], None, 0, 0.0)
+                self.host.on_quota_share(thing[0], thing[1], None, 0, 0.0)
 
     # What is asked of this gateway.
 
-    def arrived(self, arrival: Arrival) -> None:
+    def arrived(self, arrival: Request) -> None:
         """A transfer comes; before the module hears of it."""
-        now, plan = self.now(), self.facts["plans"][arrival.plan]
-        self.volume(arrival.volume, arrival.gateways, plan, arrival.units)
-        node = self.nodes.get(arrival.cell) if arrival.cell is not None else None
+        now, plan = self.now(), self.facts["plans"][arrival.service_plan]
+        self.volume(arrival.volume, arrival.sharing_gateways, plan, arrival.units)
+        node = self.nodes.get(arrival.shard) if arrival.shard is not None else None
         if node is not None and ("cold", node) in self.demand:
             self.demand["cold", node].add(arrival.units, now)
 
@@ -196,25 +196,25 @@
             self.tell(thing)
         return found
 
-    def listed(self, entries: Sequence[Listed]) -> None:
+    def listed(self, entries: Sequence[Endpoint]) -> None:
         """News of the list: cold nodes are parted while they are cold, and said to the module before it sends."""
         now, window = self.now(), max(self.facts["cold_window"], 1)
         for each in entries:
             cold = (
-                each.since is not None
-                and now - each.since < self.facts["warm_after"]
+                each.started_at is not None
+                and now - each.started_at < self.facts["warm_after"]
                 and each.readiness is Readiness.READY
             )
             if cold:
-                self.nodes[each.cell] = each.node
+                self.nodes[each.shard] = each.node
                 self.wish(
                     ("cold", each.node),
                     self.facts["gateways"],
                     self.facts["cold_units"] * SECOND / window,
                 )
                 self.tell(("cold", each.node))
-            elif self.nodes.get(each.cell) == each.node:
-                del self.nodes[each.cell]
+            elif self.nodes.get(each.shard) == each.node:
+                del self.nodes[each.shard]
 
     # What the module is told.
 
@@ -230,7 +230,7 @@
             return
         self.told[thing] = found
         even = part == self.edge.holdings[thing].capital and ends >= 1 << 60
-        self.host.part(
+        self.host.on_quota_share(
             thing[0], thing[1], None if even else part / WHOLE, ends, after / WHOLE
         )
 
@@ -352,7 +352,7 @@
             if not live.answered and not live.outs:
                 arrival = live.arrival
                 node = (
-                    self.nodes.get(arrival.cell) if arrival.cell is not None else None
+                    self.nodes.get(arrival.shard) if arrival.shard is not None else None
                 )
                 for thing in (
                     ("limit", arrival.volume),
--- a/milletsill/registry/endpoint_view.py
+++ b/milletsill/registry/endpoint_view.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from milletsill.errors import Unfit
-from milletsill.interface import Listed, News, Readiness
+from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness
 
 # IDLE: nothing is asked. RANGING: the whole list is awaited. JOINING: the watch is being opened. WATCHING: it stands.
 Stage = Enum("Stage", "IDLE RANGING JOINING WATCHING")
@@ -251,12 +251,12 @@
             else {old.id: replace(old, readiness=Readiness.GONE)}
         )
 
-    def entries(self, boxes: list[Box], now: int, wall: int) -> list[Listed]:
+    def entries(self, boxes: list[Box], now: int, wall: int) -> list[Endpoint]:
         """Lines for the module; `wall` in milliseconds. A box's start is set against this process's clock once, when
         it is first told, so that a step of the wall clock does not make it look started again.
         """
         return [
-            Listed(
+            Endpoint(
                 each.id,
                 each.readiness,
                 each.size,
@@ -286,8 +286,8 @@
 
 
 NEWS = {
-    "whole": News.WHOLE,
-    "changes": News.CHANGES,
-    "confirm": News.CHANGES,
-    "failed": News.FAILED,
+    "whole": EndpointUpdateKind.SNAPSHOT,
+    "changes": EndpointUpdateKind.DELTA,
+    "confirm": EndpointUpdateKind.DELTA,
+    "failed": EndpointUpdateKind.FAILED,
 }
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -14,7 +14,7 @@
 from twisted.web.iweb import IBodyProducer
 from zope.interface import implementer
 
-from milletsill.interface import Listed, News
+from milletsill.interface import Endpoint, EndpointUpdateKind
 from milletsill.registry import endpoint_cache, etcd_json
 from milletsill.registry.endpoint_view import (
     LOOK,
@@ -32,7 +32,7 @@
 )
 
 SAVE_WITHIN = 0.5  # seconds
-Hear = Callable[[News, "list[Listed]"], None]
+Hear = Callable[[EndpointUpdateKind, "list[Listed]"], None]
 
 
 @implementer(IBodyProducer)
@@ -152,13 +152,13 @@
         except endpoint_cache.ListUnkept as error:
             self.remark(f"the last list is not used: {error.line()}")
         self.view.replace(boxes, 0)
-        self.tell(News.CACHED, self.view.whole())
+        self.tell(EndpointUpdateKind.CACHED, self.view.whole())
 
     def ask(self) -> None:
         """The module wants to be kept up to date."""
         self.cue(Cue.ASK)
 
-    def tell(self, news: News, boxes: list[Box]) -> None:
+    def tell(self, news: EndpointUpdateKind, boxes: list[Box]) -> None:
         self.moved(self.view.whole())
         self.hear(news, self.view.entries(boxes, self.now(), int(self.wall() * 1000)))
 
@@ -170,7 +170,7 @@
         if effect == "range":
             self.range()
         elif effect == "whole":
-            self.tell(News.WHOLE, self.view.whole())
+            self.tell(EndpointUpdateKind.SNAPSHOT, self.view.whole())
             self.save()
             self.watch()
         elif effect:
--- a/milletsill/scheduler/__init__.py
+++ b/milletsill/scheduler/__init__.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from weakref import ReferenceType, ref
 
-from milletsill.interface import Arrival, Listed, News, Readiness
+from milletsill.interface import Request, Endpoint, EndpointUpdateKind, Readiness
 from milletsill.scheduler.answers import Answers
 from milletsill.scheduler.ordinary import Ordinary
 from milletsill.scheduler.records import Node, Transfer, Volume
@@ -29,31 +29,33 @@
 
 
 class Scheduler(Ordinary, Answers):
-    def listed(self, now: int, news: News, entries: Sequence[Listed]) -> None:
-        if news is News.FAILED:
+    def on_endpoints(
+        self, now: int, news: EndpointUpdateKind, entries: Sequence[Endpoint]
+    ) -> None:
+        if news is EndpointUpdateKind.FAILED:
             # Guards rule 3 against two failed watches in turn; could harm a slow list: the pause grows.
             span = (
                 self.facts["ask_within"] or self.idle // IDLE
             )  # the longest patience, where none is told
             pause = span * min(ASK_AGAIN * self.asks, ASK_MOST) * self.uniform(0.5, 1)
-            return self.port.wake(now + int(pause), "ask")
-        self.asks = int(news is News.CACHED)
+            return self.port.set_timer(now + int(pause), "ask")
+        self.asks = int(news is EndpointUpdateKind.CACHED)
         for entry in entries:
             node = self.nodes.get(entry.node)
-            fresh = entry.since is not None and (
-                node is None or entry.since != node.since
+            fresh = entry.started_at is not None and (
+                node is None or entry.started_at != node.since
             )
             node = node or self.nodes.setdefault(
                 entry.node, Node(entry, max(FIRST_WINDOW, self.least))
             )
-            node.cell, node.zone, node.since = entry.cell, entry.zone, entry.since
+            node.cell, node.zone, node.since = entry.shard, entry.zone, entry.started_at
             node.size = (
                 entry.size if self.facts["sized"] and 0 < entry.size < NEVER else 1
             )
             for each in (
                 self.transfers.values() if fresh else ()
             ):  # guards rule 4: all that were held
-                each.gap *= each.cell not in (None, entry.cell)
+                each.gap *= each.cell not in (None, entry.shard)
             if fresh and now - self.born <= self.facts["cold_window"]:
                 node.sends.append(
                     (now, NEVER)
@@ -64,7 +66,7 @@
             )
         missing = (
             self.nodes.keys() - {entry.node for entry in entries}
-            if news is not News.CHANGES
+            if news is not EndpointUpdateKind.DELTA
             else ()
         )
         for each in sorted(missing):
@@ -109,17 +111,17 @@
             if key is not None and (line := self.keys.pop(key)).live(now):
                 self.keys[key] = line
 
-    def taken(self, now: int, arrival: Arrival) -> None:
+    def on_request(self, now: int, arrival: Request) -> None:
         categories, plans = self.facts["categories"], self.plans
-        if arrival.category >= len(categories) or arrival.plan >= len(
+        if arrival.request_class >= len(categories) or arrival.service_plan >= len(
             plans
         ):  # no rule is told for it
-            return self.port.decline(arrival.id, 0)
-        category, plan = categories[arrival.category], plans[arrival.plan]
+            return self.port.reject(arrival.id, 0)
+        category, plan = categories[arrival.request_class], plans[arrival.service_plan]
         units = arrival.units if 0 < arrival.units < NEVER else self.facts["unit_mean"]
         self.forget_idle(now)
         gateways = (
-            arrival.gateways or self.facts["gateways"]
+            arrival.sharing_gateways or self.facts["gateways"]
         )  # guards rule 7: not told, it may be all
         volume = self.volumes.pop(arrival.volume, None) or Volume(
             arrival.volume, plan, gateways, self.born
@@ -153,15 +155,17 @@
         if category["in_order"] and transfer.extent:
             self.keys[transfer.extent].append(transfer)
         # A host keeps its wakes until they are due: a weak one does not hold what is over.
-        self.port.wake(transfer.ends - ENDING_TICKS * self.facts["tick"], ref(transfer))
-        self.port.wake(now + int(UNSENT * (transfer.ends - now)), ref(transfer))
+        self.port.set_timer(
+            transfer.ends - ENDING_TICKS * self.facts["tick"], ref(transfer)
+        )
+        self.port.set_timer(now + int(UNSENT * (transfer.ends - now)), ref(transfer))
         self.unplaced.append(transfer)
 
-    def abandoned(self, now: int, transfer: int) -> None:
+    def on_client_cancelled(self, now: int, transfer: int) -> None:
         if transfer in self.transfers:
             self.cue(self.transfers[transfer], Cue.CLOSED, now)
 
-    def woken(self, now: int, what: object) -> None:
+    def on_timer(self, now: int, what: object) -> None:
         what = what() if isinstance(what, ReferenceType) else what
         if isinstance(what, Transfer):
             # What was never dispatched is given up while its client has time for another try. Guards against
@@ -176,9 +180,9 @@
             self.touched[what.id] = what
         elif what == "ask":
             self.asks += 1
-            self.port.watch()
+            self.port.watch_endpoints()
 
-    def settle(self, now: int) -> None:  # place, then fill the windows
+    def dispatch_pending(self, now: int) -> None:  # place, then fill the windows
         self.unplaced = [
             one
             for one in self.unplaced
--- a/milletsill/scheduler/answers.py
+++ b/milletsill/scheduler/answers.py
@@ -1,6 +1,6 @@
 """What comes back: the end of each dispatch, and what is learnt of its node."""
 
-from milletsill.interface import Answer, Outcome
+from milletsill.interface import AttemptResult, AttemptOutcome
 from milletsill.scheduler.queues import Queues
 from milletsill.scheduler.records import Dispatch
 from milletsill.scheduler.tables import (
@@ -26,8 +26,12 @@
 
 
 class Answers(Queues):
-    def returned(self, now: int, answer: Answer) -> None:
-        if (sent := self.outstanding.pop((answer.id, answer.number), None)) is None:
+    def on_attempt_result(self, now: int, answer: AttemptResult) -> None:
+        if (
+            sent := self.outstanding.pop(
+                (answer.request_id, answer.attempt_number), None
+            )
+        ) is None:
             return
         sent.outcome, node, transfer = answer.outcome, sent.node, sent.transfer
         node.out.remove(sent)
@@ -35,7 +39,8 @@
         waited = answer.latency - transfer.units * self.clear / node.size
         self.ease(
             sent,
-            answer.outcome is not Outcome.SATISFIED or waited > CROWDED * self.shortest,
+            answer.outcome is not AttemptOutcome.SUCCEEDED
+            or waited > CROWDED * self.shortest,
             now,
         )
         # Guards against resting a node for a dispatch that was lost alone (a connection fell silent): the
@@ -46,7 +51,7 @@
         alone = answer.outcome in NO_WORD and node.heard >= max(node.silent, of_late)
         node.silent = now if answer.outcome in NO_WORD else node.silent
         if (
-            answer.outcome in NO_WORD + (Outcome.TURNED_AWAY,)
+            answer.outcome in NO_WORD + (AttemptOutcome.REJECTED,)
             and sent.sent >= node.lapsed
             and not alone
         ):
@@ -60,18 +65,18 @@
             self.hand_back(node)
         if answer.outcome in NO_WORD and node.heard <= sent.sent and not alone:
             self.sign(node, Sign.LAPSE, now)
-        elif answer.outcome not in UNSETTLED + (Outcome.MOOT,):
+        elif answer.outcome not in UNSETTLED + (AttemptOutcome.WITHDRAWN,):
             node.heard, node.credit = now, min(node.credit + 1, CREDITS)
-        if answer.outcome is Outcome.SATISFIED:
+        if answer.outcome is AttemptOutcome.SUCCEEDED:
             self.learn(sent, answer, now)
         if answer.outcome in UNSETTLED and transfer.extent in self.keys:
             self.keys[transfer.extent].rest_until = now + self.facts["key_rest"]
-        if answer.over or answer.outcome is Outcome.SATISFIED:
+        if answer.request_finished or answer.outcome is AttemptOutcome.SUCCEEDED:
             self.cue(transfer, Cue.CLOSED, now)
         elif not transfer.out():
             transfer.spent = False
             late = now >= transfer.ends - ENDING_TICKS * self.facts["tick"]
-            ended = late or sent.final and answer.outcome is Outcome.TIMED_OUT
+            ended = late or sent.final and answer.outcome is AttemptOutcome.TIMED_OUT
             never = ended or all(
                 self.repeat_wait(transfer, each, now) >= NEVER
                 for each in self.choice(transfer)
@@ -79,7 +84,7 @@
             self.cue(transfer, Cue.LAST if never else Cue.AGAIN, now)
         self.let_go(transfer)
 
-    def learn(self, sent: Dispatch, answer: Answer, now: int) -> None:
+    def learn(self, sent: Dispatch, answer: AttemptResult, now: int) -> None:
         node, transfer = sent.node, sent.transfer
         node.lapses = max(node.lapses - 1, 0)
         node.follow, node.follow_until = (
@@ -91,7 +96,7 @@
         self.clear = self.clear or pace * node.size
         waited = max(answer.latency - transfer.units * self.clear / node.size, 0)
         node.wait += SMOOTH * (waited - node.wait)
-        strain = waited / self.shortest + answer.report.get("busy", 0.0)
+        strain = waited / self.shortest + answer.load_report.get("busy", 0.0)
         node.strain += (
             STRAIN * (strain - node.strain) if node.latency is not None else self.strain
         )
--- a/milletsill/scheduler/limits.py
+++ b/milletsill/scheduler/limits.py
@@ -15,7 +15,7 @@
 
 
 class Limits(State):
-    def part(
+    def on_quota_share(
         self, now: int, what: str, id: int, share: float | None, ends: int, after: float
     ) -> None:
         """Another part than the even one; None: the even one. What has filled until now fills at the old."""
--- a/milletsill/scheduler/ordinary.py
+++ b/milletsill/scheduler/ordinary.py
@@ -117,7 +117,7 @@
             and 2 * lost <= left
         ):
             timeout, sent.final = lost, False
-        self.port.send(
+        self.port.send_attempt(
             transfer.id,
             node.id,
             0 if transfer.category["repeats"] == "exclusive" else timeout,
--- a/milletsill/scheduler/queues.py
+++ b/milletsill/scheduler/queues.py
@@ -58,7 +58,7 @@
             if near
             else 0.0
         )
-        said = node.advised if now < node.advised_until else 0.0
+        said = node.fleet_load if now < node.advised_until else 0.0
         return (
             self.credit(node, now) <= 0,
             waits,
@@ -66,10 +66,12 @@
             self.strain_of(node) + said - saved,
         )
 
-    def advised(self, now: int, id: int, strain: float, away: bool, until: int) -> None:
+    def on_health_advice(
+        self, now: int, id: int, strain: float, away: bool, until: int
+    ) -> None:
         """The fleet's word on a node, until a time; what this gateway heard of it just now goes before."""
         if (node := self.nodes.get(id)) is not None and now < until:
-            node.advised, node.advised_until, self.touched[id] = strain, until, node
+            node.fleet_load, node.advised_until, self.touched[id] = strain, until, node
             fresh = now - max(node.heard, node.lapsed) <= HEARD * self.shortest
             if not fresh and (away or strain <= 0):  # kept away, or chosen to try it
                 node.rest_until, node.lapses = (
@@ -97,7 +99,7 @@
         if (
             queue is node.background
         ):  # looked at again when it is about to miss its target
-            self.port.wake(
+            self.port.set_timer(
                 transfer.target - int(HOPE * self.service(node, transfer)), node
             )
         self.numbers = transfer.number = self.numbers + 1
--- a/milletsill/scheduler/records.py
+++ b/milletsill/scheduler/records.py
@@ -4,7 +4,13 @@
 from collections import defaultdict, deque
 from random import Random
 
-from milletsill.interface import Arrival, Facts, Listed, Outcome, Port
+from milletsill.interface import (
+    Request,
+    Facts,
+    Endpoint,
+    AttemptOutcome,
+    SchedulerEffects,
+)
 from milletsill.scheduler.tables import (
     CREDITS,
     FAR,
@@ -71,7 +77,7 @@
 class Transfer:
     def __init__(
         self,
-        arrival: Arrival,
+        arrival: Request,
         category: Facts,
         volume: Volume,
         units: float,
@@ -80,16 +86,16 @@
     ) -> None:
         self.id, self.extent, self.volume, self.category = (
             arrival.id,
-            arrival.extent,
+            arrival.key,
             volume,
             category,
         )
-        self.cell, self.units, self.ends = arrival.cell, units, arrival.ends
+        self.cell, self.units, self.ends = arrival.shard, units, arrival.deadline
         # From the client's first try; one with less than a target time left is one of many short tries.
         target_time = category["target_time"] + int(category["stretch"] * units * clear)
-        dated = arrival.repeat and arrival.ends - now >= target_time
-        start = min(now, arrival.ends - category["patience"]) if dated else now
-        self.target = self.tag = min(start + target_time, arrival.ends)
+        dated = arrival.is_retry and arrival.deadline - now >= target_time
+        start = min(now, arrival.deadline - category["patience"]) if dated else now
+        self.target = self.tag = min(start + target_time, arrival.deadline)
         self.utility = category["utility"] * volume.plan["price"]  # of a unit
         self.phase, self.reserved, self.spent, self.dispatches = (
             Phase.HELD,
@@ -127,12 +133,12 @@
 
 
 class Node:
-    def __init__(self, entry: Listed, window: float) -> None:
+    def __init__(self, entry: Endpoint, window: float) -> None:
         self.id, self.cell, self.zone, self.since = (
             entry.node,
-            entry.cell,
+            entry.shard,
             entry.zone,
-            entry.since,
+            entry.started_at,
         )
         self.due, self.extents = (
             Queue(),
@@ -147,7 +153,7 @@
         self.wait = self.pace = self.best = (
             0.0  # smoothed wait, smoothed latency a unit, the best of late
         )
-        self.strain = self.advised = (
+        self.strain = self.fleet_load = (
             0.0  # smoothed wait, in shortest target times, and load; the fleet's
         )
         self.follow: Transfer | None = None
@@ -193,11 +199,13 @@
         self.transfer, self.node, self.sent, self.final = transfer, node, now, False
         self.full = len(node.out) + 1 >= int(node.window)
         self.surplus = transfer.queue is not None and transfer.queue is not node.due
-        self.outcome: Outcome | None = None
+        self.outcome: AttemptOutcome | None = None
 
 
 class State:  # of one gateway; `clear`: a unit's usual time, learnt over all nodes
-    def __init__(self, facts: Facts, seed: int, now: int, port: Port) -> None:
+    def __init__(
+        self, facts: Facts, seed: int, now: int, port: SchedulerEffects
+    ) -> None:
         self.facts, self.port, self.born = facts, port, now
         chance = Random(seed)
         self.uniform, self.sample = chance.uniform, chance.sample
@@ -251,7 +259,7 @@
             (each["patience"] for each in facts["categories"]), default=1
         )
         if facts["list_on_request"]:
-            self.port.watch()
+            self.port.watch_endpoints()
 
     def choice(self, transfer: Transfer) -> list[Node]:  # the nodes that can take it
         if transfer.free():
@@ -282,4 +290,4 @@
     def wake(self, node: Node, at: int, now: int) -> None:
         if at < node.wake_at or node.wake_at <= now:
             node.wake_at = at
-            self.port.wake(at, node)
+            self.port.set_timer(at, node)
--- a/milletsill/scheduler/repeats.py
+++ b/milletsill/scheduler/repeats.py
@@ -76,15 +76,15 @@
         if answer and (
             harmless or category["repeats"] == "rerunnable" or not transfer.ran()
         ):
-            self.port.decline(
+            self.port.reject(
                 transfer.id,
                 self.facts["longest_pause"] if self.facts["pause_told"] else 0,
             )
         elif answer:
-            self.port.abort(transfer.id)
+            self.port.fail(transfer.id)
         for number, each in enumerate(transfer.dispatches):
             if each.outcome is None and self.facts["may_cancel"]:
-                self.port.cancel(transfer.id, number)
+                self.port.cancel_attempt(transfer.id, number)
         self.let_go(transfer)
 
     def let_go(self, transfer: Transfer) -> None:
--- a/milletsill/scheduler/tables.py
+++ b/milletsill/scheduler/tables.py
@@ -2,7 +2,7 @@
 
 from enum import Enum
 
-from milletsill.interface import Outcome
+from milletsill.interface import AttemptOutcome
 
 FIRST_WINDOW, LEAST_WINDOW, MOST_WINDOW = 2.0, 1.0, 32.0
 TOGETHER = 9.0  # the least window is this over the gateways and one more, where that is above the one before
@@ -89,7 +89,11 @@
         if health is not Health.BARRED
     },
 }
-NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNREACHED, Outcome.MOOT)
-NO_WORD = (Outcome.TIMED_OUT, Outcome.UNREACHED, Outcome.RESET)
-UNSETTLED = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
+NEVER_RAN = (
+    AttemptOutcome.REJECTED,
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.WITHDRAWN,
+)
+NO_WORD = (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE, AttemptOutcome.RESET)
+UNSETTLED = (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
 NEVER = 1 << 60
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from milletsill.interface import Arrival
+from milletsill.interface import Request
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import ELSEWHERE, Terms, Verdict
 from milletsill.sftp_gateway.gateway_context import Around
@@ -229,7 +229,7 @@
         cell, name, command = self.target()
         self.transfer = edge.next_transfer()
         write = self.operation in WRITING or self.leg in DOING
-        arrival = Arrival(
+        arrival = Request(
             self.transfer,
             edge.atlas.extent(name, getattr(command, "offset", 0)),
             self.volume.number,
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -12,7 +12,7 @@
 
 from milletsill.errors import CannotListen, Fault
 from milletsill.gateway.scheduler_host import Ended, Host, Make
-from milletsill.interface import Arrival, Listed, News, Readiness
+from milletsill.interface import Request, Endpoint, EndpointUpdateKind, Readiness
 from milletsill.logs import logger
 from milletsill.node_connections.connection_pool import Pool, Sending
 from milletsill.registry.endpoint_view import Box
@@ -404,9 +404,9 @@
 
     # The list.
 
-    def listed(self, news: News, entries: list[Listed]) -> None:
+    def listed(self, news: EndpointUpdateKind, entries: list[Endpoint]) -> None:
         self.figures.news.labels(news.value).inc()
-        self.host.listed(news, entries)
+        self.host.on_endpoints(news, entries)
         if self.health is not None:
             self.health.listed(news, entries)
         if self.parts is not None:
@@ -440,7 +440,7 @@
     def carry(
         self,
         cargo: Cargo,
-        arrival: Arrival,
+        arrival: Request,
         number: int,
         node: int,
         ends: int,
@@ -455,7 +455,7 @@
             if not gate.leaves():
                 return None
             ended = gate.watched(ended)
-        left = max((arrival.ends - self.now()) // 10, 1)
+        left = max((arrival.deadline - self.now()) // 10, 1)
         return pool.dispatch(
             Order(
                 self.file.name,
@@ -463,11 +463,11 @@
                 arrival.id,
                 number,
                 arrival.units,
-                arrival.extent,
+                arrival.key,
                 left,
                 cargo.ticket,
                 arrival.volume,
-                arrival.gateways,
+                arrival.sharing_gateways,
                 cargo.category,
                 cargo.mark,
                 cargo.command,
--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -8,10 +8,18 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from milletsill.interface import Answer, Arrival, Decisions, Facts, Listed, News, Port
+from milletsill.interface import (
+    AttemptResult,
+    Request,
+    SchedulerEvents,
+    Facts,
+    Endpoint,
+    EndpointUpdateKind,
+    SchedulerEffects,
+)
 
 Put = Callable[..., None]
-Make = Callable[[Facts, int, int, Port], Decisions]
+Make = Callable[[Facts, int, int, SchedulerEffects], SchedulerEvents]
 
 
 class Taker(Protocol):
@@ -32,45 +40,45 @@
 class Done:
     """The Port of the module: each action is recorded, then passed to the host."""
 
-    def __init__(self, port: Port, put: Put, now: int) -> None:
+    def __init__(self, port: SchedulerEffects, put: Put, now: int) -> None:
         self.port, self.put, self.now, self.wakes = port, put, now, 0
 
-    def send(self, transfer: int, node: int, timeout: int) -> None:
+    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
         self.put("dispatch", self.now, transfer, node, timeout)
-        self.port.send(transfer, node, timeout)
+        self.port.send_attempt(transfer, node, timeout)
 
-    def decline(self, transfer: int, pause: int) -> None:
+    def reject(self, transfer: int, pause: int) -> None:
         self.put("declined", self.now, transfer, pause)
-        self.port.decline(transfer, pause)
+        self.port.reject(transfer, pause)
 
-    def abort(self, transfer: int) -> None:
+    def fail(self, transfer: int) -> None:
         self.put("aborted", self.now, transfer)
-        self.port.abort(transfer)
+        self.port.fail(transfer)
 
-    def cancel(self, transfer: int, number: int) -> None:
+    def cancel_attempt(self, transfer: int, number: int) -> None:
         self.put("cancelled", self.now, transfer, number)
-        self.port.cancel(transfer, number)
+        self.port.cancel_attempt(transfer, number)
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         self.put("watch", self.now)
-        self.port.watch()
+        self.port.watch_endpoints()
 
-    def fetch(self) -> None:
+    def fetch_endpoints(self) -> None:
         self.put("fetch", self.now)
-        self.port.fetch()
+        self.port.fetch_endpoints()
 
-    def probe(self, node: int) -> None:
+    def probe_node(self, node: int) -> None:
         self.put("probe", self.now, node)
-        self.port.probe(node)
+        self.port.probe_node(node)
 
-    def wake(self, at: int, what: object) -> None:
+    def set_timer(self, at: int, what: object) -> None:
         self.wakes += 1
         self.put("wake", self.now, at)
-        self.port.wake(at, Ring(self.wakes, what))
+        self.port.set_timer(at, Ring(self.wakes, what))
 
-    def remark(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.put("remark", self.now, text)
-        self.port.remark(text)
+        self.port.log(text)
 
 
 class Told:
@@ -82,7 +90,7 @@
         facts: Facts,
         seed: int,
         now: int,
-        port: Port,
+        port: SchedulerEffects,
         put: Put,
         names: Sequence[str],
     ) -> None:
@@ -90,7 +98,9 @@
         self.done = Done(port, put, now)
         self.module = make(facts, seed, now, self.done)
 
-    def listed(self, now: int, news: News, entries: Sequence[Listed]) -> None:
+    def on_endpoints(
+        self, now: int, news: EndpointUpdateKind, entries: Sequence[Endpoint]
+    ) -> None:
         self.done.now = now
         self.put("listed", now, news.value, len(entries))
         for each in entries:
@@ -102,13 +112,13 @@
                 each.size,
                 each.kind,
                 each.zone,
-                each.since or 0,
-                each.since is not None,
-                each.cell,
+                each.started_at or 0,
+                each.started_at is not None,
+                each.shard,
             )
-        self.module.listed(now, news, entries)
+        self.module.on_endpoints(now, news, entries)
 
-    def taken(self, now: int, arrival: Arrival) -> None:
+    def on_request(self, now: int, arrival: Request) -> None:
         self.done.now = now
         each, names = arrival, self.names
         store = (
@@ -120,65 +130,69 @@
             "arrival",
             now,
             each.id,
-            each.extent,
+            each.key,
             each.volume,
             store,
-            each.gateways,
-            each.category,
-            each.plan,
-            each.repeat,
-            each.write,
-            -1 if each.cell is None else each.cell,
+            each.sharing_gateways,
+            each.request_class,
+            each.service_plan,
+            each.is_retry,
+            each.is_write,
+            -1 if each.shard is None else each.shard,
             each.units,
-            each.ends,
+            each.deadline,
             self.path,
         )
         self.path = ""
-        self.module.taken(now, arrival)
+        self.module.on_request(now, arrival)
 
-    def returned(self, now: int, answer: Answer) -> None:
+    def on_attempt_result(self, now: int, answer: AttemptResult) -> None:
         self.done.now = now
         self.put(
             "outcome",
             now,
-            answer.id,
-            answer.number,
+            answer.request_id,
+            answer.attempt_number,
             answer.node,
             answer.outcome.value,
-            answer.over,
+            answer.request_finished,
             answer.latency,
-            -1 if answer.used is None else answer.used,
-            answer.elsewhere,
-            json.dumps(answer.report, sort_keys=True) if answer.report else "",
+            -1 if answer.volume_usage is None else answer.volume_usage,
+            answer.units_elsewhere,
+            json.dumps(answer.load_report, sort_keys=True)
+            if answer.load_report
+            else "",
         )
-        self.module.returned(now, answer)
+        self.module.on_attempt_result(now, answer)
 
-    def abandoned(self, now: int, transfer: int) -> None:
+    def on_client_cancelled(self, now: int, transfer: int) -> None:
         self.done.now = now
         self.put("abandoned", now, transfer)
-        self.module.abandoned(now, transfer)
+        self.module.on_client_cancelled(now, transfer)
 
-    def woken(self, now: int, what: Any) -> None:
+    def on_timer(self, now: int, what: Any) -> None:
         self.done.now = now
         self.put("woken", now, what.number)
-        self.module.woken(now, what.what)
+        self.module.on_timer(now, what.what)
 
-    def part(
+    def on_quota_share(
         self, now: int, what: str, id: int, share: float | None, ends: int, after: float
     ) -> None:
         self.done.now = now
         self.put("part", now, what, id, -1.0 if share is None else share, ends, after)
-        self.module.part(now, what, id, share, ends, after)
+        self.module.on_quota_share(now, what, id, share, ends, after)
 
-    def advised(self, now: int, id: int, strain: float, away: bool, until: int) -> None:
+    def on_health_advice(
+        self, now: int, id: int, strain: float, away: bool, until: int
+    ) -> None:
         self.done.now = now
         self.put("advised", now, id, strain, int(away), until)
-        self.module.advised(now, id, strain, away, until)
+        self.module.on_health_advice(now, id, strain, away, until)
 
-    def settle(self, now: int) -> None:
+    def dispatch_pending(self, now: int) -> None:
         self.done.now = now
         self.put("settled", now)
-        self.module.settle(now)
+        self.module.dispatch_pending(now)
 
 
 class Recorder:
@@ -192,7 +206,9 @@
     def around(self, make: Make) -> Make:
         """The same module with its record."""
 
-        def made(facts: Facts, seed: int, now: int, port: Port) -> Decisions:
+        def made(
+            facts: Facts, seed: int, now: int, port: SchedulerEffects
+        ) -> SchedulerEvents:
             self.made = now
             self.told = Told(make, facts, seed, now, port, self.writer.put, self.names)
             return self.told
--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -10,7 +10,7 @@
 from milletsill import facts
 from milletsill.errors import Malformed
 from milletsill.facts import UNIT
-from milletsill.interface import Listed, News, Outcome, Readiness
+from milletsill.interface import Endpoint, EndpointUpdateKind, AttemptOutcome, Readiness
 
 HEADER = Struct("<IIIQ")
 REPLY = Struct("<II")
@@ -62,17 +62,22 @@
 ENTRY = Struct("<IBfHBQH")
 
 OUTCOMES = {
-    0: Outcome.SATISFIED,
-    255: Outcome.ERROR,
-    254: Outcome.TURNED_AWAY,
-    253: Outcome.TIMED_OUT,
-    252: Outcome.UNREACHED,
-    251: Outcome.RESET,
-    250: Outcome.CANCELLED,
-    249: Outcome.MOOT,
+    0: AttemptOutcome.SUCCEEDED,
+    255: AttemptOutcome.ERROR,
+    254: AttemptOutcome.REJECTED,
+    253: AttemptOutcome.TIMED_OUT,
+    252: AttemptOutcome.UNREACHABLE,
+    251: AttemptOutcome.RESET,
+    250: AttemptOutcome.CANCELLED,
+    249: AttemptOutcome.WITHDRAWN,
 }
 READINESS = {0: Readiness.GONE, 1: Readiness.READY, 2: Readiness.DRAINING}
-NEWS = {0: News.CHANGES, 1: News.WHOLE, 2: News.CACHED, 3: News.FAILED}
+NEWS = {
+    0: EndpointUpdateKind.DELTA,
+    1: EndpointUpdateKind.SNAPSHOT,
+    2: EndpointUpdateKind.CACHED,
+    3: EndpointUpdateKind.FAILED,
+}
 
 
 class BadBatch(Malformed):
@@ -163,10 +168,10 @@
     return table[code]
 
 
-def entries_of(tail: bytes) -> tuple[Listed, ...]:
+def entries_of(tail: bytes) -> tuple[Endpoint, ...]:
     """The lines of a Roster."""
     return tuple(
-        Listed(
+        Endpoint(
             node,
             pick(READINESS, ready, "readiness"),
             size,
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO
 
 from milletsill.errors import whereabouts
-from milletsill.interface import Answer, Arrival, Listed, News
+from milletsill.interface import AttemptResult, Request, Endpoint, EndpointUpdateKind
 from milletsill.scheduler import Scheduler
 from milletsill.wirehost import codec
 from milletsill.wirehost.codec import UNIT, BadBatch, Event
@@ -26,31 +26,31 @@
         self.timers: dict[int, object] = {}
         self.cookies = 0
 
-    def send(self, transfer: int, node: int, timeout: int) -> None:
+    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
         self.said.append(codec.ATTEMPT(transfer, node, timeout * UNIT))
 
-    def decline(self, transfer: int, pause: int) -> None:
+    def reject(self, transfer: int, pause: int) -> None:
         self.said.append(codec.REJECT(transfer, max(pause, 0) * UNIT))
 
-    def abort(self, transfer: int) -> None:
+    def fail(self, transfer: int) -> None:
         self.said.append(codec.FAILURE(transfer))
 
-    def cancel(self, transfer: int, number: int) -> None:
+    def cancel_attempt(self, transfer: int, number: int) -> None:
         self.said.append(codec.CALL_OFF(transfer, number))
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         self.said.append(codec.STREAM(1))
 
-    def fetch(self) -> None:
+    def fetch_endpoints(self) -> None:
         self.said.append(codec.QUERY())
 
-    def probe(self, node: int) -> None:
+    def probe_node(self, node: int) -> None:
         self.said.append(codec.PROBE(node))
 
-    def remark(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.said.append(codec.text_action(4, text))
 
-    def wake(self, at: int, what: object) -> None:
+    def set_timer(self, at: int, what: object) -> None:
         self.cookies += 1
         self.timers[self.cookies] = what
         self.said.append(
@@ -64,7 +64,7 @@
         return Scheduler(facts, seed, now, self)
 
     def hear(
-        self, event: Event, now: int, banks: dict[int, tuple[Listed, ...]]
+        self, event: Event, now: int, banks: dict[int, tuple[Endpoint, ...]]
     ) -> None:
         """Hand one event to the module."""
         fields = event.fields
@@ -80,17 +80,19 @@
             )
         if event.code == codec.UPDATE:
             news = codec.pick(codec.NEWS, fields[0], "kind of Update")
-            if news is not News.FAILED and fields[2] not in banks:
+            if news is not EndpointUpdateKind.FAILED and fields[2] not in banks:
                 raise BadBatch(f"Update names list {fields[2]}, which never came")
-            module.listed(now, news, () if news is News.FAILED else banks[fields[2]])
+            module.on_endpoints(
+                now, news, () if news is EndpointUpdateKind.FAILED else banks[fields[2]]
+            )
         elif event.code == codec.TAKEN:
             tid, key, sharers, category, plan, flags, shard, units, volume, ends = (
                 fields
             )
             cell = int(shard) if shard >= 0 else None
-            module.taken(
+            module.on_request(
                 now,
-                Arrival(
+                Request(
                     tid,
                     key,
                     volume,
@@ -106,9 +108,9 @@
             )
         elif event.code == codec.RETURNED:
             tid, outcome, node, others, used, over, number, lag, _ = fields
-            module.returned(
+            module.on_attempt_result(
                 now,
-                Answer(
+                AttemptResult(
                     tid,
                     number,
                     node,
@@ -121,9 +123,9 @@
                 ),
             )
         elif event.code == codec.RING:
-            module.woken(now, self.timers.pop(fields[0], None))
+            module.on_timer(now, self.timers.pop(fields[0], None))
         elif event.code == codec.ABANDONED:
-            module.abandoned(now, fields[0])
+            module.on_client_cancelled(now, fields[0])
         # Flowing needs no decision: a transfer that is out is left alone until its dispatch ends. Probed and
         # NoteFrom answer what the module never asks for.
 
@@ -134,7 +136,7 @@
     def __init__(self, make: Callable[[int], Instance] = Instance) -> None:
         self.make = make
         self.instances: dict[int, Instance] = {}
-        self.banks: dict[int, tuple[Listed, ...]] = {}
+        self.banks: dict[int, tuple[Endpoint, ...]] = {}
 
     def answer(self, batch: codec.Batch) -> bytes:
         """Play one batch and give the reply frame."""
@@ -184,7 +186,7 @@
         for number, instance in heard.items():
             module = instance.module
             if module is not None:
-                self.guarded(instance, lambda: module.settle(now))
+                self.guarded(instance, lambda: module.dispatch_pending(now))
             if instance.said:
                 actions.append(codec.SOURCE(number))
                 actions += instance.said
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -27,7 +27,14 @@
 from milletsill.fleet.health.report_exchange import Spread
 from milletsill.fleet.health.report_store import RowRefused, Rows, Word
 from milletsill.fleet.transport import Kind, Member, Standing, View
-from milletsill.interface import Answer, Arrival, Listed, News, Outcome, Readiness
+from milletsill.interface import (
+    AttemptResult,
+    Request,
+    Endpoint,
+    EndpointUpdateKind,
+    AttemptOutcome,
+    Readiness,
+)
 from milletsill.lab.health_day import Day
 
 GATEWAYS, BOXES = 40, 12
@@ -256,7 +263,7 @@
             observer = Observer({"categories": [{"target_time": 3000}]})
             observer.list(
                 [
-                    Listed(each, Readiness.READY, 2.0, 0, 0, None, each)
+                    Endpoint(each, Readiness.READY, 2.0, 0, 0, None, each)
                     for each in range(2)
                 ]
             )
@@ -264,12 +271,12 @@
             def answer(box, units, latency, inflight):
                 observer.answer(
                     0,
-                    Arrival(1, 1, 1, 1, 0, 0, False, False, None, units, 9000),
-                    Answer(
+                    Request(1, 1, 1, 1, 0, 0, False, False, None, units, 9000),
+                    AttemptResult(
                         1,
                         0,
                         box,
-                        Outcome.SATISFIED,
+                        AttemptOutcome.SUCCEEDED,
                         True,
                         latency,
                         None,
@@ -299,8 +306,8 @@
         def played(advise):
             day, sent = self.day(), []
             for number, gateway in enumerate(day.gateways):
-                send = gateway.send
-                gateway.send = (
+                send = gateway.send_attempt
+                gateway.send_attempt = (
                     lambda transfer, node, timeout, send=send, number=number: (
                         sent.append((day.now, number, transfer, node, timeout)),
                         send(transfer, node, timeout),
@@ -315,11 +322,11 @@
         self.assertGreater(len(plain), 200)
         for neutral in (
             lambda day: [
-                each.module.advised(day.now, 99, 4.0, True, day.now + 3000)
+                each.module.on_health_advice(day.now, 99, 4.0, True, day.now + 3000)
                 for each in day.gateways
             ],
             lambda day: [
-                each.module.advised(day.now, 1, 4.0, True, day.now)
+                each.module.on_health_advice(day.now, 1, 4.0, True, day.now)
                 for each in day.gateways
             ],
         ):
@@ -327,7 +334,7 @@
         away = played(
             lambda day: [
                 (
-                    each.module.advised(day.now, 1, 4.0, True, day.now + 3000),
+                    each.module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000),
                     each.settle_soon(),
                 )
                 for each in day.gateways
@@ -343,7 +350,7 @@
         module = day.gateways[0].module
         node = module.nodes[1]
         node.heard = node.lapsed = -9 * SECOND
-        module.advised(day.now, 1, 4.0, True, day.now + 3000)
+        module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
         self.assertEqual(node.rest_until, day.now + 3000)
         transfer = SimpleNamespace(
             cell=None, extent=0, node=None, dispatches=[], units=1
@@ -354,10 +361,12 @@
         )
         node.rest_until, node.lapses = 0, 2
         node.heard = day.now
-        module.advised(day.now, 1, 4.0, True, day.now + 3000)
+        module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
         self.assertEqual((node.rest_until, node.lapses), (0, 2))
         node.heard, node.rest_until = -9 * SECOND, day.now + SECOND
-        module.advised(day.now, 1, 0.0, False, day.now + 3000)  # chosen to try it
+        module.on_health_advice(
+            day.now, 1, 0.0, False, day.now + 3000
+        )  # chosen to try it
         self.assertEqual((node.rest_until <= day.now, node.lapses), (True, 0))
 
 
@@ -413,7 +422,7 @@
             health=SimpleNamespace(publish_ms=300, lasts_s=6, most_part=0.34),
         )
         entries = [
-            Listed(each, Readiness.READY, 2.0, 0, 0, None, each) for each in range(6)
+            Endpoint(each, Readiness.READY, 2.0, 0, 0, None, each) for each in range(6)
         ]
         for each in range(6):
             host = mock.Mock(facts={"categories": [{"target_time": 3000}]})
@@ -432,12 +441,12 @@
                 )
             )
             sharings[-1].start()
-            sharings[-1].listed(News.WHOLE, entries)
+            sharings[-1].listed(EndpointUpdateKind.SNAPSHOT, entries)
         for each in sharings:
             each.viewed(
                 View(1, [Member(name, "", 1, Standing.ALIVE) for name in planes]), ()
             )
-        arrival = Arrival(1, 1, 1, 1, 0, 0, False, False, None, 1, 99_000)
+        arrival = Request(1, 1, 1, 1, 0, 0, False, False, None, 1, 99_000)
         for step in range(200):
             clock.advance(0.1)
             for each in sharings:
@@ -446,11 +455,11 @@
                 each.host.overheard(
                     now(),
                     arrival,
-                    Answer(
+                    AttemptResult(
                         1,
                         0,
                         box,
-                        Outcome.TIMED_OUT if lost else Outcome.SATISFIED,
+                        AttemptOutcome.TIMED_OUT if lost else AttemptOutcome.SUCCEEDED,
                         not lost,
                         300,
                         None,
@@ -472,7 +481,7 @@
         kept = [
             call.args
             for each in sharings
-            for call in each.host.advised.call_args_list[-1:]
+            for call in each.host.on_health_advice.call_args_list[-1:]
         ]
         self.assertTrue(
             any(away for _, _, away, _ in kept)
--- a/tests/gateway/test_scheduler_host.py
+++ b/tests/gateway/test_scheduler_host.py
@@ -5,7 +5,7 @@
 from twisted.internet.task import Clock
 
 from milletsill.gateway.scheduler_host import Host
-from milletsill.interface import Arrival, Outcome
+from milletsill.interface import Request, AttemptOutcome
 from milletsill.sftp import packets
 from milletsill.sftp.extensions import DONE, Verdict
 
@@ -66,7 +66,7 @@
             self.log.append,
             lambda *values: None,
         )
-        arrival = Arrival(1, 5, 1, 1, 0, 0, False, False, 0, 2.0, 10_000)
+        arrival = Request(1, 5, 1, 1, 0, 0, False, False, 0, 2.0, 10_000)
         self.host.take(arrival, self.asker, "cargo")
         self.module = self.host.module
 
@@ -74,62 +74,68 @@
         return Verdict(DONE, "0", {"queue": 3.0}, None, 2, packets.Data(0, b"x"))
 
     def test_a_dispatch_that_ended_holds_on_to_nothing(self):
-        self.host.send(1, 7, 5000)
+        self.host.send_attempt(1, 7, 5000)
         out = self.host.live[1].outs[0]
-        self.pool.held[0][1](Outcome.ERROR, None)
+        self.pool.held[0][1](AttemptOutcome.ERROR, None)
         self.assertEqual((out.over, out.sending), (True, None))
 
     def test_events_of_one_moment_are_settled_once(self):
         self.host.abandon(1)
         self.clock.advance(0)
         self.assertEqual(
-            [len(self.module.of(each)) for each in ("taken", "abandoned", "settle")],
+            [
+                len(self.module.of(each))
+                for each in ("on_request", "on_client_cancelled", "dispatch_pending")
+            ],
             [1, 1, 1],
         )
 
     def test_what_still_waits_for_a_link_is_withdrawn_when_its_client_leaves(self):
         self.pool.begun = False
-        self.host.send(1, 7, 5000)
+        self.host.send_attempt(1, 7, 5000)
         self.host.abandon(1)
         self.assertEqual(
             self.pool.withdrawn, 1, "at once, whether or not the module may cancel"
         )
         self.clock.advance(0)
         self.assertEqual(
-            [each[1].outcome for each in self.module.of("returned")], [Outcome.MOOT]
+            [each[1].outcome for each in self.module.of("on_attempt_result")],
+            [AttemptOutcome.WITHDRAWN],
         )
         self.assertEqual(self.host.live, {})
 
     def test_what_is_on_its_way_when_its_client_leaves_is_the_modules_to_cancel(self):
-        self.host.send(1, 7, 5000)
+        self.host.send_attempt(1, 7, 5000)
         self.host.abandon(1)
         self.clock.advance(0)
-        self.assertEqual((self.pool.withdrawn, self.module.of("returned")), (0, []))
+        self.assertEqual(
+            (self.pool.withdrawn, self.module.of("on_attempt_result")), (0, [])
+        )
 
     def test_after_a_stall_what_came_is_read_before_anything_is_settled(self):
         self.clock.advance(0)
-        self.host.listed(None, [])  # an event of this round
+        self.host.on_endpoints(None, [])  # an event of this round
         self.clock.rightNow += (
             0.5  # the process stood: a turn of the sockets comes first
         )
         self.host.turn.ring()
-        self.assertEqual(len(self.module.of("settle")), 1)
+        self.assertEqual(len(self.module.of("dispatch_pending")), 1)
         self.clock.advance(0)
-        self.assertGreater(len(self.module.of("settle")), 1)
+        self.assertGreater(len(self.module.of("dispatch_pending")), 1)
 
     def test_a_satisfied_dispatch_answers_once_and_tells_the_module_that_it_is_over(
         self,
     ):
-        self.host.send(1, 7, 500)
-        self.pool.held[0][1](Outcome.SATISFIED, self.verdict())
-        self.pool.held[0][1](Outcome.SATISFIED, self.verdict())
-        (answer,) = [each[1] for each in self.module.of("returned")]
+        self.host.send_attempt(1, 7, 500)
+        self.pool.held[0][1](AttemptOutcome.SUCCEEDED, self.verdict())
+        self.pool.held[0][1](AttemptOutcome.SUCCEEDED, self.verdict())
+        (answer,) = [each[1] for each in self.module.of("on_attempt_result")]
         self.assertEqual(
             (
                 self.asker.told,
-                answer.over,
-                answer.elsewhere,
-                dict(answer.report),
+                answer.request_finished,
+                answer.units_elsewhere,
+                dict(answer.load_report),
                 self.host.live,
             ),
             (["satisfied"], True, 2, {"queue": 3.0}, {}),
@@ -141,10 +147,10 @@
         def failing(now, *values):
             raise KeyError("lost")
 
-        self.module.settle = failing
+        self.module.dispatch_pending = failing
         self.host.abandon(1)  # settles
         self.clock.advance(0)
-        arrival = Arrival(2, 5, 1, 1, 0, 0, False, False, 0, 2.0, 20_000)
+        arrival = Request(2, 5, 1, 1, 0, 0, False, False, 0, 2.0, 20_000)
         self.host.take(arrival, self.asker, "cargo")
         self.clock.advance(2.01)
         self.assertEqual(
@@ -158,69 +164,78 @@
         self.host.most_stale = 200
         self.clock.advance(0)  # settled now
         self.clock.rightNow += 0.03
-        self.host.send(1, 7, 500)
+        self.host.send_attempt(1, 7, 500)
         self.assertEqual(self.pool.held, [])
         self.clock.advance(0)
-        (answer,) = [each[1] for each in self.module.of("returned")]
-        self.assertIs(answer.outcome, Outcome.UNREACHED)
+        (answer,) = [each[1] for each in self.module.of("on_attempt_result")]
+        self.assertIs(answer.outcome, AttemptOutcome.UNREACHABLE)
 
     def test_a_time_out_is_told_and_the_box_is_told_too(self):
-        self.host.send(1, 7, 500)
+        self.host.send_attempt(1, 7, 500)
         self.clock.advance(0.051)
-        (answer,) = [each[1] for each in self.module.of("returned")]
+        (answer,) = [each[1] for each in self.module.of("on_attempt_result")]
         self.assertEqual(
             (answer.outcome, self.pool.withdrawn, self.asker.told),
-            (Outcome.TIMED_OUT, 1, []),
+            (AttemptOutcome.TIMED_OUT, 1, []),
         )
 
     def test_no_time_out_means_until_the_client_leaves(self):
-        self.host.send(1, 7, 0)
+        self.host.send_attempt(1, 7, 0)
         self.clock.advance(0.9)
-        self.assertEqual(self.module.of("returned"), [])
+        self.assertEqual(self.module.of("on_attempt_result"), [])
         self.clock.advance(0.11)
-        self.assertEqual(self.module.of("returned")[0][1].outcome, Outcome.TIMED_OUT)
+        self.assertEqual(
+            self.module.of("on_attempt_result")[0][1].outcome, AttemptOutcome.TIMED_OUT
+        )
 
     def test_after_a_stall_an_answer_in_the_socket_goes_before_its_time_out(self):
-        self.host.send(1, 7, 500)
+        self.host.send_attempt(1, 7, 500)
         self.clock.rightNow = 2.0  # the process stood; nothing was read
         self.host.ring()
-        self.assertEqual(self.module.of("returned"), [])
-        self.pool.held[0][1](Outcome.SATISFIED, self.verdict())
+        self.assertEqual(self.module.of("on_attempt_result"), [])
+        self.pool.held[0][1](AttemptOutcome.SUCCEEDED, self.verdict())
         self.clock.advance(0)
-        self.assertEqual(self.module.of("returned")[0][1].outcome, Outcome.SATISFIED)
+        self.assertEqual(
+            self.module.of("on_attempt_result")[0][1].outcome, AttemptOutcome.SUCCEEDED
+        )
 
     def test_a_node_without_links_is_unreached_later(self):
-        self.host.send(1, 8, 500)
-        self.assertEqual(self.module.of("returned"), [])
+        self.host.send_attempt(1, 8, 500)
+        self.assertEqual(self.module.of("on_attempt_result"), [])
         self.clock.advance(0.001)
-        self.assertEqual(self.module.of("returned")[0][1].outcome, Outcome.UNREACHED)
+        self.assertEqual(
+            self.module.of("on_attempt_result")[0][1].outcome,
+            AttemptOutcome.UNREACHABLE,
+        )
 
     def test_nothing_is_sent_after_the_final_answer(self):
-        self.host.decline(1, 70)
-        self.host.send(1, 7, 500)
-        self.host.abort(1)
+        self.host.reject(1, 70)
+        self.host.send_attempt(1, 7, 500)
+        self.host.fail(1)
         self.assertEqual(
             (self.pool.held, self.asker.told, len(self.log)),
             ([], [("declined", 70)], 1),
         )
 
     def test_a_transfer_stays_until_its_dispatches_have_ended_without_its_data(self):
-        self.host.send(1, 7, 500)
+        self.host.send_attempt(1, 7, 500)
         self.host.abandon(1)
         self.assertIsNone(self.host.live[1].cargo)
-        self.pool.held[0][1](Outcome.RESET, None)
+        self.pool.held[0][1](AttemptOutcome.RESET, None)
         self.assertEqual(self.host.live, {})
 
     def test_a_cancel_ends_a_dispatch_but_not_from_within(self):
-        self.host.send(1, 7, 500)
-        self.host.cancel(1, 0)
-        self.assertEqual(self.module.of("returned"), [])
+        self.host.send_attempt(1, 7, 500)
+        self.host.cancel_attempt(1, 0)
+        self.assertEqual(self.module.of("on_attempt_result"), [])
         self.clock.advance(0.001)
-        self.assertEqual(self.module.of("returned")[0][1].outcome, Outcome.CANCELLED)
+        self.assertEqual(
+            self.module.of("on_attempt_result")[0][1].outcome, AttemptOutcome.CANCELLED
+        )
 
     def test_wakes_come_in_order_and_one_timer_serves_all(self):
         for at, what in ((300, "c"), (100, "a"), (200, "b")):
-            self.host.wake(at, what)
+            self.host.set_timer(at, what)
         self.assertEqual(
             len(
                 [
@@ -233,7 +248,9 @@
         )
         for _ in range(40):
             self.clock.advance(0.001)
-        self.assertEqual([each[1] for each in self.module.of("woken")], ["a", "b", "c"])
+        self.assertEqual(
+            [each[1] for each in self.module.of("on_timer")], ["a", "b", "c"]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -31,7 +31,7 @@
 )
 from milletsill.http_gateway.json_log import Lines
 from milletsill.http_gateway.request_parser import BadAsk, Categories, report_in
-from milletsill.interface import News, Readiness
+from milletsill.interface import EndpointUpdateKind, Readiness
 from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
 
 
@@ -99,7 +99,12 @@
         )
         watch.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(
-            self.told, [(News.WHOLE, 1), (News.CHANGES, 1), (News.FAILED, 0)]
+            self.told,
+            [
+                (EndpointUpdateKind.SNAPSHOT, 1),
+                (EndpointUpdateKind.DELTA, 1),
+                (EndpointUpdateKind.FAILED, 0),
+            ],
         )
         _, wire = self.watch()
         self.assertIn(b"from=8 ", wire.value())
@@ -110,7 +115,8 @@
         self.reactor.advance(6.1)
         self.follower.look()
         self.assertEqual(
-            (self.told, wire.aborted), ([(News.CHANGES, 0), (News.FAILED, 0)], True)
+            (self.told, wire.aborted),
+            ([(EndpointUpdateKind.DELTA, 0), (EndpointUpdateKind.FAILED, 0)], True),
         )
 
     def test_what_cannot_be_read_ends_the_watch_with_one_line(self):
@@ -122,7 +128,9 @@
         ):
             self.setUp()
             self.watch()[0].dataReceived(data)
-            self.assertEqual((self.told, len(self.log)), ([(News.FAILED, 0)], 1), data)
+            self.assertEqual(
+                (self.told, len(self.log)), ([(EndpointUpdateKind.FAILED, 0)], 1), data
+            )
 
     def test_at_a_new_address_the_old_watch_stands_until_the_new_one_speaks(self):
         old, wire = self.watch()
@@ -136,7 +144,14 @@
         new.dataReceived(self.HEAD + self.line(9))
         self.assertEqual(
             (wire.aborted, [kind for kind, _ in self.told]),
-            (True, [News.WHOLE, News.CHANGES, News.CHANGES]),
+            (
+                True,
+                [
+                    EndpointUpdateKind.SNAPSHOT,
+                    EndpointUpdateKind.DELTA,
+                    EndpointUpdateKind.DELTA,
+                ],
+            ),
         )
 
     def test_a_zone_that_the_settings_do_not_name_is_shared_only_with_its_like(self):
@@ -171,7 +186,7 @@
             self.log.append,
         )
         self.assertEqual(
-            (len(news.places), news.places[0].listed.since, len(self.log)),
+            (len(news.places), news.places[0].listed.started_at, len(self.log)),
             (1, 57, len(bad)),
         )
         self.assertIs(news.places[0].listed.readiness, Readiness.READY)
@@ -245,11 +260,11 @@
         arrival = Categories(deployment.facts).arrival(reader.next(), 1000, 60, 5000)
         self.assertEqual(
             (
-                arrival.repeat,
-                arrival.cell,
+                arrival.is_retry,
+                arrival.shard,
                 arrival.units,
-                arrival.gateways,
-                arrival.ends,
+                arrival.sharing_gateways,
+                arrival.deadline,
             ),
             (True, None, 2.5, 3, 5000),
         )
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -13,7 +13,7 @@
 from milletsill.http_gateway.gateway_limits import OVER, Octets, Process
 from milletsill.http_gateway.node_connections import Fleet
 from milletsill.http_gateway.request_parser import Cargo
-from milletsill.interface import Outcome
+from milletsill.interface import AttemptOutcome
 from tests.support.http_gateway_rig import (
     ANSWER,
     GIVEN,
@@ -197,27 +197,32 @@
 
     def test_each_way_to_end(self):
         for answer, outcome in (
-            (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
+            (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.ERROR),
             (
                 b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
-                Outcome.TURNED_AWAY,
+                AttemptOutcome.REJECTED,
             ),
-            (b"noise\r\n\r\n", Outcome.ERROR),
-            (b"HTTP/1.1 200 OK\r\n\r\n" + b"ab" * 600_000, Outcome.ERROR),
-            (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", Outcome.ERROR),
-            (b"HTTP/1.1 100 Go\r\n\r\n" + ANSWER, Outcome.SATISFIED),
+            (b"noise\r\n\r\n", AttemptOutcome.ERROR),
+            (b"HTTP/1.1 200 OK\r\n\r\n" + b"ab" * 600_000, AttemptOutcome.ERROR),
+            (
+                b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab",
+                AttemptOutcome.ERROR,
+            ),
+            (b"HTTP/1.1 100 Go\r\n\r\n" + ANSWER, AttemptOutcome.SUCCEEDED),
         ):
             self.setUp()
             (_, wire), (link, sent) = self.served(answer)
             self.assertEqual(self.ended(), {outcome.value: 1}, answer)
             self.assertEqual(
-                sent.aborted, outcome is Outcome.ERROR and b"500" not in answer, answer
+                sent.aborted,
+                outcome is AttemptOutcome.ERROR and b"500" not in answer,
+                answer,
             )
 
     def test_an_answer_without_a_length_is_whole_at_a_close_and_lost_at_a_reset(self):
         for clean, outcome, said in (
-            (True, Outcome.SATISFIED, b"200 OK\r\nContent-Length: 2\r\n\r\nab"),
-            (False, Outcome.RESET, b""),
+            (True, AttemptOutcome.SUCCEEDED, b"200 OK\r\nContent-Length: 2\r\n\r\nab"),
+            (False, AttemptOutcome.RESET, b""),
         ):
             self.setUp()
             (_, wire), (link, _) = self.served(b"HTTP/1.1 200 OK\r\n\r\nab")
@@ -238,7 +243,10 @@
     def test_a_break_before_the_last_octet_was_handed_over_never_ran_after_it_may_have(
         self,
     ):
-        for written, outcome in ((False, Outcome.UNREACHED), (True, Outcome.RESET)):
+        for written, outcome in (
+            (False, AttemptOutcome.UNREACHABLE),
+            (True, AttemptOutcome.RESET),
+        ):
             self.setUp()
             _, (link, _) = self.served(None)
             link.written = written
@@ -338,7 +346,7 @@
         links[0].dataReceived(b"x" * 400_000)
         self.assertEqual(
             (ended, octets.held),
-            ([Outcome.ERROR, Outcome.SATISFIED], octets.most - 500_000),
+            ([AttemptOutcome.ERROR, AttemptOutcome.SUCCEEDED], octets.most - 500_000),
         )
 
     def test_a_thousand_nodes_come_and_go_and_leave_nothing(self):
--- a/tests/http_gateway/test_races_endpoint_lists.py
+++ b/tests/http_gateway/test_races_endpoint_lists.py
@@ -5,7 +5,7 @@
 import unittest
 
 from milletsill.http_gateway.gateway_limits import FIRST_WORD, OVERDUE, TOLD, TOLD_MOVED
-from milletsill.interface import News
+from milletsill.interface import EndpointUpdateKind
 from tests.support.discovery_connections import BEAT, HEAD, LOOK, Held, said
 from tests.support.http_gateway_rig import NODE
 
@@ -41,7 +41,7 @@
         for place in range(len(HEAD + text)):
             end.sendall((HEAD + text)[place : place + 1])
             self.turn()
-        self.until(lambda: self.told[-1] == (News.WHOLE, "ready"))
+        self.until(lambda: self.told[-1] == (EndpointUpdateKind.SNAPSHOT, "ready"))
 
     def test_an_indented_list_that_comes_in_pieces_and_one_that_stops_half_way(self):
         text = (
@@ -61,7 +61,7 @@
             self.assertEqual(self.told, [], cut)
             end.sendall(b"%x\r\n%s\r\n" % (len(text) - cut, text[cut:]))
             self.until(lambda: self.told)
-            self.assertEqual(self.told, [(News.WHOLE, "ready")], cut)
+            self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, "ready")], cut)
             self.reset(end)
             self.until(self.failed)
 
@@ -90,7 +90,10 @@
             self.until(lambda: len(self.told) > 1)
             self.assertEqual(
                 self.told,
-                [(News.WHOLE, "ready", "ready"), (News.CHANGES, "draining")],
+                [
+                    (EndpointUpdateKind.SNAPSHOT, "ready", "ready"),
+                    (EndpointUpdateKind.DELTA, "draining"),
+                ],
                 indent,
             )
             self.reset(end)
@@ -109,7 +112,8 @@
         end.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: len(self.told) == 2)
         self.assertEqual(
-            (asked, self.told[-1], self.failed()), (7, (News.CHANGES, "draining"), 0)
+            (asked, self.told[-1], self.failed()),
+            (7, (EndpointUpdateKind.DELTA, "draining"), 0),
         )
         self.assertLess(self.clock, TOLD - FIRST_WORD)
 
@@ -136,7 +140,11 @@
             self.until(self.failed)
             self.assertEqual(
                 self.told,
-                [(News.WHOLE, "ready"), (News.CHANGES, "draining"), (News.FAILED,)],
+                [
+                    (EndpointUpdateKind.SNAPSHOT, "ready"),
+                    (EndpointUpdateKind.DELTA, "draining"),
+                    (EndpointUpdateKind.FAILED,),
+                ],
             )
 
     def test_the_old_watch_speaks_in_the_moment_of_the_new_ones_first_line(self):
@@ -160,7 +168,7 @@
                 first,
             )
             new.sendall(said(9))
-            self.until(lambda: self.told[-1] == (News.CHANGES, "ready"))
+            self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "ready"))
 
     def test_a_watch_that_is_reset_between_the_ask_and_the_open_leaves_one_call(self):
         old = self.standing()
@@ -172,7 +180,8 @@
         end.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: len(self.told) == 2)
         self.assertEqual(
-            (asked, self.told[-1], self.failed()), (7, (News.CHANGES, "draining"), 0)
+            (asked, self.told[-1], self.failed()),
+            (7, (EndpointUpdateKind.DELTA, "draining"), 0),
         )
 
     def test_sighup_while_a_call_is_under_way_and_its_answer_crosses(self):
@@ -195,7 +204,7 @@
                 first.sendall(HEAD + said(7, True))
                 self.until(lambda: self.told)
             new.sendall(HEAD + said(8, True, state="leaving"))
-            self.until(lambda: (News.WHOLE, "draining") in self.told)
+            self.until(lambda: (EndpointUpdateKind.SNAPSHOT, "draining") in self.told)
             self.until(lambda: self.follower.old is None)
             self.assertEqual(
                 (self.failed(), len(self.told)), (0, 2 - (crosses == "never")), crosses
@@ -221,7 +230,7 @@
         self.follower.ask()
         end, asked = self.taken(there)
         end.sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (News.CHANGES, "draining"))
+        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
         self.assertEqual(asked, 7)
 
 
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -7,7 +7,7 @@
 
 from milletsill.http_gateway.endpoints import place_of
 from milletsill.http_gateway.gateway_limits import IDLE, LINGER, SILENT, SPARED, WHOLE
-from milletsill.interface import News
+from milletsill.interface import EndpointUpdateKind
 from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -139,7 +139,9 @@
                     "cell": 2,
                     "addr": "127.0.0.1:%d" % self.node.getsockname()[1],
                 }
-                self.gateway.listed(News.CHANGES, [place_of(place, ["z"], 0)])
+                self.gateway.listed(
+                    EndpointUpdateKind.DELTA, [place_of(place, ["z"], 0)]
+                )
                 self.over()
                 self.assertEqual(
                     (self.sent_on(), self.answers()), (0, {"abandoned": 1})
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 from milletsill.http_gateway.endpoints import place_of
-from milletsill.interface import News
+from milletsill.interface import EndpointUpdateKind
 from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -194,7 +194,7 @@
             "cell": 1,
             "addr": "127.0.0.1:%d" % other.getsockname()[1],
         }
-        self.gateway.listed(News.CHANGES, [place_of(place, ["z"], 0)])
+        self.gateway.listed(EndpointUpdateKind.DELTA, [place_of(place, ["z"], 0)])
         return other
 
     def taken_at(self, listener):
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -9,7 +9,7 @@
 from milletsill.http_gateway.gateway_limits import Octets
 from milletsill.http_gateway.node_connections import Fleet
 from milletsill.http_gateway.request_parser import Cargo
-from milletsill.interface import News, Outcome
+from milletsill.interface import EndpointUpdateKind, AttemptOutcome
 from tests.support.http_gateway_rig import NODE, SETTINGS, TXN, Loopback, ask, reset
 from tests.support.loopback import Loop, accept, listening, receive
 
@@ -78,7 +78,9 @@
         self.addCleanup(sock.close)
         self.loop.read(sock)
         sock.sendall(answer)
-        self.assertEqual(self.outcome(len(self.ended) - 1), (Outcome.SATISFIED, b"hi"))
+        self.assertEqual(
+            self.outcome(len(self.ended) - 1), (AttemptOutcome.SUCCEEDED, b"hi")
+        )
         return sock
 
     def test_what_is_given_up_is_over_at_its_node_before_another_begins(self):
@@ -99,7 +101,7 @@
                 self.loop.until(lambda: self.fleet.nodes[number_of("s-1")].free)
                 if due:
                     self.fleet.nodes[number_of("s-1")].turn.ask()
-                second.withdraw(Outcome.TIMED_OUT)
+                second.withdraw(AttemptOutcome.TIMED_OUT)
                 further = self.carry()
                 self.assertFalse(further.begun, "beside one that is out")
                 while not further.begun:
@@ -118,7 +120,9 @@
             self.carry()  # the kernel has it up at once; the gateway has not looked yet
             self.listed(port, state=state)
             self.assertIs(
-                self.ended[-1], Outcome.MOOT, "told at once, to be placed elsewhere"
+                self.ended[-1],
+                AttemptOutcome.WITHDRAWN,
+                "told at once, to be placed elsewhere",
             )
             self.silent(listener)
 
@@ -127,7 +131,7 @@
         self.listed(port)
         self.carry()
         self.fleet.listed(True, [])
-        self.assertIs(self.ended[0], Outcome.MOOT)
+        self.assertIs(self.ended[0], AttemptOutcome.WITHDRAWN)
         self.silent(listener)
         self.assertIsNone(self.carry())
 
@@ -139,7 +143,7 @@
         sock = self.loop.accepted(new)
         self.assertIn(b"X-Txn: 0", self.loop.read(sock))
         sock.sendall(WHOLE)
-        self.assertEqual(self.outcome(), (Outcome.SATISFIED, b"hi"))
+        self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
         self.silent(old)
 
     def test_a_dial_that_fails_where_the_node_was_ends_nothing(self):
@@ -159,7 +163,7 @@
         self.loop.read(sock)
         self.listed(after)
         sock.sendall(WHOLE)
-        self.assertEqual(self.outcome(), (Outcome.SATISFIED, b"hi"))
+        self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
         self.carry()
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(new)))
         self.assertIn(receive(sock), (None, b""))
@@ -188,13 +192,13 @@
         sock = self.loop.accepted(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(sock))
         sock.sendall(WHOLE)
-        self.assertEqual(self.outcome(1), (Outcome.SATISFIED, b"hi"))
+        self.assertEqual(self.outcome(1), (AttemptOutcome.SUCCEEDED, b"hi"))
 
     def test_one_whose_time_is_over_before_its_link_is_up_does_not_begin(self):
         listener, port = self.node()
         self.listed(port)
         self.carry(left=0)
-        self.assertIs(self.outcome(), Outcome.UNREACHED)
+        self.assertIs(self.outcome(), AttemptOutcome.UNREACHABLE)
         self.silent(listener)
 
     def test_one_that_was_withdrawn_before_its_link_is_up_does_not_begin_and_the_next_takes_the_link(
@@ -204,14 +208,14 @@
         self.listed(port)
         first = self.carry()
         self.assertFalse(first.begun)
-        first.withdraw(Outcome.MOOT)
+        first.withdraw(AttemptOutcome.WITHDRAWN)
         self.carry()
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
 
     def test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset(self):
         for end, wanted in (
-            (socket.socket.close, (Outcome.SATISFIED, b"all of it")),
-            (reset, Outcome.RESET),
+            (socket.socket.close, (AttemptOutcome.SUCCEEDED, b"all of it")),
+            (reset, AttemptOutcome.RESET),
         ):
             listener, port = self.node()
             self.listed(port)
@@ -241,7 +245,7 @@
                 sock.sendall(half)
                 self.loop.turn(3)
                 end(sock)
-                self.assertIs(self.outcome(len(self.ended) - 1), Outcome.RESET)
+                self.assertIs(self.outcome(len(self.ended) - 1), AttemptOutcome.RESET)
 
     def test_an_answer_that_never_ends_is_cut_at_the_bound(self):
         listener, port = self.node()
@@ -258,7 +262,7 @@
                 pass
             return self.ended[0]
 
-        self.assertIs(self.loop.until(pour), Outcome.ERROR)
+        self.assertIs(self.loop.until(pour), AttemptOutcome.ERROR)
         self.assertEqual((self.fleet.octets.held, self.fleet.open), (0, 0))
 
     def test_interim_answers_octet_by_octet_and_octets_right_behind(self):
@@ -271,7 +275,7 @@
             sock.sendall(bytes([octet]))
             self.loop.turn()
         sock.sendall(WHOLE[-1:] + b"HTTP/1.1 500 No\r\n")
-        self.assertEqual(self.outcome(), (Outcome.SATISFIED, b"hi"))
+        self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
         self.carry()  # never on the link that brought more
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
 
@@ -287,7 +291,7 @@
         self.assertIn(b"X-Txn: 1", self.loop.read(other))
         self.assertIn(receive(sock), (None, b""), "nothing went out on the first")
         other.sendall(WHOLE)
-        self.assertEqual(self.outcome(1), (Outcome.SATISFIED, b"hi"))
+        self.assertEqual(self.outcome(1), (AttemptOutcome.SUCCEEDED, b"hi"))
 
     def test_an_answer_before_our_last_octet_is_written_retires_the_link(self):
         listener, port = self.node()
@@ -300,7 +304,7 @@
             HEAD.replace(b"200 OK", b"503 Full")
             + b"X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
         )
-        self.assertEqual(self.outcome(), (Outcome.TURNED_AWAY, b""))
+        self.assertEqual(self.outcome(), (AttemptOutcome.REJECTED, b""))
         self.loop.until(lambda: self.fleet.open == 0)
 
 
@@ -309,7 +313,9 @@
 
     def goes(self, *others):
         here = [NODE | {"state": "left"}, *others]
-        self.gateway.listed(News.CHANGES, [place_of(each, ["z"], 0) for each in here])
+        self.gateway.listed(
+            EndpointUpdateKind.DELTA, [place_of(each, ["z"], 0) for each in here]
+        )
 
     def test_a_dispatch_that_waits_at_a_node_that_is_replaced_goes_to_its_successor(
         self,
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -13,7 +13,7 @@
     TOLD_MOVED,
     Call,
 )
-from milletsill.interface import News
+from milletsill.interface import EndpointUpdateKind
 from tests.support.discovery_connections import HEAD, LOOK, Held, said
 from tests.support.http_gateway_rig import SETTINGS, Loopback, reset
 
@@ -43,10 +43,12 @@
             self.over(other)
             self.go(FIRST_WORD)
             self.assertEqual(
-                (self.told, self.follower.beside), ([(News.WHOLE, "ready")], None), wins
+                (self.told, self.follower.beside),
+                ([(EndpointUpdateKind.SNAPSHOT, "ready")], None),
+                wins,
             )
             end.sendall(said(9, state="leaving"))
-            self.until(lambda: self.told[-1] == (News.CHANGES, "draining"))
+            self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
 
     def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(
         self,
@@ -63,7 +65,7 @@
         self.second()
         first.sendall(said(8, True)[40:])
         self.until(lambda: self.told)
-        self.assertEqual(self.told, [(News.WHOLE, "ready")])
+        self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, "ready")])
 
     def test_where_lists_are_pushed_a_dial_that_is_not_up_has_another_beside_it_and_two_at_most(
         self,
@@ -106,7 +108,7 @@
         self.turn(3)
         self.assertEqual(
             (self.told, self.reactor.getWriters(), self.follower.beside),
-            ([(News.WHOLE, "ready")], [], None),
+            ([(EndpointUpdateKind.SNAPSHOT, "ready")], [], None),
         )
 
     def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(
@@ -126,7 +128,10 @@
         second.sendall(HEAD + said(8, True))
         self.until(lambda: len(self.told) == 2)
         self.over(first)
-        self.assertEqual(self.told, [(News.FAILED,), (News.WHOLE, "ready")])
+        self.assertEqual(
+            self.told,
+            [(EndpointUpdateKind.FAILED,), (EndpointUpdateKind.SNAPSHOT, "ready")],
+        )
 
     def test_after_sighup_a_call_that_is_reset_and_one_that_is_never_answered_leave_time_for_a_third(
         self,
@@ -144,7 +149,7 @@
         self.go(BESIDE_MOVED[1] - (self.clock - moved))
         second = self.second(there)
         second.sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (News.CHANGES, "draining"))
+        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
         self.over(first)
         self.assertLess(self.clock - moved, TOLD_MOVED - MARGIN)
         self.assertEqual(self.failed(), 1)
@@ -167,7 +172,7 @@
             self.assertLess(self.clock - moved, TOLD_MOVED - MARGIN)
             self.go(LOOK)
         self.taken(there)[0].sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (News.CHANGES, "draining"))
+        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
         self.assertEqual(self.failed(), 1)
 
 
@@ -188,7 +193,7 @@
             told(kind, places),
         )
         self.pass_time(20.0)
-        self.assertEqual({News.FAILED}, set(failed))
+        self.assertEqual({EndpointUpdateKind.FAILED}, set(failed))
         self.assertLess(len(failed) / 20, 4)
         back = socket.create_server(address)
         self.sockets.append(back)
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -7,7 +7,7 @@
 from itertools import product
 
 from milletsill.http_gateway.gateway import Gateway
-from milletsill.interface import News
+from milletsill.interface import EndpointUpdateKind
 from tests.support import http_gateway_rig as shared
 from tests.support.discovery_rig import (
     FAILING,
@@ -270,20 +270,20 @@
                 (400, 1 / 4),
             ):
                 of.asks = asks
-                of.listed(1000, News.FAILED, [])
+                of.on_endpoints(1000, EndpointUpdateKind.FAILED, [])
                 self.assertEqual(
-                    port.of("wake")[-1], (1000 + int(60_000 * share * part), "ask")
+                    port.of("set_timer")[-1], (1000 + int(60_000 * share * part), "ask")
                 )
 
     def test_the_list_as_it_was_known_is_no_proof_that_discovery_can_be_reached(self):
         for asked, news, left in (
-            (False, News.CACHED, 1),
-            (True, News.CACHED, 1),
-            (True, News.WHOLE, 0),
-            (True, News.CHANGES, 0),
+            (False, EndpointUpdateKind.CACHED, 1),
+            (True, EndpointUpdateKind.CACHED, 1),
+            (True, EndpointUpdateKind.SNAPSHOT, 0),
+            (True, EndpointUpdateKind.DELTA, 0),
         ):
             of, _ = scheduler(list_on_request=asked)
-            of.listed(0, news, [line(7)])
+            of.on_endpoints(0, news, [line(7)])
             self.assertEqual(of.asks, left, (asked, news))
 
     def test_the_time_is_the_least_that_settings_and_page_say_and_the_grace_where_lists_are_pushed(
--- a/tests/node_connections/test_connection_pool.py
+++ b/tests/node_connections/test_connection_pool.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from milletsill.interface import Outcome
+from milletsill.interface import AttemptOutcome
 from milletsill.node_connections.connection_pool import Pool
 from milletsill.node_connections.connection_state import (
     Bounds,
@@ -141,14 +141,14 @@
         self.assertIn(b"dispatch@milletsill", transport.value())
         verdict = Verdict(extensions.DONE, "0", {}, None, 0, packets.Data(2, b"x"))
         link.dataReceived(packets.encode(extensions.put_verdict(2, verdict)))
-        self.assertEqual(self.ended, [(0, Outcome.SATISFIED)])
+        self.assertEqual(self.ended, [(0, AttemptOutcome.SUCCEEDED)])
 
     def test_a_dial_that_fails_tells_unreached_and_never_from_within(self):
         self.send()
         self.endpoint.dials[0][1].errback(ConnectionRefusedError())
         self.assertEqual(self.ended, [])
         self.clock.advance(0)
-        self.assertEqual(self.ended, [(0, Outcome.UNREACHED)])
+        self.assertEqual(self.ended, [(0, AttemptOutcome.UNREACHABLE)])
 
     def test_half_a_packet_and_a_break_is_a_reset_once(self):
         self.send()
@@ -161,7 +161,7 @@
         link.dataReceived(data[:9])
         link.connectionLost()
         link.connectionLost()
-        self.assertEqual(self.ended, [(0, Outcome.RESET)])
+        self.assertEqual(self.ended, [(0, AttemptOutcome.RESET)])
 
     def test_broken_bytes_cut_the_link_and_reset_what_is_out(self):
         self.send()
@@ -169,7 +169,7 @@
         link.dataReceived(b"\xff\xff\xff\xff")
         self.assertEqual(
             (self.ended, transport.aborted, self.pool.links),
-            ([(0, Outcome.RESET)], True, []),
+            ([(0, AttemptOutcome.RESET)], True, []),
         )
 
     def test_a_half_open_link_is_beaten_then_cut(self):
@@ -178,7 +178,9 @@
         for _ in range(60):
             self.clock.advance(0.05)
         self.assertIn(b"beat@milletsill", transport.value())
-        self.assertEqual((self.ended, transport.aborted), ([(0, Outcome.RESET)], True))
+        self.assertEqual(
+            (self.ended, transport.aborted), ([(0, AttemptOutcome.RESET)], True)
+        )
 
     def test_what_is_withdrawn_is_cancelled_at_the_box_and_silent(self):
         sending = self.send()
@@ -194,7 +196,7 @@
         self.send()
         for _ in range(6):
             self.clock.advance(0.06)
-        self.assertEqual(self.ended, [(0, Outcome.UNREACHED)])
+        self.assertEqual(self.ended, [(0, AttemptOutcome.UNREACHABLE)])
         link, transport = self.endpoint.dials[0][0].buildProtocol(None), Transport()
         link.makeConnection(transport)
         self.assertTrue(transport.aborted)
@@ -205,7 +207,7 @@
         self.pool.close()
         self.send(1)
         self.clock.advance(0)
-        self.assertEqual(self.ended, [(1, Outcome.UNREACHED)])
+        self.assertEqual(self.ended, [(1, AttemptOutcome.UNREACHABLE)])
 
 
 if __name__ == "__main__":
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from milletsill.interface import Outcome, Readiness
+from milletsill.interface import AttemptOutcome, Readiness
 from milletsill.node_connections.connection_pool import Pool
 from milletsill.node_connections.connection_state import Bounds
 from milletsill.registry.endpoint_view import Box
@@ -118,16 +118,19 @@
                 ends()
                 self.assertEqual(
                     self.ended,
-                    [(0, Outcome.MOOT)],
+                    [(0, AttemptOutcome.WITHDRAWN)],
                     "told at once, to be placed elsewhere",
                 )
                 door.greet()
                 self.loop.turn(20)
-                self.assertEqual((door.orders(), self.ended), ([], [(0, Outcome.MOOT)]))
+                self.assertEqual(
+                    (door.orders(), self.ended), ([], [(0, AttemptOutcome.WITHDRAWN)])
+                )
                 self.send(1)
                 self.loop.until(lambda: len(self.ended) == 2)
                 self.assertEqual(
-                    (self.ended[1:], door.orders()), ([(1, Outcome.UNREACHED)], [])
+                    (self.ended[1:], door.orders()),
+                    ([(1, AttemptOutcome.UNREACHABLE)], []),
                 )
                 self.pool.abort()
 
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -17,7 +17,7 @@
 from twisted.trial.unittest import TestCase
 
 from milletsill.cli.main import main
-from milletsill.interface import Listed, Readiness
+from milletsill.interface import Endpoint, Readiness
 from milletsill.logs import logger
 from milletsill.planner import codec, epoch_store
 from milletsill.planner.codec import BadFrame, Frames, encoded
@@ -225,8 +225,8 @@
         parts = self.parts(incarnation=2)
         parts.listed(
             [
-                Listed(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3),
-                Listed(8, Readiness.READY, 4.0, 0, 0, None, 4),
+                Endpoint(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3),
+                Endpoint(8, Readiness.READY, 4.0, 0, 0, None, 4),
             ]
         )
         self.assertEqual({each[:2] for each in self.host.parts}, {("cold", 7)})
@@ -239,7 +239,9 @@
         """The module may have forgotten a box that was gone."""
         parts = self.parts(incarnation=2)
         for _ in range(2):
-            parts.listed([Listed(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)])
+            parts.listed(
+                [Endpoint(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)]
+            )
         self.assertGreaterEqual(
             sum(each[:2] == ("cold", 7) for each in self.host.parts), 2
         )
@@ -260,7 +262,7 @@
         parts = self.parts()
         for node in range(50):
             parts.listed(
-                [Listed(node, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)]
+                [Endpoint(node, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)]
             )
         parts.look()
         self.assertEqual(
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from milletsill.interface import News, Readiness
+from milletsill.interface import EndpointUpdateKind, Readiness
 from milletsill.registry import endpoint_cache, etcd_json
 from milletsill.registry.endpoint_view import (
     BadBox,
@@ -273,18 +273,24 @@
         ):
             self.setUp()
             self.passing(7.1)
-            self.assertEqual(self.told, [(News.WHOLE, ["READY"])])
+            self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, ["READY"])])
             self.revision, self.ways = 5, ways
             self.keys = {"k/7": (change, 5)} if change else {}
             self.passing(within)
-            self.assertEqual(self.told[1:], [(News.FAILED, [])])
+            self.assertEqual(self.told[1:], [(EndpointUpdateKind.FAILED, [])])
             self.follower.ask()  # as the module does
-            self.assertEqual(self.told[2], (News.WHOLE, ["DRAINING"] if change else []))
+            self.assertEqual(
+                self.told[2],
+                (EndpointUpdateKind.SNAPSHOT, ["DRAINING"] if change else []),
+            )
 
     def test_a_registry_restored_from_a_backup_is_found(self):
         self.revision = 3  # behind what it told, and the watch stands
         self.passing(7.1)
-        self.assertEqual([news for news, _ in self.told], [News.WHOLE, News.FAILED])
+        self.assertEqual(
+            [news for news, _ in self.told],
+            [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.FAILED],
+        )
         self.follower.ask()
         self.passing(7.1)
         self.line(
@@ -292,7 +298,7 @@
                 {"result": {"created": True, "header": {"revision": "2"}}}
             ).encode()
         )
-        self.assertEqual(self.told[-1][0], News.FAILED)
+        self.assertEqual(self.told[-1][0], EndpointUpdateKind.FAILED)
 
     def test_a_watch_that_is_late_or_has_nothing_to_say_stands(self):
         self.passing(7.1)
@@ -305,7 +311,10 @@
         self.line(json.dumps({"result": {"events": [gone]}}).encode())
         self.ways = ["fails"] * 4 + ["no word"]
         self.passing(60)
-        self.assertEqual([news for news, _ in self.told], [News.WHOLE, News.CHANGES])
+        self.assertEqual(
+            [news for news, _ in self.told],
+            [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA],
+        )
         self.assertLess(self.calls, 20, "a registry that fails is asked less often")
 
 
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from milletsill.interface import Outcome
+from milletsill.interface import AttemptOutcome
 from milletsill.scheduler.tables import CREDITS, Health, Sign
 from tests.support.scheduler_builders import answer, arrival, node, scheduler, transfer
 
@@ -55,7 +55,7 @@
         head = transfer(of, 1, volume=2)
         of.hold(head, at, 0)
         self.assertIsNone(of.choose(at, 0))
-        self.assertEqual(port.of("wake")[-1], (200, at))
+        self.assertEqual(port.of("set_timer")[-1], (200, at))
         at.out.clear()
         self.assertIs(of.choose(at, 0), head)
 
@@ -105,7 +105,7 @@
         for each in run[1:] + [head]:
             of.hold(each, at, 0)
         of.run_on(at, run[0], head.tag - 500)
-        self.assertEqual([sent[0] for sent in port.of("send")], [1, 2])
+        self.assertEqual([sent[0] for sent in port.of("send_attempt")], [1, 2])
 
     def test_what_cannot_leave_in_time_goes_behind_least_useful_first(self):
         of, port = scheduler()
@@ -116,7 +116,7 @@
             of.hold(each, at, 0)
         of.relieve(at, 0)
         self.assertEqual([held[0].queue, held[1].queue], [at.due, at.background])
-        self.assertEqual(port.of("decline"), [])
+        self.assertEqual(port.of("reject"), [])
 
     def test_what_cannot_leave_within_patience_is_declined_at_once(self):
         for best, declined in (
@@ -129,7 +129,7 @@
             for number in range(3):
                 of.hold(transfer(of, number, units=4.0), at, 0)
             of.relieve(at, 0)
-            self.assertEqual(len(port.of("decline")), declined, best)
+            self.assertEqual(len(port.of("reject")), declined, best)
 
     def test_background_leaves_a_crowded_node_one_at_a_time(self):
         of, _ = scheduler()
@@ -159,7 +159,9 @@
             at.window = 2.0
             of.dispatch(one, at, 0)
             at.out[0].full = True
-            of.learn(at.out[0], answer(1, Outcome.SATISFIED, latency=latency), 400)
+            of.learn(
+                at.out[0], answer(1, AttemptOutcome.SUCCEEDED, latency=latency), 400
+            )
             self.assertEqual(at.window > 2.0, wider)
 
 
@@ -214,7 +216,7 @@
             at, one = node(of), transfer(of, 1)
             at.lapses, one.reserved = lapses, reserved
             of.dispatch(one, at, now)
-            self.assertEqual(port.of("send"), [(1, 7, timeout)])
+            self.assertEqual(port.of("send_attempt"), [(1, 7, timeout)])
 
     def test_a_first_dispatch_is_lost_sooner_where_its_target_leaves_time_for_another(
         self,
@@ -238,7 +240,7 @@
             one.dispatches = [None] * number
             of.dispatch(one, at, 0)
             self.assertEqual(
-                (port.of("send")[-1][2], at.out[0].final),
+                (port.of("send_attempt")[-1][2], at.out[0].final),
                 (timeout, final),
                 (latency, number, credit),
             )
@@ -248,33 +250,33 @@
         one = transfer(of, 1)
         one.reserved = False
         of.dispatch(one, node(of), 0)
-        of.returned(3000, answer(1, Outcome.TIMED_OUT, latency=3000))
-        self.assertEqual(port.of("decline"), [(1, 5000)])
+        of.on_attempt_result(3000, answer(1, AttemptOutcome.TIMED_OUT, latency=3000))
+        self.assertEqual(port.of("reject"), [(1, 5000)])
 
     def test_dispatches_that_come_to_nothing_make_a_node_rest_twice_as_long_each(self):
-        for outcome in (Outcome.TIMED_OUT, Outcome.TURNED_AWAY):
+        for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.REJECTED):
             of, _ = scheduler()
             at, rests = node(of), []
             of.uniform = lambda low, high: 1.0
             for number in range(2):
                 of.dispatch(transfer(of, number), at, at.rest_until)
                 now = at.rest_until + 400
-                of.returned(now, answer(number, outcome))
+                of.on_attempt_result(now, answer(number, outcome))
                 rests.append(at.rest_until - now)
             self.assertEqual(rests, [400, 1200])
 
     def test_a_dispatch_lost_alone_at_a_node_heard_of_late_is_no_lapse(self):
         for heard, silent, outcome, lapses, health in (
-            (1000, 0, Outcome.TIMED_OUT, 0, Health.STEADY),
-            (0, 0, Outcome.TIMED_OUT, 1, Health.RETURNED),
-            (1000, 1500, Outcome.RESET, 1, Health.RETURNED),
-            (1000, 0, Outcome.TURNED_AWAY, 1, Health.STEADY),
+            (1000, 0, AttemptOutcome.TIMED_OUT, 0, Health.STEADY),
+            (0, 0, AttemptOutcome.TIMED_OUT, 1, Health.RETURNED),
+            (1000, 1500, AttemptOutcome.RESET, 1, Health.RETURNED),
+            (1000, 0, AttemptOutcome.REJECTED, 1, Health.STEADY),
         ):
             of, _ = scheduler()
             at, of.shortest = node(of), 100
             of.dispatch(transfer(of, 1), at, 1500)
             at.heard, at.silent = heard, silent
-            of.returned(1900, answer(1, outcome, latency=400))
+            of.on_attempt_result(1900, answer(1, outcome, latency=400))
             self.assertEqual(
                 (at.lapses, at.health), (lapses, health), (heard, silent, outcome)
             )
@@ -286,7 +288,7 @@
         at, of.shortest = node(of), 1000
         of.dispatch(transfer(of, 1), at, 2500)
         at.heard = 1000
-        of.returned(2501, answer(1, Outcome.RESET, latency=1))
+        of.on_attempt_result(2501, answer(1, AttemptOutcome.RESET, latency=1))
         self.assertEqual((at.lapses, at.health), (0, Health.STEADY))
 
     def test_a_lost_dispatch_frees_its_slot_and_may_go_again(self):
@@ -294,7 +296,7 @@
         at, one = node(of), transfer(of, 1)
         of.hold(one, at, 0)
         of.dispatch(one, at, 0)
-        of.returned(2400, answer(1, Outcome.TIMED_OUT))
+        of.on_attempt_result(2400, answer(1, AttemptOutcome.TIMED_OUT))
         self.assertEqual(
             (at.out, of.unplaced[-1], of.wait_for(one, at, 2400)), ([], one, 0)
         )
@@ -309,8 +311,8 @@
     def test_taking_a_transfer_sends_nothing_before_settling(self):
         of, port = scheduler()
         node(of)
-        of.taken(0, arrival(1))
-        self.assertEqual(port.of("send"), [])
+        of.on_request(0, arrival(1))
+        self.assertEqual(port.of("send_attempt"), [])
 
 
 if __name__ == "__main__":
--- a/tests/scheduler/test_slow_start_across_fleet.py
+++ b/tests/scheduler/test_slow_start_across_fleet.py
@@ -6,7 +6,12 @@
 from itertools import count
 from random import Random
 
-from milletsill.interface import Answer, Arrival, News, Outcome
+from milletsill.interface import (
+    AttemptResult,
+    Request,
+    EndpointUpdateKind,
+    AttemptOutcome,
+)
 from milletsill.scheduler import Scheduler
 from tests.support.scheduler_builders import BASE, CATEGORY, line
 
@@ -26,14 +31,14 @@
             self,
         )
 
-    def send(self, transfer, node, timeout):
+    def send_attempt(self, transfer, node, timeout):
         number = self.dispatches[transfer] = self.dispatches.get(transfer, -1) + 1
         self.fleet.leaves(self, transfer, number, node, timeout)
 
-    def wake(self, at, what):
-        self.fleet.at(at, lambda: self.module.woken(self.fleet.now, what), self)
+    def set_timer(self, at, what):
+        self.fleet.at(at, lambda: self.module.on_timer(self.fleet.now, what), self)
 
-    def decline(self, transfer, pause):
+    def reject(self, transfer, pause):
         self.fleet.declined(transfer)
 
     def __getattr__(self, name):  # what else the module does is not looked at
@@ -118,7 +123,9 @@
         )
 
     def told(self, index):
-        self.gateways[index].module.listed(self.now, News.CHANGES, self.lines)
+        self.gateways[index].module.on_endpoints(
+            self.now, EndpointUpdateKind.DELTA, self.lines
+        )
 
     def restart(self, index):
         self.gateways[index] = Gateway(self, index)
@@ -142,9 +149,9 @@
         self.again[id] = again
         self.units[id] = min(1 + int(self.chance.expovariate(1.0)), self.largest)
         cell = None if self.chance.random() < self.new else 0
-        gateway.module.taken(
+        gateway.module.on_request(
             self.now,
-            Arrival(
+            Request(
                 id,
                 id,
                 id % 50,
@@ -191,18 +198,31 @@
             self.ends(gateway, transfer, number, 7, sent, self.busy_until)
         elif timeout:
             self.ends(
-                gateway, transfer, number, 7, sent, sent + timeout, Outcome.TIMED_OUT
+                gateway,
+                transfer,
+                number,
+                7,
+                sent,
+                sent + timeout,
+                AttemptOutcome.TIMED_OUT,
             )
 
     def ends(
-        self, gateway, transfer, number, node, sent, at, outcome=Outcome.SATISFIED
+        self,
+        gateway,
+        transfer,
+        number,
+        node,
+        sent,
+        at,
+        outcome=AttemptOutcome.SUCCEEDED,
     ):
-        over = outcome is Outcome.SATISFIED
+        over = outcome is AttemptOutcome.SUCCEEDED
         self.at(
             at,
-            lambda: gateway.module.returned(
+            lambda: gateway.module.on_attempt_result(
                 self.now,
-                Answer(
+                AttemptResult(
                     transfer, number, node, outcome, over, self.now - sent, None, 0, {}
                 ),
             ),
@@ -221,7 +241,7 @@
             self.now, _, call, gateway = heapq.heappop(self.events)
             call()
             if gateway is not None:
-                gateway.module.settle(self.now)
+                gateway.module.dispatch_pending(self.now)
         return self
 
     def most(self):
@@ -473,14 +493,16 @@
             for gateway in fleet.gateways:
                 fleet.now, id = 50_000 + at, next(fleet.numbers)
                 fleet.units[id] = 2
-                gateway.module.taken(
+                gateway.module.on_request(
                     fleet.now,
-                    Arrival(
+                    Request(
                         id, id, 1, 9, 0, 0, False, False, 0, 2.0, fleet.now + 15_000
                     ),
                 )
-                gateway.module.settle(fleet.now)
+                gateway.module.dispatch_pending(fleet.now)
         for gateway in fleet.gateways:
-            gateway.module.listed(fleet.now, News.WHOLE, [line(7, since=54_000)])
-            gateway.module.settle(fleet.now)
+            gateway.module.on_endpoints(
+                fleet.now, EndpointUpdateKind.SNAPSHOT, [line(7, since=54_000)]
+            )
+            gateway.module.dispatch_pending(fleet.now)
         self.assertEqual(fleet.sent, [])
--- a/tests/support/discovery_connections.py
+++ b/tests/support/discovery_connections.py
@@ -11,7 +11,7 @@
 from twisted.internet.selectreactor import SelectReactor
 
 from milletsill.http_gateway.endpoint_watcher import Follower
-from milletsill.interface import News
+from milletsill.interface import EndpointUpdateKind
 from tests.support.http_gateway_rig import NODE
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -187,7 +187,7 @@
         return end
 
     def failed(self):
-        return [each[0] for each in self.told].count(News.FAILED)
+        return [each[0] for each in self.told].count(EndpointUpdateKind.FAILED)
 
     def reset(self, end):
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/support/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -271,16 +271,16 @@
 
     def hear(self, kind, places):
         self.has |= any(each.listed.readiness is Readiness.DRAINING for each in places)
-        self.module.listed(self.now(), kind, [each.listed for each in places])
+        self.module.on_endpoints(self.now(), kind, [each.listed for each in places])
 
-    def wake(self, at, what):
+    def set_timer(self, at, what):
         if what == "ask":
             self.reactor.callLater(
                 max(at - self.now(), 0) / 10_000,
-                lambda: self.module.woken(self.now(), what),
+                lambda: self.module.on_timer(self.now(), what),
             )
 
-    def watch(self):
+    def watch_endpoints(self):
         self.follower.ask()
 
 
--- a/tests/support/scheduler_builders.py
+++ b/tests/support/scheduler_builders.py
@@ -4,7 +4,13 @@
 
 from typing import Any
 
-from milletsill.interface import Answer, Arrival, Listed, Outcome, Readiness
+from milletsill.interface import (
+    AttemptResult,
+    Request,
+    Endpoint,
+    AttemptOutcome,
+    Readiness,
+)
 from milletsill.scheduler import Scheduler
 from milletsill.scheduler.records import Node, Transfer
 
@@ -95,8 +101,8 @@
     since: int | None = None,
     zone: int = 0,
     readiness: Readiness = Readiness.READY,
-) -> Listed:
-    return Listed(node, readiness, 1.0, 0, zone, since, cell)
+) -> Endpoint:
+    return Endpoint(node, readiness, 1.0, 0, zone, since, cell)
 
 
 def node(of: Scheduler, number: int = 7, **entry: Any) -> Node:
@@ -116,17 +122,21 @@
     units: float = 2.0,
     ends: int = 15_000,
     repeat: bool = False,
-) -> Arrival:
-    return Arrival(number, extent, volume, 1, 0, 0, repeat, False, cell, units, ends)
+) -> Request:
+    return Request(number, extent, volume, 1, 0, 0, repeat, False, cell, units, ends)
 
 
 def transfer(of: Scheduler, number: int, now: int = 0, **given: Any) -> Transfer:
     """A transfer that was taken and has no node yet."""
-    of.taken(now, arrival(number, **given))
+    of.on_request(now, arrival(number, **given))
     return of.transfers[number]
 
 
 def answer(
-    number: int, outcome: Outcome, go: int = 0, over: bool = False, latency: int = 400
-) -> Answer:
-    return Answer(number, go, 7, outcome, over, latency, None, 0, {})
+    number: int,
+    outcome: AttemptOutcome,
+    go: int = 0,
+    over: bool = False,
+    latency: int = 400,
+) -> AttemptResult:
+    return AttemptResult(number, go, 7, outcome, over, latency, None, 0, {})
--- a/tests/trace/test_gateway_trace.py
+++ b/tests/trace/test_gateway_trace.py
@@ -12,7 +12,14 @@
 from twisted.internet import reactor
 from twisted.trial.unittest import TestCase
 
-from milletsill.interface import Answer, Arrival, Listed, News, Outcome, Readiness
+from milletsill.interface import (
+    AttemptResult,
+    Request,
+    Endpoint,
+    EndpointUpdateKind,
+    AttemptOutcome,
+    Readiness,
+)
 from milletsill.scheduler import Scheduler
 from milletsill.sftp import packets
 from milletsill.trace.reader import Trace, verify
@@ -37,29 +44,29 @@
     def __init__(self):
         self.did, self.wakes = [], []
 
-    def send(self, transfer, node, timeout):
+    def send_attempt(self, transfer, node, timeout):
         self.did.append(("dispatch", (transfer, node, timeout)))
 
-    def decline(self, transfer, pause):
+    def reject(self, transfer, pause):
         self.did.append(("declined", (transfer, pause)))
 
-    def abort(self, transfer):
+    def fail(self, transfer):
         self.did.append(("aborted", (transfer,)))
 
-    def cancel(self, transfer, number):
+    def cancel_attempt(self, transfer, number):
         self.did.append(("cancelled", (transfer, number)))
 
-    def watch(self):
+    def watch_endpoints(self):
         self.did.append(("watch", ()))
 
-    def fetch(self):
+    def fetch_endpoints(self):
         self.did.append(("fetch", ()))
 
-    def wake(self, at, what):
+    def set_timer(self, at, what):
         self.wakes.append(what)
         self.did.append(("wake", (at,)))
 
-    def remark(self, text):
+    def log(self, text):
         self.did.append(("remark", (text,)))
 
 
@@ -83,11 +90,11 @@
         if kind in DID:
             said.append((kind, tuple(values)))
         elif kind == "listed":
-            news, left, entries = News(values[0]), values[1], []
+            news, left, entries = EndpointUpdateKind(values[0]), values[1], []
         elif kind == "listing":
             node, ready, size, machine, zone, since, known, cell = values
             entries.append(
-                Listed(
+                Endpoint(
                     node,
                     Readiness(ready),
                     size,
@@ -114,9 +121,9 @@
                 ends,
                 _,
             ) = values
-            module.taken(
+            module.on_request(
                 at,
-                Arrival(
+                Request(
                     id,
                     extent,
                     volume,
@@ -132,13 +139,13 @@
             )
         elif kind == "outcome":
             id, number, node, outcome, over, latency, used, elsewhere, report = values
-            module.returned(
+            module.on_attempt_result(
                 at,
-                Answer(
+                AttemptResult(
                     id,
                     number,
                     node,
-                    Outcome(outcome),
+                    AttemptOutcome(outcome),
                     bool(over),
                     latency,
                     None if used < 0 else used,
@@ -147,19 +154,21 @@
                 ),
             )
         elif kind == "abandoned":
-            module.abandoned(at, values[0])
+            module.on_client_cancelled(at, values[0])
         elif kind == "woken":
-            module.woken(at, port.wakes[values[0] - 1])
+            module.on_timer(at, port.wakes[values[0] - 1])
         elif kind == "advised":
             node, strain, away, until = values
-            module.advised(at, node, strain, bool(away), until)
+            module.on_health_advice(at, node, strain, bool(away), until)
         elif kind == "part":
             what, id, share, ends, after = values
-            module.part(at, what, id, None if share < 0 else share, ends, after)
+            module.on_quota_share(
+                at, what, id, None if share < 0 else share, ends, after
+            )
         elif kind == "settled":
-            module.settle(at)
+            module.dispatch_pending(at)
         if kind in ("listed", "listing") and not left:
-            module.listed(at, news, entries)
+            module.on_endpoints(at, news, entries)
     return port.did, said
 
 
@@ -169,19 +178,19 @@
             def __init__(self, facts, seed, now, port):
                 self.port = port
 
-            def taken(self, now, arrival):
-                self.port.send(arrival.id, 3, 50)
-                self.port.wake(now + 9, "x")
+            def on_request(self, now, arrival):
+                self.port.send_attempt(arrival.id, 3, 50)
+                self.port.set_timer(now + 9, "x")
 
-            def woken(self, now, what):
-                self.port.decline(1, 7 if what == "x" else 0)
+            def on_timer(self, now, what):
+                self.port.reject(1, 7 if what == "x" else 0)
 
         held, port = Held(), Again()
         recorder = Recorder(held, ["shop"])
         told = recorder.around(Module)({}, 1, 0, port)
         recorder.path("/p")
-        told.taken(10, Arrival(1, 2, 1, 1, 0, 0, False, True, None, 1.0, 99))
-        told.woken(19, port.wakes[0])
+        told.on_request(10, Request(1, 2, 1, 1, 0, 0, False, True, None, 1.0, 99))
+        told.on_timer(19, port.wakes[0])
         self.assertEqual(
             [(name, at) for name, at, _ in held.rows],
             [
@@ -200,7 +209,7 @@
     def test_a_store_without_a_name_stands_by_its_number(self):
         held = Held()
         told = Recorder(held, []).around(lambda *_: Mock())({}, 1, 0, Again())
-        told.taken(10, Arrival(1, 2, 77, 1, 0, 0, False, True, 4, 1.0, 99))
+        told.on_request(10, Request(1, 2, 77, 1, 0, 0, False, True, 4, 1.0, 99))
         self.assertEqual(held.rows[0][2][3], "77")
 
 
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -5,7 +5,7 @@
 import unittest
 
 from milletsill import facts as shared
-from milletsill.interface import News, Outcome
+from milletsill.interface import EndpointUpdateKind, AttemptOutcome
 from milletsill.wirehost import codec
 from milletsill.wirehost.codec import BadBatch, Batch, Event
 from milletsill.wirehost.host import Host, serve
@@ -80,7 +80,7 @@
     def test_a_list_number_is_reused_within_a_batch(self):
         host, heard = Host(), []
         host.answer(Batch(1, 0, list(codec.events_of(BORN, 1))))
-        host.instances[3].module.listed = lambda now, news, entries: heard.append(
+        host.instances[3].module.on_endpoints = lambda now, news, entries: heard.append(
             (news, [entry.node for entry in entries])
         )
         rosters = [
@@ -90,7 +90,10 @@
         update = event(codec.UPDATE, 1, 9, 0)
         body = event(codec.INSTANCE, 3) + rosters[0] + update + rosters[1] + update
         host.answer(Batch(2, 0, list(codec.events_of(body, 2))))
-        self.assertEqual(heard, [(News.WHOLE, [5]), (News.WHOLE, [6])])
+        self.assertEqual(
+            heard,
+            [(EndpointUpdateKind.SNAPSHOT, [5]), (EndpointUpdateKind.SNAPSHOT, [6])],
+        )
 
     def test_a_killed_instance_says_nothing_more_and_its_next_life_starts_anew(self):
         host = Host()
@@ -104,7 +107,7 @@
     def test_an_exception_in_the_module_is_said_with_its_place(self):
         host = Host()
         host.answer(Batch(1, 0, list(codec.events_of(BORN, 1))))
-        host.instances[3].module.abandoned = lambda now, tid: 1 // 0
+        host.instances[3].module.on_client_cancelled = lambda now, tid: 1 // 0
         events = [Event(codec.INSTANCE, (3,), b""), Event(codec.ABANDONED, (1,), b"")]
         reply = host.answer(Batch(2, 0, events))
         self.assertIn(b"ZeroDivisionError", reply)
@@ -112,7 +115,7 @@
     def test_an_answer_comes_in_our_words(self):
         host, heard = Host(), []
         host.answer(Batch(1, 0, list(codec.events_of(BORN, 1))))
-        host.instances[3].module.returned = lambda now, answer: heard.append(
+        host.instances[3].module.on_attempt_result = lambda now, answer: heard.append(
             (now, answer)
         )
         record = event(codec.RETURNED, 1, 253, 7, 0, 0, 1, 2, 250_000, 0)
@@ -126,12 +129,12 @@
             (
                 now,
                 answer.outcome,
-                answer.over,
-                answer.number,
+                answer.request_finished,
+                answer.attempt_number,
                 answer.latency,
-                answer.used,
+                answer.volume_usage,
             ),
-            (2, Outcome.TIMED_OUT, True, 2, 2, None),
+            (2, AttemptOutcome.TIMED_OUT, True, 2, 2, None),
         )
 
 
