--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -24,7 +24,7 @@
 from google.protobuf import text_format
 
 from benchmarks.registers import free_ports
-from milletsill.fleet.transport import Member, Standing, View
+from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions, packets
@@ -189,7 +189,7 @@
     found, number = [], 0
     while len(found) < count:
         number += 1
-        if view.chosen(f"v/{word}{number}", 1)[0] == keeper:
+        if view.rendezvous(f"v/{word}{number}", 1)[0] == keeper:
             found.append(f"{word}{number}")
     return found
 
@@ -360,7 +360,7 @@
             view = View(
                 1,
                 [
-                    Member(f"g{each}", "", 1, Standing.ALIVE)
+                    Member(f"g{each}", "", 1, MemberState.ALIVE)
                     for each in range(given.gateways)
                 ],
             )
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -20,7 +20,7 @@
 import zstandard
 
 from milletsill.trace import format, tools
-from milletsill.trace.format import BadTrace
+from milletsill.trace.format import MalformedTrace
 from milletsill.trace.reader import verify
 from milletsill.trace.records import BLOCK_HEAD, FLOAT, KINDS, TEXT
 
@@ -139,7 +139,7 @@
                 try:
                     call()
                     said[f"{name} read"] += 1
-                except BadTrace as error:
+                except MalformedTrace as error:
                     assert "\n" not in str(error)
                     said[f"{name} one line"] += 1
                 if os.path.exists(out):
--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -52,7 +52,7 @@
     from prometheus_client import CollectorRegistry
     from twisted.internet import reactor
 
-    from milletsill.errors import Fault
+    from milletsill.errors import MilletsillError
     from milletsill.fleet.leases.lease_manager import Offices
     from milletsill.fleet.service import Fleet
     from milletsill.settings.milletsill_pb2 import FleetLink
@@ -124,7 +124,7 @@
         """Asks for another's channel until it has it, as late as it is told to come back."""
 
         def got(term: Any) -> None:
-            if not isinstance(term, Fault):
+            if not isinstance(term, MilletsillError):
                 return heirs.append(time.monotonic())
             reactor.callLater(max(term.pause, 100) / SECOND, heir, channel)
 
@@ -134,7 +134,9 @@
         offices.take(
             channel,
             lambda term: (
-                again(channel, term) if isinstance(term, Fault) else write(term)
+                again(channel, term)
+                if isinstance(term, MilletsillError)
+                else write(term)
             ),
         )
 
--- a/milletsill/cli/files.py
+++ b/milletsill/cli/files.py
@@ -8,14 +8,14 @@
 
 import click
 
-from milletsill.settings.load import RefusedFile, load
+from milletsill.settings.load import SettingsFileRejected, load
 
 
 def taken(file: str, made: Any, check: Callable[..., None]) -> Any:
     """A checked file, or its faults on standard error and exit status 2."""
     try:
         return load(file, made, check)
-    except RefusedFile as error:
+    except SettingsFileRejected as error:
         for each in error.faults:
             click.echo(str(each), err=True)
         sys.exit(2)
--- a/milletsill/cli/main.py
+++ b/milletsill/cli/main.py
@@ -13,8 +13,8 @@
 from milletsill.cli.files import taken
 from milletsill.cli.planner import ctl, plan
 from milletsill.cli.traces import trace
-from milletsill.errors import line_of
-from milletsill.settings.load import RefusedFile, text_from
+from milletsill.errors import describe_error
+from milletsill.settings.load import SettingsFileRejected, text_from
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
 from milletsill.settings.validation import check_gateway, check_scenario
 
@@ -157,16 +157,16 @@
     day: str, edges: int | None, boxes: int | None, seconds: float | None
 ) -> None:
     """Turn DAY, a day file that the bench drew, into a scenario on standard output."""
-    from milletsill.lab.day import BadDay, scenario_of
+    from milletsill.lab.day import InvalidDayFile, scenario_of
 
     try:
         given = json.loads(text_from(day))
         made = scenario_of(given, edges, boxes, seconds)
-    except RefusedFile as error:
+    except SettingsFileRejected as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    except (BadDay, ValueError, RecursionError) as error:
-        click.echo(f"{day}: {line_of(error)}", err=True)
+    except (InvalidDayFile, ValueError, RecursionError) as error:
+        click.echo(f"{day}: {describe_error(error)}", err=True)
         sys.exit(2)
     click.echo(text_format.MessageToString(made), nl=False)
 
@@ -295,7 +295,7 @@
 def flows_decode(file: str, within: tuple[str, ...]) -> None:
     """Decode FILE, IPFIX messages one behind the other (RFC 5655). Exit status 1 where it ends in the middle of one."""
     from milletsill.flows.collect import Collector, Session
-    from milletsill.flows.ipfix import BadExport, Cutter
+    from milletsill.flows.ipfix import MalformedFlowMessage, Cutter
 
     collector = Collector(
         lambda row: click.echo(json.dumps(row)),
@@ -312,8 +312,8 @@
     except OSError as error:
         click.echo(f"{file}: {error.strerror}", err=True)
         sys.exit(2)
-    except BadExport as error:
-        click.echo(error.at(f"{file} at {at}").line(), err=True)
+    except MalformedFlowMessage as error:
+        click.echo(error.with_location(f"{file} at {at}").describe(), err=True)
         sys.exit(1)
     if cutter.held:
         click.echo(
--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -9,7 +9,7 @@
 
 import click
 
-from milletsill.errors import Fault, line_of
+from milletsill.errors import MilletsillError, describe_error
 
 WITHIN = 5.0  # seconds for an answer
 
@@ -31,7 +31,7 @@
     sys.exit(run(loaded))
 
 
-class Unanswered(Fault):
+class PlannerCommandFailed(MilletsillError):
     """The planner said why it did not do what it was asked, or ended."""
 
     remedy = (
@@ -55,11 +55,11 @@
             while data := link.recv(1 << 16):
                 for frame in frames.feed(data):
                     if frame.told.fault:
-                        raise Unanswered(frame.told.fault)
+                        raise PlannerCommandFailed(frame.told.fault)
                     return [json.loads(each) for each in frame.told.line]
-            raise Unanswered("the planner ended without an answer")
-    except (OSError, OverflowError, ValueError, Fault) as error:
-        click.echo(f"milletsill: {address}: {line_of(error)}", err=True)
+            raise PlannerCommandFailed("the planner ended without an answer")
+    except (OSError, OverflowError, ValueError, MilletsillError) as error:
+        click.echo(f"milletsill: {address}: {describe_error(error)}", err=True)
         sys.exit(1)
 
 
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -11,7 +11,7 @@
 
 import click
 
-from milletsill.errors import line_of
+from milletsill.errors import describe_error
 
 FILE, FILES = (
     click.argument("file", type=click.Path()),
@@ -34,15 +34,15 @@
 
 def said(call: Callable[..., Any], *values: Any, **named: Any) -> Any:
     """What a call on traces gives; a bad or missing file is one line and status 2."""
-    from milletsill.trace.format import BadTrace
+    from milletsill.trace.format import MalformedTrace
 
     try:
         return call(*values, **named)
-    except (BadTrace, OSError) as error:
+    except (MalformedTrace, OSError) as error:
         what = (
             f"{error.filename}: {error.strerror}"
             if isinstance(error, OSError)
-            else error.line()
+            else error.describe()
         )
         click.echo(f"milletsill: {what}", err=True)
         sys.exit(2)
@@ -64,7 +64,7 @@
 def moments(file: str, *texts: str | None) -> list[int | None]:
     """Times as given on the command line, on the file's clock."""
     from milletsill.trace.reader import Trace
-    from milletsill.trace.recording_policy import Unclear, moment
+    from milletsill.trace.recording_policy import InvalidTime, moment
 
     def found() -> list[int | None]:
         with Trace(file) as trace:
@@ -80,8 +80,8 @@
 
     try:
         return said(found)
-    except (Unclear, ValueError, TypeError) as error:
-        click.echo(f"milletsill: {line_of(error)}", err=True)
+    except (InvalidTime, ValueError, TypeError) as error:
+        click.echo(f"milletsill: {describe_error(error)}", err=True)
         sys.exit(2)
 
 
--- a/milletsill/errors/known.py
+++ b/milletsill/errors/known.py
@@ -5,7 +5,7 @@
 import importlib
 import pkgutil
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 
 
 def modules() -> list[str]:
@@ -19,14 +19,14 @@
     ]
 
 
-def known() -> dict[str, list[type[Fault]]]:
+def known() -> dict[str, list[type[MilletsillError]]]:
     """The types by name; more than one of a name is a fault of the program. A family without a remedy of its own is never raised
     and does not count.
     """
     for each in modules():
         importlib.import_module(each)
-    found: dict[str, list[type[Fault]]] = {}
-    wait = list(Fault.__subclasses__())
+    found: dict[str, list[type[MilletsillError]]] = {}
+    wait = list(MilletsillError.__subclasses__())
     while wait:
         made = wait.pop()
         wait += made.__subclasses__()
@@ -40,7 +40,7 @@
     return found
 
 
-def row(made: type[Fault]) -> str:
+def row(made: type[MilletsillError]) -> str:
     """Its line in the table: name, what happened, what to do."""
     first = " ".join((made.__doc__ or "").split("\n\n")[0].split())
     return f"| `{made.__name__}` | {first} | {made.remedy} |"
--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -19,10 +19,10 @@
     Word,
 )
 from milletsill.fleet.channels.errors import (
-    ContractOlder,
-    ContractRefused,
-    ContractsContradict,
-    RecordUnread,
+    ContractOutdated,
+    ContractNotOffered,
+    ContractConflict,
+    ChannelRecordUnreadable,
 )
 from milletsill.fleet.channels.ordering import (
     PAUSE,
@@ -40,7 +40,11 @@
     LetGo,
     Tell,
 )
-from milletsill.fleet.leases.errors import ChannelFault, NotKeeper, TooMany
+from milletsill.fleet.leases.errors import (
+    CoordinationError,
+    NotLeaseHolder,
+    ResourceLimitReached,
+)
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
 
@@ -66,7 +70,7 @@
     "stopped": "stands behind an unsure end; say what became of it",
     "contract": "contradicts",
 }
-CONTRADICTIONS = (ContractsContradict, ContractOlder, ContractRefused)
+CONTRADICTIONS = (ContractConflict, ContractOutdated, ContractNotOffered)
 
 
 class Runs(Protocol):
@@ -165,7 +169,9 @@
             if held is None and len(self.kept) + len(self.taking) >= self.most:
                 return self.fault(
                     word,
-                    TooMany(f"{self.most} channels are kept here", word.key, PAUSE),
+                    ResourceLimitReached(
+                        f"{self.most} channels are kept here", word.key, PAUSE
+                    ),
                 )
             self.taking[word.key] = [word]
             self.offices.take(word.key, lambda got: self.took(word.key, got))
@@ -177,7 +183,7 @@
     def took(self, key: str, got: Any) -> None:
         """The office, or why not."""
         words, held, now = self.taking.pop(key, []), self.kept.get(key), self.now()
-        if isinstance(got, ChannelFault) or not hasattr(got, "value"):
+        if isinstance(got, CoordinationError) or not hasattr(got, "value"):
             if held is not None:
                 self.lose(held, getattr(got, "pause", 0) or PAUSE)
             for each in words:
@@ -225,8 +231,8 @@
                 line = codec.read_record(
                     term.value, self.rest, now, term.age, self.over(key)
                 )
-            except RecordUnread as error:
-                self.remark("channel_record", channel=key, **error.said())
+            except ChannelRecordUnreadable as error:
+                self.remark("channel_record", channel=key, **error.log_fields())
                 self.offices.give_up(term)
                 return None
         held = self.kept[key] = Kept(key, term, line, term.value, now)
@@ -274,7 +280,7 @@
             else:
                 line.after.append(word)  # told once the record holds what is told
         except CONTRADICTIONS as error:
-            self.remark("channel", channel=held.key, **error.said())
+            self.remark("channel", channel=held.key, **error.log_fields())
             self.fault(word, error)
         self.pump(held)
 
@@ -536,7 +542,7 @@
 
     def fault(self, word: Word, fault: Any) -> None:
         """Why a word comes to nothing."""
-        if isinstance(fault, NotKeeper) and fault.who:
+        if isinstance(fault, NotLeaseHolder) and fault.who:
             return word.answered(Elsewhere(fault.who, fault.pause))
         if isinstance(fault, CONTRADICTIONS):
             return self.answer(word, "contract", text=fault.what)
--- a/milletsill/fleet/channels/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -5,7 +5,7 @@
 from google.protobuf.message import DecodeError
 
 from milletsill.fleet.channels.channel_sequencer import Line
-from milletsill.fleet.channels.errors import RecordUnread
+from milletsill.fleet.channels.errors import ChannelRecordUnreadable
 from milletsill.fleet.channels.ordering import (
     MOST_PINNED,
     REMEMBERED,
@@ -124,7 +124,9 @@
                 record.coming.named,
             )
     except (DecodeError, ValueError) as error:
-        raise RecordUnread(f"a record of {len(data)} bytes: {error}") from None
+        raise ChannelRecordUnreadable(
+            f"a record of {len(data)} bytes: {error}"
+        ) from None
     if (
         record.format != FORMAT
         or len(record.remembered) > REMEMBERED
@@ -135,7 +137,9 @@
             or len(record.turn) > SPAN
         )
     ):
-        raise RecordUnread(f"a record of format {record.format}, {len(data)} bytes")
+        raise ChannelRecordUnreadable(
+            f"a record of format {record.format}, {len(data)} bytes"
+        )
     line.claim, line.token, line.floor, line.top = (
         record.claim,
         record.token,
--- a/milletsill/fleet/channels/errors.py
+++ b/milletsill/fleet/channels/errors.py
@@ -2,28 +2,28 @@
 
 from __future__ import annotations
 
-from milletsill.fleet.leases.errors import ChannelFault
+from milletsill.fleet.leases.errors import CoordinationError
 
 
-class ContractRefused(ChannelFault):
+class ContractNotOffered(CoordinationError):
     """A client asks for a contract that the operator's file does not offer it."""
 
     remedy = "see fleet.channels.contract in the gateways' files: volume, chosen_by_client, version"
 
 
-class ContractOlder(ChannelFault):
+class ContractOutdated(CoordinationError):
     """This gateway's file has an older version of a contract than a channel's record."""
 
     remedy = "bring this gateway's file up to date and restart it"
 
 
-class ContractsContradict(ChannelFault):
+class ContractConflict(CoordinationError):
     """Two declarations of a channel's contract, or two words on one number, that cannot both hold."""
 
     remedy = "what it names: give a changed contract a higher version at all gateways; one client at a time numbers a channel"
 
 
-class RecordUnread(ChannelFault):
+class ChannelRecordUnreadable(CoordinationError):
     """A channel's record cannot be read: it is torn, or a later version of the program wrote it."""
 
     remedy = "bring this gateway up to date; the channel is kept by a gateway that can read it"
--- a/milletsill/fleet/channels/ordering.py
+++ b/milletsill/fleet/channels/ordering.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from milletsill.fleet.channels.errors import (
-    ContractOlder,
-    ContractRefused,
-    ContractsContradict,
+    ContractOutdated,
+    ContractNotOffered,
+    ContractConflict,
 )
 
 # --- Tuned values; numbers, not times, unless they say so.
@@ -235,7 +235,7 @@
     )
     if same is not None:
         if (same.order, same.unsure) != (said.order, said.unsure):
-            raise ContractsContradict(
+            raise ContractConflict(
                 f"contract {said.name} version {said.version} is {words(said)} here and {words(same)} in "
                 "the channel's record: give the changed one a higher version at all gateways"
             )
@@ -245,25 +245,25 @@
             and same is coming[1]
             and declared.first != coming[0]
         ):
-            raise ContractsContradict(
+            raise ContractConflict(
                 f"contract {said.name} version {said.version} holds from {coming[0]} already, not from "
                 f"{declared.first}: open with {coming[0]} or with 0"
             )
         return Meaning.STANDS
     if said.name == last.name and said.version < last.version:
-        raise ContractOlder(
+        raise ContractOutdated(
             f"contract {said.name} is at version {last.version} in the channel's record, version "
             f"{said.version} here: bring this gateway's file up to date"
         )
     if said.name != last.name and named and not declared.named:
         return Meaning.STANDS  # a client chose, and opens again without a name
     if coming:
-        raise ContractsContradict(
+        raise ContractConflict(
             f"contract {coming[1].name} version {coming[1].version} comes from number {coming[0]}: "
             f"{said.name} version {said.version} can be declared when that is reached"
         )
     if declared.first and declared.first < free:
-        raise ContractsContradict(
+        raise ContractConflict(
             f"numbers below {free} were let go under {now.name} version {now.version}: let "
             f"{said.name} version {said.version} hold from {free} or later"
         )
@@ -299,19 +299,19 @@
         """What a client's OPEN declares, within what the operator allows."""
         fitting = [each for each in self.contracts if not each[1] or volume in each[1]]
         if not fitting:
-            raise ContractRefused(
+            raise ContractNotOffered(
                 f"volume {volume} has no contract: name it in fleet.channels.contract"
             )
         if not name:
             return Declared(fitting[0][0], first)
         found = next((each for each in fitting if each[0].name == name), None)
         if found is None or not (found[3] or found is fitting[0]):
-            raise ContractRefused(
+            raise ContractNotOffered(
                 f"contract {name} is not offered to clients of volume {volume}: open without a name, or have "
                 "the operator set chosen_by_client"
             )
         if version and version != found[0].version:
-            raise ContractRefused(
+            raise ContractNotOffered(
                 f"contract {name} is at version {found[0].version} here, not {version}: open with "
                 f"{found[0].version} or 0"
             )
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -22,11 +22,11 @@
 )
 from milletsill.fleet.channels.record_pb2 import Ask, Clock, Envelope, Reply
 from milletsill.fleet.peer_clocks import Clocks
-from milletsill.fleet.transport import Kind, Plane
+from milletsill.fleet.transport import MessageKind, FleetTransport
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions
 from milletsill.sftp.extensions import bare
-from milletsill.sftp.wire import Malformed
+from milletsill.sftp.wire import MalformedInput
 
 MOST_FORWARDS, MOST_HEARD = (
     20_000,
@@ -78,7 +78,7 @@
         self,
         reactor: Any,
         now: Callable[[], int],
-        plane: Plane,
+        plane: FleetTransport,
         call: int,
         own: Callable[[Word, str], None],
         keep: Callable[[Word], None],
@@ -140,7 +140,7 @@
         there = self.clocks.there(forward.to, word.ends - MARGIN, now)
         if there is not None:
             ask.until.whose, ask.until.at = there[0], max(there[1], 0)
-        if not self.plane.tell(forward.to, Kind.CHANNEL, self.said(ask=ask)):
+        if not self.plane.send(forward.to, MessageKind.CHANNEL, self.said(ask=ask)):
             return self.away(forward)
         forward.alarm = self.reactor.callLater(
             min(self.call, left) / 10_000, self.again, forward
@@ -228,7 +228,7 @@
             return self.forward(forward.word, reply.keeper, forward.hops + 1)
         try:
             answer = extensions.dressed(reply.answer, 0)
-        except Malformed:
+        except MalformedInput:
             answer = wire.put_sign(
                 0, "aborted", "aborted: the keeper's answer made no sense"
             )
@@ -268,7 +268,7 @@
                 ends,
                 lambda packet: self.answered(key, packet),
             )
-        except Malformed:
+        except MalformedInput:
             return None
         if self.on_hand >= MOST_ON_HAND:
             return self.say(
@@ -326,4 +326,4 @@
         return self.said(reply=Reply(id=id, held=True))
 
     def say(self, member: str, body: bytes) -> None:
-        self.plane.tell(member, Kind.CHANNEL, body)
+        self.plane.send(member, MessageKind.CHANNEL, body)
--- a/milletsill/fleet/frames/codec.py
+++ b/milletsill/fleet/frames/codec.py
@@ -8,10 +8,15 @@
 
 from google.protobuf.message import DecodeError
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 from milletsill.fleet.frames import fleet_pb2
-from milletsill.fleet.frames.messages import VERSION, Message, Row, What
-from milletsill.fleet.transport import Kind, Standing
+from milletsill.fleet.frames.messages import (
+    VERSION,
+    FleetMessage,
+    MemberUpdate,
+    FrameType,
+)
+from milletsill.fleet.transport import MessageKind, MemberState
 
 MAGIC = b"mslf"
 LENGTH = Struct(">I")
@@ -19,30 +24,30 @@
 MOST_BODY, ROWS_A_FRAME = MOST_FRAME - 4096, 2000
 MOST_NAME, MOST_ADDRESS, MOST_BY = 64, 80, 3
 MOST_NUMBER = 1 << 62  # of runs, turns and ages: one more of it still goes into a frame
-KNOWN_WHATS = {each.value: each for each in What}
-KNOWN_KINDS = {each.value: each for each in Kind}
-KNOWN_STANDINGS = {each.value: each for each in Standing}
+KNOWN_WHATS = {each.value: each for each in FrameType}
+KNOWN_KINDS = {each.value: each for each in MessageKind}
+KNOWN_STANDINGS = {each.value: each for each in MemberState}
 
 
-class Unreadable(Fault):
+class MalformedFrame(MilletsillError):
     """Octets that are no frame of a gateway."""
 
     remedy = "see what else sends to the fleet's address; a gateway sends nothing of the kind"
 
 
-class TooLong(Unreadable):
+class FrameTooLong(MalformedFrame):
     """A frame over its bound."""
 
     remedy = "shorten names, or see what else sends to the fleet's address"
 
 
-class OtherFleet(Fault):
+class FleetNameMismatch(MilletsillError):
     """A frame of a fleet with another name."""
 
     remedy = "if both are one fleet, give `fleet.name` the same value in all files; else take the address out of `fleet.join`"
 
 
-class TooNew(Fault):
+class FrameVersionTooNew(MilletsillError):
     """A frame that a later version says this one cannot make sense of."""
 
     remedy = "bring this gateway to the version of the others; until then it does not hear those"
@@ -54,7 +59,7 @@
     def __init__(self, fleet: str, version: int = VERSION) -> None:
         self.fleet, self.version = fleet, version
 
-    def encode(self, message: Message) -> bytes:
+    def encode(self, message: FleetMessage) -> bytes:
         """Raises TooLong past a MiB; whoever sends datagrams looks at the length."""
         frame = fleet_pb2.Frame(
             version=self.version,
@@ -62,8 +67,8 @@
             fleet=self.fleet,
             sender=put_row(message.sender),
         )
-        if message.what is not None:
-            frame.what = message.what.value
+        if message.type is not None:
+            frame.what = message.type.value
         if message.number:
             frame.number = message.number
         if message.target:
@@ -76,44 +81,44 @@
             frame.kind, frame.body = message.kind.value, message.body
         if message.answer:
             frame.answer = True
-        frame.row.extend(map(put_row, message.rows))
+        frame.row.extend(map(put_row, message.updates))
         data = MAGIC + frame.SerializeToString()
         if len(data) > MOST_FRAME:
-            raise TooLong(f"a frame of {len(data)} octets, {MOST_FRAME} at most")
+            raise FrameTooLong(f"a frame of {len(data)} octets, {MOST_FRAME} at most")
         return data
 
-    def decode(self, data: bytes) -> Message:
+    def decode(self, data: bytes) -> FleetMessage:
         """Raises Unreadable, OtherFleet or TooNew."""
         if len(data) > MOST_FRAME:
-            raise TooLong(f"a frame of {len(data)} octets, {MOST_FRAME} at most")
+            raise FrameTooLong(f"a frame of {len(data)} octets, {MOST_FRAME} at most")
         if data[:4] != MAGIC:
-            raise Unreadable("octets that do not begin as a frame does")
+            raise MalformedFrame("octets that do not begin as a frame does")
         try:
             frame = fleet_pb2.Frame.FromString(data[4:])
         except DecodeError:
-            raise Unreadable("a frame that is no protobuf of ours") from None
+            raise MalformedFrame("a frame that is no protobuf of ours") from None
         if frame.fleet != self.fleet:
-            raise OtherFleet(
+            raise FleetNameMismatch(
                 f"a frame of fleet {frame.fleet[:MOST_NAME]!r}", f"fleet {self.fleet!r}"
             )
         if frame.least > self.version:
-            raise TooNew(
+            raise FrameVersionTooNew(
                 f"a frame of version {frame.version} for {frame.least} and later",
                 f"version {self.version}",
             )
         sender = get_row(frame.sender)
         if sender is None or not sender.address:
-            raise Unreadable("a frame without a sender")
+            raise MalformedFrame("a frame without a sender")
         if not named(frame.target or "-") or (
             frame.address and not addressed(frame.address)
         ):
-            raise Unreadable("a frame for a name or address that cannot be one")
+            raise MalformedFrame("a frame for a name or address that cannot be one")
         rows = tuple(
             row
             for each in frame.row[:ROWS_A_FRAME]
             if (row := get_row(each)) is not None
         )
-        return Message(
+        return FleetMessage(
             KNOWN_WHATS.get(frame.what),
             sender,
             rows,
@@ -128,16 +133,16 @@
         )
 
 
-def put_row(row: Row) -> Any:
+def put_row(row: MemberUpdate) -> Any:
     made = fleet_pb2.Row(
         name=row.name,
-        run=row.run,
+        run=row.incarnation,
         nonce=row.nonce,
-        standing=row.standing.value,
-        by=row.by,
+        standing=row.state.value,
+        by=row.suspected_by,
     )
-    if row.turn:
-        made.turn = row.turn
+    if row.refutation:
+        made.turn = row.refutation
     if row.address:
         made.address = row.address
     if row.age:
@@ -145,7 +150,7 @@
     return made
 
 
-def get_row(row: Any) -> Row | None:
+def get_row(row: Any) -> MemberUpdate | None:
     """None for a row that cannot be one, or with a standing that only a later version has: the rest of the frame stands."""
     standing = KNOWN_STANDINGS.get(row.standing)
     if max(row.run, row.turn, row.age) >= MOST_NUMBER:
@@ -156,7 +161,7 @@
         or (row.address and not addressed(row.address))
     ):
         return None
-    return Row(
+    return MemberUpdate(
         row.name,
         row.run,
         row.nonce,
@@ -191,17 +196,17 @@
     )
 
 
-def row_room(row: Row) -> int:
+def row_room(row: MemberUpdate) -> int:
     """Octets that a row takes at most, its head in the frame with it."""
     return (
         42
         + len(row.name.encode())
         + len(row.address)
-        + sum(2 + len(each.encode()) for each in row.by)
+        + sum(2 + len(each.encode()) for each in row.suspected_by)
     )
 
 
-def head_room(fleet: str, sender: Row) -> int:
+def head_room(fleet: str, sender: MemberUpdate) -> int:
     """Octets of a datagram that are left for rows, with the longest target and address in it."""
     return MOST_DATAGRAM - (
         64 + len(fleet.encode()) + row_room(sender) + 4 * MOST_NAME + MOST_ADDRESS
@@ -221,7 +226,7 @@
         while len(self.held) - at >= LENGTH.size:
             size = LENGTH.unpack_from(self.held, at)[0]
             if size > MOST_FRAME:
-                raise TooLong(f"a frame of {size} octets, {MOST_FRAME} at most")
+                raise FrameTooLong(f"a frame of {size} octets, {MOST_FRAME} at most")
             if len(self.held) - at - LENGTH.size < size:
                 break
             at += LENGTH.size
--- a/milletsill/fleet/frames/messages.py
+++ b/milletsill/fleet/frames/messages.py
@@ -5,40 +5,40 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from milletsill.fleet.transport import Kind, Standing
+from milletsill.fleet.transport import MessageKind, MemberState
 
 # PROBE: are you there. ACK: the target is. THROUGH: probe it for me. NEWS: rows alone. DIGEST: is your view mine.
 # ROWS: all I know. BODY: what another part of the program tells. TWIN: there are two with your name.
-What = Enum("What", "PROBE ACK THROUGH NEWS DIGEST ROWS BODY TWIN")
+FrameType = Enum("FrameType", "PROBE ACK THROUGH NEWS DIGEST ROWS BODY TWIN")
 VERSION = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class MemberUpdate:
     """What is said of one gateway; `age` in tenths of a millisecond since it was gone or left."""
 
     name: str
-    run: int
+    incarnation: int
     nonce: int
-    turn: int
-    standing: Standing
+    refutation: int
+    state: MemberState
     address: str = ""
     age: int = 0
-    by: tuple[str, ...] = ()
+    suspected_by: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
-class Message:
+class FleetMessage:
     """One frame. `what` is None for a kind that a later version has: its sender and rows still count."""
 
-    what: What | None
-    sender: Row
-    rows: tuple[Row, ...] = ()
+    type: FrameType | None
+    sender: MemberUpdate
+    updates: tuple[MemberUpdate, ...] = ()
     number: int = 0
     target: str = ""
     address: str = ""
     digest: int = 0
-    kind: Kind | None = None
+    kind: MessageKind | None = None
     body: bytes = b""
     answer: bool = False
     version: int = field(default=VERSION)
--- a/milletsill/fleet/health/codec.py
+++ b/milletsill/fleet/health/codec.py
@@ -9,7 +9,7 @@
 
 from milletsill.fleet.health.health_pb2 import Difference as DifferenceFrame
 from milletsill.fleet.health.health_pb2 import Frame, Known
-from milletsill.fleet.health.report_store import Difference, RowRefused, Word
+from milletsill.fleet.health.report_store import Difference, MalformedHealthReport, Word
 
 VERSION, MOST_FRAME, MOST_WORDS, MOST_AGE = (
     1,
@@ -41,14 +41,14 @@
 def get(made: Any, now: int) -> Difference:
     """Values out of their bounds are cut to them: a lie or a slip is one voice, no more."""
     if len(made.word) > MOST_WORDS or made.base > made.sequence:
-        raise RowRefused(
+        raise MalformedHealthReport(
             f"{len(made.word)} words, sequence {made.base} to {made.sequence}",
             f"origin {made.origin:016x}",
         )
     words = {}
     for each in made.word:
         if each.back > made.sequence:
-            raise RowRefused(
+            raise MalformedHealthReport(
                 f"a word {each.back} before sequence {made.sequence}",
                 f"origin {made.origin:016x}",
             )
@@ -102,8 +102,10 @@
 def decoded(body: bytes) -> Any:
     """A frame of ours. Later versions are read as far as they are known; what is none is RowRefused."""
     if len(body) > 5 * MOST_FRAME:
-        raise RowRefused(f"a frame of {len(body)} bytes, {5 * MOST_FRAME} at most")
+        raise MalformedHealthReport(
+            f"a frame of {len(body)} bytes, {5 * MOST_FRAME} at most"
+        )
     try:
         return Frame.FromString(body)
     except DecodeError:
-        raise RowRefused("a frame that is no protobuf of ours") from None
+        raise MalformedHealthReport("a frame that is no protobuf of ours") from None
--- a/milletsill/fleet/health/health_sharing.py
+++ b/milletsill/fleet/health/health_sharing.py
@@ -23,8 +23,14 @@
 )
 from milletsill.fleet.health.node_observer import Observer, urgent
 from milletsill.fleet.health.report_exchange import Spread
-from milletsill.fleet.health.report_store import RowRefused, Rows
-from milletsill.fleet.transport import Change, Kind, Member, Plane, View
+from milletsill.fleet.health.report_store import MalformedHealthReport, Rows
+from milletsill.fleet.transport import (
+    ViewChange,
+    MessageKind,
+    Member,
+    FleetTransport,
+    View,
+)
 from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness
 
 SAY_EVERY = 100_000  # between lines about rows that were refused
@@ -44,7 +50,7 @@
         now: Callable[[], int],
         link: Any,
         seed: int,
-        plane: Plane,
+        plane: FleetTransport,
         host: Any,
         remark: Callable[..., None],
         note: Callable[..., None],
@@ -58,9 +64,11 @@
             int(link.health.lasts_s * 10_000),
         )
         self.key = key_of(plane.name)
-        self.rows = Rows(self.key, plane.run, link.most_members, most_boxes)
+        self.rows = Rows(self.key, plane.incarnation, link.most_members, most_boxes)
         self.spread = Spread(
-            self.rows, seed, lambda member, body: plane.tell(member, Kind.HEALTH, body)
+            self.rows,
+            seed,
+            lambda member, body: plane.send(member, MessageKind.HEALTH, body),
         )
         self.observer, self.judge, self.order = (
             Observer(host.facts),
@@ -119,8 +127,8 @@
     # Life.
 
     def start(self) -> None:
-        self.plane.hear(Kind.HEALTH, self.heard)
-        self.plane.watch(self.viewed)
+        self.plane.subscribe(MessageKind.HEALTH, self.heard)
+        self.plane.watch_view(self.viewed)
         self.host.overheard = self.observer.answer
         self.viewed(self.plane.view, ())
         self.every("round", ROUND, self.round)
@@ -161,29 +169,29 @@
         self.cells = ready
         self.observer.forget(ready)
 
-    def viewed(self, view: View, changes: Sequence[tuple[Change, Member]]) -> None:
+    def viewed(self, view: View, changes: Sequence[tuple[ViewChange, Member]]) -> None:
         """Who is there, and in which order they try a box."""
         names = {key_of(each): each for each in view.by_name}
         self.present = set(names) | {self.key}
         self.others = [each for each in view.by_name if each != self.plane.name]
-        self.order.see(lambda box: map(key_of, view.chosen(box, len(names))))
+        self.order.see(lambda box: map(key_of, view.rendezvous(box, len(names))))
         self.rows.keep(self.present, self.now() - self.lasts)
 
     def heard(self, member: str, run: int, body: bytes) -> None:
         try:
             self.spread.hear(self.now(), member, body, self.present.__contains__)
-        except RowRefused as error:
+        except MalformedHealthReport as error:
             self.refused.inc()
             if self.now() - self.refused_at >= SAY_EVERY:
                 self.refused_at = self.now()
-                self.remark("health", member=member, **error.said())
+                self.remark("health", member=member, **error.log_fields())
 
     # What is done.
 
     def publish(self) -> None:
         """This gateway's row: at once where something was ill, else now and then."""
         self.turn += 1
-        self.rows.restart(self.plane.run)
+        self.rows.restart(self.plane.incarnation)
         news = self.observer.ill or urgent(self.observer.sights, self.judge.called())
         if news or self.turn % CALM_PUBLISH == 0:
             self.spread.write(self.observer.words(self.now()))
--- a/milletsill/fleet/health/report_store.py
+++ b/milletsill/fleet/health/report_store.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 
 
-class RowRefused(Malformed):
+class MalformedHealthReport(MalformedInput):
     """A difference that cannot be a row of ours."""
 
     remedy = "look for a gateway of another version, or another program, under the address; its word is left out"
@@ -102,7 +102,7 @@
         elif news.run < row.run:
             return False
         if len(row.words.keys() | news.words.keys()) > self.most_boxes:
-            raise RowRefused(
+            raise MalformedHealthReport(
                 f"a row of over {self.most_boxes} boxes", f"origin {news.origin:016x}"
             )
         newer = False
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 from milletsill.fleet.leases.acceptor import (
     Answer,
     Ask,
@@ -37,11 +37,11 @@
 from milletsill.fleet.leases.acceptor_store import Store, set_aside
 from milletsill.fleet.leases.errors import (
     DiskFull,
-    RegistersChanged,
-    StateLost,
-    StateOlder,
-    StateTorn,
-    TermsDiffer,
+    AcceptorSetChanged,
+    AcceptorStateMissing,
+    AcceptorStateRolledBack,
+    AcceptorStateCorrupt,
+    LeaseSettingsMismatch,
 )
 from milletsill.fleet.leases.metrics import RegisterFigures
 
@@ -130,14 +130,14 @@
             return Store.opened(
                 self.path, self.chance, self.among, most_pages=self.most_pages
             ), None
-        except StateTorn as error:
+        except AcceptorStateCorrupt as error:
             set_aside(self.path)
             return Store.opened(
                 self.path, self.chance, self.among, True, self.most_pages
             ), error
 
     def opened(self, result: Any) -> None:
-        if isinstance(result, Fault):
+        if isinstance(result, MilletsillError):
             return self.say(result)  # away until a restart
         self.store, error = result
         if error is not None:
@@ -146,7 +146,7 @@
         ordered = os.path.exists(self.path + ORDER)
         if self.store.among != self.among and not ordered:
             return self.say(
-                RegistersChanged(
+                AcceptorSetChanged(
                     "not the registers that its state was made for", self.path
                 )
             )  # away until a restart
@@ -218,7 +218,11 @@
             return
         self.note()
         if turn is Turn.DOUBT:
-            kind = StateLost if store.own.generation == 0 else StateOlder
+            kind = (
+                AcceptorStateMissing
+                if store.own.generation == 0
+                else AcceptorStateRolledBack
+            )
             self.say(
                 kind(
                     f"others heard of state {joining.known_age}, past {store.own.age}.{store.own.generation}",
@@ -262,7 +266,7 @@
 
         def written(result: Any) -> None:
             self.busy = False
-            if isinstance(result, Fault):
+            if isinstance(result, MilletsillError):
                 self.say(result)
                 joining.back(self.now() + AGAIN)  # gathered once more
                 return self.note()
@@ -282,12 +286,12 @@
         for each in Standing:
             self.figures.standing.labels(each.name.lower()).set(each is state)
 
-    def say(self, error: Fault) -> None:
+    def say(self, error: MilletsillError) -> None:
         """Once in a while for each type."""
         kind, now = type(error).__name__, self.now()
         if now - self.said_at.get(kind, now - SAY_EVERY) >= SAY_EVERY:
             self.said_at[kind] = now
-            self.remark("register", **error.said())
+            self.remark("register", **error.log_fields())
 
     # Calls.
 
@@ -295,7 +299,9 @@
         """Of one member; answered after the next commit, or at once with AWAY."""
         if terms != self.terms:
             self.say(
-                TermsDiffer("its registers or spans are not this gateway's", member)
+                LeaseSettingsMismatch(
+                    "its registers or spans are not this gateway's", member
+                )
             )
         if terms != self.terms or not self.whole() or self.now() < self.full_until:
             pause = (
@@ -375,7 +381,7 @@
         self.busy = False
         if self.stopped:
             return
-        if isinstance(result, Fault):
+        if isinstance(result, MilletsillError):
             self.failed(batch, result)
         elif self.whole():  # one that was doubted meanwhile says nothing
             by: dict[str, list[Answer]] = {}
@@ -391,7 +397,7 @@
         self.figures.waiting.set(len(self.waiting))
         self.pump()
 
-    def failed(self, batch: Sequence[tuple[str, Call]], error: Fault) -> None:
+    def failed(self, batch: Sequence[tuple[str, Call]], error: MilletsillError) -> None:
         """Nothing of the round counts: each is told to come back, and a register that cannot read its own file stops."""
         self.say(error)
         self.figures.dropped.labels(type(error).__name__).inc(len(batch))
@@ -453,14 +459,14 @@
         return office.until
 
     def forgotten(self, result: Any) -> None:
-        if isinstance(result, Fault):
+        if isinstance(result, MilletsillError):
             return self.say(result)
         self.figures.forgotten.inc(result)
         if self.store is not None:
             self.figures.channels.set(self.store.count)
 
     def kept(self, result: Any) -> None:
-        if isinstance(result, Fault):
+        if isinstance(result, MilletsillError):
             self.say(result)
 
     def stop(self) -> None:
--- a/milletsill/fleet/leases/acceptor_store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -22,17 +22,17 @@
     Page,
 )
 from milletsill.fleet.leases.codec import (
-    Unreadable,
+    MalformedFrame,
     get_identity,
     get_record,
     put_identity,
     put_record,
 )
 from milletsill.fleet.leases.errors import (
-    ChannelFault,
+    CoordinationError,
     DiskFull,
-    StateTorn,
-    StateUnusable,
+    AcceptorStateCorrupt,
+    AcceptorStateUnusable,
 )
 
 SCHEMA, MARK = 1, 0x4D435231  # a later schema is left alone; sqlite's application_id
@@ -48,14 +48,14 @@
     return xxhash.xxh64_digest(f"{channel}\0{touched}\0".encode() + body)
 
 
-def fault_of(error: sqlite3.Error, path: str) -> ChannelFault:
+def fault_of(error: sqlite3.Error, path: str) -> CoordinationError:
     """Sqlite's words as ours."""
     code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     if code == sqlite3.SQLITE_FULL:
         return DiskFull("no room for the register's file", path)
     if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB):
-        return StateTorn(str(error), path)
-    return StateUnusable(str(error), path)
+        return AcceptorStateCorrupt(str(error), path)
+    return AcceptorStateUnusable(str(error), path)
 
 
 def sync_folder(path: str) -> None:
@@ -146,14 +146,14 @@
         except sqlite3.Error as error:
             raise fault_of(error, path) from None
         except OSError as error:
-            raise StateUnusable(error.strerror or str(error), path) from None
+            raise AcceptorStateUnusable(error.strerror or str(error), path) from None
         store = cls(path, base)
         try:
             store.begin(most_pages)
         except sqlite3.Error as error:
             base.close()
             raise fault_of(error, path) from None
-        except ChannelFault:
+        except CoordinationError:
             base.close()
             raise
         return store
@@ -173,16 +173,18 @@
             for each in ("user_version", "application_id")
         )
         if mark != MARK:
-            raise StateTorn("no file of a register", self.path)
+            raise AcceptorStateCorrupt("no file of a register", self.path)
         if schema > SCHEMA:
-            raise StateUnusable(
+            raise AcceptorStateUnusable(
                 f"its schema is {schema}, this program knows {SCHEMA}", self.path
             )
         if (found := base.execute("PRAGMA quick_check(1)").fetchone()[0]) != "ok":
-            raise StateTorn(str(found), self.path)
+            raise AcceptorStateCorrupt(str(found), self.path)
         row = base.execute("SELECT body, sum FROM state").fetchone()
         if row is None or checksum("", 0, row[0]) != row[1]:
-            raise StateTorn("the row of the state fails its checksum", self.path)
+            raise AcceptorStateCorrupt(
+                "the row of the state fails its checksum", self.path
+            )
         state = wire.State.FromString(row[0])
         self.own, self.floor, self.up, self.doubted = (
             get_identity(state.own),
@@ -201,11 +203,13 @@
         """A row as a record. Raises StateTorn."""
         channel, touched, body, found = row
         if checksum(channel, touched, body) != found:
-            raise StateTorn(f"the record of {channel!r} fails its checksum", self.path)
+            raise AcceptorStateCorrupt(
+                f"the record of {channel!r} fails its checksum", self.path
+            )
         try:
             return get_record(wire.Kept.FromString(body), touched)
-        except (DecodeError, Unreadable) as error:
-            raise StateTorn(
+        except (DecodeError, MalformedFrame) as error:
+            raise AcceptorStateCorrupt(
                 f"the record of {channel!r} cannot be read: {error}", self.path
             ) from None
 
--- a/milletsill/fleet/leases/blocking_worker.py
+++ b/milletsill/fleet/leases/blocking_worker.py
@@ -9,19 +9,19 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from milletsill.errors import Fault
-from milletsill.fleet.leases.errors import StateUnusable
+from milletsill.errors import MilletsillError
+from milletsill.fleet.leases.errors import AcceptorStateUnusable
 
 
 def tried(job: Callable[[], Any]) -> Any:
     """Guards the reactor's side against a job that ends by a mistake of ours: it would wait for ever. Said in full, once each."""
     try:
         return job()
-    except Fault as error:
+    except MilletsillError as error:
         return error
     except Exception as error:
         traceback.print_exc()
-        return StateUnusable(f"{type(error).__name__}: {error}", "register")
+        return AcceptorStateUnusable(f"{type(error).__name__}: {error}", "register")
 
 
 class Worker:
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -8,7 +8,7 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.frames.codec import Unreadable
+from milletsill.fleet.frames.codec import MalformedFrame
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import (
     JUST_NOW,
@@ -48,16 +48,16 @@
 def decoded(body: bytes) -> Any:
     """The Frame of a body that begins with the mark; `WhichOneof` is None for what a later version says. Raises Unreadable."""
     if len(body) > MOST_FRAME:
-        raise Unreadable(f"a body of {len(body)} bytes, {MOST_FRAME} at most")
+        raise MalformedFrame(f"a body of {len(body)} bytes, {MOST_FRAME} at most")
     try:
         return wire.Frame.FromString(body[1:])
     except DecodeError:
-        raise Unreadable("a body that is no protobuf of ours") from None
+        raise MalformedFrame("a body that is no protobuf of ours") from None
 
 
 def number(value: int) -> int:
     if value > MOST:
-        raise Unreadable(f"a number of {value}, {MOST} at most")
+        raise MalformedFrame(f"a number of {value}, {MOST} at most")
     return value
 
 
@@ -71,13 +71,15 @@
 
 def name(text: str) -> str:
     if not named(text):
-        raise Unreadable(f"a name of {len(text)} characters, {MOST_NAME} bytes at most")
+        raise MalformedFrame(
+            f"a name of {len(text)} characters, {MOST_NAME} bytes at most"
+        )
     return text
 
 
 def content(value: bytes) -> bytes:
     if len(value) > MOST_VALUE:
-        raise Unreadable(f"a record of {len(value)} bytes, {MOST_VALUE} at most")
+        raise MalformedFrame(f"a record of {len(value)} bytes, {MOST_VALUE} at most")
     return value
 
 
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -4,10 +4,10 @@
 
 from __future__ import annotations
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 
 
-class ChannelFault(Fault):
+class CoordinationError(MilletsillError):
     """One of a channel."""
 
     def __init__(self, what: str, where: str = "", pause: int = 0) -> None:
@@ -15,13 +15,13 @@
         self.pause = pause
 
 
-class NoMajority(ChannelFault):
+class QuorumNotReached(CoordinationError):
     """Too few registers answered in time."""
 
     remedy = "see that over half of the gateways named in fleet.channels.register run and reach each other"
 
 
-class NotKeeper(ChannelFault):
+class NotLeaseHolder(CoordinationError):
     """Another gateway holds the office of this channel; `who`."""
 
     remedy = "none: the office goes over when it ends or is given up; with one name again and again, see that gateway's log"
@@ -33,7 +33,7 @@
         self.who = who
 
 
-class Outvoted(ChannelFault):
+class BallotSuperseded(CoordinationError):
     """A later ballot was promised: the term that this was to be done under is over."""
 
     remedy = (
@@ -41,49 +41,49 @@
     )
 
 
-class NotHeld(ChannelFault):
+class LeaseNotHeld(CoordinationError):
     """The term was given up, lost, or never held here."""
 
     remedy = "none: the office is taken again"
 
 
-class TooMany(ChannelFault):
+class ResourceLimitReached(CoordinationError):
     """A bound of this gateway: channels, pending calls, or bytes of a record."""
 
     remedy = "raise fleet.channels.most_channels, or have clients use fewer channels; see milletsill_offices_pending"
 
 
-class StateTorn(ChannelFault):
+class AcceptorStateCorrupt(CoordinationError):
     """The register's file cannot be read whole, or a row fails its checksum."""
 
     remedy = "look at the disk; the file was set aside and the register catches up from the others by itself"
 
 
-class StateOlder(ChannelFault):
+class AcceptorStateRolledBack(CoordinationError):
     """The register's file is an older copy: others have heard later things from it."""
 
     remedy = "never put back copies of state_dir; the register catches up from the others by itself"
 
 
-class StateLost(ChannelFault):
+class AcceptorStateMissing(CoordinationError):
     """The register's file is gone, though others know that there was one."""
 
     remedy = "see that state_dir is kept over restarts; the register catches up from the others by itself"
 
 
-class DiskFull(ChannelFault):
+class DiskFull(CoordinationError):
     """The register cannot write; it answers nothing that it has not written."""
 
     remedy = "make room on the disk of state_dir; the register goes on by itself"
 
 
-class TermsDiffer(ChannelFault):
+class LeaseSettingsMismatch(CoordinationError):
     """Another gateway has other registers or spans in its file: its calls are declined."""
 
     remedy = "make fleet.channels.register, office_s, call_ms and drift_permille the same in all gateways' files"
 
 
-class RegistersChanged(ChannelFault):
+class AcceptorSetChanged(CoordinationError):
     """The file names other registers than when the register's state was made: majorities of the old and the new need not meet."""
 
     remedy = (
@@ -92,7 +92,7 @@
     )
 
 
-class StateUnusable(ChannelFault):
+class AcceptorStateUnusable(CoordinationError):
     """The register's disk does not take writes, or its file is of a later version of the program."""
 
     remedy = "see that state_dir is writable, on a disk in order, and that no later version has written there; then restart"
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -11,7 +11,7 @@
 from random import Random, SystemRandom
 from typing import Any
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import (
@@ -31,12 +31,12 @@
 from milletsill.fleet.leases.acceptor_service import Desk
 from milletsill.fleet.leases.blocking_worker import Worker
 from milletsill.fleet.leases.errors import (
-    ChannelFault,
-    NoMajority,
-    NotHeld,
-    NotKeeper,
-    Outvoted,
-    TooMany,
+    CoordinationError,
+    QuorumNotReached,
+    LeaseNotHeld,
+    NotLeaseHolder,
+    BallotSuperseded,
+    ResourceLimitReached,
 )
 from milletsill.fleet.leases.lease_proposer import (
     Effect,
@@ -48,7 +48,7 @@
 from milletsill.fleet.leases.lease_state import Place, Term, Took, Wrote
 from milletsill.fleet.leases.metrics import Figures
 from milletsill.fleet.peer_clocks import Clocks
-from milletsill.fleet.transport import Kind, Plane
+from milletsill.fleet.transport import MessageKind, FleetTransport
 
 TICK = 200  # between looks at calls whose span is over
 MOST_OPEN, MOST_CALLBACKS, MOST_REGISTERS = (
@@ -72,7 +72,7 @@
         self,
         reactor: Any,
         now: Callable[[], int],
-        plane: Plane,
+        plane: FleetTransport,
         register_names: Sequence[str],
         office: int,
         drift: int,
@@ -143,7 +143,7 @@
             self.desk.start()
             self.later("beat", BEAT, self.beat)
             self.later("look", HELLO, self.look)
-        plane.hear(Kind.CHANNEL, self.heard)
+        plane.subscribe(MessageKind.CHANNEL, self.heard)
         self.later("renew", int(office * RENEW / 4), self.renew)
 
     # For those that keep channels.
@@ -154,7 +154,7 @@
         if not codec.named(channel):
             return self.soon(
                 then,
-                TooMany(
+                ResourceLimitReached(
                     f"a channel's name is UTF-8 of 1 to {MOST_NAME} bytes", "channels"
                 ),
             )
@@ -165,7 +165,7 @@
         ):
             return self.soon(
                 then,
-                TooMany(
+                ResourceLimitReached(
                     "too many channels or calls under way", "channels", self.span.call
                 ),
             )
@@ -188,18 +188,21 @@
         """
         place = self.places.get(term.channel)
         if term.over or place is None or place.term is not term:
-            return self.soon(then, NotHeld("the term is over", term.channel))
+            return self.soon(then, LeaseNotHeld("the term is over", term.channel))
         if len(value) > self.most_value:
             return self.soon(
                 then,
-                TooMany(
+                ResourceLimitReached(
                     f"a record of {len(value)} bytes, {self.most_value} at most",
                     term.channel,
                 ),
             )
         if len(place.queued) >= MOST_CALLBACKS or len(self.open) >= MOST_OPEN:
             return self.soon(
-                then, TooMany("too many writes under way", term.channel, self.span.call)
+                then,
+                ResourceLimitReached(
+                    "too many writes under way", term.channel, self.span.call
+                ),
             )
         place.queued.append(then)
         self.act(place, place.seat.write(value, self.now()))
@@ -220,7 +223,7 @@
 
     def keeper_of(self, channel: str) -> str:
         """By this gateway's view, which may be wrong; empty where it is empty."""
-        return next(iter(self.plane.view.chosen(channel, 1)), "")
+        return next(iter(self.plane.view.rendezvous(channel, 1)), "")
 
     def stop(self) -> None:
         """Offices under which nothing is out are given up; the register's last round is written down."""
@@ -257,7 +260,9 @@
             elif effect is Effect.NOT_HELD:
                 waiting, place.queued = place.queued, []
                 for each in waiting:
-                    self.soon(each, NotHeld("the office is not held", seat.channel))
+                    self.soon(
+                        each, LeaseNotHeld("the office is not held", seat.channel)
+                    )
             elif effect in (Effect.LOSE, Effect.RELEASE):
                 self.lost(place, effect)
 
@@ -281,7 +286,7 @@
         takers, place.takers = place.takers, []
         if takers:
             self.figures.takes.labels(
-                type(result).__name__ if isinstance(result, Fault) else "held"
+                type(result).__name__ if isinstance(result, MilletsillError) else "held"
             ).inc()
         for each in takers:
             self.soon(each, result)
@@ -303,7 +308,7 @@
         fault = (
             self.fault(seat)
             if effect is Effect.LOSE
-            else NotHeld("the office was given up", seat.channel)
+            else LeaseNotHeld("the office was given up", seat.channel)
         )
         if place.term is not None:
             place.term.end()
@@ -317,20 +322,20 @@
         for each in waiting:
             self.soon(each, fault)
 
-    def fault(self, seat: Seat) -> ChannelFault:
+    def fault(self, seat: Seat) -> CoordinationError:
         """Why a poll came to nothing, and when to come back."""
         said = seat.refusal
         if said is None or said.say is Say.AWAY:
-            return NoMajority(
+            return QuorumNotReached(
                 "too few registers answered",
                 seat.channel,
                 max(self.span.call, said.pause if said is not None else 0),
             )
         if said.say is Say.HELD:
-            return NotKeeper(
+            return NotLeaseHolder(
                 f"{said.who} has the office", seat.channel, said.pause, said.who
             )
-        return Outvoted(
+        return BallotSuperseded(
             "a later ballot was promised", seat.channel, self.chance.randint(*PAUSE)
         )
 
@@ -360,9 +365,9 @@
                 calls, lambda at, name=name: self.clocks.there(name, at, self.now())
             )
             for part in codec.parted(made):
-                if not self.plane.tell(
+                if not self.plane.send(
                     name,
-                    Kind.CHANNEL,
+                    MessageKind.CHANNEL,
                     codec.encoded(
                         calls=wire.Calls(call=part, terms=self.terms, whose=whose)
                     ),
@@ -421,11 +426,11 @@
             return self.others(member, run, body)
         try:
             self.frame(member, codec.decoded(body))
-        except codec.Unreadable as error:
+        except codec.MalformedFrame as error:
             self.figures.unreadable.inc()
             if self.now() - self.warned.get("unreadable", -1 << 60) >= 600_000:
                 self.warned["unreadable"] = self.now()
-                self.remark("channels", **error.said(), member=member)
+                self.remark("channels", **error.log_fields(), member=member)
 
     def frame(self, member: str, frame: Any) -> None:
         """What a later version says besides is left."""
@@ -470,7 +475,7 @@
 
     def tell(self, member: str, **what: Any) -> None:
         if not self.stopped:
-            self.plane.tell(member, Kind.CHANNEL, codec.encoded(**what))
+            self.plane.send(member, MessageKind.CHANNEL, codec.encoded(**what))
 
     def learn(self, member: str, own: Identity) -> None:
         """The latest that was heard of a register; one that says less than that is told so, now and then."""
--- a/milletsill/fleet/leases/lease_state.py
+++ b/milletsill/fleet/leases/lease_state.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Union
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 from milletsill.fleet.leases.lease_proposer import Seat
 
-Took = Callable[[Union["Term", Fault]], None]
-Wrote = Callable[[Fault | None], None]
+Took = Callable[[Union["Term", MilletsillError]], None]
+Wrote = Callable[[MilletsillError | None], None]
 
 
 class Term:
--- a/milletsill/fleet/membership/failure_detector.py
+++ b/milletsill/fleet/membership/failure_detector.py
@@ -12,14 +12,14 @@
 from enum import Enum
 from math import log
 
-from milletsill.fleet.frames.messages import Row
-from milletsill.fleet.transport import Change, Standing
+from milletsill.fleet.frames.messages import MemberUpdate
+from milletsill.fleet.transport import ViewChange, MemberState
 
 ALIVE, SUSPECT, GONE, LEFT = (
-    Standing.ALIVE,
-    Standing.SUSPECT,
-    Standing.GONE,
-    Standing.LEFT,
+    MemberState.ALIVE,
+    MemberState.SUSPECT,
+    MemberState.GONE,
+    MemberState.LEFT,
 )
 MS, SECOND = 10, 10_000
 
@@ -77,7 +77,7 @@
 # NEWER: of a later turn. SAME: of the turn that is held. Older ones change nothing. RUN: of a later run or a greater nonce.
 Order = Enum("Order", "OLDER SAME NEWER RUN")
 # suspect: note who suspects it, and pass it on. hearsay: it is said to be gone but was well to me; ask it. again: it lives.
-HELD: Mapping[tuple[Standing, Standing, Order], tuple[Standing, str]] = {
+HELD: Mapping[tuple[MemberState, MemberState, Order], tuple[MemberState, str]] = {
     (ALIVE, SUSPECT, Order.SAME): (SUSPECT, "suspect"),
     (SUSPECT, SUSPECT, Order.SAME): (SUSPECT, "confirm"),
     # Guards a half that was cut off from believing the other half's word about itself once it is healed: nobody who took a
@@ -114,14 +114,14 @@
         for said in (GONE, LEFT)
     },
 }
-CHANGES: Mapping[str, Change] = {
-    "suspect": Change.SUSPECTED,
-    "hearsay": Change.SUSPECTED,
-    "refuted": Change.REFUTED,
-    "again": Change.JOINED,
-    "left": Change.LEFT,
-    "gone": Change.GONE,
-    "restarted": Change.RESTARTED,
+CHANGES: Mapping[str, ViewChange] = {
+    "suspect": ViewChange.SUSPECTED,
+    "hearsay": ViewChange.SUSPECTED,
+    "refuted": ViewChange.REFUTED,
+    "again": ViewChange.JOINED,
+    "left": ViewChange.LEFT,
+    "gone": ViewChange.GONE,
+    "restarted": ViewChange.RESTARTED,
 }
 
 
@@ -289,12 +289,18 @@
 }
 
 
-def word_of(row: Row, run: int, nonce: int, turn: int, claimed: int | None) -> Word:
+def word_of(
+    row: MemberUpdate, run: int, nonce: int, turn: int, claimed: int | None
+) -> Word:
     """What a row with this gateway's name is to it; `claimed` is the run that it went past others with."""
     if row.nonce == nonce:
-        worse = row.standing in (SUSPECT, GONE) and row.turn >= turn or row.turn > turn
-        return Word.MINE if row.run == run and worse else Word.OLD
-    if row.run < run:
+        worse = (
+            row.state in (SUSPECT, GONE)
+            and row.refutation >= turn
+            or row.refutation > turn
+        )
+        return Word.MINE if row.incarnation == run and worse else Word.OLD
+    if row.incarnation < run:
         return Word.OLD
     if claimed is None:
         return Word.FIRST
--- a/milletsill/fleet/membership/member_table.py
+++ b/milletsill/fleet/membership/member_table.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from milletsill.fleet.frames.codec import row_room
-from milletsill.fleet.frames.messages import Row
-from milletsill.fleet.transport import PRESENT, Member, Standing
+from milletsill.fleet.frames.messages import MemberUpdate
+from milletsill.fleet.transport import PRESENT, Member, MemberState
 
 
 class Known:
@@ -29,16 +29,16 @@
         "news",
     )
 
-    def __init__(self, row: Row, now: int) -> None:
+    def __init__(self, row: MemberUpdate, now: int) -> None:
         self.name, self.address, self.run, self.nonce, self.turn = (
             row.name,
             row.address,
-            row.run,
+            row.incarnation,
             row.nonce,
-            row.turn,
+            row.refutation,
         )
-        self.standing, self.by, self.since = row.standing, row.by, now - row.age
-        self.news: tuple[Row, int] | None = (
+        self.standing, self.by, self.since = row.state, row.suspected_by, now - row.age
+        self.news: tuple[MemberUpdate, int] | None = (
             None  # as it rides on datagrams, and the octets it takes there
         )
         self.mark, self.place = (
@@ -50,27 +50,27 @@
     def key(self) -> tuple[int, int, int]:
         return self.run, self.nonce, self.turn
 
-    def row(self, now: int, full: bool = True) -> Row:
+    def row(self, now: int, full: bool = True) -> MemberUpdate:
         """What is said of it; without its address and age where that saves room and says nothing new. A suspicion that is
         nobody's own, only hearsay, is not passed on.
         """
         standing = (
             self.standing
-            if self.by or self.standing is not Standing.SUSPECT
-            else Standing.ALIVE
+            if self.by or self.standing is not MemberState.SUSPECT
+            else MemberState.ALIVE
         )
-        return Row(
+        return MemberUpdate(
             self.name,
             self.run,
             self.nonce,
             self.turn,
             standing,
-            self.address if full or standing is Standing.ALIVE else "",
+            self.address if full or standing is MemberState.ALIVE else "",
             max(now - self.since, 0) if full and standing not in PRESENT else 0,
-            self.by if standing is Standing.SUSPECT else (),
+            self.by if standing is MemberState.SUSPECT else (),
         )
 
-    def short(self) -> tuple[Row, int]:
+    def short(self) -> tuple[MemberUpdate, int]:
         """Its row as news, and the room that takes; made once for each change."""
         if self.news is None:
             row = self.row(0, full=False)
@@ -117,7 +117,7 @@
         if known.mark:
             self.out(known)
 
-    def sort(self, known: Known, before: Standing | None) -> None:
+    def sort(self, known: Known, before: MemberState | None) -> None:
         """After each change of a member: where it belongs."""
         name, present, known.news = known.name, known.standing in PRESENT, None
         if known.mark:
@@ -133,7 +133,7 @@
             self.suspects.pop(name, None)
             if not present:
                 self.away[name] = None
-            elif known.standing is Standing.SUSPECT:
+            elif known.standing is MemberState.SUSPECT:
                 self.suspects[name] = None
 
     def out(self, known: Known) -> None:
--- a/milletsill/fleet/membership/membership.py
+++ b/milletsill/fleet/membership/membership.py
@@ -13,9 +13,14 @@
 from random import Random
 
 from milletsill.fleet.frames.codec import ROWS_A_FRAME, head_room, row_room
-from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
 from milletsill.fleet.gossip.gossip_queue import bound
-from milletsill.fleet.membership.effects import Effect, Said, Say, Send
+from milletsill.fleet.membership.effects import (
+    Effect,
+    OperatorEventKind,
+    OperatorEvent,
+    SendMessage,
+)
 from milletsill.fleet.membership.failure_detector import (
     BEAT,
     FORGET_EVERY,
@@ -48,7 +53,7 @@
 )
 from milletsill.fleet.membership.member_table import Known
 from milletsill.fleet.membership.membership_state import Rolls
-from milletsill.fleet.transport import PRESENT, Standing
+from milletsill.fleet.transport import PRESENT, MemberState
 
 LIVES = (
     "refuted",
@@ -124,7 +129,7 @@
         if now >= self.next_news and self.rolls.spread:
             self.next_news = now + NEWS_EVERY
             for name in self.rolls.table.some(NEWS_TO, self.below, self.name):
-                self.send(now, name, What.NEWS)
+                self.send(now, name, FrameType.NEWS)
         if now >= self.next_forget:
             self.next_forget = now + FORGET_EVERY
             list(self.rolls.table.forget(now - self.terms.remember))
@@ -133,7 +138,7 @@
     def stood(self, now: int, late: int) -> None:
         """This gateway stood still: what it did not hear says nothing of the others."""
         self.score = score(self.score, "stood")
-        self.rolls.out.append(Say(Said.STOOD, span=late))
+        self.rolls.out.append(OperatorEvent(OperatorEventKind.STOOD, span=late))
         self.rolls.woke = now
         for watch in list(self.watches.values()):
             longer(watch, now, late, self.terms)
@@ -193,7 +198,7 @@
                 name != self.name or self.rolls.own is Own.DISPLACED
             ):
                 self.watches[name] = Watch(name, Stage.ASKED, now, now, now)
-                self.send(now, name, What.PROBE)
+                self.send(now, name, FrameType.PROBE)
         stale = now - STALE_SPANS * self.terms.suspicion
         for name in [
             each
@@ -215,7 +220,7 @@
         if len(table.ring) < 2:
             self.next_exchange = now + JOIN_EVERY
         lost = [
-            each for each in table.away if table.held[each].standing is Standing.GONE
+            each for each in table.away if table.held[each].standing is MemberState.GONE
         ]
         to: list[str] = []
         if len(table.ring) < 2 and strange:
@@ -238,9 +243,11 @@
             ]
         for address in to:
             self.rolls.out.append(
-                Send(
+                SendMessage(
                     address,
-                    Message(What.DIGEST, self.rolls.sender, digest=table.mark),
+                    FleetMessage(
+                        FrameType.DIGEST, self.rolls.sender, digest=table.mark
+                    ),
                     True,
                 )
             )
@@ -277,7 +284,7 @@
                 (now if watch.round == NEVER else watch.began),
                 now,
             )
-            self.send(now, watch.name, What.PROBE)
+            self.send(now, watch.name, FrameType.PROBE)
         elif effect == "suspect":
             self.rolls.suspect(now, watch.name)
             self.round(now, watch)
@@ -298,7 +305,7 @@
 
     def round(self, now: int, watch: Watch) -> None:
         watch.round = now
-        self.send(now, watch.name, What.PROBE)
+        self.send(now, watch.name, FrameType.PROBE)
         if watch.stage is not Stage.HEARSAY:
             self.through(now, watch)
 
@@ -309,7 +316,7 @@
             self.terms.through, self.below, self.name, watch.name
         ):
             self.send(
-                now, helper, What.THROUGH, target=watch.name, address=known.address
+                now, helper, FrameType.THROUGH, target=watch.name, address=known.address
             )
 
     def lives(self, now: int, name: str) -> None:
@@ -321,7 +328,7 @@
 
     # Frames.
 
-    def heard(self, now: int, message: Message) -> list[Effect]:
+    def heard(self, now: int, message: FleetMessage) -> list[Effect]:
         """One frame of this fleet."""
         sender, rolls = message.sender, self.rolls
         if sender.name == self.name and sender.nonce == rolls.nonce:
@@ -329,15 +336,15 @@
         before = rolls.table.get(sender.name)
         if (
             before is not None
-            and before.run == sender.run
+            and before.run == sender.incarnation
             and before.nonce < sender.nonce
             and before is not rolls.me
         ):
             # Another start with the run of an earlier one: its state is lost or a copy, and I alone may still know the earlier.
             rolls.out.append(
-                Send(
+                SendMessage(
                     sender.address,
-                    Message(What.NEWS, rolls.sender, (before.row(now),)),
+                    FleetMessage(FrameType.NEWS, rolls.sender, (before.row(now),)),
                     True,
                 )
             )
@@ -347,14 +354,14 @@
         held = rolls.table.get(sender.name)
         if held is not None and held.nonce == sender.nonce and held.standing in PRESENT:
             self.lives(now, sender.name)
-        whole = message.what is What.ROWS
-        found = [self.take(now, row, not whole) for row in message.rows]
-        if message.what is What.PROBE and message.target == self.name:
+        whole = message.type is FrameType.ROWS
+        found = [self.take(now, row, not whole) for row in message.updates]
+        if message.type is FrameType.PROBE and message.target == self.name:
             rolls.out.append(
-                Send(
+                SendMessage(
                     sender.address,
-                    Message(
-                        What.ACK,
+                    FleetMessage(
+                        FrameType.ACK,
                         rolls.sender,
                         self.rows(now, held),
                         message.number,
@@ -362,22 +369,22 @@
                     ),
                 )
             )
-        elif message.what is What.ACK:
+        elif message.type is FrameType.ACK:
             self.acked(now, message)
-        elif message.what is What.THROUGH and message.address:
+        elif message.type is FrameType.THROUGH and message.address:
             self.relay(now, message)
-        elif message.what is What.DIGEST and message.digest != rolls.table.mark:
+        elif message.type is FrameType.DIGEST and message.digest != rolls.table.mark:
             self.tell_all(now, sender.address, True)
         elif whole:
             if any(found):
                 self.next_exchange = min(self.next_exchange, now + SOON)
             if message.answer:
                 self.tell_all(now, sender.address, False)
-        elif message.what is What.TWIN and sender.name == self.name:
+        elif message.type is FrameType.TWIN and sender.name == self.name:
             rolls.twin(now, sender.address)
         return self.taken()
 
-    def take(self, now: int, row: Row, news: bool = True) -> str:
+    def take(self, now: int, row: MemberUpdate, news: bool = True) -> str:
         """What is said of one, and what it means for its being probed."""
         action = self.rolls.merge(now, row, news)
         if action in LIVES:
@@ -393,7 +400,7 @@
             self.score = score(self.score, "doubted")
         return action
 
-    def acked(self, now: int, message: Message) -> None:
+    def acked(self, now: int, message: FleetMessage) -> None:
         """Its target lives. Where others wanted to know it is passed on, with the target's own word."""
         if message.target != message.sender.name:
             held = self.rolls.table.get(message.target)
@@ -403,10 +410,10 @@
         asked = self.relays.pop(message.number, None) if message.number else None
         if asked is not None and asked[2] == message.target:
             self.rolls.out.append(
-                Send(
+                SendMessage(
                     asked[0],
-                    Message(
-                        What.ACK,
+                    FleetMessage(
+                        FrameType.ACK,
                         self.rolls.sender,
                         (message.sender,),
                         asked[1],
@@ -415,7 +422,7 @@
                 )
             )
 
-    def relay(self, now: int, message: Message) -> None:
+    def relay(self, now: int, message: FleetMessage) -> None:
         """Probe one for another."""
         self.numbers += 1
         self.relays[self.numbers] = (
@@ -427,10 +434,10 @@
             del self.relays[next(iter(self.relays))]
         held = self.rolls.table.get(message.target)
         self.rolls.out.append(
-            Send(
+            SendMessage(
                 message.address,
-                Message(
-                    What.PROBE,
+                FleetMessage(
+                    FrameType.PROBE,
                     self.rolls.sender,
                     self.rows(now, held),
                     self.numbers,
@@ -442,38 +449,38 @@
     # Words to others.
 
     def send(
-        self, now: int, name: str, what: What, target: str = "", address: str = ""
+        self, now: int, name: str, what: FrameType, target: str = "", address: str = ""
     ) -> None:
         """A datagram to a member, with the news that has room in it."""
         held = self.rolls.table.held[name]
         self.rolls.out.append(
-            Send(
+            SendMessage(
                 held.address,
-                Message(
+                FleetMessage(
                     what,
                     self.rolls.sender,
                     self.rows(now, held),
                     0,
-                    target or (name if what is What.PROBE else ""),
+                    target or (name if what is FrameType.PROBE else ""),
                     address,
                 ),
             )
         )
 
-    def rows(self, now: int, to: Known | None) -> tuple[Row, ...]:
+    def rows(self, now: int, to: Known | None) -> tuple[MemberUpdate, ...]:
         """First what is held against whoever it goes to, so that it can refute it; then news."""
-        rolls, found, first = self.rolls, list[Row](), ""
+        rolls, found, first = self.rolls, list[MemberUpdate](), ""
         spread = rolls.spread
-        if to is not None and to.standing in (Standing.SUSPECT, Standing.GONE):
+        if to is not None and to.standing in (MemberState.SUSPECT, MemberState.GONE):
             first = to.name
             found.append(
-                Row(
+                MemberUpdate(
                     to.name,
                     to.run,
                     to.nonce,
                     to.turn,
                     to.standing,
-                    by=to.by or (self.name,),
+                    suspected_by=to.by or (self.name,),
                 )
             )
         if not spread.at:
@@ -497,10 +504,10 @@
         for at in range(0, len(rows), ROWS_A_FRAME):
             last = at + ROWS_A_FRAME >= len(rows)
             self.rolls.out.append(
-                Send(
+                SendMessage(
                     address,
-                    Message(
-                        What.ROWS,
+                    FleetMessage(
+                        FrameType.ROWS,
                         self.rolls.sender,
                         tuple(rows[at : at + ROWS_A_FRAME]),
                         answer=answer and last,
@@ -515,5 +522,5 @@
         self.watches.clear()
         count = LEAVE_TO * ceil(log2(len(self.rolls.table.ring) + 2))
         for name in self.rolls.table.some(count, self.below, self.name):
-            self.send(now, name, What.NEWS)
+            self.send(now, name, FrameType.NEWS)
         return self.taken()
--- a/milletsill/fleet/membership/membership_state.py
+++ b/milletsill/fleet/membership/membership_state.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from milletsill.fleet.frames.codec import MOST_BY
-from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
 from milletsill.fleet.gossip.gossip_queue import Spread
 from milletsill.fleet.membership.effects import (
-    Changed,
-    Claimed,
+    ViewChanged,
+    IncarnationChanged,
     Effect,
-    Said,
-    Say,
-    Send,
+    OperatorEventKind,
+    OperatorEvent,
+    SendMessage,
 )
 from milletsill.fleet.membership.failure_detector import (
     CHANGES,
@@ -28,7 +28,7 @@
     word_of,
 )
 from milletsill.fleet.membership.member_table import Known, Table
-from milletsill.fleet.transport import PRESENT, Change, Standing
+from milletsill.fleet.transport import PRESENT, ViewChange, MemberState
 
 
 class Rolls:
@@ -44,7 +44,9 @@
             now - TWIN_EVERY,
             now - TWIN_EVERY,
         )
-        self.me = Known(Row(name, run, nonce, 0, Standing.ALIVE, address), now)
+        self.me = Known(
+            MemberUpdate(name, run, nonce, 0, MemberState.ALIVE, address), now
+        )
         self.table, self.spread, self.out = (
             Table(terms.most_members),
             Spread(),
@@ -56,15 +58,15 @@
 
     # Others.
 
-    def merge(self, now: int, row: Row, news: bool = True) -> str:
+    def merge(self, now: int, row: MemberUpdate, news: bool = True) -> str:
         """Take what is said of one; the action of the table, '' where it changes nothing. `news`: pass it on."""
         held = self.table.held.get(row.name)
         if (
             held is not None
-            and row.turn == held.turn
+            and row.refutation == held.turn
             and row.nonce == held.nonce
-            and row.run == held.run
-            and (row.standing is held.standing and row.by == held.by)
+            and row.incarnation == held.run
+            and (row.state is held.standing and row.suspected_by == held.by)
         ):
             return ""  # most of what comes was known
         if row.name == self.name and (
@@ -73,50 +75,52 @@
             return self.meant(now, row)
         if held is None:
             return self.meet(now, row, news)
-        order = order_of(held.key, (row.run, row.nonce, row.turn))
+        order = order_of(held.key, (row.incarnation, row.nonce, row.refutation))
         standing, action = HELD.get(
-            (held.standing, row.standing, order), (held.standing, "")
+            (held.standing, row.state, order), (held.standing, "")
         )
         if not action or (
-            order is Order.RUN and row.standing in PRESENT and not row.address
+            order is Order.RUN and row.state in PRESENT and not row.address
         ):
             return ""
         if action == "confirm":
-            return self.confirm(held, row.by)
+            return self.confirm(held, row.suspected_by)
         if action == "sentence":
             told = believed(
                 bool(held.by), now - held.since, now - self.woke, self.terms
             )
             standing, action = (
-                (Standing.GONE, "gone") if told else (Standing.SUSPECT, "hearsay")
+                (MemberState.GONE, "gone") if told else (MemberState.SUSPECT, "hearsay")
             )
         before = held.standing
-        held.run, held.nonce, held.turn = row.run, row.nonce, row.turn
+        held.run, held.nonce, held.turn = row.incarnation, row.nonce, row.refutation
         held.address = row.address or held.address
         held.by = (
-            row.by
+            row.suspected_by
             if action in ("suspect", "restarted", "again")
-            and standing is Standing.SUSPECT
-            else (held.by if action == "hearsay" and before is Standing.SUSPECT else ())
+            and standing is MemberState.SUSPECT
+            else (
+                held.by if action == "hearsay" and before is MemberState.SUSPECT else ()
+            )
         )
         self.stand(now, held, standing, action, row.age)
         if news and action not in ("hearsay", "note"):
             self.spread.add(row.name)
         return action
 
-    def meet(self, now: int, row: Row, news: bool) -> str:
+    def meet(self, now: int, row: MemberUpdate, news: bool) -> str:
         """One that was not known. One that is away is kept in mind only as long as others do, or it would go round for ever."""
         if not row.address or (
-            row.standing not in PRESENT and row.age >= self.terms.remember
+            row.state not in PRESENT and row.age >= self.terms.remember
         ):
             return ""
         known = Known(row, now)
         if not self.table.add(known):
-            self.out.append(Say(Said.FULL, row.name))
+            self.out.append(OperatorEvent(OperatorEventKind.FULL, row.name))
             return ""
-        if row.standing not in PRESENT:
+        if row.state not in PRESENT:
             return "note"
-        self.out.append(Changed(Change.JOINED, known.member()))
+        self.out.append(ViewChanged(ViewChange.JOINED, known.member()))
         if news:
             self.spread.add(row.name)
         return "again"
@@ -131,7 +135,7 @@
         return "confirm"
 
     def stand(
-        self, now: int, held: Known, standing: Standing, action: str, age: int = 0
+        self, now: int, held: Known, standing: MemberState, action: str, age: int = 0
     ) -> None:
         """It stands so from now on."""
         before, held.standing = held.standing, standing
@@ -139,10 +143,10 @@
             held.since = now - age
         self.table.sort(held, before)
         change = CHANGES.get(action)
-        if change is Change.SUSPECTED and before is Standing.SUSPECT:
+        if change is ViewChange.SUSPECTED and before is MemberState.SUSPECT:
             change = None
         if change is not None:
-            self.out.append(Changed(change, held.member()))
+            self.out.append(ViewChanged(change, held.member()))
         if (
             held.name == self.name
             and standing not in PRESENT
@@ -155,11 +159,11 @@
         held = self.table.get(name)
         if held is None or held.standing not in PRESENT:
             return
-        if held.standing is Standing.SUSPECT:
+        if held.standing is MemberState.SUSPECT:
             self.confirm(held, (self.name,))
         else:
             held.by = (self.name,)
-            self.stand(now, held, Standing.SUSPECT, "suspect")
+            self.stand(now, held, MemberState.SUSPECT, "suspect")
             self.spread.add(name)
 
     def sentence(self, now: int, name: str) -> None:
@@ -167,38 +171,42 @@
         held = self.table.get(name)
         if held is not None and held.standing in PRESENT:
             held.by = ()
-            self.stand(now, held, Standing.GONE, "gone")
+            self.stand(now, held, MemberState.GONE, "gone")
             self.spread.add(name)
 
     # This gateway itself.
 
-    def meant(self, now: int, row: Row) -> str:
+    def meant(self, now: int, row: MemberUpdate) -> str:
         """What is said under this gateway's name."""
         word = word_of(row, self.me.run, self.nonce, self.me.turn, self.claimed)
         if word is not Word.OLD:
             return self.mean(now, word, row)
         return ""
 
-    def mean(self, now: int, word: Word, row: Row) -> str:
+    def mean(self, now: int, word: Word, row: MemberUpdate) -> str:
         """Read the table and act."""
         own, effect = OWN.get((self.own, word), (self.own, ""))
         if not effect or (own is Own.DISPLACED and not row.address):
             return ""
         self.own = own
         if effect == "refute":
-            self.me.turn, self.me.news = row.turn + 1, None
-            self.out.append(Say(Said.REFUTED))
+            self.me.turn, self.me.news = row.refutation + 1, None
+            self.out.append(OperatorEvent(OperatorEventKind.REFUTED))
         if effect == "lost":
-            self.out.append(Say(Said.LOST_STATE, row.address, row.run))
+            self.out.append(
+                OperatorEvent(
+                    OperatorEventKind.LOST_STATE, row.address, row.incarnation
+                )
+            )
         if effect.startswith("twin"):
             self.twin(now, row.address)
         if effect in ("lost", "past", "twin past"):
-            self.past(now, row.run + 1)
+            self.past(now, row.incarnation + 1)
         if effect == "twin rest":
             self.table.drop(self.name)
             self.table.add(Known(row, now))
             self.out.append(
-                Changed(Change.RESTARTED, self.table.held[self.name].member())
+                ViewChanged(ViewChange.RESTARTED, self.table.held[self.name].member())
             )
         else:
             self.sender = self.me.row(now)
@@ -212,17 +220,22 @@
             self.table.add(self.me)
         self.me.run, self.me.turn, self.claimed = run, 0, run
         self.table.sort(self.me, self.me.standing)
-        self.out += [Claimed(run), Changed(Change.RESTARTED, self.me.member())]
+        self.out += [
+            IncarnationChanged(run),
+            ViewChanged(ViewChange.RESTARTED, self.me.member()),
+        ]
 
     def twin(self, now: int, address: str) -> None:
         """Say it here and there, now and then."""
         if now - self.told_twin >= TWIN_EVERY:
             self.told_twin = now
-            self.out.append(Say(Said.TWIN, address))
+            self.out.append(OperatorEvent(OperatorEventKind.TWIN, address))
             if address:
-                self.out.append(Send(address, Message(What.TWIN, self.sender)))
+                self.out.append(
+                    SendMessage(address, FleetMessage(FrameType.TWIN, self.sender))
+                )
 
-    def met_twin(self, now: int, sender: Row) -> None:
+    def met_twin(self, now: int, sender: MemberUpdate) -> None:
         """A frame straight from one with this name. Guards against a former start's last frames: none is on its way for so
         long. Harm: two that start together hear of it that much later.
         """
@@ -237,10 +250,10 @@
         self.own, before, self.me.standing, self.me.since = (
             Own.LEAVING,
             self.me.standing,
-            Standing.LEFT,
+            MemberState.LEFT,
             now,
         )
         self.table.sort(self.me, before)
         self.sender = self.me.row(now)
         self.spread.add(self.name)
-        self.out.append(Changed(Change.LEFT, self.me.member()))
+        self.out.append(ViewChanged(ViewChange.LEFT, self.me.member()))
--- a/milletsill/fleet/net/streams.py
+++ b/milletsill/fleet/net/streams.py
@@ -14,7 +14,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.fleet.frames.codec import Frames, TooLong, framed
+from milletsill.fleet.frames.codec import Frames, FrameTooLong, framed
 from milletsill.fleet.net.stream_state import (
     DIAL,
     IDLE,
@@ -55,7 +55,7 @@
         try:
             for frame in self.frames.feed(data):
                 self.door.heard(frame)
-        except TooLong as error:
+        except FrameTooLong as error:
             self.door.refused(error)
             self.transport.abortConnection()
 
@@ -72,7 +72,7 @@
         self,
         now: Callable[[], int],
         heard: Callable[[bytes], None],
-        refused: Callable[[TooLong], None],
+        refused: Callable[[FrameTooLong], None],
     ) -> None:
         self.now, self.heard, self.refused = now, heard, refused
         self.ears: set[Ear] = set()
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -11,32 +11,38 @@
 
 from twisted.internet.error import CannotListenError
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 from milletsill.fleet import errors
 from milletsill.fleet.frames.codec import (
     MOST_BODY,
     MOST_DATAGRAM,
     Codec,
-    OtherFleet,
-    TooLong,
-    TooNew,
-    Unreadable,
+    FleetNameMismatch,
+    FrameTooLong,
+    FrameVersionTooNew,
+    MalformedFrame,
 )
-from milletsill.fleet.frames.messages import VERSION, Message, What
+from milletsill.fleet.frames.messages import VERSION, FleetMessage, FrameType
 from milletsill.fleet.membership.effects import (
-    Changed,
-    Claimed,
+    ViewChanged,
+    IncarnationChanged,
     Effect,
-    Said,
-    Say,
-    Send,
+    OperatorEventKind,
+    OperatorEvent,
+    SendMessage,
 )
 from milletsill.fleet.membership.failure_detector import BEAT, Own, Terms
 from milletsill.fleet.membership.membership import Membership
 from milletsill.fleet.metrics import Figures
 from milletsill.fleet.net.datagrams import listen
 from milletsill.fleet.net.streams import Door, Streams
-from milletsill.fleet.transport import Change, Kind, Member, Standing, View
+from milletsill.fleet.transport import (
+    ViewChange,
+    MessageKind,
+    Member,
+    MemberState,
+    View,
+)
 
 GATHER = 200  # changes so close together make one view
 SAY_EVERY = 100_000  # between lines about frames of one cause
@@ -46,11 +52,11 @@
 )  # of members' changes, so many in that span; the rest are counted
 ALONE_AFTER = 100_000
 SAID_FROM = 5000  # a stall of this gateway that is worth a line
-CAUSES: dict[type[Fault], str] = {
-    TooLong: "too_long",
-    Unreadable: "unreadable",
-    OtherFleet: "other_fleet",
-    TooNew: "too_new",
+CAUSES: dict[type[MilletsillError], str] = {
+    FrameTooLong: "too_long",
+    MalformedFrame: "unreadable",
+    FleetNameMismatch: "other_fleet",
+    FrameVersionTooNew: "too_new",
 }
 
 
@@ -104,11 +110,11 @@
         )
         self.member: Membership | None = None
         self.view, self.version = View(0, ()), 0
-        self.ears: dict[Kind, list[Callable[[str, int, bytes], None]]] = {}
+        self.ears: dict[MessageKind, list[Callable[[str, int, bytes], None]]] = {}
         self.watchers: list[
-            Callable[[View, Sequence[tuple[Change, Member]]], None]
+            Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
         ] = []
-        self.changes: list[tuple[Change, Member]] = []
+        self.changes: list[tuple[ViewChange, Member]] = []
         self.said: dict[str, int] = {}
         self.lines, self.lines_since, self.began, self.alone = 0, 0, now(), False
         self.calls: dict[str, Any] = {}
@@ -132,7 +138,9 @@
             )
             self.ports.append(udp)
         except CannotListenError as error:
-            raise errors.NoFleetAddress(str(error), self.link.address) from None
+            raise errors.FleetAddressUnavailable(
+                str(error), self.link.address
+            ) from None
         address = self.link.advertise or f"{host}:{number}"
         self.began = self.now()
         self.member = Membership(
@@ -149,7 +157,7 @@
             "fleet_joining",
             fleet=self.link.name,
             address=address,
-            run=self.run,
+            run=self.incarnation,
             join=len(self.link.join),
         )
         self.change()
@@ -189,11 +197,11 @@
         self.door.look()
         member, figures = self.member, self.figures
         held = [each.standing for each in member.rolls.table.held.values()]
-        for standing in Standing:
+        for standing in MemberState:
             figures.members.labels(standing.name.lower()).set(held.count(standing))
         figures.doubt.set(member.score)
         figures.troubled.set(member.troubled)
-        figures.run.set(self.run)
+        figures.run.set(self.incarnation)
         figures.waiting.set(self.streams.waiting())
         figures.streams.labels("out").set(len(self.streams.held))
         figures.streams.labels("in").set(len(self.door.ears))
@@ -202,7 +210,7 @@
         elif not self.alone and member.join and self.now() - self.began >= ALONE_AFTER:
             self.alone = True
             self.say(
-                errors.Alone(
+                errors.NoPeersReachable(
                     "no other gateway has answered", f"fleet {self.link.name!r}"
                 )
             )
@@ -210,7 +218,7 @@
     # The plane.
 
     @property
-    def run(self) -> int:
+    def incarnation(self) -> int:
         return self.member.rolls.me.run if self.member is not None else self.first_run
 
     @property
@@ -218,7 +226,7 @@
         """Whether most of this gateway's probes come to nothing: it may be cut off, and its view old."""
         return self.member is not None and self.member.troubled
 
-    def tell(self, member: str, kind: Kind, body: bytes) -> bool:
+    def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
         held = self.view.by_name.get(member)
         if (
             held is None
@@ -228,19 +236,23 @@
             or self.member is None
         ):
             return False
-        return self.send(
-            Send(
+        return self.transmit(
+            SendMessage(
                 held.address,
-                Message(What.BODY, self.member.rolls.sender, kind=kind, body=body),
+                FleetMessage(
+                    FrameType.BODY, self.member.rolls.sender, kind=kind, body=body
+                ),
                 True,
             )
         )
 
-    def hear(self, kind: Kind, heard: Callable[[str, int, bytes], None]) -> None:
+    def subscribe(
+        self, kind: MessageKind, heard: Callable[[str, int, bytes], None]
+    ) -> None:
         self.ears.setdefault(kind, []).append(heard)
 
-    def watch(
-        self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]
+    def watch_view(
+        self, told: Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
     ) -> None:
         self.watchers.append(told)
 
@@ -253,17 +265,17 @@
         self.figures.count("in", over, len(data))
         try:
             if over == "datagram" and len(data) > MOST_DATAGRAM:
-                raise TooLong(f"a datagram of more than {MOST_DATAGRAM} octets")
+                raise FrameTooLong(f"a datagram of more than {MOST_DATAGRAM} octets")
             message = self.codec.decode(data)
-        except (Unreadable, OtherFleet, TooNew) as error:
+        except (MalformedFrame, FleetNameMismatch, FrameVersionTooNew) as error:
             return self.refused(error)
         self.act(self.member.heard(self.now(), message))
-        if message.what is None:
+        if message.type is None:
             self.figures.refused.labels("unknown_what").inc()
-        elif message.what is What.BODY:
+        elif message.type is FrameType.BODY:
             self.body(message)
 
-    def body(self, message: Message) -> None:
+    def body(self, message: FleetMessage) -> None:
         """What another part of the program is told; from one that is in the view, in that start."""
         held = self.member.rolls.table.get(message.sender.name)
         if (
@@ -278,7 +290,7 @@
         for each in self.ears.get(message.kind, ()):
             each(held.name, held.run, message.body)
 
-    def refused(self, error: Fault) -> None:
+    def refused(self, error: MilletsillError) -> None:
         """Counted; said now and then."""
         cause = CAUSES[type(error)]
         self.figures.refused.labels(cause).inc()
@@ -287,10 +299,10 @@
             self.said[cause] = now
             self.say(error)
 
-    def say(self, error: Fault, **values: Any) -> None:
-        self.remark("fleet", **error.said(), **values)
+    def say(self, error: MilletsillError, **values: Any) -> None:
+        self.remark("fleet", **error.log_fields(), **values)
 
-    def send(self, sent: Send) -> bool:
+    def transmit(self, sent: SendMessage) -> bool:
         data, over = (
             self.codec.encode(sent.message),
             "stream" if sent.stream else "datagram",
@@ -310,20 +322,20 @@
 
     def act(self, effects: Sequence[Effect]) -> None:
         for each in effects:
-            if isinstance(each, Send):
-                self.send(each)
-            elif isinstance(each, Changed):
+            if isinstance(each, SendMessage):
+                self.transmit(each)
+            elif isinstance(each, ViewChanged):
                 self.changed(each)
-            elif isinstance(each, Claimed):
-                self.keep(each.run)
+            elif isinstance(each, IncarnationChanged):
+                self.keep(each.incarnation)
             else:
                 self.speak(each)
 
-    def changed(self, changed: Changed) -> None:
+    def changed(self, changed: ViewChanged) -> None:
         """Changes that come close together make one view."""
         change, member = changed.change, changed.member
         self.figures.changes.labels(change.name.lower()).inc()
-        if change in (Change.GONE, Change.LEFT) and member.name != self.name:
+        if change in (ViewChange.GONE, ViewChange.LEFT) and member.name != self.name:
             self.streams.away(member.address)
         now = self.now()
         if now - self.lines_since >= LINES_OVER:
@@ -334,7 +346,7 @@
                 "member",
                 change=change.name.lower(),
                 member=member.name,
-                run=member.run,
+                run=member.incarnation,
                 address=member.address,
             )
         if not self.changes:
@@ -360,34 +372,34 @@
         for each in self.watchers:
             each(self.view, changes)
 
-    def speak(self, said: Say) -> None:
+    def speak(self, said: OperatorEvent) -> None:
         """Lines for an operator."""
-        if said.what is Said.LOST_STATE:
+        if said.what is OperatorEventKind.LOST_STATE:
             self.say(
-                errors.LostState(
+                errors.IncarnationLost(
                     f"run {said.span} of {self.name!r} is known to others, at {said.where}",
                     "state_dir",
                 ),
-                run=self.run,
+                run=self.incarnation,
             )
-        elif said.what is Said.TWIN:
+        elif said.what is OperatorEventKind.TWIN:
             self.say(
-                errors.TwinName(
+                errors.DuplicateMemberName(
                     f"another live gateway is called {self.name!r}", said.where
                 ),
                 resting=self.member.rolls.own is Own.DISPLACED,
             )
-        elif said.what is Said.FULL:
+        elif said.what is OperatorEventKind.FULL:
             now = self.now()
             if now - self.said.get("full", now - SAY_EVERY) >= SAY_EVERY:
                 self.said["full"] = now
                 self.say(
-                    errors.FleetFull(
+                    errors.MemberLimitReached(
                         f"{said.where!r} has no place among {self.terms.most_members}",
                         "fleet.most_members",
                     )
                 )
-        elif said.what is Said.STOOD and said.span >= SAID_FROM:
+        elif said.what is OperatorEventKind.STOOD and said.span >= SAID_FROM:
             self.remark("fleet_stood", ms=said.span / 10)
-        elif said.what is Said.REFUTED:
+        elif said.what is OperatorEventKind.REFUTED:
             self.remark("fleet_refuted", doubt=self.member.score)
--- a/milletsill/fleet/transport.py
+++ b/milletsill/fleet/transport.py
@@ -9,10 +9,10 @@
 
 import xxhash
 
-Standing = Enum("Standing", "ALIVE SUSPECT GONE LEFT")
-Change = Enum("Change", "JOINED SUSPECTED REFUTED RESTARTED GONE LEFT")
-Kind = Enum("Kind", "VIEW HEALTH CHANNEL")
-PRESENT = (Standing.ALIVE, Standing.SUSPECT)
+MemberState = Enum("MemberState", "ALIVE SUSPECT GONE LEFT")
+ViewChange = Enum("ViewChange", "JOINED SUSPECTED REFUTED RESTARTED GONE LEFT")
+MessageKind = Enum("MessageKind", "VIEW HEALTH CHANNEL")
+PRESENT = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,16 +21,16 @@
 
     name: str
     address: str
-    run: int
-    standing: Standing
+    incarnation: int
+    state: MemberState
 
 
 def digest_of(members: Iterable[Member]) -> int:
     """Equal for equal sets of present members and their runs. A suspicion alone is no other view."""
     words = sorted(
-        f"{each.name}\0{each.run}\0{each.address}"
+        f"{each.name}\0{each.incarnation}\0{each.address}"
         for each in members
-        if each.standing in PRESENT
+        if each.state in PRESENT
     )
     return xxhash.xxh64_intdigest("\n".join(words).encode("utf-8", "surrogateescape"))
 
@@ -44,14 +44,14 @@
         self.version = version
         self.members = tuple(
             sorted(
-                (each for each in members if each.standing in PRESENT),
+                (each for each in members if each.state in PRESENT),
                 key=lambda each: each.name,
             )
         )
         self.digest = digest_of(self.members)
         self.by_name = {each.name: each for each in self.members}
 
-    def chosen(
+    def rendezvous(
         self, name: str, count: int, among: Sequence[str] | None = None
     ) -> tuple[str, ...]:
         """The first `count` members for a name, by rendezvous hashing: one that joins or goes moves only what is its own."""
@@ -71,27 +71,29 @@
         )
         return tuple(each for _, each in weights[:count])
 
-    def most(self, fleet: int) -> bool:
+    def has_majority(self, fleet: int) -> bool:
         """Whether over half of a fleet of that size is in it."""
         return 2 * len(self.members) > fleet
 
 
-class Plane(Protocol):
+class FleetTransport(Protocol):
     """One gateway's place among the others. Nothing told needs to arrive; what arrives is in order for one member, kind and
     connection, and may come twice.
     """
 
     name: str
-    run: int
+    incarnation: int
     view: View
 
-    def tell(self, member: str, kind: Kind, body: bytes) -> bool:
+    def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
         """Tell one member; False where it cannot even be tried (no such member, too much waits for it)."""
 
-    def hear(self, kind: Kind, heard: Callable[[str, int, bytes], None]) -> None:
+    def subscribe(
+        self, kind: MessageKind, heard: Callable[[str, int, bytes], None]
+    ) -> None:
         """Who is called with what members say of that kind: member, its run, body."""
 
-    def watch(
-        self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]
+    def watch_view(
+        self, told: Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
     ) -> None:
         """Who is called after each change of the view, never from within."""
--- a/milletsill/flows/collect.py
+++ b/milletsill/flows/collect.py
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 
 from milletsill.flows import ipfix, netflow9
-from milletsill.flows.ipfix import BadExport, Cutter
+from milletsill.flows.ipfix import MalformedFlowMessage, Cutter
 
 MOST_SESSIONS, MOST_TOP, LIFETIME = (
     1024,
@@ -116,11 +116,11 @@
         decoder = session.decoders.get(version)
         try:
             if decoder is None:
-                raise BadExport(f"version {version} is not read")
+                raise MalformedFlowMessage(f"version {version} is not read")
             made = decoder.message(data, self.clock())
-        except BadExport as error:
+        except MalformedFlowMessage as error:
             self.malformed += 1
-            return self.complain(error.at(str(source)).line())
+            return self.complain(error.with_location(str(source)).describe())
         self.messages += 1
         self.bytes += len(data)
         self.unknown += made.unknown
@@ -234,9 +234,11 @@
         try:
             for message in self.cutter.feed(data):
                 self.collector.message(self.session, message, self.transport.getPeer())
-        except BadExport as error:
+        except MalformedFlowMessage as error:
             self.collector.malformed += 1
-            self.collector.complain(error.at(str(self.transport.getPeer())).line())
+            self.collector.complain(
+                error.with_location(str(self.transport.getPeer())).describe()
+            )
             self.transport.abortConnection()
 
 
--- a/milletsill/flows/ipfix.py
+++ b/milletsill/flows/ipfix.py
@@ -13,7 +13,7 @@
 from struct import error as StructError
 from typing import Any
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.flows.elements import (
     DOCUMENTATION_PEN,
     ELEMENTS,
@@ -36,7 +36,7 @@
 MODULO = 1 << 32
 
 
-class BadExport(Malformed):
+class MalformedFlowMessage(MalformedInput):
     """Octets that RFC 7011 or NetFlow 9 does not allow, or that this decoder will not hold."""
 
     remedy = "see what exports to this collector; the message alone is passed over, a broken stream is cut"
@@ -231,12 +231,14 @@
     def message(self, data: bytes, now: float) -> Decoded:
         """One whole message; `BadExport` leaves what was learnt before as it was."""
         if len(data) < HEADER.size:
-            raise BadExport(f"a message of {len(data)} bytes has no header")
+            raise MalformedFlowMessage(f"a message of {len(data)} bytes has no header")
         version, length, export_time, sequence, domain = HEADER.unpack_from(data)
         if version != VERSION:
-            raise BadExport(f"version {version}, {VERSION} is read")
+            raise MalformedFlowMessage(f"version {version}, {VERSION} is read")
         if length != len(data):
-            raise BadExport(f"a length of {length} in a message of {len(data)} bytes")
+            raise MalformedFlowMessage(
+                f"a length of {length} in a message of {len(data)} bytes"
+            )
         made, learnt = (
             Decoded(export_time, sequence, domain),
             dict[tuple[int, int], Learnt | None](),
@@ -244,10 +246,14 @@
         at = HEADER.size
         while at < length:
             if length - at < SET.size:
-                raise BadExport(f"{length - at} bytes left over behind the last set")
+                raise MalformedFlowMessage(
+                    f"{length - at} bytes left over behind the last set"
+                )
             set_id, size = SET.unpack_from(data, at)
             if size < SET.size or at + size > length:
-                raise BadExport(f"a set of {size} bytes where {length - at} are left")
+                raise MalformedFlowMessage(
+                    f"a set of {size} bytes where {length - at} are left"
+                )
             body = data[at + SET.size : at + size]
             if set_id in (TEMPLATE_SET, OPTIONS_SET):
                 made.templates += self.learn(
@@ -256,7 +262,7 @@
             elif set_id >= FIRST_DATA:
                 self.data_set(body, domain, set_id, now, learnt, made)
             else:
-                raise BadExport(f"set id {set_id} is not allowed")
+                raise MalformedFlowMessage(f"set id {set_id} is not allowed")
             at += size
         self.keep(learnt)
         for _, _, values in made.rows:
@@ -298,7 +304,7 @@
                     or options
                     and not 0 < scope <= fields
                 ):
-                    raise BadExport(
+                    raise MalformedFlowMessage(
                         f"template {template_id} with {fields} fields, {scope} of scope"
                     )
                 specifiers = []
@@ -311,11 +317,13 @@
                         at += 4
                     specifiers.append(Field(pen, id & 0x7FFF, length))
                 if not any(each.length for each in specifiers):
-                    raise BadExport(f"template {template_id} describes no byte")
+                    raise MalformedFlowMessage(
+                        f"template {template_id} describes no byte"
+                    )
                 learnt[domain, template_id] = Learnt(tuple(specifiers), scope, now)
                 count += 1
         except StructError:
-            raise BadExport("a template is cut short") from None
+            raise MalformedFlowMessage("a template is cut short") from None
         return count
 
     def data_set(
@@ -352,20 +360,20 @@
                 length = each.length
                 if length == VARIABLE:
                     if at >= len(body):
-                        raise BadExport("a record is cut short")
+                        raise MalformedFlowMessage("a record is cut short")
                     length, at = body[at], at + 1
                     if length == 255:
                         if at + 2 > len(body):
-                            raise BadExport("a record is cut short")
+                            raise MalformedFlowMessage("a record is cut short")
                         length, at = WIDTHS[2].unpack_from(body, at)[0], at + 2
                 if at + length > len(body):
-                    raise BadExport("a record is cut short")
+                    raise MalformedFlowMessage("a record is cut short")
                 name, value = self.value(each, body[at : at + length])
                 values[name] = value
                 at += length
             made.rows.append((set_id, template.scope, values))
         if any(body[at:]):
-            raise BadExport("padding that is not zero")
+            raise MalformedFlowMessage("padding that is not zero")
 
     def value(self, field: Field, data: bytes) -> tuple[str, Any]:
         """A field's name and value; of one that is not known, its numbers and bytes."""
@@ -415,7 +423,7 @@
         while len(self.held) >= 4:
             version, length = SET.unpack_from(self.held)
             if version != VERSION or length < HEADER.size:
-                raise BadExport(
+                raise MalformedFlowMessage(
                     f"version {version} and a length of {length} begin no message"
                 )
             if len(self.held) < length:
--- a/milletsill/flows/netflow9.py
+++ b/milletsill/flows/netflow9.py
@@ -15,7 +15,7 @@
     MODULO,
     SET,
     WIDTHS,
-    BadExport,
+    MalformedFlowMessage,
     Decoded,
     Record,
     cut,
@@ -144,19 +144,19 @@
 
     def message(self, data: bytes, now: float) -> Decoded:
         if len(data) < HEADER.size:
-            raise BadExport(f"a packet of {len(data)} bytes has no header")
+            raise MalformedFlowMessage(f"a packet of {len(data)} bytes has no header")
         version, _, _, export_time, sequence, domain = HEADER.unpack_from(data)
         if version != VERSION:
-            raise BadExport(f"version {version}, {VERSION} is read")
+            raise MalformedFlowMessage(f"version {version}, {VERSION} is read")
         made, at = Decoded(export_time, sequence, domain), HEADER.size
         while at < len(data):
             if len(data) - at < SET.size:
-                raise BadExport(
+                raise MalformedFlowMessage(
                     f"{len(data) - at} bytes left over behind the last flow set"
                 )
             set_id, size = SET.unpack_from(data, at)
             if size < SET.size or at + size > len(data):
-                raise BadExport(
+                raise MalformedFlowMessage(
                     f"a flow set of {size} bytes where {len(data) - at} are left"
                 )
             body = data[at + SET.size : at + size]
@@ -165,7 +165,7 @@
             elif set_id >= FIRST_DATA:
                 self.data_set(body, domain, set_id, now, made)
             else:
-                raise BadExport(f"flow set id {set_id} is not allowed")
+                raise MalformedFlowMessage(f"flow set id {set_id} is not allowed")
             at += size
         return made
 
@@ -185,10 +185,10 @@
                 or not 0 < fields <= MOST_FIELDS
                 or at + 4 * fields > len(body)
             ):
-                raise BadExport(f"template {id} with {fields} fields")
+                raise MalformedFlowMessage(f"template {id} with {fields} fields")
             told = [SET.unpack_from(body, at + 4 * each) for each in range(fields)]
             if not sum(size for _, size in told):
-                raise BadExport(f"template {id} describes no byte")
+                raise MalformedFlowMessage(f"template {id} describes no byte")
             at += 4 * fields
             self.templates.pop((domain, id), None)
             self.templates[domain, id] = (told, scope, now)
--- a/milletsill/gateway/scheduler_host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, Protocol
 
-from milletsill.errors import whereabouts
+from milletsill.errors import error_location
 from milletsill.gateway.reactor_turn import NextTurn
 from milletsill.gateway.stall_detection import io_first
 from milletsill.interface import (
@@ -254,7 +254,7 @@
         try:
             call(self.now(), *values)
         except Exception as error:
-            self.log(whereabouts(error))
+            self.log(error_location(error))
 
     def overdue(self, live: Live) -> None:
         if not live.answered:
--- a/milletsill/http1/line_reader.py
+++ b/milletsill/http1/line_reader.py
@@ -7,7 +7,7 @@
 import httptools
 
 from milletsill.http1.message_limits import END, MOST_INTERIM, Bounds, bare
-from milletsill.http1.reader import ERRORS, BadMessage
+from milletsill.http1.reader import ERRORS, MalformedHttpMessage
 
 BOUNDS = Bounds()
 ANSWER = b"HTTP/1."
@@ -47,11 +47,11 @@
         try:
             self.parser.feed_data(data if self.status else self.heads(data))
         except ERRORS as error:
-            raise BadMessage(
+            raise MalformedHttpMessage(
                 502, f"a watch that cannot be read: {error}"[:200]
             ) from None
         if len(self.line) > self.most_line or len(self.head) > BOUNDS.head:
-            raise BadMessage(502, "a line over the bound")
+            raise MalformedHttpMessage(502, "a line over the bound")
         lines, self.lines = self.lines, []
         return lines
 
@@ -59,7 +59,7 @@
         """What the parser gets while the answer's head is not whole: nothing, or whole heads and what stands behind."""
         self.head = (self.head + data).lstrip(b"\r\n")
         if not self.head.startswith(ANSWER[: len(self.head)]):
-            raise BadMessage(502, "no answer of HTTP/1.1")
+            raise MalformedHttpMessage(502, "no answer of HTTP/1.1")
         taken = b""
         while (end := self.head.find(END)) >= 0:
             head, self.head = self.head[: end + len(END)], self.head[end + len(END) :]
@@ -68,5 +68,5 @@
             if not INTERIM.match(head):
                 taken, self.head = taken + self.head, b""
             elif self.interim > MOST_INTERIM:
-                raise BadMessage(502, "1xx answers without an end")
+                raise MalformedHttpMessage(502, "1xx answers without an end")
         return taken
--- a/milletsill/http1/reader.py
+++ b/milletsill/http1/reader.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.http1.message_limits import (
     AMBIGUOUS,
     ANSWER_BEGINS,
@@ -25,7 +25,7 @@
 ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
-class BadMessage(Malformed):
+class MalformedHttpMessage(MalformedInput):
     """Octets that are no message of HTTP/1.1 within the bounds; `status` is what a server answers."""
 
     remedy = (
@@ -201,7 +201,7 @@
         """Another piece of a body that ends with its connection: not whole before."""
         message.length += len(self.buffer)
         if message.length > self.bounds.body:
-            raise BadMessage(413, "a body over the bound")
+            raise MalformedHttpMessage(413, "a body over the bound")
         self.gather(self.buffer)
         self.buffer = b""
 
@@ -232,30 +232,30 @@
             if AMBIGUOUS.search(
                 self.buffer, looked, len(self.buffer) - self.buffer.endswith(b"\r")
             ):
-                raise BadMessage(400, "a head that can be read in two ways")
+                raise MalformedHttpMessage(400, "a head that can be read in two ways")
             if not self.BEGINS.match(self.buffer):
-                raise BadMessage(400, "what begins no message")
+                raise MalformedHttpMessage(400, "what begins no message")
             return None
         if not 0 <= end <= self.bounds.head - len(END):
-            raise BadMessage(431, "a head over the bound")
+            raise MalformedHttpMessage(431, "a head over the bound")
         head, self.buffer, self.looked = (
             self.buffer[: end + len(END)],
             self.buffer[end + len(END) :],
             0,
         )
         if AMBIGUOUS.search(head):
-            raise BadMessage(400, "a head that can be read in two ways")
+            raise MalformedHttpMessage(400, "a head that can be read in two ways")
         message = Message(self.bounds.body)
         message.parser = self.parser(message)
         try:
             message.parser.feed_data(bare(head))
         except ERRORS as error:
-            raise BadMessage(
+            raise MalformedHttpMessage(
                 400, f"a head that cannot be read: {error}"[:200]
             ) from None
         self.blank = False
         if message.count > self.bounds.fields:
-            raise BadMessage(431, "too many lines in a head")
+            raise MalformedHttpMessage(431, "too many lines in a head")
         self.read(message)
         return message
 
@@ -265,7 +265,7 @@
             message.fields, message.doubled, self.bounds
         )
         if status:
-            raise BadMessage(status, reason)
+            raise MalformedHttpMessage(status, reason)
 
     def parser(self, message: Message) -> Any:
         raise NotImplementedError
@@ -283,7 +283,7 @@
             try:
                 message.parser.feed_data(data)
             except ERRORS as error:
-                raise BadMessage(
+                raise MalformedHttpMessage(
                     400, f"chunks that cannot be read: {error}"[:200]
                 ) from None
             message.fed(data)
@@ -292,9 +292,9 @@
                 message.size + message.rest > self.bounds.body
                 or message.length > 2 * self.bounds.body + self.bounds.head
             ):
-                raise BadMessage(413, "a body over the bound")
+                raise MalformedHttpMessage(413, "a body over the bound")
             if message.chunks > MOST_CHUNKS or len(message.line) > self.bounds.head:
-                raise BadMessage(413, "a body in too many chunks")
+                raise MalformedHttpMessage(413, "a body in too many chunks")
         self.buffer = buffer[at:]
         return message.ended
 
@@ -311,13 +311,13 @@
         message.length = max(message.length, 0)
         version = message.parser.get_http_version()
         if version not in ("1.1", "1.0"):
-            raise BadMessage(505, "not HTTP/1.1")
+            raise MalformedHttpMessage(505, "not HTTP/1.1")
         if (
             b"host" in message.doubled
             or version == "1.1"
             and b"host" not in message.fields
         ):
-            raise BadMessage(400, "not one Host")
+            raise MalformedHttpMessage(400, "not one Host")
 
 
 class AnswerReader(Reader):
@@ -368,5 +368,5 @@
                 return message
             self.interim += 1
             if self.interim > MOST_INTERIM or message.status == 101:
-                raise BadMessage(502, "1xx answers without an end")
+                raise MalformedHttpMessage(502, "1xx answers without an end")
         return None
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -8,9 +8,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from milletsill.errors import Refused
+from milletsill.errors import ConfigurationRejected
 from milletsill.facts import Part, at_most, facts_of, missing_in, unknown_in
-from milletsill.http_gateway.endpoints import BadEntry, News, address_of, news_of
+from milletsill.http_gateway.endpoints import (
+    InvalidEndpoint,
+    EndpointUpdate,
+    address_of,
+    news_of,
+)
 from milletsill.http_gateway.gateway_limits import ask_within
 
 MOST_OCTETS = 8 << 20
@@ -37,7 +42,7 @@
 )
 
 
-class RefusedPlace(Refused):
+class GatewayConfigurationRejected(ConfigurationRejected):
     """The platform's file that cannot be used."""
 
     remedy = "mend the file that NODE_CONFIG names, then restart or send SIGHUP; a gateway that runs goes on with what it had"
@@ -54,7 +59,7 @@
     sockets: int
     memory_mb: int
     facts: Mapping[str, Any]
-    known: News | None
+    known: EndpointUpdate | None
     grace: int  # to stop sending, where lists are pushed; else 0
 
 
@@ -64,19 +69,23 @@
     """The file that NODE_CONFIG names; the other variables stand in for what it leaves out."""
     path = environ.get("NODE_CONFIG", "")
     if not path:
-        raise RefusedPlace("NODE_CONFIG names no file")
+        raise GatewayConfigurationRejected("NODE_CONFIG names no file")
     try:
         with open(path, "rb") as file:
             data = file.read(MOST_OCTETS + 1)
         given = json.loads(data) if len(data) <= MOST_OCTETS else None
     except (OSError, ValueError, RecursionError) as error:
-        raise RefusedPlace(" ".join(str(error).split())[:200], path) from None
+        raise GatewayConfigurationRejected(
+            " ".join(str(error).split())[:200], path
+        ) from None
     if not isinstance(given, dict):
-        raise RefusedPlace("not a JSON object of a bearable size", path)
+        raise GatewayConfigurationRejected("not a JSON object of a bearable size", path)
     try:
         return deployment_of(given, environ, clock, remark)
-    except (BadEntry, ValueError) as error:
-        raise RefusedPlace(" ".join(str(error).split())[:200], path) from None
+    except (InvalidEndpoint, ValueError) as error:
+        raise GatewayConfigurationRejected(
+            " ".join(str(error).split())[:200], path
+        ) from None
 
 
 def deployment_of(
--- a/milletsill/http_gateway/endpoint_watcher.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -9,11 +9,11 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from milletsill.errors import line_of
+from milletsill.errors import describe_error
 from milletsill.http1.line_reader import AnswerLines
-from milletsill.http1.reader import BadMessage
+from milletsill.http1.reader import MalformedHttpMessage
 from milletsill.http1.writer import request
-from milletsill.http_gateway.endpoints import BadEntry, EndpointUpdateKind, news_of
+from milletsill.http_gateway.endpoints import InvalidEndpoint, EndpointUpdate, news_of
 from milletsill.http_gateway.gateway_limits import (
     DIAL,
     FIRST_WORD,
@@ -27,7 +27,7 @@
     is_mute,
     retry_within,
 )
-from milletsill.interface import EndpointUpdateKind as Kind
+from milletsill.interface import EndpointUpdateKind
 
 PATH = b"/registry/instances?watch=1&from=%d"
 BEAT = object()  # an empty line: nothing changed
@@ -131,8 +131,13 @@
                 and (self.answer.line or self.words.parts)
             ):
                 self.reach(Call.BEGUN)
-        except (BadMessage, BadEntry, ValueError, RecursionError) as error:
-            return self.end(line_of(error))
+        except (
+            MalformedHttpMessage,
+            InvalidEndpoint,
+            ValueError,
+            RecursionError,
+        ) as error:
+            return self.end(describe_error(error))
         if self.answer.ended:
             self.end("the watch ended")
 
@@ -212,7 +217,7 @@
         address: tuple[str, int],
         zones: Sequence[str],
         clock: int,
-        told: Callable[[Kind, Sequence[Any]], None],
+        told: Callable[[EndpointUpdateKind, Sequence[Any]], None],
         remark: Callable[[str], None],
         uniform: Callable[[float, float], float],
         grace: int = 0,
@@ -235,10 +240,10 @@
             None  # when discovery's address did, until a watch at the new one has spoken
         )
 
-    def known(self, news: EndpointUpdateKind) -> None:
+    def known(self, news: EndpointUpdate) -> None:
         """The list as it was known at the start."""
         self.version = news.version
-        self.told(Kind.CACHED, news.places)
+        self.told(EndpointUpdateKind.CACHED, news.places)
 
     def ask(self) -> None:
         """A watch is wanted; one that stands is enough."""
@@ -326,7 +331,7 @@
                 news_of(value, self.zones, self.clock, self.remark), watch is self.old
             )
         elif first:
-            self.told(Kind.DELTA, ())
+            self.told(EndpointUpdateKind.DELTA, ())
         if first:
             watch.version, self.moved, self.mute, self.hurried = (
                 -1,
@@ -336,10 +341,13 @@
             )  # has spoken
             self.drop()
 
-    def news(self, news: EndpointUpdateKind, old: bool) -> None:
+    def news(self, news: EndpointUpdate, old: bool) -> None:
         if news.whole and not old or news.version >= self.version:
             self.version = news.version
-            self.told(Kind.SNAPSHOT if news.whole else Kind.DELTA, news.places)
+            self.told(
+                EndpointUpdateKind.SNAPSHOT if news.whole else EndpointUpdateKind.DELTA,
+                news.places,
+            )
 
     def drop(self) -> None:
         for each in (self.old, self.beside):
@@ -379,7 +387,7 @@
 
     def failed(self) -> None:
         if not self.stopped:
-            self.told(Kind.FAILED, ())
+            self.told(EndpointUpdateKind.FAILED, ())
 
     def look(self) -> None:
         """Whether a watch has gone quiet: another is opened in time to be in its place, and at last it is over."""
--- a/milletsill/http_gateway/endpoints.py
+++ b/milletsill/http_gateway/endpoints.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from milletsill.errors import Unfit
+from milletsill.errors import InvalidValue
 from milletsill.interface import Endpoint, Readiness
 
 STATES = {
@@ -18,7 +18,7 @@
 MOST_ID, MOST_CELL = 200, 1 << 16
 
 
-class BadEntry(Unfit):
+class InvalidEndpoint(InvalidValue):
     """An entry of the list that describes no node."""
 
     remedy = "put the entry right at discovery; the others stand, a whole list that is none is asked for again"
@@ -48,7 +48,7 @@
         or not (port.isascii() and port.isdigit())
         or not 0 < int(port[:6]) < 65_536
     ):
-        raise BadEntry(f"address {str(text)[:40]!r} is not HOST:PORT")
+        raise InvalidEndpoint(f"address {str(text)[:40]!r} is not HOST:PORT")
     return host, int(port)
 
 
@@ -56,7 +56,7 @@
     """A whole number from 0 of an entry."""
     value = entry.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < most:
-        raise BadEntry(
+        raise InvalidEndpoint(
             f"{name} {str(value)[:40]!r} is not a number from 0 to {most - 1}"
         )
     return value
@@ -76,18 +76,20 @@
 def place_of(entry: Any, zones: Sequence[str], clock: int) -> Place:
     """One entry; `clock` is our clock less the wall's, in tenths of a millisecond."""
     if not isinstance(entry, dict):
-        raise BadEntry("an entry that is no JSON object")
+        raise InvalidEndpoint("an entry that is no JSON object")
     name, state, size = entry.get("id"), entry.get("state"), entry.get("weight", 1.0)
     if not isinstance(name, str) or not 0 < len(name) <= MOST_ID:
-        raise BadEntry(f"id {str(name)[:40]!r} is not a name")
+        raise InvalidEndpoint(f"id {str(name)[:40]!r} is not a name")
     if not isinstance(state, str) or state not in STATES:
-        raise BadEntry(f"state {str(state)[:40]!r} is not one of {', '.join(STATES)}")
+        raise InvalidEndpoint(
+            f"state {str(state)[:40]!r} is not one of {', '.join(STATES)}"
+        )
     if (
         isinstance(size, bool)
         or not isinstance(size, (int, float))
         or not 0 <= size < 1e6
     ):
-        raise BadEntry(f"weight {str(size)[:40]!r} is not a number from 0")
+        raise InvalidEndpoint(f"weight {str(size)[:40]!r} is not a number from 0")
     readiness = STATES[state]
     gone = readiness is Readiness.GONE and "addr" not in entry
     host, port = ("", 0) if gone else address_of(entry.get("addr"))
@@ -111,7 +113,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class EndpointUpdate:
     """One object of the list's: whole, or what has changed."""
 
     version: int
@@ -121,16 +123,16 @@
 
 def news_of(
     value: Any, zones: Sequence[str], clock: int, remark: Callable[[str], None]
-) -> News:
+) -> EndpointUpdate:
     """A list or its changes; `BadEntry` where it is neither."""
     if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
-        raise BadEntry("no list of nodes")
+        raise InvalidEndpoint("no list of nodes")
     places = []
     for entry in value["servers"]:
         try:
             places.append(place_of(entry, zones, clock))
-        except BadEntry as error:
-            remark(f"an entry was left out: {error.line()}")
-    return News(
+        except InvalidEndpoint as error:
+            remark(f"an entry was left out: {error.describe()}")
+    return EndpointUpdate(
         whole(value, "version", 1 << 63), value.get("full") is True, tuple(places)
     )
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -10,7 +10,10 @@
 
 from milletsill.gateway.scheduler_host import Ended, Host, Make
 from milletsill.http1.reader import Message
-from milletsill.http_gateway.configuration import Deployment, RefusedPlace
+from milletsill.http_gateway.configuration import (
+    Deployment,
+    GatewayConfigurationRejected,
+)
 from milletsill.http_gateway.endpoint_watcher import Follower
 from milletsill.http_gateway.endpoints import Place
 from milletsill.http_gateway.gateway_limits import (
@@ -27,7 +30,12 @@
 )
 from milletsill.http_gateway.http_server import Client, Clients
 from milletsill.http_gateway.node_connections import Fleet, Sending
-from milletsill.http_gateway.request_parser import BadAsk, Cargo, Categories, cargo_of
+from milletsill.http_gateway.request_parser import (
+    InvalidRequest,
+    Cargo,
+    Categories,
+    cargo_of,
+)
 from milletsill.interface import Request, EndpointUpdateKind
 from milletsill.scheduler import Scheduler
 
@@ -196,7 +204,9 @@
         ):
             self.remark(
                 "configuration",
-                **RefusedPlace("settings or address are not those of the start").said(),
+                **GatewayConfigurationRejected(
+                    "settings or address are not those of the start"
+                ).log_fields(),
             )
         self.log.info("reloaded", discovery="%s:%d" % deployment.discovery)
 
@@ -234,8 +244,8 @@
                 message, self.now(), ANSWER_MARGIN, self.answers_by
             )
             if arrival.id in self.host.live or self.spent.known(arrival.id, self.now()):
-                raise BadAsk(409, "x-txn is another's open one")
-        except BadAsk as error:
+                raise InvalidRequest(409, "x-txn is another's open one")
+        except InvalidRequest as error:
             return client.refuse(error.status, str(error))
         # Once shut, whatever the clocks say: what is sent on then has nobody left to hear its answer. Harm: none, all is refused.
         if (
--- a/milletsill/http_gateway/http_server.py
+++ b/milletsill/http_gateway/http_server.py
@@ -12,7 +12,7 @@
 
 from milletsill.http1 import writer
 from milletsill.http1.message_limits import Bounds
-from milletsill.http1.reader import BadMessage, Message, RequestReader
+from milletsill.http1.reader import MalformedHttpMessage, Message, RequestReader
 from milletsill.http_gateway.gateway_limits import (
     BEGUN_BY,
     LOOK_SHORT,
@@ -153,7 +153,7 @@
         try:
             if self.ahead is None:
                 self.ahead = self.reader.next()
-        except BadMessage as error:
+        except MalformedHttpMessage as error:
             self.refuse(error.status, error.reason)
             return False
         if (
--- a/milletsill/http_gateway/node_connections.py
+++ b/milletsill/http_gateway/node_connections.py
@@ -13,7 +13,7 @@
 from milletsill.gateway.reactor_turn import NextTurn
 from milletsill.gateway.scheduler_host import Ended
 from milletsill.http1.message_limits import Bounds
-from milletsill.http1.reader import AnswerReader, BadMessage, Message
+from milletsill.http1.reader import AnswerReader, MalformedHttpMessage, Message
 from milletsill.http1.writer import request
 from milletsill.http_gateway.endpoint_watcher import Dial
 from milletsill.http_gateway.endpoints import Place
@@ -148,7 +148,7 @@
         self.reader.feed(data)
         try:
             message = self.reader.next()
-        except BadMessage as error:
+        except MalformedHttpMessage as error:
             self.node.fleet.note("spoilt", error.reason)
             return self.finish(AttemptOutcome.ERROR, None, False)
         if message is None:
--- a/milletsill/http_gateway/process.py
+++ b/milletsill/http_gateway/process.py
@@ -46,14 +46,14 @@
         )
         return 0 if wanted else 2
     signals = Signals()
-    from milletsill.http_gateway.configuration import RefusedPlace, read
+    from milletsill.http_gateway.configuration import GatewayConfigurationRejected, read
 
     clock = time.monotonic_ns() // 100_000 - time.time_ns() // 100_000
     faults = list[str]()
     try:
         deployment = read(os.environ, clock, faults.append)
-    except RefusedPlace as error:
-        print(f"milletsill: {error.line()}", file=sys.stderr)
+    except GatewayConfigurationRejected as error:
+        print(f"milletsill: {error.describe()}", file=sys.stderr)
         return 2
     serve(deployment, clock, signals, faults)
 
@@ -64,7 +64,7 @@
     from twisted.internet.error import CannotListenError
 
     from milletsill.gateway.process_setup import SETTLED, settle_memory
-    from milletsill.http_gateway.configuration import RefusedPlace, read
+    from milletsill.http_gateway.configuration import GatewayConfigurationRejected, read
     from milletsill.http_gateway.gateway import Gateway
     from milletsill.http_gateway.json_log import Lines
 
@@ -85,8 +85,8 @@
                     lambda text: gateway.remark("configuration", reason=text),
                 )
             )
-        except RefusedPlace as error:
-            log.warning("configuration", **error.said())
+        except GatewayConfigurationRejected as error:
+            log.warning("configuration", **error.log_fields())
 
     def heard(number: int) -> None:
         reactor.callFromThread(again if number == signal.SIGHUP else gateway.terminate)
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from milletsill.errors import Unfit
+from milletsill.errors import InvalidValue
 from milletsill.facts import REPORTS
 from milletsill.http1.reader import Message
 from milletsill.interface import Request
@@ -22,7 +22,7 @@
 MOST = 1e9  # units and cells, where the settings set no bound
 
 
-class BadAsk(Unfit):
+class InvalidRequest(InvalidValue):
     """A client's request that is no transfer; `status` is its answer."""
 
     remedy = "nothing: the client is told why, and counted under `refused` in the tally"
@@ -84,7 +84,9 @@
             or form is not None
             and not form.match(value)
         ):
-            raise BadAsk(400, f"{name.decode()} is missing, doubled or malformed")
+            raise InvalidRequest(
+                400, f"{name.decode()} is missing, doubled or malformed"
+            )
         return value
 
     def arrival(
@@ -96,7 +98,7 @@
         plan = 0 if self.planless else self.pick(self.plans, message, b"x-plan")
         path = TARGET.match(message.target)
         if path is None or path.group(1) != message.fields[b"x-lane"]:
-            raise BadAsk(404, "the path is not the category's")
+            raise InvalidRequest(404, "the path is not the category's")
         write = (
             message.method == b"PUT" if self.writes is None else category in self.writes
         )
@@ -105,15 +107,15 @@
             or not write
             and message.body
         ):
-            raise BadAsk(405, "method or body do not fit the category")
+            raise InvalidRequest(405, "method or body do not fit the category")
         if self.facts["categories"][category]["repeats"] == "ticketed":
             self.one(message, b"idempotency-key", KEY)
         block = BLOCK.search(self.one(message, b"cookie"))
         if block is None or not HEX16.match(block.group(1)):
-            raise BadAsk(400, "no block in the cookie")
+            raise InvalidRequest(400, "no block in the cookie")
         left = int(self.one(message, b"x-remaining-ms", WHOLE)) * 10
         if not 0 < left <= LONGEST_WAIT:
-            raise BadAsk(400, "a time that nobody waits")
+            raise InvalidRequest(400, "a time that nobody waits")
         ends = came + left - margin if by is None else min(came + left - margin, by)
         volume, units, cell, gateways = self.io(message)
         return Request(
@@ -134,7 +136,7 @@
         """The place of a category or a plan."""
         place = names.get(self.one(message, field))
         if place is None:
-            raise BadAsk(404, f"{field.decode()} is not known")
+            raise InvalidRequest(404, f"{field.decode()} is not known")
         return place
 
     def io(self, message: Message) -> tuple[int, float, int | None, int]:
@@ -152,14 +154,14 @@
             and (shard == b"-1" or WHOLE.match(shard))
             and WHOLE.match(hosts)
         ):
-            raise BadAsk(400, "x-io is malformed")
+            raise InvalidRequest(400, "x-io is malformed")
         cell = None if shard == b"-1" else int(shard)
         if (
             not 0 < float(units) <= self.largest
             or not 0 < int(hosts) <= MOST_GATEWAYS
             or (cell is not None and cell >= self.cells)
         ):
-            raise BadAsk(400, "x-io is out of bounds")
+            raise InvalidRequest(400, "x-io is out of bounds")
         return int(volume, 16), float(units), cell, int(hosts)
 
 
--- a/milletsill/lab/box.py
+++ b/milletsill/lab/box.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.lab.engine import Engine, Job, Speed
 from milletsill.lab.files import Files
 from milletsill.lab.record import IN, OUT, Recorder
@@ -310,7 +310,7 @@
                 if self.box.recorder is not None:
                     self.box.recorder.put(self.number, IN, body)
                 self.packet(packets.decode(body))
-        except Malformed:
+        except MalformedInput:
             self.transport.abortConnection()
 
     def packet(self, packet: Any) -> None:
--- a/milletsill/lab/day.py
+++ b/milletsill/lab/day.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from milletsill.errors import Unfit
+from milletsill.errors import InvalidValue
 from milletsill.settings.milletsill_pb2 import Scenario
 from milletsill.settings.validation import TROUBLES
 
@@ -26,7 +26,7 @@
 OF_BOXES = ("vanish", "slow", "pauses", "neighbour")
 
 
-class BadDay(Unfit):
+class InvalidDayFile(InvalidValue):
     """A file that is no day of storage nodes."""
 
     remedy = "give a day file of the family `stores`"
@@ -41,7 +41,7 @@
     """The scenario of a day file's JSON value, cut down where asked."""
     try:
         if day["family"] != "stores":
-            raise BadDay(
+            raise InvalidDayFile(
                 f"a day of {str(day['family'])[:40]!r}, only 'stores' are played"
             )
         made = Scenario(
@@ -58,7 +58,7 @@
         fill_traffic(made, day, count)
         fill_clients(made, day)
         fill_troubles(made, day, count)
-    except BadDay:
+    except InvalidDayFile:
         raise
     except (
         KeyError,
@@ -68,7 +68,9 @@
         ZeroDivisionError,
         OverflowError,
     ) as error:
-        raise BadDay(f"not a day file: {type(error).__name__} {error}") from None
+        raise InvalidDayFile(
+            f"not a day file: {type(error).__name__} {error}"
+        ) from None
     return made
 
 
--- a/milletsill/lab/fleet_clock.py
+++ b/milletsill/lab/fleet_clock.py
@@ -14,11 +14,16 @@
 from typing import Any
 
 from milletsill.fleet.frames.codec import MOST_BODY, Codec, framed
-from milletsill.fleet.frames.messages import Message, What
-from milletsill.fleet.membership.effects import Changed, Effect, Say, Send
+from milletsill.fleet.frames.messages import FleetMessage, FrameType
+from milletsill.fleet.membership.effects import (
+    ViewChanged,
+    Effect,
+    OperatorEvent,
+    SendMessage,
+)
 from milletsill.fleet.membership.failure_detector import BEAT, Terms
 from milletsill.fleet.membership.membership import Membership
-from milletsill.fleet.transport import Change, Kind, Member, View
+from milletsill.fleet.transport import ViewChange, MessageKind, Member, View
 
 MS, SECOND = 10, 10_000
 SOCKET = 400  # datagrams that a socket holds for a gateway that stands still
@@ -43,12 +48,12 @@
             join,
             clock.now,
         )
-        self.up, self.stands_until, self.backlog = True, 0, list[Message]()
-        self.ears: dict[Kind, list[Callable[[str, int, bytes], None]]] = {}
+        self.up, self.stands_until, self.backlog = True, 0, list[FleetMessage]()
+        self.ears: dict[MessageKind, list[Callable[[str, int, bytes], None]]] = {}
         self.watchers: list[
-            Callable[[View, Sequence[tuple[Change, Member]]], None]
+            Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
         ] = []
-        self.changes: list[tuple[Change, Member]] = []
+        self.changes: list[tuple[ViewChange, Member]] = []
         self.version, self.made = 0, View(0, ())
         self.said: Counter[str] = Counter()
         clock.at(clock.now + self.chance.randrange(BEAT), self.beat)
@@ -56,7 +61,7 @@
     # The plane.
 
     @property
-    def run(self) -> int:
+    def incarnation(self) -> int:
         return self.member.rolls.me.run
 
     @property
@@ -68,7 +73,7 @@
             )
         return self.made
 
-    def tell(self, member: str, kind: Kind, body: bytes) -> bool:
+    def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
         known = self.member.rolls.table.get(member)
         if (
             known is None
@@ -79,19 +84,23 @@
             return False
         self.clock.send(
             self,
-            Send(
+            SendMessage(
                 known.address,
-                Message(What.BODY, self.member.rolls.sender, kind=kind, body=body),
+                FleetMessage(
+                    FrameType.BODY, self.member.rolls.sender, kind=kind, body=body
+                ),
                 True,
             ),
         )
         return True
 
-    def hear(self, kind: Kind, heard: Callable[[str, int, bytes], None]) -> None:
+    def subscribe(
+        self, kind: MessageKind, heard: Callable[[str, int, bytes], None]
+    ) -> None:
         self.ears.setdefault(kind, []).append(heard)
 
-    def watch(
-        self, told: Callable[[View, Sequence[tuple[Change, Member]]], None]
+    def watch_view(
+        self, told: Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
     ) -> None:
         self.watchers.append(told)
 
@@ -108,7 +117,7 @@
             self.heard(message)
         self.clock.at(self.clock.now + BEAT, self.beat)
 
-    def arrive(self, message: Message, stream: bool) -> None:
+    def arrive(self, message: FleetMessage, stream: bool) -> None:
         """While it stands its sockets hold what comes, up to a bound; it wakes with its timers, then reads them."""
         if not self.up:
             return
@@ -118,26 +127,26 @@
             return
         self.heard(message)
 
-    def heard(self, message: Message) -> None:
+    def heard(self, message: FleetMessage) -> None:
         self.act(self.member.heard(self.clock.now, message))
-        if message.what is What.BODY and message.kind is not None:
+        if message.type is FrameType.BODY and message.kind is not None:
             held = self.member.rolls.table.get(message.sender.name)
             if held is not None and held.nonce == message.sender.nonce and held.mark:
                 for each in self.ears.get(message.kind, ()):
-                    each(held.name, held.run, message.body)
+                    each(held.name, held.incarnation, message.body)
 
     def act(self, effects: Iterable[Effect]) -> None:
         for each in effects:
-            if isinstance(each, Send):
+            if isinstance(each, SendMessage):
                 self.clock.send(self, each)
-            elif isinstance(each, Changed):
+            elif isinstance(each, ViewChanged):
                 self.version += 1
                 self.clock.changed(self, each)
                 if self.watchers:
                     if not self.changes:
                         self.clock.at(self.clock.now, self.tell_watchers)
                     self.changes.append((each.change, each.member))
-            elif isinstance(each, Say):
+            elif isinstance(each, OperatorEvent):
                 self.said[each.what.name] += 1
 
     def tell_watchers(self) -> None:
@@ -259,7 +268,7 @@
     def heal(self) -> None:
         self.walls.clear()
 
-    def send(self, stand: Stand, sent: Send) -> None:
+    def send(self, stand: Stand, sent: SendMessage) -> None:
         message, to = sent.message, sent.address.rpartition(":")[0]
         if self.codec is not None:
             data = self.codec.encode(message)
@@ -283,17 +292,21 @@
             return
         self.at(when, self.arrive, to, message, sent.stream)
 
-    def arrive(self, to: str, message: Message, stream: bool) -> None:
+    def arrive(self, to: str, message: FleetMessage, stream: bool) -> None:
         stand = self.stands.get(to)
         if stand is not None:
             stand.arrive(message, stream)
 
     # What is looked at.
 
-    def changed(self, stand: Stand, changed: Changed) -> None:
-        if changed.change is Change.GONE:
+    def changed(self, stand: Stand, changed: ViewChanged) -> None:
+        if changed.change is ViewChange.GONE:
             about = self.stands.get(changed.member.name)
-            if about is not None and about.up and about.run == changed.member.run:
+            if (
+                about is not None
+                and about.up
+                and about.incarnation == changed.member.incarnation
+            ):
                 self.false.append((self.now, stand.name, changed.member.name))
 
     def live(self) -> list[Stand]:
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -25,7 +25,7 @@
 )
 from milletsill.fleet.health.node_observer import Observer, urgent
 from milletsill.fleet.health.report_store import Rows
-from milletsill.fleet.transport import Member, Standing, View
+from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.interface import AttemptResult, Request, AttemptOutcome
 from milletsill.lab.clockwork import Box, Fleet, Gateway, Transfer
 from milletsill.settings.milletsill_pb2 import Scenario
@@ -212,12 +212,12 @@
         view = View(
             1,
             [
-                Member(str(each), "", 1, Standing.ALIVE)
+                Member(str(each), "", 1, MemberState.ALIVE)
                 for each in range(len(self.gateways))
             ],
         )
         order = Order()
-        order.see(lambda name: map(int, view.chosen(name, len(self.gateways))))
+        order.see(lambda name: map(int, view.rendezvous(name, len(self.gateways))))
         return order
 
     # Troubles.
--- a/milletsill/lab/health_spread.py
+++ b/milletsill/lab/health_spread.py
@@ -26,7 +26,7 @@
 from milletsill.fleet.health.node_observer import Sight, urgent, words_of
 from milletsill.fleet.health.report_exchange import Spread
 from milletsill.fleet.health.report_store import Difference, Rows, Word
-from milletsill.fleet.transport import Member, Standing, View
+from milletsill.fleet.transport import Member, MemberState, View
 
 BOXES, RATE, PERIOD, JUDGES, SPREAD_OF_PACE, KEEP = 44, 580.0, 3000, 10, 1.0, 2 * SECOND
 WAY, LOSS = (
@@ -196,9 +196,9 @@
             for each in range(len(self.gateways))
             if not half or each % 2 == int(half)
         ]
-        view = View(1, [Member(str(each), "", 1, Standing.ALIVE) for each in names])
+        view = View(1, [Member(str(each), "", 1, MemberState.ALIVE) for each in names])
         order = Order()
-        order.see(lambda name: map(int, view.chosen(name, len(names))))
+        order.see(lambda name: map(int, view.rendezvous(name, len(names))))
         return order
 
     def order(self, number: int) -> Order:
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -15,7 +15,7 @@
 from milletsill.fleet.health.health_evaluator import CALLED
 from milletsill.fleet.health.report_store import Word
 from milletsill.fleet.leases import acceptor_service, lease_manager
-from milletsill.fleet.membership.effects import Send
+from milletsill.fleet.membership.effects import SendMessage
 from milletsill.lab.fleet_clock import SECOND, FleetClock
 from milletsill.lab.hunt.decide import Event
 from milletsill.lab.hunt.gate import CHANNELS, Disk, Gate, Kept
@@ -88,7 +88,7 @@
         made.begin(self, self.names.index(name))
         return made
 
-    def send(self, stand: Any, sent: Send) -> None:
+    def send(self, stand: Any, sent: SendMessage) -> None:
         super().send(stand, sent)
         if (
             self.doubling
@@ -194,11 +194,11 @@
             self.after(back, self.up, stand, "kept")
 
     def up(self, old: Gate, how: str) -> None:
-        run = old.run + 1
+        run = old.incarnation + 1
         if how != "kept":
-            run = 1 if how == "lost" else max(old.run - 1, 1)
+            run = 1 if how == "lost" else max(old.incarnation - 1, 1)
             if old.name in self.registers and not self.lose(old, how):
-                run = old.run + 1
+                run = old.incarnation + 1
         self.start(old.name, run, [each for each in self.names[:3] if each != old.name])
 
     def lose(self, old: Gate, how: str) -> bool:
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -14,7 +14,7 @@
 from milletsill.fleet.membership import membership
 from milletsill.fleet.membership.failure_detector import Order, Own, Word
 from milletsill.fleet.membership.membership import Membership
-from milletsill.fleet.transport import Standing
+from milletsill.fleet.transport import MemberState
 from milletsill.lab.model_checks import lease_model
 
 
@@ -26,7 +26,7 @@
 
 def _believed(held: Any) -> dict[Any, Any]:
     return {
-        (Standing.ALIVE, Standing.GONE, order): (Standing.GONE, "gone")
+        (MemberState.ALIVE, MemberState.GONE, order): (MemberState.GONE, "gone")
         for order in (Order.SAME, Order.NEWER)
     }
 
--- a/milletsill/lab/hunt/list_world.py
+++ b/milletsill/lab/hunt/list_world.py
@@ -464,7 +464,7 @@
         disk = SimpleNamespace(
             get=lambda path: kept[-1],
             put=lambda path, boxes, revision: kept.append((dict(boxes), revision)),
-            ListUnkept=endpoint_cache.ListUnkept,
+            EndpointCacheNotStored=endpoint_cache.EndpointCacheNotStored,
         )
         with (
             mock.patch.object(registry_watcher, "cache", disk),
--- a/milletsill/lab/hunt/scale.py
+++ b/milletsill/lab/hunt/scale.py
@@ -20,7 +20,7 @@
 from milletsill.fleet.health.health_sharing import Sharing, key_of
 from milletsill.fleet.health.report_store import Rows, Word
 from milletsill.fleet.leases import acceptor_service, lease_manager
-from milletsill.fleet.transport import Member, Standing, View
+from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_world import FleetWorld
 from milletsill.lab.hunt.gate import LINK, Host, Kept, remark
@@ -60,7 +60,7 @@
     """One gateway that hears each row once, tells it on, and looks at all of them."""
     chance, octets = Random(seed), [0]
     names = [f"gateway-{each}" for each in range(gateways)]
-    view = View(1, [Member(each, f"{each}:1", 1, Standing.ALIVE) for each in names])
+    view = View(1, [Member(each, f"{each}:1", 1, MemberState.ALIVE) for each in names])
     plane = SimpleNamespace(
         name=names[0],
         run=1,
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -31,7 +31,11 @@
 )
 from milletsill.fleet.channels.released_attempts import Gone
 from milletsill.fleet.channels.sequences import SETTLED, LetGo
-from milletsill.fleet.leases.errors import NoMajority, NotKeeper, Outvoted
+from milletsill.fleet.leases.errors import (
+    QuorumNotReached,
+    NotLeaseHolder,
+    BallotSuperseded,
+)
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
 from milletsill.sftp.extensions import Terms
@@ -328,10 +332,10 @@
         if kind == "take":
             sent, then = values
             if fate != "done":
-                return then(NoMajority("lost", KEY, 10))
+                return then(QuorumNotReached("lost", KEY, 10))
             who = (gateway.name, gateway.run_number)
             if self.holder[0] and self.holder != who and self.now < self.until:
-                return then(NotKeeper("held", KEY, 10, self.holder[0]))
+                return then(NotLeaseHolder("held", KEY, 10, self.holder[0]))
             self.holder, self.until = who, self.now + OFFICE * (1000 + DRIFT) // 1000
             ends = sent + OFFICE * (1000 - DRIFT) // 1000
             self.index += 1
@@ -347,14 +351,14 @@
         sent, term, value, then = values
         if fate == "lost" or term.over or term.index != self.index:
             term.over = True
-            return then(Outvoted("lost or late", KEY, 10))
+            return then(BallotSuperseded("lost or late", KEY, 10))
         if value != self.record:
             self.record, self.written_at = value, self.now
             self.reached |= set(codec.read_record(value, REST, 0, 0).entries)
         self.until = max(self.until, self.now + OFFICE * (1000 + DRIFT) // 1000)
         if fate == "unheard":
             term.over = True
-            return then(Outvoted("unheard", KEY, 10))
+            return then(BallotSuperseded("unheard", KEY, 10))
         term.ends = max(term.ends, sent + OFFICE * (1000 - DRIFT) // 1000)
         term.value = value
         then(None)
--- a/milletsill/lab/wire.py
+++ b/milletsill/lab/wire.py
@@ -13,7 +13,7 @@
 from milletsill.scheduler import Scheduler
 from milletsill.trace.recorder import Recorder
 from milletsill.trace.tools import Tap
-from milletsill.wirehost.codec import BadBatch
+from milletsill.wirehost.codec import MalformedBatch
 from milletsill.wirehost.host import Instance, serve
 
 
@@ -71,8 +71,8 @@
         serve(
             sys.stdin.buffer, sys.stdout.buffer, lambda number: Recorded(number, kept)
         )
-    except BadBatch as error:
-        print(f"milletsill: malformed input: {error.line()}", file=sys.stderr)
+    except MalformedBatch as error:
+        print(f"milletsill: malformed input: {error.describe()}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -12,7 +12,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.interface import AttemptOutcome
 from milletsill.node_connections.connection_state import (
     Bounds,
@@ -27,7 +27,7 @@
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order, Verdict
 from milletsill.sftp.framing import Deframer
-from milletsill.sftp.wire import BadPacket
+from milletsill.sftp.wire import MalformedPacket
 
 Ended = Callable[[AttemptOutcome, "Verdict | None"], None]
 # Told of each dispatch that ended, and of other packets without an order: order, outcome, octets to the box and back,
@@ -119,8 +119,8 @@
         try:
             while (body := self.deframer.next()) is not None:
                 self.packet(packets.decode(body), len(body) + 4)
-        except Malformed as error:
-            self.pool.remark(f"broken bytes from the box: {error.line()}")
+        except MalformedInput as error:
+            self.pool.remark(f"broken bytes from the box: {error.describe()}")
             return self.sign(Sign.BROKEN)
         self.sign(Sign.WORD)
 
@@ -141,13 +141,13 @@
             self.beats = max(self.beats - 1, 0)
             return None
         if not isinstance(packet, packets.ExtendedReply):
-            raise BadPacket(f"{type(packet).__name__} where a verdict was due")
+            raise MalformedPacket(f"{type(packet).__name__} where a verdict was due")
         verdict = extensions.read_verdict(packet)
         if (
             verdict.verdict in (extensions.DONE, extensions.ELSEWHERE)
             and verdict.answer is None
         ):
-            raise BadPacket("a verdict without the answer it speaks of")
+            raise MalformedPacket("a verdict without the answer it speaks of")
         if sending is not None:
             del self.out[packet.id]
             self.load.out = len(self.out)
--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -8,7 +8,7 @@
 
 from google.protobuf.message import DecodeError
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.planner.plan_pb2 import Frame, Given, Piece, Wish
 from milletsill.planner.quota_terms import Ask, Grant
 
@@ -16,7 +16,7 @@
 WHATS = ("limit", "reserve", "cold")
 
 
-class BadFrame(Malformed):
+class MalformedPlannerFrame(MalformedInput):
     """Octets between a gateway and its planner that are no frame."""
 
     remedy = "see that planner.address leads to a planner, and that both run versions that go together"
@@ -35,7 +35,9 @@
         while len(self.held) - at >= LENGTH.size:
             size = LENGTH.unpack_from(self.held, at)[0]
             if size > MOST_FRAME:
-                raise BadFrame(f"a frame of {size} bytes, {MOST_FRAME} at most")
+                raise MalformedPlannerFrame(
+                    f"a frame of {size} bytes, {MOST_FRAME} at most"
+                )
             if len(self.held) - at - LENGTH.size < size:
                 break
             at += LENGTH.size
@@ -48,9 +50,9 @@
     try:
         frame = Frame.FromString(data)
     except DecodeError:
-        raise BadFrame("a frame that is no protobuf of ours") from None
+        raise MalformedPlannerFrame("a frame that is no protobuf of ours") from None
     if frame.WhichOneof("what") is None or not frame.IsInitialized():
-        raise BadFrame("a frame with nothing in it that we know")
+        raise MalformedPlannerFrame("a frame with nothing in it that we know")
     return frame
 
 
@@ -75,7 +77,9 @@
 
 def get_ask(edge: str, incarnation: int, wish: Any) -> Ask:
     if wish.what not in WHATS:
-        raise BadFrame(f"an ask for {wish.what[:20]!r}, not one of {', '.join(WHATS)}")
+        raise MalformedPlannerFrame(
+            f"an ask for {wish.what[:20]!r}, not one of {', '.join(WHATS)}"
+        )
     return Ask(
         edge,
         incarnation,
@@ -106,7 +110,9 @@
 
 def get_grant(given: Any) -> Grant:
     if given.what not in WHATS:
-        raise BadFrame(f"a grant of {given.what[:20]!r}, not one of {', '.join(WHATS)}")
+        raise MalformedPlannerFrame(
+            f"a grant of {given.what[:20]!r}, not one of {', '.join(WHATS)}"
+        )
     return Grant(
         given.epoch,
         given.incarnation,
--- a/milletsill/planner/epoch_store.py
+++ b/milletsill/planner/epoch_store.py
@@ -11,13 +11,13 @@
 from random import Random
 from struct import Struct
 
-from milletsill.errors import Unkept
+from milletsill.errors import StateNotStored
 
 PLACE, CHANCE_BITS, MOST = Struct("<4sQI"), 24, (1 << 62)
 MAGIC, NAMES = b"MEPO", ("epoch-a", "epoch-b")
 
 
-class EpochUnkept(Unkept):
+class EpochNotStored(StateNotStored):
     """An epoch that cannot be kept: a planner must not start without."""
 
     remedy = "make room in the planner's state_dir or make it writable, and start it again; the edges go on with even parts"
@@ -49,7 +49,7 @@
         write(os.path.join(folder, NAMES[held.index(min(held))]), epoch)
         sync_folder(folder)
     except OSError as error:
-        raise EpochUnkept(error.strerror or str(error), folder) from None
+        raise EpochNotStored(error.strerror or str(error), folder) from None
     return epoch
 
 
--- a/milletsill/planner/errors.py
+++ b/milletsill/planner/errors.py
@@ -2,28 +2,28 @@
 
 from __future__ import annotations
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 
 
-class PlannerAway(Fault):
+class PlannerUnreachable(MilletsillError):
     """The planner is not reached."""
 
     remedy = "see that the planner runs and that planner.address is its own; parts are even until it is back"
 
 
-class PlannerOld(Fault):
+class PlannerEpochStale(MilletsillError):
     """A planner that is older than one that this edge has heard."""
 
     remedy = "stop the older of the two, or see that its state_dir was not put back; it is given nothing"
 
 
-class PlannerRefuses(Fault):
+class PlannerRejectedGateway(MilletsillError):
     """The planner does not take this edge."""
 
     remedy = "as it says: one name or run for two edges, other terms of lending, another version, too many edges, a newer planner"
 
 
-class OtherTerms(Fault):
+class QuotaSettingsMismatch(MilletsillError):
     """An edge whose terms of lending are not the planner's."""
 
     remedy = (
@@ -32,7 +32,7 @@
     )
 
 
-class Superseded(Fault):
+class PlannerSuperseded(MilletsillError):
     """An edge knows a newer planner, so this one ends."""
 
     remedy = "see that one planner runs; if this was the right one, stop the other and start this again"
--- a/milletsill/planner/planner_service.py
+++ b/milletsill/planner/planner_service.py
@@ -16,12 +16,18 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-from milletsill.errors import CannotListen
+from milletsill.errors import ListenFailed
 from milletsill.logs import logger
 from milletsill.planner import codec
-from milletsill.planner.codec import BadFrame, Frames, encoded, get_ask, put_grant
-from milletsill.planner.epoch_store import EpochUnkept, next_epoch
-from milletsill.planner.errors import OtherTerms, Superseded
+from milletsill.planner.codec import (
+    MalformedPlannerFrame,
+    Frames,
+    encoded,
+    get_ask,
+    put_grant,
+)
+from milletsill.planner.epoch_store import EpochNotStored, next_epoch
+from milletsill.planner.errors import QuotaSettingsMismatch, PlannerSuperseded
 from milletsill.planner.plan_pb2 import Grants, Refused, Told, Welcome
 from milletsill.planner.quota_granting import Planner
 from milletsill.planner.quota_terms import SECOND, Span
@@ -62,11 +68,11 @@
         try:
             for frame in self.frames.feed(data):
                 self.heard(frame)
-        except BadFrame as error:
+        except MalformedPlannerFrame as error:
             self.service.remark(
                 "malformed",
                 edge=self.name or str(self.transport.getPeer()),
-                **error.said(),
+                **error.log_fields(),
             )
             self.refuse(str(error))
 
@@ -81,7 +87,7 @@
         elif what == "refused" and self.name:
             self.service.refused(self, frame.refused)
         else:
-            raise BadFrame(f"{what} before a hello")
+            raise MalformedPlannerFrame(f"{what} before a hello")
 
     def answer(self, asks: Any) -> None:
         """Each ask of a frame, in one frame."""
@@ -194,7 +200,9 @@
         def not_up(failure: Any) -> None:
             self.log.error(
                 "cannot_listen",
-                **CannotListen(failure.getErrorMessage(), f"{host}:{port}").said(),
+                **ListenFailed(
+                    failure.getErrorMessage(), f"{host}:{port}"
+                ).log_fields(),
             )
             self.failed = True
             self.stop()
@@ -246,7 +254,9 @@
         ):
             self.remark(
                 "other_terms",
-                **OtherTerms("its terms of lending are others", hello.name[:64]).said(),
+                **QuotaSettingsMismatch(
+                    "its terms of lending are others", hello.name[:64]
+                ).log_fields(),
             )
             return link.refuse("other terms of lending")
         if (
@@ -289,9 +299,9 @@
         if not self.superseded:
             self.log.error(
                 "superseded",
-                **Superseded(
+                **PlannerSuperseded(
                     "a newer planner was heard", link.name or "a hello"
-                ).said(),
+                ).log_fields(),
                 epoch=self.planner.epoch,
                 newer=epoch,
             )
@@ -407,9 +417,9 @@
 
     try:
         service = Service(file, reactor)
-    except EpochUnkept as error:
+    except EpochNotStored as error:
         logger(file.logging.level, file.logging.json, planner=file.name).error(
-            "epoch_not_kept", **error.said()
+            "epoch_not_kept", **error.log_fields()
         )
         return 1
     service.alone = True
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -17,14 +17,18 @@
 from milletsill.interface import Request, Endpoint, Readiness
 from milletsill.planner.codec import (
     VERSION,
-    BadFrame,
+    MalformedPlannerFrame,
     Frames,
     encoded,
     get_grant,
     put_ask,
 )
 from milletsill.planner.demand_estimate import Demand, want_of, wanted
-from milletsill.planner.errors import PlannerAway, PlannerOld, PlannerRefuses
+from milletsill.planner.errors import (
+    PlannerUnreachable,
+    PlannerEpochStale,
+    PlannerRejectedGateway,
+)
 from milletsill.planner.plan_pb2 import Asks, Hello, Refused
 from milletsill.planner.planner_link import Link, Said, dial_after, link_step
 from milletsill.planner.planner_service import span_of
@@ -48,8 +52,8 @@
         try:
             for frame in self.frames.feed(data):
                 self.parts.heard(self, frame)
-        except BadFrame as error:
-            self.parts.remark("planner", **error.said())
+        except MalformedPlannerFrame as error:
+            self.parts.remark("planner", **error.log_fields())
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
@@ -257,10 +261,10 @@
         elif effect == "refuse" and line is not None:
             self.remark(
                 "planner",
-                **PlannerOld(
+                **PlannerEpochStale(
                     "an older planner than one that was heard",
                     self.file.planner.address,
-                ).said(),
+                ).log_fields(),
             )
             line.transport.write(
                 encoded(
@@ -296,9 +300,9 @@
         if self.failures == 0:
             self.remark(
                 "planner",
-                **PlannerAway(
+                **PlannerUnreachable(
                     failure.getErrorMessage(), self.file.planner.address
-                ).said(),
+                ).log_fields(),
             )
         self.failures += 1
         self.later(
@@ -331,9 +335,9 @@
         elif what == "refused":
             self.remark(
                 "planner",
-                **PlannerRefuses(
+                **PlannerRejectedGateway(
                     frame.refused.reason[:200], self.file.planner.address
-                ).said(),
+                ).log_fields(),
             )
             self.step(Said.REFUSED, line)
 
--- a/milletsill/registry/endpoint_cache.py
+++ b/milletsill/registry/endpoint_cache.py
@@ -6,14 +6,14 @@
 import os
 import zlib
 
-from milletsill.errors import Unkept
+from milletsill.errors import StateNotStored
 from milletsill.interface import Readiness
-from milletsill.registry.endpoint_view import BadBox, Box, box_of
+from milletsill.registry.endpoint_view import InvalidRegistryEntry, Box, box_of
 
 FORMAT, MOST_BYTES = 1, 16_000_000
 
 
-class ListUnkept(Unkept):
+class EndpointCacheNotStored(StateNotStored):
     """The last list of boxes on disk, which cannot be read or written."""
 
     remedy = "make room in state_dir or make it writable; traffic goes on, a restart begins without a list until the registry answers"
@@ -49,7 +49,7 @@
             os.unlink(beside)
         except OSError:
             pass
-        raise ListUnkept(error.strerror or str(error), path) from None
+        raise EndpointCacheNotStored(error.strerror or str(error), path) from None
 
 
 def get(path: str) -> tuple[dict[str, Box], int]:
@@ -60,16 +60,24 @@
     except FileNotFoundError:
         return {}, 0
     except OSError as error:
-        raise ListUnkept(error.strerror or str(error), path) from None
+        raise EndpointCacheNotStored(error.strerror or str(error), path) from None
     head, _, body = data.partition(b"\n")
     try:
         if len(data) > MOST_BYTES or int(head, 16) != zlib.crc32(body):
-            raise ListUnkept("checksum does not fit", path)
+            raise EndpointCacheNotStored("checksum does not fit", path)
         held = json.loads(body)
         if held["format"] != FORMAT:
-            raise ListUnkept(f"format {held['format']}, {FORMAT} is read", path)
+            raise EndpointCacheNotStored(
+                f"format {held['format']}, {FORMAT} is read", path
+            )
         return {key: box_of(value) for key, value in held["boxes"].items()}, int(
             held["revision"]
         )
-    except (ValueError, KeyError, TypeError, AttributeError, BadBox) as error:
-        raise ListUnkept(str(error), path) from None
+    except (
+        ValueError,
+        KeyError,
+        TypeError,
+        AttributeError,
+        InvalidRegistryEntry,
+    ) as error:
+        raise EndpointCacheNotStored(str(error), path) from None
--- a/milletsill/registry/endpoint_view.py
+++ b/milletsill/registry/endpoint_view.py
@@ -12,7 +12,7 @@
 from itertools import islice
 from typing import Any
 
-from milletsill.errors import Unfit
+from milletsill.errors import InvalidValue
 from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness
 
 # IDLE: nothing is asked. RANGING: the whole list is awaited. JOINING: the watch is being opened. WATCHING: it stands.
@@ -90,7 +90,7 @@
     return FOLLOW_TABLE.get((stage, cue), (stage, ""))
 
 
-class BadBox(Unfit):
+class InvalidRegistryEntry(InvalidValue):
     """A value of the registry that describes no box."""
 
     remedy = (
@@ -115,7 +115,7 @@
 def box_of(value: Any) -> Box:
     """A box from its JSON value; `BadBox` where it is not one."""
     if not isinstance(value, dict):
-        raise BadBox("not a JSON object")
+        raise InvalidRegistryEntry("not a JSON object")
     numbers = {}
     for name, most in (
         ("id", 1 << 32),
@@ -130,7 +130,7 @@
             or not isinstance(number, int)
             or not 0 <= number < most
         ):
-            raise BadBox(
+            raise InvalidRegistryEntry(
                 f"{name} {str(number)[:40]!r} is not a number from 0 to {most - 1}"
             )
         numbers[name] = number
@@ -144,9 +144,11 @@
         or not isinstance(size, (int, float))
         or not 0 < size < 1e6
     ):
-        raise BadBox(f"size {str(size)[:40]!r} is not a number above 0")
+        raise InvalidRegistryEntry(f"size {str(size)[:40]!r} is not a number above 0")
     if state not in STATES:
-        raise BadBox(f"state {str(state)[:40]!r} is not one of {', '.join(STATES)}")
+        raise InvalidRegistryEntry(
+            f"state {str(state)[:40]!r} is not one of {', '.join(STATES)}"
+        )
     host, _, port = (
         address.rpartition(":") if isinstance(address, str) else ("", "", "")
     )
@@ -156,7 +158,7 @@
         or not 0 < int(port) < 65_536
         or len(address) > 300
     ):
-        raise BadBox(f"address {str(address)[:40]!r} is not host:port")
+        raise InvalidRegistryEntry(f"address {str(address)[:40]!r} is not host:port")
     return Box(
         numbers["id"],
         address,
--- a/milletsill/registry/etcd_json.py
+++ b/milletsill/registry/etcd_json.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from milletsill.errors import Malformed
-from milletsill.registry.endpoint_view import BadBox, Box, Told, box_of
+from milletsill.errors import MalformedInput
+from milletsill.registry.endpoint_view import InvalidRegistryEntry, Box, Told, box_of
 
 
-class BadAnswer(Malformed):
+class MalformedRegistryAnswer(MalformedInput):
     """An answer of the registry that its protocol does not allow."""
 
     remedy = "see that registry.address leads to etcd's JSON gateway (v3); the list that was known stands meanwhile"
@@ -30,7 +30,7 @@
     try:
         return base64.b64decode(value, validate=True)
     except (binascii.Error, TypeError, ValueError):
-        raise BadAnswer(f"{what} is not base64") from None
+        raise MalformedRegistryAnswer(f"{what} is not base64") from None
 
 
 def number(value: Any, what: str) -> int:
@@ -38,7 +38,9 @@
     try:
         return int(value or 0)
     except (TypeError, ValueError):
-        raise BadAnswer(f"{what} {str(value)[:40]!r} is not a number") from None
+        raise MalformedRegistryAnswer(
+            f"{what} {str(value)[:40]!r} is not a number"
+        ) from None
 
 
 def after(prefix: str) -> str:
@@ -83,16 +85,16 @@
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
-        raise BadAnswer(f"{what} is not JSON") from None
+        raise MalformedRegistryAnswer(f"{what} is not JSON") from None
     if not isinstance(value, dict):
-        raise BadAnswer(f"{what} is not a JSON object")
+        raise MalformedRegistryAnswer(f"{what} is not a JSON object")
     return value
 
 
 def pair(kv: Any) -> tuple[str, bytes, int]:
     """Key, value and the revision of the last change of one pair."""
     if not isinstance(kv, dict):
-        raise BadAnswer("a pair is not a JSON object")
+        raise MalformedRegistryAnswer("a pair is not a JSON object")
     key = decoded(kv.get("key", ""), "a key").decode("utf-8", "replace")
     return (
         key,
@@ -105,9 +107,13 @@
     """The box of one value; one that makes no sense is left out, and said."""
     try:
         return box_of(json.loads(value))
-    except (BadBox, ValueError, RecursionError) as error:
-        fault = error if isinstance(error, BadBox) else BadBox("not JSON")
-        complain(fault.at(key[:200]).line())
+    except (InvalidRegistryEntry, ValueError, RecursionError) as error:
+        fault = (
+            error
+            if isinstance(error, InvalidRegistryEntry)
+            else InvalidRegistryEntry("not JSON")
+        )
+        complain(fault.with_location(key[:200]).describe())
         return None
 
 
@@ -118,7 +124,7 @@
     body = parsed(data, "the list")
     header, kvs = body.get("header"), body.get("kvs") or []
     if not isinstance(header, dict) or not isinstance(kvs, list):
-        raise BadAnswer("the list has no header or pairs")
+        raise MalformedRegistryAnswer("the list has no header or pairs")
     boxes = {
         key: box
         for key, value, _ in map(pair, kvs)
@@ -147,7 +153,7 @@
     body = parsed(data, "the list")
     header, kvs = body.get("header"), body.get("kvs") or []
     if not isinstance(header, dict) or not isinstance(kvs, list):
-        raise BadAnswer("the list has no header or pairs")
+        raise MalformedRegistryAnswer("the list has no header or pairs")
     return (
         max((pair(kv)[2] for kv in kvs), default=0),
         number(body.get("count"), "a count"),
@@ -164,17 +170,19 @@
     body = parsed(line, "a watch message")
     result = body.get("result")
     if not isinstance(result, dict):
-        raise BadAnswer(f"the watch says {json.dumps(body.get('error'))[:200]}")
+        raise MalformedRegistryAnswer(
+            f"the watch says {json.dumps(body.get('error'))[:200]}"
+        )
     if result.get("canceled"):
         if number(result.get("compact_revision"), "a revision"):
             return [], 0, None, True
-        raise BadAnswer(
+        raise MalformedRegistryAnswer(
             f"the watch was ended: {str(result.get('cancel_reason', ''))[:200]}"
         )
     changes, newest = [], 0
     for event in result.get("events") or []:
         if not isinstance(event, dict):
-            raise BadAnswer("an event is not a JSON object")
+            raise MalformedRegistryAnswer("an event is not a JSON object")
         key, value, revision = pair(event.get("kv"))
         newest = max(newest, revision)
         gone = event.get("type") == "DELETE"
@@ -197,5 +205,5 @@
     def feed(self, data: bytes) -> list[bytes]:
         *whole, self.held = (self.held + data).split(b"\n")
         if len(self.held) > self.most or any(len(each) > self.most for each in whole):
-            raise BadAnswer(f"a line of more than {self.most} bytes")
+            raise MalformedRegistryAnswer(f"a line of more than {self.most} bytes")
         return [each for each in whole if each.strip()]
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -85,7 +85,7 @@
             for each in self.lines.feed(data):
                 if not self.over:
                     self.line(each)
-        except etcd_json.BadAnswer:
+        except etcd_json.MalformedRegistryAnswer:
             self.stop()
 
     def stop(self) -> None:
@@ -149,8 +149,8 @@
         boxes: dict[str, Box] = {}
         try:
             boxes, _ = endpoint_cache.get(self.cache_path)
-        except endpoint_cache.ListUnkept as error:
-            self.remark(f"the last list is not used: {error.line()}")
+        except endpoint_cache.EndpointCacheNotStored as error:
+            self.remark(f"the last list is not used: {error.describe()}")
         self.view.replace(boxes, 0)
         self.tell(EndpointUpdateKind.CACHED, self.view.whole())
 
@@ -227,11 +227,11 @@
             self.no_longer_late()
             try:
                 if data is None:
-                    raise etcd_json.BadAnswer("the list did not come")
+                    raise etcd_json.MalformedRegistryAnswer("the list did not come")
                 boxes, revision = etcd_json.read_range(data, self.complain)
                 keys, self.cluster = etcd_json.read_keys(data)
-            except etcd_json.BadAnswer as error:
-                self.remark(f"registry: {error.line()}")
+            except etcd_json.MalformedRegistryAnswer as error:
+                self.remark(f"registry: {error.describe()}")
                 return self.cue(Cue.FAIL)
             self.view.replace(boxes, revision, keys)
             self.brought, self.put_off = revision, 0
@@ -268,8 +268,8 @@
             changes, newest, opened, compacted = etcd_json.read_watch(
                 data, self.complain
             )
-        except etcd_json.BadAnswer as error:
-            self.remark(f"registry: {error.line()}")
+        except etcd_json.MalformedRegistryAnswer as error:
+            self.remark(f"registry: {error.describe()}")
             return self.cue(Cue.FAIL)
         self.no_longer_late()
         if compacted:
@@ -306,9 +306,9 @@
             self.no_look()
             try:
                 if data is None:
-                    raise etcd_json.BadAnswer("no answer")
+                    raise etcd_json.MalformedRegistryAnswer("no answer")
                 there = Newest(*etcd_json.read_newest(data), self.brought)
-            except etcd_json.BadAnswer:
+            except etcd_json.MalformedRegistryAnswer:
                 self.put_off = min(self.put_off + 1, MOST_PUT_OFF)
                 return self.look_later()
             self.put_off = 0
@@ -405,8 +405,8 @@
                 endpoint_cache.put(
                     self.cache_path, self.view.by_key, self.view.revision
                 )
-            except endpoint_cache.ListUnkept as error:
-                self.saved(error.line())
+            except endpoint_cache.EndpointCacheNotStored as error:
+                self.saved(error.describe())
         self.close_stream()
         if getattr(self, "pending", None) is not None:
             self.pending.cancel()
--- a/milletsill/settings/load.py
+++ b/milletsill/settings/load.py
@@ -14,7 +14,7 @@
 from google.protobuf import text_format
 from google.protobuf.message import Message
 
-from milletsill.errors import Refused
+from milletsill.errors import ConfigurationRejected
 
 MOST_BYTES, MOST_DEPTH, MOST_FAULTS = 4_000_000, 16, 20
 Path = tuple[
@@ -39,7 +39,7 @@
         )
 
 
-class RefusedFile(Refused):
+class SettingsFileRejected(ConfigurationRejected):
     """A file in protobuf text form that is not taken, with each flaw and its line."""
 
     remedy = "mend the lines named; `milletsill check FILE` says whether it is fine. A gateway that runs goes on with what it had"
@@ -125,13 +125,19 @@
     """The text of a file, or `RefusedFile`."""
     try:
         if os.path.getsize(file) > MOST_BYTES:
-            raise RefusedFile([Flaw(file, 0, f"longer than {MOST_BYTES} bytes")])
+            raise SettingsFileRejected(
+                [Flaw(file, 0, f"longer than {MOST_BYTES} bytes")]
+            )
         with open(file, encoding="utf-8") as source:
             return source.read()
     except OSError as error:
-        raise RefusedFile([Flaw(file, 0, error.strerror or str(error))]) from None
+        raise SettingsFileRejected(
+            [Flaw(file, 0, error.strerror or str(error))]
+        ) from None
     except UnicodeDecodeError as error:
-        raise RefusedFile([Flaw(file, 0, f"not UTF-8 at byte {error.start}")]) from None
+        raise SettingsFileRejected(
+            [Flaw(file, 0, f"not UTF-8 at byte {error.start}")]
+        ) from None
 
 
 def load(file: str, made: Callable[[], M], check: Callable[[M, Report], None]) -> M:
@@ -149,9 +155,11 @@
     except text_format.ParseError as error:
         line, reason = error.GetLine() or 0, str(error)
         reason = reason.split(" : ", 1)[-1] if line else reason
-        raise RefusedFile([Flaw(file, line, " ".join(reason.split()))]) from None
+        raise SettingsFileRejected(
+            [Flaw(file, line, " ".join(reason.split()))]
+        ) from None
     except (RecursionError, ValueError) as error:
-        raise RefusedFile(
+        raise SettingsFileRejected(
             [Flaw(file, 0, f"cannot be read: {' '.join(str(error).split())[:200]}")]
         ) from None
     report = Report(file, Lines(text))
@@ -161,7 +169,7 @@
     if not missing:
         check(message, report)
     if report.faults:
-        raise RefusedFile(report.faults)
+        raise SettingsFileRejected(report.faults)
     return message
 
 
--- a/milletsill/sftp/channel_extensions.py
+++ b/milletsill/sftp/channel_extensions.py
@@ -63,7 +63,7 @@
 from milletsill.sftp.wire import (
     U32,
     U64,
-    Malformed,
+    MalformedInput,
     Reader,
     bytes_of,
     put_raw,
@@ -148,7 +148,7 @@
         or not text.isprintable()
         or " " in text
     ):
-        raise Malformed(
+        raise MalformedInput(
             f"a channel's name is 1 to {MOST_NAME} octets of printable characters without spaces"
         )
     return text
@@ -157,7 +157,7 @@
 def number_of(reader: Reader) -> int:
     number = reader.u64("a number")
     if not 1 <= number <= MOST_NUMBER:
-        raise Malformed(f"number {number} is not from 1 to {MOST_NUMBER}")
+        raise MalformedInput(f"number {number} is not from 1 to {MOST_NUMBER}")
     return number
 
 
@@ -201,9 +201,9 @@
     elif verb == SAY:
         said = Saying(reader.raw("a handle"), number_of(reader), reader.u32("a word"))
         if said.word not in (DONE, AGAIN, LEFT_OUT):
-            raise Malformed(f"word {said.word} on a number is not 1 to 3")
+            raise MalformedInput(f"word {said.word} on a number is not 1 to 3")
     if said is None:
-        raise Malformed(f"verb {verb} on a channel is not 1 to 3")
+        raise MalformedInput(f"verb {verb} on a channel is not 1 to 3")
     reader.end()
     return said
 
@@ -245,7 +245,7 @@
     )
     count = reader.u32("a count of numbers")
     if count > MOST_UNSURE:
-        raise Malformed(f"{count} unsure numbers, {MOST_UNSURE} at most")
+        raise MalformedInput(f"{count} unsure numbers, {MOST_UNSURE} at most")
     told = Opened(*parts, tuple(reader.u64() for _ in range(count)))
     reader.end()
     return told
@@ -290,7 +290,7 @@
     handle, number = reader.raw("a handle"), number_of(reader)
     batch, flags = reader.u64("a batch"), reader.u32("flags")
     if batch > MOST_NUMBER or flags & ~LAST:
-        raise Malformed(f"batch {batch} or flags {flags} out of range")
+        raise MalformedInput(f"batch {batch} or flags {flags} out of range")
     terms, command = read_terms(Extended(packet.id, packet.name, reader.rest()))
     return Numbered(handle, number, batch, bool(flags & LAST), terms, command)
 
--- a/milletsill/sftp/extensions.py
+++ b/milletsill/sftp/extensions.py
@@ -39,7 +39,7 @@
     decode,
     encode,
 )
-from milletsill.sftp.wire import U32, U64, BadPacket, Reader, put_raw, put_text
+from milletsill.sftp.wire import U32, U64, MalformedPacket, Reader, put_raw, put_text
 
 COMMAND, DISPATCH, CANCEL = (
     "command@milletsill",
@@ -103,14 +103,16 @@
 def dressed(data: bytes, id: int) -> Command | Answer:
     """The inverse of `bare`; Extended inside Extended is not allowed but for fsync."""
     if not data:
-        raise BadPacket("no command behind the terms")
+        raise MalformedPacket("no command behind the terms")
     packet = decode(data[:1] + U32.pack(id) + data[1:])
     if (
         isinstance(packet, (Init, Version))
         or isinstance(packet, Extended)
         and packet.name != FSYNC
     ):
-        raise BadPacket(f"{type(packet).__name__} cannot stand inside another packet")
+        raise MalformedPacket(
+            f"{type(packet).__name__} cannot stand inside another packet"
+        )
     return packet
 
 
@@ -121,7 +123,9 @@
         reader.u32("a patience"), reader.u32("a count of tries"), reader.text("a mark")
     )
     if len(terms.mark) > MOST_MARK:
-        raise BadPacket(f"a mark of {len(terms.mark)} characters, {MOST_MARK} at most")
+        raise MalformedPacket(
+            f"a mark of {len(terms.mark)} characters, {MOST_MARK} at most"
+        )
     return terms, dressed(reader.rest(), packet.id)  # type: ignore[return-value]
 
 
@@ -205,7 +209,7 @@
         reader.u32("a count of reports"),
     )
     if verdict > ERROR or count > MOST_REPORTS:
-        raise BadPacket(f"a verdict {verdict} with {count} reports")
+        raise MalformedPacket(f"a verdict {verdict} with {count} reports")
     report = {
         reader.text("a report's name"): reader.u32("a report") / 1000
         for _ in range(count)
--- a/milletsill/sftp/framing.py
+++ b/milletsill/sftp/framing.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from milletsill.sftp.wire import U32, BadPacket
+from milletsill.sftp.wire import U32, MalformedPacket
 
 
-class BrokenStream(BadPacket):
+class BrokenPacketStream(MalformedPacket):
     """A stream whose next length is 0 or past its bound: it cannot be read any further."""
 
     remedy = "see whether the peer speaks this protocol at all, or whether `most_packet` differs between the two sides"
@@ -35,7 +35,9 @@
             return None
         size = U32.unpack_from(self.held, self.at)[0]
         if not 1 <= size <= self.most:
-            raise BrokenStream(f"a packet of {size} bytes, 1 to {self.most} are taken")
+            raise BrokenPacketStream(
+                f"a packet of {size} bytes, 1 to {self.most} are taken"
+            )
         if left < 4 + size:
             return None
         start = self.at + 4
--- a/milletsill/sftp/packets.py
+++ b/milletsill/sftp/packets.py
@@ -9,7 +9,15 @@
 from dataclasses import dataclass, fields
 from typing import ClassVar, Union
 
-from milletsill.sftp.wire import READERS, U32, WRITERS, Attrs, BadPacket, Name, Reader
+from milletsill.sftp.wire import (
+    READERS,
+    U32,
+    WRITERS,
+    Attrs,
+    MalformedPacket,
+    Name,
+    Reader,
+)
 
 VERSION_SPOKEN = 3
 # Open flags, section 6.3.
@@ -325,7 +333,7 @@
 }
 
 
-class UnknownPacket(BadPacket):
+class UnknownPacket(MalformedPacket):
     """A packet of a kind that version 3 does not have; `id` is what stands where an id would."""
 
     remedy = "nothing: the client is told that it is not offered; one that insists needs another version"
@@ -338,7 +346,7 @@
 def decode(data: bytes) -> Packet:
     """A packet from its bytes behind the length; `BadPacket` where they are not one."""
     if not data:
-        raise BadPacket("an empty packet")
+        raise MalformedPacket("an empty packet")
     found = BY_KIND.get(data[0])
     if found is None:
         raise UnknownPacket(
--- a/milletsill/sftp/wire.py
+++ b/milletsill/sftp/wire.py
@@ -10,7 +10,7 @@
 from struct import Struct
 from struct import error as StructError
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 
 U32, U64 = Struct(">I"), Struct(">Q")
 U32_FROM = U32.unpack_from
@@ -18,7 +18,7 @@
 MOST_ATTR_PAIRS, MOST_NAMES = 16, 4096
 
 
-class BadPacket(Malformed):
+class MalformedPacket(MalformedInput):
     """Octets that are no packet of SFTP version 3 or its extensions here."""
 
     remedy = "find the client or box that sends them and bring it to a version that goes with this one; it alone is cut or told"
@@ -65,7 +65,7 @@
         """That many bytes."""
         end = self.at + size
         if end > len(self.data):
-            raise BadPacket(
+            raise MalformedPacket(
                 f"{what} needs {size} bytes, {len(self.data) - self.at} are left"
             )
         data, self.at = self.data[self.at : end], end
@@ -81,7 +81,7 @@
             return U32_FROM(self.data, at)[0]
         except StructError:
             self.at = at
-            raise BadPacket(
+            raise MalformedPacket(
                 f"{what} needs 4 bytes, {len(self.data) - at} are left"
             ) from None
 
@@ -92,7 +92,9 @@
         size = self.u32(what)
         at, data = self.at, self.data
         if size > len(data) - at:
-            raise BadPacket(f"{what} needs {size} bytes, {len(data) - at} are left")
+            raise MalformedPacket(
+                f"{what} needs {size} bytes, {len(data) - at} are left"
+            )
         self.at = at + size
         return data[at : at + size]
 
@@ -116,7 +118,7 @@
         if flags & ATTR_EXTENDED:
             count = self.u32("a count of attributes")
             if count > MOST_ATTR_PAIRS:
-                raise BadPacket(
+                raise MalformedPacket(
                     f"{count} extended attributes, {MOST_ATTR_PAIRS} at most"
                 )
             for _ in range(2 * count):
@@ -126,7 +128,7 @@
     def names(self, what: str = "names") -> tuple[Name, ...]:
         count = self.u32(what)
         if count > MOST_NAMES:
-            raise BadPacket(f"{count} names, {MOST_NAMES} at most")
+            raise MalformedPacket(f"{count} names, {MOST_NAMES} at most")
         return tuple(
             Name(self.text("a name"), self.text("a long name"), self.attrs())
             for _ in range(count)
@@ -139,7 +141,7 @@
     def end(self) -> None:
         """Nothing may be left."""
         if self.at != len(self.data):
-            raise BadPacket(
+            raise MalformedPacket(
                 f"{len(self.data) - self.at} bytes left over at the end of a packet"
             )
 
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -39,7 +39,7 @@
 from milletsill.sftp.extensions import Terms
 from milletsill.sftp.wire import bytes_of
 from milletsill.sftp_gateway.command_execution import Opened, Running
-from milletsill.sftp_gateway.routing import OPERATIONS, WRITING, BadPath, Spot
+from milletsill.sftp_gateway.routing import OPERATIONS, WRITING, InvalidPath, Spot
 
 EXTENSIONS = (wire.CHANNEL, wire.NUMBERED)
 LOOK_EVERY, LEAVE_EVERY, QUIET = (
@@ -418,7 +418,7 @@
         )
         self.standing.add(standing)
         self.handles += 1
-        token = f"{self.plane.name}.{self.plane.run}.{self.handles}"
+        token = f"{self.plane.name}.{self.plane.incarnation}.{self.handles}"
         word = Word(volume, name, ends, what, token, lambda answer: None)
         word.answered = lambda answer: (
             self.elsewhere(word, answer)
@@ -564,7 +564,7 @@
         )
         try:
             running.start()
-        except BadPath:
+        except InvalidPath:
             ended(Input.NEVER_RAN, 0, 0, None)
 
 
--- a/milletsill/sftp_gateway/errors.py
+++ b/milletsill/sftp_gateway/errors.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from milletsill.errors import Refused, Unkept
+from milletsill.errors import ConfigurationRejected, StateNotStored
 
 
-class NeedsRestart(Refused):
+class RestartRequired(ConfigurationRejected):
     """A file on SIGHUP that changes what a running gateway cannot change."""
 
     remedy = "restart the gateway to take it, or put those fields back; nothing of the file was taken"
 
 
-class RunUnkept(Unkept):
+class IncarnationNotStored(StateNotStored):
     """The number of this run, which cannot be read or written down."""
 
     remedy = "make room in state_dir or make it writable; until then each start takes its number from the wall clock"
