--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
-from milletsill.errors import CannotListen, Fault
+from milletsill.errors import ListenFailed, MilletsillError
 from milletsill.gateway.scheduler_host import Ended, Host, Make
 from milletsill.interface import Request, Endpoint, EndpointUpdateKind, Readiness
 from milletsill.logs import logger
@@ -21,7 +21,7 @@
 from milletsill.sftp.extensions import Order
 from milletsill.sftp_gateway import deployment
 from milletsill.sftp_gateway.command_execution import Cargo, Running
-from milletsill.sftp_gateway.errors import NeedsRestart
+from milletsill.sftp_gateway.errors import RestartRequired
 from milletsill.sftp_gateway.incarnation import keep, next_incarnation
 from milletsill.sftp_gateway.metrics import Figures
 from milletsill.sftp_gateway.routing import (
@@ -67,7 +67,7 @@
             os.path.join(file.state_dir, "incarnation")
         )
         if complaint is not None:
-            self.remark("incarnation_not_kept", **complaint.said())
+            self.remark("incarnation_not_kept", **complaint.log_fields())
         self.figures, self.answer_log = Figures(), AnswerLog(file.logging.answers_per_s)
         self.process, self.atlas = Process.STARTING, deployment.atlas_of(file)
         self.locations, self.bounds = (
@@ -207,7 +207,7 @@
         self.incarnation = max(self.incarnation, run)
         complaint = keep(os.path.join(self.file.state_dir, "incarnation"), run)
         if complaint is not None:
-            self.remark("incarnation_not_kept", **complaint.said())
+            self.remark("incarnation_not_kept", **complaint.log_fields())
 
     # Life.
 
@@ -216,7 +216,7 @@
         if self.fleet is not None:
             try:
                 self.fleet.start()
-            except Fault as error:
+            except MilletsillError as error:
                 return self.cannot(error)
         if self.health is not None:
             self.health.start()
@@ -289,9 +289,9 @@
             host, _, port = self.file.metrics.rpartition(":")
             self.listen(host, int(port), self.figures.page(), "metrics_listening")
 
-    def cannot(self, error: Fault) -> None:
+    def cannot(self, error: MilletsillError) -> None:
         """The start is over before it began."""
-        self.log.error("cannot_listen", **error.said())
+        self.log.error("cannot_listen", **error.log_fields())
         self.process, self.failed = Process.STOPPED, True
         self.stop()
 
@@ -310,7 +310,7 @@
             )
 
         def not_up(failure: Any) -> None:
-            self.cannot(CannotListen(failure.getErrorMessage(), f"{host}:{port}"))
+            self.cannot(ListenFailed(failure.getErrorMessage(), f"{host}:{port}"))
 
         TCP4ServerEndpoint(self.reactor, port, interface=host).listen(
             factory
@@ -332,9 +332,9 @@
         ):
             return self.remark(
                 "file_refused",
-                **NeedsRestart(
+                **RestartRequired(
                     "plans, categories, rules, name, address, traces or fleet are not those of the start"
-                ).said(),
+                ).log_fields(),
             )
         self.file, self.atlas, self.margin = (
             file,
--- a/milletsill/sftp_gateway/incarnation.py
+++ b/milletsill/sftp_gateway/incarnation.py
@@ -5,12 +5,12 @@
 import os
 import time
 
-from milletsill.sftp_gateway.errors import RunUnkept
+from milletsill.sftp_gateway.errors import IncarnationNotStored
 
 MOST = 0xFFFFFFFF
 
 
-def next_incarnation(path: str) -> tuple[int, RunUnkept | None]:
+def next_incarnation(path: str) -> tuple[int, IncarnationNotStored | None]:
     """The number of this run and a complaint, None for none. Where it cannot be kept it is taken from the wall clock,
     which is past any count of starts, so no two runs share one.
     """
@@ -21,7 +21,7 @@
     except FileNotFoundError:
         pass
     except (OSError, ValueError) as error:
-        complaint, held = RunUnkept(str(error), path), int(time.time())
+        complaint, held = IncarnationNotStored(str(error), path), int(time.time())
     number = min(max(held, 0) + 1, MOST)
     failed = keep(path, number)
     if failed is not None:
@@ -29,7 +29,7 @@
     return number, complaint
 
 
-def keep(path: str, number: int) -> RunUnkept | None:
+def keep(path: str, number: int) -> IncarnationNotStored | None:
     """Write a run down, so that the next start goes past it; None or why not."""
     try:
         with open(f"{path}.new", "w", encoding="ascii") as sink:
@@ -38,5 +38,5 @@
             os.fsync(sink.fileno())
         os.replace(f"{path}.new", path)
     except OSError as error:
-        return RunUnkept(error.strerror or str(error), path)
+        return IncarnationNotStored(error.strerror or str(error), path)
     return None
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -13,7 +13,7 @@
 from milletsill.gateway.process_setup import SETTLED, on_signal, settle_memory
 from milletsill.gateway.scheduler_host import Make
 from milletsill.scheduler import Scheduler
-from milletsill.settings.load import RefusedFile, load
+from milletsill.settings.load import SettingsFileRejected, load
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.settings.validation import check_gateway
 from milletsill.sftp_gateway.gateway import Edge
@@ -83,6 +83,6 @@
     """Read the file again; a bad one, or one that needs a restart, changes nothing."""
     try:
         edge.reload(load(path, GatewayFile, check_gateway))
-    except RefusedFile as error:
+    except SettingsFileRejected as error:
         for each in error.faults:
-            edge.remark("file_refused", **RefusedFile([each]).said())
+            edge.remark("file_refused", **SettingsFileRejected([each]).log_fields())
--- a/milletsill/sftp_gateway/routing.py
+++ b/milletsill/sftp_gateway/routing.py
@@ -16,7 +16,7 @@
 
 import xxhash
 
-from milletsill.errors import Unfit
+from milletsill.errors import InvalidValue
 from milletsill.gateway.stall_detection import BEAT, LATE_BEAT, io_first, taken_since  # noqa: F401
 from milletsill.sftp import packets
 
@@ -43,7 +43,7 @@
 MOST_PATH = 4096
 
 
-class BadPath(Unfit):
+class InvalidPath(InvalidValue):
     """A path of a client that names nothing here."""
 
     remedy = "nothing: the client is told; one that insists sends paths over 4,096 characters or with zero octets"
@@ -52,7 +52,7 @@
 def canonical(path: str) -> str:
     """An absolute path without empty parts, . and ..; what climbs above / stays there, as in a file system."""
     if len(path) > MOST_PATH or "\0" in path:
-        raise BadPath("a path too long or with a zero byte")
+        raise InvalidPath("a path too long or with a zero byte")
     parts: list[str] = []
     for part in path.split("/"):
         if part == "..":
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -6,14 +6,21 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Terms
-from milletsill.sftp.framing import BrokenStream, Deframer
+from milletsill.sftp.framing import BrokenPacketStream, Deframer
 from milletsill.sftp.wire import Attrs, Name
 from milletsill.sftp_gateway.command_execution import Opened, Running
 from milletsill.sftp_gateway.gateway_context import Around
-from milletsill.sftp_gateway.routing import BadPath, Door, Knock, Spot, fullness, knock
+from milletsill.sftp_gateway.routing import (
+    InvalidPath,
+    Door,
+    Knock,
+    Spot,
+    fullness,
+    knock,
+)
 
 DIRECTORY = Attrs(mode=0o040755)
 BY_HANDLE = (
@@ -84,8 +91,10 @@
             ):
                 self.packet(body)
                 self.look()
-        except BrokenStream as error:
-            self.edge.remark("client_broken", **error.at(self.ends[0]).said())
+        except BrokenPacketStream as error:
+            self.edge.remark(
+                "client_broken", **error.with_location(self.ends[0]).log_fields()
+            )
             self.knock(Knock.BROKEN)
         finally:
             self.reading = False
@@ -175,8 +184,10 @@
             packet = packets.decode(body)
         except packets.UnknownPacket as error:
             return self.reply(packets.Status(error.id, packets.UNSUPPORTED, str(error)))
-        except Malformed as error:
-            self.edge.remark("client_malformed", **error.at(self.ends[0]).said())
+        except MalformedInput as error:
+            self.edge.remark(
+                "client_malformed", **error.with_location(self.ends[0]).log_fields()
+            )
             if len(body) >= 5 and self.door is Door.OPEN:
                 return self.reply(
                     packets.Status(
@@ -212,7 +223,7 @@
             ):
                 terms, packet = extensions.read_terms(packet)
             answer = self.at_once(packet, terms)
-        except (Malformed, BadPath) as error:
+        except (MalformedInput, InvalidPath) as error:
             answer = packets.Status(id, packets.BAD_MESSAGE, str(error))
         if answer is not None:
             self.reply(answer)
--- a/milletsill/trace/columns.py
+++ b/milletsill/trace/columns.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.trace.records import FLOAT, MOST_TEXT, PLAIN, STEP, TEXT
 
 HEAD, U16, U32 = Struct("<BBII"), Struct("<H"), Struct("<I")
@@ -23,7 +23,7 @@
 MOST_COUNT, MOST_TEXTS = 1 << 20, 1 << 16
 
 
-class BadColumn(Malformed):
+class MalformedColumn(MalformedInput):
     """Octets of a block that are no column."""
 
     remedy = "the block is lost, the others stand: `milletsill trace repair` keeps them"
@@ -86,11 +86,11 @@
     try:
         coding, width, count, size = HEAD.unpack_from(data, at)
     except StructError:
-        raise BadColumn("a column is cut short") from None
+        raise MalformedColumn("a column is cut short") from None
     start = at + HEAD.size
     end = start + size
     if end > len(data) or count > MOST_COUNT:
-        raise BadColumn(
+        raise MalformedColumn(
             f"a column of {count} values in {size} bytes where {len(data) - start} are left"
         )
     body = data[start:end]
@@ -98,7 +98,7 @@
         return list(get_texts(body, count)), end
     if coding == FLOAT:
         if size != 8 * count:
-            raise BadColumn(f"{count} floats in {size} bytes")
+            raise MalformedColumn(f"{count} floats in {size} bytes")
         return np.frombuffer(body, dtype="<f8").tolist(), end
     return get_numbers(body, coding, width, count), end
 
@@ -108,9 +108,9 @@
     try:
         end = at + HEAD.size + HEAD.unpack_from(data, at)[3]
     except StructError:
-        raise BadColumn("a column is cut short") from None
+        raise MalformedColumn("a column is cut short") from None
     if end > len(data):
-        raise BadColumn("a column is cut short")
+        raise MalformedColumn("a column is cut short")
     return end
 
 
@@ -125,7 +125,7 @@
         or rows < 0
         or len(body) != first + rows * width
     ):
-        raise BadColumn(
+        raise MalformedColumn(
             f"{count} numbers of width {width} and coding {coding} in {len(body)} bytes"
         )
     held = np.frombuffer(body, dtype=kind, offset=first).astype(np.int64)
@@ -140,17 +140,19 @@
     try:
         entries, at = U32.unpack_from(body)[0], 4
         if entries > MOST_TEXTS * 16 or 2 * entries > len(body):
-            raise BadColumn(f"a dictionary of {entries} texts in {len(body)} bytes")
+            raise MalformedColumn(
+                f"a dictionary of {entries} texts in {len(body)} bytes"
+            )
         texts = []
         for _ in range(entries):
             size = U16.unpack_from(body, at)[0]
             at += 2
             if at + size > len(body):
-                raise BadColumn("a dictionary is cut short")
+                raise MalformedColumn("a dictionary is cut short")
             texts.append(body[at : at + size].decode("utf-8", "surrogateescape"))
             at += size
     except StructError:
-        raise BadColumn("a dictionary is cut short") from None
+        raise MalformedColumn("a dictionary is cut short") from None
     places, end = get(body, at)
     if (
         len(places) != count
@@ -158,5 +160,5 @@
         or places
         and not 0 <= min(places) <= max(places) < entries
     ):  # type: ignore[type-var]
-        raise BadColumn("places that are not in the dictionary")
+        raise MalformedColumn("places that are not in the dictionary")
     return [texts[each] for each in places]  # type: ignore[index]
--- a/milletsill/trace/format.py
+++ b/milletsill/trace/format.py
@@ -25,7 +25,7 @@
 import xxhash
 import zstandard
 
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.trace import columns
 from milletsill.trace.recording_policy import MOST_INDEXED, Stores
 from milletsill.trace.records import (
@@ -52,7 +52,7 @@
 )
 
 
-class BadTrace(Malformed):
+class MalformedTrace(MalformedInput):
     """A file that is no trace, or no longer one."""
 
     remedy = "`milletsill trace verify` says what is broken, `trace repair` keeps the blocks that are whole"
@@ -95,31 +95,31 @@
 def get_header(data: bytes) -> tuple[dict[str, Any], int]:
     """What the header says, and where it ends. `data` holds the file's beginning."""
     if len(data) < HEAD.size:
-        raise BadTrace("too short for a trace")
+        raise MalformedTrace("too short for a trace")
     magic, major, minor, size, crc = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise BadTrace("not a trace")
+        raise MalformedTrace("not a trace")
     if major != MAJOR:
-        raise BadTrace(f"format {major}.{minor}, {MAJOR}.x is read")
+        raise MalformedTrace(f"format {major}.{minor}, {MAJOR}.x is read")
     body = data[HEAD.size : HEAD.size + size]
     if size > MOST_HEADER or len(body) < size or zlib.crc32(body) != crc:
-        raise BadTrace("the header is cut or damaged")
+        raise MalformedTrace("the header is cut or damaged")
     try:
         about = json.loads(body)
     except (ValueError, RecursionError):
-        raise BadTrace("the header is not JSON") from None
+        raise MalformedTrace("the header is not JSON") from None
     if not isinstance(about, dict):
-        raise BadTrace("the header is not a JSON object")
+        raise MalformedTrace("the header is not a JSON object")
     return {**about, "minor": minor}, HEAD.size + size
 
 
 def header_size(start: bytes) -> int:
     """How many bytes of a file its header takes, from the first HEAD.size of them."""
     if len(start) < HEAD.size:
-        raise BadTrace("too short for a trace")
+        raise MalformedTrace("too short for a trace")
     size = HEAD.unpack_from(start)[3]
     if size > MOST_HEADER:
-        raise BadTrace(f"a header of {size} bytes")
+        raise MalformedTrace(f"a header of {size} bytes")
     return HEAD.size + size
 
 
@@ -147,7 +147,7 @@
     _, size, crc = FOOTER_HEAD.unpack_from(data)
     body = data[FOOTER_HEAD.size : FOOTER_HEAD.size + size]
     if len(body) != size or zlib.crc32(body) != crc:
-        raise BadTrace("the index of stores is cut or damaged")
+        raise MalformedTrace("the index of stores is cut or damaged")
     raw, at, found = (
         unpack(body, MOST_FOOTER, "the index of stores"),
         0,
@@ -159,7 +159,7 @@
             count = NUMBER.unpack_from(raw, name_ends)[0]
             ends = name_ends + NUMBER.size + 4 * count
             if ends > len(raw) or len(found) >= MOST_INDEXED:
-                raise BadTrace("the index of stores is cut short or too large")
+                raise MalformedTrace("the index of stores is cut short or too large")
             name = raw[at + NAME_SIZE.size : name_ends].decode(
                 "utf-8", "surrogateescape"
             )
@@ -168,7 +168,7 @@
             ).tolist()
             at = ends
     except StructError:
-        raise BadTrace("the index of stores is cut short") from None
+        raise MalformedTrace("the index of stores is cut short") from None
     return found
 
 
@@ -207,14 +207,14 @@
 def get_head(data: bytes, offset: int) -> BlockHead:
     """The head of the block whose bytes begin `data`."""
     if len(data) < BLOCK_HEAD.size:
-        raise BadTrace("a block's head is cut short")
+        raise MalformedTrace("a block's head is cut short")
     magic, size, raw, records, first, last, crc, stores, own = BLOCK_HEAD.unpack_from(
         data
     )
     if magic != BLOCK or zlib.crc32(data[: BLOCK_HEAD.size - 4]) != own:
-        raise BadTrace("no block here, or its head is damaged")
+        raise MalformedTrace("no block here, or its head is damaged")
     if size > MOST_BODY or raw > MOST_RAW or not 0 < records <= MOST_RECORDS:
-        raise BadTrace(f"a block of {size} bytes and {records} records")
+        raise MalformedTrace(f"a block of {size} bytes and {records} records")
     return BlockHead(offset, size, raw, records, first, last, crc, stores)
 
 
@@ -222,10 +222,10 @@
     """Unpacked bytes, at most so many: a body that claims or yields more is refused before memory is taken."""
     try:
         if zstandard.frame_content_size(body) > most:
-            raise BadTrace(f"{what} unpacks to more than {most} bytes")
+            raise MalformedTrace(f"{what} unpacks to more than {most} bytes")
         return zstandard.ZstdDecompressor().decompress(body, max_output_size=most)
     except zstandard.ZstdError as error:
-        raise BadTrace(f"{what} cannot be unpacked: {error}") from None
+        raise MalformedTrace(f"{what} cannot be unpacked: {error}") from None
 
 
 def get_rows(
@@ -235,14 +235,14 @@
     not what the head says.
     """
     if len(body) != head.size or zlib.crc32(body) != head.crc:
-        raise BadTrace("a block is cut or damaged")
+        raise MalformedTrace("a block is cut or damaged")
     raw = unpack(body, head.raw, "a block")
     if len(raw) != head.raw:
-        raise BadTrace("a block unpacks to another size")
+        raise MalformedTrace("a block unpacks to another size")
     try:
         return list(rows_of(raw, head.records, only))
-    except columns.BadColumn as error:
-        raise BadTrace(f"in a block: {error}") from None
+    except columns.MalformedColumn as error:
+        raise MalformedTrace(f"in a block: {error}") from None
 
 
 def rows_of(
@@ -251,13 +251,13 @@
     kinds, at = columns.get(raw, 0)
     times, at = columns.get(raw, at)
     if len(kinds) != records or len(times) != records:
-        raise columns.BadColumn(
+        raise columns.MalformedColumn(
             f"{len(kinds)} kinds and {len(times)} times of {records} records"
         )
     held: dict[int, dict[int, list[object]]] = {}
     while at < len(raw):
         if len(raw) - at < FIELD.size:
-            raise columns.BadColumn("bytes left over")
+            raise columns.MalformedColumn("bytes left over")
         number, place = FIELD.unpack_from(raw, at)
         if only is not None and number not in only:
             at = columns.skip(raw, at + FIELD.size)
@@ -274,7 +274,7 @@
             for place in range(1, len(kind.fields) + 1)
         ]
         if any(each is None or len(each) != count for each in fields):
-            raise columns.BadColumn(
+            raise columns.MalformedColumn(
                 f"fields of {kind.name} are missing or of another length"
             )
         walks[number] = zip(*fields) if fields else iter([()] * count)  # type: ignore[arg-type]
@@ -305,18 +305,18 @@
 ) -> tuple[list[tuple[int, int, int, int, bytes]], dict[str, list[int]] | None]:
     """The indexes from a footer's bytes, the trailer left out: offset, records, first, last, filter; blocks of stores."""
     if len(data) < FOOTER_HEAD.size:
-        raise BadTrace("the footer is cut short")
+        raise MalformedTrace("the footer is cut short")
     magic, size, crc = FOOTER_HEAD.unpack_from(data)
     body = data[FOOTER_HEAD.size : FOOTER_HEAD.size + size]
     if magic != FOOTER or len(body) != size or zlib.crc32(body) != crc:
-        raise BadTrace("the footer is cut or damaged")
+        raise MalformedTrace("the footer is cut or damaged")
     raw = unpack(body, MOST_FOOTER, "the footer")
     if len(raw) % ENTRY.size:
-        raise BadTrace("the footer is no list of blocks")
+        raise MalformedTrace("the footer is no list of blocks")
     entries = list(ENTRY.iter_unpack(raw))
     stores = get_stores(data[FOOTER_HEAD.size + size :])
     if stores is not None and any(
         each and not 0 <= each[-1] < len(entries) for each in stores.values()
     ):
-        raise BadTrace("the index of stores names blocks that are not there")
+        raise MalformedTrace("the index of stores names blocks that are not there")
     return entries, stores
--- a/milletsill/trace/reader.py
+++ b/milletsill/trace/reader.py
@@ -10,7 +10,7 @@
 from typing import Any, BinaryIO, Optional
 
 from milletsill.trace import format
-from milletsill.trace.format import BadTrace
+from milletsill.trace.format import MalformedTrace
 from milletsill.trace.recording_policy import Stores, Verdict, chosen, judge
 from milletsill.trace.records import BLOCK_HEAD, BlockHead, Row
 
@@ -78,14 +78,14 @@
         """The blocks, by the index, else by themselves."""
         try:
             self.map.heads = self.indexed()
-        except BadTrace:
+        except MalformedTrace:
             self.walk()
 
     def indexed(self) -> list[BlockHead]:
         """The blocks as the footer has them; sizes follow from the next one's offset."""
         tail = self.take(max(self.size - format.TRAILER.size, 0), format.TRAILER.size)
         if len(tail) < format.TRAILER.size:
-            raise BadTrace("no trailer")
+            raise MalformedTrace("no trailer")
         offset, end = format.TRAILER.unpack(tail)
         last = self.size - format.TRAILER.size
         if (
@@ -93,7 +93,7 @@
             or not self.start <= offset <= last
             or last - offset > format.MOST_FOOTER
         ):
-            raise BadTrace("no trailer")
+            raise MalformedTrace("no trailer")
         entries, self.map.stores = format.get_footer(self.take(offset, last - offset))
         ends = [each[0] for each in entries[1:]] + [offset]
         if (
@@ -101,7 +101,7 @@
             or entries
             and entries[0][0] != self.start
         ):
-            raise BadTrace("the footer's blocks do not follow each other")
+            raise MalformedTrace("the footer's blocks do not follow each other")
         return [
             BlockHead(
                 at, end - at - BLOCK_HEAD.size, 0, records, first, last_at, 0, stores
@@ -132,7 +132,7 @@
     def head_at(self, at: int) -> tuple[BlockHead | None, str]:
         try:
             head = format.get_head(self.take(at, BLOCK_HEAD.size), at)
-        except BadTrace as error:
+        except MalformedTrace as error:
             return None, str(error)
         return (
             (head, "")
@@ -198,7 +198,7 @@
             return format.get_rows(
                 format.get_head(data, head.offset), data[BLOCK_HEAD.size :], only
             )
-        except BadTrace as error:
+        except MalformedTrace as error:
             if all(each.offset != head.offset for each in self.map.breaks):
                 self.map.breaks.append(
                     Break(head.offset, BLOCK_HEAD.size + head.size, str(error))
--- a/milletsill/trace/recording_policy.py
+++ b/milletsill/trace/recording_policy.py
@@ -11,7 +11,7 @@
 from statistics import median
 from typing import Any
 
-from milletsill.errors import Unfit
+from milletsill.errors import InvalidValue
 from milletsill.trace.records import (
     BY_TRANSFER,
     CATEGORY_PLACE,
@@ -186,7 +186,7 @@
 # --- What a time on the command line means.
 
 
-class Unclear(Unfit):
+class InvalidTime(InvalidValue):
     """A text on the command line that is no time."""
 
     remedy = (
@@ -209,11 +209,11 @@
         try:
             return opened + int(float(number) * (unit or SECOND))
         except (ValueError, OverflowError):
-            raise Unclear(f"{text!r} is no span such as +90s, +5m, +1h") from None
+            raise InvalidTime(f"{text!r} is no span such as +90s, +5m, +1h") from None
     try:
         at = datetime.fromisoformat(text)
     except ValueError:
-        raise Unclear(
+        raise InvalidTime(
             f"{text!r} is no time: tenths of a millisecond, +90s or ISO 8601"
         ) from None
     at = at if at.tzinfo else at.replace(tzinfo=UTC)
--- a/milletsill/trace/service.py
+++ b/milletsill/trace/service.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from milletsill.trace.format import BadTrace
+from milletsill.trace.format import MalformedTrace
 from milletsill.trace.reader import Heard, Trace
 from milletsill.trace.reckoning import Claim, Done, reckon
 from milletsill.trace.records import BY_NAME
@@ -97,7 +97,7 @@
             facts.get("spare_utility", 0.0),
         )
     except (KeyError, IndexError, TypeError, ValueError) as error:
-        raise BadTrace(
+        raise MalformedTrace(
             f"a header without the terms of service: {type(error).__name__} {error}"
         ) from None
 
@@ -114,7 +114,7 @@
         if not (
             0 <= category < len(terms.categories) and 0 <= plan < len(terms.prices)
         ):
-            raise BadTrace(
+            raise MalformedTrace(
                 f"a command of category {category} and plan {plan}, which the header does not have"
             )
         name, target, utility, late = terms.categories[category]
@@ -180,7 +180,9 @@
         for each, span, final, why in done_of(trace, terms, since, until):
             at = each.second * SECOND // window
             if at not in windows and len(windows) >= MOST_WINDOWS:
-                raise BadTrace(f"more than {MOST_WINDOWS} windows: take longer ones")
+                raise MalformedTrace(
+                    f"more than {MOST_WINDOWS} windows: take longer ones"
+                )
             held = windows.setdefault(at, Window())
             held.due += each.units * each.utility
             held.in_time += 0.0 if each.late else each.units * each.utility
--- a/milletsill/trace/tools.py
+++ b/milletsill/trace/tools.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from milletsill.trace import format
-from milletsill.trace.format import LEVEL, BadTrace
+from milletsill.trace.format import LEVEL, MalformedTrace
 from milletsill.trace.reader import Heard, Trace
 from milletsill.trace.recording_policy import (
     MOST_AGE,
@@ -245,7 +245,7 @@
     try:
         return int(about.get("wall_ms", 0)) * 10 - int(about.get("opened", 0))
     except (TypeError, ValueError):
-        raise BadTrace("a header whose clock origin is no number") from None
+        raise MalformedTrace("a header whose clock origin is no number") from None
 
 
 def shifted(trace: Trace, place: int, of: int, shift: int) -> Iterator[Row]:
@@ -487,6 +487,6 @@
         return names.index(category)
     if category.isdecimal():
         return int(category)
-    raise BadTrace(
+    raise MalformedTrace(
         f"no category {category!r}; there are {', '.join(names) or 'none named'}"
     )
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from milletsill.errors import Unkept
+from milletsill.errors import StateNotStored
 from milletsill.trace import format
 from milletsill.trace.recording_policy import (
     MOST_AGE,
@@ -35,7 +35,7 @@
 LOOK, SUFFIX = 0.1, ".mtrace"
 
 
-class TraceUnkept(Unkept):
+class TraceNotStored(StateNotStored):
     """A trace that the disk does not take."""
 
     remedy = "make room or mend the disk of trace.folder; traffic goes on, and tracing in a new file once it is taken again"
@@ -187,7 +187,7 @@
         except OSError as error:
             if not self.failures:
                 self.remark(
-                    f"tracing stops: {TraceUnkept(error.strerror or str(error), self.folder).line()}"
+                    f"tracing stops: {TraceNotStored(error.strerror or str(error), self.folder).describe()}"
                 )
             self.word(Word.FAILED)
 
--- a/milletsill/wirehost/__main__.py
+++ b/milletsill/wirehost/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from milletsill.wirehost.codec import BadBatch
+from milletsill.wirehost.codec import MalformedBatch
 from milletsill.wirehost.host import serve
 
 
@@ -10,8 +10,8 @@
     """Exit cleanly when input ends; a plain line and status 2 on input that makes no sense."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except BadBatch as error:
-        print(f"milletsill: malformed input: {error.line()}", file=sys.stderr)
+    except MalformedBatch as error:
+        print(f"milletsill: malformed input: {error.describe()}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -8,7 +8,7 @@
 from typing import Any, BinaryIO, NamedTuple
 
 from milletsill import facts
-from milletsill.errors import Malformed
+from milletsill.errors import MalformedInput
 from milletsill.facts import UNIT
 from milletsill.interface import Endpoint, EndpointUpdateKind, AttemptOutcome, Readiness
 
@@ -80,7 +80,7 @@
 }
 
 
-class BadBatch(Malformed):
+class MalformedBatch(MalformedInput):
     """Input of the simulator's wire that its page does not allow."""
 
     remedy = "bring the adapter and the simulator to versions that go together"
@@ -110,7 +110,7 @@
     if may_end and not data:
         return None
     if len(data) != size:
-        raise BadBatch(f"input ended inside {what}: {len(data)} of {size} bytes")
+        raise MalformedBatch(f"input ended inside {what}: {len(data)} of {size} bytes")
     return data
 
 
@@ -121,14 +121,14 @@
         return None
     number, size, count, clock = HEADER.unpack(head)
     if size < HEADER.size + count * RECORD.size:
-        raise BadBatch(
+        raise MalformedBatch(
             f"batch {number}: a length of {size} cannot hold {count} records"
         )
     body = read_exactly(stream, size - HEADER.size, f"batch {number}")
     assert body is not None
     events = list(events_of(body, number))
     if len(events) != count:
-        raise BadBatch(
+        raise MalformedBatch(
             f"batch {number}: {len(events)} records where the header says {count}"
         )
     return Batch(number, clock, events)
@@ -139,23 +139,23 @@
     at = 0
     while at < len(body):
         if len(body) - at < RECORD.size:
-            raise BadBatch(
+            raise MalformedBatch(
                 f"batch {number}: {len(body) - at} bytes left over after the last record"
             )
         code, size = RECORD.unpack_from(body, at)
         fixed = FIXED.get(code)
         if fixed is None:
-            raise BadBatch(f"batch {number}: unknown event code {code}")
+            raise MalformedBatch(f"batch {number}: unknown event code {code}")
         start = at + RECORD.size
         at = start + size
         if at > len(body) or size < fixed.size:
-            raise BadBatch(
+            raise MalformedBatch(
                 f"batch {number}: {NAMES[code]} cannot have a length of {size}"
             )
         fields = fixed.unpack_from(body, start)
         counted = fields[-1] * TAIL[code] if code in TAIL else 0
         if size != fixed.size + counted:
-            raise BadBatch(
+            raise MalformedBatch(
                 f"batch {number}: {NAMES[code]} is {size} bytes long, not {fixed.size + counted}"
             )
         yield Event(code, fields, body[start + fixed.size : at])
@@ -164,7 +164,7 @@
 def pick(table: Mapping[int, Any], code: int, what: str) -> Any:
     """The word for a code; an unknown one is malformed input."""
     if code not in table:
-        raise BadBatch(f"unknown {what} {code}")
+        raise MalformedBatch(f"unknown {what} {code}")
     return table[code]
 
 
@@ -195,7 +195,7 @@
     try:
         return facts.facts_of(json.loads(text))
     except ValueError as error:
-        raise BadBatch(f"settings: {error}") from None
+        raise MalformedBatch(f"settings: {error}") from None
 
 
 def action(code: int, layout: str) -> Any:
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from milletsill.errors import whereabouts
+from milletsill.errors import error_location
 from milletsill.interface import AttemptResult, Request, Endpoint, EndpointUpdateKind
 from milletsill.scheduler import Scheduler
 from milletsill.wirehost import codec
-from milletsill.wirehost.codec import UNIT, BadBatch, Event
+from milletsill.wirehost.codec import UNIT, MalformedBatch, Event
 
 LONGEST_TIMER = 70 * 60 * 1_000_000_000  # the wire takes timers of up to 71 minutes
 
@@ -75,13 +75,13 @@
             return
         module = self.module
         if module is None:
-            raise BadBatch(
+            raise MalformedBatch(
                 f"{codec.NAMES[event.code]} for instance {self.number}, which was never born"
             )
         if event.code == codec.UPDATE:
             news = codec.pick(codec.NEWS, fields[0], "kind of Update")
             if news is not EndpointUpdateKind.FAILED and fields[2] not in banks:
-                raise BadBatch(f"Update names list {fields[2]}, which never came")
+                raise MalformedBatch(f"Update names list {fields[2]}, which never came")
             module.on_endpoints(
                 now, news, () if news is EndpointUpdateKind.FAILED else banks[fields[2]]
             )
@@ -153,7 +153,7 @@
                 )
                 heard[number], current.clock = current, batch.clock
             elif current is None:
-                raise BadBatch(
+                raise MalformedBatch(
                     f"batch {batch.number}: {codec.NAMES[event.code]} before any Instance"
                 )
             elif event.code in (codec.CRASH, codec.BORN) and current.module is not None:
@@ -175,10 +175,10 @@
         """Run the module; an exception in it is said on the wire."""
         try:
             call()
-        except BadBatch:
+        except MalformedBatch:
             raise
         except Exception as error:
-            instance.said.append(codec.text_action(3, whereabouts(error)))
+            instance.said.append(codec.text_action(3, error_location(error)))
 
     def spoken(self, heard: dict[int, Instance], now: int) -> list[bytes]:
         """What the instances that heard something have to say."""
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -4,10 +4,17 @@
 import re
 import unittest
 
-from milletsill.errors import Fault, Malformed, Refused, Unfit, Unkept, line_of
+from milletsill.errors import (
+    MilletsillError,
+    MalformedInput,
+    ConfigurationRejected,
+    InvalidValue,
+    StateNotStored,
+    describe_error,
+)
 from milletsill.errors.known import known, row
-from milletsill.settings.load import Flaw, RefusedFile
-from milletsill.sftp_gateway.errors import RunUnkept
+from milletsill.settings.load import Flaw, SettingsFileRejected
+from milletsill.sftp_gateway.errors import IncarnationNotStored
 from milletsill.sftp_gateway.incarnation import next_incarnation
 from tests.support.paths import ROOT
 
@@ -64,15 +71,22 @@
                     and isinstance(node.exc, ast.Call)
                     and isinstance(node.exc.func, ast.Name)
                 ):
-                    self.assertNotIn(node.exc.func.id, {"Fault", "ChannelFault"}, path)
-                if isinstance(node, ast.ClassDef) and node.name != "Fault":
+                    self.assertNotIn(
+                        node.exc.func.id, {"MilletsillError", "CoordinationError"}, path
+                    )
+                if isinstance(node, ast.ClassDef) and node.name != "MilletsillError":
                     bases = {
                         each.id for each in node.bases if isinstance(each, ast.Name)
                     }
                     self.assertEqual(bases & names, set(), f"{path}: {node.name}")
 
     def test_each_of_the_four_kinds_has_types_below_it(self):
-        for kind in (Malformed, Refused, Unfit, Unkept):
+        for kind in (
+            MalformedInput,
+            ConfigurationRejected,
+            InvalidValue,
+            StateNotStored,
+        ):
             self.assertGreater(
                 len(
                     [
@@ -89,45 +103,55 @@
 
 class Said(unittest.TestCase):
     def test_a_line_carries_what_where_and_what_to_do(self):
-        one = Unkept("no space left", "/state/boxes.json")
+        one = StateNotStored("no space left", "/state/boxes.json")
         self.assertEqual(
-            one.said(),
+            one.log_fields(),
             {
-                "error": "Unkept",
+                "error": "StateNotStored",
                 "what": "no space left",
                 "where": "/state/boxes.json",
-                "remedy": Unkept.remedy,
+                "remedy": StateNotStored.remedy,
             },
         )
         self.assertEqual(
-            one.line(), f"/state/boxes.json: no space left ({Unkept.remedy})"
+            one.describe(),
+            f"/state/boxes.json: no space left ({StateNotStored.remedy})",
         )
-        self.assertEqual(Malformed("a\nb").said().keys(), {"error", "what", "remedy"})
-        self.assertEqual(line_of(Malformed("a\nb")), f"a b ({Malformed.remedy})")
-        self.assertEqual(line_of(ValueError("x " * 500)), ("x " * 500)[:200])
+        self.assertEqual(
+            MalformedInput("a\nb").log_fields().keys(), {"error", "what", "remedy"}
+        )
+        self.assertEqual(
+            describe_error(MalformedInput("a\nb")), f"a b ({MalformedInput.remedy})"
+        )
+        self.assertEqual(describe_error(ValueError("x " * 500)), ("x " * 500)[:200])
 
     def test_a_place_is_said_once_by_who_knows_it_best(self):
-        self.assertEqual(str(Malformed("short").at("10.0.0.7")), "10.0.0.7: short")
         self.assertEqual(
-            str(Malformed("short", "byte 7").at("10.0.0.7")), "byte 7: short"
+            str(MalformedInput("short").with_location("10.0.0.7")), "10.0.0.7: short"
+        )
+        self.assertEqual(
+            str(MalformedInput("short", "byte 7").with_location("10.0.0.7")),
+            "byte 7: short",
         )
-        self.assertEqual(str(Fault("alone")), "alone")
+        self.assertEqual(str(MilletsillError("alone")), "alone")
 
     def test_a_run_that_cannot_be_kept_is_a_fault_with_its_path(self):
         number, complaint = next_incarnation("/proc/none/incarnation")
         self.assertGreater(number, 1_000_000)
         self.assertEqual(
-            (type(complaint), complaint.where), (RunUnkept, "/proc/none/incarnation")
+            (type(complaint), complaint.where),
+            (IncarnationNotStored, "/proc/none/incarnation"),
         )
 
     def test_a_refused_file_names_each_flaw(self):
-        error = RefusedFile(
+        error = SettingsFileRejected(
             [Flaw("g.textproto", 3, "no such plan"), Flaw("g.textproto", 0, "too long")]
         )
         self.assertEqual(
-            error.said()["what"], "g.textproto:3: no such plan; g.textproto: too long"
+            error.log_fields()["what"],
+            "g.textproto:3: no such plan; g.textproto: too long",
         )
-        self.assertIsInstance(error, Refused)
+        self.assertIsInstance(error, ConfigurationRejected)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/channels/test_channel_contracts.py
+++ b/tests/fleet/channels/test_channel_contracts.py
@@ -7,9 +7,9 @@
 from milletsill.fleet.channels import codec, ordering
 from milletsill.fleet.channels.channel_sequencer import Line
 from milletsill.fleet.channels.errors import (
-    ContractOlder,
-    ContractsContradict,
-    RecordUnread,
+    ContractOutdated,
+    ContractConflict,
+    ChannelRecordUnreadable,
 )
 from milletsill.fleet.channels.ordering import (
     REMEMBERED,
@@ -233,20 +233,20 @@
         line = channel()
         later = Contract("c", 2, Order.NEWEST, hole=HOLE)
         come(line, 1)
-        with self.assertRaises(ContractsContradict):
+        with self.assertRaises(ContractConflict):
             line.open(3, Declared(later, 1), "x", "o")
         line.open(3, Declared(later, 3), "y", "o")
         said(line)
-        with self.assertRaises(ContractsContradict):
+        with self.assertRaises(ContractConflict):
             line.open(3, Declared(later, 4), "y", "o")
-        with self.assertRaises(ContractsContradict):
+        with self.assertRaises(ContractConflict):
             line.open(3, Declared(Contract("c", 2, Order.BATCHES)), "z", "o")
         self.assertEqual(come(line, 9), [])
         self.assertEqual(end(line, 1), ["a1 answer 1"])
         self.assertEqual(come(line, 2), ["go 2"])
         self.assertEqual(end(line, 2), ["a2 answer 2", "go 9"])
         self.assertEqual(line.contract, later)
-        with self.assertRaises(ContractOlder):
+        with self.assertRaises(ContractOutdated):
             line.open(3, Declared(Contract("c", 1, Order.EACH_IN_ORDER)), "w", "o")
 
     def test_from_the_newest_to_another_contract(self):
@@ -285,7 +285,7 @@
         )  # its client may come again for as long as a hole waits
         self.assertEqual(on(unknown, 1000 + HOLE), ["go 2"])
         for torn in (b"", data[:9], b"\xff" * 40):
-            with self.assertRaises(RecordUnread):
+            with self.assertRaises(ChannelRecordUnreadable):
                 codec.read_record(torn, REST, 0, 0)
 
 
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -25,8 +25,8 @@
 from milletsill.fleet.health.health_sharing import Sharing
 from milletsill.fleet.health.node_observer import Observer
 from milletsill.fleet.health.report_exchange import Spread
-from milletsill.fleet.health.report_store import RowRefused, Rows, Word
-from milletsill.fleet.transport import Kind, Member, Standing, View
+from milletsill.fleet.health.report_store import MalformedHealthReport, Rows, Word
+from milletsill.fleet.transport import MessageKind, Member, MemberState, View
 from milletsill.interface import (
     AttemptResult,
     Request,
@@ -46,12 +46,14 @@
 
 
 def view_of(count):
-    return View(1, [Member(str(each), "", 1, Standing.ALIVE) for each in range(count)])
+    return View(
+        1, [Member(str(each), "", 1, MemberState.ALIVE) for each in range(count)]
+    )
 
 
 def order_of(count):
     order = Order()
-    order.see(lambda name: map(int, view_of(count).chosen(name, count)))
+    order.see(lambda name: map(int, view_of(count).rendezvous(name, count)))
     return order
 
 
@@ -153,7 +155,7 @@
         self.assertFalse(
             rows.merge(Rows(2, 4, 3, 9).write({1: word()}))
         )  # an older run
-        with self.assertRaises(RowRefused):
+        with self.assertRaises(MalformedHealthReport):
             rows.merge(other.write({box: word() for box in range(9)}))
         for each in (3, 4):
             rows.merge(Rows(each, 1, 3, 4).write({1: word()}))
@@ -161,7 +163,7 @@
         rows.keep((1, 3), 0)
         self.assertEqual(set(rows.rows), {1, 3})
         for body in (b"\xff\xff", b"x" * (6 * codec.MOST_FRAME)):
-            with self.assertRaises(RowRefused):
+            with self.assertRaises(MalformedHealthReport):
                 codec.decoded(body)
 
 
@@ -394,19 +396,19 @@
     """Members that hear each other at once."""
 
     def __init__(self, name, all_of):
-        self.name, self.run, self.all_of, self.heard = name, 1, all_of, None
+        self.name, self.incarnation, self.all_of, self.heard = name, 1, all_of, None
         self.view = View(0, ())
         all_of[name] = self
 
-    def tell(self, member, kind, body):
-        self.all_of[member].heard(self.name, self.run, body)
+    def send(self, member, kind, body):
+        self.all_of[member].heard(self.name, self.incarnation, body)
         return True
 
-    def hear(self, kind, heard):
-        assert kind is Kind.HEALTH
+    def subscribe(self, kind, heard):
+        assert kind is MessageKind.HEALTH
         self.heard = heard
 
-    def watch(self, told):
+    def watch_view(self, told):
         self.told = told
 
 
@@ -444,7 +446,7 @@
             sharings[-1].listed(EndpointUpdateKind.SNAPSHOT, entries)
         for each in sharings:
             each.viewed(
-                View(1, [Member(name, "", 1, Standing.ALIVE) for name in planes]), ()
+                View(1, [Member(name, "", 1, MemberState.ALIVE) for name in planes]), ()
             )
         arrival = Request(1, 1, 1, 1, 0, 0, False, False, None, 1, 99_000)
         for step in range(200):
@@ -491,7 +493,9 @@
             )
         )
         sharings[0].heard("edge-1", 1, b"\xff")
-        self.assertEqual(sharings[0].remark.call_args.kwargs["error"], "RowRefused")
+        self.assertEqual(
+            sharings[0].remark.call_args.kwargs["error"], "MalformedHealthReport"
+        )
         for each in sharings:
             each.stop()
         self.assertEqual(clock.getDelayedCalls(), [])
--- a/tests/fleet/leases/test_lease_manager.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -9,13 +9,13 @@
 from prometheus_client import CollectorRegistry
 from twisted.internet.task import Clock
 
-from milletsill.fleet.channels import errors
+from milletsill.fleet.leases import errors
 from milletsill.fleet.leases.acceptor import Ballot, Record, Span, Stamp
 from milletsill.fleet.leases.acceptor_recovery import Identity
 from milletsill.fleet.leases.blocking_worker import tried
 from milletsill.fleet.leases.lease_manager import Offices
 from milletsill.fleet.leases.lease_state import Term
-from milletsill.fleet.transport import Member, Standing, View
+from milletsill.fleet.transport import Member, MemberState, View
 
 SPAN = Span()
 A, B = Ballot(5, "a", 1), Ballot(6, "b", 2)
@@ -29,28 +29,28 @@
     """The fleet's plane for many gateways, on one clock."""
 
     def __init__(self, name, net):
-        self.name, self.net, self.run, self.ears = name, net, 1, []
+        self.name, self.net, self.incarnation, self.ears = name, net, 1, []
 
     @property
     def view(self):
         return View(
             1,
             [
-                Member(each, "h:1", 1, Standing.ALIVE)
+                Member(each, "h:1", 1, MemberState.ALIVE)
                 for each in sorted(self.net.planes)
             ],
         )
 
-    def tell(self, member, kind, body):
+    def send(self, member, kind, body):
         if member not in self.net.planes or {member, self.name} & self.net.cut:
             return False
         self.net.clock.callLater(0.001, self.net.bring, self.name, member, body)
         return True
 
-    def hear(self, kind, heard):
+    def subscribe(self, kind, heard):
         self.ears.append(heard)
 
-    def watch(self, told):
+    def watch_view(self, told):
         pass
 
 
@@ -151,7 +151,7 @@
         net.bring = lambda sender, *rest: (
             held.append((sender, *rest)) if sender == "x" else bring(sender, *rest)
         )
-        self.assertIsInstance(net.write("x", term, b"2")[0], errors.NoMajority)
+        self.assertIsInstance(net.write("x", term, b"2")[0], errors.QuorumNotReached)
         net.go(6)
         net.bring = bring
         for each in [each for each in held if each[1] == "r1"]:
@@ -173,7 +173,7 @@
         self.assertEqual(net.write("x", term, b"1", b"2", b"3"), [None] * 3)
         self.assertEqual(term.value, b"3")
         refused = net.take("y")
-        self.assertIsInstance(refused, errors.NotKeeper)
+        self.assertIsInstance(refused, errors.NotLeaseHolder)
         self.assertEqual(refused.who, "x")
         self.assertLessEqual(refused.pause, SPAN.refused())
         net.offices["x"].give_up(term)
@@ -181,7 +181,7 @@
         later = net.take("y")
         self.assertEqual(later.value, b"3")
         self.assertTrue(5_000 <= later.age <= 15_000)
-        self.assertIsInstance(net.write("x", term, b"4")[0], errors.NotHeld)
+        self.assertIsInstance(net.write("x", term, b"4")[0], errors.LeaseNotHeld)
 
     def test_a_busy_term_is_renewed_an_idle_one_lapses_and_is_taken_after_it(self):
         net = self.net()
@@ -190,16 +190,16 @@
         term.busy = True
         net.go(6)
         self.assertTrue(net.offices["x"].holds(term))
-        self.assertIsInstance(net.take("y"), errors.NotKeeper)
+        self.assertIsInstance(net.take("y"), errors.NotLeaseHolder)
         net.cut.add("x")  # its keeper is gone
         began = net.now()
-        while isinstance(got := net.take("y", seconds=0.05), errors.ChannelFault):
+        while isinstance(got := net.take("y", seconds=0.05), errors.CoordinationError):
             self.assertLess(net.now() - began, 3 * 10_000)
         self.assertFalse(net.offices["x"].holds(term))
         self.assertEqual(got.value, b"1")
         net.cut.clear()
         self.assertEqual(
-            [type(each) for each in net.write("x", term, b"2")], [errors.NotKeeper]
+            [type(each) for each in net.write("x", term, b"2")], [errors.NotLeaseHolder]
         )
 
     def test_without_a_majority_it_is_declined_soon_with_a_time_to_come_back(self):
@@ -207,9 +207,9 @@
         term = net.take("x")
         net.cut |= {"r0", "r1"}
         got = net.take("y", "other", seconds=0.05)
-        self.assertIsInstance(got, errors.NoMajority)
+        self.assertIsInstance(got, errors.QuorumNotReached)
         self.assertGreater(got.pause, 0)
-        self.assertIsInstance(net.write("x", term, b"1")[0], errors.NoMajority)
+        self.assertIsInstance(net.write("x", term, b"1")[0], errors.QuorumNotReached)
         net.cut.clear()
         net.go(3)
         again = net.take("y")
@@ -218,9 +218,9 @@
     def test_registers_come_back_with_what_they_have_without_or_with_less(self):
         for how, error in (
             ("kept", "register_begins"),
-            ("torn", "StateTorn"),
-            ("lost", "StateLost"),
-            ("older", "StateOlder"),
+            ("torn", "AcceptorStateCorrupt"),
+            ("lost", "AcceptorStateMissing"),
+            ("older", "AcceptorStateRolledBack"),
         ):
             with self.subTest(how):
                 net = self.net()
@@ -253,7 +253,7 @@
                 net.go(3)
                 self.assertTrue(net.offices["r1"].desk.whole())
                 net.cut.add("r0")  # r1 counts again, and has what was written
-                while isinstance(got := net.take("y"), errors.ChannelFault):
+                while isinstance(got := net.take("y"), errors.CoordinationError):
                     net.go(0.2)
                 self.assertEqual(got.value, b"2")
 
@@ -269,7 +269,7 @@
         self.assertIn(("r0", "DiskFull"), net.lines)
         net.cut.add("r1")
         self.assertIsInstance(
-            net.write("x", terms[11], b"y" * 6000)[0], errors.NoMajority
+            net.write("x", terms[11], b"y" * 6000)[0], errors.QuorumNotReached
         )
         net.offices["r0"].desk.store.base.execute("PRAGMA max_page_count=1000")
         net.go(3)
@@ -280,18 +280,20 @@
         for each in range(3):
             term = net.take("x", f"c{each}")
             net.write("x", term, b"v")
-        self.assertIsInstance(net.take("x", "c3"), errors.TooMany)  # here
+        self.assertIsInstance(net.take("x", "c3"), errors.ResourceLimitReached)  # here
         self.assertIsInstance(
-            net.take("y", "c3"), errors.NoMajority
+            net.take("y", "c3"), errors.QuorumNotReached
         )  # at the registers
-        self.assertIsInstance(net.write("x", term, b"v" * 20_000)[0], errors.TooMany)
+        self.assertIsInstance(
+            net.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReached
+        )
         net.go(8)
         got = net.take("y", "c3")
         self.assertIsInstance(got, Term)
         self.assertGreater(got.ballot.round, term.ballot.round)  # the floor
-        self.assertIsInstance(net.take("y", "\udc80"), errors.TooMany)
+        self.assertIsInstance(net.take("y", "\udc80"), errors.ResourceLimitReached)
         net.offices["x"].heard("y", 1, b"Rnonsense")
-        self.assertIn(("x", "Unreadable"), net.lines)
+        self.assertIn(("x", "MalformedFrame"), net.lines)
         heard = []
         net.offices["x"].others = lambda *what: heard.append(what)
         net.offices["x"].heard("y", 1, b"Cours")
@@ -305,12 +307,12 @@
         net.write("x", net.take("x"), b"1")
         net.stop("y")
         net.start("y", office=30_000)
-        self.assertIsInstance(net.take("y"), errors.NoMajority)
-        self.assertIn(("r0", "TermsDiffer"), net.lines)
+        self.assertIsInstance(net.take("y"), errors.QuorumNotReached)
+        self.assertIn(("r0", "LeaseSettingsMismatch"), net.lines)
         net.stop("r0")
         net.start("r0", names=("r0", "r1", "x"))
         net.go(3)
-        self.assertIn(("r0", "RegistersChanged"), net.lines)
+        self.assertIn(("r0", "AcceptorSetChanged"), net.lines)
         self.assertFalse(net.offices["r0"].desk.whole())
         net.stop("r0")
         Path(net.path("r0") + ".go-on").touch()
@@ -328,7 +330,7 @@
             "y", Identity(desk.own().age, desk.own().chance, desk.own().generation + 5)
         )
         self.assertFalse(desk.whole())
-        self.assertIn(("r0", "StateOlder"), net.lines)
+        self.assertIn(("r0", "AcceptorStateRolledBack"), net.lines)
         net.go(4)
         self.assertTrue(desk.whole())
         self.assertEqual(desk.own().age, 2)
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -8,7 +8,7 @@
 import unittest
 from pathlib import Path
 
-from milletsill.fleet.channels import errors
+from milletsill.fleet.leases import errors
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import (
@@ -167,13 +167,13 @@
 
     def test_what_is_no_frame_has_its_error(self):
         for body in (b"R\xff\xff", b"R" + b"x" * (1 << 20)):
-            self.assertRaises(codec.Unreadable, codec.decoded, body)
+            self.assertRaises(codec.MalformedFrame, codec.decoded, body)
         for call in (
             wire.Call(ask=1, channel="", round=1, nonce=1),
             wire.Call(ask=2, channel="c", round=1, nonce=1, value=b"x" * 20_000),
             wire.Call(ask=1, channel="c", round=1 << 62, nonce=1),
         ):
-            self.assertRaises(codec.Unreadable, codec.get_call, "a", call)
+            self.assertRaises(codec.MalformedFrame, codec.get_call, "a", call)
         self.assertIsNone(
             codec.get_call("a", wire.Call(ask=9, channel="c", round=1, nonce=1))
         )  # a later version's
@@ -254,7 +254,7 @@
             {f"c{each}": record(each, b"x" * 900) for each in range(1, 60)}, 1, more=59
         )
         self.assertRaises(
-            errors.StateUnusable, Store.opened, self.path, 7
+            errors.AcceptorStateUnusable, Store.opened, self.path, 7
         )  # a second process
         store.close()
         data = Path(self.path).read_bytes()
@@ -262,12 +262,12 @@
         flipped[data.rindex(b"x" * 900) + 5] ^= 1
         later = data[:60] + (99).to_bytes(4, "big") + data[64:]
         for bad, error in [
-            (data[:cut], errors.StateTorn)
+            (data[:cut], errors.AcceptorStateCorrupt)
             for cut in (0, 10, 4096, 9000, len(data) - 4096)
         ] + [
-            (bytes(flipped), errors.StateTorn),
-            (b"no file of ours" * 500, errors.StateTorn),
-            (later, errors.StateUnusable),
+            (bytes(flipped), errors.AcceptorStateCorrupt),
+            (b"no file of ours" * 500, errors.AcceptorStateCorrupt),
+            (later, errors.AcceptorStateUnusable),
         ]:
             Path(self.path).write_bytes(bad)
             with self.assertRaises(error) as caught:
--- a/tests/fleet/membership/test_membership.py
+++ b/tests/fleet/membership/test_membership.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from milletsill.errors import Fault
+from milletsill.errors import MilletsillError
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.codec import (
     LENGTH,
@@ -15,16 +15,16 @@
     MOST_FRAME,
     Codec,
     Frames,
-    OtherFleet,
-    TooLong,
-    TooNew,
-    Unreadable,
+    FleetNameMismatch,
+    FrameTooLong,
+    FrameVersionTooNew,
+    MalformedFrame,
     framed,
 )
-from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
 from milletsill.fleet.gossip.gossip_queue import Spread, bound
 from milletsill.fleet.membership import failure_detector
-from milletsill.fleet.membership.effects import Send
+from milletsill.fleet.membership.effects import SendMessage
 from milletsill.fleet.membership.failure_detector import (
     BEAT,
     HELD,
@@ -39,30 +39,33 @@
 from milletsill.fleet.membership.membership import Membership
 from milletsill.fleet.net.stream_state import Line, due, step
 from milletsill.fleet.net.stream_state import Sign as LineSign
-from milletsill.fleet.transport import Kind, Standing, View
+from milletsill.fleet.transport import MessageKind, MemberState, View
 from milletsill.lab.fleet_clock import SECOND, FleetClock
 from tests.support.paths import FIXTURES
 
 FIXTURE = str(FIXTURES / "fleet-1.hex")
 ALIVE, SUSPECT, GONE, LEFT = (
-    Standing.ALIVE,
-    Standing.SUSPECT,
-    Standing.GONE,
-    Standing.LEFT,
+    MemberState.ALIVE,
+    MemberState.SUSPECT,
+    MemberState.GONE,
+    MemberState.LEFT,
 )
-ME = Row("gw-1", 7, 0xABCDEF, 2, ALIVE, "10.0.0.1:7700")
-OTHER = Row("gw-2", 3, 5, 1, SUSPECT, by=("gw-1", "gw-9"))
+ME = MemberUpdate("gw-1", 7, 0xABCDEF, 2, ALIVE, "10.0.0.1:7700")
+OTHER = MemberUpdate("gw-2", 3, 5, 1, SUSPECT, suspected_by=("gw-1", "gw-9"))
 FRAMES = [
-    Message(What.PROBE, ME, (OTHER,), 4, "gw-2"),
-    Message(What.ACK, ME, (), 4, "gw-1"),
-    Message(What.THROUGH, ME, (), 0, "gw-2", "10.0.0.2:7700"),
-    Message(What.NEWS, ME, (OTHER, Row("gw-3", 1, 9, 0, LEFT))),
-    Message(What.DIGEST, ME, digest=2**63 + 1),
-    Message(
-        What.ROWS, ME, (Row("gw-3", 1, 9, 0, GONE, "10.0.0.3:7700", 55),), answer=True
+    FleetMessage(FrameType.PROBE, ME, (OTHER,), 4, "gw-2"),
+    FleetMessage(FrameType.ACK, ME, (), 4, "gw-1"),
+    FleetMessage(FrameType.THROUGH, ME, (), 0, "gw-2", "10.0.0.2:7700"),
+    FleetMessage(FrameType.NEWS, ME, (OTHER, MemberUpdate("gw-3", 1, 9, 0, LEFT))),
+    FleetMessage(FrameType.DIGEST, ME, digest=2**63 + 1),
+    FleetMessage(
+        FrameType.ROWS,
+        ME,
+        (MemberUpdate("gw-3", 1, 9, 0, GONE, "10.0.0.3:7700", 55),),
+        answer=True,
     ),
-    Message(What.BODY, ME, kind=Kind.HEALTH, body=b"row"),
-    Message(What.TWIN, ME),
+    FleetMessage(FrameType.BODY, ME, kind=MessageKind.HEALTH, body=b"row"),
+    FleetMessage(FrameType.TWIN, ME),
 ]
 
 
@@ -85,18 +88,19 @@
             MAGIC + fleet_pb2.Frame(version=1, fleet="dock", what=1).SerializeToString()
         )
         for error, octets in (
-            (Unreadable, b""),
-            (Unreadable, b"GET / HTTP/1.1"),
-            (Unreadable, MAGIC + b"\xff\xff"),
-            (TooNew, newer),
-            (Unreadable, senderless),
-            (OtherFleet, Codec("other").encode(FRAMES[0])),
-            (TooLong, bytes(MOST_FRAME + 1)),
+            (MalformedFrame, b""),
+            (MalformedFrame, b"GET / HTTP/1.1"),
+            (MalformedFrame, MAGIC + b"\xff\xff"),
+            (FrameVersionTooNew, newer),
+            (MalformedFrame, senderless),
+            (FleetNameMismatch, Codec("other").encode(FRAMES[0])),
+            (FrameTooLong, bytes(MOST_FRAME + 1)),
         ):
             with self.assertRaises(error) as caught:
                 codec.decode(octets)
             self.assertTrue(
-                isinstance(caught.exception, Fault) and caught.exception.remedy
+                isinstance(caught.exception, MilletsillError)
+                and caught.exception.remedy
             )
         frames = Frames()
         self.assertEqual(
@@ -104,11 +108,13 @@
             + list(frames.feed(framed(data)[9:] + framed(data))),
             [data, data],
         )
-        with self.assertRaises(TooLong):
+        with self.assertRaises(FrameTooLong):
             list(Frames().feed(LENGTH.pack(MOST_FRAME + 1)))
-        with self.assertRaises(TooLong):
+        with self.assertRaises(FrameTooLong):
             codec.encode(
-                Message(What.BODY, ME, kind=Kind.HEALTH, body=bytes(MOST_FRAME))
+                FleetMessage(
+                    FrameType.BODY, ME, kind=MessageKind.HEALTH, body=bytes(MOST_FRAME)
+                )
             )
 
     def test_what_a_later_version_adds_is_passed_over(self):
@@ -120,8 +126,8 @@
         )  # two fields that nobody here knows
         heard = Codec("dock").decode(data)
         self.assertEqual(
-            (heard.what, heard.version, heard.sender, heard.rows),
-            (None, 2, ME, FRAMES[3].rows),
+            (heard.type, heard.version, heard.sender, heard.updates),
+            (None, 2, ME, FRAMES[3].updates),
         )
 
     @given(st.binary(max_size=300), st.integers(0, 300), st.integers(0, 255))
@@ -131,7 +137,7 @@
         for each in (octets, MAGIC + octets, bytes(data)):
             try:
                 Codec("dock").decode(each)
-            except (Unreadable, OtherFleet, TooNew):
+            except (MalformedFrame, FleetNameMismatch, FrameVersionTooNew):
                 pass
 
 
@@ -227,7 +233,7 @@
             (("me", 8, 99, 0, ALIVE), 5, Word.PAST_LOST),
         ):
             self.assertEqual(
-                failure_detector.word_of(Row(*row), 5, 9, 0, claimed), wanted
+                failure_detector.word_of(MemberUpdate(*row), 5, 9, 0, claimed), wanted
             )
         self.assertEqual(failure_detector.OWN.get((Own.LEAVING, Word.MINE)), None)
 
@@ -277,7 +283,8 @@
 
     def test_a_name_moves_only_where_its_own_member_goes(self):
         rows = [
-            Row(f"m{each}", 1, each, 0, ALIVE, f"a:{each + 1}") for each in range(40)
+            MemberUpdate(f"m{each}", 1, each, 0, ALIVE, f"a:{each + 1}")
+            for each in range(40)
         ]
         from milletsill.fleet.membership.member_table import Known
 
@@ -285,14 +292,14 @@
         less = View(2, [each for each in whole.members if each.name != "m7"])
         for number in range(200):
             before, after = (
-                whole.chosen(f"box {number}", 3),
-                less.chosen(f"box {number}", 3),
+                whole.rendezvous(f"box {number}", 3),
+                less.rendezvous(f"box {number}", 3),
             )
             self.assertEqual(
                 [each for each in before if each != "m7"],
                 list(after)[: len([each for each in before if each != "m7"])],
             )
-        self.assertTrue(less.most(77) and not less.most(78))
+        self.assertTrue(less.has_majority(77) and not less.has_majority(78))
 
 
 class Fleets(unittest.TestCase):
@@ -341,7 +348,7 @@
                 old = ends.pop()
                 clock.start(
                     old,
-                    clock.stands[old].run + 1 if fault == "back" else 1,
+                    clock.stands[old].incarnation + 1 if fault == "back" else 1,
                     join=live[:3],
                 )
             elif fault == "new":
@@ -394,7 +401,8 @@
             self.settle(clock, 10)
             clock.run(clock.now + SECOND)
             self.assertEqual(
-                (found.said["LOST_STATE"], found.run, found.said["TWIN"]), (1, 2, 0)
+                (found.said["LOST_STATE"], found.incarnation, found.said["TWIN"]),
+                (1, 2, 0),
             )
 
     def test_two_with_one_name_are_said_at_both_and_settle(self):
@@ -445,7 +453,7 @@
                 if int(message.sender.name.rpartition("-")[2]) % 2:
                     return plain.encode(message)
                 frame = fleet_pb2.Frame.FromString(later.encode(message)[4:])
-                if message.what is What.NEWS:
+                if message.type is FrameType.NEWS:
                     frame.what = 50  # a later word for it
                 return MAGIC + frame.SerializeToString() + b"\xfa\x3f\x03new"
 
@@ -467,20 +475,20 @@
         )
         codec = Codec("f" * 64)
         for each in range(3000):
-            row = Row(
+            row = MemberUpdate(
                 f"{each:064}",
                 each + 1,
                 each,
                 1 << 20,
                 SUSPECT,
                 "255.255.255.255:65535",
-                by=tuple(f"{each}{by}".zfill(64) for by in range(3)),
+                suspected_by=tuple(f"{each}{by}".zfill(64) for by in range(3)),
             )
             member.heard(
                 1,
-                Message(
-                    What.THROUGH,
-                    Row(f"s{each % 50}", 1, 1, 0, ALIVE, "1.1.1.1:1"),
+                FleetMessage(
+                    FrameType.THROUGH,
+                    MemberUpdate(f"s{each % 50}", 1, 1, 0, ALIVE, "1.1.1.1:1"),
                     (row,),
                     each,
                     "x",
@@ -491,7 +499,7 @@
             each
             for now in range(1, 200)
             for each in member.tick(now * BEAT)
-            if isinstance(each, Send) and not each.stream
+            if isinstance(each, SendMessage) and not each.stream
         ]
         self.assertGreater(len(sent), 200)
         self.assertLessEqual(
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -15,13 +15,13 @@
 from twisted.internet import reactor
 from twisted.trial.unittest import TestCase
 
-from milletsill.fleet.errors import NoFleetAddress
+from milletsill.fleet.errors import FleetAddressUnavailable
 from milletsill.fleet.frames.codec import LENGTH, MOST_BODY, Codec
-from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
 from milletsill.fleet.service import Fleet as Place
-from milletsill.fleet.transport import Kind, Standing
+from milletsill.fleet.transport import MessageKind, MemberState
 from milletsill.lab.fleet_processes import Processes, free_ports
-from milletsill.settings.load import Refused, parse
+from milletsill.settings.load import ConfigurationRejected, parse
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.settings.validation import check_gateway
 from milletsill.sftp_gateway.gateway import monotonic
@@ -61,7 +61,9 @@
         agree([0, 1, 2, 3], "back", since)
         self.assertTrue(
             fleet.wait(
-                lambda: any(each.get("error") == "LostState" for each in fleet.log(3)),
+                lambda: any(
+                    each.get("error") == "IncarnationLost" for each in fleet.log(3)
+                ),
                 MOST,
             )
         )
@@ -131,7 +133,8 @@
         one, other = self.places
         heard, told = [], []
         other.hear(
-            Kind.CHANNEL, lambda member, run, body: heard.append((member, run, body))
+            MessageKind.CHANNEL,
+            lambda member, run, body: heard.append((member, run, body)),
         )
         one.watch(
             lambda view, changes: told.append(
@@ -141,32 +144,34 @@
                 )
             )
         )
-        self.assertFalse(one.tell("p-1", Kind.CHANNEL, b"too early"))
+        self.assertFalse(one.tell("p-1", MessageKind.CHANNEL, b"too early"))
         await self.until(lambda: len(one.view.members) == len(other.view.members) == 2)
         self.assertEqual(one.view.digest, other.view.digest)
         self.assertIn(
             ("JOINED", "p-1"), [each for _, changes in told for each in changes]
         )
         bodies = [bytes([each % 256]) * (each * 100) for each in range(100)]
-        self.assertTrue(all(one.tell("p-1", Kind.CHANNEL, each) for each in bodies))
+        self.assertTrue(
+            all(one.tell("p-1", MessageKind.CHANNEL, each) for each in bodies)
+        )
         await self.until(lambda: len(heard) == 100)
         self.assertEqual(heard, [("p-0", 1, each) for each in bodies])
         self.assertFalse(
-            one.tell("p-1", Kind.CHANNEL, bytes(MOST_BODY + 1))
-            or one.tell("p-0", Kind.CHANNEL, b"")
-            or one.tell("x", Kind.CHANNEL, b"")
+            one.tell("p-1", MessageKind.CHANNEL, bytes(MOST_BODY + 1))
+            or one.tell("p-0", MessageKind.CHANNEL, b"")
+            or one.tell("x", MessageKind.CHANNEL, b"")
         )
         taken = [
-            one.tell("p-1", Kind.CHANNEL, bytes(MOST_BODY)) for _ in range(9)
+            one.tell("p-1", MessageKind.CHANNEL, bytes(MOST_BODY)) for _ in range(9)
         ]  # nobody reads meanwhile
         self.assertTrue(taken[0] and not taken[-1])
-        with self.assertRaises(NoFleetAddress):
+        with self.assertRaises(FleetAddressUnavailable):
             self.place(1)
 
     async def test_octets_that_are_none_of_its_are_counted_and_lose_nothing(self):
         await self.until(lambda: len(self.places[0].view.members) == 2)
-        sender = Row("stranger", 1, 1, 0, Standing.ALIVE, "127.0.0.1:9")
-        other = Codec("two").encode(Message(What.PROBE, sender, target="p-0"))
+        sender = MemberUpdate("stranger", 1, 1, 0, MemberState.ALIVE, "127.0.0.1:9")
+        other = Codec("two").encode(FleetMessage(FrameType.PROBE, sender, target="p-0"))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
             for data in (b"GET /", bytes(1500), other):
                 one.sendto(data, ("127.0.0.1", self.ports[0]))
@@ -179,7 +184,9 @@
                     and self.refused("unreadable") == 1
                 )
             )
-        self.assertLessEqual({"OtherFleet", "TooLong", "Unreadable"}, set(self.lines))
+        self.assertLessEqual(
+            {"FleetNameMismatch", "FrameTooLong", "MalformedFrame"}, set(self.lines)
+        )
         self.assertEqual(len(self.places[0].view.members), 2)
 
 
@@ -202,7 +209,7 @@
             try:
                 parse(made, "f", GatewayFile, check_gateway)
                 found = None
-            except Refused as error:
+            except ConfigurationRejected as error:
                 found = str(error)
             self.assertEqual(found is None, why is None, (given, found))
             self.assertIn(why or "", found or "")
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -17,8 +17,14 @@
     Record as RecordOctets,
 )
 from milletsill.fleet.frames import fleet_pb2
-from milletsill.fleet.frames.codec import MAGIC, MOST_NUMBER, Codec, TooNew, Unreadable
-from milletsill.fleet.frames.messages import Message, Row, What
+from milletsill.fleet.frames.codec import (
+    MAGIC,
+    MOST_NUMBER,
+    Codec,
+    FrameVersionTooNew,
+    MalformedFrame,
+)
+from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
 from milletsill.fleet.health import codec as health
 from milletsill.fleet.health import health_pb2
 from milletsill.fleet.leases import acceptor_service, lease_manager
@@ -26,10 +32,10 @@
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor_recovery import Identity
 from milletsill.fleet.leases.acceptor_store import Store
-from milletsill.fleet.membership.effects import Send
+from milletsill.fleet.membership.effects import SendMessage
 from milletsill.fleet.membership.failure_detector import Terms
 from milletsill.fleet.membership.membership import Membership
-from milletsill.fleet.transport import Kind, Standing
+from milletsill.fleet.transport import MessageKind, MemberState
 from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_world import FleetWorld
 from milletsill.lab.hunt.gate import Kept
@@ -134,11 +140,11 @@
         frame.row[0].standing = 77
         read = Codec("fleet").decode(MAGIC + frame.SerializeToString())
         self.assertEqual(
-            (read.what, read.kind, read.version, read.sender), (None, None, 2, made.ME)
+            (read.type, read.kind, read.version, read.sender), (None, None, 2, made.ME)
         )
-        self.assertEqual(read.rows, made.ROWS[1:])
+        self.assertEqual(read.updates, made.ROWS[1:])
         frame.least = 2
-        with self.assertRaises(TooNew):
+        with self.assertRaises(FrameVersionTooNew):
             Codec("fleet").decode(MAGIC + frame.SerializeToString())
 
     def test_numbers_that_could_not_be_answered_are_no_rows(self):
@@ -149,34 +155,35 @@
             (1, (1 << 64) - 1),
             (1, MOST_NUMBER),
         ):
-            with self.assertRaises(Unreadable):
+            with self.assertRaises(MalformedFrame):
                 codec.decode(
                     codec.encode(
-                        Message(
-                            What.NEWS, Row("x", run, 1, turn, Standing.ALIVE, "h:1")
+                        FleetMessage(
+                            FrameType.NEWS,
+                            MemberUpdate("x", run, 1, turn, MemberState.ALIVE, "h:1"),
                         )
                     )
                 )
         member = Membership("me", "h:1", 1, 5, Terms("fleet"), Random(1), (), 0)
         for row in (
-            Row("me", 1, 5, MOST_NUMBER - 1, Standing.SUSPECT, "h:1"),
-            Row("me", MOST_NUMBER - 1, 6, 0, Standing.ALIVE, "h:2"),
-            Row("other", 1, 7, 1, Standing.GONE, "h:3", MOST_NUMBER - 1),
+            MemberUpdate("me", 1, 5, MOST_NUMBER - 1, MemberState.SUSPECT, "h:1"),
+            MemberUpdate("me", MOST_NUMBER - 1, 6, 0, MemberState.ALIVE, "h:2"),
+            MemberUpdate("other", 1, 7, 1, MemberState.GONE, "h:3", MOST_NUMBER - 1),
         ):
             news = codec.encode(
-                Message(
-                    What.ROWS,
-                    Row("other", 1, 7, 0, Standing.ALIVE, "h:3"),
+                FleetMessage(
+                    FrameType.ROWS,
+                    MemberUpdate("other", 1, 7, 0, MemberState.ALIVE, "h:3"),
                     (row,),
                     answer=True,
                 )
             )
             for each in member.heard(1000, codec.decode(news)):
-                if isinstance(each, Send):
+                if isinstance(each, SendMessage):
                     codec.encode(each.message)
             member.tell_all(2000, "h:3", False)
             for each in member.taken():
-                if isinstance(each, Send):
+                if isinstance(each, SendMessage):
                     codec.encode(each.message)
 
     def test_registers(self):
@@ -202,7 +209,7 @@
             self.assertIsNone(contracts.read_envelope(body))
         later = contracts.read_envelope(b"C" + LATER)
         self.assertFalse(later.HasField("ask") or later.HasField("reply"))
-        self.assertEqual(Kind.HEALTH.value, 2)  # on the wire
+        self.assertEqual(MessageKind.HEALTH.value, 2)  # on the wire
 
 
 class Mixed(FleetWorld):
@@ -215,8 +222,8 @@
     def send(self, stand, sent):
         message = sent.message
         if stand.name in self.later:
-            if message.what is What.BODY:
-                name = "registers" if message.kind is Kind.CHANNEL else "health"
+            if message.type is FrameType.BODY:
+                name = "registers" if message.kind is MessageKind.CHANNEL else "health"
                 message = replace(message, body=of_later(name, message.body))
             data = of_later("frame", Codec("fleet", 2).encode(message))
             if self.frames % 50 == 0:
--- a/tests/flows/test_flow_codecs.py
+++ b/tests/flows/test_flow_codecs.py
@@ -18,7 +18,7 @@
     TYPE_INFO,
     Template,
 )
-from milletsill.flows.ipfix import BadExport, Record
+from milletsill.flows.ipfix import MalformedFlowMessage, Record
 
 TEXT = st.text(max_size=400)
 
@@ -179,7 +179,7 @@
             for codec in (ipfix, netflow9):
                 try:
                     codec.Decoder().message(data, 0)
-                except BadExport as error:
+                except MalformedFlowMessage as error:
                     self.assertNotIn("\n", str(error))
 
     def test_a_stream_is_cut_into_messages_at_any_byte(self):
@@ -191,7 +191,7 @@
             for each in cutter.feed(data[at : at + 7])
         ]
         self.assertEqual((b"".join(found), len(found)), (data, 3))
-        with self.assertRaises(BadExport):
+        with self.assertRaises(MalformedFlowMessage):
             list(ipfix.Cutter().feed(b"\0\x0a\0\x02"))
 
 
--- a/tests/http1/test_messages.py
+++ b/tests/http1/test_messages.py
@@ -10,7 +10,7 @@
 from milletsill.http1 import writer
 from milletsill.http1.line_reader import AnswerLines
 from milletsill.http1.message_limits import AMBIGUOUS, MOST_CHUNKS, Bounds
-from milletsill.http1.reader import AnswerReader, BadMessage, RequestReader
+from milletsill.http1.reader import AnswerReader, MalformedHttpMessage, RequestReader
 
 HOST = b"Host: a\r\n"
 STREAM = (
@@ -33,7 +33,7 @@
 
 class Requests(unittest.TestCase):
     def refused(self, data, status):
-        with self.assertRaises(BadMessage, msg=data[:80]) as caught:
+        with self.assertRaises(MalformedHttpMessage, msg=data[:80]) as caught:
             read(RequestReader(Bounds()), data)
         self.assertEqual(caught.exception.status, status, data[:80])
 
@@ -82,7 +82,7 @@
                 read(reader, *[data[at : at + 1] for at in range(len(data))]), [], data
             )
         for data in (b"\x00", b"noise", b"HTTQ", b"GET /", b"HTTP1"):
-            with self.assertRaises(BadMessage, msg=data):
+            with self.assertRaises(MalformedHttpMessage, msg=data):
                 read(AnswerReader(Bounds()), data)
         for data in (b"", b"H", b"HTTP", b"HTTP/1.1 2"):
             self.assertEqual(
@@ -165,7 +165,7 @@
         for reader in (RequestReader(Bounds()), AnswerReader(Bounds())):
             try:
                 read(reader, *pieces)
-            except BadMessage as error:
+            except MalformedHttpMessage as error:
                 self.assertIn(error.status, range(400, 600))
 
 
@@ -243,7 +243,7 @@
         ):
             data = b"GET /a HTTP/1.1\r\n" + HOST + line + b"\r\n"
             for size in (1, 2, 3, 7, len(data)):
-                with self.assertRaises(BadMessage, msg=(line, size)):
+                with self.assertRaises(MalformedHttpMessage, msg=(line, size)):
                     read(
                         RequestReader(Bounds()),
                         *[data[at : at + size] for at in range(0, len(data), size)],
@@ -271,7 +271,7 @@
             b"1;" + b"x" * 9000,
             b"fffff\r\n",
         ):
-            with self.assertRaises(BadMessage) as caught:
+            with self.assertRaises(MalformedHttpMessage) as caught:
                 read(RequestReader(Bounds()), head + data)
             self.assertEqual(caught.exception.status, 413)
         self.assertEqual(
@@ -305,7 +305,7 @@
             b"HTTP/1.1 103 Hint\r\n\r\n" * 20,
             b"noise\r\n\r\n",
         ):
-            with self.assertRaises(BadMessage, msg=data[:60]):
+            with self.assertRaises(MalformedHttpMessage, msg=data[:60]):
                 read(AnswerReader(Bounds()), data)
 
     def test_an_answer_without_a_length_is_whole_only_when_its_connection_was_closed(
@@ -353,7 +353,7 @@
             [b"a"],
         )
         self.assertEqual(lines.feed(b"2\r\nc\n\r\n"), [b"bc"])
-        with self.assertRaises(BadMessage):
+        with self.assertRaises(MalformedHttpMessage):
             lines.feed(b"c8\r\n" + b"x" * 200)
 
 
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -13,9 +13,13 @@
 
 from milletsill.http1.message_limits import Bounds
 from milletsill.http1.reader import RequestReader
-from milletsill.http_gateway.configuration import RefusedPlace, deployment_of, read
+from milletsill.http_gateway.configuration import (
+    GatewayConfigurationRejected,
+    deployment_of,
+    read,
+)
 from milletsill.http_gateway.endpoint_watcher import Follower
-from milletsill.http_gateway.endpoints import BadEntry, news_of, place_of
+from milletsill.http_gateway.endpoints import InvalidEndpoint, news_of, place_of
 from milletsill.http_gateway.gateway import Gateway
 from milletsill.http_gateway.gateway_limits import (
     MOST_SPENT,
@@ -30,7 +34,7 @@
     shares_of,
 )
 from milletsill.http_gateway.json_log import Lines
-from milletsill.http_gateway.request_parser import BadAsk, Categories, report_in
+from milletsill.http_gateway.request_parser import InvalidRequest, Categories, report_in
 from milletsill.interface import EndpointUpdateKind, Readiness
 from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
 
@@ -190,7 +194,7 @@
             (1, 57, len(bad)),
         )
         self.assertIs(news.places[0].listed.readiness, Readiness.READY)
-        with self.assertRaises(BadEntry):
+        with self.assertRaises(InvalidEndpoint):
             news_of({"version": -1, "servers": []}, [], 0, self.log.append)
 
 
@@ -268,7 +272,7 @@
             ),
             (True, None, 2.5, 3, 5000),
         )
-        with self.assertRaises(BadAsk):
+        with self.assertRaises(InvalidRequest):
             reader.feed(ask(X_Lane="none"))
             Categories(deployment.facts).arrival(reader.next(), 1000, 60)
 
@@ -287,10 +291,12 @@
             ):
                 with open(path, "w") as file:
                     file.write(text)
-                with self.assertRaises(RefusedPlace, msg=text[:50]) as caught:
+                with self.assertRaises(
+                    GatewayConfigurationRejected, msg=text[:50]
+                ) as caught:
                     read({"NODE_CONFIG": path}, 0, list[str]().append)
                 self.assertNotIn("\n", str(caught.exception))
-            with self.assertRaises(RefusedPlace):
+            with self.assertRaises(GatewayConfigurationRejected):
                 read({}, 0, print)
 
 
@@ -320,14 +326,14 @@
             self.assertEqual(
                 self.arrival(self.deployment(**changed), ask(drop=("X-Plan",))).plan, 0
             )
-        with self.assertRaises(BadAsk):
+        with self.assertRaises(InvalidRequest):
             self.arrival(self.deployment(), ask(drop=("X-Plan",)))
 
     def test_bounds_that_are_not_told_bound_nothing(self):
         big = ask(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
         given = self.arrival(self.deployment(extra={"writes": [False, True]}), big)
         self.assertEqual((given.units, given.cell), (900.0, 70))
-        with self.assertRaises(BadAsk):
+        with self.assertRaises(InvalidRequest):
             self.arrival(self.deployment(), big)
 
     def test_the_method_says_what_writes_where_the_settings_do_not(self):
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -20,7 +20,7 @@
 from milletsill.interface import Endpoint, Readiness
 from milletsill.logs import logger
 from milletsill.planner import codec, epoch_store
-from milletsill.planner.codec import BadFrame, Frames, encoded
+from milletsill.planner.codec import MalformedPlannerFrame, Frames, encoded
 from milletsill.planner.demand_estimate import Demand, want_of
 from milletsill.planner.plan_pb2 import Asks, Welcome, Wish
 from milletsill.planner.planner_link import MOST_WAIT, Link, Said, dial_after, link_step
@@ -154,7 +154,7 @@
         path = os.path.join(self.folder, "file")
         with open(path, "w", encoding="ascii") as sink:
             sink.write("in the way")
-        with self.assertRaises(epoch_store.EpochUnkept):
+        with self.assertRaises(epoch_store.EpochNotStored):
             epoch_store.next_epoch(path, Random(1))
 
 
@@ -183,11 +183,11 @@
     def test_any_bytes_are_frames_or_one_line(self, data):
         try:
             list(Frames().feed(data))
-        except BadFrame as error:
+        except MalformedPlannerFrame as error:
             self.assertNotIn("\n", str(error))
 
     def test_a_frame_that_claims_too_much_is_refused_before_it_comes(self):
-        with self.assertRaises(BadFrame):
+        with self.assertRaises(MalformedPlannerFrame):
             list(Frames().feed((1 << 30).to_bytes(4, "big")))
 
 
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -12,7 +12,7 @@
 from milletsill.interface import EndpointUpdateKind, Readiness
 from milletsill.registry import endpoint_cache, etcd_json
 from milletsill.registry.endpoint_view import (
-    BadBox,
+    InvalidRegistryEntry,
     Box,
     Cue,
     Stage,
@@ -173,7 +173,7 @@
             b"[" * 100_000,
             b'{"result": {"events": [{"kv": {"key": "!"}}]}}',
         ):
-            with self.assertRaises(etcd_json.BadAnswer):
+            with self.assertRaises(etcd_json.MalformedRegistryAnswer):
                 etcd_json.read_watch(data, print)
 
     def test_boxes_of_all_wrong_kinds_are_refused(self):
@@ -187,13 +187,13 @@
             ("started", -1),
             ("address", 5),
         ):
-            with self.assertRaises(BadBox):
+            with self.assertRaises(InvalidRegistryEntry):
                 box_of({**VALUE, field: value})
 
     def test_a_line_without_an_end_is_bounded(self):
         lines = etcd_json.Lines(100)
         self.assertEqual(lines.feed(b"a\nb"), [b"a"])
-        with self.assertRaises(etcd_json.BadAnswer):
+        with self.assertRaises(etcd_json.MalformedRegistryAnswer):
             lines.feed(b"x" * 200)
 
 
@@ -339,11 +339,11 @@
             for bad in (data[:at], data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :]):
                 with open(self.path, "wb") as sink:
                     sink.write(bad)
-                with self.assertRaises(endpoint_cache.ListUnkept):
+                with self.assertRaises(endpoint_cache.EndpointCacheNotStored):
                     endpoint_cache.get(self.path)
 
     def test_a_full_disk_leaves_the_old_list_and_one_line(self):
-        with self.assertRaises(endpoint_cache.ListUnkept) as caught:
+        with self.assertRaises(endpoint_cache.EndpointCacheNotStored) as caught:
             endpoint_cache.put("/dev/full/x", {}, 1)
         self.assertNotIn("\n", str(caught.exception))
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from milletsill.settings.load import RefusedFile, parse
+from milletsill.settings.load import SettingsFileRejected, parse
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
 from milletsill.settings.validation import check_gateway, check_scenario
 
@@ -69,7 +69,7 @@
 
     def test_each_bad_file_is_refused_with_its_line_and_reason(self):
         for old, new, line, reason in BAD:
-            with self.subTest(new), self.assertRaises(RefusedFile) as caught:
+            with self.subTest(new), self.assertRaises(SettingsFileRejected) as caught:
                 parse(GOOD.replace(old, new), "f", GatewayFile, check_gateway)
             fault = caught.exception.faults[0]
             self.assertEqual(
@@ -80,7 +80,7 @@
 
     def test_roots_within_each_other_are_refused(self):
         text = GOOD + 'volume { name: "b" root: "/suva/b" plan: "basic" cell: 0 }\n'
-        with self.assertRaises(RefusedFile) as caught:
+        with self.assertRaises(SettingsFileRejected) as caught:
             parse(text, "f", GatewayFile, check_gateway)
         self.assertEqual(
             (caught.exception.faults[0].line, "within" in str(caught.exception)),
@@ -89,14 +89,14 @@
 
     def test_a_file_of_nonsense_gives_one_line(self):
         for text in ("{" * 5000, "\0", 'name: "', "a { " * 200):
-            with self.assertRaises(RefusedFile) as caught:
+            with self.assertRaises(SettingsFileRejected) as caught:
                 parse(text, "f", GatewayFile, check_gateway)
             self.assertNotIn("\n", str(caught.exception))
 
     def test_a_scenario_with_a_cell_without_a_box_is_refused(self):
         inner = GOOD.replace("\n", " ")
         text = f'name: "d"\nedges: 1\nkind {{ name: "k" }}\nbox {{ kind: "k" }}\ngateway {{ {inner} }}\n'
-        with self.assertRaises(RefusedFile) as caught:
+        with self.assertRaises(SettingsFileRejected) as caught:
             parse(text, "f", Scenario, check_scenario)
         self.assertIn("without a box", str(caught.exception))
 
--- a/tests/sftp/test_channel_extensions.py
+++ b/tests/sftp/test_channel_extensions.py
@@ -13,7 +13,7 @@
     Sign,
 )
 from milletsill.sftp.extensions import Terms
-from milletsill.sftp.wire import U32, U64, Malformed, put_raw, put_text
+from milletsill.sftp.wire import U32, U64, MalformedInput, put_raw, put_text
 
 
 class Wire(unittest.TestCase):
@@ -81,11 +81,11 @@
             + U32.pack(0)
             + U64.pack(0),
         ):
-            with self.assertRaises(Malformed):
+            with self.assertRaises(MalformedInput):
                 channel_extensions.read_channel(
                     packets.Extended(1, channel_extensions.CHANNEL, body)
                 )
-        with self.assertRaises(Malformed):
+        with self.assertRaises(MalformedInput):
             channel_extensions.read_numbered(
                 packets.Extended(
                     1,
--- a/tests/sftp/test_packets.py
+++ b/tests/sftp/test_packets.py
@@ -4,8 +4,8 @@
 
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order, Terms, Verdict
-from milletsill.sftp.framing import BrokenStream, Deframer
-from milletsill.sftp.wire import Attrs, BadPacket, Name
+from milletsill.sftp.framing import BrokenPacketStream, Deframer
+from milletsill.sftp.wire import Attrs, MalformedPacket, Name
 
 SAMPLES = [
     packets.Init(3),
@@ -64,15 +64,15 @@
             for end in range(len(data)):
                 try:
                     packets.decode(data[:end])
-                except BadPacket as error:
+                except MalformedPacket as error:
                     self.assertNotIn("\n", str(error))
 
     def test_bytes_left_over_are_malformed(self):
-        with self.assertRaises(BadPacket):
+        with self.assertRaises(MalformedPacket):
             packets.decode(packets.encode(packets.Close(1, b"h"))[4:] + b"\0")
 
     def test_a_count_of_names_past_the_bound_is_refused_before_memory_is_taken(self):
-        with self.assertRaises(BadPacket):
+        with self.assertRaises(MalformedPacket):
             packets.decode(b"\x68" + b"\0\0\0\1" + b"\xff\xff\xff\xff")
 
     def test_an_unknown_kind_tells_its_id(self):
@@ -102,7 +102,7 @@
 
     def test_a_command_within_a_command_within_a_command_is_refused(self):
         inner = extensions.put_terms(Terms(), packets.Stat(1, "/a"))
-        with self.assertRaises(BadPacket):
+        with self.assertRaises(MalformedPacket):
             extensions.read_terms(extensions.put_terms(Terms(), inner))
 
 
@@ -119,7 +119,7 @@
         for length in (0xFFFFFFFF, 10_001, 0):
             deframer = Deframer(10_000)
             deframer.feed(length.to_bytes(4, "big"))
-            with self.assertRaises(BrokenStream):
+            with self.assertRaises(BrokenPacketStream):
                 deframer.next()
 
 
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -10,7 +10,7 @@
     HASHED,
     AnswerLog,
     Atlas,
-    BadPath,
+    InvalidPath,
     Course,
     Door,
     Event,
@@ -66,7 +66,7 @@
 
     def test_a_zero_byte_or_endless_path_is_refused(self):
         for bad in ("a\0b", "a" * 5000):
-            with self.assertRaises(BadPath):
+            with self.assertRaises(InvalidPath):
                 canonical(bad)
 
     def test_the_volume_is_that_of_the_root_above(self):
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -11,7 +11,7 @@
 
 from milletsill.cli.main import main
 from milletsill.trace import columns, format, tools
-from milletsill.trace.format import BadTrace
+from milletsill.trace.format import MalformedTrace
 from milletsill.trace.reader import Trace, repair, verify
 from milletsill.trace.recording_policy import (
     FEW_ROWS,
@@ -124,7 +124,7 @@
     def test_any_bytes_are_a_column_or_refused(self, data):
         try:
             columns.get(data, 0)
-        except columns.BadColumn as error:
+        except columns.MalformedColumn as error:
             self.assertNotIn("\n", str(error))
 
 
@@ -156,7 +156,7 @@
         header = format.header_size(data[: format.HEAD.size])
         for cut in range(len(data)):
             if cut < header:
-                with self.assertRaises(BadTrace):
+                with self.assertRaises(MalformedTrace):
                     self.read(data[:cut])
                 continue
             found, known = self.read(data[:cut])
@@ -234,7 +234,7 @@
     def test_another_major_version_is_refused_in_one_line(self):
         data = bytearray(whole(rows(1))[0])
         data[8] = 2
-        with self.assertRaises(BadTrace) as caught:
+        with self.assertRaises(MalformedTrace) as caught:
             self.read(bytes(data))
         self.assertIn("format 2.", str(caught.exception))
 
@@ -280,7 +280,7 @@
         at %= len(data)
         try:
             self.read(data[:at] + noise + data[at + len(noise) :])
-        except BadTrace as error:
+        except MalformedTrace as error:
             self.assertNotIn("\n", str(error))
 
 
--- a/tests/trace/test_trace_tools.py
+++ b/tests/trace/test_trace_tools.py
@@ -16,14 +16,14 @@
 from milletsill.cli.main import main
 from milletsill.lab.wire import Kept, Recorded
 from milletsill.trace import format, tools
-from milletsill.trace.format import BadTrace
+from milletsill.trace.format import MalformedTrace
 from milletsill.trace.reader import Trace, repair, verify
 from milletsill.trace.recording_policy import (
     MOST_FOLLOWED,
     MOST_INDEXED,
     TOLERATED,
     Stores,
-    Unclear,
+    InvalidTime,
     Verdict,
     align,
     moment,
@@ -96,7 +96,7 @@
             [7, 20_500, 20_500, 900_500, 36_000_500, 500 + SECOND],
         )
         for each in ("soon", "+", "+xs", "", "+1e999h", "2026-13-01"):
-            with self.assertRaises(Unclear, msg=each):
+            with self.assertRaises(InvalidTime, msg=each):
                 moment(each, 0, 0)
 
 
@@ -210,7 +210,7 @@
         )
         try:
             format.get_stores(data)
-        except BadTrace as error:
+        except MalformedTrace as error:
             self.assertNotIn("\n", str(error))
 
     @settings(max_examples=60, deadline=None, derandomize=True)
@@ -231,7 +231,7 @@
         try:
             found = verify(path)
             list(tools.cut(path, path + ".cut", store="a"))
-        except BadTrace as error:
+        except MalformedTrace as error:
             self.assertNotIn("\n", str(error))
         else:
             self.assertTrue(
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -7,7 +7,7 @@
 from milletsill import facts as shared
 from milletsill.interface import EndpointUpdateKind, AttemptOutcome
 from milletsill.wirehost import codec
-from milletsill.wirehost.codec import BadBatch, Batch, Event
+from milletsill.wirehost.codec import MalformedBatch, Batch, Event
 from milletsill.wirehost.host import Host, serve
 
 FACTS = json.dumps(
@@ -61,7 +61,7 @@
             frame(1, 5, event(codec.INSTANCE, 1), event(codec.RING, 1)),
             frame(1, 5, b"\x0b\xff\xff\xff\xff"),
         ):
-            with self.assertRaises(BadBatch):
+            with self.assertRaises(MalformedBatch):
                 self.answered(data)
 
     def test_limits_round_so_that_none_is_passed(self):
