--- a/milletsill/lab/fleet_clock.py
+++ b/milletsill/lab/fleet_clock.py
@@ -133,7 +133,7 @@
             held = self.member.rolls.table.get(message.sender.name)
             if held is not None and held.nonce == message.sender.nonce and held.mark:
                 for each in self.ears.get(message.kind, ()):
-                    each(held.name, held.incarnation, message.body)
+                    each(held.name, held.run, message.body)
 
     def act(self, effects: Iterable[Effect]) -> None:
         for each in effects:
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -32,7 +32,7 @@
 )
 
 SAVE_WITHIN = 0.5  # seconds
-Hear = Callable[[EndpointUpdateKind, "list[Listed]"], None]
+Hear = Callable[[EndpointUpdateKind, "list[Endpoint]"], None]
 
 
 @implementer(IBodyProducer)
