--- a/milletsill/http1/message_limits.py
+++ b/milletsill/http1/message_limits.py
@@ -1,66 +1,94 @@
-"""Bounds of HTTP/1.1 messages, and what of a head is not believed. No I/O, no clock."""
+"""Bounds of HTTP/1.1 messages and the rules by which a message head is refused.
+
+Pure functions and constants: no I/O, no clock.
+"""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-END = b"\r\n\r\n"  # of a head
-MOST_INTERIM = 8  # 1xx answers ahead of one answer
-MOST_CHUNKS = 8192  # of one body. Guards neighbours against what each costs, however short. Harm: none to a usual body
-LONGEST_LENGTH = 12  # digits of a Content-Length
-# A parser may be lax where two programs read a head differently, and one request hides in another: line ends that are
-# not CR LF, folded lines, a space before the colon, a zero octet. Harm: a sloppy but honest peer is refused.
+HEAD_END = b"\r\n\r\n"
+# Interim (1xx) responses that are accepted ahead of one final response.
+MAX_INTERIM_RESPONSES = 8
+# Chunks of one body. Each chunk costs processor time however short it is; without the
+# bound one peer could slow down all others. A usual body stays far below it.
+MAX_CHUNKS = 8192
+MAX_LENGTH_DIGITS = 12  # of a Content-Length value
+# A lax parser may read a head differently than another program does, which lets one
+# request hide in another (request smuggling): line ends that are not CR LF, folded
+# lines, white space before the colon, a zero octet. A careless but honest peer is
+# refused too.
 AMBIGUOUS = re.compile(rb"(?<!\r)\n|\r(?!\n)|\n[ \t]|\x00|\n[^:\r\n]*[ \t]:")
+# How a head may begin, as far as it has arrived. What can never become a head (the rest
+# of a body whose length was too short, noise without a line end) is refused at once
+# instead of when the connection's time-out ends.
+REQUEST_START = re.compile(rb"(?:\r\n|\r\Z)*(?:[A-Z]{1,20} |[A-Z]{0,20}\Z)")
+RESPONSE_START = re.compile(rb"(?:\r\n|\r\Z)*(?:HTTP/|(?:|H|HT|HTT|HTTP)\Z)")
+
 
+@dataclass(frozen=True, slots=True)
+class MessageLimits:
+    """Bounds of one message.
 
-def bare(head: bytes) -> bytes:
-    """A head without the whitespace that may stand behind a field's value and is no part of it. Guards against llhttp, which
-    leaves it there, and takes a body for unchunked where it stands behind the coding. Harm: none; it carries no meaning.
+    Attributes:
+        head: octets of the head, its empty line included.
+        fields: header lines.
+        body: octets of the body.
     """
-    return b"\r\n".join(line.rstrip(b" \t") or line for line in head.split(b"\r\n"))
 
+    head: int = 8192
+    fields: int = 64
+    body: int = 65_536
+
+
+@dataclass(frozen=True, slots=True)
+class BodyFraming:
+    """How a message says where its body ends.
+
+    Attributes:
+        length: octets of the body; -1 where the message does not tell.
+        chunked: whether the body is sent in chunks; `length` is 0 then.
+    """
 
-# How a head begins, as far as it is here. Guards against waiting for the end of what can become no head: the rest of a body that
-# was told too short, noise without an end of line. Harm: none to a message that could be read, it is refused sooner.
-REQUEST_BEGINS = re.compile(rb"(?:\r\n|\r\Z)*(?:[A-Z]{1,20} |[A-Z]{0,20}\Z)")
-ANSWER_BEGINS = re.compile(rb"(?:\r\n|\r\Z)*(?:HTTP/|(?:|H|HT|HTT|HTTP)\Z)")
+    length: int
+    chunked: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """Of one message: octets and lines of the head, octets of the body."""
+class FramingError:
+    """Why a body cannot be framed: the status a server answers with, and the reason."""
 
-    head: int = 8192
-    fields: int = 64
-    body: int = 65_536
+    status: int
+    reason: str
+
+
+def strip_field_whitespace(head: bytes) -> bytes:
+    """Return a head without optional white space behind its field values.
+
+    llhttp leaves that white space in the value, and then takes a chunked body for an
+    unchunked one when it stands behind the transfer coding. It carries no meaning.
+    """
+    return b"\r\n".join(line.rstrip(b" \t") or line for line in head.split(b"\r\n"))
 
 
-def length_of(
-    fields: dict[bytes, bytes], doubled: set[bytes], bounds: Bounds
-) -> tuple[int, bool, int, str]:
-    """How the body is told: its length, whether it is chunked, and status and reason of an error (0: none)."""
-    length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
-    if (
-        b"content-length" in doubled
-        or b"transfer-encoding" in doubled
-        or None not in (length, coding)
-    ):
-        return 0, False, 400, "the body's length is told twice"
+def body_framing(
+    fields: dict[bytes, bytes], repeated: set[bytes], limits: MessageLimits
+) -> BodyFraming | FramingError:
+    """Return how the body of a message with these header fields is framed."""
+    length = fields.get(b"content-length")
+    coding = fields.get(b"transfer-encoding")
+    repeats = b"content-length" in repeated or b"transfer-encoding" in repeated
+    if repeats or (length is not None and coding is not None):
+        return FramingError(400, "the body's length is told twice")
     if coding is not None:
-        return (
-            0,
-            True,
-            *(
-                (0, "")
-                if coding.lower() == b"chunked"
-                else (501, "a transfer coding that is not chunked")
-            ),
-        )
+        if coding.lower() == b"chunked":
+            return BodyFraming(0, chunked=True)
+        return FramingError(501, "a transfer coding that is not chunked")
     if length is None:
-        return -1, False, 0, ""
-    if not length.isdigit() or len(length) > LONGEST_LENGTH:
-        return 0, False, 400, "a body's length that is no number"
-    if int(length) > bounds.body:
-        return 0, False, 413, "a body over the bound"
-    return int(length), False, 0, ""
+        return BodyFraming(-1)
+    if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
+        return FramingError(400, "a body's length that is no number")
+    if int(length) > limits.body:
+        return FramingError(413, "a body over the bound")
+    return BodyFraming(int(length))
--- /dev/null
+++ b/milletsill/http1/message_reader.py
@@ -0,0 +1,307 @@
+"""Read whole HTTP/1.1 messages out of a stream of octets.
+
+Heads and chunks are parsed by httptools (llhttp); what llhttp is lax about is refused
+here. A reader holds at most one message within its limits and the octets behind it;
+whoever feeds it bounds those by `buffered`.
+"""
+
+from __future__ import annotations
+
+import re
+
+import httptools
+
+from milletsill.http1.errors import PARSER_ERRORS, MalformedHttpMessage
+from milletsill.http1.message import HttpMessage, Parser
+from milletsill.http1.message_limits import (
+    AMBIGUOUS,
+    HEAD_END,
+    MAX_CHUNKS,
+    MAX_INTERIM_RESPONSES,
+    REQUEST_START,
+    RESPONSE_START,
+    FramingError,
+    MessageLimits,
+    body_framing,
+    strip_field_whitespace,
+)
+
+SWITCHING_PROTOCOLS = 101
+NO_CONTENT = 204
+NOT_MODIFIED = 304
+
+
+class MessageReader:
+    """Reads the messages of one direction of one connection."""
+
+    START: re.Pattern[bytes] = REQUEST_START
+
+    def __init__(self, limits: MessageLimits) -> None:
+        self.limits = limits
+        self.buffer = b""
+        self.skipped_empty_line = False
+        # The message whose head was read and whose body is not complete.
+        self.message: HttpMessage | None = None
+        # Pieces of a body that has a length or ends with the connection, and their
+        # octets.
+        self.pieces: list[bytes] = []
+        self.pieces_size = 0
+        # Octets of that body still to come.
+        self.missing = 0
+        # Octets of the buffer in which no head ends.
+        self.searched = 0
+
+    @property
+    def buffered(self) -> int:
+        """Octets that are not read yet, or belong to a message that is not complete."""
+        received = self.message.received if self.message is not None else 0
+        return len(self.buffer) + self.pieces_size + received
+
+    @property
+    def has_partial_message(self) -> bool:
+        """Whether a part of a message has arrived."""
+        return self.message is not None or bool(self.buffer)
+
+    def feed(self, data: bytes) -> None:
+        """Add received octets."""
+        if self.missing > len(data):  # long bodies are put together once
+            self._keep_piece(data)
+            self.missing -= len(data)
+        else:
+            self.buffer = self.buffer + data if self.buffer else data
+
+    def next_message(self) -> HttpMessage | None:
+        """Return the next complete message, or None where more octets are needed.
+
+        Raises:
+            MalformedHttpMessage: the stream cannot be read any further.
+        """
+        if self.message is None:
+            self.message = self._read_head()
+        message = self.message
+        if message is None:
+            return None
+        if message.until_close:
+            self._read_until_close(message)
+            return None
+        if message.chunked:
+            if not self._read_chunks(message):
+                return None
+        elif message.length and not self._read_counted_body(message):
+            return None
+        self.message = None
+        message.parser = None
+        return message
+
+    def _keep_piece(self, data: bytes) -> None:
+        self.pieces.append(data)
+        self.pieces_size += len(data)
+
+    def _join_pieces(self) -> bytes:
+        body = b"".join(self.pieces)
+        self.pieces = []
+        self.pieces_size = 0
+        return body
+
+    def _read_until_close(self, message: HttpMessage) -> None:
+        """Take another piece of a body that is complete when its connection closes."""
+        message.length += len(self.buffer)
+        if message.length > self.limits.body:
+            raise MalformedHttpMessage(413, "a body over the bound")
+        self._keep_piece(self.buffer)
+        self.buffer = b""
+
+    def _read_counted_body(self, message: HttpMessage) -> bool:
+        """Whether a body with a length is complete; put it together if so."""
+        if self.missing == 0:
+            self.missing = message.length
+        if len(self.buffer) < self.missing:
+            if self.buffer:
+                self._keep_piece(self.buffer)
+                self.missing -= len(self.buffer)
+                self.buffer = b""
+            return False
+        self._keep_piece(self.buffer[: self.missing])
+        message.body = self._join_pieces()
+        self.buffer = self.buffer[self.missing :]
+        self.missing = 0
+        return True
+
+    def _read_head(self) -> HttpMessage | None:
+        """Cut a head off the buffer and parse it; None while it is not complete.
+
+        One empty line ahead of it is skipped.
+        """
+        if self.buffer.startswith(b"\r\n") and not self.skipped_empty_line:
+            self.skipped_empty_line = True
+            self.buffer = self.buffer[2:]
+            self.searched = 0
+        # A head may come octet by octet: what was searched is not searched again.
+        start = max(self.searched - len(HEAD_END), 0)
+        end = self.buffer.find(HEAD_END, start)
+        if end < 0 and len(self.buffer) <= self.limits.head:
+            self._check_partial_head(start)
+            return None
+        if not 0 <= end <= self.limits.head - len(HEAD_END):
+            raise MalformedHttpMessage(431, "a head over the bound")
+        cut = end + len(HEAD_END)
+        head = self.buffer[:cut]
+        self.buffer = self.buffer[cut:]
+        self.searched = 0
+        if AMBIGUOUS.search(head):
+            raise MalformedHttpMessage(400, "a head that can be read in two ways")
+        return self._parse_head(head)
+
+    def _check_partial_head(self, start: int) -> None:
+        self.searched = len(self.buffer)
+        # The line feed behind a last carriage return may still be on its way.
+        checked = len(self.buffer) - self.buffer.endswith(b"\r")
+        if AMBIGUOUS.search(self.buffer, start, checked):
+            raise MalformedHttpMessage(400, "a head that can be read in two ways")
+        if not self.START.match(self.buffer):
+            raise MalformedHttpMessage(400, "what begins no message")
+
+    def _parse_head(self, head: bytes) -> HttpMessage:
+        message = HttpMessage()
+        message.parser = self._make_parser(message)
+        try:
+            message.parser.feed_data(strip_field_whitespace(head))
+        except PARSER_ERRORS as error:
+            reason = f"a head that cannot be read: {error}"[:200]
+            raise MalformedHttpMessage(400, reason) from error
+        self.skipped_empty_line = False
+        if message.field_count > self.limits.fields:
+            raise MalformedHttpMessage(431, "too many lines in a head")
+        self._apply_head(message)
+        return message
+
+    def _apply_head(self, message: HttpMessage) -> None:
+        """Set what the head says of the message."""
+        framing = body_framing(message.fields, message.repeated, self.limits)
+        if isinstance(framing, FramingError):
+            raise MalformedHttpMessage(framing.status, framing.reason)
+        message.length = framing.length
+        message.chunked = framing.chunked
+
+    def _make_parser(self, message: HttpMessage) -> Parser:
+        raise NotImplementedError
+
+    def _read_chunks(self, message: HttpMessage) -> bool:
+        """Whether a chunked body is complete.
+
+        It is fed by lines and whole chunks, so that no octet behind its end is
+        consumed.
+        """
+        buffer = self.buffer
+        position = 0
+        assert message.parser is not None
+        while not message.complete and position < len(buffer):
+            if message.chunk_remaining:
+                cut = min(position + message.chunk_remaining, len(buffer))
+            else:
+                cut = buffer.find(b"\n", position) + 1 or len(buffer)
+            data = buffer[position:cut]
+            position = cut
+            try:
+                message.parser.feed_data(data)
+            except PARSER_ERRORS as error:
+                reason = f"chunks that cannot be read: {error}"[:200]
+                raise MalformedHttpMessage(400, reason) from error
+            message.on_chunk_data_fed(data)
+            message.length += len(data)
+            self._check_chunks(message)
+        self.buffer = buffer[position:]
+        return message.complete
+
+    def _check_chunks(self, message: HttpMessage) -> None:
+        body = message.received + message.chunk_remaining
+        framed = 2 * self.limits.body + self.limits.head
+        if body > self.limits.body or message.length > framed:
+            raise MalformedHttpMessage(413, "a body over the bound")
+        if (
+            message.chunk_count > MAX_CHUNKS
+            or len(message.chunk_line) > self.limits.head
+        ):
+            raise MalformedHttpMessage(413, "a body in too many chunks")
+
+
+class RequestReader(MessageReader):
+    """Reads what a client sends."""
+
+    def _make_parser(self, message: HttpMessage) -> Parser:
+        return httptools.HttpRequestParser(message)
+
+    def _apply_head(self, message: HttpMessage) -> None:
+        super()._apply_head(message)
+        assert isinstance(message.parser, httptools.HttpRequestParser)
+        message.method = message.parser.get_method()
+        message.length = max(message.length, 0)
+        version = message.parser.get_http_version()
+        if version not in ("1.1", "1.0"):
+            raise MalformedHttpMessage(505, "not HTTP/1.1")
+        missing_host = version == "1.1" and b"host" not in message.fields
+        if b"host" in message.repeated or missing_host:
+            raise MalformedHttpMessage(400, "not one Host")
+
+
+class ResponseReader(MessageReader):
+    """Reads what a server answers to any method but HEAD.
+
+    A response without a length is complete when its connection closes: `on_close`.
+    """
+
+    START = RESPONSE_START
+
+    def __init__(self, limits: MessageLimits) -> None:
+        super().__init__(limits)
+        self.interim_count = 0
+
+    def _make_parser(self, message: HttpMessage) -> Parser:
+        return httptools.HttpResponseParser(message)
+
+    def _apply_head(self, message: HttpMessage) -> None:
+        super()._apply_head(message)
+        assert isinstance(message.parser, httptools.HttpResponseParser)
+        message.status = message.parser.get_status_code()
+        if 100 <= message.status < 200 or message.status in (NO_CONTENT, NOT_MODIFIED):
+            message.length = 0
+            message.chunked = False
+        message.until_close = message.length < 0
+        message.length = max(message.length, 0)
+
+    def expected_body_size(self, short: int) -> int:
+        """Return how many octets the body that is arriving may come to.
+
+        One whose length is not told counts as the limit once it is longer than `short`.
+        """
+        if self.message is None:
+            return 0
+        unknown = self.message.chunked or self.message.until_close
+        if unknown and self.message.length > short:
+            return self.limits.body
+        return self.message.length
+
+    def on_close(self) -> HttpMessage | None:
+        """Return the response that an orderly close completes, if any."""
+        message = self.message
+        if message is None or not message.until_close:
+            return None
+        message.body = self._join_pieces()
+        message.parser = None
+        message.keep_alive = False
+        self.message = None
+        return message
+
+    def next_message(self) -> HttpMessage | None:
+        """Return the next complete final response; interim ones are passed over."""
+        while (message := super().next_message()) is not None:
+            if message.status >= 200:
+                self.interim_count = 0
+                return message
+            self.interim_count += 1
+            if (
+                self.interim_count > MAX_INTERIM_RESPONSES
+                or message.status == SWITCHING_PROTOCOLS
+            ):
+                raise MalformedHttpMessage(502, "1xx answers without an end")
+        return None
--- /dev/null
+++ b/milletsill/http1/response_line_reader.py
@@ -0,0 +1,97 @@
+"""Read a long response line by line as it arrives: the body of a watch.
+
+No sockets; the head and each line are bounded.
+"""
+
+from __future__ import annotations
+
+import re
+
+import httptools
+
+from milletsill.http1.errors import PARSER_ERRORS, MalformedHttpMessage
+from milletsill.http1.message_limits import (
+    HEAD_END,
+    MAX_INTERIM_RESPONSES,
+    MessageLimits,
+    strip_field_whitespace,
+)
+
+LIMITS = MessageLimits()
+RESPONSE_PREFIX = b"HTTP/1."
+INTERIM_HEAD = re.compile(rb"HTTP/1\.\d 1")
+
+
+class ResponseLineReader:
+    """Reads one response whose body has no end yet.
+
+    Attributes:
+        status: of the final response; 0 until its head was read.
+        ended: whether the response is complete.
+        line: the last line, as far as it has arrived.
+    """
+
+    def __init__(self, max_line: int) -> None:
+        self.max_line = max_line
+        self.status = 0
+        self.ended = False
+        self.line = b""
+        self.head = b""
+        self.interim_count = 0
+        self.lines: list[bytes] = []
+        self.parser = httptools.HttpResponseParser(self)
+
+    # Called by httptools.
+
+    def on_headers_complete(self) -> None:
+        """Note the status, but that of an interim response."""
+        status = self.parser.get_status_code()
+        self.status = 0 if status < 200 else status
+
+    def on_body(self, data: bytes) -> None:
+        """Cut a piece of the body into lines."""
+        *complete, self.line = (self.line + data).split(b"\n")
+        self.lines += complete
+
+    def on_message_complete(self) -> None:
+        """Note the end of the final response."""
+        self.ended = self.status > 0
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Take received octets and return the lines that are complete now.
+
+        Raises:
+            MalformedHttpMessage: no response of HTTP/1.1, or one over the bounds.
+        """
+        try:
+            self.parser.feed_data(data if self.status else self._take_heads(data))
+        except PARSER_ERRORS as error:
+            reason = f"a watch that cannot be read: {error}"[:200]
+            raise MalformedHttpMessage(502, reason) from error
+        if len(self.line) > self.max_line or len(self.head) > LIMITS.head:
+            raise MalformedHttpMessage(502, "a line over the bound")
+        lines = self.lines
+        self.lines = []
+        return lines
+
+    def _take_heads(self, data: bytes) -> bytes:
+        """Return what the parser gets while the final head is not complete.
+
+        That is nothing, or complete heads with what stands behind the final one.
+        """
+        self.head = (self.head + data).lstrip(b"\r\n")
+        if not self.head.startswith(RESPONSE_PREFIX[: len(self.head)]):
+            raise MalformedHttpMessage(502, "no answer of HTTP/1.1")
+        taken = b""
+        while (end := self.head.find(HEAD_END)) >= 0:
+            cut = end + len(HEAD_END)
+            head = self.head[:cut]
+            self.head = self.head[cut:]
+            taken += strip_field_whitespace(head)
+            self.interim_count += 1
+            if not INTERIM_HEAD.match(head):
+                taken += self.head
+                self.head = b""
+            elif self.interim_count > MAX_INTERIM_RESPONSES:
+                raise MalformedHttpMessage(502, "1xx answers without an end")
+        return taken
--- a/milletsill/http1/writer.py
+++ b/milletsill/http1/writer.py
@@ -1,32 +1,41 @@
-"""Messages as bytes. Names and values come checked, from a reader or from our own tables."""
+"""Encode HTTP/1.1 messages.
+
+Names and values come checked: from a reader, or from the program's own tables.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from http import HTTPStatus
 
-PHRASES = {each.value: each.phrase.encode() for each in HTTPStatus}
+REASON_PHRASES = {each.value: each.phrase.encode() for each in HTTPStatus}
 
 
-def answer(status: int, body: bytes, keep: bool, extra: bytes = b"") -> bytes:
-    """An answer; `extra` holds whole lines."""
+def encode_response(
+    status: int, body: bytes, keep_alive: bool, extra: bytes = b""
+) -> bytes:
+    """Return a response; `extra` holds complete header lines."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
         status,
-        PHRASES.get(status, b"Status"),
+        REASON_PHRASES.get(status, b"Status"),
         len(body),
-        b"" if keep else b"Connection: close\r\n",
+        b"" if keep_alive else b"Connection: close\r\n",
         extra,
         body,
     )
 
 
-def request(
+def encode_request(
     method: bytes,
     target: bytes,
     host: bytes,
-    fields: list[tuple[bytes, bytes]],
+    fields: Sequence[tuple[bytes, bytes]],
     body: bytes,
 ) -> bytes:
-    """A request; its length is told where it has a body or its method means one."""
+    """Return a request.
+
+    It tells a length where it has a body or its method means one.
+    """
     lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, target, host)]
     lines += [b"%s: %s\r\n" % field for field in fields]
     if body or method not in (b"GET", b"HEAD"):
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -11,8 +11,8 @@
 from milletsill.errors import ConfigurationRejected
 from milletsill.facts import Part, at_most, facts_of, missing_in, unknown_in
 from milletsill.http_gateway.endpoints import (
-    InvalidEndpoint,
     EndpointUpdate,
+    InvalidEndpoint,
     address_of,
     news_of,
 )
--- a/milletsill/http_gateway/endpoint_watcher.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -10,10 +10,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from milletsill.errors import describe_error
-from milletsill.http1.line_reader import AnswerLines
-from milletsill.http1.reader import MalformedHttpMessage
-from milletsill.http1.writer import request
-from milletsill.http_gateway.endpoints import InvalidEndpoint, EndpointUpdate, news_of
+from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.response_line_reader import ResponseLineReader
+from milletsill.http1.writer import encode_request
+from milletsill.http_gateway.endpoints import EndpointUpdate, InvalidEndpoint, news_of
 from milletsill.http_gateway.gateway_limits import (
     DIAL,
     FIRST_WORD,
@@ -94,7 +94,7 @@
             version,
         )  # the version is -1 once it has spoken
         self.overdue = overdue
-        self.answer, self.words = AnswerLines(MOST_LINE), Words()
+        self.answer, self.words = ResponseLineReader(MOST_LINE), Words()
         self.heard, self.over, self.stage = follower.now(), False, Call.DIALLED
         self.connector: Any = None
 
@@ -102,7 +102,7 @@
         if self.over:
             return self.transport.abortConnection()
         self.transport.write(
-            request(b"GET", PATH % self.version, self.host.encode(), [], b"")
+            encode_request(b"GET", PATH % self.version, self.host.encode(), [], b"")
         )
         self.reach(Call.TAKEN)
 
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from milletsill.gateway.scheduler_host import Ended, Host, Make
-from milletsill.http1.reader import Message
+from milletsill.http1.message import HttpMessage
 from milletsill.http_gateway.configuration import (
     Deployment,
     GatewayConfigurationRejected,
@@ -31,12 +31,12 @@
 from milletsill.http_gateway.http_server import Client, Clients
 from milletsill.http_gateway.node_connections import Fleet, Sending
 from milletsill.http_gateway.request_parser import (
-    InvalidRequest,
     Cargo,
     Categories,
+    InvalidRequest,
     cargo_of,
 )
-from milletsill.interface import Request, EndpointUpdateKind
+from milletsill.interface import EndpointUpdateKind, Request
 from milletsill.scheduler import Scheduler
 
 LOOK_EVERY, TALLY_EVERY = 0.1, 5.0  # seconds
@@ -231,7 +231,7 @@
 
     # The clients.
 
-    def asked(self, client: Client, message: Message) -> None:
+    def asked(self, client: Client, message: HttpMessage) -> None:
         """One whole request."""
         path = message.target.partition(b"?")[0]
         if path in (READY, LIVE) and message.method == b"GET":
--- a/milletsill/http_gateway/http_server.py
+++ b/milletsill/http_gateway/http_server.py
@@ -11,8 +11,10 @@
 from zope.interface import implementer
 
 from milletsill.http1 import writer
-from milletsill.http1.message_limits import Bounds
-from milletsill.http1.reader import MalformedHttpMessage, Message, RequestReader
+from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.message import HttpMessage
+from milletsill.http1.message_limits import MessageLimits
+from milletsill.http1.message_reader import RequestReader
 from milletsill.http_gateway.gateway_limits import (
     BEGUN_BY,
     LOOK_SHORT,
@@ -30,7 +32,7 @@
 )
 from milletsill.http_gateway.node_connections import Verdict
 
-BOUNDS = Bounds(body=MOST_BODY)
+BOUNDS = MessageLimits(body=MOST_BODY)
 
 
 class Around(typing.Protocol):
@@ -43,7 +45,7 @@
     now: Callable[[], int]
     note: Callable[..., None]
 
-    def asked(self, client: Client, message: Message) -> None:
+    def asked(self, client: Client, message: HttpMessage) -> None:
         """A request of a client, whole."""
 
     def abandoned(self, transfer: int) -> None: ...
@@ -69,7 +71,7 @@
             False  # the client has closed its side; all that we had to write is the system's
         )
         self.charged = 0  # octets of an answer that the client has not taken yet
-        self.ahead: Message | None = (
+        self.ahead: HttpMessage | None = (
             None  # the next request, whole, while one is open or the last answer is not taken
         )
         self.lent = self.borne = (
@@ -79,7 +81,7 @@
     @property
     def begun(self) -> bool:
         """Whether a part of a request is here."""
-        return self.ahead is not None or self.reader.begun
+        return self.ahead is not None or self.reader.has_partial_message
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -123,12 +125,12 @@
                     message, self.ahead = self.ahead, None
                     self.give_back()
                     if self.read_ahead():
-                        self.keep = message.keep
+                        self.keep = message.keep_alive
                         self.ask(message)
             finally:
                 self.reading = False
 
-    def ask(self, message: Message) -> None:
+    def ask(self, message: HttpMessage) -> None:
         """One whole request. The body of a long one is counted twice: a link's buffer holds it once more."""
         octets = 2 * len(message.body) if len(message.body) > SHORT_BODY else 0
         if octets and not self.gateway.octets.take(octets):
@@ -152,14 +154,14 @@
             return False
         try:
             if self.ahead is None:
-                self.ahead = self.reader.next()
+                self.ahead = self.reader.next_message()
         except MalformedHttpMessage as error:
             self.refuse(error.status, error.reason)
             return False
         if (
             not self.ready
             and self.ahead is not None
-            and self.reader.pending
+            and self.reader.buffered
             > (MOST_AHEAD if self.stage is Stage.BUSY else MOST_REQUEST)
         ):
             self.refuse(400, "too much ahead of an answer")
@@ -170,7 +172,7 @@
         """Room for what is ahead, or for a long one that comes in: up to one whole request and a little. Short ones are not
         counted.
         """
-        held = self.reader.pending + (
+        held = self.reader.buffered + (
             len(self.ahead.body) if self.ahead is not None else 0
         )
         if held > max(MOST_REQUEST if self.ready else MOST_AHEAD, self.lent):
@@ -189,9 +191,9 @@
         """
         came = -1
         while (
-            came < self.reader.pending <= MOST_BODY + MOST_REQUEST
+            came < self.reader.buffered <= MOST_BODY + MOST_REQUEST
         ):  # beyond, it is refused anyway
-            came = self.reader.pending
+            came = self.reader.buffered
             if self.transport.doRead() is not None:
                 self.step(Cue.GONE)
                 return True
@@ -266,7 +268,7 @@
             self.gateway.keeps or self.ahead is not None
         )  # what is read whole has its answer
         if self.stage is not Stage.CLOSED:
-            self.transport.write(writer.answer(status, body, keep, extra))
+            self.transport.write(writer.encode_response(status, body, keep, extra))
             if self.stuck and not self.charged:
                 self.charged = len(body)
                 self.gateway.octets.held += self.charged
@@ -279,7 +281,9 @@
         if self.stage in (Stage.ENDING, Stage.CLOSED):
             return
         self.transport.write(
-            writer.answer(status, reason.encode("latin-1", "replace") + b"\n", False)
+            writer.encode_response(
+                status, reason.encode("latin-1", "replace") + b"\n", False
+            )
         )
         self.step(Cue.REFUSED)
 
@@ -291,7 +295,7 @@
                 self.read_on()
         elif effect == "slow":
             self.gateway.note("refused", "a request that does not end")
-            self.transport.write(writer.answer(408, b"", False))
+            self.transport.write(writer.encode_response(408, b"", False))
             self.end()
         elif effect == "close":
             self.transport.unregisterProducer()
--- a/milletsill/http_gateway/node_connections.py
+++ b/milletsill/http_gateway/node_connections.py
@@ -12,9 +12,11 @@
 
 from milletsill.gateway.reactor_turn import NextTurn
 from milletsill.gateway.scheduler_host import Ended
-from milletsill.http1.message_limits import Bounds
-from milletsill.http1.reader import AnswerReader, MalformedHttpMessage, Message
-from milletsill.http1.writer import request
+from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.message import HttpMessage
+from milletsill.http1.message_limits import MessageLimits
+from milletsill.http1.message_reader import ResponseReader
+from milletsill.http1.writer import encode_request
 from milletsill.http_gateway.endpoint_watcher import Dial
 from milletsill.http_gateway.endpoints import Place
 from milletsill.http_gateway.gateway_limits import (
@@ -29,7 +31,7 @@
 from milletsill.http_gateway.request_parser import Cargo, number_in, report_in
 from milletsill.interface import AttemptOutcome, Readiness
 
-BOUNDS = Bounds(body=MOST_BODY)
+BOUNDS = MessageLimits(body=MOST_BODY)
 
 
 class Verdict:
@@ -37,7 +39,7 @@
 
     __slots__ = ("body", "used", "elsewhere", "report")
 
-    def __init__(self, message: Message) -> None:
+    def __init__(self, message: HttpMessage) -> None:
         fields = message.fields
         used = number_in(fields.get(b"x-volume-use"), 65_535)
         self.body, self.used = message.body, None if used is None else int(used)
@@ -45,7 +47,7 @@
         self.report = report_in(fields.get(b"x-pressure"))
 
 
-def outcome_of(message: Message) -> AttemptOutcome:
+def outcome_of(message: HttpMessage) -> AttemptOutcome:
     """How a dispatch ended that was answered whole."""
     if message.status == 200:
         return AttemptOutcome.SUCCEEDED
@@ -99,7 +101,7 @@
 
     def __init__(self, node: Node) -> None:
         self.node, self.address = node, node.address  # where it was dialled
-        self.reader = AnswerReader(BOUNDS)
+        self.reader = ResponseReader(BOUNDS)
         self.sending: Sending | None = None
         self.written, self.closed, self.uses, self.since = True, False, 0, 0
         self.charged = 0  # octets counted for a long answer
@@ -124,7 +126,7 @@
             max((sending.ends - self.node.fleet.now()) // 10, 1),
         )
         self.transport.write(
-            request(
+            encode_request(
                 cargo.method,
                 cargo.target,
                 self.node.host_field,
@@ -147,18 +149,20 @@
             return self.node.again(sending)
         self.reader.feed(data)
         try:
-            message = self.reader.next()
+            message = self.reader.next_message()
         except MalformedHttpMessage as error:
             self.node.fleet.note("spoilt", error.reason)
             return self.finish(AttemptOutcome.ERROR, None, False)
         if message is None:
             return self.charge()
-        keep = message.keep and self.written and not self.reader.begun
+        keep = (
+            message.keep_alive and self.written and not self.reader.has_partial_message
+        )
         self.finish(outcome_of(message), Verdict(message), keep)
 
     def charge(self) -> None:
         """A long answer is on its way: there must be room for it."""
-        length = self.reader.expected(SHORT_BODY)
+        length = self.reader.expected_body_size(SHORT_BODY)
         if length > SHORT_BODY and not self.charged:
             if not self.node.fleet.octets.take(length):
                 self.node.fleet.note("spoilt", "no room for a long answer")
@@ -198,7 +202,7 @@
     def connectionLost(self, reason: Any = None) -> None:
         # An answer without a length ends with its connection, but a reset is no end: it may have lost octets on the way.
         whole = (
-            self.reader.closed()
+            self.reader.on_close()
             if reason is not None and reason.check(ConnectionDone)
             else None
         )
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -8,7 +8,7 @@
 
 from milletsill.errors import InvalidValue
 from milletsill.facts import REPORTS
-from milletsill.http1.reader import Message
+from milletsill.http1.message import HttpMessage
 from milletsill.interface import Request
 
 HEX16 = re.compile(rb"[0-9a-f]{16}\Z")
@@ -74,13 +74,13 @@
         )
 
     def one(
-        self, message: Message, name: bytes, form: re.Pattern[bytes] | None = None
+        self, message: HttpMessage, name: bytes, form: re.Pattern[bytes] | None = None
     ) -> bytes:
         """A field that must be there once, in its form."""
         value = message.fields.get(name)
         if (
             value is None
-            or name in message.doubled
+            or name in message.repeated
             or form is not None
             and not form.match(value)
         ):
@@ -90,7 +90,7 @@
         return value
 
     def arrival(
-        self, message: Message, came: int, margin: int, by: int | None = None
+        self, message: HttpMessage, came: int, margin: int, by: int | None = None
     ) -> Request:
         """The transfer that a request asks for; `came` is when its last octet was read; it is over at `by` at the latest."""
         id = int(self.one(message, b"x-txn", HEX16), 16)
@@ -132,14 +132,16 @@
             ends,
         )
 
-    def pick(self, names: Mapping[bytes, int], message: Message, field: bytes) -> int:
+    def pick(
+        self, names: Mapping[bytes, int], message: HttpMessage, field: bytes
+    ) -> int:
         """The place of a category or a plan."""
         place = names.get(self.one(message, field))
         if place is None:
             raise InvalidRequest(404, f"{field.decode()} is not known")
         return place
 
-    def io(self, message: Message) -> tuple[int, float, int | None, int]:
+    def io(self, message: HttpMessage) -> tuple[int, float, int | None, int]:
         """Volume, units, cell and gateways."""
         parts = dict(
             part.strip().split(b"=", 1)
@@ -165,7 +167,7 @@
         return int(volume, 16), float(units), cell, int(hosts)
 
 
-def cargo_of(message: Message) -> Cargo:
+def cargo_of(message: HttpMessage) -> Cargo:
     """What a node gets of it."""
     fields = [(b"X-Txn", message.fields[b"x-txn"])]
     if b"idempotency-key" in message.fields:
--- a/tests/http1/test_messages.py
+++ b/tests/http1/test_messages.py
@@ -8,9 +8,10 @@
 from hypothesis import strategies as st
 
 from milletsill.http1 import writer
-from milletsill.http1.line_reader import AnswerLines
-from milletsill.http1.message_limits import AMBIGUOUS, MOST_CHUNKS, Bounds
-from milletsill.http1.reader import AnswerReader, MalformedHttpMessage, RequestReader
+from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.message_limits import AMBIGUOUS, MAX_CHUNKS, MessageLimits
+from milletsill.http1.message_reader import RequestReader, ResponseReader
+from milletsill.http1.response_line_reader import ResponseLineReader
 
 HOST = b"Host: a\r\n"
 STREAM = (
@@ -26,7 +27,7 @@
     found = []
     for piece in pieces:
         reader.feed(piece)
-        while (message := reader.next()) is not None:
+        while (message := reader.next_message()) is not None:
             found.append((message.status or message.method, message.body))
     return found
 
@@ -34,7 +35,7 @@
 class Requests(unittest.TestCase):
     def refused(self, data, status):
         with self.assertRaises(MalformedHttpMessage, msg=data[:80]) as caught:
-            read(RequestReader(Bounds()), data)
+            read(RequestReader(MessageLimits()), data)
         self.assertEqual(caught.exception.status, status, data[:80])
 
     def test_what_can_be_read_in_two_ways_is_refused(self):
@@ -77,17 +78,17 @@
             b"GET /\xff",
             b"\r\nPUT /a HTTP/1.1\r\nHost",
         ):
-            reader = RequestReader(Bounds())
+            reader = RequestReader(MessageLimits())
             self.assertEqual(
                 read(reader, *[data[at : at + 1] for at in range(len(data))]), [], data
             )
         for data in (b"\x00", b"noise", b"HTTQ", b"GET /", b"HTTP1"):
             with self.assertRaises(MalformedHttpMessage, msg=data):
-                read(AnswerReader(Bounds()), data)
+                read(ResponseReader(MessageLimits()), data)
         for data in (b"", b"H", b"HTTP", b"HTTP/1.1 2"):
             self.assertEqual(
                 read(
-                    AnswerReader(Bounds()),
+                    ResponseReader(MessageLimits()),
                     *[data[at : at + 1] for at in range(len(data))],
                 ),
                 [],
@@ -107,19 +108,19 @@
     def test_lines_behind_a_body_in_chunks_say_nothing(self):
         for kind, head in (
             (RequestReader, b"PUT /a HTTP/1.1\r\n" + HOST),
-            (AnswerReader, b"HTTP/1.1 503 Busy\r\n"),
+            (ResponseReader, b"HTTP/1.1 503 Busy\r\n"),
         ):
             data = (
                 head
                 + b"A: b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-Txn: 1\r\nA: c\r\nX-Turned-Away: 1\r\n\r\n"
             )
             for size in (1, len(data)):
-                reader = kind(Bounds())
+                reader = kind(MessageLimits())
                 for at in range(0, len(data), size):
                     reader.feed(data[at : at + size])
-                    message = reader.next()
+                    message = reader.next_message()
                 self.assertEqual(
-                    (message.body, message.fields[b"a"], message.doubled),
+                    (message.body, message.fields[b"a"], message.repeated),
                     (b"hi", b"b", set()),
                 )
                 self.assertFalse({b"x-txn", b"x-turned-away"} & message.fields.keys())
@@ -128,18 +129,26 @@
         first = b"PUT /a HTTP/1.1\r\n" + HOST + b"Content-Length: 4\r\n\r\nbody"
         self.assertEqual(
             read(
-                RequestReader(Bounds()), first + b"GET /b HTTP/1.1\r\n" + HOST + b"\r\n"
+                RequestReader(MessageLimits()),
+                first + b"GET /b HTTP/1.1\r\n" + HOST + b"\r\n",
             ),
             [(b"PUT", b"body"), (b"GET", b"")],
         )
 
     def test_what_the_writer_writes_is_read_again(self):
-        data = writer.request(b"PUT", b"/a?b", b"h:1", [(b"X-Txn", b"1")], b"body")
-        reader = RequestReader(Bounds())
+        data = writer.encode_request(
+            b"PUT", b"/a?b", b"h:1", [(b"X-Txn", b"1")], b"body"
+        )
+        reader = RequestReader(MessageLimits())
         reader.feed(data)
-        message = reader.next()
+        message = reader.next_message()
         self.assertEqual(
-            (message.target, message.fields[b"x-txn"], message.body, message.keep),
+            (
+                message.target,
+                message.fields[b"x-txn"],
+                message.body,
+                message.keep_alive,
+            ),
             (b"/a?b", b"1", b"body", True),
         )
 
@@ -162,7 +171,7 @@
         )
     )
     def test_noise_raises_nothing_but_malformed(self, pieces):
-        for reader in (RequestReader(Bounds()), AnswerReader(Bounds())):
+        for reader in (RequestReader(MessageLimits()), ResponseReader(MessageLimits())):
             try:
                 read(reader, *pieces)
             except MalformedHttpMessage as error:
@@ -199,14 +208,14 @@
         ok = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for kind, head, octets in (
             (RequestReader, put, 65_535),
-            (AnswerReader, ok, 1 << 20),
+            (ResponseReader, ok, 1 << 20),
         ):
             body = b"\n" * octets
             data = head + b"%x\r\n%s\r\n0;last=1\r\nA: b\r\n\r\n" % (octets, body)
             for size in (len(data), 1460):
                 calls, found = self.fed(
                     kind,
-                    Bounds(body=1 << 20),
+                    MessageLimits(body=1 << 20),
                     *[data[at : at + size] for at in range(0, len(data), size)],
                 )
                 self.assertEqual(found, [body])
@@ -222,11 +231,11 @@
 
         data = b"GET /a HTTP/1.1\r\n" + HOST + b"A: " + b"x" * 8000 + b"\r\n\r\n"
         with mock.patch(
-            "milletsill.http1.reader.AMBIGUOUS", SimpleNamespace(search=counted)
+            "milletsill.http1.message_reader.AMBIGUOUS", SimpleNamespace(search=counted)
         ):
             self.assertEqual(
                 read(
-                    RequestReader(Bounds()),
+                    RequestReader(MessageLimits()),
                     *[data[at : at + 1] for at in range(len(data))],
                 ),
                 [(b"GET", b"")],
@@ -245,7 +254,7 @@
             for size in (1, 2, 3, 7, len(data)):
                 with self.assertRaises(MalformedHttpMessage, msg=(line, size)):
                     read(
-                        RequestReader(Bounds()),
+                        RequestReader(MessageLimits()),
                         *[data[at : at + size] for at in range(0, len(data), size)],
                     )
 
@@ -258,28 +267,28 @@
             + b"x" * 500,
         ):
             for size in (1, 30, 4000):
-                reader = RequestReader(Bounds())
+                reader = RequestReader(MessageLimits())
                 read(
                     reader, *[data[at : at + size] for at in range(0, len(data), size)]
                 )
-                self.assertEqual(reader.pending, 500)
+                self.assertEqual(reader.buffered, 500)
 
     def test_too_many_chunks_or_too_long_a_line_between_them_are_refused(self):
         head = b"PUT /a HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
         for data in (
-            b"1\r\nx\r\n" * (MOST_CHUNKS + 1),
+            b"1\r\nx\r\n" * (MAX_CHUNKS + 1),
             b"1;" + b"x" * 9000,
             b"fffff\r\n",
         ):
             with self.assertRaises(MalformedHttpMessage) as caught:
-                read(RequestReader(Bounds()), head + data)
+                read(RequestReader(MessageLimits()), head + data)
             self.assertEqual(caught.exception.status, 413)
         self.assertEqual(
             read(
-                RequestReader(Bounds()),
-                head + b"1\r\nx\r\n" * (MOST_CHUNKS - 1) + b"0\r\n\r\n",
+                RequestReader(MessageLimits()),
+                head + b"1\r\nx\r\n" * (MAX_CHUNKS - 1) + b"0\r\n\r\n",
             ),
-            [(b"PUT", b"x" * (MOST_CHUNKS - 1))],
+            [(b"PUT", b"x" * (MAX_CHUNKS - 1))],
         )
 
 
@@ -293,7 +302,7 @@
             pieces.append(STREAM[at : at + size])
             at, turn = at + size, turn + 1
         self.assertEqual(
-            read(AnswerReader(Bounds()), *pieces),
+            read(ResponseReader(MessageLimits()), *pieces),
             [(200, b"x\r\n" * 100), (200, b"hi!"), (503, b"")],
         )
 
@@ -306,7 +315,7 @@
             b"noise\r\n\r\n",
         ):
             with self.assertRaises(MalformedHttpMessage, msg=data[:60]):
-                read(AnswerReader(Bounds()), data)
+                read(ResponseReader(MessageLimits()), data)
 
     def test_an_answer_without_a_length_is_whole_only_when_its_connection_was_closed(
         self,
@@ -318,11 +327,11 @@
                 for each in b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nuntil the end"
             ],
         ):
-            reader = AnswerReader(Bounds())
+            reader = ResponseReader(MessageLimits())
             self.assertEqual(read(reader, *pieces), [])
-            whole = reader.closed()
+            whole = reader.on_close()
             self.assertEqual(
-                (whole.status, whole.body, whole.keep), (200, b"until the end", False)
+                (whole.status, whole.body, whole.keep_alive), (200, b"until the end", False)
             )
         for data in (
             b"HTTP/1.1 200 OK\r\n",
@@ -330,11 +339,11 @@
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n",
             b"",
         ):
-            reader = AnswerReader(Bounds())
-            self.assertEqual((read(reader, data), reader.closed()), ([], None))
+            reader = ResponseReader(MessageLimits())
+            self.assertEqual((read(reader, data), reader.on_close()), ([], None))
 
     def test_octets_behind_a_whole_answer_leave_it_good(self):
-        reader = AnswerReader(Bounds())
+        reader = ResponseReader(MessageLimits())
         self.assertEqual(
             read(
                 reader,
@@ -342,10 +351,10 @@
             ),
             [(200, b"hi")],
         )
-        self.assertTrue(reader.begun)
+        self.assertTrue(reader.has_partial_message)
 
     def test_lines_of_a_long_answer_come_as_they_are_whole(self):
-        lines = AnswerLines(100)
+        lines = ResponseLineReader(100)
         self.assertEqual(
             lines.feed(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\nb\r\n"
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -11,8 +11,8 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from milletsill.http1.message_limits import Bounds
-from milletsill.http1.reader import RequestReader
+from milletsill.http1.message_limits import MessageLimits
+from milletsill.http1.message_reader import RequestReader
 from milletsill.http_gateway.configuration import (
     GatewayConfigurationRejected,
     deployment_of,
@@ -257,11 +257,13 @@
 
     def test_a_repeat_and_a_leave_are_told_to_the_module(self):
         deployment = deployment_of(GIVEN, {}, 0, print)
-        reader = RequestReader(Bounds())
+        reader = RequestReader(MessageLimits())
         reader.feed(
             ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
         )
-        arrival = Categories(deployment.facts).arrival(reader.next(), 1000, 60, 5000)
+        arrival = Categories(deployment.facts).arrival(
+            reader.next_message(), 1000, 60, 5000
+        )
         self.assertEqual(
             (
                 arrival.is_retry,
@@ -274,7 +276,7 @@
         )
         with self.assertRaises(InvalidRequest):
             reader.feed(ask(X_Lane="none"))
-            Categories(deployment.facts).arrival(reader.next(), 1000, 60)
+            Categories(deployment.facts).arrival(reader.next_message(), 1000, 60)
 
     def test_a_configuration_that_cannot_be_used_is_one_line(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -317,14 +319,14 @@
         )
 
     def arrival(self, deployment, data):
-        reader = RequestReader(Bounds())
+        reader = RequestReader(MessageLimits())
         reader.feed(data)
-        return Categories(deployment.facts).arrival(reader.next(), 1000, 60)
+        return Categories(deployment.facts).arrival(reader.next_message(), 1000, 60)
 
     def test_without_plans_a_request_needs_none(self):
         for changed in ({"plans": []}, {"drop": ("plans",)}):
             self.assertEqual(
-                self.arrival(self.deployment(**changed), ask(drop=("X-Plan",))).plan, 0
+                self.arrival(self.deployment(**changed), ask(drop=("X-Plan",))).service_plan, 0
             )
         with self.assertRaises(InvalidRequest):
             self.arrival(self.deployment(), ask(drop=("X-Plan",)))
@@ -332,14 +334,14 @@
     def test_bounds_that_are_not_told_bound_nothing(self):
         big = ask(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
         given = self.arrival(self.deployment(extra={"writes": [False, True]}), big)
-        self.assertEqual((given.units, given.cell), (900.0, 70))
+        self.assertEqual((given.units, given.shard), (900.0, 70))
         with self.assertRaises(InvalidRequest):
             self.arrival(self.deployment(), big)
 
     def test_the_method_says_what_writes_where_the_settings_do_not(self):
         deployment = self.deployment(extra={})
         for method, write in (("GET", False), ("PUT", True)):
-            self.assertEqual(self.arrival(deployment, ask(method=method)).write, write)
+            self.assertEqual(self.arrival(deployment, ask(method=method)).is_write, write)
 
     def test_dials_and_idle_links_last_a_while_where_the_settings_do_not_say(self):
         reactor = Reactor()
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -89,7 +89,7 @@
         young = [
             each
             for each in self.gateway.clients.open
-            if not each.reader.begun and each.stage.name == "FRESH"
+            if not each.reader.has_partial_message and each.stage.name == "FRESH"
         ]
         self.time += 0.06
         self.turn()
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -20,7 +20,7 @@
 
 def lost(self, reason=None):
     """As it is, but for the look at how the connection ended."""
-    whole = self.reader.closed()
+    whole = self.reader.on_close()
     sending, self.sending = self.sending, None
     self.gone()
     if sending is not None and whole is not None:
@@ -72,7 +72,7 @@
 
 def end(self):
     self.since = self.gateway.now()
-    self.reader = type(self.reader)(self.reader.bounds)
+    self.reader = type(self.reader)(self.reader.limits)
     self.transport.unregisterProducer()
     self.transport.loseConnection()
 
