--- a/milletsill/fleet/health/health_sharing.py
+++ b/milletsill/fleet/health/health_sharing.py
@@ -129,7 +129,7 @@
     def start(self) -> None:
         self.plane.subscribe(MessageKind.HEALTH, self.heard)
         self.plane.watch_view(self.viewed)
-        self.host.overheard = self.observer.answer
+        self.host.on_attempt_ended = self.observer.answer
         self.viewed(self.plane.view, ())
         self.every("round", ROUND, self.round)
         self.every("publish", self.period, self.publish)
--- a/milletsill/gateway/process_setup.py
+++ b/milletsill/gateway/process_setup.py
@@ -1,4 +1,4 @@
-"""What every process with a gateway in it does about signals and the garbage collector."""
+"""Signals and the garbage collector of a process with a gateway in it."""
 
 from __future__ import annotations
 
@@ -9,22 +9,27 @@
 
 from twisted.internet import reactor
 
-SETTLED = 3.0  # seconds after a start, until what stays has been made
-# Objects made, younger collections. The gateway leaves next to no circles; what others leave stays until so many are made
-# (at 50,000, connections that Twisted dialled stood at 8 MB). So few are looked at in well under a millisecond.
-THRESHOLDS = (5_000, 20, 100)
+# Seconds after a start, until the objects that live as long as the process are made.
+FREEZE_DELAY = 3.0
+# Objects made, younger collections. The gateway leaves next to no reference cycles;
+# those of others stay until so many objects are made (at 50,000, connections that
+# Twisted dialled stood at 8 MB). So few are examined in well under a millisecond.
+COLLECTOR_THRESHOLDS = (5_000, 20, 100)
 
 
-def settle_memory() -> None:
-    """What stands for good (settings, maps, codecs, libraries) is no longer looked at by the garbage collector.
+def freeze_long_lived_objects() -> None:
+    """Keep the garbage collector from examining what lives as long as the process.
 
-    Guards rule 1: with 33 gateways in a process full collections took 100 to 380 ms each, and answers came that much past
-    their clients' patience. Harm: what is frozen and then dropped in a circle is never freed; that is little, once.
+    Settings, maps, codecs and libraries are frozen. With 33 gateways in one process a
+    full collection took 100 to 380 ms, and answers came that much after their clients'
+    deadlines (rule 1). A frozen object that is dropped in a cycle later is never freed;
+    that is little, once.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*THRESHOLDS)
+    gc.set_threshold(*COLLECTOR_THRESHOLDS)
 
 
-def on_signal(number: int, call: Callable[[], Any]) -> None:
+def install_signal_handler(number: int, call: Callable[[], Any]) -> None:
+    """Make a call in the reactor's thread whenever the process gets a signal."""
     signal.signal(number, lambda *_: reactor.callFromThread(call))
--- a/milletsill/gateway/reactor_turn.py
+++ b/milletsill/gateway/reactor_turn.py
@@ -1,37 +1,58 @@
-"""Calls that wait until all that lies in the sockets was read."""
+"""Run a call once all that lies in the sockets was read."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
-from milletsill.gateway.stall_detection import io_first
+from milletsill.gateway.stall_detection import must_read_sockets_first
 
 
-class NextTurn:
-    """One call in the next turn of the reactor, however often it is asked for in this one.
+class DelayedCalls(Protocol):
+    """The part of a reactor that is used here."""
 
-    Guards clients and nodes against a process that stood since it was asked: what came meanwhile, a client's close above all, is
-    read before anything is begun. Harm: one more turn of the loop, once.
+    def callLater(
+        self, delay: float, callable: Callable[..., Any], /, *args: Any
+    ) -> Any:
+        """Run a call after so many seconds, never from within."""
+
+
+class NextReactorTurn:
+    """One call in the next turn of the reactor, however often it is asked for.
+
+    If the process stood still since, what came meanwhile (a client's close above all)
+    is read before the call: one more turn, once.
     """
 
-    __slots__ = ("reactor", "now", "call", "due", "pending", "put_off")
+    __slots__ = ("call", "deferred", "due", "now", "reactor", "scheduled")
 
     def __init__(
-        self, reactor: Any, now: Callable[[], int], call: Callable[[], None]
+        self,
+        reactor: DelayedCalls,
+        now: Callable[[], int],
+        call: Callable[[], None],
     ) -> None:
-        self.reactor, self.now, self.call = reactor, now, call
-        self.due, self.pending, self.put_off = 0, False, False
-
-    def ask(self) -> None:
-        if not self.pending:
-            self.pending, self.due = True, self.now()
-            self.reactor.callLater(0, self.ring)
-
-    def ring(self) -> None:
-        if io_first(self.now() - self.due, self.put_off):
-            self.put_off = True
-            self.reactor.callLater(0, self.ring)
+        self.reactor = reactor
+        self.now = now
+        self.call = call
+        self.due = 0
+        self.scheduled = False
+        self.deferred = False
+
+    def schedule(self) -> None:
+        """Ask for the call in the next turn."""
+        if self.scheduled:
+            return
+        self.scheduled = True
+        self.due = self.now()
+        self.reactor.callLater(0, self.run)
+
+    def run(self) -> None:
+        """Make the call, or defer it by one turn after a stall."""
+        if must_read_sockets_first(self.now() - self.due, self.deferred):
+            self.deferred = True
+            self.reactor.callLater(0, self.run)
             return
-        self.pending = self.put_off = False
+        self.scheduled = False
+        self.deferred = False
         self.call()
--- a/milletsill/gateway/stall_detection.py
+++ b/milletsill/gateway/stall_detection.py
@@ -1,26 +1,32 @@
-"""What a process that stood still must not believe: pure functions for any door and host. No I/O, no clock."""
+"""What a process that stood still must not believe.
 
-from __future__ import annotations
+Pure functions for any gateway: no I/O, no clock. Times are tenths of a millisecond.
+"""
 
-LATE_BEAT = (
-    200  # a reactor that comes back later than this has answers waiting in its sockets
-)
+from __future__ import annotations
 
+# A reactor that comes back later than this has answers waiting in its sockets.
+STALL_THRESHOLD = 200
+# How often a process looks whether it stood still.
+STALL_CHECK_INTERVAL = 500
 
-def io_first(late: int, put_off: bool) -> bool:
-    """Whether wakes that are overdue wait for one round of the sockets: after a stall of the process, answers that
-    came in time lie there unread, and their time-outs must not be believed before. Put off once at most.
-    """
-    return late > LATE_BEAT and not put_off
 
+def must_read_sockets_first(late: int, deferred: bool) -> bool:
+    """Whether overdue timers wait for one round of the sockets.
 
-BEAT = 500  # how often the process looks whether it stood
+    After a stall, answers that came in time lie unread in the sockets, and their
+    time-outs must not be believed before they are read. Timers are deferred once at
+    most.
+    """
+    return late > STALL_THRESHOLD and not deferred
 
 
-def taken_since(now: int, beat_due: int, last_beat: int) -> int | None:
-    """Since when bytes that are read now may have lain in the socket; None where they are as new as they look.
+def earliest_arrival(now: int, check_due: int, last_check: int) -> int | None:
+    """Return since when octets that are read now may have lain in their socket.
 
-    Guards rule 1 against any stall of the process (stopped, starved, a long garbage collection): a client counts its
-    patience from its own send. Harm: what came at the very end of a stall is given up sooner than need be.
+    None where they are as new as they look. Rule 1 rests on it after any stall of the
+    process (stopped, starved, a long garbage collection): a client counts its time-out
+    from its own send. What came at the very end of a stall is given up sooner than
+    needed.
     """
-    return last_beat if now - beat_due > LATE_BEAT else None
+    return last_check if now - check_due > STALL_THRESHOLD else None
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -8,7 +8,12 @@
 from random import Random
 from typing import Any
 
-from milletsill.gateway.scheduler_host import Ended, Host, Make
+from milletsill.gateway.active_requests import AttemptEnded
+from milletsill.gateway.scheduler_host import (
+    HostCallbacks,
+    SchedulerFactory,
+    SchedulerHost,
+)
 from milletsill.http1.message import HttpMessage
 from milletsill.http_gateway.configuration import (
     Deployment,
@@ -55,7 +60,7 @@
         now: Callable[[], int],
         clock: int,
         log: Any,
-        make: Make = Scheduler,
+        make: SchedulerFactory = Scheduler,
     ) -> None:
         self.deployment, self.reactor, self.now, self.log = (
             deployment,
@@ -94,16 +99,18 @@
             Random(f"{deployment.seed} list").uniform,
             deployment.grace,
         )
-        self.host = Host(
+        self.host = SchedulerHost(
             reactor,
             now,
             facts,
             deployment.seed,
             make,
-            self.carry,
-            self.follower.ask,
-            lambda text: self.remark("module", reason=text),
-            self.note,
+            HostCallbacks(
+                start_attempt=self.carry,
+                watch_endpoints=self.follower.ask,
+                log=lambda text: self.remark("module", reason=text),
+                count=self.note,
+            ),
         )
         self.port: Any = None
         self.stopped: Callable[[], None] = lambda: None
@@ -135,7 +142,7 @@
         """Read the table and act."""
         self.process, effect = pass_on(self.process, event)
         if effect == "leave":
-            self.log.info("leaving", held=self.host.held)
+            self.log.info("leaving", held=self.host.unanswered)
             ends = ends_of(
                 max(each["patience"] for each in self.deployment.facts["categories"])
             )
@@ -166,7 +173,7 @@
         """The end of what is held once shut. In the turn behind it: guards answers that came in time against a process that stood
         still, where timers go before what lies in the sockets. Harm: one turn of the loop, of what is left before the kill.
         """
-        self.host.end_all()  # taken before SIGTERM by a client that would wait until after the earliest kill
+        self.host.fail_all()  # taken before SIGTERM by a client that would wait until after the earliest kill
         self.go_on()
 
     def later(self, span: int, call: Callable[..., None], *values: Any) -> None:
@@ -184,7 +191,7 @@
     def stop(self) -> None:
         self.process = Process.STOPPED
         self.tell_tally()
-        self.log.info("stopped", held=self.host.held)
+        self.log.info("stopped", held=self.host.unanswered)
         self.host.stop()
         self.follower.stop()
         self.fleet.stop()
@@ -243,7 +250,9 @@
             arrival = self.categories.arrival(
                 message, self.now(), ANSWER_MARGIN, self.answers_by
             )
-            if arrival.id in self.host.live or self.spent.known(arrival.id, self.now()):
+            if arrival.id in self.host.active or self.spent.known(
+                arrival.id, self.now()
+            ):
                 raise InvalidRequest(409, "x-txn is another's open one")
         except InvalidRequest as error:
             return client.refuse(error.status, str(error))
@@ -251,7 +260,7 @@
         if (
             not self.keeps
             or arrival.deadline <= self.now()
-            or self.host.held >= (self.deployment.facts["most_held"] or BACKLOG)
+            or self.host.unanswered >= (self.deployment.facts["most_held"] or BACKLOG)
         ):
             self.note("answer", "too late or too many")
             return client.turn_away(self.pause)
@@ -269,13 +278,13 @@
         number: int,
         node: int,
         ends: int,
-        ended: Ended,
+        ended: AttemptEnded,
     ) -> Sending | None:
         return self.fleet.carry(cargo, node, ends, ended)
 
     def abandoned(self, transfer: int) -> None:
         self.note("answer", "abandoned")
-        self.host.abandon(transfer)
+        self.host.cancel_request(transfer)
 
     def left(self, client: Client) -> None:
         self.clients.left(client)
@@ -301,7 +310,7 @@
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.log.info(
             "tally",
-            held=self.host.held,
+            held=self.host.unanswered,
             clients=len(self.clients.open),
             links=self.fleet.open,
             late_ms=self.late / 10,
@@ -312,7 +321,7 @@
         )
         self.tally.clear()
         self.late = self.remarks = 0
-        nodes = getattr(self.host.module, "nodes", {})
+        nodes = getattr(self.host.scheduler, "nodes", {})
         for number, there in self.fleet.nodes.items():
             node = nodes.get(number)
             if node is not None and (
--- a/milletsill/http_gateway/http_server.py
+++ b/milletsill/http_gateway/http_server.py
@@ -238,11 +238,11 @@
         self.transfer = transfer
         self.step(Cue.TAKEN)
 
-    def satisfied(self, verdict: Verdict) -> None:
+    def succeeded(self, verdict: Verdict) -> None:
         self.gateway.note("answer", "satisfied")
         self.answer(200, verdict.body)
 
-    def declined(self, pause: int) -> None:
+    def rejected(self, pause: int) -> None:
         self.gateway.note("answer", "declined")
         self.turn_away(pause)
 
@@ -256,7 +256,7 @@
             else b"",
         )
 
-    def aborted(self) -> None:
+    def failed(self) -> None:
         self.gateway.note("answer", "aborted")
         self.answer(502, b"")
 
--- a/milletsill/http_gateway/node_connections.py
+++ b/milletsill/http_gateway/node_connections.py
@@ -10,8 +10,8 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import Protocol
 
-from milletsill.gateway.reactor_turn import NextTurn
-from milletsill.gateway.scheduler_host import Ended
+from milletsill.gateway.active_requests import AttemptEnded
+from milletsill.gateway.reactor_turn import NextReactorTurn
 from milletsill.http1.errors import MalformedHttpMessage
 from milletsill.http1.message import HttpMessage
 from milletsill.http1.message_limits import MessageLimits
@@ -63,7 +63,7 @@
     __slots__ = ("node", "cargo", "ends", "ended", "link", "since", "over")
 
     def __init__(
-        self, node: Node, cargo: Cargo, ends: int, ended: Ended, now: int
+        self, node: Node, cargo: Cargo, ends: int, ended: AttemptEnded, now: int
     ) -> None:
         self.node, self.cargo, self.ends, self.ended, self.since = (
             node,
@@ -230,7 +230,7 @@
         self.fleet, self.number = fleet, number
         self.address, self.host_field, self.name = ("", 0), b"", ""
         self.retired = False
-        self.turn = NextTurn(fleet.reactor, fleet.now, self.serve)
+        self.turn = NextReactorTurn(fleet.reactor, fleet.now, self.serve)
         self.links = set[Link]()
         self.free: list[Link] = []
         self.waiting = deque[Sending]()
@@ -323,7 +323,7 @@
         dispatch whose client's close, or whose node's end, came in the same round. Harm: a turn of the loop.
         """
         if self.waiting:
-            self.turn.ask()
+            self.turn.schedule()
 
     def serve(self) -> None:
         """The one place where a dispatch that had to wait begins."""
@@ -401,7 +401,9 @@
         ):
             self.nodes[number].retire()
 
-    def carry(self, cargo: Cargo, node: int, ends: int, ended: Ended) -> Sending | None:
+    def carry(
+        self, cargo: Cargo, node: int, ends: int, ended: AttemptEnded
+    ) -> Sending | None:
         """Start one dispatch; None where no link leads there."""
         there = self.nodes.get(node)
         if there is None or not there.address[1]:
--- a/milletsill/http_gateway/process.py
+++ b/milletsill/http_gateway/process.py
@@ -63,7 +63,7 @@
     from twisted.internet import reactor
     from twisted.internet.error import CannotListenError
 
-    from milletsill.gateway.process_setup import SETTLED, settle_memory
+    from milletsill.gateway.process_setup import FREEZE_DELAY, freeze_long_lived_objects
     from milletsill.http_gateway.configuration import GatewayConfigurationRejected, read
     from milletsill.http_gateway.gateway import Gateway
     from milletsill.http_gateway.json_log import Lines
@@ -106,7 +106,7 @@
             reactor.stop()
 
     reactor.callWhenRunning(begin)
-    reactor.callLater(SETTLED, settle_memory)
+    reactor.callLater(FREEZE_DELAY, freeze_long_lived_objects)
     reactor.run(installSignalHandlers=False)
     end(status[0] if status else 0)
 
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -109,7 +109,7 @@
         self.lent = Gauge(
             "milletsill_lent_parts", "Parts lent, in wholes", registry=registry
         )
-        host.most_stale = GUARD
+        host.max_decision_age = GUARD
 
     # Life.
 
@@ -352,9 +352,9 @@
     def waiting(self) -> dict[Thing, float]:
         """Units that were taken and not sent yet, by thing: what a limit holds back does not arrive faster, but is wanted."""
         found: dict[Thing, float] = {}
-        for live in self.host.live.values():
-            if not live.answered and not live.outs:
-                arrival = live.arrival
+        for live in self.host.active.values():
+            if not live.answered and not live.attempts:
+                arrival = live.request
                 node = (
                     self.nodes.get(arrival.shard) if arrival.shard is not None else None
                 )
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -262,11 +262,11 @@
         """The client has left."""
         self.answered = lambda packet: None
         if self.transfer is not None:
-            self.edge.host.abandon(self.transfer)
+            self.edge.host.cancel_request(self.transfer)
 
     # The host's word on the present transfer.
 
-    def satisfied(self, verdict: Verdict) -> None:
+    def succeeded(self, verdict: Verdict) -> None:
         self.transfer = None
         answer, moved = verdict.answer, verdict.verdict == ELSEWHERE
         code = answer.code if isinstance(answer, packets.Status) else None
@@ -282,11 +282,11 @@
         self.done_before |= before in DOING and reply is Reply.FINE
         self.follow(effect, verdict, answer)
 
-    def declined(self, pause: int) -> None:
+    def rejected(self, pause: int) -> None:
         self.transfer = None
         self.gave_up(Reply.DECLINED, pause, "declined")
 
-    def aborted(self) -> None:
+    def failed(self) -> None:
         self.transfer = None
         self.gave_up(Reply.ABORTED, 0, "aborted")
 
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -11,8 +11,14 @@
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
 from milletsill.errors import ListenFailed, MilletsillError
-from milletsill.gateway.scheduler_host import Ended, Host, Make
-from milletsill.interface import Request, Endpoint, EndpointUpdateKind, Readiness
+from milletsill.gateway.active_requests import AttemptEnded
+from milletsill.gateway.scheduler_host import (
+    HostCallbacks,
+    SchedulerFactory,
+    SchedulerHost,
+)
+from milletsill.gateway.stall_detection import STALL_CHECK_INTERVAL, earliest_arrival
+from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
 from milletsill.logs import logger
 from milletsill.node_connections.connection_pool import Pool, Sending
 from milletsill.registry.endpoint_view import Box
@@ -25,7 +31,6 @@
 from milletsill.sftp_gateway.incarnation import keep, next_incarnation
 from milletsill.sftp_gateway.metrics import Figures
 from milletsill.sftp_gateway.routing import (
-    BEAT,
     FREE,
     AnswerLog,
     Event,
@@ -35,7 +40,6 @@
     admit,
     canonical,
     pass_on,
-    taken_since,
 )
 from milletsill.sftp_gateway.sftp_server import Clients, Connection
 
@@ -54,7 +58,7 @@
         self,
         file: Any,
         reactor: Any,
-        make: Make = Scheduler,
+        make: SchedulerFactory = Scheduler,
         now: Callable[[], int] = monotonic,
         log: Any = None,
     ) -> None:
@@ -99,16 +103,18 @@
         self.traces = self.tracer(given, seed) if file.HasField("trace") else None
         if self.traces is not None:
             make = self.traces.around(make)
-        self.host = Host(
+        self.host = SchedulerHost(
             reactor,
             now,
             given,
             seed,
             make,
-            self.carry,
-            self.follower.ask,
-            lambda text: self.remark("module", reason=text),
-            self.figures.note,
+            HostCallbacks(
+                start_attempt=self.carry,
+                watch_endpoints=self.follower.ask,
+                log=lambda text: self.remark("module", reason=text),
+                count=self.figures.note,
+            ),
         )
         self.flows = self.exporter(seed) if file.HasField("flows") else None
         self.parts = self.planned(given, seed) if file.HasField("planner") else None
@@ -232,23 +238,31 @@
         self.step(Event.LISTED)
         self.look_call = self.reactor.callLater(LOOK_EVERY, self.look, self.now())
         self.last_beat = self.now()
-        self.beat_call = self.reactor.callLater(BEAT / 10_000, self.beat)
+        self.beat_call = self.reactor.callLater(
+            STALL_CHECK_INTERVAL / 10_000, self.beat
+        )
 
     def beat(self) -> None:
         """Whether the process stood since the last beat: the sockets are read right after this."""
         now = self.now()
-        since = taken_since(now, self.last_beat + BEAT, self.last_beat)
+        since = earliest_arrival(
+            now, self.last_beat + STALL_CHECK_INTERVAL, self.last_beat
+        )
         if since is not None:
             self.stood_since = since
             self.after_round(self.caught_up)
         self.last_beat = now
-        self.beat_call = self.reactor.callLater(BEAT / 10_000, self.beat)
+        self.beat_call = self.reactor.callLater(
+            STALL_CHECK_INTERVAL / 10_000, self.beat
+        )
 
     def unread_since(self) -> int | None:
         """Since when what is read now may have lain unread; None where it is as new as it looks. Asked at each read: a process that
         stood between a socket's being ready and its being read has had no beat yet.
         """
-        since = taken_since(self.now(), self.last_beat + BEAT, self.last_beat)
+        since = earliest_arrival(
+            self.now(), self.last_beat + STALL_CHECK_INTERVAL, self.last_beat
+        )
         return (
             self.stood_since
             if since is None
@@ -268,7 +282,7 @@
         if effect == "open":
             self.open()
         elif effect == "drain":
-            self.log.info("draining", held=self.host.held)
+            self.log.info("draining", held=self.host.unanswered)
             if self.channels is not None:
                 self.channels.drain()  # the fleet is told of the leave when its offices are given up
             elif self.fleet is not None:
@@ -348,7 +362,7 @@
     def emptied(self) -> None:
         if (
             self.process is Process.DRAINING
-            and not self.host.held
+            and not self.host.unanswered
             and not (self.channels is not None and self.channels.held)
         ):
             self.reactor.callLater(0, self.step, Event.EMPTY)
@@ -361,7 +375,7 @@
     def stop(self) -> None:
         """Cut everything that is left."""
         self.process = Process.STOPPED
-        self.log.info("stopped", held=self.host.held)
+        self.log.info("stopped", held=self.host.unanswered)
         self.close_ports()
         self.follower.stop()
         if self.channels is not None:
@@ -391,7 +405,7 @@
         """Once a second: idle clients, the loop's lag, gauges."""
         now = self.now()
         self.figures.lag.observe(max(now - since - LOOK_EVERY * 10_000, 0) / 10_000)
-        self.figures.held.set(self.host.held)
+        self.figures.held.set(self.host.unanswered)
         self.figures.clients.set(len(self.clients))
         if self.traces is not None:
             self.traces.look()
@@ -444,7 +458,7 @@
         number: int,
         node: int,
         ends: int,
-        ended: Ended,
+        ended: AttemptEnded,
     ) -> Sending | None:
         """A dispatch as an order to a disk box."""
         pool = self.pools.get(node)
@@ -496,7 +510,10 @@
     def refusal(self, ends: int) -> str:
         """Why a command cannot be taken now; '' for none."""
         return admit(
-            self.process, self.host.held, self.file.door.most_held, ends - self.now()
+            self.process,
+            self.host.unanswered,
+            self.file.door.most_held,
+            ends - self.now(),
         )
 
     def told(self, running: Running, final: str, why: str) -> None:
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -10,8 +10,12 @@
 
 from twisted.internet import reactor
 
-from milletsill.gateway.process_setup import SETTLED, on_signal, settle_memory
-from milletsill.gateway.scheduler_host import Make
+from milletsill.gateway.process_setup import (
+    FREEZE_DELAY,
+    freeze_long_lived_objects,
+    install_signal_handler,
+)
+from milletsill.gateway.scheduler_host import SchedulerFactory
 from milletsill.scheduler import Scheduler
 from milletsill.settings.load import SettingsFileRejected, load
 from milletsill.settings.milletsill_pb2 import GatewayFile
@@ -28,7 +32,9 @@
     reactor.seconds = time.monotonic
 
 
-def run(files: Sequence[Any], paths: Sequence[str], make: Make = Scheduler) -> int:
+def run(
+    files: Sequence[Any], paths: Sequence[str], make: SchedulerFactory = Scheduler
+) -> int:
     """Until all edges have stopped; 0, or 1 where one could not listen."""
     steady(reactor)
     edges = [Edge(file, reactor, make) for file in files]
@@ -44,16 +50,20 @@
     for edge in edges:
         edge.stopped.append(lambda edge=edge: stopped(edge))
         reactor.callWhenRunning(edge.start)
-    on_signal(signal.SIGTERM, lambda: [each.terminate() for each in list(left)])
-    on_signal(signal.SIGINT, lambda: [each.terminate() for each in list(left)])
-    on_signal(
+    install_signal_handler(
+        signal.SIGTERM, lambda: [each.terminate() for each in list(left)]
+    )
+    install_signal_handler(
+        signal.SIGINT, lambda: [each.terminate() for each in list(left)]
+    )
+    install_signal_handler(
         signal.SIGHUP,
         lambda: [
             reload(each, path) for each, path in zip(edges, paths) if each in left
         ],
     )
     collector = Pauses(edges)
-    reactor.callLater(SETTLED, settle_memory)
+    reactor.callLater(FREEZE_DELAY, freeze_long_lived_objects)
     gc.callbacks.append(collector.heard)
     reactor.run(installSignalHandlers=False)
     gc.callbacks.remove(collector.heard)
--- a/milletsill/sftp_gateway/routing.py
+++ b/milletsill/sftp_gateway/routing.py
@@ -17,7 +17,6 @@
 import xxhash
 
 from milletsill.errors import InvalidValue
-from milletsill.gateway.stall_detection import BEAT, LATE_BEAT, io_first, taken_since  # noqa: F401
 from milletsill.sftp import packets
 
 # --- What a command is.
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -14,8 +14,8 @@
 from milletsill.sftp_gateway.command_execution import Opened, Running
 from milletsill.sftp_gateway.gateway_context import Around
 from milletsill.sftp_gateway.routing import (
-    InvalidPath,
     Door,
+    InvalidPath,
     Knock,
     Spot,
     fullness,
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -454,7 +454,7 @@
             for each in sharings:
                 box = step % 6
                 lost = box == 2 and step > 60
-                each.host.overheard(
+                each.host.on_attempt_ended(
                     now(),
                     arrival,
                     AttemptResult(
--- a/tests/gateway/test_scheduler_host.py
+++ b/tests/gateway/test_scheduler_host.py
@@ -4,8 +4,8 @@
 
 from twisted.internet.task import Clock
 
-from milletsill.gateway.scheduler_host import Host
-from milletsill.interface import Request, AttemptOutcome
+from milletsill.gateway.scheduler_host import HostCallbacks, SchedulerHost
+from milletsill.interface import AttemptOutcome, Request
 from milletsill.sftp import packets
 from milletsill.sftp.extensions import DONE, Verdict
 
@@ -42,45 +42,47 @@
     def __init__(self):
         self.told = []
 
-    def satisfied(self, verdict):
+    def succeeded(self, verdict):
         self.told.append("satisfied")
 
-    def declined(self, pause):
+    def rejected(self, pause):
         self.told.append(("declined", pause))
 
-    def aborted(self):
+    def failed(self):
         self.told.append("aborted")
 
 
 class Hosted(unittest.TestCase):
     def setUp(self):
         self.clock, self.pool, self.asker, self.log = Clock(), Links(), Asker(), []
-        self.host = Host(
+        self.host = SchedulerHost(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000 + 0.5),
             {},
             1,
             Module,
-            self.pool.carry,
-            lambda: None,
-            self.log.append,
-            lambda *values: None,
+            HostCallbacks(
+                start_attempt=self.pool.carry,
+                watch_endpoints=lambda: None,
+                log=self.log.append,
+                count=lambda *values: None,
+            ),
         )
         arrival = Request(1, 5, 1, 1, 0, 0, False, False, 0, 2.0, 10_000)
         self.host.take(arrival, self.asker, "cargo")
-        self.module = self.host.module
+        self.module = self.host.scheduler
 
     def verdict(self):
         return Verdict(DONE, "0", {"queue": 3.0}, None, 2, packets.Data(0, b"x"))
 
     def test_a_dispatch_that_ended_holds_on_to_nothing(self):
         self.host.send_attempt(1, 7, 5000)
-        out = self.host.live[1].outs[0]
+        out = self.host.active[1].attempts[0]
         self.pool.held[0][1](AttemptOutcome.ERROR, None)
-        self.assertEqual((out.over, out.sending), (True, None))
+        self.assertEqual((out.over, out.exchange), (True, None))
 
     def test_events_of_one_moment_are_settled_once(self):
-        self.host.abandon(1)
+        self.host.cancel_request(1)
         self.clock.advance(0)
         self.assertEqual(
             [
@@ -93,7 +95,7 @@
     def test_what_still_waits_for_a_link_is_withdrawn_when_its_client_leaves(self):
         self.pool.begun = False
         self.host.send_attempt(1, 7, 5000)
-        self.host.abandon(1)
+        self.host.cancel_request(1)
         self.assertEqual(
             self.pool.withdrawn, 1, "at once, whether or not the module may cancel"
         )
@@ -102,11 +104,11 @@
             [each[1].outcome for each in self.module.of("on_attempt_result")],
             [AttemptOutcome.WITHDRAWN],
         )
-        self.assertEqual(self.host.live, {})
+        self.assertEqual(self.host.active, {})
 
     def test_what_is_on_its_way_when_its_client_leaves_is_the_modules_to_cancel(self):
         self.host.send_attempt(1, 7, 5000)
-        self.host.abandon(1)
+        self.host.cancel_request(1)
         self.clock.advance(0)
         self.assertEqual(
             (self.pool.withdrawn, self.module.of("on_attempt_result")), (0, [])
@@ -118,7 +120,7 @@
         self.clock.rightNow += (
             0.5  # the process stood: a turn of the sockets comes first
         )
-        self.host.turn.ring()
+        self.host.turn.run()
         self.assertEqual(len(self.module.of("dispatch_pending")), 1)
         self.clock.advance(0)
         self.assertGreater(len(self.module.of("dispatch_pending")), 1)
@@ -136,7 +138,7 @@
                 answer.request_finished,
                 answer.units_elsewhere,
                 dict(answer.load_report),
-                self.host.live,
+                self.host.active,
             ),
             (["satisfied"], True, 2, {"queue": 3.0}, {}),
         )
@@ -148,20 +150,21 @@
             raise KeyError("lost")
 
         self.module.dispatch_pending = failing
-        self.host.abandon(1)  # settles
+        self.host.cancel_request(1)  # settles
         self.clock.advance(0)
         arrival = Request(2, 5, 1, 1, 0, 0, False, False, 0, 2.0, 20_000)
         self.host.take(arrival, self.asker, "cargo")
         self.clock.advance(2.01)
         self.assertEqual(
-            (self.asker.told, self.host.live, self.host.held), (["aborted"], {}, 0)
+            (self.asker.told, self.host.active, self.host.unanswered),
+            (["aborted"], {}, 0),
         )
         self.assertTrue(
             self.log and all("KeyError" in each for each in self.log), self.log
         )
 
     def test_a_send_decided_before_the_process_stood_is_not_made(self):
-        self.host.most_stale = 200
+        self.host.max_decision_age = 200
         self.clock.advance(0)  # settled now
         self.clock.rightNow += 0.03
         self.host.send_attempt(1, 7, 500)
@@ -191,7 +194,7 @@
     def test_after_a_stall_an_answer_in_the_socket_goes_before_its_time_out(self):
         self.host.send_attempt(1, 7, 500)
         self.clock.rightNow = 2.0  # the process stood; nothing was read
-        self.host.ring()
+        self.host.timers.run_due()
         self.assertEqual(self.module.of("on_attempt_result"), [])
         self.pool.held[0][1](AttemptOutcome.SUCCEEDED, self.verdict())
         self.clock.advance(0)
@@ -219,10 +222,10 @@
 
     def test_a_transfer_stays_until_its_dispatches_have_ended_without_its_data(self):
         self.host.send_attempt(1, 7, 500)
-        self.host.abandon(1)
-        self.assertIsNone(self.host.live[1].cargo)
+        self.host.cancel_request(1)
+        self.assertIsNone(self.host.active[1].payload)
         self.pool.held[0][1](AttemptOutcome.RESET, None)
-        self.assertEqual(self.host.live, {})
+        self.assertEqual(self.host.active, {})
 
     def test_a_cancel_ends_a_dispatch_but_not_from_within(self):
         self.host.send_attempt(1, 7, 500)
@@ -241,7 +244,7 @@
                 [
                     each
                     for each in self.clock.getDelayedCalls()
-                    if each.func == self.host.ring
+                    if each.func == self.host.timers.run_due
                 ]
             ),
             1,
--- a/tests/http1/test_messages.py
+++ b/tests/http1/test_messages.py
@@ -331,7 +331,8 @@
             self.assertEqual(read(reader, *pieces), [])
             whole = reader.on_close()
             self.assertEqual(
-                (whole.status, whole.body, whole.keep_alive), (200, b"until the end", False)
+                (whole.status, whole.body, whole.keep_alive),
+                (200, b"until the end", False),
             )
         for data in (
             b"HTTP/1.1 200 OK\r\n",
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -326,7 +326,10 @@
     def test_without_plans_a_request_needs_none(self):
         for changed in ({"plans": []}, {"drop": ("plans",)}):
             self.assertEqual(
-                self.arrival(self.deployment(**changed), ask(drop=("X-Plan",))).service_plan, 0
+                self.arrival(
+                    self.deployment(**changed), ask(drop=("X-Plan",))
+                ).service_plan,
+                0,
             )
         with self.assertRaises(InvalidRequest):
             self.arrival(self.deployment(), ask(drop=("X-Plan",)))
@@ -341,7 +344,9 @@
     def test_the_method_says_what_writes_where_the_settings_do_not(self):
         deployment = self.deployment(extra={})
         for method, write in (("GET", False), ("PUT", True)):
-            self.assertEqual(self.arrival(deployment, ask(method=method)).is_write, write)
+            self.assertEqual(
+                self.arrival(deployment, ask(method=method)).is_write, write
+            )
 
     def test_dials_and_idle_links_last_a_while_where_the_settings_do_not_say(self):
         reactor = Reactor()
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -81,7 +81,7 @@
             client, wire = self.client(bad)
             self.assertRegex(wire.value(), rb"HTTP/1\.1 (4|5)\d\d ", bad[:200])
             self.assertTrue(wire.half_closed)
-        self.assertEqual((self.dialled(7070), self.gateway.host.held), ([], 0))
+        self.assertEqual((self.dialled(7070), self.gateway.host.unanswered), ([], 0))
 
     def test_the_id_of_an_open_transfer_is_refused_and_the_open_one_goes_on(self):
         (_, first), (link, _) = self.served(answer=None)
@@ -107,7 +107,7 @@
         self.lost(client)
         self.reactor.advance(0.01)
         self.assertEqual(
-            (self.gateway.host.held, sent.aborted, self.gateway.host.live),
+            (self.gateway.host.unanswered, sent.aborted, self.gateway.host.active),
             (0, True, {}),
         )
 
@@ -406,7 +406,7 @@
         )
 
     def test_every_node_is_reached_and_links_stay_within_their_bound(self):
-        module, fleet = self.gateway.host.module, self.gateway.fleet
+        module, fleet = self.gateway.host.scheduler, self.gateway.fleet
         self.assertEqual(
             (len(module.nodes), len(fleet.nodes), module.facts["index"]),
             (1024, 1024, 1023),
--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -179,7 +179,7 @@
                 if over != "open":
                     self.pass_time(1.0)
                     late = self.client(ask(**elsewhere))
-                    self.until(lambda: self.gateway.host.held == 1, "not taken")
+                    self.until(lambda: self.gateway.host.unanswered == 1, "not taken")
                     late.close()
 
     def test_one_octet_at_a_time_without_an_end_is_refused_in_time(self):
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -51,7 +51,7 @@
         sent = self.sent_on()
         self.pass_time(1.2)
         self.assertEqual(
-            (self.gateway.host.live, self.gateway.host.held, self.sent_on()),
+            (self.gateway.host.active, self.gateway.host.unanswered, self.sent_on()),
             ({}, 0, sent),
         )
 
@@ -131,7 +131,7 @@
                 one = self.client(
                     ask(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
                 )
-                self.until(lambda: self.gateway.host.held, "not taken")
+                self.until(lambda: self.gateway.host.unanswered, "not taken")
                 leaves(one, how)
                 self.turn(5)
                 place = NODE | {
@@ -273,7 +273,7 @@
         )
         link = self.taken()
         self.turn(5)
-        self.assertEqual((self.sent_on(), self.gateway.host.held), (1, 1))
+        self.assertEqual((self.sent_on(), self.gateway.host.unanswered), (1, 1))
         link.sendall(answer(2))
         text = b""
 
--- a/tests/http_gateway/test_races_message_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -241,7 +241,7 @@
                 self.until(lambda: self.gateway.octets.held > 65_536, "not counted")
             one.close()
             self.until(
-                lambda: not self.gateway.clients.open and not self.gateway.host.live,
+                lambda: not self.gateway.clients.open and not self.gateway.host.active,
                 "not left",
             )
             self.assertEqual(self.gateway.octets.held, 0)
@@ -272,7 +272,9 @@
         self.until(refused, "no word")
         self.assertTrue(said.startswith(b"HTTP/1.1 503 "), said)
         usual = self.client(ask(TXN + 9))
-        self.until(lambda: self.gateway.host.held == 2, "a usual one is not taken")
+        self.until(
+            lambda: self.gateway.host.unanswered == 2, "a usual one is not taken"
+        )
         usual.close()
 
     def test_one_over_the_bound_is_refused(self):
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -309,8 +309,8 @@
                 self.pass_time(1.0)
                 self.assertEqual(
                     (
-                        self.gateway.host.live,
-                        self.gateway.host.held,
+                        self.gateway.host.active,
+                        self.gateway.host.unanswered,
                         self.gateway.octets.held,
                     ),
                     ({}, 0, 0),
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -100,7 +100,7 @@
                 idle.sendall(WHOLE)
                 self.loop.until(lambda: self.fleet.nodes[number_of("s-1")].free)
                 if due:
-                    self.fleet.nodes[number_of("s-1")].turn.ask()
+                    self.fleet.nodes[number_of("s-1")].turn.schedule()
                 second.withdraw(AttemptOutcome.TIMED_OUT)
                 further = self.carry()
                 self.assertFalse(further.begun, "beside one that is out")
@@ -393,15 +393,15 @@
             )  # the next turn finds the link up and the client gone
             leave(client)
             self.untouched()
-            self.assertEqual(self.gateway.host.held, 0)
+            self.assertEqual(self.gateway.host.unanswered, 0)
 
     def test_what_has_not_begun_when_its_client_leaves_does_not_begin(self):
         self.client(ask())
         self.until(self.dialled)
-        self.gateway.host.abandon(next(iter(self.gateway.host.live)))
+        self.gateway.host.cancel_request(next(iter(self.gateway.host.active)))
         self.untouched()
         self.assertEqual(
-            (self.gateway.tally["ended", "moot"], self.gateway.host.live), (1, {})
+            (self.gateway.tally["ended", "moot"], self.gateway.host.active), (1, {})
         )
 
 
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -89,7 +89,7 @@
                     self.pour(one, (ask() if together else b"") + second, size)
                     link = link or self.taken()
                     self.assertEqual(
-                        (self.gateway.host.held, self.sent_on(), self.got(one)),
+                        (self.gateway.host.unanswered, self.sent_on(), self.got(one)),
                         (1, 1, (b"", "open")),
                     )
                     self.assertLessEqual(self.gateway.octets.held, 1 << 17)
@@ -126,7 +126,7 @@
             (self.counted("refused"), self.sent_on()),
             ({"too much ahead of an answer": 1}, 1),
         )
-        self.assertEqual((self.gateway.octets.held, self.gateway.host.live), (0, {}))
+        self.assertEqual((self.gateway.octets.held, self.gateway.host.active), (0, {}))
 
     def test_where_the_memory_is_full_a_long_one_behind_an_open_one_is_refused_and_short_ones_are_not(
         self,
@@ -137,7 +137,9 @@
         self.pour(one, ask(TXN + 2, body=BODY, **KEYED))
         self.pour(other, ask(TXN + 3))
         self.assertEqual(self.all_of(one)[0][:12], b"HTTP/1.1 503")
-        self.assertEqual((self.got(other), self.gateway.host.held), ((b"", "open"), 1))
+        self.assertEqual(
+            (self.got(other), self.gateway.host.unanswered), ((b"", "open"), 1)
+        )
         self.assertEqual(self.gateway.octets.held, self.gateway.octets.most)
 
     def test_what_cannot_be_read_behind_a_request_is_refused_at_once_and_reaches_nobody(
@@ -211,7 +213,7 @@
                 self.assertEqual((got.count(b"HTTP/1.1 4"), how), (1, "ended"))
                 self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
                 self.assertEqual(
-                    (self.counted("answer"), self.gateway.host.live),
+                    (self.counted("answer"), self.gateway.host.active),
                     ({"abandoned": 1}, {}),
                 )
 
@@ -288,7 +290,7 @@
         one = self.client(self.many(20))
         link, data = self.taken(), bytearray()
         for number in range(20):
-            self.assertEqual(self.gateway.host.held, 1)
+            self.assertEqual(self.gateway.host.unanswered, 1)
             self.served(link, number)
             if number < 19:
                 self.assertIn(
@@ -328,8 +330,8 @@
                     self.assertEqual(
                         (
                             self.sent_on(),
-                            self.gateway.host.live,
-                            self.gateway.host.held,
+                            self.gateway.host.active,
+                            self.gateway.host.unanswered,
                         ),
                         (begun, {}, 0),
                     )
@@ -366,7 +368,7 @@
                     self.assertEqual(
                         (
                             self.sent_on(),
-                            self.gateway.host.live,
+                            self.gateway.host.active,
                             self.gateway.octets.held,
                         ),
                         (0, {}, 0),
@@ -392,7 +394,7 @@
         self.turn(20)
         self.pass_time(0.3)
         self.assertEqual(
-            (self.sent_on(), self.gateway.host.live, self.gateway.octets.held),
+            (self.sent_on(), self.gateway.host.active, self.gateway.octets.held),
             (0, {}, 0),
         )
 
@@ -420,7 +422,7 @@
                     self.assertEqual(
                         (
                             self.sent_on(),
-                            self.gateway.host.live,
+                            self.gateway.host.active,
                             self.gateway.octets.held,
                         ),
                         (1, {}, 0),
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -210,7 +210,7 @@
     def drains(self):
         return any(
             node.health.name == "BARRED"
-            for node in self.gateway.host.module.nodes.values()
+            for node in self.gateway.host.scheduler.nodes.values()
         )
 
     def calls(self):
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -146,7 +146,7 @@
         data, how = self.all_of(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 502", "ended"))
         self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
-        self.assertEqual(self.gateway.host.live, {})
+        self.assertEqual(self.gateway.host.active, {})
         self.assertEqual(
             sum(
                 count
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -276,7 +276,7 @@
     def test_what_waits_is_wanted(self):
         parts = self.parts()
         parts.volume(1, 4, parts.facts["plans"][0], 0.0)
-        self.host.live = {
+        self.host.active = {
             1: Mock(
                 answered=False, outs=[], arrival=Mock(volume=1, cell=None, units=3.0)
             ),
@@ -288,7 +288,7 @@
 
     def test_a_send_that_was_decided_long_ago_is_not_made(self):
         self.parts()
-        self.assertEqual(self.host.most_stale, GUARD)
+        self.assertEqual(self.host.max_decision_age, GUARD)
 
 
 class Sockets(TestCase):
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -188,7 +188,10 @@
         self.assertTrue(declined(answer), answer)
         await later(0.6)
         self.assertEqual(
-            (len(edge.host.live), sum(each.id == answer.id for each in client.answers)),
+            (
+                len(edge.host.active),
+                sum(each.id == answer.id for each in client.answers),
+            ),
             (0, 1),
         )
 
@@ -202,11 +205,11 @@
         for _ in range(5):
             client.command(packets.Read(0, handle, 0, 10))
         await later(0.1)
-        self.assertEqual(edge.host.held, 5)
+        self.assertEqual(edge.host.unanswered, 5)
         client.transport.abortConnection()
         await client.lost
         await later(0.1)
-        self.assertEqual((edge.host.held, len(edge.clients)), (0, 0))
+        self.assertEqual((edge.host.unanswered, len(edge.clients)), (0, 0))
 
     async def test_an_id_that_is_still_out_is_refused_and_the_first_answered(self):
         rig = Rig(self)
@@ -260,7 +263,7 @@
             await later(0.1)
             await other.command(packets.Stat(0, "/h"))
             most = max(
-                [most, edge.host.held] + [len(each.out) for each in edge.clients]
+                [most, edge.host.unanswered] + [len(each.out) for each in edge.clients]
             )
             if len(edge.clients) == 1:
                 break
@@ -334,7 +337,7 @@
         await later(0.0005)
         time.sleep(2)
         answers = await defer.gatherResults(going)
-        self.assertEqual((len(answers), edge.host.held), (8, 0))
+        self.assertEqual((len(answers), edge.host.unanswered), (8, 0))
         self.assertEqual(len({each.id for each in answers}), 8)
         ends = time.monotonic() + 8
         while not isinstance(
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -2,6 +2,10 @@
 
 import unittest
 
+from milletsill.gateway.stall_detection import (
+    earliest_arrival,
+    must_read_sockets_first,
+)
 from milletsill.sftp import packets
 from milletsill.sftp.wire import Attrs
 from milletsill.sftp_gateway.routing import (
@@ -10,10 +14,10 @@
     HASHED,
     AnswerLog,
     Atlas,
-    InvalidPath,
     Course,
     Door,
     Event,
+    InvalidPath,
     Knock,
     Leg,
     Locations,
@@ -29,14 +33,12 @@
     ends_at,
     first_leg,
     fullness,
-    io_first,
     knock,
     page,
     pass_on,
     reply_of,
     spot_of,
     spot_text,
-    taken_since,
     told,
 )
 
@@ -294,7 +296,7 @@
     def test_after_a_stall_sockets_go_before_timeouts_once(self):
         self.assertEqual(
             [
-                io_first(*each)
+                must_read_sockets_first(*each)
                 for each in ((20_000, False), (20_000, True), (10, False))
             ],
             [True, False, False],
@@ -302,7 +304,8 @@
 
     def test_what_is_read_after_a_stall_may_be_as_old_as_the_last_beat(self):
         self.assertEqual(
-            [taken_since(1500, 1490, 990), taken_since(9000, 1490, 990)], [None, 990]
+            [earliest_arrival(1500, 1490, 990), earliest_arrival(9000, 1490, 990)],
+            [None, 990],
         )
 
     def test_answers_are_logged_at_a_bounded_rate_and_the_rest_counted(self):
--- a/tests/support/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -168,7 +168,7 @@
     def drains(self, gateway=None):
         return any(
             node.health.name == "BARRED"
-            for node in (gateway or self.gateway).host.module.nodes.values()
+            for node in (gateway or self.gateway).host.scheduler.nodes.values()
         )
 
 
@@ -201,7 +201,7 @@
             0,
             self.gateway.log,
         )
-        self.gateway.follower.uniform = self.gateway.host.module.uniform = (
+        self.gateway.follower.uniform = self.gateway.host.scheduler.uniform = (
             lambda least, most: (least, most)[draw]
         )
         return service
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -3,8 +3,7 @@
 from contextlib import contextmanager
 from unittest.mock import patch
 
-from milletsill.gateway import reactor_turn, scheduler_host
-from milletsill.gateway.scheduler_host import Host
+from milletsill.gateway import reactor_turn, timer_queue
 from milletsill.http_gateway import node_connections
 from milletsill.http_gateway.endpoint_watcher import Watch
 from milletsill.http_gateway.gateway import Gateway
@@ -26,7 +25,7 @@
     if sending is not None and whole is not None:
         sending.end(node_connections.outcome_of(whole), node_connections.Verdict(whole))
     elif sending is not None:
-        sending.end(node_connections.Outcome.RESET)
+        sending.end(node_connections.AttemptOutcome.RESET)
 
 
 def idle(self, link):
@@ -47,8 +46,8 @@
 
 def close(self, live):
     live.answered = True
-    self.held -= 1
-    self.clear(live)
+    self.unanswered -= 1
+    self._forget_if_over(live)
 
 
 def received(self, data):
@@ -85,7 +84,7 @@
     """As it is, but what is held ends with the step itself."""
     STEPPED(self, event)
     if event is Event.SHUT:
-        self.host.end_all()
+        self.host.fail_all()
 
 
 STEPPED = Gateway.step
@@ -97,10 +96,10 @@
 
 GUARDS = {
     "what came is read before anything is begun": lambda: patch.object(
-        reactor_turn, "io_first", never
+        reactor_turn, "must_read_sockets_first", never
     ),
     "what came is read before a time-out": lambda: patch.object(
-        scheduler_host, "io_first", never
+        timer_queue, "must_read_sockets_first", never
     ),
     "what waits at a node that retires is moot": lambda: patch.multiple(
         Node, retire=retire, idle=idle_anywhere
--- a/tests/support/race_scenarios.py
+++ b/tests/support/race_scenarios.py
@@ -416,15 +416,15 @@
             for each in self.world.socks.values()
         )
         found = {
-            "live": len(gateway.host.live),
-            "held": gateway.host.held,
+            "live": len(gateway.host.active),
+            "held": gateway.host.unanswered,
             "clients": len(gateway.clients.open),
             "links": fleet.open - stand,
             "octets": fleet.octets.held,
             "dials": sum(each.dials for each in fleet.nodes.values()),
             "waiting": sum(len(each.waiting) for each in fleet.nodes.values()),
-            "out": len(gateway.host.module.outstanding),
-            "transfers": len(gateway.host.module.transfers),
+            "out": len(gateway.host.scheduler.outstanding),
+            "transfers": len(gateway.host.scheduler.transfers),
         }
         if any(found.values()):
             self.watch.breach("held after all is quiet:", found)
--- a/tests/support/scheduler_builders.py
+++ b/tests/support/scheduler_builders.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from milletsill.interface import (
+    AttemptOutcome,
     AttemptResult,
-    Request,
     Endpoint,
-    AttemptOutcome,
     Readiness,
+    Request,
 )
 from milletsill.scheduler import Scheduler
 from milletsill.scheduler.records import Node, Transfer
