--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -115,7 +115,7 @@
         Node, "idle", idle
     ),
     "what waits for a link goes with its transfer": lambda: patch.object(
-        Host, "close", close
+        SchedulerHost, "_close", close
     ),
     "octets before ours are written are no answer": lambda: patch.object(
         Link, "dataReceived", received
