--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -4,6 +4,7 @@
 from unittest.mock import patch
 
 from milletsill.gateway import reactor_turn, timer_queue
+from milletsill.gateway.scheduler_host import SchedulerHost
 from milletsill.http_gateway import node_connections
 from milletsill.http_gateway.endpoint_watcher import Watch
 from milletsill.http_gateway.gateway import Gateway
