--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -278,10 +278,14 @@
         parts.volume(1, 4, parts.facts["plans"][0], 0.0)
         self.host.active = {
             1: Mock(
-                answered=False, attempts=[], request=Mock(volume=1, shard=None, units=3.0)
+                answered=False,
+                attempts=[],
+                request=Mock(volume=1, shard=None, units=3.0),
             ),
             2: Mock(
-                answered=False, attempts=[1], request=Mock(volume=1, shard=None, units=9.0)
+                answered=False,
+                attempts=[1],
+                request=Mock(volume=1, shard=None, units=9.0),
             ),
         }
         self.assertEqual(parts.waiting()["limit", 1], 3.0)
