--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -87,8 +87,11 @@
 
     from twisted.internet import reactor
 
-    from milletsill.node_connections.connection_pool import Pool
-    from milletsill.node_connections.connection_state import Bounds
+    from milletsill.node_connections.connection_pool import (
+        NodeConnectionPool,
+        PoolConfig,
+    )
+    from milletsill.node_connections.connection_state import PoolLimits
     from milletsill.sftp import extensions, packets
 
     call = urllib.request.Request(
@@ -96,16 +99,18 @@
     )
     with urllib.request.urlopen(call, timeout=5) as answer:
         kvs = json.load(answer)["kvs"]
-    bounds = Bounds(4, 64, 1, 2500, 300_000, 10_000)
+    bounds = PoolLimits(4, 64, 1, 2500, 300_000, 10_000)
     pools = [
-        Pool(
+        NodeConnectionPool(
             reactor,
             lambda: time.monotonic_ns() // 100_000,
-            json.loads(base64.b64decode(each["value"]))["address"],
-            bounds,
-            "direct",
-            1,
-            1 << 20,
+            PoolConfig(
+                json.loads(base64.b64decode(each["value"]))["address"],
+                bounds,
+                "direct",
+                1,
+                1 << 20,
+            ),
             print,
         )
         for each in kvs
@@ -129,7 +134,7 @@
             "",
             packets.Read(0, f"/v/f{number % 64}".encode(), 0, 4096),
         )
-        pools[number % len(pools)].dispatch(
+        pools[number % len(pools)].send_attempt(
             order, lambda outcome, verdict: spans.append(perf() - began)
         )
 
--- a/milletsill/node_connections/connection_state.py
+++ b/milletsill/node_connections/connection_state.py
@@ -1,119 +1,237 @@
-"""What the pool of one disk box does: which connection a dispatch takes, when to dial, beat, cut and close.
+"""What the pool of one node does.
 
-No I/O and no clock: figures in, one word out. Spans are tenths of a millisecond.
+Which connection an attempt takes, when connections end.
+
+A table and pure functions: no I/O, no clock. Times are tenths of a millisecond.
+
+    DIALING --CONNECTED--> HANDSHAKING --VERSION--> READY <--RECEIVED-- SUSPECT
+                                                      |---SILENT-----------^ |
+                                                      v                      v SILENT
+                                                    CLOSED <-----------------+
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from enum import Enum
-
-# DIALING: no connection yet. GREETING: waits for VERSION. READY: takes dispatches. DOUBTED: owes a beat.
-Stage = Enum("Stage", "DIALING GREETING READY DOUBTED CLOSED")
-# WORD: bytes came. QUIET: nothing came for the silent span though something is owed. LATE: no handshake in time.
-# SPENT: idle for the idle span. BROKEN: bytes that are no packet. LOST: the transport ended. RETIRE: the box is gone.
-Sign = Enum("Sign", "CONNECTED VERSION WORD QUIET LATE SPENT BROKEN LOST RETIRE")
-
-OPEN_STAGES = (Stage.DIALING, Stage.GREETING, Stage.READY, Stage.DOUBTED)
-LINK_TABLE: Mapping[tuple[Stage, Sign], tuple[Stage, str]] = {
-    (Stage.DIALING, Sign.CONNECTED): (Stage.GREETING, "greet"),
-    (Stage.GREETING, Sign.VERSION): (Stage.READY, "serve"),
-    (Stage.GREETING, Sign.QUIET): (Stage.GREETING, ""),
-    (Stage.READY, Sign.QUIET): (Stage.DOUBTED, "beat"),
-    (Stage.DOUBTED, Sign.WORD): (Stage.READY, "serve"),
-    # Guards against a half-open connection, which gives neither data nor an end. A box that only stands still for
-    # less than two silent spans is kept. Harm: a box that is stopped for longer loses what it had in work.
-    (Stage.DOUBTED, Sign.QUIET): (Stage.CLOSED, "cut"),
-    (Stage.READY, Sign.SPENT): (Stage.CLOSED, "close"),
-    (Stage.READY, Sign.RETIRE): (Stage.CLOSED, "close"),
+from enum import Enum, auto
+
+
+class ConnectionState(Enum):
+    """The state of one connection."""
+
+    DIALING = auto()  # no connection yet
+    HANDSHAKING = auto()  # waits for the node's VERSION packet
+    READY = auto()  # takes attempts
+    SUSPECT = auto()  # owes the answer to a ping
+    CLOSED = auto()
+
+
+class ConnectionEvent(Enum):
+    """What happens to one connection."""
+
+    CONNECTED = auto()
+    VERSION = auto()  # the node's VERSION packet came
+    RECEIVED = auto()  # octets came
+    SILENT = auto()  # nothing came for the silence limit although something is owed
+    HANDSHAKE_LATE = auto()
+    IDLE = auto()  # nothing was owed for the idle limit
+    MALFORMED = auto()  # octets that are no packet, or the process ends
+    LOST = auto()  # the transport ended
+    RETIRED = auto()  # the node is gone
+
+
+class ConnectionEffect(Enum):
+    """What is to be done after an event."""
+
+    NONE = auto()
+    SEND_INIT = auto()
+    SERVE_WAITING = auto()  # hand waiting attempts to connections
+    SEND_PING = auto()
+    CLOSE = auto()
+    ABORT = auto()
+    FINISH = auto()  # the transport has ended by itself
+
+
+OPEN_STATES = (
+    ConnectionState.DIALING,
+    ConnectionState.HANDSHAKING,
+    ConnectionState.READY,
+    ConnectionState.SUSPECT,
+)
+OPENING_STATES = (ConnectionState.DIALING, ConnectionState.HANDSHAKING)
+Transition = tuple[ConnectionState, ConnectionEffect]
+CONNECTION_TABLE: Mapping[tuple[ConnectionState, ConnectionEvent], Transition] = {
+    (ConnectionState.DIALING, ConnectionEvent.CONNECTED): (
+        ConnectionState.HANDSHAKING,
+        ConnectionEffect.SEND_INIT,
+    ),
+    (ConnectionState.HANDSHAKING, ConnectionEvent.VERSION): (
+        ConnectionState.READY,
+        ConnectionEffect.SERVE_WAITING,
+    ),
+    (ConnectionState.HANDSHAKING, ConnectionEvent.SILENT): (
+        ConnectionState.HANDSHAKING,
+        ConnectionEffect.NONE,
+    ),
+    (ConnectionState.READY, ConnectionEvent.SILENT): (
+        ConnectionState.SUSPECT,
+        ConnectionEffect.SEND_PING,
+    ),
+    (ConnectionState.SUSPECT, ConnectionEvent.RECEIVED): (
+        ConnectionState.READY,
+        ConnectionEffect.SERVE_WAITING,
+    ),
+    # A half-open connection gives neither data nor an end. A node that only stands
+    # still for less than two silence limits is kept; one that is stopped for longer
+    # loses what it had in work.
+    (ConnectionState.SUSPECT, ConnectionEvent.SILENT): (
+        ConnectionState.CLOSED,
+        ConnectionEffect.ABORT,
+    ),
+    (ConnectionState.READY, ConnectionEvent.IDLE): (
+        ConnectionState.CLOSED,
+        ConnectionEffect.CLOSE,
+    ),
+    (ConnectionState.READY, ConnectionEvent.RETIRED): (
+        ConnectionState.CLOSED,
+        ConnectionEffect.CLOSE,
+    ),
+    **{
+        (state, ConnectionEvent.HANDSHAKE_LATE): (
+            ConnectionState.CLOSED,
+            ConnectionEffect.ABORT,
+        )
+        for state in OPENING_STATES
+    },
     **{
-        (stage, Sign.LATE): (Stage.CLOSED, "cut")
-        for stage in (Stage.DIALING, Stage.GREETING)
+        (state, ConnectionEvent.MALFORMED): (
+            ConnectionState.CLOSED,
+            ConnectionEffect.ABORT,
+        )
+        for state in OPEN_STATES
+    },
+    **{
+        (state, ConnectionEvent.LOST): (
+            ConnectionState.CLOSED,
+            ConnectionEffect.FINISH,
+        )
+        for state in OPEN_STATES
     },
-    **{(stage, Sign.BROKEN): (Stage.CLOSED, "cut") for stage in OPEN_STAGES},
-    **{(stage, Sign.LOST): (Stage.CLOSED, "end") for stage in OPEN_STAGES},
 }
 
 
-def step(stage: Stage, sign: Sign) -> tuple[Stage, str]:
-    """The next stage and what to do; what the table does not name changes nothing."""
-    return LINK_TABLE.get((stage, sign), (stage, ""))
+def next_state(state: ConnectionState, event: ConnectionEvent) -> Transition:
+    """Return the next state and what to do.
+
+    An event not in the table changes nothing.
+    """
+    return CONNECTION_TABLE.get((state, event), (state, ConnectionEffect.NONE))
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """Bounds of one pool; `silent` and `dial` in tenths of a millisecond."""
+class PoolLimits:
+    """Bounds of one pool.
+
+    Attributes:
+        connections: connections to one node.
+        streams: attempts in flight on one connection.
+        handshakes: connections that may be opening at once.
+        dial: time until a connection has to be ready.
+        idle: time after which a connection that owes nothing is closed.
+        silence: time without an octet after which a node that owes something is pinged.
+    """
 
     connections: int
     streams: int
     handshakes: int
     dial: int
     idle: int
-    silent: int
+    silence: int
 
 
 @dataclass(slots=True)
-class Load:
-    """One connection as the pool sees it: `stuck` while the box does not take bytes."""
+class ConnectionLoad:
+    """One connection as the pool sees it.
+
+    Attributes:
+        in_flight: attempts without an end.
+        blocked: whether the node does not take octets at the moment.
+    """
+
+    state: ConnectionState
+    in_flight: int = 0
+    blocked: bool = False
 
-    stage: Stage
-    out: int = 0
-    stuck: bool = False
 
+class Route(Enum):
+    """Which way an attempt goes."""
 
-Way = Enum("Way", "USE DIAL WAIT REFUSE")
+    USE = auto()  # a connection that is ready
+    DIAL = auto()  # a new connection
+    WAIT = auto()  # a connection that is opening
+    REFUSE = auto()
 
 
-def route(loads: Sequence[Load], waiting: int, bounds: Bounds) -> tuple[Way, int]:
-    """Which way a dispatch goes, and the place of the connection it takes.
+def choose_route(
+    loads: Sequence[ConnectionLoad], waiting: int, limits: PoolLimits
+) -> tuple[Route, int]:
+    """Return the route of an attempt, and the index of the connection it uses or -1.
 
-    The least loaded connection that takes more; else a new one, if the bounds on connections and handshakes let it;
-    else it waits for one that is being made, never more of them than those could carry; else it is refused, which
-    tells the module that the box was not reached.
+    The least loaded connection that takes more; else a new one, if the bounds let it;
+    else the attempt waits for one that is opening, but no more attempts than those can
+    carry; else it is refused, and the scheduler hears that the node is unreachable.
     """
     best = min(
         (
-            place
-            for place, each in enumerate(loads)
-            if each.stage is Stage.READY
-            and not each.stuck
-            and each.out < bounds.streams
+            index
+            for index, load in enumerate(loads)
+            if load.state is ConnectionState.READY
+            and not load.blocked
+            and load.in_flight < limits.streams
         ),
-        key=lambda place: loads[place].out,
+        key=lambda index: loads[index].in_flight,
         default=-1,
     )
-    if best >= 0 and (
-        loads[best].out == 0
-        or not may_dial(loads, bounds)
-        or loads[best].out < bounds.streams // 2
-    ):
-        return Way.USE, best
-    if may_dial(loads, bounds):
-        return Way.DIAL, -1
     if best >= 0:
-        return Way.USE, best
-    making = sum(each.stage in (Stage.DIALING, Stage.GREETING) for each in loads)
-    return (Way.WAIT, -1) if waiting < making * bounds.streams else (Way.REFUSE, -1)
+        in_flight = loads[best].in_flight
+        if (
+            in_flight == 0
+            or not may_dial(loads, limits)
+            or in_flight < limits.streams // 2
+        ):
+            return Route.USE, best
+    if may_dial(loads, limits):
+        return Route.DIAL, -1
+    if best >= 0:
+        return Route.USE, best
+    opening = sum(load.state in OPENING_STATES for load in loads)
+    return (Route.WAIT if waiting < opening * limits.streams else Route.REFUSE), -1
 
 
-def may_dial(loads: Sequence[Load], bounds: Bounds) -> bool:
-    """Whether one more handshake is within the bounds."""
-    open_now = [each for each in loads if each.stage in OPEN_STAGES]
-    making = sum(each.stage in (Stage.DIALING, Stage.GREETING) for each in open_now)
-    return len(open_now) < bounds.connections and making < bounds.handshakes
+def may_dial(loads: Sequence[ConnectionLoad], limits: PoolLimits) -> bool:
+    """Whether one more connection is within the bounds."""
+    open_loads = [load for load in loads if load.state in OPEN_STATES]
+    opening = sum(load.state in OPENING_STATES for load in open_loads)
+    return len(open_loads) < limits.connections and opening < limits.handshakes
 
 
-def due(stage: Stage, owed: int, quiet: int, age: int, bounds: Bounds) -> Sign | None:
-    """What the passing of time means for one connection.
+def time_event(
+    state: ConnectionState, owed: int, quiet: int, age: int, limits: PoolLimits
+) -> ConnectionEvent | None:
+    """Return what the passing of time means for one connection.
 
-    `owed`: answers or beats that the box owes; `quiet`: since its last byte or since it owes, whichever is later;
-    `age`: since dialling.
+    Args:
+        state: the connection's state.
+        owed: answers that the node owes, to attempts or pings.
+        quiet: time since its last octet, or since it owes, whichever is later.
+        age: time since dialling.
+        limits: the pool's bounds.
     """
-    if stage in (Stage.DIALING, Stage.GREETING):
-        return Sign.LATE if age >= bounds.dial else None
-    if owed and quiet >= bounds.silent:
-        return Sign.QUIET
-    if not owed and quiet >= bounds.idle:
-        return Sign.SPENT
+    if state in OPENING_STATES:
+        return ConnectionEvent.HANDSHAKE_LATE if age >= limits.dial else None
+    if owed and quiet >= limits.silence:
+        return ConnectionEvent.SILENT
+    if not owed and quiet >= limits.idle:
+        return ConnectionEvent.IDLE
     return None
--- a/milletsill/sftp_gateway/deployment.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -9,7 +9,7 @@
 from math import ceil
 from typing import Any
 
-from milletsill.node_connections.connection_state import Bounds
+from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.sftp_gateway.routing import Atlas, RouteRule, VolumePlace, pick_facts
 
 
@@ -126,10 +126,10 @@
     )
 
 
-def bounds_of(file: Any) -> Bounds:
+def bounds_of(file: Any) -> PoolLimits:
     """The bounds of every pool of links."""
     links = file.links
-    return Bounds(
+    return PoolLimits(
         links.connections,
         links.streams,
         links.handshakes,
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -20,7 +20,8 @@
 from milletsill.gateway.stall_detection import STALL_CHECK_INTERVAL, earliest_arrival
 from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
 from milletsill.logs import logger
-from milletsill.node_connections.connection_pool import Pool, Sending
+from milletsill.node_connections.attempt_exchange import PooledExchange
+from milletsill.node_connections.connection_pool import NodeConnectionPool, PoolConfig
 from milletsill.registry.endpoint_view import Box
 from milletsill.registry.registry_watcher import Follower
 from milletsill.scheduler import Scheduler
@@ -79,7 +80,7 @@
             deployment.bounds_of(file),
         )
         self.margin = deployment.at_least(file.door.answer_margin_ms)
-        self.pools: dict[int, Pool] = {}
+        self.pools: dict[int, NodeConnectionPool] = {}
         self.clients: set[Connection] = set()
         self.transfers = self.objects = self.marks = 0
         given = deployment.facts_of(file)
@@ -434,20 +435,22 @@
             if pool is None or pool.address != box.address:
                 if pool is not None:
                     pool.close()
-                pool = self.pools[box.id] = Pool(
+                pool = self.pools[box.id] = NodeConnectionPool(
                     self.reactor,
                     self.now,
-                    box.address,
-                    self.bounds,
-                    self.file.name,
-                    self.incarnation,
-                    self.file.links.most_packet,
+                    PoolConfig(
+                        box.address,
+                        self.bounds,
+                        self.file.name,
+                        self.incarnation,
+                        self.file.links.most_packet,
+                    ),
                     lambda text, id=box.id: self.remark("link", box=id, reason=text),
                     metered=self.flows.box(box.id, box.address)
                     if self.flows is not None
                     else None,
                 )
-            pool.bar(box.readiness is not Readiness.READY)
+            pool.set_unavailable(box.readiness is not Readiness.READY)
         for id in self.pools.keys() - {each.id for each in boxes}:
             self.pools.pop(id).close()
 
@@ -459,7 +462,7 @@
         node: int,
         ends: int,
         ended: AttemptEnded,
-    ) -> Sending | None:
+    ) -> PooledExchange | None:
         """A dispatch as an order to a disk box."""
         pool = self.pools.get(node)
         if pool is None:
@@ -470,7 +473,7 @@
                 return None
             ended = gate.watched(ended)
         left = max((arrival.deadline - self.now()) // 10, 1)
-        return pool.dispatch(
+        return pool.send_attempt(
             Order(
                 self.file.name,
                 self.incarnation,
--- a/tests/node_connections/test_connection_pool.py
+++ b/tests/node_connections/test_connection_pool.py
@@ -7,22 +7,23 @@
 from twisted.internet.testing import StringTransport
 
 from milletsill.interface import AttemptOutcome
-from milletsill.node_connections.connection_pool import Pool
+from milletsill.node_connections.connection_pool import NodeConnectionPool, PoolConfig
 from milletsill.node_connections.connection_state import (
-    Bounds,
-    Load,
-    Sign,
-    Stage,
-    Way,
-    due,
-    route,
-    step,
+    ConnectionEffect,
+    ConnectionEvent,
+    ConnectionLoad,
+    ConnectionState,
+    PoolLimits,
+    Route,
+    choose_route,
+    next_state,
+    time_event,
 )
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order, Verdict
 
-BOUNDS = Bounds(
-    connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silent=10_000
+BOUNDS = PoolLimits(
+    connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silence=10_000
 )
 
 
@@ -46,47 +47,84 @@
 
 class Table(unittest.TestCase):
     def test_nothing_open_dials(self):
-        self.assertEqual(route([], 0, BOUNDS), (Way.DIAL, -1))
+        self.assertEqual(choose_route([], 0, BOUNDS), (Route.DIAL, -1))
 
     def test_a_handshake_that_runs_is_waited_for_within_bounds(self):
-        dialling = [Load(Stage.DIALING)]
+        dialling = [ConnectionLoad(ConnectionState.DIALING)]
         self.assertEqual(
-            [route(dialling, each, BOUNDS)[0] for each in (0, 3, 4)],
-            [Way.WAIT, Way.WAIT, Way.REFUSE],
+            [choose_route(dialling, each, BOUNDS)[0] for each in (0, 3, 4)],
+            [Route.WAIT, Route.WAIT, Route.REFUSE],
         )
 
     def test_the_least_loaded_connection_is_used(self):
-        loads = [Load(Stage.READY, 1), Load(Stage.READY, 0)]
-        self.assertEqual(route(loads, 0, BOUNDS), (Way.USE, 1))
+        loads = [
+            ConnectionLoad(ConnectionState.READY, 1),
+            ConnectionLoad(ConnectionState.READY, 0),
+        ]
+        self.assertEqual(choose_route(loads, 0, BOUNDS), (Route.USE, 1))
 
     def test_a_half_full_connection_brings_a_second_one(self):
-        self.assertEqual(route([Load(Stage.READY, 2)], 0, BOUNDS)[0], Way.DIAL)
+        self.assertEqual(
+            choose_route([ConnectionLoad(ConnectionState.READY, 2)], 0, BOUNDS)[0],
+            Route.DIAL,
+        )
 
     def test_a_stuck_or_doubted_connection_is_passed_over(self):
-        for load in (Load(Stage.READY, 0, True), Load(Stage.DOUBTED)):
+        for load in (
+            ConnectionLoad(ConnectionState.READY, 0, True),
+            ConnectionLoad(ConnectionState.SUSPECT),
+        ):
             self.assertEqual(
-                route([load, Load(Stage.READY, 3)], 0, BOUNDS), (Way.USE, 1)
+                choose_route(
+                    [load, ConnectionLoad(ConnectionState.READY, 3)], 0, BOUNDS
+                ),
+                (Route.USE, 1),
             )
 
     def test_full_everywhere_is_refused(self):
         self.assertEqual(
-            route([Load(Stage.READY, 4), Load(Stage.READY, 4)], 0, BOUNDS)[0],
-            Way.REFUSE,
+            choose_route(
+                [
+                    ConnectionLoad(ConnectionState.READY, 4),
+                    ConnectionLoad(ConnectionState.READY, 4),
+                ],
+                0,
+                BOUNDS,
+            )[0],
+            Route.REFUSE,
         )
 
     def test_silence_that_owes_is_doubted_then_cut(self):
-        self.assertEqual(due(Stage.READY, 1, 10_000, 99_999, BOUNDS), Sign.QUIET)
-        self.assertEqual(step(Stage.READY, Sign.QUIET), (Stage.DOUBTED, "beat"))
-        self.assertEqual(step(Stage.DOUBTED, Sign.QUIET), (Stage.CLOSED, "cut"))
-        self.assertEqual(step(Stage.DOUBTED, Sign.WORD), (Stage.READY, "serve"))
+        self.assertEqual(
+            time_event(ConnectionState.READY, 1, 10_000, 99_999, BOUNDS),
+            ConnectionEvent.SILENT,
+        )
+        self.assertEqual(
+            next_state(ConnectionState.READY, ConnectionEvent.SILENT),
+            (ConnectionState.SUSPECT, ConnectionEffect.SEND_PING),
+        )
+        self.assertEqual(
+            next_state(ConnectionState.SUSPECT, ConnectionEvent.SILENT),
+            (ConnectionState.CLOSED, ConnectionEffect.ABORT),
+        )
+        self.assertEqual(
+            next_state(ConnectionState.SUSPECT, ConnectionEvent.RECEIVED),
+            (ConnectionState.READY, ConnectionEffect.SERVE_WAITING),
+        )
 
     def test_silence_that_owes_nothing_is_only_idle(self):
-        self.assertIsNone(due(Stage.READY, 0, 10_000, 99_999, BOUNDS))
-        self.assertEqual(due(Stage.READY, 0, 300_000, 999_999, BOUNDS), Sign.SPENT)
+        self.assertIsNone(time_event(ConnectionState.READY, 0, 10_000, 99_999, BOUNDS))
+        self.assertEqual(
+            time_event(ConnectionState.READY, 0, 300_000, 999_999, BOUNDS),
+            ConnectionEvent.IDLE,
+        )
 
     def test_a_closed_link_stays_closed(self):
-        for sign in Sign:
-            self.assertEqual(step(Stage.CLOSED, sign), (Stage.CLOSED, ""))
+        for sign in ConnectionEvent:
+            self.assertEqual(
+                next_state(ConnectionState.CLOSED, sign),
+                (ConnectionState.CLOSED, ConnectionEffect.NONE),
+            )
 
 
 class Transport(StringTransport):
@@ -109,14 +147,10 @@
 class Pooled(unittest.TestCase):
     def setUp(self):
         self.clock, self.endpoint, self.ended = Clock(), Endpoint(), []
-        self.pool = Pool(
+        self.pool = NodeConnectionPool(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000),
-            "h:1",
-            BOUNDS,
-            "e",
-            1,
-            1 << 20,
+            PoolConfig("h:1", BOUNDS, "e", 1, 1 << 20),
             lambda text: None,
             self.endpoint,
         )
@@ -131,7 +165,7 @@
         return link, transport
 
     def send(self, number=0):
-        return self.pool.dispatch(
+        return self.pool.send_attempt(
             order(number), lambda outcome, verdict: self.ended.append((number, outcome))
         )
 
@@ -168,7 +202,7 @@
         link, transport = self.connect()
         link.dataReceived(b"\xff\xff\xff\xff")
         self.assertEqual(
-            (self.ended, transport.aborted, self.pool.links),
+            (self.ended, transport.aborted, self.pool.connections),
             ([(0, AttemptOutcome.RESET)], True, []),
         )
 
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from milletsill.interface import AttemptOutcome, Readiness
-from milletsill.node_connections.connection_pool import Pool
-from milletsill.node_connections.connection_state import Bounds
+from milletsill.node_connections.connection_pool import NodeConnectionPool, PoolConfig
+from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.registry.endpoint_view import Box
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order
@@ -17,8 +17,8 @@
 from milletsill.sftp_gateway.gateway import Edge
 from tests.support.loopback import Loop, listening, receive
 
-BOUNDS = Bounds(
-    connections=2, streams=4, handshakes=1, dial=50_000, idle=300_000, silent=100_000
+BOUNDS = PoolLimits(
+    connections=2, streams=4, handshakes=1, dial=50_000, idle=300_000, silence=100_000
 )
 
 
@@ -93,24 +93,25 @@
         return self.loop.now() + self.passed
 
     def made(self):
-        return Pool(
+        return NodeConnectionPool(
             self.loop.reactor,
             self.now,
-            "127.0.0.1:%d" % self.listener.getsockname()[1],
-            BOUNDS,
-            "e",
-            1,
-            1 << 20,
+            PoolConfig(
+                "127.0.0.1:%d" % self.listener.getsockname()[1], BOUNDS, "e", 1, 1 << 20
+            ),
             lambda text: None,
         )
 
     def send(self, number=0):
-        return self.pool.dispatch(
+        return self.pool.send_attempt(
             order(number), lambda outcome, verdict: self.ended.append((number, outcome))
         )
 
     def test_what_waits_for_a_box_that_drains_or_goes_never_begins(self):
-        for ends in (lambda: self.pool.bar(True), lambda: self.pool.close()):
+        for ends in (
+            lambda: self.pool.set_unavailable(True),
+            lambda: self.pool.close(),
+        ):
             with self.subTest(ends=ends):
                 self.pool, self.ended = self.made(), []
                 self.send()
@@ -137,8 +138,8 @@
     def test_a_box_that_comes_back_takes_what_is_sent_then(self):
         self.send()
         door = Door(self.loop, self.listener)
-        self.pool.bar(True)
-        self.pool.bar(False)
+        self.pool.set_unavailable(True)
+        self.pool.set_unavailable(False)
         door.greet()
         self.send(1)
         self.loop.until(lambda: door.orders(), "nothing came to the box")
@@ -168,10 +169,10 @@
 
         class Spy:
             def __init__(self, *values, **named):
-                self.address = values[2]
+                self.address = values[2].address
 
-            def bar(self, barred):
-                said.append((self.address, barred))
+            def set_unavailable(self, unavailable):
+                said.append((self.address, unavailable))
 
             def close(self):
                 said.append((self.address, "closed"))
@@ -199,7 +200,7 @@
     edge.figures = SimpleNamespace(boxes=SimpleNamespace(set=lambda value: None))
     edge.reactor = edge.now = edge.bounds = edge.incarnation = edge.flows = None
     edge.file = SimpleNamespace(name="e", links=SimpleNamespace(most_packet=1))
-    with mock.patch.object(gateway, "Pool", pool):
+    with mock.patch.object(gateway, "NodeConnectionPool", pool):
         edge.moved(boxes)
 
 
