--- a/milletsill/gateway/stream_transport.py
+++ b/milletsill/gateway/stream_transport.py
@@ -8,7 +8,6 @@
 from typing import Any, Protocol
 
 from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Factory
 
 
 class StreamTransport(Protocol):
@@ -36,5 +35,5 @@
 class StreamEndpoint(Protocol):
     """Where a TCP connection leads to."""
 
-    def connect(self, factory: Factory[Any], /) -> Deferred[Any]:
+    def connect(self, factory: Any, /) -> Deferred[Any]:
         """Connect; fails where the peer cannot be reached in time."""
