--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -87,11 +87,9 @@
 
     from twisted.internet import reactor
 
-    from milletsill.node_connections.connection_pool import (
-        NodeConnectionPool,
-        PoolConfig,
-    )
+    from milletsill.node_connections.connection_pool import NodeConnectionPool
     from milletsill.node_connections.connection_state import PoolLimits
+    from milletsill.node_connections.pool_config import PoolConfig
     from milletsill.sftp import extensions, packets
 
     call = urllib.request.Request(
--- a/milletsill/errors/__init__.py
+++ b/milletsill/errors/__init__.py
@@ -1,7 +1,9 @@
-"""One family of errors: what happened, where, and what an operator can do. Each type stands in docs/operators.md.
+"""One family of errors: what happened, where, and what an operator can do.
 
-Four kinds of things go wrong with what comes from outside: octets (`Malformed`), an operator's file (`Refused`), state on disk
-(`Unkept`), a single value (`Unfit`). Each package has its own types below these, beside the code that raises them.
+What comes from outside can be wrong in four ways: octets (`MalformedInput`), an
+operator's file (`ConfigurationRejected`), state on disk (`StateNotStored`), a single
+value (`InvalidValue`). Each package has its own types below these, beside the code that
+raises them; all of them stand in docs/operators.md.
 """
 
 from __future__ import annotations
@@ -9,41 +11,48 @@
 import traceback
 from typing import Self
 
+MAX_DESCRIPTION = 200  # characters of an error that is not of the family
+LOCATION_FRAMES = 3
+
 
 class MilletsillError(Exception):
-    """Something that went wrong and has a name. `remedy` is what an operator can do; each type has its own."""
+    """Something that went wrong and has a name.
+
+    Attributes:
+        what: what happened.
+        where: the place: a file, an address, a name; empty where it is not known.
+        remedy: what an operator can do; each type has its own.
+    """
 
     remedy = ""
 
     def __init__(self, what: str, where: str = "") -> None:
         super().__init__(what)
-        self.what, self.where = what, where
+        self.what = what
+        self.where = where
 
     def __str__(self) -> str:
         return f"{self.where}: {self.what}" if self.where else self.what
 
     def with_location(self, where: str) -> Self:
-        """The same, with a place that only its catcher knows; one that was said stands."""
+        """Set the place if none is set yet: only who catches an error may know it."""
         self.where = self.where or where
         return self
 
     def describe(self) -> str:
-        """On one line of text: where, what, and what to do."""
-        return (
-            f"{' '.join(str(self).split())} ({self.remedy})"
-            if self.remedy
-            else " ".join(str(self).split())
-        )
+        """Return one line of text: where, what, and what to do."""
+        line = " ".join(str(self).split())
+        return f"{line} ({self.remedy})" if self.remedy else line
 
     def log_fields(self) -> dict[str, str]:
-        """The values of its line of the log."""
-        told = {
+        """Return the fields of its line in the log."""
+        fields = {
             "error": type(self).__name__,
             "what": self.what,
             "where": self.where,
             "remedy": self.remedy,
         }
-        return {name: value for name, value in told.items() if value}
+        return {name: value for name, value in fields.items() if value}
 
 
 class MalformedInput(MilletsillError):
@@ -73,20 +82,21 @@
 class ListenFailed(MilletsillError):
     """An address that is not ours to listen on: it is taken, or not of this machine."""
 
-    remedy = "free the address or change it in the file, then start again; the start ends with status 1"
+    remedy = (
+        "free the address or change it in the file, then start again; the start ends "
+        "with status 1"
+    )
 
 
 def describe_error(error: BaseException) -> str:
-    """One line on any error: a fault's own, else what it says, cut to a bearable length."""
-    return (
-        error.describe()
-        if isinstance(error, MilletsillError)
-        else " ".join(str(error).split())[:200]
-    )
+    """Return one line on any error, cut to a bearable length."""
+    if isinstance(error, MilletsillError):
+        return error.describe()
+    return " ".join(str(error).split())[:MAX_DESCRIPTION]
 
 
 def error_location(error: BaseException) -> str:
-    """The error and where it came from, on one line."""
-    frames = traceback.extract_tb(error.__traceback__)[-3:]
+    """Return the error and the innermost places it came from, on one line."""
+    frames = traceback.extract_tb(error.__traceback__)[-LOCATION_FRAMES:]
     places = " < ".join(f"{frame.name}:{frame.lineno}" for frame in reversed(frames))
     return f"{type(error).__name__}: {error} at {places}"
--- a/milletsill/errors/__main__.py
+++ b/milletsill/errors/__main__.py
@@ -1,36 +1,39 @@
-"""`python -m milletsill.errors` prints the table of errors, `... NAME` one row of it, `... --into PAGE` puts the rows into a page."""
+"""Print the table of errors, or put it into a page.
+
+`python -m milletsill.errors` prints the table, `... NAME` one row of it, `... --into
+PAGE` replaces the rows in a page.
+"""
 
 import re
 import sys
 from pathlib import Path
 
-from milletsill.errors.known import known, row
+from milletsill.errors.catalog import error_types, table_row
 
 HEADING = "## Errors by name\n"
 ROWS = re.compile(r"(?:^\| `\w+` \|.*\n)+", re.MULTILINE)
 
 
 def main(arguments: list[str]) -> int:
+    """Run the command and return its exit status."""
     rows = {
-        name: "".join(row(each) + "\n" for each in types)
-        for name, types in sorted(known().items())
+        name: "".join(table_row(each) + "\n" for each in types)
+        for name, types in sorted(error_types().items())
     }
     if arguments[:1] == ["--into"] and len(arguments) == 2:
-        page = Path(arguments[1])
-        before, heading, behind = page.read_text("utf-8").partition(HEADING)
-        if not heading:
-            print(
-                f"milletsill: {page} has no line {HEADING.strip()!r}", file=sys.stderr
-            )
-            return 2
-        page.write_text(
-            before
-            + heading
-            + ROWS.sub(lambda _: "".join(rows.values()), behind, count=1),
-            "utf-8",
-        )
-        return 0
-    print("".join(rows.get(each, "") for each in arguments or rows), end="")
+        return replace_rows(Path(arguments[1]), "".join(rows.values()))
+    print("".join(rows.get(name, "") for name in arguments or rows), end="")
+    return 0
+
+
+def replace_rows(page: Path, rows: str) -> int:
+    """Put the rows into the page's table and return an exit status."""
+    before, heading, behind = page.read_text("utf-8").partition(HEADING)
+    if not heading:
+        print(f"milletsill: {page} has no line {HEADING.strip()!r}", file=sys.stderr)
+        return 2
+    table = ROWS.sub(lambda _: rows, behind, count=1)
+    page.write_text(before + heading + table, "utf-8")
     return 0
 
 
--- a/milletsill/node_connections/attempt_exchange.py
+++ b/milletsill/node_connections/attempt_exchange.py
@@ -3,15 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from milletsill.interface import AttemptOutcome
 from milletsill.sftp.extensions import Order, Verdict
 
-if TYPE_CHECKING:
-    from milletsill.node_connections.connection_pool import NodeConnectionPool
-    from milletsill.node_connections.node_connection import NodeConnection
-
 ExchangeEnded = Callable[[AttemptOutcome, Verdict | None], None]
 
 
@@ -22,6 +18,20 @@
         """Whether the attempt may still be sent."""
 
 
+class ExchangeCarrier(Protocol):
+    """A connection that carries exchanges."""
+
+    def withdraw(self, exchange: PooledExchange, /) -> None:
+        """Tell the node that nobody waits any more."""
+
+
+class ExchangeOwner(Protocol):
+    """The pool of an exchange."""
+
+    def withdraw(self, exchange: PooledExchange, outcome: AttemptOutcome, /) -> None:
+        """Stop waiting for it."""
+
+
 def ignore_end(outcome: AttemptOutcome, verdict: Verdict | None) -> None:
     """Listen to no end: the attempt is over."""
 
@@ -47,7 +57,7 @@
 
     def __init__(
         self,
-        pool: NodeConnectionPool,
+        pool: ExchangeOwner,
         order: Order,
         ended: ExchangeEnded,
         started_at: int,
@@ -58,7 +68,7 @@
         self.ended = ended
         self.started_at = started_at
         self.gate = gate
-        self.connection: NodeConnection | None = None
+        self.connection: ExchangeCarrier | None = None
         self.packet_id = 0
         self.over = False
         self.octets_sent = 0
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -23,12 +22,12 @@
 from milletsill.node_connections.connection_state import (
     ConnectionEvent,
     ConnectionState,
-    PoolLimits,
     Route,
     choose_route,
     time_event,
 )
 from milletsill.node_connections.node_connection import NodeConnection
+from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.sftp.extensions import Order
 
 # Told of each attempt that ended, and of other packets without an order: order,
@@ -39,24 +38,6 @@
 MIN_CHECK_INTERVAL = 0.001  # seconds
 
 
-@dataclass(frozen=True, slots=True)
-class PoolConfig:
-    """Settings of one pool.
-
-    Attributes:
-        address: host and port of the node.
-        limits: bounds on connections and times.
-        gateway, incarnation: what this gateway greets the node with.
-        max_packet: octets of a packet from the node.
-    """
-
-    address: str
-    limits: PoolLimits
-    gateway: str
-    incarnation: int
-    max_packet: int
-
-
 class NodeConnectionPool:
     """Sends attempts to one node. `log` takes a line for the log."""
 
--- a/milletsill/node_connections/node_connection.py
+++ b/milletsill/node_connections/node_connection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import TYPE_CHECKING
+from typing import Protocol as TypingProtocol
 
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
@@ -19,14 +19,12 @@
     ConnectionState,
     next_state,
 )
+from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Verdict
+from milletsill.sftp.extensions import Order, Verdict
 from milletsill.sftp.framing import Deframer
 from milletsill.sftp.wire import MalformedPacket
 
-if TYPE_CHECKING:
-    from milletsill.node_connections.connection_pool import NodeConnectionPool
-
 OUTCOMES = {
     extensions.DONE: AttemptOutcome.SUCCEEDED,
     extensions.ELSEWHERE: AttemptOutcome.SUCCEEDED,
@@ -36,6 +34,40 @@
 }
 
 
+class ConnectionOwner(TypingProtocol):
+    """The pool of a connection."""
+
+    config: PoolConfig
+
+    def now(self) -> int:
+        """Return the time in tenths of a millisecond."""
+
+    def log(self, text: str, /) -> None:
+        """Take a line for the log."""
+
+    def serve_waiting(self) -> None:
+        """Hand waiting attempts to connections that take more."""
+
+    def on_connection_ended(self, connection: NodeConnection, /) -> None:
+        """Forget a connection."""
+
+    def meter(
+        self,
+        order: Order | None,
+        outcome: str,
+        octets_sent: int,
+        octets_received: int,
+        duration: int,
+        /,
+    ) -> None:
+        """Tell flow export of packets."""
+
+    def meter_end(
+        self, exchange: PooledExchange, outcome: AttemptOutcome, octets: int = 0, /
+    ) -> None:
+        """Tell flow export how an attempt ended, once."""
+
+
 class NodeConnection(Protocol):
     """Carries many attempts at once, each under the id of its packet.
 
@@ -49,7 +81,7 @@
 
     transport: StreamTransport  # type: ignore[assignment]
 
-    def __init__(self, pool: NodeConnectionPool) -> None:
+    def __init__(self, pool: ConnectionOwner) -> None:
         self.pool = pool
         self.load = ConnectionLoad(ConnectionState.DIALING)
         self.deframer = Deframer(pool.config.max_packet)
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -21,7 +21,8 @@
 from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
 from milletsill.logs import logger
 from milletsill.node_connections.attempt_exchange import PooledExchange
-from milletsill.node_connections.connection_pool import NodeConnectionPool, PoolConfig
+from milletsill.node_connections.connection_pool import NodeConnectionPool
+from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.registry.endpoint_view import Box
 from milletsill.registry.registry_watcher import Follower
 from milletsill.scheduler import Scheduler
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -12,7 +12,7 @@
     StateNotStored,
     describe_error,
 )
-from milletsill.errors.known import known, row
+from milletsill.errors.catalog import error_types, table_row
 from milletsill.settings.load import Flaw, SettingsFileRejected
 from milletsill.sftp_gateway.errors import IncarnationNotStored
 from milletsill.sftp_gateway.incarnation import next_incarnation
@@ -32,7 +32,7 @@
 class Family(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.known = known()
+        cls.known = error_types()
         cls.rows = told((ROOT / "docs/operators.md").read_text("utf-8"))
 
     def test_each_type_has_one_name_a_remedy_and_says_what_happened(self):
@@ -50,7 +50,7 @@
         self.assertEqual(sorted(self.rows), sorted(self.known))
         for name, types in self.known.items():
             with self.subTest(name):
-                self.assertEqual(self.rows[name], row(types[0]))
+                self.assertEqual(self.rows[name], table_row(types[0]))
 
     def test_no_error_of_the_program_is_outside_of_the_family_and_none_raised_has_no_remedy(
         self,
--- a/tests/node_connections/test_connection_pool.py
+++ b/tests/node_connections/test_connection_pool.py
@@ -7,7 +7,7 @@
 from twisted.internet.testing import StringTransport
 
 from milletsill.interface import AttemptOutcome
-from milletsill.node_connections.connection_pool import NodeConnectionPool, PoolConfig
+from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import (
     ConnectionEffect,
     ConnectionEvent,
@@ -19,6 +19,7 @@
     next_state,
     time_event,
 )
+from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order, Verdict
 
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -7,8 +7,9 @@
 from unittest import mock
 
 from milletsill.interface import AttemptOutcome, Readiness
-from milletsill.node_connections.connection_pool import NodeConnectionPool, PoolConfig
+from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import PoolLimits
+from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.registry.endpoint_view import Box
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order
