--- a/milletsill/gateway/stream_transport.py
+++ b/milletsill/gateway/stream_transport.py
@@ -31,6 +31,15 @@
     def setTcpNoDelay(self, enabled: bool, /) -> None:
         """Send small writes at once."""
 
+    def loseWriteConnection(self) -> None:
+        """Close our side once all that was written is sent."""
+
+    def pauseProducing(self) -> None:
+        """Read nothing for now."""
+
+    def doRead(self) -> Any:
+        """Read what lies in the socket now; not None where the connection ended."""
+
 
 class StreamEndpoint(Protocol):
     """Where a TCP connection leads to."""
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -1,28 +1,33 @@
-"""What the platform tells a gateway at its start and on SIGHUP: a JSON file, checked."""
+"""What the platform tells a gateway at its start and on SIGHUP.
+
+A JSON file, checked.
+"""
 
 from __future__ import annotations
 
 import json
 import os
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
 from milletsill.errors import ConfigurationRejected
 from milletsill.facts import Part, at_most, facts_of, missing_in, unknown_in
+from milletsill.http_gateway.discovery_timing import notification_span
 from milletsill.http_gateway.endpoints import (
     EndpointUpdate,
     InvalidEndpoint,
-    address_of,
-    news_of,
+    parse_address,
+    parse_update,
 )
-from milletsill.http_gateway.gateway_limits import ask_within
 
-MOST_OCTETS = 8 << 20
-LEAST_MEMORY = 64  # MB, where no limit is told
-MOST_NAMES = 20  # in one line
+MAX_FILE = 8 << 20  # octets
+DEFAULT_MEMORY_MB = 64  # where no limit is told
+MAX_NAMES = 20  # in one line of the log
+MAX_NAME_LENGTH = 60
+MAX_ERROR_LENGTH = 200
 # Settings without which something is off or a plainer value stands in.
-WANTED = (
+EXPECTED_SETTINGS = (
     "resolution_ns",
     "membership_mode",
     "plans",
@@ -45,12 +50,27 @@
 class GatewayConfigurationRejected(ConfigurationRejected):
     """The platform's file that cannot be used."""
 
-    remedy = "mend the file that NODE_CONFIG names, then restart or send SIGHUP; a gateway that runs goes on with what it had"
+    remedy = (
+        "mend the file that NODE_CONFIG names, then restart or send SIGHUP; a gateway "
+        "that runs goes on with what it had"
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Deployment:
-    """One gateway's place on the platform."""
+class GatewayConfiguration:
+    """One gateway's place on the platform.
+
+    Attributes:
+        name: of the gateway.
+        listen, discovery: host and port.
+        seed: of random numbers.
+        sockets: descriptors that the process may hold.
+        memory_mb: memory that it may hold.
+        facts: the deployment's settings.
+        known: the endpoint list as this gateway last had it.
+        grace: the time to stop sending to a node that drains, where lists are pushed; 0
+            where they are asked for. Tenths of a millisecond.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -60,85 +80,111 @@
     memory_mb: int
     facts: Mapping[str, Any]
     known: EndpointUpdate | None
-    grace: int  # to stop sending, where lists are pushed; else 0
+    grace: int
+
 
+def read_configuration(
+    environ: Mapping[str, str], clock: int, log: Callable[[str], None]
+) -> GatewayConfiguration:
+    """Read the file that NODE_CONFIG names; other variables stand in for what it lacks.
 
-def read(
-    environ: Mapping[str, str], clock: int, remark: Callable[[str], None]
-) -> Deployment:
-    """The file that NODE_CONFIG names; the other variables stand in for what it leaves out."""
+    Raises:
+        GatewayConfigurationRejected: the file cannot be used.
+    """
     path = environ.get("NODE_CONFIG", "")
     if not path:
         raise GatewayConfigurationRejected("NODE_CONFIG names no file")
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_OCTETS + 1)
-        given = json.loads(data) if len(data) <= MOST_OCTETS else None
+            data = file.read(MAX_FILE + 1)
+        given = json.loads(data) if len(data) <= MAX_FILE else None
     except (OSError, ValueError, RecursionError) as error:
-        raise GatewayConfigurationRejected(
-            " ".join(str(error).split())[:200], path
-        ) from None
+        raise GatewayConfigurationRejected(_one_line(error), path) from error
     if not isinstance(given, dict):
         raise GatewayConfigurationRejected("not a JSON object of a bearable size", path)
     try:
-        return deployment_of(given, environ, clock, remark)
+        return parse_configuration(given, environ, clock, log)
     except (InvalidEndpoint, ValueError) as error:
-        raise GatewayConfigurationRejected(
-            " ".join(str(error).split())[:200], path
-        ) from None
+        raise GatewayConfigurationRejected(_one_line(error), path) from error
 
 
-def deployment_of(
+def parse_configuration(
     given: Mapping[str, Any],
     environ: Mapping[str, str],
     clock: int,
-    remark: Callable[[str], None],
-) -> Deployment:
-    """The checked whole."""
+    log: Callable[[str], None],
+) -> GatewayConfiguration:
+    """Return the checked configuration.
+
+    Raises:
+        InvalidEndpoint: an address or the known list is none.
+        ValueError: a value cannot be meant.
+    """
+    facts, grace = _parse_settings(given)
+    _log_settings(given["settings"], log)
+    limits = given.get("limits")
+    known = given.get("known")
+    return GatewayConfiguration(
+        name=str(given.get("name") or environ.get("NODE_NAME", "")),
+        listen=parse_address(given.get("listen") or environ.get("NODE_LISTEN")),
+        discovery=parse_address(
+            given.get("discovery") or environ.get("NODE_DISCOVERY")
+        ),
+        seed=_parse_seed(given),
+        sockets=_parse_limit(limits, "sockets") or os.sysconf("SC_OPEN_MAX"),
+        memory_mb=_parse_limit(limits, "memory_mb") or DEFAULT_MEMORY_MB,
+        facts=facts,
+        known=(
+            None if known is None else parse_update(known, facts["zones"], clock, log)
+        ),
+        grace=grace,
+    )
+
+
+def _one_line(error: Exception) -> str:
+    return " ".join(str(error).split())[:MAX_ERROR_LENGTH]
+
+
+def _parse_settings(given: Mapping[str, Any]) -> tuple[dict[str, Any], int]:
+    """Return the deployment's settings, and the drain grace where lists are pushed."""
     try:
         facts = facts_of(given.get("settings"))
-        grace = at_most(
-            Part(given["settings"]).part("rules").number("stop_sending_within_ns")
-        )
+        rules = Part(given["settings"]).part("rules")
+        grace = at_most(rules.number("stop_sending_within_ns"))
     except ValueError as error:
         raise ValueError(f"settings: {error}") from None
     pushed = not facts["list_on_request"]
-    facts["ask_within"] = ask_within(pushed, facts["ask_within"], grace)
+    facts["ask_within"] = notification_span(pushed, facts["ask_within"], grace)
     if not facts["categories"]:
         raise ValueError("settings: classes: none, so nothing can be taken")
-    for names, what in (
-        (unknown_in(given["settings"]), "not known and passed over"),
-        (
-            missing_in(given["settings"], WANTED),
-            "missing, what rests on them is off or at its plainest",
-        ),
-    ):
-        if names:
-            remark(
-                f"settings {what}: {', '.join(name[:60] for name in names[:MOST_NAMES])}"
-            )
-    limits = given.get("limits")
-    sockets, memory = (limit_of(limits, name) for name in ("sockets", "memory_mb"))
+    return facts, grace if pushed else 0
+
+
+def _log_settings(settings: Mapping[str, Any], log: Callable[[str], None]) -> None:
+    """Log what the settings hold that is not known, and what they lack."""
+    _log_names("not known and passed over", unknown_in(settings), log)
+    _log_names(
+        "missing, what rests on them is off or at its plainest",
+        missing_in(settings, EXPECTED_SETTINGS),
+        log,
+    )
+
+
+def _log_names(what: str, names: Sequence[str], log: Callable[[str], None]) -> None:
+    if names:
+        shown = ", ".join(name[:MAX_NAME_LENGTH] for name in names[:MAX_NAMES])
+        log(f"settings {what}: {shown}")
+
+
+def _parse_seed(given: Mapping[str, Any]) -> int:
     try:
-        seed = int(str(given.get("seed", "0")), 16)
+        return int(str(given.get("seed", "0")), 16)
     except ValueError:
         raise ValueError("seed: not a hexadecimal number") from None
-    known = given.get("known")
-    return Deployment(
-        str(given.get("name") or environ.get("NODE_NAME", "")),
-        address_of(given.get("listen") or environ.get("NODE_LISTEN")),
-        address_of(given.get("discovery") or environ.get("NODE_DISCOVERY")),
-        seed,
-        sockets or os.sysconf("SC_OPEN_MAX"),
-        memory or LEAST_MEMORY,
-        facts,
-        news_of(known, facts["zones"], clock, remark) if known is not None else None,
-        grace * pushed,
-    )
 
 
-def limit_of(limits: Any, name: str) -> int:
-    """A limit, 0 where none is told."""
+def _parse_limit(limits: Any, name: str) -> int:
+    """Return a limit, 0 where none is told."""
     value = limits.get(name, 0) if isinstance(limits, dict) else 0
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise ValueError(f"limits: {name} {str(value)[:40]!r} is not a number")
--- a/milletsill/http_gateway/endpoint_watcher.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -1,213 +1,64 @@
-"""Follows the platform's list: one watch at a time, opened when the module asks, told as `listed`."""
+"""Follow the platform's endpoint list.
+
+One watch at a time, opened when the scheduler asks.
+"""
 
 from __future__ import annotations
 
-import json
 from collections.abc import Callable, Sequence
-from contextlib import suppress
+from dataclasses import dataclass
 from typing import Any
 
-from twisted.internet.protocol import ClientFactory, Protocol
-
-from milletsill.errors import describe_error
-from milletsill.http1.errors import MalformedHttpMessage
-from milletsill.http1.response_line_reader import ResponseLineReader
-from milletsill.http1.writer import encode_request
-from milletsill.http_gateway.endpoints import EndpointUpdate, InvalidEndpoint, news_of
-from milletsill.http_gateway.gateway_limits import (
-    DIAL,
-    FIRST_WORD,
-    MOST_LINE,
-    MOST_OPEN,
-    OVERDUE,
-    QUIET,
-    Call,
-    beside_within,
-    depth_of,
+from milletsill.http_gateway.connector import SingleConnector
+from milletsill.http_gateway.discovery_timing import (
+    CONNECT_TIMEOUT,
+    FIRST_WORD_TIMEOUT,
+    SILENCE_BEFORE_NEW_WATCH,
+    CallProgress,
     is_mute,
-    retry_within,
+    parallel_call_delay,
+    retry_delay,
+)
+from milletsill.http_gateway.endpoint_watch import SPOKEN, EndpointWatch
+from milletsill.http_gateway.endpoints import (
+    EndpointUpdate,
+    NodeEndpoint,
+    parse_update,
 )
+from milletsill.http_gateway.watch_decoder import HEARTBEAT
 from milletsill.interface import EndpointUpdateKind
 
-PATH = b"/registry/instances?watch=1&from=%d"
-BEAT = object()  # an empty line: nothing changed
-
-
-class Words:
-    """The lines of a watch as values. A list may come indented, over several lines."""
-
-    def __init__(self) -> None:
-        self.parts: list[bytes] = []
-        self.depth = self.octets = 0
-
-    def feed(self, line: bytes) -> list[Any]:
-        """The value that is whole with this line, if one is; ValueError where none can be."""
-        if not self.parts:
-            try:
-                return [json.loads(line) if line else BEAT]
-            except json.JSONDecodeError as error:
-                if error.pos < len(error.doc):
-                    raise
-            self.depth = self.octets = (
-                0  # it ends too early and is otherwise right: the first of several
-            )
-        self.parts.append(line)
-        self.depth += depth_of(line)
-        self.octets += len(line)
-        if self.octets > MOST_LINE:
-            raise ValueError("a list over the bound")
-        if self.depth > 0:
-            return []
-        text, self.parts = b"".join(self.parts), []
-        return [json.loads(text)]
-
-    def rest(self, line: bytes) -> list[Any]:
-        """The value that is whole with what came without a line's end, if one is: a list whose last line end is left out, or
-        comes with the next beat.
-        """
-        depth, octets = (self.depth, self.octets) if self.parts else (0, 0)
-        if (
-            not line.endswith(b"}")
-            or octets + len(line) > MOST_OPEN
-            or depth + depth_of(line)
-        ):
-            return []
-        with suppress(ValueError):  # a part of a line only
-            value = json.loads(b"".join(self.parts) + line)
-            self.parts = []
-            return [value]
-        return []
-
-
-class Watch(Protocol):
-    """One open watch. `heard` is when its last word came: a whole line, before the first the answer's head, before that the
-    call. Octets alone are no word. Guards against an answer that drips. Harm: a list that takes longer on its way is asked for
-    again.
-    """
-
-    def __init__(
-        self, follower: Follower, host: str, version: int, overdue: int
-    ) -> None:
-        self.follower, self.host, self.version = (
-            follower,
-            host,
-            version,
-        )  # the version is -1 once it has spoken
-        self.overdue = overdue
-        self.answer, self.words = ResponseLineReader(MOST_LINE), Words()
-        self.heard, self.over, self.stage = follower.now(), False, Call.DIALLED
-        self.connector: Any = None
-
-    def connectionMade(self) -> None:
-        if self.over:
-            return self.transport.abortConnection()
-        self.transport.write(
-            encode_request(b"GET", PATH % self.version, self.host.encode(), [], b"")
-        )
-        self.reach(Call.TAKEN)
-
-    def reach(self, stage: Call) -> None:
-        """The call is so far; from here on another one beside it may be due at another time."""
-        self.stage = stage
-        self.follower.soon(self)
-
-    def dataReceived(self, data: bytes) -> None:
-        try:
-            headless = not self.answer.status
-            lines = self.answer.feed(data)
-            if self.answer.status not in (0, 200):
-                return self.end(f"answered {self.answer.status}")
-            if headless and self.answer.status:
-                self.heard = self.follower.now()
-            for line in lines:
-                self.take(() if self.over else self.words.feed(line.strip()))
-            whole = () if self.over else self.words.rest(self.answer.line.strip())
-            if whole:
-                self.answer.line = b""
-                self.take(whole)
-            if (
-                self.stage is Call.TAKEN
-                and self.version >= 0
-                and (self.answer.line or self.words.parts)
-            ):
-                self.reach(Call.BEGUN)
-        except (
-            MalformedHttpMessage,
-            InvalidEndpoint,
-            ValueError,
-            RecursionError,
-        ) as error:
-            return self.end(describe_error(error))
-        if self.answer.ended:
-            self.end("the watch ended")
-
-    def take(self, values: Sequence[Any]) -> None:
-        for value in values:
-            self.heard = self.follower.now()
-            self.follower.word(self, value)
-
-    def connectionLost(self, reason: Any = None) -> None:
-        self.end("the connection ended")
-
-    def quiet(self) -> int:
-        """How long no word has come."""
-        return self.follower.now() - self.heard
-
-    @property
-    def overlong(self) -> bool:
-        """Whether it has been silent for longer than any watch is."""
-        return not self.over and self.quiet() > (
-            QUIET if self.version < 0 else FIRST_WORD
-        )
-
-    def catch_up(self) -> None:
-        """Guards the list against a process that stood still: timers go before what has come, and words that lie here unread
-        would go with the watch that is ended for their want. Harm: one more read on a watch that is about to end.
-        """
-        if self.transport is not None:
-            self.transport.doRead()  # an end is told again in the next turn
-
-    def end(self, reason: str) -> None:
-        """Over, for whatever reason; told once."""
-        if not self.over:
-            self.close()
-            self.follower.ended(self, reason)
-
-    def close(self) -> None:
-        """Over without a word."""
-        self.over = True
-        if self.transport is not None:
-            self.transport.abortConnection()
-        elif self.connector is not None:
-            self.connector.disconnect()
-
+UpdateListener = Callable[[EndpointUpdateKind, Sequence[NodeEndpoint]], None]
 
-class Dial(ClientFactory):
-    """Brings one protocol up."""
 
-    noisy = False
+@dataclass(frozen=True, slots=True)
+class WatcherConfig:
+    """Settings of an endpoint watcher. Times are tenths of a millisecond.
 
-    def __init__(self, protocol: Protocol, failed: Callable[[], None]) -> None:
-        self.made: Protocol | None = protocol
-        self.failed = failed
+    Attributes:
+        zones: the zones of the settings.
+        clock: our clock less the wall clock.
+        grace: the time to stop sending to a node that drains, where lists are pushed; 0
+            where they are asked for.
+    """
 
-    def buildProtocol(self, address: Any) -> Protocol | None:
-        return self.made
+    zones: Sequence[str]
+    clock: int
+    grace: int = 0
 
-    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.failed()
-        self.clientConnectionLost(connector, reason)
 
-    def clientConnectionLost(self, connector: Any, reason: Any) -> None:
-        """Cuts the circle of connector, transport, protocol and this: each is freed with its connection."""
-        connector.transport = self.made = None
-        self.failed = lambda: None
+class EndpointWatcher:
+    """Keeps the calls to discovery.
 
+    `watch` is the watch that stands, or the call that is to be it. `old` is the watch
+    that it takes the place of, at a new address or because that is silent. `parallel`
+    is a second call beside one that is not answered, only while `watch` has not spoken.
 
-class Follower:
-    """Keeps the watch that stands or the call that is to be it, the old one that it takes the place of, at a new address or
-    because that is silent, and a second call beside one that is not answered. `uniform` draws within two bounds; `grace` is the
-    time to stop sending where lists are pushed, else 0.
+    Attributes:
+        version: the version of the list that we have.
+        mute: whether discovery takes calls and says nothing.
+        scheduler_knows: whether the scheduler has heard of a failure since SIGHUP.
+        moved_at: when discovery's address moved, until a watch at the new one has spoken.
     """
 
     def __init__(
@@ -215,199 +66,230 @@
         reactor: Any,
         now: Callable[[], int],
         address: tuple[str, int],
-        zones: Sequence[str],
-        clock: int,
-        told: Callable[[EndpointUpdateKind, Sequence[Any]], None],
-        remark: Callable[[str], None],
+        config: WatcherConfig,
+        listener: UpdateListener,
+        log: Callable[[str], None],
         uniform: Callable[[float, float], float],
-        grace: int = 0,
     ) -> None:
-        self.reactor, self.now, self.address, self.zones, self.clock = (
-            reactor,
-            now,
-            address,
-            zones,
-            clock,
-        )
-        self.told, self.remark, self.uniform, self.grace = told, remark, uniform, grace
+        self.reactor = reactor
+        self.now = now
+        self.address = address
+        self.config = config
+        self.listener = listener
+        self.log = log
+        self.uniform = uniform
         self.version = 0
-        self.watch: Watch | None = None
-        self.old: Watch | None = None
-        self.beside: Watch | None = None  # only while `watch` has not spoken
-        self.asked = self.stopped = self.mute = False
-        self.hurried = False  # the module has heard of a failure since SIGHUP
-        self.moved: int | None = (
-            None  # when discovery's address did, until a watch at the new one has spoken
-        )
-
-    def known(self, news: EndpointUpdate) -> None:
-        """The list as it was known at the start."""
-        self.version = news.version
-        self.told(EndpointUpdateKind.CACHED, news.places)
-
-    def ask(self) -> None:
-        """A watch is wanted; one that stands is enough."""
-        if not self.asked and self.watch is None and not self.stopped:
-            self.asked = True
-            self.reactor.callLater(0, self.open)
+        self.watch: EndpointWatch | None = None
+        self.old: EndpointWatch | None = None
+        self.parallel: EndpointWatch | None = None
+        self.wanted = False
+        self.stopped = False
+        self.mute = False
+        self.scheduler_knows = False
+        self.moved_at: int | None = None
+
+    def set_known(self, update: EndpointUpdate) -> None:
+        """Take the list as it was known at the start."""
+        self.version = update.version
+        self.listener(EndpointUpdateKind.CACHED, update.nodes)
+
+    def request_watch(self) -> None:
+        """Open a watch, unless one stands."""
+        if not self.wanted and self.watch is None and not self.stopped:
+            self.wanted = True
+            self.reactor.callLater(0, self._open)
 
     def move(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere: the old watch stands until the new one has spoken."""
-        if address != self.address and not self.stopped:
-            self.address, self.moved, self.hurried = address, self.now(), False
-            self.drop()
-            self.old, self.watch = self.watch, None
-            self.ask()
-
-    def open(self) -> None:
-        self.asked = False
+        if address == self.address or self.stopped:
+            return
+        self.address = address
+        self.moved_at = self.now()
+        self.scheduler_knows = False
+        self._close_others()
+        self.old = self.watch
+        self.watch = None
+        self.request_watch()
+
+    def check(self) -> None:
+        """End watches that are silent for too long, and open another in time.
+
+        The other is opened in the next turn: what came while this process stood still
+        is read before.
+        """
+        for watch in (self.watch, self.parallel, self.old):
+            if watch is not None and watch.overdue:
+                watch.read_pending()
+                if watch.overdue:
+                    watch.end("nothing came")
+        watch = self.watch
+        if (
+            watch is not None
+            and watch.has_spoken
+            and self.old is None
+            and watch.quiet() > watch.silence_limit
+        ):
+            self.old = watch
+            self.watch = None
+            self.request_watch()
+
+    def stop(self) -> None:
+        """Close all calls."""
+        self.stopped = True
+        self._close_others()
+        if self.watch is not None:
+            self.watch.close()
+
+    # Calls.
+
+    def _open(self) -> None:
+        self.wanted = False
         if self.stopped or self.watch is not None:
             return
-        host, port = self.address
         old = self.old
         if (
             old is not None
-            and old.host == f"{host}:{port}"
-            and old.quiet() <= old.overdue
+            and old.host == self._host()
+            and old.quiet() <= old.silence_limit
         ):
-            self.watch, self.old = old, None  # it speaks again
+            self.watch = old  # it speaks again
+            self.old = None
             return
-        self.watch = self.call()
+        self.watch = self._call()
+
+    def _host(self) -> str:
+        host, port = self.address
+        return f"{host}:{port}"
 
-    def call(self) -> Watch:
+    def _call(self) -> EndpointWatch:
+        silence_limit = int(self.uniform(*SILENCE_BEFORE_NEW_WATCH))
+        watch = EndpointWatch(self, self._host(), self.version, silence_limit)
         host, port = self.address
-        watch = Watch(self, f"{host}:{port}", self.version, int(self.uniform(*OVERDUE)))
         watch.connector = self.reactor.connectTCP(
             host,
             port,
-            Dial(watch, lambda: watch.end("not reached")),
-            timeout=DIAL / 10_000,
+            SingleConnector(watch, lambda: watch.end("not reached")),
+            timeout=CONNECT_TIMEOUT / 10_000,
         )
-        self.soon(watch)
+        self.on_progress(watch)
         return watch
 
-    def soon(self, watch: Watch) -> None:
-        """Looks again at a call when another beside it would be due, if it is still no further then."""
-        moved = None if self.moved is None else self.now() - self.moved
-        span = beside_within(watch.stage, self.mute, self.grace, moved)
-        if span is not None:
-            self.reactor.callLater(
-                self.uniform(*span) / 10_000, self.double, watch, watch.stage
-            )
-
-    def double(self, watch: Watch, stage: Call) -> None:
-        """Another call beside one that is no further; the first that speaks wins. Of two one that is not up gives way to a third:
-        the service has not heard of it. None beside an old watch that is silent: until six seconds after its last word there is
-        time for one after the other.
+    def on_progress(self, watch: EndpointWatch) -> None:
+        """Check a call again when another beside it would be due."""
+        bounds = parallel_call_delay(
+            watch.progress, self.mute, self.config.grace, self._since_move()
+        )
+        if bounds is not None:
+            delay = self.uniform(*bounds) / 10_000
+            self.reactor.callLater(delay, self._call_in_parallel, watch, watch.progress)
+
+    def _since_move(self) -> int | None:
+        return None if self.moved_at is None else self.now() - self.moved_at
+
+    def _call_in_parallel(self, watch: EndpointWatch, progress: CallProgress) -> None:
+        """Make another call beside one that is no further; the first that speaks wins.
+
+        Of two calls one that is not connected gives way to a third: the service has not
+        heard of it. None is made beside an old watch that is silent: until six seconds
+        after its last word there is time for one after the other.
         """
-        if (
-            watch.over
-            or watch.stage is not stage
-            or watch.version < 0
-            or self.stopped
-            or self.old
-            and self.moved is None
-        ):
+        if watch.over or watch.progress is not progress or watch.has_spoken:
+            return
+        if self.stopped or (self.old and self.moved_at is None):
             return
-        if watch is not (self.watch if self.beside is None else self.beside):
+        newest = self.watch if self.parallel is None else self.parallel
+        if watch is not newest:
             return
-        if self.beside is not None and self.watch is not None:
-            gone, stays = (
-                (watch, self.watch) if stage is Call.DIALLED else (self.watch, watch)
-            )
-            if gone.stage is not Call.DIALLED:
+        if self.parallel is not None and self.watch is not None:
+            gone, stays = self.watch, watch
+            if progress is CallProgress.CONNECTING:
+                gone, stays = watch, self.watch
+            if gone.progress is not CallProgress.CONNECTING:
                 return
             gone.close()
             self.watch = stays
-        self.beside = self.call()
-
-    def word(self, watch: Watch, value: Any) -> None:
-        """One word of the watch: a beat, or what a list should be."""
-        if watch is self.beside:
-            self.watch, self.beside = watch, self.watch
-        first = watch is self.watch and watch.version >= 0
-        if value is not BEAT:
-            self.news(
-                news_of(value, self.zones, self.clock, self.remark), watch is self.old
-            )
+        self.parallel = self._call()
+
+    # What the watches say.
+
+    def on_value(self, watch: EndpointWatch, value: Any) -> None:
+        """Take a heartbeat, or what a list should be."""
+        if watch is self.parallel:
+            self.parallel = self.watch
+            self.watch = watch
+        first = watch is self.watch and not watch.has_spoken
+        if value is not HEARTBEAT:
+            config = self.config
+            update = parse_update(value, config.zones, config.clock, self.log)
+            self._on_update(update, watch is self.old)
         elif first:
-            self.told(EndpointUpdateKind.DELTA, ())
+            self.listener(EndpointUpdateKind.DELTA, ())
         if first:
-            watch.version, self.moved, self.mute, self.hurried = (
-                -1,
-                None,
-                False,
-                False,
-            )  # has spoken
-            self.drop()
-
-    def news(self, news: EndpointUpdate, old: bool) -> None:
-        if news.whole and not old or news.version >= self.version:
-            self.version = news.version
-            self.told(
-                EndpointUpdateKind.SNAPSHOT if news.whole else EndpointUpdateKind.DELTA,
-                news.places,
-            )
-
-    def drop(self) -> None:
-        for each in (self.old, self.beside):
-            if each is not None:
-                each.close()
-        self.old = self.beside = None
-
-    def ended(self, watch: Watch, reason: str) -> None:
-        """A watch is over: the module hears of it, and says when to ask again."""
+            watch.version = SPOKEN
+            self.moved_at = None
+            self.mute = False
+            self.scheduler_knows = False
+            self._close_others()
+
+    def _on_update(self, update: EndpointUpdate, from_old: bool) -> None:
+        newer = update.version >= self.version
+        if newer or (update.snapshot and not from_old):
+            self.version = update.version
+            kind = EndpointUpdateKind.DELTA
+            if update.snapshot:
+                kind = EndpointUpdateKind.SNAPSHOT
+            self.listener(kind, update.nodes)
+
+    def _close_others(self) -> None:
+        for watch in (self.old, self.parallel):
+            if watch is not None:
+                watch.close()
+        self.old = None
+        self.parallel = None
+
+    def on_watch_ended(self, watch: EndpointWatch, reason: str) -> None:
+        """Go on without a watch.
+
+        The scheduler hears of it, and says when to ask again.
+        """
         if watch is self.old:
             self.old = None
-            return None
-        self.mute = is_mute(self.mute, watch.quiet(), watch.answer.status)
-        if self.beside is not None and watch in (self.watch, self.beside):
-            self.watch, self.beside = (
-                (self.beside if watch is self.watch else self.watch),
-                None,
-            )
-            self.remark(f"one of two calls at {watch.host} is over: {reason}")
-            if watch.quiet() > FIRST_WORD:
-                self.double(self.watch, self.watch.stage)
-            else:
-                self.soon(self.watch)
+            return
+        self.mute = is_mute(self.mute, watch.quiet(), watch.response.status)
+        if self.parallel is not None and watch in (self.watch, self.parallel):
+            self._on_one_of_two_ended(watch, self.parallel, reason)
         elif watch is self.watch:
             self.watch = None
-            self.remark(f"the watch at {watch.host} is over: {reason}")
-            if self.old is None and self.moved is None:
-                return self.failed()
-            moved = None if self.moved is None else self.now() - self.moved
-            *span, alone = retry_within(
-                0 if self.old is None else self.old.quiet(), moved, self.hurried
-            )
-            self.hurried = self.moved is not None
-            self.reactor.callLater(
-                self.uniform(*span) / 10_000, self.ask if alone else self.failed
-            )
-
-    def failed(self) -> None:
-        if not self.stopped:
-            self.told(EndpointUpdateKind.FAILED, ())
-
-    def look(self) -> None:
-        """Whether a watch has gone quiet: another is opened in time to be in its place, and at last it is over."""
-        for watch in (self.watch, self.beside, self.old):
-            if watch is not None and watch.overlong:
-                watch.catch_up()
-                if watch.overlong:
-                    watch.end("nothing came")
-        watch = self.watch
-        if (
-            watch is not None
-            and watch.version < 0
-            and self.old is None
-            and watch.quiet() > watch.overdue
-        ):
-            self.old, self.watch = watch, None
-            self.ask()  # in the next turn: what came while this process stood still is read before
+            self.log(f"the watch at {watch.host} is over: {reason}")
+            self._retry()
 
-    def stop(self) -> None:
-        self.stopped = True
-        self.drop()
-        if self.watch is not None:
-            self.watch.close()
+    def _on_one_of_two_ended(
+        self, ended: EndpointWatch, parallel: EndpointWatch, reason: str
+    ) -> None:
+        if ended is self.watch:
+            self.watch = parallel
+        self.parallel = None
+        self.log(f"one of two calls at {ended.host} is over: {reason}")
+        assert self.watch is not None
+        if ended.quiet() > FIRST_WORD_TIMEOUT:
+            self._call_in_parallel(self.watch, self.watch.progress)
+        else:
+            self.on_progress(self.watch)
+
+    def _retry(self) -> None:
+        """Ask again: when the scheduler says, or in time beside what else is known."""
+        if self.old is None and self.moved_at is None:
+            self._on_failed()
+            return
+        quiet = 0 if self.old is None else self.old.quiet()
+        soonest, latest, on_our_own = retry_delay(
+            quiet, self._since_move(), self.scheduler_knows
+        )
+        self.scheduler_knows = self.moved_at is not None
+        delay = self.uniform(soonest, latest) / 10_000
+        retry = self.request_watch if on_our_own else self._on_failed
+        self.reactor.callLater(delay, retry)
+
+    def _on_failed(self) -> None:
+        if not self.stopped:
+            self.listener(EndpointUpdateKind.FAILED, ())
--- a/milletsill/http_gateway/endpoints.py
+++ b/milletsill/http_gateway/endpoints.py
@@ -1,8 +1,11 @@
-"""Entries of the platform's list: JSON in, checked places out. One that does not parse is left out alone."""
+"""Entries of the platform's endpoint list: JSON in, checked endpoints out.
+
+An entry that cannot be read is left out alone.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from hashlib import blake2b
 from typing import Any
@@ -10,129 +13,149 @@
 from milletsill.errors import InvalidValue
 from milletsill.interface import Endpoint, Readiness
 
-STATES = {
+READINESS_BY_STATE = {
     "active": Readiness.READY,
     "leaving": Readiness.DRAINING,
     "left": Readiness.GONE,
 }
-MOST_ID, MOST_CELL = 200, 1 << 16
+MAX_ID = 200  # characters of a node's id
+MAX_SHARD = 1 << 16
+MAX_WEIGHT = 1e6
+MAX_STARTED_MS = 1 << 53
+MAX_VERSION = 1 << 63
+QUOTED = 40  # characters of a wrong value in an error
+TICKS_PER_MS = 10
 
 
 class InvalidEndpoint(InvalidValue):
     """An entry of the list that describes no node."""
 
-    remedy = "put the entry right at discovery; the others stand, a whole list that is none is asked for again"
+    remedy = (
+        "put the entry right at discovery; the others stand, a whole list that is none "
+        "is asked for again"
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class NodeEndpoint:
     """A node of the list, and where it is reached."""
 
     name: str
     host: str
     port: int
-    listed: Endpoint
+    endpoint: Endpoint
+
 
+@dataclass(frozen=True, slots=True)
+class EndpointUpdate:
+    """One object of the list's: a snapshot, or what has changed."""
 
-def number_of(name: str) -> int:
-    """The module's number of a node: the same for the same id, without a map that would grow all day."""
+    version: int
+    snapshot: bool
+    nodes: tuple[NodeEndpoint, ...]
+
+
+def node_number(name: str) -> int:
+    """Return the scheduler's number of a node.
+
+    It is the same for the same id, without a map that would grow all day.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big")
 
 
-def address_of(text: Any) -> tuple[str, int]:
-    """Host and port; `BadEntry` where it is none."""
+def parse_address(text: Any) -> tuple[str, int]:
+    """Return host and port.
+
+    Raises:
+        InvalidEndpoint: the text is no HOST:PORT.
+    """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if (
-        not host
-        or len(host) > MOST_ID
-        or not (port.isascii() and port.isdigit())
-        or not 0 < int(port[:6]) < 65_536
-    ):
-        raise InvalidEndpoint(f"address {str(text)[:40]!r} is not HOST:PORT")
+    numeric = port.isascii() and port.isdigit()
+    if not host or len(host) > MAX_ID or not numeric or not 0 < int(port[:6]) < 65_536:
+        raise InvalidEndpoint(f"address {str(text)[:QUOTED]!r} is not HOST:PORT")
     return host, int(port)
 
 
-def whole(entry: dict[str, Any], name: str, most: int) -> int:
-    """A whole number from 0 of an entry."""
-    value = entry.get(name, 0)
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < most:
-        raise InvalidEndpoint(
-            f"{name} {str(value)[:40]!r} is not a number from 0 to {most - 1}"
-        )
-    return value
+def parse_update(
+    value: Any, zones: Sequence[str], clock: int, log: Callable[[str], None]
+) -> EndpointUpdate:
+    """Return a list or its changes.
 
+    Args:
+        value: the JSON value.
+        zones: the zones of the settings.
+        clock: our clock less the wall clock, in tenths of a millisecond.
+        log: takes a line on each entry that was left out.
 
-def zone_of(zone: Any, name: str, zones: Sequence[str]) -> int:
-    """The place of a node's zone in the settings. Guards rule 2, which may turn on the zone: one that the settings do not
-    name is itself alone, and a node without any shares its zone with none. Harm: none to what they name.
+    Raises:
+        InvalidEndpoint: the value is neither.
     """
-    if isinstance(zone, str) and zone in zones:
-        return zones.index(zone)
-    return len(zones) + number_of(
-        f"zone {zone}" if isinstance(zone, str) and zone else f"node {name}"
-    )
+    if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
+        raise InvalidEndpoint("no list of nodes")
+    nodes = []
+    for entry in value["servers"]:
+        try:
+            nodes.append(parse_node(entry, zones, clock))
+        except InvalidEndpoint as error:
+            log(f"an entry was left out: {error.describe()}")
+    version = _whole_number(value, "version", MAX_VERSION)
+    return EndpointUpdate(version, value.get("full") is True, tuple(nodes))
 
 
-def place_of(entry: Any, zones: Sequence[str], clock: int) -> Place:
-    """One entry; `clock` is our clock less the wall's, in tenths of a millisecond."""
+def parse_node(entry: Any, zones: Sequence[str], clock: int) -> NodeEndpoint:
+    """Return one entry; see `parse_update`."""
     if not isinstance(entry, dict):
         raise InvalidEndpoint("an entry that is no JSON object")
-    name, state, size = entry.get("id"), entry.get("state"), entry.get("weight", 1.0)
-    if not isinstance(name, str) or not 0 < len(name) <= MOST_ID:
-        raise InvalidEndpoint(f"id {str(name)[:40]!r} is not a name")
-    if not isinstance(state, str) or state not in STATES:
-        raise InvalidEndpoint(
-            f"state {str(state)[:40]!r} is not one of {', '.join(STATES)}"
-        )
-    if (
-        isinstance(size, bool)
-        or not isinstance(size, (int, float))
-        or not 0 <= size < 1e6
-    ):
-        raise InvalidEndpoint(f"weight {str(size)[:40]!r} is not a number from 0")
-    readiness = STATES[state]
-    gone = readiness is Readiness.GONE and "addr" not in entry
-    host, port = ("", 0) if gone else address_of(entry.get("addr"))
-    started = whole(entry, "started_ms", 1 << 53)
-    zone = zone_of(entry.get("zone"), name, zones)
-    since = started * 10 + clock if started else None
-    return Place(
-        name,
-        host,
-        port,
-        Endpoint(
-            number_of(name),
-            readiness,
-            float(size),
-            0,
-            zone,
-            since,
-            whole(entry, "cell", MOST_CELL),
-        ),
+    name = entry.get("id")
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_ID:
+        raise InvalidEndpoint(f"id {str(name)[:QUOTED]!r} is not a name")
+    readiness = _readiness(entry.get("state"))
+    weight = _weight(entry.get("weight", 1.0))
+    host, port = "", 0
+    if readiness is not Readiness.GONE or "addr" in entry:
+        host, port = parse_address(entry.get("addr"))
+    started_ms = _whole_number(entry, "started_ms", MAX_STARTED_MS)
+    endpoint = Endpoint(
+        node_number(name),
+        readiness,
+        weight,
+        0,
+        _zone_number(entry.get("zone"), name, zones),
+        started_ms * TICKS_PER_MS + clock if started_ms else None,
+        _whole_number(entry, "cell", MAX_SHARD),
     )
+    return NodeEndpoint(name, host, port, endpoint)
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointUpdate:
-    """One object of the list's: whole, or what has changed."""
+def _readiness(state: Any) -> Readiness:
+    if not isinstance(state, str) or state not in READINESS_BY_STATE:
+        names = ", ".join(READINESS_BY_STATE)
+        raise InvalidEndpoint(f"state {str(state)[:QUOTED]!r} is not one of {names}")
+    return READINESS_BY_STATE[state]
 
-    version: int
-    whole: bool
-    places: tuple[Place, ...]
 
+def _weight(weight: Any) -> float:
+    numeric = isinstance(weight, (int, float)) and not isinstance(weight, bool)
+    if not numeric or not 0 <= weight < MAX_WEIGHT:
+        raise InvalidEndpoint(f"weight {str(weight)[:QUOTED]!r} is not a number from 0")
+    return float(weight)
 
-def news_of(
-    value: Any, zones: Sequence[str], clock: int, remark: Callable[[str], None]
-) -> EndpointUpdate:
-    """A list or its changes; `BadEntry` where it is neither."""
-    if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
-        raise InvalidEndpoint("no list of nodes")
-    places = []
-    for entry in value["servers"]:
-        try:
-            places.append(place_of(entry, zones, clock))
-        except InvalidEndpoint as error:
-            remark(f"an entry was left out: {error.describe()}")
-    return EndpointUpdate(
-        whole(value, "version", 1 << 63), value.get("full") is True, tuple(places)
-    )
+
+def _whole_number(entry: Mapping[str, Any], name: str, limit: int) -> int:
+    value = entry.get(name, 0)
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < limit:
+        shown = str(value)[:QUOTED]
+        raise InvalidEndpoint(f"{name} {shown!r} is not a number from 0 to {limit - 1}")
+    return value
+
+
+def _zone_number(zone: Any, name: str, zones: Sequence[str]) -> int:
+    """Return the number of a node's zone.
+
+    Rule 2 may turn on the zone: one that the settings do not name is itself alone, and
+    a node without any shares its zone with none.
+    """
+    if isinstance(zone, str) and zone in zones:
+        return zones.index(zone)
+    known = isinstance(zone, str) and zone
+    return len(zones) + node_number(f"zone {zone}" if known else f"node {name}")
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -1,9 +1,7 @@
-"""The gateway on the platform as one object: door, host of the module, links, list, tallies."""
+"""The HTTP gateway as one object: clients, scheduler, nodes, endpoint list, reports."""
 
 from __future__ import annotations
 
-import resource
-from collections import Counter
 from collections.abc import Callable, Sequence
 from random import Random
 from typing import Any
@@ -15,332 +13,361 @@
     SchedulerHost,
 )
 from milletsill.http1.message import HttpMessage
+from milletsill.http_gateway.client_connection import ClientConnection
+from milletsill.http_gateway.client_listener import ClientListener
 from milletsill.http_gateway.configuration import (
-    Deployment,
+    GatewayConfiguration,
     GatewayConfigurationRejected,
 )
-from milletsill.http_gateway.endpoint_watcher import Follower
-from milletsill.http_gateway.endpoints import Place
-from milletsill.http_gateway.gateway_limits import (
-    ANSWER_MARGIN,
-    UNTOLD_DIAL,
-    UNTOLD_IDLE,
-    Event,
-    Octets,
-    Process,
-    Spent,
-    ends_of,
-    pass_on,
-    shares_of,
+from milletsill.http_gateway.endpoint_watcher import EndpointWatcher, WatcherConfig
+from milletsill.http_gateway.endpoints import NodeEndpoint
+from milletsill.http_gateway.gateway_report import EventLog, GatewayReport
+from milletsill.http_gateway.node_exchange import HttpExchange
+from milletsill.http_gateway.node_pools import (
+    DEFAULT_CONNECT_TIMEOUT,
+    DEFAULT_IDLE_TIMEOUT,
+    HttpNodePools,
+    NodePoolsConfig,
 )
-from milletsill.http_gateway.http_server import Client, Clients
-from milletsill.http_gateway.node_connections import Fleet, Sending
+from milletsill.http_gateway.process_state import (
+    ProcessEffect,
+    ProcessEvent,
+    ProcessState,
+    next_process_state,
+    shutdown_schedule,
+)
+from milletsill.http_gateway.recent_request_ids import RecentRequestIds
 from milletsill.http_gateway.request_parser import (
-    Cargo,
-    Categories,
+    ForwardedPayload,
     InvalidRequest,
-    cargo_of,
+    RequestParser,
+    payload_of,
 )
+from milletsill.http_gateway.resource_limits import BufferBudget, divide_descriptors
 from milletsill.interface import EndpointUpdateKind, Request
 from milletsill.scheduler import Scheduler
 
-LOOK_EVERY, TALLY_EVERY = 0.1, 5.0  # seconds
-MOST_REMARKS = 20  # lines between two tallies
-BACKLOG = 512
-READY, LIVE = b"/health/ready", b"/health/live"
+CHECK_INTERVAL = 0.1  # seconds
+REPORT_INTERVAL = 5.0  # seconds
+LISTEN_BACKLOG = 512
+MAX_UNANSWERED = 512  # where the settings set no bound
+# An answer is written this long before the client's time is up, in tenths of a
+# millisecond.
+ANSWER_MARGIN = 60
+READY_PATH = b"/health/ready"
+LIVE_PATH = b"/health/live"
+
 
+class HttpGateway:
+    """One gateway.
 
-class Gateway:
-    """One gateway. `log` takes an event and its values."""
+    Attributes:
+        state: of the process.
+        keep_alive: whether clients' connections stay open behind an answer.
+        retry_after: told with a rejection before the scheduler, 0 for none.
+        answers_by: once it leaves, the latest deadline of a request.
+        shutdown_steps: what is to happen when, once it leaves.
+        stopped: called once it is stopped.
+    """
 
     def __init__(
         self,
-        deployment: Deployment,
+        configuration: GatewayConfiguration,
         reactor: Any,
         now: Callable[[], int],
         clock: int,
-        log: Any,
-        make: SchedulerFactory = Scheduler,
+        log: EventLog,
+        make_scheduler: SchedulerFactory = Scheduler,
     ) -> None:
-        self.deployment, self.reactor, self.now, self.log = (
-            deployment,
-            reactor,
-            now,
-            log,
-        )
-        self.process, self.keeps = Process.STARTING, True
-        self.answers_by: int | None = None  # once it leaves
-        self.ends = list[tuple[int, Event]]()  # its steps then
-        self.tally = Counter[tuple[str, str]]()
-        self.remarks = 0
-        facts = deployment.facts
-        self.pause = facts["longest_pause"] if facts["pause_told"] else 0
-        shares = shares_of(deployment.sockets)
-        self.categories = Categories(facts)
-        self.clients = Clients(self, shares.clients)
-        self.octets, self.spent = Octets(deployment.memory_mb), Spent()
-        self.fleet = Fleet(
+        self.configuration = configuration
+        self.reactor = reactor
+        self.now = now
+        self.log = log
+        self.state = ProcessState.STARTING
+        self.keep_alive = True
+        self.answers_by: int | None = None
+        self.shutdown_steps: list[tuple[int, ProcessEvent]] = []
+        self.report = GatewayReport(log)
+        self.count = self.report.count
+        self.warn = self.report.warn
+        self.stopped: Callable[[], None] = lambda: None
+        self.port: Any = None
+        self.delayed_calls: list[Any] = []
+        facts = configuration.facts
+        self.retry_after = facts["longest_pause"] if facts["pause_told"] else 0
+        self.request_parser = RequestParser(facts)
+        self.recent_ids = RecentRequestIds()
+        self.buffers = BufferBudget(configuration.memory_mb)
+        descriptors = divide_descriptors(configuration.sockets)
+        self.listener = ClientListener(self, descriptors.clients)
+        self.node_pools = HttpNodePools(
             reactor,
             now,
-            shares.links,
-            self.octets,
-            facts["dial"] or UNTOLD_DIAL,
-            facts["link_idle"] or UNTOLD_IDLE,
-            self.note,
+            NodePoolsConfig(
+                descriptors.node_connections,
+                facts["dial"] or DEFAULT_CONNECT_TIMEOUT,
+                facts["link_idle"] or DEFAULT_IDLE_TIMEOUT,
+            ),
+            self.buffers,
+            self.count,
         )
-        self.follower = Follower(
+        self.watcher = EndpointWatcher(
             reactor,
             now,
-            deployment.discovery,
-            facts["zones"],
-            clock,
-            self.listed,
-            lambda text: self.remark("list", reason=text),
-            Random(f"{deployment.seed} list").uniform,
-            deployment.grace,
+            configuration.discovery,
+            WatcherConfig(facts["zones"], clock, configuration.grace),
+            self.on_endpoints,
+            lambda text: self.warn("list", reason=text),
+            Random(f"{configuration.seed} list").uniform,
         )
         self.host = SchedulerHost(
             reactor,
             now,
             facts,
-            deployment.seed,
-            make,
+            configuration.seed,
+            make_scheduler,
             HostCallbacks(
-                start_attempt=self.carry,
-                watch_endpoints=self.follower.ask,
-                log=lambda text: self.remark("module", reason=text),
-                count=self.note,
+                start_attempt=self._start_attempt,
+                watch_endpoints=self.watcher.request_watch,
+                log=lambda text: self.warn("module", reason=text),
+                count=self.count,
             ),
         )
-        self.port: Any = None
-        self.stopped: Callable[[], None] = lambda: None
-        self.calls: list[Any] = []
-        self.late = 0
 
-    # Life.
+    # Start and end.
 
     def start(self) -> None:
-        """Take the list as it was known, open the door. An error of the address is the caller's."""
-        if self.deployment.known is not None:
-            self.follower.known(self.deployment.known)
-        self.follower.ask()
-        host, port = self.deployment.listen
-        self.port = self.clients.port = self.reactor.listenTCP(
-            port, self.clients, BACKLOG, host
-        )
-        self.clients.ration()
-        self.step(Event.UP)
+        """Take the endpoint list as it was known, and listen.
+
+        Raises:
+            CannotListenError: the address cannot be had.
+        """
+        if self.configuration.known is not None:
+            self.watcher.set_known(self.configuration.known)
+        self.watcher.request_watch()
+        host, port = self.configuration.listen
+        self.port = self.reactor.listenTCP(port, self.listener, LISTEN_BACKLOG, host)
+        self.listener.port = self.port
+        self.listener.limit_accepts()
+        self._on_process_event(ProcessEvent.LISTENING)
         self.log.info(
             "listening",
             address=f"{host}:{self.port.getHost().port}",
-            sockets=self.deployment.sockets,
+            sockets=self.configuration.sockets,
         )
-        self.look(self.now())
-        self.tell_tally()
+        self._check(self.now())
+        self.log_report()
 
-    def step(self, event: Event) -> None:
-        """Read the table and act."""
-        self.process, effect = pass_on(self.process, event)
-        if effect == "leave":
-            self.log.info("leaving", held=self.host.unanswered)
-            ends = ends_of(
-                max(each["patience"] for each in self.deployment.facts["categories"])
+    def terminate(self) -> None:
+        """Answer what was taken, then end: SIGTERM."""
+        self._on_process_event(ProcessEvent.TERMINATE)
+
+    def reload(self, configuration: GatewayConfiguration) -> None:
+        """Take another configuration: SIGHUP.
+
+        Discovery's address moves; what the scheduler was told at its start stands.
+        """
+        self.watcher.move(configuration.discovery)
+        if (
+            configuration.facts != self.configuration.facts
+            or configuration.listen != self.configuration.listen
+        ):
+            error = GatewayConfigurationRejected(
+                "settings or address are not those of the start"
             )
-            self.ends = [(self.now() + within, each) for within, each in ends]
-            self.answers_by = self.ends[0][0]
-            self.go_on()
-        elif effect == "shut":
-            self.keeps = False
-        elif effect == "drain":
-            self.port.stopListening()  # not sooner: it resets what waits before the door
-            self.emptied()
-            for client in list(self.clients.open):
+            self.warn("configuration", **error.log_fields())
+        host, port = configuration.discovery
+        self.log.info("reloaded", discovery=f"{host}:{port}")
+
+    def _on_process_event(self, event: ProcessEvent) -> None:
+        """Read the table and act."""
+        self.state, effect = next_process_state(self.state, event)
+        if effect is ProcessEffect.SCHEDULE_SHUTDOWN:
+            self._schedule_shutdown()
+        elif effect is ProcessEffect.CLOSE_AFTER_ANSWERS:
+            self.keep_alive = False
+        elif effect is ProcessEffect.STOP_LISTENING:
+            self.port.stopListening()  # not sooner: it resets what waits in its queue
+            self._stop_without_clients()
+            for client in list(self.listener.connections):
                 client.leave()
-        elif effect == "stop":
+        elif effect is ProcessEffect.STOP:
             self.stop()
 
-    def go_on(self) -> None:
-        """The steps after SIGTERM, in order, each when it is due."""
-        while self.ends and self.ends[0][0] <= self.now():
-            _, event = self.ends.pop(0)
-            self.step(event)
-            if event is Event.SHUT:
-                return self.later(0, self.end_all)
-        if self.ends:
-            self.later(self.ends[0][0] - self.now(), self.go_on)
-
-    def end_all(self) -> None:
-        """The end of what is held once shut. In the turn behind it: guards answers that came in time against a process that stood
-        still, where timers go before what lies in the sockets. Harm: one turn of the loop, of what is left before the kill.
-        """
-        self.host.fail_all()  # taken before SIGTERM by a client that would wait until after the earliest kill
-        self.go_on()
+    def _schedule_shutdown(self) -> None:
+        self.log.info("leaving", held=self.host.unanswered)
+        classes = self.configuration.facts["categories"]
+        longest = max(each["patience"] for each in classes)
+        now = self.now()
+        self.shutdown_steps = [
+            (now + delay, event) for delay, event in shutdown_schedule(longest)
+        ]
+        self.answers_by, _ = self.shutdown_steps[0]
+        self._run_shutdown_steps()
 
-    def later(self, span: int, call: Callable[..., None], *values: Any) -> None:
-        self.calls.append(self.reactor.callLater(span / 10_000, call, *values))
+    def _run_shutdown_steps(self) -> None:
+        """Run the steps after SIGTERM that are due, in order."""
+        while self.shutdown_steps and self.shutdown_steps[0][0] <= self.now():
+            _, event = self.shutdown_steps.pop(0)
+            self._on_process_event(event)
+            if event is ProcessEvent.SHUT:
+                self._call_later(0, self._fail_unanswered)
+                return
+        if self.shutdown_steps:
+            delay = self.shutdown_steps[0][0] - self.now()
+            self._call_later(delay, self._run_shutdown_steps)
 
-    def terminate(self) -> None:
-        """SIGTERM: what was taken is answered, then the end."""
-        self.step(Event.TERM)
+    def _fail_unanswered(self) -> None:
+        """Answer what has no answer, taken before SIGTERM from a client that waits long.
+
+        In the turn behind SHUT: where the process stood still, timers go before answers
+        that came in time and lie in the sockets.
+        """
+        self.host.fail_all()
+        self._run_shutdown_steps()
 
-    def emptied(self) -> None:
-        """Away as soon as no client is left: until then answers are being taken, or requests may come unread."""
-        if self.process is Process.DRAINING and not self.clients.open:
-            self.later(0, self.step, Event.EMPTY)
+    def _stop_without_clients(self) -> None:
+        """Stop once no client is left.
+
+        Until then answers are being taken, or requests may come unread.
+        """
+        if self.state is ProcessState.DRAINING and not self.listener.connections:
+            self._call_later(0, self._on_process_event, ProcessEvent.NO_CLIENTS)
 
     def stop(self) -> None:
-        self.process = Process.STOPPED
-        self.tell_tally()
+        """Close everything."""
+        self.state = ProcessState.STOPPED
+        self.log_report()
         self.log.info("stopped", held=self.host.unanswered)
         self.host.stop()
-        self.follower.stop()
-        self.fleet.stop()
-        for client in list(self.clients.open):
+        self.watcher.stop()
+        self.node_pools.stop()
+        for client in list(self.listener.connections):
             client.transport.loseConnection()
-        for call in self.calls:
+        for call in self.delayed_calls:
             if call.active():
                 call.cancel()
         self.stopped()
 
-    def reload(self, deployment: Deployment) -> None:
-        """Another configuration: discovery's address moves; what the module was told at its start stands."""
-        self.follower.move(deployment.discovery)
-        if (
-            deployment.facts != self.deployment.facts
-            or deployment.listen != self.deployment.listen
-        ):
-            self.remark(
-                "configuration",
-                **GatewayConfigurationRejected(
-                    "settings or address are not those of the start"
-                ).log_fields(),
-            )
-        self.log.info("reloaded", discovery="%s:%d" % deployment.discovery)
+    # Time.
+
+    def _call_later(self, delay: int, call: Callable[..., None], *values: Any) -> None:
+        delayed = self.reactor.callLater(delay / 10_000, call, *values)
+        self.delayed_calls.append(delayed)
 
-    def look(self, since: int) -> None:
-        """Ten times a second: connections, links, the watch, the loop's lateness."""
+    def _check(self, last_check: int) -> None:
+        """Do what time brings to connections and watches, ten times a second."""
         now = self.now()
-        self.late = max(self.late, now - since - int(LOOK_EVERY * 10_000))
-        self.clients.look(self.clients.paused)
-        self.fleet.look()
-        self.follower.look()
-        if self.process is not Process.STOPPED:
-            self.calls = [each for each in self.calls if each.active()]
-            self.calls.append(self.reactor.callLater(LOOK_EVERY, self.look, now))
+        self.report.note_lateness(now - last_check - int(CHECK_INTERVAL * 10_000))
+        self.listener.check(self.listener.paused)
+        self.node_pools.check()
+        self.watcher.check()
+        if self.state is not ProcessState.STOPPED:
+            self.delayed_calls = [each for each in self.delayed_calls if each.active()]
+            delayed = self.reactor.callLater(CHECK_INTERVAL, self._check, now)
+            self.delayed_calls.append(delayed)
+
+    def log_report(self) -> None:
+        """Log counts and nodes, now and then."""
+        self.report.log_counts(
+            self.host.unanswered,
+            len(self.listener.connections),
+            self.node_pools.open_connections,
+        )
+        self.report.log_nodes(self.host.scheduler, self.node_pools)
+        if self.state is not ProcessState.STOPPED:
+            delayed = self.reactor.callLater(REPORT_INTERVAL, self.log_report)
+            self.delayed_calls.append(delayed)
 
-    # The list.
+    # The endpoint list and the nodes.
 
-    def listed(self, kind: EndpointUpdateKind, places: Sequence[Place]) -> None:
+    def on_endpoints(
+        self, kind: EndpointUpdateKind, nodes: Sequence[NodeEndpoint]
+    ) -> None:
+        """Take an update of the endpoint list.
+
+        Connections first, then the scheduler.
+        """
         if kind is not EndpointUpdateKind.FAILED:
-            self.fleet.listed(kind is not EndpointUpdateKind.DELTA, places)
-        self.note("list", kind.value)
-        self.host.on_endpoints(kind, [each.listed for each in places])
-
-    # The clients.
-
-    def asked(self, client: Client, message: HttpMessage) -> None:
-        """One whole request."""
-        path = message.target.partition(b"?")[0]
-        if path in (READY, LIVE) and message.method == b"GET":
-            client.answer(
-                200 if path == LIVE or self.process is Process.SERVING else 503, b""
-            )
-            return None
-        try:
-            arrival = self.categories.arrival(
-                message, self.now(), ANSWER_MARGIN, self.answers_by
-            )
-            if arrival.id in self.host.active or self.spent.known(
-                arrival.id, self.now()
-            ):
-                raise InvalidRequest(409, "x-txn is another's open one")
-        except InvalidRequest as error:
-            return client.refuse(error.status, str(error))
-        # Once shut, whatever the clocks say: what is sent on then has nobody left to hear its answer. Harm: none, all is refused.
-        if (
-            not self.keeps
-            or arrival.deadline <= self.now()
-            or self.host.unanswered >= (self.deployment.facts["most_held"] or BACKLOG)
-        ):
-            self.note("answer", "too late or too many")
-            return client.turn_away(self.pause)
-        if client.has_gone():
-            return self.note("arrival", "its client has left")
-        client.busy(arrival.id)
-        self.spent.take(arrival.id, arrival.deadline, self.now())
-        self.note("arrival", "repeat" if arrival.is_retry else "first")
-        self.host.take(arrival, client, cargo_of(message))
-
-    def carry(
+            self.node_pools.update(kind is not EndpointUpdateKind.DELTA, nodes)
+        self.count("list", kind.value)
+        self.host.on_endpoints(kind, [node.endpoint for node in nodes])
+
+    def _start_attempt(
         self,
-        cargo: Cargo,
-        arrival: Request,
+        payload: ForwardedPayload,
+        request: Request,
         number: int,
         node: int,
-        ends: int,
+        deadline: int,
         ended: AttemptEnded,
-    ) -> Sending | None:
-        return self.fleet.carry(cargo, node, ends, ended)
-
-    def abandoned(self, transfer: int) -> None:
-        self.note("answer", "abandoned")
-        self.host.cancel_request(transfer)
-
-    def left(self, client: Client) -> None:
-        self.clients.left(client)
-        self.emptied()
-
-    # What is said.
-
-    def note(self, what: str, *values: Any) -> None:
-        """Count an event by name and its first value."""
-        self.tally[what, str(values[0])[:60] if values else ""] += 1
-
-    def remark(self, event: str, **values: Any) -> None:
-        self.remarks += 1
-        if self.remarks <= MOST_REMARKS:
-            self.log.warning(event, **values)
-
-    def tell_tally(self) -> None:
-        """Now and then: counts by cause, and of each node in use what the module believes beside what the sockets show."""
-        counts = {
-            " ".join(filter(None, each)): count
-            for each, count in sorted(self.tally.items())
-        }
-        usage = resource.getrusage(resource.RUSAGE_SELF)
-        self.log.info(
-            "tally",
-            held=self.host.unanswered,
-            clients=len(self.clients.open),
-            links=self.fleet.open,
-            late_ms=self.late / 10,
-            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
-            peak_mb=usage.ru_maxrss // 1024,
-            unsaid=max(self.remarks - MOST_REMARKS, 0),
-            **counts,
+    ) -> HttpExchange | None:
+        return self.node_pools.send_attempt(payload, node, deadline, ended)
+
+    # Clients.
+
+    def on_request(self, client: ClientConnection, message: HttpMessage) -> None:
+        """Take a complete request of a client.
+
+        Answer it, or hand it to the scheduler.
+        """
+        if self._answer_health_check(client, message):
+            return
+        try:
+            request = self._parse(message)
+        except InvalidRequest as error:
+            client.refuse(error.status, str(error))
+            return
+        if not self._has_room(request):
+            self.count("answer", "too late or too many")
+            client.answer_rejected(self.retry_after)
+            return
+        if client.has_left():
+            self.count("arrival", "its client has left")
+            return
+        client.open_request(request.id)
+        self.recent_ids.add(request.id, request.deadline, self.now())
+        self.count("arrival", "repeat" if request.is_retry else "first")
+        self.host.take(request, client, payload_of(message))
+
+    def _answer_health_check(
+        self, client: ClientConnection, message: HttpMessage
+    ) -> bool:
+        path, _, _ = message.target.partition(b"?")
+        if path not in (READY_PATH, LIVE_PATH) or message.method != b"GET":
+            return False
+        healthy = path == LIVE_PATH or self.state is ProcessState.SERVING
+        client.answer(200 if healthy else 503, b"")
+        return True
+
+    def _parse(self, message: HttpMessage) -> Request:
+        now = self.now()
+        request = self.request_parser.parse(
+            message, now, ANSWER_MARGIN, self.answers_by
         )
-        self.tally.clear()
-        self.late = self.remarks = 0
-        nodes = getattr(self.host.scheduler, "nodes", {})
-        for number, there in self.fleet.nodes.items():
-            node = nodes.get(number)
-            if node is not None and (
-                there.links or there.waiting or node.extents or node.lapses
-            ):
-                self.log.info(
-                    "node",
-                    id=there.name,
-                    health=node.health.name,
-                    out=len(node.out),
-                    held=len(node.extents),
-                    window=round(node.window, 1),
-                    lapses=node.lapses,
-                    latency_ms=round((node.latency or 0) / 10),
-                    pace_ms=round(node.pace / 10),
-                    best_ms=round(node.best / 10),
-                    links=len(there.links),
-                    free=len(there.free),
-                    waiting=len(there.waiting),
-                )
-        if self.process is not Process.STOPPED:
-            self.calls.append(self.reactor.callLater(TALLY_EVERY, self.tell_tally))
+        if request.id in self.host.active or self.recent_ids.contains(request.id, now):
+            raise InvalidRequest(409, "x-txn is another's open one")
+        return request
+
+    def _has_room(self, request: Request) -> bool:
+        """Whether a request may still be taken.
+
+        Once shut, whatever the clocks say: what is forwarded then has nobody left to
+        hear its answer.
+        """
+        limit = self.configuration.facts["most_held"] or MAX_UNANSWERED
+        return (
+            self.keep_alive
+            and request.deadline > self.now()
+            and self.host.unanswered < limit
+        )
+
+    def on_request_cancelled(self, request_id: int) -> None:
+        """Drop a request whose client has left."""
+        self.count("answer", "abandoned")
+        self.host.cancel_request(request_id)
+
+    def on_client_lost(self, client: ClientConnection) -> None:
+        """Forget a client's connection."""
+        self.listener.on_client_lost(client)
+        self._stop_without_clients()
--- /dev/null
+++ b/milletsill/http_gateway/gateway_report.py
@@ -0,0 +1,93 @@
+"""What a gateway logs now and then: counts by cause, and each node in use."""
+
+from __future__ import annotations
+
+import resource
+from collections import Counter
+from typing import Any, Protocol
+
+from milletsill.http_gateway.node_pools import HttpNodePools
+
+MAX_VALUE_LENGTH = 60
+MAX_WARNINGS = 20  # lines between two reports
+
+
+class EventLog(Protocol):
+    """Where events are logged."""
+
+    def info(self, event: str, **values: Any) -> None:
+        """Log what goes on."""
+
+    def warning(self, event: str, **values: Any) -> None:
+        """Log what someone should look at."""
+
+
+class GatewayReport:
+    """Counts events by name and value, and bounds the warnings between two reports."""
+
+    def __init__(self, log: EventLog) -> None:
+        self.log = log
+        self.counts: Counter[tuple[str, str]] = Counter()
+        self.warnings = 0
+        self.latest_lateness = 0
+
+    def count(self, event: str, *values: Any) -> None:
+        """Count an event by its name and its first value."""
+        value = str(values[0])[:MAX_VALUE_LENGTH] if values else ""
+        self.counts[event, value] += 1
+
+    def warn(self, event: str, **values: Any) -> None:
+        """Log what someone should look at, at most `MAX_WARNINGS` a report."""
+        self.warnings += 1
+        if self.warnings <= MAX_WARNINGS:
+            self.log.warning(event, **values)
+
+    def note_lateness(self, late: int) -> None:
+        """Keep the reactor's greatest lateness, in tenths of a millisecond."""
+        self.latest_lateness = max(self.latest_lateness, late)
+
+    def log_counts(self, unanswered: int, clients: int, node_connections: int) -> None:
+        """Log the counts since the last report and begin anew."""
+        counts = {
+            " ".join(filter(None, each)): count
+            for each, count in sorted(self.counts.items())
+        }
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        self.log.info(
+            "tally",
+            held=unanswered,
+            clients=clients,
+            links=node_connections,
+            late_ms=self.latest_lateness / 10,
+            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
+            peak_mb=usage.ru_maxrss // 1024,
+            unsaid=max(self.warnings - MAX_WARNINGS, 0),
+            **counts,
+        )
+        self.counts.clear()
+        self.latest_lateness = 0
+        self.warnings = 0
+
+    def log_nodes(self, scheduler: Any, node_pools: HttpNodePools) -> None:
+        """Log of each node in use what the scheduler believes and the sockets show."""
+        nodes = getattr(scheduler, "nodes", {})
+        for number, pool in node_pools.pools.items():
+            node = nodes.get(number)
+            if node is None:
+                continue
+            if pool.connections or pool.waiting or node.extents or node.lapses:
+                self.log.info(
+                    "node",
+                    id=pool.name,
+                    health=node.health.name,
+                    out=len(node.out),
+                    held=len(node.extents),
+                    window=round(node.window, 1),
+                    lapses=node.lapses,
+                    latency_ms=round((node.latency or 0) / 10),
+                    pace_ms=round(node.pace / 10),
+                    best_ms=round(node.best / 10),
+                    links=len(pool.connections),
+                    free=len(pool.idle),
+                    waiting=len(pool.waiting),
+                )
--- /dev/null
+++ b/milletsill/http_gateway/node_connection.py
@@ -0,0 +1,208 @@
+"""One HTTP connection to a storage node: one attempt at a time, none sent twice."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol as TypingProtocol
+
+from twisted.internet.error import ConnectionDone
+from twisted.internet.protocol import Protocol
+from twisted.python.failure import Failure
+
+from milletsill.gateway.stream_transport import StreamTransport
+from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.message_limits import MessageLimits
+from milletsill.http1.message_reader import ResponseReader
+from milletsill.http1.writer import encode_request
+from milletsill.http_gateway.node_exchange import HttpExchange, NodeReply, outcome_of
+from milletsill.http_gateway.resource_limits import MAX_BODY, SHORT_BODY, BufferBudget
+from milletsill.interface import AttemptOutcome
+
+LIMITS = MessageLimits(body=MAX_BODY)
+TICKS_PER_MS = 10
+
+
+class ConnectionPool(TypingProtocol):
+    """The pool of a connection."""
+
+    address: tuple[str, int]
+    host_field: bytes
+    buffers: BufferBudget
+    count: Callable[..., None]
+    now: Callable[[], int]
+
+    def on_connected(self, connection: HttpNodeConnection, /) -> None:
+        """A connection is up."""
+
+    def on_idle(self, connection: HttpNodeConnection, /) -> None:
+        """A connection is free for another attempt."""
+
+    def on_lost(self, connection: HttpNodeConnection, /) -> None:
+        """A connection is gone."""
+
+    def resubmit(self, exchange: HttpExchange, /) -> None:
+        """An attempt that never ran is to be sent on another connection."""
+
+
+class HttpNodeConnection(Protocol):
+    """One connection. A pull producer only to hear when the last octet was sent.
+
+    Attributes:
+        address: where it was connected to.
+        exchange: the attempt that it carries.
+        written: whether all octets of that attempt were sent.
+        uses: attempts that it has carried.
+        idle_since: since when it is free.
+        reserved: octets of the memory held for a long response.
+    """
+
+    transport: StreamTransport  # type: ignore[assignment]
+
+    def __init__(self, pool: ConnectionPool) -> None:
+        self.pool = pool
+        self.address = pool.address
+        self.reader = ResponseReader(LIMITS)
+        self.exchange: HttpExchange | None = None
+        self.written = True
+        self.closed = False
+        self.uses = 0
+        self.idle_since = 0
+        self.reserved = 0
+
+    # Called by Twisted.
+
+    def connectionMade(self) -> None:
+        """Offer the connection to its pool."""
+        self.transport.setTcpNoDelay(True)
+        self.transport.registerProducer(self, False)
+        self.pool.on_connected(self)
+
+    def resumeProducing(self) -> None:
+        """Note that all that was written is sent."""
+        self.written = True
+
+    def stopProducing(self) -> None:
+        """Do nothing: `connectionLost` follows."""
+
+    def dataReceived(self, data: bytes) -> None:
+        """Read the response."""
+        if self.exchange is None:  # behind a complete response, or out of nothing
+            self.close()
+            return
+        if not self.written and self.uses > 1:
+            self._resubmit_unwritten(self.exchange)
+            return
+        self.reader.feed(data)
+        try:
+            message = self.reader.next_message()
+        except MalformedHttpMessage as error:
+            self.pool.count("spoilt", error.reason)
+            self.finish(AttemptOutcome.ERROR, None, False)
+            return
+        if message is None:
+            self._reserve_long_response()
+            return
+        keep = (
+            message.keep_alive and self.written and not self.reader.has_partial_message
+        )
+        self.finish(outcome_of(message), NodeReply(message), keep)
+
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """End the attempt.
+
+        A response without a length ends with its connection, but a reset is no end: it
+        may have lost octets on the way.
+        """
+        complete = None
+        if reason is not None and isinstance(reason.value, ConnectionDone):
+            complete = self.reader.on_close()
+        exchange = self.exchange
+        self.exchange = None
+        self._on_gone()
+        if exchange is None:
+            return
+        if complete is not None:
+            exchange.end(outcome_of(complete), NodeReply(complete))
+        elif self.written:
+            exchange.end(AttemptOutcome.RESET)
+        elif self.uses > 1:
+            # An idle connection that was closed before all of the attempt was written:
+            # it never ran, and the node may be fine.
+            exchange.connection = None
+            self.pool.resubmit(exchange)
+        else:
+            exchange.end(AttemptOutcome.UNREACHABLE)
+
+    # Called by the pool.
+
+    def start(self, exchange: HttpExchange) -> None:
+        """Send one attempt."""
+        self.exchange = exchange
+        exchange.connection = self
+        self.written = False
+        self.uses += 1
+        payload = exchange.payload
+        left_ms = max((exchange.deadline - self.pool.now()) // TICKS_PER_MS, 1)
+        request = encode_request(
+            payload.method,
+            payload.target,
+            self.pool.host_field,
+            [*payload.fields, (b"X-Remaining-Ms", b"%d" % left_ms)],
+            payload.body,
+        )
+        self.transport.write(request)
+
+    def close(self) -> None:
+        """Cut the connection; the caller ends the attempt on it."""
+        self.exchange = None
+        if not self.closed and self.transport is not None:
+            self.transport.abortConnection()
+        self._on_gone()
+
+    # What follows.
+
+    def finish(
+        self, outcome: AttemptOutcome, reply: NodeReply | None, keep: bool
+    ) -> None:
+        """End the present attempt; keep the connection for another or close it."""
+        exchange = self.exchange
+        self.exchange = None
+        self._release()
+        if keep:
+            self.pool.on_idle(self)
+        else:
+            self.close()
+        if exchange is not None:
+            exchange.end(outcome, reply)
+
+    def _resubmit_unwritten(self, exchange: HttpExchange) -> None:
+        """Send an attempt elsewhere: octets came before all of it was written.
+
+        They answer what this connection carried before. The node begins a request once
+        it has all of it, so this one never ran.
+        """
+        exchange.connection = None
+        self.close()
+        self.pool.resubmit(exchange)
+
+    def _reserve_long_response(self) -> None:
+        """Make sure that there is room for a long response that is on its way."""
+        length = self.reader.expected_body_size(SHORT_BODY)
+        if length <= SHORT_BODY or self.reserved:
+            return
+        if not self.pool.buffers.reserve(length):
+            self.pool.count("spoilt", "no room for a long answer")
+            self.finish(AttemptOutcome.ERROR, None, False)
+            return
+        self.reserved = length
+
+    def _release(self) -> None:
+        self.pool.buffers.release(self.reserved)
+        self.reserved = 0
+
+    def _on_gone(self) -> None:
+        if self.closed:
+            return
+        self.closed = True
+        self._release()
+        self.pool.on_lost(self)
--- a/milletsill/http_gateway/process.py
+++ b/milletsill/http_gateway/process.py
@@ -1,6 +1,9 @@
-"""`milletsill serve` as a process: signals first, then configuration, then the gateway until SIGTERM.
+"""`milletsill serve` as a process.
 
-Exit status 0 after SIGTERM, 1 where the address cannot be had, 2 for a configuration that cannot be used.
+Signals, then configuration, then the gateway until SIGTERM.
+
+Exit status 0 after SIGTERM, 1 where the address cannot be had, 2 for a configuration
+that cannot be used. Modules that take long to load are imported once signals are heard.
 """
 
 from __future__ import annotations
@@ -11,109 +14,134 @@
 import time
 from collections.abc import Callable
 from contextlib import suppress
-from typing import Any, NoReturn
+from types import FrameType
+from typing import TYPE_CHECKING, Any, NoReturn
+
+if TYPE_CHECKING:
+    from milletsill.http_gateway.configuration import GatewayConfiguration
 
 USAGE = """Usage: milletsill serve
 
   Serve the platform's protocol until SIGTERM. Takes its configuration from the file that NODE_CONFIG names (JSON);
   NODE_NAME, NODE_LISTEN and NODE_DISCOVERY stand in for what it leaves out. SIGHUP reads the file again.
-"""
+"""  # noqa: E501
+EXIT_CANNOT_LISTEN = 1
+EXIT_USAGE = 2
 
 
-class Signals:
-    """Keeps what came before there was anybody to hear it."""
+class SignalQueue:
+    """Keeps the signals that came before there was a handler."""
 
     def __init__(self) -> None:
-        self.came: list[int] = []
-        self.hear: Callable[[int], None] = self.came.append
+        self.pending: list[int] = []
+        self.handler: Callable[[int], None] = self.pending.append
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda number, frame: self.hear(number))
+            signal.signal(number, self._on_signal)
+
+    def set_handler(self, handler: Callable[[int], None]) -> None:
+        """Hand signals to a handler from now on, first those that came."""
+        self.handler = handler
+        while self.pending:
+            handler(self.pending.pop(0))
 
-    def given_to(self, hear: Callable[[int], None]) -> None:
-        """From now on to this one, first what came."""
-        self.hear = hear
-        while self.came:
-            hear(self.came.pop(0))
+    def _on_signal(self, number: int, frame: FrameType | None) -> None:
+        self.handler(number)
 
 
 def main(arguments: list[str]) -> int:
-    """Run until told to end."""
+    """Run until told to end, and return the exit status where it never began."""
     if arguments:
-        wanted = arguments in (["--help"], ["-h"])
-        print(
-            USAGE if wanted else "milletsill: serve takes no arguments",
-            file=sys.stdout if wanted else sys.stderr,
-        )
-        return 0 if wanted else 2
-    signals = Signals()
-    from milletsill.http_gateway.configuration import GatewayConfigurationRejected, read
+        return _print_usage(arguments)
+    signals = SignalQueue()
+    from milletsill.http_gateway.configuration import (
+        GatewayConfigurationRejected,
+        read_configuration,
+    )
 
     clock = time.monotonic_ns() // 100_000 - time.time_ns() // 100_000
-    faults = list[str]()
+    warnings: list[str] = []
     try:
-        deployment = read(os.environ, clock, faults.append)
+        configuration = read_configuration(os.environ, clock, warnings.append)
     except GatewayConfigurationRejected as error:
         print(f"milletsill: {error.describe()}", file=sys.stderr)
-        return 2
-    serve(deployment, clock, signals, faults)
-
-
-def serve(deployment: Any, clock: int, signals: Signals, faults: list[str]) -> NoReturn:
-    """The gateway and its reactor, to the end of the process."""
-    from twisted.internet import reactor
+        return EXIT_USAGE
+    return serve(configuration, clock, signals, warnings)
+
+
+def _print_usage(arguments: list[str]) -> int:
+    if arguments in (["--help"], ["-h"]):
+        print(USAGE)
+        return 0
+    print("milletsill: serve takes no arguments", file=sys.stderr)
+    return EXIT_USAGE
+
+
+def serve(
+    configuration: GatewayConfiguration,
+    clock: int,
+    signals: SignalQueue,
+    warnings: list[str],
+) -> NoReturn:
+    """Run the gateway and its reactor, to the end of the process."""
+    from twisted.internet import reactor as installed_reactor
     from twisted.internet.error import CannotListenError
 
     from milletsill.gateway.process_setup import FREEZE_DELAY, freeze_long_lived_objects
-    from milletsill.http_gateway.configuration import GatewayConfigurationRejected, read
-    from milletsill.http_gateway.gateway import Gateway
-    from milletsill.http_gateway.json_log import Lines
-
-    # Guards every span, the end after SIGTERM first, against a wall clock that is set while the process runs: Twisted's timers
-    # follow it. Harm: none known.
-    reactor.seconds = time.monotonic  # type: ignore[attr-defined]
-    log = Lines(sys.stdout, gateway=deployment.name)
-    gateway = Gateway(deployment, reactor, monotonic, clock, log)
-    for each in faults:
-        gateway.remark("configuration", reason=each)
-
-    def again() -> None:
+    from milletsill.http_gateway.configuration import (
+        GatewayConfigurationRejected,
+        read_configuration,
+    )
+    from milletsill.http_gateway.gateway import HttpGateway
+    from milletsill.http_gateway.json_log import JsonLog
+
+    # Twisted's interfaces cannot be followed by a type checker.
+    reactor: Any = installed_reactor
+    # Twisted's timers follow the wall clock, which may be set while the process runs;
+    # every time, the end after SIGTERM first, is kept on the monotonic clock.
+    reactor.seconds = time.monotonic
+    log = JsonLog(sys.stdout, gateway=configuration.name)
+    gateway = HttpGateway(configuration, reactor, monotonic_ticks, clock, log)
+
+    def warn(text: str) -> None:
+        gateway.warn("configuration", reason=text)
+
+    def reload() -> None:
         try:
-            gateway.reload(
-                read(
-                    os.environ,
-                    clock,
-                    lambda text: gateway.remark("configuration", reason=text),
-                )
-            )
+            gateway.reload(read_configuration(os.environ, clock, warn))
         except GatewayConfigurationRejected as error:
             log.warning("configuration", **error.log_fields())
 
-    def heard(number: int) -> None:
-        reactor.callFromThread(again if number == signal.SIGHUP else gateway.terminate)
+    def on_signal(number: int) -> None:
+        action = reload if number == signal.SIGHUP else gateway.terminate
+        reactor.callFromThread(action)
 
-    gateway.stopped = lambda: reactor.callLater(
-        0, reactor.stop
-    )  # what was owed had its time before
-    status = list[int]()
+    status: list[int] = []
 
     def begin() -> None:
         try:
             gateway.start()
-            signals.given_to(heard)
+            signals.set_handler(on_signal)
         except CannotListenError as error:
             print(f"milletsill: {error}", file=sys.stderr)
-            status.append(1)
+            status.append(EXIT_CANNOT_LISTEN)
             reactor.stop()
 
+    for text in warnings:
+        warn(text)
+    # What was owed had its time before.
+    gateway.stopped = lambda: reactor.callLater(0, reactor.stop)
     reactor.callWhenRunning(begin)
     reactor.callLater(FREEZE_DELAY, freeze_long_lived_objects)
     reactor.run(installSignalHandlers=False)
-    end(status[0] if status else 0)
+    exit_process(status[0] if status else 0)
+
 
+def exit_process(status: int) -> NoReturn:
+    """End the process without the interpreter's own end.
 
-def end(status: int) -> NoReturn:
-    """The process's end. Guards the time before the earliest kill against the interpreter's own end, which frees a gateway's
-    memory piece by piece. Harm: what is registered for that end is not called; `serve` registers nothing.
+    That frees a gateway's memory piece by piece, which takes time before the earliest
+    kill. What is registered for the interpreter's end is not called; `serve` registers
+    nothing.
     """
     with suppress(OSError, ValueError):
         sys.stdout.flush()
@@ -121,6 +149,6 @@
     os._exit(status)
 
 
-def monotonic() -> int:
-    """Tenths of a millisecond, whole, rounded up: what is over is over."""
+def monotonic_ticks() -> int:
+    """Return tenths of a millisecond, rounded up: what is over is over."""
     return -(-time.monotonic_ns() // 100_000)
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -1,9 +1,13 @@
-"""A client's request as a transfer, by the platform's header names. What cannot be one is named, and reaches nobody."""
+"""Read a client's HTTP request as a request for the scheduler, by the platform's header names.
+
+What cannot be one is refused with a reason, and reaches no node.
+"""
 
 from __future__ import annotations
 
 import re
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 from milletsill.errors import InvalidValue
@@ -15,11 +19,15 @@
 TARGET = re.compile(rb"/([^/?#]+)(?:[/?][!-\"$-~]*)?\Z")
 BLOCK = re.compile(rb"(?:^|;\s*)block=([^;]*)")
 UNITS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?\Z")
-WHOLE = re.compile(rb"[0-9]{1,9}\Z")
-KEY = re.compile(rb"[!-~]{1,256}\Z")
-LONGEST_WAIT = 36_000_000  # tenths of a millisecond; nobody waits for an hour
-MOST_GATEWAYS = 1 << 20
-MOST = 1e9  # units and cells, where the settings set no bound
+WHOLE_NUMBER = re.compile(rb"[0-9]{1,9}\Z")
+IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,256}\Z")
+TICKS_PER_MS = 10
+MAX_CLIENT_TIMEOUT = 36_000_000  # tenths of a millisecond; nobody waits for an hour
+MAX_GATEWAYS = 1 << 20
+UNBOUNDED = 1e9  # units and shards, where the settings set no bound
+MAX_NUMBER_LENGTH = 24  # characters of a number in a node's response
+MAX_REPORT_LENGTH = 512  # octets of a load report
+MAX_REPORTED = 1e9
 
 
 class InvalidRequest(InvalidValue):
@@ -32,166 +40,209 @@
         self.status = status
 
 
-class Cargo:
+@dataclass(slots=True, eq=False)
+class ForwardedPayload:
     """What passes on unchanged to a node."""
 
-    __slots__ = ("method", "target", "fields", "body")
+    method: bytes
+    target: bytes
+    fields: Sequence[tuple[bytes, bytes]]
+    body: bytes
 
-    def __init__(
-        self,
-        method: bytes,
-        target: bytes,
-        fields: list[tuple[bytes, bytes]],
-        body: bytes,
-    ) -> None:
-        self.method, self.target, self.fields, self.body = method, target, fields, body
 
+@dataclass(frozen=True, slots=True)
+class RequestSize:
+    """What the X-IO header tells.
+
+    Volume, units of work, shard, gateways of the volume.
+    """
+
+    volume: int
+    units: float
+    shard: int | None
+    sharing_gateways: int
 
-class Categories:
-    """Categories and plans by the names that clients use."""
+
+class RequestParser:
+    """Knows request classes and service plans by the names that clients use."""
 
     def __init__(self, facts: Mapping[str, Any]) -> None:
         self.facts = facts
-        self.categories = {
-            each["name"].encode(): place
-            for place, each in enumerate(facts["categories"])
+        self.request_classes = {
+            each["name"].encode(): index
+            for index, each in enumerate(facts["categories"])
         }
-        self.plans = {
-            each["name"].encode(): place for place, each in enumerate(facts["plans"])
+        self.service_plans = {
+            each["name"].encode(): index for index, each in enumerate(facts["plans"])
         }
-        self.planless = list(self.plans) == [
-            b""
-        ]  # the settings name no plan: requests need not either
-        # Which categories write; where the settings leave it out, a request's method says it.
-        self.writes = (
-            {place for place, each in enumerate(facts["writes"]) if each}
-            if facts["writes"]
-            else None
-        )
-        self.largest, self.cells = (
-            facts["largest_units"] or MOST,
-            facts["cells"] or MOST,
+        # Where the settings name no plan, requests need not either.
+        self.planless = list(self.service_plans) == [b""]
+        # Classes that write; where the settings leave it out, a request's method says
+        # it.
+        self.writing_classes: set[int] | None = None
+        if facts["writes"]:
+            writes = enumerate(facts["writes"])
+            self.writing_classes = {index for index, each in writes if each}
+        self.largest = facts["largest_units"] or UNBOUNDED
+        self.shards = facts["cells"] or UNBOUNDED
+
+    def parse(
+        self,
+        message: HttpMessage,
+        received_at: int,
+        margin: int,
+        latest: int | None = None,
+    ) -> Request:
+        """Return the request that a message asks for.
+
+        Args:
+            message: the complete message.
+            received_at: when its last octet was read, in tenths of a millisecond.
+            margin: the deadline is this long before the client's own.
+            latest: the latest deadline, None for none.
+
+        Raises:
+            InvalidRequest: the message asks for none.
+        """
+        request_id = int(self._field(message, b"x-txn", HEX16), 16)
+        request_class = self._index(self.request_classes, message, b"x-lane")
+        service_plan = 0
+        if not self.planless:
+            service_plan = self._index(self.service_plans, message, b"x-plan")
+        self._check_target(message)
+        write = self._check_method(message, request_class)
+        if self.facts["categories"][request_class]["repeats"] == "ticketed":
+            self._field(message, b"idempotency-key", IDEMPOTENCY_KEY)
+        key = self._key(message)
+        deadline = received_at + self._client_timeout(message) - margin
+        if latest is not None:
+            deadline = min(deadline, latest)
+        size = self._size(message)
+        return Request(
+            request_id,
+            key,
+            size.volume,
+            size.sharing_gateways,
+            request_class,
+            service_plan,
+            message.fields.get(b"x-resent") == b"1",
+            write,
+            size.shard,
+            size.units,
+            deadline,
         )
 
-    def one(
+    def _field(
         self, message: HttpMessage, name: bytes, form: re.Pattern[bytes] | None = None
     ) -> bytes:
-        """A field that must be there once, in its form."""
+        """Return a header field that must be there once, in its form."""
         value = message.fields.get(name)
         if (
             value is None
             or name in message.repeated
-            or form is not None
-            and not form.match(value)
+            or (form is not None and not form.match(value))
         ):
-            raise InvalidRequest(
-                400, f"{name.decode()} is missing, doubled or malformed"
-            )
+            reason = f"{name.decode()} is missing, doubled or malformed"
+            raise InvalidRequest(400, reason)
         return value
 
-    def arrival(
-        self, message: HttpMessage, came: int, margin: int, by: int | None = None
-    ) -> Request:
-        """The transfer that a request asks for; `came` is when its last octet was read; it is over at `by` at the latest."""
-        id = int(self.one(message, b"x-txn", HEX16), 16)
-        category = self.pick(self.categories, message, b"x-lane")
-        plan = 0 if self.planless else self.pick(self.plans, message, b"x-plan")
+    def _index(
+        self, indices: Mapping[bytes, int], message: HttpMessage, name: bytes
+    ) -> int:
+        """Return the index of a request class or a service plan."""
+        index = indices.get(self._field(message, name))
+        if index is None:
+            raise InvalidRequest(404, f"{name.decode()} is not known")
+        return index
+
+    def _check_target(self, message: HttpMessage) -> None:
         path = TARGET.match(message.target)
         if path is None or path.group(1) != message.fields[b"x-lane"]:
             raise InvalidRequest(404, "the path is not the category's")
-        write = (
-            message.method == b"PUT" if self.writes is None else category in self.writes
-        )
-        if (
-            message.method != (b"PUT" if write else b"GET")
-            or not write
-            and message.body
-        ):
+
+    def _check_method(self, message: HttpMessage, request_class: int) -> bool:
+        """Return whether the request writes."""
+        if self.writing_classes is None:
+            write = message.method == b"PUT"
+        else:
+            write = request_class in self.writing_classes
+        expected = b"PUT" if write else b"GET"
+        if message.method != expected or (not write and message.body):
             raise InvalidRequest(405, "method or body do not fit the category")
-        if self.facts["categories"][category]["repeats"] == "ticketed":
-            self.one(message, b"idempotency-key", KEY)
-        block = BLOCK.search(self.one(message, b"cookie"))
+        return write
+
+    def _key(self, message: HttpMessage) -> int:
+        block = BLOCK.search(self._field(message, b"cookie"))
         if block is None or not HEX16.match(block.group(1)):
             raise InvalidRequest(400, "no block in the cookie")
-        left = int(self.one(message, b"x-remaining-ms", WHOLE)) * 10
-        if not 0 < left <= LONGEST_WAIT:
+        return int(block.group(1), 16)
+
+    def _client_timeout(self, message: HttpMessage) -> int:
+        left_ms = int(self._field(message, b"x-remaining-ms", WHOLE_NUMBER))
+        left = left_ms * TICKS_PER_MS
+        if not 0 < left <= MAX_CLIENT_TIMEOUT:
             raise InvalidRequest(400, "a time that nobody waits")
-        ends = came + left - margin if by is None else min(came + left - margin, by)
-        volume, units, cell, gateways = self.io(message)
-        return Request(
-            id,
-            int(block.group(1), 16),
-            volume,
-            gateways,
-            category,
-            plan,
-            message.fields.get(b"x-resent") == b"1",
-            write,
-            cell,
-            units,
-            ends,
-        )
+        return left
 
-    def pick(
-        self, names: Mapping[bytes, int], message: HttpMessage, field: bytes
-    ) -> int:
-        """The place of a category or a plan."""
-        place = names.get(self.one(message, field))
-        if place is None:
-            raise InvalidRequest(404, f"{field.decode()} is not known")
-        return place
-
-    def io(self, message: HttpMessage) -> tuple[int, float, int | None, int]:
-        """Volume, units, cell and gateways."""
+    def _size(self, message: HttpMessage) -> RequestSize:
         parts = dict(
             part.strip().split(b"=", 1)
-            for part in self.one(message, b"x-io").split(b",")
+            for part in self._field(message, b"x-io").split(b",")
             if b"=" in part
         )
-        volume, units = parts.get(b"volume", b""), parts.get(b"units", b"")
-        shard, hosts = parts.get(b"shard", b""), parts.get(b"hosts", b"")
+        volume = parts.get(b"volume", b"")
+        units = parts.get(b"units", b"")
+        shard = parts.get(b"shard", b"")
+        hosts = parts.get(b"hosts", b"")
+        new_object = shard == b"-1"
         if not (
             HEX16.match(volume)
             and UNITS.match(units)
-            and (shard == b"-1" or WHOLE.match(shard))
-            and WHOLE.match(hosts)
+            and (new_object or WHOLE_NUMBER.match(shard))
+            and WHOLE_NUMBER.match(hosts)
         ):
             raise InvalidRequest(400, "x-io is malformed")
-        cell = None if shard == b"-1" else int(shard)
+        size = RequestSize(
+            int(volume, 16),
+            float(units),
+            None if new_object else int(shard),
+            int(hosts),
+        )
         if (
-            not 0 < float(units) <= self.largest
-            or not 0 < int(hosts) <= MOST_GATEWAYS
-            or (cell is not None and cell >= self.cells)
+            not 0 < size.units <= self.largest
+            or not 0 < size.sharing_gateways <= MAX_GATEWAYS
+            or (size.shard is not None and size.shard >= self.shards)
         ):
             raise InvalidRequest(400, "x-io is out of bounds")
-        return int(volume, 16), float(units), cell, int(hosts)
+        return size
 
 
-def cargo_of(message: HttpMessage) -> Cargo:
-    """What a node gets of it."""
+def payload_of(message: HttpMessage) -> ForwardedPayload:
+    """Return what a node gets of a request."""
     fields = [(b"X-Txn", message.fields[b"x-txn"])]
     if b"idempotency-key" in message.fields:
         fields.append((b"Idempotency-Key", message.fields[b"idempotency-key"]))
-    return Cargo(message.method, message.target, fields, message.body)
+    return ForwardedPayload(message.method, message.target, fields, message.body)
 
 
-def number_in(value: bytes | None, most: float) -> float | None:
-    """A number from 0 of a field; None where there is none that can be believed."""
-    if value is None or len(value) > 24:
+def parse_number(value: bytes | None, limit: float) -> float | None:
+    """Return a number from 0 to a limit, None where there is none to be believed."""
+    if value is None or len(value) > MAX_NUMBER_LENGTH:
         return None
     try:
         number = float(value)
     except ValueError:
         return None
-    return number if 0 <= number <= most else None
+    return number if 0 <= number <= limit else None
 
 
-def report_in(value: bytes | None) -> dict[str, float]:
-    """A load report, field by field; what cannot be read is passed over."""
-    report = dict[str, float]()
-    for part in (value or b"")[:512].split(b","):
+def parse_load_report(value: bytes | None) -> dict[str, float]:
+    """Return a load report, field by field; what cannot be read is left out."""
+    report: dict[str, float] = {}
+    for part in (value or b"")[:MAX_REPORT_LENGTH].split(b","):
         name, _, text = part.strip().partition(b"=")
-        word, number = REPORTS.get(name.decode("latin-1")), number_in(text, 1e9)
-        if word is not None and number is not None:
-            report[word] = number
+        field = REPORTS.get(name.decode("latin-1"))
+        number = parse_number(text, MAX_REPORTED)
+        if field is not None and number is not None:
+            report[field] = number
     return report
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -13,28 +13,32 @@
 
 from milletsill.http1.message_limits import MessageLimits
 from milletsill.http1.message_reader import RequestReader
+from milletsill.http_gateway.client_connection_state import (
+    NEW_TIMEOUT,
+    REQUEST_TIMEOUT,
+    ClientState,
+    time_event,
+)
 from milletsill.http_gateway.configuration import (
     GatewayConfigurationRejected,
-    deployment_of,
-    read,
+    parse_configuration,
+    read_configuration,
+)
+from milletsill.http_gateway.endpoint_watcher import EndpointWatcher, WatcherConfig
+from milletsill.http_gateway.endpoints import InvalidEndpoint, parse_node, parse_update
+from milletsill.http_gateway.gateway import HttpGateway
+from milletsill.http_gateway.json_log import JsonLog
+from milletsill.http_gateway.process_state import (
+    serving_time_after_term,
+    shutdown_schedule,
 )
-from milletsill.http_gateway.endpoint_watcher import Follower
-from milletsill.http_gateway.endpoints import InvalidEndpoint, news_of, place_of
-from milletsill.http_gateway.gateway import Gateway
-from milletsill.http_gateway.gateway_limits import (
-    MOST_SPENT,
-    OVER,
-    SILENT,
-    WHOLE,
-    Spent,
-    Stage,
-    due,
-    ends_of,
-    leave_within,
-    shares_of,
+from milletsill.http_gateway.recent_request_ids import MAX_IDS, RecentRequestIds
+from milletsill.http_gateway.request_parser import (
+    InvalidRequest,
+    RequestParser,
+    parse_load_report,
 )
-from milletsill.http_gateway.json_log import Lines
-from milletsill.http_gateway.request_parser import InvalidRequest, Categories, report_in
+from milletsill.http_gateway.resource_limits import SPARE_CLIENTS, divide_descriptors
 from milletsill.interface import EndpointUpdateKind, Readiness
 from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
 
@@ -44,7 +48,7 @@
 
     def test_one_object_a_line_and_a_stream_that_refuses_costs_nothing(self):
         stream = io.StringIO()
-        Lines(stream, gateway="n1").warning("list", reason="gone\nby", at=1)
+        JsonLog(stream, gateway="n1").warning("list", reason="gone\nby", at=1)
         told = json.loads(stream.getvalue())
         told.pop("timestamp")
         self.assertEqual(
@@ -59,25 +63,24 @@
         )
         self.assertEqual(stream.getvalue().count("\n"), 1)
         stream.close()
-        Lines(stream).info("list")
+        JsonLog(stream).info("list")
 
 
 class Lists(unittest.TestCase):
     def setUp(self):
         self.reactor, self.told, self.log = Reactor(), [], []
-        self.follower = Follower(
+        self.follower = EndpointWatcher(
             self.reactor,
             lambda: int(self.reactor.seconds() * 10_000),
             ("127.0.0.1", 8500),
-            ["z"],
-            0,
+            WatcherConfig(["z"], 0),
             lambda kind, places: self.told.append((kind, len(places))),
             self.log.append,
             Random(1).uniform,
         )
 
     def watch(self):
-        self.follower.ask()
+        self.follower.request_watch()
         self.reactor.advance(0)
         return self.reactor.up()
 
@@ -117,7 +120,7 @@
         watch, wire = self.watch()
         watch.dataReceived(self.HEAD + b"1\r\n\n\r\n")
         self.reactor.advance(6.1)
-        self.follower.look()
+        self.follower.check()
         self.assertEqual(
             (self.told, wire.aborted),
             ([(EndpointUpdateKind.DELTA, 0), (EndpointUpdateKind.FAILED, 0)], True),
@@ -160,7 +163,7 @@
 
     def test_a_zone_that_the_settings_do_not_name_is_shared_only_with_its_like(self):
         zones = [
-            place_of(NODE | {"id": name, "zone": zone}, ["z"], 0).listed.zone
+            parse_node(NODE | {"id": name, "zone": zone}, ["z"], 0).endpoint.zone
             for name, zone in (
                 ("a", "z"),
                 ("b", "z"),
@@ -183,85 +186,91 @@
             NODE | {"cell": -1},
             NODE | {"weight": float("nan")},
         ]
-        news = news_of(
+        news = parse_update(
             {"version": 3, "servers": bad + [NODE | {"started_ms": 5}]},
             ["z"],
             7,
             self.log.append,
         )
         self.assertEqual(
-            (len(news.places), news.places[0].listed.started_at, len(self.log)),
+            (len(news.nodes), news.nodes[0].endpoint.started_at, len(self.log)),
             (1, 57, len(bad)),
         )
-        self.assertIs(news.places[0].listed.readiness, Readiness.READY)
+        self.assertIs(news.nodes[0].endpoint.readiness, Readiness.READY)
         with self.assertRaises(InvalidEndpoint):
-            news_of({"version": -1, "servers": []}, [], 0, self.log.append)
+            parse_update({"version": -1, "servers": []}, [], 0, self.log.append)
 
 
 class Decided(unittest.TestCase):
     def test_descriptors_are_parted(self):
         for sockets in (256, 384, 1024):
-            shares = shares_of(sockets)
+            shares = divide_descriptors(sockets)
             self.assertTrue(
                 shares.clients >= sockets / 3
-                and shares.clients + OVER + shares.links <= sockets - 20
+                and shares.clients + SPARE_CLIENTS + shares.node_connections
+                <= sockets - 20
             )
 
     def test_time_and_a_clients_connection(self):
         self.assertEqual(
             [
-                due(stage, begun, quiet, short) is not None
+                time_event(stage, begun, quiet, short) is not None
                 for stage, begun, quiet, short in (
-                    (Stage.FRESH, False, SILENT, False),
-                    (Stage.FRESH, False, 600, False),
-                    (Stage.FRESH, False, 600, True),
-                    (Stage.FRESH, True, WHOLE, False),
-                    (Stage.BUSY, False, 1 << 40, True),
+                    (ClientState.NEW, False, NEW_TIMEOUT, False),
+                    (ClientState.NEW, False, 600, False),
+                    (ClientState.NEW, False, 600, True),
+                    (ClientState.NEW, True, REQUEST_TIMEOUT, False),
+                    (ClientState.BUSY, False, 1 << 40, True),
                 )
             ],
             [True, False, True, True, False],
         )
 
     def test_the_leave_ends_before_the_platform_kills(self):
-        self.assertEqual([leave_within(10_000), leave_within(90_000)], [15_000, 35_000])
+        self.assertEqual(
+            [serving_time_after_term(10_000), serving_time_after_term(90_000)],
+            [15_000, 35_000],
+        )
         for longest, kill in ((10_000, 17_000), (30_000, 37_000), (90_000, 37_000)):
-            steps = [within for within, _ in ends_of(longest)]
+            steps = [within for within, _ in shutdown_schedule(longest)]
             self.assertEqual((steps, steps[-1] + 900 == kill), (sorted(steps), True))
 
     def test_ids_are_spent_for_their_time_and_within_a_bound(self):
-        spent = Spent()
-        for id in range(3 * MOST_SPENT):
-            spent.take(id, id + 1000, id)
+        spent = RecentRequestIds()
+        for id in range(3 * MAX_IDS):
+            spent.add(id, id + 1000, id)
             self.assertEqual(
-                [spent.known(each, id) for each in (id, id - 999, id - 1000)],
+                [spent.contains(each, id) for each in (id, id - 999, id - 1000)],
                 [True, id >= 999, False],
             )
         self.assertLessEqual(len(spent.until), 1001)
-        for id in range(3 * MOST_SPENT):
-            spent.take(id, 1 << 40, 0)
-        self.assertEqual(len(spent.until), MOST_SPENT)
+        for id in range(3 * MAX_IDS):
+            spent.add(id, 1 << 40, 0)
+        self.assertEqual(len(spent.until), MAX_IDS)
         self.assertEqual(
             [
-                spent.known(each, 0)
-                for each in (3 * MOST_SPENT - 1, 2 * MOST_SPENT, 2 * MOST_SPENT - 1)
+                spent.contains(each, 0)
+                for each in (3 * MAX_IDS - 1, 2 * MAX_IDS, 2 * MAX_IDS - 1)
             ],
             [True, True, False],
         )
 
     def test_a_report_is_read_field_by_field(self):
         self.assertEqual(
-            report_in(b"inflight=7,queue=nan,util=-1,depth=x,concurrent=2.5,\xff=1,,="),
+            parse_load_report(
+                b"inflight=7,queue=nan,util=-1,depth=x,concurrent=2.5,\xff=1,,="
+            ),
             {"inflight": 2.5},
         )
-        self.assertEqual(report_in(None), {})
+        self.assertEqual(parse_load_report(None), {})
 
     def test_a_repeat_and_a_leave_are_told_to_the_module(self):
-        deployment = deployment_of(GIVEN, {}, 0, print)
+        deployment = parse_configuration(GIVEN, {}, 0, print)
         reader = RequestReader(MessageLimits())
         reader.feed(
             ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
         )
-        arrival = Categories(deployment.facts).arrival(
+        arrival = RequestParser(deployment.facts).parse(
             reader.next_message(), 1000, 60, 5000
         )
         self.assertEqual(
@@ -276,7 +285,7 @@
         )
         with self.assertRaises(InvalidRequest):
             reader.feed(ask(X_Lane="none"))
-            Categories(deployment.facts).arrival(reader.next_message(), 1000, 60)
+            RequestParser(deployment.facts).parse(reader.next_message(), 1000, 60)
 
     def test_a_configuration_that_cannot_be_used_is_one_line(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -296,10 +305,10 @@
                 with self.assertRaises(
                     GatewayConfigurationRejected, msg=text[:50]
                 ) as caught:
-                    read({"NODE_CONFIG": path}, 0, list[str]().append)
+                    read_configuration({"NODE_CONFIG": path}, 0, list[str]().append)
                 self.assertNotIn("\n", str(caught.exception))
             with self.assertRaises(GatewayConfigurationRejected):
-                read({}, 0, print)
+                read_configuration({}, 0, print)
 
 
 class OtherShapes(unittest.TestCase):
@@ -311,7 +320,7 @@
             for name, value in (SETTINGS | changed).items()
             if name not in drop
         }
-        return deployment_of(
+        return parse_configuration(
             GIVEN | {"settings": parts},
             {},
             0,
@@ -321,7 +330,7 @@
     def arrival(self, deployment, data):
         reader = RequestReader(MessageLimits())
         reader.feed(data)
-        return Categories(deployment.facts).arrival(reader.next_message(), 1000, 60)
+        return RequestParser(deployment.facts).parse(reader.next_message(), 1000, 60)
 
     def test_without_plans_a_request_needs_none(self):
         for changed in ({"plans": []}, {"drop": ("plans",)}):
@@ -353,8 +362,10 @@
         said = SimpleNamespace(
             info=lambda *given, **values: None, warning=lambda *given, **values: None
         )
-        fleet = Gateway(self.deployment(limits={}), reactor, lambda: 0, 0, said).fleet
-        self.assertEqual((fleet.dial_span, fleet.idle_span), (10_000, 35_000))
+        fleet = HttpGateway(
+            self.deployment(limits={}), reactor, lambda: 0, 0, said
+        ).node_pools
+        self.assertEqual((fleet.connect_timeout, fleet.idle_timeout), (10_000, 35_000))
 
     def test_what_is_unknown_or_missing_is_one_line_each(self):
         said = []
@@ -384,7 +395,7 @@
             )
 
     def test_a_node_listed_with_a_weight_of_nothing_stays(self):
-        self.assertEqual(place_of(NODE | {"weight": 0}, ["z"], 0).listed.size, 0.0)
+        self.assertEqual(parse_node(NODE | {"weight": 0}, ["z"], 0).endpoint.size, 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/http_gateway/test_graceful_shutdown.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 import copy
 
-from milletsill.http_gateway.gateway import Gateway
+from milletsill.http_gateway.gateway import HttpGateway
 from tests.support import http_gateway_rig as shared
 
 KILLED, COUNTED, STEP = (
@@ -26,7 +26,7 @@
                 "hard_limit_ns": int(patience * 1e9),
                 "idempotency": "single_shot",
             }  # awaited to the end
-        self.gateway = Gateway(
+        self.gateway = HttpGateway(
             self.deployment(settings=settings),
             self.reactor,
             self.now,
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -7,12 +7,13 @@
 
 from twisted.internet.protocol import Protocol
 
-from milletsill.http_gateway.configuration import deployment_of
-from milletsill.http_gateway.endpoint_watcher import Dial
-from milletsill.http_gateway.endpoints import number_of, place_of
-from milletsill.http_gateway.gateway_limits import OVER, Octets, Process
-from milletsill.http_gateway.node_connections import Fleet
-from milletsill.http_gateway.request_parser import Cargo
+from milletsill.http_gateway.configuration import parse_configuration
+from milletsill.http_gateway.connector import SingleConnector
+from milletsill.http_gateway.endpoints import node_number, parse_node
+from milletsill.http_gateway.node_pools import HttpNodePools, NodePoolsConfig
+from milletsill.http_gateway.process_state import ProcessState
+from milletsill.http_gateway.request_parser import ForwardedPayload
+from milletsill.http_gateway.resource_limits import SPARE_CLIENTS, BufferBudget
 from milletsill.interface import AttemptOutcome
 from tests.support.http_gateway_rig import (
     ANSWER,
@@ -142,28 +143,30 @@
         )
 
     def test_silent_connections_make_way_where_descriptors_are_short(self):
-        most = self.gateway.clients.most + OVER
+        most = self.gateway.listener.max_connections + SPARE_CLIENTS
         silent = [self.client() for _ in range(most)]
-        self.assertIsNone(self.gateway.clients.buildProtocol(None))
+        self.assertIsNone(self.gateway.listener.buildProtocol(None))
         self.reactor.pump([0.1] * 4)
         self.assertTrue(all(wire.disconnecting for _, wire in silent))
         self.lost(silent[0][0])
-        self.assertTrue(self.gateway.clients.paused)  # still over its share
+        self.assertTrue(self.gateway.listener.paused)  # still over its share
         for protocol, _ in silent[1:]:
             self.lost(protocol)
         self.assertEqual(
             self.gateway.port.numberAccepts, 1
         )  # as when the first was let in again
-        self.assertFalse(self.gateway.clients.paused or self.gateway.clients.open)
+        self.assertFalse(
+            self.gateway.listener.paused or self.gateway.listener.connections
+        )
 
     def test_an_answer_that_is_not_taken_is_counted_until_it_is(self):
         (client, wire), (link, _) = self.served(answer=None)
         write = wire.write
         wire.write = lambda data: (client.pauseProducing(), write(data))
         link.dataReceived(ANSWER)
-        self.assertEqual(self.gateway.octets.held, 2)
+        self.assertEqual(self.gateway.buffers.held, 2)
         client.resumeProducing()
-        self.assertEqual(self.gateway.octets.held, 0)
+        self.assertEqual(self.gateway.buffers.held, 0)
 
     def test_readiness_and_sigterm(self):
         ready = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -181,8 +184,8 @@
         self.assertIn(b" 200 ", busy.value())
         self.reactor.pump([0.05] * 40)
         self.assertEqual(
-            (wire.disconnecting, len(ended), self.gateway.process),
-            (True, 1, Process.STOPPED),
+            (wire.disconnecting, len(ended), self.gateway.state),
+            (True, 1, ProcessState.STOPPED),
         )
 
 
@@ -191,7 +194,7 @@
         """How the dispatches ended that were counted."""
         return {
             key[1]: count
-            for key, count in self.gateway.tally.items()
+            for key, count in self.gateway.report.counts.items()
             if key[0] == "ended"
         }
 
@@ -234,7 +237,8 @@
     def test_octets_behind_a_good_answer_retire_its_link(self):
         (_, wire), (_, sent) = self.served(ANSWER + b"HTTP/1.1 200 OK\r\n")
         self.assertEqual(
-            (wire.value()[-2:], sent.aborted, self.gateway.fleet.open), (b"hi", True, 0)
+            (wire.value()[-2:], sent.aborted, self.gateway.node_pools.open_connections),
+            (b"hi", True, 0),
         )
         (_, wire), (link, sent) = self.served(ANSWER, txn=TXN + 1)
         link.dataReceived(b"noise")  # later, nothing waits
@@ -256,7 +260,7 @@
     def test_an_idle_link_that_closes_before_we_wrote_all_costs_nothing(self):
         _, (link, _) = self.served()
         self.client(ask(TXN + 1))
-        self.assertIsNotNone(link.sending)
+        self.assertIsNotNone(link.exchange)
         link.written = False
         self.lost(link)
         self.reactor.advance(0)
@@ -270,72 +274,71 @@
             SimpleNamespace(transport=None), None
         )
         self.assertEqual(
-            (self.ended()["unreached"], self.gateway.fleet.open),
+            (self.ended()["unreached"], self.gateway.node_pools.open_connections),
             (1, len(self.dialled(7070)) - 1),
         )
 
     def fleet(self, most=4, octets=None):
-        fleet = Fleet(
+        fleet = HttpNodePools(
             self.reactor,
             self.now,
-            most,
-            octets or Octets(64),
-            2500,
-            300_000,
+            NodePoolsConfig(most, 2500, 300_000),
+            octets or BufferBudget(64),
             lambda *values: None,
         )
-        fleet.listed(True, [place_of(NODE, ["z"], 0)])
-        return fleet, fleet.nodes[number_of("s-1")]
+        fleet.update(True, [parse_node(NODE, ["z"], 0)])
+        return fleet, fleet.pools[node_number("s-1")]
 
     def test_links_stay_within_their_bound_and_who_waits_is_unreached_in_time(self):
         fleet, node = self.fleet()
         ended = []
         for _ in range(6):
-            fleet.carry(
-                Cargo(b"GET", b"/get", [], b""),
+            fleet.send_attempt(
+                ForwardedPayload(b"GET", b"/get", [], b""),
                 node.number,
                 self.now() + 9000,
                 lambda *values: ended.append(values),
             )
-        self.assertEqual((fleet.open, len(node.waiting)), (4, 6))
+        self.assertEqual((fleet.open_connections, len(node.waiting)), (4, 6))
         self.reactor.advance(0.26)
-        fleet.look()
+        fleet.check()
         self.assertEqual((len(ended), len(node.waiting)), (6, 0))
 
     def test_idle_links_close_before_the_node_does_and_the_longest_idle_makes_way(self):
         fleet, node = self.fleet(most=1)
-        fleet.carry(
-            Cargo(b"GET", b"/get", [], b""),
+        fleet.send_attempt(
+            ForwardedPayload(b"GET", b"/get", [], b""),
             node.number,
             self.now() + 9000,
             lambda *values: None,
         )
         link, wire = self.reactor.up()
         link.dataReceived(ANSWER)
-        fleet.listed(
-            False, [place_of(NODE | {"id": "s-2", "addr": "127.0.0.1:7071"}, ["z"], 0)]
+        fleet.update(
+            False,
+            [parse_node(NODE | {"id": "s-2", "addr": "127.0.0.1:7071"}, ["z"], 0)],
         )
-        fleet.carry(
-            Cargo(b"GET", b"/get", [], b""),
-            number_of("s-2"),
+        fleet.send_attempt(
+            ForwardedPayload(b"GET", b"/get", [], b""),
+            node_number("s-2"),
             self.now() + 9000,
             lambda *values: None,
         )
-        self.assertEqual((wire.aborted, fleet.open), (True, 1))
+        self.assertEqual((wire.aborted, fleet.open_connections), (True, 1))
         other, wire = self.reactor.up()
         other.dataReceived(ANSWER)
         self.reactor.advance(22)
-        fleet.look()
-        self.assertEqual((wire.aborted, fleet.open), (True, 0))
+        fleet.check()
+        self.assertEqual((wire.aborted, fleet.open_connections), (True, 0))
 
     def test_long_answers_are_counted_against_the_memory(self):
-        octets = Octets(64)
+        octets = BufferBudget(64)
         fleet, node = self.fleet(octets=octets)
-        octets.held = octets.most - 500_000
+        octets.held = octets.limit - 500_000
         ended = []
         for _ in range(2):
-            fleet.carry(
-                Cargo(b"GET", b"/get", [], b""),
+            fleet.send_attempt(
+                ForwardedPayload(b"GET", b"/get", [], b""),
                 node.number,
                 self.now() + 9000,
                 lambda *values: ended.append(values[0]),
@@ -346,26 +349,26 @@
         links[0].dataReceived(b"x" * 400_000)
         self.assertEqual(
             (ended, octets.held),
-            ([AttemptOutcome.ERROR, AttemptOutcome.SUCCEEDED], octets.most - 500_000),
+            ([AttemptOutcome.ERROR, AttemptOutcome.SUCCEEDED], octets.limit - 500_000),
         )
 
     def test_a_thousand_nodes_come_and_go_and_leave_nothing(self):
         fleet, _ = self.fleet()
         for turn in range(1000):
-            fleet.listed(
+            fleet.update(
                 False,
                 [
-                    place_of(NODE | {"id": f"t-{turn}"}, ["z"], 0),
-                    place_of({"id": f"t-{turn - 1}", "state": "left"}, ["z"], 0),
+                    parse_node(NODE | {"id": f"t-{turn}"}, ["z"], 0),
+                    parse_node({"id": f"t-{turn - 1}", "state": "left"}, ["z"], 0),
                 ],
             )
-            fleet.look()
-        self.assertEqual(len(fleet.nodes), 2)
+            fleet.check()
+        self.assertEqual(len(fleet.pools), 2)
 
     def test_a_dial_that_ended_leaves_no_circle(self):
         protocol, wire = Protocol(), Wire()
         connector = SimpleNamespace(
-            transport=wire, factory=Dial(protocol, lambda: None)
+            transport=wire, factory=SingleConnector(protocol, lambda: None)
         )
         protocol.transport, wire.connector = wire, connector
         connector.factory.clientConnectionLost(connector, None)
@@ -377,7 +380,7 @@
 
     def test_a_node_that_moved_is_reached_at_its_new_address(self):
         fleet, node = self.fleet()
-        fleet.listed(False, [place_of(NODE | {"addr": "127.0.0.1:9"}, ["z"], 0)])
+        fleet.update(False, [parse_node(NODE | {"addr": "127.0.0.1:9"}, ["z"], 0)])
         self.assertEqual(
             (node.address, node.host_field), (("127.0.0.1", 9), b"127.0.0.1:9")
         )
@@ -394,7 +397,7 @@
         ]
         extra = SETTINGS["extra"] | {"slots_total": 1024}
         settings = SETTINGS | {"peers_total": 1024, "self_index": 1023, "extra": extra}
-        return deployment_of(
+        return parse_configuration(
             GIVEN
             | {
                 "settings": settings,
@@ -406,9 +409,9 @@
         )
 
     def test_every_node_is_reached_and_links_stay_within_their_bound(self):
-        module, fleet = self.gateway.host.scheduler, self.gateway.fleet
+        module, fleet = self.gateway.host.scheduler, self.gateway.node_pools
         self.assertEqual(
-            (len(module.nodes), len(fleet.nodes), module.facts["index"]),
+            (len(module.nodes), len(fleet.pools), module.facts["index"]),
             (1024, 1024, 1023),
         )
         for cell in range(1024):
@@ -423,13 +426,13 @@
             self.assertIn(b"200 OK", wire.value())
             self.lost(client)
             self.reactor.advance(0)
-            self.assertLessEqual(fleet.open, fleet.most)
+            self.assertLessEqual(fleet.open_connections, fleet.max_connections)
 
     def test_its_tally_tells_of_the_nodes_in_use_alone(self):
         self.client(ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"))
         self.reactor.up(self.dialled(10_009)[-1])
         self.log.clear()
-        self.gateway.tell_tally()
+        self.gateway.log_report()
         self.assertEqual(
             [values["id"] for event, values in self.log if event == "node"], ["s-9"]
         )
--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -6,7 +6,7 @@
 import unittest
 from contextlib import suppress
 
-from milletsill.http_gateway.gateway_limits import IDLE
+from milletsill.http_gateway.client_connection_state import IDLE_TIMEOUT
 from tests.support.http_gateway_rig import TXN, Loopback, ask
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -76,7 +76,7 @@
     def refused(self):
         return {
             value: count
-            for (what, value), count in self.gateway.tally.items()
+            for (what, value), count in self.gateway.report.counts.items()
             if what == "refused"
         }
 
@@ -135,7 +135,7 @@
                 )
                 self.pass_time(2.0)
                 self.assertEqual(
-                    len(self.gateway.clients.open),
+                    len(self.gateway.listener.connections),
                     1,
                     "the bad client holds its descriptor",
                 )
@@ -156,7 +156,7 @@
                 other = self.client(ask(**elsewhere))
                 if over == "declined":  # no node leads there
                     while (
-                        not self.gateway.tally["answer", "declined"]
+                        not self.gateway.report.counts["answer", "declined"]
                         and self.time < 1001
                     ):
                         self.pass_time(0.02)
@@ -167,12 +167,14 @@
                         self.until(lambda: b" 200 " in self.got(other)[0])
                     elif over == "left":
                         other.close()
-                        self.until(lambda: self.gateway.tally["answer", "abandoned"])
-                sent = self.gateway.tally["dispatch", "0"]
+                        self.until(
+                            lambda: self.gateway.report.counts["answer", "abandoned"]
+                        )
+                sent = self.gateway.report.counts["dispatch", "0"]
                 one = self.client(ask())
                 data, how = self.all_of(one)  # the clock stands
                 self.assertEqual(
-                    (data[:12], how, self.gateway.tally["dispatch", "0"]),
+                    (data[:12], how, self.gateway.report.counts["dispatch", "0"]),
                     (b"HTTP/1.1 409", "ended", sent),
                 )
                 self.assertEqual(self.refused(), {"x-txn is another's open one": 1})
@@ -246,9 +248,9 @@
         self.until(
             lambda: b" 200 " in self.got(other)[0], "the usual client is not served"
         )
-        self.pass_time(IDLE / 10_000 + 1.5)
+        self.pass_time(IDLE_TIMEOUT / 10_000 + 1.5)
         self.assertEqual(
-            (len(self.gateway.clients.open), self.gateway.octets.held), (0, 0)
+            (len(self.gateway.listener.connections), self.gateway.buffers.held), (0, 0)
         )
 
     def test_the_same_again_the_moment_it_is_turned_away_holds_nobody_up(self):
@@ -262,7 +264,7 @@
         link.sendall(ANSWER)
         self.until(lambda: b" 200 " in self.got(other)[0])
         self.assertEqual(
-            (len(self.gateway.clients.open), self.refused()),
+            (len(self.gateway.listener.connections), self.refused()),
             (1, {"x-lane is not known": 200}),
         )
 
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -13,7 +13,11 @@
 from contextlib import suppress
 from dataclasses import replace
 
-from milletsill.http_gateway.gateway_limits import OVER, SPARED, Stage
+from milletsill.http_gateway.client_connection_state import (
+    IDLE_TIMEOUT_WHEN_SHORT,
+    ClientState,
+)
+from milletsill.http_gateway.resource_limits import SPARE_CLIENTS
 from tests.support.http_gateway_rig import (
     GIVEN,
     NODE,
@@ -45,11 +49,16 @@
         self.burst(150)
         self.reactor.iterate(0)
         self.assertLessEqual(
-            len(self.gateway.clients.open), self.gateway.clients.most + OVER
+            len(self.gateway.listener.connections),
+            self.gateway.listener.max_connections + SPARE_CLIENTS,
+        )
+        self.assertEqual(
+            self.gateway.report.counts["refused", "no descriptor for a client"], 0
         )
-        self.assertEqual(self.gateway.tally["refused", "no descriptor for a client"], 0)
         self.pass_time(1.0)
-        self.assertEqual(self.gateway.tally["refused", "no descriptor for a client"], 0)
+        self.assertEqual(
+            self.gateway.report.counts["refused", "no descriptor for a client"], 0
+        )
 
     def test_hundreds_that_say_nothing_go_and_usual_clients_beside_them_are_served(
         self,
@@ -59,7 +68,7 @@
         link = self.taken()
         self.burst(300)
         self.turn(10)
-        self.assertTrue(self.gateway.clients.paused)
+        self.assertTrue(self.gateway.listener.paused)
         late = socket.socket()
         late.setblocking(False)
         late.connect_ex(("127.0.0.1", self.door))
@@ -79,17 +88,19 @@
             data = self.got(late)[0]
         self.assertIn(b" 200 ", data)
         self.assertLess(self.time - began, 4.0)  # 301 before it, eight at a time
-        self.assertEqual(self.gateway.tally["refused", "no descriptor for a client"], 0)
+        self.assertEqual(
+            self.gateway.report.counts["refused", "no descriptor for a client"], 0
+        )
 
     def test_who_makes_way_is_read_first(self):
         """The share is full of clients whose requests are here; the process stood still for longer than a silent one may stay."""
-        most = self.gateway.clients.most
+        most = self.gateway.listener.max_connections
         self.burst(most, READY)
-        self.until(lambda: self.gateway.clients.paused)
+        self.until(lambda: self.gateway.listener.paused)
         young = [
             each
-            for each in self.gateway.clients.open
-            if not each.reader.has_partial_message and each.stage.name == "FRESH"
+            for each in self.gateway.listener.connections
+            if not each.reader.has_partial_message and each.state.name == "NEW"
         ]
         self.time += 0.06
         self.turn()
@@ -99,15 +110,17 @@
 
     def test_a_full_share_leaves_room_for_discovery_a_link_and_health(self):
         self.listener.close()  # discovery is down
-        self.gateway.follower.watch.end("down")
-        resting = [self.client(LIVE) for _ in range(self.gateway.clients.most)]
+        self.gateway.watcher.watch.end("down")
+        resting = [
+            self.client(LIVE) for _ in range(self.gateway.listener.max_connections)
+        ]
         self.burst(100)
         self.turn(10)
-        self.assertTrue(self.gateway.clients.paused)
+        self.assertTrue(self.gateway.listener.paused)
         moved = socket.create_server(("127.0.0.1", 0))
         self.sockets.append(moved)
         self.gateway.reload(
-            replace(self.gateway.deployment, discovery=moved.getsockname())
+            replace(self.gateway.configuration, discovery=moved.getsockname())
         )
         self.turn(5)
         moved.setblocking(False)
@@ -136,7 +149,7 @@
                 self.gateway.port,
                 *self.reactor.getReaders(),
                 *self.reactor.getWriters(),
-                *(each.transport for each in self.gateway.clients.open),
+                *(each.transport for each in self.gateway.listener.connections),
             }
         )
 
@@ -151,23 +164,27 @@
             self.again()
             address = self.listener.getsockname()
             self.listener.close()
-            self.gateway.follower.watch.end("down")
-            resting = [self.client(LIVE) for _ in range(self.gateway.clients.most)]
+            self.gateway.watcher.watch.end("down")
+            resting = [
+                self.client(LIVE) for _ in range(self.gateway.listener.max_connections)
+            ]
             self.turn(5)
-            for each in self.gateway.clients.open:
-                each.stage = Stage.WAITING  # as behind a transfer; one that only asked for health makes way as a silent one does
+            for each in self.gateway.listener.connections:
+                each.state = ClientState.IDLE  # as behind a transfer; one that only asked for health makes way as a silent one does
             self.burst(100)
             held = []
             for _ in range(6):
                 self.pass_time(1.0)
-                self.assertTrue(self.gateway.clients.paused, mode)
+                self.assertTrue(self.gateway.listener.paused, mode)
                 held.append(self.descriptors())
                 for each in resting:
                     self.assertIn(b" 200 ", self.got(each)[0], mode)
                     each.sendall(LIVE)
-            self.assertGreaterEqual(min(held), self.gateway.clients.most, mode)
+            self.assertGreaterEqual(
+                min(held), self.gateway.listener.max_connections, mode
+            )
             self.assertLessEqual(
-                max(held), self.gateway.deployment.sockets - 4, mode
+                max(held), self.gateway.configuration.sockets - 4, mode
             )  # two calls, the old watch, the file
             back = socket.create_server(address)
             self.sockets.append(back)
@@ -177,7 +194,7 @@
 
     def test_too_many_and_too_late_are_told_when_to_come_back(self):
         one = self.client(ask(X_Remaining_Ms="3"))
-        self.until(lambda: self.gateway.tally["answer", "too late or too many"])
+        self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
         data, how = self.got(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "open"))
@@ -190,7 +207,7 @@
         self.changed = {"settings": settings}
         self.again()
         one = self.client(ask(X_Remaining_Ms="3"))
-        self.until(lambda: self.gateway.tally["answer", "too late or too many"])
+        self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
         self.assertNotIn(b"Retry-After", self.got(one)[0])
 
@@ -201,7 +218,7 @@
     """
 
     changed = {"limits": {"sockets": 64, "memory_mb": 64}}
-    SPAN = SPARED / 10_000
+    SPAN = IDLE_TIMEOUT_WHEN_SHORT / 10_000
 
     def resting(self, count, link=None):
         """Clients that had a transfer's answer and rest, and the one link that carried all."""
@@ -234,11 +251,11 @@
         self.sockets.append(late)
         late.sendall(READY)
         self.turn(5)
-        self.assertTrue(self.gateway.clients.paused)
+        self.assertTrue(self.gateway.listener.paused)
         return late
 
     def test_who_rests_between_requests_makes_way_after_its_span_and_not_before(self):
-        resting, _ = self.resting(self.gateway.clients.most)
+        resting, _ = self.resting(self.gateway.listener.max_connections)
         late = self.before_the_door()
         self.pass_time(self.SPAN - 0.1)
         self.assertEqual(
@@ -259,10 +276,13 @@
         """Three times as many as have room, and more behind them: a usual client is served all the same, in good time."""
         for asks in (READY, LIVE):
             self.again()
-            crowd = [self.client(asks) for _ in range(self.gateway.clients.most)]
+            crowd = [
+                self.client(asks) for _ in range(self.gateway.listener.max_connections)
+            ]
             self.turn()
             crowd += [
-                self.before_the_door() for _ in range(2 * self.gateway.clients.most)
+                self.before_the_door()
+                for _ in range(2 * self.gateway.listener.max_connections)
             ]
             usual = socket.socket()
             usual.setblocking(False)
@@ -277,7 +297,7 @@
 
     def test_a_request_unread_on_what_makes_way_is_read_first(self):
         """The process stood still for the whole span; the request came just before it was over."""
-        resting, link = self.resting(self.gateway.clients.most)
+        resting, link = self.resting(self.gateway.listener.max_connections)
         self.before_the_door()
         resting[0].sendall(ask())
         self.unread()
@@ -309,8 +329,8 @@
                     b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
                     + b"x" * 400_000
                 )
-                self.until(lambda: protocol.stage.name == "ENDING", "not answered")
-                self.resting(self.gateway.clients.most - 1, link)
+                self.until(lambda: protocol.state.name == "CLOSING", "not answered")
+                self.resting(self.gateway.listener.max_connections - 1, link)
                 self.before_the_door()
                 data = bytearray()
                 for _ in range(4 * takes):
--- a/tests/http_gateway/test_races_endpoint_lists.py
+++ b/tests/http_gateway/test_races_endpoint_lists.py
@@ -4,7 +4,12 @@
 import socket
 import unittest
 
-from milletsill.http_gateway.gateway_limits import FIRST_WORD, OVERDUE, TOLD, TOLD_MOVED
+from milletsill.http_gateway.discovery_timing import (
+    FIRST_WORD_TIMEOUT,
+    NOTIFIED_AFTER_MOVE,
+    NOTIFIED_WITHIN,
+    SILENCE_BEFORE_NEW_WATCH,
+)
 from milletsill.interface import EndpointUpdateKind
 from tests.support.discovery_connections import BEAT, HEAD, LOOK, Held, said
 from tests.support.http_gateway_rig import NODE
@@ -14,29 +19,31 @@
     def test_a_call_that_is_taken_and_never_answered_is_over_after_its_time(self):
         for answer in (b"", HEAD, HEAD + said(9)[:40]):
             self.told.clear()
-            self.follower.ask()
+            self.follower.request_watch()
             end, _ = self.taken()
             end.sendall(answer)
-            self.until(lambda: bool(self.follower.watch.answer.status) == bool(answer))
-            self.go(FIRST_WORD)
+            self.until(
+                lambda: bool(self.follower.watch.response.status) == bool(answer)
+            )
+            self.go(FIRST_WORD_TIMEOUT)
             self.assertEqual(self.failed(), 0, answer)
             self.go(2 * LOOK)
             self.assertEqual(self.failed(), 1, answer)
 
     def test_an_answer_octet_by_octet_is_read_whole_or_over_in_the_same_time(self):
-        self.follower.ask()
+        self.follower.request_watch()
         end, _ = self.taken()
         for place in range(len(HEAD)):
             end.sendall(HEAD[place : place + 1])
-        self.until(lambda: self.follower.watch.answer.status)
+        self.until(lambda: self.follower.watch.response.status)
         text = said(7, True)
         spent = 0
         while not self.failed():
-            self.assertLess(spent, FIRST_WORD + 3 * LOOK)
+            self.assertLess(spent, FIRST_WORD_TIMEOUT + 3 * LOOK)
             end.sendall(text[spent // LOOK : spent // LOOK + 1])
             self.go(LOOK)
             spent += LOOK
-        self.follower.ask()
+        self.follower.request_watch()
         end, _ = self.taken()
         for place in range(len(HEAD + text)):
             end.sendall((HEAD + text)[place : place + 1])
@@ -52,12 +59,12 @@
         )
         for cut in range(1, len(text), 17):
             self.told.clear()
-            self.follower.ask()
+            self.follower.request_watch()
             end, _ = self.taken()
             end.sendall(HEAD + b"%x\r\n%s\r\n" % (cut, text[:cut]))
-            self.until(lambda: self.follower.watch.answer.status)
+            self.until(lambda: self.follower.watch.response.status)
             end.sendall(BEAT)  # between two parts it says nothing
-            self.go(FIRST_WORD - LOOK)
+            self.go(FIRST_WORD_TIMEOUT - LOOK)
             self.assertEqual(self.told, [], cut)
             end.sendall(b"%x\r\n%s\r\n" % (len(text) - cut, text[cut:]))
             self.until(lambda: self.told)
@@ -76,7 +83,7 @@
             }
             text = json.dumps(whole, indent=indent).encode()
             self.told.clear()
-            self.follower.ask()
+            self.follower.request_watch()
             end, _ = self.taken()
             end.sendall(HEAD)
             for place in range(len(text)):
@@ -104,8 +111,8 @@
     ):
         old = self.standing()
         old.sendall(said(8)[:40])
-        self.until(lambda: self.follower.watch.answer.line)
-        for place in range(OVERDUE[1] // LOOK + 2):  # and it drips
+        self.until(lambda: self.follower.watch.response.line)
+        for place in range(SILENCE_BEFORE_NEW_WATCH[1] // LOOK + 2):  # and it drips
             old.sendall(said(8)[40 + place : 41 + place])
             self.go(LOOK)
         end, asked = self.taken()
@@ -115,24 +122,24 @@
             (asked, self.told[-1], self.failed()),
             (7, (EndpointUpdateKind.DELTA, "draining"), 0),
         )
-        self.assertLess(self.clock, TOLD - FIRST_WORD)
+        self.assertLess(self.clock, NOTIFIED_WITHIN - FIRST_WORD_TIMEOUT)
 
     def test_a_reset_in_mid_line_tells_nothing_of_it_and_asks_from_the_version_held(
         self,
     ):
         end = self.standing()
         end.sendall(said(8)[:40])
-        self.until(lambda: self.follower.watch.answer.line)
+        self.until(lambda: self.follower.watch.response.line)
         self.reset(end)
         self.until(self.failed)
-        self.follower.ask()
+        self.follower.request_watch()
         self.assertEqual((self.taken()[1], len(self.told)), (7, 2))
 
     def test_a_list_with_the_end_right_behind_it_counts_and_the_end_too(self):
         for end_of_it in (b"0\r\n\r\n", b""):
             self.told.clear()
             self.follower.version = 0
-            self.follower.ask()
+            self.follower.request_watch()
             end, _ = self.taken()
             end.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
             end.sendall(HEAD + said(7, True) + said(8, state="leaving") + end_of_it)
@@ -151,7 +158,7 @@
         for first in ("old", "new"):
             self.again()
             old = self.standing()
-            self.go(OVERDUE[1] + 2 * LOOK)
+            self.go(SILENCE_BEFORE_NEW_WATCH[1] + 2 * LOOK)
             new, asked = self.taken()
             lines = {
                 "old": (old, said(8, state="leaving")),
@@ -172,9 +179,9 @@
 
     def test_a_watch_that_is_reset_between_the_ask_and_the_open_leaves_one_call(self):
         old = self.standing()
-        self.clock += OVERDUE[1] + LOOK
+        self.clock += SILENCE_BEFORE_NEW_WATCH[1] + LOOK
         self.reset(old)
-        self.follower.look()  # asks; in the turn that opens, the reset is read first
+        self.follower.check()  # asks; in the turn that opens, the reset is read first
         self.until(lambda: self.follower.old is None)
         end, asked = self.taken()
         end.sendall(HEAD + said(8, state="leaving"))
@@ -191,7 +198,7 @@
             ("never", 0),
         ):
             self.again()
-            self.follower.ask()
+            self.follower.request_watch()
             first, _ = self.taken()
             there = self.discovery()
             self.follower.move(there.address)
@@ -218,16 +225,16 @@
         self.follower.move(there.address)
         moved = self.clock
         self.taken(there)
-        for _ in range(FIRST_WORD // LOOK // 10 + 1):  # the old one beats on
+        for _ in range(FIRST_WORD_TIMEOUT // LOOK // 10 + 1):  # the old one beats on
             old.sendall(BEAT)
             self.turn(2)
             self.go(10 * LOOK)
         self.assertIsNone(self.follower.watch)
         while not self.failed():
-            self.assertLess(self.clock - moved, TOLD_MOVED - 3 * LOOK)
+            self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - 3 * LOOK)
             old.sendall(BEAT)
             self.go(LOOK)
-        self.follower.ask()
+        self.follower.request_watch()
         end, asked = self.taken(there)
         end.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
--- a/tests/http_gateway/test_races_found_by_hunt.py
+++ b/tests/http_gateway/test_races_found_by_hunt.py
@@ -50,17 +50,15 @@
                 call.sendall(HEAD + (b"1\r\n\n\r\n" if silent > 3 else b""))
                 self.until(
                     lambda: (
-                        self.gateway.follower.watch.heard == self.now()
-                        and self.gateway.follower.watch.answer.status
+                        self.gateway.watcher.watch.last_word_at == self.now()
+                        and self.gateway.watcher.watch.response.status
                     )
                 )
-                self.until(
-                    lambda: silent < 3 or self.gateway.follower.watch.version < 0
-                )
-                self.gateway.follower.watch.overdue = 70_000  # no other call beside it
+                self.until(lambda: silent < 3 or self.gateway.watcher.watch.version < 0)
+                self.gateway.watcher.watch.silence_limit = 70_000  # no other call beside it
                 self.pass_time(silent)
                 call.sendall(said(5, "leaving"))
-                watch = self.gateway.follower.watch
+                watch = self.gateway.watcher.watch
                 self.until(
                     lambda: select.select([watch.transport.socket], [], [], 0)[0],
                     "not on its way",
@@ -69,8 +67,8 @@
                 self.turn()
                 self.assertEqual(
                     (
-                        self.gateway.follower.version,
-                        self.gateway.follower.watch is watch,
+                        self.gateway.watcher.version,
+                        self.gateway.watcher.watch is watch,
                     ),
                     (5, True),
                 )
@@ -95,8 +93,8 @@
                 link.sendall(WHOLE)
                 ours = [
                     each.transport.socket
-                    for node in self.gateway.fleet.nodes.values()
-                    for each in node.links
+                    for node in self.gateway.node_pools.pools.values()
+                    for each in node.connections
                 ]
                 self.until(lambda: select.select(ours, [], [], 0)[0], "not on its way")
                 self.time += stands
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -5,8 +5,14 @@
 import socket
 import unittest
 
-from milletsill.http_gateway.endpoints import place_of
-from milletsill.http_gateway.gateway_limits import IDLE, LINGER, SILENT, SPARED, WHOLE
+from milletsill.http_gateway.client_connection_state import (
+    IDLE_TIMEOUT,
+    IDLE_TIMEOUT_WHEN_SHORT,
+    LINGER_TIMEOUT,
+    NEW_TIMEOUT,
+    REQUEST_TIMEOUT,
+)
+from milletsill.http_gateway.endpoints import parse_node
 from milletsill.interface import EndpointUpdateKind
 from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
 
@@ -32,21 +38,22 @@
     def sent_on(self):
         return sum(
             count
-            for (what, _), count in self.gateway.tally.items()
+            for (what, _), count in self.gateway.report.counts.items()
             if what == "dispatch"
         )
 
     def answers(self):
         return {
             value: count
-            for (what, value), count in self.gateway.tally.items()
+            for (what, value), count in self.gateway.report.counts.items()
             if what == "answer"
         }
 
     def over(self, left=0):
         """Nobody is left, nothing is held, and nothing more is sent on."""
         self.until(
-            lambda: len(self.gateway.clients.open) == left, "the connection stands"
+            lambda: len(self.gateway.listener.connections) == left,
+            "the connection stands",
         )
         sent = self.sent_on()
         self.pass_time(1.2)
@@ -61,7 +68,7 @@
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.taken().sendall(answer(LONG))
-        self.until(lambda: protocol.stuck, "all was taken")
+        self.until(lambda: protocol.blocked, "all was taken")
         return one, protocol
 
     def test_who_left_before_it_was_read_or_let_in_has_nothing_sent_on(self):
@@ -139,8 +146,8 @@
                     "cell": 2,
                     "addr": "127.0.0.1:%d" % self.node.getsockname()[1],
                 }
-                self.gateway.listed(
-                    EndpointUpdateKind.DELTA, [place_of(place, ["z"], 0)]
+                self.gateway.on_endpoints(
+                    EndpointUpdateKind.DELTA, [parse_node(place, ["z"], 0)]
                 )
                 self.over()
                 self.assertEqual(
@@ -156,22 +163,22 @@
                 one, protocol = self.stuck()
                 one.sendall(ask(TXN + 1))
                 self.turn()
-                self.assertTrue(protocol.begun)
+                self.assertTrue(protocol.has_partial_request)
                 leaves(one, how)
                 self.turn(10)
-                self.assertIn(protocol.stage.name, ("ENDING", "CLOSED"))
-                self.pass_time(LINGER / 10_000 + 0.2)
+                self.assertIn(protocol.state.name, ("CLOSING", "CLOSED"))
+                self.pass_time(LINGER_TIMEOUT / 10_000 + 0.2)
                 self.over()
                 self.assertEqual(
-                    (self.sent_on(), self.answers(), self.gateway.octets.held),
+                    (self.sent_on(), self.answers(), self.gateway.buffers.held),
                     (1, {"satisfied": 1}, 0),
                 )
 
     def test_who_takes_nothing_and_stays_does_not_stay_for_ever(self):
         one, protocol = self.stuck()
-        self.pass_time(2 * IDLE / 10_000 + 0.5)
+        self.pass_time(2 * IDLE_TIMEOUT / 10_000 + 0.5)
         self.assertEqual(
-            (len(self.gateway.clients.open), self.gateway.octets.held), (0, 0)
+            (len(self.gateway.listener.connections), self.gateway.buffers.held), (0, 0)
         )
         self.assertEqual(self.got(one)[1], "reset")
 
@@ -185,7 +192,7 @@
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
                 self.taken().sendall(answer(LONG))
-                self.until(lambda: protocol.stage.name == "ENDING", "not answered")
+                self.until(lambda: protocol.state.name == "CLOSING", "not answered")
                 data = bytearray()
                 if ends == "half":
                     one.shutdown(socket.SHUT_WR)
@@ -206,21 +213,21 @@
         one = self.client(ask(Connection="close"), window=4096)
         protocol = self.server_side()
         self.taken().sendall(answer(LONG))
-        self.until(lambda: protocol.handed, "not handed over")
-        self.pass_time(LINGER / 10_000 + 0.2)
-        self.assertFalse(self.gateway.clients.open)
+        self.until(lambda: protocol.sent, "not handed over")
+        self.pass_time(LINGER_TIMEOUT / 10_000 + 0.2)
+        self.assertFalse(self.gateway.listener.connections)
         data, how = self.all_of(one)
         self.assertEqual((data.count(b"x"), how), (LONG, "ended"))
 
     def test_an_idle_close_over_a_request_tears_no_former_answer(self):
         one = self.client(ask(), window=4096)
         self.taken().sendall(answer(LONG))
-        self.until(lambda: self.gateway.tally["answer", "satisfied"])
+        self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
         self.turn(30)
         protocol = self.server_side()
-        self.assertFalse(protocol.stuck)  # all is the system's, little the client's
-        self.time += SPARED / 10_000
-        protocol.look(self.now(), True)
+        self.assertFalse(protocol.blocked)  # all is the system's, little the client's
+        self.time += IDLE_TIMEOUT_WHEN_SHORT / 10_000
+        protocol.check(self.now(), True)
         one.sendall(ask(TXN + 1))
         self.unread()
         self.turn()
@@ -236,13 +243,17 @@
 
     def test_a_request_that_is_here_is_read_before_its_time_is_over(self):
         """The process stood still; its timers come before what had come: an idle close, or the end of half a request."""
-        for begins, rests in ((READY, IDLE), (ask()[:60], WHOLE), (b"", SILENT)):
+        for begins, rests in (
+            (READY, IDLE_TIMEOUT),
+            (ask()[:60], REQUEST_TIMEOUT),
+            (b"", NEW_TIMEOUT),
+        ):
             with self.subTest(begins=begins[:9], rests=rests):
                 self.again()
                 one = self.client(begins)
                 self.turn(5)
                 self.got(one)
-                one.sendall(ask()[60:] if rests == WHOLE else ask())
+                one.sendall(ask()[60:] if rests == REQUEST_TIMEOUT else ask())
                 self.unread()
                 self.time += rests / 10_000
                 self.turn()
--- a/tests/http_gateway/test_races_message_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -7,7 +7,7 @@
 from time import thread_time
 
 from milletsill.http1.message_limits import AMBIGUOUS
-from milletsill.http_gateway.gateway_limits import MOST_BODY
+from milletsill.http_gateway.resource_limits import MAX_BODY
 from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask
 
 OWS = (b" ", b"\t", b" \t  ")
@@ -139,13 +139,18 @@
         link.sendall(
             b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\t\r\n\r\n"
         )
-        ends = [each for each in self.gateway.tally if each[0] == "ended"]
+        ends = [each for each in self.gateway.report.counts if each[0] == "ended"]
         self.until(
-            lambda: [each for each in self.gateway.tally if each[0] == "ended"] != ends,
+            lambda: (
+                [each for each in self.gateway.report.counts if each[0] == "ended"]
+                != ends
+            ),
             "no end",
         )
         self.assertEqual(
-            self.gateway.tally["ended", "turned away"], 1, self.gateway.tally
+            self.gateway.report.counts["ended", "turned away"],
+            1,
+            self.gateway.report.counts,
         )
 
     def test_a_list_in_every_form_is_taken(self):
@@ -176,7 +181,7 @@
                             step,
                         )
                         self.until(
-                            lambda: self.gateway.follower.version == 9,
+                            lambda: self.gateway.watcher.version == 9,
                             "the list was not taken",
                         )
                         self.again()
@@ -206,7 +211,7 @@
         return came, link
 
     def test_a_long_request_is_passed_on_whole_by_length_and_in_chunks(self):
-        for octets in (65_537, 400_000, MOST_BODY):
+        for octets in (65_537, 400_000, MAX_BODY):
             for form in (lambda each: each, chunked):
                 with self.subTest(octets=octets, form=form):
                     self.again()
@@ -222,10 +227,10 @@
                         ),
                     )
                     self.assertEqual(came.partition(b"\r\n\r\n")[2], body)
-                    self.assertEqual(self.gateway.octets.held, 2 * octets)
+                    self.assertEqual(self.gateway.buffers.held, 2 * octets)
                     link.sendall(ANSWERS[0])
                     self.until(lambda: b" 200 " in self.got(one)[0], "no answer")
-                    self.assertEqual(self.gateway.octets.held, 0)
+                    self.assertEqual(self.gateway.buffers.held, 0)
 
     def test_what_a_long_request_held_is_given_back_when_its_client_leaves(self):
         for whole in (True, False):
@@ -238,16 +243,19 @@
                 self.served(one, request)
             else:
                 one.sendall(request[:150_000])
-                self.until(lambda: self.gateway.octets.held > 65_536, "not counted")
+                self.until(lambda: self.gateway.buffers.held > 65_536, "not counted")
             one.close()
             self.until(
-                lambda: not self.gateway.clients.open and not self.gateway.host.active,
+                lambda: (
+                    not self.gateway.listener.connections
+                    and not self.gateway.host.active
+                ),
                 "not left",
             )
-            self.assertEqual(self.gateway.octets.held, 0)
+            self.assertEqual(self.gateway.buffers.held, 0)
 
     def test_past_the_memory_a_long_request_is_turned_away_and_a_usual_one_served(self):
-        self.gateway.octets.most = 700_000
+        self.gateway.buffers.limit = 700_000
         ones = [self.client() for _ in range(2)]
         request = [
             ask(
@@ -282,7 +290,7 @@
             ask(
                 method="PUT",
                 name="put",
-                Content_Length=str(MOST_BODY + 1),
+                Content_Length=str(MAX_BODY + 1),
                 Idempotency_Key="k",
             )
         )
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -6,7 +6,7 @@
 import unittest
 from contextlib import suppress
 
-from milletsill.http_gateway.endpoints import place_of
+from milletsill.http_gateway.endpoints import parse_node
 from milletsill.interface import EndpointUpdateKind
 from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
 
@@ -181,7 +181,7 @@
     def counted(self, what):
         return {
             value: count
-            for (each, value), count in self.gateway.tally.items()
+            for (each, value), count in self.gateway.report.counts.items()
             if each == what
         }
 
@@ -194,7 +194,9 @@
             "cell": 1,
             "addr": "127.0.0.1:%d" % other.getsockname()[1],
         }
-        self.gateway.listed(EndpointUpdateKind.DELTA, [place_of(place, ["z"], 0)])
+        self.gateway.on_endpoints(
+            EndpointUpdateKind.DELTA, [parse_node(place, ["z"], 0)]
+        )
         return other
 
     def taken_at(self, listener):
@@ -311,7 +313,7 @@
                     (
                         self.gateway.host.active,
                         self.gateway.host.unanswered,
-                        self.gateway.octets.held,
+                        self.gateway.buffers.held,
                     ),
                     ({}, 0, 0),
                 )
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -5,11 +5,11 @@
 import socket
 import unittest
 
-from milletsill.http_gateway.endpoints import number_of, place_of
-from milletsill.http_gateway.gateway_limits import Octets
-from milletsill.http_gateway.node_connections import Fleet
-from milletsill.http_gateway.request_parser import Cargo
-from milletsill.interface import EndpointUpdateKind, AttemptOutcome
+from milletsill.http_gateway.endpoints import node_number, parse_node
+from milletsill.http_gateway.node_pools import HttpNodePools, NodePoolsConfig
+from milletsill.http_gateway.request_parser import ForwardedPayload
+from milletsill.http_gateway.resource_limits import BufferBudget
+from milletsill.interface import AttemptOutcome, EndpointUpdateKind
 from tests.support.http_gateway_rig import NODE, SETTINGS, TXN, Loopback, ask, reset
 from tests.support.loopback import Loop, accept, listening, receive
 
@@ -24,13 +24,11 @@
         self.loop = Loop()
         self.addCleanup(self.loop.close)
         self.ended, self.notes = [], []
-        self.fleet = Fleet(
+        self.fleet = HttpNodePools(
             self.loop.reactor,
             self.loop.now,
-            16,
-            Octets(64),
-            100_000,
-            300_000,
+            NodePoolsConfig(16, 100_000, 300_000),
+            BufferBudget(64),
             lambda *values: self.notes.append(values),
         )
         self.addCleanup(self.fleet.stop)
@@ -49,8 +47,8 @@
             sock.close()
 
     def listed(self, port, **entry):
-        self.fleet.listed(
-            False, [place_of(NODE | {"addr": f"127.0.0.1:{port}"} | entry, ["z"], 0)]
+        self.fleet.update(
+            False, [parse_node(NODE | {"addr": f"127.0.0.1:{port}"} | entry, ["z"], 0)]
         )
 
     def carry(self, body=b"", left=50_000):
@@ -61,9 +59,9 @@
             self.assertIsNone(self.ended[number], "ended twice")
             self.ended[number] = outcome if verdict is None else (outcome, verdict.body)
 
-        return self.fleet.carry(
-            Cargo(b"PUT", b"/put", [(b"X-Txn", b"%d" % number)], body),
-            number_of("s-1"),
+        return self.fleet.send_attempt(
+            ForwardedPayload(b"PUT", b"/put", [(b"X-Txn", b"%d" % number)], body),
+            node_number("s-1"),
             self.loop.now() + left,
             ended,
         )
@@ -98,9 +96,9 @@
                 out = self.loop.accepted(listener)
                 self.loop.read(out)  # two links, both busy; then the one is free
                 idle.sendall(WHOLE)
-                self.loop.until(lambda: self.fleet.nodes[number_of("s-1")].free)
+                self.loop.until(lambda: self.fleet.pools[node_number("s-1")].idle)
                 if due:
-                    self.fleet.nodes[number_of("s-1")].turn.schedule()
+                    self.fleet.pools[node_number("s-1")].turn.schedule()
                 second.withdraw(AttemptOutcome.TIMED_OUT)
                 further = self.carry()
                 self.assertFalse(further.begun, "beside one that is out")
@@ -130,7 +128,7 @@
         listener, port = self.node()
         self.listed(port)
         self.carry()
-        self.fleet.listed(True, [])
+        self.fleet.update(True, [])
         self.assertIs(self.ended[0], AttemptOutcome.WITHDRAWN)
         self.silent(listener)
         self.assertIsNone(self.carry())
@@ -263,7 +261,7 @@
             return self.ended[0]
 
         self.assertIs(self.loop.until(pour), AttemptOutcome.ERROR)
-        self.assertEqual((self.fleet.octets.held, self.fleet.open), (0, 0))
+        self.assertEqual((self.fleet.buffers.held, self.fleet.open_connections), (0, 0))
 
     def test_interim_answers_octet_by_octet_and_octets_right_behind(self):
         listener, port = self.node()
@@ -305,7 +303,7 @@
             + b"X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
         )
         self.assertEqual(self.outcome(), (AttemptOutcome.REJECTED, b""))
-        self.loop.until(lambda: self.fleet.open == 0)
+        self.loop.until(lambda: self.fleet.open_connections == 0)
 
 
 class Replaced(Loopback):
@@ -313,8 +311,8 @@
 
     def goes(self, *others):
         here = [NODE | {"state": "left"}, *others]
-        self.gateway.listed(
-            EndpointUpdateKind.DELTA, [place_of(each, ["z"], 0) for each in here]
+        self.gateway.on_endpoints(
+            EndpointUpdateKind.DELTA, [parse_node(each, ["z"], 0) for each in here]
         )
 
     def test_a_dispatch_that_waits_at_a_node_that_is_replaced_goes_to_its_successor(
@@ -323,7 +321,7 @@
         successor = socket.create_server(("127.0.0.1", 0))
         self.sockets.append(successor)
         client = self.client(ask())
-        self.until(lambda: self.gateway.tally["dial", ""])
+        self.until(lambda: self.gateway.report.counts["dial", ""])
         self.goes(
             NODE | {"id": "s-2", "addr": "127.0.0.1:%d" % successor.getsockname()[1]}
         )
@@ -348,9 +346,9 @@
         self.until(
             lambda: self.unread_by(client).endswith(b"hi"), "the client has no answer"
         )
-        self.until(lambda: self.gateway.fleet.open == 0)
+        self.until(lambda: self.gateway.node_pools.open_connections == 0)
         self.pass_time(0.3)
-        self.assertEqual(self.gateway.fleet.nodes, {})
+        self.assertEqual(self.gateway.node_pools.pools, {})
 
     def unread_by(self, client):
         try:
@@ -371,7 +369,7 @@
     }
 
     def dialled(self):
-        return self.gateway.tally["dial", ""]
+        return self.gateway.report.counts["dial", ""]
 
     def untouched(self):
         """No octet of a request came to the node, on whatever connection."""
@@ -401,7 +399,8 @@
         self.gateway.host.cancel_request(next(iter(self.gateway.host.active)))
         self.untouched()
         self.assertEqual(
-            (self.gateway.tally["ended", "moot"], self.gateway.host.active), (1, {})
+            (self.gateway.report.counts["ended", "moot"], self.gateway.host.active),
+            (1, {}),
         )
 
 
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -6,7 +6,8 @@
 import time
 import unittest
 
-from milletsill.http_gateway.gateway_limits import MOST_AHEAD, ends_of
+from milletsill.http_gateway.client_connection_state import MAX_PIPELINED
+from milletsill.http_gateway.process_state import shutdown_schedule
 from tests.http_gateway.test_races_leaving_clients import leaves
 from tests.http_gateway.test_races_shutdown import patient
 from tests.support.http_gateway_rig import TXN, Loopback, ask
@@ -33,14 +34,14 @@
     def sent_on(self):
         return sum(
             count
-            for (what, _), count in self.gateway.tally.items()
+            for (what, _), count in self.gateway.report.counts.items()
             if what == "dispatch"
         )
 
     def counted(self, what):
         return {
             value: count
-            for (each, value), count in self.gateway.tally.items()
+            for (each, value), count in self.gateway.report.counts.items()
             if each == what
         }
 
@@ -92,7 +93,7 @@
                         (self.gateway.host.unanswered, self.sent_on(), self.got(one)),
                         (1, 1, (b"", "open")),
                     )
-                    self.assertLessEqual(self.gateway.octets.held, 1 << 17)
+                    self.assertLessEqual(self.gateway.buffers.held, 1 << 17)
                     link.sendall(answer(1))
                     text = self.reads(link, lambda data: data.endswith(BODY))
                     self.assertEqual(
@@ -106,7 +107,7 @@
                         (2, True),
                     )
                     self.assertEqual(
-                        (self.gateway.octets.held, self.counted("refused")), (0, {})
+                        (self.gateway.buffers.held, self.counted("refused")), (0, {})
                     )
 
     def test_more_than_one_request_and_a_little_behind_an_open_one_is_one_error(self):
@@ -115,7 +116,7 @@
         self.pour(
             one,
             ask(TXN + 1, body=BODY, **KEYED)
-            + ask(TXN + 2, body=BODY[:MOST_AHEAD], **KEYED),
+            + ask(TXN + 2, body=BODY[:MAX_PIPELINED], **KEYED),
         )
         data, how = self.all_of(one)
         self.assertEqual(
@@ -126,12 +127,12 @@
             (self.counted("refused"), self.sent_on()),
             ({"too much ahead of an answer": 1}, 1),
         )
-        self.assertEqual((self.gateway.octets.held, self.gateway.host.active), (0, {}))
+        self.assertEqual((self.gateway.buffers.held, self.gateway.host.active), (0, {}))
 
     def test_where_the_memory_is_full_a_long_one_behind_an_open_one_is_refused_and_short_ones_are_not(
         self,
     ):
-        self.gateway.octets.held = self.gateway.octets.most
+        self.gateway.buffers.held = self.gateway.buffers.limit
         one, other = self.client(ask()), self.client(ask(TXN + 1))
         self.turn(10)
         self.pour(one, ask(TXN + 2, body=BODY, **KEYED))
@@ -140,7 +141,7 @@
         self.assertEqual(
             (self.got(other), self.gateway.host.unanswered), ((b"", "open"), 1)
         )
-        self.assertEqual(self.gateway.octets.held, self.gateway.octets.most)
+        self.assertEqual(self.gateway.buffers.held, self.gateway.buffers.limit)
 
     def test_what_cannot_be_read_behind_a_request_is_refused_at_once_and_reaches_nobody(
         self,
@@ -233,8 +234,8 @@
                 one.sendall(behind)
                 self.turn(5)
                 self.terminate()
-                self.to(ends_of(80_000)[1][0] / 10_000 + 0.01)
-                self.assertEqual(self.gateway.process.name, "DRAINING")
+                self.to(shutdown_schedule(80_000)[1][0] / 10_000 + 0.01)
+                self.assertEqual(self.gateway.state.name, "DRAINING")
                 data, how = self.all_of(one)
                 self.assertEqual(
                     [each[:3] for each in data.split(b"HTTP/1.1 ")[1:]],
@@ -255,12 +256,12 @@
         self.taken().sendall(
             b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"x" * 400_000
         )
-        self.until(lambda: protocol.stuck, "all was taken")
+        self.until(lambda: protocol.blocked, "all was taken")
         one.sendall(ask(TXN + 1))
         self.turn(5)
-        self.assertTrue(protocol.ahead)
+        self.assertTrue(protocol.next_request)
         self.terminate()
-        self.to(ends_of(10_000)[1][0] / 10_000 + 0.01)
+        self.to(shutdown_schedule(10_000)[1][0] / 10_000 + 0.01)
         data, how = self.all_of(one)  # the clock stands
         self.assertEqual(
             (
@@ -339,8 +340,8 @@
                     self.assertEqual(
                         (
                             self.sent_on(),
-                            len(self.gateway.clients.open),
-                            self.gateway.octets.held,
+                            len(self.gateway.listener.connections),
+                            self.gateway.buffers.held,
                         ),
                         (begun, 0, 0),
                     )
@@ -369,7 +370,7 @@
                         (
                             self.sent_on(),
                             self.gateway.host.active,
-                            self.gateway.octets.held,
+                            self.gateway.buffers.held,
                         ),
                         (0, {}, 0),
                     )
@@ -394,7 +395,7 @@
         self.turn(20)
         self.pass_time(0.3)
         self.assertEqual(
-            (self.sent_on(), self.gateway.host.active, self.gateway.octets.held),
+            (self.sent_on(), self.gateway.host.active, self.gateway.buffers.held),
             (0, {}, 0),
         )
 
@@ -423,11 +424,11 @@
                         (
                             self.sent_on(),
                             self.gateway.host.active,
-                            self.gateway.octets.held,
+                            self.gateway.buffers.held,
                         ),
                         (1, {}, 0),
                     )
-                    self.assertFalse(self.gateway.clients.open)
+                    self.assertFalse(self.gateway.listener.connections)
 
 
 if __name__ == "__main__":
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -3,16 +3,17 @@
 import socket
 import unittest
 
-from milletsill.http_gateway.gateway_limits import (
-    BESIDE,
-    BESIDE_MOVED,
-    BESIDE_MUTE,
-    DIAL,
-    FIRST_WORD,
-    MARGIN,
-    TOLD_MOVED,
-    Call,
+from milletsill.http_gateway.discovery_timing import (
+    CONNECT_TIMEOUT,
+    FIRST_WORD_TIMEOUT,
+    NOTIFIED_AFTER_MOVE,
+    PARALLEL_CALL_AFTER_MOVE,
+    PARALLEL_CALL_MUTE,
+    PARALLEL_CALL_PUSHED,
+    RETRY_MARGIN,
+    CallProgress,
 )
+from milletsill.http_gateway.endpoint_watcher import WatcherConfig
 from milletsill.interface import EndpointUpdateKind
 from tests.support.discovery_connections import HEAD, LOOK, Held, said
 from tests.support.http_gateway_rig import SETTINGS, Loopback, reset
@@ -26,12 +27,12 @@
     ):
         for wins in ("second", "first"):
             self.again()
-            self.follower.grace = GRACE
-            self.follower.ask()
+            self.follower.config = WatcherConfig(["z"], 0, GRACE)
+            self.follower.request_watch()
             first, _ = self.taken()
             first.sendall(HEAD + said(8, True)[:40])
-            self.until(lambda: self.follower.watch.stage is Call.BEGUN)
-            self.go(GRACE * BESIDE[1])
+            self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
+            self.go(GRACE * PARALLEL_CALL_PUSHED[1])
             second = self.second()
             end, other, rest = (
                 (second, first, HEAD + said(8, True))
@@ -41,9 +42,9 @@
             end.sendall(rest)
             self.until(lambda: self.told)
             self.over(other)
-            self.go(FIRST_WORD)
+            self.go(FIRST_WORD_TIMEOUT)
             self.assertEqual(
-                (self.told, self.follower.beside),
+                (self.told, self.follower.parallel),
                 ([(EndpointUpdateKind.SNAPSHOT, "ready")], None),
                 wins,
             )
@@ -53,15 +54,15 @@
     def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(
         self,
     ):
-        self.follower.grace = GRACE
-        self.follower.ask()
+        self.follower.config = WatcherConfig(["z"], 0, GRACE)
+        self.follower.request_watch()
         first, _ = self.taken()
         first.sendall(HEAD + said(8, True)[:40])
-        self.until(lambda: self.follower.watch.stage is Call.BEGUN)
-        self.go(GRACE * BESIDE[1])
+        self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
+        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
         self.reset(self.second())
-        self.until(lambda: self.follower.beside is None)
-        self.go(GRACE * BESIDE[1])
+        self.until(lambda: self.follower.parallel is None)
+        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
         self.second()
         first.sendall(said(8, True)[40:])
         self.until(lambda: self.told)
@@ -89,15 +90,15 @@
             )
 
         self.reactor.connectTCP = held_back
-        self.follower.grace = GRACE
-        self.follower.ask()
+        self.follower.config = WatcherConfig(["z"], 0, GRACE)
+        self.follower.request_watch()
         self.turn(3)
-        self.go(GRACE * BESIDE[1])
+        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
         self.turn(3)
         self.assertEqual((len(dials), len(self.reactor.getWriters())), (2, 2))
-        self.go(GRACE * BESIDE[1])
+        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
         self.assertEqual((len(dials), self.failed()), (3, 0))
-        self.assertLess(self.clock, DIAL)
+        self.assertLess(self.clock, CONNECT_TIMEOUT)
         second = self.second()
         self.turn(3)
         self.assertEqual(
@@ -107,23 +108,23 @@
         self.until(lambda: self.told)
         self.turn(3)
         self.assertEqual(
-            (self.told, self.reactor.getWriters(), self.follower.beside),
+            (self.told, self.reactor.getWriters(), self.follower.parallel),
             ([(EndpointUpdateKind.SNAPSHOT, "ready")], [], None),
         )
 
     def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(
         self,
     ):
-        self.follower.grace = GRACE
-        self.follower.ask()
+        self.follower.config = WatcherConfig(["z"], 0, GRACE)
+        self.follower.request_watch()
         self.taken()
-        self.go(FIRST_WORD)
+        self.go(FIRST_WORD_TIMEOUT)
         self.assertFalse(self.called())
         self.go(2 * LOOK)
         self.assertEqual(self.failed(), 1)
-        self.follower.ask()
+        self.follower.request_watch()
         first, _ = self.taken()
-        self.go(BESIDE_MUTE[1])
+        self.go(PARALLEL_CALL_MUTE[1])
         second = self.second()
         second.sendall(HEAD + said(8, True))
         self.until(lambda: len(self.told) == 2)
@@ -144,14 +145,14 @@
         self.until(lambda: self.follower.watch is None)
         while not self.failed():
             self.go(LOOK)
-        self.follower.ask()
+        self.follower.request_watch()
         first, _ = self.taken(there)
-        self.go(BESIDE_MOVED[1] - (self.clock - moved))
+        self.go(PARALLEL_CALL_AFTER_MOVE[1] - (self.clock - moved))
         second = self.second(there)
         second.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
         self.over(first)
-        self.assertLess(self.clock - moved, TOLD_MOVED - MARGIN)
+        self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
         self.assertEqual(self.failed(), 1)
 
     def test_after_sighup_the_call_behind_two_that_are_reset_waits_for_no_pause_of_the_modules(
@@ -165,11 +166,11 @@
         self.until(lambda: self.follower.watch is None)
         while not self.failed():
             self.go(LOOK)
-        self.follower.ask()  # as the module does: the first time at once, the second time after a pause
+        self.follower.request_watch()  # as the module does: the first time at once, the second time after a pause
         self.reset(self.taken(there)[0])
         self.until(lambda: self.follower.watch is None)
         while self.follower.watch is None:
-            self.assertLess(self.clock - moved, TOLD_MOVED - MARGIN)
+            self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
             self.go(LOOK)
         self.taken(there)[0].sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
@@ -186,9 +187,9 @@
     ):
         address = self.listener.getsockname()
         self.listener.close()
-        self.gateway.follower.watch.end("down")
-        told, failed = self.gateway.follower.told, []
-        self.gateway.follower.told = lambda kind, places: (
+        self.gateway.watcher.watch.end("down")
+        told, failed = self.gateway.watcher.listener, []
+        self.gateway.watcher.listener = lambda kind, places: (
             failed.append(kind),
             told(kind, places),
         )
@@ -255,7 +256,7 @@
             if first == "refused":
                 address = self.listener.getsockname()
                 self.listener.close()
-                self.gateway.follower.watch.end("not reached")
+                self.gateway.watcher.watch.end("not reached")
                 self.pass_time(3.0)
                 self.listener = socket.create_server(address)
                 self.sockets.append(self.listener)
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -11,12 +11,14 @@
 import time
 import unittest
 
-from milletsill.http_gateway.gateway_limits import Event, ends_of
+from milletsill.http_gateway.process_state import ProcessEvent, shutdown_schedule
 from tests.support.http_gateway_rig import GIVEN, SETTINGS, TXN, Loopback, ask
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 PATIENCE = 1.0  # of the rig's settings
-SHUT, DRAIN, OVER = (within / 10_000 for within, _ in ends_of(int(PATIENCE * 10_000)))
+SHUT, DRAIN, OVER = (
+    within / 10_000 for within, _ in shutdown_schedule(int(PATIENCE * 10_000))
+)
 KILL = PATIENCE + 0.7
 LONG = 400_000
 
@@ -57,7 +59,9 @@
             self.assertIn(b"Retry-After: 1.500\r\n", data)
             self.assertIn(b"Connection: close\r\n", data)
         self.assertEqual(
-            self.gateway.tally["dispatch", "1"] + self.gateway.tally["dispatch", "0"], 1
+            self.gateway.report.counts["dispatch", "1"]
+            + self.gateway.report.counts["dispatch", "0"],
+            1,
         )
 
     def test_half_a_request_at_the_end_is_refused_and_a_resting_client_sees_an_end(
@@ -91,7 +95,7 @@
                 self.again()
                 one = self.client(window=4096)
                 self.served(one, LONG)
-                self.until(lambda: self.gateway.tally["answer", "satisfied"])
+                self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
                 self.turn(20)
                 self.leave(DRAIN - 0.005)
                 for step in (0.01, one) if behind else (one, 0.01):
@@ -107,7 +111,7 @@
                     (data.count(b"x"), data.count(b"HTTP/1.1 503"), how),
                     (LONG, 0 if behind else 1, "ended"),
                 )
-                self.assertEqual(self.gateway.tally["dispatch", "0"], 1)
+                self.assertEqual(self.gateway.report.counts["dispatch", "0"], 1)
 
     def test_what_a_slow_client_has_not_taken_keeps_the_process_until_its_bound(self):
         for takes in (True, False):
@@ -116,7 +120,7 @@
                 one = self.client(window=4096)
                 self.leave(PATIENCE / 2)
                 self.served(one, LONG)
-                self.until(lambda: self.gateway.tally["answer", "satisfied"])
+                self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
                 self.turn(20)
                 self.to(SHUT + 0.05)
                 self.assertEqual(self.ended, [])
@@ -142,7 +146,7 @@
         self.again()
         one = self.client(ask(X_Remaining_Ms="8000"))
         link = self.taken()
-        self.leave(ends_of(80_000)[0][0] / 10_000 + 0.01)
+        self.leave(shutdown_schedule(80_000)[0][0] / 10_000 + 0.01)
         data, how = self.all_of(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 502", "ended"))
         self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
@@ -150,7 +154,7 @@
         self.assertEqual(
             sum(
                 count
-                for (what, _), count in self.gateway.tally.items()
+                for (what, _), count in self.gateway.report.counts.items()
                 if what == "answer"
             ),
             1,
@@ -182,7 +186,8 @@
                 (back, sent, data, how),
             )
             self.assertTrue(
-                came < SHUT - 0.0075 or not self.gateway.tally["dispatch", "0"], back
+                came < SHUT - 0.0075 or not self.gateway.report.counts["dispatch", "0"],
+                back,
             )
             self.assertEqual(len(self.ended), 0 if not sent else 1, back)
 
@@ -191,20 +196,20 @@
         self.until(lambda: b" 200 " in self.got(resting)[0])
         self.leave(0.3)
         self.gateway.terminate()
-        self.gateway.reload(self.gateway.deployment)
+        self.gateway.reload(self.gateway.configuration)
         self.to(SHUT + 0.01)
         self.gateway.terminate()
-        self.gateway.reload(self.gateway.deployment)
+        self.gateway.reload(self.gateway.configuration)
         self.assertEqual(self.ended, [])
         self.to(OVER + 0.01)
         self.assertEqual(len(self.ended), 1)
         self.gateway.terminate()
-        self.gateway.reload(self.gateway.deployment)
+        self.gateway.reload(self.gateway.configuration)
         self.turn()
         self.assertEqual(
             (
                 len(self.ended),
-                self.gateway.follower.watch and self.gateway.follower.watch.over,
+                self.gateway.watcher.watch and self.gateway.watcher.watch.over,
             ),
             (1, True),
         )
@@ -218,11 +223,11 @@
         """As where the reactor's clock goes ahead of ours: the time to answer is not over yet."""
         one = self.client()
         self.leave(0.1)
-        self.gateway.step(Event.SHUT)
+        self.gateway._on_process_event(ProcessEvent.SHUT)
         one.sendall(ask())
         data, how = self.all_of(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
-        self.assertFalse(self.gateway.tally["dispatch", "0"])
+        self.assertFalse(self.gateway.report.counts["dispatch", "0"])
 
     def test_a_request_before_the_door_at_the_shut_is_let_in_and_refused(self):
         self.leave(SHUT - 0.01)
@@ -230,7 +235,7 @@
         self.sockets.append(one)
         one.sendall(ask())
         one.setblocking(False)
-        self.gateway.step(Event.SHUT)
+        self.gateway._on_process_event(ProcessEvent.SHUT)
         data, how = self.all_of(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
 
@@ -286,13 +291,13 @@
 
     def test_signals_that_came_before_the_reactor_ran_are_heard_once_each(self):
         status, log = self.run_with(
-            "from milletsill.http_gateway.process import Signals\n"
-            "first = Signals.__init__\n"
+            "from milletsill.http_gateway.process import SignalQueue\n"
+            "first = SignalQueue.__init__\n"
             "def begin(self):\n"
             "    first(self)\n"
             "    for each in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):\n"
             "        os.kill(os.getpid(), each)\n"
-            "Signals.__init__ = begin\n"
+            "SignalQueue.__init__ = begin\n"
         )
         heard = [
             log.count(f'"event": "{each}"')
--- a/tests/http_gateway/test_second_discovery_call.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -5,15 +5,15 @@
 import unittest
 from itertools import product
 
-from milletsill.http_gateway.gateway_limits import (
-    BESIDE_MOVED,
-    BESIDE_MUTE,
-    BESIDE_SOON,
-    FIRST_WORD,
-    TOLD_MOVED,
-    Call,
-    beside_within,
+from milletsill.http_gateway.discovery_timing import (
+    FIRST_WORD_TIMEOUT,
+    NOTIFIED_AFTER_MOVE,
+    PARALLEL_CALL_AFTER_MOVE,
+    PARALLEL_CALL_MUTE,
+    PARALLEL_CALL_SOON,
+    CallProgress,
     is_mute,
+    parallel_call_delay,
 )
 from tests.support.discovery_rig import GRACE, MOVED, QUICK, Called, Fleet
 
@@ -145,36 +145,39 @@
 
 class Decided(unittest.TestCase):
     def test_when_another_call_is_made_beside_one(self):
-        late = BESIDE_MOVED[0] - 12_000, BESIDE_MOVED[1] - 12_000
+        late = (
+            PARALLEL_CALL_AFTER_MOVE[0] - 12_000,
+            PARALLEL_CALL_AFTER_MOVE[1] - 12_000,
+        )
         for stage, mute, grace, moved, wanted in (
-            (Call.DIALLED, False, 8_000, None, (1_000, 2_000)),
-            (Call.BEGUN, False, 8_000, None, (1_000, 2_000)),
-            (Call.TAKEN, False, 8_000, None, None),
-            (Call.TAKEN, True, 8_000, None, BESIDE_MUTE),
-            (Call.DIALLED, True, 0, None, None),
-            (Call.TAKEN, True, 0, None, None),
-            (Call.BEGUN, False, 0, None, None),
-            (Call.TAKEN, False, 0, 12_000, late),
-            (Call.BEGUN, False, 0, 12_000, late),
-            (Call.DIALLED, False, 0, 12_000, BESIDE_SOON),
-            (Call.BEGUN, False, 8_000, 12_000, (1_000, 2_000)),
-            (Call.TAKEN, False, 0, 34_000, BESIDE_SOON),
-            (Call.TAKEN, False, 0, TOLD_MOVED, None),
-            (Call.DIALLED, False, 0, TOLD_MOVED, None),
+            (CallProgress.CONNECTING, False, 8_000, None, (1_000, 2_000)),
+            (CallProgress.RECEIVING, False, 8_000, None, (1_000, 2_000)),
+            (CallProgress.CONNECTED, False, 8_000, None, None),
+            (CallProgress.CONNECTED, True, 8_000, None, PARALLEL_CALL_MUTE),
+            (CallProgress.CONNECTING, True, 0, None, None),
+            (CallProgress.CONNECTED, True, 0, None, None),
+            (CallProgress.RECEIVING, False, 0, None, None),
+            (CallProgress.CONNECTED, False, 0, 12_000, late),
+            (CallProgress.RECEIVING, False, 0, 12_000, late),
+            (CallProgress.CONNECTING, False, 0, 12_000, PARALLEL_CALL_SOON),
+            (CallProgress.RECEIVING, False, 8_000, 12_000, (1_000, 2_000)),
+            (CallProgress.CONNECTED, False, 0, 34_000, PARALLEL_CALL_SOON),
+            (CallProgress.CONNECTED, False, 0, NOTIFIED_AFTER_MOVE, None),
+            (CallProgress.CONNECTING, False, 0, NOTIFIED_AFTER_MOVE, None),
         ):
             self.assertEqual(
-                beside_within(stage, mute, grace, moved),
+                parallel_call_delay(stage, mute, grace, moved),
                 wanted,
                 (stage, mute, grace, moved),
             )
 
     def test_a_service_that_may_only_be_busy_is_not_mute(self):
         """It takes a call and speaks within two seconds, be it a 503."""
-        self.assertGreater(FIRST_WORD, 20_000)
+        self.assertGreater(FIRST_WORD_TIMEOUT, 20_000)
         for mute, quiet, status, wanted in (
             (False, 20_000, 503, False),
-            (False, FIRST_WORD + 1, 0, True),
-            (False, FIRST_WORD + 1, 200, True),
+            (False, FIRST_WORD_TIMEOUT + 1, 0, True),
+            (False, FIRST_WORD_TIMEOUT + 1, 200, True),
             (True, 0, 0, True),
             (True, 20_000, 503, False),
             (True, 3_000, 200, False),
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -6,7 +6,7 @@
 import unittest
 from itertools import product
 
-from milletsill.http_gateway.gateway import Gateway
+from milletsill.http_gateway.gateway import HttpGateway
 from milletsill.interface import EndpointUpdateKind
 from tests.support import http_gateway_rig as shared
 from tests.support.discovery_rig import (
@@ -51,7 +51,7 @@
             (len(service.calls), wire.aborted, len(service.watches)), (1, False, 1)
         )
         self.reactor.rightNow += 4  # the process stood still; what had come meanwhile is read after the timers
-        self.gateway.follower.look()
+        self.gateway.watcher.check()
         protocol.dataReceived(chunk(b"\n"))
         self.play(service, 1)
         self.assertEqual(len(service.calls), 1)
@@ -74,7 +74,7 @@
         ):
             service = Service(self.reactor, [way])
             service.change()
-            self.gateway = Gateway(
+            self.gateway = HttpGateway(
                 self.deployment(settings=shared.SETTINGS | {"membership_mode": mode}),
                 self.reactor,
                 self.now,
@@ -87,7 +87,7 @@
     def test_many_whose_watches_fall_silent_at_once(self):
         service = self.start(takes=0.008)
         fleet = [
-            Gateway(
+            HttpGateway(
                 self.deployment(seed=f"{seed:016x}"),
                 self.reactor,
                 self.now,
@@ -304,7 +304,7 @@
                 "stop_sending_within_ns": grace * 10**9,
             }
             settings = shared.SETTINGS | {"membership_mode": mode, "rules": rules}
-            made = shared.deployment_of(
+            made = shared.parse_configuration(
                 shared.GIVEN | {"settings": settings}, {}, 0, list[str]().append
             )
             self.assertEqual(made.facts["ask_within"], wanted, (mode, stated, grace))
--- a/tests/support/discovery_connections.py
+++ b/tests/support/discovery_connections.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.selectreactor import SelectReactor
 
-from milletsill.http_gateway.endpoint_watcher import Follower
+from milletsill.http_gateway.endpoint_watcher import EndpointWatcher, WatcherConfig
 from milletsill.interface import EndpointUpdateKind
 from tests.support.http_gateway_rig import NODE
 
@@ -52,12 +52,11 @@
         self.clock, self.told, self.log, self.due = 0, [], [], []
         self.reactor.callLater = self.later
         self.there = self.discovery()
-        self.follower = Follower(
+        self.follower = EndpointWatcher(
             self.reactor,
             lambda: self.clock,
             self.there.address,
-            ["z"],
-            0,
+            WatcherConfig(["z"], 0),
             self.hear,
             self.log.append,
             lambda least, most: most,
@@ -80,7 +79,7 @@
         return made
 
     def hear(self, kind, places):
-        self.told.append((kind, *(each.listed.readiness.value for each in places)))
+        self.told.append((kind, *(each.endpoint.readiness.value for each in places)))
 
     def later(self, span, call, *values, **named):
         """The test's own timers: they come when the clock is set on."""
@@ -108,7 +107,7 @@
         """The clock goes on by looks."""
         for _ in range(int(span) // LOOK):
             self.clock += LOOK
-            self.follower.look()
+            self.follower.check()
             self.turn()
 
     def taken(self, there=None):
@@ -146,8 +145,8 @@
         there.door.settimeout(PATIENT)
         self.until(
             lambda: (
-                self.follower.beside is not None
-                and self.follower.beside.transport is not None
+                self.follower.parallel is not None
+                and self.follower.parallel.transport is not None
             )
         )
         end, _ = there.door.accept()
@@ -180,7 +179,7 @@
 
     def standing(self):
         """A watch that has spoken."""
-        self.follower.ask()
+        self.follower.request_watch()
         end, _ = self.taken()
         end.sendall(HEAD + said(7, True))
         self.until(lambda: self.told)
