--- a/tests/support/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -3,9 +3,9 @@
 import json
 from random import Random
 
-from milletsill.http_gateway.endpoint_watcher import Follower
-from milletsill.http_gateway.gateway import Gateway
-from milletsill.http_gateway.gateway_limits import ask_within
+from milletsill.http_gateway.discovery_timing import notification_span
+from milletsill.http_gateway.endpoint_watcher import EndpointWatcher, WatcherConfig
+from milletsill.http_gateway.gateway import HttpGateway
 from milletsill.interface import Readiness
 from tests.support import http_gateway_rig as shared
 from tests.support.scheduler_builders import scheduler
@@ -154,7 +154,7 @@
         """A gateway that chance serves worst, or best, and discovery."""
         self.setUp()
         if draw is not None:
-            self.gateway.follower.uniform = lambda least, most: (least, most)[draw]
+            self.gateway.watcher.uniform = lambda least, most: (least, most)[draw]
         return Service(self.reactor, **service)
 
     def play(self, service, most, until=lambda: False, step=STEP):
@@ -194,14 +194,14 @@
             "rules": rules,
             "classes": classes,
         }
-        self.gateway = Gateway(
+        self.gateway = HttpGateway(
             self.deployment(settings=settings),
             self.reactor,
             self.now,
             0,
             self.gateway.log,
         )
-        self.gateway.follower.uniform = self.gateway.host.scheduler.uniform = (
+        self.gateway.watcher.uniform = self.gateway.host.scheduler.uniform = (
             lambda least, most: (least, most)[draw]
         )
         return service
@@ -254,24 +254,24 @@
 
     def __init__(self, reactor, now, seed, within, grace):
         self.reactor, self.now, self.has = reactor, now, False
-        self.follower = Follower(
+        self.follower = EndpointWatcher(
             reactor,
             now,
             ("127.0.0.1", 8500),
-            ["z"],
-            0,
+            WatcherConfig(["z"], 0, grace),
             self.hear,
             lambda text: None,
             Random(seed).uniform,
-            grace,
         )
         self.module, _ = scheduler(ask_within=within)
         self.module.port, self.module.uniform = self, Random(-seed - 1).uniform
-        self.follower.ask()
+        self.follower.request_watch()
 
     def hear(self, kind, places):
-        self.has |= any(each.listed.readiness is Readiness.DRAINING for each in places)
-        self.module.on_endpoints(self.now(), kind, [each.listed for each in places])
+        self.has |= any(
+            each.endpoint.readiness is Readiness.DRAINING for each in places
+        )
+        self.module.on_endpoints(self.now(), kind, [each.endpoint for each in places])
 
     def set_timer(self, at, what):
         if what == "ask":
@@ -281,7 +281,7 @@
             )
 
     def watch_endpoints(self):
-        self.follower.ask()
+        self.follower.request_watch()
 
 
 class Fleet(Played):
@@ -294,7 +294,7 @@
         self.setUp()
         self.gateway.stop()
         grace = 9_999 * pushed
-        within = ask_within(pushed, 0, grace)
+        within = notification_span(pushed, 0, grace)
         made = Service(self.reactor, bears=2.0, **service)
         members = [
             Member(self.reactor, self.now, seed, within, grace)
@@ -310,7 +310,7 @@
             service.look()
             looks += 1
             for each in members if not looks % 5 else ():
-                each.follower.look()
+                each.follower.check()
         return self.reactor.seconds() - began
 
     def back(self, service, members, takes):
--- a/tests/support/http_gateway_rig.py
+++ b/tests/support/http_gateway_rig.py
@@ -15,8 +15,8 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from milletsill.http_gateway.configuration import deployment_of
-from milletsill.http_gateway.gateway import Gateway
+from milletsill.http_gateway.configuration import parse_configuration
+from milletsill.http_gateway.gateway import HttpGateway
 
 SETTINGS = {
     "peers_total": 2,
@@ -201,7 +201,7 @@
             info=lambda event, **values: self.log.append((event, values)),
             warning=lambda event, **values: self.log.append((event, values)),
         )
-        self.gateway = Gateway(self.deployment(), self.reactor, self.now, 0, said)
+        self.gateway = HttpGateway(self.deployment(), self.reactor, self.now, 0, said)
         self.gateway.start()
         self.gateway.port.pauseProducing = self.gateway.port.resumeProducing = lambda: (
             None
@@ -211,10 +211,10 @@
         return int(self.reactor.seconds() * 10_000 + 0.5)
 
     def deployment(self, **changed):
-        return deployment_of(GIVEN | changed, {}, 0, self.log.append)
+        return parse_configuration(GIVEN | changed, {}, 0, self.log.append)
 
     def client(self, *data):
-        protocol, wire = self.gateway.clients.buildProtocol(None), Wire()
+        protocol, wire = self.gateway.listener.buildProtocol(None), Wire()
         protocol.makeConnection(wire)
         for each in data:
             protocol.dataReceived(each)
@@ -276,8 +276,8 @@
             }
             | self.changed
         )
-        self.gateway = Gateway(
-            deployment_of(given, {}, 0, self.log.append),
+        self.gateway = HttpGateway(
+            parse_configuration(given, {}, 0, self.log.append),
             self.reactor,
             self.now,
             0,
@@ -351,7 +351,7 @@
         self.until(
             lambda: any(
                 each.transport.getPeer().port == port
-                for each in self.gateway.clients.open
+                for each in self.gateway.listener.connections
             ),
             "not accepted",
         )
@@ -361,7 +361,7 @@
 
     def server_side(self):
         """The gateway's end of the newest connection."""
-        return list(self.gateway.clients.open)[-1]
+        return list(self.gateway.listener.connections)[-1]
 
     def taken(self, count=1):
         """The node's end of a new link, once `count` requests have come on it."""
@@ -412,7 +412,7 @@
 
     def unread(self):
         """Wait until what clients have sent is in the gateway's system, without a turn of its reactor."""
-        sockets = [each.transport.socket for each in self.gateway.clients.open]
+        sockets = [each.transport.socket for each in self.gateway.listener.connections]
         return select.select(sockets, [], [], 2)[0]
 
 
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -5,90 +5,93 @@
 
 from milletsill.gateway import reactor_turn, timer_queue
 from milletsill.gateway.scheduler_host import SchedulerHost
-from milletsill.http_gateway import node_connections
-from milletsill.http_gateway.endpoint_watcher import Watch
-from milletsill.http_gateway.gateway import Gateway
-from milletsill.http_gateway.gateway_limits import Event
-from milletsill.http_gateway.http_server import Client
-from milletsill.http_gateway.node_connections import Link, Node
+from milletsill.http_gateway import node_pool
+from milletsill.http_gateway.client_connection import ClientConnection
+from milletsill.http_gateway.endpoint_watch import EndpointWatch
+from milletsill.http_gateway.gateway import HttpGateway
+from milletsill.http_gateway.node_connection import HttpNodeConnection
+from milletsill.http_gateway.node_exchange import NodeReply, outcome_of
+from milletsill.http_gateway.node_pool import HttpNodePool
+from milletsill.http_gateway.process_state import ProcessEvent
+from milletsill.interface import AttemptOutcome
 
 
 def retire(self):
     self.retired = True
-    self.clear()
+    self.close_idle()
 
 
-def lost(self, reason=None):
+def connection_lost(self, reason=None):
     """As it is, but for the look at how the connection ended."""
-    whole = self.reader.on_close()
-    sending, self.sending = self.sending, None
-    self.gone()
-    if sending is not None and whole is not None:
-        sending.end(node_connections.outcome_of(whole), node_connections.Verdict(whole))
-    elif sending is not None:
-        sending.end(node_connections.AttemptOutcome.RESET)
-
-
-def idle(self, link):
-    link.since = self.fleet.now()
-    self.free.append(link)
+    complete = self.reader.on_close()
+    exchange, self.exchange = self.exchange, None
+    self._on_gone()
+    if exchange is not None and complete is not None:
+        exchange.end(outcome_of(complete), NodeReply(complete))
+    elif exchange is not None:
+        exchange.end(AttemptOutcome.RESET)
+
+
+def on_idle(self, connection):
+    connection.idle_since = self.now()
+    self.idle.append(connection)
     self.serve_soon()
 
 
-def idle_anywhere(self, link):
+def on_idle_anywhere(self, connection):
     """As it is, but for the look whether the node has retired."""
     self.retired, retired = False, self.retired
-    IDLE(self, link)
+    ON_IDLE(self, connection)
     self.retired = retired
 
 
-IDLE = Node.idle
+ON_IDLE = HttpNodePool.on_idle
 
 
-def close(self, live):
-    live.answered = True
+def close(self, active):
+    active.answered = True
     self.unanswered -= 1
-    self._forget_if_over(live)
+    self._forget_if_over(active)
 
 
-def received(self, data):
+def data_received(self, data):
     """As it is, but octets before all of ours is written are taken for the answer."""
     self.uses, uses = 1, self.uses
     try:
-        TAKEN(self, data)
+        DATA_RECEIVED(self, data)
     finally:
         self.uses = uses
 
 
-TAKEN = Link.dataReceived
+DATA_RECEIVED = HttpNodeConnection.dataReceived
 
 
-def finish(self, outcome, verdict, keep):
-    FINISHED(self, outcome, verdict, True)
+def finish(self, outcome, reply, keep):
+    FINISH(self, outcome, reply, True)
 
 
-FINISHED = Link.finish
+FINISH = HttpNodeConnection.finish
 
 
-def end(self):
+def close_both_sides(self):
     self.since = self.gateway.now()
     self.reader = type(self.reader)(self.reader.limits)
     self.transport.unregisterProducer()
     self.transport.loseConnection()
 
 
-def end_all(self):
-    self.go_on()
+def fail_nothing(self):
+    self._run_shutdown_steps()
 
 
-def stepped(self, event):
+def on_process_event(self, event):
     """As it is, but what is held ends with the step itself."""
-    STEPPED(self, event)
-    if event is Event.SHUT:
+    ON_PROCESS_EVENT(self, event)
+    if event is ProcessEvent.SHUT:
         self.host.fail_all()
 
 
-STEPPED = Gateway.step
+ON_PROCESS_EVENT = HttpGateway._on_process_event
 
 
 def never(*values):
@@ -103,36 +106,42 @@
         timer_queue, "must_read_sockets_first", never
     ),
     "what waits at a node that retires is moot": lambda: patch.multiple(
-        Node, retire=retire, idle=idle_anywhere
+        HttpNodePool, retire=retire, on_idle=on_idle_anywhere
     ),
     "a client's end is looked for behind its request": lambda: patch.object(
-        Client, "has_gone", never
+        ClientConnection, "has_left", never
+    ),
+    "a reset is no end": lambda: patch.object(
+        HttpNodeConnection, "connectionLost", connection_lost
     ),
-    "a reset is no end": lambda: patch.object(Link, "connectionLost", lost),
     "a dispatch begins within a dial of its decision": lambda: patch.object(
-        node_connections, "kept_from", never
+        node_pool, "is_too_late", never
     ),
     "a link to where the node was is of no use": lambda: patch.object(
-        Node, "idle", idle
+        HttpNodePool, "on_idle", on_idle
     ),
     "what waits for a link goes with its transfer": lambda: patch.object(
         SchedulerHost, "_close", close
     ),
     "octets before ours are written are no answer": lambda: patch.object(
-        Link, "dataReceived", received
+        HttpNodeConnection, "dataReceived", data_received
     ),
     "a link that brought more is not used again": lambda: patch.object(
-        Link, "finish", finish
+        HttpNodeConnection, "finish", finish
+    ),
+    "our side alone is closed": lambda: patch.object(
+        ClientConnection, "_close_our_side", close_both_sides
     ),
-    "our side alone is closed": lambda: patch.object(Client, "end", end),
     "what lies unread is read before an end": lambda: patch.object(
-        Client, "catch_up", never
+        ClientConnection, "read_pending", never
     ),
     "what lies unread is read before what is held ends": lambda: patch.multiple(
-        Gateway, step=stepped, end_all=end_all
+        HttpGateway,
+        _on_process_event=on_process_event,
+        _fail_unanswered=fail_nothing,
     ),
     "what lies unread is read before a watch is over": lambda: patch.object(
-        Watch, "catch_up", never
+        EndpointWatch, "read_pending", never
     ),
 }
 
--- a/tests/support/race_scenarios.py
+++ b/tests/support/race_scenarios.py
@@ -10,8 +10,8 @@
 
 from twisted.python import log
 
-from milletsill.http_gateway.configuration import deployment_of
-from milletsill.http_gateway.gateway import Gateway
+from milletsill.http_gateway.configuration import parse_configuration
+from milletsill.http_gateway.gateway import HttpGateway
 from milletsill.lab.hunt.decide import Event
 from tests.support.http_gateway_rig import GIVEN, SETTINGS, ask
 from tests.support.race_actors import Client, Discovery, Node
@@ -101,7 +101,7 @@
             },
         }
         self.given = given
-        deployment = deployment_of(given, {}, 0, lambda text: None)
+        deployment = parse_configuration(given, {}, 0, lambda text: None)
         facts = deployment.facts
         self.longest = max(each["patience"] for each in facts["categories"]) * 100
         self.watch = Watch(
@@ -133,7 +133,7 @@
         for each in self.nodes:
             self.by_port[each.port] = each
         said = SimpleNamespace(info=lambda event, **values: None, warning=self.said)
-        self.gateway = Gateway(deployment, self.world.reactor, self.now, 0, said)
+        self.gateway = HttpGateway(deployment, self.world.reactor, self.now, 0, said)
         self.gateway.stopped = lambda: self.world.reactor.callLater(0, self.world.exit)
 
     def now(self):
@@ -347,7 +347,7 @@
     def hup(self, chance):
         other = self.given | {"discovery": f"127.0.0.1:{ADDRESSES[1]}"}
         self.world.reactor.callFromThread(
-            self.gateway.reload, deployment_of(other, {}, 0, lambda text: None)
+            self.gateway.reload, parse_configuration(other, {}, 0, lambda text: None)
         )
 
     def term(self, chance):
@@ -407,7 +407,7 @@
         self.held()
 
     def held(self):
-        gateway, fleet = self.gateway, self.gateway.fleet
+        gateway, fleet = self.gateway, self.gateway.node_pools
         listed = {
             each.name for each in self.discovery.nodes.values() if each.state != "left"
         }
@@ -418,11 +418,11 @@
         found = {
             "live": len(gateway.host.active),
             "held": gateway.host.unanswered,
-            "clients": len(gateway.clients.open),
-            "links": fleet.open - stand,
-            "octets": fleet.octets.held,
-            "dials": sum(each.dials for each in fleet.nodes.values()),
-            "waiting": sum(len(each.waiting) for each in fleet.nodes.values()),
+            "clients": len(gateway.listener.connections),
+            "links": fleet.open_connections - stand,
+            "octets": fleet.buffers.held,
+            "dials": sum(each.dials for each in fleet.pools.values()),
+            "waiting": sum(len(each.waiting) for each in fleet.pools.values()),
             "out": len(gateway.host.scheduler.outstanding),
             "transfers": len(gateway.host.scheduler.transfers),
         }
@@ -430,9 +430,9 @@
             self.watch.breach("held after all is quiet:", found)
         if len(self.world.reactor.getDelayedCalls()) > 12:
             self.watch.breach("timers:", len(self.world.reactor.getDelayedCalls()))
-        if len(fleet.nodes) > len(listed) + 1:
+        if len(fleet.pools) > len(listed) + 1:
             self.watch.breach(
-                "nodes that left are kept:", len(fleet.nodes), len(listed)
+                "nodes that left are kept:", len(fleet.pools), len(listed)
             )
 
 
