--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -18,8 +18,8 @@
     unknown_settings,
 )
 from milletsill.http_gateway.endpoints import (
-    InvalidEndpoint,
     EndpointUpdate,
+    InvalidEndpoint,
     address_of,
     news_of,
 )
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -210,7 +210,7 @@
     def drains(self):
         return any(
             node.health.name == "UNAVAILABLE"
-            for node in self.gateway.host.module.state.nodes.values()
+            for node in self.gateway.host.scheduler.state.nodes.values()
         )
 
     def calls(self):
--- a/tests/support/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -169,7 +169,7 @@
     def drains(self, gateway=None):
         return any(
             node.health.name == "UNAVAILABLE"
-            for node in (gateway or self.gateway).host.module.state.nodes.values()
+            for node in (gateway or self.gateway).host.scheduler.state.nodes.values()
         )
 
 
@@ -203,7 +203,7 @@
             self.gateway.log,
         )
         self.gateway.follower.uniform = (
-            self.gateway.host.module.state.random.uniform
+            self.gateway.host.scheduler.state.random.uniform
         ) = lambda least, most: (least, most)[draw]
         return service
 
--- a/tests/support/race_scenarios.py
+++ b/tests/support/race_scenarios.py
@@ -417,15 +417,15 @@
             for each in self.world.socks.values()
         )
         found = {
-            "live": len(gateway.host.live),
-            "held": gateway.host.held,
+            "live": len(gateway.host.active),
+            "held": gateway.host.unanswered,
             "clients": len(gateway.clients.open),
             "links": fleet.open - stand,
             "octets": fleet.octets.held,
             "dials": sum(each.dials for each in fleet.nodes.values()),
             "waiting": sum(len(each.waiting) for each in fleet.nodes.values()),
-            "out": len(gateway.host.module.state.in_flight),
-            "transfers": len(gateway.host.module.state.requests),
+            "out": len(gateway.host.scheduler.state.in_flight),
+            "transfers": len(gateway.host.scheduler.state.requests),
         }
         if any(found.values()):
             self.watch.breach("held after all is quiet:", found)
