--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -152,8 +152,8 @@
         clock.kill(victim)
 
         def seen() -> float:
-            views = [each.member.rolls.table.held.get(victim) for each in clock.live()]
-            return sum(each is None or not each.mark for each in views) / len(views)
+            views = [each.member.state.table.entries.get(victim) for each in clock.live()]
+            return sum(each is None or not each.in_view for each in views) / len(views)
 
         found = []
         for part in (0.0001, 0.9, 1.0):
--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -54,7 +54,8 @@
 
     from milletsill.errors import MilletsillError
     from milletsill.fleet.leases.lease_manager import Offices
-    from milletsill.fleet.service import Fleet
+    from milletsill.fleet.service import FleetService
+    from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
     from milletsill.settings.milletsill_pb2 import FleetLink
 
     ports = [int(each) for each in given.ports.split(",")]
@@ -67,15 +68,12 @@
     quiet = lambda *words, **values: (
         print(*words, values, file=sys.stderr) if given.loud else None
     )
-    fleet = Fleet(
+    file = SimpleNamespace(name=f"g{number}", fleet=link)
+    fleet = FleetService(
         reactor,
         now,
-        SimpleNamespace(name=f"g{number}", fleet=link),
-        number,
-        1,
-        quiet,
-        quiet,
-        lambda run: None,
+        FleetServiceConfig.from_file(file, seed=number, incarnation=1),
+        FleetCallbacks(quiet, quiet, lambda incarnation: None),
         registry,
     )
     fleet.start()
--- a/milletsill/fleet/__init__.py
+++ b/milletsill/fleet/__init__.py
@@ -1,1 +1,6 @@
-"""What gateways tell each other. Off without a `fleet` block in a gateway's file; docs/fleet.md."""
+"""What gateways tell each other.
+
+Loaded only where a gateway's file has a `fleet` block.
+
+See docs/fleet.md for the design and for operators.
+"""
--- a/milletsill/fleet/errors.py
+++ b/milletsill/fleet/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong between gateways, by type. Each stands in docs/fleet.md with what to do."""
+"""The fleet's errors. Each stands in docs/fleet.md with what to do."""
 
 from __future__ import annotations
 
@@ -6,22 +6,25 @@
 
 
 class IncarnationLost(MilletsillError):
-    """Others knew a run of this name as late as this gateway's, or later."""
+    """Others knew an incarnation of this name as late as this one, or later."""
 
     remedy = (
-        "if state_dir was lost or put back from a copy, nothing: the gateway has gone past that run; if not, see that no "
-        "other gateway bears this name"
+        "if state_dir was lost or put back from a copy, nothing: the gateway has gone "
+        "past that run; if not, see that no other gateway bears this name"
     )
 
 
 class DuplicateMemberName(MilletsillError):
     """Two live gateways have one name."""
 
-    remedy = "give each gateway's file a name of its own and restart the one that is wrong; until then one of them is in no view"
+    remedy = (
+        "give each gateway's file a name of its own and restart the one that is wrong; "
+        "until then one of them is in no view"
+    )
 
 
 class MemberLimitReached(MilletsillError):
-    """More members than the bound."""
+    """There are more members than the configured bound."""
 
     remedy = "raise fleet.most_members in all files, or see why so many names come up"
 
@@ -29,10 +32,46 @@
 class NoPeersReachable(MilletsillError):
     """No other gateway has answered since the start."""
 
-    remedy = "see that one of fleet.join is up and reached over UDP and TCP, and that fleet.name is the same there"
+    remedy = (
+        "see that one of fleet.join is up and reached over UDP and TCP, and that "
+        "fleet.name is the same there"
+    )
 
 
 class FleetAddressUnavailable(MilletsillError):
-    """The address for other gateways cannot be had."""
+    """The address for other gateways cannot be listened on."""
 
     remedy = "free the address or change fleet.address; UDP and TCP are both needed"
+
+
+class MalformedFrame(MilletsillError):
+    """Octets that are no frame of a gateway."""
+
+    remedy = (
+        "see what else sends to the fleet's address; a gateway sends nothing of the "
+        "kind"
+    )
+
+
+class FrameTooLong(MalformedFrame):
+    """A frame over its bound."""
+
+    remedy = "shorten names, or see what else sends to the fleet's address"
+
+
+class FleetNameMismatch(MilletsillError):
+    """A frame of a fleet with another name."""
+
+    remedy = (
+        "if both are one fleet, give `fleet.name` the same value in all files; else "
+        "take the address out of `fleet.join`"
+    )
+
+
+class FrameVersionTooNew(MilletsillError):
+    """A frame of which a later version says that this one cannot make sense of it."""
+
+    remedy = (
+        "bring this gateway to the version of the others; until then it does not hear "
+        "those"
+    )
--- a/milletsill/fleet/frames/__init__.py
+++ b/milletsill/fleet/frames/__init__.py
@@ -1,1 +1,1 @@
-"""The octets of what gateways say to each other: protobuf frames, bounded, of one fleet."""
+"""The messages between gateways and their octets."""
--- a/milletsill/fleet/frames/codec.py
+++ b/milletsill/fleet/frames/codec.py
@@ -1,240 +1,240 @@
-"""Octets to words and back. What makes no sense is an error of a type of its own and loses nothing else."""
+"""Octets to messages and back; fleet.proto has the format.
 
-from __future__ import annotations
+This is the one place where the words of the wire (run, turn, standing, what) and those
+of the program (incarnation, refutation, state, type) both stand. Octets that make no
+sense raise an error of a type of its own and lose nothing else.
+"""
 
-from collections.abc import Iterator
-from struct import Struct
-from typing import Any
+from __future__ import annotations
 
 from google.protobuf.message import DecodeError
 
-from milletsill.errors import MilletsillError
+from milletsill.fleet.errors import (
+    FleetNameMismatch,
+    FrameTooLong,
+    FrameVersionTooNew,
+    MalformedFrame,
+)
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.messages import (
     VERSION,
     FleetMessage,
-    MemberUpdate,
     FrameType,
+    MemberUpdate,
 )
-from milletsill.fleet.transport import MessageKind, MemberState
+from milletsill.fleet.transport import MemberState, MessageKind
 
 MAGIC = b"mslf"
-LENGTH = Struct(">I")
-MOST_DATAGRAM, MOST_FRAME = 1400, 1 << 20  # octets
-MOST_BODY, ROWS_A_FRAME = MOST_FRAME - 4096, 2000
-MOST_NAME, MOST_ADDRESS, MOST_BY = 64, 80, 3
-MOST_NUMBER = 1 << 62  # of runs, turns and ages: one more of it still goes into a frame
-KNOWN_WHATS = {each.value: each for each in FrameType}
-KNOWN_KINDS = {each.value: each for each in MessageKind}
-KNOWN_STANDINGS = {each.value: each for each in MemberState}
-
-
-class MalformedFrame(MilletsillError):
-    """Octets that are no frame of a gateway."""
-
-    remedy = "see what else sends to the fleet's address; a gateway sends nothing of the kind"
-
-
-class FrameTooLong(MalformedFrame):
-    """A frame over its bound."""
-
-    remedy = "shorten names, or see what else sends to the fleet's address"
+LEAST_READER_VERSION = 1  # readers of this version on can make sense of our frames
 
+# Octets.
+MAX_DATAGRAM = 1400
+MAX_FRAME = 1 << 20
+MAX_BODY = MAX_FRAME - 4096
 
-class FleetNameMismatch(MilletsillError):
-    """A frame of a fleet with another name."""
+MAX_UPDATES_PER_FRAME = 2000
+MAX_NAME_LENGTH = 64  # characters
+MAX_ADDRESS_LENGTH = 80  # characters
+MAX_SUSPECTED_BY = 3  # names
+# Of incarnations, refutations and ages: one more than it still fits in a frame.
+MAX_COUNTER = 1 << 62
+MAX_PORT = 65_535
 
-    remedy = "if both are one fleet, give `fleet.name` the same value in all files; else take the address out of `fleet.join`"
+# Octets that an update takes at most beside its strings, with its own head.
+UPDATE_OVERHEAD = 42
+SUSPECTED_BY_OVERHEAD = 2
+FRAME_OVERHEAD = 64
+MAX_OCTETS_PER_CHARACTER = 4
 
+_FRAME_TYPES = {each.value: each for each in FrameType}
+_MESSAGE_KINDS = {each.value: each for each in MessageKind}
+_MEMBER_STATES = {each.value: each for each in MemberState}
 
-class FrameVersionTooNew(MilletsillError):
-    """A frame that a later version says this one cannot make sense of."""
 
-    remedy = "bring this gateway to the version of the others; until then it does not hear those"
+class FrameCodec:
+    """Encodes and decodes the frames of one fleet.
 
-
-class Codec:
-    """Frames of one fleet. `version` is another only where a test plays a later one."""
+    Args:
+        fleet: The fleet's name; frames of another are refused.
+        version: Another than this program's only where a test plays a later one.
+    """
 
     def __init__(self, fleet: str, version: int = VERSION) -> None:
-        self.fleet, self.version = fleet, version
+        self.fleet = fleet
+        self.version = version
 
     def encode(self, message: FleetMessage) -> bytes:
-        """Raises TooLong past a MiB; whoever sends datagrams looks at the length."""
+        """Return a frame's octets; whoever sends datagrams looks at the length.
+
+        Raises:
+            FrameTooLong: The frame is over MAX_FRAME.
+        """
         frame = fleet_pb2.Frame(
             version=self.version,
-            least=1,
+            least=LEAST_READER_VERSION,
             fleet=self.fleet,
-            sender=put_row(message.sender),
+            sender=encode_update(message.sender),
         )
         if message.type is not None:
             frame.what = message.type.value
-        if message.number:
-            frame.number = message.number
+        if message.probe_number:
+            frame.number = message.probe_number
         if message.target:
             frame.target = message.target
-        if message.address:
-            frame.address = message.address
+        if message.target_address:
+            frame.address = message.target_address
         if message.digest:
             frame.digest = message.digest
         if message.kind is not None:
-            frame.kind, frame.body = message.kind.value, message.body
-        if message.answer:
+            frame.kind = message.kind.value
+            frame.body = message.body
+        if message.reply_wanted:
             frame.answer = True
-        frame.row.extend(map(put_row, message.updates))
+        frame.row.extend(map(encode_update, message.updates))
         data = MAGIC + frame.SerializeToString()
-        if len(data) > MOST_FRAME:
-            raise FrameTooLong(f"a frame of {len(data)} octets, {MOST_FRAME} at most")
+        check_frame_length(len(data))
         return data
 
     def decode(self, data: bytes) -> FleetMessage:
-        """Raises Unreadable, OtherFleet or TooNew."""
-        if len(data) > MOST_FRAME:
-            raise FrameTooLong(f"a frame of {len(data)} octets, {MOST_FRAME} at most")
-        if data[:4] != MAGIC:
+        """Return the message in a frame's octets.
+
+        Raises:
+            FrameTooLong: The frame is over MAX_FRAME.
+            MalformedFrame: The octets are no frame.
+            FleetNameMismatch: The frame is of another fleet.
+            FrameVersionTooNew: Only a later version can read the frame.
+        """
+        frame = self._parse(data)
+        sender = decode_update(frame.sender)
+        if sender is None or not sender.address:
+            raise MalformedFrame("a frame without a sender")
+        target_valid = is_valid_name(frame.target or "-")
+        address_valid = not frame.address or is_valid_address(frame.address)
+        if not target_valid or not address_valid:
+            raise MalformedFrame("a frame for a name or address that cannot be one")
+        updates = (decode_update(row) for row in frame.row[:MAX_UPDATES_PER_FRAME])
+        return FleetMessage(
+            type=_FRAME_TYPES.get(frame.what),
+            sender=sender,
+            updates=tuple(each for each in updates if each is not None),
+            probe_number=frame.number,
+            target=frame.target,
+            target_address=frame.address,
+            digest=frame.digest,
+            kind=_MESSAGE_KINDS.get(frame.kind),
+            body=frame.body,
+            reply_wanted=frame.answer,
+            version=frame.version,
+        )
+
+    def _parse(self, data: bytes) -> fleet_pb2.Frame:
+        check_frame_length(len(data))
+        if data[: len(MAGIC)] != MAGIC:
             raise MalformedFrame("octets that do not begin as a frame does")
         try:
-            frame = fleet_pb2.Frame.FromString(data[4:])
-        except DecodeError:
-            raise MalformedFrame("a frame that is no protobuf of ours") from None
+            frame = fleet_pb2.Frame.FromString(data[len(MAGIC) :])
+        except DecodeError as error:
+            raise MalformedFrame("a frame that is no protobuf of ours") from error
         if frame.fleet != self.fleet:
             raise FleetNameMismatch(
-                f"a frame of fleet {frame.fleet[:MOST_NAME]!r}", f"fleet {self.fleet!r}"
+                f"a frame of fleet {frame.fleet[:MAX_NAME_LENGTH]!r}",
+                f"fleet {self.fleet!r}",
             )
         if frame.least > self.version:
             raise FrameVersionTooNew(
                 f"a frame of version {frame.version} for {frame.least} and later",
                 f"version {self.version}",
             )
-        sender = get_row(frame.sender)
-        if sender is None or not sender.address:
-            raise MalformedFrame("a frame without a sender")
-        if not named(frame.target or "-") or (
-            frame.address and not addressed(frame.address)
-        ):
-            raise MalformedFrame("a frame for a name or address that cannot be one")
-        rows = tuple(
-            row
-            for each in frame.row[:ROWS_A_FRAME]
-            if (row := get_row(each)) is not None
-        )
-        return FleetMessage(
-            KNOWN_WHATS.get(frame.what),
-            sender,
-            rows,
-            frame.number,
-            frame.target,
-            frame.address,
-            frame.digest,
-            KNOWN_KINDS.get(frame.kind),
-            frame.body,
-            frame.answer,
-            frame.version,
-        )
+        return frame
 
 
-def put_row(row: MemberUpdate) -> Any:
-    made = fleet_pb2.Row(
-        name=row.name,
-        run=row.incarnation,
-        nonce=row.nonce,
-        standing=row.state.value,
-        by=row.suspected_by,
+def check_frame_length(length: int) -> None:
+    """Raise FrameTooLong for more octets than a frame may have."""
+    if length > MAX_FRAME:
+        raise FrameTooLong(f"a frame of {length} octets, {MAX_FRAME} at most")
+
+
+def encode_update(update: MemberUpdate) -> fleet_pb2.Row:
+    """Return the protobuf message of an update."""
+    row = fleet_pb2.Row(
+        name=update.name,
+        run=update.incarnation,
+        nonce=update.nonce,
+        standing=update.state.value,
+        by=update.suspected_by,
     )
-    if row.refutation:
-        made.turn = row.refutation
-    if row.address:
-        made.address = row.address
-    if row.age:
-        made.age = row.age
-    return made
-
-
-def get_row(row: Any) -> MemberUpdate | None:
-    """None for a row that cannot be one, or with a standing that only a later version has: the rest of the frame stands."""
-    standing = KNOWN_STANDINGS.get(row.standing)
-    if max(row.run, row.turn, row.age) >= MOST_NUMBER:
+    if update.refutation:
+        row.turn = update.refutation
+    if update.address:
+        row.address = update.address
+    if update.age:
+        row.age = update.age
+    return row
+
+
+def decode_update(row: fleet_pb2.Row) -> MemberUpdate | None:
+    """Return the update in a row, or None for one that cannot be one.
+
+    None also for a state that only a later version has: the rest of the frame counts.
+    """
+    state = _MEMBER_STATES.get(row.standing)
+    if max(row.run, row.turn, row.age) >= MAX_COUNTER:
         return None
-    if (
-        standing is None
-        or not named(row.name)
-        or (row.address and not addressed(row.address))
-    ):
+    if state is None or not is_valid_name(row.name):
+        return None
+    if row.address and not is_valid_address(row.address):
         return None
     return MemberUpdate(
-        row.name,
-        row.run,
-        row.nonce,
-        row.turn,
-        standing,
-        row.address,
-        row.age,
-        tuple(each for each in row.by[:MOST_BY] if named(each)),
+        name=row.name,
+        incarnation=row.run,
+        nonce=row.nonce,
+        refutation=row.turn,
+        state=state,
+        address=row.address,
+        age=row.age,
+        suspected_by=tuple(
+            each for each in row.by[:MAX_SUSPECTED_BY] if is_valid_name(each)
+        ),
     )
 
 
-def named(text: str) -> bool:
-    """Whether it can be a name; protobuf hands over bytes where a string is not UTF-8."""
+def is_valid_name(text: object) -> bool:
+    """Return whether it can be a name.
+
+    Protobuf hands over bytes where a string is not UTF-8.
+    """
     return (
         isinstance(text, str)
-        and 0 < len(text) <= MOST_NAME
+        and 0 < len(text) <= MAX_NAME_LENGTH
         and text.isprintable()
         and " " not in text
     )
 
 
-def addressed(text: str) -> bool:
-    if not isinstance(text, str):
+def is_valid_address(text: object) -> bool:
+    """Return whether it can be a host:port."""
+    if not isinstance(text, str) or len(text) > MAX_ADDRESS_LENGTH:
         return False
     host, _, port = text.rpartition(":")
     return (
-        bool(host)
-        and len(text) <= MOST_ADDRESS
-        and port.isascii()
-        and port.isdecimal()
-        and 0 < int(port) < 65_536
+        bool(host) and port.isascii() and port.isdecimal() and 0 < int(port) <= MAX_PORT
     )
 
 
-def row_room(row: MemberUpdate) -> int:
-    """Octets that a row takes at most, its head in the frame with it."""
+def max_update_length(update: MemberUpdate) -> int:
+    """Return the octets that an update takes at most in a frame."""
     return (
-        42
-        + len(row.name.encode())
-        + len(row.address)
-        + sum(2 + len(each.encode()) for each in row.suspected_by)
-    )
-
-
-def head_room(fleet: str, sender: MemberUpdate) -> int:
-    """Octets of a datagram that are left for rows, with the longest target and address in it."""
-    return MOST_DATAGRAM - (
-        64 + len(fleet.encode()) + row_room(sender) + 4 * MOST_NAME + MOST_ADDRESS
+        UPDATE_OVERHEAD
+        + len(update.name.encode())
+        + len(update.address)
+        + sum(
+            SUSPECTED_BY_OVERHEAD + len(each.encode()) for each in update.suspected_by
+        )
     )
 
 
-class Frames:
-    """Octets of a connection as frames; never holds more than one frame and what came with it."""
-
-    def __init__(self) -> None:
-        self.held = bytearray()
-
-    def feed(self, data: bytes) -> Iterator[bytes]:
-        """The frames that are whole now; raises TooLong."""
-        self.held += data
-        at = 0
-        while len(self.held) - at >= LENGTH.size:
-            size = LENGTH.unpack_from(self.held, at)[0]
-            if size > MOST_FRAME:
-                raise FrameTooLong(f"a frame of {size} octets, {MOST_FRAME} at most")
-            if len(self.held) - at - LENGTH.size < size:
-                break
-            at += LENGTH.size
-            yield bytes(self.held[at : at + size])
-            at += size
-        del self.held[:at]
-
-
-def framed(data: bytes) -> bytes:
-    """As it goes over TCP."""
-    return LENGTH.pack(len(data)) + data
+def room_for_updates(fleet: str, sender: MemberUpdate) -> int:
+    """Return the octets of a datagram left for updates, beside the longest head."""
+    longest_target = MAX_OCTETS_PER_CHARACTER * MAX_NAME_LENGTH + MAX_ADDRESS_LENGTH
+    head = FRAME_OVERHEAD + len(fleet.encode()) + max_update_length(sender)
+    return MAX_DATAGRAM - (head + longest_target)
--- /dev/null
+++ b/milletsill/fleet/frames/stream_framing.py
@@ -0,0 +1,43 @@
+"""Frames on a TCP stream: each behind its length, four octets, big-endian."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from struct import Struct
+
+from milletsill.fleet.frames.codec import check_frame_length
+
+LENGTH_PREFIX = Struct(">I")
+
+
+def add_length_prefix(data: bytes) -> bytes:
+    """Return a frame as it goes over a stream."""
+    return LENGTH_PREFIX.pack(len(data)) + data
+
+
+class FrameDecoder:
+    """Cuts the octets of a stream into frames.
+
+    Holds at most one frame and what came with it.
+    """
+
+    def __init__(self) -> None:
+        self._buffer = bytearray()
+
+    def feed(self, data: bytes) -> Iterator[bytes]:
+        """Yield the frames that are complete now.
+
+        Raises:
+            FrameTooLong: A length prefix says more than MAX_FRAME.
+        """
+        self._buffer += data
+        position = 0
+        while len(self._buffer) - position >= LENGTH_PREFIX.size:
+            length = LENGTH_PREFIX.unpack_from(self._buffer, position)[0]
+            check_frame_length(length)
+            start = position + LENGTH_PREFIX.size
+            if len(self._buffer) - start < length:
+                break
+            yield bytes(self._buffer[start : start + length])
+            position = start + length
+        del self._buffer[:position]
--- a/milletsill/fleet/gossip/__init__.py
+++ b/milletsill/fleet/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""News that rides on other frames: each piece goes out a bounded number of times."""
+"""Piggybacked gossip: each update rides on a bounded number of other frames."""
--- a/milletsill/fleet/membership/__init__.py
+++ b/milletsill/fleet/membership/__init__.py
@@ -1,1 +1,5 @@
-"""Who is there: failure detection in the manner of SWIM with Lifeguard's self-doubt."""
+"""Who is there: SWIM failure detection with Lifeguard's local health. No I/O.
+
+`membership.py` is the entry: time and messages in, effects out. All times are tenths
+of a millisecond.
+"""
--- a/milletsill/fleet/membership/effects.py
+++ b/milletsill/fleet/membership/effects.py
@@ -3,47 +3,61 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, auto
 
 from milletsill.fleet.frames.messages import FleetMessage
-from milletsill.fleet.transport import ViewChange, Member
+from milletsill.fleet.transport import Member, ViewChange
 
-# LOST_STATE: others knew a later run of this name. TWIN: two live ones have it. REFUTED: others suspected this one.
-# STOOD: this one stood still. FULL: a member more than the bound.
-OperatorEventKind = Enum("Said", "LOST_STATE TWIN REFUTED STOOD FULL")
 
+class OperatorEventKind(Enum):
+    """What an operator should know of."""
 
-@dataclass(slots=True)
+    INCARNATION_LOST = auto()  # others knew a later incarnation of this name
+    DUPLICATE_NAME = auto()  # two live gateways have this name
+    REFUTED = auto()  # others suspected this gateway
+    STALLED = auto()  # this gateway stood still
+    MEMBER_LIMIT = auto()  # a member more than the bound
+
+
+@dataclass(frozen=True, slots=True)
 class SendMessage:
-    """A message to an address: a datagram, or over the stream to it."""
+    """Send a message to an address: as a datagram, or over the stream to it."""
 
     address: str
     message: FleetMessage
     stream: bool = False
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class OperatorEvent:
-    """Something an operator should know; `where` an address or name, `span` tenths of a millisecond."""
+    """Something that an operator should know.
+
+    Attributes:
+        kind: What happened.
+        location: An address, or the name that found no place.
+        incarnation: That others knew, of a lost one.
+        duration: Of a stall, in tenths of a millisecond.
+    """
 
-    what: OperatorEventKind
-    where: str = ""
-    span: int = 0
+    kind: OperatorEventKind
+    location: str = ""
+    incarnation: int = 0
+    duration: int = 0
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The view has changed."""
+    """The view has changed by one member."""
 
     change: ViewChange
     member: Member
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class IncarnationChanged:
-    """This gateway's run is another now; to be kept on disk."""
+    """This gateway has another incarnation from now on, to be kept on disk."""
 
-    run: int
+    incarnation: int
 
 
 Effect = SendMessage | OperatorEvent | ViewChanged | IncarnationChanged
--- a/milletsill/fleet/membership/member_table.py
+++ b/milletsill/fleet/membership/member_table.py
@@ -1,170 +1,214 @@
-"""Everything that one gateway holds of the members: rows, who is present, who follows whom by hash, a mark of it all."""
+"""The members that one gateway knows, the hash ring of those present, and a digest."""
 
 from __future__ import annotations
 
 from bisect import bisect_left, insort
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 
 import xxhash
 
-from milletsill.fleet.frames.codec import row_room
+from milletsill.fleet.frames.codec import max_update_length
 from milletsill.fleet.frames.messages import MemberUpdate
-from milletsill.fleet.transport import PRESENT, Member, MemberState
+from milletsill.fleet.membership.update_rules import MemberVersion
+from milletsill.fleet.transport import PRESENT_STATES, Member, MemberState
 
+SAMPLE_TRIES = 3  # draws for each member of a sample
 
-class Known:
-    """One member; `since` when its standing began here, `by` who suspects it, `place` its hash on the ring."""
+
+class MemberEntry:
+    """What this gateway holds of one member.
+
+    Attributes:
+        since: When its state began here.
+        suspected_by: Names of members that suspect it.
+        digest: Its part of the table's digest; 0 while it is not in the view.
+        ring_position: The hash of its name.
+        gossip_cache: Its update as it is piggybacked, and the octets that takes.
+    """
 
     __slots__ = (
         "name",
         "address",
-        "run",
+        "incarnation",
         "nonce",
-        "turn",
-        "standing",
-        "by",
+        "refutation",
+        "state",
+        "suspected_by",
         "since",
-        "mark",
-        "place",
-        "news",
+        "digest",
+        "ring_position",
+        "gossip_cache",
     )
 
-    def __init__(self, row: MemberUpdate, now: int) -> None:
-        self.name, self.address, self.run, self.nonce, self.turn = (
-            row.name,
-            row.address,
-            row.incarnation,
-            row.nonce,
-            row.refutation,
-        )
-        self.standing, self.by, self.since = row.state, row.suspected_by, now - row.age
-        self.news: tuple[MemberUpdate, int] | None = (
-            None  # as it rides on datagrams, and the octets it takes there
-        )
-        self.mark, self.place = (
-            0,
-            xxhash.xxh64_intdigest(row.name.encode("utf-8", "surrogateescape")),
+    def __init__(self, update: MemberUpdate, now: int) -> None:
+        self.name = update.name
+        self.address = update.address
+        self.incarnation = update.incarnation
+        self.nonce = update.nonce
+        self.refutation = update.refutation
+        self.state = update.state
+        self.suspected_by = update.suspected_by
+        self.since = now - update.age
+        self.digest = 0
+        self.ring_position = xxhash.xxh64_intdigest(
+            update.name.encode("utf-8", "surrogateescape")
         )
+        self.gossip_cache: tuple[MemberUpdate, int] | None = None
 
     @property
-    def key(self) -> tuple[int, int, int]:
-        return self.run, self.nonce, self.turn
+    def version(self) -> MemberVersion:
+        """What orders an update against what is held."""
+        return MemberVersion(self.incarnation, self.nonce, self.refutation)
 
-    def row(self, now: int, full: bool = True) -> MemberUpdate:
-        """What is said of it; without its address and age where that saves room and says nothing new. A suspicion that is
-        nobody's own, only hearsay, is not passed on.
+    @property
+    def in_view(self) -> bool:
+        """Whether the table counts it as present."""
+        return self.digest != 0
+
+    def to_update(self, now: int, full: bool = True) -> MemberUpdate:
+        """Return what is passed on of it.
+
+        Without its address and age where `full` is not wanted and they say nothing new.
+        A suspicion that is nobody's own, only hearsay, is not passed on.
         """
-        standing = (
-            self.standing
-            if self.by or self.standing is not MemberState.SUSPECT
-            else MemberState.ALIVE
-        )
+        state = self.state
+        if state is MemberState.SUSPECT and not self.suspected_by:
+            state = MemberState.ALIVE
+        with_address = full or state is MemberState.ALIVE
+        with_age = full and state not in PRESENT_STATES
         return MemberUpdate(
-            self.name,
-            self.run,
-            self.nonce,
-            self.turn,
-            standing,
-            self.address if full or standing is MemberState.ALIVE else "",
-            max(now - self.since, 0) if full and standing not in PRESENT else 0,
-            self.by if standing is MemberState.SUSPECT else (),
-        )
-
-    def short(self) -> tuple[MemberUpdate, int]:
-        """Its row as news, and the room that takes; made once for each change."""
-        if self.news is None:
-            row = self.row(0, full=False)
-            self.news = row, row_room(row)
-        return self.news
-
-    def member(self) -> Member:
-        return Member(self.name, self.address, self.run, self.standing)
-
-    def marked(self) -> int:
-        return xxhash.xxh64_intdigest(
-            f"{self.name}\0{self.run}\0{self.nonce}\0{self.address}".encode(
-                "utf-8", "surrogateescape"
-            )
+            name=self.name,
+            incarnation=self.incarnation,
+            nonce=self.nonce,
+            refutation=self.refutation,
+            state=state,
+            address=self.address if with_address else "",
+            age=max(now - self.since, 0) if with_age else 0,
+            suspected_by=self.suspected_by if state is MemberState.SUSPECT else (),
         )
 
-
-class Table:
-    """Members by name. `mark` is equal where the same starts are present: exclusive or of theirs, so a change costs one hash."""
-
-    def __init__(self, most: int) -> None:
-        self.most, self.held, self.mark = most, dict[str, Known](), 0
-        self.ring: list[tuple[int, str]] = []  # present ones by hash of the name
-        self.away: dict[str, None] = {}  # gone and left ones, the oldest first
+    def to_gossip(self) -> tuple[MemberUpdate, int]:
+        """Return its piggybacked update and the octets of it; made once a change."""
+        if self.gossip_cache is None:
+            update = self.to_update(0, full=False)
+            self.gossip_cache = (update, max_update_length(update))
+        return self.gossip_cache
+
+    def to_member(self) -> Member:
+        """Return it as the view has it."""
+        return Member(self.name, self.address, self.incarnation, self.state)
+
+    def compute_digest(self) -> int:
+        """Return its part of the digest of a view that it is in."""
+        identity = f"{self.name}\0{self.incarnation}\0{self.nonce}\0{self.address}"
+        return xxhash.xxh64_intdigest(identity.encode("utf-8", "surrogateescape"))
+
+
+class MemberTable:
+    """Members by name, at most `max_members`.
+
+    Attributes:
+        entries: All members by name.
+        digest: The exclusive or of the digests of those present, so a change costs one
+            hash; equal where the same starts are present.
+        ring: Those present by the hash of their names.
+        absent: Those gone or left, the oldest first.
+        suspects: Those suspected.
+    """
+
+    def __init__(self, max_members: int) -> None:
+        self.max_members = max_members
+        self.entries: dict[str, MemberEntry] = {}
+        self.digest = 0
+        self.ring: list[tuple[int, str]] = []
+        self.absent: dict[str, None] = {}
         self.suspects: dict[str, None] = {}
 
-    def get(self, name: str) -> Known | None:
-        return self.held.get(name)
+    def get(self, name: str) -> MemberEntry | None:
+        """Return the member of that name, if it is known."""
+        return self.entries.get(name)
 
-    def add(self, known: Known) -> bool:
-        """False where the table is full of those present; one that is long away makes room."""
-        if len(self.held) >= self.most:
-            if not self.away:
+    def add(self, entry: MemberEntry) -> bool:
+        """Add a member; one that is long absent makes room.
+
+        Returns:
+            False where the table is full of members that are present.
+        """
+        if len(self.entries) >= self.max_members:
+            if not self.absent:
                 return False
-            self.drop(next(iter(self.away)))
-        self.held[known.name] = known
-        self.sort(known, None)
+            self.remove(next(iter(self.absent)))
+        self.entries[entry.name] = entry
+        self.reindex(entry, None)
         return True
 
-    def drop(self, name: str) -> None:
-        known = self.held.pop(name)
-        self.away.pop(name, None)
+    def remove(self, name: str) -> None:
+        """Forget a member that is known."""
+        entry = self.entries.pop(name)
+        self.absent.pop(name, None)
         self.suspects.pop(name, None)
-        if known.mark:
-            self.out(known)
-
-    def sort(self, known: Known, before: MemberState | None) -> None:
-        """After each change of a member: where it belongs."""
-        name, present, known.news = known.name, known.standing in PRESENT, None
-        if known.mark:
-            self.mark ^= known.mark
-        elif present:
-            insort(self.ring, (known.place, name))
-        if not present and known.mark:
-            del self.ring[bisect_left(self.ring, (known.place, name))]
-        known.mark = known.marked() if present else 0
-        self.mark ^= known.mark
-        if known.standing is not before:
-            self.away.pop(name, None)
-            self.suspects.pop(name, None)
+        if entry.in_view:
+            self._remove_from_ring(entry)
+            self.digest ^= entry.digest
+            entry.digest = 0
+
+    def reindex(self, entry: MemberEntry, previous: MemberState | None) -> None:
+        """Sort a member in anew, after each change of it."""
+        present = entry.state in PRESENT_STATES
+        entry.gossip_cache = None
+        if entry.in_view:
+            self.digest ^= entry.digest
             if not present:
-                self.away[name] = None
-            elif known.standing is MemberState.SUSPECT:
-                self.suspects[name] = None
-
-    def out(self, known: Known) -> None:
-        self.mark ^= known.mark
-        del self.ring[bisect_left(self.ring, (known.place, known.name))]
-        known.mark = 0
-
-    def after(self, place: int, count: int, skip: str) -> list[str]:
-        """Those that follow a place on the ring."""
-        at, found = bisect_left(self.ring, (place, "")), list[str]()
+                self._remove_from_ring(entry)
+        elif present:
+            insort(self.ring, (entry.ring_position, entry.name))
+        entry.digest = entry.compute_digest() if present else 0
+        self.digest ^= entry.digest
+        if entry.state is not previous:
+            self._sort_by_state(entry)
+
+    def successors(self, position: int, count: int, skip: str) -> list[str]:
+        """Return members that follow a position on the ring, without `skip`."""
+        start = bisect_left(self.ring, (position, ""))
+        found: list[str] = []
         for step in range(min(count + 1, len(self.ring))):
-            name = self.ring[(at + step) % len(self.ring)][1]
+            name = self.ring[(start + step) % len(self.ring)][1]
             if name != skip and len(found) < count:
                 found.append(name)
         return found
 
-    def some(
-        self, count: int, chance: Callable[[int], int], skip: str, other: str = ""
+    def sample(
+        self, count: int, draw: Callable[[int], int], skip: str, also_skip: str = ""
     ) -> list[str]:
-        """Present members by chance, fewer where there are none."""
+        """Return present members by chance, fewer where there are none.
+
+        Args:
+            count: Members wanted.
+            draw: Returns a number below its argument.
+            skip: A name that is not wanted.
+            also_skip: Another one.
+        """
         found: dict[str, None] = {}
-        for _ in range(3 * count):
+        for _ in range(SAMPLE_TRIES * count):
             if len(found) >= count or not self.ring:
                 break
-            name = self.ring[chance(len(self.ring))][1]
-            if name not in (skip, other):
+            name = self.ring[draw(len(self.ring))][1]
+            if name not in (skip, also_skip):
                 found[name] = None
         return list(found)
 
-    def forget(self, before: int) -> Iterator[str]:
-        """Those away since before that."""
-        for name in [name for name in self.away if self.held[name].since < before]:
-            self.drop(name)
-            yield name
+    def forget_absent(self, before: int) -> None:
+        """Forget members that are absent since before that time."""
+        for name in [each for each in self.absent if self.entries[each].since < before]:
+            self.remove(name)
+
+    def _remove_from_ring(self, entry: MemberEntry) -> None:
+        del self.ring[bisect_left(self.ring, (entry.ring_position, entry.name))]
+
+    def _sort_by_state(self, entry: MemberEntry) -> None:
+        self.absent.pop(entry.name, None)
+        self.suspects.pop(entry.name, None)
+        if entry.state not in PRESENT_STATES:
+            self.absent[entry.name] = None
+        elif entry.state is MemberState.SUSPECT:
+            self.suspects[entry.name] = None
--- a/milletsill/fleet/membership/membership_state.py
+++ b/milletsill/fleet/membership/membership_state.py
@@ -1,259 +1,235 @@
-"""What one gateway holds of the others and of itself, and how words change it: the tables of decide.py, read and acted on."""
+"""What one gateway holds of all members, and how updates change it."""
 
 from __future__ import annotations
 
-from milletsill.fleet.frames.codec import MOST_BY
-from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
-from milletsill.fleet.gossip.gossip_queue import Spread
+from milletsill.fleet.frames.codec import MAX_SUSPECTED_BY
+from milletsill.fleet.frames.messages import MemberUpdate
+from milletsill.fleet.gossip.gossip_queue import GossipQueue
+from milletsill.fleet.membership.config import MembershipConfig
 from milletsill.fleet.membership.effects import (
-    ViewChanged,
-    IncarnationChanged,
     Effect,
-    OperatorEventKind,
     OperatorEvent,
-    SendMessage,
+    OperatorEventKind,
+    ViewChanged,
 )
-from milletsill.fleet.membership.failure_detector import (
-    CHANGES,
-    HELD,
-    OWN,
-    TWIN_AFTER,
-    TWIN_EVERY,
-    Order,
-    Own,
-    Terms,
-    Word,
-    believed,
-    order_of,
-    word_of,
+from milletsill.fleet.membership.local_member import LocalIdentity, LocalMember
+from milletsill.fleet.membership.member_table import MemberEntry, MemberTable
+from milletsill.fleet.membership.update_rules import (
+    JUST_AFTER_STALL,
+    UPDATE_RULES,
+    VIEW_CHANGE_OF,
+    MemberVersion,
+    UpdateAction,
+    UpdateOrder,
+    compare_versions,
+    is_death_believed,
 )
-from milletsill.fleet.membership.member_table import Known, Table
-from milletsill.fleet.transport import PRESENT, ViewChange, MemberState
+from milletsill.fleet.transport import PRESENT_STATES, MemberState, ViewChange
 
+_SUSPECTING_ACTIONS = (
+    UpdateAction.SUSPECTED,
+    UpdateAction.RESTARTED,
+    UpdateAction.JOINED,
+)
+_NOT_GOSSIPED_ACTIONS = (UpdateAction.VERIFY_DEATH, UpdateAction.NOTED)
 
-class Rolls:
-    """`out` gathers effects. Everything in it is bounded by the most members of the terms."""
-
-    def __init__(
-        self, name: str, address: str, run: int, nonce: int, terms: Terms, now: int
-    ) -> None:
-        self.name, self.nonce, self.terms, self.started = name, nonce, terms, now
-        self.own, self.claimed, self.told_twin, self.woke = (
-            Own.UP,
-            None,
-            now - TWIN_EVERY,
-            now - TWIN_EVERY,
-        )
-        self.me = Known(
-            MemberUpdate(name, run, nonce, 0, MemberState.ALIVE, address), now
-        )
-        self.table, self.spread, self.out = (
-            Table(terms.most_members),
-            Spread(),
-            list[Effect](),
-        )
-        self.table.add(self.me)
-        self.sender = self.me.row(now)
-        self.spread.add(name)
-
-    # Others.
 
-    def merge(self, now: int, row: MemberUpdate, news: bool = True) -> str:
-        """Take what is said of one; the action of the table, '' where it changes nothing. `news`: pass it on."""
-        held = self.table.held.get(row.name)
-        if (
-            held is not None
-            and row.refutation == held.turn
-            and row.nonce == held.nonce
-            and row.incarnation == held.run
-            and (row.state is held.standing and row.suspected_by == held.by)
-        ):
-            return ""  # most of what comes was known
-        if row.name == self.name and (
-            self.own is not Own.DISPLACED or row.nonce == self.nonce
-        ):
-            return self.meant(now, row)
-        if held is None:
-            return self.meet(now, row, news)
-        order = order_of(held.key, (row.incarnation, row.nonce, row.refutation))
-        standing, action = HELD.get(
-            (held.standing, row.state, order), (held.standing, "")
-        )
-        if not action or (
-            order is Order.RUN and row.state in PRESENT and not row.address
-        ):
-            return ""
-        if action == "confirm":
-            return self.confirm(held, row.suspected_by)
-        if action == "sentence":
-            told = believed(
-                bool(held.by), now - held.since, now - self.woke, self.terms
-            )
-            standing, action = (
-                (MemberState.GONE, "gone") if told else (MemberState.SUSPECT, "hearsay")
-            )
-        before = held.standing
-        held.run, held.nonce, held.turn = row.incarnation, row.nonce, row.refutation
-        held.address = row.address or held.address
-        held.by = (
-            row.suspected_by
-            if action in ("suspect", "restarted", "again")
-            and standing is MemberState.SUSPECT
-            else (
-                held.by if action == "hearsay" and before is MemberState.SUSPECT else ()
-            )
-        )
-        self.stand(now, held, standing, action, row.age)
-        if news and action not in ("hearsay", "note"):
-            self.spread.add(row.name)
-        return action
+class MembershipState:
+    """The member table, this gateway's own entry, and the updates to pass on.
 
-    def meet(self, now: int, row: MemberUpdate, news: bool) -> str:
-        """One that was not known. One that is away is kept in mind only as long as others do, or it would go round for ever."""
-        if not row.address or (
-            row.state not in PRESENT and row.age >= self.terms.remember
-        ):
-            return ""
-        known = Known(row, now)
-        if not self.table.add(known):
-            self.out.append(OperatorEvent(OperatorEventKind.FULL, row.name))
-            return ""
-        if row.state not in PRESENT:
-            return "note"
-        self.out.append(ViewChanged(ViewChange.JOINED, known.member()))
-        if news:
-            self.spread.add(row.name)
-        return "again"
+    Everything in it is bounded by the configured most members.
 
-    def confirm(self, held: Known, by: tuple[str, ...]) -> str:
-        """One more who suspects it; a few are enough to know, and to pass on."""
-        found = tuple(dict.fromkeys(held.by + by))[:MOST_BY]
-        if len(found) == len(held.by):
-            return ""
-        held.by, held.news = found, None
-        self.spread.add(held.name)
-        return "confirm"
+    Attributes:
+        local: This gateway itself.
+        table: All members.
+        gossip: Names of which there is an update to pass on.
+        effects: What is to be done; emptied by `take_effects`.
+        last_stall: When this gateway last woke from a stall.
+    """
 
-    def stand(
-        self, now: int, held: Known, standing: MemberState, action: str, age: int = 0
+    def __init__(
+        self, identity: LocalIdentity, config: MembershipConfig, now: int
     ) -> None:
-        """It stands so from now on."""
-        before, held.standing = held.standing, standing
-        if standing is not before or action == "restarted":
-            held.since = now - age
-        self.table.sort(held, before)
-        change = CHANGES.get(action)
-        if change is ViewChange.SUSPECTED and before is MemberState.SUSPECT:
-            change = None
-        if change is not None:
-            self.out.append(ViewChanged(change, held.member()))
-        if (
-            held.name == self.name
-            and standing not in PRESENT
-            and self.own is Own.DISPLACED
-        ):
-            self.mean(now, Word.FREE, held.row(now))
+        self.name = identity.name
+        self.config = config
+        self.last_stall = now - JUST_AFTER_STALL - 1
+        self.effects: list[Effect] = []
+        self.table = MemberTable(config.max_members)
+        self.gossip = GossipQueue()
+        self.local = LocalMember(identity, self.table, self.gossip, self.effects, now)
+
+    def take_effects(self) -> list[Effect]:
+        """Return what is to be done and forget it."""
+        taken = self.effects.copy()
+        self.effects.clear()
+        return taken
+
+    def merge(
+        self, now: int, update: MemberUpdate, gossip: bool = True
+    ) -> UpdateAction:
+        """Take in an update of any member.
+
+        Args:
+            now: The time.
+            update: What a frame says of the member.
+            gossip: Whether what is new is passed on.
+
+        Returns:
+            What it brought about; IGNORED where it changes nothing.
+        """
+        entry = self.table.entries.get(update.name)
+        if entry is not None and _is_known(entry, update):
+            return UpdateAction.IGNORED
+        if self.local.claims(update):
+            return self.local.on_update(now, update)
+        if entry is None:
+            return self._add_member(now, update, gossip)
+        return self._update_member(now, entry, update, gossip)
 
     def suspect(self, now: int, name: str) -> None:
-        """This gateway's own suspicion."""
-        held = self.table.get(name)
-        if held is None or held.standing not in PRESENT:
+        """Suspect a member by this gateway's own probes."""
+        entry = self.table.get(name)
+        if entry is None or entry.state not in PRESENT_STATES:
             return
-        if held.standing is MemberState.SUSPECT:
-            self.confirm(held, (self.name,))
-        else:
-            held.by = (self.name,)
-            self.stand(now, held, MemberState.SUSPECT, "suspect")
-            self.spread.add(name)
-
-    def sentence(self, now: int, name: str) -> None:
-        """It gave this gateway no sign of life for all the spans there are."""
-        held = self.table.get(name)
-        if held is not None and held.standing in PRESENT:
-            held.by = ()
-            self.stand(now, held, MemberState.GONE, "gone")
-            self.spread.add(name)
-
-    # This gateway itself.
-
-    def meant(self, now: int, row: MemberUpdate) -> str:
-        """What is said under this gateway's name."""
-        word = word_of(row, self.me.run, self.nonce, self.me.turn, self.claimed)
-        if word is not Word.OLD:
-            return self.mean(now, word, row)
-        return ""
-
-    def mean(self, now: int, word: Word, row: MemberUpdate) -> str:
-        """Read the table and act."""
-        own, effect = OWN.get((self.own, word), (self.own, ""))
-        if not effect or (own is Own.DISPLACED and not row.address):
-            return ""
-        self.own = own
-        if effect == "refute":
-            self.me.turn, self.me.news = row.refutation + 1, None
-            self.out.append(OperatorEvent(OperatorEventKind.REFUTED))
-        if effect == "lost":
-            self.out.append(
-                OperatorEvent(
-                    OperatorEventKind.LOST_STATE, row.address, row.incarnation
-                )
-            )
-        if effect.startswith("twin"):
-            self.twin(now, row.address)
-        if effect in ("lost", "past", "twin past"):
-            self.past(now, row.incarnation + 1)
-        if effect == "twin rest":
-            self.table.drop(self.name)
-            self.table.add(Known(row, now))
-            self.out.append(
-                ViewChanged(ViewChange.RESTARTED, self.table.held[self.name].member())
-            )
-        else:
-            self.sender = self.me.row(now)
-            self.spread.add(self.name)
-        return effect
-
-    def past(self, now: int, run: int) -> None:
-        """Another run than that of the start: past all that others have heard under this name."""
-        if self.table.get(self.name) is not self.me:
-            self.table.drop(self.name)
-            self.table.add(self.me)
-        self.me.run, self.me.turn, self.claimed = run, 0, run
-        self.table.sort(self.me, self.me.standing)
-        self.out += [
-            IncarnationChanged(run),
-            ViewChanged(ViewChange.RESTARTED, self.me.member()),
-        ]
+        if entry.state is MemberState.SUSPECT:
+            self._confirm(entry, (self.name,))
+            return
+        entry.suspected_by = (self.name,)
+        self._set_state(now, entry, MemberState.SUSPECT, UpdateAction.SUSPECTED)
+        self.gossip.add(name)
+
+    def declare_gone(self, now: int, name: str) -> None:
+        """Take a member for gone: it gave no sign of life in all its timeouts."""
+        entry = self.table.get(name)
+        if entry is None or entry.state not in PRESENT_STATES:
+            return
+        entry.suspected_by = ()
+        self._set_state(now, entry, MemberState.GONE, UpdateAction.GONE)
+        self.gossip.add(name)
 
-    def twin(self, now: int, address: str) -> None:
-        """Say it here and there, now and then."""
-        if now - self.told_twin >= TWIN_EVERY:
-            self.told_twin = now
-            self.out.append(OperatorEvent(OperatorEventKind.TWIN, address))
-            if address:
-                self.out.append(
-                    SendMessage(address, FleetMessage(FrameType.TWIN, self.sender))
-                )
+    def _add_member(self, now: int, update: MemberUpdate, gossip: bool) -> UpdateAction:
+        """Take in a member that was not known.
 
-    def met_twin(self, now: int, sender: MemberUpdate) -> None:
-        """A frame straight from one with this name. Guards against a former start's last frames: none is on its way for so
-        long. Harm: two that start together hear of it that much later.
+        One that is absent is kept only as long as others keep it, or it would go round
+        for ever.
         """
-        if now - self.started >= TWIN_AFTER:
-            self.twin(now, sender.address)
+        present = update.state in PRESENT_STATES
+        if not update.address:
+            return UpdateAction.IGNORED
+        if not present and update.age >= self.config.remember_absent:
+            return UpdateAction.IGNORED
+        entry = MemberEntry(update, now)
+        if not self.table.add(entry):
+            event = OperatorEvent(OperatorEventKind.MEMBER_LIMIT, update.name)
+            self.effects.append(event)
+            return UpdateAction.IGNORED
+        if not present:
+            return UpdateAction.NOTED
+        self.effects.append(ViewChanged(ViewChange.JOINED, entry.to_member()))
+        if gossip:
+            self.gossip.add(update.name)
+        return UpdateAction.JOINED
+
+    def _update_member(
+        self, now: int, entry: MemberEntry, update: MemberUpdate, gossip: bool
+    ) -> UpdateAction:
+        """Take in an update of a member that is known."""
+        version = MemberVersion(update.incarnation, update.nonce, update.refutation)
+        order = compare_versions(entry.version, version)
+        rule = UPDATE_RULES.get((entry.state, update.state, order))
+        if rule is None:
+            return UpdateAction.IGNORED
+        new_start = order is UpdateOrder.NEW_START
+        if new_start and update.state in PRESENT_STATES and not update.address:
+            return UpdateAction.IGNORED
+        state, action = rule
+        if action is UpdateAction.CONFIRMED:
+            return self._confirm(entry, update.suspected_by)
+        if action is UpdateAction.JUDGE_DEATH:
+            state, action = self._judge_death(now, entry)
+        entry.suspected_by = _suspected_by_after(entry, update, state, action)
+        entry.incarnation = update.incarnation
+        entry.nonce = update.nonce
+        entry.refutation = update.refutation
+        entry.address = update.address or entry.address
+        self._set_state(now, entry, state, action, update.age)
+        if gossip and action not in _NOT_GOSSIPED_ACTIONS:
+            self.gossip.add(update.name)
+        return action
 
-    def leave(self, now: int) -> None:
-        """This gateway says that it goes."""
-        if self.own is Own.DISPLACED:
-            self.own = Own.LEAVING
-            return
-        self.own, before, self.me.standing, self.me.since = (
-            Own.LEAVING,
-            self.me.standing,
-            MemberState.LEFT,
-            now,
+    def _judge_death(
+        self, now: int, entry: MemberEntry
+    ) -> tuple[MemberState, UpdateAction]:
+        """Return what to make of a suspect that is said to be gone."""
+        believed = is_death_believed(
+            has_accuser=bool(entry.suspected_by),
+            suspected_for=now - entry.since,
+            since_stall=now - self.last_stall,
+            config=self.config,
         )
-        self.table.sort(self.me, before)
-        self.sender = self.me.row(now)
-        self.spread.add(self.name)
-        self.out.append(ViewChanged(ViewChange.LEFT, self.me.member()))
+        if believed:
+            return MemberState.GONE, UpdateAction.GONE
+        return MemberState.SUSPECT, UpdateAction.VERIFY_DEATH
+
+    def _confirm(
+        self, entry: MemberEntry, suspected_by: tuple[str, ...]
+    ) -> UpdateAction:
+        """Note who else suspects a member; a few are enough to know and pass on."""
+        confirmed_by = tuple(dict.fromkeys(entry.suspected_by + suspected_by))
+        confirmed_by = confirmed_by[:MAX_SUSPECTED_BY]
+        if len(confirmed_by) == len(entry.suspected_by):
+            return UpdateAction.IGNORED
+        entry.suspected_by = confirmed_by
+        entry.gossip_cache = None
+        self.gossip.add(entry.name)
+        return UpdateAction.CONFIRMED
+
+    def _set_state(
+        self,
+        now: int,
+        entry: MemberEntry,
+        state: MemberState,
+        action: UpdateAction,
+        age: int = 0,
+    ) -> None:
+        """Give a member its state, and tell of the change of the view, if any."""
+        previous = entry.state
+        entry.state = state
+        if state is not previous or action is UpdateAction.RESTARTED:
+            entry.since = now - age
+        self.table.reindex(entry, previous)
+        change = VIEW_CHANGE_OF.get(action)
+        known_suspect = previous is MemberState.SUSPECT
+        if change is ViewChange.SUSPECTED and known_suspect:
+            change = None
+        if change is not None:
+            self.effects.append(ViewChanged(change, entry.to_member()))
+        released = entry.name == self.name and state not in PRESENT_STATES
+        if released and self.local.is_displaced:
+            self.local.on_name_released(now, entry.to_update(now))
+
+
+def _is_known(entry: MemberEntry, update: MemberUpdate) -> bool:
+    """Return whether an update says just what is held, as most do."""
+    return (
+        update.refutation == entry.refutation
+        and update.nonce == entry.nonce
+        and update.incarnation == entry.incarnation
+        and update.state is entry.state
+        and update.suspected_by == entry.suspected_by
+    )
+
+
+def _suspected_by_after(
+    entry: MemberEntry,
+    update: MemberUpdate,
+    state: MemberState,
+    action: UpdateAction,
+) -> tuple[str, ...]:
+    """Return who suspects a member after an update; `entry` is still as it was."""
+    if action in _SUSPECTING_ACTIONS and state is MemberState.SUSPECT:
+        return update.suspected_by
+    verifying = action is UpdateAction.VERIFY_DEATH
+    if verifying and entry.state is MemberState.SUSPECT:
+        return entry.suspected_by
+    return ()
--- a/milletsill/fleet/metrics.py
+++ b/milletsill/fleet/metrics.py
@@ -1,92 +1,98 @@
-"""The fleet's figures; names are those of docs/fleet.md."""
+"""The fleet's metrics; their names stand in docs/fleet.md."""
 
 from __future__ import annotations
 
-from typing import Any
+from enum import Enum
 
-from prometheus_client import Counter, Gauge
+from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
-class Figures:
-    """On a gateway's own registry."""
+class FrameDirection(Enum):
+    """Values of the label `way`."""
 
-    def __init__(self, registry: Any) -> None:
-        self.members = Gauge(
-            "milletsill_fleet_members",
-            "Members by standing, this one with them",
-            ("standing",),
-            registry=registry,
-        )
-        self.changes = Counter(
-            "milletsill_fleet_changes",
-            "Changes of the view",
-            ("change",),
-            registry=registry,
-        )
-        self.view = Gauge(
-            "milletsill_fleet_view",
-            "The view's digest, its lower 48 bits",
-            registry=registry,
-        )
-        self.version = Gauge(
-            "milletsill_fleet_view_version",
-            "Versions of the view since the start",
-            registry=registry,
+    OUT = "out"
+    IN = "in"
+
+
+class FrameCarrier(Enum):
+    """Values of the label `over`."""
+
+    DATAGRAM = "datagram"
+    STREAM = "stream"
+
+
+class RefusalCause(Enum):
+    """Values of the label `cause`: why a frame was not taken."""
+
+    TOO_LONG = "too_long"
+    MALFORMED = "unreadable"
+    OTHER_FLEET = "other_fleet"
+    TOO_NEW = "too_new"
+    UNKNOWN_TYPE = "unknown_what"
+    UNKNOWN_KIND = "unknown_kind"
+    NOT_A_MEMBER = "not_a_member"
+
+
+class FleetMetrics:
+    """The fleet's metrics, on a gateway's own registry."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
+        def gauge(name: str, text: str, *labels: str) -> Gauge:
+            return Gauge(f"milletsill_fleet_{name}", text, labels, registry=registry)
+
+        def counter(name: str, text: str, *labels: str) -> Counter:
+            return Counter(f"milletsill_fleet_{name}", text, labels, registry=registry)
+
+        self.members = gauge(
+            "members", "Known members by state, this gateway with them", "standing"
         )
-        self.run = Gauge(
-            "milletsill_fleet_run",
-            "This gateway's run, as the others know it",
-            registry=registry,
+        self.changes = counter("changes", "Changes of the view", "change")
+        self.view_digest = gauge("view", "The view digest, its lower 48 bits")
+        self.view_version = gauge(
+            "view_version", "Versions of the view since the start"
         )
-        self.frames = Counter(
-            "milletsill_fleet_frames",
-            "Frames between gateways",
-            ("way", "over"),
-            registry=registry,
+        self.incarnation = gauge(
+            "run", "This gateway's incarnation, as the others know it"
         )
-        self.octets = Counter(
-            "milletsill_fleet_octets",
-            "Octets of those frames",
-            ("way", "over"),
-            registry=registry,
+        self.frames = counter(
+            "frames", "Frames between gateways, by direction and carrier", "way", "over"
         )
-        self.refused = Counter(
-            "milletsill_fleet_refused",
-            "Frames that were not taken",
-            ("cause",),
-            registry=registry,
+        self.octets = counter("octets", "Octets of those frames", "way", "over")
+        self.refused = counter(
+            "refused", "Frames that were not taken, by cause", "cause"
         )
-        self.unsent = Counter(
-            "milletsill_fleet_unsent",
-            "Frames that could not be sent",
-            ("over",),
-            registry=registry,
+        self.unsent = counter(
+            "unsent", "Frames that could not be sent, by carrier", "over"
         )
-        self.doubt = Gauge(
-            "milletsill_fleet_doubt",
-            "Doubt of this gateway in itself, 0 to 4",
-            registry=registry,
+        self.local_health_score = gauge(
+            "doubt", "Local health score of this gateway, 0 (healthy) to 4"
         )
-        self.troubled = Gauge(
-            "milletsill_fleet_troubled",
-            "1 while most of its probes come to nothing",
-            registry=registry,
+        self.isolated = gauge(
+            "troubled", "1 while most of this gateway's probes come to nothing"
         )
-        self.waiting = Gauge(
-            "milletsill_fleet_waiting_octets",
-            "What waits on streams to others",
-            registry=registry,
+        self.waiting_octets = gauge(
+            "waiting_octets", "Octets that wait on streams to other gateways"
         )
-        self.streams = Gauge(
-            "milletsill_fleet_streams", "Streams", ("way",), registry=registry
+        self.streams = gauge(
+            "streams", "Open streams between gateways, by direction", "way"
         )
-        ways = [(way, over) for way in ("out", "in") for over in ("datagram", "stream")]
-        self.counted = {
-            each: (self.frames.labels(*each), self.octets.labels(*each))
-            for each in ways
+        self._traffic = {
+            (direction, carrier): (
+                self.frames.labels(direction.value, carrier.value),
+                self.octets.labels(direction.value, carrier.value),
+            )
+            for direction in FrameDirection
+            for carrier in FrameCarrier
         }
 
-    def count(self, way: str, over: str, octets: int) -> None:
-        frames, total = self.counted[way, over]
+    def count_frame(
+        self, direction: FrameDirection, carrier: FrameCarrier, octets: int
+    ) -> None:
+        """Count one frame."""
+        frames, total = self._traffic[direction, carrier]
         frames.inc()
         total.inc(octets)
+
+    def count_refused(self, cause: RefusalCause) -> None:
+        """Count a frame that was not taken."""
+        self.refused.labels(cause.value).inc()
--- a/milletsill/fleet/net/__init__.py
+++ b/milletsill/fleet/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets between gateways: one UDP port, one TCP door, one stream to a member."""
+"""Sockets between gateways: one UDP port, one TCP listener, one stream to a member."""
--- a/milletsill/fleet/net/datagrams.py
+++ b/milletsill/fleet/net/datagrams.py
@@ -1,4 +1,4 @@
-"""Probes and news: one UDP port."""
+"""Datagrams between gateways: probes and gossip, over one UDP port."""
 
 from __future__ import annotations
 
@@ -7,41 +7,50 @@
 from typing import Any
 
 from twisted.internet.error import MessageLengthError
-from twisted.internet.interfaces import IReactorUDP
 from twisted.internet.protocol import DatagramProtocol
 
-from milletsill.fleet.frames.codec import MOST_DATAGRAM
-from milletsill.fleet.net.stream_state import RECEIVES
+from milletsill.fleet.frames.codec import MAX_DATAGRAM
 
+# Octets that the socket holds while this gateway stands still.
+RECEIVE_BUFFER = 1 << 20
 
-class Datagrams(DatagramProtocol):
-    """`heard` is handed each datagram; where it came from says nothing, a relay may stand between."""
 
-    def __init__(self, heard: Callable[[bytes], None]) -> None:
-        self.heard = heard
+class DatagramSocket(DatagramProtocol):
+    """One UDP port.
 
-    def startProtocol(self) -> None:
-        self.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVES)
+    Args:
+        on_datagram: Called with each datagram. Where it came from says nothing, since a
+            relay may stand between.
+    """
+
+    def __init__(self, on_datagram: Callable[[bytes], None]) -> None:
+        self._on_datagram = on_datagram
+
+    def listen(self, reactor: Any, host: str, port: int) -> Any:
+        """Listen and return Twisted's listening port.
+
+        Raises:
+            CannotListenError: The address is not ours.
+        """
+        # One octet more than a datagram may have shows which are too long.
+        listening = reactor.listenUDP(
+            port, self, interface=host, maxPacketSize=MAX_DATAGRAM + 1
+        )
+        listening.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+        return listening
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        self.heard(datagram)
+        """Hand a datagram on."""
+        self._on_datagram(datagram)
 
     def send(self, address: str, data: bytes) -> bool:
-        """Whether it went out; what the network refuses is lost like any other datagram."""
-        host, _, port = address.rpartition(":")
-        if len(data) > MOST_DATAGRAM or self.transport is None:
+        """Return whether it went out; what the network refuses is lost as any other."""
+        udp: Any = self.transport
+        if len(data) > MAX_DATAGRAM or udp is None:
             return False
+        host, _, port = address.rpartition(":")
         try:
-            self.transport.write(data, (host, int(port)))
+            udp.write(data, (host, int(port)))
         except (OSError, ValueError, MessageLengthError):
             return False
         return True
-
-
-def listen(
-    reactor: IReactorUDP, host: str, port: int, heard: Callable[[bytes], None]
-) -> tuple[Datagrams, Any]:
-    made = Datagrams(heard)
-    return made, reactor.listenUDP(
-        port, made, interface=host, maxPacketSize=MOST_DATAGRAM + 1
-    )
--- a/milletsill/fleet/net/stream_state.py
+++ b/milletsill/fleet/net/stream_state.py
@@ -1,56 +1,124 @@
-"""What the stream to one member does. No I/O, no clock; spans are tenths of a millisecond."""
+"""The state machine of an outbound stream. Pure; times are tenths of a millisecond."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from enum import Enum
-
-DIAL = 15_000  # a stream not open by then has not been reached
-REST = 3000  # after a dial that came to nothing; what is told meanwhile cannot be tried
-IDLE = 300_000  # without a word to send it is closed; one that only listens waits three times as long
-STUCK = 50_000  # octets that are not taken for so long: it is cut
-MOST_WAITING = 1 << 21  # octets that wait for one member
-MOST_OUT, MOST_IN = 2048, 4096  # streams at a time
-RECEIVES = (
-    1 << 20
-)  # octets that the socket of datagrams holds while this gateway stands still
-
-# STUCK: the other side does not take octets. RESTING: it was not reached, for a while it is not dialled again.
-Line = Enum("Line", "DIALING OPEN STUCK RESTING CLOSED")
-# FULL, DRAINED: of the socket's buffer. SPENT: idle. RIPE: a rest or a stall is over. AWAY: the member is gone.
-Sign = Enum("Sign", "UP UNREACHED FULL DRAINED SPENT RIPE LOST AWAY")
-
-LINES: Mapping[tuple[Line, Sign], tuple[Line, str]] = {
-    (Line.DIALING, Sign.UP): (Line.OPEN, "flush"),
-    (Line.DIALING, Sign.UNREACHED): (Line.RESTING, "rest"),
-    (Line.OPEN, Sign.FULL): (Line.STUCK, "stuck"),
-    (Line.STUCK, Sign.DRAINED): (Line.OPEN, "flush"),
-    (Line.OPEN, Sign.SPENT): (Line.CLOSED, "close"),
-    # Guards what is told against a half-open stream. Harm: one that stands still for that long loses what waited for it.
-    (Line.STUCK, Sign.RIPE): (Line.CLOSED, "cut"),
-    (Line.RESTING, Sign.RIPE): (Line.CLOSED, "forget"),
-    **{(line, Sign.LOST): (Line.CLOSED, "forget") for line in (Line.OPEN, Line.STUCK)},
+from enum import Enum, auto
+from typing import NamedTuple
+
+CONNECT_TIMEOUT = 15_000
+# After a connection that failed; what is sent meanwhile cannot be tried.
+BACKOFF = 3000
+# Without a message to send a stream is closed.
+IDLE_TIMEOUT = 300_000
+# Octets that are not taken for so long: the stream is aborted.
+BLOCKED_TIMEOUT = 50_000
+
+
+class StreamState(Enum):
+    """What an outbound stream is at."""
+
+    CONNECTING = auto()
+    OPEN = auto()
+    BLOCKED = auto()  # the other side does not take octets
+    BACKING_OFF = auto()  # it was not reached and is not tried for a while
+    CLOSED = auto()
+
+
+class StreamEvent(Enum):
+    """What an outbound stream reacts to."""
+
+    CONNECTED = auto()
+    CONNECT_FAILED = auto()
+    BUFFER_FULL = auto()
+    BUFFER_DRAINED = auto()
+    IDLE = auto()
+    TIMED_OUT = auto()  # a backoff is over, or it was blocked for too long
+    CONNECTION_LOST = auto()
+    MEMBER_GONE = auto()
+
+
+class StreamAction(Enum):
+    """What a transition wants done."""
+
+    NONE = auto()
+    FLUSH = auto()  # write what waits
+    DISCARD_WAITING = auto()
+    NOTE_TIME = auto()
+    CLOSE = auto()  # once what was written is out
+    ABORT = auto()
+    FORGET = auto()
+
+
+class StreamTransition(NamedTuple):
+    """The state after an event, and what to do."""
+
+    state: StreamState
+    action: StreamAction
+
+
+_CONNECTED_STATES = (StreamState.OPEN, StreamState.BLOCKED)
+
+# (state, event) -> transition; what is not here changes nothing.
+STREAM_TRANSITIONS: Mapping[tuple[StreamState, StreamEvent], StreamTransition] = {
+    (StreamState.CONNECTING, StreamEvent.CONNECTED): StreamTransition(
+        StreamState.OPEN, StreamAction.FLUSH
+    ),
+    (StreamState.CONNECTING, StreamEvent.CONNECT_FAILED): StreamTransition(
+        StreamState.BACKING_OFF, StreamAction.DISCARD_WAITING
+    ),
+    (StreamState.OPEN, StreamEvent.BUFFER_FULL): StreamTransition(
+        StreamState.BLOCKED, StreamAction.NOTE_TIME
+    ),
+    (StreamState.BLOCKED, StreamEvent.BUFFER_DRAINED): StreamTransition(
+        StreamState.OPEN, StreamAction.FLUSH
+    ),
+    (StreamState.OPEN, StreamEvent.IDLE): StreamTransition(
+        StreamState.CLOSED, StreamAction.CLOSE
+    ),
+    # Guards what is sent against a half-open stream. Cost: a member that stands still
+    # for that long loses what waited for it.
+    (StreamState.BLOCKED, StreamEvent.TIMED_OUT): StreamTransition(
+        StreamState.CLOSED, StreamAction.ABORT
+    ),
+    (StreamState.BACKING_OFF, StreamEvent.TIMED_OUT): StreamTransition(
+        StreamState.CLOSED, StreamAction.FORGET
+    ),
+    **{
+        (state, StreamEvent.CONNECTION_LOST): StreamTransition(
+            StreamState.CLOSED, StreamAction.FORGET
+        )
+        for state in _CONNECTED_STATES
+    },
     **{
-        (line, Sign.AWAY): (Line.CLOSED, "cut")
-        for line in (Line.DIALING, Line.OPEN, Line.STUCK, Line.RESTING)
+        (state, StreamEvent.MEMBER_GONE): StreamTransition(
+            StreamState.CLOSED, StreamAction.ABORT
+        )
+        for state in StreamState
+        if state is not StreamState.CLOSED
     },
 }
 
 
-def step(line: Line, sign: Sign) -> tuple[Line, str]:
-    """The next state and what to do; what the table does not name changes nothing."""
-    return LINES.get((line, sign), (line, ""))
+def next_transition(state: StreamState, event: StreamEvent) -> StreamTransition:
+    """Return the transition for an event."""
+    unchanged = StreamTransition(state, StreamAction.NONE)
+    return STREAM_TRANSITIONS.get((state, event), unchanged)
+
 
+def due_event(state: StreamState, now: int, since: int) -> StreamEvent | None:
+    """Return what the passing of time means, if anything.
 
-def due(line: Line, now: int, since: int) -> Sign | None:
-    """What the passing of time means; `since` the last word sent, or the beginning of a rest or of being stuck."""
-    if line is Line.OPEN and now - since >= IDLE:
-        return Sign.SPENT
-    if (
-        line is Line.RESTING
-        and now - since >= REST
-        or line is Line.STUCK
-        and now - since >= STUCK
-    ):
-        return Sign.RIPE
+    Args:
+        state: The stream's state.
+        now: The time.
+        since: The last message sent, or when a backoff began or the stream blocked.
+    """
+    elapsed = now - since
+    if state is StreamState.OPEN and elapsed >= IDLE_TIMEOUT:
+        return StreamEvent.IDLE
+    if state is StreamState.BACKING_OFF and elapsed >= BACKOFF:
+        return StreamEvent.TIMED_OUT
+    if state is StreamState.BLOCKED and elapsed >= BLOCKED_TIMEOUT:
+        return StreamEvent.TIMED_OUT
     return None
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -1,405 +1,353 @@
-"""One gateway's place in its fleet: sockets around the machine of `members`. The `Plane` that other parts build on.
+"""One gateway's place in its fleet: sockets and timers around its membership.
 
 A gateway whose file has no `fleet` block loads none of this.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterable
 from random import Random, SystemRandom
 from typing import Any
 
+from prometheus_client import CollectorRegistry
 from twisted.internet.error import CannotListenError
 
 from milletsill.errors import MilletsillError
-from milletsill.fleet import errors
-from milletsill.fleet.frames.codec import (
-    MOST_BODY,
-    MOST_DATAGRAM,
-    Codec,
+from milletsill.fleet.errors import (
+    FleetAddressUnavailable,
     FleetNameMismatch,
     FrameTooLong,
     FrameVersionTooNew,
     MalformedFrame,
 )
-from milletsill.fleet.frames.messages import VERSION, FleetMessage, FrameType
+from milletsill.fleet.frames.codec import MAX_BODY, MAX_DATAGRAM, FrameCodec
+from milletsill.fleet.frames.messages import FleetMessage, FrameType
+from milletsill.fleet.membership.config import SECOND, TICK_INTERVAL
 from milletsill.fleet.membership.effects import (
-    ViewChanged,
-    IncarnationChanged,
     Effect,
-    OperatorEventKind,
+    IncarnationChanged,
     OperatorEvent,
     SendMessage,
+    ViewChanged,
 )
-from milletsill.fleet.membership.failure_detector import BEAT, Own, Terms
+from milletsill.fleet.membership.local_member import LocalIdentity
 from milletsill.fleet.membership.membership import Membership
-from milletsill.fleet.metrics import Figures
-from milletsill.fleet.net.datagrams import listen
-from milletsill.fleet.net.streams import Door, Streams
+from milletsill.fleet.membership.name_claims import LocalStatus
+from milletsill.fleet.metrics import (
+    FleetMetrics,
+    FrameCarrier,
+    FrameDirection,
+    RefusalCause,
+)
+from milletsill.fleet.net.datagrams import DatagramSocket
+from milletsill.fleet.net.inbound_streams import StreamListener
+from milletsill.fleet.net.outbound_streams import OutboundStreamPool
+from milletsill.fleet.operator_log import OperatorLog
+from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 from milletsill.fleet.transport import (
-    ViewChange,
-    MessageKind,
     Member,
+    MemberChange,
     MemberState,
+    MessageHandler,
+    MessageKind,
     View,
+    ViewChange,
+    ViewHandler,
 )
+from milletsill.fleet.view_publisher import ViewPublisher
 
-GATHER = 200  # changes so close together make one view
-SAY_EVERY = 100_000  # between lines about frames of one cause
-LINES, LINES_OVER = (
-    50,
-    10_000,
-)  # of members' changes, so many in that span; the rest are counted
-ALONE_AFTER = 100_000
-SAID_FROM = 5000  # a stall of this gateway that is worth a line
-CAUSES: dict[type[MilletsillError], str] = {
-    FrameTooLong: "too_long",
-    MalformedFrame: "unreadable",
-    FleetNameMismatch: "other_fleet",
-    FrameVersionTooNew: "too_new",
-}
+# Tenths of a millisecond.
+MAINTENANCE_INTERVAL = SECOND
+NO_PEERS_AFTER = 100_000
 
+NONCE_BITS = 64
+SHOWN_DIGEST = (1 << 48) - 1  # a metric is a float, which holds no 64 bits
 
-def terms_of(link: Any) -> Terms:
-    """From the block of a file."""
-    return Terms(
-        link.name,
-        int(link.probe_ms * 10),
-        int(link.answer_ms * 10),
-        link.through,
-        int(link.suspicion_ms * 10),
-        int(link.exchange_s * 10_000),
-        link.most_members,
-        int(link.remember_s * 10_000),
-    )
+_REFUSAL_CAUSES: dict[type[MilletsillError], RefusalCause] = {
+    FrameTooLong: RefusalCause.TOO_LONG,
+    MalformedFrame: RefusalCause.MALFORMED,
+    FleetNameMismatch: RefusalCause.OTHER_FLEET,
+    FrameVersionTooNew: RefusalCause.TOO_NEW,
+}
 
 
-class Fleet:
-    """`remark` takes a line that someone should look at, `note` one that says what goes on, `keep` a run to remember."""
+class FleetService:
+    """The `FleetTransport` over sockets.
+
+    Args:
+        reactor: Twisted's.
+        now: Returns tenths of a millisecond, monotonic.
+        config: This gateway's settings.
+        callbacks: The log, and where a new incarnation is kept.
+        registry: Where metrics are registered.
+    """
 
     def __init__(
         self,
         reactor: Any,
         now: Callable[[], int],
-        file: Any,
-        seed: int,
-        run: int,
-        remark: Callable[..., None],
-        note: Callable[..., None],
-        keep: Callable[[int], None],
-        registry: Any,
-        version: int = VERSION,
+        config: FleetServiceConfig,
+        callbacks: FleetCallbacks,
+        registry: CollectorRegistry,
     ) -> None:
-        self.reactor, self.now, self.link, self.name, self.first_run = (
-            reactor,
-            now,
-            file.fleet,
-            file.name,
-            run,
-        )
-        self.remark, self.note, self.keep, self.chance = (
-            remark,
-            note,
-            keep,
-            Random(seed),
-        )
-        self.terms, self.codec, self.figures = (
-            terms_of(file.fleet),
-            Codec(file.fleet.name, version),
-            Figures(registry),
+        self.name = config.name
+        self._reactor = reactor
+        self._now = now
+        self._config = config
+        self._callbacks = callbacks
+        self._codec = FrameCodec(config.fleet, config.version)
+        self._metrics = FleetMetrics(registry)
+        self._log = OperatorLog(config, callbacks, now)
+        self._publisher = ViewPublisher(
+            self._members, self._schedule_publish, self._on_view
         )
-        self.member: Membership | None = None
-        self.view, self.version = View(0, ()), 0
-        self.ears: dict[MessageKind, list[Callable[[str, int, bytes], None]]] = {}
-        self.watchers: list[
-            Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
-        ] = []
-        self.changes: list[tuple[ViewChange, Member]] = []
-        self.said: dict[str, int] = {}
-        self.lines, self.lines_since, self.began, self.alone = 0, 0, now(), False
-        self.calls: dict[str, Any] = {}
-        self.ports: list[Any] = []
-        self.stopped = False
-
-    # Life.
+        self._membership: Membership | None = None
+        self._handlers: dict[MessageKind, list[MessageHandler]] = {}
+        self._timers: dict[str, Any] = {}
+        self._ports: list[Any] = []
+        self._started_at = now()
+        self._no_peers_reported = False
+        self._stopped = False
 
     def start(self) -> None:
-        """Listen, and speak to the first others. Raises NoFleetAddress."""
-        host, _, port = self.link.address.rpartition(":")
-        self.door = Door(self.now, lambda data: self.came(data, "stream"), self.refused)
-        self.streams = Streams(self.reactor, self.now, host)
-        try:
-            self.ports.append(
-                self.reactor.listenTCP(int(port), self.door, interface=host)
-            )
-            number = self.ports[0].getHost().port
-            self.datagrams, udp = listen(
-                self.reactor, host, number, lambda data: self.came(data, "datagram")
-            )
-            self.ports.append(udp)
-        except CannotListenError as error:
-            raise errors.FleetAddressUnavailable(
-                str(error), self.link.address
-            ) from None
-        address = self.link.advertise or f"{host}:{number}"
-        self.began = self.now()
-        self.member = Membership(
-            self.name,
-            address,
-            self.first_run,
-            SystemRandom().getrandbits(64),
-            self.terms,
-            self.chance,
-            self.link.join,
-            self.began,
-        )
-        self.note(
-            "fleet_joining",
-            fleet=self.link.name,
+        """Listen and begin to join.
+
+        Raises:
+            FleetAddressUnavailable: The address cannot be listened on.
+        """
+        host, _, _ = self._config.address.rpartition(":")
+        port = self._listen()
+        address = self._config.advertise or f"{host}:{port}"
+        self._started_at = self._now()
+        identity = LocalIdentity(
+            name=self.name,
             address=address,
-            run=self.incarnation,
-            join=len(self.link.join),
+            incarnation=self._config.incarnation,
+            nonce=SystemRandom().getrandbits(NONCE_BITS),
+        )
+        self._membership = Membership(
+            identity,
+            self._config.membership,
+            self._config.seeds,
+            Random(self._config.seed),
+            self._started_at,
         )
-        self.change()
-        self.tick()
-        self.look()
+        self._log.on_joining(address, self.incarnation)
+        self._publisher.publish()
+        self._tick()
+        self._maintain()
 
     def leave(self) -> None:
-        """SIGTERM: the others are told; what is told to this gateway is still heard until `stop`."""
-        if self.member is not None and self.member.rolls.own is not Own.LEAVING:
-            self.act(self.member.leave(self.now()))
+        """Tell the others that this gateway goes; it still hears until `stop`."""
+        membership = self._membership
+        if membership is None:
+            return
+        if membership.state.local.status is not LocalStatus.LEAVING:
+            self._apply(membership.leave(self._now()))
 
     def stop(self) -> None:
+        """Leave, and end timers, ports and streams."""
         self.leave()
-        self.stopped = True
-        for each in self.calls.values():
-            if each.active():
-                each.cancel()
-        for port in self.ports:
+        self._stopped = True
+        for timer in self._timers.values():
+            if timer.active():
+                timer.cancel()
+        for port in self._ports:
             port.stopListening()
-        if self.member is not None:
-            self.door.close()
-            self.streams.close()
-
-    def later(self, name: str, span: int, call: Callable[[], None]) -> None:
-        """One timer a name."""
-        if not self.stopped:
-            self.calls[name] = self.reactor.callLater(span / 10_000, call)
+        if self._membership is not None:
+            self._listener.close()
+            self._streams.close()
 
-    def tick(self) -> None:
-        self.later("tick", BEAT, self.tick)
-        self.act(self.member.tick(self.now()))
+    # FleetTransport.
 
-    def look(self) -> None:
-        """Once a second: streams, gauges, and whether anybody is there."""
-        self.later("look", 10_000, self.look)
-        self.streams.look()
-        self.door.look()
-        member, figures = self.member, self.figures
-        held = [each.standing for each in member.rolls.table.held.values()]
-        for standing in MemberState:
-            figures.members.labels(standing.name.lower()).set(held.count(standing))
-        figures.doubt.set(member.score)
-        figures.troubled.set(member.troubled)
-        figures.run.set(self.incarnation)
-        figures.waiting.set(self.streams.waiting())
-        figures.streams.labels("out").set(len(self.streams.held))
-        figures.streams.labels("in").set(len(self.door.ears))
-        if len(held) > 1:
-            self.alone = False
-        elif not self.alone and member.join and self.now() - self.began >= ALONE_AFTER:
-            self.alone = True
-            self.say(
-                errors.NoPeersReachable(
-                    "no other gateway has answered", f"fleet {self.link.name!r}"
-                )
-            )
-
-    # The plane.
+    @property
+    def view(self) -> View:
+        """The members that are present."""
+        return self._publisher.view
 
     @property
     def incarnation(self) -> int:
-        return self.member.rolls.me.run if self.member is not None else self.first_run
+        """This gateway's incarnation, as the others know it."""
+        if self._membership is None:
+            return self._config.incarnation
+        return self._membership.state.local.entry.incarnation
 
     @property
-    def troubled(self) -> bool:
-        """Whether most of this gateway's probes come to nothing: it may be cut off, and its view old."""
-        return self.member is not None and self.member.troubled
+    def is_isolated(self) -> bool:
+        """Whether most of its probes come to nothing: its view may be old."""
+        return self._membership is not None and self._membership.is_isolated
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
-        held = self.view.by_name.get(member)
-        if (
-            held is None
-            or member == self.name
-            or len(body) > MOST_BODY
-            or self.stopped
-            or self.member is None
-        ):
+        """Send to one member; False where it cannot even be tried."""
+        membership = self._membership
+        receiver = self.view.by_name.get(member)
+        if membership is None or receiver is None or self._stopped:
             return False
-        return self.transmit(
-            SendMessage(
-                held.address,
-                FleetMessage(
-                    FrameType.BODY, self.member.rolls.sender, kind=kind, body=body
-                ),
-                True,
-            )
+        if member == self.name or len(body) > MAX_BODY:
+            return False
+        message = FleetMessage(
+            FrameType.APPLICATION, membership.state.local.update, kind=kind, body=body
         )
+        return self._transmit(SendMessage(receiver.address, message, stream=True))
 
-    def subscribe(
-        self, kind: MessageKind, heard: Callable[[str, int, bytes], None]
-    ) -> None:
-        self.ears.setdefault(kind, []).append(heard)
+    def subscribe(self, kind: MessageKind, handler: MessageHandler) -> None:
+        """Call `handler` with each message of that kind from a present member."""
+        self._handlers.setdefault(kind, []).append(handler)
 
-    def watch_view(
-        self, told: Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
-    ) -> None:
-        self.watchers.append(told)
+    def watch_view(self, handler: ViewHandler) -> None:
+        """Call `handler` after each change of the view."""
+        self._publisher.watch(handler)
+
+    # Sockets and timers.
+
+    def _listen(self) -> int:
+        """Listen on TCP and UDP of one port; return its number."""
+        host, _, port = self._config.address.rpartition(":")
+        self._listener = StreamListener(
+            self._now, self._on_stream_frame, self._on_refused_frame
+        )
+        self._streams = OutboundStreamPool(self._reactor, self._now, host)
+        self._datagrams = DatagramSocket(self._on_datagram)
+        try:
+            tcp = self._reactor.listenTCP(int(port), self._listener, interface=host)
+            self._ports.append(tcp)
+            number: int = tcp.getHost().port
+            self._ports.append(self._datagrams.listen(self._reactor, host, number))
+        except CannotListenError as error:
+            raise FleetAddressUnavailable(str(error), self._config.address) from error
+        return number
+
+    def _schedule(self, name: str, delay: int, call: Callable[[], None]) -> None:
+        """Call a function after tenths of a millisecond; one timer a name."""
+        if not self._stopped:
+            self._timers[name] = self._reactor.callLater(delay / SECOND, call)
+
+    def _schedule_publish(self, delay: int, call: Callable[[], None]) -> None:
+        self._schedule("publish", delay, call)
+
+    def _tick(self) -> None:
+        self._schedule("tick", TICK_INTERVAL, self._tick)
+        self._apply(self._running().tick(self._now()))
+
+    def _maintain(self) -> None:
+        """Once a second: streams, gauges, and whether anybody is there."""
+        self._schedule("maintain", MAINTENANCE_INTERVAL, self._maintain)
+        self._streams.check_timeouts()
+        self._listener.check_timeouts()
+        self._update_gauges(self._running())
+        self._check_peers(self._running())
+
+    def _update_gauges(self, membership: Membership) -> None:
+        metrics = self._metrics
+        states = [each.state for each in membership.state.table.entries.values()]
+        for state in MemberState:
+            metrics.members.labels(state.name.lower()).set(states.count(state))
+        metrics.local_health_score.set(membership.health.score)
+        metrics.isolated.set(membership.is_isolated)
+        metrics.incarnation.set(self.incarnation)
+        metrics.waiting_octets.set(self._streams.waiting_octets())
+        metrics.streams.labels(FrameDirection.OUT.value).set(len(self._streams))
+        metrics.streams.labels(FrameDirection.IN.value).set(len(self._listener.streams))
+
+    def _check_peers(self, membership: Membership) -> None:
+        if len(membership.state.table.entries) > 1:
+            self._no_peers_reported = False
+            return
+        waited = self._now() - self._started_at >= NO_PEERS_AFTER
+        if waited and membership.seeds and not self._no_peers_reported:
+            self._no_peers_reported = True
+            self._log.on_no_peers()
+
+    def _running(self) -> Membership:
+        if self._membership is None:
+            raise RuntimeError("the fleet service has not been started")
+        return self._membership
 
     # Frames.
 
-    def came(self, data: bytes, over: str) -> None:
-        """One frame's octets."""
-        if self.stopped or self.member is None:
-            return None
-        self.figures.count("in", over, len(data))
+    def _on_datagram(self, data: bytes) -> None:
+        self._on_octets(data, FrameCarrier.DATAGRAM)
+
+    def _on_stream_frame(self, data: bytes) -> None:
+        self._on_octets(data, FrameCarrier.STREAM)
+
+    def _on_octets(self, data: bytes, carrier: FrameCarrier) -> None:
+        membership = self._membership
+        if self._stopped or membership is None:
+            return
+        self._metrics.count_frame(FrameDirection.IN, carrier, len(data))
         try:
-            if over == "datagram" and len(data) > MOST_DATAGRAM:
-                raise FrameTooLong(f"a datagram of more than {MOST_DATAGRAM} octets")
-            message = self.codec.decode(data)
+            message = self._decode(data, carrier)
         except (MalformedFrame, FleetNameMismatch, FrameVersionTooNew) as error:
-            return self.refused(error)
-        self.act(self.member.heard(self.now(), message))
+            self._on_refused_frame(error)
+            return
+        self._apply(membership.on_message(self._now(), message))
         if message.type is None:
-            self.figures.refused.labels("unknown_what").inc()
-        elif message.type is FrameType.BODY:
-            self.body(message)
-
-    def body(self, message: FleetMessage) -> None:
-        """What another part of the program is told; from one that is in the view, in that start."""
-        held = self.member.rolls.table.get(message.sender.name)
-        if (
-            message.kind is None
-            or held is None
-            or held.nonce != message.sender.nonce
-            or not held.mark
-        ):
-            return self.figures.refused.labels(
-                "unknown_kind" if message.kind is None else "not_a_member"
-            ).inc()
-        for each in self.ears.get(message.kind, ()):
-            each(held.name, held.run, message.body)
-
-    def refused(self, error: MilletsillError) -> None:
-        """Counted; said now and then."""
-        cause = CAUSES[type(error)]
-        self.figures.refused.labels(cause).inc()
-        now = self.now()
-        if now - self.said.get(cause, now - SAY_EVERY) >= SAY_EVERY:
-            self.said[cause] = now
-            self.say(error)
-
-    def say(self, error: MilletsillError, **values: Any) -> None:
-        self.remark("fleet", **error.log_fields(), **values)
-
-    def transmit(self, sent: SendMessage) -> bool:
-        data, over = (
-            self.codec.encode(sent.message),
-            "stream" if sent.stream else "datagram",
-        )
-        went = (
-            self.streams.say(sent.address, data)
-            if sent.stream
-            else self.datagrams.send(sent.address, data)
-        )
-        if went:
-            self.figures.count("out", over, len(data))
-        else:
-            self.figures.unsent.labels(over).inc()
-        return went
-
-    # What the membership wants done.
-
-    def act(self, effects: Sequence[Effect]) -> None:
-        for each in effects:
-            if isinstance(each, SendMessage):
-                self.transmit(each)
-            elif isinstance(each, ViewChanged):
-                self.changed(each)
-            elif isinstance(each, IncarnationChanged):
-                self.keep(each.incarnation)
-            else:
-                self.speak(each)
-
-    def changed(self, changed: ViewChanged) -> None:
-        """Changes that come close together make one view."""
-        change, member = changed.change, changed.member
-        self.figures.changes.labels(change.name.lower()).inc()
-        if change in (ViewChange.GONE, ViewChange.LEFT) and member.name != self.name:
-            self.streams.away(member.address)
-        now = self.now()
-        if now - self.lines_since >= LINES_OVER:
-            self.lines, self.lines_since = 0, now
-        self.lines += 1
-        if self.lines <= LINES:
-            self.note(
-                "member",
-                change=change.name.lower(),
-                member=member.name,
-                run=member.incarnation,
-                address=member.address,
-            )
-        if not self.changes:
-            self.later("change", GATHER, self.change)
-        self.changes.append((change, member))
-
-    def change(self) -> None:
-        """The next view, told to all who watch."""
-        changes, self.changes = self.changes, []
-        self.version += 1
-        self.view = View(
-            self.version,
-            (each.member() for each in self.member.rolls.table.held.values()),
-        )
-        self.figures.view.set(self.view.digest & ((1 << 48) - 1))
-        self.figures.version.set(self.version)
-        self.note(
-            "view",
-            version=self.version,
-            members=len(self.view.members),
-            digest=f"{self.view.digest:016x}",
-        )
-        for each in self.watchers:
-            each(self.view, changes)
-
-    def speak(self, said: OperatorEvent) -> None:
-        """Lines for an operator."""
-        if said.what is OperatorEventKind.LOST_STATE:
-            self.say(
-                errors.IncarnationLost(
-                    f"run {said.span} of {self.name!r} is known to others, at {said.where}",
-                    "state_dir",
-                ),
-                run=self.incarnation,
-            )
-        elif said.what is OperatorEventKind.TWIN:
-            self.say(
-                errors.DuplicateMemberName(
-                    f"another live gateway is called {self.name!r}", said.where
-                ),
-                resting=self.member.rolls.own is Own.DISPLACED,
-            )
-        elif said.what is OperatorEventKind.FULL:
-            now = self.now()
-            if now - self.said.get("full", now - SAY_EVERY) >= SAY_EVERY:
-                self.said["full"] = now
-                self.say(
-                    errors.MemberLimitReached(
-                        f"{said.where!r} has no place among {self.terms.most_members}",
-                        "fleet.most_members",
-                    )
-                )
-        elif said.what is OperatorEventKind.STOOD and said.span >= SAID_FROM:
-            self.remark("fleet_stood", ms=said.span / 10)
-        elif said.what is OperatorEventKind.REFUTED:
-            self.remark("fleet_refuted", doubt=self.member.score)
+            self._metrics.count_refused(RefusalCause.UNKNOWN_TYPE)
+        elif message.type is FrameType.APPLICATION:
+            self._deliver(membership, message)
+
+    def _decode(self, data: bytes, carrier: FrameCarrier) -> FleetMessage:
+        if carrier is FrameCarrier.DATAGRAM and len(data) > MAX_DATAGRAM:
+            raise FrameTooLong(f"a datagram of more than {MAX_DATAGRAM} octets")
+        return self._codec.decode(data)
+
+    def _deliver(self, membership: Membership, message: FleetMessage) -> None:
+        """Hand on an application message of a present member's present start."""
+        if message.kind is None:
+            self._metrics.count_refused(RefusalCause.UNKNOWN_KIND)
+            return
+        entry = membership.state.table.get(message.sender.name)
+        if entry is None or entry.nonce != message.sender.nonce or not entry.in_view:
+            self._metrics.count_refused(RefusalCause.NOT_A_MEMBER)
+            return
+        for handler in self._handlers.get(message.kind, ()):
+            handler(entry.name, entry.incarnation, message.body)
+
+    def _on_refused_frame(self, error: MilletsillError) -> None:
+        cause = _REFUSAL_CAUSES[type(error)]
+        self._metrics.count_refused(cause)
+        self._log.on_refused_frame(cause.value, error)
+
+    def _transmit(self, sent: SendMessage) -> bool:
+        """Send a message; return whether it went out or waits to."""
+        data = self._codec.encode(sent.message)
+        carrier = FrameCarrier.STREAM if sent.stream else FrameCarrier.DATAGRAM
+        send = self._streams.send if sent.stream else self._datagrams.send
+        if not send(sent.address, data):
+            self._metrics.unsent.labels(carrier.value).inc()
+            return False
+        self._metrics.count_frame(FrameDirection.OUT, carrier, len(data))
+        return True
+
+    # Effects of the membership.
+
+    def _apply(self, effects: Iterable[Effect]) -> None:
+        for effect in effects:
+            match effect:
+                case SendMessage():
+                    self._transmit(effect)
+                case ViewChanged():
+                    self._on_member_change(MemberChange(effect.change, effect.member))
+                case IncarnationChanged():
+                    self._callbacks.store_incarnation(effect.incarnation)
+                case OperatorEvent():
+                    self._log.on_event(effect, self._running())
+
+    def _on_member_change(self, changed: MemberChange) -> None:
+        change, member = changed
+        self._metrics.changes.labels(change.name.lower()).inc()
+        absent = change in (ViewChange.GONE, ViewChange.LEFT)
+        if absent and member.name != self.name:
+            self._streams.on_member_gone(member.address)
+        self._log.on_member_change(changed)
+        self._publisher.add_change(changed)
+
+    def _members(self) -> list[Member]:
+        entries = self._running().state.table.entries
+        return [each.to_member() for each in entries.values()]
+
+    def _on_view(self, view: View) -> None:
+        self._metrics.view_digest.set(view.digest & SHOWN_DIGEST)
+        self._metrics.view_version.set(view.version)
+        self._log.on_view(view)
--- a/milletsill/lab/fleet_clock.py
+++ b/milletsill/lab/fleet_clock.py
@@ -13,17 +13,26 @@
 from random import Random
 from typing import Any
 
-from milletsill.fleet.frames.codec import MOST_BODY, Codec, framed
+from milletsill.fleet.frames.codec import MAX_BODY, FrameCodec
 from milletsill.fleet.frames.messages import FleetMessage, FrameType
+from milletsill.fleet.frames.stream_framing import add_length_prefix
+from milletsill.fleet.membership.config import TICK_INTERVAL, MembershipConfig
 from milletsill.fleet.membership.effects import (
-    ViewChanged,
     Effect,
     OperatorEvent,
     SendMessage,
+    ViewChanged,
 )
-from milletsill.fleet.membership.failure_detector import BEAT, Terms
+from milletsill.fleet.membership.local_member import LocalIdentity
 from milletsill.fleet.membership.membership import Membership
-from milletsill.fleet.transport import ViewChange, MessageKind, Member, View
+from milletsill.fleet.transport import (
+    MemberChange,
+    MessageHandler,
+    MessageKind,
+    View,
+    ViewChange,
+    ViewHandler,
+)
 
 MS, SECOND = 10, 10_000
 SOCKET = 400  # datagrams that a socket holds for a gateway that stands still
@@ -39,47 +48,42 @@
         self.clock, self.name, self.address = clock, name, f"{name}:1"
         self.chance = Random(clock.chance.getrandbits(64))
         self.member = Membership(
-            name,
-            self.address,
-            run,
-            self.chance.getrandbits(64),
+            LocalIdentity(name, self.address, run, self.chance.getrandbits(64)),
             clock.terms,
-            self.chance,
             join,
+            self.chance,
             clock.now,
         )
         self.up, self.stands_until, self.backlog = True, 0, list[FleetMessage]()
-        self.ears: dict[MessageKind, list[Callable[[str, int, bytes], None]]] = {}
-        self.watchers: list[
-            Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
-        ] = []
-        self.changes: list[tuple[ViewChange, Member]] = []
+        self.ears: dict[MessageKind, list[MessageHandler]] = {}
+        self.watchers: list[ViewHandler] = []
+        self.changes: list[MemberChange] = []
         self.version, self.made = 0, View(0, ())
         self.said: Counter[str] = Counter()
-        clock.at(clock.now + self.chance.randrange(BEAT), self.beat)
+        clock.at(clock.now + self.chance.randrange(TICK_INTERVAL), self.beat)
 
     # The plane.
 
     @property
     def incarnation(self) -> int:
-        return self.member.rolls.me.run
+        return self.member.state.local.entry.incarnation
 
     @property
     def view(self) -> View:
         if self.made.version != self.version or not self.version:
             self.made = View(
                 self.version,
-                (each.member() for each in self.member.rolls.table.held.values()),
+                (each.to_member() for each in self.member.state.table.entries.values()),
             )
         return self.made
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
-        known = self.member.rolls.table.get(member)
+        known = self.member.state.table.get(member)
         if (
             known is None
-            or not known.mark
+            or not known.in_view
             or member == self.name
-            or len(body) > MOST_BODY
+            or len(body) > MAX_BODY
         ):
             return False
         self.clock.send(
@@ -87,22 +91,21 @@
             SendMessage(
                 known.address,
                 FleetMessage(
-                    FrameType.BODY, self.member.rolls.sender, kind=kind, body=body
+                    FrameType.APPLICATION,
+                    self.member.state.local.update,
+                    kind=kind,
+                    body=body,
                 ),
                 True,
             ),
         )
         return True
 
-    def subscribe(
-        self, kind: MessageKind, heard: Callable[[str, int, bytes], None]
-    ) -> None:
-        self.ears.setdefault(kind, []).append(heard)
+    def subscribe(self, kind: MessageKind, handler: MessageHandler) -> None:
+        self.ears.setdefault(kind, []).append(handler)
 
-    def watch_view(
-        self, told: Callable[[View, Sequence[tuple[ViewChange, Member]]], None]
-    ) -> None:
-        self.watchers.append(told)
+    def watch_view(self, handler: ViewHandler) -> None:
+        self.watchers.append(handler)
 
     # Time and frames.
 
@@ -115,7 +118,7 @@
         backlog, self.backlog = self.backlog, []
         for message in backlog:
             self.heard(message)
-        self.clock.at(self.clock.now + BEAT, self.beat)
+        self.clock.at(self.clock.now + TICK_INTERVAL, self.beat)
 
     def arrive(self, message: FleetMessage, stream: bool) -> None:
         """While it stands its sockets hold what comes, up to a bound; it wakes with its timers, then reads them."""
@@ -128,10 +131,10 @@
         self.heard(message)
 
     def heard(self, message: FleetMessage) -> None:
-        self.act(self.member.heard(self.clock.now, message))
-        if message.type is FrameType.BODY and message.kind is not None:
-            held = self.member.rolls.table.get(message.sender.name)
-            if held is not None and held.nonce == message.sender.nonce and held.mark:
+        self.act(self.member.on_message(self.clock.now, message))
+        if message.type is FrameType.APPLICATION and message.kind is not None:
+            held = self.member.state.table.get(message.sender.name)
+            if held is not None and held.nonce == message.sender.nonce and held.in_view:
                 for each in self.ears.get(message.kind, ()):
                     each(held.name, held.incarnation, message.body)
 
@@ -145,9 +148,9 @@
                 if self.watchers:
                     if not self.changes:
                         self.clock.at(self.clock.now, self.tell_watchers)
-                    self.changes.append((each.change, each.member))
+                    self.changes.append(MemberChange(each.change, each.member))
             elif isinstance(each, OperatorEvent):
-                self.said[each.what.name] += 1
+                self.said[each.kind.name] += 1
 
     def tell_watchers(self) -> None:
         changes, self.changes = self.changes, []
@@ -161,14 +164,14 @@
     def __init__(
         self,
         seed: int,
-        terms: Terms | None = None,
+        terms: MembershipConfig | None = None,
         delay: tuple[int, int] = (2, 20),
         loss: float = 0.0,
         octets: bool = False,
     ) -> None:
         self.chance, self.terms, self.delay, self.loss = (
             Random(seed),
-            terms or Terms("fleet"),
+            terms or MembershipConfig("fleet"),
             delay,
             loss,
         )
@@ -180,7 +183,7 @@
         self.stands: dict[str, Stand] = {}
         self.walls: list[tuple[frozenset[str], frozenset[str]]] = []
         self.streams: dict[tuple[str, str], int] = {}
-        self.codec = Codec(self.terms.fleet) if octets else None
+        self.codec = FrameCodec(self.terms.fleet) if octets else None
         self.packets: Counter[str] = Counter()
         self.octets: Counter[str] = Counter()
         self.false: list[
@@ -228,18 +231,23 @@
 
     def acquaint(self) -> None:
         """Each is told of all."""
-        known = {name: stand.member.rolls.me for name, stand in self.stands.items()}
-        mark, ring = 0, sorted((each.place, name) for name, each in known.items())
+        known = {
+            name: stand.member.state.local.entry for name, stand in self.stands.items()
+        }
+        mark, ring = (
+            0,
+            sorted((each.ring_position, name) for name, each in known.items()),
+        )
         for each in known.values():
-            mark ^= each.mark
+            mark ^= each.digest
         for name, stand in self.stands.items():
-            table = stand.member.rolls.table
-            table.held = {
+            table = stand.member.state.table
+            table.entries = {
                 other: each if other == name else copy(each)
                 for other, each in known.items()
             }
-            table.ring, table.mark = list(ring), mark
-            stand.member.rolls.spread.drop(name)
+            table.ring, table.digest = list(ring), mark
+            stand.member.state.gossip.discard(name)
             stand.version += 1
 
     def kill(self, name: str) -> None:
@@ -275,7 +283,7 @@
             message = self.codec.decode(data)
             self.packets[stand.name, sent.stream] += 1
             self.octets[stand.name, sent.stream] += (
-                len(framed(data)) if sent.stream else len(data)
+                len(add_length_prefix(data)) if sent.stream else len(data)
             )
         self.frames += 1
         if any(stand.name in one and to in other for one, other in self.walls):
@@ -316,10 +324,12 @@
         """The mark of a view that holds all that live and nobody else."""
         mark = 0
         for each in self.live():
-            mark ^= each.member.rolls.me.marked()
+            mark ^= each.member.state.local.entry.compute_digest()
         return mark
 
     def right(self, among: Sequence[Stand] | None = None) -> float:
         """The part of the live gateways whose view is the truth."""
         among, truth = self.live() if among is None else among, self.truth()
-        return sum(each.member.rolls.table.mark == truth for each in among) / len(among)
+        return sum(each.member.state.table.digest == truth for each in among) / len(
+            among
+        )
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -341,7 +341,7 @@
     def same_views(self) -> None:
         marks: dict[int, Any] = {}
         for each in self.live():
-            view = marks.setdefault(each.member.rolls.table.mark, each.view)
+            view = marks.setdefault(each.member.state.table.digest, each.view)
             if view.digest != each.view.digest:
                 self.break_(f"{each.name} has an equal mark and another view")
 
@@ -349,7 +349,7 @@
         """All is calm again."""
         truth = self.truth()
         for each in self.live():
-            if each.member.rolls.table.mark != truth:
+            if each.member.state.table.digest != truth:
                 self.break_(
                     f"{each.name} sees {sorted(each.view.by_name)} of {sorted(one.name for one in self.live())}"
                 )
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -10,10 +10,15 @@
 from milletsill.fleet.health import health_evaluator as health
 from milletsill.fleet.health.health_evaluator import Finding, Verdict
 from milletsill.fleet.health.report_store import Rows
-from milletsill.fleet.membership import failure_detector as members
-from milletsill.fleet.membership import membership
-from milletsill.fleet.membership.failure_detector import Order, Own, Word
+from milletsill.fleet.membership import anti_entropy, name_claims, update_rules
+from milletsill.fleet.membership.failure_detector import FailureDetector
 from milletsill.fleet.membership.membership import Membership
+from milletsill.fleet.membership.name_claims import LocalStatus, NameClaim
+from milletsill.fleet.membership.update_rules import (
+    UpdateAction,
+    UpdateOrder,
+    UpdateRule,
+)
 from milletsill.fleet.transport import MemberState
 from milletsill.lab.model_checks import lease_model
 
@@ -26,24 +31,28 @@
 
 def _believed(held: Any) -> dict[Any, Any]:
     return {
-        (MemberState.ALIVE, MemberState.GONE, order): (MemberState.GONE, "gone")
-        for order in (Order.SAME, Order.NEWER)
+        (MemberState.ALIVE, MemberState.GONE, order): UpdateRule(
+            MemberState.GONE, UpdateAction.GONE
+        )
+        for order in (UpdateOrder.SAME, UpdateOrder.NEWER)
     }
 
 
 MUTANTS: dict[str, Callable[[], Any]] = {
-    "members: a suspicion is refuted": table(members.OWN, [(Own.UP, Word.MINE)]),
+    "members: a suspicion is refuted": table(
+        name_claims.NAME_CLAIM_RULES, [(LocalStatus.ACTIVE, NameClaim.ACCUSATION)]
+    ),
     "members: one that stood still doubts itself": lambda: mock.patch.object(
-        Membership, "stood", lambda self, now, late: None
+        Membership, "on_stall", lambda self, now, stalled_for: None
     ),
     "members: who is said to be gone is asked": lambda: mock.patch.dict(
-        members.HELD, _believed(members.HELD)
+        update_rules.UPDATE_RULES, _believed(update_rules.UPDATE_RULES)
     ),
     "members: those gone are asked now and then": lambda: mock.patch.object(
-        membership, "LOST_PART", 1 << 60
+        anti_entropy, "ABSENT_TARGET_ODDS", 1 << 60
     ),
     "members: others probe for me": lambda: mock.patch.object(
-        Membership, "through", lambda self, now, watch: None
+        FailureDetector, "probe_indirectly", lambda self, probe: None
     ),
     "health: a box that all may try is well again": table(
         health.TABLE,
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -173,17 +173,18 @@
 
     def among_others(self, seed: int) -> Any:
         """The fleet's view; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.service import Fleet
+        from milletsill.fleet.service import FleetService
+        from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 
-        return Fleet(
+        return FleetService(
             self.reactor,
             self.now,
-            self.file,
-            seed + 3,
-            self.incarnation,
-            self.remark,
-            lambda event, **values: self.log.info(event, **values),
-            self.keep_run,
+            FleetServiceConfig.from_file(self.file, seed + 3, self.incarnation),
+            FleetCallbacks(
+                warn=self.remark,
+                info=lambda event, **values: self.log.info(event, **values),
+                store_incarnation=self.keep_run,
+            ),
             self.figures.registry,
         )
 
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -16,10 +16,12 @@
 from twisted.trial.unittest import TestCase
 
 from milletsill.fleet.errors import FleetAddressUnavailable
-from milletsill.fleet.frames.codec import LENGTH, MOST_BODY, Codec
-from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
-from milletsill.fleet.service import Fleet as Place
-from milletsill.fleet.transport import MessageKind, MemberState
+from milletsill.fleet.frames.codec import MAX_BODY, FrameCodec
+from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
+from milletsill.fleet.frames.stream_framing import LENGTH_PREFIX
+from milletsill.fleet.service import FleetService
+from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
+from milletsill.fleet.transport import MemberState, MessageKind
 from milletsill.lab.fleet_processes import Processes, free_ports
 from milletsill.settings.load import ConfigurationRejected, parse
 from milletsill.settings.milletsill_pb2 import GatewayFile
@@ -99,15 +101,17 @@
             GatewayFile(),
         )
         self.figures.append(CollectorRegistry())
-        place = Place(
+        place = FleetService(
             reactor,
             monotonic,
-            file,
-            number,
-            1,
-            lambda event, **values: self.lines.append(values.get("error", event)),
-            lambda event, **values: None,
-            lambda run: None,
+            FleetServiceConfig.from_file(file, seed=number, incarnation=1),
+            FleetCallbacks(
+                warn=lambda event, **values: self.lines.append(
+                    values.get("error", event)
+                ),
+                info=lambda event, **values: None,
+                store_incarnation=lambda incarnation: None,
+            ),
             self.figures[-1],
         )
         place.start()
@@ -132,11 +136,11 @@
     async def test_what_is_told_arrives_in_order_and_what_cannot_be_tried_is_said(self):
         one, other = self.places
         heard, told = [], []
-        other.hear(
+        other.subscribe(
             MessageKind.CHANNEL,
             lambda member, run, body: heard.append((member, run, body)),
         )
-        one.watch(
+        one.watch_view(
             lambda view, changes: told.append(
                 (
                     view.version,
@@ -144,7 +148,7 @@
                 )
             )
         )
-        self.assertFalse(one.tell("p-1", MessageKind.CHANNEL, b"too early"))
+        self.assertFalse(one.send("p-1", MessageKind.CHANNEL, b"too early"))
         await self.until(lambda: len(one.view.members) == len(other.view.members) == 2)
         self.assertEqual(one.view.digest, other.view.digest)
         self.assertIn(
@@ -152,17 +156,17 @@
         )
         bodies = [bytes([each % 256]) * (each * 100) for each in range(100)]
         self.assertTrue(
-            all(one.tell("p-1", MessageKind.CHANNEL, each) for each in bodies)
+            all(one.send("p-1", MessageKind.CHANNEL, each) for each in bodies)
         )
         await self.until(lambda: len(heard) == 100)
         self.assertEqual(heard, [("p-0", 1, each) for each in bodies])
         self.assertFalse(
-            one.tell("p-1", MessageKind.CHANNEL, bytes(MOST_BODY + 1))
-            or one.tell("p-0", MessageKind.CHANNEL, b"")
-            or one.tell("x", MessageKind.CHANNEL, b"")
+            one.send("p-1", MessageKind.CHANNEL, bytes(MAX_BODY + 1))
+            or one.send("p-0", MessageKind.CHANNEL, b"")
+            or one.send("x", MessageKind.CHANNEL, b"")
         )
         taken = [
-            one.tell("p-1", MessageKind.CHANNEL, bytes(MOST_BODY)) for _ in range(9)
+            one.send("p-1", MessageKind.CHANNEL, bytes(MAX_BODY)) for _ in range(9)
         ]  # nobody reads meanwhile
         self.assertTrue(taken[0] and not taken[-1])
         with self.assertRaises(FleetAddressUnavailable):
@@ -171,12 +175,16 @@
     async def test_octets_that_are_none_of_its_are_counted_and_lose_nothing(self):
         await self.until(lambda: len(self.places[0].view.members) == 2)
         sender = MemberUpdate("stranger", 1, 1, 0, MemberState.ALIVE, "127.0.0.1:9")
-        other = Codec("two").encode(FleetMessage(FrameType.PROBE, sender, target="p-0"))
+        other = FrameCodec("two").encode(
+            FleetMessage(FrameType.PROBE, sender, target="p-0")
+        )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
             for data in (b"GET /", bytes(1500), other):
                 one.sendto(data, ("127.0.0.1", self.ports[0]))
         with socket.create_connection(("127.0.0.1", self.ports[0])) as two:
-            two.sendall(LENGTH.pack(len(other)) + other + LENGTH.pack(1 << 30))
+            two.sendall(
+                LENGTH_PREFIX.pack(len(other)) + other + LENGTH_PREFIX.pack(1 << 30)
+            )
             await self.until(
                 lambda: (
                     self.refused("too_long") == 2
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -16,15 +16,10 @@
 from milletsill.fleet.channels.record_pb2 import (
     Record as RecordOctets,
 )
+from milletsill.fleet.errors import FrameVersionTooNew, MalformedFrame
 from milletsill.fleet.frames import fleet_pb2
-from milletsill.fleet.frames.codec import (
-    MAGIC,
-    MOST_NUMBER,
-    Codec,
-    FrameVersionTooNew,
-    MalformedFrame,
-)
-from milletsill.fleet.frames.messages import FleetMessage, MemberUpdate, FrameType
+from milletsill.fleet.frames.codec import MAGIC, MAX_COUNTER, FrameCodec
+from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
 from milletsill.fleet.health import codec as health
 from milletsill.fleet.health import health_pb2
 from milletsill.fleet.leases import acceptor_service, lease_manager
@@ -32,10 +27,11 @@
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor_recovery import Identity
 from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.fleet.membership.config import MembershipConfig
 from milletsill.fleet.membership.effects import SendMessage
-from milletsill.fleet.membership.failure_detector import Terms
+from milletsill.fleet.membership.local_member import LocalIdentity
 from milletsill.fleet.membership.membership import Membership
-from milletsill.fleet.transport import MessageKind, MemberState
+from milletsill.fleet.transport import MemberState, MessageKind
 from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_world import FleetWorld
 from milletsill.lab.hunt.gate import Kept
@@ -81,7 +77,7 @@
 
 class Recorded(unittest.TestCase):
     def check(self, octets):
-        codec = Codec("fleet")
+        codec = FrameCodec("fleet")
         for name, message in made.frames().items():
             self.assertEqual(codec.decode(octets[f"frame {name}"]), message, name)
         calls = registers.decoded(octets["registers calls"]).calls.call
@@ -138,51 +134,56 @@
         frame = fleet_pb2.Frame.FromString(recorded()["frame ROWS"][4:])
         frame.version, frame.what, frame.kind = 2, 99, 99
         frame.row[0].standing = 77
-        read = Codec("fleet").decode(MAGIC + frame.SerializeToString())
+        read = FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
         self.assertEqual(
             (read.type, read.kind, read.version, read.sender), (None, None, 2, made.ME)
         )
         self.assertEqual(read.updates, made.ROWS[1:])
         frame.least = 2
         with self.assertRaises(FrameVersionTooNew):
-            Codec("fleet").decode(MAGIC + frame.SerializeToString())
+            FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
 
     def test_numbers_that_could_not_be_answered_are_no_rows(self):
-        codec = Codec("fleet")
+        codec = FrameCodec("fleet")
         for run, turn in (
             (1 << 63, 0),
-            (MOST_NUMBER, 0),
+            (MAX_COUNTER, 0),
             (1, (1 << 64) - 1),
-            (1, MOST_NUMBER),
+            (1, MAX_COUNTER),
         ):
             with self.assertRaises(MalformedFrame):
                 codec.decode(
                     codec.encode(
                         FleetMessage(
-                            FrameType.NEWS,
+                            FrameType.GOSSIP,
                             MemberUpdate("x", run, 1, turn, MemberState.ALIVE, "h:1"),
                         )
                     )
                 )
-        member = Membership("me", "h:1", 1, 5, Terms("fleet"), Random(1), (), 0)
+        member = Membership(
+            LocalIdentity("me", "h:1", 1, 5),
+            MembershipConfig("fleet"),
+            (),
+            Random(1),
+            0,
+        )
         for row in (
-            MemberUpdate("me", 1, 5, MOST_NUMBER - 1, MemberState.SUSPECT, "h:1"),
-            MemberUpdate("me", MOST_NUMBER - 1, 6, 0, MemberState.ALIVE, "h:2"),
-            MemberUpdate("other", 1, 7, 1, MemberState.GONE, "h:3", MOST_NUMBER - 1),
+            MemberUpdate("me", 1, 5, MAX_COUNTER - 1, MemberState.SUSPECT, "h:1"),
+            MemberUpdate("me", MAX_COUNTER - 1, 6, 0, MemberState.ALIVE, "h:2"),
+            MemberUpdate("other", 1, 7, 1, MemberState.GONE, "h:3", MAX_COUNTER - 1),
         ):
             news = codec.encode(
                 FleetMessage(
-                    FrameType.ROWS,
+                    FrameType.FULL_STATE,
                     MemberUpdate("other", 1, 7, 0, MemberState.ALIVE, "h:3"),
                     (row,),
-                    answer=True,
+                    reply_wanted=True,
                 )
             )
-            for each in member.heard(1000, codec.decode(news)):
+            for each in member.on_message(1000, codec.decode(news)):
                 if isinstance(each, SendMessage):
                     codec.encode(each.message)
-            member.tell_all(2000, "h:3", False)
-            for each in member.taken():
+            for each in member.send_full_state(2000, "h:3", reply_wanted=False):
                 if isinstance(each, SendMessage):
                     codec.encode(each.message)
 
@@ -222,10 +223,10 @@
     def send(self, stand, sent):
         message = sent.message
         if stand.name in self.later:
-            if message.type is FrameType.BODY:
+            if message.type is FrameType.APPLICATION:
                 name = "registers" if message.kind is MessageKind.CHANNEL else "health"
                 message = replace(message, body=of_later(name, message.body))
-            data = of_later("frame", Codec("fleet", 2).encode(message))
+            data = of_later("frame", FrameCodec("fleet", 2).encode(message))
             if self.frames % 50 == 0:
                 frame = fleet_pb2.Frame.FromString(data[4:])
                 frame.what = 99
@@ -233,14 +234,14 @@
                     stand,
                     replace(
                         sent,
-                        message=Codec("fleet").decode(
+                        message=FrameCodec("fleet").decode(
                             MAGIC + frame.SerializeToString()
                         ),
                     ),
                 )
         else:
-            data = Codec("fleet").encode(message)
-        super().send(stand, replace(sent, message=Codec("fleet").decode(data)))
+            data = FrameCodec("fleet").encode(message)
+        super().send(stand, replace(sent, message=FrameCodec("fleet").decode(data)))
 
     def restart(self, place, later):
         self.away(place, SECOND)
