--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -1,5 +1,5 @@
 """The view over real sockets. Gateways that are processes join, one is killed, one is back with its state lost, one leaves; all end
-in one view. In this process: what the plane promises those who tell and hear, and what it does with octets that are none of its.
+in one view. In this process: what the service promises those who send and subscribe, and what it does with foreign octets.
 """
 
 import signal
@@ -29,10 +29,10 @@
 from milletsill.sftp_gateway.gateway import monotonic
 from tests.support.sftp_gateway_rig import later
 
-MOST = 60.0  # seconds; far more than it takes, for a busy machine
+MAX_WAIT = 60.0  # seconds; far more than it takes, for a busy machine
 
 
-class Fleet(unittest.TestCase):
+class FleetOfProcesses(unittest.TestCase):
     def test_join_kill_lost_state_and_leave(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -41,7 +41,7 @@
 
         def agree(among, what, since=0.0):
             self.assertTrue(
-                fleet.wait(lambda: fleet.agree(among, since), MOST),
+                fleet.wait(lambda: fleet.agree(among, since), MAX_WAIT),
                 (what, fleet.views(among)),
             )
 
@@ -66,7 +66,7 @@
                 lambda: any(
                     each.get("error") == "IncarnationLost" for each in fleet.log(3)
                 ),
-                MOST,
+                MAX_WAIT,
             )
         )
         self.assertEqual(fleet.end(2, signal.SIGTERM), 0)
@@ -87,21 +87,23 @@
         )
 
 
-class Planes(TestCase):
-    """Two places of one fleet in this process."""
+class Services(TestCase):
+    """Two services of one fleet in this process."""
 
     def setUp(self):
-        self.ports, self.lines, self.figures = free_ports(3), [], []
-        self.places = [self.place(each) for each in range(2)]
+        self.ports = free_ports(3)
+        self.lines = []
+        self.registries = []
+        self.services = [self.start_service(each) for each in range(2)]
 
-    def place(self, number):
+    def start_service(self, number):
         file = text_format.Parse(
             f"""name: "p-{number}" gateways: 2 registry {{ address: "127.0.0.1:1" }}
             fleet {{ name: "one" address: "127.0.0.1:{self.ports[number]}" join: "127.0.0.1:{self.ports[0]}" }}""",
             GatewayFile(),
         )
-        self.figures.append(CollectorRegistry())
-        place = FleetService(
+        self.registries.append(CollectorRegistry())
+        service = FleetService(
             reactor,
             monotonic,
             FleetServiceConfig.from_file(file, seed=number, incarnation=1),
@@ -112,12 +114,12 @@
                 info=lambda event, **values: None,
                 store_incarnation=lambda incarnation: None,
             ),
-            self.figures[-1],
+            self.registries[-1],
         )
-        place.start()
+        service.start()
         self.addCleanup(lambda: later(0.1))
-        self.addCleanup(place.stop)
-        return place
+        self.addCleanup(service.stop)
+        return service
 
     async def until(self, holds):
         ends = time.monotonic() + 20
@@ -127,14 +129,14 @@
 
     def refused(self, cause):
         return (
-            self.figures[0].get_sample_value(
+            self.registries[0].get_sample_value(
                 "milletsill_fleet_refused_total", {"cause": cause}
             )
             or 0
         )
 
-    async def test_what_is_told_arrives_in_order_and_what_cannot_be_tried_is_said(self):
-        one, other = self.places
+    async def test_messages_arrive_in_order_and_what_cannot_be_tried_is_refused(self):
+        one, other = self.services
         heard, told = [], []
         other.subscribe(
             MessageKind.CHANNEL,
@@ -170,10 +172,10 @@
         ]  # nobody reads meanwhile
         self.assertTrue(taken[0] and not taken[-1])
         with self.assertRaises(FleetAddressUnavailable):
-            self.place(1)
+            self.start_service(1)
 
-    async def test_octets_that_are_none_of_its_are_counted_and_lose_nothing(self):
-        await self.until(lambda: len(self.places[0].view.members) == 2)
+    async def test_foreign_octets_are_counted_and_lose_nothing(self):
+        await self.until(lambda: len(self.services[0].view.members) == 2)
         sender = MemberUpdate("stranger", 1, 1, 0, MemberState.ALIVE, "127.0.0.1:9")
         other = FrameCodec("two").encode(
             FleetMessage(FrameType.PROBE, sender, target="p-0")
@@ -195,7 +197,7 @@
         self.assertLessEqual(
             {"FleetNameMismatch", "FrameTooLong", "MalformedFrame"}, set(self.lines)
         )
-        self.assertEqual(len(self.places[0].view.members), 2)
+        self.assertEqual(len(self.services[0].view.members), 2)
 
 
 class Files(unittest.TestCase):
