--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -53,7 +53,7 @@
     from twisted.internet import reactor
 
     from milletsill.errors import MilletsillError
-    from milletsill.fleet.leases.lease_manager import Offices
+    from milletsill.fleet.leases.lease_manager import LeaseManager
     from milletsill.fleet.service import Fleet
     from milletsill.settings.milletsill_pb2 import FleetLink
 
@@ -79,7 +79,7 @@
         registry,
     )
     fleet.start()
-    offices = Offices(
+    offices = LeaseManager(
         reactor,
         now,
         fleet,
@@ -128,10 +128,10 @@
                 return heirs.append(time.monotonic())
             reactor.callLater(max(term.pause, 100) / SECOND, heir, channel)
 
-        offices.take(channel, got)
+        offices.acquire(channel, got)
 
     def take(channel: str) -> None:
-        offices.take(
+        offices.acquire(
             channel,
             lambda term: (
                 again(channel, term)
@@ -151,7 +151,7 @@
 
         def wrote(fault: Any) -> None:
             if fault is not None:
-                return again(term.channel, fault)
+                return again(term.key, fault)
             if began >= span["from"]:
                 took.append(time.monotonic() - began)
             write(term)
--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -174,7 +174,7 @@
                     ),
                 )
             self.taking[word.key] = [word]
-            self.offices.take(word.key, lambda got: self.took(word.key, got))
+            self.offices.acquire(word.key, lambda got: self.took(word.key, got))
         elif len(waiting) >= MOST_TAKING:
             self.declined(word, PAUSE)
         else:
@@ -206,7 +206,7 @@
         if not term.value:
             first = next((each for each in words if isinstance(each.what, Open)), None)
             if first is None or not isinstance(first.what, Open):
-                self.offices.give_up(term)
+                self.offices.release(term)
                 for each in words:
                     self.answer(
                         each,
@@ -220,7 +220,7 @@
                     first.volume.name, first.what.contract, first.what.version, 0
                 )
             except CONTRADICTIONS as error:
-                self.offices.give_up(term)
+                self.offices.release(term)
                 for each in words:
                     self.fault(each, error)
                 words.clear()
@@ -229,11 +229,11 @@
         else:
             try:
                 line = codec.read_record(
-                    term.value, self.rest, now, term.age, self.over(key)
+                    term.value, self.rest, now, term.value_age, self.over(key)
                 )
             except ChannelRecordUnreadable as error:
                 self.remark("channel_record", channel=key, **error.log_fields())
-                self.offices.give_up(term)
+                self.offices.release(term)
                 return None
         held = self.kept[key] = Kept(key, term, line, term.value, now)
         return held
@@ -324,7 +324,7 @@
             held.writing, line.dirty = True, False
             after, line.after = line.after, []
             held.written = codec.put_record(line, self.now())
-            held.term.busy = True
+            held.term.in_use = True
             return self.offices.write(
                 held.term, held.written, lambda fault: self.wrote(held, after, fault)
             )
@@ -332,7 +332,7 @@
         self.do(held, after)
         if line.after or line.at_once or line.dirty:
             return self.pump(held)
-        held.term.busy = bool(line.entries)
+        held.term.in_use = bool(line.entries)
         self.set_alarm(held)
         if self.leaving:
             self.leave(held)
@@ -379,7 +379,7 @@
         """Guards against a dispatch of an earlier keeper that is still lawfully at a box when the next one has rested: nothing
         that is let go outlives the office under which it was. Harm: a patience longer than an office is cut to it.
         """
-        return min(gone.ends, term.ends)
+        return min(gone.ends, term.expires_at)
 
     def same(self, held: Kept, got: Any) -> bool:
         """Guards against what was known here while another kept the channel. Harm: none, the record says all."""
@@ -410,7 +410,9 @@
         held.lost = True
         if self.kept.get(held.key) is held:
             del self.kept[held.key]
-            self.runs_on[held.key] = max(held.term.ends, self.runs_on.get(held.key, 0))
+            self.runs_on[held.key] = max(
+                held.term.expires_at, self.runs_on.get(held.key, 0)
+            )
         self.set_alarm(held)
         line = held.line
         line.drop_all(pause)
@@ -462,14 +464,14 @@
                 self.hand_over(held)
 
     def at_home(self, key: str) -> bool:
-        return self.offices.keeper_of(key) in ("", self.name)
+        return self.offices.preferred_holder(key) in ("", self.name)
 
     def hand_over(self, held: Kept) -> None:
         self.kept.pop(held.key, None)
         held.lost = True
         self.set_alarm(held)
         if self.offices.holds(held.term):
-            self.offices.give_up(held.term)
+            self.offices.release(held.term)
 
     def drain(self) -> None:
         """SIGTERM: what waits is told at once, each office is given up when nothing is out under it."""
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -21,7 +21,7 @@
     read_word,
 )
 from milletsill.fleet.channels.record_pb2 import Ask, Clock, Envelope, Reply
-from milletsill.fleet.peer_clocks import Clocks
+from milletsill.fleet.peer_clocks import PeerClocks
 from milletsill.fleet.transport import MessageKind, FleetTransport
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions
@@ -87,7 +87,7 @@
         drift: int = 5,
     ) -> None:
         self.reactor, self.now, self.plane, self.call = reactor, now, plane, call
-        self.whose, self.clocks = SystemRandom().getrandbits(64), Clocks(drift)
+        self.whose, self.clocks = SystemRandom().getrandbits(64), PeerClocks(drift)
         self.own, self.keep, self.volume, self.count = own, keep, volume, count
         self.out: dict[int, Forward] = {}
         self.silent: dict[str, int] = {}  # since when a member could not be reached
--- a/milletsill/fleet/leases/acceptor_recovery.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -19,7 +19,7 @@
 PER_PAGE, PAGE_BYTES = 256, 120_000  # records of one page that is told to another
 
 
-class Identity(NamedTuple):
+class StateIdentity(NamedTuple):
     """Of a register's state. Greater is later, for one register."""
 
     age: int
@@ -27,7 +27,7 @@
     generation: int
 
 
-class Page(NamedTuple):
+class SnapshotPage(NamedTuple):
     """Records of one register, ordered by channel, after the one that was asked for; `last` where none follow."""
 
     records: tuple[tuple[str, Record], ...]
@@ -49,7 +49,7 @@
 }
 
 
-def later(known: Identity | None, own: Identity) -> bool:
+def later(known: StateIdentity | None, own: StateIdentity) -> bool:
     """Whether what another heard of us is past what we have, or is of another state that is not older."""
     if known is None or known.age < own.age:
         return False
@@ -99,7 +99,7 @@
 
     def __init__(
         self,
-        own: Identity,
+        own: StateIdentity,
         others: Iterable[str],
         span: Span,
         born: int,
@@ -128,7 +128,7 @@
         self.state, turn = STANDINGS.get((self.state, found), (self.state, Turn.NONE))
         return turn
 
-    def witnessed(self, who: str, known: Identity | None, now: int) -> Turn:
+    def witnessed(self, who: str, known: StateIdentity | None, now: int) -> Turn:
         """What one gateway last heard of us. Any may say that there was more; only registers count as having nothing."""
         if known is not None:
             self.known_age = max(self.known_age, known.age)
@@ -161,7 +161,7 @@
         least = most if self.fresh or now < self.born + self.span.rest() else most - 1
         return len(self.clean) >= max(least, 0)
 
-    def page(self, who: str, after: str, page: Page, up: int, now: int) -> Turn:
+    def page(self, who: str, after: str, page: SnapshotPage, up: int, now: int) -> Turn:
         """One page of another's records, asked for once all of our former self is over."""
         if (
             self.state is not Standing.GATHERING
@@ -200,6 +200,6 @@
             else HELLO
         )
 
-    def anew(self, chance: int) -> Identity:
+    def anew(self, chance: int) -> StateIdentity:
         """The identity of a state that was made out of the others' word."""
-        return Identity(self.known_age + 1, chance, 1)
+        return StateIdentity(self.known_age + 1, chance, 1)
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -26,15 +26,15 @@
     register,
 )
 from milletsill.fleet.leases.acceptor_recovery import (
-    Identity,
+    StateIdentity,
     Joining,
-    Page,
+    SnapshotPage,
     Standing,
     Turn,
     fenced,
     merged,
 )
-from milletsill.fleet.leases.acceptor_store import Store, set_aside
+from milletsill.fleet.leases.acceptor_store import AcceptorStore, set_aside
 from milletsill.fleet.leases.errors import (
     DiskFull,
     AcceptorSetChanged,
@@ -107,7 +107,7 @@
         self.born = now()
         self.up_before = 0
         self.base = self.born  # offices that are not known run from here
-        self.store: Store | None = None
+        self.store: AcceptorStore | None = None
         self.joining: Joining | None = None
         self.offices: dict[str, Office] = {}
         self.waiting: list[tuple[str, Call]] = []
@@ -127,12 +127,12 @@
     def open(self) -> Any:
         """In the thread. What is torn is set aside; the new file knows that there was another."""
         try:
-            return Store.opened(
+            return AcceptorStore.opened(
                 self.path, self.chance, self.among, most_pages=self.most_pages
             ), None
         except AcceptorStateCorrupt as error:
             set_aside(self.path)
-            return Store.opened(
+            return AcceptorStore.opened(
                 self.path, self.chance, self.among, True, self.most_pages
             ), error
 
@@ -188,8 +188,8 @@
     def whole(self) -> bool:
         return self.joining is not None and self.joining.state is Standing.WHOLE
 
-    def own(self) -> Identity:
-        return self.store.own if self.store is not None else Identity(0, 0, 0)
+    def own(self) -> StateIdentity:
+        return self.store.own if self.store is not None else StateIdentity(0, 0, 0)
 
     def up(self) -> int:
         """For how long the register has been up, over all its starts."""
@@ -197,13 +197,13 @@
 
     # Standing.
 
-    def witnessed(self, member: str, known: Identity | None) -> None:
+    def witnessed(self, member: str, known: StateIdentity | None) -> None:
         """What another last heard of this register; also unasked."""
         if self.joining is not None and self.store is not None:
             self.joining.own = self.store.own
             self.turn(self.joining.witnessed(member, known, self.now()))
 
-    def told(self, member: str, after: str, page: Page) -> None:
+    def told(self, member: str, after: str, page: SnapshotPage) -> None:
         if self.joining is not None:
             self.turn(self.joining.page(member, after, page, self.up(), self.now()))
             if (
@@ -420,23 +420,27 @@
 
     # Upkeep.
 
-    def page(self, member: str, after: str, then: Callable[[Page], None]) -> None:
+    def page(
+        self, member: str, after: str, then: Callable[[SnapshotPage], None]
+    ) -> None:
         """For another that catches up; only a whole register tells."""
         store = self.store
         if self.whole() and store is not None:
             self.in_thread(
                 lambda: store.page(after),
                 lambda result: (
-                    then(result) if isinstance(result, Page) else self.say(result)
+                    then(result)
+                    if isinstance(result, SnapshotPage)
+                    else self.say(result)
                 ),
             )
 
-    def remember(self, member: str, own: Identity) -> None:
+    def remember(self, member: str, own: StateIdentity) -> None:
         """What another register is; goes to disk with the next commit."""
         if self.store is not None and member in self.others:
             self.store.known[member] = max(self.store.known.get(member, own), own)
 
-    def known(self, member: str) -> Identity | None:
+    def known(self, member: str) -> StateIdentity | None:
         return self.store.known.get(member) if self.store is not None else None
 
     def forget(self) -> int:
--- a/milletsill/fleet/leases/acceptor_store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -18,8 +18,8 @@
 from milletsill.fleet.leases.acceptor_recovery import (
     PAGE_BYTES,
     PER_PAGE,
-    Identity,
-    Page,
+    StateIdentity,
+    SnapshotPage,
 )
 from milletsill.fleet.leases.codec import (
     MalformedFrame,
@@ -101,15 +101,20 @@
     return aside
 
 
-class Store:
+class AcceptorStore:
     """The file, open. `opened` finds or makes it; `chance` is for the identity of a new one, `among` a digest of
     the registers it is of.
     """
 
     def __init__(self, path: str, base: sqlite3.Connection) -> None:
         self.path, self.base = path, base
-        self.own, self.floor, self.up, self.doubted = Identity(0, 0, 0), 0, 0, False
-        self.known: dict[str, Identity] = {}
+        self.own, self.floor, self.up, self.doubted = (
+            StateIdentity(0, 0, 0),
+            0,
+            0,
+            False,
+        )
+        self.known: dict[str, StateIdentity] = {}
         self.count = self.among = 0
 
     @classmethod
@@ -120,7 +125,7 @@
         among: int = 0,
         doubted: bool = False,
         most_pages: int = 0,
-    ) -> Store:
+    ) -> AcceptorStore:
         """Raises StateTorn, StateUnusable, DiskFull. `doubted` for one that is made where there was another."""
         try:
             if not os.path.exists(path):
@@ -133,7 +138,7 @@
                         os.remove(path + tail)
                 os.makedirs(os.path.dirname(path) or ".", exist_ok=True)
                 state = wire.State(
-                    own=put_identity(Identity(1, chance, 0)),
+                    own=put_identity(StateIdentity(1, chance, 0)),
                     floor=0,
                     up=0,
                     doubted=doubted,
@@ -247,7 +252,7 @@
         self.transaction([], [], self.own, self.floor, up, True)
 
     def anew(
-        self, records: Mapping[str, Record], floor: int, own: Identity, up: int
+        self, records: Mapping[str, Record], floor: int, own: StateIdentity, up: int
     ) -> None:
         """A state out of the others' word; it has a new identity. Raises as `commit`."""
         self.transaction(self.rows(records), [], own, floor, up, False)
@@ -272,7 +277,7 @@
         self,
         rows: Iterable[Row],
         gone: Iterable[str],
-        own: Identity,
+        own: StateIdentity,
         floor: int,
         up: int,
         doubted: bool,
@@ -308,7 +313,7 @@
             raise fault_of(error, self.path) from None
         self.own, self.floor, self.up, self.doubted = own, floor, up, doubted
 
-    def page(self, after: str) -> Page:
+    def page(self, after: str) -> SnapshotPage:
         """Records after a channel, for another register. Raises StateTorn, StateUnusable."""
         found: list[tuple[str, Record]] = []
         size, last = 0, True
@@ -324,7 +329,7 @@
                 size += len(row[2])
         except sqlite3.Error as error:
             raise fault_of(error, self.path) from None
-        return Page(tuple(found), self.floor, last)
+        return SnapshotPage(tuple(found), self.floor, last)
 
     def forget(
         self, after: str, some: int, up: int, silent: int, free: Callable[[str], bool]
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -25,7 +25,7 @@
     Span,
     Stamp,
 )
-from milletsill.fleet.leases.acceptor_recovery import Identity, Page
+from milletsill.fleet.leases.acceptor_recovery import StateIdentity, SnapshotPage
 
 MARK, VERSION, MOST_FRAME, PER_FRAME = b"R", 1, 1 << 19, 2000
 FRAME_BYTES = 200_000  # calls or answers are parted into frames of about so many
@@ -83,12 +83,12 @@
     return value
 
 
-def put_identity(own: Identity) -> wire.Identity:
+def put_identity(own: StateIdentity) -> wire.Identity:
     return wire.Identity(age=own.age, chance=own.chance, generation=own.generation)
 
 
-def get_identity(own: Any) -> Identity:
-    return Identity(number(own.age), own.chance, number(own.generation))
+def get_identity(own: Any) -> StateIdentity:
+    return StateIdentity(number(own.age), own.chance, number(own.generation))
 
 
 def put_ballot(ballot: Ballot) -> wire.Ballot:
@@ -237,7 +237,7 @@
     )
 
 
-def put_page(after: str, page: Page) -> wire.Page:
+def put_page(after: str, page: SnapshotPage) -> wire.Page:
     return wire.Page(
         after=after,
         kept=[put_record(record, channel) for channel, record in page.records],
@@ -246,8 +246,8 @@
     )
 
 
-def get_page(page: Any) -> Page:
-    return Page(
+def get_page(page: Any) -> SnapshotPage:
+    return SnapshotPage(
         tuple((name(each.channel), get_record(each)) for each in page.kept),
         number(page.floor),
         page.last,
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -27,7 +27,7 @@
     Say,
     Span,
 )
-from milletsill.fleet.leases.acceptor_recovery import BEAT, HELLO, Identity, later
+from milletsill.fleet.leases.acceptor_recovery import BEAT, HELLO, StateIdentity, later
 from milletsill.fleet.leases.acceptor_service import Desk
 from milletsill.fleet.leases.blocking_worker import Worker
 from milletsill.fleet.leases.errors import (
@@ -45,9 +45,9 @@
     Seated,
     rounds_used,
 )
-from milletsill.fleet.leases.lease_state import Place, Term, Took, Wrote
+from milletsill.fleet.leases.lease_state import Place, LeaseTerm, Took, Wrote
 from milletsill.fleet.leases.metrics import Figures
-from milletsill.fleet.peer_clocks import Clocks
+from milletsill.fleet.peer_clocks import PeerClocks
 from milletsill.fleet.transport import MessageKind, FleetTransport
 
 TICK = 200  # between looks at calls whose span is over
@@ -63,7 +63,7 @@
 SENDS = (Effect.ASK, Effect.ASK_HIGHER, Effect.MEND, Effect.RENEW, Effect.WRITE)
 
 
-class Offices:
+class LeaseManager:
     """Times in tenths of a millisecond, `drift` in parts of a thousand. `most` channels here and at a register each; a register
     forgets a channel that was `silent` for so long. `others` is called with what arrives for Kind.CHANNEL and is not for here.
     """
@@ -102,25 +102,27 @@
         )
         self.rounds, self.terms = 0, codec.terms(self.names, self.span)
         self.nonce, self.chance = SystemRandom().getrandbits(64), Random(seed)
-        self.whose, self.clocks = SystemRandom().getrandbits(63) + 1, Clocks(drift)
+        self.whose, self.clocks = SystemRandom().getrandbits(63) + 1, PeerClocks(drift)
         self.figures = Figures(registry_of_metrics)
-        self.places: dict[str, Place] = {}
-        self.busy: set[Term] = set()
+        self.leases: dict[str, Place] = {}
+        self.busy: set[LeaseTerm] = set()
         self.swept: list[str] = []
         self.counted = 0
         self.open: deque[tuple[int, Poll, Seat]] = deque()  # by when their span is over
         self.halves: deque[tuple[int, Poll, Seat]] = deque()
         self.outbox: dict[str, list[Call]] = {}
-        self.heard_of: dict[str, Identity] = {}
+        self.heard_of: dict[str, StateIdentity] = {}
         self.warned: dict[str, int] = {}
         self.timers: dict[str, Any] = {}
-        self.stopped, self.beaten = False, Identity(0, 0, 0)
-        self.others: Callable[[str, int, bytes], None] = lambda member, run, body: None
+        self.stopped, self.beaten = False, StateIdentity(0, 0, 0)
+        self.on_other_message: Callable[[str, int, bytes], None] = (
+            lambda member, run, body: None
+        )
         self.worker: Any = None  # a thread where there is a register
-        self.desk: Desk | None = None
+        self.acceptor: Desk | None = None
         if plane.name in self.names:
             self.worker = worker or Worker(reactor)
-            self.desk = Desk(
+            self.acceptor = Desk(
                 now,
                 plane.name,
                 [each for each in self.names if each != plane.name],
@@ -135,12 +137,12 @@
                 registry_of_metrics,
                 most_pages,
             )
-            self.desk.send, self.desk.ask, self.desk.tell = (
+            self.acceptor.send, self.acceptor.ask, self.acceptor.tell = (
                 self.answer,
                 self.hello,
                 self.ask_page,
             )
-            self.desk.start()
+            self.acceptor.start()
             self.later("beat", BEAT, self.beat)
             self.later("look", HELLO, self.look)
         plane.subscribe(MessageKind.CHANNEL, self.heard)
@@ -148,9 +150,9 @@
 
     # For those that keep channels.
 
-    def take(self, channel: str, then: Took) -> None:
+    def acquire(self, channel: str, then: Took) -> None:
         """Become the channel's keeper, or renew; `then` gets a Term, or a fault whose `pause` says when to come back."""
-        place = self.places.get(channel)
+        place = self.leases.get(channel)
         if not codec.named(channel):
             return self.soon(
                 then,
@@ -160,7 +162,7 @@
             )
         if (
             len(self.open) >= MOST_OPEN
-            or (place is None and len(self.places) >= self.most)
+            or (place is None and len(self.leases) >= self.most)
             or (place is not None and len(place.takers) >= MOST_CALLBACKS)
         ):
             return self.soon(
@@ -178,36 +180,36 @@
                 len(self.names),
                 self.rounds,
             )
-            place = self.places[channel] = Place(seat)
+            place = self.leases[channel] = Place(seat)
         place.takers.append(then)
         self.act(place, place.seat.take(self.now()))
 
-    def write(self, term: Term, value: bytes, then: Wrote) -> None:
+    def write(self, term: LeaseTerm, value: bytes, then: Wrote) -> None:
         """The channel's whole record, at a majority when `then` gets None; also renews. Writes that come while one is under way
         become one, the last. After a fault the term is over.
         """
-        place = self.places.get(term.channel)
+        place = self.leases.get(term.key)
         if term.over or place is None or place.term is not term:
-            return self.soon(then, LeaseNotHeld("the term is over", term.channel))
+            return self.soon(then, LeaseNotHeld("the term is over", term.key))
         if len(value) > self.most_value:
             return self.soon(
                 then,
                 ResourceLimitReached(
                     f"a record of {len(value)} bytes, {self.most_value} at most",
-                    term.channel,
+                    term.key,
                 ),
             )
         if len(place.queued) >= MOST_CALLBACKS or len(self.open) >= MOST_OPEN:
             return self.soon(
                 then,
                 ResourceLimitReached(
-                    "too many writes under way", term.channel, self.span.call
+                    "too many writes under way", term.key, self.span.call
                 ),
             )
         place.queued.append(then)
         self.act(place, place.seat.write(value, self.now()))
 
-    def holds(self, term: Term) -> bool:
+    def holds(self, term: LeaseTerm) -> bool:
         """Whether nobody else can be the channel's keeper now, by this gateway's clock."""
         return (
             not term.over
@@ -215,29 +217,29 @@
             and term.seat.holds(self.now())
         )
 
-    def give_up(self, term: Term) -> None:
+    def release(self, term: LeaseTerm) -> None:
         """Nothing is out under it any more: others may come in at once. What waits here is told that it is over."""
-        place = self.places.get(term.channel)
+        place = self.leases.get(term.key)
         if place is not None and place.term is term and not term.over:
             self.act(place, place.seat.give_up(self.now()))
 
-    def keeper_of(self, channel: str) -> str:
+    def preferred_holder(self, channel: str) -> str:
         """By this gateway's view, which may be wrong; empty where it is empty."""
         return next(iter(self.plane.view.rendezvous(channel, 1)), "")
 
     def stop(self) -> None:
         """Offices under which nothing is out are given up; the register's last round is written down."""
-        for place in list(self.places.values()):
-            if place.term is not None and not place.term.busy:
+        for place in list(self.leases.values()):
+            if place.term is not None and not place.term.in_use:
                 self.act(place, place.seat.give_up(self.now()))
         self.flush()
         self.stopped = True
         for each in self.timers.values():
             if each.active():
                 each.cancel()
-        if self.desk is not None:
+        if self.acceptor is not None:
             self.worker.stop()
-            self.desk.stop()
+            self.acceptor.stop()
 
     # What a seat wants done.
 
@@ -269,7 +271,7 @@
     def seated(self, place: Place, anew: bool) -> None:
         seat = place.seat
         if anew or place.term is None:
-            place.term = Term(
+            place.term = LeaseTerm(
                 seat.channel,
                 seat,
                 None
@@ -279,7 +281,7 @@
                 else 0,
                 self.busy,
             )
-        place.term.ends = seat.ends
+        place.term.expires_at = seat.ends
         self.told(place, place.term)
 
     def told(self, place: Place, result: Any) -> None:
@@ -295,7 +297,7 @@
         seat, term = place.seat, place.term
         waiting, place.writing = place.writing, []
         if term is not None:
-            term.value, term.ends = seat.value, seat.ends
+            term.value, term.expires_at = seat.value, seat.ends
             if seat.since is not None:  # the poll's send
                 self.figures.write_seconds.observe((self.now() - seat.since) / 10_000)
             self.told(place, term)  # who wanted it renewed has it
@@ -358,8 +360,8 @@
     def flush(self) -> None:
         outbox, self.outbox = self.outbox, {}
         for name, calls in outbox.items():
-            if name == self.plane.name and self.desk is not None:
-                self.desk.calls(name, calls, self.terms)
+            if name == self.plane.name and self.acceptor is not None:
+                self.acceptor.calls(name, calls, self.terms)
                 continue
             whose, made = codec.put_calls(
                 calls, lambda at, name=name: self.clocks.there(name, at, self.now())
@@ -405,7 +407,7 @@
             now >= self.open[0][0] or self.open[0][2].poll is not self.open[0][1]
         ):
             _, poll, seat = self.open.popleft()
-            place = self.places.get(seat.channel)
+            place = self.leases.get(seat.channel)
             if seat.poll is poll and place is not None and place.seat is seat:
                 self.act(place, seat.late(now))
         self.figures.pending.set(len(self.open))
@@ -413,7 +415,7 @@
             self.later("tick", TICK, self.tick)
 
     def say(self, member: str, answer: Answer) -> None:
-        place = self.places.get(answer.channel)
+        place = self.leases.get(answer.channel)
         if place is not None:
             self.act(place, place.seat.hear(member, answer, self.now()))
 
@@ -423,7 +425,7 @@
         if self.stopped:
             return None
         if not body.startswith(codec.MARK):
-            return self.others(member, run, body)
+            return self.on_other_message(member, run, body)
         try:
             self.frame(member, codec.decoded(body))
         except codec.MalformedFrame as error:
@@ -434,7 +436,7 @@
 
     def frame(self, member: str, frame: Any) -> None:
         """What a later version says besides is left."""
-        what, desk = frame.WhichOneof("what"), self.desk
+        what, acceptor = frame.WhichOneof("what"), self.acceptor
         if what == "answers" and member in self.names:
             self.learn(member, codec.get_identity(frame.answers.own))
             if frame.answers.whose:
@@ -448,16 +450,16 @@
             self.learn(member, codec.get_identity(frame.beat.own))
         elif what == "hello" and member in self.names:
             self.witness(member)
-        elif desk is None:
+        elif acceptor is None:
             return
         elif what == "calls":
-            desk.calls(
+            acceptor.calls(
                 member,
                 codec.get_calls(member, frame.calls, self.whose),
                 frame.calls.terms,
             )
         elif what == "witness":
-            desk.witnessed(
+            acceptor.witnessed(
                 member,
                 codec.get_identity(frame.witness.known)
                 if frame.witness.HasField("known")
@@ -465,23 +467,23 @@
             )
         elif what == "tell" and member in self.names:
             after = frame.tell.after
-            desk.page(
+            acceptor.page(
                 member,
                 after,
                 lambda page: self.tell(member, page=codec.put_page(after, page)),
             )
         elif what == "page" and member in self.names:
-            desk.told(member, frame.page.after, codec.get_page(frame.page))
+            acceptor.told(member, frame.page.after, codec.get_page(frame.page))
 
     def tell(self, member: str, **what: Any) -> None:
         if not self.stopped:
             self.plane.send(member, MessageKind.CHANNEL, codec.encoded(**what))
 
-    def learn(self, member: str, own: Identity) -> None:
+    def learn(self, member: str, own: StateIdentity) -> None:
         """The latest that was heard of a register; one that says less than that is told so, now and then."""
         known = self.known(member)
-        if self.desk is not None:
-            self.desk.remember(member, own)
+        if self.acceptor is not None:
+            self.acceptor.remember(member, own)
         if known is None or own > known:
             self.heard_of[member] = own
         elif (
@@ -491,12 +493,12 @@
             self.warned[member] = self.now()
             self.witness(member)
 
-    def known(self, member: str) -> Identity | None:
+    def known(self, member: str) -> StateIdentity | None:
         found = [
             each
             for each in (
                 self.heard_of.get(member),
-                self.desk.known(member) if self.desk is not None else None,
+                self.acceptor.known(member) if self.acceptor is not None else None,
             )
             if each
         ]
@@ -513,14 +515,14 @@
 
     def answer(self, member: str, answers: list[Answer]) -> None:
         """From this gateway's register."""
-        desk = self.desk
-        if desk is None or self.stopped:
+        acceptor = self.acceptor
+        if acceptor is None or self.stopped:
             return
         if member == self.plane.name:
             for each in answers:
                 self.say(member, each)
             return
-        own = codec.put_identity(desk.own())
+        own = codec.put_identity(acceptor.own())
         for part in codec.parted([codec.put_answer(each) for each in answers]):
             self.tell(
                 member,
@@ -542,23 +544,23 @@
     def beat(self) -> None:
         """Other registers are told of this one's state where it went on, so that an older copy of it shows."""
         self.later("beat", BEAT, self.beat)
-        desk = self.desk
-        if desk is not None and desk.whole() and desk.own() != self.beaten:
-            self.beaten = desk.own()
-            for each in desk.others:
+        acceptor = self.acceptor
+        if acceptor is not None and acceptor.whole() and acceptor.own() != self.beaten:
+            self.beaten = acceptor.own()
+            for each in acceptor.others:
                 self.tell(each, beat=wire.Beat(own=codec.put_identity(self.beaten)))
 
     def look(self) -> None:
         self.later("look", HELLO, self.look)
-        if self.desk is not None:
-            self.desk.look()
+        if self.acceptor is not None:
+            self.acceptor.look()
 
     def renew(self) -> None:
         """Terms under which something is out are renewed; some seats are looked at, whether they lapsed long ago."""
         self.later("renew", int(self.span.office * RENEW / 4), self.renew)
         now = self.now()
         for term in list(self.busy):
-            place = self.places.get(term.channel)
+            place = self.leases.get(term.key)
             if (
                 place is not None
                 and place.term is term
@@ -568,9 +570,9 @@
                 self.act(place, term.seat.take(now))
         if not self.swept:
             self.figures.held.set(self.counted)
-            self.swept, self.counted = list(self.places), 0
+            self.swept, self.counted = list(self.leases), 0
         for channel in self.swept[-SWEEP:]:
-            if (place := self.places.get(channel)) is not None:
+            if (place := self.leases.get(channel)) is not None:
                 self.counted += place.seat.holds(now)
                 self.lapsed(place, now)
         del self.swept[-SWEEP:]
@@ -579,7 +581,7 @@
         """A seat that nobody has used for long goes; its rounds are not used again."""
         seat, term = place.seat, place.term
         if (
-            (term is None or not term.busy)
+            (term is None or not term.in_use)
             and seat.poll is None
             and not place.takers
             and now >= seat.ends + FORGET
@@ -587,7 +589,7 @@
             if term is not None:
                 term.end()
             self.rounds = rounds_used(self.rounds, seat)
-            del self.places[seat.channel]
+            del self.leases[seat.channel]
 
     def soon(self, call: Callable[[Any], None], result: Any) -> None:
         if not self.stopped:
--- a/milletsill/fleet/leases/lease_state.py
+++ b/milletsill/fleet/leases/lease_state.py
@@ -8,31 +8,40 @@
 from milletsill.errors import MilletsillError
 from milletsill.fleet.leases.lease_proposer import Seat
 
-Took = Callable[[Union["Term", MilletsillError]], None]
+Took = Callable[[Union["LeaseTerm", MilletsillError]], None]
 Wrote = Callable[[MilletsillError | None], None]
 
 
-class Term:
-    """An office of one channel: `value` is what was accepted last, `ends` on this gateway's clock; `age` is for how long the value
-    has stood at the most when the office was taken, None where nobody can tell. `busy` is for the holder to set: the office is
+class LeaseTerm:
+    """An office of one channel: `value` is what was accepted last, `expires_at` on this gateway's clock; `value_age` is for how long the value
+    has stood at the most when the office was taken, None where nobody can tell. `in_use` is for the holder to set: the office is
     renewed by itself while it is.
     """
 
-    __slots__ = ("channel", "ballot", "ends", "value", "age", "over", "seat", "crowd")
+    __slots__ = (
+        "key",
+        "ballot",
+        "expires_at",
+        "value",
+        "value_age",
+        "over",
+        "seat",
+        "crowd",
+    )
 
     def __init__(
-        self, channel: str, seat: Seat, age: int | None, crowd: set[Term]
+        self, channel: str, seat: Seat, age: int | None, crowd: set[LeaseTerm]
     ) -> None:
-        self.channel, self.seat, self.age, self.crowd = channel, seat, age, crowd
-        self.ballot, self.ends, self.value = seat.ballot, seat.ends, seat.value
+        self.key, self.seat, self.value_age, self.crowd = channel, seat, age, crowd
+        self.ballot, self.expires_at, self.value = seat.ballot, seat.ends, seat.value
         self.over = False
 
     @property
-    def busy(self) -> bool:
+    def in_use(self) -> bool:
         return self in self.crowd
 
-    @busy.setter
-    def busy(self, busy: bool) -> None:
+    @in_use.setter
+    def in_use(self, busy: bool) -> None:
         (self.crowd.add if busy and not self.over else self.crowd.discard)(self)
 
     def end(self) -> None:
@@ -48,7 +57,7 @@
 
     def __init__(self, seat: Seat) -> None:
         self.seat = seat
-        self.term: Term | None = None
+        self.term: LeaseTerm | None = None
         self.takers: list[Took] = []
         self.writing: list[Wrote] = []
         self.queued: list[Wrote] = []
--- a/milletsill/fleet/peer_clocks.py
+++ b/milletsill/fleet/peer_clocks.py
@@ -21,7 +21,7 @@
     here: int
 
 
-class Clocks:
+class PeerClocks:
     """`drift`: how much faster or slower a clock may run, in parts of a thousand."""
 
     def __init__(self, drift: int) -> None:
--- a/milletsill/lab/hunt/again.py
+++ b/milletsill/lab/hunt/again.py
@@ -82,7 +82,7 @@
     secrets = Random(seed + 1)
     with (
         mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
-        mock.patch.object(acceptor_service, "Store", Kept),
+        mock.patch.object(acceptor_service, "AcceptorStore", Kept),
     ):
         return Again(seed, gateways).played(lost)
 
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -487,7 +487,7 @@
         secrets = Random(seed + 1)
         with (
             mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
-            mock.patch.object(acceptor_service, "Store", Kept),
+            mock.patch.object(acceptor_service, "AcceptorStore", Kept),
         ):
             world = self.world = FleetWorld(
                 seed, self.size(seed), **{"judges": self.judges(seed), **self.more}
--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -15,16 +15,16 @@
 from prometheus_client import CollectorRegistry
 
 from milletsill.fleet.health.health_sharing import Sharing
-from milletsill.fleet.leases.acceptor_recovery import Identity
+from milletsill.fleet.leases.acceptor_recovery import StateIdentity
 from milletsill.fleet.leases.acceptor_store import (
     TABLES,
-    Store,
+    AcceptorStore,
     checksum,
     put_identity,
     wire,
 )
 from milletsill.fleet.leases.blocking_worker import tried
-from milletsill.fleet.leases.lease_manager import Offices, Term
+from milletsill.fleet.leases.lease_manager import LeaseManager, LeaseTerm
 from milletsill.lab.fleet_clock import SECOND, Stand
 
 PERIOD, RIVALS = 5000, 9
@@ -47,10 +47,10 @@
         self.wait, self.full, self.copies = (
             20,
             False,
-            list[tuple[Identity, sqlite3.Connection]](),
+            list[tuple[StateIdentity, sqlite3.Connection]](),
         )
 
-    def copy(self, own: Identity) -> None:
+    def copy(self, own: StateIdentity) -> None:
         if self.base is not None:
             made = sqlite3.connect(":memory:", isolation_level=None)
             self.base.backup(made)
@@ -64,7 +64,7 @@
             self.base.execute(f"PRAGMA max_page_count={pages if full else 1 << 30}")
 
 
-class Kept(Store):
+class Kept(AcceptorStore):
     """The register's file, in memory."""
 
     disks: dict[str, Disk] = {}
@@ -77,12 +77,12 @@
         among: int = 0,
         doubted: bool = False,
         most_pages: int = 0,
-    ) -> Store:
+    ) -> AcceptorStore:
         disk = cls.disks[path]
         if disk.base is None:
             base = disk.base = sqlite3.connect(":memory:", isolation_level=None)
             state = wire.State(
-                own=put_identity(Identity(1, chance, 0)),
+                own=put_identity(StateIdentity(1, chance, 0)),
                 floor=0,
                 up=0,
                 doubted=doubted,
@@ -189,7 +189,7 @@
             world.disks[self.name],
         )
         self.own_chance = Random(self.chance.getrandbits(64))
-        self.terms: dict[str, Term] = {}
+        self.terms: dict[str, LeaseTerm] = {}
         self.writes: dict[str, int] = {}
         if world.judges:
             self.sharing = Sharing(
@@ -212,7 +212,7 @@
                 self.own_chance.random() * PERIOD / SECOND, self.sharing.start
             )
         if world.registers:
-            self.offices = Offices(
+            self.offices = LeaseManager(
                 self,
                 self.own_now,
                 self,
@@ -270,30 +270,30 @@
             if channel not in self.writes:
                 base = int.from_bytes(term.value or b"\0", "big")
                 self.writes[channel] = value = self.world.value(base)
-                term.busy = True
+                term.in_use = True
                 self.offices.write(
                     term,
                     value.to_bytes(8, "big"),
                     lambda fault: self.wrote(channel, term, value, fault),
                 )
                 if self.own_chance.random() < 0.05:
-                    self.offices.give_up(term)
-        elif self.offices.keeper_of(channel) == self.name or (
+                    self.offices.release(term)
+        elif self.offices.preferred_holder(channel) == self.name or (
             self.place < RIVALS and self.own_chance.random() < 0.05
         ):
-            self.offices.take(channel, lambda found: self.took(channel, found))
+            self.offices.acquire(channel, lambda found: self.took(channel, found))
 
     def took(self, channel: str, found: Any) -> None:
-        if isinstance(found, Term):
+        if isinstance(found, LeaseTerm):
             self.terms[channel] = found
             if self.offices.holds(found):
                 self.world.seated(
                     self, channel, int.from_bytes(found.value or b"\0", "big")
                 )
 
-    def wrote(self, channel: str, term: Term, value: int, fault: Any) -> None:
+    def wrote(self, channel: str, term: LeaseTerm, value: int, fault: Any) -> None:
         self.writes.pop(channel, None)
-        term.busy = False
+        term.in_use = False
         if fault is None:
             self.world.counted(self, channel, value)
 
@@ -303,7 +303,7 @@
 
     def register(self) -> Any:
         return (
-            self.offices.desk
+            self.offices.acceptor
             if self.world.registers and self.name in self.world.registers
             else None
         )
--- a/milletsill/lab/hunt/scale.py
+++ b/milletsill/lab/hunt/scale.py
@@ -40,7 +40,7 @@
     secrets, before = Random(seed), resident()
     with (
         mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
-        mock.patch.object(acceptor_service, "Store", Kept),
+        mock.patch.object(acceptor_service, "AcceptorStore", Kept),
     ):
         world = FleetWorld(seed, gateways, registers=5, users=20, judges=0, boxes=BOXES)
         world.acquaint()
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -69,13 +69,13 @@
 class Term:
     def __init__(self, ends: int, value: bytes, age: int, index: int) -> None:
         (
-            self.ends,
+            self.expires_at,
             self.value,
-            self.age,
+            self.value_age,
             self.index,
             self.over,
-            self.busy,
-            self.channel,
+            self.in_use,
+            self.key,
         ) = ends, value, age, index, False, False, KEY
 
 
@@ -141,19 +141,19 @@
 
     # Offices.
 
-    def keeper_of(self, key: str) -> str:
+    def preferred_holder(self, key: str) -> str:
         return ""
 
-    def take(self, key: str, then: Any) -> None:
+    def acquire(self, key: str, then: Any) -> None:
         self.pending.append(("take", (self.now(), then)))
 
     def write(self, term: Term, value: bytes, then: Any) -> None:
         self.pending.append(("write", (self.now(), term, value, then)))
 
     def holds(self, term: Term) -> bool:
-        return not term.over and self.now() < term.ends
+        return not term.over and self.now() < term.expires_at
 
-    def give_up(self, term: Term) -> None:
+    def release(self, term: Term) -> None:
         term.over = True
         if self.sea.holder == (self.name, self.run_number):
             self.sea.holder = ("", 0)
@@ -359,7 +359,7 @@
         if fate == "unheard":
             term.over = True
             return then(BallotSuperseded("unheard", KEY, 10))
-        term.ends = max(term.ends, sent + OFFICE * (1000 - DRIFT) // 1000)
+        term.expires_at = max(term.expires_at, sent + OFFICE * (1000 - DRIFT) // 1000)
         term.value = value
         then(None)
 
@@ -569,7 +569,7 @@
                         codec.put_record(held.line, 0),
                         held.line.dirty,
                         held.writing,
-                        held.term.ends,
+                        held.term.expires_at,
                         held.lost,
                         tuple(
                             (number, entry.phase.name, entry.rests, entry.hole)
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -17,9 +17,9 @@
     Span,
 )
 from milletsill.fleet.leases.acceptor_recovery import (
-    Identity,
+    StateIdentity,
     Joining,
-    Page,
+    SnapshotPage,
     Standing,
     Turn,
 )
@@ -45,7 +45,7 @@
     """What one gateway last heard of a register; also said unasked (a beat) as what the register itself is."""
 
     of: str
-    known: Identity | None
+    known: StateIdentity | None
 
 
 class Tell(NamedTuple):
@@ -66,11 +66,11 @@
         self.record: Record | None = None
         self.office: Office | None = None
         self.floor = 0
-        self.own = Identity(1, int(name[1:]), 0)
-        self.known: dict[str, Identity] = {}
+        self.own = StateIdentity(1, int(name[1:]), 0)
+        self.known: dict[str, StateIdentity] = {}
         self.joining: Joining | None = None  # none: whole
         self.doubted = False
-        self.copies: list[tuple[Record | None, int, Identity]] = []
+        self.copies: list[tuple[Record | None, int, StateIdentity]] = []
 
     def copy(self) -> Register:
         made = Register.__new__(Register)
@@ -117,7 +117,7 @@
 
     def __init__(self, called: str, nonce: int, span: Span, registers: int) -> None:
         self.seat = Seat(C, called, nonce, span, registers)
-        self.known: dict[str, Identity] = {}
+        self.known: dict[str, StateIdentity] = {}
 
     def copy(self) -> Keeper:
         made = Keeper.__new__(Keeper)
@@ -387,7 +387,7 @@
         if how == "older":
             heard = min(
                 (
-                    self.registers[each].known.get(name, Identity(0, 0, 0))
+                    self.registers[each].known.get(name, StateIdentity(0, 0, 0))
                     for each in others
                 ),
                 default=register.own,
@@ -403,7 +403,7 @@
             register.record, register.floor, register.own, register.known = (
                 None,
                 0,
-                Identity(1, self.nonce, 0),
+                StateIdentity(1, self.nonce, 0),
                 {},
             )
             register.doubted = False
@@ -485,8 +485,8 @@
             self.turn(register, joining.witnessed(sender, body.known, now))
         elif isinstance(body, Tell) and register.whole():
             records = ((C, register.record),) if register.record is not None else ()
-            self.fly(sender, register.name, Page(records, register.floor, True))
-        elif isinstance(body, Page) and joining is not None:
+            self.fly(sender, register.name, SnapshotPage(records, register.floor, True))
+        elif isinstance(body, SnapshotPage) and joining is not None:
             self.turn(register, joining.page(sender, "", body, 0, now))
 
     def exchange(self, name: str, reach: tuple[str, ...], back: bool = True) -> None:
--- a/milletsill/lab/model_checks/lease_model.py
+++ b/milletsill/lab/model_checks/lease_model.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from milletsill.fleet.leases import acceptor, acceptor_recovery
-from milletsill.fleet.leases.acceptor_recovery import Page
+from milletsill.fleet.leases.acceptor_recovery import SnapshotPage
 from milletsill.fleet.leases.lease_proposer import Seated
 from milletsill.lab.model_checks.lease_cluster import SPAN, Heard, Hello, Tell, World
 from milletsill.lab.model_checks.lease_mutation_checks import MUTANTS, without
@@ -113,7 +113,7 @@
             (
                 at
                 for at, each in enumerate(world.flying)
-                if isinstance(each.body, (Hello, Heard, Tell, Page))
+                if isinstance(each.body, (Hello, Heard, Tell, SnapshotPage))
             ),
             None,
         )
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -77,13 +77,13 @@
 
 def channels_of(edge: Any, seed: int) -> Channels:
     """A gateway's channels over its fleet, as its file has them."""
-    from milletsill.fleet.leases.lease_manager import Offices
+    from milletsill.fleet.leases.lease_manager import LeaseManager
 
     keeping = edge.file.fleet.channels
     silent = max(
         (round(each.silent_s * 10_000) for each in keeping.contract), default=0
     )
-    offices = Offices(
+    offices = LeaseManager(
         edge.reactor,
         edge.now,
         edge.fleet,
@@ -99,7 +99,7 @@
         silent=silent,
     )
     made = Channels(edge, edge.fleet, offices)
-    offices.others = made.heard
+    offices.on_other_message = made.heard
     return made
 
 
@@ -453,7 +453,11 @@
 
     def place(self, word: Word) -> None:
         """Here, where this gateway keeps the channel or should; else to the one that the view says."""
-        who = "" if self.keeper.keeps(word.key) else self.offices.keeper_of(word.key)
+        who = (
+            ""
+            if self.keeper.keeps(word.key)
+            else self.offices.preferred_holder(word.key)
+        )
         if who in ("", self.plane.name) or not self.ways.reachable(who):
             self.count("kept_here")
             return self.keeper.word(word)
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -102,10 +102,10 @@
 
     def gone(self, edge):
         """As after SIGKILL: no word to anybody, no office given up."""
-        edge.channels.offices.give_up = lambda term: None
-        for place in edge.channels.offices.places.values():
+        edge.channels.offices.release = lambda term: None
+        for place in edge.channels.offices.leases.values():
             if place.term is not None:
-                place.term.busy = True
+                place.term.in_use = True
         edge.stop()
 
     def keeper(self, key):
@@ -260,7 +260,7 @@
         edges = await rig.gateways()
         boat = await Boat.open(rig, edges[0])
         for each in edges:
-            each.channels.offices.take = lambda key, got: None
+            each.channels.offices.acquire = lambda key, got: None
             each.channels.offices.write = lambda term, value, wrote: None
         began = time.monotonic()
         write = packets.Write(0, boat.file, 8, b"00000001")
--- a/tests/fleet/leases/test_lease_manager.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -11,10 +11,10 @@
 
 from milletsill.fleet.leases import errors
 from milletsill.fleet.leases.acceptor import Ballot, Record, Span, Stamp
-from milletsill.fleet.leases.acceptor_recovery import Identity
+from milletsill.fleet.leases.acceptor_recovery import StateIdentity
 from milletsill.fleet.leases.blocking_worker import tried
-from milletsill.fleet.leases.lease_manager import Offices
-from milletsill.fleet.leases.lease_state import Term
+from milletsill.fleet.leases.lease_manager import LeaseManager
+from milletsill.fleet.leases.lease_state import LeaseTerm
 from milletsill.fleet.transport import Member, MemberState, View
 
 SPAN = Span()
@@ -87,7 +87,7 @@
     def start(self, name, **values):
         self.planes[name] = Wire(name, self)
         given = {"silent": 36_000_000, **self.values, **values}
-        self.offices[name] = Offices(
+        self.offices[name] = LeaseManager(
             self.clock,
             self.now,
             self.planes[name],
@@ -122,7 +122,7 @@
 
     def take(self, name, channel="c", seconds=0.5):
         got = []
-        self.offices[name].take(channel, got.append)
+        self.offices[name].acquire(channel, got.append)
         self.go(seconds)
         return got[0]
 
@@ -160,15 +160,15 @@
         later = net.take("y")
         self.assertEqual(later.value, b"2")
         self.assertLessEqual(
-            net.now() - made - 5000, later.age
+            net.now() - made - 5000, later.value_age
         )  # it was had half a second ago
-        self.assertLess(later.age, net.now() - made + 2000)
+        self.assertLess(later.value_age, net.now() - made + 2000)
 
     def test_an_office_is_taken_written_under_and_handed_over(self):
         net = self.net()
         term = net.take("x")
         self.assertEqual(
-            (term.value, term.age, net.offices["x"].holds(term)), (b"", 0, True)
+            (term.value, term.value_age, net.offices["x"].holds(term)), (b"", 0, True)
         )
         self.assertEqual(net.write("x", term, b"1", b"2", b"3"), [None] * 3)
         self.assertEqual(term.value, b"3")
@@ -176,18 +176,18 @@
         self.assertIsInstance(refused, errors.NotLeaseHolder)
         self.assertEqual(refused.who, "x")
         self.assertLessEqual(refused.pause, SPAN.refused())
-        net.offices["x"].give_up(term)
+        net.offices["x"].release(term)
         self.assertFalse(net.offices["x"].holds(term))
         later = net.take("y")
         self.assertEqual(later.value, b"3")
-        self.assertTrue(5_000 <= later.age <= 15_000)
+        self.assertTrue(5_000 <= later.value_age <= 15_000)
         self.assertIsInstance(net.write("x", term, b"4")[0], errors.LeaseNotHeld)
 
     def test_a_busy_term_is_renewed_an_idle_one_lapses_and_is_taken_after_it(self):
         net = self.net()
         term = net.take("x")
         net.write("x", term, b"1")
-        term.busy = True
+        term.in_use = True
         net.go(6)
         self.assertTrue(net.offices["x"].holds(term))
         self.assertIsInstance(net.take("y"), errors.NotLeaseHolder)
@@ -249,9 +249,9 @@
                 net.start("r1")
                 net.go(0.5)
                 self.assertIn(("r1", error), net.lines)
-                self.assertEqual(net.offices["r1"].desk.whole(), how == "kept")
+                self.assertEqual(net.offices["r1"].acceptor.whole(), how == "kept")
                 net.go(3)
-                self.assertTrue(net.offices["r1"].desk.whole())
+                self.assertTrue(net.offices["r1"].acceptor.whole())
                 net.cut.add("r0")  # r1 counts again, and has what was written
                 while isinstance(got := net.take("y"), errors.CoordinationError):
                     net.go(0.2)
@@ -271,9 +271,9 @@
         self.assertIsInstance(
             net.write("x", terms[11], b"y" * 6000)[0], errors.QuorumNotReached
         )
-        net.offices["r0"].desk.store.base.execute("PRAGMA max_page_count=1000")
+        net.offices["r0"].acceptor.store.base.execute("PRAGMA max_page_count=1000")
         net.go(3)
-        self.assertIsInstance(net.take("x", "c11"), Term)
+        self.assertIsInstance(net.take("x", "c11"), LeaseTerm)
 
     def test_bounds_and_what_is_silent(self):
         net = self.net(most=3, silent=50_000)
@@ -289,17 +289,18 @@
         )
         net.go(8)
         got = net.take("y", "c3")
-        self.assertIsInstance(got, Term)
+        self.assertIsInstance(got, LeaseTerm)
         self.assertGreater(got.ballot.round, term.ballot.round)  # the floor
         self.assertIsInstance(net.take("y", "\udc80"), errors.ResourceLimitReached)
         net.offices["x"].heard("y", 1, b"Rnonsense")
         self.assertIn(("x", "MalformedFrame"), net.lines)
         heard = []
-        net.offices["x"].others = lambda *what: heard.append(what)
+        net.offices["x"].on_other_message = lambda *what: heard.append(what)
         net.offices["x"].heard("y", 1, b"Cours")
         self.assertEqual(heard, [("y", 1, b"Cours")])
         self.assertEqual(
-            net.offices["x"].keeper_of("c1"), net.offices["y"].keeper_of("c1")
+            net.offices["x"].preferred_holder("c1"),
+            net.offices["y"].preferred_holder("c1"),
         )
 
     def test_other_terms_are_declined_and_other_registers_need_an_order(self):
@@ -313,21 +314,22 @@
         net.start("r0", names=("r0", "r1", "x"))
         net.go(3)
         self.assertIn(("r0", "AcceptorSetChanged"), net.lines)
-        self.assertFalse(net.offices["r0"].desk.whole())
+        self.assertFalse(net.offices["r0"].acceptor.whole())
         net.stop("r0")
         Path(net.path("r0") + ".go-on").touch()
         net.start("r0", names=("r0", "r1", "x"))
         net.go(0.1)
         self.assertIn(("r0", "register_ordered"), net.lines)
-        self.assertTrue(net.offices["r0"].desk.whole())
+        self.assertTrue(net.offices["r0"].acceptor.whole())
         self.assertFalse(os.path.exists(net.path("r0") + ".go-on"))
 
     def test_an_older_state_shows_while_the_register_runs(self):
         net = self.net()
         net.write("x", net.take("x"), b"1")
-        desk = net.offices["r0"].desk
+        desk = net.offices["r0"].acceptor
         desk.witnessed(
-            "y", Identity(desk.own().age, desk.own().chance, desk.own().generation + 5)
+            "y",
+            StateIdentity(desk.own().age, desk.own().chance, desk.own().generation + 5),
         )
         self.assertFalse(desk.whole())
         self.assertIn(("r0", "AcceptorStateRolledBack"), net.lines)
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -25,8 +25,8 @@
     loaded,
     register,
 )
-from milletsill.fleet.leases.acceptor_recovery import Page
-from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.fleet.leases.acceptor_recovery import SnapshotPage
+from milletsill.fleet.leases.acceptor_store import AcceptorStore
 from milletsill.lab.model_checks import lease_model, lease_mutation_checks
 
 SPAN = Span()
@@ -150,7 +150,7 @@
             Answer(Ask.PREPARE, "c", A, 0, Say.YES),
         ):
             self.assertEqual(codec.get_answer("a", codec.put_answer(answer)), answer)
-        page = Page(
+        page = SnapshotPage(
             (
                 ("c", Record(A, Stamp(A, 1), b"v", 0, True)),
                 ("d", Record(B, UNWRITTEN, b"", 0)),
@@ -190,7 +190,7 @@
         self.path = os.path.join(folder.name, "state", "register.sqlite")
 
     def opened(self, path=None, **values):
-        store = Store.opened(path or self.path, 7, **values)
+        store = AcceptorStore.opened(path or self.path, 7, **values)
         self.addCleanup(store.close)
         return store
 
@@ -254,7 +254,7 @@
             {f"c{each}": record(each, b"x" * 900) for each in range(1, 60)}, 1, more=59
         )
         self.assertRaises(
-            errors.AcceptorStateUnusable, Store.opened, self.path, 7
+            errors.AcceptorStateUnusable, AcceptorStore.opened, self.path, 7
         )  # a second process
         store.close()
         data = Path(self.path).read_bytes()
@@ -271,7 +271,7 @@
         ]:
             Path(self.path).write_bytes(bad)
             with self.assertRaises(error) as caught:
-                Store.opened(self.path, 7)
+                AcceptorStore.opened(self.path, 7)
             self.assertTrue(caught.exception.remedy)
 
     def test_a_full_disk_changes_nothing_and_room_mends_it(self):
@@ -293,8 +293,8 @@
 
     def test_what_was_acknowledged_is_there_after_a_kill(self):
         code = (
-            "import sys; sys.path.insert(0, '.')\nfrom tests.fleet.leases.test_leases import Store, record\n"
-            "store = Store.opened(sys.argv[1], 7)\n"
+            "import sys; sys.path.insert(0, '.')\nfrom tests.fleet.leases.test_leases import AcceptorStore, record\n"
+            "store = AcceptorStore.opened(sys.argv[1], 7)\n"
             "for number in range(1, 100000):\n    store.commit({f'c{number % 50}': record(number)}, number)\n    print(number, flush=True)"
         )
         run = subprocess.Popen(
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -30,8 +30,8 @@
 from milletsill.fleet.leases import acceptor_service, lease_manager
 from milletsill.fleet.leases import codec as registers
 from milletsill.fleet.leases import registers_pb2 as wire
-from milletsill.fleet.leases.acceptor_recovery import Identity
-from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.fleet.leases.acceptor_recovery import StateIdentity
+from milletsill.fleet.leases.acceptor_store import AcceptorStore
 from milletsill.fleet.membership.effects import SendMessage
 from milletsill.fleet.membership.failure_detector import Terms
 from milletsill.fleet.membership.membership import Membership
@@ -122,11 +122,11 @@
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
             shutil.copy(os.path.join(HERE, "register-1.sqlite"), path)
-            store = Store.opened(path, 1)
+            store = AcceptorStore.opened(path, 1)
             self.addCleanup(store.close)
             self.assertEqual(
                 (store.read("v/c"), store.floor, store.own),
-                (made.RECORD, 11, Identity(1, 77, 1)),
+                (made.RECORD, 11, StateIdentity(1, 77, 1)),
             )
             self.assertEqual(store.known, {"gateway-2": made.IDENTITY})
 
@@ -252,7 +252,7 @@
         secrets = Random(3)
         with (
             mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
-            mock.patch.object(acceptor_service, "Store", Kept),
+            mock.patch.object(acceptor_service, "AcceptorStore", Kept),
         ):
             world = Mixed(2)
             steps = [
--- a/tests/lab/test_planted_faults.py
+++ b/tests/lab/test_planted_faults.py
@@ -31,8 +31,8 @@
         offices = SimpleNamespace(
             holds=lambda term: True,
             write=lambda term, value, wrote: wrote(None),
-            take=lambda key, got: got(
-                SimpleNamespace(value=b"", ends=1 << 40, busy=False)
+            acquire=lambda key, got: got(
+                SimpleNamespace(value=b"", expires_at=1 << 40, in_use=False)
             ),
         )
         book = Book([(Contract("c", 1, order), frozenset(["v"]), frozenset(), False)])
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -5,7 +5,7 @@
 import tempfile
 import unittest
 
-from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.fleet.leases.acceptor_store import AcceptorStore
 from milletsill.planner import epoch_store
 from milletsill.sftp_gateway.incarnation import next_incarnation
 from tests.fixtures import make_octets, make_wire
@@ -64,7 +64,7 @@
 
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
-            Store.opened(path, 77).close()
+            AcceptorStore.opened(path, 77).close()
             self.assertEqual(
                 tables(path), tables(os.path.join(HERE, "register-1.sqlite"))
             )
