--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -54,6 +54,8 @@
 
     from milletsill.errors import MilletsillError
     from milletsill.fleet.leases.lease_manager import LeaseManager
+    from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+    from milletsill.fleet.leases.timings import LeaseTimings
     from milletsill.fleet.service import Fleet
     from milletsill.settings.milletsill_pb2 import FleetLink
 
@@ -80,19 +82,15 @@
     )
     fleet.start()
     offices = LeaseManager(
-        reactor,
-        now,
-        fleet,
-        [f"g{each}" for each in range(given.registers)],
-        2 * SECOND,
-        5,
-        3000,
-        100_000,
-        os.path.join(given.folder, f"g{number}.sqlite"),
-        number,
-        quiet,
-        registry,
-        silent=SILENT,
+        LeaseSettings(
+            acceptors=tuple(f"g{each}" for each in range(given.registers)),
+            timings=LeaseTimings(2 * SECOND, 3000, 5),
+            max_leases=100_000,
+            idle_after=SILENT,
+            store_path=os.path.join(given.folder, f"g{number}.sqlite"),
+            seed=number,
+        ),
+        LeaseEnvironment(reactor, now, fleet, quiet, registry),
     )
     took: list[float] = []
     faults: dict[str, int] = {}
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -137,9 +137,9 @@
             if forward.held  # it has the rest
             else put_word(word, forward.id, left_ms, forward.hops)
         )
-        there = self.clocks.there(forward.to, word.ends - MARGIN, now)
+        there = self.clocks.to_remote(forward.to, word.ends - MARGIN, now)
         if there is not None:
-            ask.until.whose, ask.until.at = there[0], max(there[1], 0)
+            ask.until.whose, ask.until.at = there.clock_id, max(there.reading, 0)
         if not self.plane.send(forward.to, MessageKind.CHANNEL, self.said(ask=ask)):
             return self.away(forward)
         forward.alarm = self.reactor.callLater(
@@ -243,7 +243,7 @@
         if envelope is None:
             return None
         if envelope.HasField("clock") and envelope.clock.IsInitialized():
-            self.clocks.heard(
+            self.clocks.on_reading(
                 member, envelope.clock.whose, envelope.clock.at, self.now()
             )
         if envelope.HasField("reply") and envelope.reply.IsInitialized():
--- a/milletsill/fleet/leases/__init__.py
+++ b/milletsill/fleet/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Who keeps a channel, and its record at a majority of registers. docs/channels.md, "Registers and offices"."""
+"""A lease service over replicated records: one holder a lease, and what it wrote."""
--- a/milletsill/fleet/leases/acceptor.py
+++ b/milletsill/fleet/leases/acceptor.py
@@ -1,301 +1,355 @@
-"""Who keeps a channel and what its record is: ballots, promises, offices. No I/O and no clock; time is passed in.
+"""What one acceptor does with one request for one lease. No I/O and no clock.
 
-In short (docs/channels.md, "Registers and offices", has the argument). The record is safe by ballots alone: a register never goes
-below a ballot that it promised, a write counts once a majority accepted it, and a new keeper reads a majority and writes again what
-not all of them held. Clocks say one thing only: for how long nobody else can have become keeper. A keeper counts its office from
-when it SENT what a majority granted, less drift; a register refuses others from when it GOT that, plus drift. `standing.py` says
-when a register that has started may answer at all.
-
-Times are whole tenths of a millisecond of the clock of whoever decides.
+An acceptor keeps, for each lease, a record on disk and a grant in memory. The record
+is safe by ballots alone; the grant says until when other gateways are refused.
+docs/registers.md has the argument. `acceptor_recovery` says when an acceptor that has
+just started may answer at all.
 """
 
 from __future__ import annotations
 
-from enum import Enum
-from typing import NamedTuple
+from dataclasses import dataclass, replace
+from enum import Enum, auto
 
-SECOND = 10_000
-GUARD = 200  # a term is over this much before its end: a send that was decided just before may still be on its way out
-TRIES = (
-    3  # ballots that are tried in one taking where only a higher one stands in the way
+from milletsill.fleet.leases.ballot import UNWRITTEN, Ballot, RecordVersion
+from milletsill.fleet.leases.messages import (
+    UNKNOWN,
+    AcceptorReply,
+    AcceptorRequest,
+    ReplyStatus,
+    RequestKind,
 )
-AGAIN = 0.5  # of a call's span: registers without an answer are told once more
-RENEW = 0.5  # of an office: a busy term is renewed
-PAUSE = (
-    500,
-    3000,
-)  # to come back after an outvoted ballot: by chance in between, so that two do not meet again and again
-MOST_NAME, MOST_VALUE = 255, 16_384  # bytes of a channel's name, of a record
-
-
-class Ballot(NamedTuple):
-    """Ordered, and never used twice: `nonce` is chance of one start of one gateway."""
-
-    round: int
-    name: str
-    nonce: int
+from milletsill.fleet.leases.timings import LeaseTimings
 
-    def same_holder(self, other: Ballot) -> bool:
-        return self.name == other.name and self.nonce == other.nonce
 
+@dataclass(frozen=True, slots=True)
+class LeaseRecord:
+    """What an acceptor has on disk of one lease before it answers.
 
-class Stamp(NamedTuple):
-    """Of one write: the ballot, and the number of the write under it."""
-
-    ballot: Ballot
-    index: int
+    Attributes:
+        promised: The highest ballot that was promised.
+        version: The last write.
+        value: What was written.
+        written_at: The acceptor's uptime at the last change, in ticks.
+        is_copied: The write was not accepted here but copied from another acceptor
+            during recovery: it is read, but is no vote.
+    """
 
+    promised: Ballot
+    version: RecordVersion
+    value: bytes
+    written_at: int
+    is_copied: bool = False
 
-NOBODY = Ballot(0, "", 0)
-UNWRITTEN = Stamp(NOBODY, 0)
-UNKNOWN = -1  # an age, or a time, that nobody can tell
-JUST_NOW = (
-    1 << 62
-)  # of a caller of an earlier version, which does not say when its value was made
-Ask = Enum("Ask", "PREPARE ACCEPT RELEASE")
-Say = Enum("Say", "YES LOWER HELD AWAY")
 
+@dataclass(frozen=True, slots=True)
+class LeaseGrant:
+    """What an acceptor has only in memory of one lease.
 
-class Call(NamedTuple):
-    """To each register. `value` is of an ACCEPT, `index` its number under the ballot, `fresh` for one that is new and not only
-    written again. A PREPARE of a ballot that stands is a renewal, and `index` its number. `born`: when the value was made, at the
-    earliest, on the clock of who has the call.
+    Attributes:
+        until: Until when other gateways are refused, in ticks.
+        is_released: The holder released the lease before its end.
+        value_since: Since when the record has its value, in ticks of the acceptor's
+            clock; None where a former incarnation accepted it.
+        is_original: The value was new in the last write.
     """
 
-    ask: Ask
-    channel: str
-    ballot: Ballot
-    index: int = 0
-    value: bytes = b""
-    fresh: bool = False
-    born: int = JUST_NOW
+    until: int
+    is_released: bool = False
+    value_since: int | None = None
+    is_original: bool = False
 
 
-class Answer(NamedTuple):
-    """To a call, whose first four fields it repeats. A YES to a PREPARE has what was accepted and how long ago; a LOWER and a
-    HELD have the round that was promised; HELD and AWAY say when to come back, HELD also who holds it.
-    """
+@dataclass(frozen=True, slots=True)
+class LeaseState:
+    """What an acceptor knows of one lease when a request comes.
 
-    ask: Ask
-    channel: str
-    ballot: Ballot
-    index: int
-    say: Say
-    stamp: Stamp = UNWRITTEN
-    value: bytes = b""
-    aged: int = UNKNOWN
-    round: int = 0
-    pause: int = 0
-    who: str = ""
-    told: bool = False
-    fresh: bool = False
-
-
-class Span(NamedTuple):
-    """How long things last, the same at all gateways: an office, a call, and how much a clock's rate may be wrong, in parts of a
-    thousand.
+    Attributes:
+        record: None for a lease that it has no record of.
+        grant: None where nothing was granted; `grant_after_restart` for a record that
+            a former incarnation wrote.
+        ballot_floor: The highest round of all records that were removed.
     """
 
-    office: int = 2 * SECOND
-    call: int = 3_000
-    drift: int = 5
-
-    def kept(self) -> int:
-        """A keeper counts on its office for this long from the send."""
-        return self.office * (1000 - self.drift) // 1000 - GUARD
-
-    def refused(self) -> int:
-        """A register refuses others for this long from the receipt."""
-        return -(-self.office * (1000 + self.drift) // 1000)
-
-    def elsewhere(self, span: int) -> int:
-        """The most that a span on one clock takes on another."""
-        return -(-span * (1000 + self.drift) // (1000 - self.drift))
+    record: LeaseRecord | None
+    grant: LeaseGrant | None
+    ballot_floor: int
 
-    def rest(self) -> int:
-        """After this all is over that a former self may have granted, and each call that it may have answered."""
-        return self.elsewhere(max(self.office, self.call))
 
+class BallotRank(Enum):
+    """A request's ballot against what was promised.
 
-def majority(registers: int) -> int:
-    """Any two of this size have a register in common."""
-    return registers // 2 + 1
+    SUPERSEDED is a write older than one under the same ballot.
+    """
 
+    LOWER = auto()
+    SAME = auto()
+    HIGHER = auto()
+    SUPERSEDED = auto()
 
-# --- The register: one channel's record, one call.
 
+class GrantState(Enum):
+    """Who has the lease, seen from the requester."""
 
-class Record(NamedTuple):
-    """What is on disk before any answer. `touched` is the register's time of being up at the last write. `told`: the write was not
-    accepted here, another register told of it while this one caught up: it is read, but is no vote.
-    """
+    FREE = auto()
+    OWN = auto()
+    OTHER = auto()
+    RELEASED = auto()
 
-    promised: Ballot
-    stamp: Stamp
-    value: bytes
-    touched: int
-    told: bool = False
 
+class AcceptorAction(Enum):
+    """What an acceptor does with a request."""
 
-class Office(NamedTuple):
-    """What is only in memory: until when others are refused, whether its holder gave it up before, and since when the record's
-    value stands, on the register's clock; none where a former self took it. `fresh`: it came with the write that it was new in.
-    """
+    PROMISE = auto()
+    RENEW = auto()
+    ACCEPT = auto()
+    RELEASE = auto()
+    REJECT_BALLOT = auto()
+    REJECT_HELD = auto()
+    IGNORE = auto()
 
-    until: int
-    given_up: bool = False
-    since: int | None = None
-    fresh: bool = False
 
+_NOT_HELD_BY_OTHER = (GrantState.FREE, GrantState.OWN, GrantState.RELEASED)
+_ANSWERED = (RequestKind.PREPARE, RequestKind.ACCEPT)
 
-Rank = Enum("Rank", "LOWER SAME HIGHER PASSED")
-Hold = Enum("Hold", "FREE OWN OTHER GIVEN_UP")
-Deed = Enum("Deed", "PROMISE RENEW ACCEPT GIVE_UP SAY_LOWER SAY_HELD NOTHING")
-# (call, its ballot against the promise, the office) -> what the register does. PASSED: a write older than one under that ballot.
-REGISTER: dict[tuple[Ask, Rank, Hold], Deed] = {
+# What is not in the table is ignored.
+ACCEPTOR_TABLE: dict[tuple[RequestKind, BallotRank, GrantState], AcceptorAction] = {
     **{
-        (ask, rank, hold): Deed.NOTHING for ask in Ask for rank in Rank for hold in Hold
+        (kind, rank, GrantState.OTHER): AcceptorAction.REJECT_HELD
+        for kind in _ANSWERED
+        for rank in (BallotRank.LOWER, BallotRank.HIGHER)
     },
     **{
-        (ask, rank, Hold.OTHER): Deed.SAY_HELD
-        for ask in (Ask.PREPARE, Ask.ACCEPT)
-        for rank in (Rank.LOWER, Rank.HIGHER)
+        (kind, BallotRank.LOWER, grant): AcceptorAction.REJECT_BALLOT
+        for kind in _ANSWERED
+        for grant in _NOT_HELD_BY_OTHER
     },
     **{
-        (ask, Rank.LOWER, hold): Deed.SAY_LOWER
-        for ask in (Ask.PREPARE, Ask.ACCEPT)
-        for hold in Hold
-        if hold is not Hold.OTHER
+        (RequestKind.PREPARE, BallotRank.HIGHER, grant): AcceptorAction.PROMISE
+        for grant in _NOT_HELD_BY_OTHER
     },
     **{
-        (Ask.PREPARE, Rank.HIGHER, hold): Deed.PROMISE
-        for hold in Hold
-        if hold is not Hold.OTHER
+        (RequestKind.ACCEPT, BallotRank.HIGHER, grant): AcceptorAction.ACCEPT
+        for grant in _NOT_HELD_BY_OTHER
     },
     **{
-        (Ask.ACCEPT, Rank.HIGHER, hold): Deed.ACCEPT
-        for hold in Hold
-        if hold is not Hold.OTHER
+        (RequestKind.PREPARE, BallotRank.SAME, grant): AcceptorAction.RENEW
+        for grant in GrantState
     },
-    **{(Ask.PREPARE, Rank.SAME, hold): Deed.RENEW for hold in Hold},
-    **{(Ask.ACCEPT, Rank.SAME, hold): Deed.ACCEPT for hold in Hold},
-    **{(Ask.RELEASE, Rank.SAME, hold): Deed.GIVE_UP for hold in Hold},
-    # What was given up is over, also for what was sent before and comes late.
     **{
-        (ask, Rank.SAME, Hold.GIVEN_UP): Deed.SAY_LOWER
-        for ask in (Ask.PREPARE, Ask.ACCEPT)
+        (RequestKind.ACCEPT, BallotRank.SAME, grant): AcceptorAction.ACCEPT
+        for grant in GrantState
+    },
+    **{
+        (RequestKind.RELEASE, BallotRank.SAME, grant): AcceptorAction.RELEASE
+        for grant in GrantState
+    },
+    # A released ballot is over, also for what was sent before and comes late.
+    **{
+        (kind, BallotRank.SAME, GrantState.RELEASED): AcceptorAction.REJECT_BALLOT
+        for kind in _ANSWERED
     },
 }
 
 
-def rank(record: Record | None, floor: int, call: Call) -> Rank:
-    """A channel without a record counts as promised up to the floor: the highest round of those that were forgotten."""
+@dataclass(frozen=True, slots=True)
+class AcceptorOutcome:
+    """What a request came to.
+
+    Attributes:
+        record: The record afterwards; the same object where nothing changed.
+        grant: The grant afterwards.
+        reply: None where nothing is said.
+    """
+
+    record: LeaseRecord | None
+    grant: LeaseGrant | None
+    reply: AcceptorReply | None
+
+
+def rank_ballot(
+    record: LeaseRecord | None, ballot_floor: int, request: AcceptorRequest
+) -> BallotRank:
+    """Compare a request's ballot with what was promised.
+
+    A lease without a record counts as promised up to the floor.
+    """
     if record is None:
-        return Rank.HIGHER if call.ballot.round > floor else Rank.LOWER
-    if call.ballot != record.promised:
-        return Rank.HIGHER if call.ballot > record.promised else Rank.LOWER
-    if call.ask is Ask.ACCEPT and (call.ballot, call.index) < record.stamp:
-        return Rank.PASSED
-    return Rank.SAME
-
-
-def hold(record: Record | None, office: Office | None, call: Call, now: int) -> Hold:
-    """Who has the office, from the caller's side."""
-    if record is None or office is None:
-        return Hold.FREE
-    if office.given_up:
-        return Hold.GIVEN_UP
-    if call.ballot.same_holder(record.promised):
-        return Hold.OWN
-    return Hold.FREE if now >= office.until else Hold.OTHER
-
-
-class Done(NamedTuple):
-    """What a call came to: record and office afterwards (the same objects where nothing changed), and what to say."""
-
-    record: Record | None
-    office: Office | None
-    answer: Answer | None
-
-
-def register(
-    record: Record | None,
-    office: Office | None,
-    floor: int,
-    call: Call,
+        is_above = request.ballot.round > ballot_floor
+        return BallotRank.HIGHER if is_above else BallotRank.LOWER
+    if request.ballot != record.promised:
+        is_above = request.ballot > record.promised
+        return BallotRank.HIGHER if is_above else BallotRank.LOWER
+    is_write = request.kind is RequestKind.ACCEPT
+    if is_write and (request.ballot, request.index) < record.version:
+        return BallotRank.SUPERSEDED
+    return BallotRank.SAME
+
+
+def grant_state(
+    record: LeaseRecord | None,
+    grant: LeaseGrant | None,
+    request: AcceptorRequest,
+    now: int,
+) -> GrantState:
+    """Return who has the lease, seen from the requester."""
+    if record is None or grant is None:
+        return GrantState.FREE
+    if grant.is_released:
+        return GrantState.RELEASED
+    if request.ballot.same_holder(record.promised):
+        return GrantState.OWN
+    return GrantState.FREE if now >= grant.until else GrantState.OTHER
+
+
+def handle_request(
+    state: LeaseState,
+    request: AcceptorRequest,
     now: int,
-    up: int,
-    span: Span,
-) -> Done:
-    """One call at one register. `up` is its time of being up; `office` of a record that was just read from disk is `loaded`."""
-    deed = REGISTER[
-        call.ask, rank(record, floor, call), hold(record, office, call, now)
-    ]
-    head = (call.ask, call.channel, call.ballot, call.index)
-    if deed is Deed.NOTHING:
-        return Done(record, office, None)
-    if deed is Deed.GIVE_UP:
-        return Done(
-            record, (office or Office(now))._replace(until=now, given_up=True), None
-        )
-    if deed in (Deed.SAY_LOWER, Deed.SAY_HELD):
-        known = floor if record is None else record.promised.round
-        if deed is Deed.SAY_LOWER or record is None or office is None:
-            return Done(record, office, Answer(*head, Say.LOWER, round=known))
-        return Done(
-            record,
-            office,
-            Answer(
-                *head,
-                Say.HELD,
-                round=known,
-                pause=office.until - now,
-                who=record.promised.name,
-            ),
-        )
-    since, fresh = (office.since, office.fresh) if office is not None else (None, False)
-    if deed is Deed.ACCEPT:
-        stamp = Stamp(call.ballot, call.index)
-        if record is None or record.stamp != stamp or record.told:
-            fresh = call.fresh and (record is None or record.value != call.value)
-            if (
-                record is None or record.value != call.value
-            ):  # what was there already is no younger for it
-                # Guards a ticket's window against a write that lay on its way: what the value says of times counts from its making,
-                # not from its coming. Harm: where nobody can tell, what is out in it stays unsure.
-                since = (
-                    min(call.born, now) if call.fresh and call.born != UNKNOWN else None
-                )
-            record = Record(call.ballot, stamp, call.value, up)
-        return Done(
-            record,
-            Office(now + span.refused(), False, since, fresh),
-            Answer(*head, Say.YES),
-        )
-    if deed is Deed.PROMISE:
-        record = (
-            Record(call.ballot, UNWRITTEN, b"", up)
-            if record is None
-            else record._replace(promised=call.ballot, touched=up)
-        )
-    assert record is not None
-    aged = 0 if record.stamp == UNWRITTEN else UNKNOWN if since is None else now - since
-    answer = Answer(
-        *head, Say.YES, record.stamp, record.value, aged, told=record.told, fresh=fresh
+    uptime: int,
+    timings: LeaseTimings,
+) -> AcceptorOutcome:
+    """Decide one request at one acceptor.
+
+    Args:
+        state: What the acceptor knows of the lease.
+        request: What is asked.
+        now: The acceptor's clock, in ticks.
+        uptime: For how long the acceptor was up over all its incarnations, in ticks.
+        timings: How long leases last.
+    """
+    record = state.record
+    grant = state.grant
+    rank = rank_ballot(record, state.ballot_floor, request)
+    held = grant_state(record, grant, request, now)
+    action = ACCEPTOR_TABLE.get((request.kind, rank, held), AcceptorAction.IGNORE)
+    if action is AcceptorAction.ACCEPT:
+        return _accept(state, request, now, uptime, timings)
+    if action is AcceptorAction.PROMISE or action is AcceptorAction.RENEW:
+        is_new = action is AcceptorAction.PROMISE
+        promised = _promised(record, request.ballot, uptime) if is_new else record
+        assert promised is not None
+        return _grant_read(promised, grant, request, now, timings)
+    if action is AcceptorAction.RELEASE:
+        ended = replace(grant or LeaseGrant(now), until=now, is_released=True)
+        return AcceptorOutcome(record, ended, None)
+    if action is AcceptorAction.IGNORE:
+        return AcceptorOutcome(record, grant, None)
+    is_held = action is AcceptorAction.REJECT_HELD
+    return AcceptorOutcome(record, grant, _rejection(state, request, now, is_held))
+
+
+def _accept(
+    state: LeaseState,
+    request: AcceptorRequest,
+    now: int,
+    uptime: int,
+    timings: LeaseTimings,
+) -> AcceptorOutcome:
+    record = state.record
+    grant = state.grant
+    value_since = None if grant is None else grant.value_since
+    is_original = False if grant is None else grant.is_original
+    version = RecordVersion(request.ballot, request.index)
+    if record is None or record.version != version or record.is_copied:
+        has_new_value = record is None or record.value != request.value
+        is_original = request.is_original and has_new_value
+        # What was there already is no younger for being written again.
+        if has_new_value:
+            value_since = _creation_time(request, now)
+        record = LeaseRecord(request.ballot, version, request.value, uptime)
+    granted = LeaseGrant(
+        now + timings.acceptor_duration(), False, value_since, is_original
     )
-    return Done(record, Office(now + span.refused(), False, since, fresh), answer)
+    reply = AcceptorReply.to_request(request, ReplyStatus.GRANTED)
+    return AcceptorOutcome(record, granted, reply)
+
 
+def _creation_time(request: AcceptorRequest, now: int) -> int | None:
+    """Return since when a new value stands, None where nobody can tell.
 
-def loaded(born: int, span: Span) -> Office:
-    """The office of a record that a former self wrote: it may have granted it just before it ended."""
-    return Office(born + span.refused())
+    Guards an idempotency key's retry window against a write that was long on its way:
+    what the value says of times counts from its making, not from its coming. Harm:
+    where nobody can tell, what is out in it stays indeterminate.
+    """
+    if not request.is_original or request.created_at == UNKNOWN:
+        return None
+    return min(request.created_at, now)
 
 
-def forgettable(record: Record, up: int, silent: int) -> bool:
-    """Whether a channel was silent for so long that its record may go; its round goes into the floor."""
-    return up - record.touched >= silent
+def _promised(record: LeaseRecord | None, ballot: Ballot, uptime: int) -> LeaseRecord:
+    if record is None:
+        return LeaseRecord(ballot, UNWRITTEN, b"", uptime)
+    return replace(record, promised=ballot, written_at=uptime)
 
 
-def raised(floor: int, record: Record) -> int:
-    """The floor once a record is forgotten: what its ballots refused stays refused."""
-    return max(floor, record.promised.round)
+def _grant_read(
+    record: LeaseRecord,
+    grant: LeaseGrant | None,
+    request: AcceptorRequest,
+    now: int,
+    timings: LeaseTimings,
+) -> AcceptorOutcome:
+    """Grant the lease and say what was written last."""
+    value_since = None if grant is None else grant.value_since
+    is_original = False if grant is None else grant.is_original
+    if record.version == UNWRITTEN:
+        value_age = 0
+    else:
+        value_age = UNKNOWN if value_since is None else now - value_since
+    reply = AcceptorReply(
+        request.kind,
+        request.key,
+        request.ballot,
+        request.index,
+        ReplyStatus.GRANTED,
+        record.version,
+        record.value,
+        value_age,
+        is_copied=record.is_copied,
+        is_original=is_original,
+    )
+    granted = LeaseGrant(
+        now + timings.acceptor_duration(), False, value_since, is_original
+    )
+    return AcceptorOutcome(record, granted, reply)
+
+
+def _rejection(
+    state: LeaseState, request: AcceptorRequest, now: int, is_held: bool
+) -> AcceptorReply:
+    record = state.record
+    grant = state.grant
+    floor = state.ballot_floor
+    reply = AcceptorReply.to_request(request, ReplyStatus.BALLOT_TOO_LOW)
+    if record is None or grant is None or not is_held:
+        promised_round = floor if record is None else record.promised.round
+        return replace(reply, promised_round=promised_round)
+    return replace(
+        reply,
+        status=ReplyStatus.LEASE_HELD,
+        promised_round=record.promised.round,
+        retry_after=grant.until - now,
+        holder=record.promised.gateway,
+    )
+
+
+def grant_after_restart(started_at: int, timings: LeaseTimings) -> LeaseGrant:
+    """Return the grant of a record that a former incarnation wrote.
+
+    It may have granted the lease just before it ended.
+    """
+    return LeaseGrant(started_at + timings.acceptor_duration())
+
+
+def is_removable(record: LeaseRecord, uptime: int, idle_after: int) -> bool:
+    """Whether a lease was unused for so long that its record may be removed."""
+    return uptime - record.written_at >= idle_after
+
+
+def raise_ballot_floor(ballot_floor: int, record: LeaseRecord) -> int:
+    """Return the floor once a record is removed.
+
+    What its ballot refused stays refused.
+    """
+    return max(ballot_floor, record.promised.round)
--- a/milletsill/fleet/leases/acceptor_recovery.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -1,56 +1,146 @@
-"""When a register that has started may answer: it asks the others first what they last heard of it. Pure; decide.py's rules apply.
-
-A register's state has an identity: (age, chance, generation). The generation grows with each commit, the age with each time that
-the state was made anew out of the others' word. Others keep the greatest that they heard of each register. A register whose own is
-less than that has an older copy or none, and must not answer as if it had never promised: it waits until all is over that its
-former self may have granted or answered, then is told every record by so many others that they meet each majority it was part of.
+"""When an acceptor that has started may answer. Pure; times are passed in.
+
+An acceptor's state has an identity: (age, chance, generation). The generation grows
+with each commit, the age each time that the state is made anew out of the other
+acceptors' records. Other gateways keep the greatest identity that they heard of each
+acceptor. An acceptor whose own identity is less has an older copy of its state or
+none, and must not answer as if it had never promised anything: it waits until all is
+over that its former incarnation may have granted or answered, then copies every
+record of so many others that they meet each majority that it was part of.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from enum import Enum
+from dataclasses import dataclass, replace
+from enum import Enum, auto
 from typing import NamedTuple
 
-from milletsill.fleet.leases.acceptor import Ballot, Record, Span, majority
+from milletsill.fleet.leases.acceptor import LeaseRecord
+from milletsill.fleet.leases.ballot import Ballot, majority
+from milletsill.fleet.leases.timings import LeaseTimings
 
-BEAT = 1000  # between words of a register to all about its identity, where it changed
-HELLO = 2000  # between its questions while it may not answer
-PER_PAGE, PAGE_BYTES = 256, 120_000  # records of one page that is told to another
+# How often an acceptor tells the others its identity, where that changed, in ticks.
+ANNOUNCE_INTERVAL = 1000
+# How often an acceptor that may not answer asks the others, in ticks.
+QUERY_INTERVAL = 2000
+MAX_PAGE_RECORDS = 256
+MAX_PAGE_BYTES = 120_000
 
 
 class StateIdentity(NamedTuple):
-    """Of a register's state. Greater is later, for one register."""
+    """Identity of an acceptor's state; greater is later, for one acceptor.
+
+    Attributes:
+        age: Grows when the state is made anew.
+        chance: Random, so that two states of one age differ.
+        generation: Grows with each commit.
+    """
 
     age: int
     chance: int
     generation: int
 
 
-class SnapshotPage(NamedTuple):
-    """Records of one register, ordered by channel, after the one that was asked for; `last` where none follow."""
+NO_IDENTITY = StateIdentity(0, 0, 0)
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotPage:
+    """Some records of one acceptor, for another that recovers.
+
+    Attributes:
+        records: Leases' keys and records in order of the keys, after the key that was
+            asked for.
+        ballot_floor: The acceptor's floor.
+        is_last: No more records follow.
+    """
+
+    records: tuple[tuple[str, LeaseRecord], ...]
+    ballot_floor: int
+    is_last: bool
+
+
+class RecoveryStatus(Enum):
+    """Whether an acceptor may answer.
+
+    VERIFYING asks the others whether its state is the latest. SERVING answers. WAITING
+    lacks something and lets former promises run out. CATCHING_UP copies records.
+    """
+
+    VERIFYING = auto()
+    SERVING = auto()
+    WAITING = auto()
+    CATCHING_UP = auto()
+
+
+class RecoveryEvent(Enum):
+    """What happens to an acceptor that recovers."""
+
+    FOUND_STALE = auto()
+    CONFIRMED = auto()
+    WAIT_OVER = auto()
+    CAUGHT_UP = auto()
+    OVERRIDDEN = auto()
+    WRITE_FAILED = auto()
+
 
-    records: tuple[tuple[str, Record], ...]
-    floor: int
-    last: bool
+class RecoveryAction(Enum):
+    """What the acceptor service has to do.
 
+    SERVE: begin to answer. WAIT: stop answering, remember that something is missing.
+    CATCH_UP: ask the others for their records. ADOPT: write down what was copied.
+    """
 
-Standing = Enum("Standing", "JOINING WHOLE WAITING GATHERING")
-Word = Enum("Word", "LATER ENOUGH WAITED GATHERED ORDERED UNWRITTEN")
-Turn = Enum("Turn", "NONE BEGIN DOUBT GATHER ANEW")
-STANDINGS: dict[tuple[Standing, Word], tuple[Standing, Turn]] = {
-    (Standing.JOINING, Word.ENOUGH): (Standing.WHOLE, Turn.BEGIN),
-    (Standing.JOINING, Word.LATER): (Standing.WAITING, Turn.DOUBT),
-    (Standing.WHOLE, Word.LATER): (Standing.WAITING, Turn.DOUBT),
-    (Standing.WAITING, Word.WAITED): (Standing.GATHERING, Turn.GATHER),
-    (Standing.GATHERING, Word.GATHERED): (Standing.WHOLE, Turn.ANEW),
-    (Standing.WHOLE, Word.UNWRITTEN): (Standing.WAITING, Turn.NONE),
-    **{(each, Word.ORDERED): (Standing.WHOLE, Turn.ANEW) for each in Standing},
+    NONE = auto()
+    SERVE = auto()
+    WAIT = auto()
+    CATCH_UP = auto()
+    ADOPT = auto()
+
+
+RECOVERY_TABLE: dict[
+    tuple[RecoveryStatus, RecoveryEvent], tuple[RecoveryStatus, RecoveryAction]
+] = {
+    (RecoveryStatus.VERIFYING, RecoveryEvent.CONFIRMED): (
+        RecoveryStatus.SERVING,
+        RecoveryAction.SERVE,
+    ),
+    (RecoveryStatus.VERIFYING, RecoveryEvent.FOUND_STALE): (
+        RecoveryStatus.WAITING,
+        RecoveryAction.WAIT,
+    ),
+    (RecoveryStatus.SERVING, RecoveryEvent.FOUND_STALE): (
+        RecoveryStatus.WAITING,
+        RecoveryAction.WAIT,
+    ),
+    (RecoveryStatus.WAITING, RecoveryEvent.WAIT_OVER): (
+        RecoveryStatus.CATCHING_UP,
+        RecoveryAction.CATCH_UP,
+    ),
+    (RecoveryStatus.CATCHING_UP, RecoveryEvent.CAUGHT_UP): (
+        RecoveryStatus.SERVING,
+        RecoveryAction.ADOPT,
+    ),
+    (RecoveryStatus.SERVING, RecoveryEvent.WRITE_FAILED): (
+        RecoveryStatus.WAITING,
+        RecoveryAction.NONE,
+    ),
+    **{
+        (status, RecoveryEvent.OVERRIDDEN): (
+            RecoveryStatus.SERVING,
+            RecoveryAction.ADOPT,
+        )
+        for status in RecoveryStatus
+    },
 }
 
 
-def later(known: StateIdentity | None, own: StateIdentity) -> bool:
-    """Whether what another heard of us is past what we have, or is of another state that is not older."""
+def is_stale(known: StateIdentity | None, own: StateIdentity) -> bool:
+    """Whether what another last heard of a state is past the state itself.
+
+    Also where it is of another state that is not older.
+    """
     if known is None or known.age < own.age:
         return False
     return (
@@ -60,146 +150,194 @@
     )
 
 
-def needed(registers: int) -> int:
-    """How many others must tell all: these meet each majority that this register was part of, without it."""
-    return majority(registers)
+def copies_needed(acceptors: int) -> int:
+    """Return how many others must tell all their records.
 
+    So many meet each majority that this acceptor was part of, without it.
+    """
+    return majority(acceptors)
 
-def merged(
-    records: dict[str, Record], told: Iterable[tuple[str, Record]], up: int
+
+def merge_records(
+    records: dict[str, LeaseRecord],
+    copied: Iterable[tuple[str, LeaseRecord]],
+    uptime: int,
 ) -> None:
-    """What others told, into what is here: the highest promise and the latest write of each."""
-    for channel, new in told:
-        old = records.get(channel)
+    """Merge copied records into those that are here.
+
+    Each record gets the highest promise and the latest write of both.
+    """
+    for key, new in copied:
+        old = records.get(key)
         if old is None:
-            records[channel] = new._replace(touched=up, told=True)
+            records[key] = replace(new, written_at=uptime, is_copied=True)
             continue
-        later = new if new.stamp > old.stamp else old
-        records[channel] = Record(
+        latest = new if new.version > old.version else old
+        records[key] = LeaseRecord(
             max(old.promised, new.promised),
-            later.stamp,
-            later.value,
-            up,
-            old.told or later is new,
+            latest.version,
+            latest.value,
+            uptime,
+            old.is_copied or latest is new,
         )
 
 
-def fenced(records: dict[str, Record], floor: int) -> None:
-    """One that told may have forgotten a channel whose record another still has: its floor holds for that record too."""
-    least = Ballot(floor + 1, "", 0)  # below each gateway's ballot of that round
-    for channel, record in records.items():
-        if floor and record.promised < least:
-            records[channel] = record._replace(promised=least)
-
+def raise_to_floor(records: dict[str, LeaseRecord], ballot_floor: int) -> None:
+    """Make the floor hold for records too.
 
-class Joining:
-    """One register's way to answering. `fresh`: it has a file without a record; `doubted`: it is known to lack something (torn,
-    or it was noticed before). `others` are the names of the other registers.
+    An acceptor that told its records may have removed one that another still has.
+    """
+    # Below each gateway's ballot of the round after the floor.
+    lowest = Ballot(ballot_floor + 1, "", 0)
+    for key, record in records.items():
+        if ballot_floor and record.promised < lowest:
+            records[key] = replace(record, promised=lowest)
+
+
+class AcceptorRecovery:
+    """How one acceptor comes to answer.
+
+    Args:
+        own: Identity of its state.
+        others: Names of the other acceptors.
+        timings: How long leases last.
+        started_at: When this incarnation started, in ticks.
+        is_empty: Its file has no record yet.
+        is_incomplete: It is known to lack something: its file was torn, or it was
+            found stale before.
+
+    Attributes:
+        status: Whether it may answer.
+        records: What was copied so far, by key.
+        ballot_floor: The highest floor of those that told their records.
+        highest_age: The highest age that anybody knows of this acceptor's state.
     """
 
     def __init__(
         self,
         own: StateIdentity,
         others: Iterable[str],
-        span: Span,
-        born: int,
-        fresh: bool,
-        doubted: bool,
+        timings: LeaseTimings,
+        started_at: int,
+        is_empty: bool,
+        is_incomplete: bool,
     ) -> None:
-        self.own, self.others, self.span, self.born, self.fresh = (
-            own,
-            tuple(others),
-            span,
-            born,
-            fresh,
-        )
-        self.state = Standing.WAITING if doubted else Standing.JOINING
-        self.waits = born + span.rest()  # until then, where it lacks something
-        self.clean: set[str] = set()  # registers that know nothing later
-        self.known_age, self.by_order = own.age, False
-        self.records: dict[str, Record] = {}
-        self.floor = 0
-        self.after: dict[
-            str, str
-        ] = {}  # of those that tell: the channel they have come to
-        self.told: set[str] = set()
-
-    def word(self, found: Word) -> Turn:
-        self.state, turn = STANDINGS.get((self.state, found), (self.state, Turn.NONE))
-        return turn
-
-    def witnessed(self, who: str, known: StateIdentity | None, now: int) -> Turn:
-        """What one gateway last heard of us. Any may say that there was more; only registers count as having nothing."""
+        self.own = own
+        self.others = tuple(others)
+        self.timings = timings
+        self.started_at = started_at
+        self.is_empty = is_empty
+        self.status = RecoveryStatus.VERIFYING
+        if is_incomplete:
+            self.status = RecoveryStatus.WAITING
+        self.wait_until = started_at + timings.recovery_wait()
+        self.confirmed_by: set[str] = set()
+        self.highest_age = own.age
+        self.is_overridden = False
+        self.records: dict[str, LeaseRecord] = {}
+        self.ballot_floor = 0
+        self.last_keys: dict[str, str] = {}  # of each that tells its records
+        self.copied_from: set[str] = set()
+
+    def on_witness(
+        self, gateway: str, known: StateIdentity | None, now: int
+    ) -> RecoveryAction:
+        """Handle what one gateway last heard of this acceptor, None for nothing.
+
+        Any gateway may say that there was more; only acceptors may confirm that there
+        was not.
+        """
         if known is not None:
-            self.known_age = max(self.known_age, known.age)
-        if later(known, self.own):
-            if self.by_order:
-                return (
-                    Turn.ANEW
-                )  # an operator has said to go on, so it goes on as later than that
-            if self.state is Standing.WHOLE:
-                self.waits = now + self.span.rest()
-            return self.word(Word.LATER)
-        if who in self.others:
-            self.clean.add(who)
-        return self.step(now)
-
-    def step(self, now: int) -> Turn:
-        """What time alone brings."""
-        if self.state is Standing.JOINING and self.enough(now):
-            return self.word(Word.ENOUGH)
-        if self.state is Standing.WAITING and now >= self.waits:
-            self.records, self.floor, self.after, self.told = {}, 0, {}, set()
-            return self.word(Word.WAITED)
-        return Turn.NONE
-
-    def enough(self, now: int) -> bool:
-        """Nobody who answered knows of more: so many others that they meet each majority, or, with a file that has records,
-        after a whole rest one fewer, that a register which is down does not keep another from coming back.
+            self.highest_age = max(self.highest_age, known.age)
+        if is_stale(known, self.own):
+            return self._on_stale(now)
+        if gateway in self.others:
+            self.confirmed_by.add(gateway)
+        return self.on_timer(now)
+
+    def _on_stale(self, now: int) -> RecoveryAction:
+        if self.is_overridden:
+            # An operator has said to go on: it goes on as later than what was known.
+            return RecoveryAction.ADOPT
+        if self.status is RecoveryStatus.SERVING:
+            self.wait_until = now + self.timings.recovery_wait()
+        return self._step(RecoveryEvent.FOUND_STALE)
+
+    def on_timer(self, now: int) -> RecoveryAction:
+        """Handle what time alone brings."""
+        if self.status is RecoveryStatus.VERIFYING and self.is_confirmed(now):
+            return self._step(RecoveryEvent.CONFIRMED)
+        if self.status is RecoveryStatus.WAITING and now >= self.wait_until:
+            self.records = {}
+            self.ballot_floor = 0
+            self.last_keys = {}
+            self.copied_from = set()
+            return self._step(RecoveryEvent.WAIT_OVER)
+        return RecoveryAction.NONE
+
+    def is_confirmed(self, now: int) -> bool:
+        """Whether enough others know of nothing later.
+
+        So many that they meet each majority; or, with a file that has records and
+        after a whole wait, one fewer, so that an acceptor which is down does not keep
+        another from coming back.
         """
-        most = min(needed(len(self.others) + 1), len(self.others))
-        least = most if self.fresh or now < self.born + self.span.rest() else most - 1
-        return len(self.clean) >= max(least, 0)
-
-    def page(self, who: str, after: str, page: SnapshotPage, up: int, now: int) -> Turn:
-        """One page of another's records, asked for once all of our former self is over."""
+        needed = min(copies_needed(len(self.others) + 1), len(self.others))
+        wait_over = now >= self.started_at + self.timings.recovery_wait()
+        if wait_over and not self.is_empty:
+            needed -= 1
+        return len(self.confirmed_by) >= max(needed, 0)
+
+    def needs_page_from(self, acceptor: str) -> bool:
+        """Whether an acceptor's records are still to be copied."""
+        is_catching_up = self.status is RecoveryStatus.CATCHING_UP
+        return is_catching_up and acceptor not in self.copied_from
+
+    def last_key(self, acceptor: str) -> str:
+        """Return the key after which an acceptor's next page begins."""
+        return self.last_keys.get(acceptor, "")
+
+    def on_page(
+        self, acceptor: str, after: str, page: SnapshotPage, uptime: int
+    ) -> RecoveryAction:
+        """Copy one page of another acceptor's records."""
         if (
-            self.state is not Standing.GATHERING
-            or who not in self.others
-            or who in self.told
-            or self.after.get(who, "") != after
+            not self.needs_page_from(acceptor)
+            or acceptor not in self.others
+            or self.last_key(acceptor) != after
         ):
-            return Turn.NONE
-        merged(self.records, page.records, up)
-        self.floor = max(self.floor, page.floor)
-        if not page.last:
-            self.after[who] = page.records[-1][0] if page.records else after
-            return Turn.NONE
-        self.told.add(who)
-        return (
-            self.word(Word.GATHERED)
-            if len(self.told) >= needed(len(self.others) + 1)
-            else Turn.NONE
-        )
-
-    def ordered(self) -> Turn:
-        """An operator's order to go on with what there is."""
-        self.by_order = True
-        return self.word(Word.ORDERED)
-
-    def back(self, again: int) -> None:
-        """What was told could not be written down: it is asked for again at a time."""
-        self.waits = again
-        self.word(Word.UNWRITTEN)
-
-    def pause(self, now: int) -> int:
-        """When to come back to a register that may not answer."""
-        return (
-            max(self.waits - now, HELLO)
-            if self.state in (Standing.WAITING, Standing.GATHERING)
-            else HELLO
-        )
-
-    def anew(self, chance: int) -> StateIdentity:
-        """The identity of a state that was made out of the others' word."""
-        return StateIdentity(self.known_age + 1, chance, 1)
+            return RecoveryAction.NONE
+        merge_records(self.records, page.records, uptime)
+        self.ballot_floor = max(self.ballot_floor, page.ballot_floor)
+        if not page.is_last:
+            self.last_keys[acceptor] = page.records[-1][0] if page.records else after
+            return RecoveryAction.NONE
+        self.copied_from.add(acceptor)
+        if len(self.copied_from) < copies_needed(len(self.others) + 1):
+            return RecoveryAction.NONE
+        return self._step(RecoveryEvent.CAUGHT_UP)
+
+    def on_override(self) -> RecoveryAction:
+        """Handle an operator's order to go on with what there is."""
+        self.is_overridden = True
+        return self._step(RecoveryEvent.OVERRIDDEN)
+
+    def on_write_failed(self, retry_at: int) -> None:
+        """What was copied could not be written: it is asked for again at a time."""
+        self.wait_until = retry_at
+        self._step(RecoveryEvent.WRITE_FAILED)
+
+    def retry_after(self, now: int) -> int:
+        """Return when to come back to an acceptor that may not answer, in ticks."""
+        if self.status in (RecoveryStatus.WAITING, RecoveryStatus.CATCHING_UP):
+            return max(self.wait_until - now, QUERY_INTERVAL)
+        return QUERY_INTERVAL
+
+    def renewed_identity(self, chance: int) -> StateIdentity:
+        """Return the identity of a state that is made of the others' records."""
+        return StateIdentity(self.highest_age + 1, chance, 1)
+
+    def _step(self, event: RecoveryEvent) -> RecoveryAction:
+        unchanged = (self.status, RecoveryAction.NONE)
+        self.status, action = RECOVERY_TABLE.get((self.status, event), unchanged)
+        return action
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -1,487 +1,261 @@
-"""One gateway's register: calls that came in one round become one commit, off the reactor's thread, and answers go out after it.
+"""One gateway's acceptor: its file, its recovery, and the requests that it answers.
 
-All that touches the file runs in one thread, one job at a time; what decides is register() of decide.py and Joining of standing.py.
-A job that cannot write answers nothing, and nothing of it counts.
+All that touches the file runs in one thread, one job at a time. What decides is
+`acceptor` and `acceptor_recovery`.
 """
 
 from __future__ import annotations
 
 import os
-import time
 from collections.abc import Callable, Sequence
-from typing import Any, NamedTuple
+from dataclasses import dataclass
 
 import xxhash
 
 from milletsill.errors import MilletsillError
-from milletsill.fleet.leases.acceptor import (
-    Answer,
-    Ask,
-    Call,
-    Office,
-    Record,
-    Say,
-    Span,
-    loaded,
-    register,
+from milletsill.fleet.leases.acceptor_context import (
+    AcceptorContext,
+    AcceptorPeers,
+    RunBlocking,
 )
 from milletsill.fleet.leases.acceptor_recovery import (
-    StateIdentity,
-    Joining,
+    NO_IDENTITY,
     SnapshotPage,
-    Standing,
-    Turn,
-    fenced,
-    merged,
+    StateIdentity,
 )
-from milletsill.fleet.leases.acceptor_store import AcceptorStore, set_aside
+from milletsill.fleet.leases.acceptor_store import AcceptorStore, RemovalResult
 from milletsill.fleet.leases.errors import (
-    DiskFull,
     AcceptorSetChanged,
-    AcceptorStateMissing,
-    AcceptorStateRolledBack,
     AcceptorStateCorrupt,
     LeaseSettingsMismatch,
 )
-from milletsill.fleet.leases.metrics import RegisterFigures
+from milletsill.fleet.leases.lease_settings import AcceptorSettings, LeaseEnvironment
+from milletsill.fleet.leases.messages import AcceptorRequest
+from milletsill.fleet.leases.recovery_controller import RecoveryController
+from milletsill.fleet.leases.request_queue import RequestQueue, unavailable
+from milletsill.fleet.leases.store_file import set_aside
 
-BATCH, MOST_WAITING = 1000, 20_000  # calls of one round; calls that wait
-LOOK = 500  # records that one round of forgetting looks at
-ALL = 10  # of so many questions one goes to all gateways, the others to the registers
-AGAIN = 10_000  # after a full disk, in tenths of a millisecond
-SAY_EVERY = 100_000
-ORDER = ".go-on"  # a file beside the register's: an operator's order to go on with what there is
-In = Callable[
-    [Callable[[], Any], Callable[[Any], None]], None
-]  # a job for the thread, and who gets its result or Fault
+CLEANUP_RECORDS = 500  # looked at in one round of removals
+# A file beside the acceptor's: an operator's order to go on with what there is.
+OVERRIDE_SUFFIX = ".go-on"
 
 
-class Said(NamedTuple):
-    """What a round came to, by member."""
+@dataclass(frozen=True, slots=True)
+class _OpenedStore:
+    """An open file, and the error of the one that was set aside for it, if any."""
 
-    answers: list[tuple[str, Answer]]
-    calls: int
-    commits: int
-    seconds: float
+    store: AcceptorStore
+    damage: AcceptorStateCorrupt | None
 
 
-class Desk:
-    """`send` gets answers for a member; `ask` sends a Hello to the registers or to everybody, `tell` asks a register for a page."""
+class AcceptorService:
+    """The acceptor of one gateway.
+
+    Args:
+        settings: Its settings.
+        environment: What it needs of the program.
+        peers: Sends to other gateways.
+        run_blocking: Runs jobs in one thread.
+        chance: Random number for the identity of a new state.
+    """
 
     def __init__(
         self,
-        now: Callable[[], int],
-        name: str,
-        others: Sequence[str],
-        span: Span,
-        most: int,
-        silent: int,
-        path: str,
+        settings: AcceptorSettings,
+        environment: LeaseEnvironment,
+        peers: AcceptorPeers,
+        run_blocking: RunBlocking,
         chance: int,
-        terms: int,
-        in_thread: In,
-        remark: Callable[..., None],
-        registry: Any,
-        most_pages: int = 0,
     ) -> None:
-        self.now, self.name, self.others, self.span, self.most, self.silent = (
-            now,
-            name,
-            tuple(others),
-            span,
-            most,
-            silent,
-        )
-        self.terms, self.among = (
-            terms,
-            xxhash.xxh64_intdigest("\0".join(sorted([name, *others])).encode()),
+        self.settings = settings
+        self._context = AcceptorContext(settings, environment)
+        self._peers = peers
+        self._run_blocking = run_blocking
+        self._chance = chance
+        self._acceptor_set = _digest_of_names([settings.name, *settings.others])
+        self._cleanup_key = ""
+        self._is_stopped = False
+        self._queue = RequestQueue(
+            self._context,
+            peers,
+            run_blocking,
+            lambda: self._recovery.is_serving(),
+            lambda: self._recovery.stop(),
         )
-        self.path, self.chance, self.in_thread, self.remark, self.most_pages = (
-            path,
-            chance,
-            in_thread,
-            remark,
-            most_pages,
+        self._recovery = RecoveryController(
+            self._context, peers, run_blocking, self._queue, chance
         )
-        self.figures = RegisterFigures(registry)
-        self.born = now()
-        self.up_before = 0
-        self.base = self.born  # offices that are not known run from here
-        self.store: AcceptorStore | None = None
-        self.joining: Joining | None = None
-        self.offices: dict[str, Office] = {}
-        self.waiting: list[tuple[str, Call]] = []
-        self.busy = self.stopped = False
-        self.full_until = 0
-        self.cursor, self.looks = "", 0
-        self.said_at: dict[str, int] = {}
-        self.send: Callable[[str, list[Answer]], None] = lambda member, answers: None
-        self.ask: Callable[[bool], None] = lambda everybody: None
-        self.tell: Callable[[str, str], None] = lambda member, after: None
 
     # Life.
 
     def start(self) -> None:
-        self.in_thread(self.open, self.opened)
+        """Open the file; the acceptor answers once it may."""
+        self._run_blocking(self._open, self._on_opened)
 
-    def open(self) -> Any:
-        """In the thread. What is torn is set aside; the new file knows that there was another."""
-        try:
-            return AcceptorStore.opened(
-                self.path, self.chance, self.among, most_pages=self.most_pages
-            ), None
-        except AcceptorStateCorrupt as error:
-            set_aside(self.path)
-            return AcceptorStore.opened(
-                self.path, self.chance, self.among, True, self.most_pages
-            ), error
+    def stop(self) -> None:
+        """Close the file; to be called once the thread has ended."""
+        self._is_stopped = True
+        self._queue.is_stopped = True
+        if self.store is not None:
+            self.store.close()
+            self._context.store = None
 
-    def opened(self, result: Any) -> None:
-        if isinstance(result, MilletsillError):
-            return self.say(result)  # away until a restart
-        self.store, error = result
-        if error is not None:
-            self.say(error)
-        own, self.up_before = self.store.own, self.store.up
-        ordered = os.path.exists(self.path + ORDER)
-        if self.store.among != self.among and not ordered:
-            return self.say(
-                AcceptorSetChanged(
-                    "not the registers that its state was made for", self.path
-                )
-            )  # away until a restart
-        self.store.among = self.among
-        self.joining = Joining(
-            own,
-            self.others,
-            self.span,
-            self.born,
-            own.generation == 0,
-            self.store.doubted,
-        )
-        if ordered:
-            os.remove(self.path + ORDER)
-            self.remark("register_ordered", file=self.path + ORDER)
-            self.turn(self.joining.ordered())
-        else:
-            self.turn(self.joining.step(self.now()))
-        self.note()
-        self.look()
-
-    def look(self) -> None:
-        """Now and then: what time alone brings, and questions where it may not answer."""
-        joining = self.joining
-        if joining is None or self.stopped:
-            return
-        self.turn(joining.step(self.now()))
-        self.looks += 1
-        if joining.state is Standing.JOINING:
-            self.ask(self.looks % ALL == 1)
-        elif joining.state is Standing.GATHERING:
-            for each in self.others:
-                if each not in joining.told:
-                    self.tell(each, joining.after.get(each, ""))
-        elif self.store is not None:
-            self.pump()
-            self.in_thread(self.forget, self.forgotten)
-
-    def whole(self) -> bool:
-        return self.joining is not None and self.joining.state is Standing.WHOLE
-
-    def own(self) -> StateIdentity:
-        return self.store.own if self.store is not None else StateIdentity(0, 0, 0)
-
-    def up(self) -> int:
-        """For how long the register has been up, over all its starts."""
-        return self.up_before + self.now() - self.born
-
-    # Standing.
-
-    def witnessed(self, member: str, known: StateIdentity | None) -> None:
-        """What another last heard of this register; also unasked."""
-        if self.joining is not None and self.store is not None:
-            self.joining.own = self.store.own
-            self.turn(self.joining.witnessed(member, known, self.now()))
-
-    def told(self, member: str, after: str, page: SnapshotPage) -> None:
-        if self.joining is not None:
-            self.turn(self.joining.page(member, after, page, self.up(), self.now()))
-            if (
-                self.joining.state is Standing.GATHERING
-                and member not in self.joining.told
-            ):
-                self.tell(member, self.joining.after.get(member, ""))
-
-    def turn(self, turn: Turn) -> None:
-        joining, store = self.joining, self.store
-        if turn is Turn.NONE or joining is None or store is None:
+    def on_timer(self) -> None:
+        """Do what is to be done now and then: ask others, remove idle records."""
+        if not self._recovery.is_started or self._is_stopped:
             return
-        self.note()
-        if turn is Turn.DOUBT:
-            kind = (
-                AcceptorStateMissing
-                if store.own.generation == 0
-                else AcceptorStateRolledBack
-            )
-            self.say(
-                kind(
-                    f"others heard of state {joining.known_age}, past {store.own.age}.{store.own.generation}",
-                    self.path,
-                )
-            )
-            self.drop("doubted")
-            up = self.up()
-            self.in_thread(lambda: store.doubt(up), self.kept)
-        elif turn is Turn.GATHER:
-            self.remark("register_catching_up", others=len(self.others))
-            self.look()
-        elif turn is Turn.ANEW:
-            self.renew()
-        elif turn is Turn.BEGIN:
-            self.remark(
-                "register_begins", channels=store.count, generation=store.own.generation
-            )
-            self.pump()
-
-    def renew(self) -> None:
-        """What others told goes to the file before a word is said; until then the register is busy."""
-        joining, store = self.joining, self.store
-        assert joining is not None and store is not None
-        records, floor, own, up = (
-            dict(joining.records),
-            max(joining.floor, store.floor),
-            joining.anew(self.chance),
-            self.up(),
-        )
-        self.busy = True
-
-        def write() -> None:
-            held: dict[str, Record] = {}
-            for channel in records:
-                if (here := store.read(channel)) is not None:
-                    held[channel] = here
-            merged(held, records.items(), up)
-            fenced(held, floor)
-            store.anew(held, floor, own, up)
-
-        def written(result: Any) -> None:
-            self.busy = False
-            if isinstance(result, MilletsillError):
-                self.say(result)
-                joining.back(self.now() + AGAIN)  # gathered once more
-                return self.note()
-            self.offices, self.base, joining.own, joining.records = (
-                {},
-                self.now(),
-                own,
-                {},
-            )
-            self.remark("register_caught_up", channels=store.count, age=own.age)
-            self.pump()
-
-        self.in_thread(write, written)
-
-    def note(self) -> None:
-        state = self.joining.state if self.joining is not None else None
-        for each in Standing:
-            self.figures.standing.labels(each.name.lower()).set(each is state)
-
-    def say(self, error: MilletsillError) -> None:
-        """Once in a while for each type."""
-        kind, now = type(error).__name__, self.now()
-        if now - self.said_at.get(kind, now - SAY_EVERY) >= SAY_EVERY:
-            self.said_at[kind] = now
-            self.remark("register", **error.log_fields())
-
-    # Calls.
-
-    def calls(self, member: str, calls: Sequence[Call], terms: int) -> None:
-        """Of one member; answered after the next commit, or at once with AWAY."""
-        if terms != self.terms:
-            self.say(
-                LeaseSettingsMismatch(
-                    "its registers or spans are not this gateway's", member
-                )
-            )
-        if terms != self.terms or not self.whole() or self.now() < self.full_until:
-            pause = (
-                self.joining.pause(self.now())
-                if self.joining is not None and not self.whole()
-                else AGAIN
-            )
-            return self.send(
-                member,
-                [away(each, pause) for each in calls if each.ask is not Ask.RELEASE],
-            )
-        room = MOST_WAITING - len(self.waiting)
-        self.waiting += [(member, each) for each in calls[:room]]
-        if len(calls) > room:
-            self.figures.dropped.labels("waiting").inc(len(calls) - room)
-        self.pump()
-
-    def pump(self) -> None:
-        if self.busy or self.stopped or not self.waiting or not self.whole():
+        if self._recovery.on_timer() or self.store is None:
             return
-        batch, self.waiting = self.waiting[:BATCH], self.waiting[BATCH:]
-        self.busy = True
-        self.in_thread(
-            lambda: self.round(batch), lambda result: self.done(batch, result)
-        )
+        self._queue.pump()
+        self._run_blocking(self._remove_idle, self._on_removed)
+
+    def _open(self) -> _OpenedStore:
+        """Open the file, in the thread.
 
-    def round(self, batch: Sequence[tuple[str, Call]]) -> Said:
-        """In the thread: each call in its order, one commit, and only then offices and answers. The time is read once, after all
-        of the calls came: an office that is granted counts from no earlier.
+        One that is torn is set aside; the new file knows that there was another.
         """
-        store, began, now = self.store, time.perf_counter(), self.now()
-        assert store is not None
-        up = self.up()
-        records: dict[str, Record | None] = {}
-        offices: dict[str, Office] = {}
-        changed: dict[str, Record | None] = {}
-        answers: list[tuple[str, Answer]] = []
-        more = 0
-        for member, call in batch:
-            channel = call.channel
-            if channel not in records:
-                records[channel] = store.read(channel)
-            record = records[channel]
-            office = (
-                offices.get(channel)
-                or self.offices.get(channel)
-                or loaded(self.base, self.span)
+        settings = self.settings
+        path = settings.store_path
+        try:
+            store = AcceptorStore.open(
+                path,
+                self._chance,
+                self._acceptor_set,
+                max_pages=settings.max_store_pages,
             )
-            done = register(
-                record,
-                office if record is not None else None,
-                store.floor,
-                call,
-                now,
-                up,
-                self.span,
+            return _OpenedStore(store, None)
+        except AcceptorStateCorrupt as error:
+            set_aside(path)
+            store = AcceptorStore.open(
+                path,
+                self._chance,
+                self._acceptor_set,
+                True,
+                settings.max_store_pages,
             )
-            if record is None and done.record is not None:
-                if store.count + more >= self.most:
-                    answers.append((member, away(call, AGAIN)))
-                    continue
-                more += 1
-            if done.record is not record:
-                records[channel] = changed[channel] = done.record
-            if done.office is not None:
-                offices[channel] = done.office
-            if done.answer is not None:
-                answers.append((member, done.answer))
-        if changed:
-            store.commit(changed, up, more=more)
-        self.offices.update(offices)
-        return Said(
-            answers, len(batch), 1 if changed else 0, time.perf_counter() - began
-        )
+            return _OpenedStore(store, error)
 
-    def done(self, batch: Sequence[tuple[str, Call]], result: Any) -> None:
-        self.busy = False
-        if self.stopped:
-            return
+    def _on_opened(self, result: _OpenedStore | MilletsillError) -> None:
         if isinstance(result, MilletsillError):
-            self.failed(batch, result)
-        elif self.whole():  # one that was doubted meanwhile says nothing
-            by: dict[str, list[Answer]] = {}
-            for member, answer in result.answers:
-                by.setdefault(member, []).append(answer)
-                self.figures.said.labels(answer.say.name.lower()).inc()
-            for member, answers in by.items():
-                self.send(member, answers)
-            self.figures.batch.observe(result.calls)
-            if result.commits:
-                self.figures.commits.inc()
-                self.figures.commit_seconds.observe(result.seconds)
-        self.figures.waiting.set(len(self.waiting))
-        self.pump()
-
-    def failed(self, batch: Sequence[tuple[str, Call]], error: MilletsillError) -> None:
-        """Nothing of the round counts: each is told to come back, and a register that cannot read its own file stops."""
-        self.say(error)
-        self.figures.dropped.labels(type(error).__name__).inc(len(batch))
-        by: dict[str, list[Answer]] = {}
-        for member, call in batch:
-            if call.ask is not Ask.RELEASE:
-                by.setdefault(member, []).append(away(call, AGAIN))
-        for member, answers in by.items():
-            self.send(member, answers)
-        if isinstance(error, DiskFull):
-            self.full_until = self.now() + AGAIN
-        else:
-            self.joining = None  # away until a restart, which sets a torn file aside
-            self.note()
-            self.drop("unusable")
-
-    def drop(self, cause: str) -> None:
-        self.figures.dropped.labels(cause).inc(len(self.waiting))
-        self.waiting = []
-
-    # Upkeep.
-
-    def page(
-        self, member: str, after: str, then: Callable[[SnapshotPage], None]
+            self._context.log_error(result)  # away until a restart
+            return
+        store = result.store
+        self._context.store = store
+        if result.damage is not None:
+            self._context.log_error(result.damage)
+        self._context.previous_uptime = store.state.uptime
+        path = self.settings.store_path
+        is_overridden = os.path.exists(path + OVERRIDE_SUFFIX)
+        if store.acceptor_set != self._acceptor_set and not is_overridden:
+            what = "not the registers that its state was made for"
+            self._context.log_error(AcceptorSetChanged(what, path))
+            return  # away until a restart
+        store.acceptor_set = self._acceptor_set
+        if is_overridden:
+            os.remove(path + OVERRIDE_SUFFIX)
+            self._context.log("acceptor_overridden", file=path + OVERRIDE_SUFFIX)
+        self._recovery.start(store, is_overridden)
+        self.on_timer()
+
+    # What it is.
+
+    @property
+    def store(self) -> AcceptorStore | None:
+        """The open file, if any."""
+        return self._context.store
+
+    def is_serving(self) -> bool:
+        """Whether the acceptor may answer."""
+        return self._recovery.is_serving()
+
+    def identity(self) -> StateIdentity:
+        """Return the identity of its state."""
+        return NO_IDENTITY if self.store is None else self.store.identity
+
+    # What other gateways send.
+
+    def on_requests(
+        self, gateway: str, requests: Sequence[AcceptorRequest], settings_digest: int
     ) -> None:
-        """For another that catches up; only a whole register tells."""
+        """Answer requests of one gateway after the next commit.
+
+        Or at once with UNAVAILABLE, where the acceptor may not answer.
+        """
+        has_same_settings = settings_digest == self.settings.settings_digest
+        if not has_same_settings:
+            what = "its registers or spans are not this gateway's"
+            self._context.log_error(LeaseSettingsMismatch(what, gateway))
+        is_disk_full = self._context.now() < self._queue.disk_full_until
+        if not has_same_settings or not self.is_serving() or is_disk_full:
+            pause = self._recovery.retry_after()
+            self._peers.send_replies(gateway, unavailable(requests, pause))
+            return
+        self._queue.add(gateway, requests)
+
+    def on_witness(self, gateway: str, known: StateIdentity | None) -> None:
+        """Handle what a gateway last heard of this acceptor, None for nothing."""
+        self._recovery.on_witness(gateway, known)
+
+    def on_page(self, acceptor: str, after: str, page: SnapshotPage) -> None:
+        """Handle records of another acceptor."""
+        self._recovery.on_page(acceptor, after, page)
+
+    def read_page(self, after: str, on_page: Callable[[SnapshotPage], None]) -> None:
+        """Read records after a key for another acceptor, if this one may answer."""
         store = self.store
-        if self.whole() and store is not None:
-            self.in_thread(
-                lambda: store.page(after),
-                lambda result: (
-                    then(result)
-                    if isinstance(result, SnapshotPage)
-                    else self.say(result)
-                ),
-            )
+        if not self.is_serving() or store is None:
+            return
 
-    def remember(self, member: str, own: StateIdentity) -> None:
-        """What another register is; goes to disk with the next commit."""
-        if self.store is not None and member in self.others:
-            self.store.known[member] = max(self.store.known.get(member, own), own)
+        def deliver(result: SnapshotPage | MilletsillError) -> None:
+            if isinstance(result, MilletsillError):
+                self._context.log_error(result)
+            else:
+                on_page(result)
 
-    def known(self, member: str) -> StateIdentity | None:
-        return self.store.known.get(member) if self.store is not None else None
+        self._run_blocking(lambda: store.read_page(after), deliver)
 
-    def forget(self) -> int:
-        """In the thread: some records are looked at, and let go where they were silent for so long and nobody has the office."""
-        store, now, up = self.store, self.now(), self.up()
-        assert store is not None
-        self.cursor, gone = store.forget(
-            self.cursor,
-            LOOK,
-            up,
-            self.silent,
-            lambda channel: now >= self.office_end(channel),
-        )
-        for channel in gone:
-            self.offices.pop(channel, None)
-        return len(gone)
+    # What it knows of other acceptors.
 
-    def office_end(self, channel: str) -> int:
-        office = self.offices.get(channel) or loaded(self.base, self.span)
-        return office.until
+    def remember_identity(self, acceptor: str, identity: StateIdentity) -> None:
+        """Keep the identity of another acceptor; written with the next commit."""
+        if self.store is None or acceptor not in self.settings.others:
+            return
+        known = self.store.known.get(acceptor, identity)
+        self.store.known[acceptor] = max(known, identity)
 
-    def forgotten(self, result: Any) -> None:
-        if isinstance(result, MilletsillError):
-            return self.say(result)
-        self.figures.forgotten.inc(result)
-        if self.store is not None:
-            self.figures.channels.set(self.store.count)
+    def known_identity(self, acceptor: str) -> StateIdentity | None:
+        """Return the greatest identity that was heard of an acceptor."""
+        return None if self.store is None else self.store.known.get(acceptor)
 
-    def kept(self, result: Any) -> None:
-        if isinstance(result, MilletsillError):
-            self.say(result)
+    # Removal of idle records.
 
-    def stop(self) -> None:
-        """After the thread has ended."""
-        self.stopped = True
+    def _remove_idle(self) -> int:
+        """Remove some idle records, in the thread; return how many."""
+        store = self.store
+        now = self._context.now()
+        uptime = self._context.uptime()
+        assert store is not None
+        grants = self._context.grants
+        result: RemovalResult = store.remove_idle(
+            self._cleanup_key,
+            CLEANUP_RECORDS,
+            uptime,
+            self.settings.idle_after,
+            lambda key: now >= grants.get(key).until,
+        )
+        self._cleanup_key = result.next_key
+        for key in result.removed:
+            grants.discard(key)
+        return len(result.removed)
+
+    def _on_removed(self, result: int | MilletsillError) -> None:
+        if isinstance(result, MilletsillError):
+            self._context.log_error(result)
+            return
+        self._context.metrics.removed.inc(result)
         if self.store is not None:
-            self.store.close()
-            self.store = None
+            self._context.metrics.records.set(self.store.count)
 
 
-def away(call: Call, pause: int) -> Answer:
-    return Answer(
-        call.ask, call.channel, call.ballot, call.index, Say.AWAY, pause=pause
-    )
+def _digest_of_names(names: Sequence[str]) -> int:
+    return xxhash.xxh64_intdigest("\0".join(sorted(names)).encode())
--- a/milletsill/fleet/leases/acceptor_store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -1,358 +1,326 @@
-"""A register's file: sqlite3, one transaction for many channels, synced before it returns. Blocking; of one thread at a time.
+"""An acceptor's records on disk: sqlite, one synced transaction for many leases.
 
-Each row has a checksum, and the one row of the state its identity, whose generation grows with each commit (standing.py). A file
-that is torn is set aside. A file that is older shows by what others heard; sqlite's own log, cut short, is an older state too.
+Blocking, and used by one thread at a time. Each row has a checksum; the row of the
+state holds the state's identity, whose generation grows with each commit (see
+`acceptor_recovery`). A file that is torn is set aside by the caller. A file that is
+older shows by what other gateways heard; sqlite's own log, cut short, is an older
+state too.
 """
 
 from __future__ import annotations
 
-import os
+import contextlib
 import sqlite3
 from collections.abc import Callable, Iterable, Mapping
-
-import xxhash
-from google.protobuf.message import DecodeError
+from dataclasses import dataclass, replace
 
 from milletsill.fleet.leases import registers_pb2 as wire
-from milletsill.fleet.leases.acceptor import Record, forgettable, raised
+from milletsill.fleet.leases.acceptor import (
+    LeaseRecord,
+    is_removable,
+    raise_ballot_floor,
+)
 from milletsill.fleet.leases.acceptor_recovery import (
-    PAGE_BYTES,
-    PER_PAGE,
-    StateIdentity,
+    MAX_PAGE_BYTES,
+    MAX_PAGE_RECORDS,
     SnapshotPage,
+    StateIdentity,
 )
-from milletsill.fleet.leases.codec import (
-    MalformedFrame,
-    get_identity,
-    get_record,
-    put_identity,
-    put_record,
-)
+from milletsill.fleet.leases.codec import decode_identity
 from milletsill.fleet.leases.errors import (
-    CoordinationError,
-    DiskFull,
     AcceptorStateCorrupt,
     AcceptorStateUnusable,
+    CoordinationError,
 )
-
-SCHEMA, MARK = 1, 0x4D435231  # a later schema is left alone; sqlite's application_id
-MOST_KNOWN = 1024
-TABLES = (
-    "CREATE TABLE record(channel TEXT PRIMARY KEY, touched INTEGER NOT NULL, body BLOB NOT NULL, sum BLOB NOT NULL) WITHOUT ROWID",
-    "CREATE TABLE state(id INTEGER PRIMARY KEY CHECK(id = 0), body BLOB NOT NULL, sum BLOB NOT NULL)",
+from milletsill.fleet.leases.store_file import (
+    APPLICATION_ID,
+    SCHEMA_VERSION,
+    open_database,
+    translate_error,
 )
-Row = tuple[str, int, bytes, bytes]
-
-
-def checksum(channel: str, touched: int, body: bytes) -> bytes:
-    return xxhash.xxh64_digest(f"{channel}\0{touched}\0".encode() + body)
-
-
-def fault_of(error: sqlite3.Error, path: str) -> CoordinationError:
-    """Sqlite's words as ours."""
-    code = getattr(error, "sqlite_errorcode", 0) & 0xFF
-    if code == sqlite3.SQLITE_FULL:
-        return DiskFull("no room for the register's file", path)
-    if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB):
-        return AcceptorStateCorrupt(str(error), path)
-    return AcceptorStateUnusable(str(error), path)
-
-
-def sync_folder(path: str) -> None:
-    handle = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
-    try:
-        os.fsync(handle)
-    finally:
-        os.close(handle)
-
-
-def created(path: str, state: bytes) -> None:
-    """A new file, whole or not there: under another name first."""
-    made = f"{path}.new"
-    for each in (made, f"{made}-journal"):
-        if os.path.exists(each):
-            os.remove(each)
-    base = sqlite3.connect(made, isolation_level=None)
-    try:
-        base.execute("PRAGMA synchronous=FULL")
-        base.execute("BEGIN")
-        for each in TABLES:
-            base.execute(each)
-        base.execute(f"PRAGMA user_version={SCHEMA}")
-        base.execute(f"PRAGMA application_id={MARK}")
-        base.execute(
-            "INSERT INTO state VALUES(0, ?, ?)", (state, checksum("", 0, state))
-        )
-        base.execute("COMMIT")
-    finally:
-        base.close()
-    os.replace(made, path)
-    sync_folder(path)
+from milletsill.fleet.leases.store_rows import (
+    RecordRow,
+    StoredState,
+    checksum,
+    decode_row,
+    encode_rows,
+    encode_state,
+    initial_state,
+)
+
+MAX_KNOWN_ACCEPTORS = 1024
+
+_SELECT_ALL = "SELECT channel, touched, body, sum FROM record"
+_SELECT_ONE = f"{_SELECT_ALL} WHERE channel = ?"
+_SELECT_AFTER = f"{_SELECT_ALL} WHERE channel > ? ORDER BY channel LIMIT ?"
 
 
-def set_aside(path: str) -> str:
-    """A file that cannot be used is kept for whoever wants to look; the last of them."""
-    aside = f"{path}.torn"
-    os.replace(path, aside)
-    for tail in ("-wal", "-shm", "-journal"):
-        if os.path.exists(path + tail):
-            os.replace(path + tail, aside + tail)
-    sync_folder(path)
-    return aside
+@dataclass(frozen=True, slots=True)
+class RemovalResult:
+    """What one round of removals came to.
+
+    Attributes:
+        next_key: The last key that was looked at; empty at the end.
+        removed: Keys of the records that were removed.
+    """
+
+    next_key: str
+    removed: tuple[str, ...]
 
 
 class AcceptorStore:
-    """The file, open. `opened` finds or makes it; `chance` is for the identity of a new one, `among` a digest of
-    the registers it is of.
+    """An open file; see `open`.
+
+    Attributes:
+        state: The row of the state.
+        known: The greatest identity that was heard of each other acceptor; written
+            with the next commit.
+        acceptor_set: Digest of the names of all acceptors that the state was made
+            for; written with the next commit.
+        count: Number of records.
     """
 
-    def __init__(self, path: str, base: sqlite3.Connection) -> None:
-        self.path, self.base = path, base
-        self.own, self.floor, self.up, self.doubted = (
-            StateIdentity(0, 0, 0),
-            0,
-            0,
-            False,
-        )
+    def __init__(self, path: str, connection: sqlite3.Connection) -> None:
+        self.path = path
+        self.connection = connection
+        self.state = StoredState(StateIdentity(0, 0, 0))
         self.known: dict[str, StateIdentity] = {}
-        self.count = self.among = 0
+        self.count = 0
+        self.acceptor_set = 0
 
     @classmethod
-    def opened(
+    def open(
         cls,
         path: str,
         chance: int,
-        among: int = 0,
-        doubted: bool = False,
-        most_pages: int = 0,
+        acceptor_set: int = 0,
+        is_incomplete: bool = False,
+        max_pages: int = 0,
     ) -> AcceptorStore:
-        """Raises StateTorn, StateUnusable, DiskFull. `doubted` for one that is made where there was another."""
-        try:
-            if not os.path.exists(path):
-                for tail in (
-                    "-wal",
-                    "-shm",
-                    "-journal",
-                ):  # of a file that is gone: not of the new one
-                    if os.path.exists(path + tail):
-                        os.remove(path + tail)
-                os.makedirs(os.path.dirname(path) or ".", exist_ok=True)
-                state = wire.State(
-                    own=put_identity(StateIdentity(1, chance, 0)),
-                    floor=0,
-                    up=0,
-                    doubted=doubted,
-                    among=among,
-                )
-                created(path, state.SerializeToString())
-            base = sqlite3.connect(
-                path, isolation_level=None, check_same_thread=False, timeout=1.0
-            )
-        except sqlite3.Error as error:
-            raise fault_of(error, path) from None
-        except OSError as error:
-            raise AcceptorStateUnusable(error.strerror or str(error), path) from None
-        store = cls(path, base)
+        """Open the file of an acceptor, made where there is none.
+
+        Args:
+            path: Where it is.
+            chance: Random number for the identity of a new state.
+            acceptor_set: Digest of the acceptors' names, for a new state.
+            is_incomplete: For a file that is made where there was another.
+            max_pages: Bound of the file in sqlite's pages; 0 for none.
+
+        Raises:
+            AcceptorStateCorrupt, AcceptorStateUnusable, DiskFull.
+        """
+        state = initial_state(chance, acceptor_set, is_incomplete)
+        connection = open_database(path, state)
+        store = cls(path, connection)
         try:
-            store.begin(most_pages)
+            store.load(max_pages)
         except sqlite3.Error as error:
-            base.close()
-            raise fault_of(error, path) from None
+            connection.close()
+            raise translate_error(error, path) from error
         except CoordinationError:
-            base.close()
+            connection.close()
             raise
         return store
 
-    def begin(self, most_pages: int) -> None:
-        """All that is in it is looked at once."""
-        base = self.base
-        base.execute(
-            "PRAGMA locking_mode=EXCLUSIVE"
-        )  # two processes with one file: the second is told so
-        base.execute("PRAGMA journal_mode=WAL")
-        base.execute("PRAGMA synchronous=FULL")
-        if most_pages:
-            base.execute(f"PRAGMA max_page_count={most_pages}")
-        schema, mark = (
-            base.execute(f"PRAGMA {each}").fetchone()[0]
-            for each in ("user_version", "application_id")
-        )
-        if mark != MARK:
+    @property
+    def identity(self) -> StateIdentity:
+        """Identity of the state."""
+        return self.state.identity
+
+    @property
+    def ballot_floor(self) -> int:
+        """The highest ballot round of all records that were removed."""
+        return self.state.ballot_floor
+
+    def load(self, max_pages: int) -> None:
+        """Read and check all that is in the file once."""
+        connection = self.connection
+        # Of two processes with one file the second is told so.
+        connection.execute("PRAGMA locking_mode=EXCLUSIVE")
+        connection.execute("PRAGMA journal_mode=WAL")
+        connection.execute("PRAGMA synchronous=FULL")
+        if max_pages:
+            connection.execute(f"PRAGMA max_page_count={max_pages}")
+        self._check_file()
+        self._load_state()
+        self.count = 0
+        for row in connection.execute(_SELECT_ALL):
+            decode_row(RecordRow(*row), self.path)
+            self.count += 1
+
+    def _check_file(self) -> None:
+        schema_version = self._pragma("user_version")
+        if self._pragma("application_id") != APPLICATION_ID:
             raise AcceptorStateCorrupt("no file of a register", self.path)
-        if schema > SCHEMA:
+        if schema_version > SCHEMA_VERSION:
             raise AcceptorStateUnusable(
-                f"its schema is {schema}, this program knows {SCHEMA}", self.path
+                f"its schema is {schema_version}, this program knows {SCHEMA_VERSION}",
+                self.path,
             )
-        if (found := base.execute("PRAGMA quick_check(1)").fetchone()[0]) != "ok":
+        found = self.connection.execute("PRAGMA quick_check(1)").fetchone()[0]
+        if found != "ok":
             raise AcceptorStateCorrupt(str(found), self.path)
-        row = base.execute("SELECT body, sum FROM state").fetchone()
+
+    def _pragma(self, name: str) -> int:
+        return int(self.connection.execute(f"PRAGMA {name}").fetchone()[0])
+
+    def _load_state(self) -> None:
+        row = self.connection.execute("SELECT body, sum FROM state").fetchone()
         if row is None or checksum("", 0, row[0]) != row[1]:
             raise AcceptorStateCorrupt(
                 "the row of the state fails its checksum", self.path
             )
-        state = wire.State.FromString(row[0])
-        self.own, self.floor, self.up, self.doubted = (
-            get_identity(state.own),
-            state.floor,
-            state.up,
-            state.doubted,
+        stored = wire.State.FromString(row[0])
+        self.state = StoredState(
+            decode_identity(stored.own), stored.floor, stored.up, stored.doubted
         )
-        self.among = state.among
-        self.known = {each.name: get_identity(each.own) for each in state.known}
-        self.count = 0
-        for each in base.execute("SELECT channel, touched, body, sum FROM record"):
-            self.record(each)
-            self.count += 1
+        self.acceptor_set = stored.among
+        self.known = {each.name: decode_identity(each.own) for each in stored.known}
 
-    def record(self, row: Row) -> Record:
-        """A row as a record. Raises StateTorn."""
-        channel, touched, body, found = row
-        if checksum(channel, touched, body) != found:
-            raise AcceptorStateCorrupt(
-                f"the record of {channel!r} fails its checksum", self.path
-            )
-        try:
-            return get_record(wire.Kept.FromString(body), touched)
-        except (DecodeError, MalformedFrame) as error:
-            raise AcceptorStateCorrupt(
-                f"the record of {channel!r} cannot be read: {error}", self.path
-            ) from None
+    def read(self, key: str) -> LeaseRecord | None:
+        """Return a lease's record, None where there is none.
 
-    def read(self, channel: str) -> Record | None:
-        """Raises StateTorn, StateUnusable."""
+        Raises:
+            AcceptorStateCorrupt, AcceptorStateUnusable.
+        """
         try:
-            row = self.base.execute(
-                "SELECT channel, touched, body, sum FROM record WHERE channel = ?",
-                (channel,),
-            ).fetchone()
+            row = self.connection.execute(_SELECT_ONE, (key,)).fetchone()
         except sqlite3.Error as error:
-            raise fault_of(error, self.path) from None
-        return None if row is None else self.record(row)
+            raise translate_error(error, self.path) from error
+        return None if row is None else decode_row(RecordRow(*row), self.path)
 
     def commit(
         self,
-        records: Mapping[str, Record | None],
-        up: int,
-        floor: int | None = None,
-        more: int = 0,
+        records: Mapping[str, LeaseRecord | None],
+        uptime: int,
+        ballot_floor: int | None = None,
+        added: int = 0,
     ) -> None:
-        """All of them, or none, on disk when it returns; None is a record that goes; `more` are new. Raises DiskFull, StateUnusable,
-        StateTorn; then nothing has changed.
+        """Write records, all or none; they are on disk when it returns.
+
+        Args:
+            records: By key; None for a record that is removed.
+            uptime: For how long the acceptor was up, in ticks.
+            ballot_floor: The new floor, None where it stays.
+            added: How many of the records are new.
+
+        Raises:
+            DiskFull, AcceptorStateCorrupt, AcceptorStateUnusable: nothing has changed.
         """
-        own, floor = (
-            self.own._replace(generation=self.own.generation + 1),
-            self.floor if floor is None else floor,
+        identity = self.identity
+        identity = identity._replace(generation=identity.generation + 1)
+        floor = self.ballot_floor if ballot_floor is None else ballot_floor
+        state = replace(
+            self.state, identity=identity, ballot_floor=floor, uptime=uptime
         )
-        gone = [channel for channel, each in records.items() if each is None]
-        self.transaction(self.rows(records), gone, own, floor, up, self.doubted)
-        self.count += more - len(gone)
+        removed = [key for key, record in records.items() if record is None]
+        self._write(encode_rows(records), removed, state)
+        self.count += added - len(removed)
 
-    def doubt(self, up: int) -> None:
-        """It lacks something, also after the next start. Raises as `commit`."""
-        self.transaction([], [], self.own, self.floor, up, True)
+    def mark_incomplete(self, uptime: int) -> None:
+        """Write down that the state lacks something. Raises as `commit`."""
+        self._write([], [], replace(self.state, uptime=uptime, is_incomplete=True))
 
-    def anew(
-        self, records: Mapping[str, Record], floor: int, own: StateIdentity, up: int
-    ) -> None:
-        """A state out of the others' word; it has a new identity. Raises as `commit`."""
-        self.transaction(self.rows(records), [], own, floor, up, False)
-        self.count = self.base.execute("SELECT count(*) FROM record").fetchone()[0]
-
-    def rows(self, records: Mapping[str, Record | None]) -> list[Row]:
-        made: list[Row] = []
-        for channel, record in records.items():
-            if record is not None:
-                body = put_record(record).SerializeToString()
-                made.append(
-                    (
-                        channel,
-                        record.touched,
-                        body,
-                        checksum(channel, record.touched, body),
-                    )
-                )
-        return made
-
-    def transaction(
+    def adopt(
         self,
-        rows: Iterable[Row],
-        gone: Iterable[str],
-        own: StateIdentity,
-        floor: int,
-        up: int,
-        doubted: bool,
+        records: Mapping[str, LeaseRecord],
+        ballot_floor: int,
+        identity: StateIdentity,
+        uptime: int,
     ) -> None:
-        state = wire.State(
-            own=put_identity(own),
-            floor=floor,
-            up=up,
-            doubted=doubted,
-            among=self.among,
-            known=[
-                wire.Known(name=name, own=put_identity(each))
-                for name, each in list(self.known.items())[:MOST_KNOWN]
-            ],
-        ).SerializeToString()
-        base = self.base
-        try:
-            base.execute("BEGIN IMMEDIATE")
-            base.executemany("INSERT OR REPLACE INTO record VALUES(?, ?, ?, ?)", rows)
-            base.executemany(
-                "DELETE FROM record WHERE channel = ?", [(each,) for each in gone]
-            )
-            base.execute(
-                "UPDATE state SET body = ?, sum = ?", (state, checksum("", 0, state))
-            )
-            base.execute("COMMIT")
-        except sqlite3.Error as error:
-            if base.in_transaction:
-                try:
-                    base.execute("ROLLBACK")
-                except sqlite3.Error:
-                    pass  # the error that came first says more
-            raise fault_of(error, self.path) from None
-        self.own, self.floor, self.up, self.doubted = own, floor, up, doubted
-
-    def page(self, after: str) -> SnapshotPage:
-        """Records after a channel, for another register. Raises StateTorn, StateUnusable."""
-        found: list[tuple[str, Record]] = []
-        size, last = 0, True
+        """Write a state that was copied from others. Raises as `commit`."""
+        state = StoredState(identity, ballot_floor, uptime)
+        self._write(encode_rows(records), [], state)
+        count = self.connection.execute("SELECT count(*) FROM record").fetchone()
+        self.count = count[0]
+
+    def read_page(self, after: str) -> SnapshotPage:
+        """Return records after a key, for another acceptor.
+
+        Raises:
+            AcceptorStateCorrupt, AcceptorStateUnusable.
+        """
+        records: list[tuple[str, LeaseRecord]] = []
+        size = 0
+        is_last = True
         try:
-            for row in self.base.execute(
-                "SELECT channel, touched, body, sum FROM record WHERE channel > ? ORDER BY channel LIMIT ?",
-                (after, PER_PAGE + 1),
-            ):
-                if len(found) >= PER_PAGE or size > PAGE_BYTES:
-                    last = False
+            rows = self.connection.execute(_SELECT_AFTER, (after, MAX_PAGE_RECORDS + 1))
+            for row in map(RecordRow._make, rows):
+                if len(records) >= MAX_PAGE_RECORDS or size > MAX_PAGE_BYTES:
+                    is_last = False
                     break
-                found.append((row[0], self.record(row)))
-                size += len(row[2])
+                records.append((row.key, decode_row(row, self.path)))
+                size += len(row.body)
         except sqlite3.Error as error:
-            raise fault_of(error, self.path) from None
-        return SnapshotPage(tuple(found), self.floor, last)
-
-    def forget(
-        self, after: str, some: int, up: int, silent: int, free: Callable[[str], bool]
-    ) -> tuple[str, list[str]]:
-        """Looks at some records after a channel and lets those go that were silent for so long and that are `free`; the channel it
-        came to, empty at the end, and what went. Raises as `commit`.
+            raise translate_error(error, self.path) from error
+        return SnapshotPage(tuple(records), self.ballot_floor, is_last)
+
+    def remove_idle(
+        self,
+        after: str,
+        limit: int,
+        uptime: int,
+        idle_after: int,
+        is_free: Callable[[str], bool],
+    ) -> RemovalResult:
+        """Remove records of leases that were unused for long.
+
+        Args:
+            after: Key after which to look.
+            limit: How many records to look at.
+            uptime: For how long the acceptor was up, in ticks.
+            idle_after: For how long a lease must have been unused, in ticks.
+            is_free: Whether nobody holds the lease of a key.
+
+        Raises:
+            As `commit`.
         """
         try:
-            rows = self.base.execute(
-                "SELECT channel, touched, body, sum FROM record WHERE channel > ? ORDER BY channel LIMIT ?",
-                (after, some),
-            ).fetchall()
+            rows = self.connection.execute(_SELECT_AFTER, (after, limit)).fetchall()
         except sqlite3.Error as error:
-            raise fault_of(error, self.path) from None
-        records = {row[0]: self.record(row) for row in rows}
-        gone: dict[str, Record | None] = {}
-        floor = self.floor
-        for channel, record in records.items():
-            if forgettable(record, up, silent) and free(channel):
-                gone[channel], floor = None, raised(floor, record)
-        if gone:
-            self.commit(gone, up, floor)
-        return rows[-1][0] if len(rows) == some else "", list(gone)
+            raise translate_error(error, self.path) from error
+        records = {row[0]: decode_row(RecordRow(*row), self.path) for row in rows}
+        removed: dict[str, LeaseRecord | None] = {}
+        floor = self.ballot_floor
+        for key, record in records.items():
+            if is_removable(record, uptime, idle_after) and is_free(key):
+                removed[key] = None
+                floor = raise_ballot_floor(floor, record)
+        if removed:
+            self.commit(removed, uptime, floor)
+        next_key = rows[-1][0] if len(rows) == limit else ""
+        return RemovalResult(next_key, tuple(removed))
 
     def close(self) -> None:
-        self.base.close()
+        """Close the file."""
+        self.connection.close()
+
+    def _write(
+        self, rows: Iterable[RecordRow], removed: Iterable[str], state: StoredState
+    ) -> None:
+        known = list(self.known.items())[:MAX_KNOWN_ACCEPTORS]
+        body = encode_state(state, self.acceptor_set, known)
+        connection = self.connection
+        try:
+            connection.execute("BEGIN IMMEDIATE")
+            connection.executemany(
+                "INSERT OR REPLACE INTO record VALUES(?, ?, ?, ?)", rows
+            )
+            connection.executemany(
+                "DELETE FROM record WHERE channel = ?", [(key,) for key in removed]
+            )
+            connection.execute(
+                "UPDATE state SET body = ?, sum = ?", (body, checksum("", 0, body))
+            )
+            connection.execute("COMMIT")
+        except sqlite3.Error as error:
+            self._roll_back()
+            raise translate_error(error, self.path) from error
+        self.state = state
+
+    def _roll_back(self) -> None:
+        if not self.connection.in_transaction:
+            return
+        # The error that came first says more than one of the rollback.
+        with contextlib.suppress(sqlite3.Error):
+            self.connection.execute("ROLLBACK")
--- a/milletsill/fleet/leases/blocking_worker.py
+++ b/milletsill/fleet/leases/blocking_worker.py
@@ -1,20 +1,39 @@
-"""One thread for jobs that block, in their order; results come back by the reactor. A job's Fault is its result."""
+"""One thread for jobs that block, in their order; results come by the reactor."""
 
 from __future__ import annotations
 
 import traceback
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol, TypeVar
 
 from twisted.internet.threads import deferToThreadPool
+from twisted.python.failure import Failure
 from twisted.python.threadpool import ThreadPool
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.leases.errors import AcceptorStateUnusable
 
+T = TypeVar("T")
 
-def tried(job: Callable[[], Any]) -> Any:
-    """Guards the reactor's side against a job that ends by a mistake of ours: it would wait for ever. Said in full, once each."""
+
+class BlockingExecutor(Protocol):
+    """Runs jobs one after another, off the reactor's thread."""
+
+    def run(
+        self, job: Callable[[], T], on_result: Callable[[T | MilletsillError], None]
+    ) -> None:
+        """Run a job; the reactor calls `on_result` once, but not after `stop`."""
+
+    def stop(self) -> None:
+        """Wait for the job under way."""
+
+
+def run_guarded(job: Callable[[], T]) -> T | MilletsillError:
+    """Run a job and return its result, or the error that ended it.
+
+    Guards the reactor's side against a job that ends by a mistake of ours: it would
+    wait for ever. The mistake is printed in full.
+    """
     try:
         return job()
     except MilletsillError as error:
@@ -24,25 +43,31 @@
         return AcceptorStateUnusable(f"{type(error).__name__}: {error}", "register")
 
 
-class Worker:
-    """Bounded by those who call it: each keeps few jobs under way."""
+class BlockingWorker:
+    """The executor with a thread; bounded by its callers, who keep few jobs waiting."""
 
     def __init__(self, reactor: Any) -> None:
-        self.reactor, self.pool, self.stopped = (
-            reactor,
-            ThreadPool(1, 1, "register"),
-            False,
-        )
-        self.pool.start()
-
-    def run(self, job: Callable[[], Any], then: Callable[[Any], None]) -> None:
-        """`then` gets the result, by the reactor; not after `stop`."""
-        if not self.stopped:
-            done = deferToThreadPool(self.reactor, self.pool, tried, job)
-            done.addCallback(lambda result: None if self.stopped else then(result))
-            done.addErrback(lambda failure: failure.printTraceback())
+        self._reactor = reactor
+        self._pool = ThreadPool(1, 1, "register")
+        self._is_stopped = False
+        self._pool.start()
+
+    def run(
+        self, job: Callable[[], T], on_result: Callable[[T | MilletsillError], None]
+    ) -> None:
+        """Run a job; the reactor calls `on_result` once, but not after `stop`."""
+        if self._is_stopped:
+            return
+
+        def deliver(result: T | MilletsillError) -> None:
+            if not self._is_stopped:
+                on_result(result)
+
+        done = deferToThreadPool(self._reactor, self._pool, run_guarded, job)
+        done.addCallback(deliver)
+        done.addErrback(Failure.printTraceback)
 
     def stop(self) -> None:
-        """Waits for the job under way."""
-        self.stopped = True
-        self.pool.stop()
+        """Wait for the job under way; nobody hears its result."""
+        self._is_stopped = True
+        self._pool.stop()
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -1,269 +1,370 @@
-"""Bodies between keepers and registers: the byte "R" and one protobuf Frame; to and from what the deciding files speak of."""
+"""Messages between gateways about leases: the byte "R" and one protobuf Frame.
+
+This is the one place where the names on the wire (`registers.proto`) and the names of
+the code both stand. Whatever cannot be read is a `MalformedFrame`.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import Any
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from typing import TypeVar
 
 import xxhash
 from google.protobuf.message import DecodeError
 
 from milletsill.fleet.frames.codec import MalformedFrame
 from milletsill.fleet.leases import registers_pb2 as wire
-from milletsill.fleet.leases.acceptor import (
-    JUST_NOW,
-    MOST_NAME,
-    MOST_VALUE,
+from milletsill.fleet.leases.acceptor import LeaseRecord
+from milletsill.fleet.leases.acceptor_recovery import SnapshotPage, StateIdentity
+from milletsill.fleet.leases.ballot import UNWRITTEN, Ballot, RecordVersion
+from milletsill.fleet.leases.messages import (
+    CREATED_ON_ARRIVAL,
+    MAX_KEY_BYTES,
+    MAX_VALUE_BYTES,
     UNKNOWN,
-    UNWRITTEN,
-    Answer,
-    Ask,
-    Ballot,
-    Call,
-    Record,
-    Say,
-    Span,
-    Stamp,
+    AcceptorReply,
+    AcceptorRequest,
+    ReplyStatus,
+    RequestKind,
+)
+from milletsill.fleet.leases.timings import LeaseTimings
+from milletsill.fleet.peer_clocks import RemoteTime
+
+FRAME_MARK = b"R"
+FRAME_VERSION = 1
+MAX_FRAME_BYTES = 1 << 19
+MAX_FRAME_MESSAGES = 2000
+FRAME_BYTES = 200_000  # requests or replies are parted into frames of about so many
+MAX_NUMBER = 1 << 60
+
+FramePayload = (
+    wire.Calls
+    | wire.Answers
+    | wire.Beat
+    | wire.Hello
+    | wire.Witness
+    | wire.Tell
+    | wire.Page
 )
-from milletsill.fleet.leases.acceptor_recovery import StateIdentity, SnapshotPage
+_Message = TypeVar("_Message", wire.Call, wire.Answer)
+
+_REQUEST_KINDS = {each.value: each for each in RequestKind}
+_REPLY_STATUSES = {each.value: each for each in ReplyStatus}
+_FRAME_FIELDS: dict[type, str] = {
+    wire.Calls: "calls",
+    wire.Answers: "answers",
+    wire.Beat: "beat",
+    wire.Hello: "hello",
+    wire.Witness: "witness",
+    wire.Tell: "tell",
+    wire.Page: "page",
+}
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedRequests:
+    """Requests to one acceptor.
+
+    Attributes:
+        clock_id: Clock that their creation times are on; 0 where too little is known
+            of the acceptor's.
+        calls: The requests, in their order.
+    """
 
-MARK, VERSION, MOST_FRAME, PER_FRAME = b"R", 1, 1 << 19, 2000
-FRAME_BYTES = 200_000  # calls or answers are parted into frames of about so many
-MOST = 1 << 60  # of any number
-ASKS, SAYS = {each.value: each for each in Ask}, {each.value: each for each in Say}
+    clock_id: int
+    calls: list[wire.Call]
 
 
-def terms(names: Iterable[str], span: Span) -> int:
-    """A digest of what must be the same at all gateways: the registers' names and the spans."""
-    return xxhash.xxh64_intdigest(
-        repr((sorted(names), *span)).encode("utf-8", "surrogateescape")
+def settings_digest(acceptors: Iterable[str], timings: LeaseTimings) -> int:
+    """Return a digest of what must be the same at all gateways."""
+    settings = (
+        sorted(acceptors),
+        timings.lease_duration,
+        timings.call_timeout,
+        timings.drift_permille,
     )
+    return xxhash.xxh64_intdigest(repr(settings).encode("utf-8", "surrogateescape"))
 
 
-def encoded(**what: Any) -> bytes:
-    """One body: `encoded(beat=Beat(...))`."""
-    return MARK + wire.Frame(version=VERSION, **what).SerializeToString()
+def encode_frame(payload: FramePayload) -> bytes:
+    """Return the body of one message."""
+    frame = wire.Frame(version=FRAME_VERSION)
+    field = getattr(frame, _FRAME_FIELDS[type(payload)])
+    field.CopyFrom(payload)
+    field.SetInParent()  # an empty message is there as well
+    return FRAME_MARK + frame.SerializeToString()
 
 
-def decoded(body: bytes) -> Any:
-    """The Frame of a body that begins with the mark; `WhichOneof` is None for what a later version says. Raises Unreadable."""
-    if len(body) > MOST_FRAME:
-        raise MalformedFrame(f"a body of {len(body)} bytes, {MOST_FRAME} at most")
-    try:
-        return wire.Frame.FromString(body[1:])
-    except DecodeError:
-        raise MalformedFrame("a body that is no protobuf of ours") from None
+def decode_frame(body: bytes) -> wire.Frame:
+    """Return the Frame of a body that begins with the mark.
 
+    Its `WhichOneof` is None for what only a later version knows.
 
-def number(value: int) -> int:
-    if value > MOST:
-        raise MalformedFrame(f"a number of {value}, {MOST} at most")
-    return value
+    Raises:
+        MalformedFrame: It is too long, or no protobuf of ours.
+    """
+    if len(body) > MAX_FRAME_BYTES:
+        raise MalformedFrame(f"a body of {len(body)} bytes, {MAX_FRAME_BYTES} at most")
+    try:
+        return wire.Frame.FromString(body[1:])
+    except DecodeError as error:
+        raise MalformedFrame("a body that is no protobuf of ours") from error
 
 
-def named(text: str) -> bool:
-    """Whether it can be a channel's name: UTF-8, not empty, not too long."""
+def is_valid_key(key: str) -> bool:
+    """Whether it can be a lease's name: UTF-8, not empty, not too long."""
     try:
-        return 0 < len(text.encode()) <= MOST_NAME
+        return 0 < len(key.encode()) <= MAX_KEY_BYTES
     except UnicodeEncodeError:
         return False
 
 
-def name(text: str) -> str:
-    if not named(text):
-        raise MalformedFrame(
-            f"a name of {len(text)} characters, {MOST_NAME} bytes at most"
-        )
-    return text
-
-
-def content(value: bytes) -> bytes:
-    if len(value) > MOST_VALUE:
-        raise MalformedFrame(f"a record of {len(value)} bytes, {MOST_VALUE} at most")
-    return value
-
-
-def put_identity(own: StateIdentity) -> wire.Identity:
-    return wire.Identity(age=own.age, chance=own.chance, generation=own.generation)
-
-
-def get_identity(own: Any) -> StateIdentity:
-    return StateIdentity(number(own.age), own.chance, number(own.generation))
-
+def encode_identity(identity: StateIdentity) -> wire.Identity:
+    """Return an identity as a message."""
+    return wire.Identity(
+        age=identity.age, chance=identity.chance, generation=identity.generation
+    )
 
-def put_ballot(ballot: Ballot) -> wire.Ballot:
-    return wire.Ballot(round=ballot.round, name=ballot.name, nonce=ballot.nonce)
 
+def decode_identity(identity: wire.Identity) -> StateIdentity:
+    """Read an identity."""
+    return StateIdentity(
+        _number(identity.age), identity.chance, _number(identity.generation)
+    )
 
-def get_ballot(ballot: Any) -> Ballot:
-    return Ballot(number(ballot.round), ballot.name, ballot.nonce)
 
+def encode_request(
+    request: AcceptorRequest, created_at: int | None = None
+) -> wire.Call:
+    """Return a request as a message.
 
-def put_call(call: Call, born: int | None = None) -> wire.Call:
-    """`born` on the clock of the register, where that is known."""
-    made = wire.Call(
-        ask=call.ask.value,
-        channel=call.channel,
-        round=call.ballot.round,
-        nonce=call.ballot.nonce,
-        index=call.index,
-    )
-    if call.ask is Ask.ACCEPT:
-        made.value, made.fresh = call.value, call.fresh
-        if born is not None:
-            made.born = max(born, 0)
-    return made
-
-
-def get_call(sender: str, call: Any, born: int = JUST_NOW) -> Call | None:
-    """None where it asks for what a later version may know. `born` where the call itself does not say."""
-    ask = ASKS.get(call.ask)
-    return (
-        None
-        if ask is None
-        else Call(
-            ask,
-            name(call.channel),
-            Ballot(number(call.round), sender, call.nonce),
-            number(call.index),
-            content(call.value),
-            call.fresh,
-            number(call.born) if call.HasField("born") else born,
-        )
+    `created_at` is on the acceptor's clock, None where that is not known.
+    """
+    call = wire.Call(
+        ask=request.kind.value,
+        channel=request.key,
+        round=request.ballot.round,
+        nonce=request.ballot.nonce,
+        index=request.index,
     )
+    if request.kind is RequestKind.ACCEPT:
+        call.value = request.value
+        call.fresh = request.is_original
+        if created_at is not None:
+            call.born = max(created_at, 0)
+    return call
 
 
-def put_calls(
-    calls: Iterable[Call], there: Callable[[int], tuple[int, int] | None]
-) -> tuple[int, list[wire.Call]]:
-    """Whose clock calls to one register are dated by, 0 where too little is known of it, and the calls. `there`: whose, and what it
-    reads at the least at a time of ours.
+def decode_request(
+    sender: str, call: wire.Call, created_at: int = CREATED_ON_ARRIVAL
+) -> AcceptorRequest | None:
+    """Read a request; None for a kind that only a later version knows.
+
+    `created_at` holds where the request itself does not say.
     """
-    dated = [(call, there(call.born)) for call in calls]
-    return (
-        next((found[0] for _, found in dated if found is not None), 0),
-        [
-            put_call(call, found[1] if found is not None else None)
-            for call, found in dated
-        ],
+    kind = _REQUEST_KINDS.get(call.ask)
+    if kind is None:
+        return None
+    return AcceptorRequest(
+        kind,
+        _key(call.channel),
+        Ballot(_number(call.round), sender, call.nonce),
+        _number(call.index),
+        _value(call.value),
+        call.fresh,
+        _number(call.born) if call.HasField("born") else created_at,
     )
 
 
-def get_calls(sender: str, told: Any, whose: int) -> list[Call]:
-    """What can be read of a frame's calls. Dates on a clock that is not this one's, `whose`, say nothing; one of an earlier version
-    gives none at all.
-    """
-    found = []
-    for each in told.call[:PER_FRAME]:
-        if told.whose != whose:
-            each.ClearField("born")
-        found.append(
-            get_call(sender, each, UNKNOWN if told.HasField("whose") else JUST_NOW)
-        )
-    return [each for each in found if each is not None]
-
+def encode_requests(
+    requests: Iterable[AcceptorRequest],
+    to_remote: Callable[[int], RemoteTime | None],
+) -> EncodedRequests:
+    """Return requests to one acceptor.
 
-def put_answer(answer: Answer) -> wire.Answer:
-    made = wire.Answer(
-        ask=answer.ask.value,
-        channel=answer.channel,
-        round=answer.ballot.round,
-        nonce=answer.ballot.nonce,
-        index=answer.index,
-        say=answer.say.value,
+    `to_remote` gives what its clock reads at the least at a time of this gateway.
+    """
+    calls = []
+    clock_id = 0
+    for request in requests:
+        remote = to_remote(request.created_at)
+        if remote is None:
+            calls.append(encode_request(request))
+            continue
+        clock_id = clock_id or remote.clock_id
+        calls.append(encode_request(request, remote.reading))
+    return EncodedRequests(clock_id, calls)
+
+
+def decode_requests(
+    sender: str, calls: wire.Calls, clock_id: int
+) -> list[AcceptorRequest]:
+    """Read what can be read of a frame's requests.
+
+    Creation times on a clock that is not this one's, `clock_id`, say nothing. A
+    gateway of an earlier version gives none at all.
+    """
+    created_at = UNKNOWN if calls.HasField("whose") else CREATED_ON_ARRIVAL
+    requests = []
+    for call in calls.call[:MAX_FRAME_MESSAGES]:
+        if calls.whose != clock_id:
+            call.ClearField("born")
+        request = decode_request(sender, call, created_at)
+        if request is not None:
+            requests.append(request)
+    return requests
+
+
+def decode_own_request(sender: str, call: wire.Call) -> AcceptorRequest:
+    """Return what identifies a request of this gateway; it lacks its value."""
+    ballot = Ballot(call.round, sender, call.nonce)
+    return AcceptorRequest(_REQUEST_KINDS[call.ask], call.channel, ballot, call.index)
+
+
+def encode_reply(reply: AcceptorReply) -> wire.Answer:
+    """Return a reply as a message."""
+    answer = wire.Answer(
+        ask=reply.kind.value,
+        channel=reply.key,
+        round=reply.ballot.round,
+        nonce=reply.ballot.nonce,
+        index=reply.index,
+        say=reply.status.value,
     )
-    if answer.stamp != UNWRITTEN:
-        made.stamp.CopyFrom(put_ballot(answer.stamp.ballot))
-        made.stamp_index, made.value = answer.stamp.index, answer.value
-    if answer.told:
-        made.told = True
-    if answer.fresh:
-        made.fresh = True
-    if answer.aged != UNKNOWN:
-        made.aged = answer.aged
-    if answer.say is not Say.YES:
-        made.known, made.pause, made.who = answer.round, answer.pause, answer.who
-    return made
-
-
-def get_answer(receiver: str, answer: Any) -> Answer | None:
-    ask, say = ASKS.get(answer.ask), SAYS.get(answer.say)
-    if ask is None or say is None:
+    if reply.version != UNWRITTEN:
+        answer.stamp.CopyFrom(_encode_ballot(reply.version.ballot))
+        answer.stamp_index = reply.version.number
+        answer.value = reply.value
+    if reply.is_copied:
+        answer.told = True
+    if reply.is_original:
+        answer.fresh = True
+    if reply.value_age != UNKNOWN:
+        answer.aged = reply.value_age
+    if reply.status is not ReplyStatus.GRANTED:
+        answer.known = reply.promised_round
+        answer.pause = reply.retry_after
+        answer.who = reply.holder
+    return answer
+
+
+def decode_reply(receiver: str, answer: wire.Answer) -> AcceptorReply | None:
+    """Read a reply; None for a kind or status that only a later version knows."""
+    kind = _REQUEST_KINDS.get(answer.ask)
+    status = _REPLY_STATUSES.get(answer.say)
+    if kind is None or status is None:
         return None
-    stamp = (
-        Stamp(get_ballot(answer.stamp), number(answer.stamp_index))
-        if answer.HasField("stamp")
-        else UNWRITTEN
-    )
-    return Answer(
-        ask,
+    version = UNWRITTEN
+    if answer.HasField("stamp"):
+        version = RecordVersion(
+            _decode_ballot(answer.stamp), _number(answer.stamp_index)
+        )
+    return AcceptorReply(
+        kind,
         answer.channel,
         Ballot(answer.round, receiver, answer.nonce),
         answer.index,
-        say,
-        stamp,
-        content(answer.value),
-        number(answer.aged) if answer.HasField("aged") else UNKNOWN,
-        number(answer.known),
-        number(answer.pause),
+        status,
+        version,
+        _value(answer.value),
+        _number(answer.aged) if answer.HasField("aged") else UNKNOWN,
+        _number(answer.known),
+        _number(answer.pause),
         answer.who,
         answer.told,
         answer.fresh,
     )
 
 
-def put_record(record: Record, channel: str = "") -> wire.Kept:
-    made = wire.Kept(promised=put_ballot(record.promised))
-    if channel:
-        made.channel = channel
-    if record.stamp != UNWRITTEN:
-        made.stamp.CopyFrom(put_ballot(record.stamp.ballot))
-        made.index, made.value, made.told = (
-            record.stamp.index,
-            record.value,
-            record.told,
-        )
-    return made
-
-
-def get_record(kept: Any, touched: int = 0) -> Record:
-    stamp = (
-        Stamp(get_ballot(kept.stamp), number(kept.index))
-        if kept.HasField("stamp")
-        else UNWRITTEN
-    )
-    return Record(
-        get_ballot(kept.promised), stamp, content(kept.value), touched, kept.told
+def encode_record(record: LeaseRecord, key: str = "") -> wire.Kept:
+    """Return a record, as it is told to another acceptor and as it is stored."""
+    kept = wire.Kept(promised=_encode_ballot(record.promised))
+    if key:
+        kept.channel = key
+    if record.version != UNWRITTEN:
+        kept.stamp.CopyFrom(_encode_ballot(record.version.ballot))
+        kept.index = record.version.number
+        kept.value = record.value
+        kept.told = record.is_copied
+    return kept
+
+
+def decode_record(kept: wire.Kept, written_at: int = 0) -> LeaseRecord:
+    """Read a record."""
+    version = UNWRITTEN
+    if kept.HasField("stamp"):
+        version = RecordVersion(_decode_ballot(kept.stamp), _number(kept.index))
+    return LeaseRecord(
+        _decode_ballot(kept.promised),
+        version,
+        _value(kept.value),
+        written_at,
+        kept.told,
     )
 
 
-def put_page(after: str, page: SnapshotPage) -> wire.Page:
+def encode_page(after: str, page: SnapshotPage) -> wire.Page:
+    """Return a page of records as a message."""
     return wire.Page(
         after=after,
-        kept=[put_record(record, channel) for channel, record in page.records],
-        floor=page.floor,
-        last=page.last,
+        kept=[encode_record(record, key) for key, record in page.records],
+        floor=page.ballot_floor,
+        last=page.is_last,
     )
 
 
-def get_page(page: Any) -> SnapshotPage:
+def decode_page(page: wire.Page) -> SnapshotPage:
+    """Read a page of records."""
     return SnapshotPage(
-        tuple((name(each.channel), get_record(each)) for each in page.kept),
-        number(page.floor),
+        tuple((_key(each.channel), decode_record(each)) for each in page.kept),
+        _number(page.floor),
         page.last,
     )
 
 
-def parted(pieces: Iterable[Any]) -> Iterable[list[Any]]:
-    """Calls or answers in lists that each fit a frame."""
-    found: list[Any] = []
+def split_into_frames(messages: Iterable[_Message]) -> Iterator[list[_Message]]:
+    """Part requests or replies into lists that each fit a frame."""
+    found: list[_Message] = []
     size = 0
-    for each in pieces:
-        length = each.ByteSize()
-        if found and (size + length > FRAME_BYTES or len(found) >= PER_FRAME):
+    for message in messages:
+        length = message.ByteSize()
+        is_full = size + length > FRAME_BYTES or len(found) >= MAX_FRAME_MESSAGES
+        if found and is_full:
             yield found
-            found, size = [], 0
-        found.append(each)
+            found = []
+            size = 0
+        found.append(message)
         size += length
     if found:
         yield found
+
+
+def _encode_ballot(ballot: Ballot) -> wire.Ballot:
+    return wire.Ballot(round=ballot.round, name=ballot.gateway, nonce=ballot.nonce)
+
+
+def _decode_ballot(ballot: wire.Ballot) -> Ballot:
+    return Ballot(_number(ballot.round), ballot.name, ballot.nonce)
+
+
+def _number(value: int) -> int:
+    if value > MAX_NUMBER:
+        raise MalformedFrame(f"a number of {value}, {MAX_NUMBER} at most")
+    return value
+
+
+def _key(key: str) -> str:
+    if not is_valid_key(key):
+        raise MalformedFrame(
+            f"a name of {len(key)} characters, {MAX_KEY_BYTES} bytes at most"
+        )
+    return key
+
+
+def _value(value: bytes) -> bytes:
+    if len(value) > MAX_VALUE_BYTES:
+        raise MalformedFrame(
+            f"a record of {len(value)} bytes, {MAX_VALUE_BYTES} at most"
+        )
+    return value
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -1,5 +1,7 @@
-"""What can come to nothing about a channel, each a type. `pause` is when coming back helps, in tenths of a millisecond; 0 for not
-by itself.
+"""Errors of the lease service, each a type.
+
+`pause` says when coming back helps, in ticks of a tenth of a millisecond; 0 for not
+by itself. The metric `milletsill_offices_takes_total` has their names.
 """
 
 from __future__ import annotations
@@ -8,7 +10,7 @@
 
 
 class CoordinationError(MilletsillError):
-    """One of a channel."""
+    """An error of a lease, or of the channel that it is for."""
 
     def __init__(self, what: str, where: str = "", pause: int = 0) -> None:
         super().__init__(what, where)
@@ -16,15 +18,21 @@
 
 
 class QuorumNotReached(CoordinationError):
-    """Too few registers answered in time."""
+    """Too few acceptors answered in time."""
 
-    remedy = "see that over half of the gateways named in fleet.channels.register run and reach each other"
+    remedy = (
+        "see that over half of the gateways named in fleet.channels.register run and "
+        "reach each other"
+    )
 
 
 class NotLeaseHolder(CoordinationError):
-    """Another gateway holds the office of this channel; `who`."""
+    """Another gateway, `who`, holds the lease."""
 
-    remedy = "none: the office goes over when it ends or is given up; with one name again and again, see that gateway's log"
+    remedy = (
+        "none: the office goes over when it ends or is given up; with one name again "
+        "and again, see that gateway's log"
+    )
 
     def __init__(
         self, what: str, where: str = "", pause: int = 0, who: str = ""
@@ -34,7 +42,7 @@
 
 
 class BallotSuperseded(CoordinationError):
-    """A later ballot was promised: the term that this was to be done under is over."""
+    """A later ballot was promised: the term under which this was to be done is over."""
 
     remedy = (
         "none; if it comes often, compare the gateways' views and their clocks' rates"
@@ -42,57 +50,79 @@
 
 
 class LeaseNotHeld(CoordinationError):
-    """The term was given up, lost, or never held here."""
+    """The lease was released, lost, or never held here."""
 
     remedy = "none: the office is taken again"
 
 
 class ResourceLimitReached(CoordinationError):
-    """A bound of this gateway: channels, pending calls, or bytes of a record."""
+    """A bound of this gateway: leases, requests under way, or bytes of a record."""
 
-    remedy = "raise fleet.channels.most_channels, or have clients use fewer channels; see milletsill_offices_pending"
+    remedy = (
+        "raise fleet.channels.most_channels, or have clients use fewer channels; see "
+        "milletsill_offices_pending"
+    )
 
 
 class AcceptorStateCorrupt(CoordinationError):
-    """The register's file cannot be read whole, or a row fails its checksum."""
+    """The acceptor's file cannot be read whole, or a row fails its checksum."""
 
-    remedy = "look at the disk; the file was set aside and the register catches up from the others by itself"
+    remedy = (
+        "look at the disk; the file was set aside and the register catches up from "
+        "the others by itself"
+    )
 
 
 class AcceptorStateRolledBack(CoordinationError):
-    """The register's file is an older copy: others have heard later things from it."""
+    """The acceptor's file is an older copy: others heard later things from it."""
 
-    remedy = "never put back copies of state_dir; the register catches up from the others by itself"
+    remedy = (
+        "never put back copies of state_dir; the register catches up from the others "
+        "by itself"
+    )
 
 
 class AcceptorStateMissing(CoordinationError):
-    """The register's file is gone, though others know that there was one."""
+    """The acceptor's file is gone, though others know that there was one."""
 
-    remedy = "see that state_dir is kept over restarts; the register catches up from the others by itself"
+    remedy = (
+        "see that state_dir is kept over restarts; the register catches up from the "
+        "others by itself"
+    )
 
 
 class DiskFull(CoordinationError):
-    """The register cannot write; it answers nothing that it has not written."""
+    """The acceptor cannot write; it answers nothing that it has not written."""
 
     remedy = "make room on the disk of state_dir; the register goes on by itself"
 
 
 class LeaseSettingsMismatch(CoordinationError):
-    """Another gateway has other registers or spans in its file: its calls are declined."""
+    """Another gateway has other acceptors or timings: its requests are declined."""
 
-    remedy = "make fleet.channels.register, office_s, call_ms and drift_permille the same in all gateways' files"
+    remedy = (
+        "make fleet.channels.register, office_s, call_ms and drift_permille the same "
+        "in all gateways' files"
+    )
 
 
 class AcceptorSetChanged(CoordinationError):
-    """The file names other registers than when the register's state was made: majorities of the old and the new need not meet."""
+    """The settings name other acceptors than those the state was made for.
+
+    Majorities of the old set and of the new need not meet.
+    """
 
     remedy = (
-        "put the old names back (a machine is replaced under its name); or stop all gateways, let every register that is kept "
-        "go on by a file FILE.go-on beside its own, and know that records at the removed ones alone are lost"
+        "put the old names back (a machine is replaced under its name); or stop all "
+        "gateways, let every register that is kept go on by a file FILE.go-on beside "
+        "its own, and know that records at the removed ones alone are lost"
     )
 
 
 class AcceptorStateUnusable(CoordinationError):
-    """The register's disk does not take writes, or its file is of a later version of the program."""
+    """The disk does not take writes, or the file is of a later version."""
 
-    remedy = "see that state_dir is writable, on a disk in order, and that no later version has written there; then restart"
+    remedy = (
+        "see that state_dir is writable, on a disk in order, and that no later version "
+        "has written there; then restart"
+    )
--- a/milletsill/fleet/leases/lease_proposer.py
+++ b/milletsill/fleet/leases/lease_proposer.py
@@ -1,331 +1,322 @@
-"""One channel's seat at one gateway: taking the office, renewing it, writing under it, losing it. Pure; decide.py has the words.
+"""One lease at one gateway: acquiring, renewing, writing under it, losing it. Pure.
 
-A poll is one call to all registers. A term counts from when the poll was sent, and only answers to this very poll count.
+A proposer sends one request at a time to all acceptors, as a `QuorumRound`.
+`proposer_table` says what each event does in each state; `LeaseProposer` carries it
+out.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from enum import Enum
-
-from milletsill.fleet.leases.acceptor import (
-    NOBODY,
-    TRIES,
-    UNKNOWN,
-    UNWRITTEN,
-    Answer,
-    Ask,
-    Ballot,
-    Call,
-    Say,
-    Span,
-    majority,
-)
+from dataclasses import dataclass
 
-Seated = Enum("Seated", "OUT ASKING MENDING SEATED RENEWING WRITING")
-Input = Enum("Input", "TAKE WRITE GIVE_UP EVEN UNEVEN REFUSED LOWER LATE")
-Effect = Enum(
-    "Effect",
-    "NONE ASK ASK_HIGHER MEND SEAT EXTEND RENEW WRITE WROTE QUEUE RELEASE LOSE KEEP NOT_HELD",
+from milletsill.fleet.leases.ballot import NO_BALLOT, Ballot
+from milletsill.fleet.leases.messages import (
+    AcceptorReply,
+    AcceptorRequest,
+    ReplyStatus,
+    RequestKind,
 )
-KEEPER: dict[tuple[Seated, Input], tuple[Seated, Effect]] = {
-    **{
-        (state, Input.WRITE): (state, Effect.NOT_HELD)
-        for state in (Seated.OUT, Seated.ASKING, Seated.MENDING)
-    },
-    **{(state, Input.REFUSED): (Seated.OUT, Effect.LOSE) for state in Seated},
-    **{(state, Input.LOWER): (Seated.OUT, Effect.LOSE) for state in Seated},
-    **{(state, Input.LATE): (Seated.OUT, Effect.LOSE) for state in Seated},
-    **{(state, Input.GIVE_UP): (Seated.OUT, Effect.RELEASE) for state in Seated},
-    **{
-        (state, Input.TAKE): (state, Effect.NONE) for state in Seated
-    },  # it is told when that comes out
-    (Seated.OUT, Input.TAKE): (Seated.ASKING, Effect.ASK),
-    (Seated.OUT, Input.GIVE_UP): (Seated.OUT, Effect.NONE),
-    (Seated.ASKING, Input.EVEN): (Seated.SEATED, Effect.SEAT),
-    (Seated.ASKING, Input.UNEVEN): (Seated.MENDING, Effect.MEND),
-    (Seated.ASKING, Input.LOWER): (Seated.ASKING, Effect.ASK_HIGHER),
-    (Seated.MENDING, Input.EVEN): (Seated.SEATED, Effect.SEAT),
-    (Seated.SEATED, Input.TAKE): (Seated.RENEWING, Effect.RENEW),
-    (Seated.SEATED, Input.WRITE): (Seated.WRITING, Effect.WRITE),
-    (Seated.RENEWING, Input.EVEN): (Seated.SEATED, Effect.EXTEND),
-    (Seated.RENEWING, Input.UNEVEN): (Seated.SEATED, Effect.EXTEND),
-    (Seated.RENEWING, Input.LATE): (
-        Seated.SEATED,
-        Effect.KEEP,
-    ),  # the term stands until its end
-    (Seated.RENEWING, Input.WRITE): (Seated.RENEWING, Effect.QUEUE),
-    (Seated.WRITING, Input.WRITE): (Seated.WRITING, Effect.QUEUE),
-    (Seated.WRITING, Input.EVEN): (Seated.SEATED, Effect.WROTE),
-}
-
-
-class Poll:
-    """One call to all registers, and what they said."""
-
-    __slots__ = ("call", "sent", "yes", "no")
-
-    def __init__(self, call: Call, sent: int) -> None:
-        self.call, self.sent = call, sent
-        self.yes: dict[str, Answer] = {}
-        self.no: dict[str, Answer] = {}
-
-
-def fits(poll: Poll, answer: Answer) -> bool:
-    """Whether an answer is to this very call. Guards, with the index, against a late one to an older renewal of the ballot, which
-    would pass for a new grant.
-    """
-    call = poll.call
-    return (
-        answer.ask is call.ask
-        and answer.ballot == call.ballot
-        and answer.index == call.index
-    )
-
-
-def open_still(poll: Poll, now: int, span: Span) -> bool:
-    """Whether an answer may count. Guards against one of a register that has since lost its state: it catches up only after
-    all calls are over that it may have answered.
-    """
-    return now < poll.sent + span.call
-
-
-def newest(answers: Sequence[Answer]) -> Answer:
-    """The answer with the latest write."""
-    return max(answers, key=lambda each: each.stamp)
-
-
-def even(answers: Sequence[Answer], best: Answer, registers: int) -> bool:
-    """Whether a majority has accepted the latest write already, or there is none. Where not, it may be nowhere else, and is
-    written again before anybody acts on it. What a register was only told of is no vote of its own: a later ballot that it had
-    promised may be past it.
-    """
-    return best.stamp == UNWRITTEN or sum(
-        each.stamp == best.stamp and not each.told for each in answers
-    ) >= majority(registers)
+from milletsill.fleet.leases.proposer_table import (
+    LEASE_HELD_STATES,
+    PROPOSER_TABLE,
+    ROUND_EFFECTS,
+    ProposerEffect,
+    ProposerEvent,
+    ProposerState,
+)
+from milletsill.fleet.leases.quorum_round import (
+    QuorumRound,
+    answers_request,
+    holder_lease_end,
+    is_open,
+    is_settled,
+    latest_reply,
+    oldest_value_age,
+)
+from milletsill.fleet.leases.timings import LeaseTimings
 
+# Ballots that are tried in one acquisition where only a higher one stands in the way.
+MAX_BALLOT_ATTEMPTS = 3
 
-def aged(answers: Sequence[Answer], value: bytes) -> int | None:
-    """For how long the value has surely stood at the most. One of the majority that was read took it before anybody acted on it,
-    others may have taken it much later. Where the latest write is the one that it was new in, that one has this very write.
-    Where it was written again, that one may have gone on to another value meanwhile, so all must have it.
-    """
-    best = newest(answers)
-    have = [each for each in answers if each.stamp == best.stamp]
-    if not any(each.fresh for each in have):
-        have = list(answers)
-    if any(each.aged == UNKNOWN or each.value != value for each in have):
-        return None
-    return max(each.aged for each in have)
 
+@dataclass(frozen=True, slots=True)
+class PendingWrite:
+    """A value to be written, and when it was made in ticks."""
 
-def term_end(poll: Poll, now: int, span: Span) -> int:
-    """From the send, not from the answers: registers counted from when it came."""
-    return poll.sent + span.kept()
+    value: bytes
+    created_at: int
 
 
-def rounds_used(before: int, seat: Seat) -> int:
-    """Where the rounds of a gateway's next seat begin once this one is let go: no ballot is used twice in one start."""
-    return max(before, seat.round)
+class LeaseProposer:
+    """The state machine of one lease at one gateway.
 
+    Its methods take the gateway's clock in ticks and return the effects in the order
+    in which they happened.
 
-class Seat:
-    """One channel at one gateway. `name` and `nonce` make its ballots; `ends` is the term's end on this gateway's clock, `since` when the
-    value was surely there at the earliest; none for unknown. Effects that send have put their call into `poll`; `gone` is the call that gives up, if any.
+    Attributes:
+        state: Where it stands.
+        ballot: The ballot of the last acquisition.
+        value: The record, as it was read or written last.
+        value_since: When the value was surely there at the earliest, in ticks; None
+            for unknown.
+        expires_at: When the lease ends on this gateway's clock; 0 without one.
+        current_round: The requests under way, if any.
+        release_request: What tells the acceptors that the lease is over, if anything.
+        refusal: The reply that tells most of why the last round failed, if any.
+        highest_round: The highest ballot round that was used or heard of.
     """
 
     __slots__ = (
-        "channel",
-        "name",
+        "key",
+        "gateway",
         "nonce",
-        "span",
-        "registers",
+        "timings",
+        "acceptors",
         "state",
         "ballot",
         "index",
         "value",
-        "ends",
-        "poll",
-        "queued",
-        "since",
-        "tries",
-        "round",
+        "value_since",
+        "expires_at",
+        "current_round",
+        "queued_write",
+        "attempts",
+        "highest_round",
         "renewals",
-        "gone",
+        "release_request",
         "refusal",
     )
 
     def __init__(
         self,
-        channel: str,
-        name: str,
+        key: str,
+        gateway: str,
         nonce: int,
-        span: Span,
-        registers: int,
-        used: int = 0,
+        timings: LeaseTimings,
+        acceptors: int,
+        used_rounds: int = 0,
     ) -> None:
-        self.channel, self.name, self.nonce, self.span, self.registers = (
-            channel,
-            name,
-            nonce,
-            span,
-            registers,
-        )
-        self.state, self.ballot, self.index, self.value, self.ends = (
-            Seated.OUT,
-            NOBODY,
-            0,
-            b"",
-            0,
-        )
-        self.since: int | None = 0
-        self.poll: Poll | None = None
-        self.queued: tuple[bytes, int] | None = None  # and when it was made
-        self.round, self.tries, self.renewals = used, 0, 0
-        self.gone: Call | None = None
-        self.refusal: Answer | None = None  # what to tell of a loss
+        self.key = key
+        self.gateway = gateway
+        self.nonce = nonce
+        self.timings = timings
+        self.acceptors = acceptors
+        self.state = ProposerState.IDLE
+        self.ballot = NO_BALLOT
+        self.index = 0
+        self.value = b""
+        self.value_since: int | None = 0
+        self.expires_at = 0
+        self.current_round: QuorumRound | None = None
+        self.queued_write: PendingWrite | None = None
+        self.attempts = 0
+        self.highest_round = used_rounds
+        self.renewals = 0
+        self.release_request: AcceptorRequest | None = None
+        self.refusal: AcceptorReply | None = None
 
     def holds(self, now: int) -> bool:
-        """Whether nobody else can be keeper now."""
-        return (
-            self.state in (Seated.SEATED, Seated.RENEWING, Seated.WRITING)
-            and now < self.ends
-        )
-
-    def take(self, now: int) -> list[Effect]:
-        """Become keeper, or renew."""
-        self.tries = 0 if self.state is Seated.OUT else self.tries
-        return self.step(Input.TAKE, now)
-
-    def write(self, value: bytes, now: int) -> list[Effect]:
-        """The whole record; one under way is awaited, later ones take each other's place."""
-        return self.step(Input.WRITE, now, value)
-
-    def give_up(self, now: int) -> list[Effect]:
-        return self.step(Input.GIVE_UP, now)
-
-    def late(self, now: int) -> list[Effect]:
-        """To be called when a call's span is over; anything else is no harm."""
-        if self.poll is None or open_still(self.poll, now, self.span):
+        """Whether nobody else can hold the lease now."""
+        return self.state in LEASE_HELD_STATES and now < self.expires_at
+
+    def acquire(self, now: int) -> list[ProposerEffect]:
+        """Acquire the lease, or renew it."""
+        if self.state is ProposerState.IDLE:
+            self.attempts = 0
+        return self._step(ProposerEvent.ACQUIRE, now)
+
+    def write(self, value: bytes, now: int) -> list[ProposerEffect]:
+        """Write the whole record.
+
+        A write under way is awaited; of several that wait only the last is made.
+        """
+        return self._step(ProposerEvent.WRITE, now, PendingWrite(value, now))
+
+    def release(self, now: int) -> list[ProposerEffect]:
+        """End the lease at once: others may acquire it."""
+        return self._step(ProposerEvent.RELEASE, now)
+
+    def on_timer(self, now: int) -> list[ProposerEffect]:
+        """End a round whose time is over; has no effect before that."""
+        current = self.current_round
+        if current is None or is_open(current, now, self.timings):
             return []
-        self.refusal = self.worst(self.poll)
-        return self.step(Input.LATE, now)
-
-    def hear(self, who: str, answer: Answer, now: int) -> list[Effect]:
-        """What a register says; what belongs to no open call is left."""
-        poll = self.poll
-        self.round = max(self.round, answer.round)
+        self.refusal = current.main_refusal()
+        return self._step(ProposerEvent.TIMED_OUT, now)
+
+    def on_reply(
+        self, acceptor: str, reply: AcceptorReply, now: int
+    ) -> list[ProposerEffect]:
+        """Count a reply; one that belongs to no open round is left."""
+        self.highest_round = max(self.highest_round, reply.promised_round)
+        current = self.current_round
         if (
-            poll is None
-            or not fits(poll, answer)
-            or not open_still(poll, now, self.span)
-            or who in poll.yes
+            current is None
+            or not answers_request(current, reply)
+            or not is_open(current, now, self.timings)
+            or acceptor in current.granted
         ):
             return []
-        (poll.yes if answer.say is Say.YES else poll.no)[who] = answer
-        if answer.say is Say.YES:
-            poll.no.pop(who, None)
-        found = self.counted(poll)
-        return [] if found is None else self.step(found, now)
-
-    def counted(self, poll: Poll) -> Input | None:
-        """What the answers so far come to."""
-        if len(poll.yes) >= majority(self.registers):
-            answers = tuple(poll.yes.values())
-            return (
-                Input.EVEN
-                if poll.call.ask is Ask.ACCEPT
-                or even(answers, newest(answers), self.registers)
-                else Input.UNEVEN
-            )
-        if len(poll.no) <= self.registers - majority(self.registers):
+        current.add(acceptor, reply)
+        event = self._round_event(current)
+        return [] if event is None else self._step(event, now)
+
+    def _round_event(self, current: QuorumRound) -> ProposerEvent | None:
+        """Return what the replies so far come to, None where more are awaited."""
+        if current.has_quorum(self.acceptors):
+            return self._quorum_event(current)
+        if not current.cannot_reach_quorum(self.acceptors):
             return None
-        says = {each.say for each in poll.no.values()}
-        self.refusal = self.worst(poll)
-        if says == {Say.AWAY}:
-            return Input.LATE  # nobody else has the office for that
-        return (
-            Input.LOWER if says == {Say.LOWER} and self.tries < TRIES else Input.REFUSED
-        )
+        statuses = {each.status for each in current.refused.values()}
+        self.refusal = current.main_refusal()
+        if statuses == {ReplyStatus.UNAVAILABLE}:
+            return ProposerEvent.TIMED_OUT  # nobody else holds the lease for that
+        can_retry = self.attempts < MAX_BALLOT_ATTEMPTS
+        if statuses == {ReplyStatus.BALLOT_TOO_LOW} and can_retry:
+            return ProposerEvent.BALLOT_TOO_LOW
+        return ProposerEvent.REFUSED
+
+    def _quorum_event(self, current: QuorumRound) -> ProposerEvent:
+        if current.request.kind is RequestKind.ACCEPT:
+            return ProposerEvent.SETTLED
+        replies = tuple(current.granted.values())
+        if is_settled(replies, latest_reply(replies), self.acceptors):
+            return ProposerEvent.SETTLED
+        return ProposerEvent.UNSETTLED
+
+    def _step(
+        self, event: ProposerEvent, now: int, write: PendingWrite | None = None
+    ) -> list[ProposerEffect]:
+        """Apply one event, and the queued write that it makes room for."""
+        unchanged = (self.state, ProposerEffect.NONE)
+        self.state, effect = PROPOSER_TABLE.get((self.state, event), unchanged)
+        if effect in ROUND_EFFECTS:
+            self._start_round(effect, now, write)
+        elif effect is ProposerEffect.QUEUE:
+            self.queued_write = write
+        else:
+            self._end_round(effect)
+        effects: list[ProposerEffect] = []
+        if effect is not ProposerEffect.NONE:
+            effects.append(effect)
+        if self.state is ProposerState.HOLDING and self.queued_write is not None:
+            queued = self.queued_write
+            self.queued_write = None
+            effects += self._step(ProposerEvent.WRITE, now, queued)
+        return effects
 
-    def worst(self, poll: Poll) -> Answer | None:
-        """What tells most of why a poll came to nothing."""
-        return next(
-            (
-                each
-                for say in (Say.HELD, Say.LOWER, Say.AWAY)
-                for each in poll.no.values()
-                if each.say is say
-            ),
-            None,
+    def _start_round(
+        self, effect: ProposerEffect, now: int, write: PendingWrite | None
+    ) -> None:
+        match effect:
+            case ProposerEffect.PREPARE | ProposerEffect.PREPARE_HIGHER:
+                self._start_prepare(now)
+            case ProposerEffect.RENEW:
+                self._start_renewal(now)
+            case ProposerEffect.REPAIR:
+                self._adopt_value()
+                self.start_accept(self.value, now, now, False)
+            case ProposerEffect.WRITE:
+                assert write is not None
+                self.start_accept(write.value, now, write.created_at, True)
+
+    def _end_round(self, effect: ProposerEffect) -> None:
+        match effect:
+            case ProposerEffect.HOLD:
+                self._on_held()
+            case ProposerEffect.EXTEND:
+                self._extend_lease()
+            case ProposerEffect.WRITTEN:
+                self._on_written()
+            case ProposerEffect.KEEP:
+                self.current_round = None
+            case ProposerEffect.LOSE | ProposerEffect.RELEASE:
+                self._end_lease(effect)
+
+    def _start_prepare(self, now: int) -> None:
+        self.attempts += 1
+        self.highest_round += 1
+        self.refusal = None
+        self.ballot = Ballot(self.highest_round, self.gateway, self.nonce)
+        self.index = 0
+        self.expires_at = 0
+        self.renewals = 0
+        request = AcceptorRequest(RequestKind.PREPARE, self.key, self.ballot)
+        self.current_round = QuorumRound(request, now)
+
+    def _start_renewal(self, now: int) -> None:
+        self.renewals += 1
+        request = AcceptorRequest(
+            RequestKind.PREPARE, self.key, self.ballot, self.renewals
         )
+        self.current_round = QuorumRound(request, now)
 
-    def step(
-        self, found: Input, now: int, value: bytes = b"", born: int | None = None
-    ) -> list[Effect]:
-        """The short loop around the table: the effect, and what follows from it by itself."""
-        self.state, effect = KEEPER.get((self.state, found), (self.state, Effect.NONE))
-        self.act(effect, now, value, now if born is None else born)
-        effects = [effect] if effect is not Effect.NONE else []
-        if self.state is Seated.SEATED and self.queued is not None:
-            (following, made), self.queued = self.queued, None
-            effects += self.step(Input.WRITE, now, following, made)
-        return effects
-
-    def act(self, effect: Effect, now: int, value: bytes, born: int) -> None:
-        poll = self.poll
-        if effect in (Effect.ASK, Effect.ASK_HIGHER):
-            self.tries, self.round, self.refusal = self.tries + 1, self.round + 1, None
-            self.ballot, self.index, self.ends, self.renewals = (
-                Ballot(self.round, self.name, self.nonce),
-                0,
-                0,
-                0,
-            )
-            self.poll = Poll(Call(Ask.PREPARE, self.channel, self.ballot), now)
-        elif effect is Effect.RENEW:
-            self.renewals += 1
-            self.poll = Poll(
-                Call(Ask.PREPARE, self.channel, self.ballot, self.renewals), now
-            )
-        elif effect is Effect.MEND:
-            assert poll is not None
-            self.read(poll, now)
-            self.send(self.value, now, now, False)
-        elif effect is Effect.WRITE:
-            self.send(value, now, born)
-        elif effect is Effect.QUEUE:
-            self.queued = value, now
-        elif effect in (Effect.SEAT, Effect.EXTEND, Effect.WROTE):
-            assert poll is not None
-            if effect is Effect.SEAT and poll.call.ask is Ask.PREPARE:
-                self.read(poll, now)
-            elif effect is Effect.WROTE:
-                self.value, self.since = poll.call.value, min(poll.sent, poll.call.born)
-            self.ends, self.poll = max(self.ends, term_end(poll, now, self.span)), None
-        elif effect is Effect.KEEP:
-            self.poll = None
-        elif effect in (Effect.LOSE, Effect.RELEASE):
-            # An office that was held runs to its end where it is lost: something may be out under it.
-            self.gone = (
-                Call(Ask.RELEASE, self.channel, self.ballot)
-                if effect is Effect.RELEASE or not self.ends
-                else None
-            )
-            self.poll, self.queued, self.ends = None, None, 0
-
-    def read(self, poll: Poll, now: int) -> None:
-        """What a majority has."""
-        answers = tuple(poll.yes.values())
-        self.value = newest(answers).value
-        known = aged(answers, self.value)
-        self.since = (
-            None if known is None else poll.sent - self.span.elsewhere(known + 1) - 1
-        )  # clocks are read in whole ticks
-
-    def send(self, value: bytes, now: int, born: int, fresh: bool = True) -> None:
+    def start_accept(
+        self, value: bytes, now: int, created_at: int, is_original: bool
+    ) -> None:
+        """Begin the round that writes a value under the ballot."""
         self.index += 1
-        self.poll = Poll(
-            Call(Ask.ACCEPT, self.channel, self.ballot, self.index, value, fresh, born),
-            now,
+        request = AcceptorRequest(
+            RequestKind.ACCEPT,
+            self.key,
+            self.ballot,
+            self.index,
+            value,
+            is_original,
+            created_at,
+        )
+        self.current_round = QuorumRound(request, now)
+
+    def _on_held(self) -> None:
+        assert self.current_round is not None
+        if self.current_round.request.kind is RequestKind.PREPARE:
+            self._adopt_value()
+        self._extend_lease()
+
+    def _on_written(self) -> None:
+        current = self.current_round
+        assert current is not None
+        self.value = current.request.value
+        self.value_since = min(current.sent_at, current.request.created_at)
+        self._extend_lease()
+
+    def _adopt_value(self) -> None:
+        """Take over what a majority has."""
+        current = self.current_round
+        assert current is not None
+        replies = tuple(current.granted.values())
+        self.value = latest_reply(replies).value
+        age = oldest_value_age(replies, self.value)
+        if age is None:
+            self.value_since = None
+            return
+        # Clocks are read in whole ticks: one more on each of them.
+        elapsed = self.timings.on_other_clock(age + 1) + 1
+        self.value_since = current.sent_at - elapsed
+
+    def _extend_lease(self) -> None:
+        assert self.current_round is not None
+        lease_end = holder_lease_end(self.current_round, self.timings)
+        self.expires_at = max(self.expires_at, lease_end)
+        self.current_round = None
+
+    def _end_lease(self, effect: ProposerEffect) -> None:
+        # A lease that was held and is lost runs to its end at the acceptors: something
+        # may be out under it.
+        is_unused = effect is ProposerEffect.RELEASE or not self.expires_at
+        self.release_request = (
+            AcceptorRequest(RequestKind.RELEASE, self.key, self.ballot)
+            if is_unused
+            else None
         )
+        self.current_round = None
+        self.queued_write = None
+        self.expires_at = 0
+
+
+def next_used_rounds(used_rounds: int, proposer: LeaseProposer) -> int:
+    """Return where the ballot rounds of later proposers begin.
+
+    To be called when a proposer is dropped: no ballot is used twice in one start.
+    """
+    return max(used_rounds, proposer.highest_round)
--- /dev/null
+++ b/milletsill/fleet/leases/lease_settings.py
@@ -0,0 +1,96 @@
+"""Settings of the lease service, and what it needs of the program around it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+from prometheus_client import CollectorRegistry
+
+from milletsill.fleet.leases.messages import MAX_VALUE_BYTES
+from milletsill.fleet.leases.timers import DelayedCalls
+from milletsill.fleet.leases.timings import LeaseTimings
+from milletsill.fleet.transport import FleetTransport
+
+
+class EventLog(Protocol):
+    """Writes one event with its fields to the log."""
+
+    def __call__(self, event: str, /, **fields: Any) -> None:
+        """Log an event."""
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseEnvironment:
+    """What the lease service needs of the program around it.
+
+    Attributes:
+        reactor: Calls later.
+        now: This gateway's clock, in ticks of a tenth of a millisecond.
+        transport: Sends messages to other gateways.
+        log: Writes events to the log.
+        registry: Where metrics are registered.
+    """
+
+    reactor: DelayedCalls
+    now: Callable[[], int]
+    transport: FleetTransport
+    log: EventLog
+    registry: CollectorRegistry
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class LeaseSettings:
+    """Settings of the lease service at one gateway.
+
+    Attributes:
+        acceptors: Names of the gateways that are acceptors.
+        timings: How long leases last; the same at all gateways, as are the acceptors.
+        max_leases: Leases at this gateway, and records at an acceptor, at most.
+        idle_after: An acceptor removes the record of a lease that was unused for so
+            long, in ticks.
+        store_path: File of this gateway's acceptor, if it is one.
+        seed: Of the random pauses after a ballot was superseded.
+        max_value_bytes: Longest record; the protocol's bound holds as well.
+        max_store_pages: Bound of the file in sqlite's pages; 0 for none.
+    """
+
+    acceptors: tuple[str, ...]
+    timings: LeaseTimings
+    max_leases: int
+    idle_after: int
+    store_path: str
+    seed: int
+    max_value_bytes: int = MAX_VALUE_BYTES
+    max_store_pages: int = 0
+
+    def __post_init__(self) -> None:
+        """Take each acceptor once, in the order of the settings."""
+        acceptors = tuple(dict.fromkeys(self.acceptors))
+        object.__setattr__(self, "acceptors", acceptors)
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class AcceptorSettings:
+    """Settings of one gateway's acceptor.
+
+    Attributes:
+        name: The gateway's name.
+        others: Names of the other acceptors.
+        timings: How long leases last.
+        settings_digest: Digest of what must be the same at all gateways.
+        max_records: Records at most.
+        idle_after: A record that was unused for so long is removed, in ticks.
+        store_path: The acceptor's file.
+        max_store_pages: Bound of the file in sqlite's pages; 0 for none.
+    """
+
+    name: str
+    others: tuple[str, ...]
+    timings: LeaseTimings
+    settings_digest: int
+    max_records: int
+    idle_after: int
+    store_path: str
+    max_store_pages: int = 0
--- a/milletsill/fleet/leases/metrics.py
+++ b/milletsill/fleet/leases/metrics.py
@@ -1,110 +1,130 @@
-"""What a gateway's metrics say of offices and of its register."""
+"""Metrics of lease holders and of acceptors."""
 
 from __future__ import annotations
 
-from typing import Any
+from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-from prometheus_client import Counter, Gauge, Histogram
+from milletsill.fleet.leases.acceptor_recovery import RecoveryStatus
+from milletsill.fleet.leases.messages import ReplyStatus
 
-BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0)
+DURATION_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0)
+BATCH_BUCKETS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000)
 
+# Values of labels, as dashboards have them.
+REPLY_LABELS = {
+    ReplyStatus.GRANTED: "yes",
+    ReplyStatus.BALLOT_TOO_LOW: "lower",
+    ReplyStatus.LEASE_HELD: "held",
+    ReplyStatus.UNAVAILABLE: "away",
+}
+STATUS_LABELS = {
+    RecoveryStatus.VERIFYING: "joining",
+    RecoveryStatus.SERVING: "whole",
+    RecoveryStatus.WAITING: "waiting",
+    RecoveryStatus.CATCHING_UP: "gathering",
+}
 
-class Figures:
-    """Of the keeper's side, on each gateway; `register` where there is one."""
 
-    def __init__(self, registry: Any) -> None:
-        self.registry = registry
+class LeaseMetrics:
+    """Metrics of a gateway that acquires leases."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
         self.held = Gauge(
             "milletsill_offices_held",
-            "Channels whose office this gateway has",
+            "Leases that this gateway holds",
             registry=registry,
         )
         self.pending = Gauge(
             "milletsill_offices_pending",
-            "Calls to registers that are under way",
+            "Requests to acceptors that are under way",
             registry=registry,
         )
-        self.takes = Counter(
+        self.acquisitions = Counter(
             "milletsill_offices_takes",
-            "Takings and renewals of an office by how they ended",
+            "Acquisitions and renewals of a lease by how they ended",
             ("fate",),
             registry=registry,
         )
         self.writes = Counter(
             "milletsill_offices_writes",
-            "Writes of a channel's record by how they ended",
+            "Writes of a lease's record by how they ended",
             ("fate",),
             registry=registry,
         )
         self.write_seconds = Histogram(
             "milletsill_offices_write_seconds",
             "From the send of a record until a majority had it",
-            buckets=BUCKETS,
+            buckets=DURATION_BUCKETS,
             registry=registry,
         )
         self.unsent = Counter(
             "milletsill_offices_unsent",
-            "Calls that could not be sent to a register",
+            "Requests that could not be sent to an acceptor",
             registry=registry,
         )
         self.unreadable = Counter(
             "milletsill_offices_unreadable",
-            "Bodies from others that are no frames of ours",
+            "Messages of other gateways that cannot be read",
             registry=registry,
         )
 
 
-class RegisterFigures:
-    """Of a register."""
+class AcceptorMetrics:
+    """Metrics of an acceptor."""
 
-    def __init__(self, registry: Any) -> None:
-        self.standing = Gauge(
+    def __init__(self, registry: CollectorRegistry) -> None:
+        self.status = Gauge(
             "milletsill_register_standing",
-            "1 for what the register is",
+            "1 for the acceptor's recovery status",
             ("standing",),
             registry=registry,
         )
-        self.said = Counter(
+        self.replies = Counter(
             "milletsill_register_answers",
-            "Answers to calls by what was said",
+            "Replies to requests by status",
             ("say",),
             registry=registry,
         )
-        self.channels = Gauge(
+        self.records = Gauge(
             "milletsill_register_channels",
-            "Channels that the register has a record of",
+            "Leases that the acceptor has a record of",
             registry=registry,
         )
         self.commits = Counter(
             "milletsill_register_commits",
-            "Commits to the register's file",
+            "Commits to the acceptor's file",
             registry=registry,
         )
         self.commit_seconds = Histogram(
             "milletsill_register_commit_seconds",
-            "One round: reads, one commit, its sync",
-            buckets=BUCKETS,
+            "One batch: reads, one commit, its sync",
+            buckets=DURATION_BUCKETS,
             registry=registry,
         )
         self.batch = Histogram(
             "milletsill_register_batch",
-            "Calls of one round",
-            buckets=(1, 2, 5, 10, 20, 50, 100, 200, 500, 1000),
+            "Requests of one batch",
+            buckets=BATCH_BUCKETS,
             registry=registry,
         )
         self.waiting = Gauge(
             "milletsill_register_waiting",
-            "Calls that wait for the next round",
+            "Requests that wait for the next batch",
             registry=registry,
         )
         self.dropped = Counter(
             "milletsill_register_dropped",
-            "Calls left without an answer by cause",
+            "Requests left without a reply by cause",
             ("cause",),
             registry=registry,
         )
-        self.forgotten = Counter(
+        self.removed = Counter(
             "milletsill_register_forgotten",
-            "Records of silent channels that were let go",
+            "Records of idle leases that were removed",
             registry=registry,
         )
+
+    def show_status(self, current: RecoveryStatus | None) -> None:
+        """Set the gauge of each status; None for an acceptor that is not there."""
+        for status, label in STATUS_LABELS.items():
+            self.status.labels(label).set(status is current)
--- /dev/null
+++ b/milletsill/fleet/leases/round_error.py
@@ -0,0 +1,37 @@
+"""The error of a proposer's round that failed."""
+
+from __future__ import annotations
+
+from random import Random
+
+from milletsill.fleet.leases.errors import (
+    BallotSuperseded,
+    CoordinationError,
+    NotLeaseHolder,
+    QuorumNotReached,
+)
+from milletsill.fleet.leases.lease_proposer import LeaseProposer
+from milletsill.fleet.leases.messages import ReplyStatus
+from milletsill.fleet.leases.timings import LeaseTimings
+
+# When to come back after a superseded ballot, in ticks: by chance in between, so that
+# two gateways do not meet again and again.
+SUPERSEDED_PAUSE = (500, 3000)
+
+
+def round_error(
+    proposer: LeaseProposer, timings: LeaseTimings, random: Random
+) -> CoordinationError:
+    """Return why a proposer's last round failed, and when to come back."""
+    key = proposer.key
+    refusal = proposer.refusal
+    if refusal is None or refusal.status is ReplyStatus.UNAVAILABLE:
+        retry_after = 0 if refusal is None else refusal.retry_after
+        pause = max(timings.call_timeout, retry_after)
+        return QuorumNotReached("too few registers answered", key, pause)
+    if refusal.status is ReplyStatus.LEASE_HELD:
+        holder = refusal.holder
+        what = f"{holder} has the office"
+        return NotLeaseHolder(what, key, refusal.retry_after, holder)
+    pause = random.randint(*SUPERSEDED_PAUSE)
+    return BallotSuperseded("a later ballot was promised", key, pause)
--- /dev/null
+++ b/milletsill/fleet/leases/store_file.py
@@ -0,0 +1,112 @@
+"""The acceptor's database file as such: made, checked and set aside."""
+
+from __future__ import annotations
+
+import os
+import sqlite3
+
+from milletsill.fleet.leases.errors import (
+    AcceptorStateCorrupt,
+    AcceptorStateUnusable,
+    CoordinationError,
+    DiskFull,
+)
+from milletsill.fleet.leases.store_rows import checksum
+
+SCHEMA_VERSION = 1  # a file with a later one is left alone
+APPLICATION_ID = 0x4D435231
+TABLES = (
+    "CREATE TABLE record(channel TEXT PRIMARY KEY, touched INTEGER NOT NULL, "
+    "body BLOB NOT NULL, sum BLOB NOT NULL) WITHOUT ROWID",
+    "CREATE TABLE state(id INTEGER PRIMARY KEY CHECK(id = 0), body BLOB NOT NULL, "
+    "sum BLOB NOT NULL)",
+)
+_SIDE_FILES = ("-wal", "-shm", "-journal")
+
+
+def translate_error(error: sqlite3.Error, path: str) -> CoordinationError:
+    """Return the program's error for one of sqlite's."""
+    code = getattr(error, "sqlite_errorcode", 0) & 0xFF
+    if code == sqlite3.SQLITE_FULL:
+        return DiskFull("no room for the register's file", path)
+    if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB):
+        return AcceptorStateCorrupt(str(error), path)
+    return AcceptorStateUnusable(str(error), path)
+
+
+def open_database(path: str, initial_state: bytes) -> sqlite3.Connection:
+    """Open the file, made with a state where there is none.
+
+    Raises:
+        AcceptorStateCorrupt, AcceptorStateUnusable, DiskFull.
+    """
+    try:
+        if not os.path.exists(path):
+            _remove_side_files(path)
+            os.makedirs(os.path.dirname(path) or ".", exist_ok=True)
+            _create_database(path, initial_state)
+        return sqlite3.connect(
+            path, isolation_level=None, check_same_thread=False, timeout=1.0
+        )
+    except sqlite3.Error as error:
+        raise translate_error(error, path) from error
+    except OSError as error:
+        raise AcceptorStateUnusable(error.strerror or str(error), path) from error
+
+
+def set_aside(path: str) -> None:
+    """Rename a file that cannot be used, for whoever wants to look.
+
+    Only the last of them is kept.
+    """
+    aside = f"{path}.torn"
+    os.replace(path, aside)
+    for suffix in _SIDE_FILES:
+        if os.path.exists(path + suffix):
+            os.replace(path + suffix, aside + suffix)
+    _sync_directory(path)
+
+
+def _remove_side_files(path: str) -> None:
+    """Remove what a file that is gone has left: it is not of the new one."""
+    for suffix in _SIDE_FILES:
+        if os.path.exists(path + suffix):
+            os.remove(path + suffix)
+
+
+def _create_database(path: str, initial_state: bytes) -> None:
+    """Make a file under another name first, so that it is whole or not there."""
+    temporary = f"{path}.new"
+    for each in (temporary, f"{temporary}-journal"):
+        if os.path.exists(each):
+            os.remove(each)
+    connection = sqlite3.connect(temporary, isolation_level=None)
+    try:
+        connection.execute("PRAGMA synchronous=FULL")
+        connection.execute("BEGIN")
+        create_tables(connection, initial_state)
+        connection.execute("COMMIT")
+    finally:
+        connection.close()
+    os.replace(temporary, path)
+    _sync_directory(path)
+
+
+def create_tables(connection: sqlite3.Connection, initial_state: bytes) -> None:
+    """Make the tables of an empty database, and the row of the state."""
+    for statement in TABLES:
+        connection.execute(statement)
+    connection.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
+    connection.execute(f"PRAGMA application_id={APPLICATION_ID}")
+    connection.execute(
+        "INSERT INTO state VALUES(0, ?, ?)",
+        (initial_state, checksum("", 0, initial_state)),
+    )
+
+
+def _sync_directory(path: str) -> None:
+    handle = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
+    try:
+        os.fsync(handle)
+    finally:
+        os.close(handle)
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -204,9 +204,9 @@
     def lose(self, old: Gate, how: str) -> bool:
         """A register's state: one at a time, and only what others have heard of, as is promised."""
         others = [self.stands[each] for each in self.registers if each != old.name]
-        if not all(each.up and each.register().whole() for each in others):
+        if not all(each.up and each.register().is_serving() for each in others):
             return False
-        known = [each.register().known(old.name) for each in others]
+        known = [each.register().known_identity(old.name) for each in others]
         if any(each is None for each in known):
             return False
         if how == "lost":
@@ -334,9 +334,9 @@
             if (
                 stand.up
                 and stand.register().store is not None
-                and stand.register().whole()
+                and stand.register().is_serving()
             ):
-                self.disks[each].copy(stand.register().own())
+                self.disks[each].copy(stand.register().identity())
 
     def same_views(self) -> None:
         marks: dict[int, Any] = {}
--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -16,15 +16,14 @@
 
 from milletsill.fleet.health.health_sharing import Sharing
 from milletsill.fleet.leases.acceptor_recovery import StateIdentity
-from milletsill.fleet.leases.acceptor_store import (
-    TABLES,
-    AcceptorStore,
-    checksum,
-    put_identity,
-    wire,
-)
-from milletsill.fleet.leases.blocking_worker import tried
-from milletsill.fleet.leases.lease_manager import LeaseManager, LeaseTerm
+from milletsill.fleet.leases.acceptor_store import AcceptorStore
+from milletsill.fleet.leases.blocking_worker import run_guarded
+from milletsill.fleet.leases.lease_manager import LeaseManager
+from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+from milletsill.fleet.leases.lease_term import LeaseTerm
+from milletsill.fleet.leases.store_file import create_tables
+from milletsill.fleet.leases.store_rows import initial_state
+from milletsill.fleet.leases.timings import LeaseTimings
 from milletsill.lab.fleet_clock import SECOND, Stand
 
 PERIOD, RIVALS = 5000, 9
@@ -70,35 +69,20 @@
     disks: dict[str, Disk] = {}
 
     @classmethod
-    def opened(
+    def open(
         cls,
         path: str,
         chance: int,
-        among: int = 0,
-        doubted: bool = False,
-        most_pages: int = 0,
+        acceptor_set: int = 0,
+        is_incomplete: bool = False,
+        max_pages: int = 0,
     ) -> AcceptorStore:
         disk = cls.disks[path]
         if disk.base is None:
             base = disk.base = sqlite3.connect(":memory:", isolation_level=None)
-            state = wire.State(
-                own=put_identity(StateIdentity(1, chance, 0)),
-                floor=0,
-                up=0,
-                doubted=doubted,
-                among=among,
-            ).SerializeToString()
-            for each in (
-                *TABLES,
-                "PRAGMA user_version=1",
-                "PRAGMA application_id=1296257585",
-            ):
-                base.execute(each)
-            base.execute(
-                "INSERT INTO state VALUES(0, ?, ?)", (state, checksum("", 0, state))
-            )
+            create_tables(base, initial_state(chance, acceptor_set, is_incomplete))
         store = cls(path, disk.base)
-        store.begin(0)
+        store.load(0)
         return store
 
     def close(self) -> None:
@@ -156,7 +140,7 @@
 
     def run(self, job: Callable[[], Any], then: Callable[[Any], None]) -> None:
         if not self.stopped:
-            result = tried(job)
+            result = run_guarded(job)
             self.gate.callLater(
                 self.gate.disk.wait / SECOND,
                 lambda: None if self.stopped else then(result),
@@ -212,22 +196,18 @@
                 self.own_chance.random() * PERIOD / SECOND, self.sharing.start
             )
         if world.registers:
-            self.offices = LeaseManager(
-                self,
-                self.own_now,
-                self,
-                world.registers,
-                2 * SECOND,
-                5,
-                3000,
-                64,
-                f"/{self.name}",
-                self.own_chance.getrandbits(64),
-                remark,
-                CollectorRegistry(),
-                silent=1 << 50,
-                worker=Worker(self),
+            settings = LeaseSettings(
+                acceptors=tuple(world.registers),
+                timings=LeaseTimings(2 * SECOND, 3000, 5),
+                max_leases=64,
+                idle_after=1 << 50,
+                store_path=f"/{self.name}",
+                seed=self.own_chance.getrandbits(64),
+            )
+            environment = LeaseEnvironment(
+                self, self.own_now, self, remark, CollectorRegistry()
             )
+            self.offices = LeaseManager(settings, environment, Worker(self))
             if place < world.users:
                 self.callLater(self.own_chance.random(), self.use)
 
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -15,7 +15,7 @@
 from milletsill.fleet.membership.failure_detector import Order, Own, Word
 from milletsill.fleet.membership.membership import Membership
 from milletsill.fleet.transport import MemberState
-from milletsill.lab.model_checks import lease_model
+from milletsill.lab.model_checks import lease_mutation_checks
 
 
 def table(held: Any, without: Any = (), **more: Any) -> Callable[[], Any]:
@@ -53,7 +53,7 @@
         Rows, "after", lambda self, origin, run, base: None
     ),
     **{
-        f"registers: {each}": partial(lease_model.without, each)
-        for each in lease_model.MUTANTS
+        f"registers: {each}": partial(lease_mutation_checks.without_guard, each)
+        for each in lease_mutation_checks.MUTATIONS
     },
 }
