--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -1,521 +1,400 @@
-"""Keepers, registers and a network that loses, doubles, delays and reorders, for model.py: played with the very functions of
-registers/decide.py and registers/standing.py, one channel. A value is the line of all writes it was made from, so that a lost or a
-forked one shows.
+"""A cluster of lease holders and acceptors for the model of leases.
+
+Its network loses, doubles, delays and reorders messages, its clocks drift, and its
+members start again. A value is the sequence of all writes that it was made from, so
+that a lost or a forked one shows.
 """
 
 from __future__ import annotations
 
 import copy
-from typing import Any, NamedTuple
-
-from milletsill.fleet.leases import acceptor, acceptor_recovery
-from milletsill.fleet.leases.acceptor import (
-    Answer,
-    Call,
-    Office,
-    Record,
-    Span,
-)
+from collections.abc import Hashable, Iterable
+from dataclasses import replace
+
 from milletsill.fleet.leases.acceptor_recovery import (
-    StateIdentity,
-    Joining,
+    NO_IDENTITY,
+    RecoveryAction,
     SnapshotPage,
-    Standing,
-    Turn,
 )
-from milletsill.fleet.leases.lease_proposer import (
-    Effect,
-    Poll,
-    Seat,
-    Seated,
-    rounds_used,
+from milletsill.fleet.leases.lease_proposer import LeaseProposer, next_used_rounds
+from milletsill.fleet.leases.messages import (
+    CREATED_ON_ARRIVAL,
+    AcceptorReply,
+    AcceptorRequest,
+    ReplyStatus,
 )
+from milletsill.fleet.leases.proposer_table import (
+    ROUND_EFFECTS,
+    ProposerEffect,
+)
+from milletsill.fleet.leases.timings import LeaseTimings
+from milletsill.lab.model_checks.lease_cluster_members import (
+    KEY,
+    Body,
+    Fault,
+    IdentifiedReply,
+    Message,
+    PageQuery,
+    RestartKind,
+    SimulatedAcceptor,
+    SimulatedHolder,
+    Witness,
+    WitnessQuery,
+)
+from milletsill.lab.model_checks.lease_history import LeaseHistory, ValueClaim
 
-C, MOST_FLYING = "c", 14
-SPAN = Span(
-    10_000, 2_500, 50
-)  # clocks that are wrong by 5%, so that it shows past the guard of a send
-
-
-class Hello(NamedTuple):
-    """From a register that may not answer yet."""
-
-
-class Heard(NamedTuple):
-    """What one gateway last heard of a register; also said unasked (a beat) as what the register itself is."""
-
-    of: str
-    known: StateIdentity | None
-
-
-class Tell(NamedTuple):
-    """A register that catches up asks for all records."""
-
-
-class Message(NamedTuple):
-    to: str
-    sender: str
-    body: Any
-
-
-class Register:
-    """One register: what is on its disk, and what is only in memory."""
-
-    def __init__(self, name: str, born: int) -> None:
-        self.name, self.born, self.base = name, born, born
-        self.record: Record | None = None
-        self.office: Office | None = None
-        self.floor = 0
-        self.own = StateIdentity(1, int(name[1:]), 0)
-        self.known: dict[str, StateIdentity] = {}
-        self.joining: Joining | None = None  # none: whole
-        self.doubted = False
-        self.copies: list[tuple[Record | None, int, StateIdentity]] = []
-
-    def copy(self) -> Register:
-        made = Register.__new__(Register)
-        made.__dict__.update(self.__dict__)
-        made.known, made.copies = dict(self.known), list(self.copies)
-        if self.joining is not None:
-            joining = made.joining = Joining.__new__(Joining)
-            joining.__dict__.update(self.joining.__dict__)
-            for name in ("clean", "told", "records", "after"):
-                setattr(joining, name, getattr(self.joining, name).copy())
-        return made
-
-    def key(self) -> Any:
-        joining = self.joining
-        asked = joining and (
-            joining.state,
-            joining.own,
-            joining.waits,
-            tuple(sorted(joining.clean)),
-            tuple(sorted(joining.told)),
-            tuple(joining.records.values()),
-        )
-        return (
-            self.record,
-            self.office,
-            self.floor,
-            self.own,
-            asked,
-            tuple(sorted(self.known.items())),
-        )
+MAX_IN_FLIGHT = 14  # messages, for each holder
+MAX_EXCHANGE = 8  # messages of one exchange
+# Clocks that are wrong by 5%, so that it shows past the margin of a send.
+TIMINGS = LeaseTimings(10_000, 2_500, 50)
 
-    def whole(self) -> bool:
-        return self.joining is None or self.joining.state is Standing.WHOLE
 
-    def commit(self) -> None:
-        self.copies = self.copies[-20:] + [(self.record, self.floor, self.own)]
-        self.own = self.own._replace(generation=self.own.generation + 1)
+class LeaseCluster:
+    """All members, the messages that may still arrive, and what counted so far.
 
+    Args:
+        acceptors: How many.
+        holders: How many.
+        rates: How much each clock is wrong in parts of a thousand, acceptors first; the
+            worst that the drift allows by default: fast acceptors and slow holders.
 
-class Keeper:
-    """One keeper's seat of the channel, and what it heard of registers. `called`: the name that it has, which may be another's
-    too.
+    Attributes:
+        now: True time in ticks.
+        history: What counted so far, and what was broken.
+        undated_holders: Those of an earlier version, which do not say so.
     """
 
-    def __init__(self, called: str, nonce: int, span: Span, registers: int) -> None:
-        self.seat = Seat(C, called, nonce, span, registers)
-        self.known: dict[str, StateIdentity] = {}
-
-    def copy(self) -> Keeper:
-        made = Keeper.__new__(Keeper)
-        made.known = dict(self.known)
-        seat = made.seat = copy.copy(self.seat)
-        if seat.poll is not None:
-            poll = seat.poll = Poll(seat.poll.call, seat.poll.sent)
-            poll.yes, poll.no = dict(self.seat.poll.yes), dict(self.seat.poll.no)
-        return made
-
-    def key(self) -> Any:
-        seat, poll = self.seat, self.seat.poll
-        return (
-            seat.state,
-            seat.ballot,
-            seat.index,
-            seat.value,
-            seat.ends,
-            seat.queued,
-            seat.tries,
-            seat.round,
-            seat.nonce,
-            poll
-            and (
-                poll.call,
-                poll.sent,
-                tuple(sorted(poll.yes)),
-                tuple(sorted(poll.no)),
-                tuple(poll.yes.values()),
-            ),
-        )
-
-
-class World:
-    """All of them, the messages that may still arrive, and what counted so far."""
-
     def __init__(
-        self,
-        registers: int,
-        keepers: int,
-        span: Span = SPAN,
-        rates: tuple[int, ...] = (),
+        self, acceptors: int, holders: int, rates: tuple[int, ...] = ()
     ) -> None:
-        self.span, self.now, self.nonce, self.written = span, 0, 100, 0
-        self.registers = {
-            f"r{each}": Register(f"r{each}", 0) for each in range(registers)
+        self.timings = TIMINGS
+        self.now = 0
+        self.nonce = 100
+        self.written = 0
+        self.acceptors = {
+            f"r{each}": SimulatedAcceptor(f"r{each}", 0) for each in range(acceptors)
         }
-        self.keepers = {
-            f"k{each}": Keeper(f"k{each}", each + 1, span, registers)
-            for each in range(keepers)
+        self.holders = {
+            f"k{each}": SimulatedHolder(f"k{each}", each + 1, TIMINGS, acceptors)
+            for each in range(holders)
         }
-        # Registers fast and keepers slow is the worst that drift allows.
-        self.rates = dict(
-            zip(
-                [*self.registers, *self.keepers],
-                rates or [span.drift] * registers + [-span.drift] * keepers,
-            )
-        )
-        self.flying: list[Message] = []
-        self.firsts: dict[bytes, int] = {}  # when each value counted first
-        self.made: dict[bytes, int] = {}  # when it was made, by one that says so
-        self.earlier = frozenset(
-            list(self.keepers)[1::2]
-        )  # of an earlier version, which does not
-        self.settled, self.settled_at, self.silent = (
-            b"",
-            0,
-            0,
-        )  # silent: a register forgets a channel after it; 0 for never
-        self.wrong: str | None = None
-        self.budget = {"double": 1, "restart": 1, "older": 1, "lost": 1, "keeper": 1}
-
-    def copy(self) -> World:
-        made = World.__new__(World)
-        made.__dict__.update(self.__dict__)
-        made.registers = {name: each.copy() for name, each in self.registers.items()}
-        made.keepers = {name: each.copy() for name, each in self.keepers.items()}
-        made.flying, made.budget, made.firsts = (
-            list(self.flying),
-            dict(self.budget),
-            dict(self.firsts),
-        )
-        made.made = dict(self.made)
+        drift = TIMINGS.drift_permille
+        worst_rates = [drift] * acceptors + [-drift] * holders
+        names = [*self.acceptors, *self.holders]
+        self.rates = dict(zip(names, rates or worst_rates, strict=True))
+        self.in_flight: list[Message] = []
+        self.history = LeaseHistory()
+        self.undated_holders = frozenset(list(self.holders)[1::2])
+        self.budget = dict.fromkeys(Fault, 1)
+
+    def copy(self) -> LeaseCluster:
+        """Return a copy that shares nothing that changes."""
+        made = copy.copy(self)
+        made.acceptors = {name: each.copy() for name, each in self.acceptors.items()}
+        made.holders = {name: each.copy() for name, each in self.holders.items()}
+        made.in_flight = list(self.in_flight)
+        made.budget = dict(self.budget)
+        made.history = self.history.copy()
         return made
 
-    def key(self) -> Any:
+    def key(self) -> Hashable:
+        """Return what tells two states apart."""
         return (
             self.now,
-            self.settled,
-            tuple(each.key() for each in self.registers.values()),
-            tuple(each.key() for each in self.keepers.values()),
-            frozenset(self.flying),
+            self.history.settled_value,
+            tuple(each.key() for each in self.acceptors.values()),
+            tuple(each.key() for each in self.holders.values()),
+            frozenset(self.in_flight),
             tuple(self.budget.values()),
         )
 
     def clock(self, name: str) -> int:
-        return self.now * (1000 + self.rates[name]) // 1000
+        """Return what a member's clock reads."""
+        return self._on_clock(name, self.now)
+
+    def _on_clock(self, name: str, at: int) -> int:
+        return at * (1000 + self.rates[name]) // 1000
 
     # What is looked for.
 
-    def look(self) -> None:
+    def check_holders(self) -> None:
+        """See that at most one holds the lease."""
         holding = [
             name
-            for name, each in self.keepers.items()
-            if each.seat.holds(self.clock(name))
+            for name, each in self.holders.items()
+            if each.proposer.holds(self.clock(name))
         ]
         if len(holding) > 1:
-            self.wrong = self.wrong or f"two hold the office: {holding}"
-
-    def counts(self, name: str, seat: Seat, seated: bool) -> None:
-        """A value is told as what counts: nothing that counted before may be missing."""
-        value, held = seat.value, seat.holds(self.clock(name))
-        older = self.settled.startswith(value) and not (seated and held)
-        if not value.startswith(self.settled) and not older:
-            if seated and self.silent and self.now - self.settled_at >= self.silent:
-                self.settled, self.settled_at = (
-                    value,
-                    self.now,
-                )  # forgotten as it was allowed to be
-                return
-            self.wrong = self.wrong or f"{name} has {value!r}, {self.settled!r} counted"
-        first_at = self.firsts.setdefault(value, self.now)
-        first = self.made.get(value, first_at) * (1000 + self.rates[name]) // 1000
-        if self.silent and self.now - first_at >= self.silent * 9 // 10:
-            pass  # those that had it before anybody acted on it may have forgotten it
-        elif seated and value and seat.since is not None and seat.since > first:
-            self.wrong = self.wrong or f"{name} takes {value!r} for younger than it is"
-        if len(value) >= len(self.settled):
-            self.settled, self.settled_at = value, self.now
-
-    # Events of keepers.
-
-    def effects(self, name: str, effects: list[Effect]) -> None:
-        seat = self.keepers[name].seat
+            self.history.report(f"two hold the office: {holding}")
+
+    def _check_value(self, name: str, is_read: bool) -> None:
+        proposer = self.holders[name].proposer
+        claim = ValueClaim(
+            name,
+            proposer.value,
+            proposer.value_since,
+            self.rates[name],
+            is_read,
+            proposer.holds(self.clock(name)),
+        )
+        self.history.check_value(claim, self.now)
+
+    # Events of holders.
+
+    def _apply(self, name: str, effects: Iterable[ProposerEffect]) -> None:
+        proposer = self.holders[name].proposer
         for effect in effects:
-            if (
-                effect
-                in (
-                    Effect.ASK,
-                    Effect.ASK_HIGHER,
-                    Effect.RENEW,
-                    Effect.WRITE,
-                    Effect.MEND,
-                )
-                and seat.poll is not None
-            ):
-                for register in self.registers:
-                    self.fly(register, name, seat.poll.call)
-            elif effect in (Effect.LOSE, Effect.RELEASE) and seat.gone is not None:
-                for register in self.registers:
-                    self.fly(register, name, seat.gone)
-            elif effect in (Effect.SEAT, Effect.WROTE):
-                self.counts(name, seat, effect is Effect.SEAT)
-        self.look()
-
-    def take(self, name: str) -> None:
-        self.effects(name, self.keepers[name].seat.take(self.clock(name)))
+            if effect in ROUND_EFFECTS:
+                if proposer.current_round is not None:
+                    self._send_to_all(name, proposer.current_round.request)
+            elif effect in (ProposerEffect.LOSE, ProposerEffect.RELEASE):
+                if proposer.release_request is not None:
+                    self._send_to_all(name, proposer.release_request)
+            elif effect in (ProposerEffect.HOLD, ProposerEffect.WRITTEN):
+                self._check_value(name, effect is ProposerEffect.HOLD)
+        self.check_holders()
+
+    def _send_to_all(self, name: str, request: AcceptorRequest) -> None:
+        for each in self.acceptors:
+            self.send(each, name, request)
+
+    def acquire(self, name: str) -> None:
+        """Have a holder acquire or renew the lease."""
+        self._apply(name, self.holders[name].proposer.acquire(self.clock(name)))
 
     def write(self, name: str) -> None:
-        seat = self.keepers[name].seat
+        """Have a holder add a write to the value that it knows."""
+        holder = self.holders[name]
         self.written += 1
-        base = (seat.queued or (b"", 0))[0] or (
-            seat.poll.call.value
-            if seat.state is Seated.WRITING and seat.poll
-            else seat.value
-        )
-        value = base + self.written.to_bytes(2, "big")
-        if name not in self.earlier:
-            self.made[value] = self.now
-        self.effects(name, seat.write(value, self.clock(name)))
-
-    def give_up(self, name: str) -> None:
-        self.effects(name, self.keepers[name].seat.give_up(self.clock(name)))
-
-    def again(self, name: str) -> None:
-        """Told once more, as the service does half a call later."""
-        poll = self.keepers[name].seat.poll
-        for register in self.registers if poll is not None else ():
-            if register not in poll.yes:
-                self.fly(register, name, poll.call)
-
-    def let_go(self, name: str) -> None:
-        """A keeper forgets a seat that it does not hold, and makes a new one when it needs it."""
-        old = self.keepers[name].seat
-        if old.poll is None and not old.holds(self.clock(name)):
-            used = rounds_used(0, old)
-            self.keepers[name].seat = Seat(
-                C, old.name, old.nonce, self.span, len(self.registers), used
+        value = holder.value_under_way() + self.written.to_bytes(2, "big")
+        if name not in self.undated_holders:
+            self.history.created_at[value] = self.now
+        self._apply(name, holder.proposer.write(value, self.clock(name)))
+
+    def release(self, name: str) -> None:
+        """Have a holder release the lease."""
+        self._apply(name, self.holders[name].proposer.release(self.clock(name)))
+
+    def resend(self, name: str) -> None:
+        """Send a holder's request again, as `RequestSender` does in time."""
+        current = self.holders[name].proposer.current_round
+        if current is None:
+            return
+        for each in current.without_grant(self.acceptors):
+            self.send(each, name, current.request)
+
+    def drop_proposer(self, name: str) -> None:
+        """Have a holder drop a proposer that it does not use, for a new one."""
+        old = self.holders[name].proposer
+        if old.current_round is None and not old.holds(self.clock(name)):
+            self.holders[name].proposer = LeaseProposer(
+                KEY,
+                old.gateway,
+                old.nonce,
+                self.timings,
+                len(self.acceptors),
+                next_used_rounds(0, old),
             )
 
-    def start_keeper(self, name: str) -> None:
+    def restart_holder(self, name: str) -> None:
+        """Start a holder's gateway again."""
         self.nonce += 1
-        self.keepers[name] = Keeper(
-            self.keepers[name].seat.name, self.nonce, self.span, len(self.registers)
+        gateway = self.holders[name].proposer.gateway
+        self.holders[name] = SimulatedHolder(
+            gateway, self.nonce, self.timings, len(self.acceptors)
         )
 
-    # Events of registers.
-
-    def commit(self, register: Register, record: Record | None) -> None:
-        if record is not register.record:
-            register.record = record
-            register.commit()
-
-    def call(self, register: Register, sender: str, call: Call) -> None:
-        now = self.clock(register.name)
-        if sender in self.earlier:
-            call = call._replace(born=acceptor.JUST_NOW)
-        if (
-            call.born != acceptor.JUST_NOW
-        ):  # as the offices date it: on the register's clock, at the earliest
-            made = call.born * 1000 // (1000 + self.rates[sender])
-            call = call._replace(born=made * (1000 + self.rates[register.name]) // 1000)
-        if not register.whole():
-            answer = Answer(
-                call.ask, C, call.ballot, call.index, acceptor.Say.AWAY, pause=1
-            )
-        else:
-            office = (
-                register.office
-                if register.office is not None
-                else acceptor.loaded(register.base, self.span)
-            )
-            done = acceptor.register(
-                register.record,
-                office if register.record is not None else None,
-                register.floor,
-                call,
-                now,
-                now - register.born,
-                self.span,
-            )
-            self.commit(register, done.record)
-            register.office = done.office
-            if done.answer is None:
-                return
-            answer = done.answer
-        self.fly(sender, register.name, (answer, register.own))
+    # Events of acceptors.
 
-    def turn(self, register: Register, turn: Turn) -> None:
-        joining = register.joining
-        if joining is None:
+    def _on_request(
+        self, member: SimulatedAcceptor, sender: str, request: AcceptorRequest
+    ) -> None:
+        now = self.clock(member.name)
+        request = self._dated(request, sender, member.name)
+        if member.is_serving():
+            reply = member.handle(request, now, self.timings)
+        else:
+            reply = AcceptorReply.to_request(request, ReplyStatus.UNAVAILABLE, 1)
+        if reply is not None:
+            self.send(sender, member.name, IdentifiedReply(reply, member.identity))
+
+    def _dated(
+        self, request: AcceptorRequest, sender: str, name: str
+    ) -> AcceptorRequest:
+        """Put the creation time on the acceptor's clock, at the earliest."""
+        if sender in self.undated_holders:
+            return replace(request, created_at=CREATED_ON_ARRIVAL)
+        if request.created_at == CREATED_ON_ARRIVAL:
+            return request
+        true_time = request.created_at * 1000 // (1000 + self.rates[sender])
+        return replace(request, created_at=self._on_clock(name, true_time))
+
+    def _act(self, member: SimulatedAcceptor, action: RecoveryAction) -> None:
+        recovery = member.recovery
+        if recovery is None:
             return
-        register.doubted |= turn is Turn.DOUBT
-        if turn is Turn.GATHER:
-            for other in joining.others:
-                self.fly(other, register.name, Tell())
-        elif turn is Turn.ANEW:
-            records = {C: register.record} if register.record is not None else {}
-            acceptor_recovery.merged(records, joining.records.items(), 0)
-            self.nonce += 1
-            register.floor = max(register.floor, joining.floor)
-            acceptor_recovery.fenced(records, register.floor)
-            register.own, register.record, register.office = (
-                joining.anew(self.nonce),
-                records.get(C),
-                None,
-            )
-            register.base = self.clock(register.name)
-            register.joining, register.doubted = None, False
-        elif turn is Turn.BEGIN:
-            register.joining = None
-
-    def start_register(self, name: str, how: str) -> None:
-        """A register starts again with its state kept, older (each other register heard of something later) or lost."""
-        register, now = self.registers[name], self.clock(name)
-        others = [each for each in self.registers if each != name]
-        if how == "older":
-            heard = min(
-                (
-                    self.registers[each].known.get(name, StateIdentity(0, 0, 0))
-                    for each in others
-                ),
-                default=register.own,
-            )
-            copies = [each for each in register.copies if each[2] < heard]
-            if not copies:
+        match action:
+            case RecoveryAction.WAIT:
+                member.is_incomplete = True
+            case RecoveryAction.CATCH_UP:
+                for other in recovery.others:
+                    self.send(other, member.name, PageQuery())
+            case RecoveryAction.ADOPT:
+                self.nonce += 1
+                member.adopt(self.nonce, self.clock(member.name))
+            case RecoveryAction.SERVE:
+                member.recovery = None
+
+    def restart_acceptor(self, name: str, kind: RestartKind) -> None:
+        """Start an acceptor again.
+
+        It is rolled back, or its state lost, only where each other acceptor has heard
+        of something later.
+        """
+        member = self.acceptors[name]
+        others = [each for each in self.acceptors if each != name]
+        known_by = [self.acceptors[each].known for each in others]
+        if kind is RestartKind.ROLLED_BACK:
+            heard = [known.get(name, NO_IDENTITY) for known in known_by]
+            if not member.roll_back(min(heard, default=member.identity)):
                 return
-            register.record, register.floor, register.own = copies[-1]
-        elif how == "lost":
-            if any(name not in self.registers[each].known for each in others):
+        elif kind is RestartKind.LOST:
+            if any(name not in known for known in known_by):
                 return
             self.nonce += 1
-            register.record, register.floor, register.own, register.known = (
-                None,
-                0,
-                StateIdentity(1, self.nonce, 0),
-                {},
-            )
-            register.doubted = False
-        register.office, register.born, register.base, register.copies = (
-            None,
-            now,
-            now,
-            [],
-        )
-        register.joining = Joining(
-            register.own,
-            others,
-            self.span,
-            now,
-            register.own.generation == 0,
-            register.doubted,
-        )
-        self.hello(name)
+            member.lose_state(self.nonce)
+        member.restart(others, self.timings, self.clock(name))
+        self.query_witnesses(name)
 
-    def hello(self, name: str) -> None:
-        for each in [*self.registers, *self.keepers]:
+    def query_witnesses(self, name: str) -> None:
+        """Have an acceptor ask all others what they last heard of it."""
+        for each in [*self.acceptors, *self.holders]:
             if each != name:
-                self.fly(each, name, Hello())
+                self.send(each, name, WitnessQuery())
 
-    def beat(self, name: str) -> None:
-        for each in self.registers:
+    def announce(self, name: str) -> None:
+        """Have an acceptor tell the other acceptors its identity."""
+        for each in self.acceptors:
             if each != name:
-                self.fly(each, name, Heard(name, self.registers[name].own))
-
-    def forget(self, name: str) -> None:
-        register = self.registers[name]
-        record, up = register.record, self.clock(name) - register.born
-        if (
-            self.silent
-            and record is not None
-            and acceptor.forgettable(record, up, self.silent)
-        ):
-            register.floor, register.office = (
-                acceptor.raised(register.floor, record),
-                None,
-            )
-            self.commit(register, None)
+                self.send(each, name, Witness(name, self.acceptors[name].identity))
+
+    def remove_idle(self, name: str) -> None:
+        """Have an acceptor remove the record of a lease that was long unused."""
+        idle_after = self.history.idle_after
+        if idle_after:
+            self.acceptors[name].remove_idle(self.clock(name), idle_after)
 
     # The network.
 
-    def fly(self, to: str, sender: str, body: Any) -> None:
+    def send(self, to: str, sender: str, body: Body) -> None:
+        """Put a message on its way."""
         message = Message(to, sender, body)
-        if message not in self.flying:
-            self.flying.append(message)
-            del self.flying[: -MOST_FLYING * len(self.keepers)]
-
-    def arrive(self, place: int, stays: bool) -> None:
-        to, sender, body = self.flying[place] if stays else self.flying.pop(place)
-        if to in self.keepers:
-            self.at_keeper(to, sender, body)
+        if message not in self.in_flight:
+            self.in_flight.append(message)
+            del self.in_flight[: -MAX_IN_FLIGHT * len(self.holders)]
+
+    def deliver(self, place: int, stays: bool) -> None:
+        """Deliver a message; where it stays, it may arrive again."""
+        message = self.in_flight[place]
+        if not stays:
+            del self.in_flight[place]
+        if message.to in self.holders:
+            self._deliver_to_holder(message)
         else:
-            self.at_register(self.registers[to], sender, body)
-        self.look()
-
-    def at_keeper(self, name: str, sender: str, body: Any) -> None:
-        keeper = self.keepers[name]
-        if isinstance(body, Hello):
-            self.fly(sender, name, Heard(sender, keeper.known.get(sender)))
-        elif isinstance(body, tuple) and isinstance(body[0], Answer):
-            keeper.known[sender] = max(keeper.known.get(sender, body[1]), body[1])
-            self.effects(name, keeper.seat.hear(sender, body[0], self.clock(name)))
-
-    def at_register(self, register: Register, sender: str, body: Any) -> None:
-        now, joining = self.clock(register.name), register.joining
-        if isinstance(body, Call):
-            self.call(register, sender, body)
-        elif isinstance(body, Hello):
-            self.fly(sender, register.name, Heard(sender, register.known.get(sender)))
-        elif isinstance(body, Heard) and body.of == sender:
-            register.known[sender] = max(
-                register.known.get(sender, body.known), body.known
-            )
-        elif isinstance(body, Heard) and joining is not None:
-            self.turn(register, joining.witnessed(sender, body.known, now))
-        elif isinstance(body, Tell) and register.whole():
-            records = ((C, register.record),) if register.record is not None else ()
-            self.fly(sender, register.name, SnapshotPage(records, register.floor, True))
-        elif isinstance(body, SnapshotPage) and joining is not None:
-            self.turn(register, joining.page(sender, "", body, 0, now))
-
-    def exchange(self, name: str, reach: tuple[str, ...], back: bool = True) -> None:
-        """Everything of a keeper's open calls with some registers at once, until nothing moves; `back`: answers too."""
-        for _ in range(8):
-            place = next(
-                (
-                    at
-                    for at, each in enumerate(self.flying)
-                    if (each.sender == name and each.to in reach)
-                    or (back and each.to == name and each.sender in reach)
-                ),
-                None,
-            )
-            if place is None:
+            self._deliver_to_acceptor(message)
+        self.check_holders()
+
+    def _deliver_to_holder(self, message: Message) -> None:
+        name = message.to
+        sender = message.sender
+        holder = self.holders[name]
+        body = message.body
+        if isinstance(body, WitnessQuery):
+            self.send(sender, name, Witness(sender, holder.known.get(sender)))
+        elif isinstance(body, IdentifiedReply):
+            known = holder.known.get(sender, body.identity)
+            holder.known[sender] = max(known, body.identity)
+            now = self.clock(name)
+            self._apply(name, holder.proposer.on_reply(sender, body.reply, now))
+
+    def _deliver_to_acceptor(self, message: Message) -> None:
+        member = self.acceptors[message.to]
+        sender = message.sender
+        body = message.body
+        if isinstance(body, AcceptorRequest):
+            self._on_request(member, sender, body)
+        elif isinstance(body, WitnessQuery):
+            self.send(sender, member.name, Witness(sender, member.known.get(sender)))
+        elif isinstance(body, PageQuery):
+            self._on_page_query(member, sender)
+        elif isinstance(body, Witness):
+            self._on_witness(member, sender, body)
+        elif isinstance(body, SnapshotPage) and member.recovery is not None:
+            self._act(member, member.recovery.on_page(sender, "", body, 0))
+
+    def _on_page_query(self, member: SimulatedAcceptor, sender: str) -> None:
+        if not member.is_serving():
+            return
+        records = ((KEY, member.record),) if member.record is not None else ()
+        page = SnapshotPage(records, member.ballot_floor, True)
+        self.send(sender, member.name, page)
+
+    def _on_witness(
+        self, member: SimulatedAcceptor, sender: str, witness: Witness
+    ) -> None:
+        if witness.of == sender and witness.known is not None:
+            known = member.known.get(sender, witness.known)
+            member.known[sender] = max(known, witness.known)
+        elif member.recovery is not None:
+            now = self.clock(member.name)
+            action = member.recovery.on_witness(sender, witness.known, now)
+            self._act(member, action)
+
+    def exchange(
+        self, name: str, reach: Iterable[str], with_replies: bool = True
+    ) -> None:
+        """Deliver a holder's open requests to some acceptors until nothing moves."""
+        reached = tuple(reach)
+        for _ in range(MAX_EXCHANGE):
+            places = [
+                place
+                for place, each in enumerate(self.in_flight)
+                if (each.sender == name and each.to in reached)
+                or (with_replies and each.to == name and each.sender in reached)
+            ]
+            if not places:
                 break
-            self.arrive(place, False)
-
-    def office_over(self, name: str) -> int:
-        """How long until a register lets others in."""
-        register = self.registers[name]
-        until = 0 if register.office is None else register.office.until
-        return max(-(-until * 1000 // (1000 + self.rates[name])) - self.now, 0)
-
-    def pass_time(self, span: int) -> None:
-        self.now += span
-        self.look()
-        for name, each in self.keepers.items():
-            self.effects(name, each.seat.late(self.clock(name)))
-        for register in self.registers.values():
-            if register.joining is not None:
-                self.turn(register, register.joining.step(self.clock(register.name)))
+            self.deliver(places[0], False)
+
+    def settle(self) -> None:
+        """Deliver all that acceptors say among themselves."""
+        kinds = (WitnessQuery, Witness, PageQuery, SnapshotPage)
+        for _ in range(40):
+            places = [
+                place
+                for place, message in enumerate(self.in_flight)
+                if isinstance(message.body, kinds)
+            ]
+            if not places:
+                return
+            self.deliver(places[0], False)
+
+    # Time.
+
+    def time_until_free(self, name: str) -> int:
+        """Return how long until an acceptor lets others acquire the lease."""
+        grant = self.acceptors[name].grant
+        until = 0 if grant is None else grant.until
+        true_time = -(-until * 1000 // (1000 + self.rates[name]))
+        return max(true_time - self.now, 0)
+
+    def pass_time(self, duration: int) -> None:
+        """Let time go by, and all that it brings happen."""
+        self.now += duration
+        self.check_holders()
+        for name, each in self.holders.items():
+            self._apply(name, each.proposer.on_timer(self.clock(name)))
+        for member in self.acceptors.values():
+            if member.recovery is not None:
+                now = self.clock(member.name)
+                self._act(member, member.recovery.on_timer(now))
--- a/milletsill/lab/model_checks/lease_mutation_checks.py
+++ b/milletsill/lab/model_checks/lease_mutation_checks.py
@@ -1,223 +1,294 @@
-"""The guards of registers and offices, one out at a time: each of them must be found missing by the model.
+"""The guards of leases, one out at a time: the model must find each of them missing.
 
-`FOUND` is the seed of model.walk with three registers, three keepers and 600 steps at which it was, so that a test is short. When
-the model has changed, `python -m milletsill.lab.model_checks.lease_model` tells the new ones.
+Each has the seed of `lease_walk.walk`, with three acceptors, three holders and 600
+steps, at which it was found, so that a test is short. When the model has changed,
+`python -m milletsill.lab.model_checks.lease_model` prints the new ones.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from contextlib import contextmanager
+from dataclasses import dataclass, replace
+from types import ModuleType
 from typing import Any
 from unittest import mock
 
-from milletsill.fleet.leases import acceptor, acceptor_recovery, lease_proposer
-from milletsill.fleet.leases.acceptor import Office, Span
-from milletsill.fleet.leases.acceptor_recovery import Joining
-from milletsill.lab.model_checks import lease_cluster as world_of
-
-
-def _any_ballot(record: Any, floor: int, call: Any) -> Any:
-    """A register takes each ballot as higher than what it promised."""
-    return (
-        acceptor.Rank.HIGHER
-        if record is None or call.ballot != record.promised
-        else acceptor.Rank.SAME
-    )
-
-
-def _no_office(record: Any, office: Any, call: Any, now: int) -> Any:
-    """A register refuses nobody for an office."""
-    return acceptor.Hold.FREE
-
-
-def _shorter(self: Span) -> int:
-    """A register lets others in after a plain office: no drift allowed for."""
-    return self.office
-
-
-def _longer(self: Span) -> int:
-    """A keeper counts on a plain office: no drift allowed for."""
-    return self.office
-
-
-def _from_answer(poll: Any, now: int, span: Span) -> int:
-    """A term counts from when the answers came."""
-    return now + span.kept()
-
-
-def _half(registers: int) -> int:
-    """Half of the registers do."""
-    return max(registers // 2, 1)
-
-
-def _always_even(answers: Any, best: Any, registers: int) -> bool:
+from milletsill.fleet.leases import (
+    acceptor,
+    acceptor_recovery,
+    lease_proposer,
+    quorum_round,
+)
+from milletsill.fleet.leases.acceptor import (
+    BallotRank,
+    GrantState,
+    LeaseGrant,
+    LeaseRecord,
+)
+from milletsill.fleet.leases.acceptor_recovery import AcceptorRecovery, StateIdentity
+from milletsill.fleet.leases.ballot import UNWRITTEN, Ballot, majority
+from milletsill.fleet.leases.lease_proposer import LeaseProposer
+from milletsill.fleet.leases.messages import (
+    CREATED_ON_ARRIVAL,
+    UNKNOWN,
+    AcceptorReply,
+    AcceptorRequest,
+)
+from milletsill.fleet.leases.proposer_table import ProposerEffect
+from milletsill.fleet.leases.quorum_round import QuorumRound
+from milletsill.fleet.leases.timings import LeaseTimings
+from milletsill.lab.model_checks import lease_cluster
+
+
+@dataclass(frozen=True, slots=True)
+class Mutation:
+    """A function that is replaced by one without its guard.
+
+    Attributes:
+        owner: The module or class that has the function.
+        name: The function's name there.
+        replacement: What takes its place.
+        first_seed: The seed at which a walk finds it missing.
+    """
+
+    owner: ModuleType | type
+    name: str
+    replacement: Callable[..., Any]
+    first_seed: int
+
+
+def _any_ballot(
+    record: LeaseRecord | None, ballot_floor: int, request: AcceptorRequest
+) -> BallotRank:
+    """An acceptor takes each ballot as higher than what it promised."""
+    if record is None or request.ballot != record.promised:
+        return BallotRank.HIGHER
+    return BallotRank.SAME
+
+
+def _no_grant(
+    record: LeaseRecord | None,
+    grant: LeaseGrant | None,
+    request: AcceptorRequest,
+    now: int,
+) -> GrantState:
+    """An acceptor refuses nobody for another's lease."""
+    return GrantState.FREE
+
+
+def _no_drift(timings: LeaseTimings) -> int:
+    """A plain lease: no drift allowed for."""
+    return timings.lease_duration
+
+
+_on_reply = LeaseProposer.on_reply
+
+
+def _count_from_reply(
+    proposer: LeaseProposer, name: str, reply: AcceptorReply, now: int
+) -> list[ProposerEffect]:
+    """A lease counts from when the replies came."""
+
+    def lease_end(quorum_round: QuorumRound, timings: LeaseTimings) -> int:
+        return now + timings.holder_duration()
+
+    with mock.patch.object(lease_proposer, "holder_lease_end", lease_end):
+        return _on_reply(proposer, name, reply, now)
+
+
+def _half(acceptors: int) -> int:
+    """Half of the acceptors do."""
+    return max(acceptors // 2, 1)
+
+
+def _always_settled(
+    replies: Sequence[AcceptorReply], latest: AcceptorReply, acceptors: int
+) -> bool:
     """What was read is acted on without being written again."""
     return True
 
 
-def _first_told(answers: Any) -> Any:
-    """The first answer's record is taken, not the latest."""
-    return answers[0]
+def _copies_vote(
+    replies: Sequence[AcceptorReply], latest: AcceptorReply, acceptors: int
+) -> bool:
+    """A copy counts as a vote."""
+    votes = sum(each.version == latest.version for each in replies)
+    return latest.version == UNWRITTEN or votes >= majority(acceptors)
+
 
+def _first_reply(replies: Sequence[AcceptorReply]) -> AcceptorReply:
+    """The first reply's record is taken, not the latest."""
+    return replies[0]
 
-def _none_loaded(born: int, span: Span) -> Office:
-    """A register that has started again knows of no office."""
-    return Office(born)
 
+def _no_former_grant(started_at: int, timings: LeaseTimings) -> LeaseGrant:
+    """An acceptor that has started again knows of no lease."""
+    return LeaseGrant(started_at)
 
-def _each_answer(poll: Any, now: int, span: Span) -> bool:
-    """Answers count however late."""
+
+def _always_open(current: QuorumRound, now: int, timings: LeaseTimings) -> bool:
+    """Replies count however late."""
     return True
 
 
-def _any_renewal(poll: Any, answer: Any) -> bool:
-    """An answer to an older renewal counts for a newer one."""
-    return answer.ask is poll.call.ask and answer.ballot == poll.call.ballot
+def _any_renewal(current: QuorumRound, reply: AcceptorReply) -> bool:
+    """A reply to an older renewal counts for a newer one."""
+    request = current.request
+    return reply.kind is request.kind and reply.ballot == request.ballot
 
 
-def _from_one(before: int, old: Any) -> int:
-    """A seat that was let go leaves its rounds to the next."""
+def _rounds_from_one(used_rounds: int, proposer: LeaseProposer) -> int:
+    """A proposer that was dropped leaves its rounds to the next."""
     return 0
 
 
-def _one_holder(self: Any, other: Any) -> bool:
+def _same_gateway(ballot: Ballot, other: Ballot) -> bool:
     """A gateway's new start passes for its old one."""
-    return self.name == other.name
+    return ballot.gateway == other.gateway
 
 
-def _no_floor(floor: int, record: Any) -> int:
-    """What was forgotten refuses nothing."""
-    return floor
+def _same_floor(ballot_floor: int, record: LeaseRecord) -> int:
+    """What was removed refuses nothing."""
+    return ballot_floor
 
 
-def _never_later(known: Any, own: Any) -> bool:
+def _never_stale(known: StateIdentity | None, own: StateIdentity) -> bool:
     """Nobody's word of later things is believed."""
     return False
 
 
-def _anybody(self: Joining, now: int) -> bool:
-    """A register answers from its start, whoever has said anything."""
+def _always_confirmed(recovery: AcceptorRecovery, now: int) -> bool:
+    """An acceptor answers from its start, whoever has said anything."""
     return True
 
 
-def _one_tells(registers: int) -> int:
-    """One other register's word is enough to catch up from."""
+def _one_copy(acceptors: int) -> int:
+    """The records of one other acceptor are enough."""
     return 1
 
 
-def _no_rest(self: Span) -> int:
-    """A register that lacks something catches up at once."""
+def _no_wait(timings: LeaseTimings) -> int:
+    """An acceptor that lacks something copies at once."""
     return 0
 
 
-def _nothing_merged(records: Any, told: Any, up: int) -> None:
-    """A register that lacks something goes on with what it has."""
+def _nothing_merged(
+    records: dict[str, LeaseRecord],
+    copied: Iterable[tuple[str, LeaseRecord]],
+    uptime: int,
+) -> None:
+    """An acceptor that lacks something goes on with what it has."""
 
 
-def _no_fence(records: dict[str, Any], floor: int) -> None:
-    """A floor holds only for channels without a record."""
+def _no_floor(records: dict[str, LeaseRecord], ballot_floor: int) -> None:
+    """A floor holds only for leases without a record."""
 
 
-def _promise_left(records: dict[str, Any], told: Any, up: int) -> None:
-    """It takes what was written, and not what was promised."""
-    for channel, new in told:
-        old = records.get(channel)
-        if old is None or old.stamp < new.stamp:
-            records[channel] = new._replace(promised=new.stamp.ballot, touched=up)
+def _promises_left(
+    records: dict[str, LeaseRecord],
+    copied: Iterable[tuple[str, LeaseRecord]],
+    uptime: int,
+) -> None:
+    """What was written is copied, and not what was promised."""
+    for key, new in copied:
+        old = records.get(key)
+        if old is None or old.version < new.version:
+            promised = new.version.ballot
+            records[key] = replace(new, promised=promised, written_at=uptime)
 
 
-def _copies_vote(answers: Any, best: Any, registers: int) -> bool:
-    """A copy that a register was told of counts as a vote."""
-    return best.stamp == acceptor.UNWRITTEN or sum(
-        each.stamp == best.stamp for each in answers
-    ) >= lease_proposer.majority(registers)
+_start_accept = LeaseProposer.start_accept
 
 
-def _young_again(
-    self: Any, value: bytes, now: int, born: int, fresh: bool = True
+def _always_original(
+    proposer: LeaseProposer,
+    value: bytes,
+    now: int,
+    created_at: int,
+    is_original: bool,
 ) -> None:
     """What is written again is as young as if it were new."""
-    _send(self, value, now, born)
+    _start_accept(proposer, value, now, created_at, True)
 
 
-def _unborn(self: Any, value: bytes, now: int, born: int, fresh: bool = True) -> None:
+def _created_on_arrival(
+    proposer: LeaseProposer,
+    value: bytes,
+    now: int,
+    created_at: int,
+    is_original: bool,
+) -> None:
     """What a value says of times counts from when it came."""
-    _send(self, value, now, acceptor.JUST_NOW, fresh)
+    _start_accept(proposer, value, now, CREATED_ON_ARRIVAL, is_original)
 
 
-def _some_age(answers: Any, value: bytes) -> int | None:
+def _some_age(replies: Sequence[AcceptorReply], value: bytes) -> int | None:
     """Those that have the value and know since when are enough."""
-    return max(
-        (
-            each.aged
-            for each in answers
-            if each.value == value and each.aged != acceptor.UNKNOWN
-        ),
-        default=None,
-    )
-
-
-_send = lease_proposer.Seat.send
-MUTANTS: dict[str, tuple[Any, str, Any]] = {
-    "lower ballots are refused": (acceptor, "rank", _any_ballot),
-    "an office refuses others": (acceptor, "hold", _no_office),
-    "drift at the register": (Span, "refused", _shorter),
-    "drift at the keeper": (Span, "kept", _longer),
-    "terms from the send": (lease_proposer, "term_end", _from_answer),
-    "a majority": (lease_proposer, "majority", _half),
-    "written again": (lease_proposer, "even", _always_even),
-    "copies are no votes": (lease_proposer, "even", _copies_vote),
-    "the latest write is read": (lease_proposer, "newest", _first_told),
-    "offices of a former self": (acceptor, "loaded", _none_loaded),
-    "a call's end": (lease_proposer, "open_still", _each_answer),
-    "one renewal's answers": (lease_proposer, "fits", _any_renewal),
-    "no ballot twice": (world_of, "rounds_used", _from_one),
-    "starts differ": (acceptor.Ballot, "same_holder", _one_holder),
-    "the floor of what is forgotten": (acceptor, "raised", _no_floor),
-    "others' word of later things": (acceptor_recovery, "later", _never_later),
-    "others are asked first": (Joining, "enough", _anybody),
-    "enough others tell": (acceptor_recovery, "needed", _one_tells),
-    "the rest before catching up": (Span, "rest", _no_rest),
-    "what others tell is taken": (acceptor_recovery, "merged", _nothing_merged),
-    "what is written again is not new": (lease_proposer.Seat, "send", _young_again),
-    "a value is as old as its making": (lease_proposer.Seat, "send", _unborn),
-    "all know the age": (lease_proposer, "aged", _some_age),
-    "floors hold for what is told": (acceptor_recovery, "fenced", _no_fence),
-    "promises are told too": (acceptor_recovery, "merged", _promise_left),
-}
-FOUND: dict[str, int] = {
-    "lower ballots are refused": 11,
-    "an office refuses others": 0,
-    "drift at the register": 27,
-    "drift at the keeper": 5,
-    "terms from the send": 14,
-    "a majority": 0,
-    "written again": 0,
-    "copies are no votes": 0,
-    "the latest write is read": 6,
-    "offices of a former self": 2,
-    "a call's end": 14,
-    "one renewal's answers": 13,
-    "no ballot twice": 0,
-    "starts differ": 4,
-    "the floor of what is forgotten": 0,
-    "others' word of later things": 0,
-    "others are asked first": 63,
-    "enough others tell": 0,
-    "the rest before catching up": 112,
-    "what others tell is taken": 8,
-    "what is written again is not new": 49,
-    "all know the age": 27,
-    "a value is as old as its making": 0,
-    "floors hold for what is told": 0,
-    "promises are told too": 0,
+    ages = [
+        each.value_age
+        for each in replies
+        if each.value == value and each.value_age != UNKNOWN
+    ]
+    return max(ages, default=None)
+
+
+MUTATIONS: dict[str, Mutation] = {
+    "lower ballots are refused": Mutation(acceptor, "rank_ballot", _any_ballot, 11),
+    "an office refuses others": Mutation(acceptor, "grant_state", _no_grant, 0),
+    "drift at the register": Mutation(LeaseTimings, "acceptor_duration", _no_drift, 27),
+    "drift at the keeper": Mutation(LeaseTimings, "holder_duration", _no_drift, 5),
+    "terms from the send": Mutation(LeaseProposer, "on_reply", _count_from_reply, 14),
+    "a majority": Mutation(quorum_round, "majority", _half, 0),
+    "written again": Mutation(lease_proposer, "is_settled", _always_settled, 0),
+    "copies are no votes": Mutation(lease_proposer, "is_settled", _copies_vote, 0),
+    "the latest write is read": Mutation(
+        lease_proposer, "latest_reply", _first_reply, 6
+    ),
+    "offices of a former self": Mutation(
+        acceptor, "grant_after_restart", _no_former_grant, 2
+    ),
+    "a call's end": Mutation(lease_proposer, "is_open", _always_open, 14),
+    "one renewal's answers": Mutation(
+        lease_proposer, "answers_request", _any_renewal, 13
+    ),
+    "no ballot twice": Mutation(lease_cluster, "next_used_rounds", _rounds_from_one, 0),
+    "starts differ": Mutation(Ballot, "same_holder", _same_gateway, 4),
+    "the floor of what is forgotten": Mutation(
+        acceptor, "raise_ballot_floor", _same_floor, 0
+    ),
+    "others' word of later things": Mutation(
+        acceptor_recovery, "is_stale", _never_stale, 0
+    ),
+    "others are asked first": Mutation(
+        AcceptorRecovery, "is_confirmed", _always_confirmed, 63
+    ),
+    "enough others tell": Mutation(acceptor_recovery, "copies_needed", _one_copy, 0),
+    "the rest before catching up": Mutation(
+        LeaseTimings, "recovery_wait", _no_wait, 112
+    ),
+    "what others tell is taken": Mutation(
+        acceptor_recovery, "merge_records", _nothing_merged, 8
+    ),
+    "what is written again is not new": Mutation(
+        LeaseProposer, "start_accept", _always_original, 49
+    ),
+    "a value is as old as its making": Mutation(
+        LeaseProposer, "start_accept", _created_on_arrival, 0
+    ),
+    "all know the age": Mutation(lease_proposer, "oldest_value_age", _some_age, 27),
+    "floors hold for what is told": Mutation(
+        acceptor_recovery, "raise_to_floor", _no_floor, 0
+    ),
+    "promises are told too": Mutation(
+        acceptor_recovery, "merge_records", _promises_left, 0
+    ),
 }
 
 
 @contextmanager
-def without(guard: str) -> Iterator[None]:
+def without_guard(guard: str) -> Iterator[None]:
     """The decisions with one guard out."""
-    owner, name, made = MUTANTS[guard]
-    with mock.patch.object(owner, name, made):
+    mutation = MUTATIONS[guard]
+    with mock.patch.object(mutation.owner, mutation.name, mutation.replacement):
         yield
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -78,28 +78,31 @@
 def channels_of(edge: Any, seed: int) -> Channels:
     """A gateway's channels over its fleet, as its file has them."""
     from milletsill.fleet.leases.lease_manager import LeaseManager
+    from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+    from milletsill.fleet.leases.timings import LeaseTimings
 
     keeping = edge.file.fleet.channels
     silent = max(
         (round(each.silent_s * 10_000) for each in keeping.contract), default=0
     )
-    offices = LeaseManager(
-        edge.reactor,
-        edge.now,
-        edge.fleet,
-        list(keeping.register),
-        round(keeping.office_s * 10_000),
-        keeping.drift_permille,
-        round(keeping.call_ms * 10),
-        keeping.most_channels,
-        os.path.join(edge.file.state_dir, "registers.db"),
-        seed,
-        edge.remark,
-        edge.figures.registry,
-        silent=silent,
+    settings = LeaseSettings(
+        acceptors=tuple(keeping.register),
+        timings=LeaseTimings(
+            lease_duration=round(keeping.office_s * 10_000),
+            call_timeout=round(keeping.call_ms * 10),
+            drift_permille=keeping.drift_permille,
+        ),
+        max_leases=keeping.most_channels,
+        idle_after=silent,
+        store_path=os.path.join(edge.file.state_dir, "registers.db"),
+        seed=seed,
     )
+    environment = LeaseEnvironment(
+        edge.reactor, edge.now, edge.fleet, edge.remark, edge.figures.registry
+    )
+    offices = LeaseManager(settings, environment)
     made = Channels(edge, edge.fleet, offices)
-    offices.on_other_message = made.heard
+    offices.set_on_foreign_message(made.heard)
     return made
 
 
--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -172,7 +172,7 @@
     def test_two_who_never_agree_on_a_clock_stop_telling_each_other(self):
         between = Between()
         between.go(50)
-        between.ways["a"].clocks.there = lambda member, at, now: None
+        between.ways["a"].clocks.to_remote = lambda member, at, now: None
         between.say(1.8)
         between.go(0.001)
         self.assertEqual(
--- a/tests/fleet/leases/test_lease_manager.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""Offices over the plane: gateways, registers and a network between them on a fake clock."""
+"""Leases over the transport: gateways, acceptors and a network on a fake clock."""
 
 import os
 import shutil
@@ -10,26 +10,24 @@
 from twisted.internet.task import Clock
 
 from milletsill.fleet.leases import errors
-from milletsill.fleet.leases.acceptor import Ballot, Record, Span, Stamp
-from milletsill.fleet.leases.acceptor_recovery import StateIdentity
-from milletsill.fleet.leases.blocking_worker import tried
+from milletsill.fleet.leases.blocking_worker import run_guarded
 from milletsill.fleet.leases.lease_manager import LeaseManager
-from milletsill.fleet.leases.lease_state import LeaseTerm
+from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+from milletsill.fleet.leases.lease_term import LeaseTerm
+from milletsill.fleet.leases.timings import LeaseTimings
 from milletsill.fleet.transport import Member, MemberState, View
 
-SPAN = Span()
-A, B = Ballot(5, "a", 1), Ballot(6, "b", 2)
+TIMINGS = LeaseTimings()
 
 
-def record(number, value=b""):
-    return Record(A, Stamp(A, number), value or b"%d" % number, 0)
-
-
-class Wire:
-    """The fleet's plane for many gateways, on one clock."""
+class StandInTransport:
+    """The fleet's transport for many gateways, on one clock."""
 
     def __init__(self, name, net):
-        self.name, self.net, self.incarnation, self.ears = name, net, 1, []
+        self.name = name
+        self.net = net
+        self.incarnation = 1
+        self.subscribers = []
 
     @property
     def view(self):
@@ -37,43 +35,51 @@
             1,
             [
                 Member(each, "h:1", 1, MemberState.ALIVE)
-                for each in sorted(self.net.planes)
+                for each in sorted(self.net.transports)
             ],
         )
 
     def send(self, member, kind, body):
-        if member not in self.net.planes or {member, self.name} & self.net.cut:
+        if member not in self.net.transports or {member, self.name} & self.net.cut:
             return False
         self.net.clock.callLater(0.001, self.net.bring, self.name, member, body)
         return True
 
-    def subscribe(self, kind, heard):
-        self.ears.append(heard)
+    def subscribe(self, kind, on_message):
+        self.subscribers.append(on_message)
 
-    def watch_view(self, told):
+    def watch_view(self, on_change):
         pass
 
 
-class Thread:
+class ImmediateWorker:
     """A job at once, its result by the reactor."""
 
     def __init__(self, clock):
-        self.clock, self.stopped = clock, False
+        self.clock = clock
+        self.stopped = False
 
-    def run(self, job, then):
-        result = tried(job)
-        self.clock.callLater(0.0005, lambda: None if self.stopped else then(result))
+    def run(self, job, on_result):
+        result = run_guarded(job)
+        self.clock.callLater(
+            0.0005, lambda: None if self.stopped else on_result(result)
+        )
 
     def stop(self):
         self.stopped = True
 
 
-class Net:
-    """Three registers r0 to r2 and two more gateways."""
+class Network:
+    """Three acceptors r0 to r2 and two more gateways."""
 
     def __init__(self, folder, **values):
-        self.clock, self.folder, self.values = Clock(), folder, values
-        self.planes, self.offices, self.lines, self.cut = {}, {}, [], set()
+        self.clock = Clock()
+        self.folder = folder
+        self.values = values
+        self.transports = {}
+        self.managers = {}
+        self.events = []
+        self.cut = set()
         for name in ("r0", "r1", "r2", "x", "y"):
             self.start(name)
         self.go(0.5)
@@ -85,33 +91,37 @@
         return int(self.clock.seconds() * 10_000) + 1000
 
     def start(self, name, **values):
-        self.planes[name] = Wire(name, self)
-        given = {"silent": 36_000_000, **self.values, **values}
-        self.offices[name] = LeaseManager(
+        self.transports[name] = StandInTransport(name, self)
+        given = {"idle_after": 36_000_000, **self.values, **values}
+        lease_duration = given.pop("lease_duration", 20_000)
+        settings = LeaseSettings(
+            acceptors=given.pop("acceptors", ("r0", "r1", "r2")),
+            timings=LeaseTimings(lease_duration, 3_000, 5),
+            max_leases=given.pop("max_leases", 1000),
+            store_path=self.path(name),
+            seed=1,
+            **given,
+        )
+        environment = LeaseEnvironment(
             self.clock,
             self.now,
-            self.planes[name],
-            given.pop("names", ("r0", "r1", "r2")),
-            given.pop("office", 20_000),
-            5,
-            3_000,
-            given.pop("most", 1000),
-            self.path(name),
-            1,
-            lambda line, **said: self.lines.append((name, said.get("error", line))),
+            self.transports[name],
+            lambda event, **fields: self.events.append(
+                (name, fields.get("error", event))
+            ),
             CollectorRegistry(),
-            worker=Thread(self.clock),
-            **given,
         )
+        worker = ImmediateWorker(self.clock)
+        self.managers[name] = LeaseManager(settings, environment, worker)
 
     def stop(self, name):
-        self.offices.pop(name).stop()
-        del self.planes[name]
+        self.managers.pop(name).stop()
+        del self.transports[name]
 
     def bring(self, sender, member, body):
         for each in (
-            self.planes[member].ears
-            if member in self.planes and not {sender, member} & self.cut
+            self.transports[member].subscribers
+            if member in self.transports and not {sender, member} & self.cut
             else ()
         ):
             each(sender, 1, body)
@@ -120,32 +130,32 @@
         for _ in range(int(seconds * 400)):
             self.clock.advance(0.0025)
 
-    def take(self, name, channel="c", seconds=0.5):
+    def acquire(self, name, key="c", seconds=0.5):
         got = []
-        self.offices[name].acquire(channel, got.append)
+        self.managers[name].acquire(key, got.append)
         self.go(seconds)
         return got[0]
 
     def write(self, name, term, *values):
         got = []
         for value in values:
-            self.offices[name].write(term, value, got.append)
+            self.managers[name].write(term, value, got.append)
         self.go(0.5)
         return got
 
 
-class OverThePlane(unittest.TestCase):
+class LeaseManagerTests(unittest.TestCase):
     def net(self, **values):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        net = Net(folder.name, **values)
-        self.addCleanup(lambda: [net.stop(each) for each in list(net.offices)])
+        net = Network(folder.name, **values)
+        self.addCleanup(lambda: [net.stop(each) for each in list(net.managers)])
         return net
 
     def test_a_write_that_lay_on_its_way_is_as_old_as_it_is(self):
-        """A network that holds a keeper's streams for six seconds, then brings what was in one of them."""
+        """A network that holds a gateway's streams for six seconds, then brings what was in one of them."""
         net, held = self.net(), []
-        term = net.take("x")
+        term = net.acquire("x")
         self.assertEqual(net.write("x", term, b"1"), [None])
         bring, made = net.bring, net.now()
         net.bring = lambda sender, *rest: (
@@ -157,45 +167,47 @@
         for each in [each for each in held if each[1] == "r1"]:
             net.bring(*each)
         net.go(2.5)
-        later = net.take("y")
+        later = net.acquire("y")
         self.assertEqual(later.value, b"2")
         self.assertLessEqual(
             net.now() - made - 5000, later.value_age
         )  # it was had half a second ago
         self.assertLess(later.value_age, net.now() - made + 2000)
 
-    def test_an_office_is_taken_written_under_and_handed_over(self):
+    def test_a_lease_is_acquired_written_under_and_handed_over(self):
         net = self.net()
-        term = net.take("x")
+        term = net.acquire("x")
         self.assertEqual(
-            (term.value, term.value_age, net.offices["x"].holds(term)), (b"", 0, True)
+            (term.value, term.value_age, net.managers["x"].holds(term)), (b"", 0, True)
         )
         self.assertEqual(net.write("x", term, b"1", b"2", b"3"), [None] * 3)
         self.assertEqual(term.value, b"3")
-        refused = net.take("y")
+        refused = net.acquire("y")
         self.assertIsInstance(refused, errors.NotLeaseHolder)
         self.assertEqual(refused.who, "x")
-        self.assertLessEqual(refused.pause, SPAN.refused())
-        net.offices["x"].release(term)
-        self.assertFalse(net.offices["x"].holds(term))
-        later = net.take("y")
+        self.assertLessEqual(refused.pause, TIMINGS.acceptor_duration())
+        net.managers["x"].release(term)
+        self.assertFalse(net.managers["x"].holds(term))
+        later = net.acquire("y")
         self.assertEqual(later.value, b"3")
         self.assertTrue(5_000 <= later.value_age <= 15_000)
         self.assertIsInstance(net.write("x", term, b"4")[0], errors.LeaseNotHeld)
 
-    def test_a_busy_term_is_renewed_an_idle_one_lapses_and_is_taken_after_it(self):
+    def test_a_term_in_use_is_renewed_an_idle_one_ends_and_is_acquired_after_it(self):
         net = self.net()
-        term = net.take("x")
+        term = net.acquire("x")
         net.write("x", term, b"1")
         term.in_use = True
         net.go(6)
-        self.assertTrue(net.offices["x"].holds(term))
-        self.assertIsInstance(net.take("y"), errors.NotLeaseHolder)
-        net.cut.add("x")  # its keeper is gone
+        self.assertTrue(net.managers["x"].holds(term))
+        self.assertIsInstance(net.acquire("y"), errors.NotLeaseHolder)
+        net.cut.add("x")  # its holder is gone
         began = net.now()
-        while isinstance(got := net.take("y", seconds=0.05), errors.CoordinationError):
+        while isinstance(
+            got := net.acquire("y", seconds=0.05), errors.CoordinationError
+        ):
             self.assertLess(net.now() - began, 3 * 10_000)
-        self.assertFalse(net.offices["x"].holds(term))
+        self.assertFalse(net.managers["x"].holds(term))
         self.assertEqual(got.value, b"1")
         net.cut.clear()
         self.assertEqual(
@@ -204,27 +216,27 @@
 
     def test_without_a_majority_it_is_declined_soon_with_a_time_to_come_back(self):
         net = self.net()
-        term = net.take("x")
+        term = net.acquire("x")
         net.cut |= {"r0", "r1"}
-        got = net.take("y", "other", seconds=0.05)
+        got = net.acquire("y", "other", seconds=0.05)
         self.assertIsInstance(got, errors.QuorumNotReached)
         self.assertGreater(got.pause, 0)
         self.assertIsInstance(net.write("x", term, b"1")[0], errors.QuorumNotReached)
         net.cut.clear()
         net.go(3)
-        again = net.take("y")
+        again = net.acquire("y")
         self.assertIn(again.value, (b"", b"1"))
 
-    def test_registers_come_back_with_what_they_have_without_or_with_less(self):
+    def test_acceptors_come_back_with_what_they_have_without_or_with_less(self):
         for how, error in (
-            ("kept", "register_begins"),
+            ("kept", "acceptor_serving"),
             ("torn", "AcceptorStateCorrupt"),
             ("lost", "AcceptorStateMissing"),
             ("older", "AcceptorStateRolledBack"),
         ):
             with self.subTest(how):
                 net = self.net()
-                term = net.take("x")
+                term = net.acquire("x")
                 net.cut.add("r2")
                 net.write("x", term, b"1")
                 net.go(0.3)
@@ -245,97 +257,102 @@
                     os.remove(net.path("r1"))
                 elif how == "older":
                     os.replace(net.path("r1") + ".copy", net.path("r1"))
-                del net.lines[:]
+                del net.events[:]
                 net.start("r1")
                 net.go(0.5)
-                self.assertIn(("r1", error), net.lines)
-                self.assertEqual(net.offices["r1"].acceptor.whole(), how == "kept")
+                self.assertIn(("r1", error), net.events)
+                self.assertEqual(
+                    net.managers["r1"].acceptor.is_serving(), how == "kept"
+                )
                 net.go(3)
-                self.assertTrue(net.offices["r1"].acceptor.whole())
+                self.assertTrue(net.managers["r1"].acceptor.is_serving())
                 net.cut.add("r0")  # r1 counts again, and has what was written
-                while isinstance(got := net.take("y"), errors.CoordinationError):
+                while isinstance(got := net.acquire("y"), errors.CoordinationError):
                     net.go(0.2)
                 self.assertEqual(got.value, b"2")
 
-    def test_a_register_without_room_answers_nothing_that_is_not_written(self):
+    def test_an_acceptor_without_room_answers_nothing_that_is_not_written(self):
         net = self.net()
         net.stop("r0")
-        net.start("r0", most_pages=14)
+        net.start("r0", max_store_pages=14)
         net.go(0.5)
-        terms = [net.take("x", f"c{each}", seconds=0.1) for each in range(12)]
+        terms = [net.acquire("x", f"c{each}", seconds=0.1) for each in range(12)]
         self.assertEqual(
             sum([net.write("x", term, b"x" * 6000) for term in terms], []), [None] * 12
         )  # the two others do
-        self.assertIn(("r0", "DiskFull"), net.lines)
+        self.assertIn(("r0", "DiskFull"), net.events)
         net.cut.add("r1")
         self.assertIsInstance(
             net.write("x", terms[11], b"y" * 6000)[0], errors.QuorumNotReached
         )
-        net.offices["r0"].acceptor.store.base.execute("PRAGMA max_page_count=1000")
+        net.managers["r0"].acceptor.store.connection.execute(
+            "PRAGMA max_page_count=1000"
+        )
         net.go(3)
-        self.assertIsInstance(net.take("x", "c11"), LeaseTerm)
+        self.assertIsInstance(net.acquire("x", "c11"), LeaseTerm)
 
     def test_bounds_and_what_is_silent(self):
-        net = self.net(most=3, silent=50_000)
+        net = self.net(max_leases=3, idle_after=50_000)
         for each in range(3):
-            term = net.take("x", f"c{each}")
+            term = net.acquire("x", f"c{each}")
             net.write("x", term, b"v")
-        self.assertIsInstance(net.take("x", "c3"), errors.ResourceLimitReached)  # here
         self.assertIsInstance(
-            net.take("y", "c3"), errors.QuorumNotReached
+            net.acquire("x", "c3"), errors.ResourceLimitReached
+        )  # here
+        self.assertIsInstance(
+            net.acquire("y", "c3"), errors.QuorumNotReached
         )  # at the registers
         self.assertIsInstance(
             net.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReached
         )
         net.go(8)
-        got = net.take("y", "c3")
+        got = net.acquire("y", "c3")
         self.assertIsInstance(got, LeaseTerm)
         self.assertGreater(got.ballot.round, term.ballot.round)  # the floor
-        self.assertIsInstance(net.take("y", "\udc80"), errors.ResourceLimitReached)
-        net.offices["x"].heard("y", 1, b"Rnonsense")
-        self.assertIn(("x", "MalformedFrame"), net.lines)
+        self.assertIsInstance(net.acquire("y", "\udc80"), errors.ResourceLimitReached)
+        net.bring("y", "x", b"Rnonsense")
+        self.assertIn(("x", "MalformedFrame"), net.events)
         heard = []
-        net.offices["x"].on_other_message = lambda *what: heard.append(what)
-        net.offices["x"].heard("y", 1, b"Cours")
+        net.managers["x"].set_on_foreign_message(lambda *what: heard.append(what))
+        net.bring("y", "x", b"Cours")
         self.assertEqual(heard, [("y", 1, b"Cours")])
         self.assertEqual(
-            net.offices["x"].preferred_holder("c1"),
-            net.offices["y"].preferred_holder("c1"),
+            net.managers["x"].preferred_holder("c1"),
+            net.managers["y"].preferred_holder("c1"),
         )
 
-    def test_other_terms_are_declined_and_other_registers_need_an_order(self):
+    def test_other_settings_are_declined_and_other_acceptors_need_an_order(self):
         net = self.net()
-        net.write("x", net.take("x"), b"1")
+        net.write("x", net.acquire("x"), b"1")
         net.stop("y")
-        net.start("y", office=30_000)
-        self.assertIsInstance(net.take("y"), errors.QuorumNotReached)
-        self.assertIn(("r0", "LeaseSettingsMismatch"), net.lines)
+        net.start("y", lease_duration=30_000)
+        self.assertIsInstance(net.acquire("y"), errors.QuorumNotReached)
+        self.assertIn(("r0", "LeaseSettingsMismatch"), net.events)
         net.stop("r0")
-        net.start("r0", names=("r0", "r1", "x"))
+        net.start("r0", acceptors=("r0", "r1", "x"))
         net.go(3)
-        self.assertIn(("r0", "AcceptorSetChanged"), net.lines)
-        self.assertFalse(net.offices["r0"].acceptor.whole())
+        self.assertIn(("r0", "AcceptorSetChanged"), net.events)
+        self.assertFalse(net.managers["r0"].acceptor.is_serving())
         net.stop("r0")
         Path(net.path("r0") + ".go-on").touch()
-        net.start("r0", names=("r0", "r1", "x"))
+        net.start("r0", acceptors=("r0", "r1", "x"))
         net.go(0.1)
-        self.assertIn(("r0", "register_ordered"), net.lines)
-        self.assertTrue(net.offices["r0"].acceptor.whole())
+        self.assertIn(("r0", "acceptor_overridden"), net.events)
+        self.assertTrue(net.managers["r0"].acceptor.is_serving())
         self.assertFalse(os.path.exists(net.path("r0") + ".go-on"))
 
-    def test_an_older_state_shows_while_the_register_runs(self):
+    def test_an_older_state_shows_while_the_acceptor_runs(self):
         net = self.net()
-        net.write("x", net.take("x"), b"1")
-        desk = net.offices["r0"].acceptor
-        desk.witnessed(
-            "y",
-            StateIdentity(desk.own().age, desk.own().chance, desk.own().generation + 5),
-        )
-        self.assertFalse(desk.whole())
-        self.assertIn(("r0", "AcceptorStateRolledBack"), net.lines)
+        net.write("x", net.acquire("x"), b"1")
+        acceptor = net.managers["r0"].acceptor
+        identity = acceptor.identity()
+        later = identity._replace(generation=identity.generation + 5)
+        acceptor.on_witness("y", later)
+        self.assertFalse(acceptor.is_serving())
+        self.assertIn(("r0", "AcceptorStateRolledBack"), net.events)
         net.go(4)
-        self.assertTrue(desk.whole())
-        self.assertEqual(desk.own().age, 2)
+        self.assertTrue(acceptor.is_serving())
+        self.assertEqual(acceptor.identity().age, 2)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/fleet/leases/test_lease_model.py
@@ -0,0 +1,39 @@
+"""The model of leases, with and without each guard."""
+
+import unittest
+
+from milletsill.lab.model_checks import lease_mutation_checks
+from milletsill.lab.model_checks.lease_exploration import (
+    Opening,
+    explore,
+    single_events,
+    whole_exchanges,
+)
+from milletsill.lab.model_checks.lease_model import find_violation
+from milletsill.lab.model_checks.lease_walk import walk
+
+
+class LeaseModelTests(unittest.TestCase):
+    def test_every_order_of_events_keeps_what_is_promised(self):
+        for moves in (single_events, whole_exchanges):
+            for opening in Opening:
+                found = explore(opening, 12, 3000, moves)
+                self.assertIsNone(found.violation)
+                self.assertGreaterEqual(found.depth, 2)
+                self.assertEqual(found.clusters, 3000)
+
+    def test_chance_keeps_what_is_promised(self):
+        self.assertIsNone(find_violation(25))
+        result = walk(5, 5, 1500, 1)
+        self.assertIsNone(result.violation)
+        self.assertGreater(result.writes, 50)  # it did come to something
+
+    def test_it_goes_wrong_without_each_guard(self):
+        for guard, mutation in lease_mutation_checks.MUTATIONS.items():
+            with self.subTest(guard), lease_mutation_checks.without_guard(guard):
+                violation = find_violation(40, first_seed=mutation.first_seed)
+                self.assertIsNotNone(violation)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -84,18 +84,18 @@
         codec = Codec("fleet")
         for name, message in made.frames().items():
             self.assertEqual(codec.decode(octets[f"frame {name}"]), message, name)
-        calls = registers.decoded(octets["registers calls"]).calls.call
+        calls = registers.decode_frame(octets["registers calls"]).calls.call
         self.assertEqual(
-            [registers.get_call("gateway-1", each) for each in calls], made.CALLS
+            [registers.decode_request("gateway-1", each) for each in calls], made.CALLS
         )
-        answers = registers.decoded(octets["registers answers"]).answers
+        answers = registers.decode_frame(octets["registers answers"]).answers
         self.assertEqual(
-            [registers.get_answer("gateway-1", each) for each in answers.answer],
+            [registers.decode_reply("gateway-1", each) for each in answers.answer],
             made.ANSWERS,
         )
-        self.assertEqual(registers.get_identity(answers.own), made.IDENTITY)
+        self.assertEqual(registers.decode_identity(answers.own), made.IDENTITY)
         self.assertEqual(
-            registers.get_page(registers.decoded(octets["registers page"]).page),
+            registers.decode_page(registers.decode_frame(octets["registers page"]).page),
             made.PAGE,
         )
         frame = health.decoded(octets["health"])
@@ -122,10 +122,10 @@
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
             shutil.copy(os.path.join(HERE, "register-1.sqlite"), path)
-            store = AcceptorStore.opened(path, 1)
+            store = AcceptorStore.open(path, 1)
             self.addCleanup(store.close)
             self.assertEqual(
-                (store.read("v/c"), store.floor, store.own),
+                (store.read("v/c"), store.ballot_floor, store.identity),
                 (made.RECORD, 11, StateIdentity(1, 77, 1)),
             )
             self.assertEqual(store.known, {"gateway-2": made.IDENTITY})
@@ -188,17 +188,17 @@
 
     def test_registers(self):
         self.assertIsNone(
-            registers.decoded(
+            registers.decode_frame(
                 b"R" + wire.Frame(version=2).SerializeToString() + LATER
             ).WhichOneof("what")
         )
-        call = registers.put_call(made.CALLS[0])
+        call = registers.encode_request(made.CALLS[0])
         call.ask = 99
-        self.assertIsNone(registers.get_call("gateway-1", call))
+        self.assertIsNone(registers.decode_request("gateway-1", call))
         for field in ("ask", "say"):
-            answer = registers.put_answer(made.ANSWERS[0])
+            answer = registers.encode_reply(made.ANSWERS[0])
             setattr(answer, field, 99)
-            self.assertIsNone(registers.get_answer("gateway-1", answer))
+            self.assertIsNone(registers.decode_reply("gateway-1", answer))
 
     def test_health_and_contracts(self):
         frame = health_pb2.Frame(version=2)
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -64,7 +64,7 @@
 
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
-            AcceptorStore.opened(path, 77).close()
+            AcceptorStore.open(path, 77).close()
             self.assertEqual(
                 tables(path), tables(os.path.join(HERE, "register-1.sqlite"))
             )
