--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -15,16 +15,15 @@
 from prometheus_client import CollectorRegistry
 
 from milletsill.fleet.health.health_sharing import Sharing
-from milletsill.fleet.leases.acceptor_recovery import Identity
-from milletsill.fleet.leases.acceptor_store import (
-    TABLES,
-    Store,
-    checksum,
-    put_identity,
-    wire,
-)
-from milletsill.fleet.leases.blocking_worker import tried
-from milletsill.fleet.leases.lease_manager import Offices, Term
+from milletsill.fleet.leases.acceptor_recovery import StateIdentity
+from milletsill.fleet.leases.acceptor_store import AcceptorStore
+from milletsill.fleet.leases.blocking_worker import run_guarded
+from milletsill.fleet.leases.lease_manager import LeaseManager
+from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+from milletsill.fleet.leases.lease_term import LeaseTerm
+from milletsill.fleet.leases.store_file import create_tables
+from milletsill.fleet.leases.store_rows import initial_state
+from milletsill.fleet.leases.timings import LeaseTimings
 from milletsill.lab.fleet_clock import SECOND, Stand
 
 PERIOD, RIVALS = 5000, 9
@@ -47,10 +46,10 @@
         self.wait, self.full, self.copies = (
             20,
             False,
-            list[tuple[Identity, sqlite3.Connection]](),
+            list[tuple[StateIdentity, sqlite3.Connection]](),
         )
 
-    def copy(self, own: Identity) -> None:
+    def copy(self, own: StateIdentity) -> None:
         if self.base is not None:
             made = sqlite3.connect(":memory:", isolation_level=None)
             self.base.backup(made)
@@ -64,41 +63,26 @@
             self.base.execute(f"PRAGMA max_page_count={pages if full else 1 << 30}")
 
 
-class Kept(Store):
+class Kept(AcceptorStore):
     """The register's file, in memory."""
 
     disks: dict[str, Disk] = {}
 
     @classmethod
-    def opened(
+    def open(
         cls,
         path: str,
         chance: int,
-        among: int = 0,
-        doubted: bool = False,
-        most_pages: int = 0,
-    ) -> Store:
+        acceptor_set: int = 0,
+        is_incomplete: bool = False,
+        max_pages: int = 0,
+    ) -> AcceptorStore:
         disk = cls.disks[path]
         if disk.base is None:
             base = disk.base = sqlite3.connect(":memory:", isolation_level=None)
-            state = wire.State(
-                own=put_identity(Identity(1, chance, 0)),
-                floor=0,
-                up=0,
-                doubted=doubted,
-                among=among,
-            ).SerializeToString()
-            for each in (
-                *TABLES,
-                "PRAGMA user_version=1",
-                "PRAGMA application_id=1296257585",
-            ):
-                base.execute(each)
-            base.execute(
-                "INSERT INTO state VALUES(0, ?, ?)", (state, checksum("", 0, state))
-            )
+            create_tables(base, initial_state(chance, acceptor_set, is_incomplete))
         store = cls(path, disk.base)
-        store.begin(0)
+        store.load(0)
         return store
 
     def close(self) -> None:
@@ -156,7 +140,7 @@
 
     def run(self, job: Callable[[], Any], then: Callable[[Any], None]) -> None:
         if not self.stopped:
-            result = tried(job)
+            result = run_guarded(job)
             self.gate.callLater(
                 self.gate.disk.wait / SECOND,
                 lambda: None if self.stopped else then(result),
@@ -189,7 +173,7 @@
             world.disks[self.name],
         )
         self.own_chance = Random(self.chance.getrandbits(64))
-        self.terms: dict[str, Term] = {}
+        self.terms: dict[str, LeaseTerm] = {}
         self.writes: dict[str, int] = {}
         if world.judges:
             self.sharing = Sharing(
@@ -212,22 +196,18 @@
                 self.own_chance.random() * PERIOD / SECOND, self.sharing.start
             )
         if world.registers:
-            self.offices = Offices(
-                self,
-                self.own_now,
-                self,
-                world.registers,
-                2 * SECOND,
-                5,
-                3000,
-                64,
-                f"/{self.name}",
-                self.own_chance.getrandbits(64),
-                remark,
-                CollectorRegistry(),
-                silent=1 << 50,
-                worker=Worker(self),
+            settings = LeaseSettings(
+                acceptors=tuple(world.registers),
+                timings=LeaseTimings(2 * SECOND, 3000, 5),
+                max_leases=64,
+                idle_after=1 << 50,
+                store_path=f"/{self.name}",
+                seed=self.own_chance.getrandbits(64),
+            )
+            environment = LeaseEnvironment(
+                self, self.own_now, self, remark, CollectorRegistry()
             )
+            self.offices = LeaseManager(settings, environment, Worker(self))
             if place < world.users:
                 self.callLater(self.own_chance.random(), self.use)
 
@@ -270,30 +250,30 @@
             if channel not in self.writes:
                 base = int.from_bytes(term.value or b"\0", "big")
                 self.writes[channel] = value = self.world.value(base)
-                term.busy = True
+                term.in_use = True
                 self.offices.write(
                     term,
                     value.to_bytes(8, "big"),
                     lambda fault: self.wrote(channel, term, value, fault),
                 )
                 if self.own_chance.random() < 0.05:
-                    self.offices.give_up(term)
-        elif self.offices.keeper_of(channel) == self.name or (
+                    self.offices.release(term)
+        elif self.offices.preferred_holder(channel) == self.name or (
             self.place < RIVALS and self.own_chance.random() < 0.05
         ):
-            self.offices.take(channel, lambda found: self.took(channel, found))
+            self.offices.acquire(channel, lambda found: self.took(channel, found))
 
     def took(self, channel: str, found: Any) -> None:
-        if isinstance(found, Term):
+        if isinstance(found, LeaseTerm):
             self.terms[channel] = found
             if self.offices.holds(found):
                 self.world.seated(
                     self, channel, int.from_bytes(found.value or b"\0", "big")
                 )
 
-    def wrote(self, channel: str, term: Term, value: int, fault: Any) -> None:
+    def wrote(self, channel: str, term: LeaseTerm, value: int, fault: Any) -> None:
         self.writes.pop(channel, None)
-        term.busy = False
+        term.in_use = False
         if fault is None:
             self.world.counted(self, channel, value)
 
@@ -303,7 +283,7 @@
 
     def register(self) -> Any:
         return (
-            self.offices.desk
+            self.offices.acceptor
             if self.world.registers and self.name in self.world.registers
             else None
         )
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -20,7 +20,7 @@
     UpdateRule,
 )
 from milletsill.fleet.transport import MemberState
-from milletsill.lab.model_checks import lease_model
+from milletsill.lab.model_checks import lease_mutation_checks
 
 
 def table(held: Any, without: Any = (), **more: Any) -> Callable[[], Any]:
@@ -62,7 +62,7 @@
         Rows, "after", lambda self, origin, run, base: None
     ),
     **{
-        f"registers: {each}": partial(lease_model.without, each)
-        for each in lease_model.MUTANTS
+        f"registers: {each}": partial(lease_mutation_checks.without_guard, each)
+        for each in lease_mutation_checks.MUTATIONS
     },
 }
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -25,8 +25,8 @@
 from milletsill.fleet.leases import acceptor_service, lease_manager
 from milletsill.fleet.leases import codec as registers
 from milletsill.fleet.leases import registers_pb2 as wire
-from milletsill.fleet.leases.acceptor_recovery import Identity
-from milletsill.fleet.leases.acceptor_store import Store
+from milletsill.fleet.leases.acceptor_recovery import StateIdentity
+from milletsill.fleet.leases.acceptor_store import AcceptorStore
 from milletsill.fleet.membership.config import MembershipConfig
 from milletsill.fleet.membership.effects import SendMessage
 from milletsill.fleet.membership.local_member import LocalIdentity
@@ -80,18 +80,20 @@
         codec = FrameCodec("fleet")
         for name, message in made.frames().items():
             self.assertEqual(codec.decode(octets[f"frame {name}"]), message, name)
-        calls = registers.decoded(octets["registers calls"]).calls.call
+        calls = registers.decode_frame(octets["registers calls"]).calls.call
         self.assertEqual(
-            [registers.get_call("gateway-1", each) for each in calls], made.CALLS
+            [registers.decode_request("gateway-1", each) for each in calls], made.CALLS
         )
-        answers = registers.decoded(octets["registers answers"]).answers
+        answers = registers.decode_frame(octets["registers answers"]).answers
         self.assertEqual(
-            [registers.get_answer("gateway-1", each) for each in answers.answer],
+            [registers.decode_reply("gateway-1", each) for each in answers.answer],
             made.ANSWERS,
         )
-        self.assertEqual(registers.get_identity(answers.own), made.IDENTITY)
+        self.assertEqual(registers.decode_identity(answers.own), made.IDENTITY)
         self.assertEqual(
-            registers.get_page(registers.decoded(octets["registers page"]).page),
+            registers.decode_page(
+                registers.decode_frame(octets["registers page"]).page
+            ),
             made.PAGE,
         )
         frame = health.decoded(octets["health"])
@@ -118,11 +120,11 @@
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
             shutil.copy(os.path.join(HERE, "register-1.sqlite"), path)
-            store = Store.opened(path, 1)
+            store = AcceptorStore.open(path, 1)
             self.addCleanup(store.close)
             self.assertEqual(
-                (store.read("v/c"), store.floor, store.own),
-                (made.RECORD, 11, Identity(1, 77, 1)),
+                (store.read("v/c"), store.ballot_floor, store.identity),
+                (made.RECORD, 11, StateIdentity(1, 77, 1)),
             )
             self.assertEqual(store.known, {"gateway-2": made.IDENTITY})
 
@@ -189,17 +191,17 @@
 
     def test_registers(self):
         self.assertIsNone(
-            registers.decoded(
+            registers.decode_frame(
                 b"R" + wire.Frame(version=2).SerializeToString() + LATER
             ).WhichOneof("what")
         )
-        call = registers.put_call(made.CALLS[0])
+        call = registers.encode_request(made.CALLS[0])
         call.ask = 99
-        self.assertIsNone(registers.get_call("gateway-1", call))
+        self.assertIsNone(registers.decode_request("gateway-1", call))
         for field in ("ask", "say"):
-            answer = registers.put_answer(made.ANSWERS[0])
+            answer = registers.encode_reply(made.ANSWERS[0])
             setattr(answer, field, 99)
-            self.assertIsNone(registers.get_answer("gateway-1", answer))
+            self.assertIsNone(registers.decode_reply("gateway-1", answer))
 
     def test_health_and_contracts(self):
         frame = health_pb2.Frame(version=2)
@@ -253,7 +255,7 @@
         secrets = Random(3)
         with (
             mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
-            mock.patch.object(acceptor_service, "Store", Kept),
+            mock.patch.object(acceptor_service, "AcceptorStore", Kept),
         ):
             world = Mixed(2)
             steps = [
