--- a/milletsill/http_gateway/client_connection.py
+++ b/milletsill/http_gateway/client_connection.py
@@ -18,10 +18,15 @@
 from milletsill.http1.message_reader import RequestReader
 from milletsill.http1.writer import encode_response
 from milletsill.http_gateway.client_connection_state import (
+    CANCELLING_EFFECTS,
+    CLIENT_CLOSED_EFFECTS,
+    CLOSING_EFFECTS,
+    ENDED_STATES,
     LATEST_REQUEST_START,
     MAX_DISCARDED,
     MAX_PIPELINED,
     MAX_USUAL_REQUEST,
+    OPEN_STATES,
     ClientEffect,
     ClientEvent,
     ClientState,
@@ -33,19 +38,6 @@
 from milletsill.http_gateway.resource_limits import MAX_BODY, SHORT_BODY, BufferBudget
 
 LIMITS = MessageLimits(body=MAX_BODY)
-CLOSING_EFFECTS = (
-    ClientEffect.CLOSE_OUR_SIDE,
-    ClientEffect.CANCEL_AND_CLOSE_OUR_SIDE,
-)
-CLIENT_CLOSED_EFFECTS = (
-    ClientEffect.CLOSE_AFTER_WRITE,
-    ClientEffect.CANCEL_AND_CLOSE_AFTER_WRITE,
-)
-CANCELLING_EFFECTS = (
-    ClientEffect.CANCEL_REQUEST,
-    ClientEffect.CANCEL_AND_CLOSE_OUR_SIDE,
-    ClientEffect.CANCEL_AND_CLOSE_AFTER_WRITE,
-)
 
 
 class ClientGateway(TypingProtocol):
@@ -87,7 +79,7 @@
         discarded: octets that were read and thrown away.
         client_closed: whether the client has closed its side.
         sent: whether all that we had to write was handed to the system.
-        next_request: the next request, complete, while one is open or the last answer is
+        next_request: the next request, complete, while one is open or an answer is
             not taken.
     """
 
@@ -136,7 +128,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Read requests."""
-        if self.state in (ClientState.CLOSING, ClientState.CLOSED):
+        if self.state in ENDED_STATES:
             self.discarded += len(data)
             if self.discarded > MAX_DISCARDED:
                 self.transport.pauseProducing()
@@ -150,10 +142,7 @@
         self._take_requests()
 
     def readConnectionLost(self) -> None:
-        """The client has closed its side, or all: it has left.
-
-        A last answer that is written to it may still be taken.
-        """
+        """The client has left, but may still take a last answer."""
         self._on_event(ClientEvent.CLIENT_CLOSED)
 
     def writeConnectionLost(self) -> None:
@@ -204,7 +193,7 @@
     @property
     def _ready(self) -> bool:
         """Whether the next request may be taken."""
-        return self.state in (ClientState.NEW, ClientState.IDLE) and not self.blocked
+        return self.state in OPEN_STATES and not self.blocked
 
     def _read_ahead(self) -> bool:
         """Read one request ahead, also while one is open; False once refused.
@@ -214,7 +203,7 @@
         do not wait behind what cannot be read. The error takes the place of the open
         request's answer, for a client that does not tell its own requests apart.
         """
-        if self.state in (ClientState.CLOSING, ClientState.CLOSED):
+        if self.state in ENDED_STATES:
             return False
         try:
             if self.next_request is None:
@@ -316,7 +305,7 @@
     def refuse(self, status: int, reason: str) -> None:
         """Answer what is no request with an error, and read nothing more."""
         self.gateway.count("refused", reason)
-        if self.state in (ClientState.CLOSING, ClientState.CLOSED):
+        if self.state in ENDED_STATES:
             return
         body = reason.encode("latin-1", "replace") + b"\n"
         self.transport.write(encode_response(status, body, False))
@@ -349,10 +338,7 @@
             self._close_after_write()
 
     def _close_our_side(self) -> None:
-        """Close our side, and hear the client out for a while.
-
-        A full close over unread octets would reset the connection and tear the answer.
-        """
+        """Close our side; a full close over unread octets would tear the answer."""
         self.since = self.gateway.now()
         self._stop_reading()
         self.transport.unregisterProducer()
@@ -379,13 +365,9 @@
             self.transport.abortConnection()
 
     def leave(self) -> None:
-        """The gateway leaves: reject half a request, close the rest.
-
-        What crosses that was never read.
-        """
+        """The gateway leaves: reject half a request, close the rest."""
         self.read_pending()
-        idle = self.state in (ClientState.NEW, ClientState.IDLE)
-        if self.has_partial_request and idle:
+        if self.has_partial_request and self.state in OPEN_STATES:
             self.gateway.count("refused", "half a request at the end")
             self.keep_alive = False
             self.answer_rejected(self.gateway.retry_after)
@@ -412,5 +394,5 @@
         Timers go before what lies in the sockets when the process stood still: an idle
         close, a time-out or the end would meet a request that is here.
         """
-        if self.state in (ClientState.NEW, ClientState.IDLE):
+        if self.state in OPEN_STATES:
             self.transport.doRead()  # an end is told again in the next turn
--- a/milletsill/http_gateway/client_connection_state.py
+++ b/milletsill/http_gateway/client_connection_state.py
@@ -4,7 +4,7 @@
 
     NEW --REQUEST_TAKEN--> BUSY --ANSWERED--> IDLE --REQUEST_TAKEN--> BUSY
      |                      |                  |
-     +---- LAST_ANSWERED, REFUSED, LEAVE, CLIENT_CLOSED ----> CLOSING --LINGERED--> CLOSED
+     +- LAST_ANSWERED, REFUSED, LEAVE, CLIENT_CLOSED -> CLOSING --LINGERED--> CLOSED
 """
 
 from __future__ import annotations
@@ -56,13 +56,28 @@
     CANCEL_REQUEST = auto()
 
 
+CLOSING_EFFECTS = (
+    ClientEffect.CLOSE_OUR_SIDE,
+    ClientEffect.CANCEL_AND_CLOSE_OUR_SIDE,
+)
+CLIENT_CLOSED_EFFECTS = (
+    ClientEffect.CLOSE_AFTER_WRITE,
+    ClientEffect.CANCEL_AND_CLOSE_AFTER_WRITE,
+)
+CANCELLING_EFFECTS = (
+    ClientEffect.CANCEL_REQUEST,
+    ClientEffect.CANCEL_AND_CLOSE_OUR_SIDE,
+    ClientEffect.CANCEL_AND_CLOSE_AFTER_WRITE,
+)
+
 Transition = tuple[ClientState, ClientEffect]
-_OPEN = (ClientState.NEW, ClientState.IDLE)
+OPEN_STATES = (ClientState.NEW, ClientState.IDLE)
+ENDED_STATES = (ClientState.CLOSING, ClientState.CLOSED)
 
 CLIENT_TABLE: Mapping[tuple[ClientState, ClientEvent], Transition] = {
     **{
         (state, ClientEvent.REQUEST_TAKEN): (ClientState.BUSY, ClientEffect.NONE)
-        for state in _OPEN
+        for state in OPEN_STATES
     },
     (ClientState.BUSY, ClientEvent.ANSWERED): (ClientState.IDLE, ClientEffect.READ_ON),
     **{
@@ -70,11 +85,11 @@
             ClientState.CLOSING,
             ClientEffect.CLOSE_OUR_SIDE,
         )
-        for state in (*_OPEN, ClientState.BUSY)
+        for state in (*OPEN_STATES, ClientState.BUSY)
     },
     **{
         (state, ClientEvent.REFUSED): (ClientState.CLOSING, ClientEffect.CLOSE_OUR_SIDE)
-        for state in _OPEN
+        for state in OPEN_STATES
     },
     (ClientState.BUSY, ClientEvent.REFUSED): (
         ClientState.CLOSING,
@@ -90,14 +105,14 @@
     ),
     **{
         (state, ClientEvent.LEAVE): (ClientState.CLOSING, ClientEffect.CLOSE_OUR_SIDE)
-        for state in _OPEN
+        for state in OPEN_STATES
     },
     **{
         (state, ClientEvent.CLIENT_CLOSED): (
             ClientState.CLOSING,
             ClientEffect.CLOSE_AFTER_WRITE,
         )
-        for state in (*_OPEN, ClientState.CLOSING)
+        for state in (*OPEN_STATES, ClientState.CLOSING)
     },
     (ClientState.BUSY, ClientEvent.CLIENT_CLOSED): (
         ClientState.CLOSING,
@@ -108,12 +123,12 @@
             ClientState.CLOSING,
             ClientEffect.ANSWER_TIME_OUT,
         )
-        for state in _OPEN
+        for state in OPEN_STATES
     },
     (ClientState.CLOSING, ClientEvent.LINGERED): (ClientState.CLOSED, ClientEffect.CUT),
     **{
         (state, ClientEvent.LOST): (ClientState.CLOSED, ClientEffect.NONE)
-        for state in (*_OPEN, ClientState.CLOSING)
+        for state in (*OPEN_STATES, ClientState.CLOSING)
     },
     (ClientState.BUSY, ClientEvent.LOST): (
         ClientState.CLOSED,
@@ -171,14 +186,14 @@
         partial_request: whether a part of a request has come.
         quiet: time since the state, or the request, began.
         short: whether descriptors are short.
-        sending: whether the client still takes its last answer, which a cut would tear; one
-            that takes none holds its descriptor that much longer.
+        sending: whether the client still takes its last answer, which a cut would tear;
+            one that takes none holds its descriptor that much longer.
     """
     idle_timeout = IDLE_TIMEOUT_WHEN_SHORT if short else IDLE_TIMEOUT
     if state is ClientState.CLOSING:
         timeout = idle_timeout if sending else LINGER_TIMEOUT
         return ClientEvent.LINGERED if quiet >= timeout else None
-    if state not in _OPEN:
+    if state not in OPEN_STATES:
         return None
     if partial_request:
         return ClientEvent.REQUEST_TOO_SLOW if quiet >= REQUEST_TIMEOUT else None
--- a/milletsill/http_gateway/client_memory.py
+++ b/milletsill/http_gateway/client_memory.py
@@ -28,7 +28,7 @@
         return True
 
     def reserve_pending(self, octets: int, uncounted: int) -> bool:
-        """Reserve room for what is pending, if it is more than usual or than reserved."""
+        """Reserve room for what is pending, where that is more than usual."""
         if octets <= max(uncounted, self.pending):
             return True
         if not self.budget.reserve(octets - self.pending):
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -8,11 +8,18 @@
 import json
 import os
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Any
 
+from milletsill.deployment_config import DeploymentConfig
+from milletsill.deployment_settings import (
+    SettingsSection,
+    config_from_settings,
+    missing_settings,
+    ticks_at_most,
+    unknown_settings,
+)
 from milletsill.errors import ConfigurationRejected
-from milletsill.facts import Part, at_most, facts_of, missing_in, unknown_in
 from milletsill.http_gateway.discovery_timing import notification_span
 from milletsill.http_gateway.endpoints import (
     EndpointUpdate,
@@ -66,7 +73,7 @@
         seed: of random numbers.
         sockets: descriptors that the process may hold.
         memory_mb: memory that it may hold.
-        facts: the deployment's settings.
+        config: the deployment's settings.
         known: the endpoint list as this gateway last had it.
         grace: the time to stop sending to a node that drains, where lists are pushed; 0
             where they are asked for. Tenths of a millisecond.
@@ -78,7 +85,7 @@
     seed: int
     sockets: int
     memory_mb: int
-    facts: Mapping[str, Any]
+    config: DeploymentConfig
     known: EndpointUpdate | None
     grace: int
 
@@ -120,7 +127,7 @@
         InvalidEndpoint: an address or the known list is none.
         ValueError: a value cannot be meant.
     """
-    facts, grace = _parse_settings(given)
+    config, grace = _parse_settings(given)
     _log_settings(given["settings"], log)
     limits = given.get("limits")
     known = given.get("known")
@@ -133,9 +140,11 @@
         seed=_parse_seed(given),
         sockets=_parse_limit(limits, "sockets") or os.sysconf("SC_OPEN_MAX"),
         memory_mb=_parse_limit(limits, "memory_mb") or DEFAULT_MEMORY_MB,
-        facts=facts,
+        config=config,
         known=(
-            None if known is None else parse_update(known, facts["zones"], clock, log)
+            None
+            if known is None
+            else parse_update(known, config.zone_names or (), clock, log)
         ),
         grace=grace,
     )
@@ -145,27 +154,28 @@
     return " ".join(str(error).split())[:MAX_ERROR_LENGTH]
 
 
-def _parse_settings(given: Mapping[str, Any]) -> tuple[dict[str, Any], int]:
+def _parse_settings(given: Mapping[str, Any]) -> tuple[DeploymentConfig, int]:
     """Return the deployment's settings, and the drain grace where lists are pushed."""
     try:
-        facts = facts_of(given.get("settings"))
-        rules = Part(given["settings"]).part("rules")
-        grace = at_most(rules.number("stop_sending_within_ns"))
+        config = config_from_settings(given.get("settings"))
+        rules = SettingsSection(given["settings"]).section("rules")
+        grace = ticks_at_most(rules.number("stop_sending_within_ns"))
     except ValueError as error:
         raise ValueError(f"settings: {error}") from None
-    pushed = not facts["list_on_request"]
-    facts["ask_within"] = notification_span(pushed, facts["ask_within"], grace)
-    if not facts["categories"]:
+    pushed = not config.watches_endpoints
+    span = notification_span(pushed, config.rewatch_within, grace)
+    config = replace(config, rewatch_within=span)
+    if not config.request_classes:
         raise ValueError("settings: classes: none, so nothing can be taken")
-    return facts, grace if pushed else 0
+    return config, grace if pushed else 0
 
 
 def _log_settings(settings: Mapping[str, Any], log: Callable[[str], None]) -> None:
     """Log what the settings hold that is not known, and what they lack."""
-    _log_names("not known and passed over", unknown_in(settings), log)
+    _log_names("not known and passed over", unknown_settings(settings), log)
     _log_names(
         "missing, what rests on them is off or at its plainest",
-        missing_in(settings, EXPECTED_SETTINGS),
+        missing_settings(settings, EXPECTED_SETTINGS),
         log,
     )
 
--- a/milletsill/http_gateway/endpoint_watch.py
+++ b/milletsill/http_gateway/endpoint_watch.py
@@ -53,8 +53,8 @@
         host: where the call goes.
         version: the list's version that it asked from; `SPOKEN` once it has spoken.
         silence_limit: when silent for this long, another is opened beside it.
-        last_word_at: when its last word came: a complete line, before the first the head,
-            before that the call.
+        last_word_at: when its last word came: a complete line, before the first the
+            head, before that the call.
         over: whether it has ended.
     """
 
--- a/milletsill/http_gateway/endpoint_watcher.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -36,12 +36,14 @@
     """Settings of an endpoint watcher. Times are tenths of a millisecond.
 
     Attributes:
+        address: host and port of discovery.
         zones: the zones of the settings.
         clock: our clock less the wall clock.
         grace: the time to stop sending to a node that drains, where lists are pushed; 0
             where they are asked for.
     """
 
+    address: tuple[str, int]
     zones: Sequence[str]
     clock: int
     grace: int = 0
@@ -58,14 +60,13 @@
         version: the version of the list that we have.
         mute: whether discovery takes calls and says nothing.
         scheduler_knows: whether the scheduler has heard of a failure since SIGHUP.
-        moved_at: when discovery's address moved, until a watch at the new one has spoken.
+        moved_at: when discovery moved, until a watch at the new address has spoken.
     """
 
     def __init__(
         self,
         reactor: Any,
         now: Callable[[], int],
-        address: tuple[str, int],
         config: WatcherConfig,
         listener: UpdateListener,
         log: Callable[[str], None],
@@ -73,7 +74,7 @@
     ) -> None:
         self.reactor = reactor
         self.now = now
-        self.address = address
+        self.address = config.address
         self.config = config
         self.listener = listener
         self.log = log
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -93,9 +93,9 @@
         self.stopped: Callable[[], None] = lambda: None
         self.port: Any = None
         self.delayed_calls: list[Any] = []
-        facts = configuration.facts
-        self.retry_after = facts["longest_pause"] if facts["pause_told"] else 0
-        self.request_parser = RequestParser(facts)
+        config = configuration.config
+        self.retry_after = config.max_retry_after if config.sends_retry_after else 0
+        self.request_parser = RequestParser(config)
         self.recent_ids = RecentRequestIds()
         self.buffers = BufferBudget(configuration.memory_mb)
         descriptors = divide_descriptors(configuration.sockets)
@@ -105,8 +105,8 @@
             now,
             NodePoolsConfig(
                 descriptors.node_connections,
-                facts["dial"] or DEFAULT_CONNECT_TIMEOUT,
-                facts["link_idle"] or DEFAULT_IDLE_TIMEOUT,
+                config.dial_timeout or DEFAULT_CONNECT_TIMEOUT,
+                config.connection_idle_timeout or DEFAULT_IDLE_TIMEOUT,
             ),
             self.buffers,
             self.count,
@@ -114,8 +114,12 @@
         self.watcher = EndpointWatcher(
             reactor,
             now,
-            configuration.discovery,
-            WatcherConfig(facts["zones"], clock, configuration.grace),
+            WatcherConfig(
+                configuration.discovery,
+                config.zone_names or (),
+                clock,
+                configuration.grace,
+            ),
             self.on_endpoints,
             lambda text: self.warn("list", reason=text),
             Random(f"{configuration.seed} list").uniform,
@@ -123,7 +127,7 @@
         self.host = SchedulerHost(
             reactor,
             now,
-            facts,
+            config,
             configuration.seed,
             make_scheduler,
             HostCallbacks(
@@ -169,7 +173,7 @@
         """
         self.watcher.move(configuration.discovery)
         if (
-            configuration.facts != self.configuration.facts
+            configuration.config != self.configuration.config
             or configuration.listen != self.configuration.listen
         ):
             error = GatewayConfigurationRejected(
@@ -196,8 +200,8 @@
 
     def _schedule_shutdown(self) -> None:
         self.log.info("leaving", held=self.host.unanswered)
-        classes = self.configuration.facts["categories"]
-        longest = max(each["patience"] for each in classes)
+        classes = self.configuration.config.request_classes
+        longest = max(each.client_timeout for each in classes)
         now = self.now()
         self.shutdown_steps = [
             (now + delay, event) for delay, event in shutdown_schedule(longest)
@@ -218,7 +222,7 @@
             self._call_later(delay, self._run_shutdown_steps)
 
     def _fail_unanswered(self) -> None:
-        """Answer what has no answer, taken before SIGTERM from a client that waits long.
+        """Answer what has no answer yet: its client would wait past the earliest kill.
 
         In the turn behind SHUT: where the process stood still, timers go before answers
         that came in time and lie in the sockets.
@@ -274,7 +278,9 @@
             len(self.listener.connections),
             self.node_pools.open_connections,
         )
-        self.report.log_nodes(self.host.scheduler, self.node_pools)
+        scheduler = self.host.scheduler
+        if isinstance(scheduler, Scheduler):
+            self.report.log_nodes(scheduler.state.nodes, self.node_pools)
         if self.state is not ProcessState.STOPPED:
             delayed = self.reactor.callLater(REPORT_INTERVAL, self.log_report)
             self.delayed_calls.append(delayed)
@@ -355,7 +361,7 @@
         Once shut, whatever the clocks say: what is forwarded then has nobody left to
         hear its answer.
         """
-        limit = self.configuration.facts["most_held"] or MAX_UNANSWERED
+        limit = self.configuration.config.max_queued_requests or MAX_UNANSWERED
         return (
             self.keep_alive
             and request.deadline > self.now()
--- a/milletsill/http_gateway/gateway_report.py
+++ b/milletsill/http_gateway/gateway_report.py
@@ -4,9 +4,11 @@
 
 import resource
 from collections import Counter
+from collections.abc import Mapping
 from typing import Any, Protocol
 
 from milletsill.http_gateway.node_pools import HttpNodePools
+from milletsill.scheduler.records import StorageNode
 
 MAX_VALUE_LENGTH = 60
 MAX_WARNINGS = 20  # lines between two reports
@@ -68,25 +70,26 @@
         self.latest_lateness = 0
         self.warnings = 0
 
-    def log_nodes(self, scheduler: Any, node_pools: HttpNodePools) -> None:
+    def log_nodes(
+        self, nodes: Mapping[int, StorageNode], node_pools: HttpNodePools
+    ) -> None:
         """Log of each node in use what the scheduler believes and the sockets show."""
-        nodes = getattr(scheduler, "nodes", {})
         for number, pool in node_pools.pools.items():
             node = nodes.get(number)
             if node is None:
                 continue
-            if pool.connections or pool.waiting or node.extents or node.lapses:
+            if pool.connections or pool.waiting or node.by_key or node.failures:
                 self.log.info(
                     "node",
                     id=pool.name,
                     health=node.health.name,
-                    out=len(node.out),
-                    held=len(node.extents),
+                    out=len(node.in_flight),
+                    held=len(node.by_key),
                     window=round(node.window, 1),
-                    lapses=node.lapses,
+                    lapses=node.failures,
                     latency_ms=round((node.latency or 0) / 10),
                     pace_ms=round(node.pace / 10),
-                    best_ms=round(node.best / 10),
+                    best_ms=round(node.best_pace / 10),
                     links=len(pool.connections),
                     free=len(pool.idle),
                     waiting=len(pool.waiting),
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -1,4 +1,6 @@
-"""Read a client's HTTP request as a request for the scheduler, by the platform's header names.
+"""Read a client's HTTP message as a request for the scheduler.
+
+The header names are the platform's.
 
 What cannot be one is refused with a reason, and reaches no node.
 """
@@ -8,10 +10,10 @@
 import re
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
 
+from milletsill.deployment_config import DeploymentConfig, RetrySafety
+from milletsill.deployment_settings import LOAD_REPORT_NAMES
 from milletsill.errors import InvalidValue
-from milletsill.facts import REPORTS
 from milletsill.http1.message import HttpMessage
 from milletsill.interface import Request
 
@@ -66,25 +68,26 @@
 class RequestParser:
     """Knows request classes and service plans by the names that clients use."""
 
-    def __init__(self, facts: Mapping[str, Any]) -> None:
-        self.facts = facts
+    def __init__(self, config: DeploymentConfig) -> None:
+        self.config = config
         self.request_classes = {
-            each["name"].encode(): index
-            for index, each in enumerate(facts["categories"])
+            each.name.encode(): index
+            for index, each in enumerate(config.request_classes)
         }
         self.service_plans = {
-            each["name"].encode(): index for index, each in enumerate(facts["plans"])
+            (each.name or "").encode(): index
+            for index, each in enumerate(config.service_plans)
         }
         # Where the settings name no plan, requests need not either.
         self.planless = list(self.service_plans) == [b""]
         # Classes that write; where the settings leave it out, a request's method says
         # it.
         self.writing_classes: set[int] | None = None
-        if facts["writes"]:
-            writes = enumerate(facts["writes"])
+        if config.write_classes:
+            writes = enumerate(config.write_classes)
             self.writing_classes = {index for index, each in writes if each}
-        self.largest = facts["largest_units"] or UNBOUNDED
-        self.shards = facts["cells"] or UNBOUNDED
+        self.largest = config.largest_request_units or UNBOUNDED
+        self.shards = config.shard_count or UNBOUNDED
 
     def parse(
         self,
@@ -111,7 +114,8 @@
             service_plan = self._index(self.service_plans, message, b"x-plan")
         self._check_target(message)
         write = self._check_method(message, request_class)
-        if self.facts["categories"][request_class]["repeats"] == "ticketed":
+        safety = self.config.request_classes[request_class].retry_safety
+        if safety is RetrySafety.IDEMPOTENCY_KEYED:
             self._field(message, b"idempotency-key", IDEMPOTENCY_KEY)
         key = self._key(message)
         deadline = received_at + self._client_timeout(message) - margin
@@ -241,7 +245,7 @@
     report: dict[str, float] = {}
     for part in (value or b"")[:MAX_REPORT_LENGTH].split(b","):
         name, _, text = part.strip().partition(b"=")
-        field = REPORTS.get(name.decode("latin-1"))
+        field = LOAD_REPORT_NAMES.get(name.decode("latin-1"))
         number = parse_number(text, MAX_REPORTED)
         if field is not None and number is not None:
             report[field] = number
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -204,9 +204,9 @@
     def lose(self, old: Gate, how: str) -> bool:
         """A register's state: one at a time, and only what others have heard of, as is promised."""
         others = [self.stands[each] for each in self.registers if each != old.name]
-        if not all(each.up and each.register().whole() for each in others):
+        if not all(each.up and each.register().is_serving() for each in others):
             return False
-        known = [each.register().known(old.name) for each in others]
+        known = [each.register().known_identity(old.name) for each in others]
         if any(each is None for each in known):
             return False
         if how == "lost":
@@ -334,14 +334,14 @@
             if (
                 stand.up
                 and stand.register().store is not None
-                and stand.register().whole()
+                and stand.register().is_serving()
             ):
-                self.disks[each].copy(stand.register().own())
+                self.disks[each].copy(stand.register().identity())
 
     def same_views(self) -> None:
         marks: dict[int, Any] = {}
         for each in self.live():
-            view = marks.setdefault(each.member.rolls.table.mark, each.view)
+            view = marks.setdefault(each.member.state.table.digest, each.view)
             if view.digest != each.view.digest:
                 self.break_(f"{each.name} has an equal mark and another view")
 
@@ -349,7 +349,7 @@
         """All is calm again."""
         truth = self.truth()
         for each in self.live():
-            if each.member.rolls.table.mark != truth:
+            if each.member.state.table.digest != truth:
                 self.break_(
                     f"{each.name} sees {sorted(each.view.by_name)} of {sorted(one.name for one in self.live())}"
                 )
@@ -487,7 +487,7 @@
         secrets = Random(seed + 1)
         with (
             mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
-            mock.patch.object(acceptor_service, "Store", Kept),
+            mock.patch.object(acceptor_service, "AcceptorStore", Kept),
         ):
             world = self.world = FleetWorld(
                 seed, self.size(seed), **{"judges": self.judges(seed), **self.more}
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -10,6 +10,7 @@
 
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
+from milletsill.deployment_config import DeploymentConfig
 from milletsill.errors import ListenFailed, MilletsillError
 from milletsill.gateway.active_requests import AttemptEnded
 from milletsill.gateway.scheduler_host import (
@@ -84,7 +85,7 @@
         self.pools: dict[int, NodeConnectionPool] = {}
         self.clients: set[Connection] = set()
         self.transfers = self.objects = self.marks = 0
-        given = deployment.facts_of(file)
+        config = deployment.config_of(file)
         seed = (
             file.seed
             if file.HasField("seed")
@@ -94,7 +95,7 @@
             reactor,
             now,
             file.registry,
-            given["warm_after"],
+            config.slow_start_duration,
             os.path.join(file.state_dir, "boxes.json"),
             self.listed,
             self.moved,
@@ -102,13 +103,13 @@
             file.name,
             random.Random(f"{seed} list").uniform,
         )
-        self.traces = self.tracer(given, seed) if file.HasField("trace") else None
+        self.traces = self.tracer(config, seed) if file.HasField("trace") else None
         if self.traces is not None:
             make = self.traces.around(make)
         self.host = SchedulerHost(
             reactor,
             now,
-            given,
+            config,
             seed,
             make,
             HostCallbacks(
@@ -119,7 +120,7 @@
             ),
         )
         self.flows = self.exporter(seed) if file.HasField("flows") else None
-        self.parts = self.planned(given, seed) if file.HasField("planner") else None
+        self.parts = self.planned(config, seed) if file.HasField("planner") else None
         self.fleet = self.among_others(seed) if file.HasField("fleet") else None
         self.health = (
             self.sharing(seed)
@@ -148,7 +149,7 @@
 
         return Flows(self.reactor, self.now, self.file, seed, self.remark)
 
-    def tracer(self, given: Any, seed: int) -> Any:
+    def tracer(self, config: DeploymentConfig, seed: int) -> Any:
         """Traces; none of their code is loaded where the file does not ask for them."""
         from milletsill.trace.gateway_trace import Traces
 
@@ -156,14 +157,14 @@
             self.reactor,
             self.now,
             self.file,
-            given,
+            config,
             seed,
             self.incarnation,
             self.remark,
             self.figures.registry,
         )
 
-    def planned(self, given: Any, seed: int) -> Any:
+    def planned(self, config: DeploymentConfig, seed: int) -> Any:
         """Parts from a planner; none of their code is loaded where the file does not ask for them."""
         from milletsill.planner.quota_client import Parts
 
@@ -171,7 +172,7 @@
             self.reactor,
             self.now,
             self.file,
-            given,
+            config,
             seed + 2,
             self.incarnation,
             self.host,
@@ -181,17 +182,18 @@
 
     def among_others(self, seed: int) -> Any:
         """The fleet's view; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.service import Fleet
+        from milletsill.fleet.service import FleetService
+        from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 
-        return Fleet(
+        return FleetService(
             self.reactor,
             self.now,
-            self.file,
-            seed + 3,
-            self.incarnation,
-            self.remark,
-            lambda event, **values: self.log.info(event, **values),
-            self.keep_run,
+            FleetServiceConfig.from_file(self.file, seed + 3, self.incarnation),
+            FleetCallbacks(
+                warn=self.remark,
+                info=lambda event, **values: self.log.info(event, **values),
+                store_incarnation=self.keep_run,
+            ),
             self.figures.registry,
         )
 
@@ -341,7 +343,7 @@
         module was told at the start stands until a restart.
         """
         if (
-            deployment.facts_of(file) != self.host.facts
+            deployment.config_of(file) != self.host.config
             or file.name != self.file.name
             or file.listen != self.file.listen
             or (file.trace != self.file.trace or file.fleet != self.file.fleet)
@@ -575,7 +577,7 @@
         return self.file.plan[volume.plan].name
 
     def category_name(self, place: int) -> str:
-        return self.host.facts["categories"][place]["name"]
+        return self.host.config.request_classes[place].name
 
     def next_transfer(self) -> int:
         self.transfers += 1
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -72,8 +72,7 @@
         self.follower = EndpointWatcher(
             self.reactor,
             lambda: int(self.reactor.seconds() * 10_000),
-            ("127.0.0.1", 8500),
-            WatcherConfig(["z"], 0),
+            WatcherConfig(("127.0.0.1", 8500), ["z"], 0),
             lambda kind, places: self.told.append((kind, len(places))),
             self.log.append,
             Random(1).uniform,
@@ -270,7 +269,7 @@
         reader.feed(
             ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
         )
-        arrival = RequestParser(deployment.facts).parse(
+        arrival = RequestParser(deployment.config).parse(
             reader.next_message(), 1000, 60, 5000
         )
         self.assertEqual(
@@ -285,7 +284,7 @@
         )
         with self.assertRaises(InvalidRequest):
             reader.feed(ask(X_Lane="none"))
-            RequestParser(deployment.facts).parse(reader.next_message(), 1000, 60)
+            RequestParser(deployment.config).parse(reader.next_message(), 1000, 60)
 
     def test_a_configuration_that_cannot_be_used_is_one_line(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -330,7 +329,7 @@
     def arrival(self, deployment, data):
         reader = RequestReader(MessageLimits())
         reader.feed(data)
-        return RequestParser(deployment.facts).parse(reader.next_message(), 1000, 60)
+        return RequestParser(deployment.config).parse(reader.next_message(), 1000, 60)
 
     def test_without_plans_a_request_needs_none(self):
         for changed in ({"plans": []}, {"drop": ("plans",)}):
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -411,7 +411,7 @@
     def test_every_node_is_reached_and_links_stay_within_their_bound(self):
         module, fleet = self.gateway.host.scheduler, self.gateway.node_pools
         self.assertEqual(
-            (len(module.nodes), len(fleet.pools), module.facts["index"]),
+            (len(module.state.nodes), len(fleet.pools), module.config.gateway_index),
             (1024, 1024, 1023),
         )
         for cell in range(1024):
--- a/tests/http_gateway/test_races_found_by_hunt.py
+++ b/tests/http_gateway/test_races_found_by_hunt.py
@@ -55,7 +55,9 @@
                     )
                 )
                 self.until(lambda: silent < 3 or self.gateway.watcher.watch.version < 0)
-                self.gateway.watcher.watch.silence_limit = 70_000  # no other call beside it
+                self.gateway.watcher.watch.silence_limit = (
+                    70_000  # no other call beside it
+                )
                 self.pass_time(silent)
                 call.sendall(said(5, "leaving"))
                 watch = self.gateway.watcher.watch
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -2,6 +2,7 @@
 
 import socket
 import unittest
+from dataclasses import replace
 
 from milletsill.http_gateway.discovery_timing import (
     CONNECT_TIMEOUT,
@@ -13,7 +14,6 @@
     RETRY_MARGIN,
     CallProgress,
 )
-from milletsill.http_gateway.endpoint_watcher import WatcherConfig
 from milletsill.interface import EndpointUpdateKind
 from tests.support.discovery_connections import HEAD, LOOK, Held, said
 from tests.support.http_gateway_rig import SETTINGS, Loopback, reset
@@ -27,7 +27,7 @@
     ):
         for wins in ("second", "first"):
             self.again()
-            self.follower.config = WatcherConfig(["z"], 0, GRACE)
+            self.follower.config = replace(self.follower.config, grace=GRACE)
             self.follower.request_watch()
             first, _ = self.taken()
             first.sendall(HEAD + said(8, True)[:40])
@@ -54,7 +54,7 @@
     def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(
         self,
     ):
-        self.follower.config = WatcherConfig(["z"], 0, GRACE)
+        self.follower.config = replace(self.follower.config, grace=GRACE)
         self.follower.request_watch()
         first, _ = self.taken()
         first.sendall(HEAD + said(8, True)[:40])
@@ -90,7 +90,7 @@
             )
 
         self.reactor.connectTCP = held_back
-        self.follower.config = WatcherConfig(["z"], 0, GRACE)
+        self.follower.config = replace(self.follower.config, grace=GRACE)
         self.follower.request_watch()
         self.turn(3)
         self.go(GRACE * PARALLEL_CALL_PUSHED[1])
@@ -115,7 +115,7 @@
     def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(
         self,
     ):
-        self.follower.config = WatcherConfig(["z"], 0, GRACE)
+        self.follower.config = replace(self.follower.config, grace=GRACE)
         self.follower.request_watch()
         self.taken()
         self.go(FIRST_WORD_TIMEOUT)
@@ -210,8 +210,8 @@
 
     def drains(self):
         return any(
-            node.health.name == "BARRED"
-            for node in self.gateway.host.scheduler.nodes.values()
+            node.health.name == "UNAVAILABLE"
+            for node in self.gateway.host.scheduler.state.nodes.values()
         )
 
     def calls(self):
--- a/tests/support/discovery_connections.py
+++ b/tests/support/discovery_connections.py
@@ -55,8 +55,7 @@
         self.follower = EndpointWatcher(
             self.reactor,
             lambda: self.clock,
-            self.there.address,
-            WatcherConfig(["z"], 0),
+            WatcherConfig(self.there.address, ["z"], 0),
             self.hear,
             self.log.append,
             lambda least, most: most,
--- a/tests/support/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -7,8 +7,9 @@
 from milletsill.http_gateway.endpoint_watcher import EndpointWatcher, WatcherConfig
 from milletsill.http_gateway.gateway import HttpGateway
 from milletsill.interface import Readiness
+from milletsill.scheduler.transitions import TimerToken
 from tests.support import http_gateway_rig as shared
-from tests.support.scheduler_builders import scheduler
+from tests.support.scheduler_builders import make_scheduler
 
 TOLD, MOVED = (
     6.0,
@@ -167,8 +168,8 @@
 
     def drains(self, gateway=None):
         return any(
-            node.health.name == "BARRED"
-            for node in (gateway or self.gateway).host.scheduler.nodes.values()
+            node.health.name == "UNAVAILABLE"
+            for node in (gateway or self.gateway).host.scheduler.state.nodes.values()
         )
 
 
@@ -201,9 +202,9 @@
             0,
             self.gateway.log,
         )
-        self.gateway.watcher.uniform = self.gateway.host.scheduler.uniform = (
-            lambda least, most: (least, most)[draw]
-        )
+        self.gateway.watcher.uniform = (
+            self.gateway.host.scheduler.state.random.uniform
+        ) = lambda least, most: (least, most)[draw]
         return service
 
     def spoil(self, service, way, length):
@@ -257,14 +258,14 @@
         self.follower = EndpointWatcher(
             reactor,
             now,
-            ("127.0.0.1", 8500),
-            WatcherConfig(["z"], 0, grace),
+            WatcherConfig(("127.0.0.1", 8500), ["z"], 0, grace),
             self.hear,
             lambda text: None,
             Random(seed).uniform,
         )
-        self.module, _ = scheduler(ask_within=within)
-        self.module.port, self.module.uniform = self, Random(-seed - 1).uniform
+        self.module, _ = make_scheduler(rewatch_within=within)
+        self.module.state.effects = self
+        self.module.state.random.uniform = Random(-seed - 1).uniform
         self.follower.request_watch()
 
     def hear(self, kind, places):
@@ -274,7 +275,7 @@
         self.module.on_endpoints(self.now(), kind, [each.endpoint for each in places])
 
     def set_timer(self, at, what):
-        if what == "ask":
+        if what is TimerToken.RENEW_WATCH:
             self.reactor.callLater(
                 max(at - self.now(), 0) / 10_000,
                 lambda: self.module.on_timer(self.now(), what),
