--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -20,7 +20,7 @@
         ways = Ways(
             clock,
             lambda: int(clock.seconds() * 10_000),
-            SimpleNamespace(name="a", tell=lambda *told: reached),
+            SimpleNamespace(name="a", send=lambda *message: reached),
             3000,
             lambda word, member: None,
             lambda word: word.answered(wire.put_sign(0, "declined", "", None, 1000)),
@@ -70,7 +70,7 @@
                 now,
                 SimpleNamespace(
                     name=name,
-                    tell=lambda to, kind, body, name=name: self.tell(name, to, body),
+                    send=lambda to, kind, body, name=name: self.tell(name, to, body),
                 ),
                 100_000,
                 lambda word, member: self.taken.append((self.clock.seconds(), word)),
