--- a/milletsill/fleet/channels/__init__.py
+++ b/milletsill/fleet/channels/__init__.py
@@ -1,4 +1,5 @@
-"""Channels: numbered transfers in a declared order, whichever gateway a client comes to (docs/channels.md).
+"""Ordered channels: numbered requests, released in the order of a declared contract.
 
-Contracts on that order: what may be let go when, at the one gateway that keeps the channel.
+One gateway owns a channel at a time, under a lease; clients may come to any gateway of
+the fleet. See docs/channels.md.
 """
--- /dev/null
+++ b/milletsill/fleet/channels/channel_numbers.py
@@ -0,0 +1,200 @@
+"""What happens to single numbers of a channel, and the answers that follow.
+
+No I/O and no clock. Times are whole tenths of a millisecond on the owner's own clock.
+"""
+
+from __future__ import annotations
+
+from milletsill.fleet.channels.channel_state import ChannelState
+from milletsill.fleet.channels.commands import ChannelCommand
+from milletsill.fleet.channels.contracts import ChannelOrder, OrderingContract
+from milletsill.fleet.channels.contradictions import other_request_text
+from milletsill.fleet.channels.effects import Effect, Notify, ReplyKind
+from milletsill.fleet.channels.limits import (
+    DEFAULT_RETRY_DELAY,
+    MAX_RECIPIENTS,
+    MAX_REMEMBERED,
+)
+from milletsill.fleet.channels.number_states import (
+    NumberEffect,
+    NumberEvent,
+    NumberState,
+    transition,
+)
+from milletsill.fleet.channels.sequences import (
+    CompletedSequence,
+    CompletionOutcome,
+    OpenSequence,
+    PendingRequest,
+)
+
+_OUTCOME_BY_EFFECT = {
+    NumberEffect.STAY_INDETERMINATE: CompletionOutcome.STAYED_INDETERMINATE,
+    NumberEffect.MARK_DONE: CompletionOutcome.SETTLED,
+    NumberEffect.SUPERSEDE: CompletionOutcome.SUPERSEDED,
+}
+_REPLY_BY_OUTCOME: dict[int, ReplyKind] = {
+    CompletionOutcome.STAYED_INDETERMINATE: ReplyKind.FAILED,
+    CompletionOutcome.SKIPPED: ReplyKind.SKIPPED,
+    CompletionOutcome.SUPERSEDED: ReplyKind.SUPERSEDED,
+}
+
+
+class ChannelNumbers(ChannelState):
+    """Applies events to the numbers of a channel.
+
+    Attributes:
+        effects_after_write: What is to be done once the record is written.
+        immediate_effects: What needs no record.
+        record_changed: Whether the record has to be written.
+    """
+
+    def __init__(
+        self,
+        contract: OrderingContract,
+        quarantine: int,
+        chosen_by_client: bool = False,
+    ) -> None:
+        super().__init__(contract, quarantine, chosen_by_client)
+        self.effects_after_write: list[Effect] = []
+        self.immediate_effects: list[Effect] = []
+        self.record_changed = False
+
+    def _accept(self, request: PendingRequest, sequence: OpenSequence | None) -> None:
+        """Hold a request, or let it wait for the end of the attempt in flight."""
+        number = request.number
+        state, effect = transition(self.state_of(number), NumberEvent.REQUEST_RECEIVED)
+        if effect is NumberEffect.JOIN and sequence is not None:
+            sequence.recipients.append(request.recipient)
+            if len(sequence.recipients) > MAX_RECIPIENTS:
+                oldest = sequence.recipients.pop(0)
+                self._notify_now(oldest, ReplyKind.FAILED, number)
+            return
+        if sequence is None:
+            sequence = OpenSequence(state, request.digest, request.ranges)
+            self.open_sequences[number] = sequence
+        elif effect is NumberEffect.REPLACE and sequence.pending is not None:
+            self.immediate_effects.append(
+                self._unreleased_reply(sequence, sequence.pending.recipient)
+            )
+        sequence.state = state
+        sequence.pending = request
+        sequence.digest = request.digest
+        sequence.ranges = request.ranges
+        sequence.batch = request.batch
+        sequence.ends_batch = request.ends_batch
+        sequence.gap_since = None
+
+    def _apply(self, number: int, event: NumberEvent) -> ChannelCommand | None:
+        """Apply an event to a number that is not in flight.
+
+        Returns the command that waited with it, if any.
+        """
+        sequence = self.open_sequences.get(number)
+        state = self.state_of(number)
+        next_state, effect = transition(state, event)
+        request = sequence.pending if sequence is not None else None
+        if next_state is NumberState.CLOSED:
+            outcome = _OUTCOME_BY_EFFECT.get(effect, CompletionOutcome.SKIPPED)
+            digest = sequence.digest if sequence is not None else 0
+            self._close(number, CompletedSequence(outcome, 0, digest))
+        elif effect is NumberEffect.FREE_FOR_RETRY:
+            del self.open_sequences[number]
+            self.key_generations[number] = self.key_generations.get(number, 0) + 1
+            self.record_changed = True
+        elif effect is NumberEffect.DROP and next_state is NumberState.ABSENT:
+            del self.open_sequences[number]
+        elif sequence is not None:
+            sequence.state = next_state
+            sequence.pending = None
+            sequence.gap_since = None
+        return request.recipient if request is not None else None
+
+    def _close(self, number: int, completed: CompletedSequence) -> None:
+        """Close a number; under NEWEST, supersede all that are older."""
+        self.open_sequences.pop(number, None)
+        self.key_generations.pop(number, None)
+        self.pinned_ranges.pop(number, None)
+        self.completed[number] = completed
+        while len(self.completed) > MAX_REMEMBERED:
+            del self.completed[next(iter(self.completed))]
+        self.record_changed = True
+        if self.contract.order is ChannelOrder.NEWEST:
+            for older in sorted(each for each in self.open_sequences if each < number):
+                recipient = self._apply(older, NumberEvent.SUPERSEDED)
+                self.effects_after_write.append(
+                    Notify(recipient, ReplyKind.SUPERSEDED, number)
+                )
+            self.lowest_open = max(self.lowest_open, number + 1)
+            return
+        self.closed.add(number)
+        while self.lowest_open in self.closed:
+            self.closed.remove(self.lowest_open)
+            self.lowest_open += 1
+        self.pinned_ranges = {
+            pinned: ranges
+            for pinned, ranges in self.pinned_ranges.items()
+            if pinned >= self.lowest_open
+        }
+
+    def _repeat_outcome(self, request: PendingRequest) -> None:
+        """Answer with the remembered outcome, without a second effect.
+
+        After the record is written, which may not hold the outcome yet.
+        """
+        number = request.number
+        recipient = request.recipient
+        known = self.completed.get(number)
+        if known is None:
+            superseded = self.contract.order is ChannelOrder.NEWEST
+            kind = ReplyKind.SUPERSEDED if superseded else ReplyKind.FORGOTTEN
+        elif (
+            known.outcome
+            in (CompletionOutcome.SETTLED, CompletionOutcome.STAYED_INDETERMINATE)
+            and known.digest != request.digest
+        ):
+            self._contradict(recipient, number, other_request_text(self, number))
+            return
+        elif known.outcome == CompletionOutcome.SETTLED:
+            self.effects_after_write.append(
+                Notify(
+                    recipient, ReplyKind.OUTCOME, number, status_code=known.status_code
+                )
+            )
+            return
+        else:
+            kind = _REPLY_BY_OUTCOME[known.outcome]
+        newer = self.lowest_open - 1 if kind is ReplyKind.SUPERSEDED else None
+        self.effects_after_write.append(Notify(recipient, kind, newer))
+
+    def _unreleased_reply(
+        self, sequence: OpenSequence, recipient: ChannelCommand
+    ) -> Notify:
+        """The answer to a request that is given up before its release.
+
+        A rejection promises that nothing was done of its number.
+        """
+        if sequence.state is NumberState.WAITING:
+            return Notify(
+                recipient, ReplyKind.REJECTED, self.lowest_open, DEFAULT_RETRY_DELAY
+            )
+        return Notify(recipient, ReplyKind.FAILED)
+
+    def _reject(self, recipient: ChannelCommand) -> None:
+        """Answer that nothing was done, naming the next number."""
+        self.immediate_effects.append(
+            Notify(recipient, ReplyKind.REJECTED, self.lowest_open, DEFAULT_RETRY_DELAY)
+        )
+
+    def _contradict(self, recipient: ChannelCommand, number: int, text: str) -> None:
+        self.immediate_effects.append(
+            Notify(recipient, ReplyKind.CONTRADICTION, number, text=text)
+        )
+
+    def _notify_now(
+        self,
+        recipient: ChannelCommand | None,
+        kind: ReplyKind,
+        number: int | None = None,
+    ) -> None:
+        self.immediate_effects.append(Notify(recipient, kind, number))
--- /dev/null
+++ b/milletsill/fleet/channels/channel_releases.py
@@ -0,0 +1,152 @@
+"""Which numbers of a channel start, which wait, which need not wait any more.
+
+No I/O and no clock. Times are whole tenths of a millisecond on the owner's own clock.
+"""
+
+from __future__ import annotations
+
+from milletsill.fleet.channels.channel_numbers import ChannelNumbers
+from milletsill.fleet.channels.contracts import ChannelOrder, IndeterminatePolicy
+from milletsill.fleet.channels.effects import Release, ReplyKind
+from milletsill.fleet.channels.number_states import (
+    NumberEvent,
+    NumberState,
+    transition,
+)
+from milletsill.fleet.channels.ordering import (
+    GATE_BY_PREDECESSOR,
+    PREDECESSOR_RULES,
+    ReleaseGate,
+)
+from milletsill.fleet.channels.sequences import OpenSequence, PendingRequest
+
+
+class ChannelReleases(ChannelNumbers):
+    """Releases the numbers of a channel as its contract's order allows."""
+
+    def release_ready(self, now: int) -> None:
+        """Release what may be released; give up what need not wait any more."""
+        self._expire_waiting(now)
+        moved = True
+        while moved:
+            moved = False
+            self._advance_batch_and_contract()
+            for number in sorted(self.open_sequences):
+                sequence = self.open_sequences.get(number)
+                if sequence is None or sequence.pending is None:
+                    continue
+                gate, predecessor = self._gate(now, number, sequence)
+                if gate is ReleaseGate.OPEN:
+                    self._release(now, number, sequence, sequence.pending)
+                    moved = True
+                elif gate is ReleaseGate.QUARANTINED and predecessor != number:
+                    assert predecessor is not None
+                    moved |= self._pass_indeterminate(now, number, predecessor)
+                if gate is not ReleaseGate.GAP:
+                    sequence.gap_since = None
+                elif sequence.gap_since is None:
+                    sequence.gap_since = now
+
+    def _gate(
+        self, now: int, number: int, sequence: OpenSequence
+    ) -> tuple[ReleaseGate, int | None]:
+        """Whether a number may be released, and what stands before it."""
+        if sequence.state is NumberState.RETRY_WAITING:
+            if now >= sequence.quarantined_until:
+                return ReleaseGate.OPEN, None
+            return ReleaseGate.QUARANTINED, number
+        predecessor = PREDECESSOR_RULES[self.contract.order](self, number)
+        change = self.next_contract
+        if predecessor is None and change and number >= change.first_number:
+            predecessor = self.lowest_open  # all below the change first
+        if predecessor is None:
+            return ReleaseGate.OPEN, None
+        return GATE_BY_PREDECESSOR[self.state_of(predecessor)], predecessor
+
+    def _pass_indeterminate(self, now: int, number: int, predecessor: int) -> bool:
+        """Stop a number behind an indeterminate one, or close that one; True if so."""
+        if now < self.open_sequences[predecessor].reserved_until:
+            return False
+        if self.contract.indeterminate_policy is IndeterminatePolicy.STOP:
+            recipient = self._apply(number, NumberEvent.WAIT_ENDED)
+            self._notify_now(recipient, ReplyKind.STOPPED, predecessor)
+            return True
+        self._apply(predecessor, NumberEvent.QUARANTINE_ENDED)
+        return True
+
+    def _release(
+        self, now: int, number: int, sequence: OpenSequence, request: PendingRequest
+    ) -> None:
+        is_retry = sequence.state is NumberState.RETRY_WAITING
+        sequence.state, _ = transition(sequence.state, NumberEvent.RELEASED)
+        sequence.recipients = [request.recipient]
+        sequence.pending = None
+        deadline = request.deadline
+        if is_retry:
+            deadline = min(deadline, self.key_window_end(sequence, request))
+        else:
+            sequence.first_released_at = now
+        self.highest_released = max(self.highest_released, number)
+        if self.contract.order is ChannelOrder.BATCHES and sequence.ends_batch:
+            self.batch_end = number
+        if self.contract.order is ChannelOrder.BY_EXTENT:
+            self.pin_overtaken(number)
+        self.record_changed = True
+        generation = self.key_generations.get(number, 0)
+        self.effects_after_write.append(
+            Release(number, request, generation, is_retry, deadline)
+        )
+
+    def pin_overtaken(self, number: int) -> None:
+        """Pin lower numbers that wait to what they touch, as `number` is released.
+
+        Guards against one that was overtaken on one extent and comes back on another.
+        Harm: it must come as it was.
+        """
+        for lower, sequence in self.open_sequences.items():
+            if lower < number and sequence.state is NumberState.WAITING:
+                self.pinned_ranges[lower] = sequence.ranges
+
+    def _expire_waiting(self, now: int) -> None:
+        """Answer requests whose deadline or wait for a gap is over."""
+        for number, sequence in list(self.open_sequences.items()):
+            request = sequence.pending
+            if request is None:
+                continue
+            gap_since = sequence.gap_since
+            if now >= request.deadline or (
+                gap_since is not None and now >= gap_since + self.contract.gap_timeout
+            ):
+                self.immediate_effects.append(
+                    self._unreleased_reply(sequence, request.recipient)
+                )
+                self._apply(number, NumberEvent.WAIT_ENDED)
+
+    def _advance_batch_and_contract(self) -> None:
+        """Go on to the next batch where one is whole, to a contract that is reached."""
+        if (
+            self.contract.order is ChannelOrder.BATCHES
+            and self.batch_end
+            and self.lowest_open > self.batch_end
+        ):
+            self.batch += 1
+            self.batch_end = 0
+            self.record_changed = True
+        change = self.next_contract
+        if change is None:
+            return
+        if (
+            self.contract.order is ChannelOrder.NEWEST
+            and change.first_number > self.lowest_open
+            and any(each >= change.first_number for each in self.open_sequences)
+            and not any(each < change.first_number for each in self.open_sequences)
+        ):
+            # Gaps are fine: what waits for the change is newer than what never came.
+            self.lowest_open = change.first_number
+        if self.lowest_open >= change.first_number:
+            self.contract = change.contract
+            self.chosen_by_client = change.chosen_by_client
+            self.next_contract = None
+            self.record_changed = True
+            self.batch = 1
+            self.batch_end = 0
--- a/milletsill/fleet/channels/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -1,181 +1,159 @@
-"""A channel's record and the words between gateways, to and from bytes. All lengths are bounded."""
+"""A channel's stored record, and envelopes between gateways, to and from bytes.
+
+All lengths are bounded. The names on the left of `record.proto` are the users' words;
+this module and `commands` are where both words stand.
+"""
 
 from __future__ import annotations
 
+from typing import Any
+
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.channels.channel_sequencer import Line
+from milletsill.fleet.channels.access_ranges import (
+    LAST_BLOCK,
+    AccessRange,
+    AccessRanges,
+)
+from milletsill.fleet.channels.channel_sequencer import ChannelSequencer
+from milletsill.fleet.channels.contracts import (
+    ChannelOrder,
+    ContractChange,
+    IndeterminatePolicy,
+    OrderingContract,
+)
 from milletsill.fleet.channels.errors import ChannelRecordUnreadable
-from milletsill.fleet.channels.ordering import (
-    MOST_PINNED,
-    REMEMBERED,
-    SPAN,
-    Contract,
-    Order,
-    Phase,
-    Reach,
-    Reaches,
-    Unsure,
+from milletsill.fleet.channels.limits import (
+    MAX_NUMBERS_AHEAD,
+    MAX_PINNED,
+    MAX_REMEMBERED,
 )
-from milletsill.fleet.channels.record_pb2 import (
-    ContractTerms,
-    Envelope,
-    Record,
+from milletsill.fleet.channels.number_states import NumberState
+from milletsill.fleet.channels.record_pb2 import ContractTerms, Envelope, Record
+from milletsill.fleet.channels.sequences import (
+    RELEASED_LONG_AGO,
+    CompletedSequence,
+    OpenSequence,
 )
-from milletsill.fleet.channels.sequences import LONG_AGO, Closed, Entry
-
-FORMAT, MOST_RECORD, MOST_OUT, WHOLE = 1, 16_384, 1024, (1 << 64) - 1
-MARK = b"C"  # the first byte of what contracts tell; registers have their own
-
-
-def put_contract(into: ContractTerms, contract: Contract, named: bool) -> None:
-    into.name, into.version, into.order, into.unsure = (
-        contract.name,
-        contract.version,
-        contract.order.value,
-        contract.unsure.value,
-    )
-    into.silent, into.most_waiting, into.hole, into.named = (
-        contract.silent,
-        contract.most_waiting,
-        contract.hole,
-        named,
-    )
-
-
-def contract_of(terms: ContractTerms) -> Contract:
-    return Contract(
-        terms.name,
-        terms.version,
-        Order(terms.order),
-        Unsure(terms.unsure),
-        terms.silent,
-        terms.most_waiting,
-        terms.hole,
-    )
 
+RECORD_FORMAT = 1
+MAX_RECORD_BYTES = 16_384
+MAX_RELEASED = 1024
+"""Numbers in flight that a record may have."""
 
-def put_reaches(into: object, reaches: Reaches) -> None:
-    for each in reaches:
-        if each.last == WHOLE and each.first == 0:
-            into.add(object=each.object)  # type: ignore[attr-defined]
-        else:
-            into.add(object=each.object, first=each.first, last=each.last)  # type: ignore[attr-defined]
-
+ENVELOPE_MARK = b"C"
+"""The first byte of an envelope; messages of acceptors begin otherwise."""
 
-def reaches_of(held: object) -> Reaches:
-    return tuple(
-        Reach(each.object, each.first, each.last if each.HasField("last") else WHOLE)
-        for each in held
-    )  # type: ignore[attr-defined]
 
-
-def put_record(line: Line, now: int) -> bytes:
-    """The record of a channel as it stands."""
+def encode_record(channel: ChannelSequencer, now: int) -> bytes:
+    """The record of a channel as it stands at `now`."""
     record = Record(
-        format=FORMAT,
-        claim=line.claim,
-        token=line.token,
-        floor=line.floor,
-        top=line.top,
-        batch=line.batch,
-        batch_last=line.batch_last,
+        format=RECORD_FORMAT,
+        claim=channel.claim,
+        token=channel.claim_token,
+        floor=channel.lowest_open,
+        top=channel.highest_released,
+        batch=channel.batch,
+        batch_last=channel.batch_end,
     )
-    put_contract(record.contract, line.contract, line.named)
-    if line.coming is not None:
-        record.coming_first = line.coming[0]
-        put_contract(record.coming, line.coming[1], line.coming_named)
-    if line.closed:
-        bits = sum(1 << (each - line.floor) for each in line.closed)
+    _put_contract(record.contract, channel.contract, channel.chosen_by_client)
+    change = channel.next_contract
+    if change is not None:
+        record.coming_first = change.first_number
+        _put_contract(record.coming, change.contract, change.chosen_by_client)
+    if channel.closed:
+        bits = sum(1 << (number - channel.lowest_open) for number in channel.closed)
         record.closed = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
-    for number, entry in line.entries.items():
-        if entry.phase is Phase.WAITING:
-            continue
-        out = record.out.add(
-            number=number, digest=entry.digest, batch=entry.batch, last=entry.last
-        )
-        put_reaches(out.reach, entry.reaches)
-        if entry.since != LONG_AGO:
-            out.since = max(now - entry.since, 0)
-    for number, closed in line.remembered.items():
+    for number, sequence in channel.open_sequences.items():
+        if sequence.state is not NumberState.WAITING:
+            _put_released(record, number, sequence, now)
+    for number, completed in channel.completed.items():
         record.remembered.add(
-            number=number, how=closed.how, code=closed.code, digest=closed.digest
+            number=number,
+            how=completed.outcome,
+            code=completed.status_code,
+            digest=completed.digest,
         )
-    for number, turn in line.turns.items():
-        record.turn.add(number=number, turn=turn)
-    for number, reaches in line.pinned.items():
-        put_reaches(record.pinned.add(number=number).reach, reaches)
-    return record.SerializeToString()
-
-
-def read_record(
-    data: bytes, rest: int, now: int, age: int | None, over: int = 0
-) -> Line:
-    """The channel from its record, as a new keeper finds it: what is out has an unsure end. `age`: how long ago the record
-    was written at most, None where nobody knows. `over`: when the last office under which anything was let go here ends.
+    for number, generation in channel.key_generations.items():
+        record.turn.add(number=number, turn=generation)
+    for number, ranges in channel.pinned_ranges.items():
+        _put_ranges(record.pinned.add(number=number).reach, ranges)
+    data: bytes = record.SerializeToString()
+    return data
+
+
+def decode_record(
+    data: bytes, quarantine: int, now: int, age: int | None, lease_end: int = 0
+) -> ChannelSequencer:
+    """The channel from its record, as a new owner finds it.
+
+    The outcome of each number in flight is indeterminate.
+
+    Args:
+        data: The record.
+        quarantine: For how long an attempt may run after its deadline.
+        now: The time on this gateway's clock.
+        age: How long ago the record was written at most; None where nobody knows.
+        lease_end: When the last lease ends under which anything was released here.
+
+    Raises:
+        ChannelRecordUnreadable: It is torn, or of a later version of the program.
     """
     record = Record()
     try:
         record.ParseFromString(data)
-        line = Line(contract_of(record.contract), rest, record.contract.named)
+        channel = ChannelSequencer(
+            _contract_from(record.contract), quarantine, record.contract.named
+        )
         if record.HasField("coming"):
-            line.coming, line.coming_named = (
-                (record.coming_first, contract_of(record.coming)),
+            channel.next_contract = ContractChange(
+                record.coming_first,
+                _contract_from(record.coming),
                 record.coming.named,
             )
     except (DecodeError, ValueError) as error:
         raise ChannelRecordUnreadable(
             f"a record of {len(data)} bytes: {error}"
-        ) from None
-    if (
-        record.format != FORMAT
-        or len(record.remembered) > REMEMBERED
-        or len(record.out) > MOST_OUT
-        or (
-            len(record.closed) * 8 > SPAN + 8
-            or len(record.pinned) > MOST_PINNED
-            or len(record.turn) > SPAN
-        )
-    ):
+        ) from error
+    if record.format != RECORD_FORMAT or _exceeds_bounds(record):
         raise ChannelRecordUnreadable(
             f"a record of format {record.format}, {len(data)} bytes"
         )
-    line.claim, line.token, line.floor, line.top = (
-        record.claim,
-        record.token,
-        record.floor,
-        record.top,
-    )
-    line.batch, line.batch_last = record.batch, record.batch_last
+    channel.claim = record.claim
+    channel.claim_token = record.token
+    channel.lowest_open = record.floor
+    channel.highest_released = record.top
+    channel.batch = record.batch
+    channel.batch_end = record.batch_last
     bits = int.from_bytes(record.closed, "little")
-    line.closed = {
-        line.floor + place for place in range(bits.bit_length()) if bits >> place & 1
+    channel.closed = {
+        channel.lowest_open + place
+        for place in range(bits.bit_length())
+        if bits >> place & 1
     }
     for out in record.out:
-        known = age is not None and out.HasField("since")
-        line.entries[out.number] = Entry(
-            Phase.UNSURE,
-            out.digest,
-            reaches_of(out.reach),
-            out.batch,
-            out.last,
-            since=now - age - out.since if known else LONG_AGO,
-        )  # type: ignore[operator]
+        channel.open_sequences[out.number] = _open_sequence_from(out, now, age)
     for each in record.remembered:
-        line.remembered[each.number] = Closed(each.how, each.code, each.digest)
-    line.turns = {each.number: each.turn for each in record.turn}
-    line.pinned = {each.number: reaches_of(each.reach) for each in record.pinned}
-    line.took_over(max(now, over))
-    return line
+        channel.completed[each.number] = CompletedSequence(
+            each.how, each.code, each.digest
+        )
+    channel.key_generations = {each.number: each.turn for each in record.turn}
+    channel.pinned_ranges = {
+        each.number: _ranges_from(each.reach) for each in record.pinned
+    }
+    channel.recover(max(now, lease_end))
+    return channel
 
 
-def put_envelope(envelope: Envelope) -> bytes:
-    return MARK + envelope.SerializeToString()
+def encode_envelope(envelope: Envelope) -> bytes:
+    """What one gateway sends another."""
+    data: bytes = ENVELOPE_MARK + envelope.SerializeToString()
+    return data
 
 
-def read_envelope(body: bytes) -> Envelope | None:
-    """What another gateway says, or None for what makes no sense here."""
-    if body[:1] != MARK:
+def decode_envelope(body: bytes) -> Envelope | None:
+    """What another gateway sent; None for what makes no sense here."""
+    if body[:1] != ENVELOPE_MARK:
         return None
     envelope = Envelope()
     try:
@@ -183,3 +161,84 @@
     except DecodeError:
         return None
     return envelope
+
+
+def _exceeds_bounds(record: Record) -> bool:
+    return bool(
+        len(record.remembered) > MAX_REMEMBERED
+        or len(record.out) > MAX_RELEASED
+        or len(record.closed) * 8 > MAX_NUMBERS_AHEAD + 8
+        or len(record.pinned) > MAX_PINNED
+        or len(record.turn) > MAX_NUMBERS_AHEAD
+    )
+
+
+def _put_contract(
+    terms: ContractTerms, contract: OrderingContract, chosen_by_client: bool
+) -> None:
+    terms.name = contract.name
+    terms.version = contract.version
+    terms.order = contract.order.value
+    terms.unsure = contract.indeterminate_policy.value
+    terms.silent = contract.idle_retention
+    terms.most_waiting = contract.max_waiting
+    terms.hole = contract.gap_timeout
+    terms.named = chosen_by_client
+
+
+def _contract_from(terms: ContractTerms) -> OrderingContract:
+    """Raises ValueError for an order or a policy of a later version."""
+    return OrderingContract(
+        terms.name,
+        terms.version,
+        ChannelOrder(terms.order),
+        IndeterminatePolicy(terms.unsure),
+        terms.silent,
+        terms.most_waiting,
+        terms.hole,
+    )
+
+
+def _put_released(
+    record: Record, number: int, sequence: OpenSequence, now: int
+) -> None:
+    out = record.out.add(
+        number=number,
+        digest=sequence.digest,
+        batch=sequence.batch,
+        last=sequence.ends_batch,
+    )
+    _put_ranges(out.reach, sequence.ranges)
+    if sequence.first_released_at != RELEASED_LONG_AGO:
+        out.since = max(now - sequence.first_released_at, 0)
+
+
+def _open_sequence_from(out: Any, now: int, age: int | None) -> OpenSequence:
+    first_released_at = RELEASED_LONG_AGO
+    if age is not None and out.HasField("since"):
+        first_released_at = now - age - out.since
+    return OpenSequence(
+        NumberState.INDETERMINATE,
+        out.digest,
+        _ranges_from(out.reach),
+        out.batch,
+        out.last,
+        first_released_at=first_released_at,
+    )
+
+
+def _put_ranges(repeated: Any, ranges: AccessRanges) -> None:
+    for each in ranges:
+        if each.last == LAST_BLOCK and each.first == 0:
+            repeated.add(object=each.object)
+        else:
+            repeated.add(object=each.object, first=each.first, last=each.last)
+
+
+def _ranges_from(repeated: Any) -> AccessRanges:
+    return tuple(
+        AccessRange(
+            each.object, each.first, each.last if each.HasField("last") else LAST_BLOCK
+        )
+        for each in repeated
+    )
--- /dev/null
+++ b/milletsill/fleet/channels/command_replies.py
@@ -0,0 +1,150 @@
+"""Packets that answer channel commands, and their way to whoever sent the command."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from milletsill.errors import MilletsillError
+from milletsill.fleet.channels.channel_state import ChannelState
+from milletsill.fleet.channels.commands import ChannelCommand, Redirect
+from milletsill.fleet.channels.effects import ReplyKind
+from milletsill.fleet.channels.errors import (
+    ContractConflict,
+    ContractNotOffered,
+    ContractOutdated,
+)
+from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
+from milletsill.fleet.channels.number_states import INDETERMINATE_STATES
+from milletsill.fleet.channels.sequences import CompletionOutcome
+from milletsill.fleet.leases.errors import NotLeaseHolder
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
+
+CONTRACT_ERRORS = (ContractConflict, ContractOutdated, ContractNotOffered)
+"""Errors that a client hears as a contradiction."""
+
+REPLY_TEXTS = {
+    ReplyKind.REJECTED: "declined: nothing was done",
+    ReplyKind.FAILED: "aborted: it may have been done or not",
+    ReplyKind.CLAIM_LOST: "a later claim holds this channel",
+    ReplyKind.SUPERSEDED: "a newer one is settled",
+    ReplyKind.FORGOTTEN: "over long ago",
+    ReplyKind.SKIPPED: "left out",
+    ReplyKind.STOPPED: "stands behind an unsure end; say what became of it",
+    ReplyKind.CONTRADICTION: "contradicts",
+}
+KINDS_WITH_NUMBER = (ReplyKind.REJECTED, ReplyKind.SUPERSEDED, ReplyKind.STOPPED)
+COUNTED_CHANNEL_STATUS = "claimed"
+COUNTED_NUMBER_STATUS = "look"
+
+_WIRE_STATES: dict[int, int] = {
+    CompletionOutcome.SETTLED: wire.IS_SETTLED,
+    CompletionOutcome.STAYED_INDETERMINATE: wire.IS_UNSURE,
+    CompletionOutcome.SKIPPED: wire.IS_LEFT_OUT,
+}
+
+
+def retry_delay_of(error: MilletsillError | None) -> int:
+    """When to come back after an error, in tenths of a millisecond."""
+    return getattr(error, "pause", 0) or DEFAULT_RETRY_DELAY
+
+
+def channel_status_packet(channel: ChannelState) -> packets.ExtendedReply:
+    """How a channel stands, for the client that opened it."""
+    first_remembered = min(
+        (
+            number
+            for number, completed in channel.completed.items()
+            if completed.outcome == CompletionOutcome.SETTLED
+        ),
+        default=channel.lowest_open,
+    )
+    contract = channel.contract
+    return wire.put_opened(
+        0,
+        wire.Opened(
+            b"",
+            channel.claim,
+            contract.name,
+            contract.version,
+            contract.order.value,
+            channel.lowest_open,
+            channel.batch,
+            contract.max_waiting,
+            first_remembered,
+            channel.indeterminate_numbers()[: wire.MOST_UNSURE],
+        ),
+    )
+
+
+def number_status_packet(channel: ChannelState, number: int) -> packets.ExtendedReply:
+    """How a number stands, for the client that asks."""
+    state = _wire_state(channel, number)
+    answer = None
+    if state == wire.IS_SETTLED:
+        answer = packets.Status(0, channel.completed[number].status_code, "remembered")
+    return wire.put_asked(0, wire.Asked(state, channel.lowest_open, answer))
+
+
+def _wire_state(channel: ChannelState, number: int) -> int:
+    completed = channel.completed.get(number)
+    if completed is not None:
+        return _WIRE_STATES.get(completed.outcome, wire.IS_LEFT_OUT)
+    if channel.is_closed(number):
+        return wire.IS_FORGOTTEN
+    sequence = channel.open_sequences.get(number)
+    if sequence is None:
+        return wire.IS_OPEN
+    if sequence.state in INDETERMINATE_STATES:
+        return wire.IS_UNSURE
+    return wire.IS_OUT
+
+
+class CommandReplies:
+    """Answers channel commands; `count` hears of each answer, by name."""
+
+    def __init__(self, count: Callable[[str], None]) -> None:
+        self._count = count
+
+    def reply(
+        self,
+        command: ChannelCommand,
+        kind: ReplyKind,
+        number: int | None = None,
+        retry_delay: int = 0,
+        text: str = "",
+    ) -> None:
+        """Answer a command with a sign; kinds that name no number leave it out."""
+        packet = wire.put_sign(
+            0,
+            kind.value,
+            text or REPLY_TEXTS[kind],
+            number if kind in KINDS_WITH_NUMBER else None,
+            retry_delay,
+        )
+        self.send(command, packet, kind.value)
+
+    def reject(self, command: ChannelCommand, retry_delay: int) -> None:
+        """Answer that nothing was done, and when to come back."""
+        self.reply(command, ReplyKind.REJECTED, retry_delay=retry_delay)
+
+    def report_error(self, command: ChannelCommand, error: MilletsillError) -> None:
+        """Answer why a command comes to nothing."""
+        if isinstance(error, NotLeaseHolder) and error.who:
+            command.on_answer(Redirect(error.who, error.pause))
+            return
+        if isinstance(error, CONTRACT_ERRORS):
+            self.reply(command, ReplyKind.CONTRADICTION, text=error.what)
+            return
+        self.reply(
+            command,
+            ReplyKind.REJECTED,
+            retry_delay=retry_delay_of(error),
+            text=f"declined: {error.what}",
+        )
+
+    def send(self, command: ChannelCommand, packet: Any, counted_as: str) -> None:
+        """Answer a command with a packet."""
+        self._count(counted_as)
+        command.on_answer(packet)
--- a/milletsill/fleet/channels/commands.py
+++ b/milletsill/fleet/channels/commands.py
@@ -1,10 +1,13 @@
-"""A client's word on a channel inside a gateway: where it came from is its `answered`. Times in tenths of a millisecond."""
+"""Channel commands of clients, and their encoded form between gateways.
+
+Times are whole tenths of a millisecond on this gateway's own clock.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Union
+from typing import Any, Protocol
 
 import xxhash
 
@@ -14,119 +17,169 @@
 from milletsill.sftp.wire import bytes_of
 
 
+class Volume(Protocol):
+    """What a command needs of its volume."""
+
+    @property
+    def name(self) -> str:
+        """Its name, the same at all gateways."""
+
+
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenChannel:
+    """Open and claim a channel.
+
+    Attributes:
+        contract: Name of the contract; empty for the volume's own.
+        version: Its version; 0 for the gateway's.
+        first_number: The number from which it holds; 0 for the next that is free.
+    """
+
     contract: str
     version: int
-    first: int
+    first_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class QueryNumber:
+    """Ask what became of a number."""
+
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class ResolveNumber:
+    """Say what became of a number whose outcome is indeterminate.
+
+    `resolution` is one of the words of `milletsill.sftp.channel_extensions`.
+    """
+
     number: int
-    word: int
+    resolution: int
     claim: int
 
 
 @dataclass(frozen=True, slots=True)
-class Transfer:
-    """A numbered command; its handle, if it has one, is the path."""
+class NumberedRequest:
+    """A request with a number; its handle, if it has one, is the path."""
 
     number: int
     claim: int
     batch: int
-    last: bool
+    ends_batch: bool
     terms: Terms
     path: str
     command: Any
 
     def digest(self) -> int:
+        """Equal for requests that do the same."""
         return xxhash.xxh64_intdigest(
             bytes_of(self.path) + b"\0" + extensions.bare(self.command)
         )
 
 
-What = Union[Open, Look, Say, Transfer]
+CommandBody = OpenChannel | QueryNumber | ResolveNumber | NumberedRequest
 
 
 @dataclass(slots=True, eq=False)
-class Word:
-    """One word; `answered` is called once, with a packet for the client or with the name of the gateway to ask instead
-    (`Elsewhere`). `token` is the same for the same word told twice.
+class ChannelCommand:
+    """One command on its way to the channel's owner.
+
+    Attributes:
+        volume: The channel's volume.
+        channel: The channel's name.
+        deadline: Until when the client waits.
+        body: What the client wants.
+        token: The same for the same command received twice.
+        on_answer: Called once, with a packet for the client or with a `Redirect`.
+        unreachable_owners: Gateways that could not be reached with it.
+        redirects: How often the acceptors named another owner for it.
     """
 
-    volume: Any
+    volume: Volume
     channel: str
-    ends: int
-    what: What
+    deadline: int
+    body: CommandBody
     token: str
-    answered: Callable[[Any], None]
-    away: tuple[str, ...] = ()  # gateways that could not be reached with it
-    sent_on: int = 0  # how often the registers named another keeper for it
+    on_answer: Callable[[Any], None]
+    unreachable_owners: tuple[str, ...] = ()
+    redirects: int = 0
 
     @property
     def key(self) -> str:
+        """The channel's key: its lease is taken under it."""
         return f"{self.volume.name}/{self.channel}"
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
-    """Another gateway keeps the channel; for so long at the most if nobody hears of it any more, in tenths of a millisecond."""
-
-    who: str
-    pause: int
+class Redirect:
+    """Another gateway owns the channel.
 
+    `retry_delay` is for how long at the most, if nobody hears of it any more.
+    """
 
-def put_word(word: Word, id: int, left: int, hops: int) -> Ask:
-    """A word for another gateway; `left` in milliseconds."""
-    ask, what = (
-        Ask(id=id, volume=word.volume.name, channel=word.channel, left=left, hops=hops),
-        word.what,
+    owner: str
+    retry_delay: int
+
+
+def encode_command(
+    command: ChannelCommand, command_id: int, remaining_ms: int, hops: int
+) -> Ask:
+    """A command for another gateway; its client still waits `remaining_ms`."""
+    body = command.body
+    ask = Ask(
+        id=command_id,
+        volume=command.volume.name,
+        channel=command.channel,
+        left=remaining_ms,
+        hops=hops,
     )
-    if isinstance(what, Open):
-        ask.open.contract, ask.open.version, ask.open.first = (
-            what.contract,
-            what.version,
-            what.first,
-        )
-    elif isinstance(what, Look):
-        ask.look.number = what.number
-    elif isinstance(what, Say):
-        ask.say.number, ask.say.word, ask.say.claim = what.number, what.word, what.claim
+    if isinstance(body, OpenChannel):
+        ask.open.contract = body.contract
+        ask.open.version = body.version
+        ask.open.first = body.first_number
+    elif isinstance(body, QueryNumber):
+        ask.look.number = body.number
+    elif isinstance(body, ResolveNumber):
+        ask.say.number = body.number
+        ask.say.word = body.resolution
+        ask.say.claim = body.claim
     else:
-        to = ask.transfer
-        to.number, to.claim, to.batch, to.last = (
-            what.number,
-            what.claim,
-            what.batch,
-            what.last,
-        )
-        to.tries, to.mark, to.path, to.command = (
-            what.terms.tries,
-            what.terms.mark,
-            what.path,
-            extensions.bare(what.command),
-        )
+        ask.transfer.number = body.number
+        ask.transfer.claim = body.claim
+        ask.transfer.batch = body.batch
+        ask.transfer.last = body.ends_batch
+        ask.transfer.tries = body.terms.tries
+        ask.transfer.mark = body.terms.mark
+        ask.transfer.path = body.path
+        ask.transfer.command = extensions.bare(body.command)
     return ask
 
 
-def read_word(
-    ask: Ask, volume: Any, token: str, ends: int, answered: Callable[[Any], None]
-) -> Word:
-    """A word from another gateway, over at `ends`; Malformed where its command is none."""
-    what: What
+def decode_command(
+    ask: Ask,
+    volume: Volume,
+    token: str,
+    deadline: int,
+    on_answer: Callable[[Any], None],
+) -> ChannelCommand:
+    """A command of another gateway's client.
+
+    Raises:
+        MalformedInput: The command in it cannot be read.
+    """
+    body = _decode_body(ask)
+    return ChannelCommand(volume, ask.channel, deadline, body, token, on_answer)
+
+
+def _decode_body(ask: Ask) -> CommandBody:
     if ask.HasField("open"):
-        what = Open(ask.open.contract, ask.open.version, ask.open.first)
-    elif ask.HasField("say"):
-        what = Say(ask.say.number, ask.say.word, ask.say.claim)
-    elif ask.HasField("transfer"):
+        return OpenChannel(ask.open.contract, ask.open.version, ask.open.first)
+    if ask.HasField("say"):
+        return ResolveNumber(ask.say.number, ask.say.word, ask.say.claim)
+    if ask.HasField("transfer"):
         sent = ask.transfer
-        what = Transfer(
+        return NumberedRequest(
             sent.number,
             sent.claim,
             sent.batch,
@@ -135,6 +188,4 @@
             sent.path,
             extensions.dressed(sent.command, 0),
         )
-    else:
-        what = Look(ask.look.number)
-    return Word(volume, ask.channel, ends, what, token, answered)
+    return QueryNumber(ask.look.number)
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -1,329 +1,323 @@
-"""Words on their way to another gateway that keeps the channel, and the answers back. Nothing told needs to arrive: a word is
-told again until it is answered or its client's patience is over; the one who hears it twice answers once. All bounded.
+"""Commands on their way to the gateway that owns their channel, and answers back.
+
+No message needs to arrive: a command is sent again until it is answered or its client's
+deadline is over, and the gateway that receives it twice answers once. All is bounded.
+Times are whole tenths of a millisecond on this gateway's own clock.
 """
 
 from __future__ import annotations
 
-from collections import OrderedDict
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import SystemRandom
 from typing import Any
 
-from milletsill.fleet.channels.codec import put_envelope, read_envelope
+from milletsill.errors import MalformedInput
+from milletsill.fleet.channels.codec import decode_envelope
 from milletsill.fleet.channels.commands import (
-    Elsewhere,
-    Look,
-    Open,
-    Say,
-    Transfer,
-    Word,
-    put_word,
-    read_word,
+    ChannelCommand,
+    NumberedRequest,
+    OpenChannel,
+    QueryNumber,
+    Redirect,
+    ResolveNumber,
+    Volume,
+    encode_command,
 )
-from milletsill.fleet.channels.record_pb2 import Ask, Clock, Envelope, Reply
-from milletsill.fleet.peer_clocks import PeerClocks
-from milletsill.fleet.transport import MessageKind, FleetTransport
+from milletsill.fleet.channels.peer_command_receiver import PeerCommandReceiver
+from milletsill.fleet.channels.peer_messenger import PeerMessenger
+from milletsill.fleet.channels.record_pb2 import Ask, Reply
+from milletsill.fleet.transport import FleetTransport
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions
-from milletsill.sftp.extensions import bare
-from milletsill.sftp.wire import MalformedInput
 
-MOST_FORWARDS, MOST_HEARD = (
-    20_000,
-    20_000,
-)  # words out, and words of others that are on hand or were answered
-MOST_ON_HAND = 5000  # words of others that are not answered yet
-SILENT_CALLS = 2  # calls without a sign of life until the keeper counts as away
-MOST_HOPS = 3
-MOST_AT_ONCE = 3  # times that a word is told once more at once, as the other asked; then at the next call
-AWAY = 30_000  # tenths of a millisecond for which one that could not be reached is not asked again, unless it says something
-MARGIN = 100  # tenths of a millisecond that the way back may take
+MAX_FORWARDED = 20_000
+"""Own commands that wait for another gateway's answer."""
+
+MAX_SILENT_CALLS = 2
+"""Calls without a sign of life until an owner counts as unreachable."""
+
+MAX_HOPS = 3
+
+MAX_IMMEDIATE_RESENDS = 3
+"""Times that a command is sent again at once, as its owner asked."""
 
+UNREACHABLE_SPAN = 30_000
+"""For how long an unreachable member is not tried again, unless it sends something."""
 
-class Forward:
-    """A word that another gateway has, or may have."""
+RETURN_MARGIN = 100
+"""What the way back may take."""
 
-    __slots__ = ("id", "word", "to", "heard", "hops", "alarm", "held", "asked")
+UNITS_PER_SECOND = 10_000
+UNITS_PER_MILLISECOND = 10
 
-    def __init__(self, id: int, word: Word, to: str, now: int, hops: int) -> None:
-        self.id, self.word, self.to, self.hops = id, word, to, hops
-        self.heard = now
-        self.alarm: Any = None
-        self.held = False  # the other has said that it is on it
-        self.asked = 0  # how often it asked to be told once more
 
+@dataclass(frozen=True, slots=True)
+class ForwarderSettings:
+    """Settings of a peer forwarder.
 
-def doubted(answered: Callable[[Any], None]) -> Callable[[Any], None]:
-    """Guards against an untrue decline: a keeper that fell silent may have done the word, or do it yet. Harm: a client that could
-    have been told that nothing was done asks again.
+    Attributes:
+        call_timeout: How long a sign of life may take, in tenths of a millisecond.
+        drift_permille: How much faster or slower a clock may run.
     """
 
-    def answer(packet: Any) -> None:
-        sign = wire.read_sign(getattr(packet, "language", ""))
-        if sign is not None and sign.word in ("declined", "claim-lost"):
-            packet = wire.put_sign(
-                0, "aborted", "aborted: a keeper that fell silent may have done it"
-            )
-        answered(packet)
+    call_timeout: int
+    drift_permille: int = 5
+
+
+@dataclass(frozen=True, slots=True)
+class ForwarderHandlers:
+    """Who handles what the forwarder receives.
+
+    Attributes:
+        on_peer_command: Another gateway's command, with that gateway's name.
+        on_own_command: An own command whose channel this gateway is to own itself.
+        find_volume: A volume with channels, by name.
+        count: Counts an event, by name.
+    """
+
+    on_peer_command: Callable[[ChannelCommand, str], None]
+    on_own_command: Callable[[ChannelCommand], None]
+    find_volume: Callable[[str], Volume | None]
+    count: Callable[[str], None]
 
-    return answer
 
+class ForwardedCommand:
+    """A command that another gateway has, or may have.
 
-class Ways:
-    """`own` handles another gateway's word here, `keep` one of ours that this gateway is to keep itself; `call` is how long a sign of
-    life may take, in tenths of a millisecond. `volume` finds a volume by name; `drift` as the registers have it.
+    Attributes:
+        id: The message's id.
+        command: The command.
+        owner: The gateway that it was sent to.
+        hops: How often it was forwarded.
+        last_heard: When that gateway last gave a sign of life.
+        timer: The next call; None before the first.
+        is_held: Whether the other has said that it has the command in hand.
+        resends: How often the other asked to be sent it again.
     """
 
+    __slots__ = (
+        "id",
+        "command",
+        "owner",
+        "hops",
+        "last_heard",
+        "timer",
+        "is_held",
+        "resends",
+    )
+
+    def __init__(
+        self, id: int, command: ChannelCommand, owner: str, now: int, hops: int
+    ) -> None:
+        self.id = id
+        self.command = command
+        self.owner = owner
+        self.hops = hops
+        self.last_heard = now
+        self.timer: Any = None
+        self.is_held = False
+        self.resends = 0
+
+
+class PeerForwarder:
+    """Sends own commands to the owners of their channels; hears other gateways."""
+
     def __init__(
         self,
+        settings: ForwarderSettings,
         reactor: Any,
         now: Callable[[], int],
-        plane: FleetTransport,
-        call: int,
-        own: Callable[[Word, str], None],
-        keep: Callable[[Word], None],
-        volume: Callable[[str], Any],
-        count: Callable[[str], None],
-        drift: int = 5,
+        transport: FleetTransport,
+        handlers: ForwarderHandlers,
     ) -> None:
-        self.reactor, self.now, self.plane, self.call = reactor, now, plane, call
-        self.whose, self.clocks = SystemRandom().getrandbits(64), PeerClocks(drift)
-        self.own, self.keep, self.volume, self.count = own, keep, volume, count
-        self.out: dict[int, Forward] = {}
-        self.silent: dict[str, int] = {}  # since when a member could not be reached
-        # Guards against a gateway that starts again under a run that it had before (its state_dir lost, or an older copy): with the
-        # same numbers again it was told the remembered replies of other words. Harm: none, 63 bits of chance.
-        self.ids = SystemRandom().getrandbits(62)
-        self.on_hand = 0
-        # Words of others: None while they are on hand, then the reply.
-        self.others: OrderedDict[tuple[str, int, int], bytes | None] = OrderedDict()
-
-    # Ours, to others.
-
-    def forward(self, word: Word, to: str, hops: int = 0) -> None:
-        """Tell it to the one who keeps the channel; `own` gets it where that one is away."""
-        if hops >= MOST_HOPS or len(self.out) >= MOST_FORWARDS:
-            return word.answered(
-                wire.put_sign(
-                    0,
-                    "declined",
-                    "declined: nobody found who keeps the channel",
-                    None,
-                    self.call,
-                )
-            )
-        self.ids += 1
-        forward = self.out[self.ids] = Forward(self.ids, word, to, self.now(), hops)
-        self.count("forwarded")
-        self.tell(forward)
-
-    def reachable(self, member: str) -> bool:
-        """Guards against a client that waits again and again for one that is gone, while the view still has it. Harm: a keeper
-        that was cut off for a moment is passed over for a while; the registers say who may keep.
-        """
-        since = self.silent.get(member)
-        if since is not None and self.now() - since >= AWAY:
-            del self.silent[member]
-        return member not in self.silent
-
-    def tell(self, forward: Forward) -> None:
-        now, word = self.now(), forward.word
-        left = word.ends - MARGIN - now
-        if left <= 0:
-            return self.over(forward)
-        left_ms = max(left // 10, 1)
-        ask = (
-            Ask(id=forward.id, volume="", channel="", left=left_ms)
-            if forward.held  # it has the rest
-            else put_word(word, forward.id, left_ms, forward.hops)
-        )
-        there = self.clocks.there(forward.to, word.ends - MARGIN, now)
-        if there is not None:
-            ask.until.whose, ask.until.at = there[0], max(there[1], 0)
-        if not self.plane.send(forward.to, MessageKind.CHANNEL, self.said(ask=ask)):
-            return self.away(forward)
-        forward.alarm = self.reactor.callLater(
-            min(self.call, left) / 10_000, self.again, forward
+        self.reactor = reactor
+        self.now = now
+        self.handlers = handlers
+        self.call_timeout = settings.call_timeout
+        self.messenger = PeerMessenger(transport, now, settings.drift_permille)
+        self.receiver = PeerCommandReceiver(
+            self.messenger,
+            settings.call_timeout,
+            handlers.on_peer_command,
+            handlers.find_volume,
         )
+        self.forwarded: dict[int, ForwardedCommand] = {}
+        self.unreachable_since: dict[str, int] = {}
+        # Guards against a gateway that starts again under an incarnation that it had
+        # before (its state_dir lost, or an older copy): with the same ids again it was
+        # sent the remembered replies of other commands. Harm: none, 63 bits of chance.
+        self.last_id = SystemRandom().getrandbits(62)
+
+    def forward(self, command: ChannelCommand, owner: str, hops: int = 0) -> None:
+        """Send a command to the owner of its channel.
+
+        `on_own_command` gets it where that gateway is unreachable.
+        """
+        if hops >= MAX_HOPS or len(self.forwarded) >= MAX_FORWARDED:
+            text = "declined: nobody found who keeps the channel"
+            command.on_answer(self._rejection(text))
+            return
+        self.last_id += 1
+        forwarded = ForwardedCommand(self.last_id, command, owner, self.now(), hops)
+        self.forwarded[forwarded.id] = forwarded
+        self.handlers.count("forwarded")
+        self._send_command(forwarded)
+
+    def is_reachable(self, member: str) -> bool:
+        """Whether a member may be tried.
+
+        Guards against a client that waits again and again for one that is gone, while
+        the view still has it. Harm: an owner that was cut off for a moment is passed
+        over for a while; the acceptors say who may own.
+        """
+        since = self.unreachable_since.get(member)
+        if since is not None and self.now() - since >= UNREACHABLE_SPAN:
+            del self.unreachable_since[member]
+        return member not in self.unreachable_since
 
-    def again(self, forward: Forward) -> None:
-        """No answer yet: once more, unless there was no sign of life."""
-        if forward.id not in self.out:
-            return None
-        if self.now() - forward.heard >= SILENT_CALLS * self.call:
-            return self.away(forward)
-        self.tell(forward)
-
-    def said(self, **what: Any) -> bytes:
-        """What leaves for another gateway, with what this one's clock reads."""
-        return put_envelope(
-            Envelope(clock=Clock(whose=self.whose, at=self.now()), **what)
+    def cancel(self, forwarded: ForwardedCommand) -> None:
+        """Send a command no more; its answer, if one comes, is dropped."""
+        self.forwarded.pop(forwarded.id, None)
+        if forwarded.timer is not None and forwarded.timer.active():
+            forwarded.timer.cancel()
+
+    def on_message(self, member: str, incarnation: int, body: bytes) -> None:
+        """What another gateway sends; what makes no sense is dropped.
+
+        Its sender tries elsewhere in time.
+        """
+        envelope = decode_envelope(body)
+        self.unreachable_since.pop(member, None)
+        if envelope is None:
+            return
+        self.messenger.observe_clock(member, envelope)
+        if envelope.HasField("reply") and envelope.reply.IsInitialized():
+            self._on_reply(member, envelope.reply)
+        elif envelope.HasField("ask") and envelope.ask.IsInitialized():
+            self.receiver.on_ask(member, incarnation, envelope)
+
+    def _send_command(self, forwarded: ForwardedCommand) -> None:
+        now = self.now()
+        command = forwarded.command
+        deadline = command.deadline - RETURN_MARGIN
+        remaining = deadline - now
+        if remaining <= 0:
+            self._on_deadline(forwarded)
+            return
+        remaining_ms = max(remaining // UNITS_PER_MILLISECOND, 1)
+        if forwarded.is_held:  # the other has the rest
+            ask = Ask(id=forwarded.id, volume="", channel="", left=remaining_ms)
+        else:
+            ask = encode_command(command, forwarded.id, remaining_ms, forwarded.hops)
+        peer_deadline = self.messenger.peer_clocks.there(forwarded.owner, deadline, now)
+        if peer_deadline is not None:
+            clock_id, reading = peer_deadline
+            ask.until.whose = clock_id
+            ask.until.at = max(reading, 0)
+        if not self.messenger.send_ask(forwarded.owner, ask):
+            self._on_unreachable(forwarded)
+            return
+        delay = min(self.call_timeout, remaining) / UNITS_PER_SECOND
+        forwarded.timer = self.reactor.callLater(
+            delay, self._on_call_timeout, forwarded
         )
 
-    def asked_again(self, forward: Forward) -> None:
-        """It was not taken: the other could not tell until when. Its clock has come with that."""
-        forward.asked += 1
+    def _on_call_timeout(self, forwarded: ForwardedCommand) -> None:
+        """No answer yet: send it again, unless there was no sign of life."""
+        if forwarded.id not in self.forwarded:
+            return
+        silent_for = self.now() - forwarded.last_heard
+        if silent_for >= MAX_SILENT_CALLS * self.call_timeout:
+            self._on_unreachable(forwarded)
+            return
+        self._send_command(forwarded)
+
+    def _on_resend_requested(self, forwarded: ForwardedCommand) -> None:
+        """The other could not tell the deadline; its clock's reading came with that."""
+        forwarded.resends += 1
         if (
-            forward.asked <= MOST_AT_ONCE
-            and forward.alarm is not None
-            and forward.alarm.active()
+            forwarded.resends <= MAX_IMMEDIATE_RESENDS
+            and forwarded.timer is not None
+            and forwarded.timer.active()
         ):
-            forward.alarm.cancel()
-            self.tell(forward)
-
-    def away(self, forward: Forward) -> None:
-        """Its keeper cannot be reached: this gateway tries to be it; the registers say whether it may."""
-        self.drop(forward)
-        self.count("keeper_away")
-        word = forward.word
-        word.away += (forward.to,)
-        self.silent[forward.to] = self.now()
-        if forward.alarm is not None and isinstance(
-            word.what, (Transfer, Say)
-        ):  # it was told
-            word.answered = doubted(word.answered)
-        self.keep(word)
-
-    def over(self, forward: Forward) -> None:
-        """The client's patience ends: what another gateway may have done with it nobody knows here."""
-        self.drop(forward)
-        if isinstance(forward.word.what, (Open, Look)):
-            forward.word.answered(
-                wire.put_sign(
-                    0,
-                    "declined",
-                    "declined: the keeper did not answer in time",
-                    None,
-                    self.call,
-                )
-            )
+            forwarded.timer.cancel()
+            self._send_command(forwarded)
+
+    def _on_unreachable(self, forwarded: ForwardedCommand) -> None:
+        """This gateway tries to be the owner; the acceptors say whether it may."""
+        self.cancel(forwarded)
+        self.handlers.count("keeper_away")
+        command = forwarded.command
+        command.unreachable_owners += (forwarded.owner,)
+        self.unreachable_since[forwarded.owner] = self.now()
+        was_sent = forwarded.timer is not None
+        if was_sent and isinstance(command.body, (NumberedRequest, ResolveNumber)):
+            command.on_answer = without_rejection(command.on_answer)
+        self.handlers.on_own_command(command)
+
+    def _on_deadline(self, forwarded: ForwardedCommand) -> None:
+        """The client's deadline: nobody here knows what its owner did with it."""
+        self.cancel(forwarded)
+        command = forwarded.command
+        if isinstance(command.body, (OpenChannel, QueryNumber)):
+            text = "declined: the keeper did not answer in time"
+            command.on_answer(self._rejection(text))
         else:
-            forward.word.answered(
-                wire.put_sign(
-                    0, "aborted", "aborted: its keeper did not answer in time"
-                )
-            )
-
-    def drop(self, forward: Forward) -> None:
-        self.out.pop(forward.id, None)
-        if forward.alarm is not None and forward.alarm.active():
-            forward.alarm.cancel()
-
-    def reply(self, member: str, reply: Reply) -> None:
-        forward = self.out.get(reply.id)
-        if forward is None or forward.to != member:
-            return None
-        forward.heard = self.now()
+            text = "aborted: its keeper did not answer in time"
+            command.on_answer(wire.put_sign(0, "aborted", text))
+
+    def _on_reply(self, member: str, reply: Reply) -> None:
+        forwarded = self.forwarded.get(reply.id)
+        if forwarded is None or forwarded.owner != member:
+            return
+        forwarded.last_heard = self.now()
         if reply.held:
-            forward.held = True
-            return None
+            forwarded.is_held = True
+            return
         if reply.again:
-            return self.asked_again(forward)
-        self.drop(forward)
+            self._on_resend_requested(forwarded)
+            return
+        self.cancel(forwarded)
         if reply.HasField("keeper"):
-            if reply.keeper == self.plane.name:
-                return self.keep(forward.word)
-            if reply.keeper in forward.word.away:
-                return forward.word.answered(Elsewhere(reply.keeper, reply.pause))
-            return self.forward(forward.word, reply.keeper, forward.hops + 1)
+            self._on_redirect(forwarded, reply.keeper, reply.pause)
+            return
         try:
-            answer = extensions.dressed(reply.answer, 0)
+            answer: Any = extensions.dressed(reply.answer, 0)
         except MalformedInput:
-            answer = wire.put_sign(
-                0, "aborted", "aborted: the keeper's answer made no sense"
-            )
-        forward.word.answered(answer)
+            text = "aborted: the keeper's answer made no sense"
+            answer = wire.put_sign(0, "aborted", text)
+        forwarded.command.on_answer(answer)
 
-    # Theirs, to us.
+    def _on_redirect(
+        self, forwarded: ForwardedCommand, owner: str, retry_delay: int
+    ) -> None:
+        """The other says who owns the channel."""
+        command = forwarded.command
+        if owner == self.messenger.transport.name:
+            self.handlers.on_own_command(command)
+        elif owner in command.unreachable_owners:
+            command.on_answer(Redirect(owner, retry_delay))
+        else:
+            self.forward(command, owner, forwarded.hops + 1)
 
-    def heard(self, member: str, run: int, body: bytes) -> None:
-        """What another gateway says; what makes no sense is dropped, its teller tries elsewhere in time."""
-        envelope = read_envelope(body)
-        self.silent.pop(member, None)
-        if envelope is None:
-            return None
-        if envelope.HasField("clock") and envelope.clock.IsInitialized():
-            self.clocks.heard(
-                member, envelope.clock.whose, envelope.clock.at, self.now()
-            )
-        if envelope.HasField("reply") and envelope.reply.IsInitialized():
-            return self.reply(member, envelope.reply)
-        if not envelope.HasField("ask") or not envelope.ask.IsInitialized():
-            return None
-        ask = envelope.ask
-        key = (member, run, ask.id)
-        if key in self.others:
-            return self.say(member, self.others[key] or self.still(ask.id))
-        volume = self.volume(ask.volume)
-        if volume is None:
-            return None
-        ends = self.ends_of(envelope)
-        if ends is None:
-            return self.say(member, self.said(reply=Reply(id=ask.id, again=True)))
-        try:
-            word = read_word(
-                ask,
-                volume,
-                f"{member}.{run}.{ask.id}",
-                ends,
-                lambda packet: self.answered(key, packet),
-            )
-        except MalformedInput:
-            return None
-        if self.on_hand >= MOST_ON_HAND:
-            return self.say(
-                member,
-                self.said(
-                    reply=Reply(
-                        id=ask.id,
-                        answer=bare(
-                            wire.put_sign(
-                                0,
-                                "declined",
-                                "declined: its keeper has all the words that it may",
-                                None,
-                                self.call,
-                            )
-                        ),
-                    )
-                ),
-            )
-        self.on_hand += 1
-        self.others[key] = None
-        while len(self.others) > MOST_HEARD:
-            self.others.popitem(last=False)
-        self.say(member, self.still(ask.id))
-        self.own(word, member)
-
-    def ends_of(self, envelope: Envelope) -> int | None:
-        """When another gateway's word is over, on this clock; None where nobody can tell. Guards rule 1 against a word that lay in a
-        cut network, or unread while this process stood: what its client still waited when it was told says nothing of now. Harm: a
-        round trip more for the first word in a while between two gateways. One of an earlier version tells no clock: its words count
-        from when they are read, as they did.
-        """
-        ask, left = envelope.ask, self.now() + envelope.ask.left * 10
-        if (
-            ask.HasField("until")
-            and ask.until.IsInitialized()
-            and ask.until.whose == self.whose
-        ):
-            return min(ask.until.at, left)
-        return None if envelope.HasField("clock") else left
-
-    def answered(self, key: tuple[str, int, int], packet: Any) -> None:
-        self.on_hand -= 1
-        member, _, id = key
-        body = self.said(
-            reply=Reply(id=id, keeper=packet.who, pause=packet.pause)
-            if isinstance(packet, Elsewhere)
-            else Reply(id=id, answer=bare(packet))
-        )
-        if key in self.others:
-            self.others[key] = body
-        self.say(member, body)
+    def _rejection(self, text: str) -> Any:
+        return wire.put_sign(0, "declined", text, None, self.call_timeout)
+
+
+def without_rejection(on_answer: Callable[[Any], None]) -> Callable[[Any], None]:
+    """A callback that turns a later rejection into a failure.
 
-    def still(self, id: int) -> bytes:
-        return self.said(reply=Reply(id=id, held=True))
+    Guards against an untrue rejection: an owner that fell silent may have done the
+    command, or do it yet. Harm: a client that could have heard that nothing was done
+    asks again.
+    """
+
+    def answer(packet: Any) -> None:
+        sign = wire.read_sign(getattr(packet, "language", ""))
+        if sign is not None and sign.word in ("declined", "claim-lost"):
+            text = "aborted: a keeper that fell silent may have done it"
+            packet = wire.put_sign(0, "aborted", text)
+        on_answer(packet)
 
-    def say(self, member: str, body: bytes) -> None:
-        self.plane.send(member, MessageKind.CHANNEL, body)
+    return answer
--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -1,48 +1,93 @@
-"""What was let go, as the way to the boxes sees it."""
+"""A released number, as the way to the nodes sees it."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Protocol
 
-from milletsill.fleet.channels.ordering import Input
+from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.interface import AttemptOutcome
 
-NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE)
+OUTCOMES_WITHOUT_EFFECT = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE)
 
+OnAttemptEnded = Callable[[AttemptOutcome, Any], None]
 
-class Gone:
-    """One number that was let go, as the way to the boxes sees it: whether it may still leave, and whether it may have run."""
 
-    __slots__ = ("offices", "term", "ticket", "ends", "again", "sent", "harmless")
+class LeaseChecker(Protocol):
+    """Whether a lease is held, and the time."""
+
+    @property
+    def now(self) -> Callable[[], int]:
+        """Reads this gateway's clock, in tenths of a millisecond."""
+
+    def holds(self, term: Any) -> bool:
+        """Whether nobody else can hold the lease now."""
+
+
+class ReleasedAttempt:
+    """Whether a released number may still be sent, and whether it may have run.
+
+    Attributes:
+        leases: Tells whether the lease is still held.
+        lease: The lease under which the number was released.
+        idempotency_key: By which nodes know the request again.
+        deadline: When it must be over, on this gateway's clock.
+        is_retry: Whether an earlier attempt may have run.
+        sent: Dispatches to nodes.
+        without_effect: Of these, the ones that came back without having run.
+    """
+
+    __slots__ = (
+        "leases",
+        "lease",
+        "idempotency_key",
+        "deadline",
+        "is_retry",
+        "sent",
+        "without_effect",
+    )
 
     def __init__(
-        self, offices: Any, term: Any, ticket: str, ends: int, again: bool
+        self,
+        leases: LeaseChecker,
+        lease: Any,
+        idempotency_key: str,
+        deadline: int,
+        is_retry: bool,
     ) -> None:
-        self.offices, self.term, self.ticket, self.ends, self.again = (
-            offices,
-            term,
-            ticket,
-            ends,
-            again,
-        )
-        self.sent = self.harmless = 0
-
-    def input(self) -> Input:
-        """What an end without an answer means. Guards against a decline of what may have run. Harm: a rest for nothing."""
-        return Input.NEVER_RAN if self.sent == self.harmless else Input.LOST
-
-    def leaves(self) -> bool:
-        """Guards against a process that stood between the gate and the send: another may keep the channel by now, or its ticket be
-        forgotten. Asked at the last place, also for what waited for a link. Harm: a lawful dispatch is put off.
+        self.leases = leases
+        self.lease = lease
+        self.idempotency_key = idempotency_key
+        self.deadline = deadline
+        self.is_retry = is_retry
+        self.sent = 0
+        self.without_effect = 0
+
+    def event_without_answer(self) -> NumberEvent:
+        """What an end without an answer means.
+
+        Guards against a rejection of what may have run. Harm: a quarantine for nothing.
+        """
+        if self.sent == self.without_effect:
+            return NumberEvent.NEVER_RAN
+        return NumberEvent.ANSWER_LOST
+
+    def may_send(self) -> bool:
+        """Whether it may be sent now; asked at the last place before the socket.
+
+        Guards against a process that stood still between the release and the send:
+        another gateway may own the channel by now, or its idempotency key be forgotten.
+        Harm: a lawful dispatch is put off.
         """
-        return bool(self.offices.holds(self.term)) and self.offices.now() < self.ends
+        return bool(self.leases.holds(self.lease)) and self.leases.now() < self.deadline
 
-    def watched(self, ended: Any) -> Any:
-        """Counts dispatches that came back without having run."""
+    def count_dispatch(self, on_ended: OnAttemptEnded) -> OnAttemptEnded:
+        """Count a dispatch; what is returned is to be called with its end."""
         self.sent += 1
 
-        def heard(outcome: AttemptOutcome, verdict: Any) -> None:
-            self.harmless += outcome in NEVER_RAN
-            ended(outcome, verdict)
+        def count_end(outcome: AttemptOutcome, details: Any) -> None:
+            if outcome in OUTCOMES_WITHOUT_EFFECT:
+                self.without_effect += 1
+            on_ended(outcome, details)
 
-        return heard
+        return count_end
--- a/milletsill/fleet/channels/sequences.py
+++ b/milletsill/fleet/channels/sequences.py
@@ -1,86 +1,99 @@
-"""What a channel's line is made of: transfers that come, numbers that are open or closed, and what the line wants done."""
+"""The numbers of a channel: requests that wait, open numbers, completed ones.
+
+Times are whole tenths of a millisecond on the owner's own clock.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from enum import IntEnum
+
+from milletsill.fleet.channels.access_ranges import AccessRanges
+from milletsill.fleet.channels.commands import ChannelCommand
+from milletsill.fleet.channels.number_states import NumberState
+
+RELEASED_LONG_AGO = -(1 << 60)
+"""When a number was first released, where nobody knows."""
 
-from milletsill.fleet.channels.ordering import Phase, Reaches
 
-SETTLED, STAYED_UNSURE, LEFT_OUT, SUPERSEDED = range(4)  # how a number closed
-LONG_AGO = -(1 << 60)
+class CompletionOutcome(IntEnum):
+    """How a number was completed; values are those of the stored record."""
+
+    SETTLED = 0
+    STAYED_INDETERMINATE = 1
+    SKIPPED = 2
+    SUPERSEDED = 3
 
 
 @dataclass(slots=True)
-class Coming:
-    """A transfer with a number as it comes to the gate. `window`: how long boxes remember its ticket; `ends`: when its client
-    gives up; `asker`: whom to tell, opaque here.
+class PendingRequest:
+    """A numbered request that waits for its release.
+
+    Attributes:
+        number: Its number.
+        claim: The claim under which its client sent it.
+        digest: Equal for requests that do the same.
+        ranges: What it touches.
+        deadline: Until when its client waits.
+        key_window: For how long nodes remember its idempotency key.
+        recipient: The command to answer.
+        batch: Its batch, from 1; 0 where the contract has none.
+        ends_batch: Whether it is the last of its batch.
     """
 
     number: int
     claim: int
     digest: int
-    reaches: Reaches
-    ends: int
-    window: int
-    asker: Any = None
+    ranges: AccessRanges
+    deadline: int
+    key_window: int
+    recipient: ChannelCommand
     batch: int = 0
-    last: bool = False
+    ends_batch: bool = False
 
 
 @dataclass(slots=True)
-class Entry:
-    """A number that is open and known. `since`: when it was first let go; `rests`: until when it may still run; `closes`: until
-    when it is left open for its client to come again, where its end is unsure.
+class OpenSequence:
+    """A number that is open, and of which something is known.
+
+    Attributes:
+        state: Where it stands.
+        digest: Digest of its request.
+        ranges: What its request touches.
+        batch: Its batch; 0 where the contract has none.
+        ends_batch: Whether it is the last of its batch.
+        pending: Its request, while it waits.
+        recipients: The commands to answer when its attempt ends.
+        first_released_at: When it was first released.
+        quarantined_until: Until when an attempt of it may still run; 0 if none may.
+        reserved_until: Until when an indeterminate number is left open for its client
+            to come again.
+        gap_since: Since when it waits for a lower number that is absent.
     """
 
-    phase: Phase
+    state: NumberState
     digest: int
-    reaches: Reaches
+    ranges: AccessRanges
     batch: int = 0
-    last: bool = False
-    coming: Coming | None = None
-    askers: list[Any] = field(default_factory=list)
-    since: int = LONG_AGO
-    rests: int = 0
-    closes: int = 0
-    hole: int | None = None  # since when it stands behind a hole
-
-
-@dataclass(frozen=True, slots=True)
-class Closed:
-    """A number that is over, as it is remembered."""
-
-    how: int
-    code: int
-    digest: int
+    ends_batch: bool = False
+    pending: PendingRequest | None = None
+    recipients: list[ChannelCommand] = field(default_factory=list)
+    first_released_at: int = RELEASED_LONG_AGO
+    quarantined_until: int = 0
+    reserved_until: int = 0
+    gap_since: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class LetGo:
-    """Hand the transfer to the module, under this ticket's turn, until `ends` at the latest."""
+class CompletedSequence:
+    """A completed number, as it is remembered.
 
-    number: int
-    coming: Coming
-    turn: int
-    again: bool
-    ends: int
-
-
-@dataclass(frozen=True, slots=True)
-class Tell:
-    """A word to one asker; `word` as in files/channels.py, or `answer` with a status code. `pause` in tenths of a millisecond."""
-
-    asker: Any
-    word: str
-    number: int | None = None
-    pause: int = 0
-    code: int = 0
-    text: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Claimed:
-    """Tell the asker of an OPEN how the channel stands."""
+    Attributes:
+        outcome: A `CompletionOutcome`; a record of a later version may have others.
+        status_code: Of the node's answer.
+        digest: Digest of its request.
+    """
 
-    asker: Any
+    outcome: int
+    status_code: int
+    digest: int
--- a/milletsill/lab/model_checks/channel_model.py
+++ b/milletsill/lab/model_checks/channel_model.py
@@ -1,32 +1,31 @@
-"""A model of contracts: the very Keeper and Line under every order of events up to a depth, and under chance (sea.py).
+"""A model check of ordered channels, over the program's own owner and sequencer.
 
-    python -m milletsill.lab.model_checks.channel_model [--walks N --steps N --worlds N]
+    python -m milletsill.lab.model_checks.channel_model
+        [--walks N --steps N --worlds N]
 
-After each effect at a box it looks at the contract: the order, none twice, none left out that was never let go; at each word to a
-client and each taking of the office whether what was told as settled is. `MUTANTS` take out one guard each; the tests demand that
-each is found.
+It plays every order of events up to a depth, scripts, and random walks through
+`SimulatedCluster`. After each effect at a node it checks the contract: the order, none
+twice, none left out that was never released; at each answer to a client and each lease
+whether what was reported as settled is. `channel_mutation_checks` takes out one guard
+at a time; the tests demand that each is found.
 """
 
 from __future__ import annotations
 
 import argparse
 import time
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from collections.abc import Sequence
+from dataclasses import dataclass
 from random import Random
-from typing import Any
-from unittest import mock
-
-from milletsill.fleet.channels import ordering
-from milletsill.fleet.channels.channel_owner import Keeper
-from milletsill.fleet.channels.channel_sequencer import Line
-from milletsill.fleet.channels.ordering import Input, Order, Phase, Unsure
-from milletsill.fleet.channels.released_attempts import Gone
-from milletsill.lab.model_checks.channel_simulation import Sea
-
-# How often each kind of event is chosen, by a word of its name; the first that is in it counts.
-WEIGHTS = {
-    "say ": 0.2,
+
+from milletsill.fleet.channels.contracts import ChannelOrder, IndeterminatePolicy
+from milletsill.lab.model_checks.channel_moves import EventPlayer, moves_of
+from milletsill.lab.model_checks.channel_mutation_checks import MUTATIONS, without
+from milletsill.lab.model_checks.channel_scripts import OVERTAKEN, SCRIPTS, STARTS
+from milletsill.lab.model_checks.channel_simulation import SimulatedCluster
+
+EVENT_WEIGHTS = {
+    "resolve ": 0.2,
     " opens": 0.2,
     "claim before": 0.1,
     " to ": 1.5,
@@ -34,9 +33,9 @@
     "lost": 0.15,
     "unheard": 0.15,
     "dispatches": 8.0,
-    "rings": 5.0,
+    "timers fire": 5.0,
     "killed": 0.12,
-    "box runs": 4.0,
+    "node runs": 4.0,
     "answer": 7.0,
     "time-out": 3.0,
     "another": 1.0,
@@ -45,27 +44,10 @@
     "time 500": 0.15,
     "time 1060": 0.25,
 }
+"""How often an event is chosen, by the first of these parts in its name."""
 
-
-def weight(name: str) -> float:
-    return next(each for part, each in WEIGHTS.items() if part in name)
-
-
-# How a channel stands when an exploration begins. OUT: number 1 is at a box. OVER: its keeper is gone and the office is over.
-OPENED = ["k0 opens", "k0 registers done", "k0 registers done"]
-OUT = OPENED + ["1 to k0", "k0 registers done", "k0 dispatches"]
-OVER = OUT + [
-    "k0 killed",
-    "time 500",
-    "time 500",
-    "time 24",
-    "k1 opens",
-    "k1 registers done",
-    "k1 registers done",
-]
-STARTS = {"opened": OPENED, "out": OUT, "over": OVER}
-BUDGET = {
-    "say ": 1,
+EVENT_BUDGET = {
+    "resolve ": 1,
     "claim before": 0,
     "killed": 1,
     "lost": 1,
@@ -76,379 +58,206 @@
     "time 1060": 1,
     "time 120": 1,
 }
+"""How often an event may happen in an exploration, by a part of its name."""
 
+EXPLORED_GATEWAYS = 2
+EXPLORED_NUMBERS = 2
+EXPLORED_DEPTH = 12
+WALK_GATEWAYS = 3
+WALK_NUMBERS = 6
+MUTATION_WALKS = 200
 
-def played(
-    order: Order, unsure: Unsure, start: list[str], path: list[str], numbers: int
-) -> Sea:
-    sea = Sea(order, unsure, 2, numbers)
-    for name in start:
-        sea.do(name)
-    sea.budget = dict(BUDGET)
-    for name in path:
-        sea.do(name)
-    return sea
-
-
-def explore(
-    order: Order, unsure: Unsure, start: str, depth: int, most: int, numbers: int = 2
-) -> tuple[int, int, str | None]:
-    """Every order of events up to a depth after a start, worlds that are alike looked at once, at most so many: worlds, the depth that
-    is whole, and what went wrong.
-    """
-    first = STARTS[start]
-    seen, layer, count = (
-        {played(order, unsure, first, [], numbers).key()},
-        [list[str]()],
-        1,
-    )
-    for level in range(depth):
-        following = []
-        for path in layer:
-            for name in played(order, unsure, first, path, numbers).bounded():
-                sea = played(order, unsure, first, path + [name], numbers)
-                if sea.wrong:
-                    return count, level, f"{', '.join(path + [name])}: {sea.wrong}"
-                key = sea.key()
-                if key in seen:
-                    continue
-                seen.add(key)
-                count += 1
-                if count >= most:
-                    return count, level, None
-                following.append(path + [name])
-        layer = following
-    return count, depth, None
-
-
-def walk(
-    order: Order,
-    unsure: Unsure,
-    steps: int,
-    seed: int,
-    keepers: int = 3,
-    numbers: int = 6,
-) -> tuple[int, str | None, int]:
-    """Chance through a larger world whose clocks drift: steps made, what went wrong, effects seen."""
-    chance = Random(seed)
-    sea = Sea(order, unsure, keepers, numbers, seed)
-    sea.do("k0 opens")
-    for step in range(steps):
-        moves = sea.moves()
-        names = list(moves)
-        sea.events += 1
-        moves[chance.choices(names, [weight(each) for each in names])[0]]()
-        if sea.wrong:
-            return step, f"seed {seed}, step {step}: {sea.wrong}", len(sea.effects)
-        if len(sea.effects) >= numbers:
-            break
-    return steps, None, len(sea.effects)
-
-
-CASES = [(order, unsure) for order in Order for unsure in Unsure]
-
+Case = tuple[ChannelOrder, IndeterminatePolicy]
 
-# Cases that chance finds late, each for a guard; what cannot happen (the guard stands) is left out.
-AGAIN_LATE = [
-    "time 1060",
-    "time 1060",
-    "1 to k0",
-    *3 * ["k0 registers done"],
-    "k0 dispatches",
-    "box runs 0",
-    "box runs 1",
+CASES: list[Case] = [
+    (order, policy) for order in ChannelOrder for policy in IndeterminatePolicy
 ]
-BEHIND = ["2 to k1", "k1 registers done", "k1 dispatches", "box runs 1", "box runs 0"]
-SCRIPTS: dict[str, list[str]] = {
-    "a late run behind a new keeper": OVER
-    + BEHIND[:1]
-    + ["time 24", "k1 rings"]
-    + BEHIND[1:],
-    "a long patience behind a new keeper": OVER
-    + BEHIND[:1]
-    + ["time 120", "k1 rings"]
-    + BEHIND[1:],
-    "a keeper that stood before the send": OUT[:-1]
-    + OVER[len(OUT) + 1 :]
-    + [
-        "2 to k1",
-        "time 120",
-        "k1 rings",
-        "k1 registers done",
-        "k1 dispatches",
-        "box runs 0",
-        "k0 dispatches",
-        "box runs 1",
-    ],
-    "a ticket that is forgotten": OUT
-    + ["box runs 0", "time 500", "time 500", "time-out 0", "time 1060"]
-    + AGAIN_LATE,
-    "a decline that was none": OUT
-    + ["time 500", "time 500", "time-out 0", "box runs 0", "time 1060"]
-    + AGAIN_LATE,
-    "a second try that never left": OUT
-    + [
-        "box runs 0",
-        "time 500",
-        "time 500",
-        "time-out 0",
-        "time 120",
-        "1 to k0",
-        "k0 registers done",
-        "k0 registers done",
-        "time 1060",
-        "k0 dispatches",
-        "k0 registers done",
-    ]
-    + AGAIN_LATE,
-    "a keeper that comes back": OUT
-    + [
-        "box runs 0",
-        "answer 0",
-        "k0 registers done",
-        "time 1060",
-        "k1 opens",
-        "k1 registers done",
-        "k1 registers done",
-        "2 to k1",
-        "k1 registers done",
-        "k1 dispatches",
-        "box runs 0",
-        "box runs 1",
-        "answer 0",
-        "answer 1",
-        "k1 registers done",
-        "time 1060",
-        "k0 opens",
-        "k0 registers done",
-        "k0 registers done",
-        "time 1060",
-        "k1 opens",
-        "k1 registers done",
-    ],
-}
-
-
-# Number 3 stands behind 1 on one extent, 4 goes past it on the other; 3 is declined, and comes back on the extent of 4.
-OVERTAKEN = OUT + [
-    "2 to k0",
-    "k0 registers done",
-    "k0 dispatches",
-    "box runs 1",
-    "answer 1",
-    "k0 registers done",
-    "3 to k0",
-    "4 to k0",
-    "k0 registers done",
-    "k0 dispatches",
-    "box runs 2",
-    "answer 2",
-    "k0 registers done",
-    "time 1060",
-    "time 1060",
-    "time-out 0",
-    "3 becomes another",
-    "time 120",
-    "3 to k0",
-    "k0 registers done",
-    "k0 registers done",
-    "k0 registers done",
-    "k0 dispatches",
-    "box runs 0",
-    "box runs 1",
-]
-
 
-# An office is lost by a write that came to nothing and taken again at once: what was let go under it may still run.
-SCRIPTS["an office lost and taken again"] = OUT + [
-    "k0 opens",
-    "k0 registers lost",
-    "k0 opens",
-    "k0 registers done",
-    "k0 registers done",
-    "2 to k0",
-    "time 120",
-    "k0 rings",
-    "k0 registers done",
-    "k0 dispatches",
-    "box runs 1",
-    "box runs 0",
-]
 
+@dataclass(frozen=True, slots=True)
+class Exploration:
+    """What an exploration came to.
 
-def scripted() -> str | None:
-    """What goes wrong in the scripts, if anything."""
-    for name, script in [*SCRIPTS.items(), ("one that was overtaken", OVERTAKEN)]:
-        sea = Sea(
-            Order.BY_EXTENT if script is OVERTAKEN else Order.EACH_IN_ORDER,
-            Unsure.REST,
-            2,
-            4 if script is OVERTAKEN else 2,
-        )
-        for each in script:
-            sea.do(each)
-        if sea.wrong:
-            return f"{name}: {sea.wrong}"
-    return None
+    Attributes:
+        states: Different states that were reached.
+        depth: The depth to which all orders of events were played.
+        violation: What went wrong, if anything.
+    """
 
+    states: int
+    depth: int
+    violation: str | None = None
 
-def wrong(walks: int, steps: int = 220, cases: Any = CASES) -> str | None:
-    """What goes wrong first, if anything: in the scripts, then by chance."""
-    if found := scripted():
-        return found
-    for seed in range(walks):
-        for order, unsure in cases:
-            found = walk(order, unsure, steps, seed)[1]
-            if found:
-                return f"{order.name} {unsure.name} {found}"
-    return None
 
+@dataclass(frozen=True, slots=True)
+class Walk:
+    """What a random walk came to.
 
-# --- One guard out at a time.
+    Attributes:
+        violation: What went wrong, if anything.
+        effects: Effects at nodes.
+    """
 
+    violation: str | None
+    effects: int
 
-def _never(self: Any, *values: Any) -> None:
-    return None
 
+def weight_of(event: str) -> float:
+    """How often an event is chosen."""
+    return next(weight for part, weight in EVENT_WEIGHTS.items() if part in event)
 
-def _zero(self: Any, *values: Any) -> int:
-    return 0
 
+def play(case: Case, start: Sequence[str], events: Sequence[str]) -> EventPlayer:
+    """A cluster after a start, and then events that count for the budget."""
+    order, policy = case
+    cluster = SimulatedCluster(order, policy, EXPLORED_GATEWAYS, EXPLORED_NUMBERS)
+    player = EventPlayer(cluster)
+    for event in start:
+        player.do(event)
+    player.budget = dict(EVENT_BUDGET)
+    for event in events:
+        player.do(event)
+    return player
 
-def _yes(self: Any, *values: Any) -> bool:
-    return True
 
+def explore(case: Case, start: str, max_depth: int, max_states: int) -> Exploration:
+    """Play every order of events after a start; states that are alike once.
 
-def _no(self: Any, *values: Any) -> bool:
-    return False
+    Args:
+        case: The contract's order and policy.
+        start: Name of one of `STARTS`.
+        max_depth: How many events are played at most.
+        max_states: How many states are reached at most.
+    """
+    first = STARTS[start]
+    seen = {play(case, first, []).fingerprint()}
+    layer: list[list[str]] = [[]]
+    for depth in range(max_depth):
+        following = []
+        for path in layer:
+            for event in play(case, first, path).moves_within_budget():
+                longer = [*path, event]
+                player = play(case, first, longer)
+                violation = player.cluster.violation
+                if violation:
+                    found = f"{', '.join(longer)}: {violation}"
+                    return Exploration(len(seen), depth, found)
+                fingerprint = player.fingerprint()
+                if fingerprint in seen:
+                    continue
+                seen.add(fingerprint)
+                if len(seen) >= max_states:
+                    return Exploration(len(seen), depth)
+                following.append(longer)
+        layer = following
+    return Exploration(len(seen), max_depth)
 
 
-def _nothing(self: Any, *values: Any) -> str:
-    return ""
+def walk(case: Case, steps: int, seed: int) -> Walk:
+    """A random walk through a larger cluster whose clocks drift."""
+    random = Random(seed)
+    order, policy = case
+    cluster = SimulatedCluster(order, policy, WALK_GATEWAYS, WALK_NUMBERS, seed)
+    EventPlayer(cluster).do("g0 opens")
+    for step in range(steps):
+        moves = moves_of(cluster)
+        names = list(moves)
+        cluster.events += 1
+        moves[random.choices(names, [weight_of(each) for each in names])[0]]()
+        effects = len(cluster.checker.effects)
+        if cluster.violation:
+            return Walk(f"seed {seed}, step {step}: {cluster.violation}", effects)
+        if effects >= WALK_NUMBERS:
+            break
+    return Walk(None, len(cluster.checker.effects))
 
 
-def _none_before(line: Line, number: int) -> None:
+def play_scripts() -> str | None:
+    """What goes wrong in the scripts, if anything."""
+    for name, script in SCRIPTS.items():
+        cluster = SimulatedCluster(ChannelOrder.EACH_IN_ORDER, gateways=2, numbers=2)
+        if found := _play_script(cluster, name, script):
+            return found
+    cluster = SimulatedCluster(ChannelOrder.BY_EXTENT, gateways=2, numbers=4)
+    return _play_script(cluster, "one that was overtaken", OVERTAKEN)
+
+
+def _play_script(
+    cluster: SimulatedCluster, name: str, script: Sequence[str]
+) -> str | None:
+    player = EventPlayer(cluster)
+    for event in script:
+        player.do(event)
+    return f"{name}: {cluster.violation}" if cluster.violation else None
+
+
+def find_violation(
+    walks: int, steps: int = 220, cases: Sequence[Case] = tuple(CASES)
+) -> str | None:
+    """What goes wrong first, if anything: in the scripts, then in random walks."""
+    if found := play_scripts():
+        return found
+    for seed in range(walks):
+        for case in cases:
+            violation = walk(case, steps, seed).violation
+            if violation:
+                return f"{_named(case)} {violation}"
     return None
 
 
-def _known_only(line: Line, number: int) -> int | None:
-    """A number that is not here is taken to be of another extent."""
-    reaches = line.entries[number].reaches
-    return next(
-        (
-            each
-            for each, entry in sorted(line.entries.items())
-            if each < number and ordering.meet(entry.reaches, reaches)
-        ),
-        None,
-    )
-
-
-def _go_first(self: Keeper, held: Any) -> None:
-    """What is let go leaves before the record is written."""
-    line = held.line
-    if line.dirty and not held.writing and not held.lost:
-        after, line.after = line.after, []
-        self.do(held, after)
-    _pump(self, held)
-
+def _named(case: Case) -> str:
+    order, policy = case
+    return f"{order.name} {policy.name}"
 
-def _no_rest(self: Line, now: int, rest: int) -> int:
-    return now
 
-
-def _for_ever(self: Line, entry: Any, coming: Any) -> int:
-    return 1 << 60
-
-
-def _own_end(self: Keeper, gone: Any, term: Any) -> int:
-    return int(gone.ends)
-
-
-def _harmless(self: Gone) -> Input:
-    return Input.NEVER_RAN
-
-
-_pump = Keeper.pump
-FREE_AGAIN = {
-    **ordering.PHASE_TABLE,
-    (Phase.OUT, Input.LOST): (Phase.AWAITED, "decline"),
-}
+def _report_explorations(max_states: int) -> None:
+    for case in CASES:
+        for start in STARTS:
+            began = time.perf_counter()
+            result = explore(case, start, EXPLORED_DEPTH, max_states)
+            print(
+                f"{_named(case)} from {start}: every order of {result.depth} events, "
+                f"{result.states} states, {time.perf_counter() - began:.1f} s, "
+                f"{result.violation or 'kept'}"
+            )
 
 
-def without_order(order: Order, made: Callable[..., Any] = _none_before) -> Any:
-    return lambda: mock.patch.dict(ordering.ORDER_TABLE, {order: made})
-
-
-def without_method(owner: Any, name: str, made: Any) -> Any:
-    return lambda: mock.patch.object(owner, name, made)
-
-
-MUTANTS: dict[str, Callable[[], Any]] = {
-    "each in order": without_order(Order.EACH_IN_ORDER),
-    "the newest first": without_order(Order.NEWEST),
-    "order on one extent": without_order(Order.BY_EXTENT),
-    "a number not here may be of any extent": without_order(
-        Order.BY_EXTENT, _known_only
-    ),
-    "one that was overtaken is pinned": without_method(Line, "pin", _never),
-    "a batch after the one before": without_order(Order.BATCHES),
-    "the record before the send": without_method(Keeper, "pump", _go_first),
-    "the rest after an unsure end": without_method(Line, "rested", _no_rest),
-    "a ticket's window": without_method(Line, "window_end", _for_ever),
-    "the office at the last place": without_method(Gone, "leaves", _yes),
-    "nothing outlives its office": without_method(Keeper, "ends_of", _own_end),
-    "an office that was lost runs on": without_method(Keeper, "over", _zero),
-    "what another kept meanwhile": without_method(Keeper, "same", _yes),
-    "a decline only of what cannot have run": without_method(Gone, "input", _harmless),
-    "nor of what was tried before": without_method(Line, "tried_before", _no),
-    "an unsure number is not free": lambda: mock.patch.dict(
-        ordering.PHASE_TABLE, FREE_AGAIN
-    ),
-    "one holds the claim": without_method(Line, "holds", _yes),
-}
+def _report_walks(walks: int, steps: int) -> None:
+    for case in CASES:
+        began = time.perf_counter()
+        results = [walk(case, steps, seed) for seed in range(walks)]
+        effects = sum(each.effects for each in results)
+        violation = next((each.violation for each in results if each.violation), None)
+        print(
+            f"{_named(case)}: {walks} walks of {steps}, {effects} effects, "
+            f"{time.perf_counter() - began:.1f} s, {violation or 'kept'}"
+        )
 
 
-@contextmanager
-def without(guard: str) -> Iterator[None]:
-    """The decisions with one guard out."""
-    with MUTANTS[guard]():
-        yield
+def _report_mutations() -> None:
+    for guard in MUTATIONS:
+        began = time.perf_counter()
+        with without(guard):
+            found = find_violation(MUTATION_WALKS)
+        print(
+            f"without {guard}: {found or 'NOT FOUND'} "
+            f"({time.perf_counter() - began:.1f} s)"
+        )
 
 
 def main() -> None:
+    """Run all checks and print what they come to."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--walks", type=int, default=400)
     parser.add_argument("--steps", type=int, default=300)
     parser.add_argument("--worlds", type=int, default=20_000)
-    given = parser.parse_args()
-    print(f"scripts: {scripted() or 'kept'}")
-    for order, unsure in CASES:
-        for start in STARTS:
-            began = time.perf_counter()
-            count, depth, found = explore(order, unsure, start, 12, given.worlds)
-            print(
-                f"{order.name} {unsure.name} from {start}: every order of {depth} events, {count} worlds, "
-                f"{time.perf_counter() - began:.1f} s, {found or 'kept'}"
-            )
-    for order, unsure in CASES:
-        began, effects, broken = time.perf_counter(), 0, ""
-        for seed in range(given.walks):
-            _, found, seen = walk(order, unsure, given.steps, seed)
-            effects, broken = effects + seen, broken or found or ""
-        print(
-            f"{order.name} {unsure.name}: {given.walks} walks of {given.steps}, {effects} effects, "
-            f"{time.perf_counter() - began:.1f} s, {broken or 'kept'}"
-        )
-    for guard in MUTANTS:
-        began = time.perf_counter()
-        with without(guard):
-            found = wrong(200)
-        print(
-            f"without {guard}: {found or 'NOT FOUND'} ({time.perf_counter() - began:.1f} s)"
-        )
+    options = parser.parse_args()
+    print(f"scripts: {play_scripts() or 'kept'}")
+    _report_explorations(options.worlds)
+    _report_walks(options.walks, options.steps)
+    _report_mutations()
 
 
 if __name__ == "__main__":
--- a/milletsill/lab/plants.py
+++ b/milletsill/lab/plants.py
@@ -15,83 +15,94 @@
 
 
 def same_extent(one: Any, other: Any) -> bool:
-    from milletsill.fleet.channels.ordering import meet
+    from milletsill.fleet.channels.access_ranges import ranges_overlap
 
-    return meet(one.reaches, other.reaches)
+    return ranges_overlap(one.ranges, other.ranges)
 
 
 # By order: which numbers linger, and whether a higher one is ordered after one that does.
 LINGER: dict[str, tuple[Callable[[Any], bool], Follows]] = {
-    "EACH_IN_ORDER": (lambda coming: True, lambda one, other: True),
-    "NEWEST": (lambda coming: True, lambda one, other: True),
-    "BY_EXTENT": (lambda coming: True, same_extent),
-    "BATCHES": (lambda coming: coming.last, lambda one, other: other.batch > one.batch),
+    "EACH_IN_ORDER": (lambda request: True, lambda one, other: True),
+    "NEWEST": (lambda request: True, lambda one, other: True),
+    "BY_EXTENT": (lambda request: True, same_extent),
+    "BATCHES": (
+        lambda request: request.ends_batch,
+        lambda one, other: other.batch > one.batch,
+    ),
 }
 
 
 class Lingering:
-    """One number of each channel of these orders at a time, kept back between its keeper and the module."""
-
-    def __init__(self, keeper: Any, orders: set[str]) -> None:
-        """`keeper` is the class."""
-        self.orders, self.let_go, self.ended = orders, keeper.let_go, keeper.ended
-        self.back: dict[tuple[int, str], tuple[Any, Any, Any, Any]] = {}
-        keeper.let_go = lambda keeper, held, gone: self.goes(keeper, held, gone)
-        keeper.ended = lambda keeper, held, number, input, *rest: self.ends(
-            keeper, held, number, input, *rest
+    """One number of each channel of these orders at a time, kept back between its owner and the module."""
+
+    def __init__(self, owned_channel: Any, orders: set[str]) -> None:
+        """`owned_channel` is the class."""
+        self.orders = orders
+        self.release = owned_channel.release
+        self.on_attempt_ended = owned_channel.on_attempt_ended
+        self.back: dict[tuple[int, str], tuple[Any, Any, Any]] = {}
+        owned_channel.release = lambda channel, release: self.goes(channel, release)
+        owned_channel.on_attempt_ended = lambda channel, number, end: self.ends(
+            channel, number, end
         )
 
-    def goes(self, keeper: Any, held: Any, gone: Any) -> None:
-        order, place = held.line.contract.order.name, (id(keeper), held.key)
+    def goes(self, channel: Any, release: Any) -> None:
+        order = channel.sequencer.contract.order.name
+        place = (id(channel.host), channel.key)
         if (
             order not in self.orders
             or place in self.back
-            or not LINGER[order][0](gone.coming)
+            or not LINGER[order][0](release.request)
         ):
-            return self.let_go(keeper, held, gone)
+            return self.release(channel, release)
         self.back[place] = (
-            keeper,
-            held,
-            gone,
-            keeper.reactor.callLater(LINGERS, self.go_on, place),
+            channel,
+            release,
+            channel.host.reactor.callLater(LINGERS, self.go_on, place),
         )
 
-    def ends(self, keeper: Any, held: Any, number: int, input: Any, *rest: Any) -> None:
-        entry, place = held.line.entries.get(number), (id(keeper), held.key)
-        self.ended(keeper, held, number, input, *rest)
+    def ends(self, channel: Any, number: int, end: Any) -> None:
+        sequence = channel.sequencer.open_sequences.get(number)
+        place = (id(channel.host), channel.key)
+        self.on_attempt_ended(channel, number, end)
         back = self.back.get(place)
         if (
             back is not None
-            and back[1] is held
-            and input.name == "SETTLED"
-            and entry is not None
-            and number > back[2].number
-            and (LINGER[held.line.contract.order.name][1](back[2].coming, entry))
+            and back[0] is channel
+            and end.event.name == "SETTLED"
+            and sequence is not None
+            and number > back[1].number
+            and (
+                LINGER[channel.sequencer.contract.order.name][1](
+                    back[1].request, sequence
+                )
+            )
         ):
             self.go_on(place)
 
     def go_on(self, place: tuple[int, str]) -> None:
-        keeper, held, gone, call = self.back.pop(place)
+        channel, release, call = self.back.pop(place)
         if call.active():
             call.cancel()
-        self.let_go(keeper, held, gone)
+        self.release(channel, release)
 
 
 def linger(*names: str) -> None:
-    from milletsill.fleet.channels.channel_owner import Keeper
+    from milletsill.fleet.channels.owned_channel import OwnedChannel
 
-    Lingering(Keeper, set(names))
+    Lingering(OwnedChannel, set(names))
 
 
 def gate(*names: str) -> Callable[[], None]:
     """Nothing ever stands before a number under these orders."""
 
     def plant() -> None:
-        from milletsill.fleet.channels import ordering
+        from milletsill.fleet.channels.contracts import ChannelOrder
+        from milletsill.fleet.channels.ordering import PREDECESSOR_RULES
 
-        table: Any = ordering.ORDER_TABLE
+        rules: Any = PREDECESSOR_RULES
         for name in names:
-            table[ordering.Order[name]] = lambda line, number: None
+            rules[ChannelOrder[name]] = lambda channel, number: None
         linger(*names)
 
     return plant
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -375,7 +375,7 @@
             if (
                 sending.gate is not None
                 and not sending.over
-                and not sending.gate.leaves()
+                and not sending.gate.may_send()
             ):
                 self.unreach(sending)
             elif not sending.over:
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -12,28 +12,38 @@
 import xxhash
 from prometheus_client import Counter, Gauge
 
-from milletsill.fleet.channels.channel_owner import Keeper
+from milletsill.fleet.channels.access_ranges import AccessRange, AccessRanges
+from milletsill.fleet.channels.channel_owner import (
+    ChannelOwner,
+    ChannelOwnerSettings,
+    ChannelTelemetry,
+)
+from milletsill.fleet.channels.channel_surroundings import AttemptEnd
 from milletsill.fleet.channels.commands import (
-    Elsewhere,
-    Look,
-    Open,
-    Say,
-    Transfer,
-    Word,
+    ChannelCommand,
+    NumberedRequest,
+    OpenChannel,
+    QueryNumber,
+    Redirect,
+    ResolveNumber,
+)
+from milletsill.fleet.channels.contracts import (
+    ChannelOrder,
+    ContractCatalog,
+    ContractOffer,
+    IndeterminatePolicy,
+    OrderingContract,
 )
-from milletsill.fleet.channels.ordering import (
-    PAUSE,
-    Book,
-    Contract,
-    Input,
-    Order,
-    Reach,
-    Reaches,
-    Unsure,
+from milletsill.fleet.channels.effects import Release
+from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
+from milletsill.fleet.channels.number_states import NumberEvent
+from milletsill.fleet.channels.peer_forwarder import (
+    ForwarderHandlers,
+    ForwarderSettings,
+    PeerForwarder,
 )
-from milletsill.fleet.channels.peer_forwarder import Ways
-from milletsill.fleet.channels.released_attempts import Gone
-from milletsill.fleet.channels.sequences import LetGo
+from milletsill.fleet.channels.released_attempts import ReleasedAttempt
+from milletsill.fleet.leases.lease_state import LeaseTerm
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Terms
@@ -51,28 +61,28 @@
 MOST_SENT_ON = 3  # times that a word follows what registers say of the keeper
 
 
-def book_of(file: Any) -> Book:
+def contract_catalog(file: Any) -> ContractCatalog:
     """The operator's contracts."""
     found = []
     for each in file.fleet.channels.contract:
-        contract = Contract(
+        contract = OrderingContract(
             each.name,
             each.version,
-            Order(each.order),
-            Unsure(each.unsure),
+            ChannelOrder(each.order),
+            IndeterminatePolicy(each.unsure),
             round(each.silent_s * 10_000),
             each.most_waiting,
             round(each.hole_ms * 10),
         )
         found.append(
-            (
+            ContractOffer(
                 contract,
                 frozenset(each.volume),
                 frozenset(each.operation),
                 each.chosen_by_client,
             )
         )
-    return Book(found)
+    return ContractCatalog(found)
 
 
 def channels_of(edge: Any, seed: int) -> Channels:
@@ -170,29 +180,28 @@
         )
         self.held = 0
         self.standing: set[Standing] = set()
-        self.book = book_of(edge.file)
-        self.keeper = Keeper(
-            plane.name,
+        self.catalog = contract_catalog(edge.file)
+        self.owner = ChannelOwner(
+            ChannelOwnerSettings(
+                plane.name,
+                edge.host.facts["key_rest"],
+                keeping.most_channels,
+                self.catalog,
+            ),
             edge.reactor,
             edge.now,
             offices,
-            self.book,
-            edge.host.facts["key_rest"],
-            keeping.most_channels,
             self,
-            edge.remark,
-            self.count,
+            ChannelTelemetry(edge.remark, self.count),
         )
-        self.ways = Ways(
+        self.forwarder = PeerForwarder(
+            ForwarderSettings(round(keeping.call_ms * 10), keeping.drift_permille),
             edge.reactor,
             edge.now,
             plane,
-            round(keeping.call_ms * 10),
-            self.forwarded,
-            self.keeper.word,
-            self.volume,
-            self.count,
-            keeping.drift_permille,
+            ForwarderHandlers(
+                self.forwarded, self.owner.handle, self.volume, self.count
+            ),
         )
         # Handles and the marks of words begin by chance. Guards against a gateway that starts again under a run that it had before:
         # its OPEN would pass for an earlier one. Harm: none.
@@ -205,18 +214,18 @@
         self.look_calls = [self.edge.reactor.callLater(LOOK_EVERY, self.look)]
 
     def look(self) -> None:
-        self.keeper.look_round()
-        self.kept.set(len(self.keeper.kept))
+        self.owner.sweep()
+        self.kept.set(len(self.owner.channels))
         self.look_calls[0] = self.edge.reactor.callLater(LOOK_EVERY, self.look)
 
     def drain(self) -> None:
         """SIGTERM: offices are given up as soon as nothing is out under them, and the word of it gets time to leave."""
         self.held += 1
-        self.keeper.drain()
+        self.owner.drain()
         self.drained(0)
 
     def drained(self, quiet: int) -> None:
-        quiet = 0 if self.keeper.kept else quiet + 1
+        quiet = 0 if self.owner.channels else quiet + 1
         if quiet <= QUIET:
             self.look_calls[1:] = [
                 self.edge.reactor.callLater(LEAVE_EVERY, self.drained, quiet)
@@ -233,10 +242,10 @@
         for standing in self.standing:
             standing.late.cancel()
         self.standing.clear()
-        for each in list(self.ways.out.values()):
-            self.ways.drop(each)
-        for held in list(self.keeper.kept.values()):
-            self.keeper.hand_over(held)
+        for each in list(self.forwarder.forwarded.values()):
+            self.forwarder.cancel(each)
+        for channel in list(self.owner.channels.values()):
+            self.owner.hand_over(channel)
         self.offices.stop()
 
     def count(self, word: str) -> None:
@@ -248,7 +257,7 @@
             (
                 each
                 for each in self.edge.atlas.roots.values()
-                if each.name == name and self.book.covers(name)
+                if each.name == name and self.catalog.covers_volume(name)
             ),
             None,
         )
@@ -262,7 +271,7 @@
         said = wire.read_channel(packet)
         if isinstance(said, wire.Opening):
             volume = self.edge.atlas.volume(self.edge.canonical(said.path))
-            if volume is None or not self.book.covers(volume.name):
+            if volume is None or not self.catalog.covers_volume(volume.name):
                 return packets.Status(
                     packet.id,
                     packets.UNSUPPORTED,
@@ -275,15 +284,15 @@
                 packet,
                 volume,
                 said.channel,
-                Open(said.contract, said.version, said.first),
+                OpenChannel(said.contract, said.version, said.first),
             )
         channel = client.channels.get(said.handle)
         if channel is None:
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
         what = (
-            Look(said.number)
+            QueryNumber(said.number)
             if isinstance(said, wire.Asking)
-            else Say(said.number, said.word, channel.claim)
+            else ResolveNumber(said.number, said.word, channel.claim)
         )
         return self.send(client, packet, channel.volume, channel.name, what)
 
@@ -295,7 +304,7 @@
         if channel is None:
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
         path, why = self.path(client, command, channel.volume)
-        if not why and not self.book.takes(
+        if not why and not self.catalog.covers_operation(
             channel.contract, channel.volume.name, OPERATIONS[type(command)]
         ):
             why = f"contract {channel.contract} does not cover this operation: send it without a number"
@@ -313,7 +322,7 @@
             )
         elif isinstance(command, packets.Extended):
             command = extensions.put_fsync(0, bytes_of(path))
-        what = Transfer(
+        what = NumberedRequest(
             said.number,
             channel.claim,
             said.batch,
@@ -367,14 +376,18 @@
         """Put a word on its way to whoever keeps the channel."""
         edge, came = self.edge, client.came()
         operation = (
-            OPERATIONS[type(what.command)] if isinstance(what, Transfer) else "change"
+            OPERATIONS[type(what.command)]
+            if isinstance(what, NumberedRequest)
+            else "change"
         )
         size = (
-            len(getattr(what.command, "data", b"")) if isinstance(what, Transfer) else 0
+            len(getattr(what.command, "data", b""))
+            if isinstance(what, NumberedRequest)
+            else 0
         )
         category = edge.atlas.category(operation, volume, size)
         patience = edge.host.facts["categories"][category]["patience"]
-        own = what.terms.patience * 10 if isinstance(what, Transfer) else 0
+        own = what.terms.patience * 10 if isinstance(what, NumberedRequest) else 0
         ends = came + min(patience, own or patience) - edge.margin
         why = edge.refusal(ends) or (
             "this gateway holds all that it may"
@@ -419,27 +432,33 @@
         self.standing.add(standing)
         self.handles += 1
         token = f"{self.plane.name}.{self.plane.incarnation}.{self.handles}"
-        word = Word(volume, name, ends, what, token, lambda answer: None)
-        word.answered = lambda answer: (
-            self.elsewhere(word, answer)
-            if isinstance(answer, Elsewhere)
+        command = ChannelCommand(volume, name, ends, what, token, lambda answer: None)
+        command.on_answer = lambda answer: (
+            self.redirect(command, answer)
+            if isinstance(answer, Redirect)
             else told(answer)
         )
-        self.place(word)
+        self.place(command)
         return None
 
     def overdue(self, what: Any, told: Callable[[Any], None]) -> None:
         """Patience is over, and nobody has said what became of a word."""
         self.count("overdue")
-        if isinstance(what, (Transfer, Say)):
+        if isinstance(what, (NumberedRequest, ResolveNumber)):
             return told(wire.put_sign(0, "aborted", "aborted: no answer in time"))
-        told(wire.put_sign(0, "declined", "declined: no answer in time", None, PAUSE))
+        told(
+            wire.put_sign(
+                0, "declined", "declined: no answer in time", None, DEFAULT_RETRY_DELAY
+            )
+        )
 
     def opened(
         self, client: Any, volume: Any, name: str, what: Any, answer: Any
     ) -> Any:
         """An OPEN that was answered gets a handle of this connection."""
-        if not isinstance(what, Open) or not isinstance(answer, packets.ExtendedReply):
+        if not isinstance(what, OpenChannel) or not isinstance(
+            answer, packets.ExtendedReply
+        ):
             return answer
         told = wire.read_opened(answer)
         self.handles += 1
@@ -449,69 +468,77 @@
             0, wire.Opened(handle, *[getattr(told, each) for each in OPENED_REST])
         )
 
-    # Where a word goes.
+    # Where a command goes.
 
-    def place(self, word: Word) -> None:
-        """Here, where this gateway keeps the channel or should; else to the one that the view says."""
-        who = (
+    def place(self, command: ChannelCommand) -> None:
+        """Here, where this gateway owns the channel or should; else by the view."""
+        owner = (
             ""
-            if self.keeper.keeps(word.key)
-            else self.offices.preferred_holder(word.key)
+            if self.owner.owns(command.key)
+            else self.offices.preferred_holder(command.key)
         )
-        if who in ("", self.plane.name) or not self.ways.reachable(who):
+        if owner in ("", self.plane.name) or not self.forwarder.is_reachable(owner):
             self.count("kept_here")
-            return self.keeper.word(word)
-        self.ways.forward(word, who)
+            return self.owner.handle(command)
+        self.forwarder.forward(command, owner)
+
+    def redirect(self, command: ChannelCommand, redirect: Redirect) -> None:
+        """The acceptors say that another gateway holds the lease.
 
-    def elsewhere(self, word: Word, told: Elsewhere) -> None:
-        """The registers say that another holds the office. Guards against a word that goes to and fro between one that has it
-        still, going down, and one that may not have it yet. Harm: a client comes back once more.
+        Guards against a command that goes to and fro between one that has it still,
+        going down, and one that may not have it yet. Harm: a client comes back once
+        more.
         """
-        word.sent_on += 1
-        if word.sent_on > MOST_SENT_ON:
-            return word.answered(
+        command.redirects += 1
+        if command.redirects > MOST_SENT_ON:
+            return command.on_answer(
                 wire.put_sign(
                     0,
                     "declined",
-                    f"declined: {told.who} hands the channel over",
+                    f"declined: {redirect.owner} hands the channel over",
                     None,
-                    max(told.pause // 4, PAUSE),
+                    max(redirect.retry_delay // 4, DEFAULT_RETRY_DELAY),
                 )
             )
-        if (
-            told.who in (self.plane.name, *word.away, *self.ways.silent)
-            or told.who not in self.plane.view.by_name
-        ):
-            return word.answered(
+        tried = (
+            self.plane.name,
+            *command.unreachable_owners,
+            *self.forwarder.unreachable_since,
+        )
+        if redirect.owner in tried or redirect.owner not in self.plane.view.by_name:
+            return command.on_answer(
                 wire.put_sign(
                     0,
                     "declined",
-                    f"declined: {told.who} held the channel and is away",
+                    f"declined: {redirect.owner} held the channel and is away",
                     None,
-                    told.pause,
+                    redirect.retry_delay,
                 )
             )
-        self.ways.forward(word, told.who, 1)
+        self.forwarder.forward(command, redirect.owner, 1)
 
-    def forwarded(self, word: Word, member: str) -> None:
-        """Another gateway's word: this one is thought to be the keeper. One that goes down has that one try itself."""
-        if self.keeper.leaving:
-            return word.answered(Elsewhere(member, 0))
-        self.keeper.word(word)
+    def forwarded(self, command: ChannelCommand, member: str) -> None:
+        """Another gateway's command: this one is thought to be the owner.
+
+        One that goes down has the other try to be it.
+        """
+        if self.owner.is_draining:
+            return command.on_answer(Redirect(member, 0))
+        self.owner.handle(command)
 
     def heard(self, member: str, run: int, body: bytes) -> None:
-        """What other gateways say of contracts."""
-        self.ways.heard(member, run, body)
+        """What other gateways say of channels."""
+        self.forwarder.on_message(member, run, body)
 
-    # What a keeper needs of the edge.
+    # What a channel's owner needs of the gateway.
 
-    def reaches(self, what: Transfer) -> Reaches:
-        """What a transfer touches: blocks of an extent's size where it writes there, else the whole object."""
-        command, blocks = what.command, self.edge.atlas.extent_bytes
-        object = xxhash.xxh64_intdigest(bytes_of(what.path))
+    def access_ranges(self, request: NumberedRequest) -> AccessRanges:
+        """What a request touches: blocks of an extent's size where it writes there, else the whole object."""
+        command, blocks = request.command, self.edge.atlas.extent_bytes
+        object = xxhash.xxh64_intdigest(bytes_of(request.path))
         if isinstance(command, packets.Write):
             return (
-                Reach(
+                AccessRange(
                     object,
                     command.offset // blocks,
                     (command.offset + max(len(command.data), 1) - 1) // blocks,
@@ -519,57 +546,75 @@
             )
         if isinstance(command, packets.Rename):
             target = self.edge.canonical(command.target)
-            return Reach(object), Reach(xxhash.xxh64_intdigest(bytes_of(target)))
-        return (Reach(object),)
+            return (
+                AccessRange(object),
+                AccessRange(xxhash.xxh64_intdigest(bytes_of(target))),
+            )
+        return (AccessRange(object),)
 
-    def window(self, word: Word) -> int:
-        """For how long boxes remember the ticket of a transfer."""
-        what = word.what
-        assert isinstance(what, Transfer)
+    def key_window(self, command: ChannelCommand) -> int:
+        """For how long nodes remember the idempotency key of a numbered request."""
+        what = command.body
+        assert isinstance(what, NumberedRequest)
         size = len(getattr(what.command, "data", b""))
         category = self.edge.atlas.category(
-            OPERATIONS[type(what.command)], word.volume, size
+            OPERATIONS[type(what.command)], command.volume, size
         )
         return int(self.edge.host.facts["categories"][category]["repeat_window"])
 
-    def run(self, word: Word, gone: LetGo, term: Any, ends: int, ended: Any) -> None:
-        """To the module, which keeps the seven rules for it as for any other."""
-        what, edge = word.what, self.edge
-        assert isinstance(what, Transfer)
-        spot = Spot(edge.atlas.home(word.volume, what.path), what.path)
+    def run_attempt(
+        self,
+        release: Release,
+        lease: LeaseTerm,
+        deadline: int,
+        on_ended: Callable[[AttemptEnd], None],
+    ) -> None:
+        """To the scheduler, which keeps the seven rules for it as for any other."""
+        command = release.request.recipient
+        volume: Any = command.volume
+        what, edge = command.body, self.edge
+        assert isinstance(what, NumberedRequest)
+        spot = Spot(edge.atlas.home(volume, what.path), what.path)
         by_handle = hasattr(what.command, "handle") or isinstance(
             what.command, packets.Extended
         )
-        opened = Opened(word.volume, what.path, spot) if by_handle else None
-        gate = Gone(
+        opened = Opened(volume, what.path, spot) if by_handle else None
+        attempt = ReleasedAttempt(
             self.offices,
-            term,
-            wire.put_ticket(word.volume.name, word.channel, gone.number, gone.turn),
-            ends,
-            gone.again,
+            lease,
+            wire.put_ticket(
+                command.volume.name,
+                command.channel,
+                release.number,
+                release.key_generation,
+            ),
+            deadline,
+            release.is_retry,
         )
         terms = Terms(0, what.terms.tries, what.terms.mark)
 
         def answered(packet: Any) -> None:
             if running.final == "satisfied":
-                return ended(Input.SETTLED, getattr(packet, "code", 0), 0, packet)
-            ended(gate.input(), 0, edge.host.facts["longest_pause"], packet)
+                code = getattr(packet, "code", 0)
+                return on_ended(AttemptEnd(NumberEvent.SETTLED, code, 0, packet))
+            event = attempt.event_without_answer()
+            on_ended(AttemptEnd(event, 0, edge.host.facts["longest_pause"]))
 
         running = Running(
             edge,
             what.command,
             terms,
-            word.volume,
+            volume,
             what.path,
             opened,
             answered,
             edge.now(),
-            gate,
+            attempt,
         )
         try:
             running.start()
         except InvalidPath:
-            ended(Input.NEVER_RAN, 0, 0, None)
+            on_ended(AttemptEnd(NumberEvent.NEVER_RAN))
 
 
 def final_of(answer: Any) -> str:
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -118,8 +118,8 @@
         if gate is not None:
             # Its end is the office's or its ticket's, which says nothing of when its client first tried.
             self.mark, self.ends, self.repeat = (
-                gate.ticket,
-                min(self.ends, gate.ends),
+                gate.idempotency_key,
+                min(self.ends, gate.deadline),
                 False,
             )
         self.course, self.leg = Course.PLAIN, Leg.HOME
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -452,9 +452,9 @@
             return None
         gate = cargo.gate
         if gate is not None:
-            if not gate.leaves():
+            if not gate.may_send():
                 return None
-            ended = gate.watched(ended)
+            ended = gate.count_dispatch(ended)
         left = max((arrival.deadline - self.now()) // 10, 1)
         return pool.dispatch(
             Order(
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -17,7 +17,7 @@
 
 
 class Fleet(Rig):
-    """Three gateways that keep channels, and the order of effects at the boxes."""
+    """Three gateways that own channels, and the order of effects at the boxes."""
 
     def __init__(self, case, **kind):
         super().__init__(case, **kind)
@@ -100,20 +100,20 @@
             self.case.assertLess(time.monotonic(), ends)
             await later(0.02)
 
-    def gone(self, edge):
-        """As after SIGKILL: no word to anybody, no office given up."""
+    def kill(self, edge):
+        """As after SIGKILL: no message to anybody, no lease given up."""
         edge.channels.offices.release = lambda term: None
         for place in edge.channels.offices.leases.values():
             if place.term is not None:
                 place.term.in_use = True
         edge.stop()
 
-    def keeper(self, key):
+    def owner(self, key):
         return next(
             (
                 each
                 for each in self.edges
-                if each.process.name == "SERVING" and each.channels.keeper.keeps(key)
+                if each.process.name == "SERVING" and each.channels.owner.owns(key)
             ),
             None,
         )
@@ -202,7 +202,7 @@
             (sign(late), wire.read_sign(late.language).number), ("declined", 6)
         )
         self.assertEqual(
-            sum(each.channels.keeper.keeps("hashed/boat") for each in edges), 1
+            sum(each.channels.owner.owns("hashed/boat") for each in edges), 1
         )
         self.assertEqual(rig.traces(), [])
 
@@ -218,13 +218,13 @@
         self.assertEqual(sign(await second.put(1)), packets.OK)
         self.assertEqual(rig.effects, [1])
 
-    async def test_a_keeper_that_is_killed_and_its_channel_goes_on(self):
+    async def test_an_owner_that_is_killed_and_its_channel_goes_on(self):
         rig = Fleet(self)
         edges = await rig.gateways()
         boat = await Boat.open(rig, edges[0])
         self.assertEqual(sign(await boat.put(1)), packets.OK)
-        keeper = rig.keeper("hashed/boat")
-        others = [each for each in edges if each is not keeper]
+        owner = rig.owner("hashed/boat")
+        others = [each for each in edges if each is not owner]
         boat = await Boat.open(rig, others[0])
         rig.boxes[0].silent = rig.boxes[1].silent = rig.boxes[2].silent = (
             True  # number 2 goes out and nobody hears
@@ -233,7 +233,7 @@
         await later(0.1)
         for each in rig.boxes:
             each.silent = False
-        rig.gone(keeper)
+        rig.kill(owner)
         began, done, boat = time.monotonic(), None, None
         while time.monotonic() < began + 12:
             boat = await Boat.open(rig, others[1])
@@ -254,8 +254,8 @@
         )
         self.assertEqual(rig.traces(), [])
 
-    async def test_a_word_that_waits_for_an_office_is_answered_in_time(self):
-        """Registers that say nothing at all: an office that is never had, and a record that never stands."""
+    async def test_a_command_that_waits_for_a_lease_is_answered_in_time(self):
+        """Acceptors that say nothing at all: a lease that is never had, and a record that is never written."""
         rig = Fleet(self)
         edges = await rig.gateways()
         boat = await Boat.open(rig, edges[0])
@@ -316,13 +316,13 @@
         edges = await rig.gateways()
         boat = await Boat.open(rig, edges[0])
         self.assertEqual(sign(await boat.put(1)), packets.OK)
-        keeper = rig.keeper("hashed/boat")
-        keeper.terminate()
-        other = next(each for each in edges if each is not keeper)
+        owner = rig.owner("hashed/boat")
+        owner.terminate()
+        other = next(each for each in edges if each is not owner)
         began = time.monotonic()
         boat = await Boat.open(rig, other)
         self.assertEqual(sign(await boat.put(2)), packets.OK)
-        self.assertLess(time.monotonic() - began, 0.8)  # not only when its office ended
+        self.assertLess(time.monotonic() - began, 0.8)  # not only when its lease ended
         for each in edges:
             if each is not other and each.process.name != "STOPPED":
                 each.stop()
--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -1,4 +1,4 @@
-"""What the audit of the torn fleet found in the ways between gateways, each played by itself."""
+"""What the audit of a torn fleet found in the forwarding gateways gateways, each case by itself."""
 
 import unittest
 from types import SimpleNamespace
@@ -6,83 +6,112 @@
 from twisted.internet.task import Clock
 
 from milletsill.fleet.channels import codec
-from milletsill.fleet.channels.commands import Look, Transfer, Word
-from milletsill.fleet.channels.peer_forwarder import Ways
+from milletsill.fleet.channels.commands import (
+    ChannelCommand,
+    NumberedRequest,
+    QueryNumber,
+)
+from milletsill.fleet.channels.peer_forwarder import (
+    ForwarderHandlers,
+    ForwarderSettings,
+    PeerForwarder,
+)
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
 from milletsill.sftp.extensions import Terms
 
 
-class Found(unittest.TestCase):
-    def answer(self, what, reached):
-        """To a word that went to a keeper which never answers; the registers then say that another keeps the channel."""
+class UnreachableOwners(unittest.TestCase):
+    def answer(self, body, reached):
+        """To a command whose owner never answers; the acceptors then say that another owns the channel."""
         clock, got = Clock(), []
-        ways = Ways(
+        forwarder = PeerForwarder(
+            ForwarderSettings(3000),
             clock,
             lambda: int(clock.seconds() * 10_000),
             SimpleNamespace(name="a", send=lambda *message: reached),
-            3000,
-            lambda word, member: None,
-            lambda word: word.answered(wire.put_sign(0, "declined", "", None, 1000)),
-            lambda name: None,
-            lambda what: None,
+            ForwarderHandlers(
+                lambda command, member: None,
+                lambda command: command.on_answer(
+                    wire.put_sign(0, "declined", "", None, 1000)
+                ),
+                lambda name: None,
+                lambda name: None,
+            ),
         )
         volume = SimpleNamespace(name="v", number=1)
-        ways.forward(Word(volume, "c", 50_000, what, "t", got.append), "b")
+        forwarder.forward(
+            ChannelCommand(volume, "c", 50_000, body, "t", got.append), "b"
+        )
         clock.pump([0.1] * 40)
         self.assertEqual(len(got), 1)
         return got[0].language
 
-    def test_only_what_its_keeper_cannot_have_done_is_declined(self):
-        write = Transfer(
+    def test_only_what_its_owner_cannot_have_done_is_rejected(self):
+        write = NumberedRequest(
             1, 1, 0, False, Terms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
         )
         self.assertEqual(
             (
                 self.answer(write, True),
                 self.answer(write, False),
-                self.answer(Look(1), True),
+                self.answer(QueryNumber(1), True),
             ),
             ("x-aborted", "x-declined-100", "x-declined-100"),
         )
 
-    def test_two_starts_do_not_number_their_words_alike(self):
+    def test_two_starts_do_not_number_their_commands_alike(self):
         made = [
-            Ways(None, None, SimpleNamespace(name="a"), 1, None, None, None, None).ids
+            PeerForwarder(
+                ForwarderSettings(1),
+                None,
+                None,
+                SimpleNamespace(name="a"),
+                ForwarderHandlers(None, None, None, None),
+            ).last_id
             for _ in range(2)
         ]
         self.assertNotEqual(*made)
 
 
-class Between:
-    """Two gateways whose clocks begin apart and run at different rates, and a network that may hold what one of them tells."""
+class TwoGateways:
+    """Their clocks begin apart and run at different rates; the network may hold what one of them sends."""
 
     def __init__(self, rate=1.0):
-        self.clock, self.held, self.holds, self.passed = Clock(), [], set(), 0
+        self.clock = Clock()
+        self.held = []
+        self.holds = set()
+        self.passed = 0
         self.clocks = {
             "a": lambda: int(self.clock.seconds() * 10_000),
             "b": lambda: 7_000_000 + int(self.clock.seconds() * 10_000 * rate),
         }
-        self.volume, self.taken = SimpleNamespace(name="v", number=1), []
-        self.ways = {
-            name: Ways(
+        self.volume = SimpleNamespace(name="v", number=1)
+        self.taken = []
+        self.forwarders = {
+            name: PeerForwarder(
+                ForwarderSettings(100_000, 5),
                 self.clock,
                 now,
                 SimpleNamespace(
                     name=name,
-                    send=lambda to, kind, body, name=name: self.tell(name, to, body),
+                    send=lambda to, kind, body, name=name: self.transmit(
+                        name, to, body
+                    ),
+                ),
+                ForwarderHandlers(
+                    lambda command, member: self.taken.append(
+                        (self.clock.seconds(), command)
+                    ),
+                    lambda command: None,
+                    lambda name: self.volume if name else None,
+                    lambda name: None,
                 ),
-                100_000,
-                lambda word, member: self.taken.append((self.clock.seconds(), word)),
-                lambda word: None,
-                lambda name: self.volume if name else None,
-                lambda what: None,
-                5,
             )
             for name, now in self.clocks.items()
         }
 
-    def tell(self, name, to, body):
+    def transmit(self, name, to, body):
         self.held.append((name, to, body))
         return True
 
@@ -94,15 +123,15 @@
         ):
             self.held.remove(found)
             self.passed += 1
-            self.ways[found[1]].heard(found[0], 1, found[2])
+            self.forwarders[found[1]].on_message(found[0], 1, found[2])
 
-    def say(self, patience):
-        """A transfer at a, whose client waits for so many seconds from now."""
-        write = Transfer(
+    def send(self, patience):
+        """A numbered request at a, whose client waits for so many seconds from now."""
+        write = NumberedRequest(
             1, 1, 0, False, Terms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
         )
-        self.ways["a"].forward(
-            Word(
+        self.forwarders["a"].forward(
+            ChannelCommand(
                 self.volume,
                 "c",
                 self.clocks["a"]() + int(patience * 10_000),
@@ -114,90 +143,96 @@
         )
         return self.clock.seconds() + patience
 
-    def ends(self, word):
-        """When a word that b took is over, on the clock of all."""
-        return (word.ends - self.clocks["b"]()) / (
+    def deadline(self, command):
+        """When a command that b took is over, on the clock of all."""
+        return (command.deadline - self.clocks["b"]()) / (
             self.clocks["b"]() - 7_000_000
         ) * self.clock.seconds() + self.clock.seconds()
 
 
-class OnItsWay(unittest.TestCase):
-    def test_a_word_that_lay_on_its_way_is_over_when_its_client_is(self):
+class CommandsInTransit(unittest.TestCase):
+    def test_a_command_that_lay_on_its_way_is_over_when_its_client_is(self):
         for rate in (0.996, 1.0, 1.004):
             for lay in (0.0, 0.5, 2.0, 20.0):
-                between = Between(rate)
-                between.go(50)
-                between.say(1.0)
-                between.go(0.001)  # the two know each other's clocks
-                between.taken.clear()
-                ends = between.say(1.8)
-                between.holds = {"a"}
-                between.go(lay)
-                between.holds = set()
-                between.go(0)
-                found = [between.ends(word) for _, word in between.taken]
+                gateways = TwoGateways(rate)
+                gateways.go(50)
+                gateways.send(1.0)
+                gateways.go(0.001)  # the two know each other's clocks
+                gateways.taken.clear()
+                ends = gateways.send(1.8)
+                gateways.holds = {"a"}
+                gateways.go(lay)
+                gateways.holds = set()
+                gateways.go(0)
+                found = [gateways.deadline(command) for _, command in gateways.taken]
                 self.assertLessEqual(
                     max(found),
                     ends,
-                    (rate, lay, "the keeper may let it go after its client's patience"),
+                    (rate, lay, "the owner may release it after its client's deadline"),
                 )
                 self.assertGreater(
-                    min(found), ends - 0.05, "cut by more than clocks and ways ask for"
+                    min(found),
+                    ends - 0.05,
+                    "cut by more than clocks and the way ask for",
                 )
 
-    def test_the_first_word_is_taken_when_it_is_known_until_when(self):
-        between = Between()
-        between.go(50)
-        between.holds, ends = {"a"}, between.say(1.8)
-        between.go(1.5)  # it lies on its way; nobody there can know for how long
-        between.holds = set()
-        between.go(0)
-        self.assertEqual(len(between.taken), 1)
-        self.assertLessEqual(between.ends(between.taken[0][1]), ends)
+    def test_the_first_command_is_taken_when_it_is_known_until_when(self):
+        gateways = TwoGateways()
+        gateways.go(50)
+        gateways.holds, ends = {"a"}, gateways.send(1.8)
+        gateways.go(1.5)  # it lies on its way; nobody there can know for how long
+        gateways.holds = set()
+        gateways.go(0)
+        self.assertEqual(len(gateways.taken), 1)
+        self.assertLessEqual(gateways.deadline(gateways.taken[0][1]), ends)
 
     def test_one_that_starts_again_is_told_until_when_on_its_new_clock(self):
-        between = Between()
-        between.go(50)
-        between.say(1.0)
-        between.go(0.001)
-        between.ways[
+        gateways = TwoGateways()
+        gateways.go(50)
+        gateways.send(1.0)
+        gateways.go(0.001)
+        gateways.forwarders[
             "b"
-        ].whose += 1  # another process: what is known of the old clock says nothing
-        between.taken.clear()
-        ends = between.say(1.8)
-        between.go(0.001)
-        self.assertEqual(len(between.taken), 1)
-        self.assertLessEqual(between.ends(between.taken[0][1]), ends)
-
-    def test_two_who_never_agree_on_a_clock_stop_telling_each_other(self):
-        between = Between()
-        between.go(50)
-        between.ways["a"].clocks.there = lambda member, at, now: None
-        between.say(1.8)
-        between.go(0.001)
+        ].messenger.clock_id += (
+            1  # another process: what is known of the old clock says nothing
+        )
+        gateways.taken.clear()
+        ends = gateways.send(1.8)
+        gateways.go(0.001)
+        self.assertEqual(len(gateways.taken), 1)
+        self.assertLessEqual(gateways.deadline(gateways.taken[0][1]), ends)
+
+    def test_two_that_never_agree_on_a_clock_stop_asking_each_other(self):
+        gateways = TwoGateways()
+        gateways.go(50)
+        gateways.forwarders["a"].messenger.peer_clocks.there = lambda member, at, now: (
+            None
+        )
+        gateways.send(1.8)
+        gateways.go(0.001)
         self.assertEqual(
-            (between.taken, between.passed), ([], 8)
+            (gateways.taken, gateways.passed), ([], 8)
         )  # four times, each with its answer, until the next call
 
     def test_a_gateway_of_an_earlier_version_is_heard_as_ever(self):
-        between = Between()
-        between.go(50)
-        told = codec.read_envelope(put(between))
+        gateways = TwoGateways()
+        gateways.go(50)
+        told = codec.decode_envelope(first_message(gateways))
         told.ClearField("clock")
-        between.ways["b"].heard("a", 1, codec.put_envelope(told))
+        gateways.forwarders["b"].on_message("a", 1, codec.encode_envelope(told))
         self.assertEqual(
             [
-                round(between.ends(word) - between.clock.seconds(), 1)
-                for _, word in between.taken
+                round(gateways.deadline(command) - gateways.clock.seconds(), 1)
+                for _, command in gateways.taken
             ],
             [1.8],
         )
 
 
-def put(between):
-    """What a tells b first."""
-    between.say(1.8)
-    return between.held.pop()[2]
+def first_message(gateways):
+    """What a sends b first."""
+    gateways.send(1.8)
+    return gateways.held.pop()[2]
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -75,8 +75,8 @@
     return mark + whole.SerializeToString()
 
 
-def line_told(line):
-    return contracts.put_record(line, 1000)
+def record_of(channel):
+    return contracts.encode_record(channel, 1000)
 
 
 class Recorded(unittest.TestCase):
@@ -101,9 +101,9 @@
         frame = health.decoded(octets["health"])
         self.assertEqual(health.get(frame.difference[0], 0), made.NEWS)
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
-        found = contracts.read_record(octets["record"], 100, 1000, 0)
-        self.assertEqual(line_told(found), line_told(made.line()))
-        told, sent = contracts.read_envelope(octets["envelope"]), made.envelope()
+        found = contracts.decode_record(octets["record"], 100, 1000, 0)
+        self.assertEqual(record_of(found), record_of(made.channel()))
+        told, sent = contracts.decode_envelope(octets["envelope"]), made.envelope()
         self.assertEqual(
             (told.ask.transfer.path, told.ask.transfer.command, told.ask.left),
             (sent.ask.transfer.path, sent.ask.transfer.command, sent.ask.left),
@@ -206,8 +206,8 @@
             len(health.decoded(frame.SerializeToString() + LATER).difference), 0
         )
         for body in (b"X" + LATER, b"", b"C" + b"\xff"):
-            self.assertIsNone(contracts.read_envelope(body))
-        later = contracts.read_envelope(b"C" + LATER)
+            self.assertIsNone(contracts.decode_envelope(body))
+        later = contracts.decode_envelope(b"C" + LATER)
         self.assertFalse(later.HasField("ask") or later.HasField("reply"))
         self.assertEqual(MessageKind.HEALTH.value, 2)  # on the wire
 
--- a/tests/lab/test_planted_faults.py
+++ b/tests/lab/test_planted_faults.py
@@ -7,15 +7,26 @@
 from twisted.internet.task import Clock
 
 from milletsill.fleet.channels import ordering
-from milletsill.fleet.channels.channel_owner import Keeper
-from milletsill.fleet.channels.commands import Open, Transfer, Word
-from milletsill.fleet.channels.ordering import (
-    Book,
-    Contract,
-    Input,
-    Order,
-    Reach,
+from milletsill.fleet.channels.access_ranges import AccessRange
+from milletsill.fleet.channels.channel_owner import (
+    ChannelOwner,
+    ChannelOwnerSettings,
+    ChannelTelemetry,
 )
+from milletsill.fleet.channels.channel_surroundings import AttemptEnd
+from milletsill.fleet.channels.commands import (
+    ChannelCommand,
+    NumberedRequest,
+    OpenChannel,
+)
+from milletsill.fleet.channels.contracts import (
+    ChannelOrder,
+    ContractCatalog,
+    ContractOffer,
+    OrderingContract,
+)
+from milletsill.fleet.channels.number_states import NumberEvent
+from milletsill.fleet.channels.owned_channel import OwnedChannel
 from milletsill.lab.plants import LINGER, LINGERS, PLANTS
 from milletsill.sftp import packets
 from milletsill.sftp.extensions import Terms
@@ -23,82 +34,81 @@
 VOLUME = SimpleNamespace(name="v", number=1)
 
 
-class Way:
-    """What a keeper needs, each with its answer at once; transfers have an effect in the order in which they leave."""
+class Surroundings:
+    """What a channel owner needs, each with its answer at once; transfers have an effect in the order in which they leave."""
 
     def __init__(self, order):
         self.clock, self.effects, self.answers = Clock(), [], []
-        offices = SimpleNamespace(
+        leases = SimpleNamespace(
             holds=lambda term: True,
             write=lambda term, value, wrote: wrote(None),
             acquire=lambda key, got: got(
                 SimpleNamespace(value=b"", expires_at=1 << 40, in_use=False)
             ),
         )
-        book = Book([(Contract("c", 1, order), frozenset(["v"]), frozenset(), False)])
-        self.keeper = Keeper(
-            "a",
+        offer = ContractOffer(OrderingContract("c", 1, order), frozenset(["v"]))
+        self.owner = ChannelOwner(
+            ChannelOwnerSettings("a", 1000, 9, ContractCatalog([offer])),
             self.clock,
             lambda: int(self.clock.seconds() * 10_000),
-            offices,
-            book,
-            1000,
-            9,
+            leases,
             self,
-            lambda *said, **more: None,
-            lambda what: None,
+            ChannelTelemetry(lambda *event, **fields: None, lambda name: None),
         )
-        self.say(Open("c", 1, 0))
+        self.handle(OpenChannel("c", 1, 0))
 
-    def say(self, what):
-        self.keeper.word(
-            Word(
-                VOLUME, "x", 1 << 40, what, f"t{len(self.answers)}", self.answers.append
-            )
+    def handle(self, body):
+        token = f"t{len(self.answers)}"
+        self.owner.handle(
+            ChannelCommand(VOLUME, "x", 1 << 40, body, token, self.answers.append)
         )
 
     def send(self, number, order):
         write = packets.Write(0, b"/v/f", number % 2 * 100, b"%d" % number)
-        batch = (number + 1) // 2 if order is Order.BATCHES else 0
-        self.say(
-            Transfer(
+        batch = (number + 1) // 2 if order is ChannelOrder.BATCHES else 0
+        self.handle(
+            NumberedRequest(
                 number, 1, batch, batch > 0 and number % 2 == 0, Terms(), "/v/f", write
             )
         )
 
-    def reaches(self, what):
-        return (Reach(1, what.number % 2, what.number % 2),)
+    def access_ranges(self, request):
+        return (AccessRange(1, request.number % 2, request.number % 2),)
 
-    def window(self, word):
+    def key_window(self, command):
         return 1 << 30
 
-    def run(self, word, gone, term, ends, ended):
-        self.effects.append(gone.number)
-        self.clock.callLater(0.001, ended, Input.SETTLED, 0, 0, packets.Status(0, 0))
+    def run_attempt(self, release, lease, deadline, on_ended):
+        self.effects.append(release.number)
+        end = AttemptEnd(NumberEvent.SETTLED, 0, 0, packets.Status(0, 0))
+        self.clock.callLater(0.001, on_ended, end)
 
 
 class Planted(unittest.TestCase):
     def effects(self, plant, order):
         with (
-            mock.patch.dict(ordering.ORDER_TABLE),
-            mock.patch.object(Keeper, "let_go", Keeper.let_go),
-            mock.patch.object(Keeper, "ended", Keeper.ended),
+            mock.patch.dict(ordering.PREDECESSOR_RULES),
+            mock.patch.object(OwnedChannel, "release", OwnedChannel.release),
+            mock.patch.object(
+                OwnedChannel, "on_attempt_ended", OwnedChannel.on_attempt_ended
+            ),
         ):
             PLANTS[plant]()
-            way = Way(order)
+            surroundings = Surroundings(order)
             for number in range(1, 7):
-                way.send(number, order)
-                way.clock.advance(0.1)
+                surroundings.send(number, order)
+                surroundings.clock.advance(0.1)
             for _ in range(100):
-                way.clock.advance(LINGERS / 10)
-            return way.effects
+                surroundings.clock.advance(LINGERS / 10)
+            return surroundings.effects
 
     def crossed(self, effects, order):
         """Pairs in which one took effect before another that its contract orders before it."""
         follows = LINGER[order.name][1]
         made = {
             number: SimpleNamespace(
-                reaches=(Reach(1, number % 2, number % 2),), batch=(number + 1) // 2
+                ranges=(AccessRange(1, number % 2, number % 2),),
+                batch=(number + 1) // 2,
             )
             for number in effects
         }
@@ -116,7 +126,7 @@
             ("by-extent", "BY_EXTENT"),
             ("batches", "BATCHES"),
         ):
-            for order in Order:
+            for order in ChannelOrder:
                 effects = self.effects(name, order)
                 self.assertEqual(
                     bool(self.crossed(effects, order)),
@@ -126,7 +136,7 @@
                 self.assertTrue(self.crossed(self.effects("all", order), order))
 
     def test_lingering_alone_is_lawful_and_ends(self):
-        for order in Order:
+        for order in ChannelOrder:
             effects = self.effects("linger", order)
             self.assertEqual(self.crossed(effects, order), [])
             self.assertEqual(
