--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.channels import codec
@@ -25,6 +24,7 @@
 from milletsill.fleet.channels.errors import ChannelRecordUnreadable
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.owned_channel import OwnedChannel
+from milletsill.fleet.channels.timers import TimerScheduler
 from milletsill.fleet.leases.errors import ResourceLimitReached
 from milletsill.fleet.leases.lease_state import LeaseTerm
 
@@ -70,7 +70,7 @@
     def __init__(
         self,
         settings: ChannelOwnerSettings,
-        reactor: Any,
+        reactor: TimerScheduler,
         now: Callable[[], int],
         leases: LeaseService,
         runner: AttemptRunner,
--- a/milletsill/fleet/channels/channel_surroundings.py
+++ b/milletsill/fleet/channels/channel_surroundings.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.channels.access_ranges import AccessRanges
@@ -12,6 +12,7 @@
 from milletsill.fleet.channels.effects import Release
 from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.fleet.leases.lease_state import LeaseTerm
+from milletsill.sftp.packets import Answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +29,7 @@
     event: NumberEvent
     status_code: int = 0
     retry_delay: int = 0
-    packet: Any = None
+    packet: Answer | None = None
 
 
 class AttemptRunner(Protocol):
--- a/milletsill/fleet/channels/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterable
 
+from google.protobuf.internal.containers import RepeatedCompositeFieldContainer
 from google.protobuf.message import DecodeError
 
 from milletsill.fleet.channels.access_ranges import (
@@ -29,7 +30,13 @@
     MAX_REMEMBERED,
 )
 from milletsill.fleet.channels.number_states import NumberState
-from milletsill.fleet.channels.record_pb2 import ContractTerms, Envelope, Record
+from milletsill.fleet.channels.record_pb2 import (
+    ContractTerms,
+    Envelope,
+    Out,
+    ReachOf,
+    Record,
+)
 from milletsill.fleet.channels.sequences import (
     RELEASED_LONG_AGO,
     CompletedSequence,
@@ -213,7 +220,7 @@
         out.since = max(now - sequence.first_released_at, 0)
 
 
-def _open_sequence_from(out: Any, now: int, age: int | None) -> OpenSequence:
+def _open_sequence_from(out: Out, now: int, age: int | None) -> OpenSequence:
     first_released_at = RELEASED_LONG_AGO
     if age is not None and out.HasField("since"):
         first_released_at = now - age - out.since
@@ -227,7 +234,9 @@
     )
 
 
-def _put_ranges(repeated: Any, ranges: AccessRanges) -> None:
+def _put_ranges(
+    repeated: RepeatedCompositeFieldContainer[ReachOf], ranges: AccessRanges
+) -> None:
     for each in ranges:
         if each.last == LAST_BLOCK and each.first == 0:
             repeated.add(object=each.object)
@@ -235,7 +244,7 @@
             repeated.add(object=each.object, first=each.first, last=each.last)
 
 
-def _ranges_from(repeated: Any) -> AccessRanges:
+def _ranges_from(repeated: Iterable[ReachOf]) -> AccessRanges:
     return tuple(
         AccessRange(
             each.object, each.first, each.last if each.HasField("last") else LAST_BLOCK
--- a/milletsill/fleet/channels/command_replies.py
+++ b/milletsill/fleet/channels/command_replies.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.channels.channel_state import ChannelState
@@ -144,7 +143,9 @@
             text=f"declined: {error.what}",
         )
 
-    def send(self, command: ChannelCommand, packet: Any, counted_as: str) -> None:
+    def send(
+        self, command: ChannelCommand, packet: packets.Answer, counted_as: str
+    ) -> None:
         """Answer a command with a packet."""
         self._count(counted_as)
         command.on_answer(packet)
--- a/milletsill/fleet/channels/commands.py
+++ b/milletsill/fleet/channels/commands.py
@@ -7,13 +7,14 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol, cast
 
 import xxhash
 
 from milletsill.fleet.channels.record_pb2 import Ask
 from milletsill.sftp import extensions
 from milletsill.sftp.extensions import Terms
+from milletsill.sftp.packets import Answer, Command
 from milletsill.sftp.wire import bytes_of
 
 
@@ -69,7 +70,7 @@
     ends_batch: bool
     terms: Terms
     path: str
-    command: Any
+    command: Command
 
     def digest(self) -> int:
         """Equal for requests that do the same."""
@@ -78,6 +79,20 @@
         )
 
 
+@dataclass(frozen=True, slots=True)
+class Redirect:
+    """Another gateway owns the channel.
+
+    `retry_delay` is for how long at the most, if nobody hears of it any more.
+    """
+
+    owner: str
+    retry_delay: int
+
+
+AnswerCallback = Callable[[Answer | Redirect], None]
+"""Takes a packet for the client, or the name of the gateway to ask instead."""
+
 CommandBody = OpenChannel | QueryNumber | ResolveNumber | NumberedRequest
 
 
@@ -101,7 +116,7 @@
     deadline: int
     body: CommandBody
     token: str
-    on_answer: Callable[[Any], None]
+    on_answer: AnswerCallback
     unreachable_owners: tuple[str, ...] = ()
     redirects: int = 0
 
@@ -111,17 +126,6 @@
         return f"{self.volume.name}/{self.channel}"
 
 
-@dataclass(frozen=True, slots=True)
-class Redirect:
-    """Another gateway owns the channel.
-
-    `retry_delay` is for how long at the most, if nobody hears of it any more.
-    """
-
-    owner: str
-    retry_delay: int
-
-
 def encode_command(
     command: ChannelCommand, command_id: int, remaining_ms: int, hops: int
 ) -> Ask:
@@ -161,7 +165,7 @@
     volume: Volume,
     token: str,
     deadline: int,
-    on_answer: Callable[[Any], None],
+    on_answer: AnswerCallback,
 ) -> ChannelCommand:
     """A command of another gateway's client.
 
@@ -186,6 +190,6 @@
             sent.last,
             Terms(0, sent.tries, sent.mark),
             sent.path,
-            extensions.dressed(sent.command, 0),
+            cast(Command, extensions.dressed(sent.command, 0)),
         )
     return QueryNumber(ask.look.number)
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.channels import codec
@@ -44,6 +44,7 @@
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.fleet.channels.sequences import PendingRequest
+from milletsill.fleet.channels.timers import Timer, TimerScheduler
 from milletsill.fleet.leases.lease_state import LeaseTerm
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
@@ -60,7 +61,7 @@
 class ChannelHost(Protocol):
     """What an owned channel needs of the gateway's channel owner."""
 
-    reactor: Any
+    reactor: TimerScheduler
     now: Callable[[], int]
     leases: LeaseService
     catalog: ContractCatalog
@@ -80,6 +81,7 @@
     """One channel of which this gateway has the lease.
 
     Attributes:
+        host: The channel owner that it belongs to.
         key: The channel's key.
         lease: The lease under which it is owned.
         sequencer: Its state.
@@ -97,7 +99,7 @@
         "is_writing",
         "is_lost",
         "last_used",
-        "_host",
+        "host",
         "_timer",
         "_timer_at",
         "_fresh_answers",
@@ -110,7 +112,7 @@
         lease: LeaseTerm,
         sequencer: ChannelSequencer,
     ) -> None:
-        self._host = host
+        self.host = host
         self.key = key
         self.lease = lease
         self.sequencer = sequencer
@@ -118,14 +120,10 @@
         self.is_writing = False
         self.is_lost = False
         self.last_used = host.now()
-        self._timer: Any = None
+        self._timer: Timer | None = None
         self._timer_at = 0
-        self._fresh_answers: dict[int, Any] = {}  # whole answers, until they are sent
-
-    @property
-    def host(self) -> ChannelHost:
-        """The channel owner that it belongs to."""
-        return self._host
+        # Whole answers, until they are sent.
+        self._fresh_answers: dict[int, packets.Answer] = {}
 
     def is_current(self, lease: LeaseTerm) -> bool:
         """Whether what is known here is what a lease that was taken anew says.
@@ -144,24 +142,24 @@
     def handle(self, command: ChannelCommand) -> None:
         """Take in one command."""
         if self.is_lost:
-            self._host.replies.reject(command, DEFAULT_RETRY_DELAY)
+            self.host.replies.reject(command, DEFAULT_RETRY_DELAY)
             return
-        now = self._host.now()
+        now = self.host.now()
         self.last_used = now
         try:
             self._apply(now, command)
         except CONTRACT_ERRORS as error:
-            self._host.log(
+            self.host.log(
                 "channel_contract_refused", channel=self.key, **error.log_fields()
             )
-            self._host.replies.report_error(command, error)
+            self.host.replies.report_error(command, error)
         self.pump()
 
     def _apply(self, now: int, command: ChannelCommand) -> None:
         body = command.body
         sequencer = self.sequencer
         if isinstance(body, OpenChannel):
-            declaration = self._host.catalog.resolve(
+            declaration = self.host.catalog.resolve(
                 command.volume.name, body.contract, body.version, body.first_number
             )
             sequencer.open(now, declaration, command.token, command)
@@ -180,9 +178,9 @@
             number=body.number,
             claim=body.claim,
             digest=body.digest(),
-            ranges=self._host.runner.access_ranges(body),
+            ranges=self.host.runner.access_ranges(body),
             deadline=command.deadline,
-            key_window=self._host.runner.key_window(command),
+            key_window=self.host.runner.key_window(command),
             recipient=command,
             batch=body.batch,
             ends_batch=body.ends_batch,
@@ -211,7 +209,7 @@
             return
         self.lease.in_use = bool(sequencer.open_sequences)
         self._set_timer()
-        if self._host.is_draining:
+        if self.host.is_draining:
             self._leave()
 
     def _write_record(self) -> None:
@@ -220,9 +218,9 @@
         sequencer.record_changed = False
         waiting = sequencer.effects_after_write
         sequencer.effects_after_write = []
-        self.record = codec.encode_record(sequencer, self._host.now())
+        self.record = codec.encode_record(sequencer, self.host.now())
         self.lease.in_use = True
-        self._host.leases.write(
+        self.host.leases.write(
             self.lease, self.record, lambda error: self._on_written(waiting, error)
         )
 
@@ -259,7 +257,7 @@
                 self._send_status(effect)
 
     def _send_status(self, effect: ChannelStatus | NumberStatus) -> None:
-        replies = self._host.replies
+        replies = self.host.replies
         if isinstance(effect, ChannelStatus):
             packet = channel_status_packet(self.sequencer)
             replies.send(effect.recipient, packet, COUNTED_CHANNEL_STATUS)
@@ -275,9 +273,9 @@
             packet = self._fresh_answers.get(effect.number or 0) or packets.Status(
                 0, effect.status_code, "remembered"
             )
-            self._host.replies.send(command, packet, effect.kind.value)
+            self.host.replies.send(command, packet, effect.kind.value)
             return
-        self._host.replies.reply(
+        self.host.replies.reply(
             command, effect.kind, effect.number, effect.retry_delay, effect.text
         )
 
@@ -286,11 +284,11 @@
     def release(self, release: Release) -> None:
         """Start an attempt, unless it is too late for it now that the record stands."""
         deadline = self.attempt_deadline(release)
-        if not self._host.leases.holds(self.lease) or self._host.now() >= deadline:
+        if not self.host.leases.holds(self.lease) or self.host.now() >= deadline:
             end = AttemptEnd(NumberEvent.NEVER_RAN, retry_delay=DEFAULT_RETRY_DELAY)
             self.on_attempt_ended(release.number, end)
             return
-        self._host.runner.run_attempt(
+        self.host.runner.run_attempt(
             release,
             self.lease,
             deadline,
@@ -311,10 +309,10 @@
         if self.is_lost:
             self._answer_lost_attempt(number, end)
             return
-        if end.event is NumberEvent.SETTLED:
+        if end.event is NumberEvent.SETTLED and end.packet is not None:
             self._fresh_answers[number] = end.packet
         self.sequencer.on_attempt_ended(
-            self._host.now(), number, end.event, end.status_code, end.retry_delay
+            self.host.now(), number, end.event, end.status_code, end.retry_delay
         )
         self.pump()
 
@@ -328,14 +326,14 @@
         )
         kind = ReplyKind.REJECTED if never_ran else ReplyKind.FAILED
         for command in sequence.recipients:
-            self._host.replies.reply(command, kind, retry_delay=end.retry_delay)
+            self.host.replies.reply(command, kind, retry_delay=end.retry_delay)
 
     # The end of the lease.
 
     def lose(self, retry_delay: int) -> None:
         """The lease is gone: answer what waits; what is in flight when it ends."""
         self.is_lost = True
-        self._host.on_channel_lost(self)
+        self.host.on_channel_lost(self)
         self._set_timer()
         sequencer = self.sequencer
         sequencer.abandon_waiting(retry_delay)
@@ -349,7 +347,7 @@
 
     def _abandon(self, effect: Effect, retry_delay: int) -> None:
         """Answer for an effect whose record may stand or not."""
-        replies = self._host.replies
+        replies = self.host.replies
         if isinstance(effect, Release):  # it never left
             sequence = self.sequencer.open_sequences.pop(effect.number, None)
             kind = ReplyKind.FAILED if effect.is_retry else ReplyKind.REJECTED
@@ -376,13 +374,13 @@
             and not self.is_writing
             and not self.is_lost
         ):
-            self._host.hand_over(self)
+            self.host.hand_over(self)
 
     # Time.
 
     def _set_timer(self) -> None:
         """One timer for the soonest deadline, gap or quarantine."""
-        now = self._host.now()
+        now = self.host.now()
         wakeup = None if self.is_lost else self.sequencer.next_wakeup(now)
         if self._timer is not None and self._timer.active():
             if wakeup == self._timer_at:
@@ -391,9 +389,9 @@
         self._timer = None
         self._timer_at = wakeup or 0
         if wakeup is not None:
-            delay = max(wakeup - self._host.now(), 1) / UNITS_PER_SECOND
-            self._timer = self._host.reactor.callLater(delay, self._on_timer)
+            delay = max(wakeup - self.host.now(), 1) / UNITS_PER_SECOND
+            self._timer = self.host.reactor.callLater(delay, self._on_timer)
 
     def _on_timer(self) -> None:
-        self.sequencer.release_ready(self._host.now())
+        self.sequencer.release_ready(self.host.now())
         self.pump()
--- a/milletsill/fleet/channels/peer_command_receiver.py
+++ b/milletsill/fleet/channels/peer_command_receiver.py
@@ -8,7 +8,6 @@
 
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import Any
 
 from milletsill.errors import MalformedInput
 from milletsill.fleet.channels.commands import (
@@ -21,6 +20,7 @@
 from milletsill.fleet.channels.record_pb2 import Envelope, Reply
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions
+from milletsill.sftp.packets import Answer
 
 MAX_REMEMBERED_COMMANDS = 20_000
 """Commands that are in hand or whose answer is remembered."""
@@ -116,7 +116,7 @@
             return min(int(ask.until.at), by_remaining)
         return None if envelope.HasField("clock") else by_remaining
 
-    def _on_answer(self, key: PeerCommandKey, packet: Any) -> None:
+    def _on_answer(self, key: PeerCommandKey, packet: Answer | Redirect) -> None:
         self._in_hand -= 1
         member, _, message_id = key
         if isinstance(packet, Redirect):
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -10,11 +10,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import SystemRandom
-from typing import Any
+from typing import cast
 
 from milletsill.errors import MalformedInput
 from milletsill.fleet.channels.codec import decode_envelope
 from milletsill.fleet.channels.commands import (
+    AnswerCallback,
     ChannelCommand,
     NumberedRequest,
     OpenChannel,
@@ -27,9 +28,11 @@
 from milletsill.fleet.channels.peer_command_receiver import PeerCommandReceiver
 from milletsill.fleet.channels.peer_messenger import PeerMessenger
 from milletsill.fleet.channels.record_pb2 import Ask, Reply
+from milletsill.fleet.channels.timers import Timer, TimerScheduler
 from milletsill.fleet.transport import FleetTransport
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions
+from milletsill.sftp.packets import Answer
 
 MAX_FORWARDED = 20_000
 """Own commands that wait for another gateway's answer."""
@@ -115,7 +118,7 @@
         self.owner = owner
         self.hops = hops
         self.last_heard = now
-        self.timer: Any = None
+        self.timer: Timer | None = None
         self.is_held = False
         self.resends = 0
 
@@ -126,7 +129,7 @@
     def __init__(
         self,
         settings: ForwarderSettings,
-        reactor: Any,
+        reactor: TimerScheduler,
         now: Callable[[], int],
         transport: FleetTransport,
         handlers: ForwarderHandlers,
@@ -283,7 +286,7 @@
             self._on_redirect(forwarded, reply.keeper, reply.pause)
             return
         try:
-            answer: Any = extensions.dressed(reply.answer, 0)
+            answer = cast(Answer, extensions.dressed(reply.answer, 0))
         except MalformedInput:
             text = "aborted: the keeper's answer made no sense"
             answer = wire.put_sign(0, "aborted", text)
@@ -301,11 +304,11 @@
         else:
             self.forward(command, owner, forwarded.hops + 1)
 
-    def _rejection(self, text: str) -> Any:
+    def _rejection(self, text: str) -> Answer:
         return wire.put_sign(0, "declined", text, None, self.call_timeout)
 
 
-def without_rejection(on_answer: Callable[[Any], None]) -> Callable[[Any], None]:
+def without_rejection(on_answer: AnswerCallback) -> AnswerCallback:
     """A callback that turns a later rejection into a failure.
 
     Guards against an untrue rejection: an owner that fell silent may have done the
@@ -313,7 +316,7 @@
     asks again.
     """
 
-    def answer(packet: Any) -> None:
+    def answer(packet: Answer | Redirect) -> None:
         sign = wire.read_sign(getattr(packet, "language", ""))
         if sign is not None and sign.word in ("declined", "claim-lost"):
             text = "aborted: a keeper that fell silent may have done it"
--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -6,11 +6,13 @@
 from typing import Any, Protocol
 
 from milletsill.fleet.channels.number_states import NumberEvent
+from milletsill.fleet.leases.lease_state import LeaseTerm
 from milletsill.interface import AttemptOutcome
 
 OUTCOMES_WITHOUT_EFFECT = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE)
 
 OnAttemptEnded = Callable[[AttemptOutcome, Any], None]
+"""Takes how an attempt ended, and what the node answered."""
 
 
 class LeaseChecker(Protocol):
@@ -20,7 +22,7 @@
     def now(self) -> Callable[[], int]:
         """Reads this gateway's clock, in tenths of a millisecond."""
 
-    def holds(self, term: Any) -> bool:
+    def holds(self, term: LeaseTerm) -> bool:
         """Whether nobody else can hold the lease now."""
 
 
@@ -50,7 +52,7 @@
     def __init__(
         self,
         leases: LeaseChecker,
-        lease: Any,
+        lease: LeaseTerm,
         idempotency_key: str,
         deadline: int,
         is_retry: bool,
--- a/milletsill/lab/model_checks/channel_gateway.py
+++ b/milletsill/lab/model_checks/channel_gateway.py
@@ -21,6 +21,7 @@
 from milletsill.fleet.channels.contracts import ContractCatalog
 from milletsill.fleet.channels.effects import Release
 from milletsill.fleet.channels.released_attempts import ReleasedAttempt
+from milletsill.sftp import packets
 
 # Tenths of a millisecond, but for the drift: parts of a thousand.
 LEASE_SPAN = 1000
@@ -36,10 +37,17 @@
 CHANNEL_KEY = "v/c"
 
 
+def extent_of(request: NumberedRequest) -> int:
+    """The extent that a request touches: the first octet of its data."""
+    command = request.command
+    assert isinstance(command, packets.Write)
+    return int(command.data[:1])
+
+
 class SimulatedTimer:
     """A timer of a gateway: it is due by the gateway's clock, and fires when let."""
 
-    def __init__(self, at: int, call: Callable[[], None]) -> None:
+    def __init__(self, at: int, call: Callable[[], object]) -> None:
         self.at = at
         self.call = call
         self.is_active = True
@@ -141,7 +149,7 @@
         return self.cluster.now * (1000 + self.rate) // 1000
 
     def callLater(  # noqa: N802 - the reactor's name
-        self, seconds: float, call: Callable[..., None], *values: Any
+        self, seconds: float, call: Callable[..., object], *values: Any
     ) -> SimulatedTimer:
         """Set a timer, as a reactor does."""
         due = self.now() + int(seconds * UNITS_PER_SECOND)
@@ -195,8 +203,8 @@
     # The runner of attempts.
 
     def access_ranges(self, request: NumberedRequest) -> AccessRanges:
-        """The extent is the first octet of the data."""
-        return (AccessRange(int(request.command.data[:1])),)
+        """One extent."""
+        return (AccessRange(extent_of(request)),)
 
     def key_window(self, command: ChannelCommand) -> int:
         """For how long nodes remember an idempotency key."""
@@ -213,6 +221,7 @@
         request = release.request.recipient.body
         assert isinstance(request, NumberedRequest)
         key = f"{release.number}.{release.key_generation}"
-        attempt = ReleasedAttempt(self, lease, key, deadline, release.is_retry)
+        leases: Any = self
+        attempt = ReleasedAttempt(leases, lease, key, deadline, release.is_retry)
         self.cluster.on_released(request)
         self.queue.append(QueuedAttempt(request, release, attempt, on_ended))
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -44,6 +44,7 @@
     RETRY_DELAY,
     PendingAcquire,
     SimulatedGateway,
+    extent_of,
 )
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
@@ -252,7 +253,7 @@
                     f"{number} took effect after the client's word on it was taken"
                 )
             request = dispatch.request
-            self.checker.on_effect(request.number, int(request.command.data[:1]))
+            self.checker.on_effect(request.number, extent_of(request))
         dispatch.is_answered = True
 
     def end(self, dispatch: Dispatch, event: NumberEvent) -> None:
