--- /dev/null
+++ b/tests/fleet/channels/test_channel_settings.py
@@ -0,0 +1,63 @@
+"""What a settings file may say of channels."""
+
+from twisted.trial.unittest import TestCase
+
+from milletsill.settings.load import Lines, Report
+from milletsill.settings.validation import check_gateway
+from tests.support.channel_rig import ChannelFleet
+
+
+class ChannelSettings(TestCase):
+    def test_what_a_file_may_say(self):
+        rig = ChannelFleet(self)
+        file = rig.file
+        file.fleet.address = "127.0.0.1:7711"
+
+        def faults(change):
+            made = type(file)()
+            made.CopyFrom(file)
+            change(made.fleet.channels, made)
+            report = Report("f", Lines(""))
+            check_gateway(made, report)
+            return " | ".join(each.reason for each in report.faults)
+
+        self.assertEqual(faults(lambda keeping, made: None), "")
+        for change, expected_text in (
+            (lambda keeping, made: keeping.register.append("g3"), "4 registers"),
+            (
+                lambda keeping, made: keeping.contract[1].volume.append("free"),
+                "which is FREE",
+            ),
+            (
+                lambda keeping, made: keeping.contract[0].ClearField("volume"),
+                "which is FREE",
+            ),
+            (
+                lambda keeping, made: keeping.contract[0].volume.append("folder"),
+                "covers category 'read', which is rerunnable",
+            ),
+            (
+                lambda keeping, made: setattr(keeping.contract[0], "silent_s", 4),
+                "may be forgotten within",
+            ),
+            (
+                lambda keeping, made: keeping.contract[0].operation.append("read"),
+                "operation 'read' has no number",
+            ),
+            (
+                lambda keeping, made: setattr(keeping.contract[1], "name", "landing"),
+                "stands twice",
+            ),
+            (lambda keeping, made: setattr(keeping, "call_ms", 900), "must hold four"),
+            (
+                lambda keeping, made: setattr(
+                    made.category[2], "repeat_window_ms", 100
+                ),
+                "never be tried again",
+            ),
+            (
+                lambda keeping, made: made.rules.ClearField("key_rest_ms"),
+                "needs rules.key_rest_ms",
+            ),
+        ):
+            self.assertIn(expected_text, faults(change))
--- /dev/null
+++ b/tests/support/channel_rig.py
@@ -0,0 +1,170 @@
+"""Gateways that own channels, nodes and clients in one process on loopback."""
+
+from __future__ import annotations
+
+import time
+
+from milletsill.settings.milletsill_pb2 import Category, ChannelKeeping, Contract, Route
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
+from milletsill.sftp.extensions import Terms
+from tests.support.sftp_gateway_rig import Rig, later
+
+
+class ChannelFleet(Rig):
+    """Three gateways that own channels, and the order of effects at the boxes."""
+
+    def __init__(self, case, **kind):
+        super().__init__(case, **kind)
+        self.effects = []
+        file = self.file
+        file.category.append(
+            Category(
+                name="catch",
+                target_ms=300,
+                patience_ms=3000,
+                repeats="ticketed",
+                group="cell",
+                repeat_window_ms=5000,
+                write=True,
+            )
+        )
+        del file.route[:]
+        file.route.extend(
+            [
+                Route(
+                    operation=["write", "change", "sync"],
+                    volume="hashed",
+                    category="catch",
+                ),
+                Route(category="read"),
+            ]
+        )
+        file.fleet.name, file.fleet.address = "f", "127.0.0.1:0"
+        file.fleet.channels.CopyFrom(
+            ChannelKeeping(
+                register=["g0", "g1", "g2"],
+                office_s=1,
+                call_ms=150,
+                contract=[
+                    Contract(
+                        name="landing",
+                        order=Contract.EACH_IN_ORDER,
+                        volume=["hashed"],
+                        hole_ms=300,
+                    ),
+                    Contract(
+                        name="lots",
+                        order=Contract.BATCHES,
+                        volume=["hashed"],
+                        hole_ms=300,
+                        chosen_by_client=True,
+                    ),
+                ],
+            )
+        )
+        for box in self.boxes:
+            self.record_effects(box)
+
+    def record_effects(self, box):
+        run = box.files.run
+
+        def recording(command):
+            if isinstance(command, packets.Write):
+                self.effects.append(int(command.data[:8]))
+            return run(command)
+
+        box.files.run = recording
+
+    async def gateways(self, count=3):
+        made = [await self.gateway(f"g{each}") for each in range(count)]
+        await self.until(
+            lambda: all(len(each.fleet.view.members) == count for each in made)
+        )
+        return made
+
+    async def gateway(self, name):
+        self.file.fleet.join[:] = [
+            f"127.0.0.1:{each.fleet.ports[0].getHost().port}" for each in self.edges[:1]
+        ]
+        return await self.edge(name, drain_s=1.0)
+
+    async def until(self, true, seconds=8.0):
+        ends = time.monotonic() + seconds
+        while not true():
+            self.case.assertLess(time.monotonic(), ends)
+            await later(0.02)
+
+    def kill(self, edge):
+        """As after SIGKILL: no message to anybody, no lease given up."""
+        edge.channels.offices.release = lambda term: None
+        for place in edge.channels.offices.leases.values():
+            if place.term is not None:
+                place.term.in_use = True
+        edge.stop()
+
+    def owner(self, key):
+        return next(
+            (
+                each
+                for each in self.edges
+                if each.process.name == "SERVING" and each.channels.owner.owns(key)
+            ),
+            None,
+        )
+
+
+class ChannelClient:
+    """A client with a channel."""
+
+    def __init__(self, client, opened, file):
+        self.client, self.opened, self.file = client, opened, file
+
+    @classmethod
+    async def open(
+        cls, rig, edge, name="boat", contract="", path="/h/catch", seconds=6.0
+    ):
+        client, ends = await rig.client(edge), time.monotonic() + seconds
+        while True:  # comes back as it is told to
+            answer = await client.command(
+                wire.put_channel(0, wire.Opening("/h", name, contract))
+            )
+            if (
+                not isinstance(answer, packets.Status)
+                or answer_kind(answer) != "declined"
+                or time.monotonic() > ends
+            ):
+                break
+            await later(min(wire.read_sign(answer.language).pause / 1000, 0.3))
+        if isinstance(answer, packets.Status):
+            return answer
+        return cls(client, wire.read_opened(answer), await client.open(path))
+
+    def put(self, number, batch=0, last=False, mark=None):
+        write = packets.Write(
+            0, self.file, number * 8, b"%08d" % (number if mark is None else mark)
+        )
+        return self.client.command(
+            wire.put_numbered(
+                0,
+                wire.Numbered(
+                    self.opened.handle, number, batch, last, Terms(3000), write
+                ),
+            )
+        )
+
+    async def query(self, number):
+        answer = await self.client.command(
+            wire.put_channel(0, wire.Asking(self.opened.handle, number))
+        )
+        return (
+            wire.read_asked(answer)
+            if isinstance(answer, packets.ExtendedReply)
+            else answer
+        )
+
+
+def answer_kind(answer):
+    """The word of an answer's sign, else its status code."""
+    found = wire.read_sign(answer.language)
+    return found.word if found else answer.code
