--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -44,13 +44,11 @@
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.fleet.channels.sequences import PendingRequest
-from milletsill.fleet.channels.timers import Timer, TimerScheduler
+from milletsill.fleet.channels.timers import UNITS_PER_SECOND, Timer, TimerScheduler
 from milletsill.fleet.leases.lease_state import LeaseTerm
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
 
-UNITS_PER_SECOND = 10_000
-
 RESOLUTION_EVENTS = {
     wire.DONE: NumberEvent.RESOLVED_DONE,
     wire.AGAIN: NumberEvent.RESOLVED_NOT_DONE,
--- a/milletsill/fleet/channels/peer_command_receiver.py
+++ b/milletsill/fleet/channels/peer_command_receiver.py
@@ -16,8 +16,10 @@
     Volume,
     decode_command,
 )
+from milletsill.fleet.channels.effects import ReplyKind
 from milletsill.fleet.channels.peer_messenger import PeerMessenger
 from milletsill.fleet.channels.record_pb2 import Envelope, Reply
+from milletsill.fleet.channels.timers import UNITS_PER_MILLISECOND
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions
 from milletsill.sftp.packets import Answer
@@ -28,8 +30,6 @@
 MAX_IN_HAND = 5000
 """Commands that are not answered yet."""
 
-UNITS_PER_MILLISECOND = 10
-
 PeerCommandKey = tuple[str, int, int]
 """A member's name, its incarnation, and the message's id there."""
 
@@ -87,7 +87,8 @@
             return
         if self._in_hand >= MAX_IN_HAND:
             text = "declined: its keeper has all the words that it may"
-            packet = wire.put_sign(0, "declined", text, None, self._call_timeout)
+            word = ReplyKind.REJECTED.value
+            packet = wire.put_sign(0, word, text, None, self._call_timeout)
             self._reply(member, Reply(id=ask.id, answer=extensions.bare(packet)))
             return
         self._in_hand += 1
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -25,10 +25,16 @@
     Volume,
     encode_command,
 )
+from milletsill.fleet.channels.effects import ReplyKind
 from milletsill.fleet.channels.peer_command_receiver import PeerCommandReceiver
 from milletsill.fleet.channels.peer_messenger import PeerMessenger
 from milletsill.fleet.channels.record_pb2 import Ask, Reply
-from milletsill.fleet.channels.timers import Timer, TimerScheduler
+from milletsill.fleet.channels.timers import (
+    UNITS_PER_MILLISECOND,
+    UNITS_PER_SECOND,
+    Timer,
+    TimerScheduler,
+)
 from milletsill.fleet.transport import FleetTransport
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions
@@ -42,6 +48,9 @@
 
 MAX_HOPS = 3
 
+PROMISES_NO_EFFECT = (ReplyKind.REJECTED.value, ReplyKind.CLAIM_LOST.value)
+"""Signs that say that nothing was done."""
+
 MAX_IMMEDIATE_RESENDS = 3
 """Times that a command is sent again at once, as its owner asked."""
 
@@ -51,9 +60,6 @@
 RETURN_MARGIN = 100
 """What the way back may take."""
 
-UNITS_PER_SECOND = 10_000
-UNITS_PER_MILLISECOND = 10
-
 
 @dataclass(frozen=True, slots=True)
 class ForwarderSettings:
@@ -268,7 +274,7 @@
             command.on_answer(self._rejection(text))
         else:
             text = "aborted: its keeper did not answer in time"
-            command.on_answer(wire.put_sign(0, "aborted", text))
+            command.on_answer(wire.put_sign(0, ReplyKind.FAILED.value, text))
 
     def _on_reply(self, member: str, reply: Reply) -> None:
         forwarded = self.forwarded.get(reply.id)
@@ -289,7 +295,7 @@
             answer = cast(Answer, extensions.dressed(reply.answer, 0))
         except MalformedInput:
             text = "aborted: the keeper's answer made no sense"
-            answer = wire.put_sign(0, "aborted", text)
+            answer = wire.put_sign(0, ReplyKind.FAILED.value, text)
         forwarded.command.on_answer(answer)
 
     def _on_redirect(
@@ -305,7 +311,8 @@
             self.forward(command, owner, forwarded.hops + 1)
 
     def _rejection(self, text: str) -> Answer:
-        return wire.put_sign(0, "declined", text, None, self.call_timeout)
+        word = ReplyKind.REJECTED.value
+        return wire.put_sign(0, word, text, None, self.call_timeout)
 
 
 def without_rejection(on_answer: AnswerCallback) -> AnswerCallback:
@@ -318,9 +325,9 @@
 
     def answer(packet: Answer | Redirect) -> None:
         sign = wire.read_sign(getattr(packet, "language", ""))
-        if sign is not None and sign.word in ("declined", "claim-lost"):
+        if sign is not None and sign.word in PROMISES_NO_EFFECT:
             text = "aborted: a keeper that fell silent may have done it"
-            packet = wire.put_sign(0, "aborted", text)
+            packet = wire.put_sign(0, ReplyKind.FAILED.value, text)
         on_answer(packet)
 
     return answer
--- a/milletsill/fleet/channels/timers.py
+++ b/milletsill/fleet/channels/timers.py
@@ -1,10 +1,13 @@
-"""What channels need of the reactor: timers."""
+"""What channels need of the reactor: timers. Times are tenths of a millisecond."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any, Protocol
 
+UNITS_PER_SECOND = 10_000
+UNITS_PER_MILLISECOND = 10
+
 
 class Timer(Protocol):
     """A call that is due later."""
--- a/milletsill/lab/model_checks/channel_checker.py
+++ b/milletsill/lab/model_checks/channel_checker.py
@@ -50,7 +50,7 @@
         """A client hears that a number is settled."""
         self.reported_settled.add(number)
         if number not in self.resolved and not self.has_effect(number):
-            self.fail(f"{number} was told as settled and has no effect")
+            self.fail(f"{number} was reported as settled and has no effect")
 
     def on_record_written(self, record: bytes, quarantine: int) -> None:
         """A record is at a majority."""
@@ -68,7 +68,7 @@
                 completed is not None and completed.outcome != CompletionOutcome.SETTLED
             ):
                 self.fail(
-                    f"{number} was told as settled, and the record does not know it"
+                    f"{number} was reported as settled, and the record does not know it"
                 )
 
     def on_effect(self, number: int, extent: int) -> None:
--- a/milletsill/lab/model_checks/channel_gateway.py
+++ b/milletsill/lab/model_checks/channel_gateway.py
@@ -21,6 +21,7 @@
 from milletsill.fleet.channels.contracts import ContractCatalog
 from milletsill.fleet.channels.effects import Release
 from milletsill.fleet.channels.released_attempts import ReleasedAttempt
+from milletsill.fleet.channels.timers import UNITS_PER_SECOND
 from milletsill.sftp import packets
 
 # Tenths of a millisecond, but for the drift: parts of a thousand.
@@ -33,7 +34,6 @@
 
 MAX_CHANNELS = 100
 RETRY_DELAY = 10
-UNITS_PER_SECOND = 10_000
 CHANNEL_KEY = "v/c"
 
 
