--- a/milletsill/gateway/scheduler_host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from milletsill.deployment_config import DeploymentConfig
 from milletsill.errors import error_location
 from milletsill.gateway.active_requests import (
     ActiveAttempt,
@@ -27,14 +28,16 @@
     AttemptResult,
     Endpoint,
     EndpointUpdateKind,
-    Facts,
+    QuotaKind,
     Request,
     SchedulerEffects,
     SchedulerEvents,
 )
 
 NEVER = 1 << 60
-SchedulerFactory = Callable[[Facts, int, int, SchedulerEffects], SchedulerEvents]
+SchedulerFactory = Callable[
+    [DeploymentConfig, int, int, SchedulerEffects], SchedulerEvents
+]
 AttemptListener = Callable[[int, Request, AttemptResult], None]
 
 
@@ -73,13 +76,13 @@
         self,
         reactor: DelayedCalls,
         now: Callable[[], int],
-        facts: Facts,
+        config: DeploymentConfig,
         seed: int,
         make_scheduler: SchedulerFactory,
         callbacks: HostCallbacks,
     ) -> None:
         self.now = now
-        self.facts = facts
+        self.config = config
         self.start_attempt = callbacks.start_attempt
         self.watch_endpoints = callbacks.watch_endpoints
         self.log = callbacks.log
@@ -92,7 +95,7 @@
         self.last_dispatch_at = 0
         self.max_decision_age = NEVER
         self.on_attempt_ended: AttemptListener = ignore_attempt
-        self.scheduler = make_scheduler(facts, seed, now(), self)
+        self.scheduler = make_scheduler(config, seed, now(), self)
 
     # Called by the gateway.
 
@@ -129,7 +132,7 @@
         self.dispatch_soon()
 
     def on_quota_share(
-        self, what: str, id: int, share: float | None, ends: int, after: float
+        self, what: QuotaKind, id: int, share: float | None, ends: int, after: float
     ) -> None:
         """Pass this gateway's share of a quota on."""
         self.scheduler.on_quota_share(self.now(), what, id, share, ends, after)
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -184,7 +184,7 @@
         self.owner = ChannelOwner(
             ChannelOwnerSettings(
                 plane.name,
-                edge.host.facts["key_rest"],
+                edge.host.config.key_quarantine,
                 keeping.most_channels,
                 self.catalog,
             ),
@@ -386,7 +386,7 @@
             else 0
         )
         category = edge.atlas.category(operation, volume, size)
-        patience = edge.host.facts["categories"][category]["patience"]
+        patience = edge.host.config.request_classes[category].client_timeout
         own = what.terms.patience * 10 if isinstance(what, NumberedRequest) else 0
         ends = came + min(patience, own or patience) - edge.margin
         why = edge.refusal(ends) or (
@@ -400,7 +400,7 @@
                 "declined",
                 f"declined: {why}",
                 None,
-                edge.host.facts["longest_pause"],
+                edge.host.config.max_retry_after,
             )
         standing = Standing(packet, volume, category, client.octets, came)
         client.out[packet.id] = standing
@@ -560,7 +560,7 @@
         category = self.edge.atlas.category(
             OPERATIONS[type(what.command)], command.volume, size
         )
-        return int(self.edge.host.facts["categories"][category]["repeat_window"])
+        return self.edge.host.config.request_classes[category].retry_window
 
     def run_attempt(
         self,
@@ -598,7 +598,7 @@
                 code = getattr(packet, "code", 0)
                 return on_ended(AttemptEnd(NumberEvent.SETTLED, code, 0, packet))
             event = attempt.event_without_answer()
-            on_ended(AttemptEnd(event, 0, edge.host.facts["longest_pause"]))
+            on_ended(AttemptEnd(event, 0, edge.host.config.max_retry_after))
 
         running = Running(
             edge,
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -85,7 +85,7 @@
 
     async def gateway(self, name):
         self.file.fleet.join[:] = [
-            f"127.0.0.1:{each.fleet.ports[0].getHost().port}" for each in self.edges[:1]
+            each.fleet.view.by_name[each.fleet.name].address for each in self.edges[:1]
         ]
         return await self.edge(name, drain_s=1.0)
 
