--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -152,7 +152,9 @@
         clock.kill(victim)
 
         def seen() -> float:
-            views = [each.member.state.table.entries.get(victim) for each in clock.live()]
+            views = [
+                each.member.state.table.entries.get(victim) for each in clock.live()
+            ]
             return sum(each is None or not each.in_view for each in views) / len(views)
 
         found = []
--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -26,7 +26,7 @@
 from milletsill.fleet.channels.owned_channel import OwnedChannel
 from milletsill.fleet.channels.timers import TimerScheduler
 from milletsill.fleet.leases.errors import ResourceLimitReached
-from milletsill.fleet.leases.lease_state import LeaseTerm
+from milletsill.fleet.leases.lease_term import LeaseTerm
 
 MAX_WAITING_FOR_LEASE = 256
 """Commands of one channel that wait while its lease is acquired."""
--- a/milletsill/fleet/channels/channel_surroundings.py
+++ b/milletsill/fleet/channels/channel_surroundings.py
@@ -6,12 +6,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from milletsill.errors import MilletsillError
 from milletsill.fleet.channels.access_ranges import AccessRanges
 from milletsill.fleet.channels.commands import ChannelCommand, NumberedRequest
 from milletsill.fleet.channels.effects import Release
 from milletsill.fleet.channels.number_states import NumberEvent
-from milletsill.fleet.leases.lease_state import LeaseTerm
+from milletsill.fleet.leases.lease_term import LeaseTerm, OnAcquired, OnWritten
 from milletsill.sftp.packets import Answer
 
 
@@ -52,20 +51,13 @@
 
 
 class LeaseService(Protocol):
-    """What channels need of the lease manager."""
+    """What channels need of the lease manager; keys are those of channels."""
 
-    def acquire(
-        self, channel: str, then: Callable[[LeaseTerm | MilletsillError], None]
-    ) -> None:
-        """Become the channel's owner, or renew; `then` gets the lease or why not."""
+    def acquire(self, key: str, on_acquired: OnAcquired) -> None:
+        """Become the channel's owner, or renew; hears the lease, or why not."""
 
-    def write(
-        self,
-        term: LeaseTerm,
-        value: bytes,
-        then: Callable[[MilletsillError | None], None],
-    ) -> None:
-        """Write the channel's record; `then` gets None once a majority has it."""
+    def write(self, term: LeaseTerm, value: bytes, on_written: OnWritten) -> None:
+        """Write the channel's record; hears None once a majority has it."""
 
     def holds(self, term: LeaseTerm) -> bool:
         """Whether nobody else can be the channel's owner now."""
@@ -73,5 +65,5 @@
     def release(self, term: LeaseTerm) -> None:
         """Give a lease up: another may own the channel at once."""
 
-    def preferred_holder(self, channel: str) -> str:
+    def preferred_holder(self, key: str) -> str:
         """Which gateway should own a channel; empty where nobody knows."""
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -45,7 +45,7 @@
 from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.fleet.channels.sequences import PendingRequest
 from milletsill.fleet.channels.timers import UNITS_PER_SECOND, Timer, TimerScheduler
-from milletsill.fleet.leases.lease_state import LeaseTerm
+from milletsill.fleet.leases.lease_term import LeaseTerm
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
 
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -219,11 +219,11 @@
             ask = Ask(id=forwarded.id, volume="", channel="", left=remaining_ms)
         else:
             ask = encode_command(command, forwarded.id, remaining_ms, forwarded.hops)
-        peer_deadline = self.messenger.peer_clocks.there(forwarded.owner, deadline, now)
+        peer_clocks = self.messenger.peer_clocks
+        peer_deadline = peer_clocks.to_remote(forwarded.owner, deadline, now)
         if peer_deadline is not None:
-            clock_id, reading = peer_deadline
-            ask.until.whose = clock_id
-            ask.until.at = max(reading, 0)
+            ask.until.whose = peer_deadline.clock_id
+            ask.until.at = max(peer_deadline.reading, 0)
         if not self.messenger.send_ask(forwarded.owner, ask):
             self._on_unreachable(forwarded)
             return
--- a/milletsill/fleet/channels/peer_messenger.py
+++ b/milletsill/fleet/channels/peer_messenger.py
@@ -47,7 +47,7 @@
         """Learn what a member's clock reads from its message."""
         if envelope.HasField("clock") and envelope.clock.IsInitialized():
             clock = envelope.clock
-            self.peer_clocks.heard(member, clock.whose, clock.at, self.now())
+            self.peer_clocks.on_reading(member, clock.whose, clock.at, self.now())
 
     def _clock(self) -> Clock:
         return Clock(whose=self.clock_id, at=self.now())
--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from milletsill.fleet.channels.number_states import NumberEvent
-from milletsill.fleet.leases.lease_state import LeaseTerm
+from milletsill.fleet.leases.lease_term import LeaseTerm
 from milletsill.interface import AttemptOutcome
 
 OUTCOMES_WITHOUT_EFFECT = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE)
--- a/milletsill/lab/model_checks/channel_acceptors.py
+++ b/milletsill/lab/model_checks/channel_acceptors.py
@@ -70,8 +70,8 @@
     def settle_write(self, now: int, pending: PendingWrite, fate: str) -> None:
         """Accept or refuse a record; `fate` is that of the holder's messages."""
         lease = pending.lease
-        if fate == "lost" or lease.over or lease.index != self.lease_index:
-            lease.over = True
+        if fate == "lost" or lease.is_ended or lease.index != self.lease_index:
+            lease.is_ended = True
             pending.then(BallotSuperseded("lost or late", CHANNEL_KEY, RETRY_DELAY))
             return
         if pending.value != self.record:
@@ -80,7 +80,7 @@
             self.checker.on_record_written(self.record, QUARANTINE)
         self.held_until = max(self.held_until, _refused_until(now))
         if fate == "unheard":
-            lease.over = True
+            lease.is_ended = True
             pending.then(BallotSuperseded("unheard", CHANNEL_KEY, RETRY_DELAY))
             return
         lease.expires_at = max(lease.expires_at, _expires_at(pending.sent_at))
--- a/milletsill/lab/model_checks/channel_gateway.py
+++ b/milletsill/lab/model_checks/channel_gateway.py
@@ -71,7 +71,7 @@
         self.value = value
         self.value_age = value_age
         self.index = index
-        self.over = False
+        self.is_ended = False
         self.in_use = False
         self.key = CHANNEL_KEY
 
@@ -193,11 +193,11 @@
 
     def holds(self, lease: SimulatedLease) -> bool:
         """Whether a lease is held, by this gateway's clock."""
-        return not lease.over and self.now() < lease.expires_at
+        return not lease.is_ended and self.now() < lease.expires_at
 
     def release(self, lease: SimulatedLease) -> None:
         """Give a lease up."""
-        lease.over = True
+        lease.is_ended = True
         self.cluster.on_lease_released((self.name, self.incarnation))
 
     # The runner of attempts.
--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -205,8 +205,8 @@
     def test_two_that_never_agree_on_a_clock_stop_asking_each_other(self):
         gateways = TwoGateways()
         gateways.go(50)
-        gateways.forwarders["a"].messenger.peer_clocks.there = lambda member, at, now: (
-            None
+        gateways.forwarders["a"].messenger.peer_clocks.to_remote = (
+            lambda member, at, now: None
         )
         gateways.send(1.8)
         gateways.go(0.001)
