--- a/milletsill/lab/hunt/list_world.py
+++ b/milletsill/lab/hunt/list_world.py
@@ -21,17 +21,32 @@
 
 from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness
 from milletsill.lab.hunt.decide import Event
-from milletsill.registry import endpoint_cache, endpoint_view, registry_watcher
-from milletsill.registry.endpoint_view import Box, Cue, Stage, View, box_of
+from milletsill.registry import (
+    endpoint_cache,
+    endpoint_cache_writer,
+    registry_watcher,
+    watch_state,
+)
+from milletsill.registry.endpoint_view import EndpointView
+from milletsill.registry.registered_node import RegisteredNode, parse_registered_node
+from milletsill.registry.watch_state import (
+    WATCHER_TABLE,
+    WatcherEffect,
+    WatcherEvent,
+    WatcherState,
+)
 
 PREFIX, KEYS, LASTS, CALM = "b/", 8, 45.0, 90.0  # seconds
-LINK = SimpleNamespace(
+CONFIG = registry_watcher.RegistryConfig(
     address="127.0.0.1:1",
     prefix=PREFIX,
-    most_boxes=1024,
-    connect_ms=500,
-    call_ms=1000,
-    most_line=1 << 22,
+    gateway="g",
+    call_timeout=1.0,
+    connect_timeout=0.5,
+    max_line=1 << 22,
+    max_nodes=1024,
+    warm_after=0,
+    cache_path="list",
 )
 
 
@@ -109,7 +124,7 @@
         self.watching: dict[Connection, None] = {}
         self.calls: list[Connection] = []
         self.away = self.hangs = 0.0
-        self.kept: tuple[dict[str, Box], int] = ({}, 0)
+        self.kept: tuple[dict[str, RegisteredNode], int] = ({}, 0)
         self.wrong: str | None = None
         self.follower: Any = None
         self.begin()
@@ -135,20 +150,17 @@
             if start == self.starts:
                 self.hear(news, entries)
 
-        self.follower = registry_watcher.Follower(
+        self.follower = registry_watcher.RegistryWatcher(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000),
-            LINK,
-            0,
-            "list",
-            hear,
-            lambda boxes: None,
-            lambda text: None,
-            "g",
+            CONFIG,
+            registry_watcher.RegistryCallbacks(
+                hear, lambda nodes: None, lambda text: None
+            ),
             chance.uniform,
             self.clock.seconds,
         )
-        self.follower.agent = SimpleNamespace(request=self.call)
+        self.follower.client.agent = SimpleNamespace(request=self.call)
         self.follower.start()
 
     def hear(self, news: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
@@ -186,7 +198,7 @@
 
     def ask(self, start: int) -> None:
         if start == self.starts:
-            self.follower.ask()
+            self.follower.request_watch()
 
     # The registry.
 
@@ -348,7 +360,8 @@
         if self.wrong:
             return self.wrong
         there = {
-            key: box_of(json.loads(value)) for key, (value, _) in self.held.items()
+            key: parse_registered_node(json.loads(value))
+            for key, (value, _) in self.held.items()
         }
         if self.follower.view.by_key != there:
             return f"the view has {sizes(self.follower.view.by_key)}, the registry {sizes(there)}"
@@ -375,8 +388,8 @@
 @contextmanager
 def restored_unseen() -> Iterator[None]:
     with (
-        mock.patch.object(registry_watcher, "other_past", lambda *_: False),
-        mock.patch.object(endpoint_view, "other_past", lambda *_: False),
+        mock.patch.object(registry_watcher, "was_restored", lambda *_: False),
+        mock.patch.object(watch_state, "was_restored", lambda *_: False),
     ):
         yield
 
@@ -384,29 +397,43 @@
 # One guard out at a time, as hunts must find it.
 MUTANTS: dict[str, Callable[[], Any]] = {
     "what is compacted asks for the whole list": lambda: mock.patch.dict(
-        endpoint_view.FOLLOW_TABLE,
+        WATCHER_TABLE,
         {
-            (Stage.WATCHING, Cue.COMPACTED): (Stage.WATCHING, ""),
-            (Stage.JOINING, Cue.COMPACTED): (Stage.WATCHING, ""),
+            (WatcherState.WATCHING, WatcherEvent.COMPACTED): (
+                WatcherState.WATCHING,
+                WatcherEffect.NONE,
+            ),
+            (WatcherState.OPENING, WatcherEvent.COMPACTED): (
+                WatcherState.WATCHING,
+                WatcherEffect.NONE,
+            ),
         },
     ),
     "a broken watch is told": lambda: mock.patch.dict(
-        endpoint_view.FOLLOW_TABLE, {(Stage.WATCHING, Cue.FAIL): (Stage.WATCHING, "")}
+        WATCHER_TABLE,
+        {
+            (WatcherState.WATCHING, WatcherEvent.FAILED): (
+                WatcherState.WATCHING,
+                WatcherEffect.NONE,
+            )
+        },
     ),
     "a silent watch is found": lambda: mock.patch.object(
-        registry_watcher, "missed", lambda there, cluster, brought, keys: False
+        registry_watcher,
+        "has_missed_changes",
+        lambda newest, cluster, seen, keys: False,
     ),
     "keys that went are counted": lambda: mock.patch.object(
-        View, "keys", lambda self: Anything()
+        EndpointView, "key_count", lambda self: Anything()
     ),
     "a restored registry is found": lambda: restored_unseen(),
     "a box whose key took another id goes": lambda: mock.patch.object(
-        View, "left", lambda self, old: {}
+        EndpointView, "_gone", lambda self, old: {}
     ),
 }
 
 
-def sizes(boxes: dict[str, Box]) -> dict[str, int]:
+def sizes(boxes: dict[str, RegisteredNode]) -> dict[str, int]:
     return {key: int(each.size) for key, each in sorted(boxes.items())}
 
 
@@ -462,13 +489,16 @@
     def play(self, seed: int, events: Sequence[Event]) -> str | None:
         kept: list[Any] = [({}, 0)]
         disk = SimpleNamespace(
-            get=lambda path: kept[-1],
-            put=lambda path, boxes, revision: kept.append((dict(boxes), revision)),
+            read_cache=lambda path: kept[-1],
+            write_cache=lambda path, boxes, revision: kept.append(
+                (dict(boxes), revision)
+            ),
             EndpointCacheNotStored=endpoint_cache.EndpointCacheNotStored,
         )
         with (
             mock.patch.object(registry_watcher, "endpoint_cache", disk),
-            mock.patch.object(registry_watcher, "deferToThread", maybeDeferred),
+            mock.patch.object(endpoint_cache_writer, "endpoint_cache", disk),
+            mock.patch.object(endpoint_cache_writer, "deferToThread", maybeDeferred),
         ):
             world = ListWorld(seed)
             for each in events:
--- a/milletsill/registry/endpoint_cache.py
+++ b/milletsill/registry/endpoint_cache.py
@@ -1,78 +1,75 @@
-"""The last list on disk: a restarted gateway has it at once. Replaced whole, so a crash leaves the old or the new."""
+"""The last endpoint list on disk: a restarted gateway has it at once.
+
+The file is replaced whole, so that a crash leaves the old one or the new.
+"""
 
 from __future__ import annotations
 
 import json
 import os
 import zlib
+from collections.abc import Mapping
+from contextlib import suppress
 
 from milletsill.errors import StateNotStored
 from milletsill.interface import Readiness
-from milletsill.registry.endpoint_view import InvalidRegistryEntry, Box, box_of
+from milletsill.registry.registered_node import (
+    InvalidRegistryEntry,
+    RegisteredNode,
+    parse_registered_node,
+)
 
-FORMAT, MOST_BYTES = 1, 16_000_000
+FORMAT = 1
+MAX_FILE = 16_000_000  # octets
 
 
 class EndpointCacheNotStored(StateNotStored):
     """The last list of boxes on disk, which cannot be read or written."""
 
-    remedy = "make room in state_dir or make it writable; traffic goes on, a restart begins without a list until the registry answers"
-
-
-def put(path: str, boxes: dict[str, Box], revision: int) -> None:
-    """Write the list beside and move it into place; `ListUnkept` where the disk is full or refuses."""
-    rows = {
-        key: {
-            "id": each.id,
-            "address": each.address,
-            "size": each.size,
-            "kind": each.kind,
-            "zone": each.zone,
-            "cell": each.cell,
-            "started": each.started,
-            "state": "ready" if each.readiness is Readiness.READY else "draining",
-        }
-        for key, each in boxes.items()
-    }
+    remedy = (
+        "make room in state_dir or make it writable; traffic goes on, a restart begins "
+        "without a list until the registry answers"
+    )
+
+
+def write_cache(path: str, nodes: Mapping[str, RegisteredNode], revision: int) -> None:
+    """Write the list beside the file and move it into place.
+
+    Raises:
+        EndpointCacheNotStored: the disk is full or refuses.
+    """
+    rows = {key: _row(node) for key, node in nodes.items()}
     body = json.dumps(
         {"format": FORMAT, "revision": revision, "boxes": rows}, sort_keys=True
     ).encode()
-    beside = f"{path}.new"
+    temporary = f"{path}.new"
     try:
-        with open(beside, "wb") as sink:
-            sink.write(b"%08x\n" % zlib.crc32(body) + body)
-            sink.flush()
-            os.fsync(sink.fileno())
-        os.replace(beside, path)
+        with open(temporary, "wb") as file:
+            file.write(b"%08x\n" % zlib.crc32(body) + body)
+            file.flush()
+            os.fsync(file.fileno())
+        os.replace(temporary, path)
     except OSError as error:
-        try:
-            os.unlink(beside)
-        except OSError:
-            pass
-        raise EndpointCacheNotStored(error.strerror or str(error), path) from None
+        with suppress(OSError):
+            os.unlink(temporary)
+        raise EndpointCacheNotStored(error.strerror or str(error), path) from error
+
 
+def read_cache(path: str) -> tuple[dict[str, RegisteredNode], int]:
+    """Return the list and its revision; empty and 0 where there is none.
 
-def get(path: str) -> tuple[dict[str, Box], int]:
-    """The list and its revision; empty where there is none; `ListUnkept` where it is torn."""
+    Raises:
+        EndpointCacheNotStored: the file cannot be read, is torn or of another format.
+    """
     try:
-        with open(path, "rb") as source:
-            data = source.read(MOST_BYTES + 1)
+        with open(path, "rb") as file:
+            data = file.read(MAX_FILE + 1)
     except FileNotFoundError:
         return {}, 0
     except OSError as error:
-        raise EndpointCacheNotStored(error.strerror or str(error), path) from None
-    head, _, body = data.partition(b"\n")
+        raise EndpointCacheNotStored(error.strerror or str(error), path) from error
     try:
-        if len(data) > MOST_BYTES or int(head, 16) != zlib.crc32(body):
-            raise EndpointCacheNotStored("checksum does not fit", path)
-        held = json.loads(body)
-        if held["format"] != FORMAT:
-            raise EndpointCacheNotStored(
-                f"format {held['format']}, {FORMAT} is read", path
-            )
-        return {key: box_of(value) for key, value in held["boxes"].items()}, int(
-            held["revision"]
-        )
+        return _parse(data, path)
     except (
         ValueError,
         KeyError,
@@ -80,4 +77,32 @@
         AttributeError,
         InvalidRegistryEntry,
     ) as error:
-        raise EndpointCacheNotStored(str(error), path) from None
+        raise EndpointCacheNotStored(str(error), path) from error
+
+
+def _row(node: RegisteredNode) -> dict[str, int | float | str]:
+    return {
+        "id": node.id,
+        "address": node.address,
+        "size": node.size,
+        "kind": node.kind,
+        "zone": node.zone,
+        "cell": node.shard,
+        "started": node.started_ms,
+        "state": "ready" if node.readiness is Readiness.READY else "draining",
+    }
+
+
+def _parse(data: bytes, path: str) -> tuple[dict[str, RegisteredNode], int]:
+    checksum, _, body = data.partition(b"\n")
+    if len(data) > MAX_FILE or int(checksum, 16) != zlib.crc32(body):
+        raise EndpointCacheNotStored("checksum does not fit", path)
+    stored = json.loads(body)
+    if stored["format"] != FORMAT:
+        raise EndpointCacheNotStored(
+            f"format {stored['format']}, {FORMAT} is read", path
+        )
+    nodes = {
+        key: parse_registered_node(value) for key, value in stored["boxes"].items()
+    }
+    return nodes, int(stored["revision"])
--- a/milletsill/registry/etcd_json.py
+++ b/milletsill/registry/etcd_json.py
@@ -1,7 +1,8 @@
-"""The registry's JSON: etcd v3's gateway wraps gRPC messages, keys and values in base64, 64-bit numbers as strings.
+"""The registry's JSON, to and from plain values.
 
-Source: etcd's api-reference for the gRPC gateway (`/v3/kv/range`, `/v3/watch`). `Lines` cuts a streamed body into its
-objects, one a line, bounded.
+etcd v3's gateway wraps gRPC messages: keys and values are in base64, 64-bit numbers are
+strings. Source: etcd's API reference for the gRPC gateway (`/v3/kv/range`,
+`/v3/watch`).
 """
 
 from __future__ import annotations
@@ -9,57 +10,100 @@
 import base64
 import binascii
 import json
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 from milletsill.errors import MalformedInput
-from milletsill.registry.endpoint_view import InvalidRegistryEntry, Box, Told, box_of
+from milletsill.registry.endpoint_view import KeyChange
+from milletsill.registry.registered_node import (
+    InvalidRegistryEntry,
+    RegisteredNode,
+    parse_registered_node,
+)
+from milletsill.registry.watch_state import RegistryHead
+
+MAX_QUOTED = 200
+MAX_CLUSTER_ID = 40
 
 
 class MalformedRegistryAnswer(MalformedInput):
     """An answer of the registry that its protocol does not allow."""
 
-    remedy = "see that registry.address leads to etcd's JSON gateway (v3); the list that was known stands meanwhile"
+    remedy = (
+        "see that registry.address leads to etcd's JSON gateway (v3); "
+        "the list that was known stands meanwhile"
+    )
 
 
-def encoded(text: str) -> str:
-    return base64.b64encode(text.encode()).decode()
+@dataclass(frozen=True, slots=True)
+class KeyValue:
+    """A key, its value, and the revision of its last change."""
 
+    key: str
+    value: bytes
+    revision: int
 
-def decoded(value: Any, what: str) -> bytes:
-    try:
-        return base64.b64decode(value, validate=True)
-    except (binascii.Error, TypeError, ValueError):
-        raise MalformedRegistryAnswer(f"{what} is not base64") from None
 
+@dataclass(frozen=True, slots=True)
+class EndpointList:
+    """The whole list.
 
-def number(value: Any, what: str) -> int:
-    """A 64-bit number, which JSON carries as a string."""
-    try:
-        return int(value or 0)
-    except (TypeError, ValueError):
-        raise MalformedRegistryAnswer(
-            f"{what} {str(value)[:40]!r} is not a number"
-        ) from None
+    Attributes:
+        nodes: by key; a value that describes no node is left out.
+        keys: all keys, also of those values.
+        head: the cluster, and the revision that the list is at.
+    """
 
+    nodes: dict[str, RegisteredNode]
+    keys: Sequence[str]
+    head: RegistryHead
 
-def after(prefix: str) -> str:
-    """The first key behind all that start with the prefix."""
-    return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
+@dataclass(frozen=True, slots=True)
+class NewestKey:
+    """The newest change of a key that is there, how many there are, and the head."""
 
-def range_body(prefix: str) -> bytes:
-    return json.dumps(
-        {"key": encoded(prefix), "range_end": encoded(after(prefix))}
-    ).encode()
+    revision: int
+    key_count: int
+    head: RegistryHead
+
+
+@dataclass(frozen=True, slots=True)
+class WatchMessage:
+    """One message of a watch.
+
+    Attributes:
+        changes: in order.
+        revision: the newest of them.
+        opened: how far the registry is, where the watch opens with this message.
+        compacted: whether the changes that it should begin with are no longer kept.
+    """
 
+    changes: Sequence[KeyChange] = ()
+    revision: int = 0
+    opened: RegistryHead | None = None
+    compacted: bool = False
 
-def newest_body(prefix: str) -> bytes:
-    """Asks only for the key that was changed last, without its value; the answer counts all."""
+
+def encode_text(text: str) -> str:
+    """Return a text in base64."""
+    return base64.b64encode(text.encode()).decode()
+
+
+def list_request(prefix: str) -> bytes:
+    """Ask for all keys below a prefix."""
+    return json.dumps(_key_range(prefix)).encode()
+
+
+def newest_key_request(prefix: str) -> bytes:
+    """Ask only for the key that was changed last, without its value.
+
+    All are counted.
+    """
     return json.dumps(
         {
-            "key": encoded(prefix),
-            "range_end": encoded(after(prefix)),
+            **_key_range(prefix),
             "limit": "1",
             "keys_only": True,
             "sort_order": "DESCEND",
@@ -68,12 +112,12 @@
     ).encode()
 
 
-def watch_body(prefix: str, revision: int) -> bytes:
+def watch_request(prefix: str, revision: int) -> bytes:
+    """Ask for all changes below a prefix from a revision on."""
     return json.dumps(
         {
             "create_request": {
-                "key": encoded(prefix),
-                "range_end": encoded(after(prefix)),
+                **_key_range(prefix),
                 "start_revision": str(revision),
                 "progress_notify": True,
             }
@@ -81,7 +125,64 @@
     ).encode()
 
 
-def parsed(data: bytes, what: str) -> dict[str, Any]:
+def parse_list(data: bytes, log_invalid: Callable[[str], None]) -> EndpointList:
+    """Return the answer to `list_request`; `log_invalid` hears of each value left out.
+
+    Raises:
+        MalformedRegistryAnswer: as all functions here that parse.
+    """
+    header, pairs = _parse_range(data)
+    nodes: dict[str, RegisteredNode] = {}
+    for pair in pairs:
+        node = _parse_node(pair, log_invalid)
+        if node is not None:
+            nodes[pair.key] = node
+    head = RegistryHead(
+        _parse_head(header).cluster, _number(header.get("revision"), "a revision")
+    )
+    return EndpointList(nodes, [pair.key for pair in pairs], head)
+
+
+def parse_newest_key(data: bytes) -> NewestKey:
+    """Return the answer to `newest_key_request`."""
+    body = _parse_object(data, "the list")
+    header, pairs = _parse_range(data)
+    revision = max((pair.revision for pair in pairs), default=0)
+    key_count = _number(body.get("count"), "a count")
+    return NewestKey(revision, key_count, _parse_head(header))
+
+
+def parse_watch_message(
+    line: bytes, log_invalid: Callable[[str], None]
+) -> WatchMessage:
+    """Return one message of a watch; `log_invalid` hears of each value left out."""
+    body = _parse_object(line, "a watch message")
+    result = body.get("result")
+    if not isinstance(result, dict):
+        error = json.dumps(body.get("error"))[:MAX_QUOTED]
+        raise MalformedRegistryAnswer(f"the watch says {error}")
+    if result.get("canceled"):
+        if _number(result.get("compact_revision"), "a revision"):
+            return WatchMessage(compacted=True)
+        reason = str(result.get("cancel_reason", ""))[:MAX_QUOTED]
+        raise MalformedRegistryAnswer(f"the watch was ended: {reason}")
+    changes = []
+    revision = 0
+    for event in result.get("events") or []:
+        change = _parse_event(event, log_invalid)
+        changes.append(change)
+        revision = max(revision, change.revision)
+    opened = _parse_head(result.get("header")) if result.get("created") else None
+    return WatchMessage(changes, revision, opened)
+
+
+def _key_range(prefix: str) -> dict[str, str]:
+    """The keys that start with the prefix: up to the first key behind them."""
+    end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
+    return {"key": encode_text(prefix), "range_end": encode_text(end)}
+
+
+def _parse_object(data: bytes, what: str) -> dict[str, Any]:
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
@@ -91,119 +192,66 @@
     return value
 
 
-def pair(kv: Any) -> tuple[str, bytes, int]:
-    """Key, value and the revision of the last change of one pair."""
-    if not isinstance(kv, dict):
-        raise MalformedRegistryAnswer("a pair is not a JSON object")
-    key = decoded(kv.get("key", ""), "a key").decode("utf-8", "replace")
-    return (
-        key,
-        decoded(kv.get("value", ""), "a value"),
-        number(kv.get("mod_revision"), "a revision"),
-    )
-
-
-def read_box(key: str, value: bytes, complain: Callable[[str], None]) -> Box | None:
-    """The box of one value; one that makes no sense is left out, and said."""
-    try:
-        return box_of(json.loads(value))
-    except (InvalidRegistryEntry, ValueError, RecursionError) as error:
-        fault = (
-            error
-            if isinstance(error, InvalidRegistryEntry)
-            else InvalidRegistryEntry("not JSON")
-        )
-        complain(fault.with_location(key[:200]).describe())
-        return None
-
-
-def read_range(
-    data: bytes, complain: Callable[[str], None]
-) -> tuple[dict[str, Box], int]:
-    """Boxes by key, and the revision they are at."""
-    body = parsed(data, "the list")
-    header, kvs = body.get("header"), body.get("kvs") or []
-    if not isinstance(header, dict) or not isinstance(kvs, list):
+def _parse_range(data: bytes) -> tuple[dict[str, Any], list[KeyValue]]:
+    """Return the header and the pairs of an answer to a range request."""
+    body = _parse_object(data, "the list")
+    header = body.get("header")
+    pairs = body.get("kvs") or []
+    if not isinstance(header, dict) or not isinstance(pairs, list):
         raise MalformedRegistryAnswer("the list has no header or pairs")
-    boxes = {
-        key: box
-        for key, value, _ in map(pair, kvs)
-        if (box := read_box(key, value, complain)) is not None
-    }
-    return boxes, number(header.get("revision"), "a revision")
+    return header, [_parse_pair(pair) for pair in pairs]
 
 
-def head_of(header: Any) -> tuple[str, int]:
-    """The cluster's id, which a restore changes, and the registry's revision; nothing for what is not said."""
-    if not isinstance(header, dict):
-        return "", 0
-    return str(header.get("cluster_id") or "")[:40], number(
-        header.get("revision"), "a revision"
-    )
+def _parse_pair(pair: Any) -> KeyValue:
+    if not isinstance(pair, dict):
+        raise MalformedRegistryAnswer("a pair is not a JSON object")
+    key = _decode(pair.get("key", ""), "a key").decode("utf-8", "replace")
+    value = _decode(pair.get("value", ""), "a value")
+    return KeyValue(key, value, _number(pair.get("mod_revision"), "a revision"))
 
 
-def read_keys(data: bytes) -> tuple[list[str], str]:
-    """All keys of a list, also those whose value describes no box, and the cluster's id."""
-    body = parsed(data, "the list")
-    return [pair(kv)[0] for kv in body.get("kvs") or []], head_of(body.get("header"))[0]
+def _parse_node(
+    pair: KeyValue, log_invalid: Callable[[str], None]
+) -> RegisteredNode | None:
+    """Return the node of one value, None for one that describes none."""
+    try:
+        return parse_registered_node(json.loads(pair.value))
+    except InvalidRegistryEntry as error:
+        invalid = error
+    except (ValueError, RecursionError):
+        invalid = InvalidRegistryEntry("not JSON")
+    log_invalid(invalid.with_location(pair.key[:MAX_QUOTED]).describe())
+    return None
 
 
-def read_newest(data: bytes) -> tuple[int, int, tuple[str, int]]:
-    """The newest change of a key that is there, how many are, and how far the registry is itself."""
-    body = parsed(data, "the list")
-    header, kvs = body.get("header"), body.get("kvs") or []
-    if not isinstance(header, dict) or not isinstance(kvs, list):
-        raise MalformedRegistryAnswer("the list has no header or pairs")
-    return (
-        max((pair(kv)[2] for kv in kvs), default=0),
-        number(body.get("count"), "a count"),
-        head_of(header),
-    )
+def _parse_event(event: Any, log_invalid: Callable[[str], None]) -> KeyChange:
+    if not isinstance(event, dict):
+        raise MalformedRegistryAnswer("an event is not a JSON object")
+    pair = _parse_pair(event.get("kv"))
+    if event.get("type") == "DELETE":
+        return KeyChange(pair.key, None, pair.revision)
+    node = _parse_node(pair, log_invalid)
+    return KeyChange(pair.key, node, pair.revision, invalid=node is None)
 
 
-def read_watch(
-    line: bytes, complain: Callable[[str], None]
-) -> tuple[list[Told], int, tuple[str, int] | None, bool]:
-    """One message of a watch: changes, its newest revision, how far the registry is itself where it opens, whether the past was
-    compacted.
-    """
-    body = parsed(line, "a watch message")
-    result = body.get("result")
-    if not isinstance(result, dict):
-        raise MalformedRegistryAnswer(
-            f"the watch says {json.dumps(body.get('error'))[:200]}"
-        )
-    if result.get("canceled"):
-        if number(result.get("compact_revision"), "a revision"):
-            return [], 0, None, True
-        raise MalformedRegistryAnswer(
-            f"the watch was ended: {str(result.get('cancel_reason', ''))[:200]}"
-        )
-    changes, newest = [], 0
-    for event in result.get("events") or []:
-        if not isinstance(event, dict):
-            raise MalformedRegistryAnswer("an event is not a JSON object")
-        key, value, revision = pair(event.get("kv"))
-        newest = max(newest, revision)
-        gone = event.get("type") == "DELETE"
-        box = None if gone else read_box(key, value, complain)
-        changes.append(Told(key, box, revision, not gone and box is None))
-    return (
-        changes,
-        newest,
-        head_of(result.get("header")) if result.get("created") else None,
-        False,
-    )
+def _parse_head(header: Any) -> RegistryHead:
+    if not isinstance(header, dict):
+        return RegistryHead()
+    cluster = str(header.get("cluster_id") or "")[:MAX_CLUSTER_ID]
+    return RegistryHead(cluster, _number(header.get("revision"), "a revision"))
 
 
-class Lines:
-    """A streamed body as lines; one past `most` bytes breaks it."""
+def _decode(value: Any, what: str) -> bytes:
+    try:
+        return base64.b64decode(value, validate=True)
+    except (binascii.Error, TypeError, ValueError):
+        raise MalformedRegistryAnswer(f"{what} is not base64") from None
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, b""
 
-    def feed(self, data: bytes) -> list[bytes]:
-        *whole, self.held = (self.held + data).split(b"\n")
-        if len(self.held) > self.most or any(len(each) > self.most for each in whole):
-            raise MalformedRegistryAnswer(f"a line of more than {self.most} bytes")
-        return [each for each in whole if each.strip()]
+def _number(value: Any, what: str) -> int:
+    """Return a 64-bit number, which JSON carries as a string."""
+    try:
+        return int(value or 0)
+    except (TypeError, ValueError):
+        shown = str(value)[:40]
+        raise MalformedRegistryAnswer(f"{what} {shown!r} is not a number") from None
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -1,412 +1,371 @@
-"""Twisted around registry/decide.py: one range, then a watch; each asking of the module gets one `listed` back."""
+"""Follow the registry.
+
+List once, then watch; each request is answered by one update.
+"""
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from typing import Any
 
-from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Protocol
-from twisted.internet.threads import deferToThread
-from twisted.web.client import Agent, HTTPConnectionPool
-from twisted.web.http_headers import Headers
-from twisted.web.iweb import IBodyProducer
-from zope.interface import implementer
-
 from milletsill.interface import Endpoint, EndpointUpdateKind
-from milletsill.registry import endpoint_cache, etcd_json
-from milletsill.registry.endpoint_view import (
-    LOOK,
-    MOST_PUT_OFF,
-    NEWS,
-    SETTLED,
-    Box,
-    Cue,
-    Newest,
-    Stage,
-    View,
-    missed,
-    other_past,
-    step,
+from milletsill.registry import endpoint_cache
+from milletsill.registry.endpoint_cache_writer import EndpointCacheWriter
+from milletsill.registry.endpoint_view import EndpointView
+from milletsill.registry.etcd_client import EtcdClient
+from milletsill.registry.etcd_json import (
+    MalformedRegistryAnswer,
+    list_request,
+    newest_key_request,
+    parse_list,
+    parse_newest_key,
+    parse_watch_message,
+    watch_request,
+)
+from milletsill.registry.registered_node import RegisteredNode
+from milletsill.registry.watch_state import (
+    CHECK_INTERVAL,
+    MAX_BACKOFF_DOUBLINGS,
+    WATCH_DELAY,
+    NewestChange,
+    RegistryHead,
+    WatcherEffect,
+    WatcherEvent,
+    WatcherState,
+    has_missed_changes,
+    next_state,
+    was_restored,
 )
 
-SAVE_WITHIN = 0.5  # seconds
-Hear = Callable[[EndpointUpdateKind, "list[Endpoint]"], None]
-
-
-@implementer(IBodyProducer)
-class Body:
-    """A short request body."""
-
-    def __init__(self, data: bytes) -> None:
-        self.data, self.length = data, len(data)
-
-    def startProducing(self, consumer: Any) -> Deferred[None]:
-        consumer.write(self.data)
-        done: Deferred[None] = Deferred()
-        done.callback(None)
-        return done
-
-    def pauseProducing(self) -> None: ...
-
-    def resumeProducing(self) -> None: ...
-
-    def stopProducing(self) -> None: ...
-
-
-class Gather(Protocol):
-    """Reads a whole body, bounded, then calls `done`; or each line as it comes."""
-
-    def __init__(
-        self,
-        most: int,
-        line: Callable[[bytes], None] | None,
-        done: Callable[[bytes | None], None],
-    ) -> None:
-        self.most, self.line, self.done = most, line, done
-        self.lines, self.held, self.size, self.over = (
-            etcd_json.Lines(most),
-            list[bytes](),
-            0,
-            False,
-        )
-
-    def dataReceived(self, data: bytes) -> None:
-        if self.over:
-            return None
-        if self.line is None:
-            self.size += len(data)
-            if self.size > self.most:
-                return self.stop()
-            self.held.append(data)
-            return None
-        try:
-            for each in self.lines.feed(data):
-                if not self.over:
-                    self.line(each)
-        except etcd_json.MalformedRegistryAnswer:
-            self.stop()
+RANGE_PATH = "/v3/kv/range"
+WATCH_PATH = "/v3/watch"
+MAX_LOGGED_ENTRIES = 256
+UPDATE_KINDS = {
+    WatcherEffect.REPORT_CHANGES: EndpointUpdateKind.DELTA,
+    WatcherEffect.REPORT_UNCHANGED: EndpointUpdateKind.DELTA,
+    WatcherEffect.REPORT_FAILURE: EndpointUpdateKind.FAILED,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class RegistryConfig:
+    """Settings of a registry watcher.
+
+    Attributes:
+        address: host and port of the registry.
+        prefix: of the keys that describe nodes.
+        gateway: this gateway's name.
+        call_timeout, connect_timeout: seconds.
+        max_line: octets of one answer, or of one message of a watch.
+        max_nodes: nodes that are kept.
+        warm_after: time after its start until a node is warm, tenths of a millisecond.
+        cache_path: where the last list is kept.
+    """
 
-    def stop(self) -> None:
-        """End it from this side: nothing more is heard."""
-        if not self.over:
-            self.over = True
-            self.transport.loseConnection()
-            self.done(None)
+    address: str
+    prefix: str
+    gateway: str
+    call_timeout: float
+    connect_timeout: float
+    max_line: int
+    max_nodes: int
+    warm_after: int
+    cache_path: str
+
+
+@dataclass(frozen=True, slots=True)
+class RegistryCallbacks:
+    """Who hears of the registry.
+
+    Attributes:
+        on_endpoints: takes an update for the scheduler.
+        on_nodes: takes all nodes before each update; connections follow them.
+        log: takes a line that someone should look at.
+    """
 
-    def connectionLost(self, reason: Any = None) -> None:
-        if not self.over:
-            self.over = True
-            self.done(b"".join(self.held) if self.line is None else None)
+    on_endpoints: Callable[[EndpointUpdateKind, Sequence[Endpoint]], None]
+    on_nodes: Callable[[list[RegisteredNode]], None]
+    log: Callable[[str], None]
 
 
-class Follower:
-    """Keeps the view of the boxes, tells the module, writes the cache.
+class RegistryWatcher:
+    """Keeps the view of the nodes, reports it and writes the cache.
 
-    `hear` gets what the module is told; `moved` the boxes whose links change; `remark` one line for the log; `uniform` draws.
+    Attributes:
+        call_number: counts calls; answers to former ones are dropped.
+        seen: the newest revision that the watch has brought.
+        cluster: the id of the cluster that gave the list.
+        backoff: doublings of the interval between checks of a quiet watch.
     """
 
     def __init__(
         self,
         reactor: Any,
         now: Callable[[], int],
-        link: Any,
-        warm_after: int,
-        cache_path: str,
-        hear: Hear,
-        moved: Callable[[list[Box]], None],
-        remark: Callable[[str], None],
-        gateway: str,
+        config: RegistryConfig,
+        callbacks: RegistryCallbacks,
         uniform: Callable[[float, float], float],
         wall: Callable[[], float] = time.time,
     ) -> None:
-        self.reactor, self.now, self.wall, self.link = reactor, now, wall, link
-        self.view, self.cache_path = View(link.most_boxes, warm_after), cache_path
-        self.hear, self.moved, self.remark = hear, moved, remark
-        self.stage, self.number, self.late = Stage.IDLE, 0, None
-        self.headers = Headers(
-            {
-                b"Content-Type": [b"application/json"],
-                b"User-Agent": [f"milletsill/{gateway}".encode()],
-            }
-        )
-        self.agent = Agent(
+        self.reactor = reactor
+        self.now = now
+        self.config = config
+        self.callbacks = callbacks
+        self.log = callbacks.log
+        self.uniform = uniform
+        self.wall = wall
+        self.view = EndpointView(config.max_nodes, config.warm_after)
+        self.client = EtcdClient(
             reactor,
-            connectTimeout=link.connect_ms / 1000,
-            pool=HTTPConnectionPool(reactor, False),
+            config.address,
+            config.gateway,
+            config.connect_timeout,
+            config.max_line,
+            callbacks.log,
         )
-        self.stream: Gather | None = None
-        self.body: Gather | None = None
-        self.complaints: dict[str, None] = {}
-        self.cache_failing = self.stopped = False
-        self.save_call: Any = None
-        self.uniform, self.brought, self.put_off, self.cluster = uniform, 0, 0, ""
-        self.look_call: Any = None
+        self.cache = EndpointCacheWriter(
+            reactor, config.cache_path, self.view, callbacks.log
+        )
+        self.state = WatcherState.IDLE
+        self.call_number = 0
+        self.seen = 0
+        self.cluster = ""
+        self.backoff = 0
+        self.logged_entries: dict[str, None] = {}
+        self.stopped = False
+        self.timeout_call: Any = None
+        self.check_call: Any = None
 
     def start(self) -> None:
-        """Tell the module the last list, or an empty one."""
-        boxes: dict[str, Box] = {}
+        """Report the cached list, or an empty one."""
+        nodes: dict[str, RegisteredNode] = {}
         try:
-            boxes, _ = endpoint_cache.get(self.cache_path)
+            nodes, _ = endpoint_cache.read_cache(self.config.cache_path)
         except endpoint_cache.EndpointCacheNotStored as error:
-            self.remark(f"the last list is not used: {error.describe()}")
-        self.view.replace(boxes, 0)
-        self.tell(EndpointUpdateKind.CACHED, self.view.whole())
+            self.log(f"the last list is not used: {error.describe()}")
+        self.view.replace(nodes, 0)
+        self._report(EndpointUpdateKind.CACHED, self.view.nodes())
 
-    def ask(self) -> None:
-        """The module wants to be kept up to date."""
-        self.cue(Cue.ASK)
+    def request_watch(self) -> None:
+        """Keep the scheduler up to date from now on."""
+        self._on_event(WatcherEvent.REQUESTED)
 
-    def tell(self, news: EndpointUpdateKind, boxes: list[Box]) -> None:
-        self.moved(self.view.whole())
-        self.hear(news, self.view.entries(boxes, self.now(), int(self.wall() * 1000)))
+    def stop(self) -> None:
+        """End all calls and write the cache."""
+        self.stopped = True
+        self.cache.stop()
+        self._close_stream()
+        self.client.stop()
 
-    def cue(self, cue: Cue, changes: list[Box] | None = None) -> None:
+    def _report(
+        self, kind: EndpointUpdateKind, nodes: Sequence[RegisteredNode]
+    ) -> None:
+        self.callbacks.on_nodes(self.view.nodes())
+        wall_ms = int(self.wall() * 1000)
+        endpoints = self.view.endpoints(nodes, self.now(), wall_ms)
+        self.callbacks.on_endpoints(kind, endpoints)
+
+    def _on_event(
+        self, event: WatcherEvent, changed: Sequence[RegisteredNode] = ()
+    ) -> None:
         """Read the table and act."""
         if self.stopped:
             return
-        self.stage, effect = step(self.stage, cue)
-        if effect == "range":
-            self.range()
-        elif effect == "whole":
-            self.tell(EndpointUpdateKind.SNAPSHOT, self.view.whole())
-            self.save()
-            self.watch()
-        elif effect:
-            if effect == "failed":
-                self.close_stream()
-            self.tell(NEWS[effect], changes or [])
-            if changes:
-                self.save()
-
-    def call(
-        self,
-        path: str,
-        body: bytes,
-        line: Callable[[bytes], None] | None,
-        done: Callable[[bytes | None], None],
-    ) -> None:
-        """One call; `done` gets the body, or None where it failed, once. A stream ends with None."""
-        url = f"http://{self.link.address}{path}".encode()
-        answered = self.agent.request(b"POST", url, self.headers, Body(body))
-        over = [False]
-
-        def once(data: bytes | None) -> None:
-            if not over[0]:
-                over[0] = True
-                done(data)
-
-        def response(got: Any) -> None:
-            if got.code != 200:
-                self.remark(f"{path} answered {got.code}")
-                once(None)
-            gather = Gather(
-                self.link.most_line, line if got.code == 200 else None, once
-            )
-            if line is not None:
-                self.stream = gather
-            else:
-                self.body = gather
-            got.deliverBody(gather)
+        self.state, effect = next_state(self.state, event)
+        if effect is WatcherEffect.LIST:
+            self._list()
+        elif effect is WatcherEffect.REPORT_SNAPSHOT:
+            self._report(EndpointUpdateKind.SNAPSHOT, self.view.nodes())
+            self.cache.save()
+            self._watch()
+        elif effect is not WatcherEffect.NONE:
+            if effect is WatcherEffect.REPORT_FAILURE:
+                self._close_stream()
+            self._report(UPDATE_KINDS[effect], changed)
+            if changed:
+                self.cache.save()
+
+    # Listing and watching.
+
+    def _begin_call(self) -> int:
+        """Return the number of a new call that has to be answered in time."""
+        self.call_number += 1
+        number = self.call_number
+        timeout = self.config.call_timeout
+        self.timeout_call = self.reactor.callLater(timeout, self._on_timeout, number)
+        return number
+
+    def _list(self) -> None:
+        """Ask for the whole list."""
+        number = self._begin_call()
 
-        answered.addCallback(response)
-        answered.addErrback(lambda failure: once(None))
-        self.pending = answered
+        def on_done(data: bytes | None) -> None:
+            if number == self.call_number and self.state is WatcherState.LISTING:
+                self._stop_timeout()
+                self._on_list(data)
 
-    def range(self) -> None:
-        """Ask for the whole list."""
-        number = self.number = self.number + 1
-        self.late = self.reactor.callLater(
-            self.link.call_ms / 1000, self.overdue, number
-        )
+        body = list_request(self.config.prefix)
+        self.client.call(RANGE_PATH, body, None, on_done)
 
-        def done(data: bytes | None) -> None:
-            if number != self.number or self.stage is not Stage.RANGING:
-                return None
-            self.no_longer_late()
-            try:
-                if data is None:
-                    raise etcd_json.MalformedRegistryAnswer("the list did not come")
-                boxes, revision = etcd_json.read_range(data, self.complain)
-                keys, self.cluster = etcd_json.read_keys(data)
-            except etcd_json.MalformedRegistryAnswer as error:
-                self.remark(f"registry: {error.describe()}")
-                return self.cue(Cue.FAIL)
-            self.view.replace(boxes, revision, keys)
-            self.brought, self.put_off = revision, 0
-            self.cue(Cue.RANGE_OK)
-
-        self.call("/v3/kv/range", etcd_json.range_body(self.link.prefix), None, done)
-
-    def watch(self) -> None:
+    def _on_list(self, data: bytes | None) -> None:
+        try:
+            if data is None:
+                raise MalformedRegistryAnswer("the list did not come")
+            listed = parse_list(data, self._log_invalid)
+        except MalformedRegistryAnswer as error:
+            self.log(f"registry: {error.describe()}")
+            self._on_event(WatcherEvent.FAILED)
+            return
+        revision = listed.head.revision
+        self.cluster = listed.head.cluster
+        self.view.replace(listed.nodes, revision, listed.keys)
+        self.seen = revision
+        self.backoff = 0
+        self._on_event(WatcherEvent.LISTED)
+
+    def _watch(self) -> None:
         """Open the watch from the revision after the list's."""
-        number = self.number = self.number + 1
-        self.late = self.reactor.callLater(
-            self.link.call_ms / 1000, self.overdue, number
-        )
+        number = self._begin_call()
 
-        def line(data: bytes) -> None:
-            if number == self.number and not self.stopped:
-                self.watched(data)
+        def on_line(line: bytes) -> None:
+            if number == self.call_number and not self.stopped:
+                self._on_watch_message(line)
 
-        def done(data: bytes | None) -> None:
-            if number == self.number:
-                self.no_longer_late()
-                self.cue(Cue.FAIL)
+        def on_done(data: bytes | None) -> None:
+            if number == self.call_number:
+                self._stop_timeout()
+                self._on_event(WatcherEvent.FAILED)
 
-        self.call(
-            "/v3/watch",
-            etcd_json.watch_body(self.link.prefix, self.view.revision + 1),
-            line,
-            done,
-        )
+        body = watch_request(self.config.prefix, self.view.revision + 1)
+        self.client.call(WATCH_PATH, body, on_line, on_done)
 
-    def watched(self, data: bytes) -> None:
-        """One message of the watch."""
+    def _on_watch_message(self, line: bytes) -> None:
         try:
-            changes, newest, opened, compacted = etcd_json.read_watch(
-                data, self.complain
+            message = parse_watch_message(line, self._log_invalid)
+        except MalformedRegistryAnswer as error:
+            self.log(f"registry: {error.describe()}")
+            self._on_event(WatcherEvent.FAILED)
+            return
+        self._stop_timeout()
+        if message.compacted:
+            self._close_stream()
+            self._on_event(WatcherEvent.COMPACTED)
+            return
+        if message.opened is not None and not self._on_opened(message.opened):
+            return
+        if self.check_call is None:
+            self._check_later()
+        self.seen = max(self.seen, message.revision)
+        changed = self.view.apply(message.changes) if message.changes else []
+        if changed:
+            self._on_event(WatcherEvent.CHANGED, changed)
+
+    def _on_opened(self, head: RegistryHead) -> bool:
+        """Whether the watch may stand that has opened."""
+        if was_restored(RegistryHead(self.cluster, self.view.revision), head):
+            self.log(
+                "registry: it was restored since its list; the whole list is asked for"
             )
-        except etcd_json.MalformedRegistryAnswer as error:
-            self.remark(f"registry: {error.describe()}")
-            return self.cue(Cue.FAIL)
-        self.no_longer_late()
-        if compacted:
-            self.close_stream()
-            return self.cue(Cue.COMPACTED)
-        if opened is not None:
-            if other_past((self.cluster, self.view.revision), opened):
-                self.remark(
-                    "registry: it was restored since its list; the whole list is asked for"
-                )
-                return self.cue(Cue.FAIL)
-            self.cue(Cue.JOIN_OK)
-        if self.look_call is None:
-            self.look_later()
-        self.brought = max(self.brought, newest)
-        if changes and (boxes := self.view.apply(changes)):
-            self.cue(Cue.EVENTS, boxes)
-
-    def look_later(self) -> None:
+            self._on_event(WatcherEvent.FAILED)
+            return False
+        self._on_event(WatcherEvent.OPENED)
+        return True
+
+    def _close_stream(self) -> None:
+        """Hear nothing more of the watch that stood."""
+        self.call_number += 1
+        self._stop_timeout()
+        self._stop_check()
+        self.client.close_stream()
+
+    def _on_timeout(self, number: int) -> None:
+        self.timeout_call = None
+        waiting = self.state in (WatcherState.LISTING, WatcherState.OPENING)
+        if number == self.call_number and waiting:
+            self.call_number += 1
+            self.client.cancel()
+            self._on_event(WatcherEvent.FAILED)
+
+    def _stop_timeout(self) -> None:
+        if self.timeout_call is not None:
+            self.timeout_call.cancel()
+            self.timeout_call = None
+
+    # Checks of a quiet watch.
+
+    def _check_later(self) -> None:
         """Ask, a while from now, whether the watch has missed anything."""
-        self.no_look()
-        self.look_call = self.reactor.callLater(
-            self.uniform(*LOOK) * 2**self.put_off / 10_000, self.look
+        self._stop_check()
+        delay = self.uniform(*CHECK_INTERVAL) * 2**self.backoff / 10_000
+        self.check_call = self.reactor.callLater(delay, self._check)
+
+    def _check(self) -> None:
+        """Make one small call.
+
+        Where it fails the watch stands, and the next comes later.
+        """
+        number = self.call_number
+        done = False
+
+        def on_done(data: bytes | None) -> None:
+            nonlocal done
+            if done or number != self.call_number or self.stopped:
+                return
+            done = True
+            self._on_check_answer(data)
+
+        def on_timeout() -> None:
+            self.client.cancel()
+            on_done(None)
+
+        timeout = self.config.call_timeout
+        self.check_call = self.reactor.callLater(timeout, on_timeout)
+        body = newest_key_request(self.config.prefix)
+        self.client.call(RANGE_PATH, body, None, on_done)
+
+    def _on_check_answer(self, data: bytes | None) -> None:
+        self._stop_check()
+        try:
+            if data is None:
+                raise MalformedRegistryAnswer("no answer")
+            answer = parse_newest_key(data)
+        except MalformedRegistryAnswer:
+            self.backoff = min(self.backoff + 1, MAX_BACKOFF_DOUBLINGS)
+            self._check_later()
+            return
+        self.backoff = 0
+        newest = NewestChange(answer.revision, answer.key_count, answer.head, self.seen)
+        if not self._has_missed(newest):
+            self._check_later()
+            return
+        self.check_call = self.reactor.callLater(
+            WATCH_DELAY / 10_000, self._on_watch_delay_over, newest
         )
 
-    def look(self) -> None:
-        """One small call; where it fails the watch stands, and the next comes later."""
-        number, over = self.number, [False]
-
-        def done(data: bytes | None) -> None:
-            if over[0] or number != self.number or self.stopped:
-                return None
-            over[0] = True
-            self.no_look()
-            try:
-                if data is None:
-                    raise etcd_json.MalformedRegistryAnswer("no answer")
-                there = Newest(*etcd_json.read_newest(data), self.brought)
-            except etcd_json.MalformedRegistryAnswer:
-                self.put_off = min(self.put_off + 1, MOST_PUT_OFF)
-                return self.look_later()
-            self.put_off = 0
-            if not missed(there, self.cluster, self.brought, self.view.keys()):
-                return self.look_later()
-            self.look_call = self.reactor.callLater(
-                SETTLED / 10_000, self.settled, there
-            )
+    def _on_watch_delay_over(self, newest: NewestChange) -> None:
+        """What was missing has come by now, or does not come by this watch."""
+        if not self._has_missed(newest):
+            self._check_later()
+            return
+        self.log("registry: the watch is silent, and the list has changed")
+        self._on_event(WatcherEvent.FAILED)
 
-        def late() -> None:
-            self.give_up()
-            done(None)
-
-        self.look_call = self.reactor.callLater(self.link.call_ms / 1000, late)
-        self.call("/v3/kv/range", etcd_json.newest_body(self.link.prefix), None, done)
-
-    def settled(self, there: Newest) -> None:
-        """What a look found missing has come by now, or does not come by this watch."""
-        if not missed(there, self.cluster, self.brought, self.view.keys()):
-            return self.look_later()
-        self.remark("registry: the watch is silent, and the list has changed")
-        self.cue(Cue.FAIL)
-
-    def no_look(self) -> None:
-        if self.look_call is not None and self.look_call.active():
-            self.look_call.cancel()
-        self.look_call = None
-
-    def overdue(self, number: int) -> None:
-        self.late = None
-        if number == self.number and self.stage in (Stage.RANGING, Stage.JOINING):
-            self.number += 1
-            self.give_up()
-            self.cue(Cue.FAIL)
-
-    def give_up(self) -> None:
-        """The call under way is no longer waited for, whether or not its answer has begun."""
-        self.pending.cancel()
-        if self.body is not None:
-            self.body.stop()
-
-    def no_longer_late(self) -> None:
-        if self.late is not None:
-            self.late.cancel()
-            self.late = None
-
-    def close_stream(self) -> None:
-        """The watch that stood is not heard any more."""
-        self.number += 1
-        self.no_longer_late()
-        self.no_look()
-        stream, self.stream = self.stream, None
-        if stream is not None:
-            stream.stop()
-
-    def complain(self, text: str) -> None:
-        """A box that makes no sense is said once."""
-        if text not in self.complaints:
-            self.complaints[text] = None
-            self.remark(f"registry: left out {text}")
-        while len(self.complaints) > 256:
-            self.complaints.pop(next(iter(self.complaints)))
-
-    def save(self) -> None:
-        """Keep the list for a restart, soon: a flood of changes is written once, and never by the reactor's thread."""
-        if self.save_call is None:
-            self.save_call = self.reactor.callLater(SAVE_WITHIN, self.save_now)
-
-    def save_now(self) -> None:
-        self.save_call = None
-        writing = deferToThread(
-            endpoint_cache.put,
-            self.cache_path,
-            dict(self.view.by_key),
-            self.view.revision,
-        )
-        writing.addCallbacks(
-            lambda _: self.saved(""),
-            lambda failure: self.saved(failure.getErrorMessage()),
+    def _has_missed(self, newest: NewestChange) -> bool:
+        return has_missed_changes(
+            newest, self.cluster, self.seen, self.view.key_count()
         )
 
-    def saved(self, complaint: str) -> None:
-        """A disk that refuses is said once until it takes a list again."""
-        if complaint and not self.cache_failing:
-            self.remark(f"the list cannot be kept: {complaint}")
-        self.cache_failing = bool(complaint)
-
-    def stop(self) -> None:
-        self.stopped = True
-        if self.save_call is not None:
-            self.save_call.cancel()
-            self.save_call = None
-            try:
-                endpoint_cache.put(
-                    self.cache_path, self.view.by_key, self.view.revision
-                )
-            except endpoint_cache.EndpointCacheNotStored as error:
-                self.saved(error.describe())
-        self.close_stream()
-        if getattr(self, "pending", None) is not None:
-            self.pending.cancel()
+    def _stop_check(self) -> None:
+        if self.check_call is not None and self.check_call.active():
+            self.check_call.cancel()
+        self.check_call = None
+
+    def _log_invalid(self, text: str) -> None:
+        """Log an entry that makes no sense, once."""
+        if text not in self.logged_entries:
+            self.logged_entries[text] = None
+            self.log(f"registry: left out {text}")
+        while len(self.logged_entries) > MAX_LOGGED_ENTRIES:
+            self.logged_entries.pop(next(iter(self.logged_entries)))
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -24,8 +24,12 @@
 from milletsill.node_connections.attempt_exchange import PooledExchange
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.pool_config import PoolConfig
-from milletsill.registry.endpoint_view import Box
-from milletsill.registry.registry_watcher import Follower
+from milletsill.registry.registered_node import RegisteredNode
+from milletsill.registry.registry_watcher import (
+    RegistryCallbacks,
+    RegistryConfig,
+    RegistryWatcher,
+)
 from milletsill.scheduler import Scheduler
 from milletsill.sftp.extensions import Order
 from milletsill.sftp_gateway import deployment
@@ -91,16 +95,25 @@
             if file.HasField("seed")
             else random.SystemRandom().getrandbits(63)
         )
-        self.follower = Follower(
+        self.follower = RegistryWatcher(
             reactor,
             now,
-            file.registry,
-            config.slow_start_duration,
-            os.path.join(file.state_dir, "boxes.json"),
-            self.listed,
-            self.moved,
-            lambda text: self.remark("list", reason=text),
-            file.name,
+            RegistryConfig(
+                address=file.registry.address,
+                prefix=file.registry.prefix,
+                gateway=file.name,
+                call_timeout=file.registry.call_ms / 1000,
+                connect_timeout=file.registry.connect_ms / 1000,
+                max_line=file.registry.most_line,
+                max_nodes=file.registry.most_boxes,
+                warm_after=config.slow_start_duration,
+                cache_path=os.path.join(file.state_dir, "boxes.json"),
+            ),
+            RegistryCallbacks(
+                on_endpoints=self.listed,
+                on_nodes=self.moved,
+                log=lambda text: self.remark("list", reason=text),
+            ),
             random.Random(f"{seed} list").uniform,
         )
         self.traces = self.tracer(config, seed) if file.HasField("trace") else None
@@ -114,7 +127,7 @@
             make,
             HostCallbacks(
                 start_attempt=self.carry,
-                watch_endpoints=self.follower.ask,
+                watch_endpoints=self.follower.request_watch,
                 log=lambda text: self.remark("module", reason=text),
                 count=self.figures.note,
             ),
@@ -430,7 +443,7 @@
         if self.parts is not None:
             self.parts.listed(entries)
 
-    def moved(self, boxes: list[Box]) -> None:
+    def moved(self, boxes: list[RegisteredNode]) -> None:
         """Links follow the list: a new address gets a pool of its own, a box that left loses its."""
         self.figures.boxes.set(len(boxes))
         for box in boxes:
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -115,7 +115,7 @@
 
     def test_files_are_read(self):
         self.assertEqual(
-            endpoint_cache.get(os.path.join(HERE, "list-1")), (made.BOXES, 12)
+            endpoint_cache.read_cache(os.path.join(HERE, "list-1")), (made.BOXES, 12)
         )
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -10,7 +10,7 @@
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.node_connections.pool_config import PoolConfig
-from milletsill.registry.endpoint_view import Box
+from milletsill.registry.registered_node import RegisteredNode
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order
 from milletsill.sftp.framing import Deframer
@@ -191,7 +191,10 @@
             follow(
                 edge,
                 Spy,
-                [Box(1, address, state, 1.0, 0, 0, 0, 0) for address, state in boxes],
+                [
+                    RegisteredNode(1, address, state, 1.0, 0, 0, 0, 0)
+                    for address, state in boxes
+                ],
             )
             self.assertEqual(said, expected)
 
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -4,24 +4,30 @@
 import os
 import tempfile
 import unittest
-from types import SimpleNamespace
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
 from milletsill.interface import EndpointUpdateKind, Readiness
 from milletsill.registry import endpoint_cache, etcd_json
-from milletsill.registry.endpoint_view import (
+from milletsill.registry.endpoint_view import EndpointView, KeyChange
+from milletsill.registry.etcd_client import LineSplitter
+from milletsill.registry.registered_node import (
     InvalidRegistryEntry,
-    Box,
-    Cue,
-    Stage,
-    Told,
-    View,
-    box_of,
-    step,
+    RegisteredNode,
+    parse_registered_node,
+)
+from milletsill.registry.registry_watcher import (
+    RegistryCallbacks,
+    RegistryConfig,
+    RegistryWatcher,
+)
+from milletsill.registry.watch_state import (
+    WatcherEffect,
+    WatcherEvent,
+    WatcherState,
+    next_state,
 )
-from milletsill.registry.registry_watcher import Follower
 
 VALUE = {
     "id": 7,
@@ -34,100 +40,127 @@
 
 
 def box(id=7, started=0, cell=3, readiness=Readiness.READY):
-    return Box(id, "127.0.0.1:9", readiness, 2.0, 0, 0, cell, started)
+    return RegisteredNode(id, "127.0.0.1:9", readiness, 2.0, 0, 0, cell, started)
 
 
 class Table(unittest.TestCase):
     def test_an_asking_ranges_then_watches(self):
-        self.assertEqual(step(Stage.IDLE, Cue.ASK), (Stage.RANGING, "range"))
-        self.assertEqual(step(Stage.RANGING, Cue.RANGE_OK), (Stage.JOINING, "whole"))
-        self.assertEqual(step(Stage.JOINING, Cue.JOIN_OK), (Stage.WATCHING, ""))
+        self.assertEqual(
+            next_state(WatcherState.IDLE, WatcherEvent.REQUESTED),
+            (WatcherState.LISTING, WatcherEffect.LIST),
+        )
+        self.assertEqual(
+            next_state(WatcherState.LISTING, WatcherEvent.LISTED),
+            (WatcherState.OPENING, WatcherEffect.REPORT_SNAPSHOT),
+        )
+        self.assertEqual(
+            next_state(WatcherState.OPENING, WatcherEvent.OPENED),
+            (WatcherState.WATCHING, WatcherEffect.NONE),
+        )
 
     def test_every_failure_is_told_to_the_module_once(self):
-        for stage in (Stage.RANGING, Stage.JOINING, Stage.WATCHING):
-            self.assertEqual(step(stage, Cue.FAIL), (Stage.IDLE, "failed"))
-        self.assertEqual(step(Stage.IDLE, Cue.FAIL), (Stage.IDLE, ""))
+        for stage in (
+            WatcherState.LISTING,
+            WatcherState.OPENING,
+            WatcherState.WATCHING,
+        ):
+            self.assertEqual(
+                next_state(stage, WatcherEvent.FAILED),
+                (WatcherState.IDLE, WatcherEffect.REPORT_FAILURE),
+            )
+        self.assertEqual(
+            next_state(WatcherState.IDLE, WatcherEvent.FAILED),
+            (WatcherState.IDLE, WatcherEffect.NONE),
+        )
 
     def test_compaction_asks_for_the_whole_list(self):
-        self.assertEqual(step(Stage.WATCHING, Cue.COMPACTED), (Stage.RANGING, "range"))
+        self.assertEqual(
+            next_state(WatcherState.WATCHING, WatcherEvent.COMPACTED),
+            (WatcherState.LISTING, WatcherEffect.LIST),
+        )
 
     def test_an_asking_while_the_watch_stands_is_confirmed(self):
-        self.assertEqual(step(Stage.WATCHING, Cue.ASK), (Stage.WATCHING, "confirm"))
+        self.assertEqual(
+            next_state(WatcherState.WATCHING, WatcherEvent.REQUESTED),
+            (WatcherState.WATCHING, WatcherEffect.REPORT_UNCHANGED),
+        )
 
 
 class Views(unittest.TestCase):
     def test_changes_are_applied_once_and_in_order(self):
-        view = View(10, 1000)
+        view = EndpointView(10, 1000)
         view.replace({"a": box()}, 5)
         drain = box(readiness=Readiness.DRAINING)
         self.assertEqual(
-            view.apply([Told("a", box(), 5), Told("a", drain, 6)]), [drain]
+            view.apply([KeyChange("a", box(), 5), KeyChange("a", drain, 6)]), [drain]
         )
-        self.assertEqual(view.apply([Told("a", drain, 6)]), [])
+        self.assertEqual(view.apply([KeyChange("a", drain, 6)]), [])
 
     def test_a_key_that_goes_makes_its_box_gone(self):
-        view = View(10, 1000)
+        view = EndpointView(10, 1000)
         view.replace({"a": box()}, 5)
-        self.assertEqual(view.apply([Told("a", None, 6)])[0].readiness, Readiness.GONE)
+        self.assertEqual(
+            view.apply([KeyChange("a", None, 6)])[0].readiness, Readiness.GONE
+        )
 
     def test_a_box_that_another_key_still_claims_is_not_gone(self):
-        view = View(10, 1000)
+        view = EndpointView(10, 1000)
         view.replace({"a": box(), "b": box()}, 5)
-        self.assertEqual(view.apply([Told("a", None, 6)]), [])
+        self.assertEqual(view.apply([KeyChange("a", None, 6)]), [])
 
     def test_a_key_that_takes_another_id_makes_the_old_box_gone(self):
-        view = View(10, 1000)
+        view = EndpointView(10, 1000)
         view.replace({"a": box(1)}, 5)
         self.assertEqual(
             [
                 (each.id, each.readiness.name)
-                for each in view.apply([Told("a", box(2), 6)])
+                for each in view.apply([KeyChange("a", box(2), 6)])
             ],
             [(1, "GONE"), (2, "READY")],
         )
 
     def test_keys_are_counted_also_those_without_a_box(self):
-        view = View(1, 1000)
+        view = EndpointView(1, 1000)
         view.replace({"a": box(1)}, 5, ["a", "odd"])
         view.apply(
             [
-                Told("a", None, 6, odd=True),
-                Told("more", box(2), 7),
-                Told("odd", None, 8),
-                Told("new", None, 8, odd=True),
+                KeyChange("a", None, 6, invalid=True),
+                KeyChange("more", box(2), 7),
+                KeyChange("odd", None, 8),
+                KeyChange("new", None, 8, invalid=True),
             ]
         )
-        self.assertEqual((view.keys(), list(view.by_key)), (3, ["a"]))
+        self.assertEqual((view.key_count(), list(view.by_key)), (3, ["a"]))
 
     def test_a_flood_of_boxes_is_bounded_and_counted(self):
-        view = View(10, 1000)
+        view = EndpointView(10, 1000)
         view.replace({str(each): box(each) for each in range(15)}, 5)
-        view.apply([Told("new", box(99), 6)])
+        view.apply([KeyChange("new", box(99), 6)])
         self.assertEqual((len(view.by_key), view.overflow), (10, 6))
 
     def test_a_step_of_the_wall_clock_does_not_make_a_box_new(self):
-        view = View(10, 100_000)
-        first = view.since_of(box(started=1_000_000), 50_000, 1_001_000)
+        view = EndpointView(10, 100_000)
+        first = view.started_at(box(started=1_000_000), 50_000, 1_001_000)
         self.assertEqual(first, 40_000)
         self.assertEqual(
-            view.since_of(box(started=1_000_000), 60_000, 9_999_999), first
+            view.started_at(box(started=1_000_000), 60_000, 9_999_999), first
         )
         self.assertNotEqual(
-            view.since_of(box(started=1_001_500), 60_000, 1_002_000), first
+            view.started_at(box(started=1_001_500), 60_000, 1_002_000), first
         )
 
     def test_long_ago_is_none(self):
-        view = View(10, 1000)
-        self.assertIsNone(view.since_of(box(started=1), 50_000, 1_000_000))
-        self.assertIsNone(view.since_of(box(started=0), 0, 0))
+        view = EndpointView(10, 1000)
+        self.assertIsNone(view.started_at(box(started=1), 50_000, 1_000_000))
+        self.assertIsNone(view.started_at(box(started=0), 0, 0))
 
 
 class Json(unittest.TestCase):
     def kv(self, key="k/7", value=VALUE, revision=4):
         text = value if isinstance(value, str) else json.dumps(value)
         return {
-            "key": etcd_json.encoded(key),
-            "value": etcd_json.encoded(text),
+            "key": etcd_json.encode_text(key),
+            "value": etcd_json.encode_text(text),
             "mod_revision": str(revision),
         }
 
@@ -137,8 +170,10 @@
             "header": {"revision": "9"},
             "kvs": [self.kv(), self.kv("k/8", "nonsense"), self.kv("k/9", {"id": -1})],
         }
-        boxes, revision = etcd_json.read_range(json.dumps(body).encode(), said.append)
-        self.assertEqual((list(boxes), revision, len(said)), (["k/7"], 9, 2))
+        listed = etcd_json.parse_list(json.dumps(body).encode(), said.append)
+        self.assertEqual(
+            (list(listed.nodes), listed.head.revision, len(said)), (["k/7"], 9, 2)
+        )
 
     def test_a_watch_tells_changes_deletes_opening_and_compaction(self):
         line = {
@@ -148,20 +183,25 @@
                     {"kv": self.kv()},
                     {
                         "type": "DELETE",
-                        "kv": {"key": etcd_json.encoded("k/8"), "mod_revision": "5"},
+                        "kv": {
+                            "key": etcd_json.encode_text("k/8"),
+                            "mod_revision": "5",
+                        },
                     },
                 ],
             }
         }
-        changes, _, opened, compacted = etcd_json.read_watch(
-            json.dumps(line).encode(), print
-        )
+        message = etcd_json.parse_watch_message(json.dumps(line).encode(), print)
         self.assertEqual(
-            [(each.key, each.box is None, each.revision) for each in changes],
+            [(each.key, each.node is None, each.revision) for each in message.changes],
             [("k/7", False, 4), ("k/8", True, 5)],
         )
         cancelled = {"result": {"canceled": True, "compact_revision": "12"}}
-        self.assertTrue(etcd_json.read_watch(json.dumps(cancelled).encode(), print)[3])
+        self.assertTrue(
+            etcd_json.parse_watch_message(
+                json.dumps(cancelled).encode(), print
+            ).compacted
+        )
 
     def test_nonsense_is_one_line(self):
         for data in (
@@ -174,7 +214,7 @@
             b'{"result": {"events": [{"kv": {"key": "!"}}]}}',
         ):
             with self.assertRaises(etcd_json.MalformedRegistryAnswer):
-                etcd_json.read_watch(data, print)
+                etcd_json.parse_watch_message(data, print)
 
     def test_boxes_of_all_wrong_kinds_are_refused(self):
         for field, value in (
@@ -188,10 +228,10 @@
             ("address", 5),
         ):
             with self.assertRaises(InvalidRegistryEntry):
-                box_of({**VALUE, field: value})
+                parse_registered_node({**VALUE, field: value})
 
     def test_a_line_without_an_end_is_bounded(self):
-        lines = etcd_json.Lines(100)
+        lines = LineSplitter(100)
         self.assertEqual(lines.feed(b"a\nb"), [b"a"])
         with self.assertRaises(etcd_json.MalformedRegistryAnswer):
             lines.feed(b"x" * 200)
@@ -209,35 +249,38 @@
             {"k/7": (VALUE, 4)},
             4,
         )
-        link = SimpleNamespace(
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        config = RegistryConfig(
             address="127.0.0.1:1",
             prefix="k/",
-            call_ms=2000,
-            connect_ms=500,
-            most_line=1 << 20,
-            most_boxes=99,
+            gateway="g",
+            call_timeout=2.0,
+            connect_timeout=0.5,
+            max_line=1 << 20,
+            max_nodes=99,
+            warm_after=0,
+            cache_path=f"{folder.name}/boxes",
         )
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.follower = Follower(
+        self.follower = RegistryWatcher(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000),
-            link,
-            0,
-            f"{folder.name}/boxes",
-            lambda news, boxes: self.told.append(
-                (news, [each.readiness.name for each in boxes])
+            config,
+            RegistryCallbacks(
+                on_endpoints=lambda news, boxes: self.told.append(
+                    (news, [each.readiness.name for each in boxes])
+                ),
+                on_nodes=lambda nodes: None,
+                log=lambda text: None,
             ),
-            lambda boxes: None,
-            lambda text: None,
-            "g",
             lambda least, most: most,
         )
-        self.follower.call, self.follower.save = self.call, lambda: None
-        self.follower.ask()
+        self.follower.client.call = self.call
+        self.follower.cache.save = lambda: None
+        self.follower.request_watch()
 
     def call(self, path, body, line, done):
-        self.follower.pending = Deferred().addErrback(lambda failure: None)
+        self.follower.client.pending = Deferred().addErrback(lambda failure: None)
         self.calls += 1
         way = self.ways.pop(0) if self.ways else "good"
         if way != "good":
@@ -278,7 +321,7 @@
             self.keys = {"k/7": (change, 5)} if change else {}
             self.passing(within)
             self.assertEqual(self.told[1:], [(EndpointUpdateKind.FAILED, [])])
-            self.follower.ask()  # as the module does
+            self.follower.request_watch()  # as the module does
             self.assertEqual(
                 self.told[2],
                 (EndpointUpdateKind.SNAPSHOT, ["DRAINING"] if change else []),
@@ -291,7 +334,7 @@
             [news for news, _ in self.told],
             [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.FAILED],
         )
-        self.follower.ask()
+        self.follower.request_watch()
         self.passing(7.1)
         self.line(
             json.dumps(
@@ -306,7 +349,7 @@
         self.passing(1.5)  # looked at in between
         gone = {
             "type": "DELETE",
-            "kv": {"key": etcd_json.encoded("k/7"), "mod_revision": "5"},
+            "kv": {"key": etcd_json.encode_text("k/7"), "mod_revision": "5"},
         }
         self.line(json.dumps({"result": {"events": [gone]}}).encode())
         self.ways = ["fails"] * 4 + ["no word"]
@@ -325,14 +368,14 @@
         self.path = os.path.join(self.folder.name, "boxes")
 
     def test_what_is_put_comes_back(self):
-        endpoint_cache.put(self.path, {"k": box()}, 12)
-        self.assertEqual(endpoint_cache.get(self.path), ({"k": box()}, 12))
+        endpoint_cache.write_cache(self.path, {"k": box()}, 12)
+        self.assertEqual(endpoint_cache.read_cache(self.path), ({"k": box()}, 12))
 
     def test_none_is_empty(self):
-        self.assertEqual(endpoint_cache.get(self.path), ({}, 0))
+        self.assertEqual(endpoint_cache.read_cache(self.path), ({}, 0))
 
     def test_a_file_cut_or_flipped_anywhere_is_not_used(self):
-        endpoint_cache.put(self.path, {"k": box()}, 12)
+        endpoint_cache.write_cache(self.path, {"k": box()}, 12)
         with open(self.path, "rb") as source:
             data = source.read()
         for at in range(0, len(data), 7):
@@ -340,11 +383,11 @@
                 with open(self.path, "wb") as sink:
                     sink.write(bad)
                 with self.assertRaises(endpoint_cache.EndpointCacheNotStored):
-                    endpoint_cache.get(self.path)
+                    endpoint_cache.read_cache(self.path)
 
     def test_a_full_disk_leaves_the_old_list_and_one_line(self):
         with self.assertRaises(endpoint_cache.EndpointCacheNotStored) as caught:
-            endpoint_cache.put("/dev/full/x", {}, 1)
+            endpoint_cache.write_cache("/dev/full/x", {}, 1)
         self.assertNotIn("\n", str(caught.exception))
 
 
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -403,7 +403,7 @@
     async def test_a_state_folder_that_takes_nothing_stops_nothing(self):
         rig = Rig(self)
         edge = await rig.edge()
-        edge.follower.cache_path = "/dev/full/boxes"
+        edge.follower.cache.path = "/dev/full/boxes"
         for number in range(3):
             rig.tell(rig.boxes[0])
             await later(0.7)
@@ -422,7 +422,7 @@
         rig.registry.set_away(False)
         await later(1.5)
         self.assertEqual(
-            (sorted(edge.pools), edge.follower.stage.name), ([0, 1], "WATCHING")
+            (sorted(edge.pools), edge.follower.state.name), ([0, 1], "WATCHING")
         )
 
     async def test_plain_metrics_tell_answers(self):
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -148,7 +148,7 @@
         edge.start()
         ends = time.monotonic() + 2
         while time.monotonic() < ends and not (
-            edge.ports and edge.follower.stage.name == "WATCHING"
+            edge.ports and edge.follower.state.name == "WATCHING"
         ):
             await later(0.01)
         return edge
