--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -116,8 +116,8 @@
             FleetAddressUnavailable: The address cannot be listened on.
         """
         host, _, _ = self._config.address.rpartition(":")
-        port = self._listen()
-        address = self._config.advertise or f"{host}:{port}"
+        self._listen()
+        address = self._config.advertise or f"{host}:{self.listening_port}"
         self._started_at = self._now()
         identity = LocalIdentity(
             name=self.name,
@@ -172,6 +172,12 @@
             return self._config.incarnation
         return self._membership.state.local.entry.incarnation
 
+    @property
+    def listening_port(self) -> int:
+        """The number of the port it listens on, once started; UDP and TCP."""
+        number: int = self._ports[0].getHost().port
+        return number
+
     @property
     def is_isolated(self) -> bool:
         """Whether most of its probes come to nothing: its view may be old."""
@@ -200,8 +206,8 @@
 
     # Sockets and timers.
 
-    def _listen(self) -> int:
-        """Listen on TCP and UDP of one port; return its number."""
+    def _listen(self) -> None:
+        """Listen on TCP and on UDP of the same port."""
         host, _, port = self._config.address.rpartition(":")
         self._listener = StreamListener(
             self._now, self._on_stream_frame, self._on_refused_frame
@@ -211,11 +217,10 @@
         try:
             tcp = self._reactor.listenTCP(int(port), self._listener, interface=host)
             self._ports.append(tcp)
-            number: int = tcp.getHost().port
-            self._ports.append(self._datagrams.listen(self._reactor, host, number))
+            udp = self._datagrams.listen(self._reactor, host, self.listening_port)
+            self._ports.append(udp)
         except CannotListenError as error:
             raise FleetAddressUnavailable(str(error), self._config.address) from error
-        return number
 
     def _schedule(self, name: str, delay: int, call: Callable[[], None]) -> None:
         """Call a function after tenths of a millisecond; one timer a name."""
--- a/milletsill/fleet/transport.py
+++ b/milletsill/fleet/transport.py
@@ -146,9 +146,17 @@
     and connection, and may come twice.
     """
 
-    name: str
-    incarnation: int
-    view: View
+    @property
+    def name(self) -> str:
+        """This gateway's name."""
+
+    @property
+    def incarnation(self) -> int:
+        """This gateway's incarnation, as the others know it."""
+
+    @property
+    def view(self) -> View:
+        """The members that are present."""
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
         """Send to one member.
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -90,7 +90,7 @@
 
     async def gateway(self, name):
         self.file.fleet.join[:] = [
-            f"127.0.0.1:{each.fleet.ports[0].getHost().port}" for each in self.edges[:1]
+            f"127.0.0.1:{each.fleet.listening_port}" for each in self.edges[:1]
         ]
         return await self.edge(name, drain_s=1.0)
 
