--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -53,7 +53,9 @@
     from twisted.internet import reactor
 
     from milletsill.errors import MilletsillError
-    from milletsill.fleet.leases.lease_manager import Offices
+    from milletsill.fleet.leases.lease_manager import LeaseManager
+    from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+    from milletsill.fleet.leases.timings import LeaseTimings
     from milletsill.fleet.service import FleetService
     from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
     from milletsill.settings.milletsill_pb2 import FleetLink
@@ -77,20 +79,16 @@
         registry,
     )
     fleet.start()
-    offices = Offices(
-        reactor,
-        now,
-        fleet,
-        [f"g{each}" for each in range(given.registers)],
-        2 * SECOND,
-        5,
-        3000,
-        100_000,
-        os.path.join(given.folder, f"g{number}.sqlite"),
-        number,
-        quiet,
-        registry,
-        silent=SILENT,
+    offices = LeaseManager(
+        LeaseSettings(
+            acceptors=tuple(f"g{each}" for each in range(given.registers)),
+            timings=LeaseTimings(2 * SECOND, 3000, 5),
+            max_leases=100_000,
+            idle_after=SILENT,
+            store_path=os.path.join(given.folder, f"g{number}.sqlite"),
+            seed=number,
+        ),
+        LeaseEnvironment(reactor, now, fleet, quiet, registry),
     )
     took: list[float] = []
     faults: dict[str, int] = {}
@@ -126,10 +124,10 @@
                 return heirs.append(time.monotonic())
             reactor.callLater(max(term.pause, 100) / SECOND, heir, channel)
 
-        offices.take(channel, got)
+        offices.acquire(channel, got)
 
     def take(channel: str) -> None:
-        offices.take(
+        offices.acquire(
             channel,
             lambda term: (
                 again(channel, term)
@@ -149,7 +147,7 @@
 
         def wrote(fault: Any) -> None:
             if fault is not None:
-                return again(term.channel, fault)
+                return again(term.key, fault)
             if began >= span["from"]:
                 took.append(time.monotonic() - began)
             write(term)
