--- a/milletsill/fleet/membership/membership.py
+++ b/milletsill/fleet/membership/membership.py
@@ -137,13 +137,6 @@
         self._gossip_to(LEAVE_FANOUT_MULTIPLIER * logarithm)
         return self.state.take_effects()
 
-    def send_full_state(
-        self, now: int, address: str, reply_wanted: bool
-    ) -> list[Effect]:
-        """Send all that this gateway knows to an address."""
-        self._sender.full_state(now, address, reply_wanted)
-        return self.state.take_effects()
-
     def _detect(self, now: int) -> None:
         self._detector.check(now)
         if now >= self._next_probe:
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -185,9 +185,19 @@
             for each in member.on_message(1000, codec.decode(news)):
                 if isinstance(each, SendMessage):
                     codec.encode(each.message)
-            for each in member.send_full_state(2000, "h:3", reply_wanted=False):
-                if isinstance(each, SendMessage):
-                    codec.encode(each.message)
+            digest = FleetMessage(
+                FrameType.DIGEST,
+                MemberUpdate("other", 1, 7, 0, MemberState.ALIVE, "h:3"),
+                digest=1,
+            )
+            sent = [
+                each.message
+                for each in member.on_message(2000, digest)
+                if isinstance(each, SendMessage)
+            ]
+            self.assertIn(FrameType.FULL_STATE, [each.type for each in sent])
+            for each in sent:
+                codec.encode(each)
 
     def test_registers(self):
         self.assertIsNone(
