--- a/milletsill/fleet/errors.py
+++ b/milletsill/fleet/errors.py
@@ -1,4 +1,4 @@
-"""The fleet's errors. Each stands in docs/fleet.md with what to do."""
+"""The fleet's errors; docs/fleet.md has what to do about each."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class FrameVersionTooNew(MilletsillError):
-    """A frame of which a later version says that this one cannot make sense of it."""
+    """A frame that only a later version of the program can read."""
 
     remedy = (
         "bring this gateway to the version of the others; until then it does not hear "
--- a/milletsill/fleet/frames/codec.py
+++ b/milletsill/fleet/frames/codec.py
@@ -64,7 +64,7 @@
         self.version = version
 
     def encode(self, message: FleetMessage) -> bytes:
-        """Return a frame's octets; whoever sends datagrams looks at the length.
+        """Return a frame's octets; the caller checks a datagram's length.
 
         Raises:
             FrameTooLong: The frame is over MAX_FRAME.
--- a/milletsill/fleet/membership/effects.py
+++ b/milletsill/fleet/membership/effects.py
@@ -1,4 +1,4 @@
-"""What a membership wants done; whoever holds the sockets does it."""
+"""What a membership wants done; the service applies it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     INCARNATION_LOST = auto()  # others knew a later incarnation of this name
     DUPLICATE_NAME = auto()  # two live gateways have this name
     REFUTED = auto()  # others suspected this gateway
-    STALLED = auto()  # this gateway stood still
+    STALLED = auto()  # this gateway stalled
     MEMBER_LIMIT = auto()  # a member more than the bound
 
 
--- a/milletsill/fleet/membership/failure_detector.py
+++ b/milletsill/fleet/membership/failure_detector.py
@@ -184,7 +184,7 @@
                 self._state.declare_gone(now, probe.name)
 
     def _on_miss(self, now: int, probe: ProbeState) -> None:
-        """A whole round came to nothing.
+        """A whole round failed.
 
         Where enough members suspect the target, or too many probes fail here, others
         follow it up: that bounds what a fault of many members costs each.
--- a/milletsill/fleet/membership/local_health.py
+++ b/milletsill/fleet/membership/local_health.py
@@ -8,7 +8,7 @@
 
 MAX_SCORE = 4  # of the local health score; there all timeouts are twice as long
 PROBES_LOOKED_AT = 8  # the last outcomes by which isolation is judged
-ISOLATION_SHARE = 0.67  # of them that must have come to nothing
+ISOLATION_SHARE = 0.67  # of them that must have failed
 ISOLATION_TARGETS = 4  # different members among those
 ISOLATION_MULTIPLIER = 3  # of timeouts, while this gateway takes itself for isolated
 
@@ -32,7 +32,7 @@
         self.outcomes: deque[ProbeOutcome] = deque(maxlen=PROBES_LOOKED_AT)
 
     def on_stall(self) -> None:
-        """This gateway stood still."""
+        """This gateway stalled."""
         self._add(1)
 
     def on_suspected(self) -> None:
@@ -45,7 +45,7 @@
         self._add(-1)
 
     def on_miss(self, target: str) -> None:
-        """A probe came to nothing, directly and through others."""
+        """A probe failed, directly and through others."""
         self.outcomes.append(ProbeOutcome(target, acked=False))
 
     @property
@@ -64,7 +64,7 @@
 
 
 def is_isolated(outcomes: Sequence[ProbeOutcome]) -> bool:
-    """Return whether most of the last probes, to several members, came to nothing.
+    """Return whether most of the last probes, to several members, failed.
 
     Guards the fleet against a gateway that is cut off or starved: the fault is then its
     own. Cost: it is later to see that most of a fleet are gone.
--- a/milletsill/fleet/membership/membership.py
+++ b/milletsill/fleet/membership/membership.py
@@ -1,7 +1,7 @@
 """One gateway among the others: SWIM with Lifeguard. Time and messages in, effects out.
 
 `tick` is called every TICK_INTERVAL; a call that comes late is how a gateway knows that
-it stood still itself. No I/O, no clock; times are tenths of a millisecond.
+it stalled itself. No I/O, no clock; times are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from milletsill.fleet.transport import PRESENT_STATES
 
 # Tenths of a millisecond.
-STALL_THRESHOLD = 1000  # a tick that comes later than this: this gateway stood still
+STALL_THRESHOLD = 1000  # a tick that comes later than this: this gateway stalled
 GOSSIP_INTERVAL = 1000  # while there are updates to pass on
 FORGET_INTERVAL = 100_000  # between looks for members that are long absent
 
@@ -82,7 +82,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether most of this gateway's probes come to nothing."""
+        """Whether most of this gateway's probes fail."""
         return self.health.is_isolated
 
     def tick(self, now: int) -> list[Effect]:
@@ -102,7 +102,7 @@
         return self.state.take_effects()
 
     def on_stall(self, now: int, stalled_for: int) -> None:
-        """This gateway stood still: what it missed says nothing of the others."""
+        """This gateway stalled: what it missed says nothing of the others."""
         self.health.on_stall()
         self.state.effects.append(
             OperatorEvent(OperatorEventKind.STALLED, duration=stalled_for)
--- a/milletsill/fleet/membership/message_sender.py
+++ b/milletsill/fleet/membership/message_sender.py
@@ -57,7 +57,7 @@
     def relay_ack(
         self, address: str, probe_number: int, target_update: MemberUpdate
     ) -> None:
-        """Pass an ack on to whoever asked, with what the target said of itself."""
+        """Pass an ack on to the requester, with the target's own update."""
         message = FleetMessage(
             FrameType.ACK,
             self._state.local.update,
--- a/milletsill/fleet/membership/name_claims.py
+++ b/milletsill/fleet/membership/name_claims.py
@@ -23,14 +23,14 @@
 
     ACTIVE = auto()
     DISPLACED = auto()  # another gateway with this name has it
-    LEAVING = auto()  # it has said that it goes
+    LEAVING = auto()  # it has announced that it leaves
 
 
 class NameClaim(Enum):
     """What an update with this gateway's name is to it."""
 
     ACCUSATION = auto()  # a suspicion or worse of this start
-    STALE = auto()  # an earlier start, or this gateway's own words
+    STALE = auto()  # an earlier start, or its own update
     OTHER_START = auto()  # a start that goes before this one, or has its incarnation
     # A start that goes past what this gateway advanced to: only a live one can.
     OVERTAKEN_BY_SMALLER_NONCE = auto()
--- a/milletsill/fleet/membership/probe_relay.py
+++ b/milletsill/fleet/membership/probe_relay.py
@@ -39,7 +39,7 @@
         )
 
     def on_ack(self, message: FleetMessage) -> None:
-        """Pass a target's own ack on to whoever asked."""
+        """Pass a target's own ack on to the requester."""
         if not message.probe_number:
             return
         relayed = self.pending.pop(message.probe_number, None)
--- a/milletsill/fleet/membership/probe_state.py
+++ b/milletsill/fleet/membership/probe_state.py
@@ -35,8 +35,8 @@
 
     AWAITING_ACK = auto()  # a probe is out
     AWAITING_INDIRECT_ACK = auto()  # others were asked to probe it too
-    UNRESPONSIVE = auto()  # a round came to nothing; rounds follow each other
-    SUSPECTED = auto()  # the fleet is told, and the member may refute
+    UNRESPONSIVE = auto()  # a round failed; rounds follow each other
+    SUSPECTED = auto()  # the suspicion is gossiped, and the member may refute
     VERIFYING = auto()  # others say that it is gone; it is asked
     FINISHED = auto()
 
@@ -45,7 +45,7 @@
     """What a probe's state reacts to."""
 
     SIGN_OF_LIFE = auto()  # an ack or any other, from whomever
-    LOCAL_STALL = auto()  # this gateway itself stood still
+    LOCAL_STALL = auto()  # this gateway itself stalled
     ACK_TIMEOUT = auto()
     INDIRECT_ACK_TIMEOUT = auto()
     ROUND_DUE = auto()
@@ -115,7 +115,7 @@
         )
         for stage in _LATER_STAGES
     },
-    # Guards the others against a gateway that stood still: a probe that was out then
+    # Guards the others against a gateway that stalled: a probe that was out then
     # says nothing of its target; what was further on gets that much longer and a new
     # round. Cost: one that stalls all the time sees a death later; others see it.
     **{
@@ -161,7 +161,7 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether a round came to nothing; such probes are bounded in number."""
+        """Whether a round failed; such probes are bounded in number."""
         return self.stage in (ProbeStage.UNRESPONSIVE, ProbeStage.SUSPECTED)
 
 
--- a/milletsill/fleet/membership/update_rules.py
+++ b/milletsill/fleet/membership/update_rules.py
@@ -160,7 +160,7 @@
     """Return whether a suspect's death is believed without a probe of its own.
 
     So where some member is named that suspected it, and it had the least timeout to
-    refute that. What is read right after this gateway stood still has waited in the
+    refute that. What is read right after this gateway stalled has waited in the
     socket, suspicion and death alike, so there the time between them says nothing.
     """
     least_timeout = config.suspicion_timeout * LEAST_SUSPICION_SHARE
--- a/milletsill/fleet/metrics.py
+++ b/milletsill/fleet/metrics.py
@@ -67,9 +67,7 @@
         self.local_health_score = gauge(
             "doubt", "Local health score of this gateway, 0 (healthy) to 4"
         )
-        self.isolated = gauge(
-            "troubled", "1 while most of this gateway's probes come to nothing"
-        )
+        self.isolated = gauge("troubled", "1 while most of this gateway's probes fail")
         self.waiting_octets = gauge(
             "waiting_octets", "Octets that wait on streams to other gateways"
         )
--- a/milletsill/fleet/net/datagrams.py
+++ b/milletsill/fleet/net/datagrams.py
@@ -11,7 +11,7 @@
 
 from milletsill.fleet.frames.codec import MAX_DATAGRAM
 
-# Octets that the socket holds while this gateway stands still.
+# Octets that the socket holds while this gateway is stalled.
 RECEIVE_BUFFER = 1 << 20
 
 
--- a/milletsill/fleet/net/inbound_streams.py
+++ b/milletsill/fleet/net/inbound_streams.py
@@ -5,7 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import Factory, Protocol, connectionDone
+from twisted.python.failure import Failure
 
 from milletsill.fleet.errors import FrameTooLong
 from milletsill.fleet.frames.stream_framing import FrameDecoder
@@ -43,7 +45,7 @@
             self._listener.on_refused(error)
             self.abort()
 
-    def connectionLost(self, reason: Any = None) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Forget the stream."""
         self._listener.streams.discard(self)
 
@@ -59,7 +61,7 @@
     Args:
         now: Returns tenths of a millisecond.
         on_frame: Called with each frame's octets.
-        on_refused: Called with the error of a stream that says what cannot be a frame.
+        on_refused: Called with the error of a stream whose length prefix is too high.
     """
 
     noisy = False
@@ -75,7 +77,7 @@
         self.on_refused = on_refused
         self.streams: set[InboundStream] = set()
 
-    def buildProtocol(self, addr: Any) -> InboundStream:
+    def buildProtocol(self, addr: IAddress | None) -> InboundStream:
         """Return the protocol of a new stream."""
         return InboundStream(self)
 
--- a/milletsill/fleet/net/outbound_streams.py
+++ b/milletsill/fleet/net/outbound_streams.py
@@ -13,7 +13,8 @@
 
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.protocol import Factory, Protocol, connectionDone
+from twisted.python.failure import Failure
 
 from milletsill.fleet.frames.stream_framing import add_length_prefix
 from milletsill.fleet.net.stream_state import (
@@ -58,7 +59,7 @@
         tcp.registerProducer(self, True)
         self.on_event(StreamEvent.CONNECTED)
 
-    def connectionLost(self, reason: Any = None) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         """The stream ended, by whichever side."""
         self.on_event(StreamEvent.CONNECTION_LOST)
 
@@ -134,8 +135,8 @@
     Args:
         reactor: Twisted's.
         now: Returns tenths of a millisecond.
-        host: Of this gateway's own address. Streams leave from it, so that whoever
-            stands between can tell who speaks.
+        host: Of this gateway's own address. Streams leave from it, so that a relay
+            between can tell who sends.
     """
 
     def __init__(self, reactor: Any, now: Callable[[], int], host: str) -> None:
--- a/milletsill/fleet/net/stream_state.py
+++ b/milletsill/fleet/net/stream_state.py
@@ -76,7 +76,7 @@
     (StreamState.OPEN, StreamEvent.IDLE): StreamTransition(
         StreamState.CLOSED, StreamAction.CLOSE
     ),
-    # Guards what is sent against a half-open stream. Cost: a member that stands still
+    # Guards what is sent against a half-open stream. Cost: a member that stalls
     # for that long loses what waited for it.
     (StreamState.BLOCKED, StreamEvent.TIMED_OUT): StreamTransition(
         StreamState.CLOSED, StreamAction.ABORT
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -180,7 +180,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether most of its probes come to nothing: its view may be old."""
+        """Whether most of its probes fail: its view may be old."""
         return self._membership is not None and self._membership.is_isolated
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
