--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -131,37 +131,38 @@
     from random import Random
 
     from milletsill.fleet.health import codec
-    from milletsill.fleet.health.health_evaluator import Judge
-    from milletsill.fleet.health.report_store import Rows, Word
+    from milletsill.fleet.health.health_evaluator import HealthEvaluator
+    from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
+    from milletsill.fleet.health.report_store import NodeObservation, ReportStore
 
     chance, boxes, now = Random(1), 44, 100_000
-    origins = [Rows(each, 1, 2, 4096) for each in range(given.gateways)]
-    rows, judge = Rows(-1, 1, 8192, 4096), Judge(0.34)
+    origins = [ReportStore(each, 1, 2, 4096) for each in range(given.gateways)]
+    store, evaluator = ReportStore(-1, 1, 8192, 4096), HealthEvaluator(0.34)
 
-    def words(count: int) -> dict[int, Word]:
+    def observations(count: int) -> dict[int, NodeObservation]:
         return {
-            chance.randrange(boxes): Word(
+            chance.randrange(boxes): NodeObservation(
                 0, now, 1.0, 0.0, 0.0, 1.0, chance.gauss(0, 1)
             )
             for _ in range(count)
         }
 
     frames = [
-        next(codec.bodies([origin.write(words(5))], (), now))
+        next(codec.encode_frames([origin.write(observations(5))], (), now))
         for _ in range(2)
         for origin in origins
     ]
     began = time.process_time()
     for body in frames:
-        for each in codec.decoded(body).difference:
-            rows.merge(codec.get(each, now))
+        for each in codec.decode_frame(body).difference:
+            store.merge(codec.decode_delta(each, now))
     heard = (time.process_time() - began) / len(frames)
     began = time.process_time()
     for step in range(20):
-        judge.look(
-            rows,
+        evaluator.evaluate(
+            store,
             given.gateways,
-            lambda box: {},
+            RendezvousRanking(),
             {box: box // 2 for box in range(boxes)},
             now + step,
         )
--- a/milletsill/fleet/health/__init__.py
+++ b/milletsill/fleet/health/__init__.py
@@ -1,1 +1,4 @@
-"""What gateways tell each other of disk boxes, and what they make of it together. See docs/health.md."""
+"""Health of storage nodes that gateways observe and judge together.
+
+`shared_health` is the gateway's side; the other modules do no I/O. See docs/health.md.
+"""
--- a/milletsill/fleet/health/codec.py
+++ b/milletsill/fleet/health/codec.py
@@ -1,111 +1,179 @@
-"""Frames of kind HEALTH, to and from rows: protobuf, bounded, ages instead of times so that no clock is compared."""
+"""Frames of kind HEALTH to and from report deltas and versions.
+
+A frame is protobuf of bounded length. It carries ages in place of times, so that no
+clock is compared with another. Values are sent as small fixed-point integers.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
-from typing import Any
 
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.health.health_pb2 import Difference as DifferenceFrame
-from milletsill.fleet.health.health_pb2 import Frame, Known
-from milletsill.fleet.health.report_store import Difference, MalformedHealthReport, Word
+from milletsill.fleet.health.health_pb2 import Difference, Frame, Known
+from milletsill.fleet.health.health_pb2 import Word as ObservationFields
+from milletsill.fleet.health.report_store import (
+    MalformedHealthReport,
+    NodeObservation,
+    ReportDelta,
+    ReportVersion,
+)
+
+FORMAT_VERSION = 1
+MAX_FRAME_BYTES = 60_000  # above it another frame begins
+MAX_DELTA_BYTES = 4 * MAX_FRAME_BYTES  # a longer delta is not sent at all
+MAX_RECEIVED_BYTES = 5 * MAX_FRAME_BYTES
+MAX_OBSERVATIONS = 4096  # in one delta
+FIELD_OVERHEAD_BYTES = 4  # of a delta or version in a frame, beside its own octets
 
-VERSION, MOST_FRAME, MOST_WORDS, MOST_AGE = (
-    1,
-    60_000,
-    4096,
-    600_000,
-)  # bytes; of a difference; milliseconds
-SEEN, SHARE, PACE, MOST_SEEN, MOST_PACE = 16, 100, 16, 16_000, 16
+TICKS_PER_MS = 10
+MAX_AGE_MS = 600_000
+ANSWERS_SCALE = 16
+MAX_SCALED_ANSWERS = 16_000
+SHARE_SCALE = 100
+PACE_SCALE = 16
+MAX_SCALED_PACE = 16 * PACE_SCALE
 
 
-def put(news: Difference, now: int) -> Any:
-    made = DifferenceFrame(
-        origin=news.origin, run=news.run, base=news.base, sequence=news.sequence
+def encode_delta(delta: ReportDelta, now: int) -> Difference:
+    """Return the message for a delta, with ages as of `now`."""
+    message = Difference(
+        origin=delta.origin,
+        run=delta.incarnation,
+        base=delta.base,
+        sequence=delta.sequence,
     )
-    for box, word in news.words.items():
-        made.word.add(
-            box=box,
-            back=news.sequence - word.sequence,
-            age=min(max((now - word.at) // 10, 0), MOST_AGE),
-            seen=round(word.seen * SEEN),
-            lost=round(word.lost * SHARE),
-            waste=round(word.waste * SHARE),
-            paced=round(word.paced * SEEN),
-            pace=round(word.pace * PACE),
+    for node, observation in delta.observations.items():
+        age = max((now - observation.observed_at) // TICKS_PER_MS, 0)
+        message.word.add(
+            box=node,
+            back=delta.sequence - observation.sequence,
+            age=min(age, MAX_AGE_MS),
+            seen=round(observation.answers * ANSWERS_SCALE),
+            lost=round(observation.lost_share * SHARE_SCALE),
+            waste=round(observation.wasted_share * SHARE_SCALE),
+            paced=round(observation.paced_answers * ANSWERS_SCALE),
+            pace=round(observation.relative_pace * PACE_SCALE),
         )
-    return made
+    return message
+
 
+def decode_delta(message: Difference, now: int) -> ReportDelta:
+    """Return the delta of a message, with times relative to `now`.
 
-def get(made: Any, now: int) -> Difference:
-    """Values out of their bounds are cut to them: a lie or a slip is one voice, no more."""
-    if len(made.word) > MOST_WORDS or made.base > made.sequence:
+    Values out of their bounds are clamped: whatever an origin claims is one vote.
+
+    Raises:
+        MalformedHealthReport: Its sequence numbers contradict each other, or it has
+            too many observations.
+    """
+    if len(message.word) > MAX_OBSERVATIONS or message.base > message.sequence:
         raise MalformedHealthReport(
-            f"{len(made.word)} words, sequence {made.base} to {made.sequence}",
-            f"origin {made.origin:016x}",
+            f"{len(message.word)} observations, "
+            f"sequence {message.base} to {message.sequence}",
+            f"origin {message.origin:016x}",
         )
-    words = {}
-    for each in made.word:
-        if each.back > made.sequence:
+    observations = {}
+    for fields in message.word:
+        if fields.back > message.sequence:
             raise MalformedHealthReport(
-                f"a word {each.back} before sequence {made.sequence}",
-                f"origin {made.origin:016x}",
+                f"an observation {fields.back} before sequence {message.sequence}",
+                f"origin {message.origin:016x}",
             )
-        words[each.box] = Word(
-            made.sequence - each.back,
-            now - min(each.age, MOST_AGE) * 10,
-            min(each.seen, MOST_SEEN) / SEEN,
-            min(each.lost, SHARE) / SHARE,
-            min(each.waste, SHARE) / SHARE,
-            min(each.paced, MOST_SEEN) / SEEN,
-            max(min(each.pace, MOST_PACE * PACE), -MOST_PACE * PACE) / PACE,
-        )
-    return Difference(made.origin, made.run, made.base, made.sequence, words)
-
-
-def rounded(word: Word) -> Word:
-    """As all others will have it: the origin keeps the same."""
-    return Word(
-        word.sequence,
-        word.at,
-        min(round(word.seen * SEEN), MOST_SEEN) / SEEN,
-        round(word.lost * SHARE) / SHARE,
-        round(word.waste * SHARE) / SHARE,
-        min(round(word.paced * SEEN), MOST_SEEN) / SEEN,
-        max(min(round(word.pace * PACE), MOST_PACE * PACE), -MOST_PACE * PACE) / PACE,
+        observations[fields.box] = _decode_observation(fields, message.sequence, now)
+    return ReportDelta(
+        message.origin, message.run, message.base, message.sequence, observations
     )
 
 
-def bodies(
-    news: Iterable[Difference], known: Iterable[tuple[int, int, int]], now: int
+def _decode_observation(
+    fields: ObservationFields, sequence: int, now: int
+) -> NodeObservation:
+    return NodeObservation(
+        sequence - fields.back,
+        now - min(fields.age, MAX_AGE_MS) * TICKS_PER_MS,
+        min(fields.seen, MAX_SCALED_ANSWERS) / ANSWERS_SCALE,
+        min(fields.lost, SHARE_SCALE) / SHARE_SCALE,
+        min(fields.waste, SHARE_SCALE) / SHARE_SCALE,
+        min(fields.paced, MAX_SCALED_ANSWERS) / ANSWERS_SCALE,
+        _clamped_pace(fields.pace) / PACE_SCALE,
+    )
+
+
+def _clamped_pace(scaled_pace: int) -> int:
+    return max(min(scaled_pace, MAX_SCALED_PACE), -MAX_SCALED_PACE)
+
+
+def as_sent(observation: NodeObservation) -> NodeObservation:
+    """Return an observation as all others will have it, so that the origin keeps it."""
+    return NodeObservation(
+        observation.sequence,
+        observation.observed_at,
+        min(round(observation.answers * ANSWERS_SCALE), MAX_SCALED_ANSWERS)
+        / ANSWERS_SCALE,
+        round(observation.lost_share * SHARE_SCALE) / SHARE_SCALE,
+        round(observation.wasted_share * SHARE_SCALE) / SHARE_SCALE,
+        min(round(observation.paced_answers * ANSWERS_SCALE), MAX_SCALED_ANSWERS)
+        / ANSWERS_SCALE,
+        _clamped_pace(round(observation.relative_pace * PACE_SCALE)) / PACE_SCALE,
+    )
+
+
+def encode_frames(
+    deltas: Iterable[ReportDelta], versions: Iterable[ReportVersion], now: int
 ) -> Iterator[bytes]:
-    """Frames for some differences and what is known, each within the bound on length. A part of a difference would say that
-    it is whole: one that is too long goes alone, one past the bound not at all (4,096 words need more than a frame).
+    """Yield frames for deltas and versions, each within the bound on length.
+
+    A delta is never split, since a part would claim to be whole: one that is too long
+    for a frame goes alone, and one past MAX_DELTA_BYTES is not sent.
     """
-    frame, size = Frame(version=VERSION), 0
-    for kind, each in [("difference", put(one, now)) for one in news] + [
-        ("known", Known(origin=origin, run=run, sequence=upto))
-        for origin, run, upto in known
-    ]:
-        length = each.ByteSize() + 4
-        if size + length > MOST_FRAME and size:
+    messages: list[Difference | Known] = [encode_delta(delta, now) for delta in deltas]
+    for version in versions:
+        messages.append(
+            Known(
+                origin=version.origin,
+                run=version.incarnation,
+                sequence=version.sequence,
+            )
+        )
+    frame = Frame(version=FORMAT_VERSION)
+    size = 0
+    for message in messages:
+        length = message.ByteSize() + FIELD_OVERHEAD_BYTES
+        if size + length > MAX_FRAME_BYTES and size:
             yield frame.SerializeToString()
-            frame, size = Frame(version=VERSION), 0
-        if length <= 4 * MOST_FRAME:
-            getattr(frame, kind).append(each)
-            size += length
+            frame = Frame(version=FORMAT_VERSION)
+            size = 0
+        if length > MAX_DELTA_BYTES:
+            continue
+        if isinstance(message, Difference):
+            frame.difference.append(message)
+        else:
+            frame.known.append(message)
+        size += length
     if size:
         yield frame.SerializeToString()
 
 
-def decoded(body: bytes) -> Any:
-    """A frame of ours. Later versions are read as far as they are known; what is none is RowRefused."""
-    if len(body) > 5 * MOST_FRAME:
+def decode_frame(body: bytes) -> Frame:
+    """Parse a frame; fields of later versions are ignored.
+
+    Raises:
+        MalformedHealthReport: It is too long, or no frame.
+    """
+    if len(body) > MAX_RECEIVED_BYTES:
         raise MalformedHealthReport(
-            f"a frame of {len(body)} bytes, {5 * MOST_FRAME} at most"
+            f"a frame of {len(body)} bytes, {MAX_RECEIVED_BYTES} at most"
         )
     try:
         return Frame.FromString(body)
-    except DecodeError:
-        raise MalformedHealthReport("a frame that is no protobuf of ours") from None
+    except DecodeError as error:
+        raise MalformedHealthReport("a frame that is no protobuf of ours") from error
+
+
+def decode_versions(frame: Frame) -> dict[int, ReportVersion]:
+    """Return the versions that the sender of a frame has, by origin."""
+    return {
+        known.origin: ReportVersion(known.origin, known.run, known.sequence)
+        for known in frame.known
+    }
--- a/milletsill/fleet/health/report_exchange.py
+++ b/milletsill/fleet/health/report_exchange.py
@@ -1,6 +1,8 @@
-"""How rows travel: each new difference to a few members by chance, once; what that misses by exchanges. No socket, no clock.
+"""How reports travel: gossip of new deltas, and anti-entropy for what that misses.
 
-`tell` may lose what it is given. Its own row is written when it has news: at once where something is ill, else now and then.
+Each new delta goes once to a few random members with the next round; every second a
+gateway tells one random member which versions it has and gets the rest. No socket, no
+clock. A message that is sent may be lost.
 """
 
 from __future__ import annotations
@@ -9,81 +11,111 @@
 from random import Random
 
 from milletsill.fleet.health import codec
-from milletsill.fleet.health.health_evaluator import EXCHANGE, FAN, MOST_WAITING
-from milletsill.fleet.health.report_store import Difference, Rows
+from milletsill.fleet.health.report_store import (
+    NodeObservation,
+    ReportDelta,
+    ReportStore,
+    ReportVersion,
+)
+from milletsill.fleet.health.tuning import (
+    GOSSIP_FANOUT,
+    MAX_PENDING_DELTAS,
+    SYNC_INTERVAL,
+)
 
-Tell = Callable[[str, bytes], object]
+SendFrame = Callable[[str, bytes], object]
 
 
-class Spread:
-    """One gateway's part in it."""
+class ReportExchange:
+    """One gateway's part in the exchange of reports.
 
-    def __init__(self, rows: Rows, seed: int, tell: Tell) -> None:
-        self.rows, self.tell = rows, tell
-        self.chance = Random(seed).sample
-        self.fresh: list[Difference] = []
-        self.next_exchange = 0
-        self.octets = 0
+    Args:
+        store: This gateway's reports.
+        seed: For the choice of members.
+        send: Sends a frame to a member; it may be lost.
+    """
 
-    def write(self, words: dict) -> None:  # type: ignore[type-arg]
-        if words:
-            self.fresh.append(
-                self.rows.write(
-                    {box: codec.rounded(word) for box, word in words.items()}
-                )
-            )
+    def __init__(self, store: ReportStore, seed: int, send: SendFrame) -> None:
+        self.store = store
+        self.sent_bytes = 0
+        self._send = send
+        self._random = Random(seed)
+        self._pending: list[ReportDelta] = []
+        self._next_sync = 0
 
-    def round(self, now: int, others: Sequence[str]) -> None:
-        """What is new to some; at times what is known to one."""
-        if self.fresh and others:
-            self.pass_on(
-                self.chance(others, min(FAN, len(others))), self.fresh, (), now
-            )
-        self.fresh = []
-        if others and now >= self.next_exchange:
-            self.next_exchange = now + EXCHANGE
-            self.pass_on(self.chance(others, 1), (), self.rows.known(), now)
+    def write(self, observations: dict[int, NodeObservation]) -> None:
+        """Write new observations into the own report; they leave with the next round.
+
+        They are kept with the precision with which others will have them.
+        """
+        if not observations:
+            return
+        delta = self.store.write(
+            {
+                node: codec.as_sent(observation)
+                for node, observation in observations.items()
+            }
+        )
+        self._pending.append(delta)
+
+    def run_round(self, now: int, others: Sequence[str]) -> None:
+        """Send pending deltas to some members; at times, known versions to one."""
+        if self._pending and others:
+            members = self._random.sample(others, min(GOSSIP_FANOUT, len(others)))
+            self.send_to(members, self._pending, (), now)
+        self._pending = []
+        if others and now >= self._next_sync:
+            self._next_sync = now + SYNC_INTERVAL
+            members = self._random.sample(others, 1)
+            self.send_to(members, (), self.store.versions(), now)
 
-    def pass_on(
+    def send_to(
         self,
         members: Sequence[str],
-        news: Iterable[Difference],
-        known: Iterable[tuple[int, int, int]],
+        deltas: Iterable[ReportDelta],
+        versions: Iterable[ReportVersion],
         now: int,
     ) -> None:
-        for body in codec.bodies(news, known, now):
+        """Send deltas and known versions to each of the members."""
+        for body in codec.encode_frames(deltas, versions, now):
             for member in members:
-                self.octets += len(body)
-                self.tell(member, body)
+                self.sent_bytes += len(body)
+                self._send(member, body)
 
-    def hear(
-        self, now: int, member: str, body: bytes, present: Callable[[int], bool]
+    def on_frame(
+        self, now: int, member: str, body: bytes, is_present: Callable[[int], bool]
     ) -> None:
-        """A frame of a member. RowRefused for what is none; words of those who are not in the view are left out."""
-        frame = codec.decoded(body)
-        self.take(
-            codec.get(each, now)
-            for each in frame.difference
-            if present(each.origin)
-            and not self.rows.has(each.origin, each.run, each.sequence)
+        """Take a member's frame; reports of origins out of the view are left out.
+
+        Raises:
+            MalformedHealthReport: It is no frame, or holds no valid delta.
+        """
+        frame = codec.decode_frame(body)
+        self.merge(
+            codec.decode_delta(message, now)
+            for message in frame.difference
+            if is_present(message.origin)
+            and not self.store.covers(
+                ReportVersion(message.origin, message.run, message.sequence)
+            )
         )
         if frame.known:
-            self.answer(
-                now,
-                member,
-                {each.origin: (each.run, each.sequence) for each in frame.known},
-            )
+            self.send_missing(now, member, codec.decode_versions(frame))
+
+    def merge(self, deltas: Iterable[ReportDelta]) -> None:
+        """Merge deltas; those with anything new leave again with the next round."""
+        for delta in deltas:
+            if self.store.merge(delta) and len(self._pending) < MAX_PENDING_DELTAS:
+                self._pending.append(delta)
 
-    def take(self, news: Iterable[Difference]) -> None:
-        """What is new goes on with the next round."""
-        for each in news:
-            if self.rows.merge(each) and len(self.fresh) < MOST_WAITING:
-                self.fresh.append(each)
-
-    def answer(self, now: int, member: str, known: dict[int, tuple[int, int]]) -> None:
-        """What a member lacks."""
-        lacks = [
-            self.rows.after(origin, *known.get(origin, (-1, 0)))
-            for origin in self.rows.rows
+    def send_missing(
+        self, now: int, member: str, known: dict[int, ReportVersion]
+    ) -> None:
+        """Send a member what it lacks, given the versions that it has by origin."""
+        deltas = [
+            self.store.delta_since(origin, known.get(origin))
+            for origin in self.store.reports
         ]
-        self.pass_on((member,), [each for each in lacks if each is not None], (), now)
+        self.send_to(
+            (member,), [delta for delta in deltas if delta is not None], (), now
+        )
--- /dev/null
+++ b/milletsill/fleet/health/shared_health.py
@@ -0,0 +1,351 @@
+"""A gateway's side of shared health.
+
+Results of its attempts become its report, reports travel over the fleet's transport,
+and verdicts become advice for its scheduler. Nothing here waits for another gateway.
+Advice ends by itself some periods after it was last given. A gateway whose file has no
+`health` block in its `fleet` loads none of this.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+import xxhash
+from prometheus_client import CollectorRegistry
+
+from milletsill.fleet.health.health_evaluator import HealthEvaluator, VerdictChange
+from milletsill.fleet.health.health_metrics import HealthMetrics
+from milletsill.fleet.health.node_observer import NodeObserver, has_news_of
+from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
+from milletsill.fleet.health.report_exchange import ReportExchange
+from milletsill.fleet.health.report_store import MalformedHealthReport, ReportStore
+from milletsill.fleet.health.tuning import (
+    ADVICE_PERIODS,
+    CALM_PUBLISH_PERIODS,
+    GOSSIP_INTERVAL,
+    OBSERVATION_FADE,
+    SECOND,
+)
+from milletsill.fleet.transport import (
+    FleetTransport,
+    Member,
+    MessageKind,
+    View,
+    ViewChange,
+)
+from milletsill.interface import (
+    AttemptResult,
+    Endpoint,
+    EndpointUpdateKind,
+    Readiness,
+    Request,
+)
+from milletsill.settings.milletsill_pb2 import FleetLink
+
+MALFORMED_LOG_INTERVAL = 10 * SECOND  # between two log lines on malformed reports
+
+LogEvent = Callable[..., None]
+
+
+def origin_of(gateway_name: str) -> int:
+    """Return a gateway's number in reports, which is the same at all gateways."""
+    return xxhash.xxh64_intdigest(gateway_name.encode("utf-8", "surrogateescape"))
+
+
+class DelayedCall(Protocol):
+    """A call that a reactor makes later."""
+
+    def active(self) -> bool:
+        """Return whether it is still to come."""
+
+    def cancel(self) -> None:
+        """Call it off."""
+
+
+class Timers(Protocol):
+    """The part of a Twisted reactor that is needed here."""
+
+    def callLater(  # noqa: N802
+        self, delay: float, callable: Callable[[], None], /
+    ) -> DelayedCall:
+        """Make a call after so many seconds."""
+
+
+class AdvisedScheduler(Protocol):
+    """The scheduler's host: it tells of attempts that ended, and takes advice."""
+
+    overheard: Callable[[int, Request, AttemptResult], None]
+
+    def on_health_advice(
+        self, node: int, strain: float, away: bool, until: int, /
+    ) -> None:
+        """Take advice on a node, until a time."""
+
+
+@dataclass(frozen=True, slots=True)
+class HealthConfig:
+    """Settings of shared health; times in tenths of a millisecond.
+
+    Attributes:
+        publish_interval: Between two reports, and between two evaluations.
+        report_lifetime: An observation older than this counts no longer.
+        max_called_share: Share of the nodes, and of a shard's, that may be called.
+        max_gateways: Reports that are kept.
+        max_nodes: Nodes that one report may cover.
+        latency_objectives: Target time of each request class.
+    """
+
+    publish_interval: int
+    report_lifetime: int
+    max_called_share: float
+    max_gateways: int
+    max_nodes: int
+    latency_objectives: Sequence[int]
+
+    @classmethod
+    def from_settings(
+        cls, fleet: FleetLink, max_nodes: int, latency_objectives: Sequence[int]
+    ) -> HealthConfig:
+        """Read the `fleet` block of a gateway's file, which has a `health` block."""
+        return cls(
+            publish_interval=int(fleet.health.publish_ms * 10),
+            report_lifetime=int(fleet.health.lasts_s * SECOND),
+            max_called_share=fleet.health.most_part,
+            max_gateways=fleet.most_members,
+            max_nodes=max_nodes,
+            latency_objectives=latency_objectives,
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class HealthEnvironment:
+    """What shared health works with.
+
+    Attributes:
+        timers: The reactor.
+        now: Returns the present time, in tenths of a millisecond.
+        transport: Sends frames to the other gateways, and has the view.
+        scheduler: Gets advice, and tells of attempts that ended.
+        warn: Logs an event that somebody should look at.
+        inform: Logs an event that says what goes on.
+        registry: For the metrics.
+    """
+
+    timers: Timers
+    now: Callable[[], int]
+    transport: FleetTransport
+    scheduler: AdvisedScheduler
+    warn: LogEvent
+    inform: LogEvent
+    registry: CollectorRegistry
+
+
+class SharedHealth:
+    """One gateway's part in shared health.
+
+    Args:
+        config: Settings.
+        environment: Collaborators.
+        seed: For the choice of members that reports are sent to.
+    """
+
+    def __init__(
+        self, config: HealthConfig, environment: HealthEnvironment, seed: int
+    ) -> None:
+        self.config = config
+        self.environment = environment
+        self.transport = environment.transport
+        self.origin = origin_of(self.transport.name)
+        self.store = ReportStore(
+            self.origin,
+            self.transport.incarnation,
+            config.max_gateways,
+            config.max_nodes,
+        )
+        self.exchange = ReportExchange(self.store, seed, self._send)
+        self.observer = NodeObserver(config.latency_objectives)
+        self.evaluator = HealthEvaluator(config.max_called_share)
+        self.ranking = RendezvousRanking()
+        self.shards: dict[int, int | None] = {}
+        self._metrics = HealthMetrics(environment.registry)
+        self._present = {self.origin}
+        self._others: list[str] = []
+        self._periods = 0
+        self._counted_bytes = 0
+        self._logged_malformed_at = environment.now() - MALFORMED_LOG_INTERVAL
+        self._limit_exceeded = False
+        self._timers: dict[str, DelayedCall] = {}
+        self._stopped = False
+
+    @classmethod
+    def for_gateway(cls, gateway: Any, seed: int) -> SharedHealth:
+        """Return the shared health of a gateway whose file asks for it.
+
+        Args:
+            gateway: A gateway that is being made; it has its transport already.
+            seed: For random choices.
+        """
+        request_classes = gateway.host.facts["categories"]
+        config = HealthConfig.from_settings(
+            gateway.file.fleet,
+            gateway.file.registry.most_boxes,
+            [each["target_time"] for each in request_classes],
+        )
+        environment = HealthEnvironment(
+            gateway.reactor,
+            gateway.now,
+            gateway.fleet,
+            gateway.host,
+            gateway.remark,
+            lambda event, **values: gateway.log.info(event, **values),
+            gateway.figures.registry,
+        )
+        return cls(config, environment, seed)
+
+    def start(self) -> None:
+        """Hear the transport and the scheduler, and start the timers."""
+        self.transport.subscribe(MessageKind.HEALTH, self.on_frame)
+        self.transport.watch_view(self.on_view)
+        self.environment.scheduler.overheard = self.observer.on_attempt_result
+        self.on_view(self.transport.view, ())
+        self._repeat("gossip", GOSSIP_INTERVAL, self.run_round)
+        self._repeat("publish", self.config.publish_interval, self.publish)
+        self._repeat("evaluate", self.config.publish_interval, self.evaluate)
+
+    def stop(self) -> None:
+        """Cancel the timers."""
+        self._stopped = True
+        for timer in self._timers.values():
+            if timer.active():
+                timer.cancel()
+
+    def _repeat(self, name: str, interval: int, call: Callable[[], None]) -> None:
+        """Make a call at each interval until the end; one timer for each name."""
+
+        def on_timer() -> None:
+            self._repeat(name, interval, call)
+            call()
+
+        if not self._stopped:
+            timers = self.environment.timers
+            self._timers[name] = timers.callLater(interval / SECOND, on_timer)
+
+    def _send(self, member: str, body: bytes) -> bool:
+        return self.transport.send(member, MessageKind.HEALTH, body)
+
+    def on_endpoints(
+        self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
+    ) -> None:
+        """Take an update of the endpoint list; verdicts are on ready nodes alone."""
+        if kind is EndpointUpdateKind.FAILED:
+            return
+        self.observer.on_endpoints(endpoints)
+        shards: dict[int, int | None] = {
+            endpoint.node: endpoint.shard
+            for endpoint in endpoints
+            if endpoint.readiness is Readiness.READY
+        }
+        if kind is EndpointUpdateKind.DELTA:
+            updated = {endpoint.node for endpoint in endpoints}
+            for node, shard in self.shards.items():
+                if node not in updated:
+                    shards[node] = shard
+        self.shards = shards
+        self.observer.keep_only(shards)
+
+    def on_view(self, view: View, changes: Sequence[tuple[ViewChange, Member]]) -> None:
+        """Take a new view: who is present, and in which order they try a node."""
+        origins = {origin_of(name) for name in view.by_name}
+        members = len(origins)
+        self._present = origins | {self.origin}
+        self._others = [name for name in view.by_name if name != self.transport.name]
+        self.ranking.update(lambda name: map(origin_of, view.rendezvous(name, members)))
+        self._expire(self.config.report_lifetime)
+
+    def _expire(self, lifetime: int) -> None:
+        self.store.expire(self._present, self.environment.now() - lifetime)
+
+    def on_frame(self, member: str, incarnation: int, body: bytes) -> None:
+        """Take another gateway's frame; a malformed one is counted and logged."""
+        now = self.environment.now()
+        try:
+            self.exchange.on_frame(now, member, body, self._present.__contains__)
+        except MalformedHealthReport as error:
+            self._metrics.on_malformed_frame()
+            if now - self._logged_malformed_at >= MALFORMED_LOG_INTERVAL:
+                self._logged_malformed_at = now
+                self.environment.warn(
+                    "health_report_rejected", member=member, **error.log_fields()
+                )
+
+    def publish(self) -> None:
+        """Write the own report: at once if there is bad news, else now and then."""
+        self._periods += 1
+        self.store.restart(self.transport.incarnation)
+        urgent = self.observer.has_bad_news or has_news_of(
+            self.observer.statistics, self.evaluator.not_healthy()
+        )
+        if urgent or self._periods % CALM_PUBLISH_PERIODS == 0:
+            now = self.environment.now()
+            self.exchange.write(self.observer.take_observations(now))
+
+    def run_round(self) -> None:
+        """Send what is new to other gateways."""
+        self.exchange.run_round(self.environment.now(), self._others)
+        self._metrics.on_sent(self.exchange.sent_bytes - self._counted_bytes)
+        self._counted_bytes = self.exchange.sent_bytes
+
+    def evaluate(self) -> None:
+        """Evaluate all reports, log verdicts that changed, and advise the scheduler."""
+        now = self.environment.now()
+        members = len(self._present)
+        self._expire(min(self.config.report_lifetime, 4 * OBSERVATION_FADE))
+        changes = self.evaluator.evaluate(
+            self.store, members, self.ranking, self.shards, now
+        )
+        for change in changes:
+            self._log_change(change)
+        avoided = self._advise(now, members)
+        self._show(avoided)
+
+    def _log_change(self, change: VerdictChange) -> None:
+        self._metrics.on_verdict_change(change.current)
+        self.environment.inform(
+            "node_verdict_changed",
+            node=change.node,
+            old=change.previous.value,
+            new=change.current.value,
+            cause=change.cause,
+        )
+
+    def _advise(self, now: int, members: int) -> int:
+        """Give the scheduler advice; return how many nodes it is to avoid."""
+        until = now + ADVICE_PERIODS * self.config.publish_interval
+        avoided = 0
+        for node in self.evaluator.not_healthy():
+            place = self.ranking.places(node).get(self.origin, members)
+            advice = self.evaluator.advice(node, place, members)
+            avoided += advice.avoid
+            self.environment.scheduler.on_health_advice(
+                node, advice.strain, advice.avoid, until
+            )
+        return avoided
+
+    def _show(self, avoided: int) -> None:
+        """Set the metrics; log when verdicts are no longer trusted, or are again."""
+        disregarded = self.evaluator.disregarded
+        self._metrics.set_verdicts(
+            held.verdict for held in self.evaluator.nodes.values()
+        )
+        self._metrics.set_state(len(self.store.reports), disregarded, avoided)
+        limit_exceeded = disregarded > 0
+        if limit_exceeded is self._limit_exceeded:
+            return
+        self._limit_exceeded = limit_exceeded
+        listed = len(self.shards)
+        if limit_exceeded:
+            self.environment.warn("health_limit_exceeded", nodes=disregarded, of=listed)
+        else:
+            self.environment.inform("health_limit_cleared", nodes=listed)
--- a/milletsill/lab/audit_fleet.py
+++ b/milletsill/lab/audit_fleet.py
@@ -1,6 +1,6 @@
 """How long views, and what gateways call a box, took to agree after each fault, from the gateways' own logs.
 
-Read are their JSON lines: `view` with a digest, `member` with a change, `box_verdict`. Wall time becomes the run's monotonic time. A
+Read are their JSON lines: `view` with a digest, `member` with a change, `node_verdict_changed`. Wall time becomes the run's monotonic time. A
 moment agrees when all gateways that run and can speak say the same; over a split network each side by itself.
 """
 
@@ -78,8 +78,8 @@
                 told.views[gateway].append((at, line["digest"], line["members"]))
             elif line["event"] == "member" and line.get("change") == "gone":
                 told.gone.append((at, gateway, line["member"]))
-            elif line["event"] == "box_verdict":
-                told.verdicts.append((at, gateway, line["box"], line["new"]))
+            elif line["event"] == "node_verdict_changed":
+                told.verdicts.append((at, gateway, line["node"], line["new"]))
     told.verdicts.sort()
     return told
 
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -13,18 +13,17 @@
 
 from google.protobuf import text_format
 
-from milletsill.fleet.health.health_evaluator import (
-    CALLED,
-    CALM_PUBLISH,
-    LASTS,
+from milletsill.fleet.health.health_evaluator import HealthEvaluator
+from milletsill.fleet.health.node_observer import NodeObserver, has_news_of
+from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
+from milletsill.fleet.health.report_store import NodeObservation, ReportStore
+from milletsill.fleet.health.tuning import (
+    ADVICE_PERIODS,
+    CALM_PUBLISH_PERIODS,
+    OBSERVATION_FADE,
     SECOND,
-    TAU,
-    Judge,
-    Order,
-    Verdict,
 )
-from milletsill.fleet.health.node_observer import Observer, urgent
-from milletsill.fleet.health.report_store import Rows
+from milletsill.fleet.health.verdict_table import CALLED_VERDICTS, HealthVerdict
 from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.interface import AttemptResult, Request, AttemptOutcome
 from milletsill.lab.clockwork import Box, Fleet, Gateway, Transfer
@@ -119,7 +118,7 @@
 class Knowing(Gateway):
     """A gateway that tells an observer what it hears. `lies`: of some boxes it says the opposite."""
 
-    observer: Observer | None = None
+    observer: NodeObserver | None = None
 
     def returned(
         self,
@@ -147,7 +146,7 @@
                 0,
                 report,
             )
-            self.observer.answer(self.fleet.now, transfer.arrival, answer)
+            self.observer.on_attempt_result(self.fleet.now, transfer.arrival, answer)
         super().returned(transfer, number, node, sent, outcome, done)
 
     def take(self, arrival: Request, work: float, path: str, operation: str) -> None:
@@ -194,7 +193,7 @@
         self.cells = {each.node: each.shard for each in self.entries}
         self.worth = self.got = 0.0
         self.calls: list[
-            tuple[int, int, int, Verdict]
+            tuple[int, int, int, HealthVerdict]
         ] = []  # when, judge, box, verdict
         for each in self.gateways:
             each.__class__ = Knowing
@@ -208,7 +207,7 @@
             self.order = self.order_of()
             self.at(self.begins, self.tell_truth)
 
-    def order_of(self) -> Order:
+    def order_of(self) -> RendezvousRanking:
         view = View(
             1,
             [
@@ -216,8 +215,8 @@
                 for each in range(len(self.gateways))
             ],
         )
-        order = Order()
-        order.see(lambda name: map(int, view.rendezvous(name, len(self.gateways))))
+        order = RendezvousRanking()
+        order.update(lambda name: map(int, view.rendezvous(name, len(self.gateways))))
         return order
 
     # Troubles.
@@ -256,7 +255,7 @@
         if self.now < self.ends:
             strain, part = KINDS[self.ill].truth(LOAD)
             for box in self.sick:
-                places = self.order(box)
+                places = self.order.places(box)
                 for number, each in enumerate(self.gateways):
                     away = places[number] >= part * len(places)
                     each.module.on_health_advice(
@@ -268,8 +267,8 @@
     # Sharing.
 
     def share(self, most_part: float) -> None:
-        self.copies = [Rows(-1 - each, 1, 4096, 4096) for each in range(JUDGES)]
-        self.judges = [Judge(most_part) for _ in range(JUDGES)]
+        self.copies = [ReportStore(-1 - each, 1, 4096, 4096) for each in range(JUDGES)]
+        self.judges = [HealthEvaluator(most_part) for _ in range(JUDGES)]
         self.order = self.order_of()
         self.false = Random(self.seed + 5).sample(
             range(len(self.gateways)), round(self.liars * len(self.gateways))
@@ -279,9 +278,11 @@
             max(len(self.sick), 5),
         )
         for number, each in enumerate(self.gateways):
-            each.observer = Observer(each.facts)
-            each.observer.list(self.entries)
-            each.own = Rows(number, 1, 2, 4096)
+            each.observer = NodeObserver(
+                [kind["target_time"] for kind in each.facts["categories"]]
+            )
+            each.observer.on_endpoints(self.entries)
+            each.own = ReportStore(number, 1, 2, 4096)
             each.turn = number
             self.at(self.others.randrange(PERIOD), self.publish, number)
         for each in range(JUDGES):
@@ -292,12 +293,12 @@
         gateway.turn += 1
         lies = number in self.false
         if (
-            gateway.observer.ill
-            or urgent(gateway.observer.sights, self.judges[0].called())
-            or gateway.turn % CALM_PUBLISH == 0
+            gateway.observer.has_bad_news
+            or has_news_of(gateway.observer.statistics, self.judges[0].not_healthy())
+            or gateway.turn % CALM_PUBLISH_PERIODS == 0
             or lies
         ):
-            words = gateway.observer.words(self.now)
+            words = gateway.observer.take_observations(self.now)
             if lies:
                 words = self.lie(words)
             if words:
@@ -310,30 +311,34 @@
 
     def lie(self, words: dict[int, Any]) -> dict[int, Any]:
         """In concert: the same well boxes are ill, the ill ones are well."""
-        from milletsill.fleet.health.report_store import Word
-
         for box in self.slandered:
-            words[box] = Word(0, self.now, 8.0, 1.0, 1.0, 0.0, 0.0)
+            words[box] = NodeObservation(0, self.now, 8.0, 1.0, 1.0, 0.0, 0.0)
         for box in self.sick:
-            words[box] = Word(0, self.now, 8.0, 0.0, 0.0, 8.0, 0.0)
+            words[box] = NodeObservation(0, self.now, 8.0, 0.0, 0.0, 8.0, 0.0)
         return words
 
     def judge(self, number: int) -> None:
         judge = self.judges[number]
-        self.copies[number].keep(range(len(self.gateways)), self.now - 4 * TAU)
-        for each in judge.look(
+        self.copies[number].expire(
+            range(len(self.gateways)), self.now - 4 * OBSERVATION_FADE
+        )
+        for each in judge.evaluate(
             self.copies[number], len(self.gateways), self.order, self.cells, self.now
         ):
-            self.calls.append((self.now, number, each.box, each.new))
+            self.calls.append((self.now, number, each.node, each.current))
         for place in range(number, len(self.gateways), JUDGES):
             gateway = self.gateways[place]
-            for box in judge.boxes:
-                if judge.boxes[box].verdict is not Verdict.STEADY:
-                    strain, away = judge.advice(
-                        box, self.order(box)[place], len(self.gateways)
+            for box in judge.nodes:
+                if judge.nodes[box].verdict is not HealthVerdict.HEALTHY:
+                    advice = judge.advice(
+                        box, self.order.places(box)[place], len(self.gateways)
                     )
                     gateway.module.on_health_advice(
-                        self.now, box, strain, away, self.now + LASTS * PERIOD
+                        self.now,
+                        box,
+                        advice.strain,
+                        advice.avoid,
+                        self.now + ADVICE_PERIODS * PERIOD,
                     )
                     gateway.settle_soon()
         self.at(self.now + PERIOD, self.judge, number)
@@ -343,7 +348,7 @@
         return sum(
             1
             for _, judge, box, verdict in self.calls
-            if judge == 0 and box not in self.sick and verdict in CALLED
+            if judge == 0 and box not in self.sick and verdict in CALLED_VERDICTS
         )
 
     def play(self) -> float:
--- a/milletsill/lab/health_spread.py
+++ b/milletsill/lab/health_spread.py
@@ -1,6 +1,6 @@
 """Rows that travel for real between many gateways on a clock of its own: who agrees when, and what that costs.
 
-Every gateway has its rows and its part in spreading them (`fleet/health/spread.py`; octets are those of the encoded pieces);
+Every gateway has its rows and its part in spreading them (`fleet/health/report_exchange.py`; octets are those of the encoded pieces);
 some have a judge. What gateways see is drawn: each box answers at a rate, at some gateway by chance, and what is ill is lost,
 fails or is slow. Words, delays and losses are as in service; queues at boxes and clients are left out (`health_day` has them).
 """
@@ -13,19 +13,26 @@
 from typing import Any
 
 from milletsill.fleet.health import codec
-from milletsill.fleet.health.health_evaluator import (
-    CALLED,
-    CALM_PUBLISH,
-    ROUND,
+from milletsill.fleet.health.health_evaluator import HealthEvaluator
+from milletsill.fleet.health.node_observer import (
+    NodeStatistics,
+    has_news_of,
+    take_unreported,
+)
+from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking, is_admitted
+from milletsill.fleet.health.report_exchange import ReportExchange
+from milletsill.fleet.health.report_store import (
+    NodeObservation,
+    ReportDelta,
+    ReportStore,
+    ReportVersion,
+)
+from milletsill.fleet.health.tuning import (
+    CALM_PUBLISH_PERIODS,
+    GOSSIP_INTERVAL,
+    OBSERVATION_FADE,
     SECOND,
-    TAU,
-    Judge,
-    Order,
-    admitted,
 )
-from milletsill.fleet.health.node_observer import Sight, urgent, words_of
-from milletsill.fleet.health.report_exchange import Spread
-from milletsill.fleet.health.report_store import Difference, Rows, Word
 from milletsill.fleet.transport import Member, MemberState, View
 
 BOXES, RATE, PERIOD, JUDGES, SPREAD_OF_PACE, KEEP = 44, 580.0, 3000, 10, 1.0, 2 * SECOND
@@ -52,24 +59,24 @@
 }
 
 
-class Carried(Spread):
+class Carried(ReportExchange):
     """Spreading without the work of encoding each frame: the octets are those of its pieces, each measured once."""
 
     def __init__(self, world: World, gateway: Gateway) -> None:
         super().__init__(
-            gateway.rows,
+            gateway.store,
             world.seed * 10_000 + gateway.number,
             lambda member, body: None,
         )
         self.world, self.gateway = world, gateway
 
-    def pass_on(self, members: Any, news: Any, known: Any, now: int) -> None:
-        pieces, rest = list(news), list(known)
+    def send_to(self, members: Any, deltas: Any, versions: Any, now: int) -> None:
+        pieces, rest = list(deltas), list(versions)
         octets = sum(self.world.size_of(each) for each in pieces) + KNOWN_OCTETS * len(
             rest
         )
         for member in members:
-            self.octets += octets
+            self.sent_bytes += octets
             self.world.send(self.gateway, int(member), pieces, rest)
 
 
@@ -78,18 +85,18 @@
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number, self.turn, self.ill = world, number, number, False
-        self.rows = Rows(number, 1, 4096, 4096)
-        self.spread = Carried(world, self)
-        self.sights: dict[int, Sight] = {}
-        self.judge = Judge(0.34) if number < JUDGES else None
+        self.store = ReportStore(number, 1, 4096, 4096)
+        self.exchange = Carried(world, self)
+        self.statistics: dict[int, NodeStatistics] = {}
+        self.judge = HealthEvaluator(0.34) if number < JUDGES else None
         self.lies = False
 
     def answer(self, box: int, lost: bool, pace: float) -> None:
-        sight = self.sights.get(box) or self.sights.setdefault(
-            box, Sight(self.world.now)
+        statistics = self.statistics.get(box) or self.statistics.setdefault(
+            box, NodeStatistics(self.world.now)
         )
-        sight.fade(self.world.now)
-        sight.add(lost, lost, None if lost else pace)
+        statistics.fade(self.world.now)
+        statistics.add(lost, lost, None if lost else pace)
         self.ill |= lost or pace > 1
 
     def publish(self) -> None:
@@ -100,42 +107,44 @@
         if (
             self.ill
             or self.lies
-            or urgent(self.sights, judge.called())
-            or self.turn % CALM_PUBLISH == 0
+            or has_news_of(self.statistics, judge.not_healthy())
+            or self.turn % CALM_PUBLISH_PERIODS == 0
         ):
-            words, self.ill = words_of(self.sights, self.world.now), False
+            words, self.ill = take_unreported(self.statistics, self.world.now), False
             if self.lies:
                 words |= {
-                    box: Word(0, self.world.now, 8.0, 1.0, 1.0, 0.0, 0.0)
+                    box: NodeObservation(0, self.world.now, 8.0, 1.0, 1.0, 0.0, 0.0)
                     for box in self.world.slandered
                 }
                 words |= {
-                    box: Word(0, self.world.now, 8.0, 0.0, 0.0, 8.0, 0.0)
+                    box: NodeObservation(0, self.world.now, 8.0, 0.0, 0.0, 8.0, 0.0)
                     for box in self.world.sick
                 }
-            self.spread.write(words)
+            self.exchange.write(words)
         self.world.at(self.world.now + PERIOD, self.publish)
 
     def round(self) -> None:
         world = self.world
-        self.spread.round(world.now, world.others(self.number))
-        world.at(world.now + ROUND, self.round)
+        self.exchange.run_round(world.now, world.others(self.number))
+        world.at(world.now + GOSSIP_INTERVAL, self.round)
 
     def keep(self) -> None:
-        self.rows.keep(range(len(self.world.gateways)), self.world.now - 4 * TAU)
+        self.store.expire(
+            range(len(self.world.gateways)), self.world.now - 4 * OBSERVATION_FADE
+        )
         self.world.at(self.world.now + KEEP, self.keep)
 
     def look(self) -> None:
         world = self.world
         present = world.present(self.number)
-        self.judge.look(
-            self.rows, len(present), world.order(self.number), world.cells, world.now
+        self.judge.evaluate(
+            self.store, len(present), world.order(self.number), world.cells, world.now
         )
         world.at(world.now + PERIOD, self.look)
 
     def calls(self) -> frozenset[int]:
         return frozenset(
-            box for box, held in self.judge.boxes.items() if held.verdict in CALLED
+            box for box, held in self.judge.nodes.items() if held.is_called
         )
 
 
@@ -150,7 +159,7 @@
             False,
         )
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.sizes: dict[int, tuple[Difference, int]] = {}
+        self.sizes: dict[int, tuple[ReportDelta, int]] = {}
         self.cells = {box: box // 2 for box in range(BOXES)}
         draw = Random(seed + 7)
         self.sick = (
@@ -167,7 +176,7 @@
         self.orders = {half: self.order_of(half) for half in ("", "0", "1")}
         for each in self.gateways:
             self.at(self.chance.randrange(PERIOD), each.publish)
-            self.at(self.chance.randrange(ROUND), each.round)
+            self.at(self.chance.randrange(GOSSIP_INTERVAL), each.round)
             self.at(self.chance.randrange(KEEP), each.keep)
             if each.judge is not None:
                 self.at(self.chance.randrange(PERIOD), each.look)
@@ -190,26 +199,26 @@
     def others(self, number: int) -> list[str]:
         return [str(each) for each in self.present(number) if each != number]
 
-    def order_of(self, half: str) -> Order:
+    def order_of(self, half: str) -> RendezvousRanking:
         names = [
             each
             for each in range(len(self.gateways))
             if not half or each % 2 == int(half)
         ]
         view = View(1, [Member(str(each), "", 1, MemberState.ALIVE) for each in names])
-        order = Order()
-        order.see(lambda name: map(int, view.rendezvous(name, len(names))))
+        order = RendezvousRanking()
+        order.update(lambda name: map(int, view.rendezvous(name, len(names))))
         return order
 
-    def order(self, number: int) -> Order:
+    def order(self, number: int) -> RendezvousRanking:
         return self.orders[str(number % 2) if self.parted() else ""]
 
-    def size_of(self, news: Difference) -> int:
+    def size_of(self, news: ReportDelta) -> int:
         found = self.sizes.get(id(news))
         if found is None or found[0] is not news:
             found = self.sizes[id(news)] = (
                 news,
-                codec.put(news, self.now).ByteSize() + 3,
+                codec.encode_delta(news, self.now).ByteSize() + 3,
             )
         return found[1]
 
@@ -217,8 +226,8 @@
         self,
         sender: Gateway,
         to: int,
-        news: list[Difference],
-        known: list[tuple[int, int, int]],
+        news: list[ReportDelta],
+        known: list[ReportVersion],
     ) -> None:
         if self.chance.random() >= LOSS and not (
             self.parted() and (sender.number - to) % 2
@@ -236,18 +245,18 @@
         self,
         sender: int,
         to: int,
-        news: list[Difference],
-        known: list[tuple[int, int, int]],
+        news: list[ReportDelta],
+        known: list[ReportVersion],
     ) -> None:
         if self.parted() and (sender - to) % 2:
             return
-        parted, spread = self.parted(), self.gateways[to].spread
-        spread.take(each for each in news if not (parted and (each.origin - to) % 2))
+        parted, exchange = self.parted(), self.gateways[to].exchange
+        exchange.merge(each for each in news if not (parted and (each.origin - to) % 2))
         if known:
-            spread.answer(
+            exchange.send_missing(
                 self.now,
                 str(sender),
-                {origin: (run, upto) for origin, run, upto in known},
+                {version.origin: version for version in known},
             )
 
     def ill(self, box: int, gateway: Gateway) -> bool:
@@ -263,14 +272,14 @@
         chance = self.chance
         gateway, box = chance.choice(self.gateways), chance.randrange(BOXES)
         judge = self.gateways[gateway.number % 2 if self.halves else 0].judge
-        held = judge.boxes.get(box)
+        held = judge.nodes.get(box)
         if (
             held is None
-            or held.verdict not in CALLED
-            or admitted(
-                self.order(gateway.number)(box).get(gateway.number, 0),
+            or not held.is_called
+            or is_admitted(
+                self.order(gateway.number).places(box).get(gateway.number, 0),
                 len(self.present(gateway.number)),
-                held.open,
+                held.unrestricted_share,
             )
         ):
             ill = self.ill(box, gateway)
@@ -314,7 +323,7 @@
     case, seed, gateways = job
     world = World(case, seed, gateways)
     world.run(BEGINS)
-    octets = sum(each.spread.octets for each in world.gateways)
+    octets = sum(each.exchange.sent_bytes for each in world.gateways)
     if world.halves:
         truth = lambda: (
             world.agreeing(frozenset(world.sick), 1) >= 0.9  # noqa: E731
@@ -334,7 +343,7 @@
             - set(world.sick)
         )
     per_s = (
-        (sum(each.spread.octets for each in world.gateways) - octets)
+        (sum(each.exchange.sent_bytes for each in world.gateways) - octets)
         / gateways
         / ((ENDS - BEGINS) / SECOND)
     )
@@ -344,7 +353,10 @@
     world.quiet = True
     world.run(LASTS + QUIET)
     rows = [
-        {origin: (row.run, row.upto) for origin, row in each.rows.rows.items()}
+        {
+            origin: (report.incarnation, report.complete_up_to)
+            for origin, report in each.store.reports.items()
+        }
         for each in world.gateways
     ]
     behind = sum(each != rows[0] for each in rows)
--- a/milletsill/lab/hunt/fleet_world.py
+++ b/milletsill/lab/hunt/fleet_world.py
@@ -12,8 +12,7 @@
 from typing import Any
 from unittest import mock
 
-from milletsill.fleet.health.health_evaluator import CALLED
-from milletsill.fleet.health.report_store import Word
+from milletsill.fleet.health.report_store import NodeObservation
 from milletsill.fleet.leases import acceptor_service, lease_manager
 from milletsill.fleet.membership.effects import SendMessage
 from milletsill.lab.fleet_clock import SECOND, FleetClock
@@ -143,7 +142,7 @@
 
     # Boxes.
 
-    def words(self, gate: Gate) -> dict[int, Word]:
+    def observations(self, gate: Gate) -> dict[int, NodeObservation]:
         """What a gateway saw of late."""
         found, sick, lies = {}, gate.name in self.sick, self.liars.get(gate.name, ())
         for box in self.cells:
@@ -157,7 +156,7 @@
             if box in lies:
                 bad, pace = 1.0, 4.0
             heard = seen * self.traffic
-            found[box] = Word(
+            found[box] = NodeObservation(
                 0,
                 self.now,
                 heard,
@@ -353,14 +352,14 @@
                 self.break_(
                     f"{each.name} sees {sorted(each.view.by_name)} of {sorted(one.name for one in self.live())}"
                 )
-            judge = each.sharing.judge if self.judges else None
+            evaluator = each.shared_health.evaluator if self.judges else None
             ill = (
                 [
                     f"{box} {held.verdict.name}"
-                    for box, held in judge.boxes.items()
-                    if held.verdict in CALLED
+                    for box, held in evaluator.nodes.items()
+                    if held.is_called
                 ]
-                if judge
+                if evaluator
                 else []
             )
             if ill:
@@ -374,9 +373,9 @@
 
     def ended_rows(self) -> None:
         live = self.live() if self.judges else []
-        first = live[0].sharing.rows.told() if live else {}
+        first = live[0].shared_health.store.replicated_state() if live else {}
         for each in live[1:]:
-            if each.sharing.rows.told() != first:
+            if each.shared_health.store.replicated_state() != first:
                 self.break_(f"{each.name} has other rows than {live[0].name}")
 
 
--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -14,7 +14,11 @@
 
 from prometheus_client import CollectorRegistry
 
-from milletsill.fleet.health.health_sharing import Sharing
+from milletsill.fleet.health.shared_health import (
+    HealthConfig,
+    HealthEnvironment,
+    SharedHealth,
+)
 from milletsill.fleet.leases.acceptor_recovery import Identity
 from milletsill.fleet.leases.acceptor_store import (
     TABLES,
@@ -28,10 +32,7 @@
 from milletsill.lab.fleet_clock import SECOND, Stand
 
 PERIOD, RIVALS = 5000, 9
-LINK = SimpleNamespace(
-    health=SimpleNamespace(publish_ms=PERIOD / 10, lasts_s=60, most_part=0.34),
-    most_members=4096,
-)
+MOST_NODES = 64
 CHANNELS = tuple(f"channel-{each}" for each in range(4))
 
 
@@ -109,10 +110,10 @@
     """What health tells a module."""
 
     def __init__(self) -> None:
-        self.facts: dict[str, Any] = {"categories": []}
+        self.overheard: Any = None
         self.away: dict[int, tuple[int, bool]] = {}
 
-    def advised(self, box: int, strain: float, away: bool, until: int) -> None:
+    def on_health_advice(self, box: int, strain: float, away: bool, until: int) -> None:
         self.away[box] = (until, away)
 
 
@@ -123,29 +124,29 @@
         self.gate = gate
 
     @property
-    def sights(self) -> dict[int, Any]:
+    def statistics(self) -> dict[int, Any]:
         """There is news of each box that it sends to."""
         world = self.gate.world
         return (
             {}
             if world.quiet
             else {
-                box: SimpleNamespace(told=False)
+                box: SimpleNamespace(reported=False)
                 for box in world.cells
                 if not self.gate.keeps_away(box)
             }
         )
 
     @property
-    def ill(self) -> bool:
+    def has_bad_news(self) -> bool:
         return not self.gate.world.quiet and self.gate.world.trouble_for(self.gate)
 
-    def words(self, now: int) -> Any:
-        return {} if self.gate.world.quiet else self.gate.world.words(self.gate)
+    def take_observations(self, now: int) -> Any:
+        return {} if self.gate.world.quiet else self.gate.world.observations(self.gate)
 
-    def answer(self, *what: Any) -> None: ...
+    def on_attempt_result(self, *what: Any) -> None: ...
 
-    def forget(self, boxes: Any) -> None: ...
+    def keep_only(self, nodes: Any) -> None: ...
 
 
 class Worker:
@@ -192,24 +193,26 @@
         self.terms: dict[str, Term] = {}
         self.writes: dict[str, int] = {}
         if world.judges:
-            self.sharing = Sharing(
-                self,
-                lambda: self.clock.now,
-                LINK,
+            self.advised = Host()
+            self.shared_health = SharedHealth(
+                HealthConfig(PERIOD, 60 * SECOND, 0.34, 4096, MOST_NODES, ()),
+                HealthEnvironment(
+                    self,
+                    lambda: self.clock.now,
+                    self,
+                    self.advised,
+                    remark,
+                    remark,
+                    CollectorRegistry(),
+                ),
                 self.own_chance.getrandbits(64),
-                self,
-                Host(),
-                remark,
-                remark,
-                CollectorRegistry(),
-                64,
             )
-            self.sharing.observer = Eye(self)  # type: ignore[assignment]
-            self.sharing.cells = dict(world.cells)
+            self.shared_health.observer = Eye(self)  # type: ignore[assignment]
+            self.shared_health.shards = dict(world.cells)
             if place >= world.judges:
-                self.sharing.look = lambda: None  # type: ignore[method-assign]
+                self.shared_health.evaluate = lambda: None  # type: ignore[method-assign]
             self.callLater(
-                self.own_chance.random() * PERIOD / SECOND, self.sharing.start
+                self.own_chance.random() * PERIOD / SECOND, self.shared_health.start
             )
         if world.registers:
             self.offices = Offices(
@@ -310,6 +313,6 @@
 
     def keeps_away(self, box: int) -> bool:
         return (
-            self.sharing.host.away.get(box, (0, False))[1]
-            and self.sharing.host.away[box][0] > self.clock.now
+            self.advised.away.get(box, (0, False))[1]
+            and self.advised.away[box][0] > self.clock.now
         )
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -7,9 +7,9 @@
 from typing import Any
 from unittest import mock
 
-from milletsill.fleet.health import health_evaluator as health
-from milletsill.fleet.health.health_evaluator import Finding, Verdict
-from milletsill.fleet.health.report_store import Rows
+from milletsill.fleet.health import verdict_table
+from milletsill.fleet.health.report_store import ReportStore
+from milletsill.fleet.health.verdict_table import HealthFinding, HealthVerdict
 from milletsill.fleet.membership import failure_detector as members
 from milletsill.fleet.membership import membership
 from milletsill.fleet.membership.failure_detector import Order, Own, Word
@@ -46,11 +46,14 @@
         Membership, "through", lambda self, now, watch: None
     ),
     "health: a box that all may try is well again": table(
-        health.TABLE,
-        [(Verdict.DEGRADED, Finding.WHOLE), (Verdict.FAILING, Finding.WHOLE)],
+        verdict_table.TRANSITIONS,
+        [
+            (HealthVerdict.DEGRADED, HealthFinding.RESTORED),
+            (HealthVerdict.FAILING, HealthFinding.RESTORED),
+        ],
     ),
     "health: what is missing is asked for": lambda: mock.patch.object(
-        Rows, "after", lambda self, origin, run, base: None
+        ReportStore, "delta_since", lambda self, origin, known: None
     ),
     **{
         f"registers: {each}": partial(lease_model.without, each)
--- a/milletsill/lab/hunt/scale.py
+++ b/milletsill/lab/hunt/scale.py
@@ -17,13 +17,18 @@
 from prometheus_client import CollectorRegistry
 
 from milletsill.fleet.health import codec
-from milletsill.fleet.health.health_sharing import Sharing, key_of
-from milletsill.fleet.health.report_store import Rows, Word
+from milletsill.fleet.health.report_store import NodeObservation, ReportStore
+from milletsill.fleet.health.shared_health import (
+    HealthConfig,
+    HealthEnvironment,
+    SharedHealth,
+    origin_of,
+)
 from milletsill.fleet.leases import acceptor_service, lease_manager
 from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_world import FleetWorld
-from milletsill.lab.hunt.gate import LINK, Host, Kept, remark
+from milletsill.lab.hunt.gate import PERIOD, Host, Kept, remark
 
 SETTLE, SPAN, BOXES, LOOKS = 5 * SECOND, 10 * SECOND, 44, 5
 
@@ -63,49 +68,52 @@
     view = View(1, [Member(each, f"{each}:1", 1, MemberState.ALIVE) for each in names])
     plane = SimpleNamespace(
         name=names[0],
-        run=1,
+        incarnation=1,
         view=view,
-        hear=lambda *what: None,
-        watch=lambda told: None,
-        tell=lambda member, kind, body: octets.__setitem__(0, octets[0] + len(body)),
+        subscribe=lambda *what: None,
+        watch_view=lambda on_view: None,
+        send=lambda member, kind, body: octets.__setitem__(0, octets[0] + len(body)),
     )
     now = [SECOND]
-    sharing = Sharing(
-        None,
-        lambda: now[0],
-        LINK,
+    shared_health = SharedHealth(
+        HealthConfig(PERIOD, 60 * SECOND, 0.34, 4096, 1024, ()),
+        HealthEnvironment(
+            None,  # type: ignore[arg-type]
+            lambda: now[0],
+            plane,  # type: ignore[arg-type]
+            Host(),
+            remark,
+            remark,
+            CollectorRegistry(),
+        ),
         seed,
-        plane,
-        Host(),
-        remark,
-        remark,
-        CollectorRegistry(),
-        1024,
-    )  # type: ignore[arg-type]
-    sharing.cells = {each: each // 2 for each in range(BOXES)}
-    sharing.viewed(view, ())
+    )
+    shared_health.shards = {each: each // 2 for each in range(BOXES)}
+    shared_health.on_view(view, ())
     bodies = []
     for name in names[1:]:
-        rows = Rows(key_of(name), 1, 2, 1024)
-        rows.own.sequence = rows.own.upto = 1
-        words = {
-            box: Word(
+        store = ReportStore(origin_of(name), 1, 2, 1024)
+        store.own.sequence = store.own.complete_up_to = 1
+        observations = {
+            box: NodeObservation(
                 0, now[0], 1 + 3 * chance.random(), 0.0, 0.0, 1.0, chance.gauss(0, 0.1)
             )
             for box in range(BOXES)
         }
-        bodies.append((name, next(iter(codec.bodies([rows.write(words)], (), now[0])))))
+        bodies.append(
+            (name, next(codec.encode_frames([store.write(observations)], (), now[0])))
+        )
     began = time.process_time()
     for at, (name, body) in enumerate(bodies, 1):
-        sharing.heard(name, 1, body)
+        shared_health.on_frame(name, 1, body)
         if at % 50 == 0:
-            sharing.round()
-    sharing.round()
+            shared_health.run_round()
+    shared_health.run_round()
     heard = time.process_time() - began
     began = time.process_time()
     for _ in range(LOOKS):
         now[0] += 3000
-        sharing.look()
+        shared_health.evaluate()
     return (
         f"{gateways} gateways, rows of {BOXES} boxes: {heard * 1000:.0f} ms of CPU to hear each row once and tell it on, "
         f"{octets[0] / 1024:.0f} KiB told, {(time.process_time() - began) / LOOKS * 1000:.1f} ms a look"
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -189,9 +189,9 @@
 
     def sharing(self, seed: int) -> Any:
         """Health that is shared; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.health.health_sharing import sharing_of
+        from milletsill.fleet.health.shared_health import SharedHealth
 
-        return sharing_of(self, seed + 5)
+        return SharedHealth.for_gateway(self, seed + 5)
 
     def channelled(self, seed: int) -> Any:
         """Contracts on the order of channels; none of their code is loaded where the file does not ask for it."""
@@ -408,7 +408,7 @@
         self.figures.news.labels(news.value).inc()
         self.host.on_endpoints(news, entries)
         if self.health is not None:
-            self.health.listed(news, entries)
+            self.health.on_endpoints(news, entries)
         if self.parts is not None:
             self.parts.listed(entries)
 
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -98,8 +98,8 @@
             registers.get_page(registers.decoded(octets["registers page"]).page),
             made.PAGE,
         )
-        frame = health.decoded(octets["health"])
-        self.assertEqual(health.get(frame.difference[0], 0), made.NEWS)
+        frame = health.decode_frame(octets["health"])
+        self.assertEqual(health.decode_delta(frame.difference[0], 0), made.NEWS)
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
         found = contracts.read_record(octets["record"], 100, 1000, 0)
         self.assertEqual(line_told(found), line_told(made.line()))
@@ -203,7 +203,7 @@
     def test_health_and_contracts(self):
         frame = health_pb2.Frame(version=2)
         self.assertEqual(
-            len(health.decoded(frame.SerializeToString() + LATER).difference), 0
+            len(health.decode_frame(frame.SerializeToString() + LATER).difference), 0
         )
         for body in (b"X" + LATER, b"", b"C" + b"\xff"):
             self.assertIsNone(contracts.read_envelope(body))
