--- a/milletsill/fleet/health/health_evaluator.py
+++ b/milletsill/fleet/health/health_evaluator.py
@@ -19,7 +19,7 @@
     MIN_PROBERS,
     OBSERVATION_FADE,
     OVERLOADED_WASTE,
-    PROBER_STRAIN,
+    PROBER_LOAD_FACTOR,
     PROBES_PER_SECOND,
     WARM_UP,
 )
@@ -54,11 +54,11 @@
     """Advice to one gateway on a node that is not HEALTHY.
 
     Attributes:
-        strain: What speaks against the node, in shortest target times.
+        load_factor: What speaks against the node, in shortest target times.
         avoid: Whether this gateway should send it nothing.
     """
 
-    strain: float
+    load_factor: float
     avoid: bool
 
 
@@ -251,6 +251,6 @@
         """
         held = self.nodes[node]
         if is_admitted(place, members, held.unrestricted_share):
-            return NodeAdvice(PROBER_STRAIN, avoid=False)
+            return NodeAdvice(PROBER_LOAD_FACTOR, avoid=False)
         avoid = not is_admitted(place, members, held.admitted_share)
-        return NodeAdvice(held.strain(), avoid)
+        return NodeAdvice(held.load_factor(), avoid)
--- a/milletsill/fleet/health/node_verdict.py
+++ b/milletsill/fleet/health/node_verdict.py
@@ -16,8 +16,9 @@
     IMPAIRED_LOSS,
     IMPAIRED_PACE,
     IMPAIRED_SMOOTHED_LOSS,
+    LOAD_FACTOR_PER_LOSS,
     LOSS_SMOOTHING,
-    MAX_STRAIN,
+    MAX_LOAD_FACTOR,
     MIN_ANSWERS,
     MIN_PACED_VOTES,
     MIN_VOTES,
@@ -27,7 +28,6 @@
     RAISE_WASTE,
     RAMP_FACTOR,
     RAMP_STEP,
-    STRAIN_PER_LOSS,
 )
 from milletsill.fleet.health.verdict_table import (
     CALLED_VERDICTS,
@@ -157,12 +157,14 @@
     def _cut(self, factor: float, probing_share: float) -> None:
         self.admitted_share = max(self.admitted_share * factor, probing_share)
 
-    def strain(self) -> float:
+    def load_factor(self) -> float:
         """Return what speaks against the node, in shortest target times."""
         if self.verdict is HealthVerdict.FAILING:
-            return MAX_STRAIN
+            return MAX_LOAD_FACTOR
         slowness = max(2**self.smoothed_pace - 1, 0.0)
-        return min(STRAIN_PER_LOSS * self.tally.lost_share + slowness, MAX_STRAIN)
+        return min(
+            LOAD_FACTOR_PER_LOSS * self.tally.lost_share + slowness, MAX_LOAD_FACTOR
+        )
 
     def describe(self, finding: HealthFinding) -> str:
         """Return a finding and the figures that it rests on, for the log."""
--- a/milletsill/fleet/health/shared_health.py
+++ b/milletsill/fleet/health/shared_health.py
@@ -76,10 +76,10 @@
 class AdvisedScheduler(Protocol):
     """The scheduler's host: it tells of attempts that ended, and takes advice."""
 
-    overheard: Callable[[int, Request, AttemptResult], None]
+    on_attempt_ended: Callable[[int, Request, AttemptResult], None]
 
     def on_health_advice(
-        self, node: int, strain: float, away: bool, until: int, /
+        self, node: int, load: float, avoid: bool, until: int, /
     ) -> None:
         """Take advice on a node, until a time."""
 
@@ -208,7 +208,7 @@
         """Hear the transport and the scheduler, and start the timers."""
         self.transport.subscribe(MessageKind.HEALTH, self.on_frame)
         self.transport.watch_view(self.on_view)
-        self.environment.scheduler.overheard = self.observer.on_attempt_result
+        self.environment.scheduler.on_attempt_ended = self.observer.on_attempt_result
         self.on_view(self.transport.view, ())
         self._repeat("gossip", GOSSIP_INTERVAL, self.run_round)
         self._repeat("publish", self.config.publish_interval, self.publish)
@@ -329,7 +329,7 @@
             advice = self.evaluator.advice(node, place, members)
             avoided += advice.avoid
             self.environment.scheduler.on_health_advice(
-                node, advice.strain, advice.avoid, until
+                node, advice.load_factor, advice.avoid, until
             )
         return avoided
 
--- a/milletsill/fleet/health/tuning.py
+++ b/milletsill/fleet/health/tuning.py
@@ -67,6 +67,6 @@
 MIN_PROBERS = 3  # gateways that try one called node, at least
 
 # Advice against a node, in shortest target times.
-MAX_STRAIN = 4.0
-STRAIN_PER_LOSS = 3.0
-PROBER_STRAIN = 0.0
+MAX_LOAD_FACTOR = 4.0
+LOAD_FACTOR_PER_LOSS = 3.0
+PROBER_LOAD_FACTOR = 0.0
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -336,7 +336,7 @@
                     gateway.module.on_health_advice(
                         self.now,
                         box,
-                        advice.strain,
+                        advice.load_factor,
                         advice.avoid,
                         self.now + ADVICE_PERIODS * PERIOD,
                     )
--- a/milletsill/lab/hunt/gate.py
+++ b/milletsill/lab/hunt/gate.py
@@ -110,7 +110,7 @@
     """What health tells a module."""
 
     def __init__(self) -> None:
-        self.overheard: Any = None
+        self.on_attempt_ended: Any = None
         self.away: dict[int, tuple[int, bool]] = {}
 
     def on_health_advice(self, box: int, strain: float, away: bool, until: int) -> None:
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -190,7 +190,7 @@
             outcome = AttemptOutcome.TIMED_OUT if lost else AttemptOutcome.SUCCEEDED
             for each in gateways:
                 result = AttemptResult(1, 0, node, outcome, not lost, 300, None, 0, {})
-                each.environment.scheduler.overheard(self.now(), request, result)
+                each.environment.scheduler.on_attempt_ended(self.now(), request, result)
         self.assertTrue(
             all(
                 each.evaluator.nodes[2].verdict is HealthVerdict.FAILING
--- a/tests/fleet/health/test_health_evaluator.py
+++ b/tests/fleet/health/test_health_evaluator.py
@@ -176,7 +176,7 @@
             evaluator.advice(3, fleet.ranking.places(3)[each], GATEWAYS)
             for each in range(GATEWAYS)
         ]
-        probers = sum(each.strain <= 0 for each in advice)
+        probers = sum(each.load_factor <= 0 for each in advice)
         self.assertTrue(tuning.MIN_PROBERS <= probers <= GATEWAYS / 3, probers)
         self.assertEqual(sum(each.avoid for each in advice), GATEWAYS - probers)
         held = NodeVerdict(HealthVerdict.FAILING)
