--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -26,7 +26,7 @@
     loaded = taken(file, PlannerFile, check_planner)
     if check:
         return click.echo(f"{file}: fine")
-    from milletsill.planner.planner_service import run
+    from milletsill.planner.planner_process import run
 
     sys.exit(run(loaded))
 
@@ -41,7 +41,7 @@
 
 def ask(address: str, **question: Any) -> list[dict[str, Any]]:
     """One question to a planner; a fault or no answer is one line and status 1."""
-    from milletsill.planner.codec import Frames, encoded
+    from milletsill.planner.codec import FrameParser, encode_frame
     from milletsill.planner.plan_pb2 import Question
 
     host, _, port = address.rpartition(":")
@@ -50,8 +50,8 @@
             raise click.BadParameter(f"{address!r} is not host:port")
         with socket.create_connection((host, int(port)), WITHIN) as link:
             link.settimeout(WITHIN)
-            link.sendall(encoded(question=Question(**question)))
-            frames = Frames()
+            link.sendall(encode_frame(question=Question(**question)))
+            frames = FrameParser()
             while data := link.recv(1 << 16):
                 for frame in frames.feed(data):
                     if frame.told.fault:
--- a/milletsill/fleet/health/shared_health.py
+++ b/milletsill/fleet/health/shared_health.py
@@ -42,6 +42,7 @@
     Readiness,
     Request,
 )
+from milletsill.named_timers import NamedTimers, ReactorTimers
 from milletsill.settings.milletsill_pb2 import FleetLink
 
 MALFORMED_LOG_INTERVAL = 10 * SECOND  # between two log lines on malformed reports
@@ -54,25 +55,6 @@
     return xxhash.xxh64_intdigest(gateway_name.encode("utf-8", "surrogateescape"))
 
 
-class DelayedCall(Protocol):
-    """A call that a reactor makes later."""
-
-    def active(self) -> bool:
-        """Return whether it is still to come."""
-
-    def cancel(self) -> None:
-        """Call it off."""
-
-
-class Timers(Protocol):
-    """The part of a Twisted reactor that is needed here."""
-
-    def callLater(  # noqa: N802
-        self, delay: float, callable: Callable[[], None], /
-    ) -> DelayedCall:
-        """Make a call after so many seconds."""
-
-
 class AdvisedScheduler(Protocol):
     """The scheduler's host: it tells of attempts that ended, and takes advice."""
 
@@ -124,7 +106,7 @@
     """What shared health works with.
 
     Attributes:
-        timers: The reactor.
+        reactor: For timers.
         now: Returns the present time, in tenths of a millisecond.
         transport: Sends frames to the other gateways, and has the view.
         scheduler: Gets advice, and tells of attempts that ended.
@@ -133,7 +115,7 @@
         registry: For the metrics.
     """
 
-    timers: Timers
+    reactor: ReactorTimers
     now: Callable[[], int]
     transport: FleetTransport
     scheduler: AdvisedScheduler
@@ -176,8 +158,7 @@
         self._counted_bytes = 0
         self._logged_malformed_at = environment.now() - MALFORMED_LOG_INTERVAL
         self._limit_exceeded = False
-        self._timers: dict[str, DelayedCall] = {}
-        self._stopped = False
+        self._timers = NamedTimers(environment.reactor)
 
     @classmethod
     def for_gateway(cls, gateway: Any, seed: int) -> SharedHealth:
@@ -210,27 +191,14 @@
         self.transport.watch_view(self.on_view)
         self.environment.scheduler.on_attempt_ended = self.observer.on_attempt_result
         self.on_view(self.transport.view, ())
-        self._repeat("gossip", GOSSIP_INTERVAL, self.run_round)
-        self._repeat("publish", self.config.publish_interval, self.publish)
-        self._repeat("evaluate", self.config.publish_interval, self.evaluate)
+        interval = self.config.publish_interval / SECOND
+        self._timers.repeat("gossip", GOSSIP_INTERVAL / SECOND, self.run_round)
+        self._timers.repeat("publish", interval, self.publish)
+        self._timers.repeat("evaluate", interval, self.evaluate)
 
     def stop(self) -> None:
         """Cancel the timers."""
-        self._stopped = True
-        for timer in self._timers.values():
-            if timer.active():
-                timer.cancel()
-
-    def _repeat(self, name: str, interval: int, call: Callable[[], None]) -> None:
-        """Make a call at each interval until the end; one timer for each name."""
-
-        def on_timer() -> None:
-            self._repeat(name, interval, call)
-            call()
-
-        if not self._stopped:
-            timers = self.environment.timers
-            self._timers[name] = timers.callLater(interval / SECOND, on_timer)
+        self._timers.stop()
 
     def _send(self, member: str, body: bytes) -> bool:
         return self.transport.send(member, MessageKind.HEALTH, body)
--- a/milletsill/lab/model_checks/quota_model.py
+++ b/milletsill/lab/model_checks/quota_model.py
@@ -1,358 +1,186 @@
-"""A model of planner, edges and a network that loses, doubles, delays and reorders, run on the very functions of decide.
+"""A model of planner, gateways and network, run on the very code that decides.
 
-    python -m milletsill.lab.model_checks.quota_model [--walks N --steps N --edges N]
+    python -m milletsill.lab.model_checks.quota_model [--walks N --steps N --gateways N]
 
-`explore` goes through every order of events up to a depth for a small fleet; `walk` goes by seeded chance through a large one.
-Both look after each event whether the parts in use add up to more than the whole. `MUTANTS` take out one guard each; the tests
-demand that each of them is found.
+The network loses, doubles, delays and reorders. `explore` goes through every order of
+events up to a depth for a small fleet; `random_walk` goes by seeded chance through a
+large one. Both check after each event whether the shares in use add up to more than the
+whole. `quota_mutation_checks` takes out one guard at a time; the tests demand that
+each is found missing.
 """
 
 from __future__ import annotations
 
 import argparse
 import copy
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from dataclasses import dataclass
 from random import Random
-from typing import Any
-from unittest import mock
 
-from milletsill.planner.quota_granting import Planner
-from milletsill.planner.quota_lending import Edge, Heard, Holding
-from milletsill.planner.quota_plan import Share
-from milletsill.planner.quota_terms import SECOND, WHOLE, Ask, Grant, Lent, Span
+from milletsill.lab.model_checks.quota_cluster import SimulatedQuotaFleet
+from milletsill.lab.model_checks.quota_mutation_checks import MUTANTS, without
+from milletsill.planner.quota_terms import SECOND, WHOLE, QuotaTimings
 
-THING, SPAN, MOST_FLYING = ("limit", 1), Span(4 * SECOND, 0, 0.2), 6
 
+@dataclass(frozen=True, slots=True)
+class Exploration:
+    """How many states were checked, and the events that led past the whole, if any."""
 
-class World:
-    """Planner, edges, and the messages that may still arrive."""
-
-    def __init__(self, edges: int, span: Span = SPAN) -> None:
-        self.span, self.now, self.epoch = span, 100 * SECOND, 1
-        self.planner = Planner(1, span)
-        self.planner.linked = {f"e{each}" for each in range(edges)}
-        self.born = 1
-        self.edges = [
-            Edge(f"e{each}", 1, span, self.now, fresh=True) for each in range(edges)
-        ]
-        self.offsets = [each * 7 for each in range(edges)]  # each edge's clock differs
-        self.rates = [0] * edges
-        for each in self.edges:
-            each.know(THING, edges)
-            each.meet(1)
-        self.wants = [WHOLE if each == 0 else 0 for each in range(edges)]
-        self.flying: list[tuple[int, Any]] = []  # (edge, message)
-
-    def clock(self, edge: int) -> int:
-        return self.now + self.offsets[edge]
-
-    def used(self) -> int:
-        return sum(
-            each.part(THING, self.clock(place)) for place, each in enumerate(self.edges)
-        )
-
-    # Events.
-
-    def ask(self, edge: int) -> None:
-        self.fly(edge, self.edges[edge].ask(THING, self.wants[edge], self.clock(edge)))
-
-    def fly(self, edge: int, message: Any) -> None:
-        if message is not None and (edge, message) not in self.flying:
-            self.flying.append((edge, message))
-            del self.flying[: -MOST_FLYING * len(self.edges)]
-
-    def arrive(self, place: int, stays: bool) -> None:
-        edge, message = self.flying[place] if stays else self.flying.pop(place)
-        if isinstance(message, Ask):
-            self.fly(edge, self.planner.hear(message, self.now))
-            self.carry()
-        else:
-            held = self.edges[edge]
-            if held.meet(message.epoch):
-                held.take(message, self.clock(edge))
-
-    def exchange(self, edge: int) -> None:
-        """An ask and its answer without delay."""
-        message = self.edges[edge].ask(THING, self.wants[edge], self.clock(edge))
-        grant = self.planner.hear(message, self.now)
-        if grant is not None and self.edges[edge].meet(grant.epoch):
-            self.edges[edge].take(grant, self.clock(edge))
-        self.carry()
-
-    def carry(self) -> None:
-        """What the planner says unasked is on its way."""
-        for name, grant in self.planner.drain_calls():
-            self.fly(int(name[1:]), grant)
-
-    def pass_time(self, span: int) -> None:
-        self.now += span
-        for place, rate in enumerate(self.rates):
-            self.offsets[place] += span * rate // 1000
-
-    def restart_edge(self, edge: int) -> None:
-        old = self.edges[edge]
-        self.edges[edge] = Edge(
-            old.name, old.incarnation + 1, self.span, self.clock(edge)
-        )
-        self.edges[edge].know(THING, len(self.edges))
-
-    def restart_planner(self) -> None:
-        self.epoch += 1
-        linked, self.planner = self.planner.linked, Planner(self.epoch, self.span)
-        self.planner.linked = linked
-
-    def turn(self, edge: int) -> None:
-        """Who wants all, and who nothing, changes."""
-        self.wants = [WHOLE if each == edge else 0 for each in range(len(self.edges))]
-
-    def events(self) -> list[tuple[str, Callable[[], None]]]:
-        """What may happen next."""
-        found: list[tuple[str, Callable[[], None]]] = []
-        for each in range(len(self.edges)):
-            found.append((f"ask {each}", lambda each=each: self.ask(each)))
-            found.append((f"restart {each}", lambda each=each: self.restart_edge(each)))
-        for place in range(len(self.flying)):
-            found.append(
-                (f"arrive {place}", lambda place=place: self.arrive(place, False))
-            )
-            found.append(
-                (f"double {place}", lambda place=place: self.arrive(place, True))
-            )
-        found.append(("time", lambda: self.pass_time(self.span.longest // 2)))
-        found.append(("planner", self.restart_planner))
-        return found
-
-    def key(self) -> Any:
-        """The same for worlds that go on alike."""
-        return (
-            self.now,
-            self.epoch,
-            tuple(
-                repr(sorted(vars(each).items(), key=lambda pair: pair[0]))
-                for each in self.edges
-            ),
-            repr(sorted(vars(self.planner).items(), key=lambda pair: pair[0])),
-            tuple(sorted(map(repr, self.flying))),
-        )
+    states: int
+    violation: list[str] | None = None
 
 
 def explore(
-    edges: int, depth: int, most: int, seed_steps: int = 0
-) -> tuple[int, list[str] | None]:
-    """Every order of events up to a depth, worlds that are alike looked at once, at most so many. The worlds looked at, and
-    the events that led past the whole, if any. `seed_steps` exchanges without loss come first, so that there is something to lose.
+    gateways: int, depth: int, max_states: int, first_exchanges: int = 0
+) -> Exploration:
+    """Check every order of events up to a depth, equal states once.
+
+    Args:
+        gateways: Size of the fleet.
+        depth: Number of events.
+        max_states: When to stop.
+        first_exchanges: Without loss, so that there is something to lose.
     """
-    first = World(edges)
-    for step in range(seed_steps):
-        first.exchange(step % edges)
+    first = SimulatedQuotaFleet(gateways)
+    for step in range(first_exchanges):
+        first.exchange(step % gateways)
         first.pass_time(SECOND // 10)
-    seen, layer, count = {first.key()}, [(first, list[str]())], 1
+    seen = {first.key()}
+    layer: list[tuple[SimulatedQuotaFleet, list[str]]] = [(first, [])]
+    states = 1
     for _ in range(depth):
-        following = []
-        for world, path in layer:
-            for name in [name for name, _ in world.events()]:
-                made = copy.deepcopy(world)
-                dict(made.events())[name]()
-                key = made.key()
+        next_layer = []
+        for fleet, path in layer:
+            for name, _ in fleet.events():
+                successor = copy.deepcopy(fleet)
+                dict(successor.events())[name]()
+                key = successor.key()
                 if key in seen:
                     continue
                 seen.add(key)
-                count += 1
-                if made.used() > WHOLE:
-                    return count, path + [name]
-                if count >= most:
-                    return count, None
-                following.append((made, path + [name]))
-        layer = following
-    return count, None
+                states += 1
+                if successor.total_share() > WHOLE:
+                    return Exploration(states, [*path, name])
+                if states >= max_states:
+                    return Exploration(states)
+                next_layer.append((successor, [*path, name]))
+        layer = next_layer
+    return Exploration(states)
 
 
-def walk(
-    edges: int, steps: int, seed: int, drift: int = 5
-) -> tuple[int, str | None, int]:
-    """Chance through a large fleet whose clocks drift; the steps made, what went wrong, and the most that one edge had."""
-    chance, span = Random(seed), Span(4 * SECOND, drift, 0.2)
-    world = World(edges, span)
-    world.rates = [chance.randint(-drift // 2, drift // 2) for _ in range(edges)]
-    best = 0
-    for step in range(steps):
-        edge, dice = chance.randrange(edges), chance.random()
-        if dice < 0.42:
-            world.exchange(edge)
-        elif dice < 0.52:
-            world.ask(edge)
-        elif dice < 0.74 and world.flying:
-            world.arrive(chance.randrange(len(world.flying)), chance.random() < 0.2)
-        elif dice < 0.94:
-            world.pass_time(
-                chance.choice(
-                    (50, SECOND // 10, SECOND // 2, SECOND // 2, SECOND, 2 * SECOND)
-                )
-            )
-        elif dice < 0.955:
-            world.restart_edge(edge)
-        elif dice < 0.975:
-            world.restart_planner()
-        else:
-            world.turn(edge)
-        used = world.used()
-        best = max(
-            best,
-            *(
-                each.part(THING, world.clock(place))
-                for place, each in enumerate(world.edges)
-            ),
-        )
-        if used > WHOLE:
-            return step, f"seed {seed}, step {step}: {used} of {WHOLE} in use", best
-    return steps, None, best
+@dataclass(frozen=True, slots=True)
+class RandomWalk:
+    """The steps made, what went wrong, and the most that one gateway had."""
 
+    steps: int
+    violation: str | None
+    largest_share: int
 
-def overtaken() -> int:
-    """A large grant is on its way for long while newer, smaller ones are lost and another edge gets the rest; then it comes.
-    The most that is in use with it at any moment of that.
+
+PAUSES = (50, SECOND // 10, SECOND // 2, SECOND // 2, SECOND, 2 * SECOND)
+
+
+def random_walk(
+    gateways: int, steps: int, seed: int, drift_permille: int = 5
+) -> RandomWalk:
+    """Go by chance through a large fleet whose clocks drift."""
+    random = Random(seed)
+    fleet = SimulatedQuotaFleet(gateways, QuotaTimings(4 * SECOND, drift_permille, 0.2))
+    slowest, fastest = -drift_permille // 2, drift_permille // 2
+    fleet.clock_rates = [random.randint(slowest, fastest) for _ in range(gateways)]
+    largest = 0
+    for step in range(steps):
+        _random_event(fleet, random)
+        total = fleet.total_share()
+        largest = max(largest, *(fleet.share(each) for each in range(gateways)))
+        if total > WHOLE:
+            violation = f"seed {seed}, step {step}: {total} of {WHOLE} in use"
+            return RandomWalk(step, violation, largest)
+    return RandomWalk(steps, None, largest)
+
+
+def _random_event(fleet: SimulatedQuotaFleet, random: Random) -> None:
+    gateway = random.randrange(len(fleet.ledgers))
+    chance = random.random()
+    if chance < 0.42:
+        fleet.exchange(gateway)
+    elif chance < 0.52:
+        fleet.send_request(gateway)
+    elif chance < 0.74 and fleet.in_flight:
+        place = random.randrange(len(fleet.in_flight))
+        fleet.deliver(place, random.random() < 0.2)
+    elif chance < 0.94:
+        fleet.pass_time(random.choice(PAUSES))
+    elif chance < 0.955:
+        fleet.restart_gateway(gateway)
+    elif chance < 0.975:
+        fleet.restart_planner()
+    else:
+        fleet.change_demand(gateway)
+
+
+def overtaken_grant() -> int:
+    """Return the most in use at any moment that a delayed large grant may arrive.
+
+    It is on its way for long, while newer and smaller ones are lost and another gateway
+    gets the rest.
     """
-    world = World(3)
+    fleet = SimulatedQuotaFleet(3)
     for step in range(90):
-        world.exchange(step % 3)
-        world.pass_time(SECOND // 8)
-    large = world.planner.hear(
-        world.edges[0].ask(THING, WHOLE, world.clock(0)), world.now
-    )
-    world.turn(1)
+        fleet.exchange(step % 3)
+        fleet.pass_time(SECOND // 8)
+    large = fleet.planner.on_request(fleet.make_request(0, WHOLE), fleet.now)
+    fleet.change_demand(1)
     worst = 0
     for _ in range(32):
-        world.planner.hear(world.edges[0].ask(THING, 0, world.clock(0)), world.now)
-        for edge in (1, 2):
-            world.exchange(edge)
-        world.pass_time(SECOND // 8)
-        made = copy.deepcopy(world)
+        fleet.planner.on_request(fleet.make_request(0, 0), fleet.now)
+        fleet.exchange(1)
+        fleet.exchange(2)
+        fleet.pass_time(SECOND // 8)
+        arrived = copy.deepcopy(fleet)
         if large is not None:
-            made.edges[0].take(large, made.clock(0))
-        worst = max(worst, made.used())
+            arrived.ledgers[0].on_grant(large, arrived.clock(0))
+        worst = max(worst, arrived.total_share())
     return worst
 
 
-def wrong(walks: int, steps: int = 1500) -> str | None:
-    """What goes wrong first, if anything: the case of the overtaken grant, then chance through small fleets."""
-    if (used := overtaken()) > WHOLE:
-        return f"an overtaken grant: {used} of {WHOLE} in use"
-    return next(
-        (found for seed in range(walks) if (found := walk(4, steps, seed)[1])), None
-    )
-
-
-# --- One guard out at a time.
-
-
-def _all_lent(self: Planner, pot: Any, share: Share, now: int, lent: int) -> int:
-    """Promises that end before the grant are counted on."""
-    return sum(each.lent(now) for each in pot.shares.values()) - (
-        pot.held - share.out(now)
-    )
-
-
-def _none_out(self: Planner, pot: Any, share: Share, now: int, lent: int) -> int:
-    """What others hold is forgotten."""
-    return lent
-
-
-def _newest_only(self: Share, now: int) -> int:
-    """Only the newest grant is counted, though an older and larger one may be the one that arrived."""
-    return self.grants[-1][0] if self.grants and now < self.grants[-1][1] else 0
-
-
-def _from_receipt(self: Edge, grant: Grant, now: int) -> Any:
-    """A grant lasts from when it arrives."""
-    held = self.holdings[grant.thing]
-    found = _take(self, grant, now)
-    if found is Heard.TAKEN:
-        held.granted_ends = now + grant.lasts
-    return found
-
-
-def _any_age(self: Edge, grant: Grant, now: int) -> Any:
-    """A grant that comes after its end is taken, and lasts from then."""
-    held = self.holdings[grant.thing]
-    found = _take(self, grant, now)
-    if found is Heard.TOO_LATE:
-        held.granted, held.granted_ends = grant.granted, now + grant.lasts
-    return found
-
-
-def _counted_from_now(self: Planner, share: Share, ask: Ask, now: int) -> None:
-    """A promise is counted from when the planner hears of it."""
-    share.promises = [(part, now + self.span.longest) for part, _ in ask.lent]
-
-
-def _taken_back(self: Holding, made: Lent, now: int) -> None:
-    """A promise is made smaller when the planner asks for less."""
-    self.promises = [made]
-
-
-def _lent_twice(self: Edge, held: Holding, grant: Grant, now: int) -> None:
-    """What one epoch has is promised to another."""
-    held.lent_to = self.epoch
-    held.promise(
-        Lent(
-            min(grant.lend, held.capital - held.floor),
-            now + self.span.longest,
-            grant.told,
-        ),
-        now,
-    )
-
-
-def _no_rest(self: Edge, thing: Any, now: int) -> int:
-    """An edge that has started again takes its whole capital at once."""
-    return self.holdings[thing].part(now)
-
-
-_take = Edge.take
-MUTANTS: dict[str, tuple[type, str, Any]] = {
-    "promises that end too soon": (Planner, "room", _all_lent),
-    "what others hold": (Planner, "room", _none_out),
-    "older grants": (Share, "out", _newest_only),
-    "grants from receipt": (Edge, "take", _from_receipt),
-    "grants past their end": (Edge, "take", _any_age),
-    "promises from hearing": (Planner, "count_on", _counted_from_now),
-    "promises taken back": (Holding, "promise", _taken_back),
-    "promises lent twice": (Edge, "promise", _lent_twice),
-    "rest after a start": (Edge, "part", _no_rest),
-}
-
-
-@contextmanager
-def without(guard: str) -> Iterator[None]:
-    """The decisions with one guard out."""
-    owner, name, made = MUTANTS[guard]
-    with mock.patch.object(owner, name, made):
-        yield
+def find_violation(walks: int, steps: int = 1500) -> str | None:
+    """Return what goes wrong first: an overtaken grant, else by chance; or None."""
+    total = overtaken_grant()
+    if total > WHOLE:
+        return f"an overtaken grant: {total} of {WHOLE} in use"
+    for seed in range(walks):
+        violation = random_walk(4, steps, seed).violation
+        if violation is not None:
+            return violation
+    return None
 
 
 def main() -> None:
+    """Run the model as the command line says, and print what it finds."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--walks", type=int, default=20)
     parser.add_argument("--steps", type=int, default=5000)
-    parser.add_argument("--edges", type=int, default=20)
-    given = parser.parse_args()
-    for edges, depth, first in ((2, 5, 6), (3, 4, 9)):
-        count, found = explore(edges, depth, 200_000, first)
+    parser.add_argument("--gateways", "--edges", type=int, default=20)
+    options = parser.parse_args()
+    for gateways, depth, first in ((2, 5, 6), (3, 4, 9)):
+        found = explore(gateways, depth, 200_000, first)
         print(
-            f"{edges} edges, every order of {depth} events after {first} exchanges: {count} worlds, {found or 'kept'}"
+            f"{gateways} gateways, every order of {depth} events after {first} "
+            f"exchanges: {found.states} states, {found.violation or 'kept'}"
         )
-    for seed in range(given.walks):
-        steps, found, best = walk(given.edges, given.steps, seed)
+    for seed in range(options.walks):
+        walk = random_walk(options.gateways, options.steps, seed)
+        largest = walk.largest_share / WHOLE
         print(
-            f"seed {seed}: {steps} steps, most for one {best / WHOLE:.2f}, {found or 'kept'}"
+            f"seed {seed}: {walk.steps} steps, most for one {largest:.2f}, "
+            f"{walk.violation or 'kept'}"
         )
     for guard in MUTANTS:
         with without(guard):
-            found = wrong(300)
-        print(f"without {guard}: {found or 'NOT FOUND'}")
+            violation = find_violation(300)
+        print(f"without {guard}: {violation or 'NOT FOUND'}")
 
 
 if __name__ == "__main__":
--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -1,4 +1,7 @@
-"""Frames of the planner's protocol: u32 length, big-endian, and one protobuf Frame; to and from what decide.py speaks of."""
+"""Frames of the planner's protocol, to and from requests and grants.
+
+A frame is a u32 length, big-endian, and one protobuf `Frame`.
+"""
 
 from __future__ import annotations
 
@@ -10,118 +13,163 @@
 
 from milletsill.errors import MalformedInput
 from milletsill.planner.plan_pb2 import Frame, Given, Piece, Wish
-from milletsill.planner.quota_terms import Ask, Grant
-
-LENGTH, MOST_FRAME, VERSION = Struct(">I"), 1 << 20, 1
-WHATS = ("limit", "reserve", "cold")
+from milletsill.planner.quota_terms import (
+    LIMIT,
+    QUOTA_KINDS,
+    RESERVE,
+    SLOW_START,
+    QuotaGrant,
+    QuotaKey,
+    QuotaKind,
+    QuotaRequest,
+    ReportedLoan,
+)
+
+PROTOCOL_VERSION = 1
+LENGTH = Struct(">I")
+MAX_FRAME_BYTES = 1 << 20
+MAX_RATE_FIELD = (1 << 32) - 1
+KIND_BY_NAME: dict[str, QuotaKind] = {
+    "limit": LIMIT,
+    "reserve": RESERVE,
+    "cold": SLOW_START,
+}
 
 
 class MalformedPlannerFrame(MalformedInput):
     """Octets between a gateway and its planner that are no frame."""
 
-    remedy = "see that planner.address leads to a planner, and that both run versions that go together"
+    remedy = (
+        "see that planner.address leads to a planner, "
+        "and that both run versions that go together"
+    )
 
 
-class Frames:
-    """Bytes of a connection as frames; never holds more than one frame's bytes and what came with them."""
+class FrameParser:
+    """Octets of a connection as frames; holds no more than one incomplete frame."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
-
-    def feed(self, data: bytes) -> Iterator[Any]:
-        """The frames that are whole now."""
-        self.held += data
-        at = 0
-        while len(self.held) - at >= LENGTH.size:
-            size = LENGTH.unpack_from(self.held, at)[0]
-            if size > MOST_FRAME:
+        self._buffer = bytearray()
+
+    def feed(self, data: bytes) -> Iterator[Frame]:
+        """Yield the frames that are complete now.
+
+        Raises:
+            MalformedPlannerFrame: A frame is too long, or none of this protocol.
+        """
+        self._buffer += data
+        position = 0
+        while len(self._buffer) - position >= LENGTH.size:
+            size = LENGTH.unpack_from(self._buffer, position)[0]
+            if size > MAX_FRAME_BYTES:
                 raise MalformedPlannerFrame(
-                    f"a frame of {size} bytes, {MOST_FRAME} at most"
+                    f"a frame of {size} bytes, {MAX_FRAME_BYTES} at most"
                 )
-            if len(self.held) - at - LENGTH.size < size:
+            if len(self._buffer) - position - LENGTH.size < size:
                 break
-            at += LENGTH.size
-            yield decoded(bytes(self.held[at : at + size]))
-            at += size
-        del self.held[:at]
+            position += LENGTH.size
+            yield decode_frame(bytes(self._buffer[position : position + size]))
+            position += size
+        del self._buffer[:position]
 
 
-def decoded(data: bytes) -> Any:
+def decode_frame(data: bytes) -> Frame:
+    """Parse a frame without its length.
+
+    Raises:
+        MalformedPlannerFrame: It is no frame, or holds nothing that is known.
+    """
     try:
         frame = Frame.FromString(data)
-    except DecodeError:
-        raise MalformedPlannerFrame("a frame that is no protobuf of ours") from None
+    except DecodeError as error:
+        raise MalformedPlannerFrame("a frame that is no protobuf of ours") from error
     if frame.WhichOneof("what") is None or not frame.IsInitialized():
         raise MalformedPlannerFrame("a frame with nothing in it that we know")
     return frame
 
 
-def encoded(**what: Any) -> bytes:
-    """One frame: `encoded(welcome=Welcome(...))`."""
+def encode_frame(**what: Any) -> bytes:
+    """Return one frame: `encode_frame(welcome=Welcome(...))`."""
     data = Frame(**what).SerializeToString()
     return LENGTH.pack(len(data)) + data
 
 
-def put_ask(ask: Ask, asked: float = 0.0) -> Wish:
+def encode_request(request: QuotaRequest, rate: float = 0.0) -> Wish:
+    """Return the message for a request; `rate`, in units a second, is for people."""
     return Wish(
-        epoch=ask.epoch,
-        what=ask.thing[0],
-        id=ask.thing[1],
-        want=ask.want,
-        capital=ask.capital,
-        lent=[Piece(part=part, heard=heard) for part, heard in ask.lent],
-        sent=ask.sent,
-        asked=min(int(asked * 1000), (1 << 32) - 1),
+        epoch=request.epoch,
+        what=request.key.kind,
+        id=request.key.id,
+        want=request.wanted,
+        capital=request.even_share,
+        lent=[
+            Piece(part=loan.share, heard=loan.planner_time) for loan in request.loans
+        ],
+        sent=request.sent_at,
+        asked=min(int(rate * 1000), MAX_RATE_FIELD),
     )
 
 
-def get_ask(edge: str, incarnation: int, wish: Any) -> Ask:
-    if wish.what not in WHATS:
+def decode_request(gateway: str, incarnation: int, message: Wish) -> QuotaRequest:
+    """Return the request of a message on a gateway's connection.
+
+    Raises:
+        MalformedPlannerFrame: It asks for something that is no quota.
+    """
+    kind = KIND_BY_NAME.get(message.what)
+    if kind is None:
         raise MalformedPlannerFrame(
-            f"an ask for {wish.what[:20]!r}, not one of {', '.join(WHATS)}"
+            f"an ask for {message.what[:20]!r}, not one of {', '.join(QUOTA_KINDS)}"
         )
-    return Ask(
-        edge,
+    return QuotaRequest(
+        gateway,
         incarnation,
-        wish.epoch,
-        (wish.what, wish.id),
-        wish.want,
-        wish.capital,
-        tuple((each.part, each.heard) for each in wish.lent),
-        wish.sent,
+        message.epoch,
+        QuotaKey(kind, message.id),
+        message.want,
+        message.capital,
+        tuple(ReportedLoan(piece.part, piece.heard) for piece in message.lent),
+        message.sent,
     )
 
 
-def put_grant(grant: Grant) -> Given:
+def encode_grant(grant: QuotaGrant) -> Given:
+    """Return the message for a grant."""
     return Given(
         epoch=grant.epoch,
         incarnation=grant.incarnation,
-        what=grant.thing[0],
-        id=grant.thing[1],
+        what=grant.key.kind,
+        id=grant.key.id,
         sequence=grant.sequence,
         granted=grant.granted,
-        lasts=grant.lasts,
-        lend=grant.lend,
-        asked=grant.asked,
-        told=grant.told,
-        again=grant.again,
+        lasts=grant.duration,
+        lend=grant.to_lend,
+        asked=grant.requested_at,
+        told=grant.planner_time,
+        again=grant.ask_again_within,
     )
 
 
-def get_grant(given: Any) -> Grant:
-    if given.what not in WHATS:
+def decode_grant(message: Given) -> QuotaGrant:
+    """Return the grant of a message.
+
+    Raises:
+        MalformedPlannerFrame: It grants something that is no quota.
+    """
+    kind = KIND_BY_NAME.get(message.what)
+    if kind is None:
         raise MalformedPlannerFrame(
-            f"a grant of {given.what[:20]!r}, not one of {', '.join(WHATS)}"
+            f"a grant of {message.what[:20]!r}, not one of {', '.join(QUOTA_KINDS)}"
         )
-    return Grant(
-        given.epoch,
-        given.incarnation,
-        (given.what, given.id),
-        given.sequence,
-        given.granted,
-        given.lasts,
-        given.lend,
-        given.asked,
-        given.told,
-        given.again,
+    return QuotaGrant(
+        message.epoch,
+        message.incarnation,
+        QuotaKey(kind, message.id),
+        message.sequence,
+        message.granted,
+        message.lasts,
+        message.lend,
+        message.asked,
+        message.told,
+        message.again,
     )
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -1,393 +1,380 @@
-"""The edge's side of the planner: what is asked for, the link, and what the module is told of parts.
+"""The gateway's side of the planner: which shares it asks for, and what it is told.
 
-Nothing here waits for the planner: without a word from it the edge has its even parts, or less where it has lent some, until that
-is over (decide.py). An edge without a `planner` in its file loads none of this.
+Nothing here waits for the planner: without a word from it the gateway has its even
+shares, or less where it has lent some, until that is over (docs/planner.md). A gateway
+without a `planner` in its file loads none of this.
 """
 
 from __future__ import annotations
 
-import random
 from collections.abc import Callable, Mapping, Sequence
-from typing import Any
-
-from prometheus_client import Counter, Gauge
-from twisted.internet.endpoints import HostnameEndpoint
-from twisted.internet.protocol import Factory, Protocol
-
-from milletsill.interface import Request, Endpoint, Readiness
-from milletsill.planner.codec import (
-    VERSION,
-    MalformedPlannerFrame,
-    Frames,
-    encoded,
-    get_grant,
-    put_ask,
+from dataclasses import dataclass
+from random import Random
+from typing import Any, Protocol
+
+from prometheus_client import CollectorRegistry
+
+from milletsill.interface import Endpoint, Facts, Readiness, Request
+from milletsill.named_timers import NamedTimers
+from milletsill.planner.codec import encode_request
+from milletsill.planner.demand_estimate import (
+    DemandEstimate,
+    share_for_rate,
+    wanted_rate,
 )
-from milletsill.planner.demand_estimate import Demand, want_of, wanted
-from milletsill.planner.errors import (
-    PlannerUnreachable,
-    PlannerEpochStale,
-    PlannerRejectedGateway,
+from milletsill.planner.plan_pb2 import Asks, Wish
+from milletsill.planner.planner_session import PlannerSession, SessionEnvironment
+from milletsill.planner.quota_client_config import PlanRates, QuotaClientConfig
+from milletsill.planner.quota_client_metrics import QuotaClientMetrics
+from milletsill.planner.quota_ledger import (
+    GrantOutcome,
+    QuotaForecast,
+    QuotaLedger,
 )
-from milletsill.planner.plan_pb2 import Asks, Hello, Refused
-from milletsill.planner.planner_link import Link, Said, dial_after, link_step
-from milletsill.planner.planner_service import span_of
-from milletsill.planner.quota_lending import Edge, Heard
-from milletsill.planner.quota_terms import GUARD, SECOND, WHOLE, Thing
+from milletsill.planner.quota_terms import (
+    GRANT_GUARD,
+    LIMIT,
+    NEVER,
+    RESERVE,
+    SECOND,
+    SLOW_START,
+    WHOLE,
+    QuotaGrant,
+    QuotaKey,
+)
+
+MAX_REQUESTS_PER_FRAME = 5000
+REQUEST_JITTER = (0.9, 1.1)  # of the interval between requests
+REQUEST_TIMER = "ask"
+MAX_FORECAST_TIMER = 60 * SECOND  # what ends later needs no timer yet
+FIRST_INCARNATION = 1
+
+
+class PendingRequest(Protocol):
+    """A request that the scheduler's host has not finished."""
+
+    @property
+    def request(self) -> Request:
+        """The request."""
+
+    @property
+    def answered(self) -> bool:
+        """Whether it has its final answer."""
+
+    @property
+    def attempts(self) -> Sequence[object]:
+        """The attempts that were made."""
+
+
+class QuotaScheduler(Protocol):
+    """The scheduler's host, which keeps within the shares that it is told.
+
+    Attributes:
+        max_decision_age: Attempts decided longer ago than this are not sent.
+    """
+
+    max_decision_age: int
+
+    @property
+    def active(self) -> Mapping[int, PendingRequest]:
+        """Its requests by id."""
+
+    def on_quota_share(
+        self, kind: str, id: int, share: float | None, until: int, after: float, /
+    ) -> None:
+        """Take the share of a quota, until when it holds, and the least after that.
 
-PER_FRAME, SILENT = 5000, 5 * SECOND  # asks; a planner without a word is cut
+        A share of None is the even one.
+        """
 
 
-class Line(Protocol):
-    """One connection to the planner."""
+@dataclass(frozen=True, slots=True)
+class QuotaClientEnvironment:
+    """What a quota client works with.
 
-    def __init__(self, parts: Parts) -> None:
-        self.parts, self.frames = parts, Frames()
+    Attributes:
+        reactor: A Twisted reactor.
+        now: Returns the present time, in tenths of a millisecond.
+        scheduler: Is told of each share that changes.
+        warn: Logs an event that somebody should look at.
+        registry: For the metrics.
+    """
 
-    def connectionMade(self) -> None:
-        self.transport.setTcpNoDelay(True)
-        self.parts.up(self)
+    reactor: Any
+    now: Callable[[], int]
+    scheduler: QuotaScheduler
+    warn: Callable[..., None]
+    registry: CollectorRegistry
 
-    def dataReceived(self, data: bytes) -> None:
-        try:
-            for frame in self.frames.feed(data):
-                self.parts.heard(self, frame)
-        except MalformedPlannerFrame as error:
-            self.parts.remark("planner", **error.log_fields())
-            self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any = None) -> None:
-        self.parts.lost(self)
+class QuotaClient:
+    """One gateway's shares of quotas.
 
+    Args:
+        config: Settings.
+        environment: Collaborators.
+        incarnation: This start of the gateway.
+        seed: For the spread of requests and reconnects.
 
-class Parts:
-    """One gateway's parts. `host` is told of each that changes."""
+    Attributes:
+        ledger: What the gateway holds.
+        demands: What it wants, by quota.
+        whole_rates: Units a second of each quota.
+        forecasts: What the scheduler was last told of each.
+        slow_start_nodes: The node that is warming up, by shard.
+    """
 
     def __init__(
         self,
-        reactor: Any,
-        now: Callable[[], int],
-        file: Any,
-        facts: Mapping[str, Any],
-        seed: int,
+        config: QuotaClientConfig,
+        environment: QuotaClientEnvironment,
         incarnation: int,
-        host: Any,
-        remark: Callable[..., None],
-        registry: Any,
+        seed: int,
     ) -> None:
-        self.reactor, self.now, self.file, self.facts = reactor, now, file, facts
-        self.host, self.remark = host, remark
-        self.span = span_of(file.planner.lending)
-        # A first run has no former self. What cannot be told counts as a later one.
-        self.edge = Edge(
-            file.name, incarnation, self.span, now(), fresh=incarnation == 1
-        )
-        self.chance = random.Random(seed)
-        self.demand: dict[Thing, Demand] = {}
-        self.wholes: dict[Thing, float] = {}  # units a second
-        self.told: dict[Thing, tuple[int, int, int]] = {}
-        self.nodes: dict[int, int] = {}  # cold nodes by cell
-        self.plans = {each.name: place for place, each in enumerate(file.plan)}
-        self.link, self.line = Link.DOWN, None
-        self.failures, self.last = 0, 0
-        self.calls: dict[str, Any] = {}
-        self.stopped = False
-        self.linked = Gauge(
-            "milletsill_planned", "1 while the planner answers", registry=registry
-        )
-        self.takes = Counter(
-            "milletsill_grants",
-            "Grants by what became of them",
-            ("fate",),
-            registry=registry,
-        )
-        self.granted = Gauge(
-            "milletsill_granted_parts",
-            "Parts on top of the even ones, in wholes",
-            registry=registry,
+        self.config = config
+        self.ledger = QuotaLedger(
+            config.name,
+            incarnation,
+            config.timings,
+            environment.now(),
+            fresh=incarnation == FIRST_INCARNATION,
         )
-        self.lent = Gauge(
-            "milletsill_lent_parts", "Parts lent, in wholes", registry=registry
+        self.demands: dict[QuotaKey, DemandEstimate] = {}
+        self.whole_rates: dict[QuotaKey, float] = {}
+        self.forecasts: dict[QuotaKey, QuotaForecast] = {}
+        self.slow_start_nodes: dict[int, int] = {}
+        self._now = environment.now
+        self._scheduler = environment.scheduler
+        self._metrics = QuotaClientMetrics(environment.registry)
+        self._random = Random(seed)
+        self._timers = NamedTimers(environment.reactor)
+        self.session = PlannerSession(
+            config.planner_address,
+            self.ledger,
+            SessionEnvironment(
+                environment.reactor,
+                environment.now,
+                self._timers,
+                self._random,
+                environment.warn,
+            ),
+            self,
         )
-        host.max_decision_age = GUARD
+        environment.scheduler.max_decision_age = GRANT_GUARD
 
-    # Life.
+    @classmethod
+    def for_gateway(cls, gateway: Any, facts: Facts, seed: int) -> QuotaClient:
+        """Return the quota client of a gateway whose file asks for it.
+
+        Args:
+            gateway: A gateway that is being made; it has its scheduler's host already.
+            facts: The settings that its scheduler has.
+            seed: For random choices.
+        """
+        environment = QuotaClientEnvironment(
+            gateway.reactor,
+            gateway.now,
+            gateway.host,
+            gateway.remark,
+            gateway.figures.registry,
+        )
+        config = QuotaClientConfig.from_settings(gateway.file, facts)
+        return cls(config, environment, gateway.incarnation, seed)
 
     def start(self) -> None:
-        for number, volume in enumerate(
-            self.file.volume, 1
-        ):  # what comes through all gateways may be lent before it is used
-            plan = self.facts["plans"][self.plans[volume.plan]]
-            if not volume.gateways or volume.gateways == self.file.gateways:
-                self.volume(number, self.file.gateways, plan, 0.0)
-        self.dial()
-        self.later("ask", self.file.planner.ask_s, self.ask)
+        """Connect to the planner, and begin to ask.
+
+        Volumes of the whole fleet are known from the start, so that their shares may be
+        lent before they are used.
+        """
+        for volume in self.config.volumes:
+            self.track_volume(volume.number, self.config.gateways, volume.rates, 0.0)
+        self.session.connect()
+        interval = self.config.request_interval
+        self._timers.set(REQUEST_TIMER, interval, self.send_requests)
 
     def stop(self) -> None:
-        self.stopped = True
-        for each in self.calls.values():
-            if each.active():
-                each.cancel()
-        if self.line is not None:
-            self.line.transport.loseConnection()
-
-    def later(
-        self, name: str, seconds: float, call: Callable[..., None], *values: Any
-    ) -> None:
-        """One timer a name; set anew."""
-        old = self.calls.get(name)
-        if old is not None and old.active():
-            old.cancel()
-        if not self.stopped:
-            self.calls[name] = self.reactor.callLater(max(seconds, 0.0), call, *values)
-
-    def look(self) -> None:
-        """Once a second: figures."""
-        self.forget()
-        now, held = self.now(), self.edge.holdings.values()
-        self.linked.set(self.link is Link.PLANNED)
-        self.granted.set(
-            sum(each.granted for each in held if now < each.granted_ends) / WHOLE
-        )
-        self.lent.set(sum(each.lent(now) for each in held) / WHOLE)
+        """Cancel the timers, and close the connection."""
+        self._timers.stop()
+        self.session.close()
+
+    def on_tick(self) -> None:
+        """Once a second: forget nodes that are warm, and update the metrics."""
+        self._forget_warm_nodes()
+        holdings = list(self.ledger.holdings.values())
+        self._metrics.update(self.session.is_planned, holdings, self._now())
 
-    def forget(self) -> None:
-        """Boxes that are warm or gone, with nothing lent, granted or rested on. Guards an edge that runs for months against
-        every box that was ever replaced; stores are those of the file. Harm: none, a box that is cold again is known anew.
+    def _forget_warm_nodes(self) -> None:
+        """Drop quotas of nodes that are warm or gone, once nothing of them is held.
+
+        So a gateway that runs for months does not keep every node that was replaced;
+        volumes are those of the file. A node that starts again is tracked anew.
         """
-        now, cold = self.now(), set(self.nodes.values())
-        for thing in [
-            each for each in self.demand if each[0] == "cold" and each[1] not in cold
-        ]:
-            if self.edge.idle(thing, now):
-                call = self.calls.pop(f"{thing[0]} {thing[1]}", None)
-                if call is not None and call.active():
-                    call.cancel()
-                for held in (self.demand, self.wholes, self.told, self.edge.holdings):
-                    del held[thing]
-                self.host.on_quota_share(thing[0], thing[1], None, 0, 0.0)
-
-    # What is asked of this gateway.
-
-    def arrived(self, arrival: Request) -> None:
-        """A transfer comes; before the module hears of it."""
-        now, plan = self.now(), self.facts["plans"][arrival.service_plan]
-        self.volume(arrival.volume, arrival.sharing_gateways, plan, arrival.units)
-        node = self.nodes.get(arrival.shard) if arrival.shard is not None else None
-        if node is not None and ("cold", node) in self.demand:
-            self.demand["cold", node].add(arrival.units, now)
-
-    def volume(
-        self, number: int, gateways: int, plan: Mapping[str, Any], units: float
+        now = self._now()
+        warming_up = set(self.slow_start_nodes.values())
+        warm = [
+            key
+            for key in self.demands
+            if key.kind == SLOW_START and key.id not in warming_up
+        ]
+        for key in warm:
+            if self.ledger.is_idle(key, now):
+                self._timers.cancel(_timer_name(key))
+                del self.demands[key]
+                del self.whole_rates[key]
+                del self.forecasts[key]
+                del self.ledger.holdings[key]
+                self._scheduler.on_quota_share(key.kind, key.id, None, 0, 0.0)
+
+    def on_request(self, request: Request) -> None:
+        """Count a request, before the scheduler hears of it."""
+        rates = self.config.plans[request.service_plan]
+        units = request.units
+        self.track_volume(request.volume, request.sharing_gateways, rates, units)
+        key = self._slow_start_key(request)
+        if key is not None and key in self.demands:
+            self.demands[key].add(units, self._now())
+
+    def _slow_start_key(self, request: Request) -> QuotaKey | None:
+        """Return the budget that a request draws on, if its node is warming up."""
+        if request.shard is None:
+            return None
+        node = self.slow_start_nodes.get(request.shard)
+        return None if node is None else QuotaKey(SLOW_START, node)
+
+    def track_volume(
+        self, number: int, gateways: int, rates: PlanRates, units: float
     ) -> None:
-        """What of a volume is parted, and how much of it was asked."""
-        for what, rate in (
-            ("limit", plan["limit_rate"]),
-            ("reserve", plan["reserve_rate"]),
-        ):
-            if rate > 0:
-                found = self.wish((what, number), gateways, rate)
-                if units:
-                    found.add(units, self.now())
-
-    def wish(self, thing: Thing, gateways: int, whole: float) -> Demand:
-        """The demand for a thing; from the first on parts of it are asked for, and the module knows its own."""
-        found = self.demand.get(thing)
-        if found is None:
-            found = self.demand[thing] = Demand(since=self.now())
-            self.wholes[thing] = whole
-            self.edge.know(thing, gateways)
-            self.tell(thing)
-        return found
-
-    def listed(self, entries: Sequence[Endpoint]) -> None:
-        """News of the list: cold nodes are parted while they are cold, and said to the module before it sends."""
-        now, window = self.now(), max(self.facts["cold_window"], 1)
-        for each in entries:
-            cold = (
-                each.started_at is not None
-                and now - each.started_at < self.facts["warm_after"]
-                and each.readiness is Readiness.READY
-            )
-            if cold:
-                self.nodes[each.shard] = each.node
-                self.wish(
-                    ("cold", each.node),
-                    self.facts["gateways"],
-                    self.facts["cold_units"] * SECOND / window,
-                )
-                self.tell(("cold", each.node))
-            elif self.nodes.get(each.shard) == each.node:
-                del self.nodes[each.shard]
-
-    # What the module is told.
-
-    def tell(self, thing: Thing) -> None:
-        """Its part, if it has changed; and again when that ends by itself."""
-        now = self.now()
-        part, ends, after = found = self.edge.outlook(thing, now)
-        if ends - now < 60 * SECOND:
-            self.later(
-                f"{thing[0]} {thing[1]}", (ends - now) / SECOND, self.tell, thing
-            )
-        if self.told.get(thing) == found and thing[0] != "cold":
-            return
-        self.told[thing] = found
-        even = part == self.edge.holdings[thing].capital and ends >= 1 << 60
-        self.host.on_quota_share(
-            thing[0], thing[1], None if even else part / WHOLE, ends, after / WHOLE
-        )
+        """Track what of a volume is shared, and how much of it was asked for."""
+        if rates.limit > 0:
+            self._use(QuotaKey(LIMIT, number), gateways, rates.limit, units)
+        if rates.reserve > 0:
+            self._use(QuotaKey(RESERVE, number), gateways, rates.reserve, units)
+
+    def _use(
+        self, key: QuotaKey, gateways: int, whole_rate: float, units: float
+    ) -> None:
+        demand = self._track(key, gateways, whole_rate)
+        if units:
+            demand.add(units, self._now())
 
-    # The link.
-
-    def step(self, said: Said, line: Any = None) -> None:
-        """Read the table and act."""
-        self.link, effect = link_step(self.link, said)
-        if effect == "hello" and line is not None:
-            terms = self.span
-            line.transport.write(
-                encoded(
-                    hello=Hello(
-                        version=VERSION,
-                        name=self.file.name,
-                        incarnation=self.edge.incarnation,
-                        epoch=self.edge.epoch,
-                        longest=terms.longest,
-                        drift=terms.drift,
-                        floor=int(terms.floor * 1e6),
-                    )
-                )
-            )
-        elif effect == "refuse" and line is not None:
-            self.remark(
-                "planner",
-                **PlannerEpochStale(
-                    "an older planner than one that was heard",
-                    self.file.planner.address,
-                ).log_fields(),
-            )
-            line.transport.write(
-                encoded(
-                    refused=Refused(
-                        reason="a newer planner was heard", epoch=self.edge.epoch
-                    )
-                )
-            )
-            line.transport.loseConnection()
-        elif effect == "cut" and line is not None:
-            line.transport.abortConnection()
-        if effect in ("refuse", "cut", "again"):
-            self.failures += 1
-            self.later(
-                "dial",
-                dial_after(self.failures, self.chance.random()) / SECOND,
-                self.dial,
-            )
-        elif effect == "ask":
-            self.failures = 0
-            self.ask()
+    def _track(self, key: QuotaKey, gateways: int, whole_rate: float) -> DemandEstimate:
+        """Return the demand for a quota.
 
-    def dial(self) -> None:
-        """Connect; what comes of it is told later."""
-        if self.stopped or self.line is not None:
-            return
-        host, _, port = self.file.planner.address.rpartition(":")
-        HostnameEndpoint(self.reactor, host, int(port), timeout=2).connect(
-            Factory.forProtocol(lambda: Line(self))
-        ).addErrback(self.not_up)
-
-    def not_up(self, failure: Any) -> None:
-        if self.failures == 0:
-            self.remark(
-                "planner",
-                **PlannerUnreachable(
-                    failure.getErrorMessage(), self.file.planner.address
-                ).log_fields(),
-            )
-        self.failures += 1
-        self.later(
-            "dial", dial_after(self.failures, self.chance.random()) / SECOND, self.dial
+        From the first time on shares of it are asked for, and the scheduler knows its
+        own.
+        """
+        demand = self.demands.get(key)
+        if demand is None:
+            demand = DemandEstimate(sampled_at=self._now())
+            self.demands[key] = demand
+            self.whole_rates[key] = whole_rate
+            self.ledger.track(key, gateways)
+            self._tell_scheduler(key)
+        return demand
+
+    def on_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
+        """Take an update of the endpoint list.
+
+        Slow-start budgets are shared while a node is warming up; the scheduler is told
+        its share before it sends, and again each time, since it may have forgotten a
+        node that was gone.
+        """
+        for endpoint in endpoints:
+            if self._is_warming_up(endpoint):
+                self.slow_start_nodes[endpoint.shard] = endpoint.node
+                key = QuotaKey(SLOW_START, endpoint.node)
+                self._track(key, self.config.gateways, self.config.slow_start_rate)
+                self._tell_scheduler(key)
+            elif self.slow_start_nodes.get(endpoint.shard) == endpoint.node:
+                del self.slow_start_nodes[endpoint.shard]
+
+    def _is_warming_up(self, endpoint: Endpoint) -> bool:
+        return (
+            endpoint.started_at is not None
+            and self._now() - endpoint.started_at < self.config.warm_up_time
+            and endpoint.readiness is Readiness.READY
         )
 
-    def up(self, line: Line) -> None:
-        if self.stopped:
-            return line.transport.abortConnection()
-        self.line, self.last = line, self.now()
-        self.step(Said.UP, line)
-
-    def lost(self, line: Line) -> None:
-        if line is self.line:
-            self.line = None
-            self.step(Said.LOST, line)
-
-    def heard(self, line: Line, frame: Any) -> None:
-        """One frame of the planner."""
-        what, self.last = frame.WhichOneof("what"), self.now()
-        if line is not self.line:
-            return
-        if what == "welcome":
-            self.step(
-                Said.WELCOME if self.edge.meet(frame.welcome.epoch) else Said.OLD, line
-            )
-        elif what == "grants" and self.link is Link.PLANNED:
-            for each in frame.grants.given:
-                self.take(get_grant(each))
-        elif what == "refused":
-            self.remark(
-                "planner",
-                **PlannerRejectedGateway(
-                    frame.refused.reason[:200], self.file.planner.address
-                ).log_fields(),
+    def _tell_scheduler(self, key: QuotaKey) -> None:
+        """Tell the scheduler its share if it changed, and again when it ends."""
+        now = self._now()
+        forecast = self.ledger.forecast(key, now)
+        remaining = forecast.until - now
+        if remaining < MAX_FORECAST_TIMER:
+            self._timers.set(
+                _timer_name(key), remaining / SECOND, self._tell_scheduler, key
             )
-            self.step(Said.REFUSED, line)
-
-    def take(self, grant: Any) -> None:
-        now = self.now()
-        found = self.edge.take(grant, now)
-        self.takes.labels(found.name.lower()).inc()
-        if found in (Heard.TAKEN, Heard.TOO_LATE) and grant.thing in self.demand:
-            self.demand[grant.thing].told(grant, now)
-            self.tell(grant.thing)
-
-    def waiting(self) -> dict[Thing, float]:
-        """Units that were taken and not sent yet, by thing: what a limit holds back does not arrive faster, but is wanted."""
-        found: dict[Thing, float] = {}
-        for live in self.host.active.values():
-            if not live.answered and not live.attempts:
-                arrival = live.request
-                node = (
-                    self.nodes.get(arrival.shard) if arrival.shard is not None else None
-                )
-                for thing in (
-                    ("limit", arrival.volume),
-                    ("reserve", arrival.volume),
-                    ("cold", node),
-                ):
-                    if thing in self.demand:
-                        found[thing] = found.get(thing, 0.0) + arrival.units
-        return found
-
-    def ask(self) -> None:
-        """All that is wanted, in frames of so many; a planner that does not answer is cut."""
-        self.later(
-            "ask", self.file.planner.ask_s * self.chance.uniform(0.9, 1.1), self.ask
+        if self.forecasts.get(key) == forecast and key.kind != SLOW_START:
+            return
+        self.forecasts[key] = forecast
+        is_even = forecast.share == self.ledger.holdings[key].even_share
+        share = forecast.share / WHOLE
+        self._scheduler.on_quota_share(
+            key.kind,
+            key.id,
+            None if is_even and forecast.until >= NEVER else share,
+            forecast.until,
+            forecast.least_after / WHOLE,
         )
-        now = self.now()
-        if self.line is not None and now - self.last > SILENT:
-            self.step(Said.SILENT, self.line)
-        if self.link is not Link.PLANNED or self.line is None:
+
+    def on_planned(self) -> None:
+        """Ask at once when the planner has taken this gateway."""
+        self.send_requests()
+
+    def on_grant(self, grant: QuotaGrant) -> None:
+        """Take a grant, and tell the scheduler what comes of it."""
+        now = self._now()
+        outcome = self.ledger.on_grant(grant, now)
+        self._metrics.on_grant(outcome)
+        has_effect = outcome in (GrantOutcome.ACCEPTED, GrantOutcome.EXPIRED)
+        if has_effect and grant.key in self.demands:
+            self.demands[grant.key].on_grant(grant, now)
+            self._tell_scheduler(grant.key)
+
+    def waiting_units(self) -> dict[QuotaKey, float]:
+        """Return the units that were taken and not sent yet, by quota.
+
+        What a limit holds back does not arrive faster, but it is wanted.
+        """
+        waiting: dict[QuotaKey, float] = {}
+        for active in self._scheduler.active.values():
+            if active.answered or active.attempts:
+                continue
+            request = active.request
+            for key in (
+                QuotaKey(LIMIT, request.volume),
+                QuotaKey(RESERVE, request.volume),
+                self._slow_start_key(request),
+            ):
+                if key is not None and key in self.demands:
+                    waiting[key] = waiting.get(key, 0.0) + request.units
+        return waiting
+
+    def send_requests(self) -> None:
+        """Ask for all that is wanted, and again after an interval."""
+        interval = self.config.request_interval * self._random.uniform(*REQUEST_JITTER)
+        self._timers.set(REQUEST_TIMER, interval, self.send_requests)
+        self.session.check_silence()
+        if not self.session.can_send_requests():
             return
-        wishes, waiting = [], self.waiting()
-        for thing, demand in self.demand.items():
-            rate = wanted(demand.look(now), waiting.get(thing, 0.0))
-            if demand.asks(now, rate, self.span):
-                wishes.append(
-                    put_ask(
-                        self.edge.ask(thing, want_of(rate, self.wholes[thing]), now),
-                        rate,
-                    )
-                )
-        for at in range(0, max(len(wishes), 1), PER_FRAME):
-            self.line.transport.write(
-                encoded(asks=Asks(wish=wishes[at : at + PER_FRAME]))
-            )
+        wishes = self._due_requests()
+        for start in range(0, max(len(wishes), 1), MAX_REQUESTS_PER_FRAME):
+            frame = wishes[start : start + MAX_REQUESTS_PER_FRAME]
+            self.session.send(asks=Asks(wish=frame))
+
+    def _due_requests(self) -> list[Wish]:
+        now = self._now()
+        waiting = self.waiting_units()
+        requests = []
+        for key, demand in self.demands.items():
+            rate = wanted_rate(demand.update_rate(now), waiting.get(key, 0.0))
+            if demand.should_request(now, rate, self.config.timings):
+                share = share_for_rate(rate, self.whole_rates[key])
+                request = self.ledger.make_request(key, share, now)
+                requests.append(encode_request(request, rate))
+        return requests
+
+
+def _timer_name(key: QuotaKey) -> str:
+    return f"{key.kind} {key.id}"
--- a/milletsill/planner/quota_terms.py
+++ b/milletsill/planner/quota_terms.py
@@ -1,84 +1,140 @@
-"""What planner and edges say to each other, and the terms that both reckon by."""
+"""What planner and gateways say to each other, and the timings that both reckon by."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final, Literal, NamedTuple
 
-WHOLE, NEVER = 1_000_000, 1 << 60
-MOST_PROMISES, MOST_ENDS = 3, 64  # of one holding; ends that are tried for a grant
-GUARD = 200  # a grant is over this much before its end: a send that was decided just before it may still be on its way out
 SECOND = 10_000
-Thing = tuple[
-    str, int
-]  # what is parted: ("limit", volume), ("reserve", volume), ("cold", node)
-SOON, SELDOM = (
-    3,
-    8,
-)  # asks of what is idle: so many in a longest span where it is wanted, every so many spans where not
+NEVER = 1 << 60
+WHOLE = 1_000_000  # a whole quota; shares are millionths of it
+MAX_LOANS = 3  # of one holding
+# A grant is over this much before its end: a send that was decided just before may
+# still be on its way out.
+GRANT_GUARD = 200
+# How often an idle quota is asked for: so many times in the longest duration while
+# others want it, and once in so many longest durations while nobody does.
+REQUESTS_PER_DURATION = 3
+IDLE_DURATIONS = 8
+
+QuotaKind = Literal["limit", "reserve", "cold"]
+LIMIT: Final = "limit"  # of a volume
+RESERVE: Final = "reserve"  # of a volume
+SLOW_START: Final = "cold"  # budget of a node that has just started
+QUOTA_KINDS: tuple[QuotaKind, ...] = (LIMIT, RESERVE, SLOW_START)
+
+
+class QuotaKey(NamedTuple):
+    """Names a quota; a tuple, since it is looked up for each request.
+
+    Attributes:
+        kind: What is shared.
+        id: Number of the volume or node.
+    """
+
+    kind: QuotaKind
+    id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
-    """How long things last, the same for planner and edges: the longest promise or grant, how much of a clock's rate may be
-    wrong (parts in a thousand), the share of the even part that is never lent.
+class QuotaTimings:
+    """How long things last, the same for planner and gateways.
+
+    Attributes:
+        max_duration: Of a loan or grant, in tenths of a millisecond.
+        drift_permille: How much of a clock's rate may be wrong.
+        floor_share: Share of the even share that is never lent.
     """
 
-    longest: int = 4 * SECOND
-    drift: int = 5
-    floor: float = 0.2
+    max_duration: int = 4 * SECOND
+    drift_permille: int = 5
+    floor_share: float = 0.2
 
-    def least(self, span: int) -> int:
-        """What of a span on another's clock has surely passed on ours."""
-        return span * (1000 - self.drift) // 1000
+    def min_local_duration(self, duration: int) -> int:
+        """Return what surely has passed here when that passed on another's clock."""
+        return duration * (1000 - self.drift_permille) // 1000
 
-    def most(self, span: int) -> int:
-        """What a span on another's clock may take on ours."""
-        return -(-span * 1000 // (1000 - self.drift))
+    def max_local_duration(self, duration: int) -> int:
+        """Return what may pass here until that has passed on another's clock."""
+        return -(-duration * 1000 // (1000 - self.drift_permille))
 
 
-def even(gateways: int) -> int:
-    """A gateway's capital: rounded down, so that the parts never pass the whole."""
+def even_share(gateways: int) -> int:
+    """Return one gateway's own share; rounded down, so that all fit into the whole."""
     return WHOLE // max(gateways, 1)
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
-    """One promise of an edge: a part, until when on its clock, and the planner's time that stood in what made it."""
+class QuotaLoan:
+    """One loan of a gateway to the planner.
+
+    Attributes:
+        share: What is lent.
+        ends_at: Until when, on the gateway's clock.
+        planner_time: The planner's time in the grant that asked for the loan.
+    """
+
+    share: int
+    ends_at: int
+    planner_time: int
+
+
+class ReportedLoan(NamedTuple):
+    """A loan as the planner hears of it: made after it had said `planner_time`."""
 
-    part: int
-    ends: int
-    heard: int
+    share: int
+    planner_time: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """From an edge: what it wants of a thing, and what it has promised, as (part, heard). `sent` is its clock, sent back with
-    the answer; `heard` is the planner's own time that stood in the grant that made a promise: it is not older than that.
+class QuotaRequest:
+    """A gateway's request for a share of one quota.
+
+    Attributes:
+        gateway: Its name.
+        incarnation: Its start.
+        epoch: The planner's run that it has accepted.
+        key: The quota.
+        wanted: The share that it wants.
+        even_share: The share that it owns.
+        loans: What it has lent to this epoch.
+        sent_at: Its clock, which comes back with the answer.
     """
 
-    edge: str
+    gateway: str
     incarnation: int
     epoch: int
-    thing: Thing
-    want: int
-    capital: int
-    lent: tuple[tuple[int, int], ...]
-    sent: int
+    key: QuotaKey
+    wanted: int
+    even_share: int
+    loans: tuple[ReportedLoan, ...]
+    sent_at: int
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
-    """From the planner, in answer to one ask: what it grants on top for `lasts` from when it was asked for, what it would have
-    lent, and its own time.
+class QuotaGrant:
+    """The planner's answer to one request.
+
+    Attributes:
+        epoch: The planner's run.
+        incarnation: The gateway's start.
+        key: The quota.
+        sequence: Grows with each grant of the quota to the gateway.
+        granted: Share on top of what the gateway holds itself.
+        duration: How long it is granted, from when it was asked for.
+        to_lend: Share that the gateway is asked to lend.
+        requested_at: `sent_at` of the request.
+        planner_time: The planner's clock.
+        ask_again_within: When the gateway is to ask again, even if it wants nothing.
     """
 
     epoch: int
     incarnation: int
-    thing: Thing
+    key: QuotaKey
     sequence: int
     granted: int
-    lasts: int
-    lend: int
-    asked: int
-    told: int
-    again: int  # ask again within this, even if nothing is wanted
+    duration: int
+    to_lend: int
+    requested_at: int
+    planner_time: int
+    ask_again_within: int
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -243,7 +243,7 @@
             self.ends,
         )
         if edge.parts is not None:
-            edge.parts.arrived(arrival)
+            edge.parts.on_request(arrival)
         if edge.traces is not None:
             edge.traces.path(name)
         edge.host.take(
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -163,19 +163,9 @@
 
     def planned(self, given: Any, seed: int) -> Any:
         """Parts from a planner; none of their code is loaded where the file does not ask for them."""
-        from milletsill.planner.quota_client import Parts
+        from milletsill.planner.quota_client import QuotaClient
 
-        return Parts(
-            self.reactor,
-            self.now,
-            self.file,
-            given,
-            seed + 2,
-            self.incarnation,
-            self.host,
-            self.remark,
-            self.figures.registry,
-        )
+        return QuotaClient.for_gateway(self, given, seed + 2)
 
     def among_others(self, seed: int) -> Any:
         """The fleet's view; none of its code is loaded where the file does not ask for it."""
@@ -410,7 +400,7 @@
         if self.traces is not None:
             self.traces.look()
         if self.parts is not None:
-            self.parts.look()
+            self.parts.on_tick()
         idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
             client.tick(idle)
@@ -424,7 +414,7 @@
         if self.health is not None:
             self.health.on_endpoints(news, entries)
         if self.parts is not None:
-            self.parts.listed(entries)
+            self.parts.on_endpoints(entries)
 
     def moved(self, boxes: list[Box]) -> None:
         """Links follow the list: a new address gets a pool of its own, a box that left loses its."""
--- /dev/null
+++ b/tests/planner/test_quota_client.py
@@ -0,0 +1,137 @@
+"""The gateway's side of the planner: what it asks for, and tells its scheduler."""
+
+import unittest
+from unittest.mock import Mock
+
+from google.protobuf import text_format
+from prometheus_client import CollectorRegistry
+from twisted.internet.task import Clock
+
+from milletsill.interface import Endpoint, Readiness
+from milletsill.planner.quota_client import QuotaClient, QuotaClientEnvironment
+from milletsill.planner.quota_client_config import QuotaClientConfig
+from milletsill.planner.quota_terms import GRANT_GUARD, SECOND
+from milletsill.settings.milletsill_pb2 import GatewayFile
+from milletsill.sftp_gateway.deployment import facts_of
+
+GATEWAY = """
+name: "e" listen: "127.0.0.1:0" gateways: 4 seed: 5 registry { address: "127.0.0.1:1" }
+planner { address: "127.0.0.1:1" lending { longest_s: 2 } ask_s: 0.2 }
+rules { cold_units: 40 cold_window_ms: 2000 warm_after_s: 12 }
+plan { name: "p" usual_rate: 10 reserve_rate: 5 limit_rate: 20 limit_store: 40 }
+category { name: "c" target_ms: 300 patience_ms: 1000 }
+volume { name: "v" root: "/v" plan: "p" cell: [0] } route { category: "c" }
+"""
+
+
+class RecordingScheduler:
+    """A scheduler's host that keeps what it is told of shares."""
+
+    def __init__(self):
+        self.shares = []
+        self.active = {}
+        self.max_decision_age = 0
+
+    def on_quota_share(self, *values):
+        self.shares.append(values)
+
+
+class Client(unittest.TestCase):
+    def setUp(self):
+        self.now = 1000 * SECOND
+        self.scheduler = RecordingScheduler()
+        self.clock = Clock()
+
+    def client(self, incarnation=1):
+        file = text_format.Parse(GATEWAY, GatewayFile())
+        environment = QuotaClientEnvironment(
+            self.clock,
+            lambda: self.now,
+            self.scheduler,
+            lambda *_, **__: None,
+            CollectorRegistry(),
+        )
+        config = QuotaClientConfig.from_settings(file, facts_of(file))
+        return QuotaClient(config, environment, incarnation, 1)
+
+    def test_a_slow_start_budget_is_shared_once_the_node_is_listed(self):
+        client = self.client(incarnation=2)
+        client.on_endpoints(
+            [
+                Endpoint(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3),
+                Endpoint(8, Readiness.READY, 4.0, 0, 0, None, 4),
+            ]
+        )
+        self.assertEqual({each[:2] for each in self.scheduler.shares}, {("cold", 7)})
+        self.assertAlmostEqual(
+            self.scheduler.shares[0][2], 0.2 / 4, delta=1e-5
+        )  # the floor, after a start
+        self.assertEqual(client.slow_start_nodes, {3: 7})
+
+    def test_a_node_that_is_listed_again_is_told_again(self):
+        """The scheduler may have forgotten a node that was gone."""
+        client = self.client(incarnation=2)
+        for _ in range(2):
+            client.on_endpoints(
+                [Endpoint(7, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)]
+            )
+        self.assertGreaterEqual(
+            sum(each[:2] == ("cold", 7) for each in self.scheduler.shares), 2
+        )
+
+    def test_volumes_are_known_from_the_start_and_the_floor_ends_by_itself(self):
+        client = self.client(incarnation=2)
+        client.start()
+        self.addCleanup(client.stop)
+        self.assertEqual(
+            {each[:2] for each in self.scheduler.shares}, {("limit", 1), ("reserve", 1)}
+        )
+        self.scheduler.shares.clear()
+        self.now += 2 * SECOND
+        self.clock.advance(2)
+        self.assertIn(("limit", 1, None), {each[:3] for each in self.scheduler.shares})
+
+    def test_nodes_that_have_warmed_up_are_forgotten(self):
+        client = self.client()
+        for node in range(50):
+            client.on_endpoints(
+                [Endpoint(node, Readiness.READY, 4.0, 0, 0, self.now - SECOND, 3)]
+            )
+        client.on_tick()
+        self.assertEqual(
+            [each for each in client.demands if each.kind == "cold"], [("cold", 49)]
+        )
+        self.assertEqual(
+            (
+                len(client.ledger.holdings),
+                len(client.forecasts),
+                len(client.whole_rates),
+            ),
+            (1, 1, 1),
+        )
+        self.assertIn(("cold", 3, None, 0, 0.0), self.scheduler.shares)
+
+    def test_waiting_requests_are_wanted(self):
+        client = self.client()
+        client.track_volume(1, 4, client.config.plans[0], 0.0)
+        self.scheduler.active = {
+            1: Mock(
+                answered=False,
+                attempts=[],
+                request=Mock(volume=1, shard=None, units=3.0),
+            ),
+            2: Mock(
+                answered=False,
+                attempts=[1],
+                request=Mock(volume=1, shard=None, units=9.0),
+            ),
+        }
+        self.assertEqual(client.waiting_units()["limit", 1], 3.0)
+
+    def test_an_attempt_that_was_decided_long_ago_is_not_sent(self):
+        self.client()
+        self.assertEqual(self.scheduler.max_decision_age, GRANT_GUARD)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -41,15 +41,15 @@
     def test_the_state_files_are_read(self):
         held = recorded("wire-1.json")
         with tempfile.TemporaryDirectory() as folder:
-            for name in (*epoch_store.NAMES, "run"):
+            for name in (*epoch_store.SLOT_NAMES, "run"):
                 with open(os.path.join(folder, name), "wb") as sink:
                     sink.write(held[f"file {name}"])
             epochs = [
-                epoch_store.read(os.path.join(folder, name))
-                for name in epoch_store.NAMES
+                epoch_store.read_slot(os.path.join(folder, name))
+                for name in epoch_store.SLOT_NAMES
             ]
             self.assertEqual(
-                sorted(each >> epoch_store.CHANCE_BITS for each in epochs), [2, 3]
+                sorted(each >> epoch_store.RANDOM_BITS for each in epochs), [2, 3]
             )
             self.assertEqual(next_incarnation(os.path.join(folder, "run")), (43, None))
 
