--- a/milletsill/fleet/health/node_observer.py
+++ b/milletsill/fleet/health/node_observer.py
@@ -9,9 +9,9 @@
 
 from collections import deque
 from collections.abc import Collection, Iterable, Sequence
-from dataclasses import dataclass
 from math import exp, log2
 from statistics import median
+from typing import NamedTuple
 
 from milletsill.fleet.health.report_store import NodeObservation
 from milletsill.fleet.health.tuning import (
@@ -147,9 +147,8 @@
     return observations
 
 
-@dataclass(frozen=True, slots=True)
-class PaceClass:
-    """Answers whose paces are compared with one another."""
+class PaceClass(NamedTuple):
+    """Answers whose paces are compared; a tuple, since each answer looks it up."""
 
     node_kind: int
     node_size: float
--- a/milletsill/lab/model_checks/quota_mutation_checks.py
+++ b/milletsill/lab/model_checks/quota_mutation_checks.py
@@ -86,15 +86,15 @@
 
 _on_grant = QuotaLedger.on_grant
 MUTANTS: dict[str, tuple[type, str, Callable[..., Any]]] = {
-    "promises that end too soon": (QuotaPlanner, "available", _count_all_loans),
-    "what others hold": (QuotaPlanner, "available", _ignore_other_grants),
+    "loans that end too soon": (QuotaPlanner, "available", _count_all_loans),
+    "grants to others": (QuotaPlanner, "available", _ignore_other_grants),
     "older grants": (QuotaShare, "granted", _count_newest_grant),
     "grants from receipt": (QuotaLedger, "on_grant", _grant_from_receipt),
     "grants past their end": (QuotaLedger, "on_grant", _accept_expired),
-    "promises from hearing": (QuotaPlanner, "count_loans", _count_loans_from_now),
-    "promises taken back": (QuotaHolding, "add_loan", _replace_loans),
-    "promises lent twice": (QuotaLedger, "lend", _lend_twice),
-    "rest after a start": (QuotaLedger, "share", _use_all_after_restart),
+    "loans counted from hearing": (QuotaPlanner, "count_loans", _count_loans_from_now),
+    "loans made smaller": (QuotaHolding, "add_loan", _replace_loans),
+    "loans to two epochs": (QuotaLedger, "lend", _lend_twice),
+    "floor after a start": (QuotaLedger, "share", _use_all_after_restart),
 }
 
 
