--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -12,6 +12,7 @@
 import time
 from random import Random
 
+from milletsill.interface import QuotaKind
 from milletsill.planner import codec
 from milletsill.planner.plan_pb2 import Asks, Frame, Grants
 from milletsill.planner.quota_ledger import QuotaLedger
@@ -37,8 +38,8 @@
         QuotaLedger(f"edge-{each}", 1, timings, now, True)
         for each in range(given.edges)
     ]
-    keys = [QuotaKey("limit", each) for each in range(given.volumes)] + [
-        QuotaKey("cold", each) for each in range(given.boxes)
+    keys = [QuotaKey(QuotaKind.LIMIT, each) for each in range(given.volumes)] + [
+        QuotaKey(QuotaKind.SLOW_START, each) for each in range(given.boxes)
     ]
     leads = {key: chance.randrange(given.edges) for key in keys}
     costs, coding, asked = [], [], 0
--- a/milletsill/fleet/health/shared_health.py
+++ b/milletsill/fleet/health/shared_health.py
@@ -168,11 +168,11 @@
             gateway: A gateway that is being made; it has its transport already.
             seed: For random choices.
         """
-        request_classes = gateway.host.facts["categories"]
+        request_classes = gateway.host.config.request_classes
         config = HealthConfig.from_settings(
             gateway.file.fleet,
             gateway.file.registry.most_boxes,
-            [each["target_time"] for each in request_classes],
+            [each.latency_objective for each in request_classes],
         )
         environment = HealthEnvironment(
             gateway.reactor,
--- a/milletsill/lab/model_checks/quota_cluster.py
+++ b/milletsill/lab/model_checks/quota_cluster.py
@@ -9,10 +9,10 @@
 from functools import partial
 from typing import NamedTuple
 
+from milletsill.interface import QuotaKind
 from milletsill.planner.quota_ledger import QuotaLedger
 from milletsill.planner.quota_planner import QuotaPlanner
 from milletsill.planner.quota_terms import (
-    LIMIT,
     SECOND,
     WHOLE,
     QuotaGrant,
@@ -21,7 +21,7 @@
     QuotaTimings,
 )
 
-KEY = QuotaKey(LIMIT, 1)
+KEY = QuotaKey(QuotaKind.LIMIT, 1)
 TIMINGS = QuotaTimings(4 * SECOND, 0, 0.2)
 MAX_IN_FLIGHT = 6  # messages for each gateway
 CLOCK_OFFSET = 7  # between the clocks of two gateways
--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -12,15 +12,11 @@
 from google.protobuf.message import DecodeError
 
 from milletsill.errors import MalformedInput
+from milletsill.interface import QuotaKind
 from milletsill.planner.plan_pb2 import Frame, Given, Piece, Wish
 from milletsill.planner.quota_terms import (
-    LIMIT,
-    QUOTA_KINDS,
-    RESERVE,
-    SLOW_START,
     QuotaGrant,
     QuotaKey,
-    QuotaKind,
     QuotaRequest,
     ReportedLoan,
 )
@@ -29,11 +25,7 @@
 LENGTH = Struct(">I")
 MAX_FRAME_BYTES = 1 << 20
 MAX_RATE_FIELD = (1 << 32) - 1
-KIND_BY_NAME: dict[str, QuotaKind] = {
-    "limit": LIMIT,
-    "reserve": RESERVE,
-    "cold": SLOW_START,
-}
+KIND_BY_NAME = {kind.value: kind for kind in QuotaKind}
 
 
 class MalformedPlannerFrame(MalformedInput):
@@ -98,7 +90,7 @@
     """Return the message for a request; `rate`, in units a second, is for people."""
     return Wish(
         epoch=request.epoch,
-        what=request.key.kind,
+        what=request.key.kind.value,
         id=request.key.id,
         want=request.wanted,
         capital=request.even_share,
@@ -119,7 +111,7 @@
     kind = KIND_BY_NAME.get(message.what)
     if kind is None:
         raise MalformedPlannerFrame(
-            f"an ask for {message.what[:20]!r}, not one of {', '.join(QUOTA_KINDS)}"
+            f"an ask for {message.what[:20]!r}, not one of {', '.join(KIND_BY_NAME)}"
         )
     return QuotaRequest(
         gateway,
@@ -138,7 +130,7 @@
     return Given(
         epoch=grant.epoch,
         incarnation=grant.incarnation,
-        what=grant.key.kind,
+        what=grant.key.kind.value,
         id=grant.key.id,
         sequence=grant.sequence,
         granted=grant.granted,
@@ -159,7 +151,7 @@
     kind = KIND_BY_NAME.get(message.what)
     if kind is None:
         raise MalformedPlannerFrame(
-            f"a grant of {message.what[:20]!r}, not one of {', '.join(QUOTA_KINDS)}"
+            f"a grant of {message.what[:20]!r}, not one of {', '.join(KIND_BY_NAME)}"
         )
     return QuotaGrant(
         message.epoch,
--- a/milletsill/planner/operator_commands.py
+++ b/milletsill/planner/operator_commands.py
@@ -119,7 +119,7 @@
     granted = share.granted(now)
     granted_until = max((grant.until for grant in share.grants), default=now)
     return {
-        "what": key.kind,
+        "what": key.kind.value,
         "id": key.id,
         "edge": gateway,
         "even": share.even_share,
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -14,7 +14,8 @@
 
 from prometheus_client import CollectorRegistry
 
-from milletsill.interface import Endpoint, Facts, Readiness, Request
+from milletsill.deployment_config import DeploymentConfig, ServicePlanConfig
+from milletsill.interface import Endpoint, QuotaKind, Readiness, Request
 from milletsill.named_timers import NamedTimers
 from milletsill.planner.codec import encode_request
 from milletsill.planner.demand_estimate import (
@@ -24,7 +25,7 @@
 )
 from milletsill.planner.plan_pb2 import Asks, Wish
 from milletsill.planner.planner_session import PlannerSession, SessionEnvironment
-from milletsill.planner.quota_client_config import PlanRates, QuotaClientConfig
+from milletsill.planner.quota_client_config import QuotaClientConfig
 from milletsill.planner.quota_client_metrics import QuotaClientMetrics
 from milletsill.planner.quota_ledger import (
     GrantOutcome,
@@ -33,11 +34,8 @@
 )
 from milletsill.planner.quota_terms import (
     GRANT_GUARD,
-    LIMIT,
     NEVER,
-    RESERVE,
     SECOND,
-    SLOW_START,
     WHOLE,
     QuotaGrant,
     QuotaKey,
@@ -80,7 +78,7 @@
         """Its requests by id."""
 
     def on_quota_share(
-        self, kind: str, id: int, share: float | None, until: int, after: float, /
+        self, kind: QuotaKind, id: int, share: float | None, until: int, after: float, /
     ) -> None:
         """Take the share of a quota, until when it holds, and the least after that.
 
@@ -163,12 +161,14 @@
         environment.scheduler.max_decision_age = GRANT_GUARD
 
     @classmethod
-    def for_gateway(cls, gateway: Any, facts: Facts, seed: int) -> QuotaClient:
+    def for_gateway(
+        cls, gateway: Any, deployment: DeploymentConfig, seed: int
+    ) -> QuotaClient:
         """Return the quota client of a gateway whose file asks for it.
 
         Args:
             gateway: A gateway that is being made; it has its scheduler's host already.
-            facts: The settings that its scheduler has.
+            deployment: The settings that its scheduler has.
             seed: For random choices.
         """
         environment = QuotaClientEnvironment(
@@ -178,7 +178,7 @@
             gateway.remark,
             gateway.figures.registry,
         )
-        config = QuotaClientConfig.from_settings(gateway.file, facts)
+        config = QuotaClientConfig.from_settings(gateway.file, deployment)
         return cls(config, environment, gateway.incarnation, seed)
 
     def start(self) -> None:
@@ -188,7 +188,7 @@
         lent before they are used.
         """
         for volume in self.config.volumes:
-            self.track_volume(volume.number, self.config.gateways, volume.rates, 0.0)
+            self.track_volume(volume.number, self.config.gateways, volume.plan, 0.0)
         self.session.connect()
         interval = self.config.request_interval
         self._timers.set(REQUEST_TIMER, interval, self.send_requests)
@@ -215,7 +215,7 @@
         warm = [
             key
             for key in self.demands
-            if key.kind == SLOW_START and key.id not in warming_up
+            if key.kind is QuotaKind.SLOW_START and key.id not in warming_up
         ]
         for key in warm:
             if self.ledger.is_idle(key, now):
@@ -228,9 +228,9 @@
 
     def on_request(self, request: Request) -> None:
         """Count a request, before the scheduler hears of it."""
-        rates = self.config.plans[request.service_plan]
+        plan = self.config.plans[request.service_plan]
         units = request.units
-        self.track_volume(request.volume, request.sharing_gateways, rates, units)
+        self.track_volume(request.volume, request.sharing_gateways, plan, units)
         key = self._slow_start_key(request)
         if key is not None and key in self.demands:
             self.demands[key].add(units, self._now())
@@ -240,16 +240,18 @@
         if request.shard is None:
             return None
         node = self.slow_start_nodes.get(request.shard)
-        return None if node is None else QuotaKey(SLOW_START, node)
+        return None if node is None else QuotaKey(QuotaKind.SLOW_START, node)
 
     def track_volume(
-        self, number: int, gateways: int, rates: PlanRates, units: float
+        self, number: int, gateways: int, plan: ServicePlanConfig, units: float
     ) -> None:
         """Track what of a volume is shared, and how much of it was asked for."""
-        if rates.limit > 0:
-            self._use(QuotaKey(LIMIT, number), gateways, rates.limit, units)
-        if rates.reserve > 0:
-            self._use(QuotaKey(RESERVE, number), gateways, rates.reserve, units)
+        if plan.limit_rate > 0:
+            key = QuotaKey(QuotaKind.LIMIT, number)
+            self._use(key, gateways, plan.limit_rate, units)
+        if plan.reserved_rate > 0:
+            key = QuotaKey(QuotaKind.RESERVE, number)
+            self._use(key, gateways, plan.reserved_rate, units)
 
     def _use(
         self, key: QuotaKey, gateways: int, whole_rate: float, units: float
@@ -283,7 +285,7 @@
         for endpoint in endpoints:
             if self._is_warming_up(endpoint):
                 self.slow_start_nodes[endpoint.shard] = endpoint.node
-                key = QuotaKey(SLOW_START, endpoint.node)
+                key = QuotaKey(QuotaKind.SLOW_START, endpoint.node)
                 self._track(key, self.config.gateways, self.config.slow_start_rate)
                 self._tell_scheduler(key)
             elif self.slow_start_nodes.get(endpoint.shard) == endpoint.node:
@@ -305,7 +307,7 @@
             self._timers.set(
                 _timer_name(key), remaining / SECOND, self._tell_scheduler, key
             )
-        if self.forecasts.get(key) == forecast and key.kind != SLOW_START:
+        if self.forecasts.get(key) == forecast and key.kind is not QuotaKind.SLOW_START:
             return
         self.forecasts[key] = forecast
         is_even = forecast.share == self.ledger.holdings[key].even_share
@@ -343,8 +345,8 @@
                 continue
             request = active.request
             for key in (
-                QuotaKey(LIMIT, request.volume),
-                QuotaKey(RESERVE, request.volume),
+                QuotaKey(QuotaKind.LIMIT, request.volume),
+                QuotaKey(QuotaKind.RESERVE, request.volume),
                 self._slow_start_key(request),
             ):
                 if key is not None and key in self.demands:
--- a/milletsill/planner/quota_client_config.py
+++ b/milletsill/planner/quota_client_config.py
@@ -5,26 +5,18 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from milletsill.interface import Facts
+from milletsill.deployment_config import DeploymentConfig, ServicePlanConfig
 from milletsill.planner.quota_settings import timings_from_settings
 from milletsill.planner.quota_terms import SECOND, QuotaTimings
 from milletsill.settings.milletsill_pb2 import GatewayFile
 
 
-@dataclass(frozen=True, slots=True)
-class PlanRates:
-    """What of a service plan is shared, in units a second; 0 for none."""
-
-    limit: float
-    reserve: float
-
-
 @dataclass(frozen=True, slots=True)
 class FleetVolume:
     """A volume whose requests come through all gateways."""
 
     number: int
-    rates: PlanRates
+    plan: ServicePlanConfig
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +30,7 @@
         timings: The same as the planner's.
         gateways: In the fleet.
         volumes: Known from the start.
-        plans: Rates by service plan.
+        plans: The service plans, by the number that a request gives.
         warm_up_time: How long a node that has started has a slow-start budget.
         slow_start_rate: Units a second of that budget.
     """
@@ -49,31 +41,30 @@
     timings: QuotaTimings
     gateways: int
     volumes: Sequence[FleetVolume]
-    plans: Sequence[PlanRates]
+    plans: Sequence[ServicePlanConfig]
     warm_up_time: int
     slow_start_rate: float
 
     @classmethod
-    def from_settings(cls, file: GatewayFile, facts: Facts) -> QuotaClientConfig:
-        """Read a gateway's file, which has a `planner` block, and its facts."""
-        plans = [
-            PlanRates(plan["limit_rate"], plan["reserve_rate"])
-            for plan in facts["plans"]
-        ]
+    def from_settings(
+        cls, file: GatewayFile, deployment: DeploymentConfig
+    ) -> QuotaClientConfig:
+        """Read a gateway's file, which has a `planner` block, and its deployment."""
+        plans = deployment.service_plans
         plan_numbers = {plan.name: number for number, plan in enumerate(file.plan)}
-        window = max(facts["cold_window"], 1)
+        window = max(deployment.slow_start_window, 1)
         return cls(
             name=file.name,
             planner_address=file.planner.address,
             request_interval=file.planner.ask_s,
             timings=timings_from_settings(file.planner.lending),
-            gateways=facts["gateways"],
+            gateways=deployment.gateway_count,
             volumes=[
                 FleetVolume(number, plans[plan_numbers[volume.plan]])
                 for number, volume in enumerate(file.volume, 1)
                 if not volume.gateways or volume.gateways == file.gateways
             ],
             plans=plans,
-            warm_up_time=facts["warm_after"],
-            slow_start_rate=facts["cold_units"] * SECOND / window,
+            warm_up_time=deployment.slow_start_duration,
+            slow_start_rate=deployment.slow_start_units * SECOND / window,
         )
--- a/milletsill/planner/quota_terms.py
+++ b/milletsill/planner/quota_terms.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Final, Literal, NamedTuple
+from typing import NamedTuple
+
+from milletsill.interface import QuotaKind
 
 SECOND = 10_000
 NEVER = 1 << 60
@@ -17,12 +19,6 @@
 REQUESTS_PER_DURATION = 3
 IDLE_DURATIONS = 8
 
-QuotaKind = Literal["limit", "reserve", "cold"]
-LIMIT: Final = "limit"  # of a volume
-RESERVE: Final = "reserve"  # of a volume
-SLOW_START: Final = "cold"  # budget of a node that has just started
-QUOTA_KINDS: tuple[QuotaKind, ...] = (LIMIT, RESERVE, SLOW_START)
-
 
 class QuotaKey(NamedTuple):
     """Names a quota; a tuple, since it is looked up for each request.
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -77,29 +77,32 @@
 
 def channels_of(edge: Any, seed: int) -> Channels:
     """A gateway's channels over its fleet, as its file has them."""
-    from milletsill.fleet.leases.lease_manager import Offices
+    from milletsill.fleet.leases.lease_manager import LeaseManager
+    from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+    from milletsill.fleet.leases.timings import LeaseTimings
 
     keeping = edge.file.fleet.channels
     silent = max(
         (round(each.silent_s * 10_000) for each in keeping.contract), default=0
     )
-    offices = Offices(
-        edge.reactor,
-        edge.now,
-        edge.fleet,
-        list(keeping.register),
-        round(keeping.office_s * 10_000),
-        keeping.drift_permille,
-        round(keeping.call_ms * 10),
-        keeping.most_channels,
-        os.path.join(edge.file.state_dir, "registers.db"),
-        seed,
-        edge.remark,
-        edge.figures.registry,
-        silent=silent,
+    settings = LeaseSettings(
+        acceptors=tuple(keeping.register),
+        timings=LeaseTimings(
+            lease_duration=round(keeping.office_s * 10_000),
+            call_timeout=round(keeping.call_ms * 10),
+            drift_permille=keeping.drift_permille,
+        ),
+        max_leases=keeping.most_channels,
+        idle_after=silent,
+        store_path=os.path.join(edge.file.state_dir, "registers.db"),
+        seed=seed,
     )
+    environment = LeaseEnvironment(
+        edge.reactor, edge.now, edge.fleet, edge.remark, edge.figures.registry
+    )
+    offices = LeaseManager(settings, environment)
     made = Channels(edge, edge.fleet, offices)
-    offices.others = made.heard
+    offices.set_on_foreign_message(made.heard)
     return made
 
 
@@ -177,7 +180,7 @@
             edge.now,
             offices,
             self.book,
-            edge.host.facts["key_rest"],
+            edge.host.config.key_quarantine,
             keeping.most_channels,
             self,
             edge.remark,
@@ -373,7 +376,7 @@
             len(getattr(what.command, "data", b"")) if isinstance(what, Transfer) else 0
         )
         category = edge.atlas.category(operation, volume, size)
-        patience = edge.host.facts["categories"][category]["patience"]
+        patience = edge.host.config.request_classes[category].client_timeout
         own = what.terms.patience * 10 if isinstance(what, Transfer) else 0
         ends = came + min(patience, own or patience) - edge.margin
         why = edge.refusal(ends) or (
@@ -387,7 +390,7 @@
                 "declined",
                 f"declined: {why}",
                 None,
-                edge.host.facts["longest_pause"],
+                edge.host.config.max_retry_after,
             )
         standing = Standing(packet, volume, category, client.octets, came)
         client.out[packet.id] = standing
@@ -453,7 +456,11 @@
 
     def place(self, word: Word) -> None:
         """Here, where this gateway keeps the channel or should; else to the one that the view says."""
-        who = "" if self.keeper.keeps(word.key) else self.offices.keeper_of(word.key)
+        who = (
+            ""
+            if self.keeper.keeps(word.key)
+            else self.offices.preferred_holder(word.key)
+        )
         if who in ("", self.plane.name) or not self.ways.reachable(who):
             self.count("kept_here")
             return self.keeper.word(word)
@@ -526,7 +533,7 @@
         category = self.edge.atlas.category(
             OPERATIONS[type(what.command)], word.volume, size
         )
-        return int(self.edge.host.facts["categories"][category]["repeat_window"])
+        return self.edge.host.config.request_classes[category].retry_window
 
     def run(self, word: Word, gone: LetGo, term: Any, ends: int, ended: Any) -> None:
         """To the module, which keeps the seven rules for it as for any other."""
@@ -549,7 +556,7 @@
         def answered(packet: Any) -> None:
             if running.final == "satisfied":
                 return ended(Input.SETTLED, getattr(packet, "code", 0), 0, packet)
-            ended(gate.input(), 0, edge.host.facts["longest_pause"], packet)
+            ended(gate.input(), 0, edge.host.config.max_retry_after, packet)
 
         running = Running(
             edge,
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -83,26 +83,25 @@
         day.start()
         day.run(SECOND)
         module = day.gateways[0].module
-        node = module.nodes[1]
-        node.heard = node.lapsed = -9 * SECOND
+        node = module.state.nodes[1]
+        node.last_heard_at = node.failed_at = -9 * SECOND
         module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
-        self.assertEqual(node.rest_until, day.now + 3000)
-        transfer = SimpleNamespace(
-            cell=None, extent=0, node=None, dispatches=[], units=1
-        )
-        spoken = module.reluctance(transfer, node, day.now)[3]
+        self.assertEqual(node.backoff_until, day.now + 3000)
+        request = SimpleNamespace(shard=None, key=0, node=None, attempts=[], units=1)
+        placement_cost = module.placement.placement_cost
+        advised = placement_cost(request, node, day.now)[3]
         self.assertAlmostEqual(
-            spoken - module.reluctance(transfer, node, day.now + 3000)[3], 4.0
+            advised - placement_cost(request, node, day.now + 3000)[3], 4.0
         )
-        node.rest_until, node.lapses = 0, 2
-        node.heard = day.now
+        node.backoff_until, node.failures = 0, 2
+        node.last_heard_at = day.now
         module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
-        self.assertEqual((node.rest_until, node.lapses), (0, 2))
-        node.heard, node.rest_until = -9 * SECOND, day.now + SECOND
+        self.assertEqual((node.backoff_until, node.failures), (0, 2))
+        node.last_heard_at, node.backoff_until = -9 * SECOND, day.now + SECOND
         module.on_health_advice(
             day.now, 1, 0.0, False, day.now + 3000
         )  # chosen to try it
-        self.assertEqual((node.rest_until <= day.now, node.lapses), (True, 0))
+        self.assertEqual((node.backoff_until <= day.now, node.failures), (True, 0))
 
 
 class Settings(unittest.TestCase):
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -12,6 +12,7 @@
 from twisted.trial.unittest import TestCase
 
 from milletsill.cli.main import main
+from milletsill.interface import QuotaKind
 from milletsill.logs import logger
 from milletsill.planner import epoch_store
 from milletsill.planner.codec import encode_frame
@@ -27,7 +28,7 @@
 name: "plan-t" listen: "127.0.0.1:0" state_dir: "x" lending { longest_s: 1.2 }
 silent_s: 2 logging { level: "debug" }
 """
-LIMIT = QuotaKey("limit", 1)
+LIMIT = QuotaKey(QuotaKind.LIMIT, 1)
 
 
 class Sockets(TestCase):
--- a/tests/planner/test_planner_protocol.py
+++ b/tests/planner/test_planner_protocol.py
@@ -8,6 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from milletsill.interface import QuotaKind
 from milletsill.planner import codec, epoch_store
 from milletsill.planner.codec import FrameParser, MalformedPlannerFrame, encode_frame
 from milletsill.planner.demand_estimate import DemandEstimate, share_for_rate
@@ -74,7 +75,7 @@
         )
 
     def test_no_later_moment_has_less_than_the_forecast(self):
-        timings, key = QuotaTimings(40_000, 0, 0.2), QuotaKey("limit", 1)
+        timings, key = QuotaTimings(40_000, 0, 0.2), QuotaKey(QuotaKind.LIMIT, 1)
         random = Random(5)
         for _ in range(300):
             ledger = QuotaLedger("e", 1, timings, 0, fresh=random.random() < 0.5)
@@ -147,10 +148,14 @@
 class Frames(unittest.TestCase):
     def test_requests_and_grants_are_decoded_as_they_were_encode_frame(self):
         loans = (ReportedLoan(3, 4), ReportedLoan(1, 9))
-        request = QuotaRequest("e", 7, 1 << 60, QuotaKey("cold", 9), 1, 2, loans, 5)
+        request = QuotaRequest(
+            "e", 7, 1 << 60, QuotaKey(QuotaKind.SLOW_START, 9), 1, 2, loans, 5
+        )
         message = codec.encode_request(request, 1.5)
         self.assertEqual(codec.decode_request("e", 7, message), request)
-        grant = QuotaGrant(1 << 60, 7, QuotaKey("limit", 2), 3, 4, 5, 6, 7, 8, 9)
+        grant = QuotaGrant(
+            1 << 60, 7, QuotaKey(QuotaKind.LIMIT, 2), 3, 4, 5, 6, 7, 8, 9
+        )
         self.assertEqual(codec.decode_grant(codec.encode_grant(grant)), grant)
 
     def test_frames_come_in_any_pieces(self):
--- a/tests/planner/test_quota_client.py
+++ b/tests/planner/test_quota_client.py
@@ -12,7 +12,7 @@
 from milletsill.planner.quota_client_config import QuotaClientConfig
 from milletsill.planner.quota_terms import GRANT_GUARD, SECOND
 from milletsill.settings.milletsill_pb2 import GatewayFile
-from milletsill.sftp_gateway.deployment import facts_of
+from milletsill.sftp_gateway.deployment import config_of
 
 GATEWAY = """
 name: "e" listen: "127.0.0.1:0" gateways: 4 seed: 5 registry { address: "127.0.0.1:1" }
@@ -51,7 +51,7 @@
             lambda *_, **__: None,
             CollectorRegistry(),
         )
-        config = QuotaClientConfig.from_settings(file, facts_of(file))
+        config = QuotaClientConfig.from_settings(file, config_of(file))
         return QuotaClient(config, environment, incarnation, 1)
 
     def test_a_slow_start_budget_is_shared_once_the_node_is_listed(self):
--- a/tests/planner/test_quota_decisions.py
+++ b/tests/planner/test_quota_decisions.py
@@ -3,6 +3,7 @@
 import unittest
 from dataclasses import replace
 
+from milletsill.interface import QuotaKind
 from milletsill.lab.model_checks import quota_model, quota_mutation_checks
 from milletsill.lab.model_checks.quota_cluster import KEY, SimulatedQuotaFleet
 from milletsill.planner.quota_ledger import GrantOutcome, QuotaHolding, QuotaLedger
@@ -148,7 +149,7 @@
             (grant(sequence=8, to_lend=-1), GrantOutcome.INVALID),
             (grant(sequence=8, requested_at=NOW + 1), GrantOutcome.INVALID),
             (grant(sequence=8, duration=9 * SECOND), GrantOutcome.INVALID),
-            (grant(sequence=8, key=QuotaKey("limit", 2)), GrantOutcome.INVALID),
+            (grant(sequence=8, key=QuotaKey(QuotaKind.LIMIT, 2)), GrantOutcome.INVALID),
             (grant(sequence=8, incarnation=9, granted=5), GrantOutcome.INVALID),
         ):
             self.assertIs(ledger.on_grant(each, NOW), outcome)
@@ -264,7 +265,7 @@
             request("a", incarnation=2),
             request("a", incarnation=3, sent_at=NOW),
             request("b"),
-            request("a", incarnation=3, key=QuotaKey("limit", 2)),
+            request("a", incarnation=3, key=QuotaKey(QuotaKind.LIMIT, 2)),
             request("a", wanted=-1),
             request("a", wanted=1000 * WHOLE),
             request("a", even_share=0),
