--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -183,7 +183,7 @@
             exchange = self.waiting.pop(0)
             if exchange.over:
                 continue
-            if exchange.gate is not None and not exchange.gate.leaves():
+            if exchange.gate is not None and not exchange.gate.may_send():
                 self._end_unreachable(exchange)
             else:
                 self.connections[index].send_attempt(exchange)
