--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -179,19 +179,9 @@
 
     def planned(self, config: DeploymentConfig, seed: int) -> Any:
         """Parts from a planner; none of their code is loaded where the file does not ask for them."""
-        from milletsill.planner.quota_client import Parts
+        from milletsill.planner.quota_client import QuotaClient
 
-        return Parts(
-            self.reactor,
-            self.now,
-            self.file,
-            config,
-            seed + 2,
-            self.incarnation,
-            self.host,
-            self.remark,
-            self.figures.registry,
-        )
+        return QuotaClient.for_gateway(self, config, seed + 2)
 
     def among_others(self, seed: int) -> Any:
         """The fleet's view; none of its code is loaded where the file does not ask for it."""
@@ -212,9 +202,9 @@
 
     def sharing(self, seed: int) -> Any:
         """Health that is shared; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.health.health_sharing import sharing_of
+        from milletsill.fleet.health.shared_health import SharedHealth
 
-        return sharing_of(self, seed + 5)
+        return SharedHealth.for_gateway(self, seed + 5)
 
     def channelled(self, seed: int) -> Any:
         """Contracts on the order of channels; none of their code is loaded where the file does not ask for it."""
@@ -427,7 +417,7 @@
         if self.traces is not None:
             self.traces.look()
         if self.parts is not None:
-            self.parts.look()
+            self.parts.on_tick()
         idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
             client.tick(idle)
@@ -439,9 +429,9 @@
         self.figures.news.labels(news.value).inc()
         self.host.on_endpoints(news, entries)
         if self.health is not None:
-            self.health.listed(news, entries)
+            self.health.on_endpoints(news, entries)
         if self.parts is not None:
-            self.parts.listed(entries)
+            self.parts.on_endpoints(entries)
 
     def moved(self, boxes: list[RegisteredNode]) -> None:
         """Links follow the list: a new address gets a pool of its own, a box that left loses its."""
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -96,8 +96,8 @@
             ),
             made.PAGE,
         )
-        frame = health.decoded(octets["health"])
-        self.assertEqual(health.get(frame.difference[0], 0), made.NEWS)
+        frame = health.decode_frame(octets["health"])
+        self.assertEqual(health.decode_delta(frame.difference[0], 0), made.NEWS)
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
         found = contracts.decode_record(octets["record"], 100, 1000, 0)
         self.assertEqual(record_of(found), record_of(made.channel()))
@@ -216,7 +216,7 @@
     def test_health_and_contracts(self):
         frame = health_pb2.Frame(version=2)
         self.assertEqual(
-            len(health.decoded(frame.SerializeToString() + LATER).difference), 0
+            len(health.decode_frame(frame.SerializeToString() + LATER).difference), 0
         )
         for body in (b"X" + LATER, b"", b"C" + b"\xff"):
             self.assertIsNone(contracts.decode_envelope(body))
