--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -56,7 +56,8 @@
     from milletsill.fleet.leases.lease_manager import LeaseManager
     from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
     from milletsill.fleet.leases.timings import LeaseTimings
-    from milletsill.fleet.service import Fleet
+    from milletsill.fleet.service import FleetService
+    from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
     from milletsill.settings.milletsill_pb2 import FleetLink
 
     ports = [int(each) for each in given.ports.split(",")]
@@ -69,15 +70,12 @@
     quiet = lambda *words, **values: (
         print(*words, values, file=sys.stderr) if given.loud else None
     )
-    fleet = Fleet(
+    file = SimpleNamespace(name=f"g{number}", fleet=link)
+    fleet = FleetService(
         reactor,
         now,
-        SimpleNamespace(name=f"g{number}", fleet=link),
-        number,
-        1,
-        quiet,
-        quiet,
-        lambda run: None,
+        FleetServiceConfig.from_file(file, seed=number, incarnation=1),
+        FleetCallbacks(quiet, quiet, lambda incarnation: None),
         registry,
     )
     fleet.start()
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 from milletsill.errors import InvalidValue
-from milletsill.facts import REPORTS
-from milletsill.http1.reader import Message
+from milletsill.deployment_config import DeploymentConfig, RetrySafety
+from milletsill.deployment_settings import LOAD_REPORT_NAMES
+from milletsill.http1.message import HttpMessage
 from milletsill.interface import Request
 
 HEX16 = re.compile(rb"[0-9a-f]{16}\Z")
@@ -50,37 +51,38 @@
 class Categories:
     """Categories and plans by the names that clients use."""
 
-    def __init__(self, facts: Mapping[str, Any]) -> None:
-        self.facts = facts
+    def __init__(self, config: DeploymentConfig) -> None:
+        self.config = config
         self.categories = {
-            each["name"].encode(): place
-            for place, each in enumerate(facts["categories"])
+            each.name.encode(): place
+            for place, each in enumerate(config.request_classes)
         }
         self.plans = {
-            each["name"].encode(): place for place, each in enumerate(facts["plans"])
+            (each.name or "").encode(): place
+            for place, each in enumerate(config.service_plans)
         }
         self.planless = list(self.plans) == [
             b""
         ]  # the settings name no plan: requests need not either
         # Which categories write; where the settings leave it out, a request's method says it.
         self.writes = (
-            {place for place, each in enumerate(facts["writes"]) if each}
-            if facts["writes"]
+            {place for place, each in enumerate(config.write_classes) if each}
+            if config.write_classes
             else None
         )
         self.largest, self.cells = (
-            facts["largest_units"] or MOST,
-            facts["cells"] or MOST,
+            config.largest_request_units or MOST,
+            config.shard_count or MOST,
         )
 
     def one(
-        self, message: Message, name: bytes, form: re.Pattern[bytes] | None = None
+        self, message: HttpMessage, name: bytes, form: re.Pattern[bytes] | None = None
     ) -> bytes:
         """A field that must be there once, in its form."""
         value = message.fields.get(name)
         if (
             value is None
-            or name in message.doubled
+            or name in message.repeated
             or form is not None
             and not form.match(value)
         ):
@@ -90,7 +92,7 @@
         return value
 
     def arrival(
-        self, message: Message, came: int, margin: int, by: int | None = None
+        self, message: HttpMessage, came: int, margin: int, by: int | None = None
     ) -> Request:
         """The transfer that a request asks for; `came` is when its last octet was read; it is over at `by` at the latest."""
         id = int(self.one(message, b"x-txn", HEX16), 16)
@@ -108,7 +110,8 @@
             and message.body
         ):
             raise InvalidRequest(405, "method or body do not fit the category")
-        if self.facts["categories"][category]["repeats"] == "ticketed":
+        safety = self.config.request_classes[category].retry_safety
+        if safety is RetrySafety.IDEMPOTENCY_KEYED:
             self.one(message, b"idempotency-key", KEY)
         block = BLOCK.search(self.one(message, b"cookie"))
         if block is None or not HEX16.match(block.group(1)):
@@ -132,14 +135,16 @@
             ends,
         )
 
-    def pick(self, names: Mapping[bytes, int], message: Message, field: bytes) -> int:
+    def pick(
+        self, names: Mapping[bytes, int], message: HttpMessage, field: bytes
+    ) -> int:
         """The place of a category or a plan."""
         place = names.get(self.one(message, field))
         if place is None:
             raise InvalidRequest(404, f"{field.decode()} is not known")
         return place
 
-    def io(self, message: Message) -> tuple[int, float, int | None, int]:
+    def io(self, message: HttpMessage) -> tuple[int, float, int | None, int]:
         """Volume, units, cell and gateways."""
         parts = dict(
             part.strip().split(b"=", 1)
@@ -165,7 +170,7 @@
         return int(volume, 16), float(units), cell, int(hosts)
 
 
-def cargo_of(message: Message) -> Cargo:
+def cargo_of(message: HttpMessage) -> Cargo:
     """What a node gets of it."""
     fields = [(b"X-Txn", message.fields[b"x-txn"])]
     if b"idempotency-key" in message.fields:
@@ -189,7 +194,10 @@
     report = dict[str, float]()
     for part in (value or b"")[:512].split(b","):
         name, _, text = part.strip().partition(b"=")
-        word, number = REPORTS.get(name.decode("latin-1")), number_in(text, 1e9)
+        word, number = (
+            LOAD_REPORT_NAMES.get(name.decode("latin-1")),
+            number_in(text, 1e9),
+        )
         if word is not None and number is not None:
             report[word] = number
     return report
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -109,9 +109,9 @@
         )
         self.category = edge.atlas.category(self.operation, volume, self.size)
         self.began = came
-        figures = edge.host.facts["categories"][self.category]
+        figures = edge.host.config.request_classes[self.category]
         self.ends = ends_at(
-            self.began, figures["patience"], terms.patience * 10, edge.margin
+            self.began, figures.client_timeout, terms.patience * 10, edge.margin
         )
         self.mark = f"{volume.number}/{terms.mark}" if terms.mark else edge.mark()
         self.gate, self.repeat = gate, terms.tries > 0
@@ -225,7 +225,7 @@
         edge = self.edge
         why = edge.refusal(self.ends)
         if why:
-            return self.gave_up(Reply.DECLINED, edge.host.facts["longest_pause"], why)
+            return self.gave_up(Reply.DECLINED, edge.host.config.max_retry_after, why)
         cell, name, command = self.target()
         self.transfer = edge.next_transfer()
         write = self.operation in WRITING or self.leg in DOING
@@ -262,11 +262,11 @@
         """The client has left."""
         self.answered = lambda packet: None
         if self.transfer is not None:
-            self.edge.host.abandon(self.transfer)
+            self.edge.host.cancel_request(self.transfer)
 
     # The host's word on the present transfer.
 
-    def satisfied(self, verdict: Verdict) -> None:
+    def succeeded(self, verdict: Verdict) -> None:
         self.transfer = None
         answer, moved = verdict.answer, verdict.verdict == ELSEWHERE
         code = answer.code if isinstance(answer, packets.Status) else None
@@ -282,11 +282,11 @@
         self.done_before |= before in DOING and reply is Reply.FINE
         self.follow(effect, verdict, answer)
 
-    def declined(self, pause: int) -> None:
+    def rejected(self, pause: int) -> None:
         self.transfer = None
         self.gave_up(Reply.DECLINED, pause, "declined")
 
-    def aborted(self) -> None:
+    def failed(self) -> None:
         self.transfer = None
         self.gave_up(Reply.ABORTED, 0, "aborted")
 
--- a/milletsill/sftp_gateway/routing.py
+++ b/milletsill/sftp_gateway/routing.py
@@ -17,7 +17,6 @@
 import xxhash
 
 from milletsill.errors import InvalidValue
-from milletsill.gateway.stall_detection import BEAT, LATE_BEAT, io_first, taken_since  # noqa: F401
 from milletsill.sftp import packets
 
 # --- What a command is.
@@ -445,42 +444,3 @@
         self.level -= 1
         passed, self.passed = self.passed, 0
         return passed
-
-
-def pick_facts(**facts: Any) -> dict[str, Any]:
-    """The plain map that the module is handed; here so that one place names what an edge must tell it."""
-    missing = [name for name in NEEDED if name not in facts]
-    if missing:
-        raise KeyError(f"facts left out: {', '.join(missing)}")
-    return facts
-
-
-NEEDED = (
-    "gateways",
-    "tick",
-    "categories",
-    "plans",
-    "share_utility",
-    "largest_units",
-    "cold_units",
-    "may_cancel",
-    "may_copy",
-    "most_dispatches",
-    "pause_told",
-    "longest_pause",
-    "list_on_request",
-    "ask_within",
-    "cold_from",
-    "cold_multiple",
-    "warm_after",
-    "cold_window",
-    "further_free",
-    "further_ratio",
-    "further_window",
-    "key_rest",
-    "sized",
-    "cross_fee",
-    "zone",
-    "unit_mean",
-    "dial",
-)
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -30,7 +30,7 @@
 from milletsill.planner.quota_terms import GUARD, SECOND, Ask, Grant, Lent, Span
 from milletsill.settings.milletsill_pb2 import GatewayFile, PlannerFile
 from milletsill.sftp import packets
-from milletsill.sftp_gateway.deployment import facts_of
+from milletsill.sftp_gateway.deployment import config_of
 from tests.support.sftp_gateway_rig import Rig, later
 
 EDGE = """
@@ -195,9 +195,9 @@
     """A host that keeps what it is told of parts."""
 
     def __init__(self):
-        self.parts, self.live, self.most_stale = [], {}, 0
+        self.parts, self.active, self.max_decision_age = [], {}, 0
 
-    def part(self, *values):
+    def on_quota_share(self, *values):
         self.parts.append(values)
 
 
@@ -207,7 +207,7 @@
 
     def parts(self, incarnation=1, **planner):
         file = text_format.Parse(EDGE, GatewayFile())
-        given = facts_of(file)
+        given = config_of(file)
         made = Parts(
             self.clock,
             lambda: self.now,
@@ -275,20 +275,24 @@
 
     def test_what_waits_is_wanted(self):
         parts = self.parts()
-        parts.volume(1, 4, parts.facts["plans"][0], 0.0)
-        self.host.live = {
+        parts.volume(1, 4, parts.config.service_plans[0], 0.0)
+        self.host.active = {
             1: Mock(
-                answered=False, outs=[], arrival=Mock(volume=1, cell=None, units=3.0)
+                answered=False,
+                attempts=[],
+                request=Mock(volume=1, shard=None, units=3.0),
             ),
             2: Mock(
-                answered=False, outs=[1], arrival=Mock(volume=1, cell=None, units=9.0)
+                answered=False,
+                attempts=[1],
+                request=Mock(volume=1, shard=None, units=9.0),
             ),
         }
         self.assertEqual(parts.waiting()["limit", 1], 3.0)
 
     def test_a_send_that_was_decided_long_ago_is_not_made(self):
         self.parts()
-        self.assertEqual(self.host.most_stale, GUARD)
+        self.assertEqual(self.host.max_decision_age, GUARD)
 
 
 class Sockets(TestCase):
