--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -62,7 +62,7 @@
         Rows, "after", lambda self, origin, run, base: None
     ),
     **{
-        f"registers: {each}": partial(lease_mutation_checks.without_guard, each)
+        f"leases: {each}": partial(lease_mutation_checks.without_guard, each)
         for each in lease_mutation_checks.MUTATIONS
     },
 }
--- a/milletsill/lab/model_checks/lease_mutation_checks.py
+++ b/milletsill/lab/model_checks/lease_mutation_checks.py
@@ -235,52 +235,56 @@
 
 MUTATIONS: dict[str, Mutation] = {
     "lower ballots are refused": Mutation(acceptor, "rank_ballot", _any_ballot, 11),
-    "an office refuses others": Mutation(acceptor, "grant_state", _no_grant, 0),
-    "drift at the register": Mutation(LeaseTimings, "acceptor_duration", _no_drift, 27),
-    "drift at the keeper": Mutation(LeaseTimings, "holder_duration", _no_drift, 5),
-    "terms from the send": Mutation(LeaseProposer, "on_reply", _count_from_reply, 14),
+    "a lease refuses others": Mutation(acceptor, "grant_state", _no_grant, 0),
+    "drift at the acceptor": Mutation(LeaseTimings, "acceptor_duration", _no_drift, 27),
+    "drift at the holder": Mutation(LeaseTimings, "holder_duration", _no_drift, 5),
+    "leases count from the send": Mutation(
+        LeaseProposer, "on_reply", _count_from_reply, 14
+    ),
     "a majority": Mutation(quorum_round, "majority", _half, 0),
-    "written again": Mutation(lease_proposer, "is_settled", _always_settled, 0),
+    "repaired before use": Mutation(lease_proposer, "is_settled", _always_settled, 0),
     "copies are no votes": Mutation(lease_proposer, "is_settled", _copies_vote, 0),
     "the latest write is read": Mutation(
         lease_proposer, "latest_reply", _first_reply, 6
     ),
-    "offices of a former self": Mutation(
+    "leases of a former incarnation": Mutation(
         acceptor, "grant_after_restart", _no_former_grant, 2
     ),
-    "a call's end": Mutation(lease_proposer, "is_open", _always_open, 14),
-    "one renewal's answers": Mutation(
+    "rounds time out": Mutation(lease_proposer, "is_open", _always_open, 14),
+    "replies of one renewal": Mutation(
         lease_proposer, "answers_request", _any_renewal, 13
     ),
     "no ballot twice": Mutation(lease_cluster, "next_used_rounds", _rounds_from_one, 0),
-    "starts differ": Mutation(Ballot, "same_holder", _same_gateway, 4),
-    "the floor of what is forgotten": Mutation(
+    "incarnations differ": Mutation(Ballot, "same_holder", _same_gateway, 4),
+    "the floor of removed records": Mutation(
         acceptor, "raise_ballot_floor", _same_floor, 0
     ),
-    "others' word of later things": Mutation(
+    "witnesses of later states": Mutation(
         acceptor_recovery, "is_stale", _never_stale, 0
     ),
-    "others are asked first": Mutation(
+    "witnesses are asked first": Mutation(
         AcceptorRecovery, "is_confirmed", _always_confirmed, 63
     ),
-    "enough others tell": Mutation(acceptor_recovery, "copies_needed", _one_copy, 0),
-    "the rest before catching up": Mutation(
+    "enough acceptors are copied": Mutation(
+        acceptor_recovery, "copies_needed", _one_copy, 0
+    ),
+    "the wait before catching up": Mutation(
         LeaseTimings, "recovery_wait", _no_wait, 112
     ),
-    "what others tell is taken": Mutation(
+    "what is copied is merged": Mutation(
         acceptor_recovery, "merge_records", _nothing_merged, 8
     ),
-    "what is written again is not new": Mutation(
+    "what is repaired is not new": Mutation(
         LeaseProposer, "start_accept", _always_original, 49
     ),
-    "a value is as old as its making": Mutation(
+    "a value is as old as its creation": Mutation(
         LeaseProposer, "start_accept", _created_on_arrival, 0
     ),
     "all know the age": Mutation(lease_proposer, "oldest_value_age", _some_age, 27),
-    "floors hold for what is told": Mutation(
+    "floors hold for copies": Mutation(
         acceptor_recovery, "raise_to_floor", _no_floor, 0
     ),
-    "promises are told too": Mutation(
+    "promises are copied too": Mutation(
         acceptor_recovery, "merge_records", _promises_left, 0
     ),
 }
