--- a/tests/fleet/leases/test_acceptor.py
+++ b/tests/fleet/leases/test_acceptor.py
@@ -18,120 +18,70 @@
 from milletsill.fleet.leases.timings import LeaseTimings
 
 TIMINGS = LeaseTimings()
-A = Ballot(5, "a", 1)
-B = Ballot(6, "b", 2)
+OLDER = Ballot(4, "b", 2)
+PROMISED = Ballot(5, "a", 1)
+LATER = Ballot(6, "b", 2)
+WRITTEN = RecordVersion(PROMISED, 3)
+RECORD = LeaseRecord(PROMISED, WRITTEN, b"v", 0)
+PREPARE_LATER = AcceptorRequest(RequestKind.PREPARE, "c", LATER)
+ACCEPT_LATER = AcceptorRequest(RequestKind.ACCEPT, "c", LATER, 1, b"w", True)
+RENEWAL = AcceptorRequest(RequestKind.PREPARE, "c", PROMISED)
 
 
 class AcceptorTests(unittest.TestCase):
-    def test_what_an_acceptor_does(self):
-        record, other = LeaseRecord(A, RecordVersion(A, 3), b"v", 0), LeaseGrant(1000)
-        prepare, accept = (
-            AcceptorRequest(RequestKind.PREPARE, "c", B),
-            AcceptorRequest(RequestKind.ACCEPT, "c", B, 1, b"w", True),
-        )
-        for held, grant, floor, request, now, status, after in (
-            (None, None, 0, prepare, 0, ReplyStatus.GRANTED, (B, UNWRITTEN)),
-            (
-                None,
-                None,
-                6,
-                prepare,
-                0,
-                ReplyStatus.BALLOT_TOO_LOW,
-                None,
-            ),  # the floor of what was forgotten
-            (
-                record,
-                other,
-                0,
-                prepare,
-                999,
-                ReplyStatus.LEASE_HELD,
-                (A, RecordVersion(A, 3)),
-            ),
-            (
-                record,
-                other,
-                0,
-                prepare,
-                1000,
-                ReplyStatus.GRANTED,
-                (B, RecordVersion(A, 3)),
-            ),
-            (
-                record,
-                other,
-                0,
-                accept,
-                999,
-                ReplyStatus.LEASE_HELD,
-                (A, RecordVersion(A, 3)),
-            ),
-            (
-                record,
-                other,
-                0,
-                accept,
-                1000,
-                ReplyStatus.GRANTED,
-                (B, RecordVersion(B, 1)),
-            ),
-            (
-                record,
-                other,
-                0,
-                AcceptorRequest(RequestKind.PREPARE, "c", Ballot(4, "b", 2)),
-                1000,
-                ReplyStatus.BALLOT_TOO_LOW,
-                (A, RecordVersion(A, 3)),
-            ),
-            (
-                record,
-                other,
-                0,
-                AcceptorRequest(RequestKind.PREPARE, "c", A),
-                0,
-                ReplyStatus.GRANTED,
-                (A, RecordVersion(A, 3)),
-            ),  # a renewal
-            (
-                record,
-                LeaseGrant(0, True),
-                0,
-                AcceptorRequest(RequestKind.PREPARE, "c", A),
-                0,
-                ReplyStatus.BALLOT_TOO_LOW,
-                (A, RecordVersion(A, 3)),
-            ),  # given up before
-            (
-                record,
-                other,
-                0,
-                AcceptorRequest(RequestKind.ACCEPT, "c", A, 2, b"old"),
-                0,
-                None,
-                (A, RecordVersion(A, 3)),
-            ),  # overtaken
-            (
-                record,
-                grant_after_restart(0, TIMINGS),
-                0,
-                prepare,
-                TIMINGS.acceptor_duration() - 1,
-                ReplyStatus.LEASE_HELD,
-                (A, RecordVersion(A, 3)),
-            ),
-        ):
-            with self.subTest(request=request, now=now):
-                state = LeaseState(held, grant, floor)
-                outcome = handle_request(state, request, now, 0, TIMINGS)
-                self.assertIs(outcome.reply and outcome.reply.status, status)
-                self.assertEqual(
-                    outcome.record
-                    and (outcome.record.promised, outcome.record.version),
-                    after,
-                )
+    def check(self, state, request, now, status, promised_and_version):
+        """The reply's status, and what stands in the record afterwards."""
+        with self.subTest(request=request, now=now):
+            outcome = handle_request(state, request, now, 0, TIMINGS)
+            self.assertIs(outcome.reply and outcome.reply.status, status)
+            record = outcome.record
+            found = record and (record.promised, record.version)
+            self.assertEqual(found, promised_and_version)
 
+    def test_a_lease_without_a_record_counts_as_promised_up_to_the_floor(self):
+        unknown = LeaseState(None, None, 0)
+        below_floor = LeaseState(None, None, 6)
+        granted = (LATER, UNWRITTEN)
+        self.check(unknown, PREPARE_LATER, 0, ReplyStatus.GRANTED, granted)
+        self.check(below_floor, PREPARE_LATER, 0, ReplyStatus.BALLOT_TOO_LOW, None)
+
+    def test_others_are_refused_until_the_grant_ends(self):
+        held = LeaseState(RECORD, LeaseGrant(1000), 0)
+        unchanged = (PROMISED, WRITTEN)
+        promised = (LATER, WRITTEN)
+        accepted = (LATER, RecordVersion(LATER, 1))
+        self.check(held, PREPARE_LATER, 999, ReplyStatus.LEASE_HELD, unchanged)
+        self.check(held, PREPARE_LATER, 1000, ReplyStatus.GRANTED, promised)
+        self.check(held, ACCEPT_LATER, 999, ReplyStatus.LEASE_HELD, unchanged)
+        self.check(held, ACCEPT_LATER, 1000, ReplyStatus.GRANTED, accepted)
+
+    def test_a_record_of_a_former_incarnation_counts_as_granted(self):
+        loaded = LeaseState(RECORD, grant_after_restart(0, TIMINGS), 0)
+        last = TIMINGS.acceptor_duration() - 1
+        unchanged = (PROMISED, WRITTEN)
+        self.check(loaded, PREPARE_LATER, last, ReplyStatus.LEASE_HELD, unchanged)
+
+    def test_the_ballot_decides(self):
+        held = LeaseState(RECORD, LeaseGrant(1000), 0)
+        released = LeaseState(RECORD, LeaseGrant(0, True), 0)
+        unchanged = (PROMISED, WRITTEN)
+        lower = AcceptorRequest(RequestKind.PREPARE, "c", OLDER)
+        superseded = AcceptorRequest(RequestKind.ACCEPT, "c", PROMISED, 2, b"old")
+        self.check(held, lower, 1000, ReplyStatus.BALLOT_TOO_LOW, unchanged)
+        self.check(held, RENEWAL, 0, ReplyStatus.GRANTED, unchanged)
+        self.check(released, RENEWAL, 0, ReplyStatus.BALLOT_TOO_LOW, unchanged)
+        self.check(held, superseded, 0, None, unchanged)
+
+    def test_a_release_lets_others_in_at_once(self):
+        held = LeaseState(RECORD, LeaseGrant(1000), 0)
+        release = AcceptorRequest(RequestKind.RELEASE, "c", PROMISED)
+        outcome = handle_request(held, release, 10, 0, TIMINGS)
+        self.assertIsNone(outcome.reply)
+        after = LeaseState(outcome.record, outcome.grant, 0)
+        self.check(after, PREPARE_LATER, 10, ReplyStatus.GRANTED, (LATER, WRITTEN))
+
+
+class LeaseTimingsTests(unittest.TestCase):
     def test_two_leases_never_meet_at_the_worst_of_drift(self):
         for drift in (0, 5, 50, 200):
             timings = LeaseTimings(20_000, 3_000, drift)
