--- a/milletsill/sftp_gateway/deployment.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -16,7 +16,7 @@
     RetryScope,
     ServicePlanConfig,
 )
-from milletsill.node_connections.connection_state import Bounds
+from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.sftp_gateway.routing import Atlas, RouteRule, VolumePlace
 
 
@@ -138,10 +138,10 @@
     )
 
 
-def bounds_of(file: Any) -> Bounds:
+def bounds_of(file: Any) -> PoolLimits:
     """The bounds of every pool of links."""
     links = file.links
-    return Bounds(
+    return PoolLimits(
         links.connections,
         links.streams,
         links.handshakes,
