--- a/milletsill/fleet/leases/lease_messenger.py
+++ b/milletsill/fleet/leases/lease_messenger.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from milletsill.fleet.frames.codec import MalformedFrame
+from milletsill.fleet.errors import MalformedFrame
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor_recovery import (
--- a/milletsill/fleet/leases/lease_settings.py
+++ b/milletsill/fleet/leases/lease_settings.py
@@ -17,7 +17,7 @@
 class EventLog(Protocol):
     """Writes one event with its fields to the log."""
 
-    def __call__(self, event: str, /, **fields: Any) -> None:
+    def __call__(self, event: str, **fields: Any) -> None:
         """Log an event."""
 
 
--- a/milletsill/fleet/leases/store_rows.py
+++ b/milletsill/fleet/leases/store_rows.py
@@ -9,7 +9,7 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.frames.codec import MalformedFrame
+from milletsill.fleet.errors import MalformedFrame
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import LeaseRecord
 from milletsill.fleet.leases.acceptor_recovery import StateIdentity
--- a/tests/fleet/leases/test_acceptor_store.py
+++ b/tests/fleet/leases/test_acceptor_store.py
@@ -133,9 +133,12 @@
 
     def test_what_was_acknowledged_is_there_after_a_kill(self):
         code = (
-            "import sys; sys.path.insert(0, '.')\nfrom tests.fleet.leases.test_acceptor_store import AcceptorStore, record\n"
+            "import sys; sys.path.insert(0, '.')\n"
+            "from tests.fleet.leases.test_acceptor_store import AcceptorStore, record\n"
             "store = AcceptorStore.open(sys.argv[1], 7)\n"
-            "for number in range(1, 100000):\n    store.commit({f'c{number % 50}': record(number)}, number)\n    print(number, flush=True)"
+            "for number in range(1, 100000):\n"
+            "    store.commit({f'c{number % 50}': record(number)}, number)\n"
+            "    print(number, flush=True)"
         )
         run = subprocess.Popen(
             [sys.executable, "-c", code, self.path], stdout=subprocess.PIPE
--- a/tests/fleet/leases/test_codec.py
+++ b/tests/fleet/leases/test_codec.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from milletsill.fleet.frames.codec import MalformedFrame
+from milletsill.fleet.errors import MalformedFrame
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import LeaseRecord
--- a/tests/fleet/leases/test_lease_manager.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -153,8 +153,9 @@
         return net
 
     def test_a_write_that_lay_on_its_way_is_as_old_as_it_is(self):
-        """A network that holds a gateway's streams for six seconds, then brings what was in one of them."""
-        net, held = self.net(), []
+        """A network that holds a gateway's streams, then brings what was in one."""
+        net = self.net()
+        held = []
         term = net.acquire("x")
         self.assertEqual(net.write("x", term, b"1"), [None])
         bring, made = net.bring, net.now()
@@ -291,7 +292,7 @@
         net.go(3)
         self.assertIsInstance(net.acquire("x", "c11"), LeaseTerm)
 
-    def test_bounds_and_what_is_silent(self):
+    def test_bounds_and_idle_leases(self):
         net = self.net(max_leases=3, idle_after=50_000)
         for each in range(3):
             term = net.acquire("x", f"c{each}")
@@ -301,7 +302,7 @@
         )  # here
         self.assertIsInstance(
             net.acquire("y", "c3"), errors.QuorumNotReached
-        )  # at the registers
+        )  # at the acceptors
         self.assertIsInstance(
             net.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReached
         )
