--- a/milletsill/fleet/leases/acceptor.py
+++ b/milletsill/fleet/leases/acceptor.py
@@ -2,9 +2,9 @@
 
 An acceptor keeps, for each lease, a record on disk and a grant in memory. The record
 is safe by ballots alone; the grant says until when other gateways are refused.
-docs/registers.md has the argument. `acceptor_recovery` says when an acceptor that has
-just started may answer at all. What is made for each request is a named tuple, which is
-made faster than a dataclass.
+docs/registers.md has the argument. `acceptor_recovery` decides when an acceptor that
+has just started may answer at all. What is made for each request is a named tuple,
+which is made faster than a dataclass.
 """
 
 from __future__ import annotations
@@ -263,11 +263,11 @@
 
 
 def _creation_time(request: AcceptorRequest, now: int) -> int | None:
-    """Return since when a new value stands, None where nobody can tell.
+    """Return when a new value was made, None for unknown.
 
     Guards an idempotency key's retry window against a write that was long on its way:
-    what the value says of times counts from its making, not from its coming. Harm:
-    where nobody can tell, what is out in it stays indeterminate.
+    times within the value count from when it was made, not from when it arrived. Harm:
+    where that is unknown, what is in flight in it stays indeterminate.
     """
     if not request.is_original or request.created_at == UNKNOWN:
         return None
@@ -287,7 +287,7 @@
     now: int,
     timings: LeaseTimings,
 ) -> AcceptorOutcome:
-    """Grant the lease and say what was written last."""
+    """Grant the lease and return what was written last."""
     value_since = None if grant is None else grant.value_since
     is_original = False if grant is None else grant.is_original
     if record.version == UNWRITTEN:
--- a/milletsill/fleet/leases/acceptor_context.py
+++ b/milletsill/fleet/leases/acceptor_context.py
@@ -35,7 +35,7 @@
         """Send replies to a gateway, which may be this one."""
 
     def query_witnesses(self, everybody: bool) -> None:
-        """Ask the acceptors, or all gateways, what they last heard of this one."""
+        """Ask acceptors, or all gateways, which identity of this one they know."""
 
     def query_page(self, acceptor: str, after: str) -> None:
         """Ask an acceptor for its records after a key."""
--- a/milletsill/fleet/leases/acceptor_recovery.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -2,11 +2,11 @@
 
 An acceptor's state has an identity: (age, chance, generation). The generation grows
 with each commit, the age each time that the state is made anew out of the other
-acceptors' records. Other gateways keep the greatest identity that they heard of each
-acceptor. An acceptor whose own identity is less has an older copy of its state or
-none, and must not answer as if it had never promised anything: it waits until all is
-over that its former incarnation may have granted or answered, then copies every
-record of so many others that they meet each majority that it was part of.
+acceptors' records. Other gateways keep the greatest identity that each acceptor has
+sent. An acceptor whose own identity is less has an older copy of its state or none, and
+must not answer as if it had never promised anything: it waits until all is over that
+its former incarnation may have granted or answered, then copies every record of so many
+others that they meet each majority that it was part of.
 """
 
 from __future__ import annotations
@@ -137,7 +137,7 @@
 
 
 def is_stale(known: StateIdentity | None, own: StateIdentity) -> bool:
-    """Whether what another last heard of a state is past the state itself.
+    """Whether the identity that another gateway knows is later than the state's own.
 
     Also where it is of another state that is not older.
     """
@@ -151,7 +151,7 @@
 
 
 def copies_needed(acceptors: int) -> int:
-    """Return how many others must tell all their records.
+    """Return from how many others all records must be copied.
 
     So many meet each majority that this acceptor was part of, without it.
     """
@@ -185,7 +185,7 @@
 def raise_to_floor(records: dict[str, LeaseRecord], ballot_floor: int) -> None:
     """Make the floor hold for records too.
 
-    An acceptor that told its records may have removed one that another still has.
+    An acceptor that sent its records may have removed one that another still has.
     """
     # Below each gateway's ballot of the round after the floor.
     lowest = Ballot(ballot_floor + 1, "", 0)
@@ -209,7 +209,7 @@
     Attributes:
         status: Whether it may answer.
         records: What was copied so far, by key.
-        ballot_floor: The highest floor of those that told their records.
+        ballot_floor: The highest floor of those that sent their records.
         highest_age: The highest age that anybody knows of this acceptor's state.
     """
 
@@ -236,16 +236,16 @@
         self.is_overridden = False
         self.records: dict[str, LeaseRecord] = {}
         self.ballot_floor = 0
-        self.last_keys: dict[str, str] = {}  # of each that tells its records
+        self.last_keys: dict[str, str] = {}  # of each that sends its records
         self.copied_from: set[str] = set()
 
     def on_witness(
         self, gateway: str, known: StateIdentity | None, now: int
     ) -> RecoveryAction:
-        """Handle what one gateway last heard of this acceptor, None for nothing.
+        """Handle the last identity that a gateway knows of this acceptor.
 
-        Any gateway may say that there was more; only acceptors may confirm that there
-        was not.
+        Any gateway may report a later state; only acceptors may confirm that there is
+        none.
         """
         if known is not None:
             self.highest_age = max(self.highest_age, known.age)
@@ -257,7 +257,7 @@
 
     def _on_stale(self, now: int) -> RecoveryAction:
         if self.is_overridden:
-            # An operator has said to go on: it goes on as later than what was known.
+            # By an operator's order it goes on, as later than what was known.
             return RecoveryAction.ADOPT
         if self.status is RecoveryStatus.SERVING:
             self.wait_until = now + self.timings.recovery_wait()
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -147,7 +147,7 @@
         path = self.settings.store_path
         is_overridden = os.path.exists(path + OVERRIDE_SUFFIX)
         if store.acceptor_set != self._acceptor_set and not is_overridden:
-            what = "not the registers that its state was made for"
+            what = "not the acceptors that its state was made for"
             self._context.log_error(AcceptorSetChanged(what, path))
             return  # away until a restart
         store.acceptor_set = self._acceptor_set
@@ -183,7 +183,7 @@
         """
         has_same_settings = settings_digest == self.settings.settings_digest
         if not has_same_settings:
-            what = "its registers or spans are not this gateway's"
+            what = "its acceptors or timings are not this gateway's"
             self._context.log_error(LeaseSettingsMismatch(what, gateway))
         is_disk_full = self._context.now() < self._queue.disk_full_until
         if not has_same_settings or not self.is_serving() or is_disk_full:
@@ -193,7 +193,7 @@
         self._queue.add(gateway, requests)
 
     def on_witness(self, gateway: str, known: StateIdentity | None) -> None:
-        """Handle what a gateway last heard of this acceptor, None for nothing."""
+        """Handle the last identity that a gateway knows of this acceptor."""
         self._recovery.on_witness(gateway, known)
 
     def on_page(self, acceptor: str, after: str, page: SnapshotPage) -> None:
@@ -224,7 +224,7 @@
         self.store.known[acceptor] = max(known, identity)
 
     def known_identity(self, acceptor: str) -> StateIdentity | None:
-        """Return the greatest identity that was heard of an acceptor."""
+        """Return the greatest identity that is known of an acceptor."""
         return None if self.store is None else self.store.known.get(acceptor)
 
     # Removal of idle records.
--- a/milletsill/fleet/leases/acceptor_store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -3,8 +3,8 @@
 Blocking, and used by one thread at a time. Each row has a checksum; the row of the
 state holds the state's identity, whose generation grows with each commit (see
 `acceptor_recovery`). A file that is torn is set aside by the caller. A file that is
-older shows by what other gateways heard; sqlite's own log, cut short, is an older
-state too.
+older shows by the identities that other gateways know; sqlite's own log, cut short, is
+an older state too.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 
     Attributes:
         state: The row of the state.
-        known: The greatest identity that was heard of each other acceptor; written
+        known: The greatest identity that is known of each other acceptor; written
             with the next commit.
         acceptor_set: Digest of the names of all acceptors that the state was made
             for; written with the next commit.
@@ -135,7 +135,7 @@
     def load(self, max_pages: int) -> None:
         """Read and check all that is in the file once."""
         connection = self.connection
-        # Of two processes with one file the second is told so.
+        # Of two processes with one file the second gets an error.
         connection.execute("PRAGMA locking_mode=EXCLUSIVE")
         connection.execute("PRAGMA journal_mode=WAL")
         connection.execute("PRAGMA synchronous=FULL")
@@ -151,7 +151,7 @@
     def _check_file(self) -> None:
         schema_version = self._pragma("user_version")
         if self._pragma("application_id") != APPLICATION_ID:
-            raise AcceptorStateCorrupt("no file of a register", self.path)
+            raise AcceptorStateCorrupt("no file of an acceptor", self.path)
         if schema_version > SCHEMA_VERSION:
             raise AcceptorStateUnusable(
                 f"its schema is {schema_version}, this program knows {SCHEMA_VERSION}",
@@ -321,6 +321,6 @@
     def _roll_back(self) -> None:
         if not self.connection.in_transaction:
             return
-        # The error that came first says more than one of the rollback.
+        # The first error is the cause, not one of the rollback.
         with contextlib.suppress(sqlite3.Error):
             self.connection.execute("ROLLBACK")
--- a/milletsill/fleet/leases/ballot.py
+++ b/milletsill/fleet/leases/ballot.py
@@ -14,7 +14,7 @@
     """A proposal number: ordered, and never used twice.
 
     Attributes:
-        round: Counts up; a proposer goes past the highest round that it heard of.
+        round: Counts up; a proposer goes past the highest round that it knows of.
         gateway: Name of the gateway that proposes.
         nonce: Random number of one start of that gateway.
     """
--- a/milletsill/fleet/leases/blocking_worker.py
+++ b/milletsill/fleet/leases/blocking_worker.py
@@ -40,7 +40,7 @@
         return error
     except Exception as error:
         traceback.print_exc()
-        return AcceptorStateUnusable(f"{type(error).__name__}: {error}", "register")
+        return AcceptorStateUnusable(f"{type(error).__name__}: {error}", "acceptor")
 
 
 class BlockingWorker:
@@ -48,7 +48,7 @@
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
-        self._pool = ThreadPool(1, 1, "register")
+        self._pool = ThreadPool(1, 1, "acceptor")
         self._is_stopped = False
         self._pool.start()
 
@@ -68,6 +68,6 @@
         done.addErrback(Failure.printTraceback)
 
     def stop(self) -> None:
-        """Wait for the job under way; nobody hears its result."""
+        """Wait for the job under way; its result is dropped."""
         self._is_stopped = True
         self._pool.stop()
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -161,7 +161,7 @@
 ) -> AcceptorRequest | None:
     """Read a request; None for a kind that only a later version knows.
 
-    `created_at` holds where the request itself does not say.
+    `created_at` holds where the request itself has none.
     """
     kind = _REQUEST_KINDS.get(call.ask)
     if kind is None:
@@ -202,8 +202,8 @@
 ) -> list[AcceptorRequest]:
     """Read what can be read of a frame's requests.
 
-    Creation times on a clock that is not this one's, `clock_id`, say nothing. A
-    gateway of an earlier version gives none at all.
+    Creation times on a clock that is not this one's, `clock_id`, are left out. A
+    gateway of an earlier version sends none at all.
     """
     created_at = UNKNOWN if calls.HasField("whose") else CREATED_ON_ARRIVAL
     requests = []
@@ -278,7 +278,7 @@
 
 
 def encode_record(record: LeaseRecord, key: str = "") -> wire.Kept:
-    """Return a record, as it is told to another acceptor and as it is stored."""
+    """Return a record as it is sent to another acceptor and as it is stored."""
     kept = wire.Kept(promised=_encode_ballot(record.promised))
     if key:
         kept.channel = key
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -30,7 +30,7 @@
     """Another gateway, `who`, holds the lease."""
 
     remedy = (
-        "none: the office goes over when it ends or is given up; with one name again "
+        "none: the lease passes on when it ends or is released; with one name again "
         "and again, see that gateway's log"
     )
 
@@ -52,7 +52,7 @@
 class LeaseNotHeld(CoordinationError):
     """The lease was released, lost, or never held here."""
 
-    remedy = "none: the office is taken again"
+    remedy = "none: the lease is acquired again"
 
 
 class ResourceLimitReached(CoordinationError):
@@ -68,7 +68,7 @@
     """The acceptor's file cannot be read whole, or a row fails its checksum."""
 
     remedy = (
-        "look at the disk; the file was set aside and the register catches up from "
+        "look at the disk; the file was set aside and the acceptor catches up from "
         "the others by itself"
     )
 
@@ -77,7 +77,7 @@
     """The acceptor's file is an older copy: others heard later things from it."""
 
     remedy = (
-        "never put back copies of state_dir; the register catches up from the others "
+        "never put back copies of state_dir; the acceptor catches up from the others "
         "by itself"
     )
 
@@ -86,7 +86,7 @@
     """The acceptor's file is gone, though others know that there was one."""
 
     remedy = (
-        "see that state_dir is kept over restarts; the register catches up from the "
+        "see that state_dir is kept over restarts; the acceptor catches up from the "
         "others by itself"
     )
 
@@ -94,7 +94,7 @@
 class DiskFull(CoordinationError):
     """The acceptor cannot write; it answers nothing that it has not written."""
 
-    remedy = "make room on the disk of state_dir; the register goes on by itself"
+    remedy = "make room on the disk of state_dir; the acceptor goes on by itself"
 
 
 class LeaseSettingsMismatch(CoordinationError):
@@ -114,7 +114,7 @@
 
     remedy = (
         "put the old names back (a machine is replaced under its name); or stop all "
-        "gateways, let every register that is kept go on by a file FILE.go-on beside "
+        "gateways, let every acceptor that is kept go on by a file FILE.go-on beside "
         "its own, and know that records at the removed ones alone are lost"
     )
 
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -124,7 +124,7 @@
     def acquire(self, key: str, on_acquired: OnAcquired) -> None:
         """Acquire a lease, or renew it.
 
-        `on_acquired` gets a `LeaseTerm`, or an error whose `pause` says when to come
+        `on_acquired` gets a `LeaseTerm`, or an error whose `pause` is when to come
         back, in ticks.
         """
         refusal = self._acquire_refusal(key)
@@ -147,8 +147,8 @@
 
     def _acquire_refusal(self, key: str) -> ResourceLimitReached | None:
         if not codec.is_valid_key(key):
-            what = f"a channel's name is UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
-            return ResourceLimitReached(what, "channels")
+            what = f"a lease's name is UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
+            return ResourceLimitReached(what, "leases")
         entry = self.leases.get(key)
         if entry is None:
             is_full = len(self.leases) >= self.settings.max_leases
@@ -156,8 +156,8 @@
             is_full = len(entry.acquiring) >= MAX_CALLBACKS
         if not is_full and self._sender.open_rounds < MAX_OPEN_ROUNDS:
             return None
-        what = "too many channels or calls under way"
-        return ResourceLimitReached(what, "channels", self._timings.call_timeout)
+        what = "too many leases or requests under way"
+        return ResourceLimitReached(what, "leases", self._timings.call_timeout)
 
     def write(self, term: LeaseTerm, value: bytes, on_written: OnWritten) -> None:
         """Write a lease's whole record, and renew the lease.
@@ -198,7 +198,7 @@
     def release(self, term: LeaseTerm) -> None:
         """End a term under which nothing is out: others may acquire it at once.
 
-        Whoever waits for a write under it is told that it is over.
+        Whoever waits for a write under it gets an error.
         """
         entry = self.leases.get(term.key)
         if entry is not None and entry.term is term and not term.is_ended:
@@ -212,7 +212,7 @@
         return next(iter(self._transport.view.rendezvous(key, 1)), "")
 
     def set_on_foreign_message(self, on_message: OnForeignMessage) -> None:
-        """Set who hears what comes for `MessageKind.CHANNEL` and is of no lease."""
+        """Set who gets messages of `MessageKind.CHANNEL` that are not about leases."""
         self._messenger.on_foreign_message = on_message
 
     def stop(self) -> None:
@@ -259,7 +259,7 @@
             case ProposerEffect.LOSE:
                 self._on_ended(entry, self._round_error(proposer))
             case ProposerEffect.RELEASE:
-                error = LeaseNotHeld("the office was given up", proposer.key)
+                error = LeaseNotHeld("the lease was released", proposer.key)
                 self._on_ended(entry, error)
 
     def _on_held(self, entry: LeaseEntry, is_new: bool) -> None:
@@ -304,7 +304,7 @@
             self._timers.call_soon(on_written, None)
 
     def _refuse_queued(self, entry: LeaseEntry) -> None:
-        error = LeaseNotHeld("the office is not held", entry.proposer.key)
+        error = LeaseNotHeld("the lease is not held", entry.proposer.key)
         for on_written in entry.take_queued():
             self._timers.call_soon(on_written, error)
 
--- a/milletsill/fleet/leases/lease_messenger.py
+++ b/milletsill/fleet/leases/lease_messenger.py
@@ -39,14 +39,14 @@
         settings: Of the lease service.
         environment: What it needs of the program.
         metrics: Of the lease service.
-        clock_id: Drawn at each start; says which clock times are on.
+        clock_id: Drawn at each start; identifies the clock that times are on.
         on_reply: Called with each reply of an acceptor to this gateway.
 
     Attributes:
         acceptor: This gateway's acceptor, None where it is none.
         settings_digest: Digest of what must be the same at all gateways.
-        on_foreign_message: Called with what comes for `MessageKind.CHANNEL` and is not
-            about leases: gateway, its incarnation, body.
+        on_foreign_message: Called with messages of `MessageKind.CHANNEL` that are
+            not about leases: gateway, its incarnation, body.
         is_stopped: Nothing is sent or handed on any more.
     """
 
@@ -83,8 +83,7 @@
     def send_requests(self, acceptor: str, requests: Iterable[AcceptorRequest]) -> None:
         """Send requests to an acceptor.
 
-        One that cannot even be sent to counts as one that said UNAVAILABLE: whoever
-        waits hears it at once.
+        Where that is not possible, the acceptor counts as UNAVAILABLE at once.
         """
         encoded = codec.encode_requests(
             requests, lambda at: self._clocks.to_remote(acceptor, at, self._now())
@@ -125,7 +124,7 @@
             self._send(gateway, payload)
 
     def query_witnesses(self, everybody: bool) -> None:
-        """Ask the acceptors, or all gateways, what they last heard of this one."""
+        """Ask acceptors, or all gateways, which identity of this one they know."""
         names = self._transport.view.by_name if everybody else self._acceptors
         for name in names:
             if name != self._transport.name:
@@ -136,7 +135,7 @@
         self._send(acceptor, wire.Tell(after=after))
 
     def announce_identity(self) -> None:
-        """Tell the other acceptors this one's identity, where it changed.
+        """Send the other acceptors this one's identity, where it changed.
 
         So an older copy of its state shows.
         """
@@ -177,7 +176,7 @@
             self._log("lease_message_error", **error.log_fields(), member=gateway)
 
     def _on_frame(self, gateway: str, frame: wire.Frame) -> None:
-        """Hand a frame on; what only a later version says is left."""
+        """Hand a frame on; what only a later version knows is ignored."""
         payload = frame.WhichOneof("what")
         if gateway in self._acceptors:
             self._on_acceptor_frame(gateway, payload, frame)
@@ -195,7 +194,7 @@
     def _on_acceptor_frame(
         self, name: str, payload: str | None, frame: wire.Frame
     ) -> None:
-        """Handle what only acceptors say."""
+        """Handle what only acceptors send."""
         match payload:
             case "answers":
                 self._on_answers(name, frame.answers)
@@ -228,9 +227,9 @@
     # What is known of acceptors' identities.
 
     def _on_identity(self, name: str, identity: StateIdentity) -> None:
-        """Keep the greatest identity that was heard of an acceptor.
+        """Keep the greatest identity that an acceptor has sent.
 
-        One that says less than that is told so, now and then.
+        One that sends a lesser one gets a witness of it, now and then.
         """
         known = self._known_identity(name)
         if self.acceptor is not None:
@@ -245,11 +244,11 @@
             self._send_witness(name)
 
     def _known_identity(self, name: str) -> StateIdentity | None:
-        heard = self._identities.get(name)
+        received = self._identities.get(name)
         stored = None if self.acceptor is None else self.acceptor.known_identity(name)
-        if heard is None or stored is None:
-            return heard or stored
-        return max(heard, stored)
+        if received is None or stored is None:
+            return received or stored
+        return max(received, stored)
 
     def _send_witness(self, name: str) -> None:
         known = self._known_identity(name)
--- a/milletsill/fleet/leases/lease_proposer.py
+++ b/milletsill/fleet/leases/lease_proposer.py
@@ -1,7 +1,7 @@
 """One lease at one gateway: acquiring, renewing, writing under it, losing it. Pure.
 
 A proposer sends one request at a time to all acceptors, as a `QuorumRound`.
-`proposer_table` says what each event does in each state; `LeaseProposer` carries it
+`proposer_table` has what each event does in each state; `LeaseProposer` carries it
 out.
 """
 
@@ -61,9 +61,9 @@
             for unknown.
         expires_at: When the lease ends on this gateway's clock; 0 without one.
         current_round: The requests under way, if any.
-        release_request: What tells the acceptors that the lease is over, if anything.
-        refusal: The reply that tells most of why the last round failed, if any.
-        highest_round: The highest ballot round that was used or heard of.
+        release_request: Sent to the acceptors when the lease is over, if anything.
+        refusal: The reply that explains best why the last round failed, if any.
+        highest_round: The highest ballot round that was used or is known.
     """
 
     __slots__ = (
--- a/milletsill/fleet/leases/lease_term.py
+++ b/milletsill/fleet/leases/lease_term.py
@@ -17,7 +17,7 @@
         expires_at: When it ends, in ticks on this gateway's clock.
         value: The record that was read or written last.
         value_age: For how long the record had this value at the most when the lease
-            was acquired, in ticks; None where nobody can tell.
+            was acquired, in ticks; None for unknown.
         is_ended: It is over for good.
         proposer: The state machine that holds it.
     """
--- a/milletsill/fleet/leases/messages.py
+++ b/milletsill/fleet/leases/messages.py
@@ -13,9 +13,9 @@
 
 MAX_KEY_BYTES = 255
 MAX_VALUE_BYTES = 16_384
-UNKNOWN = -1  # an age or a time that nobody can tell
-# Creation time of a request from a gateway of an earlier version, which does not say
-# when its value was made: the value counts from its arrival.
+UNKNOWN = -1  # for an age or a time
+# Creation time of a request from a gateway of an earlier version, which does not
+# send when its value was made: the value counts from its arrival.
 CREATED_ON_ARRIVAL = 1 << 62
 
 
@@ -33,10 +33,10 @@
 
 
 class ReplyStatus(Enum):
-    """What an acceptor says to a request.
+    """How an acceptor answers a request.
 
     GRANTED is a promise or an acceptance. BALLOT_TOO_LOW and LEASE_HELD are refusals.
-    UNAVAILABLE says nothing of the lease: the acceptor may not answer now.
+    UNAVAILABLE: the acceptor may not answer now.
     """
 
     GRANTED = 1
@@ -78,7 +78,7 @@
         key: As in the request.
         ballot: As in the request.
         number: As in the request.
-        status: What the acceptor says.
+        status: The answer.
         version: Version of the last write (granted PREPARE).
         value: The record (granted PREPARE).
         value_age: For how long the record has had this value, in ticks, or `UNKNOWN`
--- a/milletsill/fleet/leases/proposer_table.py
+++ b/milletsill/fleet/leases/proposer_table.py
@@ -99,7 +99,7 @@
         (state, ProposerEvent.RELEASE): (_IDLE, ProposerEffect.RELEASE)
         for state in ProposerState
     },
-    # Whoever acquires while a round is under way hears how that ends.
+    # Whoever acquires while a round is under way gets its result.
     **{
         (state, ProposerEvent.ACQUIRE): (state, ProposerEffect.NONE)
         for state in ProposerState
--- a/milletsill/fleet/leases/quorum_round.py
+++ b/milletsill/fleet/leases/quorum_round.py
@@ -59,7 +59,7 @@
         return len(self.refused) > acceptors - majority(acceptors)
 
     def main_refusal(self) -> AcceptorReply | None:
-        """Return the reply that tells most of why the round failed, if any."""
+        """Return the reply that explains best why the round failed, if any."""
         for status in _REFUSALS_BY_WEIGHT:
             for reply in self.refused.values():
                 if reply.status is status:
--- a/milletsill/fleet/leases/recovery_controller.py
+++ b/milletsill/fleet/leases/recovery_controller.py
@@ -102,7 +102,7 @@
         return self._query_others()
 
     def on_witness(self, gateway: str, known: StateIdentity | None) -> None:
-        """Handle what a gateway last heard of this acceptor, also unasked."""
+        """Handle the last identity that a gateway knows of this one, also unasked."""
         store = self._context.store
         if self._recovery is None or store is None:
             return
@@ -167,7 +167,7 @@
         is_new = identity.generation == 0
         error_type = AcceptorStateMissing if is_new else AcceptorStateRolledBack
         what = (
-            f"others heard of state {recovery.highest_age}, past "
+            f"others know of state {recovery.highest_age}, past "
             f"{identity.age}.{identity.generation}"
         )
         self._context.log_error(error_type(what, self._context.settings.store_path))
--- a/milletsill/fleet/leases/request_queue.py
+++ b/milletsill/fleet/leases/request_queue.py
@@ -207,7 +207,7 @@
             return
         if isinstance(result, MilletsillError):
             self._on_failure(batch, result)
-        elif self._is_serving():  # one found stale meanwhile says nothing
+        elif self._is_serving():  # one found stale meanwhile answers nothing
             self._on_success(result)
         self._metrics.waiting.set(len(self._waiting))
         self.pump()
@@ -227,7 +227,7 @@
     def _on_failure(
         self, batch: Sequence[QueuedRequest], error: MilletsillError
     ) -> None:
-        """Tell each sender to come back: nothing of the batch counts."""
+        """Send each sender UNAVAILABLE: nothing of the batch counts."""
         self._context.log_error(error)
         self._metrics.dropped.labels(type(error).__name__).inc(len(batch))
         by_gateway: dict[str, list[AcceptorReply]] = {}
--- a/milletsill/fleet/leases/round_error.py
+++ b/milletsill/fleet/leases/round_error.py
@@ -28,10 +28,10 @@
     if refusal is None or refusal.status is ReplyStatus.UNAVAILABLE:
         retry_after = 0 if refusal is None else refusal.retry_after
         pause = max(timings.call_timeout, retry_after)
-        return QuorumNotReached("too few registers answered", key, pause)
+        return QuorumNotReached("too few acceptors answered", key, pause)
     if refusal.status is ReplyStatus.LEASE_HELD:
         holder = refusal.holder
-        what = f"{holder} has the office"
+        what = f"{holder} holds the lease"
         return NotLeaseHolder(what, key, refusal.retry_after, holder)
     pause = random.randint(*SUPERSEDED_PAUSE)
     return BallotSuperseded("a later ballot was promised", key, pause)
--- a/milletsill/fleet/leases/store_file.py
+++ b/milletsill/fleet/leases/store_file.py
@@ -28,7 +28,7 @@
     """Return the program's error for one of sqlite's."""
     code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     if code == sqlite3.SQLITE_FULL:
-        return DiskFull("no room for the register's file", path)
+        return DiskFull("no room for the acceptor's file", path)
     if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB):
         return AcceptorStateCorrupt(str(error), path)
     return AcceptorStateUnusable(str(error), path)
--- a/milletsill/fleet/leases/store_rows.py
+++ b/milletsill/fleet/leases/store_rows.py
@@ -39,7 +39,7 @@
         ballot_floor: The highest ballot round of all records that were removed.
         uptime: For how long the acceptor was up over all its incarnations, in ticks,
             at the last commit.
-        is_incomplete: The state lacks something that others must tell first.
+        is_incomplete: The state lacks something that must be copied first.
     """
 
     identity: StateIdentity
--- a/milletsill/fleet/peer_clocks.py
+++ b/milletsill/fleet/peer_clocks.py
@@ -1,7 +1,7 @@
-"""What other gateways' clocks read, as far as their messages tell. Pure.
+"""What other gateways' clocks read, as far as their messages show. Pure.
 
 Times are passed in, in whole ticks of a tenth of a millisecond. No clock is set by
-another. A gateway that says what its clock reads has read it before that is heard, so
+another. A gateway that sends what its clock reads has read it before that arrives, so
 from then on it reads at the least that much more than what went by here since, less
 what the rates of two clocks may differ by.
 """
@@ -24,12 +24,12 @@
         clock_id: Drawn at each start of a process: the clocks of two starts have
             nothing to do with each other.
         reading: What that clock read, in ticks.
-        heard_at: What this gateway's clock read when that was heard, in ticks.
+        received_at: What this gateway's clock read when that arrived, in ticks.
     """
 
     clock_id: int
     reading: int
-    heard_at: int
+    received_at: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     def on_reading(self, gateway: str, clock_id: int, reading: int, now: int) -> None:
         """Keep what a gateway's clock read.
 
-        Of two readings of one clock the one that says more now is kept.
+        Of two readings of one clock the one that gives more now is kept.
         """
         held = self.readings.get(gateway)
         is_same_clock = held is not None and held.clock_id == clock_id
@@ -76,7 +76,7 @@
         held = self.readings.get(gateway)
         if held is None:
             return None
-        uncertainty = (now - held.heard_at) * 2 * self.drift_permille // 1000
+        uncertainty = (now - held.received_at) * 2 * self.drift_permille // 1000
         if uncertainty > MAX_UNCERTAINTY:
             return None
         return RemoteTime(held.clock_id, self._least(held, at))
@@ -85,7 +85,7 @@
         """Return the least that clock reads at a time before or after the reading."""
         slow = 1000 - self.drift_permille
         fast = 1000 + self.drift_permille
-        elapsed = at - held.heard_at
+        elapsed = at - held.received_at
         if elapsed >= 0:
             return held.reading + elapsed * slow // fast
         return held.reading - (-elapsed * fast // slow) - 1
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -60,7 +60,7 @@
     Attributes:
         now: True time in ticks.
         history: What counted so far, and what was broken.
-        undated_holders: Those of an earlier version, which do not say so.
+        undated_holders: Those of an earlier version, which do not send it.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         return made
 
     def key(self) -> Hashable:
-        """Return what tells two states apart."""
+        """Return what identifies a state."""
         return (
             self.now,
             self.history.settled_value,
@@ -124,7 +124,7 @@
             if each.proposer.holds(self.clock(name))
         ]
         if len(holding) > 1:
-            self.history.report(f"two hold the office: {holding}")
+            self.history.report(f"two hold the lease: {holding}")
 
     def _check_value(self, name: str, is_read: bool) -> None:
         proposer = self.holders[name].proposer
@@ -247,15 +247,15 @@
     def restart_acceptor(self, name: str, kind: RestartKind) -> None:
         """Start an acceptor again.
 
-        It is rolled back, or its state lost, only where each other acceptor has heard
+        It is rolled back, or its state lost, only where each other acceptor knows
         of something later.
         """
         member = self.acceptors[name]
         others = [each for each in self.acceptors if each != name]
         known_by = [self.acceptors[each].known for each in others]
         if kind is RestartKind.ROLLED_BACK:
-            heard = [known.get(name, NO_IDENTITY) for known in known_by]
-            if not member.roll_back(min(heard, default=member.identity)):
+            known_identities = [known.get(name, NO_IDENTITY) for known in known_by]
+            if not member.roll_back(min(known_identities, default=member.identity)):
                 return
         elif kind is RestartKind.LOST:
             if any(name not in known for known in known_by):
@@ -266,13 +266,13 @@
         self.query_witnesses(name)
 
     def query_witnesses(self, name: str) -> None:
-        """Have an acceptor ask all others what they last heard of it."""
+        """Have an acceptor ask all others for its last identity."""
         for each in [*self.acceptors, *self.holders]:
             if each != name:
                 self.send(each, name, WitnessQuery())
 
     def announce(self, name: str) -> None:
-        """Have an acceptor tell the other acceptors its identity."""
+        """Have an acceptor send the other acceptors its identity."""
         for each in self.acceptors:
             if each != name:
                 self.send(each, name, Witness(name, self.acceptors[name].identity))
@@ -366,7 +366,7 @@
             self.deliver(places[0], False)
 
     def settle(self) -> None:
-        """Deliver all that acceptors say among themselves."""
+        """Deliver all messages between acceptors."""
         kinds = (WitnessQuery, Witness, PageQuery, SnapshotPage)
         for _ in range(40):
             places = [
--- a/milletsill/lab/model_checks/lease_cluster_members.py
+++ b/milletsill/lab/model_checks/lease_cluster_members.py
@@ -48,11 +48,11 @@
 
 
 class WitnessQuery(NamedTuple):
-    """Of an acceptor that may not answer yet: what was last heard of it?"""
+    """Of an acceptor that may not answer yet: which identity is known of it?"""
 
 
 class Witness(NamedTuple):
-    """What was last heard of an acceptor; of the acceptor itself: what it is."""
+    """The identity that is known of an acceptor; from the acceptor itself: its own."""
 
     of: str
     known: StateIdentity | None
@@ -126,7 +126,7 @@
         return made
 
     def key(self) -> Hashable:
-        """Return what tells two states apart."""
+        """Return what identifies a state."""
         return (
             self.record,
             self.grant,
@@ -233,7 +233,7 @@
 
 
 class SimulatedHolder:
-    """One gateway's proposer, and what it heard of acceptors.
+    """One gateway's proposer, and the identities that it knows of acceptors.
 
     `gateway` is the name that it has, which may be another's too.
     """
@@ -268,7 +268,7 @@
         return proposer.value
 
     def key(self) -> Hashable:
-        """Return what tells two states apart."""
+        """Return what identifies a state."""
         proposer = self.proposer
         return (
             proposer.state,
--- a/milletsill/lab/model_checks/lease_history.py
+++ b/milletsill/lab/model_checks/lease_history.py
@@ -37,7 +37,7 @@
         settled_value: The longest value that counted.
         settled_at: True time of that.
         first_counted_at: True time at which each value counted first.
-        created_at: True time at which each value was made, where its holder says so.
+        created_at: True time at which each value was made, where its holder sends it.
     """
 
     def __init__(self) -> None:
--- a/milletsill/lab/model_checks/lease_mutation_checks.py
+++ b/milletsill/lab/model_checks/lease_mutation_checks.py
@@ -154,12 +154,12 @@
 
 
 def _never_stale(known: StateIdentity | None, own: StateIdentity) -> bool:
-    """Nobody's word of later things is believed."""
+    """No witness of a later state is believed."""
     return False
 
 
 def _always_confirmed(recovery: AcceptorRecovery, now: int) -> bool:
-    """An acceptor answers from its start, whoever has said anything."""
+    """An acceptor answers from its start, without witnesses."""
     return True
 
 
@@ -219,7 +219,7 @@
     created_at: int,
     is_original: bool,
 ) -> None:
-    """What a value says of times counts from when it came."""
+    """Times within a value count from when it arrived."""
     _start_accept(proposer, value, now, CREATED_ON_ARRIVAL, is_original)
 
 
