--- a/milletsill/node_connections/attempt_exchange.py
+++ b/milletsill/node_connections/attempt_exchange.py
@@ -14,7 +14,7 @@
 class SendGate(Protocol):
     """Asked again right before an attempt that had to wait is sent."""
 
-    def leaves(self) -> bool:
+    def may_send(self) -> bool:
         """Whether the attempt may still be sent."""
 
 
