--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -122,7 +122,7 @@
         def got(term: Any) -> None:
             if not isinstance(term, MilletsillError):
                 return heirs.append(time.monotonic())
-            reactor.callLater(max(term.pause, 100) / SECOND, heir, channel)
+            reactor.callLater(max(term.retry_delay, 100) / SECOND, heir, channel)
 
         offices.acquire(channel, got)
 
@@ -138,7 +138,7 @@
 
     def again(channel: str, fault: Any) -> None:
         faults[type(fault).__name__] = faults.get(type(fault).__name__, 0) + 1
-        reactor.callLater(max(fault.pause, 100) / SECOND, take, channel)
+        reactor.callLater(max(fault.retry_delay, 100) / SECOND, take, channel)
 
     def write(term: Any) -> None:
         began = time.monotonic()
--- a/milletsill/fleet/channels/command_replies.py
+++ b/milletsill/fleet/channels/command_replies.py
@@ -46,7 +46,7 @@
 
 def retry_delay_of(error: MilletsillError | None) -> int:
     """When to come back after an error, in tenths of a millisecond."""
-    return getattr(error, "pause", 0) or DEFAULT_RETRY_DELAY
+    return getattr(error, "retry_delay", 0) or DEFAULT_RETRY_DELAY
 
 
 def channel_status_packet(channel: ChannelState) -> packets.ExtendedReply:
@@ -130,8 +130,8 @@
 
     def report_error(self, command: ChannelCommand, error: MilletsillError) -> None:
         """Answer why a command comes to nothing."""
-        if isinstance(error, NotLeaseHolder) and error.who:
-            command.on_answer(Redirect(error.who, error.pause))
+        if isinstance(error, NotLeaseHolder) and error.holder:
+            command.on_answer(Redirect(error.holder, error.retry_delay))
             return
         if isinstance(error, CONTRACT_ERRORS):
             self.reply(command, ReplyKind.CONTRADICTION, text=error.what)
--- a/milletsill/fleet/channels/errors.py
+++ b/milletsill/fleet/channels/errors.py
@@ -1,6 +1,6 @@
 """Errors of ordered channels.
 
-`pause` is when a retry helps, in tenths of a millisecond.
+`retry_delay` is when a retry helps, in tenths of a millisecond.
 """
 
 from __future__ import annotations
--- a/milletsill/fleet/leases/acceptor.py
+++ b/milletsill/fleet/leases/acceptor.py
@@ -325,7 +325,7 @@
     return reply._replace(
         status=ReplyStatus.LEASE_HELD,
         promised_round=record.promised.round,
-        retry_after=grant.until - now,
+        retry_delay=grant.until - now,
         holder=record.promised.gateway,
     )
 
--- a/milletsill/fleet/leases/acceptor_recovery.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -327,7 +327,7 @@
         self.wait_until = retry_at
         self._step(RecoveryEvent.WRITE_FAILED)
 
-    def retry_after(self, now: int) -> int:
+    def retry_delay(self, now: int) -> int:
         """Return when to come back to an acceptor that may not answer, in ticks."""
         if self.status in (RecoveryStatus.WAITING, RecoveryStatus.CATCHING_UP):
             return max(self.wait_until - now, QUERY_INTERVAL)
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -187,8 +187,8 @@
             self._context.log_error(LeaseSettingsMismatch(what, gateway))
         is_disk_full = self._context.now() < self._queue.disk_full_until
         if not has_same_settings or not self.is_serving() or is_disk_full:
-            pause = self._recovery.retry_after()
-            self._peers.send_replies(gateway, unavailable(requests, pause))
+            retry_delay = self._recovery.retry_delay()
+            self._peers.send_replies(gateway, unavailable(requests, retry_delay))
             return
         self._queue.add(gateway, requests)
 
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -244,7 +244,7 @@
         answer.aged = reply.value_age
     if reply.status is not ReplyStatus.GRANTED:
         answer.known = reply.promised_round
-        answer.pause = reply.retry_after
+        answer.pause = reply.retry_delay
         answer.who = reply.holder
     return answer
 
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -1,6 +1,6 @@
 """Errors of the lease service, each a type.
 
-`pause` says when coming back helps, in ticks of a tenth of a millisecond; 0 for not
+`retry_delay` is when a retry helps, in ticks of a tenth of a millisecond; 0 for not
 by itself. The metric `milletsill_offices_takes_total` has their names.
 """
 
@@ -12,9 +12,9 @@
 class CoordinationError(MilletsillError):
     """An error of a lease, or of the channel that it is for."""
 
-    def __init__(self, what: str, where: str = "", pause: int = 0) -> None:
+    def __init__(self, what: str, where: str = "", retry_delay: int = 0) -> None:
         super().__init__(what, where)
-        self.pause = pause
+        self.retry_delay = retry_delay
 
 
 class QuorumNotReached(CoordinationError):
@@ -27,7 +27,7 @@
 
 
 class NotLeaseHolder(CoordinationError):
-    """Another gateway, `who`, holds the lease."""
+    """Another gateway, `holder`, holds the lease."""
 
     remedy = (
         "none: the lease passes on when it ends or is released; with one name again "
@@ -35,10 +35,10 @@
     )
 
     def __init__(
-        self, what: str, where: str = "", pause: int = 0, who: str = ""
+        self, what: str, where: str = "", retry_delay: int = 0, holder: str = ""
     ) -> None:
-        super().__init__(what, where, pause)
-        self.who = who
+        super().__init__(what, where, retry_delay)
+        self.holder = holder
 
 
 class BallotSuperseded(CoordinationError):
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -124,8 +124,8 @@
     def acquire(self, key: str, on_acquired: OnAcquired) -> None:
         """Acquire a lease, or renew it.
 
-        `on_acquired` gets a `LeaseTerm`, or an error whose `pause` is when to come
-        back, in ticks.
+        `on_acquired` gets a `LeaseTerm`, or an error whose `retry_delay` is when to
+        come back, in ticks.
         """
         refusal = self._acquire_refusal(key)
         if refusal is not None:
--- a/milletsill/fleet/leases/lease_settings.py
+++ b/milletsill/fleet/leases/lease_settings.py
@@ -51,7 +51,7 @@
         idle_after: An acceptor removes the record of a lease that was unused for so
             long, in ticks.
         store_path: File of this gateway's acceptor, if it is one.
-        seed: Of the random pauses after a ballot was superseded.
+        seed: Of the random retry delays after a ballot was superseded.
         max_value_bytes: Longest record; the protocol's bound holds as well.
         max_store_pages: Bound of the file in sqlite's pages; 0 for none.
     """
--- a/milletsill/fleet/leases/messages.py
+++ b/milletsill/fleet/leases/messages.py
@@ -84,7 +84,7 @@
         value_age: For how long the record has had this value, in ticks, or `UNKNOWN`
             (granted PREPARE).
         promised_round: Round of the ballot that was promised (refusals).
-        retry_after: When to come back, in ticks (LEASE_HELD and UNAVAILABLE).
+        retry_delay: When to come back, in ticks (LEASE_HELD and UNAVAILABLE).
         holder: Name of the gateway that holds the lease (LEASE_HELD).
         is_copied: The acceptor did not accept the write, it copied it from another.
         is_original: The value was new in the last write.
@@ -99,14 +99,14 @@
     value: bytes = b""
     value_age: int = UNKNOWN
     promised_round: int = 0
-    retry_after: int = 0
+    retry_delay: int = 0
     holder: str = ""
     is_copied: bool = False
     is_original: bool = False
 
     @classmethod
     def to_request(
-        cls, request: AcceptorRequest, status: ReplyStatus, retry_after: int = 0
+        cls, request: AcceptorRequest, status: ReplyStatus, retry_delay: int = 0
     ) -> AcceptorReply:
         """Return a reply without a record."""
         return cls(
@@ -115,5 +115,5 @@
             request.ballot,
             request.number,
             status,
-            retry_after=retry_after,
+            retry_delay=retry_delay,
         )
--- a/milletsill/fleet/leases/recovery_controller.py
+++ b/milletsill/fleet/leases/recovery_controller.py
@@ -88,11 +88,11 @@
         recovery = self._recovery
         return recovery is not None and recovery.status is RecoveryStatus.SERVING
 
-    def retry_after(self) -> int:
+    def retry_delay(self) -> int:
         """Return when to come back, in ticks."""
         if self._recovery is None or self.is_serving():
             return RETRY_INTERVAL
-        return self._recovery.retry_after(self._context.now())
+        return self._recovery.retry_delay(self._context.now())
 
     def on_timer(self) -> bool:
         """Handle what time alone brings; return whether others had to be asked."""
--- a/milletsill/fleet/leases/request_queue.py
+++ b/milletsill/fleet/leases/request_queue.py
@@ -63,13 +63,15 @@
     seconds: float
 
 
-def unavailable(requests: Iterable[AcceptorRequest], pause: int) -> list[AcceptorReply]:
+def unavailable(
+    requests: Iterable[AcceptorRequest], retry_delay: int
+) -> list[AcceptorReply]:
     """Return the replies of an acceptor that may not answer.
 
     A RELEASE has no reply.
     """
     return [
-        AcceptorReply.to_request(each, ReplyStatus.UNAVAILABLE, pause)
+        AcceptorReply.to_request(each, ReplyStatus.UNAVAILABLE, retry_delay)
         for each in requests
         if each.kind is not RequestKind.RELEASE
     ]
--- a/milletsill/fleet/leases/round_error.py
+++ b/milletsill/fleet/leases/round_error.py
@@ -16,7 +16,7 @@
 
 # When to come back after a superseded ballot, in ticks: by chance in between, so that
 # two gateways do not meet again and again.
-SUPERSEDED_PAUSE = (500, 3000)
+SUPERSEDED_RETRY_DELAY = (500, 3000)
 
 
 def round_error(
@@ -26,12 +26,12 @@
     key = proposer.key
     refusal = proposer.refusal
     if refusal is None or refusal.status is ReplyStatus.UNAVAILABLE:
-        retry_after = 0 if refusal is None else refusal.retry_after
-        pause = max(timings.call_timeout, retry_after)
-        return QuorumNotReached("too few acceptors answered", key, pause)
+        suggested = 0 if refusal is None else refusal.retry_delay
+        retry_delay = max(timings.call_timeout, suggested)
+        return QuorumNotReached("too few acceptors answered", key, retry_delay)
     if refusal.status is ReplyStatus.LEASE_HELD:
         holder = refusal.holder
         what = f"{holder} holds the lease"
-        return NotLeaseHolder(what, key, refusal.retry_after, holder)
-    pause = random.randint(*SUPERSEDED_PAUSE)
-    return BallotSuperseded("a later ballot was promised", key, pause)
+        return NotLeaseHolder(what, key, refusal.retry_delay, holder)
+    retry_delay = random.randint(*SUPERSEDED_RETRY_DELAY)
+    return BallotSuperseded("a later ballot was promised", key, retry_delay)
--- a/tests/fleet/leases/test_codec.py
+++ b/tests/fleet/leases/test_codec.py
@@ -44,7 +44,7 @@
                 2,
                 ReplyStatus.LEASE_HELD,
                 promised_round=4,
-                retry_after=7,
+                retry_delay=7,
                 holder="b",
             ),
             AcceptorReply(RequestKind.PREPARE, "c", A, 0, ReplyStatus.GRANTED),
