--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -146,7 +146,7 @@
         channel=request.key,
         round=request.ballot.round,
         nonce=request.ballot.nonce,
-        index=request.index,
+        index=request.number,
     )
     if request.kind is RequestKind.ACCEPT:
         call.value = request.value
@@ -161,7 +161,7 @@
 ) -> AcceptorRequest | None:
     """Read a request; None for a kind that only a later version knows.
 
-    `created_at` holds where the request itself does not say.
+    `created_at` holds where the request itself has none.
     """
     kind = _REQUEST_KINDS.get(call.ask)
     if kind is None:
@@ -202,8 +202,8 @@
 ) -> list[AcceptorRequest]:
     """Read what can be read of a frame's requests.
 
-    Creation times on a clock that is not this one's, `clock_id`, say nothing. A
-    gateway of an earlier version gives none at all.
+    Creation times on a clock that is not this one's, `clock_id`, are left out. A
+    gateway of an earlier version sends none at all.
     """
     created_at = UNKNOWN if calls.HasField("whose") else CREATED_ON_ARRIVAL
     requests = []
@@ -229,7 +229,7 @@
         channel=reply.key,
         round=reply.ballot.round,
         nonce=reply.ballot.nonce,
-        index=reply.index,
+        index=reply.number,
         say=reply.status.value,
     )
     if reply.version != UNWRITTEN:
@@ -244,7 +244,7 @@
         answer.aged = reply.value_age
     if reply.status is not ReplyStatus.GRANTED:
         answer.known = reply.promised_round
-        answer.pause = reply.retry_after
+        answer.pause = reply.retry_delay
         answer.who = reply.holder
     return answer
 
@@ -278,7 +278,7 @@
 
 
 def encode_record(record: LeaseRecord, key: str = "") -> wire.Kept:
-    """Return a record, as it is told to another acceptor and as it is stored."""
+    """Return a record as it is sent to another acceptor and as it is stored."""
     kept = wire.Kept(promised=_encode_ballot(record.promised))
     if key:
         kept.channel = key
--- a/milletsill/fleet/leases/store_rows.py
+++ b/milletsill/fleet/leases/store_rows.py
@@ -9,7 +9,7 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.frames.codec import MalformedFrame
+from milletsill.fleet.errors import MalformedFrame
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import LeaseRecord
 from milletsill.fleet.leases.acceptor_recovery import StateIdentity
@@ -39,7 +39,7 @@
         ballot_floor: The highest ballot round of all records that were removed.
         uptime: For how long the acceptor was up over all its incarnations, in ticks,
             at the last commit.
-        is_incomplete: The state lacks something that others must tell first.
+        is_incomplete: The state lacks something that must be copied first.
     """
 
     identity: StateIdentity
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/guards.py
@@ -65,7 +65,7 @@
         ReportStore, "delta_since", lambda self, origin, known: None
     ),
     **{
-        f"registers: {each}": partial(lease_mutation_checks.without_guard, each)
+        f"leases: {each}": partial(lease_mutation_checks.without_guard, each)
         for each in lease_mutation_checks.MUTATIONS
     },
 }
