--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -24,8 +24,12 @@
 from milletsill.node_connections.attempt_exchange import PooledExchange
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.pool_config import PoolConfig
-from milletsill.registry.endpoint_view import Box
-from milletsill.registry.registry_watcher import Follower
+from milletsill.registry.registered_node import RegisteredNode
+from milletsill.registry.registry_watcher import (
+    RegistryCallbacks,
+    RegistryConfig,
+    RegistryWatcher,
+)
 from milletsill.scheduler import Scheduler
 from milletsill.sftp.extensions import Order
 from milletsill.sftp_gateway import deployment
@@ -91,16 +95,25 @@
             if file.HasField("seed")
             else random.SystemRandom().getrandbits(63)
         )
-        self.follower = Follower(
+        self.follower = RegistryWatcher(
             reactor,
             now,
-            file.registry,
-            config.slow_start_duration,
-            os.path.join(file.state_dir, "boxes.json"),
-            self.listed,
-            self.moved,
-            lambda text: self.remark("list", reason=text),
-            file.name,
+            RegistryConfig(
+                address=file.registry.address,
+                prefix=file.registry.prefix,
+                gateway=file.name,
+                call_timeout=file.registry.call_ms / 1000,
+                connect_timeout=file.registry.connect_ms / 1000,
+                max_line=file.registry.most_line,
+                max_nodes=file.registry.most_boxes,
+                warm_after=config.slow_start_duration,
+                cache_path=os.path.join(file.state_dir, "boxes.json"),
+            ),
+            RegistryCallbacks(
+                on_endpoints=self.listed,
+                on_nodes=self.moved,
+                log=lambda text: self.remark("list", reason=text),
+            ),
             random.Random(f"{seed} list").uniform,
         )
         self.traces = self.tracer(config, seed) if file.HasField("trace") else None
@@ -114,7 +127,7 @@
             make,
             HostCallbacks(
                 start_attempt=self.carry,
-                watch_endpoints=self.follower.ask,
+                watch_endpoints=self.follower.request_watch,
                 log=lambda text: self.remark("module", reason=text),
                 count=self.figures.note,
             ),
@@ -166,19 +179,9 @@
 
     def planned(self, config: DeploymentConfig, seed: int) -> Any:
         """Parts from a planner; none of their code is loaded where the file does not ask for them."""
-        from milletsill.planner.quota_client import Parts
+        from milletsill.planner.quota_client import QuotaClient
 
-        return Parts(
-            self.reactor,
-            self.now,
-            self.file,
-            config,
-            seed + 2,
-            self.incarnation,
-            self.host,
-            self.remark,
-            self.figures.registry,
-        )
+        return QuotaClient.for_gateway(self, config, seed + 2)
 
     def among_others(self, seed: int) -> Any:
         """The fleet's view; none of its code is loaded where the file does not ask for it."""
@@ -199,9 +202,9 @@
 
     def sharing(self, seed: int) -> Any:
         """Health that is shared; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.health.health_sharing import sharing_of
+        from milletsill.fleet.health.shared_health import SharedHealth
 
-        return sharing_of(self, seed + 5)
+        return SharedHealth.for_gateway(self, seed + 5)
 
     def channelled(self, seed: int) -> Any:
         """Contracts on the order of channels; none of their code is loaded where the file does not ask for it."""
@@ -414,7 +417,7 @@
         if self.traces is not None:
             self.traces.look()
         if self.parts is not None:
-            self.parts.look()
+            self.parts.on_tick()
         idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
             client.tick(idle)
@@ -426,11 +429,11 @@
         self.figures.news.labels(news.value).inc()
         self.host.on_endpoints(news, entries)
         if self.health is not None:
-            self.health.listed(news, entries)
+            self.health.on_endpoints(news, entries)
         if self.parts is not None:
-            self.parts.listed(entries)
+            self.parts.on_endpoints(entries)
 
-    def moved(self, boxes: list[Box]) -> None:
+    def moved(self, boxes: list[RegisteredNode]) -> None:
         """Links follow the list: a new address gets a pool of its own, a box that left loses its."""
         self.figures.boxes.set(len(boxes))
         for box in boxes:
