--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -10,7 +10,6 @@
 from collections.abc import Iterable
 from random import Random, SystemRandom
 
-from milletsill.errors import MilletsillError
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases.acceptor_host import AcceptorHost
 from milletsill.fleet.leases.acceptor_service import AcceptorService
@@ -277,11 +276,11 @@
         return max(self.now() - proposer.value_since, 0)
 
     def _finish_acquire(
-        self, entry: LeaseEntry, result: LeaseTerm | MilletsillError
+        self, entry: LeaseEntry, result: LeaseTerm | CoordinationError
     ) -> None:
         waiting = entry.take_acquiring()
         if waiting:
-            is_error = isinstance(result, MilletsillError)
+            is_error = isinstance(result, CoordinationError)
             fate = type(result).__name__ if is_error else "held"
             self._metrics.acquisitions.labels(fate).inc()
         for on_acquired in waiting:
--- a/milletsill/fleet/leases/lease_term.py
+++ b/milletsill/fleet/leases/lease_term.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from milletsill.errors import MilletsillError
+from milletsill.fleet.leases.errors import CoordinationError
 from milletsill.fleet.leases.lease_proposer import LeaseProposer
 
 
@@ -66,8 +66,8 @@
         self._terms_in_use.discard(self)
 
 
-OnAcquired = Callable[[LeaseTerm | MilletsillError], None]
-OnWritten = Callable[[MilletsillError | None], None]
+OnAcquired = Callable[[LeaseTerm | CoordinationError], None]
+OnWritten = Callable[[CoordinationError | None], None]
 
 
 class LeaseEntry:
