--- a/milletsill/deployment_settings.py
+++ b/milletsill/deployment_settings.py
@@ -51,15 +51,17 @@
 # What the settings may hold, by section; "" is their top. Those that stand here and are
 # not read mean nothing to a gateway.
 KNOWN_SETTINGS = {
-    "": "callers classes extra family fees goal kinds limits membership_mode peers_total "
-    "plans report resolution_ns rules self_index stages tier weights zone zones",
+    "": "callers classes extra family fees goal kinds limits membership_mode "
+    "peers_total plans report resolution_ns rules self_index stages tier weights zone "
+    "zones",
     "classes": "aim_ns aim_stretch group hard_limit_ns idempotency late_value name "
     "sequential streaming window_ns worth",
-    "plans": "cap_slack ceiling_rate guaranteed most_at_once name pays shares usual_rate",
+    "plans": "cap_slack ceiling_rate guaranteed most_at_once name pays shares "
+    "usual_rate",
     "extra": "cold_bears fair_worth largest meter_ns slots_total spare_worth "
     "tells_elsewhere unit_mean writes",
-    "fees": "connection cross_zone handshake late_fail membership_mode moves origin peer "
-    "probe waste",
+    "fees": "connection cross_zone handshake late_fail membership_mode moves origin "
+    "peer probe waste",
     "limits": "cancel conn_idle_ns cpu_us_per_request cpu_us_per_s dial_timeout_ns "
     "max_attempts max_retry_after_ns max_streams may_probe most_held peers retry_after "
     "second_copies",
@@ -70,12 +72,12 @@
 
 
 def ticks_at_most(nanoseconds: float) -> int:
-    """A span that must not be passed: rounded down, less one for the clock's own rounding."""
+    """A span not to be passed: rounded down, less one for the clock's rounding."""
     return max(int(nanoseconds) // NANOSECONDS_PER_TICK - 1, 0)
 
 
 def ticks_at_least(nanoseconds: float) -> int:
-    """A span that must have passed: rounded up, one more for the clock's own rounding."""
+    """A span that must pass: rounded up, one more for the clock's rounding."""
     if not nanoseconds:
         return 0
     return -(-int(nanoseconds) // NANOSECONDS_PER_TICK) + 1
@@ -217,7 +219,7 @@
 
 
 def unknown_settings(given: Mapping[str, Any]) -> list[str]:
-    """Names in settings that were read and that no page tells of: a new layout's, or a slip."""
+    """Names in the settings that no page tells of: a new layout's, or a slip."""
     found = [name for name in given if name not in KNOWN_SETTINGS[""].split()]
     for section, names in KNOWN_SETTINGS.items():
         value = given.get(section) if section else None
@@ -277,10 +279,10 @@
 
 
 def _gateway_count(top: SettingsSection) -> int:
-    """How many share limits and what cold nodes bear: nothing safe can stand in for it."""
+    """How many share limits and slow-start budgets; nothing safe stands in for it."""
     if not top.integer("peers_total"):
         raise ValueError(
-            "peers_total: missing or 0, and the parts of limits and of cold nodes' budgets "
-            "rest on it"
+            "peers_total: missing or 0, and the parts of limits and of cold nodes' "
+            "budgets rest on it"
         )
     return top.integer("peers_total")
--- a/milletsill/gateway/scheduler_host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -28,6 +28,7 @@
     AttemptResult,
     Endpoint,
     EndpointUpdateKind,
+    GrantedShare,
     QuotaKind,
     Request,
     SchedulerEffects,
@@ -135,7 +136,8 @@
         self, what: QuotaKind, id: int, share: float | None, ends: int, after: float
     ) -> None:
         """Pass this gateway's share of a quota on."""
-        self.scheduler.on_quota_share(self.now(), what, id, share, ends, after)
+        granted = GrantedShare(share, ends, after)
+        self.scheduler.on_quota_share(self.now(), what, id, granted)
         self.dispatch_soon()
 
     def on_health_advice(self, node: int, load: float, avoid: bool, until: int) -> None:
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -8,7 +8,6 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from milletsill.errors import ConfigurationRejected
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.deployment_settings import (
     SettingsSection,
@@ -17,6 +16,7 @@
     ticks_at_most,
     unknown_settings,
 )
+from milletsill.errors import ConfigurationRejected
 from milletsill.http_gateway.endpoints import (
     EndpointUpdate,
     InvalidEndpoint,
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -325,23 +325,24 @@
         )
         self.tally.clear()
         self.late = self.remarks = 0
-        nodes = getattr(self.host.scheduler, "nodes", {})
+        scheduler = self.host.scheduler
+        nodes = scheduler.state.nodes if isinstance(scheduler, Scheduler) else {}
         for number, there in self.fleet.nodes.items():
             node = nodes.get(number)
             if node is not None and (
-                there.links or there.waiting or node.extents or node.lapses
+                there.links or there.waiting or node.by_key or node.failures
             ):
                 self.log.info(
                     "node",
                     id=there.name,
                     health=node.health.name,
-                    out=len(node.out),
-                    held=len(node.extents),
+                    out=len(node.in_flight),
+                    held=len(node.by_key),
                     window=round(node.window, 1),
-                    lapses=node.lapses,
+                    lapses=node.failures,
                     latency_ms=round((node.latency or 0) / 10),
                     pace_ms=round(node.pace / 10),
-                    best_ms=round(node.best / 10),
+                    best_ms=round(node.best_pace / 10),
                     links=len(there.links),
                     free=len(there.free),
                     waiting=len(there.waiting),
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -4,11 +4,10 @@
 
 import re
 from collections.abc import Mapping
-from typing import Any
 
-from milletsill.errors import InvalidValue
 from milletsill.deployment_config import DeploymentConfig, RetrySafety
 from milletsill.deployment_settings import LOAD_REPORT_NAMES
+from milletsill.errors import InvalidValue
 from milletsill.http1.message import HttpMessage
 from milletsill.interface import Request
 
--- a/milletsill/interface.py
+++ b/milletsill/interface.py
@@ -37,7 +37,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list holds; the values are those of trace files."""
+    """What an update of the endpoint list holds; the values are as in trace files."""
 
     DELTA = "changes"
     SNAPSHOT = "whole"
@@ -46,7 +46,7 @@
 
 
 class QuotaKind(StrEnum):
-    """What all gateways share; the values are those of trace files and of the planner."""
+    """What all gateways share; the values are as in trace files and at the planner."""
 
     # A volume's limit.
     LIMIT = "limit"
@@ -56,6 +56,19 @@
     SLOW_START = "cold"
 
 
+@dataclass(frozen=True, slots=True)
+class GrantedShare:
+    """This gateway's part of a whole until a time, and its part from then on.
+
+    Attributes:
+        share: a fraction of the whole; None: the even part, without an end.
+    """
+
+    share: float | None
+    expires_at: int
+    fallback_share: float
+
+
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """What the endpoint list says of one node.
@@ -182,20 +195,12 @@
     def on_timer(self, now: int, token: object) -> None:
         """The time of a timer has come."""
 
-    def on_quota_share(  # noqa: PLR0913 - as many as there are facts
-        self,
-        now: int,
-        kind: QuotaKind,
-        id: int,
-        share: float | None,
-        expires_at: int,
-        fallback_share: float,
+    def on_quota_share(
+        self, now: int, kind: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
         """Another part than the even one of what all gateways share.
 
-        It is `share` until `expires_at`, then `fallback_share`; a share of None is the
-        even part again. `id` is the volume's number or, for a slow-start budget, the
-        node's id.
+        `id` is the volume's number or, for a slow-start budget, the node's id.
         """
 
     def on_health_advice(
--- a/milletsill/lab/baselines.py
+++ b/milletsill/lab/baselines.py
@@ -16,6 +16,7 @@
     Endpoint,
     EndpointUpdateKind,
     AttemptOutcome,
+    GrantedShare,
     QuotaKind,
     SchedulerEffects,
     Readiness,
@@ -41,13 +42,7 @@
         port.watch_endpoints()
 
     def on_quota_share(
-        self,
-        now: int,
-        what: QuotaKind,
-        id: int,
-        share: float | None,
-        ends: int,
-        after: float,
+        self, now: int, what: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
         """Knows no rules."""
 
--- a/milletsill/scheduler/attempt_results.py
+++ b/milletsill/scheduler/attempt_results.py
@@ -36,7 +36,7 @@
         self._lifecycle = lifecycle
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
-        """Take in one result; one of an attempt that is not in flight changes nothing."""
+        """Take in one result; that of an attempt not in flight changes nothing."""
         state = self._state
         attempt_id = (result.request_id, result.attempt_number)
         attempt = state.in_flight.pop(attempt_id, None)
--- a/milletsill/scheduler/batch_delay_edf.py
+++ b/milletsill/scheduler/batch_delay_edf.py
@@ -1,4 +1,4 @@
-"""The ordinary path, batch-and-delay EDF: what leaves next for a node, and what gives way.
+"""The ordinary path, batch-and-delay EDF: what leaves next, and what gives way.
 
 docs/design.md has the paper, and where this departs from it.
 """
@@ -144,7 +144,7 @@
     def _first_sendable(
         self, node: StorageNode, queue: Queue, now: int
     ) -> QueuedRequest | None:
-        """The first of a queue that may go now; else the node is looked at again in time."""
+        """The first of a queue that may go now; else a timer is set for the soonest."""
         soonest = NEVER
         for _, _, request in queue:
             wait = max(
@@ -161,7 +161,7 @@
     def _least_useful(
         self, node: StorageNode, queue: Queue, clock: float, time_per_unit: float
     ) -> QueuedRequest | None:
-        """The least useful of those up to the first that cannot leave in time, if any."""
+        """The least useful up to the first that cannot leave in time, if any."""
         is_background = queue is node.background_queue
         may_be_late = is_background and not node.is_crowded()
         for place, (_, _, request) in enumerate(queue):
--- a/milletsill/scheduler/key_ordering.py
+++ b/milletsill/scheduler/key_ordering.py
@@ -71,7 +71,7 @@
             queue.quarantined_until = now + self._quarantine
 
     def forget_idle(self, now: int) -> None:
-        """Look at the key that was looked at longest ago; forget it where it is not needed."""
+        """Forget the key that was looked at longest ago, where it is not needed."""
         key = next(iter(self.queues), None)
         if key is None:
             return
--- a/milletsill/scheduler/lifecycle.py
+++ b/milletsill/scheduler/lifecycle.py
@@ -1,4 +1,4 @@
-"""Rule 1: each request gets one final answer, in time. It is given here and nowhere else."""
+"""Rule 1: each request gets one final answer, in time, from here and nowhere else."""
 
 from milletsill.interface import AttemptOutcome, AttemptResult
 from milletsill.scheduler.constants import FINAL_TICKS
--- a/milletsill/scheduler/outlier_detection.py
+++ b/milletsill/scheduler/outlier_detection.py
@@ -81,7 +81,10 @@
     def on_health_advice(
         self, node: StorageNode, load_factor: float, avoid: bool, until: int, now: int
     ) -> None:
-        """Take in the fleet's view; what this gateway heard of the node just now goes before."""
+        """Take in the fleet's view of a node.
+
+        What this gateway heard of the node just now goes before.
+        """
         if now >= until:
             return
         node.fleet_load_factor = load_factor
--- a/milletsill/scheduler/placement.py
+++ b/milletsill/scheduler/placement.py
@@ -1,4 +1,4 @@
-"""At which node a request is queued, before that node's queues decide when it leaves."""
+"""At which node a request is queued; that node's queues decide when it leaves."""
 
 from milletsill.scheduler.constants import (
     FOLLOWER_COST,
@@ -19,7 +19,7 @@
 
 
 class Placement:
-    """Puts requests into the queues of nodes, and takes them back from those that leave."""
+    """Puts requests into nodes' queues, and takes them back from nodes that leave."""
 
     def __init__(
         self,
@@ -140,7 +140,7 @@
                 self._state.unplaced.append(request)
 
     def _retry_candidates(self, request: QueuedRequest, now: int) -> list[StorageNode]:
-        """The candidates, without those that may not get another attempt if any other may."""
+        """The candidates; only those that may get another attempt, if any may."""
         nodes = self.candidates(request)
         if not request.attempts:
             return nodes
--- a/milletsill/scheduler/quota_shares.py
+++ b/milletsill/scheduler/quota_shares.py
@@ -2,14 +2,14 @@
 
 from typing import NamedTuple
 
-from milletsill.interface import QuotaKind
+from milletsill.interface import GrantedShare, QuotaKind
 
 # No part is smaller, so that a whole is never divided by nothing.
 MIN_SHARE = 1e-9
 
 
-class GrantedShare(NamedTuple):
-    """A part of a whole until a time, and the part from then on."""
+class ShareInForce(NamedTuple):
+    """A part that is not the even one; fields as in `GrantedShare`."""
 
     share: float
     expires_at: int
@@ -24,13 +24,15 @@
     """
 
     def __init__(self) -> None:
-        self.granted: dict[tuple[QuotaKind, int], GrantedShare] = {}
+        self.granted: dict[tuple[QuotaKind, int], ShareInForce] = {}
 
-    def grant(self, kind: QuotaKind, id: int, granted: GrantedShare | None) -> None:
-        """Set a part; None: the even one again."""
+    def grant(self, kind: QuotaKind, id: int, granted: GrantedShare) -> None:
+        """Set a part, or the even one again."""
         self.granted.pop((kind, id), None)
-        if granted is not None:
-            self.granted[kind, id] = granted
+        if granted.share is not None:
+            self.granted[kind, id] = ShareInForce(
+                granted.share, granted.expires_at, granted.fallback_share
+            )
 
     def is_granted(self, kind: QuotaKind, id: int) -> bool:
         """Whether the part is another than the even one."""
--- a/milletsill/scheduler/rate_limiter.py
+++ b/milletsill/scheduler/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Rule 7: what a gateway sends of a volume stays under its part of the volume's limit."""
+"""Rule 7: what is sent of a volume stays under this gateway's part of its limit."""
 
 from milletsill.interface import QuotaKind
 from milletsill.scheduler.constants import TICKS_PER_SECOND
--- a/milletsill/scheduler/records.py
+++ b/milletsill/scheduler/records.py
@@ -71,8 +71,9 @@
         self.used_at = now
 
     def estimated_reserve_rate(self) -> float:
-        """This gateway's part of the reserve; an estimate, since others' use is not known."""
-        return self.plan.reserved_rate * self.gateway_count**-RESERVE_EXPONENT
+        """This gateway's part of the reserve: an estimate, others' use is not known."""
+        part: float = self.gateway_count**-RESERVE_EXPONENT
+        return self.plan.reserved_rate * part
 
     def fill_limit(self, divisor: float, now: int) -> float:
         """Fill the limit at one part in `divisor` of its rate and burst; its level."""
@@ -82,7 +83,7 @@
         )
 
     def is_forgettable(self, now: int, largest_request: float) -> bool:
-        """Whether a new record would be no freer: nothing in flight and both buckets full.
+        """Whether a new record would be no freer: none in flight, both buckets full.
 
         For rule 7: a new limit holds no more than one that has filled since this
         gateway's start.
@@ -102,14 +103,17 @@
     """A client's request from its arrival to its final answer.
 
     Attributes:
-        target: until when an answer has its full worth. tag: by when it should leave;
-        the order of the deadline queue. weight: the worth of one of its units.
-        is_reserved: whether the volume's reserve covers it. has_spent_credit: whether
-        its next attempt has been paid for with a node's credit. arrival_gap: the span
-        since this gateway's last request for the same shard. admission_draw: its number
-        for slow-start draws; below 0 until it is drawn. node: the node that it was last
-        queued at. queue: the queue that it is in; None: in none. queue_order: its place
-        in that queue. sequence: grows with each time a request is put into a queue.
+        target: until when an answer has its full worth.
+        tag: by when it should leave; the order of the deadline queue.
+        weight: the worth of one of its units.
+        is_reserved: whether the volume's reserve covers it.
+        has_spent_credit: whether a node's credit has paid for its next attempt.
+        arrival_gap: the span since this gateway's last request for the same shard.
+        admission_draw: its number for slow-start draws; below 0 until it is drawn.
+        node: the node that it was last queued at.
+        queue: the queue that it is in; None: in none.
+        queue_order: its place in that queue.
+        sequence: grows with each time a request is put into a queue.
     """
 
     __slots__ = (
@@ -170,7 +174,7 @@
         return [each for each in self.attempts if each.outcome not in NOT_EXECUTED]
 
     def fits_any_node(self) -> bool:
-        """Whether it is a new object, which any node may take until it may have executed."""
+        """Whether it is a new object that any node may take, since none may have it."""
         return self.shard is None and not self.possibly_executed()
 
     def is_in_flight(self) -> bool:
--- a/milletsill/scheduler/retry_policy.py
+++ b/milletsill/scheduler/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent again: its attempts, rule 2, the node's credit and rule 6."""
+"""Whether a request may be sent again: attempts, rule 2, retry credit and rule 6."""
 
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.scheduler.constants import NEVER
@@ -17,7 +17,7 @@
         self._budget = budget
 
     def wait_time(self, request: QueuedRequest, node: StorageNode, now: int) -> int:
-        """0 if the request may go to the node now, else how long to wait; NEVER: for good."""
+        """0 if the request may go to the node now, else how long to wait, or NEVER."""
         if not request.attempts:
             return 0
         if (
--- a/milletsill/scheduler/scheduler.py
+++ b/milletsill/scheduler/scheduler.py
@@ -8,6 +8,7 @@
     AttemptResult,
     Endpoint,
     EndpointUpdateKind,
+    GrantedShare,
     QuotaKind,
     Request,
     SchedulerEffects,
@@ -24,7 +25,7 @@
 from milletsill.scheduler.lifecycle import RequestLifecycle
 from milletsill.scheduler.outlier_detection import OutlierDetection
 from milletsill.scheduler.placement import Placement
-from milletsill.scheduler.quota_shares import GrantedShare, QuotaShares
+from milletsill.scheduler.quota_shares import QuotaShares
 from milletsill.scheduler.rate_limiter import RateLimiter
 from milletsill.scheduler.records import QueuedRequest, StorageNode
 from milletsill.scheduler.retry_budget import RetryBudget
@@ -39,7 +40,7 @@
 
 
 class Scheduler:
-    """Every decision of one gateway: what leaves when, for which node, and what is given up.
+    """Every decision of one gateway: what leaves when and for which node.
 
     A host makes one with the configuration, a seed, the time and its effects, tells it
     what happens by the methods `on_...`, and calls `dispatch_pending` when nothing more
@@ -141,25 +142,16 @@
         elif token is TimerToken.RENEW_WATCH:
             self.endpoints.on_watch_timer()
 
-    def on_quota_share(  # noqa: PLR0913 - the interface's
-        self,
-        now: int,
-        kind: QuotaKind,
-        id: int,
-        share: float | None,
-        expires_at: int,
-        fallback_share: float,
+    def on_quota_share(
+        self, now: int, kind: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
         """Take another part than the even one of what all gateways share.
 
         What has filled until now fills at the part that held until now.
         """
-        if kind == QuotaKind.LIMIT and id in self.volumes.by_id:
+        if kind is QuotaKind.LIMIT and id in self.volumes.by_id:
             self.rate_limiter.settle(self.volumes.by_id[id], now)
-        granted = None
-        if share is not None:
-            granted = GrantedShare(share, expires_at, fallback_share)
-        self.quota_shares.grant(QuotaKind(kind), id, granted)
+        self.quota_shares.grant(kind, id, granted)
 
     def on_health_advice(
         self, now: int, node_id: int, load_factor: float, avoid: bool, expires_at: int
@@ -218,7 +210,10 @@
         return min(start + objective, request.deadline)
 
     def _set_request_timers(self, request: QueuedRequest, now: int) -> None:
-        """A host keeps timers until they are due: a weak reference does not hold the request."""
+        """Set both timers, which hold the request by a weak reference.
+
+        A host keeps timers until they are due, and the request may be over long before.
+        """
         set_timer = self.state.effects.set_timer
         set_timer(self.lifecycle.answer_time(request), ref(request))
         unsent_for = int(UNSENT_TIME_SHARE * (request.deadline - now))
--- a/milletsill/scheduler/send_gate.py
+++ b/milletsill/scheduler/send_gate.py
@@ -1,4 +1,4 @@
-"""The gate: every attempt passes `wait_time` and then `send`, and nothing else sends."""
+"""The gate: each attempt passes `wait_time` and then `send`; nothing else sends."""
 
 from dataclasses import dataclass
 
@@ -44,7 +44,7 @@
         self._rate_limiter = rules.rate_limiter
 
     def wait_time(self, request: QueuedRequest, node: StorageNode, now: int) -> int:
-        """0 if the request may go to the node now, else how long to wait before asking again.
+        """0 if the request may go to the node now, else after how long to ask again.
 
         Rules 1 and 3 are kept first; a draining node's grace is not used.
         """
--- a/milletsill/scheduler/service_estimator.py
+++ b/milletsill/scheduler/service_estimator.py
@@ -1,4 +1,4 @@
-"""What requests take: the usual time of a unit, each node's latency and its load factor."""
+"""What requests take: the usual time of a unit, nodes' latencies and load factors."""
 
 from milletsill.interface import AttemptResult
 from milletsill.scheduler.constants import (
--- a/milletsill/scheduler/slow_start.py
+++ b/milletsill/scheduler/slow_start.py
@@ -20,7 +20,7 @@
 
 
 class SlowStart:
-    """Keeps what leaves for a node that warms up under this gateway's part of its budget.
+    """Keeps what a node gets that warms up under this gateway's part of its budget.
 
     What was sent counts for a window, answered or not: that guards against a node
     quicker than promised, which would get more than the settings allow. A send weighs
@@ -74,7 +74,7 @@
         self.last_arrivals[request.shard] = now
 
     def on_node_start(self, node: StorageNode, endpoint: Endpoint, now: int) -> None:
-        """Guard against what is queued already, and against what a former self has sent."""
+        """Guard against what is queued already and what a former self has sent."""
         for request in self._state.requests.values():
             if request.shard is None or request.shard == endpoint.shard:
                 request.arrival_gap = 0
--- a/milletsill/scheduler/state.py
+++ b/milletsill/scheduler/state.py
@@ -1,4 +1,4 @@
-"""What all parts of the scheduler share: the nodes, the requests and the source of chance."""
+"""What all parts of the scheduler share: nodes, requests and the source of chance."""
 
 from dataclasses import replace
 from random import Random
--- a/milletsill/scheduler/token_bucket.py
+++ b/milletsill/scheduler/token_bucket.py
@@ -13,7 +13,7 @@
         self.filled_at = now
 
     def fill(self, now: int, rate: float, depth: float) -> float:
-        """Add what has come since the last look, at `rate` units a second; the new level."""
+        """Add what has come since the last look, at units a second; the new level."""
         filled = self.level + rate * (now - self.filled_at) / TICKS_PER_SECOND
         self.level = min(filled, depth)
         self.filled_at = now
--- a/milletsill/scheduler/volume_table.py
+++ b/milletsill/scheduler/volume_table.py
@@ -53,7 +53,10 @@
             request.weight *= self._share_weight
 
     def forget_idle(self, now: int) -> None:
-        """Forget the least lately used volume where it is idle and a new one would be no freer."""
+        """Forget the least lately used volume.
+
+        Only where it is idle, and a new record of it would be no freer.
+        """
         volume = next(iter(self.by_id.values()), None)
         if volume is None or now - volume.used_at <= self._state.idle_timeout:
             return
--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -15,6 +15,7 @@
     SchedulerEvents,
     Endpoint,
     EndpointUpdateKind,
+    GrantedShare,
     QuotaKind,
     SchedulerEffects,
 )
@@ -177,19 +178,20 @@
         self.module.on_timer(now, what.what)
 
     def on_quota_share(
-        self,
-        now: int,
-        what: QuotaKind,
-        id: int,
-        share: float | None,
-        ends: int,
-        after: float,
+        self, now: int, what: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
         self.done.now = now
+        share = -1.0 if granted.share is None else granted.share
         self.put(
-            "part", now, what.value, id, -1.0 if share is None else share, ends, after
+            "part",
+            now,
+            what.value,
+            id,
+            share,
+            granted.expires_at,
+            granted.fallback_share,
         )
-        self.module.on_quota_share(now, what, id, share, ends, after)
+        self.module.on_quota_share(now, what, id, granted)
 
     def on_health_advice(
         self, now: int, id: int, strain: float, away: bool, until: int
--- a/milletsill/wirehost/__main__.py
+++ b/milletsill/wirehost/__main__.py
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Exit cleanly when input ends; one line and status 2 on input that makes no sense."""
+    """Exit cleanly when input ends; one line and status 2 on malformed input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedBatch as error:
--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -106,7 +106,7 @@
 
 
 class Event(NamedTuple):
-    """One record: its `EventCode`, its fixed fields, and the counted bytes behind them."""
+    """One record: its `EventCode`, its fixed fields and the counted bytes behind."""
 
     code: int
     fields: tuple[Any, ...]
@@ -156,7 +156,8 @@
     while at < len(body):
         if len(body) - at < RECORD_HEADER.size:
             raise MalformedBatch(
-                f"batch {number}: {len(body) - at} bytes left over after the last record"
+                f"batch {number}: {len(body) - at} bytes left over "
+                "after the last record"
             )
         code, size = RECORD_HEADER.unpack_from(body, at)
         fixed = FIXED_PARTS.get(code)
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -155,7 +155,7 @@
 
 
 class Host:
-    """All instances of this process; they share nothing but the wire's numbered rosters.
+    """All instances of this process; they share but the wire's numbered rosters.
 
     Args:
         make_instance: gives a new instance of a number.
--- a/tests/scheduler/test_rate_limiter.py
+++ b/tests/scheduler/test_rate_limiter.py
@@ -3,6 +3,7 @@
 import unittest
 
 from milletsill.interface import (
+    GrantedShare,
     QuotaKind,
 )
 from milletsill.scheduler.token_bucket import TokenBucket
@@ -19,13 +20,13 @@
     def test_a_told_part_of_a_limit_holds_until_its_end_and_then_the_other(self):
         scheduler, _ = make_scheduler(plan={"limit_rate": 10.0, "limit_burst": 20.0})
         one = queued_request(scheduler, 1)
-        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, 0.5, 4001, 0.25)
+        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, GrantedShare(0.5, 4001, 0.25))
         self.assertEqual(
             scheduler.rate_limiter.wait_time(one, 0), 4001
         )  # 2 units at 5 a second
         self.assertEqual(scheduler.rate_limiter.wait_time(one, 4000), 0)
         scheduler.on_quota_share(
-            4000, QuotaKind.LIMIT, 1, 0.5, 4000, 0.25
+            4000, QuotaKind.LIMIT, 1, GrantedShare(0.5, 4000, 0.25)
         )  # over already
         one.volume.limit.level = 0.0
         self.assertEqual(scheduler.rate_limiter.wait_time(one, 4000), 8001)
@@ -33,23 +34,25 @@
     def test_what_filled_over_the_end_of_a_part_fills_at_the_smaller(self):
         scheduler, _ = make_scheduler(plan={"limit_rate": 10.0, "limit_burst": 20.0})
         one = queued_request(scheduler, 1)
-        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, 0.1, 10_000, 1.0)
+        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, GrantedShare(0.1, 10_000, 1.0))
         scheduler.rate_limiter.wait_time(one, 20_000)
         self.assertAlmostEqual(one.volume.limit.level, 2.0)
 
     def test_a_larger_part_brings_no_more_of_what_was_before_it(self):
         scheduler, _ = make_scheduler(plan={"limit_rate": 10.0, "limit_burst": 20.0})
         one = queued_request(scheduler, 1)
-        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, 0.1, 99_000, 0.1)
-        scheduler.on_quota_share(10_000, QuotaKind.LIMIT, 1, 1.0, 99_000, 0.1)
+        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, GrantedShare(0.1, 99_000, 0.1))
+        scheduler.on_quota_share(
+            10_000, QuotaKind.LIMIT, 1, GrantedShare(1.0, 99_000, 0.1)
+        )
         self.assertAlmostEqual(one.volume.limit.level, 1.0)
-        scheduler.on_quota_share(10_000, QuotaKind.LIMIT, 1, None, 0, 0.0)
+        scheduler.on_quota_share(10_000, QuotaKind.LIMIT, 1, GrantedShare(None, 0, 0.0))
         self.assertEqual(scheduler.quota_shares.granted, {})
 
     def test_a_part_outlives_its_volume(self):
         scheduler, _ = make_scheduler(plan={"limit_rate": 10.0, "limit_burst": 20.0})
         one = queued_request(scheduler, 1)
-        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, 0.1, 1 << 50, 0.1)
+        scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, GrantedShare(0.1, 1 << 50, 0.1))
         one.volume.used_at, one.volume.limit.level = 0, 99.0
         one.volume.reserve.level = 1e9
         scheduler.forget_idle(1 << 40)
@@ -57,7 +60,9 @@
 
     def test_a_told_part_of_a_reserve_takes_the_place_of_the_estimate(self):
         scheduler, _ = make_scheduler(plan={"reserved_rate": 100.0})
-        scheduler.on_quota_share(0, QuotaKind.RESERVE, 1, 0.9, 1 << 40, 0.5)
+        scheduler.on_quota_share(
+            0, QuotaKind.RESERVE, 1, GrantedShare(0.9, 1 << 40, 0.5)
+        )
         one = queued_request(scheduler, 1, now=10_000)
         self.assertGreater(one.volume.reserve.level, 90.0)
 
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -3,6 +3,7 @@
 import unittest
 
 from milletsill.interface import (
+    GrantedShare,
     EndpointUpdateKind,
     AttemptOutcome,
     QuotaKind,
@@ -83,7 +84,9 @@
             ),
             0,
         )
-        scheduler.on_quota_share(0, QuotaKind.SLOW_START, 7, 1 / 13, 1 << 40, 1 / 13)
+        scheduler.on_quota_share(
+            0, QuotaKind.SLOW_START, 7, GrantedShare(1 / 13, 1 << 40, 1 / 13)
+        )
         self.assertGreater(
             scheduler.slow_start.wait_time(small, scheduler.state.nodes[7], 1), 0
         )
@@ -214,7 +217,9 @@
         scheduler, _ = make_scheduler(gateway_count=100, gateway_index=50)
         cold, one = storage_node(scheduler, started_at=1), queued_request(scheduler, 1)
         self.assertGreater(scheduler.slow_start.wait_time(one, cold, 2), 0)
-        scheduler.on_quota_share(0, QuotaKind.SLOW_START, 7, 0.5, 1 << 40, 0.01)
+        scheduler.on_quota_share(
+            0, QuotaKind.SLOW_START, 7, GrantedShare(0.5, 1 << 40, 0.01)
+        )
         self.assertEqual(scheduler.slow_start.wait_time(one, cold, 2), 0)
 
 
--- a/tests/trace/test_gateway_trace.py
+++ b/tests/trace/test_gateway_trace.py
@@ -13,6 +13,8 @@
 from twisted.trial.unittest import TestCase
 
 from milletsill.interface import (
+    GrantedShare,
+    QuotaKind,
     AttemptResult,
     Request,
     Endpoint,
@@ -164,7 +166,10 @@
         elif kind == "part":
             what, id, share, ends, after = values
             module.on_quota_share(
-                at, what, id, None if share < 0 else share, ends, after
+                at,
+                QuotaKind(what),
+                id,
+                GrantedShare(None if share < 0 else share, ends, after),
             )
         elif kind == "settled":
             module.dispatch_pending(at)
@@ -213,6 +218,21 @@
         told.on_request(10, Request(1, 2, 77, 1, 0, 0, False, True, 4, 1.0, 99))
         self.assertEqual(held.rows[0][2][3], "77")
 
+    def test_a_share_of_a_quota_and_the_even_one_are_told_apart(self):
+        held, scheduler = Held(), Mock()
+        told = Recorder(held, []).around(lambda *_: scheduler)({}, 1, 0, Again())
+        shares = [GrantedShare(0.5, 90, 0.25), GrantedShare(None, 70, 0.5)]
+        for granted in shares:
+            told.on_quota_share(10, QuotaKind.SLOW_START, 3, granted)
+        self.assertEqual(
+            [values for _, _, values in held.rows],
+            [("cold", 3, 0.5, 90, 0.25), ("cold", 3, -1.0, 70, 0.5)],
+        )
+        self.assertEqual(
+            [call.args for call in scheduler.on_quota_share.call_args_list],
+            [(10, QuotaKind.SLOW_START, 3, granted) for granted in shares],
+        )
+
 
 class Gateway(TestCase):
     timeout = 30
