--- a/tests/scheduler/test_long_running.py
+++ b/tests/scheduler/test_long_running.py
@@ -24,7 +24,7 @@
         queued_request(scheduler, 1)
         self.assertEqual(len(scheduler.retry_budget.request_times), 0)
 
-    def test_counts_of_a_budget_lapse_with_its_window(self):
+    def test_counts_of_a_budget_end_with_its_window(self):
         scheduler, _ = make_scheduler(retry_budget_window=1000, retry_budget_free=1)
         scheduler.on_request(0, request(1))
         scheduler.on_request(5000, request(2))
@@ -80,7 +80,7 @@
         scheduler.on_endpoints(LONG, EndpointUpdateKind.DELTA, [])
         self.assertIn(7, scheduler.state.nodes)
 
-    def test_a_wake_does_not_hold_a_transfer_that_is_over(self):
+    def test_a_timer_does_not_hold_a_request_that_is_over(self):
         scheduler, effects = make_scheduler()
         scheduler.on_client_cancelled(1, queued_request(scheduler, 1).id)
         scheduler.dispatch_pending(2)
@@ -102,7 +102,7 @@
         self.addCleanup(gc.enable)
         self.assertIsNone(watched())
 
-    def test_a_key_whose_line_is_empty_is_forgotten_after_its_rest(self):
+    def test_a_key_whose_queue_is_empty_is_forgotten_after_its_quarantine(self):
         scheduler, _ = make_scheduler({"is_ordered": True})
         at, one = storage_node(scheduler), queued_request(scheduler, 1, key=9)
         scheduler.gate.send(one, at, 0)
--- a/tests/scheduler/test_rules.py
+++ b/tests/scheduler/test_rules.py
@@ -28,17 +28,17 @@
         at, one = storage_node(scheduler), queued_request(scheduler, 1)
         self.assertEqual(scheduler.gate.wait_time(one, at, one.deadline), NEVER)
 
-    def test_a_held_transfer_is_declined_before_its_client_leaves(self):
+    def test_a_queued_request_is_rejected_before_its_client_leaves(self):
         scheduler, effects = make_scheduler()
         one = queued_request(scheduler, 1)
         scheduler.on_timer(one.deadline - 40, one)
         self.assertEqual(effects.calls_of("reject"), [(1, 5000)])
 
-    def test_what_was_never_dispatched_is_given_up_at_half_of_its_clients_time(self):
-        for dispatched, told in ((False, [(1, 5000)]), (True, [])):
+    def test_what_was_never_sent_is_given_up_at_half_of_its_clients_time(self):
+        for sent, told in ((False, [(1, 5000)]), (True, [])):
             scheduler, effects = make_scheduler()
             one = queued_request(scheduler, 1)
-            if dispatched:
+            if sent:
                 scheduler.gate.send(one, storage_node(scheduler), 0)
                 scheduler.on_attempt_result(
                     100, attempt_result(1, AttemptOutcome.REJECTED)
@@ -46,7 +46,7 @@
             scheduler.on_timer(one.deadline // 2, one)
             self.assertEqual(effects.calls_of("reject"), told)
 
-    def test_what_is_given_up_is_answered_in_the_same_settle_with_a_time_to_come_back(
+    def test_what_is_given_up_is_answered_in_the_same_dispatch_with_a_time_to_come_back(
         self,
     ):
         scheduler, effects = make_scheduler()
@@ -59,7 +59,7 @@
             (effects.calls_of("reject"), scheduler.state.requests), ([(1, 5000)], {})
         )
 
-    def test_what_may_not_go_again_is_answered_with_the_word_of_its_last_dispatch(self):
+    def test_what_may_not_go_again_is_answered_by_the_outcome_of_its_last_attempt(self):
         scheduler, effects = make_scheduler(max_attempts=1)
         one = queued_request(scheduler, 1)
         scheduler.gate.send(one, storage_node(scheduler), 0)
@@ -82,7 +82,7 @@
         )
         self.assertEqual(effects.calls_of("fail"), [(1,)])
 
-    def test_a_late_answer_for_a_transfer_that_is_over_changes_nothing(self):
+    def test_a_late_answer_for_a_request_that_is_over_changes_nothing(self):
         scheduler, effects = make_scheduler()
         at, one = storage_node(scheduler), queued_request(scheduler, 1)
         scheduler.gate.send(one, at, 0)
@@ -95,7 +95,7 @@
             [[], [], []],
         )
 
-    def test_an_exclusive_transfer_that_may_have_run_is_aborted_not_declined(self):
+    def test_a_non_idempotent_request_that_may_have_run_is_failed_not_rejected(self):
         scheduler, effects = make_scheduler(
             {"retry_safety": RetrySafety.NON_IDEMPOTENT}
         )
@@ -106,7 +106,7 @@
             [effects.calls_of("fail"), effects.calls_of("reject")], [[(1,)], []]
         )
 
-    def test_an_exclusive_transfer_that_never_ran_may_go_again(self):
+    def test_a_non_idempotent_request_that_never_ran_may_go_again(self):
         scheduler, _ = make_scheduler({"retry_safety": RetrySafety.NON_IDEMPOTENT})
         at, one = storage_node(scheduler), queued_request(scheduler, 1)
         scheduler.gate.send(one, at, 0)
@@ -116,7 +116,7 @@
             (RequestState.QUEUED, 0),
         )
 
-    def test_a_ticketed_transfer_keeps_to_its_group_and_window(self):
+    def test_a_keyed_request_keeps_to_its_scope_and_window(self):
         for group, shard, zone, now, lawful in (
             (RetryScope.SHARD, 0, 1, 5, True),
             (RetryScope.SHARD, 1, 0, 5, False),
@@ -140,7 +140,7 @@
                 (group, shard, zone, now),
             )
 
-    def test_a_ticketed_repeat_that_waits_for_a_link_begins_within_the_window(self):
+    def test_a_keyed_retry_that_waits_for_a_link_begins_within_the_window(self):
         for now, lawful in ((17_499, True), (17_500, False), (19_999, False)):
             scheduler, _ = make_scheduler(
                 {
@@ -166,14 +166,14 @@
         scheduler.gate.send(one, at, 0)
         self.assertEqual(scheduler.retry_policy.wait_time(one, at, 5), NEVER)
 
-    def test_a_further_dispatch_goes_only_where_there_is_credit(self):
+    def test_a_retry_goes_only_where_there_is_credit(self):
         scheduler, _ = make_scheduler()
         at, one = storage_node(scheduler), queued_request(scheduler, 1)
         scheduler.gate.send(one, at, 0)
         at.retry_credit = 0
         self.assertEqual(scheduler.retry_policy.wait_time(one, at, 5), NEVER)
 
-    def test_further_dispatches_stay_within_their_budget_even_before_the_first(self):
+    def test_retries_stay_within_their_budget_even_before_the_first(self):
         scheduler, _ = make_scheduler(
             retry_budget_window=50_000, retry_budget_ratio=0.15
         )
@@ -200,7 +200,7 @@
                 (NEVER, one, []),
             )
 
-    def test_a_node_missing_from_a_whole_list_is_barred(self):
+    def test_a_node_missing_from_a_whole_list_is_unavailable(self):
         scheduler, _ = make_scheduler()
         at = storage_node(scheduler)
         scheduler.on_endpoints(5, EndpointUpdateKind.SNAPSHOT, [endpoint(8)])
@@ -214,7 +214,7 @@
             scheduler.on_timer(1, TimerToken.RENEW_WATCH)
         self.assertEqual(len(effects.calls_of("watch_endpoints")), 10)
 
-    def test_one_key_runs_in_order_and_rests_after_an_unsure_end(self):
+    def test_one_key_runs_in_order_and_rests_after_an_indeterminate_outcome(self):
         scheduler, _ = make_scheduler({"is_ordered": True})
         at = storage_node(scheduler)
         one, two = (
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Each test builds the state that it needs and calls one function of the module."""
+"""Each test builds the state that it needs and calls one function of the scheduler."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 class Path(unittest.TestCase):
     """The design's ordinary path and where it is extended."""
 
-    def test_held_transfers_leave_by_tag(self):
+    def test_queued_requests_leave_by_tag(self):
         scheduler, _ = make_scheduler()
         at = storage_node(scheduler)
         late, soon = (
@@ -30,7 +30,7 @@
         scheduler.placement.enqueue(soon, at, 0)
         self.assertIs(scheduler.edf.choose(at, 0), soon)
 
-    def test_m_is_a_tenth_of_the_target_time_until_latency_is_known(self):
+    def test_m_is_a_tenth_of_the_objective_until_latency_is_known(self):
         scheduler, _ = make_scheduler()
         at, one = storage_node(scheduler), queued_request(scheduler, 1)
         at.latency = None
@@ -52,7 +52,7 @@
             scheduler.placement.enqueue(each, at, 0)
         return scheduler.edf.choose(at, head.tag - slack), head, follower
 
-    def test_a_follower_of_extent_or_volume_goes_before_a_head_that_is_not_due(self):
+    def test_a_follower_of_key_or_volume_goes_before_a_head_that_is_not_due(self):
         for key, volume in ((5, 3), (6, 1)):
             chosen, _, follower = self.follower_of(1000, key=key, volume=volume)
             self.assertIs(chosen, follower)
@@ -132,7 +132,7 @@
         scheduler.edf.dispatch_batch(at, run[0], head.tag - 500)
         self.assertEqual([sent[0] for sent in effects.calls_of("send_attempt")], [1, 2])
 
-    def test_what_cannot_leave_in_time_goes_behind_least_useful_first(self):
+    def test_what_cannot_leave_in_time_goes_behind_least_worthy_first(self):
         scheduler, effects = make_scheduler()
         at = storage_node(scheduler)
         held = [queued_request(scheduler, number, units=8.0) for number in range(3)]
@@ -145,7 +145,7 @@
         )
         self.assertEqual(effects.calls_of("reject"), [])
 
-    def test_what_cannot_leave_within_patience_is_declined_at_once(self):
+    def test_what_cannot_leave_within_the_client_timeout_is_rejected_at_once(self):
         for best, declined in (
             (2000.0, 1),
             (200.0, 3),
@@ -169,7 +169,7 @@
         scheduler.gate.send(queued_request(scheduler, 2), at, 0)
         self.assertIsNone(scheduler.edf.choose(at, 0))
 
-    def test_a_clients_repeat_counts_from_its_first_try(self):
+    def test_a_clients_retry_counts_from_its_first_try(self):
         scheduler, _ = make_scheduler()
         self.assertEqual(
             queued_request(
@@ -178,7 +178,7 @@
             3000,
         )
 
-    def test_a_repeat_with_less_than_its_target_time_left_is_a_short_try(self):
+    def test_a_retry_with_less_than_its_objective_left_is_a_short_try(self):
         scheduler, _ = make_scheduler()
         self.assertEqual(
             queued_request(
@@ -205,7 +205,7 @@
 class Nodes(unittest.TestCase):
     """Health, credit and where a new object goes."""
 
-    def test_a_new_object_goes_where_credit_is_left_and_the_strain_is_least(self):
+    def test_a_new_object_goes_where_credit_is_left_and_the_load_is_least(self):
         scheduler, _ = make_scheduler()
         slow, quick, spent = (
             storage_node(scheduler, 1),
@@ -223,7 +223,7 @@
         self.assertTrue(scheduler.placement.place(one, 0))
         self.assertEqual((one.node, quick.retry_credit), (quick, MAX_RETRY_CREDIT - 1))
 
-    def test_what_is_out_at_a_node_counts_as_strain(self):
+    def test_what_is_out_at_a_node_counts_as_load(self):
         scheduler, _ = make_scheduler()
         at = storage_node(scheduler)
         scheduler.gate.send(queued_request(scheduler, 1), at, 0)
@@ -232,7 +232,7 @@
             scheduler.estimator.load_factor(storage_node(scheduler, 8)),
         )
 
-    def test_a_node_without_word_proves_itself(self):
+    def test_a_silent_node_proves_itself(self):
         scheduler, _ = make_scheduler(gateway_count=8)
         at = storage_node(scheduler)
         at.window = 9.0
@@ -243,7 +243,7 @@
         scheduler.outliers.on_node_event(at, NodeEvent.PROVEN, 1000)
         self.assertIs(at.health, NodeHealth.HEALTHY)
 
-    def test_a_returned_node_gets_the_most_useful_first(self):
+    def test_a_recovering_node_gets_the_worthiest_first(self):
         scheduler, _ = make_scheduler()
         at = storage_node(scheduler)
         at.health = NodeHealth.RECOVERING
@@ -256,8 +256,8 @@
             scheduler.placement.enqueue(each, at, 0)
         self.assertIs(scheduler.edf.choose(at, 0), second)
 
-    def test_a_dispatch_times_out_after_some_latencies_but_not_before_its_target(self):
-        for repeats, reserved, lapses, now, timeout in (
+    def test_an_attempt_times_out_after_some_latencies_but_not_before_its_target(self):
+        for repeats, reserved, failures, now, timeout in (
             (RetrySafety.IDEMPOTENT, True, 0, 0, 3000),
             (RetrySafety.IDEMPOTENT, True, 0, 1000, 2400),
             (RetrySafety.IDEMPOTENT, False, 0, 1000, 2000),
@@ -267,11 +267,11 @@
         ):
             scheduler, effects = make_scheduler({"retry_safety": repeats})
             at, one = storage_node(scheduler), queued_request(scheduler, 1)
-            at.failures, one.is_reserved = lapses, reserved
+            at.failures, one.is_reserved = failures, reserved
             scheduler.gate.send(one, at, now)
             self.assertEqual(effects.calls_of("send_attempt"), [(1, 7, timeout)])
 
-    def test_a_first_dispatch_is_lost_sooner_where_its_target_leaves_time_for_another(
+    def test_a_first_attempt_is_lost_sooner_where_its_target_leaves_time_for_another(
         self,
     ):
         for latency, number, credit, timeout, final in (
@@ -301,7 +301,7 @@
                 (latency, number, credit),
             )
 
-    def test_surplus_that_timed_out_at_its_target_is_declined_at_once(self):
+    def test_surplus_that_timed_out_at_its_target_is_rejected_at_once(self):
         scheduler, effects = make_scheduler()
         one = queued_request(scheduler, 1)
         one.is_reserved = False
@@ -311,7 +311,7 @@
         )
         self.assertEqual(effects.calls_of("reject"), [(1, 5000)])
 
-    def test_dispatches_that_come_to_nothing_make_a_node_rest_twice_as_long_each(self):
+    def test_attempts_that_come_to_nothing_make_a_node_back_off_longer_each_time(self):
         for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.REJECTED):
             scheduler, _ = make_scheduler()
             at, rests = storage_node(scheduler), []
@@ -325,8 +325,8 @@
                 rests.append(at.backoff_until - now)
             self.assertEqual(rests, [400, 1200])
 
-    def test_a_dispatch_lost_alone_at_a_node_heard_of_late_is_no_lapse(self):
-        for heard, silent, outcome, lapses, health in (
+    def test_an_attempt_lost_alone_at_a_node_heard_of_late_is_no_failure(self):
+        for heard, silent, outcome, failures, health in (
             (1000, 0, AttemptOutcome.TIMED_OUT, 0, NodeHealth.HEALTHY),
             (0, 0, AttemptOutcome.TIMED_OUT, 1, NodeHealth.RECOVERING),
             (1000, 1500, AttemptOutcome.RESET, 1, NodeHealth.RECOVERING),
@@ -338,10 +338,10 @@
             at.last_heard_at, at.last_silent_at = heard, silent
             scheduler.on_attempt_result(1900, attempt_result(1, outcome, latency=400))
             self.assertEqual(
-                (at.failures, at.health), (lapses, health), (heard, silent, outcome)
+                (at.failures, at.health), (failures, health), (heard, silent, outcome)
             )
 
-    def test_a_reset_that_comes_at_once_is_lost_alone_where_the_node_was_heard_within_target_times(
+    def test_a_reset_that_comes_at_once_is_lost_alone_where_the_node_was_heard_within_objectives(
         self,
     ):
         scheduler, _ = make_scheduler()
@@ -353,7 +353,7 @@
         )
         self.assertEqual((at.failures, at.health), (0, NodeHealth.HEALTHY))
 
-    def test_a_lost_dispatch_frees_its_slot_and_may_go_again(self):
+    def test_a_lost_attempt_frees_its_slot_and_may_go_again(self):
         scheduler, _ = make_scheduler()
         at, one = storage_node(scheduler), queued_request(scheduler, 1)
         scheduler.placement.enqueue(one, at, 0)
@@ -368,14 +368,14 @@
             ([], one, 0),
         )
 
-    def test_a_cell_without_a_node_waits_for_the_one_that_replaces_it(self):
+    def test_a_shard_without_a_node_waits_for_the_one_that_replaces_it(self):
         scheduler, _ = make_scheduler()
         one = queued_request(scheduler, 1, shard=4)
         self.assertFalse(scheduler.placement.place(one, 0))
         storage_node(scheduler, 5, shard=4)
         self.assertTrue(scheduler.placement.place(one, 10))
 
-    def test_taking_a_transfer_sends_nothing_before_settling(self):
+    def test_taking_a_request_sends_nothing_before_dispatching(self):
         scheduler, effects = make_scheduler()
         storage_node(scheduler)
         scheduler.on_request(0, request(1))
--- a/tests/scheduler/test_settings_layouts.py
+++ b/tests/scheduler/test_settings_layouts.py
@@ -1,4 +1,4 @@
-"""Settings of shapes that no deployment at hand has, from the first message to what the module does with them."""
+"""Settings of shapes that no deployment at hand has, from the first message to what the scheduler does with them."""
 
 import unittest
 
@@ -158,7 +158,7 @@
         self.assertGreater(at[1], 0)
         self.assertLessEqual(max(at), 20_000)  # the longest patience
 
-    def test_a_cold_node_without_a_stated_budget_gets_one_usual_transfer_a_turn(self):
+    def test_a_cold_node_without_a_stated_budget_gets_one_usual_request_a_turn(self):
         scheduler, _ = make_scheduler(extra={"cold_bears": None}, peers_total=1)
         scheduler.on_endpoints(
             20_000, EndpointUpdateKind.SNAPSHOT, [endpoint(7, started_at=20_000)]
@@ -198,7 +198,7 @@
 
 
 class Choice(unittest.TestCase):
-    """Several nodes in a cell: which one, before the queues of that one decide when."""
+    """Several nodes in a shard: which one, before the queues of that one decide when."""
 
     def shard(self, *lines, now=0, **parts):
         scheduler, effects = make_scheduler(**parts)
@@ -209,7 +209,7 @@
         )
         return scheduler, effects
 
-    def test_all_nodes_of_a_cell_are_used(self):
+    def test_all_nodes_of_a_shard_are_used(self):
         scheduler, _ = self.shard(*((number, {}) for number in (7, 8, 9)))
         for number in range(12):
             scheduler.on_request(0, request(number))
@@ -223,7 +223,7 @@
             [4, 4, 4],
         )
 
-    def test_without_cells_any_node_takes_any_transfer(self):
+    def test_without_shards_any_node_takes_any_request(self):
         scheduler, effects = self.shard((7, {}), (8, {}), extra={"slots_total": None})
         for number in (1, 2):
             scheduler.on_request(0, request(number))
@@ -232,7 +232,7 @@
             {node for _, node, _ in effects.calls_of("send_attempt")}, {7, 8}
         )
 
-    def test_what_a_resting_node_holds_goes_to_another_of_its_cell(self):
+    def test_what_a_resting_node_holds_goes_to_another_of_its_shard(self):
         scheduler, _ = self.shard((7, {}), (8, {}))
         for number in range(12):
             scheduler.on_request(0, request(number))
@@ -245,7 +245,7 @@
         scheduler.dispatch_pending(100)
         self.assertFalse(scheduler.state.nodes[7].by_key)
 
-    def test_a_further_dispatch_prefers_another_node_of_the_cell_where_the_rules_let_it(
+    def test_a_retry_prefers_another_node_of_the_shard_where_the_rules_let_it(
         self,
     ):
         for repeats, group, zone, elsewhere in (
@@ -299,7 +299,7 @@
         scheduler.placement.place(scheduler.state.requests[1], 20_000)
         self.assertIs(scheduler.state.requests[1].node, scheduler.state.nodes[7])
 
-    def test_a_new_object_stays_in_the_cell_where_it_may_have_run(self):
+    def test_a_new_object_stays_in_the_shard_where_it_may_have_run(self):
         scheduler, _ = self.shard((7, {}), (8, {"shard": 1}), (9, {}))
         scheduler.on_request(0, request(1, shard=None))
         scheduler.gate.send(scheduler.state.requests[1], scheduler.state.nodes[7], 0)
@@ -346,7 +346,7 @@
             )
             self.assertEqual(scheduler.state.nodes[7].window, least)
 
-    def test_behind_its_extent_a_transfer_takes_less(self):
+    def test_behind_its_key_a_request_takes_less(self):
         scheduler, _ = self.shard((7, {}), (8, {}))
         scheduler.estimator.unit_time = 200.0
         scheduler.on_request(0, request(1, key=5))
@@ -371,7 +371,7 @@
 class Absent(unittest.TestCase):
     """What is not there, or is nothing: served with that feature off."""
 
-    def test_without_plans_transfers_are_taken_under_the_plainest(self):
+    def test_without_plans_requests_are_taken_under_the_plainest(self):
         for plans in ([], None):
             scheduler, effects = make_scheduler(plans=plans)
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
@@ -379,7 +379,7 @@
             scheduler.dispatch_pending(0)
             self.assertEqual(len(effects.calls_of("send_attempt")), 1)
 
-    def test_where_no_plan_has_a_reserve_all_go_by_their_target_times(self):
+    def test_where_no_plan_has_a_reserve_all_go_by_their_objectives(self):
         for plans, reserved in (
             ([{}], True),
             ([{}, {"guaranteed": 1.0}], False),
@@ -392,7 +392,7 @@
                 scheduler.on_request(0, request(number, units=8.0))
             self.assertEqual(scheduler.state.requests[8].is_reserved, reserved)
 
-    def test_a_transfer_without_units_counts_as_a_usual_one(self):
+    def test_a_request_without_units_counts_as_a_usual_one(self):
         for units in (0.0, -1.0, float("nan"), float("inf")):
             scheduler, _ = make_scheduler()
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
@@ -405,7 +405,7 @@
             )
             self.assertEqual(scheduler.state.nodes[7].pace, 200.0)
 
-    def test_one_time_of_a_category_stands_for_the_other(self):
+    def test_one_time_of_a_request_class_stands_for_the_other(self):
         for given, both in (
             ({"aim_ns": None}, 20_000),
             ({"hard_limit_ns": None}, 5_000),
@@ -487,7 +487,7 @@
             [sent[:2] for sent in effects.calls_of("send_attempt")], [(1, 7)]
         )
 
-    def test_nothing_is_kept_to_be_late_where_late_answers_have_no_utility(self):
+    def test_nothing_is_kept_to_be_late_where_late_answers_have_no_weight(self):
         for late, service_plan, kept in (
             (0.2, {"guaranteed": 90.0}, 1),
             (0.0, {"guaranteed": 90.0}, 0),
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -40,8 +40,8 @@
                 (now, units),
             )
 
-    def test_where_a_cold_part_is_below_a_usual_transfer_each_is_drawn_for_once(self):
-        # All together bear ten of mean work in a window: a hundredth of 0.25 of that for each window since the cell's last.
+    def test_where_a_cold_part_is_below_a_usual_request_each_is_drawn_for_once(self):
+        # All together bear ten of mean work in a window: a hundredth of 0.25 of that for each window since the shard's last.
         for gap, units, age, odds in (
             (10_002, 2.0, 0, 0.025),
             (5_001, 2.0, 0, 0.0125),
@@ -71,11 +71,11 @@
                 (gap, units, age, lot),
             )
 
-    def test_a_small_transfer_does_not_pass_a_part_below_a_usual_one(self):
+    def test_a_small_request_does_not_pass_a_part_below_a_usual_one(self):
         """Each gateway's would be one of mean work, and all together more than the node bears."""
         scheduler, _ = make_scheduler(
             gateway_count=13, slow_start_multiple=100.0
-        )  # its part is one and a half units, a usual transfer two
+        )  # its part is one and a half units, a usual request two
         small = queued_request(scheduler, 1, units=1.0)
         small.arrival_gap, small.admission_draw = 0, 0.0
         self.assertGreater(
@@ -91,7 +91,9 @@
             scheduler.slow_start.wait_time(small, scheduler.state.nodes[7], 1), 0
         )
 
-    def test_the_gap_is_the_cells_and_what_was_held_or_left_once_is_not_drawn_for(self):
+    def test_the_gap_is_the_shards_and_what_was_queued_or_left_once_is_not_drawn_for(
+        self,
+    ):
         scheduler, _ = make_scheduler(gateway_count=100)
         gaps = [
             (at, queued_request(scheduler, at, now=at, shard=shard).arrival_gap)
@@ -111,7 +113,7 @@
         scheduler.gate.send(one, at, 30_000)
         self.assertGreater(scheduler.slow_start.wait_time(one, at, 30_000), 0)
 
-    def test_cells_not_asked_for_in_a_while_are_forgotten(self):
+    def test_shards_not_asked_for_in_a_while_are_forgotten(self):
         scheduler, _ = make_scheduler(gateway_count=100)
         for number in range(200):
             queued_request(scheduler, number, now=number * 100_000, shard=number)
@@ -168,11 +170,11 @@
             0,
         )
 
-    def test_small_transfers_to_a_cold_node_weigh_as_usual_ones(self):
+    def test_small_requests_to_a_cold_node_weigh_as_usual_ones(self):
         """Each is as much of a load there, also when it is answered."""
         scheduler, _ = (
             make_scheduler()
-        )  # this gateway's part is ten units, a usual transfer two
+        )  # this gateway's part is ten units, a usual request two
         at = storage_node(scheduler, started_at=1)
         for number in range(1, 40):
             one = queued_request(scheduler, number, units=1.0)
@@ -186,7 +188,7 @@
             )
         self.assertEqual(number, 6)
 
-    def test_no_transfer_that_a_cold_node_answered_gives_back_follower_or_not(self):
+    def test_no_request_that_a_cold_node_answered_gives_back_follower_or_not(self):
         for key in (5, 6):
             scheduler, _ = make_scheduler()
             at = storage_node(scheduler, started_at=1)
--- a/tests/scheduler/test_slow_start_across_fleet.py
+++ b/tests/scheduler/test_slow_start_across_fleet.py
@@ -1,4 +1,4 @@
-"""Many modules in front of one node that has just come up: what they send it together (rule 4). Simulated time, no bench."""
+"""Many schedulers in front of one node that has just come up: what they send it together (rule 4). Simulated time, no bench."""
 
 import heapq
 import unittest
@@ -21,10 +21,10 @@
 
 
 class Gateway:
-    """One module and its port."""
+    """One scheduler and its effects."""
 
     def __init__(self, fleet, index):
-        self.fleet, self.dispatches = fleet, {}
+        self.fleet, self.attempts = fleet, {}
         self.scheduler = Scheduler(
             replace(fleet.config, gateway_index=index),
             fleet.chance.getrandbits(32),
@@ -33,7 +33,7 @@
         )
 
     def send_attempt(self, request_id, node, timeout):
-        number = self.dispatches[request_id] = self.dispatches.get(request_id, -1) + 1
+        number = self.attempts[request_id] = self.attempts.get(request_id, -1) + 1
         self.fleet.leaves(self, request_id, number, node, timeout)
 
     def set_timer(self, at, token):
@@ -42,15 +42,15 @@
     def reject(self, request_id, pause):
         self.fleet.declined(request_id)
 
-    def __getattr__(self, name):  # what else the module does is not looked at
+    def __getattr__(self, name):  # what else the scheduler does is not looked at
         return lambda *values: None
 
 
 class Fleet:
     """`even`: one share of the traffic for each gateway; else a tenth of them have nine tenths. `surge`: so many times the
     traffic in the middle third; `retries`: how often a client comes again, at another gateway, when it was declined. `quick`:
-    so many times what is promised the node does; `way`: the longest way of a dispatch to it; `late`: the share of gateways
-    whose connection to it comes up late; `told`: the span in which all are told of its start; `largest`: of the transfers;
+    so many times what is promised the node does; `way`: the longest way of an attempt to it; `late`: the share of gateways
+    whose connection to it comes up late; `told`: the span in which all are told of its start; `largest`: of the requests;
     `others`: warm nodes beside it, where new objects, the share `new`, may go; `at_once`: all restart in one second.
     """
 
@@ -256,7 +256,7 @@
         return self
 
     def most(self):
-        """The most that came in one window, in parts of what fells a node: more than N + 2 root N + 2 transfers of mean work, N
+        """The most that came in one window, in parts of what fells a node: more than N + 2 root N + 2 requests of mean work, N
         being what the settings let all together send at the window's start. A small one counts as a mean one.
         """
         window, sent, most, mean = deque(), 0.0, 0.0, self.config.mean_request_units
@@ -390,7 +390,7 @@
                 **overrides,
             )
 
-    def test_parts_that_pass_a_usual_transfer_while_the_node_warms(self):
+    def test_parts_that_pass_a_usual_request_while_the_node_warms(self):
         """Draws at first, whole parts later: both sides of that switch and the windows over it."""
         overrides = {
             "slow_start_multiple": 2.5,
@@ -407,7 +407,7 @@
                 gateways, 100.0, uses, quick=quick, slow_start_units=units, **overrides
             )
 
-    def test_small_transfers_where_a_part_is_below_a_usual_one(self):
+    def test_small_requests_where_a_part_is_below_a_usual_one(self):
         for gateways, units in ((30, 52.0), (60, 104.0)):
             self.check(
                 gateways,
@@ -507,7 +507,7 @@
                 **overrides,
             )
 
-    def test_what_was_held_before_the_start_was_known_stays(self):
+    def test_what_was_queued_before_the_start_was_known_stays(self):
         fleet = Fleet(
             1,
             200,
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -86,7 +86,7 @@
         )
         self.assertNotIn("unknown", {each.name for each in fields(config)})
 
-    def test_a_list_number_is_reused_within_a_batch(self):
+    def test_a_roster_number_is_reused_within_a_batch(self):
         host, heard = Host(), []
         host.answer(Batch(1, 0, list(codec.decode_events(BORN, 1))))
         host.instances[3].scheduler.on_endpoints = lambda now, news, entries: (
@@ -132,7 +132,7 @@
         reply = host.answer(Batch(2, 0, events))
         self.assertIn(b"ZeroDivisionError", reply)
 
-    def test_an_answer_comes_in_our_words(self):
+    def test_an_answer_comes_in_our_terms(self):
         host, heard = Host(), []
         host.answer(Batch(1, 0, list(codec.decode_events(BORN, 1))))
         host.instances[3].scheduler.on_attempt_result = lambda now, answer: (
