--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -15,7 +15,14 @@
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.deployment_settings import NANOSECONDS_PER_TICK, config_from_settings
 from milletsill.errors import MalformedInput
-from milletsill.interface import AttemptOutcome, Endpoint, EndpointUpdateKind, Readiness
+from milletsill.interface import (
+    AttemptOutcome,
+    AttemptResult,
+    Endpoint,
+    EndpointUpdateKind,
+    Readiness,
+    Request,
+)
 
 # Of a frame of events: batch number, size, count of records, clock in nanoseconds.
 BATCH_HEADER = Struct("<IIIQ")
@@ -42,6 +49,22 @@
     INSTANCE = 11
 
 
+class ActionCode(IntEnum):
+    """The records that answer them; the names are those of the simulator's page."""
+
+    ATTEMPT = 0
+    FAILURE = 1
+    REJECT = 2
+    EXCEPTION = 3
+    REMARK = 4
+    SOURCE = 5
+    STREAM = 6
+    CALL_OFF = 7
+    PROBE = 8
+    QUERY = 9
+    NOTIFY = 11
+
+
 def event_name(code: int) -> str:
     """The name of an event as the simulator's page writes it."""
     return EventCode(code).name.title().replace("_", "")
@@ -73,6 +96,8 @@
 # Node, readiness, size, kind, zone, start in nanoseconds, shard.
 ROSTER_ENTRY = Struct("<IBfHBQH")
 REPORT_VALUE_SIZE = 4
+# Of the text of an action.
+MAX_TEXT_SIZE = 60_000
 
 # The flags of a Req record.
 RETRY_FLAG = 2
@@ -112,6 +137,11 @@
     fields: tuple[Any, ...]
     tail: bytes
 
+    @property
+    def id(self) -> int:
+        """The first field: of an instance, a request, a roster or a timer; a seed."""
+        return int(self.fields[0])
+
 
 class Batch(NamedTuple):
     """One frame of events; the clock is in nanoseconds."""
@@ -179,23 +209,12 @@
         yield Event(code, fields, body[start + fixed.size : at])
 
 
-def decode_word(words: Mapping[int, Value], code: int, what: str) -> Value:
-    """What a code stands for.
-
-    Raises:
-        MalformedBatch: the code is not known.
-    """
-    if code not in words:
-        raise MalformedBatch(f"unknown {what} {code}")
-    return words[code]
-
-
 def decode_roster(tail: bytes) -> tuple[Endpoint, ...]:
     """The endpoints of a Roster."""
     return tuple(
         Endpoint(
             node,
-            decode_word(READINESS, readiness, "readiness"),
+            _decode_word(READINESS, readiness, "readiness"),
             size,
             kind,
             zone,
@@ -208,10 +227,65 @@
     )
 
 
-def decode_load_report(tail: bytes, names: Sequence[str]) -> dict[str, float]:
-    """The values of a load report, by name."""
-    values = Struct(f"<{len(tail) // REPORT_VALUE_SIZE}f").unpack(tail)
-    return dict(zip(names, values, strict=False))
+def decode_request(event: Event) -> Request:
+    """The request of a Req."""
+    (
+        request_id,
+        key,
+        sharing_gateways,
+        request_class,
+        service_plan,
+        flags,
+        shard,
+        units,
+        volume,
+        deadline,
+    ) = event.fields
+    return Request(
+        request_id,
+        key,
+        volume,
+        max(int(sharing_gateways), 0),
+        request_class,
+        service_plan,
+        bool(flags & RETRY_FLAG),
+        bool(flags & WRITE_FLAG),
+        int(shard) if shard >= 0 else None,
+        units,
+        deadline // NANOSECONDS_PER_TICK,
+    )
+
+
+def decode_attempt_result(event: Event, report_fields: Sequence[str]) -> AttemptResult:
+    """The end of an attempt of a Returned; its load report has values by position."""
+    (
+        request_id,
+        outcome,
+        node,
+        units_elsewhere,
+        usage_plus_one,
+        is_finished,
+        number,
+        latency,
+        _,
+    ) = event.fields
+    return AttemptResult(
+        request_id,
+        number,
+        node,
+        _decode_word(OUTCOMES, outcome, "outcome"),
+        bool(is_finished),
+        latency // NANOSECONDS_PER_TICK,
+        usage_plus_one - 1 if usage_plus_one else None,
+        units_elsewhere,
+        _decode_load_report(event.tail, report_fields),
+    )
+
+
+def decode_update(event: Event) -> tuple[EndpointUpdateKind, int]:
+    """The kind of an Update, and the number of its roster."""
+    kind, _, roster = event.fields
+    return _decode_word(UPDATE_KINDS, kind, "kind of Update"), roster
 
 
 def decode_config(text: bytes) -> DeploymentConfig:
@@ -226,12 +300,29 @@
         raise MalformedBatch(f"settings: {error}") from error
 
 
+def _decode_word(words: Mapping[int, Value], code: int, what: str) -> Value:
+    """What a code stands for.
+
+    Raises:
+        MalformedBatch: the code is not known.
+    """
+    if code not in words:
+        raise MalformedBatch(f"unknown {what} {code}")
+    return words[code]
+
+
+def _decode_load_report(tail: bytes, names: Sequence[str]) -> dict[str, float]:
+    """The values of a load report, by name."""
+    values = Struct(f"<{len(tail) // REPORT_VALUE_SIZE}f").unpack(tail)
+    return dict(zip(names, values, strict=False))
+
+
 def _check_size(data: bytes, size: int, what: str) -> None:
     if len(data) != size:
         raise MalformedBatch(f"input ended inside {what}: {len(data)} of {size} bytes")
 
 
-def _encoder(code: int, layout: str) -> Callable[..., bytes]:
+def _encoder(code: ActionCode, layout: str) -> Callable[..., bytes]:
     """A packer of one kind of action, header included."""
     fields = Struct("<" + layout)
     whole = Struct("<BI" + layout)
@@ -242,23 +333,20 @@
     return encode
 
 
-# Actions by their codes on the simulator's page; times are nanoseconds.
-encode_attempt = _encoder(0, "QIQ")  # request, node, time-out
-encode_failure = _encoder(1, "Q")  # request
-encode_rejection = _encoder(2, "QQ")  # request, pause
-EXCEPTION_CODE = 3
-REMARK_CODE = 4
-encode_source = _encoder(5, "I")  # instance that the next actions are of
-encode_watch = _encoder(6, "B")  # 1: changes from now on
-encode_cancellation = _encoder(7, "QB")  # request, attempt number
-encode_probe = _encoder(8, "I")  # node
-encode_query = _encoder(9, "")
-encode_timer = _encoder(11, "QQ")  # cookie, span
-MAX_TEXT_SIZE = 60_000
+# Actions; times are nanoseconds.
+encode_attempt = _encoder(ActionCode.ATTEMPT, "QIQ")  # request, node, time-out
+encode_failure = _encoder(ActionCode.FAILURE, "Q")  # request
+encode_rejection = _encoder(ActionCode.REJECT, "QQ")  # request, pause
+encode_source = _encoder(ActionCode.SOURCE, "I")  # whose the next actions are
+encode_watch = _encoder(ActionCode.STREAM, "B")  # 1: changes from now on
+encode_cancellation = _encoder(ActionCode.CALL_OFF, "QB")  # request, attempt number
+encode_probe = _encoder(ActionCode.PROBE, "I")  # node
+encode_query = _encoder(ActionCode.QUERY, "")
+encode_timer = _encoder(ActionCode.NOTIFY, "QQ")  # cookie, span
 
 
-def encode_text(code: int, text: str) -> bytes:
-    """A Remark or an Exception."""
+def encode_text(code: ActionCode, text: str) -> bytes:
+    """A REMARK or an EXCEPTION."""
     data = text.encode()[:MAX_TEXT_SIZE]
     size = len(data).to_bytes(2, "little")
     return RECORD_HEADER.pack(code, len(size) + len(data)) + size + data
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -4,21 +4,19 @@
 
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
-from typing import Any, BinaryIO
+from typing import BinaryIO
 
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.deployment_settings import NANOSECONDS_PER_TICK
 from milletsill.errors import error_location
 from milletsill.interface import (
-    AttemptResult,
     Endpoint,
     EndpointUpdateKind,
-    Request,
     SchedulerEvents,
 )
 from milletsill.scheduler import Scheduler
 from milletsill.wirehost import codec
-from milletsill.wirehost.codec import Event, EventCode, MalformedBatch
+from milletsill.wirehost.codec import ActionCode, Event, EventCode, MalformedBatch
 
 # The wire takes timers of up to 71 minutes.
 MAX_TIMER = 70 * 60 * 1_000_000_000
@@ -78,7 +76,7 @@
 
     def log(self, text: str) -> None:
         """Put a remark on the wire."""
-        self.actions.append(codec.encode_text(codec.REMARK_CODE, text))
+        self.actions.append(codec.encode_text(ActionCode.REMARK, text))
 
     def set_timer(self, at: int, token: object) -> None:
         """Put a timer on the wire; its cookie brings the token back."""
@@ -111,47 +109,23 @@
                 f"{codec.event_name(event.code)} for instance {self.number}, "
                 "which was never born"
             )
-        fields = event.fields
         if event.code == EventCode.REQ:
-            scheduler.on_request(now, _request(fields))
+            scheduler.on_request(now, codec.decode_request(event))
         elif event.code == EventCode.RETURNED:
-            scheduler.on_attempt_result(now, self._attempt_result(event))
+            result = codec.decode_attempt_result(event, self._report_fields)
+            scheduler.on_attempt_result(now, result)
         elif event.code == EventCode.RING:
-            scheduler.on_timer(now, self.timers.pop(fields[0], None))
+            scheduler.on_timer(now, self.timers.pop(event.id, None))
         elif event.code == EventCode.UPDATE:
-            kind = codec.decode_word(codec.UPDATE_KINDS, fields[0], "kind of Update")
-            scheduler.on_endpoints(now, kind, _roster(kind, fields[2], rosters))
+            kind, number = codec.decode_update(event)
+            scheduler.on_endpoints(now, kind, _roster(kind, number, rosters))
         elif event.code == EventCode.ABANDONED:
-            scheduler.on_client_cancelled(now, fields[0])
+            scheduler.on_client_cancelled(now, event.id)
 
     def _on_born(self, event: Event, now: int) -> None:
         config = codec.decode_config(event.tail)
         self._report_fields = config.load_report_fields
-        self.scheduler = self.make_scheduler(config, event.fields[0], now)
-
-    def _attempt_result(self, event: Event) -> AttemptResult:
-        (
-            request_id,
-            outcome,
-            node,
-            units_elsewhere,
-            usage_plus_one,
-            is_finished,
-            number,
-            latency,
-            _,
-        ) = event.fields
-        return AttemptResult(
-            request_id,
-            number,
-            node,
-            codec.decode_word(codec.OUTCOMES, outcome, "outcome"),
-            bool(is_finished),
-            latency // NANOSECONDS_PER_TICK,
-            usage_plus_one - 1 if usage_plus_one else None,
-            units_elsewhere,
-            codec.decode_load_report(event.tail, self._report_fields),
-        )
+        self.scheduler = self.make_scheduler(config, event.id, now)
 
 
 class Host:
@@ -177,9 +151,9 @@
         current: Instance | None = None
         for event in batch.events:
             if event.code == EventCode.ROSTER:
-                self.rosters[event.fields[0]] = codec.decode_roster(event.tail)
+                self.rosters[event.id] = codec.decode_roster(event.tail)
             elif event.code == EventCode.INSTANCE:
-                current = self._instance(event.fields[0], batch.clock)
+                current = self._instance(event.id, batch.clock)
                 heard[current.number] = current
             elif current is None:
                 raise MalformedBatch(
@@ -253,35 +227,7 @@
         raise
     except Exception as error:
         text = error_location(error)
-        instance.actions.append(codec.encode_text(codec.EXCEPTION_CODE, text))
-
-
-def _request(fields: tuple[Any, ...]) -> Request:
-    (
-        request_id,
-        key,
-        sharing_gateways,
-        request_class,
-        service_plan,
-        flags,
-        shard,
-        units,
-        volume,
-        deadline,
-    ) = fields
-    return Request(
-        request_id,
-        key,
-        volume,
-        max(int(sharing_gateways), 0),
-        request_class,
-        service_plan,
-        bool(flags & codec.RETRY_FLAG),
-        bool(flags & codec.WRITE_FLAG),
-        int(shard) if shard >= 0 else None,
-        units,
-        deadline // NANOSECONDS_PER_TICK,
-    )
+        instance.actions.append(codec.encode_text(ActionCode.EXCEPTION, text))
 
 
 def _roster(
