--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -21,7 +21,9 @@
 from milletsill.gateway.stall_detection import STALL_CHECK_INTERVAL, earliest_arrival
 from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
 from milletsill.logs import logger
-from milletsill.node_connections.connection_pool import Pool, Sending
+from milletsill.node_connections.attempt_exchange import PooledExchange
+from milletsill.node_connections.connection_pool import NodeConnectionPool
+from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.registry.endpoint_view import Box
 from milletsill.registry.registry_watcher import Follower
 from milletsill.scheduler import Scheduler
@@ -80,7 +82,7 @@
             deployment.bounds_of(file),
         )
         self.margin = deployment.at_least(file.door.answer_margin_ms)
-        self.pools: dict[int, Pool] = {}
+        self.pools: dict[int, NodeConnectionPool] = {}
         self.clients: set[Connection] = set()
         self.transfers = self.objects = self.marks = 0
         config = deployment.config_of(file)
@@ -180,17 +182,18 @@
 
     def among_others(self, seed: int) -> Any:
         """The fleet's view; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.service import Fleet
+        from milletsill.fleet.service import FleetService
+        from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 
-        return Fleet(
+        return FleetService(
             self.reactor,
             self.now,
-            self.file,
-            seed + 3,
-            self.incarnation,
-            self.remark,
-            lambda event, **values: self.log.info(event, **values),
-            self.keep_run,
+            FleetServiceConfig.from_file(self.file, seed + 3, self.incarnation),
+            FleetCallbacks(
+                warn=self.remark,
+                info=lambda event, **values: self.log.info(event, **values),
+                store_incarnation=self.keep_run,
+            ),
             self.figures.registry,
         )
 
@@ -435,20 +438,22 @@
             if pool is None or pool.address != box.address:
                 if pool is not None:
                     pool.close()
-                pool = self.pools[box.id] = Pool(
+                pool = self.pools[box.id] = NodeConnectionPool(
                     self.reactor,
                     self.now,
-                    box.address,
-                    self.bounds,
-                    self.file.name,
-                    self.incarnation,
-                    self.file.links.most_packet,
+                    PoolConfig(
+                        box.address,
+                        self.bounds,
+                        self.file.name,
+                        self.incarnation,
+                        self.file.links.most_packet,
+                    ),
                     lambda text, id=box.id: self.remark("link", box=id, reason=text),
                     metered=self.flows.box(box.id, box.address)
                     if self.flows is not None
                     else None,
                 )
-            pool.bar(box.readiness is not Readiness.READY)
+            pool.set_unavailable(box.readiness is not Readiness.READY)
         for id in self.pools.keys() - {each.id for each in boxes}:
             self.pools.pop(id).close()
 
@@ -460,18 +465,18 @@
         node: int,
         ends: int,
         ended: AttemptEnded,
-    ) -> Sending | None:
+    ) -> PooledExchange | None:
         """A dispatch as an order to a disk box."""
         pool = self.pools.get(node)
         if pool is None:
             return None
         gate = cargo.gate
         if gate is not None:
-            if not gate.leaves():
+            if not gate.may_send():
                 return None
-            ended = gate.watched(ended)
+            ended = gate.count_dispatch(ended)
         left = max((arrival.deadline - self.now()) // 10, 1)
-        return pool.dispatch(
+        return pool.send_attempt(
             Order(
                 self.file.name,
                 self.incarnation,
