--- a/milletsill/fleet/leases/timers.py
+++ b/milletsill/fleet/leases/timers.py
@@ -22,7 +22,7 @@
     """What calls later, as Twisted's IReactorTime."""
 
     def callLater(
-        self, delay: float, call: Callable[..., object], /, *args: Any
+        self, delay: float, call: Callable[..., None], /, *args: Any
     ) -> DelayedCall:
         """Call after `delay` seconds."""
 
