--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -146,7 +146,7 @@
 
     def _acquire_refusal(self, key: str) -> ResourceLimitReached | None:
         if not codec.is_valid_key(key):
-            what = f"a lease's name is UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
+            what = f"a channel's name is UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
             return ResourceLimitReached(what, "leases")
         entry = self.leases.get(key)
         if entry is None:
@@ -155,7 +155,7 @@
             is_full = len(entry.acquiring) >= MAX_CALLBACKS
         if not is_full and self._sender.open_rounds < MAX_OPEN_ROUNDS:
             return None
-        what = "too many leases or requests under way"
+        what = "too many channels or calls under way"
         return ResourceLimitReached(what, "leases", self._timings.call_timeout)
 
     def write(self, term: LeaseTerm, value: bytes, on_written: OnWritten) -> None:
@@ -258,7 +258,7 @@
             case ProposerEffect.LOSE:
                 self._on_ended(entry, self._round_error(proposer))
             case ProposerEffect.RELEASE:
-                error = LeaseNotHeld("the lease was released", proposer.key)
+                error = LeaseNotHeld("the office was given up", proposer.key)
                 self._on_ended(entry, error)
 
     def _on_held(self, entry: LeaseEntry, is_new: bool) -> None:
@@ -303,7 +303,7 @@
             self._timers.call_soon(on_written, None)
 
     def _refuse_queued(self, entry: LeaseEntry) -> None:
-        error = LeaseNotHeld("the lease is not held", entry.proposer.key)
+        error = LeaseNotHeld("the office is not held", entry.proposer.key)
         for on_written in entry.take_queued():
             self._timers.call_soon(on_written, error)
 
--- a/milletsill/fleet/leases/round_error.py
+++ b/milletsill/fleet/leases/round_error.py
@@ -28,10 +28,10 @@
     if refusal is None or refusal.status is ReplyStatus.UNAVAILABLE:
         suggested = 0 if refusal is None else refusal.retry_delay
         retry_delay = max(timings.call_timeout, suggested)
-        return QuorumNotReached("too few acceptors answered", key, retry_delay)
+        return QuorumNotReached("too few registers answered", key, retry_delay)
     if refusal.status is ReplyStatus.LEASE_HELD:
         holder = refusal.holder
-        what = f"{holder} holds the lease"
+        what = f"{holder} has the office"
         return NotLeaseHolder(what, key, refusal.retry_delay, holder)
     retry_delay = random.randint(*SUPERSEDED_RETRY_DELAY)
     return BallotSuperseded("a later ballot was promised", key, retry_delay)
