--- a/milletsill/deployment_config.py
+++ b/milletsill/deployment_config.py
@@ -101,7 +101,8 @@
         zone: the zone that this gateway is in.
         request_classes: the classes, by the number that a request gives.
         service_plans: the plans, by the number that a request gives; at least one.
-        write_classes: which classes write.
+        write_classes: which classes write; flags by class from the settings, numbers of
+            classes from the file of the SFTP gateway. The scheduler does not read it.
         share_weight: multiplies the weight of work beyond a tenant's reserve.
         spare_weight: the same for work beyond its share of what is spare.
         mean_request_units: the work of a usual request.
--- a/milletsill/gateway/scheduler_host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -31,14 +31,10 @@
     GrantedShare,
     QuotaKind,
     Request,
-    SchedulerEffects,
-    SchedulerEvents,
+    SchedulerFactory,
 )
 
 NEVER = 1 << 60
-SchedulerFactory = Callable[
-    [DeploymentConfig, int, int, SchedulerEffects], SchedulerEvents
-]
 AttemptListener = Callable[[int, Request, AttemptResult], None]
 
 
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -9,7 +9,6 @@
 from milletsill.gateway.active_requests import AttemptEnded
 from milletsill.gateway.scheduler_host import (
     HostCallbacks,
-    SchedulerFactory,
     SchedulerHost,
 )
 from milletsill.http1.message import HttpMessage
@@ -44,7 +43,7 @@
     payload_of,
 )
 from milletsill.http_gateway.resource_limits import BufferBudget, divide_descriptors
-from milletsill.interface import EndpointUpdateKind, Request
+from milletsill.interface import EndpointUpdateKind, Request, SchedulerFactory
 from milletsill.scheduler import Scheduler
 
 CHECK_INTERVAL = 0.1  # seconds
--- a/milletsill/interface.py
+++ b/milletsill/interface.py
@@ -9,11 +9,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum, StrEnum
 from typing import Protocol
 
+from milletsill.deployment_config import DeploymentConfig
+
 
 class AttemptOutcome(Enum):
     """How one attempt ended; the values are those of trace files."""
@@ -215,3 +217,9 @@
 
     def dispatch_pending(self, now: int) -> None:
         """Nothing more is known for now: send what may go."""
+
+
+# Makes a scheduler of a configuration, a seed, the time now and its effects.
+SchedulerFactory = Callable[
+    [DeploymentConfig, int, int, SchedulerEffects], SchedulerEvents
+]
--- a/milletsill/lab/baselines.py
+++ b/milletsill/lab/baselines.py
@@ -42,64 +42,64 @@
         port.watch_endpoints()
 
     def on_quota_share(
-        self, now: int, what: QuotaKind, id: int, granted: GrantedShare
+        self, now: int, kind: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
         """Knows no rules."""
 
     def on_health_advice(
-        self, now: int, id: int, strain: float, away: bool, until: int
+        self, now: int, node_id: int, load_factor: float, avoid: bool, expires_at: int
     ) -> None:
         """Hears no advice."""
 
     def on_endpoints(
-        self, now: int, news: EndpointUpdateKind, entries: Sequence[Endpoint]
+        self, now: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        if news is EndpointUpdateKind.FAILED:
+        if kind is EndpointUpdateKind.FAILED:
             return self.port.set_timer(now + self.config.rewatch_within // 4, "ask")
-        if news is EndpointUpdateKind.SNAPSHOT:
+        if kind is EndpointUpdateKind.SNAPSHOT:
             self.cells.clear()
-        for each in entries:
+        for each in endpoints:
             if each.readiness is Readiness.READY:
                 self.cells[each.shard] = each.node
                 self.ready.setdefault(each.node, 0)
             elif self.cells.get(each.shard) == each.node:
                 del self.cells[each.shard]
 
-    def on_request(self, now: int, arrival: Request) -> None:
-        self.held[arrival.id] = arrival
+    def on_request(self, now: int, request: Request) -> None:
+        self.held[request.id] = request
         self.port.set_timer(
-            arrival.deadline - 2 * self.config.timer_resolution, arrival.id
+            request.deadline - 2 * self.config.timer_resolution, request.id
         )
-        cell = arrival.shard
+        cell = request.shard
         if cell is None and self.cells:
             self.turn += 1
             cell = sorted(self.cells)[self.turn % len(self.cells)]
-        self.queues.setdefault(-1 if cell is None else cell, deque()).append(arrival)
+        self.queues.setdefault(-1 if cell is None else cell, deque()).append(request)
 
     def dispatch_pending(self, now: int) -> None:
         for cell, queue in self.queues.items():
             node = self.cells.get(cell)
             while queue and node is not None and self.ready[node] < self.most_out:
-                arrival = queue.popleft()
-                if arrival.id in self.held:
+                request = queue.popleft()
+                if request.id in self.held:
                     self.ready[node] += 1
-                    self.port.send_attempt(arrival.id, node, 0)
+                    self.port.send_attempt(request.id, node, 0)
 
-    def on_attempt_result(self, now: int, answer: AttemptResult) -> None:
-        self.ready[answer.node] = self.ready.get(answer.node, 1) - 1
-        if answer.request_finished or answer.outcome is AttemptOutcome.SUCCEEDED:
-            self.held.pop(answer.request_id, None)
-        elif self.held.pop(answer.request_id, None) is not None:
-            self.port.fail(answer.request_id)
+    def on_attempt_result(self, now: int, result: AttemptResult) -> None:
+        self.ready[result.node] = self.ready.get(result.node, 1) - 1
+        if result.request_finished or result.outcome is AttemptOutcome.SUCCEEDED:
+            self.held.pop(result.request_id, None)
+        elif self.held.pop(result.request_id, None) is not None:
+            self.port.fail(result.request_id)
 
-    def on_client_cancelled(self, now: int, transfer: int) -> None:
-        self.held.pop(transfer, None)
+    def on_client_cancelled(self, now: int, request_id: int) -> None:
+        self.held.pop(request_id, None)
 
-    def on_timer(self, now: int, what: Any) -> None:
-        if what == "ask":
+    def on_timer(self, now: int, token: Any) -> None:
+        if token == "ask":
             self.port.watch_endpoints()
-        elif self.held.pop(what, None) is not None:
-            self.port.fail(what)
+        elif self.held.pop(token, None) is not None:
+            self.port.fail(token)
 
 
 class Flood(Fifo):
--- a/milletsill/scheduler/constants.py
+++ b/milletsill/scheduler/constants.py
@@ -52,8 +52,8 @@
 
 # What was never sent is given up after this share of its client's time.
 UNSENT_TIME_SHARE = 0.48
-# Timer ticks before a client gives up, at which its request is answered.
-FINAL_TICKS = 2
+# A request is answered this long before its client gives up, in timer resolutions.
+ANSWER_MARGIN_RESOLUTIONS = 2
 
 # The retry credit of a node at its start, and the most that it can earn.
 MAX_RETRY_CREDIT = 4
--- a/milletsill/scheduler/lifecycle.py
+++ b/milletsill/scheduler/lifecycle.py
@@ -1,7 +1,7 @@
 """Rule 1: each request gets one final answer, in time, from here and nowhere else."""
 
 from milletsill.interface import AttemptOutcome, AttemptResult
-from milletsill.scheduler.constants import FINAL_TICKS
+from milletsill.scheduler.constants import ANSWER_MARGIN_RESOLUTIONS
 from milletsill.scheduler.idempotency import is_rejection_harmless
 from milletsill.scheduler.placement import Placement
 from milletsill.scheduler.records import Attempt, QueuedRequest
@@ -22,12 +22,12 @@
         self._state = state
         self._placement = placement
         self._may_cancel_attempts = config.may_cancel_attempts
-        self._final_span = FINAL_TICKS * config.timer_resolution
+        self._answer_margin = ANSWER_MARGIN_RESOLUTIONS * config.timer_resolution
         self._retry_after = config.max_retry_after if config.sends_retry_after else 0
 
     def answer_time(self, request: QueuedRequest) -> int:
         """When a request has to be answered, just before its client leaves."""
-        return request.deadline - self._final_span
+        return request.deadline - self._answer_margin
 
     def on_event(self, request: QueuedRequest, event: RequestEvent) -> None:
         """Carry a request over to its next state."""
--- a/milletsill/scheduler/scheduler.py
+++ b/milletsill/scheduler/scheduler.py
@@ -46,6 +46,10 @@
     what happens by the methods `on_...`, and calls `dispatch_pending` when nothing more
     is known for now. It is deterministic: the same events at the same times have the
     same effects.
+
+    Attributes:
+        config: the configuration that it was made with.
+        state: what its parts share; for reports and tests.
     """
 
     def __init__(
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -15,11 +15,16 @@
 from milletsill.gateway.active_requests import AttemptEnded
 from milletsill.gateway.scheduler_host import (
     HostCallbacks,
-    SchedulerFactory,
     SchedulerHost,
 )
 from milletsill.gateway.stall_detection import STALL_CHECK_INTERVAL, earliest_arrival
-from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
+from milletsill.interface import (
+    Endpoint,
+    EndpointUpdateKind,
+    Readiness,
+    Request,
+    SchedulerFactory,
+)
 from milletsill.logs import logger
 from milletsill.node_connections.attempt_exchange import PooledExchange
 from milletsill.node_connections.connection_pool import NodeConnectionPool
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -15,7 +15,7 @@
     freeze_long_lived_objects,
     install_signal_handler,
 )
-from milletsill.gateway.scheduler_host import SchedulerFactory
+from milletsill.interface import SchedulerFactory
 from milletsill.scheduler import Scheduler
 from milletsill.settings.load import SettingsFileRejected, load
 from milletsill.settings.milletsill_pb2 import GatewayFile
--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -18,10 +18,10 @@
     GrantedShare,
     QuotaKind,
     SchedulerEffects,
+    SchedulerFactory,
 )
 
 Put = Callable[..., None]
-Make = Callable[[DeploymentConfig, int, int, SchedulerEffects], SchedulerEvents]
 
 
 class Taker(Protocol):
@@ -45,21 +45,21 @@
     def __init__(self, port: SchedulerEffects, put: Put, now: int) -> None:
         self.port, self.put, self.now, self.wakes = port, put, now, 0
 
-    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
-        self.put("dispatch", self.now, transfer, node, timeout)
-        self.port.send_attempt(transfer, node, timeout)
+    def send_attempt(self, request_id: int, node_id: int, timeout: int) -> None:
+        self.put("dispatch", self.now, request_id, node_id, timeout)
+        self.port.send_attempt(request_id, node_id, timeout)
 
-    def reject(self, transfer: int, pause: int) -> None:
-        self.put("declined", self.now, transfer, pause)
-        self.port.reject(transfer, pause)
+    def reject(self, request_id: int, retry_after: int) -> None:
+        self.put("declined", self.now, request_id, retry_after)
+        self.port.reject(request_id, retry_after)
 
-    def fail(self, transfer: int) -> None:
-        self.put("aborted", self.now, transfer)
-        self.port.fail(transfer)
+    def fail(self, request_id: int) -> None:
+        self.put("aborted", self.now, request_id)
+        self.port.fail(request_id)
 
-    def cancel_attempt(self, transfer: int, number: int) -> None:
-        self.put("cancelled", self.now, transfer, number)
-        self.port.cancel_attempt(transfer, number)
+    def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
+        self.put("cancelled", self.now, request_id, attempt_number)
+        self.port.cancel_attempt(request_id, attempt_number)
 
     def watch_endpoints(self) -> None:
         self.put("watch", self.now)
@@ -69,14 +69,14 @@
         self.put("fetch", self.now)
         self.port.fetch_endpoints()
 
-    def probe_node(self, node: int) -> None:
-        self.put("probe", self.now, node)
-        self.port.probe_node(node)
+    def probe_node(self, node_id: int) -> None:
+        self.put("probe", self.now, node_id)
+        self.port.probe_node(node_id)
 
-    def set_timer(self, at: int, what: object) -> None:
+    def set_timer(self, at: int, token: object) -> None:
         self.wakes += 1
         self.put("wake", self.now, at)
-        self.port.set_timer(at, Ring(self.wakes, what))
+        self.port.set_timer(at, Ring(self.wakes, token))
 
     def log(self, text: str) -> None:
         self.put("remark", self.now, text)
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        make: Make,
+        make: SchedulerFactory,
         config: DeploymentConfig,
         seed: int,
         now: int,
@@ -101,11 +101,11 @@
         self.module = make(config, seed, now, self.done)
 
     def on_endpoints(
-        self, now: int, news: EndpointUpdateKind, entries: Sequence[Endpoint]
+        self, now: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
         self.done.now = now
-        self.put("listed", now, news.value, len(entries))
-        for each in entries:
+        self.put("listed", now, kind.value, len(endpoints))
+        for each in endpoints:
             self.put(
                 "listing",
                 now,
@@ -118,11 +118,11 @@
                 each.started_at is not None,
                 each.shard,
             )
-        self.module.on_endpoints(now, news, entries)
+        self.module.on_endpoints(now, kind, endpoints)
 
-    def on_request(self, now: int, arrival: Request) -> None:
+    def on_request(self, now: int, request: Request) -> None:
         self.done.now = now
-        each, names = arrival, self.names
+        each, names = request, self.names
         store = (
             names[each.volume - 1]
             if 0 < each.volume <= len(names)
@@ -146,59 +146,59 @@
             self.path,
         )
         self.path = ""
-        self.module.on_request(now, arrival)
+        self.module.on_request(now, request)
 
-    def on_attempt_result(self, now: int, answer: AttemptResult) -> None:
+    def on_attempt_result(self, now: int, result: AttemptResult) -> None:
         self.done.now = now
         self.put(
             "outcome",
             now,
-            answer.request_id,
-            answer.attempt_number,
-            answer.node,
-            answer.outcome.value,
-            answer.request_finished,
-            answer.latency,
-            -1 if answer.volume_usage is None else answer.volume_usage,
-            answer.units_elsewhere,
-            json.dumps(answer.load_report, sort_keys=True)
-            if answer.load_report
+            result.request_id,
+            result.attempt_number,
+            result.node,
+            result.outcome.value,
+            result.request_finished,
+            result.latency,
+            -1 if result.volume_usage is None else result.volume_usage,
+            result.units_elsewhere,
+            json.dumps(result.load_report, sort_keys=True)
+            if result.load_report
             else "",
         )
-        self.module.on_attempt_result(now, answer)
+        self.module.on_attempt_result(now, result)
 
-    def on_client_cancelled(self, now: int, transfer: int) -> None:
+    def on_client_cancelled(self, now: int, request_id: int) -> None:
         self.done.now = now
-        self.put("abandoned", now, transfer)
-        self.module.on_client_cancelled(now, transfer)
+        self.put("abandoned", now, request_id)
+        self.module.on_client_cancelled(now, request_id)
 
-    def on_timer(self, now: int, what: Any) -> None:
+    def on_timer(self, now: int, token: Any) -> None:
         self.done.now = now
-        self.put("woken", now, what.number)
-        self.module.on_timer(now, what.what)
+        self.put("woken", now, token.number)
+        self.module.on_timer(now, token.what)
 
     def on_quota_share(
-        self, now: int, what: QuotaKind, id: int, granted: GrantedShare
+        self, now: int, kind: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
         self.done.now = now
         share = -1.0 if granted.share is None else granted.share
         self.put(
             "part",
             now,
-            what.value,
+            kind.value,
             id,
             share,
             granted.expires_at,
             granted.fallback_share,
         )
-        self.module.on_quota_share(now, what, id, granted)
+        self.module.on_quota_share(now, kind, id, granted)
 
     def on_health_advice(
-        self, now: int, id: int, strain: float, away: bool, until: int
+        self, now: int, node_id: int, load_factor: float, avoid: bool, expires_at: int
     ) -> None:
         self.done.now = now
-        self.put("advised", now, id, strain, int(away), until)
-        self.module.on_health_advice(now, id, strain, away, until)
+        self.put("advised", now, node_id, load_factor, int(avoid), expires_at)
+        self.module.on_health_advice(now, node_id, load_factor, avoid, expires_at)
 
     def dispatch_pending(self, now: int) -> None:
         self.done.now = now
@@ -214,7 +214,7 @@
         self.told: Told | None = None
         self.made = 0  # when the module was: part of what a replay needs
 
-    def around(self, make: Make) -> Make:
+    def around(self, make: SchedulerFactory) -> SchedulerFactory:
         """The same module with its record."""
 
         def made(
