--- /dev/null
+++ b/tests/scheduler/test_placement.py
@@ -0,0 +1,188 @@
+"""Several nodes in a shard: at which one a request is queued."""
+
+import unittest
+
+from milletsill.interface import EndpointUpdateKind, AttemptOutcome, Readiness
+from milletsill.scheduler.transitions import NodeEvent
+from tests.support.scheduler_builders import attempt_result, endpoint
+from tests.support.settings_builders import (
+    SECOND,
+    make_scheduler,
+    request,
+    request_class,
+)
+
+
+class Choice(unittest.TestCase):
+    """Several nodes in a shard: which one, before the queues of that one decide when."""
+
+    def shard(self, *lines, now=0, **parts):
+        scheduler, effects = make_scheduler(**parts)
+        scheduler.on_endpoints(
+            now,
+            EndpointUpdateKind.SNAPSHOT,
+            [endpoint(number, **entry) for number, entry in lines],
+        )
+        return scheduler, effects
+
+    def test_all_nodes_of_a_shard_are_used(self):
+        scheduler, _ = self.shard(*((number, {}) for number in (7, 8, 9)))
+        for number in range(12):
+            scheduler.on_request(0, request(number))
+        scheduler.dispatch_pending(0)
+        self.assertEqual(
+            [
+                len(scheduler.state.nodes[each].in_flight)
+                + len(scheduler.state.nodes[each].by_key)
+                for each in (7, 8, 9)
+            ],
+            [4, 4, 4],
+        )
+
+    def test_without_shards_any_node_takes_any_request(self):
+        scheduler, effects = self.shard((7, {}), (8, {}), extra={"slots_total": None})
+        for number in (1, 2):
+            scheduler.on_request(0, request(number))
+        scheduler.dispatch_pending(0)
+        self.assertEqual(
+            {node for _, node, _ in effects.calls_of("send_attempt")}, {7, 8}
+        )
+
+    def test_what_a_resting_node_holds_goes_to_another_of_its_shard(self):
+        scheduler, _ = self.shard((7, {}), (8, {}))
+        for number in range(12):
+            scheduler.on_request(0, request(number))
+        scheduler.dispatch_pending(0)
+        gone = next(iter(scheduler.state.nodes[7].in_flight))
+        scheduler.on_attempt_result(
+            100, attempt_result(gone.request.id, AttemptOutcome.REJECTED, latency=100)
+        )
+        self.assertFalse(scheduler.state.nodes[7].by_key)
+        scheduler.dispatch_pending(100)
+        self.assertFalse(scheduler.state.nodes[7].by_key)
+
+    def test_a_retry_prefers_another_node_of_the_shard_where_the_rules_let_it(
+        self,
+    ):
+        for repeats, group, zone, elsewhere in (
+            ("free", "all", 1, True),
+            ("guarded", "zone", 0, True),
+            ("guarded", "zone", 1, False),
+            ("guarded", "cell", 1, True),
+        ):
+            scheduler, _ = self.shard(
+                (7, {}),
+                (8, {"zone": zone}),
+                classes=request_class(
+                    idempotency=repeats, group=group, window_ns=SECOND
+                ),
+            )
+            scheduler.on_request(0, request(1))
+            one = scheduler.state.requests[1]
+            scheduler.placement.enqueue(one, scheduler.state.nodes[7], 0)
+            scheduler.gate.send(one, scheduler.state.nodes[7], 0)
+            scheduler.on_attempt_result(
+                100, attempt_result(1, AttemptOutcome.ERROR, latency=100)
+            )
+            self.assertTrue(scheduler.placement.place(one, 100))
+            self.assertIs(
+                one.node,
+                scheduler.state.nodes[8 if elsewhere else 7],
+                (repeats, group, zone),
+            )
+
+    def test_what_finds_no_credit_any_more_stands_in_a_queue_and_is_given_up_in_time(
+        self,
+    ):
+        scheduler, effects = self.shard((7, {}), (8, {}))
+        scheduler.on_request(0, request(1))
+        scheduler.state.unplaced.clear()
+        scheduler.gate.send(scheduler.state.requests[1], scheduler.state.nodes[7], 0)
+        scheduler.on_attempt_result(
+            100, attempt_result(1, AttemptOutcome.ERROR, latency=100)
+        )
+        for each in scheduler.state.nodes.values():
+            each.retry_credit, each.backoff_until = 0, 19_000  # behind its target
+        scheduler.dispatch_pending(5_000)
+        self.assertEqual(
+            (len(effects.calls_of("reject")), scheduler.state.unplaced), (1, [])
+        )
+
+    def test_a_cold_node_whose_part_is_spent_is_passed_over(self):
+        scheduler, _ = self.shard((7, {}), (8, {"started_at": 20_000}), now=20_000)
+        scheduler.state.nodes[8].recent_sends.append((20_000, 99.0))
+        scheduler.on_request(20_000, request(1, deadline=40_000))
+        scheduler.placement.place(scheduler.state.requests[1], 20_000)
+        self.assertIs(scheduler.state.requests[1].node, scheduler.state.nodes[7])
+
+    def test_a_new_object_stays_in_the_shard_where_it_may_have_run(self):
+        scheduler, _ = self.shard((7, {}), (8, {"shard": 1}), (9, {}))
+        scheduler.on_request(0, request(1, shard=None))
+        scheduler.gate.send(scheduler.state.requests[1], scheduler.state.nodes[7], 0)
+        scheduler.state.requests[1].attempts[0].outcome = AttemptOutcome.RESET
+        self.assertEqual(
+            scheduler.placement.candidates(scheduler.state.requests[1]),
+            [scheduler.state.nodes[7], scheduler.state.nodes[9]],
+        )
+
+    def test_a_node_that_leaves_hands_over_to_those_that_stay(self):
+        scheduler, _ = self.shard((7, {}), (8, {}))
+        scheduler.on_request(0, request(1))
+        scheduler.placement.enqueue(
+            scheduler.state.requests[1], scheduler.state.nodes[7], 0
+        )
+        scheduler.on_endpoints(
+            5, EndpointUpdateKind.DELTA, [endpoint(7, readiness=Readiness.DRAINING)]
+        )
+        scheduler.placement.place(scheduler.state.requests[1], 5)
+        self.assertIs(scheduler.state.requests[1].node, scheduler.state.nodes[8])
+
+    def test_the_fewer_gateways_the_wider_a_crowded_nodes_window_stays(self):
+        for sharing_gateways, least in ((1, 4.5), (2, 3.0), (8, 1.0), (300, 1.0)):
+            scheduler, _ = self.shard((7, {}), peers_total=sharing_gateways)
+            scheduler.state.nodes[7].window, scheduler.state.nodes[7].pace = (
+                5.0,
+                10_000.0,
+            )
+            for number in range(60):
+                scheduler.on_request(0, request(number, deadline=200_000))
+                scheduler.gate.send(
+                    scheduler.state.requests[number], scheduler.state.nodes[7], 0
+                )
+                scheduler.results.learn(
+                    scheduler.state.nodes[7].in_flight[-1],
+                    attempt_result(number, AttemptOutcome.SUCCEEDED, latency=20_000),
+                    0,
+                )
+                scheduler.state.nodes[7].best_pace = 1.0
+                scheduler.estimator.unit_time = 1.0
+            self.assertEqual(scheduler.state.nodes[7].window, least)
+            scheduler.outliers.on_node_event(
+                scheduler.state.nodes[7], NodeEvent.ATTEMPT_FAILED, 0
+            )
+            self.assertEqual(scheduler.state.nodes[7].window, least)
+
+    def test_behind_its_key_a_request_takes_less(self):
+        scheduler, _ = self.shard((7, {}), (8, {}))
+        scheduler.estimator.unit_time = 200.0
+        scheduler.on_request(0, request(1, key=5))
+        scheduler.on_request(0, request(2, key=5))
+        scheduler.placement.enqueue(
+            scheduler.state.requests[1], scheduler.state.nodes[7], 0
+        )
+        scheduler.state.nodes[8].load_factor = scheduler.state.nodes[7].load_factor = (
+            0.0
+        )
+        scheduler.state.nodes[7].latency = scheduler.state.nodes[8].latency = 1.0
+        grudge = [
+            scheduler.placement.placement_cost(
+                scheduler.state.requests[2], scheduler.state.nodes[each], 0
+            )[3]
+            - scheduler.estimator.load_factor(scheduler.state.nodes[each])
+            for each in (7, 8)
+        ]
+        self.assertEqual(grudge, [-0.04, 0.0])
+
+
+if __name__ == "__main__":
+    unittest.main()
