--- a/milletsill/fleet/leases/lease_settings.py
+++ b/milletsill/fleet/leases/lease_settings.py
@@ -17,7 +17,7 @@
 class EventLog(Protocol):
     """Writes one event with its fields to the log."""
 
-    def __call__(self, event: str, /, **fields: Any) -> None:
+    def __call__(self, event: str, **fields: Any) -> None:
         """Log an event."""
 
 
@@ -51,7 +51,7 @@
         idle_after: An acceptor removes the record of a lease that was unused for so
             long, in ticks.
         store_path: File of this gateway's acceptor, if it is one.
-        seed: Of the random pauses after a ballot was superseded.
+        seed: Of the random retry delays after a ballot was superseded.
         max_value_bytes: Longest record; the protocol's bound holds as well.
         max_store_pages: Bound of the file in sqlite's pages; 0 for none.
     """
--- a/milletsill/fleet/leases/lease_term.py
+++ b/milletsill/fleet/leases/lease_term.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from milletsill.errors import MilletsillError
+from milletsill.fleet.leases.errors import CoordinationError
 from milletsill.fleet.leases.lease_proposer import LeaseProposer
 
 
@@ -17,7 +17,7 @@
         expires_at: When it ends, in ticks on this gateway's clock.
         value: The record that was read or written last.
         value_age: For how long the record had this value at the most when the lease
-            was acquired, in ticks; None where nobody can tell.
+            was acquired, in ticks; None for unknown.
         is_ended: It is over for good.
         proposer: The state machine that holds it.
     """
@@ -66,8 +66,8 @@
         self._terms_in_use.discard(self)
 
 
-OnAcquired = Callable[[LeaseTerm | MilletsillError], None]
-OnWritten = Callable[[MilletsillError | None], None]
+OnAcquired = Callable[[LeaseTerm | CoordinationError], None]
+OnWritten = Callable[[CoordinationError | None], None]
 
 
 class LeaseEntry:
--- a/tests/fleet/leases/test_lease_manager.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -153,8 +153,9 @@
         return net
 
     def test_a_write_that_lay_on_its_way_is_as_old_as_it_is(self):
-        """A network that holds a gateway's streams for six seconds, then brings what was in one of them."""
-        net, held = self.net(), []
+        """A network that holds a gateway's streams, then brings what was in one."""
+        net = self.net()
+        held = []
         term = net.acquire("x")
         self.assertEqual(net.write("x", term, b"1"), [None])
         bring, made = net.bring, net.now()
@@ -184,8 +185,8 @@
         self.assertEqual(term.value, b"3")
         refused = net.acquire("y")
         self.assertIsInstance(refused, errors.NotLeaseHolder)
-        self.assertEqual(refused.who, "x")
-        self.assertLessEqual(refused.pause, TIMINGS.acceptor_duration())
+        self.assertEqual(refused.holder, "x")
+        self.assertLessEqual(refused.retry_delay, TIMINGS.acceptor_duration())
         net.managers["x"].release(term)
         self.assertFalse(net.managers["x"].holds(term))
         later = net.acquire("y")
@@ -220,7 +221,7 @@
         net.cut |= {"r0", "r1"}
         got = net.acquire("y", "other", seconds=0.05)
         self.assertIsInstance(got, errors.QuorumNotReached)
-        self.assertGreater(got.pause, 0)
+        self.assertGreater(got.retry_delay, 0)
         self.assertIsInstance(net.write("x", term, b"1")[0], errors.QuorumNotReached)
         net.cut.clear()
         net.go(3)
@@ -291,7 +292,7 @@
         net.go(3)
         self.assertIsInstance(net.acquire("x", "c11"), LeaseTerm)
 
-    def test_bounds_and_what_is_silent(self):
+    def test_bounds_and_idle_leases(self):
         net = self.net(max_leases=3, idle_after=50_000)
         for each in range(3):
             term = net.acquire("x", f"c{each}")
@@ -301,7 +302,7 @@
         )  # here
         self.assertIsInstance(
             net.acquire("y", "c3"), errors.QuorumNotReached
-        )  # at the registers
+        )  # at the acceptors
         self.assertIsInstance(
             net.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReached
         )
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -96,8 +96,8 @@
             ),
             made.PAGE,
         )
-        frame = health.decoded(octets["health"])
-        self.assertEqual(health.get(frame.difference[0], 0), made.NEWS)
+        frame = health.decode_frame(octets["health"])
+        self.assertEqual(health.decode_delta(frame.difference[0], 0), made.NEWS)
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
         found = contracts.decode_record(octets["record"], 100, 1000, 0)
         self.assertEqual(record_of(found), record_of(made.channel()))
@@ -115,7 +115,7 @@
 
     def test_files_are_read(self):
         self.assertEqual(
-            endpoint_cache.get(os.path.join(HERE, "list-1")), (made.BOXES, 12)
+            endpoint_cache.read_cache(os.path.join(HERE, "list-1")), (made.BOXES, 12)
         )
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
@@ -185,9 +185,19 @@
             for each in member.on_message(1000, codec.decode(news)):
                 if isinstance(each, SendMessage):
                     codec.encode(each.message)
-            for each in member.send_full_state(2000, "h:3", reply_wanted=False):
-                if isinstance(each, SendMessage):
-                    codec.encode(each.message)
+            digest = FleetMessage(
+                FrameType.DIGEST,
+                MemberUpdate("other", 1, 7, 0, MemberState.ALIVE, "h:3"),
+                digest=1,
+            )
+            sent = [
+                each.message
+                for each in member.on_message(2000, digest)
+                if isinstance(each, SendMessage)
+            ]
+            self.assertIn(FrameType.FULL_STATE, [each.type for each in sent])
+            for each in sent:
+                codec.encode(each)
 
     def test_registers(self):
         self.assertIsNone(
@@ -206,7 +216,7 @@
     def test_health_and_contracts(self):
         frame = health_pb2.Frame(version=2)
         self.assertEqual(
-            len(health.decoded(frame.SerializeToString() + LATER).difference), 0
+            len(health.decode_frame(frame.SerializeToString() + LATER).difference), 0
         )
         for body in (b"X" + LATER, b"", b"C" + b"\xff"):
             self.assertIsNone(contracts.decode_envelope(body))
