--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -147,14 +147,14 @@
             MalformedBatch: the batch makes no sense.
         """
         now = -(-batch.clock // NANOSECONDS_PER_TICK)
-        heard: dict[int, Instance] = {}
+        addressed: dict[int, Instance] = {}
         current: Instance | None = None
         for event in batch.events:
             if event.code == EventCode.ROSTER:
                 self.rosters[event.id] = codec.decode_roster(event.tail)
             elif event.code == EventCode.INSTANCE:
                 current = self._instance(event.id, batch.clock)
-                heard[current.number] = current
+                addressed[current.number] = current
             elif current is None:
                 raise MalformedBatch(
                     f"batch {batch.number}: {codec.event_name(event.code)} "
@@ -162,8 +162,8 @@
                 )
             else:
                 current = self._play(current, event, now)
-                heard[current.number] = current
-        return codec.encode_reply(batch.number, self._take_actions(heard, now))
+                addressed[current.number] = current
+        return codec.encode_reply(batch.number, self._take_actions(addressed, now))
 
     def _instance(self, number: int, clock: int) -> Instance:
         instance = self.instances.get(number)
@@ -189,10 +189,10 @@
         _run(instance, partial(instance.on_event, event, now, self.rosters))
         return instance
 
-    def _take_actions(self, heard: Mapping[int, Instance], now: int) -> list[bytes]:
-        """What the instances that heard something did."""
+    def _take_actions(self, addressed: Mapping[int, Instance], now: int) -> list[bytes]:
+        """What the instances did that had an event in this batch."""
         actions: list[bytes] = []
-        for number, instance in heard.items():
+        for number, instance in addressed.items():
             scheduler = instance.scheduler
             if scheduler is not None:
                 _run(instance, partial(scheduler.dispatch_pending, now))
