--- a/milletsill/cli/files.py
+++ b/milletsill/cli/files.py
@@ -8,7 +8,8 @@
 
 import click
 
-from milletsill.settings.load import SettingsFileRejected, load
+from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.load import load
 
 
 def taken(file: str, made: Any, check: Callable[..., None]) -> Any:
@@ -16,6 +17,6 @@
     try:
         return load(file, made, check)
     except SettingsFileRejected as error:
-        for each in error.faults:
+        for each in error.flaws:
             click.echo(str(each), err=True)
         sys.exit(2)
--- a/milletsill/cli/main.py
+++ b/milletsill/cli/main.py
@@ -14,9 +14,11 @@
 from milletsill.cli.planner import ctl, plan
 from milletsill.cli.traces import trace
 from milletsill.errors import describe_error
-from milletsill.settings.load import SettingsFileRejected, text_from
+from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.load import read_text
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
-from milletsill.settings.validation import check_gateway, check_scenario
+from milletsill.settings.gateway_file import check_gateway
+from milletsill.settings.scenario import check_scenario
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -160,7 +162,7 @@
     from milletsill.lab.day import InvalidDayFile, scenario_of
 
     try:
-        given = json.loads(text_from(day))
+        given = json.loads(read_text(day))
         made = scenario_of(given, edges, boxes, seconds)
     except SettingsFileRejected as error:
         click.echo(str(error), err=True)
--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -21,7 +21,7 @@
     """Run the planner of FILE until SIGTERM. Exit status 1 where another planner took over or it could not start."""
     from milletsill.cli.files import taken
     from milletsill.settings.milletsill_pb2 import PlannerFile
-    from milletsill.settings.validation import check_planner
+    from milletsill.settings.planner_file import check_planner
 
     loaded = taken(file, PlannerFile, check_planner)
     if check:
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -15,7 +15,8 @@
 
 from milletsill.settings.load import load
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
-from milletsill.settings.validation import check_gateway, check_scenario
+from milletsill.settings.gateway_file import check_gateway
+from milletsill.settings.scenario import check_scenario
 
 START_WITHIN, LOOK = (
     300.0,
--- a/milletsill/lab/day.py
+++ b/milletsill/lab/day.py
@@ -12,7 +12,7 @@
 
 from milletsill.errors import InvalidValue
 from milletsill.settings.milletsill_pb2 import Scenario
-from milletsill.settings.validation import TROUBLES
+from milletsill.settings.scenario import FAULTS
 
 MICRO = 1_000_000
 REPEATS = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
@@ -274,7 +274,7 @@
 def fill_troubles(made: Any, day: Any, count: int) -> None:
     names = [each["name"] for each in day["tenants"]]
     for each in day["troubles"]:
-        if each["kind"] not in TROUBLES or each["at"] / MICRO >= made.seconds:
+        if each["kind"] not in FAULTS or each["at"] / MICRO >= made.seconds:
             continue
         trouble = made.trouble.add(
             what=each["kind"],
--- a/milletsill/settings/channels.py
+++ b/milletsill/settings/channels.py
@@ -1,175 +1,209 @@
-"""What an operator's file may say of channels: registers, offices, contracts on order, and the categories that they need."""
+"""Checks what a gateway's file says of channels: leases and ordering contracts."""
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from typing import Any
-
-from milletsill.settings.load import Report
+from milletsill.settings.field_checks import FieldRange, check_ranges
+from milletsill.settings.flaws import MessageReport
+from milletsill.settings.milletsill_pb2 import (
+    Category,
+    ChannelKeeping,
+    Contract,
+    GatewayFile,
+    Volume,
+)
 
-KEEPING = (
-    ("office_s", 0.2, 60),
-    ("drift_permille", 0, 100),
-    ("most_channels", 1, 10_000_000),
-    ("call_ms", 10, 10_000),
+CHANNEL_RANGES = (
+    FieldRange("office_s", 0.2, 60),
+    FieldRange("drift_permille", 0, 100),
+    FieldRange("most_channels", 1, 10_000_000),
+    FieldRange("call_ms", 10, 10_000),
 )
-TERMS = (
-    ("version", 1, 1 << 31),
-    ("silent_s", 1, 90 * 86_400),
-    ("most_waiting", 1, 64),
-    ("hole_ms", 10, 60_000),
+CONTRACT_RANGES = (
+    FieldRange("version", 1, 1 << 31),
+    FieldRange("silent_s", 1, 90 * 86_400),
+    FieldRange("most_waiting", 1, 64),
+    FieldRange("hole_ms", 10, 60_000),
 )
-WRITING = (
-    "write",
-    "change",
-    "sync",
-)  # what can have a number: one transfer that writes
-FREE, MOST_REGISTERS, MOST_CONTRACT, MOST_VOLUME = (
-    1,
-    31,
-    64,
-    120,
-)  # placement; registers; characters of a name; octets of a name
-
-
-def check_channels(file: Any, report: Report, under: tuple[str, ...]) -> None:
-    """Everything about `fleet { channels }`; nothing where it is absent."""
+NUMBERED_OPERATIONS = ("write", "change", "sync")  # one request each, which writes
+CALLS_PER_LEASE = 4  # calls to acceptors that have to fit into a lease
+MAX_ACCEPTORS = 31
+MAX_CONTRACT_NAME = 64  # characters
+MAX_VOLUME_NAME = 120  # octets
+SHOWN_OF_LONG_NAME = 40  # characters
+
+
+def check_channels(file: GatewayFile, report: MessageReport) -> None:
+    """Check `fleet { channels }`; nothing where it is absent."""
     if not file.HasField("fleet") or not file.fleet.HasField("channels"):
         return
-    keeping, here = file.fleet.channels, under + ("fleet", "channels")
-    check_figures(keeping, KEEPING, here, report)
-    names = list(keeping.register)
-    if (
-        not names
-        or len(names) % 2 == 0
-        or len(set(names)) < len(names)
-        or len(names) > MOST_REGISTERS
-    ):
+    channels = file.fleet.channels
+    channels_report = report.nested("fleet").nested("channels")
+    check_ranges(channels, CHANNEL_RANGES, channels_report)
+    _check_acceptors(channels, channels_report)
+    if not channels.contract:
+        channels_report.add("channels without a contract")
+    if not file.rules.HasField("key_rest_ms"):
+        channels_report.add("an unsure end needs rules.key_rest_ms")
+    names: set[str] = set()
+    for index, contract in enumerate(channels.contract):
+        contract_report = channels_report.nested("contract", index)
+        _check_contract_name(contract.name, names, contract_report)
+        names.add(contract.name)
+        check_ranges(contract, CONTRACT_RANGES, contract_report)
+        _check_contract(file, contract, contract_report)
+
+
+def _check_acceptors(channels: ChannelKeeping, report: MessageReport) -> None:
+    """Check the acceptors of the leases, in the file `register`, and calls to them."""
+    names = list(channels.register)
+    is_odd = len(names) % 2 == 1
+    is_unique = len(set(names)) == len(names)
+    if not is_odd or not is_unique or len(names) > MAX_ACCEPTORS:
         report.add(
-            here + ("register",),
-            f"{len(names)} registers: an odd number of different gateways, {MOST_REGISTERS} at most",
+            f"{len(names)} registers: an odd number of different gateways, "
+            f"{MAX_ACCEPTORS} at most",
+            "register",
         )
-    if keeping.call_ms * 4 > keeping.office_s * 1000:
+    if channels.call_ms * CALLS_PER_LEASE > channels.office_s * 1000:
         report.add(
-            here + ("call_ms",),
-            f"calls of {keeping.call_ms:g} ms: an office of {keeping.office_s:g} s must hold four",
+            f"calls of {channels.call_ms:g} ms: an office of {channels.office_s:g} s "
+            "must hold four",
+            "call_ms",
         )
-    if not keeping.contract:
-        report.add(here, "channels without a contract")
-    if not file.rules.HasField("key_rest_ms"):
-        report.add(here, "an unsure end needs rules.key_rest_ms")
-    volumes = {each.name: each for each in file.volume}
-    seen: set[str] = set()
-    for place, each in enumerate(keeping.contract):
-        path = here + ("contract", str(place))
-        if each.name in seen or not 0 < len(each.name) <= MOST_CONTRACT:
-            report.add(
-                path + ("name",),
-                f"contract {each.name!r} stands twice, or its name is not 1 to {MOST_CONTRACT} characters",
-            )
-        seen.add(each.name)
-        check_figures(each, TERMS, path, report)
-        check_contract(file, each, volumes, path, report)
 
 
-def check_figures(
-    held: Any, ranges: Any, path: tuple[str, ...], report: Report
+def _check_contract_name(
+    name: str, earlier_names: set[str], report: MessageReport
 ) -> None:
-    for field, least, most in ranges:
-        value = getattr(held, field)
-        if not least <= value <= most:
+    """Check the name of one contract against those before it."""
+    if name in earlier_names or not 0 < len(name) <= MAX_CONTRACT_NAME:
+        report.add(
+            f"contract {name!r} stands twice, or its name is not 1 to "
+            f"{MAX_CONTRACT_NAME} characters",
+            "name",
+        )
+
+
+def _check_contract(
+    file: GatewayFile, contract: Contract, report: MessageReport
+) -> None:
+    """Check what a contract covers: operations, volumes and request classes."""
+    for index, operation in enumerate(contract.operation):
+        if operation not in NUMBERED_OPERATIONS:
             report.add(
-                path + (field,), f"{field} {value:g} is not from {least:g} to {most:g}"
+                f"operation {operation!r} has no number: "
+                f"{', '.join(NUMBERED_OPERATIONS)} have",
+                "operation",
+                index,
             )
+    volumes = _covered_volumes(file, contract, report)
+    _check_covered_volumes(contract, volumes, report)
+    for category in _covered_categories(file, contract, volumes):
+        _check_covered_category(file, contract, category, report)
 
 
-def check_contract(
-    file: Any,
-    contract: Any,
-    volumes: dict[str, Any],
-    path: tuple[str, ...],
-    report: Report,
+def _covered_volumes(
+    file: GatewayFile, contract: Contract, report: MessageReport
+) -> list[Volume]:
+    """Return the volumes that a contract covers: those that it names, or all."""
+    if not contract.volume:
+        return list(file.volume)
+    volume_by_name = {volume.name: volume for volume in file.volume}
+    volumes = []
+    for name in contract.volume:
+        volume = volume_by_name.get(name)
+        if volume is None:
+            report.add(f"volume {name!r} is missing", "volume")
+        else:
+            volumes.append(volume)
+    return volumes
+
+
+def _check_covered_volumes(
+    contract: Contract, volumes: list[Volume], report: MessageReport
 ) -> None:
-    """Volumes and operations that a contract can hold for, and categories whose repeats are harmless in time."""
-    for place, each in enumerate(contract.operation):
-        if each not in WRITING:
+    """Check that each volume can have channels; only the first flaw is told."""
+    for volume in volumes:
+        if len(volume.name.encode("utf-8", "surrogateescape")) > MAX_VOLUME_NAME:
             report.add(
-                path + ("operation", str(place)),
-                f"operation {each!r} has no number: {', '.join(WRITING)} have",
+                f"a volume's name over {MAX_VOLUME_NAME} octets leaves no room for a "
+                f"channel's: {volume.name[:SHOWN_OF_LONG_NAME]!r}...",
+                "volume",
             )
-    missing = [each for each in contract.volume if each not in volumes]
-    for each in missing:
-        report.add(path + ("volume",), f"volume {each!r} is missing")
-    covered = (
-        [volumes[each] for each in contract.volume if each in volumes]
-        if contract.volume
-        else list(file.volume)
-    )
-    long = next(
-        (
-            each
-            for each in covered
-            if len(each.name.encode("utf-8", "surrogateescape")) > MOST_VOLUME
-        ),
-        None,
-    )
-    if long is not None:
+            break
+    for volume in volumes:
+        if volume.placement == Volume.FREE:
+            report.add(
+                f"contract {contract.name!r} covers volume {volume.name!r}, which is "
+                "FREE: a new object there is several transfers; name volumes that are "
+                "HASHED or BY_DIRECTORY",
+                "volume",
+            )
+            break
+
+
+def _check_covered_category(
+    file: GatewayFile, contract: Contract, category: Category, report: MessageReport
+) -> None:
+    """Check that requests of a class may be retried for as long as a contract needs."""
+    window_ms = category.repeat_window_ms
+    if category.repeats != "ticketed" or category.group not in ("all", "cell"):
         report.add(
-            path + ("volume",),
-            f"a volume's name over {MOST_VOLUME} octets leaves no room for a channel's: {long.name[:40]!r}...",
+            f"contract {contract.name!r} covers category {category.name!r}, which is "
+            f"{category.repeats} in group {category.group}: it must be ticketed, in "
+            "group cell or all"
         )
-    free = next((each for each in covered if each.placement == FREE), None)
-    if free is not None:
+    elif window_ms > contract.silent_s * 1000:
         report.add(
-            path + ("volume",),
-            f"contract {contract.name!r} covers volume {free.name!r}, which is FREE: a new object there "
-            "is several transfers; name volumes that are HASHED or BY_DIRECTORY",
+            f"silent_s {contract.silent_s:g}: a channel may be forgotten within "
+            f"category {category.name!r}'s repeat window of {window_ms:g} ms",
+            "silent_s",
+        )
+    elif window_ms <= file.rules.key_rest_ms:
+        report.add(
+            f"category {category.name!r} repeats within {window_ms:g} ms, no longer "
+            "than key_rest_ms: an unsure end could never be tried again"
         )
-    categories = {each.name: each for each in file.category}
-    told: set[str] = set()
-    for name in categories_of(file, covered, list(contract.operation) or list(WRITING)):
-        found = categories.get(name)
-        if found is None or name in told:
-            continue
-        told.add(name)
-        if found.repeats != "ticketed" or found.group not in ("all", "cell"):
-            report.add(
-                path,
-                f"contract {contract.name!r} covers category {name!r}, which is {found.repeats} in group "
-                f"{found.group}: it must be ticketed, in group cell or all",
-            )
-        elif found.repeat_window_ms > contract.silent_s * 1000:
-            report.add(
-                path + ("silent_s",),
-                f"silent_s {contract.silent_s:g}: a channel may be forgotten within category {name!r}'s "
-                f"repeat window of {found.repeat_window_ms:g} ms",
-            )
-        elif found.repeat_window_ms <= file.rules.key_rest_ms:
-            report.add(
-                path,
-                f"category {name!r} repeats within {found.repeat_window_ms:g} ms, no longer than key_rest_ms: an unsure "
-                "end could never be tried again",
-            )
 
 
-def categories_of(
-    file: Any, covered: list[Any], operations: list[str]
-) -> Iterator[str]:
-    """The categories that covered commands may fall into, by the routes as a command meets them."""
-    named = {each.volume for each in file.route if each.volume}
-    special = [each.name for each in covered if each.name in named]
-    names = special + [""] * (
-        len(covered) > len(special)
-    )  # all that no route names are alike
-    for volume in names:
+def _covered_categories(
+    file: GatewayFile, contract: Contract, volumes: list[Volume]
+) -> list[Category]:
+    """Return the request classes that a contract covers, each once."""
+    category_by_name = {category.name: category for category in file.category}
+    operations = list(contract.operation) or list(NUMBERED_OPERATIONS)
+    names: dict[str, None] = {}  # a set in the order of the routes
+    for volume_name in _volume_names_to_route(file, volumes):
         for operation in operations:
-            for route in file.route:
-                if (
-                    route.operation
-                    and operation not in route.operation
-                    or route.volume not in ("", volume)
-                ):
-                    continue
-                yield route.category
-                if not route.least_bytes:
-                    break
+            names.update(
+                dict.fromkeys(_routed_categories(file, volume_name, operation))
+            )
+    return [category_by_name[name] for name in names if name in category_by_name]
+
+
+def _volume_names_to_route(file: GatewayFile, volumes: list[Volume]) -> list[str]:
+    """Return the names of those volumes that some route names.
+
+    To routes all other volumes are alike: one empty name stands for them.
+    """
+    routed = {route.volume for route in file.route if route.volume}
+    names = [volume.name for volume in volumes if volume.name in routed]
+    if len(names) < len(volumes):
+        names.append("")
+    return names
+
+
+def _routed_categories(
+    file: GatewayFile, volume_name: str, operation: str
+) -> list[str]:
+    """Return the classes that commands of one operation on a volume may fall into."""
+    names = []
+    for route in file.route:
+        if route.operation and operation not in route.operation:
+            continue
+        if route.volume not in ("", volume_name):
+            continue
+        names.append(route.category)
+        if not route.least_bytes:
+            break
+    return names
--- a/milletsill/settings/exports.py
+++ b/milletsill/settings/exports.py
@@ -1,79 +1,78 @@
-"""What an operator's file may say of traces and of flow export."""
+"""Checks what a gateway's file says of traces and of flow export."""
 
 from __future__ import annotations
 
-from typing import Any
-
-from milletsill.settings.addresses import check_address, is_ip
-from milletsill.settings.load import Report
-
-LEVELS_OF_METERING, TRANSPORTS, PROTOCOLS = (
-    ("commands", "flows", "sampled"),
-    ("tcp", "udp"),
-    ("ipfix", "netflow9"),
+from milletsill.settings.field_checks import (
+    check_address,
+    check_choice,
+    is_ip_address,
 )
-SYNCS = ("blocks", "files", "never")
+from milletsill.settings.flaws import MessageReport
+from milletsill.settings.milletsill_pb2 import Collector, GatewayFile
 
+METERING_LEVELS = ("commands", "flows", "sampled")
+TRANSPORTS = ("tcp", "udp")
+PROTOCOLS = ("ipfix", "netflow9")
+SYNC_POLICIES = ("blocks", "files", "never")
+MIN_QUEUED_RECORDS = 100
+MAX_QUEUED_RECORDS = 10_000_000
 
-def check_trace(file: Any, report: Report, under: tuple[str, ...]) -> None:
-    """Traces: bounds that fit each other."""
+
+def check_trace(file: GatewayFile, report: MessageReport) -> None:
+    """Check `trace`: its bounds have to fit each other."""
     if not file.HasField("trace"):
         return
-    trace, here = file.trace, under + ("trace",)
+    trace = file.trace
+    trace_report = report.nested("trace")
     if not trace.folder:
-        report.add(here + ("folder",), "no folder for traces")
-    if trace.sync not in SYNCS:
-        report.add(
-            here + ("sync",), f"sync {trace.sync!r} is not one of {', '.join(SYNCS)}"
-        )
+        trace_report.add("no folder for traces", "folder")
+    check_choice(trace, "sync", SYNC_POLICIES, trace_report)
     if trace.total_bytes < 2 * trace.file_bytes:
-        report.add(
-            here + ("total_bytes",),
+        trace_report.add(
             f"{trace.total_bytes} bytes in all hold no two files of {trace.file_bytes}",
+            "total_bytes",
         )
     if trace.block_s > trace.file_s:
-        report.add(
-            here + ("block_s",),
-            f"blocks of {trace.block_s:g} s in files of {trace.file_s:g} s",
+        trace_report.add(
+            f"blocks of {trace.block_s:g} s in files of {trace.file_s:g} s", "block_s"
         )
 
 
-def check_flows(file: Any, report: Report, under: tuple[str, ...]) -> None:
-    """Collectors, and figures of export that contradict each other."""
+def check_flows(file: GatewayFile, report: MessageReport) -> None:
+    """Check `flows`: its collectors, and numbers that contradict each other."""
     if not file.HasField("flows"):
         return
-    flows, here = file.flows, under + ("flows",)
+    flows = file.flows
+    flows_report = report.nested("flows")
     if not flows.collector:
-        report.add(here, "flow export without a collector")
-    if flows.closest not in LEVELS_OF_METERING:
-        report.add(
-            here + ("closest",),
-            f"closest {flows.closest!r} is not one of {', '.join(LEVELS_OF_METERING)}",
-        )
+        flows_report.add("flow export without a collector")
+    check_choice(flows, "closest", METERING_LEVELS, flows_report)
     if flows.idle_s > flows.active_s:
-        report.add(
-            here + ("idle_s",),
+        flows_report.add(
             f"an idle time-out of {flows.idle_s:g} s past the active one of "
             f"{flows.active_s:g} s",
+            "idle_s",
+        )
+    for index, collector in enumerate(flows.collector):
+        _check_collector(collector, flows_report.nested("collector", index))
+
+
+def _check_collector(collector: Collector, report: MessageReport) -> None:
+    """Check one collector of flow records."""
+    check_address(collector.address, report, "address")
+    check_choice(collector, "transport", TRANSPORTS, report)
+    check_choice(collector, "protocol", PROTOCOLS, report)
+    if collector.protocol == "netflow9" and collector.transport != "udp":
+        report.add("netflow9 goes over udp alone", "transport")
+    host = collector.address.rpartition(":")[0]
+    if collector.transport == "udp" and not is_ip_address(host):
+        report.add(
+            f"a collector over udp needs an IP address, not {collector.address!r}",
+            "address",
+        )
+    if not MIN_QUEUED_RECORDS <= collector.most_queued <= MAX_QUEUED_RECORDS:
+        report.add(
+            f"most_queued {collector.most_queued} is not from {MIN_QUEUED_RECORDS} "
+            f"to {MAX_QUEUED_RECORDS}",
+            "most_queued",
         )
-    for place, each in enumerate(flows.collector):
-        one = here + ("collector", str(place))
-        check_address(each.address, one + ("address",), report)
-        for field, words in (("transport", TRANSPORTS), ("protocol", PROTOCOLS)):
-            if getattr(each, field) not in words:
-                report.add(
-                    one + (field,),
-                    f"{field} {getattr(each, field)!r} is not one of {', '.join(words)}",
-                )
-        if each.protocol == "netflow9" and each.transport != "udp":
-            report.add(one + ("transport",), "netflow9 goes over udp alone")
-        if each.transport == "udp" and not is_ip(each.address.rpartition(":")[0]):
-            report.add(
-                one + ("address",),
-                f"a collector over udp needs an IP address, not {each.address!r}",
-            )
-        if not 100 <= each.most_queued <= 10_000_000:
-            report.add(
-                one + ("most_queued",),
-                f"most_queued {each.most_queued} is not from 100 to 10000000",
-            )
--- a/milletsill/settings/health.py
+++ b/milletsill/settings/health.py
@@ -1,25 +1,30 @@
-"""What an operator's file may say of health that is shared."""
+"""Checks what a gateway's file says of health that gateways share."""
 
 from __future__ import annotations
 
-from typing import Any
+from milletsill.settings.field_checks import FieldRange, check_ranges
+from milletsill.settings.flaws import MessageReport
+from milletsill.settings.milletsill_pb2 import GatewayFile
 
-from milletsill.settings.channels import check_figures
-from milletsill.settings.load import Report
+HEALTH_RANGES = (
+    FieldRange("publish_ms", 50, 10_000),
+    FieldRange("lasts_s", 0.5, 600),
+    FieldRange("most_part", 0.01, 0.5),
+)
+CALM_PERIODS = 4  # a gateway with nothing new reports once in so many periods
 
-SHARING = (("publish_ms", 50, 10_000), ("lasts_s", 0.5, 600), ("most_part", 0.01, 0.5))
-CALM = 4  # rows of a calm gateway come so many periods apart
 
-
-def check_health(file: Any, report: Report, under: tuple[str, ...]) -> None:
-    """Everything about `fleet { health }`; nothing where it is absent."""
+def check_health(file: GatewayFile, report: MessageReport) -> None:
+    """Check `fleet { health }`; nothing where it is absent."""
     if not file.HasField("fleet") or not file.fleet.HasField("health"):
         return
-    health, here = file.fleet.health, under + ("fleet", "health")
-    check_figures(health, SHARING, here, report)
-    if health.lasts_s * 1000 < CALM * health.publish_ms:
-        report.add(
-            here + ("lasts_s",),
-            f"rows last {health.lasts_s:g} s and come every {CALM * health.publish_ms:g} ms from a "
-            "calm gateway: they would be gone before they are renewed",
+    health = file.fleet.health
+    health_report = report.nested("fleet").nested("health")
+    check_ranges(health, HEALTH_RANGES, health_report)
+    calm_period_ms = CALM_PERIODS * health.publish_ms
+    if health.lasts_s * 1000 < calm_period_ms:
+        health_report.add(
+            f"rows last {health.lasts_s:g} s and come every {calm_period_ms:g} ms "
+            "from a calm gateway: they would be gone before they are renewed",
+            "lasts_s",
         )
--- a/milletsill/settings/load.py
+++ b/milletsill/settings/load.py
@@ -1,180 +1,107 @@
-"""Loads a text-format file into its message, with a line number for every field.
+"""Loads a settings file into its message and has it checked.
 
-`load` raises `RefusedFile` with one `Flaw` for each thing wrong; a flaw is one line: file, line, reason. A file is
-at most MOST_BYTES long.
+A file that is not taken raises `SettingsFileRejected`, with one `Flaw` for each thing
+wrong. A file is at most MAX_BYTES long.
 """
 
 from __future__ import annotations
 
 import os
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from typing import TypeVar
+from collections.abc import Callable
+from operator import methodcaller
+from typing import TypeAlias, TypeVar
 
 from google.protobuf import text_format
 from google.protobuf.message import Message
 
-from milletsill.errors import ConfigurationRejected
-
-MOST_BYTES, MOST_DEPTH, MOST_FAULTS = 4_000_000, 16, 20
-Path = tuple[
-    str, ...
-]  # of a field: names, with the place of a repeated one, such as ("plan", "0", "weight")
-M = TypeVar("M", bound=Message)
-
-
-@dataclass(frozen=True, slots=True)
-class Flaw:
-    """One thing wrong with a file; line 0 is the file as a whole."""
-
-    file: str
-    line: int
-    reason: str
-
-    def __str__(self) -> str:
-        return (
-            f"{self.file}:{self.line}: {self.reason}"
-            if self.line
-            else f"{self.file}: {self.reason}"
-        )
-
-
-class SettingsFileRejected(ConfigurationRejected):
-    """A file in protobuf text form that is not taken, with each flaw and its line."""
-
-    remedy = "mend the lines named; `milletsill check FILE` says whether it is fine. A gateway that runs goes on with what it had"
-
-    def __init__(self, faults: Iterable[Flaw]) -> None:
-        self.faults = list(faults)
-        super().__init__("; ".join(str(each) for each in self.faults))
-
-
-class Lines:
-    """Where each field of a file stands: walks the tokens once; a repeated field is counted by its place."""
-
-    def __init__(self, text: str) -> None:
-        self.found: dict[Path, int] = {}
-        self.tokens = text_format.Tokenizer(text.split("\n"))
-        self.message((), 0)
-
-    def message(self, at: Path, depth: int) -> None:
-        """Fields up to the end of this message; the file was parsed before, so the shape is sound."""
-        counts: dict[str, int] = {}
-        tokens = self.tokens
-        while not tokens.AtEnd() and tokens.token not in ("}", ">"):
-            name, line = tokens.token, tokens._line + 1
-            tokens.NextToken()
-            tokens.TryConsume(":")
-            if tokens.TryConsume("["):
-                while not tokens.TryConsume("]"):
-                    self.value(at, name, counts, line, depth)
-                    tokens.TryConsume(",")
-            else:
-                self.value(at, name, counts, line, depth)
-            tokens.TryConsume(",") or tokens.TryConsume(";")
-
-    def value(
-        self, at: Path, name: str, counts: dict[str, int], line: int, depth: int
-    ) -> None:
-        """One value, itself a message or a scalar."""
-        place, tokens = counts.get(name, 0), self.tokens
-        counts[name] = place + 1
-        here = at + (name, str(place))
-        self.found[here] = line
-        if tokens.token in ("{", "<"):
-            tokens.NextToken()
-            if depth < MOST_DEPTH:
-                self.message(here, depth + 1)
-            tokens.NextToken()
-        else:
-            first = tokens.token
-            tokens.NextToken()
-            while first[:1] in "\"'" and tokens.token[:1] in (
-                '"',
-                "'",
-            ):  # strings that stand side by side
-                tokens.NextToken()
-
-    def line(self, path: Path) -> int:
-        """The line of a field, or of the nearest message around it that is written down."""
-        for end in range(len(path), 0, -1):
-            if path[:end] in self.found:
-                return self.found[path[:end]]
-        return 0
-
-
-class Report:
-    """Gathers faults; checks say which field and why."""
-
-    def __init__(self, file: str, lines: Lines) -> None:
-        self.file, self.lines, self.faults = file, lines, list[Flaw]()
-
-    def add(self, path: Path, reason: str) -> None:
-        """One fault at a field; (name, place) pairs, the place left out where it is 0."""
-        full: list[str] = []
-        for each in path:
-            if each.isdigit():
-                full[-1] = each
-            else:
-                full += [each, "0"]
-        if len(self.faults) < MOST_FAULTS:
-            self.faults.append(Flaw(self.file, self.lines.line(tuple(full)), reason))
-
-
-def text_from(file: str) -> str:
-    """The text of a file, or `RefusedFile`."""
+from milletsill.settings.field_lines import FieldLines, FieldPath, FieldStep
+from milletsill.settings.flaws import (
+    Flaw,
+    FlawReport,
+    MessageReport,
+    SettingsFileRejected,
+)
+
+MAX_BYTES = 4_000_000  # of a file
+MAX_REASON = 200  # characters of a reason that protobuf gives
+
+MessageT = TypeVar("MessageT", bound=Message)
+MessageCheck: TypeAlias = Callable[[MessageT, MessageReport], None]
+
+
+def read_text(file: str) -> str:
+    """Return the text of a file, or raise `SettingsFileRejected`."""
     try:
-        if os.path.getsize(file) > MOST_BYTES:
+        if os.path.getsize(file) > MAX_BYTES:
             raise SettingsFileRejected(
-                [Flaw(file, 0, f"longer than {MOST_BYTES} bytes")]
+                [Flaw(file, 0, f"longer than {MAX_BYTES} bytes")]
             )
         with open(file, encoding="utf-8") as source:
             return source.read()
     except OSError as error:
-        raise SettingsFileRejected(
-            [Flaw(file, 0, error.strerror or str(error))]
-        ) from None
+        reason = error.strerror or str(error)
+        raise SettingsFileRejected([Flaw(file, 0, reason)]) from error
     except UnicodeDecodeError as error:
-        raise SettingsFileRejected(
-            [Flaw(file, 0, f"not UTF-8 at byte {error.start}")]
-        ) from None
+        reason = f"not UTF-8 at byte {error.start}"
+        raise SettingsFileRejected([Flaw(file, 0, reason)]) from error
 
 
-def load(file: str, made: Callable[[], M], check: Callable[[M, Report], None]) -> M:
-    """The message of a file, parsed and checked."""
-    return parse(text_from(file), file, made, check)
+def load(
+    file: str,
+    make_message: Callable[[], MessageT],
+    check: MessageCheck[MessageT],
+) -> MessageT:
+    """Return the message of a file, parsed and checked."""
+    return parse(read_text(file), file, make_message, check)
 
 
 def parse(
-    text: str, file: str, made: Callable[[], M], check: Callable[[M, Report], None]
-) -> M:
-    """The same from its text."""
-    message = made()
+    text: str,
+    file: str,
+    make_message: Callable[[], MessageT],
+    check: MessageCheck[MessageT],
+) -> MessageT:
+    """Return the message of a text, parsed and checked; `file` is what flaws name."""
+    message = make_message()
+    _merge_text(text, file, message)
+    report = FlawReport(file, FieldLines(text))
+    missing = _missing_fields(message)
+    for dotted in missing:
+        report.add(_field_path(dotted), f"missing {dotted.split('.')[-1]}")
+    if not missing:
+        check(message, report.root())
+    if report.flaws:
+        raise SettingsFileRejected(report.flaws)
+    return message
+
+
+def _merge_text(text: str, file: str, message: Message) -> None:
+    """Parse a text into a message, or raise `SettingsFileRejected`."""
     try:
         text_format.Parse(text, message)
     except text_format.ParseError as error:
-        line, reason = error.GetLine() or 0, str(error)
-        reason = reason.split(" : ", 1)[-1] if line else reason
-        raise SettingsFileRejected(
-            [Flaw(file, line, " ".join(reason.split()))]
-        ) from None
+        line = error.GetLine() or 0
+        reason = str(error)
+        if line:
+            reason = reason.split(" : ", 1)[-1]
+        flaw = Flaw(file, line, " ".join(reason.split()))
+        raise SettingsFileRejected([flaw]) from error
     except (RecursionError, ValueError) as error:
-        raise SettingsFileRejected(
-            [Flaw(file, 0, f"cannot be read: {' '.join(str(error).split())[:200]}")]
-        ) from None
-    report = Report(file, Lines(text))
-    missing = message.FindInitializationErrors()
-    for each in missing:
-        report.add(path_of(each), f"missing {each.split('.')[-1]}")
-    if not missing:
-        check(message, report)
-    if report.faults:
-        raise SettingsFileRejected(report.faults)
-    return message
+        reason = " ".join(str(error).split())[:MAX_REASON]
+        flaw = Flaw(file, 0, f"cannot be read: {reason}")
+        raise SettingsFileRejected([flaw]) from error
+
+
+def _missing_fields(message: Message) -> list[str]:
+    """Return the required fields that are absent, in protobuf's way of writing them."""
+    # The type stubs of protobuf leave this method out.
+    return list(methodcaller("FindInitializationErrors")(message))
 
 
-def path_of(dotted: str) -> Path:
-    """A path from protobuf's way of writing one: plan[0].name."""
-    return tuple(
-        part for each in dotted.split(".") for part in each.rstrip("]").split("[")
-    )
+def _field_path(dotted: str) -> FieldPath:
+    """Return a path from protobuf's way of writing one: `plan[0].name`."""
+    steps = []
+    for part in dotted.split("."):
+        name, _, index = part.rstrip("]").partition("[")
+        steps.append(FieldStep(name, int(index or 0)))
+    return tuple(steps)
--- /dev/null
+++ b/milletsill/settings/planner_file.py
@@ -0,0 +1,65 @@
+"""Checks a planner's file, and what a gateway's file says of its planner."""
+
+from __future__ import annotations
+
+from milletsill.settings.field_checks import (
+    FieldRange,
+    check_address,
+    check_present_addresses,
+    check_program_name,
+    check_ranges,
+)
+from milletsill.settings.flaws import MessageReport
+from milletsill.settings.milletsill_pb2 import GatewayFile, Lending, PlannerFile
+
+LENDING_RANGES = (
+    FieldRange("longest_s", 1, 60),
+    FieldRange("drift_permille", 0, 100),
+    FieldRange("floor", 0.01, 0.9),
+)
+PLANNER_RANGES = (
+    FieldRange("most_edges", 1, 100_000),
+    FieldRange("most_things", 1, 10_000_000),
+    FieldRange("silent_s", 1, 600),
+)
+QUOTAS_PER_VOLUME = 2
+OTHER_QUOTAS = 64  # of a gateway, beside those of its volumes
+REQUESTS_PER_LOAN = 3  # quota requests that have to fit into the longest loan
+
+
+def check_planner(file: PlannerFile, report: MessageReport) -> None:
+    """Check everything in a planner's file."""
+    check_program_name(file.name, report)
+    check_present_addresses(file, ("listen", "metrics"), report)
+    if not file.state_dir:
+        report.add("no folder for the state", "state_dir")
+    check_lending(file.lending, report.nested("lending"))
+    check_ranges(file, PLANNER_RANGES, report)
+
+
+def check_lending(lending: Lending, report: MessageReport) -> None:
+    """Check that loans leave room for a request and its answer."""
+    check_ranges(lending, LENDING_RANGES, report)
+
+
+def check_planner_link(file: GatewayFile, report: MessageReport) -> None:
+    """Check `planner` of a gateway's file; nothing where it is absent."""
+    if not file.HasField("planner"):
+        return
+    planner = file.planner
+    planner_report = report.nested("planner")
+    check_address(planner.address, planner_report, "address")
+    check_lending(planner.lending, planner_report.nested("lending"))
+    quotas = QUOTAS_PER_VOLUME * len(file.volume) + OTHER_QUOTAS
+    if planner.most_things < quotas:
+        planner_report.add(
+            f"most_things {planner.most_things} for {len(file.volume)} volumes, "
+            f"{quotas} at least",
+            "most_things",
+        )
+    if planner.ask_s * REQUESTS_PER_LOAN > planner.lending.longest_s:
+        planner_report.add(
+            f"asks every {planner.ask_s:g} s: three do not fit into a promise of "
+            f"{planner.lending.longest_s:g} s",
+            "ask_s",
+        )
--- /dev/null
+++ b/milletsill/settings/scenario.py
@@ -0,0 +1,202 @@
+"""Checks a scenario: what the laboratory plays against gateways."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Protocol
+
+from milletsill.settings.field_checks import (
+    FieldRange,
+    check_choice,
+    check_ranges,
+    check_unique_names,
+)
+from milletsill.settings.flaws import MessageReport
+from milletsill.settings.gateway_file import check_gateway
+from milletsill.settings.milletsill_pb2 import Scenario, Trouble
+
+FAULTS = (
+    "vanish",
+    "slow",
+    "pauses",
+    "neighbour",
+    "report_late",
+    "burst",
+    "tenant_burst",
+    "hot_key",
+    "scan",
+    "reconnect",
+    "balancer_crash",
+    "balancer_roll",
+    "balancer_stall",
+    "retry_abuse",
+    "give_up",
+    "drain",
+    "replace",
+    "registry_away",
+    "cut",
+    "planner_crash",
+    "planner_stall",
+    "planner_old",
+    "balancer_leave",
+    "balancer_lost",
+    "balancer_old",
+    "balancer_full",
+    "split",
+    "isolate",
+    "cut_one_way",
+    "lossy",
+    "slow_network",
+    "reset_network",
+)
+FLEET_FAULTS = (
+    "split",
+    "isolate",
+    "cut_one_way",
+    "lossy",
+    "slow_network",
+    "reset_network",
+)
+TRAFFIC_OPERATIONS = ("read", "write", "list", "look", "new")
+MAX_GATEWAYS = 400
+MAX_FLEET_GATEWAYS = 250  # each has a loopback address of its own
+MAX_NODES = 400
+MAX_SECONDS = 7200
+CHANNEL_TRAFFIC_RANGES = (
+    FieldRange("channels", 1, 1000),
+    FieldRange("per_s", 0.01, 1000),
+    FieldRange("window", 1, 1000),
+    FieldRange("batch", 1, 1000),
+    FieldRange("reconnect_s", 0.1, 3600),
+    FieldRange("elsewhere", 0, 1),
+    FieldRange("extents", 1, 1000),
+    FieldRange("patience_ms", 10, 600_000),
+)
+
+
+class PlannedMessage(Protocol):
+    """A message that may be for the volumes of one service plan alone."""
+
+    @property
+    def plan(self) -> str:
+        """Return the plan's name; empty for the volumes of all plans."""
+
+
+def check_scenario(file: Scenario, report: MessageReport) -> None:
+    """Check everything in a scenario."""
+    check_gateway(file.gateway, report.nested("gateway"))
+    node_count = sum(box.count for box in file.box)
+    _check_sizes(file, node_count, report)
+    _check_nodes(file, node_count, report)
+    _check_traffic(file, report)
+    _check_surges(file, report)
+    plans = {plan.name for plan in file.gateway.plan}
+    _check_plans_exist(file.traffic, "traffic", plans, report)
+    _check_plans_exist(file.surge, "surge", plans, report)
+    _check_plans_exist(file.trouble, "trouble", plans, report)
+    _check_channel_traffic(file, report)
+    has_fleet = file.gateway.HasField("fleet")
+    for index, fault in enumerate(file.trouble):
+        _check_fault(fault, has_fleet, report.nested("trouble", index))
+
+
+def _check_sizes(file: Scenario, node_count: int, report: MessageReport) -> None:
+    """Check that the scenario is not too large for one machine."""
+    for field_name, value, maximum in (
+        ("edges", file.edges, MAX_GATEWAYS),
+        ("box", node_count, MAX_NODES),
+        ("seconds", file.seconds, MAX_SECONDS),
+    ):
+        if not 1 <= value <= maximum:
+            report.add(f"{field_name} {value:g} is not from 1 to {maximum}", field_name)
+    if file.gateway.HasField("fleet") and file.edges > MAX_FLEET_GATEWAYS:
+        report.add(
+            f"{file.edges} edges in a fleet of {MAX_FLEET_GATEWAYS} at most", "edges"
+        )
+
+
+def _check_nodes(file: Scenario, node_count: int, report: MessageReport) -> None:
+    """Check that each node has a kind, and each shard of a volume a node."""
+    kinds = check_unique_names(file.kind, "kind", report)
+    for index, box in enumerate(file.box):
+        if box.kind not in kinds:
+            report.nested("box", index).add(f"kind {box.kind!r} is missing", "kind")
+    gateway_report = report.nested("gateway")
+    for index, volume in enumerate(file.gateway.volume):
+        if any(shard >= node_count for shard in volume.cell):
+            gateway_report.nested("volume", index).add(
+                f"a cell of {volume.name!r} without a box", "cell"
+            )
+
+
+def _check_traffic(file: Scenario, report: MessageReport) -> None:
+    """Check the request class and operation of each kind of traffic."""
+    categories = {category.name for category in file.gateway.category}
+    for index, traffic in enumerate(file.traffic):
+        traffic_report = report.nested("traffic", index)
+        if traffic.category not in categories:
+            traffic_report.add(f"category {traffic.category!r} is missing", "category")
+        check_choice(traffic, "operation", TRAFFIC_OPERATIONS, traffic_report)
+
+
+def _check_surges(file: Scenario, report: MessageReport) -> None:
+    """Check that each surge is on volumes that are there."""
+    volume_count = len(file.gateway.volume)
+    for index, surge in enumerate(file.surge):
+        if any(number >= volume_count for number in surge.on):
+            report.nested("surge", index).add(
+                f"a surge on one of {volume_count} volumes that is none", "on"
+            )
+
+
+def _check_plans_exist(
+    messages: Iterable[PlannedMessage],
+    field_name: str,
+    plans: set[str],
+    report: MessageReport,
+) -> None:
+    """Check that the plans that messages of a repeated field name are there."""
+    for index, message in enumerate(messages):
+        if message.plan and message.plan not in plans:
+            report.nested(field_name, index).add(
+                f"plan {message.plan!r} is missing", "plan"
+            )
+
+
+def _check_channel_traffic(file: Scenario, report: MessageReport) -> None:
+    """Check clients with channels: contract and volume are there, numbers in range."""
+    contracts = {contract.name for contract in file.gateway.fleet.channels.contract}
+    volumes = {volume.name for volume in file.gateway.volume}
+    for index, traffic in enumerate(file.channels):
+        traffic_report = report.nested("channels", index)
+        if traffic.contract not in contracts:
+            traffic_report.add(
+                f"contract {traffic.contract!r} is missing from gateway.fleet.channels",
+                "contract",
+            )
+        if traffic.volume not in volumes:
+            traffic_report.add(f"volume {traffic.volume!r} is missing", "volume")
+        check_ranges(traffic, CHANNEL_TRAFFIC_RANGES, traffic_report)
+
+
+def _check_fault(fault: Trouble, has_fleet: bool, report: MessageReport) -> None:
+    """Check one fault of the scenario, in the file `trouble`."""
+    if fault.what not in FAULTS:
+        report.add(f"{fault.what!r} is not one of {', '.join(FAULTS)}", "what")
+    if fault.what in FLEET_FAULTS and not has_fleet:
+        report.add(f"{fault.what!r} is between gateways, and there is no fleet", "what")
+    is_valid_loss = 0 <= fault.size < 1 and 0 <= fault.extra <= 1
+    if fault.what == "lossy" and not is_valid_loss:
+        report.add(
+            "lossy: size is the share lost, under 1, extra the share that comes twice"
+        )
+    is_in_range = (
+        0 <= fault.part <= 1
+        and 0 <= fault.at_s <= MAX_SECONDS
+        and 0 <= fault.for_s <= MAX_SECONDS
+    )
+    if not is_in_range:
+        report.add(
+            f"part {fault.part:g}, at_s {fault.at_s:g} or for_s {fault.for_s:g} is "
+            "out of range"
+        )
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -17,9 +17,10 @@
 )
 from milletsill.gateway.scheduler_host import SchedulerFactory
 from milletsill.scheduler import Scheduler
-from milletsill.settings.load import SettingsFileRejected, load
+from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.gateway_file import check_gateway
+from milletsill.settings.load import load
 from milletsill.settings.milletsill_pb2 import GatewayFile
-from milletsill.settings.validation import check_gateway
 from milletsill.sftp_gateway.gateway import Edge
 
 SAID_FROM = 0.05  # seconds: a pause worth a line
@@ -94,5 +95,5 @@
     try:
         edge.reload(load(path, GatewayFile, check_gateway))
     except SettingsFileRejected as error:
-        for each in error.faults:
+        for each in error.flaws:
             edge.remark("file_refused", **SettingsFileRejected([each]).log_fields())
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -13,7 +13,7 @@
     describe_error,
 )
 from milletsill.errors.catalog import error_types, table_row
-from milletsill.settings.load import Flaw, SettingsFileRejected
+from milletsill.settings.flaws import Flaw, SettingsFileRejected
 from milletsill.sftp_gateway.errors import IncarnationNotStored
 from milletsill.sftp_gateway.incarnation import next_incarnation
 from tests.support.paths import ROOT
--- a/tests/fleet/channels/test_channel_settings.py
+++ b/tests/fleet/channels/test_channel_settings.py
@@ -2,8 +2,9 @@
 
 from twisted.trial.unittest import TestCase
 
-from milletsill.settings.load import Lines, Report
-from milletsill.settings.validation import check_gateway
+from milletsill.settings.field_lines import FieldLines
+from milletsill.settings.flaws import FlawReport
+from milletsill.settings.gateway_file import check_gateway
 from tests.support.channel_rig import ChannelFleet
 
 
@@ -17,9 +18,9 @@
             made = type(file)()
             made.CopyFrom(file)
             change(made.fleet.channels, made)
-            report = Report("f", Lines(""))
-            check_gateway(made, report)
-            return " | ".join(each.reason for each in report.faults)
+            report = FlawReport("f", FieldLines(""))
+            check_gateway(made, report.root())
+            return " | ".join(each.reason for each in report.flaws)
 
         self.assertEqual(faults(lambda keeping, made: None), "")
         for change, expected_text in (
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -28,7 +28,7 @@
 from milletsill.lab.health_day import Day
 from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import FleetLink, GatewayFile
-from milletsill.settings.validation import check_gateway
+from milletsill.settings.gateway_file import check_gateway
 
 
 class Advice(unittest.TestCase):
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -23,9 +23,10 @@
 from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 from milletsill.fleet.transport import MemberState, MessageKind
 from milletsill.lab.fleet_processes import Processes, free_ports
-from milletsill.settings.load import ConfigurationRejected, parse
+from milletsill.errors import ConfigurationRejected
+from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import GatewayFile
-from milletsill.settings.validation import check_gateway
+from milletsill.settings.gateway_file import check_gateway
 from milletsill.sftp_gateway.gateway import monotonic
 from tests.support.sftp_gateway_rig import later
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -2,9 +2,11 @@
 
 import unittest
 
-from milletsill.settings.load import SettingsFileRejected, parse
+from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
-from milletsill.settings.validation import check_gateway, check_scenario
+from milletsill.settings.gateway_file import check_gateway
+from milletsill.settings.scenario import check_scenario
 
 GOOD = """name: "edge-1"
 gateways: 3
@@ -71,7 +73,7 @@
         for old, new, line, reason in BAD:
             with self.subTest(new), self.assertRaises(SettingsFileRejected) as caught:
                 parse(GOOD.replace(old, new), "f", GatewayFile, check_gateway)
-            fault = caught.exception.faults[0]
+            fault = caught.exception.flaws[0]
             self.assertEqual(
                 (fault.line, reason in fault.reason, "\n" in str(fault)),
                 (line, True, False),
@@ -83,7 +85,7 @@
         with self.assertRaises(SettingsFileRejected) as caught:
             parse(text, "f", GatewayFile, check_gateway)
         self.assertEqual(
-            (caught.exception.faults[0].line, "within" in str(caught.exception)),
+            (caught.exception.flaws[0].line, "within" in str(caught.exception)),
             (8, True),
         )
 
