--- /dev/null
+++ b/milletsill/cli/exits.py
@@ -0,0 +1,22 @@
+"""How commands end: exit statuses, and one line on standard error."""
+
+from __future__ import annotations
+
+import sys
+from typing import NoReturn
+
+import click
+
+EXIT_FAILED = 1
+EXIT_BAD_INPUT = 2
+
+
+def exit_with(text: str, status: int) -> NoReturn:
+    """Write one line to standard error and end the process."""
+    click.echo(text, err=True)
+    sys.exit(status)
+
+
+def exit_with_error(text: str, status: int) -> NoReturn:
+    """Do the same for a line that names no file: the program's name goes before it."""
+    exit_with(f"milletsill: {text}", status)
--- a/milletsill/cli/files.py
+++ b/milletsill/cli/files.py
@@ -1,22 +1,29 @@
-"""Files that commands are given: checked, or said what is wrong with them."""
+"""Settings files that commands are given."""
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Callable
-from typing import Any
 
 import click
 
+from milletsill.cli.exits import EXIT_BAD_INPUT
 from milletsill.settings.flaws import SettingsFileRejected
-from milletsill.settings.load import load
+from milletsill.settings.load import MessageCheck, MessageT, load
 
 
-def taken(file: str, made: Any, check: Callable[..., None]) -> Any:
-    """A checked file, or its faults on standard error and exit status 2."""
+def load_or_exit(
+    file: str,
+    make_message: Callable[[], MessageT],
+    check: MessageCheck[MessageT],
+) -> MessageT:
+    """Return a checked file; a bad one ends the process with EXIT_BAD_INPUT.
+
+    Each flaw is one line on standard error.
+    """
     try:
-        return load(file, made, check)
+        return load(file, make_message, check)
     except SettingsFileRejected as error:
-        for each in error.flaws:
-            click.echo(str(each), err=True)
-        sys.exit(2)
+        for flaw in error.flaws:
+            click.echo(str(flaw), err=True)
+        sys.exit(EXIT_BAD_INPUT)
--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -1,4 +1,4 @@
-"""`milletsill plan` runs the planner, `milletsill ctl` asks it."""
+"""`milletsill plan` runs the planner, `milletsill ctl` asks it and steers it."""
 
 from __future__ import annotations
 
@@ -9,23 +9,30 @@
 
 import click
 
+from milletsill.cli.exits import EXIT_FAILED, exit_with_error
+from milletsill.cli.files import load_or_exit
 from milletsill.errors import MilletsillError, describe_error
 
-WITHIN = 5.0  # seconds for an answer
+ANSWER_TIMEOUT = 5.0  # seconds
+READ_SIZE = 1 << 16  # bytes of an answer at a time
 
 
-@click.command("plan")
+@click.command(
+    "plan",
+    help="Run the planner of FILE until SIGTERM. Exit status 1 where another planner "
+    "took over or it could not start.",
+)
 @click.argument("file", type=click.Path())
 @click.option("--check", is_flag=True, help="Check FILE and start nothing.")
 def plan(file: str, check: bool) -> None:
-    """Run the planner of FILE until SIGTERM. Exit status 1 where another planner took over or it could not start."""
-    from milletsill.cli.files import taken
+    """Run the planner of a file, or only check the file."""
     from milletsill.settings.milletsill_pb2 import PlannerFile
     from milletsill.settings.planner_file import check_planner
 
-    loaded = taken(file, PlannerFile, check_planner)
+    loaded = load_or_exit(file, PlannerFile, check_planner)
     if check:
-        return click.echo(f"{file}: fine")
+        click.echo(f"{file}: fine")
+        return
     from milletsill.planner.planner_process import run
 
     sys.exit(run(loaded))
@@ -40,27 +47,52 @@
 
 
 def ask(address: str, **question: Any) -> list[dict[str, Any]]:
-    """One question to a planner; a fault or no answer is one line and status 1."""
+    """Return a planner's answer, one value of JSON for each of its lines.
+
+    The keywords are the fields of the protobuf message `Question`. A
+    refusal or no answer ends the process with EXIT_FAILED.
+    """
+    try:
+        return _ask(address, question)
+    except (OSError, OverflowError, ValueError, MilletsillError) as error:
+        exit_with_error(f"{address}: {describe_error(error)}", EXIT_FAILED)
+
+
+def _ask(address: str, question: dict[str, Any]) -> list[dict[str, Any]]:
+    """Call a planner and return its answer.
+
+    Raises:
+        PlannerCommandFailed: it refused, or ended the connection without an answer.
+        click.BadParameter: the address is not host:port.
+        OSError: it cannot be reached, or did not answer in time.
+    """
     from milletsill.planner.codec import FrameParser, encode_frame
     from milletsill.planner.plan_pb2 import Question
 
     host, _, port = address.rpartition(":")
-    try:
-        if not host or not port.isdecimal():
-            raise click.BadParameter(f"{address!r} is not host:port")
-        with socket.create_connection((host, int(port)), WITHIN) as link:
-            link.settimeout(WITHIN)
-            link.sendall(encode_frame(question=Question(**question)))
-            frames = FrameParser()
-            while data := link.recv(1 << 16):
-                for frame in frames.feed(data):
-                    if frame.told.fault:
-                        raise PlannerCommandFailed(frame.told.fault)
-                    return [json.loads(each) for each in frame.told.line]
-            raise PlannerCommandFailed("the planner ended without an answer")
-    except (OSError, OverflowError, ValueError, MilletsillError) as error:
-        click.echo(f"milletsill: {address}: {describe_error(error)}", err=True)
-        sys.exit(1)
+    if not host or not port.isdecimal():
+        raise click.BadParameter(f"{address!r} is not host:port")
+    with socket.create_connection((host, int(port)), ANSWER_TIMEOUT) as connection:
+        connection.settimeout(ANSWER_TIMEOUT)
+        connection.sendall(encode_frame(question=Question(**question)))
+        parser = FrameParser()
+        while data := connection.recv(READ_SIZE):
+            for frame in parser.feed(data):
+                if frame.told.fault:
+                    raise PlannerCommandFailed(frame.told.fault)
+                return [json.loads(line) for line in frame.told.line]
+    raise PlannerCommandFailed("the planner ended without an answer")
+
+
+def _print_answer(address: str, **question: Any) -> None:
+    """Ask a planner and print its answer, one line of JSON for each value."""
+    for value in ask(address, **question):
+        click.echo(json.dumps(value))
+
+
+def _print_first_value(address: str, **question: Any) -> None:
+    """Ask a planner and print the first value of its answer."""
+    click.echo(json.dumps(ask(address, **question)[0]))
 
 
 @click.group()
@@ -79,30 +111,28 @@
 @click.pass_obj
 def ctl_shares(address: str, edge: str, most: int) -> None:
     """Who holds what, until when: a line of JSON for each edge and thing."""
-    for each in ask(address, what="shares", edge=edge, most=most):
-        click.echo(json.dumps(each))
+    _print_answer(address, what="shares", edge=edge, most=most)
 
 
 @ctl.command("edges")
 @click.pass_obj
 def ctl_edges(address: str) -> None:
     """The edges that are connected, their runs and last words."""
-    for each in ask(address, what="edges"):
-        click.echo(json.dumps(each))
+    _print_answer(address, what="edges")
 
 
 @ctl.command("freeze")
 @click.pass_obj
 def ctl_freeze(address: str) -> None:
     """Make no new plans; what stands goes on."""
-    click.echo(json.dumps(ask(address, what="freeze")[0]))
+    _print_first_value(address, what="freeze")
 
 
 @ctl.command("thaw")
 @click.pass_obj
 def ctl_thaw(address: str) -> None:
     """Plan again."""
-    click.echo(json.dumps(ask(address, what="thaw")[0]))
+    _print_first_value(address, what="thaw")
 
 
 @ctl.command("drain")
@@ -110,7 +140,7 @@
 @click.pass_obj
 def ctl_drain(address: str, edge: str) -> None:
     """Plan as if EDGE wanted nothing: it keeps the floor, the rest is lent on."""
-    click.echo(json.dumps(ask(address, what="drain", edge=edge)[0]))
+    _print_first_value(address, what="drain", edge=edge)
 
 
 @ctl.command("undrain")
@@ -118,4 +148,4 @@
 @click.pass_obj
 def ctl_undrain(address: str, edge: str) -> None:
     """Plan for EDGE again."""
-    click.echo(json.dumps(ask(address, what="undrain", edge=edge)[0]))
+    _print_first_value(address, what="undrain", edge=edge)
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -1,4 +1,7 @@
-"""`milletsill trace`: look into traces, cut, merge, anonymise, mend, convert. A bad or missing file is one line and status 2."""
+"""`milletsill trace`: looks into traces, cuts, merges, anonymises, converts them.
+
+A bad or missing file is one line on standard error and exit status 2.
+"""
 
 from __future__ import annotations
 
@@ -6,25 +9,42 @@
 import os
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeAlias, TypeVar
 
 import click
 
+from milletsill.cli.exits import (
+    EXIT_BAD_INPUT,
+    EXIT_FAILED,
+    exit_with,
+    exit_with_error,
+)
+from milletsill.cli.options import group_options
 from milletsill.errors import describe_error
 
-FILE, FILES = (
-    click.argument("file", type=click.Path()),
-    click.argument("files", nargs=-1, required=True, type=click.Path()),
-)
+MIN_KEY = 16  # bytes of the secret for anonymous names
+MAX_KEY = 4096  # bytes; what a file has after these is not read as key
+TICKS_PER_S = 10_000  # a trace counts time in tenths of a millisecond
+TICKS_PER_MS = 10
+MIN_WINDOW = 10  # ticks
+
+FILE = click.argument("file", type=click.Path())
+FILES = click.argument("files", nargs=-1, required=True, type=click.Path())
 OUT = click.argument("out", type=click.Path())
-FROM = click.option(
+SINCE = click.option(
     "--from",
     "since",
     help="Tenths of a millisecond on the writer's clock, +N[s|m|h] "
     "after its opening, or ISO 8601 wall time.",
 )
-TO = click.option("--to", "until", help="Up to, not with.")
+UNTIL = click.option("--to", "until", help="Up to, not with.")
+
+ResultT = TypeVar("ResultT")
+# Is called with the number of bytes that were read since the last call.
+OnBytesRead: TypeAlias = Callable[[int], None]
 
 
 @click.group()
@@ -32,57 +52,72 @@
     """Traces: look into them, cut, merge, anonymise, mend, convert."""
 
 
-def said(call: Callable[..., Any], *values: Any, **named: Any) -> Any:
-    """What a call on traces gives; a bad or missing file is one line and status 2."""
+def result_or_exit(call: Callable[[], ResultT]) -> ResultT:
+    """Return what a call on traces gives.
+
+    A bad or missing file ends the process with EXIT_BAD_INPUT.
+    """
     from milletsill.trace.format import MalformedTrace
 
     try:
-        return call(*values, **named)
-    except (MalformedTrace, OSError) as error:
-        what = (
-            f"{error.filename}: {error.strerror}"
-            if isinstance(error, OSError)
-            else error.describe()
-        )
-        click.echo(f"milletsill: {what}", err=True)
-        sys.exit(2)
-
-
-def shown(files: list[str], call: Callable[[Any], Any], times: int = 1) -> Any:
-    """A call that reads the files so many times, with a bar on a terminal's standard error."""
+        return call()
+    except MalformedTrace as error:
+        exit_with_error(error.describe(), EXIT_BAD_INPUT)
+    except OSError as error:
+        exit_with_error(f"{error.filename}: {error.strerror}", EXIT_BAD_INPUT)
+
+
+def read_with_progress(
+    files: list[str],
+    read: Callable[[OnBytesRead | None], ResultT],
+    passes: int = 1,
+) -> ResultT:
+    """Return what a call that reads whole files gives.
+
+    Shows a progress bar where standard error is a terminal; `passes` is how often the
+    call reads the files. A bad or missing file ends the process with EXIT_BAD_INPUT.
+    """
     if not sys.stderr.isatty():
-        return said(call, None)
+        return result_or_exit(lambda: read(None))
     from rich.console import Console
     from rich.progress import Progress
 
-    total = sum(os.path.getsize(each) for each in files if os.path.exists(each))
+    size = sum(os.path.getsize(file) for file in files if os.path.exists(file))
     with Progress(console=Console(stderr=True), transient=True) as progress:
-        bar = progress.add_task("reading", total=total * times)
-        return said(call, lambda count: progress.advance(bar, count))
+        bar = progress.add_task("reading", total=size * passes)
+        return result_or_exit(lambda: read(partial(progress.advance, bar)))
 
 
-def moments(file: str, *texts: str | None) -> list[int | None]:
-    """Times as given on the command line, on the file's clock."""
-    from milletsill.trace.reader import Trace
-    from milletsill.trace.recording_policy import InvalidTime, moment
-
-    def found() -> list[int | None]:
-        with Trace(file) as trace:
-            about = trace.map.about
-            return [
-                None
-                if text is None
-                else moment(
-                    text, int(about.get("opened", 0)), int(about.get("wall_ms", 0))
-                )
-                for text in texts
-            ]
+def parse_period(
+    file: str, since: str | None, until: str | None
+) -> tuple[int | None, int | None]:
+    """Return begin and end of a period on the file's clock, None where not given.
+
+    A bad time or file ends the process with EXIT_BAD_INPUT.
+    """
+    from milletsill.trace.recording_policy import InvalidTime
 
     try:
-        return said(found)
+        return result_or_exit(lambda: _parse_period(file, since, until))
     except (InvalidTime, ValueError, TypeError) as error:
-        click.echo(f"milletsill: {describe_error(error)}", err=True)
-        sys.exit(2)
+        exit_with_error(describe_error(error), EXIT_BAD_INPUT)
+
+
+def _parse_period(
+    file: str, since: str | None, until: str | None
+) -> tuple[int | None, int | None]:
+    """Read the file's clock, and return begin and end of a period on it."""
+    from milletsill.trace.reader import Trace
+    from milletsill.trace.recording_policy import moment
+
+    def parse_time(text: str | None) -> int | None:
+        if text is None:
+            return None
+        return moment(text, int(about.get("opened", 0)), int(about.get("wall_ms", 0)))
+
+    with Trace(file) as trace:
+        about = trace.map.about
+        return parse_time(since), parse_time(until)
 
 
 @trace.command("info")
@@ -92,24 +127,20 @@
     from milletsill.trace.tools import summary
 
     for file in files:
-        click.echo(
-            json.dumps(shown([file], lambda heard, file=file: summary(file, heard)))
-        )
+        click.echo(json.dumps(read_with_progress([file], partial(summary, file))))
 
 
 @trace.command("cat")
 @FILE
-@FROM
-@TO
+@SINCE
+@UNTIL
 def trace_cat(file: str, since: str | None, until: str | None) -> None:
     """Print FILE's records as JSON lines."""
     from milletsill.trace.tools import lines
 
-    said(
-        lines,
-        file,
-        *moments(file, since, until),
-        lambda row: click.echo(json.dumps(row)),
+    begin, end = parse_period(file, since, until)
+    result_or_exit(
+        lambda: lines(file, begin, end, lambda row: click.echo(json.dumps(row)))
     )
 
 
@@ -119,94 +150,117 @@
     """Unpack every block of FILES. Exit status 1 where anything is broken."""
     from milletsill.trace.reader import verify
 
-    broken = False
+    is_broken = False
     for file in files:
-        found = shown([file], lambda heard, file=file: verify(file, heard))
+        found = read_with_progress([file], partial(verify, file))
         click.echo(
             f"{file}: {found.verdict.name.lower()}, {len(found.heads)} blocks, "
-            f"{sum(each.records for each in found.heads)} records"
+            f"{sum(block.records for block in found.heads)} records"
         )
-        for each in found.breaks:
-            broken = True
-            click.echo(f"  at {each.offset}, {each.size} bytes: {each.reason}")
-    sys.exit(1 if broken else 0)
+        for gap in found.breaks:
+            is_broken = True
+            click.echo(f"  at {gap.offset}, {gap.size} bytes: {gap.reason}")
+    sys.exit(EXIT_FAILED if is_broken else 0)
 
 
-@trace.command("repair")
+@trace.command(
+    "repair",
+    help="Write the whole blocks of FILE, as they stand, to the new file OUT, with an "
+    "index.",
+)
 @FILE
 @OUT
 def trace_repair(file: str, out: str) -> None:
-    """Write the whole blocks of FILE, as they stand, to the new file OUT, with an index."""
+    """Write the whole blocks of a file to a new file, with an index."""
     from milletsill.trace.reader import repair
 
-    found = shown([file], lambda heard: repair(file, out, heard))
-    click.echo(
-        f"{out}: {len(found.heads)} blocks kept, {sum(each.size for each in found.breaks)} bytes left out"
-    )
+    found = read_with_progress([file], partial(repair, file, out))
+    left_out = sum(gap.size for gap in found.breaks)
+    click.echo(f"{out}: {len(found.heads)} blocks kept, {left_out} bytes left out")
+
+
+@dataclass(frozen=True, slots=True)
+class CutOptions:
+    """What part of a trace `trace cut` writes; None of a field leaves nothing out.
+
+    Attributes:
+        since: begin of the period.
+        until: end of the period.
+        store: name of the only volume.
+        category: the only request class, its name or position.
+        box: number of the only node.
+    """
+
+    since: str | None
+    until: str | None
+    store: str | None
+    category: str | None
+    box: int | None
 
 
 @trace.command("cut")
 @FILE
 @OUT
-@FROM
-@TO
+@SINCE
+@UNTIL
 @click.option("--store", help="Transfers of this store alone.")
 @click.option("--category", help="Of this category alone: its name or place.")
 @click.option("--box", type=int, help="Transfers that were dispatched to this box.")
-def trace_cut(
-    file: str,
-    out: str,
-    since: str | None,
-    until: str | None,
-    store: str | None,
-    category: str | None,
-    box: int | None,
-) -> None:
+@group_options(CutOptions)
+def trace_cut(file: str, out: str, options: CutOptions) -> None:
     """Write a part of FILE to the new file OUT."""
     from milletsill.trace.tools import cut, place_of
 
-    begin, end = moments(file, since, until)
-    place = None if category is None else said(place_of, file, category)
-    count, read = shown(
+    begin, end = parse_period(file, options.since, options.until)
+    category = options.category
+    place = None
+    if category is not None:
+        place = result_or_exit(partial(place_of, file, category))
+    records, bytes_read = read_with_progress(
         [file],
-        lambda heard: cut(
+        partial(
+            cut,
             file,
             out,
-            heard,
             since=begin,
             until=end,
-            store=store,
+            store=options.store,
             category=place,
-            box=box,
+            box=options.box,
         ),
     )
-    click.echo(f"{out}: {count} records, {read} bytes read")
+    click.echo(f"{out}: {records} records, {bytes_read} bytes read")
 
 
-@trace.command("merge")
+@trace.command(
+    "merge",
+    help="Write FILES of many gateways as one, by wall time, to the new file OUT. "
+    "Clocks that are seconds off are mended by the list news that the gateways share; "
+    "what each correction may be off by is told.",
+)
 @OUT
 @FILES
 def trace_merge(out: str, files: tuple[str, ...]) -> None:
-    """Write FILES of many gateways as one, by wall time, to the new file OUT. Clocks that are seconds off are mended by the
-    list news that the gateways share; what each correction may be off by is told.
-    """
+    """Write traces of many gateways as one, and print how each clock was corrected."""
     from milletsill.trace.tools import merge
 
-    made = shown(list(files), lambda heard: merge(list(files), out, heard), 2)
+    made = read_with_progress(list(files), partial(merge, list(files), out), passes=2)
     click.echo(f"{out}: {made.records} records")
-    for name, shift, off in made.clocks:
-        if shift or off is None:
-            click.echo(
-                f"  {name}: clock set by {shift / 10:g} ms, "
-                + (
-                    "nothing shared: the wall clock alone"
-                    if off is None
-                    else f"give or take {off / 10:g} ms"
-                )
-            )
-
-
-@trace.command("anonymise")
+    for name, shift, uncertainty in made.clocks:
+        if not shift and uncertainty is not None:
+            continue
+        if uncertainty is None:
+            source = "nothing shared: the wall clock alone"
+        else:
+            source = f"give or take {uncertainty / TICKS_PER_MS:g} ms"
+        click.echo(f"  {name}: clock set by {shift / TICKS_PER_MS:g} ms, {source}")
+
+
+@trace.command(
+    "anonymise",
+    help="Write FILE to the new file OUT with stores, paths and categories' names "
+    "replaced.",
+)
 @FILE
 @OUT
 @click.option(
@@ -216,16 +270,17 @@
     help="A secret of 16 bytes or more; one key, equal names.",
 )
 def trace_anonymise(file: str, out: str, key_file: str) -> None:
-    """Write FILE to the new file OUT with stores, paths and categories' names replaced."""
+    """Write a file to a new file with names and paths replaced."""
     from milletsill.trace.tools import anonymise
 
-    key = said(lambda: Path(key_file).read_bytes()[:4096])
-    if len(key) < 16:
-        click.echo(f"{key_file}: a key of {len(key)} bytes, 16 at least", err=True)
-        sys.exit(2)
-    click.echo(
-        f"{out}: {shown([file], lambda heard: anonymise(file, out, key, heard))} records"
-    )
+    key = result_or_exit(lambda: Path(key_file).read_bytes()[:MAX_KEY])
+    if len(key) < MIN_KEY:
+        exit_with(
+            f"{key_file}: a key of {len(key)} bytes, {MIN_KEY} at least",
+            EXIT_BAD_INPUT,
+        )
+    records = read_with_progress([file], partial(anonymise, file, out, key))
+    click.echo(f"{out}: {records} records")
 
 
 @trace.command("convert")
@@ -237,21 +292,44 @@
     type=click.Choice(["mtrace", "parquet", "csv"]),
     default="mtrace",
     show_default=True,
-    help="mtrace: the present version, in full blocks. Others: OUT is a folder, one table for each kind.",
+    help="mtrace: the present version, in full blocks. Others: OUT is a folder, one "
+    "table for each kind.",
 )
 def trace_convert(file: str, out: str, to: str) -> None:
     """Write FILE in another form."""
     from milletsill.trace.tools import convert
 
-    click.echo(
-        f"{out}: {shown([file], lambda heard: convert(file, out, to, heard))} records"
+    records = read_with_progress(
+        [file], lambda on_bytes_read: convert(file, out, to, on_bytes_read)
     )
+    click.echo(f"{out}: {records} records")
+
+
+@dataclass(frozen=True, slots=True)
+class SummaryOptions:
+    """What `trace summarise` is given beside the file.
+
+    Attributes:
+        since: begin of the period; None for that of the trace.
+        until: end of the period; None for that of the trace.
+        window: seconds of each row.
+        power: units a second of all nodes; None where not known.
+        as_json: whether to print JSON in place of a table.
+        plot: file for a picture; None for none.
+    """
+
+    since: str | None
+    until: str | None
+    window: float
+    power: float | None
+    as_json: bool
+    plot: str | None
 
 
 @trace.command("summarise")
 @FILE
-@FROM
-@TO
+@SINCE
+@UNTIL
 @click.option(
     "--window",
     type=click.FloatRange(0.001),
@@ -269,29 +347,22 @@
 @click.option(
     "--plot", type=click.Path(), help="Also a picture, PNG or SVG by the name."
 )
-def trace_summarise(
-    file: str,
-    since: str | None,
-    until: str | None,
-    window: float,
-    power: float | None,
-    as_json: bool,
-    plot: str | None,
-) -> None:
+@group_options(SummaryOptions)
+def trace_summarise(file: str, options: SummaryOptions) -> None:
     """Service, quantiles, who was declined and why, by time window."""
     from milletsill.trace import service
 
-    begin, end = moments(file, since, until)
-    found = shown(
+    begin, end = parse_period(file, options.since, options.until)
+    window = max(int(options.window * TICKS_PER_S), MIN_WINDOW)
+    summary: dict[str, Any] = read_with_progress(
         [file],
-        lambda heard: service.summarise(
-            file, max(int(window * 10_000), 10), power, begin, end, heard
-        ),
+        partial(service.summarise, file, window, options.power, begin, end),
     )
-    click.echo(json.dumps(found) if as_json else service.table(found))
-    if plot:
-        try:
-            said(service.plot, found, plot)
-        except ValueError as error:
-            click.echo(f"milletsill: {plot}: {error}", err=True)
-            sys.exit(2)
+    click.echo(json.dumps(summary) if options.as_json else service.table(summary))
+    plot_file = options.plot
+    if not plot_file:
+        return
+    try:
+        result_or_exit(lambda: service.plot(summary, plot_file))
+    except ValueError as error:
+        exit_with_error(f"{plot_file}: {error}", EXIT_BAD_INPUT)
--- a/milletsill/logs.py
+++ b/milletsill/logs.py
@@ -1,10 +1,10 @@
-"""Structured logs on structlog: one event a line, JSON or console, to standard error."""
+"""Structured logs on structlog: one event a line, as JSON or for a console."""
 
 from __future__ import annotations
 
 import logging
 import sys
-from typing import Any
+from typing import Any, TextIO
 
 import structlog
 
@@ -16,13 +16,20 @@
 }
 
 
-def logger(level: str, as_json: bool, stream: Any = None, **bound: Any) -> Any:
-    """A logger of its own, bound to these values; a stream that refuses lines loses them, nothing else."""
-    render = (
-        structlog.processors.JSONRenderer()
-        if as_json
-        else structlog.dev.ConsoleRenderer(colors=False)
-    )
+def logger(
+    level: str, as_json: bool, stream: TextIO | None = None, **bound: Any
+) -> Any:
+    """Return a logger that shares nothing with other loggers.
+
+    Args:
+        level: a key of LEVELS; what is below it is not written.
+        as_json: whether a line is JSON, or text for a console.
+        stream: where lines go; standard error where absent.
+        bound: fields of each line.
+    """
+    render: structlog.typing.Processor = structlog.dev.ConsoleRenderer(colors=False)
+    if as_json:
+        render = structlog.processors.JSONRenderer()
     return structlog.wrap_logger(
         structlog.PrintLogger(stream or sys.stderr),
         processors=[
