--- a/milletsill/settings/fleet.py
+++ b/milletsill/settings/fleet.py
@@ -15,7 +15,7 @@
 from milletsill.settings.milletsill_pb2 import FleetLink, GatewayFile
 
 MAX_ADDRESS = 80  # characters of another gateway's address
-ANY_HOST = "0.0.0.0:"  # noqa: S104 - it is what the check refuses
+ANY_HOST = "0.0.0.0:"  # an address to listen at, not to call
 ANY_PORT = ":0"
 EXCHANGES_REMEMBERED = 10  # whole exchanges for which a gone member is remembered
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,11 +1,13 @@
-"""The operator's files: bad ones refused with line and reason, good ones taken as they are."""
+"""Settings files: bad ones are refused with line and reason, good ones are unchanged."""
 
 import unittest
 
-from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.field_lines import FieldLines, FieldStep
+from milletsill.settings.flaws import MAX_FLAWS, SettingsFileRejected
 from milletsill.settings.load import parse
-from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
+from milletsill.settings.milletsill_pb2 import GatewayFile, PlannerFile, Scenario
 from milletsill.settings.gateway_file import check_gateway
+from milletsill.settings.planner_file import check_planner
 from milletsill.settings.scenario import check_scenario
 
 GOOD = """name: "edge-1"
@@ -61,7 +63,7 @@
 ]
 
 
-class Files(unittest.TestCase):
+class SettingsFiles(unittest.TestCase):
     def test_a_good_file_is_taken_unchanged(self):
         file = parse(GOOD, "f", GatewayFile, check_gateway)
         self.assertEqual(
@@ -73,11 +75,11 @@
         for old, new, line, reason in BAD:
             with self.subTest(new), self.assertRaises(SettingsFileRejected) as caught:
                 parse(GOOD.replace(old, new), "f", GatewayFile, check_gateway)
-            fault = caught.exception.flaws[0]
+            flaw = caught.exception.flaws[0]
             self.assertEqual(
-                (fault.line, reason in fault.reason, "\n" in str(fault)),
+                (flaw.line, reason in flaw.reason, "\n" in str(flaw)),
                 (line, True, False),
-                str(fault),
+                str(flaw),
             )
 
     def test_roots_within_each_other_are_refused(self):
@@ -102,6 +104,52 @@
             parse(text, "f", Scenario, check_scenario)
         self.assertIn("without a box", str(caught.exception))
 
+    def test_a_flaw_in_a_scenario_has_the_line_within_the_gateway(self):
+        inner = GOOD.replace('plan: "basic"', 'plan: "none"')
+        text = f'name: "d"\nedges: 1\nkind {{ name: "k" }}\nbox {{ kind: "k" count: 2 }}\ngateway {{\n{inner}}}\n'
+        with self.assertRaises(SettingsFileRejected) as caught:
+            parse(text, "f", Scenario, check_scenario)
+        (flaw,) = caught.exception.flaws
+        self.assertEqual((flaw.line, "'none'" in flaw.reason), (11, True))
+
+    def test_a_planner_file_is_checked(self):
+        text = 'name: "p"\nlisten: "127.0.0.1:0"\nstate_dir: "s"\n'
+        parse(text, "f", PlannerFile, check_planner)
+        for old, new, line, reason in (
+            ('"p"', '"p q"', 1, "printable"),
+            ("127.0.0.1:0", "127.0.0.1", 2, "host:port"),
+            ('"s"', '""', 3, "no folder"),
+            ('"s"', '"s"\nlending {\n  floor: 1\n}', 5, "not from 0.01 to 0.9"),
+            ('"s"', '"s"\nmost_edges: 0', 4, "not from 1"),
+        ):
+            with self.subTest(new), self.assertRaises(SettingsFileRejected) as caught:
+                parse(text.replace(old, new), "f", PlannerFile, check_planner)
+            (flaw,) = caught.exception.flaws
+            self.assertEqual((flaw.line, reason in flaw.reason), (line, True), flaw)
+
+    def test_a_report_is_bounded(self):
+        text = GOOD + 'volume { root: "/" plan: "basic" cell: 0 }\n' * 2 * MAX_FLAWS
+        with self.assertRaises(SettingsFileRejected) as caught:
+            parse(text, "f", GatewayFile, check_gateway)
+        self.assertEqual(len(caught.exception.flaws), MAX_FLAWS)
+
+
+class LinesOfFields(unittest.TestCase):
+    def test_each_value_of_a_repeated_field_has_its_line(self):
+        lines = FieldLines(
+            'volume {\n  cell: [0,\n 1]\n  name: "a"\n  "b"\n}\nvolume <\n cell: 2; >\n'
+        )
+        for path, line in (
+            ((FieldStep("volume"),), 1),
+            ((FieldStep("volume"), FieldStep("cell", 1)), 2),
+            ((FieldStep("volume"), FieldStep("name")), 4),
+            ((FieldStep("volume", 1), FieldStep("cell")), 8),
+            ((FieldStep("volume", 1), FieldStep("root")), 7),
+            ((FieldStep("plan"),), 0),
+            ((), 0),
+        ):
+            self.assertEqual(lines.line_of(path), line, path)
+
 
 if __name__ == "__main__":
     unittest.main()
