--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -49,8 +49,9 @@
 def ask(address: str, **question: Any) -> list[dict[str, Any]]:
     """Return a planner's answer, one value of JSON for each of its lines.
 
-    The keywords are the fields of the protobuf message `Question`. A
-    refusal or no answer ends the process with EXIT_FAILED.
+    The keywords are the fields of the protobuf message `Question`. A refusal or no
+    answer ends the process with EXIT_FAILED; an address that is not host:port is an
+    error of usage, which click tells.
     """
     try:
         return _ask(address, question)
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: bad ones are refused with line and reason, good ones are unchanged."""
+"""Settings files: bad ones are refused with line and reason, good ones are taken."""
 
 import unittest
 
@@ -106,7 +106,10 @@
 
     def test_a_flaw_in_a_scenario_has_the_line_within_the_gateway(self):
         inner = GOOD.replace('plan: "basic"', 'plan: "none"')
-        text = f'name: "d"\nedges: 1\nkind {{ name: "k" }}\nbox {{ kind: "k" count: 2 }}\ngateway {{\n{inner}}}\n'
+        text = (
+            'name: "d"\nedges: 1\nkind { name: "k" }\nbox { kind: "k" count: 2 }\n'
+            f"gateway {{\n{inner}}}\n"
+        )
         with self.assertRaises(SettingsFileRejected) as caught:
             parse(text, "f", Scenario, check_scenario)
         (flaw,) = caught.exception.flaws
