--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -24,13 +24,15 @@
 from google.protobuf import text_format
 
 from benchmarks.registers import free_ports
+from milletsill.sftp import packet_codec
+from milletsill.sftp import status_tags
 from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.framing import Deframer
-from milletsill.sftp.wire import Attrs
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.framing import PacketSplitter
+from milletsill.sftp.wire import FileAttributes
 
 FILE = """
 registry {{ address: "127.0.0.1:{registry}" }}
@@ -83,8 +85,8 @@
     async def to(cls, port: int) -> Client:
         made = cls()
         made.reader, made.writer = await asyncio.open_connection("127.0.0.1", port)
-        made.waiting, made.ids, made.deframer = {}, 0, Deframer(1 << 24)
-        made.writer.write(packets.encode(packets.Init(3)))
+        made.waiting, made.ids, made.deframer = {}, 0, PacketSplitter(1 << 24)
+        made.writer.write(packet_codec.encode(packets.Init(3)))
         made.task = asyncio.create_task(made.read())
         return made
 
@@ -92,7 +94,7 @@
         while data := await self.reader.read(1 << 16):
             self.deframer.feed(data)
             while (body := self.deframer.next()) is not None:
-                packet = packets.decode(body)
+                packet = packet_codec.decode(body)
                 done = self.waiting.pop(getattr(packet, "id", None), None)
                 if done is not None and not done.done():
                     done.set_result(packet)
@@ -104,7 +106,7 @@
         self.ids += 1
         self.waiting[self.ids] = asyncio.get_running_loop().create_future()
         done = self.waiting[self.ids]
-        self.writer.write(packets.encode(packets.with_id(packet, self.ids)))
+        self.writer.write(packet_codec.encode(packet_codec.with_id(packet, self.ids)))
         return await asyncio.wait_for(done, span)
 
 
@@ -126,18 +128,22 @@
         self.client = await Client.to(self.port)
         while self.numbered:
             told = await self.client.ask(
-                wire.put_channel(0, wire.Opening("/v", self.name))
+                wire.encode_channel_request(0, wire.ChannelOpen("/v", self.name))
             )
             if isinstance(told, packets.ExtendedReply):
-                self.channel = wire.read_opened(told)
+                self.channel = wire.decode_open_reply(told)
                 self.number = self.channel.next
                 break
             if time.monotonic() > ends:
                 raise TimeoutError(told)
-            await asyncio.sleep((wire.read_sign(told.language).pause or 100) / 1000)
+            await asyncio.sleep(
+                (status_tags.parse_status_tag(told.language).pause or 100) / 1000
+            )
         flags = packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
         self.handle = (
-            await self.client.ask(packets.Open(0, f"/v/{self.name}", flags, Attrs()))
+            await self.client.ask(
+                packets.Open(0, f"/v/{self.name}", flags, FileAttributes())
+            )
         ).handle
 
     async def put(self, after: int = 0) -> Any:
@@ -145,11 +151,13 @@
         number = self.number + after
         write = packets.Write(0, self.handle, number % 64 * 400, b"%-400d" % number)
         if self.numbered:
-            said = wire.Numbered(
-                self.channel.handle, number, 0, False, Terms(3000), write
+            said = wire.NumberedCommand(
+                self.channel.handle, number, 0, False, CommandTerms(3000), write
             )
-            return await self.client.ask(wire.put_numbered(0, said))
-        return await self.client.ask(extensions.put_terms(Terms(3000), write))
+            return await self.client.ask(wire.encode_numbered(0, said))
+        return await self.client.ask(
+            extensions.encode_command(CommandTerms(3000), write)
+        )
 
     async def run(self, ends: float, every: float, chance: Random) -> None:
         await asyncio.sleep(chance.uniform(0, every))
@@ -167,7 +175,7 @@
             self.number += done
             if (
                 answer.code != packets.OK
-                and (found := wire.read_sign(answer.language))
+                and (found := status_tags.parse_status_tag(answer.language))
                 and found.pause
             ):
                 await asyncio.sleep(found.pause / 1000)
@@ -292,7 +300,9 @@
     while time.monotonic() < ends:
         answer = await load.put()
         found = (
-            wire.read_sign(answer.language) if answer.code == packets.FAILURE else None
+            status_tags.parse_status_tag(answer.language)
+            if answer.code == packets.FAILURE
+            else None
         )
         if answer.code == packets.OK:
             load.done.append(time.monotonic())
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -23,6 +23,7 @@
 
 from google.protobuf import text_format
 
+from milletsill.sftp import packet_codec
 from milletsill.lab.processes import free_ports
 from milletsill.settings.milletsill_pb2 import GatewayFile
 
@@ -117,7 +118,7 @@
 
     def ask(number: int) -> None:
         began = perf()
-        order = extensions.Order(
+        order = extensions.NodeRequest(
             "direct",
             1,
             number,
@@ -163,8 +164,8 @@
     from twisted.internet.protocol import Factory, Protocol
 
     from milletsill.sftp import packets
-    from milletsill.sftp.framing import Deframer
-    from milletsill.sftp.wire import Attrs
+    from milletsill.sftp.framing import PacketSplitter
+    from milletsill.sftp.wire import FileAttributes
 
     spans, ends, perf = [], [0.0], time.perf_counter
 
@@ -172,23 +173,25 @@
         def connectionMade(self) -> None:
             self.transport.setTcpNoDelay(True)
             self.deframer, self.ids, self.sent, self.handles, self.opened = (
-                Deframer(1 << 24),
+                PacketSplitter(1 << 24),
                 0,
                 {},
                 [],
                 0,
             )
-            self.transport.write(packets.encode(packets.Init(3)))
+            self.transport.write(packet_codec.encode(packets.Init(3)))
             for number in range(64):
                 self.ids += 1
                 self.transport.write(
-                    packets.encode(packets.Open(self.ids, f"/v/f{number}", 1, Attrs()))
+                    packet_codec.encode(
+                        packets.Open(self.ids, f"/v/f{number}", 1, FileAttributes())
+                    )
                 )
 
         def dataReceived(self, data: bytes) -> None:
             self.deframer.feed(data)
             while (body := self.deframer.next()) is not None:
-                packet = packets.decode(body)
+                packet = packet_codec.decode(body)
                 if (
                     getattr(packet, "id", 99) <= 64
                 ):  # the opens; one that was declined is done without
@@ -222,7 +225,7 @@
             self.ids += 1
             self.sent[self.ids] = perf()
             self.transport.write(
-                packets.encode(
+                packet_codec.encode(
                     packets.Read(
                         self.ids, self.handles[self.ids % len(self.handles)], 0, 4096
                     )
--- a/milletsill/fleet/channels/command_replies.py
+++ b/milletsill/fleet/channels/command_replies.py
@@ -18,7 +18,7 @@
 from milletsill.fleet.channels.sequences import CompletionOutcome
 from milletsill.fleet.leases.errors import NotLeaseHolder
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
+from milletsill.sftp import packets, status_tags
 
 CONTRACT_ERRORS = (ContractConflict, ContractOutdated, ContractNotOffered)
 """Errors that a client hears as a contradiction."""
@@ -38,9 +38,9 @@
 COUNTED_NUMBER_STATUS = "look"
 
 _WIRE_STATES: dict[int, int] = {
-    CompletionOutcome.SETTLED: wire.IS_SETTLED,
-    CompletionOutcome.STAYED_INDETERMINATE: wire.IS_UNSURE,
-    CompletionOutcome.SKIPPED: wire.IS_LEFT_OUT,
+    CompletionOutcome.SETTLED: wire.NumberStatus.SETTLED,
+    CompletionOutcome.STAYED_INDETERMINATE: wire.NumberStatus.INDETERMINATE,
+    CompletionOutcome.SKIPPED: wire.NumberStatus.SKIPPED,
 }
 
 
@@ -60,9 +60,9 @@
         default=channel.lowest_open,
     )
     contract = channel.contract
-    return wire.put_opened(
+    return wire.encode_open_reply(
         0,
-        wire.Opened(
+        wire.ChannelOpenReply(
             b"",
             channel.claim,
             contract.name,
@@ -72,7 +72,7 @@
             channel.batch,
             contract.max_waiting,
             first_remembered,
-            channel.indeterminate_numbers()[: wire.MOST_UNSURE],
+            channel.indeterminate_numbers()[: wire.MAX_INDETERMINATE],
         ),
     )
 
@@ -81,23 +81,25 @@
     """How a number stands, for the client that asks."""
     state = _wire_state(channel, number)
     answer = None
-    if state == wire.IS_SETTLED:
+    if state == wire.NumberStatus.SETTLED:
         answer = packets.Status(0, channel.completed[number].status_code, "remembered")
-    return wire.put_asked(0, wire.Asked(state, channel.lowest_open, answer))
+    return wire.encode_query_reply(
+        0, wire.ChannelQueryReply(state, channel.lowest_open, answer)
+    )
 
 
 def _wire_state(channel: ChannelState, number: int) -> int:
     completed = channel.completed.get(number)
     if completed is not None:
-        return _WIRE_STATES.get(completed.outcome, wire.IS_LEFT_OUT)
+        return _WIRE_STATES.get(completed.outcome, wire.NumberStatus.SKIPPED)
     if channel.is_closed(number):
-        return wire.IS_FORGOTTEN
+        return wire.NumberStatus.FORGOTTEN
     sequence = channel.open_sequences.get(number)
     if sequence is None:
-        return wire.IS_OPEN
+        return wire.NumberStatus.OPEN
     if sequence.state in INDETERMINATE_STATES:
-        return wire.IS_UNSURE
-    return wire.IS_OUT
+        return wire.NumberStatus.INDETERMINATE
+    return wire.NumberStatus.IN_PROGRESS
 
 
 class CommandReplies:
@@ -115,7 +117,7 @@
         text: str = "",
     ) -> None:
         """Answer a command with a sign; kinds that name no number leave it out."""
-        packet = wire.put_sign(
+        packet = status_tags.tagged_status(
             0,
             kind.value,
             text or REPLY_TEXTS[kind],
--- a/milletsill/fleet/channels/commands.py
+++ b/milletsill/fleet/channels/commands.py
@@ -13,9 +13,9 @@
 
 from milletsill.fleet.channels.record_pb2 import Ask
 from milletsill.sftp import extensions
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 from milletsill.sftp.packets import Answer, Command
-from milletsill.sftp.wire import bytes_of
+from milletsill.sftp.wire import text_to_bytes
 
 
 class Volume(Protocol):
@@ -68,14 +68,14 @@
     claim: int
     batch: int
     ends_batch: bool
-    terms: Terms
+    terms: CommandTerms
     path: str
     command: Command
 
     def digest(self) -> int:
         """Equal for requests that do the same."""
         return xxhash.xxh64_intdigest(
-            bytes_of(self.path) + b"\0" + extensions.bare(self.command)
+            text_to_bytes(self.path) + b"\0" + extensions.encode_embedded(self.command)
         )
 
 
@@ -156,7 +156,7 @@
         ask.transfer.tries = body.terms.tries
         ask.transfer.mark = body.terms.mark
         ask.transfer.path = body.path
-        ask.transfer.command = extensions.bare(body.command)
+        ask.transfer.command = extensions.encode_embedded(body.command)
     return ask
 
 
@@ -188,8 +188,8 @@
             sent.claim,
             sent.batch,
             sent.last,
-            Terms(0, sent.tries, sent.mark),
+            CommandTerms(0, sent.tries, sent.mark),
             sent.path,
-            cast(Command, extensions.dressed(sent.command, 0)),
+            cast(Command, extensions.decode_embedded(sent.command, 0)),
         )
     return QueryNumber(ask.look.number)
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -49,10 +49,10 @@
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
 
-RESOLUTION_EVENTS = {
-    wire.DONE: NumberEvent.RESOLVED_DONE,
-    wire.AGAIN: NumberEvent.RESOLVED_NOT_DONE,
-    wire.LEFT_OUT: NumberEvent.RESOLVED_SKIPPED,
+RESOLUTION_EVENTS: dict[int, NumberEvent] = {
+    wire.Resolution.DONE: NumberEvent.RESOLVED_DONE,
+    wire.Resolution.NOT_DONE: NumberEvent.RESOLVED_NOT_DONE,
+    wire.Resolution.SKIPPED: NumberEvent.RESOLVED_SKIPPED,
 }
 
 
--- a/milletsill/fleet/channels/peer_command_receiver.py
+++ b/milletsill/fleet/channels/peer_command_receiver.py
@@ -20,8 +20,7 @@
 from milletsill.fleet.channels.peer_messenger import PeerMessenger
 from milletsill.fleet.channels.record_pb2 import Envelope, Reply
 from milletsill.fleet.channels.timers import UNITS_PER_MILLISECOND
-from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import extensions
+from milletsill.sftp import extensions, status_tags
 from milletsill.sftp.packets import Answer
 
 MAX_REMEMBERED_COMMANDS = 20_000
@@ -88,8 +87,10 @@
         if self._in_hand >= MAX_IN_HAND:
             text = "declined: its keeper has all the words that it may"
             word = ReplyKind.REJECTED.value
-            packet = wire.put_sign(0, word, text, None, self._call_timeout)
-            self._reply(member, Reply(id=ask.id, answer=extensions.bare(packet)))
+            packet = status_tags.tagged_status(0, word, text, None, self._call_timeout)
+            self._reply(
+                member, Reply(id=ask.id, answer=extensions.encode_embedded(packet))
+            )
             return
         self._in_hand += 1
         self._replies[key] = None
@@ -123,7 +124,7 @@
         if isinstance(packet, Redirect):
             reply = Reply(id=message_id, keeper=packet.owner, pause=packet.retry_delay)
         else:
-            reply = Reply(id=message_id, answer=extensions.bare(packet))
+            reply = Reply(id=message_id, answer=extensions.encode_embedded(packet))
         body = self._messenger.encode_reply(reply)
         if key in self._replies:
             self._replies[key] = body
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -36,8 +36,7 @@
     TimerScheduler,
 )
 from milletsill.fleet.transport import FleetTransport
-from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import extensions
+from milletsill.sftp import extensions, status_tags
 from milletsill.sftp.packets import Answer
 
 MAX_FORWARDED = 20_000
@@ -274,7 +273,9 @@
             command.on_answer(self._rejection(text))
         else:
             text = "aborted: its keeper did not answer in time"
-            command.on_answer(wire.put_sign(0, ReplyKind.FAILED.value, text))
+            command.on_answer(
+                status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
+            )
 
     def _on_reply(self, member: str, reply: Reply) -> None:
         forwarded = self.forwarded.get(reply.id)
@@ -292,10 +293,10 @@
             self._on_redirect(forwarded, reply.keeper, reply.pause)
             return
         try:
-            answer = cast(Answer, extensions.dressed(reply.answer, 0))
+            answer = cast(Answer, extensions.decode_embedded(reply.answer, 0))
         except MalformedInput:
             text = "aborted: the keeper's answer made no sense"
-            answer = wire.put_sign(0, ReplyKind.FAILED.value, text)
+            answer = status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
         forwarded.command.on_answer(answer)
 
     def _on_redirect(
@@ -312,7 +313,7 @@
 
     def _rejection(self, text: str) -> Answer:
         word = ReplyKind.REJECTED.value
-        return wire.put_sign(0, word, text, None, self.call_timeout)
+        return status_tags.tagged_status(0, word, text, None, self.call_timeout)
 
 
 def without_rejection(on_answer: AnswerCallback) -> AnswerCallback:
@@ -324,10 +325,10 @@
     """
 
     def answer(packet: Answer | Redirect) -> None:
-        sign = wire.read_sign(getattr(packet, "language", ""))
+        sign = status_tags.parse_status_tag(getattr(packet, "language", ""))
         if sign is not None and sign.word in PROMISES_NO_EFFECT:
             text = "aborted: a keeper that fell silent may have done it"
-            packet = wire.put_sign(0, ReplyKind.FAILED.value, text)
+            packet = status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
         on_answer(packet)
 
     return answer
--- a/milletsill/flows/gateway_export.py
+++ b/milletsill/flows/gateway_export.py
@@ -9,7 +9,7 @@
 
 from milletsill.flows.exporter import Exporter
 from milletsill.flows.meter import BoxKey, ClientKey
-from milletsill.sftp.extensions import Order
+from milletsill.sftp.extensions import NodeRequest
 
 
 def domain_of(name: str) -> int:
@@ -73,13 +73,13 @@
 
     def box(
         self, id: int, address: str
-    ) -> Callable[[Order | None, str, int, int, int], None]:
+    ) -> Callable[[NodeRequest | None, str, int, int, int], None]:
         """What a box's pool tells."""
         host, _, port = address.rpartition(":")
         host, number = address_of(host), int(port)
 
         def metered(
-            order: Order | None,
+            order: NodeRequest | None,
             outcome: str,
             octets_to: int,
             octets_back: int,
--- a/milletsill/lab/box.py
+++ b/milletsill/lab/box.py
@@ -10,14 +10,19 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
+from milletsill.sftp import packet_codec
 from milletsill.errors import MalformedInput
 from milletsill.lab.engine import Engine, Job, Speed
 from milletsill.lab.files import Files
 from milletsill.lab.record import IN, OUT, Recorder
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import DRAINING, ERROR, FULL, Order, Verdict
-from milletsill.sftp.framing import Deframer
-from milletsill.sftp.wire import text_of
+from milletsill.sftp.extensions import (
+    NodeReplyStatus,
+    NodeRequest,
+    NodeReply,
+)
+from milletsill.sftp.framing import PacketSplitter
+from milletsill.sftp.wire import bytes_to_text
 
 MOST_TICKETS, MOST_PACKET, META_WORK = 100_000, 64_000_000, 0.001
 
@@ -64,7 +69,7 @@
         """A start: nothing of the last run is left but the files."""
         now = self.clock()
         self.engine = Engine(self.kind, self.rules, self.chance, now, cold, self.speed)
-        self.tickets: OrderedDict[str, tuple[float, Verdict]] = OrderedDict()
+        self.tickets: OrderedDict[str, tuple[float, NodeReply]] = OrderedDict()
         self.reports: list[tuple[float, dict[str, float]]] = [
             (now, {"queue": 0.0, "inflight": 0.0, "busy": 0.0})
         ]
@@ -109,7 +114,7 @@
 
     # Work.
 
-    def order(self, gate: Gate, id: int, order: Order) -> None:
+    def order(self, gate: Gate, id: int, order: NodeRequest) -> None:
         """One dispatch."""
         now = self.clock()
         if self.down:
@@ -119,7 +124,7 @@
         if held is not None:
             return gate.answer(id, held, order)
         if self.draining:
-            return gate.answer(id, Verdict(DRAINING), order)
+            return gate.answer(id, NodeReply(NodeReplyStatus.DRAINING), order)
         mean, cv = self.work.get(order.category, (META_WORK, 0.2))
         if not isinstance(order.command, (packets.Read, packets.Write)):
             mean = META_WORK
@@ -137,12 +142,12 @@
         if self.engine.fallen:
             self.fall()
         elif job is None:
-            gate.answer(id, Verdict(FULL), order)
+            gate.answer(id, NodeReply(NodeReplyStatus.FULL), order)
         else:
             self.jobs[self.key(order)] = job
         self.schedule()
 
-    def remembered(self, ticket: str) -> Verdict | None:
+    def remembered(self, ticket: str) -> NodeReply | None:
         """What was done under a ticket, for as long as it is remembered."""
         held = self.tickets.get(ticket)
         return (
@@ -160,7 +165,7 @@
         if self.port is not None:
             self.port.stopListening()
 
-    def key(self, order: Order) -> tuple[str, int, int, int]:
+    def key(self, order: NodeRequest) -> tuple[str, int, int, int]:
         return order.gateway, order.incarnation, order.transfer, order.number
 
     def cancel(
@@ -200,12 +205,14 @@
                     gate.answer(id, known, order)
                 continue
             if self.chance.random() < self.kind.error_rate:
-                gate.answer(id, Verdict(ERROR, "a fault of the box"), order)
+                gate.answer(
+                    id, NodeReply(NodeReplyStatus.ERROR, "a fault of the box"), order
+                )
                 continue
             verdict = self.files.run(order.command)
             self.took_effect(order, verdict)
             if not verdict.text:
-                verdict = Verdict(
+                verdict = NodeReply(
                     verdict.verdict, str(self.cell), answer=verdict.answer
                 )
             self.served[order.volume] = self.served.get(order.volume, 0) + int(
@@ -216,7 +223,7 @@
                 self.served[order.volume] - self.told.get(mine, 0) - int(order.units), 0
             )
             self.told[mine] = self.served[order.volume]
-            verdict = Verdict(
+            verdict = NodeReply(
                 verdict.verdict, verdict.text, {}, None, elsewhere, verdict.answer
             )
             self.tickets[order.ticket] = (self.clock(), verdict)
@@ -232,7 +239,7 @@
             if not job.gone:
                 gate.answer(id, verdict, order)
 
-    def took_effect(self, order: Order, verdict: Verdict) -> None:
+    def took_effect(self, order: NodeRequest, verdict: NodeReply) -> None:
         """What was written is noted when it is, also where nobody waits for the answer any more."""
         if (
             self.recorder is not None
@@ -243,7 +250,7 @@
                 what="effect",
                 box=self.id,
                 ticket=order.ticket,
-                path=text_of(order.command.handle),
+                path=bytes_to_text(order.command.handle),
                 offset=order.command.offset,
                 gateway=order.gateway,
                 transfer=order.transfer,
@@ -289,7 +296,7 @@
     """One connection of a gateway to a box."""
 
     def __init__(self, box: Box) -> None:
-        self.box, self.deframer = box, Deframer(MOST_PACKET)
+        self.box, self.deframer = box, PacketSplitter(MOST_PACKET)
         self.gateway, self.incarnation = "", 0
         box.counted += 1
         self.number = box.counted
@@ -309,7 +316,7 @@
             while (body := self.deframer.next()) is not None:
                 if self.box.recorder is not None:
                     self.box.recorder.put(self.number, IN, body)
-                self.packet(packets.decode(body))
+                self.packet(packet_codec.decode(body))
         except MalformedInput:
             self.transport.abortConnection()
 
@@ -324,19 +331,21 @@
                 packets.Version(packets.VERSION_SPOKEN),
             )
         elif packet.name == extensions.DISPATCH:
-            box.order(self, packet.id, extensions.read_order(packet))
+            box.order(self, packet.id, extensions.decode_node_request(packet))
         elif packet.name == extensions.CANCEL:
-            box.cancel(self.gateway, self.incarnation, *extensions.read_cancel(packet))
+            box.cancel(
+                self.gateway, self.incarnation, *extensions.decode_cancel(packet)
+            )
         else:
             if packet.name == extensions.HELLO:
-                self.gateway, self.incarnation = extensions.read_hello(packet)
+                self.gateway, self.incarnation = extensions.decode_hello(packet)
             self.send(packets.Status(packet.id, packets.OK))
 
-    def answer(self, id: int, verdict: Verdict, order: Order) -> None:
+    def answer(self, id: int, verdict: NodeReply, order: NodeRequest) -> None:
         if self.box.silent:
             return
         self.box.answered += 1
-        told = Verdict(
+        told = NodeReply(
             verdict.verdict,
             verdict.text,
             self.box.report(),
@@ -344,7 +353,7 @@
             verdict.elsewhere,
             verdict.answer,
         )
-        self.send(extensions.put_verdict(id, told))
+        self.send(extensions.encode_node_reply(id, told))
 
     def send(self, packet: Any) -> None:
         if (
@@ -352,7 +361,7 @@
             and self.transport.connected
             and not self.box.silent
         ):
-            data = packets.encode(packet)
+            data = packet_codec.encode(packet)
             if self.box.recorder is not None:
                 self.box.recorder.put(self.number, OUT, data[4:])
             self.transport.write(data)
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -16,14 +16,20 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
+from milletsill.sftp import status_tags
 from milletsill.lab.clients import ClientLink
 from milletsill.lab.lateness import Lateness
 from milletsill.lab.record import Recorder
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
-from milletsill.sftp.channel_extensions import Asking, Numbered, Opening, Saying
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.wire import Attrs
+from milletsill.sftp.channel_extensions import (
+    ChannelQuery,
+    NumberedCommand,
+    ChannelOpen,
+    ChannelResolve,
+)
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.wire import FileAttributes
 
 TICK, DIAL, AGAIN, SETUP = (
     0.01,
@@ -43,9 +49,9 @@
     0.2,
 )  # times that an unsure end is asked for, seconds between
 STATES = {
-    wire.IS_SETTLED: "done",
-    wire.IS_LEFT_OUT: "left out",
-    wire.IS_FORGOTTEN: "over before",
+    wire.NumberStatus.SETTLED: "done",
+    wire.NumberStatus.SKIPPED: "left out",
+    wire.NumberStatus.FORGOTTEN: "over before",
 }
 IS_BATCHES = 3
 DONE_SIGNS = {
@@ -122,8 +128,8 @@
         """The file first, then the claim."""
         flags = packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
         link.command(
-            packets.Open(0, self.path, flags, Attrs()),
-            Terms(int(SETUP * 1000), 0, self.mark("open")),
+            packets.Open(0, self.path, flags, FileAttributes()),
+            CommandTerms(int(SETUP * 1000), 0, self.mark("open")),
             lambda answer: self.opened(link, answer),
         )
 
@@ -137,9 +143,9 @@
         if link is not self.link:
             return None
         self.file = answer.handle
-        said = Opening(self.path, self.channel, self.terms.contract)
+        said = ChannelOpen(self.path, self.channel, self.terms.contract)
         link.word(
-            lambda id: wire.put_channel(id, said),
+            lambda id: wire.encode_channel_request(id, said),
             lambda answer: self.claimed(link, answer),
         )
 
@@ -148,7 +154,7 @@
             return self.drop(link, f"not claimed {getattr(answer, 'language', '')}")
         if link is not self.link:
             return None
-        told = wire.read_opened(answer)
+        told = wire.decode_open_reply(answer)
         self.handle, self.live = told.handle, True
         self.load.count("claims")
         for number in told.unsure:
@@ -227,13 +233,13 @@
         assert link is not None
         offset = (item.number - 1) % self.terms.extents * self.load.extent_bytes
         data = f"{self.channel}:{item.number}:".encode().ljust(BYTES, b".")
-        terms = Terms(int(patience), item.tries, f"{self.channel}.{item.number}")
+        terms = CommandTerms(int(patience), item.tries, f"{self.channel}.{item.number}")
         item.out, item.tries = True, item.tries + 1
         turn = item.tries
         link.word(
-            lambda id: wire.put_numbered(
+            lambda id: wire.encode_numbered(
                 id,
-                Numbered(
+                NumberedCommand(
                     self.handle,
                     item.number,
                     item.batch,
@@ -253,7 +259,7 @@
         if link is not self.link or turn != item.tries:
             return None
         sign = (
-            wire.read_sign(answer.language)
+            status_tags.parse_status_tag(answer.language)
             if isinstance(answer, packets.Status)
             else None
         )
@@ -286,7 +292,7 @@
         self.asks_at[number] = now + ASK_EVERY
         handle = self.handle
         link.word(
-            lambda id: wire.put_channel(id, Asking(handle, number)),
+            lambda id: wire.encode_channel_request(id, ChannelQuery(handle, number)),
             lambda answer: self.asked(link, number, answer),
         )
 
@@ -294,8 +300,8 @@
         """Over, or for the client to say, or worth another try."""
         if not isinstance(answer, packets.ExtendedReply) or link is not self.link:
             return None
-        told, item = wire.read_asked(answer), self.items.get(number)
-        unsure, says = told.state == wire.IS_UNSURE, self.terms.says
+        told, item = wire.decode_query_reply(answer), self.items.get(number)
+        unsure, says = told.state == wire.NumberStatus.INDETERMINATE, self.terms.says
         over = STATES.get(told.state)
         if item is not None:
             item.asked += 1
@@ -307,24 +313,28 @@
             self.tell(
                 link,
                 number,
-                wire.AGAIN
+                wire.Resolution.NOT_DONE
                 if item is not None and self.chance.random() < 0.5
-                else wire.LEFT_OUT,
+                else wire.Resolution.SKIPPED,
             )
 
     def tell(self, link: ChannelLink, number: int, word: int) -> None:
         """The client's word on an unsure number."""
-        self.load.count("said again" if word == wire.AGAIN else "said left out")
+        self.load.count(
+            "said again" if word == wire.Resolution.NOT_DONE else "said left out"
+        )
         handle = self.handle
         link.word(
-            lambda id: wire.put_channel(id, Saying(handle, number, word)),
+            lambda id: wire.encode_channel_request(
+                id, ChannelResolve(handle, number, word)
+            ),
             lambda answer: self.heard(number, answer),
         )
 
     def heard(self, number: int, answer: Any) -> None:
         """A word that comes too early is told when it may come again."""
         sign = (
-            wire.read_sign(answer.language)
+            status_tags.parse_status_tag(answer.language)
             if isinstance(answer, packets.Status)
             else None
         )
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -10,12 +10,13 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
+from milletsill.sftp import packet_codec
 from milletsill.lab.files import pattern
 from milletsill.lab.record import IN, OUT
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.framing import Deframer
-from milletsill.sftp.wire import Attrs
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.framing import PacketSplitter
+from milletsill.sftp.wire import FileAttributes
 
 MOST_HANDLES, AGAIN = (
     200,
@@ -30,7 +31,7 @@
 
     def __init__(self, door: EdgeDoor, number: int) -> None:
         self.door, self.number, self.ids = door, number, 0
-        self.deframer = Deframer(64_000_000)
+        self.deframer = PacketSplitter(64_000_000)
         self.waiting: dict[int, Callable[[Any], None]] = {}
         self.handles: OrderedDict[str, bytes] = OrderedDict()
         self.open = False
@@ -46,7 +47,7 @@
         self.deframer.feed(data)
         while (body := self.deframer.next()) is not None:
             self.door.load.recorder.put(self.number, IN, body, self.keeps[0])
-            packet = packets.decode(body)
+            packet = packet_codec.decode(body)
             if isinstance(packet, packets.Version):
                 self.open = True
                 self.door.ready(self)
@@ -66,14 +67,19 @@
             call(None)
 
     def send(self, packet: Any) -> None:
-        data = packets.encode(packet)
+        data = packet_codec.encode(packet)
         self.door.load.recorder.put(self.number, OUT, data[4:], self.keeps[1])
         self.transport.write(data)
 
-    def command(self, command: Any, terms: Terms, call: Callable[[Any], None]) -> None:
+    def command(
+        self, command: Any, terms: CommandTerms, call: Callable[[Any], None]
+    ) -> None:
         """A command under terms; `call` gets its answer, None where the connection ended."""
         self.word(
-            lambda id: extensions.put_terms(terms, packets.with_id(command, id)), call
+            lambda id: extensions.encode_command(
+                terms, packet_codec.with_id(command, id)
+            ),
+            call,
         )
 
     def word(self, made: Callable[[int], Any], call: Callable[[Any], None]) -> None:
@@ -151,8 +157,8 @@
         """Seconds of patience left in this try."""
         return self.try_ends - self.load.now()
 
-    def terms(self, what: str) -> Terms:
-        return Terms(
+    def terms(self, what: str) -> CommandTerms:
+        return CommandTerms(
             max(int(self.left() * 1000), 1), self.tries, f"op{self.number}.{what}"
         )
 
@@ -175,7 +181,7 @@
         )
         turn = self.turn
         link.command(
-            packets.Open(0, self.path, flags, Attrs()),
+            packets.Open(0, self.path, flags, FileAttributes()),
             self.terms("o"),
             lambda answer: self.opened(link, answer, turn),
         )
@@ -185,7 +191,7 @@
             link.handles[self.path] = answer.handle
             if len(link.handles) > MOST_HANDLES:
                 _, old = link.handles.popitem(last=False)
-                link.command(packets.Close(0, old), Terms(), lambda _: None)
+                link.command(packets.Close(0, old), CommandTerms(), lambda _: None)
             if turn == self.turn and not self.over and self.left() > 0.001:
                 self.use(link, answer.handle)
         elif turn == self.turn:
--- a/milletsill/lab/files.py
+++ b/milletsill/lab/files.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import DONE, ELSEWHERE, Verdict
-from milletsill.sftp.wire import Attrs, Name, text_of
+from milletsill.sftp.extensions import NodeReplyStatus, NodeReply
+from milletsill.sftp.wire import FileAttributes, DirectoryEntry, bytes_to_text
 
 MOST_NAMES = 100  # on a page
 MOST_FILE = 64_000_000
@@ -31,7 +31,7 @@
         self.links: dict[str, str] = {}
         self.folders: set[str] = set()
 
-    def run(self, command: Any) -> Verdict:
+    def run(self, command: Any) -> NodeReply:
         """Do a command, its handles being names."""
         method = getattr(self, type(command).__name__.lower(), None)
         if method is None:
@@ -45,27 +45,29 @@
         ):
             return method(command)
         name = (
-            text_of(command.handle)
+            bytes_to_text(command.handle)
             if hasattr(command, "handle")
             else getattr(command, "path", "")
         )
         if name in self.links:
-            return Verdict(
-                ELSEWHERE, self.links[name], answer=packets.Status(0, packets.OK)
+            return NodeReply(
+                NodeReplyStatus.ELSEWHERE,
+                self.links[name],
+                answer=packets.Status(0, packets.OK),
             )
         return method(command, name)
 
-    def status(self, code: int, text: str = "") -> Verdict:
-        return Verdict(DONE, answer=packets.Status(0, code, text))
+    def status(self, code: int, text: str = "") -> NodeReply:
+        return NodeReply(NodeReplyStatus.DONE, answer=packets.Status(0, code, text))
 
-    def attrs(self, name: str) -> Attrs:
+    def attrs(self, name: str) -> FileAttributes:
         return (
-            Attrs(size=len(self.data[name]), mode=0o100644)
+            FileAttributes(size=len(self.data[name]), mode=0o100644)
             if name in self.data
-            else Attrs(mode=0o040755)
+            else FileAttributes(mode=0o040755)
         )
 
-    def open(self, command: packets.Open, name: str) -> Verdict:
+    def open(self, command: packets.Open, name: str) -> NodeReply:
         flags = command.flags
         if name in self.folders:
             return self.status(packets.FAILURE, "a directory")
@@ -79,21 +81,22 @@
             return self.status(packets.NO_SUCH_FILE, "no such file")
         if name not in self.data or flags & packets.TRUNCATE_FLAG:
             self.data[name] = bytearray()
-        return Verdict(
-            DONE, answer=packets.Handle(0, name.encode("utf-8", "surrogateescape"))
+        return NodeReply(
+            NodeReplyStatus.DONE,
+            answer=packets.Handle(0, name.encode("utf-8", "surrogateescape")),
         )
 
-    def read(self, command: packets.Read, name: str) -> Verdict:
+    def read(self, command: packets.Read, name: str) -> NodeReply:
         if name not in self.data:
             return self.status(packets.NO_SUCH_FILE, "no such file")
         data = bytes(self.data[name][command.offset : command.offset + command.length])
         return (
-            Verdict(DONE, answer=packets.Data(0, data))
+            NodeReply(NodeReplyStatus.DONE, answer=packets.Data(0, data))
             if data
             else self.status(packets.EOF, "the end")
         )
 
-    def write(self, command: packets.Write, name: str) -> Verdict:
+    def write(self, command: packets.Write, name: str) -> NodeReply:
         held, end = self.data.get(name), command.offset + len(command.data)
         if held is None or end > MOST_FILE:
             return self.status(
@@ -104,20 +107,23 @@
         held[command.offset : end] = command.data
         return self.status(packets.OK)
 
-    def extended(self, command: Any, name: str) -> Verdict:
+    def extended(self, command: Any, name: str) -> NodeReply:
         return self.status(packets.OK)
 
-    def stat(self, command: Any, name: str) -> Verdict:
+    def stat(self, command: Any, name: str) -> NodeReply:
         known = name in self.data or name in self.folders or self.below(name)
         return (
-            Verdict(DONE, answer=packets.AttrsAnswer(0, self.attrs(name)))
+            NodeReply(
+                NodeReplyStatus.DONE,
+                answer=packets.AttributesReply(0, self.attrs(name)),
+            )
             if known
             else self.status(packets.NO_SUCH_FILE, "no such file")
         )
 
     lstat = fstat = stat
 
-    def setstat(self, command: Any, name: str) -> Verdict:
+    def setstat(self, command: Any, name: str) -> NodeReply:
         held = self.data.get(name)
         if held is None:
             return self.status(packets.NO_SUCH_FILE, "no such file")
@@ -129,12 +135,12 @@
 
     fsetstat = setstat
 
-    def remove(self, command: Any, name: str) -> Verdict:
+    def remove(self, command: Any, name: str) -> NodeReply:
         if self.data.pop(name, None) is None:
             return self.status(packets.NO_SUCH_FILE, "no such file")
         return self.status(packets.OK)
 
-    def rename(self, command: packets.Rename, name: str) -> Verdict:
+    def rename(self, command: packets.Rename, name: str) -> NodeReply:
         if command.target in self.data or command.target in self.links:
             return self.status(packets.FAILURE, "the new name stands already")
         if name not in self.data:
@@ -142,10 +148,10 @@
         self.data[command.target] = self.data.pop(name)
         return self.status(packets.OK)
 
-    def readlink(self, command: packets.Readlink) -> Verdict:
+    def readlink(self, command: packets.Readlink) -> NodeReply:
         if command.path in self.links:
-            return Verdict(
-                ELSEWHERE,
+            return NodeReply(
+                NodeReplyStatus.ELSEWHERE,
                 self.links[command.path],
                 answer=packets.Status(0, packets.OK),
             )
@@ -153,7 +159,7 @@
             packets.OK if command.path in self.data else packets.NO_SUCH_FILE
         )
 
-    def symlink(self, command: packets.Symlink) -> Verdict:
+    def symlink(self, command: packets.Symlink) -> NodeReply:
         """A link where none stands; `-TARGET` takes that very link away."""
         held, target = self.links.get(command.path), command.target
         if target.startswith("-"):
@@ -161,20 +167,22 @@
                 return self.status(packets.NO_SUCH_FILE, "no such link")
             del self.links[command.path]
         elif held is not None and held != target:
-            return Verdict(ELSEWHERE, held, answer=packets.Status(0, packets.OK))
+            return NodeReply(
+                NodeReplyStatus.ELSEWHERE, held, answer=packets.Status(0, packets.OK)
+            )
         elif command.path in self.data:
             return self.status(packets.FAILURE, "a file stands there")
         else:
             self.links[command.path] = target
         return self.status(packets.OK)
 
-    def mkdir(self, command: packets.Mkdir) -> Verdict:
+    def mkdir(self, command: packets.Mkdir) -> NodeReply:
         if command.path in self.folders or command.path in self.data:
             return self.status(packets.FAILURE, "it stands already")
         self.folders.add(command.path)
         return self.status(packets.OK)
 
-    def rmdir(self, command: packets.Rmdir) -> Verdict:
+    def rmdir(self, command: packets.Rmdir) -> NodeReply:
         if self.below(command.path):
             return self.status(packets.FAILURE, "the directory is not empty")
         if command.path not in self.folders:
@@ -190,21 +198,21 @@
             for each in held
         )
 
-    def readdir(self, command: packets.Readdir) -> Verdict:
+    def readdir(self, command: packets.Readdir) -> NodeReply:
         """The names after one, a page; the handle is the directory, a zero byte and that name."""
-        path, _, after = text_of(command.handle).partition("\0")
-        start, found = path.rstrip("/") + "/", dict[str, Attrs]()
+        path, _, after = bytes_to_text(command.handle).partition("\0")
+        start, found = path.rstrip("/") + "/", dict[str, FileAttributes]()
         for held in (self.data, self.links, self.folders):
             for name in held:
                 if name.startswith(start):
                     first, deeper, _ = name[len(start) :].partition("/")
                     if first > after:
                         found[first] = (
-                            Attrs(mode=0o040755)
+                            FileAttributes(mode=0o040755)
                             if deeper or name in self.folders
                             else self.attrs(name)
                             if name in self.data
-                            else Attrs(mode=0o100644)
+                            else FileAttributes(mode=0o100644)
                         )
         if not found:
             known = path in self.folders or self.below(path)
@@ -213,7 +221,7 @@
             )
         names = sorted(found)[:MOST_NAMES]
         lines = tuple(
-            Name(
+            DirectoryEntry(
                 each,
                 f"{'d' if found[each].mode == 0o040755 else '-'}rw-r--r-- 1 - - "
                 f"{found[each].size or 0} {each}",
@@ -221,4 +229,6 @@
             )
             for each in names
         )
-        return Verdict(DONE, answer=packets.Names(0, lines))
+        return NodeReply(
+            NodeReplyStatus.DONE, answer=packets.DirectoryEntries(0, lines)
+        )
--- a/milletsill/lab/model_checks/channel_moves.py
+++ b/milletsill/lab/model_checks/channel_moves.py
@@ -21,9 +21,9 @@
 FATES = ("done", "lost", "unheard")
 TIME_STEPS = (24, QUARANTINE + 20, LEASE_SPAN // 2, LEASE_SPAN + 60)
 RESOLUTIONS = (
-    ("done", wire.DONE),
-    ("again", wire.AGAIN),
-    ("left out", wire.LEFT_OUT),
+    ("done", wire.Resolution.DONE),
+    ("again", wire.Resolution.NOT_DONE),
+    ("left out", wire.Resolution.SKIPPED),
 )
 RESOLVING_GATEWAYS = 2
 
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -15,6 +15,7 @@
 from random import Random
 from typing import Any
 
+from milletsill.sftp import status_tags
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.channel_surroundings import AttemptEnd
 from milletsill.fleet.channels.commands import (
@@ -48,7 +49,7 @@
 )
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 
 CLAIM_GRACE_EVENTS = 40
 """Events after which nothing is released under an earlier claim any more."""
@@ -139,7 +140,7 @@
 
     def _on_opened(self, packet: Any) -> None:
         if isinstance(packet, packets.ExtendedReply):
-            claim = wire.read_opened(packet).claim
+            claim = wire.decode_open_reply(packet).claim
             if claim > self.claim:
                 self.claim = claim
                 self.claimed_at_event = self.events
@@ -153,7 +154,7 @@
             claim,
             batch_of(number) if in_batches else 0,
             number % 2 == 0 and in_batches,
-            Terms(),
+            CommandTerms(),
             "/f",
             packets.Write(0, b"f", 0, b"%d:%d" % (extent, number)),
         )
@@ -166,7 +167,7 @@
         self.outstanding[number] = max(self.outstanding.get(number, 0) - 1, 0)
         if isinstance(packet, Redirect):
             return
-        sign = wire.read_sign(packet.language)
+        sign = status_tags.parse_status_tag(packet.language)
         if sign is None:
             self.checker.on_reported_settled(number)
             return
--- a/milletsill/node_connections/attempt_exchange.py
+++ b/milletsill/node_connections/attempt_exchange.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from milletsill.interface import AttemptOutcome
-from milletsill.sftp.extensions import Order, Verdict
+from milletsill.sftp.extensions import NodeReply, NodeRequest
 
-ExchangeEnded = Callable[[AttemptOutcome, Verdict | None], None]
+ExchangeEnded = Callable[[AttemptOutcome, NodeReply | None], None]
 
 
 class SendGate(Protocol):
@@ -32,7 +32,7 @@
         """Stop waiting for it."""
 
 
-def ignore_end(outcome: AttemptOutcome, verdict: Verdict | None) -> None:
+def ignore_end(outcome: AttemptOutcome, verdict: NodeReply | None) -> None:
     """Listen to no end: the attempt is over."""
 
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         pool: ExchangeOwner,
-        order: Order,
+        order: NodeRequest,
         ended: ExchangeEnded,
         started_at: int,
         gate: SendGate | None = None,
@@ -82,7 +82,7 @@
         """Stop waiting for it; `ended` is not called."""
         self.pool.withdraw(self, outcome)
 
-    def end(self, outcome: AttemptOutcome, verdict: Verdict | None = None) -> None:
+    def end(self, outcome: AttemptOutcome, verdict: NodeReply | None = None) -> None:
         """Tell how it ended, once; later calls are ignored."""
         if self.over:
             return
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -28,11 +28,11 @@
 )
 from milletsill.node_connections.node_connection import NodeConnection
 from milletsill.node_connections.pool_config import PoolConfig
-from milletsill.sftp.extensions import Order
+from milletsill.sftp.extensions import NodeRequest
 
 # Told of each attempt that ended, and of other packets without an order: order,
 # outcome, octets to the node and back, time it took.
-Meter = Callable[[Order | None, str, int, int, int], None]
+Meter = Callable[[NodeRequest | None, str, int, int, int], None]
 # How often within the shortest limit the connections of a pool are checked.
 CHECKS_PER_LIMIT = 4
 MIN_CHECK_INTERVAL = 0.001  # seconds
@@ -83,7 +83,7 @@
             exchange.end(AttemptOutcome.WITHDRAWN)
 
     def send_attempt(
-        self, order: Order, ended: ExchangeEnded, gate: SendGate | None = None
+        self, order: NodeRequest, ended: ExchangeEnded, gate: SendGate | None = None
     ) -> PooledExchange:
         """Send an attempt as the limits allow; `ended` hears of its end.
 
@@ -143,7 +143,7 @@
 
     def meter(
         self,
-        order: Order | None,
+        order: NodeRequest | None,
         outcome: str,
         octets_sent: int,
         octets_received: int,
--- a/milletsill/node_connections/node_connection.py
+++ b/milletsill/node_connections/node_connection.py
@@ -20,17 +20,17 @@
     next_state,
 )
 from milletsill.node_connections.pool_config import PoolConfig
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Order, Verdict
-from milletsill.sftp.framing import Deframer
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.extensions import NodeReply, NodeReplyStatus, NodeRequest
+from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp.wire import MalformedPacket
 
-OUTCOMES = {
-    extensions.DONE: AttemptOutcome.SUCCEEDED,
-    extensions.ELSEWHERE: AttemptOutcome.SUCCEEDED,
-    extensions.FULL: AttemptOutcome.REJECTED,
-    extensions.DRAINING: AttemptOutcome.REJECTED,
-    extensions.ERROR: AttemptOutcome.ERROR,
+OUTCOMES: dict[int, AttemptOutcome] = {
+    NodeReplyStatus.DONE: AttemptOutcome.SUCCEEDED,
+    NodeReplyStatus.ELSEWHERE: AttemptOutcome.SUCCEEDED,
+    NodeReplyStatus.FULL: AttemptOutcome.REJECTED,
+    NodeReplyStatus.DRAINING: AttemptOutcome.REJECTED,
+    NodeReplyStatus.ERROR: AttemptOutcome.ERROR,
 }
 
 
@@ -53,7 +53,7 @@
 
     def meter(
         self,
-        order: Order | None,
+        order: NodeRequest | None,
         outcome: str,
         octets_sent: int,
         octets_received: int,
@@ -84,7 +84,7 @@
     def __init__(self, pool: ConnectionOwner) -> None:
         self.pool = pool
         self.load = ConnectionLoad(ConnectionState.DIALING)
-        self.deframer = Deframer(pool.config.max_packet)
+        self.deframer = PacketSplitter(pool.config.max_packet)
         self.in_flight: dict[int, PooledExchange] = {}
         self.last_packet_id = 0
         self.owed_pings = 0
@@ -109,7 +109,7 @@
         self.deframer.feed(data)
         try:
             while (body := self.deframer.next()) is not None:
-                self._on_packet(packets.decode(body), len(body) + 4)
+                self._on_packet(packet_codec.decode(body), len(body) + 4)
         except MalformedInput as error:
             self.pool.log(f"broken bytes from the box: {error.describe()}")
             self.on_event(ConnectionEvent.MALFORMED)
@@ -167,7 +167,9 @@
         # The time left to the client was set when the attempt was decided on.
         waited = (now - exchange.started_at) // 10
         order = replace(exchange.order, left=max(exchange.order.left - waited, 1))
-        exchange.octets_sent = self._send(extensions.put_order(packet_id, order))
+        exchange.octets_sent = self._send(
+            extensions.encode_node_request(packet_id, order)
+        )
 
     def withdraw(self, exchange: PooledExchange) -> None:
         """Tell the node that nobody waits any more; a later answer is dropped."""
@@ -177,7 +179,7 @@
         order = exchange.order
         packet_id = self._next_packet_id()
         self._send_control(
-            extensions.put_cancel(packet_id, order.transfer, order.number)
+            extensions.encode_cancel(packet_id, order.transfer, order.number)
         )
 
     # Packets.
@@ -191,7 +193,7 @@
         self.owed_pings += 1
         config = self.pool.config
         self._send_control(
-            extensions.put_hello(packet_id, config.gateway, config.incarnation)
+            extensions.encode_hello(packet_id, config.gateway, config.incarnation)
         )
 
     def _send_ping(self) -> None:
@@ -215,15 +217,15 @@
         if not isinstance(packet, packets.ExtendedReply):
             name = type(packet).__name__
             raise MalformedPacket(f"{name} where a verdict was due")
-        verdict = extensions.read_verdict(packet)
-        served = verdict.verdict in (extensions.DONE, extensions.ELSEWHERE)
+        verdict = extensions.decode_node_reply(packet)
+        served = OUTCOMES[verdict.verdict] is AttemptOutcome.SUCCEEDED
         if served and verdict.answer is None:
             raise MalformedPacket("a verdict without the answer it speaks of")
         if exchange is not None:
             self._on_verdict(exchange, verdict, octets)
 
     def _on_verdict(
-        self, exchange: PooledExchange, verdict: Verdict, octets: int
+        self, exchange: PooledExchange, verdict: NodeReply, octets: int
     ) -> None:
         del self.in_flight[exchange.packet_id]
         self.load.in_flight = len(self.in_flight)
@@ -245,7 +247,7 @@
         """Send a packet and return its octets."""
         if self.transport is None:
             return 0
-        data = packets.encode(packet)
+        data = packet_codec.encode(packet)
         self.transport.write(data)
         return len(data)
 
--- a/milletsill/sftp/channel_extensions.py
+++ b/milletsill/sftp/channel_extensions.py
@@ -1,88 +1,136 @@
-"""Channels on the wire: what a client says of a named line of numbered transfers, and what it hears. docs/channels.md.
-
-A gateway that keeps channels offers `channel@milletsill` in its VERSION packet; others answer OP_UNSUPPORTED.
-
-channel@milletsill (client to gateway): uint32 verb, then by verb
-
-    1 OPEN   string path, any within the volume     string channel, 1 to 128 octets, printable, no spaces
-             string contract, '' for the operator's  uint32 its version, 0 for the gateway's
-             uint64 from: the number from which it holds where it is another than before; 0 the next that is free
-    2 ASK    string handle   uint64 number
-    3 SAY    string handle   uint64 number   uint32 word (1 done, 2 again, 3 left out): of a number whose end is unsure; of one
-             that never came 3 alone
-
-OPEN claims the channel: the later claim holds, the earlier is told at its next word (x-claim-lost), and what waits under it at
-once. OPEN is answered by EXTENDED_REPLY:
-
-    string handle, for this connection until CLOSE          uint64 claim          string contract   uint32 version
-    uint32 order (0 each in order, 1 newest, 2 by extent, 3 batches)              uint64 next, the lowest number that is open
-    uint64 batch, that of `next`   uint32 most transfers that may wait   uint64 first number whose answer is remembered
-    uint32 n, then n times uint64: numbers at an unsure end
-
-ASK is answered by EXTENDED_REPLY: uint32 state (0 open, 1 under way, 2 settled, 3 unsure, 4 left out, 5 no longer remembered),
-uint64 next, then, where settled, the answer by kind and fields. SAY is answered by STATUS.
-
-numbered@milletsill (client to gateway): one transfer of a channel, a command that writes and takes one transfer.
-
-    string handle   uint64 number, from 1   uint64 batch, from 1, 0 where the contract has none   uint32 flags (1: last of its batch)
-    then the body of a command@milletsill: uint32 patience, uint32 tries, string mark, the command
-
-It is answered as the command would be, under the id of the EXTENDED packet; a number that is settled already by the answer that is
-remembered, without a second effect. Else by STATUS FAILURE with one of these language tags:
-
-    x-declined-MS           nothing was done; come again after MS milliseconds
-    x-declined-MS-next-N    the same; number N is the next that is awaited (a hole, too far ahead)
-    x-aborted               it may have been done or not; OPEN and ASK tell more
-    x-claim-lost            a later claim holds; nothing was done by this word
-    x-superseded-N          (newest) N, which is newer, is settled or under way: this one never takes effect
-    x-over                  over long ago: what became of it is no longer remembered
-    x-left-out              counted as left out: the client said so, or its end stayed unsure; it is not let go again
-    x-stopped-N             stands behind N, whose end is unsure, until the client says (SAY) what became of it
-    x-contract              contradicts what is declared; the message says which and what to do. Nothing was done
-
-At a disk box a numbered dispatch's ticket is `VOLUME@CHANNEL@NUMBER.TURN#LEG.0`: VOLUME the xxhash (64 bits, decimal) of the volume's
-name, the same at gateways whose files list volumes in another order; TURN 0 until a client says `again`. `read_ticket` takes it apart.
+"""Extensions by which a client orders its commands on a channel.
+
+docs/channels.md says what a channel is. A gateway that has channels offers
+`channel@milletsill` in its VERSION packet; others answer OP_UNSUPPORTED.
+
+channel@milletsill, client to gateway: a uint32 verb, and then by verb
+
+    1 OPEN  string path        any within the volume
+            string channel     1 to 128 octets, printable, no spaces
+            string contract    empty for the operator's
+            uint32 version     of the contract, 0 for the gateway's
+            uint64 first       number from which the contract holds, where it
+                               differs from before; 0 for the next free one
+    2 ASK   string handle
+            uint64 number
+    3 SAY   string handle
+            uint64 number      of an indeterminate outcome, or that never came
+            uint32 word        1 done, 2 not done, 3 skipped; of a number that
+                               never came 3 alone
+
+OPEN claims the channel: the later claim holds. The earlier client is told at its
+next request (x-claim-lost), and its waiting commands at once. OPEN is answered by
+EXTENDED_REPLY:
+
+    string handle              for this connection, until CLOSE
+    uint64 claim
+    string contract
+    uint32 version
+    uint32 order               0 each in order, 1 newest, 2 by extent, 3 batches
+    uint64 next                the lowest number that is open
+    uint64 batch               that of `next`
+    uint32 most waiting        how many numbers may wait
+    uint64 remembered          the lowest number whose answer is remembered
+    uint32 n                   and n times
+    uint64 number              with an indeterminate outcome
+
+ASK is answered by EXTENDED_REPLY, SAY by STATUS:
+
+    uint32 status              0 open, 1 in progress, 2 settled, 3 indeterminate,
+                               4 skipped, 5 forgotten
+    uint64 next
+    the answer                 if settled: its kind and fields
+
+numbered@milletsill, client to gateway: one command of a channel. It writes, and
+becomes one request at a node.
+
+    string handle
+    uint64 number              from 1
+    uint64 batch               from 1, 0 where the contract has none
+    uint32 flags               1: the last of its batch
+    the body of a command@milletsill
+
+It is answered as the command would be, under the id of the EXTENDED packet. A settled
+number gets its remembered answer, without a second effect; else the answer is STATUS
+FAILURE with a language tag (status_tags.py).
 """
 
 from __future__ import annotations
 
-import re
+from collections.abc import Callable
 from dataclasses import dataclass
-
-import xxhash
-
-from milletsill.sftp.extensions import Terms, bare, dressed, put_terms, read_terms
+from enum import IntEnum
+from typing import cast
+
+from milletsill.errors import MalformedInput
+from milletsill.sftp.extensions import (
+    CommandTerms,
+    decode_command,
+    decode_embedded,
+    encode_command,
+    encode_embedded,
+)
 from milletsill.sftp.packets import (
-    FAILURE,
     Answer,
     Command,
     Extended,
     ExtendedReply,
-    Status,
 )
 from milletsill.sftp.wire import (
     U32,
     U64,
-    MalformedInput,
-    Reader,
-    bytes_of,
-    put_raw,
-    put_text,
+    PacketReader,
+    encode_bytes,
+    encode_text,
+    text_to_bytes,
 )
 
-CHANNEL, NUMBERED = "channel@milletsill", "numbered@milletsill"
-OPEN, ASK, SAY = 1, 2, 3
-DONE, AGAIN, LEFT_OUT = 1, 2, 3  # words of SAY
-IS_OPEN, IS_OUT, IS_SETTLED, IS_UNSURE, IS_LEFT_OUT, IS_FORGOTTEN = range(
-    6
-)  # states of ASK
-LAST = 1  # flag
-MOST_NAME, MOST_UNSURE, MOST_NUMBER = 128, 1024, (1 << 63) - 1
+CHANNEL = "channel@milletsill"
+NUMBERED = "numbered@milletsill"
+LAST_OF_BATCH = 1  # the one flag of a numbered command
+MAX_NAME_LENGTH = 128  # octets of a channel's name
+MAX_INDETERMINATE = 1024  # numbers that one reply may list
+MAX_NUMBER = (1 << 63) - 1
+
+
+class ChannelVerb(IntEnum):
+    """What a client asks of a channel."""
+
+    OPEN = 1
+    ASK = 2
+    SAY = 3
+
+
+class Resolution(IntEnum):
+    """What a client says became of a number whose outcome is indeterminate (SAY)."""
+
+    DONE = 1
+    NOT_DONE = 2
+    SKIPPED = 3
+
+
+class NumberStatus(IntEnum):
+    """What became of a number so far, as ASK is answered."""
+
+    OPEN = 0
+    IN_PROGRESS = 1
+    SETTLED = 2
+    INDETERMINATE = 3
+    SKIPPED = 4
+    FORGOTTEN = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
-    """OPEN as a client says it."""
+class ChannelOpen:
+    """OPEN: claims a channel.
+
+    Attributes:
+        path: Any path within the channel's volume.
+        channel: The channel's name.
+        contract: The name of the contract, empty for the volume's own.
+        version: Its version, 0 for the gateway's.
+        first: The number from which the contract holds, 0 for the next free one.
+    """
 
     path: str
     channel: str
@@ -92,21 +140,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
+class ChannelQuery:
+    """ASK: what became of a number."""
+
     handle: bytes
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Saying:
+class ChannelResolve:
+    """SAY: what became of a number; `word` is a `Resolution`."""
+
     handle: bytes
     number: int
     word: int
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """The answer to OPEN."""
+class ChannelOpenReply:
+    """The answer to OPEN.
+
+    Attributes:
+        handle: Names the channel on this connection.
+        claim: Grows with each OPEN; the latest claim holds.
+        contract: The name of the contract in force.
+        version: Its version.
+        order: Its order, by number.
+        next: The lowest number that is open.
+        batch: The batch of `next`.
+        most_waiting: How many numbers ahead of `next` may wait.
+        remembered: The lowest number whose answer is remembered.
+        unsure: Numbers with an indeterminate outcome.
+    """
 
     handle: bytes
     claim: int
@@ -121,8 +186,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """The answer to ASK."""
+class ChannelQueryReply:
+    """The answer to ASK.
+
+    `state` is a `NumberStatus`, `answer` that of a settled number.
+    """
 
     state: int
     next: int
@@ -130,92 +198,122 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Numbered:
-    """One transfer of a channel as a client sends it."""
+class NumberedCommand:
+    """One command of a channel as a client sends it; `batch` is 0 without batches."""
 
     handle: bytes
     number: int
     batch: int
     last: bool
-    terms: Terms
+    terms: CommandTerms
     command: Command
 
 
+ChannelRequest = ChannelOpen | ChannelQuery | ChannelResolve
+
+
 def channel_name(text: str) -> str:
-    """A channel's name, or Malformed."""
+    """Return a channel's name once it is checked.
+
+    Raise `MalformedInput` for a bad one.
+    """
     if (
-        not 0 < len(bytes_of(text)) <= MOST_NAME
+        not 0 < len(text_to_bytes(text)) <= MAX_NAME_LENGTH
         or not text.isprintable()
         or " " in text
     ):
         raise MalformedInput(
-            f"a channel's name is 1 to {MOST_NAME} octets of printable characters without spaces"
+            f"a channel's name is 1 to {MAX_NAME_LENGTH} octets of printable "
+            "characters without spaces"
         )
     return text
 
 
-def number_of(reader: Reader) -> int:
+def number_of(reader: PacketReader) -> int:
+    """Read the number of a command; raise `MalformedInput` past the bounds."""
     number = reader.u64("a number")
-    if not 1 <= number <= MOST_NUMBER:
-        raise MalformedInput(f"number {number} is not from 1 to {MOST_NUMBER}")
+    if not 1 <= number <= MAX_NUMBER:
+        raise MalformedInput(f"number {number} is not from 1 to {MAX_NUMBER}")
     return number
 
 
-def put_channel(id: int, said: Opening | Asking | Saying) -> Extended:
-    """A word on a channel as a packet."""
-    if isinstance(said, Opening):
+def encode_channel_request(id: int, said: ChannelRequest) -> Extended:
+    """Return a request on a channel as a packet."""
+    if isinstance(said, ChannelOpen):
         body = (
-            U32.pack(OPEN)
-            + put_text(said.path)
-            + put_text(said.channel)
-            + put_text(said.contract)
+            U32.pack(ChannelVerb.OPEN)
+            + encode_text(said.path)
+            + encode_text(said.channel)
+            + encode_text(said.contract)
             + U32.pack(said.version)
             + U64.pack(said.first)
         )
-    elif isinstance(said, Asking):
-        body = U32.pack(ASK) + put_raw(said.handle) + U64.pack(said.number)
+    elif isinstance(said, ChannelQuery):
+        body = U32.pack(ChannelVerb.ASK) + encode_bytes(said.handle)
+        body += U64.pack(said.number)
     else:
         body = (
-            U32.pack(SAY)
-            + put_raw(said.handle)
+            U32.pack(ChannelVerb.SAY)
+            + encode_bytes(said.handle)
             + U64.pack(said.number)
             + U32.pack(said.word)
         )
     return Extended(id, CHANNEL, body)
 
 
-def read_channel(packet: Extended) -> Opening | Asking | Saying:
-    """A word on a channel from its packet."""
-    reader = Reader(packet.body)
-    verb, said = reader.u32("a verb"), None
-    if verb == OPEN:
-        said = Opening(
-            reader.text("a path"),
-            channel_name(reader.text("a channel")),
-            reader.text("a contract"),
-            reader.u32("a version"),
-            reader.u64("a first number"),
-        )
-    elif verb == ASK:
-        said = Asking(reader.raw("a handle"), number_of(reader))
-    elif verb == SAY:
-        said = Saying(reader.raw("a handle"), number_of(reader), reader.u32("a word"))
-        if said.word not in (DONE, AGAIN, LEFT_OUT):
-            raise MalformedInput(f"word {said.word} on a number is not 1 to 3")
-    if said is None:
+def _decode_open(reader: PacketReader) -> ChannelOpen:
+    return ChannelOpen(
+        path=reader.text("a path"),
+        channel=channel_name(reader.text("a channel")),
+        contract=reader.text("a contract"),
+        version=reader.u32("a version"),
+        first=reader.u64("a first number"),
+    )
+
+
+def _decode_query(reader: PacketReader) -> ChannelQuery:
+    return ChannelQuery(handle=reader.raw("a handle"), number=number_of(reader))
+
+
+def _decode_resolve(reader: PacketReader) -> ChannelResolve:
+    request = ChannelResolve(
+        handle=reader.raw("a handle"),
+        number=number_of(reader),
+        word=reader.u32("a word"),
+    )
+    if request.word not in tuple(Resolution):
+        raise MalformedInput(f"word {request.word} on a number is not 1 to 3")
+    return request
+
+
+REQUEST_DECODERS: dict[int, Callable[[PacketReader], ChannelRequest]] = {
+    ChannelVerb.OPEN: _decode_open,
+    ChannelVerb.ASK: _decode_query,
+    ChannelVerb.SAY: _decode_resolve,
+}
+
+
+def decode_channel_request(packet: Extended) -> ChannelRequest:
+    """Return a request on a channel from its packet."""
+    reader = PacketReader(packet.body)
+    verb = reader.u32("a verb")
+    decode = REQUEST_DECODERS.get(verb)
+    if decode is None:
         raise MalformedInput(f"verb {verb} on a channel is not 1 to 3")
+    request = decode(reader)
     reader.end()
-    return said
+    return request
 
 
-def put_opened(id: int, told: Opened) -> ExtendedReply:
+def encode_open_reply(id: int, told: ChannelOpenReply) -> ExtendedReply:
+    """Return the answer to OPEN as a packet."""
     return ExtendedReply(
         id,
         b"".join(
             (
-                put_raw(told.handle),
+                encode_bytes(told.handle),
                 U64.pack(told.claim),
-                put_text(told.contract),
+                encode_text(told.contract),
                 U32.pack(told.version),
                 U32.pack(told.order),
                 U64.pack(told.next),
@@ -229,9 +327,9 @@
     )
 
 
-def read_opened(packet: ExtendedReply) -> Opened:
-    """The answer to OPEN from its packet."""
-    reader = Reader(packet.body)
+def decode_open_reply(packet: ExtendedReply) -> ChannelOpenReply:
+    """Return the answer to OPEN from its packet."""
+    reader = PacketReader(packet.body)
     parts = (
         reader.raw("a handle"),
         reader.u64("a claim"),
@@ -244,114 +342,56 @@
         reader.u64("a remembered number"),
     )
     count = reader.u32("a count of numbers")
-    if count > MOST_UNSURE:
-        raise MalformedInput(f"{count} unsure numbers, {MOST_UNSURE} at most")
-    told = Opened(*parts, tuple(reader.u64() for _ in range(count)))
+    if count > MAX_INDETERMINATE:
+        raise MalformedInput(f"{count} unsure numbers, {MAX_INDETERMINATE} at most")
+    told = ChannelOpenReply(*parts, tuple(reader.u64() for _ in range(count)))
     reader.end()
     return told
 
 
-def put_asked(id: int, told: Asked) -> ExtendedReply:
-    answer = bare(told.answer) if told.answer is not None else b""
+def encode_query_reply(id: int, told: ChannelQueryReply) -> ExtendedReply:
+    """Return the answer to ASK as a packet."""
+    answer = encode_embedded(told.answer) if told.answer is not None else b""
     return ExtendedReply(id, U32.pack(told.state) + U64.pack(told.next) + answer)
 
 
-def read_asked(packet: ExtendedReply) -> Asked:
-    """The answer to ASK from its packet."""
-    reader = Reader(packet.body)
-    state, following, rest = (
-        reader.u32("a state"),
-        reader.u64("a next number"),
-        reader.rest(),
-    )
-    return Asked(state, following, dressed(rest, packet.id) if rest else None)  # type: ignore[arg-type]
+def decode_query_reply(packet: ExtendedReply) -> ChannelQueryReply:
+    """Return the answer to ASK from its packet."""
+    reader = PacketReader(packet.body)
+    state = reader.u32("a state")
+    following = reader.u64("a next number")
+    rest = reader.rest()
+    answer = cast(Answer, decode_embedded(rest, packet.id)) if rest else None
+    return ChannelQueryReply(state, following, answer)
 
 
-def put_numbered(id: int, said: Numbered) -> Extended:
-    """A transfer of a channel as a packet."""
+def encode_numbered(id: int, said: NumberedCommand) -> Extended:
+    """Return a numbered command as a packet."""
     return Extended(
         id,
         NUMBERED,
         b"".join(
             (
-                put_raw(said.handle),
+                encode_bytes(said.handle),
                 U64.pack(said.number),
                 U64.pack(said.batch),
-                U32.pack(LAST if said.last else 0),
-                put_terms(said.terms, said.command).body,
+                U32.pack(LAST_OF_BATCH if said.last else 0),
+                encode_command(said.terms, said.command).body,
             )
         ),
     )
 
 
-def read_numbered(packet: Extended) -> Numbered:
-    """A transfer of a channel from its packet."""
-    reader = Reader(packet.body)
-    handle, number = reader.raw("a handle"), number_of(reader)
-    batch, flags = reader.u64("a batch"), reader.u32("flags")
-    if batch > MOST_NUMBER or flags & ~LAST:
+def decode_numbered(packet: Extended) -> NumberedCommand:
+    """Return a numbered command from its packet."""
+    reader = PacketReader(packet.body)
+    handle = reader.raw("a handle")
+    number = number_of(reader)
+    batch = reader.u64("a batch")
+    flags = reader.u32("flags")
+    if batch > MAX_NUMBER or flags & ~LAST_OF_BATCH:
         raise MalformedInput(f"batch {batch} or flags {flags} out of range")
-    terms, command = read_terms(Extended(packet.id, packet.name, reader.rest()))
-    return Numbered(handle, number, batch, bool(flags & LAST), terms, command)
-
-
-# --- Language tags.
-
-
-@dataclass(frozen=True, slots=True)
-class Sign:
-    """A language tag taken apart: its word, the pause in milliseconds and the number, where it has them."""
-
-    word: str
-    pause: int | None = None
-    number: int | None = None
-
-
-TAG = re.compile(
-    r"x-(declined|aborted|claim-lost|superseded|over|left-out|stopped|contract)(?:-(\d+))?(?:-next-(\d+))?"
-)
-
-
-def read_sign(language: str) -> Sign | None:
-    """What a status's language tag says; None for one that is not ours."""
-    found = TAG.fullmatch(language)
-    if found is None:
-        return None
-    word, first, following = found[1], found[2], found[3]
-    if word == "declined":
-        return Sign(
-            word, int(first) if first else None, int(following) if following else None
-        )
-    return Sign(word, None, int(first) if first else None)
-
-
-def put_sign(
-    id: int, word: str, message: str, number: int | None = None, pause: int = 0
-) -> Status:
-    """A STATUS with one of our tags; the pause in tenths of a millisecond, for `declined` alone."""
-    tag = f"x-{word}"
-    if word == "declined":
-        tag += f"-{-(-pause // 10)}" + (f"-next-{number}" if number is not None else "")
-    elif number is not None:
-        tag += f"-{number}"
-    return Status(id, FAILURE, message, tag)
-
-
-# --- Tickets.
-
-
-def put_ticket(volume: str, channel: str, number: int, turn: int) -> str:
-    """What all dispatches of one number share, whichever gateway lets them go."""
-    return f"{xxhash.xxh64_intdigest(bytes_of(volume))}@{channel}@{number}.{turn}"
-
-
-def read_ticket(ticket: str) -> tuple[int, str, int, int] | None:
-    """The hash of the volume's name, channel, number and turn of a numbered dispatch's ticket; None for any other."""
-    head, _, tail = ticket.rpartition("#")[0].rpartition("@")
-    volume, at, channel = head.partition("@")
-    number, dot, turn = tail.partition(".")
-    if not (
-        at and dot and volume.isdecimal() and number.isdecimal() and turn.isdecimal()
-    ):
-        return None
-    return int(volume), channel, int(number), int(turn)
+    terms, command = decode_command(Extended(packet.id, packet.name, reader.rest()))
+    return NumberedCommand(
+        handle, number, batch, bool(flags & LAST_OF_BATCH), terms, command
+    )
--- a/milletsill/sftp/extensions.py
+++ b/milletsill/sftp/extensions.py
@@ -1,34 +1,58 @@
 """Our extensions of SFTP version 3, and the two of OpenSSH that are answered.
 
-command@milletsill (client to gateway): a command with the client's terms. It is answered as the command itself
-would be, under the id of the EXTENDED packet.
-
-    uint32 patience, milliseconds, 0 for the operator's   uint32 tries made before this one
-    string mark, the same for all tries                    then the command: its kind and fields but for the id
-
-dispatch@milletsill (gateway to disk box): one dispatch.
-
-    string gateway   uint32 incarnation   uint64 transfer   uint32 number, 0 the first   uint32 units times 1000
-    uint64 extent    uint32 time left, milliseconds   string ticket   uint32 volume   uint32 gateways of it
-    string category  string mark   then the command, its handles being paths
-
-answered by EXTENDED_REPLY:
-
-    uint32 verdict (0 done, 1 full, 2 draining, 3 elsewhere: the text is a cell, 4 error)   string text
-    uint32 n, then n times string name, uint32 value times 1000: the load report
-    uint32 used + 1, 0 where it is not told   uint32 units served through others   then the answer, by kind and fields
-
-cancel@milletsill (gateway to disk box): uint64 transfer, uint32 number; no answer is owed to the dispatch then.
-hello@milletsill (gateway to disk box): string gateway, uint32 incarnation; STATUS.
-Channels (client to gateway) have two more: files/channels.py.
-beat@milletsill (gateway to disk box): nothing; STATUS at once, beside the queue: tells a half-open link.
+command@milletsill, client to gateway: a command with the client's terms. It is
+answered as the command would be, under the id of the EXTENDED packet.
+
+    uint32 patience      milliseconds, 0 for the operator's
+    uint32 tries         made before this one
+    string mark          the same for all tries
+    the command          its kind and its fields, but for the id
+
+dispatch@milletsill, gateway to storage node: one attempt.
+
+    string gateway
+    uint32 incarnation
+    uint64 transfer      the request's number at the gateway
+    uint32 number        of the attempt, 0 for the first
+    uint32 units         times 1000
+    uint64 extent
+    uint32 time left     milliseconds
+    string ticket
+    uint32 volume
+    uint32 gateways      of the volume
+    string category
+    string mark
+    the command          its handles being paths
+
+It is answered by EXTENDED_REPLY:
+
+    uint32 status        0 done, 1 full, 2 draining, 3 elsewhere, 4 error
+    string text          elsewhere: the cell; error: why
+    uint32 n             and n times the load report's
+    string name
+    uint32 value         times 1000
+    uint32 used          plus 1, 0 where it is not told
+    uint32 elsewhere     units served through other gateways
+    the answer           its kind and fields, where the command ran
+
+cancel@milletsill, gateway to storage node: uint64 transfer, uint32 number. No
+answer to the attempt is owed then.
+hello@milletsill, gateway to storage node: string gateway, uint32 incarnation.
+Answered by STATUS.
+beat@milletsill, gateway to storage node: no fields. Answered by STATUS at once,
+beside the node's queue; shows a half-open connection.
+
+Channels have two more: channel_extensions.py.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import cast
 
+from milletsill.sftp.packet_codec import decode, encode, packet_id
 from milletsill.sftp.packets import (
     Answer,
     Command,
@@ -36,26 +60,49 @@
     ExtendedReply,
     Init,
     Version,
-    decode,
-    encode,
 )
-from milletsill.sftp.wire import U32, U64, MalformedPacket, Reader, put_raw, put_text
-
-COMMAND, DISPATCH, CANCEL = (
-    "command@milletsill",
-    "dispatch@milletsill",
-    "cancel@milletsill",
+from milletsill.sftp.wire import (
+    U32,
+    U64,
+    MalformedPacket,
+    PacketReader,
+    encode_bytes,
+    encode_text,
 )
-HELLO, BEAT = "hello@milletsill", "beat@milletsill"
-FSYNC, LIMITS = "fsync@openssh.com", "limits@openssh.com"
-DONE, FULL, DRAINING, ELSEWHERE, ERROR = range(5)
-MOST_MARK, MOST_REPORTS, MOST_U32 = 128, 8, 0xFFFFFFFF
+
+COMMAND = "command@milletsill"
+DISPATCH = "dispatch@milletsill"
+CANCEL = "cancel@milletsill"
+HELLO = "hello@milletsill"
+BEAT = "beat@milletsill"
+FSYNC = "fsync@openssh.com"
+LIMITS = "limits@openssh.com"
+MAX_MARK_LENGTH = 128  # characters
+MAX_REPORTS = 8  # values of one load report
+MAX_U32 = 0xFFFFFFFF
+THOUSANDTHS = 1000  # fractions cross the wire as whole thousandths
+ID_START = 5  # of an encoded packet: behind its length and kind
+ID_END = 9
+
+
+class NodeReplyStatus(IntEnum):
+    """How a storage node answers an attempt."""
+
+    DONE = 0
+    FULL = 1
+    DRAINING = 2
+    ELSEWHERE = 3
+    ERROR = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What a client says of its command: patience in milliseconds (0: the operator's), tries made before, and
-    a mark that all tries share ('' for none).
+class CommandTerms:
+    """What a client says of its command.
+
+    Attributes:
+        patience: Its time-out in milliseconds, 0 for the operator's.
+        tries: How often the client has sent it before.
+        mark: What all its tries share, empty for none.
     """
 
     patience: int = 0
@@ -64,8 +111,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """One dispatch as it crosses to a disk box; `left` in milliseconds."""
+class NodeRequest:
+    """One attempt as it crosses to a storage node.
+
+    Attributes:
+        gateway: The gateway's name.
+        incarnation: The gateway's incarnation.
+        transfer: The request's number at this gateway.
+        number: Which attempt of it this is, from 0.
+        units: What it costs the volume's limit.
+        extent: The key's extent.
+        left: Time until its deadline, in milliseconds.
+        ticket: By which the node knows an effect that it had already.
+        volume: The volume's number.
+        gateways: How many gateways there are by this one's view.
+        category: The request's category.
+        mark: What all tries of the client share.
+        command: The command, its handles being paths.
+    """
 
     gateway: str
     incarnation: int
@@ -83,94 +146,104 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """How a disk box answers a dispatch; `answer` is None where it did not run."""
+class NodeReply:
+    """How a storage node answers an attempt.
+
+    Attributes:
+        verdict: A `NodeReplyStatus`.
+        text: The cell to go to, or why there was an error.
+        report: The node's load, by name.
+        used: Units served for this gateway of its slow-start share, None if not told.
+        elsewhere: Units served through other gateways.
+        answer: The command's answer, None where it did not run.
+    """
 
     verdict: int
     text: str = ""
-    report: Mapping[str, float] = None  # type: ignore[assignment]
+    report: Mapping[str, float] = field(default_factory=dict)
     used: int | None = None
     elsewhere: int = 0
     answer: Answer | None = None
 
 
-def bare(packet: Command | Answer) -> bytes:
-    """A packet's kind and fields without its length and id."""
+def encode_embedded(packet: Command | Answer) -> bytes:
+    """Return a packet's kind and fields without its length and id."""
     data = encode(packet)
-    return data[4:5] + data[9:]
+    return data[ID_START - 1 : ID_START] + data[ID_END:]
 
 
-def dressed(data: bytes, id: int) -> Command | Answer:
-    """The inverse of `bare`; Extended inside Extended is not allowed but for fsync."""
+def decode_embedded(data: bytes, id: int) -> Command | Answer:
+    """Return the packet that `encode_embedded` made, under `id`.
+
+    Raise `MalformedPacket` for packets that may not stand inside another: INIT,
+    VERSION, and EXTENDED but for fsync.
+    """
     if not data:
         raise MalformedPacket("no command behind the terms")
     packet = decode(data[:1] + U32.pack(id) + data[1:])
-    if (
-        isinstance(packet, (Init, Version))
-        or isinstance(packet, Extended)
-        and packet.name != FSYNC
-    ):
+    is_handshake = isinstance(packet, (Init, Version))
+    if is_handshake or (isinstance(packet, Extended) and packet.name != FSYNC):
         raise MalformedPacket(
             f"{type(packet).__name__} cannot stand inside another packet"
         )
     return packet
 
 
-def read_terms(packet: Extended) -> tuple[Terms, Command]:
-    """The terms and the command of a command@milletsill."""
-    reader = Reader(packet.body)
-    terms = Terms(
+def decode_command(packet: Extended) -> tuple[CommandTerms, Command]:
+    """Return the terms and the command of a command@milletsill."""
+    reader = PacketReader(packet.body)
+    terms = CommandTerms(
         reader.u32("a patience"), reader.u32("a count of tries"), reader.text("a mark")
     )
-    if len(terms.mark) > MOST_MARK:
+    if len(terms.mark) > MAX_MARK_LENGTH:
         raise MalformedPacket(
-            f"a mark of {len(terms.mark)} characters, {MOST_MARK} at most"
+            f"a mark of {len(terms.mark)} characters, {MAX_MARK_LENGTH} at most"
         )
-    return terms, dressed(reader.rest(), packet.id)  # type: ignore[return-value]
+    return terms, cast(Command, decode_embedded(reader.rest(), packet.id))
 
 
-def put_terms(terms: Terms, command: Command) -> Extended:
-    """A command under its terms."""
+def encode_command(terms: CommandTerms, command: Command) -> Extended:
+    """Return a command with its terms as a packet."""
     body = (
         U32.pack(terms.patience)
         + U32.pack(terms.tries)
-        + put_text(terms.mark)
-        + bare(command)
+        + encode_text(terms.mark)
+        + encode_embedded(command)
     )
-    return Extended(command.id, COMMAND, body)  # type: ignore[union-attr]
+    return Extended(packet_id(command), COMMAND, body)
 
 
-def put_order(id: int, order: Order) -> Extended:
-    """A dispatch as a packet."""
+def encode_node_request(id: int, order: NodeRequest) -> Extended:
+    """Return an attempt as a packet."""
     body = b"".join(
         (
-            put_text(order.gateway),
+            encode_text(order.gateway),
             U32.pack(order.incarnation),
             U64.pack(order.transfer),
             U32.pack(order.number),
-            U32.pack(min(round(order.units * 1000), MOST_U32)),
+            U32.pack(min(round(order.units * THOUSANDTHS), MAX_U32)),
             U64.pack(order.extent),
             U32.pack(order.left),
-            put_text(order.ticket),
+            encode_text(order.ticket),
             U32.pack(order.volume),
             U32.pack(order.gateways),
-            put_text(order.category),
-            put_text(order.mark),
-            bare(order.command),
+            encode_text(order.category),
+            encode_text(order.mark),
+            encode_embedded(order.command),
         )
     )
     return Extended(id, DISPATCH, body)
 
 
-def read_order(packet: Extended) -> Order:
-    """A dispatch from its packet."""
-    reader = Reader(packet.body)
-    return Order(
+def decode_node_request(packet: Extended) -> NodeRequest:
+    """Return an attempt from its packet."""
+    reader = PacketReader(packet.body)
+    return NodeRequest(
         reader.text("a gateway"),
         reader.u32("an incarnation"),
         reader.u64("a transfer"),
         reader.u32("a number"),
-        reader.u32("units") / 1000,
+        reader.u32("units") / THOUSANDTHS,
         reader.u64("an extent"),
         reader.u32("a time left"),
         reader.text("a ticket"),
@@ -178,16 +251,19 @@
         reader.u32("gateways"),
         reader.text("a category"),
         reader.text("a mark"),
-        dressed(reader.rest(), packet.id),
-    )  # type: ignore[arg-type]
+        cast(Command, decode_embedded(reader.rest(), packet.id)),
+    )
 
 
-def put_verdict(id: int, verdict: Verdict) -> ExtendedReply:
-    """A disk box's answer as a packet."""
-    report = list((verdict.report or {}).items())[:MOST_REPORTS]
-    body = [U32.pack(verdict.verdict), put_text(verdict.text), U32.pack(len(report))]
+def encode_node_reply(id: int, verdict: NodeReply) -> ExtendedReply:
+    """Return a node's reply as a packet.
+
+    A load report has `MAX_REPORTS` values at most.
+    """
+    report = list(verdict.report.items())[:MAX_REPORTS]
+    body = [U32.pack(verdict.verdict), encode_text(verdict.text), U32.pack(len(report))]
     body += [
-        put_text(name) + U32.pack(max(min(round(value * 1000), MOST_U32), 0))
+        encode_text(name) + U32.pack(max(min(round(value * THOUSANDTHS), MAX_U32), 0))
         for name, value in report
     ]
     body += [
@@ -196,84 +272,94 @@
     ]
     return ExtendedReply(
         id,
-        b"".join(body) + (bare(verdict.answer) if verdict.answer is not None else b""),
+        b"".join(body)
+        + (encode_embedded(verdict.answer) if verdict.answer is not None else b""),
     )
 
 
-def read_verdict(packet: ExtendedReply) -> Verdict:
-    """A disk box's answer from its packet."""
-    reader = Reader(packet.body)
-    verdict, text, count = (
-        reader.u32("a verdict"),
-        reader.text("a text"),
-        reader.u32("a count of reports"),
-    )
-    if verdict > ERROR or count > MOST_REPORTS:
+def decode_node_reply(packet: ExtendedReply) -> NodeReply:
+    """Return a node's reply from its packet."""
+    reader = PacketReader(packet.body)
+    verdict = reader.u32("a verdict")
+    text = reader.text("a text")
+    count = reader.u32("a count of reports")
+    if verdict > NodeReplyStatus.ERROR or count > MAX_REPORTS:
         raise MalformedPacket(f"a verdict {verdict} with {count} reports")
     report = {
-        reader.text("a report's name"): reader.u32("a report") / 1000
+        reader.text("a report's name"): reader.u32("a report") / THOUSANDTHS
         for _ in range(count)
     }
-    used, elsewhere, rest = (
-        reader.u32("a use"),
-        reader.u32("units elsewhere"),
-        reader.rest(),
+    used = reader.u32("a use")
+    elsewhere = reader.u32("units elsewhere")
+    rest = reader.rest()
+    answer = cast(Answer, decode_embedded(rest, packet.id)) if rest else None
+    return NodeReply(
+        verdict, text, report, used - 1 if used else None, elsewhere, answer
     )
-    answer = dressed(rest, packet.id) if rest else None
-    return Verdict(verdict, text, report, used - 1 if used else None, elsewhere, answer)  # type: ignore[arg-type]
 
 
-def put_cancel(id: int, transfer: int, number: int) -> Extended:
+def encode_cancel(id: int, transfer: int, number: int) -> Extended:
+    """Return the cancellation of an attempt as a packet."""
     return Extended(id, CANCEL, U64.pack(transfer) + U32.pack(number))
 
 
-def read_cancel(packet: Extended) -> tuple[int, int]:
-    reader = Reader(packet.body)
+def decode_cancel(packet: Extended) -> tuple[int, int]:
+    """Return the request's number and the attempt's from a cancellation."""
+    reader = PacketReader(packet.body)
     return reader.u64("a transfer"), reader.u32("a number")
 
 
-def put_hello(id: int, gateway: str, incarnation: int) -> Extended:
-    return Extended(id, HELLO, put_text(gateway) + U32.pack(incarnation))
+def encode_hello(id: int, gateway: str, incarnation: int) -> Extended:
+    """Return what a gateway says first on a connection to a node."""
+    return Extended(id, HELLO, encode_text(gateway) + U32.pack(incarnation))
 
 
-def read_hello(packet: Extended) -> tuple[str, int]:
-    reader = Reader(packet.body)
+def decode_hello(packet: Extended) -> tuple[str, int]:
+    """Return the gateway's name and incarnation."""
+    reader = PacketReader(packet.body)
     return reader.text("a gateway"), reader.u32("an incarnation")
 
 
-def put_limits(
+def encode_limits(
     id: int, packet: int, read: int, write: int, handles: int
 ) -> ExtendedReply:
-    """The answer to limits@openssh.com: most bytes of a packet, a read and a write, most handles."""
+    """Return the answer to limits@openssh.com.
+
+    Most bytes of a packet, a read and a write, most handles.
+    """
     return ExtendedReply(
         id, b"".join(U64.pack(each) for each in (packet, read, write, handles))
     )
 
 
-def read_limits(packet: ExtendedReply) -> tuple[int, int, int, int]:
-    reader = Reader(packet.body)
+def decode_limits(packet: ExtendedReply) -> tuple[int, int, int, int]:
+    """Return what `encode_limits` was given."""
+    reader = PacketReader(packet.body)
     return reader.u64(), reader.u64(), reader.u64(), reader.u64()
 
 
-def put_fsync(id: int, handle: bytes) -> Extended:
-    return Extended(id, FSYNC, put_raw(handle))
+def encode_fsync(id: int, handle: bytes) -> Extended:
+    """Return an fsync@openssh.com."""
+    return Extended(id, FSYNC, encode_bytes(handle))
 
 
-def read_fsync(packet: Extended) -> bytes:
-    return Reader(packet.body).raw("a handle")
+def decode_fsync(packet: Extended) -> bytes:
+    """Return the handle of an fsync@openssh.com."""
+    return PacketReader(packet.body).raw("a handle")
 
 
-def offered(*further: str) -> bytes:
-    """What a gateway's VERSION packet offers; `further` extensions where it has them (files/channels.py)."""
+def encode_offer(*further: str) -> bytes:
+    """Return what a VERSION packet offers, `further` extensions at the end."""
     pairs = [(COMMAND, "1"), (FSYNC, "1"), (LIMITS, "1")] + [
         (each, "1") for each in further
     ]
-    return b"".join(put_text(name) + put_text(value) for name, value in pairs)
+    return b"".join(encode_text(name) + encode_text(value) for name, value in pairs)
 
 
-def offers(extensions: bytes) -> dict[str, str]:
-    """The pairs behind an INIT or VERSION."""
-    reader, found = Reader(extensions), {}
+def decode_offer(extensions: bytes) -> dict[str, str]:
+    """Return the extensions offered by an INIT or VERSION, versions by name."""
+    reader = PacketReader(extensions)
+    found: dict[str, str] = {}
     while reader.at < len(extensions):
         name = reader.text("an extension's name")
         found[name] = reader.text("an extension's value")
--- a/milletsill/sftp/framing.py
+++ b/milletsill/sftp/framing.py
@@ -1,49 +1,62 @@
 """Cuts a stream of bytes into packets: bytes in, packet bodies out, bounded.
 
-A packet is a uint32 length and that many bytes. A length of 0 or past the bound cannot be skipped, so it breaks the
-stream for good: `BrokenStream`.
+A packet is a uint32 length and that many bytes. A length of 0 or past the bound cannot
+be skipped, so it breaks the stream for good: `BrokenPacketStream`.
 """
 
 from __future__ import annotations
 
 from milletsill.sftp.wire import U32, MalformedPacket
 
+LENGTH_SIZE = 4  # octets
+
 
 class BrokenPacketStream(MalformedPacket):
-    """A stream whose next length is 0 or past its bound: it cannot be read any further."""
+    """A stream whose next length is 0 or past its bound.
+
+    It cannot be read any further.
+    """
 
-    remedy = "see whether the peer speaks this protocol at all, or whether `most_packet` differs between the two sides"
+    remedy = (
+        "see whether the peer speaks this protocol at all, or whether `most_packet` "
+        "differs between the two sides"
+    )
 
 
-class Deframer:
-    """Holds at most one packet of `most` bytes and what one read of the transport brought."""
+class PacketSplitter:
+    """Holds one packet of `max_packet` bytes at most, and what one read has brought."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held, self.at = most, bytearray(), 0
+    def __init__(self, max_packet: int) -> None:
+        self.max_packet = max_packet
+        self._held = bytearray()
+        self._at = 0
 
     def feed(self, data: bytes) -> None:
-        """More bytes of the stream."""
-        if self.at:
-            del self.held[: self.at]
-            self.at = 0
-        self.held += data
+        """Add bytes of the stream."""
+        if self._at:
+            del self._held[: self._at]
+            self._at = 0
+        self._held += data
 
     def next(self) -> bytes | None:
-        """The next packet's bytes behind its length, or None until more has come."""
-        left = len(self.held) - self.at
-        if left < 4:
+        """Return the next packet's bytes behind its length, None until all have come.
+
+        Raise `BrokenPacketStream` for a length out of bounds.
+        """
+        left = len(self._held) - self._at
+        if left < LENGTH_SIZE:
             return None
-        size = U32.unpack_from(self.held, self.at)[0]
-        if not 1 <= size <= self.most:
+        size = U32.unpack_from(self._held, self._at)[0]
+        if not 1 <= size <= self.max_packet:
             raise BrokenPacketStream(
-                f"a packet of {size} bytes, 1 to {self.most} are taken"
+                f"a packet of {size} bytes, 1 to {self.max_packet} are taken"
             )
-        if left < 4 + size:
+        if left < LENGTH_SIZE + size:
             return None
-        start = self.at + 4
-        self.at = start + size
-        return bytes(self.held[start : self.at])
+        start = self._at + LENGTH_SIZE
+        self._at = start + size
+        return bytes(self._held[start : self._at])
 
     def waiting(self) -> int:
-        """Bytes held that are not yet handed out."""
-        return len(self.held) - self.at
+        """Return how many bytes are held that are not yet handed out."""
+        return len(self._held) - self._at
--- a/milletsill/sftp/packets.py
+++ b/milletsill/sftp/packets.py
@@ -1,41 +1,39 @@
-"""The packets of SFTP version 3, each a frozen record, and the table by which they go to and from bytes.
+"""The packets of SFTP version 3, each a frozen dataclass, and their encoding.
 
-Source: draft-ietf-secsh-filexfer-02; `fsync@openssh.com` and `limits@openssh.com` from OpenSSH's PROTOCOL file.
-A packet's bytes here are what stands behind its length: one byte of kind, then the fields.
+Source: draft-ietf-secsh-filexfer-02; `fsync@openssh.com` and `limits@openssh.com`
+from OpenSSH's PROTOCOL file. A packet's bytes are here what follows its length: one
+byte of kind, then the fields, whose types `layout` lists.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, fields
-from typing import ClassVar, Union
-
-from milletsill.sftp.wire import (
-    READERS,
-    U32,
-    WRITERS,
-    Attrs,
-    MalformedPacket,
-    Name,
-    Reader,
-)
+from dataclasses import dataclass
+from typing import Any, ClassVar, get_args
+
+from milletsill.sftp.wire import DirectoryEntry, FileAttributes
 
 VERSION_SPOKEN = 3
 # Open flags, section 6.3.
-READ_FLAG, WRITE_FLAG, APPEND_FLAG, CREATE_FLAG, TRUNCATE_FLAG, EXCLUSIVE_FLAG = (
-    1,
-    2,
-    4,
-    8,
-    16,
-    32,
-)
+READ_FLAG = 1
+WRITE_FLAG = 2
+APPEND_FLAG = 4
+CREATE_FLAG = 8
+TRUNCATE_FLAG = 16
+EXCLUSIVE_FLAG = 32
 # Status codes, section 7.
-OK, EOF, NO_SUCH_FILE, PERMISSION_DENIED, FAILURE, BAD_MESSAGE = 0, 1, 2, 3, 4, 5
+OK = 0
+EOF = 1
+NO_SUCH_FILE = 2
+PERMISSION_DENIED = 3
+FAILURE = 4
+BAD_MESSAGE = 5
 UNSUPPORTED = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Init:
+    """SSH_FXP_INIT."""
+
     kind: ClassVar[int] = 1
     layout: ClassVar[str] = "u32 rest"
     version: int
@@ -44,6 +42,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
+    """SSH_FXP_VERSION."""
+
     kind: ClassVar[int] = 2
     layout: ClassVar[str] = "u32 rest"
     version: int
@@ -52,16 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Open:
+    """SSH_FXP_OPEN."""
+
     kind: ClassVar[int] = 3
     layout: ClassVar[str] = "u32 text u32 attrs"
     id: int
     path: str
     flags: int
-    attrs: Attrs
+    attrs: FileAttributes
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
+    """SSH_FXP_CLOSE."""
+
     kind: ClassVar[int] = 4
     layout: ClassVar[str] = "u32 raw"
     id: int
@@ -70,6 +74,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
+    """SSH_FXP_READ."""
+
     kind: ClassVar[int] = 5
     layout: ClassVar[str] = "u32 raw u64 u32"
     id: int
@@ -80,6 +86,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
+    """SSH_FXP_WRITE."""
+
     kind: ClassVar[int] = 6
     layout: ClassVar[str] = "u32 raw u64 raw"
     id: int
@@ -90,6 +98,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Lstat:
+    """SSH_FXP_LSTAT."""
+
     kind: ClassVar[int] = 7
     layout: ClassVar[str] = "u32 text"
     id: int
@@ -98,6 +108,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Fstat:
+    """SSH_FXP_FSTAT."""
+
     kind: ClassVar[int] = 8
     layout: ClassVar[str] = "u32 raw"
     id: int
@@ -106,24 +118,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Setstat:
+    """SSH_FXP_SETSTAT."""
+
     kind: ClassVar[int] = 9
     layout: ClassVar[str] = "u32 text attrs"
     id: int
     path: str
-    attrs: Attrs
+    attrs: FileAttributes
 
 
 @dataclass(frozen=True, slots=True)
 class Fsetstat:
+    """SSH_FXP_FSETSTAT."""
+
     kind: ClassVar[int] = 10
     layout: ClassVar[str] = "u32 raw attrs"
     id: int
     handle: bytes
-    attrs: Attrs
+    attrs: FileAttributes
 
 
 @dataclass(frozen=True, slots=True)
 class Opendir:
+    """SSH_FXP_OPENDIR."""
+
     kind: ClassVar[int] = 11
     layout: ClassVar[str] = "u32 text"
     id: int
@@ -132,6 +150,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Readdir:
+    """SSH_FXP_READDIR."""
+
     kind: ClassVar[int] = 12
     layout: ClassVar[str] = "u32 raw"
     id: int
@@ -140,6 +160,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Remove:
+    """SSH_FXP_REMOVE."""
+
     kind: ClassVar[int] = 13
     layout: ClassVar[str] = "u32 text"
     id: int
@@ -148,15 +170,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Mkdir:
+    """SSH_FXP_MKDIR."""
+
     kind: ClassVar[int] = 14
     layout: ClassVar[str] = "u32 text attrs"
     id: int
     path: str
-    attrs: Attrs
+    attrs: FileAttributes
 
 
 @dataclass(frozen=True, slots=True)
 class Rmdir:
+    """SSH_FXP_RMDIR."""
+
     kind: ClassVar[int] = 15
     layout: ClassVar[str] = "u32 text"
     id: int
@@ -165,6 +191,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Realpath:
+    """SSH_FXP_REALPATH."""
+
     kind: ClassVar[int] = 16
     layout: ClassVar[str] = "u32 text"
     id: int
@@ -173,6 +201,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Stat:
+    """SSH_FXP_STAT."""
+
     kind: ClassVar[int] = 17
     layout: ClassVar[str] = "u32 text"
     id: int
@@ -181,6 +211,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Rename:
+    """SSH_FXP_RENAME."""
+
     kind: ClassVar[int] = 18
     layout: ClassVar[str] = "u32 text text"
     id: int
@@ -190,6 +222,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Readlink:
+    """SSH_FXP_READLINK."""
+
     kind: ClassVar[int] = 19
     layout: ClassVar[str] = "u32 text"
     id: int
@@ -198,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Symlink:
-    """The draft's order of fields: the link's own path first."""
+    """SSH_FXP_SYMLINK, its fields in the draft's order: the link's own path first."""
 
     kind: ClassVar[int] = 20
     layout: ClassVar[str] = "u32 text text"
@@ -209,6 +243,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
+    """SSH_FXP_STATUS."""
+
     kind: ClassVar[int] = 101
     layout: ClassVar[str] = "u32 u32 text text"
     id: int
@@ -219,6 +255,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Handle:
+    """SSH_FXP_HANDLE."""
+
     kind: ClassVar[int] = 102
     layout: ClassVar[str] = "u32 raw"
     id: int
@@ -227,6 +265,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Data:
+    """SSH_FXP_DATA."""
+
     kind: ClassVar[int] = 103
     layout: ClassVar[str] = "u32 raw"
     id: int
@@ -234,23 +274,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class DirectoryEntries:
+    """SSH_FXP_NAME."""
+
     kind: ClassVar[int] = 104
     layout: ClassVar[str] = "u32 names"
     id: int
-    names: tuple[Name, ...]
+    names: tuple[DirectoryEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class AttrsAnswer:
+class AttributesReply:
+    """SSH_FXP_ATTRS."""
+
     kind: ClassVar[int] = 105
     layout: ClassVar[str] = "u32 attrs"
     id: int
-    attrs: Attrs
+    attrs: FileAttributes
 
 
 @dataclass(frozen=True, slots=True)
 class Extended:
+    """SSH_FXP_EXTENDED."""
+
     kind: ClassVar[int] = 200
     layout: ClassVar[str] = "u32 text rest"
     id: int
@@ -260,115 +306,45 @@
 
 @dataclass(frozen=True, slots=True)
 class ExtendedReply:
+    """SSH_FXP_EXTENDED_REPLY."""
+
     kind: ClassVar[int] = 201
     layout: ClassVar[str] = "u32 rest"
     id: int
     body: bytes = b""
 
 
-COMMANDS = (
-    Init,
-    Open,
-    Close,
-    Read,
-    Write,
-    Lstat,
-    Fstat,
-    Setstat,
-    Fsetstat,
-    Opendir,
-    Readdir,
-    Remove,
-    Mkdir,
-    Rmdir,
-    Realpath,
-    Stat,
-    Rename,
-    Readlink,
-    Symlink,
-    Extended,
+Command = (
+    Init
+    | Open
+    | Close
+    | Read
+    | Write
+    | Lstat
+    | Fstat
+    | Setstat
+    | Fsetstat
+    | Opendir
+    | Readdir
+    | Remove
+    | Mkdir
+    | Rmdir
+    | Realpath
+    | Stat
+    | Rename
+    | Readlink
+    | Symlink
+    | Extended
+)
+Answer = (
+    Version
+    | Status
+    | Handle
+    | Data
+    | DirectoryEntries
+    | AttributesReply
+    | ExtendedReply
 )
-ANSWERS = (Version, Status, Handle, Data, Names, AttrsAnswer, ExtendedReply)
-Command = Union[
-    Init,
-    Open,
-    Close,
-    Read,
-    Write,
-    Lstat,
-    Fstat,
-    Setstat,
-    Fsetstat,
-    Opendir,
-    Readdir,
-    Remove,
-    Mkdir,
-    Rmdir,
-    Realpath,
-    Stat,
-    Rename,
-    Readlink,
-    Symlink,
-    Extended,
-]
-Answer = Union[Version, Status, Handle, Data, Names, AttrsAnswer, ExtendedReply]
-Packet = Union[Command, Answer]
-BY_KIND = {
-    each.kind: (
-        each,
-        tuple(READERS[kind] for kind in each.layout.split()),
-        tuple(field.name for field in fields(each)),
-    )
-    for each in COMMANDS + ANSWERS
-}
-PACKERS = {
-    each.kind: tuple(
-        (field.name, WRITERS[kind])
-        for field, kind in zip(fields(each), each.layout.split())
-    )
-    for each in COMMANDS + ANSWERS
-}
-REST_OF = {
-    each: tuple(field.name for field in fields(each))[1:] for each in COMMANDS + ANSWERS
-}
-
-
-class UnknownPacket(MalformedPacket):
-    """A packet of a kind that version 3 does not have; `id` is what stands where an id would."""
-
-    remedy = "nothing: the client is told that it is not offered; one that insists needs another version"
-
-    def __init__(self, kind: int, id: int) -> None:
-        super().__init__(f"unknown packet kind {kind}")
-        self.id = id
-
-
-def decode(data: bytes) -> Packet:
-    """A packet from its bytes behind the length; `BadPacket` where they are not one."""
-    if not data:
-        raise MalformedPacket("an empty packet")
-    found = BY_KIND.get(data[0])
-    if found is None:
-        raise UnknownPacket(
-            data[0], U32.unpack_from(data, 1)[0] if len(data) >= 5 else 0
-        )
-    made, readers, names = found
-    reader = Reader(data, 1)
-    values = [read(reader, name) for read, name in zip(readers, names)]
-    reader.end()
-    return made(*values)
-
-
-def encode(packet: Packet) -> bytes:
-    """The bytes of a packet with the length before them."""
-    body = b"".join(
-        [write(getattr(packet, name)) for name, write in PACKERS[packet.kind]]
-    )
-    return U32.pack(len(body) + 1) + bytes((packet.kind,)) + body
-
-
-def with_id(packet: Packet, id: int) -> Packet:
-    """The same packet under another id."""
-    if packet.id == id:  # type: ignore[union-attr]
-        return packet
-    return type(packet)(id, *[getattr(packet, name) for name in REST_OF[type(packet)]])
+Packet = Command | Answer
+COMMANDS: tuple[type[Any], ...] = get_args(Command)
+ANSWERS: tuple[type[Any], ...] = get_args(Answer)
--- a/milletsill/sftp/wire.py
+++ b/milletsill/sftp/wire.py
@@ -1,32 +1,46 @@
-"""Fields of SFTP version 3 packets, to and from bytes (draft-ietf-secsh-filexfer-02, sections 3 to 5).
+"""Fields of SFTP version 3 packets: draft-ietf-secsh-filexfer-02, sections 3 to 5.
 
-Nothing here knows a transport. `Reader` never reads past its packet and raises `BadPacket` with one line
-that says what was short or wrong.
+Nothing here knows a transport. `PacketReader` never reads past its packet, and raises
+`MalformedPacket` with one line that says what was short or wrong.
 """
 
 from __future__ import annotations
 
+import struct
+from collections.abc import Callable
 from dataclasses import dataclass
-from struct import Struct
-from struct import error as StructError
+from typing import Any
 
 from milletsill.errors import MalformedInput
 
-U32, U64 = Struct(">I"), Struct(">Q")
+U32 = struct.Struct(">I")
+U64 = struct.Struct(">Q")
 U32_FROM = U32.unpack_from
-ATTR_SIZE, ATTR_OWNER, ATTR_MODE, ATTR_TIMES, ATTR_EXTENDED = 1, 2, 4, 8, 0x80000000
-MOST_ATTR_PAIRS, MOST_NAMES = 16, 4096
+# Flags of file attributes, section 5.
+ATTR_SIZE = 1
+ATTR_OWNER = 2
+ATTR_MODE = 4
+ATTR_TIMES = 8
+ATTR_EXTENDED = 0x80000000
+MAX_EXTENDED_ATTRIBUTES = 16
+MAX_DIRECTORY_ENTRIES = 4096  # of one packet
 
 
 class MalformedPacket(MalformedInput):
     """Octets that are no packet of SFTP version 3 or its extensions here."""
 
-    remedy = "find the client or box that sends them and bring it to a version that goes with this one; it alone is cut or told"
+    remedy = (
+        "find the client or box that sends them and bring it to a version that goes "
+        "with this one; it alone is cut or told"
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Attrs:
-    """File attributes; None where a field is not given. Times are whole seconds, as on the wire."""
+class FileAttributes:
+    """File attributes; None where a field is not given.
+
+    Times are whole seconds, as on the wire.
+    """
 
     size: int | None = None
     uid: int | None = None
@@ -37,32 +51,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Name:
+class DirectoryEntry:
     """One line of a directory."""
 
     filename: str
     longname: str
-    attrs: Attrs
+    attrs: FileAttributes
 
 
-def text_of(data: bytes) -> str:
-    """A path as text; bytes that are not UTF-8 come back as they were when it is written again."""
+def bytes_to_text(data: bytes) -> str:
+    """Decode UTF-8; other bytes come back as they were from `text_to_bytes`."""
     return data.decode("utf-8", "surrogateescape")
 
 
-def bytes_of(text: str) -> bytes:
-    """The inverse of `text_of`."""
+def text_to_bytes(text: str) -> bytes:
+    """Encode as UTF-8, the inverse of `bytes_to_text`."""
     return text.encode("utf-8", "surrogateescape")
 
 
-class Reader:
-    """Takes fields off one packet's bytes."""
+class PacketReader:
+    """Reads the fields of one packet in order; `what` names a field in errors.
+
+    Raises `MalformedPacket` where a field is longer than what is left.
+    """
 
     def __init__(self, data: bytes, at: int = 0) -> None:
-        self.data, self.at = data, at
+        self.data = data
+        self.at = at
 
     def take(self, size: int, what: str) -> bytes:
-        """That many bytes."""
+        """Read `size` bytes."""
         end = self.at + size
         if end > len(self.data):
             raise MalformedPacket(
@@ -72,23 +90,29 @@
         return data
 
     def u8(self, what: str = "a byte") -> int:
+        """Read one byte."""
         return self.take(1, what)[0]
 
     def u32(self, what: str = "a number") -> int:
+        """Read a uint32."""
         at = self.at
         self.at = at + 4
         try:
-            return U32_FROM(self.data, at)[0]
-        except StructError:
+            number: int = U32_FROM(self.data, at)[0]
+        except struct.error:
             self.at = at
             raise MalformedPacket(
                 f"{what} needs 4 bytes, {len(self.data) - at} are left"
             ) from None
+        return number
 
     def u64(self, what: str = "a long number") -> int:
-        return U64.unpack(self.take(8, what))[0]
+        """Read a uint64."""
+        number: int = U64.unpack(self.take(8, what))[0]
+        return number
 
     def raw(self, what: str = "a string") -> bytes:
+        """Read a string of bytes."""
         size = self.u32(what)
         at, data = self.at, self.data
         if size > len(data) - at:
@@ -99,103 +123,112 @@
         return data[at : at + size]
 
     def text(self, what: str = "a text") -> str:
-        return text_of(self.raw(what))
+        """Read a string as text."""
+        return bytes_to_text(self.raw(what))
 
-    def attrs(self, what: str = "attributes") -> Attrs:
+    def attrs(self, what: str = "attributes") -> FileAttributes:
+        """Read file attributes; extended ones are passed over."""
         flags = self.u32(what)
-        size = self.u64("a size") if flags & ATTR_SIZE else None
-        uid, gid = (
-            (self.u32("an owner"), self.u32("a group"))
-            if flags & ATTR_OWNER
-            else (None, None)
-        )
-        mode = self.u32("a mode") if flags & ATTR_MODE else None
-        atime, mtime = (
-            (self.u32("a time"), self.u32("a time"))
-            if flags & ATTR_TIMES
-            else (None, None)
-        )
+        size = uid = gid = mode = atime = mtime = None
+        if flags & ATTR_SIZE:
+            size = self.u64("a size")
+        if flags & ATTR_OWNER:
+            uid = self.u32("an owner")
+            gid = self.u32("a group")
+        if flags & ATTR_MODE:
+            mode = self.u32("a mode")
+        if flags & ATTR_TIMES:
+            atime = self.u32("a time")
+            mtime = self.u32("a time")
         if flags & ATTR_EXTENDED:
             count = self.u32("a count of attributes")
-            if count > MOST_ATTR_PAIRS:
+            if count > MAX_EXTENDED_ATTRIBUTES:
                 raise MalformedPacket(
-                    f"{count} extended attributes, {MOST_ATTR_PAIRS} at most"
+                    f"{count} extended attributes, {MAX_EXTENDED_ATTRIBUTES} at most"
                 )
             for _ in range(2 * count):
                 self.raw("an extended attribute")
-        return Attrs(size, uid, gid, mode, atime, mtime)
+        return FileAttributes(size, uid, gid, mode, atime, mtime)
 
-    def names(self, what: str = "names") -> tuple[Name, ...]:
+    def names(self, what: str = "names") -> tuple[DirectoryEntry, ...]:
+        """Read the entries of a directory."""
         count = self.u32(what)
-        if count > MOST_NAMES:
-            raise MalformedPacket(f"{count} names, {MOST_NAMES} at most")
+        if count > MAX_DIRECTORY_ENTRIES:
+            raise MalformedPacket(f"{count} names, {MAX_DIRECTORY_ENTRIES} at most")
         return tuple(
-            Name(self.text("a name"), self.text("a long name"), self.attrs())
+            DirectoryEntry(self.text("a name"), self.text("a long name"), self.attrs())
             for _ in range(count)
         )
 
     def rest(self, what: str = "") -> bytes:
+        """Read all that is left."""
         data, self.at = self.data[self.at :], len(self.data)
         return data
 
     def end(self) -> None:
-        """Nothing may be left."""
+        """Raise `MalformedPacket` if anything is left."""
         if self.at != len(self.data):
             raise MalformedPacket(
                 f"{len(self.data) - self.at} bytes left over at the end of a packet"
             )
 
 
-def put_raw(data: bytes) -> bytes:
-    """A counted string."""
+def encode_bytes(data: bytes) -> bytes:
+    """Encode a string of bytes: its length and itself."""
     return U32.pack(len(data)) + data
 
 
-def put_text(text: str) -> bytes:
-    return put_raw(bytes_of(text))
+def encode_text(text: str) -> bytes:
+    """Encode a string of text."""
+    return encode_bytes(text_to_bytes(text))
 
 
-def put_attrs(attrs: Attrs) -> bytes:
-    flags, body = 0, b""
+def encode_attributes(attrs: FileAttributes) -> bytes:
+    """Encode file attributes, those that are given."""
+    flags = 0
+    body = b""
     if attrs.size is not None:
-        flags, body = flags | ATTR_SIZE, body + U64.pack(attrs.size)
+        flags |= ATTR_SIZE
+        body += U64.pack(attrs.size)
     if attrs.uid is not None:
-        flags, body = (
-            flags | ATTR_OWNER,
-            body + U32.pack(attrs.uid) + U32.pack(attrs.gid or 0),
-        )
+        flags |= ATTR_OWNER
+        body += U32.pack(attrs.uid) + U32.pack(attrs.gid or 0)
     if attrs.mode is not None:
-        flags, body = flags | ATTR_MODE, body + U32.pack(attrs.mode)
+        flags |= ATTR_MODE
+        body += U32.pack(attrs.mode)
     if attrs.mtime is not None:
-        flags, body = (
-            flags | ATTR_TIMES,
-            body + U32.pack(attrs.atime or 0) + U32.pack(attrs.mtime),
-        )
+        flags |= ATTR_TIMES
+        body += U32.pack(attrs.atime or 0) + U32.pack(attrs.mtime)
     return U32.pack(flags) + body
 
 
-def put_names(names: tuple[Name, ...]) -> bytes:
+def encode_entries(names: tuple[DirectoryEntry, ...]) -> bytes:
+    """Encode the entries of a directory."""
     return U32.pack(len(names)) + b"".join(
-        put_text(each.filename) + put_text(each.longname) + put_attrs(each.attrs)
+        encode_text(each.filename)
+        + encode_text(each.longname)
+        + encode_attributes(each.attrs)
         for each in names
     )
 
 
-READERS = {
-    "u32": Reader.u32,
-    "u64": Reader.u64,
-    "raw": Reader.raw,
-    "text": Reader.text,
-    "attrs": Reader.attrs,
-    "names": Reader.names,
-    "rest": Reader.rest,
+FieldReader = Callable[[PacketReader, str], Any]
+FieldWriter = Callable[[Any], bytes]
+READERS: dict[str, FieldReader] = {
+    "u32": PacketReader.u32,
+    "u64": PacketReader.u64,
+    "raw": PacketReader.raw,
+    "text": PacketReader.text,
+    "attrs": PacketReader.attrs,
+    "names": PacketReader.names,
+    "rest": PacketReader.rest,
 }
-WRITERS = {
+WRITERS: dict[str, FieldWriter] = {
     "u32": U32.pack,
     "u64": U64.pack,
-    "raw": put_raw,
-    "text": put_text,
-    "attrs": put_attrs,
-    "names": put_names,
+    "raw": encode_bytes,
+    "text": encode_text,
+    "attrs": encode_attributes,
+    "names": encode_entries,
     "rest": bytes,
 }
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -45,9 +45,9 @@
 from milletsill.fleet.channels.released_attempts import ReleasedAttempt
 from milletsill.fleet.leases.lease_term import LeaseTerm
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.wire import bytes_of
+from milletsill.sftp import extensions, packet_codec, packets, status_tags, tickets
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.wire import text_to_bytes
 from milletsill.sftp_gateway.command_execution import Opened, Running
 from milletsill.sftp_gateway.routing import OPERATIONS, WRITING, InvalidPath, Spot
 
@@ -270,9 +270,9 @@
     def command(self, client: Any, packet: packets.Extended) -> Any:
         """A channel@ or numbered@ packet: its answer at once, or None where it is on its way."""
         if packet.name == wire.NUMBERED:
-            return self.numbered(client, packet, wire.read_numbered(packet))
-        said = wire.read_channel(packet)
-        if isinstance(said, wire.Opening):
+            return self.numbered(client, packet, wire.decode_numbered(packet))
+        said = wire.decode_channel_request(packet)
+        if isinstance(said, wire.ChannelOpen):
             volume = self.edge.atlas.volume(self.edge.canonical(said.path))
             if volume is None or not self.catalog.covers_volume(volume.name):
                 return packets.Status(
@@ -294,13 +294,13 @@
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
         what = (
             QueryNumber(said.number)
-            if isinstance(said, wire.Asking)
+            if isinstance(said, wire.ChannelQuery)
             else ResolveNumber(said.number, said.word, channel.claim)
         )
         return self.send(client, packet, channel.volume, channel.name, what)
 
     def numbered(
-        self, client: Any, packet: packets.Extended, said: wire.Numbered
+        self, client: Any, packet: packets.Extended, said: wire.NumberedCommand
     ) -> Any:
         """One transfer of a channel: its command must write and be one transfer."""
         channel, command = client.channels.get(said.handle), said.command
@@ -312,19 +312,19 @@
         ):
             why = f"contract {channel.contract} does not cover this operation: send it without a number"
         if why:
-            return wire.put_sign(packet.id, "contract", why)
+            return status_tags.tagged_status(packet.id, "contract", why)
         if hasattr(command, "handle"):
-            command = packets.with_id(command, 0)
+            command = packet_codec.with_id(command, 0)
             command = type(command)(
                 0,
-                bytes_of(path),
+                text_to_bytes(path),
                 *[
                     getattr(command, name)
-                    for name in packets.REST_OF[type(command)][1:]
+                    for name in packet_codec.FIELDS_BEHIND_ID[type(command)][1:]
                 ],
             )
         elif isinstance(command, packets.Extended):
-            command = extensions.put_fsync(0, bytes_of(path))
+            command = extensions.encode_fsync(0, text_to_bytes(path))
         what = NumberedRequest(
             said.number,
             channel.claim,
@@ -332,7 +332,7 @@
             said.last,
             said.terms,
             path,
-            packets.with_id(command, 0),
+            packet_codec.with_id(command, 0),
         )
         return self.send(client, packet, channel.volume, channel.name, what)
 
@@ -345,7 +345,7 @@
             handle = (
                 command.handle
                 if hasattr(command, "handle")
-                else extensions.read_fsync(command)
+                else extensions.decode_fsync(command)
             )
             opened = client.handles.get(handle)
             if opened is None or opened.spot is None or opened.volume is not volume:
@@ -398,7 +398,7 @@
             else ""
         )
         if why:
-            return wire.put_sign(
+            return status_tags.tagged_status(
                 packet.id,
                 "declined",
                 f"declined: {why}",
@@ -421,7 +421,7 @@
 
         def answered(answer: Any) -> None:
             standing.final = final_of(answer)
-            client.answer(standing, packets.with_id(answer, packet.id))
+            client.answer(standing, packet_codec.with_id(answer, packet.id))
 
         standing.answered = answered
         # Guards rule 1 against a word that waits for what has no end at its client's patience: an office that is taken, a record that
@@ -448,9 +448,11 @@
         """Patience is over, and nobody has said what became of a word."""
         self.count("overdue")
         if isinstance(what, (NumberedRequest, ResolveNumber)):
-            return told(wire.put_sign(0, "aborted", "aborted: no answer in time"))
+            return told(
+                status_tags.tagged_status(0, "aborted", "aborted: no answer in time")
+            )
         told(
-            wire.put_sign(
+            status_tags.tagged_status(
                 0, "declined", "declined: no answer in time", None, DEFAULT_RETRY_DELAY
             )
         )
@@ -463,12 +465,15 @@
             answer, packets.ExtendedReply
         ):
             return answer
-        told = wire.read_opened(answer)
+        told = wire.decode_open_reply(answer)
         self.handles += 1
         handle = HANDLE + self.handles.to_bytes(8, "big")
         client.channels[handle] = Channel(volume, name, told.claim, told.contract)
-        return wire.put_opened(
-            0, wire.Opened(handle, *[getattr(told, each) for each in OPENED_REST])
+        return wire.encode_open_reply(
+            0,
+            wire.ChannelOpenReply(
+                handle, *[getattr(told, each) for each in OPENED_REST]
+            ),
         )
 
     # Where a command goes.
@@ -495,7 +500,7 @@
         command.redirects += 1
         if command.redirects > MOST_SENT_ON:
             return command.on_answer(
-                wire.put_sign(
+                status_tags.tagged_status(
                     0,
                     "declined",
                     f"declined: {redirect.owner} hands the channel over",
@@ -510,7 +515,7 @@
         )
         if redirect.owner in tried or redirect.owner not in self.plane.view.by_name:
             return command.on_answer(
-                wire.put_sign(
+                status_tags.tagged_status(
                     0,
                     "declined",
                     f"declined: {redirect.owner} held the channel and is away",
@@ -538,7 +543,7 @@
     def access_ranges(self, request: NumberedRequest) -> AccessRanges:
         """What a request touches: blocks of an extent's size where it writes there, else the whole object."""
         command, blocks = request.command, self.edge.atlas.extent_bytes
-        object = xxhash.xxh64_intdigest(bytes_of(request.path))
+        object = xxhash.xxh64_intdigest(text_to_bytes(request.path))
         if isinstance(command, packets.Write):
             return (
                 AccessRange(
@@ -551,7 +556,7 @@
             target = self.edge.canonical(command.target)
             return (
                 AccessRange(object),
-                AccessRange(xxhash.xxh64_intdigest(bytes_of(target))),
+                AccessRange(xxhash.xxh64_intdigest(text_to_bytes(target))),
             )
         return (AccessRange(object),)
 
@@ -585,7 +590,7 @@
         attempt = ReleasedAttempt(
             self.offices,
             lease,
-            wire.put_ticket(
+            tickets.format_ticket(
                 command.volume.name,
                 command.channel,
                 release.number,
@@ -594,7 +599,7 @@
             deadline,
             release.is_retry,
         )
-        terms = Terms(0, what.terms.tries, what.terms.mark)
+        terms = CommandTerms(0, what.terms.tries, what.terms.mark)
 
         def answered(packet: Any) -> None:
             if running.final == "satisfied":
@@ -623,7 +628,9 @@
 def final_of(answer: Any) -> str:
     """How a word ended, for flow records."""
     sign = (
-        wire.read_sign(answer.language) if isinstance(answer, packets.Status) else None
+        status_tags.parse_status_tag(answer.language)
+        if isinstance(answer, packets.Status)
+        else None
     )
     if sign is None:
         return "satisfied"
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from milletsill.interface import Request
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import ELSEWHERE, Terms, Verdict
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.extensions import CommandTerms, NodeReply, NodeReplyStatus
 from milletsill.sftp_gateway.gateway_context import Around
 from milletsill.sftp_gateway.routing import (
     DOING,
@@ -86,7 +86,7 @@
         self,
         edge: Around,
         command: Any,
-        terms: Terms,
+        terms: CommandTerms,
         volume: VolumePlace,
         path: str,
         opened: Opened | None,
@@ -206,7 +206,7 @@
     def named(self, command: Any, name: str) -> Any:
         """The client's command with the name that the box knows."""
         if isinstance(command, packets.Extended):
-            return extensions.put_fsync(0, name.encode("utf-8", "surrogateescape"))
+            return extensions.encode_fsync(0, name.encode("utf-8", "surrogateescape"))
         if hasattr(command, "handle"):
             command = replace(command, handle=name.encode("utf-8", "surrogateescape"))
             if isinstance(command, packets.Read):
@@ -266,9 +266,9 @@
 
     # The host's word on the present transfer.
 
-    def succeeded(self, verdict: Verdict) -> None:
+    def succeeded(self, verdict: NodeReply) -> None:
         self.transfer = None
-        answer, moved = verdict.answer, verdict.verdict == ELSEWHERE
+        answer, moved = verdict.answer, verdict.verdict == NodeReplyStatus.ELSEWHERE
         code = answer.code if isinstance(answer, packets.Status) else None
         reply = reply_of(moved, code)
         if (
@@ -296,7 +296,7 @@
         packet = aborted(id) if told_as is Reply.ABORTED else declined(id, pause)
         self.finish(packet, "aborted" if told_as is Reply.ABORTED else "declined", why)
 
-    def follow(self, effect: str, verdict: Verdict, answer: Any) -> None:
+    def follow(self, effect: str, verdict: NodeReply, answer: Any) -> None:
         """Do what the table says and go on, or end."""
         if effect in ("follow", "carry"):
             self.spot = spot_of(verdict.text)
@@ -345,7 +345,7 @@
         """One page of a directory."""
         opened, names = self.opened, ()
         assert opened is not None
-        if isinstance(answer, packets.Names):
+        if isinstance(answer, packets.DirectoryEntries):
             names = tuple(
                 each for each in answer.names if each.filename not in opened.names
             )
@@ -364,14 +364,14 @@
             opened.found |= answer.code != packets.NO_SUCH_FILE
         what = page(
             len(names),
-            not isinstance(answer, packets.Names),
+            not isinstance(answer, packets.DirectoryEntries),
             len(self.volume.cells) - 1 - self.turn,
         )
         if what == "next":
             self.turn += 1
             opened.turn, opened.after = self.turn, ""
         if what == "answer":
-            return self.finish(packets.Names(self.command.id, names))
+            return self.finish(packets.DirectoryEntries(self.command.id, names))
         if what == "end":
             root = self.path == self.volume.root
             code = packets.EOF if opened.found or root else packets.NO_SUCH_FILE
@@ -389,4 +389,4 @@
         self.leg, self.final = Leg.OVER, final
         answered, self.answered = self.answered, lambda packet: None
         self.edge.told(self, final, why)
-        answered(packets.with_id(packet, self.command.id))
+        answered(packet_codec.with_id(packet, self.command.id))
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -31,7 +31,7 @@
     RegistryWatcher,
 )
 from milletsill.scheduler import Scheduler
-from milletsill.sftp.extensions import Order
+from milletsill.sftp.extensions import NodeRequest
 from milletsill.sftp_gateway import deployment
 from milletsill.sftp_gateway.command_execution import Cargo, Running
 from milletsill.sftp_gateway.errors import RestartRequired
@@ -480,7 +480,7 @@
             ended = gate.count_dispatch(ended)
         left = max((arrival.deadline - self.now()) // 10, 1)
         return pool.send_attempt(
-            Order(
+            NodeRequest(
                 self.file.name,
                 self.incarnation,
                 arrival.id,
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -7,10 +7,10 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.errors import MalformedInput
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.framing import BrokenPacketStream, Deframer
-from milletsill.sftp.wire import Attrs, Name
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.framing import BrokenPacketStream, PacketSplitter
+from milletsill.sftp.wire import DirectoryEntry, FileAttributes
 from milletsill.sftp_gateway.command_execution import Opened, Running
 from milletsill.sftp_gateway.gateway_context import Around
 from milletsill.sftp_gateway.routing import (
@@ -22,7 +22,7 @@
     knock,
 )
 
-DIRECTORY = Attrs(mode=0o040755)
+DIRECTORY = FileAttributes(mode=0o040755)
 BY_HANDLE = (
     packets.Read,
     packets.Write,
@@ -37,7 +37,7 @@
 
     def __init__(self, edge: Around) -> None:
         self.edge, self.door = edge, Door.FRESH
-        self.deframer = Deframer(edge.file.door.most_packet)
+        self.deframer = PacketSplitter(edge.file.door.most_packet)
         self.out: dict[int, Running] = {}
         self.handles: dict[bytes, Opened] = {}
         self.channels: dict[
@@ -123,7 +123,8 @@
         if effect == "version":
             self.reply(
                 packets.Version(
-                    packets.VERSION_SPOKEN, extensions.offered(*self.edge.extensions)
+                    packets.VERSION_SPOKEN,
+                    extensions.encode_offer(*self.edge.extensions),
                 )
             )
         elif effect == "pause":
@@ -153,7 +154,7 @@
         """Bytes written to the client."""
         if self.door is Door.CLOSED:
             return 0
-        data = packets.encode(packet)
+        data = packet_codec.encode(packet)
         self.transport.write(data)
         return len(data)
 
@@ -181,8 +182,8 @@
         """One packet; one that makes no sense gets its answer, if it has an id, and loses nothing else."""
         self.octets = len(body) + 4
         try:
-            packet = packets.decode(body)
-        except packets.UnknownPacket as error:
+            packet = packet_codec.decode(body)
+        except packet_codec.UnknownPacket as error:
             return self.reply(packets.Status(error.id, packets.UNSUPPORTED, str(error)))
         except MalformedInput as error:
             self.edge.remark(
@@ -211,7 +212,7 @@
 
     def command(self, packet: Any) -> None:
         """Answer at once what costs no box work; run the rest."""
-        id, terms = packet.id, Terms()
+        id, terms = packet.id, CommandTerms()
         if id in self.out:
             return self.reply(
                 packets.Status(id, packets.BAD_MESSAGE, f"command {id} is still out")
@@ -221,19 +222,26 @@
                 isinstance(packet, packets.Extended)
                 and packet.name == extensions.COMMAND
             ):
-                terms, packet = extensions.read_terms(packet)
+                terms, packet = extensions.decode_command(packet)
             answer = self.at_once(packet, terms)
         except (MalformedInput, InvalidPath) as error:
             answer = packets.Status(id, packets.BAD_MESSAGE, str(error))
         if answer is not None:
             self.reply(answer)
 
-    def at_once(self, packet: Any, terms: Terms) -> Any:
+    def at_once(self, packet: Any, terms: CommandTerms) -> Any:
         """The answer, or None where the command was put on its way."""
         id, edge = packet.id, self.edge
         if isinstance(packet, packets.Realpath):
-            return packets.Names(
-                id, (Name(path := edge.canonical(packet.path or "/"), path, Attrs()),)
+            return packets.DirectoryEntries(
+                id,
+                (
+                    DirectoryEntry(
+                        path := edge.canonical(packet.path or "/"),
+                        path,
+                        FileAttributes(),
+                    ),
+                ),
             )
         if isinstance(packet, packets.Close):
             gone = self.handles.pop(packet.handle, None) or self.channels.pop(
@@ -252,11 +260,11 @@
             return packets.Status(id, packets.UNSUPPORTED, "links are not offered")
         return self.by_path(packet, terms)
 
-    def extended(self, packet: packets.Extended, terms: Terms) -> Any:
+    def extended(self, packet: packets.Extended, terms: CommandTerms) -> Any:
         door = self.edge.file.door
         if packet.name == extensions.LIMITS:
             most = self.edge.atlas.most_bytes
-            return extensions.put_limits(
+            return extensions.encode_limits(
                 packet.id, door.most_packet, most, most, door.most_handles
             )
         if packet.name in self.edge.extensions:
@@ -267,12 +275,12 @@
                 packets.UNSUPPORTED,
                 f"unknown extension {packet.name[:40]!r}",
             )
-        opened = self.handles.get(extensions.read_fsync(packet))
+        opened = self.handles.get(extensions.decode_fsync(packet))
         if opened is None or opened.volume is None or opened.spot is None:
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
         self.run(packet, terms, opened.volume, opened.path, opened)
 
-    def by_handle(self, packet: Any, terms: Terms) -> Any:
+    def by_handle(self, packet: Any, terms: CommandTerms) -> Any:
         opened = self.handles.get(packet.handle)
         listing = isinstance(packet, packets.Readdir)
         if opened is None or listing != (opened.spot is None):
@@ -298,15 +306,15 @@
         opened.found = True
         if not names:
             return packets.Status(id, packets.EOF, "the end")
-        return packets.Names(
+        return packets.DirectoryEntries(
             id,
             tuple(
-                Name(each, f"drwxr-xr-x 1 - - 0 {each}", DIRECTORY)
+                DirectoryEntry(each, f"drwxr-xr-x 1 - - 0 {each}", DIRECTORY)
                 for each in names[:1000]
             ),
         )
 
-    def by_path(self, packet: Any, terms: Terms) -> Any:
+    def by_path(self, packet: Any, terms: CommandTerms) -> Any:
         edge, path = self.edge, self.edge.canonical(packet.path)
         volume = edge.atlas.volume(path)
         if isinstance(packet, packets.Rename):
@@ -334,7 +342,7 @@
                 else self.missing(packet.id)
             )
         if root and isinstance(packet, (packets.Stat, packets.Lstat)):
-            return packets.AttrsAnswer(packet.id, DIRECTORY)
+            return packets.AttributesReply(packet.id, DIRECTORY)
         if root:
             return packets.Status(
                 packet.id, packets.PERMISSION_DENIED, "this belongs to the operator"
@@ -369,7 +377,12 @@
         return handle
 
     def run(
-        self, packet: Any, terms: Terms, volume: Any, path: str, opened: Opened | None
+        self,
+        packet: Any,
+        terms: CommandTerms,
+        volume: Any,
+        path: str,
+        opened: Opened | None,
     ) -> None:
         """Put a command on its way to the boxes."""
         running = Running(
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -7,9 +7,10 @@
 from twisted.internet import defer, reactor
 from twisted.trial.unittest import TestCase
 
+from milletsill.sftp import status_tags
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 from tests.support.channel_rig import ChannelClient, ChannelFleet, answer_kind
 from tests.support.sftp_gateway_rig import Rig, later
 
@@ -46,10 +47,15 @@
                 answer_kind(await channel_client.put(following)), packets.OK
             )
         self.assertEqual(rig.effects, [1, 2, 3, 4, 5])
-        self.assertEqual((await channel_client.query(4)).state, wire.IS_SETTLED)
+        self.assertEqual(
+            (await channel_client.query(4)).state, wire.NumberStatus.SETTLED
+        )
         late_answer = await channel_client.put(9)
         self.assertEqual(
-            (answer_kind(late_answer), wire.read_sign(late_answer.language).number),
+            (
+                answer_kind(late_answer),
+                status_tags.parse_status_tag(late_answer.language).number,
+            ),
             ("declined", 6),
         )
         self.assertEqual(
@@ -117,15 +123,17 @@
         began = time.monotonic()
         write = packets.Write(0, channel_client.file, 8, b"00000001")
         put = channel_client.client.command(
-            wire.put_numbered(
+            wire.encode_numbered(
                 0,
-                wire.Numbered(
-                    channel_client.opened.handle, 1, 0, False, Terms(600), write
+                wire.NumberedCommand(
+                    channel_client.opened.handle, 1, 0, False, CommandTerms(600), write
                 ),
             )
         )
         other = await rig.client(edges[1])
-        opened = other.command(wire.put_channel(0, wire.Opening("/h", "another", "")))
+        opened = other.command(
+            wire.encode_channel_request(0, wire.ChannelOpen("/h", "another", ""))
+        )
         for asked, word, patience in ((put, "aborted", 0.6), (opened, "declined", 3.0)):
             asked.addTimeout(
                 began + patience + 0.25 - time.monotonic(), reactor
@@ -149,27 +157,29 @@
         self.assertEqual(answer_kind(await early), packets.OK)
         self.assertEqual(rig.effects[2:], [2, 4])
         for bad, word in (
-            (wire.Opening("/h", "boat", "none"), "contract"),
-            (wire.Opening("/h", "boat", "lots", 7), "contract"),
-            (wire.Opening("/f", "boat"), packets.UNSUPPORTED),
+            (wire.ChannelOpen("/h", "boat", "none"), "contract"),
+            (wire.ChannelOpen("/h", "boat", "lots", 7), "contract"),
+            (wire.ChannelOpen("/f", "boat"), packets.UNSUPPORTED),
         ):
             self.assertEqual(
                 answer_kind(
-                    await channel_client.client.command(wire.put_channel(0, bad))
+                    await channel_client.client.command(
+                        wire.encode_channel_request(0, bad)
+                    )
                 ),
                 word,
             )
-        reading = wire.Numbered(
+        reading = wire.NumberedCommand(
             channel_client.opened.handle,
             9,
             2,
             False,
-            Terms(),
+            CommandTerms(),
             packets.Read(0, channel_client.file, 0, 8),
         )
         self.assertEqual(
             answer_kind(
-                await channel_client.client.command(wire.put_numbered(0, reading))
+                await channel_client.client.command(wire.encode_numbered(0, reading))
             ),
             "contract",
         )
@@ -201,7 +211,10 @@
         began = time.monotonic()
         answer = await ChannelClient.open(rig, other, "another", seconds=0)
         self.assertEqual(
-            (answer_kind(answer), wire.read_sign(answer.language).pause > 0),
+            (
+                answer_kind(answer),
+                status_tags.parse_status_tag(answer.language).pause > 0,
+            ),
             ("declined", True),
         )
         self.assertLess(time.monotonic() - began, 1.0)
@@ -212,7 +225,9 @@
     async def test_a_gateway_without_channels_offers_none(self):
         rig = Rig(self)
         client = await rig.client(await rig.edge())
-        answer = await client.command(wire.put_channel(0, wire.Opening("/h", "boat")))
+        answer = await client.command(
+            wire.encode_channel_request(0, wire.ChannelOpen("/h", "boat"))
+        )
         self.assertEqual(
             (answer.code, rig.edges[0].channels), (packets.UNSUPPORTED, None)
         )
--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -5,6 +5,7 @@
 
 from twisted.internet.task import Clock
 
+from milletsill.sftp import status_tags
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.commands import (
     ChannelCommand,
@@ -16,9 +17,8 @@
     ForwarderSettings,
     PeerForwarder,
 )
-from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 
 
 class UnreachableOwners(unittest.TestCase):
@@ -33,7 +33,7 @@
             ForwarderHandlers(
                 lambda command, member: None,
                 lambda command: command.on_answer(
-                    wire.put_sign(0, "declined", "", None, 1000)
+                    status_tags.tagged_status(0, "declined", "", None, 1000)
                 ),
                 lambda name: None,
                 lambda name: None,
@@ -49,7 +49,7 @@
 
     def test_only_what_its_owner_cannot_have_done_is_rejected(self):
         write = NumberedRequest(
-            1, 1, 0, False, Terms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
+            1, 1, 0, False, CommandTerms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
         )
         self.assertEqual(
             (
@@ -128,7 +128,7 @@
     def send(self, patience):
         """A numbered request at a, whose client waits for so many seconds from now."""
         write = NumberedRequest(
-            1, 1, 0, False, Terms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
+            1, 1, 0, False, CommandTerms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
         )
         self.forwarders["a"].forward(
             ChannelCommand(
--- a/tests/gateway/test_scheduler_host.py
+++ b/tests/gateway/test_scheduler_host.py
@@ -7,7 +7,7 @@
 from milletsill.gateway.scheduler_host import HostCallbacks, SchedulerHost
 from milletsill.interface import AttemptOutcome, Request
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import DONE, Verdict
+from milletsill.sftp.extensions import NodeReplyStatus, NodeReply
 
 
 class Module:
@@ -73,7 +73,9 @@
         self.module = self.host.scheduler
 
     def verdict(self):
-        return Verdict(DONE, "0", {"queue": 3.0}, None, 2, packets.Data(0, b"x"))
+        return NodeReply(
+            NodeReplyStatus.DONE, "0", {"queue": 3.0}, None, 2, packets.Data(0, b"x")
+        )
 
     def test_a_dispatch_that_ended_holds_on_to_nothing(self):
         self.host.send_attempt(1, 7, 5000)
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -8,12 +8,13 @@
 from types import SimpleNamespace
 from unittest import mock
 
+from milletsill.sftp import packet_codec
 from milletsill.lab import audit, record
 from milletsill.lab import starved as lab_starved
 from milletsill.lab.starved import Starved
 from milletsill.settings.milletsill_pb2 import Scenario
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Order, Terms, Verdict
+from milletsill.sftp.extensions import NodeRequest, CommandTerms, NodeReply
 
 TERMS = """
 name: "x" edges: 1
@@ -63,10 +64,10 @@
             call(*values, **named)
 
     def command(self, at, id=1, mark="m", tries=0, patience=1000):
-        packet = extensions.put_terms(
-            Terms(patience, tries, mark), packets.Read(id, b"h", 0, 1)
+        packet = extensions.encode_command(
+            CommandTerms(patience, tries, mark), packets.Read(id, b"h", 0, 1)
         )
-        self.put(at, self.clients.put, 1, record.OUT, packets.encode(packet)[4:])
+        self.put(at, self.clients.put, 1, record.OUT, packet_codec.encode(packet)[4:])
 
     def answer(self, at, id=1, language=""):
         self.put(
@@ -74,7 +75,7 @@
             self.clients.put,
             1,
             record.IN,
-            packets.encode(packets.Status(id, 0, "", language))[4:],
+            packet_codec.encode(packets.Status(id, 0, "", language))[4:],
         )
 
     def dispatch(
@@ -91,7 +92,7 @@
         verdict=None,
         ended=None,
     ):
-        order = Order(
+        order = NodeRequest(
             "e",
             1,
             transfer,
@@ -111,14 +112,18 @@
             self.boxes[box].put,
             1,
             record.IN,
-            packets.encode(extensions.put_order(id, order))[4:],
+            packet_codec.encode(extensions.encode_node_request(id, order))[4:],
         )
         if ended is not None:
-            reply = extensions.put_verdict(
-                id, Verdict(verdict or 0, "", {}, None, 0, packets.Data(id, b"x"))
+            reply = extensions.encode_node_reply(
+                id, NodeReply(verdict or 0, "", {}, None, 0, packets.Data(id, b"x"))
             )
             self.put(
-                ended, self.boxes[box].put, 1, record.OUT, packets.encode(reply)[4:]
+                ended,
+                self.boxes[box].put,
+                1,
+                record.OUT,
+                packet_codec.encode(reply)[4:],
             )
 
     def told(self, at, state):
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -18,8 +18,8 @@
 from milletsill.lab.run import Run, broken, report
 from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, Scenario
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Order, Verdict
-from milletsill.sftp.wire import Attrs
+from milletsill.sftp.extensions import NodeRequest, NodeReply
+from milletsill.sftp.wire import FileAttributes
 from milletsill.trace.reckoning import Claim, Done, parted, reckon
 
 SHORT = """
@@ -221,7 +221,11 @@
         )
         box.files.run = lambda command: (
             effects.append(command)
-            or Verdict(extensions.DONE, "", answer=packets.Status(0, packets.OK))
+            or NodeReply(
+                extensions.NodeReplyStatus.DONE,
+                "",
+                answer=packets.Status(0, packets.OK),
+            )
         )
         gate = SimpleNamespace(
             answer=lambda id, verdict, order: answers.append((id, verdict.answer))
@@ -230,7 +234,7 @@
             box.order(
                 gate,
                 id,
-                Order(
+                NodeRequest(
                     "g",
                     1,
                     7,
@@ -254,7 +258,7 @@
         box.order(
             gate,
             9,
-            Order(
+            NodeRequest(
                 "g",
                 1,
                 7,
@@ -385,7 +389,7 @@
 
     def test_a_hole_reads_as_zeros(self):
         files = Files()
-        files.run(packets.Open(0, "/a", packets.CREATE_FLAG, Attrs()))
+        files.run(packets.Open(0, "/a", packets.CREATE_FLAG, FileAttributes()))
         files.run(packets.Write(0, b"/a", 4, b"x"))
         self.assertEqual(
             files.run(packets.Read(0, b"/a", 0, 9)).answer.data, b"\0\0\0\0x"
--- a/tests/lab/test_planted_faults.py
+++ b/tests/lab/test_planted_faults.py
@@ -29,7 +29,7 @@
 from milletsill.fleet.channels.owned_channel import OwnedChannel
 from milletsill.lab.plants import LINGER, LINGERS, PLANTS
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 
 VOLUME = SimpleNamespace(name="v", number=1)
 
@@ -68,7 +68,13 @@
         batch = (number + 1) // 2 if order is ChannelOrder.BATCHES else 0
         self.handle(
             NumberedRequest(
-                number, 1, batch, batch > 0 and number % 2 == 0, Terms(), "/v/f", write
+                number,
+                1,
+                batch,
+                batch > 0 and number % 2 == 0,
+                CommandTerms(),
+                "/v/f",
+                write,
             )
         )
 
--- a/tests/node_connections/test_connection_pool.py
+++ b/tests/node_connections/test_connection_pool.py
@@ -6,6 +6,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
+from milletsill.sftp import packet_codec
 from milletsill.interface import AttemptOutcome
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import (
@@ -21,7 +22,7 @@
 )
 from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Order, Verdict
+from milletsill.sftp.extensions import NodeRequest, NodeReply
 
 BOUNDS = PoolLimits(
     connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silence=10_000
@@ -29,7 +30,7 @@
 
 
 def order(number=0):
-    return Order(
+    return NodeRequest(
         "e",
         1,
         7,
@@ -161,8 +162,8 @@
         link, transport = factory.buildProtocol(None), Transport()
         link.makeConnection(transport)
         done.callback(link)
-        link.dataReceived(packets.encode(packets.Version(3)))
-        link.dataReceived(packets.encode(packets.Status(1, 0)))  # the hello
+        link.dataReceived(packet_codec.encode(packets.Version(3)))
+        link.dataReceived(packet_codec.encode(packets.Status(1, 0)))  # the hello
         return link, transport
 
     def send(self, number=0):
@@ -174,8 +175,10 @@
         self.send()
         link, transport = self.connect()
         self.assertIn(b"dispatch@milletsill", transport.value())
-        verdict = Verdict(extensions.DONE, "0", {}, None, 0, packets.Data(2, b"x"))
-        link.dataReceived(packets.encode(extensions.put_verdict(2, verdict)))
+        verdict = NodeReply(
+            extensions.NodeReplyStatus.DONE, "0", {}, None, 0, packets.Data(2, b"x")
+        )
+        link.dataReceived(packet_codec.encode(extensions.encode_node_reply(2, verdict)))
         self.assertEqual(self.ended, [(0, AttemptOutcome.SUCCEEDED)])
 
     def test_a_dial_that_fails_tells_unreached_and_never_from_within(self):
@@ -188,9 +191,17 @@
     def test_half_a_packet_and_a_break_is_a_reset_once(self):
         self.send()
         link, _ = self.connect()
-        data = packets.encode(
-            extensions.put_verdict(
-                2, Verdict(extensions.DONE, "", {}, None, 0, packets.Data(2, b"x"))
+        data = packet_codec.encode(
+            extensions.encode_node_reply(
+                2,
+                NodeReply(
+                    extensions.NodeReplyStatus.DONE,
+                    "",
+                    {},
+                    None,
+                    0,
+                    packets.Data(2, b"x"),
+                ),
             )
         )
         link.dataReceived(data[:9])
@@ -222,7 +233,11 @@
         link, transport = self.connect()
         self.pool.withdraw(sending)
         link.dataReceived(
-            packets.encode(extensions.put_verdict(2, Verdict(extensions.FULL)))
+            packet_codec.encode(
+                extensions.encode_node_reply(
+                    2, NodeReply(extensions.NodeReplyStatus.FULL)
+                )
+            )
         )
         self.assertIn(b"cancel@milletsill", transport.value())
         self.assertEqual(self.ended, [])
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -6,14 +6,15 @@
 from types import SimpleNamespace
 from unittest import mock
 
+from milletsill.sftp import packet_codec
 from milletsill.interface import AttemptOutcome, Readiness
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.registry.registered_node import RegisteredNode
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Order
-from milletsill.sftp.framing import Deframer
+from milletsill.sftp.extensions import NodeRequest
+from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp_gateway import gateway
 from milletsill.sftp_gateway.gateway import Edge
 from tests.support.loopback import Loop, listening, receive
@@ -24,7 +25,7 @@
 
 
 def order(number):
-    return Order(
+    return NodeRequest(
         "e",
         1,
         7,
@@ -48,7 +49,7 @@
         self.loop, self.sock, self.deframer = (
             loop,
             loop.accepted(listener),
-            Deframer(1 << 20),
+            PacketSplitter(1 << 20),
         )
         self.found = []
 
@@ -56,7 +57,7 @@
         """All packets that have come."""
         self.deframer.feed(receive(self.sock) or b"")
         while (body := self.deframer.next()) is not None:
-            self.found.append(packets.decode(body))
+            self.found.append(packet_codec.decode(body))
         return self.found
 
     def greet(self):
@@ -65,7 +66,7 @@
             lambda: any(isinstance(each, packets.Init) for each in self.come()),
             "no greeting",
         )
-        self.sock.sendall(packets.encode(packets.Version(3)))
+        self.sock.sendall(packet_codec.encode(packets.Version(3)))
         self.loop.until(
             lambda: any(isinstance(each, packets.Extended) for each in self.come()),
             "no hello",
@@ -77,7 +78,7 @@
             for each in self.come()
             if isinstance(each, packets.Extended) and each.name == extensions.DISPATCH
         ]
-        return [extensions.read_order(each) for each in found]
+        return [extensions.decode_node_request(each) for each in found]
 
 
 class Waiting(unittest.TestCase):
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -7,8 +7,9 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.trial.unittest import TestCase
 
+from milletsill.sftp import packet_codec
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 from tests.support.sftp_gateway_rig import Rig, later, pattern
 
 
@@ -99,7 +100,8 @@
         handle = (await client.command(packets.Opendir(0, "/h"))).handle
         names = []
         while isinstance(
-            answer := await client.command(packets.Readdir(0, handle)), packets.Names
+            answer := await client.command(packets.Readdir(0, handle)),
+            packets.DirectoryEntries,
         ):
             names += [each.filename for each in answer.names]
         self.assertEqual(
@@ -130,7 +132,7 @@
         answers = [await client.command(packets.Opendir(0, "/h")) for _ in range(8)]
         self.assertEqual([type(each).__name__ for each in answers].count("Handle"), 6)
         answer = await client.command(packets.Extended(0, extensions.LIMITS))
-        self.assertEqual(extensions.read_limits(answer)[1:], (32768, 32768, 6))
+        self.assertEqual(extensions.decode_limits(answer)[1:], (32768, 32768, 6))
         await client.command(packets.Close(0, answers[0].handle))
         handle = await client.open("/h/x")
         self.assertEqual(
@@ -138,7 +140,7 @@
             packets.FAILURE,
         )
         self.assertEqual(
-            (await client.command(extensions.put_fsync(0, handle))).code, packets.OK
+            (await client.command(extensions.encode_fsync(0, handle))).code, packets.OK
         )
         self.assertEqual(
             (await client.command(packets.Extended(0, "x@y"))).code, packets.UNSUPPORTED
@@ -156,7 +158,7 @@
             box.vanish()
         began = time.monotonic()
         answer = await client.command(
-            packets.Read(0, handle, 0, 10), Terms(400, 0, "m")
+            packets.Read(0, handle, 0, 10), CommandTerms(400, 0, "m")
         )
         self.assertTrue(declined(answer), answer)
         self.assertLess(time.monotonic() - began, 0.4)
@@ -170,7 +172,7 @@
         for box in rig.boxes:
             box.vanish()
         answer = await client.command(
-            packets.Write(0, handle, 0, b"x"), Terms(400, 0, "m")
+            packets.Write(0, handle, 0, b"x"), CommandTerms(400, 0, "m")
         )
         self.assertTrue(aborted(answer), answer)
 
@@ -183,7 +185,7 @@
             box.kind.cancel = "none"
             box.speed.still_until = time.monotonic() + 0.5
         answer = await client.command(
-            packets.Read(0, handle, 0, 10), Terms(250, 0, "m")
+            packets.Read(0, handle, 0, 10), CommandTerms(250, 0, "m")
         )
         self.assertTrue(declined(answer), answer)
         await later(0.6)
@@ -215,7 +217,7 @@
         rig = Rig(self)
         client = await rig.client(await rig.edge())
         for _ in range(2):
-            client.transport.write(packets.encode(packets.Stat(77, "/h/none")))
+            client.transport.write(packet_codec.encode(packets.Stat(77, "/h/none")))
         await later(0.3)
         codes = [each.code for each in client.answers if each.id == 77]
         self.assertEqual(sorted(codes), [packets.NO_SUCH_FILE, packets.BAD_MESSAGE])
@@ -241,7 +243,7 @@
             [(9, packets.BAD_MESSAGE), (8, packets.UNSUPPORTED)],
         )
         self.assertIsInstance(
-            await client.command(packets.Realpath(0, ".")), packets.Names
+            await client.command(packets.Realpath(0, ".")), packets.DirectoryEntries
         )
 
     async def test_a_client_that_never_reads_is_bounded_and_cut(self):
@@ -254,7 +256,7 @@
         for _ in range(4000):
             client.ids += 1
             client.transport.write(
-                packets.encode(packets.Read(client.ids, handle, 0, 32768))
+                packet_codec.encode(packets.Read(client.ids, handle, 0, 32768))
             )
         most = 0
         for _ in range(
@@ -270,7 +272,7 @@
         self.assertLessEqual(most, 8)
         self.assertEqual(len(edge.clients), 1)
         self.assertIsInstance(
-            await other.command(packets.Stat(0, "/h")), packets.AttrsAnswer
+            await other.command(packets.Stat(0, "/h")), packets.AttributesReply
         )
 
     async def test_a_registry_that_is_away_at_the_start_is_asked_again(self):
@@ -278,7 +280,9 @@
         rig.registry.set_away(True)
         edge = await rig.edge()
         client = await rig.client(edge)
-        answer = await client.command(packets.Stat(0, "/h/x"), Terms(200, 0, "m"))
+        answer = await client.command(
+            packets.Stat(0, "/h/x"), CommandTerms(200, 0, "m")
+        )
         self.assertTrue(declined(answer), answer)
         rig.registry.set_away(False)
         await later(1.2)
@@ -297,7 +301,7 @@
         self.assertEqual(second.incarnation, first.incarnation + 1)
         client = await rig.client(second)
         self.assertIsInstance(
-            await client.command(packets.Stat(0, "/h/x")), packets.AttrsAnswer
+            await client.command(packets.Stat(0, "/h/x")), packets.AttributesReply
         )
 
     async def test_a_drain_told_is_a_drain_kept(self):
@@ -309,7 +313,9 @@
         rig.tell(busy, "draining")
         await later(0.3)
         before = busy.counted, sum(busy.served.values())
-        answer = await client.command(packets.Stat(0, "/d/x"), Terms(300, 0, "m"))
+        answer = await client.command(
+            packets.Stat(0, "/d/x"), CommandTerms(300, 0, "m")
+        )
         self.assertTrue(declined(answer), answer)
         self.assertEqual((busy.counted, sum(busy.served.values())), before)
 
@@ -325,7 +331,7 @@
         rig.add_box(9, old.cell, old.files, cold=True)
         await later(0.9)
         answer = await client.command(packets.Stat(0, "/d/x"))
-        self.assertIsInstance(answer, packets.AttrsAnswer)
+        self.assertIsInstance(answer, packets.AttributesReply)
 
     async def test_a_reactor_blocked_for_two_seconds_answers_all_once_and_goes_on(self):
         rig = Rig(self)
@@ -353,10 +359,10 @@
         handle = await client.open("/h/x")
         for box in rig.boxes:
             box.vanish()
-        asking = extensions.put_terms(
-            Terms(900, 0, "m"), packets.Read(99, handle, 0, 4)
+        asking = extensions.encode_command(
+            CommandTerms(900, 0, "m"), packets.Read(99, handle, 0, 4)
         )
-        client.transport.socket.send(packets.encode(asking))
+        client.transport.socket.send(packet_codec.encode(asking))
         began = time.monotonic()
         time.sleep(0.6)
         while not any(each.id == 99 for each in client.answers):
@@ -444,7 +450,7 @@
         edge.reload(file)
         client = await rig.client(edge)
         self.assertIsInstance(
-            await client.command(packets.Stat(0, "/new")), packets.AttrsAnswer
+            await client.command(packets.Stat(0, "/new")), packets.AttributesReply
         )
         other = type(file)()
         other.CopyFrom(file)
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -7,7 +7,7 @@
     must_read_sockets_first,
 )
 from milletsill.sftp import packets
-from milletsill.sftp.wire import Attrs
+from milletsill.sftp.wire import FileAttributes
 from milletsill.sftp_gateway.routing import (
     BY_DIRECTORY,
     FREE,
@@ -155,7 +155,7 @@
 
 class Courses(unittest.TestCase):
     def test_how_commands_go(self):
-        opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, Attrs())
+        opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, FileAttributes())
         for command, placement, course in (
             (opening, HASHED, Course.PLAIN),
             (opening, FREE, Course.MAKE),
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -4,10 +4,11 @@
 
 import time
 
+from milletsill.sftp import status_tags
 from milletsill.settings.milletsill_pb2 import Category, ChannelKeeping, Contract, Route
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 from tests.support.sftp_gateway_rig import Rig, later
 
 
@@ -127,7 +128,7 @@
         client, ends = await rig.client(edge), time.monotonic() + seconds
         while True:  # comes back as it is told to
             answer = await client.command(
-                wire.put_channel(0, wire.Opening("/h", name, contract))
+                wire.encode_channel_request(0, wire.ChannelOpen("/h", name, contract))
             )
             if (
                 not isinstance(answer, packets.Status)
@@ -135,30 +136,34 @@
                 or time.monotonic() > ends
             ):
                 break
-            await later(min(wire.read_sign(answer.language).pause / 1000, 0.3))
+            await later(
+                min(status_tags.parse_status_tag(answer.language).pause / 1000, 0.3)
+            )
         if isinstance(answer, packets.Status):
             return answer
-        return cls(client, wire.read_opened(answer), await client.open(path))
+        return cls(client, wire.decode_open_reply(answer), await client.open(path))
 
     def put(self, number, batch=0, last=False, mark=None):
         write = packets.Write(
             0, self.file, number * 8, b"%08d" % (number if mark is None else mark)
         )
         return self.client.command(
-            wire.put_numbered(
+            wire.encode_numbered(
                 0,
-                wire.Numbered(
-                    self.opened.handle, number, batch, last, Terms(3000), write
+                wire.NumberedCommand(
+                    self.opened.handle, number, batch, last, CommandTerms(3000), write
                 ),
             )
         )
 
     async def query(self, number):
         answer = await self.client.command(
-            wire.put_channel(0, wire.Asking(self.opened.handle, number))
+            wire.encode_channel_request(
+                0, wire.ChannelQuery(self.opened.handle, number)
+            )
         )
         return (
-            wire.read_asked(answer)
+            wire.decode_query_reply(answer)
             if isinstance(answer, packets.ExtendedReply)
             else answer
         )
@@ -166,5 +171,5 @@
 
 def answer_kind(answer):
     """The word of an answer's sign, else its status code."""
-    found = wire.read_sign(answer.language)
+    found = status_tags.parse_status_tag(answer.language)
     return found.word if found else answer.code
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -11,14 +11,15 @@
 from twisted.internet import defer, protocol, reactor
 from twisted.internet.task import deferLater
 
+from milletsill.sftp import packet_codec
 from milletsill.lab.box import Box, Gates
 from milletsill.lab.files import Files
 from milletsill.lab.registry import Registry, site
 from milletsill.logs import logger
 from milletsill.settings.milletsill_pb2 import BoxKind, GatewayFile, RegistryStand
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.framing import Deframer
-from milletsill.sftp.wire import Attrs
+from milletsill.sftp.framing import PacketSplitter
+from milletsill.sftp.wire import FileAttributes
 from milletsill.sftp_gateway.gateway import Edge
 
 FILE = """
@@ -48,7 +49,7 @@
 
     def __init__(self):
         self.deframer, self.waiting, self.answers, self.ids = (
-            Deframer(1 << 24),
+            PacketSplitter(1 << 24),
             {},
             [],
             0,
@@ -56,12 +57,12 @@
         self.lost, self.ready = defer.Deferred(), defer.Deferred()
 
     def connectionMade(self):
-        self.transport.write(packets.encode(packets.Init(3)))
+        self.transport.write(packet_codec.encode(packets.Init(3)))
 
     def dataReceived(self, data):
         self.deframer.feed(data)
         while (body := self.deframer.next()) is not None:
-            packet = packets.decode(body)
+            packet = packet_codec.decode(body)
             if isinstance(packet, packets.Version):
                 self.ready.callback(self)
                 continue
@@ -75,17 +76,17 @@
 
     def command(self, packet, terms=None):
         self.ids += 1
-        packet = packets.with_id(packet, self.ids)
+        packet = packet_codec.with_id(packet, self.ids)
         if terms is not None:
-            packet = extensions.put_terms(terms, packet)
+            packet = extensions.encode_command(terms, packet)
         self.waiting[self.ids] = defer.Deferred()
-        self.transport.write(packets.encode(packet))
+        self.transport.write(packet_codec.encode(packet))
         return self.waiting[self.ids]
 
     async def open(
         self, path, flags=packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
     ):
-        answer = await self.command(packets.Open(0, path, flags, Attrs()))
+        answer = await self.command(packets.Open(0, path, flags, FileAttributes()))
         return answer.handle if isinstance(answer, packets.Handle) else answer
 
 
