--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -36,9 +36,8 @@
             client, wire = self.client(
                 *[one[place : place + 1] for place in range(len(one))]
             )
-            link, sent = (
-                self.reactor.up(self.dialled(7070)[-1]) if txn == TXN else (link, sent)
-            )
+            if txn == TXN:
+                link, sent = self.reactor.up(self.dialled(7070)[-1])
             text = sent.value()
             self.assertIn(b"X-Txn: %016x\r\n" % txn, text)
             self.assertIn(b"X-Remaining-Ms: ", text)
