--- a/milletsill/cli/lab.py
+++ b/milletsill/cli/lab.py
@@ -180,13 +180,15 @@
     """Audit the records of an earlier run in the folder OUT once more."""
     import glob
 
-    from milletsill.lab.audit import RULES, audit, gather
+    from milletsill.lab.audit import audit
     from milletsill.lab.audit_contracts import audit_contracts
+    from milletsill.lab.breaches import RULES
+    from milletsill.lab.evidence_reader import read_evidence
 
     file = os.path.join(out, "scenario.textproto")
     scenario = load_or_exit(file, Scenario, check_scenario)
     try:
-        evidence = gather(out, len(glob.glob(os.path.join(out, "box-*.rec"))))
+        evidence = read_evidence(out, len(glob.glob(os.path.join(out, "box-*.rec"))))
     except (OSError, ValueError) as error:
         exit_with_error(str(error), EXIT_BAD_INPUT)
     breaches_by_title = {
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -102,10 +102,10 @@
 
 
 def relay(scenario: Any, out: str, port: str, control: str) -> None:
-    from milletsill.lab.record import Recorder
+    from milletsill.lab.record import PacketRecorder
     from milletsill.lab.relay import LONGEST_SELF, Relay, controls
 
-    recorder = Recorder(f"{out}/relay.rec", "relay", "relay")
+    recorder = PacketRecorder(f"{out}/relay.rec", "relay", "relay")
     held = Relay(reactor, scenario, int(port), recorder)
     reactor.listenTCP(int(control), controls(held), interface="127.0.0.1")
     when_told(out, held.plan)
--- a/milletsill/lab/audit_contracts.py
+++ b/milletsill/lab/audit_contracts.py
@@ -1,439 +1,289 @@
-"""Checks the contracts of channels from what crossed the sockets of clients and from when boxes wrote; gateways have no say.
+"""Checks the contracts of channels from clients' packets and nodes' writes.
 
-A box's ticket says which number a write was of: `VOLUME@CHANNEL@NUMBER.TURN#...`, VOLUME the xxh64 of its name, TURN growing
-with each `again` that a client said. A number is settled once a client was answered OK for it. Checked for every channel: no effect twice, none without having
-been asked for, none missing or forgotten once it was said to be settled, none after it was said to have none, claims that grow;
-then the order that its contract says.
+Gateways have no say in it. Checked for every channel: no effect twice, none without
+having been asked for, none missing or forgotten once it was said to be settled, none
+after it was said to have none, claims that grow; then the order that its contract
+says.
 """
 
 from __future__ import annotations
 
-import re
 from collections import defaultdict
-from collections.abc import Callable, Iterable, Iterator, Sequence
-from dataclasses import dataclass, field
-from typing import Any
-
-import xxhash
-
-from milletsill.lab.audit import SLACK, Breach
-from milletsill.lab.evidence import OPEN, SAY, Evidence, Sent, Word
-
-IN_ORDER, NEWEST, BY_EXTENT, BATCHES = range(4)
-NAMES = {
+from collections.abc import Callable, Iterable, Iterator, Mapping
+from dataclasses import dataclass
+
+from milletsill.lab.breaches import SOCKET_SLACK, Breach
+from milletsill.lab.channel_history import (
+    NOT_DONE,
+    OK,
+    ChannelHistory,
+    KeyRange,
+    NumberWrite,
+    channel_histories,
+)
+from milletsill.lab.evidence import Evidence, RecordedAnswer
+from milletsill.settings.milletsill_pb2 import Scenario
+
+IN_ORDER = 0
+NEWEST = 1
+BY_KEY_RANGE = 2
+BATCHES = 3
+ORDER_TITLES = {
     IN_ORDER: "each in order",
     NEWEST: "newest",
-    BY_EXTENT: "by extent",
+    BY_KEY_RANGE: "by extent",
     BATCHES: "batches",
 }
-TICKET = re.compile(r"(\d+)@(.+)@(\d+)\.(\d+)#.*")
-SAID_AGAIN, SAID_LEFT_OUT, OK = 2, 3, 0
-GONE = (
-    "x-left-out",
-    "x-superseded",
-)  # signs after which the number has no effect any more
-Key = tuple[int, str]
-
-
-@dataclass
-class Effect:
-    """A write at a box that a number stands behind."""
-
-    at: float
-    box: int
-    number: int
-    turn: int
-    extent: tuple[str, int]
-    gateway: str
-    transfer: int
-
-    def line(self) -> str:
-        return f"{self.at:.4f} box {self.box} wrote number {self.number}.{self.turn}, {self.gateway} transfer {self.transfer}"
-
-
-@dataclass
-class Line:
-    """All that is known of one channel; what is by number is in the order of its time."""
-
-    key: Key
-    order: int = -1
-    effects: list[Effect] = field(default_factory=list)
-    sent: dict[int, list[Sent]] = field(default_factory=lambda: defaultdict(list))
-    said: dict[int, list[Word]] = field(default_factory=lambda: defaultdict(list))
-    opens: list[Word] = field(default_factory=list)
-    settled: dict[int, float] = field(
-        default_factory=dict
-    )  # when a client was first told so
-    ended: dict[int, tuple[float, str]] = field(
-        default_factory=dict
-    )  # when one was told that it has none
-    unsure: set[int] = field(default_factory=set)
-
-    def breach(self, text: str, *packets: str) -> Breach:
-        return Breach(
-            0, f"channel {self.key[1]} of volume {self.key[0]}: {text}", list(packets)
-        )
-
-    def first(self, number: int) -> Effect | None:
-        return next((each for each in self.effects if each.number == number), None)
-
-
-def root_of(path: str, terms: Any) -> int:
-    """A volume's number from a path in it; 0 for none."""
-    return next(
-        (
-            place + 1
-            for place, each in enumerate(terms.gateway.volume)
-            if path == each.root or path.startswith(each.root + "/")
-        ),
-        0,
-    )
-
-
-def lines_of(evidence: Evidence, terms: Any) -> dict[Key, Line]:
-    """Every channel that a client opened or a box wrote for."""
-    found: dict[Key, Line] = {}
-    handles: dict[tuple[int, str, bytes], Line] = {}
-    for word in evidence.words:
-        if word.verb == OPEN:
-            key = (root_of(word.path, terms), word.channel)
-            line = found.setdefault(key, Line(key))
-            line.opens.append(word)
-            if word.told:
-                handles[word.conn, word.edge, word.told["handle"]] = line
-                line.order = word.told["order"]
-                line.unsure.update(word.told["unsure"])
-    for word in evidence.words:
-        if (
-            word.verb == SAY
-            and (line := handles.get((word.conn, word.edge, word.handle))) is not None
-        ):
-            line.said[word.number].append(word)
-    for each in evidence.commands:
-        if (
-            each.handle
-            and (line := handles.get((each.conn, each.edge, each.handle))) is not None
-        ):
-            line.sent[each.number].append(each)
-    size = terms.gateway.rules.extent_bytes
-    numbers = {
-        xxhash.xxh64_intdigest(each.name.encode()): place + 1
-        for place, each in enumerate(terms.gateway.volume)
-    }
-    for note in evidence.notes:
-        taken = (
-            TICKET.fullmatch(note.get("ticket", ""))
-            if note["what"] == "effect" and note["code"] == OK
-            else None
-        )
-        if taken is not None:
-            key = (numbers.get(int(taken[1]), 0), taken[2])
-            found.setdefault(key, Line(key)).effects.append(
-                Effect(
-                    note["at"],
-                    note["box"],
-                    int(taken[3]),
-                    int(taken[4]),
-                    (note["path"], note["offset"] // size),
-                    note["gateway"],
-                    note["transfer"],
-                )
-            )
-    for line in found.values():
-        line.effects.sort(key=lambda each: each.at)
-        tell(line)
-    return found
-
-
-def tell(line: Line) -> None:
-    """What clients were told of each number."""
-    for number, sends in line.sent.items():
-        for at, _, language, code in sorted(
-            answer for each in sends for answer in each.answers
-        ):
-            if code == OK:
-                line.settled.setdefault(number, at)
-            elif language.startswith(GONE):
-                line.ended.setdefault(number, (at, language))
-            elif language == "x-aborted":
-                line.unsure.add(number)
-    for number, words in line.said.items():
-        for word in words:
-            if word.word == SAID_LEFT_OUT and any(
-                code == OK for _, _, _, code in word.answers
-            ):
-                line.ended.setdefault(number, (word.answers[0][0], "said left out"))
+RETRYABLE_TAGS = ("x-declined", "x-claim-lost", "x-over")
+"""Starts of language tags that say nothing of what became of a number."""
+Check = Callable[[ChannelHistory], Iterator[Breach]]
 
 
 # Of every channel.
 
 
-def twice(line: Line) -> Iterator[Breach]:
-    """One effect for a number and a turn; a further turn where a client asked for it."""
-    seen: dict[tuple[int, int], Effect] = {}
-    for each in line.effects:
-        before = seen.setdefault((each.number, each.turn), each)
-        if before is not each:
-            yield line.breach(
-                f"number {each.number} took effect twice", before.line(), each.line()
+def check_single_effects(history: ChannelHistory) -> Iterator[Breach]:
+    """One effect for a number and a generation, and each was asked for."""
+    seen: dict[tuple[int, int], NumberWrite] = {}
+    for effect in history.effects:
+        number = effect.number
+        line = effect.describe()
+        before = seen.setdefault((number, effect.generation), effect)
+        if before is not effect:
+            yield history.breach(
+                f"number {number} took effect twice", before.describe(), line
             )
         asked = sum(
-            word.word == SAID_AGAIN and word.at <= each.at
-            for word in line.said[each.number]
+            message.resolution == NOT_DONE and message.at <= effect.at
+            for message in history.resolutions[number]
         )
-        if each.turn > asked:
-            yield line.breach(
-                f"number {each.number} let go again, and nobody said so", each.line()
+        if effect.generation > asked:
+            yield history.breach(
+                f"number {number} let go again, and nobody said so", line
             )
-        if line.opens and each.number not in line.sent:
-            yield line.breach(
-                f"number {each.number} took effect, and no client sent it", each.line()
+        if history.openings and number not in history.commands:
+            yield history.breach(
+                f"number {number} took effect, and no client sent it", line
             )
 
 
-def lost(line: Line) -> Iterator[Breach]:
+def contradicts_settled(answer: RecordedAnswer) -> bool:
+    """Return whether an answer says other than that a number is settled."""
+    return answer.code != OK and not answer.language.startswith(RETRYABLE_TAGS)
+
+
+def check_settled(history: ChannelHistory) -> Iterator[Breach]:
     """What was said to be settled had its effect, and is never told otherwise."""
-    written = defaultdict(list)
-    for each in line.effects:
-        written[each.number].append(each.at)
-    for number, at in line.settled.items():
-        if not any(when <= at + SLACK for when in written[number]):
-            yield line.breach(
+    written: dict[int, list[float]] = defaultdict(list)
+    for effect in history.effects:
+        written[effect.number].append(effect.at)
+    for number, settled_at in history.settled.items():
+        if not any(at <= settled_at + SOCKET_SLACK for at in written[number]):
+            yield history.breach(
                 f"number {number} was settled without an effect",
-                f"{at:.4f} settled",
-                *(f"{when:.4f} written" for when in written[number]),
+                f"{settled_at:.4f} settled",
+                *(f"{at:.4f} written" for at in written[number]),
             )
-        for each in line.sent[number]:
-            for when, _, language, code in each.answers:
-                if (
-                    each.at > at
-                    and code != OK
-                    and not language.startswith(
-                        ("x-declined", "x-claim-lost", "x-over")
-                    )
-                ):
-                    yield line.breach(
-                        f"number {number} was settled, and later told as {language or code}",
-                        f"{at:.4f} settled",
-                        f"{when:.4f} {each.line()}",
-                    )
-    if line.order not in (IN_ORDER, NEWEST):
-        return
-    for word in line.opens:
+        for command in history.commands[number]:
+            if command.at <= settled_at:
+                continue
+            for answer in filter(contradicts_settled, command.answers):
+                told = answer.language or answer.code
+                yield history.breach(
+                    f"number {number} was settled, and later told as {told}",
+                    f"{settled_at:.4f} settled",
+                    f"{answer.at:.4f} {command.describe()}",
+                )
+    if history.order in (IN_ORDER, NEWEST):
+        yield from check_next_numbers(history)
+
+
+def check_next_numbers(history: ChannelHistory) -> Iterator[Breach]:
+    """The next number that an opening tells is above all that were settled."""
+    for message in history.openings:
         top = max(
-            (number for number, at in line.settled.items() if at < word.at), default=0
+            (number for number, at in history.settled.items() if at < message.at),
+            default=0,
         )
-        if word.told and word.told["next"] <= top:
-            yield line.breach(
-                f"next was told as {word.told['next']} after {top} was settled",
-                f"{word.at:.4f} opened at {word.edge}",
+        opening = message.opening
+        if opening is not None and opening.next_number <= top:
+            yield history.breach(
+                f"next was told as {opening.next_number} after {top} was settled",
+                f"{message.at:.4f} opened at {message.gateway}",
             )
 
 
-def after_an_end(line: Line) -> Iterator[Breach]:
+def check_ended(history: ChannelHistory) -> Iterator[Breach]:
     """No effect of a number after a client was told that it has none any more."""
-    for each in line.effects:
-        if each.number in line.ended and each.at > line.ended[each.number][0] + SLACK:
-            at, sign = line.ended[each.number]
-            yield line.breach(
-                f"number {each.number} took effect after {sign}",
-                f"{at:.4f} {sign}",
-                each.line(),
+    for effect in history.effects:
+        end = history.ended.get(effect.number)
+        if end is not None and effect.at > end.at + SOCKET_SLACK:
+            yield history.breach(
+                f"number {effect.number} took effect after {end.sign}",
+                f"{end.at:.4f} {end.sign}",
+                effect.describe(),
             )
 
 
-def claims(line: Line) -> Iterator[Breach]:
+@dataclass(frozen=True, slots=True)
+class AnsweredClaim:
+    """A claim, when a client asked for it and when it was told."""
+
+    claim: int
+    asked_at: float
+    told_at: float
+    gateway: str
+
+
+def check_claims(history: ChannelHistory) -> Iterator[Breach]:
     """A claim that was asked for after another was answered is larger."""
-    told = sorted(
-        ((word.answers[0][0], word) for word in line.opens if word.told),
-        key=lambda each: each[0],
+    claims = sorted(
+        (
+            AnsweredClaim(
+                message.opening.claim,
+                message.at,
+                message.answers[0].at,
+                message.gateway,
+            )
+            for message in history.openings
+            if message.opening is not None
+        ),
+        key=lambda claim: claim.told_at,
     )
-    highest: list[tuple[float, int, Word]] = []
-    for at, word in told:
-        claim = word.told["claim"]
+    for place, claim in enumerate(claims):
         before = max(
-            (each for each in highest if each[0] < word.at),
-            key=lambda each: each[1],
+            (each for each in claims[:place] if each.told_at < claim.asked_at),
+            key=lambda each: each.claim,
             default=None,
         )
-        if before is not None and claim <= before[1]:
-            yield line.breach(
-                f"claim {claim} after claim {before[1]}",
-                f"{before[0]:.4f} told at {before[2].edge}",
-                f"{at:.4f} told at {word.edge}",
+        if before is not None and claim.claim <= before.claim:
+            yield history.breach(
+                f"claim {claim.claim} after claim {before.claim}",
+                f"{before.told_at:.4f} told at {before.gateway}",
+                f"{claim.told_at:.4f} told at {claim.gateway}",
             )
-        highest.append((at, claim, word))
 
 
 # By contract.
 
 
-def inversions(line: Line, effects: Iterable[Effect]) -> Iterator[Breach]:
-    """A lower number that is written after a higher one."""
-    top: Effect | None = None
-    for each in effects:
-        if top is not None and each.number < top.number:
-            yield line.breach(
-                f"number {each.number} took effect after number {top.number}",
-                top.line(),
-                each.line(),
+def inversions(
+    history: ChannelHistory, effects: Iterable[NumberWrite]
+) -> Iterator[Breach]:
+    """Find lower numbers that were written after higher ones."""
+    top: NumberWrite | None = None
+    for effect in effects:
+        if top is not None and effect.number < top.number:
+            yield history.breach(
+                f"number {effect.number} took effect after number {top.number}",
+                top.describe(),
+                effect.describe(),
             )
-        if top is None or each.number > top.number:
-            top = each
+        if top is None or effect.number > top.number:
+            top = effect
 
 
-def left_out(line: Line) -> Iterator[Breach]:
-    """Below a number that took effect each has an effect or an end of which a client was told."""
+def gaps(history: ChannelHistory) -> Iterator[Breach]:
+    """Find numbers without effect or end below one that took effect."""
     seen: set[int] = set()
     top = 0
-    for each in line.effects:
-        for number in range(top + 1, each.number):
-            if (
-                number not in seen
-                and number not in line.ended
-                and number not in line.unsure
-            ):
-                yield line.breach(
-                    f"number {each.number} took effect, and number {number} before it did not",
-                    each.line(),
+    for effect in history.effects:
+        for number in range(top + 1, effect.number):
+            if number not in seen and not history.may_lack_effect(number):
+                yield history.breach(
+                    f"number {effect.number} took effect, and number {number} before "
+                    "it did not",
+                    effect.describe(),
                 )
-        seen.add(each.number)
-        top = max(top, each.number)
+        seen.add(effect.number)
+        top = max(top, effect.number)
 
 
-def in_order(line: Line) -> Iterator[Breach]:
-    yield from inversions(line, line.effects)
-    yield from left_out(line)
+def check_in_order(history: ChannelHistory) -> Iterator[Breach]:
+    """Each number takes effect after all lower ones."""
+    yield from inversions(history, history.effects)
+    yield from gaps(history)
 
 
-def newest(line: Line) -> Iterator[Breach]:
-    yield from inversions(line, line.effects)
+def check_newest(history: ChannelHistory) -> Iterator[Breach]:
+    """No number takes effect after a higher one."""
+    yield from inversions(history, history.effects)
 
 
-def by_extent(line: Line) -> Iterator[Breach]:
-    held: dict[tuple[str, int], list[Effect]] = defaultdict(list)
-    for each in line.effects:
-        held[each.extent].append(each)
-    for effects in held.values():
-        yield from inversions(line, effects)
+def check_key_ranges(history: ChannelHistory) -> Iterator[Breach]:
+    """No number takes effect after a higher one of the same part of a file."""
+    by_range: dict[KeyRange, list[NumberWrite]] = defaultdict(list)
+    for effect in history.effects:
+        by_range[effect.range].append(effect)
+    for effects in by_range.values():
+        yield from inversions(history, effects)
 
 
-def batches(line: Line) -> Iterator[Breach]:
+def check_batches(history: ChannelHistory) -> Iterator[Breach]:
     """None of a batch is written before each of the one before is, or has an end."""
-    of: dict[int, int] = {number: sends[0].batch for number, sends in line.sent.items()}
-    firsts = {
-        number: each.at for number in of if (each := line.first(number)) is not None
+    batches = {
+        number: commands[0].batch for number, commands in history.commands.items()
     }
-    for number, at in sorted(firsts.items()):
-        for before, batch in of.items():
-            if (
-                batch < of[number]
-                and firsts.get(before, at) > at
-                and before not in line.ended
-            ):
-                yield line.breach(
-                    f"number {number} of batch {of[number]} took effect before number {before} of batch {batch}",
-                    f"{at:.4f} against {firsts[before]:.4f}",
-                )
-            elif (
-                batch < of[number]
-                and before not in firsts
-                and before not in line.ended
-                and before not in line.unsure
-            ):
-                yield line.breach(
-                    f"number {number} of batch {of[number]} took effect, and number {before} of batch {batch} "
-                    "did not",
-                    f"{at:.4f}",
+    written_at = {
+        number: effect.at
+        for number in batches
+        if (effect := history.first_effect(number)) is not None
+    }
+    for number, at in sorted(written_at.items()):
+        for before, batch in batches.items():
+            if batch >= batches[number]:
+                continue
+            where = f"number {number} of batch {batches[number]} took effect"
+            if before not in written_at:
+                if not history.may_lack_effect(before):
+                    yield history.breach(
+                        f"{where}, and number {before} of batch {batch} did not",
+                        f"{at:.4f}",
+                    )
+            elif written_at[before] > at and before not in history.ended:
+                yield history.breach(
+                    f"{where} before number {before} of batch {batch}",
+                    f"{at:.4f} against {written_at[before]:.4f}",
                 )
 
 
-OF_ALL: tuple[Callable[[Line], Iterator[Breach]], ...] = (
-    twice,
-    lost,
-    after_an_end,
-    claims,
+CHECKS_OF_ALL: tuple[Check, ...] = (
+    check_single_effects,
+    check_settled,
+    check_ended,
+    check_claims,
 )
-OF_ORDER = {IN_ORDER: in_order, NEWEST: newest, BY_EXTENT: by_extent, BATCHES: batches}
+CHECK_OF_ORDER: dict[int, Check] = {
+    IN_ORDER: check_in_order,
+    NEWEST: check_newest,
+    BY_KEY_RANGE: check_key_ranges,
+    BATCHES: check_batches,
+}
 
 
-def audit_contracts(evidence: Evidence, terms: Any) -> dict[str, list[Breach]]:
-    """By the contract's order; `terms` is the scenario."""
-    declared = {each.name: each.order for each in terms.gateway.fleet.channels.contract}
+def misnamed_contracts(
+    history: ChannelHistory, declared: Mapping[str, int]
+) -> Iterator[Breach]:
+    """Find openings whose order is not the one that the settings declare."""
+    for message in history.openings:
+        opening = message.opening
+        if opening is not None and declared.get(opening.contract) != opening.order:
+            order = ORDER_TITLES.get(opening.order)
+            yield history.breach(f"contract {opening.contract} told as {order}")
+
+
+def audit_contracts(evidence: Evidence, scenario: Scenario) -> dict[str, list[Breach]]:
+    """Return the breaches by the title of the contract's order."""
+    contracts = scenario.gateway.fleet.channels.contract
+    declared = {contract.name: contract.order for contract in contracts}
     found: dict[str, list[Breach]] = {
-        NAMES[declared[each.contract]]: [] for each in terms.channels
+        ORDER_TITLES[declared[each.contract]]: [] for each in scenario.channels
     }
-    for line in lines_of(evidence, terms).values():
-        if line.order not in OF_ORDER:
+    for history in channel_histories(evidence, scenario):
+        if history.order not in CHECK_OF_ORDER:
             continue
-        held = found.setdefault(NAMES[line.order], [])
-        held += [
-            breach
-            for check in (*OF_ALL, OF_ORDER[line.order])
-            for breach in check(line)
-        ]
-        held += [
-            line.breach(
-                f"contract {word.told['contract']} told as {NAMES.get(word.told['order'])}"
-            )
-            for word in line.opens
-            if word.told and declared.get(word.told["contract"]) != word.told["order"]
-        ]
-    return found
-
-
-def went_on(line: Line, at: float, killed: Sequence[str]) -> float | None:
-    """Seconds from a kill until the next number was settled, where the killed gateway was the last that let one go."""
-    before = [each.gateway for each in line.effects if each.at < at]
-    after = [when for when in line.settled.values() if when > at]
-    return min(after) - at if before and before[-1] in killed and after else None
-
-
-def figures(
-    evidence: Evidence, terms: Any, kills: Sequence[tuple[float, Sequence[str]]]
-) -> dict[str, dict[str, Any]]:
-    """By the contract's order: how much was checked, and how long channels stood whose keeper was killed."""
-    found: dict[str, dict[str, Any]] = {}
-    for line in lines_of(evidence, terms).values():
-        row = found.setdefault(
-            NAMES.get(line.order, "unknown"),
-            dict.fromkeys(
-                (
-                    "channels",
-                    "claims",
-                    "numbers",
-                    "settled",
-                    "ended otherwise",
-                    "written",
-                    "answered from memory",
-                ),
-                0,
-            ),
-        )
-        row["channels"] += 1
-        row["claims"] += sum(bool(word.told) for word in line.opens)
-        row["numbers"] += len(line.sent)
-        row["settled"] += len(line.settled)
-        row["ended otherwise"] += len(line.ended)
-        row["written"] += len(line.effects)
-        row["answered from memory"] += sum(
-            code == OK
-            for sends in line.sent.values()
-            for each in sends
-            for _, _, _, code in each.answers
-        ) - len(line.settled)
-        gaps = row.setdefault("went on after s", [])
-        gaps += [
-            gap for at, names in kills if (gap := went_on(line, at, names)) is not None
-        ]
-    for row in found.values():
-        gaps = sorted(row.pop("went on after s"))
-        if gaps:
-            row.update(
-                {
-                    "keepers killed": len(gaps),
-                    "went on after, median s": round(gaps[len(gaps) // 2], 2),
-                    "longest s": round(gaps[-1], 2),
-                }
-            )
+        breaches = found.setdefault(ORDER_TITLES[history.order], [])
+        for check in (*CHECKS_OF_ALL, CHECK_OF_ORDER[history.order]):
+            breaches += check(history)
+        breaches += misnamed_contracts(history, declared)
     return found
--- a/milletsill/lab/box.py
+++ b/milletsill/lab/box.py
@@ -10,16 +10,15 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.sftp import packet_codec
 from milletsill.errors import MalformedInput
 from milletsill.lab.engine import Engine, Job, Speed
 from milletsill.lab.files import Files
-from milletsill.lab.record import IN, OUT, Recorder
-from milletsill.sftp import extensions, packets
+from milletsill.lab.record import IN, OUT, PacketRecorder
+from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import (
+    NodeReply,
     NodeReplyStatus,
     NodeRequest,
-    NodeReply,
 )
 from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp.wire import bytes_to_text
@@ -44,7 +43,7 @@
         files: Files,
         work: dict[str, tuple[float, float]],
         seed: int,
-        recorder: Recorder | None,
+        recorder: PacketRecorder | None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.reactor, self.clock, self.id, self.cell, self.zone = (
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -16,17 +16,16 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
-from milletsill.sftp import status_tags
 from milletsill.lab.clients import ClientLink
-from milletsill.lab.lateness import Lateness
-from milletsill.lab.record import Recorder
+from milletsill.lab.lateness import LatenessMonitor
+from milletsill.lab.record import PacketRecorder
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
+from milletsill.sftp import packets, status_tags
 from milletsill.sftp.channel_extensions import (
-    ChannelQuery,
-    NumberedCommand,
     ChannelOpen,
+    ChannelQuery,
     ChannelResolve,
+    NumberedCommand,
 )
 from milletsill.sftp.extensions import CommandTerms
 from milletsill.sftp.wire import FileAttributes
@@ -378,8 +377,8 @@
             out,
         )
         self.doors, self.now = dict(edges), time.monotonic
-        self.recorder = Recorder(f"{out}/channels.rec", "clients", "channels")
-        self.lateness, self.due_at = Lateness(), start
+        self.recorder = PacketRecorder(f"{out}/channels.rec", "clients", "channels")
+        self.lateness, self.due_at = LatenessMonitor(), start
         self.connections = self.marks = 0
         self.extent_bytes = scenario.gateway.rules.extent_bytes
         self.counts: dict[str, int] = {}
@@ -421,7 +420,7 @@
 
     def run(self) -> None:
         """Every few milliseconds: what is due on each line, until all have an end or time is up."""
-        now, scenario = self.lateness.look(self.start_at, self.due_at), self.scenario
+        now, scenario = self.lateness.check(self.start_at, self.due_at), self.scenario
         self.due_at = now + TICK
         ended = self.start_at + scenario.seconds
         self.draining = now >= ended
@@ -444,7 +443,7 @@
             "ends": self.ends,
             "latency_ms": quantiles,
             "counts": self.counts,
-            "late": self.lateness.told(),
+            "late": self.lateness.to_stored(),
             "worst_lag_ms": self.lateness.worst * 1000,
             "connections": self.connections,
             "unended": sum(len(line.items) for line in self.lines),
--- /dev/null
+++ b/milletsill/lab/contract_figures.py
@@ -0,0 +1,98 @@
+"""How much an audit of contracts checked, and how long channels stood after kills."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from milletsill.lab.audit_contracts import ORDER_TITLES
+from milletsill.lab.channel_history import OK, ChannelHistory, channel_histories
+from milletsill.lab.evidence import Evidence
+from milletsill.settings.milletsill_pb2 import Scenario
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayKill:
+    """Gateways that were killed together."""
+
+    at: float
+    gateways: Sequence[str]
+
+
+@dataclass(slots=True)
+class ContractFigures:
+    """Counts over the channels of one contract's order.
+
+    `interruptions` are seconds from the kill of a channel's owner until the next
+    number was settled.
+    """
+
+    channels: int = 0
+    claims: int = 0
+    numbers: int = 0
+    settled: int = 0
+    ended_otherwise: int = 0
+    written: int = 0
+    answered_from_memory: int = 0
+    interruptions: list[float] = field(default_factory=list)
+
+    def add(self, history: ChannelHistory, kills: Sequence[GatewayKill]) -> None:
+        """Count one channel."""
+        self.channels += 1
+        self.claims += sum(each.opening is not None for each in history.openings)
+        self.numbers += len(history.commands)
+        self.settled += len(history.settled)
+        self.ended_otherwise += len(history.ended)
+        self.written += len(history.effects)
+        settled_answers = sum(
+            answer.code == OK
+            for commands in history.commands.values()
+            for command in commands
+            for answer in command.answers
+        )
+        self.answered_from_memory += settled_answers - len(history.settled)
+        for kill in kills:
+            seconds = interruption(history, kill)
+            if seconds is not None:
+                self.interruptions.append(seconds)
+
+    def by_title(self) -> dict[str, float]:
+        """Return the figures as a report prints them, in its order."""
+        figures: dict[str, float] = {
+            "channels": self.channels,
+            "claims": self.claims,
+            "numbers": self.numbers,
+            "settled": self.settled,
+            "ended otherwise": self.ended_otherwise,
+            "written": self.written,
+            "answered from memory": self.answered_from_memory,
+        }
+        if self.interruptions:
+            seconds = sorted(self.interruptions)
+            figures["keepers killed"] = len(seconds)
+            figures["went on after, median s"] = round(seconds[len(seconds) // 2], 2)
+            figures["longest s"] = round(seconds[-1], 2)
+        return figures
+
+
+def interruption(history: ChannelHistory, kill: GatewayKill) -> float | None:
+    """Return the seconds from a kill until the next number was settled.
+
+    None where the killed gateway was not the last that released one.
+    """
+    before = [each.gateway for each in history.effects if each.at < kill.at]
+    after = [at for at in history.settled.values() if at > kill.at]
+    if not before or before[-1] not in kill.gateways or not after:
+        return None
+    return min(after) - kill.at
+
+
+def contract_figures(
+    evidence: Evidence, scenario: Scenario, kills: Sequence[GatewayKill]
+) -> dict[str, ContractFigures]:
+    """Return the figures by the title of the contract's order."""
+    found: dict[str, ContractFigures] = {}
+    for history in channel_histories(evidence, scenario):
+        title = ORDER_TITLES.get(history.order, "unknown")
+        found.setdefault(title, ContractFigures()).add(history, kills)
+    return found
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -16,8 +16,8 @@
 from hdrh.histogram import HdrHistogram
 
 from milletsill.lab.clients import EdgeDoor, Operation
-from milletsill.lab.lateness import Lateness
-from milletsill.lab.record import Recorder
+from milletsill.lab.lateness import LatenessMonitor
+from milletsill.lab.record import PacketRecorder
 from milletsill.sftp_gateway.deployment import atlas_of
 from milletsill.trace.reckoning import Claim, Done
 from milletsill.trace.records import BY_NAME
@@ -49,7 +49,7 @@
             out,
         )
         self.chance, self.now = Random(scenario.seed), time.monotonic
-        self.recorder = Recorder(f"{out}/clients.rec", "clients", "clients")
+        self.recorder = PacketRecorder(f"{out}/clients.rec", "clients", "clients")
         self.categories = {each.name: each for each in scenario.gateway.category}
         self.plans = {each.name: each for each in scenario.gateway.plan}
         self.connections = self.operations = self.live = 0
@@ -71,7 +71,7 @@
         }
         self.shares: dict[str, tuple[float, list[float]]] = {}
         self.weighed_until = 0.0
-        self.lateness = Lateness()
+        self.lateness = LatenessMonitor()
         self.new_files: list[tuple[Any, str, int]] = []
         self.edges = [
             EdgeDoor(self, name, address, scenario.clients.connections)
@@ -228,7 +228,7 @@
 
     def run(self) -> None:
         """Called every few milliseconds: arrivals that are due since the last call."""
-        now = self.lateness.look(self.start_at, self.due_at)
+        now = self.lateness.check(self.start_at, self.due_at)
         ended = self.start_at + self.scenario.seconds
         span = min(now, ended) - max(self.tick_at, self.start_at)
         self.tick_at = now
@@ -471,7 +471,7 @@
             "operations": self.operations,
             "unended": self.live,
             "worst_lag_ms": self.lateness.worst * 1000,
-            "late": self.lateness.told(),
+            "late": self.lateness.to_stored(),
             "seconds": self.worst,
         }
         self.write_trace()
--- a/milletsill/lab/registry.py
+++ b/milletsill/lab/registry.py
@@ -13,7 +13,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET, Site
 
-from milletsill.lab.record import OUT, Recorder
+from milletsill.lab.record import OUT, PacketRecorder
 
 MOST_EVENTS = 100_000
 
@@ -22,7 +22,11 @@
     """Keys and values with revisions, and who watches them."""
 
     def __init__(
-        self, reactor: Any, stand: Any, seed: int, recorder: Recorder | None = None
+        self,
+        reactor: Any,
+        stand: Any,
+        seed: int,
+        recorder: PacketRecorder | None = None,
     ) -> None:
         self.reactor, self.stand, self.recorder = reactor, stand, recorder
         self.chance = Random(seed)
--- a/milletsill/lab/relay.py
+++ b/milletsill/lab/relay.py
@@ -22,7 +22,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from milletsill.lab.moment import at
-from milletsill.lab.record import Recorder
+from milletsill.lab.record import PacketRecorder
 from milletsill.lab.weather import (
     CLEAR,
     OF_NETWORK,
@@ -66,7 +66,7 @@
     """The network among `count` gateways whose fleet addresses share one port."""
 
     def __init__(
-        self, reactor: Any, scenario: Any, port: int, recorder: Recorder
+        self, reactor: Any, scenario: Any, port: int, recorder: PacketRecorder
     ) -> None:
         self.reactor, self.scenario, self.count, self.port = (
             reactor,
--- a/milletsill/lab/report.py
+++ b/milletsill/lab/report.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from milletsill.lab.audit import RULES
-from milletsill.lab.lateness import line
+from milletsill.lab.breaches import RULES
+from milletsill.lab.lateness import LateMoment
 
 MOST_SHOWN, MOST_LATE = 3, 60.0  # milliseconds
 LATE = ": ITS LATENCIES DO NOT COUNT"
@@ -49,7 +49,9 @@
         f"dispatches, {result['unended']} without an end; the lab itself was at most "
         f"{result['worst_lag_ms']:.0f} ms late{LATE if result['worst_lag_ms'] > MOST_LATE else ''}"
     )
-    lines += [line(result["late"])] if result["late"] else []
+    if result["late"]:
+        worst = LateMoment(**result["late"][0])
+        lines.append(worst.describe(len(result["late"])))
     if result["starved"]:
         lines.append(
             f"the machine gave edges no core for {result['starved']:.1f} s in all, in spans from 20 ms: there they are "
@@ -132,9 +134,9 @@
         "seconds until all gateways that can speak to each other had the same view, and kept it:"
     ]
     lines += [
-        f"  {at - result['start']:7.1f} {name}: "
-        + ("not before the next" if took is None else f"{took:.2f}")
-        for name, at, took in result["views"]
+        f"  {view.at - result['start']:7.1f} {view.name}: "
+        + ("not before the next" if view.took is None else f"{view.took:.2f}")
+        for view in result["views"]
     ]
     lines.append(
         f"views at the end: {'the same' if result['views_agree'] else 'NOT THE SAME'}; called gone without a cause: "
@@ -142,8 +144,10 @@
     )
     lines += [f"  {each}" for each in result["false_deaths"][:MOST_SHOWN]]
     lines += [
-        f"{what}: called so by {ill} gateways{after(at)}; called steady again by {well}{after(back)}"
-        for what, ill, at, well, back in result["verdicts"]
+        f"{spread.fault}: called so by {spread.seen_by} gateways"
+        f"{after(spread.seen_after)}; called steady again by {spread.end_seen_by}"
+        f"{after(spread.end_seen_after)}"
+        for spread in result["verdicts"]
     ]
     return lines + [
         "said by each gateway to others, a second: "
--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -20,19 +20,20 @@
 
 from google.protobuf import text_format
 
-from milletsill.lab.audit import audit, gather
-from milletsill.lab.audit_contracts import audit_contracts, figures
+from milletsill.lab.audit import audit
+from milletsill.lab.audit_contracts import audit_contracts
 from milletsill.lab.audit_fleet import (
-    Told,
-    Weather,
-    agree,
-    agreements,
     false_deaths,
-    read_logs,
-    read_weather,
-    traffic,
-    verdicts,
+    fleet_traffic,
+    verdict_spreads,
+    view_agreements,
+    views_agree,
 )
+from milletsill.lab.contract_figures import GatewayKill, contract_figures
+from milletsill.lab.evidence import Evidence
+from milletsill.lab.evidence_reader import read_evidence
+from milletsill.lab.fault_timeline import FaultTimeline, read_fault_timeline
+from milletsill.lab.gateway_logs import GatewayLogs, read_gateway_logs
 from milletsill.lab.processes import LAB, Group, PlannerPart, Processes, free_ports
 from milletsill.lab.relay import inside, outside
 from milletsill.lab.report import broken, report
@@ -227,21 +228,21 @@
         """When the day may end: the views agree, or there was time enough for it."""
         ends = time.monotonic() + SETTLES_WITHIN
         while self.fleet_port and time.monotonic() < ends:
-            told, weather = self.logged()
-            if agree(told, weather, self.names, time.monotonic()):
+            logs, timeline = self.read_logs()
+            if views_agree(logs, timeline, self.names, time.monotonic()):
                 break
             time.sleep(0.25)
         return time.monotonic()
 
-    def logged(self) -> tuple[Told, Weather]:
+    def read_logs(self) -> tuple[GatewayLogs, FaultTimeline]:
         """What the gateways' logs say by now, and what was done to them."""
-        told = read_logs(
+        logs = read_gateway_logs(
             self.out,
             [each.name for each in self.groups],
             time.time() - time.monotonic(),
         )
-        return told, read_weather(
-            self.out, self.names, self.start, told, self.troubles.told
+        return logs, read_fault_timeline(
+            self.out, self.names, self.start, logs, self.troubles.process_faults
         )
 
     def begin(self) -> float:
@@ -275,7 +276,7 @@
             )
         return None
 
-    def heard(self, collector: Any, evidence: Any) -> dict[str, Any]:
+    def heard(self, collector: Any, evidence: Evidence) -> dict[str, Any]:
         """What the collector counted beside what boxes and clients recorded."""
         if self.flows != "on":
             return {}
@@ -294,7 +295,7 @@
             ),
             "dispatches": (
                 sums.get("box dispatchDeltaCount", 0),
-                len(evidence.dispatches),
+                len(evidence.attempts),
             ),
             "missing": told["missing"],
             "malformed": told["malformed"],
@@ -332,14 +333,14 @@
             result = json.load(source)
         with open(f"{self.out}/stops.json", "w", encoding="utf-8") as sink:
             json.dump(self.troubles.stops, sink)
-        evidence = gather(self.out, len(glob.glob(f"{self.out}/box-*.rec")))
+        evidence = read_evidence(self.out, len(glob.glob(f"{self.out}/box-*.rec")))
         result["flows"] = self.heard(collector, evidence)
         result.update(
             exits=exits,
             faults=self.tracebacks(),
             breaches=audit(evidence, self.scenario),
             commands=len(evidence.commands),
-            dispatches=len(evidence.dispatches),
+            dispatches=len(evidence.attempts),
             module=self.module or "BD-EDF",
             planner="on" if self.planned else "",
             starved=self.starved.total,
@@ -355,28 +356,35 @@
             if b"Traceback" in Path(each).read_bytes()
         ]
 
-    def of_fleet(self, evidence: Any) -> dict[str, Any]:
+    def of_fleet(self, evidence: Evidence) -> dict[str, Any]:
         """What the gateways' logs say of views, and the audit of contracts with the clients that have channels."""
         found: dict[str, Any] = {}
         if self.fleet_port:
-            told, weather = self.logged()
-            rows = agreements(told, weather, self.names, self.ended)
+            logs, timeline = self.read_logs()
+            agreements = view_agreements(logs, timeline, self.names, self.ended)
             found = {
-                "views": rows,
-                "views_agree": rows[-1][2] is not None,
+                "views": agreements,
+                "views_agree": agreements[-1].took is not None,
                 "start": self.start,
-                "traffic": traffic(self.out),
-                "verdicts": verdicts(told, self.scenario, self.start, len(self.names)),
-                "false_deaths": false_deaths(told, weather),
+                "traffic": fleet_traffic(self.out),
+                "verdicts": verdict_spreads(
+                    logs, self.scenario, self.start, len(self.names)
+                ),
+                "false_deaths": false_deaths(logs, timeline),
             }
         if self.scenario.channels:
             with open(f"{self.out}/channels.json", encoding="utf-8") as source:
                 found["channels"] = json.load(source)
             kills = [
-                (each["at"], each["on"])
-                for each in self.troubles.told
-                if each["fault"] in OF_KILLS
+                GatewayKill(fault.at, fault.gateways)
+                for fault in self.troubles.process_faults
+                if fault.kind in OF_KILLS
             ]
             found["contracts"] = audit_contracts(evidence, self.scenario)
-            found["contract_figures"] = figures(evidence, self.scenario, kills)
+            found["contract_figures"] = {
+                title: figures.by_title()
+                for title, figures in contract_figures(
+                    evidence, self.scenario, kills
+                ).items()
+            }
         return found
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -9,9 +9,9 @@
 
 from milletsill.lab.box import Box, Gates
 from milletsill.lab.files import Files, pattern
-from milletsill.lab.lateness import Deaf
+from milletsill.lab.lateness import ReadGapMonitor
 from milletsill.lab.moment import at
-from milletsill.lab.record import Recorder
+from milletsill.lab.record import PacketRecorder
 from milletsill.lab.registry import Registry, site
 from milletsill.sftp_gateway.deployment import atlas_of
 from milletsill.sftp_gateway.routing import FREE, Spot, spot_text
@@ -39,7 +39,7 @@
             Random(scenario.seed + 1),
             scenario.gateway.registry.prefix,
         )
-        self.recorders = [Recorder(f"{out}/registry.rec", "registry", "registry")]
+        self.recorders = [PacketRecorder(f"{out}/registry.rec", "registry", "registry")]
         self.registry = Registry(
             reactor, scenario.registry, scenario.seed + 2, self.recorders[0]
         )
@@ -47,8 +47,8 @@
             registry_port, site(self.registry), interface="127.0.0.1", backlog=512
         )
         self.boxes: list[Box] = []
-        self.deaf = Deaf(reactor)
-        self.deaf.look()
+        self.read_gaps = ReadGapMonitor(reactor)
+        self.read_gaps.check()
         self.work = self.works()
         self.make_boxes()
         self.fill()
@@ -84,7 +84,7 @@
     def add(
         self, number: int, cell: int, zone: int, kind: Any, files: Files, cold: bool
     ) -> Box:
-        recorder = Recorder(f"{self.out}/box-{number}.rec", "box", str(number))
+        recorder = PacketRecorder(f"{self.out}/box-{number}.rec", "box", str(number))
         self.recorders.append(recorder)
         box = Box(
             self.reactor,
@@ -230,4 +230,4 @@
         for each in self.recorders:
             each.close()
         with open(f"{self.out}/stand.json", "w", encoding="utf-8") as sink:
-            json.dump({"deaf": self.deaf.spans}, sink)
+            json.dump({"deaf": self.read_gaps.gaps}, sink)
--- a/milletsill/lab/troubles.py
+++ b/milletsill/lab/troubles.py
@@ -8,6 +8,7 @@
 from random import Random
 from typing import Any
 
+from milletsill.lab.fault_timeline import ProcessFault
 from milletsill.lab.processes import Group
 
 OF_EDGES = (
@@ -33,7 +34,7 @@
             tuple[str, float, float]
         ] = []  # (edge, from, to): stopped, so not running
         self.stopped: dict[str, float] = {}
-        self.told: list[dict[str, Any]] = []
+        self.process_faults: list[ProcessFault] = []
         self.start = 0.0
 
     def plan(self, start: float) -> None:
@@ -59,14 +60,14 @@
             found = self.chance.sample(
                 groups, min(max(round(trouble.part * len(groups)), 1), len(groups))
             )
-        self.told.append(
-            {
-                "fault": trouble.what,
-                "at": self.start + trouble.at_s,
-                "for_s": trouble.for_s,
-                "extra": trouble.extra,
-                "on": [name for each in found for name in each.names],
-            }
+        self.process_faults.append(
+            ProcessFault(
+                trouble.what,
+                self.start + trouble.at_s,
+                trouble.for_s,
+                trouble.extra,
+                [name for each in found for name in each.names],
+            )
         )
         return found
 
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -10,6 +10,7 @@
 
 from milletsill.sftp import packet_codec
 from milletsill.lab import audit, record
+from milletsill.lab.evidence_reader import read_evidence
 from milletsill.lab import starved as lab_starved
 from milletsill.lab.starved import Starved
 from milletsill.settings.milletsill_pb2 import Scenario
@@ -36,12 +37,12 @@
 
     def __init__(self, folder):
         self.folder, self.at, self.deaf = folder, 0.0, []
-        self.clients = record.Recorder(f"{folder}/clients.rec", "clients", "c")
+        self.clients = record.PacketRecorder(f"{folder}/clients.rec", "clients", "c")
         self.boxes = [
-            record.Recorder(f"{folder}/box-{each}.rec", "box", str(each))
+            record.PacketRecorder(f"{folder}/box-{each}.rec", "box", str(each))
             for each in (0, 1)
         ]
-        self.registry = record.Recorder(f"{folder}/registry.rec", "registry", "r")
+        self.registry = record.PacketRecorder(f"{folder}/registry.rec", "registry", "r")
         self.put(0, self.clients.note, what="connect", conn=1, edge="e")
         for number, box in enumerate(self.boxes):
             self.put(
@@ -153,7 +154,7 @@
         from google.protobuf import text_format
 
         found = audit.audit(
-            audit.gather(self.folder, 2), text_format.Parse(TERMS, Scenario())
+            read_evidence(self.folder, 2), text_format.Parse(TERMS, Scenario())
         )
         if lines:
             return {
--- a/tests/lab/test_audit_contracts.py
+++ b/tests/lab/test_audit_contracts.py
@@ -5,8 +5,16 @@
 import xxhash
 from google.protobuf import text_format
 
-from milletsill.lab.audit_contracts import NAMES, audit_contracts, figures
-from milletsill.lab.evidence import Evidence, Sent, Word
+from milletsill.lab.audit_contracts import ORDER_TITLES, audit_contracts
+from milletsill.lab.contract_figures import GatewayKill, contract_figures
+from milletsill.lab.evidence import (
+    Evidence,
+    NodeWrite,
+    RecordedAnswer,
+    RecordedChannelMessage,
+    RecordedChannelOpening,
+    RecordedCommand,
+)
 from milletsill.settings.milletsill_pb2 import Scenario
 
 TERMS = text_format.Parse(
@@ -23,37 +31,31 @@
 HANDLE, OK, VOLUME = b"h", 0, xxhash.xxh64_intdigest(b"v")
 
 
-def claim(at, order=0, next=1, number=1, unsure=()):
-    told = {
-        "handle": HANDLE,
-        "claim": number,
-        "contract": str(order),
-        "order": order,
-        "next": next,
-        "unsure": list(unsure),
-    }
-    return Word(
-        at, 1, "e", 1, "/v/f", "c", told=told, answers=[(at + 0.1, 201, "", -1)]
+def claim(at, order=0, next=1, number=1, indeterminate=()):
+    opening = RecordedChannelOpening(
+        HANDLE, number, str(order), order, next, tuple(indeterminate)
+    )
+    return RecordedChannelMessage(
+        at,
+        1,
+        "e",
+        1,
+        "/v/f",
+        "c",
+        opening=opening,
+        answers=[RecordedAnswer(at + 0.1, 201)],
     )
 
 
-def wrote(at, number, turn=0, extent=0):
-    return {
-        "at": at,
-        "what": "effect",
-        "box": 0,
-        "ticket": f"{VOLUME}@c@{number}.{turn}#GO.0",
-        "path": "/v/f",
-        "offset": extent * 100,
-        "gateway": "e",
-        "transfer": number,
-        "code": OK,
-    }
+def wrote(at, number, generation=0, part=0):
+    key = f"{VOLUME}@c@{number}.{generation}#GO.0"
+    return NodeWrite(at, 0, key, "/v/f", part * 100, "e", number, OK)
 
 
 def sent(at, number, answer="", ends=None, batch=0):
-    found = [(ends or at + 1, 101, answer, 4 if answer else OK)]
-    return Sent(
+    code = 4 if answer else OK
+    answers = [RecordedAnswer(ends or at + 1, 101, answer or "", code)]
+    return RecordedCommand(
         at,
         1,
         "e",
@@ -65,7 +67,7 @@
         HANDLE,
         number,
         batch,
-        found if answer is not None else [],
+        answers if answer is not None else [],
     )
 
 
@@ -81,7 +83,7 @@
         [],
         [wrote(*each) for each in effects],
         {},
-        words=[claim(0, order), *words],
+        channel_messages=[claim(0, order), *words],
     )
 
 
@@ -94,24 +96,25 @@
         }
 
     def test_a_lawful_day_has_no_breach_under_any_contract(self):
-        for order in NAMES:
+        for order in ORDER_TITLES:
             self.assertEqual(self.found(day(order)), {})
-        row = figures(day(), TERMS, [(1.9, ["e"]), (3.2, ["f"])])["each in order"]
+        kills = [GatewayKill(1.9, ["e"]), GatewayKill(3.2, ["f"])]
+        row = contract_figures(day(), TERMS, kills)["each in order"].by_title()
         self.assertEqual(
             (row["settled"], row["keepers killed"], row["longest s"]), (3, 1, 0.1)
         )
 
     def test_each_broken_promise_is_caught(self):
         two = [sent(1, 1), sent(2, 2)]
-        again = Word(
+        again = RecordedChannelMessage(
             1.1,
             1,
             "e",
             3,
             handle=HANDLE,
             number=1,
-            word=2,
-            answers=[(1.2, 101, "", OK)],
+            resolution=2,
+            answers=[RecordedAnswer(1.2, 101, "", OK)],
         )
         for words, order, evidence in (
             ("effect twice", 0, day(effects=((1.5, 1), (1.6, 1), (2.5, 2), (3.5, 3)))),
@@ -213,9 +216,10 @@
             ),
         ):
             found = self.found(evidence)
-            self.assertEqual(list(found), [NAMES[order]], words)
+            self.assertEqual(list(found), [ORDER_TITLES[order]], words)
             self.assertTrue(
-                any(words in each for each in found[NAMES[order]]), (words, found)
+                any(words in each for each in found[ORDER_TITLES[order]]),
+                (words, found),
             )
         self.assertEqual(
             self.found(
--- a/tests/lab/test_audit_fleet.py
+++ b/tests/lab/test_audit_fleet.py
@@ -4,59 +4,91 @@
 
 from google.protobuf import text_format
 
-from milletsill.lab.audit_fleet import Told, Weather, agreements, false_deaths, verdicts
+from milletsill.lab.audit_fleet import (
+    VerdictSpread,
+    false_deaths,
+    verdict_spreads,
+    view_agreements,
+)
+from milletsill.lab.fault_timeline import (
+    DownSpan,
+    FaultTimeline,
+    PartedSpan,
+    TimelineMark,
+)
+from milletsill.lab.gateway_logs import (
+    GatewayLogs,
+    ReportedDeath,
+    ReportedVerdict,
+    ReportedView,
+)
 from milletsill.settings.milletsill_pb2 import Scenario
 
 NAMES = ["a", "b", "c"]
 
 
+def marks(*rows):
+    return [TimelineMark(at, name) for at, name in rows]
+
+
 class Agreements(unittest.TestCase):
-    def found(self, views, weather, end=20.0):
-        told = Told()
+    def found(self, views, timeline, end=20.0):
+        logs = GatewayLogs()
         for name, rows in views.items():
-            told.views[name] = [
-                (at, digest, {"x": 3, "a": 1}.get(digest, 2)) for at, digest in rows
+            logs.views[name] = [
+                ReportedView(at, digest, {"x": 3, "a": 1}.get(digest, 2))
+                for at, digest in rows
             ]
         return [
-            None if took is None else round(took, 3)
-            for _, _, took in agreements(told, weather, NAMES, end)
+            None if view.took is None else round(view.took, 3)
+            for view in view_agreements(logs, timeline, NAMES, end)
         ]
 
     def test_a_killed_one_and_its_return(self):
-        weather = Weather(
-            {"c": [(5.0, 8.0)]}, [], [(0.0, "start"), (5.0, "kill"), (8.0, "back")]
+        timeline = FaultTimeline(
+            {"c": [DownSpan(5.0, 8.0)]},
+            [],
+            marks((0.0, "start"), (5.0, "kill"), (8.0, "back")),
         )
         views = {
             "a": [(1.0, "x"), (7.0, "y"), (9.0, "x")],
             "b": [(1.5, "x"), (6.5, "y"), (9.5, "x")],
             "c": [(1.2, "x"), (9.2, "x")],
         }
-        self.assertEqual(self.found(views, weather), [1.5, 2.0, 1.5])
+        self.assertEqual(self.found(views, timeline), [1.5, 2.0, 1.5])
         self.assertEqual(
-            self.found({**views, "c": [(1.2, "x")]}, weather), [1.5, 2.0, None]
+            self.found({**views, "c": [(1.2, "x")]}, timeline), [1.5, 2.0, None]
         )
 
     def test_each_side_of_a_split_agrees_by_itself(self):
-        weather = Weather(
+        timeline = FaultTimeline(
             {},
-            [("split", frozenset("a"), 5.0, 9.0)],
-            [(0.0, "start"), (5.0, "split"), (9.0, "healed")],
+            [PartedSpan("split", frozenset("a"), 5.0, 9.0)],
+            marks((0.0, "start"), (5.0, "split"), (9.0, "healed")),
         )
         views = {
             "a": [(1.0, "x"), (6.0, "a"), (10.0, "x")],
             "b": [(1.0, "x"), (7.0, "bc"), (11.0, "x")],
             "c": [(1.0, "x"), (8.0, "bc"), (10.0, "x")],
         }
-        self.assertEqual(self.found(views, weather), [1.0, 3.0, 2.0])
-        weather.network[0] = ("isolate", frozenset("ab"), 5.0, 9.0)
-        self.assertEqual(self.found(views, weather)[1], None)
+        self.assertEqual(self.found(views, timeline), [1.0, 3.0, 2.0])
+        timeline.network[0] = PartedSpan("isolate", frozenset("ab"), 5.0, 9.0)
+        self.assertEqual(self.found(views, timeline)[1], None)
 
     def test_who_is_called_gone_without_a_cause(self):
-        told = Told(gone=[(6.0, "a", "c"), (40.0, "a", "b"), (60.0, "b", "a")])
-        weather = Weather(
-            {"c": [(5.0, 8.0)]}, [("split", frozenset("a"), 50.0, 55.0)], []
+        logs = GatewayLogs(
+            deaths=[
+                ReportedDeath(6.0, "a", "c"),
+                ReportedDeath(40.0, "a", "b"),
+                ReportedDeath(60.0, "b", "a"),
+            ]
+        )
+        timeline = FaultTimeline(
+            {"c": [DownSpan(5.0, 8.0)]},
+            [PartedSpan("split", frozenset("a"), 50.0, 55.0)],
+            [],
         )
-        self.assertEqual(false_deaths(told, weather), ["40.000 a called b gone"])
+        self.assertEqual(false_deaths(logs, timeline), ["40.000 a called b gone"])
 
 
 class Verdicts(unittest.TestCase):
@@ -66,21 +98,23 @@
             'trouble { what: "slow" at_s: 5 for_s: 5 on: 3 }',
             Scenario(),
         )
-        told = Told(
+        logs = GatewayLogs(
             verdicts=[
-                (5.5, "a", 3, "degraded"),
-                (5.6, "a", 2, "degraded"),
-                (6.0, "b", 3, "degraded"),
-                (9.0, "b", 3, "recovering"),
-                (12.0, "a", 3, "steady"),
-                (13.0, "b", 3, "steady"),
+                ReportedVerdict(5.5, "a", 3, "degraded"),
+                ReportedVerdict(5.6, "a", 2, "degraded"),
+                ReportedVerdict(6.0, "b", 3, "degraded"),
+                ReportedVerdict(9.0, "b", 3, "recovering"),
+                ReportedVerdict(12.0, "a", 3, "steady"),
+                ReportedVerdict(13.0, "b", 3, "steady"),
             ]
         )
         self.assertEqual(
-            verdicts(told, scenario, 0.0, 2), [("slow of box 3", 2, 1.0, 2, 3.0)]
+            verdict_spreads(logs, scenario, 0.0, 2),
+            [VerdictSpread("slow of box 3", 2, 1.0, 2, 3.0)],
         )
         self.assertEqual(
-            verdicts(told, scenario, 0.0, 3), [("slow of box 3", 2, None, 2, None)]
+            verdict_spreads(logs, scenario, 0.0, 3),
+            [VerdictSpread("slow of box 3", 2, None, 2, None)],
         )
 
 
