--- a/milletsill/lab/evidence_reader.py
+++ b/milletsill/lab/evidence_reader.py
@@ -15,9 +15,9 @@
     GatewayStop,
     ListedState,
     NodeBoot,
-    NodeWrite,
     NodeNote,
     NodeOverload,
+    NodeWrite,
     RecordedAttempt,
 )
 from milletsill.lab.record_entries import (
--- a/milletsill/lab/report.py
+++ b/milletsill/lab/report.py
@@ -2,157 +2,202 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-from milletsill.lab.breaches import RULES
+from milletsill.lab.breaches import RULES, Breach
 from milletsill.lab.lateness import LateMoment
+from milletsill.lab.run_result import (
+    ChannelsResult,
+    FleetResult,
+    LoadSummary,
+    RunResult,
+)
 
-MOST_SHOWN, MOST_LATE = 3, 60.0  # milliseconds
-LATE = ": ITS LATENCIES DO NOT COUNT"
+MAX_SHOWN = 3
+MAX_LATENESS = 60.0
+"""Milliseconds that the clients may be late for their latencies to count."""
+TOO_LATE = ": ITS LATENCIES DO NOT COUNT"
+OTHER_ENDS = ("lost", "unreached", "given up", "status")
 
 
-def service(rows: list[dict[str, Any]]) -> float:
-    """Utility in time over utility due."""
-    due = sum(each["due"] for each in rows)
-    return sum(each["in_time"] for each in rows) / due if due else 0.0
+def service(rows: Iterable[Mapping[str, Any]]) -> float:
+    """Return the worth of answers in time over the worth that was due."""
+    rows = list(rows)
+    due: float = sum(row["due"] for row in rows)
+    in_time: float = sum(row["in_time"] for row in rows)
+    return in_time / due if due else 0.0
 
 
-def report(result: dict[str, Any]) -> str:
-    """The text that a run prints."""
+def listed(values: Mapping[str, object]) -> str:
+    """Return names with their values, with commas between."""
+    return ", ".join(f"{name} {value}" for name, value in values.items())
+
+
+def sorted_counts(counts: Mapping[str, int]) -> str:
+    """Return counts by name, with commas between."""
+    return listed(dict(sorted(counts.items())))
+
+
+def quantiles(latencies: Mapping[str, float]) -> str:
+    """Return latencies in milliseconds by quantile, with commas between."""
+    return ", ".join(f"p{quantile} {ms:.0f}" for quantile, ms in latencies.items())
+
+
+def verdict(breaches: Sequence[Breach]) -> str:
+    """Return whether something was kept, or how often it was not."""
+    return f"{len(breaches)} BREACHES" if breaches else "kept"
+
+
+def shown(breaches: Sequence[Breach]) -> list[str]:
+    """Return the lines of the first few breaches."""
+    lines = []
+    for breach in breaches[:MAX_SHOWN]:
+        lines.append(f"  {breach.text}")
+        lines += [f"    {packet}" for packet in breach.packets]
+    return lines
+
+
+def service_lines(module: str, load: LoadSummary) -> list[str]:
+    """Return what service clients had, in all and by request class and plan."""
+    by_class = ", ".join(
+        f"{name} {value:.3f}" for name, value in load["counted"].items() if name
+    )
     lines = [
-        f"module {result['module']}: service {result['counted'].get('', 0):.3f} (utility in time / utility due, by "
-        "reserve and share; simulated, stand-ins on loopback)",
-        "by category: "
-        + ", ".join(
-            f"{name} {value:.3f}" for name, value in result["counted"].items() if name
-        )
-        + f"; without regard to reserve and share {service(result['rows']):.3f}",
-        f"{'category':<14}{'plan':<12}{'service':>8}{'satisfied':>10}{'declined':>9}{'aborted':>8}{'other':>6}",
+        f"module {module}: service {load['counted'].get('', 0):.3f} (utility in time / "
+        "utility due, by reserve and share; simulated, stand-ins on loopback)",
+        f"by category: {by_class}; without regard to reserve and share "
+        f"{service(load['rows']):.3f}",
+        f"{'category':<14}{'plan':<12}{'service':>8}{'satisfied':>10}{'declined':>9}"
+        f"{'aborted':>8}{'other':>6}",
     ]
-    for row in result["rows"]:
-        other = sum(
-            row.get(each, 0) for each in ("lost", "unreached", "given up", "status")
-        )
-        lines.append(
-            f"{row['category']:<14}{row['plan']:<12}{service([row]):>8.3f}{row.get('satisfied', 0):>10}"
-            f"{row.get('declined', 0):>9}{row.get('aborted', 0):>8}{other:>6}"
-        )
-    for name in sorted({each["category"] for each in result["rows"]}):
+    for row in load["rows"]:
+        other = sum(row.get(end, 0) for end in OTHER_ENDS)
         lines.append(
-            f"{name}: service {service([r for r in result['rows'] if r['category'] == name]):.3f}, latency ms "
-            + ", ".join(
-                f"p{q} {ms:.0f}" for q, ms in result["latency_ms"].get(name, {}).items()
-            )
+            f"{row['category']:<14}{row['plan']:<12}{service([row]):>8.3f}"
+            f"{row.get('satisfied', 0):>10}{row.get('declined', 0):>9}"
+            f"{row.get('aborted', 0):>8}{other:>6}"
         )
-    lines.append(
-        f"{result['operations']} operations, {result['commands']} commands, {result['dispatches']} "
-        f"dispatches, {result['unended']} without an end; the lab itself was at most "
-        f"{result['worst_lag_ms']:.0f} ms late{LATE if result['worst_lag_ms'] > MOST_LATE else ''}"
-    )
-    if result["late"]:
-        worst = LateMoment(**result["late"][0])
-        lines.append(worst.describe(len(result["late"])))
-    if result["starved"]:
+    for name in sorted({row["category"] for row in load["rows"]}):
+        of_class = service(row for row in load["rows"] if row["category"] == name)
+        latencies = quantiles(load["latency_ms"].get(name, {}))
+        lines.append(f"{name}: service {of_class:.3f}, latency ms {latencies}")
+    return lines
+
+
+def laboratory_lines(result: RunResult) -> list[str]:
+    """Return what was done, and how late the laboratory was itself."""
+    load = result.load
+    too_late = TOO_LATE if load["worst_lag_ms"] > MAX_LATENESS else ""
+    lines = [
+        f"{load['operations']} operations, {result.command_count} commands, "
+        f"{result.attempt_count} dispatches, {load['unended']} without an end; the lab "
+        f"itself was at most {load['worst_lag_ms']:.0f} ms late{too_late}"
+    ]
+    if load["late"]:
+        worst = LateMoment(**load["late"][0])
+        lines.append(worst.describe(len(load["late"])))
+    if result.starved:
         lines.append(
-            f"the machine gave edges no core for {result['starved']:.1f} s in all, in spans from 20 ms: there they are "
-            "audited as if stopped"
-        )
-    lines.append(
-        "counts: "
-        + ", ".join(
-            f"{name} {count}" for name, count in sorted(result["counts"].items())
+            f"the machine gave edges no core for {result.starved:.1f} s in all, in "
+            "spans from 20 ms: there they are audited as if stopped"
         )
-    )
-    if result["planner"]:
+    lines.append(f"counts: {sorted_counts(load['counts'])}")
+    if result.planned:
         lines.append("parts were planned")
-    if result["flows"]:
-        lines.append(
-            "flow export, counted against recorded: "
-            + ", ".join(f"{k} {v}" for k, v in result["flows"].items())
-        )
+    if result.flows:
+        lines.append(f"flow export, counted against recorded: {listed(result.flows)}")
     lines.append(
-        f"edges ended with {result['exits']}; faults in the logs of {result['faults'] or 'none'}"
+        f"edges ended with {result.exits}; faults in the logs of "
+        f"{result.faults or 'none'}"
     )
-    for rule, found in result["breaches"].items():
-        lines.append(
-            f"rule {rule}, {RULES[rule]}: {'kept' if not found else f'{len(found)} BREACHES'}"
-        )
-        for breach in found[:MOST_SHOWN]:
-            lines += [f"  {breach.text}"] + [f"    {each}" for each in breach.packets]
-    return "\n".join(lines + of_contracts(result) + of_views(result))
+    return lines
 
 
-def of_contracts(result: dict[str, Any]) -> list[str]:
-    """Each contract's verdict and figures; none where the day had no channels."""
+def rule_lines(breaches_by_rule: Mapping[int, Sequence[Breach]]) -> list[str]:
+    """Return each rule's verdict."""
     lines = []
-    for name, found in result.get("contracts", {}).items():
-        told = result["contract_figures"].get(name, {})
-        lines.append(
-            f"contract {name}: {'kept' if not found else f'{len(found)} BREACHES'}; "
-            + ", ".join(f"{what} {count}" for what, count in told.items())
-        )
-        for breach in found[:MOST_SHOWN]:
-            lines += [f"  {breach.text}"] + [f"    {each}" for each in breach.packets]
-    if "channels" in result:
-        told = result["channels"]
-        lines.append(
-            f"channels: {told['connections']} connections, {told['unended']} numbers without an end; "
-            f"that process was at most {told['worst_lag_ms']:.0f} ms late; "
-            + ", ".join(
-                f"{name} {count}" for name, count in sorted(told["counts"].items())
-            )
-        )
-        for name, row in told["latency_ms"].items():
-            lines.append(
-                f"contract {name}: ms from made to settled "
-                + ", ".join(f"p{q} {ms:.0f}" for q, ms in row.items())
-            )
+    for rule, breaches in breaches_by_rule.items():
+        lines.append(f"rule {rule}, {RULES[rule]}: {verdict(breaches)}")
+        lines += shown(breaches)
     return lines
 
 
-def broken(result: dict[str, Any]) -> bool:
-    """Whether a rule or contract was broken, wrong bytes read, something left without an end, or views differed at the end."""
-    breaches = [*result["breaches"].values(), *result.get("contracts", {}).values()]
-    unended = result["unended"] + result.get("channels", {}).get("unended", 0)
-    wrong = result["counts"].get("reads with wrong bytes", 0)
-    return (
-        any(breaches)
-        or not result.get("views_agree", True)
-        or any((unended, wrong, result["faults"], *result["exits"]))
+def contract_lines(result: ChannelsResult) -> list[str]:
+    """Return each contract's verdict and figures."""
+    lines = []
+    for title, breaches in result.breaches.items():
+        figures = result.figures.get(title)
+        counts = listed(figures.by_title()) if figures is not None else ""
+        lines.append(f"contract {title}: {verdict(breaches)}; {counts}")
+        lines += shown(breaches)
+    summary = result.summary
+    lines.append(
+        f"channels: {summary['connections']} connections, {summary['unended']} numbers "
+        f"without an end; that process was at most {summary['worst_lag_ms']:.0f} ms "
+        f"late; {sorted_counts(summary['counts'])}"
     )
+    for name, latencies in summary["latency_ms"].items():
+        lines.append(f"contract {name}: ms from made to settled {quantiles(latencies)}")
+    return lines
 
 
 def after(seconds: float | None) -> str:
+    """Return after how many seconds nine in ten did something, where they did."""
     return "" if seconds is None else f", nine in ten after {seconds:.2f} s"
 
 
-def of_views(result: dict[str, Any]) -> list[str]:
-    """How long views took to agree after each fault; none where the day had no fleet."""
-    if "views" not in result:
-        return []
+def view_lines(fleet: FleetResult) -> list[str]:
+    """Return how long views took to agree after each fault."""
     lines = [
-        "seconds until all gateways that can speak to each other had the same view, and kept it:"
-    ]
-    lines += [
-        f"  {view.at - result['start']:7.1f} {view.name}: "
-        + ("not before the next" if view.took is None else f"{view.took:.2f}")
-        for view in result["views"]
+        "seconds until all gateways that can speak to each other had the same view, "
+        "and kept it:"
     ]
+    for view in fleet.agreements:
+        took = "not before the next" if view.took is None else f"{view.took:.2f}"
+        lines.append(f"  {view.at - fleet.start:7.1f} {view.name}: {took}")
     lines.append(
-        f"views at the end: {'the same' if result['views_agree'] else 'NOT THE SAME'}; called gone without a cause: "
-        f"{len(result['false_deaths'])}"
+        f"views at the end: {'the same' if fleet.views_agree else 'NOT THE SAME'}; "
+        f"called gone without a cause: {len(fleet.false_deaths)}"
     )
-    lines += [f"  {each}" for each in result["false_deaths"][:MOST_SHOWN]]
+    lines += [f"  {death}" for death in fleet.false_deaths[:MAX_SHOWN]]
     lines += [
         f"{spread.fault}: called so by {spread.seen_by} gateways"
         f"{after(spread.seen_after)}; called steady again by {spread.end_seen_by}"
         f"{after(spread.end_seen_after)}"
-        for spread in result["verdicts"]
-    ]
-    return lines + [
-        "said by each gateway to others, a second: "
-        + ", ".join(
-            f"{name.replace('_', ' ')} {count:.0f}"
-            for name, count in result["traffic"].items()
-        )
+        for spread in fleet.spreads
     ]
+    traffic = ", ".join(
+        f"{name.replace('_', ' ')} {count:.0f}" for name, count in fleet.traffic.items()
+    )
+    return [*lines, f"said by each gateway to others, a second: {traffic}"]
+
+
+def report(result: RunResult) -> str:
+    """Return the text that a run prints."""
+    lines = service_lines(result.module, result.load)
+    lines += laboratory_lines(result)
+    lines += rule_lines(result.breaches)
+    if result.channels is not None:
+        lines += contract_lines(result.channels)
+    if result.fleet is not None:
+        lines += view_lines(result.fleet)
+    return "\n".join(lines)
+
+
+def broken(result: RunResult) -> bool:
+    """Return whether anything of a run was not as it has to be.
+
+    A rule or contract was broken, wrong bytes were read, something was left without
+    an end, a process failed, or views differed at the end.
+    """
+    breaches = list(result.breaches.values())
+    unended = result.load["unended"]
+    if result.channels is not None:
+        breaches += result.channels.breaches.values()
+        unended += result.channels.summary["unended"]
+    if any(breaches) or unended or result.faults or any(result.exits):
+        return True
+    if result.load["counts"].get("reads with wrong bytes", 0):
+        return True
+    return result.fleet is not None and not result.fleet.views_agree
--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -31,12 +31,17 @@
 )
 from milletsill.lab.contract_figures import GatewayKill, contract_figures
 from milletsill.lab.evidence import Evidence
-from milletsill.lab.evidence_reader import read_evidence
+from milletsill.lab.evidence_reader import read_evidence, read_json
 from milletsill.lab.fault_timeline import FaultTimeline, read_fault_timeline
 from milletsill.lab.gateway_logs import GatewayLogs, read_gateway_logs
 from milletsill.lab.processes import LAB, Group, PlannerPart, Processes, free_ports
 from milletsill.lab.relay import inside, outside
 from milletsill.lab.report import broken, report
+from milletsill.lab.run_result import (
+    ChannelsResult,
+    FleetResult,
+    RunResult,
+)
 from milletsill.lab.starved import Starved
 from milletsill.lab.troubles import OF_KILLS, Troubles
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
@@ -89,7 +94,8 @@
         ]
         self.troubles = Troubles(self)
         self.starved = Starved()
-        self.fleet_port, self.relay = 0, None
+        self.fleet_port = 0
+        self.relay: subprocess.Popen[bytes] | None = None
         self.start = self.ended = 0.0
         os.makedirs(self.out, exist_ok=True)
         for old in [path for each in STALE for path in glob.glob(f"{self.out}/{each}")]:
@@ -159,26 +165,26 @@
                 raise RuntimeError(f"no {name}, see {self.out}")
             time.sleep(0.02)
 
-    def play(self) -> dict[str, Any]:
-        """The whole day; the report as a map."""
+    def play(self) -> RunResult:
+        """The whole run."""
         try:
             return self.played()
         finally:
             self.processes.end()
 
-    def played(self) -> dict[str, Any]:
+    def played(self) -> RunResult:
         *ports, self.flow_port, self.planner_port, control = free_ports(
             4 + len(self.names)
         )
         if self.planned:
             self.planner = PlannerPart(self, self.planner_port)
         if self.scenario.gateway.HasField("fleet"):
-            ends = tuple(
+            addresses = tuple(
                 address(number)
                 for address in (inside, outside)
                 for number in range(len(self.names))
             )
-            self.fleet_port = free_ports(1, ends)[0]
+            self.fleet_port = free_ports(1, addresses)[0]
         self.write_files(ports)
         spawn = self.processes.spawn
         stand = spawn(LAB + ["stand", self.out, str(ports[0])], "stand")
@@ -276,7 +282,7 @@
             )
         return None
 
-    def heard(self, collector: Any, evidence: Evidence) -> dict[str, Any]:
+    def collected_flows(self, collector: Any, evidence: Evidence) -> dict[str, Any]:
         """What the collector counted beside what boxes and clients recorded."""
         if self.flows != "on":
             return {}
@@ -306,9 +312,9 @@
 
     def finish(
         self, clients: list[Any], stand: Any, collector: Any = None
-    ) -> dict[str, Any]:
+    ) -> RunResult:
         """End the edges as an operator would, then the rest; audit."""
-        exits = []
+        exits: list[int | str | None] = []
         for each in self.groups:
             each.signal(signal.SIGCONT)
             each.signal(signal.SIGTERM)
@@ -320,33 +326,33 @@
         if self.planner is not None:
             self.planner.signal(signal.SIGCONT)
             self.planner.signal(signal.SIGTERM)
-        for each in (stand, self.relay):
-            if each is not None:
-                each.send_signal(signal.SIGTERM)
-                each.wait(30)
+        for stand_in in (stand, self.relay):
+            if stand_in is not None:
+                stand_in.send_signal(signal.SIGTERM)
+                stand_in.wait(30)
         for name, process in zip(("load", "channels"), clients):
             if process.poll() != 0:
                 raise RuntimeError(
                     f"the process `{name}` ended with {process.poll()}, see {self.out}/{name}.log"
                 )
-        with open(f"{self.out}/load.json", encoding="utf-8") as source:
-            result = json.load(source)
         with open(f"{self.out}/stops.json", "w", encoding="utf-8") as sink:
             json.dump(self.troubles.stops, sink)
         evidence = read_evidence(self.out, len(glob.glob(f"{self.out}/box-*.rec")))
-        result["flows"] = self.heard(collector, evidence)
-        result.update(
+        flows = self.collected_flows(collector, evidence)
+        return RunResult(
+            module=self.module or "BD-EDF",
+            load=read_json(f"{self.out}/load.json"),
+            breaches=audit(evidence, self.scenario),
+            command_count=len(evidence.commands),
+            attempt_count=len(evidence.attempts),
             exits=exits,
             faults=self.tracebacks(),
-            breaches=audit(evidence, self.scenario),
-            commands=len(evidence.commands),
-            dispatches=len(evidence.attempts),
-            module=self.module or "BD-EDF",
-            planner="on" if self.planned else "",
             starved=self.starved.total,
-            **self.of_fleet(evidence),
+            planned=self.planned,
+            flows=flows,
+            fleet=self.fleet_result(),
+            channels=self.channels_result(evidence),
         )
-        return result
 
     def tracebacks(self) -> list[str]:
         """Logs with a fault that nobody caught."""
@@ -356,35 +362,30 @@
             if b"Traceback" in Path(each).read_bytes()
         ]
 
-    def of_fleet(self, evidence: Evidence) -> dict[str, Any]:
-        """What the gateways' logs say of views, and the audit of contracts with the clients that have channels."""
-        found: dict[str, Any] = {}
-        if self.fleet_port:
-            logs, timeline = self.read_logs()
-            agreements = view_agreements(logs, timeline, self.names, self.ended)
-            found = {
-                "views": agreements,
-                "views_agree": agreements[-1].took is not None,
-                "start": self.start,
-                "traffic": fleet_traffic(self.out),
-                "verdicts": verdict_spreads(
-                    logs, self.scenario, self.start, len(self.names)
-                ),
-                "false_deaths": false_deaths(logs, timeline),
-            }
-        if self.scenario.channels:
-            with open(f"{self.out}/channels.json", encoding="utf-8") as source:
-                found["channels"] = json.load(source)
-            kills = [
-                GatewayKill(fault.at, fault.gateways)
-                for fault in self.troubles.process_faults
-                if fault.kind in OF_KILLS
-            ]
-            found["contracts"] = audit_contracts(evidence, self.scenario)
-            found["contract_figures"] = {
-                title: figures.by_title()
-                for title, figures in contract_figures(
-                    evidence, self.scenario, kills
-                ).items()
-            }
-        return found
+    def fleet_result(self) -> FleetResult | None:
+        """What the gateways' logs say of views; None where the run had no fleet."""
+        if not self.fleet_port:
+            return None
+        logs, timeline = self.read_logs()
+        return FleetResult(
+            start=self.start,
+            agreements=view_agreements(logs, timeline, self.names, self.ended),
+            false_deaths=false_deaths(logs, timeline),
+            spreads=verdict_spreads(logs, self.scenario, self.start, len(self.names)),
+            traffic=fleet_traffic(self.out),
+        )
+
+    def channels_result(self, evidence: Evidence) -> ChannelsResult | None:
+        """The audit of contracts; None where no client had channels."""
+        if not self.scenario.channels:
+            return None
+        kills = [
+            GatewayKill(fault.at, fault.gateways)
+            for fault in self.troubles.process_faults
+            if fault.kind in OF_KILLS
+        ]
+        return ChannelsResult(
+            summary=read_json(f"{self.out}/channels.json"),
+            breaches=audit_contracts(evidence, self.scenario),
+            figures=contract_figures(evidence, self.scenario, kills),
+        )
--- a/tests/fleet/test_torn_fleet.py
+++ b/tests/fleet/test_torn_fleet.py
@@ -61,9 +61,9 @@
     def test_every_rule_and_contract_is_kept_and_the_views_agree(self):
         result = played(TORN + FAULTS)
         self.assertFalse(broken(result), report(result))
-        for name, row in result["contract_figures"].items():
-            self.assertGreater(row["settled"], 40, (name, row))
-            self.assertGreater(row["claims"], 8, (name, row))
+        for name, figures in result.channels.figures.items():
+            self.assertGreater(figures.settled, 40, (name, figures))
+            self.assertGreater(figures.claims, 8, (name, figures))
 
     def test_a_fault_planted_in_each_gate_is_found(self):
         """By boxes' notes of numbers that took effect before others which their contract orders before them."""
@@ -76,7 +76,7 @@
                 for each in held
                 if re.search("took effect (after|before) number", each.text)
             ]
-            for name, held in result["contracts"].items()
+            for name, held in result.channels.breaches.items()
         }
         self.assertEqual(
             [name for name, found in crossed.items() if not found], [], report(result)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -197,8 +197,8 @@
         with tempfile.TemporaryDirectory() as folder:
             result = Run(text_format.Parse(SHORT, Scenario()), folder).play()
         self.assertFalse(broken(result), report(result))
-        self.assertGreater(result["counts"]["reads with right bytes"], 30)
-        self.assertGreater(result["commands"], 150)
+        self.assertGreater(result.load["counts"]["reads with right bytes"], 30)
+        self.assertGreater(result.command_count, 150)
 
 
 class Boxes(unittest.TestCase):
