--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -19,10 +19,14 @@
 
 import zstandard
 
-from milletsill.trace import format, tools
-from milletsill.trace.format import MalformedTrace
-from milletsill.trace.reader import verify
-from milletsill.trace.records import BLOCK_HEAD, FLOAT, KINDS, TEXT
+from milletsill.trace import file_format
+from milletsill.trace.cut import cut_trace
+from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.record_filter import RecordFilter
+from milletsill.trace.records import BLOCK_HEADER, FLOAT, KINDS, TEXT
+from milletsill.trace.repair import verify
+from milletsill.trace.summary import summarise_trace
+from milletsill.trace.volume_index import VolumeIndexBuilder
 
 
 def base(chance: Random) -> bytes:
@@ -44,17 +48,17 @@
         for kind in KINDS
     ]
     data, heads, stores = (
-        format.put_header({"name": "f", "seed": 1}),
+        file_format.encode_header({"name": "f", "seed": 1}),
         [],
-        tools.Stores(),
+        VolumeIndexBuilder(),
     )
     for at in range(0, len(rows), 150):
-        block = format.put_block(
-            rows[at : at + 150], stores.touched(rows[at : at + 150])
+        block = file_format.encode_block(
+            rows[at : at + 150], stores.add_block(rows[at : at + 150])
         )
-        heads.append(format.get_head(block, len(data)))
+        heads.append(file_format.decode_block_header(block, len(data)))
         data += block
-    return data + format.put_footer(heads, len(data), stores.blocks)
+    return data + file_format.encode_footer(heads, len(data), stores.blocks)
 
 
 def rough(data: bytes, chance: Random) -> bytes:
@@ -82,24 +86,24 @@
 
 def sealed(data: bytes, chance: Random) -> bytes:
     """A block's unpacked body changed, packed again, checksums made right."""
-    header = format.header_size(data[: format.HEAD.size])
-    head = format.get_head(data[header:], header)
+    header = file_format.header_size(data[: file_format.FILE_HEADER.size])
+    head = file_format.decode_block_header(data[header:], header)
     raw = rough(
         zstandard.ZstdDecompressor().decompress(
-            data[header + BLOCK_HEAD.size : head.end]
+            data[header + BLOCK_HEADER.size : head.end]
         ),
         chance,
     )
     body = zstandard.ZstdCompressor(level=1).compress(raw)
-    fields = BLOCK_HEAD.pack(
-        format.BLOCK,
+    fields = BLOCK_HEADER.pack(
+        file_format.BLOCK_MAGIC,
         len(body),
         len(raw),
-        head.records,
-        head.first,
-        head.last,
+        head.record_count,
+        head.first_time,
+        head.last_time,
         zlib.crc32(body),
-        head.stores,
+        head.volume_filter,
         0,
     )
     return (
@@ -133,8 +137,8 @@
             count += 1
             for name, call in (
                 ("verify", lambda: verify(path)),
-                ("cut", lambda: tools.cut(path, out, store="store3")),
-                ("summary", lambda: tools.summary(path)),
+                ("cut", lambda: cut_trace(path, out, RecordFilter(volume="store3"))),
+                ("summary", lambda: summarise_trace(path)),
             ):
                 try:
                     call()
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -27,9 +27,14 @@
 
 from milletsill.deployment_config import to_stored
 from milletsill.settings.milletsill_pb2 import Scenario
-from milletsill.trace import tools
-from milletsill.trace.reader import Trace, verify
-from milletsill.trace.recording_policy import MOST_AGE, Verdict
+from milletsill.trace.convert import convert_trace
+from milletsill.trace.cut import CutResult, cut_trace
+from milletsill.trace.merge import merge_traces
+from milletsill.trace.reader import FileState, TraceReader
+from milletsill.trace.record_filter import RecordFilter
+from milletsill.trace.recording_policy import MAX_BLOCK_AGE
+from milletsill.trace.repair import verify
+from milletsill.trace.trace_file import SimulationTrace
 
 SECOND = 10_000
 
@@ -37,7 +42,7 @@
 # --- The hour.
 
 
-class Tap(tools.Tap):
+class TimedTrace(SimulationTrace):
     """The time that writing takes is counted."""
 
     def __init__(self, path: str, about: dict[str, Any], age: int) -> None:
@@ -72,7 +77,7 @@
 ) -> None:
     """One process's gateways; prints what it counted."""
     from milletsill.lab.clockwork import Fleet, part_of
-    from milletsill.trace.recorder import Recorder
+    from milletsill.trace.recorder import CommandRecord, TraceRecorder
 
     with open(path, encoding="utf-8") as source:
         scenario = part_of(text_format.Parse(source.read(), Scenario()), number, of)
@@ -88,25 +93,25 @@
             finals[final] += 1
             if traced:
                 arrival = transfer.arrival
-                recorder.command(
-                    now,
-                    transfer.began,
-                    names[arrival.volume - 1],
-                    arrival.service_plan,
-                    arrival.request_class,
-                    transfer.operation,
-                    arrival.units,
-                    1,
-                    0,
-                    final,
-                    "",
+                command = CommandRecord(
+                    began=transfer.began,
+                    volume=names[arrival.volume - 1],
+                    service_plan=arrival.service_plan,
+                    request_class=arrival.request_class,
+                    operation=transfer.operation,
+                    units=arrival.units,
+                    requests=1,
+                    attempts=0,
+                    answer=final,
+                    reason="",
                 )
+                recorder.record_command(now, command)
 
         gateway.told = told
         if not traced:
             return lambda make: make
         name = f"edge-{number * gateways + gateway.place:03d}"
-        tap = Tap(
+        tap = TimedTrace(
             f"{out}/{name}.mtrace",
             {
                 "name": name,
@@ -120,9 +125,9 @@
             age,
         )
         taps.append(tap)
-        recorder = Recorder(tap, names)
-        gateway.before = recorder.path
-        return recorder.around
+        recorder = TraceRecorder(tap, names)
+        gateway.before = recorder.set_next_path
+        return recorder.wrap
 
     began = time.process_time()
     fleet.start(around)
@@ -193,9 +198,9 @@
     import zstandard
 
     plain, packed = 0, f"{out}/lines.zst"
-    with Trace(path) as trace, open(packed, "wb") as sink:
+    with TraceReader(path) as trace, open(packed, "wb") as sink:
         with zstandard.ZstdCompressor(level=6).stream_writer(sink) as pack:
-            for at, kind, values in trace.rows():
+            for at, kind, values in trace.records():
                 line = (
                     json.dumps(
                         {
@@ -211,7 +216,7 @@
                 )
                 plain += len(line)
                 pack.write(line)
-    tools.convert(path, f"{out}/parquet", "parquet")
+    convert_trace(path, f"{out}/parquet", "parquet")
     return {
         "json lines": plain,
         "json lines, zstandard 6": os.path.getsize(packed),
@@ -232,7 +237,7 @@
 def hour(given: argparse.Namespace) -> None:
     os.makedirs(given.out, exist_ok=True)
     bare = whole(
-        given, False, given.gateways, given.parts, MOST_AGE, f"{given.out}/bare"
+        given, False, given.gateways, given.parts, MAX_BLOCK_AGE, f"{given.out}/bare"
     )
     count = sum(bare["finals"].values())
     print(
@@ -271,30 +276,33 @@
     print(tool.communicate()[0].decode().strip(), flush=True)
     print("sizes of the whole hour:", sizes(merged, given.out), flush=True)
     size = os.path.getsize(merged)
-    with Trace(merged) as trace:
-        last = max(each.last for each in trace.map.heads)
+    with TraceReader(merged) as trace:
+        last = max(each.last_time for each in trace.contents.blocks)
         store = sorted(
-            trace.map.stores or {}, key=lambda each: len(trace.map.stores[each])
+            trace.contents.volume_blocks or {},
+            key=lambda each: len(trace.contents.volume_blocks[each]),
         )  # type: ignore[index]
     minute = (last // 2, last // 2 + 60 * SECOND)
     for what, terms in (
-        ("a minute", {"since": minute[0], "until": minute[1]}),
+        ("a minute", RecordFilter(since=minute[0], until=minute[1])),
         (
             "a store in a minute",
-            {"since": minute[0], "until": minute[1], "store": store[-1]},
+            RecordFilter(since=minute[0], until=minute[1], volume=store[-1]),
         ),
-        ("the rarest store", {"store": store[0]}),
+        ("the rarest store", RecordFilter(volume=store[0])),
     ):
         out = f"{given.out}/cut.mtrace"
         if os.path.exists(out):
             os.unlink(out)
-        count, read = timed(f"cut of {what}", lambda: tools.cut(merged, out, **terms))
-        print(f"  {count} records, {read / size:.2%} of the bytes read")
+        made: CutResult = timed(f"cut of {what}", lambda: cut_trace(merged, out, terms))
+        print(
+            f"  {made.records} records, {made.bytes_read / size:.2%} of the bytes read"
+        )
 
 
 def merge(out: str, *files: str) -> None:
     began = time.perf_counter()
-    told = tools.merge(list(files), out)
+    told = merge_traces(list(files), out)
     print(
         f"merge of {len(files)} files: {told.records} records, {time.perf_counter() - began:.0f} s, peak memory "
         f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB, {os.path.getsize(out)} bytes"
@@ -338,12 +346,12 @@
             client.wait()
             for each in glob.glob(f"{folder}/*.mtrace"):
                 found, files = verify(each), files + 1
-                held = sum(head.records for head in found.heads)
+                held = sum(head.record_count for head in found.blocks)
                 records += held
-                open_ends += found.verdict is not Verdict.WHOLE
+                open_ends += found.state is not FileState.WHOLE
                 middle = [
                     gap
-                    for gap in found.breaks
+                    for gap in found.damage
                     if gap.offset + gap.size < os.path.getsize(each)
                 ]
                 lost += held < seen.get(each, 0) or bool(middle)
@@ -365,8 +373,8 @@
 def synced(path: str) -> int:
     """Records of the whole blocks that the file has now."""
     try:
-        with Trace(path) as trace:
-            return sum(each.records for each in trace.map.heads)
+        with TraceReader(path) as trace:
+            return sum(each.record_count for each in trace.contents.blocks)
     except Exception:  # a header that is being written
         return 0
 
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -34,7 +34,7 @@
 
 def said(call: Callable[..., Any], *values: Any, **named: Any) -> Any:
     """What a call on traces gives; a bad or missing file is one line and status 2."""
-    from milletsill.trace.format import MalformedTrace
+    from milletsill.trace.file_format import MalformedTrace
 
     try:
         return call(*values, **named)
@@ -63,16 +63,16 @@
 
 def moments(file: str, *texts: str | None) -> list[int | None]:
     """Times as given on the command line, on the file's clock."""
-    from milletsill.trace.reader import Trace
-    from milletsill.trace.recording_policy import InvalidTime, moment
+    from milletsill.trace.reader import TraceReader
+    from milletsill.trace.time_argument import InvalidTime, parse_time
 
     def found() -> list[int | None]:
-        with Trace(file) as trace:
-            about = trace.map.about
+        with TraceReader(file) as reader:
+            about = reader.contents.header
             return [
                 None
                 if text is None
-                else moment(
+                else parse_time(
                     text, int(about.get("opened", 0)), int(about.get("wall_ms", 0))
                 )
                 for text in texts
@@ -89,11 +89,13 @@
 @FILES
 def trace_info(files: tuple[str, ...]) -> None:
     """What each of FILES holds, a line of JSON for each."""
-    from milletsill.trace.tools import summary
+    from milletsill.trace.summary import summarise_trace
 
     for file in files:
         click.echo(
-            json.dumps(shown([file], lambda heard, file=file: summary(file, heard)))
+            json.dumps(
+                shown([file], lambda heard, file=file: summarise_trace(file, heard))
+            )
         )
 
 
@@ -103,10 +105,10 @@
 @TO
 def trace_cat(file: str, since: str | None, until: str | None) -> None:
     """Print FILE's records as JSON lines."""
-    from milletsill.trace.tools import lines
+    from milletsill.trace.summary import dump_records
 
     said(
-        lines,
+        dump_records,
         file,
         *moments(file, since, until),
         lambda row: click.echo(json.dumps(row)),
@@ -117,16 +119,16 @@
 @FILES
 def trace_verify(files: tuple[str, ...]) -> None:
     """Unpack every block of FILES. Exit status 1 where anything is broken."""
-    from milletsill.trace.reader import verify
+    from milletsill.trace.repair import verify
 
     broken = False
     for file in files:
         found = shown([file], lambda heard, file=file: verify(file, heard))
         click.echo(
-            f"{file}: {found.verdict.name.lower()}, {len(found.heads)} blocks, "
-            f"{sum(each.records for each in found.heads)} records"
+            f"{file}: {found.state.name.lower()}, {len(found.blocks)} blocks, "
+            f"{sum(each.record_count for each in found.blocks)} records"
         )
-        for each in found.breaks:
+        for each in found.damage:
             broken = True
             click.echo(f"  at {each.offset}, {each.size} bytes: {each.reason}")
     sys.exit(1 if broken else 0)
@@ -137,11 +139,11 @@
 @OUT
 def trace_repair(file: str, out: str) -> None:
     """Write the whole blocks of FILE, as they stand, to the new file OUT, with an index."""
-    from milletsill.trace.reader import repair
+    from milletsill.trace.repair import repair
 
     found = shown([file], lambda heard: repair(file, out, heard))
     click.echo(
-        f"{out}: {len(found.heads)} blocks kept, {sum(each.size for each in found.breaks)} bytes left out"
+        f"{out}: {len(found.blocks)} blocks kept, {sum(each.size for each in found.damage)} bytes left out"
     )
 
 
@@ -163,24 +165,14 @@
     box: int | None,
 ) -> None:
     """Write a part of FILE to the new file OUT."""
-    from milletsill.trace.tools import cut, place_of
+    from milletsill.trace.cut import cut_trace, find_request_class
+    from milletsill.trace.record_filter import RecordFilter
 
     begin, end = moments(file, since, until)
-    place = None if category is None else said(place_of, file, category)
-    count, read = shown(
-        [file],
-        lambda heard: cut(
-            file,
-            out,
-            heard,
-            since=begin,
-            until=end,
-            store=store,
-            category=place,
-            box=box,
-        ),
-    )
-    click.echo(f"{out}: {count} records, {read} bytes read")
+    place = None if category is None else said(find_request_class, file, category)
+    wanted = RecordFilter(begin, end, store, place, box)
+    made = shown([file], lambda heard: cut_trace(file, out, wanted, heard))
+    click.echo(f"{out}: {made.records} records, {made.bytes_read} bytes read")
 
 
 @trace.command("merge")
@@ -190,18 +182,18 @@
     """Write FILES of many gateways as one, by wall time, to the new file OUT. Clocks that are seconds off are mended by the
     list news that the gateways share; what each correction may be off by is told.
     """
-    from milletsill.trace.tools import merge
+    from milletsill.trace.merge import merge_traces
 
-    made = shown(list(files), lambda heard: merge(list(files), out, heard), 2)
+    made = shown(list(files), lambda heard: merge_traces(list(files), out, heard), 2)
     click.echo(f"{out}: {made.records} records")
-    for name, shift, off in made.clocks:
-        if shift or off is None:
+    for clock in made.clocks:
+        if clock.correction or clock.uncertainty is None:
             click.echo(
-                f"  {name}: clock set by {shift / 10:g} ms, "
+                f"  {clock.name}: clock set by {clock.correction / 10:g} ms, "
                 + (
                     "nothing shared: the wall clock alone"
-                    if off is None
-                    else f"give or take {off / 10:g} ms"
+                    if clock.uncertainty is None
+                    else f"give or take {clock.uncertainty / 10:g} ms"
                 )
             )
 
@@ -217,14 +209,14 @@
 )
 def trace_anonymise(file: str, out: str, key_file: str) -> None:
     """Write FILE to the new file OUT with stores, paths and categories' names replaced."""
-    from milletsill.trace.tools import anonymise
+    from milletsill.trace.anonymise import anonymise_trace
 
     key = said(lambda: Path(key_file).read_bytes()[:4096])
     if len(key) < 16:
         click.echo(f"{key_file}: a key of {len(key)} bytes, 16 at least", err=True)
         sys.exit(2)
     click.echo(
-        f"{out}: {shown([file], lambda heard: anonymise(file, out, key, heard))} records"
+        f"{out}: {shown([file], lambda heard: anonymise_trace(file, out, key, heard))} records"
     )
 
 
@@ -241,10 +233,10 @@
 )
 def trace_convert(file: str, out: str, to: str) -> None:
     """Write FILE in another form."""
-    from milletsill.trace.tools import convert
+    from milletsill.trace.convert import convert_trace
 
     click.echo(
-        f"{out}: {shown([file], lambda heard: convert(file, out, to, heard))} records"
+        f"{out}: {shown([file], lambda heard: convert_trace(file, out, to, heard))} records"
     )
 
 
@@ -279,19 +271,20 @@
     plot: str | None,
 ) -> None:
     """Service, quantiles, who was declined and why, by time window."""
-    from milletsill.trace import service
+    from milletsill.trace.service_display import format_report, plot_report
+    from milletsill.trace.service_report import report_service
 
     begin, end = moments(file, since, until)
     found = shown(
         [file],
-        lambda heard: service.summarise(
+        lambda heard: report_service(
             file, max(int(window * 10_000), 10), power, begin, end, heard
         ),
     )
-    click.echo(json.dumps(found) if as_json else service.table(found))
+    click.echo(json.dumps(found) if as_json else format_report(found))
     if plot:
         try:
-            said(service.plot, found, plot)
+            said(plot_report, found, plot)
         except ValueError as error:
             click.echo(f"milletsill: {plot}: {error}", err=True)
             sys.exit(2)
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -19,10 +19,11 @@
 from milletsill.lab.lateness import Lateness
 from milletsill.lab.record import Recorder
 from milletsill.sftp_gateway.deployment import atlas_of
-from milletsill.trace.reckoning import Claim, Done
-from milletsill.trace.records import BY_NAME
-from milletsill.trace.service import SECOND, ServiceTerms, put_terms, reckoned
-from milletsill.trace.tools import Sink
+from milletsill.trace.records import BY_NAME, TICKS_PER_SECOND
+from milletsill.trace.service_accounting import CompletedOperation, VolumeEntitlement
+from milletsill.trace.service_report import service_ratios
+from milletsill.trace.service_terms import ClassTerms, ServiceTerms, encode_terms
+from milletsill.trace.trace_file import TraceFile
 
 WEIGHED_FOR = 0.1  # seconds
 TICK, TAIL_TICK = (
@@ -59,7 +60,7 @@
             name: HdrHistogram(1, 60_000_000, 3) for name in self.categories
         }
         self.worst: dict[int, list[float]] = {}
-        self.done: list[Done] = []
+        self.done: list[CompletedOperation] = []
         self.trace: list[
             Any
         ] = []  # one command a row, as many as the scenario's operations
@@ -359,13 +360,13 @@
             1.0 if in_time else category.late_utility if final == "satisfied" else 0.0
         )
         units = max(operation.length / self.scenario.gateway.rules.unit_bytes, 1)
-        span, place = ceil(took * SECOND), self.category_places[category.name]
+        span, place = ceil(took * TICKS_PER_SECOND), self.category_places[category.name]
         self.trace.append(
             (
-                int((operation.began - self.start_at) * SECOND) + span,
+                int((operation.began - self.start_at) * TICKS_PER_SECOND) + span,
                 BY_NAME["command"],
                 (
-                    int((operation.began - self.start_at) * SECOND),
+                    int((operation.began - self.start_at) * TICKS_PER_SECOND),
                     span,
                     operation.volume.name,
                     self.plan_places[plan.name],
@@ -380,7 +381,7 @@
             )
         )
         self.done.append(
-            Done(
+            CompletedOperation(
                 second,
                 self.number_of[operation.volume.name],
                 category.name,
@@ -412,11 +413,15 @@
             / asked
         )
         claims = [
-            Claim(self.plans[each.plan].reserve_rate, self.plans[each.plan].weight)
+            VolumeEntitlement(
+                self.plans[each.plan].reserve_rate, self.plans[each.plan].weight
+            )
             for each in self.volumes
         ]
         categories = [
-            (each.name, int(each.target_ms * 10), each.utility, each.late_utility)
+            ClassTerms(
+                each.name, int(each.target_ms * 10), each.utility, each.late_utility
+            )
             for each in scenario.gateway.category
         ]
         return ServiceTerms(
@@ -432,7 +437,7 @@
 
     def counted(self) -> dict[str, float]:
         """Service by reserve, share and the rest, in all ('') and by category."""
-        return reckoned(self.done, self.terms())
+        return service_ratios(self.done, self.terms())
 
     def write_trace(self) -> None:
         """What the clients asked for and got, as a trace; times count from the day's start."""
@@ -441,12 +446,12 @@
             "seed": self.scenario.seed,
             "opened": 0,
             "wall_ms": int(time.time() * 1000),
-            "terms": put_terms(self.terms()),
+            "terms": encode_terms(self.terms()),
         }
         path = f"{self.out}/clients.mtrace"
         if os.path.exists(path):
             os.unlink(path)
-        Sink(path, about).put_all(self.trace)
+        TraceFile(path, about).write_all(self.trace)
 
     def finish(self) -> None:
         """Write what came of it and end."""
--- a/milletsill/lab/wire.py
+++ b/milletsill/lab/wire.py
@@ -12,8 +12,8 @@
 from milletsill.deployment_config import DeploymentConfig, to_stored
 from milletsill.interface import SchedulerEvents
 from milletsill.scheduler import Scheduler
-from milletsill.trace.recorder import Recorder
-from milletsill.trace.tools import Tap
+from milletsill.trace.recorder import TraceRecorder
+from milletsill.trace.trace_file import SimulationTrace
 from milletsill.wirehost.codec import MalformedBatch
 from milletsill.wirehost.host import Instance, serve
 
@@ -24,12 +24,14 @@
     def __init__(self, folder: str) -> None:
         self.folder, self.taps, self.births = (
             os.path.join(folder, str(os.getpid())),
-            list[Tap](),
+            list[SimulationTrace](),
             0,
         )
         os.makedirs(self.folder, exist_ok=True)
 
-    def tap(self, number: int, config: DeploymentConfig, seed: int, now: int) -> Tap:
+    def tap(
+        self, number: int, config: DeploymentConfig, seed: int, now: int
+    ) -> SimulationTrace:
         self.births += 1
         about = {
             "name": f"instance-{number}",
@@ -39,7 +41,7 @@
             "opened": 0,
             "wall_ms": 0,
         }
-        made = Tap(
+        made = SimulationTrace(
             os.path.join(
                 self.folder, f"instance-{number:04d}-{self.births:05d}.mtrace"
             ),
@@ -65,7 +67,7 @@
     ) -> SchedulerEvents:
         """A scheduler whose events and effects are recorded."""
         tap = self.kept.tap(self.number, config, seed, now)
-        return Recorder(tap, ()).around(Scheduler)(config, seed, now, self)
+        return TraceRecorder(tap, ()).wrap(Scheduler)(config, seed, now, self)
 
 
 def main(folder: str) -> int:
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -245,7 +245,7 @@
         if edge.parts is not None:
             edge.parts.on_request(arrival)
         if edge.traces is not None:
-            edge.traces.path(name)
+            edge.traces.set_next_path(name)
         edge.host.take(
             arrival,
             self,
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -118,7 +118,7 @@
         )
         self.traces = self.tracer(config, seed) if file.HasField("trace") else None
         if self.traces is not None:
-            make = self.traces.around(make)
+            make = self.traces.wrap(make)
         self.host = SchedulerHost(
             reactor,
             now,
@@ -164,15 +164,13 @@
 
     def tracer(self, config: DeploymentConfig, seed: int) -> Any:
         """Traces; none of their code is loaded where the file does not ask for them."""
-        from milletsill.trace.gateway_trace import Traces
+        from milletsill.trace.gateway_trace import GatewayTrace, TracedRun
 
-        return Traces(
+        return GatewayTrace(
             self.reactor,
             self.now,
             self.file,
-            config,
-            seed,
-            self.incarnation,
+            TracedRun(config, seed, self.incarnation),
             self.remark,
             self.figures.registry,
         )
@@ -415,7 +413,7 @@
         self.figures.held.set(self.host.unanswered)
         self.figures.clients.set(len(self.clients))
         if self.traces is not None:
-            self.traces.look()
+            self.traces.update_metrics()
         if self.parts is not None:
             self.parts.on_tick()
         idle = deployment.at_least(self.file.door.idle_s * 1000)
@@ -533,19 +531,21 @@
             (now - running.began) / 10_000
         )
         if self.traces is not None:
-            self.traces.command(
-                now,
-                running.began,
-                running.volume.name,
-                running.volume.plan,
-                running.category,
-                running.operation,
-                self.atlas.units(running.operation, running.size),
-                running.legs,
-                running.terms.tries,
-                final,
-                why,
+            from milletsill.trace.recorder import CommandRecord
+
+            command = CommandRecord(
+                began=running.began,
+                volume=running.volume.name,
+                service_plan=running.volume.plan,
+                request_class=running.category,
+                operation=running.operation,
+                units=self.atlas.units(running.operation, running.size),
+                requests=running.legs,
+                attempts=running.terms.tries,
+                answer=final,
+                reason=why,
             )
+            self.traces.record_command(now, command)
         passed = self.answer_log.take(now)
         if passed is not None:
             self.log.info(
--- a/milletsill/trace/__init__.py
+++ b/milletsill/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Traces: what the module was told and did, in compact files that are readable up to a break."""
+"""Traces: what the scheduler was told and did, in compact files."""
--- /dev/null
+++ b/milletsill/trace/file_format.py
@@ -0,0 +1,329 @@
+r"""The trace file, exact to the byte (docs/trace-format.md). No files are opened here.
+
+    header   "MTRACE\r\n", u16 major, u16 minor, u32 size, u32 crc32, then JSON
+    block    "MBLK", u32 size, u32 raw size, u32 records, i64 first time, i64 last time,
+             u32 crc32 of the body, 32 bytes filter of volumes, u32 crc32 of this block
+             header, then the body: zstandard
+    footer   "MFTR", u32 size, u32 crc32, then zstandard: for each block u64 offset,
+             u32 records, i64 first time, i64 last time, 32 bytes filter
+    volumes  "MSTO", u32 size, u32 crc32, then zstandard: for each volume its name and
+             the numbers of its blocks (since 1.1)
+    trailer  u64 offset of the footer, "MEND"
+
+All integers are little-endian. A body is columns: the records' kinds, their times, then
+for each kind and field u8 kind, u8 field and a column; what a reader does not know it
+skips. The footer only saves time: the blocks alone hold everything.
+"""
+
+from __future__ import annotations
+
+import json
+import struct
+import zlib
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from struct import Struct
+from typing import Any
+
+import numpy as np
+import zstandard
+
+from milletsill.errors import MalformedInput
+from milletsill.trace.block_body import decode_body, encode_body
+from milletsill.trace.columns import MalformedColumn
+from milletsill.trace.records import (
+    BLOCK_HEADER,
+    MAX_TEXT_BYTES,
+    BlockHeader,
+    TraceRecord,
+)
+from milletsill.trace.volume_index import (
+    MAX_INDEXED_VOLUMES,
+    VolumeIndexBuilder,
+    build_filter,
+)
+
+FILE_MAGIC = b"MTRACE\r\n"
+BLOCK_MAGIC = b"MBLK"
+FOOTER_MAGIC = b"MFTR"
+VOLUMES_MAGIC = b"MSTO"
+END_MAGIC = b"MEND"
+MAJOR_VERSION = 1
+MINOR_VERSION = 2
+
+FILE_HEADER = Struct("<8sHHII")
+SECTION_HEADER = Struct("<4sII")
+TRAILER = Struct("<Q4s")
+FOOTER_ENTRY = Struct("<QIqq32s")
+NAME_SIZE = Struct("<H")
+BLOCK_NUMBER = Struct("<I")
+CRC_BYTES = 4
+
+COMPRESSION_LEVEL = 6
+MAX_BODY_BYTES = 1 << 26
+MAX_RAW_BYTES = 1 << 27
+MAX_RECORDS = 1 << 20
+MAX_HEADER_BYTES = 1 << 24
+MAX_FOOTER_BYTES = 1 << 28
+
+
+class MalformedTrace(MalformedInput):
+    """A file that is no trace, or no longer one."""
+
+    remedy = (
+        "`milletsill trace verify` says what is broken, "
+        "`trace repair` keeps the blocks that are whole"
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class FooterEntry:
+    """What the footer says of one block; the fields are those of `BlockHeader`."""
+
+    offset: int
+    record_count: int
+    first_time: int
+    last_time: int
+    volume_filter: bytes
+
+
+def compress(data: bytes) -> bytes:
+    """Return the data as one zstandard frame."""
+    return zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(data)
+
+
+def decompress(body: bytes, max_bytes: int, what: str) -> bytes:
+    """Return the data of a frame.
+
+    A frame that claims or yields more than `max_bytes` is refused before memory is
+    taken; `what` names it in the error.
+
+    Raises:
+        MalformedTrace: where it is too large or no frame.
+    """
+    try:
+        if zstandard.frame_content_size(body) > max_bytes:
+            raise MalformedTrace(f"{what} unpacks to more than {max_bytes} bytes")
+        return zstandard.ZstdDecompressor().decompress(body, max_output_size=max_bytes)
+    except zstandard.ZstdError as error:
+        raise MalformedTrace(f"{what} cannot be unpacked: {error}") from None
+
+
+def encode_header(header: dict[str, Any]) -> bytes:
+    """Encode the file's header from its fields."""
+    body = json.dumps(header, sort_keys=True).encode()
+    fixed = FILE_HEADER.pack(
+        FILE_MAGIC, MAJOR_VERSION, MINOR_VERSION, len(body), zlib.crc32(body)
+    )
+    return fixed + body
+
+
+def decode_header(data: bytes) -> tuple[dict[str, Any], int]:
+    """Return the header's fields with the minor version, and where it ends.
+
+    `data` holds the beginning of the file.
+
+    Raises:
+        MalformedTrace: where it is no header, or one of another major version.
+    """
+    if len(data) < FILE_HEADER.size:
+        raise MalformedTrace("too short for a trace")
+    magic, major, minor, size, crc = FILE_HEADER.unpack_from(data)
+    if magic != FILE_MAGIC:
+        raise MalformedTrace("not a trace")
+    if major != MAJOR_VERSION:
+        raise MalformedTrace(f"format {major}.{minor}, {MAJOR_VERSION}.x is read")
+    body = data[FILE_HEADER.size : FILE_HEADER.size + size]
+    if size > MAX_HEADER_BYTES or len(body) < size or zlib.crc32(body) != crc:
+        raise MalformedTrace("the header is cut or damaged")
+    try:
+        header = json.loads(body)
+    except (ValueError, RecursionError):
+        raise MalformedTrace("the header is not JSON") from None
+    if not isinstance(header, dict):
+        raise MalformedTrace("the header is not a JSON object")
+    return {**header, "minor": minor}, FILE_HEADER.size + size
+
+
+def header_size(start: bytes) -> int:
+    """Return how many bytes the header takes, from its first `FILE_HEADER.size`."""
+    if len(start) < FILE_HEADER.size:
+        raise MalformedTrace("too short for a trace")
+    size: int = FILE_HEADER.unpack_from(start)[3]
+    if size > MAX_HEADER_BYTES:
+        raise MalformedTrace(f"a header of {size} bytes")
+    return FILE_HEADER.size + size
+
+
+def encode_section(magic: bytes, raw: bytes) -> bytes:
+    """Encode the footer or the index of volumes from its unpacked bytes."""
+    body = compress(raw)
+    return SECTION_HEADER.pack(magic, len(body), zlib.crc32(body)) + body
+
+
+def encode_volume_index(blocks: dict[str, list[int]] | None) -> bytes:
+    """Encode the index of volumes; nothing where it was given up."""
+    if blocks is None:
+        return b""
+    parts = []
+    for volume, numbers in blocks.items():
+        name = volume.encode("utf-8", "surrogateescape")[:MAX_TEXT_BYTES]
+        parts += [
+            NAME_SIZE.pack(len(name)),
+            name,
+            BLOCK_NUMBER.pack(len(numbers)),
+            np.array(numbers, "<u4").tobytes(),
+        ]
+    return encode_section(VOLUMES_MAGIC, b"".join(parts))
+
+
+def decode_volume_index(data: bytes) -> dict[str, list[int]] | None:
+    """Return the index of volumes that stands between footer and trailer, if any.
+
+    Raises:
+        MalformedTrace: where it is cut, damaged or too large.
+    """
+    if len(data) < SECTION_HEADER.size or not data.startswith(VOLUMES_MAGIC):
+        return None
+    _, size, crc = SECTION_HEADER.unpack_from(data)
+    body = data[SECTION_HEADER.size : SECTION_HEADER.size + size]
+    if len(body) != size or zlib.crc32(body) != crc:
+        raise MalformedTrace("the index of stores is cut or damaged")
+    raw = decompress(body, MAX_FOOTER_BYTES, "the index of stores")
+    at = 0
+    found: dict[str, list[int]] = {}
+    try:
+        while at < len(raw):
+            name_start = at + NAME_SIZE.size
+            name_end = name_start + NAME_SIZE.unpack_from(raw, at)[0]
+            count = BLOCK_NUMBER.unpack_from(raw, name_end)[0]
+            numbers_start = name_end + BLOCK_NUMBER.size
+            end = numbers_start + BLOCK_NUMBER.size * count
+            if end > len(raw) or len(found) >= MAX_INDEXED_VOLUMES:
+                raise MalformedTrace("the index of stores is cut short or too large")
+            name = raw[name_start:name_end].decode("utf-8", "surrogateescape")
+            found[name] = np.frombuffer(raw, "<u4", count, numbers_start).tolist()
+            at = end
+    except struct.error:
+        raise MalformedTrace("the index of stores is cut short") from None
+    return found
+
+
+def encode_block(
+    records: Sequence[TraceRecord], volumes: Iterable[str] | None = None
+) -> bytes:
+    """Encode a block of these records, in their order.
+
+    `volumes` are those that the block tells of, where a `VolumeIndexBuilder` has found
+    them already.
+    """
+    if volumes is None:
+        volumes = VolumeIndexBuilder().add_block(records)
+    raw = encode_body(records)
+    body = compress(raw)
+    times = [at for at, _, _ in records]
+    header = BLOCK_HEADER.pack(
+        BLOCK_MAGIC,
+        len(body),
+        len(raw),
+        len(records),
+        min(times),
+        max(times),
+        zlib.crc32(body),
+        build_filter(volumes),
+        0,
+    )
+    checked = header[:-CRC_BYTES]
+    return checked + zlib.crc32(checked).to_bytes(CRC_BYTES, "little") + body
+
+
+def decode_block_header(data: bytes, offset: int) -> BlockHeader:
+    """Return the header of the block whose bytes, at `offset` of the file, are `data`.
+
+    Raises:
+        MalformedTrace: where it is no block header, or claims more than a block holds.
+    """
+    if len(data) < BLOCK_HEADER.size:
+        raise MalformedTrace("a block's head is cut short")
+    magic, size, raw, records, first, last, crc, volumes, own_crc = (
+        BLOCK_HEADER.unpack_from(data)
+    )
+    checked = data[: BLOCK_HEADER.size - CRC_BYTES]
+    if magic != BLOCK_MAGIC or zlib.crc32(checked) != own_crc:
+        raise MalformedTrace("no block here, or its head is damaged")
+    if size > MAX_BODY_BYTES or raw > MAX_RAW_BYTES or not 0 < records <= MAX_RECORDS:
+        raise MalformedTrace(f"a block of {size} bytes and {records} records")
+    return BlockHeader(offset, size, raw, records, first, last, crc, volumes)
+
+
+def decode_block(
+    header: BlockHeader, body: bytes, kinds: frozenset[int] | None = None
+) -> list[TraceRecord]:
+    """Return the records of a block.
+
+    Those of unknown kinds are left out and, where `kinds` is given, all others too.
+
+    Raises:
+        MalformedTrace: where the body is not what the header says.
+    """
+    if len(body) != header.body_size or zlib.crc32(body) != header.body_crc:
+        raise MalformedTrace("a block is cut or damaged")
+    raw = decompress(body, header.raw_size, "a block")
+    if len(raw) != header.raw_size:
+        raise MalformedTrace("a block unpacks to another size")
+    try:
+        return list(decode_body(raw, header.record_count, kinds))
+    except MalformedColumn as error:
+        raise MalformedTrace(f"in a block: {error}") from None
+
+
+def encode_footer(
+    blocks: Sequence[BlockHeader],
+    offset: int,
+    volume_blocks: dict[str, list[int]] | None = None,
+) -> bytes:
+    """Encode the indexes by time and volume and the trailer, to stand at `offset`."""
+    raw = b"".join(
+        FOOTER_ENTRY.pack(
+            block.offset,
+            block.record_count,
+            block.first_time,
+            block.last_time,
+            block.volume_filter,
+        )
+        for block in blocks
+    )
+    return (
+        encode_section(FOOTER_MAGIC, raw)
+        + encode_volume_index(volume_blocks)
+        + TRAILER.pack(offset, END_MAGIC)
+    )
+
+
+def decode_footer(
+    data: bytes,
+) -> tuple[list[FooterEntry], dict[str, list[int]] | None]:
+    """Return the index by time and the index of volumes, if any.
+
+    `data` is the footer without the trailer.
+
+    Raises:
+        MalformedTrace: where either is cut or damaged.
+    """
+    if len(data) < SECTION_HEADER.size:
+        raise MalformedTrace("the footer is cut short")
+    magic, size, crc = SECTION_HEADER.unpack_from(data)
+    body = data[SECTION_HEADER.size : SECTION_HEADER.size + size]
+    if magic != FOOTER_MAGIC or len(body) != size or zlib.crc32(body) != crc:
+        raise MalformedTrace("the footer is cut or damaged")
+    raw = decompress(body, MAX_FOOTER_BYTES, "the footer")
+    if len(raw) % FOOTER_ENTRY.size:
+        raise MalformedTrace("the footer is no list of blocks")
+    entries = [FooterEntry(*fields) for fields in FOOTER_ENTRY.iter_unpack(raw)]
+    volume_blocks = decode_volume_index(data[SECTION_HEADER.size + size :])
+    if volume_blocks is not None and any(
+        numbers and not 0 <= numbers[-1] < len(entries)
+        for numbers in volume_blocks.values()
+    ):
+        raise MalformedTrace("the index of stores names blocks that are not there")
+    return entries, volume_blocks
--- a/milletsill/trace/reader.py
+++ b/milletsill/trace/reader.py
@@ -1,5 +1,7 @@
-"""Reads traces: by the footer's index where there is one, by the blocks where not; up to the break and, where a block is damaged
-in the middle, past it. Memory is bounded by the largest block.
+"""Reads traces: by the footer's index where there is one, by the blocks where not.
+
+A file is read up to where it breaks and, where a block is damaged in the middle, past
+it. Memory is bounded by the largest block.
 """
 
 from __future__ import annotations
@@ -7,21 +9,59 @@
 import os
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
-from typing import Any, BinaryIO, Optional
+from enum import Enum
+from itertools import pairwise
+from typing import Any, Self
 
-from milletsill.trace import format
-from milletsill.trace.format import MalformedTrace
-from milletsill.trace.recording_policy import Stores, Verdict, chosen, judge
-from milletsill.trace.records import BLOCK_HEAD, BlockHead, Row
+from milletsill.trace.file_format import (
+    BLOCK_MAGIC,
+    END_MAGIC,
+    FILE_HEADER,
+    FOOTER_MAGIC,
+    MAX_FOOTER_BYTES,
+    TRAILER,
+    MalformedTrace,
+    decode_block,
+    decode_block_header,
+    decode_footer,
+    decode_header,
+    header_size,
+)
+from milletsill.trace.records import BLOCK_HEADER, BlockHeader, TraceRecord
+from milletsill.trace.volume_index import select_blocks
 
-Heard = Optional[
-    Callable[[int], None]
-]  # told how many bytes were read, for those who show progress
-SCAN = 1 << 20  # bytes looked through at a time for the next block after a break
+# Called with how many bytes were read, for those who show progress.
+ProgressCallback = Callable[[int], None]
 
+# Bytes looked through at a time for the next block after a damaged one.
+SCAN_BYTES = 1 << 20
 
-@dataclass
-class Break:
+
+class FileState(Enum):
+    """What a file is.
+
+    WHOLE: it has its footer. OPEN: its blocks reach its end without one, since it is
+    being written or was cut between blocks. BROKEN: something in it is no block.
+    """
+
+    WHOLE = 1
+    OPEN = 2
+    BROKEN = 3
+
+
+def classify_file(
+    blocks_end: int, size: int, has_footer: bool, is_damaged: bool
+) -> FileState:
+    """Return what a file of this size is, whose last whole block ends there."""
+    if has_footer:
+        return FileState.WHOLE
+    if blocks_end == size and not is_damaged:
+        return FileState.OPEN
+    return FileState.BROKEN
+
+
+@dataclass(frozen=True, slots=True)
+class DamagedRange:
     """A stretch of a file that holds no readable block."""
 
     offset: int
@@ -30,226 +70,212 @@
 
 
 @dataclass
-class Map:
-    """What a file holds: heads of its blocks, what is broken, what it is."""
+class TraceContents:
+    """What a file holds.
+
+    Attributes:
+        path: the file.
+        header: the fields of its header, with its `minor` version.
+        blocks: the headers of its blocks.
+        damage: what of it cannot be read.
+        state: what the file is.
+        bytes_read: bytes read so far.
+        volume_blocks: numbers of the blocks of each volume, where the file says so.
+    """
 
     path: str
-    about: dict[str, Any]
-    heads: list[BlockHead]
-    breaks: list[Break] = field(default_factory=list)
-    verdict: Verdict = Verdict.WHOLE
-    read: int = 0  # bytes read so far
-    stores: dict[str, list[int]] | None = (
-        None  # numbers of the blocks of each store, where the file has that index
-    )
+    header: dict[str, Any]
+    blocks: list[BlockHeader]
+    damage: list[DamagedRange] = field(default_factory=list)
+    state: FileState = FileState.WHOLE
+    bytes_read: int = 0
+    volume_blocks: dict[str, list[int]] | None = None
+
+
+class TraceReader:
+    """One file, open for reading.
 
+    A file that is still being written is read up to its last whole block.
 
-class Trace:
-    """One file, open for reading; a file still being written is read up to its last whole block."""
+    Raises:
+        OSError: where the file cannot be read.
+        MalformedTrace: where its beginning is that of no trace.
+    """
 
-    def __init__(self, path: str, heard: Heard = None) -> None:
-        self.path, self.source, self.heard = path, open(path, "rb"), heard
+    def __init__(self, path: str, progress: ProgressCallback | None = None) -> None:
+        self.path = path
+        self.progress = progress
+        self.file = open(path, "rb")  # noqa: SIM115 - closed by __exit__
         try:
-            self.size = os.fstat(self.source.fileno()).st_size
-            need = format.header_size(self.source.read(format.HEAD.size))
-            self.source.seek(0)
-            about, self.start = format.get_header(self.source.read(need))
-            self.map = Map(path, about, [], read=need)
-            self.find()
+            self.size = os.fstat(self.file.fileno()).st_size
+            header_bytes = header_size(self.file.read(FILE_HEADER.size))
+            self.file.seek(0)
+            header, self.blocks_start = decode_header(self.file.read(header_bytes))
+            self.contents = TraceContents(path, header, [], bytes_read=header_bytes)
+            self.find_blocks()
         except BaseException:
-            self.source.close()
+            self.file.close()
             raise
 
-    def __enter__(self) -> Trace:
+    def __enter__(self) -> Self:
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.source.close()
-
-    def take(self, offset: int, size: int) -> bytes:
-        self.source.seek(offset)
-        data = self.source.read(size)
-        self.map.read += len(data)
-        if self.heard is not None:
-            self.heard(len(data))
+        self.close()
+
+    def close(self) -> None:
+        """Close the file."""
+        self.file.close()
+
+    def read_at(self, offset: int, size: int) -> bytes:
+        """Return so many bytes from an offset on; fewer at the end of the file."""
+        self.file.seek(offset)
+        data = self.file.read(size)
+        self.contents.bytes_read += len(data)
+        if self.progress is not None:
+            self.progress(len(data))
         return data
 
-    def find(self) -> None:
-        """The blocks, by the index, else by themselves."""
+    def find_blocks(self) -> None:
+        """Find the blocks by the index, else by themselves."""
         try:
-            self.map.heads = self.indexed()
+            self.contents.blocks = self.read_index()
         except MalformedTrace:
-            self.walk()
+            self.scan_blocks()
+
+    def read_index(self) -> list[BlockHeader]:
+        """Return the blocks as the footer has them.
+
+        Their sizes follow from the offset of the next one.
 
-    def indexed(self) -> list[BlockHead]:
-        """The blocks as the footer has them; sizes follow from the next one's offset."""
-        tail = self.take(max(self.size - format.TRAILER.size, 0), format.TRAILER.size)
-        if len(tail) < format.TRAILER.size:
+        Raises:
+            MalformedTrace: where there is no whole footer.
+        """
+        trailer_start = self.size - TRAILER.size
+        trailer = self.read_at(max(trailer_start, 0), TRAILER.size)
+        if len(trailer) < TRAILER.size:
             raise MalformedTrace("no trailer")
-        offset, end = format.TRAILER.unpack(tail)
-        last = self.size - format.TRAILER.size
+        footer_start, magic = TRAILER.unpack(trailer)
         if (
-            end != format.END
-            or not self.start <= offset <= last
-            or last - offset > format.MOST_FOOTER
+            magic != END_MAGIC
+            or not self.blocks_start <= footer_start <= trailer_start
+            or trailer_start - footer_start > MAX_FOOTER_BYTES
         ):
             raise MalformedTrace("no trailer")
-        entries, self.map.stores = format.get_footer(self.take(offset, last - offset))
-        ends = [each[0] for each in entries[1:]] + [offset]
-        if (
-            any(a >= b for a, b in zip([each[0] for each in entries], ends))
-            or entries
-            and entries[0][0] != self.start
+        footer = self.read_at(footer_start, trailer_start - footer_start)
+        entries, self.contents.volume_blocks = decode_footer(footer)
+        bounds = [entry.offset for entry in entries]
+        bounds.append(footer_start)
+        if any(start >= end for start, end in pairwise(bounds)) or (
+            entries and entries[0].offset != self.blocks_start
         ):
             raise MalformedTrace("the footer's blocks do not follow each other")
         return [
-            BlockHead(
-                at, end - at - BLOCK_HEAD.size, 0, records, first, last_at, 0, stores
+            BlockHeader(
+                offset=entry.offset,
+                body_size=end - entry.offset - BLOCK_HEADER.size,
+                raw_size=0,
+                record_count=entry.record_count,
+                first_time=entry.first_time,
+                last_time=entry.last_time,
+                body_crc=0,
+                volume_filter=entry.volume_filter,
             )
-            for (at, records, first, last_at, stores), end in zip(entries, ends)
+            for entry, end in zip(entries, bounds[1:], strict=True)
         ]
 
-    def walk(self) -> None:
-        """Block after block; past a break the next head that checks out is looked for."""
-        at = self.start
+    def scan_blocks(self) -> None:
+        """Find block after block; past damage the next header that checks out."""
+        contents = self.contents
+        at = self.blocks_start
         while at < self.size:
-            head, reason = self.head_at(at)
-            if head is not None:
-                self.map.heads.append(head)
-                at = head.end
+            block, reason = self.block_at(at)
+            if block is not None:
+                contents.blocks.append(block)
+                at = block.end
                 continue
-            if self.take(at, 4) == format.FOOTER:
-                self.map.breaks.append(
-                    Break(at, self.size - at, "a footer that is cut or damaged")
+            if self.read_at(at, len(FOOTER_MAGIC)) == FOOTER_MAGIC:
+                footer = DamagedRange(
+                    at, self.size - at, "a footer that is cut or damaged"
                 )
+                contents.damage.append(footer)
                 break
-            following = self.next_head(at + 1)
-            self.map.breaks.append(Break(at, following - at, reason))
-            at = following
-        end = self.map.heads[-1].end if self.map.heads else self.start
-        self.map.verdict = judge(end, self.size, False, bool(self.map.breaks))
+            next_block = self.find_next_block(at + 1)
+            contents.damage.append(DamagedRange(at, next_block - at, reason))
+            at = next_block
+        end = contents.blocks[-1].end if contents.blocks else self.blocks_start
+        contents.state = classify_file(
+            end, self.size, has_footer=False, is_damaged=bool(contents.damage)
+        )
 
-    def head_at(self, at: int) -> tuple[BlockHead | None, str]:
+    def block_at(self, at: int) -> tuple[BlockHeader | None, str]:
+        """Return the header of the whole block at an offset, or why there is none."""
         try:
-            head = format.get_head(self.take(at, BLOCK_HEAD.size), at)
+            block = decode_block_header(self.read_at(at, BLOCK_HEADER.size), at)
         except MalformedTrace as error:
             return None, str(error)
-        return (
-            (head, "")
-            if head.end <= self.size
-            else (None, "the last block is cut short")
-        )
+        if block.end > self.size:
+            return None, "the last block is cut short"
+        return block, ""
 
-    def next_head(self, at: int) -> int:
-        """Where the next block begins that checks out, or the end."""
+    def find_next_block(self, at: int) -> int:
+        """Return where the next block begins that checks out, or the end."""
         while at < self.size:
-            found = self.take(at, SCAN).find(format.BLOCK)
+            found = self.read_at(at, SCAN_BYTES).find(BLOCK_MAGIC)
             if found < 0:
-                at += SCAN - len(format.BLOCK) + 1
-            elif self.head_at(at + found)[0] is not None:
+                at += SCAN_BYTES - len(BLOCK_MAGIC) + 1
+            elif self.block_at(at + found)[0] is not None:
                 return at + found
             else:
                 at += found + 1
         return self.size
 
-    def heads(self, store: str | None) -> list[BlockHead]:
-        """The blocks that may tell of a store; all for None."""
-        known = self.map
-        return (
-            known.heads
-            if store is None
-            else chosen(
-                known.heads,
-                store,
-                known.stores,
-                known.about.get("minor", 0),
-                format.may_hold,
-            )
+    def blocks_of(self, volume: str | None) -> list[BlockHeader]:
+        """Return the blocks that may tell of a volume; all of them for None."""
+        contents = self.contents
+        if volume is None:
+            return contents.blocks
+        return select_blocks(
+            contents.blocks,
+            volume,
+            contents.volume_blocks,
+            contents.header.get("minor", 0),
         )
 
-    def rows(
+    def records(
         self,
         since: int | None = None,
         until: int | None = None,
-        store: str | None = None,
-        only: frozenset[int] | None = None,
-    ) -> Iterator[Row]:
-        """Records of blocks that may hold what is asked for, those outside the times or of other kinds than `only` left out;
-        a damaged block is noted as a break and passed over. Records of one store are not picked out here: only its blocks.
+        volume: str | None = None,
+        kinds: frozenset[int] | None = None,
+    ) -> Iterator[TraceRecord]:
+        """Yield the records from `since` on and before `until`, only of `kinds`.
+
+        With a volume only the blocks are read that may tell of it; their records of
+        other volumes are not left out. A damaged block is noted and passed over.
         """
-        for head in self.heads(store):
-            if (
-                since is not None
-                and head.last < since
-                or until is not None
-                and head.first >= until
-            ):
+        for block in self.blocks_of(volume):
+            if since is not None and block.last_time < since:
                 continue
-            for row in self.block(head, only):
-                if (since is None or row[0] >= since) and (
-                    until is None or row[0] < until
+            if until is not None and block.first_time >= until:
+                continue
+            for record in self.read_block(block, kinds):
+                if (since is None or record[0] >= since) and (
+                    until is None or record[0] < until
                 ):
-                    yield row
+                    yield record
 
-    def block(self, head: BlockHead, only: frozenset[int] | None = None) -> list[Row]:
-        """The records of one block; none, and a break, where it is damaged."""
+    def read_block(
+        self, block: BlockHeader, kinds: frozenset[int] | None = None
+    ) -> list[TraceRecord]:
+        """Return the records of one block; none where it is damaged, which is noted."""
+        size = BLOCK_HEADER.size + block.body_size
         try:
-            data = self.take(head.offset, BLOCK_HEAD.size + head.size)
-            return format.get_rows(
-                format.get_head(data, head.offset), data[BLOCK_HEAD.size :], only
-            )
+            data = self.read_at(block.offset, size)
+            header = decode_block_header(data, block.offset)
+            return decode_block(header, data[BLOCK_HEADER.size :], kinds)
         except MalformedTrace as error:
-            if all(each.offset != head.offset for each in self.map.breaks):
-                self.map.breaks.append(
-                    Break(head.offset, BLOCK_HEAD.size + head.size, str(error))
-                )
+            damage = self.contents.damage
+            if all(each.offset != block.offset for each in damage):
+                damage.append(DamagedRange(block.offset, size, str(error)))
             return []
-
-
-def verify(path: str, heard: Heard = None) -> Map:
-    """A file looked through in full: every block unpacked, the index of stores made anew from what they hold."""
-    with Trace(path, heard) as trace:
-        good, stores = [], Stores()
-        for head in trace.map.heads:
-            rows = trace.block(head)
-            if rows:
-                good.append(head)
-                stores.touched(rows)
-        trace.map.heads, trace.map.stores = good, stores.blocks
-        if trace.map.breaks:
-            trace.map.verdict = Verdict.BROKEN
-        return trace.map
-
-
-def repair(path: str, out: str, heard: Heard = None) -> Map:
-    """The whole blocks of a file as they stand, byte for byte, with a new index, under another name."""
-    found = verify(path, heard)
-    with open(path, "rb") as source, open(out, "xb") as sink:
-        copy(source, sink, 0, format.header_size(source.read(format.HEAD.size)))
-        heads = []
-        for head in found.heads:
-            offset = sink.tell()
-            copy(source, sink, head.offset, BLOCK_HEAD.size + head.size)
-            heads.append(
-                BlockHead(
-                    offset,
-                    head.size,
-                    head.raw,
-                    head.records,
-                    head.first,
-                    head.last,
-                    head.crc,
-                    head.stores,
-                )
-            )
-        sink.write(format.put_footer(heads, sink.tell(), found.stores))
-        sink.flush()
-        os.fsync(sink.fileno())
-    return found
-
-
-def copy(source: BinaryIO, sink: BinaryIO, offset: int, size: int) -> None:
-    source.seek(offset)
-    while size > 0 and (data := source.read(min(size, SCAN))):
-        sink.write(data)
-        size -= len(data)
--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -1,261 +1,106 @@
-"""Stands between a host and the decision module, both ways: what the module is told and what it does goes to a writer, in
-order. Neither of them knows of it, and without it none of this is loaded.
+"""Records one scheduler: its events and effects, and the commands of clients.
+
+Neither the scheduler nor its host knows of the recorder, and none of this is loaded
+where tracing is off.
 """
 
 from __future__ import annotations
 
-import json
-from collections.abc import Callable, Sequence
-from typing import Any, Protocol
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Protocol
 
 from milletsill.deployment_config import DeploymentConfig
-from milletsill.interface import (
-    AttemptResult,
-    Request,
-    SchedulerEvents,
-    Endpoint,
-    EndpointUpdateKind,
-    QuotaKind,
-    SchedulerEffects,
+from milletsill.interface import SchedulerEffects, SchedulerEvents
+from milletsill.trace.traced_scheduler import (
+    MakeScheduler,
+    TracedEffects,
+    TracedScheduler,
 )
 
-Put = Callable[..., None]
-Make = Callable[[DeploymentConfig, int, int, SchedulerEffects], SchedulerEvents]
-
-
-class Taker(Protocol):
-    """Takes one record and never blocks; `trace.writer.Writer` is one."""
-
-    def put(self, name: str, at: int, *values: Any) -> None: ...
-
-
-class Ring:
-    """A wake with the number that the trace knows it by."""
-
-    __slots__ = ("number", "what")
-
-    def __init__(self, number: int, what: object) -> None:
-        self.number, self.what = number, what
-
-
-class Done:
-    """The Port of the module: each action is recorded, then passed to the host."""
-
-    def __init__(self, port: SchedulerEffects, put: Put, now: int) -> None:
-        self.port, self.put, self.now, self.wakes = port, put, now, 0
-
-    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
-        self.put("dispatch", self.now, transfer, node, timeout)
-        self.port.send_attempt(transfer, node, timeout)
-
-    def reject(self, transfer: int, pause: int) -> None:
-        self.put("declined", self.now, transfer, pause)
-        self.port.reject(transfer, pause)
-
-    def fail(self, transfer: int) -> None:
-        self.put("aborted", self.now, transfer)
-        self.port.fail(transfer)
-
-    def cancel_attempt(self, transfer: int, number: int) -> None:
-        self.put("cancelled", self.now, transfer, number)
-        self.port.cancel_attempt(transfer, number)
-
-    def watch_endpoints(self) -> None:
-        self.put("watch", self.now)
-        self.port.watch_endpoints()
-
-    def fetch_endpoints(self) -> None:
-        self.put("fetch", self.now)
-        self.port.fetch_endpoints()
-
-    def probe_node(self, node: int) -> None:
-        self.put("probe", self.now, node)
-        self.port.probe_node(node)
-
-    def set_timer(self, at: int, what: object) -> None:
-        self.wakes += 1
-        self.put("wake", self.now, at)
-        self.port.set_timer(at, Ring(self.wakes, what))
-
-    def log(self, text: str) -> None:
-        self.put("remark", self.now, text)
-        self.port.log(text)
-
-
-class Told:
-    """The module as the host sees it: each input is recorded, then passed on. `path` is of the next arrival."""
-
-    def __init__(
-        self,
-        make: Make,
-        config: DeploymentConfig,
-        seed: int,
-        now: int,
-        port: SchedulerEffects,
-        put: Put,
-        names: Sequence[str],
-    ) -> None:
-        self.put, self.names, self.path = put, names, ""
-        self.done = Done(port, put, now)
-        self.module = make(config, seed, now, self.done)
-
-    def on_endpoints(
-        self, now: int, news: EndpointUpdateKind, entries: Sequence[Endpoint]
-    ) -> None:
-        self.done.now = now
-        self.put("listed", now, news.value, len(entries))
-        for each in entries:
-            self.put(
-                "listing",
-                now,
-                each.node,
-                each.readiness.value,
-                each.size,
-                each.kind,
-                each.zone,
-                each.started_at or 0,
-                each.started_at is not None,
-                each.shard,
-            )
-        self.module.on_endpoints(now, news, entries)
-
-    def on_request(self, now: int, arrival: Request) -> None:
-        self.done.now = now
-        each, names = arrival, self.names
-        store = (
-            names[each.volume - 1]
-            if 0 < each.volume <= len(names)
-            else str(each.volume)
-        )
-        self.put(
-            "arrival",
-            now,
-            each.id,
-            each.key,
-            each.volume,
-            store,
-            each.sharing_gateways,
-            each.request_class,
-            each.service_plan,
-            each.is_retry,
-            each.is_write,
-            -1 if each.shard is None else each.shard,
-            each.units,
-            each.deadline,
-            self.path,
-        )
-        self.path = ""
-        self.module.on_request(now, arrival)
-
-    def on_attempt_result(self, now: int, answer: AttemptResult) -> None:
-        self.done.now = now
-        self.put(
-            "outcome",
-            now,
-            answer.request_id,
-            answer.attempt_number,
-            answer.node,
-            answer.outcome.value,
-            answer.request_finished,
-            answer.latency,
-            -1 if answer.volume_usage is None else answer.volume_usage,
-            answer.units_elsewhere,
-            json.dumps(answer.load_report, sort_keys=True)
-            if answer.load_report
-            else "",
-        )
-        self.module.on_attempt_result(now, answer)
-
-    def on_client_cancelled(self, now: int, transfer: int) -> None:
-        self.done.now = now
-        self.put("abandoned", now, transfer)
-        self.module.on_client_cancelled(now, transfer)
-
-    def on_timer(self, now: int, what: Any) -> None:
-        self.done.now = now
-        self.put("woken", now, what.number)
-        self.module.on_timer(now, what.what)
-
-    def on_quota_share(
-        self,
-        now: int,
-        what: QuotaKind,
-        id: int,
-        share: float | None,
-        ends: int,
-        after: float,
-    ) -> None:
-        self.done.now = now
-        self.put(
-            "part", now, what.value, id, -1.0 if share is None else share, ends, after
-        )
-        self.module.on_quota_share(now, what, id, share, ends, after)
-
-    def on_health_advice(
-        self, now: int, id: int, strain: float, away: bool, until: int
-    ) -> None:
-        self.done.now = now
-        self.put("advised", now, id, strain, int(away), until)
-        self.module.on_health_advice(now, id, strain, away, until)
-
-    def dispatch_pending(self, now: int) -> None:
-        self.done.now = now
-        self.put("settled", now)
-        self.module.dispatch_pending(now)
-
-
-class Recorder:
-    """One instance's record. `names` are the stores' by number, from 1; `make` is given to the host in the module's place."""
-
-    def __init__(self, writer: Taker, names: Sequence[str]) -> None:
-        self.writer, self.names = writer, names
-        self.told: Told | None = None
-        self.made = 0  # when the module was: part of what a replay needs
-
-    def around(self, make: Make) -> Make:
-        """The same module with its record."""
 
-        def made(
-            config: DeploymentConfig, seed: int, now: int, port: SchedulerEffects
+class RecordSink(Protocol):
+    """Takes records and never blocks; `trace.writer.TraceWriter` is one."""
+
+    def put(self, name: str, at: int, *values: object) -> None:
+        """Take one record: the name of its kind, its time and its fields' values."""
+
+
+@dataclass(frozen=True, slots=True)
+class CommandRecord:
+    """What a client asked for and got. Times are tenths of a millisecond.
+
+    Attributes:
+        began: when the command arrived.
+        volume: the volume's name.
+        service_plan: place of the volume's plan in the configuration.
+        request_class: place of the command's class in the configuration.
+        operation: what was asked, by its name in the protocol.
+        units: its cost.
+        requests: requests to the scheduler that it took.
+        attempts: attempts of the requests.
+        answer: `satisfied`, `declined` or `aborted`.
+        reason: why it was not satisfied.
+    """
+
+    began: int
+    volume: str
+    service_plan: int
+    request_class: int
+    operation: str
+    units: float
+    requests: int
+    attempts: int
+    answer: str
+    reason: str
+
+
+class TraceRecorder:
+    """Records one scheduler instance.
+
+    `volume_names` are the volumes' names by number, from 1.
+    """
+
+    def __init__(self, writer: RecordSink, volume_names: Sequence[str]) -> None:
+        self.writer = writer
+        self.volume_names = volume_names
+        self.scheduler: TracedScheduler | None = None
+        # When the scheduler was made, which a replay needs.
+        self.made_at = 0
+
+    def wrap(self, make: MakeScheduler) -> MakeScheduler:
+        """Return a factory of the same scheduler, recorded."""
+
+        def make_traced(
+            config: DeploymentConfig, seed: int, now: int, effects: SchedulerEffects
         ) -> SchedulerEvents:
-            self.made = now
-            self.told = Told(make, config, seed, now, port, self.writer.put, self.names)
-            return self.told
+            self.made_at = now
+            traced = TracedEffects(effects, self.writer.put, now)
+            scheduler = make(config, seed, now, traced)
+            self.scheduler = TracedScheduler(scheduler, traced, self.volume_names)
+            return self.scheduler
 
-        return made
+        return make_traced
 
-    def path(self, path: str) -> None:
-        """What the next arrival is about."""
-        if self.told is not None:
-            self.told.path = path
+    def set_next_path(self, path: str) -> None:
+        """Name the path that the next request is about."""
+        if self.scheduler is not None:
+            self.scheduler.next_path = path
 
-    def command(
-        self,
-        now: int,
-        began: int,
-        store: str,
-        plan: int,
-        category: int,
-        operation: str,
-        units: float,
-        legs: int,
-        tries: int,
-        final: str,
-        why: str,
-    ) -> None:
-        """What a client asked for, with its answer."""
+    def record_command(self, now: int, command: CommandRecord) -> None:
+        """Record a client's command with its answer."""
         self.writer.put(
             "command",
             now,
-            began,
-            now - began,
-            store,
-            plan,
-            category,
-            operation,
-            units,
-            legs,
-            tries,
-            final,
-            why,
+            command.began,
+            now - command.began,
+            command.volume,
+            command.service_plan,
+            command.request_class,
+            command.operation,
+            command.units,
+            command.requests,
+            command.attempts,
+            command.answer,
+            command.reason,
         )
--- a/milletsill/trace/records.py
+++ b/milletsill/trace/records.py
@@ -1,7 +1,9 @@
-"""Kinds of records and their fields. The numbers are the file's: they never change meaning within a major version.
+"""Kinds of trace records, their fields, and the header of a block.
 
-A field is an integer, a float or a text; how it is coded stands beside it: `step` (differences between neighbours), `plain`,
-`float`, `text` (a dictionary of the block). Times are whole tenths of a millisecond of the writer's clock.
+The numbers of kinds and the places of fields are those of the file: they never change
+their meaning within a major version. A field is an integer, a float or a text; how it
+is coded stands beside it. Times are whole tenths of a millisecond of the writer's
+clock.
 """
 
 from __future__ import annotations
@@ -10,72 +12,103 @@
 from struct import Struct
 from typing import Any
 
-STEP, PLAIN, FLOAT, TEXT = 1, 2, 3, 4
-BLOCK_HEAD = Struct("<4sIIIqqI32sI")
+TICKS_PER_SECOND = 10_000
+
+# Codings of columns: differences between neighbours, plain integers, floats, and texts
+# by a dictionary of the block.
+STEP = 1
+PLAIN = 2
+FLOAT = 3
+TEXT = 4
+MAX_TEXT_BYTES = 4096
+
+BLOCK_HEADER = Struct("<4sIIIqqI32sI")
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One kind of record: its number, name, and fields as (name, coding); a field's number is its place from 1."""
+class RecordKind:
+    """One kind of record.
+
+    Attributes:
+        number: the kind's number in the file.
+        name: its name.
+        fields: name and coding of each field; a field's number is its place from 1.
+    """
 
     number: int
     name: str
     fields: tuple[tuple[str, int], ...]
 
 
-Row = tuple[int, Kind, tuple[Any, ...]]  # time, kind, values of its fields
+# A record: its time, its kind, and the values of its fields. A plain tuple, since the
+# gateway makes several for each request.
+TraceRecord = tuple[int, RecordKind, tuple[Any, ...]]
 
 
 @dataclass(frozen=True, slots=True)
-class BlockHead:
-    """What stands before a block's body. `offset` is of the head, `size` of the body."""
+class BlockHeader:
+    """What stands before the body of a block.
+
+    Attributes:
+        offset: where the header begins in the file.
+        body_size: bytes of the body, compressed.
+        raw_size: bytes of the body, unpacked; 0 where only the footer was read.
+        record_count: records in the block.
+        first_time: the earliest time of a record.
+        last_time: the latest time of a record.
+        body_crc: CRC-32 of the compressed body; 0 where only the footer was read.
+        volume_filter: a Bloom filter of the volumes in the block, 32 bytes.
+    """
 
     offset: int
-    size: int
-    raw: int
-    records: int
-    first: int
-    last: int
-    crc: int
-    stores: bytes
+    body_size: int
+    raw_size: int
+    record_count: int
+    first_time: int
+    last_time: int
+    body_crc: int
+    volume_filter: bytes
 
     @property
     def end(self) -> int:
-        return self.offset + BLOCK_HEAD.size + self.size
+        """Where the block ends in the file."""
+        return self.offset + BLOCK_HEADER.size + self.body_size
 
 
-def _kind(number: int, name: str, fields: str) -> Kind:
+def _kind(number: int, name: str, fields: str) -> RecordKind:
+    """Make a kind from `name:coding` pairs, the coding by its first letter."""
     codes = {"s": STEP, "p": PLAIN, "f": FLOAT, "t": TEXT}
-    return Kind(
+    return RecordKind(
         number, name, tuple((each[:-2], codes[each[-1]]) for each in fields.split())
     )
 
 
 KINDS = (
-    # What the module was told.
+    # Events of the scheduler.
     _kind(
         1,
         "arrival",
-        "transfer:s extent:p volume:p store:t gateways:p category:p plan:p repeat:p write:p cell:p "
-        "units:f ends:s path:t",
+        "transfer:s extent:p volume:p store:t gateways:p category:p plan:p repeat:p "
+        "write:p cell:p units:f ends:s path:t",
     ),  # cell -1: a new object
     _kind(
         2,
         "outcome",
-        "transfer:s number:p node:p outcome:t over:p latency:p used:p elsewhere:p report:t",
-    ),  # used -1: not told
+        "transfer:s number:p node:p outcome:t over:p latency:p used:p elsewhere:p "
+        "report:t",
+    ),  # used -1: not reported
     _kind(3, "abandoned", "transfer:s"),
     _kind(
         4, "woken", "wake:s"
-    ),  # the number of the wake that rings, as `wake` counts them
+    ),  # the number of the timer that fired, as `wake` counts them
     _kind(5, "settled", ""),
     _kind(6, "listed", "news:t count:p"),
     _kind(
         7,
         "listing",
         "node:p readiness:t size:f machine:p zone:p since:p known:p cell:p",
-    ),  # lines of the listed before
-    # What it did.
+    ),  # entries of the `listed` before
+    # Effects of the scheduler.
     _kind(16, "dispatch", "transfer:s node:p timeout:p"),
     _kind(17, "declined", "transfer:s pause:p"),
     _kind(18, "aborted", "transfer:s"),
@@ -83,7 +116,7 @@
     _kind(20, "wake", "at:s"),
     _kind(21, "watch", ""),
     _kind(22, "remark", "text:t"),
-    # What the writer says of itself.
+    # The writer's own records.
     _kind(
         32, "gap", "kind:p lost:p since:s"
     ),  # records of a kind that were shed, and from when on
@@ -91,38 +124,37 @@
     _kind(
         34, "satisfied", "transfer:s latency:p"
     ),  # of 1.0; since 1.1 `over` of an outcome says it
-    # Since 1.1: what a client asked for and got; stands at its answer, `why` tells what declined it.
+    # Since 1.1: what a client asked for and got, recorded at its answer.
     _kind(
         35,
         "command",
-        "began:s span:p store:t plan:p category:p operation:t units:f legs:p tries:p final:t why:t",
+        "began:s span:p store:t plan:p category:p operation:t units:f legs:p tries:p "
+        "final:t why:t",
     ),
     _kind(36, "fetch", ""),
     _kind(
         38, "part", "what:t id:p share:f ends:s after:f"
-    ),  # an input; share -1: the even part again
+    ),  # an event; share -1: the even share
     _kind(37, "probe", "node:p"),
-    _kind(39, "advised", "node:p strain:f away:p until:s"),  # an input; since 1.2
+    _kind(39, "advised", "node:p strain:f away:p until:s"),  # an event; since 1.2
 )
 BY_NUMBER = {each.number: each for each in KINDS}
 BY_NAME = {each.name: each for each in KINDS}
-# Where a kind tells its store, and which kinds tell of a transfer by their first field.
-STORE_PLACE = {
-    each.number: place
-    for each in KINDS
-    for place, (name, _) in enumerate(each.fields)
-    if name == "store"
-}
-CATEGORY_PLACE = {
-    each.number: place
-    for each in KINDS
-    for place, (name, _) in enumerate(each.fields)
-    if name == "category"
-}
-BY_TRANSFER = frozenset(
-    each.number for each in KINDS if each.fields and each.fields[0][0] == "transfer"
+
+
+def _field_places(field: str) -> dict[int, int]:
+    """Return the place of a field's value in each kind that has it, by kind number."""
+    return {
+        kind.number: place
+        for kind in KINDS
+        for place, (name, _) in enumerate(kind.fields)
+        if name == field
+    }
+
+
+VOLUME_PLACE = _field_places("store")
+REQUEST_CLASS_PLACE = _field_places("category")
+# Kinds that name a request by their first field.
+REQUEST_KINDS = frozenset(
+    kind.number for kind in KINDS if kind.fields and kind.fields[0][0] == "transfer"
 )
-FINALS = frozenset(
-    ("declined", "aborted", "abandoned")
-)  # beside an outcome that is over
-MOST_TEXT = 4096
--- /dev/null
+++ b/milletsill/trace/time_argument.py
@@ -0,0 +1,58 @@
+"""What a time on the command line means on a trace's clock."""
+
+from __future__ import annotations
+
+from datetime import UTC, datetime
+
+from milletsill.errors import InvalidValue
+from milletsill.trace.records import TICKS_PER_SECOND
+
+TICKS_PER_MILLISECOND = 10
+TICKS_PER_UNIT = {
+    "s": TICKS_PER_SECOND,
+    "m": 60 * TICKS_PER_SECOND,
+    "h": 3600 * TICKS_PER_SECOND,
+}
+
+
+class InvalidTime(InvalidValue):
+    """A text on the command line that is no time."""
+
+    remedy = (
+        "give tenths of a millisecond, +90s, +5m or +1h after the opening, or ISO 8601"
+    )
+
+
+def parse_time(text: str, opened: int, wall_ms: int) -> int:
+    """Return a time on the writer's clock, in tenths of a millisecond.
+
+    `text` is a time on that clock, `+90s` after the file's opening, or ISO 8601 wall
+    time (UTC where it names no zone). `opened` and `wall_ms` are those of the header.
+
+    Raises:
+        InvalidTime: where it is none of these.
+    """
+    if text.lstrip("-").isdecimal():
+        return int(text)
+    if text.startswith("+"):
+        return opened + parse_span(text)
+    try:
+        at = datetime.fromisoformat(text)
+    except ValueError:
+        raise InvalidTime(
+            f"{text!r} is no time: tenths of a millisecond, +90s or ISO 8601"
+        ) from None
+    if at.tzinfo is None:
+        at = at.replace(tzinfo=UTC)
+    wall = round(at.timestamp() * TICKS_PER_SECOND)
+    return opened + wall - wall_ms * TICKS_PER_MILLISECOND
+
+
+def parse_span(text: str) -> int:
+    """Return the ticks of a span such as `+90s`; seconds where it names no unit."""
+    unit = TICKS_PER_UNIT.get(text[-1:])
+    number = text[1:-1] if unit else text[1:]
+    try:
+        return int(float(number) * (unit or TICKS_PER_SECOND))
+    except (ValueError, OverflowError):
+        raise InvalidTime(f"{text!r} is no span such as +90s, +5m, +1h") from None
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -1,267 +1,340 @@
 """Writes traces from a thread of its own; who hands records over never waits.
 
-`Writer.put` is called by the reactor's thread and only appends to a bounded list. The thread forms blocks, writes and syncs
-them, ends files by size and age, and deletes the oldest past the total. A disk that refuses ends the file at hand.
+`TraceWriter.put` is called by the reactor's thread and only appends to a bounded queue.
+The writer's thread forms blocks, writes and syncs them, ends files by size and age, and
+deletes the oldest past the total. A disk that refuses ends the file at hand.
 """
 
 from __future__ import annotations
 
+import contextlib
 import os
 import threading
 import time
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, BinaryIO
 
 from milletsill.errors import StateNotStored
-from milletsill.trace import format
+from milletsill.trace.file_format import (
+    decode_block_header,
+    encode_block,
+    encode_footer,
+    encode_header,
+)
 from milletsill.trace.recording_policy import (
-    MOST_AGE,
-    MOST_ROWS,
-    SECOND,
-    Shed,
-    Stores,
-    Tracing,
-    Word,
-    block_ends,
-    file_ends,
-    retry_after,
-    room,
-    step,
-    to_delete,
+    MAX_BLOCK_AGE,
+    MAX_BLOCK_RECORDS,
+    ShedRecords,
+    WriterEffect,
+    WriterEvent,
+    WriterState,
+    block_is_due,
+    file_is_due,
+    files_to_delete,
+    next_state,
+    queue_limit,
+    retry_delay,
+)
+from milletsill.trace.records import (
+    BY_NAME,
+    TICKS_PER_SECOND,
+    BlockHeader,
+    TraceRecord,
 )
-from milletsill.trace.records import BY_NAME, BlockHead, Row
+from milletsill.trace.volume_index import VolumeIndexBuilder
 
-LOOK, SUFFIX = 0.1, ".mtrace"
+POLL_SECONDS = 0.1
+FILE_SUFFIX = ".mtrace"
+DEFAULT_STOP_SECONDS = 5.0
 
 
 class TraceNotStored(StateNotStored):
     """A trace that the disk does not take."""
 
-    remedy = "make room or mend the disk of trace.folder; traffic goes on, and tracing in a new file once it is taken again"
+    remedy = (
+        "make room or mend the disk of trace.folder; traffic goes on, and tracing in a "
+        "new file once it is taken again"
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class TraceWriterSettings:
+    """Where a writer writes, and its bounds. Times are tenths of a millisecond.
+
+    Attributes:
+        folder: where the files stand; made where it is missing.
+        name: the gateway's name, with which the files' names begin.
+        max_queued: records that may wait for the writer's thread.
+        max_file_bytes: size at which a file is ended.
+        max_file_age: age at which a file is ended.
+        max_total_bytes: bytes of all files of this gateway; the oldest are deleted.
+        sync: when files are synced: `blocks`, `files` or `never`.
+        max_block_age: age at which a block is written.
+    """
+
+    folder: str
+    name: str
+    max_queued: int = 200_000
+    max_file_bytes: int = 64 << 20
+    max_file_age: int = 3600 * TICKS_PER_SECOND
+    max_total_bytes: int = 1 << 30
+    sync: str = "blocks"
+    max_block_age: int = MAX_BLOCK_AGE
+
 
+class TraceWriter:
+    """Writes one gateway's traces in one folder.
 
-class Writer:
-    """One gateway's traces in one folder. `about` goes into each file's header; `remark` gets one line for the log, from
-    the writer's thread; `now` is the gateway's clock.
+    `header` goes into the header of each file, `now` is the gateway's clock, and `log`
+    gets one line for the log, from the writer's thread.
+
+    Attributes:
+        path: the file that is being written, or was last.
+        state: whether records are written.
+        records_written: records in files.
+        records_shed: records that were not taken, or lost with a file.
     """
 
     def __init__(
         self,
-        folder: str,
-        name: str,
-        about: dict[str, Any],
+        settings: TraceWriterSettings,
+        header: dict[str, Any],
         now: Callable[[], int],
-        remark: Callable[[str], None],
-        most_held: int = 200_000,
-        most_bytes: int = 64 << 20,
-        most_age: int = 3600 * SECOND,
-        most_total: int = 1 << 30,
-        sync: str = "blocks",
-        block_age: int = MOST_AGE,
+        log: Callable[[str], None],
     ) -> None:
-        self.folder, self.name, self.about, self.now, self.remark = (
-            folder,
-            name,
-            about,
-            now,
-            remark,
-        )
-        self.most_held, self.most_bytes, self.most_age = most_held, most_bytes, most_age
-        self.most_total, self.sync, self.block_age = most_total, sync, block_age
-        self.held: deque[Row] = deque()
+        self.settings = settings
+        self.header = header
+        self.now = now
+        self.log = log
+        self.queue: deque[TraceRecord] = deque()
         self.kinds = {
-            name: (kind, room(name, most_held)) for name, kind in BY_NAME.items()
+            name: (kind, queue_limit(name, settings.max_queued))
+            for name, kind in BY_NAME.items()
         }
-        self.over = False
-        self.shed: dict[str, Shed] = {}
-        self.rows: list[Row] = []
-        self.heads: list[BlockHead] = []
-        self.stores = Stores()
-        self.sink: Any = None
-        self.path, self.size, self.opened, self.count = "", 0, 0, 0
-        self.tracing, self.failures, self.retry_at = Tracing.OFF, 0, 0
-        self.written = self.lost = 0
-        self.ending = threading.Event()
+        self.closed = False
+        self.shed: dict[str, ShedRecords] = {}
+        self.state = WriterState.STOPPED
+        self.failures = 0
+        self.retry_at = 0
+        self.records_written = 0
+        self.records_shed = 0
+        self.block: list[TraceRecord] = []
+        self.file: BinaryIO | None = None
+        self.path = ""
+        self.file_size = 0
+        self.file_opened = 0
+        self.files_opened = 0
+        self.blocks: list[BlockHeader] = []
+        self.volume_index = VolumeIndexBuilder()
+        self.stopping = threading.Event()
         self.thread = threading.Thread(
-            target=self.run, name=f"trace-{name}", daemon=True
+            target=self.run, name=f"trace-{settings.name}", daemon=True
         )
 
+    # --- Called by the reactor's thread.
+
     def start(self) -> None:
-        self.word(Word.START)
+        """Open the first file and start the thread."""
+        self.on_event(WriterEvent.START)
         self.thread.start()
 
     def put(self, name: str, at: int, *values: Any) -> None:
-        """One record; shed and counted where the hand-over is too full for its kind, tracing ails or has ended."""
-        kind, most = self.kinds[name]
-        if len(self.held) >= most or self.tracing is Tracing.AILING or self.over:
-            self.lost += 1
-            self.shed.setdefault(name, Shed()).add(at)
+        """Queue one record.
+
+        It is shed and counted where the queue is too full for its kind, the disk
+        refuses or the writer is stopping.
+        """
+        kind, limit = self.kinds[name]
+        if (
+            len(self.queue) >= limit
+            or self.state is WriterState.SUSPENDED
+            or self.closed
+        ):
+            self.records_shed += 1
+            self.shed.setdefault(name, ShedRecords()).add(at)
             return
-        gone = (
-            self.shed.pop(name, None) if self.shed else None
-        )  # the thread may take it at the same moment
-        if gone is not None:
-            self.held.append(
-                (at, BY_NAME["gap"], (kind.number, gone.count, gone.since))
-            )
-        self.held.append((at, kind, values))
-
-    def stop(self, within: float = 5.0) -> None:
-        """Write what is held, end the file; give up after so many seconds."""
-        self.over = True
-        self.ending.set()
+        # The writer's thread may take the entry at the same moment.
+        shed = self.shed.pop(name, None) if self.shed else None
+        if shed is not None:
+            gap = (kind.number, shed.count, shed.since)
+            self.queue.append((at, BY_NAME["gap"], gap))
+        self.queue.append((at, kind, values))
+
+    def stop(self, timeout: float = DEFAULT_STOP_SECONDS) -> None:
+        """Write what is queued and end the file; give up after so many seconds."""
+        self.closed = True
+        self.stopping.set()
         if self.thread.is_alive():
-            self.thread.join(within)
+            self.thread.join(timeout)
 
-    # The thread.
+    # --- The writer's thread.
 
     def run(self) -> None:
-        while not self.ending.wait(LOOK):
-            self.look()
-        self.look()
-        if self.tracing is Tracing.ON:
-            self.flush_gaps()
-            self.guarded(self.end_block)
-        self.word(Word.STOP)
-
-    def look(self) -> None:
-        """What has come since, and what is due."""
+        """Write what is queued until the writer is stopped, then end the file."""
+        while not self.stopping.wait(POLL_SECONDS):
+            self.poll()
+        self.poll()
+        if self.state is WriterState.WRITING:
+            self.add_gaps()
+            self.try_to(self.write_block)
+        self.on_event(WriterEvent.STOP)
+
+    def poll(self) -> None:
+        """Take what is queued, and write the blocks and end the file that are due."""
         now = self.now()
-        if self.tracing is Tracing.AILING and now >= self.retry_at:
-            self.word(Word.RETRY)
-        while self.held and self.tracing is Tracing.ON:
-            self.rows.append(self.held.popleft())
-            if len(self.rows) >= MOST_ROWS:
-                self.guarded(self.end_block)
-        if self.tracing is Tracing.ON and block_ends(
-            len(self.rows), self.rows[0][0] if self.rows else 0, now, self.block_age
-        ):
-            self.guarded(self.end_block)
-        if (
-            self.tracing is Tracing.ON
-            and self.heads
-            and file_ends(self.size, self.opened, now, self.most_bytes, self.most_age)
-        ):
-            self.guarded(self.turn_over)
+        if self.state is WriterState.SUSPENDED and now >= self.retry_at:
+            self.on_event(WriterEvent.RETRY_DUE)
+        while self.queue and self.state is WriterState.WRITING:
+            self.block.append(self.queue.popleft())
+            if len(self.block) >= MAX_BLOCK_RECORDS:
+                self.try_to(self.write_block)
+        if self.state is WriterState.WRITING and self.block_is_due(now):
+            self.try_to(self.write_block)
+        if self.state is WriterState.WRITING and self.file_is_due(now):
+            self.try_to(self.rotate)
+
+    def block_is_due(self, now: int) -> bool:
+        """Whether the block at hand is to be written."""
+        first_time = self.block[0][0] if self.block else 0
+        return block_is_due(
+            len(self.block), first_time, now, self.settings.max_block_age
+        )
+
+    def file_is_due(self, now: int) -> bool:
+        """Whether the file at hand holds blocks and is to be ended."""
+        return bool(self.blocks) and file_is_due(
+            self.file_size,
+            self.file_opened,
+            now,
+            self.settings.max_file_bytes,
+            self.settings.max_file_age,
+        )
 
-    def flush_gaps(self) -> None:
-        """What was shed and not yet told stands at the end."""
+    def add_gaps(self) -> None:
+        """Record what was shed and has no `gap` yet, at the end of a file."""
         now = self.now()
         for name in list(self.shed):
-            gone = self.shed.pop(name, None)
-            if gone is not None:
-                self.rows.append(
-                    (
-                        now,
-                        BY_NAME["gap"],
-                        (BY_NAME[name].number, gone.count, gone.since),
-                    )
-                )
-
-    def word(self, word: Word) -> None:
-        """Read the table and act."""
-        self.tracing, effect = step(self.tracing, word)
-        if effect == "open":
-            self.guarded(self.open)
-        elif effect == "finish":
-            self.guarded(self.finish)
-        elif effect == "give_up":
-            self.retry_at = self.now() + retry_after(self.failures)
-            self.failures += 1
-            self.lost += len(self.rows)
-            for at, kind, _ in self.rows:
-                self.shed.setdefault(kind.name, Shed()).add(at)
-            self.rows, self.heads = [], []
-            sink, self.sink = self.sink, None
-            if sink is not None:
-                try:
-                    sink.close()
-                except OSError:
-                    pass
-
-    def guarded(self, call: Callable[[], None]) -> None:
-        """Whatever the disk refuses ends the file, never the program."""
+            shed = self.shed.pop(name, None)
+            if shed is not None:
+                gap = (BY_NAME[name].number, shed.count, shed.since)
+                self.block.append((now, BY_NAME["gap"], gap))
+
+    def on_event(self, event: WriterEvent) -> None:
+        """Change the state by the table and do what it asks for."""
+        self.state, effect = next_state(self.state, event)
+        if effect is WriterEffect.OPEN_FILE:
+            self.try_to(self.open)
+        elif effect is WriterEffect.FINISH_FILE:
+            self.try_to(self.finish)
+        elif effect is WriterEffect.ABANDON_FILE:
+            self.abandon()
+
+    def abandon(self) -> None:
+        """Leave the file as it is and count the block at hand as shed."""
+        self.retry_at = self.now() + retry_delay(self.failures)
+        self.failures += 1
+        self.records_shed += len(self.block)
+        for at, kind, _ in self.block:
+            self.shed.setdefault(kind.name, ShedRecords()).add(at)
+        self.block = []
+        self.blocks = []
+        file = self.file
+        self.file = None
+        if file is not None:
+            with contextlib.suppress(OSError):
+                file.close()
+
+    def try_to(self, action: Callable[[], None]) -> None:
+        """Do something with the disk; what it refuses ends the file, no more."""
         try:
-            call()
+            action()
         except OSError as error:
             if not self.failures:
-                self.remark(
-                    f"tracing stops: {TraceNotStored(error.strerror or str(error), self.folder).describe()}"
-                )
-            self.word(Word.FAILED)
+                reason = error.strerror or str(error)
+                refusal = TraceNotStored(reason, self.settings.folder)
+                self.log(f"tracing stops: {refusal.describe()}")
+            self.on_event(WriterEvent.WRITE_FAILED)
 
     def open(self) -> None:
-        """A new file, never one that is there; what would be past the total goes."""
-        os.makedirs(self.folder, exist_ok=True)
-        self.prune()
-        while True:
-            self.count += 1
-            stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
-            self.path = os.path.join(
-                self.folder, f"{self.name}-{stamp}-{self.count:06d}{SUFFIX}"
-            )
-            try:
-                self.sink = open(self.path, "xb", buffering=0)
-                break
-            except FileExistsError:
-                continue
-        header = format.put_header(
-            {**self.about, "opened": self.now(), "wall_ms": int(time.time() * 1000)}
+        """Open a new file, never one that is there, and delete what is past the total.
+
+        Raises:
+            OSError: where the disk refuses.
+        """
+        os.makedirs(self.settings.folder, exist_ok=True)
+        self.delete_oldest()
+        self.file = self.create_file()
+        header = encode_header(
+            {**self.header, "opened": self.now(), "wall_ms": int(time.time() * 1000)}
         )
         self.write(header)
-        self.size, self.opened, self.heads, self.stores = (
-            len(header),
-            self.now(),
-            [],
-            self.stores.next_file(),
-        )
+        self.file_size = len(header)
+        self.file_opened = self.now()
+        self.blocks = []
+        self.volume_index = self.volume_index.next_file()
         if self.failures:
-            self.remark(f"tracing goes on: {self.path}")
+            self.log(f"tracing goes on: {self.path}")
         self.failures = 0
 
-    def write(self, data: bytes, last: bool = False) -> None:
-        """All of it, synced where set."""
+    def create_file(self) -> BinaryIO:
+        """Create the next file that is not there yet."""
+        while True:
+            self.files_opened += 1
+            stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
+            name = f"{self.settings.name}-{stamp}-{self.files_opened:06d}{FILE_SUFFIX}"
+            self.path = os.path.join(self.settings.folder, name)
+            with contextlib.suppress(FileExistsError):
+                return open(self.path, "xb", buffering=0)
+
+    def write(self, data: bytes, is_last: bool = False) -> None:
+        """Write all of it, and sync it where set."""
+        assert self.file is not None
         view = memoryview(data)
         while view:
-            view = view[self.sink.write(view) :]
-        if self.sync == "blocks" or self.sync == "files" and last:
-            os.fsync(self.sink.fileno())
+            view = view[self.file.write(view) :]
+        sync = self.settings.sync
+        if sync == "blocks" or (sync == "files" and is_last):
+            os.fsync(self.file.fileno())
 
-    def end_block(self) -> None:
-        if not self.rows:
+    def write_block(self) -> None:
+        """Write the block at hand, if it holds anything."""
+        if not self.block:
             return
-        rows = self.rows
-        data = format.put_block(rows, self.stores.touched(rows))
+        records = self.block
+        data = encode_block(records, self.volume_index.add_block(records))
         self.write(data)
-        self.rows = []
-        self.heads.append(format.get_head(data, self.size))
-        self.size += len(data)
-        self.written += len(rows)
+        self.block = []
+        self.blocks.append(decode_block_header(data, self.file_size))
+        self.file_size += len(data)
+        self.records_written += len(records)
 
-    def turn_over(self) -> None:
-        self.end_block()
+    def rotate(self) -> None:
+        """End the file and open the next one."""
+        self.write_block()
         self.finish()
         self.open()
 
     def finish(self) -> None:
-        """The index, and the end of the file."""
-        if self.sink is not None:
-            self.write(
-                format.put_footer(self.heads, self.size, self.stores.blocks), last=True
-            )
-            self.sink.close()
-            self.sink = None
-
-    def prune(self) -> None:
-        """The oldest files of this gateway go while the total is passed."""
+        """Write the footer and close the file."""
+        if self.file is None:
+            return
+        footer = encode_footer(self.blocks, self.file_size, self.volume_index.blocks)
+        self.write(footer, is_last=True)
+        self.file.close()
+        self.file = None
+
+    def delete_oldest(self) -> None:
+        """Delete the oldest files of this gateway while they pass the total."""
+        folder = self.settings.folder
         names = sorted(
-            each
-            for each in os.listdir(self.folder)
-            if each.startswith(f"{self.name}-") and each.endswith(SUFFIX)
+            name
+            for name in os.listdir(folder)
+            if name.startswith(f"{self.settings.name}-") and name.endswith(FILE_SUFFIX)
         )
-        files = [
-            (each, os.path.getsize(os.path.join(self.folder, each))) for each in names
-        ]
-        for each in to_delete(files + [("", 0)], self.most_total):
-            os.unlink(os.path.join(self.folder, each))
+        files = [(name, os.path.getsize(os.path.join(folder, name))) for name in names]
+        # The file that is about to be opened is the newest.
+        files.append(("", 0))
+        for name in files_to_delete(files, self.settings.max_total_bytes):
+            os.unlink(os.path.join(folder, name))
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -20,7 +20,12 @@
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order, Verdict
 from milletsill.sftp.wire import Attrs
-from milletsill.trace.reckoning import Claim, Done, parted, reckon
+from milletsill.trace.service_accounting import (
+    VolumeEntitlement,
+    CompletedOperation,
+    share_by_weight,
+    total_service,
+)
 
 SHORT = """
 name: "short" seed: 3 seconds: 5 tail_s: 3 edges: 2 files: 4 file_units: 8
@@ -341,12 +346,14 @@
 
 
 class Services(unittest.TestCase):
-    def reckon(self, *rows, claims=(Claim(2, 1), Claim(0, 1)), power=10):
+    def reckon(
+        self, *rows, claims=(VolumeEntitlement(2, 1), VolumeEntitlement(0, 1)), power=10
+    ):
         done = [
-            Done(0, volume, "c", units, 1.0, counts, late)
+            CompletedOperation(0, volume, "c", units, 1.0, counts, late)
             for volume, units, counts, late in rows
         ]
-        return reckon(done, claims, power, 1, 0.5, 0.1)[""]
+        return total_service(done, claims, power, 1, 0.5, 0.1)[""]
 
     def test_inside_the_reserve_counts_in_full(self):
         self.assertEqual(self.reckon((0, 2, 1.0, False)), (2.0, 2.0))
@@ -362,8 +369,10 @@
         self.assertAlmostEqual(counted, 0.2 * 3 * 0.5)
 
     def test_spare_power_goes_by_weight_and_none_gets_more_than_it_asks(self):
-        got = parted(
-            {0: 1.0, 1: 100.0, 2: 100.0}, [Claim(0, 1), Claim(0, 1), Claim(0, 3)], 9.0
+        got = share_by_weight(
+            {0: 1.0, 1: 100.0, 2: 100.0},
+            [VolumeEntitlement(0, 1), VolumeEntitlement(0, 1), VolumeEntitlement(0, 3)],
+            9.0,
         )
         self.assertEqual([round(got[each], 6) for each in range(3)], [1.0, 2.0, 6.0])
 
--- a/tests/trace/test_gateway_trace.py
+++ b/tests/trace/test_gateway_trace.py
@@ -12,20 +12,20 @@
 from twisted.internet import reactor
 from twisted.trial.unittest import TestCase
 
+from milletsill.deployment_config import from_stored
 from milletsill.interface import (
+    AttemptOutcome,
     AttemptResult,
-    Request,
     Endpoint,
     EndpointUpdateKind,
-    AttemptOutcome,
     Readiness,
+    Request,
 )
-from milletsill.deployment_config import from_stored
 from milletsill.scheduler import Scheduler
 from milletsill.sftp import packets
-from milletsill.trace.reader import Trace, verify
-from milletsill.trace.recorder import Recorder
-from milletsill.trace.recording_policy import Verdict
+from milletsill.trace.reader import FileState, TraceReader
+from milletsill.trace.recorder import TraceRecorder
+from milletsill.trace.repair import verify
 from tests.support.sftp_gateway_rig import Rig, later
 
 
@@ -187,9 +187,9 @@
                 self.port.reject(1, 7 if what == "x" else 0)
 
         held, port = Held(), Again()
-        recorder = Recorder(held, ["shop"])
-        told = recorder.around(Module)({}, 1, 0, port)
-        recorder.path("/p")
+        recorder = TraceRecorder(held, ["shop"])
+        told = recorder.wrap(Module)({}, 1, 0, port)
+        recorder.set_next_path("/p")
         told.on_request(10, Request(1, 2, 1, 1, 0, 0, False, True, None, 1.0, 99))
         told.on_timer(19, port.wakes[0])
         self.assertEqual(
@@ -209,7 +209,7 @@
 
     def test_a_store_without_a_name_stands_by_its_number(self):
         held = Held()
-        told = Recorder(held, []).around(lambda *_: Mock())({}, 1, 0, Again())
+        told = TraceRecorder(held, []).wrap(lambda *_: Mock())({}, 1, 0, Again())
         told.on_request(10, Request(1, 2, 77, 1, 0, 0, False, True, 4, 1.0, 99))
         self.assertEqual(held.rows[0][2][3], "77")
 
@@ -245,10 +245,10 @@
         await self.traffic(rig, edge)
         edge.stop()
         files = self.files()
-        self.assertEqual([verify(each).verdict for each in files], [Verdict.WHOLE])
-        with Trace(files[0]) as trace:
-            rows = [(at, kind.name, values) for at, kind, values in trace.rows()]
-            about = trace.map.about
+        self.assertEqual([verify(each).state for each in files], [FileState.WHOLE])
+        with TraceReader(files[0]) as trace:
+            rows = [(at, kind.name, values) for at, kind, values in trace.records()]
+            about = trace.contents.header
         counts = Counter(kind for _, kind, _ in rows)
         self.assertEqual(counts["command"], 61)
         self.assertGreaterEqual(counts["arrival"], 61)
@@ -281,18 +281,18 @@
             sink.write("in the way")
         edge = await rig.edge()
         await self.traffic(rig, edge, 5)
-        edge.traces.look()
-        self.assertGreater(edge.traces.writer.lost, 0)
+        edge.traces.update_metrics()
+        self.assertGreater(edge.traces.trace_writer.records_shed, 0)
         self.assertEqual(rig.log.getvalue().count("tracing stops"), 1)
         os.unlink(rig.file.trace.folder)
-        edge.traces.writer.retry_at = 0
+        edge.traces.trace_writer.retry_at = 0
         await later(0.4)
         await self.traffic(rig, edge, 5)
         edge.stop()
         kinds = Counter()
         for each in glob.glob(f"{self.folder}/file/*.mtrace"):
-            with Trace(each) as trace:
-                kinds.update(kind.name for _, kind, _ in trace.rows())
+            with TraceReader(each) as trace:
+                kinds.update(kind.name for _, kind, _ in trace.records())
         self.assertEqual(kinds["command"], 11)
         self.assertGreater(kinds["gap"], 0)
 
--- a/tests/trace/test_trace_tools.py
+++ b/tests/trace/test_trace_tools.py
@@ -15,20 +15,24 @@
 
 from milletsill.cli.main import main
 from milletsill.lab.wire import Kept, Recorded
-from milletsill.trace import format, tools
-from milletsill.trace.format import MalformedTrace
-from milletsill.trace.reader import Trace, repair, verify
-from milletsill.trace.recording_policy import (
-    MOST_FOLLOWED,
-    MOST_INDEXED,
-    TOLERATED,
-    Stores,
-    InvalidTime,
-    Verdict,
-    align,
-    moment,
+from milletsill.trace import file_format
+from milletsill.trace.anonymise import anonymise_trace
+from milletsill.trace.clock_alignment import TOLERATED_OFFSET, align_clocks
+from milletsill.trace.convert import convert_trace
+from milletsill.trace.cut import cut_trace
+from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.merge import MAX_OPEN_FILES, merge_traces
+from milletsill.trace.reader import FileState, TraceReader
+from milletsill.trace.record_filter import RecordFilter
+from milletsill.trace.records import BLOCK_HEADER, BY_NAME, KINDS
+from milletsill.trace.repair import repair, verify
+from milletsill.trace.time_argument import InvalidTime, parse_time
+from milletsill.trace.trace_file import TraceFile
+from milletsill.trace.volume_index import (
+    MAX_INDEXED_VOLUMES,
+    MAX_TRACKED_REQUESTS,
+    VolumeIndexBuilder,
 )
-from milletsill.trace.records import BY_NAME, KINDS
 from milletsill.wirehost.host import serve
 from tests.fixtures.make_trace import put_all
 from tests.support.paths import FIXTURES
@@ -70,34 +74,37 @@
 class Decided(unittest.TestCase):
     def test_a_clock_that_is_seconds_off_is_set_by_the_news_that_it_shares(self):
         news = [{"a": 100, "b": 900}, {"a": 120, "b": 940}, {"a": 50_110, "b": 50_920}]
-        (first, _), (second, _), (third, off) = align([0, 0, 0], news)
+        (first, _), (second, _), (third, off) = align_clocks([0, 0, 0], news)
         self.assertEqual((first, second), (0, 0))
         self.assertAlmostEqual(third, -49_985, delta=30)
         self.assertLessEqual(off, 30)
 
     def test_what_the_news_own_way_explains_is_left_alone(self):
         self.assertEqual(
-            align([0, 0], [{"a": 0}, {"a": TOLERATED}]), [(0, TOLERATED // 2)] * 2
+            align_clocks([0, 0], [{"a": 0}, {"a": TOLERATED_OFFSET}]),
+            [(0, TOLERATED_OFFSET // 2)] * 2,
         )
 
     def test_a_file_that_shares_nothing_keeps_its_wall_clock_and_says_so(self):
-        self.assertEqual(align([0, 5], [{"a": 0}, {"b": 7}]), [(0, None), (0, None)])
+        self.assertEqual(
+            align_clocks([0, 5], [{"a": 0}, {"b": 7}]), [(0, None), (0, None)]
+        )
 
     def test_two_of_three_clocks_outvote_the_third(self):
-        corrected = align([0, 0, 70_000], [{"a": 1, "b": 2}] * 3)
+        corrected = align_clocks([0, 0, 70_000], [{"a": 1, "b": 2}] * 3)
         self.assertEqual(corrected, [(0, 0), (0, 0), (-70_000, 0)])
 
     def test_times_on_the_command_line(self):
         self.assertEqual(
             [
-                moment(each, 500, 1_000_000)
+                parse_time(each, 500, 1_000_000)
                 for each in ("7", "+2", "+2s", "+1.5m", "+1h", "1970-01-01T00:16:41")
             ],
             [7, 20_500, 20_500, 900_500, 36_000_500, 500 + SECOND],
         )
         for each in ("soon", "+", "+xs", "", "+1e999h", "2026-13-01"):
             with self.assertRaises(InvalidTime, msg=each):
-                moment(each, 0, 0)
+                parse_time(each, 0, 0)
 
 
 class Files(unittest.TestCase):
@@ -110,20 +117,20 @@
         return os.path.join(self.folder, name)
 
     def trace(self, name, *blocks, **about):
-        sink = tools.Sink(
+        sink = TraceFile(
             self.out(name),
             {"name": name, "seed": 1, "opened": 0, "wall_ms": 0, **about},
         )
         for block in blocks:
             for row in block:
-                sink.put(row)
+                sink.append(row)
             sink.flush()
         sink.close()
         return self.out(name)
 
     def rows(self, path):
-        with Trace(path) as trace:
-            return list(trace.rows())
+        with TraceReader(path) as trace:
+            return list(trace.records())
 
 
 class Index(Files):
@@ -134,10 +141,12 @@
             [outcome(9, 1, 4)],
             [outcome(10, 2, 4)],
         )
-        with Trace(path) as trace:
-            self.assertEqual(trace.map.stores, {"a": [0, 1], "b": [0, 2]})
-            self.assertEqual([each.records for each in trace.heads("a")], [2, 1])
-            self.assertEqual(trace.heads("nobody"), [])
+        with TraceReader(path) as trace:
+            self.assertEqual(trace.contents.volume_blocks, {"a": [0, 1], "b": [0, 2]})
+            self.assertEqual(
+                [each.record_count for each in trace.blocks_of("a")], [2, 1]
+            )
+            self.assertEqual(trace.blocks_of("nobody"), [])
 
     def test_without_the_index_the_filters_tell_the_same(self):
         path = self.trace(
@@ -148,9 +157,11 @@
         )
         with open(path, "r+b") as sink:
             sink.truncate(os.path.getsize(path) - 5)
-        with Trace(path) as trace:
-            self.assertIsNone(trace.map.stores)
-            self.assertEqual([each.records for each in trace.heads("a")], [2, 1])
+        with TraceReader(path) as trace:
+            self.assertIsNone(trace.contents.volume_blocks)
+            self.assertEqual(
+                [each.record_count for each in trace.blocks_of("a")], [2, 1]
+            )
 
     def test_a_store_that_appears_once_is_found_by_reading_little(self):
         chance = Random(4)
@@ -168,33 +179,34 @@
         ]
         blocks[77].append(arrival(77 * SECOND + 100, 999_999, "rare"))
         path = self.trace("t", *blocks)
-        count, read = tools.cut(path, self.out(), store="rare")
-        self.assertEqual(count, 1)
-        self.assertLess(read, os.path.getsize(path) / 20)
+        made = cut_trace(path, self.out(), RecordFilter(volume="rare"))
+        self.assertEqual(made.records, 1)
+        self.assertLess(made.bytes_read, os.path.getsize(path) / 20)
 
     def test_a_repaired_file_has_the_index_made_anew(self):
         path = self.trace(
             "t", [arrival(1, 1, "a")], [arrival(2, 2, "b")], [outcome(9, 1, 4)]
         )
-        with Trace(path) as trace:
-            second = trace.map.heads[1]
+        with TraceReader(path) as trace:
+            second = trace.contents.blocks[1]
         with open(path, "r+b") as sink:
-            sink.seek(second.offset + format.BLOCK_HEAD.size + 3)
+            sink.seek(second.offset + BLOCK_HEADER.size + 3)
             sink.write(b"\xff\xff")
         repair(path, self.out())
-        with Trace(self.out()) as trace:
+        with TraceReader(self.out()) as trace:
             self.assertEqual(
-                (trace.map.stores, len(trace.map.heads)), ({"a": [0, 1]}, 2)
+                (trace.contents.volume_blocks, len(trace.contents.blocks)),
+                ({"a": [0, 1]}, 2),
             )
 
     def test_too_many_stores_give_up_the_index_and_nothing_else(self):
-        stores = Stores()
-        stores.touched(
-            [arrival(1, each, f"s{each}") for each in range(MOST_INDEXED + 1)]
+        stores = VolumeIndexBuilder()
+        stores.add_block(
+            [arrival(1, each, f"s{each}") for each in range(MAX_INDEXED_VOLUMES + 1)]
         )
         self.assertIsNone(stores.blocks)
-        self.assertEqual(format.put_stores(stores.blocks), b"")
-        self.assertLessEqual(len(stores.of), MOST_FOLLOWED)
+        self.assertEqual(file_format.encode_volume_index(stores.blocks), b"")
+        self.assertLessEqual(len(stores.request_volumes), MAX_TRACKED_REQUESTS)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=200))
@@ -205,11 +217,13 @@
 
         packed = zstandard.ZstdCompressor().compress(body)
         data = (
-            format.FOOTER_HEAD.pack(format.STORES, len(packed), zlib.crc32(packed))
+            file_format.SECTION_HEADER.pack(
+                file_format.VOLUMES_MAGIC, len(packed), zlib.crc32(packed)
+            )
             + packed
         )
         try:
-            format.get_stores(data)
+            file_format.decode_volume_index(data)
         except MalformedTrace as error:
             self.assertNotIn("\n", str(error))
 
@@ -230,14 +244,14 @@
             sink.write(held)
         try:
             found = verify(path)
-            list(tools.cut(path, path + ".cut", store="a"))
+            cut_trace(path, path + ".cut", RecordFilter(volume="a"))
         except MalformedTrace as error:
             self.assertNotIn("\n", str(error))
         else:
             self.assertTrue(
-                found.verdict is not Verdict.WHOLE
-                or len(found.heads) == 2
-                or found.breaks
+                found.state is not FileState.WHOLE
+                or len(found.blocks) == 2
+                or found.damage
             )
 
 
@@ -262,12 +276,12 @@
 
     def kept(self, **terms):
         out = self.out(str(len(os.listdir(self.folder))))
-        tools.cut(self.path, out, **terms)
+        cut_trace(self.path, out, RecordFilter(**terms))
         return [(row[1].name, row[2][0]) for row in self.rows(out)]
 
     def test_by_category(self):
         self.assertEqual(
-            self.kept(category=1),
+            self.kept(request_class=1),
             [
                 ("arrival", 2),
                 ("arrival", 3),
@@ -281,19 +295,20 @@
 
     def test_by_box_all_records_of_the_transfers_that_it_saw(self):
         self.assertEqual(
-            self.kept(box=8), [("arrival", 2), ("dispatch", 2), ("outcome", 2)]
+            self.kept(node=8), [("arrival", 2), ("dispatch", 2), ("outcome", 2)]
         )
 
     def test_by_all_at_once(self):
         self.assertEqual(
-            self.kept(store="b", category=1, box=7),
+            self.kept(volume="b", request_class=1, node=7),
             [("arrival", 3), ("dispatch", 3), ("outcome", 3)],
         )
-        self.assertEqual(self.kept(store="b", category=0), [])
+        self.assertEqual(self.kept(volume="b", request_class=0), [])
 
     def test_a_range_between_blocks_holds_nothing(self):
         path = self.trace("gap", [arrival(1, 1, "a")], [arrival(900, 2, "a")])
-        self.assertEqual(tools.cut(path, self.out(), since=100, until=800)[0], 0)
+        between = RecordFilter(since=100, until=800)
+        self.assertEqual(cut_trace(path, self.out(), between).records, 0)
 
     def test_names_of_categories_on_the_command_line(self):
         run = CliRunner().invoke(
@@ -341,17 +356,17 @@
             )
             for name, off in (("a", 0), ("b", 30), ("c", 90_000))
         ]
-        made = tools.merge(paths, self.out())
-        self.assertEqual([name for name, shift, _ in made.clocks if shift], ["c"])
+        made = merge_traces(paths, self.out())
+        self.assertEqual([each.name for each in made.clocks if each.correction], ["c"])
         times = [at for at, kind, _ in self.rows(self.out()) if kind.name == "arrival"]
         self.assertLess(max(times) - min(times), 100)
 
     def test_more_files_than_may_be_open(self):
         paths = [
             self.trace(f"g{each:03d}", [arrival(at, at, f"s{each}") for at in range(3)])
-            for each in range(tools.MOST_OPEN + 5)
+            for each in range(MAX_OPEN_FILES + 5)
         ]
-        made = tools.merge(paths, self.out())
+        made = merge_traces(paths, self.out())
         rows = self.rows(self.out())
         self.assertEqual(made.records, 3 * len(paths))
         self.assertEqual([row[0] for row in rows], sorted(row[0] for row in rows))
@@ -382,18 +397,19 @@
         self.assertEqual(self.rows(self.OLD), held.rows)
 
     def test_a_cut_of_1_0_by_store_finds_later_records_too(self):
-        tools.cut(self.OLD, self.out(), store="store-3")
+        cut_trace(self.OLD, self.out(), RecordFilter(volume="store-3"))
         kinds = {row[1].name for row in self.rows(self.out())}
         self.assertIn("outcome", kinds)
 
     def test_convert_brings_it_to_the_present_version(self):
-        tools.convert(self.OLD, self.out(), "mtrace")
-        with Trace(self.out()) as trace, Trace(self.OLD) as old:
+        convert_trace(self.OLD, self.out(), "mtrace")
+        with TraceReader(self.out()) as trace, TraceReader(self.OLD) as old:
             self.assertEqual(
-                (trace.map.about["minor"], old.map.about["minor"]), (format.MINOR, 0)
+                (trace.contents.header["minor"], old.contents.header["minor"]),
+                (file_format.MINOR_VERSION, 0),
             )
-            self.assertEqual(list(trace.rows()), list(old.rows()))
-            self.assertIsNotNone(trace.map.stores)
+            self.assertEqual(list(trace.records()), list(old.records()))
+            self.assertIsNotNone(trace.contents.volume_blocks)
 
     def test_csv_and_parquet_hold_the_same(self):
         import pyarrow.parquet
@@ -406,8 +422,8 @@
                 (3, BY_NAME["settled"], ()),
             ],
         )
-        tools.convert(path, self.out("c"), "csv")
-        tools.convert(path, self.out("p"), "parquet")
+        convert_trace(path, self.out("c"), "csv")
+        convert_trace(path, self.out("p"), "parquet")
         with open(self.out("c/outcome.csv"), encoding="utf-8", newline="") as source:
             rows = list(csv.DictReader(source))
         self.assertEqual(
@@ -447,12 +463,14 @@
             volumes=[["fish-shop", "premium-plan"]],
             plans=["premium-plan"],
         )
-        tools.anonymise(path, self.out(), b"k" * 16)
+        anonymise_trace(path, self.out(), b"k" * 16)
         with open(self.out(), "rb") as source:
             data = source.read()
         found = data + json.dumps([row[2] for row in self.rows(self.out())]).encode()
-        with Trace(self.out()) as trace:
-            found += json.dumps([trace.map.about, trace.map.stores]).encode()
+        with TraceReader(self.out()) as trace:
+            found += json.dumps(
+                [trace.contents.header, trace.contents.volume_blocks]
+            ).encode()
         for name in (
             b"fish-shop",
             b"lagoon",
@@ -473,9 +491,9 @@
         kept.close()
         self.assertEqual(bare.getvalue(), recorded.getvalue())
         files = glob.glob(f"{self.folder}/*/*.mtrace")
-        with Trace(files[0]) as trace:
-            self.assertIn("settled", [kind.name for _, kind, _ in trace.rows()])
-            self.assertEqual((trace.map.about["seed"], len(files)), (1, 1))
+        with TraceReader(files[0]) as trace:
+            self.assertIn("settled", [kind.name for _, kind, _ in trace.records()])
+            self.assertEqual((trace.contents.header["seed"], len(files)), (1, 1))
 
 
 if __name__ == "__main__":
--- a/tests/trace/test_trace_writing.py
+++ b/tests/trace/test_trace_writing.py
@@ -11,21 +11,27 @@
 from click.testing import CliRunner
 
 from milletsill.cli.main import main
-from milletsill.trace import format
-from milletsill.trace.reader import Trace, verify
-from milletsill.trace.reckoning import Claim, Done, reckon
-from milletsill.trace.recording_policy import Verdict
-from milletsill.trace.service import ServiceTerms, put_terms, summarise
-from milletsill.trace.writer import Writer
+from milletsill.trace import file_format
+from milletsill.trace.reader import FileState, TraceReader
+from milletsill.trace.records import BLOCK_HEADER
+from milletsill.trace.repair import verify
+from milletsill.trace.service_accounting import (
+    CompletedOperation,
+    VolumeEntitlement,
+    total_service,
+)
+from milletsill.trace.service_report import report_service
+from milletsill.trace.service_terms import ClassTerms, ServiceTerms, encode_terms
+from milletsill.trace.writer import TraceWriter, TraceWriterSettings
 from tests.trace.test_trace_tools import SECOND, Files, arrival, command
 
 
 class Service(Files):
     TERMS = ServiceTerms(
-        [("read", 3000, 1.0, 0.25), ("write", 5000, 2.0, 0.0)],
+        [ClassTerms("read", 3000, 1.0, 0.25), ClassTerms("write", 5000, 2.0, 0.0)],
         [1.0, 3.0],
         {"a": 0, "b": 1},
-        [Claim(2.0, 1.0), Claim(5.0, 2.0)],
+        [VolumeEntitlement(2.0, 1.0), VolumeEntitlement(5.0, 2.0)],
         20.0,
         8.0,
         0.35,
@@ -46,26 +52,33 @@
                 chance.choice((1.0, 2.5)),
                 each % 2,
             )
-            name, target, utility, late = self.TERMS.categories[category]
-            counts = 0.0 if final != "satisfied" else 1.0 if span <= target else late
+            terms = self.TERMS.classes[category]
+            in_time = span <= terms.target
+            late = terms.late_utility
+            counts = 0.0 if final != "satisfied" else 1.0 if in_time else late
             done.append(
-                Done(
+                CompletedOperation(
                     began // SECOND,
                     place,
-                    name,
+                    terms.name,
                     units,
-                    utility * self.TERMS.prices[plan],
+                    terms.utility * self.TERMS.prices[plan],
                     counts,
                     counts != 1.0,
                 )
             )
             rows.append(command(began, span, "ab"[place], final, category, plan, units))
         terms = self.TERMS
-        expected = reckon(
-            done, terms.claims, terms.power, terms.largest, terms.share, terms.spare
+        expected = total_service(
+            done,
+            terms.entitlements,
+            terms.capacity,
+            terms.largest_units,
+            terms.share,
+            terms.spare,
         )
-        path = self.trace("t", rows, terms=put_terms(terms))
-        found = summarise(path, 10 * SECOND)
+        path = self.trace("t", rows, terms=encode_terms(terms))
+        found = report_service(path, 10 * SECOND)
         self.assertEqual(
             found["service"],
             {name: counted / due for name, (counted, due) in expected.items()},
@@ -80,7 +93,7 @@
             "t",
             [command(each * SECOND, 40, "a") for each in range(50)]
             + [command(5, 9, "b", "declined", why="full")],
-            terms=put_terms(self.TERMS),
+            terms=encode_terms(self.TERMS),
         )
         run = CliRunner().invoke(
             main,
@@ -97,7 +110,7 @@
         long = self.trace(
             "long",
             [command(each * SECOND, 2, "a") for each in range(20_000)],
-            terms=put_terms(self.TERMS),
+            terms=encode_terms(self.TERMS),
         )
         for words in (("summarise", bare), ("summarise", long, "--window", "1")):
             run = CliRunner().invoke(main, ["trace", *words])
@@ -108,13 +121,11 @@
 
 class Writing(Files):
     def writer(self, name="g", **terms):
-        made = Writer(
-            self.folder,
-            name,
+        made = TraceWriter(
+            TraceWriterSettings(self.folder, name, **terms),
             {"name": name},
             lambda: time.monotonic_ns() // 100_000,
             lambda text: None,
-            **terms,
         )
         self.addCleanup(made.stop)
         return made
@@ -129,10 +140,10 @@
         files = glob.glob(f"{self.folder}/*.mtrace")
         self.assertEqual(
             (
-                [verify(each).verdict for each in files],
+                [verify(each).state for each in files],
                 len({each.path for each in writers}),
             ),
-            ([Verdict.WHOLE] * 2, 2),
+            ([FileState.WHOLE] * 2, 2),
         )
 
     def test_ten_thousand_files_in_the_folder_are_pruned_in_bounded_time(self):
@@ -142,7 +153,7 @@
             ) as sink:
                 sink.write(b"x" * 100)
         began = time.monotonic()
-        writer = self.writer(most_total=200_000)
+        writer = self.writer(max_total_bytes=200_000)
         writer.start()
         writer.stop()
         left = sorted(os.listdir(self.folder))
@@ -153,20 +164,20 @@
         self.assertEqual(left[-2], "g-20200101T000000-009999.mtrace")
 
     def test_a_reader_beside_the_writer_sees_whole_blocks_alone(self):
-        writer = self.writer(block_age=1, sync="never")
+        writer = self.writer(max_block_age=1, sync="never")
         writer.start()
         seen, over = [], threading.Event()
 
         def read():
             while not over.is_set():
                 for each in glob.glob(f"{self.folder}/*.mtrace"):
-                    with Trace(each) as trace:
-                        seen.append(len(list(trace.rows())))
+                    with TraceReader(each) as trace:
+                        seen.append(len(list(trace.records())))
                         seen.append(
                             -len(
                                 [
                                     gap
-                                    for gap in trace.map.breaks
+                                    for gap in trace.contents.damage
                                     if "cut short" not in gap.reason
                                 ]
                             )
@@ -190,12 +201,12 @@
             arrival(each, each, f"store-{each}", path=f"/{each}")
             for each in range(70_000)
         ]
-        data = format.put_block(rows)
-        head = format.get_head(data, 0)
+        data = file_format.encode_block(rows)
+        head = file_format.decode_block_header(data, 0)
         self.assertEqual(
             [
                 row[2][3]
-                for row in format.get_rows(head, data[format.BLOCK_HEAD.size :])
+                for row in file_format.decode_block(head, data[BLOCK_HEADER.size :])
             ][-1],
             "store-69999",
         )
