--- a/milletsill/trace/traced_scheduler.py
+++ b/milletsill/trace/traced_scheduler.py
@@ -16,6 +16,7 @@
     AttemptResult,
     Endpoint,
     EndpointUpdateKind,
+    GrantedShare,
     QuotaKind,
     Request,
     SchedulerEffects,
@@ -208,20 +209,22 @@
         self.put("woken", now, timer.number)
         self.scheduler.on_timer(now, timer.token)
 
-    def on_quota_share(  # noqa: PLR0913 - the signature of SchedulerEvents
-        self,
-        now: int,
-        kind: QuotaKind,
-        id: int,
-        share: float | None,
-        expires_at: int,
-        fallback_share: float,
+    def on_quota_share(
+        self, now: int, kind: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
         """Record a `part`."""
         self.effects.now = now
-        recorded = EVEN_SHARE if share is None else share
-        self.put("part", now, kind.value, id, recorded, expires_at, fallback_share)
-        self.scheduler.on_quota_share(now, kind, id, share, expires_at, fallback_share)
+        share = EVEN_SHARE if granted.share is None else granted.share
+        self.put(
+            "part",
+            now,
+            kind.value,
+            id,
+            share,
+            granted.expires_at,
+            granted.fallback_share,
+        )
+        self.scheduler.on_quota_share(now, kind, id, granted)
 
     def on_health_advice(
         self, now: int, node_id: int, load_factor: float, avoid: bool, expires_at: int
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -21,8 +21,8 @@
 from milletsill.sftp.extensions import Order, Verdict
 from milletsill.sftp.wire import Attrs
 from milletsill.trace.service_accounting import (
-    VolumeEntitlement,
     CompletedOperation,
+    VolumeEntitlement,
     share_by_weight,
     total_service,
 )
