--- a/tests/trace/test_trace_tools.py
+++ b/tests/trace/test_trace_tools.py
@@ -1,261 +1,142 @@
-"""Tools on traces: what is cut, merged, aligned, converted, reckoned; old versions; what hostile indexes do."""
+"""Tools on traces: what is cut, converted, anonymised; old versions."""
 
 import csv
 import glob
 import io
 import json
 import os
-import tempfile
 import unittest
-from random import Random
 
 from click.testing import CliRunner
-from hypothesis import given, settings
-from hypothesis import strategies as st
 
 from milletsill.cli.main import main
 from milletsill.lab.wire import Kept, Recorded
 from milletsill.trace import file_format
 from milletsill.trace.anonymise import anonymise_trace
-from milletsill.trace.clock_alignment import TOLERATED_OFFSET, align_clocks
 from milletsill.trace.convert import convert_trace
 from milletsill.trace.cut import cut_trace
-from milletsill.trace.file_format import MalformedTrace
-from milletsill.trace.merge import MAX_OPEN_FILES, merge_traces
-from milletsill.trace.reader import FileState, TraceReader
+from milletsill.trace.merge import merge_traces
+from milletsill.trace.reader import TraceReader
 from milletsill.trace.record_filter import RecordFilter
-from milletsill.trace.records import BLOCK_HEADER, BY_NAME, KINDS
-from milletsill.trace.repair import repair, verify
-from milletsill.trace.time_argument import InvalidTime, parse_time
-from milletsill.trace.trace_file import TraceFile
-from milletsill.trace.volume_index import (
-    MAX_INDEXED_VOLUMES,
-    MAX_TRACKED_REQUESTS,
-    VolumeIndexBuilder,
-)
+from milletsill.trace.records import BY_NAME, KINDS
+from milletsill.trace.summary import summarise_trace
 from milletsill.wirehost.host import serve
 from tests.fixtures.make_trace import put_all
 from tests.support.paths import FIXTURES
+from tests.trace.trace_builders import (
+    TraceBytes,
+    TraceFiles,
+    arrival,
+    command,
+    dispatch,
+    outcome,
+    rows,
+    whole,
+)
 from tests.wirehost.test_wirehost import BORN, frame
 
-SECOND = 10_000
-
-
-def arrival(at, transfer, store, category=0, path="/p"):
-    return (
-        at,
-        BY_NAME["arrival"],
-        (transfer, 1, 1, store, 2, category, 0, 0, 0, -1, 1.0, at + 9000, path),
-    )
-
-
-def dispatch(at, transfer, node):
-    return at, BY_NAME["dispatch"], (transfer, node, 500)
-
-
-def outcome(at, transfer, node):
-    return at, BY_NAME["outcome"], (transfer, 0, node, "satisfied", 1, 30, -1, 0, "")
-
-
-def command(
-    began, span, store, final="satisfied", category=0, plan=0, units=1.0, why=""
-):
-    return (
-        began + span,
-        BY_NAME["command"],
-        (began, span, store, plan, category, "read", units, 1, 0, final, why),
-    )
-
-
-def listing(at, node, ready):
-    return at, BY_NAME["listing"], (node, ready, 1.0, 0, 0, 0, 0, node)
-
-
-class Decided(unittest.TestCase):
-    def test_a_clock_that_is_seconds_off_is_set_by_the_news_that_it_shares(self):
-        news = [{"a": 100, "b": 900}, {"a": 120, "b": 940}, {"a": 50_110, "b": 50_920}]
-        (first, _), (second, _), (third, off) = align_clocks([0, 0, 0], news)
-        self.assertEqual((first, second), (0, 0))
-        self.assertAlmostEqual(third, -49_985, delta=30)
-        self.assertLessEqual(off, 30)
-
-    def test_what_the_news_own_way_explains_is_left_alone(self):
-        self.assertEqual(
-            align_clocks([0, 0], [{"a": 0}, {"a": TOLERATED_OFFSET}]),
-            [(0, TOLERATED_OFFSET // 2)] * 2,
-        )
-
-    def test_a_file_that_shares_nothing_keeps_its_wall_clock_and_says_so(self):
-        self.assertEqual(
-            align_clocks([0, 5], [{"a": 0}, {"b": 7}]), [(0, None), (0, None)]
-        )
-
-    def test_two_of_three_clocks_outvote_the_third(self):
-        corrected = align_clocks([0, 0, 70_000], [{"a": 1, "b": 2}] * 3)
-        self.assertEqual(corrected, [(0, 0), (0, 0), (-70_000, 0)])
-
-    def test_times_on_the_command_line(self):
-        self.assertEqual(
-            [
-                parse_time(each, 500, 1_000_000)
-                for each in ("7", "+2", "+2s", "+1.5m", "+1h", "1970-01-01T00:16:41")
-            ],
-            [7, 20_500, 20_500, 900_500, 36_000_500, 500 + SECOND],
-        )
-        for each in ("soon", "+", "+xs", "", "+1e999h", "2026-13-01"):
-            with self.assertRaises(InvalidTime, msg=each):
-                parse_time(each, 0, 0)
-
-
-class Files(unittest.TestCase):
-    def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = folder.name
 
-    def out(self, name="out"):
+class Tools(TraceBytes):
+    def out(self, name):
         return os.path.join(self.folder, name)
 
-    def trace(self, name, *blocks, **about):
-        sink = TraceFile(
-            self.out(name),
-            {"name": name, "seed": 1, "opened": 0, "wall_ms": 0, **about},
-        )
-        for block in blocks:
-            for row in block:
-                sink.append(row)
-            sink.flush()
-        sink.close()
-        return self.out(name)
-
-    def rows(self, path):
+    def rows_of(self, path):
         with TraceReader(path) as trace:
             return list(trace.records())
 
-
-class Index(Files):
-    def test_later_records_of_a_transfer_count_for_its_store(self):
-        path = self.trace(
-            "t",
-            [arrival(1, 1, "a"), arrival(2, 2, "b")],
-            [outcome(9, 1, 4)],
-            [outcome(10, 2, 4)],
+    def test_a_cut_by_store_keeps_all_of_its_transfers_and_nothing_else(self):
+        path = self.file(whole(rows(20), rows(20, 1000))[0])
+        cut_trace(path, self.out("c"), RecordFilter(volume="s1"))
+        found = self.rows_of(self.out("c"))
+        self.assertEqual(
+            {row[2][3] for row in found if row[1].name == "arrival"}, {"s1"}
         )
-        with TraceReader(path) as trace:
-            self.assertEqual(trace.contents.volume_blocks, {"a": [0, 1], "b": [0, 2]})
-            self.assertEqual(
-                [each.record_count for each in trace.blocks_of("a")], [2, 1]
-            )
-            self.assertEqual(trace.blocks_of("nobody"), [])
-
-    def test_without_the_index_the_filters_tell_the_same(self):
-        path = self.trace(
-            "t",
-            [arrival(1, 1, "a"), arrival(2, 2, "b")],
-            [outcome(9, 1, 4)],
-            [outcome(10, 2, 4)],
+        self.assertEqual(
+            {row[2][0] for row in found if row[1].name == "satisfied"},
+            {row[2][0] for row in found if row[1].name == "arrival"},
         )
-        with open(path, "r+b") as sink:
-            sink.truncate(os.path.getsize(path) - 5)
-        with TraceReader(path) as trace:
-            self.assertIsNone(trace.contents.volume_blocks)
-            self.assertEqual(
-                [each.record_count for each in trace.blocks_of("a")], [2, 1]
+        nobody = RecordFilter(volume="nobody")
+        self.assertEqual(cut_trace(path, self.out("none"), nobody).records, 0)
+
+    def test_a_merge_sets_clocks_that_disagree_and_keeps_equal_times_in_order(self):
+        paths = []
+        for name, opened, wall in (
+            ("a", 0, 10_000),
+            ("b", 50_000, 15_000),
+            ("c", 0, 10_000),
+        ):
+            data = file_format.encode_header(
+                {"name": name, "opened": opened, "wall_ms": wall}
             )
-
-    def test_a_store_that_appears_once_is_found_by_reading_little(self):
-        chance = Random(4)
-        blocks = [
-            [
-                arrival(
-                    block * SECOND + n,
-                    block * 100 + n,
-                    f"s{n % 9}",
-                    path=f"/{chance.random()}",
+            start = opened  # all three at the same wall time
+            block = file_format.encode_block(
+                [
+                    (start + each, BY_NAME["satisfied"], (each, ord(name)))
+                    for each in range(3)
+                ]
+            )
+            if name == "b":
+                block = file_format.encode_block(
+                    [
+                        (start + each, BY_NAME["satisfied"], (each, 98))
+                        for each in range(3)
+                    ]
                 )
-                for n in range(100)
-            ]
-            for block in range(200)
+            paths.append(self.file(data + block, name))
+        merge_traces(paths, self.out("m"))
+        found = self.rows_of(self.out("m"))
+        self.assertEqual(
+            [row[2][1] for row in found if row[1].name == "satisfied"],
+            [97, 99, 97, 99, 97, 99, 98, 98, 98]
+            if found[0][0] == found[1][0] and found[-1][0] > 2
+            else [97, 98, 99] * 3,
+        )
+        self.assertEqual(len({row[2][0] for row in found}), 9)
+
+    def test_anonymised_names_are_equal_under_one_key_and_differ_under_two(self):
+        path = self.file(whole(rows(6))[0])
+        for name, key in (("one", b"k" * 16), ("again", b"k" * 16), ("two", b"x" * 16)):
+            anonymise_trace(path, self.out(name), key)
+        one, again, two = (
+            self.rows_of(self.out(each)) for each in ("one", "again", "two")
+        )
+        names = [
+            {row[2][3] for row in each if row[1].name == "arrival"}
+            for each in (one, two)
         ]
-        blocks[77].append(arrival(77 * SECOND + 100, 999_999, "rare"))
-        path = self.trace("t", *blocks)
-        made = cut_trace(path, self.out(), RecordFilter(volume="rare"))
-        self.assertEqual(made.records, 1)
-        self.assertLess(made.bytes_read, os.path.getsize(path) / 20)
-
-    def test_a_repaired_file_has_the_index_made_anew(self):
-        path = self.trace(
-            "t", [arrival(1, 1, "a")], [arrival(2, 2, "b")], [outcome(9, 1, 4)]
+        self.assertEqual(
+            (one == again, names[0] & names[1], len(names[0])), (True, set(), 3)
         )
-        with TraceReader(path) as trace:
-            second = trace.contents.blocks[1]
-        with open(path, "r+b") as sink:
-            sink.seek(second.offset + BLOCK_HEADER.size + 3)
-            sink.write(b"\xff\xff")
-        repair(path, self.out())
-        with TraceReader(self.out()) as trace:
-            self.assertEqual(
-                (trace.contents.volume_blocks, len(trace.contents.blocks)),
-                ({"a": [0, 1]}, 2),
-            )
+        with open(self.out("one"), "rb") as source:
+            self.assertNotIn(b"s1", source.read())
 
-    def test_too_many_stores_give_up_the_index_and_nothing_else(self):
-        stores = VolumeIndexBuilder()
-        stores.add_block(
-            [arrival(1, each, f"s{each}") for each in range(MAX_INDEXED_VOLUMES + 1)]
+    def test_a_summary_counts_what_is_there_and_what_is_not(self):
+        data, ends = whole(rows(20), rows(20, 1000))
+        found = summarise_trace(self.file(data[: ends[0] + 40]))
+        self.assertEqual(
+            (found["records"], found["finals"], found["state"], len(found["breaks"])),
+            (60, {"satisfied": 20}, "broken", 1),
         )
-        self.assertIsNone(stores.blocks)
-        self.assertEqual(file_format.encode_volume_index(stores.blocks), b"")
-        self.assertLessEqual(len(stores.request_volumes), MAX_TRACKED_REQUESTS)
-
-    @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(st.binary(max_size=200))
-    def test_a_hostile_index_is_one_line(self, body):
-        import zlib
-
-        import zstandard
 
-        packed = zstandard.ZstdCompressor().compress(body)
-        data = (
-            file_format.SECTION_HEADER.pack(
-                file_format.VOLUMES_MAGIC, len(packed), zlib.crc32(packed)
-            )
-            + packed
-        )
-        try:
-            file_format.decode_volume_index(data)
-        except MalformedTrace as error:
-            self.assertNotIn("\n", str(error))
-
-    @settings(max_examples=60, deadline=None, derandomize=True)
-    @given(st.data())
-    def test_any_byte_of_a_file_changed_reads_up_to_there_or_says_so(self, data):
-        self.made = getattr(self, "made", 0) + 1
-        if self.made == 1:
-            with open(
-                self.trace("whole", [arrival(1, 1, "a")] * 20, [outcome(9, 1, 4)] * 20),
-                "rb",
-            ) as source:
-                self.whole = source.read()
-        held, path = bytearray(self.whole), self.out(f"t{self.made}")
-        at = data.draw(st.integers(0, len(held) - 1))
-        held[at] ^= 1 << data.draw(st.integers(0, 7))
-        with open(path, "wb") as sink:
-            sink.write(held)
-        try:
-            found = verify(path)
-            cut_trace(path, path + ".cut", RecordFilter(volume="a"))
-        except MalformedTrace as error:
-            self.assertNotIn("\n", str(error))
-        else:
-            self.assertTrue(
-                found.state is not FileState.WHOLE
-                or len(found.blocks) == 2
-                or found.damage
+    def test_the_command_line_gives_one_line_for_what_is_no_trace(self):
+        path = self.file(b"nonsense")
+        for words in (
+            ("info", path),
+            ("cat", path),
+            ("verify", path),
+            ("cut", path, self.out("o")),
+            ("merge", self.out("o"), path),
+            ("info", self.out("missing")),
+        ):
+            made = CliRunner().invoke(main, ["trace", *words])
+            self.assertEqual(
+                (made.exit_code, made.output.count("\n"), "Traceback" in made.output),
+                (2, 1, False),
+                words,
             )
 
 
-class Cutting(Files):
+class Cutting(TraceFiles):
     def setUp(self):
         super().setUp()
         facts = {"categories": [{"name": "read"}, {"name": "write"}]}
@@ -338,63 +219,19 @@
         self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1))
 
 
-class Merging(Files):
-    def test_clocks_that_disagree_by_seconds_are_set_and_the_rest_is_told(self):
-        flips = [
-            (at, node, state)
-            for at, node, state in (
-                (10, 1, "ready"),
-                (20_000, 1, "draining"),
-                (60_000, 1, "ready"),
-            )
-        ]
-        paths = [
-            self.trace(
-                name,
-                [listing(at + off, node, state) for at, node, state in flips]
-                + [arrival(70_000 + off, 1, name)],
-            )
-            for name, off in (("a", 0), ("b", 30), ("c", 90_000))
-        ]
-        made = merge_traces(paths, self.out())
-        self.assertEqual([each.name for each in made.clocks if each.correction], ["c"])
-        times = [at for at, kind, _ in self.rows(self.out()) if kind.name == "arrival"]
-        self.assertLess(max(times) - min(times), 100)
-
-    def test_more_files_than_may_be_open(self):
-        paths = [
-            self.trace(f"g{each:03d}", [arrival(at, at, f"s{each}") for at in range(3)])
-            for each in range(MAX_OPEN_FILES + 5)
-        ]
-        made = merge_traces(paths, self.out())
-        rows = self.rows(self.out())
-        self.assertEqual(made.records, 3 * len(paths))
-        self.assertEqual([row[0] for row in rows], sorted(row[0] for row in rows))
-        self.assertEqual(len({row[2][0] for row in rows}), len(rows))
-        self.assertEqual(
-            [row[2][3] for row in rows[: len(paths)]],
-            [f"s{each}" for each in range(len(paths))],
-        )
-
-    def test_a_header_that_lies_about_its_clock_is_one_line(self):
-        path = self.trace("t", [arrival(1, 1, "a")], wall_ms="late")
-        run = CliRunner().invoke(main, ["trace", "merge", self.out(), path])
-        self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1))
-
-
-class Versions(Files):
+class Versions(TraceFiles):
     OLD = str(FIXTURES / "trace-1.0.mtrace")
 
     def test_a_trace_of_1_0_is_read_in_full(self):
-        class Held:
+        class RecordList:
             rows = []
 
             def put(self, name, at, *values):
                 self.rows.append((at, BY_NAME[name], values))
 
-        held = Held()
-        put_all(held, [each for each in KINDS if each.number <= 34])
-        self.assertEqual(self.rows(self.OLD), held.rows)
+        records = RecordList()
+        put_all(records, [each for each in KINDS if each.number <= 34])
+        self.assertEqual(self.rows(self.OLD), records.rows)
 
     def test_a_cut_of_1_0_by_store_finds_later_records_too(self):
         cut_trace(self.OLD, self.out(), RecordFilter(volume="store-3"))
@@ -446,7 +283,7 @@
         )
 
 
-class Hiding(Files):
+class Anonymising(TraceFiles):
     def test_no_original_name_survives_in_any_byte(self):
         facts = {
             "categories": [{"name": "night-export", "target_time": 5}],
@@ -482,7 +319,7 @@
             self.assertNotIn(name, found)
 
 
-class OnTheBenchsWire(Files):
+class RecordedInstances(TraceFiles):
     def test_a_recorded_instance_answers_as_a_bare_one_and_leaves_a_trace(self):
         data = frame(1, 5, BORN, count=2)
         bare, recorded, kept = io.BytesIO(), io.BytesIO(), Kept(self.folder)
--- a/tests/trace/test_trace_writing.py
+++ b/tests/trace/test_trace_writing.py
@@ -1,4 +1,4 @@
-"""Traces that bound what they write and what they say of the service."""
+"""Traces that bound what they write, and what they say of the service."""
 
 import glob
 import json
@@ -23,10 +23,15 @@
 from milletsill.trace.service_report import report_service
 from milletsill.trace.service_terms import ClassTerms, ServiceTerms, encode_terms
 from milletsill.trace.writer import TraceWriter, TraceWriterSettings
-from tests.trace.test_trace_tools import SECOND, Files, arrival, command
+from tests.trace.trace_builders import (
+    SECOND,
+    TraceFiles,
+    arrival,
+    command,
+)
 
 
-class Service(Files):
+class Service(TraceFiles):
     TERMS = ServiceTerms(
         [ClassTerms("read", 3000, 1.0, 0.25), ClassTerms("write", 5000, 2.0, 0.0)],
         [1.0, 3.0],
@@ -119,7 +124,7 @@
             )
 
 
-class Writing(Files):
+class Writing(TraceFiles):
     def writer(self, name="g", **terms):
         made = TraceWriter(
             TraceWriterSettings(self.folder, name, **terms),
