--- a/tests/trace/test_gateway_trace.py
+++ b/tests/trace/test_gateway_trace.py
@@ -1,4 +1,4 @@
-"""The trace of a gateway: all that the module was told and did stands in it, in order, and can be played again."""
+"""The trace of a gateway: all events and effects of the scheduler stand in it, in order, and can be played again."""
 
 import glob
 import json
@@ -31,7 +31,7 @@
 from tests.support.sftp_gateway_rig import Rig, later
 
 
-class Held:
+class RecordList:
     """Keeps records in place of a writer."""
 
     def __init__(self):
@@ -41,39 +41,40 @@
         self.rows.append((name, at, values))
 
 
-class Again:
-    """A Port that only notes what the module does."""
+class EffectsLog:
+    """Effects that are only noted."""
 
     def __init__(self):
-        self.did, self.wakes = [], []
+        self.performed = []
+        self.timers = []
 
     def send_attempt(self, transfer, node, timeout):
-        self.did.append(("dispatch", (transfer, node, timeout)))
+        self.performed.append(("dispatch", (transfer, node, timeout)))
 
     def reject(self, transfer, pause):
-        self.did.append(("declined", (transfer, pause)))
+        self.performed.append(("declined", (transfer, pause)))
 
     def fail(self, transfer):
-        self.did.append(("aborted", (transfer,)))
+        self.performed.append(("aborted", (transfer,)))
 
     def cancel_attempt(self, transfer, number):
-        self.did.append(("cancelled", (transfer, number)))
+        self.performed.append(("cancelled", (transfer, number)))
 
     def watch_endpoints(self):
-        self.did.append(("watch", ()))
+        self.performed.append(("watch", ()))
 
     def fetch_endpoints(self):
-        self.did.append(("fetch", ()))
+        self.performed.append(("fetch", ()))
 
     def set_timer(self, at, what):
-        self.wakes.append(what)
-        self.did.append(("wake", (at,)))
+        self.timers.append(what)
+        self.performed.append(("wake", (at,)))
 
     def log(self, text):
-        self.did.append(("remark", (text,)))
+        self.performed.append(("remark", (text,)))
 
 
-DID = {
+EFFECT_KINDS = {
     "dispatch",
     "declined",
     "aborted",
@@ -86,12 +87,18 @@
 
 
 def play(config, seed, opened, rows):
-    """The recorded inputs into a fresh module; what it did, and what the record says that it did."""
-    port = Again()
-    module, said, entries, left = Scheduler(config, seed, opened, port), [], [], 0
+    """Replay recorded events into a fresh scheduler.
+
+    Return the effects that it had, and those of the record.
+    """
+    effects = EffectsLog()
+    scheduler = Scheduler(config, seed, opened, effects)
+    recorded = []
+    entries = []
+    left = 0
     for at, kind, values in rows:
-        if kind in DID:
-            said.append((kind, tuple(values)))
+        if kind in EFFECT_KINDS:
+            recorded.append((kind, tuple(values)))
         elif kind == "listed":
             news, left, entries = EndpointUpdateKind(values[0]), values[1], []
         elif kind == "listing":
@@ -124,7 +131,7 @@
                 ends,
                 _,
             ) = values
-            module.on_request(
+            scheduler.on_request(
                 at,
                 Request(
                     id,
@@ -142,7 +149,7 @@
             )
         elif kind == "outcome":
             id, number, node, outcome, over, latency, used, elsewhere, report = values
-            module.on_attempt_result(
+            scheduler.on_attempt_result(
                 at,
                 AttemptResult(
                     id,
@@ -157,48 +164,49 @@
                 ),
             )
         elif kind == "abandoned":
-            module.on_client_cancelled(at, values[0])
+            scheduler.on_client_cancelled(at, values[0])
         elif kind == "woken":
-            module.on_timer(at, port.wakes[values[0] - 1])
+            scheduler.on_timer(at, effects.timers[values[0] - 1])
         elif kind == "advised":
             node, strain, away, until = values
-            module.on_health_advice(at, node, strain, bool(away), until)
+            scheduler.on_health_advice(at, node, strain, bool(away), until)
         elif kind == "part":
             what, id, share, ends, after = values
-            module.on_quota_share(
+            scheduler.on_quota_share(
                 at,
                 QuotaKind(what),
                 id,
                 GrantedShare(None if share < 0 else share, ends, after),
             )
         elif kind == "settled":
-            module.dispatch_pending(at)
+            scheduler.dispatch_pending(at)
         if kind in ("listed", "listing") and not left:
-            module.on_endpoints(at, news, entries)
-    return port.did, said
+            scheduler.on_endpoints(at, news, entries)
+    return effects.performed, recorded
 
 
 class Recording(unittest.TestCase):
     def test_each_input_stands_before_what_it_brought_about(self):
         class Module:
-            def __init__(self, config, seed, now, port):
-                self.port = port
+            def __init__(self, config, seed, now, effects):
+                self.effects = effects
 
             def on_request(self, now, arrival):
-                self.port.send_attempt(arrival.id, 3, 50)
-                self.port.set_timer(now + 9, "x")
+                self.effects.send_attempt(arrival.id, 3, 50)
+                self.effects.set_timer(now + 9, "x")
 
             def on_timer(self, now, what):
-                self.port.reject(1, 7 if what == "x" else 0)
+                self.effects.reject(1, 7 if what == "x" else 0)
 
-        held, port = Held(), Again()
-        recorder = TraceRecorder(held, ["shop"])
-        told = recorder.wrap(Module)({}, 1, 0, port)
+        sink = RecordList()
+        effects = EffectsLog()
+        recorder = TraceRecorder(sink, ["shop"])
+        traced = recorder.wrap(Module)({}, 1, 0, effects)
         recorder.set_next_path("/p")
-        told.on_request(10, Request(1, 2, 1, 1, 0, 0, False, True, None, 1.0, 99))
-        told.on_timer(19, port.wakes[0])
+        traced.on_request(10, Request(1, 2, 1, 1, 0, 0, False, True, None, 1.0, 99))
+        traced.on_timer(19, effects.timers[0])
         self.assertEqual(
-            [(name, at) for name, at, _ in held.rows],
+            [(name, at) for name, at, _ in sink.rows],
             [
                 ("arrival", 10),
                 ("dispatch", 10),
@@ -208,24 +216,27 @@
             ],
         )
         self.assertEqual(
-            held.rows[0][2], (1, 2, 1, "shop", 1, 0, 0, False, True, -1, 1.0, 99, "/p")
+            sink.rows[0][2], (1, 2, 1, "shop", 1, 0, 0, False, True, -1, 1.0, 99, "/p")
         )
-        self.assertEqual(port.did[-1], ("declined", (1, 7)))
+        self.assertEqual(effects.performed[-1], ("declined", (1, 7)))
 
     def test_a_store_without_a_name_stands_by_its_number(self):
-        held = Held()
-        told = TraceRecorder(held, []).wrap(lambda *_: Mock())({}, 1, 0, Again())
-        told.on_request(10, Request(1, 2, 77, 1, 0, 0, False, True, 4, 1.0, 99))
-        self.assertEqual(held.rows[0][2][3], "77")
+        sink = RecordList()
+        traced = TraceRecorder(sink, []).wrap(lambda *_: Mock())({}, 1, 0, EffectsLog())
+        traced.on_request(10, Request(1, 2, 77, 1, 0, 0, False, True, 4, 1.0, 99))
+        self.assertEqual(sink.rows[0][2][3], "77")
 
     def test_a_share_of_a_quota_and_the_even_one_are_told_apart(self):
-        held, scheduler = Held(), Mock()
-        told = TraceRecorder(held, []).wrap(lambda *_: scheduler)({}, 1, 0, Again())
+        sink = RecordList()
+        scheduler = Mock()
+        traced = TraceRecorder(sink, []).wrap(lambda *_: scheduler)(
+            {}, 1, 0, EffectsLog()
+        )
         shares = [GrantedShare(0.5, 90, 0.25), GrantedShare(None, 70, 0.5)]
         for granted in shares:
-            told.on_quota_share(10, QuotaKind.SLOW_START, 3, granted)
+            traced.on_quota_share(10, QuotaKind.SLOW_START, 3, granted)
         self.assertEqual(
-            [values for _, _, values in held.rows],
+            [values for _, _, values in sink.rows],
             [("cold", 3, 0.5, 90, 0.25), ("cold", 3, -1.0, 70, 0.5)],
         )
         self.assertEqual(
@@ -274,10 +285,10 @@
         self.assertGreaterEqual(counts["arrival"], 61)
         self.assertEqual(counts["arrival"], counts["dispatch"])
         self.assertEqual([at for at, _, _ in rows], sorted(at for at, _, _ in rows))
-        did, said = play(
+        performed, recorded = play(
             from_stored(about["facts"]), about["seed"], about["made"], rows
         )
-        self.assertEqual(did, said)
+        self.assertEqual(performed, recorded)
 
     async def test_a_gateway_without_a_trace_loads_none_of_its_code(self):
         rig = Rig(self)
