--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -294,9 +294,11 @@
         out = f"{given.out}/cut.mtrace"
         if os.path.exists(out):
             os.unlink(out)
-        made: CutResult = timed(f"cut of {what}", lambda: cut_trace(merged, out, terms))
+        result: CutResult = timed(
+            f"cut of {what}", lambda: cut_trace(merged, out, terms)
+        )
         print(
-            f"  {made.records} records, {made.bytes_read / size:.2%} of the bytes read"
+            f"  {result.records} records, {result.bytes_read / size:.2%} of the bytes read"
         )
 
 
--- a/milletsill/trace/__init__.py
+++ b/milletsill/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Traces: what the scheduler was told and did, in compact files."""
+"""Traces: a scheduler's events and effects, in compact files."""
--- a/milletsill/trace/anonymise.py
+++ b/milletsill/trace/anonymise.py
@@ -55,8 +55,8 @@
 ) -> int:
     """Write a trace to the new file `out` without its names; return the records.
 
-    Names of volumes and parts of paths are replaced by digests, which cannot be told
-    without the key; remarks, plans and reasons are left out.
+    Names of volumes and parts of paths are replaced by digests, which nobody can
+    trace back without the key; remarks, plans and reasons are left out.
 
     Raises:
         OSError: where a file cannot be read or written, or `out` is there already.
--- a/milletsill/trace/recording_policy.py
+++ b/milletsill/trace/recording_policy.py
@@ -91,7 +91,7 @@
 
 # --- What a full queue sheds.
 
-# The least needed first: what can be told from the others, then what explains, then
+# The least needed first: what follows from the others, then what explains, then
 # what decides. A replay needs all but the first group; a summary needs arrivals,
 # outcomes and answers.
 SHEDDING_ORDER = (
--- a/milletsill/trace/records.py
+++ b/milletsill/trace/records.py
@@ -85,29 +85,31 @@
 
 KINDS = (
     # Events of the scheduler.
+    # A shard of -1 is that of a new object.
     _kind(
         1,
         "arrival",
         "transfer:s extent:p volume:p store:t gateways:p category:p plan:p repeat:p "
         "write:p cell:p units:f ends:s path:t",
-    ),  # cell -1: a new object
+    ),
+    # A usage of -1 was not reported.
     _kind(
         2,
         "outcome",
         "transfer:s number:p node:p outcome:t over:p latency:p used:p elsewhere:p "
         "report:t",
-    ),  # used -1: not reported
+    ),
     _kind(3, "abandoned", "transfer:s"),
-    _kind(
-        4, "woken", "wake:s"
-    ),  # the number of the timer that fired, as `wake` counts them
+    # The number of the timer that fired: the how many-eth `wake` set it.
+    _kind(4, "woken", "wake:s"),
     _kind(5, "settled", ""),
+    # So many `listing` records follow, one for each endpoint.
     _kind(6, "listed", "news:t count:p"),
     _kind(
         7,
         "listing",
         "node:p readiness:t size:f machine:p zone:p since:p known:p cell:p",
-    ),  # entries of the `listed` before
+    ),
     # Effects of the scheduler.
     _kind(16, "dispatch", "transfer:s node:p timeout:p"),
     _kind(17, "declined", "transfer:s pause:p"),
@@ -116,14 +118,11 @@
     _kind(20, "wake", "at:s"),
     _kind(21, "watch", ""),
     _kind(22, "remark", "text:t"),
-    # The writer's own records.
-    _kind(
-        32, "gap", "kind:p lost:p since:s"
-    ),  # records of a kind that were shed, and from when on
+    # The writer's own records. A gap: records of a kind that were shed, and from when.
+    _kind(32, "gap", "kind:p lost:p since:s"),
     _kind(33, "plan", "text:t"),
-    _kind(
-        34, "satisfied", "transfer:s latency:p"
-    ),  # of 1.0; since 1.1 `over` of an outcome says it
+    # Of 1.0; since 1.1 the field `over` of an outcome says it.
+    _kind(34, "satisfied", "transfer:s latency:p"),
     # Since 1.1: what a client asked for and got, recorded at its answer.
     _kind(
         35,
@@ -132,11 +131,11 @@
         "final:t why:t",
     ),
     _kind(36, "fetch", ""),
-    _kind(
-        38, "part", "what:t id:p share:f ends:s after:f"
-    ),  # an event; share -1: the even share
+    # An event; a share of -1 is the even share again.
+    _kind(38, "part", "what:t id:p share:f ends:s after:f"),
     _kind(37, "probe", "node:p"),
-    _kind(39, "advised", "node:p strain:f away:p until:s"),  # an event; since 1.2
+    # An event; since 1.2.
+    _kind(39, "advised", "node:p strain:f away:p until:s"),
 )
 BY_NUMBER = {each.number: each for each in KINDS}
 BY_NAME = {each.name: each for each in KINDS}
--- a/milletsill/trace/service_accounting.py
+++ b/milletsill/trace/service_accounting.py
@@ -5,7 +5,7 @@
 rate and holds a second of it and one largest request); then, of what nine tenths of the
 nodes' capacity leave, a part by weight at `share`; then the rest at `spare`. A request
 in time takes the best that is still due, a late one the worst. The laboratory's
-benchmark reckons the share node by node; here it is reckoned over all nodes together,
+benchmark computes the share node by node; here it is over all nodes together,
 since only the laboratory knows each node's capacity.
 """
 
--- a/milletsill/trace/service_report.py
+++ b/milletsill/trace/service_report.py
@@ -1,7 +1,7 @@
 """What a trace says of the service: by time window, request class and reason.
 
-A command counts in the window of its arrival. The service figure is reckoned as the
-laboratory does it.
+A command counts in the window of its arrival. The service figure is computed as in
+the laboratory.
 """
 
 from __future__ import annotations
