--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -11,9 +11,8 @@
 from typing import Protocol
 
 from milletsill.deployment_config import DeploymentConfig
-from milletsill.interface import SchedulerEffects, SchedulerEvents
+from milletsill.interface import SchedulerEffects, SchedulerEvents, SchedulerFactory
 from milletsill.trace.traced_scheduler import (
-    MakeScheduler,
     TracedEffects,
     TracedScheduler,
 )
@@ -68,7 +67,7 @@
         # When the scheduler was made, which a replay needs.
         self.made_at = 0
 
-    def wrap(self, make: MakeScheduler) -> MakeScheduler:
+    def wrap(self, make: SchedulerFactory) -> SchedulerFactory:
         """Return a factory of the same scheduler, recorded."""
 
         def make_traced(
--- a/milletsill/trace/traced_scheduler.py
+++ b/milletsill/trace/traced_scheduler.py
@@ -8,10 +8,9 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from typing import Protocol, cast
 
-from milletsill.deployment_config import DeploymentConfig
 from milletsill.interface import (
     AttemptResult,
     Endpoint,
@@ -23,10 +22,6 @@
     SchedulerEvents,
 )
 
-MakeScheduler = Callable[
-    [DeploymentConfig, int, int, SchedulerEffects], SchedulerEvents
-]
-
 # What integer and float columns hold where there is no value.
 NEW_OBJECT_SHARD = -1
 UNKNOWN_USAGE = -1
