--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -52,29 +52,27 @@
     """Boxes and registry, until killed."""
     from twisted.internet import reactor
 
-    from milletsill.lab.box import Box, Gates
-    from milletsill.lab.files import Files
-    from milletsill.lab.registry import Registry, site
+    from milletsill.lab.node_listener import NodeListener
+    from milletsill.lab.node_stand_in import (
+        NodeStandIn,
+        NodeStandInSettings,
+        WorkEstimate,
+    )
+    from milletsill.lab.stored_files import StoredFiles
+    from milletsill.lab.registry_stand_in import Registry, site
     from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, RegistryStand
 
     registry = Registry(reactor, RegistryStand(call_ms=1, notice_ms=10), 1)
     reactor.listenTCP(given.stand, site(registry), interface="127.0.0.1")
     kind = BoxKind(name="k", cores=8, slots=64, queue=2000, error_rate=0.0, cold_s=0.1)
     for number in range(given.boxes):
-        box = Box(
-            reactor,
-            number,
-            number,
-            0,
-            kind,
-            NodeRules(),
-            Files(),
-            {"catch": (0.001, 0.1)},
-            5 + number,
-            None,
+        work = {"catch": WorkEstimate(0.001, 0.1)}
+        settings = NodeStandInSettings(
+            number, number, 0, kind, NodeRules(), work, 5 + number
         )
-        box.port = reactor.listenTCP(0, Gates(box), interface="127.0.0.1")
-        registry.put(f"/milletsill/boxes/{number}", box.listing())
+        box = NodeStandIn(reactor, settings, StoredFiles())
+        box.port = reactor.listenTCP(0, NodeListener(box), interface="127.0.0.1")
+        registry.put(f"/milletsill/boxes/{number}", box.registry_entry())
     reactor.run()
 
 
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -52,31 +52,23 @@
     """Stand-in boxes that answer at once, and their registry."""
     from twisted.internet import reactor
 
-    from milletsill.lab.box import Box, Gates
-    from milletsill.lab.files import Files
-    from milletsill.lab.registry import Registry, site
+    from milletsill.lab.node_listener import NodeListener
+    from milletsill.lab.node_stand_in import NodeStandIn, NodeStandInSettings
+    from milletsill.lab.stored_files import StoredFiles
+    from milletsill.lab.registry_stand_in import Registry, site
     from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, RegistryStand
 
     registry = Registry(reactor, RegistryStand(call_ms=1, notice_ms=1), 1)
     reactor.listenTCP(int(port), site(registry), interface="127.0.0.1")
     for number in range(int(count)):
-        files = Files()
-        box = Box(
-            reactor,
-            number,
-            number,
-            0,
-            BoxKind(name="k", cores=64, slots=256, speed=1e6),
-            NodeRules(),
-            files,
-            {},
-            number,
-            None,
-        )
+        files = StoredFiles()
+        kind = BoxKind(name="k", cores=64, slots=256, speed=1e6)
+        settings = NodeStandInSettings(number, number, 0, kind, NodeRules(), {}, number)
+        box = NodeStandIn(reactor, settings, files)
         for each in range(64):
             files.data[f"/v/f{each}"] = bytearray(4096)
-        box.port = reactor.listenTCP(0, Gates(box), interface="127.0.0.1")
-        registry.put(f"/milletsill/boxes/{number}", box.listing())
+        box.port = reactor.listenTCP(0, NodeListener(box), interface="127.0.0.1")
+        registry.put(f"/milletsill/boxes/{number}", box.registry_entry())
     reactor.run()
 
 
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -58,7 +58,7 @@
         files = [load(each, GatewayFile, check_gateway) for each in values[1:]]
         sys.exit(run(files, values[1:], MODULES.get(values[0], Scheduler)))
     if what == "wire":
-        from milletsill.lab.wire import main as wire
+        from milletsill.lab.traced_wire_host import main as wire
 
         sys.exit(wire(values[0]))
     if what == "deaf":
@@ -103,7 +103,7 @@
 
 def relay(scenario: Any, out: str, port: str, control: str) -> None:
     from milletsill.lab.record import PacketRecorder
-    from milletsill.lab.relay import LONGEST_SELF, Relay, controls
+    from milletsill.lab.network_relay import LONGEST_SELF, Relay, controls
 
     recorder = PacketRecorder(f"{out}/relay.rec", "relay", "relay")
     held = Relay(reactor, scenario, int(port), recorder)
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.sftp import packet_codec
-from milletsill.lab.files import pattern
+from milletsill.lab.stored_files import pattern
 from milletsill.lab.record import IN, OUT
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import CommandTerms
--- a/milletsill/lab/relay.py
+++ b/milletsill/lab/network_relay.py
@@ -23,7 +23,7 @@
 
 from milletsill.lab.moment import at
 from milletsill.lab.record import PacketRecorder
-from milletsill.lab.weather import (
+from milletsill.lab.network_faults import (
     CLEAR,
     OF_NETWORK,
     Fault,
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -7,12 +7,17 @@
 from random import Random
 from typing import Any
 
-from milletsill.lab.box import Box, Gates
-from milletsill.lab.files import Files, pattern
+from milletsill.lab.node_listener import NodeListener
+from milletsill.lab.node_stand_in import (
+    NodeStandIn,
+    NodeStandInSettings,
+    WorkEstimate,
+)
+from milletsill.lab.stored_files import StoredFiles, pattern
 from milletsill.lab.lateness import ReadGapMonitor
 from milletsill.lab.moment import at
 from milletsill.lab.record import PacketRecorder
-from milletsill.lab.registry import Registry, site
+from milletsill.lab.registry_stand_in import Registry, site
 from milletsill.sftp_gateway.deployment import atlas_of
 from milletsill.sftp_gateway.routing import FREE, Spot, spot_text
 
@@ -46,7 +51,7 @@
         reactor.listenTCP(
             registry_port, site(self.registry), interface="127.0.0.1", backlog=512
         )
-        self.boxes: list[Box] = []
+        self.boxes: list[NodeStandIn] = []
         self.read_gaps = ReadGapMonitor(reactor)
         self.read_gaps.check()
         self.work = self.works()
@@ -60,11 +65,11 @@
         for each in self.scenario.trouble:
             self.later(start + each.at_s - time.monotonic(), self.trouble, each)
 
-    def works(self) -> dict[str, tuple[float, float]]:
+    def works(self) -> dict[str, WorkEstimate]:
         """Seconds a unit and spread, by category."""
         mean = self.scenario.gateway.rules.unit_mean
         return {
-            each.category: (each.work_ms / 1000 / mean, each.cv)
+            each.category: WorkEstimate(each.work_ms / 1000 / mean, each.cv)
             for each in self.scenario.traffic
         }
 
@@ -77,29 +82,33 @@
                     len(self.boxes),
                     group.zone,
                     kinds[group.kind],
-                    Files(),
+                    StoredFiles(),
                     False,
                 )
 
     def add(
-        self, number: int, cell: int, zone: int, kind: Any, files: Files, cold: bool
-    ) -> Box:
+        self,
+        number: int,
+        cell: int,
+        zone: int,
+        kind: Any,
+        files: StoredFiles,
+        cold: bool,
+    ) -> NodeStandIn:
         recorder = PacketRecorder(f"{self.out}/box-{number}.rec", "box", str(number))
         self.recorders.append(recorder)
-        box = Box(
-            self.reactor,
+        settings = NodeStandInSettings(
             number,
             cell,
             zone,
             kind,
             self.scenario.gateway.rules,
-            files,
             self.work,
             self.scenario.seed * 1000 + number,
-            recorder,
         )
+        box = NodeStandIn(self.reactor, settings, files, recorder)
         box.port = self.reactor.listenTCP(
-            0, Gates(box), interface="127.0.0.1", backlog=512
+            0, NodeListener(box), interface="127.0.0.1", backlog=512
         )
         if cold:
             box.boot(cold=True)
@@ -123,13 +132,13 @@
                     self.boxes[home].files.links[path] = spot_text(Spot(cell, name))
                 self.boxes[cell].files.data[name] = bytearray(pattern(path, 0, size))
 
-    def key(self, box: Box) -> str:
-        return f"{self.prefix}{box.id}"
+    def key(self, box: NodeStandIn) -> str:
+        return f"{self.prefix}{box.settings.node}"
 
-    def list(self, box: Box, state: str = "ready") -> None:
-        self.registry.put(self.key(box), box.listing(state))
+    def list(self, box: NodeStandIn, state: str = "ready") -> None:
+        self.registry.put(self.key(box), box.registry_entry(state))
 
-    def chosen(self, trouble: Any) -> list[Box]:
+    def chosen(self, trouble: Any) -> list[NodeStandIn]:
         """The boxes that a trouble is on."""
         if trouble.on:
             return [self.boxes[each] for each in trouble.on if each < len(self.boxes)]
@@ -149,22 +158,22 @@
     def later(self, seconds: float, call: Any, *values: Any) -> None:
         at(self.reactor, time.monotonic() + max(seconds, 0), call, *values)
 
-    def do_vanish(self, box: Box, trouble: Any, until: float) -> None:
+    def do_vanish(self, box: NodeStandIn, trouble: Any, until: float) -> None:
         box.vanish()
         gone = self.scenario.registry.vanish_s
         if gone < trouble.for_s:
             self.later(gone, self.registry.delete, self.key(box))
         self.later(trouble.for_s, self.back, box)
 
-    def back(self, box: Box) -> None:
+    def back(self, box: NodeStandIn) -> None:
         box.restart()
         self.list(box)
 
-    def do_slow(self, box: Box, trouble: Any, until: float) -> None:
+    def do_slow(self, box: NodeStandIn, trouble: Any, until: float) -> None:
         box.speed.slow = trouble.size
         self.later(trouble.for_s, setattr, box.speed, "slow", 1.0)
 
-    def do_pauses(self, box: Box, trouble: Any, until: float) -> None:
+    def do_pauses(self, box: NodeStandIn, trouble: Any, until: float) -> None:
         """`size` milliseconds still, about every `extra` seconds."""
         now = time.monotonic()
         if now < until:
@@ -180,7 +189,7 @@
             )
 
     def do_neighbour(
-        self, box: Box, trouble: Any, until: float, on: bool = True
+        self, box: NodeStandIn, trouble: Any, until: float, on: bool = True
     ) -> None:
         """`size` of the machine taken, on and off, about every `extra` seconds."""
         now = time.monotonic()
@@ -196,29 +205,36 @@
                 not on,
             )
 
-    def do_report_late(self, box: Box, trouble: Any, until: float) -> None:
-        box.report_late = trouble.size
-        self.later(trouble.for_s, setattr, box, "report_late", 0.0)
+    def do_report_late(self, box: NodeStandIn, trouble: Any, until: float) -> None:
+        box.added_report_delay = trouble.size
+        self.later(trouble.for_s, setattr, box, "added_report_delay", 0.0)
 
-    def do_drain(self, box: Box, trouble: Any, until: float) -> None:
+    def do_drain(self, box: NodeStandIn, trouble: Any, until: float) -> None:
         """Draining, then away, then back cold."""
         self.list(box, "draining")
         self.later(trouble.for_s, self.back, box)
 
-    def do_replace(self, box: Box, trouble: Any, until: float) -> None:
+    def do_replace(self, box: NodeStandIn, trouble: Any, until: float) -> None:
         """Draining, then another box with the same files in the same cell."""
         self.list(box, "draining")
         self.later(trouble.for_s, self.replaced, box)
 
-    def replaced(self, old: Box) -> None:
+    def replaced(self, old: NodeStandIn) -> None:
         self.registry.delete(self.key(old))
         old.vanish()
         old.drop()
         self.list(
-            self.add(len(self.boxes), old.cell, old.zone, old.kind, old.files, True)
+            self.add(
+                len(self.boxes),
+                old.settings.cell,
+                old.settings.zone,
+                old.kind,
+                old.files,
+                True,
+            )
         )
 
-    def do_cut(self, box: Box, trouble: Any, until: float) -> None:
+    def do_cut(self, box: NodeStandIn, trouble: Any, until: float) -> None:
         box.cut()
 
     def flush(self) -> None:
--- a/milletsill/lab/files.py
+++ b/milletsill/lab/stored_files.py
@@ -23,7 +23,7 @@
     return BLOCK[start : start + length]
 
 
-class Files:
+class StoredFiles:
     """Objects by name. A name that links elsewhere answers with the link's target."""
 
     def __init__(self) -> None:
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -109,7 +109,7 @@
             (35, 35),
         )
         self.assertEqual(
-            sums["box dispatchDeltaCount"], sum(box.answered for box in rig.boxes)
+            sums["box dispatchDeltaCount"], sum(box.answer_count for box in rig.boxes)
         )
         self.assertEqual(
             (collector.unknown, collector.malformed, collector.missing), (0, 0, 0)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -12,9 +12,9 @@
 from twisted.internet.task import Clock
 
 from milletsill.cli.main import main
-from milletsill.lab.box import Box
+from milletsill.lab.node_stand_in import NodeStandIn, NodeStandInSettings
 from milletsill.lab.engine import Engine, Speed
-from milletsill.lab.files import Files
+from milletsill.lab.stored_files import StoredFiles
 from milletsill.lab.run import Run, broken, report
 from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, Scenario
 from milletsill.sftp import extensions, packets
@@ -211,19 +211,9 @@
         self,
     ):
         clock, answers, effects = Clock(), [], []
-        box = Box(
-            clock,
-            0,
-            0,
-            0,
-            BoxKind(name="k", cores=2),
-            NodeRules(),
-            Files(),
-            {},
-            1,
-            None,
-            clock.seconds,
-        )
+        kind = BoxKind(name="k", cores=2)
+        settings = NodeStandInSettings(0, 0, 0, kind, NodeRules(), {}, 1)
+        box = NodeStandIn(clock, settings, StoredFiles(), clock=clock.seconds)
         box.files.run = lambda command: (
             effects.append(command)
             or NodeReply(
@@ -233,10 +223,10 @@
             )
         )
         gate = SimpleNamespace(
-            answer=lambda id, verdict, order: answers.append((id, verdict.answer))
+            answer=lambda id, reply: answers.append((id, reply.answer))
         )
         for id, (ticket, number) in enumerate((("t", 0), ("t", 1), ("u", 0))):
-            box.order(
+            box.on_attempt(
                 gate,
                 id,
                 NodeRequest(
@@ -260,7 +250,7 @@
             (sorted(answers), len(effects)),
             ([(id, packets.Status(0, packets.OK)) for id in range(3)], 2),
         )
-        box.order(
+        box.on_attempt(
             gate,
             9,
             NodeRequest(
@@ -383,7 +373,7 @@
 
 class Stored(unittest.TestCase):
     def test_a_link_stands_once_and_goes_only_with_its_target(self):
-        files = Files()
+        files = StoredFiles()
         codes = [
             files.run(packets.Symlink(0, "/a", each)).verdict
             for each in ("1:x", "1:x", "2:y")
@@ -397,7 +387,7 @@
         self.assertEqual(files.links, {})
 
     def test_a_hole_reads_as_zeros(self):
-        files = Files()
+        files = StoredFiles()
         files.run(packets.Open(0, "/a", packets.CREATE_FLAG, FileAttributes()))
         files.run(packets.Write(0, b"/a", 4, b"x"))
         self.assertEqual(
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -13,8 +13,8 @@
 
 from milletsill.lab.moment import at
 from milletsill.lab.processes import LAB, free_ports
-from milletsill.lab.relay import inside, outside
-from milletsill.lab.weather import CLEAR, Fault, Way, faults_of, way
+from milletsill.lab.network_relay import inside, outside
+from milletsill.lab.network_faults import CLEAR, Fault, Way, faults_of, way
 from milletsill.settings.milletsill_pb2 import Scenario
 
 SCENARIO = """
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -312,12 +312,14 @@
         busy = next(box for box in rig.boxes if "/d/x" in box.files.data)
         rig.tell(busy, "draining")
         await later(0.3)
-        before = busy.counted, sum(busy.served.values())
+        before = busy.connection_count, sum(busy.units_served.values())
         answer = await client.command(
             packets.Stat(0, "/d/x"), CommandTerms(300, 0, "m")
         )
         self.assertTrue(declined(answer), answer)
-        self.assertEqual((busy.counted, sum(busy.served.values())), before)
+        self.assertEqual(
+            (busy.connection_count, sum(busy.units_served.values())), before
+        )
 
     async def test_a_box_replaced_in_its_cell_serves_its_files(self):
         rig = Rig(self)
@@ -325,10 +327,10 @@
         client = await rig.client(edge)
         await client.open("/d/x")
         old = next(box for box in rig.boxes if "/d/x" in box.files.data)
-        rig.registry.delete(f"{rig.file.registry.prefix}{old.id}")
+        rig.registry.delete(f"{rig.file.registry.prefix}{old.settings.node}")
         old.vanish()
         old.drop()
-        rig.add_box(9, old.cell, old.files, cold=True)
+        rig.add_box(9, old.settings.cell, old.files, cold=True)
         await later(0.9)
         answer = await client.command(packets.Stat(0, "/d/x"))
         self.assertIsInstance(answer, packets.AttributesReply)
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -12,9 +12,10 @@
 from twisted.internet.task import deferLater
 
 from milletsill.sftp import packet_codec
-from milletsill.lab.box import Box, Gates
-from milletsill.lab.files import Files
-from milletsill.lab.registry import Registry, site
+from milletsill.lab.node_listener import NodeListener
+from milletsill.lab.node_stand_in import NodeStandIn, NodeStandInSettings, WorkEstimate
+from milletsill.lab.stored_files import StoredFiles
+from milletsill.lab.registry_stand_in import Registry, site
 from milletsill.logs import logger
 from milletsill.settings.milletsill_pb2 import BoxKind, GatewayFile, RegistryStand
 from milletsill.sftp import extensions, packets
@@ -106,7 +107,7 @@
         self.file.registry.address = f"127.0.0.1:{self.registry_port.getHost().port}"
         self.boxes = []
         for number in range(boxes):
-            self.add_box(number, number, Files())
+            self.add_box(number, number, StoredFiles())
         case.addCleanup(self.stop)
 
     def listen(self, factory):
@@ -115,20 +116,12 @@
         return port
 
     def add_box(self, number, cell, files, cold=False):
-        work = {"read": (0.002, 0.1), "write": (0.002, 0.1)}
-        box = Box(
-            reactor,
-            number,
-            cell,
-            0,
-            self.kind,
-            self.file.rules,
-            files,
-            work,
-            5 + number,
-            None,
+        work = dict.fromkeys(("read", "write"), WorkEstimate(0.002, 0.1))
+        settings = NodeStandInSettings(
+            number, cell, 0, self.kind, self.file.rules, work, 5 + number
         )
-        box.port = self.listen(Gates(box))
+        box = NodeStandIn(reactor, settings, files)
+        box.port = self.listen(NodeListener(box))
         if cold:
             box.boot(cold=True)
         self.boxes.append(box)
@@ -136,7 +129,9 @@
         return box
 
     def tell(self, box, state="ready"):
-        self.registry.put(f"{self.file.registry.prefix}{box.id}", box.listing(state))
+        self.registry.put(
+            f"{self.file.registry.prefix}{box.settings.node}", box.registry_entry(state)
+        )
 
     async def edge(self, name="edge-t", **door):
         file = GatewayFile()
--- a/tests/trace/test_trace_tools.py
+++ b/tests/trace/test_trace_tools.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from milletsill.cli.main import main
-from milletsill.lab.wire import Kept, Recorded
+from milletsill.lab.traced_wire_host import Kept, Recorded
 from milletsill.trace import file_format
 from milletsill.trace.anonymise import anonymise_trace
 from milletsill.trace.convert import convert_trace
