--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -103,11 +103,15 @@
 
 def relay(scenario: Any, out: str, port: str, control: str) -> None:
     from milletsill.lab.record import PacketRecorder
-    from milletsill.lab.network_relay import LONGEST_SELF, Relay, controls
+    from milletsill.lab.network_relay import (
+        LONGEST_SELF,
+        NetworkRelay,
+        control_listener,
+    )
 
     recorder = PacketRecorder(f"{out}/relay.rec", "relay", "relay")
-    held = Relay(reactor, scenario, int(port), recorder)
-    reactor.listenTCP(int(control), controls(held), interface="127.0.0.1")
+    held = NetworkRelay(reactor, scenario, int(port), recorder)
+    reactor.listenTCP(int(control), control_listener(held), interface="127.0.0.1")
     when_told(out, held.plan)
     reactor.callLater(LONGEST_SELF, reactor.stop)
     reactor.addSystemEventTrigger("before", "shutdown", recorder.close)
--- a/milletsill/lab/network_relay.py
+++ b/milletsill/lab/network_relay.py
@@ -3,7 +3,7 @@
 Gateway n has 127.0.1.(n+1):PORT as its own address and says that it is reached at 127.0.2.(n+1):PORT, where the relay
 listens. Who speaks is told by the source's IP address, whom to by the socket it came in on. What is passed on leaves from
 the speaker's own relay address, so that an answer to it comes back through here. What the network does and when is known
-at the start from the scenario; a control line on loopback takes more (tests). weather.py decides, this acts.
+at the start from the scenario; a control line on loopback takes more (tests). network_faults.py decides, this acts.
 
 A way that is cut holds streams as a real one does: nothing is reset, what was sent comes after the healing. A stream is
 reset by `reset_network`. Unlike a real network a new connection is taken at once even when the way is cut.
@@ -25,12 +25,12 @@
 from milletsill.lab.record import PacketRecorder
 from milletsill.lab.network_faults import (
     CLEAR,
-    OF_NETWORK,
-    Fault,
-    Way,
-    fault_of,
-    faults_of,
-    way,
+    NETWORK_FAULTS,
+    LinkCondition,
+    NetworkFault,
+    link_condition,
+    network_fault,
+    network_faults,
 )
 
 MOST_LATE_PACKETS, MOST_LATE_BYTES = (
@@ -62,7 +62,7 @@
     return int(last) - 1 if prefix + "." == INSIDE else None
 
 
-class Relay:
+class NetworkRelay:
     """The network among `count` gateways whose fleet addresses share one port."""
 
     def __init__(
@@ -75,9 +75,9 @@
             port,
         )
         self.recorder, self.chance = recorder, Random(scenario.seed + 4)
-        self.faults: list[Fault] = []
-        self.ways: dict[tuple[int, int], Way] = {}
-        self.streams: set[Stream] = set()
+        self.faults: list[NetworkFault] = []
+        self.links: dict[tuple[int, int], LinkCondition] = {}
+        self.streams: set[RelayedStream] = set()
         self.waiting = 0
         self.figures = {
             name: [0] * self.count for name in ("packets", "octets", "stream_octets")
@@ -85,13 +85,16 @@
         self.counts = dict.fromkeys(
             ("lost", "twice", "late", "overfull", "strangers", "streams", "reset"), 0
         )
-        self.mouths = [Mouth(self, number) for number in range(self.count)]
-        for number, mouth in enumerate(self.mouths):
+        self.addresses = [RelayedAddress(self, number) for number in range(self.count)]
+        for number, address in enumerate(self.addresses):
             reactor.listenUDP(
-                port, mouth, interface=outside(number), maxPacketSize=65_535
+                port, address, interface=outside(number), maxPacketSize=65_535
             )
             reactor.listenTCP(
-                port, Ends(self, number), interface=outside(number), backlog=256
+                port,
+                RelayListener(self, number),
+                interface=outside(number),
+                backlog=256,
             )
         self.look()
         self.tell()
@@ -100,40 +103,40 @@
 
     def plan(self, start: float) -> None:
         """The day starts then, on the monotonic clock; its faults are known."""
-        for fault in faults_of(self.scenario, start):
+        for fault in network_faults(self.scenario, start):
             at(self.reactor, fault.since, self.begin, fault)
 
-    def begin(self, fault: Fault) -> None:
+    def begin(self, fault: NetworkFault) -> None:
         """It holds from now on until its end."""
         self.note(fault, "begin")
-        if fault.what == "reset_network":
+        if fault.kind == "reset_network":
             return self.reset(fault)
         self.faults.append(fault)
-        self.ways.clear()
+        self.links.clear()
         at(self.reactor, fault.until, self.end, fault)
 
-    def end(self, fault: Fault) -> None:
+    def end(self, fault: NetworkFault) -> None:
         if fault in self.faults:
             self.faults.remove(fault)
-            self.ways.clear()
+            self.links.clear()
             self.note(fault, "end")
 
     def heal(self) -> None:
         for each in list(self.faults):
             self.end(each)
 
-    def reset(self, fault: Fault) -> None:
+    def reset(self, fault: NetworkFault) -> None:
         """Every stream that touches the set ends with a reset."""
         for each in list(self.streams):
             if fault.touches(each.a, each.b):
                 self.counts["reset"] += 1
                 each.abort()
 
-    def note(self, fault: Fault, edge: str) -> None:
+    def note(self, fault: NetworkFault, edge: str) -> None:
         self.recorder.note(
             what=edge,
-            fault=fault.what,
-            on=sorted(fault.on),
+            fault=fault.kind,
+            on=sorted(fault.gateways),
             size=fault.size,
             extra=fault.extra,
             planned=fault.since,
@@ -141,12 +144,12 @@
         )
         self.recorder.flush()
 
-    def way(self, a: int, b: int) -> Way:
+    def link(self, a: int, b: int) -> LinkCondition:
         if not self.faults:
             return CLEAR
-        found = self.ways.get((a, b))
+        found = self.links.get((a, b))
         if found is None:
-            found = self.ways[a, b] = way(self.faults, a, b)
+            found = self.links[a, b] = link_condition(self.faults, a, b)
         return found
 
     def look(self) -> None:
@@ -156,7 +159,7 @@
         self.reactor.callLater(LOOK, self.look)
 
     def tell(self) -> None:
-        """Once a second what passed, by speaker."""
+        """StreamDialer a second what passed, by speaker."""
         self.recorder.note(what="passed", **self.figures, **self.counts)
         self.recorder.flush()
         self.reactor.callLater(1.0, self.tell)
@@ -166,12 +169,12 @@
     def packet(self, a: int, b: int, data: bytes) -> None:
         self.figures["packets"][a] += 1
         self.figures["octets"][a] += len(data)
-        copies = self.way(a, b).packet(self.chance)
+        copies = self.link(a, b).draw_copies(self.chance)
         self.counts["lost"] += not copies
         self.counts["twice"] += len(copies) > 1
         for after in copies:
             if not after:
-                self.mouths[a].say(b, data)
+                self.addresses[a].say(b, data)
             elif self.waiting >= MOST_LATE_PACKETS:
                 self.counts["overfull"] += 1
             else:
@@ -181,13 +184,13 @@
 
     def late(self, a: int, b: int, data: bytes) -> None:
         self.waiting -= 1
-        self.mouths[a].say(b, data)
+        self.addresses[a].say(b, data)
 
 
-class Mouth(DatagramProtocol):
+class RelayedAddress(DatagramProtocol):
     """A gateway's address outside: hears what others say to it, and says what it says."""
 
-    def __init__(self, relay: Relay, number: int) -> None:
+    def __init__(self, relay: NetworkRelay, number: int) -> None:
         self.relay, self.number = relay, number
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -204,12 +207,12 @@
             self.relay.counts["lost"] += 1
 
 
-class Stream:
+class RelayedStream:
     """One connection from gateway a to gateway b: two halves and what lies between them."""
 
-    def __init__(self, relay: Relay, a: int, b: int, near: Half) -> None:
+    def __init__(self, relay: NetworkRelay, a: int, b: int, near: StreamEnd) -> None:
         self.relay, self.a, self.b = relay, a, b
-        self.near, self.far = near, Half()
+        self.near, self.far = near, StreamEnd()
         near.begin(self, self.far, a, b)
         relay.streams.add(self)
         relay.counts["streams"] += 1
@@ -219,7 +222,7 @@
         endpoint = relay.reactor.connectTCP(
             inside(b),
             relay.port,
-            Once(self.far, self.abort),
+            StreamDialer(self.far, self.abort),
             timeout=DIAL,
             bindAddress=(outside(a), 0),
         )
@@ -238,13 +241,13 @@
                 half.transport.abortConnection()
 
 
-class Half(Protocol):
+class StreamEnd(Protocol):
     """One end of a stream: what `me` said waits here until it may reach `other`."""
 
-    stream: Stream | None = None
+    stream: RelayedStream | None = None
     open = over = False
 
-    def begin(self, stream: Stream, other: Half, me: int, to: int) -> None:
+    def begin(self, stream: RelayedStream, other: StreamEnd, me: int, to: int) -> None:
         self.stream, self.other, self.me, self.to = stream, other, me, to
         self.held: deque[tuple[float, bytes]] = deque()
         self.size, self.last, self.ended = 0, 0.0, False
@@ -259,7 +262,7 @@
         relay = self.stream.relay
         relay.figures["stream_octets"][self.me] += len(data)
         now = time.monotonic()
-        due = now + relay.way(self.me, self.to).piece(relay.chance)
+        due = now + relay.link(self.me, self.to).draw_piece(relay.chance)
         self.last = max(self.last, due)
         self.held.append((self.last, data))
         self.size += len(data)
@@ -270,7 +273,7 @@
     def go_on(self) -> None:
         """Hand over what is due, where the way is open and the other end is there."""
         now, relay = time.monotonic(), self.stream.relay
-        if not self.other.open or relay.way(self.me, self.to).cut:
+        if not self.other.open or relay.link(self.me, self.to).cut:
             return
         while self.held and self.held[0][0] <= now:
             data = self.held.popleft()[1]
@@ -293,18 +296,18 @@
             self.stream.relay.streams.discard(self.stream)
 
 
-class Once(Factory):
+class StreamDialer(Factory):
     """Gives out one protocol; where the dial fails the stream ends."""
 
     noisy = False
 
-    def __init__(self, half: Half, failed: Any) -> None:
+    def __init__(self, half: StreamEnd, failed: Any) -> None:
         self.half, self.failed = half, failed
 
     def startedConnecting(self, connector: Any) -> None:
         pass
 
-    def buildProtocol(self, addr: Any) -> Half:
+    def buildProtocol(self, addr: Any) -> StreamEnd:
         return self.half
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
@@ -314,15 +317,15 @@
         pass
 
 
-class Ends(Factory):
+class RelayListener(Factory):
     """Takes connections to a gateway's address outside."""
 
     noisy = False
 
-    def __init__(self, relay: Relay, number: int) -> None:
+    def __init__(self, relay: NetworkRelay, number: int) -> None:
         self.relay, self.number = relay, number
 
-    def buildProtocol(self, addr: Any) -> Half | None:
+    def buildProtocol(self, addr: Any) -> StreamEnd | None:
         who = speaker(addr.host)
         if (
             who is None
@@ -332,18 +335,18 @@
         ):
             self.relay.counts["strangers"] += 1
             return None
-        half = Half()
-        Stream(self.relay, who, self.number, half)
+        half = StreamEnd()
+        RelayedStream(self.relay, who, self.number, half)
         return half
 
 
-class Control(LineOnlyReceiver):
+class ControlConnection(LineOnlyReceiver):
     """One order a line, as JSON with a Trouble's fields, or `{"what": "heal"}`, `{"what": "counts"}`; answered by a line."""
 
     delimiter = b"\n"
     MAX_LENGTH = 4096
 
-    def __init__(self, relay: Relay) -> None:
+    def __init__(self, relay: NetworkRelay) -> None:
         self.relay = relay
 
     def lineReceived(self, line: bytes) -> None:
@@ -357,7 +360,7 @@
         what = told["what"]
         if what == "heal":
             self.relay.heal()
-        elif what in OF_NETWORK:
+        elif what in NETWORK_FAULTS:
             given = {
                 "part": 0.2,
                 "for_s": 5.0,
@@ -369,18 +372,22 @@
             }
             trouble = SimpleNamespace(**given, HasField=lambda field: field in told)
             self.relay.begin(
-                fault_of(trouble, time.monotonic(), self.relay.count, self.relay.chance)
+                network_fault(
+                    trouble, time.monotonic(), self.relay.count, self.relay.chance
+                )
             )
         elif what != "counts":
-            raise ValueError(f"{what!r} is not heal, counts, {', '.join(OF_NETWORK)}")
+            raise ValueError(
+                f"{what!r} is not heal, counts, {', '.join(NETWORK_FAULTS)}"
+            )
         return {
-            "faults": [each.what for each in self.relay.faults],
+            "faults": [each.kind for each in self.relay.faults],
             **self.relay.counts,
         }
 
 
-def controls(relay: Relay) -> Factory:
+def control_listener(relay: NetworkRelay) -> Factory:
     """Takes control lines."""
-    made = Factory.forProtocol(lambda: Control(relay))
+    made = Factory.forProtocol(lambda: ControlConnection(relay))
     made.noisy = False
     return made
--- a/milletsill/lab/traced_wire_host.py
+++ b/milletsill/lab/traced_wire_host.py
@@ -1,7 +1,8 @@
-"""Plays the module on the bench's wire like `milletsill.wirehost`, and keeps a trace of each instance, so that a bad bench day can
-be studied with the same tools. Given to the bench as its command: `python -m milletsill.lab wire FOLDER`.
+"""Plays the scheduler on the bench's wire like `milletsill.wirehost`, and traces it.
 
-The wire names no stores: they stand by number. An instance that is killed and born again gets a new file.
+A bad day of the bench can so be studied with the same tools. Given to the bench as its
+command: `python -m milletsill.lab wire FOLDER`. The wire names no volumes: they stand
+by number. An instance that is killed and made again gets a new file.
 """
 
 from __future__ import annotations
@@ -17,22 +18,25 @@
 from milletsill.wirehost.codec import MalformedBatch
 from milletsill.wirehost.host import Instance, serve
 
+EXIT_FAILED = 1
+EXIT_BAD_INPUT = 2
 
-class Kept:
-    """All the traces of one play; a folder of its own, since the bench runs several days."""
+
+class InstanceTraces:
+    """All the traces of one play.
+
+    They have a folder of their own, since the bench runs several days.
+    """
 
     def __init__(self, folder: str) -> None:
-        self.folder, self.taps, self.births = (
-            os.path.join(folder, str(os.getpid())),
-            list[SimulationTrace](),
-            0,
-        )
+        self.folder = os.path.join(folder, str(os.getpid()))
+        self.traces: list[SimulationTrace] = []
         os.makedirs(self.folder, exist_ok=True)
 
-    def tap(
+    def open(
         self, number: int, config: DeploymentConfig, seed: int, now: int
     ) -> SimulationTrace:
-        self.births += 1
+        """Begin the trace of an instance that is made now."""
         about = {
             "name": f"instance-{number}",
             "seed": seed,
@@ -41,46 +45,46 @@
             "opened": 0,
             "wall_ms": 0,
         }
-        made = SimulationTrace(
-            os.path.join(
-                self.folder, f"instance-{number:04d}-{self.births:05d}.mtrace"
-            ),
-            about,
-        )
-        self.taps.append(made)
-        return made
+        name = f"instance-{number:04d}-{len(self.traces) + 1:05d}.mtrace"
+        trace = SimulationTrace(os.path.join(self.folder, name), about)
+        self.traces.append(trace)
+        return trace
 
     def close(self) -> None:
-        for each in self.taps:
-            each.close()
+        """End all traces."""
+        for trace in self.traces:
+            trace.close()
 
 
-class Recorded(Instance):
-    """An instance whose module has a recorder around it."""
+class TracedInstance(Instance):
+    """An instance whose scheduler has a recorder around it."""
 
-    def __init__(self, number: int, kept: Kept) -> None:
+    def __init__(self, number: int, traces: InstanceTraces) -> None:
         super().__init__(number)
-        self.kept = kept
+        self.traces = traces
 
     def make_scheduler(
         self, config: DeploymentConfig, seed: int, now: int
     ) -> SchedulerEvents:
-        """A scheduler whose events and effects are recorded."""
-        tap = self.kept.tap(self.number, config, seed, now)
-        return TraceRecorder(tap, ()).wrap(Scheduler)(config, seed, now, self)
+        """Return a scheduler whose events and effects are recorded."""
+        trace = self.traces.open(self.number, config, seed, now)
+        return TraceRecorder(trace, ()).wrap(Scheduler)(config, seed, now, self)
 
 
 def main(folder: str) -> int:
-    kept = Kept(folder)
+    """Serve the bench until its input ends; return the process's exit code."""
+    traces = InstanceTraces(folder)
     try:
         serve(
-            sys.stdin.buffer, sys.stdout.buffer, lambda number: Recorded(number, kept)
+            sys.stdin.buffer,
+            sys.stdout.buffer,
+            lambda number: TracedInstance(number, traces),
         )
     except MalformedBatch as error:
         print(f"milletsill: malformed input: {error.describe()}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     except BrokenPipeError:
-        return 1
+        return EXIT_FAILED
     finally:
-        kept.close()
+        traces.close()
     return 0
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -14,7 +14,13 @@
 from milletsill.lab.moment import at
 from milletsill.lab.processes import LAB, free_ports
 from milletsill.lab.network_relay import inside, outside
-from milletsill.lab.network_faults import CLEAR, Fault, Way, faults_of, way
+from milletsill.lab.network_faults import (
+    CLEAR,
+    LinkCondition,
+    NetworkFault,
+    link_condition,
+    network_faults,
+)
 from milletsill.settings.milletsill_pb2 import Scenario
 
 SCENARIO = """
@@ -43,7 +49,7 @@
         self.assertEqual(called, ["begin"])
 
 
-class Weather(unittest.TestCase):
+class NetworkFaults(unittest.TestCase):
     def test_who_is_cut_from_whom(self):
         pairs = [(a, b) for a in range(3) for b in range(3) if a != b]
         for what, on, cut in (
@@ -52,28 +58,33 @@
             ("isolate", {0, 1}, set(pairs)),
             ("lossy", {0}, set()),
         ):
-            fault = Fault(what, 0, 1, frozenset(on), 0.5)
+            fault = NetworkFault(what, 0, 1, frozenset(on), 0.5)
             self.assertEqual(
-                {pair for pair in pairs if way([fault], *pair).cut}, cut, what
+                {pair for pair in pairs if link_condition([fault], *pair).cut},
+                cut,
+                what,
             )
 
     def test_faults_add_up_and_no_fault_is_clear(self):
-        both = way(
+        both = link_condition(
             [
-                Fault("lossy", 0, 1, frozenset(), 0.5, 0.1),
-                Fault("slow_network", 0, 1, frozenset({1}), 30, 40),
+                NetworkFault("lossy", 0, 1, frozenset(), 0.5, 0.1),
+                NetworkFault("slow_network", 0, 1, frozenset({1}), 30, 40),
             ],
             0,
             1,
         )
-        self.assertEqual(both, Way(False, 0.5, 0.1, 0.03, 0.04))
+        self.assertEqual(both, LinkCondition(False, 0.5, 0.1, 0.03, 0.04))
         self.assertIs(
-            way([Fault("slow_network", 0, 1, frozenset({1}), 30)], 0, 2), CLEAR
+            link_condition(
+                [NetworkFault("slow_network", 0, 1, frozenset({1}), 30)], 0, 2
+            ),
+            CLEAR,
         )
 
     def test_packets_are_lost_doubled_and_late_by_chance_and_streams_lose_nothing(self):
-        chance, poor = Random(1), Way(False, 0.5, 0.5, 0.01, 0.02)
-        copies = [poor.packet(chance) for _ in range(1000)]
+        chance, poor = Random(1), LinkCondition(False, 0.5, 0.5, 0.01, 0.02)
+        copies = [poor.draw_copies(chance) for _ in range(1000)]
         self.assertTrue(
             all(
                 400 < sum(len(each) == count for each in copies) < 600 for count in (0,)
@@ -82,19 +93,25 @@
         )
         self.assertTrue(150 < sum(len(each) == 2 for each in copies) < 350)
         self.assertTrue(all(0.01 <= each < 0.06 for found in copies for each in found))
-        self.assertEqual((Way(True).packet(chance), CLEAR.packet(chance)), ((), (0.0,)))
-        self.assertTrue(all(poor.piece(chance) >= 0.01 for _ in range(100)))
+        self.assertEqual(
+            (LinkCondition(True).draw_copies(chance), CLEAR.draw_copies(chance)),
+            ((), (0.0,)),
+        )
+        self.assertTrue(all(poor.draw_piece(chance) >= 0.01 for _ in range(100)))
 
     def test_the_same_seed_draws_the_same_sets(self):
         first, again = (
-            faults_of(text_format.Parse(SCENARIO, Scenario()), 100.0) for _ in range(2)
+            network_faults(text_format.Parse(SCENARIO, Scenario()), 100.0)
+            for _ in range(2)
         )
         self.assertEqual(first, again)
         self.assertEqual(
-            [(each.since, sorted(each.on), len(each.on)) for each in first][0],
+            [(each.since, sorted(each.gateways), len(each.gateways)) for each in first][
+                0
+            ],
             (101.0, [0, 1], 2),
         )
-        self.assertEqual([len(each.on) for each in first], [2, 1, 0])
+        self.assertEqual([len(each.gateways) for each in first], [2, 1, 0])
 
 
 class Relayed(unittest.TestCase):
--- a/tests/trace/test_trace_tools.py
+++ b/tests/trace/test_trace_tools.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from milletsill.cli.main import main
-from milletsill.lab.traced_wire_host import Kept, Recorded
+from milletsill.lab.traced_wire_host import InstanceTraces, TracedInstance
 from milletsill.trace import file_format
 from milletsill.trace.anonymise import anonymise_trace
 from milletsill.trace.convert import convert_trace
@@ -322,9 +322,9 @@
 class RecordedInstances(TraceFiles):
     def test_a_recorded_instance_answers_as_a_bare_one_and_leaves_a_trace(self):
         data = frame(1, 5, BORN, count=2)
-        bare, recorded, kept = io.BytesIO(), io.BytesIO(), Kept(self.folder)
+        bare, recorded, kept = io.BytesIO(), io.BytesIO(), InstanceTraces(self.folder)
         serve(io.BytesIO(data), bare)
-        serve(io.BytesIO(data), recorded, lambda number: Recorded(number, kept))
+        serve(io.BytesIO(data), recorded, lambda number: TracedInstance(number, kept))
         kept.close()
         self.assertEqual(bare.getvalue(), recorded.getvalue())
         files = glob.glob(f"{self.folder}/*/*.mtrace")
