--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -59,11 +59,11 @@
         WorkEstimate,
     )
     from milletsill.lab.stored_files import StoredFiles
-    from milletsill.lab.registry_stand_in import Registry, site
+    from milletsill.lab.registry_stand_in import RegistryStandIn, registry_site
     from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, RegistryStand
 
-    registry = Registry(reactor, RegistryStand(call_ms=1, notice_ms=10), 1)
-    reactor.listenTCP(given.stand, site(registry), interface="127.0.0.1")
+    registry = RegistryStandIn(reactor, RegistryStand(call_ms=1, notice_ms=10), 1)
+    reactor.listenTCP(given.stand, registry_site(registry), interface="127.0.0.1")
     kind = BoxKind(name="k", cores=8, slots=64, queue=2000, error_rate=0.0, cold_s=0.1)
     for number in range(given.boxes):
         work = {"catch": WorkEstimate(0.001, 0.1)}
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -55,11 +55,11 @@
     from milletsill.lab.node_listener import NodeListener
     from milletsill.lab.node_stand_in import NodeStandIn, NodeStandInSettings
     from milletsill.lab.stored_files import StoredFiles
-    from milletsill.lab.registry_stand_in import Registry, site
+    from milletsill.lab.registry_stand_in import RegistryStandIn, registry_site
     from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, RegistryStand
 
-    registry = Registry(reactor, RegistryStand(call_ms=1, notice_ms=1), 1)
-    reactor.listenTCP(int(port), site(registry), interface="127.0.0.1")
+    registry = RegistryStandIn(reactor, RegistryStand(call_ms=1, notice_ms=1), 1)
+    reactor.listenTCP(int(port), registry_site(registry), interface="127.0.0.1")
     for number in range(int(count)):
         files = StoredFiles()
         kind = BoxKind(name="k", cores=64, slots=256, speed=1e6)
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -17,7 +17,7 @@
 from milletsill.lab.lateness import ReadGapMonitor
 from milletsill.lab.moment import at
 from milletsill.lab.record import PacketRecorder
-from milletsill.lab.registry_stand_in import Registry, site
+from milletsill.lab.registry_stand_in import RegistryStandIn, registry_site
 from milletsill.sftp_gateway.deployment import atlas_of
 from milletsill.sftp_gateway.routing import FREE, Spot, spot_text
 
@@ -45,11 +45,14 @@
             scenario.gateway.registry.prefix,
         )
         self.recorders = [PacketRecorder(f"{out}/registry.rec", "registry", "registry")]
-        self.registry = Registry(
+        self.registry = RegistryStandIn(
             reactor, scenario.registry, scenario.seed + 2, self.recorders[0]
         )
         reactor.listenTCP(
-            registry_port, site(self.registry), interface="127.0.0.1", backlog=512
+            registry_port,
+            registry_site(self.registry),
+            interface="127.0.0.1",
+            backlog=512,
         )
         self.boxes: list[NodeStandIn] = []
         self.read_gaps = ReadGapMonitor(reactor)
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -15,7 +15,7 @@
 from milletsill.lab.node_listener import NodeListener
 from milletsill.lab.node_stand_in import NodeStandIn, NodeStandInSettings, WorkEstimate
 from milletsill.lab.stored_files import StoredFiles
-from milletsill.lab.registry_stand_in import Registry, site
+from milletsill.lab.registry_stand_in import RegistryStandIn, registry_site
 from milletsill.logs import logger
 from milletsill.settings.milletsill_pb2 import BoxKind, GatewayFile, RegistryStand
 from milletsill.sftp import extensions, packets
@@ -102,8 +102,10 @@
         figures = {"error_rate": 0.0, "report_every_ms": 20.0, "cold_s": 1.0, **kind}
         self.kind = BoxKind(name="k", **figures)
         self.file = text_format.Parse(FILE, GatewayFile())
-        self.registry = Registry(reactor, RegistryStand(call_ms=1, notice_ms=10), 1)
-        self.registry_port = self.listen(site(self.registry))
+        self.registry = RegistryStandIn(
+            reactor, RegistryStand(call_ms=1, notice_ms=10), 1
+        )
+        self.registry_port = self.listen(registry_site(self.registry))
         self.file.registry.address = f"127.0.0.1:{self.registry_port.getHost().port}"
         self.boxes = []
         for number in range(boxes):
