--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -102,18 +102,15 @@
 
 
 def relay(scenario: Any, out: str, port: str, control: str) -> None:
+    from milletsill.lab.network_relay import MAX_LIFETIME, NetworkRelay
     from milletsill.lab.record import PacketRecorder
-    from milletsill.lab.network_relay import (
-        LONGEST_SELF,
-        NetworkRelay,
-        control_listener,
-    )
+    from milletsill.lab.relay_control import ControlListener
 
     recorder = PacketRecorder(f"{out}/relay.rec", "relay", "relay")
     held = NetworkRelay(reactor, scenario, int(port), recorder)
-    reactor.listenTCP(int(control), control_listener(held), interface="127.0.0.1")
+    reactor.listenTCP(int(control), ControlListener(held), interface="127.0.0.1")
     when_told(out, held.plan)
-    reactor.callLater(LONGEST_SELF, reactor.stop)
+    reactor.callLater(MAX_LIFETIME, reactor.stop)
     reactor.addSystemEventTrigger("before", "shutdown", recorder.close)
 
 
--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -35,7 +35,7 @@
 from milletsill.lab.fault_timeline import FaultTimeline, read_fault_timeline
 from milletsill.lab.gateway_logs import GatewayLogs, read_gateway_logs
 from milletsill.lab.processes import LAB, Group, PlannerPart, Processes, free_ports
-from milletsill.lab.network_relay import inside, outside
+from milletsill.lab.relay_addresses import inside, outside
 from milletsill.lab.report import broken, report
 from milletsill.lab.run_result import (
     ChannelsResult,
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -13,7 +13,7 @@
 
 from milletsill.lab.moment import at
 from milletsill.lab.processes import LAB, free_ports
-from milletsill.lab.network_relay import inside, outside
+from milletsill.lab.relay_addresses import inside, outside
 from milletsill.lab.network_faults import (
     CLEAR,
     LinkCondition,
