--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -11,54 +11,72 @@
 import statistics
 import time
 
-from milletsill.flows import ipfix, netflow9
-from milletsill.flows.elements import TEMPLATES
-from milletsill.flows.export_policy import Level, Metering
-from milletsill.flows.meter import Cache, ClientKey, Meter, client_out
+from milletsill.flows.codecs import CODECS_BY_NAME, FlowCodec
+from milletsill.flows.flow_cache import FlowCache, FlowCacheSettings
+from milletsill.flows.flow_records import (
+    ClientFlowKey,
+    CommandOutcome,
+    Exchange,
+    client_flow_record,
+)
+from milletsill.flows.information_elements import DOCUMENTATION_PEN
+from milletsill.flows.metering_policy import MeteringControl, MeteringLevel
+from milletsill.flows.metering_process import MeteringProcess
+from milletsill.flows.templates import TEMPLATES, FlowEndReason
 
 COUNT = 100_000
 
 
 def updates() -> float:
-    meter = Meter(
-        Cache(4096, 600_000, 150_000, lambda at: at, lambda out: None),
-        Metering(Level.FLOWS, Level.FLOWS),
+    metering = MeteringProcess(
+        FlowCache(
+            FlowCacheSettings(4096, 600_000, 150_000),
+            lambda at: at,
+            lambda pending: None,
+        ),
+        MeteringControl(MeteringLevel.FLOWS, MeteringLevel.FLOWS),
         lambda: 5,
         time.perf_counter,
     )
     keys = [
-        ClientKey("10.0.0.1", each, "10.0.0.2", 1, "suva", "premium", "lot-read")
+        ClientFlowKey("10.0.0.1", each, "10.0.0.2", 1, "suva", "premium", "lot-read")
         for each in range(1000)
     ]
     began = time.perf_counter()
     for number in range(COUNT):
-        meter.command(keys[number % 1000], "satisfied", 90, 8200, True, 300)
+        exchange = Exchange(90, 1, 8200, 1, 300)
+        key = keys[number % 1000]
+        metering.on_command(key, CommandOutcome.SUCCEEDED, exchange)
     return COUNT / (time.perf_counter() - began)
 
 
-def coding(codec: object) -> tuple[float, float, float]:
+def coding(codec: FlowCodec) -> tuple[float, float, float]:
     """Records encoded and decoded a second, and bytes of one."""
-    cache = Cache(10, 1, 1, lambda at: at, lambda out: None)
-    key = ClientKey("10.0.0.1", 5, "10.0.0.2", 1, "suva", "premium", "lot-read")
-    record = client_out(key, cache.touch(key, 0), 1, lambda at: at).record
-    encoder, messages, began = codec.Encoder(), [], time.perf_counter()  # type: ignore[attr-defined]
-    message = codec.Message(1400)  # type: ignore[attr-defined]
+    cache = FlowCache(FlowCacheSettings(10, 1, 1), lambda at: at, lambda pending: None)
+    key = ClientFlowKey("10.0.0.1", 5, "10.0.0.2", 1, "suva", "premium", "lot-read")
+    flow = cache.touch(key, 0)
+    reason = FlowEndReason.IDLE_TIMEOUT
+    record = client_flow_record(key, flow, reason, lambda at: at).record
+    encoder = codec.new_encoder(DOCUMENTATION_PEN)
+    messages = []
+    began = time.perf_counter()
+    message = codec.new_message(1400)
     for _ in range(COUNT // 4):
-        data = encoder.record(record)
+        data = encoder.encode_record(record)
         if not message.add(record.template.id, data):
             messages.append(message.finish(0, 0, 1))
-            message = codec.Message(1400)  # type: ignore[attr-defined]
+            message = codec.new_message(1400)
             message.add(record.template.id, data)
     encoded = COUNT / 4 / (time.perf_counter() - began)
-    decoder = codec.Decoder()  # type: ignore[attr-defined]
-    first = codec.Message(9000)  # type: ignore[attr-defined]
-    for set_id, data in encoder.template_sets(
-        [each for each in TEMPLATES if not each.scope]
+    decoder = codec.new_decoder(None)
+    first = codec.new_message(9000)
+    for set_id, data in encoder.encode_templates(
+        [each for each in TEMPLATES if not each.scope_count]
     ):
         first.add(set_id, data)
-    decoder.message(first.finish(0, 0, 1), 0)
+    decoder.decode(first.finish(0, 0, 1), 0)
     began = time.perf_counter()
-    rows = sum(len(decoder.message(each, 0).rows) for each in messages)
+    rows = sum(len(decoder.decode(each, 0).records) for each in messages)
     return encoded, rows / (time.perf_counter() - began), sum(map(len, messages)) / rows
 
 
@@ -71,7 +89,7 @@
     print(
         f"cache updates a second: median {statistics.median(updates() for _ in range(runs)):.0f} of {runs}"
     )
-    for name, codec in (("ipfix", ipfix), ("netflow9", netflow9)):
+    for name, codec in CODECS_BY_NAME.items():
         found = [coding(codec) for _ in range(runs)]
         encoded, decoded, size = (statistics.median(each) for each in zip(*found))
         print(
--- a/milletsill/cli/main.py
+++ b/milletsill/cli/main.py
@@ -243,9 +243,14 @@
     from twisted.internet import reactor
     from twisted.internet.error import CannotListenError
 
-    from milletsill.flows.collect import Collector, Ear, Lines, table
+    from milletsill.flows.collecting_process import CollectingProcess
+    from milletsill.flows.collecting_transport import (
+        TcpCollectingFactory,
+        UdpCollectingProtocol,
+    )
+    from milletsill.flows.summary_table import render_summary
 
-    collector = Collector(
+    collector = CollectingProcess(
         (lambda row: None)
         if as_table or quiet
         else lambda row: click.echo(json.dumps(row)),
@@ -258,9 +263,12 @@
         sys.exit(2)
     try:
         reactor.listenUDP(
-            int(port), Ear(collector), interface=host, maxPacketSize=65_535
+            int(port),
+            UdpCollectingProtocol(collector),
+            interface=host,
+            maxPacketSize=65_535,
         )
-        reactor.listenTCP(int(port), Lines(collector), interface=host)
+        reactor.listenTCP(int(port), TcpCollectingFactory(collector), interface=host)
     except CannotListenError as error:
         click.echo(f"milletsill: {error}", err=True)
         sys.exit(1)
@@ -270,7 +278,9 @@
         reactor.callLater(seconds, reactor.stop)
     reactor.run(installSignalHandlers=False)
     click.echo(
-        table(collector.summary()) if as_table else json.dumps(collector.summary())
+        render_summary(collector.summary())
+        if as_table
+        else json.dumps(collector.summary())
     )
 
 
@@ -294,20 +304,23 @@
 )
 def flows_decode(file: str, within: tuple[str, ...]) -> None:
     """Decode FILE, IPFIX messages one behind the other (RFC 5655). Exit status 1 where it ends in the middle of one."""
-    from milletsill.flows.collect import Collector, Session
-    from milletsill.flows.ipfix import MalformedFlowMessage, Cutter
+    from milletsill.flows.collecting_process import CollectingProcess, TransportSession
+    from milletsill.flows.errors import MalformedFlowMessage
+    from milletsill.flows.ipfix_stream import IpfixMessageSplitter
 
-    collector = Collector(
+    collector = CollectingProcess(
         lambda row: click.echo(json.dumps(row)),
         lambda text: click.echo(text, err=True),
         prefixes(within),
     )
-    session, cutter, at = Session(None), Cutter(), 0
+    session = TransportSession(template_lifetime=None)
+    splitter = IpfixMessageSplitter()
+    at = 0
     try:
         with open(file, "rb") as source:
             while data := source.read(65_536):
-                for message in cutter.feed(data):
-                    collector.message(session, message, f"{file} at {at}")
+                for message in splitter.feed(data):
+                    collector.on_message(session, message, f"{file} at {at}")
                     at += len(message)
     except OSError as error:
         click.echo(f"{file}: {error.strerror}", err=True)
@@ -315,22 +328,23 @@
     except MalformedFlowMessage as error:
         click.echo(error.with_location(f"{file} at {at}").describe(), err=True)
         sys.exit(1)
-    if cutter.held:
+    if splitter.buffer:
         click.echo(
-            f"{file}: cut {len(cutter.held)} bytes into a message at {at}", err=True
+            f"{file}: cut {len(splitter.buffer)} bytes into a message at {at}", err=True
         )
-    sys.exit(1 if cutter.held or collector.malformed else 0)
+    sys.exit(1 if splitter.buffer or collector.malformed else 0)
 
 
 @flows.command("elements")
 def flows_elements() -> None:
     """Print our enterprise elements."""
-    from milletsill.flows.elements import ELEMENTS, OURS
+    from milletsill.flows.information_elements import ELEMENTS, ElementSpace
 
-    for each in ELEMENTS.values():
-        if each.space == OURS:
+    for element in ELEMENTS.values():
+        if element.space is ElementSpace.ENTERPRISE:
             click.echo(
-                f"{each.id:>3} {each.name:<32} {each.type:<12} {each.semantics:<13} {each.text}"
+                f"{element.number:>3} {element.name:<32} {element.data_type:<12} "
+                f"{element.semantics:<13} {element.description}"
             )
 
 
--- a/milletsill/flows/__init__.py
+++ b/milletsill/flows/__init__.py
@@ -1,1 +1,4 @@
-"""Flow export: what crosses the gateway, metered into flows and sent to collectors as IPFIX or NetFlow version 9."""
+"""Flow export: the gateway's traffic, metered into flows and sent to collectors.
+
+The formats are IPFIX (RFC 7011) and NetFlow version 9 (RFC 3954).
+"""
--- /dev/null
+++ b/milletsill/flows/errors.py
@@ -0,0 +1,14 @@
+"""Errors of flow export."""
+
+from __future__ import annotations
+
+from milletsill.errors import MalformedInput
+
+
+class MalformedFlowMessage(MalformedInput):
+    """Octets that RFC 7011 or NetFlow 9 does not allow, or that the decoder refuses."""
+
+    remedy = (
+        "see what exports to this collector; the message alone is passed over, "
+        "a broken stream is cut"
+    )
--- /dev/null
+++ b/milletsill/flows/exporting_process.py
@@ -0,0 +1,190 @@
+"""The exporting process (RFC 7011) of one gateway: flow cache, metering, collectors.
+
+It acts in steps on the reactor's timer; client work never waits for any of it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from milletsill.flows.clocks import TICKS_PER_SECOND, ExportClocks
+from milletsill.flows.collector_sender import (
+    MAX_RECORDS_PER_STEP,
+    CollectorSender,
+    SenderContext,
+)
+from milletsill.flows.collector_states import select_all, select_failover
+from milletsill.flows.collector_transport import (
+    DatagramSocket,
+    DelayedCall,
+    ExportReactor,
+)
+from milletsill.flows.export_settings import ExportSettings
+from milletsill.flows.flow_cache import FlowCache
+from milletsill.flows.metering_policy import MeteringControl
+from milletsill.flows.metering_process import MeteringProcess
+from milletsill.flows.option_records import (
+    ExporterIdentity,
+    reliability_record,
+    sampling_record,
+)
+from milletsill.flows.record_queue import PendingRecord, RecordKind
+
+STEP_SECONDS = 0.1
+STEPS_PER_COST_CHECK = 10
+STEPS_PER_REPORT = 100
+ALL_RECORDS = 1 << 30
+MIN_LIFETIME_SECONDS = 0.001
+DROPPED_STOPPED = "stopped"
+"""Cause of a drop, as it is exported in dropCause."""
+
+
+class ExportingProcess:
+    """Flow export of one gateway."""
+
+    def __init__(
+        self,
+        reactor: ExportReactor,
+        settings: ExportSettings,
+        identity: ExporterIdentity,
+        clocks: ExportClocks,
+        seed: int,
+        log: Callable[..., None],
+    ) -> None:
+        self.control = MeteringControl(settings.closest_level, settings.closest_level)
+        self.cache = FlowCache(settings.cache, clocks.wall_milliseconds, self._export)
+        self.metering = MeteringProcess(
+            self.cache, self.control, clocks.now, clocks.cost_timer
+        )
+        self.datagrams = DatagramSocket(reactor)
+        context = SenderContext(
+            reactor=reactor,
+            clocks=clocks,
+            domain=identity.domain,
+            datagrams=self.datagrams,
+            uniform=Random(seed).uniform,
+            log=log,
+        )
+        self.senders = [CollectorSender(each, context) for each in settings.collectors]
+        self.next_step: DelayedCall | None = None
+        self._reactor = reactor
+        self._settings = settings
+        self._identity = identity
+        self._clocks = clocks
+        self._log = log
+        self._current = 0
+        self._steps = 0
+        self._began = clocks.now()
+        self._cost_checked_at = clocks.now()
+        self._cost_at_check = 0.0
+        self._export_cost_seconds = 0.0
+
+    def start(self) -> None:
+        """Opens the UDP socket, if a collector wants one, and takes the first step."""
+        if any(sender.settings.over_udp for sender in self.senders):
+            self.datagrams.open()
+        self.step()
+
+    def step(self) -> None:
+        """Expires flows, looks after the collectors and checks the cost."""
+        began = self._clocks.cost_timer()
+        now = self._clocks.now()
+        self._steps += 1
+        self.cache.expire(now, MAX_RECORDS_PER_STEP)
+        for sender in self.senders:
+            sender.check_time(now)
+        if self._steps % STEPS_PER_REPORT == 0:
+            self._report()
+        for sender in self.senders:
+            sender.send()
+        self._export_cost_seconds += self._clocks.cost_timer() - began
+        if self._steps % STEPS_PER_COST_CHECK == 0:
+            self._check_cost(now)
+        self.next_step = self._reactor.callLater(STEP_SECONDS, self.step)
+
+    def flush(self) -> None:
+        """Sends all flows, the last report, and what can be sent at once, at the end.
+
+        The rest is dropped and counted.
+        """
+        self.cache.flush()
+        for sender in self.senders:
+            sender.send(ALL_RECORDS)
+        self._report()
+        for sender in self.senders:
+            sender.send(ALL_RECORDS)
+            sender.drop_queued(DROPPED_STOPPED)
+        if self.next_step is not None and self.next_step.active():
+            self.next_step.cancel()
+        elapsed = (self._clocks.now() - self._began) / TICKS_PER_SECOND
+        accounts = [sender.stream.account for sender in self.senders]
+        self._log(
+            "flows_ended",
+            share=round(self._cost_seconds() / max(elapsed, MIN_LIFETIME_SECONDS), 5),
+            evicted=self.cache.evicted,
+            messages=sum(account.messages for account in accounts),
+            dropped=sum(account.dropped().records for account in accounts),
+        )
+
+    def stop(self) -> None:
+        """Closes the connections and the socket; what they hold still leaves."""
+        for sender in self.senders:
+            sender.close()
+        self.datagrams.close()
+
+    def _cost_seconds(self) -> float:
+        return self._export_cost_seconds + self.metering.cost_seconds
+
+    def _export(self, pending: PendingRecord) -> None:
+        """Queues a record for the collectors that get it."""
+        states = [sender.state for sender in self.senders]
+        if self._settings.copies:
+            positions = select_all(states)
+        else:
+            doubted = [sender.doubted for sender in self.senders]
+            positions = select_failover(states, doubted, self._current)
+        for position in positions:
+            self.senders[position].enqueue(pending)
+        if positions and not self._settings.copies:
+            self._fail_over(positions[0])
+
+    def _fail_over(self, position: int) -> None:
+        """Makes a collector the current one; it gets what the old one still holds."""
+        if position == self._current:
+            return
+        old = self.senders[self._current]
+        self._current = position
+        self.senders[position].queue.take_over(old.queue)
+
+    def _check_cost(self, now: int) -> None:
+        """Measures what export costs, and meters more or less closely for it."""
+        cost = self._cost_seconds()
+        elapsed = (now - self._cost_checked_at) / TICKS_PER_SECOND
+        share = (cost - self._cost_at_check) / elapsed if elapsed > 0 else 0.0
+        self._cost_checked_at = now
+        self._cost_at_check = cost
+        if self.control.observe_cost(share, self._settings.max_cost_share):
+            self._log(
+                "metering",
+                level=self.control.level.name.lower(),
+                interval=self.control.interval,
+                share=round(share, 4),
+            )
+            self._report()
+
+    def _report(self) -> None:
+        """Queues the options; the newest report replaces older ones."""
+        sampling = sampling_record(self._identity, self.metering, self.control)
+        for sender in self.senders:
+            if not sender.settings.codec.exports_options:
+                continue
+            sender.queue.records(RecordKind.OPTION).clear()
+            sender.enqueue(sampling)
+            reliability = reliability_record(
+                self._identity,
+                sender.stream.account,
+                self.metering.not_metered,
+                self.cache.evicted,
+            )
+            sender.enqueue(reliability)
--- a/milletsill/flows/gateway_export.py
+++ b/milletsill/flows/gateway_export.py
@@ -1,113 +1,150 @@
-"""Flow export as the edge sees it: what it is told of, in the edge's terms."""
+"""Flow export as the SFTP gateway uses it: its events in its own terms."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TypeAlias
 
 import xxhash
 
-from milletsill.flows.exporter import Exporter
-from milletsill.flows.meter import BoxKey, ClientKey
+from milletsill.flows.clocks import ExportClocks
+from milletsill.flows.collector_transport import ExportReactor
+from milletsill.flows.export_settings import read_export_settings
+from milletsill.flows.exporting_process import ExportingProcess
+from milletsill.flows.flow_records import (
+    ClientFlowKey,
+    CommandOutcome,
+    Exchange,
+    NodeFlowKey,
+)
+from milletsill.flows.option_records import ExporterIdentity
+from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.sftp.extensions import Order
 
+UNKNOWN_ADDRESS = "0.0.0.0"
+FALLBACK_DOMAIN = 1
+ExchangeMeter: TypeAlias = Callable[[Order | None, str, int, int, int], None]
+"""Takes an exchange: order, outcome, octets out and back, duration in ticks."""
 
-def domain_of(name: str) -> int:
-    """The observation domain of a gateway whose file names none: from its name, never 0."""
-    return xxhash.xxh32_intdigest(name.encode("utf-8", "replace")) or 1
 
+def observation_domain(gateway_name: str) -> int:
+    """Returns the observation domain of a gateway whose file names none; never 0."""
+    encoded = gateway_name.encode("utf-8", "replace")
+    return xxhash.xxh32_intdigest(encoded) or FALLBACK_DOMAIN
 
-def address_of(host: str) -> str:
-    """An IPv4 address, or 0.0.0.0 for what is none."""
+
+def ipv4_address(host: str) -> str:
+    """Returns a host that is an IPv4 address, or 0.0.0.0 for what is none."""
     parts = host.split(".")
-    return (
-        host
-        if len(parts) == 4
-        and all(each.isdecimal() and int(each) < 256 for each in parts)
-        else "0.0.0.0"
-    )
+    if len(parts) != 4:
+        return UNKNOWN_ADDRESS
+    if all(part.isdecimal() and int(part) < 256 for part in parts):
+        return host
+    return UNKNOWN_ADDRESS
 
 
-class Flows:
-    """One gateway's export."""
+class GatewayFlowExport:
+    """Flow export of one gateway."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: ExportReactor,
         now: Callable[[], int],
-        file: Any,
+        file: GatewayFile,
         seed: int,
-        remark: Callable[..., None],
+        log: Callable[..., None],
     ) -> None:
-        domain = (
-            file.flows.domain if file.flows.HasField("domain") else domain_of(file.name)
-        )
-        self.exporter = Exporter(
-            reactor, now, file.flows, file.name, domain, seed + 1, remark
+        """Takes the reactor, the clock in ticks, the file, a seed and the log."""
+        domain = observation_domain(file.name)
+        if file.flows.HasField("domain"):
+            domain = file.flows.domain
+        self.exporting_process = ExportingProcess(
+            reactor,
+            read_export_settings(file.flows),
+            ExporterIdentity(file.name, domain),
+            ExportClocks(now),
+            seed + 1,
+            log,
         )
-        self.meter = self.exporter.meter
-        self.address = address_of(file.listen.rpartition(":")[0])
-        self.volumes = {place + 1: each.name for place, each in enumerate(file.volume)}
-        self.stopped = False
+        self._metering = self.exporting_process.metering
+        self._address = ipv4_address(file.listen.rpartition(":")[0])
+        self._volume_names = {
+            position + 1: volume.name for position, volume in enumerate(file.volume)
+        }
+        self._stopped = False
 
     def start(self) -> None:
-        self.exporter.start()
+        """Starts to export."""
+        self.exporting_process.start()
 
-    def client(
+    def client(  # noqa: PLR0913
         self,
-        ends: tuple[str, int, str, int],
+        endpoints: tuple[str, int, str, int],
         store: str,
         plan: str,
         category: str,
-        final: str,
+        outcome: str,
         octets_in: int,
         octets_out: int,
-        span: int,
+        duration: int,
     ) -> None:
-        """One command, or with an empty `final` a packet that is none."""
-        host, port, own, own_port = ends
-        key = ClientKey(
-            address_of(host), port, address_of(own), own_port, store, plan, category
+        """Meters one command, or with an empty `outcome` a packet that is none's.
+
+        `endpoints` are host and port of the client and of the gateway; `duration` is in
+        ticks.
+        """
+        client, client_port, gateway, gateway_port = endpoints
+        key = ClientFlowKey(
+            ipv4_address(client),
+            client_port,
+            ipv4_address(gateway),
+            gateway_port,
+            store,
+            plan,
+            category,
         )
-        self.meter.command(key, final, octets_in, octets_out, octets_out > 0, span)
+        exchange = Exchange(octets_in, 1, octets_out, int(octets_out > 0), duration)
+        command_outcome = CommandOutcome(outcome) if outcome else None
+        self._metering.on_command(key, command_outcome, exchange)
 
-    def box(
-        self, id: int, address: str
-    ) -> Callable[[Order | None, str, int, int, int], None]:
-        """What a box's pool tells."""
+    def box(self, node_id: int, address: str) -> ExchangeMeter:
+        """Returns what meters the exchanges with a node."""
         host, _, port = address.rpartition(":")
-        host, number = address_of(host), int(port)
+        node_host = ipv4_address(host)
+        node_port = int(port)
 
-        def metered(
+        def on_exchange(
             order: Order | None,
             outcome: str,
-            octets_to: int,
+            octets_out: int,
             octets_back: int,
-            span: int,
+            duration: int,
         ) -> None:
-            store = self.volumes.get(order.volume, "") if order is not None else ""
-            key = BoxKey(
-                self.address,
-                host,
-                number,
-                id,
-                store,
-                order.category if order is not None else "",
+            key = NodeFlowKey(
+                self._address,
+                node_host,
+                node_port,
+                node_id,
+                "" if order is None else self._volume_names.get(order.volume, ""),
+                "" if order is None else order.category,
                 outcome,
             )
-            self.meter.dispatch(
-                key,
-                order is not None and order.number > 0,
-                octets_to,
+            exchange = Exchange(
+                octets_out,
+                int(octets_out > 0),
                 octets_back,
-                span,
+                int(octets_back > 0),
+                duration,
             )
+            is_retry = order is not None and order.number > 0
+            self._metering.on_dispatch(key, is_retry, exchange)
 
-        return metered
+        return on_exchange
 
     def stop(self) -> None:
-        """Flush within what the queues bound; once."""
-        if not self.stopped:
-            self.stopped = True
-            self.exporter.flush()
-            self.exporter.stop()
+        """Sends what can be sent at once and closes; once."""
+        if self._stopped:
+            return
+        self._stopped = True
+        self.exporting_process.flush()
+        self.exporting_process.stop()
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -158,9 +158,9 @@
 
     def exporter(self, seed: int) -> Any:
         """Flow export; none of its code is loaded where the file does not ask for it."""
-        from milletsill.flows.gateway_export import Flows
+        from milletsill.flows.gateway_export import GatewayFlowExport
 
-        return Flows(self.reactor, self.now, self.file, seed, self.remark)
+        return GatewayFlowExport(self.reactor, self.now, self.file, seed, self.remark)
 
     def tracer(self, config: DeploymentConfig, seed: int) -> Any:
         """Traces; none of their code is loaded where the file does not ask for them."""
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -7,8 +7,12 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.trial.unittest import TestCase
 
-from milletsill.flows.collect import Collector, Ear, Lines
-from milletsill.flows.export_policy import Post
+from milletsill.flows.collecting_process import CollectingProcess
+from milletsill.flows.collecting_transport import (
+    TcpCollectingFactory,
+    UdpCollectingProtocol,
+)
+from milletsill.flows.collector_states import CollectorState
 from milletsill.sftp import packets
 from tests.support.sftp_gateway_rig import Client, Rig, later
 
@@ -78,8 +82,8 @@
         return Counted(), counted
 
     async def test_sums_equal_what_client_and_boxes_counted(self):
-        collector = Collector(lambda row: None, lambda text: self.fail(text))
-        rig = await self.rig(self.listen(Lines(collector)))
+        collector = CollectingProcess(lambda row: None, lambda text: self.fail(text))
+        rig = await self.rig(self.listen(TcpCollectingFactory(collector)))
         client, counted = self.client_of(rig)
         from twisted.internet.endpoints import TCP4ClientEndpoint
 
@@ -95,7 +99,7 @@
         self.edge.terminate()
         await ended
         await later(0.3)
-        sums = collector.sums
+        sums = collector.totals.sums
         self.assertEqual(
             (
                 sums["client octetDeltaCount"],
@@ -112,7 +116,7 @@
             sums["box dispatchDeltaCount"], sum(box.answered for box in rig.boxes)
         )
         self.assertEqual(
-            (collector.unknown, collector.malformed, collector.missing), (0, 0, 0)
+            (collector.unknown_sets, collector.malformed, collector.missing), (0, 0, 0)
         )
         report = [
             each
@@ -126,30 +130,33 @@
     async def test_a_collector_that_never_reads_slows_nobody_and_is_left(self):
         deaf, collector = (
             Factory.forProtocol(Deaf),
-            Collector(lambda row: None, lambda text: None),
+            CollectingProcess(lambda row: None, lambda text: None),
         )
         deaf.held = []
-        rig = await self.rig(self.listen(deaf), self.listen(Lines(collector)))
-        sender = self.edge.flows.exporter.senders[0]
+        rig = await self.rig(
+            self.listen(deaf), self.listen(TcpCollectingFactory(collector))
+        )
+        sender = self.edge.flows.exporting_process.senders[0]
         client = await rig.client(self.edge)
         handle = await client.open("/f/x")
         for _ in range(20):
-            sender.pipe.transport.write(bytes(1 << 20)) if sender.pipe else None
+            if sender.connection is not None:
+                sender.connection.send(bytes(1 << 20))
             await client.command(packets.Stat(0, "/f/x"))
-        self.assertEqual(sender.state, Post.STUCK)
-        sender.stuck_at -= 60_000
+        self.assertEqual(sender.state, CollectorState.BLOCKED)
+        sender.blocked_at -= 60_000
         await later(0.3)
-        self.assertEqual(sender.state, Post.AWAY)
+        self.assertEqual(sender.state, CollectorState.AWAY)
         await client.command(packets.Read(0, handle, 0, 1))
         await later(1.2)
-        self.assertGreater(collector.sums["client commandDeltaCount"], 20)
+        self.assertGreater(collector.totals.sums["client commandDeltaCount"], 20)
         for each in deaf.held:
             each.transport.abortConnection()
 
     async def test_a_collector_away_at_the_start_and_restarted_gets_templates_again(
         self,
     ):
-        collector = Collector(lambda row: None, lambda text: None)
+        collector = CollectingProcess(lambda row: None, lambda text: None)
         held = (
             socket.socket()
         )  # keeps its number from everybody else's listeners, and refuses connections
@@ -160,24 +167,32 @@
         client = await rig.client(self.edge)
         await client.command(packets.Stat(0, "/f/x"))
         await later(0.3)
-        self.assertEqual(self.edge.flows.exporter.senders[0].state, Post.AWAY)
+        self.assertEqual(
+            self.edge.flows.exporting_process.senders[0].state, CollectorState.AWAY
+        )
         held.close()
-        port = reactor.listenTCP(number, Lines(collector), interface="127.0.0.1")
+        port = reactor.listenTCP(
+            number, TcpCollectingFactory(collector), interface="127.0.0.1"
+        )
         self.addCleanup(port.stopListening)
         await later(3)
         self.assertEqual(
-            (collector.sums["client commandDeltaCount"], collector.unknown), (1, 0)
+            (collector.totals.sums["client commandDeltaCount"], collector.unknown_sets),
+            (1, 0),
         )
-        self.edge.flows.exporter.senders[0].pipe.transport.abortConnection()
+        self.edge.flows.exporting_process.senders[0].connection.abort()
         await client.command(packets.Stat(0, "/f/x"))
         await later(2.5)
         self.assertEqual(
-            (collector.sums["client commandDeltaCount"], collector.unknown), (2, 0)
+            (collector.totals.sums["client commandDeltaCount"], collector.unknown_sets),
+            (2, 0),
         )
 
     async def test_udp_and_netflow9(self):
-        collector = Collector(lambda row: None, lambda text: self.fail(text))
-        port = reactor.listenUDP(0, Ear(collector), interface="127.0.0.1")
+        collector = CollectingProcess(lambda row: None, lambda text: self.fail(text))
+        port = reactor.listenUDP(
+            0, UdpCollectingProtocol(collector), interface="127.0.0.1"
+        )
         self.addCleanup(port.stopListening)
         rig = await self.rig(
             f"127.0.0.1:{port.getHost().port}", transport="udp", copies=True
@@ -188,7 +203,8 @@
         await self.work(rig, client, 10)
         await later(1.5)
         self.assertEqual(
-            (collector.sums["client commandDeltaCount"], collector.unknown), (15, 0)
+            (collector.totals.sums["client commandDeltaCount"], collector.unknown_sets),
+            (15, 0),
         )
 
     async def test_export_switched_off_runs_none_of_it(self):
