--- a/milletsill/flows/collector_sender.py
+++ b/milletsill/flows/collector_sender.py
@@ -24,8 +24,8 @@
 )
 from milletsill.flows.collector_transport import (
     CollectorConnection,
-    DatagramSocket,
     ExportReactor,
+    ExportUdpSocket,
 )
 from milletsill.flows.export_settings import CollectorSettings
 from milletsill.flows.export_stream import ExportStream
@@ -46,7 +46,7 @@
     reactor: ExportReactor
     clocks: ExportClocks
     domain: int
-    datagrams: DatagramSocket
+    datagrams: ExportUdpSocket
     uniform: Callable[[float, float], float]
     log: Callable[..., None]
 
--- a/milletsill/flows/collector_transport.py
+++ b/milletsill/flows/collector_transport.py
@@ -2,32 +2,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Any, Protocol
 
 from twisted.internet.protocol import DatagramProtocol
 from twisted.internet.protocol import Protocol as StreamProtocol
 from twisted.python.failure import Failure
 
+from milletsill.named_timers import ReactorTimers
 
-class DelayedCall(Protocol):
-    """A call that the reactor will make."""
 
-    def active(self) -> bool:
-        """Returns whether the call is still to be made."""
-
-    def cancel(self) -> None:
-        """Takes the call back."""
-
-
-class ExportReactor(Protocol):
+class ExportReactor(ReactorTimers, Protocol):
     """What flow export asks of the reactor."""
 
-    def callLater(  # noqa: N802
-        self, delay: float, callable: Callable[..., object], *args: object
-    ) -> DelayedCall:
-        """Calls back after `delay` seconds."""
-
     def listenUDP(  # noqa: N802
         self, port: int, protocol: DatagramProtocol, interface: str = ""
     ) -> Any:
@@ -112,7 +98,7 @@
         """Ignores refusals."""
 
 
-class DatagramSocket:
+class ExportUdpSocket:
     """The UDP socket that all datagrams leave by."""
 
     def __init__(self, reactor: ExportReactor) -> None:
--- a/milletsill/flows/exporting_process.py
+++ b/milletsill/flows/exporting_process.py
@@ -16,9 +16,8 @@
 )
 from milletsill.flows.collector_states import select_all, select_failover
 from milletsill.flows.collector_transport import (
-    DatagramSocket,
-    DelayedCall,
     ExportReactor,
+    ExportUdpSocket,
 )
 from milletsill.flows.export_settings import ExportSettings
 from milletsill.flows.flow_cache import FlowCache
@@ -30,6 +29,7 @@
     sampling_record,
 )
 from milletsill.flows.record_queue import PendingRecord, RecordKind
+from milletsill.named_timers import DelayedCall
 
 STEP_SECONDS = 0.1
 STEPS_PER_COST_CHECK = 10
@@ -57,7 +57,7 @@
         self.metering = MeteringProcess(
             self.cache, self.control, clocks.now, clocks.cost_timer
         )
-        self.datagrams = DatagramSocket(reactor)
+        self.datagrams = ExportUdpSocket(reactor)
         context = SenderContext(
             reactor=reactor,
             clocks=clocks,
--- a/tests/flows/test_exporting_process.py
+++ b/tests/flows/test_exporting_process.py
@@ -18,12 +18,12 @@
 from tests.support.flow_keys import client_flow_key
 
 
-class Sent(unittest.TestCase):
+class ExportingProcessOverUdp(unittest.TestCase):
     """The exporter on a clock of the test's own, over UDP to a list."""
 
-    def exporter(self, collectors=1, most_queued=100, cost_timer=None, **given):
+    def start_process(self, collectors=1, most_queued=100, cost_timer=None, **given):
         self.clock = Clock()
-        self.told = []
+        self.logged = []
         self.wall = [1_000_000.0]
         self.rows = []
         self.drop = False
@@ -39,40 +39,40 @@
             lambda: self.wall[0],
             cost_timer or (lambda: 0.0),
         )
-        made = ExportingProcess(
+        process = ExportingProcess(
             self.clock,
             read_export_settings(file),
             ExporterIdentity("g", 7),
             clocks,
             1,
-            lambda event, **values: self.told.append(event),
+            lambda event, **values: self.logged.append(event),
         )
-        self.collector = CollectingProcess(self.rows.append, self.told.append)
-        made.datagrams.send = lambda data, address: (
+        self.collector = CollectingProcess(self.rows.append, self.logged.append)
+        process.datagrams.send = lambda data, address: (
             None if self.drop else self.collector.on_datagram(data, address)
         )
-        return made
+        return process
 
-    def pass_time(self, made, seconds):
+    def pass_time(self, process, seconds):
         for _ in range(int(seconds * 10)):
-            made.step()
-            made.next_step.cancel()
+            process.step()
+            process.next_step.cancel()
             self.clock.advance(0.1)
 
     def test_sums_arrive_exactly_with_templates_first(self):
-        made = self.exporter(idle_s=0.5)
+        process = self.start_process(idle_s=0.5)
         for number in range(250):
-            made.metering.on_command(
+            process.metering.on_command(
                 client_flow_key(number % 50),
                 CommandOutcome.SUCCEEDED,
                 Exchange(10, 1, 20, 1, 7),
             )
-            made.metering.on_dispatch(
+            process.metering.on_dispatch(
                 NodeFlowKey("10.0.0.1", "10.0.0.9", 5, 3, "s", "c", "satisfied"),
                 number % 10 == 0,
                 Exchange(30, 1, 40, 1, 9),
             )
-        self.pass_time(made, 2)
+        self.pass_time(process, 2)
         sums = self.collector.totals.sums
         self.assertEqual(
             (
@@ -88,25 +88,25 @@
         )
 
     def test_a_lost_datagram_shows_in_the_sequence_and_the_reliability_record(self):
-        made = self.exporter(idle_s=0.5)
-        made.metering.on_command(
+        process = self.start_process(idle_s=0.5)
+        process.metering.on_command(
             client_flow_key(0), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(made, 1)
+        self.pass_time(process, 1)
         self.drop = True
-        made.metering.on_command(
+        process.metering.on_command(
             client_flow_key(1), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(made, 2)
+        self.pass_time(process, 2)
         self.drop = False
-        made.metering.on_command(
+        process.metering.on_command(
             client_flow_key(2), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(made, 12)
+        self.pass_time(process, 12)
         report = [row for row in self.rows if "exportedCommandTotalCount" in row][-1]
         self.assertGreaterEqual(
             self.collector.missing, 1
-        )  # and what told the elements' types again meanwhile
+        )  # and what reported the elements' types again meanwhile
         self.assertEqual(
             (
                 report["exportedCommandTotalCount"],
@@ -116,18 +116,18 @@
         )
 
     def test_a_full_queue_drops_the_least_needed_and_counts_all(self):
-        made = self.exporter(idle_s=0.5, closest="commands")
-        made.control.level = MeteringLevel.COMMANDS
-        made.senders[0].state = CollectorState.AWAY
-        made.senders[0].retry_at = 10**12
+        process = self.start_process(idle_s=0.5, closest="commands")
+        process.control.level = MeteringLevel.COMMANDS
+        process.senders[0].state = CollectorState.AWAY
+        process.senders[0].retry_at = 10**12
         for number in range(300):
-            made.metering.on_command(
+            process.metering.on_command(
                 client_flow_key(number),
                 CommandOutcome.SUCCEEDED,
                 Exchange(1, 1, 1, 1, 1),
             )
-        self.pass_time(made, 2)
-        sender = made.senders[0]
+        self.pass_time(process, 2)
+        sender = process.senders[0]
         lost = sender.stream.account.dropped()
         self.assertEqual(
             (len(sender.queue), len(sender.queue.records(RecordKind.COMMAND))), (100, 0)
@@ -141,14 +141,17 @@
         )
 
     def test_exported_dropped_and_not_metered_are_all_there_is(self):
-        made = self.exporter(idle_s=0.5, closest="sampled", most_queued=20)
-        made.control.interval = 3
+        process = self.start_process(idle_s=0.5, closest="sampled", most_queued=20)
+        process.control.interval = 3
         for number in range(900):
-            made.metering.on_command(
+            process.metering.on_command(
                 client_flow_key(number), CommandOutcome.FAILED, Exchange(1, 1, 1, 1, 1)
             )
-        self.pass_time(made, 3)
-        account, skipped = made.senders[0].stream.account, made.metering.not_metered
+        self.pass_time(process, 3)
+        account, skipped = (
+            process.senders[0].stream.account,
+            process.metering.not_metered,
+        )
         self.assertEqual(
             account.sent.commands + account.dropped().commands + skipped.commands, 900
         )
@@ -157,46 +160,49 @@
         )
 
     def test_a_step_of_the_wall_clock_moves_export_times_and_nothing_else(self):
-        made = self.exporter(idle_s=0.5)
+        process = self.start_process(idle_s=0.5)
         self.clock.advance(100)
-        made.metering.on_command(
+        process.metering.on_command(
             client_flow_key(1), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
         self.wall[0] -= 3600
-        self.pass_time(made, 1)
+        self.pass_time(process, 1)
         (row,) = [row for row in self.rows if "commandDeltaCount" in row]
         self.assertEqual(row["flowEndMilliseconds"] // 1000, 1_000_000 - 3600 - 1 + 0)
 
     def test_failover_takes_along_what_the_old_one_held(self):
-        made = self.exporter(collectors=2, idle_s=0.5)
-        made.senders[0].retry_at = made.senders[1].retry_at = 10**12
-        made.metering.on_command(
+        process = self.start_process(collectors=2, idle_s=0.5)
+        process.senders[0].retry_at = process.senders[1].retry_at = 10**12
+        process.metering.on_command(
             client_flow_key(1), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(made, 1)
-        self.assertEqual(len(made.senders[0].queue), 1)
-        made.senders[1].retry_at = 0
-        self.pass_time(made, 0.2)
-        made.metering.on_command(
+        self.pass_time(process, 1)
+        self.assertEqual(len(process.senders[0].queue), 1)
+        process.senders[1].retry_at = 0
+        self.pass_time(process, 0.2)
+        process.metering.on_command(
             client_flow_key(2), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(made, 1)
+        self.pass_time(process, 1)
         self.assertEqual(
-            (len(made.senders[0].queue), made.senders[1].stream.account.sent.commands),
+            (
+                len(process.senders[0].queue),
+                process.senders[1].stream.account.sent.commands,
+            ),
             (0, 2),
         )
 
-    def test_pressure_is_said_in_the_stream(self):
-        made = self.exporter(
+    def test_cost_is_reported_in_the_stream(self):
+        process = self.start_process(
             closest="flows", cpu_share=0.01, cost_timer=count(0, 0.01).__next__
         )
-        self.pass_time(made, 5)
-        told = [
+        self.pass_time(process, 5)
+        reported = [
             row["samplingPacketSpace"]
             for row in self.rows
             if "samplingPacketSpace" in row
         ]
-        self.assertEqual(told[:2], [1, 3])
+        self.assertEqual(reported[:2], [1, 3])
 
 
 if __name__ == "__main__":
--- a/tests/flows/test_flow_codecs.py
+++ b/tests/flows/test_flow_codecs.py
@@ -49,7 +49,7 @@
     )
 
 
-def plain(template, **given_values):
+def record_with(template, **given_values):
     return DataRecord(
         template,
         tuple(
@@ -66,41 +66,47 @@
     )
 
 
-def packed(codec, held, most=60_000, templates=TEMPLATES, sequence=5, domain=3):
+def encoded_message(
+    codec, sent, most=60_000, templates=TEMPLATES, sequence=5, domain=3
+):
     encoder = codec.new_encoder(DOCUMENTATION_PEN)
     message = codec.new_message(most)
     for set_id, data in encoder.encode_templates(templates):
         assert message.add(set_id, data)
-    for each in held:
+    for each in sent:
         assert message.add(each.template.id, encoder.encode_record(each))
     return message.finish(1_700_000_000, sequence, domain)
 
 
-def told(record):
+def values_by_name(record):
     return {
         each.name: value for each, value in zip(record.template.elements, record.values)
     }
 
 
-class Ipfix(unittest.TestCase):
+class IpfixCodec(unittest.TestCase):
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(records(), max_size=12))
-    def test_records_come_back_as_they_were(self, held):
-        made = IpfixDecoder().decode(packed(IPFIX, held), 0)
+    def test_records_come_back_as_they_were(self, sent):
+        decoded_message = IpfixDecoder().decode(encoded_message(IPFIX, sent), 0)
         expected = [
             {
                 name: truncate_text(value, ipfix_encoder.MAX_STRING_OCTETS).decode()
                 if isinstance(value, str)
                 and ELEMENTS[name].data_type is DataType.STRING
                 else value
-                for name, value in told(each).items()
+                for name, value in values_by_name(each).items()
             }
-            for each in held
+            for each in sent
         ]
-        self.assertEqual([record.values for record in made.records], expected)
+        self.assertEqual(
+            [record.values for record in decoded_message.records], expected
+        )
 
     def test_the_header_is_exact(self):
-        data = packed(IPFIX, [plain(COMMAND_RECORD)], sequence=(1 << 32) + 9)
+        data = encoded_message(
+            IPFIX, [record_with(COMMAND_RECORD)], sequence=(1 << 32) + 9
+        )
         self.assertEqual(
             ipfix_encoder.MESSAGE_HEADER.unpack_from(data),
             (10, len(data), 1_700_000_000, 9, 3),
@@ -108,11 +114,11 @@
 
     def test_a_name_of_300_bytes_and_strange_unicode(self):
         for name in ("x" * 300, "\u202e🐟\u0301" * 30, "\udcff lone"):
-            made = IpfixDecoder().decode(
-                packed(IPFIX, [plain(COMMAND_RECORD, storeName=name)]), 0
+            decoded_message = IpfixDecoder().decode(
+                encoded_message(IPFIX, [record_with(COMMAND_RECORD, storeName=name)]), 0
             )
             self.assertEqual(
-                made.records[0].values["storeName"],
+                decoded_message.records[0].values["storeName"],
                 name.encode("utf-8", "replace").decode(),
             )
 
@@ -120,7 +126,9 @@
         encoder = IpfixEncoder()
         message = IpfixMessageBuilder(1400)
         count = 0
-        while message.add(CLIENT_FLOW.id, encoder.encode_record(plain(CLIENT_FLOW))):
+        while message.add(
+            CLIENT_FLOW.id, encoder.encode_record(record_with(CLIENT_FLOW))
+        ):
             count += 1
         data = message.finish(0, 0, 1)
         self.assertLessEqual(len(data), 1400)
@@ -128,18 +136,22 @@
 
     def test_data_before_its_template_is_counted_not_guessed(self):
         decoder = IpfixDecoder()
-        made = decoder.decode(packed(IPFIX, [plain(COMMAND_RECORD)], templates=()), 0)
-        self.assertEqual((made.records, made.unknown_sets), ([], 1))
+        decoded_message = decoder.decode(
+            encoded_message(IPFIX, [record_with(COMMAND_RECORD)], templates=()), 0
+        )
+        self.assertEqual(
+            (decoded_message.records, decoded_message.unknown_sets), ([], 1)
+        )
 
     def test_a_template_lapses_with_its_lifetime_and_goes_when_withdrawn(self):
         decoder = IpfixDecoder(template_lifetime=10)
-        decoder.decode(packed(IPFIX, []), 0)
-        bare = packed(IPFIX, [plain(COMMAND_RECORD)], templates=())
+        decoder.decode(encoded_message(IPFIX, []), 0)
+        bare = encoded_message(IPFIX, [record_with(COMMAND_RECORD)], templates=())
         self.assertEqual(
             [decoder.decode(bare, at).unknown_sets for at in (9, 11)], [0, 1]
         )
         decoder = IpfixDecoder()
-        decoder.decode(packed(IPFIX, []), 0)
+        decoder.decode(encoded_message(IPFIX, []), 0)
         message = IpfixMessageBuilder(999)
         message.add(
             ipfix_encoder.TEMPLATE_SET_ID, SET_HEADER.pack(COMMAND_RECORD.id, 0)
@@ -149,15 +161,18 @@
 
     def test_domains_do_not_share_templates(self):
         decoder = IpfixDecoder()
-        decoder.decode(packed(IPFIX, [], domain=1), 0)
+        decoder.decode(encoded_message(IPFIX, [], domain=1), 0)
         self.assertEqual(
             decoder.decode(
-                packed(IPFIX, [plain(COMMAND_RECORD)], templates=(), domain=2), 0
+                encoded_message(
+                    IPFIX, [record_with(COMMAND_RECORD)], templates=(), domain=2
+                ),
+                0,
             ).unknown_sets,
             1,
         )
 
-    def test_types_told_in_the_stream_name_elements_of_another_number(self):
+    def test_types_exported_in_the_stream_name_elements_of_another_number(self):
         encoder = IpfixEncoder(enterprise=777)
         message = IpfixMessageBuilder(60_000)
         for set_id, data in encoder.encode_templates((ELEMENT_TYPE, COMMAND_RECORD)):
@@ -176,7 +191,7 @@
         message = IpfixMessageBuilder(999)
         message.add(
             COMMAND_RECORD.id,
-            encoder.encode_record(plain(COMMAND_RECORD, storeName="suva")),
+            encoder.encode_record(record_with(COMMAND_RECORD, storeName="suva")),
         )
         self.assertEqual(
             decoder.decode(message.finish(0, 0, 1), 0).records[0].values["storeName"],
@@ -197,7 +212,9 @@
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=300), st.integers(0, 500), st.integers(0, 255))
     def test_any_bytes_are_decoded_or_refused_with_one_line(self, noise, place, byte):
-        good = bytearray(packed(IPFIX, [plain(each) for each in TEMPLATES]))
+        good = bytearray(
+            encoded_message(IPFIX, [record_with(each) for each in TEMPLATES])
+        )
         good[place % len(good)] = byte
         for data in (
             noise,
@@ -212,7 +229,7 @@
                     self.assertNotIn("\n", str(error))
 
     def test_a_stream_is_cut_into_messages_at_any_byte(self):
-        data = packed(IPFIX, [plain(COMMAND_RECORD)]) * 3
+        data = encoded_message(IPFIX, [record_with(COMMAND_RECORD)]) * 3
         splitter = IpfixMessageSplitter()
         found = [
             each
@@ -224,13 +241,13 @@
             list(IpfixMessageSplitter().feed(b"\0\x0a\0\x02"))
 
 
-class NetFlow9(unittest.TestCase):
+class NetFlow9Codec(unittest.TestCase):
     @settings(max_examples=40, deadline=None, derandomize=True)
     @given(st.lists(records(), max_size=8))
-    def test_records_come_back_within_their_fixed_widths(self, held):
-        made = NetFlow9Decoder().decode(packed(NETFLOW9, held), 0)
-        for decoded, record in zip(made.records, held, strict=True):
-            for place, (name, value) in enumerate(told(record).items()):
+    def test_records_come_back_within_their_fixed_widths(self, sent):
+        decoded_message = NetFlow9Decoder().decode(encoded_message(NETFLOW9, sent), 0)
+        for decoded, record in zip(decoded_message.records, sent, strict=True):
+            for place, (name, value) in enumerate(values_by_name(record).items()):
                 if place < decoded.scope_count:
                     continue
                 if ELEMENTS[name].data_type is DataType.STRING:
@@ -242,14 +259,14 @@
                 self.assertEqual(decoded.values[name], value)
 
 
-class Independent(unittest.TestCase):
+class IndependentDecoders(unittest.TestCase):
     """Decoders that others wrote."""
 
     def test_scapy_reads_every_ipfix_template(self):
         warnings.simplefilter("ignore")
         from scapy.layers.netflow import NetflowHeader
 
-        found, layer = {}, NetflowHeader(packed(IPFIX, []))
+        found, layer = {}, NetflowHeader(encoded_message(IPFIX, []))
         while layer:
             for each in getattr(layer, "templates", None) or (
                 [layer] if hasattr(layer, "templateID") else []
@@ -285,9 +302,9 @@
                 each for each in CLIENT_FLOW.elements if each.space is ElementSpace.IANA
             ),
         )
-        held = [plain(template, octetDeltaCount=each) for each in (10, 20)]
+        sent = [record_with(template, octetDeltaCount=each) for each in (10, 20)]
         (packet,) = netflowv9_defragment(
-            [NetflowHeader(packed(IPFIX, held, templates=(template,)))]
+            [NetflowHeader(encoded_message(IPFIX, sent, templates=(template,)))]
         )
         found, layer = [], packet
         while layer:
@@ -307,11 +324,11 @@
     def test_the_netflow_library_decodes_version_9_and_its_sums(self):
         import netflow
 
-        held = [plain(CLIENT_FLOW, octetDeltaCount=each) for each in (10, 20, 30)] + [
-            plain(NODE_FLOW)
-        ]
+        sent = [
+            record_with(CLIENT_FLOW, octetDeltaCount=each) for each in (10, 20, 30)
+        ] + [record_with(NODE_FLOW)]
         packet = netflow.parse_packet(
-            packed(NETFLOW9, held, templates=(CLIENT_FLOW, NODE_FLOW)),
+            encoded_message(NETFLOW9, sent, templates=(CLIENT_FLOW, NODE_FLOW)),
             {"netflow": {}, "ipfix": {}},
         )
         self.assertEqual(packet.header.version, 9)
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -1,4 +1,4 @@
-"""Flow export from a gateway's door to a collector, through sockets."""
+"""Flow export from a gateway to a collector, through sockets."""
 
 import socket
 import unittest
@@ -17,7 +17,7 @@
 from tests.support.sftp_gateway_rig import Client, Rig, later
 
 
-class Deaf(Protocol):
+class NeverReadingCollector(Protocol):
     """Accepts and never reads."""
 
     def connectionMade(self):
@@ -25,7 +25,7 @@
         self.factory.held.append(self)
 
 
-class Through(TestCase):
+class GatewayToCollector(TestCase):
     """A whole gateway with export on, against collectors on loopback."""
 
     timeout = 25
@@ -129,7 +129,7 @@
 
     async def test_a_collector_that_never_reads_slows_nobody_and_is_left(self):
         deaf, collector = (
-            Factory.forProtocol(Deaf),
+            Factory.forProtocol(NeverReadingCollector),
             CollectingProcess(lambda row: None, lambda text: None),
         )
         deaf.held = []
--- a/tests/flows/test_flows.py
+++ b/tests/flows/test_flows.py
@@ -30,31 +30,31 @@
 from tests.support.flow_keys import client_flow_key
 
 
-class Decided(unittest.TestCase):
-    def looks(self, metering, *shares):
+class FlowExportDecisions(unittest.TestCase):
+    def observe_costs(self, metering, *shares):
         return [metering.observe_cost(each, 0.05) for each in shares]
 
     def test_cost_steps_metering_down_and_only_long_calm_up_again(self):
         metering = MeteringControl()
-        self.assertEqual(self.looks(metering, 0.06, 0.06), [False, True])
+        self.assertEqual(self.observe_costs(metering, 0.06, 0.06), [False, True])
         self.assertEqual(metering.level, MeteringLevel.FLOWS)
-        self.looks(metering, 0.06, 0.06)
+        self.observe_costs(metering, 0.06, 0.06)
         self.assertEqual(
             (metering.level, metering.interval), (MeteringLevel.SAMPLED, 2)
         )
-        self.looks(metering, 0.06, 0.06)
+        self.observe_costs(metering, 0.06, 0.06)
         self.assertEqual(metering.interval, 4)
-        self.assertEqual(self.looks(metering, *[0.01] * 7), [False] * 7)
-        self.looks(metering, *[0.01] * 9)
+        self.assertEqual(self.observe_costs(metering, *[0.01] * 7), [False] * 7)
+        self.observe_costs(metering, *[0.01] * 9)
         self.assertEqual((metering.level, metering.interval), (MeteringLevel.FLOWS, 1))
 
     def test_a_fair_cost_between_the_bounds_moves_nothing(self):
         metering = MeteringControl()
-        self.assertEqual(set(self.looks(metering, *[0.04] * 50)), {False})
+        self.assertEqual(set(self.observe_costs(metering, *[0.04] * 50)), {False})
 
     def test_no_closer_than_the_operator_wants(self):
         metering = MeteringControl(MeteringLevel.FLOWS, MeteringLevel.FLOWS)
-        self.looks(metering, *[0.0] * 40)
+        self.observe_costs(metering, *[0.0] * 40)
         self.assertEqual(metering.level, MeteringLevel.FLOWS)
 
     def test_one_in_the_interval_is_selected(self):
@@ -170,13 +170,13 @@
         self.assertEqual(account.dropped(), RecordCounts(2, 3, 4, 5, 6))
 
 
-class Cached(unittest.TestCase):
+class FlowCacheAndMetering(unittest.TestCase):
     def setUp(self):
-        self.gone = []
+        self.exported = []
         self.cache = self.new_cache(FlowCacheSettings(16, 1000, 100))
 
     def new_cache(self, settings):
-        return FlowCache(settings, lambda at: at, self.gone.append)
+        return FlowCache(settings, lambda at: at, self.exported.append)
 
     def test_a_hundred_thousand_stores_stay_within_the_cache_and_nothing_is_lost(self):
         self.cache = self.new_cache(FlowCacheSettings(4096, 10**9, 10**9))
@@ -196,8 +196,8 @@
         self.cache.flush()
         self.assertEqual(
             (
-                sum(each.counts.commands for each in self.gone),
-                sum(each.counts.octets for each in self.gone),
+                sum(each.counts.commands for each in self.exported),
+                sum(each.counts.octets for each in self.exported),
             ),
             (100_000, 3_000_000),
         )
@@ -209,7 +209,7 @@
             next(each for each in CLIENT_FLOW.elements if each.name == "flowEndReason")
         )
         self.assertEqual(
-            [each.record.values[reason] for each in self.gone],
+            [each.record.values[reason] for each in self.exported],
             [FlowEndReason.LACK_OF_RESOURCES],
         )
 
@@ -232,29 +232,29 @@
         self.cache.flush()
         self.assertEqual(
             (
-                sum(each.counts.commands for each in self.gone),
+                sum(each.counts.commands for each in self.exported),
                 meter.not_metered.commands,
             ),
             (25, 75),
         )
 
 
-class Gaps(unittest.TestCase):
-    def hear(self, *pairs):
+class SequenceTracking(unittest.TestCase):
+    def observe(self, *pairs):
         tracker = SequenceTracker()
         for sequence, records in pairs:
             tracker.observe(sequence, records)
         return tracker.missing, tracker.duplicated
 
     def test_lost_doubled_and_out_of_order(self):
-        self.assertEqual(self.hear((0, 5), (5, 5), (10, 5)), (0, 0))
-        self.assertEqual(self.hear((0, 5), (10, 5)), (5, 0))
-        self.assertEqual(self.hear((0, 5), (10, 5), (5, 5)), (0, 5))
-        self.assertEqual(self.hear((0, 5), (5, 5), (5, 5)), (0, 5))
+        self.assertEqual(self.observe((0, 5), (5, 5), (10, 5)), (0, 0))
+        self.assertEqual(self.observe((0, 5), (10, 5)), (5, 0))
+        self.assertEqual(self.observe((0, 5), (10, 5), (5, 5)), (0, 5))
+        self.assertEqual(self.observe((0, 5), (5, 5), (5, 5)), (0, 5))
 
     def test_past_the_end_of_the_numbers(self):
         top = 1 << 32
-        self.assertEqual(self.hear((top - 3, 5), (2, 5), (10, 1)), (3, 0))
+        self.assertEqual(self.observe((top - 3, 5), (2, 5), (10, 1)), (3, 0))
 
 
 if __name__ == "__main__":
