--- a/milletsill/flows/gateway_export.py
+++ b/milletsill/flows/gateway_export.py
@@ -19,12 +19,12 @@
 )
 from milletsill.flows.option_records import ExporterIdentity
 from milletsill.settings.milletsill_pb2 import GatewayFile
-from milletsill.sftp.extensions import Order
+from milletsill.sftp.extensions import NodeRequest
 
 UNKNOWN_ADDRESS = "0.0.0.0"
 FALLBACK_DOMAIN = 1
-ExchangeMeter: TypeAlias = Callable[[Order | None, str, int, int, int], None]
-"""Takes an exchange: order, outcome, octets out and back, duration in ticks."""
+ExchangeMeter: TypeAlias = Callable[[NodeRequest | None, str, int, int, int], None]
+"""Takes an exchange: request, outcome, octets out and back, duration in ticks."""
 
 
 def observation_domain(gateway_name: str) -> int:
@@ -114,7 +114,7 @@
         node_port = int(port)
 
         def on_exchange(
-            order: Order | None,
+            request: NodeRequest | None,
             outcome: str,
             octets_out: int,
             octets_back: int,
@@ -125,8 +125,8 @@
                 node_host,
                 node_port,
                 node_id,
-                "" if order is None else self._volume_names.get(order.volume, ""),
-                "" if order is None else order.category,
+                "" if request is None else self._volume_names.get(request.volume, ""),
+                "" if request is None else request.category,
                 outcome,
             )
             exchange = Exchange(
@@ -136,7 +136,7 @@
                 int(octets_back > 0),
                 duration,
             )
-            is_retry = order is not None and order.number > 0
+            is_retry = request is not None and request.number > 0
             self._metering.on_dispatch(key, is_retry, exchange)
 
         return on_exchange
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -15,11 +15,16 @@
 from milletsill.gateway.active_requests import AttemptEnded
 from milletsill.gateway.scheduler_host import (
     HostCallbacks,
-    SchedulerFactory,
     SchedulerHost,
 )
 from milletsill.gateway.stall_detection import STALL_CHECK_INTERVAL, earliest_arrival
-from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
+from milletsill.interface import (
+    Endpoint,
+    EndpointUpdateKind,
+    Readiness,
+    Request,
+    SchedulerFactory,
+)
 from milletsill.logs import logger
 from milletsill.node_connections.attempt_exchange import PooledExchange
 from milletsill.node_connections.connection_pool import NodeConnectionPool
@@ -31,7 +36,7 @@
     RegistryWatcher,
 )
 from milletsill.scheduler import Scheduler
-from milletsill.sftp.extensions import Order
+from milletsill.sftp.extensions import NodeRequest
 from milletsill.sftp_gateway import deployment
 from milletsill.sftp_gateway.command_execution import Cargo, Running
 from milletsill.sftp_gateway.errors import RestartRequired
@@ -480,7 +485,7 @@
             ended = gate.count_dispatch(ended)
         left = max((arrival.deadline - self.now()) // 10, 1)
         return pool.send_attempt(
-            Order(
+            NodeRequest(
                 self.file.name,
                 self.incarnation,
                 arrival.id,
