--- a/milletsill/flows/flow_records.py
+++ b/milletsill/flows/flow_records.py
@@ -20,6 +20,7 @@
     COMMAND_RECORD,
     NODE_FLOW,
     DataRecord,
+    FieldValue,
     FlowEndReason,
 )
 
@@ -163,19 +164,13 @@
     key: ClientFlowKey, flow: Flow, reason: FlowEndReason, to_wall: WallMilliseconds
 ) -> PendingRecord:
     """Returns the record of a client flow, in the order of CLIENT_FLOW."""
-    values = (
+    values: tuple[FieldValue, ...] = (
         key.client,
         key.gateway,
         key.client_port,
         key.gateway_port,
         PROTOCOL_TCP,
-        to_wall(flow.started),
-        to_wall(flow.last_seen),
-        reason,
-        flow.forward_octets,
-        flow.forward_packets,
-        flow.reverse_octets,
-        flow.reverse_packets,
+        *_times_and_volume(flow, reason, to_wall),
         flow.count,
         flow.succeeded,
         flow.rejected,
@@ -197,19 +192,13 @@
     key: NodeFlowKey, flow: Flow, reason: FlowEndReason, to_wall: WallMilliseconds
 ) -> PendingRecord:
     """Returns the record of a node flow, in the order of NODE_FLOW."""
-    values = (
+    values: tuple[FieldValue, ...] = (
         key.gateway,
         key.node,
         UNKNOWN_PORT,
         key.node_port,
         PROTOCOL_TCP,
-        to_wall(flow.started),
-        to_wall(flow.last_seen),
-        reason,
-        flow.forward_octets,
-        flow.forward_packets,
-        flow.reverse_octets,
-        flow.reverse_packets,
+        *_times_and_volume(flow, reason, to_wall),
         flow.count,
         flow.retries,
         flow.duration_sum * MICROSECONDS_PER_TICK,
@@ -225,6 +214,21 @@
     return PendingRecord(DataRecord(NODE_FLOW, values), RecordKind.FLOW, counts)
 
 
+def _times_and_volume(
+    flow: Flow, reason: FlowEndReason, to_wall: WallMilliseconds
+) -> tuple[int, ...]:
+    """Returns the values that both kinds of flows have behind their endpoints."""
+    return (
+        to_wall(flow.started),
+        to_wall(flow.last_seen),
+        reason,
+        flow.forward_octets,
+        flow.forward_packets,
+        flow.reverse_octets,
+        flow.reverse_packets,
+    )
+
+
 def command_record(
     key: ClientFlowKey,
     outcome: CommandOutcome,
@@ -236,7 +240,7 @@
 
     Its flow holds its counts, so that the record counts itself alone.
     """
-    values = (
+    values: tuple[FieldValue, ...] = (
         key.client,
         key.gateway,
         key.client_port,
