--- a/milletsill/fleet/channels/channel_numbers.py
+++ b/milletsill/fleet/channels/channel_numbers.py
@@ -25,7 +25,7 @@
     CompletedSequence,
     CompletionOutcome,
     OpenSequence,
-    PendingRequest,
+    PendingNumber,
 )
 
 _OUTCOME_BY_EFFECT = {
@@ -60,7 +60,7 @@
         self.immediate_effects: list[Effect] = []
         self.record_changed = False
 
-    def _accept(self, request: PendingRequest, sequence: OpenSequence | None) -> None:
+    def _accept(self, request: PendingNumber, sequence: OpenSequence | None) -> None:
         """Hold a request, or let it wait for the end of the attempt in flight."""
         number = request.number
         state, effect = transition(self.state_of(number), NumberEvent.REQUEST_RECEIVED)
@@ -137,7 +137,7 @@
             if pinned >= self.lowest_open
         }
 
-    def _repeat_outcome(self, request: PendingRequest) -> None:
+    def _repeat_outcome(self, request: PendingNumber) -> None:
         """Answer with the remembered outcome, without a second effect.
 
         After the record is written, which may not hold the outcome yet.
--- a/milletsill/fleet/channels/channel_releases.py
+++ b/milletsill/fleet/channels/channel_releases.py
@@ -18,7 +18,7 @@
     PREDECESSOR_RULES,
     ReleaseGate,
 )
-from milletsill.fleet.channels.sequences import OpenSequence, PendingRequest
+from milletsill.fleet.channels.sequences import OpenSequence, PendingNumber
 
 
 class ChannelReleases(ChannelNumbers):
@@ -75,7 +75,7 @@
         return True
 
     def _release(
-        self, now: int, number: int, sequence: OpenSequence, request: PendingRequest
+        self, now: int, number: int, sequence: OpenSequence, request: PendingNumber
     ) -> None:
         is_retry = sequence.state is NumberState.RETRY_WAITING
         sequence.state, _ = transition(sequence.state, NumberEvent.RELEASED)
--- a/milletsill/fleet/channels/channel_sequencer.py
+++ b/milletsill/fleet/channels/channel_sequencer.py
@@ -19,7 +19,7 @@
     changes_contract,
 )
 from milletsill.fleet.channels.contradictions import find_contradiction
-from milletsill.fleet.channels.effects import ChannelStatus, Notify, ReplyKind
+from milletsill.fleet.channels.effects import AnswerChannelOpen, Notify, ReplyKind
 from milletsill.fleet.channels.limits import MAX_KEY_GENERATIONS
 from milletsill.fleet.channels.number_states import (
     NumberEffect,
@@ -30,7 +30,7 @@
 from milletsill.fleet.channels.sequences import (
     CompletedSequence,
     CompletionOutcome,
-    PendingRequest,
+    PendingNumber,
 )
 
 
@@ -83,10 +83,10 @@
                     waiting = self._apply(number, NumberEvent.WAIT_ENDED)
                     self._notify_now(waiting, ReplyKind.CLAIM_LOST)
         self.record_changed = True
-        self.effects_after_write.append(ChannelStatus(recipient))
+        self.effects_after_write.append(AnswerChannelOpen(recipient))
         self.release_ready(now)
 
-    def submit(self, now: int, request: PendingRequest) -> None:
+    def submit(self, now: int, request: PendingNumber) -> None:
         """Take in a numbered request."""
         number = request.number
         if not self.holds_claim(request.claim):
--- a/milletsill/fleet/channels/channel_state.py
+++ b/milletsill/fleet/channels/channel_state.py
@@ -16,7 +16,7 @@
 from milletsill.fleet.channels.sequences import (
     CompletedSequence,
     OpenSequence,
-    PendingRequest,
+    PendingNumber,
 )
 
 
@@ -116,7 +116,7 @@
         """
         return now + self.quarantine
 
-    def key_window_end(self, sequence: OpenSequence, request: PendingRequest) -> int:
+    def key_window_end(self, sequence: OpenSequence, request: PendingNumber) -> int:
         """Until when a retry under the same idempotency key may be released.
 
         Guards against a second effect: a key is remembered no longer than its window
--- a/milletsill/fleet/channels/contradictions.py
+++ b/milletsill/fleet/channels/contradictions.py
@@ -8,7 +8,7 @@
 from milletsill.fleet.channels.channel_state import ChannelState
 from milletsill.fleet.channels.contracts import ChannelOrder
 from milletsill.fleet.channels.number_states import NumberState
-from milletsill.fleet.channels.sequences import OpenSequence, PendingRequest
+from milletsill.fleet.channels.sequences import OpenSequence, PendingNumber
 
 
 def other_request_text(channel: ChannelState, number: int) -> str:
@@ -19,7 +19,7 @@
 
 
 def find_contradiction(
-    channel: ChannelState, request: PendingRequest, sequence: OpenSequence | None
+    channel: ChannelState, request: PendingNumber, sequence: OpenSequence | None
 ) -> str:
     """What a request contradicts, as text for its client; empty for nothing.
 
@@ -48,7 +48,7 @@
     return ""
 
 
-def _find_batch_contradiction(channel: ChannelState, request: PendingRequest) -> str:
+def _find_batch_contradiction(channel: ChannelState, request: PendingNumber) -> str:
     """Guards against batches that overlap. Harm: none, no order could hold for them."""
     number = request.number
     batch = request.batch
--- a/milletsill/fleet/channels/effects.py
+++ b/milletsill/fleet/channels/effects.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from milletsill.fleet.channels.commands import ChannelCommand
-from milletsill.fleet.channels.sequences import PendingRequest
+from milletsill.fleet.channels.sequences import PendingNumber
 
 
 class ReplyKind(Enum):
@@ -37,7 +37,7 @@
     """
 
     number: int
-    request: PendingRequest
+    request: PendingNumber
     key_generation: int
     is_retry: bool
     deadline: int
@@ -65,18 +65,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChannelStatus:
+class AnswerChannelOpen:
     """Answer an open command with how the channel stands."""
 
     recipient: ChannelCommand
 
 
 @dataclass(frozen=True, slots=True)
-class NumberStatus:
+class AnswerNumberQuery:
     """Answer a query with how its number stands."""
 
     recipient: ChannelCommand
     number: int
 
 
-Effect = Release | Notify | ChannelStatus | NumberStatus
+Effect = Release | Notify | AnswerChannelOpen | AnswerNumberQuery
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -34,16 +34,16 @@
 )
 from milletsill.fleet.channels.contracts import ContractCatalog
 from milletsill.fleet.channels.effects import (
-    ChannelStatus,
+    AnswerChannelOpen,
+    AnswerNumberQuery,
     Effect,
     Notify,
-    NumberStatus,
     Release,
     ReplyKind,
 )
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.number_states import NumberEvent
-from milletsill.fleet.channels.sequences import PendingRequest
+from milletsill.fleet.channels.sequences import PendingNumber
 from milletsill.fleet.channels.timers import UNITS_PER_SECOND, Timer, TimerScheduler
 from milletsill.fleet.leases.lease_term import LeaseTerm
 from milletsill.sftp import channel_extensions as wire
@@ -167,12 +167,14 @@
             event = RESOLUTION_EVENTS[body.resolution]
             sequencer.resolve(now, body.number, event, body.claim, command)
         else:  # answered once the record holds what the answer says
-            sequencer.effects_after_write.append(NumberStatus(command, body.number))
+            sequencer.effects_after_write.append(
+                AnswerNumberQuery(command, body.number)
+            )
 
     def _pending_request(
         self, command: ChannelCommand, body: NumberedRequest
-    ) -> PendingRequest:
-        return PendingRequest(
+    ) -> PendingNumber:
+        return PendingNumber(
             number=body.number,
             claim=body.claim,
             digest=body.digest(),
@@ -254,9 +256,9 @@
             else:
                 self._send_status(effect)
 
-    def _send_status(self, effect: ChannelStatus | NumberStatus) -> None:
+    def _send_status(self, effect: AnswerChannelOpen | AnswerNumberQuery) -> None:
         replies = self.host.replies
-        if isinstance(effect, ChannelStatus):
+        if isinstance(effect, AnswerChannelOpen):
             packet = channel_status_packet(self.sequencer)
             replies.send(effect.recipient, packet, COUNTED_CHANNEL_STATUS)
         else:
--- a/milletsill/fleet/channels/sequences.py
+++ b/milletsill/fleet/channels/sequences.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class PendingRequest:
+class PendingNumber:
     """A numbered request that waits for its release.
 
     Attributes:
@@ -76,7 +76,7 @@
     ranges: AccessRanges
     batch: int = 0
     ends_batch: bool = False
-    pending: PendingRequest | None = None
+    pending: PendingNumber | None = None
     recipients: list[ChannelCommand] = field(default_factory=list)
     first_released_at: int = RELEASED_LONG_AGO
     quarantined_until: int = 0
--- a/milletsill/fleet/leases/acceptor_host.py
+++ b/milletsill/fleet/leases/acceptor_host.py
@@ -11,7 +11,7 @@
     LeaseEnvironment,
     LeaseSettings,
 )
-from milletsill.fleet.leases.timers import NamedTimers
+from milletsill.fleet.leases.timers import LeaseTimers
 
 
 class AcceptorHost:
@@ -34,7 +34,7 @@
         settings: LeaseSettings,
         environment: LeaseEnvironment,
         messenger: LeaseMessenger,
-        timers: NamedTimers,
+        timers: LeaseTimers,
         worker: BlockingExecutor,
         chance: int,
     ) -> None:
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -41,7 +41,7 @@
 )
 from milletsill.fleet.leases.request_sender import RequestSender
 from milletsill.fleet.leases.round_error import round_error
-from milletsill.fleet.leases.timers import NamedTimers
+from milletsill.fleet.leases.timers import LeaseTimers
 from milletsill.fleet.leases.timings import TICKS_PER_SECOND
 from milletsill.fleet.transport import MessageKind
 
@@ -81,7 +81,7 @@
         self._nonce = SystemRandom().getrandbits(64)
         self._random = Random(settings.seed)
         self._metrics = LeaseMetrics(environment.registry)
-        self._timers = NamedTimers(environment.reactor)
+        self._timers = LeaseTimers(environment.reactor)
         clock_id = SystemRandom().getrandbits(63) + 1
         self._messenger = LeaseMessenger(
             settings, environment, self._metrics, clock_id, self._on_reply
--- a/milletsill/fleet/leases/lease_settings.py
+++ b/milletsill/fleet/leases/lease_settings.py
@@ -9,12 +9,12 @@
 from prometheus_client import CollectorRegistry
 
 from milletsill.fleet.leases.messages import MAX_VALUE_BYTES
-from milletsill.fleet.leases.timers import DelayedCalls
 from milletsill.fleet.leases.timings import LeaseTimings
 from milletsill.fleet.transport import FleetTransport
+from milletsill.named_timers import ReactorTimers
 
 
-class EventLog(Protocol):
+class LogEvent(Protocol):
     """Writes one event with its fields to the log."""
 
     def __call__(self, event: str, **fields: Any) -> None:
@@ -33,10 +33,10 @@
         registry: Where metrics are registered.
     """
 
-    reactor: DelayedCalls
+    reactor: ReactorTimers
     now: Callable[[], int]
     transport: FleetTransport
-    log: EventLog
+    log: LogEvent
     registry: CollectorRegistry
 
 
--- a/milletsill/fleet/leases/request_queue.py
+++ b/milletsill/fleet/leases/request_queue.py
@@ -39,7 +39,7 @@
 MAX_WAITING = 20_000
 
 
-class QueuedRequest(NamedTuple):
+class QueuedLeaseRequest(NamedTuple):
     """A request and the gateway that sent it."""
 
     gateway: str
@@ -95,7 +95,7 @@
         self.replies: list[AddressedReply] = []
         self.added = 0
 
-    def handle(self, queued: QueuedRequest) -> None:
+    def handle(self, queued: QueuedLeaseRequest) -> None:
         request = queued.request
         key = request.key
         if key not in self.records:
@@ -158,7 +158,7 @@
         self._run_blocking = run_blocking
         self._is_serving = is_serving
         self._on_unusable = on_unusable
-        self._waiting: list[QueuedRequest] = []
+        self._waiting: list[QueuedLeaseRequest] = []
         self.is_busy = False
         self.is_stopped = False
         self.disk_full_until = 0
@@ -166,7 +166,7 @@
     def add(self, gateway: str, requests: Sequence[AcceptorRequest]) -> None:
         """Queue requests of one gateway; what has no room is dropped."""
         room = MAX_WAITING - len(self._waiting)
-        self._waiting += [QueuedRequest(gateway, each) for each in requests[:room]]
+        self._waiting += [QueuedLeaseRequest(gateway, each) for each in requests[:room]]
         if len(requests) > room:
             self._metrics.dropped.labels("waiting").inc(len(requests) - room)
         self.pump()
@@ -189,7 +189,7 @@
             lambda: self._run(batch), lambda result: self._on_result(batch, result)
         )
 
-    def _run(self, requests: Sequence[QueuedRequest]) -> BatchResult:
+    def _run(self, requests: Sequence[QueuedLeaseRequest]) -> BatchResult:
         """Work off a batch, each request in its order. In the store's thread."""
         store = self._context.store
         began = time.perf_counter()
@@ -202,7 +202,7 @@
         return BatchResult(batch.replies, len(requests), bool(batch.changed), seconds)
 
     def _on_result(
-        self, batch: Sequence[QueuedRequest], result: BatchResult | MilletsillError
+        self, batch: Sequence[QueuedLeaseRequest], result: BatchResult | MilletsillError
     ) -> None:
         self.is_busy = False
         if self.is_stopped:
@@ -227,7 +227,7 @@
             self._metrics.commit_seconds.observe(result.seconds)
 
     def _on_failure(
-        self, batch: Sequence[QueuedRequest], error: MilletsillError
+        self, batch: Sequence[QueuedLeaseRequest], error: MilletsillError
     ) -> None:
         """Send each sender UNAVAILABLE: nothing of the batch counts."""
         self._context.log_error(error)
--- a/milletsill/fleet/leases/request_sender.py
+++ b/milletsill/fleet/leases/request_sender.py
@@ -12,7 +12,7 @@
 from milletsill.fleet.leases.messages import AcceptorRequest
 from milletsill.fleet.leases.metrics import LeaseMetrics
 from milletsill.fleet.leases.quorum_round import QuorumRound
-from milletsill.fleet.leases.timers import NamedTimers
+from milletsill.fleet.leases.timers import LeaseTimers
 
 CHECK_INTERVAL = 200  # between looks at rounds whose time is over, in ticks
 # Part of a call's time after which acceptors without a grant are sent it once more.
@@ -52,7 +52,7 @@
         environment: LeaseEnvironment,
         messenger: LeaseMessenger,
         metrics: LeaseMetrics,
-        timers: NamedTimers,
+        timers: LeaseTimers,
         on_timeout: Callable[[LeaseProposer, int], None],
     ) -> None:
         self._acceptors = settings.acceptors
--- a/milletsill/fleet/leases/timers.py
+++ b/milletsill/fleet/leases/timers.py
@@ -1,36 +1,18 @@
-"""Timers by name, over the part of Twisted's reactor that the lease service uses."""
+"""Timers by name in ticks, as the lease service sets them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
 from milletsill.fleet.leases.timings import TICKS_PER_SECOND
+from milletsill.named_timers import DelayedCall, ReactorTimers
 
 
-class DelayedCall(Protocol):
-    """A call that is still to come, as Twisted's IDelayedCall."""
-
-    def active(self) -> bool:
-        """Whether it is still to come."""
-
-    def cancel(self) -> None:
-        """Call it off."""
-
-
-class DelayedCalls(Protocol):
-    """What calls later, as Twisted's IReactorTime."""
-
-    def callLater(
-        self, delay: float, call: Callable[..., None], /, *args: Any
-    ) -> DelayedCall:
-        """Call after `delay` seconds."""
-
-
-class NamedTimers:
+class LeaseTimers:
     """At most one running timer for each name, until `stop`."""
 
-    def __init__(self, reactor: DelayedCalls) -> None:
+    def __init__(self, reactor: ReactorTimers) -> None:
         self._reactor = reactor
         self._timers: dict[str, DelayedCall] = {}
         self.is_stopped = False
--- a/milletsill/flows/delivery_account.py
+++ b/milletsill/flows/delivery_account.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class RecordCounts:
+class FlowRecordCounts:
     """Counts that a record, or a sum of records, stands for."""
 
     records: int = 0
@@ -15,7 +15,7 @@
     packets: int = 0
     octets: int = 0
 
-    def add(self, other: RecordCounts) -> None:
+    def add(self, other: FlowRecordCounts) -> None:
         """Adds the counts of another."""
         self.records += other.records
         self.commands += other.commands
@@ -28,18 +28,18 @@
 class DeliveryAccount:
     """What was sent to one collector, and what was dropped for which cause."""
 
-    sent: RecordCounts = field(default_factory=RecordCounts)
-    dropped_by_cause: dict[str, RecordCounts] = field(default_factory=dict)
+    sent: FlowRecordCounts = field(default_factory=FlowRecordCounts)
+    dropped_by_cause: dict[str, FlowRecordCounts] = field(default_factory=dict)
     messages: int = 0
     octets: int = 0
 
-    def drop(self, cause: str, counts: RecordCounts) -> None:
+    def drop(self, cause: str, counts: FlowRecordCounts) -> None:
         """Counts what was dropped."""
-        self.dropped_by_cause.setdefault(cause, RecordCounts()).add(counts)
+        self.dropped_by_cause.setdefault(cause, FlowRecordCounts()).add(counts)
 
-    def dropped(self) -> RecordCounts:
+    def dropped(self) -> FlowRecordCounts:
         """Returns all that was dropped."""
-        total = RecordCounts()
+        total = FlowRecordCounts()
         for counts in self.dropped_by_cause.values():
             total.add(counts)
         return total
--- a/milletsill/flows/export_stream.py
+++ b/milletsill/flows/export_stream.py
@@ -11,8 +11,8 @@
 from milletsill.flows.field_encoding import MessageBuilder
 from milletsill.flows.record_queue import (
     MOST_NEEDED_FIRST,
+    FlowRecordKind,
     PendingRecord,
-    RecordKind,
     RecordQueue,
 )
 from milletsill.flows.templates import TEMPLATES
@@ -86,7 +86,7 @@
         It leaves a gap in the sequence, so that the stream shows it too.
         """
         self.account.drop(cause, pending.counts)
-        is_option = pending.kind is RecordKind.OPTION
+        is_option = pending.kind is FlowRecordKind.OPTION
         if self._codec.sequence_counts_records and not is_option:
             self._sequence += 1
 
@@ -155,6 +155,6 @@
         self.account.octets += len(octets)
         self._templates.messages_since += 1
         for pending in taken:
-            if pending.kind is not RecordKind.OPTION:
+            if pending.kind is not FlowRecordKind.OPTION:
                 self.account.sent.add(pending.counts)
         self._transmit(octets)
--- a/milletsill/flows/exporting_process.py
+++ b/milletsill/flows/exporting_process.py
@@ -28,7 +28,7 @@
     reliability_record,
     sampling_record,
 )
-from milletsill.flows.record_queue import PendingRecord, RecordKind
+from milletsill.flows.record_queue import FlowRecordKind, PendingRecord
 from milletsill.named_timers import DelayedCall
 
 STEP_SECONDS = 0.1
@@ -179,7 +179,7 @@
         for sender in self.senders:
             if not sender.settings.codec.exports_options:
                 continue
-            sender.queue.records(RecordKind.OPTION).clear()
+            sender.queue.records(FlowRecordKind.OPTION).clear()
             sender.enqueue(sampling)
             reliability = reliability_record(
                 self._identity,
--- a/milletsill/flows/flow_records.py
+++ b/milletsill/flows/flow_records.py
@@ -13,8 +13,8 @@
 from typing import NamedTuple, TypeAlias
 
 from milletsill.flows.clocks import MICROSECONDS_PER_TICK
-from milletsill.flows.delivery_account import RecordCounts
-from milletsill.flows.record_queue import PendingRecord, RecordKind
+from milletsill.flows.delivery_account import FlowRecordCounts
+from milletsill.flows.record_queue import FlowRecordKind, PendingRecord
 from milletsill.flows.templates import (
     CLIENT_FLOW,
     COMMAND_RECORD,
@@ -182,10 +182,10 @@
         key.plan,
         key.category,
     )
-    counts = RecordCounts(
+    counts = FlowRecordCounts(
         records=1, commands=flow.count, packets=flow.packets, octets=flow.octets
     )
-    return PendingRecord(DataRecord(CLIENT_FLOW, values), RecordKind.FLOW, counts)
+    return PendingRecord(DataRecord(CLIENT_FLOW, values), FlowRecordKind.FLOW, counts)
 
 
 def node_flow_record(
@@ -208,10 +208,10 @@
         key.category,
         key.outcome,
     )
-    counts = RecordCounts(
+    counts = FlowRecordCounts(
         records=1, dispatches=flow.count, packets=flow.packets, octets=flow.octets
     )
-    return PendingRecord(DataRecord(NODE_FLOW, values), RecordKind.FLOW, counts)
+    return PendingRecord(DataRecord(NODE_FLOW, values), FlowRecordKind.FLOW, counts)
 
 
 def _times_and_volume(
@@ -260,4 +260,4 @@
         outcome.value,
     )
     record = DataRecord(COMMAND_RECORD, values)
-    return PendingRecord(record, RecordKind.COMMAND, RecordCounts(records=1))
+    return PendingRecord(record, FlowRecordKind.COMMAND, FlowRecordCounts(records=1))
--- a/milletsill/flows/metering_process.py
+++ b/milletsill/flows/metering_process.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from milletsill.flows.delivery_account import RecordCounts
+from milletsill.flows.delivery_account import FlowRecordCounts
 from milletsill.flows.flow_cache import FlowCache
 from milletsill.flows.flow_records import (
     ClientFlowKey,
@@ -33,7 +33,7 @@
         now: Callable[[], int],
         cost_timer: Callable[[], float],
     ) -> None:
-        self.not_metered = RecordCounts()
+        self.not_metered = FlowRecordCounts()
         self.observed = 0
         self.selected = 0
         self.cost_seconds = 0.0
@@ -63,7 +63,7 @@
         else:
             commands = int(outcome is not None)
             self.not_metered.add(
-                RecordCounts(
+                FlowRecordCounts(
                     commands=commands, packets=exchange.packets, octets=exchange.octets
                 )
             )
@@ -81,7 +81,7 @@
             flow.retries += int(is_retry)
         else:
             self.not_metered.add(
-                RecordCounts(
+                FlowRecordCounts(
                     dispatches=dispatches,
                     packets=exchange.packets,
                     octets=exchange.octets,
--- a/milletsill/flows/option_records.py
+++ b/milletsill/flows/option_records.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from milletsill.flows.delivery_account import DeliveryAccount, RecordCounts
+from milletsill.flows.delivery_account import DeliveryAccount, FlowRecordCounts
 from milletsill.flows.metering_policy import MeteringControl
 from milletsill.flows.metering_process import MeteringProcess
-from milletsill.flows.record_queue import PendingRecord, RecordKind
+from milletsill.flows.record_queue import FlowRecordKind, PendingRecord
 from milletsill.flows.templates import RELIABILITY, SAMPLING, DataRecord
 
 SYSTEMATIC_COUNT_SAMPLING = 1
@@ -46,7 +46,7 @@
 def reliability_record(
     identity: ExporterIdentity,
     account: DeliveryAccount,
-    not_metered: RecordCounts,
+    not_metered: FlowRecordCounts,
     evicted_flows: int,
 ) -> PendingRecord:
     """Returns the record of what became of everything (RFC 7011, and our elements)."""
@@ -79,4 +79,4 @@
 
 
 def _option(record: DataRecord) -> PendingRecord:
-    return PendingRecord(record, RecordKind.OPTION, RecordCounts(records=1))
+    return PendingRecord(record, FlowRecordKind.OPTION, FlowRecordCounts(records=1))
--- a/milletsill/flows/record_queue.py
+++ b/milletsill/flows/record_queue.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from milletsill.flows.delivery_account import RecordCounts
+from milletsill.flows.delivery_account import FlowRecordCounts
 from milletsill.flows.templates import DataRecord
 
 
-class RecordKind(IntEnum):
+class FlowRecordKind(IntEnum):
     """Kinds of records, the least needed first.
 
     Commands repeat what flows sum up; flows hold sums that nothing else has; options
@@ -23,7 +23,7 @@
     OPTION = 2
 
 
-MOST_NEEDED_FIRST = sorted(RecordKind, reverse=True)
+MOST_NEEDED_FIRST = sorted(FlowRecordKind, reverse=True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,11 +31,11 @@
     """A record to be sent, and what it counts."""
 
     record: DataRecord
-    kind: RecordKind
-    counts: RecordCounts
+    kind: FlowRecordKind
+    counts: FlowRecordCounts
 
 
-def kind_to_drop(queued: Mapping[RecordKind, int]) -> RecordKind:
+def kind_to_drop(queued: Mapping[FlowRecordKind, int]) -> FlowRecordKind:
     """Returns the kind of which a full queue drops the oldest: the least needed."""
     return min(kind for kind, count in queued.items() if count)
 
@@ -45,12 +45,12 @@
 
     def __init__(self, max_records: int) -> None:
         self.max_records = max_records
-        self._by_kind = {kind: deque[PendingRecord]() for kind in RecordKind}
+        self._by_kind = {kind: deque[PendingRecord]() for kind in FlowRecordKind}
 
     def __len__(self) -> int:
         return sum(map(len, self._by_kind.values()))
 
-    def records(self, kind: RecordKind) -> deque[PendingRecord]:
+    def records(self, kind: FlowRecordKind) -> deque[PendingRecord]:
         """Returns the queued records of a kind, the oldest first."""
         return self._by_kind[kind]
 
--- a/milletsill/gateway/reactor_turn.py
+++ b/milletsill/gateway/reactor_turn.py
@@ -3,18 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
 
 from milletsill.gateway.stall_detection import must_read_sockets_first
-
-
-class DelayedCalls(Protocol):
-    """The part of a reactor that is used here."""
-
-    def callLater(
-        self, delay: float, callable: Callable[..., Any], /, *args: Any
-    ) -> Any:
-        """Run a call after so many seconds, never from within."""
+from milletsill.named_timers import ReactorTimers
 
 
 class NextReactorTurn:
@@ -28,7 +19,7 @@
 
     def __init__(
         self,
-        reactor: DelayedCalls,
+        reactor: ReactorTimers,
         now: Callable[[], int],
         call: Callable[[], None],
     ) -> None:
--- a/milletsill/gateway/scheduler_host.py
+++ b/milletsill/gateway/scheduler_host.py
@@ -21,7 +21,7 @@
     AttemptStarter,
     ResponseSink,
 )
-from milletsill.gateway.reactor_turn import DelayedCalls, NextReactorTurn
+from milletsill.gateway.reactor_turn import NextReactorTurn
 from milletsill.gateway.timer_queue import TimerQueue
 from milletsill.interface import (
     AttemptOutcome,
@@ -33,6 +33,7 @@
     Request,
     SchedulerFactory,
 )
+from milletsill.named_timers import ReactorTimers
 
 NEVER = 1 << 60
 AttemptListener = Callable[[int, Request, AttemptResult], None]
@@ -71,7 +72,7 @@
 
     def __init__(
         self,
-        reactor: DelayedCalls,
+        reactor: ReactorTimers,
         now: Callable[[], int],
         config: DeploymentConfig,
         seed: int,
--- a/milletsill/gateway/timer_queue.py
+++ b/milletsill/gateway/timer_queue.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from milletsill.gateway.reactor_turn import DelayedCalls
 from milletsill.gateway.stall_detection import must_read_sockets_first
+from milletsill.named_timers import ReactorTimers
 
 # Seconds; a timer that is due later has its delayed call set again then.
 LONGEST_SLEEP = 60.0
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        reactor: DelayedCalls,
+        reactor: ReactorTimers,
         now: Callable[[], int],
         on_run: Callable[[], None],
     ) -> None:
--- a/milletsill/http_gateway/client_connection.py
+++ b/milletsill/http_gateway/client_connection.py
@@ -34,7 +34,7 @@
     time_event,
 )
 from milletsill.http_gateway.client_memory import ClientMemory
-from milletsill.http_gateway.node_exchange import NodeReply
+from milletsill.http_gateway.node_exchange import HttpNodeReply
 from milletsill.http_gateway.resource_limits import MAX_BODY, SHORT_BODY, BufferBudget
 
 LIMITS = MessageLimits(body=MAX_BODY)
@@ -263,7 +263,7 @@
         self.request_id = request_id
         self._on_event(ClientEvent.REQUEST_TAKEN)
 
-    def succeeded(self, reply: NodeReply) -> None:
+    def succeeded(self, reply: HttpNodeReply) -> None:
         """Answer with what the node answered."""
         self.gateway.count("answer", "satisfied")
         self.answer(200, reply.body)
--- a/milletsill/http_gateway/node_connection.py
+++ b/milletsill/http_gateway/node_connection.py
@@ -14,7 +14,11 @@
 from milletsill.http1.message_limits import MessageLimits
 from milletsill.http1.message_reader import ResponseReader
 from milletsill.http1.writer import encode_request
-from milletsill.http_gateway.node_exchange import HttpExchange, NodeReply, outcome_of
+from milletsill.http_gateway.node_exchange import (
+    HttpExchange,
+    HttpNodeReply,
+    outcome_of,
+)
 from milletsill.http_gateway.resource_limits import MAX_BODY, SHORT_BODY, BufferBudget
 from milletsill.interface import AttemptOutcome
 
@@ -105,7 +109,7 @@
         keep = (
             message.keep_alive and self.written and not self.reader.has_partial_message
         )
-        self.finish(outcome_of(message), NodeReply(message), keep)
+        self.finish(outcome_of(message), HttpNodeReply(message), keep)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """End the attempt.
@@ -122,7 +126,7 @@
         if exchange is None:
             return
         if complete is not None:
-            exchange.end(outcome_of(complete), NodeReply(complete))
+            exchange.end(outcome_of(complete), HttpNodeReply(complete))
         elif self.written:
             exchange.end(AttemptOutcome.RESET)
         elif self.uses > 1:
@@ -162,7 +166,7 @@
     # What follows.
 
     def finish(
-        self, outcome: AttemptOutcome, reply: NodeReply | None, keep: bool
+        self, outcome: AttemptOutcome, reply: HttpNodeReply | None, keep: bool
     ) -> None:
         """End the present attempt; keep the connection for another or close it."""
         exchange = self.exchange
--- a/milletsill/http_gateway/node_exchange.py
+++ b/milletsill/http_gateway/node_exchange.py
@@ -20,7 +20,7 @@
 MAX_COUNT = 65_535
 
 
-class NodeReply:
+class HttpNodeReply:
     """What a node's response says beside its body."""
 
     __slots__ = ("body", "elsewhere", "report", "used")
@@ -96,7 +96,7 @@
         """Whether an octet of it may be on its way."""
         return self.connection is not None
 
-    def end(self, outcome: AttemptOutcome, reply: NodeReply | None = None) -> None:
+    def end(self, outcome: AttemptOutcome, reply: HttpNodeReply | None = None) -> None:
         """Tell how it ended, once; later calls are ignored."""
         if self.over:
             return
--- a/milletsill/http_gateway/node_pool.py
+++ b/milletsill/http_gateway/node_pool.py
@@ -8,13 +8,14 @@
 from typing import Protocol
 
 from milletsill.gateway.active_requests import AttemptEnded
-from milletsill.gateway.reactor_turn import DelayedCalls, NextReactorTurn
+from milletsill.gateway.reactor_turn import NextReactorTurn
 from milletsill.http_gateway.endpoints import NodeEndpoint
 from milletsill.http_gateway.node_connection import HttpNodeConnection
 from milletsill.http_gateway.node_exchange import HttpExchange
 from milletsill.http_gateway.request_parser import ForwardedPayload
 from milletsill.http_gateway.resource_limits import BufferBudget
 from milletsill.interface import AttemptOutcome, Readiness
+from milletsill.named_timers import ReactorTimers
 
 MAX_CONNECTIONS = 128  # to one node
 MAX_WAITING = 128  # attempts that wait for a connection to one node
@@ -32,7 +33,7 @@
 class PoolOwner(Protocol):
     """All pools, with the descriptors and the memory that they share."""
 
-    reactor: DelayedCalls
+    reactor: ReactorTimers
     buffers: BufferBudget
     count: Callable[..., None]
     now: Callable[[], int]
--- a/milletsill/lab/model_checks/channel_acceptors.py
+++ b/milletsill/lab/model_checks/channel_acceptors.py
@@ -15,7 +15,7 @@
     QUARANTINE,
     RETRY_DELAY,
     PendingAcquire,
-    PendingWrite,
+    PendingRecordWrite,
     SimulatedLease,
 )
 
@@ -67,7 +67,7 @@
         if self.holder == candidate:
             self.holder = ("", 0)
 
-    def settle_write(self, now: int, pending: PendingWrite, fate: str) -> None:
+    def settle_write(self, now: int, pending: PendingRecordWrite, fate: str) -> None:
         """Accept or refuse a record; `fate` is that of the holder's messages."""
         lease = pending.lease
         if fate == "lost" or lease.is_ended or lease.index != self.lease_index:
--- a/milletsill/lab/model_checks/channel_gateway.py
+++ b/milletsill/lab/model_checks/channel_gateway.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class PendingWrite:
+class PendingRecordWrite:
     """A write of the record that was sent at `sent_at`, by the gateway's clock."""
 
     sent_at: int
@@ -131,7 +131,7 @@
         self.incarnation = incarnation
         self.rate = rate
         self.is_dead = False
-        self.pending: list[PendingAcquire | PendingWrite] = []
+        self.pending: list[PendingAcquire | PendingRecordWrite] = []
         self.timers: list[SimulatedTimer] = []
         self.queue: list[QueuedAttempt] = []
         lease_service: Any = self
@@ -189,7 +189,7 @@
         self, lease: SimulatedLease, value: bytes, then: Callable[[Any], None]
     ) -> None:
         """Write the record."""
-        self.pending.append(PendingWrite(self.now(), lease, value, then))
+        self.pending.append(PendingRecordWrite(self.now(), lease, value, then))
 
     def holds(self, lease: SimulatedLease) -> bool:
         """Whether a lease is held, by this gateway's clock."""
--- a/milletsill/lab/model_checks/channel_model.py
+++ b/milletsill/lab/model_checks/channel_model.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exploration:
+class ChannelExploration:
     """What an exploration came to.
 
     Attributes:
@@ -120,7 +120,9 @@
     return player
 
 
-def explore(case: Case, start: str, max_depth: int, max_states: int) -> Exploration:
+def explore(
+    case: Case, start: str, max_depth: int, max_states: int
+) -> ChannelExploration:
     """Play every order of events after a start; states that are alike once.
 
     Args:
@@ -141,16 +143,16 @@
                 violation = player.cluster.violation
                 if violation:
                     found = f"{', '.join(longer)}: {violation}"
-                    return Exploration(len(seen), depth, found)
+                    return ChannelExploration(len(seen), depth, found)
                 fingerprint = player.fingerprint()
                 if fingerprint in seen:
                     continue
                 seen.add(fingerprint)
                 if len(seen) >= max_states:
-                    return Exploration(len(seen), depth)
+                    return ChannelExploration(len(seen), depth)
                 following.append(longer)
         layer = following
-    return Exploration(len(seen), max_depth)
+    return ChannelExploration(len(seen), max_depth)
 
 
 def walk(case: Case, steps: int, seed: int) -> Walk:
--- a/milletsill/lab/model_checks/channel_moves.py
+++ b/milletsill/lab/model_checks/channel_moves.py
@@ -12,7 +12,10 @@
     QUARANTINE,
     SimulatedGateway,
 )
-from milletsill.lab.model_checks.channel_simulation import Dispatch, SimulatedCluster
+from milletsill.lab.model_checks.channel_simulation import (
+    SimulatedAttempt,
+    SimulatedCluster,
+)
 from milletsill.sftp import channel_extensions as wire
 
 MAX_OUTSTANDING = 2
@@ -123,7 +126,7 @@
 
 
 def _add_dispatch_moves(
-    moves: Moves, cluster: SimulatedCluster, place: int, dispatch: Dispatch
+    moves: Moves, cluster: SimulatedCluster, place: int, dispatch: SimulatedAttempt
 ) -> None:
     if cluster.now <= dispatch.runs_until:
         moves[f"node runs {place}"] = partial(cluster.run, dispatch)
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Dispatch:
+class SimulatedAttempt:
     """An attempt at a node, or on its way there or back.
 
     `runs_until` is the true time after which a node does not run it any more.
@@ -113,7 +113,7 @@
             SimulatedGateway(self, f"g{place}", 1, rate)
             for place, rate in enumerate(rates)
         ]
-        self.dispatches: list[Dispatch] = []
+        self.dispatches: list[SimulatedAttempt] = []
         self.first_runs: dict[str, int] = {}  # by idempotency key, true time
         self.outstanding: dict[int, int] = {}
         self.reported_failed: set[int] = set()
@@ -238,10 +238,12 @@
         runs_until = self.now + (remaining + QUARANTINE) * 1000 // (1000 + DRIFT)
         self.rejected.discard(queued.release.number)
         self.dispatches.append(
-            Dispatch(queued.request, gateway, attempt, queued.on_ended, runs_until)
+            SimulatedAttempt(
+                queued.request, gateway, attempt, queued.on_ended, runs_until
+            )
         )
 
-    def run(self, dispatch: Dispatch) -> None:
+    def run(self, dispatch: SimulatedAttempt) -> None:
         """A node does it, or answers from its memory of idempotency keys."""
         key = dispatch.attempt.idempotency_key
         first_run = self.first_runs.get(key)
@@ -257,7 +259,7 @@
             self.checker.on_effect(request.number, extent_of(request))
         dispatch.is_answered = True
 
-    def end(self, dispatch: Dispatch, event: NumberEvent) -> None:
+    def end(self, dispatch: SimulatedAttempt, event: NumberEvent) -> None:
         """The gateway hears how an attempt ended."""
         if dispatch.is_over or dispatch.gateway.is_dead:
             return
@@ -269,7 +271,7 @@
 
     # Acceptors, time and kills.
 
-    def time_out(self, dispatch: Dispatch) -> None:
+    def time_out(self, dispatch: SimulatedAttempt) -> None:
         """The gateway waits no longer for an attempt."""
         self.end(dispatch, dispatch.attempt.event_without_answer())
 
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -30,7 +30,7 @@
 from milletsill.lab.model_checks.lease_cluster_members import (
     KEY,
     Body,
-    Fault,
+    MemberFault,
     IdentifiedReply,
     Message,
     PageQuery,
@@ -84,7 +84,7 @@
         self.in_flight: list[Message] = []
         self.history = LeaseHistory()
         self.undated_holders = frozenset(list(self.holders)[1::2])
-        self.budget = dict.fromkeys(Fault, 1)
+        self.budget = dict.fromkeys(MemberFault, 1)
 
     def copy(self) -> LeaseCluster:
         """Return a copy that shares nothing that changes."""
--- a/milletsill/lab/model_checks/lease_cluster_members.py
+++ b/milletsill/lab/model_checks/lease_cluster_members.py
@@ -37,7 +37,7 @@
     LOST = auto()
 
 
-class Fault(Enum):
+class MemberFault(Enum):
     """What may happen a limited number of times in an exploration."""
 
     DUPLICATE = auto()
--- a/milletsill/lab/model_checks/lease_exploration.py
+++ b/milletsill/lab/model_checks/lease_exploration.py
@@ -9,15 +9,15 @@
 
 from milletsill.fleet.leases.proposer_table import ProposerState
 from milletsill.lab.model_checks.lease_cluster import LeaseCluster
-from milletsill.lab.model_checks.lease_cluster_members import Fault, RestartKind
+from milletsill.lab.model_checks.lease_cluster_members import MemberFault, RestartKind
 
 Move = Callable[[LeaseCluster], None]
 Moves = Callable[[LeaseCluster], dict[str, Move]]
 
 _RESTART_FAULTS = {
-    RestartKind.KEPT: Fault.RESTART,
-    RestartKind.ROLLED_BACK: Fault.ROLL_BACK,
-    RestartKind.LOST: Fault.LOSE_STATE,
+    RestartKind.KEPT: MemberFault.RESTART,
+    RestartKind.ROLLED_BACK: MemberFault.ROLL_BACK,
+    RestartKind.LOST: MemberFault.LOSE_STATE,
 }
 
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exploration:
+class LeaseExploration:
     """What an exploration came to.
 
     Attributes:
@@ -67,7 +67,7 @@
         if state is ProposerState.HOLDING:
             found[f"{name} writes"] = partial(_write, name=name)
             found[f"{name} releases"] = partial(_release, name=name)
-        if cluster.budget[Fault.RESTART_HOLDER]:
+        if cluster.budget[MemberFault.RESTART_HOLDER]:
             found[f"{name} starts anew"] = partial(_restart_holder, name=name)
     return found
 
@@ -77,7 +77,7 @@
     for place, message in enumerate(cluster.in_flight):
         what = f"{message.sender}>{message.to} {place}"
         found[what] = partial(_deliver, place=place)
-        if cluster.budget[Fault.DUPLICATE]:
+        if cluster.budget[MemberFault.DUPLICATE]:
             found[f"{what} twice"] = partial(_duplicate, place=place)
     return found
 
@@ -111,7 +111,7 @@
                     _exchange, name=name, event=event, reach=reach
                 )
     for name in names:
-        if cluster.budget[Fault.RESTART]:
+        if cluster.budget[MemberFault.RESTART]:
             found[f"{name} kept"] = partial(_restart_and_settle, name=name)
     found["call over"] = lambda c: c.pass_time(c.timings.call_timeout * 51 // 50)
     found["time"] = lambda c: c.pass_time(c.timings.lease_duration * 99 // 100)
@@ -131,7 +131,7 @@
 
 
 def _restart_holder(cluster: LeaseCluster, name: str) -> None:
-    cluster.budget[Fault.RESTART_HOLDER] -= 1
+    cluster.budget[MemberFault.RESTART_HOLDER] -= 1
     cluster.restart_holder(name)
 
 
@@ -140,7 +140,7 @@
 
 
 def _duplicate(cluster: LeaseCluster, place: int) -> None:
-    cluster.budget[Fault.DUPLICATE] -= 1
+    cluster.budget[MemberFault.DUPLICATE] -= 1
     cluster.deliver(place, True)
 
 
@@ -187,7 +187,7 @@
 
 def explore(
     opening: Opening, depth: int, limit: int, moves: Moves = single_events
-) -> Exploration:
+) -> LeaseExploration:
     """Go through every order of events, clusters that are alike once.
 
     Args:
@@ -210,14 +210,14 @@
                 violation = made.history.violation
                 if violation:
                     events = ", ".join((*path, name))
-                    return Exploration(count, level, f"{events}: {violation}")
+                    return LeaseExploration(count, level, f"{events}: {violation}")
                 key = made.key()
                 if key in seen:
                     continue
                 seen.add(key)
                 count += 1
                 if count >= limit:
-                    return Exploration(count, level, None)
+                    return LeaseExploration(count, level, None)
                 following.append((made, (*path, name)))
         layer = following
-    return Exploration(count, depth, None)
+    return LeaseExploration(count, depth, None)
--- a/milletsill/lab/model_checks/quota_model.py
+++ b/milletsill/lab/model_checks/quota_model.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exploration:
+class QuotaExploration:
     """How many states were checked, and the events that led past the whole, if any."""
 
     states: int
@@ -31,7 +31,7 @@
 
 def explore(
     gateways: int, depth: int, max_states: int, first_exchanges: int = 0
-) -> Exploration:
+) -> QuotaExploration:
     """Check every order of events up to a depth, equal states once.
 
     Args:
@@ -59,12 +59,12 @@
                 seen.add(key)
                 states += 1
                 if successor.total_share() > WHOLE:
-                    return Exploration(states, [*path, name])
+                    return QuotaExploration(states, [*path, name])
                 if states >= max_states:
-                    return Exploration(states)
+                    return QuotaExploration(states)
                 next_layer.append((successor, [*path, name]))
         layer = next_layer
-    return Exploration(states)
+    return QuotaExploration(states)
 
 
 @dataclass(frozen=True, slots=True)
--- a/milletsill/node_connections/attempt_exchange.py
+++ b/milletsill/node_connections/attempt_exchange.py
@@ -11,7 +11,7 @@
 ExchangeEnded = Callable[[AttemptOutcome, NodeReply | None], None]
 
 
-class SendGate(Protocol):
+class SendCheck(Protocol):
     """Asked again right before an attempt that had to wait is sent."""
 
     def may_send(self) -> bool:
@@ -61,7 +61,7 @@
         order: NodeRequest,
         ended: ExchangeEnded,
         started_at: int,
-        gate: SendGate | None = None,
+        gate: SendCheck | None = None,
     ) -> None:
         self.pool = pool
         self.order = order
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -16,7 +16,7 @@
 from milletsill.node_connections.attempt_exchange import (
     ExchangeEnded,
     PooledExchange,
-    SendGate,
+    SendCheck,
     ignore_end,
 )
 from milletsill.node_connections.connection_state import (
@@ -83,7 +83,7 @@
             exchange.end(AttemptOutcome.WITHDRAWN)
 
     def send_attempt(
-        self, order: NodeRequest, ended: ExchangeEnded, gate: SendGate | None = None
+        self, order: NodeRequest, ended: ExchangeEnded, gate: SendCheck | None = None
     ) -> PooledExchange:
         """Send an attempt as the limits allow; `ended` hears of its end.
 
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -48,7 +48,7 @@
 FIRST_INCARNATION = 1
 
 
-class PendingRequest(Protocol):
+class PendingQuotaRequest(Protocol):
     """A request that the scheduler's host has not finished."""
 
     @property
@@ -74,7 +74,7 @@
     max_decision_age: int
 
     @property
-    def active(self) -> Mapping[int, PendingRequest]:
+    def active(self) -> Mapping[int, PendingQuotaRequest]:
         """Its requests by id."""
 
     def on_quota_share(
--- a/milletsill/trace/summary.py
+++ b/milletsill/trace/summary.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class RecordCounts:
+class TraceRecordCounts:
     """Counts over the records of a trace."""
 
     kinds: Counter[str] = field(default_factory=Counter)
@@ -54,7 +54,7 @@
         OSError: where the file cannot be read.
         MalformedTrace: where it is no trace.
     """
-    counts = RecordCounts()
+    counts = TraceRecordCounts()
     with TraceReader(source, progress) as reader:
         for _, kind, values in reader.records():
             counts.add(kind, values)
--- a/tests/fleet/channels/test_channel_contracts.py
+++ b/tests/fleet/channels/test_channel_contracts.py
@@ -14,7 +14,7 @@
     IndeterminatePolicy,
     OrderingContract,
 )
-from milletsill.fleet.channels.effects import ChannelStatus, Notify, Release
+from milletsill.fleet.channels.effects import AnswerChannelOpen, Notify, Release
 from milletsill.fleet.channels.errors import (
     ChannelRecordUnreadable,
     ContractConflict,
@@ -30,7 +30,7 @@
 from milletsill.fleet.channels.sequences import (
     CompletedSequence,
     OpenSequence,
-    PendingRequest,
+    PendingNumber,
 )
 from milletsill.lab.model_checks import channel_model, channel_mutation_checks
 
@@ -69,7 +69,7 @@
                 f"{effect.recipient} {effect.kind.value}"
                 + (f" {effect.number}" if effect.number is not None else "")
             )
-        elif isinstance(effect, ChannelStatus):
+        elif isinstance(effect, AnswerChannelOpen):
             found.append(f"{effect.recipient} claimed")
     channel.immediate_effects = []
     channel.effects_after_write = []
@@ -79,7 +79,7 @@
 def submit(channel, number, now=1, on=1, claim=None, digest=None, ends=50_000, **more):
     channel.submit(
         now,
-        PendingRequest(
+        PendingNumber(
             number,
             channel.claim if claim is None else claim,
             digest or number,
--- a/tests/flows/test_exporting_process.py
+++ b/tests/flows/test_exporting_process.py
@@ -13,7 +13,7 @@
 from milletsill.flows.flow_records import CommandOutcome, Exchange, NodeFlowKey
 from milletsill.flows.metering_policy import MeteringLevel
 from milletsill.flows.option_records import ExporterIdentity
-from milletsill.flows.record_queue import RecordKind
+from milletsill.flows.record_queue import FlowRecordKind
 from milletsill.settings.milletsill_pb2 import FlowExport
 from tests.support.flow_keys import client_flow_key
 
@@ -130,12 +130,14 @@
         sender = process.senders[0]
         lost = sender.stream.account.dropped()
         self.assertEqual(
-            (len(sender.queue), len(sender.queue.records(RecordKind.COMMAND))), (100, 0)
+            (len(sender.queue), len(sender.queue.records(FlowRecordKind.COMMAND))),
+            (100, 0),
         )
         self.assertEqual(
             lost.commands
             + sum(
-                each.counts.commands for each in sender.queue.records(RecordKind.FLOW)
+                each.counts.commands
+                for each in sender.queue.records(FlowRecordKind.FLOW)
             ),
             300,
         )
--- a/tests/flows/test_flows.py
+++ b/tests/flows/test_flows.py
@@ -13,7 +13,7 @@
     select_failover,
     transition,
 )
-from milletsill.flows.delivery_account import DeliveryAccount, RecordCounts
+from milletsill.flows.delivery_account import DeliveryAccount, FlowRecordCounts
 from milletsill.flows.export_settings import TemplateSchedule
 from milletsill.flows.export_stream import TemplateProgress, templates_due
 from milletsill.flows.flow_cache import FlowCache, FlowCacheSettings
@@ -24,7 +24,7 @@
 )
 from milletsill.flows.metering_policy import MeteringControl, MeteringLevel
 from milletsill.flows.metering_process import MeteringProcess
-from milletsill.flows.record_queue import RecordKind, kind_to_drop
+from milletsill.flows.record_queue import FlowRecordKind, kind_to_drop
 from milletsill.flows.sequence_tracker import SequenceTracker
 from milletsill.flows.templates import CLIENT_FLOW, FlowEndReason
 from tests.support.flow_keys import client_flow_key
@@ -84,11 +84,15 @@
         self.assertEqual(
             [
                 kind_to_drop(
-                    {RecordKind.COMMAND: 1, RecordKind.FLOW: 5, RecordKind.OPTION: 1}
+                    {
+                        FlowRecordKind.COMMAND: 1,
+                        FlowRecordKind.FLOW: 5,
+                        FlowRecordKind.OPTION: 1,
+                    }
                 ),
-                kind_to_drop({RecordKind.COMMAND: 0, RecordKind.FLOW: 5}),
+                kind_to_drop({FlowRecordKind.COMMAND: 0, FlowRecordKind.FLOW: 5}),
             ],
-            [RecordKind.COMMAND, RecordKind.FLOW],
+            [FlowRecordKind.COMMAND, FlowRecordKind.FLOW],
         )
 
     def test_templates_go_once_on_tcp_and_again_on_udp(self):
@@ -165,9 +169,9 @@
 
     def test_an_account_adds_up(self):
         account = DeliveryAccount()
-        account.drop("queue full", RecordCounts(1, 2, 3, 4, 5))
-        account.drop("stopped", RecordCounts(1, 1, 1, 1, 1))
-        self.assertEqual(account.dropped(), RecordCounts(2, 3, 4, 5, 6))
+        account.drop("queue full", FlowRecordCounts(1, 2, 3, 4, 5))
+        account.drop("stopped", FlowRecordCounts(1, 1, 1, 1, 1))
+        self.assertEqual(account.dropped(), FlowRecordCounts(2, 3, 4, 5, 6))
 
 
 class FlowCacheAndMetering(unittest.TestCase):
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -10,7 +10,7 @@
 from milletsill.http_gateway.endpoint_watch import EndpointWatch
 from milletsill.http_gateway.gateway import HttpGateway
 from milletsill.http_gateway.node_connection import HttpNodeConnection
-from milletsill.http_gateway.node_exchange import NodeReply, outcome_of
+from milletsill.http_gateway.node_exchange import HttpNodeReply, outcome_of
 from milletsill.http_gateway.node_pool import HttpNodePool
 from milletsill.http_gateway.process_state import ProcessEvent
 from milletsill.interface import AttemptOutcome
@@ -27,7 +27,7 @@
     exchange, self.exchange = self.exchange, None
     self._on_gone()
     if exchange is not None and complete is not None:
-        exchange.end(outcome_of(complete), NodeReply(complete))
+        exchange.end(outcome_of(complete), HttpNodeReply(complete))
     elif exchange is not None:
         exchange.end(AttemptOutcome.RESET)
 
