--- a/milletsill/fleet/health/health_sharing.py
+++ b/milletsill/fleet/health/health_sharing.py
@@ -256,6 +256,6 @@
         edge.host,
         edge.remark,
         lambda event, **values: edge.log.info(event, **values),
-        edge.figures.registry,
+        edge.metrics.registry,
         edge.file.registry.most_boxes,
     )
--- a/milletsill/lab/clockwork.py
+++ b/milletsill/lab/clockwork.py
@@ -26,7 +26,7 @@
 from milletsill.lab.engine import Engine, Speed
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.scheduler import Scheduler
-from milletsill.sftp_gateway.deployment import atlas_of, config_of
+from milletsill.sftp_gateway.deployment import routing_table_of, config_of
 
 WAY = 5  # tenths of a millisecond from a gateway to a box, and back
 SECOND = 10_000
@@ -272,7 +272,7 @@
             Gateway(self, each, config, seed * 100_000 + each)
             for each in range(gateways)
         ]
-        self.atlas, self.volumes = atlas_of(file), list(file.volume)
+        self.atlas, self.volumes = routing_table_of(file), list(file.volume)
         plans = {each.name: each for each in file.plan}
         weights = [plans[each.plan].usual_rate for each in self.volumes]
         self.shares = list(accumulate(weights))
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -18,7 +18,7 @@
 from milletsill.lab.clients import EdgeDoor, Operation
 from milletsill.lab.lateness import Lateness
 from milletsill.lab.record import Recorder
-from milletsill.sftp_gateway.deployment import atlas_of
+from milletsill.sftp_gateway.deployment import routing_table_of
 from milletsill.trace.reckoning import Claim, Done
 from milletsill.trace.records import BY_NAME
 from milletsill.trace.service import SECOND, ServiceTerms, put_terms, reckoned
@@ -82,7 +82,7 @@
         }
         self.volumes, self.atlas = (
             list(scenario.gateway.volume),
-            atlas_of(scenario.gateway),
+            routing_table_of(scenario.gateway),
         )
         self.place()
         self.runs: dict[int, tuple[int, str, int, Any, EdgeDoor]] = {}
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -13,8 +13,8 @@
 from milletsill.lab.moment import at
 from milletsill.lab.record import Recorder
 from milletsill.lab.registry import Registry, site
-from milletsill.sftp_gateway.deployment import atlas_of
-from milletsill.sftp_gateway.routing import FREE, Spot, spot_text
+from milletsill.sftp_gateway.deployment import routing_table_of
+from milletsill.sftp_gateway.routing import FREE, ObjectLocation, format_location
 
 OF_BOXES = (
     "vanish",
@@ -108,7 +108,7 @@
 
     def fill(self) -> None:
         """The files that stand before the day."""
-        atlas, scenario = atlas_of(self.scenario.gateway), self.scenario
+        atlas, scenario = routing_table_of(self.scenario.gateway), self.scenario
         size = scenario.file_units * scenario.gateway.rules.unit_bytes
         for volume in atlas.roots.values():
             for number in range(scenario.files):
@@ -120,7 +120,9 @@
                         self.chance.choice(volume.cells),
                         f"#pre.{volume.number}.{number}",
                     )
-                    self.boxes[home].files.links[path] = spot_text(Spot(cell, name))
+                    self.boxes[home].files.links[path] = format_location(
+                        ObjectLocation(cell, name)
+                    )
                 self.boxes[cell].files.data[name] = bytearray(pattern(path, 0, size))
 
     def key(self, box: Box) -> str:
--- a/milletsill/sftp_gateway/channel_commands.py
+++ b/milletsill/sftp_gateway/channel_commands.py
@@ -48,8 +48,13 @@
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Terms
 from milletsill.sftp.wire import bytes_of
-from milletsill.sftp_gateway.command_execution import Opened, Running
-from milletsill.sftp_gateway.routing import OPERATIONS, WRITING, InvalidPath, Spot
+from milletsill.sftp_gateway.command_execution import CommandExecution, OpenHandle
+from milletsill.sftp_gateway.routing import (
+    OPERATIONS,
+    WRITE_OPERATIONS,
+    InvalidPath,
+    ObjectLocation,
+)
 
 EXTENSIONS = (wire.CHANNEL, wire.NUMBERED)
 LOOK_EVERY, LEAVE_EVERY, QUIET = (
@@ -85,7 +90,7 @@
     return ContractCatalog(found)
 
 
-def channels_of(edge: Any, seed: int) -> Channels:
+def channels_of(edge: Any, seed: int) -> ChannelGateway:
     """A gateway's channels over its fleet, as its file has them."""
     from milletsill.fleet.leases.lease_manager import LeaseManager
     from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
@@ -108,15 +113,15 @@
         seed=seed,
     )
     environment = LeaseEnvironment(
-        edge.reactor, edge.now, edge.fleet, edge.remark, edge.figures.registry
+        edge.reactor, edge.now, edge.fleet, edge.remark, edge.metrics.registry
     )
     offices = LeaseManager(settings, environment)
-    made = Channels(edge, edge.fleet, offices)
+    made = ChannelGateway(edge, edge.fleet, offices)
     offices.set_on_foreign_message(made.heard)
     return made
 
 
-class Channel:
+class ChannelHandle:
     """What a client's channel handle stands for."""
 
     __slots__ = ("volume", "name", "claim", "contract")
@@ -130,7 +135,7 @@
         )
 
 
-class Standing:
+class PendingChannelCommand:
     """A client's word that is not answered yet, as its connection knows commands."""
 
     __slots__ = (
@@ -163,13 +168,13 @@
         self.answered = lambda packet: None
 
 
-class Channels:
+class ChannelGateway:
     """All of it at one gateway. `offices` is made by who starts this; its other bodies come to `heard`."""
 
     def __init__(self, edge: Any, plane: Any, offices: Any) -> None:
         self.edge, self.plane, self.offices = edge, plane, offices
         keeping = edge.file.fleet.channels
-        registry = edge.figures.registry
+        registry = edge.metrics.registry
         self.words = Counter(
             "milletsill_channel_words_total",
             "Final words on channels, and ways taken",
@@ -182,7 +187,7 @@
             registry=registry,
         )
         self.held = 0
-        self.standing: set[Standing] = set()
+        self.standing: set[PendingChannelCommand] = set()
         self.catalog = contract_catalog(edge.file)
         self.owner = ChannelOwner(
             ChannelOwnerSettings(
@@ -259,7 +264,7 @@
         return next(
             (
                 each
-                for each in self.edge.atlas.roots.values()
+                for each in self.edge.routing_table.roots.values()
                 if each.name == name and self.catalog.covers_volume(name)
             ),
             None,
@@ -273,7 +278,7 @@
             return self.numbered(client, packet, wire.read_numbered(packet))
         said = wire.read_channel(packet)
         if isinstance(said, wire.Opening):
-            volume = self.edge.atlas.volume(self.edge.canonical(said.path))
+            volume = self.edge.routing_table.volume(self.edge.canonical(said.path))
             if volume is None or not self.catalog.covers_volume(volume.name):
                 return packets.Status(
                     packet.id,
@@ -339,7 +344,7 @@
     def path(self, client: Any, command: Any, volume: Any) -> tuple[str, str]:
         """The object of a numbered command, and why it cannot be one."""
         edge = self.edge
-        if OPERATIONS.get(type(command)) not in WRITING:
+        if OPERATIONS.get(type(command)) not in WRITE_OPERATIONS:
             return "", "only a command that writes can have a number: send it without"
         if hasattr(command, "handle") or isinstance(command, packets.Extended):
             handle = (
@@ -348,23 +353,23 @@
                 else extensions.read_fsync(command)
             )
             opened = client.handles.get(handle)
-            if opened is None or opened.spot is None or opened.volume is not volume:
+            if opened is None or opened.location is None or opened.volume is not volume:
                 return "", "no such handle of this channel's volume"
             if (
                 isinstance(command, packets.Write)
-                and len(command.data) > edge.atlas.most_bytes
+                and len(command.data) > edge.routing_table.most_bytes
             ):
                 return (
                     "",
-                    f"a write of {len(command.data)} bytes, {edge.atlas.most_bytes} at most",
+                    f"a write of {len(command.data)} bytes, {edge.routing_table.most_bytes} at most",
                 )
             return opened.path, ""
         path = edge.canonical(command.path)
-        if edge.atlas.volume(path) is not volume or path == volume.root:
+        if edge.routing_table.volume(path) is not volume or path == volume.root:
             return "", "this lies outside the channel's volume"
         if isinstance(command, packets.Rename):
             target = edge.canonical(command.target)
-            if edge.atlas.volume(target) is not volume or not edge.renames(
+            if edge.routing_table.volume(target) is not volume or not edge.renames(
                 volume, path, target
             ):
                 return "", "a numbered rename must stay within its volume and cell"
@@ -388,10 +393,10 @@
             if isinstance(what, NumberedRequest)
             else 0
         )
-        category = edge.atlas.category(operation, volume, size)
+        category = edge.routing_table.category(operation, volume, size)
         patience = edge.host.config.request_classes[category].client_timeout
         own = what.terms.patience * 10 if isinstance(what, NumberedRequest) else 0
-        ends = came + min(patience, own or patience) - edge.margin
+        ends = came + min(patience, own or patience) - edge.answer_margin
         why = edge.refusal(ends) or (
             "this gateway holds all that it may"
             if self.held >= edge.file.door.most_held
@@ -405,7 +410,7 @@
                 None,
                 edge.host.config.max_retry_after,
             )
-        standing = Standing(packet, volume, category, client.octets, came)
+        standing = PendingChannelCommand(packet, volume, category, client.octets, came)
         client.out[packet.id] = standing
         self.held += 1
 
@@ -427,7 +432,7 @@
         # Guards rule 1 against a word that waits for what has no end at its client's patience: an office that is taken, a record that
         # is written, before a keeper's own timers even know of it. Harm: none, it comes after all their last words.
         standing.late = edge.reactor.callLater(
-            max(ends + edge.margin // 2 - edge.now(), 1) / 10_000,
+            max(ends + edge.answer_margin // 2 - edge.now(), 1) / 10_000,
             self.overdue,
             what,
             told,
@@ -466,7 +471,7 @@
         told = wire.read_opened(answer)
         self.handles += 1
         handle = HANDLE + self.handles.to_bytes(8, "big")
-        client.channels[handle] = Channel(volume, name, told.claim, told.contract)
+        client.channels[handle] = ChannelHandle(volume, name, told.claim, told.contract)
         return wire.put_opened(
             0, wire.Opened(handle, *[getattr(told, each) for each in OPENED_REST])
         )
@@ -537,7 +542,7 @@
 
     def access_ranges(self, request: NumberedRequest) -> AccessRanges:
         """What a request touches: blocks of an extent's size where it writes there, else the whole object."""
-        command, blocks = request.command, self.edge.atlas.extent_bytes
+        command, blocks = request.command, self.edge.routing_table.extent_bytes
         object = xxhash.xxh64_intdigest(bytes_of(request.path))
         if isinstance(command, packets.Write):
             return (
@@ -560,7 +565,7 @@
         what = command.body
         assert isinstance(what, NumberedRequest)
         size = len(getattr(what.command, "data", b""))
-        category = self.edge.atlas.category(
+        category = self.edge.routing_table.category(
             OPERATIONS[type(what.command)], command.volume, size
         )
         return self.edge.host.config.request_classes[category].retry_window
@@ -577,11 +582,11 @@
         volume: Any = command.volume
         what, edge = command.body, self.edge
         assert isinstance(what, NumberedRequest)
-        spot = Spot(edge.atlas.home(volume, what.path), what.path)
+        spot = ObjectLocation(edge.routing_table.home(volume, what.path), what.path)
         by_handle = hasattr(what.command, "handle") or isinstance(
             what.command, packets.Extended
         )
-        opened = Opened(volume, what.path, spot) if by_handle else None
+        opened = OpenHandle(volume, what.path, spot) if by_handle else None
         attempt = ReleasedAttempt(
             self.offices,
             lease,
@@ -603,7 +608,7 @@
             event = attempt.event_without_answer()
             on_ended(AttemptEnd(event, 0, edge.host.config.max_retry_after))
 
-        running = Running(
+        running = CommandExecution(
             edge,
             what.command,
             terms,
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -9,26 +9,26 @@
 from milletsill.interface import Request
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import ELSEWHERE, Terms, Verdict
-from milletsill.sftp_gateway.gateway_context import Around
+from milletsill.sftp_gateway.gateway_context import GatewayContext
 from milletsill.sftp_gateway.routing import (
-    DOING,
     FREE,
+    MUTATING_STEPS,
     OPERATIONS,
-    WRITING,
-    Course,
-    Leg,
-    Locations,
-    Reply,
-    Spot,
-    VolumePlace,
-    advance,
-    course_of,
-    ends_at,
-    first_leg,
+    WRITE_OPERATIONS,
+    CommandStep,
+    CommandStrategy,
+    LocationCache,
+    ObjectLocation,
+    RoutedVolume,
+    StepResult,
+    client_deadline,
+    first_step,
+    format_location,
+    next_step,
     page,
-    reply_of,
-    spot_of,
-    spot_text,
+    parse_location,
+    step_result,
+    strategy_for,
     told,
 )
 
@@ -36,15 +36,15 @@
 MOST_SEEN = 10_000  # names of directories that a listing remembers, to tell each once
 
 
-class Opened:
+class OpenHandle:
     """What a client's handle stands for; `names`, `after`, `turn` and `found` are of a directory being read."""
 
-    __slots__ = ("volume", "path", "spot", "names", "after", "turn", "found")
+    __slots__ = ("volume", "path", "location", "names", "after", "turn", "found")
 
     def __init__(
-        self, volume: VolumePlace | None, path: str, spot: Spot | None
+        self, volume: RoutedVolume | None, path: str, spot: ObjectLocation | None
     ) -> None:
-        self.volume, self.path, self.spot = volume, path, spot
+        self.volume, self.path, self.location = volume, path, spot
         self.names: set[str] = set()
         self.after, self.turn, self.found = "", 0, False
 
@@ -67,29 +67,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cargo:
+class CommandPayload:
     """What a dispatch to a disk box carries beside the transfer's figures."""
 
     command: Any
     ticket: str
     mark: str
     category: str
-    gate: Any = (
+    attempt_guard: Any = (
         None  # of a channel's transfer: whether it may still leave (fleet/channels)
     )
 
 
-class Running:
+class CommandExecution:
     """One command that costs boxes work. Made, then `start`; `answered` is called once, unless it is abandoned."""
 
     def __init__(
         self,
-        edge: Around,
+        edge: GatewayContext,
         command: Any,
         terms: Terms,
-        volume: VolumePlace,
+        volume: RoutedVolume,
         path: str,
-        opened: Opened | None,
+        opened: OpenHandle | None,
         answered: Answered,
         came: int,
         gate: Any = None,
@@ -107,14 +107,14 @@
             if isinstance(command, packets.Write)
             else getattr(command, "length", 0)
         )
-        self.category = edge.atlas.category(self.operation, volume, self.size)
+        self.category = edge.routing_table.category(self.operation, volume, self.size)
         self.began = came
         figures = edge.host.config.request_classes[self.category]
-        self.ends = ends_at(
-            self.began, figures.client_timeout, terms.patience * 10, edge.margin
+        self.ends = client_deadline(
+            self.began, figures.client_timeout, terms.patience * 10, edge.answer_margin
         )
         self.mark = f"{volume.number}/{terms.mark}" if terms.mark else edge.mark()
-        self.gate, self.repeat = gate, terms.tries > 0
+        self.attempt_guard, self.repeat = gate, terms.tries > 0
         if gate is not None:
             # Its end is the office's or its ticket's, which says nothing of when its client first tried.
             self.mark, self.ends, self.repeat = (
@@ -122,72 +122,79 @@
                 min(self.ends, gate.deadline),
                 False,
             )
-        self.course, self.leg = Course.PLAIN, Leg.HOME
-        self.spot: Spot | None = None
+        self.course, self.leg = CommandStrategy.PLAIN, CommandStep.HOME
+        self.location: ObjectLocation | None = None
         self.legs, self.done_before, self.turn = 0, False, 0
         self.transfer: int | None = None
         self.octets, self.final = 0, "abandoned"  # of the client's packet; how it ended
         self.made: Any = None  # the answer of the leg whose result the client gets
 
     @property
-    def remembered(self) -> Locations:
-        return self.edge.locations
+    def remembered(self) -> LocationCache:
+        return self.edge.location_cache
 
     def start(self) -> None:
         """The first transfer."""
         if self.opened is not None and self.operation != "list":
-            self.spot, self.leg = self.opened.spot, Leg.THERE
+            self.location, self.leg = self.opened.location, CommandStep.THERE
             return self.launch()
-        self.course, self.leg = course_of(
+        self.course, self.leg = strategy_for(
             self.command, self.volume.placement, len(self.volume.cells)
         )
         if self.volume.placement == FREE:
-            self.spot = self.remembered.get(self.path)
-            self.leg = first_leg(self.course, self.leg, self.spot)
-        if self.course is Course.LIST and self.opened is not None:
+            self.location = self.remembered.get(self.path)
+            self.leg = first_step(self.course, self.leg, self.location)
+        if self.course is CommandStrategy.LIST and self.opened is not None:
             self.turn = self.opened.turn
         self.launch()
 
     def cells(self) -> list[int]:
         """The volume's cells, the home of the path last."""
-        home = self.edge.atlas.home(self.volume, self.path)
+        home = self.edge.routing_table.home(self.volume, self.path)
         return [each for each in self.volume.cells if each != home] + [home]
 
     def target(self) -> tuple[int | None, str, Any]:
         """Cell, object name and command of the present leg."""
-        command, home = self.command, self.edge.atlas.home
-        if self.leg is Leg.THERE and self.spot is not None:
-            return self.spot.cell, self.spot.name, self.named(command, self.spot.name)
-        if self.leg is Leg.PLACING:
+        command, home = self.command, self.edge.routing_table.home
+        if self.leg is CommandStep.THERE and self.location is not None:
+            return (
+                self.location.cell,
+                self.location.name,
+                self.named(command, self.location.name),
+            )
+        if self.leg is CommandStep.PLACING:
             name = self.edge.object_name()
-            self.spot = Spot(-1, name)
+            self.location = ObjectLocation(-1, name)
             return None, name, replace(command, path=name)
-        if self.leg is Leg.LINKING and self.spot is not None:
+        if self.leg is CommandStep.LINKING and self.location is not None:
             return (
                 home(self.volume, self.path),
                 self.path,
-                packets.Symlink(0, self.path, spot_text(self.spot)),
+                packets.Symlink(0, self.path, format_location(self.location)),
             )
-        if self.leg is Leg.MOVING and self.spot is not None:
+        if self.leg is CommandStep.MOVING and self.location is not None:
             target = self.edge.canonical(command.target)
             return (
                 home(self.volume, target),
                 target,
-                packets.Symlink(0, target, spot_text(self.spot)),
+                packets.Symlink(0, target, format_location(self.location)),
             )
-        if self.leg in (Leg.CLEARING, Leg.UNLINKING) and self.spot is not None:
+        if (
+            self.leg in (CommandStep.CLEARING, CommandStep.UNLINKING)
+            and self.location is not None
+        ):
             return (
                 home(self.volume, self.path),
                 self.path,
-                packets.Symlink(0, self.path, "-" + spot_text(self.spot)),
+                packets.Symlink(0, self.path, "-" + format_location(self.location)),
             )
-        if self.leg is Leg.SOURCE:
+        if self.leg is CommandStep.SOURCE:
             return (
                 home(self.volume, self.path),
                 self.path,
                 packets.Readlink(0, self.path),
             )
-        if self.leg is Leg.SWEEPING:
+        if self.leg is CommandStep.SWEEPING:
             after = self.opened.after if self.opened is not None else ""
             return (
                 self.cells()[self.turn],
@@ -195,11 +202,11 @@
                 self.named(
                     command,
                     self.path + "\0" + after
-                    if self.course is Course.LIST
+                    if self.course is CommandStrategy.LIST
                     else self.path,
                 ),
             )
-        if isinstance(command, packets.Open) and self.course is Course.MAKE:
+        if isinstance(command, packets.Open) and self.course is CommandStrategy.MAKE:
             command = replace(command, flags=command.flags & ~packets.CREATE_FLAG)
         return home(self.volume, self.path), self.path, self.named(command, self.path)
 
@@ -211,7 +218,8 @@
             command = replace(command, handle=name.encode("utf-8", "surrogateescape"))
             if isinstance(command, packets.Read):
                 command = replace(
-                    command, length=min(command.length, self.edge.atlas.most_bytes)
+                    command,
+                    length=min(command.length, self.edge.routing_table.most_bytes),
                 )
             return command
         if isinstance(command, packets.Rename):
@@ -225,13 +233,15 @@
         edge = self.edge
         why = edge.refusal(self.ends)
         if why:
-            return self.gave_up(Reply.DECLINED, edge.host.config.max_retry_after, why)
+            return self.gave_up(
+                StepResult.DECLINED, edge.host.config.max_retry_after, why
+            )
         cell, name, command = self.target()
         self.transfer = edge.next_transfer()
-        write = self.operation in WRITING or self.leg in DOING
+        write = self.operation in WRITE_OPERATIONS or self.leg in MUTATING_STEPS
         arrival = Request(
             self.transfer,
-            edge.atlas.extent(name, getattr(command, "offset", 0)),
+            edge.routing_table.extent(name, getattr(command, "offset", 0)),
             self.volume.number,
             self.volume.gateways,
             self.category,
@@ -239,7 +249,7 @@
             self.repeat,
             write,
             cell,
-            edge.atlas.units(self.operation, self.size),
+            edge.routing_table.units(self.operation, self.size),
             self.ends,
         )
         if edge.parts is not None:
@@ -249,12 +259,12 @@
         edge.host.take(
             arrival,
             self,
-            Cargo(
+            CommandPayload(
                 command,
                 f"{self.mark}#{self.leg.name}.{self.turn}",
                 f"{self.terms.mark}~{self.terms.tries}" if self.terms.mark else "",
                 edge.category_name(self.category),
-                self.gate,
+                self.attempt_guard,
             ),
         )
 
@@ -270,43 +280,45 @@
         self.transfer = None
         answer, moved = verdict.answer, verdict.verdict == ELSEWHERE
         code = answer.code if isinstance(answer, packets.Status) else None
-        reply = reply_of(moved, code)
+        reply = step_result(moved, code)
         if (
-            self.leg is Leg.PLACING
-            and self.spot is not None
+            self.leg is CommandStep.PLACING
+            and self.location is not None
             and verdict.text.isdecimal()
         ):
-            self.spot = Spot(int(verdict.text), self.spot.name)
+            self.location = ObjectLocation(int(verdict.text), self.location.name)
         before, self.legs = self.leg, self.legs + 1
-        self.leg, effect = advance(self.course, before, reply, self.legs)
-        self.done_before |= before in DOING and reply is Reply.FINE
+        self.leg, effect = next_step(self.course, before, reply, self.legs)
+        self.done_before |= before in MUTATING_STEPS and reply is StepResult.FINE
         self.follow(effect, verdict, answer)
 
     def rejected(self, pause: int) -> None:
         self.transfer = None
-        self.gave_up(Reply.DECLINED, pause, "declined")
+        self.gave_up(StepResult.DECLINED, pause, "declined")
 
     def failed(self) -> None:
         self.transfer = None
-        self.gave_up(Reply.ABORTED, 0, "aborted")
+        self.gave_up(StepResult.ABORTED, 0, "aborted")
 
-    def gave_up(self, reply: Reply, pause: int, why: str) -> None:
+    def gave_up(self, reply: StepResult, pause: int, why: str) -> None:
         """The command ends without having been done in full."""
         told_as, id = told(reply, self.done_before), self.command.id
-        packet = aborted(id) if told_as is Reply.ABORTED else declined(id, pause)
-        self.finish(packet, "aborted" if told_as is Reply.ABORTED else "declined", why)
+        packet = aborted(id) if told_as is StepResult.ABORTED else declined(id, pause)
+        self.finish(
+            packet, "aborted" if told_as is StepResult.ABORTED else "declined", why
+        )
 
     def follow(self, effect: str, verdict: Verdict, answer: Any) -> None:
         """Do what the table says and go on, or end."""
         if effect in ("follow", "carry"):
-            self.spot = spot_of(verdict.text)
-            if self.spot is None:
+            self.location = parse_location(verdict.text)
+            if self.location is None:
                 return self.finish(
                     packets.Status(
                         self.command.id, packets.FAILURE, "a link that leads nowhere"
                     )
                 )
-            self.remembered.put(self.path, self.spot)
+            self.remembered.put(self.path, self.location)
         elif effect == "forget":
             self.remembered.drop(self.path)
         elif effect == "keep":
@@ -324,8 +336,8 @@
     def conclude(self, effect: str, answer: Any) -> None:
         """The last answer of a course."""
         id = self.command.id
-        if effect == "made" and self.spot is not None:
-            self.remembered.put(self.path, self.spot)
+        if effect == "made" and self.location is not None:
+            self.remembered.put(self.path, self.location)
             answer = self.made
         elif effect == "done":
             answer = packets.Status(id, packets.OK)
@@ -336,7 +348,7 @@
         elif effect == "taken":
             answer = packets.Status(id, packets.FAILURE, "the new name stands already")
         elif effect == "tangled":
-            return self.gave_up(Reply.ABORTED, 0, "links that lead in a circle")
+            return self.gave_up(StepResult.ABORTED, 0, "links that lead in a circle")
         elif answer is None:
             answer = packets.Status(id, packets.FAILURE, "a link where none belongs")
         self.finish(answer)
@@ -386,7 +398,7 @@
 
     def finish(self, packet: Any, final: str = "satisfied", why: str = "") -> None:
         """The one answer to the client."""
-        self.leg, self.final = Leg.OVER, final
+        self.leg, self.final = CommandStep.OVER, final
         answered, self.answered = self.answered, lambda packet: None
         self.edge.told(self, final, why)
         answered(packets.with_id(packet, self.command.id))
--- a/milletsill/sftp_gateway/deployment.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -17,7 +17,7 @@
     ServicePlanConfig,
 )
 from milletsill.node_connections.connection_state import PoolLimits
-from milletsill.sftp_gateway.routing import Atlas, RouteRule, VolumePlace
+from milletsill.sftp_gateway.routing import RoutedVolume, RouteRule, RoutingTable
 
 
 def at_most(ms: float) -> int:
@@ -103,12 +103,12 @@
     )
 
 
-def atlas_of(file: Any) -> Atlas:
+def routing_table_of(file: Any) -> RoutingTable:
     """The map from commands to transfers."""
     plans = {each.name: place for place, each in enumerate(file.plan)}
     categories = {each.name: place for place, each in enumerate(file.category)}
     volumes = [
-        VolumePlace(
+        RoutedVolume(
             place + 1,
             each.name,
             each.root,
@@ -128,7 +128,7 @@
         )
         for each in file.route
     ]
-    return Atlas(
+    return RoutingTable(
         volumes,
         routes,
         file.rules.unit_bytes,
@@ -138,7 +138,7 @@
     )
 
 
-def bounds_of(file: Any) -> PoolLimits:
+def pool_limits_of(file: Any) -> PoolLimits:
     """The bounds of every pool of links."""
     links = file.links
     return PoolLimits(
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -29,22 +29,22 @@
 from milletsill.scheduler import Scheduler
 from milletsill.sftp.extensions import Order
 from milletsill.sftp_gateway import deployment
-from milletsill.sftp_gateway.command_execution import Cargo, Running
+from milletsill.sftp_gateway.command_execution import CommandExecution, CommandPayload
 from milletsill.sftp_gateway.errors import RestartRequired
 from milletsill.sftp_gateway.incarnation import keep, next_incarnation
-from milletsill.sftp_gateway.metrics import Figures
+from milletsill.sftp_gateway.metrics import GatewayMetrics
 from milletsill.sftp_gateway.routing import (
     FREE,
-    AnswerLog,
-    Event,
-    Locations,
-    Process,
-    VolumePlace,
-    admit,
+    AnswerLogLimiter,
+    GatewayEvent,
+    GatewayState,
+    LocationCache,
+    RoutedVolume,
     canonical,
-    pass_on,
+    next_gateway_state,
+    refusal_reason,
 )
-from milletsill.sftp_gateway.sftp_server import Clients, Connection
+from milletsill.sftp_gateway.sftp_server import SftpClientConnection, SftpClientListener
 
 LOOK_EVERY = 1.0  # seconds between looks at idle clients and the loop's lag
 
@@ -54,7 +54,7 @@
     return -(-time.monotonic_ns() // 100_000)
 
 
-class Edge:
+class SftpGateway:
     """One gateway. `make` is the module; the laboratory alone puts a baseline in its place."""
 
     def __init__(
@@ -75,23 +75,29 @@
         )
         if complaint is not None:
             self.remark("incarnation_not_kept", **complaint.log_fields())
-        self.figures, self.answer_log = Figures(), AnswerLog(file.logging.answers_per_s)
-        self.process, self.atlas = Process.STARTING, deployment.atlas_of(file)
-        self.locations, self.bounds = (
-            Locations(file.door.locations),
-            deployment.bounds_of(file),
+        self.metrics, self.answer_log_limiter = (
+            GatewayMetrics(),
+            AnswerLogLimiter(file.logging.answers_per_s),
         )
-        self.margin = deployment.at_least(file.door.answer_margin_ms)
+        self.state, self.routing_table = (
+            GatewayState.STARTING,
+            deployment.routing_table_of(file),
+        )
+        self.location_cache, self.pool_limits = (
+            LocationCache(file.door.locations),
+            deployment.pool_limits_of(file),
+        )
+        self.answer_margin = deployment.at_least(file.door.answer_margin_ms)
         self.pools: dict[int, NodeConnectionPool] = {}
-        self.clients: set[Connection] = set()
-        self.transfers = self.objects = self.marks = 0
+        self.clients: set[SftpClientConnection] = set()
+        self.request_count = self.object_count = self.key_count = 0
         config = deployment.config_of(file)
         seed = (
             file.seed
             if file.HasField("seed")
             else random.SystemRandom().getrandbits(63)
         )
-        self.follower = Follower(
+        self.endpoint_watcher = Follower(
             reactor,
             now,
             file.registry,
@@ -114,9 +120,9 @@
             make,
             HostCallbacks(
                 start_attempt=self.carry,
-                watch_endpoints=self.follower.ask,
+                watch_endpoints=self.endpoint_watcher.ask,
                 log=lambda text: self.remark("module", reason=text),
-                count=self.figures.note,
+                count=self.metrics.note,
             ),
         )
         self.flows = self.exporter(seed) if file.HasField("flows") else None
@@ -137,10 +143,10 @@
         )
         self.ports: list[Any] = []
         self.stopped: list[Callable[[], None]] = []
-        self.look_call: Any = None
-        self.beat_call: Any = None
-        self.last_beat, self.stood_since = now(), None
-        self.overdue_call: Any = None
+        self.check_call: Any = None
+        self.stall_check_call: Any = None
+        self.last_stall_check, self.stalled_since = now(), None
+        self.drain_deadline_call: Any = None
         self.failed = False
 
     def exporter(self, seed: int) -> Any:
@@ -161,7 +167,7 @@
             seed,
             self.incarnation,
             self.remark,
-            self.figures.registry,
+            self.metrics.registry,
         )
 
     def planned(self, config: DeploymentConfig, seed: int) -> Any:
@@ -177,7 +183,7 @@
             self.incarnation,
             self.host,
             self.remark,
-            self.figures.registry,
+            self.metrics.registry,
         )
 
     def among_others(self, seed: int) -> Any:
@@ -194,7 +200,7 @@
                 info=lambda event, **values: self.log.info(event, **values),
                 store_incarnation=self.keep_run,
             ),
-            self.figures.registry,
+            self.metrics.registry,
         )
 
     def sharing(self, seed: int) -> Any:
@@ -236,13 +242,13 @@
             self.flows.start()
         if self.traces is not None:
             self.traces.start()
-        self.follower.start()
+        self.endpoint_watcher.start()
         if self.parts is not None:
             self.parts.start()
-        self.step(Event.LISTED)
-        self.look_call = self.reactor.callLater(LOOK_EVERY, self.look, self.now())
-        self.last_beat = self.now()
-        self.beat_call = self.reactor.callLater(
+        self.step(GatewayEvent.LISTED)
+        self.check_call = self.reactor.callLater(LOOK_EVERY, self.look, self.now())
+        self.last_stall_check = self.now()
+        self.stall_check_call = self.reactor.callLater(
             STALL_CHECK_INTERVAL / 10_000, self.beat
         )
 
@@ -250,13 +256,13 @@
         """Whether the process stood since the last beat: the sockets are read right after this."""
         now = self.now()
         since = earliest_arrival(
-            now, self.last_beat + STALL_CHECK_INTERVAL, self.last_beat
+            now, self.last_stall_check + STALL_CHECK_INTERVAL, self.last_stall_check
         )
         if since is not None:
-            self.stood_since = since
+            self.stalled_since = since
             self.after_round(self.caught_up)
-        self.last_beat = now
-        self.beat_call = self.reactor.callLater(
+        self.last_stall_check = now
+        self.stall_check_call = self.reactor.callLater(
             STALL_CHECK_INTERVAL / 10_000, self.beat
         )
 
@@ -265,24 +271,26 @@
         stood between a socket's being ready and its being read has had no beat yet.
         """
         since = earliest_arrival(
-            self.now(), self.last_beat + STALL_CHECK_INTERVAL, self.last_beat
+            self.now(),
+            self.last_stall_check + STALL_CHECK_INTERVAL,
+            self.last_stall_check,
         )
         return (
-            self.stood_since
+            self.stalled_since
             if since is None
-            else min(since, since if self.stood_since is None else self.stood_since)
+            else min(since, since if self.stalled_since is None else self.stalled_since)
         )
 
     def caught_up(self) -> None:
-        self.stood_since = None
+        self.stalled_since = None
 
     def after_round(self, call: Callable[[], None]) -> None:
         """Once the sockets have been read: a timer of now comes before that, one set by it after."""
         self.reactor.callLater(0, self.reactor.callLater, 0, call)
 
-    def step(self, event: Event) -> None:
+    def step(self, event: GatewayEvent) -> None:
         """Read the table and act."""
-        self.process, effect = pass_on(self.process, event)
+        self.state, effect = next_gateway_state(self.state, event)
         if effect == "open":
             self.open()
         elif effect == "drain":
@@ -292,8 +300,8 @@
             elif self.fleet is not None:
                 self.fleet.leave()
             self.close_ports()
-            self.overdue_call = self.reactor.callLater(
-                self.file.door.drain_s, self.step, Event.OVERDUE
+            self.drain_deadline_call = self.reactor.callLater(
+                self.file.door.drain_s, self.step, GatewayEvent.OVERDUE
             )
             self.emptied()
         elif effect == "stop":
@@ -302,21 +310,21 @@
     def open(self) -> None:
         """Listen; an address that cannot be had ends the start with one line."""
         host, _, port = self.file.listen.rpartition(":")
-        self.listen(host, int(port), Clients(self), "listening")
+        self.listen(host, int(port), SftpClientListener(self), "listening")
         if self.file.HasField("metrics"):
             host, _, port = self.file.metrics.rpartition(":")
-            self.listen(host, int(port), self.figures.page(), "metrics_listening")
+            self.listen(host, int(port), self.metrics.page(), "metrics_listening")
 
     def cannot(self, error: MilletsillError) -> None:
         """The start is over before it began."""
         self.log.error("cannot_listen", **error.log_fields())
-        self.process, self.failed = Process.STOPPED, True
+        self.state, self.failed = GatewayState.STOPPED, True
         self.stop()
 
     def listen(self, host: str, port: int, factory: Any, word: str) -> None:
         def up(got: Any) -> None:
             if (
-                self.process is Process.STOPPED
+                self.state is GatewayState.STOPPED
             ):  # another address could not be had meanwhile
                 got.stopListening()
                 return
@@ -336,7 +344,7 @@
 
     def terminate(self) -> None:
         """SIGTERM: no new transfers, all held ones answered, then the end."""
-        self.step(Event.TERM)
+        self.step(GatewayEvent.TERM)
 
     def reload(self, file: Any) -> None:
         """Another file for what a running gateway can change: bounds of the door, volumes, routes, logs. What the
@@ -354,22 +362,22 @@
                     "plans, categories, rules, name, address, traces or fleet are not those of the start"
                 ).log_fields(),
             )
-        self.file, self.atlas, self.margin = (
+        self.file, self.routing_table, self.answer_margin = (
             file,
-            deployment.atlas_of(file),
+            deployment.routing_table_of(file),
             deployment.at_least(file.door.answer_margin_ms),
         )
-        self.answer_log = AnswerLog(file.logging.answers_per_s)
+        self.answer_log_limiter = AnswerLogLimiter(file.logging.answers_per_s)
         self.log = logger(file.logging.level, file.logging.json, gateway=file.name)
         self.log.info("reloaded", volumes=len(file.volume), routes=len(file.route))
 
     def emptied(self) -> None:
         if (
-            self.process is Process.DRAINING
+            self.state is GatewayState.DRAINING
             and not self.host.unanswered
             and not (self.channels is not None and self.channels.held)
         ):
-            self.reactor.callLater(0, self.step, Event.EMPTY)
+            self.reactor.callLater(0, self.step, GatewayEvent.EMPTY)
 
     def close_ports(self) -> None:
         ports, self.ports = self.ports, []
@@ -378,10 +386,10 @@
 
     def stop(self) -> None:
         """Cut everything that is left."""
-        self.process = Process.STOPPED
+        self.state = GatewayState.STOPPED
         self.log.info("stopped", held=self.host.unanswered)
         self.close_ports()
-        self.follower.stop()
+        self.endpoint_watcher.stop()
         if self.channels is not None:
             self.channels.stop()
         for client in list(self.clients):
@@ -399,7 +407,7 @@
             self.health.stop()
         if self.fleet is not None:
             self.fleet.stop()
-        for call in (self.look_call, self.overdue_call, self.beat_call):
+        for call in (self.check_call, self.drain_deadline_call, self.stall_check_call):
             if call is not None and call.active():
                 call.cancel()
         for each in self.stopped:
@@ -408,9 +416,9 @@
     def look(self, since: int) -> None:
         """Once a second: idle clients, the loop's lag, gauges."""
         now = self.now()
-        self.figures.lag.observe(max(now - since - LOOK_EVERY * 10_000, 0) / 10_000)
-        self.figures.held.set(self.host.unanswered)
-        self.figures.clients.set(len(self.clients))
+        self.metrics.lag.observe(max(now - since - LOOK_EVERY * 10_000, 0) / 10_000)
+        self.metrics.held.set(self.host.unanswered)
+        self.metrics.clients.set(len(self.clients))
         if self.traces is not None:
             self.traces.look()
         if self.parts is not None:
@@ -418,12 +426,12 @@
         idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
             client.tick(idle)
-        self.look_call = self.reactor.callLater(LOOK_EVERY, self.look, now)
+        self.check_call = self.reactor.callLater(LOOK_EVERY, self.look, now)
 
     # The list.
 
     def listed(self, news: EndpointUpdateKind, entries: list[Endpoint]) -> None:
-        self.figures.news.labels(news.value).inc()
+        self.metrics.news.labels(news.value).inc()
         self.host.on_endpoints(news, entries)
         if self.health is not None:
             self.health.listed(news, entries)
@@ -432,7 +440,7 @@
 
     def moved(self, boxes: list[Box]) -> None:
         """Links follow the list: a new address gets a pool of its own, a box that left loses its."""
-        self.figures.boxes.set(len(boxes))
+        self.metrics.boxes.set(len(boxes))
         for box in boxes:
             pool = self.pools.get(box.id)
             if pool is None or pool.address != box.address:
@@ -443,7 +451,7 @@
                     self.now,
                     PoolConfig(
                         box.address,
-                        self.bounds,
+                        self.pool_limits,
                         self.file.name,
                         self.incarnation,
                         self.file.links.most_packet,
@@ -459,7 +467,7 @@
 
     def carry(
         self,
-        cargo: Cargo,
+        cargo: CommandPayload,
         arrival: Request,
         number: int,
         node: int,
@@ -470,7 +478,7 @@
         pool = self.pools.get(node)
         if pool is None:
             return None
-        gate = cargo.gate
+        gate = cargo.attempt_guard
         if gate is not None:
             if not gate.may_send():
                 return None
@@ -498,35 +506,35 @@
 
     # The clients.
 
-    def connected(self, client: Connection) -> bool:
+    def connected(self, client: SftpClientConnection) -> bool:
         """Whether one more client is taken."""
         if (
             len(self.clients) >= self.file.door.most_connections
-            or self.process is not Process.SERVING
+            or self.state is not GatewayState.SERVING
         ):
             self.remark("client_not_taken", clients=len(self.clients))
             return False
         self.clients.add(client)
         return True
 
-    def disconnected(self, client: Connection) -> None:
+    def disconnected(self, client: SftpClientConnection) -> None:
         self.clients.discard(client)
         self.emptied()
 
     def refusal(self, ends: int) -> str:
         """Why a command cannot be taken now; '' for none."""
-        return admit(
-            self.process,
+        return refusal_reason(
+            self.state,
             self.host.unanswered,
             self.file.door.most_held,
             ends - self.now(),
         )
 
-    def told(self, running: Running, final: str, why: str) -> None:
+    def told(self, running: CommandExecution, final: str, why: str) -> None:
         """A command has its answer: counted, and now and then said."""
         now, name = self.now(), self.category_name(running.category)
-        self.figures.child(self.figures.answers, name, final).inc()
-        self.figures.child(self.figures.latency, name).observe(
+        self.metrics.child(self.metrics.answers, name, final).inc()
+        self.metrics.child(self.metrics.latency, name).observe(
             (now - running.began) / 10_000
         )
         if self.traces is not None:
@@ -537,13 +545,13 @@
                 running.volume.plan,
                 running.category,
                 running.operation,
-                self.atlas.units(running.operation, running.size),
+                self.routing_table.units(running.operation, running.size),
                 running.legs,
                 running.terms.tries,
                 final,
                 why,
             )
-        passed = self.answer_log.take(now)
+        passed = self.answer_log_limiter.take(now)
         if passed is not None:
             self.log.info(
                 "answer",
@@ -567,27 +575,27 @@
     def canonical(self, path: str) -> str:
         return canonical(path)
 
-    def renames(self, volume: VolumePlace, path: str, target: str) -> bool:
+    def renames(self, volume: RoutedVolume, path: str, target: str) -> bool:
         """Whether a rename can be done: by links, or within one cell."""
-        return volume.placement == FREE or self.atlas.home(
+        return volume.placement == FREE or self.routing_table.home(
             volume, path
-        ) == self.atlas.home(volume, target)
+        ) == self.routing_table.home(volume, target)
 
-    def plan_name(self, volume: VolumePlace) -> str:
+    def plan_name(self, volume: RoutedVolume) -> str:
         return self.file.plan[volume.plan].name
 
     def category_name(self, place: int) -> str:
         return self.host.config.request_classes[place].name
 
     def next_transfer(self) -> int:
-        self.transfers += 1
-        return self.transfers
+        self.request_count += 1
+        return self.request_count
 
     def object_name(self) -> str:
         """A name on a box that no other gateway or run gives."""
-        self.objects += 1
-        return f"#{self.file.name}.{self.incarnation}.{self.objects}"
+        self.object_count += 1
+        return f"#{self.file.name}.{self.incarnation}.{self.object_count}"
 
     def mark(self) -> str:
-        self.marks += 1
-        return f"{self.file.name}.{self.incarnation}.{self.marks}"
+        self.key_count += 1
+        return f"{self.file.name}.{self.incarnation}.{self.key_count}"
--- a/milletsill/sftp_gateway/gateway_context.py
+++ b/milletsill/sftp_gateway/gateway_context.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from milletsill.sftp_gateway.routing import Locations, VolumePlace
+from milletsill.sftp_gateway.routing import LocationCache, RoutedVolume
 
 
-class Around(Protocol):
+class GatewayContext(Protocol):
     """The gateway as its clients' connections and commands see it. Times are tenths of a millisecond."""
 
     file: Any
     atlas: Any
     host: Any
     margin: int
-    locations: Locations
+    locations: LocationCache
     traces: Any  # None where the file asks for none, like `flows` and `parts`
     flows: Any
     parts: Any
@@ -45,10 +45,10 @@
 
     def canonical(self, path: str) -> str: ...
 
-    def renames(self, volume: VolumePlace, path: str, target: str) -> bool:
+    def renames(self, volume: RoutedVolume, path: str, target: str) -> bool:
         """Whether a rename can be done."""
 
-    def plan_name(self, volume: VolumePlace) -> str: ...
+    def plan_name(self, volume: RoutedVolume) -> str: ...
 
     def category_name(self, place: int) -> str: ...
 
--- a/milletsill/sftp_gateway/metrics.py
+++ b/milletsill/sftp_gateway/metrics.py
@@ -27,7 +27,7 @@
 )  # seconds
 
 
-class Figures:
+class GatewayMetrics:
     """What is counted; names are those of docs/operators.md."""
 
     def __init__(self) -> None:
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -20,12 +20,12 @@
 from milletsill.settings.load import SettingsFileRejected, load
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.settings.validation import check_gateway
-from milletsill.sftp_gateway.gateway import Edge
+from milletsill.sftp_gateway.gateway import SftpGateway
 
 SAID_FROM = 0.05  # seconds: a pause worth a line
 
 
-def steady(reactor: Any) -> None:
+def use_monotonic_timers(reactor: Any) -> None:
     """Timers follow the monotonic clock. Guards rule 1 and all spans against a wall clock that is set back while the process runs,
     which Twisted's timers follow: answers would leave late by as much. Harm: none known.
     """
@@ -36,11 +36,11 @@
     files: Sequence[Any], paths: Sequence[str], make: SchedulerFactory = Scheduler
 ) -> int:
     """Until all edges have stopped; 0, or 1 where one could not listen."""
-    steady(reactor)
-    edges = [Edge(file, reactor, make) for file in files]
-    left, failed = set(edges), list[Edge]()
+    use_monotonic_timers(reactor)
+    edges = [SftpGateway(file, reactor, make) for file in files]
+    left, failed = set(edges), list[SftpGateway]()
 
-    def stopped(edge: Edge) -> None:
+    def stopped(edge: SftpGateway) -> None:
         left.discard(edge)
         if edge.failed:
             failed.append(edge)
@@ -62,7 +62,7 @@
             reload(each, path) for each, path in zip(edges, paths) if each in left
         ],
     )
-    collector = Pauses(edges)
+    collector = CollectorPauses(edges)
     reactor.callLater(FREEZE_DELAY, freeze_long_lived_objects)
     gc.callbacks.append(collector.heard)
     reactor.run(installSignalHandlers=False)
@@ -70,10 +70,10 @@
     return 1 if failed else 0
 
 
-class Pauses:
+class CollectorPauses:
     """Says how long Python's garbage collector stood in the way: a stall like any other, but one that we can name."""
 
-    def __init__(self, edges: Sequence[Edge]) -> None:
+    def __init__(self, edges: Sequence[SftpGateway]) -> None:
         self.edges, self.began = edges, 0.0
 
     def heard(self, phase: str, info: dict[str, int]) -> None:
@@ -82,14 +82,14 @@
             return
         span = time.perf_counter() - self.began
         for edge in self.edges:
-            edge.figures.collections.observe(span)
+            edge.metrics.collections.observe(span)
         if span > SAID_FROM:
             self.edges[0].remark(
                 "collector_pause", ms=round(span * 1000), generation=info["generation"]
             )
 
 
-def reload(edge: Edge, path: str) -> None:
+def reload(edge: SftpGateway, path: str) -> None:
     """Read the file again; a bad one, or one that needs a restart, changes nothing."""
     try:
         edge.reload(load(path, GatewayFile, check_gateway))
--- a/milletsill/sftp_gateway/routing.py
+++ b/milletsill/sftp_gateway/routing.py
@@ -37,9 +37,9 @@
     packets.Readdir: "list",
     packets.Extended: "sync",
 }
-WRITING = ("write", "change", "sync")
+WRITE_OPERATIONS = ("write", "change", "sync")
 HASHED, FREE, BY_DIRECTORY = range(3)
-MOST_PATH = 4096
+MAX_PATH_LENGTH = 4096
 
 
 class InvalidPath(InvalidValue):
@@ -50,7 +50,7 @@
 
 def canonical(path: str) -> str:
     """An absolute path without empty parts, . and ..; what climbs above / stays there, as in a file system."""
-    if len(path) > MOST_PATH or "\0" in path:
+    if len(path) > MAX_PATH_LENGTH or "\0" in path:
         raise InvalidPath("a path too long or with a zero byte")
     parts: list[str] = []
     for part in path.split("/"):
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VolumePlace:
+class RoutedVolume:
     """A volume as the edge needs it: its number for the module, plan by place, cells in order."""
 
     number: int
@@ -84,12 +84,12 @@
     category: int
 
 
-class Atlas:
+class RoutingTable:
     """The operator's map from commands to transfers; built once, pure afterwards."""
 
     def __init__(
         self,
-        volumes: Sequence[VolumePlace],
+        volumes: Sequence[RoutedVolume],
         routes: Sequence[RouteRule],
         unit_bytes: int,
         largest_units: int,
@@ -109,7 +109,7 @@
         """Bytes of the largest transfer."""
         return self.unit_bytes * self.largest
 
-    def volume(self, path: str) -> VolumePlace | None:
+    def volume(self, path: str) -> RoutedVolume | None:
         """The volume that a canonical path lies in; None for what lies above all of them."""
         parts = path.split("/")
         return next(
@@ -132,7 +132,7 @@
             }
         )
 
-    def category(self, operation: str, volume: VolumePlace, size: int) -> int:
+    def category(self, operation: str, volume: RoutedVolume, size: int) -> int:
         """The category of the first route that fits; the last fits all."""
         return next(
             each.category
@@ -151,7 +151,7 @@
             return self.meta_units
         return float(min(max(ceil(size / self.unit_bytes), 1), self.largest))
 
-    def home(self, volume: VolumePlace, path: str) -> int:
+    def home(self, volume: RoutedVolume, path: str) -> int:
         """The cell that a path belongs to: the same at every gateway. Rendezvous hashing: a cell that joins or leaves
         a volume moves only the paths that it gains or loses.
         """
@@ -174,7 +174,7 @@
         return xxhash.xxh64_intdigest(data) or 1
 
 
-class Locations:
+class LocationCache:
     """Where new objects were last seen, by path; bounded, the least lately used leaves. A wrong one costs a look at
     the path's home, never a wrong answer.
     """
@@ -182,12 +182,12 @@
     def __init__(self, most: int) -> None:
         self.most, self.held = most, OrderedDict[str, "Spot"]()
 
-    def get(self, path: str) -> Spot | None:
+    def get(self, path: str) -> ObjectLocation | None:
         if path in self.held:
             self.held.move_to_end(path)
         return self.held.get(path)
 
-    def put(self, path: str, spot: Spot) -> None:
+    def put(self, path: str, spot: ObjectLocation) -> None:
         self.held[path] = spot
         self.held.move_to_end(path)
         while len(self.held) > self.most:
@@ -198,23 +198,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spot:
+class ObjectLocation:
     """Where an object's bytes lie: its cell, and its name there."""
 
     cell: int
     name: str
 
 
-def spot_text(spot: Spot) -> str:
+def format_location(spot: ObjectLocation) -> str:
     """A spot as the target of a link."""
     return f"{spot.cell}:{spot.name}"
 
 
-def spot_of(text: str) -> Spot | None:
+def parse_location(text: str) -> ObjectLocation | None:
     """A spot from a link's target; None where it is none."""
     cell, colon, name = text.partition(":")
     return (
-        Spot(int(cell), name)
+        ObjectLocation(int(cell), name)
         if colon and cell.isdecimal() and len(cell) < 10 and name
         else None
     )
@@ -225,90 +225,157 @@
 # HOME: asked at the path's home. THERE: at the spot that a link or memory named. PLACING: a new object, wherever the
 # module puts it. LINKING: its link at home. SOURCE, MOVING, CLEARING: a rename by links. UNLINKING: after a removal.
 # SWEEPING: a directory's other cells, home last.
-Leg = Enum(
+CommandStep = Enum(
     "Leg", "HOME THERE PLACING LINKING SOURCE MOVING CLEARING UNLINKING SWEEPING OVER"
 )
 # What a transfer came to. FINE: the box did it. MISSING: no such file. MOVED: a link, with its spot. TAKEN: the name
 # stands already. BAD: another status. DECLINED, ABORTED: the module gave it up.
-Reply = Enum("Reply", "FINE MISSING MOVED TAKEN BAD DECLINED ABORTED")
+StepResult = Enum("Reply", "FINE MISSING MOVED TAKEN BAD DECLINED ABORTED")
 # What kind of course: PLAIN ends with its first answer, FOLLOW goes where a link leads, MAKE creates what is missing,
 # REMOVE also takes the link away, RENAME moves links, SWEEP asks every cell of the volume,
 # and LIST reads a directory cell by cell.
-Course = Enum("Course", "PLAIN FOLLOW MAKE REMOVE RENAME SWEEP LIST")
+CommandStrategy = Enum("Course", "PLAIN FOLLOW MAKE REMOVE RENAME SWEEP LIST")
 
 # (course, leg, reply) -> (next leg, effect). OVER ends the command; the effect says with which answer.
-COURSE_TABLE: Mapping[tuple[Course, Leg, Reply], tuple[Leg, str]] = {
+STEP_TABLE: Mapping[
+    tuple[CommandStrategy, CommandStep, StepResult], tuple[CommandStep, str]
+] = {
     # A cached spot that is empty may be old: its home knows. A home whose link leads to nothing has the last word.
     **{
-        (course, Leg.HOME, Reply.MOVED): (Leg.THERE, "follow")
-        for course in (Course.FOLLOW, Course.MAKE, Course.REMOVE)
+        (course, CommandStep.HOME, StepResult.MOVED): (CommandStep.THERE, "follow")
+        for course in (
+            CommandStrategy.FOLLOW,
+            CommandStrategy.MAKE,
+            CommandStrategy.REMOVE,
+        )
     },
     **{
-        (course, Leg.THERE, Reply.MISSING): (Leg.HOME, "forget")
-        for course in (Course.FOLLOW, Course.MAKE)
+        (course, CommandStep.THERE, StepResult.MISSING): (CommandStep.HOME, "forget")
+        for course in (CommandStrategy.FOLLOW, CommandStrategy.MAKE)
     },
-    (Course.REMOVE, Leg.THERE, Reply.FINE): (Leg.UNLINKING, ""),
-    (Course.REMOVE, Leg.THERE, Reply.MISSING): (Leg.UNLINKING, "forget"),
-    (Course.REMOVE, Leg.UNLINKING, Reply.MISSING): (Leg.OVER, "done"),
-    (Course.MAKE, Leg.HOME, Reply.MISSING): (Leg.PLACING, ""),
-    (Course.MAKE, Leg.PLACING, Reply.FINE): (Leg.LINKING, "keep"),
-    (Course.MAKE, Leg.LINKING, Reply.FINE): (Leg.OVER, "made"),
+    (CommandStrategy.REMOVE, CommandStep.THERE, StepResult.FINE): (
+        CommandStep.UNLINKING,
+        "",
+    ),
+    (CommandStrategy.REMOVE, CommandStep.THERE, StepResult.MISSING): (
+        CommandStep.UNLINKING,
+        "forget",
+    ),
+    (CommandStrategy.REMOVE, CommandStep.UNLINKING, StepResult.MISSING): (
+        CommandStep.OVER,
+        "done",
+    ),
+    (CommandStrategy.MAKE, CommandStep.HOME, StepResult.MISSING): (
+        CommandStep.PLACING,
+        "",
+    ),
+    (CommandStrategy.MAKE, CommandStep.PLACING, StepResult.FINE): (
+        CommandStep.LINKING,
+        "keep",
+    ),
+    (CommandStrategy.MAKE, CommandStep.LINKING, StepResult.FINE): (
+        CommandStep.OVER,
+        "made",
+    ),
     # Another gateway made the same name meanwhile: its object stands, ours is left without a link.
-    (Course.MAKE, Leg.LINKING, Reply.MOVED): (Leg.THERE, "follow"),
-    (Course.RENAME, Leg.SOURCE, Reply.MOVED): (Leg.MOVING, "carry"),
-    (Course.RENAME, Leg.SOURCE, Reply.FINE): (Leg.OVER, "unsupported"),
-    (Course.RENAME, Leg.MOVING, Reply.FINE): (Leg.CLEARING, "forget"),
-    (Course.RENAME, Leg.MOVING, Reply.MOVED): (Leg.OVER, "taken"),
-    (Course.RENAME, Leg.CLEARING, Reply.MISSING): (Leg.OVER, "done"),
-    (Course.SWEEP, Leg.SWEEPING, Reply.FINE): (Leg.SWEEPING, "next"),
-    (Course.SWEEP, Leg.SWEEPING, Reply.MISSING): (Leg.SWEEPING, "next"),
-    (Course.LIST, Leg.SWEEPING, Reply.FINE): (Leg.SWEEPING, "page"),
-    (Course.LIST, Leg.SWEEPING, Reply.MISSING): (Leg.SWEEPING, "page"),
+    (CommandStrategy.MAKE, CommandStep.LINKING, StepResult.MOVED): (
+        CommandStep.THERE,
+        "follow",
+    ),
+    (CommandStrategy.RENAME, CommandStep.SOURCE, StepResult.MOVED): (
+        CommandStep.MOVING,
+        "carry",
+    ),
+    (CommandStrategy.RENAME, CommandStep.SOURCE, StepResult.FINE): (
+        CommandStep.OVER,
+        "unsupported",
+    ),
+    (CommandStrategy.RENAME, CommandStep.MOVING, StepResult.FINE): (
+        CommandStep.CLEARING,
+        "forget",
+    ),
+    (CommandStrategy.RENAME, CommandStep.MOVING, StepResult.MOVED): (
+        CommandStep.OVER,
+        "taken",
+    ),
+    (CommandStrategy.RENAME, CommandStep.CLEARING, StepResult.MISSING): (
+        CommandStep.OVER,
+        "done",
+    ),
+    (CommandStrategy.SWEEP, CommandStep.SWEEPING, StepResult.FINE): (
+        CommandStep.SWEEPING,
+        "next",
+    ),
+    (CommandStrategy.SWEEP, CommandStep.SWEEPING, StepResult.MISSING): (
+        CommandStep.SWEEPING,
+        "next",
+    ),
+    (CommandStrategy.LIST, CommandStep.SWEEPING, StepResult.FINE): (
+        CommandStep.SWEEPING,
+        "page",
+    ),
+    (CommandStrategy.LIST, CommandStep.SWEEPING, StepResult.MISSING): (
+        CommandStep.SWEEPING,
+        "page",
+    ),
 }
-MOST_LEGS = 6
+MAX_STEPS = 6
 # Legs after which something of the command has been done at a box: a later decline would promise too much.
-DOING = (Leg.PLACING, Leg.LINKING, Leg.MOVING, Leg.CLEARING, Leg.UNLINKING)
+MUTATING_STEPS = (
+    CommandStep.PLACING,
+    CommandStep.LINKING,
+    CommandStep.MOVING,
+    CommandStep.CLEARING,
+    CommandStep.UNLINKING,
+)
 
 
-def advance(course: Course, leg: Leg, reply: Reply, legs: int) -> tuple[Leg, str]:
+def next_step(
+    course: CommandStrategy, leg: CommandStep, reply: StepResult, legs: int
+) -> tuple[CommandStep, str]:
     """The next leg of a command and what to do; whatever the table does not name ends it with what it came to.
 
     `legs` counts those gone: a course that runs in a circle (links that two gateways keep moving) ends as aborted.
     """
-    after, effect = COURSE_TABLE.get((course, leg, reply), (Leg.OVER, "answer"))
+    after, effect = STEP_TABLE.get((course, leg, reply), (CommandStep.OVER, "answer"))
     if (
-        after is not Leg.OVER
-        and legs >= MOST_LEGS
-        and course not in (Course.SWEEP, Course.LIST)
+        after is not CommandStep.OVER
+        and legs >= MAX_STEPS
+        and course not in (CommandStrategy.SWEEP, CommandStrategy.LIST)
     ):
-        return Leg.OVER, "tangled"
+        return CommandStep.OVER, "tangled"
     return after, effect
 
 
-def course_of(command: Any, placement: int, cells: int) -> tuple[Course, Leg]:
+def strategy_for(
+    command: Any, placement: int, cells: int
+) -> tuple[CommandStrategy, CommandStep]:
     """How a command on a path goes, and its first leg. Objects of hashed volumes lie at their home, those of free ones
     where a link at home says.
     """
     kind = type(command)
     if kind is packets.Readdir:
-        return Course.LIST, Leg.SWEEPING
+        return CommandStrategy.LIST, CommandStep.SWEEPING
     if kind is packets.Rmdir and cells > 1:
-        return Course.SWEEP, Leg.SWEEPING
+        return CommandStrategy.SWEEP, CommandStep.SWEEPING
     if placement != FREE or kind in (packets.Mkdir, packets.Rmdir):
-        return Course.PLAIN, Leg.HOME
+        return CommandStrategy.PLAIN, CommandStep.HOME
     if kind is packets.Open and command.flags & packets.CREATE_FLAG:
-        return Course.MAKE, Leg.HOME
+        return CommandStrategy.MAKE, CommandStep.HOME
     return {
-        packets.Remove: (Course.REMOVE, Leg.HOME),
-        packets.Rename: (Course.RENAME, Leg.SOURCE),
-    }.get(kind, (Course.FOLLOW, Leg.HOME))
+        packets.Remove: (CommandStrategy.REMOVE, CommandStep.HOME),
+        packets.Rename: (CommandStrategy.RENAME, CommandStep.SOURCE),
+    }.get(kind, (CommandStrategy.FOLLOW, CommandStep.HOME))
 
 
-def first_leg(course: Course, leg: Leg, remembered: Spot | None) -> Leg:
+def first_step(
+    course: CommandStrategy, leg: CommandStep, remembered: ObjectLocation | None
+) -> CommandStep:
     """A remembered spot spares the look at home, but for what must change the link there."""
     return (
-        Leg.THERE
-        if remembered is not None and course in (Course.FOLLOW, Course.MAKE)
+        CommandStep.THERE
+        if remembered is not None
+        and course in (CommandStrategy.FOLLOW, CommandStrategy.MAKE)
         else leg
     )
 
@@ -324,87 +391,101 @@
     return "next" if cells_left else "end"
 
 
-def told(reply: Reply, done_before: bool) -> Reply:
+def told(reply: StepResult, done_before: bool) -> StepResult:
     """What the client hears of a command that a decline ends: if an earlier transfer of it has already done something,
     trying again is not known to be harmless, so it is aborted.
     """
-    return Reply.ABORTED if reply is Reply.DECLINED and done_before else reply
+    return StepResult.ABORTED if reply is StepResult.DECLINED and done_before else reply
 
 
-def reply_of(moved: bool, code: int | None) -> Reply:
+def step_result(moved: bool, code: int | None) -> StepResult:
     """What a box's answer is to a course: `code` of a status, None for any other answer."""
     if moved:
-        return Reply.MOVED
+        return StepResult.MOVED
     if code in (None, packets.OK, packets.EOF):
-        return Reply.FINE
-    return Reply.MISSING if code == packets.NO_SUCH_FILE else Reply.BAD
+        return StepResult.FINE
+    return StepResult.MISSING if code == packets.NO_SUCH_FILE else StepResult.BAD
 
 
 # --- A client's connection.
 
-Door = Enum("Door", "FRESH OPEN FULL CLOSED")
-Knock = Enum("Knock", "INIT COMMAND FULL ROOM BROKEN STUCK IDLE LOST")
-DOOR_TABLE: Mapping[tuple[Door, Knock], tuple[Door, str]] = {
-    (Door.FRESH, Knock.INIT): (Door.OPEN, "version"),
-    (Door.FRESH, Knock.COMMAND): (Door.CLOSED, "cut"),
-    (Door.OPEN, Knock.INIT): (Door.CLOSED, "cut"),
-    (Door.OPEN, Knock.COMMAND): (Door.OPEN, "take"),
-    (Door.OPEN, Knock.FULL): (Door.FULL, "pause"),
-    (Door.FULL, Knock.ROOM): (Door.OPEN, "resume"),
+SftpClientState = Enum("Door", "FRESH OPEN FULL CLOSED")
+SftpClientEvent = Enum("Knock", "INIT COMMAND FULL ROOM BROKEN STUCK IDLE LOST")
+CLIENT_TABLE: Mapping[
+    tuple[SftpClientState, SftpClientEvent], tuple[SftpClientState, str]
+] = {
+    (SftpClientState.FRESH, SftpClientEvent.INIT): (SftpClientState.OPEN, "version"),
+    (SftpClientState.FRESH, SftpClientEvent.COMMAND): (SftpClientState.CLOSED, "cut"),
+    (SftpClientState.OPEN, SftpClientEvent.INIT): (SftpClientState.CLOSED, "cut"),
+    (SftpClientState.OPEN, SftpClientEvent.COMMAND): (SftpClientState.OPEN, "take"),
+    (SftpClientState.OPEN, SftpClientEvent.FULL): (SftpClientState.FULL, "pause"),
+    (SftpClientState.FULL, SftpClientEvent.ROOM): (SftpClientState.OPEN, "resume"),
     # Guards against a client that asks and never reads, which would hold answers for good.
-    (Door.FULL, Knock.STUCK): (Door.CLOSED, "cut"),
-    **{(door, Knock.IDLE): (Door.CLOSED, "close") for door in (Door.FRESH, Door.OPEN)},
+    (SftpClientState.FULL, SftpClientEvent.STUCK): (SftpClientState.CLOSED, "cut"),
+    **{
+        (door, SftpClientEvent.IDLE): (SftpClientState.CLOSED, "close")
+        for door in (SftpClientState.FRESH, SftpClientState.OPEN)
+    },
     **{
-        (door, Knock.BROKEN): (Door.CLOSED, "cut")
-        for door in (Door.FRESH, Door.OPEN, Door.FULL)
+        (door, SftpClientEvent.BROKEN): (SftpClientState.CLOSED, "cut")
+        for door in (SftpClientState.FRESH, SftpClientState.OPEN, SftpClientState.FULL)
     },
     **{
-        (door, Knock.LOST): (Door.CLOSED, "abandon")
-        for door in (Door.FRESH, Door.OPEN, Door.FULL)
+        (door, SftpClientEvent.LOST): (SftpClientState.CLOSED, "abandon")
+        for door in (SftpClientState.FRESH, SftpClientState.OPEN, SftpClientState.FULL)
     },
 }
 
 
-def knock(door: Door, sign: Knock) -> tuple[Door, str]:
+def next_client_state(
+    door: SftpClientState, sign: SftpClientEvent
+) -> tuple[SftpClientState, str]:
     """The next phase of a connection and what to do."""
-    return DOOR_TABLE.get((door, sign), (door, ""))
+    return CLIENT_TABLE.get((door, sign), (door, ""))
 
 
-def fullness(door: Door, out: int, unread: bool, most_out: int) -> Knock | None:
+def flow_control_event(
+    door: SftpClientState, out: int, unread: bool, most_out: int
+) -> SftpClientEvent | None:
     """Whether a connection is to be read: not while too many commands are out, or its answers are not taken; again
     once half of them are done (a bound on both sides keeps it from flapping).
     """
-    if door is Door.OPEN and (unread or out >= most_out):
-        return Knock.FULL
-    if door is Door.FULL and not unread and out <= most_out // 2:
-        return Knock.ROOM
+    if door is SftpClientState.OPEN and (unread or out >= most_out):
+        return SftpClientEvent.FULL
+    if door is SftpClientState.FULL and not unread and out <= most_out // 2:
+        return SftpClientEvent.ROOM
     return None
 
 
 # --- The process.
 
-Process = Enum("Process", "STARTING SERVING DRAINING STOPPED")
-Event = Enum("Event", "LISTED TERM EMPTY OVERDUE")
-PROCESS_TABLE: Mapping[tuple[Process, Event], tuple[Process, str]] = {
-    (Process.STARTING, Event.LISTED): (Process.SERVING, "open"),
-    (Process.STARTING, Event.TERM): (Process.STOPPED, "stop"),
-    (Process.SERVING, Event.TERM): (Process.DRAINING, "drain"),
-    (Process.DRAINING, Event.EMPTY): (Process.STOPPED, "stop"),
-    (Process.DRAINING, Event.OVERDUE): (Process.STOPPED, "stop"),
-    (Process.DRAINING, Event.TERM): (Process.STOPPED, "stop"),  # asked twice: at once
+GatewayState = Enum("Process", "STARTING SERVING DRAINING STOPPED")
+GatewayEvent = Enum("Event", "LISTED TERM EMPTY OVERDUE")
+GATEWAY_TABLE: Mapping[tuple[GatewayState, GatewayEvent], tuple[GatewayState, str]] = {
+    (GatewayState.STARTING, GatewayEvent.LISTED): (GatewayState.SERVING, "open"),
+    (GatewayState.STARTING, GatewayEvent.TERM): (GatewayState.STOPPED, "stop"),
+    (GatewayState.SERVING, GatewayEvent.TERM): (GatewayState.DRAINING, "drain"),
+    (GatewayState.DRAINING, GatewayEvent.EMPTY): (GatewayState.STOPPED, "stop"),
+    (GatewayState.DRAINING, GatewayEvent.OVERDUE): (GatewayState.STOPPED, "stop"),
+    (GatewayState.DRAINING, GatewayEvent.TERM): (
+        GatewayState.STOPPED,
+        "stop",
+    ),  # asked twice: at once
 }
 
 
-def pass_on(process: Process, event: Event) -> tuple[Process, str]:
+def next_gateway_state(
+    process: GatewayState, event: GatewayEvent
+) -> tuple[GatewayState, str]:
     """The next phase of the process and what to do."""
-    return PROCESS_TABLE.get((process, event), (process, ""))
+    return GATEWAY_TABLE.get((process, event), (process, ""))
 
 
-def admit(process: Process, held: int, most_held: int, left: int) -> str:
+def refusal_reason(process: GatewayState, held: int, most_held: int, left: int) -> str:
     """Why a command is not handed to the module, or nothing: "" for admitted. What is refused here was never taken,
     so a decline is always true.
     """
-    if process is not Process.SERVING:
+    if process is not GatewayState.SERVING:
         return "this gateway is going down"
     if held >= most_held:
         return "this gateway holds all that it may"
@@ -414,14 +495,14 @@
 # --- Time.
 
 
-def ends_at(came: int, patience: int, told_patience: int, margin: int) -> int:
+def client_deadline(came: int, patience: int, told_patience: int, margin: int) -> int:
     """When the client gives up, less the margin, from when its command may have come: the lesser of the operator's patience and the client's own; 0 is
     none told.
     """
     return came + min(patience, told_patience or patience) - margin
 
 
-class AnswerLog:
+class AnswerLogLimiter:
     """Which final answers get a line: so many a second, the rest are counted into the next line."""
 
     def __init__(self, per_second: float) -> None:
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -11,15 +11,15 @@
 from milletsill.sftp.extensions import Terms
 from milletsill.sftp.framing import BrokenPacketStream, Deframer
 from milletsill.sftp.wire import Attrs, Name
-from milletsill.sftp_gateway.command_execution import Opened, Running
-from milletsill.sftp_gateway.gateway_context import Around
+from milletsill.sftp_gateway.command_execution import CommandExecution, OpenHandle
+from milletsill.sftp_gateway.gateway_context import GatewayContext
 from milletsill.sftp_gateway.routing import (
-    Door,
     InvalidPath,
-    Knock,
-    Spot,
-    fullness,
-    knock,
+    ObjectLocation,
+    SftpClientEvent,
+    SftpClientState,
+    flow_control_event,
+    next_client_state,
 )
 
 DIRECTORY = Attrs(mode=0o040755)
@@ -32,14 +32,14 @@
 )
 
 
-class Connection(Protocol):
+class SftpClientConnection(Protocol):
     """One client."""
 
-    def __init__(self, edge: Around) -> None:
-        self.edge, self.door = edge, Door.FRESH
+    def __init__(self, edge: GatewayContext) -> None:
+        self.edge, self.door = edge, SftpClientState.FRESH
         self.deframer = Deframer(edge.file.door.most_packet)
-        self.out: dict[int, Running] = {}
-        self.handles: dict[bytes, Opened] = {}
+        self.out: dict[int, CommandExecution] = {}
+        self.handles: dict[bytes, OpenHandle] = {}
         self.channels: dict[
             bytes, Any
         ] = {}  # handles of channels, where the gateway keeps any
@@ -51,7 +51,7 @@
 
     def connectionMade(self) -> None:
         if not self.edge.connected(self):
-            self.door = Door.CLOSED
+            self.door = SftpClientState.CLOSED
             return self.transport.abortConnection()
         peer, host = self.transport.getPeer(), self.transport.getHost()
         self.ends = (peer.host, peer.port, host.host, host.port)
@@ -60,7 +60,7 @@
             self.transport.setTcpNoDelay(True)
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.knock(Knock.LOST)
+        self.next_client_state(SftpClientEvent.LOST)
         self.edge.disconnected(self)
 
     def pauseProducing(self) -> None:
@@ -86,7 +86,7 @@
         self.reading = True
         try:
             while (
-                self.door in (Door.FRESH, Door.OPEN)
+                self.door in (SftpClientState.FRESH, SftpClientState.OPEN)
                 and (body := self.deframer.next()) is not None
             ):
                 self.packet(body)
@@ -95,29 +95,29 @@
             self.edge.remark(
                 "client_broken", **error.with_location(self.ends[0]).log_fields()
             )
-            self.knock(Knock.BROKEN)
+            self.next_client_state(SftpClientEvent.BROKEN)
         finally:
             self.reading = False
 
     def look(self) -> None:
         """Read on, or do not, as the bounds say."""
-        sign = fullness(
+        sign = flow_control_event(
             self.door, len(self.out), self.unread, self.edge.file.door.most_outstanding
         )
         if sign is not None:
-            self.knock(sign)
+            self.next_client_state(sign)
 
     def tick(self, idle: int) -> None:
         """Now and then: whether it is idle, or its answers are not taken, for too long."""
         now = self.edge.now()
         if self.unread and now - self.stuck_since > idle:
-            self.knock(Knock.STUCK)
+            self.next_client_state(SftpClientEvent.STUCK)
         elif not self.out and now - self.heard > idle:
-            self.knock(Knock.IDLE)
+            self.next_client_state(SftpClientEvent.IDLE)
 
-    def knock(self, sign: Knock) -> None:
+    def next_client_state(self, sign: SftpClientEvent) -> None:
         """Read the table and act."""
-        self.door, effect = knock(self.door, sign)
+        self.door, effect = next_client_state(self.door, sign)
         if effect == "pause":
             self.full_since = self.edge.now()
         if effect == "version":
@@ -146,12 +146,12 @@
 
     def caught_up(self) -> None:
         """What lay unread while the door was full has been read."""
-        if self.door is Door.OPEN:
+        if self.door is SftpClientState.OPEN:
             self.full_since = None
 
     def send(self, packet: Any) -> int:
         """Bytes written to the client."""
-        if self.door is Door.CLOSED:
+        if self.door is SftpClientState.CLOSED:
             return 0
         data = packets.encode(packet)
         self.transport.write(data)
@@ -163,7 +163,7 @@
         if self.edge.flows is not None:
             self.edge.flows.client(self.ends, "", "", "", "", self.octets, octets, 0)
 
-    def meter(self, running: Running, octets: int) -> None:
+    def meter(self, running: CommandExecution, octets: int) -> None:
         """Tell flow export, where there is any, of a command that has ended."""
         if self.edge.flows is not None:
             self.edge.flows.client(
@@ -188,7 +188,7 @@
             self.edge.remark(
                 "client_malformed", **error.with_location(self.ends[0]).log_fields()
             )
-            if len(body) >= 5 and self.door is Door.OPEN:
+            if len(body) >= 5 and self.door is SftpClientState.OPEN:
                 return self.reply(
                     packets.Status(
                         int.from_bytes(body[1:5], "big"),
@@ -196,17 +196,17 @@
                         error.what,
                     )
                 )
-            return self.knock(Knock.BROKEN)
+            return self.next_client_state(SftpClientEvent.BROKEN)
         if isinstance(packet, packets.Init):
-            return self.knock(Knock.INIT)
+            return self.next_client_state(SftpClientEvent.INIT)
         if not isinstance(packet, packets.COMMANDS):
             return self.reply(
                 packets.Status(
                     packet.id, packets.BAD_MESSAGE, "an answer where a command was due"
                 )
             )
-        self.knock(Knock.COMMAND)
-        if self.door is Door.OPEN:
+        self.next_client_state(SftpClientEvent.COMMAND)
+        if self.door is SftpClientState.OPEN:
             self.command(packet)
 
     def command(self, packet: Any) -> None:
@@ -255,7 +255,7 @@
     def extended(self, packet: packets.Extended, terms: Terms) -> Any:
         door = self.edge.file.door
         if packet.name == extensions.LIMITS:
-            most = self.edge.atlas.most_bytes
+            most = self.edge.routing_table.most_bytes
             return extensions.put_limits(
                 packet.id, door.most_packet, most, most, door.most_handles
             )
@@ -268,33 +268,33 @@
                 f"unknown extension {packet.name[:40]!r}",
             )
         opened = self.handles.get(extensions.read_fsync(packet))
-        if opened is None or opened.volume is None or opened.spot is None:
+        if opened is None or opened.volume is None or opened.location is None:
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
         self.run(packet, terms, opened.volume, opened.path, opened)
 
     def by_handle(self, packet: Any, terms: Terms) -> Any:
         opened = self.handles.get(packet.handle)
         listing = isinstance(packet, packets.Readdir)
-        if opened is None or listing != (opened.spot is None):
+        if opened is None or listing != (opened.location is None):
             return packets.Status(packet.id, packets.FAILURE, "no such handle")
         if (
             isinstance(packet, packets.Write)
-            and len(packet.data) > self.edge.atlas.most_bytes
+            and len(packet.data) > self.edge.routing_table.most_bytes
         ):
             return packets.Status(
                 packet.id,
                 packets.FAILURE,
                 f"a write of {len(packet.data)} bytes, "
-                f"{self.edge.atlas.most_bytes} at most",
+                f"{self.edge.routing_table.most_bytes} at most",
             )
         if listing and opened.volume is None:
             return self.list_above(packet.id, opened)
         assert opened.volume is not None
         self.run(packet, terms, opened.volume, opened.path, opened)
 
-    def list_above(self, id: int, opened: Opened) -> Any:
+    def list_above(self, id: int, opened: OpenHandle) -> Any:
         """The names above all volumes, in one page."""
-        names = [] if opened.found else self.edge.atlas.above(opened.path)
+        names = [] if opened.found else self.edge.routing_table.above(opened.path)
         opened.found = True
         if not names:
             return packets.Status(id, packets.EOF, "the end")
@@ -308,12 +308,12 @@
 
     def by_path(self, packet: Any, terms: Terms) -> Any:
         edge, path = self.edge, self.edge.canonical(packet.path)
-        volume = edge.atlas.volume(path)
+        volume = edge.routing_table.volume(path)
         if isinstance(packet, packets.Rename):
             target = edge.canonical(packet.target)
             if (
                 volume is None
-                or edge.atlas.volume(target) is not volume
+                or edge.routing_table.volume(target) is not volume
                 or path == volume.root
             ):
                 return packets.Status(
@@ -325,7 +325,7 @@
                 return packets.Status(
                     packet.id, packets.UNSUPPORTED, "the new name lies in another cell"
                 )
-        above = volume is None and (path == "/" or edge.atlas.above(path))
+        above = volume is None and (path == "/" or edge.routing_table.above(path))
         root = above or volume is not None and path == volume.root
         if isinstance(packet, packets.Opendir):
             return (
@@ -359,9 +359,9 @@
     def opendir(self, packet: Any, volume: Any, path: str) -> Any:
         if len(self.handles) >= self.edge.file.door.most_handles:
             return self.no_more_handles(packet.id)
-        return packets.Handle(packet.id, self.keep(Opened(volume, path, None)))
+        return packets.Handle(packet.id, self.keep(OpenHandle(volume, path, None)))
 
-    def keep(self, opened: Opened) -> bytes:
+    def keep(self, opened: OpenHandle) -> bytes:
         """A handle for it."""
         self.handle_count += 1
         handle = self.handle_count.to_bytes(8, "big")
@@ -369,10 +369,15 @@
         return handle
 
     def run(
-        self, packet: Any, terms: Terms, volume: Any, path: str, opened: Opened | None
+        self,
+        packet: Any,
+        terms: Terms,
+        volume: Any,
+        path: str,
+        opened: OpenHandle | None,
     ) -> None:
         """Put a command on its way to the boxes."""
-        running = Running(
+        running = CommandExecution(
             self.edge,
             packet,
             terms,
@@ -395,18 +400,18 @@
         ]
         return min(known, default=self.edge.now())
 
-    def answer(self, running: Running, packet: Any) -> None:
+    def answer(self, running: CommandExecution, packet: Any) -> None:
         """The one answer of a command."""
         self.out.pop(running.command.id, None)
         if isinstance(packet, packets.Handle) and isinstance(
             running.command, packets.Open
         ):
-            spot = running.spot or Spot(
-                self.edge.atlas.home(running.volume, running.path), running.path
+            spot = running.location or ObjectLocation(
+                self.edge.routing_table.home(running.volume, running.path), running.path
             )
             packet = (
                 packets.Handle(
-                    packet.id, self.keep(Opened(running.volume, running.path, spot))
+                    packet.id, self.keep(OpenHandle(running.volume, running.path, spot))
                 )
                 if len(self.handles) < self.edge.file.door.most_handles
                 else self.no_more_handles(packet.id)
@@ -415,13 +420,13 @@
         self.look()
 
 
-class Clients(Factory):
+class SftpClientListener(Factory):
     """Makes a Connection for each client."""
 
     noisy = False
 
-    def __init__(self, edge: Around) -> None:
+    def __init__(self, edge: GatewayContext) -> None:
         self.edge = edge
 
-    def buildProtocol(self, addr: Any) -> Connection:
-        return Connection(self.edge)
+    def buildProtocol(self, addr: Any) -> SftpClientConnection:
+        return SftpClientConnection(self.edge)
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -196,7 +196,7 @@
         self.assertEqual(answer_kind(await channel_client.put(2)), packets.OK)
         self.assertLess(time.monotonic() - began, 0.8)  # not only when its lease ended
         for each in edges:
-            if each is not other and each.process.name != "STOPPED":
+            if each is not other and each.state.name != "STOPPED":
                 each.stop()
         began = time.monotonic()
         answer = await ChannelClient.open(rig, other, "another", seconds=0)
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -226,7 +226,7 @@
 
     def test_a_gateway_without_the_block_loads_none_of_it(self):
         code = (
-            "import sys; from milletsill.sftp_gateway.gateway import Edge; "
+            "import sys; from milletsill.sftp_gateway.gateway import SftpGateway; "
             "sys.exit(any(each.startswith(('milletsill.fleet.service', 'milletsill.fleet.membership')) for each in sys.modules))"
         )
         self.assertEqual(
--- a/tests/gateway/test_process_setup.py
+++ b/tests/gateway/test_process_setup.py
@@ -5,7 +5,7 @@
 
 from twisted.internet.selectreactor import SelectReactor
 
-from milletsill.sftp_gateway.process import steady
+from milletsill.sftp_gateway.process import use_monotonic_timers
 
 
 class Steady(unittest.TestCase):
@@ -13,7 +13,7 @@
         reactor, called, wall = SelectReactor(), [], [1000.0]
         self.addCleanup(reactor.disconnectAll)
         reactor.seconds = lambda: wall[0]  # as Twisted has it: the wall clock
-        steady(reactor)
+        use_monotonic_timers(reactor)
         reactor.callLater(0.02, called.append, "due")
         wall[0] -= 5
         time.sleep(0.03)
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -15,7 +15,7 @@
 from milletsill.sftp.extensions import Order
 from milletsill.sftp.framing import Deframer
 from milletsill.sftp_gateway import gateway
-from milletsill.sftp_gateway.gateway import Edge
+from milletsill.sftp_gateway.gateway import SftpGateway
 from tests.support.loopback import Loop, listening, receive
 
 BOUNDS = PoolLimits(
@@ -178,7 +178,7 @@
             def close(self):
                 said.append((self.address, "closed"))
 
-        edge = Edge.__new__(Edge)
+        edge = SftpGateway.__new__(SftpGateway)
         edge.pools = {}
         for boxes, expected in (
             ([("a:1", Readiness.READY)], [("a:1", False)]),
@@ -198,8 +198,8 @@
 
 def follow(edge, pool, boxes):
     """What the edge does with a list, with pools that only write down what they are told."""
-    edge.figures = SimpleNamespace(boxes=SimpleNamespace(set=lambda value: None))
-    edge.reactor = edge.now = edge.bounds = edge.incarnation = edge.flows = None
+    edge.metrics = SimpleNamespace(boxes=SimpleNamespace(set=lambda value: None))
+    edge.reactor = edge.now = edge.pool_limits = edge.incarnation = edge.flows = None
     edge.file = SimpleNamespace(name="e", links=SimpleNamespace(most_packet=1))
     with mock.patch.object(gateway, "NodeConnectionPool", pool):
         edge.moved(boxes)
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -370,8 +370,8 @@
         edge = await rig.edge()
         client = await rig.client(edge)
         door = next(iter(edge.clients))
-        edge.beat_call.cancel()  # it stands between a beat and the read, 0.6 s long
-        stood = edge.last_beat = edge.now() - 6000
+        edge.stall_check_call.cancel()  # it stands between a beat and the read, 0.6 s long
+        stood = edge.last_stall_check = edge.now() - 6000
         self.assertEqual(door.came(), stood)
         edge.beat()
         self.assertEqual(door.came(), stood)  # all that is read in this turn
@@ -397,13 +397,13 @@
             all(isinstance(each, (packets.Data, packets.Status)) for each in answers)
         )
         await ended
-        self.assertEqual(edge.process.name, "STOPPED")
+        self.assertEqual(edge.state.name, "STOPPED")
         self.assertTrue(not late.called or declined(late.result))
 
     async def test_a_state_folder_that_takes_nothing_stops_nothing(self):
         rig = Rig(self)
         edge = await rig.edge()
-        edge.follower.cache_path = "/dev/full/boxes"
+        edge.endpoint_watcher.cache_path = "/dev/full/boxes"
         for number in range(3):
             rig.tell(rig.boxes[0])
             await later(0.7)
@@ -422,7 +422,7 @@
         rig.registry.set_away(False)
         await later(1.5)
         self.assertEqual(
-            (sorted(edge.pools), edge.follower.stage.name), ([0, 1], "WATCHING")
+            (sorted(edge.pools), edge.endpoint_watcher.stage.name), ([0, 1], "WATCHING")
         )
 
     async def test_plain_metrics_tell_answers(self):
@@ -430,7 +430,7 @@
         edge = await rig.edge()
         client = await rig.client(edge)
         await client.command(packets.Stat(0, "/h/x"))
-        value = edge.figures.registry.get_sample_value(
+        value = edge.metrics.registry.get_sample_value(
             "milletsill_answers_total", {"category": "read", "final": "satisfied"}
         )
         self.assertEqual(value, 1.0)
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -12,48 +12,50 @@
     BY_DIRECTORY,
     FREE,
     HASHED,
-    AnswerLog,
-    Atlas,
-    Course,
-    Door,
-    Event,
+    AnswerLogLimiter,
+    RoutingTable,
+    CommandStrategy,
+    SftpClientState,
+    GatewayEvent,
     InvalidPath,
-    Knock,
-    Leg,
-    Locations,
-    Process,
-    Reply,
+    SftpClientEvent,
+    CommandStep,
+    LocationCache,
+    GatewayState,
+    StepResult,
     RouteRule,
-    Spot,
-    VolumePlace,
-    admit,
-    advance,
+    ObjectLocation,
+    RoutedVolume,
+    refusal_reason,
+    next_step,
     canonical,
-    course_of,
-    ends_at,
-    first_leg,
-    fullness,
-    knock,
+    strategy_for,
+    client_deadline,
+    first_step,
+    flow_control_event,
+    next_client_state,
     page,
-    pass_on,
-    reply_of,
-    spot_of,
-    spot_text,
+    next_gateway_state,
+    step_result,
+    parse_location,
+    format_location,
     told,
 )
 
 
 def place(number=1, name="suva", root="/suva", cells=(0, 1, 2), placement=HASHED):
-    return VolumePlace(number, name, root, 0, tuple(cells), 3, placement)
+    return RoutedVolume(number, name, root, 0, tuple(cells), 3, placement)
 
 
-def atlas(*volumes):
+def routing_table(*volumes):
     routes = [
         RouteRule(frozenset({"read"}), "", 9000, 2),
         RouteRule(frozenset({"read"}), "suva", 0, 1),
         RouteRule(frozenset(), "", 0, 0),
     ]
-    return Atlas(volumes or (place(), place(2, "b", "/a/b")), routes, 4096, 8, 65536)
+    return RoutingTable(
+        volumes or (place(), place(2, "b", "/a/b")), routes, 4096, 8, 65536
+    )
 
 
 class Paths(unittest.TestCase):
@@ -74,7 +76,7 @@
     def test_the_volume_is_that_of_the_root_above(self):
         self.assertEqual(
             [
-                getattr(atlas().volume(each), "name", None)
+                getattr(routing_table().volume(each), "name", None)
                 for each in ("/suva", "/suva/x/y", "/suvarov", "/a", "/a/b/c")
             ],
             ["suva", "suva", None, None, "b"],
@@ -82,12 +84,16 @@
 
     def test_names_above_volumes(self):
         self.assertEqual(
-            (atlas().above("/"), atlas().above("/a"), atlas().above("/suva")),
+            (
+                routing_table().above("/"),
+                routing_table().above("/a"),
+                routing_table().above("/suva"),
+            ),
             (["a", "suva"], ["b"], []),
         )
 
     def test_the_first_route_that_fits_gives_the_category(self):
-        of = atlas()
+        of = routing_table()
         self.assertEqual(
             [
                 of.category("read", place(), 9000),
@@ -100,23 +106,26 @@
 
     def test_units_are_between_one_and_the_largest(self):
         self.assertEqual(
-            [atlas().units("read", each) for each in (0, 1, 4096, 4097, 1 << 30)],
+            [
+                routing_table().units("read", each)
+                for each in (0, 1, 4096, 4097, 1 << 30)
+            ],
             [1, 1, 1, 2, 8],
         )
 
     def test_a_command_that_moves_no_data_is_a_part_of_a_unit(self):
-        self.assertEqual(atlas().units("look", 0), 0.5)
+        self.assertEqual(routing_table().units("look", 0), 0.5)
 
 
 class Homes(unittest.TestCase):
     def test_every_gateway_finds_the_same_home(self):
         self.assertEqual(
-            atlas().home(place(), "/suva/x"),
-            atlas().home(place(cells=(2, 1, 0)), "/suva/x"),
+            routing_table().home(place(), "/suva/x"),
+            routing_table().home(place(cells=(2, 1, 0)), "/suva/x"),
         )
 
     def test_a_cell_that_leaves_moves_only_its_own_paths(self):
-        of, paths = atlas(), [f"/suva/{each}" for each in range(500)]
+        of, paths = routing_table(), [f"/suva/{each}" for each in range(500)]
         before = {each: of.home(place(), each) for each in paths}
         after = {each: of.home(place(cells=(0, 1)), each) for each in paths}
         self.assertTrue(
@@ -129,27 +138,40 @@
     def test_by_directory_a_directorys_files_share_a_cell(self):
         volume = place(placement=BY_DIRECTORY, cells=range(9))
         self.assertEqual(
-            len({atlas().home(volume, f"/suva/day/{each}") for each in range(50)}), 1
+            len(
+                {
+                    routing_table().home(volume, f"/suva/day/{each}")
+                    for each in range(50)
+                }
+            ),
+            1,
         )
 
     def test_extents_differ_by_offset_and_are_never_none(self):
-        of = atlas()
+        of = routing_table()
         self.assertEqual(of.extent("/a", 0), of.extent("/a", 65535))
         self.assertNotEqual(of.extent("/a", 0), of.extent("/a", 65536))
 
     def test_a_spot_comes_back_from_its_text(self):
-        self.assertEqual(spot_of(spot_text(Spot(7, "#e.1.2:x"))), Spot(7, "#e.1.2:x"))
         self.assertEqual(
-            [spot_of(each) for each in ("", "7", ":x", "7:", "x:y", "9" * 20 + ":x")],
+            parse_location(format_location(ObjectLocation(7, "#e.1.2:x"))),
+            ObjectLocation(7, "#e.1.2:x"),
+        )
+        self.assertEqual(
+            [
+                parse_location(each)
+                for each in ("", "7", ":x", "7:", "x:y", "9" * 20 + ":x")
+            ],
             [None] * 6,
         )
 
     def test_remembered_places_are_bounded(self):
-        held = Locations(2)
+        held = LocationCache(2)
         for each in "abc":
-            held.put(each, Spot(1, each))
+            held.put(each, ObjectLocation(1, each))
         self.assertEqual(
-            (held.get("a"), held.get("c"), len(held.held)), (None, Spot(1, "c"), 2)
+            (held.get("a"), held.get("c"), len(held.held)),
+            (None, ObjectLocation(1, "c"), 2),
         )
 
 
@@ -157,67 +179,78 @@
     def test_how_commands_go(self):
         opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, Attrs())
         for command, placement, course in (
-            (opening, HASHED, Course.PLAIN),
-            (opening, FREE, Course.MAKE),
-            (packets.Stat(1, "x"), FREE, Course.FOLLOW),
-            (packets.Remove(1, "x"), FREE, Course.REMOVE),
-            (packets.Rename(1, "x", "y"), FREE, Course.RENAME),
-            (packets.Rmdir(1, "x"), HASHED, Course.SWEEP),
-            (packets.Readdir(1, b"h"), FREE, Course.LIST),
+            (opening, HASHED, CommandStrategy.PLAIN),
+            (opening, FREE, CommandStrategy.MAKE),
+            (packets.Stat(1, "x"), FREE, CommandStrategy.FOLLOW),
+            (packets.Remove(1, "x"), FREE, CommandStrategy.REMOVE),
+            (packets.Rename(1, "x", "y"), FREE, CommandStrategy.RENAME),
+            (packets.Rmdir(1, "x"), HASHED, CommandStrategy.SWEEP),
+            (packets.Readdir(1, b"h"), FREE, CommandStrategy.LIST),
         ):
-            self.assertEqual(course_of(command, placement, 3)[0], course)
+            self.assertEqual(strategy_for(command, placement, 3)[0], course)
 
     def test_a_new_object_is_looked_for_placed_and_linked(self):
         self.assertEqual(
-            advance(Course.MAKE, Leg.HOME, Reply.MISSING, 1), (Leg.PLACING, "")
+            next_step(CommandStrategy.MAKE, CommandStep.HOME, StepResult.MISSING, 1),
+            (CommandStep.PLACING, ""),
         )
         self.assertEqual(
-            advance(Course.MAKE, Leg.PLACING, Reply.FINE, 2), (Leg.LINKING, "keep")
+            next_step(CommandStrategy.MAKE, CommandStep.PLACING, StepResult.FINE, 2),
+            (CommandStep.LINKING, "keep"),
         )
         self.assertEqual(
-            advance(Course.MAKE, Leg.LINKING, Reply.FINE, 3), (Leg.OVER, "made")
+            next_step(CommandStrategy.MAKE, CommandStep.LINKING, StepResult.FINE, 3),
+            (CommandStep.OVER, "made"),
         )
 
     def test_who_loses_a_race_for_a_name_follows_the_winner(self):
         self.assertEqual(
-            advance(Course.MAKE, Leg.LINKING, Reply.MOVED, 3), (Leg.THERE, "follow")
+            next_step(CommandStrategy.MAKE, CommandStep.LINKING, StepResult.MOVED, 3),
+            (CommandStep.THERE, "follow"),
         )
 
     def test_an_old_memory_of_a_place_leads_home_not_to_a_wrong_answer(self):
         self.assertEqual(
-            advance(Course.FOLLOW, Leg.THERE, Reply.MISSING, 1), (Leg.HOME, "forget")
+            next_step(CommandStrategy.FOLLOW, CommandStep.THERE, StepResult.MISSING, 1),
+            (CommandStep.HOME, "forget"),
         )
 
     def test_links_in_a_circle_end(self):
         self.assertEqual(
-            advance(Course.FOLLOW, Leg.HOME, Reply.MOVED, 6), (Leg.OVER, "tangled")
+            next_step(CommandStrategy.FOLLOW, CommandStep.HOME, StepResult.MOVED, 6),
+            (CommandStep.OVER, "tangled"),
         )
 
     def test_a_rename_never_covers_a_name_that_stands(self):
         self.assertEqual(
-            advance(Course.RENAME, Leg.MOVING, Reply.MOVED, 2), (Leg.OVER, "taken")
+            next_step(CommandStrategy.RENAME, CommandStep.MOVING, StepResult.MOVED, 2),
+            (CommandStep.OVER, "taken"),
         )
 
     def test_a_decline_after_something_was_done_is_an_abort(self):
         self.assertEqual(
-            [told(Reply.DECLINED, each) for each in (False, True)],
-            [Reply.DECLINED, Reply.ABORTED],
+            [told(StepResult.DECLINED, each) for each in (False, True)],
+            [StepResult.DECLINED, StepResult.ABORTED],
         )
 
     def test_memory_spares_the_look_at_home_but_not_for_changes_of_the_link(self):
-        spot = Spot(1, "x")
+        spot = ObjectLocation(1, "x")
         self.assertEqual(
             [
-                first_leg(course, Leg.HOME, spot)
-                for course in (Course.FOLLOW, Course.MAKE, Course.REMOVE)
+                first_step(course, CommandStep.HOME, spot)
+                for course in (
+                    CommandStrategy.FOLLOW,
+                    CommandStrategy.MAKE,
+                    CommandStrategy.REMOVE,
+                )
             ],
-            [Leg.THERE, Leg.THERE, Leg.HOME],
+            [CommandStep.THERE, CommandStep.THERE, CommandStep.HOME],
         )
 
     def test_what_a_box_answers(self):
         self.assertEqual(
             [
-                reply_of(*each)
+                step_result(*each)
                 for each in (
                     (True, 0),
                     (False, None),
@@ -226,7 +259,13 @@
                     (False, 4),
                 )
             ],
-            [Reply.MOVED, Reply.FINE, Reply.FINE, Reply.MISSING, Reply.BAD],
+            [
+                StepResult.MOVED,
+                StepResult.FINE,
+                StepResult.FINE,
+                StepResult.MISSING,
+                StepResult.BAD,
+            ],
         )
 
     def test_a_page_without_names_is_never_given_before_the_end(self):
@@ -241,48 +280,64 @@
 
 class Doors(unittest.TestCase):
     def test_a_command_before_init_and_a_second_init_are_cut(self):
-        self.assertEqual(knock(Door.FRESH, Knock.COMMAND), (Door.CLOSED, "cut"))
-        self.assertEqual(knock(Door.OPEN, Knock.INIT), (Door.CLOSED, "cut"))
+        self.assertEqual(
+            next_client_state(SftpClientState.FRESH, SftpClientEvent.COMMAND),
+            (SftpClientState.CLOSED, "cut"),
+        )
+        self.assertEqual(
+            next_client_state(SftpClientState.OPEN, SftpClientEvent.INIT),
+            (SftpClientState.CLOSED, "cut"),
+        )
 
     def test_a_full_connection_is_read_again_at_half(self):
         self.assertEqual(
             [
-                fullness(Door.OPEN, 64, False, 64),
-                fullness(Door.FULL, 33, False, 64),
-                fullness(Door.FULL, 32, False, 64),
-                fullness(Door.FULL, 0, True, 64),
+                flow_control_event(SftpClientState.OPEN, 64, False, 64),
+                flow_control_event(SftpClientState.FULL, 33, False, 64),
+                flow_control_event(SftpClientState.FULL, 32, False, 64),
+                flow_control_event(SftpClientState.FULL, 0, True, 64),
             ],
-            [Knock.FULL, None, Knock.ROOM, None],
+            [SftpClientEvent.FULL, None, SftpClientEvent.ROOM, None],
         )
 
     def test_a_client_that_does_not_read_is_paused_then_cut(self):
-        self.assertEqual(fullness(Door.OPEN, 0, True, 64), Knock.FULL)
-        self.assertEqual(knock(Door.FULL, Knock.STUCK), (Door.CLOSED, "cut"))
+        self.assertEqual(
+            flow_control_event(SftpClientState.OPEN, 0, True, 64), SftpClientEvent.FULL
+        )
+        self.assertEqual(
+            next_client_state(SftpClientState.FULL, SftpClientEvent.STUCK),
+            (SftpClientState.CLOSED, "cut"),
+        )
 
     def test_nothing_follows_a_close(self):
-        for sign in Knock:
-            self.assertEqual(knock(Door.CLOSED, sign), (Door.CLOSED, ""))
+        for sign in SftpClientEvent:
+            self.assertEqual(
+                next_client_state(SftpClientState.CLOSED, sign),
+                (SftpClientState.CLOSED, ""),
+            )
 
 
 class Processes(unittest.TestCase):
     def test_term_drains_and_stops_when_empty_or_overdue_or_told_twice(self):
         self.assertEqual(
-            pass_on(Process.SERVING, Event.TERM), (Process.DRAINING, "drain")
+            next_gateway_state(GatewayState.SERVING, GatewayEvent.TERM),
+            (GatewayState.DRAINING, "drain"),
         )
-        for event in (Event.EMPTY, Event.OVERDUE, Event.TERM):
+        for event in (GatewayEvent.EMPTY, GatewayEvent.OVERDUE, GatewayEvent.TERM):
             self.assertEqual(
-                pass_on(Process.DRAINING, event), (Process.STOPPED, "stop")
+                next_gateway_state(GatewayState.DRAINING, event),
+                (GatewayState.STOPPED, "stop"),
             )
 
     def test_what_is_not_taken(self):
         self.assertEqual(
             [
-                bool(admit(*each))
+                bool(refusal_reason(*each))
                 for each in (
-                    (Process.SERVING, 0, 5, 9),
-                    (Process.DRAINING, 0, 5, 9),
-                    (Process.SERVING, 5, 5, 9),
-                    (Process.SERVING, 0, 5, 0),
+                    (GatewayState.SERVING, 0, 5, 9),
+                    (GatewayState.DRAINING, 0, 5, 9),
+                    (GatewayState.SERVING, 5, 5, 9),
+                    (GatewayState.SERVING, 0, 5, 0),
                 )
             ],
             [False, True, True, True],
@@ -290,7 +345,7 @@
 
     def test_the_lesser_patience_counts_less_the_margin(self):
         self.assertEqual(
-            [ends_at(0, 100, each, 5) for each in (0, 50, 900)], [95, 45, 95]
+            [client_deadline(0, 100, each, 5) for each in (0, 50, 900)], [95, 45, 95]
         )
 
     def test_after_a_stall_sockets_go_before_timeouts_once(self):
@@ -309,7 +364,7 @@
         )
 
     def test_answers_are_logged_at_a_bounded_rate_and_the_rest_counted(self):
-        log = AnswerLog(2)
+        log = AnswerLogLimiter(2)
         self.assertEqual(
             [log.take(0), log.take(0), log.take(0), log.take(0), log.take(10_000)],
             [0, 0, None, None, 2],
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -108,7 +108,7 @@
             (
                 each
                 for each in self.edges
-                if each.process.name == "SERVING" and each.channels.owner.owns(key)
+                if each.state.name == "SERVING" and each.channels.owner.owns(key)
             ),
             None,
         )
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -19,7 +19,7 @@
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.framing import Deframer
 from milletsill.sftp.wire import Attrs
-from milletsill.sftp_gateway.gateway import Edge
+from milletsill.sftp_gateway.gateway import SftpGateway
 
 FILE = """
 name: "edge-t" listen: "127.0.0.1:0" gateways: 1 seed: 5
@@ -143,12 +143,12 @@
         file.name, file.state_dir = name, f"{self.folder}/{name}"
         for field, value in door.items():
             setattr(file.door, field, value)
-        edge = Edge(file, reactor, log=logger("debug", True, self.log))
+        edge = SftpGateway(file, reactor, log=logger("debug", True, self.log))
         self.edges.append(edge)
         edge.start()
         ends = time.monotonic() + 2
         while time.monotonic() < ends and not (
-            edge.ports and edge.follower.stage.name == "WATCHING"
+            edge.ports and edge.endpoint_watcher.stage.name == "WATCHING"
         ):
             await later(0.01)
         return edge
@@ -168,7 +168,7 @@
         for client in self.clients:
             client.transport.abortConnection()
         for edge in self.edges:
-            if edge.process.name != "STOPPED":
+            if edge.state.name != "STOPPED":
                 edge.stop()
         for box in self.boxes:
             box.drop()
