--- a/milletsill/fleet/health/health_sharing.py
+++ b/milletsill/fleet/health/health_sharing.py
@@ -254,7 +254,7 @@
         seed,
         edge.fleet,
         edge.host,
-        edge.remark,
+        edge.warn,
         lambda event, **values: edge.log.info(event, **values),
         edge.metrics.registry,
         edge.file.registry.most_boxes,
--- a/milletsill/lab/clockwork.py
+++ b/milletsill/lab/clockwork.py
@@ -272,7 +272,7 @@
             Gateway(self, each, config, seed * 100_000 + each)
             for each in range(gateways)
         ]
-        self.atlas, self.volumes = routing_table_of(file), list(file.volume)
+        self.routing_table, self.volumes = routing_table_of(file), list(file.volume)
         plans = {each.name: each for each in file.plan}
         weights = [plans[each.plan].usual_rate for each in self.volumes]
         self.shares = list(accumulate(weights))
@@ -323,7 +323,7 @@
             chance.choices(range(len(self.rows)), cum_weights=self.row_shares)[0]
         ]
         place = chance.choices(range(len(self.volumes)), cum_weights=self.shares)[0]
-        volume = self.atlas.roots[self.volumes[place].root]
+        volume = self.routing_table.volumes_by_root[self.volumes[place].root]
         gateway = self.gateways[chance.randrange(len(self.gateways))]
         gateway.count += 1
         extent, left = self.runs.get(place, (0, 0))
@@ -347,14 +347,14 @@
         write = row.operation in ("write", "new")
         arrival = Request(
             gateway.count,
-            self.atlas.extent(path, 0),
+            self.routing_table.request_key(path, 0),
             volume.number,
-            volume.gateways,
+            volume.sharing_gateways,
             self.categories[row.category],
             volume.plan,
             False,
             write,
-            self.atlas.home(volume, path),
+            self.routing_table.home_shard(volume, path),
             units,
             self.now + self.patience[row.category],
         )
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -80,7 +80,7 @@
         self.number_of = {
             each.name: place for place, each in enumerate(scenario.gateway.volume)
         }
-        self.volumes, self.atlas = (
+        self.volumes, self.routing_table = (
             list(scenario.gateway.volume),
             routing_table_of(scenario.gateway),
         )
@@ -303,14 +303,19 @@
 
     def units_of(self, row: Any, volume: Any) -> int:
         """A size by chance that the operator's routes put into the row's category, if any does."""
-        rules, place = self.scenario.gateway.rules, self.atlas.roots[volume.root]
+        rules, place = (
+            self.scenario.gateway.rules,
+            self.routing_table.volumes_by_root[volume.root],
+        )
         operation = "read" if row.operation == "read" else "write"
         for _ in range(30):
             units = min(
                 max(int(self.chance.expovariate(1 / row.units)) + 1, 1),
                 rules.largest_units,
             )
-            category = self.atlas.category(operation, place, units * rules.unit_bytes)
+            category = self.routing_table.request_class(
+                operation, place, units * rules.unit_bytes
+            )
             if self.scenario.gateway.category[category].name == row.category:
                 return units
         return units
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -14,7 +14,8 @@
 from milletsill.lab.record import Recorder
 from milletsill.lab.registry import Registry, site
 from milletsill.sftp_gateway.deployment import routing_table_of
-from milletsill.sftp_gateway.routing import FREE, ObjectLocation, format_location
+from milletsill.sftp_gateway.object_location import ObjectLocation, format_location
+from milletsill.sftp_gateway.routing_table import VolumePlacement
 
 OF_BOXES = (
     "vanish",
@@ -108,16 +109,16 @@
 
     def fill(self) -> None:
         """The files that stand before the day."""
-        atlas, scenario = routing_table_of(self.scenario.gateway), self.scenario
+        routing_table, scenario = routing_table_of(self.scenario.gateway), self.scenario
         size = scenario.file_units * scenario.gateway.rules.unit_bytes
-        for volume in atlas.roots.values():
+        for volume in routing_table.volumes_by_root.values():
             for number in range(scenario.files):
                 path = f"{volume.root}/f{number}"
-                home, name = atlas.home(volume, path), path
+                home, name = routing_table.home_shard(volume, path), path
                 cell = home
-                if volume.placement == FREE:
+                if volume.placement == VolumePlacement.FREE:
                     cell, name = (
-                        self.chance.choice(volume.cells),
+                        self.chance.choice(volume.shards),
                         f"#pre.{volume.number}.{number}",
                     )
                     self.boxes[home].files.links[path] = format_location(
--- a/milletsill/sftp_gateway/__init__.py
+++ b/milletsill/sftp_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway at the edge: the clients' door, the host of the decision module, the way of each command."""
+"""The SFTP gateway: clients, the scheduler's host, the steps of each command."""
--- /dev/null
+++ b/milletsill/sftp_gateway/assembly.py
@@ -0,0 +1,105 @@
+"""Makes the parts that every gateway has, from its file."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+from random import Random
+from typing import Any, Protocol
+
+from milletsill.deployment_config import DeploymentConfig
+from milletsill.gateway.scheduler_host import (
+    HostCallbacks,
+    SchedulerFactory,
+    SchedulerHost,
+)
+from milletsill.interface import Endpoint, EndpointUpdateKind
+from milletsill.registry.endpoint_view import Box
+from milletsill.registry.registry_watcher import Follower
+from milletsill.sftp_gateway.deployment import pool_limits_of
+from milletsill.sftp_gateway.identifiers import IdentifierSource
+from milletsill.sftp_gateway.node_pools import SftpNodePools, SftpNodePoolsConfig
+
+ENDPOINT_CACHE = "boxes.json"  # in the state directory
+
+
+class AssembledGateway(Protocol):
+    """A gateway that is being made, as its parts see it."""
+
+    reactor: Any
+    now: Callable[[], int]
+    file: Any
+    log: Any
+    host: Any
+    fleet: Any
+    metrics: Any
+    flows: Any
+    identifiers: IdentifierSource
+    endpoint_watcher: Any
+    node_pools: Any
+
+    @property
+    def incarnation(self) -> int:
+        """Which start of the gateway this is."""
+
+    def warn(self, event: str, /, **values: Any) -> None:
+        """Log a warning."""
+
+    def inform(self, event: str, /, **values: Any) -> None:
+        """Log an event."""
+
+    def on_endpoints(self, kind: EndpointUpdateKind, endpoints: list[Endpoint]) -> None:
+        """Pass an update of the endpoint list on."""
+
+    def on_nodes(self, nodes: list[Box]) -> None:
+        """Have the connections follow the endpoint list."""
+
+    def raise_incarnation(self, incarnation: int) -> None:
+        """Take a later incarnation that the fleet knew."""
+
+
+def make_endpoint_watcher(
+    gateway: AssembledGateway, config: DeploymentConfig, seed: int
+) -> Follower:
+    """Return what watches the endpoint list."""
+    return Follower(
+        gateway.reactor,
+        gateway.now,
+        gateway.file.registry,
+        config.slow_start_duration,
+        os.path.join(gateway.file.state_dir, ENDPOINT_CACHE),
+        gateway.on_endpoints,
+        gateway.on_nodes,
+        lambda text: gateway.warn("list", reason=text),
+        gateway.file.name,
+        Random(f"{seed} list").uniform,
+    )
+
+
+def make_node_pools(gateway: AssembledGateway) -> SftpNodePools:
+    """Return the connections to nodes; flow export is made before them."""
+    config = SftpNodePoolsConfig(
+        pool_limits_of(gateway.file),
+        gateway.file.links.most_packet,
+        gateway.warn,
+        gateway.flows.box if gateway.flows is not None else None,
+    )
+    return SftpNodePools(gateway.reactor, gateway.now, gateway.identifiers, config)
+
+
+def make_scheduler_host(
+    gateway: AssembledGateway,
+    config: DeploymentConfig,
+    seed: int,
+    make_scheduler: SchedulerFactory,
+) -> SchedulerHost:
+    """Return the scheduler's host; the node pools and the watcher are made before."""
+    callbacks = HostCallbacks(
+        start_attempt=gateway.node_pools.send_attempt,
+        watch_endpoints=gateway.endpoint_watcher.ask,
+        log=lambda text: gateway.warn("module", reason=text),
+        count=gateway.metrics.count_host_event,
+    )
+    return SchedulerHost(
+        gateway.reactor, gateway.now, config, seed, make_scheduler, callbacks
+    )
--- /dev/null
+++ b/milletsill/sftp_gateway/channel_clients.py
@@ -0,0 +1,334 @@
+"""What clients say of channels, on its way to the owner and back."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from random import SystemRandom
+from typing import Any, Protocol
+
+from milletsill.fleet.channels.commands import (
+    ChannelCommand,
+    CommandBody,
+    NumberedRequest,
+    OpenChannel,
+    QueryNumber,
+    Redirect,
+    ResolveNumber,
+)
+from milletsill.fleet.channels.contracts import ContractCatalog
+from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import packets
+from milletsill.sftp_gateway.channel_attempts import written_size
+from milletsill.sftp_gateway.channel_router import ChannelRouter, rejection
+from milletsill.sftp_gateway.client_handles import HandleTable, unknown_handle_status
+from milletsill.sftp_gateway.command_classification import OPERATIONS, canonical_path
+from milletsill.sftp_gateway.gateway_context import GatewayContext
+from milletsill.sftp_gateway.gateway_state import client_deadline
+from milletsill.sftp_gateway.numbered_commands import (
+    ChannelHandle,
+    NumberedCommandReader,
+    NumberRefusal,
+)
+from milletsill.sftp_gateway.routing_table import RoutedVolume
+
+HANDLE_PREFIX = b"channel"
+HANDLE_LENGTH = 8  # octets behind the prefix
+FIRST_TOKEN_BITS = 62
+TICKS_PER_SECOND = 10_000
+CHANNEL_OPERATION = "change"  # of a command on a channel itself, for its request class
+
+
+class ChannelClient(Protocol):
+    """The connection that a command came on."""
+
+    outstanding: dict[int, Any]
+    handles: HandleTable
+    channels: dict[bytes, ChannelHandle]
+    octets: int
+
+    def arrival_time(self) -> int:
+        """Return when the packet at hand may have come."""
+
+    def answer(self, command: Any, packet: Any) -> None:
+        """Give the one answer to a command."""
+
+
+class ChannelHost(GatewayContext, Protocol):
+    """The gateway around the channels."""
+
+    reactor: Any
+
+    def stop_if_drained(self) -> None:
+        """Stop a gateway that drains once nothing is unanswered."""
+
+
+class PendingChannelCommand:
+    """A client's command on a channel that has no answer yet.
+
+    Its connection knows it as it knows any outstanding command.
+
+    Attributes:
+        on_answer: takes the one answer.
+        timeout: the delayed call that answers if nothing else has.
+    """
+
+    __slots__ = (
+        "began",
+        "command",
+        "final",
+        "octets",
+        "on_answer",
+        "request_class",
+        "timeout",
+        "volume",
+    )
+
+    def __init__(
+        self,
+        command: Any,
+        volume: RoutedVolume,
+        request_class: int,
+        client: ChannelClient,
+    ) -> None:
+        self.command = command
+        self.volume = volume
+        self.request_class = request_class
+        self.octets = client.octets
+        self.began = client.arrival_time()
+        self.final = "abandoned"
+        self.on_answer: Callable[[Any], None] = _ignore_answer
+        self.timeout: Any = None
+
+    def abandon(self) -> None:
+        """Drop it: its client has left.
+
+        What was released goes on, its answer is remembered.
+        """
+        self.on_answer = _ignore_answer
+
+
+class ChannelClients:
+    """The clients' side of channels.
+
+    Attributes:
+        unanswered: commands without an answer, and a drain that goes on.
+    """
+
+    def __init__(
+        self,
+        gateway: ChannelHost,
+        fleet: Any,
+        catalog: ContractCatalog,
+        router: ChannelRouter,
+        count: Callable[[str], None],
+    ) -> None:
+        self.gateway = gateway
+        self.fleet = fleet
+        self.catalog = catalog
+        self.router = router
+        self.count = count
+        self.reader = NumberedCommandReader(gateway, catalog)
+        self.pending: set[PendingChannelCommand] = set()
+        self.unanswered = 0
+        # Handles and tokens begin by chance. Guards against a gateway that starts again
+        # under an incarnation that it had before: its OPEN would pass for an earlier
+        # one. Harm: none.
+        self.last_token = SystemRandom().getrandbits(FIRST_TOKEN_BITS)
+
+    def stop(self) -> None:
+        """Drop what has no answer."""
+        for pending in self.pending:
+            pending.timeout.cancel()
+        self.pending.clear()
+
+    def take(self, client: ChannelClient, packet: packets.Extended) -> Any:
+        """Return the answer to a command on a channel, None where it is on its way."""
+        if packet.name == wire.NUMBERED:
+            return self._take_numbered(client, packet)
+        given = wire.read_channel(packet)
+        if isinstance(given, wire.Opening):
+            return self._take_open(client, packet, given)
+        channel = client.channels.get(given.handle)
+        if channel is None:
+            return unknown_handle_status(packet.id)
+        body: CommandBody
+        if isinstance(given, wire.Asking):
+            body = QueryNumber(given.number)
+        else:
+            body = ResolveNumber(given.number, given.word, channel.claim)
+        return self._send(client, packet, channel.volume, channel.name, body)
+
+    def _take_open(
+        self, client: ChannelClient, packet: packets.Extended, given: wire.Opening
+    ) -> Any:
+        volume = self.gateway.routing_table.volume_of(canonical_path(given.path))
+        if volume is None or not self.catalog.covers_volume(volume.name):
+            reason = "no contract on order holds for this volume"
+            return packets.Status(packet.id, packets.UNSUPPORTED, reason)
+        if len(client.channels) >= client.handles.max_handles:
+            return client.handles.full_status(packet.id)
+        body = OpenChannel(given.contract, given.version, given.first)
+        return self._send(client, packet, volume, given.channel, body)
+
+    def _take_numbered(self, client: ChannelClient, packet: packets.Extended) -> Any:
+        given = wire.read_numbered(packet)
+        channel = client.channels.get(given.handle)
+        if channel is None:
+            return unknown_handle_status(packet.id)
+        body = self.reader.read(client.handles, channel, given)
+        if isinstance(body, NumberRefusal):
+            return wire.put_sign(packet.id, "contract", body.reason)
+        return self._send(client, packet, channel.volume, channel.name, body)
+
+    # On its way.
+
+    def _send(
+        self,
+        client: ChannelClient,
+        packet: packets.Extended,
+        volume: RoutedVolume,
+        name: str,
+        body: CommandBody,
+    ) -> Any:
+        """Send a command on its way to the channel's owner."""
+        request_class = self._request_class(volume, body)
+        pending = PendingChannelCommand(packet, volume, request_class, client)
+        deadline = self._deadline(pending, body)
+        reason = self._refusal(deadline)
+        if reason:
+            delay = self.gateway.host.config.max_retry_after
+            message = f"declined: {reason}"
+            return wire.put_sign(packet.id, "declined", message, None, delay)
+        client.outstanding[packet.id] = pending
+        self.unanswered += 1
+
+        def on_answer(answer: Any) -> None:
+            if pending not in self.pending:
+                return  # the one answer was given
+            self._forget(pending)
+            pending.on_answer(self._with_handle(client, volume, name, body, answer))
+
+        def answer_client(answer: Any) -> None:
+            pending.final = final_of(answer)
+            client.answer(pending, packets.with_id(answer, packet.id))
+
+        pending.on_answer = answer_client
+        self._set_timeout(pending, deadline, body, on_answer)
+        self.pending.add(pending)
+        command = ChannelCommand(
+            volume, name, deadline, body, self._new_token(), _ignore_answer
+        )
+
+        def on_owner_answer(answer: Any) -> None:
+            if isinstance(answer, Redirect):
+                self.router.on_redirect(command, answer)
+            else:
+                on_answer(answer)
+
+        command.on_answer = on_owner_answer
+        self.router.route(command)
+        return None
+
+    def _request_class(self, volume: RoutedVolume, body: CommandBody) -> int:
+        table = self.gateway.routing_table
+        if not isinstance(body, NumberedRequest):
+            return table.request_class(CHANNEL_OPERATION, volume, 0)
+        operation = OPERATIONS[type(body.command)]
+        return table.request_class(operation, volume, written_size(body))
+
+    def _deadline(self, pending: PendingChannelCommand, body: CommandBody) -> int:
+        classes = self.gateway.host.config.request_classes
+        client_timeout = 0
+        if isinstance(body, NumberedRequest):
+            client_timeout = body.terms.patience * 10
+        return client_deadline(
+            pending.began,
+            classes[pending.request_class].client_timeout,
+            client_timeout,
+            self.gateway.answer_margin,
+        )
+
+    def _refusal(self, deadline: int) -> str:
+        reason = self.gateway.refusal(deadline)
+        if reason:
+            return reason
+        if self.unanswered >= self.gateway.file.door.most_held:
+            return "this gateway holds all that it may"
+        return ""
+
+    def _new_token(self) -> str:
+        self.last_token += 1
+        return f"{self.fleet.name}.{self.fleet.incarnation}.{self.last_token}"
+
+    def _set_timeout(
+        self,
+        pending: PendingChannelCommand,
+        deadline: int,
+        body: CommandBody,
+        on_answer: Callable[[Any], None],
+    ) -> None:
+        """Answer a command at its client's deadline if nothing else has.
+
+        Guards rule 1 against a command that waits for what has no end by then: a lease
+        that is taken, a record that is written, before an owner's own timers even know
+        of it. Harm: none, it comes after all their last words.
+        """
+        due = deadline + self.gateway.answer_margin // 2
+        delay = max(due - self.gateway.now(), 1) / TICKS_PER_SECOND
+        pending.timeout = self.gateway.reactor.callLater(
+            delay, self._on_timeout, body, on_answer
+        )
+
+    def _on_timeout(self, body: CommandBody, on_answer: Callable[[Any], None]) -> None:
+        self.count("overdue")
+        if isinstance(body, (NumberedRequest, ResolveNumber)):
+            message = "aborted: no answer in time"
+            on_answer(wire.put_sign(0, "aborted", message))
+            return
+        on_answer(rejection("no answer in time", DEFAULT_RETRY_DELAY))
+
+    # And back.
+
+    def _forget(self, pending: PendingChannelCommand) -> None:
+        self.pending.remove(pending)
+        if pending.timeout.active():
+            pending.timeout.cancel()
+        self.unanswered -= 1
+        self.gateway.stop_if_drained()
+
+    def _with_handle(
+        self,
+        client: ChannelClient,
+        volume: RoutedVolume,
+        name: str,
+        body: CommandBody,
+        answer: Any,
+    ) -> Any:
+        """Give an OPEN that was answered a handle of this connection."""
+        if not isinstance(body, OpenChannel):
+            return answer
+        if not isinstance(answer, packets.ExtendedReply):
+            return answer
+        opened = wire.read_opened(answer)
+        self.last_token += 1
+        handle = HANDLE_PREFIX + self.last_token.to_bytes(HANDLE_LENGTH, "big")
+        client.channels[handle] = ChannelHandle(
+            volume, name, opened.claim, opened.contract
+        )
+        return wire.put_opened(0, replace(opened, handle=handle))
+
+
+def final_of(answer: Any) -> str:
+    """Return how a command on a channel ended, for flow records."""
+    sign = None
+    if isinstance(answer, packets.Status):
+        sign = wire.read_sign(answer.language)
+    if sign is None:
+        return "satisfied"
+    return "aborted" if sign.word == "aborted" else "declined"
+
+
+def _ignore_answer(answer: Any) -> None:
+    """Drop an answer that nobody waits for."""
--- /dev/null
+++ b/milletsill/sftp_gateway/client_commands.py
@@ -0,0 +1,189 @@
+"""Answers a client's commands that cost nodes no work, and starts the others."""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Terms
+from milletsill.sftp.wire import Attrs, Name
+from milletsill.sftp_gateway.client_handles import HandleTable, unknown_handle_status
+from milletsill.sftp_gateway.command_classification import canonical_path
+from milletsill.sftp_gateway.gateway_context import GatewayContext
+from milletsill.sftp_gateway.open_handle import OpenHandle
+from milletsill.sftp_gateway.routing_table import RoutedVolume
+
+DIRECTORY_ATTRS = Attrs(mode=0o040755)
+MAX_LISTED_ABOVE = 1000  # names above all volumes, in one page
+MAX_SHOWN_EXTENSION = 40  # characters
+HANDLE_COMMANDS = (
+    packets.Read,
+    packets.Write,
+    packets.Fstat,
+    packets.Fsetstat,
+    packets.Readdir,
+)
+
+
+class CommandClient(Protocol):
+    """The connection that a command came on."""
+
+    handles: HandleTable
+    channels: dict[bytes, Any]
+
+    def run(
+        self,
+        packet: Any,
+        terms: Terms,
+        volume: RoutedVolume,
+        path: str,
+        handle: OpenHandle | None,
+    ) -> None:
+        """Run a command that costs nodes work."""
+
+
+class ClientCommands:
+    """The commands of one client.
+
+    Methods that take a command return its answer, or None where it was started.
+    """
+
+    def __init__(self, gateway: GatewayContext, client: CommandClient) -> None:
+        self.gateway = gateway
+        self.client = client
+        self.handles = client.handles
+
+    def take(self, packet: Any, terms: Terms) -> Any:
+        """Answer or start a command.
+
+        Raises:
+            InvalidPath: it names no path.
+            MalformedInput: an extension of it makes no sense.
+        """
+        if isinstance(packet, packets.Realpath):
+            path = canonical_path(packet.path or "/")
+            return packets.Names(packet.id, (Name(path, path, Attrs()),))
+        if isinstance(packet, packets.Close):
+            return self._close(packet)
+        if isinstance(packet, packets.Extended):
+            return self._take_extended(packet, terms)
+        if isinstance(packet, HANDLE_COMMANDS):
+            return self._take_on_handle(packet, terms)
+        if isinstance(packet, (packets.Readlink, packets.Symlink)):
+            reason = "links are not offered"
+            return packets.Status(packet.id, packets.UNSUPPORTED, reason)
+        return self._take_on_path(packet, terms)
+
+    def _close(self, packet: packets.Close) -> packets.Status:
+        if self.handles.remove(packet.handle):
+            return packets.Status(packet.id, packets.OK, "")
+        if self.client.channels.pop(packet.handle, None) is not None:
+            return packets.Status(packet.id, packets.OK, "")
+        return unknown_handle_status(packet.id)
+
+    # Extensions.
+
+    def _take_extended(self, packet: packets.Extended, terms: Terms) -> Any:
+        if packet.name == extensions.LIMITS:
+            most = self.gateway.routing_table.max_request_bytes
+            door = self.gateway.file.door
+            return extensions.put_limits(
+                packet.id, door.most_packet, most, most, door.most_handles
+            )
+        if packet.name in self.gateway.extensions:
+            return self.gateway.channels.take(self.client, packet)
+        if packet.name != extensions.FSYNC:
+            reason = f"unknown extension {packet.name[:MAX_SHOWN_EXTENSION]!r}"
+            return packets.Status(packet.id, packets.UNSUPPORTED, reason)
+        handle = self.handles.get(extensions.read_fsync(packet))
+        if handle is None or handle.volume is None or handle.location is None:
+            return unknown_handle_status(packet.id)
+        self.client.run(packet, terms, handle.volume, handle.path, handle)
+        return None
+
+    # Commands on handles.
+
+    def _take_on_handle(self, packet: Any, terms: Terms) -> Any:
+        handle = self.handles.get(packet.handle)
+        listing = isinstance(packet, packets.Readdir)
+        if handle is None or listing != (handle.location is None):
+            return unknown_handle_status(packet.id)
+        most = self.gateway.routing_table.max_request_bytes
+        if isinstance(packet, packets.Write) and len(packet.data) > most:
+            reason = f"a write of {len(packet.data)} bytes, {most} at most"
+            return packets.Status(packet.id, packets.FAILURE, reason)
+        if listing and handle.volume is None:
+            return self._list_above_volumes(packet.id, handle)
+        assert handle.volume is not None
+        self.client.run(packet, terms, handle.volume, handle.path, handle)
+        return None
+
+    def _list_above_volumes(self, id: int, handle: OpenHandle) -> Any:
+        """Return the names above all volumes, in one page."""
+        names: list[str] = []
+        if not handle.found:
+            names = self.gateway.routing_table.names_below(handle.path)
+        handle.found = True
+        if not names:
+            return packets.Status(id, packets.EOF, "the end")
+        listed = tuple(
+            Name(each, f"drwxr-xr-x 1 - - 0 {each}", DIRECTORY_ATTRS)
+            for each in names[:MAX_LISTED_ABOVE]
+        )
+        return packets.Names(id, listed)
+
+    # Commands on paths.
+
+    def _take_on_path(self, packet: Any, terms: Terms) -> Any:
+        table = self.gateway.routing_table
+        path = canonical_path(packet.path)
+        volume = table.volume_of(path)
+        if isinstance(packet, packets.Rename):
+            refusal = self._refuse_rename(packet, volume, path)
+            if refusal is not None:
+                return refusal
+        above = volume is None and (path == "/" or bool(table.names_below(path)))
+        if isinstance(packet, packets.Opendir):
+            if volume is None and not above:
+                return self._missing(packet.id)
+            return self._open_directory(packet.id, volume, path)
+        if above or (volume is not None and path == volume.root):
+            return self._answer_operators_path(packet)
+        if volume is None:
+            return self._missing(packet.id)
+        if isinstance(packet, packets.Open) and self.handles.is_full():
+            return self.handles.full_status(packet.id)
+        self.client.run(packet, terms, volume, path, None)
+        return None
+
+    def _refuse_rename(
+        self, packet: packets.Rename, volume: RoutedVolume | None, path: str
+    ) -> packets.Status | None:
+        target = canonical_path(packet.target)
+        if (
+            volume is None
+            or self.gateway.routing_table.volume_of(target) is not volume
+            or path == volume.root
+        ):
+            reason = "a rename must stay within its volume"
+            return packets.Status(packet.id, packets.UNSUPPORTED, reason)
+        if not self.gateway.allows_rename(volume, path, target):
+            reason = "the new name lies in another cell"
+            return packets.Status(packet.id, packets.UNSUPPORTED, reason)
+        return None
+
+    def _answer_operators_path(self, packet: Any) -> Any:
+        """Answer a command on a volume's root or above: that is the operator's."""
+        if isinstance(packet, (packets.Stat, packets.Lstat)):
+            return packets.AttrsAnswer(packet.id, DIRECTORY_ATTRS)
+        reason = "this belongs to the operator"
+        return packets.Status(packet.id, packets.PERMISSION_DENIED, reason)
+
+    def _missing(self, id: int) -> packets.Status:
+        return packets.Status(id, packets.NO_SUCH_FILE, "no such file")
+
+    def _open_directory(self, id: int, volume: RoutedVolume | None, path: str) -> Any:
+        if self.handles.is_full():
+            return self.handles.full_status(id)
+        handle = self.handles.add(OpenHandle(volume, path, None))
+        return packets.Handle(id, handle)
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -1,404 +1,398 @@
-"""One client command on its way: transfers one after another as edge/decide.py's table says, then one answer."""
+"""Runs one client command: requests one after another, then one answer.
+
+`command_steps` says which request follows which.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, replace
 from typing import Any
 
 from milletsill.interface import Request
-from milletsill.sftp import extensions, packets
+from milletsill.sftp import packets
 from milletsill.sftp.extensions import ELSEWHERE, Terms, Verdict
-from milletsill.sftp_gateway.gateway_context import GatewayContext
-from milletsill.sftp_gateway.routing import (
-    FREE,
-    MUTATING_STEPS,
+from milletsill.sftp_gateway.command_classification import (
     OPERATIONS,
     WRITE_OPERATIONS,
+    canonical_path,
+)
+from milletsill.sftp_gateway.command_payload import (
+    AnswerCallback,
+    AttemptGuard,
+    CommandPayload,
+    failed_status,
+    rejected_status,
+)
+from milletsill.sftp_gateway.command_steps import (
+    MUTATING_STEPS,
     CommandStep,
     CommandStrategy,
-    LocationCache,
-    ObjectLocation,
-    RoutedVolume,
+    PageOutcome,
+    StepEffect,
     StepResult,
-    client_deadline,
     first_step,
-    format_location,
     next_step,
-    page,
-    parse_location,
+    page_outcome,
+    result_for_client,
     step_result,
     strategy_for,
-    told,
 )
+from milletsill.sftp_gateway.command_targets import (
+    StepTarget,
+    link_target,
+    renamed_command,
+    unlink_target,
+)
+from milletsill.sftp_gateway.gateway_context import GatewayContext
+from milletsill.sftp_gateway.gateway_state import client_deadline
+from milletsill.sftp_gateway.object_location import ObjectLocation, parse_location
+from milletsill.sftp_gateway.open_handle import OpenHandle
+from milletsill.sftp_gateway.routing_table import RoutedVolume, VolumePlacement
 
-Answered = Callable[[Any], None]
-MOST_SEEN = 10_000  # names of directories that a listing remembers, to tell each once
-
-
-class OpenHandle:
-    """What a client's handle stands for; `names`, `after`, `turn` and `found` are of a directory being read."""
-
-    __slots__ = ("volume", "path", "location", "names", "after", "turn", "found")
-
-    def __init__(
-        self, volume: RoutedVolume | None, path: str, spot: ObjectLocation | None
-    ) -> None:
-        self.volume, self.path, self.location = volume, path, spot
-        self.names: set[str] = set()
-        self.after, self.turn, self.found = "", 0, False
-
-
-def declined(id: int, pause: int) -> packets.Status:
-    """The answer to a declined command; the pause in tenths of a millisecond."""
-    wait = -(-pause // 10)
-    return packets.Status(
-        id,
-        packets.FAILURE,
-        f"declined: nothing was done, come again in {wait} ms",
-        f"x-declined-{wait}",
-    )
-
-
-def aborted(id: int) -> packets.Status:
-    return packets.Status(
-        id, packets.FAILURE, "aborted: it may have been done or not", "x-aborted"
-    )
+UNKNOWN_SHARD = -1
 
 
 @dataclass(frozen=True, slots=True)
-class CommandPayload:
-    """What a dispatch to a disk box carries beside the transfer's figures."""
-
-    command: Any
-    ticket: str
-    mark: str
-    category: str
-    attempt_guard: Any = (
-        None  # of a channel's transfer: whether it may still leave (fleet/channels)
-    )
+class ClientCommand:
+    """A client's command that costs nodes work.
+
+    Attributes:
+        packet: the command as the client sent it.
+        terms: what the client says of it.
+        volume: that it belongs to.
+        path: canonical.
+        handle: through which it comes, None for a command on a path.
+        arrived: when it may have come, in tenths of a millisecond.
+        octets: of the client's packet.
+        attempt_guard: of a channel's request, else None.
+    """
+
+    packet: Any
+    terms: Terms
+    volume: RoutedVolume
+    path: str
+    handle: OpenHandle | None
+    arrived: int
+    octets: int = 0
+    attempt_guard: AttemptGuard | None = None
+
+
+def data_size(packet: Any) -> int:
+    """Return the bytes that a command moves."""
+    if isinstance(packet, packets.Write):
+        return len(packet.data)
+    return getattr(packet, "length", 0)
 
 
 class CommandExecution:
-    """One command that costs boxes work. Made, then `start`; `answered` is called once, unless it is abandoned."""
+    """One command on its way; the sink of its requests' answers.
+
+    `start` begins it. The callback is called once with the answer, and never after
+    `abandon`.
+
+    Attributes:
+        steps_done: requests that were answered.
+        mutated: whether one of them has changed something at a node.
+        final: how it ended, for metrics and flow records.
+    """
 
     def __init__(
-        self,
-        edge: GatewayContext,
-        command: Any,
-        terms: Terms,
-        volume: RoutedVolume,
-        path: str,
-        opened: OpenHandle | None,
-        answered: Answered,
-        came: int,
-        gate: Any = None,
+        self, gateway: GatewayContext, given: ClientCommand, on_answer: AnswerCallback
     ) -> None:
-        self.edge, self.command, self.terms, self.answered = (
-            edge,
-            command,
-            terms,
-            answered,
-        )
-        self.volume, self.path, self.opened = volume, path, opened
-        self.operation = OPERATIONS[type(command)]
-        self.size = (
-            len(command.data)
-            if isinstance(command, packets.Write)
-            else getattr(command, "length", 0)
-        )
-        self.category = edge.routing_table.category(self.operation, volume, self.size)
-        self.began = came
-        figures = edge.host.config.request_classes[self.category]
-        self.ends = client_deadline(
-            self.began, figures.client_timeout, terms.patience * 10, edge.answer_margin
+        self.gateway = gateway
+        self.on_answer = on_answer
+        self.command = given.packet
+        self.terms = given.terms
+        self.volume = given.volume
+        self.path = given.path
+        self.handle = given.handle
+        self.began = given.arrived
+        self.octets = given.octets
+        self.attempt_guard = given.attempt_guard
+        self.operation = OPERATIONS[type(given.packet)]
+        self.size = data_size(given.packet)
+        self.request_class = gateway.routing_table.request_class(
+            self.operation, given.volume, self.size
         )
-        self.mark = f"{volume.number}/{terms.mark}" if terms.mark else edge.mark()
-        self.attempt_guard, self.repeat = gate, terms.tries > 0
-        if gate is not None:
-            # Its end is the office's or its ticket's, which says nothing of when its client first tried.
-            self.mark, self.ends, self.repeat = (
-                gate.idempotency_key,
-                min(self.ends, gate.deadline),
-                False,
-            )
-        self.course, self.leg = CommandStrategy.PLAIN, CommandStep.HOME
+        self._set_key_and_deadline()
+        self.strategy = CommandStrategy.PLAIN
+        self.step = CommandStep.HOME
         self.location: ObjectLocation | None = None
-        self.legs, self.done_before, self.turn = 0, False, 0
-        self.transfer: int | None = None
-        self.octets, self.final = 0, "abandoned"  # of the client's packet; how it ended
-        self.made: Any = None  # the answer of the leg whose result the client gets
-
-    @property
-    def remembered(self) -> LocationCache:
-        return self.edge.location_cache
+        self.steps_done = 0
+        self.mutated = False
+        self.shard_index = 0
+        self.request_id: int | None = None
+        self.final = "abandoned"
+        self.kept_answer: Any = None
+
+    def _set_key_and_deadline(self) -> None:
+        gateway, terms = self.gateway, self.terms
+        timeout = gateway.host.config.request_classes[self.request_class].client_timeout
+        self.deadline = client_deadline(
+            self.began, timeout, terms.patience * 10, gateway.answer_margin
+        )
+        guard = self.attempt_guard
+        if guard is not None:
+            # Its deadline is the lease's or its idempotency key's, which says nothing
+            # of when its client first tried.
+            self.idempotency_key = guard.idempotency_key
+            self.deadline = min(self.deadline, guard.deadline)
+            self.is_retry = False
+            return
+        self.is_retry = terms.tries > 0
+        if terms.mark:
+            self.idempotency_key = f"{self.volume.number}/{terms.mark}"
+        else:
+            self.idempotency_key = gateway.new_idempotency_key()
 
     def start(self) -> None:
-        """The first transfer."""
-        if self.opened is not None and self.operation != "list":
-            self.location, self.leg = self.opened.location, CommandStep.THERE
-            return self.launch()
-        self.course, self.leg = strategy_for(
-            self.command, self.volume.placement, len(self.volume.cells)
+        """Send the first request."""
+        if self.handle is not None and self.operation != "list":
+            self.location = self.handle.location
+            self.step = CommandStep.THERE
+            self._send_request()
+            return
+        self.strategy, self.step = strategy_for(
+            self.command, self.volume.placement, len(self.volume.shards)
         )
-        if self.volume.placement == FREE:
-            self.location = self.remembered.get(self.path)
-            self.leg = first_step(self.course, self.leg, self.location)
-        if self.course is CommandStrategy.LIST and self.opened is not None:
-            self.turn = self.opened.turn
-        self.launch()
-
-    def cells(self) -> list[int]:
-        """The volume's cells, the home of the path last."""
-        home = self.edge.routing_table.home(self.volume, self.path)
-        return [each for each in self.volume.cells if each != home] + [home]
-
-    def target(self) -> tuple[int | None, str, Any]:
-        """Cell, object name and command of the present leg."""
-        command, home = self.command, self.edge.routing_table.home
-        if self.leg is CommandStep.THERE and self.location is not None:
-            return (
-                self.location.cell,
-                self.location.name,
-                self.named(command, self.location.name),
-            )
-        if self.leg is CommandStep.PLACING:
-            name = self.edge.object_name()
-            self.location = ObjectLocation(-1, name)
-            return None, name, replace(command, path=name)
-        if self.leg is CommandStep.LINKING and self.location is not None:
-            return (
-                home(self.volume, self.path),
-                self.path,
-                packets.Symlink(0, self.path, format_location(self.location)),
-            )
-        if self.leg is CommandStep.MOVING and self.location is not None:
-            target = self.edge.canonical(command.target)
-            return (
-                home(self.volume, target),
-                target,
-                packets.Symlink(0, target, format_location(self.location)),
-            )
-        if (
-            self.leg in (CommandStep.CLEARING, CommandStep.UNLINKING)
-            and self.location is not None
-        ):
-            return (
-                home(self.volume, self.path),
-                self.path,
-                packets.Symlink(0, self.path, "-" + format_location(self.location)),
-            )
-        if self.leg is CommandStep.SOURCE:
-            return (
-                home(self.volume, self.path),
-                self.path,
-                packets.Readlink(0, self.path),
-            )
-        if self.leg is CommandStep.SWEEPING:
-            after = self.opened.after if self.opened is not None else ""
-            return (
-                self.cells()[self.turn],
-                self.path,
-                self.named(
-                    command,
-                    self.path + "\0" + after
-                    if self.course is CommandStrategy.LIST
-                    else self.path,
-                ),
-            )
-        if isinstance(command, packets.Open) and self.course is CommandStrategy.MAKE:
+        if self.volume.placement == VolumePlacement.FREE:
+            self.location = self.gateway.location_cache.get(self.path)
+            self.step = first_step(self.strategy, self.step, self.location)
+        if self.strategy is CommandStrategy.LIST and self.handle is not None:
+            self.shard_index = self.handle.shard_index
+        self._send_request()
+
+    def abandon(self) -> None:
+        """Drop it: the client has left."""
+        self.on_answer = _ignore_answer
+        if self.request_id is not None:
+            self.gateway.host.cancel_request(self.request_id)
+
+    # The step at hand.
+
+    def _home(self, path: str) -> int:
+        return self.gateway.routing_table.home_shard(self.volume, path)
+
+    def _listed_shards(self) -> list[int]:
+        """Return the volume's shards, the home of the path last."""
+        home = self._home(self.path)
+        return [each for each in self.volume.shards if each != home] + [home]
+
+    def _renamed(self, command: Any, name: str) -> Any:
+        most = self.gateway.routing_table.max_request_bytes
+        return renamed_command(command, name, most)
+
+    def _target(self) -> StepTarget:
+        """Return where the step at hand goes."""
+        if self.step is CommandStep.PLACING:
+            name = self.gateway.new_object_name()
+            self.location = ObjectLocation(UNKNOWN_SHARD, name)
+            return StepTarget(None, name, replace(self.command, path=name))
+        if self.step is CommandStep.SOURCE:
+            link = packets.Readlink(0, self.path)
+            return StepTarget(self._home(self.path), self.path, link)
+        if self.step is CommandStep.SWEEPING:
+            return self._listing_target()
+        if self.location is not None and self.step is not CommandStep.HOME:
+            return self._location_target(self.location)
+        command = self.command
+        if isinstance(command, packets.Open) and self.strategy is CommandStrategy.MAKE:
             command = replace(command, flags=command.flags & ~packets.CREATE_FLAG)
-        return home(self.volume, self.path), self.path, self.named(command, self.path)
-
-    def named(self, command: Any, name: str) -> Any:
-        """The client's command with the name that the box knows."""
-        if isinstance(command, packets.Extended):
-            return extensions.put_fsync(0, name.encode("utf-8", "surrogateescape"))
-        if hasattr(command, "handle"):
-            command = replace(command, handle=name.encode("utf-8", "surrogateescape"))
-            if isinstance(command, packets.Read):
-                command = replace(
-                    command,
-                    length=min(command.length, self.edge.routing_table.most_bytes),
-                )
-            return command
-        if isinstance(command, packets.Rename):
-            return replace(
-                command, path=name, target=self.edge.canonical(command.target)
-            )
-        return replace(command, path=name)
-
-    def launch(self) -> None:
-        """Hand the present leg to the module as a transfer."""
-        edge = self.edge
-        why = edge.refusal(self.ends)
-        if why:
-            return self.gave_up(
-                StepResult.DECLINED, edge.host.config.max_retry_after, why
-            )
-        cell, name, command = self.target()
-        self.transfer = edge.next_transfer()
-        write = self.operation in WRITE_OPERATIONS or self.leg in MUTATING_STEPS
-        arrival = Request(
-            self.transfer,
-            edge.routing_table.extent(name, getattr(command, "offset", 0)),
-            self.volume.number,
-            self.volume.gateways,
-            self.category,
-            self.volume.plan,
-            self.repeat,
-            write,
-            cell,
-            edge.routing_table.units(self.operation, self.size),
-            self.ends,
+        home = self._home(self.path)
+        return StepTarget(home, self.path, self._renamed(command, self.path))
+
+    def _location_target(self, location: ObjectLocation) -> StepTarget:
+        """Return where a step goes that is about a known location."""
+        if self.step is CommandStep.LINKING:
+            return link_target(self._home(self.path), self.path, location)
+        if self.step is CommandStep.MOVING:
+            target = canonical_path(self.command.target)
+            return link_target(self._home(target), target, location)
+        if self.step in (CommandStep.CLEARING, CommandStep.UNLINKING):
+            return unlink_target(self._home(self.path), self.path, location)
+        command = self._renamed(self.command, location.name)
+        return StepTarget(location.shard, location.name, command)
+
+    def _listing_target(self) -> StepTarget:
+        shard = self._listed_shards()[self.shard_index]
+        name = self.path
+        if self.strategy is CommandStrategy.LIST:
+            after = self.handle.after if self.handle is not None else ""
+            name = f"{self.path}\0{after}"
+        return StepTarget(shard, self.path, self._renamed(self.command, name))
+
+    def _send_request(self) -> None:
+        """Hand the step at hand to the scheduler as a request."""
+        gateway = self.gateway
+        reason = gateway.refusal(self.deadline)
+        if reason:
+            delay = gateway.host.config.max_retry_after
+            self._give_up(StepResult.DECLINED, delay, reason)
+            return
+        target = self._target()
+        self.request_id = gateway.next_request_id()
+        request = self._request(self.request_id, target)
+        if gateway.parts is not None:
+            gateway.parts.arrived(request)
+        if gateway.traces is not None:
+            gateway.traces.path(target.name)
+        gateway.host.take(request, self, self._payload(target))
+
+    def _request(self, request_id: int, target: StepTarget) -> Request:
+        table, volume = self.gateway.routing_table, self.volume
+        return Request(
+            request_id,
+            table.request_key(target.name, getattr(target.command, "offset", 0)),
+            volume.number,
+            volume.sharing_gateways,
+            self.request_class,
+            volume.plan,
+            self.is_retry,
+            self.operation in WRITE_OPERATIONS or self.step in MUTATING_STEPS,
+            target.shard,
+            table.units(self.operation, self.size),
+            self.deadline,
         )
-        if edge.parts is not None:
-            edge.parts.arrived(arrival)
-        if edge.traces is not None:
-            edge.traces.path(name)
-        edge.host.take(
-            arrival,
-            self,
-            CommandPayload(
-                command,
-                f"{self.mark}#{self.leg.name}.{self.turn}",
-                f"{self.terms.mark}~{self.terms.tries}" if self.terms.mark else "",
-                edge.category_name(self.category),
-                self.attempt_guard,
-            ),
+
+    def _payload(self, target: StepTarget) -> CommandPayload:
+        terms = self.terms
+        return CommandPayload(
+            target.command,
+            f"{self.idempotency_key}#{self.step.name}.{self.shard_index}",
+            f"{terms.mark}~{terms.tries}" if terms.mark else "",
+            self.gateway.request_class_name(self.request_class),
+            self.attempt_guard,
         )
 
-    def abandon(self) -> None:
-        """The client has left."""
-        self.answered = lambda packet: None
-        if self.transfer is not None:
-            self.edge.host.cancel_request(self.transfer)
-
-    # The host's word on the present transfer.
-
-    def succeeded(self, verdict: Verdict) -> None:
-        self.transfer = None
-        answer, moved = verdict.answer, verdict.verdict == ELSEWHERE
-        code = answer.code if isinstance(answer, packets.Status) else None
-        reply = step_result(moved, code)
-        if (
-            self.leg is CommandStep.PLACING
-            and self.location is not None
-            and verdict.text.isdecimal()
-        ):
-            self.location = ObjectLocation(int(verdict.text), self.location.name)
-        before, self.legs = self.leg, self.legs + 1
-        self.leg, effect = next_step(self.course, before, reply, self.legs)
-        self.done_before |= before in MUTATING_STEPS and reply is StepResult.FINE
-        self.follow(effect, verdict, answer)
+    # What the scheduler host says of the request (`ResponseSink`).
+
+    def succeeded(self, reply: Verdict) -> None:
+        """Take a node's answer: go on with the next step, or end."""
+        self.request_id = None
+        answer = reply.answer
+        status = answer.code if isinstance(answer, packets.Status) else None
+        result = step_result(reply.verdict == ELSEWHERE, status)
+        step = self.step
+        if step is CommandStep.PLACING and self.location and reply.text.isdecimal():
+            self.location = ObjectLocation(int(reply.text), self.location.name)
+        self.steps_done += 1
+        self.step, effect = next_step(self.strategy, step, result, self.steps_done)
+        self.mutated |= step in MUTATING_STEPS and result is StepResult.FINE
+        self._apply(effect, reply.text, answer)
 
     def rejected(self, pause: int) -> None:
-        self.transfer = None
-        self.gave_up(StepResult.DECLINED, pause, "declined")
+        """End it: the scheduler rejected the request."""
+        self.request_id = None
+        self._give_up(StepResult.DECLINED, pause, "declined")
 
     def failed(self) -> None:
-        self.transfer = None
-        self.gave_up(StepResult.ABORTED, 0, "aborted")
-
-    def gave_up(self, reply: StepResult, pause: int, why: str) -> None:
-        """The command ends without having been done in full."""
-        told_as, id = told(reply, self.done_before), self.command.id
-        packet = aborted(id) if told_as is StepResult.ABORTED else declined(id, pause)
-        self.finish(
-            packet, "aborted" if told_as is StepResult.ABORTED else "declined", why
-        )
+        """End it: the request may have been done or not."""
+        self.request_id = None
+        self._give_up(StepResult.ABORTED, 0, "aborted")
 
-    def follow(self, effect: str, verdict: Verdict, answer: Any) -> None:
-        """Do what the table says and go on, or end."""
-        if effect in ("follow", "carry"):
-            self.location = parse_location(verdict.text)
-            if self.location is None:
-                return self.finish(
-                    packets.Status(
-                        self.command.id, packets.FAILURE, "a link that leads nowhere"
-                    )
-                )
-            self.remembered.put(self.path, self.location)
-        elif effect == "forget":
-            self.remembered.drop(self.path)
-        elif effect == "keep":
-            self.made = answer
-        elif effect == "next":
-            self.turn += 1
-            if self.turn >= len(self.volume.cells):
-                return self.finish(answer)
-        elif effect == "page":
-            return self.paged(answer)
-        elif effect:
-            return self.conclude(effect, answer)
-        self.launch()
-
-    def conclude(self, effect: str, answer: Any) -> None:
-        """The last answer of a course."""
+    def _give_up(self, result: StepResult, retry_delay: int, reason: str) -> None:
+        """End the command without having done it in full."""
         id = self.command.id
-        if effect == "made" and self.location is not None:
-            self.remembered.put(self.path, self.location)
-            answer = self.made
-        elif effect == "done":
-            answer = packets.Status(id, packets.OK)
-        elif effect == "unsupported":
-            answer = packets.Status(
-                id, packets.UNSUPPORTED, "this object cannot be renamed"
-            )
-        elif effect == "taken":
-            answer = packets.Status(id, packets.FAILURE, "the new name stands already")
-        elif effect == "tangled":
-            return self.gave_up(StepResult.ABORTED, 0, "links that lead in a circle")
-        elif answer is None:
-            answer = packets.Status(id, packets.FAILURE, "a link where none belongs")
-        self.finish(answer)
-
-    def paged(self, answer: Any) -> None:
-        """One page of a directory."""
-        opened, names = self.opened, ()
-        assert opened is not None
-        if isinstance(answer, packets.Names):
-            names = tuple(
-                each for each in answer.names if each.filename not in opened.names
-            )
-            opened.after, opened.found = (
-                answer.names[-1].filename if answer.names else "",
-                True,
-            )
-            folders = {
-                each.filename
-                for each in names
-                if (each.attrs.mode or 0) & 0o170000 == 0o040000
-            }
-            if len(opened.names) < MOST_SEEN:
-                opened.names |= folders
+        if result_for_client(result, self.mutated) is StepResult.ABORTED:
+            self._finish(failed_status(id), "aborted", reason)
         else:
-            opened.found |= answer.code != packets.NO_SUCH_FILE
-        what = page(
-            len(names),
-            not isinstance(answer, packets.Names),
-            len(self.volume.cells) - 1 - self.turn,
-        )
-        if what == "next":
-            self.turn += 1
-            opened.turn, opened.after = self.turn, ""
-        if what == "answer":
-            return self.finish(packets.Names(self.command.id, names))
-        if what == "end":
-            root = self.path == self.volume.root
-            code = packets.EOF if opened.found or root else packets.NO_SUCH_FILE
-            return self.finish(
-                packets.Status(
-                    self.command.id,
-                    code,
-                    "the end" if code == packets.EOF else "no such file",
-                )
-            )
-        self.launch()
-
-    def finish(self, packet: Any, final: str = "satisfied", why: str = "") -> None:
-        """The one answer to the client."""
-        self.leg, self.final = CommandStep.OVER, final
-        answered, self.answered = self.answered, lambda packet: None
-        self.edge.told(self, final, why)
-        answered(packets.with_id(packet, self.command.id))
+            self._finish(rejected_status(id, retry_delay), "declined", reason)
+
+    # Effects of a step.
+
+    def _apply(self, effect: StepEffect, link: str, answer: Any) -> None:
+        """Do what the table says and go on, or end."""
+        if effect is StepEffect.TAKE_PAGE:
+            self._take_page(answer)
+            return
+        if effect is StepEffect.NEXT_STEP:
+            self._send_request()
+        elif effect is StepEffect.FOLLOW_LINK:
+            self._follow_link(link)
+        elif effect is StepEffect.FORGET_LOCATION:
+            self.gateway.location_cache.drop(self.path)
+            self._send_request()
+        elif effect is StepEffect.KEEP_ANSWER:
+            self.kept_answer = answer
+            self._send_request()
+        elif effect is StepEffect.NEXT_SHARD:
+            self._sweep_next_shard(answer)
+        elif effect is StepEffect.FAIL_IN_CIRCLE:
+            self._give_up(StepResult.ABORTED, 0, "links that lead in a circle")
+        else:
+            self._finish(self._last_answer(effect, answer))
+
+    def _follow_link(self, link: str) -> None:
+        self.location = parse_location(link)
+        if self.location is None:
+            self._finish(self._failure("a link that leads nowhere"))
+            return
+        self.gateway.location_cache.put(self.path, self.location)
+        self._send_request()
+
+    def _sweep_next_shard(self, answer: Any) -> None:
+        self.shard_index += 1
+        if self.shard_index >= len(self.volume.shards):
+            self._finish(answer)
+            return
+        self._send_request()
+
+    def _last_answer(self, effect: StepEffect, answer: Any) -> Any:
+        """Return the answer that ends the command."""
+        id = self.command.id
+        if effect is StepEffect.ANSWER_CREATED and self.location is not None:
+            self.gateway.location_cache.put(self.path, self.location)
+            return self.kept_answer
+        if effect is StepEffect.ANSWER_DONE:
+            return packets.Status(id, packets.OK)
+        if effect is StepEffect.ANSWER_UNSUPPORTED:
+            reason = "this object cannot be renamed"
+            return packets.Status(id, packets.UNSUPPORTED, reason)
+        if effect is StepEffect.ANSWER_NAME_TAKEN:
+            return self._failure("the new name stands already")
+        if answer is None:
+            return self._failure("a link where none belongs")
+        return answer
+
+    def _failure(self, reason: str) -> packets.Status:
+        return packets.Status(self.command.id, packets.FAILURE, reason)
+
+    def _take_page(self, answer: Any) -> None:
+        """Take one page of a directory."""
+        handle = self.handle
+        assert handle is not None
+        ended = not isinstance(answer, packets.Names)
+        names = () if ended else handle.take_page(answer)
+        if ended:
+            handle.found |= answer.code != packets.NO_SUCH_FILE
+        shards_left = len(self.volume.shards) - 1 - self.shard_index
+        outcome = page_outcome(len(names), ended, shards_left)
+        if outcome is PageOutcome.ANSWER:
+            self._finish(packets.Names(self.command.id, names))
+            return
+        if outcome is PageOutcome.END:
+            self._finish(self._end_of_directory(handle))
+            return
+        if outcome is PageOutcome.NEXT_SHARD:
+            self.shard_index += 1
+            handle.next_shard(self.shard_index)
+        self._send_request()
+
+    def _end_of_directory(self, handle: OpenHandle) -> packets.Status:
+        id = self.command.id
+        if handle.found or self.path == self.volume.root:
+            return packets.Status(id, packets.EOF, "the end")
+        return packets.Status(id, packets.NO_SUCH_FILE, "no such file")
+
+    def _finish(self, packet: Any, final: str = "satisfied", reason: str = "") -> None:
+        """Give the one answer to the client."""
+        self.step = CommandStep.OVER
+        self.final = final
+        on_answer = self.on_answer
+        self.on_answer = _ignore_answer
+        self.gateway.on_command_finished(self, final, reason)
+        on_answer(packets.with_id(packet, self.command.id))
+
+
+def _ignore_answer(packet: Any) -> None:
+    """Drop an answer that nobody waits for."""
--- /dev/null
+++ b/milletsill/sftp_gateway/command_report.py
@@ -0,0 +1,71 @@
+"""What is counted, traced and logged of commands that have their answer."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from milletsill.sftp_gateway.answer_log import AnswerLogLimiter
+from milletsill.sftp_gateway.command_execution import CommandExecution
+from milletsill.sftp_gateway.gateway_context import GatewayContext
+from milletsill.sftp_gateway.metrics import GatewayMetrics
+
+TICKS_PER_SECOND = 10_000
+
+
+class CommandReport:
+    """Counts each finished command, and logs some of them."""
+
+    def __init__(
+        self,
+        gateway: GatewayContext,
+        metrics: GatewayMetrics,
+        limiter: AnswerLogLimiter,
+        log: Any,
+    ) -> None:
+        self.gateway = gateway
+        self.metrics = metrics
+        self.limiter = limiter
+        self.log = log
+
+    def on_command_finished(
+        self, execution: CommandExecution, final: str, reason: str
+    ) -> None:
+        """Count, trace and log a command that has its answer."""
+        now = self.gateway.now()
+        latency = now - execution.began
+        name = self.gateway.request_class_name(execution.request_class)
+        self.metrics.count_answer(name, final, latency / TICKS_PER_SECOND)
+        if self.gateway.traces is not None:
+            self._trace(now, execution, final, reason)
+        suppressed = self.limiter.take(now)
+        if suppressed is not None:
+            self.log.info(
+                "answer",
+                final=final,
+                why=reason,
+                category=name,
+                volume=execution.volume.name,
+                operation=execution.operation,
+                ms=latency / 10,
+                legs=execution.steps_done,
+                tries=execution.terms.tries,
+                unsaid=suppressed,
+            )
+
+    def _trace(
+        self, now: int, execution: CommandExecution, final: str, reason: str
+    ) -> None:
+        table = self.gateway.routing_table
+        self.gateway.traces.command(
+            now,
+            execution.began,
+            execution.volume.name,
+            execution.volume.plan,
+            execution.request_class,
+            execution.operation,
+            table.units(execution.operation, execution.size),
+            execution.steps_done,
+            execution.terms.tries,
+            final,
+            reason,
+        )
--- a/milletsill/sftp_gateway/deployment.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -1,7 +1,9 @@
-"""The operator's file as the scheduler's configuration and the gateway's atlas. Nothing is decided or tuned here.
+"""The operator's file as the scheduler's configuration and the routing table.
 
-Spans that must not be passed are rounded down, those that must have passed are rounded up, to whole tenths of a
-millisecond, so that rounding never breaks a deadline.
+Nothing is decided or tuned here.
+
+Spans that must not be passed are rounded down, those that must have passed are rounded
+up, to whole tenths of a millisecond, so that rounding never breaks a deadline.
 """
 
 from __future__ import annotations
@@ -17,19 +19,26 @@
     ServicePlanConfig,
 )
 from milletsill.node_connections.connection_state import PoolLimits
-from milletsill.sftp_gateway.routing import RoutedVolume, RouteRule, RoutingTable
+from milletsill.sftp_gateway.routing_table import (
+    RequestSizing,
+    RoutedVolume,
+    RouteRule,
+    RoutingTable,
+)
 
 
 def at_most(ms: float) -> int:
+    """Return milliseconds that must not be passed as tenths, rounded down."""
     return max(int(ms * 10), 0)
 
 
 def at_least(ms: float) -> int:
+    """Return milliseconds that must have passed as tenths, rounded up."""
     return ceil(ms * 10)
 
 
 def request_class_of(given: Any) -> RequestClassConfig:
-    """One class of the file."""
+    """Return one request class of the file."""
     return RequestClassConfig(
         name=given.name,
         latency_objective=at_most(given.target_ms),
@@ -46,7 +55,10 @@
 
 
 def service_plan_of(given: Any) -> ServicePlanConfig:
-    """One plan of the file; volumes name it by place, so its name is not kept."""
+    """Return one service plan of the file.
+
+    Volumes name it by place, so its name is not kept.
+    """
     return ServicePlanConfig(
         usual_rate=given.usual_rate,
         reserved_rate=given.reserve_rate,
@@ -59,7 +71,7 @@
 
 
 def config_of(file: Any) -> DeploymentConfig:
-    """The configuration of one gateway's file."""
+    """Return the configuration of one gateway's file."""
     rules = file.rules
     shards = (shard for each in file.volume for shard in each.cell)
     return DeploymentConfig(
@@ -104,48 +116,47 @@
 
 
 def routing_table_of(file: Any) -> RoutingTable:
-    """The map from commands to transfers."""
+    """Return the map from commands to requests."""
     plans = {each.name: place for place, each in enumerate(file.plan)}
-    categories = {each.name: place for place, each in enumerate(file.category)}
+    request_classes = {each.name: place for place, each in enumerate(file.category)}
     volumes = [
         RoutedVolume(
-            place + 1,
-            each.name,
-            each.root,
-            plans[each.plan],
-            tuple(each.cell),
-            each.gateways or file.gateways,
-            each.placement,
+            number=place + 1,
+            name=each.name,
+            root=each.root,
+            plan=plans[each.plan],
+            shards=tuple(each.cell),
+            sharing_gateways=each.gateways or file.gateways,
+            placement=each.placement,
         )
         for place, each in enumerate(file.volume)
     ]
     routes = [
         RouteRule(
-            frozenset(each.operation),
-            each.volume,
-            each.least_bytes,
-            categories[each.category],
+            operations=frozenset(each.operation),
+            volume=each.volume,
+            min_bytes=each.least_bytes,
+            request_class=request_classes[each.category],
         )
         for each in file.route
     ]
-    return RoutingTable(
-        volumes,
-        routes,
-        file.rules.unit_bytes,
-        file.rules.largest_units,
-        file.rules.extent_bytes,
-        file.rules.meta_units,
+    sizing = RequestSizing(
+        unit_bytes=file.rules.unit_bytes,
+        max_units=file.rules.largest_units,
+        key_bytes=file.rules.extent_bytes,
+        metadata_units=file.rules.meta_units,
     )
+    return RoutingTable(volumes, routes, sizing)
 
 
 def pool_limits_of(file: Any) -> PoolLimits:
-    """The bounds of every pool of links."""
+    """Return the limits of every pool of node connections."""
     links = file.links
     return PoolLimits(
-        links.connections,
-        links.streams,
-        links.handshakes,
-        at_least(links.dial_ms),
-        at_least(links.idle_s * 1000),
-        at_least(links.silent_ms),
+        connections=links.connections,
+        streams=links.streams,
+        handshakes=links.handshakes,
+        dial=at_least(links.dial_ms),
+        idle=at_least(links.idle_s * 1000),
+        silence=at_least(links.silent_ms),
     )
--- a/milletsill/sftp_gateway/errors.py
+++ b/milletsill/sftp_gateway/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong at an edge as a whole, by type."""
+"""What can go wrong at a gateway as a whole, by type."""
 
 from __future__ import annotations
 
@@ -8,10 +8,16 @@
 class RestartRequired(ConfigurationRejected):
     """A file on SIGHUP that changes what a running gateway cannot change."""
 
-    remedy = "restart the gateway to take it, or put those fields back; nothing of the file was taken"
+    remedy = (
+        "restart the gateway to take it, or put those fields back; nothing of the file "
+        "was taken"
+    )
 
 
 class IncarnationNotStored(StateNotStored):
-    """The number of this run, which cannot be read or written down."""
+    """The number of this start, which cannot be read or written."""
 
-    remedy = "make room in state_dir or make it writable; until then each start takes its number from the wall clock"
+    remedy = (
+        "make room in state_dir or make it writable; until then each start takes its "
+        "number from the wall clock"
+    )
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -1,4 +1,7 @@
-"""The edge as one object: door, host of the module, links, list, metrics; several can live in one process."""
+"""The SFTP gateway as one object: clients, scheduler, nodes, endpoint list, metrics.
+
+Several can live in one process.
+"""
 
 from __future__ import annotations
 
@@ -8,594 +11,364 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.endpoints import TCP4ServerEndpoint
-
-from milletsill.deployment_config import DeploymentConfig
-from milletsill.errors import ListenFailed, MilletsillError
-from milletsill.gateway.active_requests import AttemptEnded
+from milletsill.errors import MilletsillError
 from milletsill.gateway.scheduler_host import (
-    HostCallbacks,
     SchedulerFactory,
-    SchedulerHost,
 )
-from milletsill.gateway.stall_detection import STALL_CHECK_INTERVAL, earliest_arrival
-from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
+from milletsill.interface import Endpoint, EndpointUpdateKind
 from milletsill.logs import logger
-from milletsill.node_connections.attempt_exchange import PooledExchange
-from milletsill.node_connections.connection_pool import NodeConnectionPool
-from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.registry.endpoint_view import Box
-from milletsill.registry.registry_watcher import Follower
 from milletsill.scheduler import Scheduler
-from milletsill.sftp.extensions import Order
-from milletsill.sftp_gateway import deployment
-from milletsill.sftp_gateway.command_execution import CommandExecution, CommandPayload
+from milletsill.sftp_gateway import deployment, optional_parts
+from milletsill.sftp_gateway.answer_log import AnswerLogLimiter
+from milletsill.sftp_gateway.assembly import (
+    make_endpoint_watcher,
+    make_node_pools,
+    make_scheduler_host,
+)
+from milletsill.sftp_gateway.command_execution import CommandExecution
+from milletsill.sftp_gateway.command_report import CommandReport
 from milletsill.sftp_gateway.errors import RestartRequired
-from milletsill.sftp_gateway.incarnation import keep, next_incarnation
-from milletsill.sftp_gateway.metrics import GatewayMetrics
-from milletsill.sftp_gateway.routing import (
-    FREE,
-    AnswerLogLimiter,
+from milletsill.sftp_gateway.gateway_state import (
+    GatewayEffect,
     GatewayEvent,
     GatewayState,
-    LocationCache,
-    RoutedVolume,
-    canonical,
     next_gateway_state,
     refusal_reason,
 )
+from milletsill.sftp_gateway.identifiers import IdentifierSource
+from milletsill.sftp_gateway.incarnation import next_incarnation, store_incarnation
+from milletsill.sftp_gateway.listening_ports import ListeningPorts
+from milletsill.sftp_gateway.metrics import GatewayMetrics
+from milletsill.sftp_gateway.object_location import LocationCache
+from milletsill.sftp_gateway.routing_table import RoutedVolume, VolumePlacement
 from milletsill.sftp_gateway.sftp_server import SftpClientConnection, SftpClientListener
+from milletsill.sftp_gateway.stall_watch import StallWatch
 
-LOOK_EVERY = 1.0  # seconds between looks at idle clients and the loop's lag
+CHECK_INTERVAL = 1.0  # seconds between checks of idle clients and the loop's lag
+TICKS_PER_SECOND = 10_000
+SEED_BITS = 63
 
 
 def monotonic() -> int:
-    """Tenths of a millisecond, whole, rounded up: what is over is over."""
+    """Return tenths of a millisecond, whole, rounded up: what is over is over."""
     return -(-time.monotonic_ns() // 100_000)
 
 
 class SftpGateway:
-    """One gateway. `make` is the module; the laboratory alone puts a baseline in its place."""
+    """One gateway.
+
+    The scheduler is made by `make_scheduler`; the laboratory alone puts a baseline in
+    its place.
+
+    Attributes:
+        state: of the gateway.
+        failed: whether it could not start.
+        on_stopped: called once it is stopped.
+        flows, traces, parts, fleet, health, channels: parts that the file may ask for,
+            None without.
+    """
 
     def __init__(
         self,
         file: Any,
         reactor: Any,
-        make: SchedulerFactory = Scheduler,
+        make_scheduler: SchedulerFactory = Scheduler,
         now: Callable[[], int] = monotonic,
         log: Any = None,
     ) -> None:
-        self.file, self.reactor, self.now = file, reactor, now
-        self.log = log or logger(
-            file.logging.level, file.logging.json, gateway=file.name
-        )
-        os.makedirs(file.state_dir, exist_ok=True)
-        self.incarnation, complaint = next_incarnation(
-            os.path.join(file.state_dir, "incarnation")
-        )
-        if complaint is not None:
-            self.remark("incarnation_not_kept", **complaint.log_fields())
-        self.metrics, self.answer_log_limiter = (
-            GatewayMetrics(),
-            AnswerLogLimiter(file.logging.answers_per_s),
-        )
-        self.state, self.routing_table = (
-            GatewayState.STARTING,
-            deployment.routing_table_of(file),
-        )
-        self.location_cache, self.pool_limits = (
-            LocationCache(file.door.locations),
-            deployment.pool_limits_of(file),
-        )
-        self.answer_margin = deployment.at_least(file.door.answer_margin_ms)
-        self.pools: dict[int, NodeConnectionPool] = {}
+        self.file = file
+        self.reactor = reactor
+        self.now = now
+        self.log = log or self._make_log(file)
+        self.state = GatewayState.STARTING
+        self.failed = False
         self.clients: set[SftpClientConnection] = set()
-        self.request_count = self.object_count = self.key_count = 0
-        config = deployment.config_of(file)
-        seed = (
-            file.seed
-            if file.HasField("seed")
-            else random.SystemRandom().getrandbits(63)
-        )
-        self.endpoint_watcher = Follower(
-            reactor,
-            now,
-            file.registry,
-            config.slow_start_duration,
-            os.path.join(file.state_dir, "boxes.json"),
-            self.listed,
-            self.moved,
-            lambda text: self.remark("list", reason=text),
-            file.name,
-            random.Random(f"{seed} list").uniform,
-        )
-        self.traces = self.tracer(config, seed) if file.HasField("trace") else None
-        if self.traces is not None:
-            make = self.traces.around(make)
-        self.host = SchedulerHost(
-            reactor,
-            now,
-            config,
-            seed,
-            make,
-            HostCallbacks(
-                start_attempt=self.carry,
-                watch_endpoints=self.endpoint_watcher.ask,
-                log=lambda text: self.remark("module", reason=text),
-                count=self.metrics.note,
-            ),
-        )
-        self.flows = self.exporter(seed) if file.HasField("flows") else None
-        self.parts = self.planned(config, seed) if file.HasField("planner") else None
-        self.fleet = self.among_others(seed) if file.HasField("fleet") else None
-        self.health = (
-            self.sharing(seed)
-            if self.fleet is not None and file.fleet.HasField("health")
-            else None
-        )
-        self.extensions: tuple[
-            str, ...
-        ] = ()  # of the door, beside those that always stand
-        self.channels = (
-            self.channelled(seed)
-            if self.fleet is not None and file.fleet.HasField("channels")
-            else None
-        )
-        self.ports: list[Any] = []
-        self.stopped: list[Callable[[], None]] = []
+        self.on_stopped: list[Callable[[], None]] = []
         self.check_call: Any = None
-        self.stall_check_call: Any = None
-        self.last_stall_check, self.stalled_since = now(), None
         self.drain_deadline_call: Any = None
-        self.failed = False
+        self.metrics = GatewayMetrics()
+        self.listening = ListeningPorts(reactor, self._on_listening, self._fail_start)
+        self.stall_watch = StallWatch(reactor, now)
+        self.unread_since = self.stall_watch.unread_since
+        self.after_reads = self.stall_watch.after_reads
+        self._take_incarnation()
+        self._take_reloadable_settings(file)
+        self.location_cache = LocationCache(file.door.locations)
+        config = deployment.config_of(file)
+        seed = self._seed()
+        self.endpoint_watcher = make_endpoint_watcher(self, config, seed)
+        self.traces = optional_parts.make_traces(self, config, seed)
+        if self.traces is not None:
+            make_scheduler = self.traces.around(make_scheduler)
+        self.flows = optional_parts.make_flow_export(self, seed)
+        self.node_pools = make_node_pools(self)
+        self.host = make_scheduler_host(self, config, seed, make_scheduler)
+        self.parts = optional_parts.make_quota_client(self, config, seed)
+        self.fleet = optional_parts.make_fleet(self, seed)
+        self.health = optional_parts.make_shared_health(self, seed)
+        self.channels = optional_parts.make_channels(self, seed)
+        self.extensions: tuple[str, ...] = ()
+        if self.channels is not None:
+            self.extensions = self.channels.extensions
 
-    def exporter(self, seed: int) -> Any:
-        """Flow export; none of its code is loaded where the file does not ask for it."""
-        from milletsill.flows.gateway_export import Flows
-
-        return Flows(self.reactor, self.now, self.file, seed, self.remark)
-
-    def tracer(self, config: DeploymentConfig, seed: int) -> Any:
-        """Traces; none of their code is loaded where the file does not ask for them."""
-        from milletsill.trace.gateway_trace import Traces
-
-        return Traces(
-            self.reactor,
-            self.now,
-            self.file,
-            config,
-            seed,
-            self.incarnation,
-            self.remark,
-            self.metrics.registry,
-        )
+    # Assembly.
 
-    def planned(self, config: DeploymentConfig, seed: int) -> Any:
-        """Parts from a planner; none of their code is loaded where the file does not ask for them."""
-        from milletsill.planner.quota_client import Parts
-
-        return Parts(
-            self.reactor,
-            self.now,
-            self.file,
-            config,
-            seed + 2,
-            self.incarnation,
-            self.host,
-            self.remark,
-            self.metrics.registry,
-        )
+    def _make_log(self, file: Any) -> Any:
+        return logger(file.logging.level, file.logging.json, gateway=file.name)
 
-    def among_others(self, seed: int) -> Any:
-        """The fleet's view; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.service import FleetService
-        from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
-
-        return FleetService(
-            self.reactor,
-            self.now,
-            FleetServiceConfig.from_file(self.file, seed + 3, self.incarnation),
-            FleetCallbacks(
-                warn=self.remark,
-                info=lambda event, **values: self.log.info(event, **values),
-                store_incarnation=self.keep_run,
-            ),
-            self.metrics.registry,
-        )
+    def _incarnation_path(self) -> str:
+        return os.path.join(self.file.state_dir, "incarnation")
 
-    def sharing(self, seed: int) -> Any:
-        """Health that is shared; none of its code is loaded where the file does not ask for it."""
-        from milletsill.fleet.health.health_sharing import sharing_of
+    def _take_incarnation(self) -> None:
+        os.makedirs(self.file.state_dir, exist_ok=True)
+        incarnation, error = next_incarnation(self._incarnation_path())
+        if error is not None:
+            self.warn("incarnation_not_kept", **error.log_fields())
+        self.identifiers = IdentifierSource(self.file.name, incarnation)
+        self.next_request_id = self.identifiers.next_request_id
+        self.new_object_name = self.identifiers.new_object_name
+        self.new_idempotency_key = self.identifiers.new_idempotency_key
 
-        return sharing_of(self, seed + 5)
+    def _take_reloadable_settings(self, file: Any) -> None:
+        self.routing_table = deployment.routing_table_of(file)
+        self.answer_margin = deployment.at_least(file.door.answer_margin_ms)
+        limiter = AnswerLogLimiter(file.logging.answers_per_s)
+        self.command_report = CommandReport(self, self.metrics, limiter, self.log)
 
-    def channelled(self, seed: int) -> Any:
-        """Contracts on the order of channels; none of their code is loaded where the file does not ask for it."""
-        from milletsill.sftp_gateway.channel_commands import EXTENSIONS, channels_of
+    def _seed(self) -> int:
+        if self.file.HasField("seed"):
+            return int(self.file.seed)
+        return random.SystemRandom().getrandbits(SEED_BITS)
 
-        self.extensions = EXTENSIONS
-        return channels_of(self, seed + 4)
+    @property
+    def incarnation(self) -> int:
+        """Which start of the gateway this is."""
+        return self.identifiers.incarnation
 
-    def keep_run(self, run: int) -> None:
-        """The fleet knew a later run than this one: what leaves from now on has the new one, the next start goes past both. Guards
-        boxes against names and tickets of a former run whose state was lost. Harm: what left before the fleet's word has the old.
+    def raise_incarnation(self, incarnation: int) -> None:
+        """Take a later incarnation than this start's, which the fleet knew.
+
+        What leaves from now on has the new one, the next start goes past both. Guards
+        nodes against names and keys of a former start whose state was lost. Harm: what
+        left before the fleet's message has the old one.
         """
-        self.incarnation = max(self.incarnation, run)
-        complaint = keep(os.path.join(self.file.state_dir, "incarnation"), run)
-        if complaint is not None:
-            self.remark("incarnation_not_kept", **complaint.log_fields())
+        self.identifiers.incarnation = max(self.incarnation, incarnation)
+        error = store_incarnation(self._incarnation_path(), incarnation)
+        if error is not None:
+            self.warn("incarnation_not_kept", **error.log_fields())
 
-    # Life.
+    # Start and end.
 
     def start(self) -> None:
-        """Read the last list, open the doors."""
+        """Start the parts, take the cached endpoint list, listen."""
         if self.fleet is not None:
             try:
                 self.fleet.start()
             except MilletsillError as error:
-                return self.cannot(error)
-        if self.health is not None:
-            self.health.start()
-        if self.channels is not None:
-            self.channels.start()
-        if self.flows is not None:
-            self.flows.start()
-        if self.traces is not None:
-            self.traces.start()
+                self._fail_start(error)
+                return
+        for part in (self.health, self.channels, self.flows, self.traces):
+            if part is not None:
+                part.start()
         self.endpoint_watcher.start()
         if self.parts is not None:
             self.parts.start()
-        self.step(GatewayEvent.LISTED)
-        self.check_call = self.reactor.callLater(LOOK_EVERY, self.look, self.now())
-        self.last_stall_check = self.now()
-        self.stall_check_call = self.reactor.callLater(
-            STALL_CHECK_INTERVAL / 10_000, self.beat
-        )
+        self._on_event(GatewayEvent.LISTED)
+        self._schedule_check(self.now())
+        self.stall_watch.start()
 
-    def beat(self) -> None:
-        """Whether the process stood since the last beat: the sockets are read right after this."""
-        now = self.now()
-        since = earliest_arrival(
-            now, self.last_stall_check + STALL_CHECK_INTERVAL, self.last_stall_check
-        )
-        if since is not None:
-            self.stalled_since = since
-            self.after_round(self.caught_up)
-        self.last_stall_check = now
-        self.stall_check_call = self.reactor.callLater(
-            STALL_CHECK_INTERVAL / 10_000, self.beat
-        )
+    def terminate(self) -> None:
+        """Take no new commands, answer those that were taken, then end: SIGTERM."""
+        self._on_event(GatewayEvent.TERM)
+
+    def reload(self, file: Any) -> None:
+        """Take another file for what a running gateway can change: SIGHUP.
 
-    def unread_since(self) -> int | None:
-        """Since when what is read now may have lain unread; None where it is as new as it looks. Asked at each read: a process that
-        stood between a socket's being ready and its being read has had no beat yet.
+        That is limits of clients, volumes, routes, logs. What the scheduler was told at
+        the start stands until a restart.
         """
-        since = earliest_arrival(
-            self.now(),
-            self.last_stall_check + STALL_CHECK_INTERVAL,
-            self.last_stall_check,
-        )
+        if self._needs_restart(file):
+            error = RestartRequired(
+                "plans, categories, rules, name, address, traces or fleet are not "
+                "those of the start"
+            )
+            self.warn("file_refused", **error.log_fields())
+            return
+        self.file = file
+        self.log = self._make_log(file)
+        self._take_reloadable_settings(file)
+        self.log.info("reloaded", volumes=len(file.volume), routes=len(file.route))
+
+    def _needs_restart(self, file: Any) -> bool:
         return (
-            self.stalled_since
-            if since is None
-            else min(since, since if self.stalled_since is None else self.stalled_since)
+            deployment.config_of(file) != self.host.config
+            or file.name != self.file.name
+            or file.listen != self.file.listen
+            or file.trace != self.file.trace
+            or file.fleet != self.file.fleet
         )
 
-    def caught_up(self) -> None:
-        self.stalled_since = None
-
-    def after_round(self, call: Callable[[], None]) -> None:
-        """Once the sockets have been read: a timer of now comes before that, one set by it after."""
-        self.reactor.callLater(0, self.reactor.callLater, 0, call)
-
-    def step(self, event: GatewayEvent) -> None:
+    def _on_event(self, event: GatewayEvent) -> None:
         """Read the table and act."""
         self.state, effect = next_gateway_state(self.state, event)
-        if effect == "open":
-            self.open()
-        elif effect == "drain":
-            self.log.info("draining", held=self.host.unanswered)
-            if self.channels is not None:
-                self.channels.drain()  # the fleet is told of the leave when its offices are given up
-            elif self.fleet is not None:
-                self.fleet.leave()
-            self.close_ports()
-            self.drain_deadline_call = self.reactor.callLater(
-                self.file.door.drain_s, self.step, GatewayEvent.OVERDUE
-            )
-            self.emptied()
-        elif effect == "stop":
+        if effect is GatewayEffect.LISTEN:
+            self._listen()
+        elif effect is GatewayEffect.DRAIN:
+            self._drain()
+        elif effect is GatewayEffect.STOP:
             self.stop()
 
-    def open(self) -> None:
-        """Listen; an address that cannot be had ends the start with one line."""
-        host, _, port = self.file.listen.rpartition(":")
-        self.listen(host, int(port), SftpClientListener(self), "listening")
-        if self.file.HasField("metrics"):
-            host, _, port = self.file.metrics.rpartition(":")
-            self.listen(host, int(port), self.metrics.page(), "metrics_listening")
-
-    def cannot(self, error: MilletsillError) -> None:
-        """The start is over before it began."""
-        self.log.error("cannot_listen", **error.log_fields())
-        self.state, self.failed = GatewayState.STOPPED, True
-        self.stop()
-
-    def listen(self, host: str, port: int, factory: Any, word: str) -> None:
-        def up(got: Any) -> None:
-            if (
-                self.state is GatewayState.STOPPED
-            ):  # another address could not be had meanwhile
-                got.stopListening()
-                return
-            self.ports.append(got)
-            self.log.info(
-                word,
-                address=f"{host}:{got.getHost().port}",
-                incarnation=self.incarnation,
-            )
-
-        def not_up(failure: Any) -> None:
-            self.cannot(ListenFailed(failure.getErrorMessage(), f"{host}:{port}"))
-
-        TCP4ServerEndpoint(self.reactor, port, interface=host).listen(
-            factory
-        ).addCallbacks(up, not_up)
-
-    def terminate(self) -> None:
-        """SIGTERM: no new transfers, all held ones answered, then the end."""
-        self.step(GatewayEvent.TERM)
-
-    def reload(self, file: Any) -> None:
-        """Another file for what a running gateway can change: bounds of the door, volumes, routes, logs. What the
-        module was told at the start stands until a restart.
-        """
-        if (
-            deployment.config_of(file) != self.host.config
-            or file.name != self.file.name
-            or file.listen != self.file.listen
-            or (file.trace != self.file.trace or file.fleet != self.file.fleet)
-        ):
-            return self.remark(
-                "file_refused",
-                **RestartRequired(
-                    "plans, categories, rules, name, address, traces or fleet are not those of the start"
-                ).log_fields(),
-            )
-        self.file, self.routing_table, self.answer_margin = (
-            file,
-            deployment.routing_table_of(file),
-            deployment.at_least(file.door.answer_margin_ms),
+    def _drain(self) -> None:
+        self.log.info("draining", held=self.host.unanswered)
+        if self.channels is not None:
+            # The fleet is told of the leave when the channels' leases are given up.
+            self.channels.drain()
+        elif self.fleet is not None:
+            self.fleet.leave()
+        self.listening.close()
+        self.drain_deadline_call = self.reactor.callLater(
+            self.file.door.drain_s, self._on_event, GatewayEvent.OVERDUE
         )
-        self.answer_log_limiter = AnswerLogLimiter(file.logging.answers_per_s)
-        self.log = logger(file.logging.level, file.logging.json, gateway=file.name)
-        self.log.info("reloaded", volumes=len(file.volume), routes=len(file.route))
+        self.stop_if_drained()
 
-    def emptied(self) -> None:
-        if (
-            self.state is GatewayState.DRAINING
-            and not self.host.unanswered
-            and not (self.channels is not None and self.channels.held)
-        ):
-            self.reactor.callLater(0, self.step, GatewayEvent.EMPTY)
-
-    def close_ports(self) -> None:
-        ports, self.ports = self.ports, []
-        for each in ports:
-            each.stopListening()
+    def stop_if_drained(self) -> None:
+        """Stop a gateway that drains once nothing is unanswered."""
+        if self.state is not GatewayState.DRAINING or self.host.unanswered:
+            return
+        if self.channels is not None and self.channels.unanswered:
+            return
+        self.reactor.callLater(0, self._on_event, GatewayEvent.EMPTY)
 
     def stop(self) -> None:
         """Cut everything that is left."""
         self.state = GatewayState.STOPPED
         self.log.info("stopped", held=self.host.unanswered)
-        self.close_ports()
+        self.listening.stop()
         self.endpoint_watcher.stop()
         if self.channels is not None:
             self.channels.stop()
         for client in list(self.clients):
             client.transport.loseConnection()
         self.host.stop()
-        for pool in self.pools.values():
-            pool.abort()
-        if self.flows is not None:
-            self.flows.stop()
-        if self.traces is not None:
-            self.traces.stop()
-        if self.parts is not None:
-            self.parts.stop()
-        if self.health is not None:
-            self.health.stop()
-        if self.fleet is not None:
-            self.fleet.stop()
-        for call in (self.check_call, self.drain_deadline_call, self.stall_check_call):
+        self.node_pools.abort()
+        for part in (self.flows, self.traces, self.parts, self.health, self.fleet):
+            if part is not None:
+                part.stop()
+        self.stall_watch.stop()
+        for call in (self.check_call, self.drain_deadline_call):
             if call is not None and call.active():
                 call.cancel()
-        for each in self.stopped:
-            each()
+        for callback in self.on_stopped:
+            callback()
+
+    def _listen(self) -> None:
+        """Listen; an address that cannot be had ends the start with one line."""
+        clients = SftpClientListener(self)
+        self.listening.open(self.file.listen, clients, "listening")
+        if self.file.HasField("metrics"):
+            site = self.metrics.site()
+            self.listening.open(self.file.metrics, site, "metrics_listening")
+
+    def _on_listening(self, event: str, address: str) -> None:
+        self.log.info(event, address=address, incarnation=self.incarnation)
 
-    def look(self, since: int) -> None:
-        """Once a second: idle clients, the loop's lag, gauges."""
+    def _fail_start(self, error: MilletsillError) -> None:
+        """End a start that cannot be made."""
+        self.log.error("cannot_listen", **error.log_fields())
+        self.failed = True
+        self.stop()
+
+    # Time.
+
+    def _schedule_check(self, now: int) -> None:
+        self.check_call = self.reactor.callLater(CHECK_INTERVAL, self._check, now)
+
+    def _check(self, last_check: int) -> None:
+        """Check idle clients, the loop's lag and gauges, once a second."""
         now = self.now()
-        self.metrics.lag.observe(max(now - since - LOOK_EVERY * 10_000, 0) / 10_000)
-        self.metrics.held.set(self.host.unanswered)
+        lag = max(now - last_check - CHECK_INTERVAL * TICKS_PER_SECOND, 0)
+        self.metrics.loop_lag.observe(lag / TICKS_PER_SECOND)
+        self.metrics.unanswered.set(self.host.unanswered)
         self.metrics.clients.set(len(self.clients))
         if self.traces is not None:
             self.traces.look()
         if self.parts is not None:
             self.parts.look()
-        idle = deployment.at_least(self.file.door.idle_s * 1000)
+        max_idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
-            client.tick(idle)
-        self.check_call = self.reactor.callLater(LOOK_EVERY, self.look, now)
+            client.check(max_idle)
+        self._schedule_check(now)
 
-    # The list.
+    # The endpoint list.
 
-    def listed(self, news: EndpointUpdateKind, entries: list[Endpoint]) -> None:
-        self.metrics.news.labels(news.value).inc()
-        self.host.on_endpoints(news, entries)
+    def on_endpoints(self, kind: EndpointUpdateKind, endpoints: list[Endpoint]) -> None:
+        """Pass an update of the endpoint list on."""
+        self.metrics.endpoint_updates.labels(kind.value).inc()
+        self.host.on_endpoints(kind, endpoints)
         if self.health is not None:
-            self.health.listed(news, entries)
+            self.health.listed(kind, endpoints)
         if self.parts is not None:
-            self.parts.listed(entries)
-
-    def moved(self, boxes: list[Box]) -> None:
-        """Links follow the list: a new address gets a pool of its own, a box that left loses its."""
-        self.metrics.boxes.set(len(boxes))
-        for box in boxes:
-            pool = self.pools.get(box.id)
-            if pool is None or pool.address != box.address:
-                if pool is not None:
-                    pool.close()
-                pool = self.pools[box.id] = NodeConnectionPool(
-                    self.reactor,
-                    self.now,
-                    PoolConfig(
-                        box.address,
-                        self.pool_limits,
-                        self.file.name,
-                        self.incarnation,
-                        self.file.links.most_packet,
-                    ),
-                    lambda text, id=box.id: self.remark("link", box=id, reason=text),
-                    metered=self.flows.box(box.id, box.address)
-                    if self.flows is not None
-                    else None,
-                )
-            pool.set_unavailable(box.readiness is not Readiness.READY)
-        for id in self.pools.keys() - {each.id for each in boxes}:
-            self.pools.pop(id).close()
-
-    def carry(
-        self,
-        cargo: CommandPayload,
-        arrival: Request,
-        number: int,
-        node: int,
-        ends: int,
-        ended: AttemptEnded,
-    ) -> PooledExchange | None:
-        """A dispatch as an order to a disk box."""
-        pool = self.pools.get(node)
-        if pool is None:
-            return None
-        gate = cargo.attempt_guard
-        if gate is not None:
-            if not gate.may_send():
-                return None
-            ended = gate.count_dispatch(ended)
-        left = max((arrival.deadline - self.now()) // 10, 1)
-        return pool.send_attempt(
-            Order(
-                self.file.name,
-                self.incarnation,
-                arrival.id,
-                number,
-                arrival.units,
-                arrival.key,
-                left,
-                cargo.ticket,
-                arrival.volume,
-                arrival.sharing_gateways,
-                cargo.category,
-                cargo.mark,
-                cargo.command,
-            ),
-            ended,
-            gate,
-        )
+            self.parts.listed(endpoints)
+
+    def on_nodes(self, nodes: list[Box]) -> None:
+        """Have the connections follow the endpoint list."""
+        self.metrics.nodes.set(len(nodes))
+        self.node_pools.update(nodes)
 
-    # The clients.
+    # Clients.
 
-    def connected(self, client: SftpClientConnection) -> bool:
-        """Whether one more client is taken."""
-        if (
-            len(self.clients) >= self.file.door.most_connections
-            or self.state is not GatewayState.SERVING
-        ):
-            self.remark("client_not_taken", clients=len(self.clients))
+    def on_client_connected(self, client: SftpClientConnection) -> bool:
+        """Take a new client; return False where there is no room for it."""
+        full = len(self.clients) >= self.file.door.most_connections
+        if full or self.state is not GatewayState.SERVING:
+            self.warn("client_not_taken", clients=len(self.clients))
             return False
         self.clients.add(client)
         return True
 
-    def disconnected(self, client: SftpClientConnection) -> None:
+    def on_client_lost(self, client: SftpClientConnection) -> None:
+        """Forget a client."""
         self.clients.discard(client)
-        self.emptied()
+        self.stop_if_drained()
 
-    def refusal(self, ends: int) -> str:
-        """Why a command cannot be taken now; '' for none."""
+    def refusal(self, deadline: int) -> str:
+        """Return why a command cannot be taken now, "" where it can."""
         return refusal_reason(
             self.state,
             self.host.unanswered,
             self.file.door.most_held,
-            ends - self.now(),
-        )
-
-    def told(self, running: CommandExecution, final: str, why: str) -> None:
-        """A command has its answer: counted, and now and then said."""
-        now, name = self.now(), self.category_name(running.category)
-        self.metrics.child(self.metrics.answers, name, final).inc()
-        self.metrics.child(self.metrics.latency, name).observe(
-            (now - running.began) / 10_000
+            deadline - self.now(),
         )
-        if self.traces is not None:
-            self.traces.command(
-                now,
-                running.began,
-                running.volume.name,
-                running.volume.plan,
-                running.category,
-                running.operation,
-                self.routing_table.units(running.operation, running.size),
-                running.legs,
-                running.terms.tries,
-                final,
-                why,
-            )
-        passed = self.answer_log_limiter.take(now)
-        if passed is not None:
-            self.log.info(
-                "answer",
-                final=final,
-                why=why,
-                category=name,
-                volume=running.volume.name,
-                operation=running.operation,
-                ms=(now - running.began) / 10,
-                legs=running.legs,
-                tries=running.terms.tries,
-                unsaid=passed,
-            )
-        self.emptied()
-
-    def remark(self, event: str, **values: Any) -> None:
-        self.log.warning(event, **values)
 
-    # Names and numbers.
+    def on_command_finished(
+        self, execution: CommandExecution, final: str, reason: str
+    ) -> None:
+        """Count a command that has its answer."""
+        self.command_report.on_command_finished(execution, final, reason)
+        self.stop_if_drained()
 
-    def canonical(self, path: str) -> str:
-        return canonical(path)
+    def allows_rename(self, volume: RoutedVolume, path: str, target: str) -> bool:
+        """Return whether a rename can be done: by links, or within one shard."""
+        if volume.placement == VolumePlacement.FREE:
+            return True
+        home_shard = self.routing_table.home_shard
+        return home_shard(volume, path) == home_shard(volume, target)
 
-    def renames(self, volume: RoutedVolume, path: str, target: str) -> bool:
-        """Whether a rename can be done: by links, or within one cell."""
-        return volume.placement == FREE or self.routing_table.home(
-            volume, path
-        ) == self.routing_table.home(volume, target)
+    # Names.
 
     def plan_name(self, volume: RoutedVolume) -> str:
-        return self.file.plan[volume.plan].name
-
-    def category_name(self, place: int) -> str:
-        return self.host.config.request_classes[place].name
+        """Return the name of a volume's service plan."""
+        return str(self.file.plan[volume.plan].name)
 
-    def next_transfer(self) -> int:
-        self.request_count += 1
-        return self.request_count
+    def request_class_name(self, request_class: int) -> str:
+        """Return the name of a request class."""
+        return self.host.config.request_classes[request_class].name
 
-    def object_name(self) -> str:
-        """A name on a box that no other gateway or run gives."""
-        self.object_count += 1
-        return f"#{self.file.name}.{self.incarnation}.{self.object_count}"
+    def warn(self, event: str, /, **values: Any) -> None:
+        """Log a warning."""
+        self.log.warning(event, **values)
 
-    def mark(self) -> str:
-        self.key_count += 1
-        return f"{self.file.name}.{self.incarnation}.{self.key_count}"
+    def inform(self, event: str, /, **values: Any) -> None:
+        """Log an event."""
+        self.log.info(event, **values)
--- a/milletsill/sftp_gateway/gateway_context.py
+++ b/milletsill/sftp_gateway/gateway_context.py
@@ -1,60 +1,82 @@
-"""What the door's connections and commands may ask of the gateway around them. `service.Edge` is it; arrows run to here."""
+"""What connections and commands of clients may ask of the gateway around them.
+
+`gateway.SftpGateway` is it; imports run towards here. Times are tenths of a
+millisecond.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from milletsill.sftp_gateway.routing import LocationCache, RoutedVolume
+from milletsill.sftp_gateway.object_location import LocationCache
+from milletsill.sftp_gateway.routing_table import RoutedVolume, RoutingTable
 
 
 class GatewayContext(Protocol):
-    """The gateway as its clients' connections and commands see it. Times are tenths of a millisecond."""
+    """The gateway as its clients' connections and commands see it.
+
+    Attributes:
+        file: the operator's settings.
+        routing_table: from commands to requests.
+        host: of the scheduler.
+        answer_margin: by which an answer leaves before the client's time is up.
+        location_cache: where new objects were last seen.
+        traces, flows, parts, channels: None where the file asks for none.
+        extensions: of SFTP that are offered beside those that always are.
+        now: the monotonic clock.
+    """
 
     file: Any
-    atlas: Any
+    routing_table: RoutingTable
     host: Any
-    margin: int
-    locations: LocationCache
-    traces: Any  # None where the file asks for none, like `flows` and `parts`
+    answer_margin: int
+    location_cache: LocationCache
+    traces: Any
     flows: Any
     parts: Any
     channels: Any
-    extensions: tuple[str, ...]  # of the door, beside those that always stand
+    extensions: tuple[str, ...]
     now: Callable[[], int]
 
-    def connected(self, client: Any) -> bool:
-        """Whether one more client is taken."""
+    def on_client_connected(self, client: Any) -> bool:
+        """Take a new client; return False where there is no room for it."""
 
-    def disconnected(self, client: Any) -> None: ...
+    def on_client_lost(self, client: Any) -> None:
+        """Forget a client."""
 
     def unread_since(self) -> int | None:
-        """Since when what is read now may have lain unread; None where it is as new as it looks."""
+        """Return since when what is read now may have lain unread.
 
-    def refusal(self, ends: int) -> str:
-        """Why a command cannot be taken now; '' for none."""
+        None where it is as new as it looks.
+        """
 
-    def told(self, running: Any, final: str, why: str) -> None:
-        """A command has its answer."""
+    def refusal(self, deadline: int) -> str:
+        """Return why a command cannot be taken now, "" where it can."""
 
-    def remark(self, event: str, **values: Any) -> None:
-        """A line of the log."""
+    def on_command_finished(self, execution: Any, final: str, reason: str) -> None:
+        """Count a command that has its answer."""
 
-    def after_round(self, call: Callable[[], None]) -> None:
-        """Once the sockets have been read."""
+    def warn(self, event: str, /, **values: Any) -> None:
+        """Log a warning."""
 
-    def canonical(self, path: str) -> str: ...
+    def after_reads(self, call: Callable[[], None]) -> None:
+        """Call once the sockets that are ready have been read."""
 
-    def renames(self, volume: RoutedVolume, path: str, target: str) -> bool:
-        """Whether a rename can be done."""
+    def allows_rename(self, volume: RoutedVolume, path: str, target: str) -> bool:
+        """Return whether a rename can be done: by links, or within one shard."""
 
-    def plan_name(self, volume: RoutedVolume) -> str: ...
+    def plan_name(self, volume: RoutedVolume) -> str:
+        """Return the name of a volume's service plan."""
 
-    def category_name(self, place: int) -> str: ...
+    def request_class_name(self, request_class: int) -> str:
+        """Return the name of a request class."""
 
-    def next_transfer(self) -> int: ...
+    def next_request_id(self) -> int:
+        """Return an id that no other request of this start has."""
 
-    def object_name(self) -> str:
-        """A name on a box that no other gateway or run gives."""
+    def new_object_name(self) -> str:
+        """Return a name on a node that no other gateway or start gives."""
 
-    def mark(self) -> str: ...
+    def new_idempotency_key(self) -> str:
+        """Return a key for a command whose client gave none."""
--- a/milletsill/sftp_gateway/incarnation.py
+++ b/milletsill/sftp_gateway/incarnation.py
@@ -1,4 +1,4 @@
-"""Which run of a gateway this is: a number kept on disk that grows with each start."""
+"""Which start of a gateway this is: a number on disk that grows with each start."""
 
 from __future__ import annotations
 
@@ -7,30 +7,39 @@
 
 from milletsill.sftp_gateway.errors import IncarnationNotStored
 
-MOST = 0xFFFFFFFF
+MAX_INCARNATION = 0xFFFFFFFF
+MAX_DIGITS = 20
 
 
 def next_incarnation(path: str) -> tuple[int, IncarnationNotStored | None]:
-    """The number of this run and a complaint, None for none. Where it cannot be kept it is taken from the wall clock,
-    which is past any count of starts, so no two runs share one.
+    """Return the number of this start, and the error if it cannot be kept.
+
+    Then it is taken from the wall clock, which is past any count of starts, so no two
+    starts share one.
     """
-    held, complaint = 0, None
+    error: IncarnationNotStored | None = None
+    last = 0
     try:
         with open(path, encoding="ascii") as source:
-            held = int(source.read(20))
+            last = int(source.read(MAX_DIGITS))
     except FileNotFoundError:
         pass
-    except (OSError, ValueError) as error:
-        complaint, held = IncarnationNotStored(str(error), path), int(time.time())
-    number = min(max(held, 0) + 1, MOST)
-    failed = keep(path, number)
-    if failed is not None:
-        return min(max(int(time.time()), number), MOST), failed
-    return number, complaint
+    except (OSError, ValueError) as cause:
+        error = IncarnationNotStored(str(cause), path)
+        last = int(time.time())
+    number = min(max(last, 0) + 1, MAX_INCARNATION)
+    store_error = store_incarnation(path, number)
+    if store_error is not None:
+        return min(max(int(time.time()), number), MAX_INCARNATION), store_error
+    return number, error
+
 
+def store_incarnation(path: str, number: int) -> IncarnationNotStored | None:
+    """Write a start's number, so that the next start goes past it.
 
-def keep(path: str, number: int) -> IncarnationNotStored | None:
-    """Write a run down, so that the next start goes past it; None or why not."""
+    Returns:
+        None, or why it could not be written.
+    """
     try:
         with open(f"{path}.new", "w", encoding="ascii") as sink:
             sink.write(f"{number}\n")
--- /dev/null
+++ b/milletsill/sftp_gateway/listening_ports.py
@@ -0,0 +1,64 @@
+"""The addresses that a gateway listens on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet import endpoints
+
+from milletsill.errors import ListenFailed
+
+make_endpoint: Any = endpoints.TCP4ServerEndpoint
+
+
+class ListeningPorts:
+    """Opens listening ports, and closes them all together.
+
+    `on_listening` hears the event's name and the address of each port that is open,
+    `on_failed` of each address that cannot be had.
+
+    Attributes:
+        ports: those that are open, in the order in which they were opened.
+    """
+
+    def __init__(
+        self,
+        reactor: Any,
+        on_listening: Callable[[str, str], None],
+        on_failed: Callable[[ListenFailed], None],
+    ) -> None:
+        self.reactor = reactor
+        self.on_listening = on_listening
+        self.on_failed = on_failed
+        self.ports: list[Any] = []
+        self.stopped = False
+
+    def open(self, address: str, factory: Any, event: str) -> None:
+        """Listen on host:port; the factory makes the connections."""
+        host, _, port = address.rpartition(":")
+
+        def on_open(opened: Any) -> None:
+            if self.stopped:  # another address could not be had meanwhile
+                opened.stopListening()
+                return
+            self.ports.append(opened)
+            self.on_listening(event, f"{host}:{opened.getHost().port}")
+
+        def on_failure(failure: Any) -> None:
+            self.on_failed(ListenFailed(failure.getErrorMessage(), address))
+
+        endpoint = make_endpoint(self.reactor, int(port), interface=host)
+        endpoint.listen(factory).addCallbacks(on_open, on_failure)
+
+    def close(self) -> None:
+        """Close every port that is open."""
+        ports = self.ports
+        self.ports = []
+        for port in ports:
+            port.stopListening()
+
+    def stop(self) -> None:
+        """Close every port for good: one that opens later is closed at once."""
+        self.stopped = True
+        self.close()
--- a/milletsill/sftp_gateway/metrics.py
+++ b/milletsill/sftp_gateway/metrics.py
@@ -1,8 +1,10 @@
-"""The gateway's figures on prometheus-client, and their page. Each instance has a registry of its own."""
+"""The gateway's metrics on prometheus-client, and their page.
+
+Each gateway has a registry of its own.
+"""
 
 from __future__ import annotations
 
-from functools import lru_cache
 from typing import Any
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
@@ -10,7 +12,8 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-SPANS = (
+# Seconds.
+LATENCY_BUCKETS = (
     0.005,
     0.01,
     0.025,
@@ -24,93 +27,97 @@
     1.5,
     3.0,
     6.0,
-)  # seconds
+)
+MAX_CACHED_CHILDREN = 4096
+TICKS_PER_SECOND = 10_000
+# Twisted gives these no types.
+make_resource: Any = Resource
+make_site: Any = Site
+make_metrics_page: Any = MetricsResource
 
 
 class GatewayMetrics:
     """What is counted; names are those of docs/operators.md."""
 
     def __init__(self) -> None:
-        self.registry = registry = CollectorRegistry()
-        self.answers = Counter(
-            "milletsill_answers",
-            "Commands by final answer",
-            ("category", "final"),
-            registry=registry,
+        self.registry = CollectorRegistry()
+        self.answers = self._counter(
+            "milletsill_answers", "Commands by final answer", "category", "final"
         )
-        self.latency = Histogram(
+        self.latency = self._histogram(
             "milletsill_answer_seconds",
             "From taking a command to its answer",
-            ("category",),
-            buckets=SPANS,
-            registry=registry,
-        )
-        self.dispatches = Counter(
-            "milletsill_dispatches",
-            "Dispatches sent, first or further",
-            ("which",),
-            registry=registry,
-        )
-        self.outcomes = Counter(
-            "milletsill_outcomes",
-            "Dispatches by how they ended",
-            ("outcome",),
-            registry=registry,
+            "category",
         )
-        self.box_seconds = Histogram(
-            "milletsill_dispatch_seconds",
-            "Time of a dispatch",
-            buckets=SPANS,
-            registry=registry,
+        self.attempts = self._counter(
+            "milletsill_dispatches", "Attempts sent, first or further", "which"
         )
-        self.held = Gauge(
-            "milletsill_held", "Transfers without a final answer", registry=registry
+        self.outcomes = self._counter(
+            "milletsill_outcomes", "Attempts by how they ended", "outcome"
         )
-        self.clients = Gauge(
-            "milletsill_clients", "Client connections", registry=registry
+        self.attempt_time = self._histogram(
+            "milletsill_dispatch_seconds", "Time of an attempt"
         )
-        self.boxes = Gauge(
-            "milletsill_boxes", "Boxes of the last list", registry=registry
+        self.unanswered = self._gauge(
+            "milletsill_held", "Requests without a final answer"
         )
-        self.news = Counter(
-            "milletsill_list_news",
-            "News of the list by kind",
-            ("kind",),
-            registry=registry,
+        self.clients = self._gauge("milletsill_clients", "Client connections")
+        self.nodes = self._gauge("milletsill_boxes", "Nodes of the last endpoint list")
+        self.endpoint_updates = self._counter(
+            "milletsill_list_news", "Updates of the endpoint list by kind", "kind"
         )
-        self.faults = Counter(
-            "milletsill_faults", "Faults of the program", registry=registry
+        self.faults = self._counter("milletsill_faults", "Faults of the program")
+        self.collector_pauses = self._histogram(
+            "milletsill_collector_seconds", "Pauses of Python's garbage collector"
         )
-        self.collections = Histogram(
-            "milletsill_collector_seconds",
-            "Pauses of Python's garbage collector",
-            buckets=SPANS,
-            registry=registry,
-        )
-        self.lag = Histogram(
-            "milletsill_loop_lag_seconds",
-            "How late the event loop was",
-            buckets=SPANS,
-            registry=registry,
+        self.loop_lag = self._histogram(
+            "milletsill_loop_lag_seconds", "How late the event loop was"
         )
+        self._children: dict[tuple[Any, ...], Any] = {}
+
+    def _counter(self, name: str, help: str, *labels: str) -> Counter:
+        return Counter(name, help, labels, registry=self.registry)
 
-        # Children are looked up once: what is counted has few names, all known from the operator's file.
-        self.child = lru_cache(maxsize=4096)(
-            lambda figure, *labels: figure.labels(*labels)
+    def _gauge(self, name: str, help: str) -> Gauge:
+        return Gauge(name, help, registry=self.registry)
+
+    def _histogram(self, name: str, help: str, *labels: str) -> Histogram:
+        return Histogram(
+            name, help, labels, buckets=LATENCY_BUCKETS, registry=self.registry
         )
 
-    def note(self, what: str, *values: Any) -> None:
-        """What the host saw."""
+    def _child(self, metric: Any, *labels: str) -> Any:
+        """Return a metric's child, looked up once.
+
+        There are few: all labels are known from the operator's file.
+        """
+        key = (metric, *labels)
+        child = self._children.get(key)
+        if child is None:
+            child = metric.labels(*labels)
+            if len(self._children) < MAX_CACHED_CHILDREN:
+                self._children[key] = child
+        return child
+
+    def count_answer(self, request_class: str, final: str, seconds: float) -> None:
+        """Count a command that has its answer."""
+        self._child(self.answers, request_class, final).inc()
+        self._child(self.latency, request_class).observe(seconds)
+
+    def count_host_event(self, what: str, *values: Any) -> None:
+        """Count an event of the scheduler's host."""
         if what == "dispatch":
-            self.child(self.dispatches, "further" if values[0] else "first").inc()
+            which = "further" if values[0] else "first"
+            self._child(self.attempts, which).inc()
         elif what == "ended":
-            self.child(self.outcomes, values[0]).inc()
-            self.box_seconds.observe(values[1] / 10_000)
-
-    def page(self) -> Site:
-        """A site with /metrics on it."""
-        root = Resource()
-        root.putChild(b"metrics", MetricsResource(registry=self.registry))
-        site = Site(root)
+            outcome, duration = values
+            self._child(self.outcomes, outcome).inc()
+            self.attempt_time.observe(duration / TICKS_PER_SECOND)
+
+    def site(self) -> Site:
+        """Return a site with /metrics on it."""
+        root: Any = make_resource()
+        root.putChild(b"metrics", make_metrics_page(registry=self.registry))
+        site: Site = make_site(root)
         site.noisy = False
         return site
--- /dev/null
+++ b/milletsill/sftp_gateway/node_pools.py
@@ -0,0 +1,136 @@
+"""The connections to the nodes of the endpoint list, and the attempts sent on them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
+
+from milletsill.gateway.active_requests import AttemptEnded
+from milletsill.interface import Readiness, Request
+from milletsill.node_connections.attempt_exchange import PooledExchange
+from milletsill.node_connections.connection_pool import NodeConnectionPool
+from milletsill.node_connections.connection_state import PoolLimits
+from milletsill.node_connections.pool_config import PoolConfig
+from milletsill.registry.endpoint_view import Box
+from milletsill.sftp.extensions import Order
+from milletsill.sftp_gateway.command_payload import CommandPayload
+from milletsill.sftp_gateway.identifiers import IdentifierSource
+
+MILLISECOND = 10  # in tenths of a millisecond
+
+
+@dataclass(frozen=True, slots=True)
+class SftpNodePoolsConfig:
+    """What the pools are given.
+
+    Attributes:
+        limits: of each pool.
+        max_packet: octets of a packet from a node.
+        warn: takes a warning for the log.
+        meter_node: makes the flow meter of a node from its id and address; None
+            without flow export.
+    """
+
+    limits: PoolLimits
+    max_packet: int
+    warn: Callable[..., None]
+    meter_node: Callable[[int, str], Callable[..., None]] | None = None
+
+
+class SftpNodePools:
+    """One pool of connections for each node of the endpoint list."""
+
+    def __init__(
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        identifiers: IdentifierSource,
+        config: SftpNodePoolsConfig,
+    ) -> None:
+        self.reactor = reactor
+        self.now = now
+        self.identifiers = identifiers
+        self.config = config
+        self.pools: dict[int, NodeConnectionPool] = {}
+
+    def update(self, nodes: Sequence[Box]) -> None:
+        """Follow the endpoint list.
+
+        A new address gets a pool of its own, a node that left loses its pool.
+        """
+        for node in nodes:
+            pool = self.pools.get(node.id)
+            if pool is None or pool.address != node.address:
+                if pool is not None:
+                    pool.close()
+                pool = self._make_pool(node)
+                self.pools[node.id] = pool
+            pool.set_unavailable(node.readiness is not Readiness.READY)
+        for id in self.pools.keys() - {each.id for each in nodes}:
+            self.pools.pop(id).close()
+
+    def _make_pool(self, node: Box) -> NodeConnectionPool:
+        config, meter_node = self.config, self.config.meter_node
+        return NodeConnectionPool(
+            self.reactor,
+            self.now,
+            PoolConfig(
+                node.address,
+                config.limits,
+                self.identifiers.gateway,
+                self.identifiers.incarnation,
+                config.max_packet,
+            ),
+            partial(self._warn, node.id),
+            metered=meter_node(node.id, node.address) if meter_node else None,
+        )
+
+    def _warn(self, node: int, reason: str) -> None:
+        self.config.warn("link", box=node, reason=reason)
+
+    def send_attempt(
+        self,
+        payload: CommandPayload,
+        request: Request,
+        number: int,
+        node: int,
+        deadline: int,
+        ended: AttemptEnded,
+    ) -> PooledExchange | None:
+        """Send one attempt to a node; None where it cannot be sent.
+
+        The host's deadline is not told: the node hears how long the client waits.
+        """
+        pool = self.pools.get(node)
+        if pool is None:
+            return None
+        guard = payload.attempt_guard
+        if guard is not None:
+            if not guard.may_send():
+                return None
+            ended = guard.count_dispatch(ended)
+        return pool.send_attempt(self._order(payload, request, number), ended, guard)
+
+    def _order(self, payload: CommandPayload, request: Request, number: int) -> Order:
+        return Order(
+            self.identifiers.gateway,
+            self.identifiers.incarnation,
+            request.id,
+            number,
+            request.units,
+            request.key,
+            max((request.deadline - self.now()) // MILLISECOND, 1),
+            payload.idempotency_key,
+            request.volume,
+            request.sharing_gateways,
+            payload.request_class,
+            payload.mark,
+            payload.command,
+        )
+
+    def abort(self) -> None:
+        """Cut every connection."""
+        for pool in self.pools.values():
+            pool.abort()
--- /dev/null
+++ b/milletsill/sftp_gateway/numbered_commands.py
@@ -0,0 +1,134 @@
+"""What a client's numbered command asks for, and why it may not have a number."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from typing import Any
+
+from milletsill.fleet.channels.commands import NumberedRequest
+from milletsill.fleet.channels.contracts import ContractCatalog
+from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.wire import bytes_of
+from milletsill.sftp_gateway.client_handles import HandleTable
+from milletsill.sftp_gateway.command_classification import (
+    OPERATIONS,
+    WRITE_OPERATIONS,
+    canonical_path,
+)
+from milletsill.sftp_gateway.gateway_context import GatewayContext
+from milletsill.sftp_gateway.routing_table import RoutedVolume
+
+
+@dataclass(frozen=True, slots=True)
+class ChannelHandle:
+    """What a client's channel handle stands for."""
+
+    volume: RoutedVolume
+    name: str
+    claim: int
+    contract: str
+
+
+@dataclass(frozen=True, slots=True)
+class NumberRefusal:
+    """Why a command cannot have a number."""
+
+    reason: str
+
+
+def names_handle(command: Any) -> bool:
+    """Return whether a command comes through a handle."""
+    return hasattr(command, "handle") or isinstance(command, packets.Extended)
+
+
+class NumberedCommandReader:
+    """Reads numbered commands: each must write, and take one request."""
+
+    def __init__(self, gateway: GatewayContext, catalog: ContractCatalog) -> None:
+        self.gateway = gateway
+        self.catalog = catalog
+
+    def read(
+        self, handles: HandleTable, channel: ChannelHandle, given: wire.Numbered
+    ) -> NumberedRequest | NumberRefusal:
+        """Return what a client wants of a channel."""
+        command = given.command
+        path = self._path_of(handles, command, channel.volume)
+        if isinstance(path, NumberRefusal):
+            return path
+        operation = OPERATIONS[type(command)]
+        if not self.catalog.covers_operation(
+            channel.contract, channel.volume.name, operation
+        ):
+            return NumberRefusal(
+                f"contract {channel.contract} does not cover this operation: send it "
+                "without a number"
+            )
+        return NumberedRequest(
+            given.number,
+            channel.claim,
+            given.batch,
+            given.last,
+            given.terms,
+            path,
+            self._command_on_path(command, path),
+        )
+
+    def _command_on_path(self, command: Any, path: str) -> Any:
+        """Return the command with its path in place of a handle, and without an id."""
+        if hasattr(command, "handle"):
+            return replace(command, id=0, handle=bytes_of(path))
+        if isinstance(command, packets.Extended):
+            return extensions.put_fsync(0, bytes_of(path))
+        return packets.with_id(command, 0)
+
+    def _path_of(
+        self, handles: HandleTable, command: Any, volume: RoutedVolume
+    ) -> str | NumberRefusal:
+        if OPERATIONS.get(type(command)) not in WRITE_OPERATIONS:
+            return NumberRefusal(
+                "only a command that writes can have a number: send it without"
+            )
+        if names_handle(command):
+            return self._path_of_handle(handles, command, volume)
+        return self._path_in_volume(command, volume)
+
+    def _path_of_handle(
+        self, handles: HandleTable, command: Any, volume: RoutedVolume
+    ) -> str | NumberRefusal:
+        handle = (
+            command.handle
+            if hasattr(command, "handle")
+            else extensions.read_fsync(command)
+        )
+        opened = handles.get(handle)
+        if opened is None or opened.location is None or opened.volume is not volume:
+            return NumberRefusal("no such handle of this channel's volume")
+        most = self.gateway.routing_table.max_request_bytes
+        if isinstance(command, packets.Write) and len(command.data) > most:
+            return NumberRefusal(
+                f"a write of {len(command.data)} bytes, {most} at most"
+            )
+        return opened.path
+
+    def _path_in_volume(
+        self, command: Any, volume: RoutedVolume
+    ) -> str | NumberRefusal:
+        table = self.gateway.routing_table
+        path = canonical_path(command.path)
+        if table.volume_of(path) is not volume or path == volume.root:
+            return NumberRefusal("this lies outside the channel's volume")
+        if isinstance(command, packets.Rename):
+            target = canonical_path(command.target)
+            stays = table.volume_of(target) is volume
+            if not stays or not self.gateway.allows_rename(volume, path, target):
+                return NumberRefusal(
+                    "a numbered rename must stay within its volume and cell"
+                )
+        if isinstance(command, packets.Rmdir) and len(volume.shards) > 1:
+            return NumberRefusal(
+                "a directory over several cells is no single transfer: remove it "
+                "without a number"
+            )
+        return path
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -112,8 +112,8 @@
         edges = await rig.gateways()
         channel_client = await ChannelClient.open(rig, edges[0])
         for each in edges:
-            each.channels.offices.acquire = lambda key, got: None
-            each.channels.offices.write = lambda term, value, wrote: None
+            each.channels.leases.acquire = lambda key, got: None
+            each.channels.leases.write = lambda term, value, wrote: None
         began = time.monotonic()
         write = packets.Write(0, channel_client.file, 8, b"00000001")
         put = channel_client.client.command(
@@ -132,7 +132,11 @@
             )  # a quarter of a second for a machine that is busy
             self.assertEqual(answer_kind(await asked), word)
         self.assertEqual(
-            (sum(each.channels.held for each in edges), rig.effects, rig.traces()),
+            (
+                sum(each.channels.unanswered for each in edges),
+                rig.effects,
+                rig.traces(),
+            ),
             (0, [], []),
         )
 
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -85,13 +85,13 @@
 
         factory = Factory.forProtocol(lambda: client)
         await TCP4ClientEndpoint(
-            reactor, "127.0.0.1", self.edge.ports[0].getHost().port
+            reactor, "127.0.0.1", self.edge.listening.ports[0].getHost().port
         ).connect(factory)
         rig.clients.append(client)
         await client.ready
         await self.work(rig, client)
         ended = defer.Deferred()
-        self.edge.stopped.append(lambda: ended.callback(None))
+        self.edge.on_stopped.append(lambda: ended.callback(None))
         self.edge.terminate()
         await ended
         await later(0.3)
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -3,7 +3,6 @@
 """
 
 import unittest
-from types import SimpleNamespace
 from unittest import mock
 
 from milletsill.interface import AttemptOutcome, Readiness
@@ -14,8 +13,9 @@
 from milletsill.sftp import extensions, packets
 from milletsill.sftp.extensions import Order
 from milletsill.sftp.framing import Deframer
-from milletsill.sftp_gateway import gateway
-from milletsill.sftp_gateway.gateway import SftpGateway
+from milletsill.sftp_gateway import node_pools
+from milletsill.sftp_gateway.identifiers import IdentifierSource
+from milletsill.sftp_gateway.node_pools import SftpNodePools, SftpNodePoolsConfig
 from tests.support.loopback import Loop, listening, receive
 
 BOUNDS = PoolLimits(
@@ -178,8 +178,12 @@
             def close(self):
                 said.append((self.address, "closed"))
 
-        edge = SftpGateway.__new__(SftpGateway)
-        edge.pools = {}
+        pools = SftpNodePools(
+            None,
+            None,
+            IdentifierSource("e", 1),
+            SftpNodePoolsConfig(BOUNDS, 1, lambda *values: None),
+        )
         for boxes, expected in (
             ([("a:1", Readiness.READY)], [("a:1", False)]),
             ([("a:1", Readiness.DRAINING)], [("a:1", True)]),
@@ -189,20 +193,17 @@
         ):
             said.clear()
             follow(
-                edge,
+                pools,
                 Spy,
                 [Box(1, address, state, 1.0, 0, 0, 0, 0) for address, state in boxes],
             )
             self.assertEqual(said, expected)
 
 
-def follow(edge, pool, boxes):
-    """What the edge does with a list, with pools that only write down what they are told."""
-    edge.metrics = SimpleNamespace(boxes=SimpleNamespace(set=lambda value: None))
-    edge.reactor = edge.now = edge.pool_limits = edge.incarnation = edge.flows = None
-    edge.file = SimpleNamespace(name="e", links=SimpleNamespace(most_packet=1))
-    with mock.patch.object(gateway, "NodeConnectionPool", pool):
-        edge.moved(boxes)
+def follow(pools, pool, boxes):
+    """Take a list, with pools that only write down what they are told."""
+    with mock.patch.object(node_pools, "NodeConnectionPool", pool):
+        pools.update(boxes)
 
 
 if __name__ == "__main__":
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -64,7 +64,7 @@
         rig = Rig(self)
         edge = await rig.edge()
         client = FileTransferClient()
-        port = edge.ports[0].getHost().port
+        port = edge.listening.ports[0].getHost().port
         await TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(
             protocol.Factory.forProtocol(lambda: client)
         )
@@ -263,7 +263,8 @@
             await later(0.1)
             await other.command(packets.Stat(0, "/h"))
             most = max(
-                [most, edge.host.unanswered] + [len(each.out) for each in edge.clients]
+                [most, edge.host.unanswered]
+                + [len(each.outstanding) for each in edge.clients]
             )
             if len(edge.clients) == 1:
                 break
@@ -370,14 +371,14 @@
         edge = await rig.edge()
         client = await rig.client(edge)
         door = next(iter(edge.clients))
-        edge.stall_check_call.cancel()  # it stands between a beat and the read, 0.6 s long
-        stood = edge.last_stall_check = edge.now() - 6000
-        self.assertEqual(door.came(), stood)
-        edge.beat()
-        self.assertEqual(door.came(), stood)  # all that is read in this turn
-        while door.came() == stood:
+        edge.stall_watch.check_call.cancel()  # it stands between a beat and the read, 0.6 s long
+        stood = edge.stall_watch.last_check = edge.now() - 6000
+        self.assertEqual(door.arrival_time(), stood)
+        edge.stall_watch.check()
+        self.assertEqual(door.arrival_time(), stood)  # all that is read in this turn
+        while door.arrival_time() == stood:
             await later(0.005)
-        self.assertLess(edge.now() - door.came(), 3000)
+        self.assertLess(edge.now() - door.arrival_time(), 3000)
         self.assertTrue(client.transport.connected)
 
     async def test_term_in_a_surge_answers_all_that_is_held_and_ends(self):
@@ -389,7 +390,7 @@
         going = [client.command(packets.Read(0, handle, 0, 4)) for _ in range(8)]
         await later(0.001)
         ended = defer.Deferred()
-        edge.stopped.append(lambda: ended.callback(None))
+        edge.on_stopped.append(lambda: ended.callback(None))
         edge.terminate()
         late = client.command(packets.Stat(0, "/h/x"))
         answers = await defer.gatherResults(going)
@@ -422,7 +423,8 @@
         rig.registry.set_away(False)
         await later(1.5)
         self.assertEqual(
-            (sorted(edge.pools), edge.endpoint_watcher.stage.name), ([0, 1], "WATCHING")
+            (sorted(edge.node_pools.pools), edge.endpoint_watcher.stage.name),
+            ([0, 1], "WATCHING"),
         )
 
     async def test_plain_metrics_tell_answers(self):
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -8,42 +8,58 @@
 )
 from milletsill.sftp import packets
 from milletsill.sftp.wire import Attrs
-from milletsill.sftp_gateway.routing import (
-    BY_DIRECTORY,
-    FREE,
-    HASHED,
-    AnswerLogLimiter,
-    RoutingTable,
-    CommandStrategy,
-    SftpClientState,
-    GatewayEvent,
-    InvalidPath,
+from milletsill.sftp_gateway.answer_log import AnswerLogLimiter
+from milletsill.sftp_gateway.client_state import (
+    SftpClientEffect,
     SftpClientEvent,
+    SftpClientState,
+    flow_control_event,
+    next_client_state,
+)
+from milletsill.sftp_gateway.command_classification import InvalidPath, canonical_path
+from milletsill.sftp_gateway.command_steps import (
     CommandStep,
-    LocationCache,
-    GatewayState,
+    CommandStrategy,
+    PageOutcome,
+    StepEffect,
     StepResult,
-    RouteRule,
-    ObjectLocation,
-    RoutedVolume,
-    refusal_reason,
+    first_step,
     next_step,
-    canonical,
+    page_outcome,
+    result_for_client,
+    step_result,
     strategy_for,
+)
+from milletsill.sftp_gateway.gateway_state import (
+    GatewayEffect,
+    GatewayEvent,
+    GatewayState,
     client_deadline,
-    first_step,
-    flow_control_event,
-    next_client_state,
-    page,
     next_gateway_state,
-    step_result,
-    parse_location,
+    refusal_reason,
+)
+from milletsill.sftp_gateway.object_location import (
+    LocationCache,
+    ObjectLocation,
     format_location,
-    told,
+    parse_location,
+)
+from milletsill.sftp_gateway.routing_table import (
+    RequestSizing,
+    RoutedVolume,
+    RouteRule,
+    RoutingTable,
+    VolumePlacement,
 )
 
 
-def place(number=1, name="suva", root="/suva", cells=(0, 1, 2), placement=HASHED):
+def place(
+    number=1,
+    name="suva",
+    root="/suva",
+    cells=(0, 1, 2),
+    placement=VolumePlacement.HASHED,
+):
     return RoutedVolume(number, name, root, 0, tuple(cells), 3, placement)
 
 
@@ -54,7 +70,9 @@
         RouteRule(frozenset(), "", 0, 0),
     ]
     return RoutingTable(
-        volumes or (place(), place(2, "b", "/a/b")), routes, 4096, 8, 65536
+        volumes or (place(), place(2, "b", "/a/b")),
+        routes,
+        RequestSizing(4096, 8, 65536),
     )
 
 
@@ -66,17 +84,17 @@
             ("/../../a", "/a"),
             ("/a/b/../c/", "/a/c"),
         ):
-            self.assertEqual(canonical(given), made)
+            self.assertEqual(canonical_path(given), made)
 
     def test_a_zero_byte_or_endless_path_is_refused(self):
         for bad in ("a\0b", "a" * 5000):
             with self.assertRaises(InvalidPath):
-                canonical(bad)
+                canonical_path(bad)
 
     def test_the_volume_is_that_of_the_root_above(self):
         self.assertEqual(
             [
-                getattr(routing_table().volume(each), "name", None)
+                getattr(routing_table().volume_of(each), "name", None)
                 for each in ("/suva", "/suva/x/y", "/suvarov", "/a", "/a/b/c")
             ],
             ["suva", "suva", None, None, "b"],
@@ -85,9 +103,9 @@
     def test_names_above_volumes(self):
         self.assertEqual(
             (
-                routing_table().above("/"),
-                routing_table().above("/a"),
-                routing_table().above("/suva"),
+                routing_table().names_below("/"),
+                routing_table().names_below("/a"),
+                routing_table().names_below("/suva"),
             ),
             (["a", "suva"], ["b"], []),
         )
@@ -96,10 +114,10 @@
         of = routing_table()
         self.assertEqual(
             [
-                of.category("read", place(), 9000),
-                of.category("read", place(), 5),
-                of.category("read", place(2, "b"), 5),
-                of.category("write", place(), 9000),
+                of.request_class("read", place(), 9000),
+                of.request_class("read", place(), 5),
+                of.request_class("read", place(2, "b"), 5),
+                of.request_class("write", place(), 9000),
             ],
             [2, 1, 0, 0],
         )
@@ -120,14 +138,14 @@
 class Homes(unittest.TestCase):
     def test_every_gateway_finds_the_same_home(self):
         self.assertEqual(
-            routing_table().home(place(), "/suva/x"),
-            routing_table().home(place(cells=(2, 1, 0)), "/suva/x"),
+            routing_table().home_shard(place(), "/suva/x"),
+            routing_table().home_shard(place(cells=(2, 1, 0)), "/suva/x"),
         )
 
     def test_a_cell_that_leaves_moves_only_its_own_paths(self):
         of, paths = routing_table(), [f"/suva/{each}" for each in range(500)]
-        before = {each: of.home(place(), each) for each in paths}
-        after = {each: of.home(place(cells=(0, 1)), each) for each in paths}
+        before = {each: of.home_shard(place(), each) for each in paths}
+        after = {each: of.home_shard(place(cells=(0, 1)), each) for each in paths}
         self.assertTrue(
             all(after[each] == before[each] for each in paths if before[each] != 2)
         )
@@ -136,11 +154,11 @@
         )
 
     def test_by_directory_a_directorys_files_share_a_cell(self):
-        volume = place(placement=BY_DIRECTORY, cells=range(9))
+        volume = place(placement=VolumePlacement.BY_DIRECTORY, cells=range(9))
         self.assertEqual(
             len(
                 {
-                    routing_table().home(volume, f"/suva/day/{each}")
+                    routing_table().home_shard(volume, f"/suva/day/{each}")
                     for each in range(50)
                 }
             ),
@@ -149,8 +167,8 @@
 
     def test_extents_differ_by_offset_and_are_never_none(self):
         of = routing_table()
-        self.assertEqual(of.extent("/a", 0), of.extent("/a", 65535))
-        self.assertNotEqual(of.extent("/a", 0), of.extent("/a", 65536))
+        self.assertEqual(of.request_key("/a", 0), of.request_key("/a", 65535))
+        self.assertNotEqual(of.request_key("/a", 0), of.request_key("/a", 65536))
 
     def test_a_spot_comes_back_from_its_text(self):
         self.assertEqual(
@@ -170,7 +188,7 @@
         for each in "abc":
             held.put(each, ObjectLocation(1, each))
         self.assertEqual(
-            (held.get("a"), held.get("c"), len(held.held)),
+            (held.get("a"), held.get("c"), len(held.entries)),
             (None, ObjectLocation(1, "c"), 2),
         )
 
@@ -179,57 +197,57 @@
     def test_how_commands_go(self):
         opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, Attrs())
         for command, placement, course in (
-            (opening, HASHED, CommandStrategy.PLAIN),
-            (opening, FREE, CommandStrategy.MAKE),
-            (packets.Stat(1, "x"), FREE, CommandStrategy.FOLLOW),
-            (packets.Remove(1, "x"), FREE, CommandStrategy.REMOVE),
-            (packets.Rename(1, "x", "y"), FREE, CommandStrategy.RENAME),
-            (packets.Rmdir(1, "x"), HASHED, CommandStrategy.SWEEP),
-            (packets.Readdir(1, b"h"), FREE, CommandStrategy.LIST),
+            (opening, VolumePlacement.HASHED, CommandStrategy.PLAIN),
+            (opening, VolumePlacement.FREE, CommandStrategy.MAKE),
+            (packets.Stat(1, "x"), VolumePlacement.FREE, CommandStrategy.FOLLOW),
+            (packets.Remove(1, "x"), VolumePlacement.FREE, CommandStrategy.REMOVE),
+            (packets.Rename(1, "x", "y"), VolumePlacement.FREE, CommandStrategy.RENAME),
+            (packets.Rmdir(1, "x"), VolumePlacement.HASHED, CommandStrategy.SWEEP),
+            (packets.Readdir(1, b"h"), VolumePlacement.FREE, CommandStrategy.LIST),
         ):
             self.assertEqual(strategy_for(command, placement, 3)[0], course)
 
     def test_a_new_object_is_looked_for_placed_and_linked(self):
         self.assertEqual(
             next_step(CommandStrategy.MAKE, CommandStep.HOME, StepResult.MISSING, 1),
-            (CommandStep.PLACING, ""),
+            (CommandStep.PLACING, StepEffect.NEXT_STEP),
         )
         self.assertEqual(
             next_step(CommandStrategy.MAKE, CommandStep.PLACING, StepResult.FINE, 2),
-            (CommandStep.LINKING, "keep"),
+            (CommandStep.LINKING, StepEffect.KEEP_ANSWER),
         )
         self.assertEqual(
             next_step(CommandStrategy.MAKE, CommandStep.LINKING, StepResult.FINE, 3),
-            (CommandStep.OVER, "made"),
+            (CommandStep.OVER, StepEffect.ANSWER_CREATED),
         )
 
     def test_who_loses_a_race_for_a_name_follows_the_winner(self):
         self.assertEqual(
             next_step(CommandStrategy.MAKE, CommandStep.LINKING, StepResult.MOVED, 3),
-            (CommandStep.THERE, "follow"),
+            (CommandStep.THERE, StepEffect.FOLLOW_LINK),
         )
 
     def test_an_old_memory_of_a_place_leads_home_not_to_a_wrong_answer(self):
         self.assertEqual(
             next_step(CommandStrategy.FOLLOW, CommandStep.THERE, StepResult.MISSING, 1),
-            (CommandStep.HOME, "forget"),
+            (CommandStep.HOME, StepEffect.FORGET_LOCATION),
         )
 
     def test_links_in_a_circle_end(self):
         self.assertEqual(
             next_step(CommandStrategy.FOLLOW, CommandStep.HOME, StepResult.MOVED, 6),
-            (CommandStep.OVER, "tangled"),
+            (CommandStep.OVER, StepEffect.FAIL_IN_CIRCLE),
         )
 
     def test_a_rename_never_covers_a_name_that_stands(self):
         self.assertEqual(
             next_step(CommandStrategy.RENAME, CommandStep.MOVING, StepResult.MOVED, 2),
-            (CommandStep.OVER, "taken"),
+            (CommandStep.OVER, StepEffect.ANSWER_NAME_TAKEN),
         )
 
     def test_a_decline_after_something_was_done_is_an_abort(self):
         self.assertEqual(
-            [told(StepResult.DECLINED, each) for each in (False, True)],
+            [result_for_client(StepResult.DECLINED, each) for each in (False, True)],
             [StepResult.DECLINED, StepResult.ABORTED],
         )
 
@@ -271,10 +289,15 @@
     def test_a_page_without_names_is_never_given_before_the_end(self):
         self.assertEqual(
             [
-                page(*each)
+                page_outcome(*each)
                 for each in ((3, False, 0), (0, False, 0), (0, True, 2), (0, True, 0))
             ],
-            ["answer", "again", "next", "end"],
+            [
+                PageOutcome.ANSWER,
+                PageOutcome.SAME_SHARD,
+                PageOutcome.NEXT_SHARD,
+                PageOutcome.END,
+            ],
         )
 
 
@@ -282,11 +305,11 @@
     def test_a_command_before_init_and_a_second_init_are_cut(self):
         self.assertEqual(
             next_client_state(SftpClientState.FRESH, SftpClientEvent.COMMAND),
-            (SftpClientState.CLOSED, "cut"),
+            (SftpClientState.CLOSED, SftpClientEffect.ABORT),
         )
         self.assertEqual(
             next_client_state(SftpClientState.OPEN, SftpClientEvent.INIT),
-            (SftpClientState.CLOSED, "cut"),
+            (SftpClientState.CLOSED, SftpClientEffect.ABORT),
         )
 
     def test_a_full_connection_is_read_again_at_half(self):
@@ -306,14 +329,14 @@
         )
         self.assertEqual(
             next_client_state(SftpClientState.FULL, SftpClientEvent.STUCK),
-            (SftpClientState.CLOSED, "cut"),
+            (SftpClientState.CLOSED, SftpClientEffect.ABORT),
         )
 
     def test_nothing_follows_a_close(self):
         for sign in SftpClientEvent:
             self.assertEqual(
                 next_client_state(SftpClientState.CLOSED, sign),
-                (SftpClientState.CLOSED, ""),
+                (SftpClientState.CLOSED, SftpClientEffect.NONE),
             )
 
 
@@ -321,12 +344,12 @@
     def test_term_drains_and_stops_when_empty_or_overdue_or_told_twice(self):
         self.assertEqual(
             next_gateway_state(GatewayState.SERVING, GatewayEvent.TERM),
-            (GatewayState.DRAINING, "drain"),
+            (GatewayState.DRAINING, GatewayEffect.DRAIN),
         )
         for event in (GatewayEvent.EMPTY, GatewayEvent.OVERDUE, GatewayEvent.TERM):
             self.assertEqual(
                 next_gateway_state(GatewayState.DRAINING, event),
-                (GatewayState.STOPPED, "stop"),
+                (GatewayState.STOPPED, GatewayEffect.STOP),
             )
 
     def test_what_is_not_taken(self):
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -97,8 +97,8 @@
 
     def kill(self, edge):
         """As after SIGKILL: no message to anybody, no lease given up."""
-        edge.channels.offices.release = lambda term: None
-        for place in edge.channels.offices.leases.values():
+        edge.channels.leases.release = lambda term: None
+        for place in edge.channels.leases.leases.values():
             if place.term is not None:
                 place.term.in_use = True
         edge.stop()
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -148,7 +148,7 @@
         edge.start()
         ends = time.monotonic() + 2
         while time.monotonic() < ends and not (
-            edge.ports and edge.endpoint_watcher.stage.name == "WATCHING"
+            edge.listening.ports and edge.endpoint_watcher.stage.name == "WATCHING"
         ):
             await later(0.01)
         return edge
@@ -159,7 +159,7 @@
         factory.noisy = False
         from twisted.internet.endpoints import TCP4ClientEndpoint
 
-        port = edge.ports[0].getHost().port
+        port = edge.listening.ports[0].getHost().port
         await TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(factory)
         self.clients.append(client)
         return await client.ready
