--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -1,7 +1,8 @@
 """Errors of the lease service, each a type.
 
-`pause` says when coming back helps, in ticks of a tenth of a millisecond; 0 for not
-by itself. The metric `milletsill_offices_takes_total` has their names.
+`retry_delay` is when a retry helps, in ticks of a tenth of a millisecond; 0 for not by
+itself. The metric `milletsill_offices_takes_total` has their names. `what` is sent to
+clients as a status's text, whose words stay those of the users' pages.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 class CoordinationError(MilletsillError):
     """An error of a lease, or of the channel that it is for."""
 
-    def __init__(self, what: str, where: str = "", pause: int = 0) -> None:
+    def __init__(self, what: str, where: str = "", retry_delay: int = 0) -> None:
         super().__init__(what, where)
-        self.pause = pause
+        self.retry_delay = retry_delay
 
 
 class QuorumNotReached(CoordinationError):
@@ -27,18 +28,18 @@
 
 
 class NotLeaseHolder(CoordinationError):
-    """Another gateway, `who`, holds the lease."""
+    """Another gateway, `holder`, holds the lease."""
 
     remedy = (
-        "none: the office goes over when it ends or is given up; with one name again "
+        "none: the lease passes on when it ends or is released; with one name again "
         "and again, see that gateway's log"
     )
 
     def __init__(
-        self, what: str, where: str = "", pause: int = 0, who: str = ""
+        self, what: str, where: str = "", retry_delay: int = 0, holder: str = ""
     ) -> None:
-        super().__init__(what, where, pause)
-        self.who = who
+        super().__init__(what, where, retry_delay)
+        self.holder = holder
 
 
 class BallotSuperseded(CoordinationError):
@@ -52,7 +53,7 @@
 class LeaseNotHeld(CoordinationError):
     """The lease was released, lost, or never held here."""
 
-    remedy = "none: the office is taken again"
+    remedy = "none: the lease is acquired again"
 
 
 class ResourceLimitReached(CoordinationError):
@@ -68,7 +69,7 @@
     """The acceptor's file cannot be read whole, or a row fails its checksum."""
 
     remedy = (
-        "look at the disk; the file was set aside and the register catches up from "
+        "look at the disk; the file was set aside and the acceptor catches up from "
         "the others by itself"
     )
 
@@ -77,7 +78,7 @@
     """The acceptor's file is an older copy: others heard later things from it."""
 
     remedy = (
-        "never put back copies of state_dir; the register catches up from the others "
+        "never put back copies of state_dir; the acceptor catches up from the others "
         "by itself"
     )
 
@@ -86,7 +87,7 @@
     """The acceptor's file is gone, though others know that there was one."""
 
     remedy = (
-        "see that state_dir is kept over restarts; the register catches up from the "
+        "see that state_dir is kept over restarts; the acceptor catches up from the "
         "others by itself"
     )
 
@@ -94,7 +95,7 @@
 class DiskFull(CoordinationError):
     """The acceptor cannot write; it answers nothing that it has not written."""
 
-    remedy = "make room on the disk of state_dir; the register goes on by itself"
+    remedy = "make room on the disk of state_dir; the acceptor goes on by itself"
 
 
 class LeaseSettingsMismatch(CoordinationError):
@@ -114,7 +115,7 @@
 
     remedy = (
         "put the old names back (a machine is replaced under its name); or stop all "
-        "gateways, let every register that is kept go on by a file FILE.go-on beside "
+        "gateways, let every acceptor that is kept go on by a file FILE.go-on beside "
         "its own, and know that records at the removed ones alone are lost"
     )
 
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -10,7 +10,6 @@
 from collections.abc import Iterable
 from random import Random, SystemRandom
 
-from milletsill.errors import MilletsillError
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases.acceptor_host import AcceptorHost
 from milletsill.fleet.leases.acceptor_service import AcceptorService
@@ -124,8 +123,8 @@
     def acquire(self, key: str, on_acquired: OnAcquired) -> None:
         """Acquire a lease, or renew it.
 
-        `on_acquired` gets a `LeaseTerm`, or an error whose `pause` says when to come
-        back, in ticks.
+        `on_acquired` gets a `LeaseTerm`, or an error whose `retry_delay` is when to
+        come back, in ticks.
         """
         refusal = self._acquire_refusal(key)
         if refusal is not None:
@@ -148,7 +147,7 @@
     def _acquire_refusal(self, key: str) -> ResourceLimitReached | None:
         if not codec.is_valid_key(key):
             what = f"a channel's name is UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
-            return ResourceLimitReached(what, "channels")
+            return ResourceLimitReached(what, "leases")
         entry = self.leases.get(key)
         if entry is None:
             is_full = len(self.leases) >= self.settings.max_leases
@@ -157,7 +156,7 @@
         if not is_full and self._sender.open_rounds < MAX_OPEN_ROUNDS:
             return None
         what = "too many channels or calls under way"
-        return ResourceLimitReached(what, "channels", self._timings.call_timeout)
+        return ResourceLimitReached(what, "leases", self._timings.call_timeout)
 
     def write(self, term: LeaseTerm, value: bytes, on_written: OnWritten) -> None:
         """Write a lease's whole record, and renew the lease.
@@ -198,7 +197,7 @@
     def release(self, term: LeaseTerm) -> None:
         """End a term under which nothing is out: others may acquire it at once.
 
-        Whoever waits for a write under it is told that it is over.
+        Whoever waits for a write under it gets an error.
         """
         entry = self.leases.get(term.key)
         if entry is not None and entry.term is term and not term.is_ended:
@@ -212,7 +211,7 @@
         return next(iter(self._transport.view.rendezvous(key, 1)), "")
 
     def set_on_foreign_message(self, on_message: OnForeignMessage) -> None:
-        """Set who hears what comes for `MessageKind.CHANNEL` and is of no lease."""
+        """Set who gets messages of `MessageKind.CHANNEL` that are not about leases."""
         self._messenger.on_foreign_message = on_message
 
     def stop(self) -> None:
@@ -277,11 +276,11 @@
         return max(self.now() - proposer.value_since, 0)
 
     def _finish_acquire(
-        self, entry: LeaseEntry, result: LeaseTerm | MilletsillError
+        self, entry: LeaseEntry, result: LeaseTerm | CoordinationError
     ) -> None:
         waiting = entry.take_acquiring()
         if waiting:
-            is_error = isinstance(result, MilletsillError)
+            is_error = isinstance(result, CoordinationError)
             fate = type(result).__name__ if is_error else "held"
             self._metrics.acquisitions.labels(fate).inc()
         for on_acquired in waiting:
--- a/milletsill/fleet/leases/request_queue.py
+++ b/milletsill/fleet/leases/request_queue.py
@@ -10,6 +10,7 @@
 import time
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.leases.acceptor import (
@@ -38,16 +39,14 @@
 MAX_WAITING = 20_000
 
 
-@dataclass(frozen=True, slots=True)
-class QueuedRequest:
+class QueuedRequest(NamedTuple):
     """A request and the gateway that sent it."""
 
     gateway: str
     request: AcceptorRequest
 
 
-@dataclass(frozen=True, slots=True)
-class AddressedReply:
+class AddressedReply(NamedTuple):
     """A reply and the gateway that it goes to."""
 
     gateway: str
@@ -64,13 +63,15 @@
     seconds: float
 
 
-def unavailable(requests: Iterable[AcceptorRequest], pause: int) -> list[AcceptorReply]:
+def unavailable(
+    requests: Iterable[AcceptorRequest], retry_delay: int
+) -> list[AcceptorReply]:
     """Return the replies of an acceptor that may not answer.
 
     A RELEASE has no reply.
     """
     return [
-        AcceptorReply.to_request(each, ReplyStatus.UNAVAILABLE, pause)
+        AcceptorReply.to_request(each, ReplyStatus.UNAVAILABLE, retry_delay)
         for each in requests
         if each.kind is not RequestKind.RELEASE
     ]
@@ -208,7 +209,7 @@
             return
         if isinstance(result, MilletsillError):
             self._on_failure(batch, result)
-        elif self._is_serving():  # one found stale meanwhile says nothing
+        elif self._is_serving():  # one found stale meanwhile answers nothing
             self._on_success(result)
         self._metrics.waiting.set(len(self._waiting))
         self.pump()
@@ -228,7 +229,7 @@
     def _on_failure(
         self, batch: Sequence[QueuedRequest], error: MilletsillError
     ) -> None:
-        """Tell each sender to come back: nothing of the batch counts."""
+        """Send each sender UNAVAILABLE: nothing of the batch counts."""
         self._context.log_error(error)
         self._metrics.dropped.labels(type(error).__name__).inc(len(batch))
         by_gateway: dict[str, list[AcceptorReply]] = {}
--- a/milletsill/sftp_gateway/assembly.py
+++ b/milletsill/sftp_gateway/assembly.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import os
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from random import Random
 from typing import Any, Protocol
 
@@ -14,8 +14,12 @@
     SchedulerHost,
 )
 from milletsill.interface import Endpoint, EndpointUpdateKind
-from milletsill.registry.endpoint_view import Box
-from milletsill.registry.registry_watcher import Follower
+from milletsill.registry.registered_node import RegisteredNode
+from milletsill.registry.registry_watcher import (
+    RegistryCallbacks,
+    RegistryConfig,
+    RegistryWatcher,
+)
 from milletsill.sftp_gateway.deployment import pool_limits_of
 from milletsill.sftp_gateway.identifiers import IdentifierSource
 from milletsill.sftp_gateway.node_pools import SftpNodePools, SftpNodePoolsConfig
@@ -48,10 +52,12 @@
     def inform(self, event: str, /, **values: Any) -> None:
         """Log an event."""
 
-    def on_endpoints(self, kind: EndpointUpdateKind, endpoints: list[Endpoint]) -> None:
+    def on_endpoints(
+        self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
+    ) -> None:
         """Pass an update of the endpoint list on."""
 
-    def on_nodes(self, nodes: list[Box]) -> None:
+    def on_nodes(self, nodes: list[RegisteredNode]) -> None:
         """Have the connections follow the endpoint list."""
 
     def raise_incarnation(self, incarnation: int) -> None:
@@ -60,18 +66,28 @@
 
 def make_endpoint_watcher(
     gateway: AssembledGateway, config: DeploymentConfig, seed: int
-) -> Follower:
+) -> RegistryWatcher:
     """Return what watches the endpoint list."""
-    return Follower(
+    registry = gateway.file.registry
+    return RegistryWatcher(
         gateway.reactor,
         gateway.now,
-        gateway.file.registry,
-        config.slow_start_duration,
-        os.path.join(gateway.file.state_dir, ENDPOINT_CACHE),
-        gateway.on_endpoints,
-        gateway.on_nodes,
-        lambda text: gateway.warn("list", reason=text),
-        gateway.file.name,
+        RegistryConfig(
+            address=registry.address,
+            prefix=registry.prefix,
+            gateway=gateway.file.name,
+            call_timeout=registry.call_ms / 1000,
+            connect_timeout=registry.connect_ms / 1000,
+            max_line=registry.most_line,
+            max_nodes=registry.most_boxes,
+            warm_after=config.slow_start_duration,
+            cache_path=os.path.join(gateway.file.state_dir, ENDPOINT_CACHE),
+        ),
+        RegistryCallbacks(
+            on_endpoints=gateway.on_endpoints,
+            on_nodes=gateway.on_nodes,
+            log=lambda text: gateway.warn("list", reason=text),
+        ),
         Random(f"{seed} list").uniform,
     )
 
@@ -96,7 +112,7 @@
     """Return the scheduler's host; the node pools and the watcher are made before."""
     callbacks = HostCallbacks(
         start_attempt=gateway.node_pools.send_attempt,
-        watch_endpoints=gateway.endpoint_watcher.ask,
+        watch_endpoints=gateway.endpoint_watcher.request_watch,
         log=lambda text: gateway.warn("module", reason=text),
         count=gateway.metrics.count_host_event,
     )
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -233,7 +233,7 @@
         self.request_id = gateway.next_request_id()
         request = self._request(self.request_id, target)
         if gateway.parts is not None:
-            gateway.parts.arrived(request)
+            gateway.parts.on_request(request)
         if gateway.traces is not None:
             gateway.traces.path(target.name)
         gateway.host.take(request, self, self._payload(target))
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -8,7 +8,7 @@
 import os
 import random
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
 from milletsill.errors import MilletsillError
@@ -17,7 +17,7 @@
 )
 from milletsill.interface import Endpoint, EndpointUpdateKind
 from milletsill.logs import logger
-from milletsill.registry.endpoint_view import Box
+from milletsill.registry.registered_node import RegisteredNode
 from milletsill.scheduler import Scheduler
 from milletsill.sftp_gateway import deployment, optional_parts
 from milletsill.sftp_gateway.answer_log import AnswerLogLimiter
@@ -294,7 +294,7 @@
         if self.traces is not None:
             self.traces.look()
         if self.parts is not None:
-            self.parts.look()
+            self.parts.on_tick()
         max_idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
             client.check(max_idle)
@@ -302,16 +302,18 @@
 
     # The endpoint list.
 
-    def on_endpoints(self, kind: EndpointUpdateKind, endpoints: list[Endpoint]) -> None:
+    def on_endpoints(
+        self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
+    ) -> None:
         """Pass an update of the endpoint list on."""
         self.metrics.endpoint_updates.labels(kind.value).inc()
         self.host.on_endpoints(kind, endpoints)
         if self.health is not None:
-            self.health.listed(kind, endpoints)
+            self.health.on_endpoints(kind, endpoints)
         if self.parts is not None:
-            self.parts.listed(endpoints)
+            self.parts.on_endpoints(endpoints)
 
-    def on_nodes(self, nodes: list[Box]) -> None:
+    def on_nodes(self, nodes: list[RegisteredNode]) -> None:
         """Have the connections follow the endpoint list."""
         self.metrics.nodes.set(len(nodes))
         self.node_pools.update(nodes)
--- a/milletsill/sftp_gateway/node_pools.py
+++ b/milletsill/sftp_gateway/node_pools.py
@@ -13,7 +13,7 @@
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.node_connections.pool_config import PoolConfig
-from milletsill.registry.endpoint_view import Box
+from milletsill.registry.registered_node import RegisteredNode
 from milletsill.sftp.extensions import Order
 from milletsill.sftp_gateway.command_payload import CommandPayload
 from milletsill.sftp_gateway.identifiers import IdentifierSource
@@ -55,7 +55,7 @@
         self.config = config
         self.pools: dict[int, NodeConnectionPool] = {}
 
-    def update(self, nodes: Sequence[Box]) -> None:
+    def update(self, nodes: Sequence[RegisteredNode]) -> None:
         """Follow the endpoint list.
 
         A new address gets a pool of its own, a node that left loses its pool.
@@ -71,7 +71,7 @@
         for id in self.pools.keys() - {each.id for each in nodes}:
             self.pools.pop(id).close()
 
-    def _make_pool(self, node: Box) -> NodeConnectionPool:
+    def _make_pool(self, node: RegisteredNode) -> NodeConnectionPool:
         config, meter_node = self.config, self.config.meter_node
         return NodeConnectionPool(
             self.reactor,
--- a/milletsill/sftp_gateway/optional_parts.py
+++ b/milletsill/sftp_gateway/optional_parts.py
@@ -51,19 +51,9 @@
     """Return the planner's client, None where the file has no planner."""
     if not gateway.file.HasField("planner"):
         return None
-    from milletsill.planner.quota_client import Parts
+    from milletsill.planner.quota_client import QuotaClient
 
-    return Parts(
-        gateway.reactor,
-        gateway.now,
-        gateway.file,
-        config,
-        seed + PLANNER_SEED,
-        gateway.incarnation,
-        gateway.host,
-        gateway.warn,
-        gateway.metrics.registry,
-    )
+    return QuotaClient.for_gateway(gateway, config, seed + PLANNER_SEED)
 
 
 def make_fleet(gateway: AssembledGateway, seed: int) -> Any:
@@ -92,9 +82,9 @@
     """Return the shared health, None where the file has none."""
     if gateway.fleet is None or not gateway.file.fleet.HasField("health"):
         return None
-    from milletsill.fleet.health.health_sharing import sharing_of
+    from milletsill.fleet.health.shared_health import SharedHealth
 
-    return sharing_of(gateway, seed + HEALTH_SEED)
+    return SharedHealth.for_gateway(gateway, seed + HEALTH_SEED)
 
 
 def make_channels(gateway: AssembledGateway, seed: int) -> Any:
--- a/tests/fleet/leases/test_codec.py
+++ b/tests/fleet/leases/test_codec.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from milletsill.fleet.frames.codec import MalformedFrame
+from milletsill.fleet.errors import MalformedFrame
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import LeaseRecord
@@ -44,7 +44,7 @@
                 2,
                 ReplyStatus.LEASE_HELD,
                 promised_round=4,
-                retry_after=7,
+                retry_delay=7,
                 holder="b",
             ),
             AcceptorReply(RequestKind.PREPARE, "c", A, 0, ReplyStatus.GRANTED),
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -404,7 +404,7 @@
     async def test_a_state_folder_that_takes_nothing_stops_nothing(self):
         rig = Rig(self)
         edge = await rig.edge()
-        edge.endpoint_watcher.cache_path = "/dev/full/boxes"
+        edge.endpoint_watcher.cache.path = "/dev/full/boxes"
         for number in range(3):
             rig.tell(rig.boxes[0])
             await later(0.7)
@@ -423,7 +423,7 @@
         rig.registry.set_away(False)
         await later(1.5)
         self.assertEqual(
-            (sorted(edge.node_pools.pools), edge.endpoint_watcher.stage.name),
+            (sorted(edge.node_pools.pools), edge.endpoint_watcher.state.name),
             ([0, 1], "WATCHING"),
         )
 
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -148,7 +148,7 @@
         edge.start()
         ends = time.monotonic() + 2
         while time.monotonic() < ends and not (
-            edge.listening.ports and edge.endpoint_watcher.stage.name == "WATCHING"
+            edge.listening.ports and edge.endpoint_watcher.state.name == "WATCHING"
         ):
             await later(0.01)
         return edge
