--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -232,8 +232,8 @@
         target = self._target()
         self.request_id = gateway.next_request_id()
         request = self._request(self.request_id, target)
-        if gateway.parts is not None:
-            gateway.parts.on_request(request)
+        if gateway.quota_client is not None:
+            gateway.quota_client.on_request(request)
         if gateway.traces is not None:
             gateway.traces.path(target.name)
         gateway.host.take(request, self, self._payload(target))
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -65,8 +65,8 @@
         state: of the gateway.
         failed: whether it could not start.
         on_stopped: called once it is stopped.
-        flows, traces, parts, fleet, health, channels: parts that the file may ask for,
-            None without.
+        flows, traces, quota_client, fleet, health, channels: what the file may ask
+            for, None without.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self.flows = optional_parts.make_flow_export(self, seed)
         self.node_pools = make_node_pools(self)
         self.host = make_scheduler_host(self, config, seed, make_scheduler)
-        self.parts = optional_parts.make_quota_client(self, config, seed)
+        self.quota_client = optional_parts.make_quota_client(self, config, seed)
         self.fleet = optional_parts.make_fleet(self, seed)
         self.health = optional_parts.make_shared_health(self, seed)
         self.channels = optional_parts.make_channels(self, seed)
@@ -172,8 +172,8 @@
             if part is not None:
                 part.start()
         self.endpoint_watcher.start()
-        if self.parts is not None:
-            self.parts.start()
+        if self.quota_client is not None:
+            self.quota_client.start()
         self._on_event(GatewayEvent.LISTED)
         self._schedule_check(self.now())
         self.stall_watch.start()
@@ -252,7 +252,7 @@
             client.transport.loseConnection()
         self.host.stop()
         self.node_pools.abort()
-        for part in (self.flows, self.traces, self.parts, self.health, self.fleet):
+        for part in (self.flows, self.traces, self.quota_client, self.health, self.fleet):
             if part is not None:
                 part.stop()
         self.stall_watch.stop()
@@ -293,8 +293,8 @@
         self.metrics.clients.set(len(self.clients))
         if self.traces is not None:
             self.traces.look()
-        if self.parts is not None:
-            self.parts.on_tick()
+        if self.quota_client is not None:
+            self.quota_client.on_tick()
         max_idle = deployment.at_least(self.file.door.idle_s * 1000)
         for client in list(self.clients):
             client.check(max_idle)
@@ -310,8 +310,8 @@
         self.host.on_endpoints(kind, endpoints)
         if self.health is not None:
             self.health.on_endpoints(kind, endpoints)
-        if self.parts is not None:
-            self.parts.on_endpoints(endpoints)
+        if self.quota_client is not None:
+            self.quota_client.on_endpoints(endpoints)
 
     def on_nodes(self, nodes: list[RegisteredNode]) -> None:
         """Have the connections follow the endpoint list."""
--- a/milletsill/sftp_gateway/gateway_context.py
+++ b/milletsill/sftp_gateway/gateway_context.py
@@ -22,7 +22,7 @@
         host: of the scheduler.
         answer_margin: by which an answer leaves before the client's time is up.
         location_cache: where new objects were last seen.
-        traces, flows, parts, channels: None where the file asks for none.
+        traces, flows, quota_client, channels: None where the file asks for none.
         extensions: of SFTP that are offered beside those that always are.
         now: the monotonic clock.
     """
@@ -34,7 +34,7 @@
     location_cache: LocationCache
     traces: Any
     flows: Any
-    parts: Any
+    quota_client: Any
     channels: Any
     extensions: tuple[str, ...]
     now: Callable[[], int]
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -81,7 +81,7 @@
         return sum(done)
 
     def share(self, edge):
-        return edge.parts.ledger.share(LIMIT, edge.now())
+        return edge.quota_client.ledger.share(LIMIT, edge.now())
 
     async def test_unused_shares_go_to_another_gateway_within_the_whole(
         self,
@@ -96,7 +96,7 @@
         looking = LoopingCall(
             lambda: seen.append(
                 [
-                    self.share(each) if LIMIT in each.parts.ledger.holdings else 333_333
+                    self.share(each) if LIMIT in each.quota_client.ledger.holdings else 333_333
                     for each in edges
                 ]
             )
@@ -136,7 +136,7 @@
         rig = self.rig()
         edge = await rig.edge("edge-0")
         await later(0.4)
-        self.assertIs(edge.parts.session.state, LinkState.PLANNED)
+        self.assertIs(edge.quota_client.session.state, LinkState.PLANNED)
         port = self.port
         newer.stop()
         await later(0.2)
@@ -147,7 +147,7 @@
                 break
         self.assertTrue(older.failed)
         self.assertEqual(older.superseded_by, newer.planner.epoch)
-        self.assertIsNot(edge.parts.session.state, LinkState.PLANNED)
+        self.assertIsNot(edge.quota_client.session.state, LinkState.PLANNED)
 
     async def test_a_restarted_gateway_has_the_floor(self):
         await self.planner()
@@ -185,7 +185,7 @@
             wire.transport.write(data)
         await later(0.3)
         self.assertEqual(list(server.by_name), ["edge-0"])
-        self.assertIs(edge.parts.session.state, LinkState.PLANNED)
+        self.assertIs(edge.quota_client.session.state, LinkState.PLANNED)
 
     async def test_operators_ask_freeze_and_drain(self):
         server = await self.planner()
