--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -215,8 +215,8 @@
 class WithoutChannels(TestCase):
     async def test_a_gateway_without_channels_offers_none(self):
         rig = Rig(self)
-        client = await rig.client(await rig.edge())
+        client = await rig.client(await rig.start_gateway())
         answer = await client.command(wire.put_channel(0, wire.Opening("/h", "boat")))
         self.assertEqual(
-            (answer.code, rig.edges[0].channels), (packets.UNSUPPORTED, None)
+            (answer.code, rig.running_gateways[0].channels), (packets.UNSUPPORTED, None)
         )
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -34,7 +34,7 @@
         rig.file.flows.idle_s = 0.5
         for field, value in given.items():
             setattr(rig.file.flows, field, value)
-        self.edge = await rig.edge(most_handles=100)
+        self.gateway = await rig.start_gateway(most_handles=100)
         return rig
 
     def listen(self, factory):
@@ -85,14 +85,14 @@
 
         factory = Factory.forProtocol(lambda: client)
         await TCP4ClientEndpoint(
-            reactor, "127.0.0.1", self.edge.listening.ports[0].getHost().port
+            reactor, "127.0.0.1", self.gateway.listening.ports[0].getHost().port
         ).connect(factory)
         rig.clients.append(client)
         await client.ready
         await self.work(rig, client)
         ended = defer.Deferred()
-        self.edge.on_stopped.append(lambda: ended.callback(None))
-        self.edge.terminate()
+        self.gateway.on_stopped.append(lambda: ended.callback(None))
+        self.gateway.terminate()
         await ended
         await later(0.3)
         sums = collector.sums
@@ -130,8 +130,8 @@
         )
         deaf.held = []
         rig = await self.rig(self.listen(deaf), self.listen(Lines(collector)))
-        sender = self.edge.flows.exporter.senders[0]
-        client = await rig.client(self.edge)
+        sender = self.gateway.flows.exporter.senders[0]
+        client = await rig.client(self.gateway)
         handle = await client.open("/f/x")
         for _ in range(20):
             sender.pipe.transport.write(bytes(1 << 20)) if sender.pipe else None
@@ -157,10 +157,10 @@
         held.bind(("127.0.0.1", 0))
         number = held.getsockname()[1]
         rig = await self.rig(f"127.0.0.1:{number}")
-        client = await rig.client(self.edge)
+        client = await rig.client(self.gateway)
         await client.command(packets.Stat(0, "/f/x"))
         await later(0.3)
-        self.assertEqual(self.edge.flows.exporter.senders[0].state, Post.AWAY)
+        self.assertEqual(self.gateway.flows.exporter.senders[0].state, Post.AWAY)
         held.close()
         port = reactor.listenTCP(number, Lines(collector), interface="127.0.0.1")
         self.addCleanup(port.stopListening)
@@ -168,7 +168,7 @@
         self.assertEqual(
             (collector.sums["client commandDeltaCount"], collector.unknown), (1, 0)
         )
-        self.edge.flows.exporter.senders[0].pipe.transport.abortConnection()
+        self.gateway.flows.exporter.senders[0].pipe.transport.abortConnection()
         await client.command(packets.Stat(0, "/f/x"))
         await later(2.5)
         self.assertEqual(
@@ -184,7 +184,7 @@
         )
         other = rig.file.flows.collector[0]
         self.assertEqual(other.protocol, "ipfix")
-        client = await rig.client(self.edge)
+        client = await rig.client(self.gateway)
         await self.work(rig, client, 10)
         await later(1.5)
         self.assertEqual(
@@ -201,7 +201,7 @@
         )
         self.assertEqual(subprocess.run([sys.executable, "-c", code]).returncode, 0)
         rig = Rig(self)
-        self.assertIsNone((await rig.edge()).flows)
+        self.assertIsNone((await rig.start_gateway()).flows)
 
 
 if __name__ == "__main__":
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -88,7 +88,7 @@
     ):
         server = await self.planner()
         rig = self.rig()
-        edges = [await rig.edge(f"edge-{each}") for each in range(3)]
+        edges = [await rig.start_gateway(f"edge-{each}") for each in range(3)]
         for each in edges[1:]:
             client = await rig.client(each)
             await client.open("/h/b")
@@ -115,7 +115,7 @@
     async def test_without_the_planner_shares_become_even_and_commands_go_on(self):
         server = await self.planner()
         rig = self.rig()
-        edges = [await rig.edge(f"edge-{each}") for each in range(3)]
+        edges = [await rig.start_gateway(f"edge-{each}") for each in range(3)]
         for each in edges[1:]:
             await (await rig.client(each)).open("/h/b")
         await self.flood(rig, edges[0], 3)
@@ -134,7 +134,7 @@
         newer.stop()
         newer = await self.planner(state="new")
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         await later(0.4)
         self.assertIs(edge.quota_client.session.state, LinkState.PLANNED)
         port = self.port
@@ -152,9 +152,9 @@
     async def test_a_restarted_gateway_has_the_floor(self):
         await self.planner()
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         edge.stop()
-        again = await rig.edge("edge-0")
+        again = await rig.start_gateway("edge-0")
         client = await rig.client(again)
         await client.open("/h/a")
         self.assertEqual(self.share(again), int(333_333 * 0.2))
@@ -164,7 +164,7 @@
     async def test_malformed_frames_cost_their_connection_alone(self):
         server = await self.planner()
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         await later(0.3)
         from twisted.internet.endpoints import TCP4ClientEndpoint
         from twisted.internet.protocol import Factory, Protocol
@@ -190,7 +190,7 @@
     async def test_operators_ask_freeze_and_drain(self):
         server = await self.planner()
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         await (await rig.client(edge)).open("/h/a")
         await later(0.5)
 
--- /dev/null
+++ b/tests/sftp_gateway/test_gateway_life_cycle.py
@@ -0,0 +1,195 @@
+"""Registry, stalls, start, reload and end of whole gateways on loopback."""
+
+import time
+
+from twisted.internet import defer
+from twisted.trial.unittest import TestCase
+
+from milletsill.sftp import extensions, packets
+from milletsill.sftp.extensions import Terms
+from tests.support.sftp_gateway_rig import Rig, later
+from tests.support.sftp_answers import declined
+
+
+class GatewayLifeCycle(TestCase):
+    timeout = 20
+
+    async def test_a_registry_that_is_away_at_the_start_is_asked_again(self):
+        rig = Rig(self)
+        rig.registry.set_away(True)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        answer = await client.command(packets.Stat(0, "/h/x"), Terms(200, 0, "m"))
+        self.assertTrue(declined(answer), answer)
+        rig.registry.set_away(False)
+        await later(1.2)
+        self.assertEqual(
+            (await client.command(packets.Stat(0, "/h/x"))).code, packets.NO_SUCH_FILE
+        )
+
+    async def test_a_restarted_gateway_has_its_last_list_with_the_registry_away(self):
+        rig = Rig(self)
+        first = await rig.start_gateway()
+        client = await rig.client(first)
+        await client.open("/h/x")
+        first.stop()
+        rig.registry.set_away(True)
+        second = await rig.start_gateway()
+        self.assertEqual(second.incarnation, first.incarnation + 1)
+        client = await rig.client(second)
+        self.assertIsInstance(
+            await client.command(packets.Stat(0, "/h/x")), packets.AttrsAnswer
+        )
+
+    async def test_a_drain_told_is_a_drain_kept(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        await client.open("/d/x")
+        busy = next(box for box in rig.boxes if "/d/x" in box.files.data)
+        rig.tell(busy, "draining")
+        await later(0.3)
+        before = busy.counted, sum(busy.served.values())
+        answer = await client.command(packets.Stat(0, "/d/x"), Terms(300, 0, "m"))
+        self.assertTrue(declined(answer), answer)
+        self.assertEqual((busy.counted, sum(busy.served.values())), before)
+
+    async def test_a_box_replaced_in_its_cell_serves_its_files(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        await client.open("/d/x")
+        old = next(box for box in rig.boxes if "/d/x" in box.files.data)
+        rig.registry.delete(f"{rig.file.registry.prefix}{old.id}")
+        old.vanish()
+        old.drop()
+        rig.add_box(9, old.cell, old.files, cold=True)
+        await later(0.9)
+        answer = await client.command(packets.Stat(0, "/d/x"))
+        self.assertIsInstance(answer, packets.AttrsAnswer)
+
+    async def test_a_reactor_blocked_for_two_seconds_answers_all_once_and_goes_on(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        handle = await client.open("/h/x")
+        await client.command(packets.Write(0, handle, 0, b"data"))
+        going = [client.command(packets.Read(0, handle, 0, 4)) for _ in range(8)]
+        await later(0.0005)
+        time.sleep(2)
+        answers = await defer.gatherResults(going)
+        self.assertEqual((len(answers), gateway.host.unanswered), (8, 0))
+        self.assertEqual(len({each.id for each in answers}), 8)
+        ends = time.monotonic() + 8
+        while not isinstance(
+            answer := await client.command(packets.Read(0, handle, 0, 4)), packets.Data
+        ):
+            self.assertLess(time.monotonic(), ends, answer)
+            await later(0.2)
+
+    async def test_patience_runs_while_a_command_lies_unread_in_a_stalled_process(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        handle = await client.open("/h/x")
+        for box in rig.boxes:
+            box.vanish()
+        asking = extensions.put_terms(
+            Terms(900, 0, "m"), packets.Read(99, handle, 0, 4)
+        )
+        client.transport.socket.send(packets.encode(asking))
+        began = time.monotonic()
+        time.sleep(0.6)
+        while not any(each.id == 99 for each in client.answers):
+            await later(0.005)
+        self.assertLess(time.monotonic() - began, 0.9)
+
+    async def test_patience_runs_where_the_process_stood_before_it_read_what_was_ready(
+        self,
+    ):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        door = next(iter(gateway.clients))
+        gateway.stall_watch.check_call.cancel()  # it stands between a beat and the read, 0.6 s long
+        stood = gateway.stall_watch.last_check = gateway.now() - 6000
+        self.assertEqual(door.arrival_time(), stood)
+        gateway.stall_watch.check()
+        self.assertEqual(door.arrival_time(), stood)  # all that is read in this turn
+        while door.arrival_time() == stood:
+            await later(0.005)
+        self.assertLess(gateway.now() - door.arrival_time(), 3000)
+        self.assertTrue(client.transport.connected)
+
+    async def test_term_in_a_surge_answers_all_that_is_held_and_ends(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        handle = await client.open("/h/x")
+        await client.command(packets.Write(0, handle, 0, b"data"))
+        going = [client.command(packets.Read(0, handle, 0, 4)) for _ in range(8)]
+        await later(0.001)
+        ended = defer.Deferred()
+        gateway.on_stopped.append(lambda: ended.callback(None))
+        gateway.terminate()
+        late = client.command(packets.Stat(0, "/h/x"))
+        answers = await defer.gatherResults(going)
+        self.assertTrue(
+            all(isinstance(each, (packets.Data, packets.Status)) for each in answers)
+        )
+        await ended
+        self.assertEqual(gateway.state.name, "STOPPED")
+        self.assertTrue(not late.called or declined(late.result))
+
+    async def test_a_state_folder_that_takes_nothing_stops_nothing(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        gateway.endpoint_watcher.cache.path = "/dev/full/boxes"
+        for number in range(3):
+            rig.tell(rig.boxes[0])
+            await later(0.7)
+        client = await rig.client(gateway)
+        self.assertEqual(
+            (await client.command(packets.Stat(0, "/h/x"))).code, packets.NO_SUCH_FILE
+        )
+        self.assertEqual(rig.log.getvalue().count("cannot be kept"), 1)
+
+    async def test_a_watch_that_is_compacted_asks_for_the_whole_list(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        rig.registry.set_away(True)
+        rig.registry.delete(f"{rig.file.registry.prefix}2")
+        rig.registry.compact()
+        rig.registry.set_away(False)
+        await later(1.5)
+        self.assertEqual(
+            (sorted(gateway.node_pools.pools), gateway.endpoint_watcher.state.name),
+            ([0, 1], "WATCHING"),
+        )
+
+    async def test_plain_metrics_tell_answers(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        client = await rig.client(gateway)
+        await client.command(packets.Stat(0, "/h/x"))
+        value = gateway.metrics.registry.get_sample_value(
+            "milletsill_answers_total", {"category": "read", "final": "satisfied"}
+        )
+        self.assertEqual(value, 1.0)
+
+    async def test_a_reload_takes_volumes_and_refuses_plans(self):
+        rig = Rig(self)
+        gateway = await rig.start_gateway()
+        file = type(gateway.file)()
+        file.CopyFrom(gateway.file)
+        file.volume.add(name="new", root="/new", plan="p", cell=[1])
+        gateway.reload(file)
+        client = await rig.client(gateway)
+        self.assertIsInstance(
+            await client.command(packets.Stat(0, "/new")), packets.AttrsAnswer
+        )
+        other = type(file)()
+        other.CopyFrom(file)
+        other.plan[0].usual_rate = 1
+        gateway.reload(other)
+        self.assertIs(gateway.file, file)
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -85,9 +85,10 @@
 
     async def gateway(self, name):
         self.file.fleet.join[:] = [
-            each.fleet.view.by_name[each.fleet.name].address for each in self.edges[:1]
+            each.fleet.view.by_name[each.fleet.name].address
+            for each in self.running_gateways[:1]
         ]
-        return await self.edge(name, drain_s=1.0)
+        return await self.start_gateway(name, drain_s=1.0)
 
     async def until(self, true, seconds=8.0):
         ends = time.monotonic() + seconds
@@ -95,19 +96,19 @@
             self.case.assertLess(time.monotonic(), ends)
             await later(0.02)
 
-    def kill(self, edge):
+    def kill(self, gateway):
         """As after SIGKILL: no message to anybody, no lease given up."""
-        edge.channels.leases.release = lambda term: None
-        for place in edge.channels.leases.leases.values():
+        gateway.channels.leases.release = lambda term: None
+        for place in gateway.channels.leases.leases.values():
             if place.term is not None:
                 place.term.in_use = True
-        edge.stop()
+        gateway.stop()
 
     def owner(self, key):
         return next(
             (
                 each
-                for each in self.edges
+                for each in self.running_gateways
                 if each.state.name == "SERVING" and each.channels.owner.owns(key)
             ),
             None,
@@ -122,9 +123,9 @@
 
     @classmethod
     async def open(
-        cls, rig, edge, name="boat", contract="", path="/h/catch", seconds=6.0
+        cls, rig, gateway, name="boat", contract="", path="/h/catch", seconds=6.0
     ):
-        client, ends = await rig.client(edge), time.monotonic() + seconds
+        client, ends = await rig.client(gateway), time.monotonic() + seconds
         while True:  # comes back as it is told to
             answer = await client.command(
                 wire.put_channel(0, wire.Opening("/h", name, contract))
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -96,7 +96,12 @@
         self.case, self.log = case, io.StringIO()
         folder = tempfile.TemporaryDirectory()
         case.addCleanup(folder.cleanup)
-        self.folder, self.ports, self.edges, self.clients = folder.name, [], [], []
+        self.folder, self.ports, self.running_gateways, self.clients = (
+            folder.name,
+            [],
+            [],
+            [],
+        )
         figures = {"error_rate": 0.0, "report_every_ms": 20.0, "cold_s": 1.0, **kind}
         self.kind = BoxKind(name="k", **figures)
         self.file = text_format.Parse(FILE, GatewayFile())
@@ -137,29 +142,30 @@
     def tell(self, box, state="ready"):
         self.registry.put(f"{self.file.registry.prefix}{box.id}", box.listing(state))
 
-    async def edge(self, name="edge-t", **door):
+    async def start_gateway(self, name="edge-t", **door):
         file = GatewayFile()
         file.CopyFrom(self.file)
         file.name, file.state_dir = name, f"{self.folder}/{name}"
         for field, value in door.items():
             setattr(file.door, field, value)
-        edge = SftpGateway(file, reactor, log=logger("debug", True, self.log))
-        self.edges.append(edge)
-        edge.start()
+        gateway = SftpGateway(file, reactor, log=logger("debug", True, self.log))
+        self.running_gateways.append(gateway)
+        gateway.start()
         ends = time.monotonic() + 2
         while time.monotonic() < ends and not (
-            edge.listening.ports and edge.endpoint_watcher.state.name == "WATCHING"
+            gateway.listening.ports
+            and gateway.endpoint_watcher.state.name == "WATCHING"
         ):
             await later(0.01)
-        return edge
+        return gateway
 
-    async def client(self, edge):
+    async def client(self, gateway):
         client = Client()
         factory = protocol.Factory.forProtocol(lambda: client)
         factory.noisy = False
         from twisted.internet.endpoints import TCP4ClientEndpoint
 
-        port = edge.listening.ports[0].getHost().port
+        port = gateway.listening.ports[0].getHost().port
         await TCP4ClientEndpoint(reactor, "127.0.0.1", port).connect(factory)
         self.clients.append(client)
         return await client.ready
@@ -167,9 +173,9 @@
     async def stop(self):
         for client in self.clients:
             client.transport.abortConnection()
-        for edge in self.edges:
-            if edge.state.name != "STOPPED":
-                edge.stop()
+        for gateway in self.running_gateways:
+            if gateway.state.name != "STOPPED":
+                gateway.stop()
         for box in self.boxes:
             box.drop()
         self.registry.set_away(True)
--- a/tests/trace/test_gateway_trace.py
+++ b/tests/trace/test_gateway_trace.py
@@ -261,7 +261,7 @@
 
     async def test_what_a_gateway_traced_makes_a_fresh_module_do_the_same(self):
         rig = self.rig()
-        edge = await rig.edge()
+        edge = await rig.start_gateway()
         await self.traffic(rig, edge)
         edge.stop()
         files = self.files()
@@ -281,7 +281,7 @@
 
     async def test_a_gateway_without_a_trace_loads_none_of_its_code(self):
         rig = Rig(self)
-        edge = await rig.edge()
+        edge = await rig.start_gateway()
         self.assertIsNone(edge.traces)
         code = (
             "import sys; from milletsill.sftp_gateway.process import run; import milletsill.cli.main; "
@@ -299,7 +299,7 @@
         rig.file.trace.folder = f"{self.folder}/file"
         with open(rig.file.trace.folder, "w", encoding="utf-8") as sink:
             sink.write("in the way")
-        edge = await rig.edge()
+        edge = await rig.start_gateway()
         await self.traffic(rig, edge, 5)
         edge.traces.look()
         self.assertGreater(edge.traces.writer.lost, 0)
