--- a/milletsill/sftp_gateway/assembly.py
+++ b/milletsill/sftp_gateway/assembly.py
@@ -10,10 +10,9 @@
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.gateway.scheduler_host import (
     HostCallbacks,
-    SchedulerFactory,
     SchedulerHost,
 )
-from milletsill.interface import Endpoint, EndpointUpdateKind
+from milletsill.interface import Endpoint, EndpointUpdateKind, SchedulerFactory
 from milletsill.registry.registered_node import RegisteredNode
 from milletsill.registry.registry_watcher import (
     RegistryCallbacks,
--- a/milletsill/sftp_gateway/channel_attempts.py
+++ b/milletsill/sftp_gateway/channel_attempts.py
@@ -14,10 +14,9 @@
 from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.fleet.channels.released_attempts import LeaseChecker, ReleasedAttempt
 from milletsill.fleet.leases.lease_term import LeaseTerm
-from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.wire import bytes_of
+from milletsill.sftp import packets, tickets
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.wire import text_to_bytes
 from milletsill.sftp_gateway.command_classification import (
     OPERATIONS,
     InvalidPath,
@@ -48,7 +47,7 @@
         Blocks of a key's size where it writes there, else the whole object.
         """
         command = request.command
-        object_hash = xxhash.xxh64_intdigest(bytes_of(request.path))
+        object_hash = xxhash.xxh64_intdigest(text_to_bytes(request.path))
         if isinstance(command, packets.Write):
             block_bytes = self.gateway.routing_table.sizing.key_bytes
             last_byte = command.offset + max(len(command.data), 1) - 1
@@ -56,7 +55,7 @@
             return (AccessRange(object_hash, first_block, last_byte // block_bytes),)
         if isinstance(command, packets.Rename):
             target = canonical_path(command.target)
-            target_hash = xxhash.xxh64_intdigest(bytes_of(target))
+            target_hash = xxhash.xxh64_intdigest(text_to_bytes(target))
             return (AccessRange(object_hash), AccessRange(target_hash))
         return (AccessRange(object_hash),)
 
@@ -82,7 +81,7 @@
         command = release.request.recipient
         request = command.body
         assert isinstance(request, NumberedRequest)
-        key = wire.put_ticket(
+        key = tickets.format_ticket(
             command.volume.name,
             command.channel,
             release.number,
@@ -119,7 +118,7 @@
             handle = OpenHandle(volume, request.path, location)
         return ClientCommand(
             packet=request.command,
-            terms=Terms(0, request.terms.tries, request.terms.mark),
+            terms=CommandTerms(0, request.terms.tries, request.terms.mark),
             volume=volume,
             path=request.path,
             handle=handle,
--- a/milletsill/sftp_gateway/channel_clients.py
+++ b/milletsill/sftp_gateway/channel_clients.py
@@ -19,7 +19,7 @@
 from milletsill.fleet.channels.contracts import ContractCatalog
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
+from milletsill.sftp import packet_codec, packets, status_tags
 from milletsill.sftp_gateway.channel_attempts import written_size
 from milletsill.sftp_gateway.channel_router import ChannelRouter, rejection
 from milletsill.sftp_gateway.client_handles import HandleTable, unknown_handle_status
@@ -147,21 +147,21 @@
         """Return the answer to a command on a channel, None where it is on its way."""
         if packet.name == wire.NUMBERED:
             return self._take_numbered(client, packet)
-        given = wire.read_channel(packet)
-        if isinstance(given, wire.Opening):
+        given = wire.decode_channel_request(packet)
+        if isinstance(given, wire.ChannelOpen):
             return self._take_open(client, packet, given)
         channel = client.channels.get(given.handle)
         if channel is None:
             return unknown_handle_status(packet.id)
         body: CommandBody
-        if isinstance(given, wire.Asking):
+        if isinstance(given, wire.ChannelQuery):
             body = QueryNumber(given.number)
         else:
             body = ResolveNumber(given.number, given.word, channel.claim)
         return self._send(client, packet, channel.volume, channel.name, body)
 
     def _take_open(
-        self, client: ChannelClient, packet: packets.Extended, given: wire.Opening
+        self, client: ChannelClient, packet: packets.Extended, given: wire.ChannelOpen
     ) -> Any:
         volume = self.gateway.routing_table.volume_of(canonical_path(given.path))
         if volume is None or not self.catalog.covers_volume(volume.name):
@@ -173,13 +173,13 @@
         return self._send(client, packet, volume, given.channel, body)
 
     def _take_numbered(self, client: ChannelClient, packet: packets.Extended) -> Any:
-        given = wire.read_numbered(packet)
+        given = wire.decode_numbered(packet)
         channel = client.channels.get(given.handle)
         if channel is None:
             return unknown_handle_status(packet.id)
         body = self.reader.read(client.handles, channel, given)
         if isinstance(body, NumberRefusal):
-            return wire.put_sign(packet.id, "contract", body.reason)
+            return status_tags.tagged_status(packet.id, "contract", body.reason)
         return self._send(client, packet, channel.volume, channel.name, body)
 
     # On its way.
@@ -200,7 +200,9 @@
         if reason:
             delay = self.gateway.host.config.max_retry_after
             message = f"declined: {reason}"
-            return wire.put_sign(packet.id, "declined", message, None, delay)
+            return status_tags.tagged_status(
+                packet.id, "declined", message, None, delay
+            )
         client.outstanding[packet.id] = pending
         self.unanswered += 1
 
@@ -212,7 +214,7 @@
 
         def answer_client(answer: Any) -> None:
             pending.final = final_of(answer)
-            client.answer(pending, packets.with_id(answer, packet.id))
+            client.answer(pending, packet_codec.with_id(answer, packet.id))
 
         pending.on_answer = answer_client
         self._set_timeout(pending, deadline, body, on_answer)
@@ -285,7 +287,7 @@
         self.count("overdue")
         if isinstance(body, (NumberedRequest, ResolveNumber)):
             message = "aborted: no answer in time"
-            on_answer(wire.put_sign(0, "aborted", message))
+            on_answer(status_tags.tagged_status(0, "aborted", message))
             return
         on_answer(rejection("no answer in time", DEFAULT_RETRY_DELAY))
 
@@ -311,20 +313,20 @@
             return answer
         if not isinstance(answer, packets.ExtendedReply):
             return answer
-        opened = wire.read_opened(answer)
+        opened = wire.decode_open_reply(answer)
         self.last_token += 1
         handle = HANDLE_PREFIX + self.last_token.to_bytes(HANDLE_LENGTH, "big")
         client.channels[handle] = ChannelHandle(
             volume, name, opened.claim, opened.contract
         )
-        return wire.put_opened(0, replace(opened, handle=handle))
+        return wire.encode_open_reply(0, replace(opened, handle=handle))
 
 
 def final_of(answer: Any) -> str:
     """Return how a command on a channel ended, for flow records."""
     sign = None
     if isinstance(answer, packets.Status):
-        sign = wire.read_sign(answer.language)
+        sign = status_tags.parse_status_tag(answer.language)
     if sign is None:
         return "satisfied"
     return "aborted" if sign.word == "aborted" else "declined"
--- a/milletsill/sftp_gateway/channel_router.py
+++ b/milletsill/sftp_gateway/channel_router.py
@@ -10,14 +10,16 @@
 from milletsill.fleet.channels.commands import ChannelCommand, Redirect
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.peer_forwarder import PeerForwarder
-from milletsill.sftp import channel_extensions as wire
+from milletsill.sftp import status_tags
 
 MAX_REDIRECTS = 3  # times that a command follows what the acceptors say of the owner
 
 
 def rejection(reason: str, retry_delay: int) -> Any:
     """Return the answer to a command that was not taken; it has no id yet."""
-    return wire.put_sign(0, "declined", f"declined: {reason}", None, retry_delay)
+    return status_tags.tagged_status(
+        0, "declined", f"declined: {reason}", None, retry_delay
+    )
 
 
 class ChannelRouter:
--- a/milletsill/sftp_gateway/client_commands.py
+++ b/milletsill/sftp_gateway/client_commands.py
@@ -5,15 +5,15 @@
 from typing import Any, Protocol
 
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.wire import Attrs, Name
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.wire import DirectoryEntry, FileAttributes
 from milletsill.sftp_gateway.client_handles import HandleTable, unknown_handle_status
 from milletsill.sftp_gateway.command_classification import canonical_path
 from milletsill.sftp_gateway.gateway_context import GatewayContext
 from milletsill.sftp_gateway.open_handle import OpenHandle
 from milletsill.sftp_gateway.routing_table import RoutedVolume
 
-DIRECTORY_ATTRS = Attrs(mode=0o040755)
+DIRECTORY_ATTRS = FileAttributes(mode=0o040755)
 MAX_LISTED_ABOVE = 1000  # names above all volumes, in one page
 MAX_SHOWN_EXTENSION = 40  # characters
 HANDLE_COMMANDS = (
@@ -34,7 +34,7 @@
     def run(
         self,
         packet: Any,
-        terms: Terms,
+        terms: CommandTerms,
         volume: RoutedVolume,
         path: str,
         handle: OpenHandle | None,
@@ -53,7 +53,7 @@
         self.client = client
         self.handles = client.handles
 
-    def take(self, packet: Any, terms: Terms) -> Any:
+    def take(self, packet: Any, terms: CommandTerms) -> Any:
         """Answer or start a command.
 
         Raises:
@@ -62,7 +62,9 @@
         """
         if isinstance(packet, packets.Realpath):
             path = canonical_path(packet.path or "/")
-            return packets.Names(packet.id, (Name(path, path, Attrs()),))
+            return packets.DirectoryEntries(
+                packet.id, (DirectoryEntry(path, path, FileAttributes()),)
+            )
         if isinstance(packet, packets.Close):
             return self._close(packet)
         if isinstance(packet, packets.Extended):
@@ -83,11 +85,11 @@
 
     # Extensions.
 
-    def _take_extended(self, packet: packets.Extended, terms: Terms) -> Any:
+    def _take_extended(self, packet: packets.Extended, terms: CommandTerms) -> Any:
         if packet.name == extensions.LIMITS:
             most = self.gateway.routing_table.max_request_bytes
             door = self.gateway.file.door
-            return extensions.put_limits(
+            return extensions.encode_limits(
                 packet.id, door.most_packet, most, most, door.most_handles
             )
         if packet.name in self.gateway.extensions:
@@ -95,7 +97,7 @@
         if packet.name != extensions.FSYNC:
             reason = f"unknown extension {packet.name[:MAX_SHOWN_EXTENSION]!r}"
             return packets.Status(packet.id, packets.UNSUPPORTED, reason)
-        handle = self.handles.get(extensions.read_fsync(packet))
+        handle = self.handles.get(extensions.decode_fsync(packet))
         if handle is None or handle.volume is None or handle.location is None:
             return unknown_handle_status(packet.id)
         self.client.run(packet, terms, handle.volume, handle.path, handle)
@@ -103,7 +105,7 @@
 
     # Commands on handles.
 
-    def _take_on_handle(self, packet: Any, terms: Terms) -> Any:
+    def _take_on_handle(self, packet: Any, terms: CommandTerms) -> Any:
         handle = self.handles.get(packet.handle)
         listing = isinstance(packet, packets.Readdir)
         if handle is None or listing != (handle.location is None):
@@ -127,14 +129,14 @@
         if not names:
             return packets.Status(id, packets.EOF, "the end")
         listed = tuple(
-            Name(each, f"drwxr-xr-x 1 - - 0 {each}", DIRECTORY_ATTRS)
+            DirectoryEntry(each, f"drwxr-xr-x 1 - - 0 {each}", DIRECTORY_ATTRS)
             for each in names[:MAX_LISTED_ABOVE]
         )
-        return packets.Names(id, listed)
+        return packets.DirectoryEntries(id, listed)
 
     # Commands on paths.
 
-    def _take_on_path(self, packet: Any, terms: Terms) -> Any:
+    def _take_on_path(self, packet: Any, terms: CommandTerms) -> Any:
         table = self.gateway.routing_table
         path = canonical_path(packet.path)
         volume = table.volume_of(path)
@@ -175,7 +177,7 @@
     def _answer_operators_path(self, packet: Any) -> Any:
         """Answer a command on a volume's root or above: that is the operator's."""
         if isinstance(packet, (packets.Stat, packets.Lstat)):
-            return packets.AttrsAnswer(packet.id, DIRECTORY_ATTRS)
+            return packets.AttributesReply(packet.id, DIRECTORY_ATTRS)
         reason = "this belongs to the operator"
         return packets.Status(packet.id, packets.PERMISSION_DENIED, reason)
 
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from milletsill.interface import Request
-from milletsill.sftp import packets
-from milletsill.sftp.extensions import ELSEWHERE, Terms, Verdict
+from milletsill.sftp import packet_codec, packets
+from milletsill.sftp.extensions import CommandTerms, NodeReply, NodeReplyStatus
 from milletsill.sftp_gateway.command_classification import (
     OPERATIONS,
     WRITE_OPERATIONS,
@@ -68,7 +68,7 @@
     """
 
     packet: Any
-    terms: Terms
+    terms: CommandTerms
     volume: RoutedVolume
     path: str
     handle: OpenHandle | None
@@ -266,12 +266,12 @@
 
     # What the scheduler host says of the request (`ResponseSink`).
 
-    def succeeded(self, reply: Verdict) -> None:
+    def succeeded(self, reply: NodeReply) -> None:
         """Take a node's answer: go on with the next step, or end."""
         self.request_id = None
         answer = reply.answer
         status = answer.code if isinstance(answer, packets.Status) else None
-        result = step_result(reply.verdict == ELSEWHERE, status)
+        result = step_result(reply.verdict == NodeReplyStatus.ELSEWHERE, status)
         step = self.step
         if step is CommandStep.PLACING and self.location and reply.text.isdecimal():
             self.location = ObjectLocation(int(reply.text), self.location.name)
@@ -361,14 +361,14 @@
         """Take one page of a directory."""
         handle = self.handle
         assert handle is not None
-        ended = not isinstance(answer, packets.Names)
+        ended = not isinstance(answer, packets.DirectoryEntries)
         names = () if ended else handle.take_page(answer)
         if ended:
             handle.found |= answer.code != packets.NO_SUCH_FILE
         shards_left = len(self.volume.shards) - 1 - self.shard_index
         outcome = page_outcome(len(names), ended, shards_left)
         if outcome is PageOutcome.ANSWER:
-            self._finish(packets.Names(self.command.id, names))
+            self._finish(packets.DirectoryEntries(self.command.id, names))
             return
         if outcome is PageOutcome.END:
             self._finish(self._end_of_directory(handle))
@@ -391,7 +391,7 @@
         on_answer = self.on_answer
         self.on_answer = _ignore_answer
         self.gateway.on_command_finished(self, final, reason)
-        on_answer(packets.with_id(packet, self.command.id))
+        on_answer(packet_codec.with_id(packet, self.command.id))
 
 
 def _ignore_answer(packet: Any) -> None:
--- a/milletsill/sftp_gateway/command_targets.py
+++ b/milletsill/sftp_gateway/command_targets.py
@@ -48,7 +48,7 @@
         max_read: bytes that one read may ask for.
     """
     if isinstance(command, packets.Extended):
-        return extensions.put_fsync(0, name.encode("utf-8", "surrogateescape"))
+        return extensions.encode_fsync(0, name.encode("utf-8", "surrogateescape"))
     if hasattr(command, "handle"):
         handle = name.encode("utf-8", "surrogateescape")
         if isinstance(command, packets.Read):
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -12,10 +12,7 @@
 from typing import Any
 
 from milletsill.errors import MilletsillError
-from milletsill.gateway.scheduler_host import (
-    SchedulerFactory,
-)
-from milletsill.interface import Endpoint, EndpointUpdateKind
+from milletsill.interface import Endpoint, EndpointUpdateKind, SchedulerFactory
 from milletsill.logs import logger
 from milletsill.registry.registered_node import RegisteredNode
 from milletsill.scheduler import Scheduler
@@ -252,7 +249,13 @@
             client.transport.loseConnection()
         self.host.stop()
         self.node_pools.abort()
-        for part in (self.flows, self.traces, self.quota_client, self.health, self.fleet):
+        for part in (
+            self.flows,
+            self.traces,
+            self.quota_client,
+            self.health,
+            self.fleet,
+        ):
             if part is not None:
                 part.stop()
         self.stall_watch.stop()
--- a/milletsill/sftp_gateway/node_pools.py
+++ b/milletsill/sftp_gateway/node_pools.py
@@ -14,7 +14,7 @@
 from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.registry.registered_node import RegisteredNode
-from milletsill.sftp.extensions import Order
+from milletsill.sftp.extensions import NodeRequest
 from milletsill.sftp_gateway.command_payload import CommandPayload
 from milletsill.sftp_gateway.identifiers import IdentifierSource
 
@@ -113,8 +113,10 @@
             ended = guard.count_dispatch(ended)
         return pool.send_attempt(self._order(payload, request, number), ended, guard)
 
-    def _order(self, payload: CommandPayload, request: Request, number: int) -> Order:
-        return Order(
+    def _order(
+        self, payload: CommandPayload, request: Request, number: int
+    ) -> NodeRequest:
+        return NodeRequest(
             self.identifiers.gateway,
             self.identifiers.incarnation,
             request.id,
--- a/milletsill/sftp_gateway/numbered_commands.py
+++ b/milletsill/sftp_gateway/numbered_commands.py
@@ -8,8 +8,8 @@
 from milletsill.fleet.channels.commands import NumberedRequest
 from milletsill.fleet.channels.contracts import ContractCatalog
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.wire import bytes_of
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.wire import text_to_bytes
 from milletsill.sftp_gateway.client_handles import HandleTable
 from milletsill.sftp_gateway.command_classification import (
     OPERATIONS,
@@ -50,7 +50,7 @@
         self.catalog = catalog
 
     def read(
-        self, handles: HandleTable, channel: ChannelHandle, given: wire.Numbered
+        self, handles: HandleTable, channel: ChannelHandle, given: wire.NumberedCommand
     ) -> NumberedRequest | NumberRefusal:
         """Return what a client wants of a channel."""
         command = given.command
@@ -78,10 +78,10 @@
     def _command_on_path(self, command: Any, path: str) -> Any:
         """Return the command with its path in place of a handle, and without an id."""
         if hasattr(command, "handle"):
-            return replace(command, id=0, handle=bytes_of(path))
+            return replace(command, id=0, handle=text_to_bytes(path))
         if isinstance(command, packets.Extended):
-            return extensions.put_fsync(0, bytes_of(path))
-        return packets.with_id(command, 0)
+            return extensions.encode_fsync(0, text_to_bytes(path))
+        return packet_codec.with_id(command, 0)
 
     def _path_of(
         self, handles: HandleTable, command: Any, volume: RoutedVolume
@@ -100,7 +100,7 @@
         handle = (
             command.handle
             if hasattr(command, "handle")
-            else extensions.read_fsync(command)
+            else extensions.decode_fsync(command)
         )
         opened = handles.get(handle)
         if opened is None or opened.location is None or opened.volume is not volume:
--- a/milletsill/sftp_gateway/open_handle.py
+++ b/milletsill/sftp_gateway/open_handle.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from milletsill.sftp import packets
-from milletsill.sftp.wire import Name
+from milletsill.sftp.wire import DirectoryEntry
 from milletsill.sftp_gateway.object_location import ObjectLocation
 from milletsill.sftp_gateway.routing_table import RoutedVolume
 
@@ -46,7 +46,7 @@
         self.shard_index = 0
         self.found = False
 
-    def take_page(self, page: packets.Names) -> tuple[Name, ...]:
+    def take_page(self, page: packets.DirectoryEntries) -> tuple[DirectoryEntry, ...]:
         """Take one page of the directory; return the names that are new."""
         names = tuple(
             each for each in page.names if each.filename not in self.seen_names
@@ -63,6 +63,6 @@
         self.after = ""
 
 
-def is_directory(name: Name) -> bool:
+def is_directory(name: DirectoryEntry) -> bool:
     """Return whether a listed name is a directory's."""
     return (name.attrs.mode or 0) & FILE_TYPE_MASK == DIRECTORY_TYPE
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -16,11 +16,12 @@
     freeze_long_lived_objects,
     install_signal_handler,
 )
-from milletsill.gateway.scheduler_host import SchedulerFactory
+from milletsill.interface import SchedulerFactory
 from milletsill.scheduler import Scheduler
-from milletsill.settings.load import SettingsFileRejected, load
+from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.gateway_file import check_gateway
+from milletsill.settings.load import load
 from milletsill.settings.milletsill_pb2 import GatewayFile
-from milletsill.settings.validation import check_gateway
 from milletsill.sftp_gateway.gateway import SftpGateway
 
 LOGGED_PAUSE = 0.05  # seconds: a pause of the collector that is worth a line
@@ -133,5 +134,5 @@
     try:
         gateway.reload(load(path, GatewayFile, check_gateway))
     except SettingsFileRejected as error:
-        for fault in error.faults:
-            gateway.warn("file_refused", **SettingsFileRejected([fault]).log_fields())
+        for flaw in error.flaws:
+            gateway.warn("file_refused", **SettingsFileRejected([flaw]).log_fields())
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -8,9 +8,9 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from milletsill.errors import MalformedInput
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
-from milletsill.sftp.framing import BrokenPacketStream, Deframer
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.extensions import CommandTerms
+from milletsill.sftp.framing import BrokenPacketStream, PacketSplitter
 from milletsill.sftp_gateway.client_commands import ClientCommands
 from milletsill.sftp_gateway.client_handles import HandleTable
 from milletsill.sftp_gateway.client_state import (
@@ -62,7 +62,7 @@
     def __init__(self, gateway: GatewayContext) -> None:
         self.gateway = gateway
         self.state = SftpClientState.FRESH
-        self.deframer = Deframer(gateway.file.door.most_packet)
+        self.deframer = PacketSplitter(gateway.file.door.most_packet)
         self.outstanding: dict[int, OutstandingCommand] = {}
         self.handles = HandleTable(gateway)
         self.channels: dict[bytes, Any] = {}
@@ -171,7 +171,7 @@
         """Read the table and act."""
         self.state, effect = next_client_state(self.state, event)
         if effect is SftpClientEffect.SEND_VERSION:
-            offered = extensions.offered(*self.gateway.extensions)
+            offered = extensions.encode_offer(*self.gateway.extensions)
             self._reply(packets.Version(packets.VERSION_SPOKEN, offered))
         elif effect is SftpClientEffect.PAUSE_READING:
             self.full_since = self.gateway.now()
@@ -213,8 +213,8 @@
         """
         self.octets = len(body) + LENGTH_OCTETS
         try:
-            packet = packets.decode(body)
-        except packets.UnknownPacket as error:
+            packet = packet_codec.decode(body)
+        except packet_codec.UnknownPacket as error:
             status = packets.Status(error.id, packets.UNSUPPORTED, str(error))
             self._reply(status)
             return
@@ -246,11 +246,11 @@
             self._reply_bad_message(id, f"command {id} is still out")
             return
         try:
-            terms = Terms()
+            terms = CommandTerms()
             if isinstance(packet, packets.Extended) and (
                 packet.name == extensions.COMMAND
             ):
-                terms, packet = extensions.read_terms(packet)
+                terms, packet = extensions.decode_command(packet)
             answer = self.commands.take(packet, terms)
         except (MalformedInput, InvalidPath) as error:
             answer = packets.Status(id, packets.BAD_MESSAGE, str(error))
@@ -260,7 +260,7 @@
     def run(
         self,
         packet: Any,
-        terms: Terms,
+        terms: CommandTerms,
         volume: RoutedVolume,
         path: str,
         handle: OpenHandle | None,
@@ -306,7 +306,7 @@
         """Return how many octets were written to the client."""
         if self.state is SftpClientState.CLOSED:
             return 0
-        data = packets.encode(packet)
+        data = packet_codec.encode(packet)
         self.transport.write(data)
         return len(data)
 
--- a/tests/sftp_gateway/test_client_and_node_faults.py
+++ b/tests/sftp_gateway/test_client_and_node_faults.py
@@ -4,8 +4,9 @@
 
 from twisted.trial.unittest import TestCase
 
+from milletsill.sftp import packet_codec
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 from tests.support.sftp_gateway_rig import Rig, later, pattern
 from tests.support.sftp_answers import aborted, declined
 
@@ -21,7 +22,7 @@
             box.vanish()
         began = time.monotonic()
         answer = await client.command(
-            packets.Read(0, handle, 0, 10), Terms(400, 0, "m")
+            packets.Read(0, handle, 0, 10), CommandTerms(400, 0, "m")
         )
         self.assertTrue(declined(answer), answer)
         self.assertLess(time.monotonic() - began, 0.4)
@@ -35,7 +36,7 @@
         for box in rig.boxes:
             box.vanish()
         answer = await client.command(
-            packets.Write(0, handle, 0, b"x"), Terms(400, 0, "m")
+            packets.Write(0, handle, 0, b"x"), CommandTerms(400, 0, "m")
         )
         self.assertTrue(aborted(answer), answer)
 
@@ -48,7 +49,7 @@
             box.kind.cancel = "none"
             box.speed.still_until = time.monotonic() + 0.5
         answer = await client.command(
-            packets.Read(0, handle, 0, 10), Terms(250, 0, "m")
+            packets.Read(0, handle, 0, 10), CommandTerms(250, 0, "m")
         )
         self.assertTrue(declined(answer), answer)
         await later(0.6)
@@ -80,7 +81,7 @@
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway())
         for _ in range(2):
-            client.transport.write(packets.encode(packets.Stat(77, "/h/none")))
+            client.transport.write(packet_codec.encode(packets.Stat(77, "/h/none")))
         await later(0.3)
         codes = [each.code for each in client.answers if each.id == 77]
         self.assertEqual(sorted(codes), [packets.NO_SUCH_FILE, packets.BAD_MESSAGE])
@@ -106,7 +107,7 @@
             [(9, packets.BAD_MESSAGE), (8, packets.UNSUPPORTED)],
         )
         self.assertIsInstance(
-            await client.command(packets.Realpath(0, ".")), packets.Names
+            await client.command(packets.Realpath(0, ".")), packets.DirectoryEntries
         )
 
     async def test_a_client_that_never_reads_is_bounded_and_cut(self):
@@ -119,7 +120,7 @@
         for _ in range(4000):
             client.ids += 1
             client.transport.write(
-                packets.encode(packets.Read(client.ids, handle, 0, 32768))
+                packet_codec.encode(packets.Read(client.ids, handle, 0, 32768))
             )
         most = 0
         for _ in range(
@@ -136,5 +137,5 @@
         self.assertLessEqual(most, 8)
         self.assertEqual(len(gateway.clients), 1)
         self.assertIsInstance(
-            await other.command(packets.Stat(0, "/h")), packets.AttrsAnswer
+            await other.command(packets.Stat(0, "/h")), packets.AttributesReply
         )
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -86,7 +86,8 @@
         handle = (await client.command(packets.Opendir(0, "/h"))).handle
         names = []
         while isinstance(
-            answer := await client.command(packets.Readdir(0, handle)), packets.Names
+            answer := await client.command(packets.Readdir(0, handle)),
+            packets.DirectoryEntries,
         ):
             names += [each.filename for each in answer.names]
         self.assertEqual(
@@ -119,7 +120,7 @@
         answers = [await client.command(packets.Opendir(0, "/h")) for _ in range(8)]
         self.assertEqual([type(each).__name__ for each in answers].count("Handle"), 6)
         answer = await client.command(packets.Extended(0, extensions.LIMITS))
-        self.assertEqual(extensions.read_limits(answer)[1:], (32768, 32768, 6))
+        self.assertEqual(extensions.decode_limits(answer)[1:], (32768, 32768, 6))
         await client.command(packets.Close(0, answers[0].handle))
         handle = await client.open("/h/x")
         self.assertEqual(
@@ -127,7 +128,7 @@
             packets.FAILURE,
         )
         self.assertEqual(
-            (await client.command(extensions.put_fsync(0, handle))).code, packets.OK
+            (await client.command(extensions.encode_fsync(0, handle))).code, packets.OK
         )
         self.assertEqual(
             (await client.command(packets.Extended(0, "x@y"))).code, packets.UNSUPPORTED
--- a/tests/sftp_gateway/test_gateway_life_cycle.py
+++ b/tests/sftp_gateway/test_gateway_life_cycle.py
@@ -5,8 +5,9 @@
 from twisted.internet import defer
 from twisted.trial.unittest import TestCase
 
+from milletsill.sftp import packet_codec
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import Terms
+from milletsill.sftp.extensions import CommandTerms
 from tests.support.sftp_gateway_rig import Rig, later
 from tests.support.sftp_answers import declined
 
@@ -19,7 +20,9 @@
         rig.registry.set_away(True)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
-        answer = await client.command(packets.Stat(0, "/h/x"), Terms(200, 0, "m"))
+        answer = await client.command(
+            packets.Stat(0, "/h/x"), CommandTerms(200, 0, "m")
+        )
         self.assertTrue(declined(answer), answer)
         rig.registry.set_away(False)
         await later(1.2)
@@ -38,7 +41,7 @@
         self.assertEqual(second.incarnation, first.incarnation + 1)
         client = await rig.client(second)
         self.assertIsInstance(
-            await client.command(packets.Stat(0, "/h/x")), packets.AttrsAnswer
+            await client.command(packets.Stat(0, "/h/x")), packets.AttributesReply
         )
 
     async def test_a_drain_told_is_a_drain_kept(self):
@@ -50,7 +53,9 @@
         rig.tell(busy, "draining")
         await later(0.3)
         before = busy.counted, sum(busy.served.values())
-        answer = await client.command(packets.Stat(0, "/d/x"), Terms(300, 0, "m"))
+        answer = await client.command(
+            packets.Stat(0, "/d/x"), CommandTerms(300, 0, "m")
+        )
         self.assertTrue(declined(answer), answer)
         self.assertEqual((busy.counted, sum(busy.served.values())), before)
 
@@ -66,7 +71,7 @@
         rig.add_box(9, old.cell, old.files, cold=True)
         await later(0.9)
         answer = await client.command(packets.Stat(0, "/d/x"))
-        self.assertIsInstance(answer, packets.AttrsAnswer)
+        self.assertIsInstance(answer, packets.AttributesReply)
 
     async def test_a_reactor_blocked_for_two_seconds_answers_all_once_and_goes_on(self):
         rig = Rig(self)
@@ -94,10 +99,10 @@
         handle = await client.open("/h/x")
         for box in rig.boxes:
             box.vanish()
-        asking = extensions.put_terms(
-            Terms(900, 0, "m"), packets.Read(99, handle, 0, 4)
+        asking = extensions.encode_command(
+            CommandTerms(900, 0, "m"), packets.Read(99, handle, 0, 4)
         )
-        client.transport.socket.send(packets.encode(asking))
+        client.transport.socket.send(packet_codec.encode(asking))
         began = time.monotonic()
         time.sleep(0.6)
         while not any(each.id == 99 for each in client.answers):
@@ -186,7 +191,7 @@
         gateway.reload(file)
         client = await rig.client(gateway)
         self.assertIsInstance(
-            await client.command(packets.Stat(0, "/new")), packets.AttrsAnswer
+            await client.command(packets.Stat(0, "/new")), packets.AttributesReply
         )
         other = type(file)()
         other.CopyFrom(file)
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -7,7 +7,7 @@
     must_read_sockets_first,
 )
 from milletsill.sftp import packets
-from milletsill.sftp.wire import Attrs
+from milletsill.sftp.wire import FileAttributes
 from milletsill.sftp_gateway.answer_log import AnswerLogLimiter
 from milletsill.sftp_gateway.client_state import (
     SftpClientEffect,
@@ -195,7 +195,7 @@
 
 class Courses(unittest.TestCase):
     def test_how_commands_go(self):
-        opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, Attrs())
+        opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, FileAttributes())
         for command, placement, course in (
             (opening, VolumePlacement.HASHED, CommandStrategy.PLAIN),
             (opening, VolumePlacement.FREE, CommandStrategy.MAKE),
