--- a/milletsill/sftp_gateway/channel_clients.py
+++ b/milletsill/sftp_gateway/channel_clients.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from random import SystemRandom
 from typing import Any, Protocol
 
@@ -198,30 +199,20 @@
         deadline = self._deadline(pending, body)
         reason = self._refusal(deadline)
         if reason:
-            delay = self.gateway.host.config.max_retry_after
-            message = f"declined: {reason}"
-            return status_tags.tagged_status(
-                packet.id, "declined", message, None, delay
-            )
+            return self._rejected(packet.id, reason)
         client.outstanding[packet.id] = pending
         self.unanswered += 1
-
-        def on_answer(answer: Any) -> None:
-            if pending not in self.pending:
-                return  # the one answer was given
-            self._forget(pending)
-            pending.on_answer(self._with_handle(client, volume, name, body, answer))
-
-        def answer_client(answer: Any) -> None:
-            pending.final = final_of(answer)
-            client.answer(pending, packet_codec.with_id(answer, packet.id))
-
-        pending.on_answer = answer_client
+        pending.on_answer = partial(self._answer_client, client, pending)
+        on_answer = partial(self._on_answer, client, pending, name, body)
         self._set_timeout(pending, deadline, body, on_answer)
         self.pending.add(pending)
-        command = ChannelCommand(
-            volume, name, deadline, body, self._new_token(), _ignore_answer
-        )
+        token = self._new_token()
+        command = ChannelCommand(volume, name, deadline, body, token, _ignore_answer)
+        self._route(command, on_answer)
+        return None
+
+    def _route(self, command: ChannelCommand, on_answer: Callable[[Any], None]) -> None:
+        """Take a command to the owner; follow redirects until there is an answer."""
 
         def on_owner_answer(answer: Any) -> None:
             if isinstance(answer, Redirect):
@@ -231,7 +222,11 @@
 
         command.on_answer = on_owner_answer
         self.router.route(command)
-        return None
+
+    def _rejected(self, id: int, reason: str) -> packets.Status:
+        delay = self.gateway.host.config.max_retry_after
+        message = f"declined: {reason}"
+        return status_tags.tagged_status(id, "declined", message, None, delay)
 
     def _request_class(self, volume: RoutedVolume, body: CommandBody) -> int:
         table = self.gateway.routing_table
@@ -293,6 +288,27 @@
 
     # And back.
 
+    def _on_answer(
+        self,
+        client: ChannelClient,
+        pending: PendingChannelCommand,
+        name: str,
+        body: CommandBody,
+        answer: Any,
+    ) -> None:
+        """Take an answer; only the first of a command counts."""
+        if pending not in self.pending:
+            return
+        self._forget(pending)
+        volume = pending.volume
+        pending.on_answer(self._with_handle(client, volume, name, body, answer))
+
+    def _answer_client(
+        self, client: ChannelClient, pending: PendingChannelCommand, answer: Any
+    ) -> None:
+        pending.final = final_of(answer)
+        client.answer(pending, packet_codec.with_id(answer, pending.command.id))
+
     def _forget(self, pending: PendingChannelCommand) -> None:
         self.pending.remove(pending)
         if pending.timeout.active():
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -1,4 +1,4 @@
-"""What the edge decides around the module: each test calls one function or reads one row."""
+"""Routing, command steps, states: each test calls one function or reads one row."""
 
 import unittest
 
@@ -135,7 +135,7 @@
         self.assertEqual(routing_table().units("look", 0), 0.5)
 
 
-class Homes(unittest.TestCase):
+class HomeShards(unittest.TestCase):
     def test_every_gateway_finds_the_same_home(self):
         self.assertEqual(
             routing_table().home_shard(place(), "/suva/x"),
@@ -193,7 +193,7 @@
         )
 
 
-class Courses(unittest.TestCase):
+class CommandSteps(unittest.TestCase):
     def test_how_commands_go(self):
         opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, FileAttributes())
         for command, placement, course in (
@@ -301,7 +301,7 @@
         )
 
 
-class Doors(unittest.TestCase):
+class ClientStates(unittest.TestCase):
     def test_a_command_before_init_and_a_second_init_are_cut(self):
         self.assertEqual(
             next_client_state(SftpClientState.FRESH, SftpClientEvent.COMMAND),
@@ -340,7 +340,7 @@
             )
 
 
-class Processes(unittest.TestCase):
+class GatewayStates(unittest.TestCase):
     def test_term_drains_and_stops_when_empty_or_overdue_or_told_twice(self):
         self.assertEqual(
             next_gateway_state(GatewayState.SERVING, GatewayEvent.TERM),
