--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -57,7 +57,7 @@
 
     A bad or missing file ends the process with EXIT_BAD_INPUT.
     """
-    from milletsill.trace.format import MalformedTrace
+    from milletsill.trace.file_format import MalformedTrace
 
     try:
         return call()
@@ -95,7 +95,7 @@
 
     A bad time or file ends the process with EXIT_BAD_INPUT.
     """
-    from milletsill.trace.recording_policy import InvalidTime
+    from milletsill.trace.time_argument import InvalidTime
 
     try:
         return result_or_exit(lambda: _parse_period(file, since, until))
@@ -107,27 +107,31 @@
     file: str, since: str | None, until: str | None
 ) -> tuple[int | None, int | None]:
     """Read the file's clock, and return begin and end of a period on it."""
-    from milletsill.trace.reader import Trace
-    from milletsill.trace.recording_policy import moment
+    from milletsill.trace.reader import TraceReader
+    from milletsill.trace.time_argument import parse_time
 
-    def parse_time(text: str | None) -> int | None:
+    def parse_optional(text: str | None) -> int | None:
         if text is None:
             return None
-        return moment(text, int(about.get("opened", 0)), int(about.get("wall_ms", 0)))
+        return parse_time(
+            text, int(header.get("opened", 0)), int(header.get("wall_ms", 0))
+        )
 
-    with Trace(file) as trace:
-        about = trace.map.about
-        return parse_time(since), parse_time(until)
+    with TraceReader(file) as reader:
+        header = reader.contents.header
+        return parse_optional(since), parse_optional(until)
 
 
 @trace.command("info")
 @FILES
 def trace_info(files: tuple[str, ...]) -> None:
     """What each of FILES holds, a line of JSON for each."""
-    from milletsill.trace.tools import summary
+    from milletsill.trace.summary import summarise_trace
 
     for file in files:
-        click.echo(json.dumps(read_with_progress([file], partial(summary, file))))
+        click.echo(
+            json.dumps(read_with_progress([file], partial(summarise_trace, file)))
+        )
 
 
 @trace.command("cat")
@@ -136,11 +140,13 @@
 @UNTIL
 def trace_cat(file: str, since: str | None, until: str | None) -> None:
     """Print FILE's records as JSON lines."""
-    from milletsill.trace.tools import lines
+    from milletsill.trace.summary import dump_records
 
     begin, end = parse_period(file, since, until)
     result_or_exit(
-        lambda: lines(file, begin, end, lambda row: click.echo(json.dumps(row)))
+        lambda: dump_records(
+            file, begin, end, lambda record: click.echo(json.dumps(record))
+        )
     )
 
 
@@ -148,16 +154,16 @@
 @FILES
 def trace_verify(files: tuple[str, ...]) -> None:
     """Unpack every block of FILES. Exit status 1 where anything is broken."""
-    from milletsill.trace.reader import verify
+    from milletsill.trace.repair import verify
 
     is_broken = False
     for file in files:
         found = read_with_progress([file], partial(verify, file))
         click.echo(
-            f"{file}: {found.verdict.name.lower()}, {len(found.heads)} blocks, "
-            f"{sum(block.records for block in found.heads)} records"
+            f"{file}: {found.state.name.lower()}, {len(found.blocks)} blocks, "
+            f"{sum(block.record_count for block in found.blocks)} records"
         )
-        for gap in found.breaks:
+        for gap in found.damage:
             is_broken = True
             click.echo(f"  at {gap.offset}, {gap.size} bytes: {gap.reason}")
     sys.exit(EXIT_FAILED if is_broken else 0)
@@ -172,11 +178,11 @@
 @OUT
 def trace_repair(file: str, out: str) -> None:
     """Write the whole blocks of a file to a new file, with an index."""
-    from milletsill.trace.reader import repair
+    from milletsill.trace.repair import repair
 
     found = read_with_progress([file], partial(repair, file, out))
-    left_out = sum(gap.size for gap in found.breaks)
-    click.echo(f"{out}: {len(found.heads)} blocks kept, {left_out} bytes left out")
+    left_out = sum(gap.size for gap in found.damage)
+    click.echo(f"{out}: {len(found.blocks)} blocks kept, {left_out} bytes left out")
 
 
 @dataclass(frozen=True, slots=True)
@@ -209,27 +215,17 @@
 @group_options(CutOptions)
 def trace_cut(file: str, out: str, options: CutOptions) -> None:
     """Write a part of FILE to the new file OUT."""
-    from milletsill.trace.tools import cut, place_of
+    from milletsill.trace.cut import cut_trace, find_request_class
+    from milletsill.trace.record_filter import RecordFilter
 
     begin, end = parse_period(file, options.since, options.until)
     category = options.category
     place = None
     if category is not None:
-        place = result_or_exit(partial(place_of, file, category))
-    records, bytes_read = read_with_progress(
-        [file],
-        partial(
-            cut,
-            file,
-            out,
-            since=begin,
-            until=end,
-            store=options.store,
-            category=place,
-            box=options.box,
-        ),
-    )
-    click.echo(f"{out}: {records} records, {bytes_read} bytes read")
+        place = result_or_exit(partial(find_request_class, file, category))
+    wanted = RecordFilter(begin, end, options.store, place, options.box)
+    result = read_with_progress([file], partial(cut_trace, file, out, wanted))
+    click.echo(f"{out}: {result.records} records, {result.bytes_read} bytes read")
 
 
 @trace.command(
@@ -242,18 +238,22 @@
 @FILES
 def trace_merge(out: str, files: tuple[str, ...]) -> None:
     """Write traces of many gateways as one, and print how each clock was corrected."""
-    from milletsill.trace.tools import merge
+    from milletsill.trace.merge import merge_traces
 
-    made = read_with_progress(list(files), partial(merge, list(files), out), passes=2)
-    click.echo(f"{out}: {made.records} records")
-    for name, shift, uncertainty in made.clocks:
-        if not shift and uncertainty is not None:
+    result = read_with_progress(
+        list(files), partial(merge_traces, list(files), out), passes=2
+    )
+    click.echo(f"{out}: {result.records} records")
+    for clock in result.clocks:
+        uncertainty = clock.uncertainty
+        if not clock.correction and uncertainty is not None:
             continue
         if uncertainty is None:
             source = "nothing shared: the wall clock alone"
         else:
             source = f"give or take {uncertainty / TICKS_PER_MS:g} ms"
-        click.echo(f"  {name}: clock set by {shift / TICKS_PER_MS:g} ms, {source}")
+        correction = clock.correction / TICKS_PER_MS
+        click.echo(f"  {clock.name}: clock set by {correction:g} ms, {source}")
 
 
 @trace.command(
@@ -271,7 +271,7 @@
 )
 def trace_anonymise(file: str, out: str, key_file: str) -> None:
     """Write a file to a new file with names and paths replaced."""
-    from milletsill.trace.tools import anonymise
+    from milletsill.trace.anonymise import anonymise_trace
 
     key = result_or_exit(lambda: Path(key_file).read_bytes()[:MAX_KEY])
     if len(key) < MIN_KEY:
@@ -279,7 +279,7 @@
             f"{key_file}: a key of {len(key)} bytes, {MIN_KEY} at least",
             EXIT_BAD_INPUT,
         )
-    records = read_with_progress([file], partial(anonymise, file, out, key))
+    records = read_with_progress([file], partial(anonymise_trace, file, out, key))
     click.echo(f"{out}: {records} records")
 
 
@@ -297,10 +297,10 @@
 )
 def trace_convert(file: str, out: str, to: str) -> None:
     """Write FILE in another form."""
-    from milletsill.trace.tools import convert
+    from milletsill.trace.convert import convert_trace
 
     records = read_with_progress(
-        [file], lambda on_bytes_read: convert(file, out, to, on_bytes_read)
+        [file], lambda on_bytes_read: convert_trace(file, out, to, on_bytes_read)
     )
     click.echo(f"{out}: {records} records")
 
@@ -350,19 +350,20 @@
 @group_options(SummaryOptions)
 def trace_summarise(file: str, options: SummaryOptions) -> None:
     """Service, quantiles, who was declined and why, by time window."""
-    from milletsill.trace import service
+    from milletsill.trace.service_display import format_report, plot_report
+    from milletsill.trace.service_report import report_service
 
     begin, end = parse_period(file, options.since, options.until)
     window = max(int(options.window * TICKS_PER_S), MIN_WINDOW)
     summary: dict[str, Any] = read_with_progress(
         [file],
-        partial(service.summarise, file, window, options.power, begin, end),
+        partial(report_service, file, window, options.power, begin, end),
     )
-    click.echo(json.dumps(summary) if options.as_json else service.table(summary))
+    click.echo(json.dumps(summary) if options.as_json else format_report(summary))
     plot_file = options.plot
     if not plot_file:
         return
     try:
-        result_or_exit(lambda: service.plot(summary, plot_file))
+        result_or_exit(lambda: plot_report(summary, plot_file))
     except ValueError as error:
         exit_with_error(f"{plot_file}: {error}", EXIT_BAD_INPUT)
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -235,7 +235,7 @@
         if gateway.quota_client is not None:
             gateway.quota_client.on_request(request)
         if gateway.traces is not None:
-            gateway.traces.path(target.name)
+            gateway.traces.set_next_path(target.name)
         gateway.host.take(request, self, self._payload(target))
 
     def _request(self, request_id: int, target: StepTarget) -> Request:
--- a/milletsill/sftp_gateway/command_report.py
+++ b/milletsill/sftp_gateway/command_report.py
@@ -55,17 +55,20 @@
     def _trace(
         self, now: int, execution: CommandExecution, final: str, reason: str
     ) -> None:
+        # The trace's code is loaded only where the file asks for traces.
+        from milletsill.trace.recorder import CommandRecord
+
         table = self.gateway.routing_table
-        self.gateway.traces.command(
-            now,
-            execution.began,
-            execution.volume.name,
-            execution.volume.plan,
-            execution.request_class,
-            execution.operation,
-            table.units(execution.operation, execution.size),
-            execution.steps_done,
-            execution.terms.tries,
-            final,
-            reason,
+        record = CommandRecord(
+            began=execution.began,
+            volume=execution.volume.name,
+            service_plan=execution.volume.plan,
+            request_class=execution.request_class,
+            operation=execution.operation,
+            units=table.units(execution.operation, execution.size),
+            requests=execution.steps_done,
+            attempts=execution.terms.tries,
+            answer=final,
+            reason=reason,
         )
+        self.gateway.traces.record_command(now, record)
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -97,7 +97,7 @@
         self.endpoint_watcher = make_endpoint_watcher(self, config, seed)
         self.traces = optional_parts.make_traces(self, config, seed)
         if self.traces is not None:
-            make_scheduler = self.traces.around(make_scheduler)
+            make_scheduler = self.traces.wrap(make_scheduler)
         self.flows = optional_parts.make_flow_export(self, seed)
         self.node_pools = make_node_pools(self)
         self.host = make_scheduler_host(self, config, seed, make_scheduler)
@@ -295,7 +295,7 @@
         self.metrics.unanswered.set(self.host.unanswered)
         self.metrics.clients.set(len(self.clients))
         if self.traces is not None:
-            self.traces.look()
+            self.traces.update_metrics()
         if self.quota_client is not None:
             self.quota_client.on_tick()
         max_idle = deployment.at_least(self.file.door.idle_s * 1000)
--- a/milletsill/sftp_gateway/optional_parts.py
+++ b/milletsill/sftp_gateway/optional_parts.py
@@ -31,15 +31,13 @@
     """Return the traces, None where the file has none."""
     if not gateway.file.HasField("trace"):
         return None
-    from milletsill.trace.gateway_trace import Traces
+    from milletsill.trace.gateway_trace import GatewayTrace, TracedRun
 
-    return Traces(
+    return GatewayTrace(
         gateway.reactor,
         gateway.now,
         gateway.file,
-        config,
-        seed,
-        gateway.incarnation,
+        TracedRun(config, seed, gateway.incarnation),
         gateway.warn,
         gateway.metrics.registry,
     )
