--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -96,7 +96,9 @@
         looking = LoopingCall(
             lambda: seen.append(
                 [
-                    self.share(each) if LIMIT in each.quota_client.ledger.holdings else 333_333
+                    self.share(each)
+                    if LIMIT in each.quota_client.ledger.holdings
+                    else 333_333
                     for each in edges
                 ]
             )
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -1,4 +1,4 @@
-"""What the end-to-end tests share: an edge, stand-in boxes and registry in this process, on loopback, and a client."""
+"""What the end-to-end tests share: gateways, stand-in nodes, a registry, a client."""
 
 from __future__ import annotations
 
