--- a/milletsill/sftp_gateway/optional_parts.py
+++ b/milletsill/sftp_gateway/optional_parts.py
@@ -22,9 +22,11 @@
     """Return the flow export, None where the file has none."""
     if not gateway.file.HasField("flows"):
         return None
-    from milletsill.flows.gateway_export import Flows
+    from milletsill.flows.gateway_export import GatewayFlowExport
 
-    return Flows(gateway.reactor, gateway.now, gateway.file, seed, gateway.warn)
+    return GatewayFlowExport(
+        gateway.reactor, gateway.now, gateway.file, seed, gateway.warn
+    )
 
 
 def make_traces(gateway: AssembledGateway, config: DeploymentConfig, seed: int) -> Any:
