--- a/milletsill/fleet/health/shared_health.py
+++ b/milletsill/fleet/health/shared_health.py
@@ -179,9 +179,9 @@
             gateway.now,
             gateway.fleet,
             gateway.host,
-            gateway.remark,
+            gateway.warn,
             lambda event, **values: gateway.log.info(event, **values),
-            gateway.figures.registry,
+            gateway.metrics.registry,
         )
         return cls(config, environment, seed)
 
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -175,8 +175,8 @@
             gateway.reactor,
             gateway.now,
             gateway.host,
-            gateway.remark,
-            gateway.figures.registry,
+            gateway.warn,
+            gateway.metrics.registry,
         )
         config = QuotaClientConfig.from_settings(gateway.file, deployment)
         return cls(config, environment, gateway.incarnation, seed)
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -38,7 +38,7 @@
         rig.file.flows.idle_s = 0.5
         for field, value in given.items():
             setattr(rig.file.flows, field, value)
-        self.edge = await rig.edge(most_handles=100)
+        self.gateway = await rig.start_gateway(most_handles=100)
         return rig
 
     def listen(self, factory):
@@ -89,14 +89,14 @@
 
         factory = Factory.forProtocol(lambda: client)
         await TCP4ClientEndpoint(
-            reactor, "127.0.0.1", self.edge.ports[0].getHost().port
+            reactor, "127.0.0.1", self.gateway.listening.ports[0].getHost().port
         ).connect(factory)
         rig.clients.append(client)
         await client.ready
         await self.work(rig, client)
         ended = defer.Deferred()
-        self.edge.stopped.append(lambda: ended.callback(None))
-        self.edge.terminate()
+        self.gateway.on_stopped.append(lambda: ended.callback(None))
+        self.gateway.terminate()
         await ended
         await later(0.3)
         sums = collector.totals.sums
@@ -136,8 +136,8 @@
         rig = await self.rig(
             self.listen(deaf), self.listen(TcpCollectingFactory(collector))
         )
-        sender = self.edge.flows.exporting_process.senders[0]
-        client = await rig.client(self.edge)
+        sender = self.gateway.flows.exporting_process.senders[0]
+        client = await rig.client(self.gateway)
         handle = await client.open("/f/x")
         for _ in range(20):
             if sender.connection is not None:
@@ -164,11 +164,11 @@
         held.bind(("127.0.0.1", 0))
         number = held.getsockname()[1]
         rig = await self.rig(f"127.0.0.1:{number}")
-        client = await rig.client(self.edge)
+        client = await rig.client(self.gateway)
         await client.command(packets.Stat(0, "/f/x"))
         await later(0.3)
         self.assertEqual(
-            self.edge.flows.exporting_process.senders[0].state, CollectorState.AWAY
+            self.gateway.flows.exporting_process.senders[0].state, CollectorState.AWAY
         )
         held.close()
         port = reactor.listenTCP(
@@ -180,7 +180,7 @@
             (collector.totals.sums["client commandDeltaCount"], collector.unknown_sets),
             (1, 0),
         )
-        self.edge.flows.exporting_process.senders[0].connection.abort()
+        self.gateway.flows.exporting_process.senders[0].connection.abort()
         await client.command(packets.Stat(0, "/f/x"))
         await later(2.5)
         self.assertEqual(
@@ -199,7 +199,7 @@
         )
         other = rig.file.flows.collector[0]
         self.assertEqual(other.protocol, "ipfix")
-        client = await rig.client(self.edge)
+        client = await rig.client(self.gateway)
         await self.work(rig, client, 10)
         await later(1.5)
         self.assertEqual(
@@ -217,7 +217,7 @@
         )
         self.assertEqual(subprocess.run([sys.executable, "-c", code]).returncode, 0)
         rig = Rig(self)
-        self.assertIsNone((await rig.edge()).flows)
+        self.assertIsNone((await rig.start_gateway()).flows)
 
 
 if __name__ == "__main__":
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -81,14 +81,14 @@
         return sum(done)
 
     def share(self, edge):
-        return edge.parts.ledger.share(LIMIT, edge.now())
+        return edge.quota_client.ledger.share(LIMIT, edge.now())
 
     async def test_unused_shares_go_to_another_gateway_within_the_whole(
         self,
     ):
         server = await self.planner()
         rig = self.rig()
-        edges = [await rig.edge(f"edge-{each}") for each in range(3)]
+        edges = [await rig.start_gateway(f"edge-{each}") for each in range(3)]
         for each in edges[1:]:
             client = await rig.client(each)
             await client.open("/h/b")
@@ -96,7 +96,9 @@
         looking = LoopingCall(
             lambda: seen.append(
                 [
-                    self.share(each) if LIMIT in each.parts.ledger.holdings else 333_333
+                    self.share(each)
+                    if LIMIT in each.quota_client.ledger.holdings
+                    else 333_333
                     for each in edges
                 ]
             )
@@ -115,7 +117,7 @@
     async def test_without_the_planner_shares_become_even_and_commands_go_on(self):
         server = await self.planner()
         rig = self.rig()
-        edges = [await rig.edge(f"edge-{each}") for each in range(3)]
+        edges = [await rig.start_gateway(f"edge-{each}") for each in range(3)]
         for each in edges[1:]:
             await (await rig.client(each)).open("/h/b")
         await self.flood(rig, edges[0], 3)
@@ -134,9 +136,9 @@
         newer.stop()
         newer = await self.planner(state="new")
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         await later(0.4)
-        self.assertIs(edge.parts.session.state, LinkState.PLANNED)
+        self.assertIs(edge.quota_client.session.state, LinkState.PLANNED)
         port = self.port
         newer.stop()
         await later(0.2)
@@ -147,14 +149,14 @@
                 break
         self.assertTrue(older.failed)
         self.assertEqual(older.superseded_by, newer.planner.epoch)
-        self.assertIsNot(edge.parts.session.state, LinkState.PLANNED)
+        self.assertIsNot(edge.quota_client.session.state, LinkState.PLANNED)
 
     async def test_a_restarted_gateway_has_the_floor(self):
         await self.planner()
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         edge.stop()
-        again = await rig.edge("edge-0")
+        again = await rig.start_gateway("edge-0")
         client = await rig.client(again)
         await client.open("/h/a")
         self.assertEqual(self.share(again), int(333_333 * 0.2))
@@ -164,7 +166,7 @@
     async def test_malformed_frames_cost_their_connection_alone(self):
         server = await self.planner()
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         await later(0.3)
         from twisted.internet.endpoints import TCP4ClientEndpoint
         from twisted.internet.protocol import Factory, Protocol
@@ -185,12 +187,12 @@
             wire.transport.write(data)
         await later(0.3)
         self.assertEqual(list(server.by_name), ["edge-0"])
-        self.assertIs(edge.parts.session.state, LinkState.PLANNED)
+        self.assertIs(edge.quota_client.session.state, LinkState.PLANNED)
 
     async def test_operators_ask_freeze_and_drain(self):
         server = await self.planner()
         rig = self.rig()
-        edge = await rig.edge("edge-0")
+        edge = await rig.start_gateway("edge-0")
         await (await rig.client(edge)).open("/h/a")
         await later(0.5)
 
