--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -24,12 +24,10 @@
 from google.protobuf import text_format
 
 from benchmarks.registers import free_ports
-from milletsill.sftp import packet_codec
-from milletsill.sftp import status_tags
 from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import extensions, packets
+from milletsill.sftp import extensions, packet_codec, packets, status_tags
 from milletsill.sftp.extensions import CommandTerms
 from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp.wire import FileAttributes
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -76,7 +76,7 @@
     began = time.time()
     fleet.start(last)
     tell(fleet, "it is back, its state lost (first word)", rest + [last], began, last)
-    lost = sum(each.get("error") == "IncarnationLost" for each in fleet.log(last))
+    lost = sum(each.get("error") == "IncarnationLostError" for each in fleet.log(last))
     print(f"  it said LostState {lost} times")
     before, chance, stalls = gone_said(fleet, rest + [last]), Random(1), 0
     ends = time.monotonic() + 60
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -21,7 +21,7 @@
 
 from milletsill.trace import file_format
 from milletsill.trace.cut import cut_trace
-from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.file_format import MalformedTraceError
 from milletsill.trace.record_filter import RecordFilter
 from milletsill.trace.records import BLOCK_HEADER, FLOAT, KINDS, TEXT
 from milletsill.trace.repair import verify
@@ -143,7 +143,7 @@
                 try:
                     call()
                     said[f"{name} read"] += 1
-                except MalformedTrace as error:
+                except MalformedTraceError as error:
                     assert "\n" not in str(error)
                     said[f"{name} one line"] += 1
                 if os.path.exists(out):
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -23,9 +23,9 @@
 
 from google.protobuf import text_format
 
-from milletsill.sftp import packet_codec
 from milletsill.lab.processes import free_ports
 from milletsill.settings.milletsill_pb2 import GatewayFile
+from milletsill.sftp import packet_codec
 
 FILE = """
 name: "bench" gateways: 1 seed: 1 registry { address: "127.0.0.1:1" }
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -23,12 +23,12 @@
     ServicePlanConfig,
 )
 from milletsill.interface import (
+    AttemptOutcome,
     AttemptResult,
-    Request,
     Endpoint,
     EndpointUpdateKind,
-    AttemptOutcome,
     Readiness,
+    Request,
 )
 from milletsill.scheduler import Scheduler
 
--- a/milletsill/cli/files.py
+++ b/milletsill/cli/files.py
@@ -8,7 +8,7 @@
 import click
 
 from milletsill.cli.exits import EXIT_BAD_INPUT
-from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.flaws import SettingsFileRejectedError
 from milletsill.settings.load import MessageCheck, MessageT, load
 
 
@@ -23,7 +23,7 @@
     """
     try:
         return load(file, make_message, check)
-    except SettingsFileRejected as error:
+    except SettingsFileRejectedError as error:
         for flaw in error.flaws:
             click.echo(str(flaw), err=True)
         sys.exit(EXIT_BAD_INPUT)
--- a/milletsill/cli/flows.py
+++ b/milletsill/cli/flows.py
@@ -165,7 +165,7 @@
         How many bytes of an unfinished message are left, and where it begins.
     """
     from milletsill.flows.collecting_process import TransportSession
-    from milletsill.flows.errors import MalformedFlowMessage
+    from milletsill.flows.errors import MalformedFlowMessageError
     from milletsill.flows.ipfix_stream import IpfixMessageSplitter
 
     session = TransportSession(template_lifetime=None)
@@ -179,7 +179,7 @@
                     position += len(message)
     except OSError as error:
         exit_with(f"{file}: {error.strerror}", EXIT_BAD_INPUT)
-    except MalformedFlowMessage as error:
+    except MalformedFlowMessageError as error:
         error.with_location(f"{file} at {position}")
         exit_with(error.describe(), EXIT_FAILED)
     return len(splitter.buffer), position
--- a/milletsill/cli/lab.py
+++ b/milletsill/cli/lab.py
@@ -19,7 +19,7 @@
 from milletsill.cli.files import load_or_exit
 from milletsill.cli.options import group_options
 from milletsill.errors import describe_error
-from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.flaws import SettingsFileRejectedError
 from milletsill.settings.load import read_text
 from milletsill.settings.milletsill_pb2 import Scenario
 from milletsill.settings.scenario import check_scenario
@@ -163,13 +163,13 @@
     day: str, edges: int | None, boxes: int | None, seconds: float | None
 ) -> None:
     """Turn DAY, a day file that the bench drew, into a scenario on standard output."""
-    from milletsill.lab.day import InvalidDayFile, scenario_of
+    from milletsill.lab.day import InvalidDayFileError, scenario_of
 
     try:
         scenario = scenario_of(json.loads(read_text(day)), edges, boxes, seconds)
-    except SettingsFileRejected as error:
+    except SettingsFileRejectedError as error:
         exit_with(str(error), EXIT_BAD_INPUT)
-    except (InvalidDayFile, ValueError, RecursionError) as error:
+    except (InvalidDayFileError, ValueError, RecursionError) as error:
         exit_with(f"{day}: {describe_error(error)}", EXIT_BAD_INPUT)
     click.echo(text_format.MessageToString(scenario), nl=False)
 
--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -38,7 +38,7 @@
     sys.exit(run(loaded))
 
 
-class PlannerCommandFailed(MilletsillError):
+class PlannerCommandFailedError(MilletsillError):
     """The planner said why it did not do what it was asked, or ended."""
 
     remedy = (
@@ -63,7 +63,7 @@
     """Call a planner and return its answer.
 
     Raises:
-        PlannerCommandFailed: it refused, or ended the connection without an answer.
+        PlannerCommandFailedError: it refused, or ended the connection unanswered.
         click.BadParameter: the address is not host:port.
         OSError: it cannot be reached, or did not answer in time.
     """
@@ -80,9 +80,9 @@
         while data := connection.recv(READ_SIZE):
             for frame in parser.feed(data):
                 if frame.told.fault:
-                    raise PlannerCommandFailed(frame.told.fault)
+                    raise PlannerCommandFailedError(frame.told.fault)
                 return [json.loads(line) for line in frame.told.line]
-    raise PlannerCommandFailed("the planner ended without an answer")
+    raise PlannerCommandFailedError("the planner ended without an answer")
 
 
 def _print_answer(address: str, **question: Any) -> None:
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -57,11 +57,11 @@
 
     A bad or missing file ends the process with EXIT_BAD_INPUT.
     """
-    from milletsill.trace.file_format import MalformedTrace
+    from milletsill.trace.file_format import MalformedTraceError
 
     try:
         return call()
-    except MalformedTrace as error:
+    except MalformedTraceError as error:
         exit_with_error(error.describe(), EXIT_BAD_INPUT)
     except OSError as error:
         exit_with_error(f"{error.filename}: {error.strerror}", EXIT_BAD_INPUT)
@@ -95,11 +95,11 @@
 
     A bad time or file ends the process with EXIT_BAD_INPUT.
     """
-    from milletsill.trace.time_argument import InvalidTime
+    from milletsill.trace.time_argument import InvalidTimeError
 
     try:
         return result_or_exit(lambda: _parse_period(file, since, until))
-    except (InvalidTime, ValueError, TypeError) as error:
+    except (InvalidTimeError, ValueError, TypeError) as error:
         exit_with_error(describe_error(error), EXIT_BAD_INPUT)
 
 
--- a/milletsill/errors/__init__.py
+++ b/milletsill/errors/__init__.py
@@ -1,9 +1,9 @@
 """One family of errors: what happened, where, and what an operator can do.
 
-What comes from outside can be wrong in four ways: octets (`MalformedInput`), an
-operator's file (`ConfigurationRejected`), state on disk (`StateNotStored`), a single
-value (`InvalidValue`). Each package has its own types below these, beside the code that
-raises them; all of them stand in docs/operators.md.
+What comes from outside can be wrong in four ways: octets (`MalformedInputError`), an
+operator's file (`ConfigurationRejectedError`), state on disk (`StateNotStoredError`), a
+single value (`InvalidValueError`). Each package has its own types below these, beside
+the code that raises them; all of them stand in docs/operators.md.
 """
 
 from __future__ import annotations
@@ -55,31 +55,31 @@
         return {name: value for name, value in fields.items() if value}
 
 
-class MalformedInput(MilletsillError):
+class MalformedInputError(MilletsillError):
     """Octets that their protocol or format does not allow."""
 
     remedy = "see who sends them, and that both sides run versions that go together"
 
 
-class ConfigurationRejected(MilletsillError):
+class ConfigurationRejectedError(MilletsillError):
     """A file of the operator that is not taken."""
 
     remedy = "mend the file where it says; a program that runs goes on with what it had"
 
 
-class StateNotStored(MilletsillError):
+class StateNotStoredError(MilletsillError):
     """State on disk that cannot be read or written."""
 
     remedy = "see that the folder exists, may be written and has room"
 
 
-class InvalidValue(MilletsillError):
+class InvalidValueError(MilletsillError):
     """A value that describes nothing here."""
 
     remedy = "put the value right where it comes from; it alone was left out"
 
 
-class ListenFailed(MilletsillError):
+class ListenFailedError(MilletsillError):
     """An address that is not ours to listen on: it is taken, or not of this machine."""
 
     remedy = (
--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -21,11 +21,11 @@
 from milletsill.fleet.channels.commands import ChannelCommand, OpenChannel
 from milletsill.fleet.channels.contracts import ContractCatalog
 from milletsill.fleet.channels.effects import ReplyKind
-from milletsill.fleet.channels.errors import ChannelRecordUnreadable
+from milletsill.fleet.channels.errors import ChannelRecordUnreadableError
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.owned_channel import OwnedChannel
 from milletsill.fleet.channels.timers import TimerScheduler
-from milletsill.fleet.leases.errors import ResourceLimitReached
+from milletsill.fleet.leases.errors import ResourceLimitReachedError
 from milletsill.fleet.leases.lease_term import LeaseTerm
 
 MAX_WAITING_FOR_LEASE = 256
@@ -113,7 +113,7 @@
             return
         if channel is None and self._is_full():
             limit = self.settings.max_channels
-            error = ResourceLimitReached(
+            error = ResourceLimitReachedError(
                 f"{limit} channels are kept here", key, DEFAULT_RETRY_DELAY
             )
             self.replies.report_error(command, error)
@@ -172,7 +172,7 @@
                 lease.value_age,
                 self.lost_lease_end(key),
             )
-        except ChannelRecordUnreadable as error:
+        except ChannelRecordUnreadableError as error:
             self.log("channel_record_unreadable", channel=key, **error.log_fields())
             self.leases.release(lease)
             return None
--- a/milletsill/fleet/channels/channel_sequencer.py
+++ b/milletsill/fleet/channels/channel_sequencer.py
@@ -59,8 +59,8 @@
         """Make a later claim: what waits under the earlier one is answered.
 
         Raises:
-            ContractConflict: The declaration contradicts an earlier one.
-            ContractOutdated: The declared version is older than the channel's.
+            ContractConflictError: The declaration contradicts an earlier one.
+            ContractOutdatedError: The declared version is older than the channel's.
         """
         next_free = self.next_free_number()
         if self.claim and changes_contract(
--- a/milletsill/fleet/channels/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -23,7 +23,7 @@
     IndeterminatePolicy,
     OrderingContract,
 )
-from milletsill.fleet.channels.errors import ChannelRecordUnreadable
+from milletsill.fleet.channels.errors import ChannelRecordUnreadableError
 from milletsill.fleet.channels.limits import (
     MAX_NUMBERS_AHEAD,
     MAX_PINNED,
@@ -104,7 +104,7 @@
         lease_end: When the last lease ends under which anything was released here.
 
     Raises:
-        ChannelRecordUnreadable: It is torn, or of a later version of the program.
+        ChannelRecordUnreadableError: It is torn, or of a later version of the program.
     """
     record = Record()
     try:
@@ -119,11 +119,11 @@
                 record.coming.named,
             )
     except (DecodeError, ValueError) as error:
-        raise ChannelRecordUnreadable(
+        raise ChannelRecordUnreadableError(
             f"a record of {len(data)} bytes: {error}"
         ) from error
     if record.format != RECORD_FORMAT or _exceeds_bounds(record):
-        raise ChannelRecordUnreadable(
+        raise ChannelRecordUnreadableError(
             f"a record of format {record.format}, {len(data)} bytes"
         )
     channel.claim = record.claim
--- a/milletsill/fleet/channels/command_replies.py
+++ b/milletsill/fleet/channels/command_replies.py
@@ -9,18 +9,22 @@
 from milletsill.fleet.channels.commands import ChannelCommand, Redirect
 from milletsill.fleet.channels.effects import ReplyKind
 from milletsill.fleet.channels.errors import (
-    ContractConflict,
-    ContractNotOffered,
-    ContractOutdated,
+    ContractConflictError,
+    ContractNotOfferedError,
+    ContractOutdatedError,
 )
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.number_states import INDETERMINATE_STATES
 from milletsill.fleet.channels.sequences import CompletionOutcome
-from milletsill.fleet.leases.errors import NotLeaseHolder
+from milletsill.fleet.leases.errors import NotLeaseHolderError
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets, status_tags
 
-CONTRACT_ERRORS = (ContractConflict, ContractOutdated, ContractNotOffered)
+CONTRACT_ERRORS = (
+    ContractConflictError,
+    ContractOutdatedError,
+    ContractNotOfferedError,
+)
 """Errors that a client hears as a contradiction."""
 
 REPLY_TEXTS = {
@@ -132,7 +136,7 @@
 
     def report_error(self, command: ChannelCommand, error: MilletsillError) -> None:
         """Answer why a command comes to nothing."""
-        if isinstance(error, NotLeaseHolder) and error.holder:
+        if isinstance(error, NotLeaseHolderError) and error.holder:
             command.on_answer(Redirect(error.holder, error.retry_delay))
             return
         if isinstance(error, CONTRACT_ERRORS):
--- a/milletsill/fleet/channels/commands.py
+++ b/milletsill/fleet/channels/commands.py
@@ -170,7 +170,7 @@
     """A command of another gateway's client.
 
     Raises:
-        MalformedInput: The command in it cannot be read.
+        MalformedInputError: The command in it cannot be read.
     """
     body = _decode_body(ask)
     return ChannelCommand(volume, ask.channel, deadline, body, token, on_answer)
--- a/milletsill/fleet/channels/contracts.py
+++ b/milletsill/fleet/channels/contracts.py
@@ -10,9 +10,9 @@
 from enum import Enum
 
 from milletsill.fleet.channels.errors import (
-    ContractConflict,
-    ContractNotOffered,
-    ContractOutdated,
+    ContractConflictError,
+    ContractNotOfferedError,
+    ContractOutdatedError,
 )
 
 
@@ -109,8 +109,8 @@
         next_free: The lowest number past all that were released.
 
     Raises:
-        ContractConflict: Two declarations contradict each other.
-        ContractOutdated: The declared version is older than the channel's.
+        ContractConflictError: Two declarations contradict each other.
+        ContractOutdatedError: The declared version is older than the channel's.
     """
     declared = declaration.contract
     known = [current, pending.contract] if pending else [current]
@@ -120,7 +120,7 @@
             return False
     latest = known[-1]
     if declared.name == latest.name and declared.version < latest.version:
-        raise ContractOutdated(
+        raise ContractOutdatedError(
             f"contract {declared.name} is at version {latest.version} in the channel's "
             f"record, version {declared.version} here: bring this gateway's file up to "
             "date"
@@ -146,7 +146,7 @@
         declared.order,
         declared.indeterminate_policy,
     ):
-        raise ContractConflict(
+        raise ContractConflictError(
             f"contract {declared.name} version {declared.version} is "
             f"{_described(declared)} here and {_described(known)} in the channel's "
             "record: give the changed one a higher version at all gateways"
@@ -157,7 +157,7 @@
         and known is pending.contract
         and declaration.first_number != pending.first_number
     ):
-        raise ContractConflict(
+        raise ContractConflictError(
             f"contract {declared.name} version {declared.version} holds from "
             f"{pending.first_number} already, not from {declaration.first_number}: "
             f"open with {pending.first_number} or with 0"
@@ -173,13 +173,13 @@
     """Raises where a contract cannot change to the declared one now."""
     declared = declaration.contract
     if pending:
-        raise ContractConflict(
+        raise ContractConflictError(
             f"contract {pending.contract.name} version {pending.contract.version} "
             f"comes from number {pending.first_number}: {declared.name} version "
             f"{declared.version} can be declared when that is reached"
         )
     if declaration.first_number and declaration.first_number < next_free:
-        raise ContractConflict(
+        raise ContractConflictError(
             f"numbers below {next_free} were let go under {current.name} version "
             f"{current.version}: let {declared.name} version {declared.version} hold "
             f"from {next_free} or later"
@@ -244,24 +244,24 @@
             first_number: The number from which it is to hold; 0 for the next free.
 
         Raises:
-            ContractNotOffered: The operator does not offer it.
+            ContractNotOfferedError: The operator does not offer it.
         """
         fitting = [offer for offer in self.offers if offer.covers_volume(volume)]
         if not fitting:
-            raise ContractNotOffered(
+            raise ContractNotOfferedError(
                 f"volume {volume} has no contract: name it in fleet.channels.contract"
             )
         if not name:
             return ChannelDeclaration(fitting[0].contract, first_number)
         offer = next((each for each in fitting if each.contract.name == name), None)
         if offer is None or not (offer.chosen_by_client or offer is fitting[0]):
-            raise ContractNotOffered(
+            raise ContractNotOfferedError(
                 f"contract {name} is not offered to clients of volume {volume}: open "
                 "without a name, or have the operator set chosen_by_client"
             )
         offered = offer.contract
         if version and version != offered.version:
-            raise ContractNotOffered(
+            raise ContractNotOfferedError(
                 f"contract {name} is at version {offered.version} here, not {version}: "
                 f"open with {offered.version} or 0"
             )
--- a/milletsill/fleet/channels/errors.py
+++ b/milletsill/fleet/channels/errors.py
@@ -8,7 +8,7 @@
 from milletsill.fleet.leases.errors import CoordinationError
 
 
-class ContractNotOffered(CoordinationError):
+class ContractNotOfferedError(CoordinationError):
     """A client asks for a contract that the operator's file does not offer it."""
 
     remedy = (
@@ -17,13 +17,13 @@
     )
 
 
-class ContractOutdated(CoordinationError):
+class ContractOutdatedError(CoordinationError):
     """This gateway's file has an older version of a contract than the record."""
 
     remedy = "bring this gateway's file up to date and restart it"
 
 
-class ContractConflict(CoordinationError):
+class ContractConflictError(CoordinationError):
     """Two declarations of a contract, or requests of one number, contradict."""
 
     remedy = (
@@ -32,7 +32,7 @@
     )
 
 
-class ChannelRecordUnreadable(CoordinationError):
+class ChannelRecordUnreadableError(CoordinationError):
     """A channel's record is torn, or a later version of the program wrote it."""
 
     remedy = (
--- a/milletsill/fleet/channels/peer_command_receiver.py
+++ b/milletsill/fleet/channels/peer_command_receiver.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.fleet.channels.commands import (
     ChannelCommand,
     Redirect,
@@ -82,7 +82,7 @@
                 deadline,
                 lambda packet: self._on_answer(key, packet),
             )
-        except MalformedInput:
+        except MalformedInputError:
             return
         if self._in_hand >= MAX_IN_HAND:
             text = "declined: its keeper has all the words that it may"
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -12,7 +12,7 @@
 from random import SystemRandom
 from typing import cast
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.fleet.channels.codec import decode_envelope
 from milletsill.fleet.channels.commands import (
     AnswerCallback,
@@ -294,7 +294,7 @@
             return
         try:
             answer = cast(Answer, extensions.decode_embedded(reply.answer, 0))
-        except MalformedInput:
+        except MalformedInputError:
             text = "aborted: the keeper's answer made no sense"
             answer = status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
         forwarded.command.on_answer(answer)
--- a/milletsill/fleet/errors.py
+++ b/milletsill/fleet/errors.py
@@ -5,7 +5,7 @@
 from milletsill.errors import MilletsillError
 
 
-class IncarnationLost(MilletsillError):
+class IncarnationLostError(MilletsillError):
     """Others knew an incarnation of this name as late as this one, or later."""
 
     remedy = (
@@ -14,7 +14,7 @@
     )
 
 
-class DuplicateMemberName(MilletsillError):
+class DuplicateMemberNameError(MilletsillError):
     """Two live gateways have one name."""
 
     remedy = (
@@ -23,13 +23,13 @@
     )
 
 
-class MemberLimitReached(MilletsillError):
+class MemberLimitReachedError(MilletsillError):
     """There are more members than the configured bound."""
 
     remedy = "raise fleet.most_members in all files, or see why so many names come up"
 
 
-class NoPeersReachable(MilletsillError):
+class NoPeersReachableError(MilletsillError):
     """No other gateway has answered since the start."""
 
     remedy = (
@@ -38,13 +38,13 @@
     )
 
 
-class FleetAddressUnavailable(MilletsillError):
+class FleetAddressUnavailableError(MilletsillError):
     """The address for other gateways cannot be listened on."""
 
     remedy = "free the address or change fleet.address; UDP and TCP are both needed"
 
 
-class MalformedFrame(MilletsillError):
+class MalformedFrameError(MilletsillError):
     """Octets that are no frame of a gateway."""
 
     remedy = (
@@ -53,13 +53,13 @@
     )
 
 
-class FrameTooLong(MalformedFrame):
+class FrameTooLongError(MalformedFrameError):
     """A frame over its bound."""
 
     remedy = "shorten names, or see what else sends to the fleet's address"
 
 
-class FleetNameMismatch(MilletsillError):
+class FleetNameMismatchError(MilletsillError):
     """A frame of a fleet with another name."""
 
     remedy = (
@@ -68,7 +68,7 @@
     )
 
 
-class FrameVersionTooNew(MilletsillError):
+class FrameVersionTooNewError(MilletsillError):
     """A frame that only a later version of the program can read."""
 
     remedy = (
--- a/milletsill/fleet/frames/codec.py
+++ b/milletsill/fleet/frames/codec.py
@@ -10,10 +10,10 @@
 from google.protobuf.message import DecodeError
 
 from milletsill.fleet.errors import (
-    FleetNameMismatch,
-    FrameTooLong,
-    FrameVersionTooNew,
-    MalformedFrame,
+    FleetNameMismatchError,
+    FrameTooLongError,
+    FrameVersionTooNewError,
+    MalformedFrameError,
 )
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.messages import (
@@ -67,7 +67,7 @@
         """Return a frame's octets; the caller checks a datagram's length.
 
         Raises:
-            FrameTooLong: The frame is over MAX_FRAME.
+            FrameTooLongError: The frame is over MAX_FRAME.
         """
         frame = fleet_pb2.Frame(
             version=self.version,
@@ -99,19 +99,21 @@
         """Return the message in a frame's octets.
 
         Raises:
-            FrameTooLong: The frame is over MAX_FRAME.
-            MalformedFrame: The octets are no frame.
-            FleetNameMismatch: The frame is of another fleet.
-            FrameVersionTooNew: Only a later version can read the frame.
+            FrameTooLongError: The frame is over MAX_FRAME.
+            MalformedFrameError: The octets are no frame.
+            FleetNameMismatchError: The frame is of another fleet.
+            FrameVersionTooNewError: Only a later version can read the frame.
         """
         frame = self._parse(data)
         sender = decode_update(frame.sender)
         if sender is None or not sender.address:
-            raise MalformedFrame("a frame without a sender")
+            raise MalformedFrameError("a frame without a sender")
         target_valid = is_valid_name(frame.target or "-")
         address_valid = not frame.address or is_valid_address(frame.address)
         if not target_valid or not address_valid:
-            raise MalformedFrame("a frame for a name or address that cannot be one")
+            raise MalformedFrameError(
+                "a frame for a name or address that cannot be one"
+            )
         updates = (decode_update(row) for row in frame.row[:MAX_UPDATES_PER_FRAME])
         return FleetMessage(
             type=_FRAME_TYPES.get(frame.what),
@@ -130,18 +132,18 @@
     def _parse(self, data: bytes) -> fleet_pb2.Frame:
         check_frame_length(len(data))
         if data[: len(MAGIC)] != MAGIC:
-            raise MalformedFrame("octets that do not begin as a frame does")
+            raise MalformedFrameError("octets that do not begin as a frame does")
         try:
             frame = fleet_pb2.Frame.FromString(data[len(MAGIC) :])
         except DecodeError as error:
-            raise MalformedFrame("a frame that is no protobuf of ours") from error
+            raise MalformedFrameError("a frame that is no protobuf of ours") from error
         if frame.fleet != self.fleet:
-            raise FleetNameMismatch(
+            raise FleetNameMismatchError(
                 f"a frame of fleet {frame.fleet[:MAX_NAME_LENGTH]!r}",
                 f"fleet {self.fleet!r}",
             )
         if frame.least > self.version:
-            raise FrameVersionTooNew(
+            raise FrameVersionTooNewError(
                 f"a frame of version {frame.version} for {frame.least} and later",
                 f"version {self.version}",
             )
@@ -149,9 +151,9 @@
 
 
 def check_frame_length(length: int) -> None:
-    """Raise FrameTooLong for more octets than a frame may have."""
+    """Raise FrameTooLongError for more octets than a frame may have."""
     if length > MAX_FRAME:
-        raise FrameTooLong(f"a frame of {length} octets, {MAX_FRAME} at most")
+        raise FrameTooLongError(f"a frame of {length} octets, {MAX_FRAME} at most")
 
 
 def encode_update(update: MemberUpdate) -> fleet_pb2.Row:
--- a/milletsill/fleet/frames/stream_framing.py
+++ b/milletsill/fleet/frames/stream_framing.py
@@ -28,7 +28,7 @@
         """Yield the frames that are complete now.
 
         Raises:
-            FrameTooLong: A length prefix says more than MAX_FRAME.
+            FrameTooLongError: A length prefix says more than MAX_FRAME.
         """
         self._buffer += data
         position = 0
--- a/milletsill/fleet/health/codec.py
+++ b/milletsill/fleet/health/codec.py
@@ -13,7 +13,7 @@
 from milletsill.fleet.health.health_pb2 import Difference, Frame, Known
 from milletsill.fleet.health.health_pb2 import Word as ObservationFields
 from milletsill.fleet.health.report_store import (
-    MalformedHealthReport,
+    MalformedHealthReportError,
     NodeObservation,
     ReportDelta,
     ReportVersion,
@@ -64,11 +64,11 @@
     Values out of their bounds are clamped: whatever an origin claims is one vote.
 
     Raises:
-        MalformedHealthReport: Its sequence numbers contradict each other, or it has
+        MalformedHealthReportError: Its sequence numbers contradict, or it has
             too many observations.
     """
     if len(message.word) > MAX_OBSERVATIONS or message.base > message.sequence:
-        raise MalformedHealthReport(
+        raise MalformedHealthReportError(
             f"{len(message.word)} observations, "
             f"sequence {message.base} to {message.sequence}",
             f"origin {message.origin:016x}",
@@ -76,7 +76,7 @@
     observations = {}
     for fields in message.word:
         if fields.back > message.sequence:
-            raise MalformedHealthReport(
+            raise MalformedHealthReportError(
                 f"an observation {fields.back} before sequence {message.sequence}",
                 f"origin {message.origin:016x}",
             )
@@ -159,16 +159,18 @@
     """Parse a frame; fields of later versions are ignored.
 
     Raises:
-        MalformedHealthReport: It is too long, or no frame.
+        MalformedHealthReportError: It is too long, or no frame.
     """
     if len(body) > MAX_RECEIVED_BYTES:
-        raise MalformedHealthReport(
+        raise MalformedHealthReportError(
             f"a frame of {len(body)} bytes, {MAX_RECEIVED_BYTES} at most"
         )
     try:
         return Frame.FromString(body)
     except DecodeError as error:
-        raise MalformedHealthReport("a frame that is no protobuf of ours") from error
+        raise MalformedHealthReportError(
+            "a frame that is no protobuf of ours"
+        ) from error
 
 
 def decode_versions(frame: Frame) -> dict[int, ReportVersion]:
--- a/milletsill/fleet/health/report_exchange.py
+++ b/milletsill/fleet/health/report_exchange.py
@@ -88,7 +88,7 @@
         """Take a member's frame; reports of origins out of the view are left out.
 
         Raises:
-            MalformedHealthReport: It is no frame, or holds no valid delta.
+            MalformedHealthReportError: It is no frame, or holds no valid delta.
         """
         frame = codec.decode_frame(body)
         self.merge(
--- a/milletsill/fleet/health/report_store.py
+++ b/milletsill/fleet/health/report_store.py
@@ -12,10 +12,10 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 
 
-class MalformedHealthReport(MalformedInput):
+class MalformedHealthReportError(MalformedInputError):
     """A delta that cannot be one of this program's reports."""
 
     remedy = (
@@ -150,13 +150,13 @@
         """Take what is newer than this copy; return whether anything was.
 
         Raises:
-            MalformedHealthReport: The delta covers more nodes than are kept.
+            MalformedHealthReportError: The delta covers more nodes than are kept.
         """
         report = self._report_for(delta)
         if report is None:
             return False
         if len(report.observations.keys() | delta.observations.keys()) > self.max_nodes:
-            raise MalformedHealthReport(
+            raise MalformedHealthReportError(
                 f"a report on over {self.max_nodes} nodes",
                 f"origin {delta.origin:016x}",
             )
--- a/milletsill/fleet/health/shared_health.py
+++ b/milletsill/fleet/health/shared_health.py
@@ -20,7 +20,7 @@
 from milletsill.fleet.health.node_observer import NodeObserver, has_news_of
 from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
 from milletsill.fleet.health.report_exchange import ReportExchange
-from milletsill.fleet.health.report_store import MalformedHealthReport, ReportStore
+from milletsill.fleet.health.report_store import MalformedHealthReportError, ReportStore
 from milletsill.fleet.health.tuning import (
     ADVICE_PERIODS,
     CALM_PUBLISH_PERIODS,
@@ -240,7 +240,7 @@
         now = self.environment.now()
         try:
             self.exchange.on_frame(now, member, body, self._present.__contains__)
-        except MalformedHealthReport as error:
+        except MalformedHealthReportError as error:
             self._metrics.on_malformed_frame()
             if now - self._logged_malformed_at >= MALFORMED_LOG_INTERVAL:
                 self._logged_malformed_at = now
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -25,9 +25,9 @@
 )
 from milletsill.fleet.leases.acceptor_store import AcceptorStore, RemovalResult
 from milletsill.fleet.leases.errors import (
-    AcceptorSetChanged,
-    AcceptorStateCorrupt,
-    LeaseSettingsMismatch,
+    AcceptorSetChangedError,
+    AcceptorStateCorruptError,
+    LeaseSettingsMismatchError,
 )
 from milletsill.fleet.leases.lease_settings import AcceptorSettings, LeaseEnvironment
 from milletsill.fleet.leases.messages import AcceptorRequest
@@ -45,7 +45,7 @@
     """An open file, and the error of the one that was set aside for it, if any."""
 
     store: AcceptorStore
-    damage: AcceptorStateCorrupt | None
+    damage: AcceptorStateCorruptError | None
 
 
 class AcceptorService:
@@ -124,7 +124,7 @@
                 max_pages=settings.max_store_pages,
             )
             return _OpenedStore(store, None)
-        except AcceptorStateCorrupt as error:
+        except AcceptorStateCorruptError as error:
             set_aside(path)
             store = AcceptorStore.open(
                 path,
@@ -148,7 +148,7 @@
         is_overridden = os.path.exists(path + OVERRIDE_SUFFIX)
         if store.acceptor_set != self._acceptor_set and not is_overridden:
             what = "not the acceptors that its state was made for"
-            self._context.log_error(AcceptorSetChanged(what, path))
+            self._context.log_error(AcceptorSetChangedError(what, path))
             return  # away until a restart
         store.acceptor_set = self._acceptor_set
         if is_overridden:
@@ -184,7 +184,7 @@
         has_same_settings = settings_digest == self.settings.settings_digest
         if not has_same_settings:
             what = "its acceptors or timings are not this gateway's"
-            self._context.log_error(LeaseSettingsMismatch(what, gateway))
+            self._context.log_error(LeaseSettingsMismatchError(what, gateway))
         is_disk_full = self._context.now() < self._queue.disk_full_until
         if not has_same_settings or not self.is_serving() or is_disk_full:
             retry_delay = self._recovery.retry_delay()
--- a/milletsill/fleet/leases/acceptor_store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -28,8 +28,8 @@
 )
 from milletsill.fleet.leases.codec import decode_identity
 from milletsill.fleet.leases.errors import (
-    AcceptorStateCorrupt,
-    AcceptorStateUnusable,
+    AcceptorStateCorruptError,
+    AcceptorStateUnusableError,
     CoordinationError,
 )
 from milletsill.fleet.leases.store_file import (
@@ -107,7 +107,7 @@
             max_pages: Bound of the file in sqlite's pages; 0 for none.
 
         Raises:
-            AcceptorStateCorrupt, AcceptorStateUnusable, DiskFull.
+            AcceptorStateCorruptError, AcceptorStateUnusableError, DiskFullError.
         """
         state = initial_state(chance, acceptor_set, is_incomplete)
         connection = open_database(path, state)
@@ -151,15 +151,15 @@
     def _check_file(self) -> None:
         schema_version = self._pragma("user_version")
         if self._pragma("application_id") != APPLICATION_ID:
-            raise AcceptorStateCorrupt("no file of an acceptor", self.path)
+            raise AcceptorStateCorruptError("no file of an acceptor", self.path)
         if schema_version > SCHEMA_VERSION:
-            raise AcceptorStateUnusable(
+            raise AcceptorStateUnusableError(
                 f"its schema is {schema_version}, this program knows {SCHEMA_VERSION}",
                 self.path,
             )
         found = self.connection.execute("PRAGMA quick_check(1)").fetchone()[0]
         if found != "ok":
-            raise AcceptorStateCorrupt(str(found), self.path)
+            raise AcceptorStateCorruptError(str(found), self.path)
 
     def _pragma(self, name: str) -> int:
         return int(self.connection.execute(f"PRAGMA {name}").fetchone()[0])
@@ -167,7 +167,7 @@
     def _load_state(self) -> None:
         row = self.connection.execute("SELECT body, sum FROM state").fetchone()
         if row is None or checksum("", 0, row[0]) != row[1]:
-            raise AcceptorStateCorrupt(
+            raise AcceptorStateCorruptError(
                 "the row of the state fails its checksum", self.path
             )
         stored = wire.State.FromString(row[0])
@@ -181,7 +181,7 @@
         """Return a lease's record, None where there is none.
 
         Raises:
-            AcceptorStateCorrupt, AcceptorStateUnusable.
+            AcceptorStateCorruptError, AcceptorStateUnusableError.
         """
         try:
             row = self.connection.execute(_SELECT_ONE, (key,)).fetchone()
@@ -205,7 +205,9 @@
             added: How many of the records are new.
 
         Raises:
-            DiskFull, AcceptorStateCorrupt, AcceptorStateUnusable: nothing has changed.
+            DiskFullError: nothing has changed.
+            AcceptorStateCorruptError: nothing has changed.
+            AcceptorStateUnusableError: nothing has changed.
         """
         identity = self.identity
         identity = identity._replace(generation=identity.generation + 1)
@@ -238,7 +240,7 @@
         """Return records after a key, for another acceptor.
 
         Raises:
-            AcceptorStateCorrupt, AcceptorStateUnusable.
+            AcceptorStateCorruptError, AcceptorStateUnusableError.
         """
         records: list[tuple[str, LeaseRecord]] = []
         size = 0
--- a/milletsill/fleet/leases/blocking_worker.py
+++ b/milletsill/fleet/leases/blocking_worker.py
@@ -11,7 +11,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from milletsill.errors import MilletsillError
-from milletsill.fleet.leases.errors import AcceptorStateUnusable
+from milletsill.fleet.leases.errors import AcceptorStateUnusableError
 
 T = TypeVar("T")
 
@@ -40,7 +40,9 @@
         return error
     except Exception as error:
         traceback.print_exc()
-        return AcceptorStateUnusable(f"{type(error).__name__}: {error}", "acceptor")
+        return AcceptorStateUnusableError(
+            f"{type(error).__name__}: {error}", "acceptor"
+        )
 
 
 class BlockingWorker:
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -1,7 +1,7 @@
 """Messages between gateways about leases: the byte "R" and one protobuf Frame.
 
 This is the one place where the names on the wire (`registers.proto`) and the names of
-the code both stand. Whatever cannot be read is a `MalformedFrame`.
+the code both stand. Whatever cannot be read is a `MalformedFrameError`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.errors import MalformedFrame
+from milletsill.fleet.errors import MalformedFrameError
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import LeaseRecord
 from milletsill.fleet.leases.acceptor_recovery import SnapshotPage, StateIdentity
@@ -102,14 +102,16 @@
     Its `WhichOneof` is None for what only a later version knows.
 
     Raises:
-        MalformedFrame: It is too long, or no protobuf of ours.
+        MalformedFrameError: It is too long, or no protobuf of ours.
     """
     if len(body) > MAX_FRAME_BYTES:
-        raise MalformedFrame(f"a body of {len(body)} bytes, {MAX_FRAME_BYTES} at most")
+        raise MalformedFrameError(
+            f"a body of {len(body)} bytes, {MAX_FRAME_BYTES} at most"
+        )
     try:
         return wire.Frame.FromString(body[1:])
     except DecodeError as error:
-        raise MalformedFrame("a body that is no protobuf of ours") from error
+        raise MalformedFrameError("a body that is no protobuf of ours") from error
 
 
 def is_valid_key(key: str) -> bool:
@@ -350,13 +352,13 @@
 
 def _number(value: int) -> int:
     if value > MAX_NUMBER:
-        raise MalformedFrame(f"a number of {value}, {MAX_NUMBER} at most")
+        raise MalformedFrameError(f"a number of {value}, {MAX_NUMBER} at most")
     return value
 
 
 def _key(key: str) -> str:
     if not is_valid_key(key):
-        raise MalformedFrame(
+        raise MalformedFrameError(
             f"a name of {len(key)} characters, {MAX_KEY_BYTES} bytes at most"
         )
     return key
@@ -364,7 +366,7 @@
 
 def _value(value: bytes) -> bytes:
     if len(value) > MAX_VALUE_BYTES:
-        raise MalformedFrame(
+        raise MalformedFrameError(
             f"a record of {len(value)} bytes, {MAX_VALUE_BYTES} at most"
         )
     return value
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -18,7 +18,7 @@
         self.retry_delay = retry_delay
 
 
-class QuorumNotReached(CoordinationError):
+class QuorumNotReachedError(CoordinationError):
     """Too few acceptors answered in time."""
 
     remedy = (
@@ -27,7 +27,7 @@
     )
 
 
-class NotLeaseHolder(CoordinationError):
+class NotLeaseHolderError(CoordinationError):
     """Another gateway, `holder`, holds the lease."""
 
     remedy = (
@@ -42,7 +42,7 @@
         self.holder = holder
 
 
-class BallotSuperseded(CoordinationError):
+class BallotSupersededError(CoordinationError):
     """A later ballot was promised: the term under which this was to be done is over."""
 
     remedy = (
@@ -50,13 +50,13 @@
     )
 
 
-class LeaseNotHeld(CoordinationError):
+class LeaseNotHeldError(CoordinationError):
     """The lease was released, lost, or never held here."""
 
     remedy = "none: the lease is acquired again"
 
 
-class ResourceLimitReached(CoordinationError):
+class ResourceLimitReachedError(CoordinationError):
     """A bound of this gateway: leases, requests under way, or bytes of a record."""
 
     remedy = (
@@ -65,7 +65,7 @@
     )
 
 
-class AcceptorStateCorrupt(CoordinationError):
+class AcceptorStateCorruptError(CoordinationError):
     """The acceptor's file cannot be read whole, or a row fails its checksum."""
 
     remedy = (
@@ -74,7 +74,7 @@
     )
 
 
-class AcceptorStateRolledBack(CoordinationError):
+class AcceptorStateRolledBackError(CoordinationError):
     """The acceptor's file is an older copy: others heard later things from it."""
 
     remedy = (
@@ -83,7 +83,7 @@
     )
 
 
-class AcceptorStateMissing(CoordinationError):
+class AcceptorStateMissingError(CoordinationError):
     """The acceptor's file is gone, though others know that there was one."""
 
     remedy = (
@@ -92,13 +92,13 @@
     )
 
 
-class DiskFull(CoordinationError):
+class DiskFullError(CoordinationError):
     """The acceptor cannot write; it answers nothing that it has not written."""
 
     remedy = "make room on the disk of state_dir; the acceptor goes on by itself"
 
 
-class LeaseSettingsMismatch(CoordinationError):
+class LeaseSettingsMismatchError(CoordinationError):
     """Another gateway has other acceptors or timings: its requests are declined."""
 
     remedy = (
@@ -107,7 +107,7 @@
     )
 
 
-class AcceptorSetChanged(CoordinationError):
+class AcceptorSetChangedError(CoordinationError):
     """The settings name other acceptors than those the state was made for.
 
     Majorities of the old set and of the new need not meet.
@@ -120,7 +120,7 @@
     )
 
 
-class AcceptorStateUnusable(CoordinationError):
+class AcceptorStateUnusableError(CoordinationError):
     """The disk does not take writes, or the file is of a later version."""
 
     remedy = (
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -16,8 +16,8 @@
 from milletsill.fleet.leases.blocking_worker import BlockingExecutor, BlockingWorker
 from milletsill.fleet.leases.errors import (
     CoordinationError,
-    LeaseNotHeld,
-    ResourceLimitReached,
+    LeaseNotHeldError,
+    ResourceLimitReachedError,
 )
 from milletsill.fleet.leases.lease_messenger import LeaseMessenger, OnForeignMessage
 from milletsill.fleet.leases.lease_proposer import LeaseProposer, next_used_rounds
@@ -144,10 +144,10 @@
         entry.acquiring.append(on_acquired)
         self._apply(entry, entry.proposer.acquire(self.now()))
 
-    def _acquire_refusal(self, key: str) -> ResourceLimitReached | None:
+    def _acquire_refusal(self, key: str) -> ResourceLimitReachedError | None:
         if not codec.is_valid_key(key):
             what = f"a channel's name is UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
-            return ResourceLimitReached(what, "leases")
+            return ResourceLimitReachedError(what, "leases")
         entry = self.leases.get(key)
         if entry is None:
             is_full = len(self.leases) >= self.settings.max_leases
@@ -156,7 +156,7 @@
         if not is_full and self._sender.open_rounds < MAX_OPEN_ROUNDS:
             return None
         what = "too many channels or calls under way"
-        return ResourceLimitReached(what, "leases", self._timings.call_timeout)
+        return ResourceLimitReachedError(what, "leases", self._timings.call_timeout)
 
     def write(self, term: LeaseTerm, value: bytes, on_written: OnWritten) -> None:
         """Write a lease's whole record, and renew the lease.
@@ -175,15 +175,15 @@
     def _write_refusal(self, term: LeaseTerm, value: bytes) -> CoordinationError | None:
         entry = self.leases.get(term.key)
         if term.is_ended or entry is None or entry.term is not term:
-            return LeaseNotHeld("the term is over", term.key)
+            return LeaseNotHeldError("the term is over", term.key)
         if len(value) > self._max_value:
             what = f"a record of {len(value)} bytes, {self._max_value} at most"
-            return ResourceLimitReached(what, term.key)
+            return ResourceLimitReachedError(what, term.key)
         has_room = len(entry.queued) < MAX_CALLBACKS
         if has_room and self._sender.open_rounds < MAX_OPEN_ROUNDS:
             return None
         what = "too many writes under way"
-        return ResourceLimitReached(what, term.key, self._timings.call_timeout)
+        return ResourceLimitReachedError(what, term.key, self._timings.call_timeout)
 
     def holds(self, term: LeaseTerm) -> bool:
         """Whether nobody else can hold the lease now, by this gateway's clock."""
@@ -258,7 +258,7 @@
             case ProposerEffect.LOSE:
                 self._on_ended(entry, self._round_error(proposer))
             case ProposerEffect.RELEASE:
-                error = LeaseNotHeld("the office was given up", proposer.key)
+                error = LeaseNotHeldError("the office was given up", proposer.key)
                 self._on_ended(entry, error)
 
     def _on_held(self, entry: LeaseEntry, is_new: bool) -> None:
@@ -303,7 +303,7 @@
             self._timers.call_soon(on_written, None)
 
     def _refuse_queued(self, entry: LeaseEntry) -> None:
-        error = LeaseNotHeld("the office is not held", entry.proposer.key)
+        error = LeaseNotHeldError("the office is not held", entry.proposer.key)
         for on_written in entry.take_queued():
             self._timers.call_soon(on_written, error)
 
--- a/milletsill/fleet/leases/lease_messenger.py
+++ b/milletsill/fleet/leases/lease_messenger.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from milletsill.fleet.errors import MalformedFrame
+from milletsill.fleet.errors import MalformedFrameError
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor_recovery import (
@@ -165,10 +165,10 @@
             return
         try:
             self._on_frame(gateway, codec.decode_frame(body))
-        except MalformedFrame as error:
+        except MalformedFrameError as error:
             self._on_malformed(gateway, error)
 
-    def _on_malformed(self, gateway: str, error: MalformedFrame) -> None:
+    def _on_malformed(self, gateway: str, error: MalformedFrameError) -> None:
         self._metrics.unreadable.inc()
         now = self._now()
         if now - self._malformed_logged_at >= MALFORMED_LOG_INTERVAL:
--- a/milletsill/fleet/leases/recovery_controller.py
+++ b/milletsill/fleet/leases/recovery_controller.py
@@ -22,7 +22,10 @@
     raise_to_floor,
 )
 from milletsill.fleet.leases.acceptor_store import AcceptorStore
-from milletsill.fleet.leases.errors import AcceptorStateMissing, AcceptorStateRolledBack
+from milletsill.fleet.leases.errors import (
+    AcceptorStateMissingError,
+    AcceptorStateRolledBackError,
+)
 from milletsill.fleet.leases.request_queue import RequestQueue
 
 # One of so many questions goes to all gateways, the others to the acceptors alone.
@@ -165,7 +168,9 @@
     def _stop_serving(self, recovery: AcceptorRecovery, store: AcceptorStore) -> None:
         identity = store.identity
         is_new = identity.generation == 0
-        error_type = AcceptorStateMissing if is_new else AcceptorStateRolledBack
+        error_type = (
+            AcceptorStateMissingError if is_new else AcceptorStateRolledBackError
+        )
         what = (
             f"others know of state {recovery.highest_age}, past "
             f"{identity.age}.{identity.generation}"
--- a/milletsill/fleet/leases/request_queue.py
+++ b/milletsill/fleet/leases/request_queue.py
@@ -26,7 +26,7 @@
     RunBlocking,
 )
 from milletsill.fleet.leases.acceptor_store import AcceptorStore
-from milletsill.fleet.leases.errors import DiskFull
+from milletsill.fleet.leases.errors import DiskFullError
 from milletsill.fleet.leases.messages import (
     AcceptorReply,
     AcceptorRequest,
@@ -238,7 +238,7 @@
                 by_gateway.setdefault(queued.gateway, []).append(reply)
         for gateway, replies in by_gateway.items():
             self._peers.send_replies(gateway, replies)
-        if isinstance(error, DiskFull):
+        if isinstance(error, DiskFullError):
             self.disk_full_until = self._context.now() + RETRY_INTERVAL
             return
         self._on_unusable()
--- a/milletsill/fleet/leases/round_error.py
+++ b/milletsill/fleet/leases/round_error.py
@@ -5,10 +5,10 @@
 from random import Random
 
 from milletsill.fleet.leases.errors import (
-    BallotSuperseded,
+    BallotSupersededError,
     CoordinationError,
-    NotLeaseHolder,
-    QuorumNotReached,
+    NotLeaseHolderError,
+    QuorumNotReachedError,
 )
 from milletsill.fleet.leases.lease_proposer import LeaseProposer
 from milletsill.fleet.leases.messages import ReplyStatus
@@ -28,10 +28,10 @@
     if refusal is None or refusal.status is ReplyStatus.UNAVAILABLE:
         suggested = 0 if refusal is None else refusal.retry_delay
         retry_delay = max(timings.call_timeout, suggested)
-        return QuorumNotReached("too few registers answered", key, retry_delay)
+        return QuorumNotReachedError("too few registers answered", key, retry_delay)
     if refusal.status is ReplyStatus.LEASE_HELD:
         holder = refusal.holder
         what = f"{holder} has the office"
-        return NotLeaseHolder(what, key, refusal.retry_delay, holder)
+        return NotLeaseHolderError(what, key, refusal.retry_delay, holder)
     retry_delay = random.randint(*SUPERSEDED_RETRY_DELAY)
-    return BallotSuperseded("a later ballot was promised", key, retry_delay)
+    return BallotSupersededError("a later ballot was promised", key, retry_delay)
--- a/milletsill/fleet/leases/store_file.py
+++ b/milletsill/fleet/leases/store_file.py
@@ -6,10 +6,10 @@
 import sqlite3
 
 from milletsill.fleet.leases.errors import (
-    AcceptorStateCorrupt,
-    AcceptorStateUnusable,
+    AcceptorStateCorruptError,
+    AcceptorStateUnusableError,
     CoordinationError,
-    DiskFull,
+    DiskFullError,
 )
 from milletsill.fleet.leases.store_rows import checksum
 
@@ -28,17 +28,17 @@
     """Return the program's error for one of sqlite's."""
     code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     if code == sqlite3.SQLITE_FULL:
-        return DiskFull("no room for the acceptor's file", path)
+        return DiskFullError("no room for the acceptor's file", path)
     if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB):
-        return AcceptorStateCorrupt(str(error), path)
-    return AcceptorStateUnusable(str(error), path)
+        return AcceptorStateCorruptError(str(error), path)
+    return AcceptorStateUnusableError(str(error), path)
 
 
 def open_database(path: str, initial_state: bytes) -> sqlite3.Connection:
     """Open the file, made with a state where there is none.
 
     Raises:
-        AcceptorStateCorrupt, AcceptorStateUnusable, DiskFull.
+        AcceptorStateCorruptError, AcceptorStateUnusableError, DiskFullError.
     """
     try:
         if not os.path.exists(path):
@@ -51,7 +51,7 @@
     except sqlite3.Error as error:
         raise translate_error(error, path) from error
     except OSError as error:
-        raise AcceptorStateUnusable(error.strerror or str(error), path) from error
+        raise AcceptorStateUnusableError(error.strerror or str(error), path) from error
 
 
 def set_aside(path: str) -> None:
--- a/milletsill/fleet/leases/store_rows.py
+++ b/milletsill/fleet/leases/store_rows.py
@@ -9,7 +9,7 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from milletsill.fleet.errors import MalformedFrame
+from milletsill.fleet.errors import MalformedFrameError
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import LeaseRecord
 from milletsill.fleet.leases.acceptor_recovery import StateIdentity
@@ -18,7 +18,7 @@
     encode_identity,
     encode_record,
 )
-from milletsill.fleet.leases.errors import AcceptorStateCorrupt
+from milletsill.fleet.leases.errors import AcceptorStateCorruptError
 
 
 class RecordRow(NamedTuple):
@@ -57,16 +57,16 @@
     """Return the record of a row.
 
     Raises:
-        AcceptorStateCorrupt: The row fails its checksum or cannot be read.
+        AcceptorStateCorruptError: The row fails its checksum or cannot be read.
     """
     if checksum(row.key, row.written_at, row.body) != row.checksum:
-        raise AcceptorStateCorrupt(
+        raise AcceptorStateCorruptError(
             f"the record of {row.key!r} fails its checksum", path
         )
     try:
         return decode_record(wire.Kept.FromString(row.body), row.written_at)
-    except (DecodeError, MalformedFrame) as error:
-        raise AcceptorStateCorrupt(
+    except (DecodeError, MalformedFrameError) as error:
+        raise AcceptorStateCorruptError(
             f"the record of {row.key!r} cannot be read: {error}", path
         ) from error
 
--- a/milletsill/fleet/net/inbound_streams.py
+++ b/milletsill/fleet/net/inbound_streams.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from milletsill.fleet.errors import FrameTooLong
+from milletsill.fleet.errors import FrameTooLongError
 from milletsill.fleet.frames.stream_framing import FrameDecoder
 from milletsill.fleet.net.stream_state import IDLE_TIMEOUT
 
@@ -41,7 +41,7 @@
         try:
             for frame in self._decoder.feed(data):
                 self._listener.on_frame(frame)
-        except FrameTooLong as error:
+        except FrameTooLongError as error:
             self._listener.on_refused(error)
             self.abort()
 
@@ -70,7 +70,7 @@
         self,
         now: Callable[[], int],
         on_frame: Callable[[bytes], None],
-        on_refused: Callable[[FrameTooLong], None],
+        on_refused: Callable[[FrameTooLongError], None],
     ) -> None:
         self.now = now
         self.on_frame = on_frame
--- a/milletsill/fleet/operator_log.py
+++ b/milletsill/fleet/operator_log.py
@@ -81,7 +81,9 @@
     def on_no_peers(self) -> None:
         """Nobody has answered since the start."""
         where = f"fleet {self._config.fleet!r}"
-        self._log_error(errors.NoPeersReachable("no other gateway has answered", where))
+        self._log_error(
+            errors.NoPeersReachableError("no other gateway has answered", where)
+        )
 
     def on_event(self, event: OperatorEvent, membership: Membership) -> None:
         """The membership tells of something."""
@@ -107,14 +109,14 @@
             f"{event.location}"
         )
         self._log_error(
-            errors.IncarnationLost(what, "state_dir"),
+            errors.IncarnationLostError(what, "state_dir"),
             run=membership.state.local.entry.incarnation,
         )
 
     def _on_duplicate_name(self, event: OperatorEvent, membership: Membership) -> None:
         what = f"another live gateway is called {self._config.name!r}"
         self._log_error(
-            errors.DuplicateMemberName(what, event.location),
+            errors.DuplicateMemberNameError(what, event.location),
             resting=membership.state.local.is_displaced,
         )
 
@@ -123,7 +125,7 @@
             return
         limit = self._config.membership.max_members
         what = f"{event.location!r} has no place among {limit}"
-        self._log_error(errors.MemberLimitReached(what, "fleet.most_members"))
+        self._log_error(errors.MemberLimitReachedError(what, "fleet.most_members"))
 
     def _is_due(self, cause: str) -> bool:
         """Return whether a cause may be logged again, and note it if so."""
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -14,11 +14,11 @@
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.errors import (
-    FleetAddressUnavailable,
-    FleetNameMismatch,
-    FrameTooLong,
-    FrameVersionTooNew,
-    MalformedFrame,
+    FleetAddressUnavailableError,
+    FleetNameMismatchError,
+    FrameTooLongError,
+    FrameVersionTooNewError,
+    MalformedFrameError,
 )
 from milletsill.fleet.frames.codec import MAX_BODY, MAX_DATAGRAM, FrameCodec
 from milletsill.fleet.frames.messages import FleetMessage, FrameType
@@ -64,10 +64,10 @@
 SHOWN_DIGEST = (1 << 48) - 1  # a metric is a float, which holds no 64 bits
 
 _REFUSAL_CAUSES: dict[type[MilletsillError], RefusalCause] = {
-    FrameTooLong: RefusalCause.TOO_LONG,
-    MalformedFrame: RefusalCause.MALFORMED,
-    FleetNameMismatch: RefusalCause.OTHER_FLEET,
-    FrameVersionTooNew: RefusalCause.TOO_NEW,
+    FrameTooLongError: RefusalCause.TOO_LONG,
+    MalformedFrameError: RefusalCause.MALFORMED,
+    FleetNameMismatchError: RefusalCause.OTHER_FLEET,
+    FrameVersionTooNewError: RefusalCause.TOO_NEW,
 }
 
 
@@ -113,7 +113,7 @@
         """Listen and begin to join.
 
         Raises:
-            FleetAddressUnavailable: The address cannot be listened on.
+            FleetAddressUnavailableError: The address cannot be listened on.
         """
         host, _, _ = self._config.address.rpartition(":")
         self._listen()
@@ -220,7 +220,9 @@
             udp = self._datagrams.listen(self._reactor, host, self.listening_port)
             self._ports.append(udp)
         except CannotListenError as error:
-            raise FleetAddressUnavailable(str(error), self._config.address) from error
+            raise FleetAddressUnavailableError(
+                str(error), self._config.address
+            ) from error
 
     def _schedule(self, name: str, delay: int, call: Callable[[], None]) -> None:
         """Call a function after tenths of a millisecond; one timer a name."""
@@ -283,7 +285,11 @@
         self._metrics.count_frame(FrameDirection.IN, carrier, len(data))
         try:
             message = self._decode(data, carrier)
-        except (MalformedFrame, FleetNameMismatch, FrameVersionTooNew) as error:
+        except (
+            MalformedFrameError,
+            FleetNameMismatchError,
+            FrameVersionTooNewError,
+        ) as error:
             self._on_refused_frame(error)
             return
         self._apply(membership.on_message(self._now(), message))
@@ -294,7 +300,7 @@
 
     def _decode(self, data: bytes, carrier: FrameCarrier) -> FleetMessage:
         if carrier is FrameCarrier.DATAGRAM and len(data) > MAX_DATAGRAM:
-            raise FrameTooLong(f"a datagram of more than {MAX_DATAGRAM} octets")
+            raise FrameTooLongError(f"a datagram of more than {MAX_DATAGRAM} octets")
         return self._codec.decode(data)
 
     def _deliver(self, membership: Membership, message: FleetMessage) -> None:
--- a/milletsill/flows/collecting_process.py
+++ b/milletsill/flows/collecting_process.py
@@ -19,7 +19,7 @@
     DecodedRecord,
     DecodedValues,
 )
-from milletsill.flows.errors import MalformedFlowMessage
+from milletsill.flows.errors import MalformedFlowMessageError
 from milletsill.flows.flow_totals import FlowTotals
 from milletsill.flows.sequence_tracker import SequenceTracker
 
@@ -102,9 +102,9 @@
         decoder = session.decoders.get(version)
         try:
             if decoder is None:
-                raise MalformedFlowMessage(f"version {version} is not read")
+                raise MalformedFlowMessageError(f"version {version} is not read")
             message = decoder.decode(octets, self._clock())
-        except MalformedFlowMessage as error:
+        except MalformedFlowMessageError as error:
             self.report_malformed(error, str(source))
             return
         self.messages += 1
@@ -116,7 +116,7 @@
         for record in message.records:
             self._take_record(record, message.domain)
 
-    def report_malformed(self, error: MalformedFlowMessage, source: str) -> None:
+    def report_malformed(self, error: MalformedFlowMessageError, source: str) -> None:
         """Counts and reports what was not taken."""
         self.malformed += 1
         self._on_malformed(error.with_location(source).describe())
--- a/milletsill/flows/collecting_transport.py
+++ b/milletsill/flows/collecting_transport.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 
 from milletsill.flows.collecting_process import CollectingProcess, TransportSession
-from milletsill.flows.errors import MalformedFlowMessage
+from milletsill.flows.errors import MalformedFlowMessageError
 from milletsill.flows.ipfix_stream import IpfixMessageSplitter
 
 
@@ -43,7 +43,7 @@
         try:
             for message in self._splitter.feed(data):
                 self._collector.on_message(self._session, message, peer)
-        except MalformedFlowMessage as error:
+        except MalformedFlowMessageError as error:
             self._collector.report_malformed(error, str(peer))
             transport.abortConnection()
 
--- a/milletsill/flows/decoded_message.py
+++ b/milletsill/flows/decoded_message.py
@@ -40,5 +40,5 @@
         """Decodes one whole message; `now` is a monotonic time in seconds.
 
         Raises:
-            MalformedFlowMessage: The message is not taken.
+            MalformedFlowMessageError: The message is not taken.
         """
--- a/milletsill/flows/errors.py
+++ b/milletsill/flows/errors.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 
 
-class MalformedFlowMessage(MalformedInput):
+class MalformedFlowMessageError(MalformedInputError):
     """Octets that RFC 7011 or NetFlow 9 does not allow, or that the decoder refuses."""
 
     remedy = (
--- a/milletsill/flows/field_encoding.py
+++ b/milletsill/flows/field_encoding.py
@@ -10,7 +10,7 @@
 from struct import Struct
 from typing import Any, Protocol, TypeAlias
 
-from milletsill.flows.errors import MalformedFlowMessage
+from milletsill.flows.errors import MalformedFlowMessageError
 from milletsill.flows.information_elements import DataType, InformationElement
 from milletsill.flows.templates import DataRecord, Template
 
@@ -176,15 +176,17 @@
     """Returns a set's id and its length with the header.
 
     Raises:
-        MalformedFlowMessage: The set does not end within the message; `set_name` is
+        MalformedFlowMessageError: The set ends outside the message; `set_name` is
             how the format calls a set.
     """
     left = len(octets) - offset
     if left < SET_HEADER.size:
-        raise MalformedFlowMessage(f"{left} bytes left over behind the last {set_name}")
+        raise MalformedFlowMessageError(
+            f"{left} bytes left over behind the last {set_name}"
+        )
     set_id, length = SET_HEADER.unpack_from(octets, offset)
     if length < SET_HEADER.size or length > left:
-        raise MalformedFlowMessage(
+        raise MalformedFlowMessageError(
             f"a {set_name} of {length} bytes where {left} are left"
         )
     return set_id, length
--- a/milletsill/flows/ipfix_decoder.py
+++ b/milletsill/flows/ipfix_decoder.py
@@ -16,7 +16,7 @@
     DecodedRecord,
     DecodedValues,
 )
-from milletsill.flows.errors import MalformedFlowMessage
+from milletsill.flows.errors import MalformedFlowMessageError
 from milletsill.flows.field_encoding import (
     FIRST_DATA_SET_ID,
     FLOAT64,
@@ -116,7 +116,7 @@
         """Decodes one whole message; a refused one leaves the templates as they were.
 
         Raises:
-            MalformedFlowMessage: The message is not taken.
+            MalformedFlowMessageError: The message is not taken.
         """
         message = _decode_header(octets)
         context = DecodingContext(message, now, {})
@@ -130,7 +130,7 @@
             elif set_id >= FIRST_DATA_SET_ID:
                 self._decode_data_set(body, set_id, context)
             else:
-                raise MalformedFlowMessage(f"set id {set_id} is not allowed")
+                raise MalformedFlowMessageError(f"set id {set_id} is not allowed")
             offset += length
         self._store_templates(context.templates)
         for record in message.records:
@@ -176,14 +176,14 @@
             for field in template.fields:
                 length, offset = _decode_length(field, body, offset)
                 if offset + length > len(body):
-                    raise MalformedFlowMessage("a record is cut short")
+                    raise MalformedFlowMessageError("a record is cut short")
                 name, value = self._decode_value(field, body[offset : offset + length])
                 values[name] = value
                 offset += length
             record = DecodedRecord(set_id, template.scope_count, values)
             context.message.records.append(record)
         if any(body[offset:]):
-            raise MalformedFlowMessage("padding that is not zero")
+            raise MalformedFlowMessageError("padding that is not zero")
 
     def _decode_value(
         self, field: FieldSpecifier, octets: bytes
@@ -225,12 +225,14 @@
 
 def _decode_header(octets: bytes) -> DecodedMessage:
     if len(octets) < MESSAGE_HEADER.size:
-        raise MalformedFlowMessage(f"a message of {len(octets)} bytes has no header")
+        raise MalformedFlowMessageError(
+            f"a message of {len(octets)} bytes has no header"
+        )
     version, length, export_time, sequence, domain = MESSAGE_HEADER.unpack_from(octets)
     if version != VERSION:
-        raise MalformedFlowMessage(f"version {version}, {VERSION} is read")
+        raise MalformedFlowMessageError(f"version {version}, {VERSION} is read")
     if length != len(octets):
-        raise MalformedFlowMessage(
+        raise MalformedFlowMessageError(
             f"a length of {length} in a message of {len(octets)} bytes"
         )
     return DecodedMessage(export_time, sequence, domain)
@@ -241,13 +243,13 @@
     if field.length != VARIABLE_LENGTH:
         return field.length, offset
     if offset >= len(body):
-        raise MalformedFlowMessage("a record is cut short")
+        raise MalformedFlowMessageError("a record is cut short")
     length = body[offset]
     offset += 1
     if length != LONG_LENGTH_MARK:
         return length, offset
     if offset + 2 > len(body):
-        raise MalformedFlowMessage("a record is cut short")
+        raise MalformedFlowMessageError("a record is cut short")
     return UNSIGNED_STRUCTS[2].unpack_from(body, offset)[0], offset + 2
 
 
@@ -270,12 +272,14 @@
             _check_template(template_id, field_count, scope_count, is_options)
             fields, offset = _decode_specifiers(body, offset, field_count)
             if not any(field.length for field in fields):
-                raise MalformedFlowMessage(f"template {template_id} describes no byte")
+                raise MalformedFlowMessageError(
+                    f"template {template_id} describes no byte"
+                )
             template = IpfixTemplate(fields, scope_count, context.now)
             context.templates[key] = template
             count += 1
     except StructError:
-        raise MalformedFlowMessage("a template is cut short") from None
+        raise MalformedFlowMessageError("a template is cut short") from None
     return count
 
 
@@ -286,7 +290,7 @@
     if is_options and not 0 < scope_count <= field_count:
         allowed = False
     if not allowed:
-        raise MalformedFlowMessage(
+        raise MalformedFlowMessageError(
             f"template {template_id} with {field_count} fields, {scope_count} of scope"
         )
 
--- a/milletsill/flows/ipfix_stream.py
+++ b/milletsill/flows/ipfix_stream.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from milletsill.flows.errors import MalformedFlowMessage
+from milletsill.flows.errors import MalformedFlowMessageError
 from milletsill.flows.field_encoding import SET_HEADER
 from milletsill.flows.ipfix_encoder import MESSAGE_HEADER, VERSION
 
@@ -19,14 +19,14 @@
         """Yields the messages that are complete.
 
         Raises:
-            MalformedFlowMessage: The octets begin no message; the stream cannot be
+            MalformedFlowMessageError: The octets begin no message; the stream cannot be
                 read any further.
         """
         self.buffer += octets
         while len(self.buffer) >= SET_HEADER.size:
             version, length = SET_HEADER.unpack_from(self.buffer)
             if version != VERSION or length < MESSAGE_HEADER.size:
-                raise MalformedFlowMessage(
+                raise MalformedFlowMessageError(
                     f"version {version} and a length of {length} begin no message"
                 )
             if len(self.buffer) < length:
--- a/milletsill/flows/netflow9_decoder.py
+++ b/milletsill/flows/netflow9_decoder.py
@@ -9,7 +9,7 @@
     DecodedRecord,
     DecodedValues,
 )
-from milletsill.flows.errors import MalformedFlowMessage
+from milletsill.flows.errors import MalformedFlowMessageError
 from milletsill.flows.field_encoding import (
     FIRST_DATA_SET_ID,
     MAX_TEMPLATE_FIELDS,
@@ -63,7 +63,7 @@
         """Decodes one whole packet.
 
         Raises:
-            MalformedFlowMessage: The packet is not taken.
+            MalformedFlowMessageError: The packet is not taken.
         """
         message = _decode_header(octets)
         offset = PACKET_HEADER.size
@@ -78,7 +78,7 @@
             elif set_id >= FIRST_DATA_SET_ID:
                 self._decode_data_set(body, set_id, now, message)
             else:
-                raise MalformedFlowMessage(f"flow set id {set_id} is not allowed")
+                raise MalformedFlowMessageError(f"flow set id {set_id} is not allowed")
             offset += length
         return message
 
@@ -148,11 +148,13 @@
 
 def _decode_header(octets: bytes) -> DecodedMessage:
     if len(octets) < PACKET_HEADER.size:
-        raise MalformedFlowMessage(f"a packet of {len(octets)} bytes has no header")
+        raise MalformedFlowMessageError(
+            f"a packet of {len(octets)} bytes has no header"
+        )
     header = PACKET_HEADER.unpack_from(octets)
     version, _, _, export_time, sequence, domain = header
     if version != VERSION:
-        raise MalformedFlowMessage(f"version {version}, {VERSION} is read")
+        raise MalformedFlowMessageError(f"version {version}, {VERSION} is read")
     return DecodedMessage(export_time, sequence, domain)
 
 
@@ -165,8 +167,10 @@
         or not 0 < field_count <= MAX_TEMPLATE_FIELDS
         or end > len(body)
     ):
-        raise MalformedFlowMessage(f"template {template_id} with {field_count} fields")
+        raise MalformedFlowMessageError(
+            f"template {template_id} with {field_count} fields"
+        )
     fields = tuple(SET_HEADER.iter_unpack(body[offset:end]))
     if not sum(length for _, length in fields):
-        raise MalformedFlowMessage(f"template {template_id} describes no byte")
+        raise MalformedFlowMessageError(f"template {template_id} describes no byte")
     return fields
--- a/milletsill/http1/errors.py
+++ b/milletsill/http1/errors.py
@@ -4,12 +4,12 @@
 
 import httptools
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 
 PARSER_ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
-class MalformedHttpMessage(MalformedInput):
+class MalformedHttpMessageError(MalformedInputError):
     """Octets that are no HTTP/1.1 message within the bounds.
 
     `status` is what a server answers with.
--- a/milletsill/http1/message_reader.py
+++ b/milletsill/http1/message_reader.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from milletsill.http1.errors import PARSER_ERRORS, MalformedHttpMessage
+from milletsill.http1.errors import PARSER_ERRORS, MalformedHttpMessageError
 from milletsill.http1.message import HttpMessage, Parser
 from milletsill.http1.message_limits import (
     AMBIGUOUS,
@@ -74,7 +74,7 @@
         """Return the next complete message, or None where more octets are needed.
 
         Raises:
-            MalformedHttpMessage: the stream cannot be read any further.
+            MalformedHttpMessageError: the stream cannot be read any further.
         """
         if self.message is None:
             self.message = self._read_head()
@@ -107,7 +107,7 @@
         """Take another piece of a body that is complete when its connection closes."""
         message.length += len(self.buffer)
         if message.length > self.limits.body:
-            raise MalformedHttpMessage(413, "a body over the bound")
+            raise MalformedHttpMessageError(413, "a body over the bound")
         self._keep_piece(self.buffer)
         self.buffer = b""
 
@@ -143,13 +143,13 @@
             self._check_partial_head(start)
             return None
         if not 0 <= end <= self.limits.head - len(HEAD_END):
-            raise MalformedHttpMessage(431, "a head over the bound")
+            raise MalformedHttpMessageError(431, "a head over the bound")
         cut = end + len(HEAD_END)
         head = self.buffer[:cut]
         self.buffer = self.buffer[cut:]
         self.searched = 0
         if AMBIGUOUS.search(head):
-            raise MalformedHttpMessage(400, "a head that can be read in two ways")
+            raise MalformedHttpMessageError(400, "a head that can be read in two ways")
         return self._parse_head(head)
 
     def _check_partial_head(self, start: int) -> None:
@@ -157,9 +157,9 @@
         # The line feed behind a last carriage return may still be on its way.
         checked = len(self.buffer) - self.buffer.endswith(b"\r")
         if AMBIGUOUS.search(self.buffer, start, checked):
-            raise MalformedHttpMessage(400, "a head that can be read in two ways")
+            raise MalformedHttpMessageError(400, "a head that can be read in two ways")
         if not self.START.match(self.buffer):
-            raise MalformedHttpMessage(400, "what begins no message")
+            raise MalformedHttpMessageError(400, "what begins no message")
 
     def _parse_head(self, head: bytes) -> HttpMessage:
         message = HttpMessage()
@@ -168,10 +168,10 @@
             message.parser.feed_data(strip_field_whitespace(head))
         except PARSER_ERRORS as error:
             reason = f"a head that cannot be read: {error}"[:200]
-            raise MalformedHttpMessage(400, reason) from error
+            raise MalformedHttpMessageError(400, reason) from error
         self.skipped_empty_line = False
         if message.field_count > self.limits.fields:
-            raise MalformedHttpMessage(431, "too many lines in a head")
+            raise MalformedHttpMessageError(431, "too many lines in a head")
         self._apply_head(message)
         return message
 
@@ -179,7 +179,7 @@
         """Set what the head says of the message."""
         framing = body_framing(message.fields, message.repeated, self.limits)
         if isinstance(framing, FramingError):
-            raise MalformedHttpMessage(framing.status, framing.reason)
+            raise MalformedHttpMessageError(framing.status, framing.reason)
         message.length = framing.length
         message.chunked = framing.chunked
 
@@ -206,7 +206,7 @@
                 message.parser.feed_data(data)
             except PARSER_ERRORS as error:
                 reason = f"chunks that cannot be read: {error}"[:200]
-                raise MalformedHttpMessage(400, reason) from error
+                raise MalformedHttpMessageError(400, reason) from error
             message.on_chunk_data_fed(data)
             message.length += len(data)
             self._check_chunks(message)
@@ -217,12 +217,12 @@
         body = message.received + message.chunk_remaining
         framed = 2 * self.limits.body + self.limits.head
         if body > self.limits.body or message.length > framed:
-            raise MalformedHttpMessage(413, "a body over the bound")
+            raise MalformedHttpMessageError(413, "a body over the bound")
         if (
             message.chunk_count > MAX_CHUNKS
             or len(message.chunk_line) > self.limits.head
         ):
-            raise MalformedHttpMessage(413, "a body in too many chunks")
+            raise MalformedHttpMessageError(413, "a body in too many chunks")
 
 
 class RequestReader(MessageReader):
@@ -238,10 +238,10 @@
         message.length = max(message.length, 0)
         version = message.parser.get_http_version()
         if version not in ("1.1", "1.0"):
-            raise MalformedHttpMessage(505, "not HTTP/1.1")
+            raise MalformedHttpMessageError(505, "not HTTP/1.1")
         missing_host = version == "1.1" and b"host" not in message.fields
         if b"host" in message.repeated or missing_host:
-            raise MalformedHttpMessage(400, "not one Host")
+            raise MalformedHttpMessageError(400, "not one Host")
 
 
 class ResponseReader(MessageReader):
@@ -303,5 +303,5 @@
                 self.interim_count > MAX_INTERIM_RESPONSES
                 or message.status == SWITCHING_PROTOCOLS
             ):
-                raise MalformedHttpMessage(502, "1xx answers without an end")
+                raise MalformedHttpMessageError(502, "1xx answers without an end")
         return None
--- a/milletsill/http1/response_line_reader.py
+++ b/milletsill/http1/response_line_reader.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from milletsill.http1.errors import PARSER_ERRORS, MalformedHttpMessage
+from milletsill.http1.errors import PARSER_ERRORS, MalformedHttpMessageError
 from milletsill.http1.message_limits import (
     HEAD_END,
     MAX_INTERIM_RESPONSES,
@@ -61,15 +61,15 @@
         """Take received octets and return the lines that are complete now.
 
         Raises:
-            MalformedHttpMessage: no response of HTTP/1.1, or one over the bounds.
+            MalformedHttpMessageError: no response of HTTP/1.1, or one over the bounds.
         """
         try:
             self.parser.feed_data(data if self.status else self._take_heads(data))
         except PARSER_ERRORS as error:
             reason = f"a watch that cannot be read: {error}"[:200]
-            raise MalformedHttpMessage(502, reason) from error
+            raise MalformedHttpMessageError(502, reason) from error
         if len(self.line) > self.max_line or len(self.head) > LIMITS.head:
-            raise MalformedHttpMessage(502, "a line over the bound")
+            raise MalformedHttpMessageError(502, "a line over the bound")
         lines = self.lines
         self.lines = []
         return lines
@@ -81,7 +81,7 @@
         """
         self.head = (self.head + data).lstrip(b"\r\n")
         if not self.head.startswith(RESPONSE_PREFIX[: len(self.head)]):
-            raise MalformedHttpMessage(502, "no answer of HTTP/1.1")
+            raise MalformedHttpMessageError(502, "no answer of HTTP/1.1")
         taken = b""
         while (end := self.head.find(HEAD_END)) >= 0:
             cut = end + len(HEAD_END)
@@ -93,5 +93,5 @@
                 taken += self.head
                 self.head = b""
             elif self.interim_count > MAX_INTERIM_RESPONSES:
-                raise MalformedHttpMessage(502, "1xx answers without an end")
+                raise MalformedHttpMessageError(502, "1xx answers without an end")
         return taken
--- a/milletsill/http_gateway/client_connection.py
+++ b/milletsill/http_gateway/client_connection.py
@@ -12,7 +12,7 @@
 from zope.interface import implementer
 
 from milletsill.gateway.stream_transport import StreamTransport
-from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.errors import MalformedHttpMessageError
 from milletsill.http1.message import HttpMessage
 from milletsill.http1.message_limits import MessageLimits
 from milletsill.http1.message_reader import RequestReader
@@ -208,7 +208,7 @@
         try:
             if self.next_request is None:
                 self.next_request = self.reader.next_message()
-        except MalformedHttpMessage as error:
+        except MalformedHttpMessageError as error:
             self.refuse(error.status, error.reason)
             return False
         if not self._ready and self.next_request is not None:
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -19,11 +19,11 @@
     ticks_at_most,
     unknown_settings,
 )
-from milletsill.errors import ConfigurationRejected
+from milletsill.errors import ConfigurationRejectedError
 from milletsill.http_gateway.discovery_timing import notification_span
 from milletsill.http_gateway.endpoints import (
     EndpointUpdate,
-    InvalidEndpoint,
+    InvalidEndpointError,
     parse_address,
     parse_update,
 )
@@ -54,7 +54,7 @@
 )
 
 
-class GatewayConfigurationRejected(ConfigurationRejected):
+class GatewayConfigurationRejectedError(ConfigurationRejectedError):
     """The platform's file that cannot be used."""
 
     remedy = (
@@ -96,23 +96,25 @@
     """Read the file that NODE_CONFIG names; other variables stand in for what it lacks.
 
     Raises:
-        GatewayConfigurationRejected: the file cannot be used.
+        GatewayConfigurationRejectedError: the file cannot be used.
     """
     path = environ.get("NODE_CONFIG", "")
     if not path:
-        raise GatewayConfigurationRejected("NODE_CONFIG names no file")
+        raise GatewayConfigurationRejectedError("NODE_CONFIG names no file")
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE + 1)
         given = json.loads(data) if len(data) <= MAX_FILE else None
     except (OSError, ValueError, RecursionError) as error:
-        raise GatewayConfigurationRejected(_one_line(error), path) from error
+        raise GatewayConfigurationRejectedError(_one_line(error), path) from error
     if not isinstance(given, dict):
-        raise GatewayConfigurationRejected("not a JSON object of a bearable size", path)
+        raise GatewayConfigurationRejectedError(
+            "not a JSON object of a bearable size", path
+        )
     try:
         return parse_configuration(given, environ, clock, log)
-    except (InvalidEndpoint, ValueError) as error:
-        raise GatewayConfigurationRejected(_one_line(error), path) from error
+    except (InvalidEndpointError, ValueError) as error:
+        raise GatewayConfigurationRejectedError(_one_line(error), path) from error
 
 
 def parse_configuration(
@@ -124,7 +126,7 @@
     """Return the checked configuration.
 
     Raises:
-        InvalidEndpoint: an address or the known list is none.
+        InvalidEndpointError: an address or the known list is none.
         ValueError: a value cannot be meant.
     """
     config, grace = _parse_settings(given)
--- a/milletsill/http_gateway/endpoint_watch.py
+++ b/milletsill/http_gateway/endpoint_watch.py
@@ -11,7 +11,7 @@
 
 from milletsill.errors import describe_error
 from milletsill.gateway.stream_transport import StreamTransport
-from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.errors import MalformedHttpMessageError
 from milletsill.http1.response_line_reader import ResponseLineReader
 from milletsill.http1.writer import encode_request
 from milletsill.http_gateway.discovery_timing import (
@@ -19,7 +19,7 @@
     WATCH_TIMEOUT,
     CallProgress,
 )
-from milletsill.http_gateway.endpoints import InvalidEndpoint
+from milletsill.http_gateway.endpoints import InvalidEndpointError
 from milletsill.http_gateway.watch_decoder import MAX_LIST, WatchDecoder
 
 PATH = b"/registry/instances?watch=1&from=%d"
@@ -98,8 +98,8 @@
             if not self._read(data):
                 return
         except (
-            MalformedHttpMessage,
-            InvalidEndpoint,
+            MalformedHttpMessageError,
+            InvalidEndpointError,
             ValueError,
             RecursionError,
         ) as error:
--- a/milletsill/http_gateway/endpoints.py
+++ b/milletsill/http_gateway/endpoints.py
@@ -10,7 +10,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from milletsill.errors import InvalidValue
+from milletsill.errors import InvalidValueError
 from milletsill.interface import Endpoint, Readiness
 
 READINESS_BY_STATE = {
@@ -27,7 +27,7 @@
 TICKS_PER_MS = 10
 
 
-class InvalidEndpoint(InvalidValue):
+class InvalidEndpointError(InvalidValueError):
     """An entry of the list that describes no node."""
 
     remedy = (
@@ -67,12 +67,12 @@
     """Return host and port.
 
     Raises:
-        InvalidEndpoint: the text is no HOST:PORT.
+        InvalidEndpointError: the text is no HOST:PORT.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     numeric = port.isascii() and port.isdigit()
     if not host or len(host) > MAX_ID or not numeric or not 0 < int(port[:6]) < 65_536:
-        raise InvalidEndpoint(f"address {str(text)[:QUOTED]!r} is not HOST:PORT")
+        raise InvalidEndpointError(f"address {str(text)[:QUOTED]!r} is not HOST:PORT")
     return host, int(port)
 
 
@@ -88,15 +88,15 @@
         log: takes a line on each entry that was left out.
 
     Raises:
-        InvalidEndpoint: the value is neither.
+        InvalidEndpointError: the value is neither.
     """
     if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
-        raise InvalidEndpoint("no list of nodes")
+        raise InvalidEndpointError("no list of nodes")
     nodes = []
     for entry in value["servers"]:
         try:
             nodes.append(parse_node(entry, zones, clock))
-        except InvalidEndpoint as error:
+        except InvalidEndpointError as error:
             log(f"an entry was left out: {error.describe()}")
     version = _whole_number(value, "version", MAX_VERSION)
     return EndpointUpdate(version, value.get("full") is True, tuple(nodes))
@@ -105,10 +105,10 @@
 def parse_node(entry: Any, zones: Sequence[str], clock: int) -> NodeEndpoint:
     """Return one entry; see `parse_update`."""
     if not isinstance(entry, dict):
-        raise InvalidEndpoint("an entry that is no JSON object")
+        raise InvalidEndpointError("an entry that is no JSON object")
     name = entry.get("id")
     if not isinstance(name, str) or not 0 < len(name) <= MAX_ID:
-        raise InvalidEndpoint(f"id {str(name)[:QUOTED]!r} is not a name")
+        raise InvalidEndpointError(f"id {str(name)[:QUOTED]!r} is not a name")
     readiness = _readiness(entry.get("state"))
     weight = _weight(entry.get("weight", 1.0))
     host, port = "", 0
@@ -130,14 +130,18 @@
 def _readiness(state: Any) -> Readiness:
     if not isinstance(state, str) or state not in READINESS_BY_STATE:
         names = ", ".join(READINESS_BY_STATE)
-        raise InvalidEndpoint(f"state {str(state)[:QUOTED]!r} is not one of {names}")
+        raise InvalidEndpointError(
+            f"state {str(state)[:QUOTED]!r} is not one of {names}"
+        )
     return READINESS_BY_STATE[state]
 
 
 def _weight(weight: Any) -> float:
     numeric = isinstance(weight, (int, float)) and not isinstance(weight, bool)
     if not numeric or not 0 <= weight < MAX_WEIGHT:
-        raise InvalidEndpoint(f"weight {str(weight)[:QUOTED]!r} is not a number from 0")
+        raise InvalidEndpointError(
+            f"weight {str(weight)[:QUOTED]!r} is not a number from 0"
+        )
     return float(weight)
 
 
@@ -145,7 +149,9 @@
     value = entry.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < limit:
         shown = str(value)[:QUOTED]
-        raise InvalidEndpoint(f"{name} {shown!r} is not a number from 0 to {limit - 1}")
+        raise InvalidEndpointError(
+            f"{name} {shown!r} is not a number from 0 to {limit - 1}"
+        )
     return value
 
 
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -16,7 +16,7 @@
 from milletsill.http_gateway.client_listener import ClientListener
 from milletsill.http_gateway.configuration import (
     GatewayConfiguration,
-    GatewayConfigurationRejected,
+    GatewayConfigurationRejectedError,
 )
 from milletsill.http_gateway.endpoint_watcher import EndpointWatcher, WatcherConfig
 from milletsill.http_gateway.endpoints import NodeEndpoint
@@ -38,7 +38,7 @@
 from milletsill.http_gateway.recent_request_ids import RecentRequestIds
 from milletsill.http_gateway.request_parser import (
     ForwardedPayload,
-    InvalidRequest,
+    InvalidRequestError,
     RequestParser,
     payload_of,
 )
@@ -175,7 +175,7 @@
             configuration.config != self.configuration.config
             or configuration.listen != self.configuration.listen
         ):
-            error = GatewayConfigurationRejected(
+            error = GatewayConfigurationRejectedError(
                 "settings or address are not those of the start"
             )
             self.warn("configuration", **error.log_fields())
@@ -320,7 +320,7 @@
             return
         try:
             request = self._parse(message)
-        except InvalidRequest as error:
+        except InvalidRequestError as error:
             client.refuse(error.status, str(error))
             return
         if not self._has_room(request):
@@ -351,7 +351,7 @@
             message, now, ANSWER_MARGIN, self.answers_by
         )
         if request.id in self.host.active or self.recent_ids.contains(request.id, now):
-            raise InvalidRequest(409, "x-txn is another's open one")
+            raise InvalidRequestError(409, "x-txn is another's open one")
         return request
 
     def _has_room(self, request: Request) -> bool:
--- a/milletsill/http_gateway/node_connection.py
+++ b/milletsill/http_gateway/node_connection.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from milletsill.gateway.stream_transport import StreamTransport
-from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.errors import MalformedHttpMessageError
 from milletsill.http1.message_limits import MessageLimits
 from milletsill.http1.message_reader import ResponseReader
 from milletsill.http1.writer import encode_request
@@ -99,7 +99,7 @@
         self.reader.feed(data)
         try:
             message = self.reader.next_message()
-        except MalformedHttpMessage as error:
+        except MalformedHttpMessageError as error:
             self.pool.count("spoilt", error.reason)
             self.finish(AttemptOutcome.ERROR, None, False)
             return
--- a/milletsill/http_gateway/process.py
+++ b/milletsill/http_gateway/process.py
@@ -54,7 +54,7 @@
         return _print_usage(arguments)
     signals = SignalQueue()
     from milletsill.http_gateway.configuration import (
-        GatewayConfigurationRejected,
+        GatewayConfigurationRejectedError,
         read_configuration,
     )
 
@@ -62,7 +62,7 @@
     warnings: list[str] = []
     try:
         configuration = read_configuration(os.environ, clock, warnings.append)
-    except GatewayConfigurationRejected as error:
+    except GatewayConfigurationRejectedError as error:
         print(f"milletsill: {error.describe()}", file=sys.stderr)
         return EXIT_USAGE
     return serve(configuration, clock, signals, warnings)
@@ -88,7 +88,7 @@
 
     from milletsill.gateway.process_setup import FREEZE_DELAY, freeze_long_lived_objects
     from milletsill.http_gateway.configuration import (
-        GatewayConfigurationRejected,
+        GatewayConfigurationRejectedError,
         read_configuration,
     )
     from milletsill.http_gateway.gateway import HttpGateway
@@ -108,7 +108,7 @@
     def reload() -> None:
         try:
             gateway.reload(read_configuration(os.environ, clock, warn))
-        except GatewayConfigurationRejected as error:
+        except GatewayConfigurationRejectedError as error:
             log.warning("configuration", **error.log_fields())
 
     def on_signal(number: int) -> None:
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -13,7 +13,7 @@
 
 from milletsill.deployment_config import DeploymentConfig, RetrySafety
 from milletsill.deployment_settings import LOAD_REPORT_NAMES
-from milletsill.errors import InvalidValue
+from milletsill.errors import InvalidValueError
 from milletsill.http1.message import HttpMessage
 from milletsill.interface import Request
 
@@ -32,7 +32,7 @@
 MAX_REPORTED = 1e9
 
 
-class InvalidRequest(InvalidValue):
+class InvalidRequestError(InvalidValueError):
     """A client's request that is no transfer; `status` is its answer."""
 
     remedy = "nothing: the client is told why, and counted under `refused` in the tally"
@@ -105,7 +105,7 @@
             latest: the latest deadline, None for none.
 
         Raises:
-            InvalidRequest: the message asks for none.
+            InvalidRequestError: the message asks for none.
         """
         request_id = int(self._field(message, b"x-txn", HEX16), 16)
         request_class = self._index(self.request_classes, message, b"x-lane")
@@ -147,7 +147,7 @@
             or (form is not None and not form.match(value))
         ):
             reason = f"{name.decode()} is missing, doubled or malformed"
-            raise InvalidRequest(400, reason)
+            raise InvalidRequestError(400, reason)
         return value
 
     def _index(
@@ -156,13 +156,13 @@
         """Return the index of a request class or a service plan."""
         index = indices.get(self._field(message, name))
         if index is None:
-            raise InvalidRequest(404, f"{name.decode()} is not known")
+            raise InvalidRequestError(404, f"{name.decode()} is not known")
         return index
 
     def _check_target(self, message: HttpMessage) -> None:
         path = TARGET.match(message.target)
         if path is None or path.group(1) != message.fields[b"x-lane"]:
-            raise InvalidRequest(404, "the path is not the category's")
+            raise InvalidRequestError(404, "the path is not the category's")
 
     def _check_method(self, message: HttpMessage, request_class: int) -> bool:
         """Return whether the request writes."""
@@ -172,20 +172,20 @@
             write = request_class in self.writing_classes
         expected = b"PUT" if write else b"GET"
         if message.method != expected or (not write and message.body):
-            raise InvalidRequest(405, "method or body do not fit the category")
+            raise InvalidRequestError(405, "method or body do not fit the category")
         return write
 
     def _key(self, message: HttpMessage) -> int:
         block = BLOCK.search(self._field(message, b"cookie"))
         if block is None or not HEX16.match(block.group(1)):
-            raise InvalidRequest(400, "no block in the cookie")
+            raise InvalidRequestError(400, "no block in the cookie")
         return int(block.group(1), 16)
 
     def _client_timeout(self, message: HttpMessage) -> int:
         left_ms = int(self._field(message, b"x-remaining-ms", WHOLE_NUMBER))
         left = left_ms * TICKS_PER_MS
         if not 0 < left <= MAX_CLIENT_TIMEOUT:
-            raise InvalidRequest(400, "a time that nobody waits")
+            raise InvalidRequestError(400, "a time that nobody waits")
         return left
 
     def _size(self, message: HttpMessage) -> RequestSize:
@@ -205,7 +205,7 @@
             and (new_object or WHOLE_NUMBER.match(shard))
             and WHOLE_NUMBER.match(hosts)
         ):
-            raise InvalidRequest(400, "x-io is malformed")
+            raise InvalidRequestError(400, "x-io is malformed")
         size = RequestSize(
             int(volume, 16),
             float(units),
@@ -217,7 +217,7 @@
             or not 0 < size.sharing_gateways <= MAX_GATEWAYS
             or (size.shard is not None and size.shard >= self.shards)
         ):
-            raise InvalidRequest(400, "x-io is out of bounds")
+            raise InvalidRequestError(400, "x-io is out of bounds")
         return size
 
 
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -13,9 +13,9 @@
 
 from twisted.internet import reactor
 
+from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import load
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
-from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.scenario import check_scenario
 
 START_WITHIN, LOOK = (
--- a/milletsill/lab/baselines.py
+++ b/milletsill/lab/baselines.py
@@ -11,15 +11,15 @@
 
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.interface import (
+    AttemptOutcome,
     AttemptResult,
-    Request,
     Endpoint,
     EndpointUpdateKind,
-    AttemptOutcome,
     GrantedShare,
     QuotaKind,
-    SchedulerEffects,
     Readiness,
+    Request,
+    SchedulerEffects,
 )
 
 OUT_AT_A_BOX = 8
--- a/milletsill/lab/box.py
+++ b/milletsill/lab/box.py
@@ -1,4 +1,7 @@
-"""The stand-in disk box on its socket: answers dispatches in the time its engine takes, with faults on command."""
+"""The stand-in disk box on its socket.
+
+Answers dispatches in the time its engine takes, with faults on command.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,15 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.sftp import packet_codec
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.lab.engine import Engine, Job, Speed
 from milletsill.lab.files import Files
 from milletsill.lab.record import IN, OUT, Recorder
-from milletsill.sftp import extensions, packets
+from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import (
+    NodeReply,
     NodeReplyStatus,
     NodeRequest,
-    NodeReply,
 )
 from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp.wire import bytes_to_text
@@ -28,9 +30,12 @@
 
 
 class Box:
-    """One box: its files, its present engine, its connections. Times in seconds of `clock`.
+    """One box: its files, its present engine, its connections.
+
+    Times in seconds of `clock`.
 
-    `work` gives the mean and spread of a category's work: category -> (seconds a unit, cv).
+    `work` gives the mean and spread of a category's work: category -> (seconds a unit,
+    cv).
     """
 
     def __init__(
@@ -317,7 +322,7 @@
                 if self.box.recorder is not None:
                     self.box.recorder.put(self.number, IN, body)
                 self.packet(packet_codec.decode(body))
-        except MalformedInput:
+        except MalformedInputError:
             self.transport.abortConnection()
 
     def packet(self, packet: Any) -> None:
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -16,17 +16,16 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
-from milletsill.sftp import status_tags
 from milletsill.lab.clients import ClientLink
 from milletsill.lab.lateness import Lateness
 from milletsill.lab.record import Recorder
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
+from milletsill.sftp import packets, status_tags
 from milletsill.sftp.channel_extensions import (
-    ChannelQuery,
-    NumberedCommand,
     ChannelOpen,
+    ChannelQuery,
     ChannelResolve,
+    NumberedCommand,
 )
 from milletsill.sftp.extensions import CommandTerms
 from milletsill.sftp.wire import FileAttributes
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -10,10 +10,9 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.sftp import packet_codec
 from milletsill.lab.files import pattern
 from milletsill.lab.record import IN, OUT
-from milletsill.sftp import extensions, packets
+from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms
 from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp.wire import FileAttributes
--- a/milletsill/lab/clockwork.py
+++ b/milletsill/lab/clockwork.py
@@ -14,19 +14,19 @@
 from random import Random
 from typing import Any
 
+from milletsill.deployment_config import DeploymentConfig
 from milletsill.interface import (
+    AttemptOutcome,
     AttemptResult,
-    Request,
-    SchedulerEvents,
     Endpoint,
     EndpointUpdateKind,
-    AttemptOutcome,
     Readiness,
+    Request,
+    SchedulerEvents,
 )
 from milletsill.lab.engine import Engine, Speed
-from milletsill.deployment_config import DeploymentConfig
 from milletsill.scheduler import Scheduler
-from milletsill.sftp_gateway.deployment import routing_table_of, config_of
+from milletsill.sftp_gateway.deployment import config_of, routing_table_of
 
 WAY = 5  # tenths of a millisecond from a gateway to a box, and back
 SECOND = 10_000
--- a/milletsill/lab/day.py
+++ b/milletsill/lab/day.py
@@ -1,8 +1,12 @@
-"""A day that the bench drew as a scenario: sizes kept, or cut down with the traffic in proportion.
+"""A day that the bench drew as a scenario.
 
-Carried over: boxes with their speeds, queues, cold starts and pauses; categories, plans, volumes with their cells and
-gateways; the rates; clients' habits; the list's delays; troubles. A day file says which volumes surge, how far and for how
-long, not when: that is drawn here. Not carried over: noise of one attempt, correlated arrivals, pauses that grow.
+Sizes kept, or cut down with the traffic in proportion.
+
+Carried over: boxes with their speeds, queues, cold starts and pauses; categories,
+plans, volumes with their cells and gateways; the rates; clients' habits; the list's
+delays; troubles. A day file says which volumes surge, how far and for how long, not
+when: that is drawn here. Not carried over: noise of one attempt, correlated arrivals,
+pauses that grow.
 """
 
 from __future__ import annotations
@@ -10,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from milletsill.errors import InvalidValue
+from milletsill.errors import InvalidValueError
 from milletsill.settings.milletsill_pb2 import Scenario
 from milletsill.settings.scenario import FAULTS
 
@@ -26,7 +30,7 @@
 OF_BOXES = ("vanish", "slow", "pauses", "neighbour")
 
 
-class InvalidDayFile(InvalidValue):
+class InvalidDayFileError(InvalidValueError):
     """A file that is no day of storage nodes."""
 
     remedy = "give a day file of the family `stores`"
@@ -41,7 +45,7 @@
     """The scenario of a day file's JSON value, cut down where asked."""
     try:
         if day["family"] != "stores":
-            raise InvalidDayFile(
+            raise InvalidDayFileError(
                 f"a day of {str(day['family'])[:40]!r}, only 'stores' are played"
             )
         made = Scenario(
@@ -58,7 +62,7 @@
         fill_traffic(made, day, count)
         fill_clients(made, day)
         fill_troubles(made, day, count)
-    except InvalidDayFile:
+    except InvalidDayFileError:
         raise
     except (
         KeyError,
@@ -68,7 +72,7 @@
         ZeroDivisionError,
         OverflowError,
     ) as error:
-        raise InvalidDayFile(
+        raise InvalidDayFileError(
             f"not a day file: {type(error).__name__} {error}"
         ) from None
     return made
--- a/milletsill/lab/files.py
+++ b/milletsill/lab/files.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import NodeReplyStatus, NodeReply
-from milletsill.sftp.wire import FileAttributes, DirectoryEntry, bytes_to_text
+from milletsill.sftp.extensions import NodeReply, NodeReplyStatus
+from milletsill.sftp.wire import DirectoryEntry, FileAttributes, bytes_to_text
 
 MOST_NAMES = 100  # on a page
 MOST_FILE = 64_000_000
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -25,7 +25,7 @@
 )
 from milletsill.fleet.health.verdict_table import CALLED_VERDICTS, HealthVerdict
 from milletsill.fleet.transport import Member, MemberState, View
-from milletsill.interface import AttemptResult, Request, AttemptOutcome
+from milletsill.interface import AttemptOutcome, AttemptResult, Request
 from milletsill.lab.clockwork import Box, Fleet, Gateway, Transfer
 from milletsill.settings.milletsill_pb2 import Scenario
 
--- a/milletsill/lab/hunt/list_world.py
+++ b/milletsill/lab/hunt/list_world.py
@@ -1,8 +1,13 @@
-"""The list of boxes under hunts: the very follower of `registry/` on a simulated clock, before a registry that misbehaves.
+"""The list of boxes under hunts.
 
-Watches break, go past compaction or fall silent, calls fail or hang, the registry is restored from a backup (its revision goes
-back), changes come in floods. At the end the follower's view and what the module was told must be the registry's list, and
-nothing may have been told twice or out of order. Each write has a number of its own, carried as the box's size.
+The very follower of `registry/` on a simulated clock, before a registry that
+misbehaves.
+
+Watches break, go past compaction or fall silent, calls fail or hang, the registry is
+restored from a backup (its revision goes back), changes come in floods. At the end the
+follower's view and what the module was told must be the registry's list, and nothing
+may have been told twice or out of order. Each write has a number of its own, carried as
+the box's size.
 """
 
 from __future__ import annotations
@@ -55,7 +60,10 @@
 
 
 class Connection:
-    """One call's: what is said on it comes in order, until it is cut or falls silent."""
+    """One call's.
+
+    What is said on it comes in order, until it is cut or falls silent.
+    """
 
     def __init__(self, world: ListWorld, body: dict[str, Any]) -> None:
         self.world, self.body, self.over, self.silent, self.since, self.due = (
@@ -321,8 +329,9 @@
         self.backups.append((self.revision, dict(self.held)))
 
     def restore(self, back: int, silently: bool) -> None:
-        """The registry is what it was, under a new cluster's id, as its tool does it. Its watches break, or stand at something
-        between that does not tell.
+        """The registry is what it was, under a new cluster's id, as its tool does it.
+
+        Its watches break, or stand at something between that does not tell.
         """
         self.cluster += 1
         self.revision, held = self.backups[-1 - back % len(self.backups)]
@@ -493,7 +502,7 @@
             write_cache=lambda path, boxes, revision: kept.append(
                 (dict(boxes), revision)
             ),
-            EndpointCacheNotStored=endpoint_cache.EndpointCacheNotStored,
+            EndpointCacheNotStoredError=endpoint_cache.EndpointCacheNotStoredError,
         )
         with (
             mock.patch.object(registry_watcher, "endpoint_cache", disk),
--- a/milletsill/lab/model_checks/channel_acceptors.py
+++ b/milletsill/lab/model_checks/channel_acceptors.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from milletsill.fleet.leases.errors import (
-    BallotSuperseded,
-    NotLeaseHolder,
-    QuorumNotReached,
+    BallotSupersededError,
+    NotLeaseHolderError,
+    QuorumNotReachedError,
 )
 from milletsill.lab.model_checks.channel_checker import ContractChecker
 from milletsill.lab.model_checks.channel_gateway import (
@@ -46,12 +46,12 @@
     ) -> None:
         """Grant or refuse a lease; `fate` is that of the candidate's messages."""
         if fate != "done":
-            pending.then(QuorumNotReached("lost", CHANNEL_KEY, RETRY_DELAY))
+            pending.then(QuorumNotReachedError("lost", CHANNEL_KEY, RETRY_DELAY))
             return
         is_held = self.holder[0] and now < self.held_until
         if is_held and self.holder != candidate:
             pending.then(
-                NotLeaseHolder("held", CHANNEL_KEY, RETRY_DELAY, self.holder[0])
+                NotLeaseHolderError("held", CHANNEL_KEY, RETRY_DELAY, self.holder[0])
             )
             return
         self.holder = candidate
@@ -72,7 +72,9 @@
         lease = pending.lease
         if fate == "lost" or lease.is_ended or lease.index != self.lease_index:
             lease.is_ended = True
-            pending.then(BallotSuperseded("lost or late", CHANNEL_KEY, RETRY_DELAY))
+            pending.then(
+                BallotSupersededError("lost or late", CHANNEL_KEY, RETRY_DELAY)
+            )
             return
         if pending.value != self.record:
             self.record = pending.value
@@ -81,7 +83,7 @@
         self.held_until = max(self.held_until, _refused_until(now))
         if fate == "unheard":
             lease.is_ended = True
-            pending.then(BallotSuperseded("unheard", CHANNEL_KEY, RETRY_DELAY))
+            pending.then(BallotSupersededError("unheard", CHANNEL_KEY, RETRY_DELAY))
             return
         lease.expires_at = max(lease.expires_at, _expires_at(pending.sent_at))
         lease.value = pending.value
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -15,7 +15,6 @@
 from random import Random
 from typing import Any
 
-from milletsill.sftp import status_tags
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.channel_surroundings import AttemptEnd
 from milletsill.fleet.channels.commands import (
@@ -48,7 +47,7 @@
     extent_of,
 )
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
+from milletsill.sftp import packets, status_tags
 from milletsill.sftp.extensions import CommandTerms
 
 CLAIM_GRACE_EVENTS = 40
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -30,8 +30,8 @@
 from milletsill.lab.model_checks.lease_cluster_members import (
     KEY,
     Body,
-    MemberFault,
     IdentifiedReply,
+    MemberFault,
     Message,
     PageQuery,
     RestartKind,
--- a/milletsill/lab/wire.py
+++ b/milletsill/lab/wire.py
@@ -14,12 +14,15 @@
 from milletsill.scheduler import Scheduler
 from milletsill.trace.recorder import TraceRecorder
 from milletsill.trace.trace_file import SimulationTrace
-from milletsill.wirehost.codec import MalformedBatch
+from milletsill.wirehost.codec import MalformedBatchError
 from milletsill.wirehost.host import Instance, serve
 
 
 class Kept:
-    """All the traces of one play; a folder of its own, since the bench runs several days."""
+    """All the traces of one play.
+
+    A folder of its own, since the bench runs several days.
+    """
 
     def __init__(self, folder: str) -> None:
         self.folder, self.taps, self.births = (
@@ -76,7 +79,7 @@
         serve(
             sys.stdin.buffer, sys.stdout.buffer, lambda number: Recorded(number, kept)
         )
-    except MalformedBatch as error:
+    except MalformedBatchError as error:
         print(f"milletsill: malformed input: {error.describe()}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/milletsill/node_connections/node_connection.py
+++ b/milletsill/node_connections/node_connection.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.gateway.stream_transport import StreamTransport
 from milletsill.interface import AttemptOutcome
 from milletsill.node_connections.attempt_exchange import PooledExchange
@@ -23,7 +23,7 @@
 from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import NodeReply, NodeReplyStatus, NodeRequest
 from milletsill.sftp.framing import PacketSplitter
-from milletsill.sftp.wire import MalformedPacket
+from milletsill.sftp.wire import MalformedPacketError
 
 OUTCOMES: dict[int, AttemptOutcome] = {
     NodeReplyStatus.DONE: AttemptOutcome.SUCCEEDED,
@@ -110,7 +110,7 @@
         try:
             while (body := self.deframer.next()) is not None:
                 self._on_packet(packet_codec.decode(body), len(body) + 4)
-        except MalformedInput as error:
+        except MalformedInputError as error:
             self.pool.log(f"broken bytes from the box: {error.describe()}")
             self.on_event(ConnectionEvent.MALFORMED)
             return
@@ -216,11 +216,11 @@
             return
         if not isinstance(packet, packets.ExtendedReply):
             name = type(packet).__name__
-            raise MalformedPacket(f"{name} where a verdict was due")
+            raise MalformedPacketError(f"{name} where a verdict was due")
         verdict = extensions.decode_node_reply(packet)
         served = OUTCOMES[verdict.verdict] is AttemptOutcome.SUCCEEDED
         if served and verdict.answer is None:
-            raise MalformedPacket("a verdict without the answer it speaks of")
+            raise MalformedPacketError("a verdict without the answer it speaks of")
         if exchange is not None:
             self._on_verdict(exchange, verdict, octets)
 
--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -11,7 +11,7 @@
 
 from google.protobuf.message import DecodeError
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.interface import QuotaKind
 from milletsill.planner.plan_pb2 import Frame, Given, Piece, Wish
 from milletsill.planner.quota_terms import (
@@ -28,7 +28,7 @@
 KIND_BY_NAME = {kind.value: kind for kind in QuotaKind}
 
 
-class MalformedPlannerFrame(MalformedInput):
+class MalformedPlannerFrameError(MalformedInputError):
     """Octets between a gateway and its planner that are no frame."""
 
     remedy = (
@@ -47,14 +47,14 @@
         """Yield the frames that are complete now.
 
         Raises:
-            MalformedPlannerFrame: A frame is too long, or none of this protocol.
+            MalformedPlannerFrameError: A frame is too long, or none of this protocol.
         """
         self._buffer += data
         position = 0
         while len(self._buffer) - position >= LENGTH.size:
             size = LENGTH.unpack_from(self._buffer, position)[0]
             if size > MAX_FRAME_BYTES:
-                raise MalformedPlannerFrame(
+                raise MalformedPlannerFrameError(
                     f"a frame of {size} bytes, {MAX_FRAME_BYTES} at most"
                 )
             if len(self._buffer) - position - LENGTH.size < size:
@@ -69,14 +69,16 @@
     """Parse a frame without its length.
 
     Raises:
-        MalformedPlannerFrame: It is no frame, or holds nothing that is known.
+        MalformedPlannerFrameError: It is no frame, or holds nothing that is known.
     """
     try:
         frame = Frame.FromString(data)
     except DecodeError as error:
-        raise MalformedPlannerFrame("a frame that is no protobuf of ours") from error
+        raise MalformedPlannerFrameError(
+            "a frame that is no protobuf of ours"
+        ) from error
     if frame.WhichOneof("what") is None or not frame.IsInitialized():
-        raise MalformedPlannerFrame("a frame with nothing in it that we know")
+        raise MalformedPlannerFrameError("a frame with nothing in it that we know")
     return frame
 
 
@@ -106,11 +108,11 @@
     """Return the request of a message on a gateway's connection.
 
     Raises:
-        MalformedPlannerFrame: It asks for something that is no quota.
+        MalformedPlannerFrameError: It asks for something that is no quota.
     """
     kind = KIND_BY_NAME.get(message.what)
     if kind is None:
-        raise MalformedPlannerFrame(
+        raise MalformedPlannerFrameError(
             f"an ask for {message.what[:20]!r}, not one of {', '.join(KIND_BY_NAME)}"
         )
     return QuotaRequest(
@@ -146,11 +148,11 @@
     """Return the grant of a message.
 
     Raises:
-        MalformedPlannerFrame: It grants something that is no quota.
+        MalformedPlannerFrameError: It grants something that is no quota.
     """
     kind = KIND_BY_NAME.get(message.what)
     if kind is None:
-        raise MalformedPlannerFrame(
+        raise MalformedPlannerFrameError(
             f"a grant of {message.what[:20]!r}, not one of {', '.join(KIND_BY_NAME)}"
         )
     return QuotaGrant(
--- a/milletsill/planner/epoch_store.py
+++ b/milletsill/planner/epoch_store.py
@@ -13,7 +13,7 @@
 from random import Random
 from struct import Struct
 
-from milletsill.errors import StateNotStored
+from milletsill.errors import StateNotStoredError
 
 MAGIC = b"MEPO"
 SLOT = Struct("<4sQI")  # magic, epoch, CRC-32 of both
@@ -23,7 +23,7 @@
 MAX_EPOCH = 1 << 62
 
 
-class EpochNotStored(StateNotStored):
+class EpochNotStoredError(StateNotStoredError):
     """An epoch that cannot be kept: a planner must not start without."""
 
     remedy = (
@@ -56,7 +56,7 @@
         least: The new epoch is past this and past those kept.
 
     Raises:
-        EpochNotStored: It cannot be written.
+        EpochNotStoredError: It cannot be written.
     """
     try:
         os.makedirs(folder, exist_ok=True)
@@ -67,7 +67,7 @@
         write_slot(os.path.join(folder, older), epoch)
         sync_folder(folder)
     except OSError as error:
-        raise EpochNotStored(error.strerror or str(error), folder) from error
+        raise EpochNotStoredError(error.strerror or str(error), folder) from error
     return epoch
 
 
--- a/milletsill/planner/errors.py
+++ b/milletsill/planner/errors.py
@@ -8,7 +8,7 @@
 from milletsill.errors import MilletsillError
 
 
-class PlannerUnreachable(MilletsillError):
+class PlannerUnreachableError(MilletsillError):
     """The planner is not reached."""
 
     remedy = (
@@ -17,7 +17,7 @@
     )
 
 
-class PlannerEpochStale(MilletsillError):
+class PlannerEpochStaleError(MilletsillError):
     """A planner that is older than one that this gateway has heard."""
 
     remedy = (
@@ -26,7 +26,7 @@
     )
 
 
-class PlannerRejectedGateway(MilletsillError):
+class PlannerRejectedGatewayError(MilletsillError):
     """The planner does not take this gateway."""
 
     remedy = (
@@ -35,7 +35,7 @@
     )
 
 
-class QuotaSettingsMismatch(MilletsillError):
+class QuotaSettingsMismatchError(MilletsillError):
     """A gateway whose terms of lending are not the planner's."""
 
     remedy = (
@@ -44,7 +44,7 @@
     )
 
 
-class PlannerSuperseded(MilletsillError):
+class PlannerSupersededError(MilletsillError):
     """A gateway knows a newer planner, so this one ends."""
 
     remedy = (
--- a/milletsill/planner/planner_process.py
+++ b/milletsill/planner/planner_process.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from milletsill.logs import logger
-from milletsill.planner.epoch_store import EpochNotStored
+from milletsill.planner.epoch_store import EpochNotStoredError
 from milletsill.planner.planner_server import PlannerServer
 from milletsill.settings.milletsill_pb2 import PlannerFile
 
@@ -22,7 +22,7 @@
     reactor: Any = installed_reactor  # its type has none of its methods
     try:
         server = PlannerServer(file, reactor)
-    except EpochNotStored as error:
+    except EpochNotStoredError as error:
         log = logger(file.logging.level, file.logging.json, planner=file.name)
         log.error("epoch_not_stored", **error.log_fields())
         return 1
--- a/milletsill/planner/planner_server.py
+++ b/milletsill/planner/planner_server.py
@@ -16,18 +16,18 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-from milletsill.errors import ListenFailed
+from milletsill.errors import ListenFailedError
 from milletsill.logs import logger
 from milletsill.planner.codec import (
     PROTOCOL_VERSION,
     FrameParser,
-    MalformedPlannerFrame,
+    MalformedPlannerFrameError,
     decode_request,
     encode_frame,
     encode_grant,
 )
 from milletsill.planner.epoch_store import next_epoch
-from milletsill.planner.errors import PlannerSuperseded, QuotaSettingsMismatch
+from milletsill.planner.errors import PlannerSupersededError, QuotaSettingsMismatchError
 from milletsill.planner.operator_commands import OperatorCommands
 from milletsill.planner.plan_pb2 import (
     Asks,
@@ -92,7 +92,7 @@
         try:
             for frame in self._parser.feed(data):
                 self._on_frame(frame)
-        except MalformedPlannerFrame as error:
+        except MalformedPlannerFrameError as error:
             peer = self.gateway or str(self.transport.getPeer())
             self._server.warn("malformed_frame", gateway=peer, **error.log_fields())
             self.reject(str(error))
@@ -108,7 +108,7 @@
         elif what == "refused" and self.gateway:
             self._server.on_rejected(self, frame.refused)
         else:
-            raise MalformedPlannerFrame(f"{what} before a hello")
+            raise MalformedPlannerFrameError(f"{what} before a hello")
 
     def _on_requests(self, asks: Asks) -> None:
         """Answer each request of a frame, in one frame."""
@@ -218,7 +218,7 @@
             self.log.info(event, address=own_address, epoch=self.planner.epoch)
 
         def on_failed(failure: Failure) -> None:
-            error = ListenFailed(failure.getErrorMessage(), f"{host}:{int(port)}")
+            error = ListenFailedError(failure.getErrorMessage(), f"{host}:{int(port)}")
             self.log.error("cannot_listen", **error.log_fields())
             self.failed = True
             self.stop()
@@ -307,7 +307,7 @@
             floor_in_millionths(self.timings),
         ):
             name = hello.name[:MAX_NAME_LENGTH]
-            error = QuotaSettingsMismatch("its terms of lending are others", name)
+            error = QuotaSettingsMismatchError("its terms of lending are others", name)
             self.warn("quota_settings_mismatch", **error.log_fields())
             return "other terms of lending"
         is_full = len(self.by_name) >= self._file.most_edges
@@ -349,7 +349,7 @@
         """
         connection.reject("an edge knows a newer planner", epoch)
         if not self.superseded_by:
-            error = PlannerSuperseded(
+            error = PlannerSupersededError(
                 "a newer planner was heard", connection.gateway or "a hello"
             )
             self.log.error(
--- a/milletsill/planner/planner_session.py
+++ b/milletsill/planner/planner_session.py
@@ -17,14 +17,14 @@
 from milletsill.planner.codec import (
     PROTOCOL_VERSION,
     FrameParser,
-    MalformedPlannerFrame,
+    MalformedPlannerFrameError,
     decode_grant,
     encode_frame,
 )
 from milletsill.planner.errors import (
-    PlannerEpochStale,
-    PlannerRejectedGateway,
-    PlannerUnreachable,
+    PlannerEpochStaleError,
+    PlannerRejectedGatewayError,
+    PlannerUnreachableError,
 )
 from milletsill.planner.plan_pb2 import Frame, Hello, Refused
 from milletsill.planner.planner_link import (
@@ -92,7 +92,7 @@
         try:
             for frame in self._parser.feed(data):
                 self._session.on_frame(self, frame)
-        except MalformedPlannerFrame as error:
+        except MalformedPlannerFrameError as error:
             self._session.warn(error)
             self.transport.abortConnection()
 
@@ -197,12 +197,12 @@
                 self._listener.on_grant(decode_grant(message))
         elif what == "refused":
             reason = frame.refused.reason[:MAX_LOGGED_REASON]
-            self.warn(PlannerRejectedGateway(reason, self._address))
+            self.warn(PlannerRejectedGatewayError(reason, self._address))
             self._step(LinkEvent.REJECTED, connection)
 
     def _on_connect_failed(self, failure: Failure) -> None:
         if self._failures == 0:
-            self.warn(PlannerUnreachable(failure.getErrorMessage(), self._address))
+            self.warn(PlannerUnreachableError(failure.getErrorMessage(), self._address))
         self._reconnect_later()
 
     def _step(self, event: LinkEvent, connection: SessionConnection | None) -> None:
@@ -242,7 +242,9 @@
     def _reject_planner(self, connection: SessionConnection) -> None:
         """Tell an old planner the newest epoch, and leave it."""
         self.warn(
-            PlannerEpochStale("an older planner than one that was heard", self._address)
+            PlannerEpochStaleError(
+                "an older planner than one that was heard", self._address
+            )
         )
         refused = Refused(reason="a newer planner was heard", epoch=self._ledger.epoch)
         connection.transport.write(encode_frame(refused=refused))
--- a/milletsill/registry/endpoint_cache.py
+++ b/milletsill/registry/endpoint_cache.py
@@ -11,10 +11,10 @@
 from collections.abc import Mapping
 from contextlib import suppress
 
-from milletsill.errors import StateNotStored
+from milletsill.errors import StateNotStoredError
 from milletsill.interface import Readiness
 from milletsill.registry.registered_node import (
-    InvalidRegistryEntry,
+    InvalidRegistryEntryError,
     RegisteredNode,
     parse_registered_node,
 )
@@ -23,7 +23,7 @@
 MAX_FILE = 16_000_000  # octets
 
 
-class EndpointCacheNotStored(StateNotStored):
+class EndpointCacheNotStoredError(StateNotStoredError):
     """The last list of boxes on disk, which cannot be read or written."""
 
     remedy = (
@@ -36,7 +36,7 @@
     """Write the list beside the file and move it into place.
 
     Raises:
-        EndpointCacheNotStored: the disk is full or refuses.
+        EndpointCacheNotStoredError: the disk is full or refuses.
     """
     rows = {key: _row(node) for key, node in nodes.items()}
     body = json.dumps(
@@ -52,14 +52,14 @@
     except OSError as error:
         with suppress(OSError):
             os.unlink(temporary)
-        raise EndpointCacheNotStored(error.strerror or str(error), path) from error
+        raise EndpointCacheNotStoredError(error.strerror or str(error), path) from error
 
 
 def read_cache(path: str) -> tuple[dict[str, RegisteredNode], int]:
     """Return the list and its revision; empty and 0 where there is none.
 
     Raises:
-        EndpointCacheNotStored: the file cannot be read, is torn or of another format.
+        EndpointCacheNotStoredError: it cannot be read, is torn or of another format.
     """
     try:
         with open(path, "rb") as file:
@@ -67,7 +67,7 @@
     except FileNotFoundError:
         return {}, 0
     except OSError as error:
-        raise EndpointCacheNotStored(error.strerror or str(error), path) from error
+        raise EndpointCacheNotStoredError(error.strerror or str(error), path) from error
     try:
         return _parse(data, path)
     except (
@@ -75,9 +75,9 @@
         KeyError,
         TypeError,
         AttributeError,
-        InvalidRegistryEntry,
+        InvalidRegistryEntryError,
     ) as error:
-        raise EndpointCacheNotStored(str(error), path) from error
+        raise EndpointCacheNotStoredError(str(error), path) from error
 
 
 def _row(node: RegisteredNode) -> dict[str, int | float | str]:
@@ -96,10 +96,10 @@
 def _parse(data: bytes, path: str) -> tuple[dict[str, RegisteredNode], int]:
     checksum, _, body = data.partition(b"\n")
     if len(data) > MAX_FILE or int(checksum, 16) != zlib.crc32(body):
-        raise EndpointCacheNotStored("checksum does not fit", path)
+        raise EndpointCacheNotStoredError("checksum does not fit", path)
     stored = json.loads(body)
     if stored["format"] != FORMAT:
-        raise EndpointCacheNotStored(
+        raise EndpointCacheNotStoredError(
             f"format {stored['format']}, {FORMAT} is read", path
         )
     nodes = {
--- a/milletsill/registry/endpoint_cache_writer.py
+++ b/milletsill/registry/endpoint_cache_writer.py
@@ -46,7 +46,7 @@
         self.save_call = None
         try:
             endpoint_cache.write_cache(self.path, self.view.by_key, self.view.revision)
-        except endpoint_cache.EndpointCacheNotStored as error:
+        except endpoint_cache.EndpointCacheNotStoredError as error:
             self._on_saved(error.describe())
 
     def _save_now(self) -> None:
--- a/milletsill/registry/etcd_client.py
+++ b/milletsill/registry/etcd_client.py
@@ -17,7 +17,7 @@
 from zope.interface import implementer
 
 from milletsill.gateway.stream_transport import StreamTransport
-from milletsill.registry.etcd_json import MalformedRegistryAnswer
+from milletsill.registry.etcd_json import MalformedRegistryAnswerError
 
 OK = 200
 LineHandler = Callable[[bytes], None]
@@ -37,12 +37,14 @@
         """Return the lines that are complete now, without empty ones.
 
         Raises:
-            MalformedRegistryAnswer: a line is too long.
+            MalformedRegistryAnswerError: a line is too long.
         """
         *lines, self.partial = (self.partial + data).split(b"\n")
         longest = max(map(len, (*lines, self.partial)))
         if longest > self.max_line:
-            raise MalformedRegistryAnswer(f"a line of more than {self.max_line} bytes")
+            raise MalformedRegistryAnswerError(
+                f"a line of more than {self.max_line} bytes"
+            )
         return [line for line in lines if line.strip()]
 
 
@@ -98,7 +100,7 @@
             for line in self.lines.feed(data):
                 if not self.over:
                     self.on_line(line)
-        except MalformedRegistryAnswer:
+        except MalformedRegistryAnswerError:
             self.stop()
 
     def _keep(self, data: bytes) -> None:
--- a/milletsill/registry/etcd_json.py
+++ b/milletsill/registry/etcd_json.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.registry.endpoint_view import KeyChange
 from milletsill.registry.registered_node import (
-    InvalidRegistryEntry,
+    InvalidRegistryEntryError,
     RegisteredNode,
     parse_registered_node,
 )
@@ -27,7 +27,7 @@
 MAX_CLUSTER_ID = 40
 
 
-class MalformedRegistryAnswer(MalformedInput):
+class MalformedRegistryAnswerError(MalformedInputError):
     """An answer of the registry that its protocol does not allow."""
 
     remedy = (
@@ -129,7 +129,7 @@
     """Return the answer to `list_request`; `log_invalid` hears of each value left out.
 
     Raises:
-        MalformedRegistryAnswer: as all functions here that parse.
+        MalformedRegistryAnswerError: as all functions here that parse.
     """
     header, pairs = _parse_range(data)
     nodes: dict[str, RegisteredNode] = {}
@@ -160,12 +160,12 @@
     result = body.get("result")
     if not isinstance(result, dict):
         error = json.dumps(body.get("error"))[:MAX_QUOTED]
-        raise MalformedRegistryAnswer(f"the watch says {error}")
+        raise MalformedRegistryAnswerError(f"the watch says {error}")
     if result.get("canceled"):
         if _number(result.get("compact_revision"), "a revision"):
             return WatchMessage(compacted=True)
         reason = str(result.get("cancel_reason", ""))[:MAX_QUOTED]
-        raise MalformedRegistryAnswer(f"the watch was ended: {reason}")
+        raise MalformedRegistryAnswerError(f"the watch was ended: {reason}")
     changes = []
     revision = 0
     for event in result.get("events") or []:
@@ -186,9 +186,9 @@
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
-        raise MalformedRegistryAnswer(f"{what} is not JSON") from None
+        raise MalformedRegistryAnswerError(f"{what} is not JSON") from None
     if not isinstance(value, dict):
-        raise MalformedRegistryAnswer(f"{what} is not a JSON object")
+        raise MalformedRegistryAnswerError(f"{what} is not a JSON object")
     return value
 
 
@@ -198,13 +198,13 @@
     header = body.get("header")
     pairs = body.get("kvs") or []
     if not isinstance(header, dict) or not isinstance(pairs, list):
-        raise MalformedRegistryAnswer("the list has no header or pairs")
+        raise MalformedRegistryAnswerError("the list has no header or pairs")
     return header, [_parse_pair(pair) for pair in pairs]
 
 
 def _parse_pair(pair: Any) -> KeyValue:
     if not isinstance(pair, dict):
-        raise MalformedRegistryAnswer("a pair is not a JSON object")
+        raise MalformedRegistryAnswerError("a pair is not a JSON object")
     key = _decode(pair.get("key", ""), "a key").decode("utf-8", "replace")
     value = _decode(pair.get("value", ""), "a value")
     return KeyValue(key, value, _number(pair.get("mod_revision"), "a revision"))
@@ -216,17 +216,17 @@
     """Return the node of one value, None for one that describes none."""
     try:
         return parse_registered_node(json.loads(pair.value))
-    except InvalidRegistryEntry as error:
+    except InvalidRegistryEntryError as error:
         invalid = error
     except (ValueError, RecursionError):
-        invalid = InvalidRegistryEntry("not JSON")
+        invalid = InvalidRegistryEntryError("not JSON")
     log_invalid(invalid.with_location(pair.key[:MAX_QUOTED]).describe())
     return None
 
 
 def _parse_event(event: Any, log_invalid: Callable[[str], None]) -> KeyChange:
     if not isinstance(event, dict):
-        raise MalformedRegistryAnswer("an event is not a JSON object")
+        raise MalformedRegistryAnswerError("an event is not a JSON object")
     pair = _parse_pair(event.get("kv"))
     if event.get("type") == "DELETE":
         return KeyChange(pair.key, None, pair.revision)
@@ -245,7 +245,7 @@
     try:
         return base64.b64decode(value, validate=True)
     except (binascii.Error, TypeError, ValueError):
-        raise MalformedRegistryAnswer(f"{what} is not base64") from None
+        raise MalformedRegistryAnswerError(f"{what} is not base64") from None
 
 
 def _number(value: Any, what: str) -> int:
@@ -254,4 +254,6 @@
         return int(value or 0)
     except (TypeError, ValueError):
         shown = str(value)[:40]
-        raise MalformedRegistryAnswer(f"{what} {shown!r} is not a number") from None
+        raise MalformedRegistryAnswerError(
+            f"{what} {shown!r} is not a number"
+        ) from None
--- a/milletsill/registry/registered_node.py
+++ b/milletsill/registry/registered_node.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from milletsill.errors import InvalidValue
+from milletsill.errors import InvalidValueError
 from milletsill.interface import Readiness
 
 READINESS_BY_STATE = {"ready": Readiness.READY, "draining": Readiness.DRAINING}
@@ -20,7 +20,7 @@
 QUOTED = 40  # characters of a wrong value in an error
 
 
-class InvalidRegistryEntry(InvalidValue):
+class InvalidRegistryEntryError(InvalidValueError):
     """A value of the registry that describes no box."""
 
     remedy = (
@@ -46,10 +46,10 @@
     """Return a node from its JSON value.
 
     Raises:
-        InvalidRegistryEntry: the value is none.
+        InvalidRegistryEntryError: the value is none.
     """
     if not isinstance(value, dict):
-        raise InvalidRegistryEntry("not a JSON object")
+        raise InvalidRegistryEntryError("not a JSON object")
     node_id = _whole_number(value, "id", MAX_ID, required=True)
     kind = _whole_number(value, "kind", MAX_KIND)
     zone = _whole_number(value, "zone", MAX_ZONE)
@@ -59,7 +59,7 @@
     state = value.get("state")
     if state not in READINESS_BY_STATE:
         names = ", ".join(READINESS_BY_STATE)
-        raise InvalidRegistryEntry(
+        raise InvalidRegistryEntryError(
             f"state {str(state)[:QUOTED]!r} is not one of {names}"
         )
     address = _address(value.get("address"))
@@ -78,7 +78,7 @@
         or not isinstance(number, int)
         or not 0 <= number < limit
     ):
-        raise InvalidRegistryEntry(
+        raise InvalidRegistryEntryError(
             f"{name} {str(number)[:QUOTED]!r} is not a number from 0 to {limit - 1}"
         )
     return number
@@ -87,7 +87,7 @@
 def _size(size: Any) -> float:
     numeric = isinstance(size, (int, float)) and not isinstance(size, bool)
     if not numeric or not 0 < size < MAX_SIZE:
-        raise InvalidRegistryEntry(
+        raise InvalidRegistryEntryError(
             f"size {str(size)[:QUOTED]!r} is not a number above 0"
         )
     return float(size)
@@ -103,7 +103,7 @@
         or not 0 < int(port) < 65_536
         or len(address) > MAX_ADDRESS
     ):
-        raise InvalidRegistryEntry(
+        raise InvalidRegistryEntryError(
             f"address {str(address)[:QUOTED]!r} is not host:port"
         )
     return str(address)
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -16,7 +16,7 @@
 from milletsill.registry.endpoint_view import EndpointView
 from milletsill.registry.etcd_client import EtcdClient
 from milletsill.registry.etcd_json import (
-    MalformedRegistryAnswer,
+    MalformedRegistryAnswerError,
     list_request,
     newest_key_request,
     parse_list,
@@ -143,7 +143,7 @@
         nodes: dict[str, RegisteredNode] = {}
         try:
             nodes, _ = endpoint_cache.read_cache(self.config.cache_path)
-        except endpoint_cache.EndpointCacheNotStored as error:
+        except endpoint_cache.EndpointCacheNotStoredError as error:
             self.log(f"the last list is not used: {error.describe()}")
         self.view.replace(nodes, 0)
         self._report(EndpointUpdateKind.CACHED, self.view.nodes())
@@ -212,9 +212,9 @@
     def _on_list(self, data: bytes | None) -> None:
         try:
             if data is None:
-                raise MalformedRegistryAnswer("the list did not come")
+                raise MalformedRegistryAnswerError("the list did not come")
             listed = parse_list(data, self._log_invalid)
-        except MalformedRegistryAnswer as error:
+        except MalformedRegistryAnswerError as error:
             self.log(f"registry: {error.describe()}")
             self._on_event(WatcherEvent.FAILED)
             return
@@ -244,7 +244,7 @@
     def _on_watch_message(self, line: bytes) -> None:
         try:
             message = parse_watch_message(line, self._log_invalid)
-        except MalformedRegistryAnswer as error:
+        except MalformedRegistryAnswerError as error:
             self.log(f"registry: {error.describe()}")
             self._on_event(WatcherEvent.FAILED)
             return
@@ -329,9 +329,9 @@
         self._stop_check()
         try:
             if data is None:
-                raise MalformedRegistryAnswer("no answer")
+                raise MalformedRegistryAnswerError("no answer")
             answer = parse_newest_key(data)
-        except MalformedRegistryAnswer:
+        except MalformedRegistryAnswerError:
             self.backoff = min(self.backoff + 1, MAX_BACKOFF_DOUBLINGS)
             self._check_later()
             return
--- a/milletsill/settings/flaws.py
+++ b/milletsill/settings/flaws.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from milletsill.errors import ConfigurationRejected
+from milletsill.errors import ConfigurationRejectedError
 from milletsill.settings.field_lines import FieldLines, FieldPath, FieldStep
 
 MAX_FLAWS = 20  # of one report; what is found after these is left out
@@ -26,7 +26,7 @@
         return f"{self.file}: {self.reason}"
 
 
-class SettingsFileRejected(ConfigurationRejected):
+class SettingsFileRejectedError(ConfigurationRejectedError):
     """A file in protobuf text form that is not taken, with each flaw and its line."""
 
     remedy = (
--- a/milletsill/settings/load.py
+++ b/milletsill/settings/load.py
@@ -1,7 +1,7 @@
 """Loads a settings file into its message and has it checked.
 
-A file that is not taken raises `SettingsFileRejected`, with one `Flaw` for each thing
-wrong. A file is at most MAX_BYTES long.
+A file that is not taken raises `SettingsFileRejectedError`, with one `Flaw` for each
+thing wrong. A file is at most MAX_BYTES long.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     Flaw,
     FlawReport,
     MessageReport,
-    SettingsFileRejected,
+    SettingsFileRejectedError,
 )
 
 MAX_BYTES = 4_000_000  # of a file
@@ -30,20 +30,20 @@
 
 
 def read_text(file: str) -> str:
-    """Return the text of a file, or raise `SettingsFileRejected`."""
+    """Return the text of a file, or raise `SettingsFileRejectedError`."""
     try:
         if os.path.getsize(file) > MAX_BYTES:
-            raise SettingsFileRejected(
+            raise SettingsFileRejectedError(
                 [Flaw(file, 0, f"longer than {MAX_BYTES} bytes")]
             )
         with open(file, encoding="utf-8") as source:
             return source.read()
     except OSError as error:
         reason = error.strerror or str(error)
-        raise SettingsFileRejected([Flaw(file, 0, reason)]) from error
+        raise SettingsFileRejectedError([Flaw(file, 0, reason)]) from error
     except UnicodeDecodeError as error:
         reason = f"not UTF-8 at byte {error.start}"
-        raise SettingsFileRejected([Flaw(file, 0, reason)]) from error
+        raise SettingsFileRejectedError([Flaw(file, 0, reason)]) from error
 
 
 def load(
@@ -71,12 +71,12 @@
     if not missing:
         check(message, report.root())
     if report.flaws:
-        raise SettingsFileRejected(report.flaws)
+        raise SettingsFileRejectedError(report.flaws)
     return message
 
 
 def _merge_text(text: str, file: str, message: Message) -> None:
-    """Parse a text into a message, or raise `SettingsFileRejected`."""
+    """Parse a text into a message, or raise `SettingsFileRejectedError`."""
     try:
         text_format.Parse(text, message)
     except text_format.ParseError as error:
@@ -85,11 +85,11 @@
         if line:
             reason = reason.split(" : ", 1)[-1]
         flaw = Flaw(file, line, " ".join(reason.split()))
-        raise SettingsFileRejected([flaw]) from error
+        raise SettingsFileRejectedError([flaw]) from error
     except (RecursionError, ValueError) as error:
         reason = " ".join(str(error).split())[:MAX_REASON]
         flaw = Flaw(file, 0, f"cannot be read: {reason}")
-        raise SettingsFileRejected([flaw]) from error
+        raise SettingsFileRejectedError([flaw]) from error
 
 
 def _missing_fields(message: Message) -> list[str]:
--- a/milletsill/sftp/channel_extensions.py
+++ b/milletsill/sftp/channel_extensions.py
@@ -62,7 +62,7 @@
 from enum import IntEnum
 from typing import cast
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.sftp.extensions import (
     CommandTerms,
     decode_command,
@@ -215,14 +215,14 @@
 def channel_name(text: str) -> str:
     """Return a channel's name once it is checked.
 
-    Raise `MalformedInput` for a bad one.
+    Raise `MalformedInputError` for a bad one.
     """
     if (
         not 0 < len(text_to_bytes(text)) <= MAX_NAME_LENGTH
         or not text.isprintable()
         or " " in text
     ):
-        raise MalformedInput(
+        raise MalformedInputError(
             f"a channel's name is 1 to {MAX_NAME_LENGTH} octets of printable "
             "characters without spaces"
         )
@@ -230,10 +230,10 @@
 
 
 def number_of(reader: PacketReader) -> int:
-    """Read the number of a command; raise `MalformedInput` past the bounds."""
+    """Read the number of a command; raise `MalformedInputError` past the bounds."""
     number = reader.u64("a number")
     if not 1 <= number <= MAX_NUMBER:
-        raise MalformedInput(f"number {number} is not from 1 to {MAX_NUMBER}")
+        raise MalformedInputError(f"number {number} is not from 1 to {MAX_NUMBER}")
     return number
 
 
@@ -282,7 +282,7 @@
         word=reader.u32("a word"),
     )
     if request.word not in tuple(Resolution):
-        raise MalformedInput(f"word {request.word} on a number is not 1 to 3")
+        raise MalformedInputError(f"word {request.word} on a number is not 1 to 3")
     return request
 
 
@@ -299,7 +299,7 @@
     verb = reader.u32("a verb")
     decode = REQUEST_DECODERS.get(verb)
     if decode is None:
-        raise MalformedInput(f"verb {verb} on a channel is not 1 to 3")
+        raise MalformedInputError(f"verb {verb} on a channel is not 1 to 3")
     request = decode(reader)
     reader.end()
     return request
@@ -343,7 +343,9 @@
     )
     count = reader.u32("a count of numbers")
     if count > MAX_INDETERMINATE:
-        raise MalformedInput(f"{count} unsure numbers, {MAX_INDETERMINATE} at most")
+        raise MalformedInputError(
+            f"{count} unsure numbers, {MAX_INDETERMINATE} at most"
+        )
     told = ChannelOpenReply(*parts, tuple(reader.u64() for _ in range(count)))
     reader.end()
     return told
@@ -390,7 +392,7 @@
     batch = reader.u64("a batch")
     flags = reader.u32("flags")
     if batch > MAX_NUMBER or flags & ~LAST_OF_BATCH:
-        raise MalformedInput(f"batch {batch} or flags {flags} out of range")
+        raise MalformedInputError(f"batch {batch} or flags {flags} out of range")
     terms, command = decode_command(Extended(packet.id, packet.name, reader.rest()))
     return NumberedCommand(
         handle, number, batch, bool(flags & LAST_OF_BATCH), terms, command
--- a/milletsill/sftp/extensions.py
+++ b/milletsill/sftp/extensions.py
@@ -64,7 +64,7 @@
 from milletsill.sftp.wire import (
     U32,
     U64,
-    MalformedPacket,
+    MalformedPacketError,
     PacketReader,
     encode_bytes,
     encode_text,
@@ -175,15 +175,15 @@
 def decode_embedded(data: bytes, id: int) -> Command | Answer:
     """Return the packet that `encode_embedded` made, under `id`.
 
-    Raise `MalformedPacket` for packets that may not stand inside another: INIT,
+    Raise `MalformedPacketError` for packets that may not stand inside another: INIT,
     VERSION, and EXTENDED but for fsync.
     """
     if not data:
-        raise MalformedPacket("no command behind the terms")
+        raise MalformedPacketError("no command behind the terms")
     packet = decode(data[:1] + U32.pack(id) + data[1:])
     is_handshake = isinstance(packet, (Init, Version))
     if is_handshake or (isinstance(packet, Extended) and packet.name != FSYNC):
-        raise MalformedPacket(
+        raise MalformedPacketError(
             f"{type(packet).__name__} cannot stand inside another packet"
         )
     return packet
@@ -196,7 +196,7 @@
         reader.u32("a patience"), reader.u32("a count of tries"), reader.text("a mark")
     )
     if len(terms.mark) > MAX_MARK_LENGTH:
-        raise MalformedPacket(
+        raise MalformedPacketError(
             f"a mark of {len(terms.mark)} characters, {MAX_MARK_LENGTH} at most"
         )
     return terms, cast(Command, decode_embedded(reader.rest(), packet.id))
@@ -284,7 +284,7 @@
     text = reader.text("a text")
     count = reader.u32("a count of reports")
     if verdict > NodeReplyStatus.ERROR or count > MAX_REPORTS:
-        raise MalformedPacket(f"a verdict {verdict} with {count} reports")
+        raise MalformedPacketError(f"a verdict {verdict} with {count} reports")
     report = {
         reader.text("a report's name"): reader.u32("a report") / THOUSANDTHS
         for _ in range(count)
--- a/milletsill/sftp/framing.py
+++ b/milletsill/sftp/framing.py
@@ -1,17 +1,17 @@
 """Cuts a stream of bytes into packets: bytes in, packet bodies out, bounded.
 
 A packet is a uint32 length and that many bytes. A length of 0 or past the bound cannot
-be skipped, so it breaks the stream for good: `BrokenPacketStream`.
+be skipped, so it breaks the stream for good: `BrokenPacketStreamError`.
 """
 
 from __future__ import annotations
 
-from milletsill.sftp.wire import U32, MalformedPacket
+from milletsill.sftp.wire import U32, MalformedPacketError
 
 LENGTH_SIZE = 4  # octets
 
 
-class BrokenPacketStream(MalformedPacket):
+class BrokenPacketStreamError(MalformedPacketError):
     """A stream whose next length is 0 or past its bound.
 
     It cannot be read any further.
@@ -41,14 +41,14 @@
     def next(self) -> bytes | None:
         """Return the next packet's bytes behind its length, None until all have come.
 
-        Raise `BrokenPacketStream` for a length out of bounds.
+        Raise `BrokenPacketStreamError` for a length out of bounds.
         """
         left = len(self._held) - self._at
         if left < LENGTH_SIZE:
             return None
         size = U32.unpack_from(self._held, self._at)[0]
         if not 1 <= size <= self.max_packet:
-            raise BrokenPacketStream(
+            raise BrokenPacketStreamError(
                 f"a packet of {size} bytes, 1 to {self.max_packet} are taken"
             )
         if left < LENGTH_SIZE + size:
--- a/milletsill/sftp/packet_codec.py
+++ b/milletsill/sftp/packet_codec.py
@@ -12,7 +12,7 @@
     WRITERS,
     FieldReader,
     FieldWriter,
-    MalformedPacket,
+    MalformedPacketError,
     PacketReader,
 )
 
@@ -40,7 +40,7 @@
 FIELDS_BEHIND_ID = {each: _field_names(each)[1:] for each in COMMANDS + ANSWERS}
 
 
-class UnknownPacket(MalformedPacket):
+class UnknownPacketError(MalformedPacketError):
     """A packet of a kind that version 3 does not have.
 
     `id` is what stands where an id would.
@@ -59,14 +59,14 @@
 def decode(data: bytes) -> Packet:
     """Return a packet from its bytes behind the length.
 
-    Raise `MalformedPacket` where they are none.
+    Raise `MalformedPacketError` where they are none.
     """
     if not data:
-        raise MalformedPacket("an empty packet")
+        raise MalformedPacketError("an empty packet")
     found = DECODERS.get(data[0])
     if found is None:
         id = U32.unpack_from(data, 1)[0] if len(data) >= HEADER_LENGTH else 0
-        raise UnknownPacket(data[0], id)
+        raise UnknownPacketError(data[0], id)
     packet_type, readers, names = found
     reader = PacketReader(data, 1)
     values = [read(reader, name) for read, name in zip(readers, names, strict=True)]
--- a/milletsill/sftp/wire.py
+++ b/milletsill/sftp/wire.py
@@ -1,7 +1,7 @@
 """Fields of SFTP version 3 packets: draft-ietf-secsh-filexfer-02, sections 3 to 5.
 
 Nothing here knows a transport. `PacketReader` never reads past its packet, and raises
-`MalformedPacket` with one line that says what was short or wrong.
+`MalformedPacketError` with one line that says what was short or wrong.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 
 U32 = struct.Struct(">I")
 U64 = struct.Struct(">Q")
@@ -26,7 +26,7 @@
 MAX_DIRECTORY_ENTRIES = 4096  # of one packet
 
 
-class MalformedPacket(MalformedInput):
+class MalformedPacketError(MalformedInputError):
     """Octets that are no packet of SFTP version 3 or its extensions here."""
 
     remedy = (
@@ -72,7 +72,7 @@
 class PacketReader:
     """Reads the fields of one packet in order; `what` names a field in errors.
 
-    Raises `MalformedPacket` where a field is longer than what is left.
+    Raises `MalformedPacketError` where a field is longer than what is left.
     """
 
     def __init__(self, data: bytes, at: int = 0) -> None:
@@ -83,7 +83,7 @@
         """Read `size` bytes."""
         end = self.at + size
         if end > len(self.data):
-            raise MalformedPacket(
+            raise MalformedPacketError(
                 f"{what} needs {size} bytes, {len(self.data) - self.at} are left"
             )
         data, self.at = self.data[self.at : end], end
@@ -101,7 +101,7 @@
             number: int = U32_FROM(self.data, at)[0]
         except struct.error:
             self.at = at
-            raise MalformedPacket(
+            raise MalformedPacketError(
                 f"{what} needs 4 bytes, {len(self.data) - at} are left"
             ) from None
         return number
@@ -116,7 +116,7 @@
         size = self.u32(what)
         at, data = self.at, self.data
         if size > len(data) - at:
-            raise MalformedPacket(
+            raise MalformedPacketError(
                 f"{what} needs {size} bytes, {len(data) - at} are left"
             )
         self.at = at + size
@@ -143,7 +143,7 @@
         if flags & ATTR_EXTENDED:
             count = self.u32("a count of attributes")
             if count > MAX_EXTENDED_ATTRIBUTES:
-                raise MalformedPacket(
+                raise MalformedPacketError(
                     f"{count} extended attributes, {MAX_EXTENDED_ATTRIBUTES} at most"
                 )
             for _ in range(2 * count):
@@ -154,7 +154,9 @@
         """Read the entries of a directory."""
         count = self.u32(what)
         if count > MAX_DIRECTORY_ENTRIES:
-            raise MalformedPacket(f"{count} names, {MAX_DIRECTORY_ENTRIES} at most")
+            raise MalformedPacketError(
+                f"{count} names, {MAX_DIRECTORY_ENTRIES} at most"
+            )
         return tuple(
             DirectoryEntry(self.text("a name"), self.text("a long name"), self.attrs())
             for _ in range(count)
@@ -166,9 +168,9 @@
         return data
 
     def end(self) -> None:
-        """Raise `MalformedPacket` if anything is left."""
+        """Raise `MalformedPacketError` if anything is left."""
         if self.at != len(self.data):
-            raise MalformedPacket(
+            raise MalformedPacketError(
                 f"{len(self.data) - self.at} bytes left over at the end of a packet"
             )
 
--- a/milletsill/sftp_gateway/channel_attempts.py
+++ b/milletsill/sftp_gateway/channel_attempts.py
@@ -19,7 +19,7 @@
 from milletsill.sftp.wire import text_to_bytes
 from milletsill.sftp_gateway.command_classification import (
     OPERATIONS,
-    InvalidPath,
+    InvalidPathError,
     canonical_path,
 )
 from milletsill.sftp_gateway.command_execution import ClientCommand, CommandExecution
@@ -105,7 +105,7 @@
         )
         try:
             execution.start()
-        except InvalidPath:
+        except InvalidPathError:
             on_ended(AttemptEnd(NumberEvent.NEVER_RAN))
 
     def _client_command(
--- a/milletsill/sftp_gateway/client_commands.py
+++ b/milletsill/sftp_gateway/client_commands.py
@@ -57,8 +57,8 @@
         """Answer or start a command.
 
         Raises:
-            InvalidPath: it names no path.
-            MalformedInput: an extension of it makes no sense.
+            InvalidPathError: it names no path.
+            MalformedInputError: an extension of it makes no sense.
         """
         if isinstance(packet, packets.Realpath):
             path = canonical_path(packet.path or "/")
--- a/milletsill/sftp_gateway/command_classification.py
+++ b/milletsill/sftp_gateway/command_classification.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from milletsill.errors import InvalidValue
+from milletsill.errors import InvalidValueError
 from milletsill.sftp import packets
 
 # The operation of each command; operators' routes name them.
@@ -29,7 +29,7 @@
 MAX_PATH_LENGTH = 4096  # characters
 
 
-class InvalidPath(InvalidValue):
+class InvalidPathError(InvalidValueError):
     """A path of a client that names nothing here."""
 
     remedy = (
@@ -44,10 +44,10 @@
     What climbs above / stays there, as in a file system.
 
     Raises:
-        InvalidPath: the path is too long or has a zero byte.
+        InvalidPathError: the path is too long or has a zero byte.
     """
     if len(path) > MAX_PATH_LENGTH or "\0" in path:
-        raise InvalidPath("a path too long or with a zero byte")
+        raise InvalidPathError("a path too long or with a zero byte")
     parts: list[str] = []
     for part in path.split("/"):
         if part == "..":
--- a/milletsill/sftp_gateway/errors.py
+++ b/milletsill/sftp_gateway/errors.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from milletsill.errors import ConfigurationRejected, StateNotStored
+from milletsill.errors import ConfigurationRejectedError, StateNotStoredError
 
 
-class RestartRequired(ConfigurationRejected):
+class RestartRequiredError(ConfigurationRejectedError):
     """A file on SIGHUP that changes what a running gateway cannot change."""
 
     remedy = (
@@ -14,7 +14,7 @@
     )
 
 
-class IncarnationNotStored(StateNotStored):
+class IncarnationNotStoredError(StateNotStoredError):
     """The number of this start, which cannot be read or written."""
 
     remedy = (
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -25,7 +25,7 @@
 )
 from milletsill.sftp_gateway.command_execution import CommandExecution
 from milletsill.sftp_gateway.command_report import CommandReport
-from milletsill.sftp_gateway.errors import RestartRequired
+from milletsill.sftp_gateway.errors import RestartRequiredError
 from milletsill.sftp_gateway.gateway_state import (
     GatewayEffect,
     GatewayEvent,
@@ -186,7 +186,7 @@
         the start stands until a restart.
         """
         if self._needs_restart(file):
-            error = RestartRequired(
+            error = RestartRequiredError(
                 "plans, categories, rules, name, address, traces or fleet are not "
                 "those of the start"
             )
--- a/milletsill/sftp_gateway/incarnation.py
+++ b/milletsill/sftp_gateway/incarnation.py
@@ -5,19 +5,19 @@
 import os
 import time
 
-from milletsill.sftp_gateway.errors import IncarnationNotStored
+from milletsill.sftp_gateway.errors import IncarnationNotStoredError
 
 MAX_INCARNATION = 0xFFFFFFFF
 MAX_DIGITS = 20
 
 
-def next_incarnation(path: str) -> tuple[int, IncarnationNotStored | None]:
+def next_incarnation(path: str) -> tuple[int, IncarnationNotStoredError | None]:
     """Return the number of this start, and the error if it cannot be kept.
 
     Then it is taken from the wall clock, which is past any count of starts, so no two
     starts share one.
     """
-    error: IncarnationNotStored | None = None
+    error: IncarnationNotStoredError | None = None
     last = 0
     try:
         with open(path, encoding="ascii") as source:
@@ -25,7 +25,7 @@
     except FileNotFoundError:
         pass
     except (OSError, ValueError) as cause:
-        error = IncarnationNotStored(str(cause), path)
+        error = IncarnationNotStoredError(str(cause), path)
         last = int(time.time())
     number = min(max(last, 0) + 1, MAX_INCARNATION)
     store_error = store_incarnation(path, number)
@@ -34,7 +34,7 @@
     return number, error
 
 
-def store_incarnation(path: str, number: int) -> IncarnationNotStored | None:
+def store_incarnation(path: str, number: int) -> IncarnationNotStoredError | None:
     """Write a start's number, so that the next start goes past it.
 
     Returns:
@@ -47,5 +47,5 @@
             os.fsync(sink.fileno())
         os.replace(f"{path}.new", path)
     except OSError as error:
-        return IncarnationNotStored(error.strerror or str(error), path)
+        return IncarnationNotStoredError(error.strerror or str(error), path)
     return None
--- a/milletsill/sftp_gateway/listening_ports.py
+++ b/milletsill/sftp_gateway/listening_ports.py
@@ -7,7 +7,7 @@
 
 from twisted.internet import endpoints
 
-from milletsill.errors import ListenFailed
+from milletsill.errors import ListenFailedError
 
 make_endpoint: Any = endpoints.TCP4ServerEndpoint
 
@@ -26,7 +26,7 @@
         self,
         reactor: Any,
         on_listening: Callable[[str, str], None],
-        on_failed: Callable[[ListenFailed], None],
+        on_failed: Callable[[ListenFailedError], None],
     ) -> None:
         self.reactor = reactor
         self.on_listening = on_listening
@@ -46,7 +46,7 @@
             self.on_listening(event, f"{host}:{opened.getHost().port}")
 
         def on_failure(failure: Any) -> None:
-            self.on_failed(ListenFailed(failure.getErrorMessage(), address))
+            self.on_failed(ListenFailedError(failure.getErrorMessage(), address))
 
         endpoint = make_endpoint(self.reactor, int(port), interface=host)
         endpoint.listen(factory).addCallbacks(on_open, on_failure)
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -18,7 +18,7 @@
 )
 from milletsill.interface import SchedulerFactory
 from milletsill.scheduler import Scheduler
-from milletsill.settings.flaws import SettingsFileRejected
+from milletsill.settings.flaws import SettingsFileRejectedError
 from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import load
 from milletsill.settings.milletsill_pb2 import GatewayFile
@@ -133,6 +133,8 @@
     """
     try:
         gateway.reload(load(path, GatewayFile, check_gateway))
-    except SettingsFileRejected as error:
+    except SettingsFileRejectedError as error:
         for flaw in error.flaws:
-            gateway.warn("file_refused", **SettingsFileRejected([flaw]).log_fields())
+            gateway.warn(
+                "file_refused", **SettingsFileRejectedError([flaw]).log_fields()
+            )
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -7,10 +7,10 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms
-from milletsill.sftp.framing import BrokenPacketStream, PacketSplitter
+from milletsill.sftp.framing import BrokenPacketStreamError, PacketSplitter
 from milletsill.sftp_gateway.client_commands import ClientCommands
 from milletsill.sftp_gateway.client_handles import HandleTable
 from milletsill.sftp_gateway.client_state import (
@@ -20,7 +20,7 @@
     flow_control_event,
     next_client_state,
 )
-from milletsill.sftp_gateway.command_classification import InvalidPath
+from milletsill.sftp_gateway.command_classification import InvalidPathError
 from milletsill.sftp_gateway.command_execution import ClientCommand, CommandExecution
 from milletsill.sftp_gateway.gateway_context import GatewayContext
 from milletsill.sftp_gateway.object_location import ObjectLocation
@@ -128,7 +128,7 @@
                     break
                 self._on_packet(body)
                 self._control_flow()
-        except BrokenPacketStream as error:
+        except BrokenPacketStreamError as error:
             self._warn("client_broken", error)
             self._on_event(SftpClientEvent.BROKEN)
         finally:
@@ -214,11 +214,11 @@
         self.octets = len(body) + LENGTH_OCTETS
         try:
             packet = packet_codec.decode(body)
-        except packet_codec.UnknownPacket as error:
+        except packet_codec.UnknownPacketError as error:
             status = packets.Status(error.id, packets.UNSUPPORTED, str(error))
             self._reply(status)
             return
-        except MalformedInput as error:
+        except MalformedInputError as error:
             self._on_malformed(body, error)
             return
         if isinstance(packet, packets.Init):
@@ -231,7 +231,7 @@
             if self.state is SftpClientState.OPEN:
                 self._on_command(packet)
 
-    def _on_malformed(self, body: bytes, error: MalformedInput) -> None:
+    def _on_malformed(self, body: bytes, error: MalformedInputError) -> None:
         self._warn("client_malformed", error)
         if len(body) >= ID_END and self.state is SftpClientState.OPEN:
             id = int.from_bytes(body[1:ID_END], "big")
@@ -252,7 +252,7 @@
             ):
                 terms, packet = extensions.decode_command(packet)
             answer = self.commands.take(packet, terms)
-        except (MalformedInput, InvalidPath) as error:
+        except (MalformedInputError, InvalidPathError) as error:
             answer = packets.Status(id, packets.BAD_MESSAGE, str(error))
         if answer is not None:
             self._reply(answer)
@@ -337,7 +337,7 @@
             gateway.now() - command.began,
         )
 
-    def _warn(self, event: str, error: MalformedInput) -> None:
+    def _warn(self, event: str, error: MalformedInputError) -> None:
         client_host = self.addresses[0]
         self.gateway.warn(event, **error.with_location(client_host).log_fields())
 
--- a/milletsill/trace/anonymise.py
+++ b/milletsill/trace/anonymise.py
@@ -60,7 +60,7 @@
 
     Raises:
         OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTrace: where the source is no trace.
+        MalformedTraceError: where the source is no trace.
     """
     hasher = NameHasher(key)
     with TraceReader(source, progress) as reader:
--- a/milletsill/trace/block_body.py
+++ b/milletsill/trace/block_body.py
@@ -8,7 +8,7 @@
 
 from milletsill.trace.columns import (
     ColumnValues,
-    MalformedColumn,
+    MalformedColumnError,
     decode_column,
     encode_column,
     skip_column,
@@ -53,14 +53,14 @@
     """Yield the records of known kinds, in their order; only of `kinds` where given.
 
     Raises:
-        MalformedColumn: where the columns are not those of so many records.
+        MalformedColumnError: where the columns are not those of so many records.
     """
     number_column, at = decode_column(raw, 0)
     time_column, at = decode_column(raw, at)
     numbers = cast(list[int], number_column)
     times = cast(list[int], time_column)
     if len(numbers) != record_count or len(times) != record_count:
-        raise MalformedColumn(
+        raise MalformedColumnError(
             f"{len(numbers)} kinds and {len(times)} times of {record_count} records"
         )
     columns = decode_field_columns(raw, at, kinds)
@@ -82,7 +82,7 @@
     columns: FieldColumns = {}
     while at < len(raw):
         if len(raw) - at < FIELD_HEADER.size:
-            raise MalformedColumn("bytes left over")
+            raise MalformedColumnError("bytes left over")
         number, place = FIELD_HEADER.unpack_from(raw, at)
         at += FIELD_HEADER.size
         if kinds is not None and number not in kinds:
@@ -102,5 +102,7 @@
     fields = [columns.get(place) for place in range(1, len(kind.fields) + 1)]
     found = [column for column in fields if column is not None]
     if len(found) != len(fields) or any(len(column) != count for column in found):
-        raise MalformedColumn(f"fields of {kind.name} are missing or of another length")
+        raise MalformedColumnError(
+            f"fields of {kind.name} are missing or of another length"
+        )
     return zip(*found, strict=True)
--- a/milletsill/trace/columns.py
+++ b/milletsill/trace/columns.py
@@ -18,7 +18,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.trace.records import FLOAT, MAX_TEXT_BYTES, PLAIN, STEP, TEXT
 
 COLUMN_HEADER = Struct("<BBII")
@@ -41,7 +41,7 @@
 ColumnValues = list[int] | list[float] | list[str]
 
 
-class MalformedColumn(MalformedInput):
+class MalformedColumnError(MalformedInputError):
     """Octets of a block that are no column."""
 
     remedy = "the block is lost, the others stand: `milletsill trace repair` keeps them"
@@ -121,16 +121,16 @@
     """Return the values of the column at an offset, and where it ends.
 
     Raises:
-        MalformedColumn: where there is no whole column.
+        MalformedColumnError: where there is no whole column.
     """
     try:
         coding, width, count, size = COLUMN_HEADER.unpack_from(data, at)
     except struct.error:
-        raise MalformedColumn("a column is cut short") from None
+        raise MalformedColumnError("a column is cut short") from None
     start = at + COLUMN_HEADER.size
     end = start + size
     if end > len(data) or count > MAX_VALUES:
-        raise MalformedColumn(
+        raise MalformedColumnError(
             f"a column of {count} values in {size} bytes "
             f"where {len(data) - start} are left"
         )
@@ -147,17 +147,17 @@
     try:
         size: int = COLUMN_HEADER.unpack_from(data, at)[3]
     except struct.error:
-        raise MalformedColumn("a column is cut short") from None
+        raise MalformedColumnError("a column is cut short") from None
     end = at + COLUMN_HEADER.size + size
     if end > len(data):
-        raise MalformedColumn("a column is cut short")
+        raise MalformedColumnError("a column is cut short")
     return end
 
 
 def decode_floats(body: bytes, count: int) -> list[float]:
     """Decode the data of a column of floats."""
     if len(body) != FLOAT_WIDTH * count:
-        raise MalformedColumn(f"{count} floats in {len(body)} bytes")
+        raise MalformedColumnError(f"{count} floats in {len(body)} bytes")
     return cast(list[float], np.frombuffer(body, dtype="<f8").tolist())
 
 
@@ -174,7 +174,7 @@
         or rows < 0
         or len(body) != start + rows * width
     ):
-        raise MalformedColumn(
+        raise MalformedColumnError(
             f"{count} numbers of width {width} and coding {coding} in {len(body)} bytes"
         )
     values = np.frombuffer(body, dtype=kind, offset=start).astype(np.int64)
@@ -194,7 +194,7 @@
         or end != len(body)
         or (places and not 0 <= min(places) <= max(places) < len(texts))
     ):
-        raise MalformedColumn("places that are not in the dictionary")
+        raise MalformedColumnError("places that are not in the dictionary")
     return [texts[place] for place in places]
 
 
@@ -205,16 +205,16 @@
         entries: int = U32.unpack_from(body)[0]
         at = U32.size
         if entries > MAX_DICTIONARY or U16.size * entries > len(body):
-            raise MalformedColumn(
+            raise MalformedColumnError(
                 f"a dictionary of {entries} texts in {len(body)} bytes"
             )
         for _ in range(entries):
             size: int = U16.unpack_from(body, at)[0]
             at += U16.size
             if at + size > len(body):
-                raise MalformedColumn("a dictionary is cut short")
+                raise MalformedColumnError("a dictionary is cut short")
             texts.append(body[at : at + size].decode("utf-8", "surrogateescape"))
             at += size
     except struct.error:
-        raise MalformedColumn("a dictionary is cut short") from None
+        raise MalformedColumnError("a dictionary is cut short") from None
     return texts, at
--- a/milletsill/trace/convert.py
+++ b/milletsill/trace/convert.py
@@ -27,7 +27,7 @@
 
     Raises:
         OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTrace: where the source is no trace.
+        MalformedTraceError: where the source is no trace.
     """
     with TraceReader(source, progress) as reader:
         if target == "mtrace":
--- a/milletsill/trace/cut.py
+++ b/milletsill/trace/cut.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.file_format import MalformedTraceError
 from milletsill.trace.reader import ProgressCallback, TraceReader
 from milletsill.trace.record_filter import RecordFilter, select_requests
 from milletsill.trace.records import BY_NAME
@@ -34,7 +34,7 @@
 
     Raises:
         OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTrace: where the source is no trace.
+        MalformedTraceError: where the source is no trace.
     """
     with TraceReader(source, progress) as reader:
         header = {**reader.contents.header, "cut": wanted.to_stored()}
@@ -58,7 +58,7 @@
     """Return the place of a request class by its name in the header, or by number.
 
     Raises:
-        MalformedTrace: where there is no such class.
+        MalformedTraceError: where there is no such class.
     """
     with TraceReader(source) as reader:
         config = reader.contents.header.get("facts")
@@ -68,6 +68,6 @@
         return names.index(request_class)
     if request_class.isdecimal():
         return int(request_class)
-    raise MalformedTrace(
+    raise MalformedTraceError(
         f"no category {request_class!r}; there are {', '.join(names) or 'none named'}"
     )
--- a/milletsill/trace/file_format.py
+++ b/milletsill/trace/file_format.py
@@ -28,9 +28,9 @@
 import numpy as np
 import zstandard
 
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.trace.block_body import decode_body, encode_body
-from milletsill.trace.columns import MalformedColumn
+from milletsill.trace.columns import MalformedColumnError
 from milletsill.trace.records import (
     BLOCK_HEADER,
     MAX_TEXT_BYTES,
@@ -67,7 +67,7 @@
 MAX_FOOTER_BYTES = 1 << 28
 
 
-class MalformedTrace(MalformedInput):
+class MalformedTraceError(MalformedInputError):
     """A file that is no trace, or no longer one."""
 
     remedy = (
@@ -99,14 +99,14 @@
     taken; `what` names it in the error.
 
     Raises:
-        MalformedTrace: where it is too large or no frame.
+        MalformedTraceError: where it is too large or no frame.
     """
     try:
         if zstandard.frame_content_size(body) > max_bytes:
-            raise MalformedTrace(f"{what} unpacks to more than {max_bytes} bytes")
+            raise MalformedTraceError(f"{what} unpacks to more than {max_bytes} bytes")
         return zstandard.ZstdDecompressor().decompress(body, max_output_size=max_bytes)
     except zstandard.ZstdError as error:
-        raise MalformedTrace(f"{what} cannot be unpacked: {error}") from None
+        raise MalformedTraceError(f"{what} cannot be unpacked: {error}") from None
 
 
 def encode_header(header: dict[str, Any]) -> bytes:
@@ -124,34 +124,34 @@
     `data` holds the beginning of the file.
 
     Raises:
-        MalformedTrace: where it is no header, or one of another major version.
+        MalformedTraceError: where it is no header, or one of another major version.
     """
     if len(data) < FILE_HEADER.size:
-        raise MalformedTrace("too short for a trace")
+        raise MalformedTraceError("too short for a trace")
     magic, major, minor, size, crc = FILE_HEADER.unpack_from(data)
     if magic != FILE_MAGIC:
-        raise MalformedTrace("not a trace")
+        raise MalformedTraceError("not a trace")
     if major != MAJOR_VERSION:
-        raise MalformedTrace(f"format {major}.{minor}, {MAJOR_VERSION}.x is read")
+        raise MalformedTraceError(f"format {major}.{minor}, {MAJOR_VERSION}.x is read")
     body = data[FILE_HEADER.size : FILE_HEADER.size + size]
     if size > MAX_HEADER_BYTES or len(body) < size or zlib.crc32(body) != crc:
-        raise MalformedTrace("the header is cut or damaged")
+        raise MalformedTraceError("the header is cut or damaged")
     try:
         header = json.loads(body)
     except (ValueError, RecursionError):
-        raise MalformedTrace("the header is not JSON") from None
+        raise MalformedTraceError("the header is not JSON") from None
     if not isinstance(header, dict):
-        raise MalformedTrace("the header is not a JSON object")
+        raise MalformedTraceError("the header is not a JSON object")
     return {**header, "minor": minor}, FILE_HEADER.size + size
 
 
 def header_size(start: bytes) -> int:
     """Return how many bytes the header takes, from its first `FILE_HEADER.size`."""
     if len(start) < FILE_HEADER.size:
-        raise MalformedTrace("too short for a trace")
+        raise MalformedTraceError("too short for a trace")
     size: int = FILE_HEADER.unpack_from(start)[3]
     if size > MAX_HEADER_BYTES:
-        raise MalformedTrace(f"a header of {size} bytes")
+        raise MalformedTraceError(f"a header of {size} bytes")
     return FILE_HEADER.size + size
 
 
@@ -181,14 +181,14 @@
     """Return the index of volumes that stands between footer and trailer, if any.
 
     Raises:
-        MalformedTrace: where it is cut, damaged or too large.
+        MalformedTraceError: where it is cut, damaged or too large.
     """
     if len(data) < SECTION_HEADER.size or not data.startswith(VOLUMES_MAGIC):
         return None
     _, size, crc = SECTION_HEADER.unpack_from(data)
     body = data[SECTION_HEADER.size : SECTION_HEADER.size + size]
     if len(body) != size or zlib.crc32(body) != crc:
-        raise MalformedTrace("the index of stores is cut or damaged")
+        raise MalformedTraceError("the index of stores is cut or damaged")
     raw = decompress(body, MAX_FOOTER_BYTES, "the index of stores")
     at = 0
     found: dict[str, list[int]] = {}
@@ -200,12 +200,14 @@
             numbers_start = name_end + BLOCK_NUMBER.size
             end = numbers_start + BLOCK_NUMBER.size * count
             if end > len(raw) or len(found) >= MAX_INDEXED_VOLUMES:
-                raise MalformedTrace("the index of stores is cut short or too large")
+                raise MalformedTraceError(
+                    "the index of stores is cut short or too large"
+                )
             name = raw[name_start:name_end].decode("utf-8", "surrogateescape")
             found[name] = np.frombuffer(raw, "<u4", count, numbers_start).tolist()
             at = end
     except struct.error:
-        raise MalformedTrace("the index of stores is cut short") from None
+        raise MalformedTraceError("the index of stores is cut short") from None
     return found
 
 
@@ -241,18 +243,18 @@
     """Return the header of the block whose bytes, at `offset` of the file, are `data`.
 
     Raises:
-        MalformedTrace: where it is no block header, or claims more than a block holds.
+        MalformedTraceError: no block header, or it claims more than a block holds.
     """
     if len(data) < BLOCK_HEADER.size:
-        raise MalformedTrace("a block's head is cut short")
+        raise MalformedTraceError("a block's head is cut short")
     magic, size, raw, records, first, last, crc, volumes, own_crc = (
         BLOCK_HEADER.unpack_from(data)
     )
     checked = data[: BLOCK_HEADER.size - CRC_BYTES]
     if magic != BLOCK_MAGIC or zlib.crc32(checked) != own_crc:
-        raise MalformedTrace("no block here, or its head is damaged")
+        raise MalformedTraceError("no block here, or its head is damaged")
     if size > MAX_BODY_BYTES or raw > MAX_RAW_BYTES or not 0 < records <= MAX_RECORDS:
-        raise MalformedTrace(f"a block of {size} bytes and {records} records")
+        raise MalformedTraceError(f"a block of {size} bytes and {records} records")
     return BlockHeader(offset, size, raw, records, first, last, crc, volumes)
 
 
@@ -264,17 +266,17 @@
     Those of unknown kinds are left out and, where `kinds` is given, all others too.
 
     Raises:
-        MalformedTrace: where the body is not what the header says.
+        MalformedTraceError: where the body is not what the header says.
     """
     if len(body) != header.body_size or zlib.crc32(body) != header.body_crc:
-        raise MalformedTrace("a block is cut or damaged")
+        raise MalformedTraceError("a block is cut or damaged")
     raw = decompress(body, header.raw_size, "a block")
     if len(raw) != header.raw_size:
-        raise MalformedTrace("a block unpacks to another size")
+        raise MalformedTraceError("a block unpacks to another size")
     try:
         return list(decode_body(raw, header.record_count, kinds))
-    except MalformedColumn as error:
-        raise MalformedTrace(f"in a block: {error}") from None
+    except MalformedColumnError as error:
+        raise MalformedTraceError(f"in a block: {error}") from None
 
 
 def encode_footer(
@@ -308,22 +310,22 @@
     `data` is the footer without the trailer.
 
     Raises:
-        MalformedTrace: where either is cut or damaged.
+        MalformedTraceError: where either is cut or damaged.
     """
     if len(data) < SECTION_HEADER.size:
-        raise MalformedTrace("the footer is cut short")
+        raise MalformedTraceError("the footer is cut short")
     magic, size, crc = SECTION_HEADER.unpack_from(data)
     body = data[SECTION_HEADER.size : SECTION_HEADER.size + size]
     if magic != FOOTER_MAGIC or len(body) != size or zlib.crc32(body) != crc:
-        raise MalformedTrace("the footer is cut or damaged")
+        raise MalformedTraceError("the footer is cut or damaged")
     raw = decompress(body, MAX_FOOTER_BYTES, "the footer")
     if len(raw) % FOOTER_ENTRY.size:
-        raise MalformedTrace("the footer is no list of blocks")
+        raise MalformedTraceError("the footer is no list of blocks")
     entries = [FooterEntry(*fields) for fields in FOOTER_ENTRY.iter_unpack(raw)]
     volume_blocks = decode_volume_index(data[SECTION_HEADER.size + size :])
     if volume_blocks is not None and any(
         numbers and not 0 <= numbers[-1] < len(entries)
         for numbers in volume_blocks.values()
     ):
-        raise MalformedTrace("the index of stores names blocks that are not there")
+        raise MalformedTraceError("the index of stores names blocks that are not there")
     return entries, volume_blocks
--- a/milletsill/trace/merge.py
+++ b/milletsill/trace/merge.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from milletsill.trace.clock_alignment import ClockCorrection, NodeChange, align_clocks
-from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.file_format import MalformedTraceError
 from milletsill.trace.reader import ProgressCallback, TraceReader
 from milletsill.trace.records import BY_NAME, KINDS, RecordKind, TraceRecord
 from milletsill.trace.time_argument import TICKS_PER_MILLISECOND
@@ -116,7 +116,7 @@
 
     Raises:
         OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTrace: where a file is no trace.
+        MalformedTraceError: where a file is no trace.
     """
     headers: list[dict[str, Any]] = []
     changes: list[dict[NodeChange, int]] = []
@@ -242,4 +242,4 @@
         wall = int(header.get("wall_ms", 0)) * TICKS_PER_MILLISECOND
         return wall - int(header.get("opened", 0))
     except (TypeError, ValueError):
-        raise MalformedTrace("a header whose clock origin is no number") from None
+        raise MalformedTraceError("a header whose clock origin is no number") from None
--- a/milletsill/trace/reader.py
+++ b/milletsill/trace/reader.py
@@ -20,7 +20,7 @@
     FOOTER_MAGIC,
     MAX_FOOTER_BYTES,
     TRAILER,
-    MalformedTrace,
+    MalformedTraceError,
     decode_block,
     decode_block_header,
     decode_footer,
@@ -99,7 +99,7 @@
 
     Raises:
         OSError: where the file cannot be read.
-        MalformedTrace: where its beginning is that of no trace.
+        MalformedTraceError: where its beginning is that of no trace.
     """
 
     def __init__(self, path: str, progress: ProgressCallback | None = None) -> None:
@@ -140,7 +140,7 @@
         """Find the blocks by the index, else by themselves."""
         try:
             self.contents.blocks = self.read_index()
-        except MalformedTrace:
+        except MalformedTraceError:
             self.scan_blocks()
 
     def read_index(self) -> list[BlockHeader]:
@@ -149,19 +149,19 @@
         Their sizes follow from the offset of the next one.
 
         Raises:
-            MalformedTrace: where there is no whole footer.
+            MalformedTraceError: where there is no whole footer.
         """
         trailer_start = self.size - TRAILER.size
         trailer = self.read_at(max(trailer_start, 0), TRAILER.size)
         if len(trailer) < TRAILER.size:
-            raise MalformedTrace("no trailer")
+            raise MalformedTraceError("no trailer")
         footer_start, magic = TRAILER.unpack(trailer)
         if (
             magic != END_MAGIC
             or not self.blocks_start <= footer_start <= trailer_start
             or trailer_start - footer_start > MAX_FOOTER_BYTES
         ):
-            raise MalformedTrace("no trailer")
+            raise MalformedTraceError("no trailer")
         footer = self.read_at(footer_start, trailer_start - footer_start)
         entries, self.contents.volume_blocks = decode_footer(footer)
         bounds = [entry.offset for entry in entries]
@@ -169,7 +169,7 @@
         if any(start >= end for start, end in pairwise(bounds)) or (
             entries and entries[0].offset != self.blocks_start
         ):
-            raise MalformedTrace("the footer's blocks do not follow each other")
+            raise MalformedTraceError("the footer's blocks do not follow each other")
         return [
             BlockHeader(
                 offset=entry.offset,
@@ -212,7 +212,7 @@
         """Return the header of the whole block at an offset, or why there is none."""
         try:
             block = decode_block_header(self.read_at(at, BLOCK_HEADER.size), at)
-        except MalformedTrace as error:
+        except MalformedTraceError as error:
             return None, str(error)
         if block.end > self.size:
             return None, "the last block is cut short"
@@ -274,7 +274,7 @@
             data = self.read_at(block.offset, size)
             header = decode_block_header(data, block.offset)
             return decode_block(header, data[BLOCK_HEADER.size :], kinds)
-        except MalformedTrace as error:
+        except MalformedTraceError as error:
             damage = self.contents.damage
             if all(each.offset != block.offset for each in damage):
                 damage.append(DamagedRange(block.offset, size, str(error)))
--- a/milletsill/trace/repair.py
+++ b/milletsill/trace/repair.py
@@ -26,7 +26,7 @@
 
     Raises:
         OSError: where the file cannot be read.
-        MalformedTrace: where it is no trace.
+        MalformedTraceError: where it is no trace.
     """
     with TraceReader(path, progress) as reader:
         contents = reader.contents
@@ -53,7 +53,7 @@
 
     Raises:
         OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTrace: where it is no trace.
+        MalformedTraceError: where it is no trace.
     """
     contents = verify(path, progress)
     with open(path, "rb") as source, open(out, "xb") as target:
--- a/milletsill/trace/service_report.py
+++ b/milletsill/trace/service_report.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.file_format import MalformedTraceError
 from milletsill.trace.reader import ProgressCallback, TraceReader
 from milletsill.trace.records import BY_NAME, TICKS_PER_SECOND
 from milletsill.trace.service_accounting import CompletedOperation, total_service
@@ -54,12 +54,12 @@
     """Yield the commands of a trace.
 
     Raises:
-        MalformedTrace: where one has a class or plan that the terms do not have.
+        MalformedTraceError: where one has a class or plan that the terms do not have.
     """
     for _, _, values in reader.records(since, until, kinds=COMMANDS):
         began, latency, volume, plan, place, _, units, _, _, answer, reason = values
         if not (0 <= place < len(terms.classes) and 0 <= plan < len(terms.prices)):
-            raise MalformedTrace(
+            raise MalformedTraceError(
                 f"a command of category {place} and plan {plan}, "
                 "which the header does not have"
             )
@@ -133,7 +133,7 @@
         """Count one command.
 
         Raises:
-            MalformedTrace: where there are too many windows.
+            MalformedTraceError: where there are too many windows.
         """
         operation = command.operation
         window = self.window_at(operation.second * TICKS_PER_SECOND // self.window)
@@ -152,7 +152,9 @@
     def window_at(self, place: int) -> ServiceWindow:
         """Return the window of that place from the clock's zero on."""
         if place not in self.windows and len(self.windows) >= MAX_WINDOWS:
-            raise MalformedTrace(f"more than {MAX_WINDOWS} windows: take longer ones")
+            raise MalformedTraceError(
+                f"more than {MAX_WINDOWS} windows: take longer ones"
+            )
         return self.windows.setdefault(place, ServiceWindow())
 
     def add_reason(self, command: AnsweredCommand) -> None:
@@ -197,7 +199,7 @@
 
     Raises:
         OSError: where the file cannot be read.
-        MalformedTrace: where it is no trace, or has no terms of service.
+        MalformedTraceError: where it is no trace, or has no terms of service.
     """
     report = ServiceReport(window)
     with TraceReader(source, progress) as reader:
--- a/milletsill/trace/service_terms.py
+++ b/milletsill/trace/service_terms.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.file_format import MalformedTraceError
 from milletsill.trace.service_accounting import VolumeEntitlement
 
 
@@ -67,7 +67,7 @@
     A gateway does not know the capacity of the nodes, which is then handed in.
 
     Raises:
-        MalformedTrace: where the header has neither.
+        MalformedTraceError: where the header has neither.
     """
     try:
         own = header.get("terms")
@@ -75,7 +75,7 @@
             return decode_own_terms(own, capacity)
         return terms_of_gateway(header, capacity)
     except (KeyError, IndexError, TypeError, ValueError) as error:
-        raise MalformedTrace(
+        raise MalformedTraceError(
             f"a header without the terms of service: {type(error).__name__} {error}"
         ) from None
 
--- a/milletsill/trace/summary.py
+++ b/milletsill/trace/summary.py
@@ -52,7 +52,7 @@
 
     Raises:
         OSError: where the file cannot be read.
-        MalformedTrace: where it is no trace.
+        MalformedTraceError: where it is no trace.
     """
     counts = TraceRecordCounts()
     with TraceReader(source, progress) as reader:
--- a/milletsill/trace/time_argument.py
+++ b/milletsill/trace/time_argument.py
@@ -4,7 +4,7 @@
 
 from datetime import UTC, datetime
 
-from milletsill.errors import InvalidValue
+from milletsill.errors import InvalidValueError
 from milletsill.trace.records import TICKS_PER_SECOND
 
 TICKS_PER_MILLISECOND = 10
@@ -15,7 +15,7 @@
 }
 
 
-class InvalidTime(InvalidValue):
+class InvalidTimeError(InvalidValueError):
     """A text on the command line that is no time."""
 
     remedy = (
@@ -30,7 +30,7 @@
     time (UTC where it names no zone). `opened` and `wall_ms` are those of the header.
 
     Raises:
-        InvalidTime: where it is none of these.
+        InvalidTimeError: where it is none of these.
     """
     if text.lstrip("-").isdecimal():
         return int(text)
@@ -39,7 +39,7 @@
     try:
         at = datetime.fromisoformat(text)
     except ValueError:
-        raise InvalidTime(
+        raise InvalidTimeError(
             f"{text!r} is no time: tenths of a millisecond, +90s or ISO 8601"
         ) from None
     if at.tzinfo is None:
@@ -55,4 +55,4 @@
     try:
         return int(float(number) * (unit or TICKS_PER_SECOND))
     except (ValueError, OverflowError):
-        raise InvalidTime(f"{text!r} is no span such as +90s, +5m, +1h") from None
+        raise InvalidTimeError(f"{text!r} is no span such as +90s, +5m, +1h") from None
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Any, BinaryIO
 
-from milletsill.errors import StateNotStored
+from milletsill.errors import StateNotStoredError
 from milletsill.trace.file_format import (
     decode_block_header,
     encode_block,
@@ -50,7 +50,7 @@
 DEFAULT_STOP_SECONDS = 5.0
 
 
-class TraceNotStored(StateNotStored):
+class TraceNotStoredError(StateNotStoredError):
     """A trace that the disk does not take."""
 
     remedy = (
@@ -253,7 +253,7 @@
         except OSError as error:
             if not self.failures:
                 reason = error.strerror or str(error)
-                refusal = TraceNotStored(reason, self.settings.folder)
+                refusal = TraceNotStoredError(reason, self.settings.folder)
                 self.log(f"tracing stops: {refusal.describe()}")
             self.on_event(WriterEvent.WRITE_FAILED)
 
--- a/milletsill/wirehost/__main__.py
+++ b/milletsill/wirehost/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from milletsill.wirehost.codec import MalformedBatch
+from milletsill.wirehost.codec import MalformedBatchError
 from milletsill.wirehost.host import serve
 
 EXIT_MALFORMED_INPUT = 2
@@ -12,7 +12,7 @@
     """Exit cleanly when input ends; one line and status 2 on malformed input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except MalformedBatch as error:
+    except MalformedBatchError as error:
         print(f"milletsill: malformed input: {error.describe()}", file=sys.stderr)
         return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
