--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -14,7 +14,7 @@
 
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.deployment_settings import NANOSECONDS_PER_TICK, config_from_settings
-from milletsill.errors import MalformedInput
+from milletsill.errors import MalformedInputError
 from milletsill.interface import (
     AttemptOutcome,
     AttemptResult,
@@ -124,7 +124,7 @@
 Value = TypeVar("Value")
 
 
-class MalformedBatch(MalformedInput):
+class MalformedBatchError(MalformedInputError):
     """Input of the simulator's wire that its page does not allow."""
 
     remedy = "bring the adapter and the simulator to versions that go together"
@@ -155,7 +155,7 @@
     """The next frame, or None where the input ends cleanly before it.
 
     Raises:
-        MalformedBatch: the frame is cut, or is not what its page says.
+        MalformedBatchError: the frame is cut, or is not what its page says.
     """
     head = stream.read(BATCH_HEADER.size)
     if not head:
@@ -163,14 +163,14 @@
     _check_size(head, BATCH_HEADER.size, "a batch header")
     number, size, count, clock = BATCH_HEADER.unpack(head)
     if size < BATCH_HEADER.size + count * RECORD_HEADER.size:
-        raise MalformedBatch(
+        raise MalformedBatchError(
             f"batch {number}: a length of {size} cannot hold {count} records"
         )
     body = stream.read(size - BATCH_HEADER.size)
     _check_size(body, size - BATCH_HEADER.size, f"batch {number}")
     events = list(decode_events(body, number))
     if len(events) != count:
-        raise MalformedBatch(
+        raise MalformedBatchError(
             f"batch {number}: {len(events)} records where the header says {count}"
         )
     return Batch(number, clock, events)
@@ -180,30 +180,30 @@
     """The records of one frame, each checked against its own length.
 
     Raises:
-        MalformedBatch: a record is unknown, cut or of a wrong length.
+        MalformedBatchError: a record is unknown, cut or of a wrong length.
     """
     at = 0
     while at < len(body):
         if len(body) - at < RECORD_HEADER.size:
-            raise MalformedBatch(
+            raise MalformedBatchError(
                 f"batch {number}: {len(body) - at} bytes left over "
                 "after the last record"
             )
         code, size = RECORD_HEADER.unpack_from(body, at)
         fixed = FIXED_PARTS.get(code)
         if fixed is None:
-            raise MalformedBatch(f"batch {number}: unknown event code {code}")
+            raise MalformedBatchError(f"batch {number}: unknown event code {code}")
         start = at + RECORD_HEADER.size
         at = start + size
         if at > len(body) or size < fixed.size:
-            raise MalformedBatch(
+            raise MalformedBatchError(
                 f"batch {number}: {event_name(code)} cannot have a length of {size}"
             )
         fields = fixed.unpack_from(body, start)
         item_size = TAIL_ITEM_SIZES.get(code, 0)
         wanted = fixed.size + (fields[-1] * item_size if item_size else 0)
         if size != wanted:
-            raise MalformedBatch(
+            raise MalformedBatchError(
                 f"batch {number}: {event_name(code)} is {size} bytes long, not {wanted}"
             )
         yield Event(code, fields, body[start + fixed.size : at])
@@ -292,22 +292,22 @@
     """The configuration of one gateway, out of the settings' text.
 
     Raises:
-        MalformedBatch: the settings are of no use.
+        MalformedBatchError: the settings are of no use.
     """
     try:
         return config_from_settings(json.loads(text))
     except ValueError as error:
-        raise MalformedBatch(f"settings: {error}") from error
+        raise MalformedBatchError(f"settings: {error}") from error
 
 
 def _decode_word(words: Mapping[int, Value], code: int, what: str) -> Value:
     """What a code stands for.
 
     Raises:
-        MalformedBatch: the code is not known.
+        MalformedBatchError: the code is not known.
     """
     if code not in words:
-        raise MalformedBatch(f"unknown {what} {code}")
+        raise MalformedBatchError(f"unknown {what} {code}")
     return words[code]
 
 
@@ -319,7 +319,9 @@
 
 def _check_size(data: bytes, size: int, what: str) -> None:
     if len(data) != size:
-        raise MalformedBatch(f"input ended inside {what}: {len(data)} of {size} bytes")
+        raise MalformedBatchError(
+            f"input ended inside {what}: {len(data)} of {size} bytes"
+        )
 
 
 def _encoder(code: ActionCode, layout: str) -> Callable[..., bytes]:
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -16,7 +16,7 @@
 )
 from milletsill.scheduler import Scheduler
 from milletsill.wirehost import codec
-from milletsill.wirehost.codec import ActionCode, Event, EventCode, MalformedBatch
+from milletsill.wirehost.codec import ActionCode, Event, EventCode, MalformedBatchError
 
 # The wire takes timers of up to 71 minutes.
 MAX_TIMER = 70 * 60 * 1_000_000_000
@@ -98,14 +98,14 @@
         ends. Probed and NoteFrom answer what the scheduler never asks for.
 
         Raises:
-            MalformedBatch: the event makes no sense here.
+            MalformedBatchError: the event makes no sense here.
         """
         if event.code == EventCode.BORN:
             self._on_born(event, now)
             return
         scheduler = self.scheduler
         if scheduler is None:
-            raise MalformedBatch(
+            raise MalformedBatchError(
                 f"{codec.event_name(event.code)} for instance {self.number}, "
                 "which was never born"
             )
@@ -144,7 +144,7 @@
         """Play one batch and give the reply frame.
 
         Raises:
-            MalformedBatch: the batch makes no sense.
+            MalformedBatchError: the batch makes no sense.
         """
         now = -(-batch.clock // NANOSECONDS_PER_TICK)
         addressed: dict[int, Instance] = {}
@@ -156,7 +156,7 @@
                 current = self._instance(event.id, batch.clock)
                 addressed[current.number] = current
             elif current is None:
-                raise MalformedBatch(
+                raise MalformedBatchError(
                     f"batch {batch.number}: {codec.event_name(event.code)} "
                     "before any Instance"
                 )
@@ -211,7 +211,7 @@
     """Answer batches until the input ends.
 
     Raises:
-        MalformedBatch: the input is not what the simulator's page says.
+        MalformedBatchError: the input is not what the simulator's page says.
     """
     host = Host(make_instance)
     while (batch := codec.read_batch(source)) is not None:
@@ -223,7 +223,7 @@
     """Run the scheduler; an exception in it goes onto the wire."""
     try:
         call()
-    except MalformedBatch:
+    except MalformedBatchError:
         raise
     except Exception as error:
         text = error_location(error)
@@ -236,5 +236,5 @@
     if kind is EndpointUpdateKind.FAILED:
         return ()
     if number not in rosters:
-        raise MalformedBatch(f"Update names list {number}, which never came")
+        raise MalformedBatchError(f"Update names list {number}, which never came")
     return rosters[number]
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -5,16 +5,16 @@
 import unittest
 
 from milletsill.errors import (
+    ConfigurationRejectedError,
+    InvalidValueError,
+    MalformedInputError,
     MilletsillError,
-    MalformedInput,
-    ConfigurationRejected,
-    InvalidValue,
-    StateNotStored,
+    StateNotStoredError,
     describe_error,
 )
 from milletsill.errors.catalog import error_types, table_row
-from milletsill.settings.flaws import Flaw, SettingsFileRejected
-from milletsill.sftp_gateway.errors import IncarnationNotStored
+from milletsill.settings.flaws import Flaw, SettingsFileRejectedError
+from milletsill.sftp_gateway.errors import IncarnationNotStoredError
 from milletsill.sftp_gateway.incarnation import next_incarnation
 from tests.support.paths import ROOT
 
@@ -82,10 +82,10 @@
 
     def test_each_of_the_four_kinds_has_types_below_it(self):
         for kind in (
-            MalformedInput,
-            ConfigurationRejected,
-            InvalidValue,
-            StateNotStored,
+            MalformedInputError,
+            ConfigurationRejectedError,
+            InvalidValueError,
+            StateNotStoredError,
         ):
             self.assertGreater(
                 len(
@@ -103,34 +103,36 @@
 
 class Said(unittest.TestCase):
     def test_a_line_carries_what_where_and_what_to_do(self):
-        one = StateNotStored("no space left", "/state/boxes.json")
+        one = StateNotStoredError("no space left", "/state/boxes.json")
         self.assertEqual(
             one.log_fields(),
             {
-                "error": "StateNotStored",
+                "error": "StateNotStoredError",
                 "what": "no space left",
                 "where": "/state/boxes.json",
-                "remedy": StateNotStored.remedy,
+                "remedy": StateNotStoredError.remedy,
             },
         )
         self.assertEqual(
             one.describe(),
-            f"/state/boxes.json: no space left ({StateNotStored.remedy})",
+            f"/state/boxes.json: no space left ({StateNotStoredError.remedy})",
         )
         self.assertEqual(
-            MalformedInput("a\nb").log_fields().keys(), {"error", "what", "remedy"}
+            MalformedInputError("a\nb").log_fields().keys(), {"error", "what", "remedy"}
         )
         self.assertEqual(
-            describe_error(MalformedInput("a\nb")), f"a b ({MalformedInput.remedy})"
+            describe_error(MalformedInputError("a\nb")),
+            f"a b ({MalformedInputError.remedy})",
         )
         self.assertEqual(describe_error(ValueError("x " * 500)), ("x " * 500)[:200])
 
     def test_a_place_is_said_once_by_who_knows_it_best(self):
         self.assertEqual(
-            str(MalformedInput("short").with_location("10.0.0.7")), "10.0.0.7: short"
+            str(MalformedInputError("short").with_location("10.0.0.7")),
+            "10.0.0.7: short",
         )
         self.assertEqual(
-            str(MalformedInput("short", "byte 7").with_location("10.0.0.7")),
+            str(MalformedInputError("short", "byte 7").with_location("10.0.0.7")),
             "byte 7: short",
         )
         self.assertEqual(str(MilletsillError("alone")), "alone")
@@ -140,18 +142,18 @@
         self.assertGreater(number, 1_000_000)
         self.assertEqual(
             (type(complaint), complaint.where),
-            (IncarnationNotStored, "/proc/none/incarnation"),
+            (IncarnationNotStoredError, "/proc/none/incarnation"),
         )
 
     def test_a_refused_file_names_each_flaw(self):
-        error = SettingsFileRejected(
+        error = SettingsFileRejectedError(
             [Flaw("g.textproto", 3, "no such plan"), Flaw("g.textproto", 0, "too long")]
         )
         self.assertEqual(
             error.log_fields()["what"],
             "g.textproto:3: no such plan; g.textproto: too long",
         )
-        self.assertIsInstance(error, ConfigurationRejected)
+        self.assertIsInstance(error, ConfigurationRejectedError)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/channels/test_channel_contracts.py
+++ b/tests/fleet/channels/test_channel_contracts.py
@@ -16,9 +16,9 @@
 )
 from milletsill.fleet.channels.effects import AnswerChannelOpen, Notify, Release
 from milletsill.fleet.channels.errors import (
-    ChannelRecordUnreadable,
-    ContractConflict,
-    ContractOutdated,
+    ChannelRecordUnreadableError,
+    ContractConflictError,
+    ContractOutdatedError,
 )
 from milletsill.fleet.channels.limits import (
     MAX_KEY_GENERATIONS,
@@ -278,13 +278,13 @@
         channel = new_channel()
         later = OrderingContract("c", 2, ChannelOrder.NEWEST, gap_timeout=GAP_TIMEOUT)
         submit(channel, 1)
-        with self.assertRaises(ContractConflict):
+        with self.assertRaises(ContractConflictError):
             channel.open(3, ChannelDeclaration(later, 1), "x", "o")
         channel.open(3, ChannelDeclaration(later, 3), "y", "o")
         take_effects(channel)
-        with self.assertRaises(ContractConflict):
+        with self.assertRaises(ContractConflictError):
             channel.open(3, ChannelDeclaration(later, 4), "y", "o")
-        with self.assertRaises(ContractConflict):
+        with self.assertRaises(ContractConflictError):
             channel.open(
                 3,
                 ChannelDeclaration(OrderingContract("c", 2, ChannelOrder.BATCHES)),
@@ -296,7 +296,7 @@
         self.assertEqual(submit(channel, 2), ["go 2"])
         self.assertEqual(end(channel, 2), ["a2 answer 2", "go 9"])
         self.assertEqual(channel.contract, later)
-        with self.assertRaises(ContractOutdated):
+        with self.assertRaises(ContractOutdatedError):
             channel.open(
                 3,
                 ChannelDeclaration(
@@ -358,7 +358,7 @@
         )  # its client may come again for as long as a hole waits
         self.assertEqual(advance(unknown, 1000 + GAP_TIMEOUT), ["go 2"])
         for torn in (b"", data[:9], b"\xff" * 40):
-            with self.assertRaises(ChannelRecordUnreadable):
+            with self.assertRaises(ChannelRecordUnreadableError):
                 codec.decode_record(torn, QUARANTINE, 0, 0)
 
 
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -7,9 +7,8 @@
 from twisted.internet import defer, reactor
 from twisted.trial.unittest import TestCase
 
-from milletsill.sftp import status_tags
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
+from milletsill.sftp import packets, status_tags
 from milletsill.sftp.extensions import CommandTerms
 from tests.support.channel_rig import ChannelClient, ChannelFleet, answer_kind
 from tests.support.sftp_gateway_rig import Rig, later
--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -5,7 +5,6 @@
 
 from twisted.internet.task import Clock
 
-from milletsill.sftp import status_tags
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.commands import (
     ChannelCommand,
@@ -17,7 +16,7 @@
     ForwarderSettings,
     PeerForwarder,
 )
-from milletsill.sftp import packets
+from milletsill.sftp import packets, status_tags
 from milletsill.sftp.extensions import CommandTerms
 
 
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -26,9 +26,9 @@
     Request,
 )
 from milletsill.lab.health_day import Day
+from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import FleetLink, GatewayFile
-from milletsill.settings.gateway_file import check_gateway
 
 
 class Advice(unittest.TestCase):
@@ -219,7 +219,7 @@
         gateways[0].on_frame("edge-1", 1, b"\xff")
         self.assertEqual(
             gateways[0].environment.warn.call_args.kwargs["error"],
-            "MalformedHealthReport",
+            "MalformedHealthReportError",
         )
         for each in gateways:
             each.stop()
--- a/tests/fleet/health/test_reports.py
+++ b/tests/fleet/health/test_reports.py
@@ -8,7 +8,7 @@
 
 from milletsill.fleet.health import codec
 from milletsill.fleet.health.report_exchange import ReportExchange
-from milletsill.fleet.health.report_store import MalformedHealthReport, ReportStore
+from milletsill.fleet.health.report_store import MalformedHealthReportError, ReportStore
 from milletsill.fleet.health.tuning import SECOND
 from tests.fleet.health.observations import observation
 
@@ -68,7 +68,7 @@
         self.assertFalse(
             store.merge(ReportStore(2, 4, 3, 9).write({1: observation()}))
         )  # an older incarnation
-        with self.assertRaises(MalformedHealthReport):
+        with self.assertRaises(MalformedHealthReportError):
             store.merge(other.write({node: observation() for node in range(9)}))
         for each in (3, 4):
             store.merge(ReportStore(each, 1, 3, 4).write({1: observation()}))
@@ -76,7 +76,7 @@
         store.expire((1, 3), 0)
         self.assertEqual(set(store.reports), {1, 3})
         for body in (b"\xff\xff", b"x" * (6 * codec.MAX_FRAME_BYTES)):
-            with self.assertRaises(MalformedHealthReport):
+            with self.assertRaises(MalformedHealthReportError):
                 codec.decode_frame(body)
 
 
--- a/tests/fleet/leases/test_acceptor_store.py
+++ b/tests/fleet/leases/test_acceptor_store.py
@@ -94,7 +94,7 @@
             {f"c{each}": record(each, b"x" * 900) for each in range(1, 60)}, 1, added=59
         )
         self.assertRaises(
-            errors.AcceptorStateUnusable, AcceptorStore.open, self.path, 7
+            errors.AcceptorStateUnusableError, AcceptorStore.open, self.path, 7
         )  # a second process
         store.close()
         data = Path(self.path).read_bytes()
@@ -102,12 +102,12 @@
         flipped[data.rindex(b"x" * 900) + 5] ^= 1
         later = data[:60] + (99).to_bytes(4, "big") + data[64:]
         for bad, error in [
-            (data[:cut], errors.AcceptorStateCorrupt)
+            (data[:cut], errors.AcceptorStateCorruptError)
             for cut in (0, 10, 4096, 9000, len(data) - 4096)
         ] + [
-            (bytes(flipped), errors.AcceptorStateCorrupt),
-            (b"no file of ours" * 500, errors.AcceptorStateCorrupt),
-            (later, errors.AcceptorStateUnusable),
+            (bytes(flipped), errors.AcceptorStateCorruptError),
+            (b"no file of ours" * 500, errors.AcceptorStateCorruptError),
+            (later, errors.AcceptorStateUnusableError),
         ]:
             Path(self.path).write_bytes(bad)
             with self.assertRaises(error) as caught:
@@ -117,7 +117,7 @@
     def test_a_full_disk_changes_nothing_and_room_mends_it(self):
         store = self.open_store(max_pages=12)
         held = 0
-        with self.assertRaises(errors.DiskFull):
+        with self.assertRaises(errors.DiskFullError):
             for number in range(100):
                 store.commit(
                     {f"c{number}": record(number + 1, b"x" * 2000)}, number, added=1
--- a/tests/fleet/leases/test_codec.py
+++ b/tests/fleet/leases/test_codec.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from milletsill.fleet.errors import MalformedFrame
+from milletsill.fleet.errors import MalformedFrameError
 from milletsill.fleet.leases import codec
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor import LeaseRecord
@@ -67,13 +67,13 @@
 
     def test_what_is_no_frame_has_its_error(self):
         for body in (b"R\xff\xff", b"R" + b"x" * (1 << 20)):
-            self.assertRaises(MalformedFrame, codec.decode_frame, body)
+            self.assertRaises(MalformedFrameError, codec.decode_frame, body)
         for call in (
             wire.Call(ask=1, channel="", round=1, nonce=1),
             wire.Call(ask=2, channel="c", round=1, nonce=1, value=b"x" * 20_000),
             wire.Call(ask=1, channel="c", round=1 << 62, nonce=1),
         ):
-            self.assertRaises(MalformedFrame, codec.decode_request, "a", call)
+            self.assertRaises(MalformedFrameError, codec.decode_request, "a", call)
         self.assertIsNone(
             codec.decode_request("a", wire.Call(ask=9, channel="c", round=1, nonce=1))
         )  # a later version's
--- a/tests/fleet/leases/test_lease_manager.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -162,7 +162,9 @@
         net.bring = lambda sender, *rest: (
             held.append((sender, *rest)) if sender == "x" else bring(sender, *rest)
         )
-        self.assertIsInstance(net.write("x", term, b"2")[0], errors.QuorumNotReached)
+        self.assertIsInstance(
+            net.write("x", term, b"2")[0], errors.QuorumNotReachedError
+        )
         net.go(6)
         net.bring = bring
         for each in [each for each in held if each[1] == "r1"]:
@@ -184,7 +186,7 @@
         self.assertEqual(net.write("x", term, b"1", b"2", b"3"), [None] * 3)
         self.assertEqual(term.value, b"3")
         refused = net.acquire("y")
-        self.assertIsInstance(refused, errors.NotLeaseHolder)
+        self.assertIsInstance(refused, errors.NotLeaseHolderError)
         self.assertEqual(refused.holder, "x")
         self.assertLessEqual(refused.retry_delay, TIMINGS.acceptor_duration())
         net.managers["x"].release(term)
@@ -192,7 +194,7 @@
         later = net.acquire("y")
         self.assertEqual(later.value, b"3")
         self.assertTrue(5_000 <= later.value_age <= 15_000)
-        self.assertIsInstance(net.write("x", term, b"4")[0], errors.LeaseNotHeld)
+        self.assertIsInstance(net.write("x", term, b"4")[0], errors.LeaseNotHeldError)
 
     def test_a_term_in_use_is_renewed_an_idle_one_ends_and_is_acquired_after_it(self):
         net = self.net()
@@ -201,7 +203,7 @@
         term.in_use = True
         net.go(6)
         self.assertTrue(net.managers["x"].holds(term))
-        self.assertIsInstance(net.acquire("y"), errors.NotLeaseHolder)
+        self.assertIsInstance(net.acquire("y"), errors.NotLeaseHolderError)
         net.cut.add("x")  # its holder is gone
         began = net.now()
         while isinstance(
@@ -212,7 +214,8 @@
         self.assertEqual(got.value, b"1")
         net.cut.clear()
         self.assertEqual(
-            [type(each) for each in net.write("x", term, b"2")], [errors.NotLeaseHolder]
+            [type(each) for each in net.write("x", term, b"2")],
+            [errors.NotLeaseHolderError],
         )
 
     def test_without_a_majority_it_is_declined_soon_with_a_time_to_come_back(self):
@@ -220,9 +223,11 @@
         term = net.acquire("x")
         net.cut |= {"r0", "r1"}
         got = net.acquire("y", "other", seconds=0.05)
-        self.assertIsInstance(got, errors.QuorumNotReached)
+        self.assertIsInstance(got, errors.QuorumNotReachedError)
         self.assertGreater(got.retry_delay, 0)
-        self.assertIsInstance(net.write("x", term, b"1")[0], errors.QuorumNotReached)
+        self.assertIsInstance(
+            net.write("x", term, b"1")[0], errors.QuorumNotReachedError
+        )
         net.cut.clear()
         net.go(3)
         again = net.acquire("y")
@@ -231,9 +236,9 @@
     def test_acceptors_come_back_with_what_they_have_without_or_with_less(self):
         for how, error in (
             ("kept", "acceptor_serving"),
-            ("torn", "AcceptorStateCorrupt"),
-            ("lost", "AcceptorStateMissing"),
-            ("older", "AcceptorStateRolledBack"),
+            ("torn", "AcceptorStateCorruptError"),
+            ("lost", "AcceptorStateMissingError"),
+            ("older", "AcceptorStateRolledBackError"),
         ):
             with self.subTest(how):
                 net = self.net()
@@ -281,10 +286,10 @@
         self.assertEqual(
             sum([net.write("x", term, b"x" * 6000) for term in terms], []), [None] * 12
         )  # the two others do
-        self.assertIn(("r0", "DiskFull"), net.events)
+        self.assertIn(("r0", "DiskFullError"), net.events)
         net.cut.add("r1")
         self.assertIsInstance(
-            net.write("x", terms[11], b"y" * 6000)[0], errors.QuorumNotReached
+            net.write("x", terms[11], b"y" * 6000)[0], errors.QuorumNotReachedError
         )
         net.managers["r0"].acceptor.store.connection.execute(
             "PRAGMA max_page_count=1000"
@@ -298,21 +303,23 @@
             term = net.acquire("x", f"c{each}")
             net.write("x", term, b"v")
         self.assertIsInstance(
-            net.acquire("x", "c3"), errors.ResourceLimitReached
+            net.acquire("x", "c3"), errors.ResourceLimitReachedError
         )  # here
         self.assertIsInstance(
-            net.acquire("y", "c3"), errors.QuorumNotReached
+            net.acquire("y", "c3"), errors.QuorumNotReachedError
         )  # at the acceptors
         self.assertIsInstance(
-            net.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReached
+            net.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReachedError
         )
         net.go(8)
         got = net.acquire("y", "c3")
         self.assertIsInstance(got, LeaseTerm)
         self.assertGreater(got.ballot.round, term.ballot.round)  # the floor
-        self.assertIsInstance(net.acquire("y", "\udc80"), errors.ResourceLimitReached)
+        self.assertIsInstance(
+            net.acquire("y", "\udc80"), errors.ResourceLimitReachedError
+        )
         net.bring("y", "x", b"Rnonsense")
-        self.assertIn(("x", "MalformedFrame"), net.events)
+        self.assertIn(("x", "MalformedFrameError"), net.events)
         heard = []
         net.managers["x"].set_on_foreign_message(lambda *what: heard.append(what))
         net.bring("y", "x", b"Cours")
@@ -327,12 +334,12 @@
         net.write("x", net.acquire("x"), b"1")
         net.stop("y")
         net.start("y", lease_duration=30_000)
-        self.assertIsInstance(net.acquire("y"), errors.QuorumNotReached)
-        self.assertIn(("r0", "LeaseSettingsMismatch"), net.events)
+        self.assertIsInstance(net.acquire("y"), errors.QuorumNotReachedError)
+        self.assertIn(("r0", "LeaseSettingsMismatchError"), net.events)
         net.stop("r0")
         net.start("r0", acceptors=("r0", "r1", "x"))
         net.go(3)
-        self.assertIn(("r0", "AcceptorSetChanged"), net.events)
+        self.assertIn(("r0", "AcceptorSetChangedError"), net.events)
         self.assertFalse(net.managers["r0"].acceptor.is_serving())
         net.stop("r0")
         Path(net.path("r0") + ".go-on").touch()
@@ -350,7 +357,7 @@
         later = identity._replace(generation=identity.generation + 5)
         acceptor.on_witness("y", later)
         self.assertFalse(acceptor.is_serving())
-        self.assertIn(("r0", "AcceptorStateRolledBack"), net.events)
+        self.assertIn(("r0", "AcceptorStateRolledBackError"), net.events)
         net.go(4)
         self.assertTrue(acceptor.is_serving())
         self.assertEqual(acceptor.identity().age, 2)
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -15,7 +15,8 @@
 from twisted.internet import reactor
 from twisted.trial.unittest import TestCase
 
-from milletsill.fleet.errors import FleetAddressUnavailable
+from milletsill.errors import ConfigurationRejectedError
+from milletsill.fleet.errors import FleetAddressUnavailableError
 from milletsill.fleet.frames.codec import MAX_BODY, FrameCodec
 from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
 from milletsill.fleet.frames.stream_framing import LENGTH_PREFIX
@@ -23,10 +24,9 @@
 from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 from milletsill.fleet.transport import MemberState, MessageKind
 from milletsill.lab.fleet_processes import Processes, free_ports
-from milletsill.errors import ConfigurationRejected
+from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import GatewayFile
-from milletsill.settings.gateway_file import check_gateway
 from milletsill.sftp_gateway.gateway import monotonic
 from tests.support.sftp_gateway_rig import later
 
@@ -65,7 +65,7 @@
         self.assertTrue(
             fleet.wait(
                 lambda: any(
-                    each.get("error") == "IncarnationLost" for each in fleet.log(3)
+                    each.get("error") == "IncarnationLostError" for each in fleet.log(3)
                 ),
                 MAX_WAIT,
             )
@@ -172,7 +172,7 @@
             one.send("p-1", MessageKind.CHANNEL, bytes(MAX_BODY)) for _ in range(9)
         ]  # nobody reads meanwhile
         self.assertTrue(taken[0] and not taken[-1])
-        with self.assertRaises(FleetAddressUnavailable):
+        with self.assertRaises(FleetAddressUnavailableError):
             self.start_service(1)
 
     async def test_foreign_octets_are_counted_and_lose_nothing(self):
@@ -196,7 +196,8 @@
                 )
             )
         self.assertLessEqual(
-            {"FleetNameMismatch", "FrameTooLong", "MalformedFrame"}, set(self.lines)
+            {"FleetNameMismatchError", "FrameTooLongError", "MalformedFrameError"},
+            set(self.lines),
         )
         self.assertEqual(len(self.services[0].view.members), 2)
 
@@ -220,7 +221,7 @@
             try:
                 parse(made, "f", GatewayFile, check_gateway)
                 found = None
-            except ConfigurationRejected as error:
+            except ConfigurationRejectedError as error:
                 found = str(error)
             self.assertEqual(found is None, why is None, (given, found))
             self.assertIn(why or "", found or "")
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -7,10 +7,10 @@
 
 from milletsill.errors import MilletsillError
 from milletsill.fleet.errors import (
-    FleetNameMismatch,
-    FrameTooLong,
-    FrameVersionTooNew,
-    MalformedFrame,
+    FleetNameMismatchError,
+    FrameTooLongError,
+    FrameVersionTooNewError,
+    MalformedFrameError,
 )
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.codec import MAGIC, MAX_FRAME, FrameCodec
@@ -66,13 +66,13 @@
             MAGIC + fleet_pb2.Frame(version=1, fleet="dock", what=1).SerializeToString()
         )
         for error, octets in (
-            (MalformedFrame, b""),
-            (MalformedFrame, b"GET / HTTP/1.1"),
-            (MalformedFrame, MAGIC + b"\xff\xff"),
-            (FrameVersionTooNew, newer),
-            (MalformedFrame, senderless),
-            (FleetNameMismatch, FrameCodec("other").encode(FRAMES[0])),
-            (FrameTooLong, bytes(MAX_FRAME + 1)),
+            (MalformedFrameError, b""),
+            (MalformedFrameError, b"GET / HTTP/1.1"),
+            (MalformedFrameError, MAGIC + b"\xff\xff"),
+            (FrameVersionTooNewError, newer),
+            (MalformedFrameError, senderless),
+            (FleetNameMismatchError, FrameCodec("other").encode(FRAMES[0])),
+            (FrameTooLongError, bytes(MAX_FRAME + 1)),
         ):
             with self.assertRaises(error) as caught:
                 codec.decode(octets)
@@ -86,9 +86,9 @@
             + list(frames.feed(add_length_prefix(data)[9:] + add_length_prefix(data))),
             [data, data],
         )
-        with self.assertRaises(FrameTooLong):
+        with self.assertRaises(FrameTooLongError):
             list(FrameDecoder().feed(LENGTH_PREFIX.pack(MAX_FRAME + 1)))
-        with self.assertRaises(FrameTooLong):
+        with self.assertRaises(FrameTooLongError):
             codec.encode(
                 FleetMessage(
                     FrameType.APPLICATION,
@@ -117,7 +117,11 @@
         for each in (octets, MAGIC + octets, bytes(data)):
             try:
                 FrameCodec("dock").decode(each)
-            except (MalformedFrame, FleetNameMismatch, FrameVersionTooNew):
+            except (
+                MalformedFrameError,
+                FleetNameMismatchError,
+                FrameVersionTooNewError,
+            ):
                 pass
 
 
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -16,7 +16,7 @@
 from milletsill.fleet.channels.record_pb2 import (
     Record as RecordOctets,
 )
-from milletsill.fleet.errors import FrameVersionTooNew, MalformedFrame
+from milletsill.fleet.errors import FrameVersionTooNewError, MalformedFrameError
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.codec import MAGIC, MAX_COUNTER, FrameCodec
 from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
@@ -142,7 +142,7 @@
         )
         self.assertEqual(read.updates, made.ROWS[1:])
         frame.least = 2
-        with self.assertRaises(FrameVersionTooNew):
+        with self.assertRaises(FrameVersionTooNewError):
             FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
 
     def test_numbers_that_could_not_be_answered_are_no_rows(self):
@@ -153,7 +153,7 @@
             (1, (1 << 64) - 1),
             (1, MAX_COUNTER),
         ):
-            with self.assertRaises(MalformedFrame):
+            with self.assertRaises(MalformedFrameError):
                 codec.decode(
                     codec.encode(
                         FleetMessage(
--- a/tests/flows/test_flow_codecs.py
+++ b/tests/flows/test_flow_codecs.py
@@ -8,7 +8,7 @@
 
 from milletsill.flows import ipfix_encoder, netflow9_encoder
 from milletsill.flows.codecs import IPFIX, NETFLOW9
-from milletsill.flows.errors import MalformedFlowMessage
+from milletsill.flows.errors import MalformedFlowMessageError
 from milletsill.flows.field_encoding import MAX_TEMPLATES, SET_HEADER, truncate_text
 from milletsill.flows.information_elements import (
     DOCUMENTATION_PEN,
@@ -225,7 +225,7 @@
             for codec in (IPFIX, NETFLOW9):
                 try:
                     codec.new_decoder(None).decode(data, 0)
-                except MalformedFlowMessage as error:
+                except MalformedFlowMessageError as error:
                     self.assertNotIn("\n", str(error))
 
     def test_a_stream_is_cut_into_messages_at_any_byte(self):
@@ -237,7 +237,7 @@
             for each in splitter.feed(data[at : at + 7])
         ]
         self.assertEqual((b"".join(found), len(found)), (data, 3))
-        with self.assertRaises(MalformedFlowMessage):
+        with self.assertRaises(MalformedFlowMessageError):
             list(IpfixMessageSplitter().feed(b"\0\x0a\0\x02"))
 
 
--- a/tests/flows/test_flows.py
+++ b/tests/flows/test_flows.py
@@ -3,7 +3,6 @@
 import unittest
 from random import Random
 
-
 from milletsill.flows.collector_states import (
     CollectorEffect,
     CollectorEvent,
--- a/tests/gateway/test_scheduler_host.py
+++ b/tests/gateway/test_scheduler_host.py
@@ -7,7 +7,7 @@
 from milletsill.gateway.scheduler_host import HostCallbacks, SchedulerHost
 from milletsill.interface import AttemptOutcome, Request
 from milletsill.sftp import packets
-from milletsill.sftp.extensions import NodeReplyStatus, NodeReply
+from milletsill.sftp.extensions import NodeReply, NodeReplyStatus
 
 
 class Module:
--- a/tests/http1/test_messages.py
+++ b/tests/http1/test_messages.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from milletsill.http1 import writer
-from milletsill.http1.errors import MalformedHttpMessage
+from milletsill.http1.errors import MalformedHttpMessageError
 from milletsill.http1.message_limits import AMBIGUOUS, MAX_CHUNKS, MessageLimits
 from milletsill.http1.message_reader import RequestReader, ResponseReader
 from milletsill.http1.response_line_reader import ResponseLineReader
@@ -34,7 +34,7 @@
 
 class Requests(unittest.TestCase):
     def refused(self, data, status):
-        with self.assertRaises(MalformedHttpMessage, msg=data[:80]) as caught:
+        with self.assertRaises(MalformedHttpMessageError, msg=data[:80]) as caught:
             read(RequestReader(MessageLimits()), data)
         self.assertEqual(caught.exception.status, status, data[:80])
 
@@ -83,7 +83,7 @@
                 read(reader, *[data[at : at + 1] for at in range(len(data))]), [], data
             )
         for data in (b"\x00", b"noise", b"HTTQ", b"GET /", b"HTTP1"):
-            with self.assertRaises(MalformedHttpMessage, msg=data):
+            with self.assertRaises(MalformedHttpMessageError, msg=data):
                 read(ResponseReader(MessageLimits()), data)
         for data in (b"", b"H", b"HTTP", b"HTTP/1.1 2"):
             self.assertEqual(
@@ -174,7 +174,7 @@
         for reader in (RequestReader(MessageLimits()), ResponseReader(MessageLimits())):
             try:
                 read(reader, *pieces)
-            except MalformedHttpMessage as error:
+            except MalformedHttpMessageError as error:
                 self.assertIn(error.status, range(400, 600))
 
 
@@ -252,7 +252,7 @@
         ):
             data = b"GET /a HTTP/1.1\r\n" + HOST + line + b"\r\n"
             for size in (1, 2, 3, 7, len(data)):
-                with self.assertRaises(MalformedHttpMessage, msg=(line, size)):
+                with self.assertRaises(MalformedHttpMessageError, msg=(line, size)):
                     read(
                         RequestReader(MessageLimits()),
                         *[data[at : at + size] for at in range(0, len(data), size)],
@@ -280,7 +280,7 @@
             b"1;" + b"x" * 9000,
             b"fffff\r\n",
         ):
-            with self.assertRaises(MalformedHttpMessage) as caught:
+            with self.assertRaises(MalformedHttpMessageError) as caught:
                 read(RequestReader(MessageLimits()), head + data)
             self.assertEqual(caught.exception.status, 413)
         self.assertEqual(
@@ -314,7 +314,7 @@
             b"HTTP/1.1 103 Hint\r\n\r\n" * 20,
             b"noise\r\n\r\n",
         ):
-            with self.assertRaises(MalformedHttpMessage, msg=data[:60]):
+            with self.assertRaises(MalformedHttpMessageError, msg=data[:60]):
                 read(ResponseReader(MessageLimits()), data)
 
     def test_an_answer_without_a_length_is_whole_only_when_its_connection_was_closed(
@@ -363,7 +363,7 @@
             [b"a"],
         )
         self.assertEqual(lines.feed(b"2\r\nc\n\r\n"), [b"bc"])
-        with self.assertRaises(MalformedHttpMessage):
+        with self.assertRaises(MalformedHttpMessageError):
             lines.feed(b"c8\r\n" + b"x" * 200)
 
 
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -19,12 +19,16 @@
     time_event,
 )
 from milletsill.http_gateway.configuration import (
-    GatewayConfigurationRejected,
+    GatewayConfigurationRejectedError,
     parse_configuration,
     read_configuration,
 )
 from milletsill.http_gateway.endpoint_watcher import EndpointWatcher, WatcherConfig
-from milletsill.http_gateway.endpoints import InvalidEndpoint, parse_node, parse_update
+from milletsill.http_gateway.endpoints import (
+    InvalidEndpointError,
+    parse_node,
+    parse_update,
+)
 from milletsill.http_gateway.json_log import JsonLog
 from milletsill.http_gateway.process_state import (
     serving_time_after_term,
@@ -32,7 +36,7 @@
 )
 from milletsill.http_gateway.recent_request_ids import MAX_IDS, RecentRequestIds
 from milletsill.http_gateway.request_parser import (
-    InvalidRequest,
+    InvalidRequestError,
     RequestParser,
     parse_load_report,
 )
@@ -194,7 +198,7 @@
             (1, 57, len(bad)),
         )
         self.assertIs(news.nodes[0].endpoint.readiness, Readiness.READY)
-        with self.assertRaises(InvalidEndpoint):
+        with self.assertRaises(InvalidEndpointError):
             parse_update({"version": -1, "servers": []}, [], 0, self.log.append)
 
 
@@ -280,7 +284,7 @@
             ),
             (True, None, 2.5, 3, 5000),
         )
-        with self.assertRaises(InvalidRequest):
+        with self.assertRaises(InvalidRequestError):
             reader.feed(ask(X_Lane="none"))
             RequestParser(deployment.config).parse(reader.next_message(), 1000, 60)
 
@@ -300,11 +304,11 @@
                 with open(path, "w") as file:
                     file.write(text)
                 with self.assertRaises(
-                    GatewayConfigurationRejected, msg=text[:50]
+                    GatewayConfigurationRejectedError, msg=text[:50]
                 ) as caught:
                     read_configuration({"NODE_CONFIG": path}, 0, list[str]().append)
                 self.assertNotIn("\n", str(caught.exception))
-            with self.assertRaises(GatewayConfigurationRejected):
+            with self.assertRaises(GatewayConfigurationRejectedError):
                 read_configuration({}, 0, print)
 
 
--- a/tests/http_gateway/test_settings_shapes.py
+++ b/tests/http_gateway/test_settings_shapes.py
@@ -11,7 +11,7 @@
 from milletsill.http_gateway.endpoints import parse_node
 from milletsill.http_gateway.gateway import HttpGateway
 from milletsill.http_gateway.request_parser import (
-    InvalidRequest,
+    InvalidRequestError,
     RequestParser,
 )
 from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
@@ -46,14 +46,14 @@
                 ).service_plan,
                 0,
             )
-        with self.assertRaises(InvalidRequest):
+        with self.assertRaises(InvalidRequestError):
             self.arrival(self.deployment(), ask(drop=("X-Plan",)))
 
     def test_bounds_that_are_not_told_bound_nothing(self):
         big = ask(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
         given = self.arrival(self.deployment(extra={"writes": [False, True]}), big)
         self.assertEqual((given.units, given.shard), (900.0, 70))
-        with self.assertRaises(InvalidRequest):
+        with self.assertRaises(InvalidRequestError):
             self.arrival(self.deployment(), big)
 
     def test_the_method_says_what_writes_where_the_settings_do_not(self):
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -8,13 +8,12 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from milletsill.sftp import packet_codec
 from milletsill.lab import audit, record
 from milletsill.lab import starved as lab_starved
 from milletsill.lab.starved import Starved
 from milletsill.settings.milletsill_pb2 import Scenario
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import NodeRequest, CommandTerms, NodeReply
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.extensions import CommandTerms, NodeReply, NodeRequest
 
 TERMS = """
 name: "x" edges: 1
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -18,7 +18,7 @@
 from milletsill.lab.run import Run, broken, report
 from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, Scenario
 from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import NodeRequest, NodeReply
+from milletsill.sftp.extensions import NodeReply, NodeRequest
 from milletsill.sftp.wire import FileAttributes
 from milletsill.trace.service_accounting import (
     CompletedOperation,
--- a/tests/node_connections/test_connection_pool.py
+++ b/tests/node_connections/test_connection_pool.py
@@ -6,7 +6,6 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from milletsill.sftp import packet_codec
 from milletsill.interface import AttemptOutcome
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import (
@@ -21,8 +20,8 @@
     time_event,
 )
 from milletsill.node_connections.pool_config import PoolConfig
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import NodeRequest, NodeReply
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.extensions import NodeReply, NodeRequest
 
 BOUNDS = PoolLimits(
     connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silence=10_000
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -5,13 +5,12 @@
 import unittest
 from unittest import mock
 
-from milletsill.sftp import packet_codec
 from milletsill.interface import AttemptOutcome, Readiness
 from milletsill.node_connections.connection_pool import NodeConnectionPool
 from milletsill.node_connections.connection_state import PoolLimits
 from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.registry.registered_node import RegisteredNode
-from milletsill.sftp import extensions, packets
+from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import NodeRequest
 from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp_gateway import node_pools
--- a/tests/planner/test_planner_protocol.py
+++ b/tests/planner/test_planner_protocol.py
@@ -10,7 +10,11 @@
 
 from milletsill.interface import QuotaKind
 from milletsill.planner import codec, epoch_store
-from milletsill.planner.codec import FrameParser, MalformedPlannerFrame, encode_frame
+from milletsill.planner.codec import (
+    FrameParser,
+    MalformedPlannerFrameError,
+    encode_frame,
+)
 from milletsill.planner.demand_estimate import DemandEstimate, share_for_rate
 from milletsill.planner.plan_pb2 import Asks, Welcome
 from milletsill.planner.planner_link import (
@@ -141,7 +145,7 @@
         path = os.path.join(self.folder, "file")
         with open(path, "w", encoding="ascii") as sink:
             sink.write("in the way")
-        with self.assertRaises(epoch_store.EpochNotStored):
+        with self.assertRaises(epoch_store.EpochNotStoredError):
             epoch_store.next_epoch(path, Random(1))
 
 
@@ -178,11 +182,11 @@
     def test_any_bytes_are_frames_or_one_line(self, data):
         try:
             list(FrameParser().feed(data))
-        except MalformedPlannerFrame as error:
+        except MalformedPlannerFrameError as error:
             self.assertNotIn("\n", str(error))
 
     def test_a_frame_that_is_too_long_is_rejected_before_it_comes(self):
-        with self.assertRaises(MalformedPlannerFrame):
+        with self.assertRaises(MalformedPlannerFrameError):
             list(FrameParser().feed((1 << 30).to_bytes(4, "big")))
 
 
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -13,7 +13,7 @@
 from milletsill.registry.endpoint_view import EndpointView, KeyChange
 from milletsill.registry.etcd_client import LineSplitter
 from milletsill.registry.registered_node import (
-    InvalidRegistryEntry,
+    InvalidRegistryEntryError,
     RegisteredNode,
     parse_registered_node,
 )
@@ -213,7 +213,7 @@
             b"[" * 100_000,
             b'{"result": {"events": [{"kv": {"key": "!"}}]}}',
         ):
-            with self.assertRaises(etcd_json.MalformedRegistryAnswer):
+            with self.assertRaises(etcd_json.MalformedRegistryAnswerError):
                 etcd_json.parse_watch_message(data, print)
 
     def test_boxes_of_all_wrong_kinds_are_refused(self):
@@ -227,13 +227,13 @@
             ("started", -1),
             ("address", 5),
         ):
-            with self.assertRaises(InvalidRegistryEntry):
+            with self.assertRaises(InvalidRegistryEntryError):
                 parse_registered_node({**VALUE, field: value})
 
     def test_a_line_without_an_end_is_bounded(self):
         lines = LineSplitter(100)
         self.assertEqual(lines.feed(b"a\nb"), [b"a"])
-        with self.assertRaises(etcd_json.MalformedRegistryAnswer):
+        with self.assertRaises(etcd_json.MalformedRegistryAnswerError):
             lines.feed(b"x" * 200)
 
 
@@ -382,11 +382,11 @@
             for bad in (data[:at], data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :]):
                 with open(self.path, "wb") as sink:
                     sink.write(bad)
-                with self.assertRaises(endpoint_cache.EndpointCacheNotStored):
+                with self.assertRaises(endpoint_cache.EndpointCacheNotStoredError):
                     endpoint_cache.read_cache(self.path)
 
     def test_a_full_disk_leaves_the_old_list_and_one_line(self):
-        with self.assertRaises(endpoint_cache.EndpointCacheNotStored) as caught:
+        with self.assertRaises(endpoint_cache.EndpointCacheNotStoredError) as caught:
             endpoint_cache.write_cache("/dev/full/x", {}, 1)
         self.assertNotIn("\n", str(caught.exception))
 
--- a/tests/scheduler/test_long_running.py
+++ b/tests/scheduler/test_long_running.py
@@ -3,14 +3,14 @@
 import gc
 import unittest
 
-from milletsill.interface import EndpointUpdateKind, AttemptOutcome, Readiness
+from milletsill.interface import AttemptOutcome, EndpointUpdateKind, Readiness
 from tests.support.scheduler_builders import (
     attempt_result,
-    request,
     endpoint,
-    storage_node,
     make_scheduler,
     queued_request,
+    request,
+    storage_node,
 )
 
 LONG = 10_000_000
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from milletsill.interface import EndpointUpdateKind, AttemptOutcome, Readiness
+from milletsill.interface import AttemptOutcome, EndpointUpdateKind, Readiness
 from milletsill.scheduler.transitions import NodeEvent
 from tests.support.scheduler_builders import attempt_result, endpoint
 from tests.support.settings_builders import (
--- a/tests/scheduler/test_rate_limiter.py
+++ b/tests/scheduler/test_rate_limiter.py
@@ -8,9 +8,9 @@
 )
 from milletsill.scheduler.token_bucket import TokenBucket
 from tests.support.scheduler_builders import (
-    storage_node,
     make_scheduler,
     queued_request,
+    storage_node,
 )
 
 
--- a/tests/scheduler/test_rules.py
+++ b/tests/scheduler/test_rules.py
@@ -4,19 +4,19 @@
 
 from milletsill.deployment_config import RetrySafety, RetryScope
 from milletsill.interface import (
-    EndpointUpdateKind,
     AttemptOutcome,
+    EndpointUpdateKind,
     Readiness,
 )
 from milletsill.scheduler.constants import NEVER
 from milletsill.scheduler.transitions import NodeHealth, RequestState, TimerToken
 from tests.support.scheduler_builders import (
     attempt_result,
-    request,
     endpoint,
-    storage_node,
     make_scheduler,
     queued_request,
+    request,
+    storage_node,
 )
 
 
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -8,10 +8,10 @@
 from milletsill.scheduler.transitions import NodeEvent, NodeHealth
 from tests.support.scheduler_builders import (
     attempt_result,
-    request,
-    storage_node,
     make_scheduler,
     queued_request,
+    request,
+    storage_node,
 )
 
 
--- a/tests/scheduler/test_settings_layouts.py
+++ b/tests/scheduler/test_settings_layouts.py
@@ -7,7 +7,7 @@
     missing_settings,
     unknown_settings,
 )
-from milletsill.interface import EndpointUpdateKind, AttemptOutcome, Readiness
+from milletsill.interface import AttemptOutcome, EndpointUpdateKind, Readiness
 from milletsill.scheduler.transitions import TimerToken
 from tests.support.scheduler_builders import attempt_result, endpoint
 from tests.support.settings_builders import (
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -3,17 +3,17 @@
 import unittest
 
 from milletsill.interface import (
-    GrantedShare,
-    EndpointUpdateKind,
     AttemptOutcome,
+    EndpointUpdateKind,
+    GrantedShare,
     QuotaKind,
 )
 from tests.support.scheduler_builders import (
     attempt_result,
     endpoint,
-    storage_node,
     make_scheduler,
     queued_request,
+    storage_node,
 )
 
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -3,10 +3,10 @@
 import unittest
 
 from milletsill.settings.field_lines import FieldLines, FieldStep
-from milletsill.settings.flaws import MAX_FLAWS, SettingsFileRejected
+from milletsill.settings.flaws import MAX_FLAWS, SettingsFileRejectedError
+from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import GatewayFile, PlannerFile, Scenario
-from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.planner_file import check_planner
 from milletsill.settings.scenario import check_scenario
 
@@ -73,7 +73,10 @@
 
     def test_each_bad_file_is_refused_with_its_line_and_reason(self):
         for old, new, line, reason in BAD:
-            with self.subTest(new), self.assertRaises(SettingsFileRejected) as caught:
+            with (
+                self.subTest(new),
+                self.assertRaises(SettingsFileRejectedError) as caught,
+            ):
                 parse(GOOD.replace(old, new), "f", GatewayFile, check_gateway)
             flaw = caught.exception.flaws[0]
             self.assertEqual(
@@ -84,7 +87,7 @@
 
     def test_roots_within_each_other_are_refused(self):
         text = GOOD + 'volume { name: "b" root: "/suva/b" plan: "basic" cell: 0 }\n'
-        with self.assertRaises(SettingsFileRejected) as caught:
+        with self.assertRaises(SettingsFileRejectedError) as caught:
             parse(text, "f", GatewayFile, check_gateway)
         self.assertEqual(
             (caught.exception.flaws[0].line, "within" in str(caught.exception)),
@@ -93,14 +96,14 @@
 
     def test_a_file_of_nonsense_gives_one_line(self):
         for text in ("{" * 5000, "\0", 'name: "', "a { " * 200):
-            with self.assertRaises(SettingsFileRejected) as caught:
+            with self.assertRaises(SettingsFileRejectedError) as caught:
                 parse(text, "f", GatewayFile, check_gateway)
             self.assertNotIn("\n", str(caught.exception))
 
     def test_a_scenario_with_a_cell_without_a_box_is_refused(self):
         inner = GOOD.replace("\n", " ")
         text = f'name: "d"\nedges: 1\nkind {{ name: "k" }}\nbox {{ kind: "k" }}\ngateway {{ {inner} }}\n'
-        with self.assertRaises(SettingsFileRejected) as caught:
+        with self.assertRaises(SettingsFileRejectedError) as caught:
             parse(text, "f", Scenario, check_scenario)
         self.assertIn("without a box", str(caught.exception))
 
@@ -110,7 +113,7 @@
             'name: "d"\nedges: 1\nkind { name: "k" }\nbox { kind: "k" count: 2 }\n'
             f"gateway {{\n{inner}}}\n"
         )
-        with self.assertRaises(SettingsFileRejected) as caught:
+        with self.assertRaises(SettingsFileRejectedError) as caught:
             parse(text, "f", Scenario, check_scenario)
         (flaw,) = caught.exception.flaws
         self.assertEqual((flaw.line, "'none'" in flaw.reason), (11, True))
@@ -125,14 +128,17 @@
             ('"s"', '"s"\nlending {\n  floor: 1\n}', 5, "not from 0.01 to 0.9"),
             ('"s"', '"s"\nmost_edges: 0', 4, "not from 1"),
         ):
-            with self.subTest(new), self.assertRaises(SettingsFileRejected) as caught:
+            with (
+                self.subTest(new),
+                self.assertRaises(SettingsFileRejectedError) as caught,
+            ):
                 parse(text.replace(old, new), "f", PlannerFile, check_planner)
             (flaw,) = caught.exception.flaws
             self.assertEqual((flaw.line, reason in flaw.reason), (line, True), flaw)
 
     def test_a_report_is_bounded(self):
         text = GOOD + 'volume { root: "/" plan: "basic" cell: 0 }\n' * 2 * MAX_FLAWS
-        with self.assertRaises(SettingsFileRejected) as caught:
+        with self.assertRaises(SettingsFileRejectedError) as caught:
             parse(text, "f", GatewayFile, check_gateway)
         self.assertEqual(len(caught.exception.flaws), MAX_FLAWS)
 
--- a/tests/sftp/test_channel_extensions.py
+++ b/tests/sftp/test_channel_extensions.py
@@ -2,20 +2,30 @@
 
 import unittest
 
-from milletsill.sftp import packet_codec
-from milletsill.sftp import status_tags
-from milletsill.sftp import tickets
-from milletsill.sftp import channel_extensions, extensions, packets
+from milletsill.sftp import (
+    channel_extensions,
+    extensions,
+    packet_codec,
+    packets,
+    status_tags,
+    tickets,
+)
 from milletsill.sftp.channel_extensions import (
-    ChannelQueryReply,
-    ChannelQuery,
-    NumberedCommand,
-    ChannelOpenReply,
     ChannelOpen,
+    ChannelOpenReply,
+    ChannelQuery,
+    ChannelQueryReply,
     ChannelResolve,
+    NumberedCommand,
 )
 from milletsill.sftp.extensions import CommandTerms
-from milletsill.sftp.wire import U32, U64, MalformedInput, encode_bytes, encode_text
+from milletsill.sftp.wire import (
+    U32,
+    U64,
+    MalformedInputError,
+    encode_bytes,
+    encode_text,
+)
 
 
 class Wire(unittest.TestCase):
@@ -94,11 +104,11 @@
             + U32.pack(0)
             + U64.pack(0),
         ):
-            with self.assertRaises(MalformedInput):
+            with self.assertRaises(MalformedInputError):
                 channel_extensions.decode_channel_request(
                     packets.Extended(1, channel_extensions.CHANNEL, body)
                 )
-        with self.assertRaises(MalformedInput):
+        with self.assertRaises(MalformedInputError):
             channel_extensions.decode_numbered(
                 packets.Extended(
                     1,
--- a/tests/sftp/test_packets.py
+++ b/tests/sftp/test_packets.py
@@ -2,11 +2,10 @@
 
 import unittest
 
-from milletsill.sftp import packet_codec
-from milletsill.sftp import extensions, packets
-from milletsill.sftp.extensions import NodeRequest, CommandTerms, NodeReply
-from milletsill.sftp.framing import BrokenPacketStream, PacketSplitter
-from milletsill.sftp.wire import FileAttributes, MalformedPacket, DirectoryEntry
+from milletsill.sftp import extensions, packet_codec, packets
+from milletsill.sftp.extensions import CommandTerms, NodeReply, NodeRequest
+from milletsill.sftp.framing import BrokenPacketStreamError, PacketSplitter
+from milletsill.sftp.wire import DirectoryEntry, FileAttributes, MalformedPacketError
 
 SAMPLES = [
     packets.Init(3),
@@ -69,19 +68,19 @@
             for end in range(len(data)):
                 try:
                     packet_codec.decode(data[:end])
-                except MalformedPacket as error:
+                except MalformedPacketError as error:
                     self.assertNotIn("\n", str(error))
 
     def test_bytes_left_over_are_malformed(self):
-        with self.assertRaises(MalformedPacket):
+        with self.assertRaises(MalformedPacketError):
             packet_codec.decode(packet_codec.encode(packets.Close(1, b"h"))[4:] + b"\0")
 
     def test_a_count_of_names_past_the_bound_is_refused_before_memory_is_taken(self):
-        with self.assertRaises(MalformedPacket):
+        with self.assertRaises(MalformedPacketError):
             packet_codec.decode(b"\x68" + b"\0\0\0\1" + b"\xff\xff\xff\xff")
 
     def test_an_unknown_kind_tells_its_id(self):
-        with self.assertRaises(packet_codec.UnknownPacket) as caught:
+        with self.assertRaises(packet_codec.UnknownPacketError) as caught:
             packet_codec.decode(b"\x63\0\0\0\7rest")
         self.assertEqual(caught.exception.id, 7)
 
@@ -114,7 +113,7 @@
 
     def test_a_command_within_a_command_within_a_command_is_refused(self):
         inner = extensions.encode_command(CommandTerms(), packets.Stat(1, "/a"))
-        with self.assertRaises(MalformedPacket):
+        with self.assertRaises(MalformedPacketError):
             extensions.decode_command(extensions.encode_command(CommandTerms(), inner))
 
 
@@ -131,7 +130,7 @@
         for length in (0xFFFFFFFF, 10_001, 0):
             deframer = PacketSplitter(10_000)
             deframer.feed(length.to_bytes(4, "big"))
-            with self.assertRaises(BrokenPacketStream):
+            with self.assertRaises(BrokenPacketStreamError):
                 deframer.next()
 
 
--- a/tests/sftp_gateway/test_client_and_node_faults.py
+++ b/tests/sftp_gateway/test_client_and_node_faults.py
@@ -4,11 +4,10 @@
 
 from twisted.trial.unittest import TestCase
 
-from milletsill.sftp import packet_codec
-from milletsill.sftp import packets
+from milletsill.sftp import packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms
-from tests.support.sftp_gateway_rig import Rig, later, pattern
 from tests.support.sftp_answers import aborted, declined
+from tests.support.sftp_gateway_rig import Rig, later, pattern
 
 
 class ClientAndNodeFaults(TestCase):
--- a/tests/sftp_gateway/test_gateway_life_cycle.py
+++ b/tests/sftp_gateway/test_gateway_life_cycle.py
@@ -5,11 +5,10 @@
 from twisted.internet import defer
 from twisted.trial.unittest import TestCase
 
-from milletsill.sftp import packet_codec
-from milletsill.sftp import extensions, packets
+from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms
-from tests.support.sftp_gateway_rig import Rig, later
 from tests.support.sftp_answers import declined
+from tests.support.sftp_gateway_rig import Rig, later
 
 
 class GatewayLifeCycle(TestCase):
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -1,22 +1,13 @@
-"""Routing, command steps, states: each test calls one function or reads one row."""
+"""Routing and the steps of a command: each test calls one function or reads one row."""
 
 import unittest
 
-from milletsill.gateway.stall_detection import (
-    earliest_arrival,
-    must_read_sockets_first,
-)
 from milletsill.sftp import packets
 from milletsill.sftp.wire import FileAttributes
-from milletsill.sftp_gateway.answer_log import AnswerLogLimiter
-from milletsill.sftp_gateway.client_state import (
-    SftpClientEffect,
-    SftpClientEvent,
-    SftpClientState,
-    flow_control_event,
-    next_client_state,
+from milletsill.sftp_gateway.command_classification import (
+    InvalidPathError,
+    canonical_path,
 )
-from milletsill.sftp_gateway.command_classification import InvalidPath, canonical_path
 from milletsill.sftp_gateway.command_steps import (
     CommandStep,
     CommandStrategy,
@@ -30,14 +21,6 @@
     step_result,
     strategy_for,
 )
-from milletsill.sftp_gateway.gateway_state import (
-    GatewayEffect,
-    GatewayEvent,
-    GatewayState,
-    client_deadline,
-    next_gateway_state,
-    refusal_reason,
-)
 from milletsill.sftp_gateway.object_location import (
     LocationCache,
     ObjectLocation,
@@ -88,7 +71,7 @@
 
     def test_a_zero_byte_or_endless_path_is_refused(self):
         for bad in ("a\0b", "a" * 5000):
-            with self.assertRaises(InvalidPath):
+            with self.assertRaises(InvalidPathError):
                 canonical_path(bad)
 
     def test_the_volume_is_that_of_the_root_above(self):
@@ -299,100 +282,3 @@
                 PageOutcome.END,
             ],
         )
-
-
-class ClientStates(unittest.TestCase):
-    def test_a_command_before_init_and_a_second_init_are_cut(self):
-        self.assertEqual(
-            next_client_state(SftpClientState.FRESH, SftpClientEvent.COMMAND),
-            (SftpClientState.CLOSED, SftpClientEffect.ABORT),
-        )
-        self.assertEqual(
-            next_client_state(SftpClientState.OPEN, SftpClientEvent.INIT),
-            (SftpClientState.CLOSED, SftpClientEffect.ABORT),
-        )
-
-    def test_a_full_connection_is_read_again_at_half(self):
-        self.assertEqual(
-            [
-                flow_control_event(SftpClientState.OPEN, 64, False, 64),
-                flow_control_event(SftpClientState.FULL, 33, False, 64),
-                flow_control_event(SftpClientState.FULL, 32, False, 64),
-                flow_control_event(SftpClientState.FULL, 0, True, 64),
-            ],
-            [SftpClientEvent.FULL, None, SftpClientEvent.ROOM, None],
-        )
-
-    def test_a_client_that_does_not_read_is_paused_then_cut(self):
-        self.assertEqual(
-            flow_control_event(SftpClientState.OPEN, 0, True, 64), SftpClientEvent.FULL
-        )
-        self.assertEqual(
-            next_client_state(SftpClientState.FULL, SftpClientEvent.STUCK),
-            (SftpClientState.CLOSED, SftpClientEffect.ABORT),
-        )
-
-    def test_nothing_follows_a_close(self):
-        for sign in SftpClientEvent:
-            self.assertEqual(
-                next_client_state(SftpClientState.CLOSED, sign),
-                (SftpClientState.CLOSED, SftpClientEffect.NONE),
-            )
-
-
-class GatewayStates(unittest.TestCase):
-    def test_term_drains_and_stops_when_empty_or_overdue_or_told_twice(self):
-        self.assertEqual(
-            next_gateway_state(GatewayState.SERVING, GatewayEvent.TERM),
-            (GatewayState.DRAINING, GatewayEffect.DRAIN),
-        )
-        for event in (GatewayEvent.EMPTY, GatewayEvent.OVERDUE, GatewayEvent.TERM):
-            self.assertEqual(
-                next_gateway_state(GatewayState.DRAINING, event),
-                (GatewayState.STOPPED, GatewayEffect.STOP),
-            )
-
-    def test_what_is_not_taken(self):
-        self.assertEqual(
-            [
-                bool(refusal_reason(*each))
-                for each in (
-                    (GatewayState.SERVING, 0, 5, 9),
-                    (GatewayState.DRAINING, 0, 5, 9),
-                    (GatewayState.SERVING, 5, 5, 9),
-                    (GatewayState.SERVING, 0, 5, 0),
-                )
-            ],
-            [False, True, True, True],
-        )
-
-    def test_the_lesser_patience_counts_less_the_margin(self):
-        self.assertEqual(
-            [client_deadline(0, 100, each, 5) for each in (0, 50, 900)], [95, 45, 95]
-        )
-
-    def test_after_a_stall_sockets_go_before_timeouts_once(self):
-        self.assertEqual(
-            [
-                must_read_sockets_first(*each)
-                for each in ((20_000, False), (20_000, True), (10, False))
-            ],
-            [True, False, False],
-        )
-
-    def test_what_is_read_after_a_stall_may_be_as_old_as_the_last_beat(self):
-        self.assertEqual(
-            [earliest_arrival(1500, 1490, 990), earliest_arrival(9000, 1490, 990)],
-            [None, 990],
-        )
-
-    def test_answers_are_logged_at_a_bounded_rate_and_the_rest_counted(self):
-        log = AnswerLogLimiter(2)
-        self.assertEqual(
-            [log.take(0), log.take(0), log.take(0), log.take(0), log.take(10_000)],
-            [0, 0, None, None, 2],
-        )
-
-
-if __name__ == "__main__":
-    unittest.main()
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -4,10 +4,9 @@
 
 import time
 
-from milletsill.sftp import status_tags
 from milletsill.settings.milletsill_pb2 import Category, ChannelKeeping, Contract, Route
 from milletsill.sftp import channel_extensions as wire
-from milletsill.sftp import packets
+from milletsill.sftp import packets, status_tags
 from milletsill.sftp.extensions import CommandTerms
 from tests.support.sftp_gateway_rig import Rig, later
 
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -11,13 +11,12 @@
 from twisted.internet import defer, protocol, reactor
 from twisted.internet.task import deferLater
 
-from milletsill.sftp import packet_codec
 from milletsill.lab.box import Box, Gates
 from milletsill.lab.files import Files
 from milletsill.lab.registry import Registry, site
 from milletsill.logs import logger
 from milletsill.settings.milletsill_pb2 import BoxKind, GatewayFile, RegistryStand
-from milletsill.sftp import extensions, packets
+from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp.wire import FileAttributes
 from milletsill.sftp_gateway.gateway import SftpGateway
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from milletsill.interface import (
+    AttemptOutcome,
     AttemptResult,
-    Request,
     EndpointUpdateKind,
-    AttemptOutcome,
+    Request,
 )
 from milletsill.scheduler import Scheduler
 from tests.support.scheduler_builders import CONFIG, endpoint
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from milletsill.trace import block_body, columns, file_format
-from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.file_format import MalformedTraceError
 from milletsill.trace.reader import FileState
 from milletsill.trace.records import BLOCK_HEADER, BY_NAME, FLOAT, KINDS, TEXT
 from milletsill.trace.repair import repair, verify
@@ -63,7 +63,7 @@
     def test_any_bytes_are_a_column_or_refused(self, data):
         try:
             columns.decode_column(data, 0)
-        except columns.MalformedColumn as error:
+        except columns.MalformedColumnError as error:
             self.assertNotIn("\n", str(error))
 
 
@@ -95,7 +95,7 @@
         header = file_format.header_size(data[: file_format.FILE_HEADER.size])
         for cut in range(len(data)):
             if cut < header:
-                with self.assertRaises(MalformedTrace):
+                with self.assertRaises(MalformedTraceError):
                     self.read(data[:cut])
                 continue
             found, known = self.read(data[:cut])
@@ -175,7 +175,7 @@
     def test_another_major_version_is_refused_in_one_line(self):
         data = bytearray(whole(rows(1))[0])
         data[8] = 2
-        with self.assertRaises(MalformedTrace) as caught:
+        with self.assertRaises(MalformedTraceError) as caught:
             self.read(bytes(data))
         self.assertIn("format 2.", str(caught.exception))
 
@@ -221,7 +221,7 @@
         at %= len(data)
         try:
             self.read(data[:at] + noise + data[at + len(noise) :])
-        except MalformedTrace as error:
+        except MalformedTraceError as error:
             self.assertNotIn("\n", str(error))
 
 
--- a/tests/trace/test_trace_merging.py
+++ b/tests/trace/test_trace_merging.py
@@ -7,7 +7,7 @@
 from milletsill.cli.main import main
 from milletsill.trace.clock_alignment import TOLERATED_OFFSET, align_clocks
 from milletsill.trace.merge import MAX_OPEN_FILES, merge_traces
-from milletsill.trace.time_argument import InvalidTime, parse_time
+from milletsill.trace.time_argument import InvalidTimeError, parse_time
 from tests.trace.trace_builders import SECOND, TraceFiles, arrival, listing
 
 
@@ -43,7 +43,7 @@
             [7, 20_500, 20_500, 900_500, 36_000_500, 500 + SECOND],
         )
         for each in ("soon", "+", "+xs", "", "+1e999h", "2026-13-01"):
-            with self.assertRaises(InvalidTime, msg=each):
+            with self.assertRaises(InvalidTimeError, msg=each):
                 parse_time(each, 0, 0)
 
 
--- a/tests/trace/test_volume_index.py
+++ b/tests/trace/test_volume_index.py
@@ -10,7 +10,7 @@
 
 from milletsill.trace import file_format
 from milletsill.trace.cut import cut_trace
-from milletsill.trace.file_format import MalformedTrace
+from milletsill.trace.file_format import MalformedTraceError
 from milletsill.trace.reader import FileState, TraceReader
 from milletsill.trace.record_filter import RecordFilter
 from milletsill.trace.records import BLOCK_HEADER
@@ -112,7 +112,7 @@
         )
         try:
             file_format.decode_volume_index(data)
-        except MalformedTrace as error:
+        except MalformedTraceError as error:
             self.assertNotIn("\n", str(error))
 
     @settings(max_examples=60, deadline=None, derandomize=True)
@@ -133,7 +133,7 @@
         try:
             found = verify(path)
             cut_trace(path, path + ".cut", RecordFilter(volume="a"))
-        except MalformedTrace as error:
+        except MalformedTraceError as error:
             self.assertNotIn("\n", str(error))
         else:
             self.assertTrue(
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -6,9 +6,9 @@
 from dataclasses import fields
 
 from milletsill import deployment_settings
-from milletsill.interface import EndpointUpdateKind, AttemptOutcome
+from milletsill.interface import AttemptOutcome, EndpointUpdateKind
 from milletsill.wirehost import codec
-from milletsill.wirehost.codec import Batch, Event, EventCode, MalformedBatch
+from milletsill.wirehost.codec import Batch, Event, EventCode, MalformedBatchError
 from milletsill.wirehost.host import Host, serve
 
 SETTINGS = json.dumps(
@@ -66,7 +66,7 @@
             frame(1, 5, event(EventCode.INSTANCE, 1), event(EventCode.RING, 1)),
             frame(1, 5, b"\x0b\xff\xff\xff\xff"),
         ):
-            with self.assertRaises(MalformedBatch):
+            with self.assertRaises(MalformedBatchError):
                 self.answered(data)
 
     def test_limits_round_so_that_none_is_passed(self):
