--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -145,7 +145,10 @@
         ).handle
 
     async def put(self, after: int = 0) -> Any:
-        """One write of 400 bytes, and its answer; `after` so many others that are told at once."""
+        """One write of 400 bytes, and its answer.
+
+        `after` so many others that are told at once.
+        """
         number = self.number + after
         write = packets.Write(0, self.handle, number % 64 * 400, b"%-400d" % number)
         if self.numbered:
@@ -294,7 +297,10 @@
 
 
 async def on_and_on(load: Load, ends: float) -> None:
-    """Writes on through declines and unsure ends; opens again as a client would that wants to know what became of a number."""
+    """Writes on through declines and unsure ends.
+
+    Opens again as a client would that wants to know what became of a number.
+    """
     while time.monotonic() < ends:
         answer = await load.put()
         found = (
--- a/benchmarks/cold_bound.py
+++ b/benchmarks/cold_bound.py
@@ -1,9 +1,12 @@
-"""What gateways that share nothing may send a cold node together: exact tails, and candidates played against each other.
+"""What gateways that share nothing may send a cold node together.
+
+Exact tails, and candidates played against each other.
 
     python -m benchmarks.cold_bound [--runs 300]
 
-Time is in windows of the rule. N is what the settings allow in one window, in transfers of mean work, at the node's start; it grows
-to five times that over 15 windows. The line is N + 2 root N + 2, N taken at the window's start. No product code runs here.
+Time is in windows of the rule. N is what the settings allow in one window, in transfers
+of mean work, at the node's start; it grows to five times that over 15 windows. The line
+is N + 2 root N + 2, N taken at the window's start. No product code runs here.
 """
 
 from __future__ import annotations
@@ -70,7 +73,10 @@
 
 
 class Play:
-    """One node's warm-up. `arrivals`: (when, gateway, weight); `births`: each gateway's starts."""
+    """One node's warm-up.
+
+    `arrivals`: (when, gateway, weight); `births`: each gateway's starts.
+    """
 
     def __init__(
         self,
@@ -147,7 +153,10 @@
         return sent
 
     def turns(self, use: float) -> list[tuple[float, float]]:
-        """Takers by number, a turn each window and a half, open for a quarter of one; held transfers wait for it."""
+        """Takers by number, a turn each window and a half, open for a quarter of one.
+
+        Held transfers wait for it.
+        """
         sent, taken = [], set()
         whens = [at for at, _, _ in self.arrivals]
         for turn in range(int(WARM / 1.5)):
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -1,4 +1,7 @@
-"""Real gateways of one fleet under faults: `python -m benchmarks.fleet_view processes`. Times are read from their own logs."""
+"""Real gateways of one fleet under faults: `python -m benchmarks.fleet_view processes`.
+
+Times are read from their own logs.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,10 @@
     since: float,
     joined: int | None = None,
 ) -> None:
-    """Seconds since an order; with `joined`, since that gateway's own first word about its fleet."""
+    """Seconds since an order.
+
+    With `joined`, since that gateway's own first word about its fleet.
+    """
     done = fleet.wait(lambda: fleet.agree(among, since), MOST)
     if joined is not None:
         since = max(
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,12 +1,15 @@
-"""How fast a fleet agrees on who is there, and what that costs: the machines of `fleet/members` on a simulated clock.
+"""How fast a fleet agrees on who is there, and what that costs.
+
+The machines of `fleet/membership` on a simulated clock.
 
     python -m benchmarks.fleet_view events   [--gateways 200 --seed 1 --only kill]    joins, kills, cuts and their healing, loss
     python -m benchmarks.fleet_view traffic  [--gateways 200 --seed 1]    packets and octets a second for each member, calm
     python -m benchmarks.fleet_view stalls   [--gateways 200 --seconds 600 --kills 10 --together]    false deaths, real kills
     python -m benchmarks.fleet_view processes [--gateways 12]             the same over real processes, see fleet_processes.py
 
-All but the last are simulated: datagrams take 0.2 to 2 ms, frames go through the codec where octets are counted. Each line says
-the seconds until nine in ten, and until all, of the live gateways hold the true view.
+All but the last are simulated: datagrams take 0.2 to 2 ms, frames go through the codec
+where octets are counted. Each line says the seconds until nine in ten, and until all,
+of the live gateways hold the true view.
 """
 
 from __future__ import annotations
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -1,8 +1,11 @@
-"""What flow export costs by itself: cache updates, records encoded and decoded a second, on one core.
+"""What flow export costs by itself.
+
+Cache updates, records encoded and decoded a second, on one core.
 
     python -m benchmarks.flows [--runs N]
 
-What it costs client work: `milletsill lab run SCENARIO --out DIR --flows off|on|away|stuck`.
+What it costs client work: `milletsill lab run SCENARIO --out DIR --flows
+off|on|away|stuck`.
 """
 
 from __future__ import annotations
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -2,8 +2,9 @@
 
     python -m benchmarks.fuzz --seconds 120 [--seed N]
 
-Bytes are flipped, cut, doubled, zeroed in pages, lengths overwritten; compressed bodies are changed and given sound checksums, so that
-what lies behind the checksums is reached too. Anything but a reading or one line of `BadTrace` is a finding and ends the run.
+Bytes are flipped, cut, doubled, zeroed in pages, lengths overwritten; compressed bodies
+are changed and given sound checksums, so that what lies behind the checksums is reached
+too. Anything but a reading or one line of `MalformedTraceError` is a finding and ends the run.
 """
 
 from __future__ import annotations
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -1,4 +1,6 @@
-"""What one edge carries on one core, what it spends it on, and what latency it adds; boxes answer at once.
+"""What one edge carries on one core, what it spends it on, and what latency it adds.
+
+Boxes answer at once.
 
     python -m benchmarks.gateway load     commands a second, several runs, and the latency added at 200 a second
     python -m benchmarks.gateway pairs    the same without and with --of flows or trace, in turns
@@ -81,7 +83,10 @@
 
 
 def direct(registry: str, rate: str, seconds: str) -> None:
-    """The same reads as dispatches straight to the boxes; prints a second and latencies."""
+    """The same reads as dispatches straight to the boxes.
+
+    Prints a second and latencies.
+    """
     import base64
     import json
     import urllib.request
@@ -158,7 +163,10 @@
 
 
 def client(port: str, connections: str, depth: str, rate: str, seconds: str) -> None:
-    """A closed loop of `depth` reads a connection, or an open one at a rate; prints commands a second and latencies."""
+    """A closed loop of `depth` reads a connection, or an open one at a rate.
+
+    Prints commands a second and latencies.
+    """
     from twisted.internet import reactor
     from twisted.internet.endpoints import TCP4ClientEndpoint
     from twisted.internet.protocol import Factory, Protocol
@@ -372,7 +380,10 @@
 
 
 def pairs(of: str, runs: int, seconds: float) -> None:
-    """Without and with, in turns; each pair's ratio, so that the machine's drift falls out."""
+    """Without and with, in turns.
+
+    Each pair's ratio, so that the machine's drift falls out.
+    """
     held: dict[bool, list[tuple[float, ...]]] = {False: [], True: []}
     for number in range(runs):
         for with_it in (False, True) if number % 2 else (True, False):
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -1,12 +1,16 @@
-"""What health that is shared is worth, simulated: paired days with the same seeds, alone, shared, and with a table of the truth.
+"""What health that is shared is worth, simulated.
+
+Paired days with the same seeds, alone, shared, and with a table of the truth.
 
     python -m benchmarks.health days [--seeds 10 --cell 2 --liars 0 --ills "slow 2,still" --ways alone,shared,truth]
     python -m benchmarks.health spread [--seeds 10 --gateways 150]
     python -m benchmarks.health cost [--gateways 150]
 
-`days` gives service (the share of the utility asked for from the fault until 4 s after its end) and the differences of pairs with
-95% intervals (Student's t). `spread` has every gateway exchange rows for real and gives the time until nine in ten agree,
-octets a second, false verdicts, liars, partitions. Two processes at most; `--out FILE` keeps each run as a line of JSON.
+`days` gives service (the share of the utility asked for from the fault until 4 s after
+its end) and the differences of pairs with 95% intervals (Student's t). `spread` has
+every gateway exchange rows for real and gives the time until nine in ten agree, octets
+a second, false verdicts, liars, partitions. Two processes at most; `--out FILE` keeps
+each run as a line of JSON.
 """
 
 from __future__ import annotations
@@ -127,7 +131,10 @@
 
 
 def cost(given: Any) -> None:
-    """One gateway's work: a second's rows of all others, in and merged, and its looks."""
+    """One gateway's work.
+
+    A second's rows of all others, in and merged, and its looks.
+    """
     from random import Random
 
     from milletsill.fleet.health import codec
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,8 +1,11 @@
-"""A soak of the decision module alone, on a clock of its own: transfers over ever new volumes, boxes that come and go.
+"""A soak of the decision module alone, on a clock of its own.
+
+Transfers over ever new volumes, boxes that come and go.
 
     python -m benchmarks.module --transfers 10000000
 
-Prints resident memory and the sizes of what the module holds as it goes. Simulated; one answer a dispatch, some lost.
+Prints resident memory and the sizes of what the module holds as it goes. Simulated; one
+answer a dispatch, some lost.
 """
 
 from __future__ import annotations
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -1,8 +1,12 @@
-"""What planning costs at full size: a round of requests of all gateways, in and out of protobuf, on one core; memory; messages a second.
+"""What planning costs at full size.
+
+A round of requests of all gateways, in and out of protobuf, on one core; memory;
+messages a second.
 
     python -m benchmarks.planner [--edges 150 --volumes 400 --boxes 44 --rounds 10]
 
-No sockets; each gateway's requests go through its own ledger, so that loans and grants are true ones.
+No sockets; each gateway's requests go through its own ledger, so that loans and grants
+are true ones.
 """
 
 from __future__ import annotations
--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -1,9 +1,14 @@
-"""What registers and offices bear: gateways in their own processes, with the fleet's plane between them and registers on disk.
+"""What registers and offices bear.
+
+Gateways in their own processes, with the fleet's plane between them and registers on
+disk.
 
     python -m benchmarks.registers [--gateways 7 --registers 3 --channels 20 --seconds 8 --value 200]
 
-Each gateway keeps so many channels and writes each one's record again as soon as the last write is at a majority. With --kill the
-last one gets SIGKILL half way, and the one before it asks for its channels all the time. Loopback; the registers' files are in a temporary folder, or in --folder, and each commit is synced there.
+Each gateway keeps so many channels and writes each one's record again as soon as the
+last write is at a majority. With --kill the last one gets SIGKILL half way, and the one
+before it asks for its channels all the time. Loopback; the registers' files are in a
+temporary folder, or in --folder, and each commit is synced there.
 """
 
 from __future__ import annotations
@@ -48,7 +53,10 @@
 
 
 def gateway(given: argparse.Namespace) -> None:
-    """One process: joins, takes its channels, writes for so long, and prints what it measured."""
+    """One process.
+
+    Joins, takes its channels, writes for so long, and prints what it measured.
+    """
     from prometheus_client import CollectorRegistry
     from twisted.internet import reactor
 
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -1,11 +1,14 @@
-"""What traces cost: an hour of a fleet on a simulated clock, and kills at chance moments.
-What they cost an edge: `python -m benchmarks.gateway pairs --of trace`.
+"""What traces cost.
+
+An hour of a fleet on a simulated clock, and kills at chance moments. What they cost an
+edge: `python -m benchmarks.gateway pairs --of trace`.
 
     python -m benchmarks.trace hour SCENARIO --out DIR [--gateways 150 --rate 580 --seconds 3600 --parts 6]
     python -m benchmarks.trace kills [--count 200 --parts 5]
 
-`hour` plays the scenario's traffic through the real modules (lab/clockwork.py), writes a trace for each gateway, then measures
-sizes against other formats, a cut of a minute and of a store, and the merge of all. Simulated: no sockets, no real time.
+`hour` plays the scenario's traffic through the real modules (lab/clockwork.py), writes
+a trace for each gateway, then measures sizes against other formats, a cut of a minute
+and of a store, and the merge of all. Simulated: no sockets, no real time.
 """
 
 from __future__ import annotations
@@ -315,7 +318,10 @@
 
 
 def killing(count: int, seed: int) -> None:
-    """One bench, its edge killed again and again at chance moments under load; each file looked through after each kill."""
+    """One bench, its edge killed again and again at chance moments under load.
+
+    Each file looked through after each kill.
+    """
     from benchmarks.gateway import Bench
 
     chance, lost, files, open_ends, records = Random(seed), 0, 0, 0, 0
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -1,4 +1,7 @@
-"""The family of errors: none without a remedy, none missing in the operators' page, none outside of the family."""
+"""The family of errors.
+
+None without a remedy, none missing in the operators' page, none outside of the family.
+"""
 
 import ast
 import re
--- a/tests/fleet/channels/test_channel_contracts.py
+++ b/tests/fleet/channels/test_channel_contracts.py
@@ -363,7 +363,10 @@
 
 
 class Model(unittest.TestCase):
-    """The program's own owner under losses, doubles, late runs, stalls and kills; sizes for a few seconds, more by the module's own command."""
+    """The program's own owner under losses, doubles, late runs, stalls and kills.
+
+    Sizes for a few seconds, more by the module's own command.
+    """
 
     def test_every_order_of_events_at_small_sizes(self):
         for case in channel_model.CASES:
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -112,7 +112,10 @@
         self.assertEqual(rig.traces(), [])
 
     async def test_a_command_that_waits_for_a_lease_is_answered_in_time(self):
-        """Acceptors that say nothing at all: a lease that is never had, and a record that is never written."""
+        """Acceptors that say nothing at all.
+
+        A lease that is never had, and a record that is never written.
+        """
         rig = ChannelFleet(self)
         edges = await rig.gateways()
         channel_client = await ChannelClient.open(rig, edges[0])
--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -22,7 +22,10 @@
 
 class UnreachableOwners(unittest.TestCase):
     def answer(self, body, reached):
-        """To a command whose owner never answers; the acceptors then say that another owns the channel."""
+        """To a command whose owner never answers.
+
+        The acceptors then say that another owns the channel.
+        """
         clock, got = Clock(), []
         forwarder = PeerForwarder(
             ForwarderSettings(3000),
@@ -74,7 +77,10 @@
 
 
 class TwoGateways:
-    """Their clocks begin apart and run at different rates; the network may hold what one of them sends."""
+    """Their clocks begin apart and run at different rates.
+
+    The network may hold what one of them sends.
+    """
 
     def __init__(self, rate=1.0):
         self.clock = Clock()
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -1,5 +1,8 @@
-"""The view over real sockets. Gateways that are processes join, one is killed, one is back with its state lost, one leaves; all end
-in one view. In this process: what the service promises those who send and subscribe, and what it does with foreign octets.
+"""The view over real sockets.
+
+Gateways that are processes join, one is killed, one is back with its state lost, one
+leaves; all end in one view. In this process: what the service promises those who send
+and subscribe, and what it does with foreign octets.
 """
 
 import signal
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -1,4 +1,7 @@
-"""Two versions at once: recorded octets of a version are read, and what a later version adds is borne."""
+"""Two versions at once.
+
+Recorded octets of a version are read, and what a later version adds is borne.
+"""
 
 import json
 import os
@@ -226,7 +229,11 @@
 
 
 class Mixed(FleetWorld):
-    """A fleet of two versions: gateways of the later one add fields to all that they say, and at times say what is not known."""
+    """A fleet of two versions.
+
+    Gateways of the later one add fields to all that they say, and at times say what is
+    not known.
+    """
 
     def __init__(self, seed):
         self.later = set()
--- a/tests/flows/test_flow_codecs.py
+++ b/tests/flows/test_flow_codecs.py
@@ -1,4 +1,7 @@
-"""IPFIX and NetFlow version 9: round trips, strictness, and what independent decoders make of them."""
+"""IPFIX and NetFlow version 9.
+
+Round trips, strictness, and what independent decoders make of them.
+"""
 
 import unittest
 import warnings
--- a/tests/gateway/test_scheduler_host.py
+++ b/tests/gateway/test_scheduler_host.py
@@ -1,4 +1,7 @@
-"""The host of the module on a clock of the test's own: what it tells the module, and when."""
+"""The host of the module on a clock of the test's own.
+
+What it tells the module, and when.
+"""
 
 import unittest
 
--- a/tests/http1/test_messages.py
+++ b/tests/http1/test_messages.py
@@ -1,4 +1,8 @@
-"""HTTP/1.1 messages: whole ones out of any split of the bytes, bounds, and what two programs could read differently."""
+"""HTTP/1.1 messages.
+
+Whole ones out of any split of the bytes, bounds, and what two programs could read
+differently.
+"""
 
 import unittest
 from types import SimpleNamespace
--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -1,4 +1,7 @@
-"""The gateway on the platform: its list of nodes, its file, its lines, what it decides."""
+"""The gateway on the platform.
+
+Its list of nodes, its file, its lines, what it decides.
+"""
 
 import io
 import json
--- a/tests/http_gateway/test_gateway_process.py
+++ b/tests/http_gateway/test_gateway_process.py
@@ -75,7 +75,10 @@
                     each.close()
 
     def test_a_whole_process_under_settings_of_another_shape(self):
-        """Two nodes a cell, no plans, no zones, no bounds, lists pushed: calm transfers to answers, then SIGTERM."""
+        """Two nodes a cell, no plans, no zones, no bounds, lists pushed.
+
+        Calm transfers to answers, then SIGTERM.
+        """
         classes = [{"name": "get", "aim_ns": 400_000_000, "idempotency": "free"}]
         settings = {
             "peers_total": 1,
--- a/tests/http_gateway/test_graceful_shutdown.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -1,5 +1,7 @@
-"""After SIGTERM: what comes on connections that stay open has one final answer before the earliest kill, whatever nodes do, and
-nothing is taken that would have none.
+"""After SIGTERM.
+
+What comes on connections that stay open has one final answer before the earliest kill,
+whatever nodes do, and nothing is taken that would have none.
 """
 
 import copy
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -1,4 +1,7 @@
-"""The gateway on the platform: door, links and many nodes, on memory transports and a clock of the test's own."""
+"""The gateway on the platform.
+
+Door, links and many nodes, on memory transports and a clock of the test's own.
+"""
 
 import gc
 import unittest
--- a/tests/http_gateway/test_race_hunt.py
+++ b/tests/http_gateway/test_race_hunt.py
@@ -1,4 +1,8 @@
-"""The hunt of crossings: a whole gateway on a simulated clock under moves that chance draws, and that a guard's loss is found."""
+"""The hunt of crossings.
+
+A whole gateway on a simulated clock under moves that chance draws, and that a guard's
+loss is found.
+"""
 
 import unittest
 
--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -1,5 +1,7 @@
-"""Clients that send what cannot be read, never end, or flood: one error or a close in time, counted by cause, and a usual client served
-beside each, on loopback sockets.
+"""Clients that send what cannot be read, never end, or flood.
+
+One error or a close in time, counted by cause, and a usual client served beside each,
+on loopback sockets.
 """
 
 import socket
@@ -144,7 +146,10 @@
     def test_the_id_of_anothers_request_is_refused_at_once_also_where_that_one_is_over(
         self,
     ):
-        """Answered, declined, or left by its client the moment before; until its client's time is over."""
+        """Answered, declined, or left by its client the moment before.
+
+        Until its client's time is over.
+        """
         for over in ("open", "answered", "declined", "left"):
             with self.subTest(over):
                 self.again()
@@ -185,7 +190,10 @@
                     late.close()
 
     def test_one_octet_at_a_time_without_an_end_is_refused_in_time(self):
-        """A head, a body told by its length, one in chunks; at once and behind a request that was answered."""
+        """A head, a body told by its length, one in chunks.
+
+        At once and behind a request that was answered.
+        """
         for begins in (
             b"GET / HTTP/1.1\r\nX: ",
             ask(Content_Length="900", **KEYED),
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -1,4 +1,7 @@
-"""Descriptors at their edge: what clients, discovery and links are owed there, on loopback sockets."""
+"""Descriptors at their edge.
+
+What clients, discovery and links are owed there, on loopback sockets.
+"""
 
 import json
 import os
@@ -63,7 +66,10 @@
     def test_hundreds_that_say_nothing_go_and_usual_clients_beside_them_are_served(
         self,
     ):
-        """One that stands, without the clock moving; and one that waits before the door behind them all."""
+        """One that stands, without the clock moving.
+
+        And one that waits before the door behind them all.
+        """
         usual = self.client(ask())
         link = self.taken()
         self.burst(300)
@@ -93,7 +99,10 @@
         )
 
     def test_who_makes_way_is_read_first(self):
-        """The share is full of clients whose requests are here; the process stood still for longer than a silent one may stay."""
+        """The share is full of clients whose requests are here.
+
+        The process stood still for longer than a silent one may stay.
+        """
         most = self.gateway.listener.max_connections
         self.burst(most, READY)
         self.until(lambda: self.gateway.listener.paused)
@@ -143,7 +152,10 @@
         self.assertIn(b" 200 ", self.got(late)[0])
 
     def descriptors(self):
-        """Those of the gateway: the reactor's own, the door, clients, and whatever else is read or written."""
+        """Those of the gateway.
+
+        The reactor's own, the door, clients, and whatever else is read or written.
+        """
         return 1 + len(
             {
                 self.gateway.port,
@@ -156,7 +168,10 @@
     def test_idle_clients_up_to_the_share_leave_a_descriptor_for_the_call_at_discoverys_return(
         self,
     ):
-        """They ask now and then, so none makes way. Each call that fails gives its descriptor back, and the next gets one."""
+        """They ask now and then, so none makes way.
+
+        Each call that fails gives its descriptor back, and the next gets one.
+        """
         for mode, within in (("on_request", 2.0), ("pushed", 0.6)):
             self.changed = Share.changed | {
                 "settings": GIVEN["settings"] | {"membership_mode": mode}
@@ -170,7 +185,9 @@
             ]
             self.turn(5)
             for each in self.gateway.listener.connections:
-                each.state = ClientState.IDLE  # as behind a transfer; one that only asked for health makes way as a silent one does
+                # as behind a transfer; one that only asked for health makes way as a
+                # silent one does
+                each.state = ClientState.IDLE
             self.burst(100)
             held = []
             for _ in range(6):
@@ -213,8 +230,10 @@
 
 
 class Spared(Loopback):
-    """The share is full; somebody waits before the door. Who rests between requests, or takes a last answer, makes way after
-    `SPARED`, not before, and has lost nothing.
+    """The share is full; somebody waits before the door.
+
+    Who rests between requests, or takes a last answer, makes way after `SPARED`, not
+    before, and has lost nothing.
     """
 
     changed = {"limits": {"sockets": 64, "memory_mb": 64}}
@@ -273,7 +292,10 @@
         self.until(lambda: b" 200 " in self.got(late)[0], "nobody made way")
 
     def test_who_asks_for_our_health_and_stays_makes_way_at_once(self):
-        """Three times as many as have room, and more behind them: a usual client is served all the same, in good time."""
+        """Three times as many as have room, and more behind them.
+
+        A usual client is served all the same, in good time.
+        """
         for asks in (READY, LIVE):
             self.again()
             crowd = [
@@ -296,7 +318,10 @@
             )
 
     def test_a_request_unread_on_what_makes_way_is_read_first(self):
-        """The process stood still for the whole span; the request came just before it was over."""
+        """The process stood still for the whole span.
+
+        The request came just before it was over.
+        """
         resting, link = self.resting(self.gateway.listener.max_connections)
         self.before_the_door()
         resting[0].sendall(ask())
--- a/tests/http_gateway/test_races_endpoint_lists.py
+++ b/tests/http_gateway/test_races_endpoint_lists.py
@@ -1,4 +1,7 @@
-"""What crosses on the way to and from discovery, over real sockets: each crossing is brought about step by step."""
+"""What crosses on the way to and from discovery, over real sockets.
+
+Each crossing is brought about step by step.
+"""
 
 import json
 import socket
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -63,7 +63,10 @@
         )
 
     def stuck(self):
-        """A client that takes nothing of its answer: one that does not fit into the system's buffers."""
+        """A client that takes nothing of its answer.
+
+        One that does not fit into the system's buffers.
+        """
         one = self.client(ask(), window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -242,7 +245,11 @@
         self.assertEqual((data.count(b"x"), self.sent_on()), (LONG, 1))
 
     def test_a_request_that_is_here_is_read_before_its_time_is_over(self):
-        """The process stood still; its timers come before what had come: an idle close, or the end of half a request."""
+        """The process stood still.
+
+        Its timers come before what had come: an idle close, or the end of half a
+        request.
+        """
         for begins, rests in (
             (READY, IDLE_TIMEOUT),
             (ask()[:60], REQUEST_TIMEOUT),
@@ -269,7 +276,10 @@
         self.over()
 
     def test_what_is_read_beyond_a_request_as_it_is_taken_waits_for_its_answer(self):
-        """The first fills one read of the socket to its last octet; the second comes with the look for the client's end."""
+        """The first fills one read of the socket to its last octet.
+
+        The second comes with the look for the client's end.
+        """
         rest = (
             65_536
             - len(
--- a/tests/http_gateway/test_races_message_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -1,4 +1,7 @@
-"""The forms that HTTP/1.1 leaves open, over loopback sockets: each message that is right is taken, in one piece and octet by octet."""
+"""The forms that HTTP/1.1 leaves open, over loopback sockets.
+
+Each message that is right is taken, in one piece and octet by octet.
+"""
 
 import json
 import socket
@@ -188,7 +191,10 @@
 
 
 class Long(Loopback):
-    """Bodies over the page's 64 KiB, which its own days bring: taken whole, within the memory that there is."""
+    """Bodies over the page's 64 KiB, which its own days bring.
+
+    Taken whole, within the memory that there is.
+    """
 
     def served(self, one, request):
         """Send it piece by piece, answer it at the node, and give what came there."""
@@ -299,7 +305,10 @@
 
 class Bounded(unittest.TestCase):
     def test_a_head_of_spaces_costs_as_little_as_any_other(self):
-        """One octet at a time each look would go over all of it: one look must not cost the square of the head's length."""
+        """One octet at a time each look would go over all of it.
+
+        One look must not cost the square of the head's length.
+        """
         steps = []
         for head in (
             b"GET / HTTP/1.1\r\nA" + b" " * 8000 + b"x",
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -1,5 +1,7 @@
-"""Answers of nodes that cannot be believed, on loopback sockets: each ends its own dispatch by one cause, its client has one answer in
-time, and neighbours at the same gateway, at the same node too, are served as ever.
+"""Answers of nodes that cannot be believed, on loopback sockets.
+
+Each ends its own dispatch by one cause, its client has one answer in time, and
+neighbours at the same gateway, at the same node too, are served as ever.
 """
 
 import socket
@@ -15,7 +17,8 @@
 LATE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
 PATIENCE = 0.9  # of the rig's requests
-# What a node says to each request, and what it does then; how each dispatch ends, and the cause by which it is counted as spoilt.
+# What a node says to each request, and what it does then; how each dispatch ends, and
+# the cause by which it is counted as spoilt.
 BAD = {
     "never ending, without a length": (
         HEAD + b"\r\n",
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -39,7 +39,10 @@
         return sock, sock.getsockname()[1]
 
     def silent(self, listener):
-        """Nothing was ever sent to a node: every connection that came ends without an octet."""
+        """Nothing was ever sent to a node.
+
+        Every connection that came ends without an octet.
+        """
         self.loop.turn(20)
         while (sock := accept(listener)) is not None:
             sock.setblocking(False)
@@ -358,7 +361,10 @@
 
 
 class Leaving(Loopback):
-    """A whole gateway whose client leaves while its dispatch waits for a link; settings allow no cancel."""
+    """A whole gateway whose client leaves while its dispatch waits for a link.
+
+    Settings allow no cancel.
+    """
 
     changed = {
         "settings": SETTINGS
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -1,5 +1,7 @@
-"""Requests that lie behind an open one on their connection: long ones, many, some that cannot be read, and clients that go while
-they lie there; on loopback sockets.
+"""Requests that lie behind an open one on their connection.
+
+Long ones, many, some that cannot be read, and clients that go while they lie there; on
+loopback sockets.
 """
 
 import socket
@@ -146,8 +148,10 @@
     def test_what_cannot_be_read_behind_a_request_is_refused_at_once_and_reaches_nobody(
         self,
     ):
-        """The clock stands: nobody waits for the open one's end. Here in time, the first is not sent on either: what lies behind
-        it may be the rest of a body that was told too short.
+        """The clock stands: nobody waits for the open one's end.
+
+        Here in time, the first is not sent on either: what lies behind it may be the
+        rest of a body that was told too short.
         """
         short = (
             ask(Content_Length="4", **KEYED)
@@ -219,7 +223,10 @@
                 )
 
     def test_what_lies_behind_an_open_one_at_the_shut_is_refused_in_its_turn(self):
-        """The open one waits beyond the earliest kill; whole ones behind it; half a one was never taken."""
+        """The open one waits beyond the earliest kill.
+
+        Whole ones behind it; half a one was never taken.
+        """
         for behind, answers in (
             (self.many(0), 1),
             (ask(TXN + 1), 2),
@@ -283,7 +290,10 @@
         )
 
     def served(self, link, number):
-        """The one request that is at the node now is answered; the next one comes behind it alone."""
+        """The one request that is at the node now is answered.
+
+        The next one comes behind it alone.
+        """
         link.sendall(answer(number))
         self.turn(10)
 
@@ -305,7 +315,10 @@
         self.assertEqual(data.count(b"HTTP/1.1 200"), 20)
 
     def test_who_sends_many_at_once_and_goes_at_any_step_has_nothing_more_begun(self):
-        """After each number of answers, with the next one at its node; and before anything was read."""
+        """After each number of answers, with the next one at its node.
+
+        And before anything was read.
+        """
         for how in ("close", "half", "reset"):
             for step in (None, 0, 1, 3, 5):
                 with self.subTest(how=how, step=step):
@@ -349,7 +362,10 @@
     def test_who_left_before_it_was_read_has_nothing_begun_however_much_lies_before_its_end(
         self,
     ):
-        """The process stood still for half a second; the end is some reads of the socket further on."""
+        """The process stood still for half a second.
+
+        The end is some reads of the socket further on.
+        """
         for how in ("close", "half", "reset"):
             for count in (1, 2, 4):
                 with self.subTest(how=how, count=count):
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -1,4 +1,7 @@
-"""A second call beside one that discovery does not answer, over real sockets: what crosses between the two."""
+"""A second call beside one that discovery does not answer, over real sockets.
+
+What crosses between the two.
+"""
 
 import socket
 import unittest
@@ -166,7 +169,8 @@
         self.until(lambda: self.follower.watch is None)
         while not self.failed():
             self.go(LOOK)
-        self.follower.request_watch()  # as the module does: the first time at once, the second time after a pause
+        # as the module does: the first time at once, the second time after a pause
+        self.follower.request_watch()
         self.reset(self.taken(there)[0])
         self.until(lambda: self.follower.watch is None)
         while self.follower.watch is None:
@@ -204,7 +208,10 @@
 
 
 class Started(Loopback):
-    """A whole gateway whose list, as it was known at the start, is out of date: its node drains by now."""
+    """A whole gateway whose list, as it was known at the start, is out of date.
+
+    Its node drains by now.
+    """
 
     BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
@@ -224,7 +231,10 @@
             yield one
 
     def waited(self, first):
-        """Seconds from when discovery could be reached to the module's knowing; the first call is met as told."""
+        """Seconds from when discovery could be reached to the module's knowing.
+
+        The first call is met as told.
+        """
         self.listener.setblocking(False)
         began, ways = self.time, [first]
         while not self.drains() and self.time < began + 10:
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -1,4 +1,7 @@
-"""The instants in which the platform gateway ends something that is still owed: each crossing forced on loopback sockets."""
+"""The instants in which the platform gateway ends something that is still owed.
+
+Each crossing forced on loopback sockets.
+"""
 
 import copy
 import json
@@ -89,7 +92,10 @@
     def test_a_request_that_crosses_the_end_tears_no_former_answer_and_is_not_sent_on(
         self,
     ):
-        """Unread at the end of our side it is refused; behind it, it is thrown away, and its client sees an end."""
+        """Unread at the end of our side it is refused.
+
+        Behind it, it is thrown away, and its client sees an end.
+        """
         for behind in (False, True):
             with self.subTest(behind=behind):
                 self.again()
@@ -220,7 +226,10 @@
         self.assertLess(self.ended[0] - 1000, DRAIN + 0.02)
 
     def test_once_shut_nothing_is_sent_on_whatever_the_clocks_say(self):
-        """As where the reactor's clock goes ahead of ours: the time to answer is not over yet."""
+        """As where the reactor's clock goes ahead of ours.
+
+        The time to answer is not over yet.
+        """
         one = self.client()
         self.leave(0.1)
         self.gateway._on_process_event(ProcessEvent.SHUT)
@@ -244,7 +253,10 @@
     """`milletsill serve` as a process, begun by a few lines of the test's own."""
 
     def run_with(self, lines, told=lambda process, folder: None, within=15):
-        """Its status and log, once it has ended by itself; `told` is called once it listens."""
+        """Its status and log, once it has ended by itself.
+
+        `told` is called once it listens.
+        """
         with (
             socket.create_server(("127.0.0.1", 0)) as one,
             socket.create_server(("127.0.0.1", 0)) as other,
--- a/tests/http_gateway/test_second_discovery_call.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -1,5 +1,7 @@
-"""A second call to discovery beside one that is not answered: how soon the list is in, and what that costs a service with many
-callers. On the clock of the test's own.
+"""A second call to discovery beside one that is not answered.
+
+How soon the list is in, and what that costs a service with many callers. On the clock
+of the test's own.
 """
 
 import unittest
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -1,6 +1,9 @@
-"""The clock of discovery, played against a stand-in of it on a clock of the test's own: a list that is missed is in the module
-within the platform's six seconds, counted from when a watch fell silent or from when discovery could be reached again, whatever
-became of the calls before that; after SIGHUP within four; where lists are pushed within the drain grace.
+"""The clock of discovery, played against a stand-in of it on a clock of the test's own.
+
+A list that is missed is in the module within the platform's six seconds, counted from
+when a watch fell silent or from when discovery could be reached again, whatever became
+of the calls before that; after SIGHUP within four; where lists are pushed within the
+drain grace.
 """
 
 import unittest
@@ -51,7 +54,8 @@
         self.assertEqual(
             (len(service.calls), wire.aborted, len(service.watches)), (1, False, 1)
         )
-        self.reactor.rightNow += 4  # the process stood still; what had come meanwhile is read after the timers
+        # the process stood still; what had come meanwhile is read after the timers
+        self.reactor.rightNow += 4
         self.gateway.watcher.check()
         protocol.dataReceived(chunk(b"\n"))
         self.play(service, 1)
--- a/tests/http_gateway/test_sites.py
+++ b/tests/http_gateway/test_sites.py
@@ -1,4 +1,7 @@
-"""Our own site variants for the bench: whole, apart from each other and from the examples, and unknown to the gateway."""
+"""Our own site variants for the bench.
+
+Whole, apart from each other and from the examples, and unknown to the gateway.
+"""
 
 import ast
 import json
--- a/tests/scheduler/test_long_running.py
+++ b/tests/scheduler/test_long_running.py
@@ -1,4 +1,7 @@
-"""What a gateway that runs for months must not keep: each test builds its state and calls one function."""
+"""What a gateway that runs for months must not keep.
+
+Each test builds its state and calls one function.
+"""
 
 import gc
 import unittest
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -14,7 +14,10 @@
 
 
 class Choice(unittest.TestCase):
-    """Several nodes in a shard: which one, before the queues of that one decide when."""
+    """Several nodes in a shard.
+
+    Which one, before the queues of that one decide when.
+    """
 
     def shard(self, *lines, now=0, **parts):
         scheduler, effects = make_scheduler(**parts)
--- a/tests/scheduler/test_rules.py
+++ b/tests/scheduler/test_rules.py
@@ -1,4 +1,7 @@
-"""The other rules, and their parts: each test builds the state it needs and calls one function."""
+"""The other rules, and their parts.
+
+Each test builds the state it needs and calls one function.
+"""
 
 import unittest
 
@@ -51,7 +54,8 @@
     ):
         scheduler, effects = make_scheduler()
         at = storage_node(scheduler)
-        at.backoff_until = 4000  # behind its target, and the node is crowded: nothing can be in time there
+        # behind its target, and the node is crowded: nothing can be in time there
+        at.backoff_until = 4000
         at.failures = 1
         scheduler.on_request(0, request(1))
         scheduler.dispatch_pending(0)
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -21,7 +21,8 @@
     """What a node that warms up is sent."""
 
     def test_a_cold_node_gets_this_gateways_part_and_more_as_it_warms(self):
-        # All together bear twenty units in a window, by its age a window ago; half of that is this gateway's.
+        # All together bear twenty units in a window, by its age a window ago; half of
+        # that is this gateway's.
         for now, units, lawful in (
             (0, 10.0, True),
             (0, 11.0, False),
@@ -41,7 +42,8 @@
             )
 
     def test_where_a_cold_part_is_below_a_usual_request_each_is_drawn_for_once(self):
-        # All together bear ten of mean work in a window: a hundredth of 0.25 of that for each window since the shard's last.
+        # All together bear ten of mean work in a window: a hundredth of 0.25 of that
+        # for each window since the shard's last.
         for gap, units, age, odds in (
             (10_002, 2.0, 0, 0.025),
             (5_001, 2.0, 0, 0.0125),
@@ -53,7 +55,8 @@
             self.check_odds(odds, gap, units, age)
 
     def test_a_small_cold_budget_is_drawn_for_with_lower_odds(self):
-        # One of mean work: its line is 5, and 5 over e to the 1 + 12 / 5 may be drawn in a window.
+        # One of mean work: its line is 5, and 5 over e to the 1 + 12 / 5 may be drawn
+        # in a window.
         self.check_odds(0.0016687, 10_002, 2.0, 0, slow_start_units=2.0)
         self.check_odds(0.0016687 / 29.964, 10_002, 4.0, 0, slow_start_units=2.0)
 
--- a/tests/scheduler/test_slow_start_across_fleet.py
+++ b/tests/scheduler/test_slow_start_across_fleet.py
@@ -1,4 +1,7 @@
-"""Many schedulers in front of one node that has just come up: what they send it together (rule 4). Simulated time, no bench."""
+"""Many schedulers in front of one node that has just come up.
+
+What they send it together (rule 4). Simulated time, no bench.
+"""
 
 import unittest
 
@@ -31,7 +34,8 @@
         )
 
     def test_two_hundred_gateways_and_little_traffic(self):
-        # Less than the 0.15 that N + 3 root N + 3 left room for: at N from 1 to 5.5 a draw may have 0.17 to 0.25 N, not 0.4.
+        # Less than the 0.15 that N + 3 root N + 3 left room for: at N from 1 to 5.5 a
+        # draw may have 0.17 to 0.25 N, not 0.4.
         self.check(
             200,
             40.0,
@@ -110,7 +114,10 @@
             )
 
     def test_parts_that_pass_a_usual_request_while_the_node_warms(self):
-        """Draws at first, whole parts later: both sides of that switch and the windows over it."""
+        """Draws at first, whole parts later.
+
+        Both sides of that switch and the windows over it.
+        """
         overrides = {
             "slow_start_multiple": 2.5,
             "slow_start_initial_fraction": 0.18,
--- a/tests/sftp_gateway/test_gateway_life_cycle.py
+++ b/tests/sftp_gateway/test_gateway_life_cycle.py
@@ -115,7 +115,8 @@
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         door = next(iter(gateway.clients))
-        gateway.stall_watch.check_call.cancel()  # it stands between a beat and the read, 0.6 s long
+        # it stands between a beat and the read, 0.6 s long
+        gateway.stall_watch.check_call.cancel()
         stood = gateway.stall_watch.last_check = gateway.now() - 6000
         self.assertEqual(door.arrival_time(), stood)
         gateway.stall_watch.check()
--- a/tests/sftp_gateway/test_states.py
+++ b/tests/sftp_gateway/test_states.py
@@ -1,4 +1,7 @@
-"""States of clients and of the gateway: each test reads one row or calls one function."""
+"""States of clients and of the gateway.
+
+Each test reads one row or calls one function.
+"""
 
 import unittest
 
--- a/tests/support/discovery_connections.py
+++ b/tests/support/discovery_connections.py
@@ -1,5 +1,7 @@
-"""Discovery's end of each connection in the test's hand, over loopback sockets: what the tests of crossings there share. The test
-runs the reactor by hand and sets the clock on itself, so a busy machine changes nothing.
+"""Discovery's end of each connection in the test's hand, over loopback sockets.
+
+What the tests of crossings there share. The test runs the reactor by hand and sets the
+clock on itself, so a busy machine changes nothing.
 """
 
 import json
@@ -17,7 +19,9 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BEAT = b"1\r\n\n\r\n"
 LOOK = 1_000  # tenths of a millisecond between looks
-PATIENT = 30.0  # seconds of real time in which a step that the sockets owe has to come; none is waited for beyond its coming
+# seconds of real time in which a step that the sockets owe has to come; none is waited
+# for beyond its coming
+PATIENT = 30.0
 
 
 def said(version, whole=False, **changed):
--- a/tests/support/discovery_rig.py
+++ b/tests/support/discovery_rig.py
@@ -1,4 +1,7 @@
-"""A stand-in of discovery on a clock of the test's own, and gateways that call it: what the tests of discovery's clock share."""
+"""A stand-in of discovery on a clock of the test's own, and gateways that call it.
+
+What the tests of discovery's clock share.
+"""
 
 import json
 from random import Random
@@ -15,7 +18,9 @@
     6.0,
     4.0,
 )  # seconds: the platform counts what a silent watch missed, and what came after SIGHUP, as told by then
-GRACE = 1.0  # after that, to the last dispatch to a draining node; where lists are pushed, what the agent has counts at once
+# after that, to the last dispatch to a draining node; where lists are pushed, what the
+# agent has counts at once
+GRACE = 1.0
 BEAT, STEP, MANY = 2.0, 0.05, 100
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
@@ -51,9 +56,12 @@
 
 
 class Service:
-    """Discovery as the platform's page has it: a watch's first line when something changed, a beat every two seconds. With
-    `takes`, calls are handled in turn, each in so many seconds, and one that would wait for over `bears` seconds gets a 503,
-    at once or after so long. Up to `back`, calls end as `bad` says.
+    """Discovery as the platform's page has it.
+
+    A watch's first line when something changed, a beat every two seconds. With `takes`,
+    calls are handled in turn, each in so many seconds, and one that would wait for over
+    `bears` seconds gets a 503, at once or after so long. Up to `back`, calls end as
+    `bad` says.
     """
 
     def __init__(self, reactor, ways=(), takes=0.0, bears=1.0, patient=True):
@@ -108,7 +116,10 @@
         return "503" if wait > self.bears else self.ways.pop(0) if self.ways else "good"
 
     def taken(self, way, wait, factory, timeout):
-        """A connection is up at once, or never; the call on it waits for its turn, also if it was given up by then."""
+        """A connection is up at once, or never.
+
+        The call on it waits for its turn, also if it was given up by then.
+        """
         if way in ("refused", "not up"):
             after = timeout if way == "not up" else 0
             return self.reactor.callLater(
@@ -177,7 +188,10 @@
     """Calls fail in one way up to a moment, from which on discovery has the change and can be reached."""
 
     def begin(self, draw, mode="on_request", patience=5):
-        """A process that starts, served worst or best by chance. Of lists that are pushed the settings say no time to ask in."""
+        """A process that starts, served worst or best by chance.
+
+        Of lists that are pushed the settings say no time to ask in.
+        """
         self.setUp()
         self.gateway.stop()
         rules = {
@@ -240,7 +254,10 @@
         return self.owed(service)
 
     def sighup(self, way, draw, length, beats):
-        """At the new address; the old watch goes on to say that nothing changed, or says nothing."""
+        """At the new address.
+
+        The old watch goes on to say that nothing changed, or says nothing.
+        """
         service = self.begin(draw)
         self.gateway.start()
         self.play(service, 6)
--- a/tests/support/http_gateway_rig.py
+++ b/tests/support/http_gateway_rig.py
@@ -1,4 +1,7 @@
-"""What the platform gateway's tests share: its file, requests, connections in memory, a stand-in node."""
+"""What the platform gateway's tests share.
+
+Its file, requests, connections in memory, a stand-in node.
+"""
 
 import select
 import socket
@@ -243,9 +246,11 @@
 
 
 class Loopback(unittest.TestCase):
-    """A gateway on real loopback sockets, in the test's own hand: its reactor turns only when the test says so, and its clock
-    moves only by `to` and `pass_time`. So what is unread in the system at a certain step is the test's choice, however busy the
-    machine.
+    """A gateway on real loopback sockets, in the test's own hand.
+
+    Its reactor turns only when the test says so, and its clock moves only by `to` and
+    `pass_time`. So what is unread in the system at a certain step is the test's choice,
+    however busy the machine.
     """
 
     changed = {}
@@ -384,7 +389,10 @@
         return link[0]
 
     def got(self, one, octets=1 << 20):
-        """What has come to a client: its octets, and how its connection stands: open, ended or reset."""
+        """What has come to a client.
+
+        Its octets, and how its connection stands: open, ended or reset.
+        """
         data = b""
         while True:
             try:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,7 @@
-"""Real sockets on the loopback, turned by hand: the test says when the reactor looks, so that what is to cross does cross."""
+"""Real sockets on the loopback, turned by hand.
+
+The test says when the reactor looks, so that what is to cross does cross.
+"""
 
 import socket
 import time
@@ -18,7 +21,10 @@
 
 
 class Loop:
-    """A reactor of the test's own. `until` turns it until something holds; `turn` once."""
+    """A reactor of the test's own.
+
+    `until` turns it until something holds; `turn` once.
+    """
 
     def __init__(self):
         self.reactor = EPollReactor()
--- a/tests/support/race_actors.py
+++ b/tests/support/race_actors.py
@@ -1,4 +1,7 @@
-"""Who a gateway meets in a hunt of crossings: clients, storage nodes and discovery, each doing what a move of the hunt says."""
+"""Who a gateway meets in a hunt of crossings.
+
+Clients, storage nodes and discovery, each doing what a move of the hunt says.
+"""
 
 import json
 from functools import partial
@@ -39,8 +42,10 @@
 
 
 class Client(Agent):
-    """One connection of a client's. `plan`: requests as (request, octets, pieces, pause before), whether they go at once, how
-    and when it leaves, and what it takes.
+    """One connection of a client's.
+
+    `plan`: requests as (request, octets, pieces, pause before), whether they go at
+    once, how and when it leaves, and what it takes.
     """
 
     def __init__(self, world, watch, plan):
@@ -256,7 +261,10 @@
         self.world.cue("answered")
 
     def second(self, sent, data):
-        """Late, but before anything of another request has come: what crosses within a round trip cannot be told apart."""
+        """Late, but before anything of another request has come.
+
+        What crosses within a round trip cannot be told apart.
+        """
         if self.sock.sent == sent and not self.world.looked:
             self.write(data)
 
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -1,4 +1,7 @@
-"""Guards of the gateway taken out one at a time: what the hunt of crossings has to find."""
+"""Guards of the gateway taken out one at a time.
+
+What the hunt of crossings has to find.
+"""
 
 from contextlib import contextmanager
 from unittest.mock import patch
--- a/tests/support/race_observer.py
+++ b/tests/support/race_observer.py
@@ -1,6 +1,9 @@
-"""What a hunt of crossings sees: only what crosses the transports, read by a small parser of its own.
+"""What a hunt of crossings sees.
 
-Times are the world's microseconds. Every breach is one line, by the name of what was to hold.
+Only what crosses the transports, read by a small parser of its own.
+
+Times are the world's microseconds. Every breach is one line, by the name of what was to
+hold.
 """
 
 SECOND, MS = 1_000_000, 1_000
@@ -13,7 +16,10 @@
 
 
 def parts_of(data):
-    """One message off the front: its first line, fields, body, and the rest; None where it is not whole."""
+    """One message off the front.
+
+    Its first line, fields, body, and the rest; None where it is not whole.
+    """
     head, mark, rest = data.partition(b"\r\n\r\n")
     if not mark:
         return None
@@ -91,8 +97,11 @@
     # Spans.
 
     def unseen(self, at, looks=1):
-        """Whether the gateway could not know by now what happened then: so many looks at its sockets ago. A process that stood
-        between two turns is to look before it begins anything; one that stood behind a look goes on with what it was doing.
+        """Whether the gateway could not know by now what happened then.
+
+        So many looks at its sockets ago. A process that stood between two turns is to
+        look before it begins anything; one that stood behind a look goes on with what
+        it was doing.
         """
         polls = self.world.polls
         where = self.world.stalls[-1] if self.world.stalls else (0, 0, "")
--- a/tests/support/race_scenarios.py
+++ b/tests/support/race_scenarios.py
@@ -1,6 +1,9 @@
-"""The hunt of crossings as a game: settings and moves drawn by a seed, played on a whole gateway, and what broke first.
+"""The hunt of crossings as a game.
 
-A move stands for itself: it brings its own stream of chance, so leaving others out leaves it as it was.
+Settings and moves drawn by a seed, played on a whole gateway, and what broke first.
+
+A move stands for itself: it brings its own stream of chance, so leaving others out
+leaves it as it was.
 """
 
 import copy
--- a/tests/support/race_sites.py
+++ b/tests/support/race_sites.py
@@ -1,4 +1,7 @@
-"""Settings of the sites in deploy/sites for the hunt of crossings: another customer's categories, effects, spans and limits."""
+"""Settings of the sites in deploy/sites for the hunt of crossings.
+
+Another customer's categories, effects, spans and limits.
+"""
 
 import copy
 import tomllib
--- a/tests/support/race_transports.py
+++ b/tests/support/race_transports.py
@@ -1,7 +1,10 @@
-"""Twisted's own transports on sockets and a clock of the test's own: what a hunt of crossings plays on.
+"""Twisted's own transports on sockets and a clock of the test's own.
 
-`Reactor` is Twisted's epoll reactor, its poller, sockets and clock put into `World`. So the order of timers, reads and writes
-within a turn, half-closes, aborts and producers are Twisted's. All that chance decides is drawn from the world's one stream.
+What a hunt of crossings plays on.
+
+`Reactor` is Twisted's epoll reactor, its poller, sockets and clock put into `World`. So
+the order of timers, reads and writes within a turn, half-closes, aborts and producers
+are Twisted's. All that chance decides is drawn from the world's one stream.
 """
 
 import errno
@@ -18,8 +21,10 @@
 
 
 class Sock:
-    """The gateway's end of one connection, and the system's part of it. `agent` is the other end: `heard(data)` and
-    `ended(reset)` reach it a little later, unless it takes nothing.
+    """The gateway's end of one connection, and the system's part of it.
+
+    `agent` is the other end: `heard(data)` and `ended(reset)` reach it a little later,
+    unless it takes nothing.
     """
 
     def __init__(self, world, agent=None, window=1 << 20):
@@ -38,7 +43,8 @@
         )
         self.told_end = self.taking = False
         self.accepted_at = 0
-        self.begun = []  # what the watch hears with the first octet that is written next: (offset, call)
+        # what the watch hears with the first octet that is written next: (offset, call)
+        self.begun = []
 
     # The gateway's side, as a socket has it.
 
@@ -280,7 +286,10 @@
         self._poller = Poller(world)
 
     def seconds(self):
-        """Never the same twice, as of a real clock: calls for the next turn keep their order."""
+        """Never the same twice, as of a real clock.
+
+        Calls for the next turn keep their order.
+        """
         self.asked += 1
         return self.world.time / SECOND + self.asked * 1e-10
 
@@ -362,7 +371,10 @@
     # The gateway's turns.
 
     def stall(self, where, span):
-        """The next time the process is there; not right behind another, which would be one long one in two places."""
+        """The next time the process is there.
+
+        Not right behind another, which would be one long one in two places.
+        """
         if not self.stalling and (
             not self.stalls or self.time - self.stalls[-1][1] > RUNS
         ):
--- a/tests/support/scheduler_builders.py
+++ b/tests/support/scheduler_builders.py
@@ -1,4 +1,7 @@
-"""What the tests share: configurations, effects that are kept, and short ways to build state."""
+"""What the tests share.
+
+Configurations, effects that are kept, and short ways to build state.
+"""
 
 from __future__ import annotations
 
--- a/tests/support/settings_builders.py
+++ b/tests/support/settings_builders.py
@@ -9,7 +9,10 @@
 
 
 def settings(**parts):
-    """The first message of a small layout; each part is laid over the base's, None takes it away."""
+    """The first message of a small layout.
+
+    Each part is laid over the base's, None takes it away.
+    """
     base = {
         "peers_total": 4,
         "self_index": 0,
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -46,11 +46,15 @@
 
 
 class Fleet:
-    """`even`: one share of the traffic for each gateway; else a tenth of them have nine tenths. `surge`: so many times the
-    traffic in the middle third; `retries`: how often a client comes again, at another gateway, when it was declined. `quick`:
-    so many times what is promised the node does; `way`: the longest way of an attempt to it; `late`: the share of gateways
-    whose connection to it comes up late; `told`: the span in which all are told of its start; `largest`: of the requests;
-    `others`: warm nodes beside it, where new objects, the share `new`, may go; `at_once`: all restart in one second.
+    """`even`: one share of the traffic for each gateway.
+
+    Else a tenth of them have nine tenths. `surge`: so many times the traffic in the
+    middle third; `retries`: how often a client comes again, at another gateway, when it
+    was declined. `quick`: so many times what is promised the node does; `way`: the
+    longest way of an attempt to it; `late`: the share of gateways whose connection to
+    it comes up late; `told`: the span in which all are told of its start; `largest`: of
+    the requests; `others`: warm nodes beside it, where new objects, the share `new`,
+    may go; `at_once`: all restart in one second.
     """
 
     def __init__(
@@ -181,7 +185,10 @@
         )
 
     def reached(self, gateway, request_id, number, sent, timeout):
-        """The node works off what comes at what the settings promise of it; one answer in ten is lost."""
+        """The node works off what comes at what the settings promise of it.
+
+        One answer in ten is lost.
+        """
         age, config = self.now - STARTS, self.config
         self.sent.append((self.now, self.units[request_id]))
         rate = (
@@ -255,8 +262,10 @@
         return self
 
     def most(self):
-        """The most that came in one window, in parts of what fells a node: more than N + 2 root N + 2 requests of mean work, N
-        being what the settings let all together send at the window's start. A small one counts as a mean one.
+        """The most that came in one window, in parts of what fells a node.
+
+        More than N + 2 root N + 2 requests of mean work, N being what the settings let
+        all together send at the window's start. A small one counts as a mean one.
         """
         window, sent, most, mean = deque(), 0.0, 0.0, self.config.mean_request_units
         for at, units in self.sent:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,7 @@
-"""How the house hangs together: no circle of imports, arrows one way, the decisions within their bounds."""
+"""How the house hangs together.
+
+No circle of imports, arrows one way, the decisions within their bounds.
+"""
 
 import ast
 import subprocess
@@ -12,10 +15,11 @@
 
 PROGRAMS = {"sftp_gateway", "http_gateway", "planner"}
 ABOVE = {"cli", "lab", "__main__"}
-# The one program that uses a part of another: the SFTP gateway loads the planner's client
-# where its file has the block.
+# The one program that uses a part of another: the SFTP gateway loads the planner's
+# client where its file has the block.
 BETWEEN = {("sftp_gateway", "planner")}
-# Over 400 lines once the formatter has been over them, to be split by concern; none is to join them.
+# Over 400 lines once the formatter has been over them, to be split by concern; none is
+# to join them.
 TO_BE_SPLIT: set[str] = {
     "milletsill/lab/audit_contracts.py",
     "milletsill/lab/channels.py",
@@ -44,7 +48,10 @@
 
 
 def imports(source: str, known: dict[str, Path]) -> set[str]:
-    """Modules of the product that a text imports anywhere: at its top, in functions, for types alone."""
+    """Modules of the product that a text imports anywhere.
+
+    At its top, in functions, for types alone.
+    """
     found = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -1,4 +1,7 @@
-"""What is on the wire and on disk stays to the octet: recorded octets are read, and the same values give the same octets."""
+"""What is on the wire and on disk stays to the octet.
+
+Recorded octets are read, and the same values give the same octets.
+"""
 
 import json
 import os
--- a/tests/trace/test_gateway_trace.py
+++ b/tests/trace/test_gateway_trace.py
@@ -1,4 +1,7 @@
-"""The trace of a gateway: all events and effects of the scheduler stand in it, in order, and can be played again."""
+"""The trace of a gateway.
+
+All events and effects of the scheduler stand in it, in order, and can be played again.
+"""
 
 import glob
 import json
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -1,4 +1,7 @@
-"""Reading traces: round trips, every cut of a small file, flipped bits, hostile files."""
+"""Reading traces.
+
+Round trips, every cut of a small file, flipped bits, hostile files.
+"""
 
 import os
 import unittest
