--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -49,12 +49,12 @@
         sys.exit(hunt(values))
     if what == "edges":
         from milletsill.lab.baselines import MODULES
-        from milletsill.lab.plants import PLANTS
+        from milletsill.lab.planted_faults import PLANTED_FAULTS
         from milletsill.scheduler import Scheduler
         from milletsill.sftp_gateway.process import run
 
-        if values[0] in PLANTS:
-            PLANTS[values[0]]()
+        if values[0] in PLANTED_FAULTS:
+            PLANTED_FAULTS[values[0]]()
         files = [load(each, GatewayFile, check_gateway) for each in values[1:]]
         sys.exit(run(files, values[1:], MODULES.get(values[0], Scheduler)))
     if what == "wire":
--- a/tests/lab/test_planted_faults.py
+++ b/tests/lab/test_planted_faults.py
@@ -27,7 +27,7 @@
 )
 from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.fleet.channels.owned_channel import OwnedChannel
-from milletsill.lab.plants import LINGER, LINGERS, PLANTS
+from milletsill.lab.planted_faults import LINGER_RULES, MAX_LINGER, PLANTED_FAULTS
 from milletsill.sftp import packets
 from milletsill.sftp.extensions import CommandTerms
 
@@ -99,18 +99,18 @@
                 OwnedChannel, "on_attempt_ended", OwnedChannel.on_attempt_ended
             ),
         ):
-            PLANTS[plant]()
+            PLANTED_FAULTS[plant]()
             surroundings = Surroundings(order)
             for number in range(1, 7):
                 surroundings.send(number, order)
                 surroundings.clock.advance(0.1)
             for _ in range(100):
-                surroundings.clock.advance(LINGERS / 10)
+                surroundings.clock.advance(MAX_LINGER / 10)
             return surroundings.effects
 
     def crossed(self, effects, order):
         """Pairs in which one took effect before another that its contract orders before it."""
-        follows = LINGER[order.name][1]
+        follows = LINGER_RULES[order.name].follows
         made = {
             number: SimpleNamespace(
                 ranges=(AccessRange(1, number % 2, number % 2),),
