--- a/milletsill/settings/field_lines.py
+++ b/milletsill/settings/field_lines.py
@@ -48,7 +48,7 @@
         self._tokens = _LineTokenizer(text.split("\n"))
         self._read_message((), 0)
 
-    def describe_error(self, path: FieldPath) -> int:
+    def line_of(self, path: FieldPath) -> int:
         """Return the line of a field, or of the nearest message around it.
 
         Returns 0 where neither is written in the file.
--- a/milletsill/settings/flaws.py
+++ b/milletsill/settings/flaws.py
@@ -56,7 +56,7 @@
     def add(self, path: FieldPath, reason: str) -> None:
         """Add a flaw of the field at `path`; the empty path is the whole file."""
         if len(self.flaws) < MAX_FLAWS:
-            self.flaws.append(Flaw(self.file, self.lines.describe_error(path), reason))
+            self.flaws.append(Flaw(self.file, self.lines.line_of(path), reason))
 
     def root(self) -> MessageReport:
         """Return the report on the message that is the whole file."""
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -157,7 +157,7 @@
             ((FieldStep("plan"),), 0),
             ((), 0),
         ):
-            self.assertEqual(lines.describe_error(path), line, path)
+            self.assertEqual(lines.line_of(path), line, path)
 
 
 if __name__ == "__main__":
