--- a/milletsill/lab/fleet_clock.py
+++ b/milletsill/lab/fleet_clock.py
@@ -177,7 +177,7 @@
         )
         self.now, self.events, self.numbers = (
             0,
-            list[tuple[int, int, Callable[..., None], tuple[Any, ...]]](),
+            list[tuple[int, int, Callable[..., object], tuple[Any, ...]]](),
             0,
         )
         self.stands: dict[str, Stand] = {}
@@ -191,7 +191,7 @@
         ] = []  # deaths of members that live: when, at whom, of whom
         self.frames = 0
 
-    def at(self, when: int, call: Callable[..., None], *values: Any) -> None:
+    def at(self, when: int, call: Callable[..., object], *values: Any) -> None:
         self.numbers += 1
         heapq.heappush(self.events, (when, self.numbers, call, values))
 
--- a/milletsill/lab/hunt/__init__.py
+++ b/milletsill/lab/hunt/__init__.py
@@ -1,1 +1,5 @@
-"""Faults drawn by seed, checks that are on all the time, and runs that fail made small enough to read."""
+"""Search for faults on a simulated clock.
+
+Faults are drawn by a seed, checks are always on, and a run that fails is made small
+enough to read.
+"""
--- a/milletsill/lab/hunt/command.py
+++ b/milletsill/lab/hunt/command.py
@@ -1,40 +1,106 @@
-"""`python -m milletsill.lab hunt list|fleet`: seeds are played, failures come out small; exit status 1 where there was one.
-
-`again`: a whole fleet killed and started at once, with figures. `scale`: what a gateway
-of a large fleet costs. With `--without` one guard is out (`all`: each in turn),
-and status 1 means that a guard's loss was not found.
-"""
+"""The command line of searches: `python -m milletsill.lab hunt`."""
 
 from __future__ import annotations
 
 import argparse
 import time
-from collections.abc import Callable, Sequence
-from typing import Any
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+
+from milletsill.lab.hunt.fault_search import FaultSimulation, search_seeds
+from milletsill.lab.hunt.fleet_guards import GuardRemoval
+
+SEEDS_PER_LINE = 50
+ALL_GUARDS = "all"
+DESCRIPTION = (
+    "`python -m milletsill.lab hunt list|fleet`: seeds are played, failures come out "
+    "small; exit status 1 where there was one.\n"
+    "\n"
+    "`again`: a whole fleet killed and started at once, with figures. `scale`: what a "
+    "gateway\n"
+    "of a large fleet costs. With `--without` one guard is out (`all`: each in turn),\n"
+    "and status 1 means that a guard's loss was not found.\n"
+)
+
+
+@dataclass(frozen=True, slots=True)
+class SearchSubject:
+    """What is searched, and the guards that can be taken out of it."""
+
+    simulation: FaultSimulation
+    guard_removals: Mapping[str, GuardRemoval]
 
-from milletsill.lab.hunt.decide import Game, hunt
 
-TOLD = 50  # seeds between lines
+def load_subject(
+    what: str, sizes: Sequence[int], with_clock_jumps: bool
+) -> SearchSubject:
+    """Load the code that is searched, and no other."""
+    if what == "list":
+        from milletsill.lab.hunt import endpoint_list_guards
+        from milletsill.lab.hunt.endpoint_list_faults import EndpointListFaults
 
+        return SearchSubject(EndpointListFaults(), endpoint_list_guards.GUARD_REMOVALS)
+    from milletsill.lab.hunt import fleet_guards
+    from milletsill.lab.hunt.fleet_fault_search import FleetFaultSearch
 
-def games(given: Any) -> tuple[Game, dict[str, Callable[[], Any]]]:
-    """What is hunted, and the guards of it."""
-    if given.what == "list":
-        from milletsill.lab.hunt.list_world import MUTANTS, ListGame
+    return SearchSubject(
+        FleetFaultSearch(sizes, with_clock_jumps), fleet_guards.GUARD_REMOVALS
+    )
+
+
+def search_and_report(
+    simulation: FaultSimulation, seeds: Sequence[int], max_failures: int
+) -> int:
+    """Play seeds and print what fails; return 1 where something did, else 0."""
+    began = time.process_time()
+    played_count = 0
+    failure_count = 0
+    for start in range(0, len(seeds), SEEDS_PER_LINE):
+        played, failing = search_seeds(
+            simulation,
+            seeds[start : start + SEEDS_PER_LINE],
+            max_failures - failure_count,
+        )
+        played_count += played
+        failure_count += len(failing)
+        print(
+            f"{played_count} seeds, {failure_count} failed, "
+            f"{time.process_time() - began:.0f} s of CPU",
+            flush=True,
+        )
+        for failure in failing:
+            print(failure.describe(), flush=True)
+        if failure_count >= max_failures:
+            break
+    return int(failure_count > 0)
 
-        return ListGame(), MUTANTS
-    from milletsill.lab.hunt.fleet_world import FleetGame
-    from milletsill.lab.hunt.guards import MUTANTS as GUARDS
 
-    return FleetGame(
-        [int(each) for each in given.gateways.split(",")], jumps=given.jumps
-    ), GUARDS
+def search_without_guards(
+    subject: SearchSubject, seeds: Sequence[int], guard_name: str
+) -> int:
+    """Search without each guard that is named; return 1 where one was not missed."""
+    missed_all = True
+    for name, remove_guard in subject.guard_removals.items():
+        if guard_name != ALL_GUARDS and guard_name not in name:
+            continue
+        with remove_guard():
+            played, failing = search_seeds(subject.simulation, seeds, 1)
+        result = f"NOT FOUND within {played}"
+        if failing:
+            result = f"found by seed {played} of them"
+        else:
+            missed_all = False
+        print(f"without {name}: {result}", flush=True)
+        for failure in failing:
+            print(failure.describe(), flush=True)
+    return int(not missed_all)
 
 
-def main(values: Sequence[str]) -> int:
+def parse_arguments(arguments: Sequence[str]) -> argparse.Namespace:
+    """Read the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m milletsill.lab hunt",
-        description=__doc__,
+        description=DESCRIPTION,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("what", choices=("list", "fleet", "again", "scale"))
@@ -50,49 +116,23 @@
     parser.add_argument(
         "--without", default="", help="a guard, by a part of its name, or `all`"
     )
-    given = parser.parse_args(values)
+    return parser.parse_args(arguments)
+
+
+def main(arguments: Sequence[str]) -> int:
+    """Run the command and return its exit status."""
+    given = parse_arguments(arguments)
+    sizes = [int(size) for size in given.gateways.split(",")]
+    seeds = range(given.first, given.first + given.seeds)
     if given.what == "again":
-        from milletsill.lab.hunt.again import report
+        from milletsill.lab.hunt.fleet_restart import report_restarts
 
-        return report(
-            [int(each) for each in given.gateways.split(",")], given.first, given.seeds
-        )
+        return report_restarts(sizes, seeds)
     if given.what == "scale":
-        from milletsill.lab.hunt.scale import report as scale
-
-        return scale([int(each) for each in given.gateways.split(",")])
-    game, guards = games(given)
-    seeds, began = range(given.first, given.first + given.seeds), time.process_time()
-    if not given.without:
-        played, failed = 0, 0
-        for at in range(0, len(seeds), TOLD):
-            count, found = hunt(game, seeds[at : at + TOLD], given.most - failed)
-            played, failed = played + count, failed + len(found)
-            print(
-                f"{played} seeds, {failed} failed, {time.process_time() - began:.0f} s of CPU",
-                flush=True,
-            )
-            for each in found:
-                print(each.page(), flush=True)
-            if failed >= given.most:
-                break
-        return int(failed > 0)
-    unfound = 0
-    for name, out in guards.items():
-        if given.without != "all" and given.without not in name:
-            continue
-        with out():
-            played, found = hunt(game, seeds, 1)
-        unfound += not found
-        print(
-            f"without {name}: "
-            + (
-                f"found by seed {played} of them"
-                if found
-                else f"NOT FOUND within {played}"
-            ),
-            flush=True,
-        )
-        for each in found:
-            print(each.page(), flush=True)
-    return int(unfound > 0)
+        from milletsill.lab.hunt.fleet_cost import report_costs
+
+        return report_costs(sizes)
+    subject = load_subject(given.what, sizes, given.jumps)
+    if given.without:
+        return search_without_guards(subject, seeds, given.without)
+    return search_and_report(subject.simulation, seeds, given.most)
--- /dev/null
+++ b/milletsill/lab/hunt/fleet_gateway.py
@@ -0,0 +1,369 @@
+"""One gateway of a simulated fleet.
+
+Membership, shared health and leases are the product's own, on a simulated clock. The
+sockets, the acceptor's thread and its file's folder are simulated.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Collection, Mapping, Sequence
+from dataclasses import dataclass
+from random import Random
+from typing import Any, Protocol, TypeVar
+
+from prometheus_client import CollectorRegistry
+
+from milletsill.errors import MilletsillError
+from milletsill.fleet.health.report_store import NodeObservation
+from milletsill.fleet.health.shared_health import (
+    HealthConfig,
+    HealthEnvironment,
+    SharedHealth,
+)
+from milletsill.fleet.leases.acceptor_service import AcceptorService
+from milletsill.fleet.leases.blocking_worker import run_guarded
+from milletsill.fleet.leases.errors import CoordinationError
+from milletsill.fleet.leases.lease_manager import LeaseManager
+from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
+from milletsill.fleet.leases.lease_term import LeaseTerm
+from milletsill.fleet.leases.timings import LeaseTimings
+from milletsill.lab.fleet_clock import SECOND, FleetClock, Stand
+from milletsill.lab.hunt.simulated_disk import SimulatedDisk
+from milletsill.lab.hunt.simulated_health import (
+    AdviceRecorder,
+    SimulatedObserver,
+    evaluate_nothing,
+    ignore_log,
+)
+
+T = TypeVar("T")
+
+PUBLISH_INTERVAL = 5000  # ticks of 0.1 ms
+REPORT_LIFETIME = 60 * SECOND
+MAX_CALLED_SHARE = 0.34
+MAX_GATEWAYS = 4096
+MAX_NODES = 64
+LEASE_TIMINGS = LeaseTimings(2 * SECOND, 3000, 5)
+MAX_LEASES = 64
+NEVER_IDLE = 1 << 50
+RIVAL_COUNT = 9  # gateways that at times take a channel that another should hold
+RIVAL_CHANCE = 0.05
+RELEASE_CHANCE = 0.05
+CHANNEL_NAMES = tuple(f"channel-{number}" for number in range(4))
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetShape:
+    """How many of what a simulated fleet has.
+
+    Attributes:
+        gateways: members; the first of them are acceptors, users and evaluators.
+        acceptors: of leases; 0 for a fleet without leases.
+        channel_users: gateways that write channels.
+        evaluators: gateways that judge nodes; 0 for a fleet without shared health.
+        nodes: storage nodes.
+    """
+
+    gateways: int
+    acceptors: int = 3
+    channel_users: int = 9
+    evaluators: int = 3
+    nodes: int = 10
+
+
+class GatewaySurroundings(Protocol):
+    """What a simulated gateway asks of the fleet around it, and tells it."""
+
+    shape: FleetShape
+
+    @property
+    def acceptor_names(self) -> Sequence[str]:
+        """Names of the gateways that are acceptors."""
+
+    @property
+    def node_shards(self) -> Mapping[int, int]:
+        """The shard of each storage node."""
+
+    def place_of(self, name: str) -> int:
+        """Return a gateway's number."""
+
+    def clock_offset(self, gateway: FleetGateway) -> int:
+        """Return by how many ticks the gateway's clock is ahead of true time."""
+
+    def disk_of(self, gateway: FleetGateway) -> SimulatedDisk:
+        """Return the gateway's disk."""
+
+    def nodes_in_use(self, gateway: FleetGateway) -> Collection[int]:
+        """Return the nodes that the gateway sends to."""
+
+    def sees_trouble(self, gateway: FleetGateway) -> bool:
+        """Return whether the gateway sees a node fail or slow."""
+
+    def observe(self, gateway: FleetGateway) -> dict[int, NodeObservation]:
+        """Return what the gateway saw lately."""
+
+    def draw_write(self, base: int) -> int:
+        """Return the number of a new write that is made over another."""
+
+    def on_lease_acquired(
+        self, gateway: FleetGateway, channel: str, write: int
+    ) -> None:
+        """Check a gateway that has a lease and read a write from it."""
+
+    def on_write_acknowledged(
+        self, gateway: FleetGateway, channel: str, write: int
+    ) -> None:
+        """Check a write that a majority holds."""
+
+
+class DelayedJobWorker:
+    """In the place of the acceptor's thread.
+
+    A job is done on the disk at once, and its result is told when the disk is through
+    with it: a gateway killed in between has written and told nobody.
+    """
+
+    def __init__(self, gateway: FleetGateway) -> None:
+        self.gateway = gateway
+        self.is_stopped = False
+
+    def run(
+        self, job: Callable[[], T], on_result: Callable[[T | MilletsillError], None]
+    ) -> None:
+        """Run a job; `on_result` is called once, but not after `stop`."""
+        if self.is_stopped:
+            return
+        result = run_guarded(job)
+
+        def deliver() -> None:
+            if not self.is_stopped:
+                on_result(result)
+
+        self.gateway.callLater(self.gateway.disk.latency / SECOND, deliver)
+
+    def stop(self) -> None:
+        """Deliver no more results."""
+        self.is_stopped = True
+
+
+class GatewayTimer:
+    """A call that is due at a simulated gateway."""
+
+    def __init__(self, action: Callable[[], None]) -> None:
+        self.action: Callable[[], None] | None = action
+
+    def active(self) -> bool:
+        """Return whether it has neither been made nor cancelled."""
+        return self.action is not None
+
+    def cancel(self) -> None:
+        """Do not make it."""
+        self.action = None
+
+
+class GatewayView:
+    """What one gateway sees of the nodes; an `ObservationSource`."""
+
+    def __init__(
+        self, surroundings: GatewaySurroundings, gateway: FleetGateway
+    ) -> None:
+        self.surroundings = surroundings
+        self.gateway = gateway
+
+    def nodes_in_use(self) -> Collection[int]:
+        """Return the nodes that it sends to."""
+        return self.surroundings.nodes_in_use(self.gateway)
+
+    def sees_trouble(self) -> bool:
+        """Return whether it sees a node fail or slow."""
+        return self.surroundings.sees_trouble(self.gateway)
+
+    def observe(self) -> dict[int, NodeObservation]:
+        """Return what it saw lately."""
+        return self.surroundings.observe(self.gateway)
+
+
+class FleetGateway(Stand):
+    """A member with shared health, leases and a user of channels.
+
+    Its timers wait while it stands still, and end when it is killed.
+
+    Attributes:
+        place: its number in the fleet.
+        own_random: what it draws by itself.
+        terms: the latest term of each channel.
+        pending_writes: the write under way, by channel.
+    """
+
+    shared_health: SharedHealth
+    leases: LeaseManager
+
+    def __init__(
+        self,
+        clock: FleetClock,
+        surroundings: GatewaySurroundings,
+        name: str,
+        incarnation: int,
+        seeds: Sequence[str],
+    ) -> None:
+        super().__init__(clock, name, incarnation, seeds)
+        self.surroundings = surroundings
+        self.place = surroundings.place_of(name)
+        self.disk = surroundings.disk_of(self)
+        self.own_random = Random(self.chance.getrandbits(64))
+        self.terms: dict[str, LeaseTerm] = {}
+        self.pending_writes: dict[str, int] = {}
+        self.advice = AdviceRecorder()
+        if surroundings.shape.evaluators:
+            self._start_health()
+        if surroundings.shape.acceptors:
+            self._start_leases()
+
+    def _start_health(self) -> None:
+        config = HealthConfig(
+            PUBLISH_INTERVAL,
+            REPORT_LIFETIME,
+            MAX_CALLED_SHARE,
+            MAX_GATEWAYS,
+            MAX_NODES,
+            (),
+        )
+        environment = HealthEnvironment(
+            self,
+            lambda: self.clock.now,
+            self,
+            self.advice,
+            ignore_log,
+            ignore_log,
+            CollectorRegistry(),
+        )
+        health = SharedHealth(config, environment, self.own_random.getrandbits(64))
+        view = GatewayView(self.surroundings, self)
+        health.observer = SimulatedObserver(view)  # type: ignore[assignment]
+        health.shards = dict(self.surroundings.node_shards)
+        if self.place >= self.surroundings.shape.evaluators:
+            health.evaluate = evaluate_nothing  # type: ignore[method-assign]
+        self.shared_health = health
+        delay = self.own_random.random() * PUBLISH_INTERVAL / SECOND
+        self.callLater(delay, health.start)
+
+    def _start_leases(self) -> None:
+        settings = LeaseSettings(
+            acceptors=tuple(self.surroundings.acceptor_names),
+            timings=LEASE_TIMINGS,
+            max_leases=MAX_LEASES,
+            idle_after=NEVER_IDLE,
+            store_path=f"/{self.name}",
+            seed=self.own_random.getrandbits(64),
+        )
+        environment = LeaseEnvironment(
+            self, self.own_now, self, ignore_log, CollectorRegistry()
+        )
+        self.leases = LeaseManager(settings, environment, DelayedJobWorker(self))
+        if self.place < self.surroundings.shape.channel_users:
+            self.callLater(self.own_random.random(), self._use_channels)
+
+    # The reactor.
+
+    def own_now(self) -> int:
+        """Return the time by this gateway's own clock, in ticks."""
+        return self.clock.now + self.surroundings.clock_offset(self)
+
+    def callLater(  # noqa: N802 - Twisted's name
+        self, delay: float, call: Callable[..., object], /, *args: Any
+    ) -> GatewayTimer:
+        """Call after `delay` seconds of true time."""
+        timer = GatewayTimer(lambda: _call(call, args))
+        self.clock.at(self.clock.now + int(delay * SECOND), self._fire, timer)
+        return timer
+
+    def _fire(self, timer: GatewayTimer) -> None:
+        if not self.up or timer.action is None:
+            return
+        if self.clock.now < self.stands_until:
+            self.clock.at(self.stands_until, self._fire, timer)
+            return
+        action = timer.action
+        timer.action = None
+        action()
+
+    # Channels.
+
+    def _use_channels(self) -> None:
+        self.callLater(0.2 + 0.6 * self.own_random.random(), self._use_channels)
+        for channel in CHANNEL_NAMES:
+            if self.own_random.random() < 0.5:
+                self._use_channel(channel)
+
+    def _use_channel(self, channel: str) -> None:
+        """Write where this gateway holds the lease, else acquire it.
+
+        It does so as the preferred holder or, at times, as a rival.
+        """
+        term = self.terms.get(channel)
+        if term is not None and self.leases.holds(term):
+            if channel not in self.pending_writes:
+                self._write(channel, term)
+            return
+        is_preferred = self.leases.preferred_holder(channel) == self.name
+        if is_preferred or (
+            self.place < RIVAL_COUNT and self.own_random.random() < RIVAL_CHANCE
+        ):
+            self.leases.acquire(
+                channel, lambda result: self._on_acquired(channel, result)
+            )
+
+    def _write(self, channel: str, term: LeaseTerm) -> None:
+        write = self.surroundings.draw_write(decode_write(term))
+        self.pending_writes[channel] = write
+        term.in_use = True
+        self.leases.write(
+            term,
+            write.to_bytes(8, "big"),
+            lambda error: self._on_written(channel, term, write, error),
+        )
+        if self.own_random.random() < RELEASE_CHANCE:
+            self.leases.release(term)
+
+    def _on_acquired(self, channel: str, result: LeaseTerm | CoordinationError) -> None:
+        if not isinstance(result, LeaseTerm):
+            return
+        self.terms[channel] = result
+        if self.leases.holds(result):
+            self.surroundings.on_lease_acquired(self, channel, decode_write(result))
+
+    def _on_written(
+        self,
+        channel: str,
+        term: LeaseTerm,
+        write: int,
+        error: CoordinationError | None,
+    ) -> None:
+        self.pending_writes.pop(channel, None)
+        term.in_use = False
+        if error is None:
+            self.surroundings.on_write_acknowledged(self, channel, write)
+
+    def holds(self, channel: str) -> bool:
+        """Return whether this gateway takes itself for the holder of a channel."""
+        term = self.terms.get(channel)
+        return term is not None and self.leases.holds(term)
+
+    def acceptor(self) -> AcceptorService | None:
+        """Return its acceptor, if it is one."""
+        if self.name in self.surroundings.acceptor_names:
+            return self.leases.acceptor
+        return None
+
+    def avoids(self, node: int) -> bool:
+        """Return whether advice keeps it away from a node."""
+        return self.advice.avoids(node, self.clock.now)
+
+
+def _call(call: Callable[..., object], args: tuple[Any, ...]) -> None:
+    call(*args)
+
+
+def decode_write(term: LeaseTerm) -> int:
+    """Return the number of the write that a lease's record holds; 0 for none."""
+    return int.from_bytes(term.value or b"\0", "big")
--- a/milletsill/lab/hunt/guards.py
+++ b/milletsill/lab/hunt/fleet_guards.py
@@ -1,10 +1,11 @@
-"""Guards of the fleet that hunts must find missing, one out at a time."""
+"""Guards of the fleet, each of which a search must find missing."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Collection, Mapping
+from contextlib import AbstractContextManager
 from functools import partial
-from typing import Any
+from typing import Any, TypeVar
 from unittest import mock
 
 from milletsill.fleet.health import verdict_table
@@ -22,31 +23,34 @@
 from milletsill.fleet.transport import MemberState
 from milletsill.lab.model_checks import lease_mutation_checks
 
+K = TypeVar("K")
+V = TypeVar("V")
+GuardRemoval = Callable[[], AbstractContextManager[Any]]
 
-def table(held: Any, without: Any = (), **more: Any) -> Callable[[], Any]:
-    """Some rows of a table out."""
-    left = {key: value for key, value in held.items() if key not in without}
-    return lambda: mock.patch.dict(held, left, clear=True)
 
+def without_rows(table: Mapping[K, V], removed: Collection[K]) -> GuardRemoval:
+    """Return what takes some rows out of a table for a time."""
+    left = {key: value for key, value in table.items() if key not in removed}
+    return lambda: mock.patch.dict(table, left, clear=True)
 
-def _believed(held: Any) -> dict[Any, Any]:
-    return {
-        (MemberState.ALIVE, MemberState.GONE, order): UpdateRule(
-            MemberState.GONE, UpdateAction.GONE
-        )
-        for order in (UpdateOrder.SAME, UpdateOrder.NEWER)
-    }
 
+# Who is said to be gone is believed to be, without being asked.
+BELIEVED_GONE = {
+    (MemberState.ALIVE, MemberState.GONE, order): UpdateRule(
+        MemberState.GONE, UpdateAction.GONE
+    )
+    for order in (UpdateOrder.SAME, UpdateOrder.NEWER)
+}
 
-MUTANTS: dict[str, Callable[[], Any]] = {
-    "members: a suspicion is refuted": table(
+GUARD_REMOVALS: dict[str, GuardRemoval] = {
+    "members: a suspicion is refuted": without_rows(
         name_claims.NAME_CLAIM_RULES, [(LocalStatus.ACTIVE, NameClaim.ACCUSATION)]
     ),
     "members: one that stood still doubts itself": lambda: mock.patch.object(
         Membership, "on_stall", lambda self, now, stalled_for: None
     ),
     "members: who is said to be gone is asked": lambda: mock.patch.dict(
-        update_rules.UPDATE_RULES, _believed(update_rules.UPDATE_RULES)
+        update_rules.UPDATE_RULES, BELIEVED_GONE
     ),
     "members: those gone are asked now and then": lambda: mock.patch.object(
         anti_entropy, "ABSENT_TARGET_ODDS", 1 << 60
@@ -54,7 +58,7 @@
     "members: others probe for me": lambda: mock.patch.object(
         FailureDetector, "probe_indirectly", lambda self, probe: None
     ),
-    "health: a box that all may try is well again": table(
+    "health: a box that all may try is well again": without_rows(
         verdict_table.TRANSITIONS,
         [
             (HealthVerdict.DEGRADED, HealthFinding.RESTORED),
@@ -65,7 +69,7 @@
         ReportStore, "delta_since", lambda self, origin, known: None
     ),
     **{
-        f"leases: {each}": partial(lease_mutation_checks.without_guard, each)
-        for each in lease_mutation_checks.MUTATIONS
+        f"leases: {guard}": partial(lease_mutation_checks.without_guard, guard)
+        for guard in lease_mutation_checks.MUTATIONS
     },
 }
--- /dev/null
+++ b/milletsill/lab/hunt/fleet_restart.py
@@ -0,0 +1,152 @@
+"""A whole fleet killed and started again at once: how long until channels go on.
+
+    python -m milletsill.lab hunt again --gateways 12,50,200 --seeds 20
+
+On the simulated clock. With lost disks, one gateway in three comes back without its
+incarnation; of the acceptors at most one without its file, which is all that is
+promised.
+"""
+
+from __future__ import annotations
+
+import resource
+import time
+from collections.abc import Sequence
+from random import Random
+
+import numpy
+
+from milletsill.lab.fleet_clock import SECOND
+from milletsill.lab.hunt.fleet_faults import STATE_KEPT, STATE_LOST, FleetFaults
+from milletsill.lab.hunt.fleet_gateway import CHANNEL_NAMES, FleetGateway, FleetShape
+from milletsill.lab.hunt.fleet_simulation import FleetSimulation
+from milletsill.lab.hunt.simulated_disk import simulated_leases
+
+# Times are ticks of 0.1 ms.
+KILLED_AT = 20 * SECOND
+MAX_RECOVERY = 90 * SECOND
+CALM = 20 * SECOND
+LOST_SHARE = 1 / 3
+VIEW_SHARES = {"views of nine in ten": 0.9, "all views": 1.0}
+
+
+class FleetRestart(FleetSimulation):
+    """A fleet, and how long its views and channels took after the restart.
+
+    Attributes:
+        started_at: when all gateways were up again at the latest.
+        first_writes: ticks from then to the first acknowledged write, by channel.
+        found: seconds from then to each thing that is measured, by its name.
+    """
+
+    def __init__(self, seed: int, gateways: int) -> None:
+        shape = FleetShape(gateways=gateways, channel_users=gateways, evaluators=0)
+        super().__init__(seed, shape)
+        self.started_at: int | None = None
+        self.first_writes: dict[str, int] = {}
+        self.found: dict[str, float] = {}
+
+    def on_write_acknowledged(
+        self, gateway: FleetGateway, channel: str, write: int
+    ) -> None:
+        """Check the write, and keep when a channel's first came."""
+        super().on_write_acknowledged(gateway, channel, write)
+        if self.started_at is not None:
+            self.first_writes.setdefault(channel, self.now - self.started_at)
+
+    def measure(self, loses_disks: bool) -> dict[str, float]:
+        """Return how many seconds after the start each thing was there again.
+
+        Raises:
+            AssertionError: a promise was broken, or the fleet did not recover.
+        """
+        self.run(KILLED_AT)
+        if self.right() != 1.0:
+            raise AssertionError("the fleet was not whole before")
+        self._kill_all(loses_disks)
+        self.started_at = self.now + SECOND
+        self.run(self.started_at + MAX_RECOVERY, self._has_recovered)
+        first_writes = self.first_writes.values()
+        for name, pick in (("first channel", min), ("all channels", max)):
+            self.found[name] = pick(first_writes, default=MAX_RECOVERY) / SECOND
+        self.run(self.now + CALM)
+        if self.failure:
+            raise AssertionError(self.failure)
+        if len(self.first_writes) < len(CHANNEL_NAMES) or "all views" not in self.found:
+            raise AssertionError(
+                f"not whole again within {MAX_RECOVERY / SECOND:.0f} s: {self.found}"
+            )
+        return self.found
+
+    def _kill_all(self, loses_disks: bool) -> None:
+        faults = FleetFaults(self, ends_at=None)
+        random = Random(self.chance.getrandbits(32))
+        for place in range(len(self.names)):
+            is_lost = (
+                loses_disks
+                and random.random() < LOST_SHARE
+                and place >= len(self.acceptor_names)
+            )
+            back = SECOND + random.randrange(SECOND)
+            faults.kill(place, back, STATE_LOST if is_lost else STATE_KEPT)
+        if loses_disks:
+            self.disks[self.acceptor_names[0]].database = None
+
+    def _has_recovered(self) -> bool:
+        assert self.started_at is not None
+        are_all_up = len(self.live()) == len(self.names)
+        if self.now > self.started_at + SECOND and are_all_up:
+            right = self.right()
+            for name, share in VIEW_SHARES.items():
+                if right >= share:
+                    self.found.setdefault(name, (self.now - self.started_at) / SECOND)
+        return "all views" in self.found and len(self.first_writes) == len(
+            CHANNEL_NAMES
+        )
+
+
+def measure_restart(seed: int, gateways: int, loses_disks: bool) -> dict[str, float]:
+    """Play one restart and return its seconds, by name."""
+    with simulated_leases(seed + 1):
+        return FleetRestart(seed, gateways).measure(loses_disks)
+
+
+def describe_sample(values: Sequence[float]) -> str:
+    """Return the mean, its 95% interval (2,000 bootstrap samples) and the maximum."""
+    draws = numpy.random.default_rng(1).choice(values, (2000, len(values))).mean(axis=1)
+    low, high = numpy.quantile(draws, (0.025, 0.975))
+    mean = numpy.mean(values)
+    return f"{mean:.2f} ({low:.2f} to {high:.2f}), at most {max(values):.2f}"
+
+
+def report_restarts(sizes: Sequence[int], seeds: Sequence[int]) -> int:
+    """Print a table; return 1 where a promise was broken, else 0."""
+    for size in sizes:
+        for loses_disks in (False, True):
+            if not _report_size(size, loses_disks, seeds):
+                return 1
+    return 0
+
+
+def _report_size(size: int, loses_disks: bool, seeds: Sequence[int]) -> bool:
+    began = time.process_time()
+    measured: list[dict[str, float]] = []
+    failures: list[str] = []
+    for seed in seeds:
+        try:
+            measured.append(measure_restart(seed, size, loses_disks))
+        except AssertionError as error:
+            failures.append(f"seed {seed}: {error}")
+    disks = "a third without their disk" if loses_disks else "disks kept"
+    cpu = (time.process_time() - began) / len(seeds)
+    memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
+    print(
+        f"{size} gateways, {disks}: {len(measured)} of {len(seeds)} seeds kept, "
+        f"{cpu:.1f} s of CPU each, {memory:.0f} MiB at most",
+        flush=True,
+    )
+    for name in measured[0] if measured else ():
+        print(f"  {name}: {describe_sample([each[name] for each in measured])} s")
+    for failure in failures:
+        print(f"  {failure}")
+    return not failures
--- /dev/null
+++ b/milletsill/lab/hunt/simulated_disk.py
@@ -0,0 +1,113 @@
+"""A gateway's disk in a simulated fleet, and the acceptor's store on it.
+
+Sqlite itself is real, in memory, and outlives a gateway that is killed.
+"""
+
+from __future__ import annotations
+
+import sqlite3
+from collections.abc import Iterator, Mapping
+from contextlib import contextmanager
+from dataclasses import dataclass
+from random import Random
+from typing import ClassVar
+from unittest import mock
+
+from milletsill.fleet.leases import acceptor_service, lease_manager
+from milletsill.fleet.leases.acceptor_recovery import StateIdentity
+from milletsill.fleet.leases.acceptor_store import AcceptorStore
+from milletsill.fleet.leases.store_file import create_tables
+from milletsill.fleet.leases.store_rows import initial_state
+
+USUAL_LATENCY = 20  # ticks of 0.1 ms that a job takes
+MAX_BACKUPS = 9
+MAX_PAGES = 1 << 30
+
+
+@dataclass(frozen=True, slots=True)
+class DiskBackup:
+    """A copy of the store, and whose state it is."""
+
+    identity: StateIdentity
+    database: sqlite3.Connection
+
+
+class SimulatedDisk:
+    """One gateway's disk: it may be slow or full, and copies of it may come back.
+
+    Attributes:
+        database: the acceptor's store; None where there is none.
+        latency: of one job, in ticks of 0.1 ms.
+        backups: the latest copies, oldest first.
+    """
+
+    def __init__(self) -> None:
+        self.database: sqlite3.Connection | None = None
+        self.latency = USUAL_LATENCY
+        self.backups: list[DiskBackup] = []
+
+    def back_up(self, identity: StateIdentity) -> None:
+        """Keep a copy of the store."""
+        if self.database is None:
+            return
+        copy = sqlite3.connect(":memory:", isolation_level=None)
+        self.database.backup(copy)
+        self.backups = [
+            *self.backups[1 - MAX_BACKUPS :],
+            DiskBackup(identity, copy),
+        ]
+
+    def set_latency(self, latency: int) -> None:
+        """Let each job take so many ticks."""
+        self.latency = latency
+
+    def set_full(self, is_full: bool) -> None:
+        """Give out no more pages than there are, by sqlite's own bound, or many."""
+        if self.database is None:
+            return
+        pages = self.database.execute("PRAGMA page_count").fetchone()[0]
+        bound = pages if is_full else MAX_PAGES
+        self.database.execute(f"PRAGMA max_page_count={bound}")
+
+
+class InMemoryAcceptorStore(AcceptorStore):
+    """The acceptor's store on a simulated disk.
+
+    Attributes:
+        disks: of the simulated fleet, by the store's path.
+    """
+
+    disks: ClassVar[Mapping[str, SimulatedDisk]] = {}
+
+    @classmethod
+    def open(
+        cls,
+        path: str,
+        chance: int,
+        acceptor_set: int = 0,
+        is_incomplete: bool = False,
+        max_pages: int = 0,
+    ) -> AcceptorStore:
+        """Open the store of a path, made anew where the disk has none."""
+        disk = cls.disks[path]
+        if disk.database is None:
+            disk.database = sqlite3.connect(":memory:", isolation_level=None)
+            state = initial_state(chance, acceptor_set, is_incomplete)
+            create_tables(disk.database, state)
+        store = cls(path, disk.database)
+        store.load(0)
+        return store
+
+    def close(self) -> None:
+        """Leave the database open, as a file stays."""
+
+
+@contextmanager
+def simulated_leases(seed: int) -> Iterator[None]:
+    """Let leases draw by a seed, and keep acceptors' stores on simulated disks."""
+    random = Random(seed)
+    with (
+        mock.patch.object(lease_manager, "SystemRandom", lambda: random),
+        mock.patch.object(acceptor_service, "AcceptorStore", InMemoryAcceptorStore),
+    ):
+        yield
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -7,7 +7,6 @@
 import unittest
 from dataclasses import replace
 from random import Random
-from unittest import mock
 
 from milletsill.fleet.channels import codec as contracts
 from milletsill.fleet.channels.record_pb2 import (
@@ -22,7 +21,6 @@
 from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
 from milletsill.fleet.health import codec as health
 from milletsill.fleet.health import health_pb2
-from milletsill.fleet.leases import acceptor_service, lease_manager
 from milletsill.fleet.leases import codec as registers
 from milletsill.fleet.leases import registers_pb2 as wire
 from milletsill.fleet.leases.acceptor_recovery import StateIdentity
@@ -33,8 +31,10 @@
 from milletsill.fleet.membership.membership import Membership
 from milletsill.fleet.transport import MemberState, MessageKind
 from milletsill.lab.fleet_clock import SECOND
-from milletsill.lab.hunt.fleet_world import FleetWorld
-from milletsill.lab.hunt.gate import Kept
+from milletsill.lab.hunt.fleet_faults import FleetFaults
+from milletsill.lab.hunt.fleet_gateway import FleetShape
+from milletsill.lab.hunt.fleet_simulation import FleetSimulation, run_until_failure
+from milletsill.lab.hunt.simulated_disk import simulated_leases
 from milletsill.registry import endpoint_cache
 from tests.fixtures import make_octets as made
 from tests.support.paths import FIXTURES
@@ -225,12 +225,12 @@
         self.assertEqual(MessageKind.HEALTH.value, 2)  # on the wire
 
 
-class Mixed(FleetWorld):
+class FleetOfTwoVersions(FleetSimulation):
     """A fleet of two versions: gateways of the later one add fields to all that they say, and at times say what is not known."""
 
     def __init__(self, seed):
         self.later = set()
-        super().__init__(seed, 6, judges=2, boxes=4)
+        super().__init__(seed, FleetShape(gateways=6, evaluators=2, nodes=4))
 
     def send(self, stand, sent):
         message = sent.message
@@ -256,18 +256,14 @@
         super().send(stand, replace(sent, message=FrameCodec("fleet").decode(data)))
 
     def restart(self, place, later):
-        self.away(place, SECOND)
+        FleetFaults(self).leave(place, SECOND)
         (self.later.add if later else self.later.discard)(self.names[place])
 
 
 class Rolling(unittest.TestCase):
     def test_a_third_at_a_time_and_back_half_way(self):
-        secrets = Random(3)
-        with (
-            mock.patch.object(lease_manager, "SystemRandom", lambda: secrets),
-            mock.patch.object(acceptor_service, "AcceptorStore", Kept),
-        ):
-            world = Mixed(2)
+        with simulated_leases(3):
+            simulation = FleetOfTwoVersions(2)
             steps = [
                 (0, True),
                 (1, True),
@@ -279,12 +275,14 @@
                 (3, False),
             ]
             for at, (place, later) in enumerate(steps):
-                world.at((6 + at + at // 2) * SECOND, world.restart, place, later)
-            world.run(45 * SECOND, lambda: world.wrong is not None)
-            world.ended()
-            self.assertIsNone(world.wrong)
-            self.assertEqual(world.false, [])
-            self.assertGreater(min(world.settled.values()), 10)
+                simulation.at(
+                    (6 + at + at // 2) * SECOND, simulation.restart, place, later
+                )
+            run_until_failure(simulation, 45 * SECOND)
+            simulation.check_calm()
+            self.assertIsNone(simulation.failure)
+            self.assertEqual(simulation.false, [])
+            self.assertGreater(min(simulation.acknowledged.values()), 10)
 
 
 if __name__ == "__main__":
--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -2,75 +2,84 @@
 
 import unittest
 
-from milletsill.lab.hunt import guards, list_world
-from milletsill.lab.hunt.decide import Event, hunt, smaller
-from milletsill.lab.hunt.fleet_world import FleetGame
-from milletsill.lab.hunt.list_world import ListGame
+from milletsill.lab.hunt import endpoint_list_guards, fleet_guards
+from milletsill.lab.hunt.endpoint_list_faults import EndpointListFaults
+from milletsill.lab.hunt.fault_search import FaultEvent, search_seeds, shrink_events
+from milletsill.lab.hunt.fleet_fault_search import FleetFaultSearch
 
 # What was found, made small: each broke something once.
-LISTS = {
+ENDPOINT_LIST_FAILURES = {
     "a key takes another id": (
         5,
-        [Event(378_680, "put", (6, False, 14)), Event(437_550, "put", (6, False, 6))],
+        [
+            FaultEvent(378_680, "put", (6, False, 14)),
+            FaultEvent(437_550, "put", (6, False, 6)),
+        ],
     ),
     "a registry is restored behind a watch": (
         63,
-        [Event(130_850, "put", (0, False, 0)), Event(138_120, "restore", (0, True))],
+        [
+            FaultEvent(130_850, "put", (0, False, 0)),
+            FaultEvent(138_120, "restore", (0, True)),
+        ],
     ),
     "a key goes after the watch's last word": (
         76,
         [
-            Event(186_030, "flood", (40,)),
-            Event(378_940, "delete", (5,)),
-            Event(379_280, "silence"),
-            Event(379_480, "delete", (7,)),
+            FaultEvent(186_030, "flood", (40,)),
+            FaultEvent(378_940, "delete", (5,)),
+            FaultEvent(379_280, "silence"),
+            FaultEvent(379_480, "delete", (7,)),
         ],
     ),
     "a restored registry comes to the same numbers": (
         823,
         [
-            Event(243_480, "put", (5, True, 5)),
-            Event(339_060, "gone_for", (27_377, True)),
-            Event(360_720, "restore", (1, True)),
-            Event(387_520, "put", (2, True, 2)),
+            FaultEvent(243_480, "put", (5, True, 5)),
+            FaultEvent(339_060, "gone_for", (27_377, True)),
+            FaultEvent(360_720, "restore", (1, True)),
+            FaultEvent(387_520, "put", (2, True, 2)),
         ],
     ),
 }
-FLEETS = {
+FLEET_FAILURES = {
     "a slow box of a small fleet is well again": (
         0,
-        [Event(148_730, "make_ill", (5, 0.33, 2.5, 31_398))],
+        [FaultEvent(148_730, "make_ill", (5, 0.33, 2.5, 31_398))],
     ),
     "a box that failed and that few may try is well again": (
         396,
         [
-            Event(91_330, "stutter_most", (103_506, 18_274)),
-            Event(91_610, "trouble", (0, 15_828)),
-            Event(95_570, "stutter_most", (130_712, 24_355)),
-            Event(134_710, "make_ill", (0, 0.33, 1.0, 55_350)),
+            FaultEvent(91_330, "stutter_most", (103_506, 18_274)),
+            FaultEvent(91_610, "trouble", (0, 15_828)),
+            FaultEvent(95_570, "stutter_most", (130_712, 24_355)),
+            FaultEvent(134_710, "make_ill", (0, 0.33, 1.0, 55_350)),
         ],
     ),
     "a slow box that few speak of is well again": (
         56,
-        [Event(191_780, "make_ill", (0, 1.0, 2.5, 9565))],
+        [FaultEvent(191_780, "make_ill", (0, 1.0, 2.5, 9565))],
     ),
 }
 
 
 class Seeds(unittest.TestCase):
     def test_what_was_found_once_is_kept_now(self):
-        for game, seeds in ((ListGame(), LISTS), (FleetGame(), FLEETS)):
+        for simulation, seeds in (
+            (EndpointListFaults(), ENDPOINT_LIST_FAILURES),
+            (FleetFaultSearch(), FLEET_FAILURES),
+        ):
             for name, (seed, events) in seeds.items():
                 with self.subTest(name):
-                    self.assertIsNone(game.play(seed, events))
+                    self.assertIsNone(simulation.play(seed, events))
 
     def test_drawn_seeds_are_kept(self):
-        self.assertEqual(hunt(ListGame(), range(40)), (40, []))
-        self.assertEqual(hunt(FleetGame(), range(1, 2)), (1, []))
+        self.assertEqual(search_seeds(EndpointListFaults(), range(40)), (40, []))
+        self.assertEqual(search_seeds(FleetFaultSearch(), range(1, 2)), (1, []))
 
     def test_the_same_seed_is_the_same_run(self):
-        for game in (ListGame(), FleetGame()):
-            self.assertEqual(game.drawn(7), game.drawn(7))
+        for simulation in (EndpointListFaults(), FleetFaultSearch()):
+            self.assertEqual(simulation.draw_events(7), simulation.draw_events(7))
 
 
 class GuardsOut(unittest.TestCase):
@@ -80,20 +89,26 @@
             ("a silent watch is found", 2),
             ("keys that went are counted", 31),
         ):
-            with self.subTest(name), list_world.MUTANTS[name]():
-                played, found = hunt(ListGame(), [seed])
-                self.assertLessEqual(len(found[0].events), 4)
-                self.assertIn(f"seed {seed}", found[0].page())
-        with guards.MUTANTS["health: a box that all may try is well again"]():
+            with self.subTest(name), endpoint_list_guards.GUARD_REMOVALS[name]():
+                played, failing = search_seeds(EndpointListFaults(), [seed])
+                self.assertLessEqual(len(failing[0].events), 4)
+                self.assertIn(f"seed {seed}", failing[0].describe())
+        with fleet_guards.GUARD_REMOVALS[
+            "health: a box that all may try is well again"
+        ]():
             self.assertIsNotNone(
-                FleetGame().play(*FLEETS["a slow box of a small fleet is well again"])
+                FleetFaultSearch().play(
+                    *FLEET_FAILURES["a slow box of a small fleet is well again"]
+                )
             )
 
 
 class Smaller(unittest.TestCase):
     def test_only_what_it_takes_is_left(self):
-        events = [Event(each, "x", (each,)) for each in range(40)]
-        few = smaller(events, lambda some: {3, 17, 31} <= {each.at for each in some})
+        events = [FaultEvent(each, "x", (each,)) for each in range(40)]
+        few = shrink_events(
+            events, lambda some: {3, 17, 31} <= {each.at for each in some}
+        )
         self.assertEqual([each.at for each in few], [3, 17, 31])
 
 
--- a/tests/support/race_scenarios.py
+++ b/tests/support/race_scenarios.py
@@ -13,7 +13,7 @@
 from milletsill.deployment_config import to_stored
 from milletsill.http_gateway.configuration import parse_configuration
 from milletsill.http_gateway.gateway import HttpGateway
-from milletsill.lab.hunt.decide import Event
+from milletsill.lab.hunt.fault_search import FaultEvent
 from tests.support.http_gateway_rig import GIVEN, SETTINGS, ask
 from tests.support.race_actors import Client, Discovery, Node
 from tests.support.race_observer import MS, SECOND, Request, Watch
@@ -161,7 +161,7 @@
         """One move; its last two values are a cue to wait for and the time behind it."""
         *values, cue, span = event.values
         do = partial(
-            getattr(self, event.what), Random(f"{values[0]} move"), *values[1:]
+            getattr(self, event.kind), Random(f"{values[0]} move"), *values[1:]
         )
         self.world.at(
             BEGIN + event.at * 100,
@@ -526,12 +526,14 @@
                 for each in chance.sample(ENDS, 3)
             ] + knots[:1]
             events = [
-                Event(at, "term", (0, None, 0))
+                FaultEvent(at, "term", (0, None, 0))
                 for at in {term, term + chance.choice((0, 0, 3000))}
             ]
         for knot in knots:
             events += [
-                Event(max(knot - each, 1), "warm", (chance.getrandbits(32), None, 0))
+                FaultEvent(
+                    max(knot - each, 1), "warm", (chance.getrandbits(32), None, 0)
+                )
                 for each in (900, 650, 640, 400)
             ]
         events += [self.one(chance, chance.choice(knots)) for _ in range(self.moves)]
@@ -541,7 +543,7 @@
         at = max(knot + chance.choice((0, 0, 1, 5, 20, 300, -300, 3000, -3000)), 1)
         what, *values = drawn_of(chance, chance.choice(WHAT))
         cue = chance.choice(CUES) if what != "client" else None
-        return Event(
+        return FaultEvent(
             at,
             what,
             (
