--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -14,68 +14,71 @@
 import argparse
 from random import Random
 
-from milletsill.lab.fleet_clock import SECOND, FleetClock
+from milletsill.lab.simulated_clock import SECOND
+from milletsill.lab.simulated_network import SimulatedNetwork
 
 MOST_WAIT = 120  # seconds for a view to settle
 
 
-def settled(clock: FleetClock, what: str) -> None:
+def settled(network: SimulatedNetwork, what: str) -> None:
     """Run until all agree; say when."""
-    began, false = clock.now, len(clock.false)
+    began, false = network.now, len(network.false_deaths)
     times = []
     for part in (0.9, 1.0):
-        done = clock.run(began + MOST_WAIT * SECOND, lambda: clock.right() >= part)
-        times.append(f"{(clock.now - began) / SECOND:.1f}" if done else "never")
+        done = network.run(
+            began + MOST_WAIT * SECOND, lambda: network.share_of_true_views() >= part
+        )
+        times.append(f"{(network.now - began) / SECOND:.1f}" if done else "never")
     print(
-        f"{what:36} nine in ten {times[0]:>5} s, all {times[1]:>5} s, live ones declared gone meanwhile {len(clock.false) - false}",
+        f"{what:36} nine in ten {times[0]:>5} s, all {times[1]:>5} s, live ones declared gone meanwhile {len(network.false_deaths) - false}",
         flush=True,
     )
-    clock.run(clock.now + 10 * SECOND)
+    network.run(network.now + 10 * SECOND)
 
 
-def part_of(clock: FleetClock, what: str, given: argparse.Namespace) -> None:
+def part_of(network: SimulatedNetwork, what: str, given: argparse.Namespace) -> None:
     """One kind of event, on a fleet that is calm and whole."""
-    names = [each.name for each in clock.live()]
+    names = [each.name for each in network.live_members()]
     if what == "join":
-        clock.start("new", join=["gateway-1", "gateway-2"])
-        settled(clock, "one joins")
-        clock.leave("gateway-3")
-        settled(clock, "one leaves")
+        network.start("new", seeds=["gateway-1", "gateway-2"])
+        settled(network, "one joins")
+        network.leave("gateway-3")
+        settled(network, "one leaves")
     elif what == "kill":
-        clock.kill("gateway-5")
-        settled(clock, "one is killed")
-        clock.start("gateway-5", run=1, join=["gateway-1"])
-        settled(clock, "it is back with its state lost")
+        network.kill("gateway-5")
+        settled(network, "one is killed")
+        network.start("gateway-5", incarnation=1, seeds=["gateway-1"])
+        settled(network, "it is back with its state lost")
     elif what == "halves":
         for span in given.cuts:
-            clock.cut(names[::2], names[1::2])
-            clock.run(clock.now + span * SECOND)
-            clock.heal()
-            settled(clock, f"healed after {span} s in halves")
+            network.cut(names[::2], names[1::2])
+            network.run(network.now + span * SECOND)
+            network.heal()
+            settled(network, f"healed after {span} s in halves")
     elif what == "one-way":
-        clock.cut(names[: len(names) // 10], names[len(names) // 10 :], both=False)
-        clock.run(clock.now + 20 * SECOND)
-        clock.heal()
-        settled(clock, "healed after 20 s, a tenth unheard")
-        clock.cut(names[:1], names[1:2], both=False)
-        clock.run(clock.now + 20 * SECOND)
+        network.cut(names[: len(names) // 10], names[len(names) // 10 :], both=False)
+        network.run(network.now + 20 * SECOND)
+        network.heal()
+        settled(network, "healed after 20 s, a tenth unheard")
+        network.cut(names[:1], names[1:2], both=False)
+        network.run(network.now + 20 * SECOND)
         print(
-            f"20 s in which one does not hear one other: right views {clock.right():.3f}",
+            f"20 s in which one does not hear one other: right views {network.share_of_true_views():.3f}",
             flush=True,
         )
     elif what == "loss":
-        clock.loss, false = 0.1, len(clock.false)
-        clock.run(clock.now + 60 * SECOND)
+        network.loss, false = 0.1, len(network.false_deaths)
+        network.run(network.now + 60 * SECOND)
         print(
-            f"a minute of 10% loss: live ones declared gone {len(clock.false) - false}, right views {clock.right():.3f}",
+            f"a minute of 10% loss: live ones declared gone {len(network.false_deaths) - false}, right views {network.share_of_true_views():.3f}",
             flush=True,
         )
-        clock.kill("gateway-7")
-        settled(clock, "one is killed, 10% loss")
+        network.kill("gateway-7")
+        settled(network, "one is killed, 10% loss")
     elif what == "many":
-        for name in clock.chance.sample(names, len(names) * 3 // 10):
-            clock.kill(name)
-        settled(clock, "30% are killed at once")
+        for name in network.random.sample(names, len(names) * 3 // 10):
+            network.kill(name)
+        settled(network, "30% are killed at once")
 
 
 PARTS = ("join", "kill", "many", "halves", "one-way", "loss")
@@ -84,26 +87,34 @@
 def events(given: argparse.Namespace) -> None:
     print(f"simulated, {given.gateways} gateways, seed {given.seed}")
     for what in given.only or PARTS:
-        clock = FleetClock(given.seed)
-        clock.whole(given.gateways, 10 * SECOND)
-        part_of(clock, what, given)
+        network = SimulatedNetwork(given.seed)
+        network.start_fleet(given.gateways, 10 * SECOND)
+        part_of(network, what, given)
 
 
 def traffic(given: argparse.Namespace) -> None:
-    clock = FleetClock(given.seed, octets=True)
-    clock.whole(given.gateways, 15 * SECOND)
-    clock.packets.clear()
-    clock.octets.clear()
-    began = clock.now
-    clock.run(began + 20 * SECOND)
-    seconds = (clock.now - began) / SECOND * given.gateways
+    network = SimulatedNetwork(given.seed, with_codec=True)
+    network.start_fleet(given.gateways, 15 * SECOND)
+    network.packet_counts.clear()
+    network.octet_counts.clear()
+    began = network.now
+    network.run(began + 20 * SECOND)
+    seconds = (network.now - began) / SECOND * given.gateways
     for stream in (False, True):
         packets = (
-            sum(count for (_, over), count in clock.packets.items() if over is stream)
+            sum(
+                count
+                for (_, over), count in network.packet_counts.items()
+                if over is stream
+            )
             / seconds
         )
         octets = (
-            sum(count for (_, over), count in clock.octets.items() if over is stream)
+            sum(
+                count
+                for (_, over), count in network.octet_counts.items()
+                if over is stream
+            )
             / seconds
         )
         print(
@@ -114,61 +125,65 @@
 
 
 def stalls(given: argparse.Namespace) -> None:
-    clock, chance = FleetClock(given.seed), Random(given.seed + 1)
-    clock.whole(given.gateways, 10 * SECOND)
+    network, chance = SimulatedNetwork(given.seed), Random(given.seed + 1)
+    network.start_fleet(given.gateways, 10 * SECOND)
 
     def each(name: str) -> None:
-        clock.stall(name, chance.randrange(6600, 12001))
-        clock.at(clock.now + chance.randrange(20_000, 40_001), each, name)
+        network.stall(name, chance.randrange(6600, 12001))
+        network.call_at(network.now + chance.randrange(20_000, 40_001), each, name)
 
     def together() -> None:
         for name in chance.sample(
-            sorted(clock.stands), int(chance.uniform(0.3, 0.87) * given.gateways)
+            sorted(network.members), int(chance.uniform(0.3, 0.87) * given.gateways)
         ):
-            clock.at(
-                clock.now + chance.randrange(1000),
-                clock.stall,
+            network.call_at(
+                network.now + chance.randrange(1000),
+                network.stall,
                 name,
                 chance.randrange(6600, 12001),
             )
-        clock.at(clock.now + chance.randrange(20_000, 40_001), together)
+        network.call_at(network.now + chance.randrange(20_000, 40_001), together)
 
     if given.together:
         together()
     else:
-        for name in list(clock.stands):
-            clock.at(clock.now + chance.randrange(30_000), each, name)
-    clock.run(clock.now + given.seconds * SECOND)
+        for name in list(network.members):
+            network.call_at(network.now + chance.randrange(30_000), each, name)
+    network.run(network.now + given.seconds * SECOND)
     how = "up to 87% at a time" if given.together else "each by itself"
     print(
         f"simulated, {given.gateways} gateways, {given.seconds} s of stalls of 660 to 1,200 ms every 2 to 4 s, {how}: "
-        f"live ones declared gone {len(clock.false)}, suspicions refuted {sum(each.said['REFUTED'] for each in clock.stands.values())}",
+        f"live ones declared gone {len(network.false_deaths)}, suspicions refuted {sum(each.event_counts['REFUTED'] for each in network.members.values())}",
         flush=True,
     )
     times: list[tuple[float, float, float]] = []
     for _ in range(given.kills):
-        victim = clock.live()[-2].name
-        began = clock.now
-        clock.kill(victim)
+        victim = network.live_members()[-2].name
+        began = network.now
+        network.kill(victim)
 
         def seen() -> float:
             views = [
-                each.member.state.table.entries.get(victim) for each in clock.live()
+                each.membership.state.table.entries.get(victim)
+                for each in network.live_members()
             ]
             return sum(each is None or not each.in_view for each in views) / len(views)
 
         found = []
         for part in (0.0001, 0.9, 1.0):
-            clock.run(began + MOST_WAIT * SECOND, lambda: seen() >= part)
-            found.append((clock.now - began) / SECOND)
+            network.run(began + MOST_WAIT * SECOND, lambda: seen() >= part)
+            found.append((network.now - began) / SECOND)
         times.append((found[0], found[1], found[2]))
-        clock.run(clock.now + 5 * SECOND)
+        network.run(network.now + 5 * SECOND)
     for place, word in enumerate(("first", "nine in ten", "all")):
         held = sorted(each[place] for each in times)
         print(
             f"  {len(held)} kills, seen by {word}: median {held[len(held) // 2]:.1f} s, longest {held[-1]:.1f} s"
         )
-    print(f"  live ones declared gone with the kills: {len(clock.false)}", flush=True)
+    print(
+        f"  live ones declared gone with the kills: {len(network.false_deaths)}",
+        flush=True,
+    )
 
 
 def processes(given: argparse.Namespace) -> None:
--- a/milletsill/lab/hunt/fleet_cost.py
+++ b/milletsill/lab/hunt/fleet_cost.py
@@ -34,7 +34,6 @@
     View,
     ViewHandler,
 )
-from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_gateway import (
     MAX_CALLED_SHARE,
     MAX_GATEWAYS,
@@ -45,6 +44,7 @@
 from milletsill.lab.hunt.fleet_simulation import FleetSimulation
 from milletsill.lab.hunt.simulated_disk import simulated_leases
 from milletsill.lab.hunt.simulated_health import AdviceRecorder, ignore_log
+from milletsill.lab.simulated_clock import SECOND
 
 # Times are ticks of 0.1 ms.
 SETTLE = 5 * SECOND
@@ -78,20 +78,21 @@
     )
     with simulated_leases(seed):
         simulation = FleetSimulation(seed, shape)
-        simulation.acquaint()
+        simulation.introduce_all()
         simulation.run(SETTLE)
         began = time.process_time()
-        frames_before = simulation.frames
+        frames_before = simulation.message_count
         simulation.run(SETTLE + SPAN)
         gateway_seconds = gateways * SPAN / SECOND
         cpu = (time.process_time() - began) / gateway_seconds * 1000
-        frames = (simulation.frames - frames_before) / gateway_seconds
+        frames = (simulation.message_count - frames_before) / gateway_seconds
+        right = simulation.share_of_true_views()
         memory = (resident_mebibytes() - memory_before) / gateways
         broke = f"; BROKE: {simulation.failure}" if simulation.failure else ""
         return (
             f"{gateways} gateways: {cpu:.2f} ms of CPU a gateway and second, "
             f"{frames:.1f} frames a second out of each, "
-            f"{memory:.2f} MiB a gateway, views right {simulation.right():.3f}{broke}"
+            f"{memory:.2f} MiB a gateway, views right {right:.3f}{broke}"
         )
 
 
--- a/milletsill/lab/hunt/fleet_fault_search.py
+++ b/milletsill/lab/hunt/fleet_fault_search.py
@@ -6,7 +6,6 @@
 from random import Random
 from typing import Any
 
-from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fault_search import FaultEvent
 from milletsill.lab.hunt.fleet_faults import FleetFaults
 from milletsill.lab.hunt.fleet_gateway import FleetShape
@@ -17,6 +16,7 @@
     run_until_failure,
 )
 from milletsill.lab.hunt.simulated_disk import simulated_leases
+from milletsill.lab.simulated_clock import SECOND
 
 # Times are ticks of 0.1 ms.
 DEFAULT_SIZES = (5, 6, 7)
--- a/milletsill/lab/hunt/fleet_faults.py
+++ b/milletsill/lab/hunt/fleet_faults.py
@@ -9,7 +9,6 @@
 from random import Random
 from typing import Any
 
-from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_gateway import FleetGateway
 from milletsill.lab.hunt.fleet_simulation import (
     FAULTS_END,
@@ -17,6 +16,8 @@
     NodeIllness,
 )
 from milletsill.lab.hunt.simulated_disk import USUAL_LATENCY
+from milletsill.lab.simulated_clock import SECOND
+from milletsill.lab.simulated_network import BlockedPath
 
 STATE_KEPT = "kept"
 STATE_OLDER = "older"
@@ -44,13 +45,13 @@
 
     def schedule(self, at: int, kind: str, values: tuple[Any, ...]) -> None:
         """Let a fault of a named kind begin at a time."""
-        self.simulation.at(at, FAULTS[kind], self, *values)
+        self.simulation.call_at(at, FAULTS[kind], self, *values)
 
     def _after(self, span: int, call: Callable[..., object], *values: Any) -> None:
         end = self.simulation.now + span
         if self.ends_at is not None:
             end = min(end, self.ends_at)
-        self.simulation.at(end, call, *values)
+        self.simulation.call_at(end, call, *values)
 
     def _name(self, place: int) -> str:
         return self.simulation.names[place]
@@ -60,14 +61,14 @@
     def kill(self, place: int, back: int, state: str = STATE_KEPT) -> None:
         """Kill a gateway (SIGKILL); it starts again with its state kept or not."""
         gateway = self.simulation.gateways[self._name(place)]
-        if gateway.up:
+        if gateway.is_up:
             self.simulation.kill(gateway.name)
             self._after(back, self._start_again, gateway, state)
 
     def leave(self, place: int, back: int) -> None:
         """Let a gateway leave (SIGTERM) and start again with its state."""
         gateway = self.simulation.gateways[self._name(place)]
-        if gateway.up and self.simulation.now >= gateway.stands_until:
+        if gateway.is_up and self.simulation.now >= gateway.stalled_until:
             if self.simulation.shape.acceptors:
                 gateway.leases.stop()
             self.simulation.leave(gateway.name)
@@ -102,7 +103,7 @@
             if other.name == former.name:
                 continue
             acceptor = other.acceptor()
-            if not other.up or acceptor is None or not acceptor.is_serving():
+            if not other.is_up or acceptor is None or not acceptor.is_serving():
                 return False
             identity = acceptor.known_identity(former.name)
             if identity is None:
@@ -131,7 +132,7 @@
         at = self.simulation.now
         while at < min(self.simulation.now + span, FAULTS_END):
             stall = random.randrange(MIN_STUTTER, MAX_STUTTER)
-            self.simulation.at(at, self.simulation.stall, self._name(place), stall)
+            self.simulation.call_at(at, self.simulation.stall, self._name(place), stall)
             at += random.randrange(MIN_STUTTER_INTERVAL, MAX_STUTTER_INTERVAL)
 
     def stutter_most(self, span: int, seed: int) -> None:
@@ -178,9 +179,9 @@
     def _block(
         self, senders: Sequence[str], receivers: Sequence[str], span: int
     ) -> None:
-        wall = (frozenset(senders), frozenset(receivers))
-        self.simulation.walls.append(wall)
-        self._after(span, self.simulation.walls.remove, wall)
+        path = BlockedPath(frozenset(senders), frozenset(receivers))
+        self.simulation.blocked.append(path)
+        self._after(span, self.simulation.blocked.remove, path)
 
     def lose_packets(self, share: float, span: int) -> None:
         """Lose a share of the packets."""
--- a/milletsill/lab/hunt/fleet_gateway.py
+++ b/milletsill/lab/hunt/fleet_gateway.py
@@ -27,7 +27,6 @@
 from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
 from milletsill.fleet.leases.lease_term import LeaseTerm
 from milletsill.fleet.leases.timings import LeaseTimings
-from milletsill.lab.fleet_clock import SECOND, FleetClock, Stand
 from milletsill.lab.hunt.simulated_disk import SimulatedDisk
 from milletsill.lab.hunt.simulated_health import (
     AdviceRecorder,
@@ -35,6 +34,9 @@
     evaluate_nothing,
     ignore_log,
 )
+from milletsill.lab.simulated_clock import SECOND
+from milletsill.lab.simulated_member import SimulatedMember
+from milletsill.lab.simulated_network import SimulatedNetwork
 
 T = TypeVar("T")
 
@@ -183,7 +185,7 @@
         return self.surroundings.observe(self.gateway)
 
 
-class FleetGateway(Stand):
+class FleetGateway(SimulatedMember):
     """A member with shared health, leases and a user of channels.
 
     Its timers wait while it stands still, and end when it is killed.
@@ -200,17 +202,17 @@
 
     def __init__(
         self,
-        clock: FleetClock,
+        network: SimulatedNetwork,
         surroundings: GatewaySurroundings,
         name: str,
         incarnation: int,
         seeds: Sequence[str],
     ) -> None:
-        super().__init__(clock, name, incarnation, seeds)
+        super().__init__(network, name, incarnation, seeds)
         self.surroundings = surroundings
         self.place = surroundings.place_of(name)
         self.disk = surroundings.disk_of(self)
-        self.own_random = Random(self.chance.getrandbits(64))
+        self.own_random = Random(self.random.getrandbits(64))
         self.terms: dict[str, LeaseTerm] = {}
         self.pending_writes: dict[str, int] = {}
         self.advice = AdviceRecorder()
@@ -230,7 +232,7 @@
         )
         environment = HealthEnvironment(
             self,
-            lambda: self.clock.now,
+            lambda: self.network.now,
             self,
             self.advice,
             ignore_log,
@@ -267,21 +269,21 @@
 
     def own_now(self) -> int:
         """Return the time by this gateway's own clock, in ticks."""
-        return self.clock.now + self.surroundings.clock_offset(self)
+        return self.network.now + self.surroundings.clock_offset(self)
 
     def callLater(  # noqa: N802 - Twisted's name
         self, delay: float, call: Callable[..., object], /, *args: Any
     ) -> GatewayTimer:
         """Call after `delay` seconds of true time."""
         timer = GatewayTimer(lambda: _call(call, args))
-        self.clock.at(self.clock.now + int(delay * SECOND), self._fire, timer)
+        self.network.call_at(self.network.now + int(delay * SECOND), self._fire, timer)
         return timer
 
     def _fire(self, timer: GatewayTimer) -> None:
-        if not self.up or timer.action is None:
+        if not self.is_up or timer.action is None:
             return
-        if self.clock.now < self.stands_until:
-            self.clock.at(self.stands_until, self._fire, timer)
+        if self.network.now < self.stalled_until:
+            self.network.call_at(self.stalled_until, self._fire, timer)
             return
         action = timer.action
         timer.action = None
@@ -357,7 +359,7 @@
 
     def avoids(self, node: int) -> bool:
         """Return whether advice keeps it away from a node."""
-        return self.advice.avoids(node, self.clock.now)
+        return self.advice.avoids(node, self.network.now)
 
 
 def _call(call: Callable[..., object], args: tuple[Any, ...]) -> None:
--- a/milletsill/lab/hunt/fleet_restart.py
+++ b/milletsill/lab/hunt/fleet_restart.py
@@ -16,11 +16,11 @@
 
 import numpy
 
-from milletsill.lab.fleet_clock import SECOND
 from milletsill.lab.hunt.fleet_faults import STATE_KEPT, STATE_LOST, FleetFaults
 from milletsill.lab.hunt.fleet_gateway import CHANNEL_NAMES, FleetGateway, FleetShape
 from milletsill.lab.hunt.fleet_simulation import FleetSimulation
 from milletsill.lab.hunt.simulated_disk import simulated_leases
+from milletsill.lab.simulated_clock import SECOND
 
 # Times are ticks of 0.1 ms.
 KILLED_AT = 20 * SECOND
@@ -61,7 +61,7 @@
             AssertionError: a promise was broken, or the fleet did not recover.
         """
         self.run(KILLED_AT)
-        if self.right() != 1.0:
+        if self.share_of_true_views() != 1.0:
             raise AssertionError("the fleet was not whole before")
         self._kill_all(loses_disks)
         self.started_at = self.now + SECOND
@@ -80,7 +80,7 @@
 
     def _kill_all(self, loses_disks: bool) -> None:
         faults = FleetFaults(self, ends_at=None)
-        random = Random(self.chance.getrandbits(32))
+        random = Random(self.random.getrandbits(32))
         for place in range(len(self.names)):
             is_lost = (
                 loses_disks
@@ -94,9 +94,9 @@
 
     def _has_recovered(self) -> bool:
         assert self.started_at is not None
-        are_all_up = len(self.live()) == len(self.names)
+        are_all_up = len(self.live_members()) == len(self.names)
         if self.now > self.started_at + SECOND and are_all_up:
-            right = self.right()
+            right = self.share_of_true_views()
             for name, share in VIEW_SHARES.items():
                 if right >= share:
                     self.found.setdefault(name, (self.now - self.started_at) / SECOND)
--- a/milletsill/lab/hunt/fleet_simulation.py
+++ b/milletsill/lab/hunt/fleet_simulation.py
@@ -15,9 +15,11 @@
 from milletsill.fleet.health.report_store import NodeObservation
 from milletsill.fleet.membership.effects import SendMessage
 from milletsill.fleet.transport import View
-from milletsill.lab.fleet_clock import SECOND, FleetClock, Stand
 from milletsill.lab.hunt.fleet_gateway import CHANNEL_NAMES, FleetGateway, FleetShape
 from milletsill.lab.hunt.simulated_disk import InMemoryAcceptorStore, SimulatedDisk
+from milletsill.lab.simulated_clock import SECOND
+from milletsill.lab.simulated_member import SimulatedMember
+from milletsill.lab.simulated_network import SEED_COUNT, SimulatedNetwork
 
 # Times are ticks of 0.1 ms.
 FAULTS_END = 20 * SECOND
@@ -27,7 +29,6 @@
 HEALED_WITHIN = 5 * SECOND  # after the last fault, until nobody may be called gone
 MAX_CHANNEL_SILENCE = 20 * SECOND
 NODES_PER_SHARD = 2
-SEED_COUNT = 3  # gateways that all others know of
 CLOCK_DRIFTS = (-4000, 0, 4000)  # parts in a million
 QUIET_TRAFFIC = 0.25  # answers of a node, of the usual ones
 
@@ -71,7 +72,7 @@
     duplications: list[float] = field(default_factory=list)
 
 
-class FleetSimulation(FleetClock):
+class FleetSimulation(SimulatedNetwork):
     """The gateways, what they write and see, and the checks.
 
     Attributes:
@@ -89,7 +90,7 @@
         self.shape = shape
         self.names = [f"gateway-{number}" for number in range(shape.gateways)]
         self.acceptor_names = self.names[: shape.acceptors]
-        self.clock_drifts = [self.chance.choice(CLOCK_DRIFTS) for _ in self.names]
+        self.clock_drifts = [self.random.choice(CLOCK_DRIFTS) for _ in self.names]
         self.disks = {name: SimulatedDisk() for name in self.names}
         InMemoryAcceptorStore.disks = {
             f"/{name}": disk for name, disk in self.disks.items()
@@ -110,8 +111,8 @@
         self.failure: str | None = None
         for name in self.names:
             self.start(name, 1, self.seeds_of(name))
-        self.at(CHECK_INTERVAL, self._check)
-        self.at(BACKUP_INTERVAL, self._back_up_acceptors)
+        self.call_at(CHECK_INTERVAL, self._check)
+        self.call_at(BACKUP_INTERVAL, self._back_up_acceptors)
 
     # Gateways.
 
@@ -119,28 +120,30 @@
         """Return the gateways that one knows of at its start."""
         return [other for other in self.names[:SEED_COUNT] if other != name]
 
-    def start(self, name: str, run: int = 1, join: Sequence[str] = ()) -> FleetGateway:
+    def start(
+        self, name: str, incarnation: int = 1, seeds: Sequence[str] = ()
+    ) -> FleetGateway:
         """Start a gateway, or start one that was killed again."""
-        seeds = [f"{other}:1" for other in join]
-        gateway = FleetGateway(self, self, name, run, seeds)
-        self.stands[name] = gateway
+        addresses = [f"{seed}:1" for seed in seeds]
+        gateway = FleetGateway(self, self, name, incarnation, addresses)
+        self.members[name] = gateway
         self.gateways[name] = gateway
         return gateway
 
     def live_gateways(self) -> list[FleetGateway]:
         """Return the gateways that are up."""
-        return [gateway for gateway in self.gateways.values() if gateway.up]
+        return [gateway for gateway in self.gateways.values() if gateway.is_up]
 
-    def send(self, stand: Stand, sent: SendMessage) -> None:
+    def send(self, sender: SimulatedMember, sent: SendMessage) -> None:
         """Send a message, at times twice."""
-        super().send(stand, sent)
+        super().send(sender, sent)
         duplications = self.faults.duplications
         if (
             duplications
             and not sent.stream
-            and self.chance.random() < max(duplications)
+            and self.random.random() < max(duplications)
         ):
-            super().send(stand, sent)
+            super().send(sender, sent)
 
     def place_of(self, name: str) -> int:
         """Return a gateway's number."""
@@ -262,23 +265,29 @@
     # Checks.
 
     def _check(self) -> None:
-        self.at(self.now + CHECK_INTERVAL, self._check)
+        self.call_at(self.now + CHECK_INTERVAL, self._check)
         for channel in CHANNEL_NAMES if self.shape.acceptors else ():
             self._check_single_holder(channel)
-        if self.expects_no_deaths and self.false:
-            _, observer, member = self.false[0]
-            self.record_failure(f"{observer} calls {member} gone, which lives")
-        if self.false and self.false[-1][0] > FAULTS_END + HEALED_WITHIN:
-            _, observer, member = self.false[-1]
-            self.record_failure(f"{observer} calls {member} gone, though all is calm")
+        if not self.false_deaths:
+            return
+        if self.expects_no_deaths:
+            death = self.false_deaths[0]
+            self.record_failure(
+                f"{death.observer} calls {death.member} gone, which lives"
+            )
+        death = self.false_deaths[-1]
+        if death.at > FAULTS_END + HEALED_WITHIN:
+            self.record_failure(
+                f"{death.observer} calls {death.member} gone, though all is calm"
+            )
 
     def _back_up_acceptors(self) -> None:
-        self.at(self.now + BACKUP_INTERVAL, self._back_up_acceptors)
+        self.call_at(self.now + BACKUP_INTERVAL, self._back_up_acceptors)
         for name in self.acceptor_names:
             gateway = self.gateways[name]
             acceptor = gateway.acceptor()
             if (
-                gateway.up
+                gateway.is_up
                 and acceptor is not None
                 and acceptor.store is not None
                 and acceptor.is_serving()
@@ -287,7 +296,7 @@
 
     def check_calm(self) -> None:
         """Check what must hold once all has been calm."""
-        truth = self.truth()
+        truth = self.true_digest()
         for gateway in self.live_gateways():
             self._check_view(gateway, truth)
             if self.shape.evaluators:
@@ -298,7 +307,7 @@
                 self.record_failure(f"{channel} is still not written")
 
     def _check_view(self, gateway: FleetGateway, truth: int) -> None:
-        if gateway.member.state.table.digest != truth:
+        if gateway.digest != truth:
             live = sorted(other.name for other in self.live_gateways())
             seen = sorted(gateway.view.by_name)
             self.record_failure(f"{gateway.name} sees {seen} of {live}")
@@ -318,7 +327,7 @@
     def _check_equal_digests(self) -> None:
         views: dict[int, View] = {}
         for gateway in self.live_gateways():
-            digest = gateway.member.state.table.digest
+            digest = gateway.digest
             view = views.setdefault(digest, gateway.view)
             if view.digest != gateway.view.digest:
                 self.record_failure(
--- a/milletsill/lab/hunt/simulated_health.py
+++ b/milletsill/lab/hunt/simulated_health.py
@@ -86,4 +86,4 @@
 
 
 def evaluate_nothing() -> None:
-    """Stand in for the evaluation at a gateway that does not judge nodes."""
+    """SimulatedMember in for the evaluation at a gateway that does not judge nodes."""
--- a/tests/fleet/membership/test_membership.py
+++ b/tests/fleet/membership/test_membership.py
@@ -8,7 +8,11 @@
 
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.codec import MAGIC, MAX_DATAGRAM, FrameCodec
-from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
+from milletsill.fleet.frames.messages import (
+    FleetMessage,
+    FrameType,
+    MemberUpdate,
+)
 from milletsill.fleet.membership.config import TICK_INTERVAL, MembershipConfig
 from milletsill.fleet.membership.effects import SendMessage
 from milletsill.fleet.membership.local_member import LocalIdentity
@@ -16,7 +20,8 @@
 from milletsill.fleet.membership.name_claims import LocalStatus
 from milletsill.fleet.membership.probe_relay import MAX_RELAYED_PROBES
 from milletsill.fleet.transport import MemberState
-from milletsill.lab.fleet_clock import SECOND, FleetClock
+from milletsill.lab.simulated_clock import SECOND
+from milletsill.lab.simulated_network import SimulatedNetwork
 
 ALIVE = MemberState.ALIVE
 SUSPECT = MemberState.SUSPECT
@@ -25,12 +30,15 @@
 class SimulatedFleets(unittest.TestCase):
     """Whole fleets on the simulated clock."""
 
-    def settle(self, clock, seconds=90):
+    def settle(self, network, seconds=90):
         self.assertTrue(
-            clock.run(clock.now + seconds * SECOND, lambda: clock.right() == 1),
-            clock.right(),
+            network.run(
+                network.now + seconds * SECOND,
+                lambda: network.share_of_true_views() == 1,
+            ),
+            network.share_of_true_views(),
         )
-        self.assertEqual(len({each.view.digest for each in clock.live()}), 1)
+        self.assertEqual(len({each.view.digest for each in network.live_members()}), 1)
 
     @settings(max_examples=12, deadline=None, suppress_health_check=list(HealthCheck))
     @given(
@@ -55,120 +63,122 @@
         ),
     )
     def test_views_are_equal_after_any_faults_heal(self, seed, faults):
-        clock, chance = FleetClock(seed), Random(seed)
-        clock.whole(8, 2 * SECOND)
+        network, chance = SimulatedNetwork(seed), Random(seed)
+        network.start_fleet(8, 2 * SECOND)
         ends: list[str] = []
         for fault in faults:
-            live = [each.name for each in clock.live()]
+            live = [each.name for each in network.live_members()]
             name = chance.choice(live)
             if fault in ("kill", "leave") and len(live) > 3:
-                getattr(clock, fault)(name)
+                getattr(network, fault)(name)
                 ends.append(name)
             elif fault in ("back", "lost") and ends:
                 old = ends.pop()
-                clock.start(
+                network.start(
                     old,
-                    clock.stands[old].incarnation + 1 if fault == "back" else 1,
-                    join=live[:3],
+                    network.members[old].incarnation + 1 if fault == "back" else 1,
+                    seeds=live[:3],
                 )
             elif fault == "new":
-                clock.start(f"new-{len(clock.stands)}", join=live[:3])
+                network.start(f"new-{len(network.members)}", seeds=live[:3])
             elif fault in ("cut", "one way"):
                 half = chance.sample(live, len(live) // 2)
-                clock.cut(
+                network.cut(
                     half,
-                    [each for each in clock.stands if each not in half],
+                    [each for each in network.members if each not in half],
                     fault == "cut",
                 )
             elif fault == "stall":
-                clock.stall(name, chance.randrange(5000, 80_000))
+                network.stall(name, chance.randrange(5000, 80_000))
             elif fault == "loss":
-                clock.loss = 0.2
+                network.loss = 0.2
             elif fault == "heal":
-                clock.heal()
-            clock.run(clock.now + chance.randrange(2000, 12 * SECOND))
-        clock.heal()
-        clock.loss = 0.0
-        self.settle(clock)
+                network.heal()
+            network.run(network.now + chance.randrange(2000, 12 * SECOND))
+        network.heal()
+        network.loss = 0.0
+        self.settle(network)
 
     def test_stalls_are_no_deaths_and_a_kill_is_one(self):
-        clock, chance = FleetClock(4), Random(4)
-        clock.whole(16, 3 * SECOND)
+        network, chance = SimulatedNetwork(4), Random(4)
+        network.start_fleet(16, 3 * SECOND)
 
         def together():
-            for name in chance.sample(sorted(clock.stands), 13):
-                clock.at(
-                    clock.now + chance.randrange(1000),
-                    clock.stall,
+            for name in chance.sample(sorted(network.members), 13):
+                network.call_at(
+                    network.now + chance.randrange(1000),
+                    network.stall,
                     name,
                     chance.randrange(6600, 12_001),
                 )
-            clock.at(clock.now + chance.randrange(20_000, 40_001), together)
+            network.call_at(network.now + chance.randrange(20_000, 40_001), together)
 
         together()
-        clock.run(clock.now + 60 * SECOND)
-        self.assertEqual(clock.false, [])
-        clock.kill("gateway-5")
-        self.settle(clock, 10)
+        network.run(network.now + 60 * SECOND)
+        self.assertEqual(network.false_deaths, [])
+        network.kill("gateway-5")
+        self.settle(network, 10)
 
     def test_a_lost_incarnation_is_reported_and_overtaken(self):
         for seed in range(6):
-            clock = FleetClock(seed)
-            clock.whole(4, SECOND)
-            clock.kill("gateway-3")
-            clock.run(clock.now + 5 * SECOND)
-            found = clock.start("gateway-3", run=1, join=["gateway-0"])
-            self.settle(clock, 10)
-            clock.run(clock.now + SECOND)
+            network = SimulatedNetwork(seed)
+            network.start_fleet(4, SECOND)
+            network.kill("gateway-3")
+            network.run(network.now + 5 * SECOND)
+            found = network.start("gateway-3", incarnation=1, seeds=["gateway-0"])
+            self.settle(network, 10)
+            network.run(network.now + SECOND)
             self.assertEqual(
                 (
-                    found.said["INCARNATION_LOST"],
+                    found.event_counts["INCARNATION_LOST"],
                     found.incarnation,
-                    found.said["DUPLICATE_NAME"],
+                    found.event_counts["DUPLICATE_NAME"],
                 ),
                 (1, 2, 0),
             )
 
     def test_a_duplicate_name_is_reported_at_both_and_settles(self):
-        clock = FleetClock(6)
-        clock.whole(6, 2 * SECOND)
-        first = clock.stands["gateway-2"]
-        twin = clock.start("twin", run=1, join=["gateway-0"])
-        twin.member = Membership(
+        network = SimulatedNetwork(6)
+        network.start_fleet(6, 2 * SECOND)
+        first = network.members["gateway-2"]
+        twin = network.start("twin", incarnation=1, seeds=["gateway-0"])
+        twin.membership = Membership(
             LocalIdentity("gateway-2", "twin:1", 9, 77),
-            clock.terms,
+            network.config,
             ["gateway-0:1"],
             Random(3),
-            clock.now,
+            network.now,
         )
         twin.name = "gateway-2"
-        clock.run(clock.now + 20 * SECOND)
-        self.assertTrue(first.said["DUPLICATE_NAME"] and twin.said["DUPLICATE_NAME"])
+        network.run(network.now + 20 * SECOND)
+        self.assertTrue(
+            first.event_counts["DUPLICATE_NAME"] and twin.event_counts["DUPLICATE_NAME"]
+        )
         held, versions = (
-            {each.view.digest for each in clock.live()},
-            [each.version for each in clock.live()],
+            {each.view.digest for each in network.live_members()},
+            [each.view_version for each in network.live_members()],
         )
         self.assertEqual(len(held), 1)
-        clock.run(clock.now + 120 * SECOND)
+        network.run(network.now + 120 * SECOND)
         self.assertEqual(
-            [each.version for each in clock.live()], versions
+            [each.view_version for each in network.live_members()], versions
         )  # nobody flaps
         rests = next(
             each
             for each in (first, twin)
-            if each.member.state.local.status is LocalStatus.DISPLACED
+            if each.membership.state.local.status is LocalStatus.DISPLACED
         )
-        (first if rests is twin else twin).up = False
+        (first if rests is twin else twin).is_up = False
         self.assertTrue(
-            clock.run(
-                clock.now + 20 * SECOND,
-                lambda: rests.member.state.local.status is LocalStatus.ACTIVE,
+            network.run(
+                network.now + 20 * SECOND,
+                lambda: rests.membership.state.local.status is LocalStatus.ACTIVE,
             )
         )
 
     def test_two_versions_in_one_fleet(self):
         """Every other gateway says later words too, and kinds that the rest do not know."""
-        clock = FleetClock(8, octets=True)
+        network = SimulatedNetwork(8, with_codec=True)
         plain, later = FrameCodec("fleet"), FrameCodec("fleet", 2)
 
         class Both:
@@ -186,13 +196,13 @@
             def decode(self, data):
                 return plain.decode(data)
 
-        clock.codec = Both()
-        clock.whole(9, 2 * SECOND)
-        clock.kill("gateway-3")
-        self.settle(clock, 15)
-        clock.start("gateway-3", run=2, join=["gateway-4"])
-        self.settle(clock, 15)
-        self.assertEqual(clock.false, [])
+        network.codec = Both()
+        network.start_fleet(9, 2 * SECOND)
+        network.kill("gateway-3")
+        self.settle(network, 15)
+        network.start("gateway-3", incarnation=2, seeds=["gateway-4"])
+        self.settle(network, 15)
+        self.assertEqual(network.false_deaths, [])
 
     def test_datagrams_and_maps_stay_in_their_bounds(self):
         config = MembershipConfig("f" * 64, max_members=1024)
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -18,7 +18,11 @@
 from milletsill.fleet.errors import FrameVersionTooNew, MalformedFrame
 from milletsill.fleet.frames import fleet_pb2
 from milletsill.fleet.frames.codec import MAGIC, MAX_COUNTER, FrameCodec
-from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
+from milletsill.fleet.frames.messages import (
+    FleetMessage,
+    FrameType,
+    MemberUpdate,
+)
 from milletsill.fleet.health import codec as health
 from milletsill.fleet.health import health_pb2
 from milletsill.fleet.leases import codec as registers
@@ -30,7 +34,7 @@
 from milletsill.fleet.membership.local_member import LocalIdentity
 from milletsill.fleet.membership.membership import Membership
 from milletsill.fleet.transport import MemberState, MessageKind
-from milletsill.lab.fleet_clock import SECOND
+from milletsill.lab.simulated_clock import SECOND
 from milletsill.lab.hunt.fleet_faults import FleetFaults
 from milletsill.lab.hunt.fleet_gateway import FleetShape
 from milletsill.lab.hunt.fleet_simulation import FleetSimulation, run_until_failure
@@ -239,7 +243,7 @@
                 name = "registers" if message.kind is MessageKind.CHANNEL else "health"
                 message = replace(message, body=of_later(name, message.body))
             data = of_later("frame", FrameCodec("fleet", 2).encode(message))
-            if self.frames % 50 == 0:
+            if self.message_count % 50 == 0:
                 frame = fleet_pb2.Frame.FromString(data[4:])
                 frame.what = 99
                 super().send(
@@ -275,13 +279,13 @@
                 (3, False),
             ]
             for at, (place, later) in enumerate(steps):
-                simulation.at(
+                simulation.call_at(
                     (6 + at + at // 2) * SECOND, simulation.restart, place, later
                 )
             run_until_failure(simulation, 45 * SECOND)
             simulation.check_calm()
             self.assertIsNone(simulation.failure)
-            self.assertEqual(simulation.false, [])
+            self.assertEqual(simulation.false_deaths, [])
             self.assertGreater(min(simulation.acknowledged.values()), 10)
 
 
