--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -4,7 +4,7 @@
     python -m benchmarks.trace hour SCENARIO --out DIR [--gateways 150 --rate 580 --seconds 3600 --parts 6]
     python -m benchmarks.trace kills [--count 200 --parts 5]
 
-`hour` plays the scenario's traffic through the real modules (lab/clockwork.py), writes a trace for each gateway, then measures
+`hour` plays the scenario's traffic through the real modules (lab/traffic_simulation.py), writes a trace for each gateway, then measures
 sizes against other formats, a cut of a minute and of a store, and the merge of all. Simulated: no sockets, no real time.
 """
 
@@ -71,12 +71,14 @@
     traced: bool,
 ) -> None:
     """One process's gateways; prints what it counted."""
-    from milletsill.lab.clockwork import Fleet, part_of
+    from milletsill.lab.traffic_simulation import TrafficSimulation, scenario_part
     from milletsill.trace.recorder import Recorder
 
     with open(path, encoding="utf-8") as source:
-        scenario = part_of(text_format.Parse(source.read(), Scenario()), number, of)
-    fleet = Fleet(scenario, gateways, rate, scenario.seed)
+        scenario = scenario_part(
+            text_format.Parse(source.read(), Scenario()), number, of
+        )
+    fleet = TrafficSimulation(scenario, gateways, rate, scenario.seed)
     taps, names, finals = (
         [],
         [each.name for each in fleet.volumes],
@@ -87,10 +89,10 @@
         def told(now: int, transfer: Any, final: str) -> None:
             finals[final] += 1
             if traced:
-                arrival = transfer.arrival
+                arrival = transfer.request
                 recorder.command(
                     now,
-                    transfer.began,
+                    transfer.received_at,
                     names[arrival.volume - 1],
                     arrival.service_plan,
                     arrival.request_class,
@@ -102,7 +104,7 @@
                     "",
                 )
 
-        gateway.told = told
+        gateway.on_final = told
         if not traced:
             return lambda make: make
         name = f"edge-{number * gateways + gateway.place:03d}"
@@ -121,7 +123,7 @@
         )
         taps.append(tap)
         recorder = Recorder(tap, names)
-        gateway.before = recorder.path
+        gateway.on_path = recorder.path
         return recorder.around
 
     began = time.process_time()
--- a/milletsill/lab/health_day.py
+++ b/milletsill/lab/health_day.py
@@ -25,8 +25,11 @@
 )
 from milletsill.fleet.health.verdict_table import CALLED_VERDICTS, HealthVerdict
 from milletsill.fleet.transport import Member, MemberState, View
-from milletsill.interface import AttemptResult, Request, AttemptOutcome
-from milletsill.lab.clockwork import Box, Fleet, Gateway, Transfer
+from milletsill.interface import Request, AttemptOutcome
+from milletsill.lab.modelled_node import ModelledNode
+from milletsill.lab.scheduler_gateway import SchedulerGateway
+from milletsill.lab.simulated_request import SimulatedAttempt, SimulatedRequest
+from milletsill.lab.traffic_simulation import TrafficSimulation
 from milletsill.settings.milletsill_pb2 import Scenario
 
 PERIOD, JUDGES, NEAR, FAR = (
@@ -99,7 +102,7 @@
 LOAD = 0.45
 
 
-class Ailing(Box):
+class Ailing(ModelledNode):
     """A box that may fail a share of its work."""
 
     fails = 0.0
@@ -107,55 +110,39 @@
     def finish(self, jobs: list[Any]) -> None:
         for each in jobs:
             if each.what is not None:
-                lost = self.fails and self.chance.random() < self.fails
-                self.fleet.at(
-                    self.fleet.now + 5,
+                lost = self.fails and self.random.random() < self.fails
+                self.simulation.call_at(
+                    self.simulation.now + 5,
                     each.what,
                     NONE if lost else AttemptOutcome.SUCCEEDED,
                 )
 
 
-class Knowing(Gateway):
+class Knowing(SchedulerGateway):
     """A gateway that tells an observer what it hears. `lies`: of some boxes it says the opposite."""
 
     observer: NodeObserver | None = None
 
-    def returned(
-        self,
-        transfer: Transfer,
-        number: int,
-        node: int,
-        sent: int,
-        outcome: AttemptOutcome,
-        done: list[bool],
+    def on_attempt_ended(
+        self, attempt: SimulatedAttempt, outcome: AttemptOutcome
     ) -> None:
-        if self.observer is not None and not done[0]:
-            report = (
-                self.fleet.boxes[node].report()
-                if outcome is AttemptOutcome.SUCCEEDED
-                else {}
-            )
-            answer = AttemptResult(
-                transfer.arrival.id,
-                number,
-                node,
-                outcome,
-                False,
-                self.fleet.now - sent,
-                None,
-                0,
-                report,
+        if self.observer is not None and not attempt.is_ended:
+            self.observer.on_attempt_result(
+                self.simulation.now,
+                attempt.request.request,
+                self.attempt_result(attempt, outcome, is_final=False),
             )
-            self.observer.on_attempt_result(self.fleet.now, transfer.arrival, answer)
-        super().returned(transfer, number, node, sent, outcome, done)
+        super().on_attempt_ended(attempt, outcome)
 
-    def take(self, arrival: Request, work: float, path: str, operation: str) -> None:
+    def take_request(
+        self, request: Request, work: float, path: str, operation: str
+    ) -> None:
         if operation == "new":
-            arrival = replace(arrival, shard=None)
-        super().take(arrival, work, path, operation)
+            request = replace(request, shard=None)
+        super().take_request(request, work, path, operation)
 
 
-class Day(Fleet):
+class Day(TrafficSimulation):
     """One day in one of the three ways."""
 
     def __init__(
@@ -174,11 +161,13 @@
         most_part: float = 0.34,
     ) -> None:
         super().__init__(scenario_of(gateways, boxes, cell), gateways, rate, seed)
-        self.boxes = [
-            Ailing(self, each.engine.kind, seed * 1000 + number)
-            for number, each in enumerate(self.boxes)
+        self.nodes = [
+            Ailing(self, each.engine.kind, self.rules, seed * 1000 + number)
+            for number, each in enumerate(self.nodes)
+        ]
+        self.endpoints = [
+            replace(each, shard=each.node // cell) for each in self.endpoints
         ]
-        self.entries = [replace(each, shard=each.node // cell) for each in self.entries]
         self.ill, self.way, self.seed, self.liars = ill, way, seed, liars
         self.begins, self.ends, self.lasts = (
             int(begins * SECOND),
@@ -190,22 +179,22 @@
             if ill not in ("calm", "surge")
             else []
         )
-        self.cells = {each.node: each.shard for each in self.entries}
+        self.cells = {each.node: each.shard for each in self.endpoints}
         self.worth = self.got = 0.0
         self.calls: list[
             tuple[int, int, int, HealthVerdict]
         ] = []  # when, judge, box, verdict
         for each in self.gateways:
             each.__class__ = Knowing
-            each.told = self.told  # type: ignore[method-assign]
+            each.on_final = self.told  # type: ignore[method-assign]
         self.others = Random(seed + 11)
-        self.at(self.begins, self.fall)
-        self.at(self.ends, self.mend)
+        self.call_at(self.begins, self.fall)
+        self.call_at(self.ends, self.mend)
         if way == "shared":
             self.share(most_part)
         if way == "truth":
             self.order = self.order_of()
-            self.at(self.begins, self.tell_truth)
+            self.call_at(self.begins, self.tell_truth)
 
     def order_of(self) -> RendezvousRanking:
         view = View(
@@ -226,7 +215,7 @@
         if self.ill == "surge":
             self.rate *= 2.0
         for each in self.sick:
-            box = self.boxes[each]
+            box = self.nodes[each]
             box.engine.speed.slow, box.fails = ill.slow, ill.fails
             box.engine.speed.still_until = self.ends / SECOND if ill.still else 0.0
 
@@ -234,21 +223,21 @@
         if self.ill == "surge":
             self.rate /= 2.0
         for each in self.sick:
-            self.boxes[each].finish(self.boxes[each].engine.advance(self.now / SECOND))
-            self.boxes[each].engine.speed.slow, self.boxes[each].fails = 1.0, 0.0
+            self.nodes[each].finish(self.nodes[each].engine.advance(self.now / SECOND))
+            self.nodes[each].engine.speed.slow, self.nodes[each].fails = 1.0, 0.0
 
     # What a day is worth.
 
-    def told(self, now: int, transfer: Transfer, final: str) -> None:
-        if not self.begins <= transfer.began < self.ends + 4 * SECOND:
+    def told(self, now: int, transfer: SimulatedRequest, final: str) -> None:
+        if not self.begins <= transfer.received_at < self.ends + 4 * SECOND:
             return
         category = self.gateways[0].config.request_classes[
-            transfer.arrival.request_class
+            transfer.request.request_class
         ]
-        worth = category.priority_weight * transfer.arrival.units
+        worth = category.priority_weight * transfer.request.units
         self.worth += worth
         if final == "satisfied":
-            late = now - transfer.began > category.latency_objective
+            late = now - transfer.received_at > category.latency_objective
             self.got += worth * (category.late_weight if late else 1.0)
 
     # Truth.
@@ -260,11 +249,11 @@
                 places = self.order.places(box)
                 for number, each in enumerate(self.gateways):
                     away = places[number] >= part * len(places)
-                    each.module.on_health_advice(
+                    each.scheduler.on_health_advice(
                         self.now, box, strain, away, min(self.now + 4000, self.ends)
                     )
-                    each.settle_soon()
-            self.at(self.now + PERIOD, self.tell_truth)
+                    each.dispatch_soon()
+            self.call_at(self.now + PERIOD, self.tell_truth)
 
     # Sharing.
 
@@ -283,12 +272,12 @@
             each.observer = NodeObserver(
                 [kind.latency_objective for kind in each.config.request_classes]
             )
-            each.observer.on_endpoints(self.entries)
+            each.observer.on_endpoints(self.endpoints)
             each.own = ReportStore(number, 1, 2, 4096)
             each.turn = number
-            self.at(self.others.randrange(PERIOD), self.publish, number)
+            self.call_at(self.others.randrange(PERIOD), self.publish, number)
         for each in range(JUDGES):
-            self.at(PERIOD + each * PERIOD // JUDGES, self.judge, each)
+            self.call_at(PERIOD + each * PERIOD // JUDGES, self.judge, each)
 
     def publish(self, number: int) -> None:
         gateway = self.gateways[number]
@@ -306,10 +295,10 @@
             if words:
                 news = gateway.own.write(words)
                 for rows in self.copies:
-                    self.at(
+                    self.call_at(
                         self.now + self.others.randrange(NEAR, FAR), rows.merge, news
                     )
-        self.at(self.now + PERIOD, self.publish, number)
+        self.call_at(self.now + PERIOD, self.publish, number)
 
     def lie(self, words: dict[int, Any]) -> dict[int, Any]:
         """In concert: the same well boxes are ill, the ill ones are well."""
@@ -335,15 +324,15 @@
                     advice = judge.advice(
                         box, self.order.places(box)[place], len(self.gateways)
                     )
-                    gateway.module.on_health_advice(
+                    gateway.scheduler.on_health_advice(
                         self.now,
                         box,
                         advice.load_factor,
                         advice.avoid,
                         self.now + ADVICE_PERIODS * PERIOD,
                     )
-                    gateway.settle_soon()
-        self.at(self.now + PERIOD, self.judge, number)
+                    gateway.dispatch_soon()
+        self.call_at(self.now + PERIOD, self.judge, number)
 
     def false_calls(self) -> int:
         """Boxes called ill that were not, by the first judge."""
--- a/milletsill/lab/hunt/simulated_health.py
+++ b/milletsill/lab/hunt/simulated_health.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Advice:
+class RecordedAdvice:
     """The latest advice on a node."""
 
     until: int
@@ -26,11 +26,11 @@
 
     def __init__(self) -> None:
         self.on_attempt_ended: Any = None
-        self.advice: dict[int, Advice] = {}
+        self.advice: dict[int, RecordedAdvice] = {}
 
     def on_health_advice(self, node: int, load: float, avoid: bool, until: int) -> None:
         """Take advice on a node, until a time."""
-        self.advice[node] = Advice(until, avoid)
+        self.advice[node] = RecordedAdvice(until, avoid)
 
     def avoids(self, node: int, now: int) -> bool:
         """Return whether a node is to be avoided now."""
--- /dev/null
+++ b/milletsill/lab/traffic_simulation.py
@@ -0,0 +1,182 @@
+"""Gateways and nodes under drawn traffic, on a simulated clock.
+
+The schedulers are the real ones. Traffic is drawn from a scenario's rows (rates, sizes,
+work, runs, weights of plans) and comes through a gateway by chance. What is left out
+beside the laboratory of processes: sockets, the gateways' own processor time, the steps
+of a command (each is one request), repeats by clients and the scenario's faults.
+
+Times are ticks of a tenth of a millisecond.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from itertools import accumulate
+from random import Random
+from typing import Any
+
+from milletsill.interface import Endpoint, EndpointUpdateKind, Readiness, Request
+from milletsill.lab.modelled_node import ModelledNode
+from milletsill.lab.scheduler_gateway import (
+    SchedulerGateway,
+    SchedulerWrapper,
+    use_directly,
+)
+from milletsill.lab.simulated_clock import SECOND, SimulatedClock
+from milletsill.settings.milletsill_pb2 import Scenario, Traffic
+from milletsill.sftp_gateway.deployment import atlas_of, config_of
+
+
+@dataclass(slots=True)
+class SequentialRun:
+    """Requests of one volume for one key that follow each other."""
+
+    key: int
+    left: int
+
+
+class TrafficSimulation(SimulatedClock):
+    """Gateways before a scenario's nodes, and the scenario's traffic.
+
+    Args:
+        scenario: Its gateway file, nodes and traffic.
+        gateways: How many.
+        rate: Requests a second in all.
+        seed: Of everything that chance decides.
+    """
+
+    def __init__(
+        self, scenario: Scenario, gateways: int, rate: float, seed: int
+    ) -> None:
+        super().__init__()
+        self.random = Random(seed)
+        self.rate = rate
+        file = scenario.gateway
+        self.rules = file.rules
+        self.report_fields = list(file.reports.field)
+        self.nodes = self._make_nodes(scenario, seed)
+        self.endpoints = [
+            Endpoint(
+                number,
+                Readiness.READY,
+                float(node.engine.kind.cores),
+                0,
+                0,
+                None,
+                number,
+            )
+            for number, node in enumerate(self.nodes)
+        ]
+        config = config_of(file)
+        self.gateways = [
+            SchedulerGateway(self, place, config, seed * 100_000 + place)
+            for place in range(gateways)
+        ]
+        self.atlas = atlas_of(file)
+        self.volumes = list(file.volume)
+        plans = {plan.name: plan for plan in file.plan}
+        self._volume_weights = list(
+            accumulate(plans[volume.plan].usual_rate for volume in self.volumes)
+        )
+        self._rows = list(scenario.traffic)
+        self._row_weights = list(accumulate(row.per_s for row in self._rows))
+        self._runs: dict[int, SequentialRun] = {}
+        self._client_timeouts = {
+            category.name: int(category.patience_ms * 10) for category in file.category
+        }
+        self._request_classes = {
+            category.name: place for place, category in enumerate(file.category)
+        }
+        assert self._row_weights[-1] > 0, "the scenario has no traffic"
+
+    def _make_nodes(self, scenario: Scenario, seed: int) -> list[ModelledNode]:
+        kinds = {kind.name: kind for kind in scenario.kind}
+        names = [box.kind for box in scenario.box for _ in range(box.count)]
+        return [
+            ModelledNode(self, kinds[name], self.rules, seed * 1000 + number)
+            for number, name in enumerate(names)
+        ]
+
+    def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
+        """Make a call at a time, or now if that is past."""
+        super().call_at(max(when, self.now), call, *values)
+
+    def start(
+        self,
+        wrapper_for: Callable[[SchedulerGateway], SchedulerWrapper] = (
+            lambda gateway: use_directly
+        ),
+    ) -> None:
+        """Make the schedulers, give them the list, let the traffic begin."""
+        for gateway in self.gateways:
+            gateway.start(wrapper_for(gateway))
+            gateway.scheduler.on_endpoints(
+                self.now, EndpointUpdateKind.SNAPSHOT, self.endpoints
+            )
+            gateway.dispatch_soon()
+        self.call_at(self.now, self._draw_request)
+
+    def _draw_request(self) -> None:
+        """Draw one request, and when the next comes."""
+        random = self.random
+        rows = range(len(self._rows))
+        row = self._rows[random.choices(rows, cum_weights=self._row_weights)[0]]
+        volumes = range(len(self.volumes))
+        place = random.choices(volumes, cum_weights=self._volume_weights)[0]
+        volume = self.atlas.roots[self.volumes[place].root]
+        gateway = self.gateways[random.randrange(len(self.gateways))]
+        gateway.request_count += 1
+        path = f"{volume.root}/f{self._draw_key(place, row) >> 6:08x}"
+        units = min(
+            max(int(random.expovariate(1 / row.units)) + 1, 1),
+            self.rules.largest_units,
+        )
+        work = (
+            row.work_ms
+            / 1000
+            * units
+            / self.rules.unit_mean
+            * max(random.gauss(1.0, min(row.cv, 1.0)), 0.1)
+        )
+        request = Request(
+            gateway.request_count,
+            self.atlas.extent(path, 0),
+            volume.number,
+            volume.gateways,
+            self._request_classes[row.category],
+            volume.plan,
+            False,
+            row.operation in ("write", "new"),
+            self.atlas.home(volume, path),
+            units,
+            self.now + self._client_timeouts[row.category],
+        )
+        gateway.take_request(request, work, path, row.operation)
+        pause = max(round(random.expovariate(self.rate) * SECOND), 0)
+        self.call_at(self.now + pause, self._draw_request)
+
+    def _draw_key(self, place: int, row: Traffic) -> int:
+        """Return the key of the volume's run, or of a new one."""
+        run = self._runs.get(place)
+        if run is None or run.left <= 0:
+            run = SequentialRun(
+                self.random.getrandbits(32) * 64 + place,
+                int(self.random.expovariate(1 / row.run)) + 1,
+            )
+            self._runs[place] = run
+        run.left -= 1
+        return run.key
+
+
+def scenario_part(scenario: Scenario, part: int, part_count: int) -> Scenario:
+    """Return the scenario for one of the processes that share a fleet's gateways.
+
+    Its nodes have that part of the power.
+    """
+    made = Scenario()
+    made.CopyFrom(scenario)
+    for kind in made.kind:
+        kind.speed /= part_count
+    made.seed += part
+    return made
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -49,7 +49,7 @@
                     )
                 )
             for at in range(0, 4 * SECOND, 1000):
-                day.at(at, advise, day)
+                day.call_at(at, advise, day)
             day.play()
             return sent
 
@@ -57,11 +57,11 @@
         self.assertGreater(len(plain), 200)
         for neutral in (
             lambda day: [
-                each.module.on_health_advice(day.now, 99, 4.0, True, day.now + 3000)
+                each.scheduler.on_health_advice(day.now, 99, 4.0, True, day.now + 3000)
                 for each in day.gateways
             ],
             lambda day: [
-                each.module.on_health_advice(day.now, 1, 4.0, True, day.now)
+                each.scheduler.on_health_advice(day.now, 1, 4.0, True, day.now)
                 for each in day.gateways
             ],
         ):
@@ -69,8 +69,10 @@
         away = played(
             lambda day: [
                 (
-                    each.module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000),
-                    each.settle_soon(),
+                    each.scheduler.on_health_advice(
+                        day.now, 1, 4.0, True, day.now + 3000
+                    ),
+                    each.dispatch_soon(),
                 )
                 for each in day.gateways
             ]
@@ -82,7 +84,7 @@
         day = self.day()
         day.start()
         day.run(SECOND)
-        module = day.gateways[0].module
+        module = day.gateways[0].scheduler
         node = module.state.nodes[1]
         node.last_heard_at = node.failed_at = -9 * SECOND
         module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
