--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -36,7 +36,7 @@
 from milletsill.lab.processes import LAB, Group, PlannerPart, Processes, free_ports
 from milletsill.lab.relay import inside, outside
 from milletsill.lab.report import broken, report
-from milletsill.lab.starved import Starved
+from milletsill.lab.starvation import StarvationMonitor
 from milletsill.lab.troubles import OF_KILLS, Troubles
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
 
@@ -87,7 +87,7 @@
             for at in range(0, len(self.names), per_process)
         ]
         self.troubles = Troubles(self)
-        self.starved = Starved()
+        self.starved = StarvationMonitor()
         self.fleet_port, self.relay = 0, None
         self.start = self.ended = 0.0
         os.makedirs(self.out, exist_ok=True)
@@ -214,7 +214,7 @@
         while any(each.poll() is None for each in clients) and time.monotonic() < ends:
             now = time.monotonic()
             self.troubles.play(now)
-            self.troubles.stops += self.starved.look(now, self.groups)
+            self.troubles.stops += self.starved.find_spans(now, self.groups)
             time.sleep(0.01)
         for number, name in enumerate(
             self.names
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -8,9 +8,8 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from milletsill.lab import audit, record
-from milletsill.lab import starved as lab_starved
-from milletsill.lab.starved import Starved
+from milletsill.lab import audit, record, starvation
+from milletsill.lab.starvation import StarvationMonitor
 from milletsill.settings.milletsill_pb2 import Scenario
 from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms, NodeReply, NodeRequest
@@ -297,14 +296,14 @@
         waits = {0.0: 0.0, 0.06: 0.0, 0.8: 0.7, 0.9: 0.7}
         edge, starved = (
             SimpleNamespace(process=SimpleNamespace(pid=7), names=["e"]),
-            Starved(),
+            StarvationMonitor(),
         )
         found = []
         for at, total in waits.items():
-            with mock.patch.object(lab_starved, "waited", return_value=total):
+            with mock.patch.object(starvation, "read_total_wait", return_value=total):
                 found += [
                     (name, round(since, 2), to)
-                    for name, since, to in starved.look(100 + at, [edge])
+                    for name, since, to in starved.find_spans(100 + at, [edge])
                 ]
         self.assertEqual(found, [("e", 99.36, 100.8)])
 
