--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -21,7 +21,7 @@
 
 import numpy as np
 
-from milletsill.lab import health_day, health_spread
+from milletsill.lab import health_scenario, health_simulation, health_spread
 
 T95 = {
     2: 12.706,
@@ -60,7 +60,10 @@
 def day(job: tuple[str, str, int, int, float]) -> dict[str, Any]:
     os.nice(0)
     ill, way, seed, cell, liars = job
-    made = health_day.Day(ill, way, seed, cell=cell, liars=liars)
+    scenario = health_scenario.HealthScenario(
+        fault=ill, knowledge=way, seed=seed, shard_size=cell, liar_share=liars
+    )
+    made = health_simulation.HealthSimulation(scenario)
     return {
         "ill": ill,
         "way": way,
@@ -68,7 +71,7 @@
         "cell": cell,
         "liars": liars,
         "service": made.play(),
-        "false": made.false_calls(),
+        "false": made.count_false_calls(),
         "hours": made.lasts / 36_000_000,
     }
 
@@ -212,7 +215,7 @@
     ):
         parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--liars", type=float, default=0.0)
-    parser.add_argument("--ills", default=",".join(health_day.KINDS))
+    parser.add_argument("--ills", default=",".join(health_scenario.NODE_FAULTS))
     parser.add_argument("--ways", default="alone,shared,truth")
     parser.add_argument("--out", default="")
     given = parser.parse_args()
--- a/milletsill/lab/health_spread.py
+++ b/milletsill/lab/health_spread.py
@@ -2,7 +2,7 @@
 
 Every gateway has its rows and its part in spreading them (`fleet/health/report_exchange.py`; octets are those of the encoded pieces);
 some have a judge. What gateways see is drawn: each box answers at a rate, at some gateway by chance, and what is ill is lost,
-fails or is slow. Words, delays and losses are as in service; queues at boxes and clients are left out (`health_day` has them).
+fails or is slow. Words, delays and losses are as in service; queues at boxes and clients are left out (`health_simulation` has them).
 """
 
 from __future__ import annotations
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -25,7 +25,8 @@
     Readiness,
     Request,
 )
-from milletsill.lab.health_day import Day
+from milletsill.lab.health_scenario import HealthScenario
+from milletsill.lab.health_simulation import HealthSimulation
 from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import FleetLink, GatewayFile
@@ -33,8 +34,18 @@
 
 class Advice(unittest.TestCase):
     def day(self, ill="calm"):
-        return Day(
-            ill, "alone", 3, gateways=6, boxes=8, rate=60.0, begins=1, ends=3, lasts=4
+        return HealthSimulation(
+            HealthScenario(
+                fault=ill,
+                knowledge="alone",
+                seed=3,
+                gateways=6,
+                nodes=8,
+                rate=60.0,
+                begins=1,
+                ends=3,
+                lasts=4,
+            )
         )
 
     def test_decisions_change_by_advice_and_not_without_it(self):
