--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -21,7 +21,7 @@
 
 import numpy as np
 
-from milletsill.lab import health_scenario, health_simulation, health_spread
+from milletsill.lab import gossip_simulation, health_scenario, health_simulation
 
 T95 = {
     2: 12.706,
@@ -110,10 +110,10 @@
     jobs = [
         (case, seed, given.gateways)
         for seed in range(1, given.seeds + 1)
-        for case in health_spread.CASES
+        for case in gossip_simulation.CASES
     ]
     found: dict[str, list[dict[str, Any]]] = {}
-    for made in worked(health_spread.play, jobs, given):
+    for made in worked(gossip_simulation.play, jobs, given):
         found.setdefault(made["case"], []).append(made)
     for case, runs in found.items():
         names = [each for each in runs[0] if each not in JOBS["spread"]]
--- /dev/null
+++ b/milletsill/lab/gossip_gateway.py
@@ -0,0 +1,210 @@
+"""A gateway of the simulation of health reports: what it saw, and what it was told.
+
+Times are ticks of a tenth of a millisecond.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from typing import Any, Protocol
+
+from milletsill.fleet.health.health_evaluator import HealthEvaluator
+from milletsill.fleet.health.node_observer import (
+    NodeStatistics,
+    has_news_of,
+    take_unreported,
+)
+from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
+from milletsill.fleet.health.report_exchange import ReportExchange
+from milletsill.fleet.health.report_store import (
+    NodeObservation,
+    ReportDelta,
+    ReportStore,
+    ReportVersion,
+)
+from milletsill.fleet.health.tuning import (
+    CALM_PUBLISH_PERIODS,
+    GOSSIP_INTERVAL,
+    OBSERVATION_FADE,
+    SECOND,
+)
+
+PUBLISH_INTERVAL = 3000
+EXPIRE_INTERVAL = 2 * SECOND
+REPORT_KEPT_FOR = 4 * OBSERVATION_FADE
+KNOWN_VERSION_OCTETS = 17  # of a report in what a gateway says that it has
+MAX_CALLED_SHARE = 0.34
+MAX_REPORTS = 4096
+MAX_NODES = 4096
+
+
+class GossipSurroundings(Protocol):
+    """What a gateway sees of the simulation."""
+
+    now: int
+    seed: int
+    is_quiet: bool
+
+    @property
+    def shards(self) -> Mapping[int, int]:
+        """The shard of each node."""
+
+    @property
+    def ill_nodes(self) -> Sequence[int]:
+        """The nodes that are ill while there is a fault."""
+
+    @property
+    def slandered(self) -> Sequence[int]:
+        """The well nodes that liars report as failing."""
+
+    def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
+        """Make a call at a time."""
+
+    def evaluator_for(self, place: int) -> HealthEvaluator:
+        """Return the evaluator that speaks for a gateway."""
+
+    def ranking_for(self, place: int) -> RendezvousRanking:
+        """Return the ranking of the gateways that a gateway sees."""
+
+    def reachable_from(self, place: int) -> list[int]:
+        """Return the gateways that a gateway sees, itself among them."""
+
+    def gateway_count(self) -> int:
+        """Return how many gateways there are."""
+
+    def octets_of(self, delta: ReportDelta) -> int:
+        """Return the octets of a delta in a frame."""
+
+    def send(
+        self,
+        sender: int,
+        receiver: int,
+        deltas: list[ReportDelta],
+        versions: list[ReportVersion],
+    ) -> None:
+        """Carry a message, if it is not lost."""
+
+
+class MeasuredExchange(ReportExchange):
+    """An exchange without the work of encoding each frame.
+
+    The octets are those of its pieces, each of which is measured once.
+    """
+
+    def __init__(
+        self, simulation: GossipSurroundings, place: int, store: ReportStore
+    ) -> None:
+        seed = simulation.seed * 10_000 + place
+        super().__init__(store, seed, lambda member, body: None)
+        self.simulation = simulation
+        self.place = place
+
+    def send_to(
+        self,
+        members: Sequence[str],
+        deltas: Iterable[ReportDelta],
+        versions: Iterable[ReportVersion],
+        now: int,
+    ) -> None:
+        """Send deltas and known versions to each of the members."""
+        sent_deltas = list(deltas)
+        sent_versions = list(versions)
+        octets = sum(self.simulation.octets_of(delta) for delta in sent_deltas)
+        octets += KNOWN_VERSION_OCTETS * len(sent_versions)
+        for member in members:
+            self.sent_bytes += octets
+            self.simulation.send(self.place, int(member), sent_deltas, sent_versions)
+
+
+class GossipGateway:
+    """One gateway's observations, reports and part in their exchange.
+
+    Attributes:
+        store: The reports that it has.
+        exchange: Its part in gossip.
+        evaluator: Where it judges nodes.
+        is_liar: It reports the opposite of some nodes.
+    """
+
+    def __init__(
+        self, simulation: GossipSurroundings, place: int, evaluates: bool
+    ) -> None:
+        self.simulation = simulation
+        self.place = place
+        self.store = ReportStore(place, 1, MAX_REPORTS, MAX_NODES)
+        self.exchange = MeasuredExchange(simulation, place, self.store)
+        self.evaluator = HealthEvaluator(MAX_CALLED_SHARE) if evaluates else None
+        self.is_liar = False
+        self._statistics: dict[int, NodeStatistics] = {}
+        self._has_bad_news = False
+        self._periods = place
+
+    def on_answer(self, node: int, is_lost: bool, pace: float) -> None:
+        """Take the end of an attempt; `pace` is log2 of the usual one."""
+        now = self.simulation.now
+        statistics = self._statistics.setdefault(node, NodeStatistics(now))
+        statistics.fade(now)
+        statistics.add(is_lost, is_lost, None if is_lost else pace)
+        self._has_bad_news |= is_lost or pace > 1
+
+    def publish(self) -> None:
+        """Write its report where there is news, and again after a period."""
+        simulation = self.simulation
+        if simulation.is_quiet:
+            return
+        self._periods += 1
+        evaluator = simulation.evaluator_for(self.place)
+        if (
+            self._has_bad_news
+            or self.is_liar
+            or has_news_of(self._statistics, evaluator.not_healthy())
+            or self._periods % CALM_PUBLISH_PERIODS == 0
+        ):
+            observations = take_unreported(self._statistics, simulation.now)
+            self._has_bad_news = False
+            if self.is_liar:
+                self._falsify(observations)
+            self.exchange.write(observations)
+        simulation.call_at(simulation.now + PUBLISH_INTERVAL, self.publish)
+
+    def _falsify(self, observations: dict[int, NodeObservation]) -> None:
+        now = self.simulation.now
+        for node in self.simulation.slandered:
+            observations[node] = NodeObservation(0, now, 8.0, 1.0, 1.0, 0.0, 0.0)
+        for node in self.simulation.ill_nodes:
+            observations[node] = NodeObservation(0, now, 8.0, 0.0, 0.0, 8.0, 0.0)
+
+    def run_round(self) -> None:
+        """Send what is new to some others, and again after the gossip interval."""
+        now = self.simulation.now
+        reachable = self.simulation.reachable_from(self.place)
+        others = [str(place) for place in reachable if place != self.place]
+        self.exchange.run_round(now, others)
+        self.simulation.call_at(now + GOSSIP_INTERVAL, self.run_round)
+
+    def expire(self) -> None:
+        """Forget old reports, and again after an interval."""
+        now = self.simulation.now
+        count = self.simulation.gateway_count()
+        self.store.expire(range(count), now - REPORT_KEPT_FOR)
+        self.simulation.call_at(now + EXPIRE_INTERVAL, self.expire)
+
+    def evaluate(self) -> None:
+        """Judge all nodes, and again after a period; only where it evaluates."""
+        simulation = self.simulation
+        assert self.evaluator is not None
+        self.evaluator.evaluate(
+            self.store,
+            len(simulation.reachable_from(self.place)),
+            simulation.ranking_for(self.place),
+            simulation.shards,
+            simulation.now,
+        )
+        simulation.call_at(simulation.now + PUBLISH_INTERVAL, self.evaluate)
+
+    def called_nodes(self) -> frozenset[int]:
+        """Return the nodes that it calls ill."""
+        assert self.evaluator is not None
+        return frozenset(
+            node for node, held in self.evaluator.nodes.items() if held.is_called
+        )
--- a/milletsill/lab/health_simulation.py
+++ b/milletsill/lab/health_simulation.py
@@ -4,8 +4,8 @@
 nodes. There are three ways to know of an ill node: `alone` (each gateway by itself),
 `shared` (`milletsill.fleet.health`) and `truth` (the true state, told at once: the best
 possible). All three draw their traffic from the same seeds. In `shared`, reports reach
-one evaluator, which speaks for all gateways (`milletsill.lab.health_spread` shows how
-they agree), 0.1 to 0.6 s after they are written.
+one evaluator, which speaks for all gateways (`milletsill.lab.gossip_simulation` shows
+how they agree), 0.1 to 0.6 s after they are written.
 
 Times are ticks of a tenth of a millisecond where nothing else is said.
 """
