--- a/milletsill/lab/starvation.py
+++ b/milletsill/lab/starvation.py
@@ -21,7 +21,7 @@
         """Its id."""
 
 
-class GatewayProcess(Protocol):
+class MonitoredProcess(Protocol):
     """One process, and the gateways in it."""
 
     @property
@@ -58,7 +58,7 @@
         self._waits: dict[int, float] = {}
 
     def find_spans(
-        self, now: float, groups: Sequence[GatewayProcess]
+        self, now: float, groups: Sequence[MonitoredProcess]
     ) -> list[tuple[str, float, float]]:
         """Return (gateway, from, to) of those that had no core for long.
 
