--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -25,7 +25,7 @@
 
 import numpy as np
 
-from milletsill.lab import health_day, health_spread
+from milletsill.lab import gossip_simulation, health_scenario, health_simulation
 
 T95 = {
     2: 12.706,
@@ -64,7 +64,10 @@
 def day(job: tuple[str, str, int, int, float]) -> dict[str, Any]:
     os.nice(0)
     ill, way, seed, cell, liars = job
-    made = health_day.Day(ill, way, seed, cell=cell, liars=liars)
+    scenario = health_scenario.HealthScenario(
+        fault=ill, knowledge=way, seed=seed, shard_size=cell, liar_share=liars
+    )
+    made = health_simulation.HealthSimulation(scenario)
     return {
         "ill": ill,
         "way": way,
@@ -72,7 +75,7 @@
         "cell": cell,
         "liars": liars,
         "service": made.play(),
-        "false": made.false_calls(),
+        "false": made.count_false_calls(),
         "hours": made.lasts / 36_000_000,
     }
 
@@ -111,10 +114,10 @@
     jobs = [
         (case, seed, given.gateways)
         for seed in range(1, given.seeds + 1)
-        for case in health_spread.CASES
+        for case in gossip_simulation.CASES
     ]
     found: dict[str, list[dict[str, Any]]] = {}
-    for made in worked(health_spread.play, jobs, given):
+    for made in worked(gossip_simulation.play, jobs, given):
         found.setdefault(made["case"], []).append(made)
     for case, runs in found.items():
         names = [each for each in runs[0] if each not in JOBS["spread"]]
@@ -219,7 +222,7 @@
     ):
         parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--liars", type=float, default=0.0)
-    parser.add_argument("--ills", default=",".join(health_day.KINDS))
+    parser.add_argument("--ills", default=",".join(health_scenario.NODE_FAULTS))
     parser.add_argument("--ways", default="alone,shared,truth")
     parser.add_argument("--out", default="")
     given = parser.parse_args()
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -6,8 +6,8 @@
     python -m benchmarks.trace hour SCENARIO --out DIR [--gateways 150 --rate 580 --seconds 3600 --parts 6]
     python -m benchmarks.trace kills [--count 200 --parts 5]
 
-`hour` plays the scenario's traffic through the real modules (lab/clockwork.py), writes
-a trace for each gateway, then measures sizes against other formats, a cut of a minute
+`hour` plays the scenario's traffic through the real modules (lab/traffic_simulation.py),
+writes a trace for each gateway, then measures sizes against other formats, a cut of a minute
 and of a store, and the merge of all. Simulated: no sockets, no real time.
 """
 
@@ -79,12 +79,14 @@
     traced: bool,
 ) -> None:
     """One process's gateways; prints what it counted."""
-    from milletsill.lab.clockwork import Fleet, part_of
+    from milletsill.lab.traffic_simulation import TrafficSimulation, scenario_part
     from milletsill.trace.recorder import CommandRecord, TraceRecorder
 
     with open(path, encoding="utf-8") as source:
-        scenario = part_of(text_format.Parse(source.read(), Scenario()), number, of)
-    fleet = Fleet(scenario, gateways, rate, scenario.seed)
+        scenario = scenario_part(
+            text_format.Parse(source.read(), Scenario()), number, of
+        )
+    fleet = TrafficSimulation(scenario, gateways, rate, scenario.seed)
     taps, names, finals = (
         [],
         [each.name for each in fleet.volumes],
@@ -95,9 +97,9 @@
         def told(now: int, transfer: Any, final: str) -> None:
             finals[final] += 1
             if traced:
-                arrival = transfer.arrival
+                arrival = transfer.request
                 command = CommandRecord(
-                    began=transfer.began,
+                    began=transfer.received_at,
                     volume=names[arrival.volume - 1],
                     service_plan=arrival.service_plan,
                     request_class=arrival.request_class,
@@ -110,7 +112,7 @@
                 )
                 recorder.record_command(now, command)
 
-        gateway.told = told
+        gateway.on_final = told
         if not traced:
             return lambda make: make
         name = f"edge-{number * gateways + gateway.place:03d}"
@@ -129,7 +131,7 @@
         )
         taps.append(tap)
         recorder = TraceRecorder(tap, names)
-        gateway.before = recorder.set_next_path
+        gateway.on_path = recorder.set_next_path
         return recorder.wrap
 
     began = time.process_time()
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -25,7 +25,8 @@
     Readiness,
     Request,
 )
-from milletsill.lab.health_day import Day
+from milletsill.lab.health_scenario import HealthScenario
+from milletsill.lab.health_simulation import HealthSimulation
 from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import FleetLink, GatewayFile
@@ -33,8 +34,18 @@
 
 class Advice(unittest.TestCase):
     def day(self, ill="calm"):
-        return Day(
-            ill, "alone", 3, gateways=6, boxes=8, rate=60.0, begins=1, ends=3, lasts=4
+        return HealthSimulation(
+            HealthScenario(
+                fault=ill,
+                knowledge="alone",
+                seed=3,
+                gateways=6,
+                nodes=8,
+                rate=60.0,
+                begins=1,
+                ends=3,
+                lasts=4,
+            )
         )
 
     def test_decisions_change_by_advice_and_not_without_it(self):
@@ -49,7 +60,7 @@
                     )
                 )
             for at in range(0, 4 * SECOND, 1000):
-                day.at(at, advise, day)
+                day.call_at(at, advise, day)
             day.play()
             return sent
 
@@ -57,11 +68,11 @@
         self.assertGreater(len(plain), 200)
         for neutral in (
             lambda day: [
-                each.module.on_health_advice(day.now, 99, 4.0, True, day.now + 3000)
+                each.scheduler.on_health_advice(day.now, 99, 4.0, True, day.now + 3000)
                 for each in day.gateways
             ],
             lambda day: [
-                each.module.on_health_advice(day.now, 1, 4.0, True, day.now)
+                each.scheduler.on_health_advice(day.now, 1, 4.0, True, day.now)
                 for each in day.gateways
             ],
         ):
@@ -69,8 +80,10 @@
         away = played(
             lambda day: [
                 (
-                    each.module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000),
-                    each.settle_soon(),
+                    each.scheduler.on_health_advice(
+                        day.now, 1, 4.0, True, day.now + 3000
+                    ),
+                    each.dispatch_soon(),
                 )
                 for each in day.gateways
             ]
@@ -82,7 +95,7 @@
         day = self.day()
         day.start()
         day.run(SECOND)
-        module = day.gateways[0].module
+        module = day.gateways[0].scheduler
         node = module.state.nodes[1]
         node.last_heard_at = node.failed_at = -9 * SECOND
         module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -22,8 +22,6 @@
 # to join them.
 TO_BE_SPLIT: set[str] = {
     "milletsill/lab/channels.py",
-    "milletsill/lab/hunt/fleet_world.py",
-    "milletsill/lab/hunt/list_world.py",
     "milletsill/lab/load.py",
     "tests/http_gateway/test_http_gateway.py",
     "tests/http_gateway/test_races_descriptors.py",
