--- a/milletsill/lab/__init__.py
+++ b/milletsill/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: stand-ins, faults, load, audit and reports. Nothing of the product imports it."""
+"""The laboratory: stand-ins, faults, load, audit and reports.
+
+Nothing of the product imports it.
+"""
--- a/milletsill/lab/moment.py
+++ b/milletsill/lab/moment.py
@@ -16,8 +16,10 @@
     *values: Any,
     now: Callable[[], float] = time.monotonic,
 ) -> None:
-    """Call once the monotonic clock has come to `when` (seconds). Guards a day's faults against a wall clock that is set on or
-    back while it runs, since the reactor's timers follow that one. Harm: none, it looks twice a second.
+    """Call once the monotonic clock has come to `when` (seconds).
+
+    Guards a day's faults against a wall clock that is set on or back while it runs,
+    since the reactor's timers follow that one. Harm: none, it looks twice a second.
     """
     left = when - now()
     if left <= 0:
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -37,11 +37,11 @@
 from milletsill.fleet.membership.local_member import LocalIdentity
 from milletsill.fleet.membership.membership import Membership
 from milletsill.fleet.transport import MemberState, MessageKind
-from milletsill.lab.simulated_clock import SECOND
 from milletsill.lab.hunt.fleet_faults import FleetFaults
 from milletsill.lab.hunt.fleet_gateway import FleetShape
 from milletsill.lab.hunt.fleet_simulation import FleetSimulation, run_until_failure
 from milletsill.lab.hunt.simulated_disk import simulated_leases
+from milletsill.lab.simulated_clock import SECOND
 from milletsill.registry import endpoint_cache
 from tests.fixtures import make_octets as made
 from tests.support.paths import FIXTURES
