--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 # Packages that are checked with all of mypy's rules: each package joins once it is done.
 TYPED = milletsill/interface.py milletsill/deployment_config.py milletsill/deployment_settings.py milletsill/named_timers.py \
 	milletsill/scheduler milletsill/wirehost milletsill/gateway milletsill/http1 milletsill/http_gateway milletsill/sftp_gateway milletsill/node_connections milletsill/sftp \
-	milletsill/registry milletsill/errors milletsill/fleet milletsill/planner milletsill/settings milletsill/flows milletsill/trace milletsill/cli milletsill/logs.py milletsill/__main__.py milletsill/lab/model_checks milletsill/lab/hunt \
+	milletsill/registry milletsill/errors milletsill/fleet milletsill/planner milletsill/settings milletsill/flows milletsill/trace milletsill/cli milletsill/event_log.py milletsill/logs.py milletsill/__main__.py milletsill/lab/model_checks milletsill/lab/hunt \
 	$(filter-out $(LAB_LEFT),$(wildcard milletsill/lab/*.py))
 
 .PHONY: setup setup-dev lint test day proto
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -10,14 +10,14 @@
 import time
 from random import Random
 
-from milletsill.lab.fleet_processes import Processes, said_at
+from milletsill.lab.fleet_processes import FleetProcesses, said_at
 
 MOST = 60.0  # seconds
 
 
 def play(count: int) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Processes(folder, count)
+        fleet = FleetProcesses(folder, count)
         try:
             faults(fleet, count)
         finally:
@@ -25,7 +25,7 @@
 
 
 def tell(
-    fleet: Processes,
+    fleet: FleetProcesses,
     what: str,
     among: list[int],
     since: float,
@@ -57,7 +57,7 @@
     )
 
 
-def gone_said(fleet: Processes, among: list[int]) -> int:
+def gone_said(fleet: FleetProcesses, among: list[int]) -> int:
     return sum(
         each["event"] == "member" and each["change"] == "gone"
         for number in among
@@ -65,7 +65,7 @@
     )
 
 
-def faults(fleet: Processes, count: int) -> None:
+def faults(fleet: FleetProcesses, count: int) -> None:
     rest, last = list(range(count - 1)), count - 1
     print(f"{count} processes on one machine")
     began = time.time()
--- a/milletsill/fleet/leases/lease_settings.py
+++ b/milletsill/fleet/leases/lease_settings.py
@@ -4,23 +4,16 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Protocol
 
 from prometheus_client import CollectorRegistry
 
+from milletsill.event_log import LogEvent
 from milletsill.fleet.leases.messages import MAX_VALUE_BYTES
 from milletsill.fleet.leases.timings import LeaseTimings
 from milletsill.fleet.transport import FleetTransport
 from milletsill.named_timers import ReactorTimers
 
 
-class LogEvent(Protocol):
-    """Writes one event with its fields to the log."""
-
-    def __call__(self, event: str, **fields: Any) -> None:
-        """Log an event."""
-
-
 @dataclass(frozen=True, slots=True)
 class LeaseEnvironment:
     """What the lease service needs of the program around it.
--- a/milletsill/fleet/service_config.py
+++ b/milletsill/fleet/service_config.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
+from milletsill.event_log import LogEvent
 from milletsill.fleet.frames.messages import VERSION
 from milletsill.fleet.membership.config import (
     MILLISECOND,
@@ -27,13 +28,6 @@
         """The `fleet` block."""
 
 
-class LogEvent(Protocol):
-    """Writes one event to the log."""
-
-    def __call__(self, event: str, /, **values: Any) -> None:
-        """Write an event with its values."""
-
-
 @dataclass(frozen=True, slots=True)
 class FleetServiceConfig:
     """One gateway's settings for the fleet.
--- a/milletsill/lab/fleet_processes.py
+++ b/milletsill/lab/fleet_processes.py
@@ -40,7 +40,7 @@
     return ports
 
 
-class Processes:
+class FleetProcesses:
     """Gateways by number. `more` goes into each file's fleet block. `close` ends all that it started."""
 
     def __init__(self, folder: str, count: int, more: str = "") -> None:
--- a/milletsill/lab/hunt/simulated_health.py
+++ b/milletsill/lab/hunt/simulated_health.py
@@ -9,7 +9,7 @@
 from milletsill.fleet.health.report_store import NodeObservation
 
 
-def ignore_log(event: str, **fields: Any) -> None:
+def ignore_log(event: str, /, **fields: Any) -> None:
     """Take a log event, which nobody reads here."""
 
 
--- a/milletsill/lab/hunt/simulated_registry.py
+++ b/milletsill/lab/hunt/simulated_registry.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredValue:
+class RegistryEntry:
     """A key's value and the revision that wrote it."""
 
     value: bytes
@@ -44,10 +44,10 @@
     """What the registry held at a revision."""
 
     revision: int
-    stored: dict[str, StoredValue]
+    stored: dict[str, RegistryEntry]
 
 
-def key_value_message(key: str, stored: StoredValue) -> dict[str, str]:
+def key_value_message(key: str, stored: RegistryEntry) -> dict[str, str]:
     """Return a key as the registry's answers have it."""
     return {
         "key": encode_base64(key),
@@ -66,7 +66,7 @@
         self.compacted_revision = 0
         self.cluster_id = 1
         self.write_count = 0
-        self.stored: dict[str, StoredValue] = {}
+        self.stored: dict[str, RegistryEntry] = {}
         self.history: list[tuple[int, dict[str, Any]]] = []
         self.backups = [RegistryBackup(1, {})]
         self.watches: dict[RegistryCall, None] = {}
@@ -195,7 +195,7 @@
         self.revision += 1
         events: list[dict[str, Any]] = []
         for key, value in changes:
-            stored = StoredValue(value or b"", self.revision)
+            stored = RegistryEntry(value or b"", self.revision)
             if value is None:
                 del self.stored[key]
             else:
--- a/milletsill/lab/lateness.py
+++ b/milletsill/lab/lateness.py
@@ -22,7 +22,7 @@
 MAX_GAPS = 10_000
 
 
-class Timer(Protocol):
+class MonitorTimer(Protocol):
     """What calls later: a reactor."""
 
     def callLater(self, delay: float, callable: Callable[[], None], /) -> object:
@@ -131,7 +131,7 @@
     """
 
     def __init__(
-        self, timer: Timer, clock: Callable[[], float] = time.monotonic
+        self, timer: MonitorTimer, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self.timer = timer
         self.clock = clock
--- a/milletsill/lab/model_checks/channel_moves.py
+++ b/milletsill/lab/model_checks/channel_moves.py
@@ -13,7 +13,7 @@
     SimulatedGateway,
 )
 from milletsill.lab.model_checks.channel_simulation import (
-    SimulatedAttempt,
+    ModelledAttempt,
     SimulatedCluster,
 )
 from milletsill.sftp import channel_extensions as wire
@@ -126,7 +126,7 @@
 
 
 def _add_dispatch_moves(
-    moves: Moves, cluster: SimulatedCluster, place: int, dispatch: SimulatedAttempt
+    moves: Moves, cluster: SimulatedCluster, place: int, dispatch: ModelledAttempt
 ) -> None:
     if cluster.now <= dispatch.runs_until:
         moves[f"node runs {place}"] = partial(cluster.run, dispatch)
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class SimulatedAttempt:
+class ModelledAttempt:
     """An attempt at a node, or on its way there or back.
 
     `runs_until` is the true time after which a node does not run it any more.
@@ -112,7 +112,7 @@
             SimulatedGateway(self, f"g{place}", 1, rate)
             for place, rate in enumerate(rates)
         ]
-        self.dispatches: list[SimulatedAttempt] = []
+        self.dispatches: list[ModelledAttempt] = []
         self.first_runs: dict[str, int] = {}  # by idempotency key, true time
         self.outstanding: dict[int, int] = {}
         self.reported_failed: set[int] = set()
@@ -237,12 +237,12 @@
         runs_until = self.now + (remaining + QUARANTINE) * 1000 // (1000 + DRIFT)
         self.rejected.discard(queued.release.number)
         self.dispatches.append(
-            SimulatedAttempt(
+            ModelledAttempt(
                 queued.request, gateway, attempt, queued.on_ended, runs_until
             )
         )
 
-    def run(self, dispatch: SimulatedAttempt) -> None:
+    def run(self, dispatch: ModelledAttempt) -> None:
         """A node does it, or answers from its memory of idempotency keys."""
         key = dispatch.attempt.idempotency_key
         first_run = self.first_runs.get(key)
@@ -258,7 +258,7 @@
             self.checker.on_effect(request.number, extent_of(request))
         dispatch.is_answered = True
 
-    def end(self, dispatch: SimulatedAttempt, event: NumberEvent) -> None:
+    def end(self, dispatch: ModelledAttempt, event: NumberEvent) -> None:
         """The gateway hears how an attempt ended."""
         if dispatch.is_over or dispatch.gateway.is_dead:
             return
@@ -270,7 +270,7 @@
 
     # Acceptors, time and kills.
 
-    def time_out(self, dispatch: SimulatedAttempt) -> None:
+    def time_out(self, dispatch: ModelledAttempt) -> None:
         """The gateway waits no longer for an attempt."""
         self.end(dispatch, dispatch.attempt.event_without_answer())
 
--- a/milletsill/sftp_gateway/channel_clients.py
+++ b/milletsill/sftp_gateway/channel_clients.py
@@ -56,7 +56,7 @@
         """Give the one answer to a command."""
 
 
-class ChannelHost(GatewayContext, Protocol):
+class ChannelClientHost(GatewayContext, Protocol):
     """The gateway around the channels."""
 
     reactor: Any
@@ -119,7 +119,7 @@
 
     def __init__(
         self,
-        gateway: ChannelHost,
+        gateway: ChannelClientHost,
         fleet: Any,
         catalog: ContractCatalog,
         router: ChannelRouter,
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -26,7 +26,7 @@
 from milletsill.fleet.service import FleetService
 from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 from milletsill.fleet.transport import MemberState, MessageKind
-from milletsill.lab.fleet_processes import Processes, free_ports
+from milletsill.lab.fleet_processes import FleetProcesses, free_ports
 from milletsill.settings.gateway_file import check_gateway
 from milletsill.settings.load import parse
 from milletsill.settings.milletsill_pb2 import GatewayFile
@@ -40,7 +40,7 @@
     def test_join_kill_lost_state_and_leave(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        fleet = Processes(folder.name, 4)
+        fleet = FleetProcesses(folder.name, 4)
         self.addCleanup(fleet.close)
 
         def agree(among, what, since=0.0):
