--- a/milletsill/fleet/frames/__init__.py
+++ b/milletsill/fleet/frames/__init__.py
@@ -1,1 +1,1 @@
-"""The messages between gateways and their octets."""
+"""The messages between the gateways of a fleet, and their encoding."""
--- a/milletsill/fleet/frames/codec.py
+++ b/milletsill/fleet/frames/codec.py
@@ -1,8 +1,8 @@
-"""Octets to messages and back; fleet.proto has the format.
+"""Encodes messages as frames and decodes them; fleet.proto defines the format.
 
-This is the one place where the words of the wire (run, turn, standing, what) and those
-of the program (incarnation, refutation, state, type) both stand. Octets that make no
-sense raise an error of a type of its own and lose nothing else.
+This is the only module that maps the field names on the wire (run, turn, standing,
+what) to the names in the program (incarnation, refutation, state, type). Malformed
+input raises a specific error and affects no other frame.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from milletsill.fleet.transport import MemberState, MessageKind
 
 MAGIC = b"mslf"
-LEAST_READER_VERSION = 1  # readers of this version on can make sense of our frames
+MIN_READER_VERSION = 1  # the oldest version that can decode the frames encoded here
 
-# Octets.
+# Maximum lengths in octets.
 MAX_DATAGRAM = 1400
 MAX_FRAME = 1 << 20
 MAX_BODY = MAX_FRAME - 4096
@@ -36,11 +36,12 @@
 MAX_NAME_LENGTH = 64  # characters
 MAX_ADDRESS_LENGTH = 80  # characters
 MAX_SUSPECTED_BY = 3  # names
-# Of incarnations, refutations and ages: one more than it still fits in a frame.
+# Exclusive upper bound of incarnations, refutations and ages: a gateway may answer a
+# counter with the counter plus one, which must still fit in a frame.
 MAX_COUNTER = 1 << 62
 MAX_PORT = 65_535
 
-# Octets that an update takes at most beside its strings, with its own head.
+# Maximum octets of an encoded update without its strings, including its own header.
 UPDATE_OVERHEAD = 42
 SUSPECTED_BY_OVERHEAD = 2
 FRAME_OVERHEAD = 64
@@ -55,8 +56,8 @@
     """Encodes and decodes the frames of one fleet.
 
     Args:
-        fleet: The fleet's name; frames of another are refused.
-        version: Another than this program's only where a test plays a later one.
+        fleet: The fleet's name; frames of another fleet are refused.
+        version: The protocol version; only tests pass one that differs from VERSION.
     """
 
     def __init__(self, fleet: str, version: int = VERSION) -> None:
@@ -64,14 +65,14 @@
         self.version = version
 
     def encode(self, message: FleetMessage) -> bytes:
-        """Return a frame's octets; the caller checks a datagram's length.
+        """Return the encoded frame; the caller checks the length of a datagram.
 
         Raises:
-            FrameTooLongError: The frame is over MAX_FRAME.
+            FrameTooLongError: The frame is longer than MAX_FRAME.
         """
         frame = fleet_pb2.Frame(
             version=self.version,
-            least=LEAST_READER_VERSION,
+            least=MIN_READER_VERSION,
             fleet=self.fleet,
             sender=encode_update(message.sender),
         )
@@ -96,23 +97,27 @@
         return data
 
     def decode(self, data: bytes) -> FleetMessage:
-        """Return the message in a frame's octets.
+        """Return the message that a frame encodes.
 
         Raises:
-            FrameTooLongError: The frame is over MAX_FRAME.
-            MalformedFrameError: The octets are no frame.
-            FleetNameMismatchError: The frame is of another fleet.
-            FrameVersionTooNewError: Only a later version can read the frame.
+            FrameTooLongError: The frame is longer than MAX_FRAME.
+            MalformedFrameError: The data is not a valid frame.
+            FleetNameMismatchError: The frame belongs to another fleet.
+            FrameVersionTooNewError: Only a later version can decode the frame.
         """
         frame = self._parse(data)
         sender = decode_update(frame.sender)
         if sender is None or not sender.address:
-            raise MalformedFrameError("a frame without a sender")
+            raise MalformedFrameError(
+                "expected a frame with a valid sender and its address, found none"
+            )
         target_valid = is_valid_name(frame.target or "-")
         address_valid = not frame.address or is_valid_address(frame.address)
         if not target_valid or not address_valid:
             raise MalformedFrameError(
-                "a frame for a name or address that cannot be one"
+                "expected a valid target name and target address in the frame, found "
+                f"{frame.target[:MAX_NAME_LENGTH]!r} and "
+                f"{frame.address[:MAX_ADDRESS_LENGTH]!r}"
             )
         updates = (decode_update(row) for row in frame.row[:MAX_UPDATES_PER_FRAME])
         return FleetMessage(
@@ -132,32 +137,41 @@
     def _parse(self, data: bytes) -> fleet_pb2.Frame:
         check_frame_length(len(data))
         if data[: len(MAGIC)] != MAGIC:
-            raise MalformedFrameError("octets that do not begin as a frame does")
+            raise MalformedFrameError(
+                f"expected a frame that begins with {MAGIC!r}, found "
+                f"{data[: len(MAGIC)]!r}"
+            )
         try:
             frame = fleet_pb2.Frame.FromString(data[len(MAGIC) :])
         except DecodeError as error:
-            raise MalformedFrameError("a frame that is no protobuf of ours") from error
+            raise MalformedFrameError(
+                "expected a protobuf Frame message after the magic octets, found "
+                f"{len(data) - len(MAGIC)} octets that do not decode as one"
+            ) from error
         if frame.fleet != self.fleet:
             raise FleetNameMismatchError(
-                f"a frame of fleet {frame.fleet[:MAX_NAME_LENGTH]!r}",
+                f"received a frame of fleet {frame.fleet[:MAX_NAME_LENGTH]!r}",
                 f"fleet {self.fleet!r}",
             )
         if frame.least > self.version:
             raise FrameVersionTooNewError(
-                f"a frame of version {frame.version} for {frame.least} and later",
+                f"received a frame of version {frame.version}, which only version "
+                f"{frame.least} and later can decode",
                 f"version {self.version}",
             )
         return frame
 
 
 def check_frame_length(length: int) -> None:
-    """Raise FrameTooLongError for more octets than a frame may have."""
+    """Raise FrameTooLongError if a length in octets is over MAX_FRAME."""
     if length > MAX_FRAME:
-        raise FrameTooLongError(f"a frame of {length} octets, {MAX_FRAME} at most")
+        raise FrameTooLongError(
+            f"a frame has {length} octets; the maximum is {MAX_FRAME}"
+        )
 
 
 def encode_update(update: MemberUpdate) -> fleet_pb2.Row:
-    """Return the protobuf message of an update."""
+    """Return an update as a protobuf message."""
     row = fleet_pb2.Row(
         name=update.name,
         run=update.incarnation,
@@ -175,9 +189,10 @@
 
 
 def decode_update(row: fleet_pb2.Row) -> MemberUpdate | None:
-    """Return the update in a row, or None for one that cannot be one.
+    """Return the update that a row encodes, or None for an invalid row.
 
-    None also for a state that only a later version has: the rest of the frame counts.
+    A state that only a later version defines also gives None, so that the rest of the
+    frame can still be used.
     """
     state = _MEMBER_STATES.get(row.standing)
     if max(row.run, row.turn, row.age) >= MAX_COUNTER:
@@ -201,9 +216,9 @@
 
 
 def is_valid_name(text: object) -> bool:
-    """Return whether it can be a name.
+    """Return whether a value is a valid name.
 
-    Protobuf hands over bytes where a string is not UTF-8.
+    Protobuf returns bytes for a string field that is not valid UTF-8.
     """
     return (
         isinstance(text, str)
@@ -214,7 +229,7 @@
 
 
 def is_valid_address(text: object) -> bool:
-    """Return whether it can be a host:port."""
+    """Return whether a value is a valid host:port address."""
     if not isinstance(text, str) or len(text) > MAX_ADDRESS_LENGTH:
         return False
     host, _, port = text.rpartition(":")
@@ -224,7 +239,7 @@
 
 
 def max_update_length(update: MemberUpdate) -> int:
-    """Return the octets that an update takes at most in a frame."""
+    """Return the maximum number of octets that an update takes in a frame."""
     return (
         UPDATE_OVERHEAD
         + len(update.name.encode())
@@ -235,8 +250,8 @@
     )
 
 
-def room_for_updates(fleet: str, sender: MemberUpdate) -> int:
-    """Return the octets of a datagram left for updates, beside the longest head."""
-    longest_target = MAX_OCTETS_PER_CHARACTER * MAX_NAME_LENGTH + MAX_ADDRESS_LENGTH
-    head = FRAME_OVERHEAD + len(fleet.encode()) + max_update_length(sender)
-    return MAX_DATAGRAM - (head + longest_target)
+def octets_for_updates(fleet: str, sender: MemberUpdate) -> int:
+    """Return the octets left for updates in a datagram with the longest header."""
+    max_target_length = MAX_OCTETS_PER_CHARACTER * MAX_NAME_LENGTH + MAX_ADDRESS_LENGTH
+    header_length = FRAME_OVERHEAD + len(fleet.encode()) + max_update_length(sender)
+    return MAX_DATAGRAM - (header_length + max_target_length)
--- a/milletsill/fleet/frames/messages.py
+++ b/milletsill/fleet/frames/messages.py
@@ -1,4 +1,4 @@
-"""What a frame says, apart from its octets."""
+"""The messages that frames carry, independent of their encoding."""
 
 from __future__ import annotations
 
@@ -11,31 +11,33 @@
 
 
 class FrameType(Enum):
-    """What a frame is for; values are on the wire (`what` in fleet.proto)."""
+    """The purpose of a frame; values are on the wire (`what` in fleet.proto)."""
 
-    PROBE = 1  # are you there
-    ACK = 2  # the target is alive
-    INDIRECT_PROBE = 3  # probe the target for me
-    GOSSIP = 4  # piggybacked updates alone
-    DIGEST = 5  # is your view equal to mine
-    FULL_STATE = 6  # all members that the sender knows
-    APPLICATION = 7  # a message of another part of the program
-    DUPLICATE_NAME = 8  # another live gateway has your name
+    PROBE = 1  # asks the target for an ack
+    ACK = 2  # reports that the target is alive
+    INDIRECT_PROBE = 3  # asks the receiver to probe the target for the sender
+    GOSSIP = 4  # carries only piggybacked updates
+    DIGEST = 5  # carries the sender's view digest for the receiver to compare
+    FULL_STATE = 6  # carries all members that the sender knows
+    APPLICATION = 7  # carries a message of another part of the program
+    DUPLICATE_NAME = 8  # reports that another live gateway has the receiver's name
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What one frame says of one member.
+    """What a frame reports about one member.
 
     Attributes:
         name: The member's name.
-        incarnation: Grows with each start of the member.
-        nonce: Drawn at each start; tells two starts with one incarnation apart.
-        refutation: SWIM's counter; grows when the member refutes a suspicion.
-        state: What the sender believes of it.
-        address: host:port; empty where the receiver knows it.
-        age: Tenths of a millisecond since the member was gone or left.
-        suspected_by: Names of members that suspect it.
+        incarnation: A counter that grows with each start of the member.
+        nonce: A random number drawn at each start, which distinguishes two starts with
+            the same incarnation.
+        refutation: A counter that grows when the member refutes a suspicion (SWIM's
+            incarnation number).
+        state: The state that the sender holds for the member.
+        address: host:port; empty if the receiver already knows it.
+        age: Tenths of a millisecond since the member became gone or left.
+        suspected_by: Names of the members that suspect this member.
     """
 
     name: str
@@ -50,20 +52,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMessage:
-    """One frame.
+    """The decoded content of one frame.
 
     Attributes:
-        type: None for a type that a later version has: sender and updates still count.
+        type: The frame's type; None for a type that only a later version defines, whose
+            sender and updates are still used.
         sender: The sending gateway, with its address.
         updates: Piggybacked updates, or the members of a full state.
-        probe_number: Of a relayed probe; its ack repeats it. 0 for none.
-        target: Whom a probe means, or whose life an ack tells of.
-        target_address: Where an indirect probe's target is.
+        probe_number: The number of a relayed probe, which its ack repeats; 0 for none.
+        target: The name of the member that is probed, or that an ack reports alive.
+        target_address: The address of an indirect probe's target.
         digest: The sender's view digest.
-        kind: Of an application message; None for a kind of a later version.
-        body: Of an application message.
-        reply_wanted: The receiver of a full state answers with its own.
-        version: Of the sender's program.
+        kind: The kind of an application message; None for a kind that only a later
+            version defines.
+        body: The body of an application message.
+        reply_wanted: Whether the receiver of a full state answers with its own.
+        version: The protocol version of the sender.
     """
 
     type: FrameType | None
--- a/milletsill/fleet/frames/stream_framing.py
+++ b/milletsill/fleet/frames/stream_framing.py
@@ -1,4 +1,4 @@
-"""Frames on a TCP stream: each behind its length, four octets, big-endian."""
+"""Frames on a TCP stream: each follows its length in four octets, big-endian."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 def add_length_prefix(data: bytes) -> bytes:
-    """Return a frame as it goes over a stream."""
+    """Return an encoded frame with its length prefix, as a stream carries it."""
     return LENGTH_PREFIX.pack(len(data)) + data
 
 
 class FrameDecoder:
-    """Cuts the octets of a stream into frames.
+    """Splits the octets of a stream into frames.
 
-    Holds at most one frame and what came with it.
+    The buffer holds at most one incomplete frame and the data received with it.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield the frames that are complete now.
+        """Add received data and yield the frames that are now complete.
 
         Raises:
-            FrameTooLongError: A length prefix says more than MAX_FRAME.
+            FrameTooLongError: A length prefix is over MAX_FRAME.
         """
         self._buffer += data
         position = 0
--- a/milletsill/fleet/gossip/__init__.py
+++ b/milletsill/fleet/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Piggybacked gossip: each update rides on a bounded number of other frames."""
+"""Piggybacked gossip: each update is attached to a bounded number of other frames."""
--- a/milletsill/fleet/gossip/gossip_queue.py
+++ b/milletsill/fleet/gossip/gossip_queue.py
@@ -1,6 +1,7 @@
-"""Which piggybacked updates ride on the next frame (SWIM's dissemination). Pure.
+"""Selects the updates to piggyback on the next frame (SWIM's dissemination). No I/O.
 
-Those that went out least go first, each a bounded number of times.
+The updates that were sent the fewest times go first, and each is sent a bounded number
+of times.
 """
 
 from __future__ import annotations
@@ -8,31 +9,32 @@
 from collections.abc import Callable
 from math import ceil, log2
 
-RETRANSMIT_MULTIPLIER = 3  # of the logarithm of the fleet's size; SWIM's lambda
+# Multiplies the logarithm of the number of members; SWIM's lambda.
+RETRANSMIT_MULTIPLIER = 3
 
 
 def retransmit_limit(members: int) -> int:
-    """Return how often one gateway sends an update in a fleet of that size."""
+    """Return how many times one gateway sends an update to a fleet of that size."""
     return RETRANSMIT_MULTIPLIER * ceil(log2(max(members, 1) + 1))
 
 
 class GossipQueue:
-    """Names of the members of which there is an update to pass on.
+    """The names of the members whose updates are still to be gossiped.
 
-    A name stands in it once, so it is never longer than the fleet.
+    It holds each name once, so it is never longer than the member table.
     """
 
     __slots__ = ("_by_transmits", "_transmits")
 
     def __init__(self) -> None:
-        self._by_transmits: list[dict[str, None]] = []  # index: times sent
+        self._by_transmits: list[dict[str, None]] = []  # index: transmit count
         self._transmits: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._transmits)
 
     def add(self, name: str) -> None:
-        """Queue an update of that name, to be sent from the beginning."""
+        """Queue the update of a member, with its transmit count reset to zero."""
         self.discard(name)
         if not self._by_transmits:
             self._by_transmits.append({})
@@ -40,37 +42,39 @@
         self._transmits[name] = 0
 
     def discard(self, name: str) -> None:
-        """Take a name out, if it is in."""
+        """Remove a name if it is queued."""
         transmits = self._transmits.pop(name, None)
         if transmits is not None:
             del self._by_transmits[transmits][name]
 
-    def take(self, room: int, limit: int, size_of: Callable[[str], int]) -> list[str]:
-        """Return the names whose updates go into a frame, those sent least first.
+    def take(
+        self, free_octets: int, limit: int, size_of: Callable[[str], int]
+    ) -> list[str]:
+        """Return the names whose updates go into a frame, the least sent first.
 
         Args:
-            room: Octets that the frame has left.
-            limit: A name that was sent so often is dropped.
-            size_of: The octets of a name's update.
+            free_octets: The octets left in the frame.
+            limit: The number of transmits after which a name is removed.
+            size_of: Returns the size in octets of the update of a name.
         """
         if not self._transmits:
             return []
-        taken = self._select(room, size_of)
+        taken = self._select(free_octets, size_of)
         for name in taken:
             self._count_transmit(name, limit)
         return taken
 
-    def _select(self, room: int, size_of: Callable[[str], int]) -> list[str]:
-        """Return names until the first that has no room."""
+    def _select(self, free_octets: int, size_of: Callable[[str], int]) -> list[str]:
+        """Return names in order, up to the first whose update does not fit."""
         selected: list[str] = []
         for names in self._by_transmits:
             for name in names:
                 size = size_of(name)
-                if size > room:
+                if size > free_octets:
                     return selected
-                room -= size
+                free_octets -= size
                 selected.append(name)
-            if room <= 0:
+            if free_octets <= 0:
                 return selected
         return selected
 
--- a/milletsill/fleet/membership/__init__.py
+++ b/milletsill/fleet/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Who is there: SWIM failure detection with Lifeguard's local health. No I/O.
+"""SWIM group membership and failure detection with Lifeguard's local health. No I/O.
 
-`membership.py` is the entry: time and messages in, effects out. All times are tenths
-of a millisecond.
+The entry point is `membership.py`: its methods take the time and messages, and return
+effects. All times are tenths of a millisecond.
 """
--- a/milletsill/fleet/membership/anti_entropy.py
+++ b/milletsill/fleet/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: gateways compare view digests and exchange full states that differ."""
+"""Anti-entropy: gateways compare view digests and exchange full states on mismatch."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from milletsill.fleet.transport import MemberState
 
 # Tenths of a millisecond.
-AFTER_DIFFERENCE = 5000  # to the exchange after one that found a difference
-WHILE_ALONE = 5000  # between exchanges while no other member is known
+DELAY_AFTER_DIFFERENCE = 5000  # at most, until the exchange after one with a change
+INTERVAL_WHILE_ALONE = 5000  # between exchanges while no other member is present
 
-# One exchange in so many goes to a member believed gone or to a seed that is in no
-# view, so that the halves of a cut find each other after any time.
+# One exchange in this many goes to a gone member or to a seed that is not in the view,
+# so that the sides of a network partition find each other however long it lasted.
 ABSENT_TARGET_ODDS = 3
-# An interval is drawn from this share of the configured one on, up to the same above.
-LEAST_INTERVAL_SHARE = 0.75
-INTERVAL_SPREAD = 0.5
+# Each interval is the configured one times a random factor from MIN_INTERVAL_FACTOR to
+# MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE, which centres on 1.
+MIN_INTERVAL_FACTOR = 0.75
+INTERVAL_FACTOR_RANGE = 0.5
 
 
 class AntiEntropy:
-    """When this gateway exchanges its view, and with whom.
+    """Decides when this gateway exchanges its view, and with which others.
 
     Args:
-        state: What it holds.
-        sender: Sends its messages.
-        config: The exchange interval.
-        seeds: Addresses of some others, from the gateway's file.
-        random: This gateway's own.
-        now: The time; the first exchange is due at once.
+        state: The membership state of this gateway.
+        sender: Sends the digests and full states.
+        seeds: Addresses of some other gateways, from this gateway's settings file.
+        random: The random number generator of this gateway.
+        now: The current time; the first exchange is due immediately.
     """
 
     def __init__(
@@ -49,32 +49,34 @@
         self.next_exchange = now
 
     def exchange(self, now: int) -> None:
-        """Begin an exchange; full states follow only where digests differ."""
+        """Begin an exchange; full states follow only if the digests differ."""
         config: MembershipConfig = self._state.config
-        share = LEAST_INTERVAL_SHARE + INTERVAL_SPREAD * self._random.random()
-        self.next_exchange = now + int(config.exchange_interval * share)
+        factor = MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * self._random.random()
+        self.next_exchange = now + int(config.exchange_interval * factor)
         if self._is_alone:
-            self.next_exchange = now + WHILE_ALONE
+            self.next_exchange = now + INTERVAL_WHILE_ALONE
         for address in self._targets():
-            self._sender.digest(address)
+            self._sender.send_digest(address)
 
     def on_digest(self, now: int, message: FleetMessage) -> None:
-        """Answer another gateway's digest with this one's state where they differ."""
+        """Answer a digest that differs from this gateway's with the full state."""
         if message.digest != self._state.table.digest:
-            self._sender.full_state(now, message.sender.address, reply_wanted=True)
+            self._sender.send_full_state(now, message.sender.address, reply_wanted=True)
 
     def on_full_state(self, now: int, message: FleetMessage, changed: bool) -> None:
-        """React to another gateway's state, which is merged already.
+        """Handle another gateway's full state, which has already been merged.
 
         Args:
-            now: The time.
-            message: The frame.
-            changed: Whether it said anything new.
+            now: The current time.
+            message: The full state message.
+            changed: Whether merging it changed any member.
         """
         if changed:
-            self.next_exchange = min(self.next_exchange, now + AFTER_DIFFERENCE)
+            self.next_exchange = min(self.next_exchange, now + DELAY_AFTER_DIFFERENCE)
         if message.reply_wanted:
-            self._sender.full_state(now, message.sender.address, reply_wanted=False)
+            self._sender.send_full_state(
+                now, message.sender.address, reply_wanted=False
+            )
 
     @property
     def _is_alone(self) -> bool:
@@ -86,8 +88,8 @@
         if self._is_alone and absent_seeds:
             return absent_seeds
         absent = self._gone_addresses() + absent_seeds
-        tries_absent = bool(absent) and self._random.randrange(ABSENT_TARGET_ODDS) == 0
-        if tries_absent or self._is_alone:
+        picks_absent = bool(absent) and self._random.randrange(ABSENT_TARGET_ODDS) == 0
+        if picks_absent or self._is_alone:
             return [absent[self._random.randrange(len(absent))]] if absent else []
         names = table.sample(1, self._random.randrange, self._state.name)
         return [table.entries[name].address for name in names]
--- a/milletsill/fleet/membership/effects.py
+++ b/milletsill/fleet/membership/effects.py
@@ -1,4 +1,4 @@
-"""What a membership wants done; the service applies it."""
+"""The effects that a membership returns and the fleet service applies."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class OperatorEventKind(Enum):
-    """What an operator should know of."""
+    """The kinds of events that are reported to an operator."""
 
-    INCARNATION_LOST = auto()  # others knew a later incarnation of this name
+    INCARNATION_LOST = auto()  # others know the same or a later incarnation of the name
     DUPLICATE_NAME = auto()  # two live gateways have this name
-    REFUTED = auto()  # others suspected this gateway
+    REFUTED = auto()  # others suspected this gateway, and it refuted the suspicion
     STALLED = auto()  # this gateway stalled
-    MEMBER_LIMIT = auto()  # a member more than the bound
+    MEMBER_LIMIT = auto()  # a new member was refused because the table is full
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to an address: as a datagram, or over the stream to it."""
+    """Send a message to an address, as a datagram or over a stream."""
 
     address: str
     message: FleetMessage
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorEvent:
-    """Something that an operator should know.
+    """An event that is reported to an operator.
 
     Attributes:
-        kind: What happened.
-        location: An address, or the name that found no place.
-        incarnation: That others knew, of a lost one.
-        duration: Of a stall, in tenths of a millisecond.
+        kind: The kind of event.
+        location: An address, or for MEMBER_LIMIT the name of the refused member.
+        incarnation: For INCARNATION_LOST, the incarnation that others know.
+        duration: For STALLED, the length of the stall in tenths of a millisecond.
     """
 
     kind: OperatorEventKind
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The view has changed by one member."""
+    """Report that one member of the view changed."""
 
     change: ViewChange
     member: Member
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationChanged:
-    """This gateway has another incarnation from now on, to be kept on disk."""
+    """Report that this gateway took a new incarnation, which must be stored on disk."""
 
     incarnation: int
 
--- a/milletsill/fleet/membership/failure_detector.py
+++ b/milletsill/fleet/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: probes, indirect probes and suspicions over time."""
+"""SWIM's failure detector: schedules probes, indirect probes and suspicions."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
     ProbeEvent,
     ProbeStage,
     ProbeState,
-    confirmations_wanted,
     due_event,
+    expected_confirmations,
     extend_after_stall,
 )
 from milletsill.fleet.membership.probe_targets import ProbeTargets
 from milletsill.fleet.transport import PRESENT_STATES
 
-# Failing probes that one gateway follows at a time; other gateways follow the rest.
+# Failing probes that one gateway follows up at a time; other gateways follow up the
+# rest.
 MAX_FAILING_PROBES = 12
-# Members said to be gone that are verified in one tick.
+# Members reported gone by others that are verified in one tick.
 MAX_VERIFICATIONS_PER_TICK = 16
-# Suspicion timeouts after which a suspicion that nobody ended is followed up.
+# Number of suspicion timeouts after which this gateway probes a member that is still
+# suspected.
 STALE_SUSPICION_TIMEOUTS = 3
 
 
 class FailureDetector:
-    """The probes of one gateway, one a member at most.
+    """The probes of one gateway, at most one per member.
 
     Args:
-        state: What this gateway holds of the members.
-        sender: Sends probes.
-        health: The local health, fed by the outcomes of probes.
-        random: This gateway's own.
+        state: The membership state of this gateway.
+        sender: Sends the probes.
+        health: The local health, updated with the outcomes of probes.
+        random: The random number generator of this gateway.
     """
 
     def __init__(
@@ -56,12 +58,12 @@
         self._failing = 0
 
     def check(self, now: int) -> None:
-        """Act on the probes whose timeouts are over."""
+        """Handle the probes whose timeouts have expired."""
         if not self._probes:
             return
         multiplier = self._health.multiplier
         entries = self._state.table.entries
-        wanted = self._confirmations_wanted()
+        expected = self._expected_confirmations()
         verifications = 0
         for probe in list(self._probes.values()):
             entry = entries.get(probe.name)
@@ -70,7 +72,7 @@
                 continue
             confirmations = max(len(entry.suspected_by) - 1, 0)
             event = due_event(
-                probe, now, self._config, multiplier, confirmations, wanted
+                probe, now, self._config, multiplier, confirmations, expected
             )
             if event is None:
                 continue
@@ -81,7 +83,7 @@
             self._on_event(now, probe, event)
 
     def probe_next(self, now: int) -> None:
-        """Begin the next round of probes, and follow up stale suspicions."""
+        """Begin the next round of probes and follow up stale suspicions."""
         for name in self._targets.next_round():
             is_self = name == self._state.name and not self._state.local.is_displaced
             if name not in self._probes and not is_self:
@@ -91,23 +93,23 @@
         self._follow_up_suspicions(now)
 
     def on_local_stall(self, now: int, stalled_for: int) -> None:
-        """Do not take what this gateway missed in a stall for others' silence."""
+        """Extend the probes, so that a local stall does not count as a lack of acks."""
         for probe in list(self._probes.values()):
             extend_after_stall(probe, now, stalled_for, self._config)
             self._on_event(now, probe, ProbeEvent.LOCAL_STALL)
 
-    def on_sign_of_life(self, now: int, name: str) -> None:
-        """A member is alive.
+    def on_liveness_evidence(self, now: int, name: str) -> None:
+        """Handle evidence that a member is alive.
 
-        One that is said to be gone is asked first, so that it hears of that and refutes
-        it.
+        A probe that verifies a member reported gone continues until it has been sent
+        once, because the probe tells the member of that report and lets it refute.
         """
         probe = self._probes.get(name)
         if probe is not None and probe.last_round is not None:
-            self._on_event(now, probe, ProbeEvent.SIGN_OF_LIFE)
+            self._on_event(now, probe, ProbeEvent.LIVENESS_EVIDENCE)
 
-    def verify_death(self, now: int, name: str) -> None:
-        """Ask a member that others say is gone, from the next tick on."""
+    def verify_gone(self, now: int, name: str) -> None:
+        """Begin to verify a member that others report as gone, from the next tick."""
         probe = self._probes.get(name)
         if probe is not None and not probe.is_first_round:
             return
@@ -118,19 +120,19 @@
         self._probes[name] = verification
 
     def stop(self) -> None:
-        """Forget all probes: this gateway leaves."""
+        """Discard all probes because this gateway leaves."""
         self._probes.clear()
 
     def probe_indirectly(self, probe: ProbeState) -> None:
         """Ask other members to probe a member."""
         target = self._state.table.entries[probe.name]
-        for helper in self._state.table.sample(
+        for relay in self._state.table.sample(
             self._config.indirect_probes,
             self._random.randrange,
             self._state.name,
             probe.name,
         ):
-            self._sender.request_indirect_probe(helper, target)
+            self._sender.request_indirect_probe(relay, target)
 
     def _follow_up_suspicions(self, now: int) -> None:
         timeout = STALE_SUSPICION_TIMEOUTS * self._config.suspicion_timeout
@@ -151,10 +153,10 @@
         transition = PROBE_TRANSITIONS.get((probe.stage, event))
         if transition is None:
             return
-        self._move(now, probe, transition.stage)
-        self._act(now, probe, transition.action)
+        self._set_stage(now, probe, transition.stage)
+        self._perform(now, probe, transition.action)
 
-    def _move(self, now: int, probe: ProbeState, stage: ProbeStage) -> None:
+    def _set_stage(self, now: int, probe: ProbeState, stage: ProbeStage) -> None:
         if stage is ProbeStage.FINISHED:
             self._finish(probe)
         elif stage is not probe.stage:
@@ -163,7 +165,7 @@
             probe.stage_since = now
             self._failing += probe.is_failing
 
-    def _act(self, now: int, probe: ProbeState, action: ProbeAction) -> None:
+    def _perform(self, now: int, probe: ProbeState, action: ProbeAction) -> None:
         match action:
             case ProbeAction.NONE:
                 pass
@@ -184,14 +186,15 @@
                 self._state.declare_gone(now, probe.name)
 
     def _on_miss(self, now: int, probe: ProbeState) -> None:
-        """A whole round failed.
+        """Handle a failed round of probes.
 
-        Where enough members suspect the target, or too many probes fail here, others
-        follow it up: that bounds what a fault of many members costs each.
+        If enough members suspect the target, or too many probes of this gateway fail,
+        the probe ends and other gateways follow the target up. This bounds the work of
+        each gateway when many members fail at once.
         """
         self._health.on_miss(probe.name)
         entry = self._state.table.entries[probe.name]
-        enough_suspect = len(entry.suspected_by) > self._confirmations_wanted()
+        enough_suspect = len(entry.suspected_by) > self._expected_confirmations()
         if self._failing > MAX_FAILING_PROBES or enough_suspect:
             self._finish(probe)
             return
@@ -213,5 +216,5 @@
         if self._probes.pop(probe.name, None) is not None:
             self._failing -= probe.is_failing
 
-    def _confirmations_wanted(self) -> int:
-        return confirmations_wanted(len(self._state.table.ring))
+    def _expected_confirmations(self) -> int:
+        return expected_confirmations(len(self._state.table.ring))
--- a/milletsill/fleet/membership/local_member.py
+++ b/milletsill/fleet/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This gateway itself as a member: refutation, and two starts with one name."""
+"""This gateway's own membership: refutation, and conflicts over its name."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalIdentity:
-    """Who this gateway is.
+    """The identity of this gateway's current start.
 
     Attributes:
-        name: Unique in the fleet.
-        address: host:port at which the others reach it.
-        incarnation: Grows with each start, kept on disk.
-        nonce: 64 bits drawn at each start.
+        name: The gateway's name, unique in the fleet.
+        address: host:port at which other gateways reach it.
+        incarnation: A counter that grows with each start, stored on disk.
+        nonce: A random 64-bit number drawn at each start.
     """
 
     name: str
@@ -48,12 +48,13 @@
 
 
 class LocalMember:
-    """This gateway's own entry, and whether it has its name in the fleet.
+    """This gateway's own entry and its status in the fleet.
 
     Attributes:
-        entry: Its entry; in the table unless another gateway has the name.
-        status: Whether it has the name.
-        update: What each of its frames says of the sender.
+        entry: The entry of this gateway; it is in the member table unless another
+            gateway holds the name.
+        status: Whether this gateway holds its name.
+        update: The update about the sender in each of this gateway's frames.
     """
 
     def __init__(
@@ -90,20 +91,21 @@
 
     @property
     def is_displaced(self) -> bool:
-        """Whether another gateway has this one's name."""
+        """Whether another gateway holds this gateway's name."""
         return self.status is LocalStatus.DISPLACED
 
-    def claims(self, update: MemberUpdate) -> bool:
-        """Return whether an update is about this gateway rather than about another.
+    def is_about_self(self, update: MemberUpdate) -> bool:
+        """Return whether `on_update` must handle an update.
 
-        While another gateway has the name, updates of that one are as any member's.
+        While another gateway holds this gateway's name, only updates with this start's
+        nonce are about this gateway; others are handled as those of any member.
         """
         if update.name != self.name:
             return False
         return not self.is_displaced or update.nonce == self.nonce
 
     def on_update(self, now: int, update: MemberUpdate) -> UpdateAction:
-        """React to an update under this gateway's own name."""
+        """Handle an update about this gateway or another start with its name."""
         claim = classify_claim(
             update,
             self.entry.incarnation,
@@ -114,20 +116,24 @@
         return self._on_claim(now, claim, update)
 
     def on_name_released(self, now: int, update: MemberUpdate) -> None:
-        """Whoever had this gateway's name is gone; take it back."""
+        """Take the name back, because the gateway that held it is gone or has left."""
         self._on_claim(now, NameClaim.NAME_RELEASED, update)
 
-    def on_namesake_frame(self, now: int, sender: MemberUpdate) -> None:
-        """A frame came straight from another gateway with this name.
+    def on_duplicate_name_frame(self, now: int, sender: MemberUpdate) -> None:
+        """Handle a frame sent directly by another start with this gateway's name.
 
-        Guards against the last frames of an earlier start: none is on its way for so
-        long. Cost: two that start together hear of it that much later.
+        For DUPLICATE_NAME_AFTER after the start such a frame is ignored, because it may
+        be a delayed frame of an earlier start. Trade-off: two gateways that start
+        together detect their duplicate name that much later.
         """
         if now - self._started >= DUPLICATE_NAME_AFTER:
             self.report_duplicate(now, sender.address)
 
     def report_duplicate(self, now: int, address: str) -> None:
-        """Tell the operators of both gateways, at most once an interval."""
+        """Report a duplicate name to the operators of both gateways.
+
+        Reports are limited to one per DUPLICATE_NAME_REPORT_INTERVAL.
+        """
         if now - self._last_duplicate_report < DUPLICATE_NAME_REPORT_INTERVAL:
             return
         self._last_duplicate_report = now
@@ -137,7 +143,7 @@
             self._effects.append(SendMessage(address, message))
 
     def leave(self, now: int) -> None:
-        """Say that this gateway goes, unless another has its name."""
+        """Announce that this gateway leaves, unless another gateway holds its name."""
         if self.is_displaced:
             self.status = LocalStatus.LEAVING
             return
@@ -161,7 +167,7 @@
         if rule.action is NameClaimAction.REFUTE:
             self._refute(update)
         if rule.action is NameClaimAction.REPORT_LOST_AND_ADVANCE:
-            self._report_lost(update)
+            self._report_incarnation_lost(update)
         if rule.action in DUPLICATE_ACTIONS:
             self.report_duplicate(now, update.address)
         if rule.action in ADVANCING_ACTIONS:
@@ -179,7 +185,7 @@
         self.entry.gossip_cache = None
         self._effects.append(OperatorEvent(OperatorEventKind.REFUTED))
 
-    def _report_lost(self, update: MemberUpdate) -> None:
+    def _report_incarnation_lost(self, update: MemberUpdate) -> None:
         self._effects.append(
             OperatorEvent(
                 OperatorEventKind.INCARNATION_LOST,
@@ -189,7 +195,7 @@
         )
 
     def _advance(self, incarnation: int) -> None:
-        """Take an incarnation past all that others have heard under this name."""
+        """Switch to an incarnation later than any that others know for this name."""
         if self._table.get(self.name) is not self.entry:
             self._table.remove(self.name)
             self._table.add(self.entry)
@@ -201,11 +207,11 @@
         self._effects.append(ViewChanged(ViewChange.RESTARTED, self.entry.to_member()))
 
     def _yield_name(self, now: int, update: MemberUpdate) -> None:
-        """Hold the other gateway under this name in place of this one."""
+        """Replace this gateway's entry in the table with the other gateway's entry."""
         self._table.remove(self.name)
-        namesake = MemberEntry(update, now)
-        self._table.add(namesake)
-        self._effects.append(ViewChanged(ViewChange.RESTARTED, namesake.to_member()))
+        other = MemberEntry(update, now)
+        self._table.add(other)
+        self._effects.append(ViewChanged(ViewChange.RESTARTED, other.to_member()))
 
     def _announce(self, now: int) -> None:
         self.update = self.entry.to_update(now)
--- a/milletsill/fleet/membership/member_table.py
+++ b/milletsill/fleet/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that one gateway knows, the hash ring of those present, and a digest."""
+"""The table of known members, with a hash ring and a digest of those present."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from milletsill.fleet.membership.update_rules import MemberVersion
 from milletsill.fleet.transport import PRESENT_STATES, Member, MemberState
 
-SAMPLE_TRIES = 3  # draws for each member of a sample
+# Maximum random draws for each requested member of a sample; draws may repeat.
+DRAWS_PER_MEMBER = 3
 
 
 class MemberEntry:
-    """What this gateway holds of one member.
+    """The state that this gateway holds for one member.
 
     Attributes:
-        since: When its state began here.
-        suspected_by: Names of members that suspect it.
-        digest: Its part of the table's digest; 0 while it is not in the view.
-        ring_position: The hash of its name.
-        gossip_cache: Its update as it is piggybacked, and the octets that takes.
+        since: The local time at which the member's current state began.
+        suspected_by: Names of the members that suspect this member.
+        digest: The member's part of the table's digest; 0 while it is not in the view.
+        ring_position: The hash of the member's name.
+        gossip_cache: The update that is piggybacked, and its size in octets.
     """
 
     __slots__ = (
@@ -57,19 +58,20 @@
 
     @property
     def version(self) -> MemberVersion:
-        """What orders an update against what is held."""
+        """The version that an update is compared with."""
         return MemberVersion(self.incarnation, self.nonce, self.refutation)
 
     @property
     def in_view(self) -> bool:
-        """Whether the table counts it as present."""
+        """Whether the member is present and so part of the view."""
         return self.digest != 0
 
     def to_update(self, now: int, full: bool = True) -> MemberUpdate:
-        """Return what is passed on of it.
+        """Return the update about this member to send to others.
 
-        Without its address and age where `full` is not wanted and they say nothing new.
-        A suspicion that is nobody's own, only hearsay, is not passed on.
+        If `full` is False, the update omits the age, and omits the address unless the
+        state is ALIVE. A suspicion that names no suspecting member rests only on
+        reports, so it is not passed on: the update then has the state ALIVE.
         """
         state = self.state
         if state is MemberState.SUSPECT and not self.suspected_by:
@@ -88,32 +90,36 @@
         )
 
     def to_gossip(self) -> tuple[MemberUpdate, int]:
-        """Return its piggybacked update and the octets of it; made once a change."""
+        """Return the update to piggyback and its size in octets.
+
+        The result is cached until the entry changes.
+        """
         if self.gossip_cache is None:
             update = self.to_update(0, full=False)
             self.gossip_cache = (update, max_update_length(update))
         return self.gossip_cache
 
     def to_member(self) -> Member:
-        """Return it as the view has it."""
+        """Return the member as the view holds it."""
         return Member(self.name, self.address, self.incarnation, self.state)
 
     def compute_digest(self) -> int:
-        """Return its part of the digest of a view that it is in."""
+        """Return the member's part of the digest of a view that contains it."""
         identity = f"{self.name}\0{self.incarnation}\0{self.nonce}\0{self.address}"
         return xxhash.xxh64_intdigest(identity.encode("utf-8", "surrogateescape"))
 
 
 class MemberTable:
-    """Members by name, at most `max_members`.
+    """The known members by name, at most `max_members`.
 
     Attributes:
         entries: All members by name.
-        digest: The exclusive or of the digests of those present, so a change costs one
-            hash; equal where the same starts are present.
-        ring: Those present by the hash of their names.
-        absent: Those gone or left, the oldest first.
-        suspects: Those suspected.
+        digest: The exclusive or of the digests of the present members, so that a change
+            needs only one hash. Equal for two tables in which the same starts of
+            members are present.
+        ring: The present members, ordered by the hashes of their names.
+        absent: The gone and left members, in the order in which they became absent.
+        suspects: The suspected members.
     """
 
     def __init__(self, max_members: int) -> None:
@@ -125,14 +131,14 @@
         self.suspects: dict[str, None] = {}
 
     def get(self, name: str) -> MemberEntry | None:
-        """Return the member of that name, if it is known."""
+        """Return the entry of a name, or None if the member is not known."""
         return self.entries.get(name)
 
     def add(self, entry: MemberEntry) -> bool:
-        """Add a member; one that is long absent makes room.
+        """Add a member; if the table is full, remove the longest absent member first.
 
         Returns:
-            False where the table is full of members that are present.
+            False if the table is full and all its members are present.
         """
         if len(self.entries) >= self.max_members:
             if not self.absent:
@@ -143,7 +149,7 @@
         return True
 
     def remove(self, name: str) -> None:
-        """Forget a member that is known."""
+        """Remove a known member."""
         entry = self.entries.pop(name)
         self.absent.pop(name, None)
         self.suspects.pop(name, None)
@@ -153,7 +159,12 @@
             entry.digest = 0
 
     def reindex(self, entry: MemberEntry, previous: MemberState | None) -> None:
-        """Sort a member in anew, after each change of it."""
+        """Update the ring, digest and state indexes after a change of a member.
+
+        Args:
+            entry: The changed member.
+            previous: Its state before the change; None for a new member.
+        """
         present = entry.state in PRESENT_STATES
         entry.gossip_cache = None
         if entry.in_view:
@@ -165,47 +176,53 @@
         entry.digest = entry.compute_digest() if present else 0
         self.digest ^= entry.digest
         if entry.state is not previous:
-            self._sort_by_state(entry)
+            self._index_by_state(entry)
 
-    def successors(self, position: int, count: int, skip: str) -> list[str]:
-        """Return members that follow a position on the ring, without `skip`."""
+    def successors(self, position: int, count: int, exclude: str) -> list[str]:
+        """Return the members that follow a position on the ring, except `exclude`."""
         start = bisect_left(self.ring, (position, ""))
         found: list[str] = []
         for step in range(min(count + 1, len(self.ring))):
             name = self.ring[(start + step) % len(self.ring)][1]
-            if name != skip and len(found) < count:
+            if name != exclude and len(found) < count:
                 found.append(name)
         return found
 
     def sample(
-        self, count: int, draw: Callable[[int], int], skip: str, also_skip: str = ""
+        self,
+        count: int,
+        draw: Callable[[int], int],
+        exclude: str,
+        also_exclude: str = "",
     ) -> list[str]:
-        """Return present members by chance, fewer where there are none.
+        """Return a random sample of present members.
+
+        The sample is smaller than `count` if the draws do not find enough members.
 
         Args:
-            count: Members wanted.
-            draw: Returns a number below its argument.
-            skip: A name that is not wanted.
-            also_skip: Another one.
+            count: The number of members requested.
+            draw: Returns a random number below its argument.
+            exclude: A name to leave out.
+            also_exclude: Another name to leave out.
         """
         found: dict[str, None] = {}
-        for _ in range(SAMPLE_TRIES * count):
+        for _ in range(DRAWS_PER_MEMBER * count):
             if len(found) >= count or not self.ring:
                 break
             name = self.ring[draw(len(self.ring))][1]
-            if name not in (skip, also_skip):
+            if name not in (exclude, also_exclude):
                 found[name] = None
         return list(found)
 
-    def forget_absent(self, before: int) -> None:
-        """Forget members that are absent since before that time."""
+    def remove_absent(self, before: int) -> None:
+        """Remove the members that became absent before a time."""
         for name in [each for each in self.absent if self.entries[each].since < before]:
             self.remove(name)
 
     def _remove_from_ring(self, entry: MemberEntry) -> None:
         del self.ring[bisect_left(self.ring, (entry.ring_position, entry.name))]
 
-    def _sort_by_state(self, entry: MemberEntry) -> None:
+    def _index_by_state(self, entry: MemberEntry) -> None:
         self.absent.pop(entry.name, None)
         self.suspects.pop(entry.name, None)
         if entry.state not in PRESENT_STATES:
--- a/milletsill/fleet/membership/membership.py
+++ b/milletsill/fleet/membership/membership.py
@@ -1,7 +1,8 @@
-"""One gateway among the others: SWIM with Lifeguard. Time and messages in, effects out.
+"""The membership protocol of one gateway: SWIM with Lifeguard.
 
-`tick` is called every TICK_INTERVAL; a call that comes late is how a gateway knows that
-it stalled itself. No I/O, no clock; times are tenths of a millisecond.
+The caller passes in the time and the received messages, and applies the effects that
+the methods return. It calls `tick` every TICK_INTERVAL; a late call shows that this
+gateway itself stalled. There is no I/O and no clock; times are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -26,16 +27,17 @@
 from milletsill.fleet.membership.message_sender import MessageSender
 from milletsill.fleet.membership.name_claims import LocalStatus
 from milletsill.fleet.membership.probe_relay import ProbeRelay
-from milletsill.fleet.membership.update_rules import SIGNS_OF_LIFE, UpdateAction
+from milletsill.fleet.membership.update_rules import LIVENESS_ACTIONS, UpdateAction
 from milletsill.fleet.transport import PRESENT_STATES
 
 # Tenths of a millisecond.
-STALL_THRESHOLD = 1000  # a tick that comes later than this: this gateway stalled
-GOSSIP_INTERVAL = 1000  # while there are updates to pass on
-FORGET_INTERVAL = 100_000  # between looks for members that are long absent
+STALL_THRESHOLD = 1000  # a tick that is later than this counts as a stall
+GOSSIP_INTERVAL = 1000  # between rounds of gossip frames, while updates are queued
+ABSENT_EXPIRY_INTERVAL = 100_000  # between removals of expired absent members
 
-GOSSIP_FANOUT = 3  # members that are sent updates alone, each gossip interval
-# Of the logarithm of the fleet's size: so many members hear of a leave at once.
+GOSSIP_FANOUT = 3  # members that are sent a gossip frame in each gossip interval
+# Multiplies the logarithm of the number of members; the product is the number of
+# members that a leaving gateway informs directly.
 LEAVE_FANOUT_MULTIPLIER = 4
 
 
@@ -43,16 +45,16 @@
     """The membership of one gateway.
 
     Args:
-        identity: Who this gateway is.
-        config: Intervals and bounds.
-        seeds: Addresses of some others.
-        random: This gateway's own.
-        now: The time.
+        identity: The identity of this gateway's start.
+        config: Intervals and limits.
+        seeds: Addresses of some other gateways.
+        random: The random number generator of this gateway.
+        now: The current time.
 
     Attributes:
-        state: What it holds of the members.
-        health: Its local health.
-        seeds: The seeds, without its own address.
+        state: The members that this gateway knows.
+        health: The local health of this gateway.
+        seeds: The seeds without this gateway's own address.
     """
 
     def __init__(
@@ -78,7 +80,7 @@
         self._last_tick = now
         self._next_probe = now + int(random.random() * config.probe_interval)
         self._next_gossip = now
-        self._next_forget = now + FORGET_INTERVAL
+        self._next_absent_expiry = now + ABSENT_EXPIRY_INTERVAL
 
     @property
     def is_isolated(self) -> bool:
@@ -86,7 +88,7 @@
         return self.health.is_isolated
 
     def tick(self, now: int) -> list[Effect]:
-        """Do what is due."""
+        """Run the periodic work that is due."""
         late = now - self._last_tick - TICK_INTERVAL
         self._last_tick = now
         if late > STALL_THRESHOLD:
@@ -96,13 +98,16 @@
         if now >= self._next_gossip and self.state.gossip:
             self._next_gossip = now + GOSSIP_INTERVAL
             self._gossip_to(GOSSIP_FANOUT)
-        if now >= self._next_forget:
-            self._next_forget = now + FORGET_INTERVAL
-            self.state.table.forget_absent(now - self.config.remember_absent)
+        if now >= self._next_absent_expiry:
+            self._next_absent_expiry = now + ABSENT_EXPIRY_INTERVAL
+            self.state.table.remove_absent(now - self.config.absent_retention)
         return self.state.take_effects()
 
     def on_stall(self, now: int, stalled_for: int) -> None:
-        """This gateway stalled: what it missed says nothing of the others."""
+        """Handle a stall of this gateway.
+
+        Acks that it missed during the stall are not counted against other members.
+        """
         self.health.on_stall()
         self.state.effects.append(
             OperatorEvent(OperatorEventKind.STALLED, duration=stalled_for)
@@ -111,18 +116,18 @@
         self._detector.on_local_stall(now, stalled_for)
 
     def on_message(self, now: int, message: FleetMessage) -> list[Effect]:
-        """Take in one frame of this fleet."""
+        """Handle a message from a gateway of this fleet."""
         sender = message.sender
         local = self.state.local
         if sender.name == self.name and sender.nonce == local.nonce:
             return []
-        self._inform_new_start(now, sender)
+        self._send_earlier_start(now, sender)
         self._merge(now, sender)
         if sender.name == self.name and not local.is_displaced:
-            local.on_namesake_frame(now, sender)
+            local.on_duplicate_name_frame(now, sender)
         entry = self.state.table.get(sender.name)
         if entry is not None and entry.nonce == sender.nonce:
-            self._on_sign_of_life(now, entry)
+            self._on_liveness_evidence(now, entry)
         gossip = message.type is not FrameType.FULL_STATE
         actions = [self._merge(now, each, gossip) for each in message.updates]
         changed = any(each is not UpdateAction.IGNORED for each in actions)
@@ -130,7 +135,10 @@
         return self.state.take_effects()
 
     def leave(self, now: int) -> list[Effect]:
-        """Tell so many members that it does not matter if the process ends now."""
+        """Leave the fleet and inform many members directly.
+
+        They are enough to spread the update even if the process ends immediately.
+        """
         self.state.local.leave(now)
         self._detector.stop()
         logarithm = ceil(log2(len(self.state.table.ring) + 2))
@@ -151,10 +159,12 @@
         for name in table.sample(count, self._random.randrange, self.name):
             self._sender.gossip(name)
 
-    def _inform_new_start(self, now: int, sender: MemberUpdate) -> None:
-        """Tell a new start with the incarnation of an earlier one of the earlier.
+    def _send_earlier_start(self, now: int, sender: MemberUpdate) -> None:
+        """Send a new start of a member the update about its earlier start.
 
-        Its state is lost or a copy, and this gateway alone may still know the earlier.
+        This is done if both starts have the same incarnation: the member then lost its
+        stored state or restored a copy, and this gateway may be the only one that still
+        knows the earlier start.
         """
         known = self.state.table.get(sender.name)
         if known is None or known is self.state.local.entry:
@@ -166,19 +176,19 @@
     def _merge(
         self, now: int, update: MemberUpdate, gossip: bool = True
     ) -> UpdateAction:
-        """Take in an update, and what it means for the member's probe."""
+        """Merge an update and inform the member's probe and the local health."""
         action = self.state.merge(now, update, gossip)
-        if action in SIGNS_OF_LIFE:
-            self._detector.on_sign_of_life(now, update.name)
-        elif action is UpdateAction.VERIFY_DEATH:
-            self._detector.verify_death(now, update.name)
+        if action in LIVENESS_ACTIONS:
+            self._detector.on_liveness_evidence(now, update.name)
+        elif action is UpdateAction.VERIFY_GONE:
+            self._detector.verify_gone(now, update.name)
         elif action is UpdateAction.SELF_REFUTED:
             self.health.on_suspected()
         return action
 
-    def _on_sign_of_life(self, now: int, entry: MemberEntry | None) -> None:
+    def _on_liveness_evidence(self, now: int, entry: MemberEntry | None) -> None:
         if entry is not None and entry.state in PRESENT_STATES:
-            self._detector.on_sign_of_life(now, entry.name)
+            self._detector.on_liveness_evidence(now, entry.name)
 
     def _on_frame(
         self,
@@ -187,7 +197,7 @@
         sender: MemberEntry | None,
         changed: bool,
     ) -> None:
-        """Do what a frame's type asks for; its updates are merged already."""
+        """Handle a message by its type; its updates have already been merged."""
         address = message.sender.address
         match message.type:
             case FrameType.PROBE if message.target == self.name:
@@ -204,8 +214,8 @@
                 self.state.local.report_duplicate(now, address)
 
     def _on_ack(self, now: int, message: FleetMessage) -> None:
-        """The target of a probe lives; a relayed probe's ack is passed on."""
+        """Handle an ack; the target's own ack of a relayed probe is passed on."""
         if message.target == message.sender.name:
             self.relay.on_ack(message)
         else:
-            self._on_sign_of_life(now, self.state.table.get(message.target))
+            self._on_liveness_evidence(now, self.state.table.get(message.target))
--- a/milletsill/fleet/membership/membership_state.py
+++ b/milletsill/fleet/membership/membership_state.py
@@ -1,4 +1,4 @@
-"""What one gateway holds of all members, and how updates change it."""
+"""The state that one gateway holds for all members, and how updates change it."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from milletsill.fleet.membership.local_member import LocalIdentity, LocalMember
 from milletsill.fleet.membership.member_table import MemberEntry, MemberTable
 from milletsill.fleet.membership.update_rules import (
-    JUST_AFTER_STALL,
+    POST_STALL_WINDOW,
     UPDATE_RULES,
     VIEW_CHANGE_OF,
     MemberVersion,
     UpdateAction,
     UpdateOrder,
     compare_versions,
-    is_death_believed,
+    is_gone_report_accepted,
 )
 from milletsill.fleet.transport import PRESENT_STATES, MemberState, ViewChange
 
@@ -31,20 +31,20 @@
     UpdateAction.RESTARTED,
     UpdateAction.JOINED,
 )
-_NOT_GOSSIPED_ACTIONS = (UpdateAction.VERIFY_DEATH, UpdateAction.NOTED)
+_NOT_GOSSIPED_ACTIONS = (UpdateAction.VERIFY_GONE, UpdateAction.ABSENT_UPDATED)
 
 
 class MembershipState:
-    """The member table, this gateway's own entry, and the updates to pass on.
+    """The member table, this gateway's own entry, and the updates to gossip.
 
-    Everything in it is bounded by the configured most members.
+    The configured maximum number of members bounds the table and the gossip queue.
 
     Attributes:
-        local: This gateway itself.
-        table: All members.
-        gossip: Names of which there is an update to pass on.
-        effects: What is to be done; emptied by `take_effects`.
-        last_stall: When this gateway last woke from a stall.
+        local: The entry and status of this gateway.
+        table: All known members.
+        gossip: The names of the members whose updates are to be gossiped.
+        effects: The pending effects; `take_effects` returns and clears them.
+        last_stall: The time at which this gateway's last stall ended.
     """
 
     def __init__(
@@ -52,14 +52,14 @@
     ) -> None:
         self.name = identity.name
         self.config = config
-        self.last_stall = now - JUST_AFTER_STALL - 1
+        self.last_stall = now - POST_STALL_WINDOW - 1
         self.effects: list[Effect] = []
         self.table = MemberTable(config.max_members)
         self.gossip = GossipQueue()
         self.local = LocalMember(identity, self.table, self.gossip, self.effects, now)
 
     def take_effects(self) -> list[Effect]:
-        """Return what is to be done and forget it."""
+        """Return and clear the pending effects."""
         taken = self.effects.copy()
         self.effects.clear()
         return taken
@@ -67,27 +67,27 @@
     def merge(
         self, now: int, update: MemberUpdate, gossip: bool = True
     ) -> UpdateAction:
-        """Take in an update of any member.
+        """Merge an update of any member, including this gateway.
 
         Args:
-            now: The time.
-            update: What a frame says of the member.
-            gossip: Whether what is new is passed on.
+            now: The current time.
+            update: The update from a received frame.
+            gossip: Whether a change is queued for gossip.
 
         Returns:
-            What it brought about; IGNORED where it changes nothing.
+            The resulting action; IGNORED if the update changes nothing.
         """
         entry = self.table.entries.get(update.name)
         if entry is not None and _is_known(entry, update):
             return UpdateAction.IGNORED
-        if self.local.claims(update):
+        if self.local.is_about_self(update):
             return self.local.on_update(now, update)
         if entry is None:
             return self._add_member(now, update, gossip)
         return self._update_member(now, entry, update, gossip)
 
     def suspect(self, now: int, name: str) -> None:
-        """Suspect a member by this gateway's own probes."""
+        """Suspect a member because this gateway's own probes of it failed."""
         entry = self.table.get(name)
         if entry is None or entry.state not in PRESENT_STATES:
             return
@@ -99,7 +99,7 @@
         self.gossip.add(name)
 
     def declare_gone(self, now: int, name: str) -> None:
-        """Take a member for gone: it gave no sign of life in all its timeouts."""
+        """Declare a member gone because all its timeouts expired without an ack."""
         entry = self.table.get(name)
         if entry is None or entry.state not in PRESENT_STATES:
             return
@@ -108,15 +108,15 @@
         self.gossip.add(name)
 
     def _add_member(self, now: int, update: MemberUpdate, gossip: bool) -> UpdateAction:
-        """Take in a member that was not known.
+        """Add a member that was not known.
 
-        One that is absent is kept only as long as others keep it, or it would go round
-        for ever.
+        An absent member whose age has reached the retention time is not added, because
+        gateways would otherwise send it to each other forever.
         """
         present = update.state in PRESENT_STATES
         if not update.address:
             return UpdateAction.IGNORED
-        if not present and update.age >= self.config.remember_absent:
+        if not present and update.age >= self.config.absent_retention:
             return UpdateAction.IGNORED
         entry = MemberEntry(update, now)
         if not self.table.add(entry):
@@ -124,7 +124,7 @@
             self.effects.append(event)
             return UpdateAction.IGNORED
         if not present:
-            return UpdateAction.NOTED
+            return UpdateAction.ABSENT_UPDATED
         self.effects.append(ViewChanged(ViewChange.JOINED, entry.to_member()))
         if gossip:
             self.gossip.add(update.name)
@@ -133,7 +133,7 @@
     def _update_member(
         self, now: int, entry: MemberEntry, update: MemberUpdate, gossip: bool
     ) -> UpdateAction:
-        """Take in an update of a member that is known."""
+        """Apply an update of a known member."""
         version = MemberVersion(update.incarnation, update.nonce, update.refutation)
         order = compare_versions(entry.version, version)
         rule = UPDATE_RULES.get((entry.state, update.state, order))
@@ -145,8 +145,8 @@
         state, action = rule
         if action is UpdateAction.CONFIRMED:
             return self._confirm(entry, update.suspected_by)
-        if action is UpdateAction.JUDGE_DEATH:
-            state, action = self._judge_death(now, entry)
+        if action is UpdateAction.ACCEPT_OR_VERIFY:
+            state, action = self._accept_or_verify(now, entry)
         entry.suspected_by = _suspected_by_after(entry, update, state, action)
         entry.incarnation = update.incarnation
         entry.nonce = update.nonce
@@ -157,24 +157,24 @@
             self.gossip.add(update.name)
         return action
 
-    def _judge_death(
+    def _accept_or_verify(
         self, now: int, entry: MemberEntry
     ) -> tuple[MemberState, UpdateAction]:
-        """Return what to make of a suspect that is said to be gone."""
-        believed = is_death_believed(
-            has_accuser=bool(entry.suspected_by),
+        """Return the state and action for a suspect that is reported gone."""
+        accepted = is_gone_report_accepted(
+            has_suspecter=bool(entry.suspected_by),
             suspected_for=now - entry.since,
             since_stall=now - self.last_stall,
             config=self.config,
         )
-        if believed:
+        if accepted:
             return MemberState.GONE, UpdateAction.GONE
-        return MemberState.SUSPECT, UpdateAction.VERIFY_DEATH
+        return MemberState.SUSPECT, UpdateAction.VERIFY_GONE
 
     def _confirm(
         self, entry: MemberEntry, suspected_by: tuple[str, ...]
     ) -> UpdateAction:
-        """Note who else suspects a member; a few are enough to know and pass on."""
+        """Add members to those that suspect a member, up to MAX_SUSPECTED_BY."""
         confirmed_by = tuple(dict.fromkeys(entry.suspected_by + suspected_by))
         confirmed_by = confirmed_by[:MAX_SUSPECTED_BY]
         if len(confirmed_by) == len(entry.suspected_by):
@@ -192,7 +192,7 @@
         action: UpdateAction,
         age: int = 0,
     ) -> None:
-        """Give a member its state, and tell of the change of the view, if any."""
+        """Set a member's state and report the change of the view, if there is one."""
         previous = entry.state
         entry.state = state
         if state is not previous or action is UpdateAction.RESTARTED:
@@ -210,7 +210,7 @@
 
 
 def _is_known(entry: MemberEntry, update: MemberUpdate) -> bool:
-    """Return whether an update says just what is held, as most do."""
+    """Return whether an update equals the held entry, as most updates do."""
     return (
         update.refutation == entry.refutation
         and update.nonce == entry.nonce
@@ -226,10 +226,13 @@
     state: MemberState,
     action: UpdateAction,
 ) -> tuple[str, ...]:
-    """Return who suspects a member after an update; `entry` is still as it was."""
+    """Return the members that suspect a member after an update.
+
+    The caller has not applied the update to `entry` yet.
+    """
     if action in _SUSPECTING_ACTIONS and state is MemberState.SUSPECT:
         return update.suspected_by
-    verifying = action is UpdateAction.VERIFY_DEATH
+    verifying = action is UpdateAction.VERIFY_GONE
     if verifying and entry.state is MemberState.SUSPECT:
         return entry.suspected_by
     return ()
--- a/milletsill/fleet/membership/message_sender.py
+++ b/milletsill/fleet/membership/message_sender.py
@@ -1,11 +1,11 @@
-"""Builds the messages to other members, with piggybacked updates."""
+"""Builds the messages to other gateways, with piggybacked updates."""
 
 from __future__ import annotations
 
 from milletsill.fleet.frames.codec import (
     MAX_UPDATES_PER_FRAME,
     max_update_length,
-    room_for_updates,
+    octets_for_updates,
 )
 from milletsill.fleet.frames.messages import FleetMessage, FrameType, MemberUpdate
 from milletsill.fleet.gossip.gossip_queue import retransmit_limit
@@ -16,7 +16,7 @@
 
 
 class MessageSender:
-    """Adds messages to the effects of a membership's state."""
+    """Builds messages and adds them to the effects of a `MembershipState`."""
 
     def __init__(self, state: MembershipState) -> None:
         self._state = state
@@ -25,14 +25,14 @@
         """Probe a member."""
         self._send_to_member(name, FrameType.PROBE, target=name)
 
-    def request_indirect_probe(self, helper: str, target: MemberEntry) -> None:
-        """Ask a member to probe another."""
+    def request_indirect_probe(self, relay: str, target: MemberEntry) -> None:
+        """Ask a member to probe the target."""
         self._send_to_member(
-            helper, FrameType.INDIRECT_PROBE, target.name, target.address
+            relay, FrameType.INDIRECT_PROBE, target.name, target.address
         )
 
     def relay_probe(self, target: str, address: str, probe_number: int) -> None:
-        """Probe a member that another gateway asked about."""
+        """Probe a member on behalf of another gateway."""
         entry = self._state.table.get(target)
         message = FleetMessage(
             FrameType.PROBE,
@@ -44,7 +44,7 @@
         self._send(address, message)
 
     def ack(self, address: str, prober: MemberEntry | None, probe_number: int) -> None:
-        """Answer a probe of this gateway."""
+        """Acknowledge a probe of this gateway."""
         message = FleetMessage(
             FrameType.ACK,
             self._state.local.update,
@@ -57,7 +57,7 @@
     def relay_ack(
         self, address: str, probe_number: int, target_update: MemberUpdate
     ) -> None:
-        """Pass an ack on to the requester, with the target's own update."""
+        """Send an ack with the target's own update to the requester of a probe."""
         message = FleetMessage(
             FrameType.ACK,
             self._state.local.update,
@@ -68,7 +68,7 @@
         self._send(address, message)
 
     def gossip(self, name: str) -> None:
-        """Send a member updates alone."""
+        """Send a member a frame with only piggybacked updates."""
         self._send_to_member(name, FrameType.GOSSIP)
 
     def gossip_over_stream(self, address: str, update: MemberUpdate) -> None:
@@ -78,7 +78,7 @@
         )
         self._send(address, message, stream=True)
 
-    def digest(self, address: str) -> None:
+    def send_digest(self, address: str) -> None:
         """Send the digest of this gateway's view."""
         message = FleetMessage(
             FrameType.DIGEST,
@@ -87,8 +87,11 @@
         )
         self._send(address, message, stream=True)
 
-    def full_state(self, now: int, address: str, reply_wanted: bool) -> None:
-        """Send all members, in frames of a bounded length; the last asks a reply."""
+    def send_full_state(self, now: int, address: str, reply_wanted: bool) -> None:
+        """Send all known members, with at most MAX_UPDATES_PER_FRAME in each frame.
+
+        If a reply is wanted, only the last frame requests it.
+        """
         entries = self._state.table.entries.values()
         updates = [each.to_update(now) for each in entries]
         for start in range(0, len(updates), MAX_UPDATES_PER_FRAME):
@@ -108,7 +111,7 @@
         target: str = "",
         target_address: str = "",
     ) -> None:
-        """Send a datagram to a member, with the updates that have room in it."""
+        """Send a datagram to a member, with the updates that fit into it."""
         entry = self._state.table.entries[name]
         message = FleetMessage(
             frame_type,
@@ -123,42 +126,43 @@
         self._state.effects.append(SendMessage(address, message, stream))
 
     def _updates_for(self, receiver: MemberEntry | None) -> tuple[MemberUpdate, ...]:
-        """Return what rides on a datagram to a member.
+        """Return the updates to piggyback on a datagram.
 
-        First what is held against the receiver, so that it can refute it; then gossip.
+        If the receiver is held as suspect or gone, the first update tells it so, which
+        lets it refute; the updates from the gossip queue follow.
         """
         state = self._state
         entries = state.table.entries
         updates: list[MemberUpdate] = []
-        accused = ""
-        if receiver is not None and receiver.state in _ACCUSED_STATES:
-            accused = receiver.name
-            updates.append(_accusation(receiver, state.name))
+        included = ""
+        if receiver is not None and receiver.state in _REFUTABLE_STATES:
+            included = receiver.name
+            updates.append(_refutable_update(receiver, state.name))
         if not state.gossip:
             return tuple(updates)
 
         def length_of(name: str) -> int:
             return entries[name].to_gossip()[1] if name in entries else 0
 
-        room = room_for_updates(state.config.fleet, state.local.update)
-        room -= sum(map(max_update_length, updates))
+        free_octets = octets_for_updates(state.config.fleet, state.local.update)
+        free_octets -= sum(map(max_update_length, updates))
         limit = retransmit_limit(len(state.table.ring))
-        for name in state.gossip.take(room, limit, length_of):
-            if name in entries and name != accused:
+        for name in state.gossip.take(free_octets, limit, length_of):
+            if name in entries and name != included:
                 updates.append(entries[name].to_gossip()[0])
         return tuple(updates)
 
 
-_ACCUSED_STATES = (MemberState.SUSPECT, MemberState.GONE)
+_REFUTABLE_STATES = (MemberState.SUSPECT, MemberState.GONE)
 
 
-def _accusation(entry: MemberEntry, accuser: str) -> MemberUpdate:
-    """Return the update by which a member hears what is held against it."""
+def _refutable_update(entry: MemberEntry, suspecter: str) -> MemberUpdate:
+    """Return the update that informs a suspect or gone member of its state."""
     return MemberUpdate(
         name=entry.name,
         incarnation=entry.incarnation,
         nonce=entry.nonce,
         refutation=entry.refutation,
         state=entry.state,
-        suspected_by=entry.suspected_by or (accuser,),
+        suspected_by=entry.suspected_by or (suspecter,),
     )
--- a/milletsill/fleet/membership/name_claims.py
+++ b/milletsill/fleet/membership/name_claims.py
@@ -1,7 +1,7 @@
-"""What updates under this gateway's own name mean: refutation, and who has the name.
+"""Rules for updates under this gateway's own name: refutation and name conflicts.
 
-Two starts may bear one name: an earlier one whose state was lost, or another live
-gateway. Pure.
+Another start can have the same name: an earlier start of this gateway whose stored
+state was lost, or another live gateway. No I/O; times are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -13,60 +13,63 @@
 from milletsill.fleet.frames.messages import MemberUpdate
 from milletsill.fleet.transport import MemberState
 
-# Since the start; no frame of an earlier start of this name is on its way for longer.
+# Time after the start from which a frame of another start proves that the other is
+# live: no frame of an earlier start is in transit for that long.
 DUPLICATE_NAME_AFTER = 50_000
 DUPLICATE_NAME_REPORT_INTERVAL = 300_000
 
 
 class LocalStatus(Enum):
-    """Whether this gateway has its name in the fleet."""
+    """Whether this gateway holds its name in the fleet."""
 
     ACTIVE = auto()
-    DISPLACED = auto()  # another gateway with this name has it
-    LEAVING = auto()  # it has announced that it leaves
+    DISPLACED = auto()  # another gateway holds the name
+    LEAVING = auto()  # this gateway is leaving the fleet
 
 
 class NameClaim(Enum):
-    """What an update with this gateway's name is to it."""
-
-    ACCUSATION = auto()  # a suspicion or worse of this start
-    STALE = auto()  # an earlier start, or its own update
-    OTHER_START = auto()  # a start that goes before this one, or has its incarnation
-    # A start that goes past what this gateway advanced to: only a live one can.
+    """The classification of an update with this gateway's name."""
+
+    # The update is about this start and supersedes its state, e.g. a suspicion.
+    NEEDS_REFUTATION = auto()
+    STALE = auto()  # an earlier start, or this gateway's own update
+    OTHER_START = auto()  # another start with the same or a later incarnation
+    # Another start reached the incarnation to which this gateway advanced, or a later
+    # one; only a live gateway can do that.
     OVERTAKEN_BY_SMALLER_NONCE = auto()
     OVERTAKEN_BY_LARGER_NONCE = auto()
-    NAME_RELEASED = auto()  # who had this gateway's name is gone
+    NAME_RELEASED = auto()  # the gateway that held the name is gone or has left
 
 
 class NameClaimAction(Enum):
-    """What to do about a claim."""
+    """The action for a claim."""
 
     NONE = auto()
     REFUTE = auto()
     REPORT_LOST_AND_ADVANCE = auto()
     REPORT_DUPLICATE_AND_ADVANCE = auto()
     REPORT_DUPLICATE_AND_YIELD = auto()
-    ADVANCE = auto()  # take an incarnation past the other's
+    ADVANCE = auto()  # take an incarnation later than the other's
 
 
 class NameClaimRule(NamedTuple):
-    """The status after a claim, and what to do."""
+    """The status after a claim, and the action to perform."""
 
     status: LocalStatus
     action: NameClaimAction
 
 
-# (status, claim) -> rule; what is not here changes nothing.
+# (status, claim) -> rule; a pair that is not listed changes nothing.
 NAME_CLAIM_RULES: Mapping[tuple[LocalStatus, NameClaim], NameClaimRule] = {
-    (LocalStatus.ACTIVE, NameClaim.ACCUSATION): NameClaimRule(
+    (LocalStatus.ACTIVE, NameClaim.NEEDS_REFUTATION): NameClaimRule(
         LocalStatus.ACTIVE, NameClaimAction.REFUTE
     ),
     (LocalStatus.ACTIVE, NameClaim.OTHER_START): NameClaimRule(
         LocalStatus.ACTIVE, NameClaimAction.REPORT_LOST_AND_ADVANCE
     ),
-    # Guards the fleet against two that overtake each other without end: the smaller
-    # nonce rests until the name is released. Cost: the one that rests is in nobody's
-    # view meanwhile; its clients are served as before.
+    # Prevents two live gateways with one name from overtaking each other forever: the
+    # one with the smaller nonce yields until the name is released. Trade-off: until
+    # then the yielding gateway is in no view; it still serves its clients.
     (LocalStatus.ACTIVE, NameClaim.OVERTAKEN_BY_SMALLER_NONCE): NameClaimRule(
         LocalStatus.ACTIVE, NameClaimAction.REPORT_DUPLICATE_AND_ADVANCE
     ),
@@ -96,22 +99,23 @@
     refutation: int,
     advanced_to: int | None,
 ) -> NameClaim:
-    """Return what an update with this gateway's name is to it.
+    """Classify an update with this gateway's name.
 
     Args:
         update: The update.
-        incarnation: This gateway's.
-        nonce: This gateway's.
-        refutation: This gateway's.
-        advanced_to: The incarnation with which it went past others; None before that.
+        incarnation: This gateway's incarnation.
+        nonce: This gateway's nonce.
+        refutation: This gateway's refutation counter.
+        advanced_to: The incarnation to which this gateway last advanced past another
+            start; None if it has not advanced yet.
     """
     if update.nonce == nonce:
-        accused = update.state in (MemberState.SUSPECT, MemberState.GONE)
-        outdates_ours = update.refutation > refutation or (
-            accused and update.refutation >= refutation
+        is_refutable = update.state in (MemberState.SUSPECT, MemberState.GONE)
+        supersedes_own = update.refutation > refutation or (
+            is_refutable and update.refutation >= refutation
         )
-        if update.incarnation == incarnation and outdates_ours:
-            return NameClaim.ACCUSATION
+        if update.incarnation == incarnation and supersedes_own:
+            return NameClaim.NEEDS_REFUTATION
         return NameClaim.STALE
     if update.incarnation < incarnation:
         return NameClaim.STALE
--- a/milletsill/fleet/membership/probe_relay.py
+++ b/milletsill/fleet/membership/probe_relay.py
@@ -1,4 +1,4 @@
-"""Probes that this gateway makes for others (SWIM's indirect probe, the helper)."""
+"""Probes that this gateway sends for others, as the relay of SWIM's indirect probe."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from milletsill.fleet.frames.messages import FleetMessage
 from milletsill.fleet.membership.message_sender import MessageSender
 
-MAX_RELAYED_PROBES = 1024  # kept until answered, the newest
+MAX_RELAYED_PROBES = 1024  # unanswered; beyond that the oldest is dropped
 
 
 class RelayedProbe(NamedTuple):
-    """Who asked for a probe, and how its ack finds back."""
+    """The requester of a probe, to whom its ack is sent, and the target."""
 
     requester_address: str
     requester_number: int
@@ -19,7 +19,7 @@
 
 
 class ProbeRelay:
-    """Probes for others that have not been answered, by this gateway's numbers."""
+    """The unanswered probes sent for other gateways, by locally assigned number."""
 
     def __init__(self, sender: MessageSender) -> None:
         self._sender = sender
@@ -39,7 +39,7 @@
         )
 
     def on_ack(self, message: FleetMessage) -> None:
-        """Pass a target's own ack on to the requester."""
+        """Send a target's ack on to the requester."""
         if not message.probe_number:
             return
         relayed = self.pending.pop(message.probe_number, None)
--- a/milletsill/fleet/membership/probe_targets.py
+++ b/milletsill/fleet/membership/probe_targets.py
@@ -1,4 +1,4 @@
-"""Whom to probe next."""
+"""Selects the members to probe next."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from milletsill.fleet.membership.membership_state import MembershipState
 from milletsill.fleet.transport import PRESENT_STATES
 
-# Successors by hash that each gateway probes: no member waits long for a probe.
+# Each gateway probes this many successors on the hash ring in every round, so that
+# every member is probed regularly.
 RING_SUCCESSORS = 2
 
 
 class ProbeTargets:
-    """The ring's successors, and one of all members in turn (SWIM's round robin)."""
+    """The successors on the hash ring, plus one member by SWIM's round robin."""
 
     def __init__(self, state: MembershipState, random: Random) -> None:
         self._state = state
@@ -21,7 +22,10 @@
         self._round_robin: list[str] = []
 
     def next_round(self) -> list[str]:
-        """Return the members to probe now; this gateway's name only by the ring."""
+        """Return the names of the members to probe in this round.
+
+        The round robin never yields this gateway's own name.
+        """
         table = self._state.table
         after_local = self._state.local.entry.ring_position + 1
         names = table.successors(after_local, RING_SUCCESSORS, self._state.name)
--- a/milletsill/fleet/membership/update_rules.py
+++ b/milletsill/fleet/membership/update_rules.py
@@ -1,9 +1,9 @@
-"""How an update of a member changes what is held of it. Pure.
+"""Rules for how an update changes the state that is held for a member. No I/O.
 
-Updates are ordered: a later incarnation goes before an earlier one, then a larger
-nonce (two starts with one incarnation), then a later refutation (only the member itself
-takes the next), then the graver state. Every gateway keeps the greatest that it has
-heard, so whatever is lost, late or doubled, all end equal.
+Updates of one member are ordered by incarnation, then by nonce (for two starts with the
+same incarnation), then by refutation (only the member itself increments it), then by
+the severity of the state. Every gateway keeps the greatest update that it has received,
+so all gateways converge although frames may be lost, delayed or duplicated.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from milletsill.fleet.membership.config import TICK_INTERVAL, MembershipConfig
-from milletsill.fleet.membership.probe_state import LEAST_SUSPICION_SHARE
+from milletsill.fleet.membership.probe_state import MIN_SUSPICION_FACTOR
 from milletsill.fleet.transport import MemberState, ViewChange
 
 ALIVE = MemberState.ALIVE
@@ -21,12 +21,13 @@
 GONE = MemberState.GONE
 LEFT = MemberState.LEFT
 
-# What is read so soon after a stall of this gateway may have waited through it.
-JUST_AFTER_STALL = 2 * TICK_INTERVAL
+# Frames that are read within this time after a stall of this gateway may have waited in
+# the socket during the stall.
+POST_STALL_WINDOW = 2 * TICK_INTERVAL
 
 
 class MemberVersion(NamedTuple):
-    """What orders two updates of one member, but for the state."""
+    """The part of an update, without the state, that orders updates of one member."""
 
     incarnation: int
     nonce: int
@@ -34,65 +35,68 @@
 
 
 class UpdateOrder(Enum):
-    """An update's version against the one that is held."""
+    """The order of an update's version relative to the held version."""
 
-    OLDER = auto()  # changes nothing
+    OLDER = auto()  # the update changes nothing
     SAME = auto()
     NEWER = auto()  # a later refutation of the same start
-    NEW_START = auto()  # a later incarnation or a greater nonce
+    NEW_START = auto()  # a later incarnation, or the same one with a greater nonce
 
 
 class UpdateAction(Enum):
-    """What an update brought about."""
+    """The action that results from an update."""
 
     IGNORED = auto()
-    SUSPECTED = auto()  # note who suspects it and pass it on
-    CONFIRMED = auto()  # one more suspects it
-    VERIFY_DEATH = auto()  # said to be gone, but alive to this gateway: probe it
-    JUDGE_DEATH = auto()  # a suspect is said to be gone: believe it or verify
+    SUSPECTED = auto()  # record the suspecting members and gossip the suspicion
+    CONFIRMED = auto()  # another member suspects the suspect too
+    VERIFY_GONE = auto()  # probe a member that is reported gone
+    ACCEPT_OR_VERIFY = auto()  # accept that a suspect is gone, or probe it first
     REFUTED = auto()
-    REFRESHED = auto()  # alive, of a later refutation
-    JOINED = auto()  # new, or back
+    REFRESHED = auto()  # the member is still alive and has a later refutation
+    JOINED = auto()  # the member is new or present again
     RESTARTED = auto()
     GONE = auto()
     LEFT = auto()
-    NOTED = auto()  # absent before and after
-    SELF_REFUTED = auto()  # this gateway was suspected, and it refuted that
-    SELF_CHANGED = auto()  # another start with this gateway's name was met
+    ABSENT_UPDATED = auto()  # the member was absent and stays absent
+    SELF_REFUTED = auto()  # this gateway was suspected and refuted the suspicion
+    SELF_CHANGED = auto()  # another start with this gateway's name was detected
 
 
 class UpdateRule(NamedTuple):
-    """The member's state after an update, and what to do."""
+    """The member's state after an update, and the action to perform."""
 
     state: MemberState
     action: UpdateAction
 
 
-# (state held, state in the update, order) -> rule; what is not here changes nothing.
+# (held state, updated state, order) -> rule; a key that is not listed changes nothing.
 UPDATE_RULES: Mapping[tuple[MemberState, MemberState, UpdateOrder], UpdateRule] = {
     (ALIVE, SUSPECT, UpdateOrder.SAME): UpdateRule(SUSPECT, UpdateAction.SUSPECTED),
     (SUSPECT, SUSPECT, UpdateOrder.SAME): UpdateRule(SUSPECT, UpdateAction.CONFIRMED),
-    # Guards a half that was cut off from believing the other half about itself once it
-    # is healed: nobody who took a member for alive drops it without a probe.
-    # Cost: a death without a suspicion before it is believed a timeout later.
-    (ALIVE, GONE, UpdateOrder.SAME): UpdateRule(SUSPECT, UpdateAction.VERIFY_DEATH),
-    (ALIVE, GONE, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.VERIFY_DEATH),
-    (SUSPECT, GONE, UpdateOrder.SAME): UpdateRule(SUSPECT, UpdateAction.JUDGE_DEATH),
-    (SUSPECT, GONE, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.VERIFY_DEATH),
+    # A gateway never drops a member that it holds as alive without probing it first.
+    # Otherwise, after a partition heals, each side would accept the other side's
+    # reports that its own members are gone. Trade-off: a gone report without a
+    # preceding suspicion takes effect one timeout later.
+    (ALIVE, GONE, UpdateOrder.SAME): UpdateRule(SUSPECT, UpdateAction.VERIFY_GONE),
+    (ALIVE, GONE, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.VERIFY_GONE),
+    (SUSPECT, GONE, UpdateOrder.SAME): UpdateRule(
+        SUSPECT, UpdateAction.ACCEPT_OR_VERIFY
+    ),
+    (SUSPECT, GONE, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.VERIFY_GONE),
     **{
         (held, LEFT, order): UpdateRule(LEFT, UpdateAction.LEFT)
         for held in (ALIVE, SUSPECT)
         for order in (UpdateOrder.SAME, UpdateOrder.NEWER)
     },
-    (GONE, LEFT, UpdateOrder.SAME): UpdateRule(LEFT, UpdateAction.NOTED),
-    (GONE, LEFT, UpdateOrder.NEWER): UpdateRule(LEFT, UpdateAction.NOTED),
+    (GONE, LEFT, UpdateOrder.SAME): UpdateRule(LEFT, UpdateAction.ABSENT_UPDATED),
+    (GONE, LEFT, UpdateOrder.NEWER): UpdateRule(LEFT, UpdateAction.ABSENT_UPDATED),
     (ALIVE, ALIVE, UpdateOrder.NEWER): UpdateRule(ALIVE, UpdateAction.REFRESHED),
     (ALIVE, SUSPECT, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.SUSPECTED),
     (SUSPECT, ALIVE, UpdateOrder.NEWER): UpdateRule(ALIVE, UpdateAction.REFUTED),
     (SUSPECT, SUSPECT, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.SUSPECTED),
     (GONE, ALIVE, UpdateOrder.NEWER): UpdateRule(ALIVE, UpdateAction.JOINED),
     (GONE, SUSPECT, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.JOINED),
-    (GONE, GONE, UpdateOrder.NEWER): UpdateRule(GONE, UpdateAction.NOTED),
+    (GONE, GONE, UpdateOrder.NEWER): UpdateRule(GONE, UpdateAction.ABSENT_UPDATED),
     (LEFT, ALIVE, UpdateOrder.NEWER): UpdateRule(ALIVE, UpdateAction.JOINED),
     (LEFT, SUSPECT, UpdateOrder.NEWER): UpdateRule(SUSPECT, UpdateAction.JOINED),
     **{
@@ -114,7 +118,9 @@
         for held in (ALIVE, SUSPECT)
     },
     **{
-        (held, state, UpdateOrder.NEW_START): UpdateRule(state, UpdateAction.NOTED)
+        (held, state, UpdateOrder.NEW_START): UpdateRule(
+            state, UpdateAction.ABSENT_UPDATED
+        )
         for held in (GONE, LEFT)
         for state in (GONE, LEFT)
     },
@@ -122,7 +128,7 @@
 
 VIEW_CHANGE_OF: Mapping[UpdateAction, ViewChange] = {
     UpdateAction.SUSPECTED: ViewChange.SUSPECTED,
-    UpdateAction.VERIFY_DEATH: ViewChange.SUSPECTED,
+    UpdateAction.VERIFY_GONE: ViewChange.SUSPECTED,
     UpdateAction.REFUTED: ViewChange.REFUTED,
     UpdateAction.JOINED: ViewChange.JOINED,
     UpdateAction.LEFT: ViewChange.LEFT,
@@ -130,8 +136,8 @@
     UpdateAction.RESTARTED: ViewChange.RESTARTED,
 }
 
-# Only the member itself brings these about, so they are signs of its life.
-SIGNS_OF_LIFE = (
+# Actions that only the member itself can cause, so they show that it is alive.
+LIVENESS_ACTIONS = (
     UpdateAction.REFUTED,
     UpdateAction.JOINED,
     UpdateAction.RESTARTED,
@@ -140,7 +146,7 @@
 
 
 def compare_versions(held: MemberVersion, update: MemberVersion) -> UpdateOrder:
-    """Return the order of an update's version against the one that is held."""
+    """Return the order of an update's version relative to the held version."""
     if update[:2] != held[:2]:
         later = update[:2] > held[:2]
         return UpdateOrder.NEW_START if later else UpdateOrder.OLDER
@@ -151,19 +157,20 @@
     return UpdateOrder.OLDER
 
 
-def is_death_believed(
-    has_accuser: bool,
+def is_gone_report_accepted(
+    has_suspecter: bool,
     suspected_for: int,
     since_stall: int,
     config: MembershipConfig,
 ) -> bool:
-    """Return whether a suspect's death is believed without a probe of its own.
+    """Return whether a report that a suspect is gone is accepted without a probe.
 
-    So where some member is named that suspected it, and it had the least timeout to
-    refute that. What is read right after this gateway stalled has waited in the
-    socket, suspicion and death alike, so there the time between them says nothing.
+    It is accepted if at least one member is known to suspect the suspect, and if the
+    suspect had the minimum suspicion timeout to refute. Right after a stall of this
+    gateway the second condition is dropped: both the suspicion and the gone report may
+    have waited in the socket, so the time between their arrivals means nothing.
     """
-    least_timeout = config.suspicion_timeout * LEAST_SUSPICION_SHARE
-    return has_accuser and (
-        suspected_for >= least_timeout or since_stall <= JUST_AFTER_STALL
+    min_timeout = config.suspicion_timeout * MIN_SUSPICION_FACTOR
+    return has_suspecter and (
+        suspected_for >= min_timeout or since_stall <= POST_STALL_WINDOW
     )
--- a/milletsill/fleet/net/__init__.py
+++ b/milletsill/fleet/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets between gateways: one UDP port, one TCP listener, one stream to a member."""
+"""Sockets between gateways: a UDP port, a TCP listener and one stream per member."""
--- a/milletsill/fleet/net/datagrams.py
+++ b/milletsill/fleet/net/datagrams.py
@@ -11,16 +11,16 @@
 
 from milletsill.fleet.frames.codec import MAX_DATAGRAM
 
-# Octets that the socket holds while this gateway is stalled.
-RECEIVE_BUFFER = 1 << 20
+# Large enough to hold the datagrams that arrive while this gateway is stalled.
+RECEIVE_BUFFER_OCTETS = 1 << 20
 
 
 class DatagramSocket(DatagramProtocol):
-    """One UDP port.
+    """The UDP socket for frames.
 
     Args:
-        on_datagram: Called with each datagram. Where it came from says nothing, since a
-            relay may stand between.
+        on_datagram: Called with each datagram. It does not get the source address,
+            which does not identify the sender because a relay may forward datagrams.
     """
 
     def __init__(self, on_datagram: Callable[[bytes], None]) -> None:
@@ -30,21 +30,26 @@
         """Listen and return Twisted's listening port.
 
         Raises:
-            CannotListenError: The address is not ours.
+            CannotListenError: The address is in use or not local.
         """
-        # One octet more than a datagram may have shows which are too long.
+        # One octet more than the maximum makes datagrams that are too long detectable.
         listening = reactor.listenUDP(
             port, self, interface=host, maxPacketSize=MAX_DATAGRAM + 1
         )
-        listening.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+        listening.socket.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_OCTETS
+        )
         return listening
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Hand a datagram on."""
+        """Pass a datagram to the callback."""
         self._on_datagram(datagram)
 
     def send(self, address: str, data: bytes) -> bool:
-        """Return whether it went out; what the network refuses is lost as any other."""
+        """Send a datagram; return False if it is too long or the send fails.
+
+        A failed send is not retried: the protocol tolerates lost datagrams.
+        """
         udp: Any = self.transport
         if len(data) > MAX_DATAGRAM or udp is None:
             return False
--- a/milletsill/fleet/net/inbound_streams.py
+++ b/milletsill/fleet/net/inbound_streams.py
@@ -1,4 +1,4 @@
-"""The TCP listener for streams from other gateways; each carries frames one way."""
+"""The TCP listener for one-way streams of frames from other gateways."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from milletsill.fleet.net.stream_state import IDLE_TIMEOUT
 
 MAX_INBOUND_STREAMS = 4096
-# One that only listens waits longer than the side that closes idle streams.
+# Longer than the sender's timeout, so that normally the sender closes an idle stream.
 INBOUND_IDLE_TIMEOUT = 3 * IDLE_TIMEOUT
 
 
@@ -27,7 +27,7 @@
         self.last_received = listener.now()
 
     def connectionMade(self) -> None:
-        """Take the stream, unless there are too many."""
+        """Accept the stream, or abort it if MAX_INBOUND_STREAMS are open."""
         tcp: Any = self.transport
         if len(self._listener.streams) >= MAX_INBOUND_STREAMS:
             tcp.abortConnection()
@@ -36,32 +36,33 @@
         tcp.setTcpKeepAlive(True)
 
     def dataReceived(self, data: bytes) -> None:
-        """Hand on the frames that are complete; a length over the bound ends it."""
+        """Deliver the complete frames; a length prefix over the limit aborts."""
         self.last_received = self._listener.now()
         try:
             for frame in self._decoder.feed(data):
                 self._listener.on_frame(frame)
         except FrameTooLongError as error:
-            self._listener.on_refused(error)
+            self._listener.on_oversized_frame(error)
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Forget the stream."""
+        """Remove the stream from the listener."""
         self._listener.streams.discard(self)
 
     def abort(self) -> None:
-        """End the stream at once."""
+        """Abort the connection."""
         tcp: Any = self.transport
         tcp.abortConnection()
 
 
 class StreamListener(Factory):
-    """Streams from other gateways, bounded in number and by silence.
+    """Accepts streams from other gateways; limits their number and idle time.
 
     Args:
-        now: Returns tenths of a millisecond.
-        on_frame: Called with each frame's octets.
-        on_refused: Called with the error of a stream whose length prefix is too high.
+        now: Returns the time in tenths of a millisecond.
+        on_frame: Called with each encoded frame.
+        on_oversized_frame: Called with the error when a length prefix is over the
+            limit.
     """
 
     noisy = False
@@ -70,11 +71,11 @@
         self,
         now: Callable[[], int],
         on_frame: Callable[[bytes], None],
-        on_refused: Callable[[FrameTooLongError], None],
+        on_oversized_frame: Callable[[FrameTooLongError], None],
     ) -> None:
         self.now = now
         self.on_frame = on_frame
-        self.on_refused = on_refused
+        self.on_oversized_frame = on_oversized_frame
         self.streams: set[InboundStream] = set()
 
     def buildProtocol(self, addr: IAddress | None) -> InboundStream:
@@ -82,13 +83,13 @@
         return InboundStream(self)
 
     def check_timeouts(self) -> None:
-        """End streams that were silent for too long."""
+        """Abort the streams that received nothing for INBOUND_IDLE_TIMEOUT."""
         now = self.now()
         for stream in list(self.streams):
             if now - stream.last_received > INBOUND_IDLE_TIMEOUT:
                 stream.abort()
 
     def close(self) -> None:
-        """End all streams."""
+        """Abort all streams."""
         for stream in list(self.streams):
             stream.abort()
--- a/milletsill/fleet/net/outbound_streams.py
+++ b/milletsill/fleet/net/outbound_streams.py
@@ -1,7 +1,7 @@
-"""One TCP stream to each member that is sent something longer than a datagram.
+"""Outbound TCP streams to other gateways, at most one to each address.
 
-Each stream carries frames one way. What is sent to one member goes in order over one
-stream; a new stream begins anew, and what waited for the old one is lost.
+A stream carries frames in one direction and in order. When a stream ends, the frames
+that wait on it are lost; a later stream to the same address does not resend them.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 )
 
 MAX_OUTBOUND_STREAMS = 2048
-MAX_WAITING_OCTETS = 1 << 21  # for one member
+MAX_WAITING_OCTETS = 1 << 21  # per member
 
 TICKS_PER_SECOND = 10_000
 TICKS_PER_MILLISECOND = 10
-ANY_HOST = ("", "0.0.0.0")
+WILDCARD_HOSTS = ("", "0.0.0.0")
 
-_ENDING_ACTIONS = (StreamAction.ABORT, StreamAction.CLOSE, StreamAction.FORGET)
+_ENDING_ACTIONS = (StreamAction.ABORT, StreamAction.CLOSE, StreamAction.REMOVE)
 
 
 class OutboundStream(Protocol):
-    """One stream to another gateway, which sends nothing back on it."""
+    """A one-way stream to another gateway."""
 
     def __init__(self, pool: OutboundStreamPool, address: str) -> None:
         self._pool = pool
@@ -50,7 +50,7 @@
         self.connecting: Deferred[Any] | None = None
 
     def connectionMade(self) -> None:
-        """The stream is up; one that was given up meanwhile ends at once."""
+        """Start sending, or abort if the stream was closed while connecting."""
         tcp: Any = self.transport
         if self.state is not StreamState.CONNECTING:
             tcp.abortConnection()
@@ -60,22 +60,27 @@
         self.on_event(StreamEvent.CONNECTED)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The stream ended, by whichever side."""
+        """Handle the end of the connection, whichever side ended it."""
         self.on_event(StreamEvent.CONNECTION_LOST)
 
     def pauseProducing(self) -> None:
-        """The socket's buffer is full."""
+        """Stop writing: the socket's send buffer is full."""
         self.on_event(StreamEvent.BUFFER_FULL)
 
     def resumeProducing(self) -> None:
-        """The socket's buffer has room."""
+        """Resume writing: the socket's send buffer has space again."""
         self.on_event(StreamEvent.BUFFER_DRAINED)
 
     def stopProducing(self) -> None:
-        """The connection ends; connectionLost follows."""
+        """Do nothing: Twisted calls connectionLost when the connection has ended."""
 
     def send(self, data: bytes) -> bool:
-        """Send octets, now or later; False where it backs off or too much waits."""
+        """Write or queue octets.
+
+        Returns:
+            False if the stream is backing off or closed, or if more than
+            MAX_WAITING_OCTETS would wait.
+        """
         if self.state in (StreamState.BACKING_OFF, StreamState.CLOSED):
             return False
         if self.waiting_octets + len(data) > MAX_WAITING_OCTETS:
@@ -87,23 +92,23 @@
         return True
 
     def on_event(self, event: StreamEvent) -> None:
-        """Take the transition of an event."""
+        """Apply the transition for an event."""
         self.state, action = next_transition(self.state, event)
         if action is StreamAction.FLUSH:
             self._flush()
-        if action in (StreamAction.DISCARD_WAITING, StreamAction.NOTE_TIME):
+        if action in (StreamAction.DISCARD_WAITING, StreamAction.RECORD_TIME):
             self.since = self._pool.now()
         if action is StreamAction.DISCARD_WAITING:
             self._discard_waiting()
         if action in _ENDING_ACTIONS:
             self._discard_waiting()
-            self._pool.forget(self._address)
+            self._pool.remove(self._address)
             self._end_connection(graceful=action is StreamAction.CLOSE)
 
     def _flush(self) -> None:
         tcp: Any = self.transport
         self.since = self._pool.now()
-        # A write may fill the socket's buffer, which changes the state.
+        # A write may fill the socket's send buffer, which changes the state.
         while self._waiting and self.state is StreamState.OPEN:
             data = self._waiting.popleft()
             self.waiting_octets -= len(data)
@@ -114,10 +119,10 @@
         self.waiting_octets = 0
 
     def _end_connection(self, graceful: bool) -> None:
-        """End the connection, or give up connecting.
+        """End the connection or cancel the connection attempt.
 
-        Cancelling the attempt fires its errback with CONNECT_FAILED, which changes
-        nothing in a stream that is closed already.
+        Cancelling the attempt calls its errback, which reports CONNECT_FAILED; that
+        event has no effect on a stream that is already closed.
         """
         tcp: Any = self.transport
         if tcp is None:
@@ -130,13 +135,13 @@
 
 
 class OutboundStreamPool:
-    """Streams to other gateways by address.
+    """The outbound streams to other gateways, by address.
 
     Args:
-        reactor: Twisted's.
-        now: Returns tenths of a millisecond.
-        host: Of this gateway's own address. Streams leave from it, so that a relay
-            between can tell who sends.
+        reactor: The Twisted reactor.
+        now: Returns the time in tenths of a millisecond.
+        host: The host of this gateway's address. Streams use it as their source
+            address, so that a relay on the path can identify the sender.
     """
 
     def __init__(self, reactor: Any, now: Callable[[], int], host: str) -> None:
@@ -149,7 +154,7 @@
         return len(self._streams)
 
     def send(self, address: str, frame: bytes) -> bool:
-        """Send a frame to an address; return whether it can be tried."""
+        """Send a frame to an address; return whether a stream accepted it."""
         stream = self._streams.get(address)
         if stream is None:
             if len(self._streams) >= MAX_OUTBOUND_STREAMS:
@@ -158,28 +163,28 @@
         return stream.send(add_length_prefix(frame))
 
     def check_timeouts(self) -> None:
-        """Act on what time has ended; called now and then."""
+        """Apply the timeouts that are due; called periodically."""
         for stream in list(self._streams.values()):
             event = due_event(stream.state, self.now(), stream.since)
             if event is not None:
                 stream.on_event(event)
 
     def on_member_gone(self, address: str) -> None:
-        """Whoever was at that address is gone."""
+        """Abort the stream to the address of a member that is gone or has left."""
         stream = self._streams.get(address)
         if stream is not None:
             stream.on_event(StreamEvent.MEMBER_GONE)
 
-    def forget(self, address: str) -> None:
-        """Drop a stream that has ended."""
+    def remove(self, address: str) -> None:
+        """Remove a stream that has ended."""
         self._streams.pop(address, None)
 
     def waiting_octets(self) -> int:
-        """Return the octets that wait on all streams."""
+        """Return the total of the octets that wait on all streams."""
         return sum(each.waiting_octets for each in self._streams.values())
 
     def close(self) -> None:
-        """End all streams."""
+        """Abort all streams."""
         for address in list(self._streams):
             self.on_member_gone(address)
 
@@ -187,7 +192,7 @@
         stream = OutboundStream(self, address)
         self._streams[address] = stream
         host, _, port = address.rpartition(":")
-        # mypy does not know that Factory provides IProtocolFactory (zope.interface).
+        # mypy cannot see that Factory provides the zope interface IProtocolFactory.
         factory: Any = Factory.forProtocol(lambda: stream)
         factory.noisy = False
         endpoint = TCP4ClientEndpoint(
@@ -195,7 +200,7 @@
             host,
             int(port),
             timeout=CONNECT_TIMEOUT / TICKS_PER_SECOND,
-            bindAddress=None if self._host in ANY_HOST else (self._host, 0),
+            bindAddress=None if self._host in WILDCARD_HOSTS else (self._host, 0),
         )
         stream.connecting = endpoint.connect(factory)
         stream.connecting.addErrback(
@@ -205,7 +210,10 @@
 
 
 def _configure_socket(tcp: Any) -> None:
-    """No delay for small frames; the kernel ends a stream that is not acknowledged."""
+    """Disable Nagle's algorithm and bound how long sent data may be unacknowledged.
+
+    TCP_USER_TIMEOUT makes the kernel end a stream whose data is not acknowledged.
+    """
     tcp.setTcpNoDelay(True)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
         tcp.getHandle().setsockopt(
--- a/milletsill/fleet/net/stream_state.py
+++ b/milletsill/fleet/net/stream_state.py
@@ -1,4 +1,7 @@
-"""The state machine of an outbound stream. Pure; times are tenths of a millisecond."""
+"""The state machine of an outbound stream.
+
+It performs no I/O. Times are tenths of a millisecond.
+"""
 
 from __future__ import annotations
 
@@ -7,51 +10,51 @@
 from typing import NamedTuple
 
 CONNECT_TIMEOUT = 15_000
-# After a connection that failed; what is sent meanwhile cannot be tried.
+# After a failed connection attempt; sends are refused until the backoff ends.
 BACKOFF = 3000
-# Without a message to send a stream is closed.
+# A stream that sends nothing for this long is closed.
 IDLE_TIMEOUT = 300_000
-# Octets that are not taken for so long: the stream is aborted.
+# A stream that cannot write for this long is aborted.
 BLOCKED_TIMEOUT = 50_000
 
 
 class StreamState(Enum):
-    """What an outbound stream is at."""
+    """The state of an outbound stream."""
 
     CONNECTING = auto()
     OPEN = auto()
-    BLOCKED = auto()  # the other side does not take octets
-    BACKING_OFF = auto()  # it was not reached and is not tried for a while
+    BLOCKED = auto()  # the socket's send buffer is full
+    BACKING_OFF = auto()  # the connection attempt failed, and the next one must wait
     CLOSED = auto()
 
 
 class StreamEvent(Enum):
-    """What an outbound stream reacts to."""
+    """An event that changes the state of an outbound stream."""
 
     CONNECTED = auto()
     CONNECT_FAILED = auto()
     BUFFER_FULL = auto()
     BUFFER_DRAINED = auto()
     IDLE = auto()
-    TIMED_OUT = auto()  # a backoff is over, or it was blocked for too long
+    TIMED_OUT = auto()  # the backoff is over, or the stream was blocked for too long
     CONNECTION_LOST = auto()
     MEMBER_GONE = auto()
 
 
 class StreamAction(Enum):
-    """What a transition wants done."""
+    """The action that a transition requires."""
 
     NONE = auto()
-    FLUSH = auto()  # write what waits
-    DISCARD_WAITING = auto()
-    NOTE_TIME = auto()
-    CLOSE = auto()  # once what was written is out
+    FLUSH = auto()  # write the waiting frames
+    DISCARD_WAITING = auto()  # discard the waiting frames and restart the timeout
+    RECORD_TIME = auto()  # restart the timeout
+    CLOSE = auto()  # close once the written data has been sent
     ABORT = auto()
-    FORGET = auto()
+    REMOVE = auto()  # remove a stream whose connection has already ended
 
 
 class StreamTransition(NamedTuple):
-    """The state after an event, and what to do."""
+    """The state after an event, and the action to perform."""
 
     state: StreamState
     action: StreamAction
@@ -59,7 +62,7 @@
 
 _CONNECTED_STATES = (StreamState.OPEN, StreamState.BLOCKED)
 
-# (state, event) -> transition; what is not here changes nothing.
+# (state, event) -> transition; a pair that is not listed changes nothing.
 STREAM_TRANSITIONS: Mapping[tuple[StreamState, StreamEvent], StreamTransition] = {
     (StreamState.CONNECTING, StreamEvent.CONNECTED): StreamTransition(
         StreamState.OPEN, StreamAction.FLUSH
@@ -68,7 +71,7 @@
         StreamState.BACKING_OFF, StreamAction.DISCARD_WAITING
     ),
     (StreamState.OPEN, StreamEvent.BUFFER_FULL): StreamTransition(
-        StreamState.BLOCKED, StreamAction.NOTE_TIME
+        StreamState.BLOCKED, StreamAction.RECORD_TIME
     ),
     (StreamState.BLOCKED, StreamEvent.BUFFER_DRAINED): StreamTransition(
         StreamState.OPEN, StreamAction.FLUSH
@@ -76,17 +79,17 @@
     (StreamState.OPEN, StreamEvent.IDLE): StreamTransition(
         StreamState.CLOSED, StreamAction.CLOSE
     ),
-    # Guards what is sent against a half-open stream. Cost: a member that stalls
-    # for that long loses what waited for it.
+    # Ends a half-open stream, on which frames would wait without being delivered.
+    # Trade-off: a member that stalls for that long loses the frames that wait for it.
     (StreamState.BLOCKED, StreamEvent.TIMED_OUT): StreamTransition(
         StreamState.CLOSED, StreamAction.ABORT
     ),
     (StreamState.BACKING_OFF, StreamEvent.TIMED_OUT): StreamTransition(
-        StreamState.CLOSED, StreamAction.FORGET
+        StreamState.CLOSED, StreamAction.REMOVE
     ),
     **{
         (state, StreamEvent.CONNECTION_LOST): StreamTransition(
-            StreamState.CLOSED, StreamAction.FORGET
+            StreamState.CLOSED, StreamAction.REMOVE
         )
         for state in _CONNECTED_STATES
     },
@@ -107,12 +110,13 @@
 
 
 def due_event(state: StreamState, now: int, since: int) -> StreamEvent | None:
-    """Return what the passing of time means, if anything.
+    """Return the event for a timeout that has expired, or None.
 
     Args:
         state: The stream's state.
-        now: The time.
-        since: The last message sent, or when a backoff began or the stream blocked.
+        now: The current time.
+        since: The time of the last flush, or the time at which the backoff began or
+            the stream became blocked.
     """
     elapsed = now - since
     if state is StreamState.OPEN and elapsed >= IDLE_TIMEOUT:
--- a/milletsill/fleet/service_config.py
+++ b/milletsill/fleet/service_config.py
@@ -82,7 +82,7 @@
         suspicion_timeout=int(block.suspicion_ms * MILLISECOND),
         exchange_interval=int(block.exchange_s * SECOND),
         max_members=block.most_members,
-        remember_absent=int(block.remember_s * SECOND),
+        absent_retention=int(block.remember_s * SECOND),
     )
 
 
--- a/milletsill/lab/hunt/fleet_guards.py
+++ b/milletsill/lab/hunt/fleet_guards.py
@@ -44,7 +44,7 @@
 
 GUARD_REMOVALS: dict[str, GuardRemoval] = {
     "members: a suspicion is refuted": without_rows(
-        name_claims.NAME_CLAIM_RULES, [(LocalStatus.ACTIVE, NameClaim.ACCUSATION)]
+        name_claims.NAME_CLAIM_RULES, [(LocalStatus.ACTIVE, NameClaim.NEEDS_REFUTATION)]
     ),
     "members: one that stood still doubts itself": lambda: mock.patch.object(
         Membership, "on_stall", lambda self, now, stalled_for: None
--- a/tests/fleet/membership/test_transition_tables.py
+++ b/tests/fleet/membership/test_transition_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the membership: updates, probes, local health, name claims."""
+"""The rules of the membership: updates, probes, local health, name claims."""
 
 import unittest
 
@@ -39,18 +39,18 @@
 
 
 class UpdateRules(unittest.TestCase):
-    def test_updates_against_what_is_held(self):
-        for case, wanted in (
+    def test_update_rules_and_version_order(self):
+        for case, expected in (
             ((ALIVE, SUSPECT, UpdateOrder.SAME), UpdateAction.SUSPECTED),
             ((SUSPECT, ALIVE, UpdateOrder.NEWER), UpdateAction.REFUTED),
-            ((ALIVE, GONE, UpdateOrder.SAME), UpdateAction.VERIFY_DEATH),
-            ((SUSPECT, GONE, UpdateOrder.SAME), UpdateAction.JUDGE_DEATH),
+            ((ALIVE, GONE, UpdateOrder.SAME), UpdateAction.VERIFY_GONE),
+            ((SUSPECT, GONE, UpdateOrder.SAME), UpdateAction.ACCEPT_OR_VERIFY),
             ((GONE, ALIVE, UpdateOrder.NEWER), UpdateAction.JOINED),
             ((ALIVE, ALIVE, UpdateOrder.NEW_START), UpdateAction.RESTARTED),
             ((SUSPECT, LEFT, UpdateOrder.SAME), UpdateAction.LEFT),
             ((LEFT, ALIVE, UpdateOrder.NEWER), UpdateAction.JOINED),
         ):
-            self.assertEqual(UPDATE_RULES[case].action, wanted)
+            self.assertEqual(UPDATE_RULES[case].action, expected)
         self.assertFalse(
             [each for each in UPDATE_RULES if each[2] is UpdateOrder.OLDER]
         )
@@ -89,7 +89,7 @@
 class ProbeStages(unittest.TestCase):
     def test_timeouts(self):
         config = MembershipConfig("t")
-        for stage, since, began, wanted in (
+        for stage, since, stage_began, expected in (
             (ProbeStage.AWAITING_ACK, 1999, 0, None),
             (ProbeStage.AWAITING_ACK, 2000, 0, ProbeEvent.ACK_TIMEOUT),
             (
@@ -103,9 +103,11 @@
             (ProbeStage.SUSPECTED, 0, 19_999, None),
             (ProbeStage.SUSPECTED, 0, 20_000, ProbeEvent.SUSPICION_TIMEOUT),
         ):
-            probe = ProbeState("x", stage, 100_000 - since, 100_000 - began, 100_000)
+            probe = ProbeState(
+                "x", stage, 100_000 - since, 100_000 - stage_began, 100_000
+            )
             self.assertEqual(
-                probe_state.due_event(probe, 100_000, config, 1.0, 0, 2), wanted
+                probe_state.due_event(probe, 100_000, config, 1.0, 0, 2), expected
             )
         self.assertEqual(
             probe_state.due_event(
@@ -119,14 +121,14 @@
             ProbeEvent.SUSPICION_TIMEOUT,
         )
 
-    def test_a_sign_of_life_ends_each_stage(self):
+    def test_liveness_evidence_finishes_each_stage(self):
         for stage in ProbeStage:
             if stage is not ProbeStage.FINISHED:
-                transition = PROBE_TRANSITIONS[stage, ProbeEvent.SIGN_OF_LIFE]
+                transition = PROBE_TRANSITIONS[stage, ProbeEvent.LIVENESS_EVIDENCE]
                 self.assertIs(transition.stage, ProbeStage.FINISHED)
                 self.assertIsNot(transition.action, ProbeAction.DECLARE_GONE)
 
-    def test_a_local_stall_ends_in_no_death(self):
+    def test_a_local_stall_never_declares_a_member_gone(self):
         for (_, event), transition in PROBE_TRANSITIONS.items():
             if event is ProbeEvent.LOCAL_STALL:
                 self.assertIn(
@@ -140,7 +142,7 @@
         acked = [ProbeOutcome("w", acked=True)] * 2
         self.assertTrue(is_isolated(missed + acked))
         self.assertFalse(is_isolated(missed[:4] + acked * 2))
-        # One member that is gone does not make this gateway isolated.
+        # Failed probes of only one member do not make this gateway isolated.
         self.assertFalse(is_isolated([ProbeOutcome("m1", acked=False)] * 8))
         health = LocalHealth()
         health.on_ack("w")
@@ -157,9 +159,9 @@
 
 
 class NameClaims(unittest.TestCase):
-    def test_updates_under_the_own_name(self):
-        for update, advanced_to, wanted in (
-            (("me", 5, 9, 0, SUSPECT), None, NameClaim.ACCUSATION),
+    def test_updates_with_the_own_name(self):
+        for update, advanced_to, expected in (
+            (("me", 5, 9, 0, SUSPECT), None, NameClaim.NEEDS_REFUTATION),
             (("me", 5, 9, 0, ALIVE), None, NameClaim.STALE),
             (("me", 4, 1, 0, ALIVE), None, NameClaim.STALE),
             (("me", 5, 1, 0, GONE), None, NameClaim.OTHER_START),
@@ -167,10 +169,11 @@
             (("me", 8, 99, 0, ALIVE), 5, NameClaim.OVERTAKEN_BY_LARGER_NONCE),
         ):
             self.assertEqual(
-                classify_claim(MemberUpdate(*update), 5, 9, 0, advanced_to), wanted
+                classify_claim(MemberUpdate(*update), 5, 9, 0, advanced_to), expected
             )
         self.assertEqual(
-            NAME_CLAIM_RULES.get((LocalStatus.LEAVING, NameClaim.ACCUSATION)), None
+            NAME_CLAIM_RULES.get((LocalStatus.LEAVING, NameClaim.NEEDS_REFUTATION)),
+            None,
         )
 
 
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -1,8 +1,8 @@
 """The view over real sockets.
 
-Gateways that are processes join, one is killed, one is back with its state lost, one
-leaves; all end in one view. In this process: what the service promises those who send
-and subscribe, and what it does with foreign octets.
+In a fleet of gateway processes one is killed, restarts with its state lost, and another
+leaves; the views must converge each time. Two services in the test process check that
+messages arrive in order, which sends are refused, and how malformed input is handled.
 """
 
 import signal
@@ -33,7 +33,7 @@
 from milletsill.sftp_gateway.gateway import monotonic
 from tests.support.sftp_gateway_rig import later
 
-MAX_WAIT = 60.0  # seconds; far more than it takes, for a busy machine
+MAX_WAIT = 60.0  # seconds; much longer than needed, in case the machine is busy
 
 
 class FleetOfProcesses(unittest.TestCase):
@@ -43,28 +43,28 @@
         fleet = FleetProcesses(folder.name, 4)
         self.addCleanup(fleet.close)
 
-        def agree(among, what, since=0.0):
+        def assert_views_agree(among, step, since=0.0):
             self.assertTrue(
                 fleet.wait(lambda: fleet.agree(among, since), MAX_WAIT),
-                (what, fleet.views(among)),
+                (step, fleet.views(among)),
             )
 
         for each in range(4):
             fleet.start(each)
-        agree([0, 1, 2, 3], "start")
+        assert_views_agree([0, 1, 2, 3], "start")
         fleet.end(3)
-        agree([0, 1, 2], "kill")
-        said = [
+        assert_views_agree([0, 1, 2], "kill")
+        member_lines = [
             line
             for number in range(3)
             for line in fleet.log(number)
             if line["event"] == "member" and line["member"] == "gw-3"
         ]
-        self.assertIn("gone", {line["change"] for line in said})
+        self.assertIn("gone", {line["change"] for line in member_lines})
         fleet.forget_state(3)
         since = time.time()
         fleet.start(3)
-        agree([0, 1, 2, 3], "back", since)
+        assert_views_agree([0, 1, 2, 3], "restart with lost state", since)
         self.assertTrue(
             fleet.wait(
                 lambda: any(
@@ -74,13 +74,13 @@
             )
         )
         self.assertEqual(fleet.end(2, signal.SIGTERM), 0)
-        agree([0, 1, 3], "leave")
-        said = [
+        assert_views_agree([0, 1, 3], "leave")
+        member_lines = [
             line
             for line in fleet.log(0)
             if line["event"] == "member" and line["member"] == "gw-2"
         ]
-        self.assertEqual(said[-1]["change"], "left")
+        self.assertEqual(member_lines[-1]["change"], "left")
         self.assertFalse(
             [
                 line
@@ -96,7 +96,7 @@
 
     def setUp(self):
         self.ports = free_ports(3)
-        self.lines = []
+        self.logged_errors = []
         self.registries = []
         self.services = [self.start_service(each) for each in range(2)]
 
@@ -112,7 +112,7 @@
             monotonic,
             FleetServiceConfig.from_file(file, seed=number, incarnation=1),
             FleetCallbacks(
-                warn=lambda event, **values: self.lines.append(
+                warn=lambda event, **values: self.logged_errors.append(
                     values.get("error", event)
                 ),
                 info=lambda event, **values: None,
@@ -125,13 +125,13 @@
         self.addCleanup(service.stop)
         return service
 
-    async def until(self, holds):
-        ends = time.monotonic() + 20
-        while not holds():
-            self.assertLess(time.monotonic(), ends)
+    async def wait_until(self, condition):
+        deadline = time.monotonic() + 20
+        while not condition():
+            self.assertLess(time.monotonic(), deadline)
             await later(0.02)
 
-    def refused(self, cause):
+    def refused_count(self, cause):
         return (
             self.registries[0].get_sample_value(
                 "milletsill_fleet_refused_total", {"cause": cause}
@@ -139,15 +139,15 @@
             or 0
         )
 
-    async def test_messages_arrive_in_order_and_what_cannot_be_tried_is_refused(self):
+    async def test_messages_arrive_in_order_and_unsendable_ones_are_refused(self):
         one, other = self.services
-        heard, told = [], []
+        received, view_changes = [], []
         other.subscribe(
             MessageKind.CHANNEL,
-            lambda member, run, body: heard.append((member, run, body)),
+            lambda member, run, body: received.append((member, run, body)),
         )
         one.watch_view(
-            lambda view, changes: told.append(
+            lambda view, changes: view_changes.append(
                 (
                     view.version,
                     [(change.name, member.name) for change, member in changes],
@@ -155,61 +155,63 @@
             )
         )
         self.assertFalse(one.send("p-1", MessageKind.CHANNEL, b"too early"))
-        await self.until(lambda: len(one.view.members) == len(other.view.members) == 2)
+        await self.wait_until(
+            lambda: len(one.view.members) == len(other.view.members) == 2
+        )
         self.assertEqual(one.view.digest, other.view.digest)
         self.assertIn(
-            ("JOINED", "p-1"), [each for _, changes in told for each in changes]
+            ("JOINED", "p-1"), [each for _, changes in view_changes for each in changes]
         )
         bodies = [bytes([each % 256]) * (each * 100) for each in range(100)]
         self.assertTrue(
             all(one.send("p-1", MessageKind.CHANNEL, each) for each in bodies)
         )
-        await self.until(lambda: len(heard) == 100)
-        self.assertEqual(heard, [("p-0", 1, each) for each in bodies])
+        await self.wait_until(lambda: len(received) == 100)
+        self.assertEqual(received, [("p-0", 1, each) for each in bodies])
         self.assertFalse(
             one.send("p-1", MessageKind.CHANNEL, bytes(MAX_BODY + 1))
             or one.send("p-0", MessageKind.CHANNEL, b"")
             or one.send("x", MessageKind.CHANNEL, b"")
         )
-        taken = [
+        accepted = [
             one.send("p-1", MessageKind.CHANNEL, bytes(MAX_BODY)) for _ in range(9)
-        ]  # nobody reads meanwhile
-        self.assertTrue(taken[0] and not taken[-1])
+        ]  # the reactor does not run in between, so the receiver reads nothing
+        self.assertTrue(accepted[0] and not accepted[-1])
         with self.assertRaises(FleetAddressUnavailableError):
             self.start_service(1)
 
-    async def test_foreign_octets_are_counted_and_lose_nothing(self):
-        await self.until(lambda: len(self.services[0].view.members) == 2)
+    async def test_malformed_input_is_counted_and_changes_no_view(self):
+        await self.wait_until(lambda: len(self.services[0].view.members) == 2)
         sender = MemberUpdate("stranger", 1, 1, 0, MemberState.ALIVE, "127.0.0.1:9")
         other = FrameCodec("two").encode(
             FleetMessage(FrameType.PROBE, sender, target="p-0")
         )
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
             for data in (b"GET /", bytes(1500), other):
-                one.sendto(data, ("127.0.0.1", self.ports[0]))
-        with socket.create_connection(("127.0.0.1", self.ports[0])) as two:
-            two.sendall(
+                udp.sendto(data, ("127.0.0.1", self.ports[0]))
+        with socket.create_connection(("127.0.0.1", self.ports[0])) as tcp:
+            tcp.sendall(
                 LENGTH_PREFIX.pack(len(other)) + other + LENGTH_PREFIX.pack(1 << 30)
             )
-            await self.until(
+            await self.wait_until(
                 lambda: (
-                    self.refused("too_long") == 2
-                    and self.refused("other_fleet") == 2
-                    and self.refused("unreadable") == 1
+                    self.refused_count("too_long") == 2
+                    and self.refused_count("other_fleet") == 2
+                    and self.refused_count("unreadable") == 1
                 )
             )
         self.assertLessEqual(
             {"FleetNameMismatchError", "FrameTooLongError", "MalformedFrameError"},
-            set(self.lines),
+            set(self.logged_errors),
         )
         self.assertEqual(len(self.services[0].view.members), 2)
 
 
-class Files(unittest.TestCase):
-    def test_blocks_that_cannot_stand_are_refused_with_a_line_each(self):
+class FleetBlocks(unittest.TestCase):
+    def test_invalid_fleet_blocks_are_rejected_with_a_reason(self):
         with open("examples/fleet-2.textproto", encoding="utf-8") as source:
             text = source.read()
-        for given, why in (
+        for fields, reason in (
             ("", None),
             ('advertise: "0.0.0.0:7"', "cannot reach"),
             ('join: "x"', "not host:port"),
@@ -220,16 +222,18 @@
             ('advertise: "host:7"', "IPv4"),
             ('advertise: "10.0.0.1:0"', "port 0"),
         ):
-            made = text.replace('fleet { name: "dock"', 'fleet { name: "dock" ' + given)
+            changed_text = text.replace(
+                'fleet { name: "dock"', 'fleet { name: "dock" ' + fields
+            )
             try:
-                parse(made, "f", GatewayFile, check_gateway)
-                found = None
+                parse(changed_text, "f", GatewayFile, check_gateway)
+                message = None
             except ConfigurationRejectedError as error:
-                found = str(error)
-            self.assertEqual(found is None, why is None, (given, found))
-            self.assertIn(why or "", found or "")
+                message = str(error)
+            self.assertEqual(message is None, reason is None, (fields, message))
+            self.assertIn(reason or "", message or "")
 
-    def test_a_gateway_without_the_block_loads_none_of_it(self):
+    def test_a_gateway_without_a_fleet_block_imports_no_fleet_service(self):
         code = (
             "import sys; from milletsill.sftp_gateway.gateway import SftpGateway; "
             "sys.exit(any(each.startswith(('milletsill.fleet.service', 'milletsill.fleet.membership')) for each in sys.modules))"
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between gateways: recorded octets, malformed input, later versions."""
+"""Frames between gateways: recorded frames, malformed input, later versions."""
 
 import unittest
 
@@ -48,8 +48,8 @@
 
 
 class FrameOctets(unittest.TestCase):
-    def test_recorded_frames_are_read_and_written_alike(self):
-        """Later programs of this version still write and read the recorded octets."""
+    def test_recorded_frames_decode_and_encode_unchanged(self):
+        """The encoding of this protocol version must not change."""
         codec = FrameCodec("dock")
         with open(FIXTURE, encoding="ascii") as source:
             recorded = [bytes.fromhex(each) for each in source.read().split()]
@@ -80,10 +80,10 @@
                 isinstance(caught.exception, MilletsillError)
                 and caught.exception.remedy
             )
-        frames = FrameDecoder()
+        decoder = FrameDecoder()
         self.assertEqual(
-            list(frames.feed(add_length_prefix(data)[:9]))
-            + list(frames.feed(add_length_prefix(data)[9:] + add_length_prefix(data))),
+            list(decoder.feed(add_length_prefix(data)[:9]))
+            + list(decoder.feed(add_length_prefix(data)[9:] + add_length_prefix(data))),
             [data, data],
         )
         with self.assertRaises(FrameTooLongError):
@@ -111,9 +111,9 @@
         )
 
     @given(st.binary(max_size=300), st.integers(0, 300), st.integers(0, 255))
-    def test_any_octets_decode_or_raise_a_typed_error(self, octets, at, value):
+    def test_any_octets_decode_or_raise_a_typed_error(self, octets, position, value):
         data = bytearray(FrameCodec("dock").encode(FRAMES[0]))
-        data[at % len(data)] = value
+        data[position % len(data)] = value
         for each in (octets, MAGIC + octets, bytes(data)):
             try:
                 FrameCodec("dock").decode(each)
--- a/tests/fleet/test_gossip_queue.py
+++ b/tests/fleet/test_gossip_queue.py
@@ -1,12 +1,12 @@
-"""The queue of piggybacked updates."""
+"""The gossip queue, which selects the updates to piggyback."""
 
 import unittest
 
 from milletsill.fleet.gossip.gossip_queue import GossipQueue, retransmit_limit
 
 
-class Piggybacking(unittest.TestCase):
-    def test_least_sent_go_first_and_a_bounded_number_of_times(self):
+class GossipQueueTests(unittest.TestCase):
+    def test_least_sent_updates_go_first_and_transmits_are_limited(self):
         queue = GossipQueue()
         sent = []
         for each in range(10):
--- a/tests/fleet/test_stream_state.py
+++ b/tests/fleet/test_stream_state.py
@@ -28,7 +28,7 @@
             [
                 (StreamState.OPEN, StreamAction.FLUSH),
                 (StreamState.BACKING_OFF, StreamAction.DISCARD_WAITING),
-                (StreamState.BLOCKED, StreamAction.NOTE_TIME),
+                (StreamState.BLOCKED, StreamAction.RECORD_TIME),
                 (StreamState.CLOSED, StreamAction.ABORT),
                 (StreamState.CLOSED, StreamAction.ABORT),
                 (StreamState.CLOSED, StreamAction.NONE),
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -1,6 +1,7 @@
-"""Two versions at once.
+"""Compatibility between protocol versions.
 
-Recorded octets of a version are read, and what a later version adds is borne.
+Recorded messages and files of a version still decode, and fields, kinds and values that
+a later version adds are ignored without losing the rest of the message.
 """
 
 import json
@@ -11,12 +12,12 @@
 from dataclasses import replace
 from random import Random
 
-from milletsill.fleet.channels import codec as contracts
+from milletsill.fleet.channels import codec as channel_codec
 from milletsill.fleet.channels.record_pb2 import (
     Envelope,
 )
 from milletsill.fleet.channels.record_pb2 import (
-    Record as RecordOctets,
+    Record as RecordMessage,
 )
 from milletsill.fleet.errors import FrameVersionTooNewError, MalformedFrameError
 from milletsill.fleet.frames import fleet_pb2
@@ -26,10 +27,10 @@
     FrameType,
     MemberUpdate,
 )
-from milletsill.fleet.health import codec as health
+from milletsill.fleet.health import codec as health_codec
 from milletsill.fleet.health import health_pb2
-from milletsill.fleet.leases import codec as registers
-from milletsill.fleet.leases import registers_pb2 as wire
+from milletsill.fleet.leases import codec as lease_codec
+from milletsill.fleet.leases import registers_pb2
 from milletsill.fleet.leases.acceptor_recovery import StateIdentity
 from milletsill.fleet.leases.acceptor_store import AcceptorStore
 from milletsill.fleet.membership.config import MembershipConfig
@@ -43,116 +44,133 @@
 from milletsill.lab.hunt.simulated_disk import simulated_leases
 from milletsill.lab.simulated_clock import SECOND
 from milletsill.registry import endpoint_cache
-from tests.fixtures import make_octets as made
+from tests.fixtures import make_octets as fixtures
 from tests.support.paths import FIXTURES
 
-HERE = str(FIXTURES)
-LATER = b"\xc2\x3e\x05later\xc8\x3e\x07"  # two fields that nobody knows: octets as 1000, a number as 1001
-NEXT = {
+FIXTURES_PATH = str(FIXTURES)
+UNKNOWN_FIELDS = b"\xc2\x3e\x05later\xc8\x3e\x07"  # fields 1000 (octets) and 1001 (a number), which no message defines
+MESSAGE_FORMATS = {
     "frame": (MAGIC, fleet_pb2.Frame),
-    "registers": (b"R", wire.Frame),
+    "registers": (b"R", registers_pb2.Frame),
     "health": (b"", health_pb2.Frame),
-    "record": (b"", RecordOctets),
+    "record": (b"", RecordMessage),
     "envelope": (b"C", Envelope),
 }
 
 
-def recorded():
-    with open(os.path.join(HERE, "octets-1.json"), encoding="ascii") as source:
+def recorded_octets():
+    with open(os.path.join(FIXTURES_PATH, "octets-1.json"), encoding="ascii") as source:
         return {name: bytes.fromhex(each) for name, each in json.load(source).items()}
 
 
-def of_later(name, data):
-    """The same, with fields of a later version in it and in all that it holds."""
-    mark, kind = NEXT[name.split()[0]]
-    whole = kind.FromString(data[len(mark) :])
+def with_unknown_fields(name, data):
+    """Add fields of a later version to an encoded message and to all nested messages."""
+    prefix, message_type = MESSAGE_FORMATS[name.split()[0]]
+    message_copy = message_type.FromString(data[len(prefix) :])
 
     def add(message):
         for field, value in message.ListFields():
             if field.message_type is not None:
                 for each in value if field.label == field.LABEL_REPEATED else [value]:
                     add(each)
-        message.MergeFromString(LATER)
+        message.MergeFromString(UNKNOWN_FIELDS)
 
-    add(whole)
-    return mark + whole.SerializeToString()
+    add(message_copy)
+    return prefix + message_copy.SerializeToString()
 
 
-def record_of(channel):
-    return contracts.encode_record(channel, 1000)
+def encode_record(channel):
+    return channel_codec.encode_record(channel, 1000)
 
 
-class Recorded(unittest.TestCase):
-    def check(self, octets):
+class RecordedOctets(unittest.TestCase):
+    def assert_decoded_as_recorded(self, octets):
         codec = FrameCodec("fleet")
-        for name, message in made.frames().items():
+        for name, message in fixtures.frames().items():
             self.assertEqual(codec.decode(octets[f"frame {name}"]), message, name)
-        calls = registers.decode_frame(octets["registers calls"]).calls.call
+        calls = lease_codec.decode_frame(octets["registers calls"]).calls.call
         self.assertEqual(
-            [registers.decode_request("gateway-1", each) for each in calls], made.CALLS
+            [lease_codec.decode_request("gateway-1", each) for each in calls],
+            fixtures.CALLS,
         )
-        answers = registers.decode_frame(octets["registers answers"]).answers
+        answers = lease_codec.decode_frame(octets["registers answers"]).answers
         self.assertEqual(
-            [registers.decode_reply("gateway-1", each) for each in answers.answer],
-            made.ANSWERS,
+            [lease_codec.decode_reply("gateway-1", each) for each in answers.answer],
+            fixtures.ANSWERS,
         )
-        self.assertEqual(registers.decode_identity(answers.own), made.IDENTITY)
+        self.assertEqual(lease_codec.decode_identity(answers.own), fixtures.IDENTITY)
         self.assertEqual(
-            registers.decode_page(
-                registers.decode_frame(octets["registers page"]).page
+            lease_codec.decode_page(
+                lease_codec.decode_frame(octets["registers page"]).page
             ),
-            made.PAGE,
+            fixtures.PAGE,
+        )
+        frame = health_codec.decode_frame(octets["health"])
+        self.assertEqual(
+            health_codec.decode_delta(frame.difference[0], 0), fixtures.NEWS
         )
-        frame = health.decode_frame(octets["health"])
-        self.assertEqual(health.decode_delta(frame.difference[0], 0), made.NEWS)
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
-        found = contracts.decode_record(octets["record"], 100, 1000, 0)
-        self.assertEqual(record_of(found), record_of(made.channel()))
-        told, sent = contracts.decode_envelope(octets["envelope"]), made.envelope()
+        found = channel_codec.decode_record(octets["record"], 100, 1000, 0)
+        self.assertEqual(encode_record(found), encode_record(fixtures.channel()))
+        decoded, expected = (
+            channel_codec.decode_envelope(octets["envelope"]),
+            fixtures.envelope(),
+        )
         self.assertEqual(
-            (told.ask.transfer.path, told.ask.transfer.command, told.ask.left),
-            (sent.ask.transfer.path, sent.ask.transfer.command, sent.ask.left),
+            (decoded.ask.transfer.path, decoded.ask.transfer.command, decoded.ask.left),
+            (
+                expected.ask.transfer.path,
+                expected.ask.transfer.command,
+                expected.ask.left,
+            ),
         )
 
-    def test_messages_and_records_are_read(self):
-        self.check(recorded())
+    def test_recorded_messages_and_records_decode(self):
+        self.assert_decoded_as_recorded(recorded_octets())
 
-    def test_fields_of_a_later_version_are_passed_over(self):
-        self.check({name: of_later(name, data) for name, data in recorded().items()})
+    def test_fields_of_a_later_version_are_ignored(self):
+        self.assert_decoded_as_recorded(
+            {
+                name: with_unknown_fields(name, data)
+                for name, data in recorded_octets().items()
+            }
+        )
 
-    def test_files_are_read(self):
+    def test_recorded_files_are_read(self):
         self.assertEqual(
-            endpoint_cache.read_cache(os.path.join(HERE, "list-1")), (made.BOXES, 12)
+            endpoint_cache.read_cache(os.path.join(FIXTURES_PATH, "list-1")),
+            (fixtures.BOXES, 12),
         )
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
-            shutil.copy(os.path.join(HERE, "register-1.sqlite"), path)
+            shutil.copy(os.path.join(FIXTURES_PATH, "register-1.sqlite"), path)
             store = AcceptorStore.open(path, 1)
             self.addCleanup(store.close)
             self.assertEqual(
                 (store.read("v/c"), store.ballot_floor, store.identity),
-                (made.RECORD, 11, StateIdentity(1, 77, 1)),
+                (fixtures.RECORD, 11, StateIdentity(1, 77, 1)),
             )
-            self.assertEqual(store.known, {"gateway-2": made.IDENTITY})
+            self.assertEqual(store.known, {"gateway-2": fixtures.IDENTITY})
 
 
-class Later(unittest.TestCase):
-    """Kinds and values that only a later version has: nothing else is lost by them."""
+class LaterVersionValues(unittest.TestCase):
+    """Kinds and values that only a later version defines affect nothing else."""
 
-    def test_frames(self):
-        frame = fleet_pb2.Frame.FromString(recorded()["frame ROWS"][4:])
+    def test_unknown_frame_values_are_ignored(self):
+        frame = fleet_pb2.Frame.FromString(recorded_octets()["frame ROWS"][4:])
         frame.version, frame.what, frame.kind = 2, 99, 99
         frame.row[0].standing = 77
         read = FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
         self.assertEqual(
-            (read.type, read.kind, read.version, read.sender), (None, None, 2, made.ME)
+            (read.type, read.kind, read.version, read.sender),
+            (None, None, 2, fixtures.ME),
         )
-        self.assertEqual(read.updates, made.ROWS[1:])
+        self.assertEqual(read.updates, fixtures.ROWS[1:])
         frame.least = 2
         with self.assertRaises(FrameVersionTooNewError):
             FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
 
-    def test_numbers_that_could_not_be_answered_are_no_rows(self):
+    def test_counters_over_the_limit_are_rejected(self):
         codec = FrameCodec("fleet")
         for run, turn in (
             (1 << 63, 0),
@@ -169,27 +187,27 @@
                         )
                     )
                 )
-        member = Membership(
+        membership = Membership(
             LocalIdentity("me", "h:1", 1, 5),
             MembershipConfig("fleet"),
             (),
             Random(1),
             0,
         )
-        for row in (
+        for update in (
             MemberUpdate("me", 1, 5, MAX_COUNTER - 1, MemberState.SUSPECT, "h:1"),
             MemberUpdate("me", MAX_COUNTER - 1, 6, 0, MemberState.ALIVE, "h:2"),
             MemberUpdate("other", 1, 7, 1, MemberState.GONE, "h:3", MAX_COUNTER - 1),
         ):
-            news = codec.encode(
+            encoded = codec.encode(
                 FleetMessage(
                     FrameType.FULL_STATE,
                     MemberUpdate("other", 1, 7, 0, MemberState.ALIVE, "h:3"),
-                    (row,),
+                    (update,),
                     reply_wanted=True,
                 )
             )
-            for each in member.on_message(1000, codec.decode(news)):
+            for each in membership.on_message(1000, codec.decode(encoded)):
                 if isinstance(each, SendMessage):
                     codec.encode(each.message)
             digest = FleetMessage(
@@ -199,44 +217,51 @@
             )
             sent = [
                 each.message
-                for each in member.on_message(2000, digest)
+                for each in membership.on_message(2000, digest)
                 if isinstance(each, SendMessage)
             ]
             self.assertIn(FrameType.FULL_STATE, [each.type for each in sent])
             for each in sent:
                 codec.encode(each)
 
-    def test_registers(self):
+    def test_unknown_lease_values_are_ignored(self):
         self.assertIsNone(
-            registers.decode_frame(
-                b"R" + wire.Frame(version=2).SerializeToString() + LATER
+            lease_codec.decode_frame(
+                b"R"
+                + registers_pb2.Frame(version=2).SerializeToString()
+                + UNKNOWN_FIELDS
             ).WhichOneof("what")
         )
-        call = registers.encode_request(made.CALLS[0])
+        call = lease_codec.encode_request(fixtures.CALLS[0])
         call.ask = 99
-        self.assertIsNone(registers.decode_request("gateway-1", call))
+        self.assertIsNone(lease_codec.decode_request("gateway-1", call))
         for field in ("ask", "say"):
-            answer = registers.encode_reply(made.ANSWERS[0])
+            answer = lease_codec.encode_reply(fixtures.ANSWERS[0])
             setattr(answer, field, 99)
-            self.assertIsNone(registers.decode_reply("gateway-1", answer))
+            self.assertIsNone(lease_codec.decode_reply("gateway-1", answer))
 
-    def test_health_and_contracts(self):
+    def test_unknown_health_and_channel_values_are_ignored(self):
         frame = health_pb2.Frame(version=2)
         self.assertEqual(
-            len(health.decode_frame(frame.SerializeToString() + LATER).difference), 0
+            len(
+                health_codec.decode_frame(
+                    frame.SerializeToString() + UNKNOWN_FIELDS
+                ).difference
+            ),
+            0,
         )
-        for body in (b"X" + LATER, b"", b"C" + b"\xff"):
-            self.assertIsNone(contracts.decode_envelope(body))
-        later = contracts.decode_envelope(b"C" + LATER)
+        for body in (b"X" + UNKNOWN_FIELDS, b"", b"C" + b"\xff"):
+            self.assertIsNone(channel_codec.decode_envelope(body))
+        later = channel_codec.decode_envelope(b"C" + UNKNOWN_FIELDS)
         self.assertFalse(later.HasField("ask") or later.HasField("reply"))
         self.assertEqual(MessageKind.HEALTH.value, 2)  # on the wire
 
 
-class FleetOfTwoVersions(FleetSimulation):
-    """A fleet of two versions.
+class MixedVersionFleet(FleetSimulation):
+    """A fleet whose gateways run two protocol versions.
 
-    Gateways of the later one add fields to all that they say, and at times say what is
-    not known.
+    Gateways of the later version add unknown fields to each message and sometimes send
+    a frame of an unknown type.
     """
 
     def __init__(self, seed):
@@ -248,8 +273,8 @@
         if stand.name in self.later:
             if message.type is FrameType.APPLICATION:
                 name = "registers" if message.kind is MessageKind.CHANNEL else "health"
-                message = replace(message, body=of_later(name, message.body))
-            data = of_later("frame", FrameCodec("fleet", 2).encode(message))
+                message = replace(message, body=with_unknown_fields(name, message.body))
+            data = with_unknown_fields("frame", FrameCodec("fleet", 2).encode(message))
             if self.message_count % 50 == 0:
                 frame = fleet_pb2.Frame.FromString(data[4:])
                 frame.what = 99
@@ -271,10 +296,10 @@
         (self.later.add if later else self.later.discard)(self.names[place])
 
 
-class Rolling(unittest.TestCase):
-    def test_a_third_at_a_time_and_back_half_way(self):
+class RollingUpgrade(unittest.TestCase):
+    def test_a_rolling_upgrade_with_a_rollback_keeps_the_fleet_working(self):
         with simulated_leases(3):
-            simulation = FleetOfTwoVersions(2)
+            simulation = MixedVersionFleet(2)
             steps = [
                 (0, True),
                 (1, True),
