--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -236,7 +236,8 @@
     def test_a_gateway_without_a_fleet_block_imports_no_fleet_service(self):
         code = (
             "import sys; from milletsill.sftp_gateway.gateway import SftpGateway; "
-            "sys.exit(any(each.startswith(('milletsill.fleet.service', 'milletsill.fleet.membership')) for each in sys.modules))"
+            "sys.exit(any(each.startswith(('milletsill.fleet.service', "
+            "'milletsill.fleet.membership')) for each in sys.modules))"
         )
         self.assertEqual(
             subprocess.run(
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -48,7 +48,8 @@
 from tests.support.paths import FIXTURES
 
 FIXTURES_PATH = str(FIXTURES)
-UNKNOWN_FIELDS = b"\xc2\x3e\x05later\xc8\x3e\x07"  # fields 1000 (octets) and 1001 (a number), which no message defines
+# Fields 1000 (octets) and 1001 (a number), which no message defines.
+UNKNOWN_FIELDS = b"\xc2\x3e\x05later\xc8\x3e\x07"
 MESSAGE_FORMATS = {
     "frame": (MAGIC, fleet_pb2.Frame),
     "registers": (b"R", registers_pb2.Frame),
@@ -64,7 +65,7 @@
 
 
 def with_unknown_fields(name, data):
-    """Add fields of a later version to an encoded message and to all nested messages."""
+    """Add unknown fields to an encoded message and to all its nested messages."""
     prefix, message_type = MESSAGE_FORMATS[name.split()[0]]
     message_copy = message_type.FromString(data[len(prefix) :])
 
@@ -170,7 +171,7 @@
         with self.assertRaises(FrameVersionTooNewError):
             FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
 
-    def test_counters_over_the_limit_are_rejected(self):
+    def test_counters_are_accepted_only_below_the_limit(self):
         codec = FrameCodec("fleet")
         for run, turn in (
             (1 << 63, 0),
@@ -265,12 +266,12 @@
     """
 
     def __init__(self, seed):
-        self.later = set()
+        self.upgraded = set()
         super().__init__(seed, FleetShape(gateways=6, evaluators=2, nodes=4))
 
     def send(self, stand, sent):
         message = sent.message
-        if stand.name in self.later:
+        if stand.name in self.upgraded:
             if message.type is FrameType.APPLICATION:
                 name = "registers" if message.kind is MessageKind.CHANNEL else "health"
                 message = replace(message, body=with_unknown_fields(name, message.body))
@@ -291,9 +292,9 @@
             data = FrameCodec("fleet").encode(message)
         super().send(stand, replace(sent, message=FrameCodec("fleet").decode(data)))
 
-    def restart(self, place, later):
+    def restart(self, place, upgrade):
         FleetFaults(self).leave(place, SECOND)
-        (self.later.add if later else self.later.discard)(self.names[place])
+        (self.upgraded.add if upgrade else self.upgraded.discard)(self.names[place])
 
 
 class RollingUpgrade(unittest.TestCase):
@@ -310,9 +311,9 @@
                 (2, False),
                 (3, False),
             ]
-            for at, (place, later) in enumerate(steps):
+            for at, (place, upgrade) in enumerate(steps):
                 simulation.call_at(
-                    (6 + at + at // 2) * SECOND, simulation.restart, place, later
+                    (6 + at + at // 2) * SECOND, simulation.restart, place, upgrade
                 )
             run_until_failure(simulation, 45 * SECOND)
             simulation.check_calm()
