--- a/milletsill/fleet/net/outbound_streams.py
+++ b/milletsill/fleet/net/outbound_streams.py
@@ -46,7 +46,7 @@
         self._waiting: deque[bytes] = deque()
         self.state = StreamState.CONNECTING
         self.waiting_octets = 0
-        self.since = pool.now()
+        self.timer_start = pool.now()
         self.connecting: Deferred[Any] | None = None
 
     def connectionMade(self) -> None:
@@ -97,7 +97,7 @@
         if action is StreamAction.FLUSH:
             self._flush()
         if action in (StreamAction.DISCARD_WAITING, StreamAction.RECORD_TIME):
-            self.since = self._pool.now()
+            self.timer_start = self._pool.now()
         if action is StreamAction.DISCARD_WAITING:
             self._discard_waiting()
         if action in _ENDING_ACTIONS:
@@ -107,7 +107,7 @@
 
     def _flush(self) -> None:
         tcp: Any = self.transport
-        self.since = self._pool.now()
+        self.timer_start = self._pool.now()
         # A write may fill the socket's send buffer, which changes the state.
         while self._waiting and self.state is StreamState.OPEN:
             data = self._waiting.popleft()
@@ -165,7 +165,7 @@
     def check_timeouts(self) -> None:
         """Apply the timeouts that are due; called periodically."""
         for stream in list(self._streams.values()):
-            event = due_event(stream.state, self.now(), stream.since)
+            event = due_event(stream.state, self.now(), stream.timer_start)
             if event is not None:
                 stream.on_event(event)
 
--- a/milletsill/fleet/net/stream_state.py
+++ b/milletsill/fleet/net/stream_state.py
@@ -109,16 +109,16 @@
     return STREAM_TRANSITIONS.get((state, event), unchanged)
 
 
-def due_event(state: StreamState, now: int, since: int) -> StreamEvent | None:
+def due_event(state: StreamState, now: int, timer_start: int) -> StreamEvent | None:
     """Return the event for a timeout that has expired, or None.
 
     Args:
         state: The stream's state.
         now: The current time.
-        since: The time of the last flush, or the time at which the backoff began or
-            the stream became blocked.
+        timer_start: The time of the last flush, or the time at which the backoff began
+            or the stream became blocked.
     """
-    elapsed = now - since
+    elapsed = now - timer_start
     if state is StreamState.OPEN and elapsed >= IDLE_TIMEOUT:
         return StreamEvent.IDLE
     if state is StreamState.BACKING_OFF and elapsed >= BACKOFF:
