--- a/milletsill/fleet/leases/acceptor.py
+++ b/milletsill/fleet/leases/acceptor.py
@@ -1,10 +1,10 @@
-"""What one acceptor does with one request for one lease. No I/O and no clock.
+"""How one acceptor decides one request for one lease. No I/O and no clock.
 
-An acceptor keeps, for each lease, a record on disk and a grant in memory. The record
-is safe by ballots alone; the grant says until when other gateways are refused.
-docs/registers.md has the argument. `acceptor_recovery` decides when an acceptor that
-has just started may answer at all. What is made for each request is a named tuple,
-which is made faster than a dataclass.
+An acceptor keeps, for each lease, a record on disk and a grant in memory. Ballots alone
+keep the record consistent; the grant determines until when other gateways are refused.
+docs/registers.md has the proof. `acceptor_recovery` decides when an acceptor that has
+just started may answer at all. Objects that are created for each request are named
+tuples, which are created faster than dataclasses.
 """
 
 from __future__ import annotations
@@ -24,15 +24,16 @@
 
 
 class LeaseRecord(NamedTuple):
-    """What an acceptor has on disk of one lease before it answers.
+    """An acceptor's record of one lease, which is on disk before the acceptor replies.
 
     Attributes:
         promised: The highest ballot that was promised.
-        version: The last write.
-        value: What was written.
+        version: Version of the last write.
+        value: The value of the last write.
         written_at: The acceptor's uptime at the last change, in ticks.
-        is_copied: The write was not accepted here but copied from another acceptor
-            during recovery: it is read, but is no vote.
+        is_copied: Whether the acceptor copied the write from another acceptor during
+            recovery and did not accept it itself. A copied write can be read but is
+            not a vote.
     """
 
     promised: Ballot
@@ -43,14 +44,15 @@
 
 
 class LeaseGrant(NamedTuple):
-    """What an acceptor has only in memory of one lease.
+    """An acceptor's grant of one lease, which is only in memory.
 
     Attributes:
         until: Until when other gateways are refused, in ticks.
-        is_released: The holder released the lease before its end.
-        value_since: Since when the record has its value, in ticks of the acceptor's
-            clock; None where a former incarnation accepted it.
-        is_original: The value was new in the last write.
+        is_released: Whether the holder released the lease before its end.
+        value_since: Since when the record has had its value, in ticks on the
+            acceptor's clock; None if unknown, as where a former incarnation accepted
+            the value.
+        is_original: Whether the value was new in the last write.
     """
 
     until: int
@@ -60,13 +62,13 @@
 
 
 class LeaseState(NamedTuple):
-    """What an acceptor knows of one lease when a request comes.
+    """An acceptor's state of one lease when a request arrives.
 
     Attributes:
-        record: None for a lease that it has no record of.
-        grant: None where nothing was granted; `grant_after_restart` for a record that
-            a former incarnation wrote.
-        ballot_floor: The highest round of all records that were removed.
+        record: The record; None where the acceptor has none.
+        grant: The grant; None where nothing was granted. A record that a former
+            incarnation wrote has the grant of `grant_after_restart`.
+        ballot_floor: The highest ballot round of all records that were removed.
     """
 
     record: LeaseRecord | None
@@ -75,9 +77,10 @@
 
 
 class BallotRank(Enum):
-    """A request's ballot against what was promised.
+    """A request's ballot compared with the promised ballot.
 
-    SUPERSEDED is a write older than one under the same ballot.
+    SUPERSEDED: the request is a write, and a later write under the same ballot was
+    accepted.
     """
 
     LOWER = auto()
@@ -87,7 +90,11 @@
 
 
 class GrantState(Enum):
-    """Who has the lease, seen from the requester."""
+    """The lease's state from the requester's point of view.
+
+    OWN: the requester holds it. OTHER: another gateway holds it. RELEASED: the holder
+    of the promised ballot released it.
+    """
 
     FREE = auto()
     OWN = auto()
@@ -96,7 +103,7 @@
 
 
 class AcceptorAction(Enum):
-    """What an acceptor does with a request."""
+    """How an acceptor handles a request."""
 
     PROMISE = auto()
     RENEW = auto()
@@ -110,7 +117,7 @@
 _NOT_HELD_BY_OTHER = (GrantState.FREE, GrantState.OWN, GrantState.RELEASED)
 _ANSWERED = (RequestKind.PREPARE, RequestKind.ACCEPT)
 
-# What is not in the table is ignored.
+# A request whose combination is not in the table is ignored.
 ACCEPTOR_TABLE: dict[tuple[RequestKind, BallotRank, GrantState], AcceptorAction] = {
     **{
         (kind, rank, GrantState.OTHER): AcceptorAction.REJECT_HELD
@@ -142,7 +149,8 @@
         (RequestKind.RELEASE, BallotRank.SAME, grant): AcceptorAction.RELEASE
         for grant in GrantState
     },
-    # A released ballot is over, also for what was sent before and comes late.
+    # After a release the ballot is no longer valid. This also rejects requests that
+    # were sent before the release and arrive after it.
     **{
         (kind, BallotRank.SAME, GrantState.RELEASED): AcceptorAction.REJECT_BALLOT
         for kind in _ANSWERED
@@ -151,12 +159,12 @@
 
 
 class AcceptorOutcome(NamedTuple):
-    """What a request came to.
+    """The result of a request.
 
     Attributes:
-        record: The record afterwards; the same object where nothing changed.
+        record: The record afterwards; the same object if nothing changed.
         grant: The grant afterwards.
-        reply: None where nothing is said.
+        reply: The reply; None where the request has none.
     """
 
     record: LeaseRecord | None
@@ -167,9 +175,9 @@
 def rank_ballot(
     record: LeaseRecord | None, ballot_floor: int, request: AcceptorRequest
 ) -> BallotRank:
-    """Compare a request's ballot with what was promised.
+    """Compare a request's ballot with the promised ballot.
 
-    A lease without a record counts as promised up to the floor.
+    For a lease without a record, all rounds up to the floor count as promised.
     """
     if record is None:
         is_above = request.ballot.round > ballot_floor
@@ -189,7 +197,7 @@
     request: AcceptorRequest,
     now: int,
 ) -> GrantState:
-    """Return who has the lease, seen from the requester."""
+    """Return the lease's state from the requester's point of view."""
     if record is None or grant is None:
         return GrantState.FREE
     if grant.is_released:
@@ -209,17 +217,17 @@
     """Decide one request at one acceptor.
 
     Args:
-        state: What the acceptor knows of the lease.
-        request: What is asked.
+        state: The acceptor's state of the lease.
+        request: The request.
         now: The acceptor's clock, in ticks.
-        uptime: For how long the acceptor was up over all its incarnations, in ticks.
-        timings: How long leases last.
+        uptime: Total uptime of the acceptor over all its incarnations, in ticks.
+        timings: Durations of leases and requests.
     """
     record = state.record
     grant = state.grant
     rank = rank_ballot(record, state.ballot_floor, request)
-    held = grant_state(record, grant, request, now)
-    action = ACCEPTOR_TABLE.get((request.kind, rank, held), AcceptorAction.IGNORE)
+    granted_to = grant_state(record, grant, request, now)
+    action = ACCEPTOR_TABLE.get((request.kind, rank, granted_to), AcceptorAction.IGNORE)
     if action is AcceptorAction.ACCEPT:
         return _accept(state, request, now, uptime, timings)
     if action is AcceptorAction.PROMISE or action is AcceptorAction.RENEW:
@@ -251,7 +259,7 @@
     if record is None or record.version != version or record.is_copied:
         has_new_value = record is None or record.value != request.value
         is_original = request.is_original and has_new_value
-        # What was there already is no younger for being written again.
+        # Writing the same value again does not make it younger.
         if has_new_value:
             value_since = _creation_time(request, now)
         record = LeaseRecord(request.ballot, version, request.value, uptime)
@@ -263,11 +271,12 @@
 
 
 def _creation_time(request: AcceptorRequest, now: int) -> int | None:
-    """Return when a new value was made, None for unknown.
+    """Return when a new value was created; None if unknown.
 
-    Guards an idempotency key's retry window against a write that was long on its way:
-    times within the value count from when it was made, not from when it arrived. Harm:
-    where that is unknown, what is in flight in it stays indeterminate.
+    Guards an idempotency key's retry window against a write that was delayed in
+    transit: times within the value count from its creation, not from its arrival. The
+    cost: where the creation time is unknown, requests that the value records as in
+    flight stay indeterminate.
     """
     if not request.is_original or request.created_at == UNKNOWN:
         return None
@@ -287,7 +296,7 @@
     now: int,
     timings: LeaseTimings,
 ) -> AcceptorOutcome:
-    """Grant the lease and return what was written last."""
+    """Grant the lease; the reply contains the last write."""
     value_since = None if grant is None else grant.value_since
     is_original = False if grant is None else grant.is_original
     if record.version == UNWRITTEN:
@@ -333,19 +342,19 @@
 def grant_after_restart(started_at: int, timings: LeaseTimings) -> LeaseGrant:
     """Return the grant of a record that a former incarnation wrote.
 
-    It may have granted the lease just before it ended.
+    That incarnation may have granted the lease just before it ended.
     """
     return LeaseGrant(started_at + timings.acceptor_duration())
 
 
 def is_removable(record: LeaseRecord, uptime: int, idle_after: int) -> bool:
-    """Whether a lease was unused for so long that its record may be removed."""
+    """Whether a lease has been unused for long enough to remove its record."""
     return uptime - record.written_at >= idle_after
 
 
 def raise_ballot_floor(ballot_floor: int, record: LeaseRecord) -> int:
-    """Return the floor once a record is removed.
+    """Return the ballot floor after a record is removed.
 
-    What its ballot refused stays refused.
+    Ballots that the record's promise refused stay refused.
     """
     return max(ballot_floor, record.promised.round)
--- a/milletsill/fleet/leases/acceptor_context.py
+++ b/milletsill/fleet/leases/acceptor_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway's acceptor share."""
+"""State and interfaces that the components of one gateway's acceptor share."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from milletsill.fleet.leases.metrics import AcceptorMetrics
 from milletsill.fleet.leases.timings import LeaseTimings
 
-LOG_INTERVAL = 100_000  # between two log events of one type of error, in ticks
-RETRY_INTERVAL = 10_000  # after a disk that did not take a write, in ticks
+LOG_INTERVAL = 100_000  # ticks between two log events of one error type
+RETRY_INTERVAL = 10_000  # ticks until a retry after a failed write to the disk
 
 T = TypeVar("T")
 
 
 class RunBlocking(Protocol):
-    """Runs a job off the reactor's thread; jobs run one after another."""
+    """Runs jobs one after another, outside the reactor's thread."""
 
     def __call__(
         self, job: Callable[[], T], on_result: Callable[[T | MilletsillError], None]
@@ -29,22 +29,22 @@
 
 
 class AcceptorPeers(Protocol):
-    """What an acceptor sends to other gateways."""
+    """Sends an acceptor's messages to other gateways."""
 
     def send_replies(self, gateway: str, replies: Sequence[AcceptorReply]) -> None:
         """Send replies to a gateway, which may be this one."""
 
-    def query_witnesses(self, everybody: bool) -> None:
-        """Ask acceptors, or all gateways, which identity of this one they know."""
+    def query_known_identity(self, all_gateways: bool) -> None:
+        """Ask the acceptors, or all gateways, which identity they know of this one."""
 
     def query_page(self, acceptor: str, after: str) -> None:
         """Ask an acceptor for its records after a key."""
 
 
 class GrantTable:
-    """Who was granted which lease, only in memory.
+    """An acceptor's grants by lease; they are only in memory.
 
-    Read by the thread of the store, and changed there or while no job runs.
+    The store's thread reads it. It is changed in that thread or while no job runs.
     """
 
     def __init__(self, timings: LeaseTimings, started_at: int) -> None:
@@ -55,7 +55,7 @@
     def get(self, key: str) -> LeaseGrant:
         """Return a lease's grant.
 
-        For one that is not known, what a former incarnation may have granted.
+        For an unknown lease this is the grant that a former incarnation may have given.
         """
         known = self._grants.get(key)
         if known is not None:
@@ -63,15 +63,15 @@
         return grant_after_restart(self._started_at, self._timings)
 
     def update(self, grants: Mapping[str, LeaseGrant]) -> None:
-        """Take over grants."""
+        """Set the grants of some leases."""
         self._grants.update(grants)
 
     def discard(self, key: str) -> None:
-        """Forget a lease whose record was removed."""
+        """Remove the grant of a lease whose record was removed."""
         self._grants.pop(key, None)
 
     def reset(self, now: int) -> None:
-        """Forget all, as after a restart at this time."""
+        """Remove all grants, as after a restart at this time."""
         self._grants = {}
         self._started_at = now
 
@@ -80,9 +80,14 @@
     """Settings, clock, file, grants and metrics of one gateway's acceptor.
 
     Attributes:
-        store: The file, None until it is open.
+        settings: The acceptor's settings.
+        now: The gateway's clock, in ticks.
+        log: Writes events to the log.
+        metrics: Metrics of the acceptor.
         started_at: When this incarnation started, in ticks.
-        previous_uptime: For how long former incarnations were up, in ticks.
+        previous_uptime: Total uptime of former incarnations, in ticks.
+        grants: Grants by lease.
+        store: The file; None until it is open.
     """
 
     def __init__(
@@ -99,11 +104,11 @@
         self._logged_at: dict[str, int] = {}
 
     def uptime(self) -> int:
-        """Return for how long the acceptor was up over all incarnations, in ticks."""
+        """Return the acceptor's total uptime over all incarnations, in ticks."""
         return self.previous_uptime + self.now() - self.started_at
 
     def log_error(self, error: MilletsillError) -> None:
-        """Log an error, of each type once in a while."""
+        """Log an error, at most once per `LOG_INTERVAL` for each error type."""
         kind = type(error).__name__
         now = self.now()
         if now - self._logged_at.get(kind, now - LOG_INTERVAL) >= LOG_INTERVAL:
--- a/milletsill/fleet/leases/acceptor_host.py
+++ b/milletsill/fleet/leases/acceptor_host.py
@@ -1,4 +1,4 @@
-"""Runs the acceptor of a gateway that is one: its thread, its timers, its end."""
+"""Starts and stops a gateway's acceptor, with its timers and its thread."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class AcceptorHost:
-    """An acceptor that runs from now on.
+    """Runs an acceptor from construction until `stop`.
 
     Args:
-        settings: Of the lease service.
-        environment: What it needs of the program.
-        messenger: Sends to other gateways, and hands on what they send.
-        timers: Of the lease service.
+        settings: Settings of the lease service.
+        environment: The program's interfaces that the lease service uses.
+        messenger: Sends messages to other gateways and dispatches received ones.
+        timers: Timers of the lease service.
         worker: Runs the acceptor's jobs.
-        chance: Random number for the identity of a new state.
+        nonce: Random number for the identity of a new state.
 
     Attributes:
         service: The acceptor.
@@ -36,7 +36,7 @@
         messenger: LeaseMessenger,
         timers: LeaseTimers,
         worker: BlockingExecutor,
-        chance: int,
+        nonce: int,
     ) -> None:
         name = environment.transport.name
         acceptor_settings = AcceptorSettings(
@@ -53,7 +53,7 @@
         self._timers = timers
         self._worker = worker
         self.service = AcceptorService(
-            acceptor_settings, environment, messenger, worker.run, chance
+            acceptor_settings, environment, messenger, worker.run, nonce
         )
         messenger.acceptor = self.service
         self.service.start()
@@ -61,7 +61,7 @@
         self._timers.start("recovery", QUERY_INTERVAL, self._check_recovery)
 
     def stop(self) -> None:
-        """Wait for the job under way and close the file."""
+        """Wait for the running job and close the file."""
         self._worker.stop()
         self.service.stop()
 
--- a/milletsill/fleet/leases/acceptor_recovery.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -1,12 +1,13 @@
-"""When an acceptor that has started may answer. Pure; times are passed in.
-
-An acceptor's state has an identity: (age, chance, generation). The generation grows
-with each commit, the age each time that the state is made anew out of the other
-acceptors' records. Other gateways keep the greatest identity that each acceptor has
-sent. An acceptor whose own identity is less has an older copy of its state or none, and
-must not answer as if it had never promised anything: it waits until all is over that
-its former incarnation may have granted or answered, then copies every record of so many
-others that they meet each majority that it was part of.
+"""Decides when an acceptor that has started may answer. No I/O; times are passed in.
+
+An acceptor's state has an identity: (epoch, nonce, generation). The generation grows
+with each commit, and the epoch each time the state is rebuilt from the other acceptors'
+records. Other gateways keep the greatest identity that each acceptor has sent. An
+acceptor whose own identity is less has an older copy of its state, or none, and must
+not answer as if it had never promised anything. It waits until every lease that its
+former incarnation may have granted and every request that it may have replied to is
+over. It then copies all records of so many other acceptors that these intersect each
+majority that it was part of.
 """
 
 from __future__ import annotations
@@ -20,25 +21,25 @@
 from milletsill.fleet.leases.ballot import Ballot, majority
 from milletsill.fleet.leases.timings import LeaseTimings
 
-# How often an acceptor tells the others its identity, where that changed, in ticks.
+# Interval at which an acceptor announces a changed identity to the others, in ticks.
 ANNOUNCE_INTERVAL = 1000
-# How often an acceptor that may not answer asks the others, in ticks.
+# Interval at which an acceptor that may not answer queries the others, in ticks.
 QUERY_INTERVAL = 2000
 MAX_PAGE_RECORDS = 256
 MAX_PAGE_BYTES = 120_000
 
 
 class StateIdentity(NamedTuple):
-    """Identity of an acceptor's state; greater is later, for one acceptor.
+    """Identity of an acceptor's state; of one acceptor, a greater identity is later.
 
     Attributes:
-        age: Grows when the state is made anew.
-        chance: Random, so that two states of one age differ.
+        epoch: Grows when the state is rebuilt.
+        nonce: Random number, so that two states of the same epoch differ.
         generation: Grows with each commit.
     """
 
-    age: int
-    chance: int
+    epoch: int
+    nonce: int
     generation: int
 
 
@@ -47,13 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPage:
-    """Some records of one acceptor, for another that recovers.
+    """A page of one acceptor's records, for another acceptor that recovers.
 
     Attributes:
-        records: Leases' keys and records in order of the keys, after the key that was
-            asked for.
-        ballot_floor: The acceptor's floor.
-        is_last: No more records follow.
+        records: Keys and records in key order; they follow the key of the query.
+        ballot_floor: The acceptor's ballot floor.
+        is_last: Whether no more records follow.
     """
 
     records: tuple[tuple[str, LeaseRecord], ...]
@@ -64,8 +64,9 @@
 class RecoveryStatus(Enum):
     """Whether an acceptor may answer.
 
-    VERIFYING asks the others whether its state is the latest. SERVING answers. WAITING
-    lacks something and lets former promises run out. CATCHING_UP copies records.
+    VERIFYING: it asks the other gateways whether its state is the latest. SERVING: it
+    answers. WAITING: its state is incomplete, and it waits until former promises have
+    expired. CATCHING_UP: it copies the other acceptors' records.
     """
 
     VERIFYING = auto()
@@ -75,7 +76,7 @@
 
 
 class RecoveryEvent(Enum):
-    """What happens to an acceptor that recovers."""
+    """An event during an acceptor's recovery."""
 
     FOUND_STALE = auto()
     CONFIRMED = auto()
@@ -86,10 +87,11 @@
 
 
 class RecoveryAction(Enum):
-    """What the acceptor service has to do.
+    """What the acceptor service has to do after an event.
 
-    SERVE: begin to answer. WAIT: stop answering, remember that something is missing.
-    CATCH_UP: ask the others for their records. ADOPT: write down what was copied.
+    SERVE: start to answer. WAIT: stop answering and store that the state is incomplete.
+    CATCH_UP: query the other acceptors for their records. ADOPT: write the copied
+    records.
     """
 
     NONE = auto()
@@ -137,23 +139,23 @@
 
 
 def is_stale(known: StateIdentity | None, own: StateIdentity) -> bool:
-    """Whether the identity that another gateway knows is later than the state's own.
+    """Whether the identity that another gateway knows makes the own state stale.
 
-    Also where it is of another state that is not older.
+    This is so if it is later, or if it belongs to another state of the same epoch.
     """
-    if known is None or known.age < own.age:
+    if known is None or known.epoch < own.epoch:
         return False
     return (
-        known.age > own.age
-        or known.chance != own.chance
+        known.epoch > own.epoch
+        or known.nonce != own.nonce
         or known.generation > own.generation
     )
 
 
 def copies_needed(acceptors: int) -> int:
-    """Return from how many others all records must be copied.
+    """Return from how many other acceptors all records must be copied.
 
-    So many meet each majority that this acceptor was part of, without it.
+    So many intersect, without this acceptor, each majority that it was part of.
     """
     return majority(acceptors)
 
@@ -163,7 +165,7 @@
     copied: Iterable[tuple[str, LeaseRecord]],
     uptime: int,
 ) -> None:
-    """Merge copied records into those that are here.
+    """Merge copied records into the existing ones.
 
     Each record gets the highest promise and the latest write of both.
     """
@@ -183,11 +185,11 @@
 
 
 def raise_to_floor(records: dict[str, LeaseRecord], ballot_floor: int) -> None:
-    """Make the floor hold for records too.
+    """Raise the promises of records to the ballot floor.
 
-    An acceptor that sent its records may have removed one that another still has.
+    One acceptor that sent its records may have removed a record that another still has.
     """
-    # Below each gateway's ballot of the round after the floor.
+    # The lowest ballot of the round after the floor: lower than every gateway's.
     lowest = Ballot(ballot_floor + 1, "", 0)
     for key, record in records.items():
         if ballot_floor and record.promised < lowest:
@@ -195,22 +197,25 @@
 
 
 class AcceptorRecovery:
-    """How one acceptor comes to answer.
+    """The recovery of one acceptor after a start or after its state was found stale.
 
     Args:
-        own: Identity of its state.
+        own: Identity of the acceptor's state.
         others: Names of the other acceptors.
-        timings: How long leases last.
+        timings: Durations of leases and requests.
         started_at: When this incarnation started, in ticks.
-        is_empty: Its file has no record yet.
-        is_incomplete: It is known to lack something: its file was torn, or it was
-            found stale before.
+        is_empty: Whether nothing has been committed to its file yet.
+        is_incomplete: Whether its state is known to be incomplete, because its file was
+            corrupt or it was found stale before.
 
     Attributes:
-        status: Whether it may answer.
-        records: What was copied so far, by key.
-        ballot_floor: The highest floor of those that sent their records.
-        highest_age: The highest age that anybody knows of this acceptor's state.
+        status: Whether the acceptor may answer.
+        wait_until: When the wait of the status WAITING ends, in ticks.
+        confirmed_by: Acceptors that know of no later state.
+        records: Records that were copied so far, by key.
+        ballot_floor: The highest floor of the acceptors that sent records.
+        highest_epoch: The highest epoch that any gateway knows of this acceptor's
+            state.
     """
 
     def __init__(
@@ -232,23 +237,23 @@
             self.status = RecoveryStatus.WAITING
         self.wait_until = started_at + timings.recovery_wait()
         self.confirmed_by: set[str] = set()
-        self.highest_age = own.age
+        self.highest_epoch = own.epoch
         self.is_overridden = False
         self.records: dict[str, LeaseRecord] = {}
         self.ballot_floor = 0
-        self.last_keys: dict[str, str] = {}  # of each that sends its records
+        self.last_keys: dict[str, str] = {}  # last copied key, by acceptor
         self.copied_from: set[str] = set()
 
-    def on_witness(
+    def on_known_identity(
         self, gateway: str, known: StateIdentity | None, now: int
     ) -> RecoveryAction:
-        """Handle the last identity that a gateway knows of this acceptor.
+        """Handle a report of the latest identity that a gateway knows of this acceptor.
 
-        Any gateway may report a later state; only acceptors may confirm that there is
+        Any gateway may report a later state; only acceptors can confirm that there is
         none.
         """
         if known is not None:
-            self.highest_age = max(self.highest_age, known.age)
+            self.highest_epoch = max(self.highest_epoch, known.epoch)
         if is_stale(known, self.own):
             return self._on_stale(now)
         if gateway in self.others:
@@ -257,14 +262,15 @@
 
     def _on_stale(self, now: int) -> RecoveryAction:
         if self.is_overridden:
-            # By an operator's order it goes on, as later than what was known.
+            # An operator ordered the acceptor to continue with the state it has, so it
+            # gives that state a later identity than the known one.
             return RecoveryAction.ADOPT
         if self.status is RecoveryStatus.SERVING:
             self.wait_until = now + self.timings.recovery_wait()
         return self._step(RecoveryEvent.FOUND_STALE)
 
     def on_timer(self, now: int) -> RecoveryAction:
-        """Handle what time alone brings."""
+        """Make the transitions that are due at this time."""
         if self.status is RecoveryStatus.VERIFYING and self.is_confirmed(now):
             return self._step(RecoveryEvent.CONFIRMED)
         if self.status is RecoveryStatus.WAITING and now >= self.wait_until:
@@ -276,11 +282,11 @@
         return RecoveryAction.NONE
 
     def is_confirmed(self, now: int) -> bool:
-        """Whether enough others know of nothing later.
+        """Whether enough other acceptors know of no later state.
 
-        So many that they meet each majority; or, with a file that has records and
-        after a whole wait, one fewer, so that an acceptor which is down does not keep
-        another from coming back.
+        Enough are so many that they intersect each majority. If the file has commits
+        and the recovery wait is over, one fewer is enough, so that an acceptor which is
+        down does not prevent another from recovering.
         """
         needed = min(copies_needed(len(self.others) + 1), len(self.others))
         wait_over = now >= self.started_at + self.timings.recovery_wait()
@@ -289,7 +295,7 @@
         return len(self.confirmed_by) >= max(needed, 0)
 
     def needs_page_from(self, acceptor: str) -> bool:
-        """Whether an acceptor's records are still to be copied."""
+        """Whether an acceptor's records have not been copied completely."""
         is_catching_up = self.status is RecoveryStatus.CATCHING_UP
         return is_catching_up and acceptor not in self.copied_from
 
@@ -318,24 +324,24 @@
         return self._step(RecoveryEvent.CAUGHT_UP)
 
     def on_override(self) -> RecoveryAction:
-        """Handle an operator's order to go on with what there is."""
+        """Handle an operator's order to continue with the state that is present."""
         self.is_overridden = True
         return self._step(RecoveryEvent.OVERRIDDEN)
 
     def on_write_failed(self, retry_at: int) -> None:
-        """What was copied could not be written: it is asked for again at a time."""
+        """Handle a failed write of the copied records; recopy them at `retry_at`."""
         self.wait_until = retry_at
         self._step(RecoveryEvent.WRITE_FAILED)
 
     def retry_delay(self, now: int) -> int:
-        """Return when to come back to an acceptor that may not answer, in ticks."""
+        """Return after how many ticks a client should retry while it may not answer."""
         if self.status in (RecoveryStatus.WAITING, RecoveryStatus.CATCHING_UP):
             return max(self.wait_until - now, QUERY_INTERVAL)
         return QUERY_INTERVAL
 
-    def renewed_identity(self, chance: int) -> StateIdentity:
-        """Return the identity of a state that is made of the others' records."""
-        return StateIdentity(self.highest_age + 1, chance, 1)
+    def renewed_identity(self, nonce: int) -> StateIdentity:
+        """Return the identity of a state that was rebuilt from the others' records."""
+        return StateIdentity(self.highest_epoch + 1, nonce, 1)
 
     def _step(self, event: RecoveryEvent) -> RecoveryAction:
         unchanged = (self.status, RecoveryAction.NONE)
--- a/milletsill/fleet/leases/acceptor_service.py
+++ b/milletsill/fleet/leases/acceptor_service.py
@@ -1,7 +1,7 @@
-"""One gateway's acceptor: its file, its recovery, and the requests that it answers.
+"""One gateway's acceptor: its file, its recovery, and its request handling.
 
-All that touches the file runs in one thread, one job at a time. What decides is
-`acceptor` and `acceptor_recovery`.
+Every access to the file runs in one thread, one job at a time. `acceptor` and
+`acceptor_recovery` make the decisions.
 """
 
 from __future__ import annotations
@@ -35,14 +35,15 @@
 from milletsill.fleet.leases.request_queue import RequestQueue, unavailable
 from milletsill.fleet.leases.store_file import set_aside
 
-CLEANUP_RECORDS = 500  # looked at in one round of removals
-# A file beside the acceptor's: an operator's order to go on with what there is.
+CLEANUP_RECORDS = 500  # records that one round of removals examines
+# With a file of this suffix beside the acceptor's file, an operator orders the acceptor
+# to continue with the state that it has.
 OVERRIDE_SUFFIX = ".go-on"
 
 
 @dataclass(frozen=True, slots=True)
 class _OpenedStore:
-    """An open file, and the error of the one that was set aside for it, if any."""
+    """An open file, and the error of the corrupt file that it replaces, if any."""
 
     store: AcceptorStore
     damage: AcceptorStateCorruptError | None
@@ -52,11 +53,11 @@
     """The acceptor of one gateway.
 
     Args:
-        settings: Its settings.
-        environment: What it needs of the program.
-        peers: Sends to other gateways.
+        settings: The acceptor's settings.
+        environment: The program's interfaces that the lease service uses.
+        peers: Sends messages to other gateways.
         run_blocking: Runs jobs in one thread.
-        chance: Random number for the identity of a new state.
+        nonce: Random number for the identity of a new state.
     """
 
     def __init__(
@@ -65,14 +66,14 @@
         environment: LeaseEnvironment,
         peers: AcceptorPeers,
         run_blocking: RunBlocking,
-        chance: int,
+        nonce: int,
     ) -> None:
         self.settings = settings
         self._context = AcceptorContext(settings, environment)
         self._peers = peers
         self._run_blocking = run_blocking
-        self._chance = chance
-        self._acceptor_set = _digest_of_names([settings.name, *settings.others])
+        self._nonce = nonce
+        self._acceptor_set_digest = _digest_of_names([settings.name, *settings.others])
         self._cleanup_key = ""
         self._is_stopped = False
         self._queue = RequestQueue(
@@ -83,17 +84,17 @@
             lambda: self._recovery.stop(),
         )
         self._recovery = RecoveryController(
-            self._context, peers, run_blocking, self._queue, chance
+            self._context, peers, run_blocking, self._queue, nonce
         )
 
-    # Life.
+    # Start and stop.
 
     def start(self) -> None:
-        """Open the file; the acceptor answers once it may."""
+        """Open the file; the acceptor answers once its recovery allows it."""
         self._run_blocking(self._open, self._on_opened)
 
     def stop(self) -> None:
-        """Close the file; to be called once the thread has ended."""
+        """Close the file; the caller must have stopped the thread of the jobs."""
         self._is_stopped = True
         self._queue.is_stopped = True
         if self.store is not None:
@@ -101,26 +102,26 @@
             self._context.store = None
 
     def on_timer(self) -> None:
-        """Do what is to be done now and then: ask others, remove idle records."""
+        """Advance the recovery; remove idle records once the acceptor is serving."""
         if not self._recovery.is_started or self._is_stopped:
             return
         if self._recovery.on_timer() or self.store is None:
             return
-        self._queue.pump()
+        self._queue.start_next_batch()
         self._run_blocking(self._remove_idle, self._on_removed)
 
     def _open(self) -> _OpenedStore:
-        """Open the file, in the thread.
+        """Open the file. Runs in the thread of the jobs.
 
-        One that is torn is set aside; the new file knows that there was another.
+        A corrupt file is set aside; its replacement is marked incomplete.
         """
         settings = self.settings
         path = settings.store_path
         try:
             store = AcceptorStore.open(
                 path,
-                self._chance,
-                self._acceptor_set,
+                self._nonce,
+                self._acceptor_set_digest,
                 max_pages=settings.max_store_pages,
             )
             return _OpenedStore(store, None)
@@ -128,8 +129,8 @@
             set_aside(path)
             store = AcceptorStore.open(
                 path,
-                self._chance,
-                self._acceptor_set,
+                self._nonce,
+                self._acceptor_set_digest,
                 True,
                 settings.max_store_pages,
             )
@@ -137,7 +138,7 @@
 
     def _on_opened(self, result: _OpenedStore | MilletsillError) -> None:
         if isinstance(result, MilletsillError):
-            self._context.log_error(result)  # away until a restart
+            self._context.log_error(result)  # unavailable until a restart
             return
         store = result.store
         self._context.store = store
@@ -146,18 +147,18 @@
         self._context.previous_uptime = store.state.uptime
         path = self.settings.store_path
         is_overridden = os.path.exists(path + OVERRIDE_SUFFIX)
-        if store.acceptor_set != self._acceptor_set and not is_overridden:
-            what = "not the acceptors that its state was made for"
+        if store.acceptor_set_digest != self._acceptor_set_digest and not is_overridden:
+            what = "the settings name other acceptors than the state was created for"
             self._context.log_error(AcceptorSetChangedError(what, path))
-            return  # away until a restart
-        store.acceptor_set = self._acceptor_set
+            return  # unavailable until a restart
+        store.acceptor_set_digest = self._acceptor_set_digest
         if is_overridden:
             os.remove(path + OVERRIDE_SUFFIX)
             self._context.log("acceptor_overridden", file=path + OVERRIDE_SUFFIX)
         self._recovery.start(store, is_overridden)
         self.on_timer()
 
-    # What it is.
+    # Status.
 
     @property
     def store(self) -> AcceptorStore | None:
@@ -169,21 +170,21 @@
         return self._recovery.is_serving()
 
     def identity(self) -> StateIdentity:
-        """Return the identity of its state."""
+        """Return the identity of the acceptor's state."""
         return NO_IDENTITY if self.store is None else self.store.identity
 
-    # What other gateways send.
+    # Messages from other gateways.
 
     def on_requests(
         self, gateway: str, requests: Sequence[AcceptorRequest], settings_digest: int
     ) -> None:
-        """Answer requests of one gateway after the next commit.
+        """Queue requests of one gateway; the replies follow after the next commit.
 
-        Or at once with UNAVAILABLE, where the acceptor may not answer.
+        An acceptor that may not answer replies UNAVAILABLE at once.
         """
         has_same_settings = settings_digest == self.settings.settings_digest
         if not has_same_settings:
-            what = "its acceptors or timings are not this gateway's"
+            what = "its acceptors or timings differ from this gateway's"
             self._context.log_error(LeaseSettingsMismatchError(what, gateway))
         is_disk_full = self._context.now() < self._queue.disk_full_until
         if not has_same_settings or not self.is_serving() or is_disk_full:
@@ -192,16 +193,16 @@
             return
         self._queue.add(gateway, requests)
 
-    def on_witness(self, gateway: str, known: StateIdentity | None) -> None:
-        """Handle the last identity that a gateway knows of this acceptor."""
-        self._recovery.on_witness(gateway, known)
+    def on_known_identity(self, gateway: str, known: StateIdentity | None) -> None:
+        """Handle a report of the latest identity that a gateway knows of this one."""
+        self._recovery.on_known_identity(gateway, known)
 
     def on_page(self, acceptor: str, after: str, page: SnapshotPage) -> None:
-        """Handle records of another acceptor."""
+        """Handle a page of another acceptor's records."""
         self._recovery.on_page(acceptor, after, page)
 
     def read_page(self, after: str, on_page: Callable[[SnapshotPage], None]) -> None:
-        """Read records after a key for another acceptor, if this one may answer."""
+        """Read a page of records for another acceptor, if this one may answer."""
         store = self.store
         if not self.is_serving() or store is None:
             return
@@ -214,7 +215,7 @@
 
         self._run_blocking(lambda: store.read_page(after), deliver)
 
-    # What it knows of other acceptors.
+    # Identities of other acceptors.
 
     def remember_identity(self, acceptor: str, identity: StateIdentity) -> None:
         """Keep the identity of another acceptor; written with the next commit."""
@@ -224,13 +225,13 @@
         self.store.known[acceptor] = max(known, identity)
 
     def known_identity(self, acceptor: str) -> StateIdentity | None:
-        """Return the greatest identity that is known of an acceptor."""
+        """Return the greatest known identity of an acceptor."""
         return None if self.store is None else self.store.known.get(acceptor)
 
     # Removal of idle records.
 
     def _remove_idle(self) -> int:
-        """Remove some idle records, in the thread; return how many."""
+        """Remove some idle records and return how many. Runs in the jobs' thread."""
         store = self.store
         now = self._context.now()
         uptime = self._context.uptime()
--- a/milletsill/fleet/leases/acceptor_store.py
+++ b/milletsill/fleet/leases/acceptor_store.py
@@ -1,10 +1,10 @@
-"""An acceptor's records on disk: sqlite, one synced transaction for many leases.
+"""An acceptor's records in SQLite, with one synced transaction for many leases.
 
-Blocking, and used by one thread at a time. Each row has a checksum; the row of the
-state holds the state's identity, whose generation grows with each commit (see
-`acceptor_recovery`). A file that is torn is set aside by the caller. A file that is
-older shows by the identities that other gateways know; sqlite's own log, cut short, is
-an older state too.
+The store blocks, and one thread at a time uses it. Each row has a checksum. The state
+row holds the state's identity, whose generation grows with each commit (see
+`acceptor_recovery`). The caller sets a corrupt file aside. An older copy of the file is
+detected by the identities that other gateways know. A truncated write-ahead log of
+SQLite gives an older state as well.
 """
 
 from __future__ import annotations
@@ -57,10 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RemovalResult:
-    """What one round of removals came to.
+    """The result of one round of removals.
 
     Attributes:
-        next_key: The last key that was looked at; empty at the end.
+        next_key: The last key that was examined, after which the next round starts;
+            empty when all records have been examined.
         removed: Keys of the records that were removed.
     """
 
@@ -69,14 +70,16 @@
 
 
 class AcceptorStore:
-    """An open file; see `open`.
+    """An open acceptor file; see `open`.
 
     Attributes:
-        state: The row of the state.
-        known: The greatest identity that is known of each other acceptor; written
-            with the next commit.
-        acceptor_set: Digest of the names of all acceptors that the state was made
-            for; written with the next commit.
+        path: The file's path.
+        connection: The database connection.
+        state: The state row.
+        known: The greatest known identity of each other acceptor; written with the
+            next commit.
+        acceptor_set_digest: Digest of the names of all acceptors that the state was
+            created for; written with the next commit.
         count: Number of records.
     """
 
@@ -86,30 +89,31 @@
         self.state = StoredState(StateIdentity(0, 0, 0))
         self.known: dict[str, StateIdentity] = {}
         self.count = 0
-        self.acceptor_set = 0
+        self.acceptor_set_digest = 0
 
     @classmethod
     def open(
         cls,
         path: str,
-        chance: int,
-        acceptor_set: int = 0,
+        nonce: int,
+        acceptor_set_digest: int = 0,
         is_incomplete: bool = False,
         max_pages: int = 0,
     ) -> AcceptorStore:
-        """Open the file of an acceptor, made where there is none.
+        """Open the file of an acceptor; create it if it does not exist.
 
         Args:
-            path: Where it is.
-            chance: Random number for the identity of a new state.
-            acceptor_set: Digest of the acceptors' names, for a new state.
-            is_incomplete: For a file that is made where there was another.
-            max_pages: Bound of the file in sqlite's pages; 0 for none.
+            path: The file's path.
+            nonce: Random number for the identity of a new state.
+            acceptor_set_digest: Digest of the acceptors' names, for a new state.
+            is_incomplete: Whether a new file replaces a corrupt one, so that its state
+                is incomplete.
+            max_pages: Size limit of the file in SQLite pages; 0 for none.
 
         Raises:
             AcceptorStateCorruptError, AcceptorStateUnusableError, DiskFullError.
         """
-        state = initial_state(chance, acceptor_set, is_incomplete)
+        state = initial_state(nonce, acceptor_set_digest, is_incomplete)
         connection = open_database(path, state)
         store = cls(path, connection)
         try:
@@ -124,7 +128,7 @@
 
     @property
     def identity(self) -> StateIdentity:
-        """Identity of the state."""
+        """The identity of the state."""
         return self.state.identity
 
     @property
@@ -133,9 +137,9 @@
         return self.state.ballot_floor
 
     def load(self, max_pages: int) -> None:
-        """Read and check all that is in the file once."""
+        """Read and check the whole file once."""
         connection = self.connection
-        # Of two processes with one file the second gets an error.
+        # A second process that opens the file gets an error.
         connection.execute("PRAGMA locking_mode=EXCLUSIVE")
         connection.execute("PRAGMA journal_mode=WAL")
         connection.execute("PRAGMA synchronous=FULL")
@@ -151,15 +155,15 @@
     def _check_file(self) -> None:
         schema_version = self._pragma("user_version")
         if self._pragma("application_id") != APPLICATION_ID:
-            raise AcceptorStateCorruptError("no file of an acceptor", self.path)
+            raise AcceptorStateCorruptError("not an acceptor file", self.path)
         if schema_version > SCHEMA_VERSION:
             raise AcceptorStateUnusableError(
-                f"its schema is {schema_version}, this program knows {SCHEMA_VERSION}",
+                f"schema version {schema_version}, supported up to {SCHEMA_VERSION}",
                 self.path,
             )
-        found = self.connection.execute("PRAGMA quick_check(1)").fetchone()[0]
-        if found != "ok":
-            raise AcceptorStateCorruptError(str(found), self.path)
+        result = self.connection.execute("PRAGMA quick_check(1)").fetchone()[0]
+        if result != "ok":
+            raise AcceptorStateCorruptError(str(result), self.path)
 
     def _pragma(self, name: str) -> int:
         return int(self.connection.execute(f"PRAGMA {name}").fetchone()[0])
@@ -168,17 +172,17 @@
         row = self.connection.execute("SELECT body, sum FROM state").fetchone()
         if row is None or checksum("", 0, row[0]) != row[1]:
             raise AcceptorStateCorruptError(
-                "the row of the state fails its checksum", self.path
+                "the state row is missing or fails its checksum", self.path
             )
         stored = wire.State.FromString(row[0])
         self.state = StoredState(
             decode_identity(stored.own), stored.floor, stored.up, stored.doubted
         )
-        self.acceptor_set = stored.among
+        self.acceptor_set_digest = stored.among
         self.known = {each.name: decode_identity(each.own) for each in stored.known}
 
     def read(self, key: str) -> LeaseRecord | None:
-        """Return a lease's record, None where there is none.
+        """Return a lease's record; None if there is none.
 
         Raises:
             AcceptorStateCorruptError, AcceptorStateUnusableError.
@@ -196,18 +200,18 @@
         ballot_floor: int | None = None,
         added: int = 0,
     ) -> None:
-        """Write records, all or none; they are on disk when it returns.
+        """Write records in one transaction; they are on disk when it returns.
 
         Args:
-            records: By key; None for a record that is removed.
-            uptime: For how long the acceptor was up, in ticks.
-            ballot_floor: The new floor, None where it stays.
+            records: Records by key; None removes a record.
+            uptime: Total uptime of the acceptor, in ticks.
+            ballot_floor: The new floor; None if it does not change.
             added: How many of the records are new.
 
         Raises:
-            DiskFullError: nothing has changed.
-            AcceptorStateCorruptError: nothing has changed.
-            AcceptorStateUnusableError: nothing has changed.
+            DiskFullError: Nothing has changed.
+            AcceptorStateCorruptError: Nothing has changed.
+            AcceptorStateUnusableError: Nothing has changed.
         """
         identity = self.identity
         identity = identity._replace(generation=identity.generation + 1)
@@ -220,7 +224,7 @@
         self.count += added - len(removed)
 
     def mark_incomplete(self, uptime: int) -> None:
-        """Write down that the state lacks something. Raises as `commit`."""
+        """Store that the state is incomplete. Raises as `commit`."""
         self._write([], [], replace(self.state, uptime=uptime, is_incomplete=True))
 
     def adopt(
@@ -230,14 +234,14 @@
         identity: StateIdentity,
         uptime: int,
     ) -> None:
-        """Write a state that was copied from others. Raises as `commit`."""
+        """Write a state that was copied from other acceptors. Raises as `commit`."""
         state = StoredState(identity, ballot_floor, uptime)
         self._write(encode_rows(records), [], state)
         count = self.connection.execute("SELECT count(*) FROM record").fetchone()
         self.count = count[0]
 
     def read_page(self, after: str) -> SnapshotPage:
-        """Return records after a key, for another acceptor.
+        """Return a page of the records after a key, for another acceptor.
 
         Raises:
             AcceptorStateCorruptError, AcceptorStateUnusableError.
@@ -265,14 +269,14 @@
         idle_after: int,
         is_free: Callable[[str], bool],
     ) -> RemovalResult:
-        """Remove records of leases that were unused for long.
+        """Remove records of leases that have been unused for `idle_after`.
 
         Args:
-            after: Key after which to look.
-            limit: How many records to look at.
-            uptime: For how long the acceptor was up, in ticks.
-            idle_after: For how long a lease must have been unused, in ticks.
-            is_free: Whether nobody holds the lease of a key.
+            after: Key after which the examined records start.
+            limit: How many records to examine.
+            uptime: Total uptime of the acceptor, in ticks.
+            idle_after: How long a lease must have been unused, in ticks.
+            is_free: Returns whether no gateway holds the lease of a key.
 
         Raises:
             As `commit`.
@@ -301,7 +305,7 @@
         self, rows: Iterable[RecordRow], removed: Iterable[str], state: StoredState
     ) -> None:
         known = list(self.known.items())[:MAX_KNOWN_ACCEPTORS]
-        body = encode_state(state, self.acceptor_set, known)
+        body = encode_state(state, self.acceptor_set_digest, known)
         connection = self.connection
         try:
             connection.execute("BEGIN IMMEDIATE")
@@ -323,6 +327,6 @@
     def _roll_back(self) -> None:
         if not self.connection.in_transaction:
             return
-        # The first error is the cause, not one of the rollback.
+        # The caller reports the first error; an error of the rollback is a consequence.
         with contextlib.suppress(sqlite3.Error):
             self.connection.execute("ROLLBACK")
--- a/milletsill/fleet/leases/ballot.py
+++ b/milletsill/fleet/leases/ballot.py
@@ -1,8 +1,9 @@
-"""Ballots and record versions: the order that keeps a lease's record safe.
+"""Ballots and record versions, whose order keeps a lease's record consistent.
 
-The record is a CASPaxos register. An acceptor never goes below a ballot that it
-promised, a write counts once a majority of the acceptors accepted it, and a new
-lease holder reads a majority before it writes. No clock is part of this.
+The record is a CASPaxos register. An acceptor never accepts a lower ballot than it
+promised, a write is chosen once a majority of the acceptors accepted it, and a new
+lease holder reads from a majority before it writes. The record's consistency does not
+depend on clocks.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 
 class Ballot(NamedTuple):
-    """A proposal number: ordered, and never used twice.
+    """A proposal number. Ballots are totally ordered and never reused.
 
     Attributes:
-        round: Counts up; a proposer goes past the highest round that it knows of.
-        gateway: Name of the gateway that proposes.
-        nonce: Random number of one start of that gateway.
+        round: A counter; a proposer uses a higher round than any that it knows of.
+        gateway: Name of the proposer's gateway.
+        nonce: Random number that the gateway draws at each start.
     """
 
     round: int
@@ -24,7 +25,7 @@
     nonce: int
 
     def same_holder(self, other: Ballot) -> bool:
-        """Whether both ballots are of one start of one gateway."""
+        """Whether both ballots belong to the same start of the same gateway."""
         return self.gateway == other.gateway and self.nonce == other.nonce
 
 
@@ -40,5 +41,5 @@
 
 
 def majority(acceptors: int) -> int:
-    """Return the size of a quorum: any two quorums have an acceptor in common."""
+    """Return the size of a quorum; any two quorums have an acceptor in common."""
     return acceptors // 2 + 1
--- a/milletsill/fleet/leases/blocking_worker.py
+++ b/milletsill/fleet/leases/blocking_worker.py
@@ -1,4 +1,4 @@
-"""One thread for jobs that block, in their order; results come by the reactor."""
+"""Runs blocking jobs in one thread, in order; the reactor delivers the results."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BlockingExecutor(Protocol):
-    """Runs jobs one after another, off the reactor's thread."""
+    """Runs jobs one after another, outside the reactor's thread."""
 
     def run(
         self, job: Callable[[], T], on_result: Callable[[T | MilletsillError], None]
@@ -25,14 +25,14 @@
         """Run a job; the reactor calls `on_result` once, but not after `stop`."""
 
     def stop(self) -> None:
-        """Wait for the job under way."""
+        """Wait for the running job."""
 
 
 def run_guarded(job: Callable[[], T]) -> T | MilletsillError:
     """Run a job and return its result, or the error that ended it.
 
-    Guards the reactor's side against a job that ends by a mistake of ours: it would
-    wait for ever. The mistake is printed in full.
+    An unexpected exception, which is a bug in the job, is also returned as an error:
+    otherwise the caller in the reactor would wait forever. Its traceback is printed.
     """
     try:
         return job()
@@ -46,7 +46,10 @@
 
 
 class BlockingWorker:
-    """The executor with a thread; bounded by its callers, who keep few jobs waiting."""
+    """An executor with one thread.
+
+    Its queue has no limit of its own, because its callers keep few jobs waiting.
+    """
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -70,6 +73,6 @@
         done.addErrback(Failure.printTraceback)
 
     def stop(self) -> None:
-        """Wait for the job under way; its result is dropped."""
+        """Wait for the running job; its result is dropped."""
         self._is_stopped = True
         self._pool.stop()
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -1,7 +1,7 @@
-"""Messages between gateways about leases: the byte "R" and one protobuf Frame.
+"""Encodes and decodes messages about leases: the byte "R" and one protobuf Frame.
 
-This is the one place where the names on the wire (`registers.proto`) and the names of
-the code both stand. Whatever cannot be read is a `MalformedFrameError`.
+This module maps the wire names (`registers.proto`) to the names in the code. A message
+that cannot be decoded raises `MalformedFrameError`.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 FRAME_VERSION = 1
 MAX_FRAME_BYTES = 1 << 19
 MAX_FRAME_MESSAGES = 2000
-FRAME_BYTES = 200_000  # requests or replies are parted into frames of about so many
+FRAME_BYTES = 200_000  # approximate size limit of one frame of requests or replies
 MAX_NUMBER = 1 << 60
 
 FramePayload = (
@@ -64,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedRequests:
-    """Requests to one acceptor.
+    """Encoded requests to one acceptor.
 
     Attributes:
-        clock_id: Clock that their creation times are on; 0 where too little is known
-            of the acceptor's.
-        calls: The requests, in their order.
+        clock_id: The acceptor's clock, on which the creation times are; 0 if too little
+            is known of that clock to send any.
+        calls: The requests, in order.
     """
 
     clock_id: int
@@ -77,7 +77,7 @@
 
 
 def settings_digest(acceptors: Iterable[str], timings: LeaseTimings) -> int:
-    """Return a digest of what must be the same at all gateways."""
+    """Return a digest of the settings that must be the same at all gateways."""
     settings = (
         sorted(acceptors),
         timings.lease_duration,
@@ -88,34 +88,34 @@
 
 
 def encode_frame(payload: FramePayload) -> bytes:
-    """Return the body of one message."""
+    """Return the body of a message with one frame."""
     frame = wire.Frame(version=FRAME_VERSION)
     field = getattr(frame, _FRAME_FIELDS[type(payload)])
     field.CopyFrom(payload)
-    field.SetInParent()  # an empty message is there as well
+    field.SetInParent()  # sets the field for an empty payload as well
     return FRAME_MARK + frame.SerializeToString()
 
 
 def decode_frame(body: bytes) -> wire.Frame:
     """Return the Frame of a body that begins with the mark.
 
-    Its `WhichOneof` is None for what only a later version knows.
+    Its `WhichOneof` returns None for a message type of a later version.
 
     Raises:
-        MalformedFrameError: It is too long, or no protobuf of ours.
+        MalformedFrameError: The body is too long or not a Frame.
     """
     if len(body) > MAX_FRAME_BYTES:
         raise MalformedFrameError(
-            f"a body of {len(body)} bytes, {MAX_FRAME_BYTES} at most"
+            f"lease message has {len(body)} bytes, limit {MAX_FRAME_BYTES}"
         )
     try:
         return wire.Frame.FromString(body[1:])
     except DecodeError as error:
-        raise MalformedFrameError("a body that is no protobuf of ours") from error
+        raise MalformedFrameError("lease message is not a valid Frame") from error
 
 
 def is_valid_key(key: str) -> bool:
-    """Whether it can be a lease's name: UTF-8, not empty, not too long."""
+    """Whether a key can name a lease: UTF-8, not empty, `MAX_KEY_BYTES` at most."""
     try:
         return 0 < len(key.encode()) <= MAX_KEY_BYTES
     except UnicodeEncodeError:
@@ -123,14 +123,14 @@
 
 
 def encode_identity(identity: StateIdentity) -> wire.Identity:
-    """Return an identity as a message."""
+    """Encode an identity."""
     return wire.Identity(
-        age=identity.age, chance=identity.chance, generation=identity.generation
+        age=identity.epoch, chance=identity.nonce, generation=identity.generation
     )
 
 
 def decode_identity(identity: wire.Identity) -> StateIdentity:
-    """Read an identity."""
+    """Decode an identity."""
     return StateIdentity(
         _number(identity.age), identity.chance, _number(identity.generation)
     )
@@ -139,9 +139,9 @@
 def encode_request(
     request: AcceptorRequest, created_at: int | None = None
 ) -> wire.Call:
-    """Return a request as a message.
+    """Encode a request.
 
-    `created_at` is on the acceptor's clock, None where that is not known.
+    `created_at` is on the acceptor's clock; None if that time is not known.
     """
     call = wire.Call(
         ask=request.kind.value,
@@ -161,9 +161,9 @@
 def decode_request(
     sender: str, call: wire.Call, created_at: int = CREATED_ON_ARRIVAL
 ) -> AcceptorRequest | None:
-    """Read a request; None for a kind that only a later version knows.
+    """Decode a request; return None for a request kind of a later version.
 
-    `created_at` holds where the request itself has none.
+    `created_at` is used if the request has no creation time of its own.
     """
     kind = _REQUEST_KINDS.get(call.ask)
     if kind is None:
@@ -183,9 +183,10 @@
     requests: Iterable[AcceptorRequest],
     to_remote: Callable[[int], RemoteTime | None],
 ) -> EncodedRequests:
-    """Return requests to one acceptor.
+    """Encode requests to one acceptor.
 
-    `to_remote` gives what its clock reads at the least at a time of this gateway.
+    `to_remote` converts a time of this gateway to the least reading that the acceptor's
+    clock can have had at that time.
     """
     calls = []
     clock_id = 0
@@ -202,10 +203,10 @@
 def decode_requests(
     sender: str, calls: wire.Calls, clock_id: int
 ) -> list[AcceptorRequest]:
-    """Read what can be read of a frame's requests.
+    """Decode the requests of a frame, without request kinds of later versions.
 
-    Creation times on a clock that is not this one's, `clock_id`, are left out. A
-    gateway of an earlier version sends none at all.
+    Creation times on another clock than `clock_id`, this acceptor's, are ignored. A
+    gateway of an earlier version sends no creation times.
     """
     created_at = UNKNOWN if calls.HasField("whose") else CREATED_ON_ARRIVAL
     requests = []
@@ -219,13 +220,13 @@
 
 
 def decode_own_request(sender: str, call: wire.Call) -> AcceptorRequest:
-    """Return what identifies a request of this gateway; it lacks its value."""
+    """Decode a request that this gateway encoded, without its value."""
     ballot = Ballot(call.round, sender, call.nonce)
     return AcceptorRequest(_REQUEST_KINDS[call.ask], call.channel, ballot, call.index)
 
 
 def encode_reply(reply: AcceptorReply) -> wire.Answer:
-    """Return a reply as a message."""
+    """Encode a reply."""
     answer = wire.Answer(
         ask=reply.kind.value,
         channel=reply.key,
@@ -252,7 +253,7 @@
 
 
 def decode_reply(receiver: str, answer: wire.Answer) -> AcceptorReply | None:
-    """Read a reply; None for a kind or status that only a later version knows."""
+    """Decode a reply; return None for a kind or status of a later version."""
     kind = _REQUEST_KINDS.get(answer.ask)
     status = _REPLY_STATUSES.get(answer.say)
     if kind is None or status is None:
@@ -280,7 +281,7 @@
 
 
 def encode_record(record: LeaseRecord, key: str = "") -> wire.Kept:
-    """Return a record as it is sent to another acceptor and as it is stored."""
+    """Encode a record, to send it to another acceptor or to store it."""
     kept = wire.Kept(promised=_encode_ballot(record.promised))
     if key:
         kept.channel = key
@@ -293,7 +294,7 @@
 
 
 def decode_record(kept: wire.Kept, written_at: int = 0) -> LeaseRecord:
-    """Read a record."""
+    """Decode a record."""
     version = UNWRITTEN
     if kept.HasField("stamp"):
         version = RecordVersion(_decode_ballot(kept.stamp), _number(kept.index))
@@ -307,7 +308,7 @@
 
 
 def encode_page(after: str, page: SnapshotPage) -> wire.Page:
-    """Return a page of records as a message."""
+    """Encode a page of records that answers a query for records after a key."""
     return wire.Page(
         after=after,
         kept=[encode_record(record, key) for key, record in page.records],
@@ -317,7 +318,7 @@
 
 
 def decode_page(page: wire.Page) -> SnapshotPage:
-    """Read a page of records."""
+    """Decode a page of records."""
     return SnapshotPage(
         tuple((_key(each.channel), decode_record(each)) for each in page.kept),
         _number(page.floor),
@@ -326,20 +327,20 @@
 
 
 def split_into_frames(messages: Iterable[_Message]) -> Iterator[list[_Message]]:
-    """Part requests or replies into lists that each fit a frame."""
-    found: list[_Message] = []
+    """Split requests or replies into lists that each fit into one frame."""
+    part: list[_Message] = []
     size = 0
     for message in messages:
         length = message.ByteSize()
-        is_full = size + length > FRAME_BYTES or len(found) >= MAX_FRAME_MESSAGES
-        if found and is_full:
-            yield found
-            found = []
+        is_full = size + length > FRAME_BYTES or len(part) >= MAX_FRAME_MESSAGES
+        if part and is_full:
+            yield part
+            part = []
             size = 0
-        found.append(message)
+        part.append(message)
         size += length
-    if found:
-        yield found
+    if part:
+        yield part
 
 
 def _encode_ballot(ballot: Ballot) -> wire.Ballot:
@@ -352,14 +353,17 @@
 
 def _number(value: int) -> int:
     if value > MAX_NUMBER:
-        raise MalformedFrameError(f"a number of {value}, {MAX_NUMBER} at most")
+        raise MalformedFrameError(
+            f"lease message has number {value}, limit {MAX_NUMBER}"
+        )
     return value
 
 
 def _key(key: str) -> str:
     if not is_valid_key(key):
         raise MalformedFrameError(
-            f"a name of {len(key)} characters, {MAX_KEY_BYTES} bytes at most"
+            f"lease key must be UTF-8 of 1 to {MAX_KEY_BYTES} bytes, found "
+            f"{len(key)} characters"
         )
     return key
 
@@ -367,6 +371,6 @@
 def _value(value: bytes) -> bytes:
     if len(value) > MAX_VALUE_BYTES:
         raise MalformedFrameError(
-            f"a record of {len(value)} bytes, {MAX_VALUE_BYTES} at most"
+            f"lease record has {len(value)} bytes, limit {MAX_VALUE_BYTES}"
         )
     return value
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -1,8 +1,9 @@
-"""Errors of the lease service, each a type.
+"""Error types of the lease service.
 
-`retry_delay` is when a retry helps, in ticks of a tenth of a millisecond; 0 for not by
-itself. The metric `milletsill_offices_takes_total` has their names. `what` is sent to
-clients as a status's text, whose words stay those of the users' pages.
+`retry_delay` is the time after which a retry can succeed, in ticks of a tenth of a
+millisecond; 0 where waiting alone does not help. The names of the types are label
+values of the metric `milletsill_offices_takes_total`. `what` is sent to clients as the
+text of a status. The settings and metrics call a lease an office.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class CoordinationError(MilletsillError):
-    """An error of a lease, or of the channel that it is for."""
+    """An error of a lease, or of the channel that the lease protects."""
 
     def __init__(self, what: str, where: str = "", retry_delay: int = 0) -> None:
         super().__init__(what, where)
@@ -19,11 +20,11 @@
 
 
 class QuorumNotReachedError(CoordinationError):
-    """Too few acceptors answered in time."""
+    """Fewer than a majority of the acceptors replied in time."""
 
     remedy = (
-        "see that over half of the gateways named in fleet.channels.register run and "
-        "reach each other"
+        "check that more than half of the gateways named in fleet.channels.register "
+        "run and reach each other"
     )
 
 
@@ -31,8 +32,8 @@
     """Another gateway, `holder`, holds the lease."""
 
     remedy = (
-        "none: the lease passes on when it ends or is released; with one name again "
-        "and again, see that gateway's log"
+        "none: another gateway can acquire the lease once it ends or is released; if "
+        "the same holder is named repeatedly, see that gateway's log"
     )
 
     def __init__(
@@ -43,87 +44,89 @@
 
 
 class BallotSupersededError(CoordinationError):
-    """A later ballot was promised: the term under which this was to be done is over."""
+    """An acceptor promised a higher ballot, so this gateway's lease term is over."""
 
     remedy = (
-        "none; if it comes often, compare the gateways' views and their clocks' rates"
+        "none; if it occurs often, compare the gateways' views and their clock rates"
     )
 
 
 class LeaseNotHeldError(CoordinationError):
-    """The lease was released, lost, or never held here."""
+    """This gateway released the lease, lost it, or never held it."""
 
-    remedy = "none: the lease is acquired again"
+    remedy = "none: the gateway acquires the lease again"
 
 
 class ResourceLimitReachedError(CoordinationError):
-    """A bound of this gateway: leases, requests under way, or bytes of a record."""
+    """A limit of this gateway: leases, pending requests, or the size of a record."""
 
     remedy = (
-        "raise fleet.channels.most_channels, or have clients use fewer channels; see "
+        "raise fleet.channels.most_channels, or let clients use fewer channels; see "
         "milletsill_offices_pending"
     )
 
 
 class AcceptorStateCorruptError(CoordinationError):
-    """The acceptor's file cannot be read whole, or a row fails its checksum."""
+    """The acceptor's file cannot be read in full, or a row fails its checksum."""
 
     remedy = (
-        "look at the disk; the file was set aside and the acceptor catches up from "
-        "the others by itself"
+        "check the disk; the file was renamed and the acceptor recovers from the other "
+        "acceptors automatically"
     )
 
 
 class AcceptorStateRolledBackError(CoordinationError):
-    """The acceptor's file is an older copy: others heard later things from it."""
+    """The acceptor's file is an older copy: other gateways know a later state of it."""
 
     remedy = (
-        "never put back copies of state_dir; the acceptor catches up from the others "
-        "by itself"
+        "never restore copies of state_dir; the acceptor recovers from the other "
+        "acceptors automatically"
     )
 
 
 class AcceptorStateMissingError(CoordinationError):
-    """The acceptor's file is gone, though others know that there was one."""
+    """The acceptor's file is missing, although other gateways know a state of it."""
 
     remedy = (
-        "see that state_dir is kept over restarts; the acceptor catches up from the "
-        "others by itself"
+        "check that state_dir is kept over restarts; the acceptor recovers from the "
+        "other acceptors automatically"
     )
 
 
 class DiskFullError(CoordinationError):
-    """The acceptor cannot write; it answers nothing that it has not written."""
+    """The acceptor cannot write; it grants nothing that it has not written."""
 
-    remedy = "make room on the disk of state_dir; the acceptor goes on by itself"
+    remedy = (
+        "free space on the disk of state_dir; the acceptor then continues automatically"
+    )
 
 
 class LeaseSettingsMismatchError(CoordinationError):
-    """Another gateway has other acceptors or timings: its requests are declined."""
+    """Another gateway has other acceptors or timings, so its requests are refused."""
 
     remedy = (
-        "make fleet.channels.register, office_s, call_ms and drift_permille the same "
-        "in all gateways' files"
+        "set fleet.channels.register, office_s, call_ms and drift_permille to the same "
+        "values in all gateways' files"
     )
 
 
 class AcceptorSetChangedError(CoordinationError):
-    """The settings name other acceptors than those the state was made for.
+    """The settings name other acceptors than those that the state was created for.
 
-    Majorities of the old set and of the new need not meet.
+    A majority of the old set and a majority of the new set can be disjoint.
     """
 
     remedy = (
-        "put the old names back (a machine is replaced under its name); or stop all "
-        "gateways, let every acceptor that is kept go on by a file FILE.go-on beside "
-        "its own, and know that records at the removed ones alone are lost"
+        "restore the old names (a replaced machine keeps its name); or stop all "
+        "gateways, create an empty file FILE.go-on beside the file of each remaining "
+        "acceptor, and start them: records that only removed acceptors had are lost"
     )
 
 
 class AcceptorStateUnusableError(CoordinationError):
-    """The disk does not take writes, or the file is of a later version."""
+    """The disk does not accept writes, or a later version wrote the file."""
 
     remedy = (
-        "see that state_dir is writable, on a disk in order, and that no later version "
-        "has written there; then restart"
+        "check that state_dir is writable, that its disk has no errors, and that no "
+        "later version has written there; then restart"
     )
--- a/milletsill/fleet/leases/lease_manager.py
+++ b/milletsill/fleet/leases/lease_manager.py
@@ -1,8 +1,9 @@
-"""Leases at one gateway: acquired, renewed, written under and released.
+"""Acquires, renews, writes under and releases the leases of one gateway.
 
-`LeaseManager` is what the rest of the program uses. Its callbacks are called by the
-reactor, never from within a call. What decides is `lease_proposer`; where this
-gateway is an acceptor itself, its `AcceptorService` is part of the manager.
+`LeaseManager` is the interface of the lease service to the rest of the program. The
+reactor calls its callbacks, never from within a call to the manager. `lease_proposer`
+makes the decisions. If this gateway is an acceptor, the manager also runs its
+`AcceptorService`.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
     LeaseNotHeldError,
     ResourceLimitReachedError,
 )
-from milletsill.fleet.leases.lease_messenger import LeaseMessenger, OnForeignMessage
+from milletsill.fleet.leases.lease_messenger import LeaseMessenger, OnChannelMessage
 from milletsill.fleet.leases.lease_proposer import LeaseProposer, next_used_rounds
 from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
 from milletsill.fleet.leases.lease_term import (
@@ -46,25 +47,25 @@
 from milletsill.fleet.transport import MessageKind
 
 MAX_OPEN_ROUNDS = 20_000
-MAX_CALLBACKS = 256  # who wait for one lease
-RENEW_AFTER = 0.5  # part of a lease after which a term in use is renewed
-DROP_AFTER = 600_000  # a proposer whose lease ended so many ticks ago is dropped
-SWEEP_SIZE = 2000  # leases that one look goes through
+MAX_CALLBACKS = 256  # callbacks that wait for one lease, or for its queued write
+RENEW_AFTER = 0.5  # fraction of the lease duration after which a term is renewed
+DROP_AFTER = 600_000  # ticks after the end of a lease until its proposer is dropped
+SWEEP_SIZE = 2000  # leases that one renewal timer run checks for removal
 
 
 class LeaseManager:
     """All leases of one gateway.
 
     Args:
-        settings: Of the lease service.
-        environment: What it needs of the program.
-        worker: Runs the acceptor's jobs; a thread of its own by default. Not used
-            where this gateway is no acceptor.
+        settings: Settings of the lease service.
+        environment: The program's interfaces that the lease service uses.
+        worker: Runs the acceptor's jobs; by default a thread of its own. Not used if
+            this gateway is not an acceptor.
 
     Attributes:
-        settings: As given.
+        settings: Settings of the lease service.
         now: This gateway's clock, in ticks.
-        leases: What is kept of each lease, by key.
+        leases: State of each lease, by key.
     """
 
     def __init__(
@@ -114,17 +115,17 @@
 
     @property
     def acceptor(self) -> AcceptorService | None:
-        """This gateway's acceptor, None where it is none."""
+        """This gateway's acceptor; None if the gateway is not an acceptor."""
         host = self._acceptor_host
         return None if host is None else host.service
 
-    # For users of leases.
+    # Interface for the users of leases.
 
     def acquire(self, key: str, on_acquired: OnAcquired) -> None:
         """Acquire a lease, or renew it.
 
-        `on_acquired` gets a `LeaseTerm`, or an error whose `retry_delay` is when to
-        come back, in ticks.
+        `on_acquired` receives a `LeaseTerm`, or an error whose `retry_delay` is the
+        time after which a retry can succeed, in ticks.
         """
         refusal = self._acquire_refusal(key)
         if refusal is not None:
@@ -146,7 +147,7 @@
 
     def _acquire_refusal(self, key: str) -> ResourceLimitReachedError | None:
         if not codec.is_valid_key(key):
-            what = f"a channel's name is UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
+            what = f"a channel name must be UTF-8 of 1 to {MAX_KEY_BYTES} bytes"
             return ResourceLimitReachedError(what, "leases")
         entry = self.leases.get(key)
         if entry is None:
@@ -155,14 +156,15 @@
             is_full = len(entry.acquiring) >= MAX_CALLBACKS
         if not is_full and self._sender.open_rounds < MAX_OPEN_ROUNDS:
             return None
-        what = "too many channels or calls under way"
+        what = "too many channels or requests in progress"
         return ResourceLimitReachedError(what, "leases", self._timings.call_timeout)
 
     def write(self, term: LeaseTerm, value: bytes, on_written: OnWritten) -> None:
         """Write a lease's whole record, and renew the lease.
 
-        `on_written` gets None once a majority has it. Writes that come while one is
-        under way become one, the last. After an error the term is over.
+        `on_written` receives None once a majority has accepted the write. Of several
+        writes that are requested during another write, only the last is carried out.
+        After an error the term is over.
         """
         refusal = self._write_refusal(term, value)
         if refusal is not None:
@@ -175,18 +177,18 @@
     def _write_refusal(self, term: LeaseTerm, value: bytes) -> CoordinationError | None:
         entry = self.leases.get(term.key)
         if term.is_ended or entry is None or entry.term is not term:
-            return LeaseNotHeldError("the term is over", term.key)
+            return LeaseNotHeldError("the lease term is over", term.key)
         if len(value) > self._max_value:
-            what = f"a record of {len(value)} bytes, {self._max_value} at most"
+            what = f"record has {len(value)} bytes, limit {self._max_value}"
             return ResourceLimitReachedError(what, term.key)
         has_room = len(entry.queued) < MAX_CALLBACKS
         if has_room and self._sender.open_rounds < MAX_OPEN_ROUNDS:
             return None
-        what = "too many writes under way"
+        what = "too many writes in progress"
         return ResourceLimitReachedError(what, term.key, self._timings.call_timeout)
 
     def holds(self, term: LeaseTerm) -> bool:
-        """Whether nobody else can hold the lease now, by this gateway's clock."""
+        """Whether this gateway holds the lease now, by its own clock."""
         proposer = term.proposer
         return (
             not term.is_ended
@@ -195,27 +197,28 @@
         )
 
     def release(self, term: LeaseTerm) -> None:
-        """End a term under which nothing is out: others may acquire it at once.
+        """End a term, so that other gateways can acquire the lease at once.
 
-        Whoever waits for a write under it gets an error.
+        No request that was sent under the term may be in flight. Callbacks of pending
+        writes receive an error.
         """
         entry = self.leases.get(term.key)
         if entry is not None and entry.term is term and not term.is_ended:
             self._apply(entry, entry.proposer.release(self.now()))
 
     def preferred_holder(self, key: str) -> str:
-        """Return who should hold a lease by this gateway's view, which may be wrong.
+        """Return the gateway that should hold a lease by this gateway's view.
 
-        Empty where the view is empty.
+        The view may be outdated. The result is empty if the view is empty.
         """
         return next(iter(self._transport.view.rendezvous(key, 1)), "")
 
-    def set_on_foreign_message(self, on_message: OnForeignMessage) -> None:
-        """Set who gets messages of `MessageKind.CHANNEL` that are not about leases."""
-        self._messenger.on_foreign_message = on_message
+    def set_on_channel_message(self, on_message: OnChannelMessage) -> None:
+        """Set the handler of `MessageKind.CHANNEL` messages that are not for leases."""
+        self._messenger.on_channel_message = on_message
 
     def stop(self) -> None:
-        """Release the leases under which nothing is out, and close the acceptor."""
+        """Release the leases that are not in use, and close the acceptor."""
         for entry in list(self.leases.values()):
             if entry.term is not None and not entry.term.in_use:
                 self._apply(entry, entry.proposer.release(self.now()))
@@ -225,7 +228,7 @@
         if self._acceptor_host is not None:
             self._acceptor_host.stop()
 
-    # What a proposer wants done.
+    # Effects of proposers.
 
     def _apply(self, entry: LeaseEntry, effects: Iterable[ProposerEffect]) -> None:
         for effect in effects:
@@ -238,7 +241,7 @@
         proposer = entry.proposer
         if effect is ProposerEffect.WRITE:
             entry.writing = entry.take_queued()
-        # The last of the effects is what is under way.
+        # The round of the last effect is the one in progress.
         if proposer.current_round is not None:
             self._sender.begin_round(proposer, proposer.current_round)
 
@@ -258,7 +261,7 @@
             case ProposerEffect.LOSE:
                 self._on_ended(entry, self._round_error(proposer))
             case ProposerEffect.RELEASE:
-                error = LeaseNotHeldError("the office was given up", proposer.key)
+                error = LeaseNotHeldError("the lease was released", proposer.key)
                 self._on_ended(entry, error)
 
     def _on_held(self, entry: LeaseEntry, is_new: bool) -> None:
@@ -296,14 +299,14 @@
             if proposer.value_since is not None:  # when the round was sent
                 elapsed = self.now() - proposer.value_since
                 self._metrics.write_seconds.observe(elapsed / TICKS_PER_SECOND)
-            # A write renews the lease: so whoever wanted that has it.
+            # A write renews the lease, so pending acquisitions have succeeded.
             self._finish_acquire(entry, term)
         self._metrics.writes.labels("written").inc(len(waiting))
         for on_written in waiting:
             self._timers.call_soon(on_written, None)
 
     def _refuse_queued(self, entry: LeaseEntry) -> None:
-        error = LeaseNotHeldError("the office is not held", entry.proposer.key)
+        error = LeaseNotHeldError("the lease is not held", entry.proposer.key)
         for on_written in entry.take_queued():
             self._timers.call_soon(on_written, error)
 
@@ -324,7 +327,7 @@
     def _round_error(self, proposer: LeaseProposer) -> CoordinationError:
         return round_error(proposer, self._timings, self._random)
 
-    # What comes of requests.
+    # Results of requests.
 
     def _on_reply(self, acceptor: str, reply: AcceptorReply) -> None:
         entry = self.leases.get(reply.key)
@@ -337,14 +340,14 @@
         if entry is not None and entry.proposer is proposer:
             self._apply(entry, proposer.on_timer(now))
 
-    # Upkeep.
+    # Renewal, and removal of unused proposers.
 
     def _start_renewal_timer(self) -> None:
         interval = int(self._timings.lease_duration * RENEW_AFTER / 4)
         self._timers.start("renew", interval, self._renew)
 
     def _renew(self) -> None:
-        """Renew terms in use, and look at some leases that may be dropped."""
+        """Renew terms in use, and drop some unused proposers."""
         self._start_renewal_timer()
         now = self.now()
         for term in list(self._terms_in_use):
@@ -374,7 +377,10 @@
         del self._sweep[-SWEEP_SIZE:]
 
     def _drop_if_unused(self, entry: LeaseEntry, now: int) -> None:
-        """Drop a proposer that nobody has used for long; its rounds stay used."""
+        """Drop a proposer that has been unused for `DROP_AFTER`.
+
+        The ballot rounds that it used are not used again.
+        """
         proposer = entry.proposer
         term = entry.term
         if term is not None and term.in_use:
--- a/milletsill/fleet/leases/lease_messenger.py
+++ b/milletsill/fleet/leases/lease_messenger.py
@@ -1,4 +1,4 @@
-"""Messages about leases between gateways: encoded, sent, read and handed on."""
+"""Encodes, sends, decodes and dispatches messages about leases between gateways."""
 
 from __future__ import annotations
 
@@ -25,29 +25,30 @@
 from milletsill.fleet.peer_clocks import PeerClocks
 from milletsill.fleet.transport import MessageKind
 
-MALFORMED_LOG_INTERVAL = 600_000  # between two log events of unreadable messages
+# Ticks between two log events about malformed messages.
+MALFORMED_LOG_INTERVAL = 600_000
 _NEVER = -1 << 60
 
 OnReply = Callable[[str, AcceptorReply], None]
-OnForeignMessage = Callable[[str, int, bytes], None]
+OnChannelMessage = Callable[[str, int, bytes], None]
 
 
 class LeaseMessenger:
     """One gateway's messages about leases.
 
     Args:
-        settings: Of the lease service.
-        environment: What it needs of the program.
-        metrics: Of the lease service.
-        clock_id: Drawn at each start; identifies the clock that times are on.
+        settings: Settings of the lease service.
+        environment: The program's interfaces that the lease service uses.
+        metrics: Metrics of the lease service.
+        clock_id: Random number that identifies this gateway's clock until it restarts.
         on_reply: Called with each reply of an acceptor to this gateway.
 
     Attributes:
-        acceptor: This gateway's acceptor, None where it is none.
-        settings_digest: Digest of what must be the same at all gateways.
-        on_foreign_message: Called with messages of `MessageKind.CHANNEL` that are
-            not about leases: gateway, its incarnation, body.
-        is_stopped: Nothing is sent or handed on any more.
+        acceptor: This gateway's acceptor; None if the gateway is not an acceptor.
+        settings_digest: Digest of the settings that must be the same at all gateways.
+        on_channel_message: Called with the sender, its incarnation and the body of
+            each `MessageKind.CHANNEL` message that is not about leases.
+        is_stopped: Whether the messenger ignores all messages, in both directions.
     """
 
     def __init__(
@@ -75,15 +76,16 @@
             settings.acceptors, settings.timings
         )
         self.acceptor: AcceptorService | None = None
-        self.on_foreign_message: OnForeignMessage = _ignore_message
+        self.on_channel_message: OnChannelMessage = _ignore_message
         self.is_stopped = False
 
-    # To other gateways.
+    # Messages to other gateways.
 
     def send_requests(self, acceptor: str, requests: Iterable[AcceptorRequest]) -> None:
         """Send requests to an acceptor.
 
-        Where that is not possible, the acceptor counts as UNAVAILABLE at once.
+        Requests that cannot be sent are treated as if the acceptor had replied
+        UNAVAILABLE at once.
         """
         encoded = codec.encode_requests(
             requests, lambda at: self._clocks.to_remote(acceptor, at, self._now())
@@ -108,7 +110,7 @@
             self._on_reply(acceptor, reply)
 
     def send_replies(self, gateway: str, replies: Sequence[AcceptorReply]) -> None:
-        """Send replies of this gateway's acceptor to a gateway, also to this one."""
+        """Send replies of this gateway's acceptor to a gateway, or to itself."""
         if self.acceptor is None or self.is_stopped:
             return
         if gateway == self._transport.name:
@@ -123,9 +125,9 @@
             )
             self._send(gateway, payload)
 
-    def query_witnesses(self, everybody: bool) -> None:
-        """Ask acceptors, or all gateways, which identity of this one they know."""
-        names = self._transport.view.by_name if everybody else self._acceptors
+    def query_known_identity(self, all_gateways: bool) -> None:
+        """Ask the acceptors, or all gateways, which identity they know of this one."""
+        names = self._transport.view.by_name if all_gateways else self._acceptors
         for name in names:
             if name != self._transport.name:
                 self._send(name, wire.Hello())
@@ -135,9 +137,9 @@
         self._send(acceptor, wire.Tell(after=after))
 
     def announce_identity(self) -> None:
-        """Send the other acceptors this one's identity, where it changed.
+        """Send this acceptor's identity to the other acceptors if it has changed.
 
-        So an older copy of its state shows.
+        With it they can detect that this acceptor's file was replaced by an older copy.
         """
         acceptor = self.acceptor
         if acceptor is None or not acceptor.is_serving():
@@ -154,14 +156,14 @@
             body = codec.encode_frame(payload)
             self._transport.send(gateway, MessageKind.CHANNEL, body)
 
-    # From other gateways.
+    # Messages from other gateways.
 
     def on_message(self, gateway: str, incarnation: int, body: bytes) -> None:
         """Handle a message of `MessageKind.CHANNEL`."""
         if self.is_stopped:
             return
         if not body.startswith(codec.FRAME_MARK):
-            self.on_foreign_message(gateway, incarnation, body)
+            self.on_channel_message(gateway, incarnation, body)
             return
         try:
             self._on_frame(gateway, codec.decode_frame(body))
@@ -176,7 +178,7 @@
             self._log("lease_message_error", **error.log_fields(), member=gateway)
 
     def _on_frame(self, gateway: str, frame: wire.Frame) -> None:
-        """Hand a frame on; what only a later version knows is ignored."""
+        """Dispatch a frame; message types of later versions are ignored."""
         payload = frame.WhichOneof("what")
         if gateway in self._acceptors:
             self._on_acceptor_frame(gateway, payload, frame)
@@ -189,19 +191,19 @@
         elif payload == "witness":
             has_known = frame.witness.HasField("known")
             known = codec.decode_identity(frame.witness.known) if has_known else None
-            acceptor.on_witness(gateway, known)
+            acceptor.on_known_identity(gateway, known)
 
     def _on_acceptor_frame(
         self, name: str, payload: str | None, frame: wire.Frame
     ) -> None:
-        """Handle what only acceptors send."""
+        """Handle the message types that only acceptors send."""
         match payload:
             case "answers":
                 self._on_answers(name, frame.answers)
             case "beat":
                 self._on_identity(name, codec.decode_identity(frame.beat.own))
             case "hello":
-                self._send_witness(name)
+                self._send_known_identity(name)
             case "tell":
                 self._on_page_query(name, frame.tell.after)
             case "page" if self.acceptor is not None:
@@ -224,12 +226,13 @@
             after, lambda page: self._send(name, codec.encode_page(after, page))
         )
 
-    # What is known of acceptors' identities.
+    # Known identities of acceptors.
 
     def _on_identity(self, name: str, identity: StateIdentity) -> None:
         """Keep the greatest identity that an acceptor has sent.
 
-        One that sends a lesser one gets a witness of it, now and then.
+        An acceptor that sends a lesser identity is sent the known one, at most once per
+        `QUERY_INTERVAL`.
         """
         known = self._known_identity(name)
         if self.acceptor is not None:
@@ -241,7 +244,7 @@
         is_due = now - self._warned_at.get(name, _NEVER) >= QUERY_INTERVAL
         if is_stale(known, identity) and is_due:
             self._warned_at[name] = now
-            self._send_witness(name)
+            self._send_known_identity(name)
 
     def _known_identity(self, name: str) -> StateIdentity | None:
         received = self._identities.get(name)
@@ -250,7 +253,7 @@
             return received or stored
         return max(received, stored)
 
-    def _send_witness(self, name: str) -> None:
+    def _send_known_identity(self, name: str) -> None:
         known = self._known_identity(name)
         witness = wire.Witness()
         if known is not None:
@@ -259,4 +262,4 @@
 
 
 def _ignore_message(gateway: str, incarnation: int, body: bytes) -> None:
-    """Handle no messages."""
+    """Ignore a message; the handler until one is set."""
--- a/milletsill/fleet/leases/lease_proposer.py
+++ b/milletsill/fleet/leases/lease_proposer.py
@@ -1,8 +1,8 @@
-"""One lease at one gateway: acquiring, renewing, writing under it, losing it. Pure.
+"""State machine of one lease at one gateway. No I/O and no clock.
 
-A proposer sends one request at a time to all acceptors, as a `QuorumRound`.
-`proposer_table` has what each event does in each state; `LeaseProposer` carries it
-out.
+It acquires, renews, writes under and releases the lease. A proposer has one request
+at a time in progress, a `QuorumRound` to all acceptors. `proposer_table` defines the
+effect of each event in each state; `LeaseProposer` applies it.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 )
 from milletsill.fleet.leases.timings import LeaseTimings
 
-# Ballots that are tried in one acquisition where only a higher one stands in the way.
+# Ballots that one acquisition tries while all refusals are for too low a ballot.
 MAX_BALLOT_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """A value to be written, and when it was made in ticks."""
+    """A value to be written, and when it was created, in ticks."""
 
     value: bytes
     created_at: int
@@ -50,20 +50,29 @@
 class LeaseProposer:
     """The state machine of one lease at one gateway.
 
-    Its methods take the gateway's clock in ticks and return the effects in the order
-    in which they happened.
+    Its methods take the gateway's clock in ticks and return the effects in order.
 
     Attributes:
-        state: Where it stands.
+        key: The lease's name.
+        gateway: Name of the gateway, part of its ballots.
+        nonce: Random number of this start of the gateway, part of its ballots.
+        timings: Durations of leases and requests.
+        acceptors: Number of acceptors.
+        state: The current state.
         ballot: The ballot of the last acquisition.
-        value: The record, as it was read or written last.
-        value_since: When the value was surely there at the earliest, in ticks; None
-            for unknown.
-        expires_at: When the lease ends on this gateway's clock; 0 without one.
-        current_round: The requests under way, if any.
-        release_request: Sent to the acceptors when the lease is over, if anything.
-        refusal: The reply that explains best why the last round failed, if any.
+        write_number: Number of the last write under the ballot.
+        value: The record that was read or written last.
+        value_since: The earliest time at which the record can have received the value,
+            in ticks; None if unknown.
+        expires_at: When the lease ends on this gateway's clock; 0 without a lease.
+        current_round: The round in progress, if any.
+        queued_write: The write that waits for the round in progress, if any.
+        attempts: Ballots that the current acquisition has used.
         highest_round: The highest ballot round that was used or is known.
+        renewals: Number of the last renewal under the ballot.
+        release_request: The request that the owner sends to the acceptors when the
+            lease is over, if any.
+        refusal: The most informative refusal of the last round that failed, if any.
     """
 
     __slots__ = (
@@ -116,7 +125,7 @@
         self.refusal: AcceptorReply | None = None
 
     def holds(self, now: int) -> bool:
-        """Whether nobody else can hold the lease now."""
+        """Whether this gateway holds the lease, so that no other gateway can."""
         return self.state in LEASE_HELD_STATES and now < self.expires_at
 
     def acquire(self, now: int) -> list[ProposerEffect]:
@@ -128,16 +137,17 @@
     def write(self, value: bytes, now: int) -> list[ProposerEffect]:
         """Write the whole record.
 
-        A write under way is awaited; of several that wait only the last is made.
+        The write waits for a round in progress. If several writes wait, only the last
+        one is carried out.
         """
         return self._step(ProposerEvent.WRITE, now, PendingWrite(value, now))
 
     def release(self, now: int) -> list[ProposerEffect]:
-        """End the lease at once: others may acquire it."""
+        """End the lease at once, so that other gateways can acquire it."""
         return self._step(ProposerEvent.RELEASE, now)
 
     def on_timer(self, now: int) -> list[ProposerEffect]:
-        """End a round whose time is over; has no effect before that."""
+        """End a round that has timed out; no effect before its timeout."""
         current = self.current_round
         if current is None or is_open(current, now, self.timings):
             return []
@@ -147,7 +157,7 @@
     def on_reply(
         self, acceptor: str, reply: AcceptorReply, now: int
     ) -> list[ProposerEffect]:
-        """Count a reply; one that belongs to no open round is left."""
+        """Count a reply; a reply that belongs to no open round is ignored."""
         self.highest_round = max(self.highest_round, reply.promised_round)
         current = self.current_round
         if (
@@ -162,7 +172,7 @@
         return [] if event is None else self._step(event, now)
 
     def _round_event(self, current: QuorumRound) -> ProposerEvent | None:
-        """Return what the replies so far come to, None where more are awaited."""
+        """Return the event that the replies so far cause; None if undecided."""
         if current.has_quorum(self.acceptors):
             return self._quorum_event(current)
         if not current.cannot_reach_quorum(self.acceptors):
@@ -170,7 +180,7 @@
         statuses = {each.status for each in current.refused.values()}
         self.refusal = current.main_refusal()
         if statuses == {ReplyStatus.UNAVAILABLE}:
-            return ProposerEvent.TIMED_OUT  # nobody else holds the lease for that
+            return ProposerEvent.TIMED_OUT  # no evidence of another holder
         can_retry = self.attempts < MAX_BALLOT_ATTEMPTS
         if statuses == {ReplyStatus.BALLOT_TOO_LOW} and can_retry:
             return ProposerEvent.BALLOT_TOO_LOW
@@ -187,7 +197,7 @@
     def _step(
         self, event: ProposerEvent, now: int, write: PendingWrite | None = None
     ) -> list[ProposerEffect]:
-        """Apply one event, and the queued write that it makes room for."""
+        """Apply one event; then start the queued write if the lease is idle again."""
         unchanged = (self.state, ProposerEffect.NONE)
         self.state, effect = PROPOSER_TABLE.get((self.state, event), unchanged)
         if effect in ROUND_EFFECTS:
@@ -254,7 +264,7 @@
     def start_accept(
         self, value: bytes, now: int, created_at: int, is_original: bool
     ) -> None:
-        """Begin the round that writes a value under the ballot."""
+        """Begin the round that writes a value under the current ballot."""
         self.write_number += 1
         request = AcceptorRequest(
             RequestKind.ACCEPT,
@@ -281,7 +291,7 @@
         self._extend_lease()
 
     def _adopt_value(self) -> None:
-        """Take over what a majority has."""
+        """Adopt the latest value of the majority that granted the round."""
         current = self.current_round
         assert current is not None
         replies = tuple(current.granted.values())
@@ -290,7 +300,7 @@
         if age is None:
             self.value_since = None
             return
-        # Clocks are read in whole ticks: one more on each of them.
+        # Both clocks are read in whole ticks, so each reading may be one tick short.
         elapsed = self.timings.on_other_clock(age + 1) + 1
         self.value_since = current.sent_at - elapsed
 
@@ -301,12 +311,12 @@
         self.current_round = None
 
     def _end_lease(self, effect: ProposerEffect) -> None:
-        # A lease that was held and is lost runs to its end at the acceptors: something
-        # may be out under it.
-        is_unused = effect is ProposerEffect.RELEASE or not self.expires_at
+        # A lease that was held and is lost is not released. It runs to its end at the
+        # acceptors, because requests that were sent under it may be in flight.
+        can_release = effect is ProposerEffect.RELEASE or not self.expires_at
         self.release_request = (
             AcceptorRequest(RequestKind.RELEASE, self.key, self.ballot)
-            if is_unused
+            if can_release
             else None
         )
         self.current_round = None
@@ -315,8 +325,9 @@
 
 
 def next_used_rounds(used_rounds: int, proposer: LeaseProposer) -> int:
-    """Return where the ballot rounds of later proposers begin.
+    """Return the round after which the ballots of later proposers begin.
 
-    To be called when a proposer is dropped: no ballot is used twice in one start.
+    The owner calls this when it drops a proposer, so that no ballot is used twice
+    during one start of the gateway.
     """
     return max(used_rounds, proposer.highest_round)
--- a/milletsill/fleet/leases/lease_settings.py
+++ b/milletsill/fleet/leases/lease_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the lease service, and what it needs of the program around it."""
+"""Settings of the lease service, and the program's interfaces that it uses."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnvironment:
-    """What the lease service needs of the program around it.
+    """The program's interfaces that the lease service uses.
 
     Attributes:
-        reactor: Calls later.
+        reactor: Schedules delayed calls.
         now: This gateway's clock, in ticks of a tenth of a millisecond.
         transport: Sends messages to other gateways.
         log: Writes events to the log.
@@ -38,15 +38,16 @@
     """Settings of the lease service at one gateway.
 
     Attributes:
-        acceptors: Names of the gateways that are acceptors.
-        timings: How long leases last; the same at all gateways, as are the acceptors.
-        max_leases: Leases at this gateway, and records at an acceptor, at most.
-        idle_after: An acceptor removes the record of a lease that was unused for so
-            long, in ticks.
+        acceptors: Names of the gateways that are acceptors. They and the timings must
+            be the same at all gateways.
+        timings: Durations of leases and requests.
+        max_leases: The most leases at this gateway, and records at an acceptor.
+        idle_after: An acceptor removes the record of a lease that has been unused for
+            this long, in ticks.
         store_path: File of this gateway's acceptor, if it is one.
-        seed: Of the random retry delays after a ballot was superseded.
-        max_value_bytes: Longest record; the protocol's bound holds as well.
-        max_store_pages: Bound of the file in sqlite's pages; 0 for none.
+        seed: Seed of the random retry delays after a ballot was superseded.
+        max_value_bytes: Size limit of a record; `MAX_VALUE_BYTES` applies as well.
+        max_store_pages: Size limit of the file in SQLite pages; 0 for none.
     """
 
     acceptors: tuple[str, ...]
@@ -59,7 +60,7 @@
     max_store_pages: int = 0
 
     def __post_init__(self) -> None:
-        """Take each acceptor once, in the order of the settings."""
+        """Remove duplicate acceptors; the order of the settings stays."""
         acceptors = tuple(dict.fromkeys(self.acceptors))
         object.__setattr__(self, "acceptors", acceptors)
 
@@ -71,12 +72,12 @@
     Attributes:
         name: The gateway's name.
         others: Names of the other acceptors.
-        timings: How long leases last.
-        settings_digest: Digest of what must be the same at all gateways.
-        max_records: Records at most.
-        idle_after: A record that was unused for so long is removed, in ticks.
+        timings: Durations of leases and requests.
+        settings_digest: Digest of the settings that must be the same at all gateways.
+        max_records: The most records that the acceptor keeps.
+        idle_after: A record that has been unused for this long is removed, in ticks.
         store_path: The acceptor's file.
-        max_store_pages: Bound of the file in sqlite's pages; 0 for none.
+        max_store_pages: Size limit of the file in SQLite pages; 0 for none.
     """
 
     name: str
--- a/milletsill/fleet/leases/lease_term.py
+++ b/milletsill/fleet/leases/lease_term.py
@@ -1,4 +1,4 @@
-"""What the lease manager keeps of one lease: its term, and who waits for what."""
+"""The lease manager's state of one lease: its term and the callbacks that wait."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class LeaseTerm:
-    """A lease as its holder sees it, from one acquisition until it is lost.
+    """One term of a lease at its holder: from an acquisition until the lease is lost.
 
     Attributes:
         key: The lease's name.
-        ballot: The ballot under which it was acquired.
-        expires_at: When it ends, in ticks on this gateway's clock.
+        ballot: The ballot under which the lease was acquired.
+        expires_at: When the lease ends, in ticks on this gateway's clock.
         value: The record that was read or written last.
-        value_age: For how long the record had this value at the most when the lease
-            was acquired, in ticks; None for unknown.
-        is_ended: It is over for good.
-        proposer: The state machine that holds it.
+        value_age: The longest time that the record can have had this value when the
+            lease was acquired, in ticks; None if unknown.
+        is_ended: Whether the term has ended; an ended term is never resumed.
+        proposer: The state machine that holds the lease.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
 
     @property
     def in_use(self) -> bool:
-        """Whether the lease is renewed by itself; set by its holder."""
+        """Whether the manager renews the lease automatically; set by the holder."""
         return self in self._terms_in_use
 
     @in_use.setter
@@ -61,7 +61,7 @@
             self._terms_in_use.discard(self)
 
     def end(self) -> None:
-        """Make it over for good."""
+        """End the term; it is never resumed."""
         self.is_ended = True
         self._terms_in_use.discard(self)
 
@@ -71,12 +71,14 @@
 
 
 class LeaseEntry:
-    """One lease at this gateway: its proposer, its term, and who waits for what.
+    """One lease at this gateway: its proposer, its term and its waiting callbacks.
 
     Attributes:
-        acquiring: Who waits for the lease.
-        writing: Who waits for the write under way.
-        queued: Who waits for the write after that.
+        proposer: The state machine of the lease.
+        term: The current term; None before an acquisition and after the term's end.
+        acquiring: Callbacks that wait for the lease.
+        writing: Callbacks that wait for the write in progress.
+        queued: Callbacks that wait for the write after that.
     """
 
     __slots__ = ("proposer", "term", "acquiring", "writing", "queued")
@@ -89,19 +91,19 @@
         self.queued: list[OnWritten] = []
 
     def take_acquiring(self) -> list[OnAcquired]:
-        """Return who waits for the lease; nobody does any more."""
+        """Remove and return the callbacks that wait for the lease."""
         waiting = self.acquiring
         self.acquiring = []
         return waiting
 
     def take_writing(self) -> list[OnWritten]:
-        """Return who waits for the write under way; nobody does any more."""
+        """Remove and return the callbacks that wait for the write in progress."""
         waiting = self.writing
         self.writing = []
         return waiting
 
     def take_queued(self) -> list[OnWritten]:
-        """Return who waits for the write after that; nobody does any more."""
+        """Remove and return the callbacks that wait for the queued write."""
         waiting = self.queued
         self.queued = []
         return waiting
--- a/milletsill/fleet/leases/messages.py
+++ b/milletsill/fleet/leases/messages.py
@@ -1,7 +1,8 @@
 """Requests of lease proposers to acceptors, and the replies to them.
 
 The values of the enumerations are sent over the network; see `codec`. Messages are
-named tuples, which are made faster than dataclasses: there is one for each request.
+named tuples because one is created for each request, and a named tuple is created
+faster than a dataclass.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 
 MAX_KEY_BYTES = 255
 MAX_VALUE_BYTES = 16_384
-UNKNOWN = -1  # for an age or a time
-# Creation time of a request from a gateway of an earlier version, which does not
-# send when its value was made: the value counts from its arrival.
+UNKNOWN = -1  # an age or a time that is not known
+# Creation time of a request from a gateway of an earlier version. Such a gateway does
+# not send the creation time of the value, so the value's age counts from its arrival.
 CREATED_ON_ARRIVAL = 1 << 62
 
 
 class RequestKind(Enum):
-    """What a proposer asks of the acceptors.
+    """The kinds of request that a proposer sends to the acceptors.
 
-    PREPARE asks for a promise of the ballot and reads the record; of a ballot that is
-    promised already it renews the lease. ACCEPT writes the record. RELEASE ends the
+    PREPARE asks for a promise of the ballot and reads the record; for a ballot that is
+    already promised it renews the lease. ACCEPT writes the record. RELEASE ends the
     lease at once and has no reply.
     """
 
@@ -33,10 +34,10 @@
 
 
 class ReplyStatus(Enum):
-    """How an acceptor answers a request.
+    """The result of a request at one acceptor.
 
     GRANTED is a promise or an acceptance. BALLOT_TOO_LOW and LEASE_HELD are refusals.
-    UNAVAILABLE: the acceptor may not answer now.
+    UNAVAILABLE means that the acceptor cannot decide the request at present.
     """
 
     GRANTED = 1
@@ -46,19 +47,19 @@
 
 
 class AcceptorRequest(NamedTuple):
-    """One request, the same to each acceptor.
+    """One request; every acceptor receives the same one.
 
     Attributes:
-        kind: What is asked.
+        kind: The kind of the request.
         key: The lease's name.
         ballot: The proposer's ballot.
         number: Number of the write (ACCEPT) or of the renewal (PREPARE) under the
             ballot.
         value: The whole record (ACCEPT).
-        is_original: The value is new in this write (ACCEPT); false where a new holder
-            writes again what it read.
-        created_at: When the value was made, at the earliest, in ticks on the clock of
-            whoever has the request.
+        is_original: Whether the value is new in this write (ACCEPT); false where a new
+            holder writes the value again that it read.
+        created_at: The earliest time at which the value can have been created, in
+            ticks on the clock of the gateway that handles the request.
     """
 
     kind: RequestKind
@@ -71,23 +72,25 @@
 
 
 class AcceptorReply(NamedTuple):
-    """The reply to a request, whose first four fields it repeats.
+    """The reply to a request; its first four fields are copied from the request.
 
     Attributes:
         kind: As in the request.
         key: As in the request.
         ballot: As in the request.
         number: As in the request.
-        status: The answer.
+        status: Whether the request was granted, or why not.
         version: Version of the last write (granted PREPARE).
         value: The record (granted PREPARE).
-        value_age: For how long the record has had this value, in ticks, or `UNKNOWN`
+        value_age: How long the record has had this value, in ticks, or `UNKNOWN`
             (granted PREPARE).
-        promised_round: Round of the ballot that was promised (refusals).
-        retry_delay: When to come back, in ticks (LEASE_HELD and UNAVAILABLE).
+        promised_round: Round of the promised ballot (refusals).
+        retry_delay: Time after which a retry can succeed, in ticks (LEASE_HELD and
+            UNAVAILABLE).
         holder: Name of the gateway that holds the lease (LEASE_HELD).
-        is_copied: The acceptor did not accept the write, it copied it from another.
-        is_original: The value was new in the last write.
+        is_copied: Whether the acceptor copied the write from another acceptor and did
+            not accept it itself.
+        is_original: Whether the value was new in the last write.
     """
 
     kind: RequestKind
@@ -108,7 +111,7 @@
     def to_request(
         cls, request: AcceptorRequest, status: ReplyStatus, retry_delay: int = 0
     ) -> AcceptorReply:
-        """Return a reply without a record."""
+        """Return a reply to a request, without a record."""
         return cls(
             request.kind,
             request.key,
--- a/milletsill/fleet/leases/metrics.py
+++ b/milletsill/fleet/leases/metrics.py
@@ -10,7 +10,7 @@
 DURATION_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0)
 BATCH_BUCKETS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000)
 
-# Values of labels, as dashboards have them.
+# Label values; dashboards use them.
 REPLY_LABELS = {
     ReplyStatus.GRANTED: "yes",
     ReplyStatus.BALLOT_TOO_LOW: "lower",
@@ -36,24 +36,24 @@
         )
         self.pending = Gauge(
             "milletsill_offices_pending",
-            "Requests to acceptors that are under way",
+            "Rounds of requests to the acceptors that are in progress",
             registry=registry,
         )
         self.acquisitions = Counter(
             "milletsill_offices_takes",
-            "Acquisitions and renewals of a lease by how they ended",
+            "Acquisitions and renewals of a lease by result",
             ("fate",),
             registry=registry,
         )
         self.writes = Counter(
             "milletsill_offices_writes",
-            "Writes of a lease's record by how they ended",
+            "Writes of a lease's record by result",
             ("fate",),
             registry=registry,
         )
         self.write_seconds = Histogram(
             "milletsill_offices_write_seconds",
-            "From the send of a record until a majority had it",
+            "Time from sending a record until a majority accepted it",
             buckets=DURATION_BUCKETS,
             registry=registry,
         )
@@ -64,7 +64,7 @@
         )
         self.unreadable = Counter(
             "milletsill_offices_unreadable",
-            "Messages of other gateways that cannot be read",
+            "Messages of other gateways that could not be decoded",
             registry=registry,
         )
 
@@ -87,7 +87,7 @@
         )
         self.records = Gauge(
             "milletsill_register_channels",
-            "Leases that the acceptor has a record of",
+            "Leases of which the acceptor has a record",
             registry=registry,
         )
         self.commits = Counter(
@@ -97,24 +97,24 @@
         )
         self.commit_seconds = Histogram(
             "milletsill_register_commit_seconds",
-            "One batch: reads, one commit, its sync",
+            "Duration of a batch: reads, one commit and its sync to disk",
             buckets=DURATION_BUCKETS,
             registry=registry,
         )
         self.batch = Histogram(
             "milletsill_register_batch",
-            "Requests of one batch",
+            "Requests in a batch",
             buckets=BATCH_BUCKETS,
             registry=registry,
         )
         self.waiting = Gauge(
             "milletsill_register_waiting",
-            "Requests that wait for the next batch",
+            "Requests that wait for a batch",
             registry=registry,
         )
         self.dropped = Counter(
             "milletsill_register_dropped",
-            "Requests left without a reply by cause",
+            "Requests that were dropped or failed, by cause",
             ("cause",),
             registry=registry,
         )
@@ -125,6 +125,6 @@
         )
 
     def show_status(self, current: RecoveryStatus | None) -> None:
-        """Set the gauge of each status; None for an acceptor that is not there."""
+        """Set the gauge of each status; None if the acceptor is not running."""
         for status, label in STATUS_LABELS.items():
             self.status.labels(label).set(status is current)
--- a/milletsill/fleet/leases/proposer_table.py
+++ b/milletsill/fleet/leases/proposer_table.py
@@ -1,4 +1,4 @@
-"""The state table of a lease proposer: what each event does in each state."""
+"""The transition table of a lease proposer: next state and effect of each event."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class ProposerState(Enum):
-    """Where a proposer stands.
+    """The state of a proposer.
 
-    PREPARING reads a majority; REPAIRING writes again what not all of it had; HOLDING,
-    RENEWING and WRITING have the lease.
+    PREPARING reads from a majority. REPAIRING writes the latest value again, because
+    not all of the majority had accepted it. HOLDING, RENEWING and WRITING hold the
+    lease.
     """
 
     IDLE = auto()
@@ -21,10 +22,11 @@
 
 
 class ProposerEvent(Enum):
-    """What happens to a proposer.
+    """An event at a proposer.
 
-    SETTLED, UNSETTLED: a majority granted the round, and has or has not all accepted
-    the latest write. REFUSED, BALLOT_TOO_LOW: no majority can grant it any more.
+    SETTLED, UNSETTLED: a majority granted the round, and all of it accepted the latest
+    write, or not all of it. REFUSED, BALLOT_TOO_LOW: a majority can no longer grant the
+    round.
     """
 
     ACQUIRE = auto()
@@ -38,13 +40,14 @@
 
 
 class ProposerEffect(Enum):
-    """What a proposer has done and what its owner has to do.
-
-    PREPARE, PREPARE_HIGHER, REPAIR, RENEW and WRITE: the request of `current_round` is
-    to be sent. HOLD, EXTEND: the lease is held or goes on. WRITTEN: so it is, and the
-    write counts. QUEUE: the write waits for the round under way. RELEASE, LOSE: the
-    lease is over; `release_request` is to be sent, if any. KEEP: a renewal failed, the
-    lease stands until its end. NOT_HELD: there is no lease to write under.
+    """The effect of an event, which the proposer's owner has to carry out.
+
+    PREPARE, PREPARE_HIGHER, REPAIR, RENEW and WRITE: the owner sends the request of
+    `current_round`. HOLD: the lease is acquired. EXTEND: the lease is renewed.
+    WRITTEN: the lease is renewed and the write is chosen. QUEUE: the write waits for
+    the round in progress. RELEASE, LOSE: the lease is over; the owner sends
+    `release_request`, if any. KEEP: a renewal failed, and the lease lasts until its
+    end. NOT_HELD: there is no lease to write under.
     """
 
     NONE = auto()
@@ -70,7 +73,7 @@
 _RENEWING = ProposerState.RENEWING
 _WRITING = ProposerState.WRITING
 LEASE_HELD_STATES = (_HOLDING, _RENEWING, _WRITING)
-# Effects that begin a round: its request is to be sent.
+# Effects that begin a round, whose request the owner sends.
 ROUND_EFFECTS = (
     ProposerEffect.PREPARE,
     ProposerEffect.PREPARE_HIGHER,
@@ -99,7 +102,7 @@
         (state, ProposerEvent.RELEASE): (_IDLE, ProposerEffect.RELEASE)
         for state in ProposerState
     },
-    # Whoever acquires while a round is under way gets its result.
+    # An acquisition during a round shares the result of that round.
     **{
         (state, ProposerEvent.ACQUIRE): (state, ProposerEffect.NONE)
         for state in ProposerState
--- a/milletsill/fleet/leases/quorum_round.py
+++ b/milletsill/fleet/leases/quorum_round.py
@@ -1,4 +1,4 @@
-"""One phase of requests to all acceptors, and what the replies come to. Pure."""
+"""One request to all acceptors, and the result of the replies. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from milletsill.fleet.leases.timings import LeaseTimings
 
-_REFUSALS_BY_WEIGHT = (
+_REFUSALS_BY_PRIORITY = (
     ReplyStatus.LEASE_HELD,
     ReplyStatus.BALLOT_TOO_LOW,
     ReplyStatus.UNAVAILABLE,
@@ -24,10 +24,11 @@
     """One request to all acceptors, and the latest reply of each.
 
     Attributes:
-        request: What is asked.
-        sent_at: When it was sent first, in ticks.
+        request: The request.
+        sent_at: When it was first sent, in ticks.
         granted: Replies that grant it, by acceptor.
-        refused: Other replies, by acceptor; none of one that has granted it.
+        refused: Replies that refuse it, by acceptor; an acceptor that has granted it
+            has no entry.
     """
 
     __slots__ = ("request", "sent_at", "granted", "refused")
@@ -47,7 +48,7 @@
             self.refused[acceptor] = reply
 
     def without_grant(self, acceptors: Iterable[str]) -> list[str]:
-        """Return those of the acceptors that have not granted the request."""
+        """Return the acceptors that have not granted the request."""
         return [each for each in acceptors if each not in self.granted]
 
     def has_quorum(self, acceptors: int) -> bool:
@@ -59,8 +60,8 @@
         return len(self.refused) > acceptors - majority(acceptors)
 
     def main_refusal(self) -> AcceptorReply | None:
-        """Return the reply that explains best why the round failed, if any."""
-        for status in _REFUSALS_BY_WEIGHT:
+        """Return the most informative refusal, if any."""
+        for status in _REFUSALS_BY_PRIORITY:
             for reply in self.refused.values():
                 if reply.status is status:
                     return reply
@@ -68,10 +69,10 @@
 
 
 def answers_request(quorum_round: QuorumRound, reply: AcceptorReply) -> bool:
-    """Whether a reply is to this very request.
+    """Whether a reply belongs to the request of this round.
 
-    Guards, with the index, against a late reply to an older renewal of the ballot,
-    which would pass for a new grant.
+    The comparison of the numbers guards against a late reply to an older renewal under
+    the same ballot, which would count as a new grant.
     """
     request = quorum_round.request
     return (
@@ -82,10 +83,10 @@
 
 
 def is_open(quorum_round: QuorumRound, now: int, timings: LeaseTimings) -> bool:
-    """Whether a reply may still count.
+    """Whether replies to the round still count.
 
-    Guards against one of an acceptor that has since lost its state: it recovers only
-    after all requests have timed out that it may have answered.
+    Guards against a reply of an acceptor that has since lost its state: an acceptor
+    recovers only after all requests that it may have replied to have timed out.
     """
     return now < quorum_round.sent_at + timings.call_timeout
 
@@ -98,11 +99,11 @@
 def is_settled(
     replies: Sequence[AcceptorReply], latest: AcceptorReply, acceptors: int
 ) -> bool:
-    """Whether a majority has accepted the latest write, or there is none.
+    """Whether a majority has accepted the latest write, or nothing was written.
 
-    Where not, the write may stand nowhere else, and has to be written again before
-    anybody acts on it. A copy is no vote: its acceptor may have promised a later
-    ballot than that of the write.
+    Otherwise the other acceptors may lack the write, so it has to be written again
+    before anyone acts on it. A copied record is not a vote: its acceptor may have
+    promised a higher ballot than the ballot of the write.
     """
     if latest.version == UNWRITTEN:
         return True
@@ -113,25 +114,27 @@
 
 
 def oldest_value_age(replies: Sequence[AcceptorReply], value: bytes) -> int | None:
-    """Return the most that the value's age can be, in ticks; None for unknown.
+    """Return the greatest possible age of the value, in ticks; None if unknown.
 
-    One acceptor of the majority that was read took the value before anybody acted on
-    it; the others may have taken it much later. Where the value was new in the latest
-    write, that acceptor has this very write. Where the value was written again, that
-    acceptor may have gone on to another value meanwhile, so all must have it.
+    At least one acceptor of the majority that was read accepted the value before
+    anyone acted on it; the others may have accepted it much later. If the value was
+    new in the latest write, that acceptor has the latest write. If the value was
+    written again, that acceptor may have accepted another value meanwhile, so all
+    replies must have the value.
     """
     latest = latest_reply(replies)
-    witnesses = [each for each in replies if each.version == latest.version]
-    if not any(each.is_original for each in witnesses):
-        witnesses = list(replies)
-    if any(each.value_age == UNKNOWN or each.value != value for each in witnesses):
+    considered = [each for each in replies if each.version == latest.version]
+    if not any(each.is_original for each in considered):
+        considered = list(replies)
+    if any(each.value_age == UNKNOWN or each.value != value for each in considered):
         return None
-    return max(each.value_age for each in witnesses)
+    return max(each.value_age for each in considered)
 
 
 def holder_lease_end(quorum_round: QuorumRound, timings: LeaseTimings) -> int:
-    """Return when a lease ends that this round was granted.
+    """Return when the lease that this round granted ends at its holder.
 
-    It counts from the send, not from the replies: acceptors count from the receipt.
+    The holder counts from the send, not from the replies, because the acceptors count
+    from the receipt of the request.
     """
     return quorum_round.sent_at + timings.holder_duration()
--- a/milletsill/fleet/leases/recovery_controller.py
+++ b/milletsill/fleet/leases/recovery_controller.py
@@ -1,4 +1,4 @@
-"""Carries out what `AcceptorRecovery` decides: asks, copies, writes, serves."""
+"""Carries out the actions of `AcceptorRecovery`: queries, copies and writes."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 )
 from milletsill.fleet.leases.request_queue import RequestQueue
 
-# One of so many questions goes to all gateways, the others to the acceptors alone.
+# Every tenth query goes to all gateways, the others only to the acceptors.
 QUERY_ALL_EVERY = 10
 
 
 class RecoveryController:
-    """One acceptor's recovery, over its file and its peers.
+    """Runs one acceptor's recovery with its file and its peers.
 
     Args:
-        context: What the acceptor's parts share.
-        peers: Whom to ask.
+        context: State that the acceptor's components share.
+        peers: Sends queries to other gateways.
         run_blocking: Runs jobs in the store's thread.
         queue: Requests that wait until the acceptor serves.
-        chance: Random number for the identity of a state that is made anew.
+        nonce: Random number for the identity of a rebuilt state.
     """
 
     def __init__(
@@ -49,18 +49,21 @@
         peers: AcceptorPeers,
         run_blocking: RunBlocking,
         queue: RequestQueue,
-        chance: int,
+        nonce: int,
     ) -> None:
         self._context = context
         self._peers = peers
         self._run_blocking = run_blocking
         self._queue = queue
-        self._chance = chance
+        self._nonce = nonce
         self._recovery: AcceptorRecovery | None = None
         self._queries = 0
 
     def start(self, store: AcceptorStore, is_overridden: bool) -> None:
-        """Begin with an open file; `is_overridden` by an operator's order."""
+        """Start with an open file.
+
+        `is_overridden` is an operator's order to continue with the state in the file.
+        """
         settings = self._context.settings
         recovery = self._recovery = AcceptorRecovery(
             store.identity,
@@ -71,19 +74,19 @@
             store.state.is_incomplete,
         )
         if is_overridden:
-            self._act(recovery.on_override())
+            self._carry_out(recovery.on_override())
         else:
-            self._act(recovery.on_timer(self._context.now()))
+            self._carry_out(recovery.on_timer(self._context.now()))
         self.show_status()
 
     def stop(self) -> None:
-        """Answer nothing any more, until a restart."""
+        """Stop answering until a restart."""
         self._recovery = None
         self.show_status()
 
     @property
     def is_started(self) -> bool:
-        """Whether there is a file that can be used."""
+        """Whether the acceptor has a usable file."""
         return self._recovery is not None
 
     def is_serving(self) -> bool:
@@ -92,38 +95,41 @@
         return recovery is not None and recovery.status is RecoveryStatus.SERVING
 
     def retry_delay(self) -> int:
-        """Return when to come back, in ticks."""
+        """Return after how many ticks a refused request should be retried."""
         if self._recovery is None or self.is_serving():
             return RETRY_INTERVAL
         return self._recovery.retry_delay(self._context.now())
 
     def on_timer(self) -> bool:
-        """Handle what time alone brings; return whether others had to be asked."""
+        """Advance the recovery; return whether it is still querying other gateways."""
         if self._recovery is None:
             return False
-        self._act(self._recovery.on_timer(self._context.now()))
+        self._carry_out(self._recovery.on_timer(self._context.now()))
         return self._query_others()
 
-    def on_witness(self, gateway: str, known: StateIdentity | None) -> None:
-        """Handle the last identity that a gateway knows of this one, also unasked."""
+    def on_known_identity(self, gateway: str, known: StateIdentity | None) -> None:
+        """Handle a report of the latest identity that a gateway knows of this one.
+
+        Gateways send such reports as replies to queries and also unasked.
+        """
         store = self._context.store
         if self._recovery is None or store is None:
             return
         self._recovery.own = store.identity
         now = self._context.now()
-        self._act(self._recovery.on_witness(gateway, known, now))
+        self._carry_out(self._recovery.on_known_identity(gateway, known, now))
 
     def on_page(self, acceptor: str, after: str, page: SnapshotPage) -> None:
-        """Copy some records of another acceptor, and ask for the next."""
+        """Copy a page of another acceptor's records, and query the next page."""
         recovery = self._recovery
         if recovery is None:
             return
-        self._act(recovery.on_page(acceptor, after, page, self._context.uptime()))
+        self._carry_out(recovery.on_page(acceptor, after, page, self._context.uptime()))
         if recovery.needs_page_from(acceptor):
             self._peers.query_page(acceptor, recovery.last_key(acceptor))
 
     def show_status(self) -> None:
-        """Set the metric of the status."""
+        """Update the metric of the recovery status."""
         recovery = self._recovery
         status = None if recovery is None else recovery.status
         self._context.metrics.show_status(status)
@@ -134,7 +140,7 @@
             return False
         self._queries += 1
         if recovery.status is RecoveryStatus.VERIFYING:
-            self._peers.query_witnesses(self._queries % QUERY_ALL_EVERY == 1)
+            self._peers.query_known_identity(self._queries % QUERY_ALL_EVERY == 1)
             return True
         if recovery.status is not RecoveryStatus.CATCHING_UP:
             return False
@@ -143,7 +149,7 @@
                 self._peers.query_page(acceptor, recovery.last_key(acceptor))
         return True
 
-    def _act(self, action: RecoveryAction) -> None:
+    def _carry_out(self, action: RecoveryAction) -> None:
         recovery = self._recovery
         store = self._context.store
         if action is RecoveryAction.NONE or recovery is None or store is None:
@@ -163,7 +169,7 @@
                 self._context.log(
                     "acceptor_serving", records=store.count, generation=generation
                 )
-                self._queue.pump()
+                self._queue.start_next_batch()
 
     def _stop_serving(self, recovery: AcceptorRecovery, store: AcceptorStore) -> None:
         identity = store.identity
@@ -172,8 +178,8 @@
             AcceptorStateMissingError if is_new else AcceptorStateRolledBackError
         )
         what = (
-            f"others know of state {recovery.highest_age}, past "
-            f"{identity.age}.{identity.generation}"
+            f"other gateways know a later state (epoch {recovery.highest_epoch}) than "
+            f"this one (epoch {identity.epoch}, generation {identity.generation})"
         )
         self._context.log_error(error_type(what, self._context.settings.store_path))
         self._queue.clear("doubted")
@@ -185,8 +191,8 @@
             self._context.log_error(result)
 
     def _adopt(self, recovery: AcceptorRecovery, store: AcceptorStore) -> None:
-        """Write what was copied before anything is answered; until then be busy."""
-        identity = recovery.renewed_identity(self._chance)
+        """Write the copied records; the queue is busy until they are written."""
+        identity = recovery.renewed_identity(self._nonce)
         job = _adoption(recovery, store, identity, self._context.uptime())
         self._queue.is_busy = True
 
@@ -201,9 +207,9 @@
             recovery.own = identity
             recovery.records = {}
             self._context.log(
-                "acceptor_caught_up", records=store.count, age=identity.age
+                "acceptor_caught_up", records=store.count, age=identity.epoch
             )
-            self._queue.pump()
+            self._queue.start_next_batch()
 
         self._run_blocking(job, on_adopted)
 
@@ -214,7 +220,7 @@
     identity: StateIdentity,
     uptime: int,
 ) -> Callable[[], None]:
-    """Return the job that writes what was copied, merged with what is here."""
+    """Return the job that merges the copied records into the file's and writes them."""
     copied = dict(recovery.records)
     floor = max(recovery.ballot_floor, store.ballot_floor)
 
--- a/milletsill/fleet/leases/request_queue.py
+++ b/milletsill/fleet/leases/request_queue.py
@@ -1,8 +1,8 @@
-"""Requests to one acceptor: what came during one commit goes into the next.
+"""Batches of requests to one acceptor.
 
-A batch is worked off in the store's thread with one commit; its replies go out after
-it. A batch that cannot be written is answered with UNAVAILABLE, and nothing of it
-counts.
+Requests that arrive during a commit go into the next batch. The store's thread handles
+a batch with one commit, and the replies are sent after it. If a batch cannot be
+written, its requests have no effect and are answered with UNAVAILABLE.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class AddressedReply(NamedTuple):
-    """A reply and the gateway that it goes to."""
+    """A reply and the gateway that receives it."""
 
     gateway: str
     reply: AcceptorReply
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchResult:
-    """What a batch came to; `seconds` is how long its job ran."""
+    """The result of a batch; `seconds` is how long its job ran."""
 
     replies: list[AddressedReply]
     requests: int
@@ -78,10 +78,10 @@
 
 
 class _Batch:
-    """One batch on its way through the store; runs in the store's thread.
+    """One batch of requests; it runs in the store's thread.
 
-    The time is read once, after all of the requests came: a lease that is granted
-    counts from no earlier.
+    It reads the clock once, after all of its requests have arrived, so that no grant
+    counts from a time before the receipt of its request.
     """
 
     def __init__(self, context: AcceptorContext, store: AcceptorStore) -> None:
@@ -123,25 +123,27 @@
             self.replies.append(AddressedReply(queued.gateway, outcome.reply))
 
     def commit(self) -> None:
-        """Write what changed; only then do the grants count."""
+        """Write the changed records, and then apply the grants."""
         if self.changed:
             self.store.commit(self.changed, self.uptime, added=self.added)
         self.context.grants.update(self.grants)
 
 
 class RequestQueue:
-    """Requests that wait, and the batch under way.
+    """Waiting requests and the batch in progress.
 
     Args:
-        context: What the acceptor's parts share.
-        peers: Where replies go.
+        context: State that the acceptor's components share.
+        peers: Sends the replies.
         run_blocking: Runs jobs in the store's thread.
-        is_serving: Whether the acceptor may answer.
-        on_unusable: Called when the file cannot be used any more.
+        is_serving: Returns whether the acceptor may answer.
+        on_unusable: Called when the file can no longer be used.
 
     Attributes:
-        is_busy: A batch is under way, or the state is being written anew.
-        disk_full_until: Until when requests are answered with UNAVAILABLE, in ticks.
+        is_busy: Whether a batch is in progress or a rebuilt state is being written.
+        is_stopped: Whether the queue starts no more batches and sends no more replies.
+        disk_full_until: Until when requests are answered with UNAVAILABLE because the
+            disk was full, in ticks.
     """
 
     def __init__(
@@ -164,20 +166,20 @@
         self.disk_full_until = 0
 
     def add(self, gateway: str, requests: Sequence[AcceptorRequest]) -> None:
-        """Queue requests of one gateway; what has no room is dropped."""
-        room = MAX_WAITING - len(self._waiting)
-        self._waiting += [QueuedLeaseRequest(gateway, each) for each in requests[:room]]
-        if len(requests) > room:
-            self._metrics.dropped.labels("waiting").inc(len(requests) - room)
-        self.pump()
+        """Queue requests of one gateway; drop those beyond `MAX_WAITING`."""
+        free = MAX_WAITING - len(self._waiting)
+        self._waiting += [QueuedLeaseRequest(gateway, each) for each in requests[:free]]
+        if len(requests) > free:
+            self._metrics.dropped.labels("waiting").inc(len(requests) - free)
+        self.start_next_batch()
 
     def clear(self, cause: str) -> None:
-        """Drop all that wait."""
+        """Drop all waiting requests."""
         self._metrics.dropped.labels(cause).inc(len(self._waiting))
         self._waiting = []
 
-    def pump(self) -> None:
-        """Begin a batch if there is something to do and nothing under way."""
+    def start_next_batch(self) -> None:
+        """Start a batch if requests wait and no batch is in progress."""
         if self.is_busy or self.is_stopped or not self._waiting:
             return
         if not self._is_serving():
@@ -190,15 +192,15 @@
         )
 
     def _run(self, requests: Sequence[QueuedLeaseRequest]) -> BatchResult:
-        """Work off a batch, each request in its order. In the store's thread."""
+        """Handle the requests of a batch in order. Runs in the store's thread."""
         store = self._context.store
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         assert store is not None
         batch = _Batch(self._context, store)
         for each in requests:
             batch.handle(each)
         batch.commit()
-        seconds = time.perf_counter() - began
+        seconds = time.perf_counter() - started_at
         return BatchResult(batch.replies, len(requests), bool(batch.changed), seconds)
 
     def _on_result(
@@ -209,10 +211,10 @@
             return
         if isinstance(result, MilletsillError):
             self._on_failure(batch, result)
-        elif self._is_serving():  # one found stale meanwhile answers nothing
+        elif self._is_serving():  # not if the state was found stale meanwhile
             self._on_success(result)
         self._metrics.waiting.set(len(self._waiting))
-        self.pump()
+        self.start_next_batch()
 
     def _on_success(self, result: BatchResult) -> None:
         by_gateway: dict[str, list[AcceptorReply]] = {}
@@ -229,7 +231,7 @@
     def _on_failure(
         self, batch: Sequence[QueuedLeaseRequest], error: MilletsillError
     ) -> None:
-        """Send each sender UNAVAILABLE: nothing of the batch counts."""
+        """Answer all requests with UNAVAILABLE: the batch had no effect."""
         self._context.log_error(error)
         self._metrics.dropped.labels(type(error).__name__).inc(len(batch))
         by_gateway: dict[str, list[AcceptorReply]] = {}
--- a/milletsill/fleet/leases/request_sender.py
+++ b/milletsill/fleet/leases/request_sender.py
@@ -1,4 +1,4 @@
-"""Sends the requests of lease proposers to acceptors, again, and ends them in time."""
+"""Sends and resends lease proposers' requests to the acceptors, with a timeout."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 from milletsill.fleet.leases.quorum_round import QuorumRound
 from milletsill.fleet.leases.timers import LeaseTimers
 
-CHECK_INTERVAL = 200  # between looks at rounds whose time is over, in ticks
-# Part of a call's time after which acceptors without a grant are sent it once more.
+CHECK_INTERVAL = 200  # ticks between checks for rounds to resend or to time out
+# Fraction of the call timeout after which a request is sent once more to the acceptors
+# that have not granted it.
 RESEND_AFTER = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class _OpenRound:
-    """A round under way, and when something is due for it."""
+    """A round in progress, and when its resend or its timeout is due."""
 
     due_at: int
     quorum_round: QuorumRound
@@ -32,18 +33,18 @@
 
 
 class RequestSender:
-    """Rounds of all proposers of a gateway that are under way.
+    """Sends and tracks the rounds in progress of all proposers of a gateway.
 
-    All requests of one turn of the reactor to one acceptor leave together. An acceptor
-    that is this gateway's own is spoken to without the transport.
+    Requests to one acceptor that are posted in the same reactor turn are sent together.
+    Requests to this gateway's own acceptor do not pass through the transport.
 
     Args:
-        settings: Of the lease service.
-        environment: What it needs of the program.
-        messenger: Sends to other gateways.
-        metrics: Of the lease service.
-        timers: Of the lease service.
-        on_timeout: Called with a proposer whose round is over, and the time.
+        settings: Settings of the lease service.
+        environment: The program's interfaces that the lease service uses.
+        messenger: Sends messages to other gateways.
+        metrics: Metrics of the lease service.
+        timers: Timers of the lease service.
+        on_timeout: Called with a proposer whose round has timed out, and the time.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
 
     @property
     def open_rounds(self) -> int:
-        """How many rounds are under way."""
+        """How many rounds are in progress."""
         return len(self._timeouts)
 
     def begin_round(self, proposer: LeaseProposer, quorum_round: QuorumRound) -> None:
@@ -88,14 +89,14 @@
         self.post(request, self._acceptors)
 
     def post(self, request: AcceptorRequest, acceptors: Iterable[str]) -> None:
-        """Send a request with all else of this turn of the reactor."""
+        """Queue a request; all requests of one reactor turn are sent together."""
         if not self._outbox:
             self._timers.start("flush", 0, self.flush)
         for acceptor in acceptors:
             self._outbox.setdefault(acceptor, []).append(request)
 
     def flush(self) -> None:
-        """Send what waits now."""
+        """Send all queued requests now."""
         outbox = self._outbox
         self._outbox = {}
         own = self._messenger.acceptor
@@ -107,7 +108,7 @@
                 self._messenger.send_requests(acceptor, requests)
 
     def _check(self) -> None:
-        """Send requests again, and end rounds, whose time has come."""
+        """Resend requests and end rounds that are due."""
         now = self._now()
         while self._resends and now >= self._resends[0].due_at:
             resend = self._resends.popleft()
--- a/milletsill/fleet/leases/store_file.py
+++ b/milletsill/fleet/leases/store_file.py
@@ -1,4 +1,4 @@
-"""The acceptor's database file as such: made, checked and set aside."""
+"""Creates, opens and sets aside the acceptor's SQLite file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from milletsill.fleet.leases.store_rows import checksum
 
-SCHEMA_VERSION = 1  # a file with a later one is left alone
+SCHEMA_VERSION = 1  # a file with a later version is not opened
 APPLICATION_ID = 0x4D435231
 TABLES = (
     "CREATE TABLE record(channel TEXT PRIMARY KEY, touched INTEGER NOT NULL, "
@@ -25,17 +25,17 @@
 
 
 def translate_error(error: sqlite3.Error, path: str) -> CoordinationError:
-    """Return the program's error for one of sqlite's."""
+    """Return the error of the lease service for an SQLite error."""
     code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     if code == sqlite3.SQLITE_FULL:
-        return DiskFullError("no room for the acceptor's file", path)
+        return DiskFullError("no disk space left for the acceptor's file", path)
     if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB):
         return AcceptorStateCorruptError(str(error), path)
     return AcceptorStateUnusableError(str(error), path)
 
 
 def open_database(path: str, initial_state: bytes) -> sqlite3.Connection:
-    """Open the file, made with a state where there is none.
+    """Open the file; create it with the initial state if it does not exist.
 
     Raises:
         AcceptorStateCorruptError, AcceptorStateUnusableError, DiskFullError.
@@ -55,9 +55,9 @@
 
 
 def set_aside(path: str) -> None:
-    """Rename a file that cannot be used, for whoever wants to look.
+    """Rename a file that cannot be used, so that an operator can examine it.
 
-    Only the last of them is kept.
+    Only the most recent one is kept.
     """
     aside = f"{path}.torn"
     os.replace(path, aside)
@@ -68,14 +68,14 @@
 
 
 def _remove_side_files(path: str) -> None:
-    """Remove what a file that is gone has left: it is not of the new one."""
+    """Remove side files of a missing database, so that a new one does not read them."""
     for suffix in _SIDE_FILES:
         if os.path.exists(path + suffix):
             os.remove(path + suffix)
 
 
 def _create_database(path: str, initial_state: bytes) -> None:
-    """Make a file under another name first, so that it is whole or not there."""
+    """Create the file under a temporary name and rename it when it is complete."""
     temporary = f"{path}.new"
     for each in (temporary, f"{temporary}-journal"):
         if os.path.exists(each):
@@ -93,7 +93,7 @@
 
 
 def create_tables(connection: sqlite3.Connection, initial_state: bytes) -> None:
-    """Make the tables of an empty database, and the row of the state."""
+    """Create the tables of an empty database, and the state row."""
     for statement in TABLES:
         connection.execute(statement)
     connection.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
--- a/milletsill/fleet/leases/store_rows.py
+++ b/milletsill/fleet/leases/store_rows.py
@@ -1,4 +1,4 @@
-"""Rows of an acceptor's file: records of leases, and the one row of the state."""
+"""Rows of an acceptor's file: one per lease record, and one for the state."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecordRow(NamedTuple):
-    """A record as it is stored, with the checksum of the rest."""
+    """A stored record; the checksum covers the other columns."""
 
     key: str
     written_at: int
@@ -32,14 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """The row of the state, but for what is known of other acceptors.
+    """The row of the state, without the digest and the identities of the acceptors.
 
     Attributes:
         identity: Identity of the state.
         ballot_floor: The highest ballot round of all records that were removed.
-        uptime: For how long the acceptor was up over all its incarnations, in ticks,
-            at the last commit.
-        is_incomplete: The state lacks something that must be copied first.
+        uptime: Total uptime of the acceptor over all its incarnations, in ticks, at
+            the last commit.
+        is_incomplete: Whether the state lacks something that the acceptor must copy
+            from the other acceptors before it may answer.
     """
 
     identity: StateIdentity
@@ -49,7 +50,7 @@
 
 
 def checksum(key: str, written_at: int, body: bytes) -> bytes:
-    """Return the checksum of a row; the state's row has an empty key and time 0."""
+    """Return the checksum of a row; the state row has an empty key and time 0."""
     return xxhash.xxh64_digest(f"{key}\0{written_at}\0".encode() + body)
 
 
@@ -61,34 +62,34 @@
     """
     if checksum(row.key, row.written_at, row.body) != row.checksum:
         raise AcceptorStateCorruptError(
-            f"the record of {row.key!r} fails its checksum", path
+            f"record of lease {row.key!r} fails its checksum", path
         )
     try:
         return decode_record(wire.Kept.FromString(row.body), row.written_at)
     except (DecodeError, MalformedFrameError) as error:
         raise AcceptorStateCorruptError(
-            f"the record of {row.key!r} cannot be read: {error}", path
+            f"record of lease {row.key!r} cannot be decoded: {error}", path
         ) from error
 
 
-def initial_state(chance: int, acceptor_set: int, is_incomplete: bool) -> bytes:
-    """Return the row of the state of a new file."""
-    state = StoredState(StateIdentity(1, chance, 0), is_incomplete=is_incomplete)
-    return encode_state(state, acceptor_set, [])
+def initial_state(nonce: int, acceptor_set_digest: int, is_incomplete: bool) -> bytes:
+    """Return the state row of a new file."""
+    state = StoredState(StateIdentity(1, nonce, 0), is_incomplete=is_incomplete)
+    return encode_state(state, acceptor_set_digest, [])
 
 
 def encode_state(
     state: StoredState,
-    acceptor_set: int,
+    acceptor_set_digest: int,
     known: Iterable[tuple[str, StateIdentity]],
 ) -> bytes:
-    """Return the row of the state."""
+    """Return the state row."""
     stored = wire.State(
         own=encode_identity(state.identity),
         floor=state.ballot_floor,
         up=state.uptime,
         doubted=state.is_incomplete,
-        among=acceptor_set,
+        among=acceptor_set_digest,
         known=[
             wire.Known(name=name, own=encode_identity(identity))
             for name, identity in known
@@ -98,7 +99,7 @@
 
 
 def encode_rows(records: Mapping[str, LeaseRecord | None]) -> list[RecordRow]:
-    """Return the rows of records; None, a record that is removed, has no row."""
+    """Return the rows of records; None, for a removed record, gives no row."""
     rows: list[RecordRow] = []
     for key, record in records.items():
         if record is None:
--- a/milletsill/lab/hunt/simulated_disk.py
+++ b/milletsill/lab/hunt/simulated_disk.py
@@ -83,8 +83,8 @@
     def open(
         cls,
         path: str,
-        chance: int,
-        acceptor_set: int = 0,
+        nonce: int,
+        acceptor_set_digest: int = 0,
         is_incomplete: bool = False,
         max_pages: int = 0,
     ) -> AcceptorStore:
@@ -92,7 +92,7 @@
         disk = cls.disks[path]
         if disk.database is None:
             disk.database = sqlite3.connect(":memory:", isolation_level=None)
-            state = initial_state(chance, acceptor_set, is_incomplete)
+            state = initial_state(nonce, acceptor_set_digest, is_incomplete)
             create_tables(disk.database, state)
         store = cls(path, disk.database)
         store.load(0)
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -346,7 +346,7 @@
             member.known[sender] = max(known, witness.known)
         elif member.recovery is not None:
             now = self.clock(member.name)
-            action = member.recovery.on_witness(sender, witness.known, now)
+            action = member.recovery.on_known_identity(sender, witness.known, now)
             self._act(member, action)
 
     def exchange(
--- a/milletsill/sftp_gateway/channel_gateway.py
+++ b/milletsill/sftp_gateway/channel_gateway.py
@@ -68,7 +68,7 @@
     )
     leases = LeaseManager(settings, environment)
     channels = ChannelGateway(gateway, gateway.fleet, leases)
-    leases.set_on_foreign_message(channels.on_message)
+    leases.set_on_channel_message(channels.on_message)
     return channels
 
 
--- a/tests/fleet/leases/test_acceptor.py
+++ b/tests/fleet/leases/test_acceptor.py
@@ -1,4 +1,4 @@
-"""What one acceptor does with one request, and how long leases last."""
+"""How one acceptor decides a request, and the durations of leases."""
 
 import unittest
 
@@ -30,22 +30,22 @@
 
 class AcceptorTests(unittest.TestCase):
     def check(self, state, request, now, status, promised_and_version):
-        """The reply's status, and what stands in the record afterwards."""
+        """Check the reply's status, and the record's promise and version afterwards."""
         with self.subTest(request=request, now=now):
             outcome = handle_request(state, request, now, 0, TIMINGS)
             self.assertIs(outcome.reply and outcome.reply.status, status)
             record = outcome.record
-            found = record and (record.promised, record.version)
-            self.assertEqual(found, promised_and_version)
+            actual = record and (record.promised, record.version)
+            self.assertEqual(actual, promised_and_version)
 
-    def test_a_lease_without_a_record_counts_as_promised_up_to_the_floor(self):
+    def test_ballots_up_to_the_floor_are_refused_without_a_record(self):
         unknown = LeaseState(None, None, 0)
         below_floor = LeaseState(None, None, 6)
         granted = (LATER, UNWRITTEN)
         self.check(unknown, PREPARE_LATER, 0, ReplyStatus.GRANTED, granted)
         self.check(below_floor, PREPARE_LATER, 0, ReplyStatus.BALLOT_TOO_LOW, None)
 
-    def test_others_are_refused_until_the_grant_ends(self):
+    def test_other_gateways_are_refused_until_the_grant_ends(self):
         held = LeaseState(RECORD, LeaseGrant(1000), 0)
         unchanged = (PROMISED, WRITTEN)
         promised = (LATER, WRITTEN)
@@ -55,13 +55,13 @@
         self.check(held, ACCEPT_LATER, 999, ReplyStatus.LEASE_HELD, unchanged)
         self.check(held, ACCEPT_LATER, 1000, ReplyStatus.GRANTED, accepted)
 
-    def test_a_record_of_a_former_incarnation_counts_as_granted(self):
+    def test_a_record_of_a_former_incarnation_counts_as_granted_after_restart(self):
         loaded = LeaseState(RECORD, grant_after_restart(0, TIMINGS), 0)
         last = TIMINGS.acceptor_duration() - 1
         unchanged = (PROMISED, WRITTEN)
         self.check(loaded, PREPARE_LATER, last, ReplyStatus.LEASE_HELD, unchanged)
 
-    def test_the_ballot_decides(self):
+    def test_only_the_promised_ballot_renews_until_its_release(self):
         held = LeaseState(RECORD, LeaseGrant(1000), 0)
         released = LeaseState(RECORD, LeaseGrant(0, True), 0)
         unchanged = (PROMISED, WRITTEN)
@@ -72,7 +72,7 @@
         self.check(released, RENEWAL, 0, ReplyStatus.BALLOT_TOO_LOW, unchanged)
         self.check(held, superseded, 0, None, unchanged)
 
-    def test_a_release_lets_others_in_at_once(self):
+    def test_another_gateway_acquires_the_lease_right_after_a_release(self):
         held = LeaseState(RECORD, LeaseGrant(1000), 0)
         release = AcceptorRequest(RequestKind.RELEASE, "c", PROMISED)
         outcome = handle_request(held, release, 10, 0, TIMINGS)
@@ -82,7 +82,7 @@
 
 
 class LeaseTimingsTests(unittest.TestCase):
-    def test_two_leases_never_meet_at_the_worst_of_drift(self):
+    def test_leases_of_two_holders_do_not_overlap_at_the_maximum_drift(self):
         for drift in (0, 5, 50, 200):
             timings = LeaseTimings(20_000, 3_000, drift)
             self.assertLess(
--- a/tests/fleet/leases/test_acceptor_store.py
+++ b/tests/fleet/leases/test_acceptor_store.py
@@ -1,4 +1,4 @@
-"""The acceptor's file under crashes, tears, a full disk and a kill."""
+"""The acceptor's file after truncation, corruption, a full disk and a killed process."""
 
 import os
 import signal
@@ -31,7 +31,11 @@
         self.addCleanup(store.close)
         return store
 
-    def test_a_log_that_is_cut_anywhere_is_one_of_the_states_that_were(self):
+    def test_a_truncated_log_gives_one_of_the_committed_states(self):
+        """Truncate the write-ahead log at many sizes, as a crash or a lost write can.
+
+        Each commit has to be present completely or not at all.
+        """
         store = self.open_store()
         states, sizes = [(0, None)], []
         for number in range(1, 6):
@@ -53,21 +57,27 @@
             )
             Path(copy).write_bytes(base)
             Path(copy + "-wal").write_bytes(whole[:size])
-            cut = self.open_store(copy)
-            found = cut.read("c")
-            state = (cut.identity.generation, found and found.version.number)
+            truncated = self.open_store(copy)
+            read = truncated.read("c")
+            state = (truncated.identity.generation, read and read.version.number)
             self.assertIn(state, states)
             seen.add(state)
-            for number in range(1, 6):  # all of a commit or nothing
+            for number in range(1, 6):  # a commit is complete or absent
                 self.assertEqual(
-                    cut.read(f"c{number}") is not None,
-                    number <= cut.identity.generation,
+                    truncated.read(f"c{number}") is not None,
+                    number <= truncated.identity.generation,
+                )
+            if size in sizes:  # the commits up to this size are present
+                self.assertGreaterEqual(
+                    truncated.identity.generation, sizes.index(size) + 1
                 )
-            if size in sizes:  # what was committed by then is there
-                self.assertGreaterEqual(cut.identity.generation, sizes.index(size) + 1)
         self.assertEqual(seen, set(states))
 
-    def test_a_cut_while_the_log_goes_into_the_file_loses_nothing(self):
+    def test_a_checkpoint_that_is_interrupted_anywhere_loses_no_record(self):
+        """Combine the first pages after a checkpoint with the older pages and the log.
+
+        A crash while SQLite copies its log into the file leaves such a file.
+        """
         store = self.open_store()
         store.commit(
             {f"c{each}": record(each, b"x" * 500) for each in range(1, 100)},
@@ -88,14 +98,14 @@
             Path(copy + "-wal").write_bytes(log)
             self.assertEqual(self.open_store(copy).count, 99)
 
-    def test_a_file_that_cannot_be_used_has_its_error(self):
+    def test_an_unusable_file_raises_its_error_with_a_remedy(self):
         store = self.open_store()
         store.commit(
             {f"c{each}": record(each, b"x" * 900) for each in range(1, 60)}, 1, added=59
         )
         self.assertRaises(
             errors.AcceptorStateUnusableError, AcceptorStore.open, self.path, 7
-        )  # a second process
+        )  # as from a second process
         store.close()
         data = Path(self.path).read_bytes()
         flipped = bytearray(data)
@@ -114,24 +124,25 @@
                 AcceptorStore.open(self.path, 7)
             self.assertTrue(caught.exception.remedy)
 
-    def test_a_full_disk_changes_nothing_and_room_mends_it(self):
+    def test_a_commit_on_a_full_disk_changes_nothing_and_succeeds_with_space(self):
         store = self.open_store(max_pages=12)
-        held = 0
+        committed = 0
         with self.assertRaises(errors.DiskFullError):
             for number in range(100):
                 store.commit(
                     {f"c{number}": record(number + 1, b"x" * 2000)}, number, added=1
                 )
-                held += 1
+                committed += 1
         self.assertEqual(
-            (store.count, store.identity.generation, store.read(f"c{held}")),
-            (held, held, None),
+            (store.count, store.identity.generation, store.read(f"c{committed}")),
+            (committed, committed, None),
         )
         store.connection.execute("PRAGMA max_page_count=1000")
         store.commit({"z": record(1)}, 1, added=1)
         self.assertEqual(store.read("z"), record(1))
 
-    def test_what_was_acknowledged_is_there_after_a_kill(self):
+    def test_acknowledged_commits_survive_a_killed_process(self):
+        """A process prints each number after its commit, until SIGKILL ends it."""
         code = (
             "import sys; sys.path.insert(0, '.')\n"
             "from tests.fleet.leases.test_acceptor_store import AcceptorStore, record\n"
@@ -140,15 +151,15 @@
             "    store.commit({f'c{number % 50}': record(number)}, number)\n"
             "    print(number, flush=True)"
         )
-        run = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-c", code, self.path], stdout=subprocess.PIPE
         )
         for _ in range(40):
-            last = int(run.stdout.readline())
-        run.send_signal(signal.SIGKILL)
-        last = max([last, *map(int, run.stdout.read().split(b"\n")[:-1])])
-        run.wait()
-        run.stdout.close()
+            last = int(process.stdout.readline())
+        process.send_signal(signal.SIGKILL)
+        last = max([last, *map(int, process.stdout.read().split(b"\n")[:-1])])
+        process.wait()
+        process.stdout.close()
         store = self.open_store()
         self.assertIn(store.identity.generation, (last, last + 1))
         self.assertGreaterEqual(store.read(f"c{last % 50}").version.number, last)
--- a/tests/fleet/leases/test_codec.py
+++ b/tests/fleet/leases/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages about leases: there and back, and what cannot be read."""
+"""Encoding and decoding of messages about leases, and rejection of malformed ones."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class LeaseCodecTests(unittest.TestCase):
-    def test_there_and_back(self):
+    def test_encoded_messages_are_decoded_to_equal_ones(self):
         request = AcceptorRequest(RequestKind.ACCEPT, "depot/é", A, 7, b"v", True)
         self.assertEqual(
             codec.decode_request("a", codec.encode_request(request)), request
@@ -65,7 +65,7 @@
             page,
         )
 
-    def test_what_is_no_frame_has_its_error(self):
+    def test_malformed_messages_raise_malformed_frame_error(self):
         for body in (b"R\xff\xff", b"R" + b"x" * (1 << 20)):
             self.assertRaises(MalformedFrameError, codec.decode_frame, body)
         for call in (
@@ -76,7 +76,7 @@
             self.assertRaises(MalformedFrameError, codec.decode_request, "a", call)
         self.assertIsNone(
             codec.decode_request("a", wire.Call(ask=9, channel="c", round=1, nonce=1))
-        )  # a later version's
+        )  # a request kind of a later version
 
 
 if __name__ == "__main__":
--- a/tests/fleet/leases/test_lease_manager.py
+++ b/tests/fleet/leases/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""Leases over the transport: gateways, acceptors and a network on a fake clock."""
+"""Lease managers of several gateways over a simulated network and a fake clock."""
 
 import os
 import shutil
@@ -21,11 +21,11 @@
 
 
 class StandInTransport:
-    """The fleet's transport for many gateways, on one clock."""
+    """One gateway's transport over a `Network`."""
 
-    def __init__(self, name, net):
+    def __init__(self, name, network):
         self.name = name
-        self.net = net
+        self.network = network
         self.incarnation = 1
         self.subscribers = []
 
@@ -35,14 +35,19 @@
             1,
             [
                 Member(each, "h:1", 1, MemberState.ALIVE)
-                for each in sorted(self.net.transports)
+                for each in sorted(self.network.transports)
             ],
         )
 
     def send(self, member, kind, body):
-        if member not in self.net.transports or {member, self.name} & self.net.cut:
+        if (
+            member not in self.network.transports
+            or {member, self.name} & self.network.cut
+        ):
             return False
-        self.net.clock.callLater(0.001, self.net.bring, self.name, member, body)
+        self.network.clock.callLater(
+            0.001, self.network.deliver, self.name, member, body
+        )
         return True
 
     def subscribe(self, kind, on_message):
@@ -53,7 +58,7 @@
 
 
 class ImmediateWorker:
-    """A job at once, its result by the reactor."""
+    """Runs a job at once and delivers its result through the fake reactor."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -70,7 +75,11 @@
 
 
 class Network:
-    """Three acceptors r0 to r2 and two more gateways."""
+    """Gateways on one fake clock: acceptors r0, r1 and r2, and gateways x and y.
+
+    Gateways in `cut` neither send nor receive messages. `events` has the gateway of
+    each log event and the error's name or, without an error, the event's name.
+    """
 
     def __init__(self, folder, **values):
         self.clock = Clock()
@@ -82,7 +91,7 @@
         self.cut = set()
         for name in ("r0", "r1", "r2", "x", "y"):
             self.start(name)
-        self.go(0.5)
+        self.advance(0.5)
 
     def path(self, name):
         return os.path.join(self.folder, f"{name}.sqlite")
@@ -118,7 +127,7 @@
         self.managers.pop(name).stop()
         del self.transports[name]
 
-    def bring(self, sender, member, body):
+    def deliver(self, sender, member, body):
         for each in (
             self.transports[member].subscribers
             if member in self.transports and not {sender, member} & self.cut
@@ -126,114 +135,117 @@
         ):
             each(sender, 1, body)
 
-    def go(self, seconds):
+    def advance(self, seconds):
         for _ in range(int(seconds * 400)):
             self.clock.advance(0.0025)
 
     def acquire(self, name, key="c", seconds=0.5):
         got = []
         self.managers[name].acquire(key, got.append)
-        self.go(seconds)
+        self.advance(seconds)
         return got[0]
 
     def write(self, name, term, *values):
         got = []
         for value in values:
             self.managers[name].write(term, value, got.append)
-        self.go(0.5)
+        self.advance(0.5)
         return got
 
 
 class LeaseManagerTests(unittest.TestCase):
-    def net(self, **values):
+    def start_network(self, **values):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        net = Network(folder.name, **values)
-        self.addCleanup(lambda: [net.stop(each) for each in list(net.managers)])
-        return net
+        network = Network(folder.name, **values)
+        self.addCleanup(lambda: [network.stop(each) for each in list(network.managers)])
+        return network
 
-    def test_a_write_that_lay_on_its_way_is_as_old_as_it_is(self):
-        """A network that holds a gateway's streams, then brings what was in one."""
-        net = self.net()
+    def test_the_age_of_a_delayed_write_counts_from_its_creation(self):
+        """Hold back a gateway's messages, and deliver those to one acceptor later."""
+        network = self.start_network()
         held = []
-        term = net.acquire("x")
-        self.assertEqual(net.write("x", term, b"1"), [None])
-        bring, made = net.bring, net.now()
-        net.bring = lambda sender, *rest: (
-            held.append((sender, *rest)) if sender == "x" else bring(sender, *rest)
+        term = network.acquire("x")
+        self.assertEqual(network.write("x", term, b"1"), [None])
+        deliver, created_at = network.deliver, network.now()
+        network.deliver = lambda sender, *rest: (
+            held.append((sender, *rest)) if sender == "x" else deliver(sender, *rest)
         )
         self.assertIsInstance(
-            net.write("x", term, b"2")[0], errors.QuorumNotReachedError
+            network.write("x", term, b"2")[0], errors.QuorumNotReachedError
         )
-        net.go(6)
-        net.bring = bring
+        network.advance(6)
+        network.deliver = deliver
         for each in [each for each in held if each[1] == "r1"]:
-            net.bring(*each)
-        net.go(2.5)
-        later = net.acquire("y")
+            network.deliver(*each)
+        network.advance(2.5)
+        later = network.acquire("y")
         self.assertEqual(later.value, b"2")
         self.assertLessEqual(
-            net.now() - made - 5000, later.value_age
-        )  # it was had half a second ago
-        self.assertLess(later.value_age, net.now() - made + 2000)
+            network.now() - created_at - 5000, later.value_age
+        )  # `acquire` returns half a second after the lease was acquired
+        self.assertLess(later.value_age, network.now() - created_at + 2000)
 
-    def test_a_lease_is_acquired_written_under_and_handed_over(self):
-        net = self.net()
-        term = net.acquire("x")
+    def test_a_released_lease_passes_to_another_gateway_with_its_record(self):
+        network = self.start_network()
+        term = network.acquire("x")
         self.assertEqual(
-            (term.value, term.value_age, net.managers["x"].holds(term)), (b"", 0, True)
+            (term.value, term.value_age, network.managers["x"].holds(term)),
+            (b"", 0, True),
         )
-        self.assertEqual(net.write("x", term, b"1", b"2", b"3"), [None] * 3)
+        self.assertEqual(network.write("x", term, b"1", b"2", b"3"), [None] * 3)
         self.assertEqual(term.value, b"3")
-        refused = net.acquire("y")
+        refused = network.acquire("y")
         self.assertIsInstance(refused, errors.NotLeaseHolderError)
         self.assertEqual(refused.holder, "x")
         self.assertLessEqual(refused.retry_delay, TIMINGS.acceptor_duration())
-        net.managers["x"].release(term)
-        self.assertFalse(net.managers["x"].holds(term))
-        later = net.acquire("y")
+        network.managers["x"].release(term)
+        self.assertFalse(network.managers["x"].holds(term))
+        later = network.acquire("y")
         self.assertEqual(later.value, b"3")
         self.assertTrue(5_000 <= later.value_age <= 15_000)
-        self.assertIsInstance(net.write("x", term, b"4")[0], errors.LeaseNotHeldError)
+        self.assertIsInstance(
+            network.write("x", term, b"4")[0], errors.LeaseNotHeldError
+        )
 
-    def test_a_term_in_use_is_renewed_an_idle_one_ends_and_is_acquired_after_it(self):
-        net = self.net()
-        term = net.acquire("x")
-        net.write("x", term, b"1")
+    def test_a_term_in_use_is_renewed_until_its_holder_is_disconnected(self):
+        network = self.start_network()
+        term = network.acquire("x")
+        network.write("x", term, b"1")
         term.in_use = True
-        net.go(6)
-        self.assertTrue(net.managers["x"].holds(term))
-        self.assertIsInstance(net.acquire("y"), errors.NotLeaseHolderError)
-        net.cut.add("x")  # its holder is gone
-        began = net.now()
+        network.advance(6)
+        self.assertTrue(network.managers["x"].holds(term))
+        self.assertIsInstance(network.acquire("y"), errors.NotLeaseHolderError)
+        network.cut.add("x")  # the holder
+        started_at = network.now()
         while isinstance(
-            got := net.acquire("y", seconds=0.05), errors.CoordinationError
+            got := network.acquire("y", seconds=0.05), errors.CoordinationError
         ):
-            self.assertLess(net.now() - began, 3 * 10_000)
-        self.assertFalse(net.managers["x"].holds(term))
+            self.assertLess(network.now() - started_at, 3 * 10_000)
+        self.assertFalse(network.managers["x"].holds(term))
         self.assertEqual(got.value, b"1")
-        net.cut.clear()
+        network.cut.clear()
         self.assertEqual(
-            [type(each) for each in net.write("x", term, b"2")],
+            [type(each) for each in network.write("x", term, b"2")],
             [errors.NotLeaseHolderError],
         )
 
-    def test_without_a_majority_it_is_declined_soon_with_a_time_to_come_back(self):
-        net = self.net()
-        term = net.acquire("x")
-        net.cut |= {"r0", "r1"}
-        got = net.acquire("y", "other", seconds=0.05)
+    def test_an_acquisition_without_a_majority_fails_with_a_retry_delay(self):
+        network = self.start_network()
+        term = network.acquire("x")
+        network.cut |= {"r0", "r1"}
+        got = network.acquire("y", "other", seconds=0.05)
         self.assertIsInstance(got, errors.QuorumNotReachedError)
         self.assertGreater(got.retry_delay, 0)
         self.assertIsInstance(
-            net.write("x", term, b"1")[0], errors.QuorumNotReachedError
+            network.write("x", term, b"1")[0], errors.QuorumNotReachedError
         )
-        net.cut.clear()
-        net.go(3)
-        again = net.acquire("y")
+        network.cut.clear()
+        network.advance(3)
+        again = network.acquire("y")
         self.assertIn(again.value, (b"", b"1"))
 
-    def test_acceptors_come_back_with_what_they_have_without_or_with_less(self):
+    def test_an_acceptor_recovers_from_a_corrupt_missing_or_older_file(self):
         for how, error in (
             ("kept", "acceptor_serving"),
             ("torn", "AcceptorStateCorruptError"),
@@ -241,126 +253,129 @@
             ("older", "AcceptorStateRolledBackError"),
         ):
             with self.subTest(how):
-                net = self.net()
-                term = net.acquire("x")
-                net.cut.add("r2")
-                net.write("x", term, b"1")
-                net.go(0.3)
-                net.stop("r1")
-                shutil.copy(net.path("r1"), net.path("r1") + ".copy")
-                net.start("r1")
-                net.go(0.5)
-                net.cut.clear()
-                net.go(2.5)
-                self.assertEqual(net.write("x", term, b"2"), [None])
-                net.go(0.3)
-                net.stop("r1")
+                network = self.start_network()
+                term = network.acquire("x")
+                network.cut.add("r2")
+                network.write("x", term, b"1")
+                network.advance(0.3)
+                network.stop("r1")
+                shutil.copy(network.path("r1"), network.path("r1") + ".copy")
+                network.start("r1")
+                network.advance(0.5)
+                network.cut.clear()
+                network.advance(2.5)
+                self.assertEqual(network.write("x", term, b"2"), [None])
+                network.advance(0.3)
+                network.stop("r1")
                 if how == "torn":
-                    Path(net.path("r1")).write_bytes(
-                        Path(net.path("r1")).read_bytes()[:5000]
+                    Path(network.path("r1")).write_bytes(
+                        Path(network.path("r1")).read_bytes()[:5000]
                     )
                 elif how == "lost":
-                    os.remove(net.path("r1"))
+                    os.remove(network.path("r1"))
                 elif how == "older":
-                    os.replace(net.path("r1") + ".copy", net.path("r1"))
-                del net.events[:]
-                net.start("r1")
-                net.go(0.5)
-                self.assertIn(("r1", error), net.events)
+                    os.replace(network.path("r1") + ".copy", network.path("r1"))
+                del network.events[:]
+                network.start("r1")
+                network.advance(0.5)
+                self.assertIn(("r1", error), network.events)
                 self.assertEqual(
-                    net.managers["r1"].acceptor.is_serving(), how == "kept"
+                    network.managers["r1"].acceptor.is_serving(), how == "kept"
                 )
-                net.go(3)
-                self.assertTrue(net.managers["r1"].acceptor.is_serving())
-                net.cut.add("r0")  # r1 counts again, and has what was written
-                while isinstance(got := net.acquire("y"), errors.CoordinationError):
-                    net.go(0.2)
+                network.advance(3)
+                self.assertTrue(network.managers["r1"].acceptor.is_serving())
+                network.cut.add("r0")  # so r1 is needed, with the write
+                while isinstance(got := network.acquire("y"), errors.CoordinationError):
+                    network.advance(0.2)
                 self.assertEqual(got.value, b"2")
 
-    def test_an_acceptor_without_room_answers_nothing_that_is_not_written(self):
-        net = self.net()
-        net.stop("r0")
-        net.start("r0", max_store_pages=14)
-        net.go(0.5)
-        terms = [net.acquire("x", f"c{each}", seconds=0.1) for each in range(12)]
+    def test_an_acceptor_with_a_full_disk_grants_no_write(self):
+        network = self.start_network()
+        network.stop("r0")
+        network.start("r0", max_store_pages=14)
+        network.advance(0.5)
+        terms = [network.acquire("x", f"c{each}", seconds=0.1) for each in range(12)]
         self.assertEqual(
-            sum([net.write("x", term, b"x" * 6000) for term in terms], []), [None] * 12
-        )  # the two others do
-        self.assertIn(("r0", "DiskFullError"), net.events)
-        net.cut.add("r1")
+            sum([network.write("x", term, b"x" * 6000) for term in terms], []),
+            [None] * 12,
+        )  # the other two acceptors accept the writes
+        self.assertIn(("r0", "DiskFullError"), network.events)
+        network.cut.add("r1")
         self.assertIsInstance(
-            net.write("x", terms[11], b"y" * 6000)[0], errors.QuorumNotReachedError
+            network.write("x", terms[11], b"y" * 6000)[0], errors.QuorumNotReachedError
         )
-        net.managers["r0"].acceptor.store.connection.execute(
+        network.managers["r0"].acceptor.store.connection.execute(
             "PRAGMA max_page_count=1000"
         )
-        net.go(3)
-        self.assertIsInstance(net.acquire("x", "c11"), LeaseTerm)
+        network.advance(3)
+        self.assertIsInstance(network.acquire("x", "c11"), LeaseTerm)
 
-    def test_bounds_and_idle_leases(self):
-        net = self.net(max_leases=3, idle_after=50_000)
+    def test_limits_and_removal_of_idle_leases(self):
+        network = self.start_network(max_leases=3, idle_after=50_000)
         for each in range(3):
-            term = net.acquire("x", f"c{each}")
-            net.write("x", term, b"v")
+            term = network.acquire("x", f"c{each}")
+            network.write("x", term, b"v")
         self.assertIsInstance(
-            net.acquire("x", "c3"), errors.ResourceLimitReachedError
-        )  # here
+            network.acquire("x", "c3"), errors.ResourceLimitReachedError
+        )  # the limit of the gateway x
         self.assertIsInstance(
-            net.acquire("y", "c3"), errors.QuorumNotReachedError
-        )  # at the acceptors
+            network.acquire("y", "c3"), errors.QuorumNotReachedError
+        )  # the limit of the acceptors
         self.assertIsInstance(
-            net.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReachedError
+            network.write("x", term, b"v" * 20_000)[0], errors.ResourceLimitReachedError
         )
-        net.go(8)
-        got = net.acquire("y", "c3")
+        network.advance(8)
+        got = network.acquire("y", "c3")
         self.assertIsInstance(got, LeaseTerm)
-        self.assertGreater(got.ballot.round, term.ballot.round)  # the floor
+        self.assertGreater(got.ballot.round, term.ballot.round)  # the ballot floor
         self.assertIsInstance(
-            net.acquire("y", "\udc80"), errors.ResourceLimitReachedError
+            network.acquire("y", "\udc80"), errors.ResourceLimitReachedError
+        )
+        network.deliver("y", "x", b"Rnonsense")
+        self.assertIn(("x", "MalformedFrameError"), network.events)
+        received = []
+        network.managers["x"].set_on_channel_message(
+            lambda *message: received.append(message)
         )
-        net.bring("y", "x", b"Rnonsense")
-        self.assertIn(("x", "MalformedFrameError"), net.events)
-        heard = []
-        net.managers["x"].set_on_foreign_message(lambda *what: heard.append(what))
-        net.bring("y", "x", b"Cours")
-        self.assertEqual(heard, [("y", 1, b"Cours")])
+        network.deliver("y", "x", b"Cours")
+        self.assertEqual(received, [("y", 1, b"Cours")])
         self.assertEqual(
-            net.managers["x"].preferred_holder("c1"),
-            net.managers["y"].preferred_holder("c1"),
+            network.managers["x"].preferred_holder("c1"),
+            network.managers["y"].preferred_holder("c1"),
         )
 
-    def test_other_settings_are_declined_and_other_acceptors_need_an_order(self):
-        net = self.net()
-        net.write("x", net.acquire("x"), b"1")
-        net.stop("y")
-        net.start("y", lease_duration=30_000)
-        self.assertIsInstance(net.acquire("y"), errors.QuorumNotReachedError)
-        self.assertIn(("r0", "LeaseSettingsMismatchError"), net.events)
-        net.stop("r0")
-        net.start("r0", acceptors=("r0", "r1", "x"))
-        net.go(3)
-        self.assertIn(("r0", "AcceptorSetChangedError"), net.events)
-        self.assertFalse(net.managers["r0"].acceptor.is_serving())
-        net.stop("r0")
-        Path(net.path("r0") + ".go-on").touch()
-        net.start("r0", acceptors=("r0", "r1", "x"))
-        net.go(0.1)
-        self.assertIn(("r0", "acceptor_overridden"), net.events)
-        self.assertTrue(net.managers["r0"].acceptor.is_serving())
-        self.assertFalse(os.path.exists(net.path("r0") + ".go-on"))
-
-    def test_an_older_state_shows_while_the_acceptor_runs(self):
-        net = self.net()
-        net.write("x", net.acquire("x"), b"1")
-        acceptor = net.managers["r0"].acceptor
+    def test_other_timings_are_refused_and_other_acceptors_need_an_override(self):
+        network = self.start_network()
+        network.write("x", network.acquire("x"), b"1")
+        network.stop("y")
+        network.start("y", lease_duration=30_000)
+        self.assertIsInstance(network.acquire("y"), errors.QuorumNotReachedError)
+        self.assertIn(("r0", "LeaseSettingsMismatchError"), network.events)
+        network.stop("r0")
+        network.start("r0", acceptors=("r0", "r1", "x"))
+        network.advance(3)
+        self.assertIn(("r0", "AcceptorSetChangedError"), network.events)
+        self.assertFalse(network.managers["r0"].acceptor.is_serving())
+        network.stop("r0")
+        Path(network.path("r0") + ".go-on").touch()
+        network.start("r0", acceptors=("r0", "r1", "x"))
+        network.advance(0.1)
+        self.assertIn(("r0", "acceptor_overridden"), network.events)
+        self.assertTrue(network.managers["r0"].acceptor.is_serving())
+        self.assertFalse(os.path.exists(network.path("r0") + ".go-on"))
+
+    def test_a_running_acceptor_stops_and_recovers_when_its_state_is_stale(self):
+        network = self.start_network()
+        network.write("x", network.acquire("x"), b"1")
+        acceptor = network.managers["r0"].acceptor
         identity = acceptor.identity()
         later = identity._replace(generation=identity.generation + 5)
-        acceptor.on_witness("y", later)
+        acceptor.on_known_identity("y", later)
         self.assertFalse(acceptor.is_serving())
-        self.assertIn(("r0", "AcceptorStateRolledBackError"), net.events)
-        net.go(4)
+        self.assertIn(("r0", "AcceptorStateRolledBackError"), network.events)
+        network.advance(4)
         self.assertTrue(acceptor.is_serving())
-        self.assertEqual(acceptor.identity().age, 2)
+        self.assertEqual(acceptor.identity().epoch, 2)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/leases/test_lease_proposer.py
+++ b/tests/fleet/leases/test_lease_proposer.py
@@ -1,4 +1,4 @@
-"""The states of one lease at one gateway."""
+"""State transitions of a lease proposer."""
 
 import unittest
 
@@ -21,10 +21,10 @@
     def setUp(self):
         self.proposer = LeaseProposer("c", "a", 1, TIMINGS, 3)
 
-    def reply(self, acceptor, now, status=ReplyStatus.GRANTED, **more):
-        """A reply to the request under way."""
+    def reply(self, acceptor, now, status=ReplyStatus.GRANTED, **fields):
+        """Deliver a reply to the request in progress."""
         request = self.proposer.current_round.request
-        reply = AcceptorReply.to_request(request, status)._replace(**more)
+        reply = AcceptorReply.to_request(request, status)._replace(**fields)
         return self.proposer.on_reply(acceptor, reply, now)
 
     def acquire(self):
@@ -32,7 +32,7 @@
         self.reply("r0", 10)
         self.assertEqual(self.reply("r1", 10), [ProposerEffect.HOLD])
 
-    def test_a_majority_grants_the_lease_from_the_send(self):
+    def test_a_lease_that_a_majority_grants_counts_from_the_send(self):
         self.assertEqual(self.proposer.acquire(0), [ProposerEffect.PREPARE])
         self.assertEqual(self.reply("r0", 10), [])
         self.assertFalse(self.proposer.holds(10))
@@ -41,7 +41,7 @@
         self.assertTrue(self.proposer.holds(end - 1))
         self.assertFalse(self.proposer.holds(end))
 
-    def test_a_write_that_is_not_settled_is_repaired_first(self):
+    def test_an_unsettled_write_is_repaired_before_the_lease_is_held(self):
         self.proposer.acquire(0)
         self.reply("r0", 10, version=WRITTEN, value=b"v", value_age=UNKNOWN)
         self.assertEqual(self.reply("r1", 10), [ProposerEffect.REPAIR])
@@ -52,7 +52,7 @@
         self.assertEqual(self.reply("r2", 20), [ProposerEffect.HOLD])
         self.assertEqual(self.proposer.value, b"v")
 
-    def test_of_writes_that_wait_only_the_last_is_made(self):
+    def test_only_the_last_of_several_queued_writes_is_carried_out(self):
         self.acquire()
         self.assertEqual(self.proposer.write(b"1", 20), [ProposerEffect.WRITE])
         self.assertEqual(self.proposer.write(b"2", 21), [ProposerEffect.QUEUE])
@@ -63,7 +63,7 @@
         self.assertEqual(self.proposer.current_round.request.value, b"3")
         self.assertEqual(self.proposer.current_round.request.created_at, 22)
 
-    def test_a_ballot_that_is_too_low_is_raised_a_few_times(self):
+    def test_a_refused_ballot_is_raised_until_the_attempts_are_used_up(self):
         self.proposer.acquire(0)
         low = ReplyStatus.BALLOT_TOO_LOW
         for promised in (7, 9):
@@ -74,7 +74,7 @@
         self.reply("r0", 10, low)
         self.assertEqual(self.reply("r1", 10, low), [ProposerEffect.LOSE])
 
-    def test_a_renewal_without_replies_leaves_the_lease_until_its_end(self):
+    def test_the_lease_lasts_until_its_end_when_a_renewal_times_out(self):
         self.acquire()
         self.assertEqual(self.proposer.acquire(100), [ProposerEffect.RENEW])
         over = 100 + TIMINGS.call_timeout
@@ -82,7 +82,7 @@
         self.assertEqual(self.proposer.on_timer(over), [ProposerEffect.KEEP])
         self.assertTrue(self.proposer.holds(over))
 
-    def test_a_write_without_replies_ends_the_term_and_is_not_released(self):
+    def test_a_write_that_times_out_ends_the_term_without_a_release(self):
         self.acquire()
         self.proposer.write(b"1", 20)
         effects = self.proposer.on_timer(20 + TIMINGS.call_timeout)
@@ -90,7 +90,7 @@
         self.assertIs(self.proposer.state, ProposerState.IDLE)
         self.assertIsNone(self.proposer.release_request)
 
-    def test_replies_that_do_not_belong_to_the_round_are_left(self):
+    def test_replies_to_an_earlier_renewal_are_ignored(self):
         self.acquire()
         self.proposer.acquire(100)
         first = self.proposer.current_round.request
