--- a/milletsill/fleet/leases/acceptor.py
+++ b/milletsill/fleet/leases/acceptor.py
@@ -92,8 +92,9 @@
 class GrantState(Enum):
     """The lease's state from the requester's point of view.
 
-    OWN: the requester holds it. OTHER: another gateway holds it. RELEASED: the holder
-    of the promised ballot released it.
+    FREE: there is no grant, or the grant of another gateway has ended. OWN: the last
+    grant is the requester's. OTHER: another gateway holds the lease. RELEASED: the last
+    holder released it.
     """
 
     FREE = auto()
--- a/milletsill/fleet/leases/acceptor_recovery.py
+++ b/milletsill/fleet/leases/acceptor_recovery.py
@@ -6,8 +6,8 @@
 acceptor whose own identity is less has an older copy of its state, or none, and must
 not answer as if it had never promised anything. It waits until every lease that its
 former incarnation may have granted and every request that it may have replied to is
-over. It then copies all records of so many other acceptors that these intersect each
-majority that it was part of.
+over. It then copies all records of so many other acceptors that they include a member
+of each majority that it was part of.
 """
 
 from __future__ import annotations
@@ -139,9 +139,9 @@
 
 
 def is_stale(known: StateIdentity | None, own: StateIdentity) -> bool:
-    """Whether the identity that another gateway knows makes the own state stale.
+    """Whether the identity that another gateway knows shows that the state is stale.
 
-    This is so if it is later, or if it belongs to another state of the same epoch.
+    It does if it is later than `own`, or if it is of another state of the same epoch.
     """
     if known is None or known.epoch < own.epoch:
         return False
@@ -155,7 +155,8 @@
 def copies_needed(acceptors: int) -> int:
     """Return from how many other acceptors all records must be copied.
 
-    So many intersect, without this acceptor, each majority that it was part of.
+    Any set of so many others includes a member of each majority that this acceptor was
+    part of.
     """
     return majority(acceptors)
 
@@ -284,9 +285,9 @@
     def is_confirmed(self, now: int) -> bool:
         """Whether enough other acceptors know of no later state.
 
-        Enough are so many that they intersect each majority. If the file has commits
-        and the recovery wait is over, one fewer is enough, so that an acceptor which is
-        down does not prevent another from recovering.
+        Enough are so many that they include a member of each majority. If the file has
+        commits and the recovery wait is over, one fewer is enough, so that an acceptor
+        which is down does not prevent another from recovering.
         """
         needed = min(copies_needed(len(self.others) + 1), len(self.others))
         wait_over = now >= self.started_at + self.timings.recovery_wait()
@@ -334,7 +335,7 @@
         self._step(RecoveryEvent.WRITE_FAILED)
 
     def retry_delay(self, now: int) -> int:
-        """Return after how many ticks a client should retry while it may not answer."""
+        """Return after how many ticks a refused request should be retried."""
         if self.status in (RecoveryStatus.WAITING, RecoveryStatus.CATCHING_UP):
             return max(self.wait_until - now, QUERY_INTERVAL)
         return QUERY_INTERVAL
--- a/milletsill/fleet/leases/codec.py
+++ b/milletsill/fleet/leases/codec.py
@@ -220,7 +220,7 @@
 
 
 def decode_own_request(sender: str, call: wire.Call) -> AcceptorRequest:
-    """Decode a request that this gateway encoded, without its value."""
+    """Decode a request that this gateway encoded; the value is left empty."""
     ballot = Ballot(call.round, sender, call.nonce)
     return AcceptorRequest(_REQUEST_KINDS[call.ask], call.channel, ballot, call.index)
 
--- a/milletsill/fleet/leases/errors.py
+++ b/milletsill/fleet/leases/errors.py
@@ -29,7 +29,11 @@
 
 
 class NotLeaseHolderError(CoordinationError):
-    """Another gateway, `holder`, holds the lease."""
+    """Another gateway holds the lease.
+
+    Attributes:
+        holder: Name of that gateway.
+    """
 
     remedy = (
         "none: another gateway can acquire the lease once it ends or is released; if "
@@ -70,8 +74,8 @@
     """The acceptor's file cannot be read in full, or a row fails its checksum."""
 
     remedy = (
-        "check the disk; the file was renamed and the acceptor recovers from the other "
-        "acceptors automatically"
+        "check the disk; the file was renamed to FILE.torn and the acceptor recovers "
+        "from the other acceptors automatically"
     )
 
 
--- a/milletsill/fleet/leases/proposer_table.py
+++ b/milletsill/fleet/leases/proposer_table.py
@@ -24,9 +24,9 @@
 class ProposerEvent(Enum):
     """An event at a proposer.
 
-    SETTLED, UNSETTLED: a majority granted the round, and all of it accepted the latest
-    write, or not all of it. REFUSED, BALLOT_TOO_LOW: a majority can no longer grant the
-    round.
+    SETTLED: a majority granted the round, and its replies show that a majority accepted
+    the latest write. UNSETTLED: a majority granted the round, but its replies do not
+    show that. REFUSED, BALLOT_TOO_LOW: a majority can no longer grant the round.
     """
 
     ACQUIRE = auto()
--- a/milletsill/fleet/leases/quorum_round.py
+++ b/milletsill/fleet/leases/quorum_round.py
@@ -85,8 +85,9 @@
 def is_open(quorum_round: QuorumRound, now: int, timings: LeaseTimings) -> bool:
     """Whether replies to the round still count.
 
-    Guards against a reply of an acceptor that has since lost its state: an acceptor
-    recovers only after all requests that it may have replied to have timed out.
+    Guards against a reply of an acceptor that has since lost its state: such an
+    acceptor answers again only after every request that it may have replied to has
+    timed out.
     """
     return now < quorum_round.sent_at + timings.call_timeout
 
