--- a/milletsill/fleet/channels/__init__.py
+++ b/milletsill/fleet/channels/__init__.py
@@ -1,5 +1,5 @@
-"""Ordered channels: numbered requests, released in the order of a declared contract.
+"""Ordered channels: numbered requests that start in the order of a declared contract.
 
-One gateway owns a channel at a time, under a lease; clients may come to any gateway of
-the fleet. See docs/channels.md.
+One gateway at a time owns a channel, under a lease. Clients may connect to any gateway
+of the fleet, which forwards their commands to the owner. See docs/channels.md.
 """
--- a/milletsill/fleet/channels/access_ranges.py
+++ b/milletsill/fleet/channels/access_ranges.py
@@ -1,4 +1,4 @@
-"""What a numbered request touches: ranges of blocks of objects."""
+"""Access ranges of a numbered request: the blocks of objects that it touches."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccessRange:
-    """Blocks of one object; by default all of them.
+    """A range of blocks of one object; by default all of its blocks.
 
     Attributes:
         object: Hash of the object's name.
@@ -22,7 +22,7 @@
     last: int = LAST_BLOCK
 
     def overlaps(self, other: AccessRange) -> bool:
-        """Whether both have a block in common."""
+        """Whether the two ranges have a block in common."""
         return (
             self.object == other.object
             and self.first <= other.last
@@ -34,5 +34,5 @@
 
 
 def ranges_overlap(some: AccessRanges, others: AccessRanges) -> bool:
-    """Whether two requests touch the same extent."""
+    """Whether any range of one request overlaps a range of the other."""
     return any(one.overlaps(other) for one in some for other in others)
--- a/milletsill/fleet/channels/channel_numbers.py
+++ b/milletsill/fleet/channels/channel_numbers.py
@@ -1,4 +1,4 @@
-"""What happens to single numbers of a channel, and the answers that follow.
+"""State changes of single numbers of a channel, and the answers that result.
 
 No I/O and no clock. Times are whole tenths of a millisecond on the owner's own clock.
 """
@@ -44,9 +44,9 @@
     """Applies events to the numbers of a channel.
 
     Attributes:
-        effects_after_write: What is to be done once the record is written.
-        immediate_effects: What needs no record.
-        record_changed: Whether the record has to be written.
+        effects_after_write: Effects to perform once the record is written.
+        immediate_effects: Effects that do not depend on the record.
+        record_changed: Whether the record must be written.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.record_changed = False
 
     def _accept(self, request: PendingNumber, sequence: OpenSequence | None) -> None:
-        """Hold a request, or let it wait for the end of the attempt in flight."""
+        """Queue a request, or let it wait for the outcome of the attempt in flight."""
         number = request.number
         state, effect = transition(self.state_of(number), NumberEvent.REQUEST_RECEIVED)
         if effect is NumberEffect.JOIN and sequence is not None:
@@ -88,7 +88,7 @@
     def _apply(self, number: int, event: NumberEvent) -> ChannelCommand | None:
         """Apply an event to a number that is not in flight.
 
-        Returns the command that waited with it, if any.
+        Returns the command that waited for the number, if any.
         """
         sequence = self.open_sequences.get(number)
         state = self.state_of(number)
@@ -111,7 +111,7 @@
         return request.recipient if request is not None else None
 
     def _close(self, number: int, completed: CompletedSequence) -> None:
-        """Close a number; under NEWEST, supersede all that are older."""
+        """Close a number; under NEWEST, supersede all older ones."""
         self.open_sequences.pop(number, None)
         self.key_generations.pop(number, None)
         self.pinned_ranges.pop(number, None)
@@ -140,7 +140,8 @@
     def _repeat_outcome(self, request: PendingNumber) -> None:
         """Answer with the remembered outcome, without a second effect.
 
-        After the record is written, which may not hold the outcome yet.
+        The answer waits for the next write of the record, because the stored record may
+        not contain the outcome yet.
         """
         number = request.number
         recipient = request.recipient
@@ -170,9 +171,10 @@
     def _unreleased_reply(
         self, sequence: OpenSequence, recipient: ChannelCommand
     ) -> Notify:
-        """The answer to a request that is given up before its release.
+        """Return the answer to a request that is abandoned before its release.
 
-        A rejection promises that nothing was done of its number.
+        A rejection promises that no request with this number had an effect, so a
+        request that waited for a retry is answered with a failure instead.
         """
         if sequence.state is NumberState.WAITING:
             return Notify(
@@ -181,7 +183,7 @@
         return Notify(recipient, ReplyKind.FAILED)
 
     def _reject(self, recipient: ChannelCommand) -> None:
-        """Answer that nothing was done, naming the next number."""
+        """Answer that nothing was done, and name the lowest open number."""
         self.immediate_effects.append(
             Notify(recipient, ReplyKind.REJECTED, self.lowest_open, DEFAULT_RETRY_DELAY)
         )
--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -1,7 +1,7 @@
-"""The channels that this gateway owns, and how it becomes the owner of one.
+"""The channels that this gateway owns, and how it acquires their leases.
 
-Whether this gateway may own a channel is the lease manager's to say; what happens in
-it, `owned_channel`'s. Callbacks come by the reactor.
+The lease manager decides whether this gateway may own a channel; `owned_channel`
+handles the commands of an owned channel. Callbacks run in the reactor.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 from milletsill.fleet.leases.lease_term import LeaseTerm
 
 MAX_WAITING_FOR_LEASE = 256
-"""Commands of one channel that wait while its lease is acquired."""
+"""Commands of one channel that may wait while its lease is acquired."""
 
 IDLE_TIMEOUT = 600_000
-"""When a quiet channel leaves this gateway's memory, in tenths of a millisecond.
+"""Idle time after which a channel is removed from memory, in tenths of a millisecond.
 
 Its record stays with the acceptors.
 """
@@ -44,9 +44,9 @@
 
     Attributes:
         gateway: This gateway's name in the fleet.
-        quarantine: For how long an attempt may run after its deadline, in tenths of a
+        quarantine: How long an attempt may run after its deadline, in tenths of a
             millisecond.
-        max_channels: Channels that are held in memory at once.
+        max_channels: Limit of the channels held in memory.
         catalog: The operator's contracts.
     """
 
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelTelemetry:
-    """Where events go: `log` takes event and fields, `count` an answer's name."""
+    """Telemetry callbacks: `log` takes event and fields, `count` an answer's name."""
 
     log: Callable[..., None]
     count: Callable[[str], None]
 
 
 class ChannelOwner:
-    """Handles commands of channels as their owner, or as one that tries to be."""
+    """Handles channel commands; acquires the lease of a channel where it lacks it."""
 
     def __init__(
         self,
@@ -90,12 +90,12 @@
         self._lost_lease_ends: dict[str, int] = {}
 
     def owns(self, key: str) -> bool:
-        """Whether this gateway is the channel's owner now."""
+        """Whether this gateway owns the channel now."""
         channel = self.channels.get(key)
         return channel is not None and self.leases.holds(channel.lease)
 
     def handle(self, command: ChannelCommand) -> None:
-        """Take in a command, acquiring the channel's lease first where need be."""
+        """Handle a command, after acquiring the channel's lease if necessary."""
         key = command.key
         channel = self.channels.get(key)
         if self.is_draining:
@@ -114,7 +114,9 @@
         if channel is None and self._is_full():
             limit = self.settings.max_channels
             error = ResourceLimitReachedError(
-                f"{limit} channels are kept here", key, DEFAULT_RETRY_DELAY
+                f"all {limit} channels of this gateway are in use",
+                key,
+                DEFAULT_RETRY_DELAY,
             )
             self.replies.report_error(command, error)
             return
@@ -128,7 +130,7 @@
     # Leases.
 
     def _on_acquired(self, key: str, outcome: LeaseTerm | MilletsillError) -> None:
-        """The lease, or why not."""
+        """Handle the lease, or the error with which its acquisition failed."""
         commands = self._waiting_for_lease.pop(key, [])
         channel = self.channels.get(key)
         if isinstance(outcome, MilletsillError):
@@ -152,7 +154,7 @@
     def _begin(
         self, key: str, lease: LeaseTerm, commands: list[ChannelCommand]
     ) -> OwnedChannel | None:
-        """Begin to own a channel; None where its lease had to be given up."""
+        """Create the owned channel; None if its lease had to be released."""
         if lease.value:
             sequencer = self._read_record(key, lease)
         else:
@@ -180,9 +182,9 @@
     def _new_channel(
         self, lease: LeaseTerm, commands: list[ChannelCommand]
     ) -> ChannelSequencer | None:
-        """A channel without a record, with the contract of the first open command.
+        """Create a channel without a record, by the contract of the first open command.
 
-        Where none can begin, the commands are answered and taken out of the list.
+        If that is impossible, the commands are answered and removed from the list.
         """
         for command in commands:
             body = command.body
@@ -194,7 +196,7 @@
                 self.replies.reply(
                     command,
                     ReplyKind.CLAIM_LOST,
-                    text="nothing is known of this channel: open it",
+                    text="the channel has no record: open it first",
                 )
             commands.clear()
             return None
@@ -215,16 +217,16 @@
         )
 
     def lost_lease_end(self, key: str) -> int:
-        """When the last lease of a channel ends that was lost here; 0 for none.
+        """Return when the last lease of a channel that was lost here ends; 0 for none.
 
-        Guards against what this gateway itself released under it, which lasts to its
-        end though the same gateway may take the lease again at once. Harm: what stands
-        behind waits so long.
+        Attempts that this gateway released under the lost lease may run until its end,
+        although the same gateway may acquire the lease again at once. The cost is that
+        later numbers wait that long.
         """
         return self._lost_lease_ends.get(key, 0)
 
     def on_channel_lost(self, channel: OwnedChannel) -> None:
-        """The lease of a channel is gone."""
+        """Remove a channel whose lease was lost, and keep the end of that lease."""
         if self.channels.get(channel.key) is channel:
             del self.channels[channel.key]
             self._lost_lease_ends[channel.key] = max(
@@ -232,7 +234,7 @@
             )
 
     def hand_over(self, channel: OwnedChannel) -> None:
-        """Forget a channel and give up its lease: others may take it at once."""
+        """Remove a channel and release its lease; others can acquire it at once."""
         self.channels.pop(channel.key, None)
         channel.close()
         if self.leases.holds(channel.lease):
@@ -241,7 +243,10 @@
     # Housekeeping.
 
     def sweep(self) -> None:
-        """Forget quiet channels; hand over what the view gives to other gateways."""
+        """Hand over idle channels that are long unused or belong to another gateway.
+
+        Expired entries for lost leases are removed as well.
+        """
         now = self.now()
         self._lost_lease_ends = {
             key: end for key, end in self._lost_lease_ends.items() if end > now
@@ -253,14 +258,18 @@
                 self.hand_over(channel)
 
     def _is_misplaced(self, channel: OwnedChannel) -> bool:
-        """Whether another gateway should own a channel that this one owns."""
+        """Whether this gateway owns a channel that another one should own."""
         if not self.leases.holds(channel.lease):
             return False
         preferred = self.leases.preferred_holder(channel.key)
         return preferred not in ("", self.settings.gateway)
 
     def drain(self) -> None:
-        """Going down: answer what waits, give up leases once nothing is in flight."""
+        """Prepare for shutdown.
+
+        Waiting commands are answered; each lease is released once no attempt is in
+        flight under it.
+        """
         self.is_draining = True
         for commands in self._waiting_for_lease.values():
             for command in commands:
--- a/milletsill/fleet/channels/channel_releases.py
+++ b/milletsill/fleet/channels/channel_releases.py
@@ -1,4 +1,4 @@
-"""Which numbers of a channel start, which wait, which need not wait any more.
+"""Release of a channel's numbers, and the expiry of waiting requests.
 
 No I/O and no clock. Times are whole tenths of a millisecond on the owner's own clock.
 """
@@ -25,7 +25,7 @@
     """Releases the numbers of a channel as its contract's order allows."""
 
     def release_ready(self, now: int) -> None:
-        """Release what may be released; give up what need not wait any more."""
+        """Release the numbers that may start; abandon waiting requests that expired."""
         self._expire_waiting(now)
         moved = True
         while moved:
@@ -50,7 +50,7 @@
     def _gate(
         self, now: int, number: int, sequence: OpenSequence
     ) -> tuple[ReleaseGate, int | None]:
-        """Whether a number may be released, and what stands before it."""
+        """Return whether a number may be released, and its predecessor if any."""
         if sequence.state is NumberState.RETRY_WAITING:
             if now >= sequence.quarantined_until:
                 return ReleaseGate.OPEN, None
@@ -58,13 +58,16 @@
         predecessor = PREDECESSOR_RULES[self.contract.order](self, number)
         change = self.next_contract
         if predecessor is None and change and number >= change.first_number:
-            predecessor = self.lowest_open  # all below the change first
+            predecessor = self.lowest_open  # numbers below the change come first
         if predecessor is None:
             return ReleaseGate.OPEN, None
         return GATE_BY_PREDECESSOR[self.state_of(predecessor)], predecessor
 
     def _pass_indeterminate(self, now: int, number: int, predecessor: int) -> bool:
-        """Stop a number behind an indeterminate one, or close that one; True if so."""
+        """Stop a number that waits for an indeterminate one, or close the latter.
+
+        Returns False while the indeterminate number is reserved for its client.
+        """
         if now < self.open_sequences[predecessor].reserved_until:
             return False
         if self.contract.indeterminate_policy is IndeterminatePolicy.STOP:
@@ -98,17 +101,17 @@
         )
 
     def pin_overtaken(self, number: int) -> None:
-        """Pin lower numbers that wait to what they touch, as `number` is released.
+        """Pin waiting numbers below `number`, which is released, to their ranges.
 
-        Guards against one that was overtaken on one extent and comes back on another.
-        Harm: it must come as it was.
+        Prevents a number that was overtaken on one extent from being sent again with
+        another extent. The cost is that its client must send it again unchanged.
         """
         for lower, sequence in self.open_sequences.items():
             if lower < number and sequence.state is NumberState.WAITING:
                 self.pinned_ranges[lower] = sequence.ranges
 
     def _expire_waiting(self, now: int) -> None:
-        """Answer requests whose deadline or wait for a gap is over."""
+        """Answer and drop waiting requests whose deadline or gap timeout has passed."""
         for number, sequence in list(self.open_sequences.items()):
             request = sequence.pending
             if request is None:
@@ -123,7 +126,7 @@
                 self._apply(number, NumberEvent.WAIT_ENDED)
 
     def _advance_batch_and_contract(self) -> None:
-        """Go on to the next batch where one is whole, to a contract that is reached."""
+        """Start the next batch or contract once all numbers before it are closed."""
         if (
             self.contract.order is ChannelOrder.BATCHES
             and self.batch_end
@@ -141,7 +144,7 @@
             and any(each >= change.first_number for each in self.open_sequences)
             and not any(each < change.first_number for each in self.open_sequences)
         ):
-            # Gaps are fine: what waits for the change is newer than what never came.
+            # NEWEST allows gaps: absent numbers below the change are superseded by it.
             self.lowest_open = change.first_number
         if self.lowest_open >= change.first_number:
             self.contract = change.contract
--- a/milletsill/fleet/channels/channel_sequencer.py
+++ b/milletsill/fleet/channels/channel_sequencer.py
@@ -1,9 +1,9 @@
-"""The sequencer of one channel: commands and the ends of attempts in, effects out.
+"""The sequencer of one channel: turns commands and ends of attempts into effects.
 
-No I/O and no clock: times are passed in. What must stand in the record before it is
-done is in `effects_after_write`: the owner writes the record and then does it. What
-needs no record is in `immediate_effects`. The owner empties both. Times are whole
-tenths of a millisecond on the owner's own clock.
+No I/O and no clock: times are passed in. `effects_after_write` has the effects that
+must be in the stored record first: the owner writes the record, then performs them.
+`immediate_effects` has those that do not depend on the record. The owner empties both.
+Times are whole tenths of a millisecond on the owner's own clock.
 """
 
 from __future__ import annotations
@@ -35,12 +35,13 @@
 
 
 class ChannelSequencer(ChannelReleases):
-    """Takes in commands, and the ends of attempts, of one channel."""
+    """Handles the commands and the ends of attempts of one channel."""
 
     def recover(self, now: int) -> None:
-        """Take over what may be in flight: its outcome is indeterminate.
+        """Mark all numbers that may be in flight as indeterminate.
 
-        Its client has not heard so, and may come again for as long as a gap waits.
+        Their clients have not been told, so each number is reserved for at least the
+        gap timeout, in which its client can send the request again.
         """
         for sequence in self.open_sequences.values():
             sequence.state = NumberState.INDETERMINATE
@@ -56,7 +57,7 @@
         token: str,
         recipient: ChannelCommand,
     ) -> None:
-        """Make a later claim: what waits under the earlier one is answered.
+        """Make a new claim; requests that wait under the previous claim are answered.
 
         Raises:
             ContractConflictError: The declaration contradicts an earlier one.
@@ -75,7 +76,7 @@
                 declaration.contract,
                 declaration.chosen_by_client,
             )
-        if token != self.claim_token or not token:  # the same command may come twice
+        if token != self.claim_token or not token:  # the command may arrive twice
             self.claim += 1
             self.claim_token = token
             for number in list(self.open_sequences):
@@ -87,7 +88,7 @@
         self.release_ready(now)
 
     def submit(self, now: int, request: PendingNumber) -> None:
-        """Take in a numbered request."""
+        """Handle a numbered request."""
         number = request.number
         if not self.holds_claim(request.claim):
             self._notify_now(request.recipient, ReplyKind.CLAIM_LOST)
@@ -100,7 +101,7 @@
         if contradiction:
             self._contradict(request.recipient, number, contradiction)
             return
-        if self._is_full_for(number) or self.is_too_far(number):
+        if self._exceeds_max_waiting(number) or self.is_too_far_ahead(number):
             self._reject(request.recipient)
             return
         if (
@@ -123,9 +124,10 @@
         claim: int,
         recipient: ChannelCommand,
     ) -> None:
-        """Apply what the client says became of a number.
+        """Apply a client's resolution of a number.
 
-        What stands behind it waits out the quarantine whatever the client says.
+        A resolution is rejected until the quarantine of the number ends, so later
+        numbers always wait until then.
         """
         sequence = self.open_sequences.get(number)
         state = self.state_of(number)
@@ -154,11 +156,13 @@
             return
         if (
             self.is_closed(number)
-            or self.is_too_far(number)
+            or self.is_too_far_ahead(number)
             or transition(state, event) == (state, NumberEffect.NONE)
         ):
             self._contradict(
-                recipient, number, f"nothing can be said of number {number} now"
+                recipient,
+                number,
+                f"number {number} cannot be resolved this way now",
             )
             return
         self._apply(number, event)
@@ -176,11 +180,11 @@
         """Apply the end of a released attempt.
 
         Args:
-            now: The time.
-            number: The number that was released.
+            now: The current time.
+            number: The released number.
             event: SETTLED, NEVER_RAN or ANSWER_LOST.
-            status_code: Of the node's answer, where it is SETTLED.
-            retry_delay: When to come back, where it is NEVER_RAN.
+            status_code: Status code of the node's answer, if SETTLED.
+            retry_delay: When the client may retry, if NEVER_RAN.
         """
         sequence = self.open_sequences[number]
         recipients = sequence.recipients
@@ -214,9 +218,9 @@
         self.release_ready(now)
 
     def abandon_waiting(self, retry_delay: int) -> None:
-        """Answer all that waits: the lease is lost or given up.
+        """Answer all waiting requests, because the lease was lost or is released.
 
-        What is in flight goes on to its end.
+        Attempts in flight continue until they end.
         """
         for number, sequence in list(self.open_sequences.items()):
             if sequence.pending is None:
@@ -231,8 +235,8 @@
             )
             self._apply(number, NumberEvent.WAIT_ENDED)
 
-    def _is_full_for(self, number: int) -> bool:
-        """Whether too many wait for another number to come."""
+    def _exceeds_max_waiting(self, number: int) -> bool:
+        """Whether the channel has too many open sequences to accept another number."""
         return (
             number not in self.open_sequences
             and number != self.lowest_open
--- a/milletsill/fleet/channels/channel_state.py
+++ b/milletsill/fleet/channels/channel_state.py
@@ -1,4 +1,4 @@
-"""What the owner of a channel knows of it, and what follows from that alone.
+"""The state of a channel at its owner, and values that are derived from it.
 
 No I/O and no clock. Times are whole tenths of a millisecond on the owner's own clock.
 """
@@ -21,24 +21,25 @@
 
 
 class ChannelState:
-    """The state of one channel, of which its record is the stored part.
+    """The state of one channel; its record stores a part of it.
 
     Attributes:
-        contract: The contract that holds.
-        quarantine: For how long an attempt may run after its deadline.
+        contract: The contract in force.
+        quarantine: How long an attempt may run after its deadline.
         chosen_by_client: Whether a client chose the contract by name.
-        next_contract: A change of contract that is not reached yet.
+        next_contract: A change of contract whose first number is not reached yet.
         claim: The latest claim; 0 before the first.
-        claim_token: Token of the command that made it.
+        claim_token: Token of the command that made the latest claim.
         lowest_open: The lowest number that is not closed.
         highest_released: The highest number that was released.
-        batch: The present batch.
-        batch_end: The last number of it; 0 while that is unknown.
-        closed: Closed numbers from `lowest_open` on.
-        completed: Outcomes that are remembered, in the order of their completion.
-        open_sequences: Open numbers of which something is known.
-        key_generations: How often a client said of a number that it was not done.
-        pinned_ranges: What overtaken numbers touch; they must come back so.
+        batch: The current batch.
+        batch_end: The last number of the current batch; 0 while it is unknown.
+        closed: Closed numbers above `lowest_open`.
+        completed: Remembered outcomes by number, in the order of completion.
+        open_sequences: Open numbers with a request or an attempt, by number.
+        key_generations: How often the client resolved a number as not done.
+        pinned_ranges: Access ranges of overtaken numbers; a later request with the
+            number must have the same ranges.
     """
 
     def __init__(
@@ -66,21 +67,21 @@
     def holds_claim(self, claim: int) -> bool:
         """Whether a claim is the latest.
 
-        Guards against two who number one channel. Harm: a client that opened twice must
-        use its later handle.
+        Prevents two clients from assigning numbers in one channel. The cost is that a
+        client that opened the channel twice must use the later handle.
         """
         return claim == self.claim
 
     def state_of(self, number: int) -> NumberState:
-        """Where an open number stands."""
+        """Return the state of an open number."""
         sequence = self.open_sequences.get(number)
         return sequence.state if sequence is not None else NumberState.ABSENT
 
     def is_closed(self, number: int) -> bool:
-        """Whether a number is over."""
+        """Whether a number is closed."""
         return number < self.lowest_open or number in self.closed
 
-    def is_too_far(self, number: int) -> bool:
+    def is_too_far_ahead(self, number: int) -> bool:
         """Whether a number is too far ahead of the lowest open one."""
         return (
             self.contract.order is not ChannelOrder.NEWEST
@@ -88,18 +89,18 @@
         )
 
     def contract_for(self, number: int) -> OrderingContract:
-        """The contract under which a number is released."""
+        """Return the contract under which a number is released."""
         change = self.next_contract
         if change and number >= change.first_number:
             return change.contract
         return self.contract
 
     def next_free_number(self) -> int:
-        """The lowest number past all that were released or closed in order."""
+        """Return the lowest number above all released ones, at least `lowest_open`."""
         return max(self.highest_released + 1, self.lowest_open)
 
     def known_batch_end(self) -> int:
-        """The last number of the present batch; 0 while no request has said so."""
+        """Return the last number of the current batch; 0 until a request marks it."""
         if self.batch_end:
             return self.batch_end
         for number, sequence in self.open_sequences.items():
@@ -108,32 +109,33 @@
         return 0
 
     def quarantine_end(self, now: int) -> int:
-        """Until when a number whose outcome is indeterminate now stands in the way.
+        """Return when the quarantine of a number ends that is indeterminate from now.
 
-        Guards against its attempt, which may run until the quarantine is over; of an
-        earlier owner, the lease is over, and what it released never outlives a lease.
-        Harm: what stands behind waits.
+        Its attempt may still run until then. This also covers attempts of an earlier
+        owner: that owner's lease has ended, and no attempt's deadline is later than
+        the lease. The cost is that later numbers wait.
         """
         return now + self.quarantine
 
     def key_window_end(self, sequence: OpenSequence, request: PendingNumber) -> int:
-        """Until when a retry under the same idempotency key may be released.
+        """Return until when a retry under the same idempotency key may be released.
 
-        Guards against a second effect: a key is remembered no longer than its window
-        from the first attempt, and the last one may run as late as the quarantine.
-        Harm: the outcome stays indeterminate.
+        Prevents a second effect: nodes remember a key only for its window after the
+        first attempt, and an attempt may run until a quarantine after its deadline.
+        The cost is that the outcome stays indeterminate once this time has passed.
         """
         return sequence.first_released_at + request.key_window - self.quarantine
 
     def was_tried_before(self, sequence: OpenSequence) -> bool:
         """Whether an earlier attempt of a number may have run.
 
-        Guards against a rejection after one. Harm: none.
+        Prevents a rejection, which promises that nothing was done, after such an
+        attempt. It has no cost.
         """
         return sequence.quarantined_until > 0
 
     def indeterminate_numbers(self) -> tuple[int, ...]:
-        """Numbers whose outcome nobody knows, in order."""
+        """Return the numbers with an indeterminate outcome, in ascending order."""
         return tuple(
             sorted(
                 number
@@ -143,7 +145,7 @@
         )
 
     def released_count(self) -> int:
-        """How many numbers have an attempt in flight."""
+        """Return how many numbers have an attempt in flight."""
         return sum(
             1
             for sequence in self.open_sequences.values()
@@ -151,7 +153,7 @@
         )
 
     def next_wakeup(self, now: int) -> int | None:
-        """When time alone changes something next; None for never."""
+        """Return the next time after `now` at which a wait ends; None if none does."""
         times: list[int] = []
         for sequence in self.open_sequences.values():
             if sequence.state in INDETERMINATE_STATES:
--- a/milletsill/fleet/channels/channel_surroundings.py
+++ b/milletsill/fleet/channels/channel_surroundings.py
@@ -1,4 +1,4 @@
-"""What owned channels need of the gateway around them: leases and attempts."""
+"""Interfaces through which owned channels use leases and run attempts."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
     Attributes:
         event: SETTLED, NEVER_RAN or ANSWER_LOST.
-        status_code: Of the node's answer, where it is SETTLED.
-        retry_delay: When to come back, where it is not, in tenths of a millisecond.
-        packet: The node's answer for the client, where it is SETTLED.
+        status_code: Status code of the node's answer, if SETTLED.
+        retry_delay: When the client may retry, if not SETTLED; in tenths of a
+            millisecond.
+        packet: The node's answer for the client, if SETTLED.
     """
 
     event: NumberEvent
@@ -32,13 +33,13 @@
 
 
 class AttemptRunner(Protocol):
-    """Runs what a channel releases."""
+    """Runs the attempts that a channel releases."""
 
     def access_ranges(self, request: NumberedRequest) -> AccessRanges:
-        """What a request touches."""
+        """Return the access ranges of a request."""
 
     def key_window(self, command: ChannelCommand) -> int:
-        """For how long nodes remember the idempotency key of a numbered request."""
+        """Return how long nodes remember the idempotency key of a numbered request."""
 
     def run_attempt(
         self,
@@ -47,23 +48,23 @@
         deadline: int,
         on_ended: Callable[[AttemptEnd], None],
     ) -> None:
-        """Start an attempt that is over by `deadline`; `on_ended` is called once."""
+        """Start an attempt that ends by `deadline`; `on_ended` is called once."""
 
 
 class LeaseService(Protocol):
-    """What channels need of the lease manager; keys are those of channels."""
+    """The part of the lease manager that channels use; keys are channel keys."""
 
     def acquire(self, key: str, on_acquired: OnAcquired) -> None:
-        """Become the channel's owner, or renew; hears the lease, or why not."""
+        """Acquire or renew a channel's lease; the callback gets it or an error."""
 
     def write(self, term: LeaseTerm, value: bytes, on_written: OnWritten) -> None:
-        """Write the channel's record; hears None once a majority has it."""
+        """Write a channel's record; the callback gets None once a majority has it."""
 
     def holds(self, term: LeaseTerm) -> bool:
-        """Whether nobody else can be the channel's owner now."""
+        """Whether no other gateway can own the channel now."""
 
     def release(self, term: LeaseTerm) -> None:
-        """Give a lease up: another may own the channel at once."""
+        """Release a lease, so that another gateway can acquire it at once."""
 
     def preferred_holder(self, key: str) -> str:
-        """Which gateway should own a channel; empty where nobody knows."""
+        """Return the gateway that should own a channel; empty if unknown."""
--- a/milletsill/fleet/channels/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -1,7 +1,7 @@
-"""A channel's stored record, and envelopes between gateways, to and from bytes.
+"""Encoding of a channel's stored record and of the messages between gateways.
 
-All lengths are bounded. The names on the left of `record.proto` are the users' words;
-this module and `commands` are where both words stand.
+All lengths are bounded. Field names of `record.proto` differ from the names in the
+code; this module and `commands` translate between them.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     Record,
 )
 from milletsill.fleet.channels.sequences import (
-    RELEASED_LONG_AGO,
+    UNKNOWN_RELEASE_TIME,
     CompletedSequence,
     OpenSequence,
 )
@@ -46,14 +46,14 @@
 RECORD_FORMAT = 1
 MAX_RECORD_BYTES = 16_384
 MAX_RELEASED = 1024
-"""Numbers in flight that a record may have."""
+"""Limit of the numbers in `out` of a record that is accepted."""
 
 ENVELOPE_MARK = b"C"
-"""The first byte of an envelope; messages of acceptors begin otherwise."""
+"""First byte of an envelope; it differs from that of acceptor messages."""
 
 
 def encode_record(channel: ChannelSequencer, now: int) -> bytes:
-    """The record of a channel as it stands at `now`."""
+    """Return the record of a channel's state at time `now`."""
     record = Record(
         format=RECORD_FORMAT,
         claim=channel.claim,
@@ -92,19 +92,20 @@
 def decode_record(
     data: bytes, quarantine: int, now: int, age: int | None, lease_end: int = 0
 ) -> ChannelSequencer:
-    """The channel from its record, as a new owner finds it.
+    """Return the channel that a new owner reads from a record.
 
-    The outcome of each number in flight is indeterminate.
+    The outcome of each number in flight becomes indeterminate.
 
     Args:
-        data: The record.
-        quarantine: For how long an attempt may run after its deadline.
+        data: The encoded record.
+        quarantine: How long an attempt may run after its deadline.
         now: The time on this gateway's clock.
-        age: How long ago the record was written at most; None where nobody knows.
-        lease_end: When the last lease ends under which anything was released here.
+        age: Upper bound of the time since the record was written; None if unknown.
+        lease_end: When the last lease under which this gateway released numbers ends.
 
     Raises:
-        ChannelRecordUnreadableError: It is torn, or of a later version of the program.
+        ChannelRecordUnreadableError: The record is corrupt, or a later version of
+            milletsill wrote it.
     """
     record = Record()
     try:
@@ -120,11 +121,12 @@
             )
     except (DecodeError, ValueError) as error:
         raise ChannelRecordUnreadableError(
-            f"a record of {len(data)} bytes: {error}"
+            f"cannot decode a channel record of {len(data)} bytes: {error}"
         ) from error
     if record.format != RECORD_FORMAT or _exceeds_bounds(record):
         raise ChannelRecordUnreadableError(
-            f"a record of format {record.format}, {len(data)} bytes"
+            f"channel record of {len(data)} bytes: expected format {RECORD_FORMAT} "
+            f"within the size limits, found format {record.format}"
         )
     channel.claim = record.claim
     channel.claim_token = record.token
@@ -153,13 +155,13 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """What one gateway sends another."""
+    """Encode a message to another gateway."""
     data: bytes = ENVELOPE_MARK + envelope.SerializeToString()
     return data
 
 
 def decode_envelope(body: bytes) -> Envelope | None:
-    """What another gateway sent; None for what makes no sense here."""
+    """Decode a message of another gateway; None if it is not a valid envelope."""
     if body[:1] != ENVELOPE_MARK:
         return None
     envelope = Envelope()
@@ -194,7 +196,7 @@
 
 
 def _contract_from(terms: ContractTerms) -> OrderingContract:
-    """Raises ValueError for an order or a policy of a later version."""
+    """Raises ValueError for an order or a policy that this version does not know."""
     return OrderingContract(
         terms.name,
         terms.version,
@@ -216,12 +218,12 @@
         last=sequence.ends_batch,
     )
     _put_ranges(out.reach, sequence.ranges)
-    if sequence.first_released_at != RELEASED_LONG_AGO:
+    if sequence.first_released_at != UNKNOWN_RELEASE_TIME:
         out.since = max(now - sequence.first_released_at, 0)
 
 
 def _open_sequence_from(out: Out, now: int, age: int | None) -> OpenSequence:
-    first_released_at = RELEASED_LONG_AGO
+    first_released_at = UNKNOWN_RELEASE_TIME
     if age is not None and out.HasField("since"):
         first_released_at = now - age - out.since
     return OpenSequence(
--- a/milletsill/fleet/channels/command_replies.py
+++ b/milletsill/fleet/channels/command_replies.py
@@ -1,4 +1,4 @@
-"""Packets that answer channel commands, and their way to whoever sent the command."""
+"""Construction and delivery of the packets that answer channel commands."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     ContractOutdatedError,
     ContractNotOfferedError,
 )
-"""Errors that a client hears as a contradiction."""
+"""Errors that are answered with `ReplyKind.CONTRADICTION`."""
 
 REPLY_TEXTS = {
     ReplyKind.REJECTED: "declined: nothing was done",
-    ReplyKind.FAILED: "aborted: it may have been done or not",
+    ReplyKind.FAILED: "aborted: it may have been done",
     ReplyKind.CLAIM_LOST: "a later claim holds this channel",
-    ReplyKind.SUPERSEDED: "a newer one is settled",
-    ReplyKind.FORGOTTEN: "over long ago",
-    ReplyKind.SKIPPED: "left out",
-    ReplyKind.STOPPED: "stands behind an unsure end; say what became of it",
+    ReplyKind.SUPERSEDED: "a newer number is closed",
+    ReplyKind.FORGOTTEN: "closed, and its outcome is no longer remembered",
+    ReplyKind.SKIPPED: "skipped by the client",
+    ReplyKind.STOPPED: "waits for a number with an indeterminate outcome: resolve it",
     ReplyKind.CONTRADICTION: "contradicts",
 }
 KINDS_WITH_NUMBER = (ReplyKind.REJECTED, ReplyKind.SUPERSEDED, ReplyKind.STOPPED)
@@ -49,12 +49,12 @@
 
 
 def retry_delay_of(error: MilletsillError | None) -> int:
-    """When to come back after an error, in tenths of a millisecond."""
+    """Return when to retry after an error, in tenths of a millisecond."""
     return getattr(error, "retry_delay", 0) or DEFAULT_RETRY_DELAY
 
 
 def channel_status_packet(channel: ChannelState) -> packets.ExtendedReply:
-    """How a channel stands, for the client that opened it."""
+    """Return the status of a channel, for the client that opened it."""
     first_remembered = min(
         (
             number
@@ -82,7 +82,7 @@
 
 
 def number_status_packet(channel: ChannelState, number: int) -> packets.ExtendedReply:
-    """How a number stands, for the client that asks."""
+    """Return the status of a number, for the client that queries it."""
     state = _wire_state(channel, number)
     answer = None
     if state == wire.NumberStatus.SETTLED:
@@ -107,7 +107,7 @@
 
 
 class CommandReplies:
-    """Answers channel commands; `count` hears of each answer, by name."""
+    """Answers channel commands; calls `count` with the name of each answer."""
 
     def __init__(self, count: Callable[[str], None]) -> None:
         self._count = count
@@ -120,7 +120,10 @@
         retry_delay: int = 0,
         text: str = "",
     ) -> None:
-        """Answer a command with a sign; kinds that name no number leave it out."""
+        """Answer a command with a tagged status.
+
+        The tag contains `number` only for kinds in `KINDS_WITH_NUMBER`.
+        """
         packet = status_tags.tagged_status(
             0,
             kind.value,
@@ -131,11 +134,11 @@
         self.send(command, packet, kind.value)
 
     def reject(self, command: ChannelCommand, retry_delay: int) -> None:
-        """Answer that nothing was done, and when to come back."""
+        """Answer that nothing was done, and after which delay to retry."""
         self.reply(command, ReplyKind.REJECTED, retry_delay=retry_delay)
 
     def report_error(self, command: ChannelCommand, error: MilletsillError) -> None:
-        """Answer why a command comes to nothing."""
+        """Answer a command with an error, or redirect it to the lease holder."""
         if isinstance(error, NotLeaseHolderError) and error.holder:
             command.on_answer(Redirect(error.holder, error.retry_delay))
             return
--- a/milletsill/fleet/channels/commands.py
+++ b/milletsill/fleet/channels/commands.py
@@ -1,4 +1,4 @@
-"""Channel commands of clients, and their encoded form between gateways.
+"""Channel commands of clients, and their encoding in messages between gateways.
 
 Times are whole tenths of a millisecond on this gateway's own clock.
 """
@@ -19,11 +19,11 @@
 
 
 class Volume(Protocol):
-    """What a command needs of its volume."""
+    """The part of a volume that a command uses."""
 
     @property
     def name(self) -> str:
-        """Its name, the same at all gateways."""
+        """Name of the volume, the same at all gateways."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +31,9 @@
     """Open and claim a channel.
 
     Attributes:
-        contract: Name of the contract; empty for the volume's own.
-        version: Its version; 0 for the gateway's.
-        first_number: The number from which it holds; 0 for the next that is free.
+        contract: Name of the contract; empty for the volume's default.
+        version: The expected version; 0 for the version of the gateway.
+        first_number: The first number it applies to; 0 for the next free number.
     """
 
     contract: str
@@ -43,16 +43,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryNumber:
-    """Ask what became of a number."""
+    """Query the status of a number."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResolveNumber:
-    """Say what became of a number whose outcome is indeterminate.
+    """Resolve a number whose outcome is indeterminate, or skip one.
 
-    `resolution` is one of the words of `milletsill.sftp.channel_extensions`.
+    `resolution` is a `Resolution` of `milletsill.sftp.channel_extensions`.
     """
 
     number: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberedRequest:
-    """A request with a number; its handle, if it has one, is the path."""
+    """A request with a number; the handle field of `command` contains the path."""
 
     number: int
     claim: int
@@ -73,7 +73,7 @@
     command: Command
 
     def digest(self) -> int:
-        """Equal for requests that do the same."""
+        """Return a hash of path and command, equal for identical requests."""
         return xxhash.xxh64_intdigest(
             text_to_bytes(self.path) + b"\0" + extensions.encode_embedded(self.command)
         )
@@ -81,9 +81,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """Another gateway owns the channel.
+    """Answer that another gateway owns the channel.
 
-    `retry_delay` is for how long at the most, if nobody hears of it any more.
+    `retry_delay` is the longest time that the owner's lease can still last.
     """
 
     owner: str
@@ -91,24 +91,24 @@
 
 
 AnswerCallback = Callable[[Answer | Redirect], None]
-"""Takes a packet for the client, or the name of the gateway to ask instead."""
+"""Called with a packet for the client, or with the gateway that owns the channel."""
 
 CommandBody = OpenChannel | QueryNumber | ResolveNumber | NumberedRequest
 
 
 @dataclass(slots=True, eq=False)
 class ChannelCommand:
-    """One command on its way to the channel's owner.
+    """One command of a client, which the channel's owner handles.
 
     Attributes:
         volume: The channel's volume.
         channel: The channel's name.
         deadline: Until when the client waits.
-        body: What the client wants.
-        token: The same for the same command received twice.
+        body: The requested operation.
+        token: Equal if the same command is received twice.
         on_answer: Called once, with a packet for the client or with a `Redirect`.
-        unreachable_owners: Gateways that could not be reached with it.
-        redirects: How often the acceptors named another owner for it.
+        unreachable_owners: Owners that could not be reached with this command.
+        redirects: How often the acceptors named another owner.
     """
 
     volume: Volume
@@ -122,14 +122,14 @@
 
     @property
     def key(self) -> str:
-        """The channel's key: its lease is taken under it."""
+        """The channel's key, which is also the key of its lease."""
         return f"{self.volume.name}/{self.channel}"
 
 
 def encode_command(
     command: ChannelCommand, command_id: int, remaining_ms: int, hops: int
 ) -> Ask:
-    """A command for another gateway; its client still waits `remaining_ms`."""
+    """Encode a command whose client still waits `remaining_ms`."""
     body = command.body
     ask = Ask(
         id=command_id,
@@ -167,10 +167,10 @@
     deadline: int,
     on_answer: AnswerCallback,
 ) -> ChannelCommand:
-    """A command of another gateway's client.
+    """Decode a command that another gateway forwarded.
 
     Raises:
-        MalformedInputError: The command in it cannot be read.
+        MalformedInputError: The embedded command cannot be decoded.
     """
     body = _decode_body(ask)
     return ChannelCommand(volume, ask.channel, deadline, body, token, on_answer)
--- a/milletsill/fleet/channels/contracts.py
+++ b/milletsill/fleet/channels/contracts.py
@@ -1,6 +1,6 @@
 """Ordering contracts: their terms, what clients may declare, and how they change.
 
-No I/O and no clock. Spans are whole tenths of a millisecond. See docs/channels.md.
+No I/O and no clock. Durations are whole tenths of a millisecond. See docs/channels.md.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ChannelOrder(Enum):
-    """What may start before what. Names and values are those of the settings file."""
+    """Order in which numbers may start. Names and values match the settings file."""
 
     EACH_IN_ORDER = 0
     NEWEST = 1
@@ -26,23 +26,23 @@
 
 
 class IndeterminatePolicy(Enum):
-    """What an indeterminate outcome means for the numbers behind it.
+    """How an indeterminate outcome affects the numbers that are ordered after it.
 
-    Values are those of the settings file.
+    Values match the settings file.
     """
 
     QUARANTINE = 0
-    """They wait out the quarantine; then the outcome stays indeterminate."""
+    """They wait until the quarantine ends; then the outcome stays indeterminate."""
 
     STOP = 1
-    """They are stopped until the client says what became of it."""
+    """They are stopped until the client resolves the indeterminate number."""
 
 
 POLICY_IN_SETTINGS = {
     IndeterminatePolicy.QUARANTINE: "REST",
     IndeterminatePolicy.STOP: "STOP",
 }
-"""The policies by their names in the settings file, for messages to operators."""
+"""Names of the policies in the settings file, for error messages."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,13 +50,13 @@
     """The terms of one version of a contract.
 
     Attributes:
-        name: Its name in the settings file.
-        version: Grows when the operator changes the contract.
-        order: What may start before what.
-        indeterminate_policy: What an indeterminate outcome means for those behind it.
-        idle_retention: For how long a silent channel's record is kept.
-        max_waiting: Requests of one channel that may wait.
-        gap_timeout: For how long a request waits for a lower number that is absent.
+        name: Name of the contract in the settings file.
+        version: The operator increases it with each change of the contract.
+        order: Order in which numbers may start.
+        indeterminate_policy: How an indeterminate outcome affects later numbers.
+        idle_retention: How long the record of an idle channel is kept.
+        max_waiting: How many requests of one channel may wait.
+        gap_timeout: How long a request waits for a lower number that is absent.
     """
 
     name: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ContractChange:
-    """Another contract of a channel, which holds from `first_number` on."""
+    """A change of a channel's contract that applies from `first_number` on."""
 
     first_number: int
     contract: OrderingContract
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelDeclaration:
-    """What an open command declares, resolved by the operator's settings.
+    """What an open command declares, after lookup in the operator's settings.
 
     Attributes:
-        contract: The contract that is to hold.
-        first_number: The number from which it holds; 0 for the next that is free.
-        chosen_by_client: Whether the client chose it by name.
+        contract: The declared contract.
+        first_number: The first number it applies to; 0 for the next free number.
+        chosen_by_client: Whether the client chose the contract by name.
     """
 
     contract: OrderingContract
@@ -99,17 +99,17 @@
     declaration: ChannelDeclaration,
     next_free: int,
 ) -> bool:
-    """Whether a declaration changes the contract of a channel that has one.
+    """Whether a declaration changes the contract of an existing channel.
 
     Args:
-        current: The contract that holds now.
+        current: The contract in force.
         chosen_by_client: Whether a client chose `current` by name.
-        pending: A change that was declared and is not reached yet.
+        pending: A declared change whose first number is not reached yet.
         declaration: What the client declares.
-        next_free: The lowest number past all that were released.
+        next_free: The lowest number above all released numbers.
 
     Raises:
-        ContractConflictError: Two declarations contradict each other.
+        ContractConflictError: The declaration contradicts an earlier one.
         ContractOutdatedError: The declared version is older than the channel's.
     """
     declared = declaration.contract
@@ -121,16 +121,16 @@
     latest = known[-1]
     if declared.name == latest.name and declared.version < latest.version:
         raise ContractOutdatedError(
-            f"contract {declared.name} is at version {latest.version} in the channel's "
-            f"record, version {declared.version} here: bring this gateway's file up to "
-            "date"
+            f"contract {declared.name} has version {latest.version} in the channel's "
+            f"record, but version {declared.version} in this gateway's settings file: "
+            "update the settings file"
         )
     if (
         declared.name != latest.name
         and chosen_by_client
         and not declaration.chosen_by_client
     ):
-        return False  # a client chose, and opens again without a name
+        return False  # a client chose `current`, and this open names no contract
     _check_change(current, pending, declaration, next_free)
     return True
 
@@ -140,7 +140,7 @@
     pending: ContractChange | None,
     declaration: ChannelDeclaration,
 ) -> None:
-    """Raises where a version that is known already is declared differently."""
+    """Raise if a declaration contradicts the same contract version in the record."""
     declared = declaration.contract
     if (known.order, known.indeterminate_policy) != (
         declared.order,
@@ -148,8 +148,9 @@
     ):
         raise ContractConflictError(
             f"contract {declared.name} version {declared.version} is "
-            f"{_described(declared)} here and {_described(known)} in the channel's "
-            "record: give the changed one a higher version at all gateways"
+            f"{_describe(declared)} in this gateway's settings file, but "
+            f"{_describe(known)} in the channel's record: give the changed contract a "
+            "higher version at all gateways"
         )
     if (
         declaration.first_number
@@ -158,9 +159,9 @@
         and declaration.first_number != pending.first_number
     ):
         raise ContractConflictError(
-            f"contract {declared.name} version {declared.version} holds from "
-            f"{pending.first_number} already, not from {declaration.first_number}: "
-            f"open with {pending.first_number} or with 0"
+            f"contract {declared.name} version {declared.version} is already declared "
+            f"from number {pending.first_number}, not {declaration.first_number}: "
+            f"open the channel with first number {pending.first_number} or 0"
         )
 
 
@@ -170,36 +171,37 @@
     declaration: ChannelDeclaration,
     next_free: int,
 ) -> None:
-    """Raises where a contract cannot change to the declared one now."""
+    """Raise if the contract cannot change to the declared one now."""
     declared = declaration.contract
     if pending:
         raise ContractConflictError(
-            f"contract {pending.contract.name} version {pending.contract.version} "
-            f"comes from number {pending.first_number}: {declared.name} version "
-            f"{declared.version} can be declared when that is reached"
+            f"contract {pending.contract.name} version {pending.contract.version} is "
+            f"pending from number {pending.first_number}: declare {declared.name} "
+            f"version {declared.version} once that number is reached"
         )
     if declaration.first_number and declaration.first_number < next_free:
         raise ContractConflictError(
-            f"numbers below {next_free} were let go under {current.name} version "
-            f"{current.version}: let {declared.name} version {declared.version} hold "
-            f"from {next_free} or later"
+            f"contract {declared.name} version {declared.version} cannot apply from "
+            f"number {declaration.first_number}: numbers below {next_free} belong to "
+            f"{current.name} version {current.version}; declare it from {next_free} or "
+            "later"
         )
 
 
-def _described(contract: OrderingContract) -> str:
+def _describe(contract: OrderingContract) -> str:
     policy = POLICY_IN_SETTINGS[contract.indeterminate_policy]
     return f"{contract.order.name} with {policy}"
 
 
 @dataclass(frozen=True, slots=True)
 class ContractOffer:
-    """A contract as the operator offers it.
+    """A contract that the operator offers to clients.
 
     Attributes:
-        contract: Its terms.
-        volumes: Names of the volumes that it is for; empty for all.
-        operations: Operations that it covers; empty for all that write.
-        chosen_by_client: Whether a client may choose it by name.
+        contract: The terms of the contract.
+        volumes: Names of the volumes it applies to; empty for all volumes.
+        operations: Operations it covers; empty for all operations that write.
+        chosen_by_client: Whether a client may choose the contract by name.
     """
 
     contract: OrderingContract
@@ -208,24 +210,27 @@
     chosen_by_client: bool = False
 
     def covers_volume(self, volume: str) -> bool:
-        """Whether it is for this volume."""
+        """Whether the contract applies to this volume."""
         return not self.volumes or volume in self.volumes
 
 
 class ContractCatalog:
-    """The operator's contracts, in the order of the settings: the first that fits."""
+    """The operator's contracts, in the order of the settings file.
+
+    The first contract that covers a volume is the volume's default.
+    """
 
     def __init__(self, offers: Sequence[ContractOffer]) -> None:
         self.offers = tuple(offers)
 
     def covers_volume(self, volume: str) -> bool:
-        """Whether any contract holds for channels of a volume."""
+        """Whether any contract applies to channels of a volume."""
         return any(offer.covers_volume(volume) for offer in self.offers)
 
     def covers_operation(self, name: str, volume: str, operation: str) -> bool:
         """Whether the contract `name` covers an operation of a volume.
 
-        A contract that the settings have no longer covers all operations that write.
+        A contract that is not in the settings any more covers all that write.
         """
         for offer in self.offers:
             if offer.contract.name == name and offer.covers_volume(volume):
@@ -235,21 +240,21 @@
     def resolve(
         self, volume: str, name: str, version: int, first_number: int
     ) -> ChannelDeclaration:
-        """What an open command declares, within what the operator allows.
+        """Return the declaration that an open command makes.
 
         Args:
             volume: Name of the channel's volume.
-            name: The contract that the client chose; empty for the volume's own.
-            version: Its version; 0 for this gateway's.
-            first_number: The number from which it is to hold; 0 for the next free.
+            name: The contract that the client chose; empty for the volume's default.
+            version: The version it expects; 0 for the version of this gateway.
+            first_number: The first number it applies to; 0 for the next free number.
 
         Raises:
-            ContractNotOfferedError: The operator does not offer it.
+            ContractNotOfferedError: The operator does not offer the contract.
         """
         fitting = [offer for offer in self.offers if offer.covers_volume(volume)]
         if not fitting:
             raise ContractNotOfferedError(
-                f"volume {volume} has no contract: name it in fleet.channels.contract"
+                f"no contract covers volume {volume}: add it to fleet.channels.contract"
             )
         if not name:
             return ChannelDeclaration(fitting[0].contract, first_number)
@@ -257,12 +262,12 @@
         if offer is None or not (offer.chosen_by_client or offer is fitting[0]):
             raise ContractNotOfferedError(
                 f"contract {name} is not offered to clients of volume {volume}: open "
-                "without a name, or have the operator set chosen_by_client"
+                "without a contract name, or have the operator set chosen_by_client"
             )
         offered = offer.contract
         if version and version != offered.version:
             raise ContractNotOfferedError(
-                f"contract {name} is at version {offered.version} here, not {version}: "
-                f"open with {offered.version} or 0"
+                f"contract {name} has version {offered.version} at this gateway, not "
+                f"{version}: open with version {offered.version} or 0"
             )
         return ChannelDeclaration(offered, first_number, chosen_by_client=True)
--- a/milletsill/fleet/channels/contradictions.py
+++ b/milletsill/fleet/channels/contradictions.py
@@ -1,4 +1,4 @@
-"""What is wrong with a numbered request, against what its channel knows.
+"""Detection of numbered requests that contradict the state of their channel.
 
 No I/O and no clock.
 """
@@ -12,18 +12,19 @@
 
 
 def other_request_text(channel: ChannelState, number: int) -> str:
-    """What a client hears whose number belongs to another request."""
+    """Return the message to a client whose number belongs to another request."""
     return (
-        f"number {number} was another transfer: number anew from {channel.lowest_open}"
+        f"number {number} belongs to a different request: "
+        f"use numbers from {channel.lowest_open} on"
     )
 
 
 def find_contradiction(
     channel: ChannelState, request: PendingNumber, sequence: OpenSequence | None
 ) -> str:
-    """What a request contradicts, as text for its client; empty for nothing.
+    """Return what a request contradicts, as a message; empty if nothing.
 
-    `sequence` is what is known of its number, if anything.
+    `sequence` is the open sequence with its number, if there is one.
     """
     number = request.number
     contract = channel.contract_for(number)
@@ -36,34 +37,40 @@
     pinned = channel.pinned_ranges.get(number)
     if pinned is not None and pinned != request.ranges:
         return (
-            f"number {number} was overtaken while it touched another extent: "
-            "send it as it was"
+            f"number {number} was overtaken by a higher number and now touches another "
+            "extent: send the original request again"
         )
     in_batches = contract.order is ChannelOrder.BATCHES
     if in_batches != (request.batch > 0):
-        wanted = "needed" if request.batch == 0 else "not known"
-        return f"contract {contract.name} is {contract.order.name}: a batch is {wanted}"
+        wanted = "needed" if request.batch == 0 else "not allowed"
+        return (
+            f"contract {contract.name} has order {contract.order.name}: "
+            f"a batch is {wanted}"
+        )
     if in_batches and contract is channel.contract:
         return _find_batch_contradiction(channel, request)
     return ""
 
 
 def _find_batch_contradiction(channel: ChannelState, request: PendingNumber) -> str:
-    """Guards against batches that overlap. Harm: none, no order could hold for them."""
+    """Return why a request would make batches overlap; empty if it does not.
+
+    No order can hold for overlapping batches, so this check has no cost.
+    """
     number = request.number
     batch = request.batch
     batch_end = channel.known_batch_end()
-    is_present = batch == channel.batch
+    is_current = batch == channel.batch
     if (
         batch < channel.batch
-        or (is_present and batch_end and number > batch_end)
-        or (not is_present and batch_end and number <= batch_end)
+        or (is_current and batch_end and number > batch_end)
+        or (not is_current and batch_end and number <= batch_end)
     ):
         return (
-            f"batch {channel.batch} ends with number {batch_end or 'an unknown one'}: "
-            f"number {number} cannot be of batch {batch}"
+            f"the current batch is {channel.batch}, its last number is "
+            f"{batch_end or 'unknown'}: number {number} cannot be in batch {batch}"
         )
-    if not is_present or not request.ends_batch:
+    if not is_current or not request.ends_batch:
         return ""
     highest = max(
         (
@@ -77,7 +84,7 @@
         batch_end and number != batch_end
     ):
         return (
-            f"number {number} cannot be the last of batch {batch}: "
-            f"{batch_end or highest} is of it"
+            f"number {number} cannot be the last number of batch {batch}, which "
+            f"contains number {batch_end or highest}"
         )
     return ""
--- a/milletsill/fleet/channels/effects.py
+++ b/milletsill/fleet/channels/effects.py
@@ -1,4 +1,4 @@
-"""What a channel's sequencer wants done by the channel's owner."""
+"""Effects: actions that a channel's sequencer requests from the channel's owner."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReplyKind(Enum):
-    """What a command is answered; values are the words of the clients' protocol."""
+    """Kind of answer to a command; values are status tags of the client protocol."""
 
     OUTCOME = "answer"
     REJECTED = "declined"
@@ -28,12 +28,12 @@
     """Start an attempt of a request.
 
     Attributes:
-        number: Its number.
-        request: What is to be done.
-        key_generation: Counts how often its client said that it was not done; part of
+        number: The number to release.
+        request: The request to run.
+        key_generation: How often the client resolved the number as not done; part of
             the idempotency key.
         is_retry: Whether an earlier attempt may have run.
-        deadline: When the attempt must be over, at the latest.
+        deadline: Latest time at which the attempt must have ended.
     """
 
     number: int
@@ -48,12 +48,12 @@
     """Answer a command.
 
     Attributes:
-        recipient: The command; None where nobody waits.
-        kind: What it is answered.
+        recipient: The command; None if no command waits.
+        kind: Kind of the answer.
         number: The number that the answer names, if any.
-        retry_delay: When to come back, in tenths of a millisecond.
-        status_code: Of an `OUTCOME`.
-        text: What contradicts what, of a `CONTRADICTION`.
+        retry_delay: When the client may retry, in tenths of a millisecond.
+        status_code: Status code of the node's answer, for `OUTCOME`.
+        text: Description of the contradiction, for `CONTRADICTION`.
     """
 
     recipient: ChannelCommand | None
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerChannelOpen:
-    """Answer an open command with how the channel stands."""
+    """Answer an open command with the channel's status."""
 
     recipient: ChannelCommand
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerNumberQuery:
-    """Answer a query with how its number stands."""
+    """Answer a query with the status of its number."""
 
     recipient: ChannelCommand
     number: int
--- a/milletsill/fleet/channels/errors.py
+++ b/milletsill/fleet/channels/errors.py
@@ -1,6 +1,6 @@
 """Errors of ordered channels.
 
-`retry_delay` is when a retry helps, in tenths of a millisecond.
+`retry_delay` is the time after which a retry may succeed, in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -9,33 +9,35 @@
 
 
 class ContractNotOfferedError(CoordinationError):
-    """A client asks for a contract that the operator's file does not offer it."""
+    """A client asks for a contract that the settings file does not offer to it."""
 
     remedy = (
-        "see fleet.channels.contract in the gateways' files: "
+        "see fleet.channels.contract in the gateways' settings files: "
         "volume, chosen_by_client, version"
     )
 
 
 class ContractOutdatedError(CoordinationError):
-    """This gateway's file has an older version of a contract than the record."""
+    """This gateway's file has an older contract version than the channel's record."""
 
-    remedy = "bring this gateway's file up to date and restart it"
+    remedy = (
+        "update the contract in this gateway's settings file and restart the gateway"
+    )
 
 
 class ContractConflictError(CoordinationError):
-    """Two declarations of a contract, or requests of one number, contradict."""
+    """Two declarations of a contract, or two requests with one number, conflict."""
 
     remedy = (
-        "what it names: give a changed contract a higher version at all gateways; "
-        "one client at a time numbers a channel"
+        "give a changed contract a higher version at all gateways; "
+        "let only one client at a time assign the numbers of a channel"
     )
 
 
 class ChannelRecordUnreadableError(CoordinationError):
-    """A channel's record is torn, or a later version of the program wrote it."""
+    """A channel's record is corrupt, or a later version of milletsill wrote it."""
 
     remedy = (
-        "bring this gateway up to date; "
-        "the channel is kept by a gateway that can read it"
+        "upgrade this gateway; "
+        "until then, a gateway that can read the record owns the channel"
     )
--- a/milletsill/fleet/channels/number_states.py
+++ b/milletsill/fleet/channels/number_states.py
@@ -10,106 +10,106 @@
 
 
 class NumberState(Enum):
-    """What a channel knows of one number."""
+    """State of one number of a channel."""
 
     ABSENT = auto()
-    """No request with it is here."""
+    """The owner has no request with this number."""
 
     WAITING = auto()
-    """A request with it waits to be released."""
+    """A request with this number waits to be released."""
 
     RELEASED = auto()
-    """The record says that an attempt of it may be in flight."""
+    """The record says that an attempt of this number may be in flight."""
 
     INDETERMINATE = auto()
-    """It was released, and nobody knows whether it took effect."""
+    """The number was released, and whether it took effect is unknown."""
 
     RETRY_WAITING = auto()
-    """Indeterminate; its request has come again and waits out the quarantine."""
+    """Indeterminate; its retry has arrived and waits for the quarantine's end."""
 
     CLOSED = auto()
-    """It is over."""
+    """The number is completed, skipped or superseded."""
 
 
 class NumberEvent(Enum):
-    """What happens to one number."""
+    """Event of one number of a channel."""
 
     REQUEST_RECEIVED = auto()
-    """A request with it has come."""
+    """A request with this number arrived."""
 
     RELEASED = auto()
-    """Its order lets it start."""
+    """The contract's order lets the number start."""
 
     SETTLED = auto()
-    """A node answered."""
+    """A node answered the attempt."""
 
     NEVER_RAN = auto()
-    """Its attempt came back, and no node began it."""
+    """The attempt ended, and no node executed it."""
 
     ANSWER_LOST = auto()
-    """Its attempt ended without an answer and may have run."""
+    """The attempt ended without an answer and may have run."""
 
     WAIT_ENDED = auto()
-    """Its deadline, the wait for a gap or its claim is over."""
+    """The deadline or the gap timeout passed, or the claim was lost."""
 
     SUPERSEDED = auto()
-    """A newer number is settled."""
+    """A newer number was closed (order NEWEST)."""
 
     QUARANTINE_ENDED = auto()
-    """Its quarantine is over, and others wait behind it."""
+    """The quarantine ended, and a later number waits for this one."""
 
     RESOLVED_DONE = auto()
-    """The client says that it was done."""
+    """The client resolved the number as done."""
 
     RESOLVED_NOT_DONE = auto()
-    """The client says that it was not done, and will send it again."""
+    """The client resolved the number as not done, and will send it again."""
 
     RESOLVED_SKIPPED = auto()
-    """The client says that it is left out."""
+    """The client resolved the number as skipped."""
 
 
 class NumberEffect(Enum):
-    """What follows from an event."""
+    """Effect of a state transition."""
 
     NONE = auto()
     HOLD = auto()
-    """The request waits."""
+    """The request waits for its release."""
 
     REPLACE = auto()
-    """The request waits in place of the one before."""
+    """The request replaces the one that waited."""
 
     JOIN = auto()
-    """The request waits for the end of the one in flight."""
+    """The request waits for the outcome of the attempt in flight."""
 
     RELEASE = auto()
-    """The request starts."""
+    """An attempt of the request starts."""
 
     DROP = auto()
-    """The request is given up; the number stays open."""
+    """The request is abandoned; the number stays open."""
 
     SUPERSEDE = auto()
-    """The number is closed by a newer one."""
+    """The number is closed because a newer one was closed."""
 
     SETTLE = auto()
     """The number is closed with the node's answer."""
 
     REJECT = auto()
-    """Nothing was done; the number is free again."""
+    """The request had no effect; the number may be used again."""
 
     FAIL = auto()
-    """It may have been done."""
+    """The request may have taken effect."""
 
     STAY_INDETERMINATE = auto()
     """The number is closed, and its outcome stays indeterminate."""
 
     MARK_DONE = auto()
-    """The number is closed as done, by the client's word."""
+    """The number is closed as done, as the client resolved it."""
 
     SKIP = auto()
-    """The number is closed as left out."""
+    """The number is closed as skipped."""
 
     FREE_FOR_RETRY = auto()
-    """The number is free again, under another idempotency key."""
+    """The number may be used again, under another idempotency key."""
 
 
 NUMBER_TRANSITIONS: Mapping[
@@ -151,8 +151,8 @@
         NumberState.CLOSED,
         NumberEffect.SETTLE,
     ),
-    # Guards against a rejection that was no promise: only where no attempt can have
-    # run is the number free again.
+    # A rejection promises that nothing was done, so the number may be used again only
+    # if no attempt can have run.
     (NumberState.RELEASED, NumberEvent.NEVER_RAN): (
         NumberState.ABSENT,
         NumberEffect.REJECT,
@@ -161,8 +161,8 @@
         NumberState.INDETERMINATE,
         NumberEffect.FAIL,
     ),
-    # The same idempotency key again, for as long as nodes remember it: no second
-    # effect, and perhaps an outcome that is known.
+    # The retry has the same idempotency key. While nodes remember the key, it has no
+    # second effect, and its answer may settle the number.
     (NumberState.INDETERMINATE, NumberEvent.REQUEST_RECEIVED): (
         NumberState.RETRY_WAITING,
         NumberEffect.HOLD,
@@ -196,21 +196,21 @@
         NumberEffect.DROP,
     ),
 }
-"""What is not here changes nothing."""
+"""Pairs that are missing leave the state unchanged."""
 
 STARTED_STATES = (
     NumberState.RELEASED,
     NumberState.INDETERMINATE,
     NumberState.RETRY_WAITING,
 )
-"""States of a number of which an attempt was released and is not known to be over."""
+"""States of a number with a released attempt that may still be running."""
 
 INDETERMINATE_STATES = (NumberState.INDETERMINATE, NumberState.RETRY_WAITING)
-"""States of a number whose outcome nobody knows."""
+"""States of a number with an indeterminate outcome."""
 
 
 def transition(
     state: NumberState, event: NumberEvent
 ) -> tuple[NumberState, NumberEffect]:
-    """The next state of a number, and what follows."""
+    """Return the next state of a number and the effect of the transition."""
     return NUMBER_TRANSITIONS.get((state, event), (state, NumberEffect.NONE))
--- a/milletsill/fleet/channels/ordering.py
+++ b/milletsill/fleet/channels/ordering.py
@@ -1,6 +1,6 @@
-"""What stands before a number, by the order that the channel's contract asks for.
+"""Predecessors of a number under each order: the numbers that hold back its release.
 
-No I/O and no clock. `channel_sequencer` reads these tables; see docs/channels.md.
+No I/O and no clock. `channel_releases` reads these tables; see docs/channels.md.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     """Whether a number may be released."""
 
     OPEN = auto()
-    """It may be released now."""
+    """The number may be released now."""
 
     BUSY = auto()
-    """What is before it is in flight, or may be released itself."""
+    """The predecessor waits or is in flight."""
 
     GAP = auto()
-    """What is before it is absent."""
+    """The predecessor is absent."""
 
     QUARANTINED = auto()
-    """What is before it has an indeterminate outcome."""
+    """The predecessor, or the number itself, is in quarantine."""
 
 
 GATE_BY_PREDECESSOR: Mapping[NumberState, ReleaseGate] = {
@@ -39,30 +39,30 @@
     NumberState.INDETERMINATE: ReleaseGate.QUARANTINED,
     NumberState.CLOSED: ReleaseGate.OPEN,
 }
-"""The gate of a number, by the state of the one that stands before it."""
+"""The gate of a number, by the state of its predecessor."""
 
 
 def predecessor_in_order(channel: ChannelState, number: int) -> int | None:
-    """The lowest open number, if it is lower.
+    """Return the lowest open number, if it is lower.
 
-    Guards the order. Harm: one that can never end holds all; hence waits for gaps and
-    quarantines have ends.
+    Numbers then start in ascending order. A number that never completes would hold back
+    all later ones, so waits for gaps and quarantines are limited in time.
     """
     return channel.lowest_open if channel.lowest_open < number else None
 
 
 def predecessor_of_newest(channel: ChannelState, number: int) -> int | None:
-    """What is in flight, or else the newest that waits, if it is newer.
+    """Return the number in flight, or else the newest waiting number, if it is newer.
 
-    Guards against an older number that takes effect after a newer one: one is in
-    flight at a time, and the newest that waits goes first. Harm: a newer one waits for
-    an older one's answer.
+    Prevents an older number from taking effect after a newer one: one number is in
+    flight at a time, and the newest waiting number starts first. The cost is that a
+    newer number waits for the answer to an older one.
     """
     for other, sequence in channel.open_sequences.items():
         if other != number and sequence.state in STARTED_STATES:
             return other
     change = channel.next_contract
-    # What waits for a change of contract is no newer one yet.
+    # Numbers from the change of contract on do not supersede numbers below it yet.
     end = change.first_number if change and number < change.first_number else MAX_NUMBER
     newest = max(
         (
@@ -76,10 +76,10 @@
 
 
 def predecessor_by_extent(channel: ChannelState, number: int) -> int | None:
-    """The lowest open number that touches, or may touch, the same extent.
+    """Return the lowest open number that touches, or may touch, the same extent.
 
-    Guards the order on one extent: a lower number that is absent may be of any extent,
-    unless it was here before and was overtaken; then it is pinned to what it touches.
+    Keeps the order on each extent. A lower number that is absent may touch any extent,
+    unless it was overtaken before; then it is pinned to its access ranges.
     """
     ranges = channel.open_sequences[number].ranges
     for lower in range(channel.lowest_open, number):
@@ -98,14 +98,14 @@
             and sequence.state is NumberState.WAITING
             and len(channel.pinned_ranges) >= MAX_PINNED
         ):
-            return lower  # it could not be pinned
+            return lower  # no pin is left for it, so it must not be overtaken
     return None
 
 
 def predecessor_of_batch(channel: ChannelState, number: int) -> int | None:
-    """The lowest open number, for one of another batch than the present.
+    """Return the lowest open number, if `number` is not of the current batch.
 
-    Guards a batch against the one before it: nothing of it until that is whole.
+    No number of a batch starts before all numbers of the previous batch are closed.
     """
     if channel.open_sequences[number].batch == channel.batch:
         return None
@@ -118,4 +118,4 @@
     ChannelOrder.BY_EXTENT: predecessor_by_extent,
     ChannelOrder.BATCHES: predecessor_of_batch,
 }
-"""By order: (channel, number) -> the number that stands before it, None for nothing."""
+"""By order: (channel, number) -> its predecessor, or None if it has none."""
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -1,7 +1,7 @@
 """One channel that this gateway owns: its sequencer, its record, its attempts.
 
-What may be released is the sequencer's to say, whether this gateway is the owner the
-lease manager's. The record is written before what it says is done.
+The sequencer decides which numbers may be released, the lease manager whether this
+gateway is the owner. Effects that depend on the record wait until it is stored.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 class ChannelHost(Protocol):
-    """What an owned channel needs of the gateway's channel owner."""
+    """Services that an owned channel needs of the gateway's channel owner."""
 
     reactor: TimerScheduler
     now: Callable[[], int]
@@ -69,24 +69,24 @@
     is_draining: bool
 
     def on_channel_lost(self, channel: OwnedChannel) -> None:
-        """The channel's lease is gone."""
+        """Handle the loss of a channel's lease."""
 
     def hand_over(self, channel: OwnedChannel) -> None:
-        """Forget a channel and give up its lease."""
+        """Remove a channel from memory and release its lease."""
 
 
 class OwnedChannel:
-    """One channel of which this gateway has the lease.
+    """One channel whose lease this gateway holds.
 
     Attributes:
-        host: The channel owner that it belongs to.
+        host: The channel owner that the channel belongs to.
         key: The channel's key.
-        lease: The lease under which it is owned.
-        sequencer: Its state.
-        record: The record that was written, or is being written.
-        is_writing: Whether a write of the record is under way.
-        is_lost: Whether the lease is gone.
-        last_used: When a command came last.
+        lease: The lease under which the channel is owned.
+        sequencer: The channel's state.
+        record: The last record that was written or is being written.
+        is_writing: Whether a write of the record is in progress.
+        is_lost: Whether the lease was lost.
+        last_used: When the last command arrived.
     """
 
     __slots__ = (
@@ -120,25 +120,25 @@
         self.last_used = host.now()
         self._timer: Timer | None = None
         self._timer_at = 0
-        # Whole answers, until they are sent.
+        # Complete answers of nodes by number, until they are sent to clients.
         self._fresh_answers: dict[int, packets.Answer] = {}
 
     def is_current(self, lease: LeaseTerm) -> bool:
-        """Whether what is known here is what a lease that was taken anew says.
+        """Whether the state in memory matches the record of a newly acquired lease.
 
-        Guards against what was known here while another owned the channel. Harm: none,
-        the record says all.
+        Prevents the use of outdated state after another gateway owned the channel in
+        between. It has no cost: the record contains all that is needed.
         """
         return lease.value == self.record and not self.is_lost
 
     def is_idle(self) -> bool:
-        """Whether no number is open and nothing is being written."""
+        """Whether no sequence is open and no write is in progress."""
         return not self.sequencer.open_sequences and not self.is_writing
 
     # Commands.
 
     def handle(self, command: ChannelCommand) -> None:
-        """Take in one command."""
+        """Handle one command."""
         if self.is_lost:
             self.host.replies.reject(command, DEFAULT_RETRY_DELAY)
             return
@@ -166,7 +166,7 @@
         elif isinstance(body, ResolveNumber):
             event = RESOLUTION_EVENTS[body.resolution]
             sequencer.resolve(now, body.number, event, body.claim, command)
-        else:  # answered once the record holds what the answer says
+        else:  # answered once the record contains the status that the answer reports
             sequencer.effects_after_write.append(
                 AnswerNumberQuery(command, body.number)
             )
@@ -189,7 +189,7 @@
     # Effects.
 
     def pump(self) -> None:
-        """Do what needs no record, write the record, do what it was written for."""
+        """Perform immediate effects, write the record, then perform the others."""
         sequencer = self.sequencer
         immediate = sequencer.immediate_effects
         sequencer.immediate_effects = []
@@ -225,7 +225,7 @@
         )
 
     def _on_written(self, waiting: list[Effect], error: MilletsillError | None) -> None:
-        """A majority has the record, or nobody knows whether it does."""
+        """Handle the end of a write; on `error`, whether it succeeded is unknown."""
         self.is_writing = False
         if error is not None or self.is_lost:
             self.sequencer.effects_after_write = (
@@ -237,7 +237,7 @@
         self.pump()
 
     def perform_after_write(self) -> None:
-        """Do what waited for the record."""
+        """Perform the effects that waited for the record."""
         effects = self.sequencer.effects_after_write
         self.sequencer.effects_after_write = []
         self._perform_after_write(effects)
@@ -282,7 +282,7 @@
     # Attempts.
 
     def release(self, release: Release) -> None:
-        """Start an attempt, unless it is too late for it now that the record stands."""
+        """Start an attempt, unless its lease or deadline expired during the write."""
         deadline = self.attempt_deadline(release)
         if not self.host.leases.holds(self.lease) or self.host.now() >= deadline:
             end = AttemptEnd(NumberEvent.NEVER_RAN, retry_delay=DEFAULT_RETRY_DELAY)
@@ -296,16 +296,16 @@
         )
 
     def attempt_deadline(self, release: Release) -> int:
-        """When an attempt must be over.
+        """Return when an attempt must have ended.
 
-        Guards against an attempt of an earlier owner that is still lawfully at a node
-        when the next one's quarantine is over: nothing that is released outlives the
-        lease under which it was. Harm: a deadline past the lease is cut to it.
+        No attempt outlives the lease under which it was released. Otherwise an attempt
+        of an earlier owner could still run at a node after the next owner's quarantine
+        ends. The cost is that a deadline after the lease's end is cut to that end.
         """
         return min(release.deadline, self.lease.expires_at)
 
     def on_attempt_ended(self, number: int, end: AttemptEnd) -> None:
-        """What was released has come to its end."""
+        """Apply the end of a released attempt."""
         if self.is_lost:
             self._answer_lost_attempt(number, end)
             return
@@ -317,7 +317,7 @@
         self.pump()
 
     def _answer_lost_attempt(self, number: int, end: AttemptEnd) -> None:
-        """Answer those who waited for an attempt whose lease is gone."""
+        """Answer the commands that waited for an attempt whose lease was lost."""
         sequence = self.sequencer.open_sequences.pop(number, None)
         if sequence is None:
             return
@@ -331,7 +331,10 @@
     # The end of the lease.
 
     def lose(self, retry_delay: int) -> None:
-        """The lease is gone: answer what waits; what is in flight when it ends."""
+        """Handle the loss of the lease.
+
+        Waiting requests are answered now, those in flight when their attempt ends.
+        """
         self.is_lost = True
         self.host.on_channel_lost(self)
         self._set_timer()
@@ -346,9 +349,9 @@
             self._abandon(effect, retry_delay)
 
     def _abandon(self, effect: Effect, retry_delay: int) -> None:
-        """Answer for an effect whose record may stand or not."""
+        """Answer for an effect whose record may or may not have been stored."""
         replies = self.host.replies
-        if isinstance(effect, Release):  # it never left
+        if isinstance(effect, Release):  # its attempt was never started
             sequence = self.sequencer.open_sequences.pop(effect.number, None)
             kind = ReplyKind.FAILED if effect.is_retry else ReplyKind.REJECTED
             for command in sequence.recipients if sequence is not None else ():
@@ -359,12 +362,12 @@
             replies.reply(effect.recipient, ReplyKind.FAILED)
 
     def drain(self) -> None:
-        """Answer what waits; the lease is given up once nothing is in flight."""
+        """Answer waiting requests; release the lease once no attempt is in flight."""
         self.sequencer.abandon_waiting(DEFAULT_RETRY_DELAY)
         self.pump()
 
     def close(self) -> None:
-        """This gateway does not own the channel any more: nothing happens by itself."""
+        """Stop the timer: this gateway does not own the channel any more."""
         self.is_lost = True
         self._set_timer()
 
@@ -379,7 +382,7 @@
     # Time.
 
     def _set_timer(self) -> None:
-        """One timer for the soonest deadline, gap or quarantine."""
+        """Set one timer for the earliest deadline, gap timeout or quarantine end."""
         now = self.host.now()
         wakeup = None if self.is_lost else self.sequencer.next_wakeup(now)
         if self._timer is not None and self._timer.active():
--- a/milletsill/fleet/channels/peer_command_receiver.py
+++ b/milletsill/fleet/channels/peer_command_receiver.py
@@ -1,6 +1,6 @@
 """Commands of other gateways' clients, received by the owner of their channel.
 
-A command that is received twice is handled and answered once. All is bounded. Times are
+A command that arrives more than once is handled once. All memory is bounded. Times are
 whole tenths of a millisecond on this gateway's own clock.
 """
 
@@ -24,21 +24,21 @@
 from milletsill.sftp.packets import Answer
 
 MAX_REMEMBERED_COMMANDS = 20_000
-"""Commands that are in hand or whose answer is remembered."""
+"""Commands that are unanswered or whose reply is remembered."""
 
-MAX_IN_HAND = 5000
+MAX_UNANSWERED = 5000
 """Commands that are not answered yet."""
 
 PeerCommandKey = tuple[str, int, int]
-"""A member's name, its incarnation, and the message's id there."""
+"""A member's name, its incarnation, and the message id that it assigned."""
 
 
 class PeerCommandReceiver:
-    """Takes in the commands of other gateways and sends their answers.
+    """Receives the commands of other gateways and sends the answers.
 
-    `on_command` gets each command once, with the sender's name; `find_volume` finds a
-    volume with channels by name; `call_timeout` is when one that is rejected may come
-    again.
+    `on_command` is called once for each command, with the sender's name. `find_volume`
+    finds a volume with channels by name. `call_timeout` is the retry delay of a command
+    that is rejected.
     """
 
     def __init__(
@@ -52,12 +52,12 @@
         self._call_timeout = call_timeout
         self._on_command = on_command
         self._find_volume = find_volume
-        self._in_hand = 0
-        # None while a command is in hand, then the reply as it was sent.
+        self._unanswered = 0
+        # None until the command is answered, then the encoded reply.
         self._replies: OrderedDict[PeerCommandKey, bytes | None] = OrderedDict()
 
     def on_ask(self, member: str, incarnation: int, envelope: Envelope) -> None:
-        """A member sends a command, perhaps again."""
+        """Handle a command of a member, which may have sent it before."""
         ask = envelope.ask
         key = (member, incarnation, ask.id)
         if key in self._replies:
@@ -84,15 +84,15 @@
             )
         except MalformedInputError:
             return
-        if self._in_hand >= MAX_IN_HAND:
-            text = "declined: its keeper has all the words that it may"
-            word = ReplyKind.REJECTED.value
-            packet = status_tags.tagged_status(0, word, text, None, self._call_timeout)
+        if self._unanswered >= MAX_UNANSWERED:
+            text = f"declined: the owner has {MAX_UNANSWERED} unanswered commands"
+            tag = ReplyKind.REJECTED.value
+            packet = status_tags.tagged_status(0, tag, text, None, self._call_timeout)
             self._reply(
                 member, Reply(id=ask.id, answer=extensions.encode_embedded(packet))
             )
             return
-        self._in_hand += 1
+        self._unanswered += 1
         self._replies[key] = None
         while len(self._replies) > MAX_REMEMBERED_COMMANDS:
             self._replies.popitem(last=False)
@@ -100,13 +100,14 @@
         self._on_command(command, member)
 
     def _deadline_of(self, envelope: Envelope) -> int | None:
-        """When another gateway's command is over, here; None where nobody can tell.
-
-        Guards rule 1 against a command that lay in a cut network, or unread while this
-        process stood still: what its client still waited when it was sent says nothing
-        of now. Harm: a round trip more for the first command in a while between two
-        gateways. One of an earlier version sends no clock: its commands count from when
-        they are read, as they did.
+        """Return a command's deadline on this gateway's clock; None if it is unknown.
+
+        The remaining time that a command carries counts from when it was sent. It is
+        outdated if the command was delayed by a network partition, or unread while this
+        process was suspended; no request may start after its client's deadline (rule
+        1). The cost is one more round trip for the first command in a while between two
+        gateways. A gateway of an earlier version sends no clock reading: the remaining
+        time of its commands counts from when they are read.
         """
         ask = envelope.ask
         by_remaining = self._messenger.now() + int(ask.left) * UNITS_PER_MILLISECOND
@@ -119,7 +120,7 @@
         return None if envelope.HasField("clock") else by_remaining
 
     def _on_answer(self, key: PeerCommandKey, packet: Answer | Redirect) -> None:
-        self._in_hand -= 1
+        self._unanswered -= 1
         member, _, message_id = key
         if isinstance(packet, Redirect):
             reply = Reply(id=message_id, keeper=packet.owner, pause=packet.retry_delay)
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -1,8 +1,8 @@
-"""Commands on their way to the gateway that owns their channel, and answers back.
+"""Forwarding of commands to the gateway that owns their channel.
 
-No message needs to arrive: a command is sent again until it is answered or its client's
-deadline is over, and the gateway that receives it twice answers once. All is bounded.
-Times are whole tenths of a millisecond on this gateway's own clock.
+Messages may be lost: a command is sent again until it is answered or its client's
+deadline passes, and a gateway that receives it more than once handles it once. All
+memory is bounded. Times are whole tenths of a millisecond on this gateway's own clock.
 """
 
 from __future__ import annotations
@@ -40,24 +40,25 @@
 from milletsill.sftp.packets import Answer
 
 MAX_FORWARDED = 20_000
-"""Own commands that wait for another gateway's answer."""
+"""Forwarded commands that may wait for another gateway's answer."""
 
-MAX_SILENT_CALLS = 2
-"""Calls without a sign of life until an owner counts as unreachable."""
+MAX_CALLS_WITHOUT_REPLY = 2
+"""Calls without a reply after which an owner counts as unreachable."""
 
 MAX_HOPS = 3
+"""Times that one command may be forwarded."""
 
-PROMISES_NO_EFFECT = (ReplyKind.REJECTED.value, ReplyKind.CLAIM_LOST.value)
-"""Signs that say that nothing was done."""
+NO_EFFECT_TAGS = (ReplyKind.REJECTED.value, ReplyKind.CLAIM_LOST.value)
+"""Status tags which promise that nothing was done."""
 
 MAX_IMMEDIATE_RESENDS = 3
-"""Times that a command is sent again at once, as its owner asked."""
+"""Times that a command is sent again at once at its owner's request."""
 
 UNREACHABLE_SPAN = 30_000
-"""For how long an unreachable member is not tried again, unless it sends something."""
+"""How long an unreachable member is not tried again, unless it sends a message."""
 
 RETURN_MARGIN = 100
-"""What the way back may take."""
+"""Time that is reserved for the answer's way back."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,8 +66,9 @@
     """Settings of a peer forwarder.
 
     Attributes:
-        call_timeout: How long a sign of life may take, in tenths of a millisecond.
-        drift_permille: How much faster or slower a clock may run.
+        call_timeout: Time between two sends of a command that has no answer, in tenths
+            of a millisecond.
+        drift_permille: How much faster or slower a clock may run, in permille.
     """
 
     call_timeout: int
@@ -75,13 +77,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwarderHandlers:
-    """Who handles what the forwarder receives.
+    """Callbacks of the forwarder.
 
     Attributes:
-        on_peer_command: Another gateway's command, with that gateway's name.
-        on_own_command: An own command whose channel this gateway is to own itself.
-        find_volume: A volume with channels, by name.
-        count: Counts an event, by name.
+        on_peer_command: Handles another gateway's command; gets that gateway's name.
+        on_own_command: Handles a command of this gateway's client as the owner.
+        find_volume: Finds a volume with channels by name.
+        count: Counts an event by name.
     """
 
     on_peer_command: Callable[[ChannelCommand, str], None]
@@ -91,17 +93,17 @@
 
 
 class ForwardedCommand:
-    """A command that another gateway has, or may have.
+    """A command that was forwarded to another gateway and has no answer yet.
 
     Attributes:
-        id: The message's id.
+        id: The message id.
         command: The command.
-        owner: The gateway that it was sent to.
-        hops: How often it was forwarded.
-        last_heard: When that gateway last gave a sign of life.
-        timer: The next call; None before the first.
-        is_held: Whether the other has said that it has the command in hand.
-        resends: How often the other asked to be sent it again.
+        owner: The gateway that the command was sent to.
+        hops: How often the command was forwarded.
+        last_heard: When the owner last replied, at first when the command was sent.
+        timer: Timer for the next send; None before the first send.
+        is_acknowledged: Whether the owner confirmed that it has the command.
+        resends: How often the owner asked for the command again.
     """
 
     __slots__ = (
@@ -111,7 +113,7 @@
         "hops",
         "last_heard",
         "timer",
-        "is_held",
+        "is_acknowledged",
         "resends",
     )
 
@@ -124,12 +126,12 @@
         self.hops = hops
         self.last_heard = now
         self.timer: Timer | None = None
-        self.is_held = False
+        self.is_acknowledged = False
         self.resends = 0
 
 
 class PeerForwarder:
-    """Sends own commands to the owners of their channels; hears other gateways."""
+    """Forwards commands to the owners of their channels; receives peers' messages."""
 
     def __init__(
         self,
@@ -152,18 +154,19 @@
         )
         self.forwarded: dict[int, ForwardedCommand] = {}
         self.unreachable_since: dict[str, int] = {}
-        # Guards against a gateway that starts again under an incarnation that it had
-        # before (its state_dir lost, or an older copy): with the same ids again it was
-        # sent the remembered replies of other commands. Harm: none, 63 bits of chance.
+        # A gateway whose state_dir was lost or replaced by an older copy may restart
+        # under an earlier incarnation. If it reused its message ids, peers would send
+        # it the remembered replies of other commands. A random start of 62 bits avoids
+        # this.
         self.last_id = SystemRandom().getrandbits(62)
 
     def forward(self, command: ChannelCommand, owner: str, hops: int = 0) -> None:
         """Send a command to the owner of its channel.
 
-        `on_own_command` gets it where that gateway is unreachable.
+        If that gateway is unreachable, `on_own_command` is called with the command.
         """
         if hops >= MAX_HOPS or len(self.forwarded) >= MAX_FORWARDED:
-            text = "declined: nobody found who keeps the channel"
+            text = "declined: cannot forward the command to the channel's owner"
             command.on_answer(self._rejection(text))
             return
         self.last_id += 1
@@ -173,11 +176,12 @@
         self._send_command(forwarded)
 
     def is_reachable(self, member: str) -> bool:
-        """Whether a member may be tried.
+        """Whether commands may be sent to a member.
 
-        Guards against a client that waits again and again for one that is gone, while
-        the view still has it. Harm: an owner that was cut off for a moment is passed
-        over for a while; the acceptors say who may own.
+        Without this check, clients would wait again and again for a member that is gone
+        but still in the view. The cost is that an owner that was unreachable for a
+        moment gets no commands for `UNREACHABLE_SPAN`. The acceptors still decide who
+        may own the channel.
         """
         since = self.unreachable_since.get(member)
         if since is not None and self.now() - since >= UNREACHABLE_SPAN:
@@ -185,15 +189,15 @@
         return member not in self.unreachable_since
 
     def cancel(self, forwarded: ForwardedCommand) -> None:
-        """Send a command no more; its answer, if one comes, is dropped."""
+        """Stop sending a command; a later answer to it is dropped."""
         self.forwarded.pop(forwarded.id, None)
         if forwarded.timer is not None and forwarded.timer.active():
             forwarded.timer.cancel()
 
     def on_message(self, member: str, incarnation: int, body: bytes) -> None:
-        """What another gateway sends; what makes no sense is dropped.
+        """Handle a message of another gateway; a malformed one is dropped.
 
-        Its sender tries elsewhere in time.
+        The sender of a dropped command treats this gateway as unreachable in time.
         """
         envelope = decode_envelope(body)
         self.unreachable_since.pop(member, None)
@@ -214,7 +218,7 @@
             self._on_deadline(forwarded)
             return
         remaining_ms = max(remaining // UNITS_PER_MILLISECOND, 1)
-        if forwarded.is_held:  # the other has the rest
+        if forwarded.is_acknowledged:  # the owner has the command's content
             ask = Ask(id=forwarded.id, volume="", channel="", left=remaining_ms)
         else:
             ask = encode_command(command, forwarded.id, remaining_ms, forwarded.hops)
@@ -232,17 +236,20 @@
         )
 
     def _on_call_timeout(self, forwarded: ForwardedCommand) -> None:
-        """No answer yet: send it again, unless there was no sign of life."""
+        """Send a command again, unless its owner has not replied for too long."""
         if forwarded.id not in self.forwarded:
             return
-        silent_for = self.now() - forwarded.last_heard
-        if silent_for >= MAX_SILENT_CALLS * self.call_timeout:
+        without_reply = self.now() - forwarded.last_heard
+        if without_reply >= MAX_CALLS_WITHOUT_REPLY * self.call_timeout:
             self._on_unreachable(forwarded)
             return
         self._send_command(forwarded)
 
     def _on_resend_requested(self, forwarded: ForwardedCommand) -> None:
-        """The other could not tell the deadline; its clock's reading came with that."""
+        """Send a command again, because its owner could not determine the deadline.
+
+        The owner's reply carried a reading of its clock.
+        """
         forwarded.resends += 1
         if (
             forwarded.resends <= MAX_IMMEDIATE_RESENDS
@@ -253,7 +260,7 @@
             self._send_command(forwarded)
 
     def _on_unreachable(self, forwarded: ForwardedCommand) -> None:
-        """This gateway tries to be the owner; the acceptors say whether it may."""
+        """Try to own the channel here; the acceptors decide whether that is allowed."""
         self.cancel(forwarded)
         self.handlers.count("keeper_away")
         command = forwarded.command
@@ -265,14 +272,14 @@
         self.handlers.on_own_command(command)
 
     def _on_deadline(self, forwarded: ForwardedCommand) -> None:
-        """The client's deadline: nobody here knows what its owner did with it."""
+        """Answer a command at its deadline; it is unknown whether its owner ran it."""
         self.cancel(forwarded)
         command = forwarded.command
         if isinstance(command.body, (OpenChannel, QueryNumber)):
-            text = "declined: the keeper did not answer in time"
+            text = "declined: the channel's owner did not answer in time"
             command.on_answer(self._rejection(text))
         else:
-            text = "aborted: its keeper did not answer in time"
+            text = "aborted: the channel's owner did not answer in time"
             command.on_answer(
                 status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
             )
@@ -283,7 +290,7 @@
             return
         forwarded.last_heard = self.now()
         if reply.held:
-            forwarded.is_held = True
+            forwarded.is_acknowledged = True
             return
         if reply.again:
             self._on_resend_requested(forwarded)
@@ -295,14 +302,14 @@
         try:
             answer = cast(Answer, extensions.decode_embedded(reply.answer, 0))
         except MalformedInputError:
-            text = "aborted: the keeper's answer made no sense"
+            text = "aborted: the answer of the channel's owner is malformed"
             answer = status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
         forwarded.command.on_answer(answer)
 
     def _on_redirect(
         self, forwarded: ForwardedCommand, owner: str, retry_delay: int
     ) -> None:
-        """The other says who owns the channel."""
+        """Forward a command to the owner that the other gateway named."""
         command = forwarded.command
         if owner == self.messenger.transport.name:
             self.handlers.on_own_command(command)
@@ -312,22 +319,22 @@
             self.forward(command, owner, forwarded.hops + 1)
 
     def _rejection(self, text: str) -> Answer:
-        word = ReplyKind.REJECTED.value
-        return status_tags.tagged_status(0, word, text, None, self.call_timeout)
+        tag = ReplyKind.REJECTED.value
+        return status_tags.tagged_status(0, tag, text, None, self.call_timeout)
 
 
 def without_rejection(on_answer: AnswerCallback) -> AnswerCallback:
-    """A callback that turns a later rejection into a failure.
+    """Wrap a callback so that a later rejection becomes a failure.
 
-    Guards against an untrue rejection: an owner that fell silent may have done the
-    command, or do it yet. Harm: a client that could have heard that nothing was done
-    asks again.
+    An owner that stopped replying may have executed the command, or may still execute
+    it, so a rejection could be false. The cost is that a client may be told less than
+    that nothing was done, and has to ask again.
     """
 
     def answer(packet: Answer | Redirect) -> None:
-        sign = status_tags.parse_status_tag(getattr(packet, "language", ""))
-        if sign is not None and sign.word in PROMISES_NO_EFFECT:
-            text = "aborted: a keeper that fell silent may have done it"
+        tag = status_tags.parse_status_tag(getattr(packet, "language", ""))
+        if tag is not None and tag.word in NO_EFFECT_TAGS:
+            text = "aborted: an owner that stopped replying may have done it"
             packet = status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
         on_answer(packet)
 
--- a/milletsill/fleet/channels/peer_messenger.py
+++ b/milletsill/fleet/channels/peer_messenger.py
@@ -1,4 +1,4 @@
-"""Messages about channels between gateways, and what their clocks read.
+"""Channel messages between gateways, which also carry clock readings.
 
 Times are whole tenths of a millisecond on this gateway's own clock.
 """
@@ -15,11 +15,12 @@
 
 
 class PeerMessenger:
-    """Sends messages that may not arrive, each with what this gateway's clock reads.
+    """Sends messages without a delivery guarantee, with a reading of this clock.
 
     Attributes:
-        clock_id: Drawn at each start: clocks of two starts have nothing in common.
-        peer_clocks: What other gateways' clocks read, as far as is known.
+        clock_id: Random at each start, because readings of a clock before and after a
+            restart are not comparable.
+        peer_clocks: Estimates of other gateways' clocks.
     """
 
     def __init__(
@@ -31,20 +32,20 @@
         self.peer_clocks = PeerClocks(drift_permille)
 
     def send_ask(self, member: str, ask: Ask) -> bool:
-        """Send a command; False where it surely does not arrive."""
+        """Send a command; False if it certainly does not arrive."""
         envelope = Envelope(clock=self._clock(), ask=ask)
         return self.send(member, encode_envelope(envelope))
 
     def encode_reply(self, reply: Reply) -> bytes:
-        """A reply as it is sent."""
+        """Encode a reply with a reading of this gateway's clock."""
         return encode_envelope(Envelope(clock=self._clock(), reply=reply))
 
     def send(self, member: str, body: bytes) -> bool:
-        """Send an encoded message; False where it surely does not arrive."""
+        """Send an encoded message; False if it certainly does not arrive."""
         return self.transport.send(member, MessageKind.CHANNEL, body)
 
     def observe_clock(self, member: str, envelope: Envelope) -> None:
-        """Learn what a member's clock reads from its message."""
+        """Update the estimate of a member's clock from its message."""
         if envelope.HasField("clock") and envelope.clock.IsInitialized():
             clock = envelope.clock
             self.peer_clocks.on_reading(member, clock.whose, clock.at, self.now())
--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -1,4 +1,4 @@
-"""A released number, as the way to the nodes sees it."""
+"""Checks and counts for the dispatches of one released number to nodes."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 OUTCOMES_WITHOUT_EFFECT = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE)
 
 OnAttemptEnded = Callable[[AttemptOutcome, Any], None]
-"""Takes how an attempt ended, and what the node answered."""
+"""Called with the outcome of a dispatch and the details of the node's answer."""
 
 
 class LeaseChecker(Protocol):
-    """Whether a lease is held, and the time."""
+    """Provides the time and whether a lease is held."""
 
     @property
     def now(self) -> Callable[[], int]:
-        """Reads this gateway's clock, in tenths of a millisecond."""
+        """Function that reads this gateway's clock, in tenths of a millisecond."""
 
     def holds(self, term: LeaseTerm) -> bool:
-        """Whether nobody else can hold the lease now."""
+        """Whether no other gateway can hold the lease now."""
 
 
 class ReleasedAttempt:
     """Whether a released number may still be sent, and whether it may have run.
 
     Attributes:
-        leases: Tells whether the lease is still held.
+        leases: Provides the time and whether the lease is still held.
         lease: The lease under which the number was released.
-        idempotency_key: By which nodes know the request again.
-        deadline: When it must be over, on this gateway's clock.
+        idempotency_key: The key by which nodes recognize a repeated request.
+        deadline: When the attempt must have ended, on this gateway's clock.
         is_retry: Whether an earlier attempt may have run.
-        sent: Dispatches to nodes.
-        without_effect: Of these, the ones that came back without having run.
+        sent: Number of dispatches to nodes.
+        without_effect: Number of dispatches that ended without having run.
     """
 
     __slots__ = (
@@ -66,25 +66,26 @@
         self.without_effect = 0
 
     def event_without_answer(self) -> NumberEvent:
-        """What an end without an answer means.
+        """Return the event for an attempt that ended without an answer.
 
-        Guards against a rejection of what may have run. Harm: a quarantine for nothing.
+        A request that may have run must not be rejected. The cost is a quarantine that
+        may be unnecessary.
         """
         if self.sent == self.without_effect:
             return NumberEvent.NEVER_RAN
         return NumberEvent.ANSWER_LOST
 
     def may_send(self) -> bool:
-        """Whether it may be sent now; asked at the last place before the socket.
+        """Whether the request may be sent now; checked right before the socket write.
 
-        Guards against a process that stood still between the release and the send:
-        another gateway may own the channel by now, or its idempotency key be forgotten.
-        Harm: a lawful dispatch is put off.
+        If the process was suspended between release and send, another gateway may own
+        the channel by now, or nodes may have forgotten the idempotency key. The cost is
+        that a permitted dispatch may be delayed.
         """
         return bool(self.leases.holds(self.lease)) and self.leases.now() < self.deadline
 
     def count_dispatch(self, on_ended: OnAttemptEnded) -> OnAttemptEnded:
-        """Count a dispatch; what is returned is to be called with its end."""
+        """Count a dispatch; return the callback to call when it ends."""
         self.sent += 1
 
         def count_end(outcome: AttemptOutcome, details: Any) -> None:
--- a/milletsill/fleet/channels/sequences.py
+++ b/milletsill/fleet/channels/sequences.py
@@ -1,4 +1,4 @@
-"""The numbers of a channel: requests that wait, open numbers, completed ones.
+"""The numbers of a channel: waiting requests, open numbers and completed numbers.
 
 Times are whole tenths of a millisecond on the owner's own clock.
 """
@@ -12,12 +12,15 @@
 from milletsill.fleet.channels.commands import ChannelCommand
 from milletsill.fleet.channels.number_states import NumberState
 
-RELEASED_LONG_AGO = -(1 << 60)
-"""When a number was first released, where nobody knows."""
+UNKNOWN_RELEASE_TIME = -(1 << 60)
+"""`first_released_at` of a number whose first release time is unknown.
+
+It is so early that no retry falls within the window of an idempotency key.
+"""
 
 
 class CompletionOutcome(IntEnum):
-    """How a number was completed; values are those of the stored record."""
+    """How a number was completed; the stored record has these values."""
 
     SETTLED = 0
     STAYED_INDETERMINATE = 1
@@ -30,15 +33,15 @@
     """A numbered request that waits for its release.
 
     Attributes:
-        number: Its number.
-        claim: The claim under which its client sent it.
-        digest: Equal for requests that do the same.
-        ranges: What it touches.
-        deadline: Until when its client waits.
-        key_window: For how long nodes remember its idempotency key.
+        number: The number that the client assigned.
+        claim: The claim under which the client sent it.
+        digest: Digest of path and command; equal for identical requests.
+        ranges: Access ranges of the request.
+        deadline: Until when the client waits.
+        key_window: How long nodes remember its idempotency key.
         recipient: The command to answer.
-        batch: Its batch, from 1; 0 where the contract has none.
-        ends_batch: Whether it is the last of its batch.
+        batch: Its batch, from 1; 0 if the contract has no batches.
+        ends_batch: Whether it is the last number of its batch.
     """
 
     number: int
@@ -54,21 +57,21 @@
 
 @dataclass(slots=True)
 class OpenSequence:
-    """A number that is open, and of which something is known.
+    """An open number with a request or an attempt.
 
     Attributes:
-        state: Where it stands.
+        state: State of the number.
         digest: Digest of its request.
-        ranges: What its request touches.
-        batch: Its batch; 0 where the contract has none.
-        ends_batch: Whether it is the last of its batch.
-        pending: Its request, while it waits.
+        ranges: Access ranges of its request.
+        batch: Its batch; 0 if the contract has no batches.
+        ends_batch: Whether it is the last number of its batch.
+        pending: Its request, while that waits.
         recipients: The commands to answer when its attempt ends.
         first_released_at: When it was first released.
-        quarantined_until: Until when an attempt of it may still run; 0 if none may.
-        reserved_until: Until when an indeterminate number is left open for its client
-            to come again.
-        gap_since: Since when it waits for a lower number that is absent.
+        quarantined_until: Until when one of its attempts may still run; 0 for none.
+        reserved_until: Until when an indeterminate number stays open, so that its
+            client can send the request again.
+        gap_since: Since when it has waited for a lower number that is absent.
     """
 
     state: NumberState
@@ -78,7 +81,7 @@
     ends_batch: bool = False
     pending: PendingNumber | None = None
     recipients: list[ChannelCommand] = field(default_factory=list)
-    first_released_at: int = RELEASED_LONG_AGO
+    first_released_at: int = UNKNOWN_RELEASE_TIME
     quarantined_until: int = 0
     reserved_until: int = 0
     gap_since: int | None = None
@@ -86,11 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletedSequence:
-    """A completed number, as it is remembered.
+    """The remembered outcome of a completed number.
 
     Attributes:
         outcome: A `CompletionOutcome`; a record of a later version may have others.
-        status_code: Of the node's answer.
+        status_code: Status code of the node's answer.
         digest: Digest of its request.
     """
 
--- a/milletsill/fleet/channels/timers.py
+++ b/milletsill/fleet/channels/timers.py
@@ -1,4 +1,4 @@
-"""What channels need of the reactor: timers. Times are tenths of a millisecond."""
+"""Timer interfaces that channels need of the reactor, and their time units."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def active(self) -> bool:
-        """Whether it has neither been made nor cancelled."""
+        """Whether the call has neither been made nor cancelled."""
 
     def cancel(self) -> None:
-        """Do not make it; only while it is active."""
+        """Cancel the call, which must be active."""
 
 
 class TimerScheduler(Protocol):
-    """Makes calls later; Twisted's reactor is one."""
+    """Schedules calls; implemented by Twisted's reactor."""
 
     def callLater(  # noqa: N802 - Twisted's name
         self, delay: float, callable: Callable[..., object], /, *args: Any
     ) -> Timer:
-        """Call after `delay` seconds."""
+        """Schedule a call in `delay` seconds."""
