--- a/tests/fleet/channels/test_channel_contracts.py
+++ b/tests/fleet/channels/test_channel_contracts.py
@@ -1,4 +1,4 @@
-"""Sequencers of channels by table, their records encoded and decoded, the model checks."""
+"""Tests of the channel sequencer under each order, of its record, and model checks."""
 
 from __future__ import annotations
 
@@ -55,14 +55,17 @@
 
 
 def take_effects(channel):
-    """What the channel wants done, as words: `go N`, `N answer`, ... and forgets."""
+    """Return the channel's effects as short texts, and clear them.
+
+    For example `release N`, `release N retry` or `aN answer N`.
+    """
     found = []
     for effect in channel.immediate_effects + channel.effects_after_write:
         if isinstance(effect, Release):
             found.append(
-                f"go {effect.number}"
+                f"release {effect.number}"
                 + (f"/{effect.key_generation}" if effect.key_generation else "")
-                + (" again" if effect.is_retry else "")
+                + (" retry" if effect.is_retry else "")
             )
         elif isinstance(effect, Notify):
             found.append(
@@ -76,18 +79,27 @@
     return found
 
 
-def submit(channel, number, now=1, on=1, claim=None, digest=None, ends=50_000, **more):
+def submit(
+    channel,
+    number,
+    now=1,
+    object_id=1,
+    claim=None,
+    digest=None,
+    deadline=50_000,
+    **fields,
+):
     channel.submit(
         now,
         PendingNumber(
             number,
             channel.claim if claim is None else claim,
             digest or number,
-            (AccessRange(on),),
-            ends,
+            (AccessRange(object_id),),
+            deadline,
             KEY_WINDOW,
             f"a{number}",
-            **more,
+            **fields,
         ),
     )
     return take_effects(channel)
@@ -104,35 +116,34 @@
 
 
 class EachInOrder(unittest.TestCase):
-    def test_one_after_another_and_remembered(self):
+    def test_numbers_start_in_order_and_outcomes_are_remembered(self):
         channel = new_channel()
         self.assertEqual(submit(channel, 2), [])
-        self.assertEqual(submit(channel, 1), ["go 1"])
-        self.assertEqual(submit(channel, 1), [])  # joins
-        self.assertEqual(end(channel, 1), ["a1 answer 1", "a1 answer 1", "go 2"])
+        self.assertEqual(submit(channel, 1), ["release 1"])
+        self.assertEqual(submit(channel, 1), [])  # joins the attempt in flight
+        self.assertEqual(end(channel, 1), ["a1 answer 1", "a1 answer 1", "release 2"])
         self.assertEqual(submit(channel, 1), ["a1 answer 1"])
         self.assertEqual(submit(channel, 1, digest=99), ["a1 contract 1"])
 
-    def test_a_gap_waits_and_is_rejected_naming_the_next(self):
+    def test_a_request_behind_a_gap_is_rejected_after_the_gap_timeout(self):
         channel = new_channel()
         submit(channel, 3)
         self.assertEqual(advance(channel, GAP_TIMEOUT), [])
         self.assertEqual(advance(channel, GAP_TIMEOUT + 1), ["a3 declined 1"])
-        submit(channel, 3, now=2000, ends=2100)
-        self.assertEqual(
-            advance(channel, 2100), ["a3 declined 1"]
-        )  # its patience first
+        submit(channel, 3, now=2000, deadline=2100)
+        # The deadline passes before the gap timeout.
+        self.assertEqual(advance(channel, 2100), ["a3 declined 1"])
 
-    def test_never_ran_is_free_again_and_bounds(self):
+    def test_a_number_that_never_ran_is_free_again_and_limits_hold(self):
         channel = new_channel(max_waiting=2)
         submit(channel, 1)
         submit(channel, 2)
         self.assertEqual(submit(channel, 3), ["a3 declined 1"])
         self.assertEqual(end(channel, 1, NumberEvent.NEVER_RAN), ["a1 declined 1"])
         self.assertEqual(submit(channel, 5000), ["a5000 declined 1"])
-        self.assertEqual(submit(channel, 1), ["go 1"])
+        self.assertEqual(submit(channel, 1), ["release 1"])
 
-    def test_an_indeterminate_number_is_quarantined_then_comes_again_under_its_ticket(
+    def test_an_indeterminate_number_is_retried_under_its_key_after_the_quarantine(
         self,
     ):
         channel = new_channel()
@@ -140,58 +151,55 @@
         submit(channel, 2)
         self.assertEqual(end(channel, 1, NumberEvent.ANSWER_LOST, 10), ["a1 aborted 1"])
         self.assertEqual(submit(channel, 1, now=50), [])
-        self.assertEqual(advance(channel, 10 + QUARANTINE), ["go 1 again"])
-        self.assertEqual(
-            end(channel, 1, NumberEvent.NEVER_RAN, 200), ["a1 aborted 1"]
-        )  # an earlier try may have run
-        self.assertEqual(advance(channel, 200 + QUARANTINE), ["go 2"])
+        self.assertEqual(advance(channel, 10 + QUARANTINE), ["release 1 retry"])
+        # An earlier attempt may have run.
+        self.assertEqual(end(channel, 1, NumberEvent.NEVER_RAN, 200), ["a1 aborted 1"])
+        self.assertEqual(advance(channel, 200 + QUARANTINE), ["release 2"])
         self.assertEqual(submit(channel, 1), ["a1 aborted"])
 
-    def test_an_indeterminate_number_stops_until_the_client_says(self):
+    def test_an_indeterminate_number_stops_later_ones_until_it_is_resolved(self):
         channel = new_channel(policy=IndeterminatePolicy.STOP)
         submit(channel, 1)
         end(channel, 1, NumberEvent.ANSWER_LOST, 10)
         submit(channel, 2)
         channel.resolve(50, 1, NumberEvent.RESOLVED_NOT_DONE, channel.claim, "s")
-        self.assertEqual(take_effects(channel), ["s declined"])  # the rest first
+        self.assertEqual(take_effects(channel), ["s declined"])  # still in quarantine
         self.assertEqual(advance(channel, 10 + QUARANTINE), ["a2 stopped 1"])
-        self.assertEqual(
-            submit(channel, 1, now=KEY_WINDOW + 10), ["a1 stopped 1"]
-        )  # no ticket is remembered any more
+        # The window of its idempotency key has passed.
+        self.assertEqual(submit(channel, 1, now=KEY_WINDOW + 10), ["a1 stopped 1"])
         channel.resolve(
             KEY_WINDOW + 10, 1, NumberEvent.RESOLVED_NOT_DONE, channel.claim, "s"
         )
         self.assertEqual(take_effects(channel), ["s answer 1"])
-        self.assertEqual(submit(channel, 1, now=KEY_WINDOW + 20), ["go 1/1"])
+        self.assertEqual(submit(channel, 1, now=KEY_WINDOW + 20), ["release 1/1"])
         channel.resolve(
             KEY_WINDOW + 20, 7, NumberEvent.RESOLVED_DONE, channel.claim, "s"
         )
         self.assertEqual(take_effects(channel), ["s contract 7"])
 
-    def test_claims(self):
+    def test_a_new_claim_ends_the_previous_one(self):
         channel = new_channel()
         submit(channel, 1)
         submit(channel, 2)
         channel.open(5, ChannelDeclaration(channel.contract), "later", "second")
         self.assertEqual(take_effects(channel), ["a2 claim-lost", "second claimed"])
-        channel.open(
-            5, ChannelDeclaration(channel.contract), "later", "second"
-        )  # the same word twice
+        # The same command arrives twice.
+        channel.open(5, ChannelDeclaration(channel.contract), "later", "second")
         self.assertEqual(
             (channel.claim, take_effects(channel)), (2, ["second claimed"])
         )
         self.assertEqual(submit(channel, 2, claim=1), ["a2 claim-lost"])
         self.assertEqual(submit(channel, 2), [])
-        self.assertEqual(end(channel, 1), ["a1 answer 1", "go 2"])
+        self.assertEqual(end(channel, 1), ["a1 answer 1", "release 2"])
 
-    def test_left_out_by_the_client(self):
+    def test_a_number_that_the_client_skips(self):
         channel = new_channel()
         submit(channel, 2)
         channel.resolve(3, 1, NumberEvent.RESOLVED_SKIPPED, channel.claim, "s")
-        self.assertEqual(take_effects(channel), ["s answer 1", "go 2"])
+        self.assertEqual(take_effects(channel), ["s answer 1", "release 2"])
         self.assertEqual(submit(channel, 1), ["a1 left-out"])
 
-    def test_memory_is_bounded(self):
+    def test_the_number_of_remembered_outcomes_is_bounded(self):
         channel = new_channel()
         for number in range(1, MAX_REMEMBERED + 3):
             submit(channel, number)
@@ -199,7 +207,7 @@
         self.assertEqual(submit(channel, 2), ["a2 over"])
         self.assertLess(len(codec.encode_record(channel, 5)), codec.MAX_RECORD_BYTES)
 
-    def test_the_largest_record_is_stored_by_an_acceptor(self):
+    def test_the_largest_record_fits_an_acceptor(self):
         far, two = (1 << 62) + 1, (AccessRange((1 << 64) - 1, 1 << 60, 1 << 61),) * 2
         channel = new_channel(ChannelOrder.BY_EXTENT, name="n" * 64)
         channel.next_contract = ContractChange(far, channel.contract)
@@ -228,42 +236,44 @@
 class OtherOrders(unittest.TestCase):
     def test_newest(self):
         channel = new_channel(ChannelOrder.NEWEST)
-        self.assertEqual(submit(channel, 5), ["go 5"])
+        self.assertEqual(submit(channel, 5), ["release 5"])
         submit(channel, 7)
         submit(channel, 9)
-        self.assertEqual(end(channel, 5), ["a5 answer 5", "go 9"])
+        self.assertEqual(end(channel, 5), ["a5 answer 5", "release 9"])
         self.assertEqual(
-            end(channel, 9, NumberEvent.NEVER_RAN), ["a9 declined 6", "go 7"]
+            end(channel, 9, NumberEvent.NEVER_RAN), ["a9 declined 6", "release 7"]
         )
         self.assertEqual(submit(channel, 9), [])
         self.assertEqual(end(channel, 7, NumberEvent.ANSWER_LOST, 10), ["a7 aborted 7"])
-        self.assertEqual(advance(channel, 10 + QUARANTINE), ["go 9"])
+        self.assertEqual(advance(channel, 10 + QUARANTINE), ["release 9"])
         self.assertEqual(submit(channel, 8, now=200), [])
         self.assertEqual(end(channel, 9), ["a8 superseded 9", "a9 answer 9"])
         self.assertEqual(submit(channel, 3), ["a3 superseded 9"])
 
     def test_by_extent(self):
         channel = new_channel(ChannelOrder.BY_EXTENT)
-        self.assertEqual(submit(channel, 1, on=1), ["go 1"])
-        self.assertEqual(submit(channel, 2, on=1), [])
-        self.assertEqual(submit(channel, 3, on=2), ["go 3"])
-        self.assertEqual(submit(channel, 5, on=3), [])  # 4 may be of any extent
-        self.assertEqual(submit(channel, 4, on=4), ["go 4", "go 5"])
+        self.assertEqual(submit(channel, 1, object_id=1), ["release 1"])
+        self.assertEqual(submit(channel, 2, object_id=1), [])
+        self.assertEqual(submit(channel, 3, object_id=2), ["release 3"])
+        # The absent number 4 may touch any extent.
+        self.assertEqual(submit(channel, 5, object_id=3), [])
+        self.assertEqual(submit(channel, 4, object_id=4), ["release 4", "release 5"])
         advance(channel, 50_000)
-        self.assertEqual(
-            submit(channel, 2, on=3), ["a2 contract 2"]
-        )  # it was overtaken: pinned to what it touched
+        # It was overtaken, so it is pinned to its access ranges.
+        self.assertEqual(submit(channel, 2, object_id=3), ["a2 contract 2"])
         self.assertEqual(
             end(channel, 1, NumberEvent.ANSWER_LOST, 60_000), ["a1 aborted 1"]
         )
-        self.assertEqual(submit(channel, 2, on=1, now=60_001, ends=90_000), [])
-        self.assertEqual(advance(channel, 60_000 + QUARANTINE), ["go 2"])
+        self.assertEqual(
+            submit(channel, 2, object_id=1, now=60_001, deadline=90_000), []
+        )
+        self.assertEqual(advance(channel, 60_000 + QUARANTINE), ["release 2"])
 
     def test_batches(self):
         channel = new_channel(ChannelOrder.BATCHES)
-        self.assertEqual(submit(channel, 1), ["a1 contract 1"])  # of no batch
-        self.assertEqual(submit(channel, 3, batch=1, ends_batch=True), ["go 3"])
-        self.assertEqual(submit(channel, 1, batch=1), ["go 1"])
+        self.assertEqual(submit(channel, 1), ["a1 contract 1"])  # has no batch
+        self.assertEqual(submit(channel, 3, batch=1, ends_batch=True), ["release 3"])
+        self.assertEqual(submit(channel, 1, batch=1), ["release 1"])
         self.assertEqual(submit(channel, 4, batch=2), [])
         self.assertEqual(end(channel, 3), ["a3 answer 3"])
         self.assertEqual(submit(channel, 5, batch=1), ["a5 contract 5"])
@@ -271,10 +281,10 @@
             submit(channel, 2, batch=1, ends_batch=True), ["a2 contract 2"]
         )
         self.assertEqual(end(channel, 1), ["a1 answer 1"])
-        self.assertEqual(submit(channel, 2, batch=1), ["go 2"])
-        self.assertEqual(end(channel, 2), ["a2 answer 2", "go 4"])
+        self.assertEqual(submit(channel, 2, batch=1), ["release 2"])
+        self.assertEqual(end(channel, 2), ["a2 answer 2", "release 4"])
 
-    def test_another_contract_from_a_number_on(self):
+    def test_a_contract_changes_at_a_declared_number(self):
         channel = new_channel()
         later = OrderingContract("c", 2, ChannelOrder.NEWEST, gap_timeout=GAP_TIMEOUT)
         submit(channel, 1)
@@ -293,8 +303,8 @@
             )
         self.assertEqual(submit(channel, 9), [])
         self.assertEqual(end(channel, 1), ["a1 answer 1"])
-        self.assertEqual(submit(channel, 2), ["go 2"])
-        self.assertEqual(end(channel, 2), ["a2 answer 2", "go 9"])
+        self.assertEqual(submit(channel, 2), ["release 2"])
+        self.assertEqual(end(channel, 2), ["a2 answer 2", "release 9"])
         self.assertEqual(channel.contract, later)
         with self.assertRaises(ContractOutdatedError):
             channel.open(
@@ -306,7 +316,7 @@
                 "o",
             )
 
-    def test_from_the_newest_to_another_contract(self):
+    def test_a_contract_changes_from_newest_to_each_in_order(self):
         channel = new_channel(ChannelOrder.NEWEST)
         submit(channel, 3)
         channel.open(
@@ -319,21 +329,21 @@
         self.assertEqual(
             (submit(channel, 9), submit(channel, 8), submit(channel, 5)), ([], [], [])
         )
+        # Numbers from the change on do not hold it back.
+        self.assertEqual(end(channel, 3), ["a3 answer 3", "release 5"])
+        self.assertEqual(end(channel, 5), ["a5 answer 5", "release 8"])
         self.assertEqual(
-            end(channel, 3), ["a3 answer 3", "go 5"]
-        )  # not held up by what waits for the change
-        self.assertEqual(end(channel, 5), ["a5 answer 5", "go 8"])
-        self.assertEqual(
-            (end(channel, 8), channel.contract.version), (["a8 answer 8", "go 9"], 2)
+            (end(channel, 8), channel.contract.version),
+            (["a8 answer 8", "release 9"], 2),
         )
 
 
 class Records(unittest.TestCase):
-    def test_out_and_in_again(self):
+    def test_a_decoded_record_has_the_encoded_state(self):
         channel = new_channel(ChannelOrder.BY_EXTENT)
-        submit(channel, 1, on=1)
-        submit(channel, 2, on=1)
-        submit(channel, 3, on=2)
+        submit(channel, 1, object_id=1)
+        submit(channel, 2, object_id=1)
+        submit(channel, 3, object_id=2)
         end(channel, 3)
         data = codec.encode_record(channel, 11)
         found = codec.decode_record(data, QUARANTINE, 1000, 40)
@@ -348,27 +358,28 @@
             (1, {3}, 1, 3, [2]),
         )
         self.assertEqual(found.open_sequences[1].first_released_at, 1000 - 40 - 10)
-        self.assertEqual(submit(found, 1, on=1, now=1001), [])
-        self.assertEqual(advance(found, 1000 + QUARANTINE), ["go 1 again"])
+        self.assertEqual(submit(found, 1, object_id=1, now=1001), [])
+        self.assertEqual(advance(found, 1000 + QUARANTINE), ["release 1 retry"])
         unknown = codec.decode_record(data, QUARANTINE, 1000, None)
-        self.assertEqual(submit(unknown, 1, on=1, now=1001), ["a1 aborted 1"])
-        self.assertEqual(submit(unknown, 2, on=1, now=1001), [])
-        self.assertEqual(
-            advance(unknown, 1000 + QUARANTINE), []
-        )  # its client may come again for as long as a hole waits
-        self.assertEqual(advance(unknown, 1000 + GAP_TIMEOUT), ["go 2"])
+        self.assertEqual(submit(unknown, 1, object_id=1, now=1001), ["a1 aborted 1"])
+        self.assertEqual(submit(unknown, 2, object_id=1, now=1001), [])
+        # Number 1 is reserved for its client until the gap timeout.
+        self.assertEqual(advance(unknown, 1000 + QUARANTINE), [])
+        self.assertEqual(advance(unknown, 1000 + GAP_TIMEOUT), ["release 2"])
         for torn in (b"", data[:9], b"\xff" * 40):
             with self.assertRaises(ChannelRecordUnreadableError):
                 codec.decode_record(torn, QUARANTINE, 0, 0)
 
 
 class Model(unittest.TestCase):
-    """The program's own owner under losses, doubles, late runs, stalls and kills.
+    """Model checks of the real channel owner.
 
-    Sizes for a few seconds, more by the module's own command.
+    The simulated cluster loses and duplicates commands, runs attempts late, and stalls
+    and kills owners. The sizes here take a few seconds; the command line of
+    `milletsill.lab.model_checks.channel_model` runs larger ones.
     """
 
-    def test_every_order_of_events_at_small_sizes(self):
+    def test_every_order_of_four_events_keeps_the_contracts(self):
         for case in channel_model.CASES:
             for start in channel_model.STARTS:
                 self.assertIsNone(
@@ -376,10 +387,10 @@
                     (case, start),
                 )
 
-    def test_scripts_and_chance(self):
+    def test_scripted_and_random_runs_keep_the_contracts(self):
         self.assertIsNone(channel_model.find_violation(8))
 
-    def test_each_guard_is_needed(self):
+    def test_the_model_detects_each_missing_guard(self):
         for guard in channel_mutation_checks.MUTATIONS:
             with channel_mutation_checks.without(guard):
                 self.assertIsNotNone(channel_model.find_violation(14), guard)
--- a/tests/fleet/channels/test_channel_settings.py
+++ b/tests/fleet/channels/test_channel_settings.py
@@ -1,4 +1,4 @@
-"""What a settings file may say of channels."""
+"""Tests of the checks of channel settings."""
 
 from twisted.trial.unittest import TestCase
 
@@ -9,56 +9,63 @@
 
 
 class ChannelSettings(TestCase):
-    def test_what_a_file_may_say(self):
+    def test_each_invalid_channel_setting_is_reported(self):
         rig = ChannelFleet(self)
         file = rig.file
         file.fleet.address = "127.0.0.1:7711"
 
-        def faults(change):
-            made = type(file)()
-            made.CopyFrom(file)
-            change(made.fleet.channels, made)
+        def flaw_text(change):
+            settings = type(file)()
+            settings.CopyFrom(file)
+            change(settings.fleet.channels, settings)
             report = FlawReport("f", FieldLines(""))
-            check_gateway(made, report.root())
+            check_gateway(settings, report.root())
             return " | ".join(each.reason for each in report.flaws)
 
-        self.assertEqual(faults(lambda keeping, made: None), "")
+        self.assertEqual(flaw_text(lambda channels, settings: None), "")
         for change, expected_text in (
-            (lambda keeping, made: keeping.register.append("g3"), "4 registers"),
+            (lambda channels, settings: channels.register.append("g3"), "4 registers"),
             (
-                lambda keeping, made: keeping.contract[1].volume.append("free"),
+                lambda channels, settings: channels.contract[1].volume.append("free"),
                 "which is FREE",
             ),
             (
-                lambda keeping, made: keeping.contract[0].ClearField("volume"),
+                lambda channels, settings: channels.contract[0].ClearField("volume"),
                 "which is FREE",
             ),
             (
-                lambda keeping, made: keeping.contract[0].volume.append("folder"),
+                lambda channels, settings: channels.contract[0].volume.append("folder"),
                 "covers category 'read', which is rerunnable",
             ),
             (
-                lambda keeping, made: setattr(keeping.contract[0], "silent_s", 4),
+                lambda channels, settings: setattr(channels.contract[0], "silent_s", 4),
                 "may be forgotten within",
             ),
             (
-                lambda keeping, made: keeping.contract[0].operation.append("read"),
+                lambda channels, settings: channels.contract[0].operation.append(
+                    "read"
+                ),
                 "operation 'read' has no number",
             ),
             (
-                lambda keeping, made: setattr(keeping.contract[1], "name", "landing"),
+                lambda channels, settings: setattr(
+                    channels.contract[1], "name", "landing"
+                ),
                 "stands twice",
             ),
-            (lambda keeping, made: setattr(keeping, "call_ms", 900), "must hold four"),
             (
-                lambda keeping, made: setattr(
-                    made.category[2], "repeat_window_ms", 100
+                lambda channels, settings: setattr(channels, "call_ms", 900),
+                "must hold four",
+            ),
+            (
+                lambda channels, settings: setattr(
+                    settings.category[2], "repeat_window_ms", 100
                 ),
                 "never be tried again",
             ),
             (
-                lambda keeping, made: made.rules.ClearField("key_rest_ms"),
+                lambda channels, settings: settings.rules.ClearField("key_rest_ms"),
                 "needs rules.key_rest_ms",
             ),
         ):
-            self.assertIn(expected_text, faults(change))
+            self.assertIn(expected_text, flaw_text(change))
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -1,4 +1,4 @@
-"""Channels end to end: gateways that go away, clients that come again."""
+"""End-to-end tests of channels: owners that stop, clients that reconnect."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 class ChannelsEndToEnd(TestCase):
     timeout = 25
 
-    async def test_in_order_from_any_gateway_and_told_again(self):
+    async def test_numbers_take_effect_in_order_from_any_gateway(self):
         rig = ChannelFleet(self)
-        edges = await rig.gateways()
-        channel_client = await ChannelClient.open(rig, edges[0])
+        gateways = await rig.gateways()
+        channel_client = await ChannelClient.open(rig, gateways[0])
         self.assertEqual(
             (
                 channel_client.opened.next,
@@ -33,10 +33,10 @@
             [channel_client.put(each) for each in (3, 1, 2)]
         )
         self.assertEqual([answer_kind(each) for each in answers], [packets.OK] * 3)
-        for edge in edges[
-            1:
-        ]:  # comes again elsewhere: the remembered answer, and the next number
-            channel_client = await ChannelClient.open(rig, edge)
+        # The client reconnects to another gateway: it gets the remembered answer and
+        # continues with the next number.
+        for gateway in gateways[1:]:
+            channel_client = await ChannelClient.open(rig, gateway)
             self.assertEqual(answer_kind(await channel_client.put(2)), packets.OK)
             self.assertEqual(
                 answer_kind(await channel_client.put(2, mark=77)), "contract"
@@ -58,33 +58,32 @@
             ("declined", 6),
         )
         self.assertEqual(
-            sum(each.channels.owner.owns("hashed/boat") for each in edges), 1
+            sum(each.channels.owner.owns("hashed/boat") for each in gateways), 1
         )
         self.assertEqual(rig.traces(), [])
 
-    async def test_the_later_claim_holds_and_the_earlier_is_told(self):
+    async def test_a_later_claim_ends_the_earlier_one(self):
         rig = ChannelFleet(self)
-        edges = await rig.gateways()
-        first = await ChannelClient.open(rig, edges[0])
+        gateways = await rig.gateways()
+        first = await ChannelClient.open(rig, gateways[0])
         waiting = first.put(2)
         await later(0.05)
-        second = await ChannelClient.open(rig, edges[1])
+        second = await ChannelClient.open(rig, gateways[1])
         self.assertEqual(answer_kind(await waiting), "claim-lost")
         self.assertEqual(answer_kind(await first.put(1)), "claim-lost")
         self.assertEqual(answer_kind(await second.put(1)), packets.OK)
         self.assertEqual(rig.effects, [1])
 
-    async def test_an_owner_that_is_killed_and_its_channel_goes_on(self):
+    async def test_a_channel_continues_after_its_owner_is_killed(self):
         rig = ChannelFleet(self)
-        edges = await rig.gateways()
-        channel_client = await ChannelClient.open(rig, edges[0])
+        gateways = await rig.gateways()
+        channel_client = await ChannelClient.open(rig, gateways[0])
         self.assertEqual(answer_kind(await channel_client.put(1)), packets.OK)
         owner = rig.owner("hashed/boat")
-        others = [each for each in edges if each is not owner]
+        others = [each for each in gateways if each is not owner]
         channel_client = await ChannelClient.open(rig, others[0])
-        rig.boxes[0].silent = rig.boxes[1].silent = rig.boxes[2].silent = (
-            True  # number 2 goes out and nobody hears
-        )
+        # Number 2 is released, and no node answers it.
+        rig.boxes[0].silent = rig.boxes[1].silent = rig.boxes[2].silent = True
         lost = channel_client.put(2)
         await later(0.1)
         for each in rig.boxes:
@@ -94,10 +93,8 @@
         while time.monotonic() < began + 12:
             channel_client = await ChannelClient.open(rig, others[1])
             done = await channel_client.put(2)
-            if answer_kind(done) in (
-                packets.OK,
-                "aborted",
-            ):  # aborted: nobody knows any more how long ago it was let go
+            # "aborted" if the time since its first release is not known any more
+            if answer_kind(done) in (packets.OK, "aborted"):
                 break
             await later(0.05)
         self.assertIn(answer_kind(done), (packets.OK, "aborted"))
@@ -111,15 +108,15 @@
         )
         self.assertEqual(rig.traces(), [])
 
-    async def test_a_command_that_waits_for_a_lease_is_answered_in_time(self):
-        """Acceptors that say nothing at all.
+    async def test_a_command_that_waits_for_a_lease_is_answered_by_its_deadline(self):
+        """The acceptors never reply.
 
-        A lease that is never had, and a record that is never written.
+        One command waits for a lease, another one for the write of a record.
         """
         rig = ChannelFleet(self)
-        edges = await rig.gateways()
-        channel_client = await ChannelClient.open(rig, edges[0])
-        for each in edges:
+        gateways = await rig.gateways()
+        channel_client = await ChannelClient.open(rig, gateways[0])
+        for each in gateways:
             each.channels.leases.acquire = lambda key, got: None
             each.channels.leases.write = lambda term, value, wrote: None
         began = time.monotonic()
@@ -132,28 +129,27 @@
                 ),
             )
         )
-        other = await rig.client(edges[1])
+        other = await rig.client(gateways[1])
         opened = other.command(
             wire.encode_channel_request(0, wire.ChannelOpen("/h", "another", ""))
         )
-        for asked, word, patience in ((put, "aborted", 0.6), (opened, "declined", 3.0)):
-            asked.addTimeout(
-                began + patience + 0.25 - time.monotonic(), reactor
-            )  # a quarter of a second for a machine that is busy
-            self.assertEqual(answer_kind(await asked), word)
+        for answer, kind, timeout in ((put, "aborted", 0.6), (opened, "declined", 3.0)):
+            # 0.25 s of tolerance for a busy machine
+            answer.addTimeout(began + timeout + 0.25 - time.monotonic(), reactor)
+            self.assertEqual(answer_kind(await answer), kind)
         self.assertEqual(
             (
-                sum(each.channels.unanswered for each in edges),
+                sum(each.channels.unanswered for each in gateways),
                 rig.effects,
                 rig.traces(),
             ),
             (0, [], []),
         )
 
-    async def test_batches_and_what_a_contract_does_not_allow(self):
+    async def test_batches_and_requests_that_violate_a_contract(self):
         rig = ChannelFleet(self)
-        edges = await rig.gateways()
-        channel_client = await ChannelClient.open(rig, edges[0], contract="lots")
+        gateways = await rig.gateways()
+        channel_client = await ChannelClient.open(rig, gateways[0], contract="lots")
         early = channel_client.put(4, 2)
         await defer.gatherResults(
             [channel_client.put(3, 1, True), channel_client.put(1, 1)]
@@ -162,7 +158,7 @@
         self.assertEqual(answer_kind(await channel_client.put(2, 1)), packets.OK)
         self.assertEqual(answer_kind(await early), packets.OK)
         self.assertEqual(rig.effects[2:], [2, 4])
-        for bad, word in (
+        for request, kind in (
             (wire.ChannelOpen("/h", "boat", "none"), "contract"),
             (wire.ChannelOpen("/h", "boat", "lots", 7), "contract"),
             (wire.ChannelOpen("/f", "boat"), packets.UNSUPPORTED),
@@ -170,12 +166,12 @@
             self.assertEqual(
                 answer_kind(
                     await channel_client.client.command(
-                        wire.encode_channel_request(0, bad)
+                        wire.encode_channel_request(0, request)
                     )
                 ),
-                word,
+                kind,
             )
-        reading = wire.NumberedCommand(
+        read_command = wire.NumberedCommand(
             channel_client.opened.handle,
             9,
             2,
@@ -185,7 +181,9 @@
         )
         self.assertEqual(
             answer_kind(
-                await channel_client.client.command(wire.encode_numbered(0, reading))
+                await channel_client.client.command(
+                    wire.encode_numbered(0, read_command)
+                )
             ),
             "contract",
         )
@@ -199,19 +197,22 @@
         )
         self.assertEqual(answer_kind(await channel_client.put(5, 2)), packets.FAILURE)
 
-    async def test_no_majority_is_declined_at_once_and_term_hands_over(self):
+    async def test_sigterm_hands_channels_over_and_a_lost_majority_is_rejected_at_once(
+        self,
+    ):
         rig = ChannelFleet(self)
-        edges = await rig.gateways()
-        channel_client = await ChannelClient.open(rig, edges[0])
+        gateways = await rig.gateways()
+        channel_client = await ChannelClient.open(rig, gateways[0])
         self.assertEqual(answer_kind(await channel_client.put(1)), packets.OK)
         owner = rig.owner("hashed/boat")
         owner.terminate()
-        other = next(each for each in edges if each is not owner)
+        other = next(each for each in gateways if each is not owner)
         began = time.monotonic()
         channel_client = await ChannelClient.open(rig, other)
         self.assertEqual(answer_kind(await channel_client.put(2)), packets.OK)
-        self.assertLess(time.monotonic() - began, 0.8)  # not only when its lease ended
-        for each in edges:
+        # The new owner starts before the lease would have ended.
+        self.assertLess(time.monotonic() - began, 0.8)
+        for each in gateways:
             if each is not other and each.state.name != "STOPPED":
                 each.stop()
         began = time.monotonic()
--- a/tests/fleet/channels/test_peer_forwarder.py
+++ b/tests/fleet/channels/test_peer_forwarder.py
@@ -1,4 +1,7 @@
-"""What the audit of a torn fleet found in the forwarding gateways gateways, each case by itself."""
+"""Tests of command forwarding between gateways when messages are lost or delayed.
+
+Each case reproduces a fault that the audit of a partitioned fleet found.
+"""
 
 import unittest
 from types import SimpleNamespace
@@ -21,17 +24,18 @@
 
 
 class UnreachableOwners(unittest.TestCase):
-    def answer(self, body, reached):
-        """To a command whose owner never answers.
+    def answer_language(self, body, is_sent):
+        """Return the language tag of the answer to a command whose owner is silent.
 
-        The acceptors then say that another owns the channel.
+        The forwarding gateway then tries to own the channel and is rejected. `is_sent`
+        tells whether the transport accepts messages to the owner.
         """
-        clock, got = Clock(), []
+        clock, answers = Clock(), []
         forwarder = PeerForwarder(
             ForwarderSettings(3000),
             clock,
             lambda: int(clock.seconds() * 10_000),
-            SimpleNamespace(name="a", send=lambda *message: reached),
+            SimpleNamespace(name="a", send=lambda *message: is_sent),
             ForwarderHandlers(
                 lambda command, member: None,
                 lambda command: command.on_answer(
@@ -43,27 +47,27 @@
         )
         volume = SimpleNamespace(name="v", number=1)
         forwarder.forward(
-            ChannelCommand(volume, "c", 50_000, body, "t", got.append), "b"
+            ChannelCommand(volume, "c", 50_000, body, "t", answers.append), "b"
         )
         clock.pump([0.1] * 40)
-        self.assertEqual(len(got), 1)
-        return got[0].language
+        self.assertEqual(len(answers), 1)
+        return answers[0].language
 
-    def test_only_what_its_owner_cannot_have_done_is_rejected(self):
+    def test_only_a_command_that_the_owner_cannot_have_executed_is_rejected(self):
         write = NumberedRequest(
             1, 1, 0, False, CommandTerms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
         )
         self.assertEqual(
             (
-                self.answer(write, True),
-                self.answer(write, False),
-                self.answer(QueryNumber(1), True),
+                self.answer_language(write, True),
+                self.answer_language(write, False),
+                self.answer_language(QueryNumber(1), True),
             ),
             ("x-aborted", "x-declined-100", "x-declined-100"),
         )
 
-    def test_two_starts_do_not_number_their_commands_alike(self):
-        made = [
+    def test_message_ids_differ_between_two_starts(self):
+        ids = [
             PeerForwarder(
                 ForwarderSettings(1),
                 None,
@@ -73,26 +77,26 @@
             ).last_id
             for _ in range(2)
         ]
-        self.assertNotEqual(*made)
+        self.assertNotEqual(*ids)
 
 
 class TwoGateways:
-    """Their clocks begin apart and run at different rates.
+    """Two forwarders, `a` and `b`, whose clocks have different offsets and rates.
 
-    The network may hold what one of them sends.
+    Messages of the gateways in `delayed_senders` stay in transit.
     """
 
     def __init__(self, rate=1.0):
         self.clock = Clock()
-        self.held = []
-        self.holds = set()
-        self.passed = 0
+        self.in_transit = []
+        self.delayed_senders = set()
+        self.delivered_count = 0
         self.clocks = {
             "a": lambda: int(self.clock.seconds() * 10_000),
             "b": lambda: 7_000_000 + int(self.clock.seconds() * 10_000 * rate),
         }
         self.volume = SimpleNamespace(name="v", number=1)
-        self.taken = []
+        self.received = []
         self.forwarders = {
             name: PeerForwarder(
                 ForwarderSettings(100_000, 5),
@@ -105,7 +109,7 @@
                     ),
                 ),
                 ForwarderHandlers(
-                    lambda command, member: self.taken.append(
+                    lambda command, member: self.received.append(
                         (self.clock.seconds(), command)
                     ),
                     lambda command: None,
@@ -117,21 +121,25 @@
         }
 
     def transmit(self, name, to, body):
-        self.held.append((name, to, body))
+        self.in_transit.append((name, to, body))
         return True
 
-    def go(self, seconds):
-        """Time goes by, and what is not held arrives."""
+    def advance(self, seconds):
+        """Advance the clock, then deliver all messages that are not delayed."""
         self.clock.advance(seconds)
         while found := next(
-            (each for each in self.held if each[0] not in self.holds), None
+            (each for each in self.in_transit if each[0] not in self.delayed_senders),
+            None,
         ):
-            self.held.remove(found)
-            self.passed += 1
+            self.in_transit.remove(found)
+            self.delivered_count += 1
             self.forwarders[found[1]].on_message(found[0], 1, found[2])
 
-    def send(self, patience):
-        """A numbered request at a, whose client waits for so many seconds from now."""
+    def forward_request(self, timeout):
+        """Forward a numbered request from `a` to `b`; return its client's deadline.
+
+        `timeout` is the client timeout in seconds; the deadline is on the shared clock.
+        """
         write = NumberedRequest(
             1, 1, 0, False, CommandTerms(), "/v/f", packets.Write(0, b"/v/f", 0, b"x")
         )
@@ -139,105 +147,107 @@
             ChannelCommand(
                 self.volume,
                 "c",
-                self.clocks["a"]() + int(patience * 10_000),
+                self.clocks["a"]() + int(timeout * 10_000),
                 write,
                 "t",
                 lambda answer: None,
             ),
             "b",
         )
-        return self.clock.seconds() + patience
+        return self.clock.seconds() + timeout
 
     def deadline(self, command):
-        """When a command that b took is over, on the clock of all."""
+        """Return the deadline of a command that `b` received, on the shared clock."""
         return (command.deadline - self.clocks["b"]()) / (
             self.clocks["b"]() - 7_000_000
         ) * self.clock.seconds() + self.clock.seconds()
 
 
 class CommandsInTransit(unittest.TestCase):
-    def test_a_command_that_lay_on_its_way_is_over_when_its_client_is(self):
+    def test_a_delayed_command_ends_at_its_clients_deadline(self):
         for rate in (0.996, 1.0, 1.004):
-            for lay in (0.0, 0.5, 2.0, 20.0):
+            for delay in (0.0, 0.5, 2.0, 20.0):
                 gateways = TwoGateways(rate)
-                gateways.go(50)
-                gateways.send(1.0)
-                gateways.go(0.001)  # the two know each other's clocks
-                gateways.taken.clear()
-                ends = gateways.send(1.8)
-                gateways.holds = {"a"}
-                gateways.go(lay)
-                gateways.holds = set()
-                gateways.go(0)
-                found = [gateways.deadline(command) for _, command in gateways.taken]
+                gateways.advance(50)
+                gateways.forward_request(1.0)
+                # After this, both gateways have a reading of the other's clock.
+                gateways.advance(0.001)
+                gateways.received.clear()
+                deadline = gateways.forward_request(1.8)
+                gateways.delayed_senders = {"a"}
+                gateways.advance(delay)
+                gateways.delayed_senders = set()
+                gateways.advance(0)
+                found = [gateways.deadline(command) for _, command in gateways.received]
                 self.assertLessEqual(
                     max(found),
-                    ends,
-                    (rate, lay, "the owner may release it after its client's deadline"),
+                    deadline,
+                    (
+                        rate,
+                        delay,
+                        "the owner may release it after its client's deadline",
+                    ),
                 )
                 self.assertGreater(
                     min(found),
-                    ends - 0.05,
-                    "cut by more than clocks and the way ask for",
+                    deadline - 0.05,
+                    "the deadline is cut by more than clock drift and transit time",
                 )
 
-    def test_the_first_command_is_taken_when_it_is_known_until_when(self):
+    def test_the_first_command_is_accepted_once_its_deadline_is_known(self):
         gateways = TwoGateways()
-        gateways.go(50)
-        gateways.holds, ends = {"a"}, gateways.send(1.8)
-        gateways.go(1.5)  # it lies on its way; nobody there can know for how long
-        gateways.holds = set()
-        gateways.go(0)
-        self.assertEqual(len(gateways.taken), 1)
-        self.assertLessEqual(gateways.deadline(gateways.taken[0][1]), ends)
-
-    def test_one_that_starts_again_is_told_until_when_on_its_new_clock(self):
+        gateways.advance(50)
+        gateways.delayed_senders, deadline = {"a"}, gateways.forward_request(1.8)
+        # `a` has no reading of b's clock yet, so b cannot tell the time in transit.
+        gateways.advance(1.5)
+        gateways.delayed_senders = set()
+        gateways.advance(0)
+        self.assertEqual(len(gateways.received), 1)
+        self.assertLessEqual(gateways.deadline(gateways.received[0][1]), deadline)
+
+    def test_a_restarted_gateway_gets_deadlines_on_its_new_clock(self):
         gateways = TwoGateways()
-        gateways.go(50)
-        gateways.send(1.0)
-        gateways.go(0.001)
-        gateways.forwarders[
-            "b"
-        ].messenger.clock_id += (
-            1  # another process: what is known of the old clock says nothing
-        )
-        gateways.taken.clear()
-        ends = gateways.send(1.8)
-        gateways.go(0.001)
-        self.assertEqual(len(gateways.taken), 1)
-        self.assertLessEqual(gateways.deadline(gateways.taken[0][1]), ends)
-
-    def test_two_that_never_agree_on_a_clock_stop_asking_each_other(self):
+        gateways.advance(50)
+        gateways.forward_request(1.0)
+        gateways.advance(0.001)
+        # As after a restart: readings of the old clock do not apply.
+        gateways.forwarders["b"].messenger.clock_id += 1
+        gateways.received.clear()
+        deadline = gateways.forward_request(1.8)
+        gateways.advance(0.001)
+        self.assertEqual(len(gateways.received), 1)
+        self.assertLessEqual(gateways.deadline(gateways.received[0][1]), deadline)
+
+    def test_immediate_resends_are_limited_without_clock_readings(self):
         gateways = TwoGateways()
-        gateways.go(50)
+        gateways.advance(50)
         gateways.forwarders["a"].messenger.peer_clocks.to_remote = (
             lambda member, at, now: None
         )
-        gateways.send(1.8)
-        gateways.go(0.001)
-        self.assertEqual(
-            (gateways.taken, gateways.passed), ([], 8)
-        )  # four times, each with its answer, until the next call
+        gateways.forward_request(1.8)
+        gateways.advance(0.001)
+        # Four sends, each with a reply, until the next call.
+        self.assertEqual((gateways.received, gateways.delivered_count), ([], 8))
 
-    def test_a_gateway_of_an_earlier_version_is_heard_as_ever(self):
+    def test_a_command_of_an_earlier_version_counts_from_its_arrival(self):
         gateways = TwoGateways()
-        gateways.go(50)
-        told = codec.decode_envelope(first_message(gateways))
-        told.ClearField("clock")
-        gateways.forwarders["b"].on_message("a", 1, codec.encode_envelope(told))
+        gateways.advance(50)
+        envelope = codec.decode_envelope(first_message(gateways))
+        envelope.ClearField("clock")
+        gateways.forwarders["b"].on_message("a", 1, codec.encode_envelope(envelope))
         self.assertEqual(
             [
                 round(gateways.deadline(command) - gateways.clock.seconds(), 1)
-                for _, command in gateways.taken
+                for _, command in gateways.received
             ],
             [1.8],
         )
 
 
 def first_message(gateways):
-    """What a sends b first."""
-    gateways.send(1.8)
-    return gateways.held.pop()[2]
+    """Return the first message that `a` sends to `b`."""
+    gateways.forward_request(1.8)
+    return gateways.in_transit.pop()[2]
 
 
 if __name__ == "__main__":
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -1,4 +1,4 @@
-"""Gateways that own channels, nodes and clients in one process on loopback."""
+"""Test rig: gateways with channels, nodes and clients in one process on loopback."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ChannelFleet(Rig):
-    """Three gateways that own channels, and the order of effects at the boxes."""
+    """Three gateways with channels; records the order of effects at the nodes."""
 
-    def __init__(self, case, **kind):
-        super().__init__(case, **kind)
+    def __init__(self, case, **options):
+        super().__init__(case, **options)
         self.effects = []
         file = self.file
         file.category.append(
@@ -67,6 +67,7 @@
             self.record_effects(box)
 
     def record_effects(self, box):
+        """Append the number in the data of each write to `effects`."""
         run = box.files.run
 
         def recording(command):
@@ -77,11 +78,12 @@
         box.files.run = recording
 
     async def gateways(self, count=3):
-        made = [await self.gateway(f"g{each}") for each in range(count)]
+        """Start gateways, and wait until each of them has all in its view."""
+        gateways = [await self.gateway(f"g{each}") for each in range(count)]
         await self.until(
-            lambda: all(len(each.fleet.view.members) == count for each in made)
+            lambda: all(len(each.fleet.view.members) == count for each in gateways)
         )
-        return made
+        return gateways
 
     async def gateway(self, name):
         self.file.fleet.join[:] = [
@@ -90,21 +92,22 @@
         ]
         return await self.start_gateway(name, drain_s=1.0)
 
-    async def until(self, true, seconds=8.0):
-        ends = time.monotonic() + seconds
-        while not true():
-            self.case.assertLess(time.monotonic(), ends)
+    async def until(self, condition, seconds=8.0):
+        deadline = time.monotonic() + seconds
+        while not condition():
+            self.case.assertLess(time.monotonic(), deadline)
             await later(0.02)
 
     def kill(self, gateway):
-        """As after SIGKILL: no message to anybody, no lease given up."""
+        """Stop a gateway as by SIGKILL: it sends no messages and releases no leases."""
         gateway.channels.leases.release = lambda term: None
-        for place in gateway.channels.leases.leases.values():
-            if place.term is not None:
-                place.term.in_use = True
+        for lease in gateway.channels.leases.leases.values():
+            if lease.term is not None:
+                lease.term.in_use = True
         gateway.stop()
 
     def owner(self, key):
+        """Return the serving gateway that owns a channel, or None."""
         return next(
             (
                 each
@@ -116,7 +119,7 @@
 
 
 class ChannelClient:
-    """A client with a channel."""
+    """A client that has opened a channel and a file."""
 
     def __init__(self, client, opened, file):
         self.client, self.opened, self.file = client, opened, file
@@ -125,15 +128,15 @@
     async def open(
         cls, rig, gateway, name="boat", contract="", path="/h/catch", seconds=6.0
     ):
-        client, ends = await rig.client(gateway), time.monotonic() + seconds
-        while True:  # comes back as it is told to
+        client, deadline = await rig.client(gateway), time.monotonic() + seconds
+        while True:  # retries a rejected open after the delay that the answer names
             answer = await client.command(
                 wire.encode_channel_request(0, wire.ChannelOpen("/h", name, contract))
             )
             if (
                 not isinstance(answer, packets.Status)
                 or answer_kind(answer) != "declined"
-                or time.monotonic() > ends
+                or time.monotonic() > deadline
             ):
                 break
             await later(
@@ -170,6 +173,6 @@
 
 
 def answer_kind(answer):
-    """The word of an answer's sign, else its status code."""
-    found = status_tags.parse_status_tag(answer.language)
-    return found.word if found else answer.code
+    """Return the word of an answer's status tag, or its status code without a tag."""
+    tag = status_tags.parse_status_tag(answer.language)
+    return tag.word if tag else answer.code
