--- a/milletsill/fleet/channels/channel_owner.py
+++ b/milletsill/fleet/channels/channel_owner.py
@@ -12,7 +12,7 @@
 from milletsill.errors import MilletsillError
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.channel_sequencer import ChannelSequencer
-from milletsill.fleet.channels.channel_surroundings import AttemptRunner, LeaseService
+from milletsill.fleet.channels.channel_services import AttemptRunner, LeaseService
 from milletsill.fleet.channels.command_replies import (
     CONTRACT_ERRORS,
     CommandReplies,
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -12,7 +12,7 @@
 from milletsill.errors import MilletsillError
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.channel_sequencer import ChannelSequencer
-from milletsill.fleet.channels.channel_surroundings import (
+from milletsill.fleet.channels.channel_services import (
     AttemptEnd,
     AttemptRunner,
     LeaseService,
--- a/milletsill/lab/model_checks/channel_gateway.py
+++ b/milletsill/lab/model_checks/channel_gateway.py
@@ -16,7 +16,7 @@
     ChannelOwnerSettings,
     ChannelTelemetry,
 )
-from milletsill.fleet.channels.channel_surroundings import AttemptEnd
+from milletsill.fleet.channels.channel_services import AttemptEnd
 from milletsill.fleet.channels.commands import ChannelCommand, NumberedRequest
 from milletsill.fleet.channels.contracts import ContractCatalog
 from milletsill.fleet.channels.effects import Release
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from milletsill.fleet.channels import codec
-from milletsill.fleet.channels.channel_surroundings import AttemptEnd
+from milletsill.fleet.channels.channel_services import AttemptEnd
 from milletsill.fleet.channels.commands import (
     ChannelCommand,
     NumberedRequest,
--- a/milletsill/sftp_gateway/channel_attempts.py
+++ b/milletsill/sftp_gateway/channel_attempts.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from milletsill.fleet.channels.access_ranges import AccessRange, AccessRanges
-from milletsill.fleet.channels.channel_surroundings import AttemptEnd
+from milletsill.fleet.channels.channel_services import AttemptEnd
 from milletsill.fleet.channels.commands import ChannelCommand, NumberedRequest
 from milletsill.fleet.channels.effects import Release
 from milletsill.fleet.channels.number_states import NumberEvent
--- a/milletsill/sftp_gateway/channel_router.py
+++ b/milletsill/sftp_gateway/channel_router.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from milletsill.fleet.channels.channel_owner import ChannelOwner
-from milletsill.fleet.channels.channel_surroundings import LeaseService
+from milletsill.fleet.channels.channel_services import LeaseService
 from milletsill.fleet.channels.commands import ChannelCommand, Redirect
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.peer_forwarder import PeerForwarder
--- a/tests/lab/test_planted_faults.py
+++ b/tests/lab/test_planted_faults.py
@@ -13,7 +13,7 @@
     ChannelOwnerSettings,
     ChannelTelemetry,
 )
-from milletsill.fleet.channels.channel_surroundings import AttemptEnd
+from milletsill.fleet.channels.channel_services import AttemptEnd
 from milletsill.fleet.channels.commands import (
     ChannelCommand,
     NumberedRequest,
