--- a/milletsill/fleet/channels/channel_numbers.py
+++ b/milletsill/fleet/channels/channel_numbers.py
@@ -21,11 +21,11 @@
     NumberState,
     transition,
 )
-from milletsill.fleet.channels.sequences import (
-    CompletedSequence,
+from milletsill.fleet.channels.tracked_numbers import (
+    CompletedNumber,
     CompletionOutcome,
-    OpenSequence,
-    PendingNumber,
+    OpenNumber,
+    PendingRequest,
 )
 
 _OUTCOME_BY_EFFECT = {
@@ -60,59 +60,59 @@
         self.immediate_effects: list[Effect] = []
         self.record_changed = False
 
-    def _accept(self, request: PendingNumber, sequence: OpenSequence | None) -> None:
+    def _accept(self, request: PendingRequest, open_number: OpenNumber | None) -> None:
         """Queue a request, or let it wait for the outcome of the attempt in flight."""
         number = request.number
         state, effect = transition(self.state_of(number), NumberEvent.REQUEST_RECEIVED)
-        if effect is NumberEffect.JOIN and sequence is not None:
-            sequence.recipients.append(request.recipient)
-            if len(sequence.recipients) > MAX_RECIPIENTS:
-                oldest = sequence.recipients.pop(0)
+        if effect is NumberEffect.JOIN and open_number is not None:
+            open_number.recipients.append(request.recipient)
+            if len(open_number.recipients) > MAX_RECIPIENTS:
+                oldest = open_number.recipients.pop(0)
                 self._notify_now(oldest, ReplyKind.FAILED, number)
             return
-        if sequence is None:
-            sequence = OpenSequence(state, request.digest, request.ranges)
-            self.open_sequences[number] = sequence
-        elif effect is NumberEffect.REPLACE and sequence.pending is not None:
+        if open_number is None:
+            open_number = OpenNumber(state, request.digest, request.ranges)
+            self.open_numbers[number] = open_number
+        elif effect is NumberEffect.REPLACE and open_number.pending is not None:
             self.immediate_effects.append(
-                self._unreleased_reply(sequence, sequence.pending.recipient)
+                self._unreleased_reply(open_number, open_number.pending.recipient)
             )
-        sequence.state = state
-        sequence.pending = request
-        sequence.digest = request.digest
-        sequence.ranges = request.ranges
-        sequence.batch = request.batch
-        sequence.ends_batch = request.ends_batch
-        sequence.gap_since = None
+        open_number.state = state
+        open_number.pending = request
+        open_number.digest = request.digest
+        open_number.ranges = request.ranges
+        open_number.batch = request.batch
+        open_number.ends_batch = request.ends_batch
+        open_number.gap_since = None
 
     def _apply(self, number: int, event: NumberEvent) -> ChannelCommand | None:
         """Apply an event to a number that is not in flight.
 
         Returns the command that waited for the number, if any.
         """
-        sequence = self.open_sequences.get(number)
+        open_number = self.open_numbers.get(number)
         state = self.state_of(number)
         next_state, effect = transition(state, event)
-        request = sequence.pending if sequence is not None else None
+        request = open_number.pending if open_number is not None else None
         if next_state is NumberState.CLOSED:
             outcome = _OUTCOME_BY_EFFECT.get(effect, CompletionOutcome.SKIPPED)
-            digest = sequence.digest if sequence is not None else 0
-            self._close(number, CompletedSequence(outcome, 0, digest))
+            digest = open_number.digest if open_number is not None else 0
+            self._close(number, CompletedNumber(outcome, 0, digest))
         elif effect is NumberEffect.FREE_FOR_RETRY:
-            del self.open_sequences[number]
+            del self.open_numbers[number]
             self.key_generations[number] = self.key_generations.get(number, 0) + 1
             self.record_changed = True
         elif effect is NumberEffect.DROP and next_state is NumberState.ABSENT:
-            del self.open_sequences[number]
-        elif sequence is not None:
-            sequence.state = next_state
-            sequence.pending = None
-            sequence.gap_since = None
+            del self.open_numbers[number]
+        elif open_number is not None:
+            open_number.state = next_state
+            open_number.pending = None
+            open_number.gap_since = None
         return request.recipient if request is not None else None
 
-    def _close(self, number: int, completed: CompletedSequence) -> None:
+    def _close(self, number: int, completed: CompletedNumber) -> None:
         """Close a number; under NEWEST, supersede all older ones."""
-        self.open_sequences.pop(number, None)
+        self.open_numbers.pop(number, None)
         self.key_generations.pop(number, None)
         self.pinned_ranges.pop(number, None)
         self.completed[number] = completed
@@ -120,7 +120,7 @@
             del self.completed[next(iter(self.completed))]
         self.record_changed = True
         if self.contract.order is ChannelOrder.NEWEST:
-            for older in sorted(each for each in self.open_sequences if each < number):
+            for older in sorted(each for each in self.open_numbers if each < number):
                 recipient = self._apply(older, NumberEvent.SUPERSEDED)
                 self.effects_after_write.append(
                     Notify(recipient, ReplyKind.SUPERSEDED, number)
@@ -137,7 +137,7 @@
             if pinned >= self.lowest_open
         }
 
-    def _repeat_outcome(self, request: PendingNumber) -> None:
+    def _repeat_outcome(self, request: PendingRequest) -> None:
         """Answer with the remembered outcome, without a second effect.
 
         The answer waits for the next write of the record, because the stored record may
@@ -169,14 +169,14 @@
         self.effects_after_write.append(Notify(recipient, kind, newer))
 
     def _unreleased_reply(
-        self, sequence: OpenSequence, recipient: ChannelCommand
+        self, open_number: OpenNumber, recipient: ChannelCommand
     ) -> Notify:
         """Return the answer to a request that is abandoned before its release.
 
         A rejection promises that no request with this number had an effect, so a
         request that waited for a retry is answered with a failure instead.
         """
-        if sequence.state is NumberState.WAITING:
+        if open_number.state is NumberState.WAITING:
             return Notify(
                 recipient, ReplyKind.REJECTED, self.lowest_open, DEFAULT_RETRY_DELAY
             )
--- a/milletsill/fleet/channels/channel_releases.py
+++ b/milletsill/fleet/channels/channel_releases.py
@@ -18,7 +18,7 @@
     PREDECESSOR_RULES,
     ReleaseGate,
 )
-from milletsill.fleet.channels.sequences import OpenSequence, PendingNumber
+from milletsill.fleet.channels.tracked_numbers import OpenNumber, PendingRequest
 
 
 class ChannelReleases(ChannelNumbers):
@@ -31,28 +31,28 @@
         while moved:
             moved = False
             self._advance_batch_and_contract()
-            for number in sorted(self.open_sequences):
-                sequence = self.open_sequences.get(number)
-                if sequence is None or sequence.pending is None:
+            for number in sorted(self.open_numbers):
+                open_number = self.open_numbers.get(number)
+                if open_number is None or open_number.pending is None:
                     continue
-                gate, predecessor = self._gate(now, number, sequence)
+                gate, predecessor = self._gate(now, number, open_number)
                 if gate is ReleaseGate.OPEN:
-                    self._release(now, number, sequence, sequence.pending)
+                    self._release(now, number, open_number, open_number.pending)
                     moved = True
                 elif gate is ReleaseGate.QUARANTINED and predecessor != number:
                     assert predecessor is not None
                     moved |= self._pass_indeterminate(now, number, predecessor)
                 if gate is not ReleaseGate.GAP:
-                    sequence.gap_since = None
-                elif sequence.gap_since is None:
-                    sequence.gap_since = now
+                    open_number.gap_since = None
+                elif open_number.gap_since is None:
+                    open_number.gap_since = now
 
     def _gate(
-        self, now: int, number: int, sequence: OpenSequence
+        self, now: int, number: int, open_number: OpenNumber
     ) -> tuple[ReleaseGate, int | None]:
         """Return whether a number may be released, and its predecessor if any."""
-        if sequence.state is NumberState.RETRY_WAITING:
-            if now >= sequence.quarantined_until:
+        if open_number.state is NumberState.RETRY_WAITING:
+            if now >= open_number.quarantined_until:
                 return ReleaseGate.OPEN, None
             return ReleaseGate.QUARANTINED, number
         predecessor = PREDECESSOR_RULES[self.contract.order](self, number)
@@ -68,7 +68,7 @@
 
         Returns False while the indeterminate number is reserved for its client.
         """
-        if now < self.open_sequences[predecessor].reserved_until:
+        if now < self.open_numbers[predecessor].reserved_until:
             return False
         if self.contract.indeterminate_policy is IndeterminatePolicy.STOP:
             recipient = self._apply(number, NumberEvent.WAIT_ENDED)
@@ -78,19 +78,19 @@
         return True
 
     def _release(
-        self, now: int, number: int, sequence: OpenSequence, request: PendingNumber
+        self, now: int, number: int, open_number: OpenNumber, request: PendingRequest
     ) -> None:
-        is_retry = sequence.state is NumberState.RETRY_WAITING
-        sequence.state, _ = transition(sequence.state, NumberEvent.RELEASED)
-        sequence.recipients = [request.recipient]
-        sequence.pending = None
+        is_retry = open_number.state is NumberState.RETRY_WAITING
+        open_number.state, _ = transition(open_number.state, NumberEvent.RELEASED)
+        open_number.recipients = [request.recipient]
+        open_number.pending = None
         deadline = request.deadline
         if is_retry:
-            deadline = min(deadline, self.key_window_end(sequence, request))
+            deadline = min(deadline, self.key_window_end(open_number, request))
         else:
-            sequence.first_released_at = now
+            open_number.first_released_at = now
         self.highest_released = max(self.highest_released, number)
-        if self.contract.order is ChannelOrder.BATCHES and sequence.ends_batch:
+        if self.contract.order is ChannelOrder.BATCHES and open_number.ends_batch:
             self.batch_end = number
         if self.contract.order is ChannelOrder.BY_EXTENT:
             self.pin_overtaken(number)
@@ -106,22 +106,22 @@
         Prevents a number that was overtaken on one extent from being sent again with
         another extent. The cost is that its client must send it again unchanged.
         """
-        for lower, sequence in self.open_sequences.items():
-            if lower < number and sequence.state is NumberState.WAITING:
-                self.pinned_ranges[lower] = sequence.ranges
+        for lower, open_number in self.open_numbers.items():
+            if lower < number and open_number.state is NumberState.WAITING:
+                self.pinned_ranges[lower] = open_number.ranges
 
     def _expire_waiting(self, now: int) -> None:
         """Answer and drop waiting requests whose deadline or gap timeout has passed."""
-        for number, sequence in list(self.open_sequences.items()):
-            request = sequence.pending
+        for number, open_number in list(self.open_numbers.items()):
+            request = open_number.pending
             if request is None:
                 continue
-            gap_since = sequence.gap_since
+            gap_since = open_number.gap_since
             if now >= request.deadline or (
                 gap_since is not None and now >= gap_since + self.contract.gap_timeout
             ):
                 self.immediate_effects.append(
-                    self._unreleased_reply(sequence, request.recipient)
+                    self._unreleased_reply(open_number, request.recipient)
                 )
                 self._apply(number, NumberEvent.WAIT_ENDED)
 
@@ -141,8 +141,8 @@
         if (
             self.contract.order is ChannelOrder.NEWEST
             and change.first_number > self.lowest_open
-            and any(each >= change.first_number for each in self.open_sequences)
-            and not any(each < change.first_number for each in self.open_sequences)
+            and any(each >= change.first_number for each in self.open_numbers)
+            and not any(each < change.first_number for each in self.open_numbers)
         ):
             # NEWEST allows gaps: absent numbers below the change are superseded by it.
             self.lowest_open = change.first_number
--- a/milletsill/fleet/channels/channel_sequencer.py
+++ b/milletsill/fleet/channels/channel_sequencer.py
@@ -27,10 +27,10 @@
     NumberState,
     transition,
 )
-from milletsill.fleet.channels.sequences import (
-    CompletedSequence,
+from milletsill.fleet.channels.tracked_numbers import (
+    CompletedNumber,
     CompletionOutcome,
-    PendingNumber,
+    PendingRequest,
 )
 
 
@@ -43,11 +43,11 @@
         Their clients have not been told, so each number is reserved for at least the
         gap timeout, in which its client can send the request again.
         """
-        for sequence in self.open_sequences.values():
-            sequence.state = NumberState.INDETERMINATE
-            sequence.quarantined_until = self.quarantine_end(now)
-            sequence.reserved_until = max(
-                sequence.quarantined_until, now + self.contract.gap_timeout
+        for open_number in self.open_numbers.values():
+            open_number.state = NumberState.INDETERMINATE
+            open_number.quarantined_until = self.quarantine_end(now)
+            open_number.reserved_until = max(
+                open_number.quarantined_until, now + self.contract.gap_timeout
             )
 
     def open(
@@ -79,15 +79,15 @@
         if token != self.claim_token or not token:  # the command may arrive twice
             self.claim += 1
             self.claim_token = token
-            for number in list(self.open_sequences):
-                if self.open_sequences[number].pending is not None:
+            for number in list(self.open_numbers):
+                if self.open_numbers[number].pending is not None:
                     waiting = self._apply(number, NumberEvent.WAIT_ENDED)
                     self._notify_now(waiting, ReplyKind.CLAIM_LOST)
         self.record_changed = True
         self.effects_after_write.append(AnswerChannelOpen(recipient))
         self.release_ready(now)
 
-    def submit(self, now: int, request: PendingNumber) -> None:
+    def submit(self, now: int, request: PendingRequest) -> None:
         """Handle a numbered request."""
         number = request.number
         if not self.holds_claim(request.claim):
@@ -96,8 +96,8 @@
         if self.is_closed(number):
             self._repeat_outcome(request)
             return
-        sequence = self.open_sequences.get(number)
-        contradiction = find_contradiction(self, request, sequence)
+        open_number = self.open_numbers.get(number)
+        contradiction = find_contradiction(self, request, open_number)
         if contradiction:
             self._contradict(request.recipient, number, contradiction)
             return
@@ -105,15 +105,15 @@
             self._reject(request.recipient)
             return
         if (
-            sequence is not None
-            and sequence.state is NumberState.INDETERMINATE
-            and now >= self.key_window_end(sequence, request)
+            open_number is not None
+            and open_number.state is NumberState.INDETERMINATE
+            and now >= self.key_window_end(open_number, request)
         ):
             stops = self.contract.indeterminate_policy is IndeterminatePolicy.STOP
             kind = ReplyKind.STOPPED if stops else ReplyKind.FAILED
             self._notify_now(request.recipient, kind, number)
             return
-        self._accept(request, sequence)
+        self._accept(request, open_number)
         self.release_ready(now)
 
     def resolve(
@@ -129,21 +129,21 @@
         A resolution is rejected until the quarantine of the number ends, so later
         numbers always wait until then.
         """
-        sequence = self.open_sequences.get(number)
+        open_number = self.open_numbers.get(number)
         state = self.state_of(number)
         if not self.holds_claim(claim):
             self._notify_now(recipient, ReplyKind.CLAIM_LOST)
             return
         if (
-            sequence is not None
+            open_number is not None
             and state is NumberState.INDETERMINATE
-            and now < sequence.quarantined_until
+            and now < open_number.quarantined_until
         ):
             self.immediate_effects.append(
                 Notify(
                     recipient,
                     ReplyKind.REJECTED,
-                    retry_delay=sequence.quarantined_until - now,
+                    retry_delay=open_number.quarantined_until - now,
                 )
             )
             return
@@ -186,32 +186,32 @@
             status_code: Status code of the node's answer, if SETTLED.
             retry_delay: When the client may retry, if NEVER_RAN.
         """
-        sequence = self.open_sequences[number]
-        recipients = sequence.recipients
-        sequence.recipients = []
-        if event is NumberEvent.NEVER_RAN and self.was_tried_before(sequence):
+        open_number = self.open_numbers[number]
+        recipients = open_number.recipients
+        open_number.recipients = []
+        if event is NumberEvent.NEVER_RAN and self.was_tried_before(open_number):
             event = NumberEvent.ANSWER_LOST
-        _, effect = transition(sequence.state, event)
+        _, effect = transition(open_number.state, event)
         if effect is NumberEffect.SETTLE:
             outcome = CompletionOutcome.SETTLED
             self._close(
-                number, CompletedSequence(outcome, status_code, sequence.digest)
+                number, CompletedNumber(outcome, status_code, open_number.digest)
             )
             self.effects_after_write.extend(
                 Notify(each, ReplyKind.OUTCOME, number, status_code=status_code)
                 for each in recipients
             )
         elif effect is NumberEffect.REJECT:
-            del self.open_sequences[number]
+            del self.open_numbers[number]
             self.record_changed = True
             self.immediate_effects.extend(
                 Notify(each, ReplyKind.REJECTED, self.lowest_open, retry_delay)
                 for each in recipients
             )
         elif effect is NumberEffect.FAIL:
-            sequence.state = NumberState.INDETERMINATE
-            sequence.quarantined_until = self.quarantine_end(now)
-            sequence.reserved_until = sequence.quarantined_until
+            open_number.state = NumberState.INDETERMINATE
+            open_number.quarantined_until = self.quarantine_end(now)
+            open_number.reserved_until = open_number.quarantined_until
             self.immediate_effects.extend(
                 Notify(each, ReplyKind.FAILED, number) for each in recipients
             )
@@ -222,10 +222,10 @@
 
         Attempts in flight continue until they end.
         """
-        for number, sequence in list(self.open_sequences.items()):
-            if sequence.pending is None:
+        for number, open_number in list(self.open_numbers.items()):
+            if open_number.pending is None:
                 continue
-            reply = self._unreleased_reply(sequence, sequence.pending.recipient)
+            reply = self._unreleased_reply(open_number, open_number.pending.recipient)
             self.immediate_effects.append(
                 replace(
                     reply,
@@ -236,9 +236,9 @@
             self._apply(number, NumberEvent.WAIT_ENDED)
 
     def _exceeds_max_waiting(self, number: int) -> bool:
-        """Whether the channel has too many open sequences to accept another number."""
+        """Whether the channel tracks too many open numbers to accept another one."""
         return (
-            number not in self.open_sequences
+            number not in self.open_numbers
             and number != self.lowest_open
-            and len(self.open_sequences) >= self.contract.max_waiting
+            and len(self.open_numbers) >= self.contract.max_waiting
         )
--- a/milletsill/fleet/channels/channel_state.py
+++ b/milletsill/fleet/channels/channel_state.py
@@ -13,10 +13,10 @@
 )
 from milletsill.fleet.channels.limits import MAX_NUMBERS_AHEAD
 from milletsill.fleet.channels.number_states import INDETERMINATE_STATES, NumberState
-from milletsill.fleet.channels.sequences import (
-    CompletedSequence,
-    OpenSequence,
-    PendingNumber,
+from milletsill.fleet.channels.tracked_numbers import (
+    CompletedNumber,
+    OpenNumber,
+    PendingRequest,
 )
 
 
@@ -36,7 +36,7 @@
         batch_end: The last number of the current batch; 0 while it is unknown.
         closed: Closed numbers above `lowest_open`.
         completed: Remembered outcomes by number, in the order of completion.
-        open_sequences: Open numbers with a request or an attempt, by number.
+        open_numbers: Open numbers with a request or an attempt, by number.
         key_generations: How often the client resolved a number as not done.
         pinned_ranges: Access ranges of overtaken numbers; a later request with the
             number must have the same ranges.
@@ -59,8 +59,8 @@
         self.batch = 1
         self.batch_end = 0
         self.closed: set[int] = set()
-        self.completed: dict[int, CompletedSequence] = {}
-        self.open_sequences: dict[int, OpenSequence] = {}
+        self.completed: dict[int, CompletedNumber] = {}
+        self.open_numbers: dict[int, OpenNumber] = {}
         self.key_generations: dict[int, int] = {}
         self.pinned_ranges: dict[int, AccessRanges] = {}
 
@@ -74,8 +74,8 @@
 
     def state_of(self, number: int) -> NumberState:
         """Return the state of an open number."""
-        sequence = self.open_sequences.get(number)
-        return sequence.state if sequence is not None else NumberState.ABSENT
+        open_number = self.open_numbers.get(number)
+        return open_number.state if open_number is not None else NumberState.ABSENT
 
     def is_closed(self, number: int) -> bool:
         """Whether a number is closed."""
@@ -103,8 +103,8 @@
         """Return the last number of the current batch; 0 until a request marks it."""
         if self.batch_end:
             return self.batch_end
-        for number, sequence in self.open_sequences.items():
-            if sequence.ends_batch and sequence.batch == self.batch:
+        for number, open_number in self.open_numbers.items():
+            if open_number.ends_batch and open_number.batch == self.batch:
                 return number
         return 0
 
@@ -117,30 +117,30 @@
         """
         return now + self.quarantine
 
-    def key_window_end(self, sequence: OpenSequence, request: PendingNumber) -> int:
+    def key_window_end(self, open_number: OpenNumber, request: PendingRequest) -> int:
         """Return until when a retry under the same idempotency key may be released.
 
         Prevents a second effect: nodes remember a key only for its window after the
         first attempt, and an attempt may run until a quarantine after its deadline.
         The cost is that the outcome stays indeterminate once this time has passed.
         """
-        return sequence.first_released_at + request.key_window - self.quarantine
+        return open_number.first_released_at + request.key_window - self.quarantine
 
-    def was_tried_before(self, sequence: OpenSequence) -> bool:
+    def was_tried_before(self, open_number: OpenNumber) -> bool:
         """Whether an earlier attempt of a number may have run.
 
         Prevents a rejection, which promises that nothing was done, after such an
         attempt. It has no cost.
         """
-        return sequence.quarantined_until > 0
+        return open_number.quarantined_until > 0
 
     def indeterminate_numbers(self) -> tuple[int, ...]:
         """Return the numbers with an indeterminate outcome, in ascending order."""
         return tuple(
             sorted(
                 number
-                for number, sequence in self.open_sequences.items()
-                if sequence.state in INDETERMINATE_STATES
+                for number, open_number in self.open_numbers.items()
+                if open_number.state in INDETERMINATE_STATES
             )
         )
 
@@ -148,19 +148,19 @@
         """Return how many numbers have an attempt in flight."""
         return sum(
             1
-            for sequence in self.open_sequences.values()
-            if sequence.state is NumberState.RELEASED
+            for open_number in self.open_numbers.values()
+            if open_number.state is NumberState.RELEASED
         )
 
     def next_wakeup(self, now: int) -> int | None:
         """Return the next time after `now` at which a wait ends; None if none does."""
         times: list[int] = []
-        for sequence in self.open_sequences.values():
-            if sequence.state in INDETERMINATE_STATES:
-                times.append(sequence.quarantined_until)
-                times.append(sequence.reserved_until)
-            if sequence.pending is not None:
-                times.append(sequence.pending.deadline)
-                if sequence.gap_since is not None:
-                    times.append(sequence.gap_since + self.contract.gap_timeout)
+        for open_number in self.open_numbers.values():
+            if open_number.state in INDETERMINATE_STATES:
+                times.append(open_number.quarantined_until)
+                times.append(open_number.reserved_until)
+            if open_number.pending is not None:
+                times.append(open_number.pending.deadline)
+                if open_number.gap_since is not None:
+                    times.append(open_number.gap_since + self.contract.gap_timeout)
         return min((time for time in times if time > now), default=None)
--- a/milletsill/fleet/channels/codec.py
+++ b/milletsill/fleet/channels/codec.py
@@ -37,10 +37,10 @@
     ReachOf,
     Record,
 )
-from milletsill.fleet.channels.sequences import (
+from milletsill.fleet.channels.tracked_numbers import (
     UNKNOWN_RELEASE_TIME,
-    CompletedSequence,
-    OpenSequence,
+    CompletedNumber,
+    OpenNumber,
 )
 
 RECORD_FORMAT = 1
@@ -71,9 +71,9 @@
     if channel.closed:
         bits = sum(1 << (number - channel.lowest_open) for number in channel.closed)
         record.closed = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
-    for number, sequence in channel.open_sequences.items():
-        if sequence.state is not NumberState.WAITING:
-            _put_released(record, number, sequence, now)
+    for number, open_number in channel.open_numbers.items():
+        if open_number.state is not NumberState.WAITING:
+            _put_released(record, number, open_number, now)
     for number, completed in channel.completed.items():
         record.remembered.add(
             number=number,
@@ -141,9 +141,9 @@
         if bits >> place & 1
     }
     for out in record.out:
-        channel.open_sequences[out.number] = _open_sequence_from(out, now, age)
+        channel.open_numbers[out.number] = _open_number_from(out, now, age)
     for each in record.remembered:
-        channel.completed[each.number] = CompletedSequence(
+        channel.completed[each.number] = CompletedNumber(
             each.how, each.code, each.digest
         )
     channel.key_generations = {each.number: each.turn for each in record.turn}
@@ -209,24 +209,24 @@
 
 
 def _put_released(
-    record: Record, number: int, sequence: OpenSequence, now: int
+    record: Record, number: int, open_number: OpenNumber, now: int
 ) -> None:
     out = record.out.add(
         number=number,
-        digest=sequence.digest,
-        batch=sequence.batch,
-        last=sequence.ends_batch,
+        digest=open_number.digest,
+        batch=open_number.batch,
+        last=open_number.ends_batch,
     )
-    _put_ranges(out.reach, sequence.ranges)
-    if sequence.first_released_at != UNKNOWN_RELEASE_TIME:
-        out.since = max(now - sequence.first_released_at, 0)
+    _put_ranges(out.reach, open_number.ranges)
+    if open_number.first_released_at != UNKNOWN_RELEASE_TIME:
+        out.since = max(now - open_number.first_released_at, 0)
 
 
-def _open_sequence_from(out: Out, now: int, age: int | None) -> OpenSequence:
+def _open_number_from(out: Out, now: int, age: int | None) -> OpenNumber:
     first_released_at = UNKNOWN_RELEASE_TIME
     if age is not None and out.HasField("since"):
         first_released_at = now - age - out.since
-    return OpenSequence(
+    return OpenNumber(
         NumberState.INDETERMINATE,
         out.digest,
         _ranges_from(out.reach),
--- a/milletsill/fleet/channels/command_replies.py
+++ b/milletsill/fleet/channels/command_replies.py
@@ -15,7 +15,7 @@
 )
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.number_states import INDETERMINATE_STATES
-from milletsill.fleet.channels.sequences import CompletionOutcome
+from milletsill.fleet.channels.tracked_numbers import CompletionOutcome
 from milletsill.fleet.leases.errors import NotLeaseHolderError
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets, status_tags
@@ -98,10 +98,10 @@
         return _WIRE_STATES.get(completed.outcome, wire.NumberStatus.SKIPPED)
     if channel.is_closed(number):
         return wire.NumberStatus.FORGOTTEN
-    sequence = channel.open_sequences.get(number)
-    if sequence is None:
+    open_number = channel.open_numbers.get(number)
+    if open_number is None:
         return wire.NumberStatus.OPEN
-    if sequence.state in INDETERMINATE_STATES:
+    if open_number.state in INDETERMINATE_STATES:
         return wire.NumberStatus.INDETERMINATE
     return wire.NumberStatus.IN_PROGRESS
 
--- a/milletsill/fleet/channels/contradictions.py
+++ b/milletsill/fleet/channels/contradictions.py
@@ -8,7 +8,7 @@
 from milletsill.fleet.channels.channel_state import ChannelState
 from milletsill.fleet.channels.contracts import ChannelOrder
 from milletsill.fleet.channels.number_states import NumberState
-from milletsill.fleet.channels.sequences import OpenSequence, PendingNumber
+from milletsill.fleet.channels.tracked_numbers import OpenNumber, PendingRequest
 
 
 def other_request_text(channel: ChannelState, number: int) -> str:
@@ -20,18 +20,18 @@
 
 
 def find_contradiction(
-    channel: ChannelState, request: PendingNumber, sequence: OpenSequence | None
+    channel: ChannelState, request: PendingRequest, open_number: OpenNumber | None
 ) -> str:
     """Return what a request contradicts, as a message; empty if nothing.
 
-    `sequence` is the open sequence with its number, if there is one.
+    `open_number` is the open open_number with its number, if there is one.
     """
     number = request.number
     contract = channel.contract_for(number)
     if (
-        sequence is not None
-        and sequence.state is not NumberState.WAITING
-        and sequence.digest != request.digest
+        open_number is not None
+        and open_number.state is not NumberState.WAITING
+        and open_number.digest != request.digest
     ):
         return other_request_text(channel, number)
     pinned = channel.pinned_ranges.get(number)
@@ -52,7 +52,7 @@
     return ""
 
 
-def _find_batch_contradiction(channel: ChannelState, request: PendingNumber) -> str:
+def _find_batch_contradiction(channel: ChannelState, request: PendingRequest) -> str:
     """Return why a request would make batches overlap; empty if it does not.
 
     No order can hold for overlapping batches, so this check has no cost.
@@ -75,8 +75,8 @@
     highest = max(
         (
             other
-            for other, sequence in channel.open_sequences.items()
-            if sequence.batch == channel.batch
+            for other, open_number in channel.open_numbers.items()
+            if open_number.batch == channel.batch
         ),
         default=0,
     )
--- a/milletsill/fleet/channels/effects.py
+++ b/milletsill/fleet/channels/effects.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from milletsill.fleet.channels.commands import ChannelCommand
-from milletsill.fleet.channels.sequences import PendingNumber
+from milletsill.fleet.channels.tracked_numbers import PendingRequest
 
 
 class ReplyKind(Enum):
@@ -37,7 +37,7 @@
     """
 
     number: int
-    request: PendingNumber
+    request: PendingRequest
     key_generation: int
     is_retry: bool
     deadline: int
--- a/milletsill/fleet/channels/ordering.py
+++ b/milletsill/fleet/channels/ordering.py
@@ -58,8 +58,8 @@
     flight at a time, and the newest waiting number starts first. The cost is that a
     newer number waits for the answer to an older one.
     """
-    for other, sequence in channel.open_sequences.items():
-        if other != number and sequence.state in STARTED_STATES:
+    for other, open_number in channel.open_numbers.items():
+        if other != number and open_number.state in STARTED_STATES:
             return other
     change = channel.next_contract
     # Numbers from the change of contract on do not supersede numbers below it yet.
@@ -67,8 +67,8 @@
     newest = max(
         (
             other
-            for other, sequence in channel.open_sequences.items()
-            if sequence.state is NumberState.WAITING and other < end
+            for other, open_number in channel.open_numbers.items()
+            if open_number.state is NumberState.WAITING and other < end
         ),
         default=number,
     )
@@ -81,21 +81,21 @@
     Keeps the order on each extent. A lower number that is absent may touch any extent,
     unless it was overtaken before; then it is pinned to its access ranges.
     """
-    ranges = channel.open_sequences[number].ranges
+    ranges = channel.open_numbers[number].ranges
     for lower in range(channel.lowest_open, number):
         if lower in channel.closed:
             continue
-        sequence = channel.open_sequences.get(lower)
-        if sequence is None:
+        open_number = channel.open_numbers.get(lower)
+        if open_number is None:
             pinned = channel.pinned_ranges.get(lower)
             if pinned is None or ranges_overlap(pinned, ranges):
                 return lower
             continue
-        if ranges_overlap(sequence.ranges, ranges):
+        if ranges_overlap(open_number.ranges, ranges):
             return lower
         if (
             lower not in channel.pinned_ranges
-            and sequence.state is NumberState.WAITING
+            and open_number.state is NumberState.WAITING
             and len(channel.pinned_ranges) >= MAX_PINNED
         ):
             return lower  # no pin is left for it, so it must not be overtaken
@@ -107,7 +107,7 @@
 
     No number of a batch starts before all numbers of the previous batch are closed.
     """
-    if channel.open_sequences[number].batch == channel.batch:
+    if channel.open_numbers[number].batch == channel.batch:
         return None
     return channel.lowest_open
 
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -43,8 +43,8 @@
 )
 from milletsill.fleet.channels.limits import DEFAULT_RETRY_DELAY
 from milletsill.fleet.channels.number_states import NumberEvent
-from milletsill.fleet.channels.sequences import PendingNumber
 from milletsill.fleet.channels.timers import UNITS_PER_SECOND, Timer, TimerScheduler
+from milletsill.fleet.channels.tracked_numbers import PendingRequest
 from milletsill.fleet.leases.lease_term import LeaseTerm
 from milletsill.sftp import channel_extensions as wire
 from milletsill.sftp import packets
@@ -132,8 +132,8 @@
         return lease.value == self.record and not self.is_lost
 
     def is_idle(self) -> bool:
-        """Whether no sequence is open and no write is in progress."""
-        return not self.sequencer.open_sequences and not self.is_writing
+        """Whether no open_number is open and no write is in progress."""
+        return not self.sequencer.open_numbers and not self.is_writing
 
     # Commands.
 
@@ -173,8 +173,8 @@
 
     def _pending_request(
         self, command: ChannelCommand, body: NumberedRequest
-    ) -> PendingNumber:
-        return PendingNumber(
+    ) -> PendingRequest:
+        return PendingRequest(
             number=body.number,
             claim=body.claim,
             digest=body.digest(),
@@ -207,7 +207,7 @@
         ):
             self.pump()
             return
-        self.lease.in_use = bool(sequencer.open_sequences)
+        self.lease.in_use = bool(sequencer.open_numbers)
         self._set_timer()
         if self.host.is_draining:
             self._leave()
@@ -318,14 +318,14 @@
 
     def _answer_lost_attempt(self, number: int, end: AttemptEnd) -> None:
         """Answer the commands that waited for an attempt whose lease was lost."""
-        sequence = self.sequencer.open_sequences.pop(number, None)
-        if sequence is None:
+        open_number = self.sequencer.open_numbers.pop(number, None)
+        if open_number is None:
             return
         never_ran = (
-            end.event is NumberEvent.NEVER_RAN and not sequence.quarantined_until
+            end.event is NumberEvent.NEVER_RAN and not open_number.quarantined_until
         )
         kind = ReplyKind.REJECTED if never_ran else ReplyKind.FAILED
-        for command in sequence.recipients:
+        for command in open_number.recipients:
             self.host.replies.reply(command, kind, retry_delay=end.retry_delay)
 
     # The end of the lease.
@@ -352,9 +352,9 @@
         """Answer for an effect whose record may or may not have been stored."""
         replies = self.host.replies
         if isinstance(effect, Release):  # its attempt was never started
-            sequence = self.sequencer.open_sequences.pop(effect.number, None)
+            open_number = self.sequencer.open_numbers.pop(effect.number, None)
             kind = ReplyKind.FAILED if effect.is_retry else ReplyKind.REJECTED
-            for command in sequence.recipients if sequence is not None else ():
+            for command in open_number.recipients if open_number is not None else ():
                 replies.reply(command, kind, retry_delay=retry_delay)
         elif not isinstance(effect, Notify):
             replies.reject(effect.recipient, retry_delay)
--- a/milletsill/fleet/channels/sequences.py
+++ b/milletsill/fleet/channels/tracked_numbers.py
@@ -1,4 +1,4 @@
-"""The numbers of a channel: waiting requests, open numbers and completed numbers.
+"""Numbers that a channel tracks: waiting requests, open and completed numbers.
 
 Times are whole tenths of a millisecond on the owner's own clock.
 """
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class PendingNumber:
+class PendingRequest:
     """A numbered request that waits for its release.
 
     Attributes:
@@ -56,8 +56,8 @@
 
 
 @dataclass(slots=True)
-class OpenSequence:
-    """An open number with a request or an attempt.
+class OpenNumber:
+    """A tracked open number: one with a request or an attempt.
 
     Attributes:
         state: State of the number.
@@ -79,7 +79,7 @@
     ranges: AccessRanges
     batch: int = 0
     ends_batch: bool = False
-    pending: PendingNumber | None = None
+    pending: PendingRequest | None = None
     recipients: list[ChannelCommand] = field(default_factory=list)
     first_released_at: int = UNKNOWN_RELEASE_TIME
     quarantined_until: int = 0
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CompletedSequence:
+class CompletedNumber:
     """The remembered outcome of a completed number.
 
     Attributes:
--- a/milletsill/lab/model_checks/channel_checker.py
+++ b/milletsill/lab/model_checks/channel_checker.py
@@ -4,7 +4,7 @@
 
 from milletsill.fleet.channels import codec
 from milletsill.fleet.channels.contracts import ChannelOrder, IndeterminatePolicy
-from milletsill.fleet.channels.sequences import CompletionOutcome
+from milletsill.fleet.channels.tracked_numbers import CompletionOutcome
 
 
 def batch_of(number: int) -> int:
@@ -55,7 +55,7 @@
     def on_record_written(self, record: bytes, quarantine: int) -> None:
         """A record is at a majority."""
         channel = codec.decode_record(record, quarantine, 0, 0)
-        self.ever_released |= set(channel.open_sequences)
+        self.ever_released |= set(channel.open_numbers)
 
     def check_record(self, record: bytes, quarantine: int) -> None:
         """A new owner must find settled what a client heard to be."""
--- a/milletsill/lab/model_checks/channel_mutation_checks.py
+++ b/milletsill/lab/model_checks/channel_mutation_checks.py
@@ -49,8 +49,8 @@
 
 def _known_predecessor_only(channel: ChannelState, number: int) -> int | None:
     """A number that is absent is taken to be of another extent."""
-    ranges = channel.open_sequences[number].ranges
-    for lower, sequence in sorted(channel.open_sequences.items()):
+    ranges = channel.open_numbers[number].ranges
+    for lower, sequence in sorted(channel.open_numbers.items()):
         if lower < number and ranges_overlap(sequence.ranges, ranges):
             return lower
     return None
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -356,6 +356,6 @@
         channel.is_lost,
         tuple(
             (number, each.state.name, each.quarantined_until, each.gap_since)
-            for number, each in sequencer.open_sequences.items()
+            for number, each in sequencer.open_numbers.items()
         ),
     )
--- a/milletsill/lab/planted_faults.py
+++ b/milletsill/lab/planted_faults.py
@@ -97,7 +97,7 @@
 
     def on_ended(self, channel: Any, number: int, end: Any) -> None:
         """Let go on what was kept back, where a later number took effect."""
-        sequence = channel.sequencer.open_sequences.get(number)
+        sequence = channel.sequencer.open_numbers.get(number)
         place = self.place(channel)
         self.on_attempt_ended(channel, number, end)
         kept = self.kept_back.get(place)
--- a/tests/fleet/channels/test_channel_contracts.py
+++ b/tests/fleet/channels/test_channel_contracts.py
@@ -27,10 +27,10 @@
     MAX_REMEMBERED,
 )
 from milletsill.fleet.channels.number_states import NumberEvent, NumberState
-from milletsill.fleet.channels.sequences import (
-    CompletedSequence,
-    OpenSequence,
-    PendingNumber,
+from milletsill.fleet.channels.tracked_numbers import (
+    CompletedNumber,
+    OpenNumber,
+    PendingRequest,
 )
 from milletsill.lab.model_checks import channel_model, channel_mutation_checks
 
@@ -91,7 +91,7 @@
 ):
     channel.submit(
         now,
-        PendingNumber(
+        PendingRequest(
             number,
             channel.claim if claim is None else claim,
             digest or number,
@@ -216,7 +216,7 @@
         channel.claim = 1 << 60
         channel.closed = {far + each for each in range(1, MAX_NUMBERS_AHEAD, 2)}
         for each in range(64):
-            channel.open_sequences[far + 2 * each] = OpenSequence(
+            channel.open_numbers[far + 2 * each] = OpenNumber(
                 NumberState.RELEASED,
                 (1 << 64) - 1,
                 two,
@@ -225,7 +225,7 @@
                 first_released_at=-(1 << 50),
             )
         for each in range(MAX_REMEMBERED):
-            channel.completed[far + each] = CompletedSequence(3, 255, (1 << 64) - 1)
+            channel.completed[far + each] = CompletedNumber(3, 255, (1 << 64) - 1)
         channel.pinned_ranges = {far + each: two for each in range(MAX_PINNED)}
         channel.key_generations = {
             far + each: 1 << 30 for each in range(MAX_KEY_GENERATIONS)
@@ -357,7 +357,7 @@
             ),
             (1, {3}, 1, 3, [2]),
         )
-        self.assertEqual(found.open_sequences[1].first_released_at, 1000 - 40 - 10)
+        self.assertEqual(found.open_numbers[1].first_released_at, 1000 - 40 - 10)
         self.assertEqual(submit(found, 1, object_id=1, now=1001), [])
         self.assertEqual(advance(found, 1000 + QUARANTINE), ["release 1 retry"])
         unknown = codec.decode_record(data, QUARANTINE, 1000, None)
