--- a/milletsill/fleet/channels/contradictions.py
+++ b/milletsill/fleet/channels/contradictions.py
@@ -24,7 +24,7 @@
 ) -> str:
     """Return what a request contradicts, as a message; empty if nothing.
 
-    `open_number` is the open open_number with its number, if there is one.
+    `open_number` is the tracked state of the request's number, if there is one.
     """
     number = request.number
     contract = channel.contract_for(number)
--- a/milletsill/fleet/channels/owned_channel.py
+++ b/milletsill/fleet/channels/owned_channel.py
@@ -132,7 +132,7 @@
         return lease.value == self.record and not self.is_lost
 
     def is_idle(self) -> bool:
-        """Whether no open_number is open and no write is in progress."""
+        """Whether no open number is tracked and no write is in progress."""
         return not self.sequencer.open_numbers and not self.is_writing
 
     # Commands.
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -55,10 +55,13 @@
 """Times that a command is sent again at once at its owner's request."""
 
 UNREACHABLE_SPAN = 30_000
-"""How long an unreachable member is not tried again, unless it sends a message."""
+"""How long an unreachable member is not tried again, in tenths of a millisecond.
+
+A message of the member ends this time early.
+"""
 
 RETURN_MARGIN = 100
-"""Time that is reserved for the answer's way back."""
+"""Time that is reserved for the answer's way back, in tenths of a millisecond."""
 
 
 @dataclass(frozen=True, slots=True)
