--- a/milletsill/__main__.py
+++ b/milletsill/__main__.py
@@ -1,14 +1,14 @@
-"""`python -m milletsill`.
+"""The entry point of `python -m milletsill`.
 
-`serve` loads only what it needs, so that it starts quickly; all other commands go
-through the command line.
+`serve` bypasses the command line interface and imports only what it needs, so that it
+starts quickly. All other commands are those of the command line interface.
 """
 
 import sys
 
 
 def main() -> None:
-    """Run the command that the process was started with."""
+    """Run the command that is given on the command line."""
     if sys.argv[1:2] == ["serve"]:
         from milletsill.http_gateway import process
 
--- a/milletsill/deployment_config.py
+++ b/milletsill/deployment_config.py
@@ -1,12 +1,12 @@
 """The typed configuration of one gateway, and the codec for its stored form.
 
-A configuration is made from the deployment's settings (`deployment_settings`) or from
-the operator's file of the SFTP gateway, and is handed to the scheduler as it is. All
-spans are whole tenths of a millisecond, all rates are units a second, all sizes are
-units.
+A configuration is built from the deployment's settings (`deployment_settings`) or from
+the configuration file of the SFTP gateway, and is passed to the scheduler unchanged.
+All durations are integers in ticks (tenths of a millisecond), all rates are in units
+per second, and all sizes are in units.
 
-Trace files store a configuration as JSON under the names of the operators' pages.
-`to_stored` and `from_stored` are the one place where those names and ours both stand.
+Trace files store a configuration as JSON under the names of the operators'
+documentation. Only this module maps those names to the names of the attributes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RetrySafety(Enum):
-    """Whether a request may be sent again once it may have been executed."""
+    """Whether a request that may have been executed can be sent again."""
 
     IDEMPOTENT = "rerunnable"
     IDEMPOTENCY_KEYED = "ticketed"
@@ -26,7 +26,7 @@
 
 
 class RetryScope(Enum):
-    """At which nodes a request with an idempotency key may be retried."""
+    """The set of nodes at which an idempotency-keyed request may be retried."""
 
     NODE = "node"
     SHARD = "cell"
@@ -36,20 +36,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestClassConfig:
-    """What all requests of one class have in common.
+    """The properties that all requests of one class share.
 
     Attributes:
         name: the class's name in settings and request headers.
-        latency_objective: the span within which an answer has its full worth.
-        objective_stretch: grows the objective by this many usual times of the work.
-        client_timeout: how long a client waits from its first try.
-        priority_weight: the worth of a unit that is answered within the objective.
-        late_weight: the worth of a unit that is answered later; 0: none.
-        is_streaming: whether the response streams.
-        retry_safety: whether a request that may have been executed may go again.
-        retry_scope: at which nodes an idempotency-keyed request may go again.
-        retry_window: for how long after its first attempt it may.
-        is_ordered: whether requests of one key are executed in their order.
+        latency_objective: the time within which an answer has its full value.
+        objective_stretch: extends a request's objective by this multiple of the time
+            that its work usually takes.
+        client_timeout: how long a client waits, counted from its first try.
+        priority_weight: the value of a unit that is answered within the objective.
+        late_weight: the value of a unit that is answered after it; 0 for no value.
+        is_streaming: whether the response is streamed.
+        retry_safety: whether a request that may have been executed can be sent again.
+        retry_scope: the nodes at which an idempotency-keyed request may be retried.
+        retry_window: how long after its first attempt such a request may be retried.
+        is_ordered: whether requests of one key are executed in order.
     """
 
     name: str
@@ -67,17 +68,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServicePlanConfig:
-    """What a tenant has paid for.
+    """The rates and limits of a tenant's service plan.
 
     Attributes:
-        name: the plan's name in settings; None where requests name it by place alone.
-        usual_rate: what a tenant uses as a rule.
-        reserved_rate: what a tenant is guaranteed; 0: nothing.
-        share_weight: the weight of a tenant in what is left beyond reserves.
+        name: the plan's name in settings; None if requests give its index only.
+        usual_rate: the rate that a tenant normally uses.
+        reserved_rate: the rate that a tenant is guaranteed; 0 for no reserve.
+        share_weight: a tenant's weight in sharing the capacity beyond all reserves.
         price: multiplies the priority weight of a request.
-        limit_rate: the rate that a tenant must not pass; 0: no limit.
-        limit_burst: the units that a tenant may use at once.
-        limit_slack: the fraction by which a limit may be passed.
+        limit_rate: the rate that a tenant must not exceed; 0 for no limit.
+        limit_burst: the units that a tenant may use in one burst.
+        limit_slack: the fraction by which a limit may be exceeded.
     """
 
     name: str | None = None
@@ -92,50 +93,57 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DeploymentConfig:
-    """What one gateway has to know of its deployment.
+    """The configuration of one gateway in its deployment.
 
     Attributes:
         gateway_count: how many gateways share limits and slow-start budgets.
-        gateway_index: this gateway's place among them; None where it is not known.
-        timer_resolution: by how much a timer may be late.
-        zone: the zone that this gateway is in.
-        request_classes: the classes, by the number that a request gives.
-        service_plans: the plans, by the number that a request gives; at least one.
-        write_classes: which classes write; flags by class from the settings, numbers of
-            classes from the file of the SFTP gateway. The scheduler does not read it.
+        gateway_index: this gateway's index among them; None if it is not known.
+        timer_resolution: the longest time by which a timer may be late.
+        zone: the number of this gateway's zone.
+        request_classes: the classes, indexed by `Request.request_class`.
+        service_plans: the plans, indexed by `Request.service_plan`; at least one.
+        write_classes: which classes write: one flag per class if built from the
+            settings, class indexes if built from the SFTP gateway's file. The scheduler
+            does not read it.
         share_weight: multiplies the weight of work beyond a tenant's reserve.
-        spare_weight: the same for work beyond its share of what is spare.
-        mean_request_units: the work of a usual request.
-        largest_request_units: the work of the largest request; 0: not known.
-        slow_start_units: what all gateways together may send a node that has just
-            started in one window; 0: not known.
-        shard_count: the number of shards; 0: not known.
+        spare_weight: multiplies the weight of work beyond a tenant's share of the
+            capacity that the reserves leave.
+        mean_request_units: the work of an average request.
+        largest_request_units: the work of the largest request; 0 if not known.
+        slow_start_units: the work that all gateways together may send in one window to
+            a node that has just started; 0 if not known.
+        shard_count: the number of shards; 0 if not known.
         may_cancel_attempts: whether an attempt in flight may be cancelled.
         may_hedge: whether a request may have two attempts in flight.
-        max_attempts: the most attempts of one request.
-        max_queued_requests: the most requests that a gateway holds; 0: its own bound.
-        sends_retry_after: whether a rejection says when to come back.
-        max_retry_after: the longest time to come back that a rejection may give.
-        watches_endpoints: whether the endpoint list has to be asked for.
-        load_report_fields: the names of a load report's values, in their order.
-        cross_zone_cost: what an attempt into another zone costs, in shortest
-            objectives.
-        has_nominal_sizes: whether the list's sizes tell what nodes can do.
-        rewatch_within: the time within which a failed watch has to be renewed; 0: not
+        max_attempts: the maximum number of attempts of one request.
+        max_queued_requests: the maximum number of requests that a gateway holds; 0
+            leaves the bound to the gateway.
+        sends_retry_after: whether a rejection carries a retry delay.
+        max_retry_after: the longest retry delay that a rejection may carry.
+        watches_endpoints: whether the gateway has to subscribe to the endpoint list;
+            otherwise updates are pushed to it.
+        load_report_fields: the names of a load report's values, in order.
+        cross_zone_cost: the cost of an attempt into another zone, in multiples of the
+            shortest latency objective.
+        has_nominal_sizes: whether the sizes in the endpoint list give the nodes'
+            nominal capacities.
+        rewatch_within: the time within which a failed watch must be renewed; 0 if not
             known.
-        slow_start_initial_fraction: the share of its capacity that a node starts with.
-        slow_start_duration: the age at which a node is warm.
-        slow_start_multiple: the multiple of its budget that fells a node; 0: none does.
-        slow_start_window: the window over which the budget holds; 0: there is no
-            budget.
-        retry_budget_free: the retries that are free in each window.
-        retry_budget_ratio: the retries that each request of a window allows.
-        retry_budget_window: the window of the retry budget; None: no budget is stated.
-        key_quarantine: how long an ordered key rests after an indeterminate outcome.
-        connection_idle_timeout: how long a node connection may be idle; None: set
-            elsewhere.
-        dial_timeout: how long at most an attempt waits for its connection.
-        zone_names: the names of the zones; None where they have none.
+        slow_start_initial_fraction: the fraction of its capacity that a node has when
+            it starts.
+        slow_start_duration: the age at which a node has its full capacity.
+        slow_start_multiple: the multiple of its slow-start budget that makes a node
+            fail; 0 if none does.
+        slow_start_window: the window of the slow-start budget; 0 for no budget.
+        retry_budget_free: the retries in each window that are not charged.
+        retry_budget_ratio: the retries that each request in a window adds.
+        retry_budget_window: the window of the retry budget; None for no budget.
+        key_quarantine: how long an ordered key is blocked after an indeterminate
+            outcome.
+        connection_idle_timeout: how long a node connection may be idle; None if it is
+            configured elsewhere.
+        dial_timeout: the longest time that an attempt waits for its connection.
+        zone_names: the names of the zones; None if the zones have no names.
     """
 
     gateway_count: int
@@ -175,7 +183,7 @@
     zone_names: tuple[str, ...] | None = None
 
 
-# The names in stored configurations, by ours.
+# Attribute names to their names in stored configurations.
 STORED_CLASS_NAMES = {
     "name": "name",
     "latency_objective": "target_time",
@@ -236,27 +244,27 @@
     "dial_timeout": "dial",
     "zone_names": "zones",
 }
-# Fields whose None is not stored: the one who made the configuration has no such
-# setting.
+# Attributes that are not stored if they are None: the source of the configuration has
+# no such setting.
 OMITTED_WHERE_NONE = frozenset({"name", "connection_idle_timeout", "zone_names"})
 
 
 def to_stored(config: DeploymentConfig) -> dict[str, Any]:
-    """The configuration as JSON values, under the names that trace files keep."""
+    """Return the configuration as JSON values under the names of trace files."""
     return _stored(config, STORED_NAMES)
 
 
 def from_stored(stored: Mapping[str, Any]) -> DeploymentConfig:
-    """The configuration out of a trace file's header.
+    """Return the configuration that a trace file's header stores.
 
     Raises:
-        KeyError: a value is missing that every configuration has.
-        ValueError: a word is not one of those that are known.
+        KeyError: a required value is missing.
+        ValueError: a retry safety or a retry scope is unknown.
     """
     values = {
-        name: stored[old]
-        for name, old in STORED_NAMES.items()
-        if old in stored or name not in OMITTED_WHERE_NONE
+        name: stored[stored_name]
+        for name, stored_name in STORED_NAMES.items()
+        if stored_name in stored or name not in OMITTED_WHERE_NONE
     }
     values["request_classes"] = tuple(
         request_class_from_stored(each) for each in stored["categories"]
@@ -271,34 +279,36 @@
 
 
 def request_class_from_stored(stored: Mapping[str, Any]) -> RequestClassConfig:
-    """A request class out of its stored form; errors as in `from_stored`."""
-    values = {name: stored[old] for name, old in STORED_CLASS_NAMES.items()}
+    """Decode a stored request class; raises the errors of `from_stored`."""
+    values = {
+        name: stored[stored_name] for name, stored_name in STORED_CLASS_NAMES.items()
+    }
     values["retry_safety"] = RetrySafety(values["retry_safety"])
     values["retry_scope"] = RetryScope(values["retry_scope"])
     return RequestClassConfig(**values)
 
 
 def service_plan_from_stored(stored: Mapping[str, Any]) -> ServicePlanConfig:
-    """A service plan out of its stored form; errors as in `from_stored`."""
+    """Decode a stored service plan; raises the errors of `from_stored`."""
     return ServicePlanConfig(
         **{
-            name: stored[old]
-            for name, old in STORED_PLAN_NAMES.items()
-            if old in stored or name not in OMITTED_WHERE_NONE
+            name: stored[stored_name]
+            for name, stored_name in STORED_PLAN_NAMES.items()
+            if stored_name in stored or name not in OMITTED_WHERE_NONE
         }
     )
 
 
 def _stored(
-    part: DeploymentConfig | RequestClassConfig | ServicePlanConfig,
+    config: DeploymentConfig | RequestClassConfig | ServicePlanConfig,
     names: Mapping[str, str],
 ) -> dict[str, Any]:
-    made: dict[str, Any] = {}
-    for field in fields(part):
-        value = getattr(part, field.name)
+    stored: dict[str, Any] = {}
+    for field in fields(config):
+        value = getattr(config, field.name)
         if value is not None or field.name not in OMITTED_WHERE_NONE:
-            made[names[field.name]] = _stored_value(value)
-    return made
+            stored[names[field.name]] = _stored_value(value)
+    return stored
 
 
 def _stored_value(value: Any) -> Any:
--- a/milletsill/deployment_settings.py
+++ b/milletsill/deployment_settings.py
@@ -1,10 +1,10 @@
-"""The deployment's settings, a JSON object, as the typed configuration of one gateway.
+"""Decode the deployment's settings, a JSON object, into a gateway's configuration.
 
-It is the same for the simulator's adapter and for the gateway in service. Standard
-library only; nothing is decided here. Spans that must not be passed are rounded down,
-those that must have passed are rounded up, to whole tenths of a millisecond, so that
-rounding never breaks a deadline. What is left out is off; what cannot be meant (a word
-for a number, one below 0, no number at all) is a ValueError that names the field.
+The simulator's adapter and the real gateway both use this module. It imports nothing
+but the standard library and `deployment_config`, and makes no decisions. Durations are
+rounded to whole ticks (tenths of a millisecond): upper bounds down and lower bounds up,
+so that rounding never breaks a deadline. An absent setting is off. An invalid value (a
+string for a number, a negative number, NaN) raises a ValueError that names the setting.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
 # A tick is a tenth of a millisecond.
 NANOSECONDS_PER_TICK = 100_000
 MAX_NUMBER = float(1 << 60)
-MAX_QUOTED = 40
-# The settings' words for a load report's fields, and those of the header that carries
-# one, to the names of `AttemptResult.load_report`.
+# In error messages, in characters.
+MAX_QUOTED_LENGTH = 40
+# Names of load report fields, as the settings and the load report header have them, to
+# their names in `AttemptResult.load_report`.
 LOAD_REPORT_NAMES = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -40,16 +41,16 @@
     "qps": "rate",
     "eps": "errors",
 }
-RETRY_SAFETY_WORDS = {
+RETRY_SAFETIES = {
     "free": RetrySafety.IDEMPOTENT,
     "guarded": RetrySafety.IDEMPOTENCY_KEYED,
     "single_shot": RetrySafety.NON_IDEMPOTENT,
 }
-RETRY_SCOPE_WORDS = {each.value: each for each in RetryScope}
+RETRY_SCOPES = {each.value: each for each in RetryScope}
 PUSHED_MEMBERSHIP = "pushed"
 LIVE_WEIGHTS = "live"
-# What the settings may hold, by section; "" is their top. Those that stand here and are
-# not read mean nothing to a gateway.
+# The documented settings by section; "" is the top level. The settings that this module
+# does not read have no meaning for a gateway.
 KNOWN_SETTINGS = {
     "": "callers classes extra family fees goal kinds limits membership_mode "
     "peers_total plans report resolution_ns rules self_index stages tier weights zone "
@@ -72,38 +73,44 @@
 
 
 def ticks_at_most(nanoseconds: float) -> int:
-    """A span not to be passed: rounded down, less one for the clock's rounding."""
+    """Convert an upper bound to ticks.
+
+    Round down and subtract one tick for the rounding of the clock.
+    """
     return max(int(nanoseconds) // NANOSECONDS_PER_TICK - 1, 0)
 
 
 def ticks_at_least(nanoseconds: float) -> int:
-    """A span that must pass: rounded up, one more for the clock's rounding."""
+    """Convert a lower bound to ticks; 0 stays 0.
+
+    Round up and add one tick for the rounding of the clock.
+    """
     if not nanoseconds:
         return 0
     return -(-int(nanoseconds) // NANOSECONDS_PER_TICK) + 1
 
 
 class SettingsSection:
-    """One object of the settings; each value is checked where it is read.
+    """One JSON object of the settings, whose values are checked when they are read.
 
     Args:
-        given: the object; None where the settings leave it out.
-        path: what leads to it, for messages.
+        given: the object; None if the settings lack it.
+        path: the prefix of the names in error messages, with its final dot.
 
     Raises:
-        ValueError: it, or later a value of it, is not of its kind.
+        ValueError: `given` is not an object, or a value that is read later is invalid.
     """
 
     def __init__(self, given: Any, path: str = "") -> None:
         if given is not None and not isinstance(given, dict):
-            raise ValueError(f"{path.rstrip('.') or 'the whole'}: not a JSON object")
+            raise ValueError(f"{path.rstrip('.') or 'settings'}: not a JSON object")
         self.given: Mapping[str, Any] = given or {}
         self.path = path
 
     def number(
         self, name: str, default: float = 0.0, maximum: float = MAX_NUMBER
     ) -> float:
-        """A number from 0."""
+        """Return a number from 0 to `maximum`."""
         value = self.given.get(name)
         if value is None:
             return default
@@ -112,57 +119,57 @@
             or not isinstance(value, (int, float))
             or not 0 <= value <= maximum
         ):
-            raise self._wrong(name, f"a number from 0 to {maximum:g}")
+            raise self._invalid(name, f"a number from 0 to {maximum:g}")
         return value
 
     def integer(self, name: str, default: int = 0) -> int:
-        """A number without its fraction."""
+        """Return a number from 0, truncated to an integer."""
         return int(self.number(name, default))
 
     def flag(self, name: str) -> bool:
-        """True or false; an absent one is false."""
+        """Return a boolean; False if the setting is absent."""
         value = self.given.get(name)
         if value is not None and not isinstance(value, bool):
-            raise self._wrong(name, "true or false")
+            raise self._invalid(name, "true or false")
         return bool(value)
 
     def text(self, name: str, default: str) -> str:
-        """A word."""
+        """Return a string."""
         value = self.given.get(name)
         if value is not None and not isinstance(value, str):
-            raise self._wrong(name, "a word")
+            raise self._invalid(name, "a string")
         return default if value is None else value
 
     def items(self, name: str, kind: type) -> list[Any]:
-        """A list of one kind of value; an absent one is empty."""
+        """Return a list of values of one type; empty if the setting is absent."""
         value = self.given.get(name)
         if value is not None and not (
             isinstance(value, list) and all(isinstance(each, kind) for each in value)
         ):
-            raise self._wrong(name, f"a list of {kind.__name__}")
+            raise self._invalid(name, f"a list of {kind.__name__}")
         return list(value or ())
 
     def section(self, name: str) -> SettingsSection:
-        """An object in this one; an absent one is empty."""
+        """Return a nested object as a section; empty if the setting is absent."""
         return SettingsSection(self.given.get(name), f"{self.path}{name}.")
 
     def sections(self, name: str) -> list[SettingsSection]:
-        """A list of objects; an absent one is empty."""
+        """Return a list of nested objects; empty if the setting is absent."""
         return [
-            SettingsSection(each, f"{self.path}{name}[{place}].")
-            for place, each in enumerate(self.items(name, dict))
+            SettingsSection(each, f"{self.path}{name}[{index}].")
+            for index, each in enumerate(self.items(name, dict))
         ]
 
-    def _wrong(self, name: str, wanted: str) -> ValueError:
-        quoted = repr(str(self.given[name])[:MAX_QUOTED])
-        return ValueError(f"{self.path}{name}: {quoted} is not {wanted}")
+    def _invalid(self, name: str, expected: str) -> ValueError:
+        quoted = repr(str(self.given[name])[:MAX_QUOTED_LENGTH])
+        return ValueError(f"{self.path}{name}: {quoted} is not {expected}")
 
 
 def config_from_settings(given: Any) -> DeploymentConfig:
-    """The settings as a configuration; names that are not known are passed over.
+    """Return the configuration that the settings describe; ignore unknown settings.
 
     Raises:
-        ValueError: the settings are of no use; the message names the field.
+        ValueError: a setting is missing or invalid; the message names it.
     """
     if not isinstance(given, dict):
         raise ValueError("not a JSON object")
@@ -219,34 +226,42 @@
 
 
 def unknown_settings(given: Mapping[str, Any]) -> list[str]:
-    """Names in the settings that no page tells of: a new layout's, or a slip."""
-    found = [name for name in given if name not in KNOWN_SETTINGS[""].split()]
+    """Return the names of undocumented settings.
+
+    Such a name is from a later layout of the settings or is misspelt.
+    """
+    unknown = [name for name in given if name not in KNOWN_SETTINGS[""].split()]
     for section, names in KNOWN_SETTINGS.items():
         value = given.get(section) if section else None
         for each in value if isinstance(value, list) else [value or {}]:
-            found += [f"{section}.{name}" for name in each if name not in names.split()]
-    return list(dict.fromkeys(found))
+            unknown += [
+                f"{section}.{name}" for name in each if name not in names.split()
+            ]
+    return list(dict.fromkeys(unknown))
 
 
 def missing_settings(given: Mapping[str, Any], needed: Sequence[str]) -> list[str]:
-    """Those of some names, each `section.name` or `name`, that settings leave out."""
+    """Return the names, `section.name` or `name`, that the settings do not give."""
     return [name for name in needed if _setting(given, name) in (None, [])]
 
 
 def _setting(given: Mapping[str, Any], name: str) -> Any:
-    section, _, last = name.rpartition(".")
-    holder = (given.get(section) or {}) if section else given
-    return holder.get(last)
+    section, _, key = name.rpartition(".")
+    values = (given.get(section) or {}) if section else given
+    return values.get(key)
 
 
 def _request_class(given: SettingsSection) -> RequestClassConfig:
-    """A request class. One that states only one of its two times has both alike."""
+    """Decode a request class.
+
+    If only one of objective and client timeout is given, it applies to both.
+    """
     objective = given.integer("aim_ns")
     client_timeout = given.integer("hard_limit_ns")
     if not objective and not client_timeout:
         raise ValueError(
-            f"{given.path}aim_ns: neither it nor hard_limit_ns says how long an answer "
-            "may take"
+            f"{given.path}aim_ns: missing or 0, and so is hard_limit_ns; "
+            "a request class needs at least one of them"
         )
     return RequestClassConfig(
         name=given.text("name", ""),
@@ -256,10 +271,10 @@
         priority_weight=given.number("worth", 1.0),
         late_weight=given.number("late_value"),
         is_streaming=given.flag("streaming"),
-        retry_safety=RETRY_SAFETY_WORDS.get(
+        retry_safety=RETRY_SAFETIES.get(
             given.text("idempotency", "single_shot"), RetrySafety.NON_IDEMPOTENT
         ),
-        retry_scope=RETRY_SCOPE_WORDS.get(given.text("group", "node"), RetryScope.NODE),
+        retry_scope=RETRY_SCOPES.get(given.text("group", "node"), RetryScope.NODE),
         retry_window=ticks_at_most(given.number("window_ns")),
         is_ordered=given.flag("sequential"),
     )
@@ -279,10 +294,12 @@
 
 
 def _gateway_count(top: SettingsSection) -> int:
-    """How many share limits and slow-start budgets; nothing safe stands in for it."""
+    """Return how many gateways share the limits and the slow-start budgets.
+
+    The setting is required, since no default is safe.
+    """
     if not top.integer("peers_total"):
         raise ValueError(
-            "peers_total: missing or 0, and the parts of limits and of cold nodes' "
-            "budgets rest on it"
+            "peers_total: missing or 0; limits and slow-start budgets are divided by it"
         )
     return top.integer("peers_total")
--- a/milletsill/event_log.py
+++ b/milletsill/event_log.py
@@ -1,4 +1,4 @@
-"""What parts of the program log events through."""
+"""The interface through which the components of a process log events."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogEvent(Protocol):
-    """Writes one event to the log."""
+    """A function that writes one event to the log."""
 
     def __call__(self, event: str, /, **values: Any) -> None:
-        """Write an event with its values."""
+        """Log an event; `values` are the fields of its line."""
--- a/milletsill/gateway/__init__.py
+++ b/milletsill/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""What every gateway process shares, whichever protocol its clients speak.
+"""The parts that all gateway processes share, whichever protocol their clients speak.
 
-`scheduler_host` runs the scheduler in real time and keeps rule 1 (one final answer,
-nothing sent after it) at the last place that a send passes; `timer_queue` and
-`reactor_turn` decide when its calls run; `stall_detection` says what a process that
-stood still must not believe; `process_setup` prepares signals and the garbage
-collector.
+`scheduler_host` runs the scheduler in real time. It guarantees that each request gets
+exactly one final answer and that no attempt is sent after it, since every send passes
+through it. `timer_queue` and `reactor_turn` determine when its calls run.
+`stall_detection` detects that the process was stalled, so that stale timers and arrival
+times are corrected. `process_setup` sets up signals and the garbage collector.
 """
--- a/milletsill/gateway/active_requests.py
+++ b/milletsill/gateway/active_requests.py
@@ -1,4 +1,4 @@
-"""Requests and attempts that are not over, and who takes part in them."""
+"""The records of active requests and attempts, and the interfaces they rely on."""
 
 from __future__ import annotations
 
@@ -9,39 +9,40 @@
 
 
 class AttemptReply(Protocol):
-    """What a node answered to an attempt, as far as the scheduler hears of it."""
+    """The parts of a node's reply that are passed to the scheduler."""
 
     @property
     def used(self) -> int | None:
-        """The volume's use everywhere, None where it is not told."""
+        """The volume's use through all gateways; None if it is not reported."""
 
     @property
     def elsewhere(self) -> int:
-        """Units that were served through other gateways."""
+        """The units that the node served for other gateways."""
 
     @property
     def report(self) -> Mapping[str, float]:
-        """The node's load report."""
+        """The values of the node's load report by name."""
 
 
 AttemptEnded = Callable[[AttemptOutcome, AttemptReply | None], None]
 
 
 class AttemptExchange(Protocol):
-    """One attempt under way on a connection."""
+    """The exchange of one attempt on a connection."""
 
     @property
     def begun(self) -> bool:
-        """Whether an octet of it may be on its way."""
+        """Whether any byte of the attempt may have been sent."""
 
     def withdraw(self, outcome: AttemptOutcome) -> None:
-        """Stop waiting for it; its `AttemptEnded` is not called."""
+        """Abandon the attempt; its `AttemptEnded` callback is not called."""
 
 
 class AttemptStarter(Protocol):
-    """Starts one attempt, and returns None where no connection leads to the node.
+    """Starts one attempt, or returns None if no connection to the node is available.
 
-    `ended` is called once, never from within; not at all after `withdraw`.
+    `ended` is called once, after this call has returned, unless the exchange is
+    withdrawn.
     """
 
     def __call__(
@@ -53,40 +54,44 @@
         deadline: int,
         ended: AttemptEnded,
     ) -> AttemptExchange | None:
-        """Send the payload to the node; it has to answer by the deadline."""
+        """Send the payload to the node, which must reply by the deadline."""
 
 
 class ResponseSink(Protocol):
-    """Who handed a request over. Exactly one of these is called, once."""
+    """Receives a request's final answer: exactly one method is called, once."""
 
     def succeeded(self, reply: Any) -> None:
-        """Hand over a node's answer."""
+        """Deliver a node's reply."""
 
-    def rejected(self, pause: int) -> None:
-        """Say that a retry is harmless, best after the pause."""
+    def rejected(self, retry_after: int) -> None:
+        """Answer that the request was not executed and may safely be retried.
+
+        `retry_after` is the recommended delay before the retry, in ticks.
+        """
 
     def failed(self) -> None:
-        """Say that nothing is promised."""
+        """Answer that the request failed; it may have been executed."""
 
 
 class ActiveAttempt:
-    """One attempt as the gateway sees it. `exchange` is None once it is over."""
+    """One attempt as the gateway tracks it; `exchange` is None once it has ended."""
 
-    __slots__ = ("exchange", "node", "number", "over", "sent_at")
+    __slots__ = ("ended", "exchange", "node", "number", "sent_at")
 
     def __init__(self, number: int, node: int, sent_at: int) -> None:
         self.number = number
         self.node = node
         self.sent_at = sent_at
-        self.over = False
+        self.ended = False
         self.exchange: AttemptExchange | None = None
 
 
 class ActiveRequest:
-    """One request that the scheduler was told of.
+    """One request that was passed to the scheduler.
 
-    It lives until it has its one final answer and all of its attempts have ended. The
-    payload is dropped with the answer: timers hold the record until the deadline.
+    The record is active until the request has its final answer and all of its attempts
+    have ended. The payload is released with the answer, since timers keep a reference
+    to the record until the deadline.
     """
 
     __slots__ = ("answered", "attempts", "payload", "request", "sink")
--- a/milletsill/gateway/process_setup.py
+++ b/milletsill/gateway/process_setup.py
@@ -1,4 +1,4 @@
-"""Signals and the garbage collector of a process with a gateway in it."""
+"""Set up the signal handlers and the garbage collector of a gateway process."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 from twisted.internet import reactor
 
-# Seconds after a start, until the objects that live as long as the process are made.
+# Seconds after the start; by then the objects that live as long as the process exist.
 FREEZE_DELAY = 3.0
-# Objects made, younger collections. The gateway leaves next to no reference cycles;
-# those of others stay until so many objects are made (at 50,000, connections that
-# Twisted dialled stood at 8 MB). So few are examined in well under a millisecond.
+# Thresholds for `gc.set_threshold`: allocated objects, then younger collections. The
+# gateway creates almost no reference cycles, but libraries do, and their cycles stay in
+# memory until the first threshold is reached. At 50,000 objects, connections that
+# Twisted had dialled took 8 MB; 5,000 objects are examined in well under 1 ms.
 COLLECTOR_THRESHOLDS = (5_000, 20, 100)
 
 
 def freeze_long_lived_objects() -> None:
-    """Keep the garbage collector from examining what lives as long as the process.
+    """Exclude the objects that live as long as the process from garbage collection.
 
-    Settings, maps, codecs and libraries are frozen. With 33 gateways in one process a
-    full collection took 100 to 380 ms, and answers came that much after their clients'
-    deadlines (rule 1). A frozen object that is dropped in a cycle later is never freed;
-    that is little, once.
+    These are settings, maps, codecs and libraries. With 33 gateways in one process, a
+    full collection took 100 to 380 ms, and answers missed their clients' deadlines by
+    as much. A frozen object that later becomes part of an unreachable cycle is never
+    freed; this is a small, one-time leak.
     """
     gc.collect()
     gc.freeze()
@@ -31,5 +32,5 @@
 
 
 def install_signal_handler(number: int, call: Callable[[], Any]) -> None:
-    """Make a call in the reactor's thread whenever the process gets a signal."""
+    """Call in the reactor's thread whenever the process receives the signal."""
     signal.signal(number, lambda *_: reactor.callFromThread(call))
--- a/milletsill/gateway/reactor_turn.py
+++ b/milletsill/gateway/reactor_turn.py
@@ -1,4 +1,4 @@
-"""Run a call once all that lies in the sockets was read."""
+"""Run a call after the data waiting in the sockets has been read."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class NextReactorTurn:
-    """One call in the next turn of the reactor, however often it is asked for.
+    """Runs a call once in the next reactor turn, however often it is scheduled.
 
-    If the process stood still since, what came meanwhile (a client's close above all)
-    is read before the call: one more turn, once.
+    If the process has stalled since, the call is deferred by one more turn, so that the
+    data that arrived during the stall (most importantly a client's close) is read
+    first.
     """
 
     __slots__ = ("call", "deferred", "due", "now", "reactor", "scheduled")
@@ -31,7 +32,7 @@
         self.deferred = False
 
     def schedule(self) -> None:
-        """Ask for the call in the next turn."""
+        """Schedule the call for the next turn, unless it is scheduled already."""
         if self.scheduled:
             return
         self.scheduled = True
@@ -39,7 +40,7 @@
         self.reactor.callLater(0, self.run)
 
     def run(self) -> None:
-        """Make the call, or defer it by one turn after a stall."""
+        """Run the call, or defer it by one turn after a stall."""
         if must_read_sockets_first(self.now() - self.due, self.deferred):
             self.deferred = True
             self.reactor.callLater(0, self.run)
--- a/milletsill/gateway/stream_transport.py
+++ b/milletsill/gateway/stream_transport.py
@@ -1,6 +1,6 @@
-"""Typed parts of Twisted's TCP transports and endpoints.
+"""Protocols for the parts of Twisted's TCP transports and endpoints in use.
 
-Twisted states them as interfaces whose methods type checkers can't follow.
+Twisted declares them as zope interfaces, whose methods type checkers can't resolve.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
     """The transport of a TCP connection."""
 
     def write(self, data: bytes, /) -> None:
-        """Send octets once the peer takes them."""
+        """Send bytes as soon as the peer can receive them."""
 
     def loseConnection(self) -> None:
-        """Close once all that was written is sent."""
+        """Close the connection after all written bytes are sent."""
 
     def abortConnection(self) -> None:
-        """Reset the connection now."""
+        """Reset the connection immediately."""
 
     def registerProducer(self, producer: Any, streaming: bool, /) -> None:
-        """Pause and resume a producer as the peer takes octets."""
+        """Pause and resume a producer according to how fast the peer receives."""
 
     def unregisterProducer(self) -> None:
-        """Pause and resume nobody any more."""
+        """Stop pausing and resuming the registered producer."""
 
     def setTcpNoDelay(self, enabled: bool, /) -> None:
-        """Send small writes at once."""
+        """Disable or enable the buffering of small writes (Nagle's algorithm)."""
 
     def loseWriteConnection(self) -> None:
-        """Close our side once all that was written is sent."""
+        """Close the sending side after all written bytes are sent."""
 
     def pauseProducing(self) -> None:
-        """Read nothing for now."""
+        """Stop reading until reading is resumed."""
 
     def doRead(self) -> Any:
-        """Read what lies in the socket now; not None where the connection ended."""
+        """Read the bytes waiting in the socket; not None if the connection ended."""
 
 
 class StreamEndpoint(Protocol):
-    """Where a TCP connection leads to."""
+    """The address of a peer to connect to."""
 
     def connect(self, factory: Any, /) -> Deferred[Any]:
-        """Connect; fails where the peer cannot be reached in time."""
+        """Connect; the result fails if the peer cannot be reached in time."""
--- a/milletsill/gateway/timer_queue.py
+++ b/milletsill/gateway/timer_queue.py
@@ -1,4 +1,4 @@
-"""Many timers on one delayed call of the reactor, in the order of their times."""
+"""A queue of timers that needs only one delayed call of the reactor."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from milletsill.gateway.stall_detection import must_read_sockets_first
 from milletsill.named_timers import ReactorTimers
 
-# Seconds; a timer that is due later has its delayed call set again then.
-LONGEST_SLEEP = 60.0
+# The delayed call is set again at least this often until a timer is due.
+MAX_DELAY_SECONDS = 60.0
 
 
 class TimerQueue:
-    """Calls at given times, which are tenths of a millisecond on the clock `now`.
+    """Makes calls at given times, in ticks (0.1 ms) of the clock `now`.
 
-    Timers of one time run in the order in which they were set. `on_run` is called once
-    after all that were due have run.
+    Timers with the same time run in the order in which they were set. `on_run` is
+    called once after all due timers have run.
     """
 
     def __init__(
@@ -37,13 +37,13 @@
         self.stopped = False
 
     def call_at(self, at: int, call: Callable[..., None], *values: Any) -> None:
-        """Call at that time or just after, never from within."""
+        """Schedule a call; it never runs before this method returns."""
         self.count += 1
         heapq.heappush(self.timers, (at, self.count, call, values))
         self._set_delayed_call()
 
     def run_due(self) -> None:
-        """Run all timers that are due, then `on_run` once."""
+        """Run all due timers, then `on_run` once; defer both once after a stall."""
         now = self.now()
         if self.timers and must_read_sockets_first(
             now - self.timers[0][0], self.deferred
@@ -53,17 +53,17 @@
             self.delayed_call = self.reactor.callLater(0, self.run_due)
             return
         self.deferred = False
-        called = False
+        any_due = False
         while self.timers and self.timers[0][0] <= now:
             _, _, call, values = heapq.heappop(self.timers)
             call(*values)
-            called = True
-        if called:
+            any_due = True
+        if any_due:
             self.on_run()
         self._set_delayed_call()
 
     def stop(self) -> None:
-        """Run no timer any more."""
+        """Cancel all timers and accept no new ones."""
         self.stopped = True
         if self.delayed_call is not None and self.delayed_call.active():
             self.delayed_call.cancel()
@@ -78,5 +78,5 @@
                 return
             self.delayed_call.cancel()
         self.delayed_until = at
-        delay = min(max((at - self.now()) / 10_000, 0.0), LONGEST_SLEEP)
+        delay = min(max((at - self.now()) / 10_000, 0.0), MAX_DELAY_SECONDS)
         self.delayed_call = self.reactor.callLater(delay, self.run_due)
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -333,7 +333,7 @@
         client.open_request(request.id)
         self.recent_ids.add(request.id, request.deadline, self.now())
         self.count("arrival", "repeat" if request.is_retry else "first")
-        self.host.take(request, client, payload_of(message))
+        self.host.accept_request(request, client, payload_of(message))
 
     def _answer_health_check(
         self, client: ClientConnection, message: HttpMessage
--- a/milletsill/interface.py
+++ b/milletsill/interface.py
@@ -1,10 +1,10 @@
-"""The types between the scheduler and whatever hosts it.
+"""The interface between the scheduler and the program that hosts it.
 
-Times are whole tenths of a millisecond on the host's clock. Ids appear only here;
-inside the scheduler records point to each other. The host calls the methods of
-`SchedulerEvents` with what happens, in order, and then `dispatch_pending` once when
-nothing more is known for now; the scheduler acts through the `SchedulerEffects` that it
-was given.
+Times are integers in ticks (tenths of a millisecond) on the host's clock. Requests and
+nodes are named by ids at this interface only; inside the scheduler, records refer to
+each other directly. The host calls the methods of `SchedulerEvents` in the order in
+which the events occur, and calls `dispatch_pending` once after all events that are
+known at that time. The scheduler acts through the `SchedulerEffects` that it was given.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How one attempt ended; the values are those of trace files."""
+    """How one attempt ended. Trace files store these values."""
 
     SUCCEEDED = "satisfied"
     ERROR = "error"
@@ -31,7 +31,7 @@
 
 
 class Readiness(Enum):
-    """What the endpoint list says of a node; the values are those of trace files."""
+    """A node's state in the endpoint list. Trace files store these values."""
 
     GONE = "gone"
     READY = "ready"
@@ -39,7 +39,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list holds; the values are as in trace files."""
+    """What an endpoint update contains. Trace files store these values."""
 
     DELTA = "changes"
     SNAPSHOT = "whole"
@@ -48,11 +48,14 @@
 
 
 class QuotaKind(StrEnum):
-    """What all gateways share; the values are as in trace files and at the planner."""
+    """A kind of quota that all gateways share.
 
-    # A volume's limit.
+    Trace files and the planner's protocol use these values.
+    """
+
+    # A volume's rate limit.
     LIMIT = "limit"
-    # A volume's reserve.
+    # A volume's reserved rate.
     RESERVE = "reserve"
     # A node's slow-start budget.
     SLOW_START = "cold"
@@ -60,10 +63,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedShare:
-    """This gateway's part of a whole until a time, and its part from then on.
+    """This gateway's share of a quota, and the share that replaces it on expiry.
 
     Attributes:
-        share: a fraction of the whole; None: the even part, without an end.
+        share: a fraction of the quota; None for an equal share that never expires.
+        expires_at: the time from which `fallback_share` applies.
+        fallback_share: the fraction of the quota from `expires_at` on.
     """
 
     share: float | None
@@ -73,14 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """What the endpoint list says of one node.
+    """One node's entry in the endpoint list.
 
     Attributes:
-        node: its id.
-        size: its capacity, in usual nodes.
-        kind: its kind of hardware.
-        started_at: its last start; None: long ago.
-        shard: the part of the key space that it serves.
+        node: the node's id.
+        size: the node's capacity; 1.0 is the capacity of a standard node.
+        kind: the number of the node's hardware type.
+        zone: the number of the node's zone.
+        started_at: when the node last started; None if that was long ago.
+        shard: the part of the key space that the node serves.
     """
 
     node: int
@@ -94,18 +100,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One read or write that the gateway has taken from a client.
+    """One read or write that the gateway has accepted from a client.
 
     Attributes:
-        key: what requests are ordered and batched by; 0: none.
-        volume: the number of the volume that it is charged to.
-        sharing_gateways: how many gateways share the volume; 0: not told.
-        request_class: its place in the configuration's classes.
-        service_plan: its place in the configuration's plans.
-        is_retry: whether the client marks it as a retry.
-        shard: where its object is; None for a new object.
-        units: its work.
-        deadline: when the client gives up.
+        key: the key by which requests are ordered and batched; 0 for no key.
+        volume: the number of the volume that the request is charged to.
+        sharing_gateways: how many gateways serve the volume; 0 if not known.
+        request_class: an index into the configuration's request classes.
+        service_plan: an index into the configuration's service plans.
+        is_retry: whether the client marked the request as a retry.
+        shard: the shard that holds the object; None for a new object.
+        units: the request's work in units.
+        deadline: when the client times out.
     """
 
     id: int
@@ -123,16 +129,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The end of one attempt.
+    """How one attempt ended, and what the node reported with it.
 
     Attributes:
-        attempt_number: its place among the attempts of the request, from 0.
-        request_finished: whether the client has its answer.
-        latency: from the sending to the end.
-        volume_usage: the volume's use everywhere, in hundredths of its usual rate; None
-            where the node does not tell.
-        units_elsewhere: the work that the node has of other gateways.
-        load_report: what the node says of its load, by the configuration's field names.
+        attempt_number: the attempt's index among those of the request, from 0.
+        request_finished: whether this result gave the client its final answer.
+        latency: the time from sending the attempt to its end.
+        volume_usage: the volume's use through all gateways, in hundredths of its usual
+            rate; None if the node did not report it.
+        units_elsewhere: the units of work that the node has served for other gateways.
+        load_report: the values of the node's load report, by the field names of the
+            configuration.
     """
 
     request_id: int
@@ -147,60 +154,63 @@
 
 
 class SchedulerEffects(Protocol):
-    """What the scheduler may do."""
+    """The actions that the scheduler can take; the host implements them."""
 
     def send_attempt(self, request_id: int, node_id: int, timeout: int) -> None:
-        """Send the request to a node; a time-out of 0: until the client gives up."""
+        """Send the request to a node; a timeout of 0 means the client's deadline."""
 
     def reject(self, request_id: int, retry_after: int) -> None:
-        """Final answer: not done, a retry is harmless, best after the pause."""
+        """Answer that the request was not executed and may safely be retried.
+
+        `retry_after` is the recommended delay before the retry.
+        """
 
     def fail(self, request_id: int) -> None:
-        """Final answer: it may have been done."""
+        """Answer that the request failed; it may have been executed."""
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Stop waiting for one attempt."""
+        """Cancel one attempt."""
 
     def watch_endpoints(self) -> None:
-        """Ask for changes of the endpoint list from now on."""
+        """Subscribe to changes of the endpoint list."""
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list once."""
+        """Request the whole endpoint list once."""
 
     def probe_node(self, node_id: int) -> None:
-        """Ask a node for its health."""
+        """Send a health check to a node."""
 
     def set_timer(self, at: int, token: object) -> None:
-        """Call `on_timer` with the token at that time or just after."""
+        """Call `on_timer` with the token at the given time or shortly after it."""
 
     def log(self, text: str) -> None:
-        """Leave a line in the log."""
+        """Write a line to the log."""
 
 
 class SchedulerEvents(Protocol):
-    """What the scheduler hears from its host."""
+    """The events that the host reports to the scheduler."""
 
     def on_endpoints(
         self, now: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        """An update of the endpoint list; it is empty where the watch failed."""
+        """Process an endpoint update; `endpoints` is empty if the watch failed."""
 
     def on_request(self, now: int, request: Request) -> None:
-        """A request that has to be answered once."""
+        """Accept a request, which must get exactly one final answer."""
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
-        """The end of an attempt."""
+        """Process the end of an attempt."""
 
     def on_client_cancelled(self, now: int, request_id: int) -> None:
-        """The client of a request has left."""
+        """Drop a request whose client has cancelled it or disconnected."""
 
     def on_timer(self, now: int, token: object) -> None:
-        """The time of a timer has come."""
+        """Handle the expiry of a timer that `set_timer` started."""
 
     def on_quota_share(
         self, now: int, kind: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
-        """Another part than the even one of what all gateways share.
+        """Replace this gateway's share of a quota; the initial share is an equal one.
 
         `id` is the volume's number or, for a slow-start budget, the node's id.
         """
@@ -208,18 +218,18 @@
     def on_health_advice(
         self, now: int, node_id: int, load_factor: float, avoid: bool, expires_at: int
     ) -> None:
-        """What other gateways make of a node.
+        """Take the health advice that the gateways as a group give on a node.
 
-        `load_factor` is in shortest latency objectives; `avoid`: this gateway better
-        sends it nothing. The advice ends at `expires_at` unless it comes again; nothing
-        that is safe rests on it.
+        `load_factor` is in multiples of the shortest latency objective. `avoid` advises
+        this gateway to send the node nothing. The advice lapses at `expires_at` unless
+        it is renewed. Safety never depends on it.
         """
 
     def dispatch_pending(self, now: int) -> None:
-        """Nothing more is known for now: send what may go."""
+        """Send what may be sent, once all events known at this time are reported."""
 
 
-# Makes a scheduler of a configuration, a seed, the time now and its effects.
+# Creates a scheduler from its configuration, random seed, current time and effects.
 SchedulerFactory = Callable[
     [DeploymentConfig, int, int, SchedulerEffects], SchedulerEvents
 ]
--- a/milletsill/logs.py
+++ b/milletsill/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on structlog: one event a line, as JSON or for a console."""
+"""Structured logging with structlog: one event per line, as JSON or plain text."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 def logger(
     level: str, as_json: bool, stream: TextIO | None = None, **bound: Any
 ) -> Any:
-    """Return a logger that shares nothing with other loggers.
+    """Return a logger that is independent of all other loggers.
 
     Args:
-        level: a key of LEVELS; what is below it is not written.
-        as_json: whether a line is JSON, or text for a console.
-        stream: where lines go; standard error where absent.
-        bound: fields of each line.
+        level: a key of LEVELS; events of a lower level are not written.
+        as_json: whether lines are JSON; otherwise they are text for a console.
+        stream: the stream to write to; standard error if None.
+        bound: fields to add to each line.
     """
     render: structlog.typing.Processor = structlog.dev.ConsoleRenderer(colors=False)
     if as_json:
--- a/milletsill/named_timers.py
+++ b/milletsill/named_timers.py
@@ -1,4 +1,4 @@
-"""Timers by name on a Twisted reactor, one of each name."""
+"""Named timers on a Twisted reactor, with one pending call per name."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 class DelayedCall(Protocol):
-    """A call that a reactor makes later."""
+    """A scheduled call of a Twisted reactor (`IDelayedCall`)."""
 
     def active(self) -> bool:
-        """Return whether it is still to come."""
+        """Return whether the call is still pending."""
 
     def cancel(self) -> None:
-        """Call it off."""
+        """Cancel the call."""
 
 
 class ReactorTimers(Protocol):
-    """The part of a Twisted reactor that makes calls later."""
+    """The part of a Twisted reactor that schedules calls (`IReactorTime`)."""
 
     def callLater(  # noqa: N802
         self, delay: float, callable: Callable[..., Any], /, *args: Any
     ) -> DelayedCall:
-        """Make a call after so many seconds."""
+        """Schedule a call after a delay in seconds."""
 
 
 class NamedTimers:
-    """At most one pending call for each name; none after `stop`."""
+    """Schedules at most one pending call per name, and none after `stop`."""
 
     def __init__(self, reactor: ReactorTimers) -> None:
         self.stopped = False
@@ -36,7 +36,7 @@
     def set(
         self, name: str, seconds: float, call: Callable[..., None], *args: Any
     ) -> None:
-        """Make a call after so many seconds, in place of the pending one."""
+        """Schedule a call after a delay; it replaces the pending call of that name."""
         pending = self._calls.get(name)
         if pending is not None and pending.active():
             pending.cancel()
@@ -45,7 +45,7 @@
             self._calls[name] = self._reactor.callLater(delay, call, *args)
 
     def repeat(self, name: str, seconds: float, call: Callable[[], None]) -> None:
-        """Make a call after each interval, until the end."""
+        """Call repeatedly at an interval in seconds, until `cancel` or `stop`."""
 
         def on_timer() -> None:
             self.set(name, seconds, on_timer)
@@ -54,13 +54,13 @@
         self.set(name, seconds, on_timer)
 
     def cancel(self, name: str) -> None:
-        """Call the pending call of a name off, if there is one."""
+        """Cancel the pending call of a name, if there is one."""
         pending = self._calls.pop(name, None)
         if pending is not None and pending.active():
             pending.cancel()
 
     def stop(self) -> None:
-        """Call all off, for good."""
+        """Cancel all pending calls and accept no new ones."""
         self.stopped = True
         for pending in self._calls.values():
             if pending.active():
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -236,7 +236,7 @@
             gateway.quota_client.on_request(request)
         if gateway.traces is not None:
             gateway.traces.set_next_path(target.name)
-        gateway.host.take(request, self, self._payload(target))
+        gateway.host.accept_request(request, self, self._payload(target))
 
     def _request(self, request_id: int, target: StepTarget) -> Request:
         table, volume = self.gateway.routing_table, self.volume
--- a/milletsill/wirehost/__init__.py
+++ b/milletsill/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: it hosts many instances of the scheduler on one wire."""
+"""The simulator's adapter: hosts many scheduler instances on one byte stream."""
--- a/milletsill/wirehost/__main__.py
+++ b/milletsill/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Speaks the simulator's wire on standard input and output."""
+"""Speaks the simulator's wire protocol on standard input and output."""
 
 import sys
 
@@ -9,7 +9,10 @@
 
 
 def main() -> int:
-    """Exit cleanly when input ends; one line and status 2 on malformed input."""
+    """Serve until the input ends, and return the exit status.
+
+    Malformed input prints one line to standard error and gives status 2.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedBatchError as error:
--- a/milletsill/wirehost/codec.py
+++ b/milletsill/wirehost/codec.py
@@ -1,7 +1,7 @@
-"""Frames and records of the simulator's wire, to and from typed values.
+"""Encode and decode the simulator's wire protocol.
 
-Each frame of events is answered by one frame of actions. Numbers are little-endian.
-Nothing is decided here.
+The simulator sends frames of event records, and the adapter answers each with one frame
+of action records. Numbers are little-endian. This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
     Request,
 )
 
-# Of a frame of events: batch number, size, count of records, clock in nanoseconds.
+# A frame of events: batch number, frame size, record count, clock in nanoseconds.
 BATCH_HEADER = Struct("<IIIQ")
-# Of a frame of actions: batch number, size.
+# A frame of actions: batch number, frame size.
 REPLY_HEADER = Struct("<II")
-# Of each record, either way: code, size of what follows.
+# A record of either kind of frame: code, size of the body that follows.
 RECORD_HEADER = Struct("<BI")
 
 
 class EventCode(IntEnum):
-    """The records that the simulator sends; the names are those of its page."""
+    """The events that the simulator sends, named as in its documentation."""
 
     BORN = 0
     UPDATE = 1
@@ -50,7 +50,7 @@
 
 
 class ActionCode(IntEnum):
-    """The records that answer them; the names are those of the simulator's page."""
+    """The actions that the adapter sends, named as in the simulator's documentation."""
 
     ATTEMPT = 0
     FAILURE = 1
@@ -66,12 +66,13 @@
 
 
 def event_name(code: int) -> str:
-    """The name of an event as the simulator's page writes it."""
+    """Return an event's name as the simulator's documentation writes it."""
     return EventCode(code).name.title().replace("_", "")
 
 
-# The fixed part of each event; what follows it is counted by its last field.
-FIXED_PARTS = {
+# The fixed fields of each event. In an event with a variable part, the last of them is
+# the number of items in that part.
+FIXED_FIELDS = {
     EventCode.BORN: Struct("<QI"),
     EventCode.UPDATE: Struct("<BQB"),
     EventCode.REQ: Struct("<QQfHHBffQQ"),
@@ -85,7 +86,7 @@
     EventCode.ROSTER: Struct("<BI"),
     EventCode.INSTANCE: Struct("<I"),
 }
-# The size of one counted item behind the fixed part.
+# The size in bytes of one item of the variable part that follows the fixed fields.
 TAIL_ITEM_SIZES = {
     EventCode.BORN: 1,
     EventCode.RETURNED: 4,
@@ -96,10 +97,10 @@
 # Node, readiness, size, kind, zone, start in nanoseconds, shard.
 ROSTER_ENTRY = Struct("<IBfHBQH")
 REPORT_VALUE_SIZE = 4
-# Of the text of an action.
+# The largest text of an action, in bytes.
 MAX_TEXT_SIZE = 60_000
 
-# The flags of a Req record.
+# Bits in the flags of a Req event.
 RETRY_FLAG = 2
 WRITE_FLAG = 4
 
@@ -125,13 +126,13 @@
 
 
 class MalformedBatchError(MalformedInputError):
-    """Input of the simulator's wire that its page does not allow."""
+    """The simulator's input violates its wire protocol."""
 
-    remedy = "bring the adapter and the simulator to versions that go together"
+    remedy = "run matching versions of the adapter and the simulator"
 
 
 class Event(NamedTuple):
-    """One record: its `EventCode`, its fixed fields and the counted bytes behind."""
+    """One event record: its `EventCode`, fixed fields and variable part."""
 
     code: int
     fields: tuple[Any, ...]
@@ -139,12 +140,16 @@
 
     @property
     def id(self) -> int:
-        """The first field: of an instance, a request, a roster or a timer; a seed."""
+        """The first field.
+
+        Depending on the event it is the id of an instance, request, roster or timer, or
+        (Born) a random seed.
+        """
         return int(self.fields[0])
 
 
 class Batch(NamedTuple):
-    """One frame of events; the clock is in nanoseconds."""
+    """One frame of events, with the simulator's clock in nanoseconds."""
 
     number: int
     clock: int
@@ -152,69 +157,73 @@
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """The next frame, or None where the input ends cleanly before it.
+    """Read the next frame; return None if the input ends before it.
 
     Raises:
-        MalformedBatchError: the frame is cut, or is not what its page says.
+        MalformedBatchError: the frame is truncated or violates the protocol.
     """
-    head = stream.read(BATCH_HEADER.size)
-    if not head:
+    header = stream.read(BATCH_HEADER.size)
+    if not header:
         return None
-    _check_size(head, BATCH_HEADER.size, "a batch header")
-    number, size, count, clock = BATCH_HEADER.unpack(head)
+    _check_size(header, BATCH_HEADER.size, "a batch header")
+    number, size, count, clock = BATCH_HEADER.unpack(header)
     if size < BATCH_HEADER.size + count * RECORD_HEADER.size:
         raise MalformedBatchError(
-            f"batch {number}: a length of {size} cannot hold {count} records"
+            f"batch {number}: a frame of {size} bytes cannot hold {count} records"
         )
     body = stream.read(size - BATCH_HEADER.size)
     _check_size(body, size - BATCH_HEADER.size, f"batch {number}")
     events = list(decode_events(body, number))
     if len(events) != count:
         raise MalformedBatchError(
-            f"batch {number}: {len(events)} records where the header says {count}"
+            f"batch {number}: the header announces {count} records, "
+            f"but the frame holds {len(events)}"
         )
     return Batch(number, clock, events)
 
 
 def decode_events(body: bytes, number: int) -> Iterator[Event]:
-    """The records of one frame, each checked against its own length.
+    """Decode the records of one frame, and check the length of each.
 
     Raises:
-        MalformedBatchError: a record is unknown, cut or of a wrong length.
+        MalformedBatchError: a record has an unknown code, is truncated or has a wrong
+            length.
     """
-    at = 0
-    while at < len(body):
-        if len(body) - at < RECORD_HEADER.size:
+    offset = 0
+    while offset < len(body):
+        if len(body) - offset < RECORD_HEADER.size:
             raise MalformedBatchError(
-                f"batch {number}: {len(body) - at} bytes left over "
+                f"batch {number}: {len(body) - offset} bytes left over "
                 "after the last record"
             )
-        code, size = RECORD_HEADER.unpack_from(body, at)
-        fixed = FIXED_PARTS.get(code)
+        code, size = RECORD_HEADER.unpack_from(body, offset)
+        fixed = FIXED_FIELDS.get(code)
         if fixed is None:
             raise MalformedBatchError(f"batch {number}: unknown event code {code}")
-        start = at + RECORD_HEADER.size
-        at = start + size
-        if at > len(body) or size < fixed.size:
+        start = offset + RECORD_HEADER.size
+        offset = start + size
+        if offset > len(body) or size < fixed.size:
             raise MalformedBatchError(
-                f"batch {number}: {event_name(code)} cannot have a length of {size}"
+                f"batch {number}: {event_name(code)} has a length of {size} bytes: "
+                f"less than {fixed.size} or beyond the end of the frame"
             )
         fields = fixed.unpack_from(body, start)
         item_size = TAIL_ITEM_SIZES.get(code, 0)
-        wanted = fixed.size + (fields[-1] * item_size if item_size else 0)
-        if size != wanted:
+        expected_size = fixed.size + (fields[-1] * item_size if item_size else 0)
+        if size != expected_size:
             raise MalformedBatchError(
-                f"batch {number}: {event_name(code)} is {size} bytes long, not {wanted}"
+                f"batch {number}: {event_name(code)} is {size} bytes long, "
+                f"not {expected_size}"
             )
-        yield Event(code, fields, body[start + fixed.size : at])
+        yield Event(code, fields, body[start + fixed.size : offset])
 
 
 def decode_roster(tail: bytes) -> tuple[Endpoint, ...]:
-    """The endpoints of a Roster."""
+    """Decode the endpoints in the variable part of a Roster event."""
     return tuple(
         Endpoint(
             node,
-            _decode_word(READINESS, readiness, "readiness"),
+            _decode_enum(READINESS, readiness, "readiness"),
             size,
             kind,
             zone,
@@ -228,7 +237,7 @@
 
 
 def decode_request(event: Event) -> Request:
-    """The request of a Req."""
+    """Decode the request of a Req event."""
     (
         request_id,
         key,
@@ -257,7 +266,10 @@
 
 
 def decode_attempt_result(event: Event, report_fields: Sequence[str]) -> AttemptResult:
-    """The end of an attempt of a Returned; its load report has values by position."""
+    """Decode the attempt result of a Returned event.
+
+    The event's load report has values only, in the order of `report_fields`.
+    """
     (
         request_id,
         outcome,
@@ -273,7 +285,7 @@
         request_id,
         number,
         node,
-        _decode_word(OUTCOMES, outcome, "outcome"),
+        _decode_enum(OUTCOMES, outcome, "outcome"),
         bool(is_finished),
         latency // NANOSECONDS_PER_TICK,
         usage_plus_one - 1 if usage_plus_one else None,
@@ -283,16 +295,16 @@
 
 
 def decode_update(event: Event) -> tuple[EndpointUpdateKind, int]:
-    """The kind of an Update, and the number of its roster."""
+    """Return the kind of an Update event and the number of its roster."""
     kind, _, roster = event.fields
-    return _decode_word(UPDATE_KINDS, kind, "kind of Update"), roster
+    return _decode_enum(UPDATE_KINDS, kind, "kind of Update"), roster
 
 
 def decode_config(text: bytes) -> DeploymentConfig:
-    """The configuration of one gateway, out of the settings' text.
+    """Decode the configuration of one gateway from the JSON text of its settings.
 
     Raises:
-        MalformedBatchError: the settings are of no use.
+        MalformedBatchError: the settings are not valid.
     """
     try:
         return config_from_settings(json.loads(text))
@@ -300,61 +312,61 @@
         raise MalformedBatchError(f"settings: {error}") from error
 
 
-def _decode_word(words: Mapping[int, Value], code: int, what: str) -> Value:
-    """What a code stands for.
+def _decode_enum(values: Mapping[int, Value], code: int, name: str) -> Value:
+    """Return the value that a code stands for.
 
     Raises:
-        MalformedBatchError: the code is not known.
+        MalformedBatchError: the code is unknown.
     """
-    if code not in words:
-        raise MalformedBatchError(f"unknown {what} {code}")
-    return words[code]
+    if code not in values:
+        raise MalformedBatchError(f"unknown {name} {code}")
+    return values[code]
 
 
 def _decode_load_report(tail: bytes, names: Sequence[str]) -> dict[str, float]:
-    """The values of a load report, by name."""
+    """Decode the values of a load report, and key them by name."""
     values = Struct(f"<{len(tail) // REPORT_VALUE_SIZE}f").unpack(tail)
     return dict(zip(names, values, strict=False))
 
 
-def _check_size(data: bytes, size: int, what: str) -> None:
+def _check_size(data: bytes, size: int, section: str) -> None:
     if len(data) != size:
         raise MalformedBatchError(
-            f"input ended inside {what}: {len(data)} of {size} bytes"
+            f"input ended inside {section}: {len(data)} of {size} bytes"
         )
 
 
 def _encoder(code: ActionCode, layout: str) -> Callable[..., bytes]:
-    """A packer of one kind of action, header included."""
+    """Return a function that encodes one kind of action with its header."""
     fields = Struct("<" + layout)
-    whole = Struct("<BI" + layout)
+    record = Struct("<BI" + layout)
 
     def encode(*values: int) -> bytes:
-        return whole.pack(code, fields.size, *values)
+        return record.pack(code, fields.size, *values)
 
     return encode
 
 
-# Actions; times are nanoseconds.
-encode_attempt = _encoder(ActionCode.ATTEMPT, "QIQ")  # request, node, time-out
+# Encoders of the actions; the comments name their arguments. Times are nanoseconds.
+encode_attempt = _encoder(ActionCode.ATTEMPT, "QIQ")  # request, node, timeout
 encode_failure = _encoder(ActionCode.FAILURE, "Q")  # request
-encode_rejection = _encoder(ActionCode.REJECT, "QQ")  # request, pause
-encode_source = _encoder(ActionCode.SOURCE, "I")  # whose the next actions are
-encode_watch = _encoder(ActionCode.STREAM, "B")  # 1: changes from now on
+encode_rejection = _encoder(ActionCode.REJECT, "QQ")  # request, retry delay
+encode_source = _encoder(ActionCode.SOURCE, "I")  # instance of the next actions
+encode_watch = _encoder(ActionCode.STREAM, "B")  # 1 subscribes
 encode_cancellation = _encoder(ActionCode.CALL_OFF, "QB")  # request, attempt number
 encode_probe = _encoder(ActionCode.PROBE, "I")  # node
 encode_query = _encoder(ActionCode.QUERY, "")
-encode_timer = _encoder(ActionCode.NOTIFY, "QQ")  # cookie, span
+encode_timer = _encoder(ActionCode.NOTIFY, "QQ")  # cookie, delay
 
 
 def encode_text(code: ActionCode, text: str) -> bytes:
-    """A REMARK or an EXCEPTION."""
+    """Encode a REMARK or an EXCEPTION, truncated to `MAX_TEXT_SIZE`."""
     data = text.encode()[:MAX_TEXT_SIZE]
     size = len(data).to_bytes(2, "little")
     return RECORD_HEADER.pack(code, len(size) + len(data)) + size + data
 
 
 def encode_reply(number: int, actions: Sequence[bytes]) -> bytes:
-    """The frame that answers a batch."""
+    """Encode the frame of actions that answers a batch."""
     body = b"".join(actions)
     return REPLY_HEADER.pack(number, REPLY_HEADER.size + len(body)) + body
--- a/milletsill/wirehost/host.py
+++ b/milletsill/wirehost/host.py
@@ -1,4 +1,8 @@
-"""Hosts instances of the scheduler: turns events into calls and calls into actions."""
+"""Host scheduler instances for the simulator.
+
+Events of the wire become calls of a scheduler's `SchedulerEvents`, and its calls of
+`SchedulerEffects` become actions of the wire.
+"""
 
 from __future__ import annotations
 
@@ -18,21 +22,23 @@
 from milletsill.wirehost import codec
 from milletsill.wirehost.codec import ActionCode, Event, EventCode, MalformedBatchError
 
-# The wire takes timers of up to 71 minutes.
-MAX_TIMER = 70 * 60 * 1_000_000_000
+# In nanoseconds; the wire protocol accepts timers of up to 71 minutes.
+MAX_TIMER_DELAY = 70 * 60 * 1_000_000_000
 
 Rosters = Mapping[int, tuple[Endpoint, ...]]
 
 
 class Instance:
-    """One gateway: its scheduler, its timers and its actions in this batch.
+    """One simulated gateway: a scheduler, its timers and its actions in this batch.
 
-    It is the scheduler's effects: each becomes an action of the wire.
+    It implements the scheduler's `SchedulerEffects` and encodes each as an action.
 
     Attributes:
+        number: the simulator's number of this instance.
+        scheduler: None until the instance is born.
         clock: the time of this batch in nanoseconds.
-        actions: what the scheduler did in this batch, encoded.
-        timers: the tokens of timers that are not due yet, by cookie.
+        actions: the encoded actions of the scheduler in this batch.
+        timers: the tokens of pending timers, by the cookie on the wire.
     """
 
     def __init__(self, number: int) -> None:
@@ -45,60 +51,61 @@
         self._report_fields: tuple[str, ...] = ()
 
     def send_attempt(self, request_id: int, node_id: int, timeout: int) -> None:
-        """Put an attempt on the wire."""
+        """Emit an Attempt action."""
         nanoseconds = timeout * NANOSECONDS_PER_TICK
         self.actions.append(codec.encode_attempt(request_id, node_id, nanoseconds))
 
     def reject(self, request_id: int, retry_after: int) -> None:
-        """Put a rejection on the wire."""
-        pause = max(retry_after, 0) * NANOSECONDS_PER_TICK
-        self.actions.append(codec.encode_rejection(request_id, pause))
+        """Emit a Reject action."""
+        nanoseconds = max(retry_after, 0) * NANOSECONDS_PER_TICK
+        self.actions.append(codec.encode_rejection(request_id, nanoseconds))
 
     def fail(self, request_id: int) -> None:
-        """Put a failure on the wire."""
+        """Emit a Failure action."""
         self.actions.append(codec.encode_failure(request_id))
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Put the end of an attempt on the wire."""
+        """Emit a CallOff action."""
         self.actions.append(codec.encode_cancellation(request_id, attempt_number))
 
     def watch_endpoints(self) -> None:
-        """Ask the wire for changes of the endpoint list."""
+        """Emit a Stream action, which subscribes to changes of the endpoint list."""
         self.actions.append(codec.encode_watch(1))
 
     def fetch_endpoints(self) -> None:
-        """Ask the wire for the whole endpoint list."""
+        """Emit a Query action, which requests the whole endpoint list."""
         self.actions.append(codec.encode_query())
 
     def probe_node(self, node_id: int) -> None:
-        """Put a health check on the wire."""
+        """Emit a Probe action."""
         self.actions.append(codec.encode_probe(node_id))
 
     def log(self, text: str) -> None:
-        """Put a remark on the wire."""
+        """Emit a Remark action."""
         self.actions.append(codec.encode_text(ActionCode.REMARK, text))
 
     def set_timer(self, at: int, token: object) -> None:
-        """Put a timer on the wire; its cookie brings the token back."""
+        """Emit a Notify action; the Ring event that answers it carries its cookie."""
         self._last_cookie += 1
         self.timers[self._last_cookie] = token
-        span = min(max(at * NANOSECONDS_PER_TICK - self.clock, 0), MAX_TIMER)
-        self.actions.append(codec.encode_timer(self._last_cookie, span))
+        delay = min(max(at * NANOSECONDS_PER_TICK - self.clock, 0), MAX_TIMER_DELAY)
+        self.actions.append(codec.encode_timer(self._last_cookie, delay))
 
     def make_scheduler(
         self, config: DeploymentConfig, seed: int, now: int
     ) -> SchedulerEvents:
-        """The scheduler of this instance."""
+        """Create the scheduler of this instance."""
         return Scheduler(config, seed, now, self)
 
     def on_event(self, event: Event, now: int, rosters: Rosters) -> None:
-        """Hand one event to the scheduler.
+        """Pass one event to the scheduler.
 
-        Flowing needs no decision: a request in flight is left alone until its attempt
-        ends. Probed and NoteFrom answer what the scheduler never asks for.
+        Flowing events are ignored, since the scheduler decides nothing about an attempt
+        between its start and its end. Probed and NoteFrom events are ignored, since
+        they answer actions that the scheduler never takes.
 
         Raises:
-            MalformedBatchError: the event makes no sense here.
+            MalformedBatchError: the instance is not born, or the event is invalid.
         """
         if event.code == EventCode.BORN:
             self._on_born(event, now)
@@ -107,7 +114,7 @@
         if scheduler is None:
             raise MalformedBatchError(
                 f"{codec.event_name(event.code)} for instance {self.number}, "
-                "which was never born"
+                "which has had no Born event"
             )
         if event.code == EventCode.REQ:
             scheduler.on_request(now, codec.decode_request(event))
@@ -118,7 +125,7 @@
             scheduler.on_timer(now, self.timers.pop(event.id, None))
         elif event.code == EventCode.UPDATE:
             kind, number = codec.decode_update(event)
-            scheduler.on_endpoints(now, kind, _roster(kind, number, rosters))
+            scheduler.on_endpoints(now, kind, _endpoints(kind, number, rosters))
         elif event.code == EventCode.ABANDONED:
             scheduler.on_client_cancelled(now, event.id)
 
@@ -129,10 +136,10 @@
 
 
 class Host:
-    """All instances of this process; they share but the wire's numbered rosters.
+    """All instances of this process; they share only the wire's numbered rosters.
 
     Args:
-        make_instance: gives a new instance of a number.
+        make_instance: creates an instance with the given number.
     """
 
     def __init__(self, make_instance: Callable[[int], Instance] = Instance) -> None:
@@ -141,10 +148,10 @@
         self._make_instance = make_instance
 
     def answer(self, batch: codec.Batch) -> bytes:
-        """Play one batch and give the reply frame.
+        """Process one batch and return the frame that answers it.
 
         Raises:
-            MalformedBatchError: the batch makes no sense.
+            MalformedBatchError: an event is invalid or precedes the first Instance.
         """
         now = -(-batch.clock // NANOSECONDS_PER_TICK)
         addressed: dict[int, Instance] = {}
@@ -161,7 +168,7 @@
                     "before any Instance"
                 )
             else:
-                current = self._play(current, event, now)
+                current = self._process(current, event, now)
                 addressed[current.number] = current
         return codec.encode_reply(batch.number, self._take_actions(addressed, now))
 
@@ -172,11 +179,11 @@
         instance.clock = clock
         return instance
 
-    def _play(self, instance: Instance, event: Event, now: int) -> Instance:
-        """Hand one event to an instance; the instance that stands in its place then.
+    def _process(self, instance: Instance, event: Event, now: int) -> Instance:
+        """Pass one event to an instance, and return the current instance of its number.
 
-        One that crashes, or is born again, is replaced: what it held and had to say is
-        void.
+        CrashNow, or another Born, replaces the instance by a new one; its state and its
+        actions in this batch are discarded.
         """
         is_end = event.code in (EventCode.CRASH_NOW, EventCode.BORN)
         if is_end and instance.scheduler is not None:
@@ -186,16 +193,16 @@
             self.instances[instance.number] = instance
             if event.code == EventCode.CRASH_NOW:
                 return instance
-        _run(instance, partial(instance.on_event, event, now, self.rosters))
+        _call_scheduler(instance, partial(instance.on_event, event, now, self.rosters))
         return instance
 
     def _take_actions(self, addressed: Mapping[int, Instance], now: int) -> list[bytes]:
-        """What the instances did that had an event in this batch."""
+        """Return and clear the actions of the instances that this batch addressed."""
         actions: list[bytes] = []
         for number, instance in addressed.items():
             scheduler = instance.scheduler
             if scheduler is not None:
-                _run(instance, partial(scheduler.dispatch_pending, now))
+                _call_scheduler(instance, partial(scheduler.dispatch_pending, now))
             if instance.actions:
                 actions.append(codec.encode_source(number))
                 actions += instance.actions
@@ -211,7 +218,7 @@
     """Answer batches until the input ends.
 
     Raises:
-        MalformedBatchError: the input is not what the simulator's page says.
+        MalformedBatchError: the input violates the simulator's wire protocol.
     """
     host = Host(make_instance)
     while (batch := codec.read_batch(source)) is not None:
@@ -219,8 +226,8 @@
         sink.flush()
 
 
-def _run(instance: Instance, call: Callable[[], None]) -> None:
-    """Run the scheduler; an exception in it goes onto the wire."""
+def _call_scheduler(instance: Instance, call: Callable[[], None]) -> None:
+    """Call the scheduler, and report an exception in it as an Exception action."""
     try:
         call()
     except MalformedBatchError:
@@ -230,11 +237,13 @@
         instance.actions.append(codec.encode_text(ActionCode.EXCEPTION, text))
 
 
-def _roster(
+def _endpoints(
     kind: EndpointUpdateKind, number: int, rosters: Rosters
 ) -> Sequence[Endpoint]:
     if kind is EndpointUpdateKind.FAILED:
         return ()
     if number not in rosters:
-        raise MalformedBatchError(f"Update names list {number}, which never came")
+        raise MalformedBatchError(
+            f"Update refers to roster {number}, but no Roster event has defined it"
+        )
     return rosters[number]
--- a/tests/gateway/test_process_setup.py
+++ b/tests/gateway/test_process_setup.py
@@ -1,4 +1,7 @@
-"""A gateway's timers and a wall clock that is set back."""
+"""The reactor's timers use the monotonic clock.
+
+With the wall clock, a timer would be late by as much as the clock is set back.
+"""
 
 import time
 import unittest
@@ -8,11 +11,11 @@
 from milletsill.sftp_gateway.process import use_monotonic_timers
 
 
-class Steady(unittest.TestCase):
+class MonotonicTimers(unittest.TestCase):
     def test_a_timer_is_due_by_the_monotonic_clock(self):
         reactor, called, wall = SelectReactor(), [], [1000.0]
         self.addCleanup(reactor.disconnectAll)
-        reactor.seconds = lambda: wall[0]  # as Twisted has it: the wall clock
+        reactor.seconds = lambda: wall[0]  # Twisted's default clock
         use_monotonic_timers(reactor)
         reactor.callLater(0.02, called.append, "due")
         wall[0] -= 5
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -54,7 +54,7 @@
 def close(self, active):
     active.answered = True
     self.unanswered -= 1
-    self._forget_if_over(active)
+    self._remove_if_finished(active)
 
 
 def data_received(self, data):
@@ -124,7 +124,7 @@
         HttpNodePool, "on_idle", on_idle
     ),
     "what waits for a link goes with its transfer": lambda: patch.object(
-        SchedulerHost, "_close", close
+        SchedulerHost, "_mark_answered", close
     ),
     "octets before ours are written are no answer": lambda: patch.object(
         HttpNodeConnection, "dataReceived", data_received
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,6 +1,7 @@
-"""How the house hangs together.
+"""Rules on the structure of the code base.
 
-No circle of imports, arrows one way, the decisions within their bounds.
+They cover import cycles, the direction of imports between packages, the length of files
+and the files and dependencies of the scheduler.
 """
 
 import ast
@@ -14,13 +15,13 @@
 from tests.support.paths import ROOT
 
 PROGRAMS = {"sftp_gateway", "http_gateway", "planner"}
-ABOVE = {"cli", "lab", "__main__"}
-# The one program that uses a part of another: the SFTP gateway loads the planner's
-# client where its file has the block.
-BETWEEN = {("sftp_gateway", "planner")}
-# Over 400 lines once the formatter has been over them, to be split by concern; none is
-# to join them.
-TO_BE_SPLIT: set[str] = {
+TOP_LEVEL = {"cli", "lab", "__main__"}
+# The only import between programs: the SFTP gateway uses the planner's client if its
+# configuration file has the planner block.
+ALLOWED_BETWEEN_PROGRAMS = {("sftp_gateway", "planner")}
+# Files that the automatic formatter has made longer than 400 lines, to be split by
+# concern. No file may be added.
+OVERSIZED_FILES: set[str] = {
     "milletsill/lab/channels.py",
     "milletsill/lab/load.py",
     "tests/http_gateway/test_http_gateway.py",
@@ -35,8 +36,8 @@
 }
 
 
-def names(root: Path) -> dict[str, Path]:
-    """Every module of the product by its dotted name."""
+def modules(root: Path) -> dict[str, Path]:
+    """Return all modules of a package by dotted name."""
     found = {}
     for path in sorted(root.rglob("*.py")):
         parts = path.relative_to(root.parent).with_suffix("").parts
@@ -45,9 +46,9 @@
 
 
 def imports(source: str, known: dict[str, Path]) -> set[str]:
-    """Modules of the product that a text imports anywhere.
+    """Return the known modules that a source text imports.
 
-    At its top, in functions, for types alone.
+    This includes imports within functions and imports for type checking only.
     """
     found = set()
     for node in ast.walk(ast.parse(source)):
@@ -55,15 +56,16 @@
             found |= {each.name for each in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
             found |= {
-                whole
-                if (whole := f"{node.module}.{each.name}") in known
+                submodule
+                if (submodule := f"{node.module}.{each.name}") in known
                 else node.module
                 for each in node.names
             }
     return found & known.keys()
 
 
-def circle(graph: dict[str, set[str]]) -> list[str]:
+def find_cycle(graph: dict[str, set[str]]) -> list[str]:
+    """Return a cycle of the graph, or an empty list if it has none."""
     try:
         TopologicalSorter(graph).prepare()
     except CycleError as error:
@@ -71,86 +73,98 @@
     return []
 
 
-def part(module: str) -> str:
+def package_of(module: str) -> str:
+    """Return the name of the package, below the root, that holds a module."""
     return module.split(".")[1] if "." in module else ""
 
 
-def wrong(graph: dict[str, set[str]]) -> list[str]:
-    """Arrows that point the wrong way."""
+def forbidden_imports(graph: dict[str, set[str]]) -> list[str]:
+    """Return the imports of top-level packages and of other programs' packages."""
     found = []
-    for module, others in graph.items():
-        one = part(module)
-        for other in sorted(others):
-            two = part(other)
-            if one == two or one in ABOVE:
+    for module, imported in graph.items():
+        importer = package_of(module)
+        for other in sorted(imported):
+            target = package_of(other)
+            if importer == target or importer in TOP_LEVEL:
                 continue
-            if two in ABOVE or two in PROGRAMS and (one, two) not in BETWEEN:
+            if (
+                target in TOP_LEVEL
+                or target in PROGRAMS
+                and (importer, target) not in ALLOWED_BETWEEN_PROGRAMS
+            ):
                 found.append(f"{module} -> {other}")
     return found
 
 
-class Arrows(unittest.TestCase):
+class Imports(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        known = names(ROOT / "milletsill")
+        known = modules(ROOT / "milletsill")
         cls.graph = {
             name: imports(path.read_text("utf-8"), known)
             for name, path in known.items()
         }
 
-    def test_no_module_is_in_a_circle(self):
+    def test_modules_have_no_import_cycle(self):
         self.assertGreater(sum(map(len, self.graph.values())), 300)
-        self.assertEqual(circle(self.graph), [])
+        self.assertEqual(find_cycle(self.graph), [])
 
-    def test_no_package_is_in_a_circle(self):
+    def test_packages_have_no_import_cycle(self):
         packages: dict[str, set[str]] = {}
-        for module, others in self.graph.items():
-            packages.setdefault(part(module), set()).update(
-                part(each) for each in others if part(each) != part(module)
+        for module, imported in self.graph.items():
+            packages.setdefault(package_of(module), set()).update(
+                package_of(each)
+                for each in imported
+                if package_of(each) != package_of(module)
             )
-        self.assertEqual(circle(packages), [])
+        self.assertEqual(find_cycle(packages), [])
 
-    def test_arrows_point_from_programs_to_subsystems_and_none_to_the_laboratory(self):
-        self.assertEqual(wrong(self.graph), [])
+    def test_only_top_level_packages_import_programs_and_the_lab(self):
+        self.assertEqual(forbidden_imports(self.graph), [])
 
-    def test_what_is_wrong_is_found(self):
-        known = names(ROOT / "milletsill")
+    def test_violations_are_detected(self):
+        known = modules(ROOT / "milletsill")
         text = "if 1:\n    from milletsill.lab import evidence\ndef f():\n    import milletsill.sftp_gateway.sftp_server\n"
         found = imports(text, known)
         self.assertEqual(
             found, {"milletsill.lab.evidence", "milletsill.sftp_gateway.sftp_server"}
         )
         self.assertEqual(
-            len(wrong({"milletsill.node_connections.connection_pool": found})), 2
+            len(
+                forbidden_imports(
+                    {"milletsill.node_connections.connection_pool": found}
+                )
+            ),
+            2,
         )
-        self.assertEqual(wrong({"milletsill.cli.main": found}), [])
-        self.assertEqual(len(circle({"a": {"b"}, "b": {"c"}, "c": {"a"}})), 4)
+        self.assertEqual(forbidden_imports({"milletsill.cli.main": found}), [])
+        self.assertEqual(len(find_cycle({"a": {"b"}, "b": {"c"}, "c": {"a"}})), 4)
 
 
-class Sizes(unittest.TestCase):
-    def test_files_hold_at_most_400_lines(self):
-        long = {
+class FileLengths(unittest.TestCase):
+    def test_files_have_at_most_400_lines(self):
+        oversized = {
             str(path.relative_to(ROOT))
             for folder in ("milletsill", "tests")
             for path in (ROOT / folder).rglob("*.py")
             if not path.name.endswith("_pb2.py")
             and len(path.read_text("utf-8").splitlines()) > 400
         }
-        self.assertEqual(long - TO_BE_SPLIT, set())
+        self.assertEqual(oversized - OVERSIZED_FILES, set())
 
 
-class Decisions(unittest.TestCase):
-    def test_the_files_of_the_module_are_named(self):
+class SchedulerPackage(unittest.TestCase):
+    def test_the_deployment_lists_all_files_of_the_scheduler(self):
         deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-        stand = sorted(
+        existing = sorted(
             str(each.relative_to(ROOT))
             for each in (ROOT / "milletsill/scheduler").rglob("*.py")
         )
-        self.assertEqual(sorted(deploy["policy"]), stand)
+        self.assertEqual(sorted(deploy["policy"]), existing)
         for each in deploy["node"]:
             self.assertTrue((ROOT / each).exists(), each)
 
-    def test_the_wire_and_the_facts_need_the_standard_library_alone(self):
+    def test_the_adapter_and_the_configuration_need_only_the_standard_library(self):
         for module in (
             "milletsill.wirehost.host",
             "milletsill.wirehost.__main__",
@@ -158,13 +172,13 @@
             "milletsill.deployment_settings",
             "milletsill.scheduler",
         ):
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-S", "-c", f"import {module}"],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
             )
-            self.assertEqual(done.returncode, 0, done.stderr)
+            self.assertEqual(completed.returncode, 0, completed.stderr)
 
 
 if __name__ == "__main__":
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -1,4 +1,8 @@
-"""The adapter: frames, records, rounding, killed instances and malformed input."""
+"""The simulator's adapter.
+
+The tests cover frames, records, the rounding of durations, crashed instances and
+malformed input.
+"""
 
 import io
 import json
@@ -25,12 +29,13 @@
 
 
 def event(code, *fields, tail=b""):
-    """A record as it stands in a frame."""
-    body = codec.FIXED_PARTS[code].pack(*fields) + tail
+    """Return an encoded event record."""
+    body = codec.FIXED_FIELDS[code].pack(*fields) + tail
     return codec.RECORD_HEADER.pack(code, len(body)) + body
 
 
 def frame(number, clock, *records, size=None, count=None):
+    """Return an encoded frame; a wrong size or count makes it malformed."""
     body = b"".join(records)
     size = codec.BATCH_HEADER.size + len(body) if size is None else size
     return (
@@ -46,16 +51,16 @@
 )
 
 
-class Wire(unittest.TestCase):
-    def answered(self, data):
+class WireProtocol(unittest.TestCase):
+    def serve_all(self, data):
         sink = io.BytesIO()
         serve(io.BytesIO(data), sink)
         return sink.getvalue()
 
-    def test_an_empty_batch_gets_an_empty_reply_and_the_end_is_clean(self):
-        self.assertEqual(self.answered(frame(1, 5)).hex(), "0100000008000000")
+    def test_an_empty_batch_gets_an_empty_reply_and_the_input_ends_cleanly(self):
+        self.assertEqual(self.serve_all(frame(1, 5)).hex(), "0100000008000000")
 
-    def test_malformed_input_is_named(self):
+    def test_malformed_input_is_rejected(self):
         for data in (
             frame(1, 5)[:7],
             frame(1, 5, size=3),
@@ -67,9 +72,9 @@
             frame(1, 5, b"\x0b\xff\xff\xff\xff"),
         ):
             with self.assertRaises(MalformedBatchError):
-                self.answered(data)
+                self.serve_all(data)
 
-    def test_limits_round_so_that_none_is_passed(self):
+    def test_durations_are_rounded_to_the_safe_side(self):
         self.assertEqual(
             [
                 deployment_settings.ticks_at_most(250_000_000),
@@ -78,7 +83,7 @@
             [2499, 2502],
         )
 
-    def test_settings_take_our_names_and_pass_over_unknown_ones(self):
+    def test_settings_are_decoded_and_unknown_ones_are_ignored(self):
         config = codec.decode_config(SETTINGS)
         self.assertEqual(
             (config.gateway_count, config.rewatch_within, config.retry_budget_window),
@@ -87,10 +92,10 @@
         self.assertNotIn("unknown", {each.name for each in fields(config)})
 
     def test_a_roster_number_is_reused_within_a_batch(self):
-        host, heard = Host(), []
+        host, updates = Host(), []
         host.answer(Batch(1, 0, list(codec.decode_events(BORN, 1))))
-        host.instances[3].scheduler.on_endpoints = lambda now, news, entries: (
-            heard.append((news, [entry.node for entry in entries]))
+        host.instances[3].scheduler.on_endpoints = lambda now, kind, endpoints: (
+            updates.append((kind, [endpoint.node for endpoint in endpoints]))
         )
         rosters = [
             event(
@@ -105,26 +110,26 @@
         body = event(EventCode.INSTANCE, 3) + rosters[0] + update + rosters[1] + update
         host.answer(Batch(2, 0, list(codec.decode_events(body, 2))))
         self.assertEqual(
-            heard,
+            updates,
             [(EndpointUpdateKind.SNAPSHOT, [5]), (EndpointUpdateKind.SNAPSHOT, [6])],
         )
 
-    def test_a_killed_instance_says_nothing_more_and_its_next_life_starts_anew(self):
+    def test_a_crashed_instance_takes_no_action_and_is_born_with_new_state(self):
         host = Host()
         host.answer(Batch(1, 0, list(codec.decode_events(BORN, 1))))
-        first = host.instances[3].scheduler
+        crashed = host.instances[3].scheduler
         body = event(EventCode.INSTANCE, 3) + event(EventCode.CRASH_NOW) + BORN
         reply = host.answer(Batch(2, 0, list(codec.decode_events(body, 2))))
-        self.assertIsNot(host.instances[3].scheduler, first)
+        self.assertIsNot(host.instances[3].scheduler, crashed)
         self.assertEqual(
             reply,
             codec.encode_reply(2, [codec.encode_source(3), codec.encode_watch(1)]),
         )
 
-    def test_an_exception_in_the_module_is_said_with_its_place(self):
+    def test_an_exception_in_the_scheduler_is_reported_with_its_location(self):
         host = Host()
         host.answer(Batch(1, 0, list(codec.decode_events(BORN, 1))))
-        host.instances[3].scheduler.on_client_cancelled = lambda now, tid: 1 // 0
+        host.instances[3].scheduler.on_client_cancelled = lambda now, request_id: 1 // 0
         events = [
             Event(EventCode.INSTANCE, (3,), b""),
             Event(EventCode.ABANDONED, (1,), b""),
@@ -132,11 +137,11 @@
         reply = host.answer(Batch(2, 0, events))
         self.assertIn(b"ZeroDivisionError", reply)
 
-    def test_an_answer_comes_in_our_terms(self):
-        host, heard = Host(), []
+    def test_an_attempt_result_is_decoded(self):
+        host, results = Host(), []
         host.answer(Batch(1, 0, list(codec.decode_events(BORN, 1))))
-        host.instances[3].scheduler.on_attempt_result = lambda now, answer: (
-            heard.append((now, answer))
+        host.instances[3].scheduler.on_attempt_result = lambda now, result: (
+            results.append((now, result))
         )
         record = event(EventCode.RETURNED, 1, 253, 7, 0, 0, 1, 2, 250_000, 0)
         host.answer(
@@ -146,15 +151,15 @@
                 list(codec.decode_events(event(EventCode.INSTANCE, 3) + record, 2)),
             )
         )
-        now, answer = heard[0]
+        now, result = results[0]
         self.assertEqual(
             (
                 now,
-                answer.outcome,
-                answer.request_finished,
-                answer.attempt_number,
-                answer.latency,
-                answer.volume_usage,
+                result.outcome,
+                result.request_finished,
+                result.attempt_number,
+                result.latency,
+                result.volume_usage,
             ),
             (2, AttemptOutcome.TIMED_OUT, True, 2, 2, None),
         )
