--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -89,22 +89,23 @@
             self.assertEqual(codec.decode(octets[f"frame {name}"]), message, name)
         calls = registers.decode_frame(octets["registers calls"]).calls.call
         self.assertEqual(
-            [registers.decode_request("gateway-1", each) for each in calls], made.CALLS
+            [registers.decode_request("gateway-1", each) for each in calls],
+            made.ACCEPTOR_REQUESTS,
         )
         answers = registers.decode_frame(octets["registers answers"]).answers
         self.assertEqual(
             [registers.decode_reply("gateway-1", each) for each in answers.answer],
-            made.ANSWERS,
+            made.ACCEPTOR_REPLIES,
         )
         self.assertEqual(registers.decode_identity(answers.own), made.IDENTITY)
         self.assertEqual(
             registers.decode_page(
                 registers.decode_frame(octets["registers page"]).page
             ),
-            made.PAGE,
+            made.SNAPSHOT_PAGE,
         )
         frame = health.decode_frame(octets["health"])
-        self.assertEqual(health.decode_delta(frame.difference[0], 0), made.NEWS)
+        self.assertEqual(health.decode_delta(frame.difference[0], 0), made.REPORT_DELTA)
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
         found = contracts.decode_record(octets["record"], 100, 1000, 0)
         self.assertEqual(record_of(found), record_of(made.channel()))
@@ -122,7 +123,8 @@
 
     def test_files_are_read(self):
         self.assertEqual(
-            endpoint_cache.read_cache(os.path.join(HERE, "list-1")), (made.BOXES, 12)
+            endpoint_cache.read_cache(os.path.join(HERE, "list-1")),
+            (made.REGISTERED_NODES, 12),
         )
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
@@ -131,7 +133,7 @@
             self.addCleanup(store.close)
             self.assertEqual(
                 (store.read("v/c"), store.ballot_floor, store.identity),
-                (made.RECORD, 11, StateIdentity(1, 77, 1)),
+                (made.LEASE_RECORD, 11, StateIdentity(1, 77, 1)),
             )
             self.assertEqual(store.known, {"gateway-2": made.IDENTITY})
 
@@ -145,9 +147,10 @@
         frame.row[0].standing = 77
         read = FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
         self.assertEqual(
-            (read.type, read.kind, read.version, read.sender), (None, None, 2, made.ME)
+            (read.type, read.kind, read.version, read.sender),
+            (None, None, 2, made.SENDER),
         )
-        self.assertEqual(read.updates, made.ROWS[1:])
+        self.assertEqual(read.updates, made.MEMBERS[1:])
         frame.least = 2
         with self.assertRaises(FrameVersionTooNewError):
             FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
@@ -212,11 +215,11 @@
                 b"R" + wire.Frame(version=2).SerializeToString() + LATER
             ).WhichOneof("what")
         )
-        call = registers.encode_request(made.CALLS[0])
+        call = registers.encode_request(made.ACCEPTOR_REQUESTS[0])
         call.ask = 99
         self.assertIsNone(registers.decode_request("gateway-1", call))
         for field in ("ask", "say"):
-            answer = registers.encode_reply(made.ANSWERS[0])
+            answer = registers.encode_reply(made.ACCEPTOR_REPLIES[0])
             setattr(answer, field, 99)
             self.assertIsNone(registers.decode_reply("gateway-1", answer))
 
--- a/tests/gateway/test_scheduler_host.py
+++ b/tests/gateway/test_scheduler_host.py
@@ -60,8 +60,12 @@
 
 class SchedulerHostTest(unittest.TestCase):
     def setUp(self):
-        self.clock, self.pool = Clock(), FakeConnectionPool()
-        self.sink, self.log = RecordingSink(), []
+        self.clock, self.pool, self.sink, self.log = (
+            Clock(),
+            FakeConnectionPool(),
+            RecordingSink(),
+            [],
+        )
         self.host = SchedulerHost(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000 + 0.5),
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -1,6 +1,8 @@
-"""What is on the wire and on disk stays to the octet.
+"""The encoded messages and stored files stay the same, byte for byte.
 
-Recorded octets are read, and the same values give the same octets.
+Recorded bytes must be decoded to the values they were made from, and these values must
+be encoded to the same bytes; otherwise versions in one fleet do not understand each
+other.
 """
 
 import json
@@ -18,6 +20,7 @@
 
 
 def recorded(name):
+    """Return the encoded values that a fixture file records, by name."""
     with open(os.path.join(HERE, name), encoding="ascii") as source:
         return {key: bytes.fromhex(each) for key, each in json.load(source).items()}
 
@@ -25,28 +28,28 @@
 class RecordedWire(unittest.TestCase):
     maxDiff = None
 
-    def test_every_recorded_message_is_read(self):
-        found, expected = make_wire.read(recorded("wire-1.json")), make_wire.values()
-        self.assertEqual(found.keys(), expected.keys())
+    def test_recorded_messages_are_decoded(self):
+        decoded, expected = make_wire.read(recorded("wire-1.json")), make_wire.values()
+        self.assertEqual(decoded.keys(), expected.keys())
         for name, value in expected.items():
-            self.assertEqual(found[name], value, name)
+            self.assertEqual(decoded[name], value, name)
 
-    def test_the_same_values_give_the_same_octets(self):
-        for file, made in (
+    def test_the_same_values_are_encoded_to_the_same_bytes(self):
+        for file, encoded in (
             ("wire-1.json", make_wire.write()),
             ("octets-1.json", make_octets.octets()),
         ):
-            held = recorded(file)
-            self.assertEqual(made.keys(), held.keys())
-            for name, data in held.items():
-                self.assertEqual(made[name].hex(), data.hex(), name)
+            expected = recorded(file)
+            self.assertEqual(encoded.keys(), expected.keys())
+            for name, data in expected.items():
+                self.assertEqual(encoded[name].hex(), data.hex(), name)
 
-    def test_the_state_files_are_read(self):
-        held = recorded("wire-1.json")
+    def test_the_state_files_are_decoded(self):
+        files = recorded("wire-1.json")
         with tempfile.TemporaryDirectory() as folder:
             for name in (*epoch_store.SLOT_NAMES, "run"):
                 with open(os.path.join(folder, name), "wb") as sink:
-                    sink.write(held[f"file {name}"])
+                    sink.write(files[f"file {name}"])
             epochs = [
                 epoch_store.read_slot(os.path.join(folder, name))
                 for name in epoch_store.SLOT_NAMES
@@ -56,13 +59,13 @@
             )
             self.assertEqual(next_incarnation(os.path.join(folder, "run")), (43, None))
 
-    def test_the_tables_of_a_register_file_are_as_recorded(self):
+    def test_the_acceptor_store_creates_the_recorded_tables(self):
         def tables(path):
             import sqlite3
 
-            with sqlite3.connect(path) as base:
+            with sqlite3.connect(path) as database:
                 return sorted(
-                    base.execute("select name, sql from sqlite_master").fetchall()
+                    database.execute("select name, sql from sqlite_master").fetchall()
                 )
 
         with tempfile.TemporaryDirectory() as folder:
