--- a/milletsill/fleet/__init__.py
+++ b/milletsill/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""What gateways tell each other.
+"""Communication between the gateways of a fleet.
 
-Loaded only where a gateway's file has a `fleet` block.
+A gateway imports this package only if its settings file has a `fleet` block.
 
-See docs/fleet.md for the design and for operators.
+docs/fleet.md describes the design and the operation of a fleet.
 """
--- a/milletsill/fleet/errors.py
+++ b/milletsill/fleet/errors.py
@@ -1,4 +1,4 @@
-"""The fleet's errors; docs/fleet.md has what to do about each."""
+"""Errors of the fleet; docs/fleet.md says how to resolve each."""
 
 from __future__ import annotations
 
@@ -6,72 +6,82 @@
 
 
 class IncarnationLostError(MilletsillError):
-    """Others knew an incarnation of this name as late as this one, or later."""
+    """Other gateways know an equal or later incarnation of this gateway's name."""
 
     remedy = (
-        "if state_dir was lost or put back from a copy, nothing: the gateway has gone "
-        "past that run; if not, see that no other gateway bears this name"
+        "if state_dir was lost or restored from a backup, no action is needed: the "
+        "gateway has taken a later incarnation; otherwise check that no other gateway "
+        "has this name"
     )
 
 
 class DuplicateMemberNameError(MilletsillError):
-    """Two live gateways have one name."""
+    """Two running gateways have the same name."""
 
     remedy = (
-        "give each gateway's file a name of its own and restart the one that is wrong; "
-        "until then one of them is in no view"
+        "give each gateway a unique name in its settings file and restart the one that "
+        "was wrong; until then one of the two is not a member of any view"
     )
 
 
 class MemberLimitReachedError(MilletsillError):
-    """There are more members than the configured bound."""
+    """The fleet has more members than the configured maximum."""
 
-    remedy = "raise fleet.most_members in all files, or see why so many names come up"
+    remedy = (
+        "raise fleet.most_members in the settings file of every gateway, or find out "
+        "why there are so many gateway names"
+    )
 
 
 class NoPeersReachableError(MilletsillError):
-    """No other gateway has answered since the start."""
+    """No other gateway has answered since this gateway started."""
 
     remedy = (
-        "see that one of fleet.join is up and reached over UDP and TCP, and that "
-        "fleet.name is the same there"
+        "check that at least one address of fleet.join is up and reachable over UDP "
+        "and TCP, and that fleet.name is the same there"
     )
 
 
 class FleetAddressUnavailableError(MilletsillError):
-    """The address for other gateways cannot be listened on."""
+    """This gateway cannot listen on its fleet address."""
 
-    remedy = "free the address or change fleet.address; UDP and TCP are both needed"
+    remedy = (
+        "free the address or change fleet.address; the same port must be free for UDP "
+        "and for TCP"
+    )
 
 
 class MalformedFrameError(MilletsillError):
-    """Octets that are no frame of a gateway."""
+    """The received bytes are not a valid frame between gateways."""
 
     remedy = (
-        "see what else sends to the fleet's address; a gateway sends nothing of the "
-        "kind"
+        "find out which other program sends to the fleet address; a gateway does not "
+        "send such frames"
     )
 
 
 class FrameTooLongError(MalformedFrameError):
-    """A frame over its bound."""
+    """A frame is longer than its maximum length."""
 
-    remedy = "shorten names, or see what else sends to the fleet's address"
+    remedy = (
+        "shorten the names in the settings files, or find out which other program "
+        "sends to the fleet address"
+    )
 
 
 class FleetNameMismatchError(MilletsillError):
-    """A frame of a fleet with another name."""
+    """A frame comes from a fleet with a different name."""
 
     remedy = (
-        "if both are one fleet, give `fleet.name` the same value in all files; else "
-        "take the address out of `fleet.join`"
+        "if both gateways belong to one fleet, set the same `fleet.name` in all "
+        "settings files; otherwise remove the address from `fleet.join`"
     )
 
 
 class FrameVersionTooNewError(MilletsillError):
-    """A frame that only a later version of the program can read."""
+    """Only a later version of the program can decode a frame."""
 
     remedy = (
-        "bring this gateway to the version of the others; until then it does not hear "
-        "those"
+        "upgrade this gateway to the version of the others; until then it ignores "
+        "their frames"
     )
--- a/milletsill/fleet/health/__init__.py
+++ b/milletsill/fleet/health/__init__.py
@@ -1,4 +1,5 @@
-"""Health of storage nodes that gateways observe and judge together.
+"""Shared health: gateways exchange observations of nodes and derive common verdicts.
 
-`shared_health` is the gateway's side; the other modules do no I/O. See docs/health.md.
+`shared_health` connects it to a gateway; the other modules do no I/O. docs/health.md
+describes the design.
 """
--- a/milletsill/fleet/health/codec.py
+++ b/milletsill/fleet/health/codec.py
@@ -1,7 +1,7 @@
-"""Frames of kind HEALTH to and from report deltas and versions.
+"""Encodes report deltas and versions as frames of kind HEALTH, and decodes them.
 
-A frame is protobuf of bounded length. It carries ages in place of times, so that no
-clock is compared with another. Values are sent as small fixed-point integers.
+A frame is a protobuf message of bounded length. It carries ages instead of times, so
+that clocks of two gateways are never compared. Values are sent as fixed-point integers.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 )
 
 FORMAT_VERSION = 1
-MAX_FRAME_BYTES = 60_000  # above it another frame begins
-MAX_DELTA_BYTES = 4 * MAX_FRAME_BYTES  # a longer delta is not sent at all
+MAX_FRAME_BYTES = 60_000  # a frame exceeds this only with a single, longer delta
+MAX_DELTA_BYTES = 4 * MAX_FRAME_BYTES  # a longer delta is not sent
 MAX_RECEIVED_BYTES = 5 * MAX_FRAME_BYTES
 MAX_OBSERVATIONS = 4096  # in one delta
-FIELD_OVERHEAD_BYTES = 4  # of a delta or version in a frame, beside its own octets
+FIELD_OVERHEAD_BYTES = 4  # bound on tag and length of a delta or version in a frame
 
 TICKS_PER_MS = 10
 MAX_AGE_MS = 600_000
@@ -36,7 +36,7 @@
 
 
 def encode_delta(delta: ReportDelta, now: int) -> Difference:
-    """Return the message for a delta, with ages as of `now`."""
+    """Return the protobuf message for a delta, with ages relative to `now`."""
     message = Difference(
         origin=delta.origin,
         run=delta.incarnation,
@@ -59,25 +59,26 @@
 
 
 def decode_delta(message: Difference, now: int) -> ReportDelta:
-    """Return the delta of a message, with times relative to `now`.
+    """Return the delta in a message, with ages converted to local times.
 
-    Values out of their bounds are clamped: whatever an origin claims is one vote.
+    Values are clamped to their bounds, so that no origin counts for more than one vote.
 
     Raises:
-        MalformedHealthReportError: Its sequence numbers contradict, or it has
-            too many observations.
+        MalformedHealthReportError: The sequence numbers contradict each other, or the
+            message has too many observations.
     """
     if len(message.word) > MAX_OBSERVATIONS or message.base > message.sequence:
         raise MalformedHealthReportError(
-            f"{len(message.word)} observations, "
-            f"sequence {message.base} to {message.sequence}",
+            f"a delta of {len(message.word)} observations (at most {MAX_OBSERVATIONS}) "
+            f"from sequence {message.base} to {message.sequence}",
             f"origin {message.origin:016x}",
         )
     observations = {}
     for fields in message.word:
         if fields.back > message.sequence:
             raise MalformedHealthReportError(
-                f"an observation {fields.back} before sequence {message.sequence}",
+                f"an observation {fields.back} sequence numbers before "
+                f"{message.sequence}, which is less than 0",
                 f"origin {message.origin:016x}",
             )
         observations[fields.box] = _decode_observation(fields, message.sequence, now)
@@ -104,8 +105,11 @@
     return max(min(scaled_pace, MAX_SCALED_PACE), -MAX_SCALED_PACE)
 
 
-def as_sent(observation: NodeObservation) -> NodeObservation:
-    """Return an observation as all others will have it, so that the origin keeps it."""
+def quantize(observation: NodeObservation) -> NodeObservation:
+    """Round an observation to the precision of the wire format.
+
+    The origin stores the rounded values, so that they equal those at other gateways.
+    """
     return NodeObservation(
         observation.sequence,
         observation.observed_at,
@@ -122,10 +126,11 @@
 def encode_frames(
     deltas: Iterable[ReportDelta], versions: Iterable[ReportVersion], now: int
 ) -> Iterator[bytes]:
-    """Yield frames for deltas and versions, each within the bound on length.
+    """Yield frames with deltas and versions.
 
-    A delta is never split, since a part would claim to be whole: one that is too long
-    for a frame goes alone, and one past MAX_DELTA_BYTES is not sent.
+    A delta is never split, since a receiver would take a part for the whole. A delta
+    longer than MAX_FRAME_BYTES has a frame to itself; one longer than MAX_DELTA_BYTES
+    is not sent.
     """
     messages: list[Difference | Known] = [encode_delta(delta, now) for delta in deltas]
     for version in versions:
@@ -159,22 +164,22 @@
     """Parse a frame; fields of later versions are ignored.
 
     Raises:
-        MalformedHealthReportError: It is too long, or no frame.
+        MalformedHealthReportError: The frame is too long or not valid protobuf.
     """
     if len(body) > MAX_RECEIVED_BYTES:
         raise MalformedHealthReportError(
-            f"a frame of {len(body)} bytes, {MAX_RECEIVED_BYTES} at most"
+            f"a frame of {len(body)} bytes, the maximum is {MAX_RECEIVED_BYTES}"
         )
     try:
         return Frame.FromString(body)
     except DecodeError as error:
         raise MalformedHealthReportError(
-            "a frame that is no protobuf of ours"
+            "a frame that is not a valid protobuf health report"
         ) from error
 
 
 def decode_versions(frame: Frame) -> dict[int, ReportVersion]:
-    """Return the versions that the sender of a frame has, by origin."""
+    """Return the report versions that the sender of a frame has, by origin."""
     return {
         known.origin: ReportVersion(known.origin, known.run, known.sequence)
         for known in frame.known
--- a/milletsill/fleet/health/health_evaluator.py
+++ b/milletsill/fleet/health/health_evaluator.py
@@ -1,8 +1,9 @@
-"""Verdicts on nodes from the reports of all gateways. No I/O, no clock, no chance.
+"""Derives verdicts on nodes from the reports of all gateways. No I/O, no clock.
 
-`HealthEvaluator.evaluate` is a function of the reports, the view and what the evaluator
-held before. Gateways with equal reports and views agree within a few evaluations.
-Times are whole tenths of a millisecond. See docs/health.md.
+`HealthEvaluator.evaluate` depends only on the reports, the view, the time and the
+evaluator's earlier state; nothing is random. Gateways with equal reports and views
+agree within a few evaluations. Times are in whole tenths of a millisecond. See
+docs/health.md.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from milletsill.fleet.health.tuning import (
     MIN_PACED_VOTES,
     MIN_PROBERS,
-    OBSERVATION_FADE,
+    OBSERVATION_DECAY_TIME,
     OVERLOADED_WASTE,
     PROBER_LOAD_FACTOR,
     PROBES_PER_SECOND,
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictChange:
-    """A verdict that changed, and on what grounds."""
+    """A change of a node's verdict, and its cause."""
 
     node: int
     previous: HealthVerdict
@@ -54,8 +55,9 @@
     """Advice to one gateway on a node that is not HEALTHY.
 
     Attributes:
-        load_factor: What speaks against the node, in shortest target times.
-        avoid: Whether this gateway should send it nothing.
+        load_factor: Cost that the scheduler adds to the node, in units of the shortest
+            latency objective.
+        avoid: Whether this gateway should send nothing to the node.
     """
 
     load_factor: float
@@ -63,19 +65,21 @@
 
 
 class HealthEvaluator:
-    """Verdicts of one gateway on all nodes.
+    """Holds one gateway's verdicts on all nodes.
+
+    A flagged node has the verdict DEGRADED or FAILING.
 
     Args:
-        max_called_share: Share of the nodes, and of a shard's, that may be called ill
-            at once.
+        max_flagged_share: Largest share of all nodes, and of the nodes of a shard, that
+            may be flagged at once.
     """
 
-    def __init__(self, max_called_share: float) -> None:
-        self.max_called_share = max_called_share
+    def __init__(self, max_flagged_share: float) -> None:
+        self.max_flagged_share = max_flagged_share
         self.nodes: dict[int, NodeVerdict] = {}
-        self.disregarded = 0  # nodes over the limit at the last evaluation
+        self.disregarded = 0  # impaired nodes not flagged, being over the limit
         self._weighting = VoteWeighting()
-        self._answer_rate = 0.0  # a second, of the median gateway from one node
+        self._answer_rate = 0.0  # answers per second of the median gateway from a node
         self._evaluated_at = 0
         self._first_at: int | None = None
 
@@ -92,33 +96,33 @@
         Args:
             store: All reports.
             members: Number of gateways in the view.
-            ranking: Each origin's place for a node.
-            shards: The listed nodes, with their shards.
-            now: Present time.
+            ranking: Each origin's place in the ranking for a node.
+            shards: The nodes on the endpoint list, each with its shard.
+            now: The current time.
 
         Returns:
-            The verdicts that changed; none until the warm-up is over, since the few
-            reports that come first could mislead.
+            The verdicts that changed; none during the warm-up, since the first few
+            reports could mislead.
         """
-        self._track(shards)
+        self._track_listed_nodes(shards)
         self._tally(store, members, ranking, now)
         if self._first_at is None:
             self._first_at = now
         if now - self._first_at < WARM_UP:
             return []
-        findings = {node: held.find() for node, held in self.nodes.items()}
-        self._limit_called(findings, shards)
+        findings = {node: state.next_finding() for node, state in self.nodes.items()}
+        self._limit_flagged(findings, shards)
         overloaded = self._median_waste() > OVERLOADED_WASTE
         changes = []
         for node, finding in findings.items():
-            held = self.nodes[node]
-            change = self.apply_finding(node, held, finding, members, overloaded)
+            state = self.nodes[node]
+            change = self.apply_finding(node, state, finding, members, overloaded)
             if change is not None:
                 changes.append(change)
         return changes
 
-    def _track(self, shards: ShardByNode) -> None:
-        """Hold a verdict on each listed node, and on no other."""
+    def _track_listed_nodes(self, shards: ShardByNode) -> None:
+        """Add listed nodes that are new, and remove nodes that are no longer listed."""
         for node in [each for each in self.nodes if each not in shards]:
             del self.nodes[node]
         for node in shards:
@@ -127,62 +131,67 @@
     def _tally(
         self, store: ReportStore, members: int, ranking: RendezvousRanking, now: int
     ) -> None:
-        """Count and weigh all votes, and take them into the smoothed figures."""
-        votes = collect_votes(store, self._fade_by_node(), now)
+        """Collect, weight and tally all votes, and update the smoothed values."""
+        votes = collect_votes(store, self._decay_times(), now)
         self._answer_rate = median_answer_rate(store, len(self.nodes), now)
         elapsed = max(now - self._evaluated_at, 0) if self._evaluated_at else 0
         self._evaluated_at = now
         self._weighting.apply(votes, elapsed)
-        for node, held in self.nodes.items():
+        for node, state in self.nodes.items():
             votes_on_node = votes.get(node, [])
-            share = held.admitted_share
+            share = state.admitted_share
             if share < 1:
                 votes_on_node = admitted_votes(
                     votes_on_node, members, share, ranking, node
                 )
-            held.tally = tally_votes(votes_on_node, members, share)
+            state.tally = tally_votes(votes_on_node, members, share)
         common_pace = self._common_pace()
-        for held in self.nodes.values():
-            held.smooth(elapsed, common_pace)
+        for state in self.nodes.values():
+            state.smooth(elapsed, common_pace)
+
+    def _decay_times(self) -> dict[int, float]:
+        """Return each node's time constant for the decay of observations.
 
-    def _fade_by_node(self) -> dict[int, float]:
-        """Return how fast observations fade: faster where a verdict may end."""
+        It is shorter for nodes that are not HEALTHY, so that a verdict ends sooner.
+        """
         return {
-            node: OBSERVATION_FADE
-            if held.verdict is HealthVerdict.HEALTHY
-            else OBSERVATION_FADE / 2
-            for node, held in self.nodes.items()
+            node: OBSERVATION_DECAY_TIME
+            if state.verdict is HealthVerdict.HEALTHY
+            else OBSERVATION_DECAY_TIME / 2
+            for node, state in self.nodes.items()
         }
 
     def _common_pace(self) -> float:
-        """Return the median node's pace: what all nodes have is not a node's own."""
+        """Return the median pace of the nodes: slowness that all share is no fault."""
         paces = [
-            held.tally.relative_pace
-            for held in self.nodes.values()
-            if held.tally.paced_weight >= MIN_PACED_VOTES
+            state.tally.relative_pace
+            for state in self.nodes.values()
+            if state.tally.paced_weight >= MIN_PACED_VOTES
         ]
         return max(median(paces or [0.0]), 0.0)
 
     def _median_waste(self) -> float:
-        wastes = [held.tally.wasted_share for held in self.nodes.values()]
+        wastes = [state.tally.wasted_share for state in self.nodes.values()]
         return median(wastes or [0.0])
 
-    def _limit_called(
+    def _limit_flagged(
         self, findings: dict[int, HealthFinding], shards: ShardByNode
     ) -> None:
-        """Guard the rest of the fleet against verdicts on too many nodes at once.
+        """Limit how many nodes are flagged, to protect the nodes that take their load.
 
-        The less impaired of a shard are not called; and where more than
-        `max_called_share` of all nodes are impaired, none is, since the fault is
-        elsewhere. The price: many nodes that are truly impaired go uncalled, and each
-        gateway learns alone, as without the others.
+        In a shard with too many impaired nodes, the less impaired ones are not flagged.
+        If more than `max_flagged_share` of all nodes are impaired, none is flagged,
+        since the fault is then elsewhere. The cost: if that many nodes are really
+        impaired, each gateway detects them on its own, as without shared health.
         """
         impaired = [
-            node for node, finding in findings.items() if self._counts(node, finding)
+            node
+            for node, finding in findings.items()
+            if self._counts_against_limit(node, finding)
         ]
         impaired.sort(
             key=lambda node: (
-                not self.nodes[node].is_called,
+                not self.nodes[node].is_flagged,
                 -self.nodes[node].tally.lost_share,
                 node,
             )
@@ -190,67 +199,67 @@
         shard_sizes: dict[int | None, int] = {}
         for shard in shards.values():
             shard_sizes[shard] = shard_sizes.get(shard, 0) + 1
-        fleet_limit = max(self.max_called_share * len(shards), 1.0)
+        fleet_limit = max(self.max_flagged_share * len(shards), 1.0)
         too_many = len(impaired) > fleet_limit
-        called: dict[int | None, int] = {}
+        flagged: dict[int | None, int] = {}
         self.disregarded = 0
         for node in impaired:
             shard = shards[node]
-            called[shard] = called.get(shard, 0) + 1
-            shard_limit = max(int(self.max_called_share * shard_sizes[shard]), 1)
-            if too_many or called[shard] > shard_limit:
+            flagged[shard] = flagged.get(shard, 0) + 1
+            shard_limit = max(int(self.max_flagged_share * shard_sizes[shard]), 1)
+            if too_many or flagged[shard] > shard_limit:
                 findings[node] = HealthFinding.OVER_LIMIT
                 self.disregarded += 1
 
-    def _counts(self, node: int, finding: HealthFinding) -> bool:
-        """Return whether a node counts against the limit."""
+    def _counts_against_limit(self, node: int, finding: HealthFinding) -> bool:
+        """Return whether a node counts toward the limit on flagged nodes."""
         if finding is HealthFinding.INCONCLUSIVE:
-            return self.nodes[node].is_called
+            return self.nodes[node].is_flagged
         return finding in (HealthFinding.FAILING, HealthFinding.IMPAIRED)
 
     def apply_finding(
         self,
         node: int,
-        held: NodeVerdict,
+        state: NodeVerdict,
         finding: HealthFinding,
         members: int,
         overloaded: bool,
     ) -> VerdictChange | None:
-        """Change a node's verdict and load as the table says."""
-        previous = held.verdict
-        held.verdict, action = next_verdict(previous, finding)
-        held.adjust_load(action, self._probing_share(members), overloaded)
-        if previous is held.verdict:
+        """Change a node's verdict and admitted share as the verdict table says."""
+        previous = state.verdict
+        state.verdict, action = next_verdict(previous, finding)
+        state.adjust_load(action, self._probing_share(members), overloaded)
+        if previous is state.verdict:
             return None
         if (
             previous is HealthVerdict.FAILING
-            or held.verdict is HealthVerdict.RECOVERING
+            or state.verdict is HealthVerdict.RECOVERING
         ):
-            held.smoothed_loss = held.tally.lost_share  # what was is over
-        return VerdictChange(node, previous, held.verdict, held.describe(finding))
+            state.smoothed_loss = state.tally.lost_share  # discards earlier loss
+        return VerdictChange(node, previous, state.verdict, state.describe(finding))
 
     def _probing_share(self, members: int) -> float:
-        """Return the share of the gateways that try each called node."""
-        called = max(sum(held.is_called for held in self.nodes.values()), 1)
-        probers = PROBES_PER_SECOND / called / max(self._answer_rate, 1e-9)
+        """Return the share of the gateways that probe each flagged node."""
+        flagged = max(sum(state.is_flagged for state in self.nodes.values()), 1)
+        probers = PROBES_PER_SECOND / flagged / max(self._answer_rate, 1e-9)
         return min(max(probers, MIN_PROBERS) / max(members, 1), 1.0)
 
     def not_healthy(self) -> list[int]:
-        """Return the nodes on which there is advice."""
+        """Return the nodes whose verdict is not HEALTHY."""
         return [
             node
-            for node, held in self.nodes.items()
-            if held.verdict is not HealthVerdict.HEALTHY
+            for node, state in self.nodes.items()
+            if state.verdict is not HealthVerdict.HEALTHY
         ]
 
     def advice(self, node: int, place: int, members: int) -> NodeAdvice:
-        """Return the advice for the gateway at a place of a node's ranking.
+        """Return the advice for the gateway at a place in a node's ranking.
 
-        Nothing speaks against the node for those chosen to try it, and later for those
-        for whom it is healthy again.
+        The load factor is PROBER_LOAD_FACTOR for the gateways that probe the node and,
+        while it recovers, for those that may send to it without restriction.
         """
-        held = self.nodes[node]
-        if is_admitted(place, members, held.unrestricted_share):
+        state = self.nodes[node]
+        if is_admitted(place, members, state.unrestricted_share):
             return NodeAdvice(PROBER_LOAD_FACTOR, avoid=False)
-        avoid = not is_admitted(place, members, held.admitted_share)
-        return NodeAdvice(held.load_factor(), avoid)
+        avoid = not is_admitted(place, members, state.admitted_share)
+        return NodeAdvice(state.load_factor(), avoid)
--- a/milletsill/fleet/health/health_metrics.py
+++ b/milletsill/fleet/health/health_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of shared health."""
+"""Prometheus metrics of shared health."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HealthMetrics:
-    """The metrics of one gateway; docs/health.md says what to do about each."""
+    """One gateway's metrics; docs/health.md says how to react to each."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._nodes = Gauge(
@@ -32,17 +32,17 @@
         )
         self._malformed_frames = Counter(
             "milletsill_health_refused",
-            "Frames with health reports that were malformed",
+            "Received health frames that were malformed",
             registry=registry,
         )
         self._reports = Gauge(
             "milletsill_health_rows",
-            "Health reports of gateways that are held, the own one included",
+            "Stored health reports, including this gateway's own",
             registry=registry,
         )
         self._disregarded_nodes = Gauge(
             "milletsill_health_doubted",
-            "Nodes that seem ill and are not called, since too many seem so",
+            "Nodes found impaired whose verdict is withheld, being over the limit",
             registry=registry,
         )
         self._avoided_nodes = Gauge(
@@ -52,15 +52,15 @@
         )
 
     def on_verdict_change(self, verdict: HealthVerdict) -> None:
-        """Count a change by the new verdict."""
+        """Count a verdict change by its new verdict."""
         self._verdict_changes.labels(verdict.value).inc()
 
     def on_sent(self, size: int) -> None:
-        """Count bytes that were sent."""
+        """Count bytes of sent reports."""
         self._sent_bytes.inc(size)
 
     def on_malformed_frame(self) -> None:
-        """Count a frame that was not taken."""
+        """Count a received frame that was malformed."""
         self._malformed_frames.inc()
 
     def set_verdicts(self, verdicts: Iterable[HealthVerdict]) -> None:
--- a/milletsill/fleet/health/node_observer.py
+++ b/milletsill/fleet/health/node_observer.py
@@ -1,8 +1,9 @@
-"""Results of this gateway's own attempts, as observations of nodes.
+"""Turns the results of this gateway's own attempts into observations of nodes.
 
-An observation says what failed, what came late, and the pace: the latency beside the
-usual one of nodes of the same kind with as much in progress, for requests of about the
-same size. No I/O, no clock.
+An observation holds the share of failed attempts, the share of late answers and the
+relative pace. The pace is the latency per unit of work, divided by the load per core.
+The relative pace compares it with the usual pace of nodes of the same kind and size for
+requests of about the same size. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
     MAX_RELATIVE_PACE,
     MIN_ANSWERS,
     MIN_PACE_SAMPLES,
-    OBSERVATION_FADE,
+    OBSERVATION_DECAY_TIME,
     PACE_WINDOW,
 )
 from milletsill.interface import AttemptOutcome, AttemptResult, Endpoint, Request
@@ -31,13 +32,16 @@
     AttemptOutcome.RESET,
     AttemptOutcome.ERROR,
 )
-# What was withdrawn, rejected by a full node or overtaken says nothing of its health.
+# Withdrawn, rejected and superseded attempts say nothing about a node's health.
 OBSERVED_OUTCOMES = (*FAILED_OUTCOMES, AttemptOutcome.SUCCEEDED)
-SLOW_PACE = 1.0  # log2 beyond the usual pace, from which on an answer is bad news
+SLOW_PACE = 1.0  # log2 over the usual pace; slower answers are reported at once
 
 
 class RunningMedian:
-    """The median of the latest paces, as log2; recomputed now and then."""
+    """The median of the latest PACE_WINDOW paces (log2).
+
+    To save time it is recomputed only once an eighth of the paces are new.
+    """
 
     def __init__(self) -> None:
         self._latest: deque[float] = deque(maxlen=PACE_WINDOW)
@@ -45,7 +49,7 @@
         self._until_recomputed = 0
 
     def learn(self, pace: float) -> float | None:
-        """Add a pace; return how far it is from the median, None if unknown yet."""
+        """Add a pace; return its difference from the median, None with few samples."""
         self._latest.append(pace)
         self._until_recomputed -= 1
         if self._until_recomputed <= 0:
@@ -57,16 +61,16 @@
 
 
 class NodeStatistics:
-    """Sums over one node's latest answers, which all fade alike.
+    """Sums over one node's latest attempt results, which decay exponentially.
 
     Attributes:
-        updated_at: Until when the sums have faded.
-        answers: Number of answers.
-        lost: Of these, failed attempts.
-        wasted: Of these, failed or later than their target.
-        paced: Of these, with a pace.
-        pace: Sum of the relative paces, as log2.
-        reported: Whether all of this is in the last report.
+        updated_at: The time up to which decay has been applied.
+        answers: Number of results.
+        lost: Number of failed attempts among them.
+        wasted: Number of results that failed or exceeded the latency objective.
+        paced: Number of results with a relative pace.
+        pace: Sum of the relative paces (log2).
+        reported: Whether the last report includes all results.
     """
 
     __slots__ = (
@@ -89,7 +93,7 @@
         self.reported = True
 
     def add(self, lost: bool, wasted: bool, relative_pace: float | None) -> None:
-        """Add one answer; `relative_pace` is log2 of its pace over the usual one."""
+        """Add a result; `relative_pace` is log2 of its pace over the usual pace."""
         self.answers += 1
         self.lost += lost
         self.wasted += wasted
@@ -98,9 +102,9 @@
             self.paced += 1
             self.pace += min(max(relative_pace, -MAX_RELATIVE_PACE), MAX_RELATIVE_PACE)
 
-    def fade(self, now: int) -> None:
-        """Let the sums fade until `now`."""
-        remaining = exp(-max(now - self.updated_at, 0) / OBSERVATION_FADE)
+    def decay(self, now: int) -> None:
+        """Apply the decay of the sums up to `now`."""
+        remaining = exp(-max(now - self.updated_at, 0) / OBSERVATION_DECAY_TIME)
         self.updated_at = now
         self.answers *= remaining
         self.lost *= remaining
@@ -109,7 +113,7 @@
         self.pace *= remaining
 
     def observation(self, now: int) -> NodeObservation:
-        """Return the sums as an observation that has no sequence number yet."""
+        """Return an observation from the sums; its sequence number is set later."""
         return NodeObservation(
             0,
             now,
@@ -124,10 +128,10 @@
 StatisticsByNode = dict[int, NodeStatistics]
 
 
-def has_news_of(statistics: StatisticsByNode, nodes: Iterable[int]) -> bool:
-    """Return whether there is anything unreported of one of the nodes.
+def has_unreported(statistics: StatisticsByNode, nodes: Iterable[int]) -> bool:
+    """Return whether any of the nodes has unreported results.
 
-    Few gateways try a called node, so that each of their observations counts.
+    Few gateways probe a flagged node, so each of their observations matters.
     """
     return any(node in statistics and not statistics[node].reported for node in nodes)
 
@@ -135,12 +139,12 @@
 def take_unreported(
     statistics: StatisticsByNode, now: int
 ) -> dict[int, NodeObservation]:
-    """Return what was not reported yet, and mark it as reported."""
+    """Return observations of nodes with unreported results; mark these as reported."""
     observations = {}
     for node, each in statistics.items():
         if each.reported:
             continue
-        each.fade(now)
+        each.decay(now)
         each.reported = True
         if each.answers > MIN_ANSWERS:
             observations[node] = each.observation(now)
@@ -148,7 +152,7 @@
 
 
 class PaceClass(NamedTuple):
-    """Answers whose paces are compared; a tuple, since each answer looks it up."""
+    """Class of answers with one usual pace; a tuple, as it is a key for each answer."""
 
     node_kind: int
     node_size: float
@@ -157,27 +161,27 @@
 
 
 class NodeObserver:
-    """All nodes as one gateway sees them.
+    """Collects one gateway's attempt results by node.
 
     Args:
-        latency_objectives: Target time of each request class, in tenths of a
+        latency_objectives: Latency objective of each request class, in tenths of a
             millisecond.
     """
 
     def __init__(self, latency_objectives: Sequence[int]) -> None:
         self.latency_objectives = latency_objectives
         self.statistics: StatisticsByNode = {}
-        self.has_bad_news = False  # an answer since the last report was lost or slow
+        self.has_urgent_results = False  # a failure or slow answer is unreported
         self._usual_paces: dict[PaceClass, RunningMedian] = {}
         self._endpoints: dict[int, Endpoint] = {}
 
     def on_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
-        """Take what the endpoint list says of some nodes."""
+        """Store the endpoint list's entries for some nodes."""
         for endpoint in endpoints:
             self._endpoints[endpoint.node] = endpoint
 
     def keep_only(self, nodes: Collection[int]) -> None:
-        """Forget the nodes that are no longer listed."""
+        """Remove all nodes except those given."""
         for node in [each for each in self.statistics if each not in nodes]:
             del self.statistics[node]
         for node in [each for each in self._endpoints if each not in nodes]:
@@ -186,7 +190,7 @@
     def on_attempt_result(
         self, now: int, request: Request, result: AttemptResult
     ) -> None:
-        """Take the end of one attempt into the node's statistics."""
+        """Add the result of one attempt to its node's statistics."""
         endpoint = self._endpoints.get(result.node)
         if endpoint is None or result.outcome not in OBSERVED_OUTCOMES:
             return
@@ -194,21 +198,21 @@
         if statistics is None:
             statistics = NodeStatistics(now)
             self.statistics[result.node] = statistics
-        statistics.fade(now)
+        statistics.decay(now)
         lost = result.outcome is not AttemptOutcome.SUCCEEDED
         objective = self.latency_objectives[request.request_class]
         late = not lost and result.latency > objective
         pace = None if lost else self._relative_pace(endpoint, request, result)
         statistics.add(lost, lost or late, pace)
-        self.has_bad_news |= lost or (pace is not None and pace > SLOW_PACE)
+        self.has_urgent_results |= lost or (pace is not None and pace > SLOW_PACE)
 
     def _relative_pace(
         self, endpoint: Endpoint, request: Request, result: AttemptResult
     ) -> float | None:
-        """Return log2 of the pace over the usual one; None if that is unknown.
+        """Return log2 of the pace over the usual pace; None if that is unknown.
 
-        A node that does not report its load is taken as one with nothing in progress:
-        a busy one then looks slow, and only the limits on verdicts hold.
+        A node that does not report its load counts as idle. If it is busy, it looks
+        slow, and only the limits on flagged nodes keep it in use.
         """
         cores = max(endpoint.size, 1.0)
         load = result.load_report
@@ -231,6 +235,6 @@
         return usual.learn(pace)
 
     def take_observations(self, now: int) -> dict[int, NodeObservation]:
-        """Return what was not reported yet, for the next report."""
-        self.has_bad_news = False
+        """Return the unreported observations, for the next report."""
+        self.has_urgent_results = False
         return take_unreported(self.statistics, now)
--- a/milletsill/fleet/health/node_verdict.py
+++ b/milletsill/fleet/health/node_verdict.py
@@ -1,4 +1,4 @@
-"""What one gateway holds of one node: its verdict, its smoothed figures, its load."""
+"""One gateway's state of a node: verdict, smoothed values and admitted share."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     MIN_ANSWERS,
     MIN_PACED_VOTES,
     MIN_VOTES,
-    MIN_VOTES_CALLED,
+    MIN_VOTES_FLAGGED,
     PACE_SMOOTHING,
     RAISE_STEP,
     RAISE_WASTE,
@@ -30,7 +30,7 @@
     RAMP_STEP,
 )
 from milletsill.fleet.health.verdict_table import (
-    CALLED_VERDICTS,
+    FLAGGED_VERDICTS,
     HealthFinding,
     HealthVerdict,
     LoadAction,
@@ -40,17 +40,18 @@
 
 @dataclass(slots=True)
 class NodeVerdict:
-    """What a gateway holds of one node.
+    """One gateway's verdict on a node, and the state that leads to it.
 
     Attributes:
         verdict: The verdict.
-        admitted_share: Share of the gateways, in the node's ranking, that may send.
-        unrestricted_share: Share that sends as if the node were healthy.
-        last_finding: What the last evaluation found, before it was confirmed.
-        repeated: For how many evaluations in a row that was found.
-        tally: The votes at the last evaluation.
-        smoothed_pace: Relative pace (log2), less what all nodes have.
-        smoothed_loss: Share of the answers that were failed attempts.
+        admitted_share: Share of the gateways that may send to the node, counted from
+            the top of its ranking.
+        unrestricted_share: Share of the gateways that send as if it were healthy.
+        last_finding: Finding of the last evaluation, before confirmation.
+        repeated: Number of consecutive evaluations with that finding.
+        tally: Tally of the votes at the last evaluation.
+        smoothed_pace: Smoothed relative pace (log2), less the median over all nodes.
+        smoothed_loss: Smoothed share of failed attempts.
     """
 
     verdict: HealthVerdict = HealthVerdict.HEALTHY
@@ -63,20 +64,20 @@
     smoothed_loss: float = 0.0
 
     @property
-    def is_called(self) -> bool:
-        """Whether gateways are told to send less to the node."""
-        return self.verdict in CALLED_VERDICTS
+    def is_flagged(self) -> bool:
+        """Whether gateways are advised to send less to the node."""
+        return self.verdict in FLAGGED_VERDICTS
 
     def smooth(self, elapsed: int, common_pace: float) -> None:
-        """Take the tally into the smoothed figures, `elapsed` after the last time.
+        """Update the smoothed values with the tally, `elapsed` after the last update.
 
-        A called node needs fewer votes with a pace: few gateways try it, so that in a
-        small or quiet fleet the pace for which it was called could never fade. The
-        price is noise, on nodes that are called already.
+        A flagged node needs less vote weight with a pace. Few gateways probe it, so in
+        a small or idle fleet the pace for which it was flagged might never decrease.
+        The cost is noise in the pace of nodes that are already flagged.
         """
         tally = self.tally
         if tally.paced_weight >= (
-            MIN_VOTES_CALLED if self.is_called else MIN_PACED_VOTES
+            MIN_VOTES_FLAGGED if self.is_flagged else MIN_PACED_VOTES
         ):
             self.smoothed_pace += (1 - exp(-elapsed / PACE_SMOOTHING)) * (
                 tally.relative_pace - common_pace - self.smoothed_pace
@@ -86,8 +87,8 @@
                 tally.lost_share - self.smoothed_loss
             )
 
-    def find(self) -> HealthFinding:
-        """Return what the tally says, with hysteresis in thresholds and in time."""
+    def next_finding(self) -> HealthFinding:
+        """Return the finding of this evaluation, with hysteresis and confirmation."""
         finding = self._classify()
         self.repeated = self.repeated + 1 if finding is self.last_finding else 1
         self.last_finding = finding
@@ -99,7 +100,7 @@
         tally = self.tally
         if tally.weight <= MIN_ANSWERS:
             return HealthFinding.UNOBSERVED
-        if tally.weight < (MIN_VOTES_CALLED if self.is_called else MIN_VOTES):
+        if tally.weight < (MIN_VOTES_FLAGGED if self.is_flagged else MIN_VOTES):
             return HealthFinding.INCONCLUSIVE
         if tally.lost_share >= FAILING_LOSS:
             return HealthFinding.FAILING
@@ -109,7 +110,7 @@
             or self.smoothed_pace >= IMPAIRED_PACE
         ):
             return HealthFinding.IMPAIRED
-        # What a FAILING node lost before does not keep it so.
+        # Losses of the past must not keep a node FAILING.
         failing = self.verdict is HealthVerdict.FAILING
         past_loss = 0.0 if failing else self.smoothed_loss
         if (
@@ -120,7 +121,7 @@
         return HealthFinding.INCONCLUSIVE
 
     def _is_restored(self, finding: HealthFinding) -> bool:
-        """Return whether nothing speaks against the node and all send to it."""
+        """Return whether no votes are against the node and all gateways send to it."""
         if self.admitted_share < 1 or self.unrestricted_share < 1:
             return False
         if finding is HealthFinding.INCONCLUSIVE:
@@ -133,9 +134,9 @@
         """Change which gateways may send to the node.
 
         Args:
-            action: What the verdict table says.
-            probing_share: Share of the gateways that always try the node.
-            overloaded: Whether the other nodes could not bear this node's load.
+            action: The action in the verdict table.
+            probing_share: Share of the gateways that always probe the node.
+            overloaded: Whether the other nodes lack capacity for this node's load.
         """
         if action is LoadAction.CUT:
             self._cut(FAILING_CUT_FACTOR, probing_share)
@@ -158,7 +159,7 @@
         self.admitted_share = max(self.admitted_share * factor, probing_share)
 
     def load_factor(self) -> float:
-        """Return what speaks against the node, in shortest target times."""
+        """Return the node's extra cost in units of the shortest latency objective."""
         if self.verdict is HealthVerdict.FAILING:
             return MAX_LOAD_FACTOR
         slowness = max(2**self.smoothed_pace - 1, 0.0)
@@ -167,10 +168,10 @@
         )
 
     def describe(self, finding: HealthFinding) -> str:
-        """Return a finding and the figures that it rests on, for the log."""
+        """Return a finding and the values behind it, for the log."""
         tally = self.tally
         return (
             f"{finding.value}: {tally.weight:.1f} votes, {tally.lost_share:.2f} lost, "
             f"{tally.wasted_share:.2f} wasted, "
-            f"pace {2**self.smoothed_pace:.1f} of the usual"
+            f"pace {2**self.smoothed_pace:.1f} times the usual"
         )
--- a/milletsill/fleet/health/rendezvous_ranking.py
+++ b/milletsill/fleet/health/rendezvous_ranking.py
@@ -1,37 +1,37 @@
-"""Order of the gateways for each node, by rendezvous hashing: the same at all."""
+"""Ranks the gateways for each node by rendezvous hashing, equally at all gateways."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-# The name under which a node is hashed. All gateways have to use the same one.
-HASHED_NAME = "box {}"
+# The key by which a node is hashed; it must be the same at all gateways.
+NODE_KEY_FORMAT = "box {}"
 
 OrderOrigins = Callable[[str], Iterable[int]]
 
 
 class RendezvousRanking:
-    """Places of the present origins for each node, cached until the view changes."""
+    """Caches each node's ranking of the present origins until the view changes."""
 
     def __init__(self, order_origins: OrderOrigins = lambda name: ()) -> None:
         self._order_origins = order_origins
         self._places: dict[int, dict[int, int]] = {}
 
     def update(self, order_origins: OrderOrigins) -> None:
-        """Start anew with a view in which `order_origins` ranks all for a name."""
+        """Discard the cache, and rank origins with `order_origins` from now on."""
         self._order_origins = order_origins
         self._places = {}
 
     def places(self, node: int) -> dict[int, int]:
-        """Return each origin's place for a node; 0 is the first."""
+        """Return each origin's place in the ranking for a node, from 0."""
         places = self._places.get(node)
         if places is None:
-            origins = self._order_origins(HASHED_NAME.format(node))
+            origins = self._order_origins(NODE_KEY_FORMAT.format(node))
             places = {origin: place for place, origin in enumerate(origins)}
             self._places[node] = places
         return places
 
 
 def is_admitted(place: int, members: int, share: float) -> bool:
-    """Return whether a place is among the first `share` of the members, or is first."""
+    """Return whether a place is the first or in the first `share` of the members."""
     return place < max(share * members, 1.0)
--- a/milletsill/fleet/health/report_exchange.py
+++ b/milletsill/fleet/health/report_exchange.py
@@ -1,8 +1,8 @@
-"""How reports travel: gossip of new deltas, and anti-entropy for what that misses.
+"""Distributes reports by gossip of new deltas and by anti-entropy.
 
-Each new delta goes once to a few random members with the next round; every second a
-gateway tells one random member which versions it has and gets the rest. No socket, no
-clock. A message that is sent may be lost.
+In each round a gateway sends new deltas once to GOSSIP_FANOUT random members. Every
+second it sends the versions of its reports to one random member, which answers with
+what is missing. No socket, no clock. Messages may be lost.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 class ReportExchange:
-    """One gateway's part in the exchange of reports.
+    """Sends and receives reports for one gateway.
 
     Args:
-        store: This gateway's reports.
-        seed: For the choice of members.
-        send: Sends a frame to a member; it may be lost.
+        store: The reports that this gateway has.
+        seed: Seed of the random choice of members.
+        send: Sends a frame to a member; the frame may be lost.
     """
 
     def __init__(self, store: ReportStore, seed: int, send: SendFrame) -> None:
@@ -44,22 +44,22 @@
         self._next_sync = 0
 
     def write(self, observations: dict[int, NodeObservation]) -> None:
-        """Write new observations into the own report; they leave with the next round.
+        """Add observations to the own report, to be sent in the next round.
 
-        They are kept with the precision with which others will have them.
+        They are stored with the precision at which other gateways receive them.
         """
         if not observations:
             return
         delta = self.store.write(
             {
-                node: codec.as_sent(observation)
+                node: codec.quantize(observation)
                 for node, observation in observations.items()
             }
         )
         self._pending.append(delta)
 
     def run_round(self, now: int, others: Sequence[str]) -> None:
-        """Send pending deltas to some members; at times, known versions to one."""
+        """Send pending deltas to some members and, if due, versions to one member."""
         if self._pending and others:
             members = self._random.sample(others, min(GOSSIP_FANOUT, len(others)))
             self.send_to(members, self._pending, (), now)
@@ -76,7 +76,7 @@
         versions: Iterable[ReportVersion],
         now: int,
     ) -> None:
-        """Send deltas and known versions to each of the members."""
+        """Send deltas and versions to each of the members."""
         for body in codec.encode_frames(deltas, versions, now):
             for member in members:
                 self.sent_bytes += len(body)
@@ -85,10 +85,10 @@
     def on_frame(
         self, now: int, member: str, body: bytes, is_present: Callable[[int], bool]
     ) -> None:
-        """Take a member's frame; reports of origins out of the view are left out.
+        """Merge a member's frame; reports of origins outside the view are ignored.
 
         Raises:
-            MalformedHealthReportError: It is no frame, or holds no valid delta.
+            MalformedHealthReportError: The frame or one of its deltas is invalid.
         """
         frame = codec.decode_frame(body)
         self.merge(
@@ -103,7 +103,7 @@
             self.send_missing(now, member, codec.decode_versions(frame))
 
     def merge(self, deltas: Iterable[ReportDelta]) -> None:
-        """Merge deltas; those with anything new leave again with the next round."""
+        """Merge deltas; those with new data are forwarded in the next round."""
         for delta in deltas:
             if self.store.merge(delta) and len(self._pending) < MAX_PENDING_DELTAS:
                 self._pending.append(delta)
@@ -111,7 +111,7 @@
     def send_missing(
         self, now: int, member: str, known: dict[int, ReportVersion]
     ) -> None:
-        """Send a member what it lacks, given the versions that it has by origin."""
+        """Send a member the data that it lacks; `known` has its versions by origin."""
         deltas = [
             self.store.delta_since(origin, known.get(origin))
             for origin in self.store.reports
--- a/milletsill/fleet/health/report_store.py
+++ b/milletsill/fleet/health/report_store.py
@@ -1,10 +1,11 @@
-"""Replicated reports on nodes: one report for each gateway, written by it alone.
-
-Copies become equal whatever is lost, late or doubled. Each observation carries the
-report's sequence number at which its origin wrote it; of two observations of one node
-the later by (incarnation, sequence) stands. A copy knows up to which sequence it is
-complete. A delta that leaves a gap gives its observations and no more; the gap is
-closed by an anti-entropy exchange. No I/O, no clock.
+"""Replicated reports on nodes; each gateway writes one report and copies the others.
+
+Copies converge even if deltas are lost, delayed or duplicated. Each observation carries
+the sequence number of the report at which its origin wrote it. Of two observations of
+one node, the one with the higher (incarnation, sequence) is kept. A copy records the
+sequence number up to which it is complete. A delta after a gap adds its observations
+but does not raise that number; the anti-entropy exchange closes the gap. No I/O, no
+clock.
 """
 
 from __future__ import annotations
@@ -16,27 +17,28 @@
 
 
 class MalformedHealthReportError(MalformedInputError):
-    """A delta that cannot be one of this program's reports."""
+    """A health report from another gateway is invalid and was ignored."""
 
     remedy = (
-        "look for a gateway of another version, or another program, "
-        "under the address; its report is left out"
+        "check the version of the gateway that sent the report, and whether another "
+        "program sends to the fleet address"
     )
 
 
 @dataclass(slots=True)
 class NodeObservation:
-    """What one gateway saw of one node lately.
+    """One gateway's recent attempt results at one node.
 
     Attributes:
-        sequence: Sequence number of the report at which this was written.
-        observed_at: When it was true, by the holder's clock, in tenths of a
-            millisecond.
-        answers: Number of answers; older ones have faded.
-        lost_share: Share of the answers that were failed attempts.
-        wasted_share: Share of the answers that failed or missed their target.
-        paced_answers: Number of answers that have a pace; faded like `answers`.
-        relative_pace: Mean log2 of the pace over the usual one, of those answers.
+        sequence: Sequence number of the report when this was written.
+        observed_at: Time of the observation by the local clock of the gateway that
+            stores it, in tenths of a millisecond.
+        answers: Number of attempt results, with exponential decay by age.
+        lost_share: Share of the results that are failed attempts.
+        wasted_share: Share of the results that failed or exceeded the latency
+            objective.
+        paced_answers: Number of results with a relative pace, decayed like `answers`.
+        relative_pace: Mean log2 of the pace over the usual pace, of those results.
     """
 
     sequence: int
@@ -48,7 +50,7 @@
     relative_pace: float
 
     def replicated_state(self) -> tuple[float, ...]:
-        """Everything that is equal in all copies, so without the local time."""
+        """Return the values that are equal in all copies; the local time is not."""
         return (
             self.sequence,
             self.answers,
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportVersion:
-    """Up to which sequence a gateway has the whole report of an origin."""
+    """The sequence number up to which a gateway has all of an origin's report."""
 
     origin: int
     incarnation: int
@@ -70,13 +72,13 @@
 
 @dataclass(slots=True)
 class OriginReport:
-    """The report of one gateway, its origin, as this gateway has it.
+    """This gateway's copy of the report of one gateway, its origin.
 
     Attributes:
-        origin: Number of the gateway, a hash of its name.
-        incarnation: The start of that gateway in which it wrote this.
-        complete_up_to: Sequence number up to which nothing is missing here.
-        sequence: Latest sequence number that was seen.
+        origin: The origin's id, a hash of the gateway's name.
+        incarnation: Incarnation of the origin that wrote the report.
+        complete_up_to: Sequence number up to which this copy is complete.
+        sequence: Highest sequence number received.
         observations: The origin's observations by node.
     """
 
@@ -89,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportDelta:
-    """Observations of one report written after `base` and up to `sequence`."""
+    """The observations of a report written after `base` and up to `sequence`."""
 
     origin: int
     incarnation: int
@@ -102,13 +104,13 @@
 
 
 class ReportStore:
-    """All reports that one gateway has, its own among them.
+    """Stores all reports that one gateway has, including its own.
 
     Args:
-        origin: Number of this gateway.
-        incarnation: This start of this gateway.
-        max_reports: Reports that are kept; further origins are ignored.
-        max_nodes: Nodes that one report may cover.
+        origin: Id of this gateway as an origin.
+        incarnation: This gateway's incarnation.
+        max_reports: Maximum number of reports; further origins are ignored.
+        max_nodes: Maximum number of nodes in a report.
     """
 
     def __init__(
@@ -120,16 +122,16 @@
         self.max_nodes = max_nodes
 
     def restart(self, incarnation: int) -> None:
-        """Begin the own report anew if this gateway has a later incarnation.
+        """Start a new own report if this gateway has a later incarnation.
 
-        Copies of the older report that others have then give way.
+        It replaces the copies of the old report at other gateways.
         """
         if incarnation > self.own.incarnation:
             self.own = OriginReport(self.own.origin, incarnation)
             self.reports[self.own.origin] = self.own
 
     def write(self, observations: dict[int, NodeObservation]) -> ReportDelta:
-        """Add this gateway's new observations; those that find no room are left out."""
+        """Add own observations and return the delta; drop nodes over the limit."""
         report = self.own
         base = report.sequence
         report.sequence += 1
@@ -147,23 +149,23 @@
         )
 
     def merge(self, delta: ReportDelta) -> bool:
-        """Take what is newer than this copy; return whether anything was.
+        """Merge the newer data of a delta; return whether there was any.
 
         Raises:
-            MalformedHealthReportError: The delta covers more nodes than are kept.
+            MalformedHealthReportError: The report would cover more than `max_nodes`.
         """
         report = self._report_for(delta)
         if report is None:
             return False
         if len(report.observations.keys() | delta.observations.keys()) > self.max_nodes:
             raise MalformedHealthReportError(
-                f"a report on over {self.max_nodes} nodes",
+                f"a report on more than {self.max_nodes} nodes",
                 f"origin {delta.origin:016x}",
             )
         changed = False
         for node, observation in delta.observations.items():
-            held = report.observations.get(node)
-            if held is None or observation.sequence > held.sequence:
+            current = report.observations.get(node)
+            if current is None or observation.sequence > current.sequence:
                 report.observations[node] = observation
                 changed = True
         report.sequence = max(report.sequence, delta.sequence)
@@ -173,7 +175,7 @@
         return changed
 
     def _report_for(self, delta: ReportDelta) -> OriginReport | None:
-        """Return the report that a delta belongs to; None if it is not to be taken."""
+        """Return the report that a delta belongs to; None if it is to be ignored."""
         report = self.reports.get(delta.origin)
         if report is self.own:
             return None
@@ -186,7 +188,7 @@
         return report if delta.incarnation == report.incarnation else None
 
     def covers(self, version: ReportVersion) -> bool:
-        """Return whether a report is complete here up to that version."""
+        """Return whether the local copy of a report is complete up to a version."""
         report = self.reports.get(version.origin)
         return report is not None and (
             (report.incarnation, report.complete_up_to)
@@ -196,7 +198,7 @@
     def delta_since(
         self, origin: int, known: ReportVersion | None
     ) -> ReportDelta | None:
-        """Return what this copy has beyond a known version; None for nothing."""
+        """Return what the local copy has beyond a known version; None if nothing."""
         report = self.reports.get(origin)
         if report is None:
             return None
@@ -219,17 +221,17 @@
         )
 
     def versions(self) -> Iterator[ReportVersion]:
-        """Yield, for each report, up to where it is complete here."""
+        """Yield the version up to which the local copy of each report is complete."""
         for report in self.reports.values():
             yield ReportVersion(
                 report.origin, report.incarnation, report.complete_up_to
             )
 
     def expire(self, present: Iterable[int], since: int) -> None:
-        """Drop reports of origins that left, and observations older than `since`.
+        """Remove reports of origins not present, and observations before `since`.
 
-        This bounds memory and keeps verdicts from resting on those that are gone. The
-        price: an origin that comes back has to send its observations again.
+        This bounds memory and keeps verdicts independent of absent gateways. The cost:
+        an origin that returns has to send its observations again.
         """
         remaining = set(present)
         remaining.add(self.own.origin)
@@ -246,7 +248,7 @@
                 del observations[node]
 
     def replicated_state(self) -> dict[int, ReportState]:
-        """Return what is equal in all copies once they have converged."""
+        """Return the state that is equal at all gateways after convergence."""
         return {
             report.origin: (
                 report.incarnation,
--- a/milletsill/fleet/health/shared_health.py
+++ b/milletsill/fleet/health/shared_health.py
@@ -1,9 +1,10 @@
-"""A gateway's side of shared health.
+"""Connects shared health to a gateway.
 
-Results of its attempts become its report, reports travel over the fleet's transport,
-and verdicts become advice for its scheduler. Nothing here waits for another gateway.
-Advice ends by itself some periods after it was last given. A gateway whose file has no
-`health` block in its `fleet` loads none of this.
+The results of the gateway's attempts become its report, reports travel over the fleet's
+transport, and verdicts become advice to the gateway's scheduler. Nothing here waits for
+another gateway. Advice expires ADVICE_PERIODS publish periods after it was last given.
+A gateway imports this module only if the `fleet` block of its settings file has a
+`health` block.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 
 from milletsill.fleet.health.health_evaluator import HealthEvaluator, VerdictChange
 from milletsill.fleet.health.health_metrics import HealthMetrics
-from milletsill.fleet.health.node_observer import NodeObserver, has_news_of
+from milletsill.fleet.health.node_observer import NodeObserver, has_unreported
 from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
 from milletsill.fleet.health.report_exchange import ReportExchange
 from milletsill.fleet.health.report_store import MalformedHealthReportError, ReportStore
 from milletsill.fleet.health.tuning import (
     ADVICE_PERIODS,
-    CALM_PUBLISH_PERIODS,
     GOSSIP_INTERVAL,
-    OBSERVATION_FADE,
+    OBSERVATION_DECAY_TIME,
+    ROUTINE_REPORT_PERIODS,
     SECOND,
 )
 from milletsill.fleet.transport import (
@@ -45,25 +46,25 @@
 from milletsill.named_timers import NamedTimers, ReactorTimers
 from milletsill.settings.milletsill_pb2 import FleetLink
 
-MALFORMED_LOG_INTERVAL = 10 * SECOND  # between two log lines on malformed reports
+MALFORMED_LOG_INTERVAL = 10 * SECOND  # between two log events
 
 LogEvent = Callable[..., None]
 
 
 def origin_of(gateway_name: str) -> int:
-    """Return a gateway's number in reports, which is the same at all gateways."""
+    """Return a gateway's id in reports, a hash that is the same at all gateways."""
     return xxhash.xxh64_intdigest(gateway_name.encode("utf-8", "surrogateescape"))
 
 
 class AdvisedScheduler(Protocol):
-    """The scheduler's host: it tells of attempts that ended, and takes advice."""
+    """The scheduler host: it reports ended attempts and accepts health advice."""
 
     on_attempt_ended: Callable[[int, Request, AttemptResult], None]
 
     def on_health_advice(
         self, node: int, load: float, avoid: bool, until: int, /
     ) -> None:
-        """Take advice on a node, until a time."""
+        """Apply advice on a node until the time `until`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,17 +72,18 @@
     """Settings of shared health; times in tenths of a millisecond.
 
     Attributes:
-        publish_interval: Between two reports, and between two evaluations.
-        report_lifetime: An observation older than this counts no longer.
-        max_called_share: Share of the nodes, and of a shard's, that may be called.
-        max_gateways: Reports that are kept.
-        max_nodes: Nodes that one report may cover.
-        latency_objectives: Target time of each request class.
+        publish_interval: Time between two reports, and between two evaluations.
+        report_lifetime: Age after which an observation is discarded.
+        max_flagged_share: Largest share of all nodes, and of the nodes of a shard, that
+            may be flagged at once.
+        max_gateways: Maximum number of stored reports.
+        max_nodes: Maximum number of nodes in a report.
+        latency_objectives: Latency objective of each request class.
     """
 
     publish_interval: int
     report_lifetime: int
-    max_called_share: float
+    max_flagged_share: float
     max_gateways: int
     max_nodes: int
     latency_objectives: Sequence[int]
@@ -90,11 +92,11 @@
     def from_settings(
         cls, fleet: FleetLink, max_nodes: int, latency_objectives: Sequence[int]
     ) -> HealthConfig:
-        """Read the `fleet` block of a gateway's file, which has a `health` block."""
+        """Return the settings in a `fleet` block that has a `health` block."""
         return cls(
             publish_interval=int(fleet.health.publish_ms * 10),
             report_lifetime=int(fleet.health.lasts_s * SECOND),
-            max_called_share=fleet.health.most_part,
+            max_flagged_share=fleet.health.most_part,
             max_gateways=fleet.most_members,
             max_nodes=max_nodes,
             latency_objectives=latency_objectives,
@@ -103,16 +105,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthEnvironment:
-    """What shared health works with.
+    """Collaborators of shared health.
 
     Attributes:
-        reactor: For timers.
-        now: Returns the present time, in tenths of a millisecond.
-        transport: Sends frames to the other gateways, and has the view.
-        scheduler: Gets advice, and tells of attempts that ended.
-        warn: Logs an event that somebody should look at.
-        inform: Logs an event that says what goes on.
-        registry: For the metrics.
+        reactor: Runs the timers.
+        now: Returns the current time in tenths of a millisecond.
+        transport: Sends frames to the other gateways and provides the view.
+        scheduler: Accepts advice and reports ended attempts.
+        warn: Logs an event that needs an operator's attention.
+        inform: Logs an event of normal operation.
+        registry: The registry in which metrics are registered.
     """
 
     reactor: ReactorTimers
@@ -125,12 +127,12 @@
 
 
 class SharedHealth:
-    """One gateway's part in shared health.
+    """Runs shared health at one gateway.
 
     Args:
-        config: Settings.
-        environment: Collaborators.
-        seed: For the choice of members that reports are sent to.
+        config: The settings.
+        environment: The collaborators.
+        seed: Seed of the random choice of members that receive reports.
     """
 
     def __init__(
@@ -148,7 +150,7 @@
         )
         self.exchange = ReportExchange(self.store, seed, self._send)
         self.observer = NodeObserver(config.latency_objectives)
-        self.evaluator = HealthEvaluator(config.max_called_share)
+        self.evaluator = HealthEvaluator(config.max_flagged_share)
         self.ranking = RendezvousRanking()
         self.shards: dict[int, int | None] = {}
         self._metrics = HealthMetrics(environment.registry)
@@ -162,11 +164,11 @@
 
     @classmethod
     def for_gateway(cls, gateway: Any, seed: int) -> SharedHealth:
-        """Return the shared health of a gateway whose file asks for it.
+        """Return the shared health of a gateway whose file has a `health` block.
 
         Args:
-            gateway: A gateway that is being made; it has its transport already.
-            seed: For random choices.
+            gateway: A gateway under construction that already has its transport.
+            seed: Seed of the random choices.
         """
         request_classes = gateway.host.config.request_classes
         config = HealthConfig.from_settings(
@@ -186,7 +188,7 @@
         return cls(config, environment, seed)
 
     def start(self) -> None:
-        """Hear the transport and the scheduler, and start the timers."""
+        """Subscribe to the transport and the scheduler, and start the timers."""
         self.transport.subscribe(MessageKind.HEALTH, self.on_frame)
         self.transport.watch_view(self.on_view)
         self.environment.scheduler.on_attempt_ended = self.observer.on_attempt_result
@@ -206,7 +208,7 @@
     def on_endpoints(
         self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        """Take an update of the endpoint list; verdicts are on ready nodes alone."""
+        """Apply an endpoint update; only ready nodes have verdicts."""
         if kind is EndpointUpdateKind.FAILED:
             return
         self.observer.on_endpoints(endpoints)
@@ -224,7 +226,7 @@
         self.observer.keep_only(shards)
 
     def on_view(self, view: View, changes: Sequence[tuple[ViewChange, Member]]) -> None:
-        """Take a new view: who is present, and in which order they try a node."""
+        """Apply a new view: the present gateways and their ranking for each node."""
         origins = {origin_of(name) for name in view.by_name}
         members = len(origins)
         self._present = origins | {self.origin}
@@ -236,7 +238,7 @@
         self.store.expire(self._present, self.environment.now() - lifetime)
 
     def on_frame(self, member: str, incarnation: int, body: bytes) -> None:
-        """Take another gateway's frame; a malformed one is counted and logged."""
+        """Merge another gateway's frame; count and log a malformed one."""
         now = self.environment.now()
         try:
             self.exchange.on_frame(now, member, body, self._present.__contains__)
@@ -249,34 +251,38 @@
                 )
 
     def publish(self) -> None:
-        """Write the own report: at once if there is bad news, else now and then."""
+        """Add results to the own report.
+
+        Urgent results are added in each publish period, others only in every
+        ROUTINE_REPORT_PERIODS-th period.
+        """
         self._periods += 1
         self.store.restart(self.transport.incarnation)
-        urgent = self.observer.has_bad_news or has_news_of(
+        urgent = self.observer.has_urgent_results or has_unreported(
             self.observer.statistics, self.evaluator.not_healthy()
         )
-        if urgent or self._periods % CALM_PUBLISH_PERIODS == 0:
+        if urgent or self._periods % ROUTINE_REPORT_PERIODS == 0:
             now = self.environment.now()
             self.exchange.write(self.observer.take_observations(now))
 
     def run_round(self) -> None:
-        """Send what is new to other gateways."""
+        """Run a round of the report exchange and count the bytes sent."""
         self.exchange.run_round(self.environment.now(), self._others)
         self._metrics.on_sent(self.exchange.sent_bytes - self._counted_bytes)
         self._counted_bytes = self.exchange.sent_bytes
 
     def evaluate(self) -> None:
-        """Evaluate all reports, log verdicts that changed, and advise the scheduler."""
+        """Evaluate all reports, log verdict changes, and advise the scheduler."""
         now = self.environment.now()
         members = len(self._present)
-        self._expire(min(self.config.report_lifetime, 4 * OBSERVATION_FADE))
+        self._expire(min(self.config.report_lifetime, 4 * OBSERVATION_DECAY_TIME))
         changes = self.evaluator.evaluate(
             self.store, members, self.ranking, self.shards, now
         )
         for change in changes:
             self._log_change(change)
         avoided = self._advise(now, members)
-        self._show(avoided)
+        self._update_metrics(avoided)
 
     def _log_change(self, change: VerdictChange) -> None:
         self._metrics.on_verdict_change(change.current)
@@ -289,7 +295,7 @@
         )
 
     def _advise(self, now: int, members: int) -> int:
-        """Give the scheduler advice; return how many nodes it is to avoid."""
+        """Advise the scheduler; return the number of nodes that it should avoid."""
         until = now + ADVICE_PERIODS * self.config.publish_interval
         avoided = 0
         for node in self.evaluator.not_healthy():
@@ -301,11 +307,11 @@
             )
         return avoided
 
-    def _show(self, avoided: int) -> None:
-        """Set the metrics; log when verdicts are no longer trusted, or are again."""
+    def _update_metrics(self, avoided: int) -> None:
+        """Set the gauges; log when the limit on flagged nodes takes or loses effect."""
         disregarded = self.evaluator.disregarded
         self._metrics.set_verdicts(
-            held.verdict for held in self.evaluator.nodes.values()
+            state.verdict for state in self.evaluator.nodes.values()
         )
         self._metrics.set_state(len(self.store.reports), disregarded, avoided)
         limit_exceeded = disregarded > 0
--- a/milletsill/fleet/health/tuning.py
+++ b/milletsill/fleet/health/tuning.py
@@ -1,7 +1,8 @@
-"""Tuned values of shared health, and the reason for each.
+"""Constants of shared health.
 
-Times are whole tenths of a millisecond. A vote weighs at most 1; thresholds on votes
-are sums of such weights. Paces are log2 of the latency over the usual latency.
+Times are in whole tenths of a millisecond. A vote has a weight of at most 1; thresholds
+on votes are sums of weights. Paces are log2 of the pace over the usual pace. A flagged
+node has the verdict DEGRADED or FAILING.
 """
 
 from __future__ import annotations
@@ -9,64 +10,66 @@
 SECOND = 10_000
 
 # Observations and their exchange.
-OBSERVATION_FADE = 2 * SECOND  # time constant with which observations fade
-MIN_ANSWERS = 0.05  # an observation of fewer (faded) answers counts for nothing
-CALM_PUBLISH_PERIODS = 4  # publish periods between reports without bad news
+OBSERVATION_DECAY_TIME = 2 * SECOND  # time constant of their exponential decay
+MIN_ANSWERS = 0.05  # an observation of fewer answers, after decay, is ignored
+ROUTINE_REPORT_PERIODS = 4  # publish periods between reports without urgent results
 GOSSIP_INTERVAL = SECOND // 10
 SYNC_INTERVAL = SECOND  # between two anti-entropy exchanges with a random member
 GOSSIP_FANOUT = 2
 MAX_PENDING_DELTAS = 8192
 
-# Usual latency, by kind of node and size of request.
-PACE_WINDOW = 256  # latest paces of which the median is the usual one
-MIN_PACE_SAMPLES = 8  # the usual pace is unknown until there are so many
-DOUBLINGS_PER_SIZE_CLASS = 2.0  # request sizes in one class
+# Usual pace, by kind and size of node and by kind and size of request.
+PACE_WINDOW = 256  # the usual pace is the median of so many latest paces
+MIN_PACE_SAMPLES = 8  # with fewer, the usual pace is unknown
+DOUBLINGS_PER_SIZE_CLASS = 2.0  # range of request sizes in one class, in factors of two
 MAX_PACE_CLASSES = 4096
 MAX_RELATIVE_PACE = 8.0
 
-ADVICE_PERIODS = 4  # publish periods after which advice that is not renewed ends
+ADVICE_PERIODS = 4  # publish periods until advice expires unless renewed
 
-# Votes: one origin has at most one on each node.
-TRIMMED_GATEWAYS = 0.05  # share of the gateways whose worst observations do not count
-MAX_TRIMMED_WEIGHT = 0.2  # the trimmed are at most this share of the votes, or one
-MIN_VOTES = 2.5  # weight of votes that a finding needs
-MIN_VOTES_CALLED = 0.6  # the same on a called node, which few gateways try
-# An origin's share of bad observations beyond the median origin's: from the first on
-# its votes lose weight, from the second on they have none.
+# Votes: an origin has at most one vote on each node.
+TRIMMED_GATEWAY_SHARE = 0.05  # share of the gateways whose worst votes are ignored
+MAX_TRIMMED_WEIGHT = 0.2  # of the total weight, unless less than one vote
+MIN_VOTES = 2.5  # weight of votes required for a finding
+MIN_VOTES_FLAGGED = 0.6  # on a flagged node, which few gateways probe
+# Excess of an origin's share of bad votes over the median origin's share. From the
+# first value on its votes lose weight; from the second on they have no weight.
 BAD_SHARE_TOLERATED = 0.3
 BAD_SHARE_REJECTED = 0.6
-BAD_WEIGHT_FADE = 20 * SECOND  # time constant of an origin's smoothed bad observations
-BAD_WEIGHT_FREE = 0.2  # smoothed weight that is held against nobody
+BAD_WEIGHT_DECAY_TIME = (
+    20 * SECOND
+)  # time constant for the smoothed weight of bad votes
+TOLERATED_BAD_WEIGHT = 0.2  # smoothed weight of bad votes without a penalty
 
-# Findings: thresholds to call a node, and lower ones to call it no longer.
+# Findings: thresholds to flag a node, and lower ones to clear it (hysteresis).
 IMPAIRED_LOSS = 0.2
 IMPAIRED_SMOOTHED_LOSS = 0.12
 HEALTHY_LOSS = 0.06
 FAILING_LOSS = 0.5
 IMPAIRED_PACE = 0.5
 HEALTHY_PACE = 0.25
-MIN_PACED_VOTES = 4.0  # weight of votes with a pace that a node's pace needs
+MIN_PACED_VOTES = 4.0  # weight of votes with a pace required to judge a node's pace
 PACE_SMOOTHING = 2 * SECOND
 LOSS_SMOOTHING = 4 * SECOND
-WARM_UP = 3 * SECOND  # of an evaluator, until it calls any node
-CONFIRMING_FINDINGS = 2  # equal findings in a row before a node is DEGRADED
+WARM_UP = 3 * SECOND  # of an evaluator, before it flags any node
+CONFIRMING_FINDINGS = 2  # consecutive IMPAIRED findings before a node is DEGRADED
 
-# Load: the share of the gateways that may send to a node. It is cut while most of what
-# the node gets is wasted, and raised while little is.
+# Admitted share: the share of the gateways that may send to a node. It is cut while
+# most of the node's attempts are wasted, and raised while few are.
 CUT_WASTE = 0.5
 RAISE_WASTE = 0.25
 CUT_FACTOR = 0.8
 FAILING_CUT_FACTOR = 0.5
 RAISE_STEP = 0.03
-RAMP_FACTOR = 1.35  # growth at each evaluation on a node that recovers
+RAMP_FACTOR = 1.35  # growth of the share of a recovering node per evaluation
 RAMP_STEP = 0.02
-# Median waste over all nodes from which on a slow node keeps its load, since the
-# others could not bear it.
+# From this median wasted share over all nodes on, a slow node keeps its load, since the
+# other nodes lack capacity for it.
 OVERLOADED_WASTE = 0.3
-PROBES_PER_SECOND = 3.0  # on all called nodes together, by all gateways
-MIN_PROBERS = 3  # gateways that try one called node, at least
+PROBES_PER_SECOND = 3.0  # on all flagged nodes, by all gateways
+MIN_PROBERS = 3  # per flagged node
 
-# Advice against a node, in shortest target times.
+# Load factor in advice on a node, in units of the shortest latency objective.
 MAX_LOAD_FACTOR = 4.0
 LOAD_FACTOR_PER_LOSS = 3.0
 PROBER_LOAD_FACTOR = 0.0
--- a/milletsill/fleet/health/verdict_table.py
+++ b/milletsill/fleet/health/verdict_table.py
@@ -1,4 +1,4 @@
-"""Verdicts on nodes, findings about them, and which finding changes which verdict."""
+"""Verdicts on nodes, findings about them, and the table of verdict transitions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class HealthVerdict(Enum):
-    """What gateways hold of a node together; the values are metric labels."""
+    """Verdict of the gateways on a node; the values are metric labels."""
 
     HEALTHY = "steady"
     DEGRADED = "degraded"
@@ -16,32 +16,34 @@
 
 
 class HealthFinding(Enum):
-    """What the votes say of a node at one evaluation."""
-
-    FAILING = "failing"  # at least half of the answers are lost
-    IMPAIRED = "impaired"  # many are lost, or it is slower than its load explains
-    HEALTHY = "healthy"  # neither, by a margin
-    RESTORED = "restored"  # healthy, and all gateways send to it again
+    """Result of one evaluation of the votes on a node."""
+
+    FAILING = "failing"  # at least half of the attempts failed
+    IMPAIRED = (
+        "impaired"  # many attempts failed, or it is slower than its load explains
+    )
+    HEALTHY = "healthy"  # few failures and normal pace, with a margin
+    RESTORED = "restored"  # healthy, and all gateways send to it
     INCONCLUSIVE = "inconclusive"  # too few votes, or between the thresholds
-    UNOBSERVED = "unobserved"  # none of the gateways that may try it says anything
-    OVER_LIMIT = "over_limit"  # impaired, and too many others are at once
+    UNOBSERVED = "unobserved"  # no votes from the gateways that may send to it
+    OVER_LIMIT = "over_limit"  # impaired, but too many nodes are
 
 
 class LoadAction(Enum):
-    """What a transition does to the share of the gateways that may send to a node."""
+    """Effect of a transition on the share of the gateways that may send to a node."""
 
     KEEP = "keep"
     CUT = "cut"
-    ADJUST = "adjust"  # cut or raise it by how much of the load is wasted
+    ADJUST = "adjust"  # cut or raise it, depending on the wasted share
     RAMP_UP = "ramp_up"
 
 
-CALLED_VERDICTS = (HealthVerdict.DEGRADED, HealthVerdict.FAILING)
+FLAGGED_VERDICTS = (HealthVerdict.DEGRADED, HealthVerdict.FAILING)
 
 Transition = tuple[HealthVerdict, LoadAction]
 _TO_RECOVERING: Transition = (HealthVerdict.RECOVERING, LoadAction.RAMP_UP)
 
-# What is not in the table changes nothing.
+# A pair that is not in the table leaves the verdict and the load unchanged.
 TRANSITIONS: Mapping[tuple[HealthVerdict, HealthFinding], Transition] = {
     **{
         (verdict, HealthFinding.FAILING): (HealthVerdict.FAILING, LoadAction.CUT)
@@ -58,12 +60,12 @@
         HealthVerdict.HEALTHY,
         LoadAction.KEEP,
     ),
-    # In a small fleet all gateways try a called node, so that it counts as restored as
+    # In a small fleet all gateways probe a flagged node, so its finding is RESTORED as
     # soon as it is healthy.
     (HealthVerdict.FAILING, HealthFinding.RESTORED): _TO_RECOVERING,
     (HealthVerdict.DEGRADED, HealthFinding.RESTORED): _TO_RECOVERING,
-    # Where too few may send to learn its pace, more must: otherwise a node that failed
-    # would stay so for good.
+    # If too few gateways may send to measure the node's pace, the admitted share has to
+    # grow. Otherwise a node that has failed would stay FAILING forever.
     (HealthVerdict.FAILING, HealthFinding.INCONCLUSIVE): (
         HealthVerdict.FAILING,
         LoadAction.ADJUST,
@@ -86,5 +88,5 @@
 
 
 def next_verdict(verdict: HealthVerdict, finding: HealthFinding) -> Transition:
-    """Read the table."""
+    """Return the new verdict and the load action from the transition table."""
     return TRANSITIONS.get((verdict, finding), (verdict, LoadAction.KEEP))
--- a/milletsill/fleet/health/votes.py
+++ b/milletsill/fleet/health/votes.py
@@ -1,7 +1,7 @@
-"""Votes of the origins on each node: collected, weighed, and tallied.
+"""Collects, weights and tallies the votes of the origins on each node.
 
-Each origin has at most one vote on each node. What an origin that is impaired itself,
-or that lies, can do to a tally is bounded by weights and by trimming.
+Each origin has at most one vote on a node. Weights and trimming bound the effect on a
+tally of origins that have a fault themselves or report false observations.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from milletsill.fleet.health.tuning import (
     BAD_SHARE_REJECTED,
     BAD_SHARE_TOLERATED,
-    BAD_WEIGHT_FADE,
-    BAD_WEIGHT_FREE,
+    BAD_WEIGHT_DECAY_TIME,
     IMPAIRED_LOSS,
     IMPAIRED_PACE,
     MAX_TRIMMED_WEIGHT,
     MIN_ANSWERS,
-    OBSERVATION_FADE,
+    OBSERVATION_DECAY_TIME,
     SECOND,
-    TRIMMED_GATEWAYS,
+    TOLERATED_BAD_WEIGHT,
+    TRIMMED_GATEWAY_SHARE,
 )
 
 
 @dataclass(slots=True)
 class Vote:
-    """What one origin says of one node; the weights are at most 1."""
+    """One origin's vote on one node; each weight is at most 1."""
 
     origin: int
     weight: float
@@ -41,7 +41,7 @@
 
     @property
     def is_bad(self) -> bool:
-        """Whether it speaks against the node."""
+        """Whether the vote is against the node."""
         return self.lost_share > IMPAIRED_LOSS or (
             self.paced_weight > 0 and self.relative_pace > 2 * IMPAIRED_PACE
         )
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class VoteTally:
-    """What all origins say of one node; the weights are sums over the votes."""
+    """Tally of all votes on one node; each weight is a sum over the votes."""
 
     weight: float = 0.0
     lost_share: float = 0.0
@@ -62,23 +62,24 @@
 
 
 def collect_votes(
-    store: ReportStore, fade_by_node: Mapping[int, float], now: int
+    store: ReportStore, decay_times: Mapping[int, float], now: int
 ) -> VotesByNode:
-    """Return the votes on the given nodes, of observations that have not faded.
+    """Return votes on nodes from observations that are recent enough.
 
     Args:
         store: All reports.
-        fade_by_node: The time constant of fading for each node to be voted on.
-        now: Present time.
+        decay_times: The nodes to vote on, each with the time constant for the decay of
+            its observations.
+        now: The current time.
     """
     votes: VotesByNode = {}
-    since = now - 4 * OBSERVATION_FADE
+    since = now - 4 * OBSERVATION_DECAY_TIME
     for report in store.reports.values():
         for node, observation in report.observations.items():
-            if observation.observed_at < since or node not in fade_by_node:
+            if observation.observed_at < since or node not in decay_times:
                 continue
             age = max(now - observation.observed_at, 0)
-            remaining = exp(-age / fade_by_node[node])
+            remaining = exp(-age / decay_times[node])
             if observation.answers * remaining <= MIN_ANSWERS:
                 continue
             vote = Vote(
@@ -94,8 +95,8 @@
 
 
 def median_answer_rate(store: ReportStore, nodes: int, now: int) -> float:
-    """Return the answers a second of the median origin from one of so many nodes."""
-    since = now - OBSERVATION_FADE
+    """Return the answers per second and node of the median origin."""
+    since = now - OBSERVATION_DECAY_TIME
     answers = [
         sum(
             observation.answers
@@ -104,7 +105,7 @@
         )
         for report in store.reports.values()
     ]
-    return median(answers or [0.0]) / (OBSERVATION_FADE / SECOND) / max(nodes, 1)
+    return median(answers or [0.0]) / (OBSERVATION_DECAY_TIME / SECOND) / max(nodes, 1)
 
 
 def _all_votes(votes: VotesByNode) -> Iterator[Vote]:
@@ -113,19 +114,19 @@
 
 
 class VoteWeighting:
-    """Weights of the origins, which remember who spoke against nodes for long.
+    """Weights the votes of each origin, also by its bad votes in the past.
 
-    This guards against a gateway that is impaired itself (it speaks against all nodes
-    that it sees), one that claims to see more than others do, and those that speak
-    against the same nodes without pause. The price: a true vote of such an origin
-    weighs less.
+    The weights limit three kinds of origin: a gateway that has a fault itself and so
+    votes against all nodes it uses, a gateway that claims many more answers than others
+    do, and a gateway that votes against the same nodes all the time. The cost: correct
+    votes of such an origin have less weight.
     """
 
     def __init__(self) -> None:
         self._smoothed_bad: dict[int, float] = {}
 
     def apply(self, votes: VotesByNode, elapsed: int) -> None:
-        """Multiply each vote by its origin's weight, `elapsed` after the last time."""
+        """Weight each vote by its origin, `elapsed` after the last evaluation."""
         total: dict[int, float] = {}
         bad: dict[int, float] = {}
         for vote in _all_votes(votes):
@@ -144,7 +145,7 @@
         self, total: dict[int, float], bad: dict[int, float], elapsed: int
     ) -> None:
         smoothed = self._smoothed_bad
-        new_part = 1 - exp(-elapsed / BAD_WEIGHT_FADE)
+        new_part = 1 - exp(-elapsed / BAD_WEIGHT_DECAY_TIME)
         self._smoothed_bad = {
             origin: smoothed.get(origin, 0.0) * (1 - new_part)
             + bad.get(origin, 0.0) * new_part
@@ -158,7 +159,7 @@
         median_total = median(total.values())
         median_share = median(bad[origin] / total[origin] for origin in total)
         median_bad = median(self._smoothed_bad.get(origin, 0.0) for origin in total)
-        allowed_bad = 2 * median_bad + BAD_WEIGHT_FREE
+        allowed_bad = 2 * median_bad + TOLERATED_BAD_WEIGHT
         weights = {}
         for origin, weight in total.items():
             excess = bad[origin] / weight - median_share if weight > 1 else 0.0
@@ -171,7 +172,7 @@
 
 
 def _weight_for_excess(excess: float) -> float:
-    """Return the weight for a share of bad votes so far beyond the median origin's."""
+    """Return the weight for an excess of bad votes over the median origin's share."""
     span = BAD_SHARE_REJECTED - BAD_SHARE_TOLERATED
     return min(max((BAD_SHARE_REJECTED - excess) / span, 0.0), 1.0)
 
@@ -193,18 +194,18 @@
 
 
 def tally_votes(votes: Sequence[Vote], members: int, share: float) -> VoteTally:
-    """Sum up votes on one node; the worst of a few do not count.
+    """Return the tally of the votes on one node, with the worst votes trimmed.
 
     Args:
-        votes: Weighed votes on the node, by origins that may send to it.
+        votes: Weighted votes on the node, by origins that may send to it.
         members: Number of gateways in the view.
-        share: Share of them that may send to the node.
+        share: Share of the members that may send to the node.
     """
     weight = sum(vote.weight for vote in votes)
     if weight <= 0:
         return VoteTally()
     trimmed = max(
-        min(TRIMMED_GATEWAYS * members * share, weight * MAX_TRIMMED_WEIGHT),
+        min(TRIMMED_GATEWAY_SHARE * members * share, weight * MAX_TRIMMED_WEIGHT),
         min(1.0, weight / 3),
     )
     counted = weight - trimmed
@@ -226,7 +227,7 @@
 
 
 def weighted_median(values_and_weights: Sequence[tuple[float, float]]) -> float:
-    """Return the median of values with weights; 0 for none."""
+    """Return the weighted median of the values; 0 if there are none."""
     remaining = sum(weight for _, weight in values_and_weights) / 2
     for value, weight in sorted(values_and_weights):
         remaining -= weight
--- a/milletsill/fleet/metrics.py
+++ b/milletsill/fleet/metrics.py
@@ -1,4 +1,4 @@
-"""The fleet's metrics; their names stand in docs/fleet.md."""
+"""Prometheus metrics of the fleet; docs/fleet.md lists them."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class FrameDirection(Enum):
-    """Values of the label `way`."""
+    """Direction of a frame: the values of the metric label `way`."""
 
     OUT = "out"
     IN = "in"
 
 
 class FrameCarrier(Enum):
-    """Values of the label `over`."""
+    """Transport of a frame: the values of the metric label `over`."""
 
     DATAGRAM = "datagram"
     STREAM = "stream"
 
 
 class RefusalCause(Enum):
-    """Values of the label `cause`: why a frame was not taken."""
+    """Reason for rejecting a frame: the values of the metric label `cause`."""
 
     TOO_LONG = "too_long"
     MALFORMED = "unreadable"
@@ -34,7 +34,7 @@
 
 
 class FleetMetrics:
-    """The fleet's metrics, on a gateway's own registry."""
+    """The fleet's metrics, registered in the gateway's own registry."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         def gauge(name: str, text: str, *labels: str) -> Gauge:
@@ -44,32 +44,37 @@
             return Counter(f"milletsill_fleet_{name}", text, labels, registry=registry)
 
         self.members = gauge(
-            "members", "Known members by state, this gateway with them", "standing"
+            "members", "Known members by state, including this gateway", "standing"
         )
-        self.changes = counter("changes", "Changes of the view", "change")
-        self.view_digest = gauge("view", "The view digest, its lower 48 bits")
-        self.view_version = gauge(
-            "view_version", "Versions of the view since the start"
+        self.changes = counter(
+            "changes", "Member changes in the view, by type", "change"
         )
-        self.incarnation = gauge(
-            "run", "This gateway's incarnation, as the others know it"
+        self.view_digest = gauge("view", "Lower 48 bits of the view digest")
+        self.view_version = gauge(
+            "view_version", "Version of the view, counted from the start"
         )
+        self.incarnation = gauge("run", "Incarnation that this gateway announces")
         self.frames = counter(
-            "frames", "Frames between gateways, by direction and carrier", "way", "over"
+            "frames",
+            "Frames sent or received, by direction and transport",
+            "way",
+            "over",
+        )
+        self.octets = counter(
+            "octets", "Bytes of frames, by direction and transport", "way", "over"
         )
-        self.octets = counter("octets", "Octets of those frames", "way", "over")
         self.refused = counter(
-            "refused", "Frames that were not taken, by cause", "cause"
+            "refused", "Received frames that were rejected, by cause", "cause"
         )
         self.unsent = counter(
-            "unsent", "Frames that could not be sent, by carrier", "over"
+            "unsent", "Frames that could not be sent, by transport", "over"
         )
         self.local_health_score = gauge(
             "doubt", "Local health score of this gateway, 0 (healthy) to 4"
         )
         self.isolated = gauge("troubled", "1 while most of this gateway's probes fail")
         self.waiting_octets = gauge(
-            "waiting_octets", "Octets that wait on streams to other gateways"
+            "waiting_octets", "Bytes queued on streams to other gateways"
         )
         self.streams = gauge(
             "streams", "Open streams between gateways, by direction", "way"
@@ -86,11 +91,11 @@
     def count_frame(
         self, direction: FrameDirection, carrier: FrameCarrier, octets: int
     ) -> None:
-        """Count one frame."""
+        """Count one frame and its bytes."""
         frames, total = self._traffic[direction, carrier]
         frames.inc()
         total.inc(octets)
 
     def count_refused(self, cause: RefusalCause) -> None:
-        """Count a frame that was not taken."""
+        """Count a received frame that was rejected."""
         self.refused.labels(cause.value).inc()
--- a/milletsill/fleet/operator_log.py
+++ b/milletsill/fleet/operator_log.py
@@ -1,4 +1,4 @@
-"""What the fleet writes to the log, at bounded rates."""
+"""Log events of the fleet, limited in rate."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
 from milletsill.fleet.transport import MemberChange, View
 
-# Tenths of a millisecond.
-ERROR_INTERVAL = 100_000  # between lines about frames of one cause
-MEMBER_LINES_INTERVAL = 10_000
-LEAST_LOGGED_STALL = 5000
+# Times are in tenths of a millisecond.
+ERROR_INTERVAL = 100_000  # between two log events with the same cause
+MEMBER_LINES_INTERVAL = 10_000  # in which MAX_MEMBER_LINES events are logged
+MIN_LOGGED_STALL = 5000
 TICKS_PER_MILLISECOND = 10
 
-MAX_MEMBER_LINES = 50  # about changes of members in an interval; others are counted
+MAX_MEMBER_LINES = 50  # member changes logged per interval; metrics count the rest
 
 
 class OperatorLog:
-    """The fleet's log events; docs/fleet.md says what each means."""
+    """Writes the fleet's log events; docs/fleet.md describes each."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._member_lines_since = 0
 
     def on_joining(self, address: str, incarnation: int) -> None:
-        """The service has started."""
+        """Log that the service has started and joins the fleet."""
         self._callbacks.info(
             "fleet_joining",
             fleet=self._config.fleet,
@@ -48,7 +48,7 @@
         )
 
     def on_view(self, view: View) -> None:
-        """There is a new view."""
+        """Log a new view."""
         self._callbacks.info(
             "view",
             version=view.version,
@@ -57,7 +57,7 @@
         )
 
     def on_member_change(self, changed: MemberChange) -> None:
-        """One member of the view has changed."""
+        """Log a change of one member, unless the interval's limit is reached."""
         now = self._now()
         if now - self._member_lines_since >= MEMBER_LINES_INTERVAL:
             self._member_lines = 0
@@ -74,19 +74,21 @@
         )
 
     def on_refused_frame(self, cause: str, error: MilletsillError) -> None:
-        """A frame was not taken."""
+        """Log a rejected frame, at most once per interval and cause."""
         if self._is_due(cause):
             self._log_error(error)
 
     def on_no_peers(self) -> None:
-        """Nobody has answered since the start."""
+        """Log that no other gateway has answered since the start."""
         where = f"fleet {self._config.fleet!r}"
         self._log_error(
-            errors.NoPeersReachableError("no other gateway has answered", where)
+            errors.NoPeersReachableError(
+                "no other gateway has answered since the start", where
+            )
         )
 
     def on_event(self, event: OperatorEvent, membership: Membership) -> None:
-        """The membership tells of something."""
+        """Log an event that the membership reports to the operator."""
         match event.kind:
             case OperatorEventKind.INCARNATION_LOST:
                 self._on_incarnation_lost(event, membership)
@@ -95,7 +97,7 @@
             case OperatorEventKind.MEMBER_LIMIT:
                 self._on_member_limit(event)
             case OperatorEventKind.STALLED:
-                if event.duration >= LEAST_LOGGED_STALL:
+                if event.duration >= MIN_LOGGED_STALL:
                     duration = event.duration / TICKS_PER_MILLISECOND
                     self._callbacks.warn("fleet_stalled", ms=duration)
             case OperatorEventKind.REFUTED:
@@ -105,8 +107,8 @@
         self, event: OperatorEvent, membership: Membership
     ) -> None:
         what = (
-            f"run {event.incarnation} of {self._config.name!r} is known to others, at "
-            f"{event.location}"
+            f"other gateways know incarnation {event.incarnation} of "
+            f"{self._config.name!r}, at {event.location}"
         )
         self._log_error(
             errors.IncarnationLostError(what, "state_dir"),
@@ -114,7 +116,7 @@
         )
 
     def _on_duplicate_name(self, event: OperatorEvent, membership: Membership) -> None:
-        what = f"another live gateway is called {self._config.name!r}"
+        what = f"another running gateway has the name {self._config.name!r}"
         self._log_error(
             errors.DuplicateMemberNameError(what, event.location),
             resting=membership.state.local.is_displaced,
@@ -124,11 +126,11 @@
         if not self._is_due("full"):
             return
         limit = self._config.membership.max_members
-        what = f"{event.location!r} has no place among {limit}"
+        what = f"member {event.location!r} exceeds the maximum of {limit} members"
         self._log_error(errors.MemberLimitReachedError(what, "fleet.most_members"))
 
     def _is_due(self, cause: str) -> bool:
-        """Return whether a cause may be logged again, and note it if so."""
+        """Return whether a cause may be logged now; if so, start its next interval."""
         now = self._now()
         last = self._last_logged.get(cause)
         if last is not None and now - last < ERROR_INTERVAL:
--- a/milletsill/fleet/peer_clocks.py
+++ b/milletsill/fleet/peer_clocks.py
@@ -1,9 +1,9 @@
-"""What other gateways' clocks read, as far as their messages show. Pure.
+"""Lower bounds on the readings of other gateways' clocks. No I/O, no clock.
 
-Times are passed in, in whole ticks of a tenth of a millisecond. No clock is set by
-another. A gateway that sends what its clock reads has read it before that arrives, so
-from then on it reads at the least that much more than what went by here since, less
-what the rates of two clocks may differ by.
+The caller passes times in, in whole ticks of a tenth of a millisecond. No clock is
+adjusted to another. A gateway reads its clock before the message with the reading
+arrives here. From the arrival on, the remote clock therefore reads at least the sent
+reading plus the local time since then, less the possible difference in clock rates.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# A reading that the clocks' rates may have carried off by more ticks is not used.
+# Ticks. A reading is unused once clock drift may have made it wrong by more than this.
 MAX_UNCERTAINTY = 500
 MAX_KNOWN_GATEWAYS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """What a gateway's clock read.
+    """A reading of another gateway's clock.
 
     Attributes:
-        clock_id: Drawn at each start of a process: the clocks of two starts have
-            nothing to do with each other.
-        reading: What that clock read, in ticks.
-        received_at: What this gateway's clock read when that arrived, in ticks.
+        clock_id: Random, new at each start of a process, since readings of clocks
+            from two starts cannot be compared.
+        reading: The reading of that clock, in ticks.
+        received_at: The local time at which the reading arrived, in ticks.
     """
 
     clock_id: int
@@ -34,17 +34,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoteTime:
-    """A time on another gateway's clock: which clock, and the least that it reads."""
+    """A lower bound on the reading of another gateway's clock, and that clock's id."""
 
     clock_id: int
     reading: int
 
 
 class PeerClocks:
-    """The clocks of other gateways.
+    """The latest readings of other gateways' clocks.
 
     Args:
-        drift_permille: How much faster or slower a clock may run, in parts of a
+        drift_permille: Largest deviation of a clock's rate, up or down, in parts per
             thousand.
     """
 
@@ -53,13 +53,18 @@
         self.readings: OrderedDict[str, ClockReading] = OrderedDict()
 
     def on_reading(self, gateway: str, clock_id: int, reading: int, now: int) -> None:
-        """Keep what a gateway's clock read.
+        """Store a reading of a gateway's clock.
 
-        Of two readings of one clock the one that gives more now is kept.
+        Of two readings of one clock, the one with the larger lower bound for `now` is
+        kept.
         """
-        held = self.readings.get(gateway)
-        is_same_clock = held is not None and held.clock_id == clock_id
-        if held is not None and is_same_clock and reading < self._least(held, now):
+        known = self.readings.get(gateway)
+        is_same_clock = known is not None and known.clock_id == clock_id
+        if (
+            known is not None
+            and is_same_clock
+            and reading < self._min_reading(known, now)
+        ):
             return
         self.readings[gateway] = ClockReading(clock_id, reading, now)
         self.readings.move_to_end(gateway)
@@ -67,25 +72,26 @@
             self.readings.popitem(last=False)
 
     def to_remote(self, gateway: str, at: int, now: int) -> RemoteTime | None:
-        """Return what a gateway's clock reads at the least when this one reads `at`.
+        """Return a lower bound on a gateway's clock when the local clock reads `at`.
 
-        None where too little is known of that clock. Guards against a time that the
-        other gateway would take for later than it is. Harm: it is taken for earlier,
-        by as long as the reading was on its way and by what the rates may differ by.
+        Returns None if there is no reading of that clock or it is too old. A lower
+        bound ensures that the other gateway never takes the time for later than it is.
+        The cost: the other gateway may take it for earlier, by the transit time of the
+        reading and by the possible clock drift.
         """
-        held = self.readings.get(gateway)
-        if held is None:
+        known = self.readings.get(gateway)
+        if known is None:
             return None
-        uncertainty = (now - held.received_at) * 2 * self.drift_permille // 1000
+        uncertainty = (now - known.received_at) * 2 * self.drift_permille // 1000
         if uncertainty > MAX_UNCERTAINTY:
             return None
-        return RemoteTime(held.clock_id, self._least(held, at))
+        return RemoteTime(known.clock_id, self._min_reading(known, at))
 
-    def _least(self, held: ClockReading, at: int) -> int:
-        """Return the least that clock reads at a time before or after the reading."""
+    def _min_reading(self, known: ClockReading, at: int) -> int:
+        """Return a lower bound on the clock at a local time; it may be in the past."""
         slow = 1000 - self.drift_permille
         fast = 1000 + self.drift_permille
-        elapsed = at - held.received_at
+        elapsed = at - known.received_at
         if elapsed >= 0:
-            return held.reading + elapsed * slow // fast
-        return held.reading - (-elapsed * fast // slow) - 1
+            return known.reading + elapsed * slow // fast
+        return known.reading - (-elapsed * fast // slow) - 1
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -1,6 +1,6 @@
-"""One gateway's place in its fleet: sockets and timers around its membership.
+"""A gateway's fleet service: runs its membership over sockets and timers.
 
-A gateway whose file has no `fleet` block loads none of this.
+A gateway imports this module only if its settings file has a `fleet` block.
 """
 
 from __future__ import annotations
@@ -56,12 +56,12 @@
 )
 from milletsill.fleet.view_publisher import ViewPublisher
 
-# Tenths of a millisecond.
+# Times are in tenths of a millisecond.
 MAINTENANCE_INTERVAL = SECOND
-NO_PEERS_AFTER = 100_000
+NO_PEERS_AFTER = 100_000  # from the start until the absence of peers is logged
 
 NONCE_BITS = 64
-SHOWN_DIGEST = (1 << 48) - 1  # a metric is a float, which holds no 64 bits
+DIGEST_METRIC_MASK = (1 << 48) - 1  # a gauge is a float, exact to 53 bits
 
 _REFUSAL_CAUSES: dict[type[MilletsillError], RefusalCause] = {
     FrameTooLongError: RefusalCause.TOO_LONG,
@@ -72,14 +72,14 @@
 
 
 class FleetService:
-    """The `FleetTransport` over sockets.
+    """Implements `FleetTransport` over sockets.
 
     Args:
-        reactor: Twisted's.
-        now: Returns tenths of a millisecond, monotonic.
+        reactor: The Twisted reactor.
+        now: Returns the monotonic time in tenths of a millisecond.
         config: This gateway's settings.
-        callbacks: The log, and where a new incarnation is kept.
-        registry: Where metrics are registered.
+        callbacks: Write to the log and store a new incarnation.
+        registry: The registry in which metrics are registered.
     """
 
     def __init__(
@@ -110,10 +110,10 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Listen and begin to join.
+        """Listen on the fleet address and begin to join the fleet.
 
         Raises:
-            FleetAddressUnavailableError: The address cannot be listened on.
+            FleetAddressUnavailableError: The address is not available.
         """
         host, _, _ = self._config.address.rpartition(":")
         self._listen()
@@ -138,7 +138,7 @@
         self._maintain()
 
     def leave(self) -> None:
-        """Tell the others that this gateway goes; it still hears until `stop`."""
+        """Announce that this gateway leaves; it receives messages until `stop`."""
         membership = self._membership
         if membership is None:
             return
@@ -146,7 +146,7 @@
             self._apply(membership.leave(self._now()))
 
     def stop(self) -> None:
-        """Leave, and end timers, ports and streams."""
+        """Leave the fleet, cancel the timers and close ports and streams."""
         self.leave()
         self._stopped = True
         for timer in self._timers.values():
@@ -162,29 +162,29 @@
 
     @property
     def view(self) -> View:
-        """The members that are present."""
+        """The current view: the members that are present."""
         return self._publisher.view
 
     @property
     def incarnation(self) -> int:
-        """This gateway's incarnation, as the others know it."""
+        """The incarnation that this gateway announces to the others."""
         if self._membership is None:
             return self._config.incarnation
         return self._membership.state.local.entry.incarnation
 
     @property
     def listening_port(self) -> int:
-        """The number of the port it listens on, once started; UDP and TCP."""
+        """The port number on which the started service listens, UDP and TCP."""
         number: int = self._ports[0].getHost().port
         return number
 
     @property
     def is_isolated(self) -> bool:
-        """Whether most of its probes fail: its view may be old."""
+        """Whether most probes fail, so that the view may be out of date."""
         return self._membership is not None and self._membership.is_isolated
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
-        """Send to one member; False where it cannot even be tried."""
+        """Send to one member; return False if the message cannot be sent."""
         membership = self._membership
         receiver = self.view.by_name.get(member)
         if membership is None or receiver is None or self._stopped:
@@ -197,7 +197,7 @@
         return self._transmit(SendMessage(receiver.address, message, stream=True))
 
     def subscribe(self, kind: MessageKind, handler: MessageHandler) -> None:
-        """Call `handler` with each message of that kind from a present member."""
+        """Call `handler` for each message of a kind from a member of the view."""
         self._handlers.setdefault(kind, []).append(handler)
 
     def watch_view(self, handler: ViewHandler) -> None:
@@ -207,7 +207,7 @@
     # Sockets and timers.
 
     def _listen(self) -> None:
-        """Listen on TCP and on UDP of the same port."""
+        """Listen on one port number for TCP and for UDP."""
         host, _, port = self._config.address.rpartition(":")
         self._listener = StreamListener(
             self._now, self._on_stream_frame, self._on_refused_frame
@@ -225,7 +225,7 @@
             ) from error
 
     def _schedule(self, name: str, delay: int, call: Callable[[], None]) -> None:
-        """Call a function after tenths of a millisecond; one timer a name."""
+        """Call a function after a delay in tenths of a millisecond; one per name."""
         if not self._stopped:
             self._timers[name] = self._reactor.callLater(delay / SECOND, call)
 
@@ -234,15 +234,15 @@
 
     def _tick(self) -> None:
         self._schedule("tick", TICK_INTERVAL, self._tick)
-        self._apply(self._running().tick(self._now()))
+        self._apply(self._started_membership().tick(self._now()))
 
     def _maintain(self) -> None:
-        """Once a second: streams, gauges, and whether anybody is there."""
+        """Check stream timeouts, update gauges and check for peers, once a second."""
         self._schedule("maintain", MAINTENANCE_INTERVAL, self._maintain)
         self._streams.check_timeouts()
         self._listener.check_timeouts()
-        self._update_gauges(self._running())
-        self._check_peers(self._running())
+        self._update_gauges(self._started_membership())
+        self._check_peers(self._started_membership())
 
     def _update_gauges(self, membership: Membership) -> None:
         metrics = self._metrics
@@ -265,7 +265,7 @@
             self._no_peers_reported = True
             self._log.on_no_peers()
 
-    def _running(self) -> Membership:
+    def _started_membership(self) -> Membership:
         if self._membership is None:
             raise RuntimeError("the fleet service has not been started")
         return self._membership
@@ -300,11 +300,17 @@
 
     def _decode(self, data: bytes, carrier: FrameCarrier) -> FleetMessage:
         if carrier is FrameCarrier.DATAGRAM and len(data) > MAX_DATAGRAM:
-            raise FrameTooLongError(f"a datagram of more than {MAX_DATAGRAM} octets")
+            raise FrameTooLongError(
+                f"a datagram of {len(data)} bytes, the maximum is {MAX_DATAGRAM}"
+            )
         return self._codec.decode(data)
 
     def _deliver(self, membership: Membership, message: FleetMessage) -> None:
-        """Hand on an application message of a present member's present start."""
+        """Pass an application message on if its sender is a member of the view.
+
+        The nonce has to match, so that messages from an earlier start of the same
+        gateway are rejected.
+        """
         if message.kind is None:
             self._metrics.count_refused(RefusalCause.UNKNOWN_KIND)
             return
@@ -321,7 +327,7 @@
         self._log.on_refused_frame(cause.value, error)
 
     def _transmit(self, sent: SendMessage) -> bool:
-        """Send a message; return whether it went out or waits to."""
+        """Send a message; return whether it was sent or queued."""
         data = self._codec.encode(sent.message)
         carrier = FrameCarrier.STREAM if sent.stream else FrameCarrier.DATAGRAM
         send = self._streams.send if sent.stream else self._datagrams.send
@@ -343,7 +349,7 @@
                 case IncarnationChanged():
                     self._callbacks.store_incarnation(effect.incarnation)
                 case OperatorEvent():
-                    self._log.on_event(effect, self._running())
+                    self._log.on_event(effect, self._started_membership())
 
     def _on_member_change(self, changed: MemberChange) -> None:
         change, member = changed
@@ -355,10 +361,10 @@
         self._publisher.add_change(changed)
 
     def _members(self) -> list[Member]:
-        entries = self._running().state.table.entries
+        entries = self._started_membership().state.table.entries
         return [each.to_member() for each in entries.values()]
 
     def _on_view(self, view: View) -> None:
-        self._metrics.view_digest.set(view.digest & SHOWN_DIGEST)
+        self._metrics.view_digest.set(view.digest & DIGEST_METRIC_MASK)
         self._metrics.view_version.set(view.version)
         self._log.on_view(view)
--- a/milletsill/fleet/service_config.py
+++ b/milletsill/fleet/service_config.py
@@ -1,4 +1,4 @@
-"""What a fleet service is given: its settings, and whom it tells."""
+"""Settings and callbacks of the fleet service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FleetFile(Protocol):
-    """The part of a gateway's file that the fleet needs."""
+    """The part of a gateway's settings file that the fleet needs."""
 
     @property
     def name(self) -> str:
@@ -25,7 +25,7 @@
 
     @property
     def fleet(self) -> FleetLink:
-        """The `fleet` block."""
+        """The `fleet` block of the file."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,13 +35,13 @@
     Attributes:
         name: The gateway's name.
         fleet: The fleet's name.
-        address: host:port to listen on, UDP and TCP.
-        advertise: Where others reach it, if that differs; else empty.
-        seeds: Addresses of some others (`join` in the file).
-        membership: Intervals and bounds.
-        seed: Of the random choices.
-        incarnation: Of this start.
-        version: Of the protocol; another only where a test plays a later one.
+        address: host:port on which the gateway listens, UDP and TCP.
+        advertise: host:port at which others reach it, if different; otherwise empty.
+        seeds: Addresses of some other gateways (`join` in the settings file).
+        membership: Intervals and bounds of the membership protocol.
+        seed: Seed of the random choices.
+        incarnation: Incarnation of this start.
+        version: Protocol version; a test sets it to simulate a later one.
     """
 
     name: str
@@ -58,7 +58,7 @@
     def from_file(
         cls, file: FleetFile, seed: int, incarnation: int
     ) -> FleetServiceConfig:
-        """Read the `fleet` block of a gateway's file."""
+        """Return the settings in the `fleet` block of a gateway's file."""
         block = file.fleet
         return cls(
             name=file.name,
@@ -73,7 +73,7 @@
 
 
 def membership_config(block: FleetLink) -> MembershipConfig:
-    """Return the intervals and bounds of a `fleet` block."""
+    """Return the intervals and bounds that a `fleet` block sets."""
     return MembershipConfig(
         fleet=block.name,
         probe_interval=int(block.probe_ms * MILLISECOND),
@@ -88,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetCallbacks:
-    """Whom a fleet service tells.
+    """Functions that a fleet service calls.
 
     Attributes:
-        warn: Logs what someone should look at.
-        info: Logs what goes on.
-        store_incarnation: Keeps a new incarnation for the next start.
+        warn: Logs an event that needs an operator's attention.
+        info: Logs an event of normal operation.
+        store_incarnation: Stores a new incarnation for the next start.
     """
 
     warn: LogEvent
--- a/milletsill/fleet/transport.py
+++ b/milletsill/fleet/transport.py
@@ -1,7 +1,7 @@
-"""What the other parts of the fleet build on: the view, and messages to one member.
+"""Interface to the fleet: the view of its members, and messages to one member.
 
-A message may be lost. A view is what one gateway believes; it may be wrong for a
-time, so nothing that must hold may rest on it.
+A message may be lost. A view is one gateway's opinion and can be wrong for some time,
+so no safety property may depend on it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class MemberState(Enum):
-    """What a gateway believes of a member, the graver later; values are on the wire."""
+    """State of a member in a view, by rising severity; values are on the wire."""
 
     ALIVE = 1
     SUSPECT = 2
@@ -24,7 +24,7 @@
 
 
 class ViewChange(Enum):
-    """What happened to one member of the view; names are in logs and metrics."""
+    """Change of one member of the view; names appear in logs and metrics."""
 
     JOINED = 1
     SUSPECTED = 2
@@ -35,7 +35,7 @@
 
 
 class MessageKind(Enum):
-    """The part of the program that a message is for; values are on the wire."""
+    """Component that a message is addressed to; values are on the wire."""
 
     VIEW = 1
     HEALTH = 2
@@ -47,13 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One gateway as the view has it.
+    """One gateway as it appears in the view.
 
     Attributes:
-        name: Unique in the fleet.
-        address: IPv4 host:port, UDP and TCP.
-        incarnation: Grows with each start of the gateway.
-        state: What is believed of it.
+        name: The gateway's name, unique in the fleet.
+        address: IPv4 host:port, for UDP and TCP.
+        incarnation: A number that grows with each start of the gateway.
+        state: Its state according to this gateway.
     """
 
     name: str
@@ -63,16 +63,16 @@
 
 
 class MemberChange(NamedTuple):
-    """One change of the view and the member after it."""
+    """A change of the view, and the member after the change."""
 
     change: ViewChange
     member: Member
 
 
 def digest_of(members: Iterable[Member]) -> int:
-    """Return 64 bits that are equal for equal sets of present members.
+    """Return a 64-bit digest that is equal for equal sets of present members.
 
-    Name, incarnation and address count. A suspicion alone makes no other view.
+    It covers name, incarnation and address. Suspicion alone does not change it.
     """
     lines = sorted(
         f"{each.name}\0{each.incarnation}\0{each.address}"
@@ -83,12 +83,12 @@
 
 
 class View:
-    """The members that are present, ordered by name; a new object for each change.
+    """The present members, ordered by name; each change creates a new view.
 
     Attributes:
-        version: Grows with each change, at this gateway alone.
+        version: A number that grows with each change; local to this gateway.
         members: The present members.
-        digest: Equal digests at two gateways mean equal views.
+        digest: Equal at two gateways whose views are equal.
         by_name: The same members by name.
     """
 
@@ -108,9 +108,10 @@
     def rendezvous(
         self, name: str, count: int, among: Sequence[str] | None = None
     ) -> tuple[str, ...]:
-        """Return the first `count` members for a name, by rendezvous hashing.
+        """Return the `count` highest-ranked members for a name (rendezvous hashing).
 
-        A member that joins or goes moves only the names that are its own.
+        A member that joins or leaves changes the ranking only of names for which it
+        is among the first.
         """
         candidates = self.by_name if among is None else among
         prefix = name.encode("utf-8", "surrogateescape") + b"\0"
@@ -129,21 +130,21 @@
         return tuple(each for _, each in weights[:count])
 
     def has_majority(self, fleet_size: int) -> bool:
-        """Return whether over half of a fleet of that size is in the view."""
+        """Return whether the view has more than half of `fleet_size` members."""
         return 2 * len(self.members) > fleet_size
 
 
 # Called with the sending member's name, its incarnation and the body.
 MessageHandler = Callable[[str, int, bytes], None]
-# Called with the new view and what changed since the one before.
+# Called with the new view and the changes since the previous view.
 ViewHandler = Callable[[View, Sequence[MemberChange]], None]
 
 
 class FleetTransport(Protocol):
-    """One gateway's place among the others.
+    """One gateway's access to the view and to the other members.
 
-    No message needs to arrive. Those that arrive are in order for one member, kind
-    and connection, and may come twice.
+    A message can be lost or delivered twice. Messages to one member, of one kind and
+    over one connection, arrive in order.
     """
 
     @property
@@ -152,22 +153,22 @@
 
     @property
     def incarnation(self) -> int:
-        """This gateway's incarnation, as the others know it."""
+        """The incarnation that this gateway announces to the others."""
 
     @property
     def view(self) -> View:
-        """The members that are present."""
+        """The current view: the members that are present."""
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
         """Send to one member.
 
         Returns:
-            False where it cannot even be tried: no such member, the body is too long,
-            or too much waits for that member.
+            False if the message cannot be sent: there is no such member, the body is
+            too long, or too much is queued for that member.
         """
 
     def subscribe(self, kind: MessageKind, handler: MessageHandler) -> None:
-        """Call `handler` with each message of that kind from a present member."""
+        """Call `handler` for each message of a kind from a member of the view."""
 
     def watch_view(self, handler: ViewHandler) -> None:
-        """Call `handler` after each change of the view, never from within one."""
+        """Call `handler` after each change of the view, never while it changes."""
--- a/milletsill/fleet/view_publisher.py
+++ b/milletsill/fleet/view_publisher.py
@@ -1,4 +1,4 @@
-"""Makes a view of changes that come close together, and tells those who watch."""
+"""Combines changes in quick succession into one view, and notifies its watchers."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from milletsill.fleet.transport import Member, MemberChange, View, ViewHandler
 
-# Tenths of a millisecond: changes so close together make one view.
+# Tenths of a millisecond from the first change until the view that includes it.
 BATCH_INTERVAL = 200
 
 
 class ViewPublisher:
-    """The present view and its watchers.
+    """Holds the current view and the handlers that watch it.
 
     Args:
-        members: Returns all members as they are now.
-        schedule: Calls a function once, after tenths of a millisecond.
-        on_view: Called with each view, before its watchers.
+        members: Returns the current state of all members.
+        schedule: Calls a function once, after a delay in tenths of a millisecond.
+        on_view: Called with each new view, before the watching handlers.
 
     Attributes:
-        view: The present view.
+        view: The current view.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         self._handlers.append(handler)
 
     def add_change(self, changed: MemberChange) -> None:
-        """Note a change for the next view."""
+        """Add a change to the next view, and schedule that view if none is pending."""
         if not self._pending:
             self._schedule(BATCH_INTERVAL, self.publish)
         self._pending.append(changed)
 
     def publish(self) -> None:
-        """Make the next view and tell all who watch."""
+        """Create the next view and call all handlers with it."""
         changes = self._pending
         self._pending = []
         self.view = View(self.view.version + 1, self._members())
--- a/milletsill/lab/gossip_gateway.py
+++ b/milletsill/lab/gossip_gateway.py
@@ -11,7 +11,7 @@
 from milletsill.fleet.health.health_evaluator import HealthEvaluator
 from milletsill.fleet.health.node_observer import (
     NodeStatistics,
-    has_news_of,
+    has_unreported,
     take_unreported,
 )
 from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
@@ -23,15 +23,15 @@
     ReportVersion,
 )
 from milletsill.fleet.health.tuning import (
-    CALM_PUBLISH_PERIODS,
     GOSSIP_INTERVAL,
-    OBSERVATION_FADE,
+    OBSERVATION_DECAY_TIME,
+    ROUTINE_REPORT_PERIODS,
     SECOND,
 )
 
 PUBLISH_INTERVAL = 3000
 EXPIRE_INTERVAL = 2 * SECOND
-REPORT_KEPT_FOR = 4 * OBSERVATION_FADE
+REPORT_KEPT_FOR = 4 * OBSERVATION_DECAY_TIME
 KNOWN_VERSION_OCTETS = 17  # of a report in what a gateway says that it has
 MAX_CALLED_SHARE = 0.34
 MAX_REPORTS = 4096
@@ -143,7 +143,7 @@
         """Take the end of an attempt; `pace` is log2 of the usual one."""
         now = self.simulation.now
         statistics = self._statistics.setdefault(node, NodeStatistics(now))
-        statistics.fade(now)
+        statistics.decay(now)
         statistics.add(is_lost, is_lost, None if is_lost else pace)
         self._has_bad_news |= is_lost or pace > 1
 
@@ -157,8 +157,8 @@
         if (
             self._has_bad_news
             or self.is_liar
-            or has_news_of(self._statistics, evaluator.not_healthy())
-            or self._periods % CALM_PUBLISH_PERIODS == 0
+            or has_unreported(self._statistics, evaluator.not_healthy())
+            or self._periods % ROUTINE_REPORT_PERIODS == 0
         ):
             observations = take_unreported(self._statistics, simulation.now)
             self._has_bad_news = False
@@ -206,5 +206,5 @@
         """Return the nodes that it calls ill."""
         assert self.evaluator is not None
         return frozenset(
-            node for node, held in self.evaluator.nodes.items() if held.is_called
+            node for node, held in self.evaluator.nodes.items() if held.is_flagged
         )
--- a/milletsill/lab/gossip_simulation.py
+++ b/milletsill/lab/gossip_simulation.py
@@ -228,7 +228,7 @@
 
     def _may_send(self, place: int, node: int) -> bool:
         held = self.evaluator_for(place).nodes.get(node)
-        if held is None or not held.is_called:
+        if held is None or not held.is_flagged:
             return True
         return is_admitted(
             self.ranking_for(place).places(node).get(place, 0),
--- a/milletsill/lab/health_simulation.py
+++ b/milletsill/lab/health_simulation.py
@@ -18,16 +18,16 @@
 
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.fleet.health.health_evaluator import HealthEvaluator
-from milletsill.fleet.health.node_observer import NodeObserver, has_news_of
+from milletsill.fleet.health.node_observer import NodeObserver, has_unreported
 from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
 from milletsill.fleet.health.report_store import NodeObservation, ReportStore
 from milletsill.fleet.health.tuning import (
     ADVICE_PERIODS,
-    CALM_PUBLISH_PERIODS,
-    OBSERVATION_FADE,
+    OBSERVATION_DECAY_TIME,
+    ROUTINE_REPORT_PERIODS,
     SECOND,
 )
-from milletsill.fleet.health.verdict_table import CALLED_VERDICTS, HealthVerdict
+from milletsill.fleet.health.verdict_table import FLAGGED_VERDICTS, HealthVerdict
 from milletsill.fleet.transport import Member, MemberState, View
 from milletsill.interface import AttemptOutcome, Request
 from milletsill.lab.engine import Job
@@ -53,7 +53,7 @@
 MAX_REPORTS = 4096
 MAX_NODES = 4096
 EVALUATOR_ORIGIN = -1
-REPORT_KEPT_FOR = 4 * OBSERVATION_FADE
+REPORT_KEPT_FOR = 4 * OBSERVATION_DECAY_TIME
 ILL_SHARE = 8  # one node in so many is ill
 MIN_SLANDERED = 5
 SURGE_FACTOR = 2.0
@@ -284,9 +284,9 @@
         gateway.periods += 1
         is_liar = gateway.place in self.liars
         if (
-            observer.has_bad_news
-            or has_news_of(observer.statistics, self.evaluator.not_healthy())
-            or gateway.periods % CALM_PUBLISH_PERIODS == 0
+            observer.has_urgent_results
+            or has_unreported(observer.statistics, self.evaluator.not_healthy())
+            or gateway.periods % ROUTINE_REPORT_PERIODS == 0
             or is_liar
         ):
             observations = observer.take_observations(self.now)
@@ -333,7 +333,7 @@
     def count_false_calls(self) -> int:
         """Return how often a node was called ill that was not."""
         return sum(
-            call.node not in self.ill_nodes and call.verdict in CALLED_VERDICTS
+            call.node not in self.ill_nodes and call.verdict in FLAGGED_VERDICTS
             for call in self.called
         )
 
--- a/milletsill/lab/hunt/fleet_simulation.py
+++ b/milletsill/lab/hunt/fleet_simulation.py
@@ -316,7 +316,7 @@
         called = [
             f"{node} {held.verdict.name}"
             for node, held in gateway.shared_health.evaluator.nodes.items()
-            if held.is_called
+            if held.is_flagged
         ]
         if called:
             self.record_failure(
--- a/milletsill/lab/hunt/simulated_health.py
+++ b/milletsill/lab/hunt/simulated_health.py
@@ -70,7 +70,7 @@
         return {node: RecentStatistics() for node in self.source.nodes_in_use()}
 
     @property
-    def has_bad_news(self) -> bool:
+    def has_urgent_results(self) -> bool:
         """Whether an answer since the last report was lost or slow."""
         return self.source.sees_trouble()
 
--- a/tests/fleet/health/observations.py
+++ b/tests/fleet/health/observations.py
@@ -1,4 +1,4 @@
-"""Observations that the tests of shared health make up."""
+"""Builds observations for the tests of shared health."""
 
 from milletsill.fleet.health.report_store import NodeObservation
 
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -1,4 +1,4 @@
-"""Shared health at a gateway: advice to its scheduler, settings, and agreement."""
+"""Shared health at gateways: scheduler advice, settings, and agreement on verdicts."""
 
 import re
 import unittest
@@ -33,10 +33,10 @@
 
 
 class Advice(unittest.TestCase):
-    def day(self, ill="calm"):
+    def simulation(self, fault="calm"):
         return HealthSimulation(
             HealthScenario(
-                fault=ill,
+                fault=fault,
                 knowledge="alone",
                 seed=3,
                 gateways=6,
@@ -48,73 +48,84 @@
             )
         )
 
-    def test_decisions_change_by_advice_and_not_without_it(self):
-        def played(advise):
-            day, sent = self.day(), []
-            for number, gateway in enumerate(day.gateways):
+    def test_only_effective_advice_changes_scheduling_decisions(self):
+        """Advice on an unlisted node and expired advice must have no effect."""
+
+        def attempts_sent(advise):
+            simulation, sent = self.simulation(), []
+            for number, gateway in enumerate(simulation.gateways):
                 send = gateway.send_attempt
                 gateway.send_attempt = (
                     lambda transfer, node, timeout, send=send, number=number: (
-                        sent.append((day.now, number, transfer, node, timeout)),
+                        sent.append((simulation.now, number, transfer, node, timeout)),
                         send(transfer, node, timeout),
                     )
                 )
             for at in range(0, 4 * SECOND, 1000):
-                day.call_at(at, advise, day)
-            day.play()
+                simulation.call_at(at, advise, simulation)
+            simulation.play()
             return sent
 
-        plain = played(lambda day: None)
-        self.assertGreater(len(plain), 200)
-        for neutral in (
-            lambda day: [
-                each.scheduler.on_health_advice(day.now, 99, 4.0, True, day.now + 3000)
-                for each in day.gateways
+        unadvised = attempts_sent(lambda simulation: None)
+        self.assertGreater(len(unadvised), 200)
+        for ineffective in (
+            lambda simulation: [
+                each.scheduler.on_health_advice(
+                    simulation.now, 99, 4.0, True, simulation.now + 3000
+                )
+                for each in simulation.gateways
             ],
-            lambda day: [
-                each.scheduler.on_health_advice(day.now, 1, 4.0, True, day.now)
-                for each in day.gateways
+            lambda simulation: [
+                each.scheduler.on_health_advice(
+                    simulation.now, 1, 4.0, True, simulation.now
+                )
+                for each in simulation.gateways
             ],
         ):
-            self.assertEqual(played(neutral), plain)
-        away = played(
-            lambda day: [
+            self.assertEqual(attempts_sent(ineffective), unadvised)
+        avoiding = attempts_sent(
+            lambda simulation: [
                 (
                     each.scheduler.on_health_advice(
-                        day.now, 1, 4.0, True, day.now + 3000
+                        simulation.now, 1, 4.0, True, simulation.now + 3000
                     ),
                     each.dispatch_soon(),
                 )
-                for each in day.gateways
+                for each in simulation.gateways
             ]
         )
-        count = [sum(node == 1 for _, _, _, node, _ in each) for each in (plain, away)]
+        count = [
+            sum(node == 1 for _, _, _, node, _ in each)
+            for each in (unadvised, avoiding)
+        ]
         self.assertLess(count[1], count[0] / 2)
 
-    def test_advice_expires_and_own_fresh_results_go_first(self):
-        day = self.day()
-        day.start()
-        day.run(SECOND)
-        module = day.gateways[0].scheduler
-        node = module.state.nodes[1]
+    def test_advice_expires_and_own_recent_results_take_precedence(self):
+        simulation = self.simulation()
+        simulation.start()
+        simulation.run(SECOND)
+        scheduler = simulation.gateways[0].scheduler
+        node = scheduler.state.nodes[1]
         node.last_heard_at = node.failed_at = -9 * SECOND
-        module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
-        self.assertEqual(node.backoff_until, day.now + 3000)
+        scheduler.on_health_advice(simulation.now, 1, 4.0, True, simulation.now + 3000)
+        self.assertEqual(node.backoff_until, simulation.now + 3000)
         request = SimpleNamespace(shard=None, key=0, node=None, attempts=[], units=1)
-        placement_cost = module.placement.placement_cost
-        advised = placement_cost(request, node, day.now)[3]
+        placement_cost = scheduler.placement.placement_cost
+        advised = placement_cost(request, node, simulation.now)[3]
         self.assertAlmostEqual(
-            advised - placement_cost(request, node, day.now + 3000)[3], 4.0
+            advised - placement_cost(request, node, simulation.now + 3000)[3], 4.0
         )
         node.backoff_until, node.failures = 0, 2
-        node.last_heard_at = day.now
-        module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
+        node.last_heard_at = simulation.now
+        scheduler.on_health_advice(simulation.now, 1, 4.0, True, simulation.now + 3000)
         self.assertEqual((node.backoff_until, node.failures), (0, 2))
-        node.last_heard_at, node.backoff_until = -9 * SECOND, day.now + SECOND
-        module.on_health_advice(
-            day.now, 1, 0.0, False, day.now + 3000
-        )  # chosen to try it
-        self.assertEqual((node.backoff_until <= day.now, node.failures), (True, 0))
+        node.last_heard_at, node.backoff_until = -9 * SECOND, simulation.now + SECOND
+        scheduler.on_health_advice(
+            simulation.now, 1, 0.0, False, simulation.now + 3000
+        )  # this gateway is chosen to probe the node
+        self.assertEqual(
+            (node.backoff_until <= simulation.now, node.failures), (True, 0)
+        )
 
 
 class Settings(unittest.TestCase):
@@ -124,17 +135,17 @@
             "fleet {", "fleet { health { HERE }", 1
         )
         parse(text.replace("HERE", "lasts_s: 3"), "f", GatewayFile, check_gateway)
-        for wrong, word_of in (
+        for invalid, expected_text in (
             ("publish_ms: 2", "publish_ms"),
             ("lasts_s: 1", "renewed"),
             ("most_part: 0.9", "most_part"),
         ):
-            with self.assertRaisesRegex(Exception, word_of):
-                parse(text.replace("HERE", wrong), "f", GatewayFile, check_gateway)
+            with self.assertRaisesRegex(Exception, expected_text):
+                parse(text.replace("HERE", invalid), "f", GatewayFile, check_gateway)
 
 
 class LoopbackTransport:
-    """One of several members that hear each other at once."""
+    """A fleet transport that delivers each message at once."""
 
     def __init__(self, name, transports):
         self.name = name
--- a/tests/fleet/health/test_health_evaluator.py
+++ b/tests/fleet/health/test_health_evaluator.py
@@ -1,4 +1,4 @@
-"""Verdicts: their table, false reports, bounds, ramps; and what an observer sees."""
+"""Verdicts: transition table, false reports, limits and ramp-up; node observations."""
 
 import unittest
 from itertools import pairwise
@@ -45,11 +45,11 @@
 
 
 class Fleet:
-    """Reports of some gateways, all at one evaluator."""
+    """One evaluator that receives the reports of several gateways."""
 
-    def __init__(self, gateways=GATEWAYS, shards=SHARDS, max_called_share=0.34):
+    def __init__(self, gateways=GATEWAYS, shards=SHARDS, max_flagged_share=0.34):
         self.store = ReportStore(-1, 1, 4096, 4096)
-        self.evaluator = HealthEvaluator(max_called_share)
+        self.evaluator = HealthEvaluator(max_flagged_share)
         self.now = SECOND
         self.origins = [ReportStore(each, 1, 2, 4096) for each in range(gateways)]
         self.shards = shards
@@ -57,7 +57,11 @@
         self.changes = []
 
     def play(self, seconds, observe):
-        """Let `observe(origin, node)` give an observation or None each time."""
+        """Report `observe(origin, node)`, an observation or None, in each period.
+
+        Returns:
+            The nodes that are flagged at the end.
+        """
         for _ in range(round(seconds * SECOND) // PERIOD):
             self.now += PERIOD
             for number, origin in enumerate(self.origins):
@@ -73,11 +77,16 @@
             self.changes += self.evaluator.evaluate(
                 self.store, len(self.origins), self.ranking, self.shards, self.now
             )
-        return {node for node, held in self.evaluator.nodes.items() if held.is_called}
+        return {
+            node for node, state in self.evaluator.nodes.items() if state.is_flagged
+        }
 
 
 def honest_observer(random, lost=None, pace=None, share=0.2):
-    """Each gateway observes a node now and then; `lost` and `pace` by node."""
+    """Return an observer with a share of loss and a mean pace for each node.
+
+    Each gateway observes a node in `share` of the periods.
+    """
     return lambda origin, node: (
         observation(
             float(random.random() < (lost or {}).get(node, 0.0)),
@@ -89,7 +98,7 @@
 
 
 def with_liars(honest, liars, lies_about):
-    """The first origins report well nodes as failing, the others are honest."""
+    """Return an observer for which the first origins report healthy nodes as failing."""
     return lambda origin, node: (
         observation(1.0, answers=8.0)
         if origin < liars and lies_about(node)
@@ -98,7 +107,7 @@
 
 
 class Verdicts(unittest.TestCase):
-    def test_the_table_calls_a_node_and_restores_it(self):
+    def test_the_table_flags_a_node_and_restores_it(self):
         path = [
             (HealthFinding.IMPAIRED, HealthVerdict.DEGRADED),
             (HealthFinding.FAILING, HealthVerdict.FAILING),
@@ -115,7 +124,7 @@
             verdict, _ = next_verdict(verdict, finding)
             self.assertIs(verdict, expected)
 
-    def test_only_impaired_nodes_are_called_and_recover_by_a_ramp(self):
+    def test_only_impaired_nodes_are_flagged_and_recover_gradually(self):
         for lost, pace in (({3: 1.0}, {}), ({3: 0.4}, {}), ({}, {3: 1.3})):
             fleet, random = Fleet(), Random(4)
             self.assertEqual(fleet.play(8, honest_observer(random)), set())
@@ -133,7 +142,7 @@
             )
             self.assertEqual({each.node for each in fleet.changes}, {3})
 
-    def test_load_everywhere_calls_no_node_and_too_many_are_disregarded(self):
+    def test_no_node_is_flagged_if_all_are_slow_or_too_many_fail(self):
         fleet, random = Fleet(), Random(5)
         fleet.play(6, honest_observer(random))
         self.assertEqual(
@@ -145,13 +154,13 @@
         )
         self.assertGreater(fleet.evaluator.disregarded, 4)
 
-    def test_not_all_nodes_of_a_shard_are_called(self):
+    def test_not_all_nodes_of_a_shard_are_flagged(self):
         fleet, random = (
             Fleet(shards={node: node // 4 for node in range(NODES)}),
             Random(6),
         )
-        called = fleet.play(14, honest_observer(random, {0: 1.0, 1: 1.0, 2: 1.0}))
-        self.assertEqual(len(called), 1)
+        flagged = fleet.play(14, honest_observer(random, {0: 1.0, 1: 1.0, 2: 1.0}))
+        self.assertEqual(len(flagged), 1)
 
     def test_false_reports_of_a_minority_change_no_verdict(self):
         for share, lies_about in (
@@ -163,11 +172,11 @@
             honest = honest_observer(random, {5: 1.0}, share=0.1)
             observe = with_liars(honest, share * 100, lies_about)
             fleet.play(60, observe)
-            late = {each.node for each in fleet.changes[-1:]} | fleet.play(6, observe)
-            self.assertEqual(late & {1, 2, 3}, set(), share)
+            last = {each.node for each in fleet.changes[-1:]} | fleet.play(6, observe)
+            self.assertEqual(last & {1, 2, 3}, set(), share)
             self.assertIs(fleet.evaluator.nodes[5].verdict, HealthVerdict.FAILING)
 
-    def test_few_gateways_try_a_failing_node_and_its_load_is_cut_in_steps(self):
+    def test_few_gateways_probe_a_failing_node_and_its_load_is_cut_in_steps(self):
         fleet, random = Fleet(), Random(8)
         fleet.play(6, honest_observer(random))
         fleet.play(12, honest_observer(random, {3: 1.0}))
@@ -179,13 +188,13 @@
         probers = sum(each.load_factor <= 0 for each in advice)
         self.assertTrue(tuning.MIN_PROBERS <= probers <= GATEWAYS / 3, probers)
         self.assertEqual(sum(each.avoid for each in advice), GATEWAYS - probers)
-        held = NodeVerdict(HealthVerdict.FAILING)
-        evaluator.apply_finding(3, held, HealthFinding.FAILING, GATEWAYS, False)
-        self.assertEqual(held.admitted_share, tuning.FAILING_CUT_FACTOR)
+        state = NodeVerdict(HealthVerdict.FAILING)
+        evaluator.apply_finding(3, state, HealthFinding.FAILING, GATEWAYS, False)
+        self.assertEqual(state.admitted_share, tuning.FAILING_CUT_FACTOR)
 
 
 class Observations(unittest.TestCase):
-    def test_slow_nodes_are_told_from_busy_ones_by_request_size(self):
+    def test_relative_pace_accounts_for_request_size_and_load(self):
         def relative_pace(latency, inflight):
             observer = NodeObserver([3000])
             observer.on_endpoints(
--- a/tests/fleet/health/test_reports.py
+++ b/tests/fleet/health/test_reports.py
@@ -1,4 +1,4 @@
-"""Replicated reports: they converge, and their bounds hold."""
+"""Replicated reports converge, and their limits are enforced."""
 
 import unittest
 from random import Random
@@ -16,7 +16,7 @@
 class ReportsConverge(unittest.TestCase):
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 1 << 32), st.floats(0, 0.6))
-    def test_whatever_is_lost_late_or_doubled(self, seed, loss):
+    def test_despite_lost_reordered_and_duplicated_frames(self, seed, loss):
         random, frames = Random(seed), []
         stores = {str(each): ReportStore(each, 1, 8, 8) for each in range(4)}
         exchanges = {
@@ -38,10 +38,10 @@
                     exchanges[to].on_frame(0, sender, body, lambda origin: True)
 
         for step in range(12):
-            one = random.choice(list(stores))
+            writer = random.choice(list(stores))
             if random.random() < 0.1:
-                stores[one].restart(stores[one].own.incarnation + 1)
-            exchanges[one].write(
+                stores[writer].restart(stores[writer].own.incarnation + 1)
+            exchanges[writer].write(
                 {random.randrange(8): observation(random.random(), random.random())}
             )
             for name, each in exchanges.items():
@@ -60,7 +60,7 @@
         states = [store.replicated_state() for store in stores.values()]
         self.assertTrue(all(each == states[0] for each in states))
 
-    def test_reports_of_absent_origins_expire_and_bounds_hold(self):
+    def test_reports_of_absent_origins_expire_and_limits_are_enforced(self):
         store, other = ReportStore(1, 1, 3, 4), ReportStore(2, 5, 3, 9)
         delta = other.write({1: observation()})
         self.assertTrue(store.merge(delta))
--- a/tests/fleet/test_torn_fleet.py
+++ b/tests/fleet/test_torn_fleet.py
@@ -1,6 +1,8 @@
-"""Five gateways as processes with faults between them, channels under all four contracts, and the audit of what crossed sockets.
+"""A fleet of five gateway processes with network and process faults.
 
-One short day; the laboratory says by itself where the machine was too slow for it. A planted fault ends the other way.
+Channels use all four ordering contracts, and the audit checks all traffic on the
+sockets. The lab reports on its own where the machine was too slow for the run. With
+planted faults the audit has to find a violation of each contract.
 """
 
 import re
@@ -52,25 +54,25 @@
 """
 
 
-def played(text, plant=""):
+def run_scenario(text, plant=""):
     with tempfile.TemporaryDirectory() as folder:
         return Run(text_format.Parse(text, Scenario()), folder, plant=plant).play()
 
 
-class Torn(unittest.TestCase):
-    def test_every_rule_and_contract_is_kept_and_the_views_agree(self):
-        result = played(TORN + FAULTS)
+class FleetUnderFaults(unittest.TestCase):
+    def test_contracts_hold_and_views_agree(self):
+        result = run_scenario(TORN + FAULTS)
         self.assertFalse(broken(result), report(result))
         for name, figures in result.channels.figures.items():
             self.assertGreater(figures.settled, 40, (name, figures))
             self.assertGreater(figures.claims, 8, (name, figures))
 
-    def test_a_fault_planted_in_each_gate_is_found(self):
-        """By boxes' notes of numbers that took effect before others which their contract orders before them."""
-        result = played(
+    def test_planted_faults_are_found_for_each_contract(self):
+        """The nodes' records show numbers that took effect against the order."""
+        result = run_scenario(
             TORN.replace("seconds: 24 tail_s: 20", "seconds: 8 tail_s: 3"), "all"
         )
-        crossed = {
+        out_of_order = {
             name: [
                 each.text
                 for each in held
@@ -79,9 +81,11 @@
             for name, held in result.channels.breaches.items()
         }
         self.assertEqual(
-            [name for name, found in crossed.items() if not found], [], report(result)
+            [name for name, found in out_of_order.items() if not found],
+            [],
+            report(result),
         )
-        self.assertEqual(len(crossed), 4)
+        self.assertEqual(len(out_of_order), 4)
         self.assertTrue(broken(result))
 
 
