--- a/milletsill/fleet/health/health_evaluator.py
+++ b/milletsill/fleet/health/health_evaluator.py
@@ -162,7 +162,7 @@
         }
 
     def _common_pace(self) -> float:
-        """Return the median pace of the nodes: slowness that all share is no fault."""
+        """Return the median pace of all nodes, to be deducted from each node's pace."""
         paces = [
             state.tally.relative_pace
             for state in self.nodes.values()
--- a/milletsill/fleet/health/node_observer.py
+++ b/milletsill/fleet/health/node_observer.py
@@ -32,7 +32,8 @@
     AttemptOutcome.RESET,
     AttemptOutcome.ERROR,
 )
-# Withdrawn, rejected and superseded attempts say nothing about a node's health.
+# Attempts that were cancelled, withdrawn or rejected by a full node say nothing about
+# the node's health.
 OBSERVED_OUTCOMES = (*FAILED_OUTCOMES, AttemptOutcome.SUCCEEDED)
 SLOW_PACE = 1.0  # log2 over the usual pace; slower answers are reported at once
 
--- a/milletsill/fleet/health/node_verdict.py
+++ b/milletsill/fleet/health/node_verdict.py
@@ -110,7 +110,7 @@
             or self.smoothed_pace >= IMPAIRED_PACE
         ):
             return HealthFinding.IMPAIRED
-        # Losses of the past must not keep a node FAILING.
+        # Past losses must not keep a node FAILING after it has recovered.
         failing = self.verdict is HealthVerdict.FAILING
         past_loss = 0.0 if failing else self.smoothed_loss
         if (
@@ -121,7 +121,7 @@
         return HealthFinding.INCONCLUSIVE
 
     def _is_restored(self, finding: HealthFinding) -> bool:
-        """Return whether no votes are against the node and all gateways send to it."""
+        """Return whether the finding permits HEALTHY and all gateways send freely."""
         if self.admitted_share < 1 or self.unrestricted_share < 1:
             return False
         if finding is HealthFinding.INCONCLUSIVE:
--- a/milletsill/fleet/health/tuning.py
+++ b/milletsill/fleet/health/tuning.py
@@ -1,8 +1,8 @@
 """Constants of shared health.
 
 Times are in whole tenths of a millisecond. A vote has a weight of at most 1; thresholds
-on votes are sums of weights. Paces are log2 of the pace over the usual pace. A flagged
-node has the verdict DEGRADED or FAILING.
+on votes are sums of weights. Paces are relative: log2 of a node's pace over the usual
+pace of its kind. A flagged node has the verdict DEGRADED or FAILING.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 # Votes: an origin has at most one vote on each node.
 TRIMMED_GATEWAY_SHARE = 0.05  # share of the gateways whose worst votes are ignored
-MAX_TRIMMED_WEIGHT = 0.2  # of the total weight, unless less than one vote
+# Limit on the trimmed weight, as a share of all votes. One vote, or a third of the
+# weight if that is less, is always trimmed.
+MAX_TRIMMED_WEIGHT = 0.2
 MIN_VOTES = 2.5  # weight of votes required for a finding
 MIN_VOTES_FLAGGED = 0.6  # on a flagged node, which few gateways probe
 # Excess of an origin's share of bad votes over the median origin's share. From the
 # first value on its votes lose weight; from the second on they have no weight.
 BAD_SHARE_TOLERATED = 0.3
 BAD_SHARE_REJECTED = 0.6
-BAD_WEIGHT_DECAY_TIME = (
-    20 * SECOND
-)  # time constant for the smoothed weight of bad votes
+BAD_WEIGHT_DECAY_TIME = 20 * SECOND  # time constant of the smoothed bad-vote weight
 TOLERATED_BAD_WEIGHT = 0.2  # smoothed weight of bad votes without a penalty
 
 # Findings: thresholds to flag a node, and lower ones to clear it (hysteresis).
@@ -66,7 +66,7 @@
 # From this median wasted share over all nodes on, a slow node keeps its load, since the
 # other nodes lack capacity for it.
 OVERLOADED_WASTE = 0.3
-PROBES_PER_SECOND = 3.0  # on all flagged nodes, by all gateways
+PROBES_PER_SECOND = 3.0  # total over all flagged nodes and all gateways
 MIN_PROBERS = 3  # per flagged node
 
 # Load factor in advice on a node, in units of the shortest latency objective.
