--- a/milletsill/fleet/health/node_observer.py
+++ b/milletsill/fleet/health/node_observer.py
@@ -49,7 +49,7 @@
         self._median = 0.0
         self._until_recomputed = 0
 
-    def learn(self, pace: float) -> float | None:
+    def add(self, pace: float) -> float | None:
         """Add a pace; return its difference from the median, None with few samples."""
         self._latest.append(pace)
         self._until_recomputed -= 1
@@ -233,7 +233,7 @@
                 return None
             usual = RunningMedian()
             self._usual_paces[pace_class] = usual
-        return usual.learn(pace)
+        return usual.add(pace)
 
     def take_observations(self, now: int) -> dict[int, NodeObservation]:
         """Return the unreported observations, for the next report."""
--- a/milletsill/fleet/metrics.py
+++ b/milletsill/fleet/metrics.py
@@ -21,7 +21,7 @@
     STREAM = "stream"
 
 
-class RefusalCause(Enum):
+class RejectionCause(Enum):
     """Reason for rejecting a frame: the values of the metric label `cause`."""
 
     TOO_LONG = "too_long"
@@ -63,7 +63,7 @@
         self.octets = counter(
             "octets", "Bytes of frames, by direction and transport", "way", "over"
         )
-        self.refused = counter(
+        self.rejected = counter(
             "refused", "Received frames that were rejected, by cause", "cause"
         )
         self.unsent = counter(
@@ -96,6 +96,6 @@
         frames.inc()
         total.inc(octets)
 
-    def count_refused(self, cause: RefusalCause) -> None:
+    def count_rejected(self, cause: RejectionCause) -> None:
         """Count a received frame that was rejected."""
-        self.refused.labels(cause.value).inc()
+        self.rejected.labels(cause.value).inc()
--- a/milletsill/fleet/operator_log.py
+++ b/milletsill/fleet/operator_log.py
@@ -73,7 +73,7 @@
             address=changed.member.address,
         )
 
-    def on_refused_frame(self, cause: str, error: MilletsillError) -> None:
+    def on_rejected_frame(self, cause: str, error: MilletsillError) -> None:
         """Log a rejected frame, at most once per interval and cause."""
         if self._is_due(cause):
             self._log_error(error)
--- a/milletsill/fleet/service.py
+++ b/milletsill/fleet/service.py
@@ -37,7 +37,7 @@
     FleetMetrics,
     FrameCarrier,
     FrameDirection,
-    RefusalCause,
+    RejectionCause,
 )
 from milletsill.fleet.net.datagrams import DatagramSocket
 from milletsill.fleet.net.inbound_streams import StreamListener
@@ -63,11 +63,11 @@
 NONCE_BITS = 64
 DIGEST_METRIC_MASK = (1 << 48) - 1  # a gauge is a float, exact to 53 bits
 
-_REFUSAL_CAUSES: dict[type[MilletsillError], RefusalCause] = {
-    FrameTooLongError: RefusalCause.TOO_LONG,
-    MalformedFrameError: RefusalCause.MALFORMED,
-    FleetNameMismatchError: RefusalCause.OTHER_FLEET,
-    FrameVersionTooNewError: RefusalCause.TOO_NEW,
+_REJECTION_CAUSES: dict[type[MilletsillError], RejectionCause] = {
+    FrameTooLongError: RejectionCause.TOO_LONG,
+    MalformedFrameError: RejectionCause.MALFORMED,
+    FleetNameMismatchError: RejectionCause.OTHER_FLEET,
+    FrameVersionTooNewError: RejectionCause.TOO_NEW,
 }
 
 
@@ -210,7 +210,7 @@
         """Listen on one port number for TCP and for UDP."""
         host, _, port = self._config.address.rpartition(":")
         self._listener = StreamListener(
-            self._now, self._on_stream_frame, self._on_refused_frame
+            self._now, self._on_stream_frame, self._on_rejected_frame
         )
         self._streams = OutboundStreamPool(self._reactor, self._now, host)
         self._datagrams = DatagramSocket(self._on_datagram)
@@ -290,11 +290,11 @@
             FleetNameMismatchError,
             FrameVersionTooNewError,
         ) as error:
-            self._on_refused_frame(error)
+            self._on_rejected_frame(error)
             return
         self._apply(membership.on_message(self._now(), message))
         if message.type is None:
-            self._metrics.count_refused(RefusalCause.UNKNOWN_TYPE)
+            self._metrics.count_rejected(RejectionCause.UNKNOWN_TYPE)
         elif message.type is FrameType.APPLICATION:
             self._deliver(membership, message)
 
@@ -312,19 +312,19 @@
         gateway are rejected.
         """
         if message.kind is None:
-            self._metrics.count_refused(RefusalCause.UNKNOWN_KIND)
+            self._metrics.count_rejected(RejectionCause.UNKNOWN_KIND)
             return
         entry = membership.state.table.get(message.sender.name)
         if entry is None or entry.nonce != message.sender.nonce or not entry.in_view:
-            self._metrics.count_refused(RefusalCause.NOT_A_MEMBER)
+            self._metrics.count_rejected(RejectionCause.NOT_A_MEMBER)
             return
         for handler in self._handlers.get(message.kind, ()):
             handler(entry.name, entry.incarnation, message.body)
 
-    def _on_refused_frame(self, error: MilletsillError) -> None:
-        cause = _REFUSAL_CAUSES[type(error)]
-        self._metrics.count_refused(cause)
-        self._log.on_refused_frame(cause.value, error)
+    def _on_rejected_frame(self, error: MilletsillError) -> None:
+        cause = _REJECTION_CAUSES[type(error)]
+        self._metrics.count_rejected(cause)
+        self._log.on_rejected_frame(cause.value, error)
 
     def _transmit(self, sent: SendMessage) -> bool:
         """Send a message; return whether it was sent or queued."""
--- a/tests/fleet/health/test_health_evaluator.py
+++ b/tests/fleet/health/test_health_evaluator.py
@@ -56,7 +56,7 @@
         self.ranking = ranking_of(gateways)
         self.changes = []
 
-    def play(self, seconds, observe):
+    def run(self, seconds, observe):
         """Report `observe(origin, node)`, an observation or None, in each period.
 
         Returns:
@@ -97,11 +97,11 @@
     )
 
 
-def with_liars(honest, liars, lies_about):
+def with_false_reports(honest, false_origins, is_misreported):
     """Return an observer for which the first origins report healthy nodes as failing."""
     return lambda origin, node: (
         observation(1.0, answers=8.0)
-        if origin < liars and lies_about(node)
+        if origin < false_origins and is_misreported(node)
         else honest(origin, node)
     )
 
@@ -127,13 +127,13 @@
     def test_only_impaired_nodes_are_flagged_and_recover_gradually(self):
         for lost, pace in (({3: 1.0}, {}), ({3: 0.4}, {}), ({}, {3: 1.3})):
             fleet, random = Fleet(), Random(4)
-            self.assertEqual(fleet.play(8, honest_observer(random)), set())
+            self.assertEqual(fleet.run(8, honest_observer(random)), set())
             self.assertEqual(
-                fleet.play(12, honest_observer(random, lost, pace)), {3}, (lost, pace)
+                fleet.run(12, honest_observer(random, lost, pace)), {3}, (lost, pace)
             )
             shares = []
             for _ in range(40):
-                fleet.play(0.3, honest_observer(random))
+                fleet.run(0.3, honest_observer(random))
                 shares.append(fleet.evaluator.nodes[3].unrestricted_share)
             self.assertIs(fleet.evaluator.nodes[3].verdict, HealthVerdict.HEALTHY)
             self.assertTrue(
@@ -144,13 +144,13 @@
 
     def test_no_node_is_flagged_if_all_are_slow_or_too_many_fail(self):
         fleet, random = Fleet(), Random(5)
-        fleet.play(6, honest_observer(random))
+        fleet.run(6, honest_observer(random))
         self.assertEqual(
-            fleet.play(8, honest_observer(random, {}, dict.fromkeys(SHARDS, 1.5))),
+            fleet.run(8, honest_observer(random, {}, dict.fromkeys(SHARDS, 1.5))),
             set(),
         )
         self.assertEqual(
-            fleet.play(8, honest_observer(random, dict.fromkeys(range(8), 1.0))), set()
+            fleet.run(8, honest_observer(random, dict.fromkeys(range(8), 1.0))), set()
         )
         self.assertGreater(fleet.evaluator.disregarded, 4)
 
@@ -159,27 +159,27 @@
             Fleet(shards={node: node // 4 for node in range(NODES)}),
             Random(6),
         )
-        flagged = fleet.play(14, honest_observer(random, {0: 1.0, 1: 1.0, 2: 1.0}))
+        flagged = fleet.run(14, honest_observer(random, {0: 1.0, 1: 1.0, 2: 1.0}))
         self.assertEqual(len(flagged), 1)
 
     def test_false_reports_of_a_minority_change_no_verdict(self):
-        for share, lies_about in (
+        for share, is_misreported in (
             (0.05, lambda node: node in (1, 2)),
             (0.2, lambda node: node in (1, 2, 3)),
             (0.3, lambda node: True),
         ):
             fleet, random = Fleet(100), Random(7)
             honest = honest_observer(random, {5: 1.0}, share=0.1)
-            observe = with_liars(honest, share * 100, lies_about)
-            fleet.play(60, observe)
-            last = {each.node for each in fleet.changes[-1:]} | fleet.play(6, observe)
+            observe = with_false_reports(honest, share * 100, is_misreported)
+            fleet.run(60, observe)
+            last = {each.node for each in fleet.changes[-1:]} | fleet.run(6, observe)
             self.assertEqual(last & {1, 2, 3}, set(), share)
             self.assertIs(fleet.evaluator.nodes[5].verdict, HealthVerdict.FAILING)
 
     def test_few_gateways_probe_a_failing_node_and_its_load_is_cut_in_steps(self):
         fleet, random = Fleet(), Random(8)
-        fleet.play(6, honest_observer(random))
-        fleet.play(12, honest_observer(random, {3: 1.0}))
+        fleet.run(6, honest_observer(random))
+        fleet.run(12, honest_observer(random, {3: 1.0}))
         evaluator = fleet.evaluator
         advice = [
             evaluator.advice(3, fleet.ranking.places(3)[each], GATEWAYS)
--- a/tests/fleet/test_torn_fleet.py
+++ b/tests/fleet/test_torn_fleet.py
@@ -14,7 +14,7 @@
 from milletsill.lab.run import Run, broken, report
 from milletsill.settings.milletsill_pb2 import Scenario
 
-TORN = """
+SCENARIO = """
 name: "torn" seed: 7 seconds: 24 tail_s: 20 edges: 5 files: 4 file_units: 8
 gateway {
   name: "edge" gateways: 5 registry { address: "127.0.0.1:1" } door { answer_margin_ms: 60 drain_s: 3 }
@@ -61,7 +61,7 @@
 
 class FleetUnderFaults(unittest.TestCase):
     def test_contracts_hold_and_views_agree(self):
-        result = run_scenario(TORN + FAULTS)
+        result = run_scenario(SCENARIO + FAULTS)
         self.assertFalse(broken(result), report(result))
         for name, figures in result.channels.figures.items():
             self.assertGreater(figures.settled, 40, (name, figures))
@@ -70,7 +70,7 @@
     def test_planted_faults_are_found_for_each_contract(self):
         """The nodes' records show numbers that took effect against the order."""
         result = run_scenario(
-            TORN.replace("seconds: 24 tail_s: 20", "seconds: 8 tail_s: 3"), "all"
+            SCENARIO.replace("seconds: 24 tail_s: 20", "seconds: 8 tail_s: 3"), "all"
         )
         out_of_order = {
             name: [
