--- a/milletsill/planner/codec.py
+++ b/milletsill/planner/codec.py
@@ -1,6 +1,6 @@
-"""Frames of the planner's protocol, to and from requests and grants.
+"""Encode and decode the frames of the planner's protocol.
 
-A frame is a u32 length, big-endian, and one protobuf `Frame`.
+A frame is a big-endian u32 length followed by one protobuf `Frame`.
 """
 
 from __future__ import annotations
@@ -29,25 +29,25 @@
 
 
 class MalformedPlannerFrameError(MalformedInputError):
-    """Octets between a gateway and its planner that are no frame."""
+    """Bytes on a connection between a gateway and its planner are not a valid frame."""
 
     remedy = (
-        "see that planner.address leads to a planner, "
-        "and that both run versions that go together"
+        "check that planner.address is the address of a planner, "
+        "and that gateway and planner run compatible versions"
     )
 
 
 class FrameParser:
-    """Octets of a connection as frames; holds no more than one incomplete frame."""
+    """Splits a byte stream into frames; buffers at most one incomplete frame."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yield the frames that are complete now.
+        """Yield the frames that are complete so far.
 
         Raises:
-            MalformedPlannerFrameError: A frame is too long, or none of this protocol.
+            MalformedPlannerFrameError: A frame is too long or cannot be decoded.
         """
         self._buffer += data
         position = 0
@@ -55,7 +55,7 @@
             size = LENGTH.unpack_from(self._buffer, position)[0]
             if size > MAX_FRAME_BYTES:
                 raise MalformedPlannerFrameError(
-                    f"a frame of {size} bytes, {MAX_FRAME_BYTES} at most"
+                    f"frame of {size} bytes exceeds the limit of {MAX_FRAME_BYTES}"
                 )
             if len(self._buffer) - position - LENGTH.size < size:
                 break
@@ -66,30 +66,38 @@
 
 
 def decode_frame(data: bytes) -> Frame:
-    """Parse a frame without its length.
+    """Parse a frame without its length prefix.
 
     Raises:
-        MalformedPlannerFrameError: It is no frame, or holds nothing that is known.
+        MalformedPlannerFrameError: The data is not a `Frame`, or has no known content.
     """
     try:
         frame = Frame.FromString(data)
     except DecodeError as error:
         raise MalformedPlannerFrameError(
-            "a frame that is no protobuf of ours"
+            "frame is not a protobuf message of type Frame"
         ) from error
     if frame.WhichOneof("what") is None or not frame.IsInitialized():
-        raise MalformedPlannerFrameError("a frame with nothing in it that we know")
+        raise MalformedPlannerFrameError(
+            "frame has no known content or lacks required fields"
+        )
     return frame
 
 
 def encode_frame(**what: Any) -> bytes:
-    """Return one frame: `encode_frame(welcome=Welcome(...))`."""
+    """Return one frame with its length, e.g. `encode_frame(welcome=Welcome(...))`."""
     data = Frame(**what).SerializeToString()
     return LENGTH.pack(len(data)) + data
 
 
 def encode_request(request: QuotaRequest, rate: float = 0.0) -> Wish:
-    """Return the message for a request; `rate`, in units a second, is for people."""
+    """Return the message for a request.
+
+    Args:
+        request: The request to encode.
+        rate: The wanted rate in units per second; informational, the planner does not
+            use it.
+    """
     return Wish(
         epoch=request.epoch,
         what=request.key.kind.value,
@@ -105,15 +113,16 @@
 
 
 def decode_request(gateway: str, incarnation: int, message: Wish) -> QuotaRequest:
-    """Return the request of a message on a gateway's connection.
+    """Return the request in a message from a gateway's connection.
 
     Raises:
-        MalformedPlannerFrameError: It asks for something that is no quota.
+        MalformedPlannerFrameError: The message names an unknown kind of quota.
     """
     kind = KIND_BY_NAME.get(message.what)
     if kind is None:
         raise MalformedPlannerFrameError(
-            f"an ask for {message.what[:20]!r}, not one of {', '.join(KIND_BY_NAME)}"
+            f"request for quota kind {message.what[:20]!r}, "
+            f"expected one of {', '.join(KIND_BY_NAME)}"
         )
     return QuotaRequest(
         gateway,
@@ -145,15 +154,16 @@
 
 
 def decode_grant(message: Given) -> QuotaGrant:
-    """Return the grant of a message.
+    """Return the grant in a message.
 
     Raises:
-        MalformedPlannerFrameError: It grants something that is no quota.
+        MalformedPlannerFrameError: The message names an unknown kind of quota.
     """
     kind = KIND_BY_NAME.get(message.what)
     if kind is None:
         raise MalformedPlannerFrameError(
-            f"a grant of {message.what[:20]!r}, not one of {', '.join(KIND_BY_NAME)}"
+            f"grant of quota kind {message.what[:20]!r}, "
+            f"expected one of {', '.join(KIND_BY_NAME)}"
         )
     return QuotaGrant(
         message.epoch,
--- a/milletsill/planner/demand_estimate.py
+++ b/milletsill/planner/demand_estimate.py
@@ -1,4 +1,4 @@
-"""What a gateway wants of a quota, and when it asks for it."""
+"""Estimate a gateway's demand for a quota, and decide when to request a share."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     QuotaTimings,
 )
 
-# The estimate follows a higher rate within the first, a lower one within the second: a
-# share that is given back too soon is asked for again with the next burst, and one that
-# a single large request asks for is missed elsewhere.
+# Time constants of the estimate for a rising and a falling rate. Falling too fast gives
+# back a share that the next burst needs again; rising too fast lets a single large
+# request take a share that other gateways need.
 RISE_TIME = 2 * SECOND
 FALL_TIME = 3 * SECOND
 MIN_SAMPLE_TIME = SECOND // 10
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class DemandEstimate:
-    """Units asked of one quota at one gateway.
+    """The units that one gateway's requests need of one quota.
 
     Attributes:
-        rate: Units a second, smoothed.
-        units: Units that came since `sampled_at`.
+        rate: Smoothed rate in units per second.
+        units: Units that arrived since `sampled_at`.
         sampled_at: When the rate was last updated.
-        used_at: When units last came.
-        request_due_at: When the quota is next asked for.
+        used_at: When units last arrived.
+        request_due_at: When the next request for an idle quota is due.
     """
 
     rate: float = 0.0
@@ -39,10 +39,10 @@
     request_due_at: int = 0
 
     def should_request(self, now: int, rate: float, timings: QuotaTimings) -> bool:
-        """Return whether to ask now, and note when to ask again.
+        """Return whether to request a share now, and schedule the next request.
 
-        A quota in use is asked for each time, an idle one so often that no loan runs
-        out in between.
+        A quota in use is requested in each round, an idle one often enough that no
+        loan expires between two requests.
         """
         idle = rate <= 0 and now - self.used_at > timings.max_duration
         if idle and now < self.request_due_at:
@@ -51,9 +51,10 @@
         return True
 
     def on_grant(self, grant: QuotaGrant, now: int) -> None:
-        """Note when to ask again while nothing is wanted.
+        """Schedule the next request for an idle quota.
 
-        That is at once if something was lent, so that the planner may count on it.
+        If the grant asks for a loan and sets no interval, the next request is due at
+        once and reports the loan, so that the planner can grant out of it.
         """
         if grant.to_lend and grant.ask_again_within <= 0:
             self.request_due_at = now
@@ -61,12 +62,12 @@
             self.request_due_at = now + max(grant.ask_again_within, 0)
 
     def add(self, units: float, now: int) -> None:
-        """Count units that were asked for."""
+        """Count the units of a request that arrived."""
         self.units += units
         self.used_at = now
 
     def update_rate(self, now: int) -> float:
-        """Return the units a second as of now; called with each request."""
+        """Update the rate and return it; called in each round of requests."""
         elapsed = now - self.sampled_at
         if elapsed >= MIN_SAMPLE_TIME:
             latest = self.units * SECOND / elapsed
@@ -78,17 +79,23 @@
 
 
 def wanted_rate(rate: float, waiting: float) -> float:
-    """Return the units a second that carry what arrives, and what waits in a second.
+    """Return the rate that serves arrivals and drains waiting units within a second.
 
-    Clients may ask for no more until they are answered: what arrives is then no more
-    than what the present share lets through. The price: what waits for another reason
-    (a slow node) asks for shares that it cannot use, for as long as it waits.
+    Clients may send nothing more until they are answered, so that the arrival rate
+    alone never exceeds what the present share lets through. The cost: requests that
+    wait for another reason (a slow node) claim shares that they cannot use while they
+    wait.
     """
     return rate + waiting
 
 
-def share_for_rate(rate: float, whole_rate: float) -> int:
-    """Return the share that carries a rate, both in units a second."""
-    if whole_rate <= 0:
+def share_for_rate(rate: float, quota_rate: float) -> int:
+    """Return the share of the quota that serves a rate.
+
+    Args:
+        rate: The rate to serve, in units per second.
+        quota_rate: The rate of the whole quota, in units per second.
+    """
+    if quota_rate <= 0:
         return WHOLE
-    return min(max(round(rate / whole_rate * WHOLE), 0), WHOLE)
+    return min(max(round(rate / quota_rate * WHOLE), 0), WHOLE)
--- a/milletsill/planner/epoch_store.py
+++ b/milletsill/planner/epoch_store.py
@@ -1,9 +1,9 @@
-"""The planner's epoch on disk: two slots written in turn, each with a checksum.
+"""Store the planner's epoch on disk in two alternating slots with checksums.
 
-A torn write leaves the other slot. That no two runs share an epoch is all that must be
-kept: grants and loans are of one run (docs/planner.md). An epoch is a count of starts
-in the upper 40 bits and chance in the lower 24, so that copies of one state that start
-at once differ all the same.
+A torn write leaves the other slot intact. The store only has to ensure that no two runs
+share an epoch, since grants and loans belong to one run (docs/planner.md). The upper 40
+bits of an epoch count starts and the lower 24 are random, so that two planners that
+start from copies of the same state still get different epochs.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 
 class EpochNotStoredError(StateNotStoredError):
-    """An epoch that cannot be kept: a planner must not start without."""
+    """The epoch cannot be stored; the planner must not start without it."""
 
     remedy = (
-        "make room in the planner's state_dir or make it writable, and start it again; "
-        "the gateways go on with even shares"
+        "free space in the planner's state_dir or make it writable, then restart it; "
+        "the gateways continue with even shares"
     )
 
 
 def read_slot(path: str) -> int:
-    """Return the epoch of one slot; 0 for none, or one that is torn."""
+    """Return the epoch in a slot; 0 if the slot is missing or invalid."""
     try:
         with open(path, "rb") as source:
             data = source.read(SLOT.size + 1)
@@ -47,21 +47,21 @@
     return int(epoch) if epoch < MAX_EPOCH else 0
 
 
-def next_epoch(folder: str, random: Random, least: int = 0) -> int:
-    """Return a new epoch, on disk before it is returned.
+def next_epoch(folder: str, random: Random, min_epoch: int = 0) -> int:
+    """Return a new epoch after writing it to disk.
 
     Args:
-        folder: Where the epochs are kept; made if it is not there.
-        random: For the lower bits.
-        least: The new epoch is past this and past those kept.
+        folder: Directory of the slots; created if it does not exist.
+        random: Source of the lower bits.
+        min_epoch: The new epoch is greater than this and than the stored epochs.
 
     Raises:
-        EpochNotStoredError: It cannot be written.
+        EpochNotStoredError: The epoch cannot be written.
     """
     try:
         os.makedirs(folder, exist_ok=True)
         stored = [read_slot(os.path.join(folder, name)) for name in SLOT_NAMES]
-        starts = (max(*stored, least) >> RANDOM_BITS) + 1
+        starts = (max(*stored, min_epoch) >> RANDOM_BITS) + 1
         epoch = (starts << RANDOM_BITS) | random.getrandbits(RANDOM_BITS)
         older = SLOT_NAMES[stored.index(min(stored))]
         write_slot(os.path.join(folder, older), epoch)
@@ -72,18 +72,21 @@
 
 
 def write_slot(path: str, epoch: int) -> None:
-    """Write in place: what a cut leaves is not valid, and the other slot stands."""
-    head = SLOT.pack(MAGIC, epoch, 0)[:-CRC_BYTES]
+    """Write a slot in place.
+
+    An interrupted write leaves an invalid slot; the other slot stays valid.
+    """
+    payload = SLOT.pack(MAGIC, epoch, 0)[:-CRC_BYTES]
     with open(path, "wb") as sink:
-        sink.write(head + zlib.crc32(head).to_bytes(CRC_BYTES, "little"))
+        sink.write(payload + zlib.crc32(payload).to_bytes(CRC_BYTES, "little"))
         sink.flush()
         os.fsync(sink.fileno())
 
 
 def sync_folder(folder: str) -> None:
-    """Make the entries of a folder durable."""
-    handle = os.open(folder, os.O_RDONLY)
+    """Flush the directory entries of a folder to disk."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/milletsill/planner/errors.py
+++ b/milletsill/planner/errors.py
@@ -1,6 +1,6 @@
-"""What can go wrong between a planner and its gateways.
+"""Errors between a planner and its gateways.
 
-Without a planner each gateway goes on with its even shares.
+Without a planner each gateway continues with its even shares.
 """
 
 from __future__ import annotations
@@ -9,45 +9,46 @@
 
 
 class PlannerUnreachableError(MilletsillError):
-    """The planner is not reached."""
+    """The gateway cannot connect to the planner."""
 
     remedy = (
-        "see that the planner runs and that planner.address is its own; "
-        "shares are even until it is back"
+        "check that the planner runs and that planner.address is its address; "
+        "shares stay even until it is reachable again"
     )
 
 
 class PlannerEpochStaleError(MilletsillError):
-    """A planner that is older than one that this gateway has heard."""
+    """The planner's epoch is older than the newest that this gateway accepted."""
 
     remedy = (
-        "stop the older of the two, or see that its state_dir was not put back; "
-        "it is given nothing"
+        "stop the older of the two planners, or check that its state_dir was not "
+        "restored from a backup; this gateway lends nothing to it"
     )
 
 
 class PlannerRejectedGatewayError(MilletsillError):
-    """The planner does not take this gateway."""
+    """The planner rejected this gateway."""
 
     remedy = (
-        "as it says: one name or run for two gateways, other terms of lending, "
-        "another version, too many gateways, a newer planner"
+        "follow the reason in the message: two gateways with one name, "
+        "different `lending` settings, another protocol version, too many gateways, "
+        "or a newer planner"
     )
 
 
 class QuotaSettingsMismatchError(MilletsillError):
-    """A gateway whose terms of lending are not the planner's."""
+    """A gateway's `lending` settings differ from the planner's."""
 
     remedy = (
-        "give `lending` the same values in the planner block of that gateway and in "
-        "the planner's file, then restart the one that was wrong"
+        "set `lending` to the same values in the planner block of that gateway and in "
+        "the planner's file, then restart the process whose settings were wrong"
     )
 
 
 class PlannerSupersededError(MilletsillError):
-    """A gateway knows a newer planner, so this one ends."""
+    """A gateway has accepted a newer planner, so this planner exits."""
 
     remedy = (
-        "see that one planner runs; if this was the right one, stop the other "
-        "and start this again"
+        "run only one planner; if this one should run, stop the other "
+        "and start this one again"
     )
--- a/milletsill/planner/operator_commands.py
+++ b/milletsill/planner/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask the planner (`milletsill ctl`): who holds what, freeze, drain."""
+"""Operators' commands to the planner (`milletsill ctl`): shares, freeze, drain."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from milletsill.planner.quota_terms import QuotaKey
 
 TICKS_PER_MS = 10
-MAX_ECHOED_COMMAND = 20  # characters of an unknown command in the answer
+MAX_ECHOED_COMMAND = 20  # characters of an unknown command that the answer repeats
 
 JsonObject = dict[str, Any]
 
 
 class ConnectedGateway(Protocol):
-    """What is told of a gateway's connection."""
+    """The state of a gateway's connection that operators see."""
 
     incarnation: int
     requests: int
@@ -29,11 +29,11 @@
     """Answers operators' commands.
 
     Args:
-        planner: What they are about.
-        gateways: The connected gateways by name, kept up to date by the server.
+        planner: The planner that the commands inspect and change.
+        gateways: The connected gateways by name; the server keeps it up to date.
         now: Returns the present time.
-        max_gateways: That may be drained.
-        inform: Logs an event.
+        max_gateways: The most gateways that may be drained at once.
+        log_event: Logs an event.
     """
 
     def __init__(
@@ -42,13 +42,13 @@
         gateways: Mapping[str, ConnectedGateway],
         now: Callable[[], int],
         max_gateways: int,
-        inform: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
         self._planner = planner
         self._gateways = gateways
         self._now = now
         self._max_gateways = max_gateways
-        self._inform = inform
+        self._log_event = log_event
         self._drained: set[str] = set()
         self._commands: dict[str, Callable[[Question], list[JsonObject]]] = {
             "shares": self.shares,
@@ -60,7 +60,7 @@
         }
 
     def answer(self, question: Question) -> Told:
-        """Return the answer, as lines of JSON, or what is wrong with the question."""
+        """Return the answer as lines of JSON, or an error for an unknown command."""
         command = self._commands.get(question.what)
         if command is None:
             return Told(
@@ -71,7 +71,7 @@
         return Told(line=[json.dumps(line) for line in lines])
 
     def shares(self, question: Question) -> list[JsonObject]:
-        """Return who holds what, until when, and what it would have."""
+        """Return each gateway's share of each quota: loans, grants and wanted share."""
         now = self._now()
         return [
             _describe_share(key, name, share, now)
@@ -81,7 +81,7 @@
         ]
 
     def gateways(self, question: Question) -> list[JsonObject]:
-        """Return the connected gateways."""
+        """Return the state of each connected gateway."""
         now = self._now()
         return [
             {
@@ -97,13 +97,13 @@
         ]
 
     def _freeze(self, question: Question) -> list[JsonObject]:
-        """Leave plans as they are, or plan again."""
+        """Stop planning, so that plans stay as they are, or resume it."""
         self._planner.frozen = question.what == "freeze"
-        self._inform("planning", frozen=self._planner.frozen)
+        self._log_event("planning", frozen=self._planner.frozen)
         return [{"frozen": self._planner.frozen}]
 
     def _drain(self, question: Question) -> list[JsonObject]:
-        """Plan as if a gateway wanted nothing, or no longer so."""
+        """Drain a gateway, so that plans treat it as wanting nothing, or undrain it."""
         if question.what == "drain" and len(self._drained) < self._max_gateways:
             self._drained.add(question.edge)
         else:
--- a/milletsill/planner/planner_link.py
+++ b/milletsill/planner/planner_link.py
@@ -1,4 +1,4 @@
-"""The state of a gateway's link to the planner, as a table."""
+"""State machine of a gateway's link to the planner."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     """State of the link."""
 
     DOWN = auto()
-    GREETED = auto()  # connected, the planner has not answered
-    PLANNED = auto()  # grants come
+    HELLO_SENT = auto()  # connected; the planner has not answered the hello
+    ESTABLISHED = auto()  # the planner accepted this gateway and sends grants
 
 
 class LinkEvent(Enum):
-    """What happens to the link."""
+    """An event of the link."""
 
     CONNECTED = auto()
     WELCOMED = auto()
@@ -32,7 +32,7 @@
 
 
 class LinkAction(Enum):
-    """What to do about it."""
+    """What the session does after an event."""
 
     NOTHING = auto()
     SEND_HELLO = auto()
@@ -44,43 +44,47 @@
 
 LinkStep = tuple[LinkState, LinkAction]
 
-# What is not in the table changes nothing.
+# An event that has no entry for a state leaves the state unchanged.
 LINK_TRANSITIONS: Mapping[tuple[LinkState, LinkEvent], LinkStep] = {
-    (LinkState.DOWN, LinkEvent.CONNECTED): (LinkState.GREETED, LinkAction.SEND_HELLO),
-    (LinkState.GREETED, LinkEvent.WELCOMED): (
-        LinkState.PLANNED,
+    (LinkState.DOWN, LinkEvent.CONNECTED): (
+        LinkState.HELLO_SENT,
+        LinkAction.SEND_HELLO,
+    ),
+    (LinkState.HELLO_SENT, LinkEvent.WELCOMED): (
+        LinkState.ESTABLISHED,
         LinkAction.SEND_REQUESTS,
     ),
-    # A planner that came back with an old state, or a copy of one, is told the newest
+    # A planner that restarted from old state, or from a copy of it, is told the newest
     # epoch.
-    (LinkState.GREETED, LinkEvent.EPOCH_STALE): (
+    (LinkState.HELLO_SENT, LinkEvent.EPOCH_STALE): (
         LinkState.DOWN,
         LinkAction.REJECT_PLANNER,
     ),
-    (LinkState.PLANNED, LinkEvent.EPOCH_STALE): (
+    (LinkState.ESTABLISHED, LinkEvent.EPOCH_STALE): (
         LinkState.DOWN,
         LinkAction.REJECT_PLANNER,
     ),
-    (LinkState.GREETED, LinkEvent.REJECTED): (LinkState.DOWN, LinkAction.ABORT),
-    (LinkState.PLANNED, LinkEvent.REJECTED): (LinkState.DOWN, LinkAction.ABORT),
-    (LinkState.GREETED, LinkEvent.TIMED_OUT): (LinkState.DOWN, LinkAction.ABORT),
-    (LinkState.PLANNED, LinkEvent.TIMED_OUT): (LinkState.DOWN, LinkAction.ABORT),
-    (LinkState.GREETED, LinkEvent.LOST): (LinkState.DOWN, LinkAction.RECONNECT),
-    (LinkState.PLANNED, LinkEvent.LOST): (LinkState.DOWN, LinkAction.RECONNECT),
+    (LinkState.HELLO_SENT, LinkEvent.REJECTED): (LinkState.DOWN, LinkAction.ABORT),
+    (LinkState.ESTABLISHED, LinkEvent.REJECTED): (LinkState.DOWN, LinkAction.ABORT),
+    (LinkState.HELLO_SENT, LinkEvent.TIMED_OUT): (LinkState.DOWN, LinkAction.ABORT),
+    (LinkState.ESTABLISHED, LinkEvent.TIMED_OUT): (LinkState.DOWN, LinkAction.ABORT),
+    (LinkState.HELLO_SENT, LinkEvent.LOST): (LinkState.DOWN, LinkAction.RECONNECT),
+    (LinkState.ESTABLISHED, LinkEvent.LOST): (LinkState.DOWN, LinkAction.RECONNECT),
 }
 
 
 def next_link_state(state: LinkState, event: LinkEvent) -> LinkStep:
-    """Read the table."""
+    """Return the next state and the action for an event."""
     return LINK_TRANSITIONS.get((state, event), (state, LinkAction.NOTHING))
 
 
 def reconnect_delay(failures: int, jitter: float) -> int:
-    """Return the pause before the next attempt to connect.
+    """Return the delay before the next attempt to connect, by exponential backoff.
 
     Args:
-        failures: Attempts that failed in a row.
-        jitter: From 0 to 1; spreads the gateways after a planner's restart.
+        failures: Consecutive failed attempts.
+        jitter: From 0 to 1; spreads the reconnects of gateways after a planner's
+            restart.
     """
     delay = MIN_RECONNECT_DELAY * 2 ** min(failures, MAX_DOUBLINGS)
     return int(min(delay, MAX_RECONNECT_DELAY) * (0.5 + jitter / 2))
--- a/milletsill/planner/planner_metrics.py
+++ b/milletsill/planner/planner_metrics.py
@@ -9,7 +9,12 @@
 
 
 class PlannerMetrics:
-    """The metrics of one run; requests are counted here until the next update."""
+    """The metrics of one run of the planner.
+
+    Attributes:
+        requests: Requests since the last update.
+        invalid_requests: Invalid requests since the last update.
+    """
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.requests = 0
--- a/milletsill/planner/planner_process.py
+++ b/milletsill/planner/planner_process.py
@@ -1,4 +1,4 @@
-"""The planner as a process: `milletsill plan`."""
+"""Run the planner as a process (`milletsill plan`)."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
     """Run until SIGTERM or SIGINT.
 
     Returns:
-        The exit status: 0, or 1 if it could not start or another planner took over.
+        The exit status: 0, or 1 if the planner could not start or a newer planner
+        superseded it.
     """
     from twisted.internet import reactor as installed_reactor
 
-    reactor: Any = installed_reactor  # its type has none of its methods
+    reactor: Any = installed_reactor  # the module's type declares no reactor methods
     try:
         server = PlannerServer(file, reactor)
     except EpochNotStoredError as error:
--- a/milletsill/planner/planner_server.py
+++ b/milletsill/planner/planner_server.py
@@ -1,4 +1,4 @@
-"""The planner on the network: gateways' requests, grants in answer, operators."""
+"""The planner's TCP server for gateways and operators."""
 
 from __future__ import annotations
 
@@ -44,14 +44,14 @@
 from milletsill.planner.quota_terms import SECOND, QuotaGrant, QuotaRequest
 from milletsill.settings.milletsill_pb2 import PlannerFile
 
-MAX_UNSENT_BYTES = 4 << 20  # that a gateway has not read
+MAX_UNSENT_BYTES = 4 << 20  # send buffer of one connection
 TICK_SECONDS = 1.0
-SPARE_CONNECTIONS = 16  # for operators, and gateways that connect again
+SPARE_CONNECTIONS = 16  # for operators and for gateways that reconnect
 MAX_NAME_LENGTH = 64
 
 
 def monotonic() -> int:
-    """Return the time, in tenths of a millisecond."""
+    """Return the monotonic time in tenths of a millisecond."""
     return time.monotonic_ns() // 100_000
 
 
@@ -60,12 +60,12 @@
 
     Attributes:
         gateway: The gateway's name; empty before its hello.
-        incarnation: The gateway's start.
-        last_heard_at: When octets last came.
-        requests: How many requests came.
+        incarnation: The gateway's incarnation.
+        last_heard_at: When data last arrived.
+        requests: Number of requests received.
     """
 
-    transport: Any  # set by Twisted; its type there lacks what TCP has
+    transport: Any  # set by Twisted, whose declared type lacks the methods of TCP
 
     def __init__(self, server: PlannerServer) -> None:
         self.gateway = ""
@@ -76,18 +76,18 @@
         self._parser = FrameParser()
 
     def connectionMade(self) -> None:
-        """Take the connection, unless there are too many."""
+        """Register the connection, or reject it if there are too many."""
         self.transport.setTcpNoDelay(True)
         self.last_heard_at = self._server.now()
         if not self._server.on_connected(self):
             self.reject("too many connections")
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Tell the server."""
+        """Remove the connection from the server."""
         self._server.on_disconnected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take frames; what is none ends the connection."""
+        """Handle the frames in the data; a malformed frame ends the connection."""
         self.last_heard_at = self._server.now()
         try:
             for frame in self._parser.feed(data):
@@ -108,10 +108,10 @@
         elif what == "refused" and self.gateway:
             self._server.on_rejected(self, frame.refused)
         else:
-            raise MalformedPlannerFrameError(f"{what} before a hello")
+            raise MalformedPlannerFrameError(f"frame {what!r} before the hello")
 
     def _on_requests(self, asks: Asks) -> None:
-        """Answer each request of a frame, in one frame."""
+        """Answer all requests of a frame in one frame."""
         now = self._server.now()
         given = []
         for message in asks.wish:
@@ -124,7 +124,7 @@
         self._server.send_unsolicited()
 
     def send(self, **what: Any) -> None:
-        """Send a frame, or end the connection if the other side has long not read."""
+        """Send a frame, or abort the connection if its send buffer is too full."""
         if len(getattr(self.transport, "dataBuffer", b"")) > MAX_UNSENT_BYTES:
             self._server.warn("gateway_not_reading", gateway=self.gateway)
             self.transport.abortConnection()
@@ -132,16 +132,16 @@
         self.transport.write(encode_frame(**what))
 
     def reject(self, reason: str, epoch: int = 0) -> None:
-        """Say why, and close the connection."""
+        """Send the reason and close the connection."""
         self.transport.write(encode_frame(refused=Refused(reason=reason, epoch=epoch)))
         self.transport.loseConnection()
 
     def abort(self) -> None:
-        """Cut the connection."""
+        """Abort the connection without sending what is buffered."""
         self.transport.abortConnection()
 
     def close(self) -> None:
-        """Close the connection once all is sent."""
+        """Close the connection after sending what is buffered."""
         self.transport.loseConnection()
 
 
@@ -149,8 +149,8 @@
     """One run of the planner.
 
     Attributes:
-        failed: Whether the process is to end with status 1.
-        superseded_by: The epoch of a newer planner that a gateway knows; 0 for none.
+        failed: Whether the process exits with status 1.
+        superseded_by: The epoch of a newer planner that a gateway reported; 0 for none.
     """
 
     noisy = False
@@ -190,7 +190,7 @@
         self._tick_call: Any = None
 
     def start(self) -> None:
-        """Listen, and begin to tick."""
+        """Start listening and the periodic tick."""
         self._listen(self._file.listen, self, "listening")
         if self._file.HasField("metrics"):
             site = self._metrics_site()
@@ -199,7 +199,7 @@
         self._tick_call = self._reactor.callLater(TICK_SECONDS, self._tick, self.now())
 
     def _metrics_site(self) -> Any:
-        """Return a web site of the metrics; Twisted's web has no types."""
+        """Return the web site of the metrics; twisted.web has no type annotations."""
         make_resource: Any = Resource
         make_site: Any = Site
         make_metrics: Any = MetricsResource
@@ -228,7 +228,7 @@
         endpoint.listen(factory).addCallbacks(on_listening, on_failed)
 
     def stop(self) -> None:
-        """Close everything; what was granted ends by itself."""
+        """Close listeners and connections; outstanding grants expire by themselves."""
         for port in self.ports:
             port.stopListening()
         self.ports = []
@@ -241,7 +241,7 @@
             self._reactor.callLater(0.1, self._reactor.stop)
 
     def _tick(self, scheduled_at: int) -> None:
-        """Once a second: cut silent connections, update metrics, forget."""
+        """Once a second, abort silent connections, update metrics, drop idle quotas."""
         now = self.now()
         lag = max(now - scheduled_at - TICK_SECONDS * SECOND, 0) / SECOND
         self.metrics.on_loop_lag(lag)
@@ -254,29 +254,29 @@
         self._tick_call = self._reactor.callLater(TICK_SECONDS, self._tick, now)
 
     def warn(self, event: str, **values: Any) -> None:
-        """Log an event that somebody should look at."""
+        """Log a warning."""
         self.log.warning(event, **values)
 
     def buildProtocol(self, addr: Any) -> PlannerConnection:
-        """Make a connection."""
+        """Create the protocol of a new connection."""
         return PlannerConnection(self)
 
     def on_connected(self, connection: PlannerConnection) -> bool:
-        """Take a connection; False if there are too many."""
+        """Register a connection; return False if there are too many."""
         if len(self._connections) >= self._file.most_edges + SPARE_CONNECTIONS:
             return False
         self._connections.add(connection)
         return True
 
     def on_disconnected(self, connection: PlannerConnection) -> None:
-        """Forget a connection; its gateway is gone unless it came back on another."""
+        """Remove a connection, and its gateway unless it reconnected on another."""
         self._connections.discard(connection)
         if self.by_name.get(connection.gateway) is connection:
             del self.by_name[connection.gateway]
             self.planner.connected.discard(connection.gateway)
 
     def on_hello(self, connection: PlannerConnection, hello: Hello) -> None:
-        """Welcome a gateway, or say why not."""
+        """Accept a gateway, or reject it with a reason."""
         reason = self._why_rejected(hello)
         if reason is not None:
             connection.reject(reason)
@@ -298,7 +298,7 @@
         connection.send(welcome=welcome)
 
     def _why_rejected(self, hello: Hello) -> str | None:
-        """Return why a gateway is not taken: other settings, or no room."""
+        """Return why a gateway is rejected, or None if it is accepted."""
         if hello.version != PROTOCOL_VERSION:
             return f"version {hello.version}, {PROTOCOL_VERSION} is spoken"
         if (hello.longest, hello.drift, hello.floor) != (
@@ -307,7 +307,9 @@
             floor_in_millionths(self.timings),
         ):
             name = hello.name[:MAX_NAME_LENGTH]
-            error = QuotaSettingsMismatchError("its terms of lending are others", name)
+            error = QuotaSettingsMismatchError(
+                "its `lending` settings differ from the planner's", name
+            )
             self.warn("quota_settings_mismatch", **error.log_fields())
             return "other terms of lending"
         is_full = len(self.by_name) >= self._file.most_edges
@@ -318,7 +320,7 @@
         return None
 
     def on_request(self, request: QuotaRequest, now: int) -> QuotaGrant | None:
-        """Let the planner answer a request, and count it."""
+        """Return the planner's answer to a request, and count the request."""
         grant = self.planner.on_request(request, now)
         self.metrics.requests += 1
         if grant is None:
@@ -326,7 +328,7 @@
         return grant
 
     def send_unsolicited(self) -> None:
-        """Send the grants that nobody asked for, one frame to each gateway."""
+        """Send the unsolicited grants, one frame to each gateway."""
         given_by_connection: dict[PlannerConnection, list[Given]] = {}
         for unsolicited in self.planner.take_unsolicited():
             connection = self.by_name.get(unsolicited.gateway)
@@ -338,19 +340,21 @@
             connection.send(grants=Grants(given=given))
 
     def on_rejected(self, connection: PlannerConnection, refused: Refused) -> None:
-        """Hear that a gateway does not take this planner."""
+        """Handle a gateway's rejection of this planner."""
         if refused.epoch > self.planner.epoch:
             self._on_newer_planner(connection, refused.epoch)
 
     def _on_newer_planner(self, connection: PlannerConnection, epoch: int) -> None:
-        """End this run: a gateway has a newer planner, whichever of the two is right.
+        """Stop this run because a gateway has accepted a newer planner.
 
-        Nothing more is granted; what was granted ends by itself.
+        It stops even if the newer planner was started by mistake. It grants nothing
+        more, and outstanding grants expire by themselves.
         """
         connection.reject("an edge knows a newer planner", epoch)
         if not self.superseded_by:
             error = PlannerSupersededError(
-                "a newer planner was heard", connection.gateway or "a hello"
+                f"a gateway has accepted a newer epoch, {epoch}",
+                connection.gateway or "a hello",
             )
             self.log.error(
                 "superseded",
--- a/milletsill/planner/planner_session.py
+++ b/milletsill/planner/planner_session.py
@@ -1,4 +1,4 @@
-"""A gateway's connection to the planner: connect, greet, hear grants, reconnect."""
+"""A gateway's connection to the planner: handshake, grants and reconnects."""
 
 from __future__ import annotations
 
@@ -39,31 +39,32 @@
 from milletsill.planner.quota_terms import SECOND, QuotaGrant
 
 CONNECT_TIMEOUT_SECONDS = 2
-MAX_SILENCE = 5 * SECOND  # a planner without a word for so long is cut
+MAX_SILENCE = 5 * SECOND  # a connection that receives nothing for longer is aborted
 MAX_LOGGED_REASON = 200  # characters
 RECONNECT_TIMER = "dial"
 
 
 class PlannerListener(Protocol):
-    """Who uses the session."""
+    """Receives the session's notifications."""
 
-    def on_planned(self) -> None:
-        """Hear that the planner took this gateway: requests may be sent."""
+    def on_established(self) -> None:
+        """Handle that the planner accepted this gateway; requests may be sent."""
 
     def on_grant(self, grant: QuotaGrant) -> None:
-        """Take a grant."""
+        """Handle a grant."""
 
 
 @dataclass(frozen=True, slots=True)
 class SessionEnvironment:
-    """What a session works with.
+    """Collaborators of a session.
 
     Attributes:
         reactor: A Twisted reactor.
         now: Returns the present time, in tenths of a millisecond.
-        timers: The gateway's timers; once they are stopped nothing connects.
-        random: Spreads the pauses before it connects again.
-        warn: Logs an event that somebody should look at.
+        timers: The gateway's timers; once they are stopped, the session does not
+            connect.
+        random: Source of the jitter of reconnect delays.
+        warn: Logs a warning.
     """
 
     reactor: Any
@@ -76,19 +77,19 @@
 class SessionConnection(protocol.Protocol):
     """One connection to the planner."""
 
-    transport: Any  # set by Twisted; its type there lacks what TCP has
+    transport: Any  # set by Twisted, whose declared type lacks the methods of TCP
 
     def __init__(self, session: PlannerSession) -> None:
         self._session = session
         self._parser = FrameParser()
 
     def connectionMade(self) -> None:
-        """Tell the session."""
+        """Register the connection with the session."""
         self.transport.setTcpNoDelay(True)
         self._session.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass frames on; what is none ends the connection."""
+        """Pass frames to the session; a malformed frame ends the connection."""
         try:
             for frame in self._parser.feed(data):
                 self._session.on_frame(self, frame)
@@ -97,18 +98,18 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Tell the session."""
+        """Remove the connection from the session."""
         self._session.on_connection_lost(self)
 
 
 class PlannerSession:
-    """The link to the planner, made again whenever it is lost.
+    """The link to the planner, which is established again whenever it is lost.
 
     Args:
         address: The planner's host:port.
-        ledger: Whose name, incarnation and epoch the planner hears.
+        ledger: Holds the name, incarnation, epoch and timings that the hello carries.
         environment: Collaborators.
-        listener: Hears of grants.
+        listener: Receives grants.
     """
 
     def __init__(
@@ -128,12 +129,12 @@
         self._last_heard_at = 0
 
     @property
-    def is_planned(self) -> bool:
-        """Whether the planner answers."""
-        return self.state is LinkState.PLANNED
+    def is_established(self) -> bool:
+        """Whether the planner has accepted this gateway on the present connection."""
+        return self.state is LinkState.ESTABLISHED
 
     def connect(self) -> None:
-        """Connect, unless there is a connection; what comes of it is told later."""
+        """Start to connect unless connected; callbacks report the result."""
         if self._environment.timers.stopped or self._connection is not None:
             return
         host, _, port = self._address.rpartition(":")
@@ -154,36 +155,36 @@
             self._connection.transport.write(encode_frame(**what))
 
     def check_silence(self) -> None:
-        """Cut a planner that does not answer."""
+        """Abort the connection if the planner has sent nothing for MAX_SILENCE."""
         silence = self._environment.now() - self._last_heard_at
         if self._connection is not None and silence > MAX_SILENCE:
-            self._step(LinkEvent.TIMED_OUT, self._connection)
+            self._apply_event(LinkEvent.TIMED_OUT, self._connection)
 
     def can_send_requests(self) -> bool:
-        """Return whether the planner takes requests now."""
-        return self.is_planned and self._connection is not None
+        """Return whether requests can be sent to the planner now."""
+        return self.is_established and self._connection is not None
 
     def warn(self, error: MilletsillError) -> None:
         """Log an error of the link."""
         self._environment.warn("planner", **error.log_fields())
 
     def on_connected(self, connection: SessionConnection) -> None:
-        """Take a new connection."""
+        """Register a new connection."""
         if self._environment.timers.stopped:
             connection.transport.abortConnection()
             return
         self._connection = connection
         self._last_heard_at = self._environment.now()
-        self._step(LinkEvent.CONNECTED, connection)
+        self._apply_event(LinkEvent.CONNECTED, connection)
 
     def on_connection_lost(self, connection: SessionConnection) -> None:
-        """Forget a connection that ended."""
+        """Remove a connection that ended."""
         if connection is self._connection:
             self._connection = None
-            self._step(LinkEvent.LOST, None)
+            self._apply_event(LinkEvent.LOST, None)
 
     def on_frame(self, connection: SessionConnection, frame: Frame) -> None:
-        """Take one frame of the planner."""
+        """Handle a frame from the planner."""
         self._last_heard_at = self._environment.now()
         if connection is not self._connection:
             return
@@ -191,32 +192,34 @@
         if what == "welcome":
             accepted = self._ledger.accept_epoch(frame.welcome.epoch)
             event = LinkEvent.WELCOMED if accepted else LinkEvent.EPOCH_STALE
-            self._step(event, connection)
-        elif what == "grants" and self.is_planned:
+            self._apply_event(event, connection)
+        elif what == "grants" and self.is_established:
             for message in frame.grants.given:
                 self._listener.on_grant(decode_grant(message))
         elif what == "refused":
             reason = frame.refused.reason[:MAX_LOGGED_REASON]
             self.warn(PlannerRejectedGatewayError(reason, self._address))
-            self._step(LinkEvent.REJECTED, connection)
+            self._apply_event(LinkEvent.REJECTED, connection)
 
     def _on_connect_failed(self, failure: Failure) -> None:
         if self._failures == 0:
             self.warn(PlannerUnreachableError(failure.getErrorMessage(), self._address))
         self._reconnect_later()
 
-    def _step(self, event: LinkEvent, connection: SessionConnection | None) -> None:
-        """Read the table and act."""
+    def _apply_event(
+        self, event: LinkEvent, connection: SessionConnection | None
+    ) -> None:
+        """Apply an event to the link's state and perform the resulting action."""
         self.state, action = next_link_state(self.state, event)
         if action is LinkAction.SEND_REQUESTS:
             self._failures = 0
-            self._listener.on_planned()
+            self._listener.on_established()
         elif action is LinkAction.RECONNECT:
             self._reconnect_later()
         elif connection is not None:
-            self._act_on(connection, action)
+            self._perform(connection, action)
 
-    def _act_on(self, connection: SessionConnection, action: LinkAction) -> None:
+    def _perform(self, connection: SessionConnection, action: LinkAction) -> None:
         if action is LinkAction.SEND_HELLO:
             self._send_hello(connection)
         elif action is LinkAction.REJECT_PLANNER:
@@ -240,10 +243,11 @@
         connection.transport.write(encode_frame(hello=hello))
 
     def _reject_planner(self, connection: SessionConnection) -> None:
-        """Tell an old planner the newest epoch, and leave it."""
+        """Send the newest epoch to a planner with an older one, and disconnect."""
         self.warn(
             PlannerEpochStaleError(
-                "an older planner than one that was heard", self._address
+                f"its epoch is older than the newest accepted, {self._ledger.epoch}",
+                self._address,
             )
         )
         refused = Refused(reason="a newer planner was heard", epoch=self._ledger.epoch)
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -1,8 +1,8 @@
-"""The gateway's side of the planner: which shares it asks for, and what it is told.
+"""The gateway's quota client: requests shares and applies the planner's grants.
 
-Nothing here waits for the planner: without a word from it the gateway has its even
-shares, or less where it has lent some, until that is over (docs/planner.md). A gateway
-without a `planner` in its file loads none of this.
+The gateway never waits for the planner. Without grants it uses its even shares, minus
+what it has lent until those loans end (docs/planner.md). A gateway whose file has no
+`planner` block does not load this module.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 MAX_REQUESTS_PER_FRAME = 5000
 REQUEST_JITTER = (0.9, 1.1)  # of the interval between requests
 REQUEST_TIMER = "ask"
-MAX_FORECAST_TIMER = 60 * SECOND  # what ends later needs no timer yet
+MAX_FORECAST_TIMER = 60 * SECOND  # no timer is set for a forecast that ends later
 FIRST_INCARNATION = 1
 
 
 class PendingQuotaRequest(Protocol):
-    """A request that the scheduler's host has not finished."""
+    """A request that the scheduler host has not finished."""
 
     @property
     def request(self) -> Request:
@@ -57,45 +57,51 @@
 
     @property
     def answered(self) -> bool:
-        """Whether it has its final answer."""
+        """Whether the request has its final answer."""
 
     @property
     def attempts(self) -> Sequence[object]:
-        """The attempts that were made."""
+        """The attempts made so far."""
 
 
 class QuotaScheduler(Protocol):
-    """The scheduler's host, which keeps within the shares that it is told.
+    """The scheduler host, which enforces the shares that it is given.
 
     Attributes:
-        max_decision_age: Attempts decided longer ago than this are not sent.
+        max_decision_age: An attempt is not sent later than this after the decision to
+            send it.
     """
 
     max_decision_age: int
 
     @property
     def active(self) -> Mapping[int, PendingQuotaRequest]:
-        """Its requests by id."""
+        """Its active requests by id."""
 
     def on_quota_share(
         self, kind: QuotaKind, id: int, share: float | None, until: int, after: float, /
     ) -> None:
-        """Take the share of a quota, until when it holds, and the least after that.
+        """Set the share of a quota, as a fraction of the whole.
 
-        A share of None is the even one.
+        Args:
+            kind: The kind of quota.
+            id: Number of the volume or node.
+            share: The share until `until`; None means the even share.
+            until: When the share may change.
+            after: The least share at any time from `until` on.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaClientEnvironment:
-    """What a quota client works with.
+    """Collaborators of a quota client.
 
     Attributes:
         reactor: A Twisted reactor.
         now: Returns the present time, in tenths of a millisecond.
-        scheduler: Is told of each share that changes.
-        warn: Logs an event that somebody should look at.
-        registry: For the metrics.
+        scheduler: Receives each share that changes.
+        warn: Logs a warning.
+        registry: Registers the metrics.
     """
 
     reactor: Any
@@ -106,19 +112,19 @@
 
 
 class QuotaClient:
-    """One gateway's shares of quotas.
+    """Requests one gateway's quota shares and passes them to its scheduler.
 
     Args:
         config: Settings.
         environment: Collaborators.
-        incarnation: This start of the gateway.
-        seed: For the spread of requests and reconnects.
+        incarnation: The gateway's incarnation.
+        seed: Seeds the jitter of requests and reconnects.
 
     Attributes:
-        ledger: What the gateway holds.
-        demands: What it wants, by quota.
-        whole_rates: Units a second of each quota.
-        forecasts: What the scheduler was last told of each.
+        ledger: The gateway's holdings, loans and grants.
+        demands: Estimated demand by quota.
+        quota_rates: Rate of each whole quota, in units per second.
+        forecasts: The last forecast that the scheduler received, by quota.
         slow_start_nodes: The node that is warming up, by shard.
     """
 
@@ -138,7 +144,7 @@
             fresh=incarnation == FIRST_INCARNATION,
         )
         self.demands: dict[QuotaKey, DemandEstimate] = {}
-        self.whole_rates: dict[QuotaKey, float] = {}
+        self.quota_rates: dict[QuotaKey, float] = {}
         self.forecasts: dict[QuotaKey, QuotaForecast] = {}
         self.slow_start_nodes: dict[int, int] = {}
         self._now = environment.now
@@ -164,12 +170,12 @@
     def for_gateway(
         cls, gateway: Any, deployment: DeploymentConfig, seed: int
     ) -> QuotaClient:
-        """Return the quota client of a gateway whose file asks for it.
+        """Return the quota client of a gateway whose file has a `planner` block.
 
         Args:
-            gateway: A gateway that is being made; it has its scheduler's host already.
-            deployment: The settings that its scheduler has.
-            seed: For random choices.
+            gateway: A gateway under construction that has its scheduler host already.
+            deployment: The settings of its scheduler.
+            seed: Seeds the jitter of requests and reconnects.
         """
         environment = QuotaClientEnvironment(
             gateway.reactor,
@@ -182,10 +188,10 @@
         return cls(config, environment, gateway.incarnation, seed)
 
     def start(self) -> None:
-        """Connect to the planner, and begin to ask.
+        """Connect to the planner and start the rounds of requests.
 
-        Volumes of the whole fleet are known from the start, so that their shares may be
-        lent before they are used.
+        Volumes that all gateways serve are tracked from the start, so that this gateway
+        can lend its shares of them before it uses them.
         """
         for volume in self.config.volumes:
             self.track_volume(volume.number, self.config.gateways, volume.plan, 0.0)
@@ -194,21 +200,22 @@
         self._timers.set(REQUEST_TIMER, interval, self.send_requests)
 
     def stop(self) -> None:
-        """Cancel the timers, and close the connection."""
+        """Cancel the timers and close the connection."""
         self._timers.stop()
         self.session.close()
 
     def on_tick(self) -> None:
-        """Once a second: forget nodes that are warm, and update the metrics."""
+        """Drop quotas of warm nodes and update the metrics; called once a second."""
         self._forget_warm_nodes()
         holdings = list(self.ledger.holdings.values())
-        self._metrics.update(self.session.is_planned, holdings, self._now())
+        self._metrics.update(self.session.is_established, holdings, self._now())
 
     def _forget_warm_nodes(self) -> None:
-        """Drop quotas of nodes that are warm or gone, once nothing of them is held.
+        """Drop quotas of nodes that are warm or gone, once no loan or grant is left.
 
-        So a gateway that runs for months does not keep every node that was replaced;
-        volumes are those of the file. A node that starts again is tracked anew.
+        This bounds the memory of a gateway that runs for months while nodes are
+        replaced; the volumes are bounded by the file. A node that starts again is
+        tracked again.
         """
         now = self._now()
         warming_up = set(self.slow_start_nodes.values())
@@ -221,13 +228,13 @@
             if self.ledger.is_idle(key, now):
                 self._timers.cancel(_timer_name(key))
                 del self.demands[key]
-                del self.whole_rates[key]
+                del self.quota_rates[key]
                 del self.forecasts[key]
                 del self.ledger.holdings[key]
                 self._scheduler.on_quota_share(key.kind, key.id, None, 0, 0.0)
 
     def on_request(self, request: Request) -> None:
-        """Count a request, before the scheduler hears of it."""
+        """Count a request's units as demand, before the scheduler receives it."""
         plan = self.config.plans[request.service_plan]
         units = request.units
         self.track_volume(request.volume, request.sharing_gateways, plan, units)
@@ -236,7 +243,7 @@
             self.demands[key].add(units, self._now())
 
     def _slow_start_key(self, request: Request) -> QuotaKey | None:
-        """Return the budget that a request draws on, if its node is warming up."""
+        """Return the slow-start quota that a request uses if its node is warming up."""
         if request.shard is None:
             return None
         node = self.slow_start_nodes.get(request.shard)
@@ -245,42 +252,42 @@
     def track_volume(
         self, number: int, gateways: int, plan: ServicePlanConfig, units: float
     ) -> None:
-        """Track what of a volume is shared, and how much of it was asked for."""
+        """Track the quotas of a volume and add units to their demand."""
         if plan.limit_rate > 0:
             key = QuotaKey(QuotaKind.LIMIT, number)
-            self._use(key, gateways, plan.limit_rate, units)
+            self._add_demand(key, gateways, plan.limit_rate, units)
         if plan.reserved_rate > 0:
             key = QuotaKey(QuotaKind.RESERVE, number)
-            self._use(key, gateways, plan.reserved_rate, units)
+            self._add_demand(key, gateways, plan.reserved_rate, units)
 
-    def _use(
-        self, key: QuotaKey, gateways: int, whole_rate: float, units: float
+    def _add_demand(
+        self, key: QuotaKey, gateways: int, quota_rate: float, units: float
     ) -> None:
-        demand = self._track(key, gateways, whole_rate)
+        demand = self._track(key, gateways, quota_rate)
         if units:
             demand.add(units, self._now())
 
-    def _track(self, key: QuotaKey, gateways: int, whole_rate: float) -> DemandEstimate:
-        """Return the demand for a quota.
+    def _track(self, key: QuotaKey, gateways: int, quota_rate: float) -> DemandEstimate:
+        """Return the demand estimate of a quota.
 
-        From the first time on shares of it are asked for, and the scheduler knows its
-        own.
+        The first call starts to request shares of the quota and passes this gateway's
+        own share to the scheduler.
         """
         demand = self.demands.get(key)
         if demand is None:
             demand = DemandEstimate(sampled_at=self._now())
             self.demands[key] = demand
-            self.whole_rates[key] = whole_rate
+            self.quota_rates[key] = quota_rate
             self.ledger.track(key, gateways)
             self._tell_scheduler(key)
         return demand
 
     def on_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
-        """Take an update of the endpoint list.
+        """Apply an update of the endpoint list.
 
-        Slow-start budgets are shared while a node is warming up; the scheduler is told
-        its share before it sends, and again each time, since it may have forgotten a
-        node that was gone.
+        Slow-start budgets are shared while a node is warming up. The scheduler receives
+        its share before it sends to the node, and again with each update, since it may
+        have dropped the share of a node that was gone.
         """
         for endpoint in endpoints:
             if self._is_warming_up(endpoint):
@@ -299,7 +306,7 @@
         )
 
     def _tell_scheduler(self, key: QuotaKey) -> None:
-        """Tell the scheduler its share if it changed, and again when it ends."""
+        """Pass the share to the scheduler if it changed, and again when it ends."""
         now = self._now()
         forecast = self.ledger.forecast(key, now)
         remaining = forecast.until - now
@@ -320,12 +327,12 @@
             forecast.least_after / WHOLE,
         )
 
-    def on_planned(self) -> None:
-        """Ask at once when the planner has taken this gateway."""
+    def on_established(self) -> None:
+        """Send requests at once when the planner has accepted this gateway."""
         self.send_requests()
 
     def on_grant(self, grant: QuotaGrant) -> None:
-        """Take a grant, and tell the scheduler what comes of it."""
+        """Apply a grant, and pass the resulting share to the scheduler."""
         now = self._now()
         outcome = self.ledger.on_grant(grant, now)
         self._metrics.on_grant(outcome)
@@ -335,9 +342,10 @@
             self._tell_scheduler(grant.key)
 
     def waiting_units(self) -> dict[QuotaKey, float]:
-        """Return the units that were taken and not sent yet, by quota.
+        """Return the units of requests without an attempt yet, by quota.
 
-        What a limit holds back does not arrive faster, but it is wanted.
+        Requests that a limit holds back do not raise the arrival rate, but they are
+        demand.
         """
         waiting: dict[QuotaKey, float] = {}
         for active in self._scheduler.active.values():
@@ -354,7 +362,7 @@
         return waiting
 
     def send_requests(self) -> None:
-        """Ask for all that is wanted, and again after an interval."""
+        """Send the requests that are due, and schedule the next round."""
         interval = self.config.request_interval * self._random.uniform(*REQUEST_JITTER)
         self._timers.set(REQUEST_TIMER, interval, self.send_requests)
         self.session.check_silence()
@@ -372,7 +380,7 @@
         for key, demand in self.demands.items():
             rate = wanted_rate(demand.update_rate(now), waiting.get(key, 0.0))
             if demand.should_request(now, rate, self.config.timings):
-                share = share_for_rate(rate, self.whole_rates[key])
+                share = share_for_rate(rate, self.quota_rates[key])
                 request = self.ledger.make_request(key, share, now)
                 requests.append(encode_request(request, rate))
         return requests
--- a/milletsill/planner/quota_client_config.py
+++ b/milletsill/planner/quota_client_config.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway's quotas."""
+"""Settings of a gateway's quota client."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetVolume:
-    """A volume whose requests come through all gateways."""
+    """A volume that all gateways of the fleet serve."""
 
     number: int
     plan: ServicePlanConfig
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaClientConfig:
-    """Settings of a gateway's quotas; times in tenths of a millisecond.
+    """Settings of a gateway's quota client; times in tenths of a millisecond.
 
     Attributes:
         name: The gateway's name.
-        planner_address: host:port.
+        planner_address: The planner's host:port.
         request_interval: Seconds between two rounds of requests.
-        timings: The same as the planner's.
-        gateways: In the fleet.
-        volumes: Known from the start.
-        plans: The service plans, by the number that a request gives.
-        warm_up_time: How long a node that has started has a slow-start budget.
-        slow_start_rate: Units a second of that budget.
+        timings: Timings of loans and grants; the planner has the same.
+        gateways: Number of gateways in the fleet.
+        volumes: The volumes that all gateways serve.
+        plans: The service plans, indexed by the number in a request.
+        warm_up_time: How long a node has a slow-start budget after its start.
+        slow_start_rate: Rate of that budget, in units per second.
     """
 
     name: str
@@ -49,7 +49,7 @@
     def from_settings(
         cls, file: GatewayFile, deployment: DeploymentConfig
     ) -> QuotaClientConfig:
-        """Read a gateway's file, which has a `planner` block, and its deployment."""
+        """Return the settings from a gateway's file with a `planner` block."""
         plans = deployment.service_plans
         plan_numbers = {plan.name: number for number, plan in enumerate(file.plan)}
         window = max(deployment.slow_start_window, 1)
--- a/milletsill/planner/quota_client_metrics.py
+++ b/milletsill/planner/quota_client_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a gateway's quotas."""
+"""Metrics of a gateway's quota client."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class QuotaClientMetrics:
-    """The metrics of one gateway; docs/planner.md says what to do about them."""
+    """The metrics of one gateway; docs/planner.md describes how to act on them."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._planned = Gauge(
@@ -33,11 +33,11 @@
         )
 
     def on_grant(self, outcome: GrantOutcome) -> None:
-        """Count a grant."""
+        """Count a grant by its outcome."""
         self._grants.labels(outcome.value).inc()
 
     def update(self, planned: bool, holdings: Sequence[QuotaHolding], now: int) -> None:
-        """Set the gauges."""
+        """Set the gauges to the present holdings and link state."""
         self._planned.set(planned)
         granted = sum(holding.granted_share(now) for holding in holdings)
         self._granted.set(granted / WHOLE)
--- a/milletsill/planner/quota_ledger.py
+++ b/milletsill/planner/quota_ledger.py
@@ -1,4 +1,4 @@
-"""A gateway's quota ledger: what it may use, what it lends, which grants it accepts."""
+"""A gateway's quota ledger: usable shares, loans and accepted grants."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 @dataclass(slots=True)
 class QuotaHolding:
-    """What one gateway has of one quota.
+    """One gateway's holding of one quota.
 
     Attributes:
-        even_share: What it owns.
-        floor: What of that it never lends.
-        loans: The largest first, each shorter than the next, which are smaller.
-        lent_epoch: The planner's run that they are lent to.
-        granted: On top, until `granted_until`.
+        even_share: The share that the gateway owns.
+        floor: The part of the even share that the gateway never lends.
+        loans: Ordered by decreasing share and increasing end.
+        lent_epoch: The planner's run that the loans are made to.
+        granted: Share granted in addition, until `granted_until`.
         granted_until: When the grant ends.
-        sequence: Of the last grant.
+        sequence: Sequence number of the last grant.
     """
 
     even_share: int
@@ -43,27 +43,27 @@
     sequence: int = 0
 
     def lent(self, now: int) -> int:
-        """Return what is lent now."""
+        """Return the share that is lent now, which is the largest standing loan."""
         return next((loan.share for loan in self.loans if now < loan.ends_at), 0)
 
     def granted_share(self, now: int) -> int:
-        """Return what is granted now."""
+        """Return the share that is granted now."""
         return self.granted if now < self.granted_until else 0
 
     def share(self, now: int) -> int:
-        """Return what the gateway may use now."""
+        """Return the share that the gateway may use now."""
         return self.even_share - self.lent(now) + self.granted_share(now)
 
     def change_times(self) -> list[int]:
-        """Return when `share` changes by itself."""
+        """Return the times at which `share` changes without a new grant or loan."""
         return [loan.ends_at for loan in self.loans] + [self.granted_until]
 
     def add_loan(self, loan: QuotaLoan, now: int) -> None:
-        """Lend once more.
+        """Add a loan.
 
-        No loan is made smaller or shorter: a larger one stays beside a new smaller one
-        until its end. Beyond MAX_LOANS the two last become one, as large and as long as
-        either.
+        No loan is reduced or shortened: a larger one stands beside a new smaller one
+        until it ends. Beyond MAX_LOANS the last two are merged into one with the larger
+        share, the later end and the earlier planner time.
         """
         kept = [
             each
@@ -77,7 +77,7 @@
 
 
 class GrantOutcome(Enum):
-    """What becomes of a grant; the values are metric labels."""
+    """The outcome of a received grant; the values are metric labels."""
 
     ACCEPTED = "taken"
     STALE_EPOCH = "old_epoch"
@@ -88,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaForecast:
-    """What a gateway may use of a quota if it hears nothing more.
+    """The share that a gateway may use if it receives no further grant.
 
     Attributes:
-        share: What it may use now.
-        until: Until when that surely holds.
-        least_after: The least that it may use at any later moment.
+        share: The share that it may use now.
+        until: Until when that share is guaranteed.
+        least_after: The least share that it may use at any time from `until` on.
     """
 
     share: int
@@ -102,15 +102,16 @@
 
 
 class QuotaLedger:
-    """What one gateway holds of all quotas.
+    """One gateway's holdings of all quotas.
 
     Args:
         name: The gateway's name.
-        incarnation: Its start.
-        timings: The same as the planner's.
-        started_at: Its clock at its start. Until the longest duration has passed since,
-            it has the floor alone, for its former incarnation may have lent the rest.
-        fresh: Whether there was no former incarnation.
+        incarnation: The gateway's incarnation.
+        timings: Timings of loans and grants; the planner has the same.
+        started_at: The gateway's clock at its start. Until the longest duration has
+            passed since then, the gateway uses no more than the floor and its grants,
+            since its previous incarnation may have lent the rest.
+        fresh: Whether there was no previous incarnation.
     """
 
     def __init__(
@@ -129,7 +130,12 @@
         self.holdings: dict[QuotaKey, QuotaHolding] = {}
 
     def track(self, key: QuotaKey, gateways: int) -> QuotaHolding:
-        """Return the holding of a quota that so many gateways share; made once."""
+        """Return the holding of a quota, created on first use.
+
+        Args:
+            key: The quota.
+            gateways: Number of gateways that share it.
+        """
         holding = self.holdings.get(key)
         if holding is None:
             share = even_share(gateways)
@@ -138,7 +144,7 @@
         return holding
 
     def share(self, key: QuotaKey, now: int) -> int:
-        """Return what may be used of a quota now, in millionths."""
+        """Return the share of a quota that may be used now, in millionths."""
         holding = self.holdings[key]
         if now < self.restricted_until:
             return holding.floor + holding.granted_share(now)
@@ -147,7 +153,8 @@
     def _lendable(self, holding: QuotaHolding, now: int) -> int:
         """Return how much may be lent to the present epoch.
 
-        Nothing after a start, and nothing of what is lent to another epoch.
+        Nothing may be lent while the gateway is restricted after a restart, or while a
+        loan to another epoch stands.
         """
         if now < self.restricted_until:
             return 0
@@ -156,7 +163,10 @@
         return holding.even_share - holding.floor
 
     def forecast(self, key: QuotaKey, now: int) -> QuotaForecast:
-        """Return what the scheduler may rely on, however late it hears the next."""
+        """Return the shares that the scheduler may use until the next forecast.
+
+        The forecast holds however late the next one comes.
+        """
         holding = self.holdings[key]
         times = (*holding.change_times(), self.restricted_until)
         later = [time for time in times if time > now]
@@ -167,7 +177,10 @@
         return QuotaForecast(share, min(later), least_after)
 
     def is_idle(self, key: QuotaKey, now: int) -> bool:
-        """Return whether nothing is lent, granted or restricted, so it may go."""
+        """Return whether no loan, grant or restart restriction is left.
+
+        The holding of an idle quota may be dropped.
+        """
         times = (*self.holdings[key].change_times(), self.restricted_until)
         return now >= max(times)
 
@@ -191,7 +204,7 @@
         )
 
     def accept_epoch(self, epoch: int) -> bool:
-        """Take a planner's epoch, unless it is older than the newest heard."""
+        """Accept a planner's epoch unless it is older than the newest accepted."""
         if epoch < self.epoch:
             return False
         if epoch > self.epoch:
@@ -201,7 +214,7 @@
         return True
 
     def on_grant(self, grant: QuotaGrant, now: int) -> GrantOutcome:
-        """Take a grant if it is of this epoch, newer than the last, and not over."""
+        """Accept a grant of this epoch if it is newer than the last and not expired."""
         holding = self.holdings.get(grant.key)
         if holding is None or not self._is_valid(grant, now):
             return GrantOutcome.INVALID
@@ -212,8 +225,8 @@
         holding.sequence = grant.sequence
         expires_at = grant.requested_at + grant.duration
         if now >= expires_at:
-            # A grant that comes later than it lasts is not used, whatever held it up.
-            # What it asks to lend is lent: that is a promise from now.
+            # An expired grant is not used, whatever delayed it. The loan that it asks
+            # for is still made, since a loan starts now.
             self.lend(holding, grant, now)
             return GrantOutcome.EXPIRED
         holding.granted = grant.granted
@@ -231,9 +244,9 @@
         )
 
     def lend(self, holding: QuotaHolding, grant: QuotaGrant, now: int) -> None:
-        """Lend what a grant asks for, for the longest duration from now.
+        """Lend the share that a grant asks for, for the longest duration from now.
 
-        A holding is lent to one epoch at a time.
+        All loans of a holding are to one epoch at a time.
         """
         if holding.lent(now) and holding.lent_epoch != self.epoch:
             return
--- a/milletsill/planner/quota_planner.py
+++ b/milletsill/planner/quota_planner.py
@@ -1,4 +1,4 @@
-"""What the planner counts on, and what it grants out of that."""
+"""The planner's decisions: which loans it counts, and what it grants out of them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     plan_quota,
 )
 from milletsill.planner.quota_terms import (
-    IDLE_DURATIONS,
+    IDLE_REQUEST_DURATIONS,
     MAX_LOANS,
     REQUESTS_PER_DURATION,
     WHOLE,
@@ -22,13 +22,16 @@
     QuotaTimings,
 )
 
-SHORTEST_GRANT = 4  # a grant lasts a fourth of the longest duration at least
-MAX_KNOWN_LOANS = 2 * MAX_LOANS  # of one share
+MIN_GRANT_DIVISOR = 4  # a grant lasts at least the longest duration divided by this
+MAX_KNOWN_LOANS = 2 * MAX_LOANS  # counted loans of one share
 
 
 @dataclass(frozen=True, slots=True)
 class UnsolicitedGrant:
-    """A grant for a gateway that did not ask: of nothing, but for what to lend."""
+    """A grant that a gateway did not request.
+
+    It grants no share and only asks the gateway to lend.
+    """
 
     gateway: str
     grant: QuotaGrant
@@ -38,15 +41,15 @@
     """One run of the planner, under one epoch.
 
     Args:
-        epoch: Differs from that of each other run.
-        timings: The same as the gateways'.
-        max_gateways: Bounds the memory.
-        max_quotas: Bounds the memory.
+        epoch: The epoch of this run; no two runs have the same.
+        timings: Timings of loans and grants; the gateways have the same.
+        max_gateways: The most gateways that are tracked, which bounds the memory.
+        max_quotas: The most quotas that are tracked, which bounds the memory.
 
     Attributes:
-        frozen: Plans stay as they are.
-        drained: Gateways that shall want nothing.
-        connected: Gateways that are there, though they may have nothing to ask.
+        frozen: Whether plans stay as they are.
+        drained: Gateways whose wanted share counts as 0.
+        connected: Gateways that are connected, even if they send no requests.
     """
 
     def __init__(
@@ -68,10 +71,10 @@
         self._unsolicited: list[UnsolicitedGrant] = []
 
     def forget_idle(self, now: int) -> None:
-        """Drop quotas long not asked for, and gateways of which nothing is left."""
+        """Drop quotas without recent requests, and gateways without shares."""
         for key, quota in list(self.quotas.items()):
             shares = quota.shares.values()
-            if all(share.is_forgotten(now, self.timings) for share in shares):
+            if all(share.is_expired(now, self.timings) for share in shares):
                 del self.quotas[key]
         if len(self.incarnations) > self.max_gateways // 2:
             held = {name for quota in self.quotas.values() for name in quota.shares}
@@ -82,13 +85,13 @@
             }
 
     def on_request(self, request: QuotaRequest, now: int) -> QuotaGrant | None:
-        """Keep what a request says, and answer it; None for one that does not count."""
+        """Record a request and return its grant; None if it is stale or invalid."""
         if not self._is_valid(request, now):
             return None
-        known = self.incarnations.get(request.gateway, 0)
-        if request.incarnation < known:
+        newest_incarnation = self.incarnations.get(request.gateway, 0)
+        if request.incarnation < newest_incarnation:
             return None
-        if request.incarnation > known:
+        if request.incarnation > newest_incarnation:
             self._on_restart(request.gateway, request.incarnation)
         quota = self.quotas.get(request.key)
         if quota is None:
@@ -99,7 +102,7 @@
             share = QuotaShare(request.even_share)
             quota.shares[request.gateway] = share
         if request.sent_at < share.requested_at:
-            return None  # an older request that came late
+            return None  # an older request that was overtaken by a newer one
         share.requested_at = request.sent_at
         share.reported_at = now
         share.wanted = 0 if request.gateway in self.drained else request.wanted
@@ -108,7 +111,7 @@
         return self._grant(request, quota, share, now)
 
     def _is_valid(self, request: QuotaRequest, now: int) -> bool:
-        """Return whether a request makes sense and there is room for it."""
+        """Return whether a request has valid values and there is room for it."""
         return (
             self._has_room_for(request)
             and 0 <= request.wanted <= WHOLE
@@ -132,10 +135,11 @@
         return quota.even_share == request.even_share
 
     def _on_restart(self, gateway: str, incarnation: int) -> None:
-        """Take a gateway's new incarnation.
+        """Record a gateway's new incarnation.
 
-        It keeps its loans by staying at the floor. What it was granted is gone, but may
-        have been used until just now, so that it stays counted until its end.
+        Its loans stand, since it uses no more than the floor after its start. It has
+        lost its grants, but may have used them until just now, so that they stay
+        counted until their end.
         """
         self.incarnations[gateway] = incarnation
         for quota in self.quotas.values():
@@ -144,11 +148,12 @@
                 share.requested_at = 0
 
     def count_loans(self, share: QuotaShare, request: QuotaRequest, now: int) -> None:
-        """Count on the loans that a request reports.
+        """Count the loans that a request reports.
 
-        A loan surely stands for the longest duration from the planner's own time that
-        the gateway had heard before it made it. What was counted before stays true, and
-        is kept as long as it says anything new.
+        A loan is certain to stand for the longest duration, adjusted for drift, from
+        the planner time in the grant that asked for it, since the gateway made the loan
+        after that. Loans that were counted before remain certain; one is kept unless
+        another loan is as large and ends no earlier.
         """
         duration = self.timings.min_local_duration(self.timings.max_duration)
         reported = [
@@ -166,19 +171,22 @@
     def available(
         self, quota: SharedQuota, share: QuotaShare, now: int, lent: int
     ) -> int:
-        """Return what may be granted out of so much lent, beside what others hold."""
+        """Return how much of a lent sum may be granted to a gateway.
+
+        Grants that other gateways may hold are subtracted.
+        """
         return lent - (quota.granted - share.granted(now))
 
     def _grant(
         self, request: QuotaRequest, quota: SharedQuota, share: QuotaShare, now: int
     ) -> QuotaGrant:
-        """Answer a request with as much as is planned and lent, while it is lent."""
+        """Return the grant for a request: the planned share as far as loans back it."""
         if now - quota.planned_at >= PLAN_INTERVAL:
             quota.planned_at = now
             if not self.frozen:
                 plan_quota(quota, self.timings, now, self.connected)
                 self._ask_to_lend(request.key, quota, now)
-            quota.recount(now)
+            quota.recompute_totals(now)
         granted = 0
         duration = self.timings.max_duration
         if share.to_grant:
@@ -203,16 +211,16 @@
         )
 
     def _request_interval(self, quota: SharedQuota) -> int:
-        """Return within which time a gateway is to ask again for an idle quota."""
+        """Return the longest time until a gateway requests an idle quota again."""
         if quota.contended:
             return self.timings.max_duration // REQUESTS_PER_DURATION
-        return self.timings.max_duration * IDLE_DURATIONS
+        return self.timings.max_duration * IDLE_REQUEST_DURATIONS
 
     def _ask_to_lend(self, key: QuotaKey, quota: SharedQuota, now: int) -> None:
-        """Tell gateways that are quiet about a quota which others want what to lend.
+        """Ask gateways to lend that have not requested a contended quota recently.
 
-        So 150 gateways need not ask often about 400 idle volumes. The price: a volume
-        that wakes up waits one message longer for its share.
+        This way 150 gateways need not send frequent requests for 400 idle volumes. The
+        cost: a volume whose traffic resumes waits one message longer for its share.
         """
         interval = self.timings.max_duration // REQUESTS_PER_DURATION
         for name, share in quota.shares.items():
@@ -237,7 +245,7 @@
             self._unsolicited.append(UnsolicitedGrant(name, grant))
 
     def take_unsolicited(self) -> list[UnsolicitedGrant]:
-        """Return the grants that nobody asked for, once; the caller sends them."""
+        """Return and clear the unsolicited grants; the caller sends them."""
         grants = self._unsolicited
         self._unsolicited = []
         return grants
@@ -245,16 +253,16 @@
     def _largest_grant(
         self, quota: SharedQuota, share: QuotaShare, now: int
     ) -> tuple[int, int]:
-        """Return the largest grant that is safe, and its duration.
+        """Return the share and duration of the largest grant that loans back.
 
-        Of several that are as large it is the longest.
+        Among grants of the same share the longest is chosen.
         """
         max_duration = self.timings.max_duration
         granted = 0
         duration = max_duration
         for lent in quota.lent:
             remaining = self.timings.min_local_duration(lent.until - now)
-            if remaining < max_duration // SHORTEST_GRANT:
+            if remaining < max_duration // MIN_GRANT_DIVISOR:
                 break
             available = self.available(quota, share, now, lent.share)
             candidate = min(available, share.to_grant)
--- a/milletsill/planner/quota_settings.py
+++ b/milletsill/planner/quota_settings.py
@@ -1,4 +1,4 @@
-"""Settings of quotas, from the messages of the operators' files."""
+"""Convert the `lending` settings of planner and gateway files."""
 
 from __future__ import annotations
 
@@ -16,5 +16,5 @@
 
 
 def floor_in_millionths(timings: QuotaTimings) -> int:
-    """Return the floor as a hello carries it."""
+    """Return the floor in millionths of the even share, as in a hello."""
     return int(timings.floor_share * 1e6)
--- a/milletsill/planner/quota_terms.py
+++ b/milletsill/planner/quota_terms.py
@@ -1,4 +1,4 @@
-"""What planner and gateways say to each other, and the timings that both reckon by."""
+"""Types that planner and gateways exchange, and the timings that both use."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 from milletsill.interface import QuotaKind
 
-SECOND = 10_000
-NEVER = 1 << 60
+SECOND = 10_000  # in tenths of a millisecond
+NEVER = 1 << 60  # a time later than any other
 WHOLE = 1_000_000  # a whole quota; shares are millionths of it
 MAX_LOANS = 3  # of one holding
-# A grant is over this much before its end: a send that was decided just before may
-# still be on its way out.
+# A gateway stops using a grant this long before its end, in tenths of a millisecond,
+# since a send that was decided just before may not have left yet.
 GRANT_GUARD = 200
-# How often an idle quota is asked for: so many times in the longest duration while
-# others want it, and once in so many longest durations while nobody does.
+# An idle quota is requested REQUESTS_PER_DURATION times in the longest duration while
+# it is contended, and once in IDLE_REQUEST_DURATIONS longest durations otherwise.
 REQUESTS_PER_DURATION = 3
-IDLE_DURATIONS = 8
+IDLE_REQUEST_DURATIONS = 8
 
 
 class QuotaKey(NamedTuple):
-    """Names a quota; a tuple, since it is looked up for each request.
+    """Identifies a quota; a tuple, so that the lookup for each request is fast.
 
     Attributes:
-        kind: What is shared.
+        kind: The kind of quota.
         id: Number of the volume or node.
     """
 
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTimings:
-    """How long things last, the same for planner and gateways.
+    """Timings of loans and grants, the same for planner and gateways.
 
     Attributes:
-        max_duration: Of a loan or grant, in tenths of a millisecond.
-        drift_permille: How much of a clock's rate may be wrong.
-        floor_share: Share of the even share that is never lent.
+        max_duration: Longest loan or grant, in tenths of a millisecond.
+        drift_permille: Largest error of a clock's rate, in parts per thousand.
+        floor_share: Fraction of the even share that is never lent.
     """
 
     max_duration: int = 4 * SECOND
@@ -47,16 +47,16 @@
     floor_share: float = 0.2
 
     def min_local_duration(self, duration: int) -> int:
-        """Return what surely has passed here when that passed on another's clock."""
+        """Return the least local time while another clock measures this duration."""
         return duration * (1000 - self.drift_permille) // 1000
 
     def max_local_duration(self, duration: int) -> int:
-        """Return what may pass here until that has passed on another's clock."""
+        """Return the most local time while another clock measures this duration."""
         return -(-duration * 1000 // (1000 - self.drift_permille))
 
 
 def even_share(gateways: int) -> int:
-    """Return one gateway's own share; rounded down, so that all fit into the whole."""
+    """Return one gateway's even share, rounded down so that the sum fits the whole."""
     return WHOLE // max(gateways, 1)
 
 
@@ -65,8 +65,8 @@
     """One loan of a gateway to the planner.
 
     Attributes:
-        share: What is lent.
-        ends_at: Until when, on the gateway's clock.
+        share: The share that is lent.
+        ends_at: When the loan ends, on the gateway's clock.
         planner_time: The planner's time in the grant that asked for the loan.
     """
 
@@ -76,7 +76,7 @@
 
 
 class ReportedLoan(NamedTuple):
-    """A loan as the planner hears of it: made after it had said `planner_time`."""
+    """A loan in a request; made after the planner's clock showed `planner_time`."""
 
     share: int
     planner_time: int
@@ -87,14 +87,14 @@
     """A gateway's request for a share of one quota.
 
     Attributes:
-        gateway: Its name.
-        incarnation: Its start.
-        epoch: The planner's run that it has accepted.
+        gateway: The gateway's name.
+        incarnation: The gateway's incarnation.
+        epoch: The planner's run that the gateway has accepted.
         key: The quota.
-        wanted: The share that it wants.
-        even_share: The share that it owns.
-        loans: What it has lent to this epoch.
-        sent_at: Its clock, which comes back with the answer.
+        wanted: The share that the gateway wants.
+        even_share: The share that the gateway owns.
+        loans: The gateway's loans to this epoch.
+        sent_at: The gateway's clock, which the grant returns in `requested_at`.
     """
 
     gateway: str
@@ -113,15 +113,16 @@
 
     Attributes:
         epoch: The planner's run.
-        incarnation: The gateway's start.
+        incarnation: The gateway's incarnation.
         key: The quota.
-        sequence: Grows with each grant of the quota to the gateway.
-        granted: Share on top of what the gateway holds itself.
-        duration: How long it is granted, from when it was asked for.
+        sequence: Increases with each grant of the quota to the gateway.
+        granted: Share in addition to the gateway's own.
+        duration: How long the grant lasts, counted from `requested_at`.
         to_lend: Share that the gateway is asked to lend.
         requested_at: `sent_at` of the request.
-        planner_time: The planner's clock.
-        ask_again_within: When the gateway is to ask again, even if it wants nothing.
+        planner_time: The planner's clock when it made the grant.
+        ask_again_within: Longest time until the gateway sends its next request, even
+            if it wants nothing.
     """
 
     epoch: int
--- a/milletsill/registry/__init__.py
+++ b/milletsill/registry/__init__.py
@@ -1,8 +1,8 @@
-"""Follow the list of storage nodes in a key-value registry.
+"""Follow the list of storage nodes in an etcd v3 registry.
 
-Etcd v3's HTTP/JSON gateway.
+The package uses etcd's gRPC gateway, which speaks JSON over HTTP/1.1.
 
-`registry_watcher` lists and watches; `watch_state` decides what each event means;
-`endpoint_view` is what was last listed; `etcd_json` and `etcd_client` speak to the
-registry; `endpoint_cache` keeps the last list on disk for a restart.
+`registry_watcher` lists and watches the keys; `watch_state` is its state machine;
+`endpoint_view` holds the listed nodes; `etcd_json` and `etcd_client` implement the
+protocol; `endpoint_cache` keeps the last list on disk for a restart.
 """
--- a/milletsill/registry/endpoint_cache.py
+++ b/milletsill/registry/endpoint_cache.py
@@ -1,6 +1,6 @@
-"""The last endpoint list on disk: a restarted gateway has it at once.
+"""The last endpoint list on disk, which a restarted gateway uses at once.
 
-The file is replaced whole, so that a crash leaves the old one or the new.
+The file is replaced atomically, so that a crash leaves either the old list or the new.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
     parse_registered_node,
 )
 
-FORMAT = 1
-MAX_FILE = 16_000_000  # octets
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = 16_000_000
 
 
 class EndpointCacheNotStoredError(StateNotStoredError):
-    """The last list of boxes on disk, which cannot be read or written."""
+    """The endpoint list on disk cannot be read or written."""
 
     remedy = (
-        "make room in state_dir or make it writable; traffic goes on, a restart begins "
-        "without a list until the registry answers"
+        "free space in state_dir or make it writable; traffic continues, but after a "
+        "restart the gateway has no list until the registry answers"
     )
 
 
 def write_cache(path: str, nodes: Mapping[str, RegisteredNode], revision: int) -> None:
-    """Write the list beside the file and move it into place.
+    """Write the list to a temporary file and rename it to the path.
 
     Raises:
-        EndpointCacheNotStoredError: the disk is full or refuses.
+        EndpointCacheNotStoredError: The file cannot be written.
     """
-    rows = {key: _row(node) for key, node in nodes.items()}
+    rows = {key: _encode_node(node) for key, node in nodes.items()}
     body = json.dumps(
-        {"format": FORMAT, "revision": revision, "boxes": rows}, sort_keys=True
+        {"format": FORMAT_VERSION, "revision": revision, "boxes": rows}, sort_keys=True
     ).encode()
     temporary = f"{path}.new"
     try:
@@ -56,14 +56,15 @@
 
 
 def read_cache(path: str) -> tuple[dict[str, RegisteredNode], int]:
-    """Return the list and its revision; empty and 0 where there is none.
+    """Return the list and its revision; empty and 0 if there is no file.
 
     Raises:
-        EndpointCacheNotStoredError: it cannot be read, is torn or of another format.
+        EndpointCacheNotStoredError: The file cannot be read, is damaged or has another
+            format.
     """
     try:
         with open(path, "rb") as file:
-            data = file.read(MAX_FILE + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         return {}, 0
     except OSError as error:
@@ -80,7 +81,7 @@
         raise EndpointCacheNotStoredError(str(error), path) from error
 
 
-def _row(node: RegisteredNode) -> dict[str, int | float | str]:
+def _encode_node(node: RegisteredNode) -> dict[str, int | float | str]:
     return {
         "id": node.id,
         "address": node.address,
@@ -95,12 +96,14 @@
 
 def _parse(data: bytes, path: str) -> tuple[dict[str, RegisteredNode], int]:
     checksum, _, body = data.partition(b"\n")
-    if len(data) > MAX_FILE or int(checksum, 16) != zlib.crc32(body):
-        raise EndpointCacheNotStoredError("checksum does not fit", path)
+    if len(data) > MAX_FILE_BYTES or int(checksum, 16) != zlib.crc32(body):
+        raise EndpointCacheNotStoredError(
+            f"checksum mismatch, or more than {MAX_FILE_BYTES} bytes", path
+        )
     stored = json.loads(body)
-    if stored["format"] != FORMAT:
+    if stored["format"] != FORMAT_VERSION:
         raise EndpointCacheNotStoredError(
-            f"format {stored['format']}, {FORMAT} is read", path
+            f"format {stored['format']}, expected {FORMAT_VERSION}", path
         )
     nodes = {
         key: parse_registered_node(value) for key, value in stored["boxes"].items()
--- a/milletsill/registry/endpoint_cache_writer.py
+++ b/milletsill/registry/endpoint_cache_writer.py
@@ -1,4 +1,4 @@
-"""Write the endpoint cache off the reactor's thread, once for a flood of changes."""
+"""Write the endpoint cache outside the reactor thread, once for a burst of changes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from milletsill.registry import endpoint_cache
 from milletsill.registry.endpoint_view import EndpointView
 
-SAVE_DELAY = 0.5  # seconds
+SAVE_DELAY_SECONDS = 0.5  # seconds
 
 
 class EndpointCacheWriter:
-    """Writes a view to a file some time after it changed.
+    """Writes a view to a file SAVE_DELAY_SECONDS after it changed.
 
-    `log` hears of a disk that refuses, once until it takes a list again.
+    A failed write is logged once, until a write succeeds again.
     """
 
     def __init__(
@@ -34,12 +34,12 @@
         self.save_call: Any = None
 
     def save(self) -> None:
-        """Write the view soon."""
+        """Schedule a write of the view, unless one is scheduled."""
         if self.save_call is None:
-            self.save_call = self.reactor.callLater(SAVE_DELAY, self._save_now)
+            self.save_call = self.reactor.callLater(SAVE_DELAY_SECONDS, self._save_now)
 
     def stop(self) -> None:
-        """Write what is not written yet, in this thread."""
+        """Run a scheduled write at once, in the calling thread."""
         if self.save_call is None:
             return
         self.save_call.cancel()
@@ -60,7 +60,7 @@
             lambda failure: self._on_saved(failure.getErrorMessage()),
         )
 
-    def _on_saved(self, complaint: str) -> None:
-        if complaint and not self.failing:
-            self.log(f"the list cannot be kept: {complaint}")
-        self.failing = bool(complaint)
+    def _on_saved(self, error_text: str) -> None:
+        if error_text and not self.failing:
+            self.log(f"the endpoint list cannot be stored: {error_text}")
+        self.failing = bool(error_text)
--- a/milletsill/registry/endpoint_view.py
+++ b/milletsill/registry/endpoint_view.py
@@ -1,4 +1,4 @@
-"""What the registry last listed: one node for each id. No I/O, no clock."""
+"""The nodes that the registry last listed, one for each id; no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from milletsill.interface import Endpoint, Readiness
 from milletsill.registry.registered_node import RegisteredNode
 
-# Keys that are kept in mind without a node.
+# Keys without a node that are remembered; further ones are not counted.
 MAX_KEYS_WITHOUT_NODE = 1 << 16
 TICKS_PER_MS = 10
 
@@ -19,10 +19,10 @@
     """One change of a key.
 
     Attributes:
-        key: the key.
-        node: what it describes now, None where it is gone.
-        revision: the revision that made the change.
-        invalid: whether it is there with a value that describes no node.
+        key: The key.
+        node: The node that it describes now; None if the key is deleted or invalid.
+        revision: The revision of the change.
+        invalid: Whether the key exists with a value that does not describe a node.
     """
 
     key: str
@@ -32,10 +32,10 @@
 
 
 class EndpointView:
-    """Nodes by key, and the revision they are at.
+    """Nodes by key, at one revision of the registry.
 
-    Bounded: of a registry that lists more than `max_nodes`, those past it are left out
-    and counted in `overflow`. Times are tenths of a millisecond.
+    The view holds at most `max_nodes`; further ones are dropped and counted in
+    `overflow`. Times are tenths of a millisecond.
     """
 
     def __init__(self, max_nodes: int, warm_after: int) -> None:
@@ -44,9 +44,9 @@
         self.by_key: dict[str, RegisteredNode] = {}
         self.revision = 0
         self.overflow = 0
-        # Node id -> its start on the wall clock in ms, and on this process's clock.
+        # Node id -> its start, in ms of the wall clock and on this process's clock.
         self.starts: dict[int, tuple[int, int]] = {}
-        # Keys that the registry has and of which there is no node here.
+        # Keys of the registry that have no node in the view.
         self.keys_without_node: set[str] = set()
 
     def replace(
@@ -55,9 +55,12 @@
         revision: int,
         keys: Iterable[str] = (),
     ) -> None:
-        """Take the whole list as at a revision.
+        """Replace the view with a complete list.
 
-        `keys` are all that the registry has.
+        Args:
+            nodes: The nodes by key.
+            revision: The revision of the list.
+            keys: All keys of the registry, including those without a valid node.
         """
         kept = list(nodes.items())[: self.max_nodes]
         self.overflow = len(nodes) - len(kept)
@@ -67,14 +70,14 @@
         self.keys_without_node = known - self.by_key.keys()
 
     def key_count(self) -> int:
-        """Return how many keys the registry has, as far as this view was told."""
+        """Return how many keys the registry has according to this view."""
         return len(self.by_key) + len(self.keys_without_node)
 
     def apply(self, changes: Sequence[KeyChange]) -> list[RegisteredNode]:
-        """Apply changes in order and return what they leave of each node.
+        """Apply changes in order and return the final state of each changed node.
 
-        A node that is gone is marked so. A change that the view already holds (told
-        twice after a break) is passed over.
+        A removed node is returned with readiness GONE. A change that the view already
+        contains is skipped; the registry may repeat it after a reconnect.
         """
         changed: dict[int, RegisteredNode] = {}
         for change in changes:
@@ -87,7 +90,7 @@
         key = change.key
         old = self.by_key.get(key)
         if change.invalid:
-            self._keep_key(key)
+            self._add_key_without_node(key)
         elif change.node is None:
             self.keys_without_node.discard(key)
             if old is not None:
@@ -101,28 +104,34 @@
             changed[change.node.id] = change.node
         else:
             self.overflow += 1
-            self._keep_key(key)
+            self._add_key_without_node(key)
 
-    def _keep_key(self, key: str) -> None:
-        """Keep a key in mind of which there is no node here."""
+    def _add_key_without_node(self, key: str) -> None:
+        """Remember a key that has no node in the view."""
         if key in self.by_key or len(self.keys_without_node) >= MAX_KEYS_WITHOUT_NODE:
             return
         self.keys_without_node.add(key)
 
     def _gone(self, old: RegisteredNode) -> dict[int, RegisteredNode]:
-        """Return a node whose key is gone, unless another key describes it."""
+        """Return a removed node as GONE, unless another key still describes it."""
         if any(node.id == old.id for node in self.by_key.values()):
             return {}
         return {old.id: replace(old, readiness=Readiness.GONE)}
 
     def nodes(self) -> list[RegisteredNode]:
-        """Return all nodes, the last told for an id that two keys claim."""
+        """Return all nodes; if two keys describe one id, the later key's node."""
         return list({node.id: node for node in self.by_key.values()}.values())
 
     def endpoints(
         self, nodes: Iterable[RegisteredNode], now: int, wall_ms: int
     ) -> list[Endpoint]:
-        """Return nodes as the scheduler takes them; `wall_ms` is the wall clock."""
+        """Return nodes as the scheduler's endpoints.
+
+        Args:
+            nodes: The nodes to convert.
+            now: This process's clock.
+            wall_ms: The wall clock in milliseconds.
+        """
         return [
             Endpoint(
                 node.id,
@@ -137,10 +146,10 @@
         ]
 
     def started_at(self, node: RegisteredNode, now: int, wall_ms: int) -> int | None:
-        """Return when a node started, None where it is warm by now.
+        """Return when a node started, on this process's clock; None if it is warm.
 
-        Its start is set against this process's clock once, when it is first told: a
-        step of the wall clock does not make it look started again.
+        The start is converted to this process's clock once, when the node is first
+        listed, so that a step of the wall clock does not look like a restart.
         """
         known = self.starts.get(node.id)
         if known is None or known[0] != node.started_ms:
--- a/milletsill/registry/etcd_client.py
+++ b/milletsill/registry/etcd_client.py
@@ -1,6 +1,7 @@
-"""Calls to etcd's JSON gateway: short answers whole, a watch line by line.
+"""HTTP client for etcd's JSON gateway.
 
-All is bounded.
+It reads the answer of a range request as a whole and a watch line by line; the size of
+an answer and of a line is bounded.
 """
 
 from __future__ import annotations
@@ -19,45 +20,45 @@
 from milletsill.gateway.stream_transport import StreamTransport
 from milletsill.registry.etcd_json import MalformedRegistryAnswerError
 
-OK = 200
+HTTP_OK = 200
 LineHandler = Callable[[bytes], None]
-# Gets a whole answer, or None where the call failed or its stream has ended. Called
-# once.
+# Called once, with the whole answer, or with None if the call failed or the stream
+# ended.
 DoneHandler = Callable[[bytes | None], None]
 
 
 class LineSplitter:
-    """Cuts a streamed body into lines; one past `max_line` octets is malformed."""
+    """Splits a streamed body into lines of at most `max_line` bytes."""
 
     def __init__(self, max_line: int) -> None:
         self.max_line = max_line
         self.partial = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now, without empty ones.
+        """Return the lines that are complete so far, without empty ones.
 
         Raises:
-            MalformedRegistryAnswerError: a line is too long.
+            MalformedRegistryAnswerError: A line is too long.
         """
         *lines, self.partial = (self.partial + data).split(b"\n")
         longest = max(map(len, (*lines, self.partial)))
         if longest > self.max_line:
             raise MalformedRegistryAnswerError(
-                f"a line of more than {self.max_line} bytes"
+                f"line of {longest} bytes exceeds the limit of {self.max_line}"
             )
         return [line for line in lines if line.strip()]
 
 
 @implementer(IBodyProducer)
 class RequestBody:
-    """The body of a short request."""
+    """A request body that is written at once."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.length = len(data)
 
     def startProducing(self, consumer: Any) -> Deferred[None]:
-        """Write it all."""
+        """Write the whole body."""
         consumer.write(self.data)
         done: Deferred[None] = Deferred()
         done.callback(None)
@@ -74,7 +75,7 @@
 
 
 class ResponseBody(Protocol):
-    """Reads a body: whole, or line by line where there is a line handler."""
+    """Reads a response body as a whole, or line by line if it has a line handler."""
 
     transport: StreamTransport  # type: ignore[assignment]
 
@@ -87,18 +88,18 @@
         self.lines = LineSplitter(max_size)
         self.pieces: list[bytes] = []
         self.size = 0
-        self.over = False
+        self.finished = False
 
     def dataReceived(self, data: bytes) -> None:
-        """Take a piece of the body."""
-        if self.over:
+        """Handle a part of the body."""
+        if self.finished:
             return
         if self.on_line is None:
             self._keep(data)
             return
         try:
             for line in self.lines.feed(data):
-                if not self.over:
+                if not self.finished:
                     self.on_line(line)
         except MalformedRegistryAnswerError:
             self.stop()
@@ -111,26 +112,26 @@
             self.pieces.append(data)
 
     def stop(self) -> None:
-        """End it from this side: nothing more is heard."""
-        if not self.over:
-            self.over = True
+        """Close the connection and report failure; later data is ignored."""
+        if not self.finished:
+            self.finished = True
             self.transport.loseConnection()
             self.on_done(None)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Hand over the body."""
-        if not self.over:
-            self.over = True
+        """Pass on the whole body, or report the end of a stream."""
+        if not self.finished:
+            self.finished = True
             self.on_done(b"".join(self.pieces) if self.on_line is None else None)
 
 
 class EtcdClient:
-    """Makes one call at a time beside a stream.
+    """Makes one call at a time, in parallel with one watch.
 
     Attributes:
-        pending: the call under way.
-        body: the short answer that is being read.
-        stream: the watch.
+        pending: The call in progress.
+        body: The non-streamed answer that is being read.
+        stream: The watch.
     """
 
     def __init__(
@@ -168,9 +169,11 @@
         on_line: LineHandler | None,
         on_done: DoneHandler,
     ) -> None:
-        """Make a call; with a line handler its answer is a stream."""
+        """Make a call; its answer is a stream if there is a line handler."""
         url = f"http://{self.address}{path}".encode()
-        answered = self.agent.request(b"POST", url, self.headers, RequestBody(body))
+        response_received = self.agent.request(
+            b"POST", url, self.headers, RequestBody(body)
+        )
         done = False
 
         def on_done_once(data: bytes | None) -> None:
@@ -181,8 +184,8 @@
 
         def on_response(response: Any) -> None:
             handler = on_line
-            if response.code != OK:
-                self.log(f"{path} answered {response.code}")
+            if response.code != HTTP_OK:
+                self.log(f"registry: {path} returned HTTP status {response.code}")
                 on_done_once(None)
                 handler = None
             reader = ResponseBody(self.max_line, handler, on_done_once)
@@ -192,25 +195,25 @@
                 self.body = reader
             response.deliverBody(reader)
 
-        answered.addCallback(on_response)
-        answered.addErrback(lambda failure: on_done_once(None))
-        self.pending = answered
+        response_received.addCallback(on_response)
+        response_received.addErrback(lambda failure: on_done_once(None))
+        self.pending = response_received
 
     def cancel(self) -> None:
-        """Stop waiting for the call under way, whether or not its answer has begun."""
+        """Cancel the call in progress, even if its answer is being read."""
         if self.pending is not None:
             self.pending.cancel()
         if self.body is not None:
             self.body.stop()
 
     def close_stream(self) -> None:
-        """End the watch."""
+        """Close the watch."""
         stream = self.stream
         self.stream = None
         if stream is not None:
             stream.stop()
 
     def stop(self) -> None:
-        """Stop waiting for the call under way."""
+        """Cancel the call in progress if its answer has not begun."""
         if self.pending is not None:
             self.pending.cancel()
--- a/milletsill/registry/etcd_json.py
+++ b/milletsill/registry/etcd_json.py
@@ -1,6 +1,6 @@
-"""The registry's JSON, to and from plain values.
+"""Encode and decode the JSON messages of etcd v3's gRPC gateway.
 
-etcd v3's gateway wraps gRPC messages: keys and values are in base64, 64-bit numbers are
+The gateway maps gRPC messages to JSON: keys and values are base64, 64-bit numbers are
 strings. Source: etcd's API reference for the gRPC gateway (`/v3/kv/range`,
 `/v3/watch`).
 """
@@ -23,16 +23,16 @@
 )
 from milletsill.registry.watch_state import RegistryHead
 
-MAX_QUOTED = 200
+MAX_QUOTED_CHARS = 200
 MAX_CLUSTER_ID = 40
 
 
 class MalformedRegistryAnswerError(MalformedInputError):
-    """An answer of the registry that its protocol does not allow."""
+    """The registry's answer violates its protocol."""
 
     remedy = (
-        "see that registry.address leads to etcd's JSON gateway (v3); "
-        "the list that was known stands meanwhile"
+        "check that registry.address is the address of etcd's JSON gateway (v3); "
+        "the gateway keeps the last known list meanwhile"
     )
 
 
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The whole list.
+    """The complete list.
 
     Attributes:
-        nodes: by key; a value that describes no node is left out.
-        keys: all keys, also of those values.
-        head: the cluster, and the revision that the list is at.
+        nodes: The nodes by key, without values that do not describe a node.
+        keys: All keys, including those of such values.
+        head: The cluster, and the revision of the list.
     """
 
     nodes: dict[str, RegisteredNode]
@@ -62,7 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestKey:
-    """The newest change of a key that is there, how many there are, and the head."""
+    """The newest change among the existing keys.
+
+    Attributes:
+        revision: Revision of that change; 0 if there are no keys.
+        key_count: Number of existing keys.
+        head: The registry's cluster and newest revision.
+    """
 
     revision: int
     key_count: int
@@ -74,10 +80,11 @@
     """One message of a watch.
 
     Attributes:
-        changes: in order.
-        revision: the newest of them.
-        opened: how far the registry is, where the watch opens with this message.
-        compacted: whether the changes that it should begin with are no longer kept.
+        changes: The changes in order.
+        revision: The newest revision among them.
+        opened: The registry's head if this message opens the watch.
+        compacted: Whether the registry has compacted the revision from which the
+            watch should start.
     """
 
     changes: Sequence[KeyChange] = ()
@@ -87,19 +94,19 @@
 
 
 def encode_text(text: str) -> str:
-    """Return a text in base64."""
+    """Return a text encoded in base64."""
     return base64.b64encode(text.encode()).decode()
 
 
 def list_request(prefix: str) -> bytes:
-    """Ask for all keys below a prefix."""
+    """Return the range request for all keys with a prefix."""
     return json.dumps(_key_range(prefix)).encode()
 
 
 def newest_key_request(prefix: str) -> bytes:
-    """Ask only for the key that was changed last, without its value.
+    """Return the range request for the most recently changed key, without its value.
 
-    All are counted.
+    The answer also counts all keys with the prefix.
     """
     return json.dumps(
         {
@@ -113,7 +120,7 @@
 
 
 def watch_request(prefix: str, revision: int) -> bytes:
-    """Ask for all changes below a prefix from a revision on."""
+    """Return the request to watch all keys with a prefix, starting at a revision."""
     return json.dumps(
         {
             "create_request": {
@@ -126,10 +133,15 @@
 
 
 def parse_list(data: bytes, log_invalid: Callable[[str], None]) -> EndpointList:
-    """Return the answer to `list_request`; `log_invalid` hears of each value left out.
+    """Parse the answer to `list_request`.
+
+    Args:
+        data: The answer.
+        log_invalid: Logs each value that does not describe a node.
 
     Raises:
-        MalformedRegistryAnswerError: as all functions here that parse.
+        MalformedRegistryAnswerError: The answer is malformed. The other parsers of
+            this module raise it likewise.
     """
     header, pairs = _parse_range(data)
     nodes: dict[str, RegisteredNode] = {}
@@ -144,7 +156,7 @@
 
 
 def parse_newest_key(data: bytes) -> NewestKey:
-    """Return the answer to `newest_key_request`."""
+    """Parse the answer to `newest_key_request`."""
     body = _parse_object(data, "the list")
     header, pairs = _parse_range(data)
     revision = max((pair.revision for pair in pairs), default=0)
@@ -155,17 +167,21 @@
 def parse_watch_message(
     line: bytes, log_invalid: Callable[[str], None]
 ) -> WatchMessage:
-    """Return one message of a watch; `log_invalid` hears of each value left out."""
+    """Parse a watch message; `log_invalid` logs each value that is not a node."""
     body = _parse_object(line, "a watch message")
     result = body.get("result")
     if not isinstance(result, dict):
-        error = json.dumps(body.get("error"))[:MAX_QUOTED]
-        raise MalformedRegistryAnswerError(f"the watch says {error}")
+        error = json.dumps(body.get("error"))[:MAX_QUOTED_CHARS]
+        raise MalformedRegistryAnswerError(
+            f"watch message without a result, error {error}"
+        )
     if result.get("canceled"):
         if _number(result.get("compact_revision"), "a revision"):
             return WatchMessage(compacted=True)
-        reason = str(result.get("cancel_reason", ""))[:MAX_QUOTED]
-        raise MalformedRegistryAnswerError(f"the watch was ended: {reason}")
+        reason = str(result.get("cancel_reason", ""))[:MAX_QUOTED_CHARS]
+        raise MalformedRegistryAnswerError(
+            f"the registry cancelled the watch: {reason}"
+        )
     changes = []
     revision = 0
     for event in result.get("events") or []:
@@ -177,7 +193,7 @@
 
 
 def _key_range(prefix: str) -> dict[str, str]:
-    """The keys that start with the prefix: up to the first key behind them."""
+    """Return the key range of a prefix; its end is the first key after the range."""
     end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
     return {"key": encode_text(prefix), "range_end": encode_text(end)}
 
@@ -193,18 +209,20 @@
 
 
 def _parse_range(data: bytes) -> tuple[dict[str, Any], list[KeyValue]]:
-    """Return the header and the pairs of an answer to a range request."""
+    """Return the header and key-value pairs in the answer to a range request."""
     body = _parse_object(data, "the list")
     header = body.get("header")
     pairs = body.get("kvs") or []
     if not isinstance(header, dict) or not isinstance(pairs, list):
-        raise MalformedRegistryAnswerError("the list has no header or pairs")
+        raise MalformedRegistryAnswerError(
+            "the list has no header object or no array of key-value pairs"
+        )
     return header, [_parse_pair(pair) for pair in pairs]
 
 
 def _parse_pair(pair: Any) -> KeyValue:
     if not isinstance(pair, dict):
-        raise MalformedRegistryAnswerError("a pair is not a JSON object")
+        raise MalformedRegistryAnswerError("a key-value pair is not a JSON object")
     key = _decode(pair.get("key", ""), "a key").decode("utf-8", "replace")
     value = _decode(pair.get("value", ""), "a value")
     return KeyValue(key, value, _number(pair.get("mod_revision"), "a revision"))
@@ -213,14 +231,14 @@
 def _parse_node(
     pair: KeyValue, log_invalid: Callable[[str], None]
 ) -> RegisteredNode | None:
-    """Return the node of one value, None for one that describes none."""
+    """Return the node that a value describes, or None if it is invalid."""
     try:
         return parse_registered_node(json.loads(pair.value))
     except InvalidRegistryEntryError as error:
         invalid = error
     except (ValueError, RecursionError):
-        invalid = InvalidRegistryEntryError("not JSON")
-    log_invalid(invalid.with_location(pair.key[:MAX_QUOTED]).describe())
+        invalid = InvalidRegistryEntryError("value is not JSON")
+    log_invalid(invalid.with_location(pair.key[:MAX_QUOTED_CHARS]).describe())
     return None
 
 
@@ -249,7 +267,7 @@
 
 
 def _number(value: Any, what: str) -> int:
-    """Return a 64-bit number, which JSON carries as a string."""
+    """Return a 64-bit number, which the JSON mapping encodes as a string."""
     try:
         return int(value or 0)
     except (TypeError, ValueError):
--- a/milletsill/registry/registered_node.py
+++ b/milletsill/registry/registered_node.py
@@ -1,4 +1,4 @@
-"""A storage node as the registry describes it."""
+"""Parse a storage node's entry in the registry."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 MAX_STARTED_MS = 1 << 53
 MAX_SIZE = 1e6
 MAX_ADDRESS = 300
-QUOTED = 40  # characters of a wrong value in an error
+MAX_QUOTED_CHARS = 40  # characters of an invalid value in an error message
 
 
 class InvalidRegistryEntryError(InvalidValueError):
-    """A value of the registry that describes no box."""
+    """A value in the registry does not describe a storage node."""
 
     remedy = (
-        "put the value right in the registry, or delete its key; the other boxes stand"
+        "correct the value in the registry or delete its key; "
+        "the other nodes are not affected"
     )
 
 
 @dataclass(frozen=True, slots=True)
 class RegisteredNode:
-    """One node; `started_ms` is on the wall clock, 0 where it is not told."""
+    """One node; `started_ms` is in milliseconds of the wall clock, 0 if unknown."""
 
     id: int
     address: str
@@ -43,13 +44,13 @@
 
 
 def parse_registered_node(value: Any) -> RegisteredNode:
-    """Return a node from its JSON value.
+    """Return the node that a decoded JSON value describes.
 
     Raises:
-        InvalidRegistryEntryError: the value is none.
+        InvalidRegistryEntryError: The value does not describe a node.
     """
     if not isinstance(value, dict):
-        raise InvalidRegistryEntryError("not a JSON object")
+        raise InvalidRegistryEntryError("value is not a JSON object")
     node_id = _whole_number(value, "id", MAX_ID, required=True)
     kind = _whole_number(value, "kind", MAX_KIND)
     zone = _whole_number(value, "zone", MAX_ZONE)
@@ -60,7 +61,7 @@
     if state not in READINESS_BY_STATE:
         names = ", ".join(READINESS_BY_STATE)
         raise InvalidRegistryEntryError(
-            f"state {str(state)[:QUOTED]!r} is not one of {names}"
+            f"state {str(state)[:MAX_QUOTED_CHARS]!r} is not one of {names}"
         )
     address = _address(value.get("address"))
     readiness = READINESS_BY_STATE[state]
@@ -79,7 +80,8 @@
         or not 0 <= number < limit
     ):
         raise InvalidRegistryEntryError(
-            f"{name} {str(number)[:QUOTED]!r} is not a number from 0 to {limit - 1}"
+            f"{name} {str(number)[:MAX_QUOTED_CHARS]!r} is not an integer "
+            f"from 0 to {limit - 1}"
         )
     return number
 
@@ -88,7 +90,8 @@
     numeric = isinstance(size, (int, float)) and not isinstance(size, bool)
     if not numeric or not 0 < size < MAX_SIZE:
         raise InvalidRegistryEntryError(
-            f"size {str(size)[:QUOTED]!r} is not a number above 0"
+            f"size {str(size)[:MAX_QUOTED_CHARS]!r} is not a number "
+            f"above 0 and below {MAX_SIZE:g}"
         )
     return float(size)
 
@@ -104,6 +107,7 @@
         or len(address) > MAX_ADDRESS
     ):
         raise InvalidRegistryEntryError(
-            f"address {str(address)[:QUOTED]!r} is not host:port"
+            f"address {str(address)[:MAX_QUOTED_CHARS]!r} is not host:port "
+            "with a port from 1 to 65535"
         )
     return str(address)
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -1,6 +1,6 @@
-"""Follow the registry.
+"""Follow the registry: list the nodes once, then watch for changes.
 
-List once, then watch; each request is answered by one update.
+Each request of the scheduler is answered by one update.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from milletsill.registry.watch_state import (
     CHECK_INTERVAL,
     MAX_BACKOFF_DOUBLINGS,
-    WATCH_DELAY,
+    MAX_WATCH_LAG,
     NewestChange,
     RegistryHead,
     WatcherEffect,
@@ -54,14 +54,16 @@
     """Settings of a registry watcher.
 
     Attributes:
-        address: host and port of the registry.
-        prefix: of the keys that describe nodes.
-        gateway: this gateway's name.
-        call_timeout, connect_timeout: seconds.
-        max_line: octets of one answer, or of one message of a watch.
-        max_nodes: nodes that are kept.
-        warm_after: time after its start until a node is warm, tenths of a millisecond.
-        cache_path: where the last list is kept.
+        address: The registry's host:port.
+        prefix: Prefix of the keys that describe nodes.
+        gateway: This gateway's name.
+        call_timeout: Seconds until a call without an answer fails.
+        connect_timeout: Seconds until an attempt to connect fails.
+        max_line: Largest size of an answer or of a watch message, in bytes.
+        max_nodes: The most nodes that the view holds.
+        warm_after: Time from a node's start until it is warm, in tenths of a
+            millisecond.
+        cache_path: File of the last list.
     """
 
     address: str
@@ -77,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryCallbacks:
-    """Who hears of the registry.
+    """The functions that a watcher calls.
 
     Attributes:
-        on_endpoints: takes an update for the scheduler.
-        on_nodes: takes all nodes before each update; connections follow them.
-        log: takes a line that someone should look at.
+        on_endpoints: Passes an update to the scheduler.
+        on_nodes: Receives all nodes before each update, to adjust the connections.
+        log: Logs a warning.
     """
 
     on_endpoints: Callable[[EndpointUpdateKind, Sequence[Endpoint]], None]
@@ -91,13 +93,13 @@
 
 
 class RegistryWatcher:
-    """Keeps the view of the nodes, reports it and writes the cache.
+    """Keeps the view of the nodes up to date, reports its changes and caches it.
 
     Attributes:
-        call_number: counts calls; answers to former ones are dropped.
-        seen: the newest revision that the watch has brought.
-        cluster: the id of the cluster that gave the list.
-        backoff: doublings of the interval between checks of a quiet watch.
+        call_number: Number of the latest call; answers to earlier calls are ignored.
+        seen: The newest revision that the watch has delivered.
+        cluster: The id of the cluster that returned the list.
+        backoff: Doublings of the interval between checks of a quiet watch.
     """
 
     def __init__(
@@ -144,16 +146,16 @@
         try:
             nodes, _ = endpoint_cache.read_cache(self.config.cache_path)
         except endpoint_cache.EndpointCacheNotStoredError as error:
-            self.log(f"the last list is not used: {error.describe()}")
+            self.log(f"the cached endpoint list is not used: {error.describe()}")
         self.view.replace(nodes, 0)
         self._report(EndpointUpdateKind.CACHED, self.view.nodes())
 
     def request_watch(self) -> None:
-        """Keep the scheduler up to date from now on."""
+        """Handle the scheduler's request for endpoint updates."""
         self._on_event(WatcherEvent.REQUESTED)
 
     def stop(self) -> None:
-        """End all calls and write the cache."""
+        """Cancel all calls and write the cache."""
         self.stopped = True
         self.cache.stop()
         self._close_stream()
@@ -170,7 +172,7 @@
     def _on_event(
         self, event: WatcherEvent, changed: Sequence[RegisteredNode] = ()
     ) -> None:
-        """Read the table and act."""
+        """Apply an event to the state machine and perform the resulting effect."""
         if self.stopped:
             return
         self.state, effect = next_state(self.state, event)
@@ -190,7 +192,7 @@
     # Listing and watching.
 
     def _begin_call(self) -> int:
-        """Return the number of a new call that has to be answered in time."""
+        """Start the timeout of a new call and return the call's number."""
         self.call_number += 1
         number = self.call_number
         timeout = self.config.call_timeout
@@ -198,7 +200,7 @@
         return number
 
     def _list(self) -> None:
-        """Ask for the whole list."""
+        """Request the complete list."""
         number = self._begin_call()
 
         def on_done(data: bytes | None) -> None:
@@ -212,7 +214,9 @@
     def _on_list(self, data: bytes | None) -> None:
         try:
             if data is None:
-                raise MalformedRegistryAnswerError("the list did not come")
+                raise MalformedRegistryAnswerError(
+                    "the call for the list failed or timed out"
+                )
             listed = parse_list(data, self._log_invalid)
         except MalformedRegistryAnswerError as error:
             self.log(f"registry: {error.describe()}")
@@ -226,7 +230,7 @@
         self._on_event(WatcherEvent.LISTED)
 
     def _watch(self) -> None:
-        """Open the watch from the revision after the list's."""
+        """Open the watch at the revision after the list's."""
         number = self._begin_call()
 
         def on_line(line: bytes) -> None:
@@ -263,10 +267,10 @@
             self._on_event(WatcherEvent.CHANGED, changed)
 
     def _on_opened(self, head: RegistryHead) -> bool:
-        """Whether the watch may stand that has opened."""
+        """Return whether to keep a watch that has opened, according to its head."""
         if was_restored(RegistryHead(self.cluster, self.view.revision), head):
             self.log(
-                "registry: it was restored since its list; the whole list is asked for"
+                "registry: restored from a backup since the last list; listing anew"
             )
             self._on_event(WatcherEvent.FAILED)
             return False
@@ -274,7 +278,7 @@
         return True
 
     def _close_stream(self) -> None:
-        """Hear nothing more of the watch that stood."""
+        """Close the watch and ignore what it still delivers."""
         self.call_number += 1
         self._stop_timeout()
         self._stop_check()
@@ -296,15 +300,15 @@
     # Checks of a quiet watch.
 
     def _check_later(self) -> None:
-        """Ask, a while from now, whether the watch has missed anything."""
+        """Schedule a check whether the watch has missed changes."""
         self._stop_check()
         delay = self.uniform(*CHECK_INTERVAL) * 2**self.backoff / 10_000
         self.check_call = self.reactor.callLater(delay, self._check)
 
     def _check(self) -> None:
-        """Make one small call.
+        """Request the newest change, to compare it with what the watch delivered.
 
-        Where it fails the watch stands, and the next comes later.
+        If the call fails, the watch stays open and the next check comes later.
         """
         number = self.call_number
         done = False
@@ -337,22 +341,22 @@
             return
         self.backoff = 0
         newest = NewestChange(answer.revision, answer.key_count, answer.head, self.seen)
-        if not self._has_missed(newest):
+        if not self._has_missed_changes(newest):
             self._check_later()
             return
         self.check_call = self.reactor.callLater(
-            WATCH_DELAY / 10_000, self._on_watch_delay_over, newest
+            MAX_WATCH_LAG / 10_000, self._on_watch_lag_elapsed, newest
         )
 
-    def _on_watch_delay_over(self, newest: NewestChange) -> None:
-        """What was missing has come by now, or does not come by this watch."""
-        if not self._has_missed(newest):
+    def _on_watch_lag_elapsed(self, newest: NewestChange) -> None:
+        """Fail the watch if it has still not delivered the changes."""
+        if not self._has_missed_changes(newest):
             self._check_later()
             return
-        self.log("registry: the watch is silent, and the list has changed")
+        self.log("registry: the watch missed a change; listing anew")
         self._on_event(WatcherEvent.FAILED)
 
-    def _has_missed(self, newest: NewestChange) -> bool:
+    def _has_missed_changes(self, newest: NewestChange) -> bool:
         return has_missed_changes(
             newest, self.cluster, self.seen, self.view.key_count()
         )
@@ -363,9 +367,9 @@
         self.check_call = None
 
     def _log_invalid(self, text: str) -> None:
-        """Log an entry that makes no sense, once."""
+        """Log an invalid entry, once for each text."""
         if text not in self.logged_entries:
             self.logged_entries[text] = None
-            self.log(f"registry: left out {text}")
+            self.log(f"registry: ignored invalid entry {text}")
         while len(self.logged_entries) > MAX_LOGGED_ENTRIES:
             self.logged_entries.pop(next(iter(self.logged_entries)))
--- a/milletsill/registry/watch_state.py
+++ b/milletsill/registry/watch_state.py
@@ -1,7 +1,7 @@
-"""What the registry watcher does with what the registry says.
+"""State machine of the registry watcher, and its checks for missed changes.
 
-A table and pure functions: no I/O, no clock. The scheduler asks, and decides how soon
-to ask again. Times are tenths of a millisecond.
+The functions are pure: no I/O and no clock. The scheduler requests a watch and decides
+how soon to request one again. Times are tenths of a millisecond.
 
     IDLE --REQUESTED--> LISTING --LISTED--> OPENING --OPENED--> WATCHING
       ^                    ^------------- COMPACTED -------------|
@@ -19,24 +19,24 @@
     """The state of a registry watcher."""
 
     IDLE = auto()
-    LISTING = auto()  # the whole list is awaited
+    LISTING = auto()  # waiting for the complete list
     OPENING = auto()  # the watch is being opened
     WATCHING = auto()
 
 
 class WatcherEvent(Enum):
-    """What happens to a registry watcher."""
+    """An event of the registry watcher."""
 
-    REQUESTED = auto()  # the scheduler wants to be kept up to date
+    REQUESTED = auto()  # the scheduler requests endpoint updates
     LISTED = auto()
     OPENED = auto()
     FAILED = auto()
     CHANGED = auto()
-    COMPACTED = auto()  # changes that the watch would begin with are no longer kept
+    COMPACTED = auto()  # the registry has compacted the watch's start revision
 
 
 class WatcherEffect(Enum):
-    """What is to be done after an event."""
+    """What the watcher does after an event."""
 
     NONE = auto()
     LIST = auto()
@@ -86,27 +86,29 @@
         WatcherState.WATCHING,
         WatcherEffect.REPORT_CHANGES,
     ),
-    # A watch that broke is told to the scheduler at once, which counts the time since
-    # the last word (rule 3).
+    # A failed watch is reported at once, since the scheduler counts the time until it
+    # requests the next watch from this update, and a node that drains or is gone must
+    # not receive traffic for long.
     **{
         (state, WatcherEvent.FAILED): (WatcherState.IDLE, WatcherEffect.REPORT_FAILURE)
         for state in _WATCH_STATES
     },
-    # What was compacted away cannot be made up by events: the whole list says what is
-    # gone.
+    # Events cannot replace compacted changes; only the complete list shows which nodes
+    # are gone.
     **{
         (state, WatcherEvent.COMPACTED): (WatcherState.LISTING, WatcherEffect.LIST)
         for state in _WATCH_STATES
     },
 }
 
-# A watch says nothing while nothing changes, so that a dead one looks like one with
-# nothing to say. While it is quiet the registry is asked now and then (drawn between
-# these) for its newest change alone; after a call that failed less often.
+# A watch delivers nothing while nothing changes, so that a dead watch looks like a
+# quiet one. The watcher therefore requests the newest change of the registry at random
+# intervals in this range. Each failed check doubles the interval, at most
+# MAX_BACKOFF_DOUBLINGS times.
 CHECK_INTERVAL = (15_000, 25_000)
 MAX_BACKOFF_DOUBLINGS = 3
-# A change may come this much later by the watch than by a call.
-WATCH_DELAY = 10_000
+# The watch may deliver a change this much later than a call returns it.
+MAX_WATCH_LAG = 10_000
 
 
 def next_state(state: WatcherState, event: WatcherEvent) -> Transition:
@@ -116,11 +118,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryHead:
-    """How far the registry is itself; empty and 0 where it does not say.
+    """The registry's cluster and newest revision; empty and 0 if not reported.
 
     Attributes:
-        cluster: the cluster's id, which a restore from a backup changes.
-        revision: its newest revision.
+        cluster: The cluster's id, which a restore from a backup changes.
+        revision: The newest revision.
     """
 
     cluster: str = ""
@@ -129,13 +131,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestChange:
-    """What the registry says of the newest change below the prefix.
+    """The registry's answer about the newest change of a key with the prefix.
 
     Attributes:
-        revision: of that change.
-        key_count: how many keys there are.
-        head: how far the registry is.
-        seen: the newest revision that the watch had brought by then.
+        revision: Revision of that change.
+        key_count: Number of existing keys.
+        head: The registry's cluster and newest revision.
+        seen: The newest revision that the watch had delivered at that time.
     """
 
     revision: int
@@ -145,11 +147,13 @@
 
 
 def was_restored(before: RegistryHead, head: RegistryHead) -> bool:
-    """Whether the registry was restored from a backup since it gave a list.
+    """Return whether the registry was restored from a backup since its last list.
 
-    It is of another cluster then, or behind what it told; what it does not say is no
-    difference. Changes up to the old revision would never be told (rule 3). One list
-    more is read where a member of the registry is late.
+    A restored registry has another cluster id or an older revision than it reported
+    before; a value that it does not report counts as unchanged. A watch on a restored
+    registry would not deliver changes up to the old revision, so that traffic would
+    continue to nodes that are gone. If a member of the registry only lags, the cost is
+    one more list.
     """
     if 0 < head.revision < before.revision:
         return True
@@ -159,15 +163,16 @@
 def has_missed_changes(
     newest: NewestChange, cluster: str, seen: int, key_count: int
 ) -> bool:
-    """Whether the watch has missed something: its other end may be gone without a word.
+    """Return whether the watch has missed changes, e.g. on a half-open connection.
 
-    One list more is read where the watch is only late (rule 3).
+    A missed change would leave traffic on a node that drains or is gone. If the watch
+    is only late, the cost is one more list.
 
     Args:
-        newest: what the registry says.
-        cluster: the cluster that gave the list.
-        seen: the newest revision that the watch has brought.
-        key_count: how many keys there are, as far as is known here.
+        newest: The registry's answer about its newest change.
+        cluster: The cluster that returned the list.
+        seen: The newest revision that the watch has delivered.
+        key_count: Number of keys according to the view.
     """
     if newest.revision > seen:
         return True
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -1,4 +1,7 @@
-"""The planner and gateways over sockets: shares move, planners die or come back."""
+"""End-to-end tests of the planner and gateways over sockets.
+
+Shares move between gateways, planners stop, and planners return with old state.
+"""
 
 import json
 import tempfile
@@ -31,7 +34,7 @@
 LIMIT = QuotaKey(QuotaKind.LIMIT, 1)
 
 
-class Sockets(TestCase):
+class PlannerOverSockets(TestCase):
     timeout = 40
 
     def setUp(self):
@@ -39,14 +42,14 @@
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
         self.servers = []
-        self.addCleanup(self.end)
+        self.addCleanup(self.stop_servers)
 
-    def end(self):
+    def stop_servers(self):
         for each in self.servers:
             each.stop()
         return later(0.2)
 
-    async def planner(self, port=0, state="state"):
+    async def start_planner(self, port=0, state="state"):
         file = text_format.Parse(FILE, PlannerFile())
         file.listen, file.state_dir = f"127.0.0.1:{port}", f"{self.folder}/{state}"
         server = PlannerServer(file, reactor, logger("error", True))
@@ -56,7 +59,7 @@
         self.port = server.ports[0].getHost().port
         return server
 
-    def rig(self, **plan):
+    def fleet_rig(self, **plan):
         rig = Rig(self)
         rig.file.gateways = 3
         rig.file.plan[0].limit_rate, rig.file.plan[0].limit_store = 60.0, 12.0
@@ -64,109 +67,118 @@
         rig.file.planner.lending.longest_s, rig.file.planner.ask_s = 1.2, 0.1
         return rig
 
-    async def flood(self, rig, edge, seconds):
-        """Reads through one edge, as many as it takes; how many were satisfied."""
-        client = await rig.client(edge)
+    async def read_for(self, rig, gateway, seconds):
+        """Send reads through a gateway for a time; return how many succeeded.
+
+        The client keeps up to 40 requests in flight, so that demand exceeds the limit.
+        """
+        client = await rig.client(gateway)
         handle = await client.open("/h/a")
         await client.command(packets.Write(0, handle, 0, b"x" * 100))
-        done = []
-        ends = reactor.seconds() + seconds
-        while reactor.seconds() < ends:
+        satisfied = []
+        ends_at = reactor.seconds() + seconds
+        while reactor.seconds() < ends_at:
             if len(client.waiting) < 40:
                 for _ in range(6):
                     client.command(packets.Read(0, handle, 0, 100)).addCallback(
-                        lambda packet: done.append(isinstance(packet, packets.Data))
+                        lambda packet: satisfied.append(
+                            isinstance(packet, packets.Data)
+                        )
                     )
             await later(0.03)
-        return sum(done)
+        return sum(satisfied)
 
-    def share(self, edge):
-        return edge.quota_client.ledger.share(LIMIT, edge.now())
+    def share(self, gateway):
+        return gateway.quota_client.ledger.share(LIMIT, gateway.now())
 
-    async def test_unused_shares_go_to_another_gateway_within_the_whole(
+    async def test_unused_shares_move_to_another_gateway_and_never_exceed_the_whole(
         self,
     ):
-        server = await self.planner()
-        rig = self.rig()
-        edges = [await rig.start_gateway(f"edge-{each}") for each in range(3)]
-        for each in edges[1:]:
+        server = await self.start_planner()
+        rig = self.fleet_rig()
+        gateways = [await rig.start_gateway(f"gateway-{each}") for each in range(3)]
+        for each in gateways[1:]:
             client = await rig.client(each)
             await client.open("/h/b")
-        seen = []
-        looking = LoopingCall(
-            lambda: seen.append(
+        samples = []
+        sampling = LoopingCall(
+            lambda: samples.append(
                 [
                     self.share(each)
                     if LIMIT in each.quota_client.ledger.holdings
                     else 333_333
-                    for each in edges
+                    for each in gateways
                 ]
             )
         )
-        looking.start(0.05)
-        count = await self.flood(rig, edges[0], 4.5)
-        looking.stop()
-        self.assertTrue(all(sum(each) <= 1_000_000 for each in seen))
-        self.assertGreater(max(each[0] for each in seen), 600_000)
-        self.assertGreater(count, 1.3 * 20 * 4.5)  # an even share is 20 a second
+        sampling.start(0.05)
+        count = await self.read_for(rig, gateways[0], 4.5)
+        sampling.stop()
+        self.assertTrue(all(sum(each) <= 1_000_000 for each in samples))
+        self.assertGreater(max(each[0] for each in samples), 600_000)
+        self.assertGreater(
+            count, 1.3 * 20 * 4.5
+        )  # the even share is 20 units per second
         shares = server.commands.shares(Question(what="shares", edge="", most=9))
         self.assertEqual(
-            {each["edge"] for each in shares}, {"edge-0", "edge-1", "edge-2"}
+            {each["edge"] for each in shares}, {"gateway-0", "gateway-1", "gateway-2"}
         )
 
-    async def test_without_the_planner_shares_become_even_and_commands_go_on(self):
-        server = await self.planner()
-        rig = self.rig()
-        edges = [await rig.start_gateway(f"edge-{each}") for each in range(3)]
-        for each in edges[1:]:
+    async def test_without_the_planner_shares_become_even_and_commands_still_succeed(
+        self,
+    ):
+        server = await self.start_planner()
+        rig = self.fleet_rig()
+        gateways = [await rig.start_gateway(f"gateway-{each}") for each in range(3)]
+        for each in gateways[1:]:
             await (await rig.client(each)).open("/h/b")
-        await self.flood(rig, edges[0], 3)
-        self.assertGreater(self.share(edges[0]), 333_333)
+        await self.read_for(rig, gateways[0], 3)
+        self.assertGreater(self.share(gateways[0]), 333_333)
         server.stop()
         await later(1.5)
-        self.assertEqual([self.share(each) for each in edges], [333_333] * 3)
-        self.assertGreater(await self.flood(rig, edges[0], 1), 10)
+        self.assertEqual([self.share(each) for each in gateways], [333_333] * 3)
+        self.assertGreater(await self.read_for(rig, gateways[0], 1), 10)
 
-    async def test_a_planner_that_comes_back_with_an_old_state_is_rejected_and_ends(
+    async def test_a_planner_restarted_from_old_state_is_rejected_and_exits(
         self,
     ):
-        newer = await self.planner(state="new")
+        newer = await self.start_planner(state="new")
         for _ in range(3):
             epoch_store.next_epoch(f"{self.folder}/new", Random(1))
         newer.stop()
-        newer = await self.planner(state="new")
-        rig = self.rig()
-        edge = await rig.start_gateway("edge-0")
+        newer = await self.start_planner(state="new")
+        rig = self.fleet_rig()
+        gateway = await rig.start_gateway("gateway-0")
         await later(0.4)
-        self.assertIs(edge.quota_client.session.state, LinkState.PLANNED)
+        self.assertIs(gateway.quota_client.session.state, LinkState.ESTABLISHED)
         port = self.port
         newer.stop()
         await later(0.2)
-        older = await self.planner(port=port, state="old")
+        older = await self.start_planner(port=port, state="old")
         for _ in range(60):
             await later(0.05)
             if older.failed:
                 break
         self.assertTrue(older.failed)
         self.assertEqual(older.superseded_by, newer.planner.epoch)
-        self.assertIsNot(edge.quota_client.session.state, LinkState.PLANNED)
-
-    async def test_a_restarted_gateway_has_the_floor(self):
-        await self.planner()
-        rig = self.rig()
-        edge = await rig.start_gateway("edge-0")
-        edge.stop()
-        again = await rig.start_gateway("edge-0")
-        client = await rig.client(again)
+        self.assertIsNot(gateway.quota_client.session.state, LinkState.ESTABLISHED)
+
+    async def test_a_restarted_gateway_uses_only_the_floor(self):
+        await self.start_planner()
+        rig = self.fleet_rig()
+        gateway = await rig.start_gateway("gateway-0")
+        gateway.stop()
+        restarted = await rig.start_gateway("gateway-0")
+        client = await rig.client(restarted)
         await client.open("/h/a")
-        self.assertEqual(self.share(again), int(333_333 * 0.2))
+        self.assertEqual(self.share(restarted), int(333_333 * 0.2))
         await later(1.3)
-        self.assertGreaterEqual(self.share(again), 333_333)
+        self.assertGreaterEqual(self.share(restarted), 333_333)
 
-    async def test_malformed_frames_cost_their_connection_alone(self):
-        server = await self.planner()
-        rig = self.rig()
-        edge = await rig.start_gateway("edge-0")
+    async def test_a_malformed_frame_ends_only_its_own_connection(self):
+        server = await self.start_planner()
+        rig = self.fleet_rig()
+        gateway = await rig.start_gateway("gateway-0")
         await later(0.3)
         from twisted.internet.endpoints import TCP4ClientEndpoint
         from twisted.internet.protocol import Factory, Protocol
@@ -181,40 +193,47 @@
                 )
             ),
         ):
-            wire = await TCP4ClientEndpoint(reactor, "127.0.0.1", self.port).connect(
-                Factory.forProtocol(Protocol)
-            )
-            wire.transport.write(data)
+            connection = await TCP4ClientEndpoint(
+                reactor, "127.0.0.1", self.port
+            ).connect(Factory.forProtocol(Protocol))
+            connection.transport.write(data)
         await later(0.3)
-        self.assertEqual(list(server.by_name), ["edge-0"])
-        self.assertIs(edge.quota_client.session.state, LinkState.PLANNED)
-
-    async def test_operators_ask_freeze_and_drain(self):
-        server = await self.planner()
-        rig = self.rig()
-        edge = await rig.start_gateway("edge-0")
-        await (await rig.client(edge)).open("/h/a")
+        self.assertEqual(list(server.by_name), ["gateway-0"])
+        self.assertIs(gateway.quota_client.session.state, LinkState.ESTABLISHED)
+
+    async def test_operator_commands_list_freeze_and_drain(self):
+        server = await self.start_planner()
+        rig = self.fleet_rig()
+        gateway = await rig.start_gateway("gateway-0")
+        await (await rig.client(gateway)).open("/h/a")
         await later(0.5)
 
-        def ask(*words):
+        def run_command(*arguments):
             return CliRunner().invoke(
-                main, ["ctl", "--planner", f"127.0.0.1:{self.port}", *words]
+                main, ["ctl", "--planner", f"127.0.0.1:{self.port}", *arguments]
             )
 
-        shares, edges, frozen, drained = [
-            await threads.deferToThread(ask, *words)
-            for words in (("shares",), ("edges",), ("freeze",), ("drain", "edge-0"))
+        shares, gateways, frozen, drained = [
+            await threads.deferToThread(run_command, *arguments)
+            for arguments in (
+                ("shares",),
+                ("edges",),
+                ("freeze",),
+                ("drain", "gateway-0"),
+            )
         ]
         self.assertEqual(
-            {each.exit_code for each in (shares, edges, frozen, drained)}, {0}
+            {each.exit_code for each in (shares, gateways, frozen, drained)}, {0}
+        )
+        self.assertEqual(
+            json.loads(gateways.output.splitlines()[0])["edge"], "gateway-0"
         )
-        self.assertEqual(json.loads(edges.output.splitlines()[0])["edge"], "edge-0")
         self.assertIn('"even": 333333', shares.output)
         self.assertTrue(server.planner.frozen)
-        self.assertEqual(server.planner.drained, {"edge-0"})
+        self.assertEqual(server.planner.drained, {"gateway-0"})
         server.stop()
         await later(0.2)
-        gone = await threads.deferToThread(ask, "edges")
+        gone = await threads.deferToThread(run_command, "edges")
         self.assertEqual((gone.exit_code, gone.output.count("\n")), (1, 1))
 
 
--- a/tests/planner/test_planner_protocol.py
+++ b/tests/planner/test_planner_protocol.py
@@ -1,4 +1,4 @@
-"""What planner and gateways rest on: the link's table, demand, epochs and frames."""
+"""Tests of the link's state machine, the demand estimate, epochs and frames."""
 
 import os
 import tempfile
@@ -37,23 +37,23 @@
 )
 
 
-class Decisions(unittest.TestCase):
-    def test_an_old_silent_or_lost_planner_is_connected_to_again(self):
+class LinkDemandAndForecast(unittest.TestCase):
+    def test_the_link_is_reestablished_after_a_stale_epoch_timeout_or_loss(self):
         self.assertEqual(
             [
                 next_link_state(*each)
                 for each in (
                     (LinkState.DOWN, LinkEvent.CONNECTED),
-                    (LinkState.GREETED, LinkEvent.WELCOMED),
-                    (LinkState.PLANNED, LinkEvent.EPOCH_STALE),
-                    (LinkState.PLANNED, LinkEvent.TIMED_OUT),
-                    (LinkState.PLANNED, LinkEvent.LOST),
+                    (LinkState.HELLO_SENT, LinkEvent.WELCOMED),
+                    (LinkState.ESTABLISHED, LinkEvent.EPOCH_STALE),
+                    (LinkState.ESTABLISHED, LinkEvent.TIMED_OUT),
+                    (LinkState.ESTABLISHED, LinkEvent.LOST),
                     (LinkState.DOWN, LinkEvent.LOST),
                 )
             ],
             [
-                (LinkState.GREETED, LinkAction.SEND_HELLO),
-                (LinkState.PLANNED, LinkAction.SEND_REQUESTS),
+                (LinkState.HELLO_SENT, LinkAction.SEND_HELLO),
+                (LinkState.ESTABLISHED, LinkAction.SEND_REQUESTS),
                 (LinkState.DOWN, LinkAction.REJECT_PLANNER),
                 (LinkState.DOWN, LinkAction.ABORT),
                 (LinkState.DOWN, LinkAction.RECONNECT),
@@ -61,24 +61,24 @@
             ],
         )
 
-    def test_pauses_grow_to_a_bound_and_are_spread(self):
+    def test_reconnect_delays_are_jittered_and_grow_to_a_maximum(self):
         self.assertLess(reconnect_delay(1, 0.0), reconnect_delay(1, 1.0))
         self.assertEqual(reconnect_delay(90, 1.0), MAX_RECONNECT_DELAY)
 
-    def test_demand_goes_up_within_two_seconds_and_down_within_three(self):
+    def test_the_rate_rises_within_two_seconds_and_falls_within_three(self):
         demand = DemandEstimate(sampled_at=0)
         demand.add(50, SECOND)
         self.assertEqual(demand.update_rate(SECOND), 25.0)
         self.assertAlmostEqual(demand.update_rate(2 * SECOND), 25.0 * 2 / 3)
         self.assertAlmostEqual(demand.update_rate(2 * SECOND + 1), 25.0 * 2 / 3)
 
-    def test_the_share_for_a_rate(self):
+    def test_share_for_rate_is_a_fraction_of_the_whole_within_bounds(self):
         self.assertEqual(
             [share_for_rate(*each) for each in ((5, 10), (50, 10), (0, 10), (1, 0))],
             [500_000, 1_000_000, 0, 1_000_000],
         )
 
-    def test_no_later_moment_has_less_than_the_forecast(self):
+    def test_the_share_never_falls_below_the_forecast(self):
         timings, key = QuotaTimings(40_000, 0, 0.2), QuotaKey(QuotaKind.LIMIT, 1)
         random = Random(5)
         for _ in range(300):
@@ -103,15 +103,17 @@
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
 
-    def test_each_start_has_a_newer_one_and_copies_differ(self):
-        made = [epoch_store.next_epoch(self.folder, Random(each)) for each in range(4)]
-        self.assertEqual(made, sorted(set(made)))
+    def test_each_start_gets_a_newer_epoch_and_copies_of_a_state_differ(self):
+        epochs = [
+            epoch_store.next_epoch(self.folder, Random(each)) for each in range(4)
+        ]
+        self.assertEqual(epochs, sorted(set(epochs)))
         other = epoch_store.next_epoch(f"{self.folder}/copy", Random(9))
         self.assertNotEqual(
             other, epoch_store.next_epoch(f"{self.folder}/copy2", Random(10))
         )
 
-    def test_a_write_cut_at_any_byte_leaves_the_other(self):
+    def test_a_write_truncated_at_any_byte_leaves_the_other_slot_valid(self):
         before = epoch_store.next_epoch(self.folder, Random(1))
         last = epoch_store.next_epoch(self.folder, Random(2))
         for name in epoch_store.SLOT_NAMES:
@@ -121,15 +123,15 @@
             for size in range(len(data)):
                 with open(path, "wb") as sink:
                     sink.write(data[:size])
-                found = [
+                results = [
                     epoch_store.read_slot(os.path.join(self.folder, each))
                     for each in epoch_store.SLOT_NAMES
                 ]
-                self.assertIn(max(found), (before, last))
+                self.assertIn(max(results), (before, last))
             with open(path, "wb") as sink:
                 sink.write(data)
 
-    def test_a_flipped_bit_counts_as_torn(self):
+    def test_a_flipped_bit_invalidates_the_slot(self):
         epoch_store.next_epoch(self.folder, Random(1))
         path = os.path.join(self.folder, epoch_store.SLOT_NAMES[0])
         with open(path, "rb") as source:
@@ -141,16 +143,16 @@
             self.assertEqual(epoch_store.read_slot(path), 0)
             data[at] ^= 4
 
-    def test_a_folder_that_cannot_be_written_is_one_line(self):
+    def test_an_unwritable_folder_raises_epoch_not_stored(self):
         path = os.path.join(self.folder, "file")
         with open(path, "w", encoding="ascii") as sink:
-            sink.write("in the way")
+            sink.write("not a directory")
         with self.assertRaises(epoch_store.EpochNotStoredError):
             epoch_store.next_epoch(path, Random(1))
 
 
 class Frames(unittest.TestCase):
-    def test_requests_and_grants_are_decoded_as_they_were_encode_frame(self):
+    def test_requests_and_grants_survive_encoding_and_decoding(self):
         loans = (ReportedLoan(3, 4), ReportedLoan(1, 9))
         request = QuotaRequest(
             "e", 7, 1 << 60, QuotaKey(QuotaKind.SLOW_START, 9), 1, 2, loans, 5
@@ -162,30 +164,30 @@
         )
         self.assertEqual(codec.decode_grant(codec.encode_grant(grant)), grant)
 
-    def test_frames_come_in_any_pieces(self):
+    def test_frames_are_parsed_from_pieces_of_any_size(self):
         data = encode_frame(welcome=Welcome(version=1, epoch=5)) + encode_frame(
             asks=Asks()
         )
         for size in range(1, len(data)):
             parser = FrameParser()
-            found = [
+            results = [
                 frame
                 for at in range(0, len(data), size)
                 for frame in parser.feed(data[at : at + size])
             ]
             self.assertEqual(
-                [each.WhichOneof("what") for each in found], ["welcome", "asks"]
+                [each.WhichOneof("what") for each in results], ["welcome", "asks"]
             )
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=300))
-    def test_any_bytes_are_frames_or_one_line(self, data):
+    def test_arbitrary_bytes_parse_or_raise_a_one_line_error(self, data):
         try:
             list(FrameParser().feed(data))
         except MalformedPlannerFrameError as error:
             self.assertNotIn("\n", str(error))
 
-    def test_a_frame_that_is_too_long_is_rejected_before_it_comes(self):
+    def test_an_oversized_frame_is_rejected_from_its_length_alone(self):
         with self.assertRaises(MalformedPlannerFrameError):
             list(FrameParser().feed((1 << 30).to_bytes(4, "big")))
 
--- a/tests/planner/test_quota_client.py
+++ b/tests/planner/test_quota_client.py
@@ -1,4 +1,4 @@
-"""The gateway's side of the planner: what it asks for, and tells its scheduler."""
+"""Tests of the quota client: requested demand, and shares passed to the scheduler."""
 
 import unittest
 from unittest.mock import Mock
@@ -25,7 +25,7 @@
 
 
 class RecordingScheduler:
-    """A scheduler's host that keeps what it is told of shares."""
+    """A scheduler host that records the shares passed to it."""
 
     def __init__(self):
         self.shares = []
@@ -36,7 +36,7 @@
         self.shares.append(values)
 
 
-class Client(unittest.TestCase):
+class QuotaClientDecisions(unittest.TestCase):
     def setUp(self):
         self.now = 1000 * SECOND
         self.scheduler = RecordingScheduler()
@@ -54,7 +54,7 @@
         config = QuotaClientConfig.from_settings(file, config_of(file))
         return QuotaClient(config, environment, incarnation, 1)
 
-    def test_a_slow_start_budget_is_shared_once_the_node_is_listed(self):
+    def test_the_slow_start_budget_of_a_listed_node_is_shared(self):
         client = self.client(incarnation=2)
         client.on_endpoints(
             [
@@ -65,11 +65,11 @@
         self.assertEqual({each[:2] for each in self.scheduler.shares}, {("cold", 7)})
         self.assertAlmostEqual(
             self.scheduler.shares[0][2], 0.2 / 4, delta=1e-5
-        )  # the floor, after a start
+        )  # the floor, since the gateway has restarted
         self.assertEqual(client.slow_start_nodes, {3: 7})
 
-    def test_a_node_that_is_listed_again_is_told_again(self):
-        """The scheduler may have forgotten a node that was gone."""
+    def test_the_share_of_a_node_is_passed_again_with_each_listing(self):
+        """The scheduler may have dropped the share of a node that was gone."""
         client = self.client(incarnation=2)
         for _ in range(2):
             client.on_endpoints(
@@ -79,7 +79,7 @@
             sum(each[:2] == ("cold", 7) for each in self.scheduler.shares), 2
         )
 
-    def test_volumes_are_known_from_the_start_and_the_floor_ends_by_itself(self):
+    def test_volumes_are_tracked_from_the_start_and_the_floor_ends_by_timer(self):
         client = self.client(incarnation=2)
         client.start()
         self.addCleanup(client.stop)
@@ -91,7 +91,7 @@
         self.clock.advance(2)
         self.assertIn(("limit", 1, None), {each[:3] for each in self.scheduler.shares})
 
-    def test_nodes_that_have_warmed_up_are_forgotten(self):
+    def test_quotas_of_warm_nodes_are_dropped(self):
         client = self.client()
         for node in range(50):
             client.on_endpoints(
@@ -105,13 +105,13 @@
             (
                 len(client.ledger.holdings),
                 len(client.forecasts),
-                len(client.whole_rates),
+                len(client.quota_rates),
             ),
             (1, 1, 1),
         )
         self.assertIn(("cold", 3, None, 0, 0.0), self.scheduler.shares)
 
-    def test_waiting_requests_are_wanted(self):
+    def test_requests_without_an_attempt_count_as_demand(self):
         client = self.client()
         client.track_volume(1, 4, client.config.plans[0], 0.0)
         self.scheduler.active = {
@@ -128,7 +128,7 @@
         }
         self.assertEqual(client.waiting_units()["limit", 1], 3.0)
 
-    def test_an_attempt_that_was_decided_long_ago_is_not_sent(self):
+    def test_the_scheduler_host_gets_the_grant_guard_as_max_decision_age(self):
         self.client()
         self.assertEqual(self.scheduler.max_decision_age, GRANT_GUARD)
 
--- a/tests/planner/test_quota_decisions.py
+++ b/tests/planner/test_quota_decisions.py
@@ -1,4 +1,4 @@
-"""Quota shares that are lent and granted: each decision, and the model of them all."""
+"""Tests of loans, grants and plans of quota shares, and their model check."""
 
 import unittest
 from dataclasses import replace
@@ -51,16 +51,16 @@
 
 
 class Ledger(unittest.TestCase):
-    def test_without_a_planner_a_gateway_has_its_even_share(self):
+    def test_without_a_planner_a_gateway_uses_its_even_share(self):
         self.assertEqual(
             (ledger_of().share(KEY, NOW), ledger_of().holdings[KEY].change_times()),
             (250_000, [0]),
         )
 
-    def test_even_shares_never_pass_the_whole(self):
+    def test_even_shares_never_exceed_the_whole(self):
         self.assertTrue(all(each * even_share(each) <= WHOLE for each in range(1, 400)))
 
-    def test_a_loan_lowers_the_share_until_its_end(self):
+    def test_a_loan_reduces_the_share_until_it_ends(self):
         ledger = ledger_of()
         self.assertIs(
             ledger.on_grant(grant(to_lend=100_000), NOW + 10), GrantOutcome.ACCEPTED
@@ -73,7 +73,7 @@
             [150_000, 150_000, 250_000],
         )
 
-    def test_a_grant_lasts_from_when_it_was_asked_for(self):
+    def test_a_grant_lasts_from_the_time_of_its_request(self):
         ledger = ledger_of()
         ledger.on_grant(grant(granted=300_000), NOW + 3 * SECOND)
         self.assertEqual(
@@ -88,7 +88,7 @@
             [550_000, 550_000, 250_000],
         )
 
-    def test_a_grant_that_comes_after_its_end_is_not_used(self):
+    def test_an_expired_grant_is_not_used(self):
         ledger = ledger_of()
         self.assertIs(
             ledger.on_grant(grant(granted=300_000), NOW + 4 * SECOND),
@@ -96,7 +96,7 @@
         )
         self.assertEqual(ledger.share(KEY, NOW + 4 * SECOND), 250_000)
 
-    def test_a_loan_is_never_made_smaller_before_its_end(self):
+    def test_a_loan_is_never_reduced_before_its_end(self):
         ledger = ledger_of()
         ledger.on_grant(grant(to_lend=100_000), NOW)
         ledger.on_grant(grant(to_lend=0, sequence=2), NOW + SECOND)
@@ -105,12 +105,12 @@
             [150_000, 250_000],
         )
 
-    def test_no_loan_goes_below_the_floor(self):
+    def test_the_floor_is_never_lent(self):
         ledger = ledger_of()
         ledger.on_grant(grant(to_lend=WHOLE), NOW)
         self.assertEqual(ledger.share(KEY, NOW), 50_000)
 
-    def test_a_new_epoch_is_lent_nothing_that_the_old_one_has(self):
+    def test_a_new_epoch_gets_no_loan_while_one_to_the_old_epoch_stands(self):
         ledger = ledger_of()
         ledger.on_grant(grant(to_lend=100_000), NOW)
         self.assertTrue(ledger.accept_epoch(2))
@@ -155,7 +155,7 @@
             self.assertIs(ledger.on_grant(each, NOW), outcome)
         self.assertEqual(ledger.share(KEY, NOW), 250_001)
 
-    def test_a_restarted_gateway_has_the_floor_and_lends_nothing(self):
+    def test_a_restarted_gateway_uses_the_floor_and_lends_nothing(self):
         ledger = ledger_of(fresh=False)
         ledger.on_grant(grant(to_lend=100_000), NOW)
         self.assertEqual(
@@ -164,7 +164,7 @@
         )
         self.assertEqual(ledger.make_request(KEY, 0, NOW).loans, ())
 
-    def test_a_smaller_loan_goes_on_beside_a_larger_one(self):
+    def test_a_smaller_loan_stands_beside_a_larger_one_that_ends_earlier(self):
         ledger = ledger_of()
         ledger.on_grant(grant(to_lend=100_000), NOW)
         ledger.on_grant(
@@ -182,7 +182,7 @@
             ((100_000, 500), (60_000, 777)),
         )
 
-    def test_loans_are_bounded_and_none_is_made_smaller_by_that(self):
+    def test_merging_loans_bounds_their_number_and_reduces_none(self):
         holding = QuotaHolding(WHOLE, 0)
         before = []
         for each in range(20):
@@ -198,49 +198,49 @@
 
 
 class Planner(unittest.TestCase):
-    def lent(self, planner, now=NOW, part=100_000):
-        """Let one gateway lend, as the planner knows it."""
-        planner.on_request(request("giver"), now)
+    def lend(self, planner, now=NOW, share=100_000):
+        """Make the planner count a loan of one gateway."""
+        planner.on_request(request("lender"), now)
         planner.on_request(
-            request("giver", loans=(ReportedLoan(part, now),), sent_at=NOW + 1),
+            request("lender", loans=(ReportedLoan(share, now),), sent_at=NOW + 1),
             now + 10,
         )
 
-    def want_all(self, planner, name, now):
-        """Let a gateway want all, through as many plans as it takes."""
+    def request_whole_quota(self, planner, name, now):
+        """Request the whole quota in six plans, until the smoothed want follows."""
         for each in range(6):
             if planner.quotas:
                 planner.quotas[KEY].planned_at = LONG_AGO
-            found = planner.on_request(
+            result = planner.on_request(
                 request(name, wanted=WHOLE, sent_at=NOW + each), now
             )
-        return found
+        return result
 
-    def test_nothing_is_granted_that_was_not_lent(self):
+    def test_nothing_is_granted_without_a_loan(self):
         planner = QuotaPlanner(1, TIMINGS)
         self.assertEqual(
-            planner.on_request(request("taker", wanted=WHOLE), NOW).granted, 0
+            planner.on_request(request("borrower", wanted=WHOLE), NOW).granted, 0
         )
 
-    def test_a_grant_ends_before_the_loan_behind_it_can(self):
+    def test_a_grant_ends_before_the_earliest_end_of_its_loan(self):
         planner = QuotaPlanner(1, TIMINGS)
-        self.lent(planner)
-        found = self.want_all(planner, "taker", NOW + 20)
-        self.assertEqual(found.granted, 100_000)
+        self.lend(planner)
+        result = self.request_whole_quota(planner, "borrower", NOW + 20)
+        self.assertEqual(result.granted, 100_000)
         self.assertLessEqual(
-            NOW + 20 + TIMINGS.max_local_duration(found.duration),
+            NOW + 20 + TIMINGS.max_local_duration(result.duration),
             NOW + TIMINGS.min_local_duration(4 * SECOND),
         )
 
-    def test_what_is_lent_is_granted_once(self):
+    def test_a_lent_share_is_granted_only_once(self):
         planner = QuotaPlanner(1, TIMINGS)
-        self.lent(planner)
-        first = self.want_all(planner, "taker", NOW + 20)
-        second = self.want_all(planner, "other", NOW + 30)
+        self.lend(planner)
+        first = self.request_whole_quota(planner, "borrower", NOW + 20)
+        second = self.request_whole_quota(planner, "other", NOW + 30)
         self.assertGreater(first.granted, 0)
         self.assertLessEqual(first.granted + second.granted, 100_000)
 
-    def test_a_larger_grant_that_may_still_run_stays_counted(self):
+    def test_a_larger_grant_that_may_still_be_in_use_stays_counted(self):
         share = QuotaShare(
             1, grants=[TimedShare(300, NOW + 50), TimedShare(100, NOW + 90)]
         )
@@ -249,16 +249,16 @@
     def test_a_loan_to_another_epoch_is_not_counted(self):
         planner = QuotaPlanner(2, TIMINGS)
         planner.on_request(
-            request("giver", epoch=1, loans=(ReportedLoan(100_000, NOW),)), NOW
+            request("lender", epoch=1, loans=(ReportedLoan(100_000, NOW),)), NOW
         )
         self.assertEqual(
             planner.on_request(
-                request("taker", epoch=2, wanted=WHOLE), NOW + 1
+                request("borrower", epoch=2, wanted=WHOLE), NOW + 1
             ).granted,
             0,
         )
 
-    def test_stale_or_invalid_requests_do_not_count(self):
+    def test_stale_or_invalid_requests_are_ignored(self):
         planner = QuotaPlanner(1, TIMINGS, max_gateways=1, max_quotas=1)
         planner.on_request(request("a", incarnation=3, sent_at=NOW + 5), NOW)
         for each in (
@@ -277,22 +277,22 @@
             self.assertIsNone(planner.on_request(each, NOW), each)
         self.assertEqual(len(planner.quotas[KEY].shares), 1)
 
-    def test_a_quiet_gateway_is_asked_to_lend_what_another_wants(self):
+    def test_a_quiet_gateway_is_asked_to_lend_when_another_wants_more(self):
         planner = QuotaPlanner(1, TIMINGS)
-        planner.connected = {"quiet", "loud"}
-        found = planner.on_request(request("quiet"), NOW)
-        self.assertEqual(found.ask_again_within, TIMINGS.max_duration * 8)
+        planner.connected = {"quiet", "busy"}
+        result = planner.on_request(request("quiet"), NOW)
+        self.assertEqual(result.ask_again_within, TIMINGS.max_duration * 8)
         later = NOW + 5 * SECOND
         for each in range(6):
             planner.quotas[KEY].planned_at = LONG_AGO
-            planner.on_request(request("loud", wanted=WHOLE, sent_at=NOW + each), later)
+            planner.on_request(request("busy", wanted=WHOLE, sent_at=NOW + each), later)
         (unsolicited,) = planner.take_unsolicited()
         name, grant = unsolicited.gateway, unsolicited.grant
         self.assertEqual((name, grant.granted, grant.requested_at), ("quiet", 0, NOW))
         self.assertGreater(grant.to_lend, 0)
         self.assertEqual(planner.take_unsolicited(), [])
 
-    def test_a_late_unsolicited_grant_is_lent_all_the_same(self):
+    def test_a_late_unsolicited_grant_still_makes_its_loan(self):
         ledger = ledger_of()
         self.assertIs(
             ledger.on_grant(grant(to_lend=100_000), NOW + 60 * SECOND),
@@ -303,9 +303,9 @@
     def test_a_frozen_planner_keeps_its_plan(self):
         planner = QuotaPlanner(1, TIMINGS)
         planner.frozen = True
-        self.lent(planner)
+        self.lend(planner)
         self.assertEqual(
-            planner.on_request(request("taker", wanted=WHOLE), NOW + 20).granted, 0
+            planner.on_request(request("borrower", wanted=WHOLE), NOW + 20).granted, 0
         )
 
 
@@ -325,37 +325,37 @@
             name: (each.to_lend, each.to_grant) for name, each in quota.shares.items()
         }
 
-    def test_fair_shares(self):
+    def test_max_min_fair_divides_what_small_wants_leave(self):
         self.assertEqual(
             max_min_fair({"a": 10, "b": 50, "c": 90}, 100), {"a": 10, "b": 45, "c": 45}
         )
         self.assertEqual(max_min_fair({"a": 0}, 100), {"a": 0})
 
-    def test_a_gateway_lends_what_others_want_and_no_more(self):
-        found = self.settle(self.quota(0, 0, 0, 500_000))
-        self.assertGreater(found["3"][1], 300_000)
+    def test_gateways_lend_only_as_much_as_others_want(self):
+        result = self.settle(self.quota(0, 0, 0, 500_000))
+        self.assertGreater(result["3"][1], 300_000)
         self.assertAlmostEqual(
-            sum(lend for lend, _ in found.values()), found["3"][1], delta=20_000
+            sum(lend for lend, _ in result.values()), result["3"][1], delta=20_000
         )
 
-    def test_nothing_is_lent_where_nobody_wants_more(self):
+    def test_nothing_is_lent_if_no_gateway_wants_more(self):
         self.assertEqual(
             {lend for lend, _ in self.settle(self.quota(0, 10, 100, 1000)).values()},
             {0},
         )
 
-    def test_no_plan_goes_below_the_floor(self):
-        found = self.settle(self.quota(0, 0, 0, WHOLE), 40)
-        self.assertTrue(all(lend < 200_000 for lend, _ in found.values()))
+    def test_no_plan_lends_the_floor(self):
+        result = self.settle(self.quota(0, 0, 0, WHOLE), 40)
+        self.assertTrue(all(lend < 200_000 for lend, _ in result.values()))
 
-    def test_one_report_moves_little(self):
+    def test_one_report_changes_loans_by_at_most_one_step(self):
         quota = self.quota(0, 0, 0, WHOLE)
         plan_quota(quota, TIMINGS, NOW)
         self.assertTrue(
             all(each.to_lend <= 250_000 // 4 for each in quota.shares.values())
         )
 
-    def test_a_silent_gateway_keeps_its_share_and_is_forgotten_in_the_end(self):
+    def test_a_silent_gateway_keeps_its_share_until_it_expires(self):
         quota = self.quota(0, 0, 0, WHOLE)
         quota.shares["0"].reported_at = NOW - 5 * SECOND
         plan_quota(quota, TIMINGS, NOW)
@@ -365,25 +365,25 @@
 
 
 class Model(unittest.TestCase):
-    def test_every_order_of_events_of_a_small_fleet(self):
+    def test_all_event_orders_of_a_small_fleet_are_safe(self):
         for gateways, depth, first in ((2, 4, 6), (3, 3, 9)):
-            found = quota_model.explore(gateways, depth, 100_000, first)
-            self.assertIsNone(found.violation)
-            self.assertGreater(found.states, 300)
+            result = quota_model.explore(gateways, depth, 100_000, first)
+            self.assertIsNone(result.violation)
+            self.assertGreater(result.states, 300)
 
-    def test_chance_through_a_large_fleet_whose_clocks_drift(self):
+    def test_random_walks_of_a_large_fleet_with_drifting_clocks_are_safe(self):
         for seed in range(6):
             self.assertIsNone(quota_model.random_walk(20, 1500, seed).violation)
 
-    def test_each_guard_taken_out_is_found(self):
+    def test_the_model_finds_each_removed_guard(self):
         for guard in quota_mutation_checks.MUTANTS:
             with self.subTest(guard), quota_mutation_checks.without(guard):
                 self.assertIsNotNone(quota_model.find_violation(300))
 
-    def test_a_grant_that_was_overtaken_is_counted_until_its_end(self):
+    def test_an_overtaken_grant_is_counted_until_its_end(self):
         self.assertLessEqual(quota_model.overtaken_grant(), WHOLE)
 
-    def test_the_model_does_grant(self):
+    def test_the_modelled_planner_grants_shares(self):
         fleet = SimulatedQuotaFleet(4)
         for step in range(80):
             fleet.exchange(step % 4)
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""The list follower: its table, the view, the JSON, the cache."""
+"""Tests of the registry watcher, the endpoint view, the JSON codec and the cache."""
 
 import json
 import os
@@ -39,12 +39,12 @@
 }
 
 
-def box(id=7, started=0, cell=3, readiness=Readiness.READY):
+def node(id=7, started=0, cell=3, readiness=Readiness.READY):
     return RegisteredNode(id, "127.0.0.1:9", readiness, 2.0, 0, 0, cell, started)
 
 
-class Table(unittest.TestCase):
-    def test_an_asking_ranges_then_watches(self):
+class WatcherStateMachine(unittest.TestCase):
+    def test_a_request_lists_and_then_watches(self):
         self.assertEqual(
             next_state(WatcherState.IDLE, WatcherEvent.REQUESTED),
             (WatcherState.LISTING, WatcherEffect.LIST),
@@ -58,14 +58,14 @@
             (WatcherState.WATCHING, WatcherEffect.NONE),
         )
 
-    def test_every_failure_is_told_to_the_module_once(self):
-        for stage in (
+    def test_each_failure_is_reported_to_the_scheduler_once(self):
+        for state in (
             WatcherState.LISTING,
             WatcherState.OPENING,
             WatcherState.WATCHING,
         ):
             self.assertEqual(
-                next_state(stage, WatcherEvent.FAILED),
+                next_state(state, WatcherEvent.FAILED),
                 (WatcherState.IDLE, WatcherEffect.REPORT_FAILURE),
             )
         self.assertEqual(
@@ -73,89 +73,90 @@
             (WatcherState.IDLE, WatcherEffect.NONE),
         )
 
-    def test_compaction_asks_for_the_whole_list(self):
+    def test_compaction_requests_the_complete_list(self):
         self.assertEqual(
             next_state(WatcherState.WATCHING, WatcherEvent.COMPACTED),
             (WatcherState.LISTING, WatcherEffect.LIST),
         )
 
-    def test_an_asking_while_the_watch_stands_is_confirmed(self):
+    def test_a_request_while_watching_reports_no_changes(self):
         self.assertEqual(
             next_state(WatcherState.WATCHING, WatcherEvent.REQUESTED),
             (WatcherState.WATCHING, WatcherEffect.REPORT_UNCHANGED),
         )
 
 
-class Views(unittest.TestCase):
+class EndpointViews(unittest.TestCase):
     def test_changes_are_applied_once_and_in_order(self):
         view = EndpointView(10, 1000)
-        view.replace({"a": box()}, 5)
-        drain = box(readiness=Readiness.DRAINING)
+        view.replace({"a": node()}, 5)
+        draining = node(readiness=Readiness.DRAINING)
         self.assertEqual(
-            view.apply([KeyChange("a", box(), 5), KeyChange("a", drain, 6)]), [drain]
+            view.apply([KeyChange("a", node(), 5), KeyChange("a", draining, 6)]),
+            [draining],
         )
-        self.assertEqual(view.apply([KeyChange("a", drain, 6)]), [])
+        self.assertEqual(view.apply([KeyChange("a", draining, 6)]), [])
 
-    def test_a_key_that_goes_makes_its_box_gone(self):
+    def test_a_deleted_key_makes_its_node_gone(self):
         view = EndpointView(10, 1000)
-        view.replace({"a": box()}, 5)
+        view.replace({"a": node()}, 5)
         self.assertEqual(
             view.apply([KeyChange("a", None, 6)])[0].readiness, Readiness.GONE
         )
 
-    def test_a_box_that_another_key_still_claims_is_not_gone(self):
+    def test_a_node_that_another_key_still_describes_is_not_gone(self):
         view = EndpointView(10, 1000)
-        view.replace({"a": box(), "b": box()}, 5)
+        view.replace({"a": node(), "b": node()}, 5)
         self.assertEqual(view.apply([KeyChange("a", None, 6)]), [])
 
-    def test_a_key_that_takes_another_id_makes_the_old_box_gone(self):
+    def test_a_key_that_changes_its_id_makes_the_old_node_gone(self):
         view = EndpointView(10, 1000)
-        view.replace({"a": box(1)}, 5)
+        view.replace({"a": node(1)}, 5)
         self.assertEqual(
             [
                 (each.id, each.readiness.name)
-                for each in view.apply([KeyChange("a", box(2), 6)])
+                for each in view.apply([KeyChange("a", node(2), 6)])
             ],
             [(1, "GONE"), (2, "READY")],
         )
 
-    def test_keys_are_counted_also_those_without_a_box(self):
+    def test_the_key_count_includes_keys_without_a_node(self):
         view = EndpointView(1, 1000)
-        view.replace({"a": box(1)}, 5, ["a", "odd"])
+        view.replace({"a": node(1)}, 5, ["a", "odd"])
         view.apply(
             [
                 KeyChange("a", None, 6, invalid=True),
-                KeyChange("more", box(2), 7),
+                KeyChange("more", node(2), 7),
                 KeyChange("odd", None, 8),
                 KeyChange("new", None, 8, invalid=True),
             ]
         )
         self.assertEqual((view.key_count(), list(view.by_key)), (3, ["a"]))
 
-    def test_a_flood_of_boxes_is_bounded_and_counted(self):
+    def test_nodes_beyond_the_maximum_are_dropped_and_counted(self):
         view = EndpointView(10, 1000)
-        view.replace({str(each): box(each) for each in range(15)}, 5)
-        view.apply([KeyChange("new", box(99), 6)])
+        view.replace({str(each): node(each) for each in range(15)}, 5)
+        view.apply([KeyChange("new", node(99), 6)])
         self.assertEqual((len(view.by_key), view.overflow), (10, 6))
 
-    def test_a_step_of_the_wall_clock_does_not_make_a_box_new(self):
+    def test_a_step_of_the_wall_clock_does_not_look_like_a_restart(self):
         view = EndpointView(10, 100_000)
-        first = view.started_at(box(started=1_000_000), 50_000, 1_001_000)
+        first = view.started_at(node(started=1_000_000), 50_000, 1_001_000)
         self.assertEqual(first, 40_000)
         self.assertEqual(
-            view.started_at(box(started=1_000_000), 60_000, 9_999_999), first
+            view.started_at(node(started=1_000_000), 60_000, 9_999_999), first
         )
         self.assertNotEqual(
-            view.started_at(box(started=1_001_500), 60_000, 1_002_000), first
+            view.started_at(node(started=1_001_500), 60_000, 1_002_000), first
         )
 
-    def test_long_ago_is_none(self):
+    def test_a_warm_node_has_no_start_time(self):
         view = EndpointView(10, 1000)
-        self.assertIsNone(view.started_at(box(started=1), 50_000, 1_000_000))
-        self.assertIsNone(view.started_at(box(started=0), 0, 0))
+        self.assertIsNone(view.started_at(node(started=1), 50_000, 1_000_000))
+        self.assertIsNone(view.started_at(node(started=0), 0, 0))
 
 
-class Json(unittest.TestCase):
+class RegistryMessages(unittest.TestCase):
     def kv(self, key="k/7", value=VALUE, revision=4):
         text = value if isinstance(value, str) else json.dumps(value)
         return {
@@ -164,18 +165,18 @@
             "mod_revision": str(revision),
         }
 
-    def test_a_list_with_one_bad_box_keeps_the_others_and_says_so(self):
-        said = []
+    def test_a_list_with_invalid_entries_keeps_the_others_and_logs_them(self):
+        logged = []
         body = {
             "header": {"revision": "9"},
             "kvs": [self.kv(), self.kv("k/8", "nonsense"), self.kv("k/9", {"id": -1})],
         }
-        listed = etcd_json.parse_list(json.dumps(body).encode(), said.append)
+        listed = etcd_json.parse_list(json.dumps(body).encode(), logged.append)
         self.assertEqual(
-            (list(listed.nodes), listed.head.revision, len(said)), (["k/7"], 9, 2)
+            (list(listed.nodes), listed.head.revision, len(logged)), (["k/7"], 9, 2)
         )
 
-    def test_a_watch_tells_changes_deletes_opening_and_compaction(self):
+    def test_watch_messages_carry_changes_deletions_and_compaction(self):
         line = {
             "result": {
                 "header": {"revision": "9"},
@@ -203,7 +204,7 @@
             ).compacted
         )
 
-    def test_nonsense_is_one_line(self):
+    def test_malformed_watch_messages_are_rejected(self):
         for data in (
             b"[",
             b"1",
@@ -216,7 +217,7 @@
             with self.assertRaises(etcd_json.MalformedRegistryAnswerError):
                 etcd_json.parse_watch_message(data, print)
 
-    def test_boxes_of_all_wrong_kinds_are_refused(self):
+    def test_entries_with_an_invalid_field_are_rejected(self):
         for field, value in (
             ("id", True),
             ("id", "7"),
@@ -230,18 +231,29 @@
             with self.assertRaises(InvalidRegistryEntryError):
                 parse_registered_node({**VALUE, field: value})
 
-    def test_a_line_without_an_end_is_bounded(self):
+    def test_a_line_without_an_end_is_rejected_at_its_maximum(self):
         lines = LineSplitter(100)
         self.assertEqual(lines.feed(b"a\nb"), [b"a"])
         with self.assertRaises(etcd_json.MalformedRegistryAnswerError):
             lines.feed(b"x" * 200)
 
 
-class HalfOpen(unittest.TestCase):
-    """A watch whose other end is gone without a word, against a registry of the test's own, on its clock."""
+class MissedChanges(unittest.TestCase):
+    """Guards against a watch whose connection is half-open and delivers nothing.
+
+    `call` stands in for the registry on a simulated clock: it answers, fails or stays
+    silent as `call_outcomes` says, and answers once that list is empty.
+    """
 
     def setUp(self):
-        self.clock, self.told, self.ways, self.calls, self.keys, self.revision = (
+        (
+            self.clock,
+            self.updates,
+            self.call_outcomes,
+            self.calls,
+            self.keys,
+            self.revision,
+        ) = (
             Clock(),
             [],
             [],
@@ -262,34 +274,34 @@
             warm_after=0,
             cache_path=f"{folder.name}/boxes",
         )
-        self.follower = RegistryWatcher(
+        self.watcher = RegistryWatcher(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000),
             config,
             RegistryCallbacks(
-                on_endpoints=lambda news, boxes: self.told.append(
-                    (news, [each.readiness.name for each in boxes])
+                on_endpoints=lambda kind, endpoints: self.updates.append(
+                    (kind, [each.readiness.name for each in endpoints])
                 ),
                 on_nodes=lambda nodes: None,
                 log=lambda text: None,
             ),
             lambda least, most: most,
         )
-        self.follower.client.call = self.call
-        self.follower.cache.save = lambda: None
-        self.follower.request_watch()
+        self.watcher.client.call = self.call
+        self.watcher.cache.save = lambda: None
+        self.watcher.request_watch()
 
     def call(self, path, body, line, done):
-        self.follower.client.pending = Deferred().addErrback(lambda failure: None)
+        self.watcher.client.pending = Deferred().addErrback(lambda failure: None)
         self.calls += 1
-        way = self.ways.pop(0) if self.ways else "good"
-        if way != "good":
-            return done(None) if way == "fails" else None
+        outcome = self.call_outcomes.pop(0) if self.call_outcomes else "answered"
+        if outcome != "answered":
+            return done(None) if outcome == "fails" else None
         if line is not None:
             self.line = line
             return line(json.dumps({"result": {"created": True}}).encode())
         kvs = [
-            Json.kv(self, key, *each)
+            RegistryMessages.kv(self, key, *each)
             for key, each in sorted(self.keys.items(), key=lambda each: -each[1][1])
         ]
         newest = b"keys_only" in body
@@ -303,79 +315,79 @@
             ).encode()
         )
 
-    def passing(self, seconds):
+    def advance(self, seconds):
         for _ in range(int(seconds * 10)):
             self.clock.advance(0.1)
 
-    def test_what_it_misses_is_found(self):
-        for change, ways, within in (
+    def test_missed_changes_fail_the_watch(self):
+        for change, call_outcomes, within in (
             (VALUE | {"state": "draining"}, [], 4),
             (None, [], 4),
             (VALUE | {"state": "draining"}, ["fails"], 8),
-            (VALUE | {"state": "draining"}, ["no word"], 10),
+            (VALUE | {"state": "draining"}, ["silent"], 10),
         ):
             self.setUp()
-            self.passing(7.1)
-            self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, ["READY"])])
-            self.revision, self.ways = 5, ways
+            self.advance(7.1)
+            self.assertEqual(self.updates, [(EndpointUpdateKind.SNAPSHOT, ["READY"])])
+            self.revision, self.call_outcomes = 5, call_outcomes
             self.keys = {"k/7": (change, 5)} if change else {}
-            self.passing(within)
-            self.assertEqual(self.told[1:], [(EndpointUpdateKind.FAILED, [])])
-            self.follower.request_watch()  # as the module does
+            self.advance(within)
+            self.assertEqual(self.updates[1:], [(EndpointUpdateKind.FAILED, [])])
+            self.watcher.request_watch()  # as the scheduler does
             self.assertEqual(
-                self.told[2],
+                self.updates[2],
                 (EndpointUpdateKind.SNAPSHOT, ["DRAINING"] if change else []),
             )
 
-    def test_a_registry_restored_from_a_backup_is_found(self):
-        self.revision = 3  # behind what it told, and the watch stands
-        self.passing(7.1)
+    def test_a_registry_restored_from_a_backup_fails_the_watch(self):
+        self.revision = 3  # older than the listed revision; the watch is still open
+        self.advance(7.1)
         self.assertEqual(
-            [news for news, _ in self.told],
+            [kind for kind, _ in self.updates],
             [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.FAILED],
         )
-        self.follower.request_watch()
-        self.passing(7.1)
+        self.watcher.request_watch()
+        self.advance(7.1)
         self.line(
             json.dumps(
                 {"result": {"created": True, "header": {"revision": "2"}}}
             ).encode()
         )
-        self.assertEqual(self.told[-1][0], EndpointUpdateKind.FAILED)
+        self.assertEqual(self.updates[-1][0], EndpointUpdateKind.FAILED)
 
-    def test_a_watch_that_is_late_or_has_nothing_to_say_stands(self):
-        self.passing(7.1)
+    def test_a_late_or_quiet_watch_stays_open(self):
+        self.advance(7.1)
         self.keys, self.revision = {}, 5
-        self.passing(1.5)  # looked at in between
+        self.advance(1.5)  # a check runs before the watch delivers the change
         gone = {
             "type": "DELETE",
             "kv": {"key": etcd_json.encode_text("k/7"), "mod_revision": "5"},
         }
         self.line(json.dumps({"result": {"events": [gone]}}).encode())
-        self.ways = ["fails"] * 4 + ["no word"]
-        self.passing(60)
+        self.call_outcomes = ["fails"] * 4 + ["silent"]
+        self.advance(60)
         self.assertEqual(
-            [news for news, _ in self.told],
+            [kind for kind, _ in self.updates],
             [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA],
         )
-        self.assertLess(self.calls, 20, "a registry that fails is asked less often")
+        self.assertLess(self.calls, 20, "failed checks must become less frequent")
 
 
-class Cache(unittest.TestCase):
+class EndpointCaches(unittest.TestCase):
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.path = os.path.join(self.folder.name, "boxes")
 
-    def test_what_is_put_comes_back(self):
-        endpoint_cache.write_cache(self.path, {"k": box()}, 12)
-        self.assertEqual(endpoint_cache.read_cache(self.path), ({"k": box()}, 12))
+    def test_a_written_list_is_read_back(self):
+        endpoint_cache.write_cache(self.path, {"k": node()}, 12)
+        self.assertEqual(endpoint_cache.read_cache(self.path), ({"k": node()}, 12))
 
-    def test_none_is_empty(self):
+    def test_a_missing_file_reads_as_an_empty_list(self):
         self.assertEqual(endpoint_cache.read_cache(self.path), ({}, 0))
 
-    def test_a_file_cut_or_flipped_anywhere_is_not_used(self):
-        endpoint_cache.write_cache(self.path, {"k": box()}, 12)
+    def test_a_truncated_or_corrupted_file_is_rejected(self):
+        endpoint_cache.write_cache(self.path, {"k": node()}, 12)
         with open(self.path, "rb") as source:
             data = source.read()
         for at in range(0, len(data), 7):
@@ -385,7 +397,7 @@
                 with self.assertRaises(endpoint_cache.EndpointCacheNotStoredError):
                     endpoint_cache.read_cache(self.path)
 
-    def test_a_full_disk_leaves_the_old_list_and_one_line(self):
+    def test_a_failed_write_raises_a_one_line_error(self):
         with self.assertRaises(endpoint_cache.EndpointCacheNotStoredError) as caught:
             endpoint_cache.write_cache("/dev/full/x", {}, 1)
         self.assertNotIn("\n", str(caught.exception))
