--- a/milletsill/planner/planner_server.py
+++ b/milletsill/planner/planner_server.py
@@ -329,14 +329,14 @@
 
     def send_unsolicited(self) -> None:
         """Send the unsolicited grants, one frame to each gateway."""
-        given_by_connection: dict[PlannerConnection, list[Given]] = {}
+        grants_by_connection: dict[PlannerConnection, list[Given]] = {}
         for unsolicited in self.planner.take_unsolicited():
             connection = self.by_name.get(unsolicited.gateway)
             grant = unsolicited.grant
             if connection is not None and connection.incarnation == grant.incarnation:
-                given = given_by_connection.setdefault(connection, [])
+                given = grants_by_connection.setdefault(connection, [])
                 given.append(encode_grant(grant))
-        for connection, given in given_by_connection.items():
+        for connection, given in grants_by_connection.items():
             connection.send(grants=Grants(given=given))
 
     def on_rejected(self, connection: PlannerConnection, refused: Refused) -> None:
--- a/milletsill/planner/quota_client.py
+++ b/milletsill/planner/quota_client.py
@@ -368,9 +368,9 @@
         self.session.check_silence()
         if not self.session.can_send_requests():
             return
-        wishes = self._due_requests()
-        for start in range(0, max(len(wishes), 1), MAX_REQUESTS_PER_FRAME):
-            frame = wishes[start : start + MAX_REQUESTS_PER_FRAME]
+        requests = self._due_requests()
+        for start in range(0, max(len(requests), 1), MAX_REQUESTS_PER_FRAME):
+            frame = requests[start : start + MAX_REQUESTS_PER_FRAME]
             self.session.send(asks=Asks(wish=frame))
 
     def _due_requests(self) -> list[Wish]:
--- a/milletsill/planner/quota_plan.py
+++ b/milletsill/planner/quota_plan.py
@@ -12,7 +12,7 @@
 MAX_LOAN_ENDS = 64  # ends of loans that are considered for a grant
 
 SMOOTHING_FACTOR = 0.5  # weight of a new report in the smoothed want
-# One report raises the smoothed want by at most this factor of the larger of the
+# A report counts at most as the smoothed want plus this factor times the larger of the
 # smoothed want and the even share.
 MAX_GROWTH_FACTOR = 2
 HEADROOM_FACTOR = 1.2  # planned share relative to the wanted share
--- a/milletsill/registry/registry_watcher.py
+++ b/milletsill/registry/registry_watcher.py
@@ -214,9 +214,7 @@
     def _on_list(self, data: bytes | None) -> None:
         try:
             if data is None:
-                raise MalformedRegistryAnswerError(
-                    "the call for the list failed or timed out"
-                )
+                raise MalformedRegistryAnswerError("the call for the list failed")
             listed = parse_list(data, self._log_invalid)
         except MalformedRegistryAnswerError as error:
             self.log(f"registry: {error.describe()}")
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -116,9 +116,8 @@
         sampling.stop()
         self.assertTrue(all(sum(each) <= 1_000_000 for each in samples))
         self.assertGreater(max(each[0] for each in samples), 600_000)
-        self.assertGreater(
-            count, 1.3 * 20 * 4.5
-        )  # the even share is 20 units per second
+        # The even share is 20 units per second.
+        self.assertGreater(count, 1.3 * 20 * 4.5)
         shares = server.commands.shares(Question(what="shares", edge="", most=9))
         self.assertEqual(
             {each["edge"] for each in shares}, {"gateway-0", "gateway-1", "gateway-2"}
@@ -233,8 +232,10 @@
         self.assertEqual(server.planner.drained, {"gateway-0"})
         server.stop()
         await later(0.2)
-        gone = await threads.deferToThread(run_command, "edges")
-        self.assertEqual((gone.exit_code, gone.output.count("\n")), (1, 1))
+        unreachable = await threads.deferToThread(run_command, "edges")
+        self.assertEqual(
+            (unreachable.exit_code, unreachable.output.count("\n")), (1, 1)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -242,18 +242,11 @@
     """Guards against a watch whose connection is half-open and delivers nothing.
 
     `call` stands in for the registry on a simulated clock: it answers, fails or stays
-    silent as `call_outcomes` says, and answers once that list is empty.
+    silent as `replies` says, and answers when that list is empty.
     """
 
     def setUp(self):
-        (
-            self.clock,
-            self.updates,
-            self.call_outcomes,
-            self.calls,
-            self.keys,
-            self.revision,
-        ) = (
+        self.clock, self.reports, self.replies, self.calls, self.keys, self.revision = (
             Clock(),
             [],
             [],
@@ -279,7 +272,7 @@
             lambda: int(self.clock.seconds() * 10_000),
             config,
             RegistryCallbacks(
-                on_endpoints=lambda kind, endpoints: self.updates.append(
+                on_endpoints=lambda kind, endpoints: self.reports.append(
                     (kind, [each.readiness.name for each in endpoints])
                 ),
                 on_nodes=lambda nodes: None,
@@ -294,9 +287,9 @@
     def call(self, path, body, line, done):
         self.watcher.client.pending = Deferred().addErrback(lambda failure: None)
         self.calls += 1
-        outcome = self.call_outcomes.pop(0) if self.call_outcomes else "answered"
-        if outcome != "answered":
-            return done(None) if outcome == "fails" else None
+        reply = self.replies.pop(0) if self.replies else "answered"
+        if reply != "answered":
+            return done(None) if reply == "fails" else None
         if line is not None:
             self.line = line
             return line(json.dumps({"result": {"created": True}}).encode())
@@ -320,7 +313,7 @@
             self.clock.advance(0.1)
 
     def test_missed_changes_fail_the_watch(self):
-        for change, call_outcomes, within in (
+        for change, replies, within in (
             (VALUE | {"state": "draining"}, [], 4),
             (None, [], 4),
             (VALUE | {"state": "draining"}, ["fails"], 8),
@@ -328,14 +321,14 @@
         ):
             self.setUp()
             self.advance(7.1)
-            self.assertEqual(self.updates, [(EndpointUpdateKind.SNAPSHOT, ["READY"])])
-            self.revision, self.call_outcomes = 5, call_outcomes
+            self.assertEqual(self.reports, [(EndpointUpdateKind.SNAPSHOT, ["READY"])])
+            self.revision, self.replies = 5, replies
             self.keys = {"k/7": (change, 5)} if change else {}
             self.advance(within)
-            self.assertEqual(self.updates[1:], [(EndpointUpdateKind.FAILED, [])])
+            self.assertEqual(self.reports[1:], [(EndpointUpdateKind.FAILED, [])])
             self.watcher.request_watch()  # as the scheduler does
             self.assertEqual(
-                self.updates[2],
+                self.reports[2],
                 (EndpointUpdateKind.SNAPSHOT, ["DRAINING"] if change else []),
             )
 
@@ -343,7 +336,7 @@
         self.revision = 3  # older than the listed revision; the watch is still open
         self.advance(7.1)
         self.assertEqual(
-            [kind for kind, _ in self.updates],
+            [kind for kind, _ in self.reports],
             [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.FAILED],
         )
         self.watcher.request_watch()
@@ -353,7 +346,7 @@
                 {"result": {"created": True, "header": {"revision": "2"}}}
             ).encode()
         )
-        self.assertEqual(self.updates[-1][0], EndpointUpdateKind.FAILED)
+        self.assertEqual(self.reports[-1][0], EndpointUpdateKind.FAILED)
 
     def test_a_late_or_quiet_watch_stays_open(self):
         self.advance(7.1)
@@ -364,10 +357,10 @@
             "kv": {"key": etcd_json.encode_text("k/7"), "mod_revision": "5"},
         }
         self.line(json.dumps({"result": {"events": [gone]}}).encode())
-        self.call_outcomes = ["fails"] * 4 + ["silent"]
+        self.replies = ["fails"] * 4 + ["silent"]
         self.advance(60)
         self.assertEqual(
-            [kind for kind, _ in self.updates],
+            [kind for kind, _ in self.reports],
             [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA],
         )
         self.assertLess(self.calls, 20, "failed checks must become less frequent")
