--- a/milletsill/sftp_gateway/__init__.py
+++ b/milletsill/sftp_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The SFTP gateway: clients, the scheduler's host, the steps of each command."""
+"""The SFTP gateway: client connections, command execution, routing and channels."""
--- a/milletsill/sftp_gateway/answer_log.py
+++ b/milletsill/sftp_gateway/answer_log.py
@@ -1,12 +1,15 @@
-"""Bounds how many final answers get a line of the log."""
+"""Rate limit for the log lines about final answers."""
 
 from __future__ import annotations
 
-SECOND = 10_000  # in tenths of a millisecond
+TICKS_PER_SECOND = 10_000
 
 
 class AnswerLogLimiter:
-    """A token bucket: so many lines a second, the rest are counted into the next."""
+    """A token bucket that allows a number of log lines per second.
+
+    The number of suppressed lines is reported with the next allowed line.
+    """
 
     def __init__(self, lines_per_second: float) -> None:
         self.rate = lines_per_second
@@ -16,11 +19,11 @@
         self.suppressed = 0
 
     def take(self, now: int) -> int | None:
-        """Return how many answers were suppressed since the last line.
+        """Return how many answers were suppressed since the last log line.
 
-        None where this one is suppressed too.
+        Return None if this answer must be suppressed too.
         """
-        refill = self.rate * (now - self.refilled_at) / SECOND
+        refill = self.rate * (now - self.refilled_at) / TICKS_PER_SECOND
         self.tokens = min(self.tokens + refill, self.capacity)
         self.refilled_at = now
         if self.tokens < 1 or not self.rate:
--- a/milletsill/sftp_gateway/assembly.py
+++ b/milletsill/sftp_gateway/assembly.py
@@ -1,4 +1,4 @@
-"""Makes the parts that every gateway has, from its file."""
+"""Creates the parts that every gateway has, from its file."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class AssembledGateway(Protocol):
-    """A gateway that is being made, as its parts see it."""
+    """A gateway during its construction, as seen by its parts."""
 
     reactor: Any
     now: Callable[[], int]
@@ -43,7 +43,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Which start of the gateway this is."""
+        """The number of this start of the gateway."""
 
     def warn(self, event: str, /, **values: Any) -> None:
         """Log a warning."""
@@ -54,19 +54,19 @@
     def on_endpoints(
         self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        """Pass an update of the endpoint list on."""
+        """Pass an update of the endpoint list to the scheduler and other parts."""
 
     def on_nodes(self, nodes: list[RegisteredNode]) -> None:
-        """Have the connections follow the endpoint list."""
+        """Update the node pools to the endpoint list."""
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Take a later incarnation that the fleet knew."""
+        """Adopt a later incarnation that the fleet knows."""
 
 
 def make_endpoint_watcher(
     gateway: AssembledGateway, config: DeploymentConfig, seed: int
 ) -> RegistryWatcher:
-    """Return what watches the endpoint list."""
+    """Return the watcher of the endpoint list."""
     registry = gateway.file.registry
     return RegistryWatcher(
         gateway.reactor,
@@ -92,7 +92,7 @@
 
 
 def make_node_pools(gateway: AssembledGateway) -> SftpNodePools:
-    """Return the connections to nodes; flow export is made before them."""
+    """Return the node pools; the flow export must exist before them."""
     config = SftpNodePoolsConfig(
         pool_limits_of(gateway.file),
         gateway.file.links.most_packet,
@@ -108,7 +108,7 @@
     seed: int,
     make_scheduler: SchedulerFactory,
 ) -> SchedulerHost:
-    """Return the scheduler's host; the node pools and the watcher are made before."""
+    """Return the scheduler host; the node pools and the watcher must exist before."""
     callbacks = HostCallbacks(
         start_attempt=gateway.node_pools.send_attempt,
         watch_endpoints=gateway.endpoint_watcher.request_watch,
--- a/milletsill/sftp_gateway/channel_attempts.py
+++ b/milletsill/sftp_gateway/channel_attempts.py
@@ -1,4 +1,4 @@
-"""Runs what channels release as commands of this gateway."""
+"""Runs the requests that channels release, as commands of this gateway."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 from milletsill.sftp_gateway.command_execution import ClientCommand, CommandExecution
 from milletsill.sftp_gateway.gateway_context import GatewayContext
-from milletsill.sftp_gateway.numbered_commands import names_handle
+from milletsill.sftp_gateway.numbered_commands import uses_handle
 from milletsill.sftp_gateway.object_location import ObjectLocation
 from milletsill.sftp_gateway.open_handle import OpenHandle
 
@@ -35,16 +35,17 @@
 
 
 class ChannelAttemptRunner:
-    """What a channel's owner needs of the gateway (`AttemptRunner`)."""
+    """Runs attempts for the owner of a channel; implements `AttemptRunner`."""
 
     def __init__(self, gateway: GatewayContext, leases: LeaseChecker) -> None:
         self.gateway = gateway
         self.leases = leases
 
     def access_ranges(self, request: NumberedRequest) -> AccessRanges:
-        """Return what a request touches.
+        """Return the ranges that a request accesses.
 
-        Blocks of a key's size where it writes there, else the whole object.
+        A write accesses the blocks it overlaps, each of the size of a key; any other
+        command accesses whole objects.
         """
         command = request.command
         object_hash = xxhash.xxh64_intdigest(text_to_bytes(request.path))
@@ -60,14 +61,14 @@
         return (AccessRange(object_hash),)
 
     def key_window(self, command: ChannelCommand) -> int:
-        """Return for how long nodes remember a numbered request's idempotency key."""
+        """Return how long nodes remember a numbered request's idempotency key."""
         request = command.body
         assert isinstance(request, NumberedRequest)
         volume: Any = command.volume
-        place = self.gateway.routing_table.request_class(
+        class_index = self.gateway.routing_table.request_class(
             OPERATIONS[type(request.command)], volume, written_size(request)
         )
-        request_class = self.gateway.host.config.request_classes[place]
+        request_class = self.gateway.host.config.request_classes[class_index]
         return int(request_class.retry_window)
 
     def run_attempt(
@@ -77,7 +78,7 @@
         deadline: int,
         on_ended: Callable[[AttemptEnd], None],
     ) -> None:
-        """Hand a released request to the scheduler, as any other command."""
+        """Execute a released request like any other command."""
         command = release.request.recipient
         request = command.body
         assert isinstance(request, NumberedRequest)
@@ -112,7 +113,7 @@
         self, volume: Any, request: NumberedRequest, attempt: ReleasedAttempt
     ) -> ClientCommand:
         handle = None
-        if names_handle(request.command):
+        if uses_handle(request.command):
             home = self.gateway.routing_table.home_shard(volume, request.path)
             location = ObjectLocation(home, request.path)
             handle = OpenHandle(volume, request.path, location)
--- a/milletsill/sftp_gateway/channel_clients.py
+++ b/milletsill/sftp_gateway/channel_clients.py
@@ -1,4 +1,4 @@
-"""What clients say of channels, on its way to the owner and back."""
+"""Client commands on channels: routed to the channel's owner and answered."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 from milletsill.sftp_gateway.routing_table import RoutedVolume
 
 HANDLE_PREFIX = b"channel"
-HANDLE_LENGTH = 8  # octets behind the prefix
+HANDLE_LENGTH = 8  # octets after the prefix
 FIRST_TOKEN_BITS = 62
 TICKS_PER_SECOND = 10_000
-CHANNEL_OPERATION = "change"  # of a command on a channel itself, for its request class
+CHANNEL_OPERATION = "change"  # request class of OPEN, QUERY and RESOLVE
 
 
 class ChannelClient(Protocol):
-    """The connection that a command came on."""
+    """The client connection that sent a command."""
 
     outstanding: dict[int, Any]
     handles: HandleTable
@@ -50,29 +50,29 @@
     octets: int
 
     def arrival_time(self) -> int:
-        """Return when the packet at hand may have come."""
+        """Return the earliest time at which the current packet may have arrived."""
 
     def answer(self, command: Any, packet: Any) -> None:
-        """Give the one answer to a command."""
+        """Send the final answer to a command."""
 
 
 class ChannelClientHost(GatewayContext, Protocol):
-    """The gateway around the channels."""
+    """The gateway that the channels belong to."""
 
     reactor: Any
 
     def stop_if_drained(self) -> None:
-        """Stop a gateway that drains once nothing is unanswered."""
+        """Stop a draining gateway once no command is unanswered."""
 
 
 class PendingChannelCommand:
-    """A client's command on a channel that has no answer yet.
+    """A client's command on a channel that has not been answered yet.
 
-    Its connection knows it as it knows any outstanding command.
+    The client's connection lists it among its outstanding commands.
 
     Attributes:
-        on_answer: takes the one answer.
-        timeout: the delayed call that answers if nothing else has.
+        on_answer: receives the final answer.
+        timeout: the delayed call that answers the command at its deadline.
     """
 
     __slots__ = (
@@ -103,18 +103,18 @@
         self.timeout: Any = None
 
     def abandon(self) -> None:
-        """Drop it: its client has left.
+        """Discard the answer, because the client has disconnected.
 
-        What was released goes on, its answer is remembered.
+        A released request still runs, and the channel's owner stores its answer.
         """
         self.on_answer = _ignore_answer
 
 
 class ChannelClients:
-    """The clients' side of channels.
+    """Handles the clients' commands on channels.
 
     Attributes:
-        unanswered: commands without an answer, and a drain that goes on.
+        unanswered: number of unanswered commands, plus one while the channels drain.
     """
 
     def __init__(
@@ -133,24 +133,24 @@
         self.reader = NumberedCommandReader(gateway, catalog)
         self.pending: set[PendingChannelCommand] = set()
         self.unanswered = 0
-        # Handles and tokens begin by chance. Guards against a gateway that starts again
-        # under an incarnation that it had before: its OPEN would pass for an earlier
-        # one. Harm: none.
+        # Handles and tokens start at a random number. If a gateway restarts under an
+        # incarnation that it has used before, its OPEN would otherwise have the token
+        # of an earlier OPEN and be treated as a repetition of it.
         self.last_token = SystemRandom().getrandbits(FIRST_TOKEN_BITS)
 
     def stop(self) -> None:
-        """Drop what has no answer."""
+        """Cancel the timeouts of all unanswered commands and forget them."""
         for pending in self.pending:
             pending.timeout.cancel()
         self.pending.clear()
 
-    def take(self, client: ChannelClient, packet: packets.Extended) -> Any:
-        """Return the answer to a command on a channel, None where it is on its way."""
+    def handle_command(self, client: ChannelClient, packet: packets.Extended) -> Any:
+        """Return the answer to a command on a channel, or None if it was sent on."""
         if packet.name == wire.NUMBERED:
-            return self._take_numbered(client, packet)
+            return self._handle_numbered(client, packet)
         given = wire.decode_channel_request(packet)
         if isinstance(given, wire.ChannelOpen):
-            return self._take_open(client, packet, given)
+            return self._handle_open(client, packet, given)
         channel = client.channels.get(given.handle)
         if channel is None:
             return unknown_handle_status(packet.id)
@@ -161,19 +161,19 @@
             body = ResolveNumber(given.number, given.word, channel.claim)
         return self._send(client, packet, channel.volume, channel.name, body)
 
-    def _take_open(
+    def _handle_open(
         self, client: ChannelClient, packet: packets.Extended, given: wire.ChannelOpen
     ) -> Any:
         volume = self.gateway.routing_table.volume_of(canonical_path(given.path))
         if volume is None or not self.catalog.covers_volume(volume.name):
-            reason = "no contract on order holds for this volume"
+            reason = "no ordering contract covers this volume"
             return packets.Status(packet.id, packets.UNSUPPORTED, reason)
         if len(client.channels) >= client.handles.max_handles:
             return client.handles.full_status(packet.id)
         body = OpenChannel(given.contract, given.version, given.first)
         return self._send(client, packet, volume, given.channel, body)
 
-    def _take_numbered(self, client: ChannelClient, packet: packets.Extended) -> Any:
+    def _handle_numbered(self, client: ChannelClient, packet: packets.Extended) -> Any:
         given = wire.decode_numbered(packet)
         channel = client.channels.get(given.handle)
         if channel is None:
@@ -183,7 +183,7 @@
             return status_tags.tagged_status(packet.id, "contract", body.reason)
         return self._send(client, packet, channel.volume, channel.name, body)
 
-    # On its way.
+    # Requests.
 
     def _send(
         self,
@@ -193,7 +193,7 @@
         name: str,
         body: CommandBody,
     ) -> Any:
-        """Send a command on its way to the channel's owner."""
+        """Send a command to the channel's owner; return an answer if it is rejected."""
         request_class = self._request_class(volume, body)
         pending = PendingChannelCommand(packet, volume, request_class, client)
         deadline = self._deadline(pending, body)
@@ -212,7 +212,7 @@
         return None
 
     def _route(self, command: ChannelCommand, on_answer: Callable[[Any], None]) -> None:
-        """Take a command to the owner; follow redirects until there is an answer."""
+        """Route a command to the owner and follow redirects until it is answered."""
 
         def on_owner_answer(answer: Any) -> None:
             if isinstance(answer, Redirect):
@@ -252,7 +252,7 @@
         if reason:
             return reason
         if self.unanswered >= self.gateway.file.door.most_held:
-            return "this gateway holds all that it may"
+            return "this gateway has reached its limit of unanswered requests"
         return ""
 
     def _new_token(self) -> str:
@@ -266,11 +266,12 @@
         body: CommandBody,
         on_answer: Callable[[Any], None],
     ) -> None:
-        """Answer a command at its client's deadline if nothing else has.
+        """Answer a command just after its deadline if it is still unanswered.
 
-        Guards rule 1 against a command that waits for what has no end by then: a lease
-        that is taken, a record that is written, before an owner's own timers even know
-        of it. Harm: none, it comes after all their last words.
+        Every command must be answered in time, even if it waits for a lease to be
+        acquired or a record to be written: the owner has no timer for the command
+        until then. The timeout is later than all timers of the owner, so it never
+        preempts an answer of the owner.
         """
         due = deadline + self.gateway.answer_margin // 2
         delay = max(due - self.gateway.now(), 1) / TICKS_PER_SECOND
@@ -281,12 +282,12 @@
     def _on_timeout(self, body: CommandBody, on_answer: Callable[[Any], None]) -> None:
         self.count("overdue")
         if isinstance(body, (NumberedRequest, ResolveNumber)):
-            message = "aborted: no answer in time"
+            message = "aborted: no answer before the deadline"
             on_answer(status_tags.tagged_status(0, "aborted", message))
             return
-        on_answer(rejection("no answer in time", DEFAULT_RETRY_DELAY))
+        on_answer(rejection("no answer before the deadline", DEFAULT_RETRY_DELAY))
 
-    # And back.
+    # Answers.
 
     def _on_answer(
         self,
@@ -296,7 +297,7 @@
         body: CommandBody,
         answer: Any,
     ) -> None:
-        """Take an answer; only the first of a command counts."""
+        """Handle an answer; only the first answer to a command is used."""
         if pending not in self.pending:
             return
         self._forget(pending)
@@ -306,7 +307,7 @@
     def _answer_client(
         self, client: ChannelClient, pending: PendingChannelCommand, answer: Any
     ) -> None:
-        pending.final = final_of(answer)
+        pending.final = final_outcome(answer)
         client.answer(pending, packet_codec.with_id(answer, pending.command.id))
 
     def _forget(self, pending: PendingChannelCommand) -> None:
@@ -324,7 +325,7 @@
         body: CommandBody,
         answer: Any,
     ) -> Any:
-        """Give an OPEN that was answered a handle of this connection."""
+        """Add a handle of this connection to the answer to a successful OPEN."""
         if not isinstance(body, OpenChannel):
             return answer
         if not isinstance(answer, packets.ExtendedReply):
@@ -338,8 +339,8 @@
         return wire.encode_open_reply(0, replace(opened, handle=handle))
 
 
-def final_of(answer: Any) -> str:
-    """Return how a command on a channel ended, for flow records."""
+def final_outcome(answer: Any) -> str:
+    """Return the final outcome of a channel command, for flow records."""
     sign = None
     if isinstance(answer, packets.Status):
         sign = status_tags.parse_status_tag(answer.language)
@@ -349,4 +350,4 @@
 
 
 def _ignore_answer(answer: Any) -> None:
-    """Drop an answer that nobody waits for."""
+    """Ignore the answer to a command whose client has disconnected."""
--- a/milletsill/sftp_gateway/channel_contracts.py
+++ b/milletsill/sftp_gateway/channel_contracts.py
@@ -1,4 +1,4 @@
-"""The operator's contracts on the order of channels."""
+"""Reads the ordering contracts of channels from the gateway's file."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
     OrderingContract,
 )
 
-SECOND = 10_000  # in tenths of a millisecond
-MILLISECOND = 10
+TICKS_PER_SECOND = 10_000
+TICKS_PER_MILLISECOND = 10
 
 
 def contract_catalog(file: Any) -> ContractCatalog:
-    """Return the contracts of a gateway's file."""
+    """Return the catalog of the contracts in a gateway's file."""
     return ContractCatalog([offer_of(each) for each in file.fleet.channels.contract])
 
 
 def offer_of(given: Any) -> ContractOffer:
-    """Return one contract of the file, with what it covers."""
+    """Return a contract of the file with the volumes and operations it covers."""
     contract = OrderingContract(
         given.name,
         given.version,
         ChannelOrder(given.order),
         IndeterminatePolicy(given.unsure),
-        round(given.silent_s * SECOND),
+        round(given.silent_s * TICKS_PER_SECOND),
         given.most_waiting,
-        round(given.hole_ms * MILLISECOND),
+        round(given.hole_ms * TICKS_PER_MILLISECOND),
     )
     return ContractOffer(
         contract,
@@ -41,6 +41,8 @@
 
 
 def idle_retention(file: Any) -> int:
-    """Return for how long the record of a silent channel is kept at the most."""
+    """Return the longest time, in ticks, that the record of an idle channel is kept."""
     contracts = file.fleet.channels.contract
-    return max((round(each.silent_s * SECOND) for each in contracts), default=0)
+    return max(
+        (round(each.silent_s * TICKS_PER_SECOND) for each in contracts), default=0
+    )
--- a/milletsill/sftp_gateway/channel_gateway.py
+++ b/milletsill/sftp_gateway/channel_gateway.py
@@ -1,6 +1,6 @@
-"""Channels at a gateway: their owner, their clients, the way between gateways.
+"""The channels of a gateway: owner, client commands and forwarding between gateways.
 
-Made only where the file has a `fleet { channels }` block.
+It is created only if the gateway's file has a `fleet { channels }` block.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from milletsill.sftp_gateway.channel_attempts import ChannelAttemptRunner
 from milletsill.sftp_gateway.channel_clients import ChannelClient, ChannelClients
 from milletsill.sftp_gateway.channel_contracts import (
-    MILLISECOND,
-    SECOND,
+    TICKS_PER_MILLISECOND,
+    TICKS_PER_SECOND,
     contract_catalog,
     idle_retention,
 )
@@ -34,14 +34,14 @@
 from milletsill.sftp_gateway.routing_table import RoutedVolume, RoutingTable
 
 SWEEP_INTERVAL = 5.0  # seconds between sweeps of idle channels
-DRAIN_CHECK_INTERVAL = 0.02  # seconds between checks of what holds up the end
-# Checks without a channel, after which the releases of leases have had time to leave.
+DRAIN_CHECK_INTERVAL = 0.02  # seconds between checks whether the drain is done
+# Consecutive checks without an owned channel, so that lease releases are sent.
 QUIET_CHECKS = 5
 
 
 def make_channel_gateway(gateway: Any, seed: int) -> ChannelGateway:
-    """Return a gateway's channels over its fleet, as its file has them."""
-    # The leases' code is loaded only where there are channels.
+    """Create the channels of a gateway from its file."""
+    # The lease package is imported only if the gateway has channels.
     from milletsill.fleet.leases.lease_manager import LeaseManager
     from milletsill.fleet.leases.lease_settings import LeaseEnvironment, LeaseSettings
     from milletsill.fleet.leases.timings import LeaseTimings
@@ -50,8 +50,8 @@
     settings = LeaseSettings(
         acceptors=tuple(given.register),
         timings=LeaseTimings(
-            lease_duration=round(given.office_s * SECOND),
-            call_timeout=round(given.call_ms * MILLISECOND),
+            lease_duration=round(given.office_s * TICKS_PER_SECOND),
+            call_timeout=round(given.call_ms * TICKS_PER_MILLISECOND),
             drift_permille=given.drift_permille,
         ),
         max_leases=given.most_channels,
@@ -73,18 +73,18 @@
 
 
 class ChannelMetrics:
-    """What is counted of channels."""
+    """The metrics of channels."""
 
     def __init__(self, registry: Any) -> None:
         self.events = Counter(
             "milletsill_channel_words_total",
-            "Final answers on channels, and ways that commands took",
+            "Channel events: final answers and routing decisions",
             ["word"],
             registry=registry,
         )
         self.owned = Gauge(
             "milletsill_channels_kept",
-            "Channels in this gateway's memory as their owner",
+            "Channels that this gateway owns",
             registry=registry,
         )
 
@@ -94,12 +94,14 @@
 
 
 class ChannelGateway:
-    """Channels at one gateway.
+    """The channels of one gateway.
 
     Attributes:
-        extensions: of SFTP that are offered to clients.
-        unanswered: commands of clients without an answer, and a drain that goes on.
-        leases: made by who makes this; its other messages come to `on_message`.
+        extensions: the SFTP extensions that are offered to clients.
+        unanswered: number of unanswered client commands, plus one while the
+            channels drain.
+        leases: the lease manager. It passes messages that do not concern leases to
+            `on_message`.
     """
 
     extensions = (wire.CHANNEL, wire.NUMBERED)
@@ -140,7 +142,9 @@
     def _make_forwarder(self) -> PeerForwarder:
         gateway, given = self.gateway, self.gateway.file.fleet.channels
         return PeerForwarder(
-            ForwarderSettings(round(given.call_ms * MILLISECOND), given.drift_permille),
+            ForwarderSettings(
+                round(given.call_ms * TICKS_PER_MILLISECOND), given.drift_permille
+            ),
             gateway.reactor,
             gateway.now,
             self.fleet,
@@ -154,28 +158,28 @@
 
     @property
     def unanswered(self) -> int:
-        """How much still has to be answered before the gateway may stop."""
+        """The number of commands and drains that must end before the gateway stops."""
         return self.clients.unanswered
 
     def find_volume(self, name: str) -> RoutedVolume | None:
-        """Return a volume that has channels by its name."""
+        """Return the volume with this name if a contract covers it, else None."""
         if not self.catalog.covers_volume(name):
             return None
         routing_table: RoutingTable = self.gateway.routing_table
         return routing_table.volume_named(name)
 
-    def take(self, client: ChannelClient, packet: packets.Extended) -> Any:
-        """Return the answer to a client's command, None where it is on its way."""
-        return self.clients.take(client, packet)
+    def handle_command(self, client: ChannelClient, packet: packets.Extended) -> Any:
+        """Return the answer to a client's command, or None if it was sent on."""
+        return self.clients.handle_command(client, packet)
 
     def on_message(self, member: str, incarnation: int, body: bytes) -> None:
-        """Take what another gateway says of channels."""
+        """Handle another gateway's message about channels."""
         self.forwarder.on_message(member, incarnation, body)
 
-    # Start and end.
+    # Start and stop.
 
     def start(self) -> None:
-        """Begin to sweep idle channels."""
+        """Start the periodic sweep of idle channels."""
         self.sweep_call = self.gateway.reactor.callLater(SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
@@ -184,9 +188,9 @@
         self.sweep_call = self.gateway.reactor.callLater(SWEEP_INTERVAL, self._sweep)
 
     def drain(self) -> None:
-        """Give leases up as soon as nothing is in flight under them: SIGTERM.
+        """Release each lease once nothing is in flight under it, on SIGTERM.
 
-        The releases get time to leave before the fleet is left.
+        The gateway leaves the fleet only after the releases had time to be sent.
         """
         self.clients.unanswered += 1
         self.owner.drain()
@@ -204,7 +208,7 @@
         self.gateway.stop_if_drained()
 
     def stop(self) -> None:
-        """Drop everything."""
+        """Cancel timers and forwarded commands, and hand over all channels."""
         for call in (self.sweep_call, self.drain_call):
             if call is not None and call.active():
                 call.cancel()
--- a/milletsill/sftp_gateway/channel_router.py
+++ b/milletsill/sftp_gateway/channel_router.py
@@ -1,4 +1,4 @@
-"""Takes a channel's command to the gateway that owns the channel."""
+"""Routes a channel's command to the gateway that owns the channel."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from milletsill.fleet.channels.peer_forwarder import PeerForwarder
 from milletsill.sftp import status_tags
 
-MAX_REDIRECTS = 3  # times that a command follows what the acceptors say of the owner
+MAX_REDIRECTS = 3  # redirects that a command follows at most
 
 
 def rejection(reason: str, retry_delay: int) -> Any:
-    """Return the answer to a command that was not taken; it has no id yet."""
+    """Return the answer to a rejected command, with id 0."""
     return status_tags.tagged_status(
         0, "declined", f"declined: {reason}", None, retry_delay
     )
 
 
 class ChannelRouter:
-    """Decides whether a command is handled here or forwarded to another gateway."""
+    """Decides whether a command is handled here or is forwarded to another gateway."""
 
     def __init__(
         self,
@@ -39,9 +39,10 @@
         self.forwarder: PeerForwarder
 
     def route(self, command: ChannelCommand) -> None:
-        """Handle a command here, where this gateway owns the channel or should.
+        """Handle a command here if this gateway owns the channel or should own it.
 
-        Else forward it by the fleet's view.
+        Otherwise forward the command to the preferred owner in the fleet's view, if
+        that gateway is reachable.
         """
         owner = ""
         if not self.owner.owns(command.key):
@@ -53,16 +54,16 @@
         self.forwarder.forward(command, owner)
 
     def on_redirect(self, command: ChannelCommand, redirect: Redirect) -> None:
-        """Follow what the acceptors say: another gateway holds the lease.
+        """Follow a redirect: the acceptors report that another gateway holds the lease.
 
-        Guards against a command that goes to and fro between one that has it still,
-        going down, and one that may not have it yet. Harm: a client comes back once
-        more.
+        The number of redirects is limited. Otherwise a command could bounce between a
+        gateway that is shutting down and still holds the lease, and one that cannot
+        acquire it yet. At the limit the client must send the command again.
         """
         command.redirects += 1
         if command.redirects > MAX_REDIRECTS:
             delay = max(redirect.retry_delay // 4, DEFAULT_RETRY_DELAY)
-            reason = f"{redirect.owner} hands the channel over"
+            reason = f"gateway {redirect.owner} is handing the channel over"
             command.on_answer(rejection(reason, delay))
             return
         unreachable = (
@@ -72,15 +73,16 @@
         )
         known = redirect.owner in self.fleet.view.by_name
         if redirect.owner in unreachable or not known:
-            reason = f"{redirect.owner} held the channel and is away"
+            reason = f"gateway {redirect.owner} holds the channel and is unreachable"
             command.on_answer(rejection(reason, redirect.retry_delay))
             return
         self.forwarder.forward(command, redirect.owner, 1)
 
     def on_peer_command(self, command: ChannelCommand, member: str) -> None:
-        """Handle another gateway's command: this one is thought to be the owner.
+        """Handle a command that another gateway forwarded to this one as the owner.
 
-        One that goes down has the other try to be it.
+        If this gateway drains, it redirects the command back, so that the other
+        gateway tries to become the owner.
         """
         if self.owner.is_draining:
             command.on_answer(Redirect(member, 0))
--- a/milletsill/sftp_gateway/client_handles.py
+++ b/milletsill/sftp_gateway/client_handles.py
@@ -1,4 +1,4 @@
-"""The handles of one client's connection."""
+"""The SFTP handles of one client connection."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class HandleTable:
-    """What a client's handles stand for, bounded.
+    """Maps a client's handles to open files and directories, up to a limit.
 
-    The bound is read at each use: a reload of the gateway's file changes it.
+    The limit is read from the settings at each use, because a reload of the gateway's
+    file may change it.
     """
 
     def __init__(self, gateway: GatewayContext) -> None:
@@ -22,38 +23,38 @@
 
     @property
     def max_handles(self) -> int:
-        """How many handles a client may have."""
+        """The maximum number of handles of a client."""
         return int(self.gateway.file.door.most_handles)
 
     def is_full(self) -> bool:
-        """Return whether there is no room for one more."""
+        """Return whether the limit of handles is reached."""
         return len(self.handles) >= self.max_handles
 
     def get(self, handle: bytes) -> OpenHandle | None:
-        """Return what a handle stands for, None for no such handle."""
+        """Return what a handle refers to, or None if it is not open."""
         return self.handles.get(handle)
 
     def add(self, opened: OpenHandle) -> bytes:
-        """Return a new handle."""
+        """Open a new handle and return it."""
         self.count += 1
         handle = self.count.to_bytes(HANDLE_LENGTH, "big")
         self.handles[handle] = opened
         return handle
 
     def remove(self, handle: bytes) -> bool:
-        """Close a handle; return whether it was there."""
+        """Close a handle; return whether it was open."""
         return self.handles.pop(handle, None) is not None
 
     def clear(self) -> None:
-        """Close all."""
+        """Close all handles."""
         self.handles.clear()
 
     def full_status(self, id: int) -> packets.Status:
-        """Return the answer to a command that would open one too many."""
-        reason = f"more than {self.max_handles} handles"
+        """Return the answer to a command that would exceed the limit of handles."""
+        reason = f"limit of {self.max_handles} open handles reached"
         return packets.Status(id, packets.FAILURE, reason)
 
 
 def unknown_handle_status(id: int) -> packets.Status:
     """Return the answer to a command on a handle that is not open."""
-    return packets.Status(id, packets.FAILURE, "no such handle")
+    return packets.Status(id, packets.FAILURE, "handle is not open")
--- a/milletsill/sftp_gateway/client_state.py
+++ b/milletsill/sftp_gateway/client_state.py
@@ -1,4 +1,4 @@
-"""The states of a client's SFTP connection: a table and pure functions."""
+"""The states of a client's SFTP connection, as a table and pure functions."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 class SftpClientState(Enum):
     """The state of a client's connection."""
 
-    FRESH = auto()  # before INIT
+    AWAITING_INIT = auto()  # before INIT
     OPEN = auto()
-    FULL = auto()  # not read: too much is outstanding, or answers are not taken
+    PAUSED = auto()  # too many outstanding commands, or the send buffer is full
     CLOSED = auto()
 
 
 class SftpClientEvent(Enum):
-    """What happens on a client's connection."""
+    """The events of a client's connection."""
 
     INIT = auto()
     COMMAND = auto()
-    FULL = auto()
-    ROOM = auto()
-    BROKEN = auto()  # the stream makes no sense any more
-    STUCK = auto()  # the client takes no answers
-    IDLE = auto()
-    LOST = auto()
+    OVER_LIMIT = auto()
+    UNDER_LIMIT = auto()
+    MALFORMED_STREAM = auto()  # the packet stream is malformed
+    SEND_TIMEOUT = auto()  # the send buffer stayed full for too long
+    IDLE_TIMEOUT = auto()
+    DISCONNECTED = auto()
 
 
 class SftpClientEffect(Enum):
-    """What is to be done after an event."""
+    """The action that follows an event."""
 
     NONE = auto()
     SEND_VERSION = auto()
     TAKE_COMMAND = auto()
     PAUSE_READING = auto()
     RESUME_READING = auto()
-    ABORT = auto()  # close without flushing
+    ABORT = auto()  # close without flushing the send buffer
     CLOSE = auto()
-    ABANDON = auto()  # the client is gone
+    ABANDON = auto()  # drop the commands of a disconnected client
 
 
 ClientTransition = tuple[SftpClientState, SftpClientEffect]
 CLIENT_TABLE: Mapping[tuple[SftpClientState, SftpClientEvent], ClientTransition] = {
-    (SftpClientState.FRESH, SftpClientEvent.INIT): (
+    (SftpClientState.AWAITING_INIT, SftpClientEvent.INIT): (
         SftpClientState.OPEN,
         SftpClientEffect.SEND_VERSION,
     ),
-    (SftpClientState.FRESH, SftpClientEvent.COMMAND): (
+    (SftpClientState.AWAITING_INIT, SftpClientEvent.COMMAND): (
         SftpClientState.CLOSED,
         SftpClientEffect.ABORT,
     ),
@@ -59,44 +59,47 @@
         SftpClientState.OPEN,
         SftpClientEffect.TAKE_COMMAND,
     ),
-    (SftpClientState.OPEN, SftpClientEvent.FULL): (
-        SftpClientState.FULL,
+    (SftpClientState.OPEN, SftpClientEvent.OVER_LIMIT): (
+        SftpClientState.PAUSED,
         SftpClientEffect.PAUSE_READING,
     ),
-    (SftpClientState.FULL, SftpClientEvent.ROOM): (
+    (SftpClientState.PAUSED, SftpClientEvent.UNDER_LIMIT): (
         SftpClientState.OPEN,
         SftpClientEffect.RESUME_READING,
     ),
-    # Guards against a client that asks and never reads, which would hold answers for
-    # good.
-    (SftpClientState.FULL, SftpClientEvent.STUCK): (
+    # A client that sends commands but never reads would otherwise keep its answers in
+    # memory forever.
+    (SftpClientState.PAUSED, SftpClientEvent.SEND_TIMEOUT): (
         SftpClientState.CLOSED,
         SftpClientEffect.ABORT,
     ),
     **{
-        (state, SftpClientEvent.IDLE): (SftpClientState.CLOSED, SftpClientEffect.CLOSE)
-        for state in (SftpClientState.FRESH, SftpClientState.OPEN)
+        (state, SftpClientEvent.IDLE_TIMEOUT): (
+            SftpClientState.CLOSED,
+            SftpClientEffect.CLOSE,
+        )
+        for state in (SftpClientState.AWAITING_INIT, SftpClientState.OPEN)
     },
     **{
-        (state, SftpClientEvent.BROKEN): (
+        (state, SftpClientEvent.MALFORMED_STREAM): (
             SftpClientState.CLOSED,
             SftpClientEffect.ABORT,
         )
         for state in (
-            SftpClientState.FRESH,
+            SftpClientState.AWAITING_INIT,
             SftpClientState.OPEN,
-            SftpClientState.FULL,
+            SftpClientState.PAUSED,
         )
     },
     **{
-        (state, SftpClientEvent.LOST): (
+        (state, SftpClientEvent.DISCONNECTED): (
             SftpClientState.CLOSED,
             SftpClientEffect.ABANDON,
         )
         for state in (
-            SftpClientState.FRESH,
+            SftpClientState.AWAITING_INIT,
             SftpClientState.OPEN,
-            SftpClientState.FULL,
+            SftpClientState.PAUSED,
         )
     },
 }
@@ -105,28 +108,30 @@
 def next_client_state(
     state: SftpClientState, event: SftpClientEvent
 ) -> ClientTransition:
-    """Return the next state and what to do.
+    """Return the next state and the effect.
 
-    An event not in the table changes nothing.
+    An event that is not in the table changes nothing.
     """
     return CLIENT_TABLE.get((state, event), (state, SftpClientEffect.NONE))
 
 
 def flow_control_event(
-    state: SftpClientState, outstanding: int, unread: bool, max_outstanding: int
+    state: SftpClientState, outstanding: int, send_blocked: bool, max_outstanding: int
 ) -> SftpClientEvent | None:
-    """Return what the bounds say of reading a connection, None for no change.
+    """Return the event that pauses or resumes reading, or None for no change.
 
-    It is not read while too many commands are outstanding, or its answers are not
-    taken; it is read again once half of them are done: a bound on both sides keeps it
-    from flapping.
+    Reading pauses while too many commands are outstanding or the send buffer is full.
+    It resumes once at most half of the limit is outstanding; this hysteresis avoids
+    frequent changes.
     """
-    if state is SftpClientState.OPEN and (unread or outstanding >= max_outstanding):
-        return SftpClientEvent.FULL
+    if state is SftpClientState.OPEN and (
+        send_blocked or outstanding >= max_outstanding
+    ):
+        return SftpClientEvent.OVER_LIMIT
     if (
-        state is SftpClientState.FULL
-        and not unread
+        state is SftpClientState.PAUSED
+        and not send_blocked
         and outstanding <= max_outstanding // 2
     ):
-        return SftpClientEvent.ROOM
+        return SftpClientEvent.UNDER_LIMIT
     return None
--- a/milletsill/sftp_gateway/command_classification.py
+++ b/milletsill/sftp_gateway/command_classification.py
@@ -1,4 +1,4 @@
-"""What a client's command is: its operation, and the path that it names."""
+"""Classifies a client's command: its operation and its canonical path."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from milletsill.errors import InvalidValueError
 from milletsill.sftp import packets
 
-# The operation of each command; operators' routes name them.
+# The operation of each command; the routes in the operator's file use these names.
 OPERATIONS: Mapping[type, str] = {
     packets.Read: "read",
     packets.Write: "write",
@@ -30,24 +30,26 @@
 
 
 class InvalidPathError(InvalidValueError):
-    """A path of a client that names nothing here."""
+    """A client sent an invalid path."""
 
     remedy = (
-        "nothing: the client is told; one that insists sends paths over 4,096 "
-        "characters or with zero octets"
+        "none at the gateway: the client receives an error status; fix a client that "
+        "sends paths over 4,096 characters or with NUL characters"
     )
 
 
 def canonical_path(path: str) -> str:
-    """Return the absolute path without empty parts, . and ..
+    """Return the absolute path without empty components, "." and "..".
 
-    What climbs above / stays there, as in a file system.
+    A ".." at the root refers to the root itself, as in a file system.
 
     Raises:
-        InvalidPathError: the path is too long or has a zero byte.
+        InvalidPathError: the path is too long or contains a NUL character.
     """
     if len(path) > MAX_PATH_LENGTH or "\0" in path:
-        raise InvalidPathError("a path too long or with a zero byte")
+        raise InvalidPathError(
+            f"path of {len(path)} characters is over {MAX_PATH_LENGTH} or contains NUL"
+        )
     parts: list[str] = []
     for part in path.split("/"):
         if part == "..":
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -1,7 +1,4 @@
-"""Runs one client command: requests one after another, then one answer.
-
-`command_steps` says which request follows which.
-"""
+"""Executes a client command by requests in the order that `command_steps` defines."""
 
 from __future__ import annotations
 
@@ -30,17 +27,17 @@
     PageOutcome,
     StepEffect,
     StepResult,
+    final_result,
     first_step,
     next_step,
     page_outcome,
-    result_for_client,
     step_result,
     strategy_for,
 )
 from milletsill.sftp_gateway.command_targets import (
     StepTarget,
+    command_with_name,
     link_target,
-    renamed_command,
     unlink_target,
 )
 from milletsill.sftp_gateway.gateway_context import GatewayContext
@@ -54,17 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCommand:
-    """A client's command that costs nodes work.
+    """A client's command that needs requests to nodes.
 
     Attributes:
         packet: the command as the client sent it.
-        terms: what the client says of it.
-        volume: that it belongs to.
-        path: canonical.
-        handle: through which it comes, None for a command on a path.
-        arrived: when it may have come, in tenths of a millisecond.
-        octets: of the client's packet.
-        attempt_guard: of a channel's request, else None.
+        terms: the terms that the client sent with the command.
+        volume: the volume of the path.
+        path: canonical path.
+        handle: the handle that it refers to; None for a command on a path.
+        arrived: the earliest possible arrival time, in tenths of a millisecond.
+        octets: size of the client's packet.
+        attempt_guard: the guard of a channel's request, else None.
     """
 
     packet: Any
@@ -78,22 +75,22 @@
 
 
 def data_size(packet: Any) -> int:
-    """Return the bytes that a command moves."""
+    """Return the number of bytes that a command reads or writes."""
     if isinstance(packet, packets.Write):
         return len(packet.data)
     return getattr(packet, "length", 0)
 
 
 class CommandExecution:
-    """One command on its way; the sink of its requests' answers.
+    """A command in execution; the response sink of its requests.
 
-    `start` begins it. The callback is called once with the answer, and never after
-    `abandon`.
+    `start` sends the first request. The callback is called exactly once with the
+    answer, but not after `abandon`.
 
     Attributes:
-        steps_done: requests that were answered.
-        mutated: whether one of them has changed something at a node.
-        final: how it ended, for metrics and flow records.
+        steps_done: number of answered requests.
+        mutated: whether one of the requests changed something at a node.
+        final: the final outcome, for metrics and flow records.
     """
 
     def __init__(
@@ -115,7 +112,7 @@
             self.operation, given.volume, self.size
         )
         self._set_key_and_deadline()
-        self.strategy = CommandStrategy.PLAIN
+        self.strategy = CommandStrategy.SINGLE_REQUEST
         self.step = CommandStep.HOME
         self.location: ObjectLocation | None = None
         self.steps_done = 0
@@ -123,7 +120,7 @@
         self.shard_index = 0
         self.request_id: int | None = None
         self.final = "abandoned"
-        self.kept_answer: Any = None
+        self.saved_answer: Any = None
 
     def _set_key_and_deadline(self) -> None:
         gateway, terms = self.gateway, self.terms
@@ -133,8 +130,8 @@
         )
         guard = self.attempt_guard
         if guard is not None:
-            # Its deadline is the lease's or its idempotency key's, which says nothing
-            # of when its client first tried.
+            # The guard's deadline follows from the lease and the idempotency key. It
+            # does not depend on the client's first attempt.
             self.idempotency_key = guard.idempotency_key
             self.deadline = min(self.deadline, guard.deadline)
             self.is_retry = False
@@ -163,27 +160,27 @@
         self._send_request()
 
     def abandon(self) -> None:
-        """Drop it: the client has left."""
+        """Cancel the current request and discard the answer: the client is gone."""
         self.on_answer = _ignore_answer
         if self.request_id is not None:
             self.gateway.host.cancel_request(self.request_id)
 
-    # The step at hand.
+    # The current step.
 
     def _home(self, path: str) -> int:
         return self.gateway.routing_table.home_shard(self.volume, path)
 
     def _listed_shards(self) -> list[int]:
-        """Return the volume's shards, the home of the path last."""
+        """Return the volume's shards with the home shard of the path last."""
         home = self._home(self.path)
         return [each for each in self.volume.shards if each != home] + [home]
 
-    def _renamed(self, command: Any, name: str) -> Any:
+    def _named_command(self, command: Any, name: str) -> Any:
         most = self.gateway.routing_table.max_request_bytes
-        return renamed_command(command, name, most)
+        return command_with_name(command, name, most)
 
     def _target(self) -> StepTarget:
-        """Return where the step at hand goes."""
+        """Return the target of the current step."""
         if self.step is CommandStep.PLACING:
             name = self.gateway.new_object_name()
             self.location = ObjectLocation(UNKNOWN_SHARD, name)
@@ -196,13 +193,16 @@
         if self.location is not None and self.step is not CommandStep.HOME:
             return self._location_target(self.location)
         command = self.command
-        if isinstance(command, packets.Open) and self.strategy is CommandStrategy.MAKE:
+        if (
+            isinstance(command, packets.Open)
+            and self.strategy is CommandStrategy.CREATE
+        ):
             command = replace(command, flags=command.flags & ~packets.CREATE_FLAG)
         home = self._home(self.path)
-        return StepTarget(home, self.path, self._renamed(command, self.path))
+        return StepTarget(home, self.path, self._named_command(command, self.path))
 
     def _location_target(self, location: ObjectLocation) -> StepTarget:
-        """Return where a step goes that is about a known location."""
+        """Return the target of a step that refers to a known location."""
         if self.step is CommandStep.LINKING:
             return link_target(self._home(self.path), self.path, location)
         if self.step is CommandStep.MOVING:
@@ -210,7 +210,7 @@
             return link_target(self._home(target), target, location)
         if self.step in (CommandStep.CLEARING, CommandStep.UNLINKING):
             return unlink_target(self._home(self.path), self.path, location)
-        command = self._renamed(self.command, location.name)
+        command = self._named_command(self.command, location.name)
         return StepTarget(location.shard, location.name, command)
 
     def _listing_target(self) -> StepTarget:
@@ -219,15 +219,15 @@
         if self.strategy is CommandStrategy.LIST:
             after = self.handle.after if self.handle is not None else ""
             name = f"{self.path}\0{after}"
-        return StepTarget(shard, self.path, self._renamed(self.command, name))
+        return StepTarget(shard, self.path, self._named_command(self.command, name))
 
     def _send_request(self) -> None:
-        """Hand the step at hand to the scheduler as a request."""
+        """Pass the current step to the scheduler as a request."""
         gateway = self.gateway
         reason = gateway.refusal(self.deadline)
         if reason:
             delay = gateway.host.config.max_retry_after
-            self._give_up(StepResult.DECLINED, delay, reason)
+            self._give_up(StepResult.REJECTED, delay, reason)
             return
         target = self._target()
         self.request_id = gateway.next_request_id()
@@ -264,10 +264,10 @@
             self.attempt_guard,
         )
 
-    # What the scheduler host says of the request (`ResponseSink`).
+    # Calls from the scheduler host (`ResponseSink`).
 
     def succeeded(self, reply: NodeReply) -> None:
-        """Take a node's answer: go on with the next step, or end."""
+        """Handle a node's answer: continue with the next step, or finish."""
         self.request_id = None
         answer = reply.answer
         status = answer.code if isinstance(answer, packets.Status) else None
@@ -277,23 +277,23 @@
             self.location = ObjectLocation(int(reply.text), self.location.name)
         self.steps_done += 1
         self.step, effect = next_step(self.strategy, step, result, self.steps_done)
-        self.mutated |= step in MUTATING_STEPS and result is StepResult.FINE
+        self.mutated |= step in MUTATING_STEPS and result is StepResult.SUCCEEDED
         self._apply(effect, reply.text, answer)
 
     def rejected(self, pause: int) -> None:
-        """End it: the scheduler rejected the request."""
+        """Finish the command: the scheduler rejected the request."""
         self.request_id = None
-        self._give_up(StepResult.DECLINED, pause, "declined")
+        self._give_up(StepResult.REJECTED, pause, "declined")
 
     def failed(self) -> None:
-        """End it: the request may have been done or not."""
+        """Finish the command: the request failed, and a node may have executed it."""
         self.request_id = None
-        self._give_up(StepResult.ABORTED, 0, "aborted")
+        self._give_up(StepResult.FAILED, 0, "aborted")
 
     def _give_up(self, result: StepResult, retry_delay: int, reason: str) -> None:
-        """End the command without having done it in full."""
+        """Finish a command that is not executed completely."""
         id = self.command.id
-        if result_for_client(result, self.mutated) is StepResult.ABORTED:
+        if final_result(result, self.mutated) is StepResult.FAILED:
             self._finish(failed_status(id), "aborted", reason)
         else:
             self._finish(rejected_status(id, retry_delay), "declined", reason)
@@ -301,9 +301,9 @@
     # Effects of a step.
 
     def _apply(self, effect: StepEffect, link: str, answer: Any) -> None:
-        """Do what the table says and go on, or end."""
-        if effect is StepEffect.TAKE_PAGE:
-            self._take_page(answer)
+        """Carry out the effect of a step: continue or finish the command."""
+        if effect is StepEffect.HANDLE_PAGE:
+            self._handle_page(answer)
             return
         if effect is StepEffect.NEXT_STEP:
             self._send_request()
@@ -312,20 +312,20 @@
         elif effect is StepEffect.FORGET_LOCATION:
             self.gateway.location_cache.drop(self.path)
             self._send_request()
-        elif effect is StepEffect.KEEP_ANSWER:
-            self.kept_answer = answer
+        elif effect is StepEffect.SAVE_ANSWER:
+            self.saved_answer = answer
             self._send_request()
         elif effect is StepEffect.NEXT_SHARD:
             self._sweep_next_shard(answer)
-        elif effect is StepEffect.FAIL_IN_CIRCLE:
-            self._give_up(StepResult.ABORTED, 0, "links that lead in a circle")
+        elif effect is StepEffect.FAIL_LINK_LOOP:
+            self._give_up(StepResult.FAILED, 0, "the command's links form a loop")
         else:
             self._finish(self._last_answer(effect, answer))
 
     def _follow_link(self, link: str) -> None:
         self.location = parse_location(link)
         if self.location is None:
-            self._finish(self._failure("a link that leads nowhere"))
+            self._finish(self._failure("the link contains no valid location"))
             return
         self.gateway.location_cache.put(self.path, self.location)
         self._send_request()
@@ -338,33 +338,33 @@
         self._send_request()
 
     def _last_answer(self, effect: StepEffect, answer: Any) -> Any:
-        """Return the answer that ends the command."""
+        """Return the final answer to the command."""
         id = self.command.id
         if effect is StepEffect.ANSWER_CREATED and self.location is not None:
             self.gateway.location_cache.put(self.path, self.location)
-            return self.kept_answer
-        if effect is StepEffect.ANSWER_DONE:
+            return self.saved_answer
+        if effect is StepEffect.ANSWER_OK:
             return packets.Status(id, packets.OK)
         if effect is StepEffect.ANSWER_UNSUPPORTED:
             reason = "this object cannot be renamed"
             return packets.Status(id, packets.UNSUPPORTED, reason)
-        if effect is StepEffect.ANSWER_NAME_TAKEN:
-            return self._failure("the new name stands already")
+        if effect is StepEffect.ANSWER_NAME_EXISTS:
+            return self._failure("the new name already exists")
         if answer is None:
-            return self._failure("a link where none belongs")
+            return self._failure("unexpected link instead of an object")
         return answer
 
     def _failure(self, reason: str) -> packets.Status:
         return packets.Status(self.command.id, packets.FAILURE, reason)
 
-    def _take_page(self, answer: Any) -> None:
-        """Take one page of a directory."""
+    def _handle_page(self, answer: Any) -> None:
+        """Handle one page of a directory listing."""
         handle = self.handle
         assert handle is not None
         ended = not isinstance(answer, packets.DirectoryEntries)
-        names = () if ended else handle.take_page(answer)
+        names = () if ended else handle.add_page(answer)
         if ended:
-            handle.found |= answer.code != packets.NO_SUCH_FILE
+            handle.directory_found |= answer.code != packets.NO_SUCH_FILE
         shards_left = len(self.volume.shards) - 1 - self.shard_index
         outcome = page_outcome(len(names), ended, shards_left)
         if outcome is PageOutcome.ANSWER:
@@ -380,12 +380,12 @@
 
     def _end_of_directory(self, handle: OpenHandle) -> packets.Status:
         id = self.command.id
-        if handle.found or self.path == self.volume.root:
-            return packets.Status(id, packets.EOF, "the end")
+        if handle.directory_found or self.path == self.volume.root:
+            return packets.Status(id, packets.EOF, "end of directory")
         return packets.Status(id, packets.NO_SUCH_FILE, "no such file")
 
     def _finish(self, packet: Any, final: str = "satisfied", reason: str = "") -> None:
-        """Give the one answer to the client."""
+        """Pass the final answer to the callback."""
         self.step = CommandStep.OVER
         self.final = final
         on_answer = self.on_answer
@@ -395,4 +395,4 @@
 
 
 def _ignore_answer(packet: Any) -> None:
-    """Drop an answer that nobody waits for."""
+    """Ignore the answer to a command that is abandoned or already answered."""
--- a/milletsill/sftp_gateway/command_payload.py
+++ b/milletsill/sftp_gateway/command_payload.py
@@ -1,4 +1,4 @@
-"""What an attempt carries beside its request's numbers, and answers without one."""
+"""What an attempt carries to a node, and the answers to unfinished commands."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class AttemptGuard(Protocol):
-    """Says whether a channel's request may still leave (fleet/channels)."""
+    """Decides whether a channel's request may still be sent (see fleet/channels)."""
 
     idempotency_key: str
     deadline: int
 
     def may_send(self) -> bool:
-        """Whether an attempt may leave now."""
+        """Return whether an attempt may be sent now."""
 
     def count_dispatch(self, ended: AttemptEnded) -> AttemptEnded:
-        """Count an attempt that leaves; return who is to hear of its end."""
+        """Count an attempt that is sent; return the callback for its end."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandPayload:
-    """What an attempt carries to a node beside the request's numbers.
+    """What an attempt carries to a node in addition to the request's fields.
 
     Attributes:
-        command: as the node is to run it.
-        idempotency_key: by which the node knows the request again.
-        mark: the client's, with its count of tries; empty for none.
-        request_class: its name.
-        attempt_guard: of a channel's request, else None.
+        command: the command that the node executes.
+        idempotency_key: identifies repeated requests at the node.
+        mark: the client's mark with its number of retries; empty for none.
+        request_class: the name of the request class.
+        attempt_guard: the guard of a channel's request, else None.
     """
 
     command: packets.Command
@@ -43,12 +43,17 @@
 
 
 def rejected_status(id: int, retry_delay: int) -> packets.Status:
-    """Return the answer to a rejected command; the delay in tenths of a millisecond."""
+    """Return the answer to a rejected command.
+
+    Args:
+        id: the client's id of the command.
+        retry_delay: in tenths of a millisecond.
+    """
     milliseconds = -(-retry_delay // 10)
     return packets.Status(
         id,
         packets.FAILURE,
-        f"declined: nothing was done, come again in {milliseconds} ms",
+        f"declined: nothing was done, retry in {milliseconds} ms",
         f"x-declined-{milliseconds}",
     )
 
@@ -56,7 +61,7 @@
 def failed_status(id: int) -> packets.Status:
     """Return the answer to a command that may have been done."""
     return packets.Status(
-        id, packets.FAILURE, "aborted: it may have been done or not", "x-aborted"
+        id, packets.FAILURE, "aborted: it may have been done", "x-aborted"
     )
 
 
--- a/milletsill/sftp_gateway/command_report.py
+++ b/milletsill/sftp_gateway/command_report.py
@@ -1,4 +1,4 @@
-"""What is counted, traced and logged of commands that have their answer."""
+"""Counts, traces and logs answered commands."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CommandReport:
-    """Counts each finished command, and logs some of them."""
+    """Counts and traces each finished command, and logs some of them."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
     def on_command_finished(
         self, execution: CommandExecution, final: str, reason: str
     ) -> None:
-        """Count, trace and log a command that has its answer."""
+        """Count, trace and log an answered command."""
         now = self.gateway.now()
         latency = now - execution.began
         name = self.gateway.request_class_name(execution.request_class)
@@ -55,7 +55,7 @@
     def _trace(
         self, now: int, execution: CommandExecution, final: str, reason: str
     ) -> None:
-        # The trace's code is loaded only where the file asks for traces.
+        # The trace package is imported only if the file enables traces.
         from milletsill.trace.recorder import CommandRecord
 
         table = self.gateway.routing_table
--- a/milletsill/sftp_gateway/command_targets.py
+++ b/milletsill/sftp_gateway/command_targets.py
@@ -1,4 +1,4 @@
-"""Where one step of a command goes, and the command that the node is to run there."""
+"""The target shard, object name and node command of one step of a command."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from milletsill.sftp_gateway.command_classification import canonical_path
 from milletsill.sftp_gateway.object_location import ObjectLocation, format_location
 
-REMOVED_LINK_PREFIX = "-"  # a link with it takes the link to that location away
+REMOVED_LINK_PREFIX = "-"  # a SYMLINK whose target starts with it removes the link
 
 
 @dataclass(frozen=True, slots=True)
 class StepTarget:
-    """Where one step of a command goes.
+    """The target of one step of a command.
 
     Attributes:
-        shard: None for any that the scheduler chooses.
-        name: the object's name there.
-        command: as the node is to run it.
+        shard: the target shard; None if the scheduler chooses it.
+        name: the object's name on the shard.
+        command: the command that the node executes.
     """
 
     shard: int | None
@@ -28,24 +28,27 @@
 
 
 def link_target(shard: int, path: str, location: ObjectLocation) -> StepTarget:
-    """Return the step that makes a link from a path to a location."""
+    """Return the target of a step that creates a link from a path to a location."""
     link = packets.Symlink(0, path, format_location(location))
     return StepTarget(shard, path, link)
 
 
 def unlink_target(shard: int, path: str, location: ObjectLocation) -> StepTarget:
-    """Return the step that takes a link away if it still leads to the location."""
+    """Return the target of a step that removes a link.
+
+    The node removes the link only if it still refers to the location.
+    """
     target = REMOVED_LINK_PREFIX + format_location(location)
     return StepTarget(shard, path, packets.Symlink(0, path, target))
 
 
-def renamed_command(command: Any, name: str, max_read: int) -> Any:
-    """Return the client's command with the name that the node knows.
+def command_with_name(command: Any, name: str, max_read: int) -> Any:
+    """Return the client's command with the object name that the node uses.
 
     Args:
-        command: the client's.
-        name: takes the place of its handle or path.
-        max_read: bytes that one read may ask for.
+        command: the client's command.
+        name: replaces the handle or path of the command.
+        max_read: maximum length of a read, in bytes.
     """
     if isinstance(command, packets.Extended):
         return extensions.encode_fsync(0, name.encode("utf-8", "surrogateescape"))
--- a/milletsill/sftp_gateway/deployment.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -1,9 +1,7 @@
-"""The operator's file as the scheduler's configuration and the routing table.
+"""Converts the gateway's file to the scheduler's configuration and the routing table.
 
-Nothing is decided or tuned here.
-
-Spans that must not be passed are rounded down, those that must have passed are rounded
-up, to whole tenths of a millisecond, so that rounding never breaks a deadline.
+Durations become ticks of a tenth of a millisecond. Upper limits are rounded down and
+minimum waiting times are rounded up, so that rounding never breaks a deadline.
 """
 
 from __future__ import annotations
@@ -27,37 +25,37 @@
 )
 
 
-def at_most(ms: float) -> int:
-    """Return milliseconds that must not be passed as tenths, rounded down."""
+def ticks_rounded_down(ms: float) -> int:
+    """Convert an upper limit from milliseconds to ticks, rounding down."""
     return max(int(ms * 10), 0)
 
 
-def at_least(ms: float) -> int:
-    """Return milliseconds that must have passed as tenths, rounded up."""
+def ticks_rounded_up(ms: float) -> int:
+    """Convert a minimum waiting time from milliseconds to ticks, rounding up."""
     return ceil(ms * 10)
 
 
 def request_class_of(given: Any) -> RequestClassConfig:
-    """Return one request class of the file."""
+    """Return the configuration of a request class of the file."""
     return RequestClassConfig(
         name=given.name,
-        latency_objective=at_most(given.target_ms),
+        latency_objective=ticks_rounded_down(given.target_ms),
         objective_stretch=0.0,
-        client_timeout=at_most(given.patience_ms),
+        client_timeout=ticks_rounded_down(given.patience_ms),
         priority_weight=given.utility,
         late_weight=given.late_utility,
         is_streaming=False,
         retry_safety=RetrySafety(given.repeats),
         retry_scope=RetryScope(given.group),
-        retry_window=at_most(given.repeat_window_ms),
+        retry_window=ticks_rounded_down(given.repeat_window_ms),
         is_ordered=given.in_order,
     )
 
 
 def service_plan_of(given: Any) -> ServicePlanConfig:
-    """Return one service plan of the file.
+    """Return the configuration of a service plan of the file.
 
-    Volumes name it by place, so its name is not kept.
+    Volumes refer to a plan by its index, so its name is not needed.
     """
     return ServicePlanConfig(
         usual_rate=given.usual_rate,
@@ -71,18 +69,18 @@
 
 
 def config_of(file: Any) -> DeploymentConfig:
-    """Return the configuration of one gateway's file."""
+    """Return the deployment configuration in a gateway's file."""
     rules = file.rules
     shards = (shard for each in file.volume for shard in each.cell)
     return DeploymentConfig(
         gateway_count=file.gateways,
         gateway_index=None,
-        timer_resolution=max(at_least(rules.tick_ms), 1),
+        timer_resolution=max(ticks_rounded_up(rules.tick_ms), 1),
         zone=file.zone,
         request_classes=tuple(request_class_of(each) for each in file.category),
         service_plans=tuple(service_plan_of(each) for each in file.plan),
         write_classes=tuple(
-            place for place, each in enumerate(file.category) if each.write
+            index for index, each in enumerate(file.category) if each.write
         ),
         share_weight=rules.share_utility,
         spare_weight=rules.spare_utility,
@@ -95,33 +93,33 @@
         max_attempts=rules.most_dispatches,
         max_queued_requests=file.door.most_held,
         sends_retry_after=rules.longest_pause_ms > 0,
-        max_retry_after=at_most(rules.longest_pause_ms),
+        max_retry_after=ticks_rounded_down(rules.longest_pause_ms),
         watches_endpoints=True,
         load_report_fields=tuple(file.reports.field),
         cross_zone_cost=0.0,
         has_nominal_sizes=True,
-        rewatch_within=at_most(rules.ask_within_ms),
+        rewatch_within=ticks_rounded_down(rules.ask_within_ms),
         slow_start_initial_fraction=rules.cold_from,
-        slow_start_duration=at_least(rules.warm_after_s * 1000),
+        slow_start_duration=ticks_rounded_up(rules.warm_after_s * 1000),
         slow_start_multiple=rules.cold_multiple,
-        slow_start_window=at_least(rules.cold_window_ms),
+        slow_start_window=ticks_rounded_up(rules.cold_window_ms),
         retry_budget_free=rules.further_free,
         retry_budget_ratio=rules.further_ratio,
-        retry_budget_window=at_least(rules.further_window_ms)
+        retry_budget_window=ticks_rounded_up(rules.further_window_ms)
         if rules.HasField("further_window_ms")
         else None,
-        key_quarantine=at_least(rules.key_rest_ms),
-        dial_timeout=at_least(file.links.dial_ms),
+        key_quarantine=ticks_rounded_up(rules.key_rest_ms),
+        dial_timeout=ticks_rounded_up(file.links.dial_ms),
     )
 
 
 def routing_table_of(file: Any) -> RoutingTable:
-    """Return the map from commands to requests."""
-    plans = {each.name: place for place, each in enumerate(file.plan)}
-    request_classes = {each.name: place for place, each in enumerate(file.category)}
+    """Return the routing table of a gateway's file."""
+    plans = {each.name: index for index, each in enumerate(file.plan)}
+    request_classes = {each.name: index for index, each in enumerate(file.category)}
     volumes = [
         RoutedVolume(
-            number=place + 1,
+            number=index + 1,
             name=each.name,
             root=each.root,
             plan=plans[each.plan],
@@ -129,7 +127,7 @@
             sharing_gateways=each.gateways or file.gateways,
             placement=each.placement,
         )
-        for place, each in enumerate(file.volume)
+        for index, each in enumerate(file.volume)
     ]
     routes = [
         RouteRule(
@@ -150,13 +148,13 @@
 
 
 def pool_limits_of(file: Any) -> PoolLimits:
-    """Return the limits of every pool of node connections."""
+    """Return the limits of each pool of node connections."""
     links = file.links
     return PoolLimits(
         connections=links.connections,
         streams=links.streams,
         handshakes=links.handshakes,
-        dial=at_least(links.dial_ms),
-        idle=at_least(links.idle_s * 1000),
-        silence=at_least(links.silent_ms),
+        dial=ticks_rounded_up(links.dial_ms),
+        idle=ticks_rounded_up(links.idle_s * 1000),
+        silence=ticks_rounded_up(links.silent_ms),
     )
--- a/milletsill/sftp_gateway/errors.py
+++ b/milletsill/sftp_gateway/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong at a gateway as a whole, by type."""
+"""Errors that concern a whole gateway."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class RestartRequiredError(ConfigurationRejectedError):
-    """A file on SIGHUP that changes what a running gateway cannot change."""
+    """The file read on SIGHUP changes settings that need a restart."""
 
     remedy = (
-        "restart the gateway to take it, or put those fields back; nothing of the file "
-        "was taken"
+        "restart the gateway to apply the file, or restore those fields; no setting "
+        "of the file was applied"
     )
 
 
 class IncarnationNotStoredError(StateNotStoredError):
-    """The number of this start, which cannot be read or written."""
+    """The gateway's incarnation cannot be read from disk or written to it."""
 
     remedy = (
-        "make room in state_dir or make it writable; until then each start takes its "
-        "number from the wall clock"
+        "free space in state_dir or make it writable; until then each start derives "
+        "its incarnation from the wall clock"
     )
--- a/milletsill/sftp_gateway/gateway.py
+++ b/milletsill/sftp_gateway/gateway.py
@@ -1,6 +1,6 @@
-"""The SFTP gateway as one object: clients, scheduler, nodes, endpoint list, metrics.
+"""The SFTP gateway: connects clients, scheduler, nodes, endpoint list and metrics.
 
-Several can live in one process.
+A process can have several gateways.
 """
 
 from __future__ import annotations
@@ -48,22 +48,25 @@
 
 
 def monotonic() -> int:
-    """Return tenths of a millisecond, whole, rounded up: what is over is over."""
+    """Return the monotonic clock in tenths of a millisecond, rounded up.
+
+    Rounding up ensures that a deadline that has passed is seen as passed.
+    """
     return -(-time.monotonic_ns() // 100_000)
 
 
 class SftpGateway:
     """One gateway.
 
-    The scheduler is made by `make_scheduler`; the laboratory alone puts a baseline in
-    its place.
+    `make_scheduler` creates the scheduler; only the laboratory replaces it, by a
+    baseline.
 
     Attributes:
-        state: of the gateway.
-        failed: whether it could not start.
-        on_stopped: called once it is stopped.
-        flows, traces, quota_client, fleet, health, channels: what the file may ask
-            for, None without.
+        state: the state of the gateway.
+        failed: whether the gateway failed to start.
+        on_stopped: callbacks for the end of the gateway.
+        flows, traces, quota_client, fleet, health, channels: the optional parts;
+            None if the file does not enable them.
     """
 
     def __init__(
@@ -89,8 +92,8 @@
         self.stall_watch = StallWatch(reactor, now)
         self.unread_since = self.stall_watch.unread_since
         self.after_reads = self.stall_watch.after_reads
-        self._take_incarnation()
-        self._take_reloadable_settings(file)
+        self._load_incarnation()
+        self._apply_reloadable_settings(file)
         self.location_cache = LocationCache(file.door.locations)
         config = deployment.config_of(file)
         seed = self._seed()
@@ -117,7 +120,7 @@
     def _incarnation_path(self) -> str:
         return os.path.join(self.file.state_dir, "incarnation")
 
-    def _take_incarnation(self) -> None:
+    def _load_incarnation(self) -> None:
         os.makedirs(self.file.state_dir, exist_ok=True)
         incarnation, error = next_incarnation(self._incarnation_path())
         if error is not None:
@@ -127,9 +130,9 @@
         self.new_object_name = self.identifiers.new_object_name
         self.new_idempotency_key = self.identifiers.new_idempotency_key
 
-    def _take_reloadable_settings(self, file: Any) -> None:
+    def _apply_reloadable_settings(self, file: Any) -> None:
         self.routing_table = deployment.routing_table_of(file)
-        self.answer_margin = deployment.at_least(file.door.answer_margin_ms)
+        self.answer_margin = deployment.ticks_rounded_up(file.door.answer_margin_ms)
         limiter = AnswerLogLimiter(file.logging.answers_per_s)
         self.command_report = CommandReport(self, self.metrics, limiter, self.log)
 
@@ -140,25 +143,26 @@
 
     @property
     def incarnation(self) -> int:
-        """Which start of the gateway this is."""
+        """The number of this start of the gateway."""
         return self.identifiers.incarnation
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Take a later incarnation than this start's, which the fleet knew.
+        """Adopt a later incarnation that the fleet knows of this gateway.
 
-        What leaves from now on has the new one, the next start goes past both. Guards
-        nodes against names and keys of a former start whose state was lost. Harm: what
-        left before the fleet's message has the old one.
+        New identifiers contain the later incarnation, and the next start uses a
+        greater one. Otherwise, after a loss of the state directory, names and keys
+        would repeat those of an earlier start. Identifiers that were sent before the
+        fleet's message still contain the lower incarnation.
         """
         self.identifiers.incarnation = max(self.incarnation, incarnation)
         error = store_incarnation(self._incarnation_path(), incarnation)
         if error is not None:
             self.warn("incarnation_not_kept", **error.log_fields())
 
-    # Start and end.
+    # Start and stop.
 
     def start(self) -> None:
-        """Start the parts, take the cached endpoint list, listen."""
+        """Start the parts, load the cached endpoint list, and listen."""
         if self.fleet is not None:
             try:
                 self.fleet.start()
@@ -171,30 +175,31 @@
         self.endpoint_watcher.start()
         if self.quota_client is not None:
             self.quota_client.start()
-        self._on_event(GatewayEvent.LISTED)
+        self._on_event(GatewayEvent.ENDPOINTS_LOADED)
         self._schedule_check(self.now())
         self.stall_watch.start()
 
     def terminate(self) -> None:
-        """Take no new commands, answer those that were taken, then end: SIGTERM."""
-        self._on_event(GatewayEvent.TERM)
+        """Reject new commands, answer the accepted ones, then stop (SIGTERM)."""
+        self._on_event(GatewayEvent.TERMINATE)
 
     def reload(self, file: Any) -> None:
-        """Take another file for what a running gateway can change: SIGHUP.
+        """Apply the settings that can change in a running gateway (SIGHUP).
 
-        That is limits of clients, volumes, routes, logs. What the scheduler was told at
-        the start stands until a restart.
+        These are client limits, volumes, routes and logging. The scheduler's
+        configuration stays the same until a restart, so a file that changes it is
+        rejected.
         """
         if self._needs_restart(file):
             error = RestartRequiredError(
-                "plans, categories, rules, name, address, traces or fleet are not "
-                "those of the start"
+                "plans, categories, rules, name, address, traces or fleet differ "
+                "from those at the start"
             )
             self.warn("file_refused", **error.log_fields())
             return
         self.file = file
         self.log = self._make_log(file)
-        self._take_reloadable_settings(file)
+        self._apply_reloadable_settings(file)
         self.log.info("reloaded", volumes=len(file.volume), routes=len(file.route))
 
     def _needs_restart(self, file: Any) -> bool:
@@ -207,7 +212,7 @@
         )
 
     def _on_event(self, event: GatewayEvent) -> None:
-        """Read the table and act."""
+        """Apply a state transition and carry out its effect."""
         self.state, effect = next_gateway_state(self.state, event)
         if effect is GatewayEffect.LISTEN:
             self._listen()
@@ -219,26 +224,26 @@
     def _drain(self) -> None:
         self.log.info("draining", held=self.host.unanswered)
         if self.channels is not None:
-            # The fleet is told of the leave when the channels' leases are given up.
+            # The channels leave the fleet once their leases are released.
             self.channels.drain()
         elif self.fleet is not None:
             self.fleet.leave()
         self.listening.close()
         self.drain_deadline_call = self.reactor.callLater(
-            self.file.door.drain_s, self._on_event, GatewayEvent.OVERDUE
+            self.file.door.drain_s, self._on_event, GatewayEvent.DRAIN_TIMEOUT
         )
         self.stop_if_drained()
 
     def stop_if_drained(self) -> None:
-        """Stop a gateway that drains once nothing is unanswered."""
+        """Stop a draining gateway once no command is unanswered."""
         if self.state is not GatewayState.DRAINING or self.host.unanswered:
             return
         if self.channels is not None and self.channels.unanswered:
             return
-        self.reactor.callLater(0, self._on_event, GatewayEvent.EMPTY)
+        self.reactor.callLater(0, self._on_event, GatewayEvent.DRAINED)
 
     def stop(self) -> None:
-        """Cut everything that is left."""
+        """Stop all parts and close all connections immediately."""
         self.state = GatewayState.STOPPED
         self.log.info("stopped", held=self.host.unanswered)
         self.listening.stop()
@@ -266,7 +271,7 @@
             callback()
 
     def _listen(self) -> None:
-        """Listen; an address that cannot be had ends the start with one line."""
+        """Open the listening ports; a failure to bind ends the start with an error."""
         clients = SftpClientListener(self)
         self.listening.open(self.file.listen, clients, "listening")
         if self.file.HasField("metrics"):
@@ -277,18 +282,18 @@
         self.log.info(event, address=address, incarnation=self.incarnation)
 
     def _fail_start(self, error: MilletsillError) -> None:
-        """End a start that cannot be made."""
+        """Log the error that prevents the start, and stop."""
         self.log.error("cannot_listen", **error.log_fields())
         self.failed = True
         self.stop()
 
-    # Time.
+    # Periodic checks.
 
     def _schedule_check(self, now: int) -> None:
         self.check_call = self.reactor.callLater(CHECK_INTERVAL, self._check, now)
 
     def _check(self, last_check: int) -> None:
-        """Check idle clients, the loop's lag and gauges, once a second."""
+        """Check client timeouts and update the loop lag and the gauges."""
         now = self.now()
         lag = max(now - last_check - CHECK_INTERVAL * TICKS_PER_SECOND, 0)
         self.metrics.loop_lag.observe(lag / TICKS_PER_SECOND)
@@ -298,9 +303,9 @@
             self.traces.update_metrics()
         if self.quota_client is not None:
             self.quota_client.on_tick()
-        max_idle = deployment.at_least(self.file.door.idle_s * 1000)
+        max_idle = deployment.ticks_rounded_up(self.file.door.idle_s * 1000)
         for client in list(self.clients):
-            client.check(max_idle)
+            client.check_timeouts(max_idle)
         self._schedule_check(now)
 
     # The endpoint list.
@@ -308,7 +313,7 @@
     def on_endpoints(
         self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        """Pass an update of the endpoint list on."""
+        """Pass an update of the endpoint list to the scheduler and other parts."""
         self.metrics.endpoint_updates.labels(kind.value).inc()
         self.host.on_endpoints(kind, endpoints)
         if self.health is not None:
@@ -317,14 +322,14 @@
             self.quota_client.on_endpoints(endpoints)
 
     def on_nodes(self, nodes: list[RegisteredNode]) -> None:
-        """Have the connections follow the endpoint list."""
+        """Update the node pools to the endpoint list."""
         self.metrics.nodes.set(len(nodes))
         self.node_pools.update(nodes)
 
     # Clients.
 
     def on_client_connected(self, client: SftpClientConnection) -> bool:
-        """Take a new client; return False where there is no room for it."""
+        """Accept a new client; return False if the gateway has no capacity."""
         full = len(self.clients) >= self.file.door.most_connections
         if full or self.state is not GatewayState.SERVING:
             self.warn("client_not_taken", clients=len(self.clients))
@@ -333,12 +338,12 @@
         return True
 
     def on_client_lost(self, client: SftpClientConnection) -> None:
-        """Forget a client."""
+        """Remove a disconnected client."""
         self.clients.discard(client)
         self.stop_if_drained()
 
     def refusal(self, deadline: int) -> str:
-        """Return why a command cannot be taken now, "" where it can."""
+        """Return why a command cannot be accepted now, or "" if it can."""
         return refusal_reason(
             self.state,
             self.host.unanswered,
@@ -349,12 +354,12 @@
     def on_command_finished(
         self, execution: CommandExecution, final: str, reason: str
     ) -> None:
-        """Count a command that has its answer."""
+        """Report an answered command."""
         self.command_report.on_command_finished(execution, final, reason)
         self.stop_if_drained()
 
     def allows_rename(self, volume: RoutedVolume, path: str, target: str) -> bool:
-        """Return whether a rename can be done: by links, or within one shard."""
+        """Return whether a rename is possible: by links, or within one shard."""
         if volume.placement == VolumePlacement.FREE:
             return True
         home_shard = self.routing_table.home_shard
--- a/milletsill/sftp_gateway/gateway_context.py
+++ b/milletsill/sftp_gateway/gateway_context.py
@@ -1,7 +1,7 @@
-"""What connections and commands of clients may ask of the gateway around them.
+"""The interface of the gateway that client connections and commands use.
 
-`gateway.SftpGateway` is it; imports run towards here. Times are tenths of a
-millisecond.
+`gateway.SftpGateway` implements it. The other modules import this interface instead of
+`gateway`, which avoids import cycles. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -14,17 +14,19 @@
 
 
 class GatewayContext(Protocol):
-    """The gateway as its clients' connections and commands see it.
+    """The gateway as seen by client connections and commands.
 
     Attributes:
-        file: the operator's settings.
-        routing_table: from commands to requests.
-        host: of the scheduler.
-        answer_margin: by which an answer leaves before the client's time is up.
-        location_cache: where new objects were last seen.
-        traces, flows, quota_client, channels: None where the file asks for none.
-        extensions: of SFTP that are offered beside those that always are.
-        now: the monotonic clock.
+        file: the settings in the gateway's file.
+        routing_table: maps paths and commands to volumes and request classes.
+        host: the scheduler host.
+        answer_margin: how long before the client timeout an answer is sent.
+        location_cache: the last known locations of objects with free placement.
+        traces, flows, quota_client, channels: None if the file does not enable
+            them.
+        extensions: SFTP extensions of optional parts, offered in addition to the
+            standard ones.
+        now: reads the monotonic clock.
     """
 
     file: Any
@@ -40,31 +42,31 @@
     now: Callable[[], int]
 
     def on_client_connected(self, client: Any) -> bool:
-        """Take a new client; return False where there is no room for it."""
+        """Accept a new client; return False if the gateway has no capacity."""
 
     def on_client_lost(self, client: Any) -> None:
-        """Forget a client."""
+        """Remove a disconnected client."""
 
     def unread_since(self) -> int | None:
-        """Return since when what is read now may have lain unread.
+        """Return the earliest arrival time of the data that is read now.
 
-        None where it is as new as it looks.
+        Return None if the process was not stalled.
         """
 
     def refusal(self, deadline: int) -> str:
-        """Return why a command cannot be taken now, "" where it can."""
+        """Return why a command cannot be accepted now, or "" if it can."""
 
     def on_command_finished(self, execution: Any, final: str, reason: str) -> None:
-        """Count a command that has its answer."""
+        """Report an answered command."""
 
     def warn(self, event: str, /, **values: Any) -> None:
         """Log a warning."""
 
     def after_reads(self, call: Callable[[], None]) -> None:
-        """Call once the sockets that are ready have been read."""
+        """Make a call once the sockets that are ready have been read."""
 
     def allows_rename(self, volume: RoutedVolume, path: str, target: str) -> bool:
-        """Return whether a rename can be done: by links, or within one shard."""
+        """Return whether a rename is possible: by links, or within one shard."""
 
     def plan_name(self, volume: RoutedVolume) -> str:
         """Return the name of a volume's service plan."""
@@ -73,10 +75,10 @@
         """Return the name of a request class."""
 
     def next_request_id(self) -> int:
-        """Return an id that no other request of this start has."""
+        """Return a request id that is unique within this start of the gateway."""
 
     def new_object_name(self) -> str:
-        """Return a name on a node that no other gateway or start gives."""
+        """Return an object name that no other gateway or start generates."""
 
     def new_idempotency_key(self) -> str:
-        """Return a key for a command whose client gave none."""
+        """Return an idempotency key for a command whose client sent none."""
--- a/milletsill/sftp_gateway/gateway_state.py
+++ b/milletsill/sftp_gateway/gateway_state.py
@@ -1,6 +1,7 @@
-"""The states of the gateway's process, and what is admitted in them.
+"""The states of a gateway, and which commands are accepted in them.
 
-A table and pure functions: no I/O, no clock. Times are tenths of a millisecond.
+The module has a transition table and pure functions. Times are in tenths of a
+millisecond.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 
     STARTING = auto()
     SERVING = auto()
-    DRAINING = auto()  # what is unanswered is answered, nothing new is taken
+    DRAINING = auto()  # answers accepted commands, rejects new ones
     STOPPED = auto()
 
 
 class GatewayEvent(Enum):
-    """What happens to a gateway."""
+    """The events of a gateway."""
 
-    LISTED = auto()  # the cached endpoint list was read
-    TERM = auto()
-    EMPTY = auto()
-    OVERDUE = auto()
+    ENDPOINTS_LOADED = auto()  # the cached endpoint list was read
+    TERMINATE = auto()  # SIGTERM or SIGINT
+    DRAINED = auto()
+    DRAIN_TIMEOUT = auto()
 
 
 class GatewayEffect(Enum):
-    """What is to be done after an event."""
+    """The action that follows an event."""
 
     NONE = auto()
     LISTEN = auto()
@@ -38,30 +39,34 @@
 
 GatewayTransition = tuple[GatewayState, GatewayEffect]
 GATEWAY_TABLE: Mapping[tuple[GatewayState, GatewayEvent], GatewayTransition] = {
-    (GatewayState.STARTING, GatewayEvent.LISTED): (
+    (GatewayState.STARTING, GatewayEvent.ENDPOINTS_LOADED): (
         GatewayState.SERVING,
         GatewayEffect.LISTEN,
     ),
-    (GatewayState.STARTING, GatewayEvent.TERM): (
+    (GatewayState.STARTING, GatewayEvent.TERMINATE): (
         GatewayState.STOPPED,
         GatewayEffect.STOP,
     ),
-    (GatewayState.SERVING, GatewayEvent.TERM): (
+    (GatewayState.SERVING, GatewayEvent.TERMINATE): (
         GatewayState.DRAINING,
         GatewayEffect.DRAIN,
     ),
     **{
-        # A second SIGTERM stops at once.
+        # A second signal stops the gateway immediately.
         (GatewayState.DRAINING, event): (GatewayState.STOPPED, GatewayEffect.STOP)
-        for event in (GatewayEvent.EMPTY, GatewayEvent.OVERDUE, GatewayEvent.TERM)
+        for event in (
+            GatewayEvent.DRAINED,
+            GatewayEvent.DRAIN_TIMEOUT,
+            GatewayEvent.TERMINATE,
+        )
     },
 }
 
 
 def next_gateway_state(state: GatewayState, event: GatewayEvent) -> GatewayTransition:
-    """Return the next state and what to do.
+    """Return the next state and the effect.
 
-    An event not in the table changes nothing.
+    An event that is not in the table changes nothing.
     """
     return GATEWAY_TABLE.get((state, event), (state, GatewayEffect.NONE))
 
@@ -69,26 +74,31 @@
 def refusal_reason(
     state: GatewayState, unanswered: int, max_unanswered: int, time_left: int
 ) -> str:
-    """Return why a command is not handed to the scheduler, "" where it is.
+    """Return why a command is not passed to the scheduler, or "" if it is.
 
-    What is refused here was never taken, so a rejection is always true.
+    A command that is refused here is not executed, so a rejection is always correct.
     """
     if state is not GatewayState.SERVING:
-        return "this gateway is going down"
+        return "this gateway is starting or shutting down"
     if unanswered >= max_unanswered:
-        return "this gateway holds all that it may"
-    return "the patience left is too short" if time_left <= 0 else ""
+        return "this gateway has reached its limit of unanswered requests"
+    return (
+        "the client timeout leaves no time to execute the command"
+        if time_left <= 0
+        else ""
+    )
 
 
 def client_deadline(
     arrived: int, class_timeout: int, client_timeout: int, margin: int
 ) -> int:
-    """Return until when a command has to be answered.
+    """Return the time by which a command must be answered.
 
     Args:
-        arrived: when the command may have come.
-        class_timeout: the operator's time-out of its request class.
-        client_timeout: the client's own, 0 for none told; the lesser counts.
-        margin: by which the answer leaves earlier than that.
+        arrived: the earliest time at which the command may have arrived.
+        class_timeout: the client timeout of its request class.
+        client_timeout: the timeout that the client sent, 0 for none. The shorter
+            timeout applies.
+        margin: how long before the end of the timeout the answer is sent.
     """
     return arrived + min(class_timeout, client_timeout or class_timeout) - margin
--- a/milletsill/sftp_gateway/identifiers.py
+++ b/milletsill/sftp_gateway/identifiers.py
@@ -1,14 +1,15 @@
-"""Names and numbers that a gateway gives, unique over gateways and starts."""
+"""Identifiers that are unique across gateways and across restarts."""
 
 from __future__ import annotations
 
 
 class IdentifierSource:
-    """Gives ids of requests, names of objects and idempotency keys.
+    """Generates request ids, object names and idempotency keys.
 
     Attributes:
         gateway: the gateway's name.
-        incarnation: of this start; it grows where the fleet knew a later one.
+        incarnation: the number of this start. It is raised if the fleet already
+            knows a later one.
     """
 
     def __init__(self, gateway: str, incarnation: int) -> None:
@@ -19,16 +20,16 @@
         self.key_count = 0
 
     def next_request_id(self) -> int:
-        """Return an id that no other request of this start has."""
+        """Return a request id that is unique within this start of the gateway."""
         self.request_count += 1
         return self.request_count
 
     def new_object_name(self) -> str:
-        """Return a name on a node that no other gateway or start gives."""
+        """Return an object name that no other gateway or start generates."""
         self.object_count += 1
         return f"#{self.gateway}.{self.incarnation}.{self.object_count}"
 
     def new_idempotency_key(self) -> str:
-        """Return a key that no other gateway or start gives."""
+        """Return an idempotency key that no other gateway or start generates."""
         self.key_count += 1
         return f"{self.gateway}.{self.incarnation}.{self.key_count}"
--- a/milletsill/sftp_gateway/incarnation.py
+++ b/milletsill/sftp_gateway/incarnation.py
@@ -1,4 +1,4 @@
-"""Which start of a gateway this is: a number on disk that grows with each start."""
+"""The incarnation of a gateway: a number on disk that grows with each start."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from milletsill.sftp_gateway.errors import IncarnationNotStoredError
 
 MAX_INCARNATION = 0xFFFFFFFF
-MAX_DIGITS = 20
+MAX_DIGITS = 20  # characters read from the file
 
 
 def next_incarnation(path: str) -> tuple[int, IncarnationNotStoredError | None]:
-    """Return the number of this start, and the error if it cannot be kept.
+    """Return the incarnation of this start, and the error if it cannot be stored.
 
-    Then it is taken from the wall clock, which is past any count of starts, so no two
-    starts share one.
+    After an error the incarnation is taken from the wall clock. The time in seconds is
+    greater than any number of starts, so no two starts have the same incarnation.
     """
     error: IncarnationNotStoredError | None = None
     last = 0
@@ -35,10 +35,10 @@
 
 
 def store_incarnation(path: str, number: int) -> IncarnationNotStoredError | None:
-    """Write a start's number, so that the next start goes past it.
+    """Write an incarnation to disk, so that the next start uses a greater one.
 
     Returns:
-        None, or why it could not be written.
+        None, or the error if it could not be written.
     """
     try:
         with open(f"{path}.new", "w", encoding="ascii") as sink:
--- a/milletsill/sftp_gateway/listening_ports.py
+++ b/milletsill/sftp_gateway/listening_ports.py
@@ -1,4 +1,4 @@
-"""The addresses that a gateway listens on."""
+"""The listening ports of a gateway."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class ListeningPorts:
-    """Opens listening ports, and closes them all together.
+    """Opens listening ports and closes all of them together.
 
-    `on_listening` hears the event's name and the address of each port that is open,
-    `on_failed` of each address that cannot be had.
+    `on_listening` is called with the event's name and the address of each open port,
+    `on_failed` with the error of each address that cannot be bound.
 
     Attributes:
-        ports: those that are open, in the order in which they were opened.
+        ports: the open ports, in the order in which they were opened.
     """
 
     def __init__(
@@ -35,11 +35,11 @@
         self.stopped = False
 
     def open(self, address: str, factory: Any, event: str) -> None:
-        """Listen on host:port; the factory makes the connections."""
+        """Listen on host:port; the factory creates the connections."""
         host, _, port = address.rpartition(":")
 
         def on_open(opened: Any) -> None:
-            if self.stopped:  # another address could not be had meanwhile
+            if self.stopped:  # another address failed to bind in the meantime
                 opened.stopListening()
                 return
             self.ports.append(opened)
@@ -52,13 +52,13 @@
         endpoint.listen(factory).addCallbacks(on_open, on_failure)
 
     def close(self) -> None:
-        """Close every port that is open."""
+        """Close every open port."""
         ports = self.ports
         self.ports = []
         for port in ports:
             port.stopListening()
 
     def stop(self) -> None:
-        """Close every port for good: one that opens later is closed at once."""
+        """Close every port; a port that opens later is closed immediately."""
         self.stopped = True
         self.close()
--- a/milletsill/sftp_gateway/metrics.py
+++ b/milletsill/sftp_gateway/metrics.py
@@ -1,6 +1,6 @@
-"""The gateway's metrics on prometheus-client, and their page.
+"""The gateway's Prometheus metrics and the HTTP page that exports them.
 
-Each gateway has a registry of its own.
+Each gateway has its own collector registry.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-# Seconds.
+# Upper bounds in seconds.
 LATENCY_BUCKETS = (
     0.005,
     0.01,
@@ -30,14 +30,14 @@
 )
 MAX_CACHED_CHILDREN = 4096
 TICKS_PER_SECOND = 10_000
-# Twisted gives these no types.
+# Twisted has no type annotations for these classes.
 make_resource: Any = Resource
 make_site: Any = Site
 make_metrics_page: Any = MetricsResource
 
 
 class GatewayMetrics:
-    """What is counted; names are those of docs/operators.md."""
+    """The metrics of one gateway; docs/operators.md lists their names."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -46,32 +46,32 @@
         )
         self.latency = self._histogram(
             "milletsill_answer_seconds",
-            "From taking a command to its answer",
+            "Time from receiving a command to its answer",
             "category",
         )
         self.attempts = self._counter(
-            "milletsill_dispatches", "Attempts sent, first or further", "which"
+            "milletsill_dispatches", "Attempts sent, first or further ones", "which"
         )
         self.outcomes = self._counter(
-            "milletsill_outcomes", "Attempts by how they ended", "outcome"
+            "milletsill_outcomes", "Attempts by outcome", "outcome"
         )
         self.attempt_time = self._histogram(
-            "milletsill_dispatch_seconds", "Time of an attempt"
+            "milletsill_dispatch_seconds", "Duration of an attempt"
         )
         self.unanswered = self._gauge(
             "milletsill_held", "Requests without a final answer"
         )
         self.clients = self._gauge("milletsill_clients", "Client connections")
-        self.nodes = self._gauge("milletsill_boxes", "Nodes of the last endpoint list")
+        self.nodes = self._gauge("milletsill_boxes", "Nodes in the last endpoint list")
         self.endpoint_updates = self._counter(
             "milletsill_list_news", "Updates of the endpoint list by kind", "kind"
         )
-        self.faults = self._counter("milletsill_faults", "Faults of the program")
+        self.faults = self._counter("milletsill_faults", "Unexpected internal errors")
         self.collector_pauses = self._histogram(
             "milletsill_collector_seconds", "Pauses of Python's garbage collector"
         )
         self.loop_lag = self._histogram(
-            "milletsill_loop_lag_seconds", "How late the event loop was"
+            "milletsill_loop_lag_seconds", "Delay of the event loop's timers"
         )
         self._children: dict[tuple[Any, ...], Any] = {}
 
@@ -87,9 +87,10 @@
         )
 
     def _child(self, metric: Any, *labels: str) -> Any:
-        """Return a metric's child, looked up once.
+        """Return the child of a metric with these labels, from a cache.
 
-        There are few: all labels are known from the operator's file.
+        The number of children is small, because all label values come from the
+        operator's file.
         """
         key = (metric, *labels)
         child = self._children.get(key)
@@ -100,7 +101,7 @@
         return child
 
     def count_answer(self, request_class: str, final: str, seconds: float) -> None:
-        """Count a command that has its answer."""
+        """Count an answered command and observe its latency."""
         self._child(self.answers, request_class, final).inc()
         self._child(self.latency, request_class).observe(seconds)
 
@@ -115,7 +116,7 @@
             self.attempt_time.observe(duration / TICKS_PER_SECOND)
 
     def site(self) -> Site:
-        """Return a site with /metrics on it."""
+        """Return an HTTP site that serves /metrics."""
         root: Any = make_resource()
         root.putChild(b"metrics", make_metrics_page(registry=self.registry))
         site: Site = make_site(root)
--- a/milletsill/sftp_gateway/node_pools.py
+++ b/milletsill/sftp_gateway/node_pools.py
@@ -1,4 +1,4 @@
-"""The connections to the nodes of the endpoint list, and the attempts sent on them."""
+"""Connection pools to the nodes in the endpoint list, and the attempts sent on them."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from milletsill.sftp_gateway.command_payload import CommandPayload
 from milletsill.sftp_gateway.identifiers import IdentifierSource
 
-MILLISECOND = 10  # in tenths of a millisecond
+TICKS_PER_MILLISECOND = 10
 
 
 @dataclass(frozen=True, slots=True)
 class SftpNodePoolsConfig:
-    """What the pools are given.
+    """The settings and callbacks of the pools.
 
     Attributes:
-        limits: of each pool.
-        max_packet: octets of a packet from a node.
-        warn: takes a warning for the log.
-        meter_node: makes the flow meter of a node from its id and address; None
+        limits: the limits of each pool.
+        max_packet: maximum size of a packet from a node, in octets.
+        warn: logs a warning.
+        meter_node: creates the flow meter of a node from its id and address; None
             without flow export.
     """
 
@@ -40,7 +40,7 @@
 
 
 class SftpNodePools:
-    """One pool of connections for each node of the endpoint list."""
+    """A connection pool for each node in the endpoint list."""
 
     def __init__(
         self,
@@ -56,9 +56,10 @@
         self.pools: dict[int, NodeConnectionPool] = {}
 
     def update(self, nodes: Sequence[RegisteredNode]) -> None:
-        """Follow the endpoint list.
+        """Apply an update of the endpoint list.
 
-        A new address gets a pool of its own, a node that left loses its pool.
+        A node with a new address gets a new pool. The pool of a removed node is
+        closed.
         """
         for node in nodes:
             pool = self.pools.get(node.id)
@@ -99,9 +100,10 @@
         deadline: int,
         ended: AttemptEnded,
     ) -> PooledExchange | None:
-        """Send one attempt to a node; None where it cannot be sent.
+        """Send an attempt to a node; return None if it cannot be sent.
 
-        The host's deadline is not told: the node hears how long the client waits.
+        The deadline of the attempt is not sent. The node receives the time until the
+        request's deadline instead.
         """
         pool = self.pools.get(node)
         if pool is None:
@@ -123,7 +125,7 @@
             number,
             request.units,
             request.key,
-            max((request.deadline - self.now()) // MILLISECOND, 1),
+            max((request.deadline - self.now()) // TICKS_PER_MILLISECOND, 1),
             payload.idempotency_key,
             request.volume,
             request.sharing_gateways,
@@ -133,6 +135,6 @@
         )
 
     def abort(self) -> None:
-        """Cut every connection."""
+        """Abort every connection."""
         for pool in self.pools.values():
             pool.abort()
--- a/milletsill/sftp_gateway/numbered_commands.py
+++ b/milletsill/sftp_gateway/numbered_commands.py
@@ -1,4 +1,4 @@
-"""What a client's numbered command asks for, and why it may not have a number."""
+"""Reads numbered commands of clients and rejects those that cannot have a number."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelHandle:
-    """What a client's channel handle stands for."""
+    """What a client's channel handle refers to."""
 
     volume: RoutedVolume
     name: str
@@ -32,18 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberRefusal:
-    """Why a command cannot have a number."""
+    """The reason why a command cannot have a number."""
 
     reason: str
 
 
-def names_handle(command: Any) -> bool:
-    """Return whether a command comes through a handle."""
+def uses_handle(command: Any) -> bool:
+    """Return whether a command refers to its file by a handle."""
     return hasattr(command, "handle") or isinstance(command, packets.Extended)
 
 
 class NumberedCommandReader:
-    """Reads numbered commands: each must write, and take one request."""
+    """Reads numbered commands.
+
+    A numbered command must write and must need a single request.
+    """
 
     def __init__(self, gateway: GatewayContext, catalog: ContractCatalog) -> None:
         self.gateway = gateway
@@ -52,7 +55,7 @@
     def read(
         self, handles: HandleTable, channel: ChannelHandle, given: wire.NumberedCommand
     ) -> NumberedRequest | NumberRefusal:
-        """Return what a client wants of a channel."""
+        """Return the numbered request of a command, or why it cannot have a number."""
         command = given.command
         path = self._path_of(handles, command, channel.volume)
         if isinstance(path, NumberRefusal):
@@ -76,7 +79,7 @@
         )
 
     def _command_on_path(self, command: Any, path: str) -> Any:
-        """Return the command with its path in place of a handle, and without an id."""
+        """Return the command with id 0 and its path in place of a handle."""
         if hasattr(command, "handle"):
             return replace(command, id=0, handle=text_to_bytes(path))
         if isinstance(command, packets.Extended):
@@ -88,9 +91,9 @@
     ) -> str | NumberRefusal:
         if OPERATIONS.get(type(command)) not in WRITE_OPERATIONS:
             return NumberRefusal(
-                "only a command that writes can have a number: send it without"
+                "only a command that writes can have a number: send it without one"
             )
-        if names_handle(command):
+        if uses_handle(command):
             return self._path_of_handle(handles, command, volume)
         return self._path_in_volume(command, volume)
 
@@ -104,11 +107,11 @@
         )
         opened = handles.get(handle)
         if opened is None or opened.location is None or opened.volume is not volume:
-            return NumberRefusal("no such handle of this channel's volume")
+            return NumberRefusal("handle is not an open file of this channel's volume")
         most = self.gateway.routing_table.max_request_bytes
         if isinstance(command, packets.Write) and len(command.data) > most:
             return NumberRefusal(
-                f"a write of {len(command.data)} bytes, {most} at most"
+                f"write of {len(command.data)} bytes exceeds the limit of {most}"
             )
         return opened.path
 
@@ -118,17 +121,17 @@
         table = self.gateway.routing_table
         path = canonical_path(command.path)
         if table.volume_of(path) is not volume or path == volume.root:
-            return NumberRefusal("this lies outside the channel's volume")
+            return NumberRefusal("the path is outside the channel's volume")
         if isinstance(command, packets.Rename):
             target = canonical_path(command.target)
             stays = table.volume_of(target) is volume
             if not stays or not self.gateway.allows_rename(volume, path, target):
                 return NumberRefusal(
-                    "a numbered rename must stay within its volume and cell"
+                    "a numbered rename must stay within its volume and shard"
                 )
         if isinstance(command, packets.Rmdir) and len(volume.shards) > 1:
             return NumberRefusal(
-                "a directory over several cells is no single transfer: remove it "
-                "without a number"
+                "removing a directory on several shards takes several requests: "
+                "remove it without a number"
             )
         return path
--- a/milletsill/sftp_gateway/object_location.py
+++ b/milletsill/sftp_gateway/object_location.py
@@ -1,4 +1,4 @@
-"""Where the bytes of an object lie, as links name it, and a cache of such places."""
+"""The location of an object's data, its form in links, and a location cache."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectLocation:
-    """Where an object's bytes lie.
+    """Where an object's data is stored.
 
     Attributes:
-        shard: the shard whose nodes hold it; -1 while it is not known yet.
-        name: the object's name there.
+        shard: the shard whose nodes store it; -1 while it is unknown.
+        name: the object's name on the shard.
     """
 
     shard: int
@@ -22,12 +22,12 @@
 
 
 def format_location(location: ObjectLocation) -> str:
-    """Return a location as the target of a link."""
+    """Return the link target of a location."""
     return f"{location.shard}:{location.name}"
 
 
 def parse_location(target: str) -> ObjectLocation | None:
-    """Return the location that a link's target names, None where it names none."""
+    """Return the location in a link's target, or None if the target is invalid."""
     shard, colon, name = target.partition(":")
     if not colon or not name:
         return None
@@ -37,10 +37,10 @@
 
 
 class LocationCache:
-    """Where new objects were last seen, by path.
+    """An LRU cache of the locations of objects with free placement, by path.
 
-    Bounded: the least recently used leaves. A stale entry costs a look at the path's
-    home shard, never a wrong answer.
+    A stale entry costs an additional request to the path's home shard, but never
+    causes a wrong answer.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -48,18 +48,18 @@
         self.entries = OrderedDict[str, ObjectLocation]()
 
     def get(self, path: str) -> ObjectLocation | None:
-        """Return the location of a path, None where it is not known."""
+        """Return the cached location of a path, or None."""
         if path in self.entries:
             self.entries.move_to_end(path)
         return self.entries.get(path)
 
     def put(self, path: str, location: ObjectLocation) -> None:
-        """Remember a location."""
+        """Store the location of a path."""
         self.entries[path] = location
         self.entries.move_to_end(path)
         while len(self.entries) > self.capacity:
             self.entries.popitem(last=False)
 
     def drop(self, path: str) -> None:
-        """Forget the location of a path."""
+        """Remove the cached location of a path."""
         self.entries.pop(path, None)
--- a/milletsill/sftp_gateway/open_handle.py
+++ b/milletsill/sftp_gateway/open_handle.py
@@ -1,4 +1,4 @@
-"""What a client's handle stands for, and how a directory is read through it."""
+"""The file or directory of a client's handle, and the progress of a listing."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from milletsill.sftp_gateway.object_location import ObjectLocation
 from milletsill.sftp_gateway.routing_table import RoutedVolume
 
-MAX_REMEMBERED_NAMES = 10_000  # of directories, to list each once
+MAX_REMEMBERED_NAMES = 10_000  # subdirectory names kept, to list each only once
 FILE_TYPE_MASK = 0o170000
 DIRECTORY_TYPE = 0o040000
 
 
 class OpenHandle:
-    """What a client's handle stands for.
+    """The file or directory that a client's handle refers to.
 
     Attributes:
-        volume: None for a directory above all volumes.
-        path: canonical.
-        location: of a file's bytes; None for a directory.
-        seen_names: subdirectories that were listed already.
-        after: the last name of the page before, from the shard at hand.
-        shard_index: the shard that is being read, in the order of the listing.
-        found: whether the directory stands at any shard.
+        volume: its volume; None for a directory above the volume roots.
+        path: canonical path.
+        location: where a file's data is stored; None for a directory.
+        seen_names: names of the subdirectories that were already listed.
+        after: the last name of the previous page from the current shard.
+        shard_index: index of the current shard, in the order of the listing.
+        directory_found: whether the directory exists on any shard read so far.
     """
 
     __slots__ = (
         "after",
-        "found",
+        "directory_found",
         "location",
         "path",
         "seen_names",
@@ -44,25 +44,25 @@
         self.seen_names: set[str] = set()
         self.after = ""
         self.shard_index = 0
-        self.found = False
+        self.directory_found = False
 
-    def take_page(self, page: packets.DirectoryEntries) -> tuple[DirectoryEntry, ...]:
-        """Take one page of the directory; return the names that are new."""
+    def add_page(self, page: packets.DirectoryEntries) -> tuple[DirectoryEntry, ...]:
+        """Process a page of the directory; return the entries not listed before."""
         names = tuple(
             each for each in page.names if each.filename not in self.seen_names
         )
         self.after = page.names[-1].filename if page.names else ""
-        self.found = True
+        self.directory_found = True
         if len(self.seen_names) < MAX_REMEMBERED_NAMES:
             self.seen_names |= {each.filename for each in names if is_directory(each)}
         return names
 
     def next_shard(self, shard_index: int) -> None:
-        """Read on at the next shard, from its first name."""
+        """Continue the listing at the first name of the next shard."""
         self.shard_index = shard_index
         self.after = ""
 
 
 def is_directory(name: DirectoryEntry) -> bool:
-    """Return whether a listed name is a directory's."""
+    """Return whether a directory entry is itself a directory."""
     return (name.attrs.mode or 0) & FILE_TYPE_MASK == DIRECTORY_TYPE
--- a/milletsill/sftp_gateway/optional_parts.py
+++ b/milletsill/sftp_gateway/optional_parts.py
@@ -1,8 +1,7 @@
-"""Makes the parts of a gateway that its file may ask for.
+"""Creates the optional parts of a gateway that its file enables.
 
-None of a part's code is loaded where the file does not ask for it, so each function
-imports what it makes. The seeds of the parts are the gateway's and a number of each
-part's own.
+Each function imports the part that it creates, so that the code of a disabled part is
+not loaded. The seed of a part is the gateway's seed plus a constant of the part.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 def make_flow_export(gateway: AssembledGateway, seed: int) -> Any:
-    """Return the flow export, None where the file has none."""
+    """Return the flow export, or None if the file has no `flows` block."""
     if not gateway.file.HasField("flows"):
         return None
     from milletsill.flows.gateway_export import GatewayFlowExport
@@ -30,7 +29,7 @@
 
 
 def make_traces(gateway: AssembledGateway, config: DeploymentConfig, seed: int) -> Any:
-    """Return the traces, None where the file has none."""
+    """Return the traces, or None if the file has no `trace` block."""
     if not gateway.file.HasField("trace"):
         return None
     from milletsill.trace.gateway_trace import GatewayTrace, TracedRun
@@ -48,7 +47,7 @@
 def make_quota_client(
     gateway: AssembledGateway, config: DeploymentConfig, seed: int
 ) -> Any:
-    """Return the planner's client, None where the file has no planner."""
+    """Return the quota client, or None if the file has no `planner` block."""
     if not gateway.file.HasField("planner"):
         return None
     from milletsill.planner.quota_client import QuotaClient
@@ -57,7 +56,7 @@
 
 
 def make_fleet(gateway: AssembledGateway, seed: int) -> Any:
-    """Return the fleet's service, None where the file has no fleet."""
+    """Return the fleet service, or None if the file has no `fleet` block."""
     if not gateway.file.HasField("fleet"):
         return None
     from milletsill.fleet.service import FleetService
@@ -79,7 +78,7 @@
 
 
 def make_shared_health(gateway: AssembledGateway, seed: int) -> Any:
-    """Return the shared health, None where the file has none."""
+    """Return the shared health, or None if the fleet has no `health` block."""
     if gateway.fleet is None or not gateway.file.fleet.HasField("health"):
         return None
     from milletsill.fleet.health.shared_health import SharedHealth
@@ -88,7 +87,7 @@
 
 
 def make_channels(gateway: AssembledGateway, seed: int) -> Any:
-    """Return the ordered channels, None where the file has none."""
+    """Return the ordered channels, or None if the fleet has no `channels` block."""
     if gateway.fleet is None or not gateway.file.fleet.HasField("channels"):
         return None
     from milletsill.sftp_gateway.channel_gateway import make_channel_gateway
--- a/milletsill/sftp_gateway/process.py
+++ b/milletsill/sftp_gateway/process.py
@@ -1,4 +1,4 @@
-"""A process with one or several gateways, which share nothing but the reactor."""
+"""Runs one or several gateways in a process; they share only the reactor."""
 
 from __future__ import annotations
 
@@ -24,25 +24,24 @@
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.sftp_gateway.gateway import SftpGateway
 
-LOGGED_PAUSE = 0.05  # seconds: a pause of the collector that is worth a line
-STOP_DELAY = 0.05  # seconds that the last lines and octets have to leave
+MIN_LOGGED_GC_PAUSE = 0.05  # seconds; shorter collections are not logged
+STOP_DELAY = 0.05  # seconds to flush the last log lines and packets
 
 
 def use_monotonic_timers(reactor: Any) -> None:
-    """Have timers follow the monotonic clock.
+    """Make the reactor's timers use the monotonic clock.
 
-    Guards rule 1 and all durations against a wall clock that is set back while the
-    process runs, which Twisted's timers follow: answers would leave late by as much.
-    Harm: none known.
+    By default Twisted's timers use the wall clock. If it were set back while the
+    process runs, all timers would fire late, and answers would miss their deadlines.
     """
     reactor.seconds = time.monotonic
 
 
 class GatewayProcess:
-    """The gateways of one process, until all have stopped.
+    """Runs the gateways of one process until all have stopped.
 
     Attributes:
-        running: those that have not stopped, by their places.
+        running: the gateways that have not stopped, by their index.
     """
 
     def __init__(
@@ -54,9 +53,13 @@
         self.running = dict(enumerate(self.gateways))
 
     def run(self) -> int:
-        """Return 0 once all have stopped, 1 where one could not listen."""
-        for place, gateway in enumerate(self.gateways):
-            gateway.on_stopped.append(partial(self._on_stopped, place))
+        """Run until all gateways have stopped; return the process's exit code.
+
+        Returns:
+            0, or 1 if a gateway could not start.
+        """
+        for index, gateway in enumerate(self.gateways):
+            gateway.on_stopped.append(partial(self._on_stopped, index))
             self.reactor.callWhenRunning(gateway.start)
         install_signal_handler(signal.SIGTERM, self.terminate)
         install_signal_handler(signal.SIGINT, self.terminate)
@@ -69,18 +72,18 @@
         return 1 if any(gateway.failed for gateway in self.gateways) else 0
 
     def terminate(self) -> None:
-        """Have every gateway drain."""
+        """Drain every gateway."""
         for gateway in list(self.running.values()):
             gateway.terminate()
 
     def reload(self) -> None:
-        """Have every gateway read its file again."""
-        for place, path in enumerate(self.paths):
-            if place in self.running:
-                reload_gateway(self.running[place], path)
+        """Reload the settings file of every running gateway."""
+        for index, path in enumerate(self.paths):
+            if index in self.running:
+                reload_gateway(self.running[index], path)
 
-    def _on_stopped(self, place: int) -> None:
-        self.running.pop(place, None)
+    def _on_stopped(self, index: int) -> None:
+        self.running.pop(index, None)
         if not self.running and self.reactor.running:
             self.reactor.callLater(STOP_DELAY, self.reactor.stop)
 
@@ -93,7 +96,7 @@
     """Run a gateway for each file until all have stopped.
 
     Returns:
-        0, or 1 where one could not listen.
+        0, or 1 if a gateway could not start.
     """
     use_monotonic_timers(reactor)
     gateways = [SftpGateway(file, reactor, make_scheduler) for file in files]
@@ -101,9 +104,9 @@
 
 
 class CollectorPauses:
-    """Measures how long Python's garbage collector stood in the way.
+    """Measures the pauses of Python's garbage collector.
 
-    It is a stall like any other, but one that we can name.
+    They block the reactor like any other stall, but their cause is known.
     """
 
     def __init__(self, gateways: Sequence[SftpGateway]) -> None:
@@ -111,14 +114,14 @@
         self.began = 0.0
 
     def on_collection(self, phase: str, info: dict[str, int]) -> None:
-        """Hear of the start or the end of a collection."""
+        """Handle the start or the end of a collection (see `gc.callbacks`)."""
         if phase == "start":
             self.began = time.perf_counter()
             return
         duration = time.perf_counter() - self.began
         for gateway in self.gateways:
             gateway.metrics.collector_pauses.observe(duration)
-        if duration > LOGGED_PAUSE:
+        if duration > MIN_LOGGED_GC_PAUSE:
             self.gateways[0].warn(
                 "collector_pause",
                 ms=round(duration * 1000),
@@ -127,9 +130,9 @@
 
 
 def reload_gateway(gateway: SftpGateway, path: str) -> None:
-    """Read a gateway's file again.
+    """Reload a gateway's settings file.
 
-    A bad one, or one that needs a restart, changes nothing.
+    A file that is invalid or needs a restart changes nothing.
     """
     try:
         gateway.reload(load(path, GatewayFile, check_gateway))
--- a/milletsill/sftp_gateway/routing_table.py
+++ b/milletsill/sftp_gateway/routing_table.py
@@ -1,6 +1,6 @@
-"""The operator's map from commands to requests: volumes, shards, request classes.
+"""Maps paths and commands to volumes, shards and request classes.
 
-Built once from the gateway's file and pure afterwards: no I/O, no clock.
+The table is built from the gateway's file and does no I/O afterwards.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 
 class VolumePlacement(IntEnum):
-    """How a volume's objects are placed; the values are those of the file."""
+    """How a volume places its objects; the values are those in the gateway's file."""
 
-    HASHED = 0  # at the path's home shard
-    FREE = 1  # wherever the scheduler puts them, behind a link at the home shard
-    BY_DIRECTORY = 2  # at the home shard of their directory
+    HASHED = 0  # on the path's home shard
+    FREE = 1  # on a shard that the scheduler chooses; the home shard has a link
+    BY_DIRECTORY = 2  # on the home shard of their directory
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedVolume:
-    """A volume as the gateway needs it.
+    """The routing of one volume.
 
     Attributes:
-        number: by which the scheduler knows it.
-        name: in the operator's file.
-        root: canonical path of its root.
-        plan: place of its service plan in the file.
-        shards: in the file's order.
-        sharing_gateways: how many gateways its requests come through.
-        placement: how its objects are placed.
+        number: identifies the volume to the scheduler.
+        name: the volume's name in the operator's file.
+        root: canonical path of the volume's root.
+        plan: index of its service plan in the file.
+        shards: the volume's shards, in the order of the file.
+        sharing_gateways: number of gateways that serve the volume.
+        placement: a `VolumePlacement`.
     """
 
     number: int
@@ -50,13 +50,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRule:
-    """Which commands a request class takes.
+    """Assigns matching commands to a request class.
 
     Attributes:
-        operations: empty for all.
-        volume: name of the volume, empty for all.
-        min_bytes: the least size of the command's data.
-        request_class: place of the class in the file.
+        operations: the operations that match; empty for all.
+        volume: name of the volume that matches; empty for all.
+        min_bytes: minimum size of the command's data.
+        request_class: index of the request class in the file.
     """
 
     operations: frozenset[str]
@@ -67,13 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSizing:
-    """How bytes are counted as units, and offsets as keys.
+    """How sizes are converted to units, and offsets to keys.
 
     Attributes:
-        unit_bytes: bytes of one unit.
-        max_units: units of the largest request.
-        key_bytes: bytes of an object that share a key.
-        metadata_units: units of a command that moves no data.
+        unit_bytes: bytes per unit.
+        max_units: maximum units of a request.
+        key_bytes: size of the blocks of an object; the offsets in a block have
+            the same key.
+        metadata_units: units of a command that transfers no data.
     """
 
     unit_bytes: int
@@ -83,7 +84,7 @@
 
 
 class RoutingTable:
-    """Volumes by root, routes in order, and the sizing of requests."""
+    """The volumes by root, the ordered routes, and the sizing of requests."""
 
     def __init__(
         self,
@@ -97,11 +98,11 @@
 
     @property
     def max_request_bytes(self) -> int:
-        """Bytes of the largest request."""
+        """Maximum data size of a request, in bytes."""
         return self.sizing.unit_bytes * self.sizing.max_units
 
     def volume_of(self, path: str) -> RoutedVolume | None:
-        """Return the volume of a canonical path, None above all volumes."""
+        """Return the volume of a canonical path, or None if it is in no volume."""
         parts = path.split("/")
         for end in range(2, len(parts) + 1):
             volume = self.volumes_by_root.get("/".join(parts[:end]))
@@ -110,12 +111,12 @@
         return None
 
     def volume_named(self, name: str) -> RoutedVolume | None:
-        """Return the first volume of that name, None for no such volume."""
+        """Return the first volume with this name, or None if there is none."""
         volumes = self.volumes_by_root.values()
         return next((each for each in volumes if each.name == name), None)
 
     def names_below(self, path: str) -> list[str]:
-        """Return the names right below a path that lies above volumes, sorted."""
+        """Return the sorted child names of a path that is above volume roots."""
         start = path if path.endswith("/") else path + "/"
         return sorted(
             {
@@ -126,9 +127,9 @@
         )
 
     def request_class(self, operation: str, volume: RoutedVolume, size: int) -> int:
-        """Return the place of the request class of a command.
+        """Return the index of a command's request class.
 
-        The first route that fits decides; the last one fits all.
+        The first matching route decides; the last route matches every command.
         """
         return next(
             each.request_class
@@ -139,11 +140,11 @@
         )
 
     def units(self, operation: str, size: int) -> float:
-        """Return the units of so many bytes, between one and those of the largest.
+        """Return the units of a command: at least one, at most those of the sizing.
 
-        Of a command that moves no data it is a part of one: counted as whole ones they
-        would teach the scheduler that a unit takes next to nothing, and every read
-        would look like a crowd.
+        A command that transfers no data counts as a fraction of a unit. If it counted
+        as a whole unit, the scheduler would learn that a unit takes almost no time,
+        and every read would look like overload.
         """
         if operation not in DATA_OPERATIONS:
             return self.sizing.metadata_units
@@ -151,10 +152,10 @@
         return float(min(units, self.sizing.max_units))
 
     def home_shard(self, volume: RoutedVolume, path: str) -> int:
-        """Return the shard that a path belongs to: the same at every gateway.
+        """Return the home shard of a path, which is the same at every gateway.
 
-        Rendezvous hashing: a shard that joins or leaves a volume moves only the paths
-        that it gains or loses.
+        Rendezvous hashing ensures that a shard that joins or leaves a volume moves
+        only the paths that it gains or loses.
         """
         name = path
         if volume.placement == VolumePlacement.BY_DIRECTORY and path != volume.root:
@@ -166,7 +167,7 @@
         )
 
     def request_key(self, name: str, offset: int) -> int:
-        """Return the key of an offset of an object, never 0."""
+        """Return the key of the block at an offset of an object; it is never 0."""
         block = offset // self.sizing.key_bytes
         data = f"{name}\0{block}".encode("utf-8", "surrogateescape")
         return xxhash.xxh64_intdigest(data) or 1
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -1,4 +1,7 @@
-"""The clients' side: SFTP version 3 packets straight over TCP, all of it bounded."""
+"""Client connections: SFTP version 3 packets directly over TCP, without SSH.
+
+The packet size, the outstanding commands and the handles of a client are limited.
+"""
 
 from __future__ import annotations
 
@@ -27,14 +30,14 @@
 from milletsill.sftp_gateway.open_handle import OpenHandle
 from milletsill.sftp_gateway.routing_table import RoutedVolume
 
-LENGTH_OCTETS = 4  # before each packet
-ID_END = 5  # a packet's kind and its id
-READABLE_STATES = (SftpClientState.FRESH, SftpClientState.OPEN)
+LENGTH_PREFIX_OCTETS = 4  # the length field before each packet
+ID_END_OFFSET = 5  # octets: a packet's type and its id
+READABLE_STATES = (SftpClientState.AWAITING_INIT, SftpClientState.OPEN)
 UNKNOWN_ADDRESS = ("0.0.0.0", 0, "0.0.0.0", 0)
 
 
 class OutstandingCommand(Interface):
-    """A command that has no answer yet."""
+    """A command that has not been answered yet."""
 
     command: Any
     volume: RoutedVolume
@@ -44,41 +47,43 @@
     began: int
 
     def abandon(self) -> None:
-        """Drop it: the client has left."""
+        """Drop the command because its client has disconnected."""
 
 
 class SftpClientConnection(Protocol):
-    """One client.
+    """The connection of one client.
 
     Attributes:
-        outstanding: commands without an answer, by the client's ids.
-        channels: handles of channels, where the gateway keeps any.
-        octets: of the packet at hand.
-        addresses: host and port of the client, host and port of this side.
+        outstanding: unanswered commands by the client's request ids.
+        channels: the client's channel handles; empty if the gateway has no
+            channels.
+        octets: the size of the packet that is being handled, with its length
+            field.
+        addresses: the client's host and port, then the local host and port.
     """
 
-    transport: Any  # Twisted's own type is narrower than the connection in use
+    transport: Any  # Twisted's declared type lacks methods of a TCP transport
 
     def __init__(self, gateway: GatewayContext) -> None:
         self.gateway = gateway
-        self.state = SftpClientState.FRESH
-        self.deframer = PacketSplitter(gateway.file.door.most_packet)
+        self.state = SftpClientState.AWAITING_INIT
+        self.packet_splitter = PacketSplitter(gateway.file.door.most_packet)
         self.outstanding: dict[int, OutstandingCommand] = {}
         self.handles = HandleTable(gateway)
         self.channels: dict[bytes, Any] = {}
         self.commands = ClientCommands(gateway, self)
-        self.answers_not_taken = False
+        self.send_blocked = False
         self.reading = False
         self.octets = 0
-        self.full_since: int | None = None
+        self.reading_paused_since: int | None = None
         self.addresses: tuple[str, int, str, int] = UNKNOWN_ADDRESS
-        self.last_heard = gateway.now()
-        self.not_taken_since = self.last_heard
+        self.last_received_at = gateway.now()
+        self.send_blocked_since = self.last_received_at
 
-    # What Twisted calls.
+    # Twisted callbacks.
 
     def connectionMade(self) -> None:
-        """Take the connection, or cut it where there is no room."""
+        """Accept the connection, or abort it if the gateway has no capacity."""
         if not self.gateway.on_client_connected(self):
             self.state = SftpClientState.CLOSED
             self.transport.abortConnection()
@@ -90,77 +95,78 @@
             self.transport.setTcpNoDelay(True)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Drop what is outstanding."""
-        self._on_event(SftpClientEvent.LOST)
+        """Abandon the outstanding commands."""
+        self._on_event(SftpClientEvent.DISCONNECTED)
         self.gateway.on_client_lost(self)
 
     def pauseProducing(self) -> None:
-        """Note that the client does not take its answers."""
-        self.answers_not_taken = True
-        self.not_taken_since = self.gateway.now()
+        """Record that the transport's send buffer is full."""
+        self.send_blocked = True
+        self.send_blocked_since = self.gateway.now()
         self._control_flow()
 
     def resumeProducing(self) -> None:
-        """Note that the client takes its answers again."""
-        self.answers_not_taken = False
+        """Record that the transport's send buffer has room again."""
+        self.send_blocked = False
         self._control_flow()
 
     def stopProducing(self) -> None:
-        """Do nothing: the loss of the connection is heard of."""
+        """Do nothing: `connectionLost` handles the end of the connection."""
 
     def dataReceived(self, data: bytes) -> None:
-        """Read what has come."""
-        self.last_heard = self.gateway.now()
-        self.deframer.feed(data)
+        """Handle the received data."""
+        self.last_received_at = self.gateway.now()
+        self.packet_splitter.feed(data)
         self._read_packets()
 
     # Reading.
 
     def _read_packets(self) -> None:
-        """Take packets as long as the state lets them be read."""
+        """Handle buffered packets while the state allows reading."""
         if self.reading:
             return
         self.reading = True
         try:
             while self.state in READABLE_STATES:
-                body = self.deframer.next()
+                body = self.packet_splitter.next()
                 if body is None:
                     break
                 self._on_packet(body)
                 self._control_flow()
         except BrokenPacketStreamError as error:
             self._warn("client_broken", error)
-            self._on_event(SftpClientEvent.BROKEN)
+            self._on_event(SftpClientEvent.MALFORMED_STREAM)
         finally:
             self.reading = False
 
     def _control_flow(self) -> None:
-        """Read on, or do not, as the bounds say."""
+        """Pause or resume reading according to the limits."""
         event = flow_control_event(
             self.state,
             len(self.outstanding),
-            self.answers_not_taken,
+            self.send_blocked,
             self.gateway.file.door.most_outstanding,
         )
         if event is not None:
             self._on_event(event)
 
-    def check(self, max_idle: int) -> None:
-        """Close a client that is idle, or does not take its answers, for too long."""
+    def check_timeouts(self, max_idle: int) -> None:
+        """Close a connection that is idle, or has a full send buffer, for too long."""
         now = self.gateway.now()
-        if self.answers_not_taken and now - self.not_taken_since > max_idle:
-            self._on_event(SftpClientEvent.STUCK)
-        elif not self.outstanding and now - self.last_heard > max_idle:
-            self._on_event(SftpClientEvent.IDLE)
+        if self.send_blocked and now - self.send_blocked_since > max_idle:
+            self._on_event(SftpClientEvent.SEND_TIMEOUT)
+        elif not self.outstanding and now - self.last_received_at > max_idle:
+            self._on_event(SftpClientEvent.IDLE_TIMEOUT)
 
     def arrival_time(self) -> int:
-        """Return when the packet at hand may have come.
+        """Return the earliest time at which the current packet may have arrived.
 
-        It lay unread while this connection was full or the process stood.
+        The packet may have waited in the socket while reading was paused or while
+        the process was stalled.
         """
         known = [
             since
-            for since in (self.full_since, self.gateway.unread_since())
+            for since in (self.reading_paused_since, self.gateway.unread_since())
             if since is not None
         ]
         return min(known, default=self.gateway.now())
@@ -168,18 +174,18 @@
     # State.
 
     def _on_event(self, event: SftpClientEvent) -> None:
-        """Read the table and act."""
+        """Apply a state transition and carry out its effect."""
         self.state, effect = next_client_state(self.state, event)
         if effect is SftpClientEffect.SEND_VERSION:
             offered = extensions.encode_offer(*self.gateway.extensions)
             self._reply(packets.Version(packets.VERSION_SPOKEN, offered))
         elif effect is SftpClientEffect.PAUSE_READING:
-            self.full_since = self.gateway.now()
+            self.reading_paused_since = self.gateway.now()
             self.transport.pauseProducing()
         elif effect is SftpClientEffect.RESUME_READING:
             self.transport.resumeProducing()
             self._read_packets()
-            self.gateway.after_reads(self._on_sockets_read)
+            self.gateway.after_reads(self._after_sockets_read)
         elif effect is SftpClientEffect.ABANDON:
             self._drop_commands()
         elif effect is SftpClientEffect.ABORT:
@@ -198,20 +204,20 @@
         self.handles.clear()
         self.channels.clear()
 
-    def _on_sockets_read(self) -> None:
-        """Note that what lay unread while this connection was full has been read."""
+    def _after_sockets_read(self) -> None:
+        """Record that the data that arrived while reading was paused is read."""
         if self.state is SftpClientState.OPEN:
-            self.full_since = None
+            self.reading_paused_since = None
 
     # Packets and commands.
 
     def _on_packet(self, body: bytes) -> None:
-        """Take one packet.
+        """Handle one packet.
 
-        One that makes no sense gets its answer, if it has an id, and loses nothing
-        else.
+        A malformed packet that has an id is answered with an error status; the
+        connection and its other commands are not affected.
         """
-        self.octets = len(body) + LENGTH_OCTETS
+        self.octets = len(body) + LENGTH_PREFIX_OCTETS
         try:
             packet = packet_codec.decode(body)
         except packet_codec.UnknownPacketError as error:
@@ -225,7 +231,9 @@
             self._on_event(SftpClientEvent.INIT)
         elif not isinstance(packet, packets.COMMANDS):
             answer: Any = packet
-            self._reply_bad_message(answer.id, "an answer where a command was due")
+            self._reply_bad_message(
+                answer.id, "expected a command, received a reply packet"
+            )
         else:
             self._on_event(SftpClientEvent.COMMAND)
             if self.state is SftpClientState.OPEN:
@@ -233,17 +241,19 @@
 
     def _on_malformed(self, body: bytes, error: MalformedInputError) -> None:
         self._warn("client_malformed", error)
-        if len(body) >= ID_END and self.state is SftpClientState.OPEN:
-            id = int.from_bytes(body[1:ID_END], "big")
+        if len(body) >= ID_END_OFFSET and self.state is SftpClientState.OPEN:
+            id = int.from_bytes(body[1:ID_END_OFFSET], "big")
             self._reply_bad_message(id, error.what)
             return
-        self._on_event(SftpClientEvent.BROKEN)
+        self._on_event(SftpClientEvent.MALFORMED_STREAM)
 
     def _on_command(self, packet: Any) -> None:
-        """Answer at once what costs nodes no work; run the rest."""
+        """Answer a command directly if it needs no node; else start it."""
         id = packet.id
         if id in self.outstanding:
-            self._reply_bad_message(id, f"command {id} is still out")
+            self._reply_bad_message(
+                id, f"the command with id {id} is still outstanding"
+            )
             return
         try:
             terms = CommandTerms()
@@ -251,7 +261,7 @@
                 packet.name == extensions.COMMAND
             ):
                 terms, packet = extensions.decode_command(packet)
-            answer = self.commands.take(packet, terms)
+            answer = self.commands.handle_command(packet, terms)
         except (MalformedInputError, InvalidPathError) as error:
             answer = packets.Status(id, packets.BAD_MESSAGE, str(error))
         if answer is not None:
@@ -265,7 +275,7 @@
         path: str,
         handle: OpenHandle | None,
     ) -> None:
-        """Run a command that costs nodes work."""
+        """Run a command that needs requests to nodes."""
         command = ClientCommand(
             packet, terms, volume, path, handle, self.arrival_time(), self.octets
         )
@@ -284,7 +294,7 @@
         self.answer(execution, packet)
 
     def _open_file(self, execution: CommandExecution, id: int) -> Any:
-        """Return the answer to an OPEN that succeeded, with a handle of this client."""
+        """Return the answer to a successful OPEN, with a new handle of this client."""
         if self.handles.is_full():
             return self.handles.full_status(id)
         volume, path = execution.volume, execution.path
@@ -297,13 +307,13 @@
     # Answers.
 
     def answer(self, command: OutstandingCommand, packet: Any) -> None:
-        """Give the one answer to a command."""
+        """Send the final answer to a command."""
         self.outstanding.pop(command.command.id, None)
         self._meter(command, self._send(packet))
         self._control_flow()
 
     def _send(self, packet: Any) -> int:
-        """Return how many octets were written to the client."""
+        """Write a packet to the client; return the number of octets written."""
         if self.state is SftpClientState.CLOSED:
             return 0
         data = packet_codec.encode(packet)
@@ -311,7 +321,7 @@
         return len(data)
 
     def _reply(self, packet: Any) -> None:
-        """Answer the packet at hand at once: no node had work with it."""
+        """Answer the current packet directly, without a request to a node."""
         octets = self._send(packet)
         if self.gateway.flows is not None:
             self.gateway.flows.client(
@@ -322,7 +332,7 @@
         self._reply(packets.Status(id, packets.BAD_MESSAGE, reason))
 
     def _meter(self, command: OutstandingCommand, octets: int) -> None:
-        """Have flow export, where there is any, count a command that has ended."""
+        """Report a finished command to the flow export, if it is enabled."""
         gateway = self.gateway
         if gateway.flows is None:
             return
@@ -343,7 +353,7 @@
 
 
 class SftpClientListener(Factory):
-    """Makes a connection for each client."""
+    """Creates a `SftpClientConnection` for each client."""
 
     noisy = False
 
@@ -351,5 +361,5 @@
         self.gateway = gateway
 
     def buildProtocol(self, addr: Any) -> SftpClientConnection:
-        """Return the connection of one client."""
+        """Return the protocol instance of a new client."""
         return SftpClientConnection(self.gateway)
--- a/milletsill/sftp_gateway/stall_watch.py
+++ b/milletsill/sftp_gateway/stall_watch.py
@@ -1,4 +1,4 @@
-"""Notices that the process stood still, so that what lay unread is dated right."""
+"""Detects stalls of the process, to date data that waited unread in a socket."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class StallWatch:
-    """Looks at the clock at short intervals; a look that comes late was a stall.
+    """Checks the clock at short intervals; a late check indicates a stall.
 
-    Times are tenths of a millisecond.
+    Times are in tenths of a millisecond.
     """
 
     def __init__(self, reactor: Any, now: Callable[[], int]) -> None:
@@ -24,17 +24,17 @@
         self.check_call: Any = None
 
     def start(self) -> None:
-        """Begin to look at the clock."""
+        """Start the periodic checks."""
         self.last_check = self.now()
         self._schedule_check()
 
     def stop(self) -> None:
-        """Cancel the next look."""
+        """Cancel the next check."""
         if self.check_call is not None and self.check_call.active():
             self.check_call.cancel()
 
     def check(self) -> None:
-        """Note a stall since the last look: the sockets are read right after this."""
+        """Record a stall since the last check, just before the sockets are read."""
         now = self.now()
         since = self._stall_before(now)
         if since is not None:
@@ -44,10 +44,11 @@
         self._schedule_check()
 
     def unread_since(self) -> int | None:
-        """Return since when what is read now may have lain unread.
+        """Return the earliest arrival time of the data that is read now.
 
-        None where it is as new as it looks. Asked at each read: a process that stood
-        between a socket's being ready and its being read has had no look yet.
+        Return None if the process was not stalled. This is computed at each read,
+        because no check has run yet if the process stalled after a socket became
+        ready and before it was read.
         """
         since = self._stall_before(self.now())
         if since is None or self.stalled_since is None:
@@ -55,9 +56,10 @@
         return min(since, self.stalled_since)
 
     def after_reads(self, call: Callable[[], None]) -> None:
-        """Call once the sockets that are ready have been read.
+        """Make a call once the sockets that are ready have been read.
 
-        A timer for now comes before that, one that it sets comes after.
+        A timer with delay 0 runs before these reads, and a timer that it sets runs
+        after them.
         """
         self.reactor.callLater(0, self.reactor.callLater, 0, call)
 
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -14,10 +14,10 @@
     PageOutcome,
     StepEffect,
     StepResult,
+    final_result,
     first_step,
     next_step,
     page_outcome,
-    result_for_client,
     step_result,
     strategy_for,
 )
@@ -180,58 +180,70 @@
     def test_how_commands_go(self):
         opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, FileAttributes())
         for command, placement, course in (
-            (opening, VolumePlacement.HASHED, CommandStrategy.PLAIN),
-            (opening, VolumePlacement.FREE, CommandStrategy.MAKE),
-            (packets.Stat(1, "x"), VolumePlacement.FREE, CommandStrategy.FOLLOW),
+            (opening, VolumePlacement.HASHED, CommandStrategy.SINGLE_REQUEST),
+            (opening, VolumePlacement.FREE, CommandStrategy.CREATE),
+            (packets.Stat(1, "x"), VolumePlacement.FREE, CommandStrategy.FOLLOW_LINK),
             (packets.Remove(1, "x"), VolumePlacement.FREE, CommandStrategy.REMOVE),
             (packets.Rename(1, "x", "y"), VolumePlacement.FREE, CommandStrategy.RENAME),
-            (packets.Rmdir(1, "x"), VolumePlacement.HASHED, CommandStrategy.SWEEP),
+            (
+                packets.Rmdir(1, "x"),
+                VolumePlacement.HASHED,
+                CommandStrategy.EVERY_SHARD,
+            ),
             (packets.Readdir(1, b"h"), VolumePlacement.FREE, CommandStrategy.LIST),
         ):
             self.assertEqual(strategy_for(command, placement, 3)[0], course)
 
     def test_a_new_object_is_looked_for_placed_and_linked(self):
         self.assertEqual(
-            next_step(CommandStrategy.MAKE, CommandStep.HOME, StepResult.MISSING, 1),
+            next_step(CommandStrategy.CREATE, CommandStep.HOME, StepResult.MISSING, 1),
             (CommandStep.PLACING, StepEffect.NEXT_STEP),
         )
         self.assertEqual(
-            next_step(CommandStrategy.MAKE, CommandStep.PLACING, StepResult.FINE, 2),
-            (CommandStep.LINKING, StepEffect.KEEP_ANSWER),
+            next_step(
+                CommandStrategy.CREATE, CommandStep.PLACING, StepResult.SUCCEEDED, 2
+            ),
+            (CommandStep.LINKING, StepEffect.SAVE_ANSWER),
         )
         self.assertEqual(
-            next_step(CommandStrategy.MAKE, CommandStep.LINKING, StepResult.FINE, 3),
+            next_step(
+                CommandStrategy.CREATE, CommandStep.LINKING, StepResult.SUCCEEDED, 3
+            ),
             (CommandStep.OVER, StepEffect.ANSWER_CREATED),
         )
 
     def test_who_loses_a_race_for_a_name_follows_the_winner(self):
         self.assertEqual(
-            next_step(CommandStrategy.MAKE, CommandStep.LINKING, StepResult.MOVED, 3),
+            next_step(CommandStrategy.CREATE, CommandStep.LINKING, StepResult.LINK, 3),
             (CommandStep.THERE, StepEffect.FOLLOW_LINK),
         )
 
     def test_an_old_memory_of_a_place_leads_home_not_to_a_wrong_answer(self):
         self.assertEqual(
-            next_step(CommandStrategy.FOLLOW, CommandStep.THERE, StepResult.MISSING, 1),
+            next_step(
+                CommandStrategy.FOLLOW_LINK, CommandStep.THERE, StepResult.MISSING, 1
+            ),
             (CommandStep.HOME, StepEffect.FORGET_LOCATION),
         )
 
     def test_links_in_a_circle_end(self):
         self.assertEqual(
-            next_step(CommandStrategy.FOLLOW, CommandStep.HOME, StepResult.MOVED, 6),
-            (CommandStep.OVER, StepEffect.FAIL_IN_CIRCLE),
+            next_step(
+                CommandStrategy.FOLLOW_LINK, CommandStep.HOME, StepResult.LINK, 6
+            ),
+            (CommandStep.OVER, StepEffect.FAIL_LINK_LOOP),
         )
 
     def test_a_rename_never_covers_a_name_that_stands(self):
         self.assertEqual(
-            next_step(CommandStrategy.RENAME, CommandStep.MOVING, StepResult.MOVED, 2),
-            (CommandStep.OVER, StepEffect.ANSWER_NAME_TAKEN),
+            next_step(CommandStrategy.RENAME, CommandStep.MOVING, StepResult.LINK, 2),
+            (CommandStep.OVER, StepEffect.ANSWER_NAME_EXISTS),
         )
 
     def test_a_decline_after_something_was_done_is_an_abort(self):
         self.assertEqual(
-            [result_for_client(StepResult.DECLINED, each) for each in (False, True)],
-            [StepResult.DECLINED, StepResult.ABORTED],
+            [final_result(StepResult.REJECTED, each) for each in (False, True)],
+            [StepResult.REJECTED, StepResult.FAILED],
         )
 
     def test_memory_spares_the_look_at_home_but_not_for_changes_of_the_link(self):
@@ -240,8 +252,8 @@
             [
                 first_step(course, CommandStep.HOME, spot)
                 for course in (
-                    CommandStrategy.FOLLOW,
-                    CommandStrategy.MAKE,
+                    CommandStrategy.FOLLOW_LINK,
+                    CommandStrategy.CREATE,
                     CommandStrategy.REMOVE,
                 )
             ],
@@ -261,11 +273,11 @@
                 )
             ],
             [
-                StepResult.MOVED,
-                StepResult.FINE,
-                StepResult.FINE,
+                StepResult.LINK,
+                StepResult.SUCCEEDED,
+                StepResult.SUCCEEDED,
                 StepResult.MISSING,
-                StepResult.BAD,
+                StepResult.OTHER_STATUS,
             ],
         )
 
--- a/tests/sftp_gateway/test_states.py
+++ b/tests/sftp_gateway/test_states.py
@@ -30,7 +30,7 @@
 class ClientStates(unittest.TestCase):
     def test_a_command_before_init_and_a_second_init_are_cut(self):
         self.assertEqual(
-            next_client_state(SftpClientState.FRESH, SftpClientEvent.COMMAND),
+            next_client_state(SftpClientState.AWAITING_INIT, SftpClientEvent.COMMAND),
             (SftpClientState.CLOSED, SftpClientEffect.ABORT),
         )
         self.assertEqual(
@@ -42,19 +42,20 @@
         self.assertEqual(
             [
                 flow_control_event(SftpClientState.OPEN, 64, False, 64),
-                flow_control_event(SftpClientState.FULL, 33, False, 64),
-                flow_control_event(SftpClientState.FULL, 32, False, 64),
-                flow_control_event(SftpClientState.FULL, 0, True, 64),
+                flow_control_event(SftpClientState.PAUSED, 33, False, 64),
+                flow_control_event(SftpClientState.PAUSED, 32, False, 64),
+                flow_control_event(SftpClientState.PAUSED, 0, True, 64),
             ],
-            [SftpClientEvent.FULL, None, SftpClientEvent.ROOM, None],
+            [SftpClientEvent.OVER_LIMIT, None, SftpClientEvent.UNDER_LIMIT, None],
         )
 
     def test_a_client_that_does_not_read_is_paused_then_cut(self):
         self.assertEqual(
-            flow_control_event(SftpClientState.OPEN, 0, True, 64), SftpClientEvent.FULL
+            flow_control_event(SftpClientState.OPEN, 0, True, 64),
+            SftpClientEvent.OVER_LIMIT,
         )
         self.assertEqual(
-            next_client_state(SftpClientState.FULL, SftpClientEvent.STUCK),
+            next_client_state(SftpClientState.PAUSED, SftpClientEvent.SEND_TIMEOUT),
             (SftpClientState.CLOSED, SftpClientEffect.ABORT),
         )
 
@@ -69,10 +70,14 @@
 class GatewayStates(unittest.TestCase):
     def test_term_drains_and_stops_when_empty_or_overdue_or_told_twice(self):
         self.assertEqual(
-            next_gateway_state(GatewayState.SERVING, GatewayEvent.TERM),
+            next_gateway_state(GatewayState.SERVING, GatewayEvent.TERMINATE),
             (GatewayState.DRAINING, GatewayEffect.DRAIN),
         )
-        for event in (GatewayEvent.EMPTY, GatewayEvent.OVERDUE, GatewayEvent.TERM):
+        for event in (
+            GatewayEvent.DRAINED,
+            GatewayEvent.DRAIN_TIMEOUT,
+            GatewayEvent.TERMINATE,
+        ):
             self.assertEqual(
                 next_gateway_state(GatewayState.DRAINING, event),
                 (GatewayState.STOPPED, GatewayEffect.STOP),
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -48,7 +48,7 @@
     """A client of the door; `command` gives a Deferred of the answer."""
 
     def __init__(self):
-        self.deframer, self.waiting, self.answers, self.ids = (
+        self.packet_splitter, self.waiting, self.answers, self.ids = (
             PacketSplitter(1 << 24),
             {},
             [],
@@ -60,8 +60,8 @@
         self.transport.write(packet_codec.encode(packets.Init(3)))
 
     def dataReceived(self, data):
-        self.deframer.feed(data)
-        while (body := self.deframer.next()) is not None:
+        self.packet_splitter.feed(data)
+        while (body := self.packet_splitter.next()) is not None:
             packet = packet_codec.decode(body)
             if isinstance(packet, packets.Version):
                 self.ready.callback(self)
