--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -60,7 +60,7 @@
         self.assertEqual(
             sum(each.channels.owner.owns("hashed/boat") for each in edges), 1
         )
-        self.assertEqual(rig.traces(), [])
+        self.assertEqual(rig.tracebacks(), [])
 
     async def test_the_later_claim_holds_and_the_earlier_is_told(self):
         rig = ChannelFleet(self)
@@ -82,12 +82,12 @@
         owner = rig.owner("hashed/boat")
         others = [each for each in edges if each is not owner]
         channel_client = await ChannelClient.open(rig, others[0])
-        rig.boxes[0].silent = rig.boxes[1].silent = rig.boxes[2].silent = (
+        rig.nodes[0].silent = rig.nodes[1].silent = rig.nodes[2].silent = (
             True  # number 2 goes out and nobody hears
         )
         lost = channel_client.put(2)
         await later(0.1)
-        for each in rig.boxes:
+        for each in rig.nodes:
             each.silent = False
         rig.kill(owner)
         began, done, channel_client = time.monotonic(), None, None
@@ -109,7 +109,7 @@
         self.assertIn(
             answer_kind(await lost), ("aborted", "claim-lost", "declined", packets.OK)
         )
-        self.assertEqual(rig.traces(), [])
+        self.assertEqual(rig.tracebacks(), [])
 
     async def test_a_command_that_waits_for_a_lease_is_answered_in_time(self):
         """Acceptors that say nothing at all.
@@ -145,7 +145,7 @@
             (
                 sum(each.channels.unanswered for each in edges),
                 rig.effects,
-                rig.traces(),
+                rig.tracebacks(),
             ),
             (0, [], []),
         )
@@ -224,7 +224,7 @@
             ("declined", True),
         )
         self.assertLess(time.monotonic() - began, 1.0)
-        self.assertEqual(rig.traces(), [])
+        self.assertEqual(rig.tracebacks(), [])
 
 
 class WithoutChannels(TestCase):
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -113,7 +113,7 @@
             (35, 35),
         )
         self.assertEqual(
-            sums["box dispatchDeltaCount"], sum(box.answer_count for box in rig.boxes)
+            sums["box dispatchDeltaCount"], sum(box.answer_count for box in rig.nodes)
         )
         self.assertEqual(
             (collector.unknown_sets, collector.malformed, collector.missing), (0, 0, 0)
--- a/tests/sftp_gateway/test_client_and_node_faults.py
+++ b/tests/sftp_gateway/test_client_and_node_faults.py
@@ -6,24 +6,24 @@
 
 from milletsill.sftp import packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms
-from tests.support.sftp_answers import aborted, declined
+from tests.support.sftp_answers import is_aborted, is_declined
 from tests.support.sftp_gateway_rig import Rig, later, pattern
 
 
 class ClientAndNodeFaults(TestCase):
     timeout = 20
 
-    async def test_a_box_that_stands_still_mid_transfer_costs_one_answer_in_time(self):
+    async def test_a_node_that_hangs_during_a_read_causes_one_rejection_in_time(self):
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway())
         handle = await client.open("/h/x")
-        for box in rig.boxes:
-            box.vanish()
+        for node in rig.nodes:
+            node.vanish()
         began = time.monotonic()
         answer = await client.command(
             packets.Read(0, handle, 0, 10), CommandTerms(400, 0, "m")
         )
-        self.assertTrue(declined(answer), answer)
+        self.assertTrue(is_declined(answer), answer)
         self.assertLess(time.monotonic() - began, 0.4)
         await later(0.3)
         self.assertEqual(sum(each.id == answer.id for each in client.answers), 1)
@@ -32,25 +32,25 @@
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway())
         handle = await client.open("/h/x")
-        for box in rig.boxes:
-            box.vanish()
+        for node in rig.nodes:
+            node.vanish()
         answer = await client.command(
             packets.Write(0, handle, 0, b"x"), CommandTerms(400, 0, "m")
         )
-        self.assertTrue(aborted(answer), answer)
+        self.assertTrue(is_aborted(answer), answer)
 
-    async def test_an_answer_after_the_dispatch_was_given_up_is_dropped(self):
+    async def test_an_answer_after_the_attempt_was_abandoned_is_dropped(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         handle = await client.open("/h/x")
-        for box in rig.boxes:
-            box.kind.cancel = "none"
-            box.speed.still_until = time.monotonic() + 0.5
+        for node in rig.nodes:
+            node.kind.cancel = "none"
+            node.speed.still_until = time.monotonic() + 0.5
         answer = await client.command(
             packets.Read(0, handle, 0, 10), CommandTerms(250, 0, "m")
         )
-        self.assertTrue(declined(answer), answer)
+        self.assertTrue(is_declined(answer), answer)
         await later(0.6)
         self.assertEqual(
             (
@@ -60,13 +60,13 @@
             (0, 1),
         )
 
-    async def test_a_client_that_leaves_is_forgotten(self):
+    async def test_a_disconnected_client_and_its_commands_are_dropped(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         handle = await client.open("/h/x")
-        for box in rig.boxes:
-            box.vanish()
+        for node in rig.nodes:
+            node.vanish()
         for _ in range(5):
             client.command(packets.Read(0, handle, 0, 10))
         await later(0.1)
@@ -76,7 +76,7 @@
         await later(0.1)
         self.assertEqual((gateway.host.unanswered, len(gateway.clients)), (0, 0))
 
-    async def test_an_id_that_is_still_out_is_refused_and_the_first_answered(self):
+    async def test_a_reused_id_is_refused_and_the_first_command_answered(self):
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway())
         for _ in range(2):
@@ -85,7 +85,7 @@
         codes = [each.code for each in client.answers if each.id == 77]
         self.assertEqual(sorted(codes), [packets.NO_SUCH_FILE, packets.BAD_MESSAGE])
 
-    async def test_four_gibibytes_cut_that_client_alone(self):
+    async def test_a_packet_length_of_4_gib_disconnects_only_that_client(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         bad, good = await rig.client(gateway), await rig.client(gateway)
@@ -95,11 +95,11 @@
             (await good.command(packets.Stat(0, "/h"))).attrs.mode, 0o040755
         )
 
-    async def test_a_malformed_packet_loses_nothing_else(self):
+    async def test_a_malformed_packet_does_not_affect_other_commands(self):
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway())
-        client.transport.write(b"\0\0\0\x06\x05\0\0\0\x09\x01")  # READ cut short
-        client.transport.write(b"\0\0\0\x05\x63\0\0\0\x08")  # a kind that there is not
+        client.transport.write(b"\0\0\0\x06\x05\0\0\0\x09\x01")  # a truncated READ
+        client.transport.write(b"\0\0\0\x05\x63\0\0\0\x08")  # an unknown packet type
         await later(0.1)
         self.assertEqual(
             [(each.id, each.code) for each in client.answers],
@@ -109,7 +109,7 @@
             await client.command(packets.Realpath(0, ".")), packets.DirectoryEntries
         )
 
-    async def test_a_client_that_never_reads_is_bounded_and_cut(self):
+    async def test_a_client_that_never_reads_is_limited_and_disconnected(self):
         rig = Rig(self)
         gateway = await rig.start_gateway(idle_s=1)
         client, other = await rig.client(gateway), await rig.client(gateway)
@@ -121,19 +121,17 @@
             client.transport.write(
                 packet_codec.encode(packets.Read(client.ids, handle, 0, 32768))
             )
-        most = 0
-        for _ in range(
-            100
-        ):  # a busy machine needs more than the 2 s that it takes alone
+        most_outstanding = 0
+        for _ in range(100):  # takes 2 s on an idle machine, longer under load
             await later(0.1)
             await other.command(packets.Stat(0, "/h"))
-            most = max(
-                [most, gateway.host.unanswered]
+            most_outstanding = max(
+                [most_outstanding, gateway.host.unanswered]
                 + [len(each.outstanding) for each in gateway.clients]
             )
             if len(gateway.clients) == 1:
                 break
-        self.assertLessEqual(most, 8)
+        self.assertLessEqual(most_outstanding, 8)
         self.assertEqual(len(gateway.clients), 1)
         self.assertIsInstance(
             await other.command(packets.Stat(0, "/h")), packets.AttributesReply
--- a/tests/sftp_gateway/test_end_to_end.py
+++ b/tests/sftp_gateway/test_end_to_end.py
@@ -9,7 +9,7 @@
 from tests.support.sftp_gateway_rig import Rig, later, pattern
 
 
-class Paths(TestCase):
+class FilesThroughGateways(TestCase):
     timeout = 20
 
     async def test_what_is_written_through_one_gateway_is_read_through_another(self):
@@ -35,19 +35,20 @@
                 read += answer.data
             self.assertEqual((read == data, answer.code), (True, packets.EOF))
 
-    async def test_new_objects_are_placed_by_the_module_and_linked_at_home(self):
+    async def test_new_objects_are_placed_by_the_scheduler_and_linked_at_home(self):
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway(most_handles=50))
         for number in range(12):
             await client.open(f"/f/{number}")
-        held = [
-            sum(name.startswith("#") for name in box.files.data) for box in rig.boxes
+        object_counts = [
+            sum(name.startswith("#") for name in node.files.data) for node in rig.nodes
         ]
         self.assertEqual(
-            (sum(held), sum(len(box.files.links) for box in rig.boxes)), (12, 12)
+            (sum(object_counts), sum(len(node.files.links) for node in rig.nodes)),
+            (12, 12),
         )
 
-    async def test_an_independent_client_does_its_commands(self):
+    async def test_the_sftp_client_of_twisted_conch_is_served(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = FileTransferClient()
@@ -77,7 +78,9 @@
         with self.assertRaises(SFTPError):
             await client.removeDirectory(b"/h/dir")
 
-    async def test_a_directory_over_all_cells_is_listed_whole_and_once(self):
+    async def test_a_directory_on_all_shards_is_listed_completely_without_duplicates(
+        self,
+    ):
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway(most_handles=500))
         for number in range(30):
@@ -102,7 +105,7 @@
             ["d", "f", "h"],
         )
 
-    async def test_two_gateways_that_make_the_same_name_end_with_one_object(self):
+    async def test_two_gateways_that_create_the_same_name_share_one_object(self):
         rig = Rig(self)
         clients = [
             await rig.client(await rig.start_gateway(f"edge-{each}")) for each in "ab"
@@ -114,7 +117,7 @@
         answer = await clients[1].command(packets.Read(0, handles[1], 0, 10))
         self.assertEqual(answer.data, b"one")
 
-    async def test_handles_writes_and_limits_are_bounded(self):
+    async def test_handles_and_write_sizes_are_limited(self):
         rig = Rig(self)
         client = await rig.client(await rig.start_gateway())
         answers = [await client.command(packets.Opendir(0, "/h")) for _ in range(8)]
--- a/tests/sftp_gateway/test_gateway_life_cycle.py
+++ b/tests/sftp_gateway/test_gateway_life_cycle.py
@@ -1,4 +1,4 @@
-"""Registry, stalls, start, reload and end of whole gateways on loopback."""
+"""Registry outages, stalls, start, reload and shutdown of gateways on loopback."""
 
 import time
 
@@ -7,14 +7,14 @@
 
 from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms
-from tests.support.sftp_answers import declined
+from tests.support.sftp_answers import is_declined
 from tests.support.sftp_gateway_rig import Rig, later
 
 
 class GatewayLifeCycle(TestCase):
     timeout = 20
 
-    async def test_a_registry_that_is_away_at_the_start_is_asked_again(self):
+    async def test_a_registry_that_is_unreachable_at_the_start_is_retried(self):
         rig = Rig(self)
         rig.registry.set_away(True)
         gateway = await rig.start_gateway()
@@ -22,14 +22,14 @@
         answer = await client.command(
             packets.Stat(0, "/h/x"), CommandTerms(200, 0, "m")
         )
-        self.assertTrue(declined(answer), answer)
+        self.assertTrue(is_declined(answer), answer)
         rig.registry.set_away(False)
         await later(1.2)
         self.assertEqual(
             (await client.command(packets.Stat(0, "/h/x"))).code, packets.NO_SUCH_FILE
         )
 
-    async def test_a_restarted_gateway_has_its_last_list_with_the_registry_away(self):
+    async def test_a_restart_without_registry_uses_the_cached_endpoint_list(self):
         rig = Rig(self)
         first = await rig.start_gateway()
         client = await rig.client(first)
@@ -43,47 +43,49 @@
             await client.command(packets.Stat(0, "/h/x")), packets.AttributesReply
         )
 
-    async def test_a_drain_told_is_a_drain_kept(self):
+    async def test_a_draining_node_gets_no_requests(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         await client.open("/d/x")
-        busy = next(box for box in rig.boxes if "/d/x" in box.files.data)
-        rig.tell(busy, "draining")
+        busy = next(node for node in rig.nodes if "/d/x" in node.files.data)
+        rig.register(busy, "draining")
         await later(0.3)
         before = busy.connection_count, sum(busy.units_served.values())
         answer = await client.command(
             packets.Stat(0, "/d/x"), CommandTerms(300, 0, "m")
         )
-        self.assertTrue(declined(answer), answer)
+        self.assertTrue(is_declined(answer), answer)
         self.assertEqual(
             (busy.connection_count, sum(busy.units_served.values())), before
         )
 
-    async def test_a_box_replaced_in_its_cell_serves_its_files(self):
+    async def test_a_node_that_replaces_another_in_its_shard_serves_its_files(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         await client.open("/d/x")
-        old = next(box for box in rig.boxes if "/d/x" in box.files.data)
+        old = next(node for node in rig.nodes if "/d/x" in node.files.data)
         rig.registry.delete(f"{rig.file.registry.prefix}{old.settings.node}")
         old.vanish()
         old.drop()
-        rig.add_box(9, old.settings.cell, old.files, cold=True)
+        rig.add_node(9, old.settings.cell, old.files, cold=True)
         await later(0.9)
         answer = await client.command(packets.Stat(0, "/d/x"))
         self.assertIsInstance(answer, packets.AttributesReply)
 
-    async def test_a_reactor_blocked_for_two_seconds_answers_all_once_and_goes_on(self):
+    async def test_a_reactor_blocked_for_two_seconds_answers_all_once_and_recovers(
+        self,
+    ):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         handle = await client.open("/h/x")
         await client.command(packets.Write(0, handle, 0, b"data"))
-        going = [client.command(packets.Read(0, handle, 0, 4)) for _ in range(8)]
+        reads = [client.command(packets.Read(0, handle, 0, 4)) for _ in range(8)]
         await later(0.0005)
         time.sleep(2)
-        answers = await defer.gatherResults(going)
+        answers = await defer.gatherResults(reads)
         self.assertEqual((len(answers), gateway.host.unanswered), (8, 0))
         self.assertEqual(len({each.id for each in answers}), 8)
         ends = time.monotonic() + 8
@@ -93,67 +95,69 @@
             self.assertLess(time.monotonic(), ends, answer)
             await later(0.2)
 
-    async def test_patience_runs_while_a_command_lies_unread_in_a_stalled_process(self):
+    async def test_the_client_timeout_includes_time_unread_in_a_stalled_process(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         handle = await client.open("/h/x")
-        for box in rig.boxes:
-            box.vanish()
-        asking = extensions.encode_command(
+        for node in rig.nodes:
+            node.vanish()
+        packet = extensions.encode_command(
             CommandTerms(900, 0, "m"), packets.Read(99, handle, 0, 4)
         )
-        client.transport.socket.send(packet_codec.encode(asking))
+        client.transport.socket.send(packet_codec.encode(packet))
         began = time.monotonic()
         time.sleep(0.6)
         while not any(each.id == 99 for each in client.answers):
             await later(0.005)
         self.assertLess(time.monotonic() - began, 0.9)
 
-    async def test_patience_runs_where_the_process_stood_before_it_read_what_was_ready(
+    async def test_the_client_timeout_includes_a_stall_just_before_the_read(
         self,
     ):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
-        door = next(iter(gateway.clients))
-        # it stands between a beat and the read, 0.6 s long
+        connection = next(iter(gateway.clients))
+        # a stall of 0.6 s between the last check and the read
         gateway.stall_watch.check_call.cancel()
-        stood = gateway.stall_watch.last_check = gateway.now() - 6000
-        self.assertEqual(door.arrival_time(), stood)
+        stalled_since = gateway.stall_watch.last_check = gateway.now() - 6000
+        self.assertEqual(connection.arrival_time(), stalled_since)
         gateway.stall_watch.check()
-        self.assertEqual(door.arrival_time(), stood)  # all that is read in this turn
-        while door.arrival_time() == stood:
+        self.assertEqual(
+            connection.arrival_time(), stalled_since
+        )  # applies to all reads of this reactor turn
+        while connection.arrival_time() == stalled_since:
             await later(0.005)
-        self.assertLess(gateway.now() - door.arrival_time(), 3000)
+        self.assertLess(gateway.now() - connection.arrival_time(), 3000)
         self.assertTrue(client.transport.connected)
 
-    async def test_term_in_a_surge_answers_all_that_is_held_and_ends(self):
+    async def test_sigterm_under_load_answers_all_accepted_commands_and_stops(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
         handle = await client.open("/h/x")
         await client.command(packets.Write(0, handle, 0, b"data"))
-        going = [client.command(packets.Read(0, handle, 0, 4)) for _ in range(8)]
+        reads = [client.command(packets.Read(0, handle, 0, 4)) for _ in range(8)]
         await later(0.001)
         ended = defer.Deferred()
         gateway.on_stopped.append(lambda: ended.callback(None))
         gateway.terminate()
         late = client.command(packets.Stat(0, "/h/x"))
-        answers = await defer.gatherResults(going)
+        answers = await defer.gatherResults(reads)
         self.assertTrue(
             all(isinstance(each, (packets.Data, packets.Status)) for each in answers)
         )
         await ended
         self.assertEqual(gateway.state.name, "STOPPED")
-        self.assertTrue(not late.called or declined(late.result))
+        self.assertTrue(not late.called or is_declined(late.result))
 
-    async def test_a_state_folder_that_takes_nothing_stops_nothing(self):
+    async def test_a_state_directory_that_cannot_be_written_does_not_stop_service(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         gateway.endpoint_watcher.cache.path = "/dev/full/boxes"
         for number in range(3):
-            rig.tell(rig.boxes[0])
+            rig.register(rig.nodes[0])
             await later(0.7)
         client = await rig.client(gateway)
         self.assertEqual(
@@ -161,7 +165,7 @@
         )
         self.assertEqual(rig.log.getvalue().count("cannot be kept"), 1)
 
-    async def test_a_watch_that_is_compacted_asks_for_the_whole_list(self):
+    async def test_a_compacted_watch_reads_the_whole_list_again(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         rig.registry.set_away(True)
@@ -174,7 +178,7 @@
             ([0, 1], "WATCHING"),
         )
 
-    async def test_plain_metrics_tell_answers(self):
+    async def test_metrics_count_answers(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         client = await rig.client(gateway)
@@ -184,7 +188,7 @@
         )
         self.assertEqual(value, 1.0)
 
-    async def test_a_reload_takes_volumes_and_refuses_plans(self):
+    async def test_a_reload_applies_new_volumes_and_rejects_changed_plans(self):
         rig = Rig(self)
         gateway = await rig.start_gateway()
         file = type(gateway.file)()
--- a/tests/sftp_gateway/test_gateway_parts.py
+++ b/tests/sftp_gateway/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the gateway on their own: process, listening, identifiers, handles."""
+"""Unit tests of the gateway's process, listening ports, identifiers and handles."""
 
 import unittest
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 
 
 class FakeGateway:
-    """Stops when it is told to terminate."""
+    """A gateway that stops as soon as `terminate` is called."""
 
     def __init__(self, failed=False):
         self.failed = failed
@@ -33,43 +33,45 @@
 
 
 class Processes(unittest.TestCase):
-    def run_process(self, gateways, during):
-        """Run a process whose reactor does one thing; return it and its code."""
+    def run_process(self, gateways, action):
+        """Run a process whose reactor only calls `action`; return it and its exit code."""
         reactor = Mock(running=True)
-        made = GatewayProcess(reactor, gateways, [f"f{n}" for n in range(9)])
-        reactor.run.side_effect = lambda **options: during(made)
+        gateway_process = GatewayProcess(reactor, gateways, [f"f{n}" for n in range(9)])
+        reactor.run.side_effect = lambda **options: action(gateway_process)
         with patch.object(process, "install_signal_handler"):
-            return made, made.run()
+            return gateway_process, gateway_process.run()
 
     def test_the_reactor_stops_once_all_gateways_have_stopped(self):
         gateways = [FakeGateway(), FakeGateway()]
 
-        def during(made):
+        def action(gateway_process):
             gateways[0].terminate()
-            self.assertEqual(list(made.running), [1])
-            made.reactor.callLater.reset_mock()
-            made.terminate()
-            made.reactor.callLater.assert_called_once_with(
-                process.STOP_DELAY, made.reactor.stop
+            self.assertEqual(list(gateway_process.running), [1])
+            gateway_process.reactor.callLater.reset_mock()
+            gateway_process.terminate()
+            gateway_process.reactor.callLater.assert_called_once_with(
+                process.STOP_DELAY, gateway_process.reactor.stop
             )
 
-        _, code = self.run_process(gateways, during)
+        _, code = self.run_process(gateways, action)
         self.assertEqual((code, [each.terminated for each in gateways]), (0, [1, 1]))
 
-    def test_a_gateway_that_could_not_start_gives_one(self):
+    def test_a_gateway_that_could_not_start_gives_exit_code_one(self):
         gateways = [FakeGateway(), FakeGateway(failed=True)]
-        _, code = self.run_process(gateways, lambda made: made.terminate())
+        _, code = self.run_process(
+            gateways, lambda gateway_process: gateway_process.terminate()
+        )
         self.assertEqual(code, 1)
 
-    def test_only_gateways_that_run_read_their_files_again(self):
+    def test_only_running_gateways_reload_their_files(self):
         gateways = [FakeGateway(), FakeGateway(), FakeGateway()]
         with patch.object(process, "reload_gateway") as reload_gateway:
 
-            def during(made):
+            def action(gateway_process):
                 gateways[1].terminate()
-                made.reload()
+                gateway_process.reload()
 
-            self.run_process(gateways, during)
+            self.run_process(gateways, action)
         self.assertEqual(
             [call.args for call in reload_gateway.call_args_list],
             [(gateways[0], "f0"), (gateways[2], "f2")],
@@ -79,14 +81,14 @@
 class Listening(unittest.TestCase):
     def setUp(self):
         self.opening = [Deferred(), Deferred()]
-        self.heard, self.failures = [], []
+        self.opened, self.failures = [], []
         endpoint = Mock()
         endpoint.listen.side_effect = list(self.opening)
-        made = patch.object(listening_ports, "make_endpoint", return_value=endpoint)
-        made.start()
-        self.addCleanup(made.stop)
+        patcher = patch.object(listening_ports, "make_endpoint", return_value=endpoint)
+        patcher.start()
+        self.addCleanup(patcher.stop)
         self.ports = ListeningPorts(
-            None, lambda *values: self.heard.append(values), self.failures.append
+            None, lambda *values: self.opened.append(values), self.failures.append
         )
         self.ports.open("127.0.0.1:0", None, "listening")
         self.ports.open("127.0.0.1:7", None, "metrics_listening")
@@ -96,10 +98,10 @@
         port.getHost.return_value = SimpleNamespace(port=4711)
         return port
 
-    def test_a_port_that_opens_is_told_with_its_number_and_closed_once(self):
+    def test_an_open_port_is_reported_with_its_number_and_closed_once(self):
         port = self.port()
         self.opening[0].callback(port)
-        self.assertEqual(self.heard, [("listening", "127.0.0.1:4711")])
+        self.assertEqual(self.opened, [("listening", "127.0.0.1:4711")])
         self.ports.close()
         self.ports.close()
         port.stopListening.assert_called_once_with()
@@ -111,11 +113,11 @@
         self.ports.stop()
         self.opening[0].callback(port)
         port.stopListening.assert_called_once_with()
-        self.assertEqual((self.ports.ports, self.heard), ([], []))
+        self.assertEqual((self.ports.ports, self.opened), ([], []))
 
 
 class Identifiers(unittest.TestCase):
-    def test_names_carry_the_incarnation_of_their_time(self):
+    def test_identifiers_contain_the_current_incarnation(self):
         source = IdentifierSource("g", 3)
         self.assertEqual(source.new_object_name(), "#g.3.1")
         source.incarnation = 5
@@ -127,7 +129,7 @@
 
 
 class Handles(unittest.TestCase):
-    def test_the_bound_follows_a_reload_and_handles_are_never_given_twice(self):
+    def test_the_limit_follows_a_reload_and_handles_are_never_reused(self):
         gateway = SimpleNamespace(file=SimpleNamespace(door=Mock(most_handles=1)))
         table = HandleTable(gateway)
         first = table.add(OpenHandle(None, "/", None))
--- a/tests/sftp_gateway/test_routing.py
+++ b/tests/sftp_gateway/test_routing.py
@@ -1,4 +1,7 @@
-"""Routing and the steps of a command: each test calls one function or reads one row."""
+"""Routing and the steps of a command.
+
+Each test calls one function or reads one row of a table.
+"""
 
 import unittest
 
@@ -36,14 +39,14 @@
 )
 
 
-def place(
+def make_volume(
     number=1,
     name="suva",
     root="/suva",
-    cells=(0, 1, 2),
+    shards=(0, 1, 2),
     placement=VolumePlacement.HASHED,
 ):
-    return RoutedVolume(number, name, root, 0, tuple(cells), 3, placement)
+    return RoutedVolume(number, name, root, 0, tuple(shards), 3, placement)
 
 
 def routing_table(*volumes):
@@ -53,28 +56,28 @@
         RouteRule(frozenset(), "", 0, 0),
     ]
     return RoutingTable(
-        volumes or (place(), place(2, "b", "/a/b")),
+        volumes or (make_volume(), make_volume(2, "b", "/a/b")),
         routes,
         RequestSizing(4096, 8, 65536),
     )
 
 
 class Paths(unittest.TestCase):
-    def test_a_path_is_made_absolute_and_cannot_climb_out(self):
-        for given, made in (
+    def test_a_path_is_made_absolute_and_cannot_leave_the_root(self):
+        for given, expected in (
             ("", "/"),
             ("a//b/./c", "/a/b/c"),
             ("/../../a", "/a"),
             ("/a/b/../c/", "/a/c"),
         ):
-            self.assertEqual(canonical_path(given), made)
+            self.assertEqual(canonical_path(given), expected)
 
-    def test_a_zero_byte_or_endless_path_is_refused(self):
+    def test_a_path_with_nul_or_over_the_length_limit_is_rejected(self):
         for bad in ("a\0b", "a" * 5000):
             with self.assertRaises(InvalidPathError):
                 canonical_path(bad)
 
-    def test_the_volume_is_that_of_the_root_above(self):
+    def test_a_path_belongs_to_the_volume_whose_root_contains_it(self):
         self.assertEqual(
             [
                 getattr(routing_table().volume_of(each), "name", None)
@@ -93,14 +96,14 @@
             (["a", "suva"], ["b"], []),
         )
 
-    def test_the_first_route_that_fits_gives_the_category(self):
+    def test_the_first_matching_route_gives_the_request_class(self):
         of = routing_table()
         self.assertEqual(
             [
-                of.request_class("read", place(), 9000),
-                of.request_class("read", place(), 5),
-                of.request_class("read", place(2, "b"), 5),
-                of.request_class("write", place(), 9000),
+                of.request_class("read", make_volume(), 9000),
+                of.request_class("read", make_volume(), 5),
+                of.request_class("read", make_volume(2, "b"), 5),
+                of.request_class("write", make_volume(), 9000),
             ],
             [2, 1, 0, 0],
         )
@@ -114,30 +117,32 @@
             [1, 1, 1, 2, 8],
         )
 
-    def test_a_command_that_moves_no_data_is_a_part_of_a_unit(self):
+    def test_a_command_that_transfers_no_data_is_a_fraction_of_a_unit(self):
         self.assertEqual(routing_table().units("look", 0), 0.5)
 
 
 class HomeShards(unittest.TestCase):
-    def test_every_gateway_finds_the_same_home(self):
+    def test_the_home_shard_does_not_depend_on_the_order_of_shards(self):
         self.assertEqual(
-            routing_table().home_shard(place(), "/suva/x"),
-            routing_table().home_shard(place(cells=(2, 1, 0)), "/suva/x"),
+            routing_table().home_shard(make_volume(), "/suva/x"),
+            routing_table().home_shard(make_volume(shards=(2, 1, 0)), "/suva/x"),
         )
 
-    def test_a_cell_that_leaves_moves_only_its_own_paths(self):
+    def test_a_shard_that_leaves_moves_only_its_own_paths(self):
         of, paths = routing_table(), [f"/suva/{each}" for each in range(500)]
-        before = {each: of.home_shard(place(), each) for each in paths}
-        after = {each: of.home_shard(place(cells=(0, 1)), each) for each in paths}
+        before = {each: of.home_shard(make_volume(), each) for each in paths}
+        after = {
+            each: of.home_shard(make_volume(shards=(0, 1)), each) for each in paths
+        }
         self.assertTrue(
             all(after[each] == before[each] for each in paths if before[each] != 2)
         )
         self.assertTrue(
-            all(100 < list(before.values()).count(cell) < 240 for cell in (0, 1, 2))
+            all(100 < list(before.values()).count(shard) < 240 for shard in (0, 1, 2))
         )
 
-    def test_by_directory_a_directorys_files_share_a_cell(self):
-        volume = place(placement=VolumePlacement.BY_DIRECTORY, cells=range(9))
+    def test_by_directory_the_files_of_a_directory_share_a_shard(self):
+        volume = make_volume(placement=VolumePlacement.BY_DIRECTORY, shards=range(9))
         self.assertEqual(
             len(
                 {
@@ -148,12 +153,12 @@
             1,
         )
 
-    def test_extents_differ_by_offset_and_are_never_none(self):
+    def test_keys_differ_by_block_of_the_object(self):
         of = routing_table()
         self.assertEqual(of.request_key("/a", 0), of.request_key("/a", 65535))
         self.assertNotEqual(of.request_key("/a", 0), of.request_key("/a", 65536))
 
-    def test_a_spot_comes_back_from_its_text(self):
+    def test_a_location_is_parsed_from_its_link_target(self):
         self.assertEqual(
             parse_location(format_location(ObjectLocation(7, "#e.1.2:x"))),
             ObjectLocation(7, "#e.1.2:x"),
@@ -166,20 +171,20 @@
             [None] * 6,
         )
 
-    def test_remembered_places_are_bounded(self):
-        held = LocationCache(2)
+    def test_the_location_cache_evicts_the_oldest_entry(self):
+        cache = LocationCache(2)
         for each in "abc":
-            held.put(each, ObjectLocation(1, each))
+            cache.put(each, ObjectLocation(1, each))
         self.assertEqual(
-            (held.get("a"), held.get("c"), len(held.entries)),
+            (cache.get("a"), cache.get("c"), len(cache.entries)),
             (None, ObjectLocation(1, "c"), 2),
         )
 
 
 class CommandSteps(unittest.TestCase):
-    def test_how_commands_go(self):
+    def test_the_strategy_depends_on_command_and_placement(self):
         opening = packets.Open(1, "/suva/x", packets.CREATE_FLAG, FileAttributes())
-        for command, placement, course in (
+        for command, placement, strategy in (
             (opening, VolumePlacement.HASHED, CommandStrategy.SINGLE_REQUEST),
             (opening, VolumePlacement.FREE, CommandStrategy.CREATE),
             (packets.Stat(1, "x"), VolumePlacement.FREE, CommandStrategy.FOLLOW_LINK),
@@ -192,9 +197,9 @@
             ),
             (packets.Readdir(1, b"h"), VolumePlacement.FREE, CommandStrategy.LIST),
         ):
-            self.assertEqual(strategy_for(command, placement, 3)[0], course)
+            self.assertEqual(strategy_for(command, placement, 3)[0], strategy)
 
-    def test_a_new_object_is_looked_for_placed_and_linked(self):
+    def test_a_new_object_is_looked_up_placed_and_linked(self):
         self.assertEqual(
             next_step(CommandStrategy.CREATE, CommandStep.HOME, StepResult.MISSING, 1),
             (CommandStep.PLACING, StepEffect.NEXT_STEP),
@@ -212,13 +217,13 @@
             (CommandStep.OVER, StepEffect.ANSWER_CREATED),
         )
 
-    def test_who_loses_a_race_for_a_name_follows_the_winner(self):
+    def test_the_loser_of_a_race_for_a_name_follows_the_winners_link(self):
         self.assertEqual(
             next_step(CommandStrategy.CREATE, CommandStep.LINKING, StepResult.LINK, 3),
             (CommandStep.THERE, StepEffect.FOLLOW_LINK),
         )
 
-    def test_an_old_memory_of_a_place_leads_home_not_to_a_wrong_answer(self):
+    def test_a_stale_cached_location_leads_to_the_home_shard(self):
         self.assertEqual(
             next_step(
                 CommandStrategy.FOLLOW_LINK, CommandStep.THERE, StepResult.MISSING, 1
@@ -226,7 +231,7 @@
             (CommandStep.HOME, StepEffect.FORGET_LOCATION),
         )
 
-    def test_links_in_a_circle_end(self):
+    def test_a_loop_of_links_ends_the_command(self):
         self.assertEqual(
             next_step(
                 CommandStrategy.FOLLOW_LINK, CommandStep.HOME, StepResult.LINK, 6
@@ -234,24 +239,24 @@
             (CommandStep.OVER, StepEffect.FAIL_LINK_LOOP),
         )
 
-    def test_a_rename_never_covers_a_name_that_stands(self):
+    def test_a_rename_never_replaces_an_existing_name(self):
         self.assertEqual(
             next_step(CommandStrategy.RENAME, CommandStep.MOVING, StepResult.LINK, 2),
             (CommandStep.OVER, StepEffect.ANSWER_NAME_EXISTS),
         )
 
-    def test_a_decline_after_something_was_done_is_an_abort(self):
+    def test_a_rejection_after_a_mutating_step_becomes_a_failure(self):
         self.assertEqual(
             [final_result(StepResult.REJECTED, each) for each in (False, True)],
             [StepResult.REJECTED, StepResult.FAILED],
         )
 
-    def test_memory_spares_the_look_at_home_but_not_for_changes_of_the_link(self):
-        spot = ObjectLocation(1, "x")
+    def test_a_cached_location_skips_the_home_shard_except_for_link_changes(self):
+        location = ObjectLocation(1, "x")
         self.assertEqual(
             [
-                first_step(course, CommandStep.HOME, spot)
-                for course in (
+                first_step(strategy, CommandStep.HOME, location)
+                for strategy in (
                     CommandStrategy.FOLLOW_LINK,
                     CommandStrategy.CREATE,
                     CommandStrategy.REMOVE,
@@ -260,7 +265,7 @@
             [CommandStep.THERE, CommandStep.THERE, CommandStep.HOME],
         )
 
-    def test_what_a_box_answers(self):
+    def test_the_result_of_a_step_follows_from_the_nodes_answer(self):
         self.assertEqual(
             [
                 step_result(*each)
@@ -281,7 +286,7 @@
             ],
         )
 
-    def test_a_page_without_names_is_never_given_before_the_end(self):
+    def test_a_page_without_names_is_never_sent_before_the_end(self):
         self.assertEqual(
             [
                 page_outcome(*each)
--- a/tests/sftp_gateway/test_states.py
+++ b/tests/sftp_gateway/test_states.py
@@ -1,6 +1,6 @@
-"""States of clients and of the gateway.
+"""The state tables of client connections and of the gateway.
 
-Each test reads one row or calls one function.
+Each test reads one row of a table or calls one function.
 """
 
 import unittest
@@ -28,7 +28,7 @@
 
 
 class ClientStates(unittest.TestCase):
-    def test_a_command_before_init_and_a_second_init_are_cut(self):
+    def test_a_command_before_init_or_a_second_init_aborts_the_connection(self):
         self.assertEqual(
             next_client_state(SftpClientState.AWAITING_INIT, SftpClientEvent.COMMAND),
             (SftpClientState.CLOSED, SftpClientEffect.ABORT),
@@ -38,7 +38,7 @@
             (SftpClientState.CLOSED, SftpClientEffect.ABORT),
         )
 
-    def test_a_full_connection_is_read_again_at_half(self):
+    def test_a_paused_connection_resumes_at_half_of_the_limit(self):
         self.assertEqual(
             [
                 flow_control_event(SftpClientState.OPEN, 64, False, 64),
@@ -49,7 +49,7 @@
             [SftpClientEvent.OVER_LIMIT, None, SftpClientEvent.UNDER_LIMIT, None],
         )
 
-    def test_a_client_that_does_not_read_is_paused_then_cut(self):
+    def test_a_client_that_does_not_read_is_paused_then_aborted(self):
         self.assertEqual(
             flow_control_event(SftpClientState.OPEN, 0, True, 64),
             SftpClientEvent.OVER_LIMIT,
@@ -59,16 +59,16 @@
             (SftpClientState.CLOSED, SftpClientEffect.ABORT),
         )
 
-    def test_nothing_follows_a_close(self):
-        for sign in SftpClientEvent:
+    def test_a_closed_connection_ignores_every_event(self):
+        for event in SftpClientEvent:
             self.assertEqual(
-                next_client_state(SftpClientState.CLOSED, sign),
+                next_client_state(SftpClientState.CLOSED, event),
                 (SftpClientState.CLOSED, SftpClientEffect.NONE),
             )
 
 
 class GatewayStates(unittest.TestCase):
-    def test_term_drains_and_stops_when_empty_or_overdue_or_told_twice(self):
+    def test_termination_drains_then_stops_when_drained_timed_out_or_repeated(self):
         self.assertEqual(
             next_gateway_state(GatewayState.SERVING, GatewayEvent.TERMINATE),
             (GatewayState.DRAINING, GatewayEffect.DRAIN),
@@ -83,7 +83,7 @@
                 (GatewayState.STOPPED, GatewayEffect.STOP),
             )
 
-    def test_what_is_not_taken(self):
+    def test_commands_are_refused_by_state_limit_and_deadline(self):
         self.assertEqual(
             [
                 bool(refusal_reason(*each))
@@ -97,12 +97,12 @@
             [False, True, True, True],
         )
 
-    def test_the_lesser_patience_counts_less_the_margin(self):
+    def test_the_shorter_timeout_applies_minus_the_margin(self):
         self.assertEqual(
             [client_deadline(0, 100, each, 5) for each in (0, 50, 900)], [95, 45, 95]
         )
 
-    def test_after_a_stall_sockets_go_before_timeouts_once(self):
+    def test_after_a_stall_sockets_are_read_before_timeouts_once(self):
         self.assertEqual(
             [
                 must_read_sockets_first(*each)
@@ -111,16 +111,22 @@
             [True, False, False],
         )
 
-    def test_what_is_read_after_a_stall_may_be_as_old_as_the_last_beat(self):
+    def test_data_read_after_a_stall_may_date_from_the_last_check(self):
         self.assertEqual(
             [earliest_arrival(1500, 1490, 990), earliest_arrival(9000, 1490, 990)],
             [None, 990],
         )
 
-    def test_answers_are_logged_at_a_bounded_rate_and_the_rest_counted(self):
-        log = AnswerLogLimiter(2)
+    def test_answers_are_logged_at_a_limited_rate_and_the_rest_counted(self):
+        limiter = AnswerLogLimiter(2)
         self.assertEqual(
-            [log.take(0), log.take(0), log.take(0), log.take(0), log.take(10_000)],
+            [
+                limiter.take(0),
+                limiter.take(0),
+                limiter.take(0),
+                limiter.take(0),
+                limiter.take(10_000),
+            ],
             [0, 0, None, None, 2],
         )
 
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -12,7 +12,7 @@
 
 
 class ChannelFleet(Rig):
-    """Three gateways that own channels, and the order of effects at the boxes."""
+    """Three gateways that own channels, and the order of effects at the nodes."""
 
     def __init__(self, case, **kind):
         super().__init__(case, **kind)
@@ -63,18 +63,18 @@
                 ],
             )
         )
-        for box in self.boxes:
-            self.record_effects(box)
+        for node in self.nodes:
+            self.record_effects(node)
 
-    def record_effects(self, box):
-        run = box.files.run
+    def record_effects(self, node):
+        run = node.files.run
 
         def recording(command):
             if isinstance(command, packets.Write):
                 self.effects.append(int(command.data[:8]))
             return run(command)
 
-        box.files.run = recording
+        node.files.run = recording
 
     async def gateways(self, count=3):
         made = [await self.gateway(f"g{each}") for each in range(count)]
--- a/tests/support/sftp_answers.py
+++ b/tests/support/sftp_answers.py
@@ -1,13 +1,13 @@
-"""What the final answers of an SFTP command look like to a client."""
+"""Checks for the final answers that a client receives to an SFTP command."""
 
 from milletsill.sftp import packets
 
 
-def declined(answer):
+def is_declined(answer):
     return isinstance(answer, packets.Status) and answer.language.startswith(
         "x-declined-"
     )
 
 
-def aborted(answer):
+def is_aborted(answer):
     return isinstance(answer, packets.Status) and answer.language == "x-aborted"
--- a/tests/support/sftp_gateway_rig.py
+++ b/tests/support/sftp_gateway_rig.py
@@ -1,4 +1,4 @@
-"""What the end-to-end tests share: gateways, stand-in nodes, a registry, a client."""
+"""SFTP gateways, stand-in nodes, a registry and a client for end-to-end tests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from milletsill.sftp.wire import FileAttributes
 from milletsill.sftp_gateway.gateway import SftpGateway
 
-FILE = """
+GATEWAY_FILE = """
 name: "edge-t" listen: "127.0.0.1:0" gateways: 1 seed: 5
 registry { address: "127.0.0.1:1" call_ms: 400 connect_ms: 300 }
 door { answer_margin_ms: 20 most_outstanding: 8 most_handles: 6 drain_s: 3 }
@@ -45,7 +45,7 @@
 
 
 class Client(protocol.Protocol):
-    """A client of the door; `command` gives a Deferred of the answer."""
+    """An SFTP client; `command` returns a Deferred that fires with the answer."""
 
     def __init__(self):
         self.packet_splitter, self.waiting, self.answers, self.ids = (
@@ -91,29 +91,34 @@
 
 
 class Rig:
-    """Boxes, registry and edges, ended by `stop`."""
+    """Nodes, a registry and gateways in one process, stopped by `stop`."""
 
-    def __init__(self, case, boxes=3, **kind):
+    def __init__(self, case, nodes=3, **kind):
         self.case, self.log = case, io.StringIO()
-        folder = tempfile.TemporaryDirectory()
-        case.addCleanup(folder.cleanup)
-        self.folder, self.ports, self.running_gateways, self.clients = (
-            folder.name,
+        directory = tempfile.TemporaryDirectory()
+        case.addCleanup(directory.cleanup)
+        self.state_root, self.ports, self.running_gateways, self.clients = (
+            directory.name,
             [],
             [],
             [],
         )
-        figures = {"error_rate": 0.0, "report_every_ms": 20.0, "cold_s": 1.0, **kind}
-        self.kind = BoxKind(name="k", **figures)
-        self.file = text_format.Parse(FILE, GatewayFile())
+        kind_settings = {
+            "error_rate": 0.0,
+            "report_every_ms": 20.0,
+            "cold_s": 1.0,
+            **kind,
+        }
+        self.kind = BoxKind(name="k", **kind_settings)
+        self.file = text_format.Parse(GATEWAY_FILE, GatewayFile())
         self.registry = RegistryStandIn(
             reactor, RegistryStand(call_ms=1, notice_ms=10), 1
         )
         self.registry_port = self.listen(registry_site(self.registry))
         self.file.registry.address = f"127.0.0.1:{self.registry_port.getHost().port}"
-        self.boxes = []
-        for number in range(boxes):
-            self.add_box(number, number, StoredFiles())
+        self.nodes = []
+        for number in range(nodes):
+            self.add_node(number, number, StoredFiles())
         case.addCleanup(self.stop)
 
     def listen(self, factory):
@@ -121,35 +126,36 @@
         self.ports.append(port)
         return port
 
-    def add_box(self, number, cell, files, cold=False):
+    def add_node(self, number, shard, files, cold=False):
         work = dict.fromkeys(("read", "write"), WorkEstimate(0.002, 0.1))
         settings = NodeStandInSettings(
-            number, cell, 0, self.kind, self.file.rules, work, 5 + number
+            number, shard, 0, self.kind, self.file.rules, work, 5 + number
         )
-        box = NodeStandIn(reactor, settings, files)
-        box.port = self.listen(NodeListener(box))
+        node = NodeStandIn(reactor, settings, files)
+        node.port = self.listen(NodeListener(node))
         if cold:
-            box.boot(cold=True)
-        self.boxes.append(box)
-        self.tell(box)
-        return box
+            node.boot(cold=True)
+        self.nodes.append(node)
+        self.register(node)
+        return node
 
-    def tell(self, box, state="ready"):
+    def register(self, node, state="ready"):
         self.registry.put(
-            f"{self.file.registry.prefix}{box.settings.node}", box.registry_entry(state)
+            f"{self.file.registry.prefix}{node.settings.node}",
+            node.registry_entry(state),
         )
 
     async def start_gateway(self, name="edge-t", **door):
         file = GatewayFile()
         file.CopyFrom(self.file)
-        file.name, file.state_dir = name, f"{self.folder}/{name}"
+        file.name, file.state_dir = name, f"{self.state_root}/{name}"
         for field, value in door.items():
             setattr(file.door, field, value)
         gateway = SftpGateway(file, reactor, log=logger("debug", True, self.log))
         self.running_gateways.append(gateway)
         gateway.start()
-        ends = time.monotonic() + 2
-        while time.monotonic() < ends and not (
+        deadline = time.monotonic() + 2
+        while time.monotonic() < deadline and not (
             gateway.listening.ports
             and gateway.endpoint_watcher.state.name == "WATCHING"
         ):
@@ -173,14 +179,14 @@
         for gateway in self.running_gateways:
             if gateway.state.name != "STOPPED":
                 gateway.stop()
-        for box in self.boxes:
-            box.drop()
+        for node in self.nodes:
+            node.drop()
         self.registry.set_away(True)
         for port in self.ports:
             await port.stopListening()
         await later(0.05)
 
-    def traces(self):
+    def tracebacks(self):
         return [
             line for line in self.log.getvalue().splitlines() if "Traceback" in line
         ]
