--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -60,7 +60,7 @@
         self.assertEqual(
             sum(each.channels.owner.owns("hashed/boat") for each in gateways), 1
         )
-        self.assertEqual(rig.traces(), [])
+        self.assertEqual(rig.tracebacks(), [])
 
     async def test_a_later_claim_ends_the_earlier_one(self):
         rig = ChannelFleet(self)
@@ -83,10 +83,10 @@
         others = [each for each in gateways if each is not owner]
         channel_client = await ChannelClient.open(rig, others[0])
         # Number 2 is released, and no node answers it.
-        rig.boxes[0].silent = rig.boxes[1].silent = rig.boxes[2].silent = True
+        rig.nodes[0].silent = rig.nodes[1].silent = rig.nodes[2].silent = True
         lost = channel_client.put(2)
         await later(0.1)
-        for each in rig.boxes:
+        for each in rig.nodes:
             each.silent = False
         rig.kill(owner)
         began, done, channel_client = time.monotonic(), None, None
@@ -106,7 +106,7 @@
         self.assertIn(
             answer_kind(await lost), ("aborted", "claim-lost", "declined", packets.OK)
         )
-        self.assertEqual(rig.traces(), [])
+        self.assertEqual(rig.tracebacks(), [])
 
     async def test_a_command_that_waits_for_a_lease_is_answered_by_its_deadline(self):
         """The acceptors never reply.
@@ -141,7 +141,7 @@
             (
                 sum(each.channels.unanswered for each in gateways),
                 rig.effects,
-                rig.traces(),
+                rig.tracebacks(),
             ),
             (0, [], []),
         )
@@ -225,7 +225,7 @@
             ("declined", True),
         )
         self.assertLess(time.monotonic() - began, 1.0)
-        self.assertEqual(rig.traces(), [])
+        self.assertEqual(rig.tracebacks(), [])
 
 
 class WithoutChannels(TestCase):
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -63,19 +63,19 @@
                 ],
             )
         )
-        for box in self.boxes:
-            self.record_effects(box)
+        for node in self.nodes:
+            self.record_effects(node)
 
-    def record_effects(self, box):
+    def record_effects(self, node):
         """Append the number in the data of each write to `effects`."""
-        run = box.files.run
+        run = node.files.run
 
         def recording(command):
             if isinstance(command, packets.Write):
                 self.effects.append(int(command.data[:8]))
             return run(command)
 
-        box.files.run = recording
+        node.files.run = recording
 
     async def gateways(self, count=3):
         """Start gateways, and wait until each of them has all in its view."""
