--- a/milletsill/http1/__init__.py
+++ b/milletsill/http1/__init__.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 messages for clients and servers: octets in, whole messages out.
+"""Incremental parsing and encoding of HTTP/1.1 messages for clients and servers.
 
-The package has no sockets and knows nothing of any platform. `message_reader` reads
-requests and responses, `response_line_reader` a response without an end, `writer`
-encodes both, and `message_limits` holds the bounds and what is refused as ambiguous.
+The package performs no I/O and depends on no deployment. `message_reader` reads
+requests and responses, `response_line_reader` reads the lines of a response that does
+not end, `writer` encodes both, and `message_limits` holds the size limits and the rules
+by which ambiguous messages are refused.
 """
--- a/milletsill/http1/errors.py
+++ b/milletsill/http1/errors.py
@@ -1,4 +1,4 @@
-"""Errors of reading HTTP/1.1 messages."""
+"""Errors that are raised while HTTP/1.1 messages are read."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 
 class MalformedHttpMessageError(MalformedInputError):
-    """Octets that are no HTTP/1.1 message within the bounds.
+    """The received octets are not an HTTP/1.1 message within the limits.
 
-    `status` is what a server answers with.
+    `status` is the response status that a server sends for this error.
     """
 
     remedy = (
-        "see which client, node or discovery sends them; its connection alone is closed"
+        "find the client, node or discovery service that sent the malformed message; "
+        "only its connection is closed"
     )
 
     def __init__(self, status: int, reason: str) -> None:
--- a/milletsill/http1/message.py
+++ b/milletsill/http1/message.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 message while it is read, as the callbacks of httptools fill it."""
+"""State of one HTTP/1.1 message while it is read, filled by httptools callbacks."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
     """One request or response.
 
     Attributes:
-        method, target: of a request; empty in a response.
-        status: of a response; 0 in a request.
-        fields: header fields by lower-case name, the first of each name.
-        repeated: names of fields that came more than once.
-        body: the whole body, once the reader has returned the message.
+        method, target: method and target of a request; empty in a response.
+        status: status code of a response; 0 in a request.
+        fields: header fields by lower-case name; of a repeated field, the first value.
+        repeated: names of header fields that occur more than once.
+        body: the complete body, set once the reader has returned the message.
         keep_alive: whether the connection may carry another message.
-        length: octets of the body as told, or received so far with their framing.
-        chunked: whether the body comes in chunks.
-        until_close: whether the body ends with its connection.
+        length: the body length in octets that the head states; for a chunked or
+            close-delimited body, the octets received so far, chunk framing included.
+        chunked: whether the body uses the chunked transfer coding.
+        until_close: whether the close of the connection ends the body.
     """
 
     __slots__ = (
@@ -60,9 +61,9 @@
         self.head_complete = False
         self.complete = False
         self.field_count = 0
-        # State of a chunked body: its pieces and their octets, the line of the next
-        # chunk's size and whether it is complete, chunks begun, octets of the current
-        # one to come.
+        # State of a chunked body: the decoded pieces and their total octets, the chunk
+        # size line received so far and whether it is complete, the number of chunks
+        # begun, and the octets of the current chunk still to come.
         self.pieces: list[bytes] = []
         self.received = 0
         self.chunk_line = b""
@@ -73,13 +74,13 @@
     # Called by httptools.
 
     def on_url(self, url: bytes) -> None:
-        """Add a piece of the request target."""
+        """Append a piece of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header field; trailer fields behind a chunked body are dropped.
+        """Store a header field; drop trailer fields, which follow a chunked body.
 
-        A trailer must not change what the head has said, for example the request's id.
+        A trailer must not change a value from the head, for example the request's id.
         """
         if self.head_complete:
             return
@@ -91,23 +92,23 @@
             self.fields[name] = value
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head; llhttp answers `should_keep_alive` only here."""
+        """Record the end of the head, where llhttp sets `should_keep_alive`."""
         self.head_complete = True
         assert self.parser is not None
         self.keep_alive = self.parser.should_keep_alive()
 
     def on_chunk_header(self) -> None:
-        """Note that the line with the size of a chunk is complete."""
+        """Record that a chunk size line is complete."""
         self.chunk_line_complete = True
         self.chunk_count += 1
 
     def on_body(self, data: bytes) -> None:
-        """Add a piece of a chunked body."""
+        """Append a piece of a chunked body."""
         self.pieces.append(data)
         self.received += len(data)
 
     def on_message_complete(self) -> None:
-        """Put the body together."""
+        """Join the pieces of the body."""
         self.complete = True
         self.body = b"".join(self.pieces)
         self.pieces = []
@@ -115,16 +116,16 @@
     # Called by the reader.
 
     def on_chunk_data_fed(self, data: bytes) -> None:
-        """Follow the framing of a chunked body that the parser was given.
+        """Track the chunk framing of data that was fed to the parser.
 
-        The data is never more than one line or the rest of one chunk.
+        The data is at most one line or the rest of one chunk.
         """
         if self.chunk_remaining:
             self.chunk_remaining -= len(data)
             return
         self.chunk_line += data
         if self.chunk_line_complete:
-            # The parser has accepted the size, so that it is a number.
+            # The parser has accepted the size, so it is a hexadecimal number.
             size, _, _ = self.chunk_line.partition(b";")
             self.chunk_remaining = int(size, 16)
         if self.chunk_line.endswith(b"\n"):
--- a/milletsill/http1/message_limits.py
+++ b/milletsill/http1/message_limits.py
@@ -1,4 +1,4 @@
-"""Bounds of HTTP/1.1 messages and the rules by which a message head is refused.
+"""Size limits of HTTP/1.1 messages and the rules by which a head is refused.
 
 Pure functions and constants: no I/O, no clock.
 """
@@ -9,32 +9,31 @@
 from dataclasses import dataclass
 
 HEAD_END = b"\r\n\r\n"
-# Interim (1xx) responses that are accepted ahead of one final response.
+# Interim (1xx) responses that are accepted before one final response.
 MAX_INTERIM_RESPONSES = 8
-# Chunks of one body. Each chunk costs processor time however short it is; without the
-# bound one peer could slow down all others. A usual body stays far below it.
+# Chunks of one body. Each chunk costs processor time however short it is, so without
+# the limit one peer could slow down all others. Typical bodies stay far below it.
 MAX_CHUNKS = 8192
 MAX_LENGTH_DIGITS = 12  # of a Content-Length value
-# A lax parser may read a head differently than another program does, which lets one
-# request hide in another (request smuggling): line ends that are not CR LF, folded
-# lines, white space before the colon, a zero octet. A careless but honest peer is
-# refused too.
+# Matches what two HTTP implementations may parse differently, which allows request
+# smuggling: line ends that are not CR LF, folded lines, white space before the colon
+# and NUL octets. Harmless peers that send such a head are refused too.
 AMBIGUOUS = re.compile(rb"(?<!\r)\n|\r(?!\n)|\n[ \t]|\x00|\n[^:\r\n]*[ \t]:")
-# How a head may begin, as far as it has arrived. What can never become a head (the rest
-# of a body whose length was too short, noise without a line end) is refused at once
-# instead of when the connection's time-out ends.
+# Valid beginnings of a possibly incomplete head. Octets that can never become a head
+# (the rest of a body that exceeds its stated length, noise without a line end) are
+# refused at once instead of when the connection times out.
 REQUEST_START = re.compile(rb"(?:\r\n|\r\Z)*(?:[A-Z]{1,20} |[A-Z]{0,20}\Z)")
 RESPONSE_START = re.compile(rb"(?:\r\n|\r\Z)*(?:HTTP/|(?:|H|HT|HTT|HTTP)\Z)")
 
 
 @dataclass(frozen=True, slots=True)
 class MessageLimits:
-    """Bounds of one message.
+    """Size limits of one message.
 
     Attributes:
-        head: octets of the head, its empty line included.
-        fields: header lines.
-        body: octets of the body.
+        head: maximum octets of the head, its final empty line included.
+        fields: maximum number of header lines.
+        body: maximum octets of the body.
     """
 
     head: int = 8192
@@ -44,11 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyFraming:
-    """How a message says where its body ends.
+    """How the end of a message's body is determined.
 
     Attributes:
-        length: octets of the body; -1 where the message does not tell.
-        chunked: whether the body is sent in chunks; `length` is 0 then.
+        length: octets of the body; -1 if the message states no length.
+        chunked: whether the body uses the chunked transfer coding; `length` is then 0.
     """
 
     length: int
@@ -57,17 +56,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FramingError:
-    """Why a body cannot be framed: the status a server answers with, and the reason."""
+    """Why the end of a body cannot be determined, with the response status for it."""
 
     status: int
     reason: str
 
 
 def strip_field_whitespace(head: bytes) -> bytes:
-    """Return a head without optional white space behind its field values.
+    """Return a head without the optional white space after its field values.
 
-    llhttp leaves that white space in the value, and then takes a chunked body for an
-    unchunked one when it stands behind the transfer coding. It carries no meaning.
+    That white space carries no meaning, but llhttp leaves it in the value. After the
+    value of Transfer-Encoding it makes llhttp treat a chunked body as not chunked.
     """
     return b"\r\n".join(line.rstrip(b" \t") or line for line in head.split(b"\r\n"))
 
@@ -75,7 +74,7 @@
 def body_framing(
     fields: dict[bytes, bytes], repeated: set[bytes], limits: MessageLimits
 ) -> BodyFraming | FramingError:
-    """Return how the body of a message with these header fields is framed."""
+    """Return how the end of the body is determined for these header fields."""
     length = fields.get(b"content-length")
     coding = fields.get(b"transfer-encoding")
     repeats = b"content-length" in repeated or b"transfer-encoding" in repeated
--- a/milletsill/http1/message_reader.py
+++ b/milletsill/http1/message_reader.py
@@ -1,8 +1,8 @@
-"""Read whole HTTP/1.1 messages out of a stream of octets.
+"""Read complete HTTP/1.1 messages from a stream of octets.
 
-Heads and chunks are parsed by httptools (llhttp); what llhttp is lax about is refused
-here. A reader holds at most one message within its limits and the octets behind it;
-whoever feeds it bounds those by `buffered`.
+httptools (llhttp) parses heads and chunks; this module refuses the ambiguous input that
+llhttp accepts. A reader holds at most one message within its limits and the octets that
+follow it. The caller limits those octets by checking `buffered`.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class MessageReader:
-    """Reads the messages of one direction of one connection."""
+    """Reads the messages that arrive on one connection."""
 
     START: re.Pattern[bytes] = REQUEST_START
 
@@ -40,41 +40,41 @@
         self.limits = limits
         self.buffer = b""
         self.skipped_empty_line = False
-        # The message whose head was read and whose body is not complete.
+        # The message whose head has been read and whose body is incomplete.
         self.message: HttpMessage | None = None
-        # Pieces of a body that has a length or ends with the connection, and their
-        # octets.
+        # Pieces of a body that has a length or ends at the close of the connection, and
+        # their total octets.
         self.pieces: list[bytes] = []
         self.pieces_size = 0
-        # Octets of that body still to come.
+        # Octets of a body with a length that are still to come.
         self.missing = 0
-        # Octets of the buffer in which no head ends.
+        # Octets at the start of the buffer that were searched for the end of a head.
         self.searched = 0
 
     @property
     def buffered(self) -> int:
-        """Octets that are not read yet, or belong to a message that is not complete."""
+        """Octets that are unparsed or belong to an incomplete message."""
         received = self.message.received if self.message is not None else 0
         return len(self.buffer) + self.pieces_size + received
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a part of a message has arrived."""
+        """Whether part of a message has arrived."""
         return self.message is not None or bool(self.buffer)
 
     def feed(self, data: bytes) -> None:
         """Add received octets."""
-        if self.missing > len(data):  # long bodies are put together once
+        if self.missing > len(data):  # pieces of a long body are joined only once
             self._keep_piece(data)
             self.missing -= len(data)
         else:
             self.buffer = self.buffer + data if self.buffer else data
 
     def next_message(self) -> HttpMessage | None:
-        """Return the next complete message, or None where more octets are needed.
+        """Return the next complete message, or None if more octets are needed.
 
         Raises:
-            MalformedHttpMessageError: the stream cannot be read any further.
+            MalformedHttpMessageError: the stream cannot be parsed any further.
         """
         if self.message is None:
             self.message = self._read_head()
@@ -104,7 +104,7 @@
         return body
 
     def _read_until_close(self, message: HttpMessage) -> None:
-        """Take another piece of a body that is complete when its connection closes."""
+        """Append the buffer to a body that the close of the connection completes."""
         message.length += len(self.buffer)
         if message.length > self.limits.body:
             raise MalformedHttpMessageError(413, "a body over the bound")
@@ -112,7 +112,7 @@
         self.buffer = b""
 
     def _read_counted_body(self, message: HttpMessage) -> bool:
-        """Whether a body with a length is complete; put it together if so."""
+        """Return whether a body with a length is complete, and join it if it is."""
         if self.missing == 0:
             self.missing = message.length
         if len(self.buffer) < self.missing:
@@ -128,15 +128,15 @@
         return True
 
     def _read_head(self) -> HttpMessage | None:
-        """Cut a head off the buffer and parse it; None while it is not complete.
+        """Remove a head from the buffer and parse it; None while it is incomplete.
 
-        One empty line ahead of it is skipped.
+        One empty line before the head is skipped.
         """
         if self.buffer.startswith(b"\r\n") and not self.skipped_empty_line:
             self.skipped_empty_line = True
             self.buffer = self.buffer[2:]
             self.searched = 0
-        # A head may come octet by octet: what was searched is not searched again.
+        # A head may arrive octet by octet, so searched octets are not searched again.
         start = max(self.searched - len(HEAD_END), 0)
         end = self.buffer.find(HEAD_END, start)
         if end < 0 and len(self.buffer) <= self.limits.head:
@@ -154,7 +154,7 @@
 
     def _check_partial_head(self, start: int) -> None:
         self.searched = len(self.buffer)
-        # The line feed behind a last carriage return may still be on its way.
+        # The line feed after a final carriage return may not have arrived yet.
         checked = len(self.buffer) - self.buffer.endswith(b"\r")
         if AMBIGUOUS.search(self.buffer, start, checked):
             raise MalformedHttpMessageError(400, "a head that can be read in two ways")
@@ -176,7 +176,7 @@
         return message
 
     def _apply_head(self, message: HttpMessage) -> None:
-        """Set what the head says of the message."""
+        """Set the attributes of the message that follow from its head."""
         framing = body_framing(message.fields, message.repeated, self.limits)
         if isinstance(framing, FramingError):
             raise MalformedHttpMessageError(framing.status, framing.reason)
@@ -187,10 +187,10 @@
         raise NotImplementedError
 
     def _read_chunks(self, message: HttpMessage) -> bool:
-        """Whether a chunked body is complete.
+        """Feed a chunked body to the parser; return whether it is complete.
 
-        It is fed by lines and whole chunks, so that no octet behind its end is
-        consumed.
+        The parser is fed at most one line or the rest of one chunk at a time, so that
+        it consumes no octet after the end of the body.
         """
         buffer = self.buffer
         position = 0
@@ -226,7 +226,7 @@
 
 
 class RequestReader(MessageReader):
-    """Reads what a client sends."""
+    """Reads the requests of a client."""
 
     def _make_parser(self, message: HttpMessage) -> Parser:
         return httptools.HttpRequestParser(message)
@@ -245,9 +245,9 @@
 
 
 class ResponseReader(MessageReader):
-    """Reads what a server answers to any method but HEAD.
+    """Reads the responses of a server to any method except HEAD.
 
-    A response without a length is complete when its connection closes: `on_close`.
+    The close of the connection completes a response without a length; see `on_close`.
     """
 
     START = RESPONSE_START
@@ -270,9 +270,10 @@
         message.length = max(message.length, 0)
 
     def expected_body_size(self, short: int) -> int:
-        """Return how many octets the body that is arriving may come to.
+        """Return an upper estimate of the octets of the body that is arriving.
 
-        One whose length is not told counts as the limit once it is longer than `short`.
+        A body without a stated length counts as the limit once more than `short` octets
+        have arrived.
         """
         if self.message is None:
             return 0
@@ -282,7 +283,7 @@
         return self.message.length
 
     def on_close(self) -> HttpMessage | None:
-        """Return the response that an orderly close completes, if any."""
+        """Return the response that an orderly close of the connection completes."""
         message = self.message
         if message is None or not message.until_close:
             return None
@@ -293,7 +294,7 @@
         return message
 
     def next_message(self) -> HttpMessage | None:
-        """Return the next complete final response; interim ones are passed over."""
+        """Return the next complete final response; interim responses are skipped."""
         while (message := super().next_message()) is not None:
             if message.status >= 200:
                 self.interim_count = 0
--- a/milletsill/http1/response_line_reader.py
+++ b/milletsill/http1/response_line_reader.py
@@ -1,6 +1,6 @@
-"""Read a long response line by line as it arrives: the body of a watch.
+"""Read the body of a long response, such as that of a watch, line by line.
 
-No sockets; the head and each line are bounded.
+The module performs no I/O. It limits the size of the head and of each line.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 class ResponseLineReader:
-    """Reads one response whose body has no end yet.
+    """Reads one response whose body is still being sent.
 
     Attributes:
-        status: of the final response; 0 until its head was read.
+        status: status of the final response; 0 until its head has been read.
         ended: whether the response is complete.
-        line: the last line, as far as it has arrived.
+        line: the received part of the last, unterminated line.
     """
 
     def __init__(self, max_line: int) -> None:
@@ -44,44 +44,45 @@
     # Called by httptools.
 
     def on_headers_complete(self) -> None:
-        """Note the status, but that of an interim response."""
+        """Record the status, unless the response is interim."""
         status = self.parser.get_status_code()
         self.status = 0 if status < 200 else status
 
     def on_body(self, data: bytes) -> None:
-        """Cut a piece of the body into lines."""
+        """Split a piece of the body into lines."""
         *complete, self.line = (self.line + data).split(b"\n")
         self.lines += complete
 
     def on_message_complete(self) -> None:
-        """Note the end of the final response."""
+        """Record the end of the final response."""
         self.ended = self.status > 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take received octets and return the lines that are complete now.
+        """Add received octets and return the lines that they complete.
 
         Raises:
-            MalformedHttpMessageError: no response of HTTP/1.1, or one over the bounds.
+            MalformedHttpMessageError: the octets are not an HTTP/1.1 response, or the
+                response exceeds the limits.
         """
         try:
             self.parser.feed_data(data if self.status else self._take_heads(data))
         except PARSER_ERRORS as error:
-            reason = f"a watch that cannot be read: {error}"[:200]
+            reason = f"malformed response: {error}"[:200]
             raise MalformedHttpMessageError(502, reason) from error
         if len(self.line) > self.max_line or len(self.head) > LIMITS.head:
-            raise MalformedHttpMessageError(502, "a line over the bound")
+            raise MalformedHttpMessageError(502, "head or line too long")
         lines = self.lines
         self.lines = []
         return lines
 
     def _take_heads(self, data: bytes) -> bytes:
-        """Return what the parser gets while the final head is not complete.
+        """Return the octets to feed to the parser while the final head is incomplete.
 
-        That is nothing, or complete heads with what stands behind the final one.
+        These are none, or complete heads and the octets that follow the final head.
         """
         self.head = (self.head + data).lstrip(b"\r\n")
         if not self.head.startswith(RESPONSE_PREFIX[: len(self.head)]):
-            raise MalformedHttpMessageError(502, "no answer of HTTP/1.1")
+            raise MalformedHttpMessageError(502, "not an HTTP/1.1 response")
         taken = b""
         while (end := self.head.find(HEAD_END)) >= 0:
             cut = end + len(HEAD_END)
@@ -93,5 +94,5 @@
                 taken += self.head
                 self.head = b""
             elif self.interim_count > MAX_INTERIM_RESPONSES:
-                raise MalformedHttpMessageError(502, "1xx answers without an end")
+                raise MalformedHttpMessageError(502, "too many 1xx responses")
         return taken
--- a/milletsill/http1/writer.py
+++ b/milletsill/http1/writer.py
@@ -1,6 +1,7 @@
 """Encode HTTP/1.1 messages.
 
-Names and values come checked: from a reader, or from the program's own tables.
+Names and values are not checked here: they come from a reader, which has checked them,
+or from constants of this program.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 def encode_response(
     status: int, body: bytes, keep_alive: bool, extra: bytes = b""
 ) -> bytes:
-    """Return a response; `extra` holds complete header lines."""
+    """Return an encoded response; `extra` holds complete header lines."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
         status,
         REASON_PHRASES.get(status, b"Status"),
@@ -32,9 +33,9 @@
     fields: Sequence[tuple[bytes, bytes]],
     body: bytes,
 ) -> bytes:
-    """Return a request.
+    """Return an encoded request.
 
-    It tells a length where it has a body or its method means one.
+    It has a Content-Length if it has a body or its method anticipates one.
     """
     lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, target, host)]
     lines += [b"%s: %s\r\n" % field for field in fields]
--- a/tests/http1/test_messages.py
+++ b/tests/http1/test_messages.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages.
+"""Reading and writing HTTP/1.1 messages.
 
-Whole ones out of any split of the bytes, bounds, and what two programs could read
-differently.
+The tests cover messages that arrive in arbitrary pieces, the size limits, and input that
+two HTTP implementations could parse differently.
 """
 
 import unittest
@@ -27,22 +27,22 @@
 
 
 def read(reader, *pieces):
-    """Status or method, body of each whole message."""
-    found = []
+    """Return the status or method and the body of each complete message."""
+    messages = []
     for piece in pieces:
         reader.feed(piece)
         while (message := reader.next_message()) is not None:
-            found.append((message.status or message.method, message.body))
-    return found
+            messages.append((message.status or message.method, message.body))
+    return messages
 
 
-class Requests(unittest.TestCase):
-    def refused(self, data, status):
+class RequestReaderTests(unittest.TestCase):
+    def assert_refused(self, data, status):
         with self.assertRaises(MalformedHttpMessageError, msg=data[:80]) as caught:
             read(RequestReader(MessageLimits()), data)
         self.assertEqual(caught.exception.status, status, data[:80])
 
-    def test_what_can_be_read_in_two_ways_is_refused(self):
+    def test_ambiguous_heads_are_refused(self):
         head = b"PUT /a HTTP/1.1\r\n" + HOST
         for lines in (
             b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -57,11 +57,11 @@
             b"A: \x00\r\n",
             b"Host: b\r\n",
         ):
-            self.refused(head + lines + b"\r\n", 400)
-        self.refused(b"GET /a HTTP/1.1\r\n\r\n", 400)
-        self.refused(head + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 501)
+            self.assert_refused(head + lines + b"\r\n", 400)
+        self.assert_refused(b"GET /a HTTP/1.1\r\n\r\n", 400)
+        self.assert_refused(head + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 501)
 
-    def test_what_can_become_no_head_is_refused_before_its_end(self):
+    def test_input_that_cannot_become_a_head_is_refused_at_once(self):
         for data in (
             b"\x00",
             b"noise",
@@ -71,7 +71,7 @@
             b"A" * 21,
             b"\r\nGET-",
         ):
-            self.refused(data, 400)
+            self.assert_refused(data, 400)
         for data in (
             b"",
             b"\r",
@@ -99,18 +99,18 @@
                 data,
             )
 
-    def test_bounds_are_kept_without_reading_on(self):
+    def test_messages_over_the_limits_are_refused_without_further_reading(self):
         head = b"PUT /a HTTP/1.1\r\n" + HOST
-        self.refused(head + b"Content-Length: 62914560\r\n\r\n", 413)
-        self.refused(head + b"A: " + b"x" * 9000, 431)
-        self.refused(head + b"A: b\r\n" * 70 + b"\r\n", 431)
-        self.refused(
+        self.assert_refused(head + b"Content-Length: 62914560\r\n\r\n", 413)
+        self.assert_refused(head + b"A: " + b"x" * 9000, 431)
+        self.assert_refused(head + b"A: b\r\n" * 70 + b"\r\n", 431)
+        self.assert_refused(
             head + b"Transfer-Encoding: chunked\r\n\r\nfffff\r\n" + b"x" * 70_000, 413
         )
-        self.refused(b"\x16\x03\x01\x02\x00\n\n", 400)
+        self.assert_refused(b"\x16\x03\x01\x02\x00\n\n", 400)
 
-    def test_lines_behind_a_body_in_chunks_say_nothing(self):
-        for kind, head in (
+    def test_trailer_fields_of_a_chunked_body_are_ignored(self):
+        for reader_class, head in (
             (RequestReader, b"PUT /a HTTP/1.1\r\n" + HOST),
             (ResponseReader, b"HTTP/1.1 503 Busy\r\n"),
         ):
@@ -119,7 +119,7 @@
                 + b"A: b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-Txn: 1\r\nA: c\r\nX-Turned-Away: 1\r\n\r\n"
             )
             for size in (1, len(data)):
-                reader = kind(MessageLimits())
+                reader = reader_class(MessageLimits())
                 for at in range(0, len(data), size):
                     reader.feed(data[at : at + size])
                     message = reader.next_message()
@@ -129,7 +129,7 @@
                 )
                 self.assertFalse({b"x-txn", b"x-turned-away"} & message.fields.keys())
 
-    def test_a_request_hidden_behind_a_body_is_a_request_of_its_own(self):
+    def test_octets_after_a_body_are_read_as_the_next_request(self):
         first = b"PUT /a HTTP/1.1\r\n" + HOST + b"Content-Length: 4\r\n\r\nbody"
         self.assertEqual(
             read(
@@ -139,7 +139,7 @@
             [(b"PUT", b"body"), (b"GET", b"")],
         )
 
-    def test_what_the_writer_writes_is_read_again(self):
+    def test_an_encoded_request_is_parsed_back(self):
         data = writer.encode_request(
             b"PUT", b"/a?b", b"h:1", [(b"X-Txn", b"1")], b"body"
         )
@@ -174,7 +174,7 @@
             )
         )
     )
-    def test_noise_raises_nothing_but_malformed(self, pieces):
+    def test_arbitrary_input_raises_only_malformed_message_errors(self, pieces):
         for reader in (RequestReader(MessageLimits()), ResponseReader(MessageLimits())):
             try:
                 read(reader, *pieces)
@@ -182,14 +182,18 @@
                 self.assertIn(error.status, range(400, 600))
 
 
-class Cost(unittest.TestCase):
-    """What one message costs the others at the same process: counted, not timed."""
+class ReadingCostTests(unittest.TestCase):
+    """The processing cost of one message is bounded.
 
-    def fed(self, kind, bounds, *pieces):
-        """How often the parser is called, and what came of it."""
+    A costly message delays all other messages in the process. The tests count calls and
+    octets instead of measuring time.
+    """
+
+    def count_parser_calls(self, reader_class, limits, *pieces):
+        """Return the number of parser calls and the bodies of the messages."""
         calls = []
 
-        class Counted(kind):
+        class CountingReader(reader_class):
             def parser(self, message):
                 parser = super().parser(message)
                 return SimpleNamespace(
@@ -204,33 +208,33 @@
                     },
                 )
 
-        found = read(Counted(bounds), *pieces)
-        return len(calls), [body for _, body in found]
+        messages = read(CountingReader(limits), *pieces)
+        return len(calls), [body for _, body in messages]
 
-    def test_a_chunk_costs_the_same_whatever_is_in_it(self):
+    def test_parser_calls_do_not_depend_on_the_content_of_a_chunk(self):
         put = b"PUT /a HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
         ok = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        for kind, head, octets in (
+        for reader_class, head, octets in (
             (RequestReader, put, 65_535),
             (ResponseReader, ok, 1 << 20),
         ):
             body = b"\n" * octets
             data = head + b"%x\r\n%s\r\n0;last=1\r\nA: b\r\n\r\n" % (octets, body)
             for size in (len(data), 1460):
-                calls, found = self.fed(
-                    kind,
+                calls, bodies = self.count_parser_calls(
+                    reader_class,
                     MessageLimits(body=1 << 20),
                     *[data[at : at + size] for at in range(0, len(data), size)],
                 )
-                self.assertEqual(found, [body])
+                self.assertEqual(bodies, [body])
                 self.assertLess(calls, 10 + 2 * len(data) / size)
 
-    def test_a_head_that_comes_octet_by_octet_is_looked_at_once(self):
-        looked = []
+    def test_a_head_that_arrives_octet_by_octet_is_searched_once(self):
+        searched = []
         search = AMBIGUOUS.search
 
         def counted(data, begin=0, end=1 << 30):
-            looked.append(min(end, len(data)) - begin)
+            searched.append(min(end, len(data)) - begin)
             return search(data, begin, end)
 
         data = b"GET /a HTTP/1.1\r\n" + HOST + b"A: " + b"x" * 8000 + b"\r\n\r\n"
@@ -244,9 +248,9 @@
                 ),
                 [(b"GET", b"")],
             )
-        self.assertLess(sum(looked), 10 * len(data))
+        self.assertLess(sum(searched), 10 * len(data))
 
-    def test_ambiguous_heads_are_refused_however_they_are_split(self):
+    def test_ambiguous_heads_are_refused_in_pieces_of_any_size(self):
         for line in (
             b"A: b\nC: d\r\n",
             b"A: b\r\n c\r\n",
@@ -262,7 +266,7 @@
                         *[data[at : at + size] for at in range(0, len(data), size)],
                     )
 
-    def test_what_is_pending_is_counted_and_not_added_up(self):
+    def test_buffered_counts_the_octets_of_an_incomplete_body_once(self):
         for data in (
             b"PUT /a HTTP/1.1\r\n" + HOST + b"Content-Length: 900\r\n\r\n" + b"x" * 500,
             b"PUT /a HTTP/1.1\r\n"
@@ -277,7 +281,7 @@
                 )
                 self.assertEqual(reader.buffered, 500)
 
-    def test_too_many_chunks_or_too_long_a_line_between_them_are_refused(self):
+    def test_too_many_chunks_or_too_long_chunk_size_lines_are_refused(self):
         head = b"PUT /a HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
         for data in (
             b"1\r\nx\r\n" * (MAX_CHUNKS + 1),
@@ -296,21 +300,21 @@
         )
 
 
-class Answers(unittest.TestCase):
+class ResponseReaderTests(unittest.TestCase):
     @settings(max_examples=150, deadline=None)
     @given(st.lists(st.integers(1, 120), min_size=1))
-    def test_any_split_gives_the_same_messages(self, sizes):
-        pieces, at, turn = [], 0, 0
+    def test_pieces_of_any_size_give_the_same_messages(self, sizes):
+        pieces, at, index = [], 0, 0
         while at < len(STREAM):
-            size = sizes[turn % len(sizes)]
+            size = sizes[index % len(sizes)]
             pieces.append(STREAM[at : at + size])
-            at, turn = at + size, turn + 1
+            at, index = at + size, index + 1
         self.assertEqual(
             read(ResponseReader(MessageLimits()), *pieces),
             [(200, b"x\r\n" * 100), (200, b"hi!"), (503, b"")],
         )
 
-    def test_what_is_not_whole_or_over_the_bound_is_malformed(self):
+    def test_responses_over_the_limits_or_not_http_are_malformed(self):
         for data in (
             b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 70_000,
             b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
@@ -321,9 +325,7 @@
             with self.assertRaises(MalformedHttpMessageError, msg=data[:60]):
                 read(ResponseReader(MessageLimits()), data)
 
-    def test_an_answer_without_a_length_is_whole_only_when_its_connection_was_closed(
-        self,
-    ):
+    def test_a_response_without_a_length_is_complete_only_after_an_orderly_close(self):
         for pieces in (
             (b"HTTP/1.1 200 OK\r\n\r\nuntil the end",),
             [
@@ -333,9 +335,9 @@
         ):
             reader = ResponseReader(MessageLimits())
             self.assertEqual(read(reader, *pieces), [])
-            whole = reader.on_close()
+            message = reader.on_close()
             self.assertEqual(
-                (whole.status, whole.body, whole.keep_alive),
+                (message.status, message.body, message.keep_alive),
                 (200, b"until the end", False),
             )
         for data in (
@@ -347,7 +349,7 @@
             reader = ResponseReader(MessageLimits())
             self.assertEqual((read(reader, data), reader.on_close()), ([], None))
 
-    def test_octets_behind_a_whole_answer_leave_it_good(self):
+    def test_octets_after_a_complete_response_do_not_affect_it(self):
         reader = ResponseReader(MessageLimits())
         self.assertEqual(
             read(
@@ -358,7 +360,7 @@
         )
         self.assertTrue(reader.has_partial_message)
 
-    def test_lines_of_a_long_answer_come_as_they_are_whole(self):
+    def test_lines_of_a_long_response_are_returned_once_complete(self):
         lines = ResponseLineReader(100)
         self.assertEqual(
             lines.feed(
