--- a/milletsill/http_gateway/__init__.py
+++ b/milletsill/http_gateway/__init__.py
@@ -1,7 +1,8 @@
-"""The HTTP gateway in service on the platform: `milletsill serve`.
+"""The HTTP gateway process, which `milletsill serve` runs.
 
-It decides nothing about a request; `scheduler` does. `process` starts it, `gateway`
-puts it together: `client_listener` and `client_connection` towards clients,
-`request_parser` for what they ask, `node_pools`, `node_pool` and `node_connection`
-towards storage nodes, `endpoint_watcher` towards discovery.
+The gateway makes no scheduling decisions; the `scheduler` package makes them. `process`
+starts the gateway and `gateway` connects its parts: `client_listener` and
+`client_connection` serve clients, `request_parser` parses their requests, `node_pools`,
+`node_pool` and `node_connection` connect to storage nodes, and `endpoint_watcher`
+follows the endpoint list of the discovery service.
 """
--- a/milletsill/http_gateway/client_connection.py
+++ b/milletsill/http_gateway/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: one request at a time, one answer to each."""
+"""One client connection: it serves one request at a time, with one answer each."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 class ClientGateway(TypingProtocol):
-    """The gateway as its clients see it. Times are tenths of a millisecond.
+    """What a client connection needs of the gateway. Times: tenths of a millisecond.
 
     Attributes:
-        buffers: the memory for long messages.
-        keep_alive: whether connections stay open behind an answer.
-        retry_after: told with a rejection, 0 for none.
-        count: counts an event by name and value.
+        buffers: the memory budget for long messages.
+        keep_alive: whether connections stay open after an answer.
+        retry_after: the Retry-After time sent with a rejection, 0 for none.
+        count: counts an event by its name and a value.
     """
 
     reactor: Any
@@ -58,29 +58,31 @@
     count: Callable[..., None]
 
     def on_request(self, client: ClientConnection, message: HttpMessage, /) -> None:
-        """Take a complete request of a client."""
+        """Handle a complete request of a client."""
 
     def on_request_cancelled(self, request_id: int, /) -> None:
-        """A client has left while its request was open."""
+        """Handle the disconnect of a client whose request was open."""
 
     def on_client_lost(self, client: ClientConnection, /) -> None:
-        """A client's connection has ended."""
+        """Handle the end of a client's connection."""
 
 
 @implementer(IHalfCloseableProtocol)
 class ClientConnection(Protocol):
-    """One connection of a client. It is the `ResponseSink` of its open request.
+    """One client connection. It is the `ResponseSink` of its open request.
 
     Attributes:
-        state: its state; `since` is when that, or a request, began.
-        request_id: of the open request.
-        keep_alive: whether the client allows another request.
-        blocked: whether the client does not take octets.
-        discarded: octets that were read and thrown away.
+        state: the state of the connection.
+        since: the time from which time-outs count: when the state, or the reading of a
+            request, began.
+        request_id: the id of the open request.
+        keep_alive: whether the client allows another request on this connection.
+        blocked: whether the write buffer is full because the client reads too slowly.
+        discarded: octets that were read and discarded.
         client_closed: whether the client has closed its side.
-        sent: whether all that we had to write was handed to the system.
-        next_request: the next request, complete, while one is open or an answer is
-            not taken.
+        sent: whether the kernel has accepted everything that was written.
+        next_request: the next complete request, which waits while a request is open or
+            the client has not read an answer.
     """
 
     transport: StreamTransport  # type: ignore[assignment]
@@ -102,28 +104,28 @@
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether a part of a request is here."""
+        """Whether part of a request has arrived."""
         return self.next_request is not None or self.reader.has_partial_message
 
     # Called by Twisted.
 
     def connectionMade(self) -> None:
-        """Set the connection up."""
+        """Configure the transport."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
 
     def pauseProducing(self) -> None:
-        """Take no request: the client does not take octets."""
+        """Stop taking requests while the write buffer is full."""
         self.blocked = True
 
     def resumeProducing(self) -> None:
-        """Take requests again."""
+        """Take requests again: the write buffer has drained."""
         self.blocked = False
         self.memory.release_answer()
         self._take_requests()
 
     def stopProducing(self) -> None:
-        """Take no request any more."""
+        """Stop taking requests for good."""
         self.blocked = True
 
     def dataReceived(self, data: bytes) -> None:
@@ -142,16 +144,16 @@
         self._take_requests()
 
     def readConnectionLost(self) -> None:
-        """The client has left, but may still take a last answer."""
+        """Handle the close of the client's side; it may still read a last answer."""
         self._on_event(ClientEvent.CLIENT_CLOSED)
 
     def writeConnectionLost(self) -> None:
-        """Our side is closed behind all that was written."""
+        """Record that the gateway's side is closed after everything was written."""
         self.sent = True
         self.since = self.gateway.now()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Forget all that is held."""
+        """Release the memory that the connection holds."""
         self._on_event(ClientEvent.LOST)
         self.memory.release_answer()
         self._stop_reading()
@@ -160,9 +162,10 @@
     # Requests.
 
     def _take_requests(self) -> None:
-        """Take the next request, once the last one has its answer.
+        """Take the next request once the previous one is answered.
 
-        Never from within itself: what `has_left` reads waits.
+        The call is not reentrant: what `detect_client_close` reads waits for the next
+        iteration.
         """
         if self._taking_requests:
             return
@@ -179,9 +182,9 @@
             self._taking_requests = False
 
     def _take_request(self, message: HttpMessage) -> None:
-        """Take one request.
+        """Pass one request to the gateway.
 
-        A long body counts twice: a connection to a node holds it too.
+        A long body is counted twice because the connection to a node holds a copy.
         """
         octets = 2 * len(message.body) if len(message.body) > SHORT_BODY else 0
         if not self.memory.reserve_body(octets):
@@ -192,16 +195,17 @@
 
     @property
     def _ready(self) -> bool:
-        """Whether the next request may be taken."""
+        """Whether the connection may take its next request."""
         return self.state in OPEN_STATES and not self.blocked
 
     def _read_ahead(self) -> bool:
-        """Read one request ahead, also while one is open; False once refused.
+        """Read one request ahead, also while one is open; False after a refusal.
 
-        An error is known, and answered, as soon as it is here: no node gets the first
-        part of a body whose length was told too short, and the client's next requests
-        do not wait behind what cannot be read. The error takes the place of the open
-        request's answer, for a client that does not tell its own requests apart.
+        A malformed message is detected and answered as soon as it arrives. Otherwise a
+        node would receive the first part of a body that exceeds its stated length, and
+        the client's next requests would wait behind unreadable input. The error
+        replaces the answer to the open request, because a client that frames its
+        requests wrongly does not distinguish its own requests.
         """
         if self.state in ENDED_STATES:
             return False
@@ -219,10 +223,10 @@
         return self._reserve_pending()
 
     def _reserve_pending(self) -> bool:
-        """Reserve room for what is ahead, or for a long request that comes in.
+        """Reserve memory for pipelined data or for a long request that is arriving.
 
-        That is up to one complete request and a little; short ones are not counted.
-        False once refused.
+        Pipelined data is at most one complete request and `MAX_PIPELINED` octets. Short
+        requests are not counted. Returns False after a refusal.
         """
         held = self.reader.buffered
         if self.next_request is not None:
@@ -233,16 +237,16 @@
         self.refuse(503, "no room for a request that is long or ahead of an answer")
         return False
 
-    def has_left(self) -> bool:
-        """Whether the client's close came behind its request, whatever lies between.
+    def detect_client_close(self) -> bool:
+        """Whether the client closed its side after its request; reads pending octets.
 
-        Octets are read a turn before the end behind them, and no node is to work for
-        who has left while the process stood still or the request waited in the system.
-        It costs one more read for each request, and one for each piece that lies behind
-        it.
+        The reactor reads octets one turn before the close that follows them. Without
+        this check a node would work for a client that left while the process was
+        stalled or while the request waited in the kernel's buffer. The check costs one
+        more read for each request, and one for each piece of pipelined data.
         """
         before = -1
-        # Beyond the bound the connection is refused anyway.
+        # A connection with more pipelined data is refused anyway.
         while before < self.reader.buffered <= MAX_BODY + MAX_USUAL_REQUEST:
             before = self.reader.buffered
             if self.transport.doRead() is not None:
@@ -259,27 +263,27 @@
     # Answers.
 
     def open_request(self, request_id: int) -> None:
-        """Note that a request was handed to the scheduler."""
+        """Record that a request was handed to the scheduler."""
         self.request_id = request_id
         self._on_event(ClientEvent.REQUEST_TAKEN)
 
     def succeeded(self, reply: HttpNodeReply) -> None:
-        """Answer with what the node answered."""
+        """Answer with the body of the node's response."""
         self.gateway.count("answer", "satisfied")
         self.answer(200, reply.body)
 
     def rejected(self, pause: int) -> None:
-        """Answer that a retry is harmless, best after the pause."""
+        """Answer that a retry is safe, preferably after the pause."""
         self.gateway.count("answer", "declined")
         self.answer_rejected(pause)
 
     def failed(self) -> None:
-        """Answer that nothing is promised."""
+        """Answer that the request may or may not have taken effect."""
         self.gateway.count("answer", "aborted")
         self.answer(502, b"")
 
     def answer_rejected(self, pause: int) -> None:
-        """Answer with 503, and when to come back where there is a time to tell."""
+        """Answer with 503, and with Retry-After if the pause is not 0."""
         retry_after = b""
         if pause:
             seconds, milliseconds = divmod(-(-pause // 10), 1000)
@@ -287,10 +291,10 @@
         self.answer(503, b"", retry_after)
 
     def answer(self, status: int, body: bytes, extra: bytes = b"") -> None:
-        """Write the one answer to the request that is open."""
+        """Write the answer to the open request."""
         self.request_id = None
         self.memory.release_body()
-        # What was read as a whole has its answer, also when the gateway leaves.
+        # A request that was read completely is answered even during shutdown.
         keep = self.keep_alive and (
             self.gateway.keep_alive or self.next_request is not None
         )
@@ -303,7 +307,7 @@
         self._on_event(ClientEvent.ANSWERED if keep else ClientEvent.LAST_ANSWERED)
 
     def refuse(self, status: int, reason: str) -> None:
-        """Answer what is no request with an error, and read nothing more."""
+        """Answer an invalid request with an error and stop reading."""
         self.gateway.count("refused", reason)
         if self.state in ENDED_STATES:
             return
@@ -311,23 +315,23 @@
         self.transport.write(encode_response(status, body, False))
         self._on_event(ClientEvent.REFUSED)
 
-    # The end.
+    # Closing.
 
     def _on_event(self, event: ClientEvent) -> None:
-        """Read the table and act."""
+        """Make the state transition for an event and perform its effect."""
         self.state, effect = next_state(self.state, event)
-        if effect is ClientEffect.READ_ON:
+        if effect is ClientEffect.CONTINUE_READING:
             if self.has_partial_request:
                 self._take_requests()
-        elif effect is ClientEffect.ANSWER_TIME_OUT:
+        elif effect is ClientEffect.ANSWER_TIMEOUT:
             self.gateway.count("refused", "a request that does not end")
             self.transport.write(encode_response(408, b"", False))
             self._close_our_side()
         elif effect is ClientEffect.CLOSE:
             self.transport.unregisterProducer()
             self.transport.loseConnection()
-        elif effect is ClientEffect.CUT:
-            self._cut()
+        elif effect is ClientEffect.END_LINGERING:
+            self._end_lingering()
         elif effect in CANCELLING_EFFECTS and self.request_id is not None:
             request_id = self.request_id
             self.request_id = None
@@ -338,61 +342,67 @@
             self._close_after_write()
 
     def _close_our_side(self) -> None:
-        """Close our side; a full close over unread octets would tear the answer."""
+        """Close only the gateway's side.
+
+        A full close with unread octets resets the connection, which can lose the
+        answer.
+        """
         self.since = self.gateway.now()
         self._stop_reading()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
 
     def _close_after_write(self) -> None:
-        """The client has left: close once what was written is sent."""
+        """Close once all output is sent; the client has closed its side."""
         self.client_closed = True
         self.since = self.gateway.now()
         self._stop_reading()
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
-    def _cut(self) -> None:
-        """End a connection that its client leaves open.
+    def _end_lingering(self) -> None:
+        """End a connection that the client keeps open after its last answer.
 
-        Where all was handed to the system, what the client has not fetched yet stays
-        for it; a reset would throw it away. Who goes on sending, or takes nothing, is
-        reset.
+        If the kernel has accepted all output, a normal close leaves unread output
+        available to the client, which a reset would discard. A client that keeps
+        sending, or that does not read, is reset.
         """
         if self.sent and self.discarded <= MAX_DISCARDED:
             self.transport.loseConnection()
         else:
             self.transport.abortConnection()
 
-    def leave(self) -> None:
-        """The gateway leaves: reject half a request, close the rest."""
+    def begin_shutdown(self) -> None:
+        """Shut down: reject a partial request, or close a connection without one."""
         self.read_pending()
         if self.has_partial_request and self.state in OPEN_STATES:
             self.gateway.count("refused", "half a request at the end")
             self.keep_alive = False
             self.answer_rejected(self.gateway.retry_after)
         else:
-            self._on_event(ClientEvent.LEAVE)
+            self._on_event(ClientEvent.SHUTDOWN)
 
-    def check(self, now: int, short: bool) -> None:
-        """Do what time brings; what has come by then is read before."""
-        if self._time_event(now, short) is None:
+    def check(self, now: int, descriptors_short: bool) -> None:
+        """Handle time-outs; octets that have arrived are read first."""
+        if self._time_event(now, descriptors_short) is None:
             return
         self.read_pending()
-        event = self._time_event(self.gateway.now(), short)
+        event = self._time_event(self.gateway.now(), descriptors_short)
         if event is not None:
             self._on_event(event)
 
-    def _time_event(self, now: int, short: bool) -> ClientEvent | None:
+    def _time_event(self, now: int, descriptors_short: bool) -> ClientEvent | None:
         sending = not (self.sent or self.client_closed)
-        quiet = now - self.since
-        return time_event(self.state, self.has_partial_request, quiet, short, sending)
+        elapsed = now - self.since
+        return time_event(
+            self.state, self.has_partial_request, elapsed, descriptors_short, sending
+        )
 
     def read_pending(self) -> None:
-        """Read what has come before the connection is ended.
+        """Read the octets that have arrived, before the connection is ended.
 
-        Timers go before what lies in the sockets when the process stood still: an idle
-        close, a time-out or the end would meet a request that is here.
+        After a stall of the process the reactor runs timers before it reads sockets, so
+        an idle close, a time-out or a shutdown could hit a request that has arrived.
         """
         if self.state in OPEN_STATES:
-            self.transport.doRead()  # an end is told again in the next turn
+            self.transport.doRead()  # the next turn reports an end again
--- a/milletsill/http_gateway/client_connection_state.py
+++ b/milletsill/http_gateway/client_connection_state.py
@@ -1,10 +1,12 @@
-"""The state of a client's connection, and what the passing of time means for it.
+"""State machine of a client connection, with its time-outs.
 
-A table and pure functions: no I/O, no clock. Times are tenths of a millisecond.
+The module consists of a transition table and pure functions: it performs no I/O and
+reads no clock. Times are tenths of a millisecond.
 
     NEW --REQUEST_TAKEN--> BUSY --ANSWERED--> IDLE --REQUEST_TAKEN--> BUSY
      |                      |                  |
-     +- LAST_ANSWERED, REFUSED, LEAVE, CLIENT_CLOSED -> CLOSING --LINGERED--> CLOSED
+     +- LAST_ANSWERED, REFUSED, SHUTDOWN, CLIENT_CLOSED -> CLOSING
+     CLOSING --LINGER_TIMED_OUT--> CLOSED
 """
 
 from __future__ import annotations
@@ -16,12 +18,13 @@
 class ClientState(Enum):
     """The state of one client's connection."""
 
-    # No request was taken yet; health checks and rejections are answered at once.
+    # No request has been handed to the scheduler yet. Health checks and immediate
+    # rejections do not leave this state.
     NEW = auto()
     IDLE = auto()  # between requests
     BUSY = auto()  # a request is open
-    # Nothing more is read: the last answer is being sent, our side is closed, or the
-    # client has closed its own.
+    # No more requests are read: the last answer is being sent, the gateway's side is
+    # closed, or the client has closed its side.
     CLOSING = auto()
     CLOSED = auto()
 
@@ -31,28 +34,28 @@
 
     REQUEST_TAKEN = auto()
     ANSWERED = auto()
-    LAST_ANSWERED = auto()  # the answer said that the connection closes
-    REFUSED = auto()  # an error was answered; nothing more is read
+    LAST_ANSWERED = auto()  # the answer announced the close of the connection
+    REFUSED = auto()  # an error was answered; no more requests are read
     IDLE_TOO_LONG = auto()
-    LEAVE = auto()  # the gateway shuts down
+    SHUTDOWN = auto()  # the gateway shuts down
     REQUEST_TOO_SLOW = auto()
     CLIENT_CLOSED = auto()
-    LINGERED = auto()  # the client kept its side open for too long
+    LINGER_TIMED_OUT = auto()  # the client kept its side open for too long
     LOST = auto()  # the transport ended
 
 
 class ClientEffect(Enum):
-    """What is to be done after an event."""
+    """The action that follows an event."""
 
     NONE = auto()
-    READ_ON = auto()
+    CONTINUE_READING = auto()
     CLOSE_OUR_SIDE = auto()
     CANCEL_AND_CLOSE_OUR_SIDE = auto()
     CLOSE_AFTER_WRITE = auto()
     CANCEL_AND_CLOSE_AFTER_WRITE = auto()
-    ANSWER_TIME_OUT = auto()
+    ANSWER_TIMEOUT = auto()
     CLOSE = auto()
-    CUT = auto()
+    END_LINGERING = auto()
     CANCEL_REQUEST = auto()
 
 
@@ -79,7 +82,10 @@
         (state, ClientEvent.REQUEST_TAKEN): (ClientState.BUSY, ClientEffect.NONE)
         for state in OPEN_STATES
     },
-    (ClientState.BUSY, ClientEvent.ANSWERED): (ClientState.IDLE, ClientEffect.READ_ON),
+    (ClientState.BUSY, ClientEvent.ANSWERED): (
+        ClientState.IDLE,
+        ClientEffect.CONTINUE_READING,
+    ),
     **{
         (state, ClientEvent.LAST_ANSWERED): (
             ClientState.CLOSING,
@@ -104,7 +110,10 @@
         ClientEffect.CLOSE_OUR_SIDE,
     ),
     **{
-        (state, ClientEvent.LEAVE): (ClientState.CLOSING, ClientEffect.CLOSE_OUR_SIDE)
+        (state, ClientEvent.SHUTDOWN): (
+            ClientState.CLOSING,
+            ClientEffect.CLOSE_OUR_SIDE,
+        )
         for state in OPEN_STATES
     },
     **{
@@ -121,11 +130,14 @@
     **{
         (state, ClientEvent.REQUEST_TOO_SLOW): (
             ClientState.CLOSING,
-            ClientEffect.ANSWER_TIME_OUT,
+            ClientEffect.ANSWER_TIMEOUT,
         )
         for state in OPEN_STATES
     },
-    (ClientState.CLOSING, ClientEvent.LINGERED): (ClientState.CLOSED, ClientEffect.CUT),
+    (ClientState.CLOSING, ClientEvent.LINGER_TIMED_OUT): (
+        ClientState.CLOSED,
+        ClientEffect.END_LINGERING,
+    ),
     **{
         (state, ClientEvent.LOST): (ClientState.CLOSED, ClientEffect.NONE)
         for state in (*OPEN_STATES, ClientState.CLOSING)
@@ -136,38 +148,39 @@
     ),
 }
 
-# A connection on which nothing ever came is closed after this.
+# Time-out of a new connection on which no octet has arrived.
 NEW_TIMEOUT = 22_000
-# A request has to be complete this long after its first octet, or is refused.
+# Time from the first octet of a request until it must be complete, or it is refused.
 REQUEST_TIMEOUT = 20_000
-# On a new connection a request counts as begun this long after the connection came, at
-# the latest: a bad client is owed its error within three seconds. One that comes late
-# and then slowly is refused sooner.
+# On a new connection a request counts as begun at most this long after the connection
+# was accepted, because a faulty client must receive its error within 3 s. A client that
+# sends its first octet late therefore has less time to complete its request.
 LATEST_REQUEST_START = 9_000
-# A connection between requests is closed after this.
+# Time-out of a connection between requests.
 IDLE_TIMEOUT = 200_000
-# Where descriptors are short, a connection on which no request was taken is closed from
-# this age on, also if it asked for our health: thousands of these may come. Who was
-# rejected at once and rests comes again on a new connection.
+# Time-out of a new connection while descriptors are short, even if it has made a health
+# check, because thousands of such connections may arrive. A client that was rejected
+# at once and pauses must then open a new connection.
 NEW_TIMEOUT_WHEN_SHORT = 500
-# Between checks of all connections, where descriptors are short.
+# Interval between checks of all connections while descriptors are short.
 CHECK_INTERVAL_WHEN_SHORT = 200
-# Where descriptors are short, a connection between requests is closed after this.
+# Time-out of a connection between requests while descriptors are short.
 IDLE_TIMEOUT_WHEN_SHORT = 21_000
-# A connection whose last answer was sent is cut after this.
+# Time after which a connection whose last answer was sent is ended.
 LINGER_TIMEOUT = 10_000
-# Octets of later requests that are held while one is open, behind the next one.
+# Octets of pipelined data that may follow the next request while a request is open.
 MAX_PIPELINED = 16_384
-# Octets of a usual request with its head; a longer one counts against the memory.
+# Octets of a typical request with its head; longer ones count against the memory
+# budget.
 MAX_USUAL_REQUEST = 73_728
-# Octets that are read and thrown away behind a refused request.
+# Octets that are read and discarded after a refused request.
 MAX_DISCARDED = 1 << 20
 
 
 def next_state(state: ClientState, event: ClientEvent) -> Transition:
-    """Return the next state and what to do.
+    """Return the next state and the action to perform.
 
-    An event not in the table changes nothing.
+    An event without a table entry changes nothing.
     """
     return CLIENT_TABLE.get((state, event), (state, ClientEffect.NONE))
 
@@ -175,30 +188,31 @@
 def time_event(
     state: ClientState,
     partial_request: bool,
-    quiet: int,
-    short: bool,
+    elapsed: int,
+    descriptors_short: bool,
     sending: bool = False,
 ) -> ClientEvent | None:
-    """Return what the passing of time means for a client's connection.
+    """Return the time-out event that is due on a client connection, if any.
 
     Args:
-        state: its state.
-        partial_request: whether a part of a request has come.
-        quiet: time since the state, or the request, began.
-        short: whether descriptors are short.
-        sending: whether the client still takes its last answer, which a cut would tear;
-            one that takes none holds its descriptor that much longer.
+        state: the state of the connection.
+        partial_request: whether part of a request has arrived.
+        elapsed: time since the state, or the reading of the request, began.
+        descriptors_short: whether descriptors are short.
+        sending: whether the last answer is still being sent. Ending the connection
+            would truncate it, so the longer idle time-out applies; a client that does
+            not read holds its descriptor that much longer.
     """
-    idle_timeout = IDLE_TIMEOUT_WHEN_SHORT if short else IDLE_TIMEOUT
+    idle_timeout = IDLE_TIMEOUT_WHEN_SHORT if descriptors_short else IDLE_TIMEOUT
     if state is ClientState.CLOSING:
         timeout = idle_timeout if sending else LINGER_TIMEOUT
-        return ClientEvent.LINGERED if quiet >= timeout else None
+        return ClientEvent.LINGER_TIMED_OUT if elapsed >= timeout else None
     if state not in OPEN_STATES:
         return None
     if partial_request:
-        return ClientEvent.REQUEST_TOO_SLOW if quiet >= REQUEST_TIMEOUT else None
+        return ClientEvent.REQUEST_TOO_SLOW if elapsed >= REQUEST_TIMEOUT else None
     if state is ClientState.NEW:
-        timeout = NEW_TIMEOUT_WHEN_SHORT if short else NEW_TIMEOUT
+        timeout = NEW_TIMEOUT_WHEN_SHORT if descriptors_short else NEW_TIMEOUT
     else:
         timeout = idle_timeout
-    return ClientEvent.IDLE_TOO_LONG if quiet >= timeout else None
+    return ClientEvent.IDLE_TOO_LONG if elapsed >= timeout else None
--- a/milletsill/http_gateway/client_listener.py
+++ b/milletsill/http_gateway/client_listener.py
@@ -1,4 +1,4 @@
-"""Accept clients within their share of descriptors."""
+"""Accept client connections within the clients' share of descriptors."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class ClientListener(Factory):
-    """Makes a `ClientConnection` for each connection that is accepted.
+    """Creates a `ClientConnection` for each accepted connection.
 
     Attributes:
-        connections: open connections, in the order of their coming.
+        connections: open connections, in the order in which they were accepted.
         port: the listening port, None before the start.
-        paused: whether later clients wait in the system's queue.
+        paused: whether accepting is paused, so that clients wait in the kernel's queue.
     """
 
     noisy = False
@@ -31,7 +31,7 @@
         self.check_call: Any = None
 
     def buildProtocol(self, addr: Any) -> ClientConnection | None:
-        """Accept a client; None closes its connection."""
+        """Return the protocol of a new client; None closes its connection."""
         if len(self.connections) >= self.max_connections:
             self.check(True)
         if len(self.connections) >= self.max_connections + SPARE_CLIENTS:
@@ -45,17 +45,17 @@
         return client
 
     def limit_accepts(self) -> None:
-        """Let the reactor accept no more in a turn than there is room for.
+        """Limit the connections that the reactor accepts in one turn to the free share.
 
-        Clients beyond wait in the system's queue; closed instead, each would come again
-        at once.
+        Further clients wait in the kernel's queue. If they were accepted and closed,
+        they would reconnect at once.
         """
         if self.port is not None:
             room = self.max_connections - len(self.connections)
             self.port.numberAccepts = max(room, 1)
 
     def on_client_lost(self, client: ClientConnection) -> None:
-        """Forget a client, and accept others where there is room again."""
+        """Remove a client, and resume accepting if there is room again."""
         self.connections.pop(client, None)
         room = len(self.connections) < self.max_connections
         if self.paused and room and self.port is not None:
@@ -63,14 +63,14 @@
             self.limit_accepts()
             self.port.resumeProducing()
 
-    def check(self, short: bool) -> None:
-        """Do what time brings to each client; `short` where descriptors are."""
+    def check(self, descriptors_short: bool) -> None:
+        """Check the time-outs of all clients."""
         now = self.gateway.now()
         for client in list(self.connections):
-            client.check(now, short)
+            client.check(now, descriptors_short)
 
     def _pause(self) -> None:
-        """Let later clients wait, and check more often whom to close."""
+        """Pause accepting, and check the time-outs of clients more often."""
         if self.port is None or self.paused:
             return
         self.paused = True
--- a/milletsill/http_gateway/client_memory.py
+++ b/milletsill/http_gateway/client_memory.py
@@ -1,4 +1,4 @@
-"""What one client's messages hold of the gateway's memory for long messages."""
+"""The share of the memory budget for long messages that one client holds."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class ClientMemory:
-    """Octets of a client that count against the budget.
+    """Octets of one client that count against the memory budget.
 
     Attributes:
-        answer: of an answer that the client has not taken yet.
-        pending: of requests that come in or lie ahead of an open one.
-        body: of the open request's body.
+        answer: octets of an answer that the client has not read yet.
+        pending: octets of requests that are arriving or wait behind the open request.
+        body: octets counted for the body of the open request.
     """
 
     def __init__(self, budget: BufferBudget) -> None:
@@ -21,14 +21,14 @@
         self.body = 0
 
     def reserve_body(self, octets: int) -> bool:
-        """Reserve room for the open request's body; False where there is none."""
+        """Reserve memory for the open request's body; False if there is not enough."""
         if octets and not self.budget.reserve(octets):
             return False
         self.body = octets
         return True
 
     def reserve_pending(self, octets: int, uncounted: int) -> bool:
-        """Reserve room for what is pending, where that is more than usual."""
+        """Reserve memory for pending requests that exceed `uncounted` octets."""
         if octets <= max(uncounted, self.pending):
             return True
         if not self.budget.reserve(octets - self.pending):
@@ -37,22 +37,22 @@
         return True
 
     def hold_answer(self, octets: int) -> None:
-        """Count an answer that is written already, unless another is counted."""
+        """Count an answer that is already written, unless one is counted."""
         if not self.answer:
             self.answer = octets
             self.budget.hold(octets)
 
     def release_answer(self) -> None:
-        """Count the answer no more."""
+        """Release the memory counted for the answer."""
         self.budget.release(self.answer)
         self.answer = 0
 
     def release_pending(self) -> None:
-        """Count what is pending no more."""
+        """Release the memory counted for pending requests."""
         self.budget.release(self.pending)
         self.pending = 0
 
     def release_body(self) -> None:
-        """Count the open request's body no more."""
+        """Release the memory counted for the open request's body."""
         self.budget.release(self.body)
         self.body = 0
--- a/milletsill/http_gateway/configuration.py
+++ b/milletsill/http_gateway/configuration.py
@@ -1,7 +1,4 @@
-"""What the platform tells a gateway at its start and on SIGHUP.
-
-A JSON file, checked.
-"""
+"""Read and check the gateway's JSON configuration file, at start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -29,11 +26,11 @@
 )
 
 MAX_FILE = 8 << 20  # octets
-DEFAULT_MEMORY_MB = 64  # where no limit is told
-MAX_NAMES = 20  # in one line of the log
+DEFAULT_MEMORY_MB = 64  # where the file states no limit
+MAX_NAMES = 20  # in one log line
 MAX_NAME_LENGTH = 60
 MAX_ERROR_LENGTH = 200
-# Settings without which something is off or a plainer value stands in.
+# Settings whose absence disables a feature or selects a simple default.
 EXPECTED_SETTINGS = (
     "resolution_ns",
     "membership_mode",
@@ -55,28 +52,29 @@
 
 
 class GatewayConfigurationRejectedError(ConfigurationRejectedError):
-    """The platform's file that cannot be used."""
+    """The configuration file cannot be used."""
 
     remedy = (
-        "mend the file that NODE_CONFIG names, then restart or send SIGHUP; a gateway "
-        "that runs goes on with what it had"
+        "correct the file that NODE_CONFIG names, then restart the gateway or send "
+        "SIGHUP; a running gateway keeps its previous configuration"
     )
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfiguration:
-    """One gateway's place on the platform.
+    """The checked configuration of one gateway.
 
     Attributes:
-        name: of the gateway.
-        listen, discovery: host and port.
-        seed: of random numbers.
-        sockets: descriptors that the process may hold.
-        memory_mb: memory that it may hold.
+        name: the gateway's name.
+        listen: host and port on which clients connect.
+        discovery: host and port of the discovery service.
+        seed: the seed of the random number generators.
+        sockets: maximum number of descriptors of the process.
+        memory_mb: maximum memory of the process, in MiB.
         config: the deployment's settings.
-        known: the endpoint list as this gateway last had it.
-        grace: the time to stop sending to a node that drains, where lists are pushed; 0
-            where they are asked for. Tenths of a millisecond.
+        cached_endpoints: the endpoint list that this gateway last received.
+        drain_grace: if lists are pushed, the time within which sending to a draining
+            node must stop, in tenths of a millisecond; 0 if lists are requested.
     """
 
     name: str
@@ -86,69 +84,71 @@
     sockets: int
     memory_mb: int
     config: DeploymentConfig
-    known: EndpointUpdate | None
-    grace: int
+    cached_endpoints: EndpointUpdate | None
+    drain_grace: int
 
 
 def read_configuration(
-    environ: Mapping[str, str], clock: int, log: Callable[[str], None]
+    environ: Mapping[str, str], clock_offset: int, log: Callable[[str], None]
 ) -> GatewayConfiguration:
-    """Read the file that NODE_CONFIG names; other variables stand in for what it lacks.
+    """Read the file that NODE_CONFIG names.
+
+    Other environment variables supply values that the file omits.
 
     Raises:
         GatewayConfigurationRejectedError: the file cannot be used.
     """
     path = environ.get("NODE_CONFIG", "")
     if not path:
-        raise GatewayConfigurationRejectedError("NODE_CONFIG names no file")
+        raise GatewayConfigurationRejectedError("NODE_CONFIG is not set or empty")
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE + 1)
-        given = json.loads(data) if len(data) <= MAX_FILE else None
+        document = json.loads(data) if len(data) <= MAX_FILE else None
     except (OSError, ValueError, RecursionError) as error:
         raise GatewayConfigurationRejectedError(_one_line(error), path) from error
-    if not isinstance(given, dict):
+    if not isinstance(document, dict):
         raise GatewayConfigurationRejectedError(
-            "not a JSON object of a bearable size", path
+            "not a JSON object, or larger than 8 MiB", path
         )
     try:
-        return parse_configuration(given, environ, clock, log)
+        return parse_configuration(document, environ, clock_offset, log)
     except (InvalidEndpointError, ValueError) as error:
         raise GatewayConfigurationRejectedError(_one_line(error), path) from error
 
 
 def parse_configuration(
-    given: Mapping[str, Any],
+    document: Mapping[str, Any],
     environ: Mapping[str, str],
-    clock: int,
+    clock_offset: int,
     log: Callable[[str], None],
 ) -> GatewayConfiguration:
     """Return the checked configuration.
 
     Raises:
-        InvalidEndpointError: an address or the known list is none.
-        ValueError: a value cannot be meant.
+        InvalidEndpointError: an address or the cached endpoint list is invalid.
+        ValueError: a setting or limit is invalid.
     """
-    config, grace = _parse_settings(given)
-    _log_settings(given["settings"], log)
-    limits = given.get("limits")
-    known = given.get("known")
+    config, drain_grace = _parse_settings(document)
+    _log_settings(document["settings"], log)
+    limits = document.get("limits")
+    known = document.get("known")
     return GatewayConfiguration(
-        name=str(given.get("name") or environ.get("NODE_NAME", "")),
-        listen=parse_address(given.get("listen") or environ.get("NODE_LISTEN")),
+        name=str(document.get("name") or environ.get("NODE_NAME", "")),
+        listen=parse_address(document.get("listen") or environ.get("NODE_LISTEN")),
         discovery=parse_address(
-            given.get("discovery") or environ.get("NODE_DISCOVERY")
+            document.get("discovery") or environ.get("NODE_DISCOVERY")
         ),
-        seed=_parse_seed(given),
+        seed=_parse_seed(document),
         sockets=_parse_limit(limits, "sockets") or os.sysconf("SC_OPEN_MAX"),
         memory_mb=_parse_limit(limits, "memory_mb") or DEFAULT_MEMORY_MB,
         config=config,
-        known=(
+        cached_endpoints=(
             None
             if known is None
-            else parse_update(known, config.zone_names or (), clock, log)
+            else parse_update(known, config.zone_names or (), clock_offset, log)
         ),
-        grace=grace,
+        drain_grace=drain_grace,
     )
 
 
@@ -156,27 +156,32 @@
     return " ".join(str(error).split())[:MAX_ERROR_LENGTH]
 
 
-def _parse_settings(given: Mapping[str, Any]) -> tuple[DeploymentConfig, int]:
-    """Return the deployment's settings, and the drain grace where lists are pushed."""
+def _parse_settings(document: Mapping[str, Any]) -> tuple[DeploymentConfig, int]:
+    """Return the deployment's settings and the drain grace.
+
+    The drain grace is 0 unless endpoint lists are pushed.
+    """
     try:
-        config = config_from_settings(given.get("settings"))
-        rules = SettingsSection(given["settings"]).section("rules")
-        grace = ticks_at_most(rules.number("stop_sending_within_ns"))
+        config = config_from_settings(document.get("settings"))
+        rules = SettingsSection(document["settings"]).section("rules")
+        drain_grace = ticks_at_most(rules.number("stop_sending_within_ns"))
     except ValueError as error:
         raise ValueError(f"settings: {error}") from None
     pushed = not config.watches_endpoints
-    span = notification_span(pushed, config.rewatch_within, grace)
+    span = notification_span(pushed, config.rewatch_within, drain_grace)
     config = replace(config, rewatch_within=span)
     if not config.request_classes:
-        raise ValueError("settings: classes: none, so nothing can be taken")
-    return config, grace if pushed else 0
+        raise ValueError(
+            "settings: classes: empty, expected at least one request class"
+        )
+    return config, drain_grace if pushed else 0
 
 
 def _log_settings(settings: Mapping[str, Any], log: Callable[[str], None]) -> None:
-    """Log what the settings hold that is not known, and what they lack."""
-    _log_names("not known and passed over", unknown_settings(settings), log)
+    """Log unknown settings, and expected settings that are missing."""
+    _log_names("unknown and ignored", unknown_settings(settings), log)
     _log_names(
-        "missing, what rests on them is off or at its plainest",
+        "missing, so the features that need them are off or use defaults",
         missing_settings(settings, EXPECTED_SETTINGS),
         log,
     )
@@ -188,16 +193,18 @@
         log(f"settings {what}: {shown}")
 
 
-def _parse_seed(given: Mapping[str, Any]) -> int:
+def _parse_seed(document: Mapping[str, Any]) -> int:
     try:
-        return int(str(given.get("seed", "0")), 16)
+        return int(str(document.get("seed", "0")), 16)
     except ValueError:
         raise ValueError("seed: not a hexadecimal number") from None
 
 
 def _parse_limit(limits: Any, name: str) -> int:
-    """Return a limit, 0 where none is told."""
+    """Return a limit; 0 if the file states none."""
     value = limits.get(name, 0) if isinstance(limits, dict) else 0
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ValueError(f"limits: {name} {str(value)[:40]!r} is not a number")
+        raise ValueError(
+            f"limits: {name} {str(value)[:40]!r} is not a whole number from 0"
+        )
     return value
--- a/milletsill/http_gateway/connector.py
+++ b/milletsill/http_gateway/connector.py
@@ -1,4 +1,4 @@
-"""Bring one connection up."""
+"""Open a single outgoing connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SingleConnector(ClientFactory):
-    """Connects one protocol; `failed` is called where it cannot be connected."""
+    """Connects one protocol; `failed` is called if the connection fails."""
 
     noisy = False
 
@@ -18,18 +18,18 @@
         self.failed = failed
 
     def buildProtocol(self, addr: Any) -> Protocol | None:
-        """Return the one protocol."""
+        """Return the protocol to connect."""
         return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Tell who waits, then drop the references."""
+        """Report the failure, then drop the references."""
         self.failed()
         self.clientConnectionLost(connector, reason)
 
     def clientConnectionLost(self, connector: Any, reason: Any) -> None:
-        """Cut the cycle of connector, transport, protocol and this.
+        """Break the reference cycle of connector, transport, protocol and factory.
 
-        Each is freed with its connection, without the garbage collector.
+        The objects are then freed with the connection, without the garbage collector.
         """
         connector.transport = None
         self.connection = None
--- a/milletsill/http_gateway/discovery_timing.py
+++ b/milletsill/http_gateway/discovery_timing.py
@@ -1,12 +1,12 @@
-"""When calls to discovery are made, retried, doubled and given up.
+"""Timing of calls to discovery: time-outs, retries and parallel calls.
 
 Pure functions and constants: no I/O, no clock. Times are tenths of a millisecond.
 
-Whatever becomes of calls to discovery, an endpoint change counts as notified
-`NOTIFIED_WITHIN` after discovery had it and could be reached, or after the watch that
-would have brought it fell silent, which may be as soon as its last word came; after
-SIGHUP `NOTIFIED_AFTER_MOVE`. Where lists are pushed, what the local agent has counts at
-once, and the drain grace is all the time there is.
+An endpoint change counts as notified `NOTIFIED_WITHIN` after discovery had the change
+and was reachable, or after the last value of the watch that should have delivered it.
+This holds whether or not the calls succeed. After SIGHUP moves discovery the limit is
+`NOTIFIED_AFTER_MOVE`. In deployments that push endpoint lists, a change counts as
+notified as soon as the local agent has it, so only the drain grace remains.
 """
 
 from __future__ import annotations
@@ -15,103 +15,110 @@
 
 NOTIFIED_WITHIN = 60_000
 NOTIFIED_AFTER_MOVE = 40_000
-# A watch without a word for this long is over.
+# A watch that delivers no value for this long has failed.
 WATCH_TIMEOUT = NOTIFIED_WITHIN
-# Drawn between these: a watch without a word for so long has another opened beside it;
-# spread, since many watches may fall silent at once.
+# Bounds of the random time without a value after which another watch is opened in
+# parallel. The time is random because many watches may become silent at once.
 SILENCE_BEFORE_NEW_WATCH = (26_000, 32_000)
 CONNECT_TIMEOUT = 10_000
-# From a call to its answer's head, and from there to its first line: a heartbeat and a
-# little.
-FIRST_WORD_TIMEOUT = 22_000
-# The second call is made at random within this part of what is left, less the margin.
+# Limit from a call to the head of its response, and from there to the first line: one
+# heartbeat interval and a margin.
+FIRST_VALUE_TIMEOUT = 22_000
+# A retry is made at a random time within this fraction of the remaining time, which is
+# first reduced by the margin.
 RETRY_MARGIN = 5_000
-RETRY_PART = 1 / 3
-SHORTEST_RETRY = 1_000
-# Times the drain grace; the scheduler's longest pause is a quarter of it.
-PUSHED_PACE = 1.5
+RETRY_FRACTION = 1 / 3
+MIN_RETRY_DELAY = 1_000
+# Factor on the drain grace. The scheduler's longest pause is a quarter of the product.
+PUSHED_SPAN_FACTOR = 1.5
 
 
-def notification_span(pushed: bool, stated: int, grace: int) -> int:
-    """Return the span of which the scheduler draws its pauses, up to a quarter.
+def notification_span(pushed: bool, stated: int, drain_grace: int) -> int:
+    """Return the time span from which the scheduler derives its retry pauses.
 
-    It is the time within which a change counts as notified where calls fail: the least
-    of what the settings and the platform's page say. Where lists are pushed only the
-    grace is left; the longest pause, and the time until another call is made in
-    parallel, stay under two thirds of it.
+    The scheduler's pauses are at most a quarter of the span. The span is the time
+    within which a change counts as notified while calls fail: the least of
+    `NOTIFIED_WITHIN` and the settings. Where lists are pushed, only the drain grace
+    remains; the longest pause plus the time until a parallel call stays under two
+    thirds of that grace.
     """
-    spans = (NOTIFIED_WITHIN, stated, int(grace * PUSHED_PACE) * pushed)
+    spans = (NOTIFIED_WITHIN, stated, int(drain_grace * PUSHED_SPAN_FACTOR) * pushed)
     return min(span for span in spans if span)
 
 
 def retry_delay(
-    quiet: int, moved: int | None, scheduler_knows: bool = False
+    silence: int, since_move: int | None, scheduler_notified: bool = False
 ) -> tuple[int, int, bool]:
-    """Return the bounds of the delay of a retry, and whether it is made on our own.
+    """Return the bounds of a retry's delay, and whether it bypasses the scheduler.
 
-    It is for a call that failed beside a standing watch, or after SIGHUP. Where the
-    scheduler has heard of a failure since SIGHUP its next pause may be longer than what
-    is left, so the retry does not wait for it. A service with too many callers does not
-    get all of them back at once; the list is that much later, never past its time.
+    The retry follows a call that failed while the previous watch is still open, or
+    after SIGHUP moved discovery. Once the scheduler was notified of a failure after
+    SIGHUP, its next pause may exceed the remaining time, so the retry does not wait for
+    it. The random delay keeps all callers of an overloaded service from returning at
+    once. It delays the list, but never past the time by which a change counts as
+    notified.
 
     Args:
-        quiet: time since the standing watch's last word.
-        moved: time since SIGHUP moved discovery, None where it did not.
-        scheduler_knows: whether the scheduler has heard of a failure since.
+        silence: time since the last value of the previous watch.
+        since_move: time since SIGHUP moved discovery, None if it did not.
+        scheduler_notified: whether the scheduler was notified of a failure since then.
     """
-    left = NOTIFIED_WITHIN - quiet
-    if moved is not None:
-        left = min(left, NOTIFIED_AFTER_MOVE - moved)
-    longest = int(max(left - RETRY_MARGIN, 0) * RETRY_PART)
-    on_our_own = scheduler_knows and longest > SHORTEST_RETRY
-    return longest // 2 if on_our_own else 0, longest, on_our_own
+    left = NOTIFIED_WITHIN - silence
+    if since_move is not None:
+        left = min(left, NOTIFIED_AFTER_MOVE - since_move)
+    longest = int(max(left - RETRY_MARGIN, 0) * RETRY_FRACTION)
+    bypasses_scheduler = scheduler_notified and longest > MIN_RETRY_DELAY
+    return longest // 2 if bypasses_scheduler else 0, longest, bypasses_scheduler
 
 
 class CallProgress(Enum):
-    """How far a call to discovery has come, until it has spoken."""
+    """Progress of a call to discovery that has not delivered a value yet."""
 
     CONNECTING = auto()
-    # Connected: it may wait for its turn, or for the first heartbeat behind its head.
+    # The call may wait for the service, or for the first heartbeat after the head.
     CONNECTED = auto()
-    RECEIVING = auto()  # a part of its first line is here
+    RECEIVING = auto()  # part of the first line has arrived
 
 
-# Times the drain grace.
+# Bounds of the delay until a parallel call; for pushed lists, as fractions of the drain
+# grace.
 PARALLEL_CALL_PUSHED = (1 / 8, 1 / 4)
-PARALLEL_CALL_MUTE = (7_000, 11_000)
+PARALLEL_CALL_UNRESPONSIVE = (7_000, 11_000)
 PARALLEL_CALL_SOON = (2_500, 5_000)
 PARALLEL_CALL_AFTER_MOVE = (27_000, 31_000)  # since SIGHUP
 
 
 def parallel_call_delay(
-    progress: CallProgress, mute: bool, grace: int, moved: int | None
+    progress: CallProgress, unresponsive: bool, drain_grace: int, since_move: int | None
 ) -> tuple[int, int] | None:
-    """Return the bounds of the delay until a stuck call gets another in parallel.
+    """Return the bounds of the delay until a parallel call; None for no parallel call.
 
-    None: never. Otherwise a call could end by our patience alone. Where lists are
-    pushed: soon, but not where the call is connected: a service with too many callers
-    lets it wait, and speaks within two seconds; only where the last one was silent for
-    all of its time, half way through. After SIGHUP: just in time, or soon where the
-    service has not heard of the call. It costs up to twice the calls.
+    Without a parallel call, only a time-out would end a call that makes no progress.
+    Where lists are pushed, a parallel call is made early, except while a call is
+    connected: an overloaded service lets a connected call wait and answers within 2 s.
+    A connected call gets a parallel call only if the previous call timed out without a
+    value, after a third to a half of its own time-out. After SIGHUP the parallel call
+    is made just in time, or early if the call is not connected yet. Parallel calls at
+    most double the number of calls.
 
     Args:
-        progress: how far the call has come.
-        mute: whether discovery takes calls and says nothing.
-        grace: the drain grace where lists are pushed, else 0.
-        moved: time since SIGHUP moved discovery, None where it did not.
+        progress: the progress of the call.
+        unresponsive: whether discovery accepts calls but delivers nothing.
+        drain_grace: the drain grace if lists are pushed, else 0.
+        since_move: time since SIGHUP moved discovery, None if it did not.
     """
     delays: list[tuple[int, int]] = []
-    if grace and progress is not CallProgress.CONNECTED:
+    if drain_grace and progress is not CallProgress.CONNECTED:
         soonest, latest = PARALLEL_CALL_PUSHED
-        delays.append((int(grace * soonest), int(grace * latest)))
-    elif grace and mute:
-        delays.append(PARALLEL_CALL_MUTE)
-    if moved is not None and moved < NOTIFIED_AFTER_MOVE - RETRY_MARGIN:
+        delays.append((int(drain_grace * soonest), int(drain_grace * latest)))
+    elif drain_grace and unresponsive:
+        delays.append(PARALLEL_CALL_UNRESPONSIVE)
+    if since_move is not None and since_move < NOTIFIED_AFTER_MOVE - RETRY_MARGIN:
         if progress is CallProgress.CONNECTING:
             delays.append(PARALLEL_CALL_SOON)
         else:
             soonest, latest = (
-                max(bound - moved, soon)
+                max(bound - since_move, soon)
                 for bound, soon in zip(
                     PARALLEL_CALL_AFTER_MOVE, PARALLEL_CALL_SOON, strict=True
                 )
@@ -120,9 +127,9 @@
     return min(delays, default=None)
 
 
-def is_mute(mute: bool, quiet: int, status: int) -> bool:
-    """Whether discovery takes calls and says nothing.
+def is_unresponsive(unresponsive: bool, silence: int, status: int) -> bool:
+    """Whether discovery accepts calls but delivers nothing.
 
-    So it is since a call was given up for that, until any call is answered.
+    This holds from the time-out of a call until any call receives a response.
     """
-    return quiet > FIRST_WORD_TIMEOUT or (mute and not status)
+    return silence > FIRST_VALUE_TIMEOUT or (unresponsive and not status)
--- a/milletsill/http_gateway/endpoint_watch.py
+++ b/milletsill/http_gateway/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""One call to discovery: a watch of the endpoint list, as a Twisted protocol."""
+"""One call to discovery, which watches the endpoint list: a Twisted protocol."""
 
 from __future__ import annotations
 
@@ -15,53 +15,55 @@
 from milletsill.http1.response_line_reader import ResponseLineReader
 from milletsill.http1.writer import encode_request
 from milletsill.http_gateway.discovery_timing import (
-    FIRST_WORD_TIMEOUT,
+    FIRST_VALUE_TIMEOUT,
     WATCH_TIMEOUT,
     CallProgress,
 )
 from milletsill.http_gateway.endpoints import InvalidEndpointError
 from milletsill.http_gateway.watch_decoder import MAX_LIST, WatchDecoder
 
-PATH = b"/registry/instances?watch=1&from=%d"
-# The version of a watch that has spoken.
-SPOKEN = -1
+WATCH_PATH = b"/registry/instances?watch=1&from=%d"
+# The `version` of a watch that has delivered a value.
+VALUE_RECEIVED = -1
 
 
-class WatchOwner(TypingProtocol):
-    """Who hears of a watch."""
+class WatchObserver(TypingProtocol):
+    """Receives the events of a watch."""
 
     def now(self) -> int:
         """Return the time in tenths of a millisecond."""
 
     def on_progress(self, watch: EndpointWatch, /) -> None:
-        """A call has come further."""
+        """Handle a change in the progress of a call."""
 
     def on_value(self, watch: EndpointWatch, value: Any, /) -> None:
-        """A heartbeat, or what a list should be, has come."""
+        """Handle a heartbeat, or a JSON value that should be an endpoint list."""
 
     def on_watch_ended(self, watch: EndpointWatch, reason: str, /) -> None:
-        """A watch is over."""
+        """Handle the end of a watch."""
 
 
 class EndpointWatch(Protocol):
     """One open watch.
 
-    Octets alone are no word: a response that drips would stand for ever. A list that
-    takes longer on its way is asked for again.
+    Only complete lines reset its time-outs: a response that arrives octet by octet
+    would otherwise stay open for ever. A list that takes longer to arrive is requested
+    again.
 
     Attributes:
-        host: where the call goes.
-        version: the list's version that it asked from; `SPOKEN` once it has spoken.
-        silence_limit: when silent for this long, another is opened beside it.
-        last_word_at: when its last word came: a complete line, before the first the
-            head, before that the call.
-        over: whether it has ended.
+        host: the address of discovery, used as the Host field.
+        version: the list version from which the watch was requested; `VALUE_RECEIVED`
+            once the watch has delivered a value.
+        silence_limit: time without a value after which another watch is opened.
+        last_received_at: when the last complete line arrived; before the first line,
+            when the head arrived, and before that, when the call was made.
+        over: whether the watch has ended.
     """
 
     transport: StreamTransport  # type: ignore[assignment]
 
     def __init__(
-        self, owner: WatchOwner, host: str, version: int, silence_limit: int
+        self, owner: WatchObserver, host: str, version: int, silence_limit: int
     ) -> None:
         self.owner = owner
         self.host = host
@@ -69,31 +71,31 @@
         self.silence_limit = silence_limit
         self.response = ResponseLineReader(MAX_LIST)
         self.decoder = WatchDecoder()
-        self.last_word_at = owner.now()
+        self.last_received_at = owner.now()
         self.over = False
         self.progress = CallProgress.CONNECTING
         self.connector: Any = None
 
     @property
-    def has_spoken(self) -> bool:
-        """Whether a first word came: a heartbeat or a list."""
-        return self.version == SPOKEN
+    def has_received_value(self) -> bool:
+        """Whether the watch has delivered a value: a heartbeat or a list."""
+        return self.version == VALUE_RECEIVED
 
     # Called by Twisted.
 
     def connectionMade(self) -> None:
-        """Send the call."""
+        """Send the request."""
         if self.over:
             self.transport.abortConnection()
             return
-        target = PATH % self.version
+        target = WATCH_PATH % self.version
         self.transport.write(
             encode_request(b"GET", target, self.host.encode(), [], b"")
         )
         self._set_progress(CallProgress.CONNECTED)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the response; what cannot be read ends the watch."""
+        """Read the response; malformed input ends the watch."""
         try:
             if not self._read(data):
                 return
@@ -106,11 +108,11 @@
             self.end(describe_error(error))
             return
         if self.response.ended:
-            self.end("the watch ended")
+            self.end("the response ended")
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """End the watch."""
-        self.end("the connection ended")
+        self.end("the connection closed")
 
     # Reading.
 
@@ -119,14 +121,14 @@
         self.owner.on_progress(self)
 
     def _read(self, data: bytes) -> bool:
-        """Read octets; False where the response's status ended the watch."""
+        """Read octets; False if the response's status ended the watch."""
         head_missing = not self.response.status
         lines = self.response.feed(data)
         if self.response.status not in (0, 200):
-            self.end(f"answered {self.response.status}")
+            self.end(f"response status {self.response.status}")
             return False
         if head_missing and self.response.status:
-            self.last_word_at = self.owner.now()
+            self.last_received_at = self.owner.now()
         for line in lines:
             self._take(() if self.over else self.decoder.feed_line(line.strip()))
         if not self.over:
@@ -135,45 +137,49 @@
                 self.response.line = b""
                 self._take(values)
         partial = self.response.line or self.decoder.has_partial_value
-        if self.progress is CallProgress.CONNECTED and not self.has_spoken and partial:
+        if (
+            self.progress is CallProgress.CONNECTED
+            and not self.has_received_value
+            and partial
+        ):
             self._set_progress(CallProgress.RECEIVING)
         return True
 
     def _take(self, values: Sequence[Any]) -> None:
         for value in values:
-            self.last_word_at = self.owner.now()
+            self.last_received_at = self.owner.now()
             self.owner.on_value(self, value)
 
-    # Time.
+    # Time-outs and the end.
 
-    def quiet(self) -> int:
-        """Return how long no word has come."""
-        return self.owner.now() - self.last_word_at
+    def silence(self) -> int:
+        """Return the time since the last complete line, the head or the call."""
+        return self.owner.now() - self.last_received_at
 
     @property
-    def overdue(self) -> bool:
-        """Whether it has been silent for longer than any watch is."""
-        limit = WATCH_TIMEOUT if self.has_spoken else FIRST_WORD_TIMEOUT
-        return not self.over and self.quiet() > limit
+    def timed_out(self) -> bool:
+        """Whether the watch has been silent for longer than its time-out."""
+        limit = WATCH_TIMEOUT if self.has_received_value else FIRST_VALUE_TIMEOUT
+        return not self.over and self.silence() > limit
 
     def read_pending(self) -> None:
-        """Read what has come before the watch is ended for silence.
+        """Read the octets that have arrived, before a time-out ends the watch.
 
-        Timers go before what lies in the sockets when the process stood still, and
-        words that lie there unread would go with the watch that is ended for their
-        want.
+        After a stall of the process the reactor runs timers before it reads sockets.
+        Without this read, a watch could be ended for silence while values wait unread
+        in its socket.
         """
         if self.transport is not None:
-            self.transport.doRead()  # an end is told again in the next turn
+            self.transport.doRead()  # the next turn reports an end again
 
     def end(self, reason: str) -> None:
-        """End the watch and tell its owner, once."""
+        """End the watch and notify its owner, once."""
         if not self.over:
             self.close()
             self.owner.on_watch_ended(self, reason)
 
     def close(self) -> None:
-        """End the watch without a word."""
+        """End the watch without notifying its owner."""
         self.over = True
         if self.transport is not None:
             self.transport.abortConnection()
--- a/milletsill/http_gateway/endpoint_watcher.py
+++ b/milletsill/http_gateway/endpoint_watcher.py
@@ -1,6 +1,6 @@
-"""Follow the platform's endpoint list.
+"""Follow the endpoint list of the discovery service.
 
-One watch at a time, opened when the scheduler asks.
+One watch is open at a time; it is opened when the scheduler requests it.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from milletsill.http_gateway.connector import SingleConnector
 from milletsill.http_gateway.discovery_timing import (
     CONNECT_TIMEOUT,
-    FIRST_WORD_TIMEOUT,
+    FIRST_VALUE_TIMEOUT,
     SILENCE_BEFORE_NEW_WATCH,
     CallProgress,
-    is_mute,
+    is_unresponsive,
     parallel_call_delay,
     retry_delay,
 )
-from milletsill.http_gateway.endpoint_watch import SPOKEN, EndpointWatch
+from milletsill.http_gateway.endpoint_watch import VALUE_RECEIVED, EndpointWatch
 from milletsill.http_gateway.endpoints import (
     EndpointUpdate,
     NodeEndpoint,
@@ -37,30 +37,33 @@
 
     Attributes:
         address: host and port of discovery.
-        zones: the zones of the settings.
-        clock: our clock less the wall clock.
-        grace: the time to stop sending to a node that drains, where lists are pushed; 0
-            where they are asked for.
+        zones: the zones that the settings name.
+        clock_offset: the gateway's clock minus the wall clock.
+        drain_grace: if lists are pushed, the time within which sending to a draining
+            node must stop; 0 if lists are requested.
     """
 
     address: tuple[str, int]
     zones: Sequence[str]
-    clock: int
-    grace: int = 0
+    clock_offset: int
+    drain_grace: int = 0
 
 
 class EndpointWatcher:
-    """Keeps the calls to discovery.
+    """Manages the calls to discovery.
 
-    `watch` is the watch that stands, or the call that is to be it. `old` is the watch
-    that it takes the place of, at a new address or because that is silent. `parallel`
-    is a second call beside one that is not answered, only while `watch` has not spoken.
+    `watch` is the current watch, or the call that is to become it. `previous` is the
+    watch that it replaces, because discovery moved or because that watch is silent.
+    `parallel` is a second call, made while `watch` has not delivered a value.
 
     Attributes:
-        version: the version of the list that we have.
-        mute: whether discovery takes calls and says nothing.
-        scheduler_knows: whether the scheduler has heard of a failure since SIGHUP.
-        moved_at: when discovery moved, until a watch at the new address has spoken.
+        version: the version of the endpoint list that was received last.
+        open_scheduled: whether a watch is to be opened in the next reactor turn.
+        unresponsive: whether discovery accepts calls but delivers nothing.
+        scheduler_notified: whether the scheduler was notified of a failure since
+            SIGHUP.
+        moved_at: when SIGHUP moved discovery; None once a watch at the new address has
+            delivered a value.
     """
 
     def __init__(
@@ -81,56 +84,56 @@
         self.uniform = uniform
         self.version = 0
         self.watch: EndpointWatch | None = None
-        self.old: EndpointWatch | None = None
+        self.previous: EndpointWatch | None = None
         self.parallel: EndpointWatch | None = None
-        self.wanted = False
+        self.open_scheduled = False
         self.stopped = False
-        self.mute = False
-        self.scheduler_knows = False
+        self.unresponsive = False
+        self.scheduler_notified = False
         self.moved_at: int | None = None
 
-    def set_known(self, update: EndpointUpdate) -> None:
-        """Take the list as it was known at the start."""
+    def load_cached_list(self, update: EndpointUpdate) -> None:
+        """Use the cached endpoint list of the configuration."""
         self.version = update.version
         self.listener(EndpointUpdateKind.CACHED, update.nodes)
 
     def request_watch(self) -> None:
-        """Open a watch, unless one stands."""
-        if not self.wanted and self.watch is None and not self.stopped:
-            self.wanted = True
+        """Open a watch in the next reactor turn, unless one is open."""
+        if not self.open_scheduled and self.watch is None and not self.stopped:
+            self.open_scheduled = True
             self.reactor.callLater(0, self._open)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere: the old watch stands until the new one has spoken."""
+        """Move to a new address; the old watch stays open until a value arrives."""
         if address == self.address or self.stopped:
             return
         self.address = address
         self.moved_at = self.now()
-        self.scheduler_knows = False
+        self.scheduler_notified = False
         self._close_others()
-        self.old = self.watch
+        self.previous = self.watch
         self.watch = None
         self.request_watch()
 
     def check(self) -> None:
-        """End watches that are silent for too long, and open another in time.
+        """End watches that have timed out, and open another before that happens.
 
-        The other is opened in the next turn: what came while this process stood still
-        is read before.
+        The other watch is opened in the next turn, so that octets that arrived during a
+        stall of this process are read first.
         """
-        for watch in (self.watch, self.parallel, self.old):
-            if watch is not None and watch.overdue:
+        for watch in (self.watch, self.parallel, self.previous):
+            if watch is not None and watch.timed_out:
                 watch.read_pending()
-                if watch.overdue:
-                    watch.end("nothing came")
+                if watch.timed_out:
+                    watch.end("timed out")
         watch = self.watch
         if (
             watch is not None
-            and watch.has_spoken
-            and self.old is None
-            and watch.quiet() > watch.silence_limit
+            and watch.has_received_value
+            and self.previous is None
+            and watch.silence() > watch.silence_limit
         ):
-            self.old = watch
+            self.previous = watch
             self.watch = None
             self.request_watch()
 
@@ -144,17 +147,17 @@
     # Calls.
 
     def _open(self) -> None:
-        self.wanted = False
+        self.open_scheduled = False
         if self.stopped or self.watch is not None:
             return
-        old = self.old
+        previous = self.previous
         if (
-            old is not None
-            and old.host == self._host()
-            and old.quiet() <= old.silence_limit
+            previous is not None
+            and previous.host == self._host()
+            and previous.silence() <= previous.silence_limit
         ):
-            self.watch = old  # it speaks again
-            self.old = None
+            self.watch = previous  # it has delivered a value again
+            self.previous = None
             return
         self.watch = self._call()
 
@@ -169,16 +172,19 @@
         watch.connector = self.reactor.connectTCP(
             host,
             port,
-            SingleConnector(watch, lambda: watch.end("not reached")),
+            SingleConnector(watch, lambda: watch.end("the connection failed")),
             timeout=CONNECT_TIMEOUT / 10_000,
         )
         self.on_progress(watch)
         return watch
 
     def on_progress(self, watch: EndpointWatch) -> None:
-        """Check a call again when another beside it would be due."""
+        """Schedule a parallel call in case the call makes no further progress."""
         bounds = parallel_call_delay(
-            watch.progress, self.mute, self.config.grace, self._since_move()
+            watch.progress,
+            self.unresponsive,
+            self.config.drain_grace,
+            self._since_move(),
         )
         if bounds is not None:
             delay = self.uniform(*bounds) / 10_000
@@ -188,53 +194,54 @@
         return None if self.moved_at is None else self.now() - self.moved_at
 
     def _call_in_parallel(self, watch: EndpointWatch, progress: CallProgress) -> None:
-        """Make another call beside one that is no further; the first that speaks wins.
+        """Make a parallel call if a call has made no progress.
 
-        Of two calls one that is not connected gives way to a third: the service has not
-        heard of it. None is made beside an old watch that is silent: until six seconds
-        after its last word there is time for one after the other.
+        The first call that delivers a value becomes the watch. If two calls are open, a
+        third replaces one that is not connected, since the service has not received it.
+        No call is made while a silent previous watch is open, unless discovery moved:
+        until 6 s after that watch's last value there is time for consecutive calls.
         """
-        if watch.over or watch.progress is not progress or watch.has_spoken:
+        if watch.over or watch.progress is not progress or watch.has_received_value:
             return
-        if self.stopped or (self.old and self.moved_at is None):
+        if self.stopped or (self.previous and self.moved_at is None):
             return
         newest = self.watch if self.parallel is None else self.parallel
         if watch is not newest:
             return
         if self.parallel is not None and self.watch is not None:
-            gone, stays = self.watch, watch
+            closed, kept = self.watch, watch
             if progress is CallProgress.CONNECTING:
-                gone, stays = watch, self.watch
-            if gone.progress is not CallProgress.CONNECTING:
+                closed, kept = watch, self.watch
+            if closed.progress is not CallProgress.CONNECTING:
                 return
-            gone.close()
-            self.watch = stays
+            closed.close()
+            self.watch = kept
         self.parallel = self._call()
 
-    # What the watches say.
+    # Called by watches.
 
     def on_value(self, watch: EndpointWatch, value: Any) -> None:
-        """Take a heartbeat, or what a list should be."""
+        """Handle a heartbeat, or a JSON value that should be an endpoint list."""
         if watch is self.parallel:
             self.parallel = self.watch
             self.watch = watch
-        first = watch is self.watch and not watch.has_spoken
+        first = watch is self.watch and not watch.has_received_value
         if value is not HEARTBEAT:
             config = self.config
-            update = parse_update(value, config.zones, config.clock, self.log)
-            self._on_update(update, watch is self.old)
+            update = parse_update(value, config.zones, config.clock_offset, self.log)
+            self._on_update(update, watch is self.previous)
         elif first:
             self.listener(EndpointUpdateKind.DELTA, ())
         if first:
-            watch.version = SPOKEN
+            watch.version = VALUE_RECEIVED
             self.moved_at = None
-            self.mute = False
-            self.scheduler_knows = False
+            self.unresponsive = False
+            self.scheduler_notified = False
             self._close_others()
 
-    def _on_update(self, update: EndpointUpdate, from_old: bool) -> None:
+    def _on_update(self, update: EndpointUpdate, from_previous: bool) -> None:
         newer = update.version >= self.version
-        if newer or (update.snapshot and not from_old):
+        if newer or (update.snapshot and not from_previous):
             self.version = update.version
             kind = EndpointUpdateKind.DELTA
             if update.snapshot:
@@ -242,53 +249,55 @@
             self.listener(kind, update.nodes)
 
     def _close_others(self) -> None:
-        for watch in (self.old, self.parallel):
+        for watch in (self.previous, self.parallel):
             if watch is not None:
                 watch.close()
-        self.old = None
+        self.previous = None
         self.parallel = None
 
     def on_watch_ended(self, watch: EndpointWatch, reason: str) -> None:
-        """Go on without a watch.
+        """Handle the end of a watch.
 
-        The scheduler hears of it, and says when to ask again.
+        The scheduler is notified, and decides when to open the next watch.
         """
-        if watch is self.old:
-            self.old = None
+        if watch is self.previous:
+            self.previous = None
             return
-        self.mute = is_mute(self.mute, watch.quiet(), watch.response.status)
+        self.unresponsive = is_unresponsive(
+            self.unresponsive, watch.silence(), watch.response.status
+        )
         if self.parallel is not None and watch in (self.watch, self.parallel):
-            self._on_one_of_two_ended(watch, self.parallel, reason)
+            self._on_parallel_call_ended(watch, self.parallel, reason)
         elif watch is self.watch:
             self.watch = None
-            self.log(f"the watch at {watch.host} is over: {reason}")
+            self.log(f"watch of discovery at {watch.host} ended: {reason}")
             self._retry()
 
-    def _on_one_of_two_ended(
+    def _on_parallel_call_ended(
         self, ended: EndpointWatch, parallel: EndpointWatch, reason: str
     ) -> None:
         if ended is self.watch:
             self.watch = parallel
         self.parallel = None
-        self.log(f"one of two calls at {ended.host} is over: {reason}")
+        self.log(f"one of two calls to discovery at {ended.host} ended: {reason}")
         assert self.watch is not None
-        if ended.quiet() > FIRST_WORD_TIMEOUT:
+        if ended.silence() > FIRST_VALUE_TIMEOUT:
             self._call_in_parallel(self.watch, self.watch.progress)
         else:
             self.on_progress(self.watch)
 
     def _retry(self) -> None:
-        """Ask again: when the scheduler says, or in time beside what else is known."""
-        if self.old is None and self.moved_at is None:
+        """Open another watch when the scheduler decides, or before time runs out."""
+        if self.previous is None and self.moved_at is None:
             self._on_failed()
             return
-        quiet = 0 if self.old is None else self.old.quiet()
-        soonest, latest, on_our_own = retry_delay(
-            quiet, self._since_move(), self.scheduler_knows
+        silence = 0 if self.previous is None else self.previous.silence()
+        soonest, latest, bypasses_scheduler = retry_delay(
+            silence, self._since_move(), self.scheduler_notified
         )
-        self.scheduler_knows = self.moved_at is not None
+        self.scheduler_notified = self.moved_at is not None
         delay = self.uniform(soonest, latest) / 10_000
-        retry = self.request_watch if on_our_own else self._on_failed
+        retry = self.request_watch if bypasses_scheduler else self._on_failed
         self.reactor.callLater(delay, retry)
 
     def _on_failed(self) -> None:
--- a/milletsill/http_gateway/gateway.py
+++ b/milletsill/http_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The HTTP gateway as one object: clients, scheduler, nodes, endpoint list, reports."""
+"""The HTTP gateway object, which connects clients, scheduler, nodes and discovery."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
 CHECK_INTERVAL = 0.1  # seconds
 REPORT_INTERVAL = 5.0  # seconds
 LISTEN_BACKLOG = 512
-MAX_UNANSWERED = 512  # where the settings set no bound
-# An answer is written this long before the client's time is up, in tenths of a
+MAX_UNANSWERED = 512  # if the settings state no limit
+# An answer is written at least this long before the client's deadline, in tenths of a
 # millisecond.
 ANSWER_MARGIN = 60
 READY_PATH = b"/health/ready"
@@ -58,15 +58,16 @@
 
 
 class HttpGateway:
-    """One gateway.
+    """One gateway. Times are tenths of a millisecond.
 
     Attributes:
-        state: of the process.
-        keep_alive: whether clients' connections stay open behind an answer.
-        retry_after: told with a rejection before the scheduler, 0 for none.
-        answers_by: once it leaves, the latest deadline of a request.
-        shutdown_steps: what is to happen when, once it leaves.
-        stopped: called once it is stopped.
+        state: the state of the process.
+        keep_alive: whether clients' connections stay open after an answer.
+        retry_after: the Retry-After time of rejections that the gateway makes without
+            the scheduler, 0 for none.
+        latest_deadline: the latest deadline of a request, None before the shutdown.
+        shutdown_steps: the times and events of the remaining shutdown steps.
+        on_stopped: called once the gateway has stopped.
     """
 
     def __init__(
@@ -74,7 +75,7 @@
         configuration: GatewayConfiguration,
         reactor: Any,
         now: Callable[[], int],
-        clock: int,
+        clock_offset: int,
         log: EventLog,
         make_scheduler: SchedulerFactory = Scheduler,
     ) -> None:
@@ -84,12 +85,12 @@
         self.log = log
         self.state = ProcessState.STARTING
         self.keep_alive = True
-        self.answers_by: int | None = None
+        self.latest_deadline: int | None = None
         self.shutdown_steps: list[tuple[int, ProcessEvent]] = []
         self.report = GatewayReport(log)
         self.count = self.report.count
         self.warn = self.report.warn
-        self.stopped: Callable[[], None] = lambda: None
+        self.on_stopped: Callable[[], None] = lambda: None
         self.port: Any = None
         self.delayed_calls: list[Any] = []
         config = configuration.config
@@ -116,8 +117,8 @@
             WatcherConfig(
                 configuration.discovery,
                 config.zone_names or (),
-                clock,
-                configuration.grace,
+                clock_offset,
+                configuration.drain_grace,
             ),
             self.on_endpoints,
             lambda text: self.warn("list", reason=text),
@@ -137,16 +138,16 @@
             ),
         )
 
-    # Start and end.
+    # Start and shutdown.
 
     def start(self) -> None:
-        """Take the endpoint list as it was known, and listen.
+        """Use the cached endpoint list, and listen for clients.
 
         Raises:
-            CannotListenError: the address cannot be had.
+            CannotListenError: the listening address is not available.
         """
-        if self.configuration.known is not None:
-            self.watcher.set_known(self.configuration.known)
+        if self.configuration.cached_endpoints is not None:
+            self.watcher.load_cached_list(self.configuration.cached_endpoints)
         self.watcher.request_watch()
         host, port = self.configuration.listen
         self.port = self.reactor.listenTCP(port, self.listener, LISTEN_BACKLOG, host)
@@ -162,13 +163,13 @@
         self.log_report()
 
     def terminate(self) -> None:
-        """Answer what was taken, then end: SIGTERM."""
+        """Shut down on SIGTERM: answer the accepted requests, then stop."""
         self._on_process_event(ProcessEvent.TERMINATE)
 
     def reload(self, configuration: GatewayConfiguration) -> None:
-        """Take another configuration: SIGHUP.
+        """Apply a new configuration on SIGHUP.
 
-        Discovery's address moves; what the scheduler was told at its start stands.
+        Only the address of discovery changes; the scheduler keeps its settings.
         """
         self.watcher.move(configuration.discovery)
         if (
@@ -176,24 +177,24 @@
             or configuration.listen != self.configuration.listen
         ):
             error = GatewayConfigurationRejectedError(
-                "settings or address are not those of the start"
+                "settings and listen address can change only at a restart"
             )
             self.warn("configuration", **error.log_fields())
         host, port = configuration.discovery
         self.log.info("reloaded", discovery=f"{host}:{port}")
 
     def _on_process_event(self, event: ProcessEvent) -> None:
-        """Read the table and act."""
+        """Make the state transition for an event and perform its effect."""
         self.state, effect = next_process_state(self.state, event)
         if effect is ProcessEffect.SCHEDULE_SHUTDOWN:
             self._schedule_shutdown()
         elif effect is ProcessEffect.CLOSE_AFTER_ANSWERS:
             self.keep_alive = False
         elif effect is ProcessEffect.STOP_LISTENING:
-            self.port.stopListening()  # not sooner: it resets what waits in its queue
+            self.port.stopListening()  # earlier, it would reset queued connections
             self._stop_without_clients()
             for client in list(self.listener.connections):
-                client.leave()
+                client.begin_shutdown()
         elif effect is ProcessEffect.STOP:
             self.stop()
 
@@ -205,7 +206,7 @@
         self.shutdown_steps = [
             (now + delay, event) for delay, event in shutdown_schedule(longest)
         ]
-        self.answers_by, _ = self.shutdown_steps[0]
+        self.latest_deadline, _ = self.shutdown_steps[0]
         self._run_shutdown_steps()
 
     def _run_shutdown_steps(self) -> None:
@@ -213,7 +214,7 @@
         while self.shutdown_steps and self.shutdown_steps[0][0] <= self.now():
             _, event = self.shutdown_steps.pop(0)
             self._on_process_event(event)
-            if event is ProcessEvent.SHUT:
+            if event is ProcessEvent.START_REJECTING:
                 self._call_later(0, self._fail_unanswered)
                 return
         if self.shutdown_steps:
@@ -221,24 +222,24 @@
             self._call_later(delay, self._run_shutdown_steps)
 
     def _fail_unanswered(self) -> None:
-        """Answer what has no answer yet: its client would wait past the earliest kill.
+        """Answer all open requests: an answer later than the kill would never be sent.
 
-        In the turn behind SHUT: where the process stood still, timers go before answers
-        that came in time and lie in the sockets.
+        This runs in the turn after `START_REJECTING`. After a stall of the process the
+        reactor runs timers before it reads answers that arrived in time.
         """
         self.host.fail_all()
         self._run_shutdown_steps()
 
     def _stop_without_clients(self) -> None:
-        """Stop once no client is left.
+        """Stop once no client is connected.
 
-        Until then answers are being taken, or requests may come unread.
+        Until then clients may be reading answers or sending requests.
         """
         if self.state is ProcessState.DRAINING and not self.listener.connections:
             self._call_later(0, self._on_process_event, ProcessEvent.NO_CLIENTS)
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close all connections and stop."""
         self.state = ProcessState.STOPPED
         self.log_report()
         self.log.info("stopped", held=self.host.unanswered)
@@ -250,16 +251,16 @@
         for call in self.delayed_calls:
             if call.active():
                 call.cancel()
-        self.stopped()
+        self.on_stopped()
 
-    # Time.
+    # Timers and reports.
 
     def _call_later(self, delay: int, call: Callable[..., None], *values: Any) -> None:
         delayed = self.reactor.callLater(delay / 10_000, call, *values)
         self.delayed_calls.append(delayed)
 
     def _check(self, last_check: int) -> None:
-        """Do what time brings to connections and watches, ten times a second."""
+        """Check the time-outs of connections and watches, ten times a second."""
         now = self.now()
         self.report.note_lateness(now - last_check - int(CHECK_INTERVAL * 10_000))
         self.listener.check(self.listener.paused)
@@ -271,7 +272,7 @@
             self.delayed_calls.append(delayed)
 
     def log_report(self) -> None:
-        """Log counts and nodes, now and then."""
+        """Log counts and node states every `REPORT_INTERVAL`."""
         self.report.log_counts(
             self.host.unanswered,
             len(self.listener.connections),
@@ -289,10 +290,7 @@
     def on_endpoints(
         self, kind: EndpointUpdateKind, nodes: Sequence[NodeEndpoint]
     ) -> None:
-        """Take an update of the endpoint list.
-
-        Connections first, then the scheduler.
-        """
+        """Apply an update of the endpoint list: to connections, then the scheduler."""
         if kind is not EndpointUpdateKind.FAILED:
             self.node_pools.update(kind is not EndpointUpdateKind.DELTA, nodes)
         self.count("list", kind.value)
@@ -312,9 +310,9 @@
     # Clients.
 
     def on_request(self, client: ClientConnection, message: HttpMessage) -> None:
-        """Take a complete request of a client.
+        """Handle a complete request of a client.
 
-        Answer it, or hand it to the scheduler.
+        The request is answered here or handed to the scheduler.
         """
         if self._answer_health_check(client, message):
             return
@@ -323,11 +321,11 @@
         except InvalidRequestError as error:
             client.refuse(error.status, str(error))
             return
-        if not self._has_room(request):
+        if not self._can_accept(request):
             self.count("answer", "too late or too many")
             client.answer_rejected(self.retry_after)
             return
-        if client.has_left():
+        if client.detect_client_close():
             self.count("arrival", "its client has left")
             return
         client.open_request(request.id)
@@ -348,17 +346,17 @@
     def _parse(self, message: HttpMessage) -> Request:
         now = self.now()
         request = self.request_parser.parse(
-            message, now, ANSWER_MARGIN, self.answers_by
+            message, now, ANSWER_MARGIN, self.latest_deadline
         )
         if request.id in self.host.active or self.recent_ids.contains(request.id, now):
             raise InvalidRequestError(409, "x-txn is another's open one")
         return request
 
-    def _has_room(self, request: Request) -> bool:
-        """Whether a request may still be taken.
+    def _can_accept(self, request: Request) -> bool:
+        """Whether another request may be accepted.
 
-        Once shut, whatever the clocks say: what is forwarded then has nobody left to
-        hear its answer.
+        Once requests are rejected, none is accepted whatever its deadline: no answer to
+        it could be delivered.
         """
         limit = self.configuration.config.max_queued_requests or MAX_UNANSWERED
         return (
@@ -368,11 +366,11 @@
         )
 
     def on_request_cancelled(self, request_id: int) -> None:
-        """Drop a request whose client has left."""
+        """Cancel a request whose client has disconnected."""
         self.count("answer", "abandoned")
         self.host.cancel_request(request_id)
 
     def on_client_lost(self, client: ClientConnection) -> None:
-        """Forget a client's connection."""
+        """Remove a client's connection."""
         self.listener.on_client_lost(client)
         self._stop_without_clients()
--- a/milletsill/http_gateway/gateway_report.py
+++ b/milletsill/http_gateway/gateway_report.py
@@ -1,4 +1,4 @@
-"""What a gateway logs now and then: counts by cause, and each node in use."""
+"""Periodic log reports of a gateway: event counts, and the state of each used node."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from milletsill.scheduler.records import StorageNode
 
 MAX_VALUE_LENGTH = 60
-MAX_WARNINGS = 20  # lines between two reports
+MAX_WARNINGS = 20  # log lines between two reports
 
 
 class EventLog(Protocol):
-    """Where events are logged."""
+    """Logs events."""
 
     def info(self, event: str, **values: Any) -> None:
-        """Log what goes on."""
+        """Log an ordinary event."""
 
     def warning(self, event: str, **values: Any) -> None:
-        """Log what someone should look at."""
+        """Log an event that an operator should look at."""
 
 
 class GatewayReport:
-    """Counts events by name and value, and bounds the warnings between two reports."""
+    """Counts events by name and value, and limits the warnings between two reports."""
 
     def __init__(self, log: EventLog) -> None:
         self.log = log
         self.counts: Counter[tuple[str, str]] = Counter()
         self.warnings = 0
-        self.latest_lateness = 0
+        self.max_lateness = 0
 
     def count(self, event: str, *values: Any) -> None:
         """Count an event by its name and its first value."""
@@ -39,17 +39,17 @@
         self.counts[event, value] += 1
 
     def warn(self, event: str, **values: Any) -> None:
-        """Log what someone should look at, at most `MAX_WARNINGS` a report."""
+        """Log a warning, at most `MAX_WARNINGS` between two reports."""
         self.warnings += 1
         if self.warnings <= MAX_WARNINGS:
             self.log.warning(event, **values)
 
     def note_lateness(self, late: int) -> None:
-        """Keep the reactor's greatest lateness, in tenths of a millisecond."""
-        self.latest_lateness = max(self.latest_lateness, late)
+        """Record the greatest lateness of the reactor, in tenths of a millisecond."""
+        self.max_lateness = max(self.max_lateness, late)
 
     def log_counts(self, unanswered: int, clients: int, node_connections: int) -> None:
-        """Log the counts since the last report and begin anew."""
+        """Log the counts since the last report, and reset them."""
         counts = {
             " ".join(filter(None, each)): count
             for each, count in sorted(self.counts.items())
@@ -60,20 +60,20 @@
             held=unanswered,
             clients=clients,
             links=node_connections,
-            late_ms=self.latest_lateness / 10,
+            late_ms=self.max_lateness / 10,
             cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
             peak_mb=usage.ru_maxrss // 1024,
             unsaid=max(self.warnings - MAX_WARNINGS, 0),
             **counts,
         )
         self.counts.clear()
-        self.latest_lateness = 0
+        self.max_lateness = 0
         self.warnings = 0
 
     def log_nodes(
         self, nodes: Mapping[int, StorageNode], node_pools: HttpNodePools
     ) -> None:
-        """Log of each node in use what the scheduler believes and the sockets show."""
+        """Log the scheduler's state and the connections of each node in use."""
         for number, pool in node_pools.pools.items():
             node = nodes.get(number)
             if node is None:
--- a/milletsill/http_gateway/json_log.py
+++ b/milletsill/http_gateway/json_log.py
@@ -1,7 +1,7 @@
-"""The log of `serve`: one JSON object a line, in the form of the other programs' lines.
+"""The log of `serve`: one JSON object per line, in the format of the other programs.
 
-The others use structlog; with what it brings along it took 0.11 of the 0.40 s of
-processor time of a start, and 5 of 26 MB.
+The other programs use structlog. With its dependencies it took 0.11 s of the 0.40 s of
+processor time of a start, and 5 MB of 26 MB of memory.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 
 class JsonLog:
-    """A log bound to some values.
+    """A log that adds bound values to each line.
 
-    A stream that refuses lines loses them, nothing else.
+    Errors of the stream are ignored; only the affected lines are lost.
     """
 
     def __init__(self, stream: TextIO, **bound: Any) -> None:
@@ -22,11 +22,11 @@
         self.bound = bound
 
     def info(self, event: str, **values: Any) -> None:
-        """Log what goes on."""
+        """Log an ordinary event."""
         self._write("info", event, values)
 
     def warning(self, event: str, **values: Any) -> None:
-        """Log what someone should look at."""
+        """Log an event that an operator should look at."""
         self._write("warning", event, values)
 
     def _write(self, level: str, event: str, values: dict[str, Any]) -> None:
--- a/milletsill/http_gateway/node_connection.py
+++ b/milletsill/http_gateway/node_connection.py
@@ -1,4 +1,7 @@
-"""One HTTP connection to a storage node: one attempt at a time, none sent twice."""
+"""One HTTP connection to a storage node.
+
+It carries one attempt at a time and never sends an attempt twice.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 
 
 class ConnectionPool(TypingProtocol):
-    """The pool of a connection."""
+    """The pool to which a connection belongs."""
 
     address: tuple[str, int]
     host_field: bytes
@@ -36,28 +39,30 @@
     now: Callable[[], int]
 
     def on_connected(self, connection: HttpNodeConnection, /) -> None:
-        """A connection is up."""
+        """Handle the establishment of a connection."""
 
     def on_idle(self, connection: HttpNodeConnection, /) -> None:
-        """A connection is free for another attempt."""
+        """Handle a connection that is free for another attempt."""
 
     def on_lost(self, connection: HttpNodeConnection, /) -> None:
-        """A connection is gone."""
+        """Handle the end of a connection."""
 
     def resubmit(self, exchange: HttpExchange, /) -> None:
-        """An attempt that never ran is to be sent on another connection."""
+        """Send an attempt that never ran on another connection."""
 
 
 class HttpNodeConnection(Protocol):
-    """One connection. A pull producer only to hear when the last octet was sent.
+    """One connection to a node.
+
+    It is a pull producer only to be notified when the last octet was sent.
 
     Attributes:
-        address: where it was connected to.
+        address: the host and port to which it was connected.
         exchange: the attempt that it carries.
         written: whether all octets of that attempt were sent.
-        uses: attempts that it has carried.
-        idle_since: since when it is free.
-        reserved: octets of the memory held for a long response.
+        uses: number of attempts that it has carried.
+        idle_since: the time since which it has been idle.
+        reserved: octets of the memory budget reserved for a long response.
     """
 
     transport: StreamTransport  # type: ignore[assignment]
@@ -82,7 +87,7 @@
         self.pool.on_connected(self)
 
     def resumeProducing(self) -> None:
-        """Note that all that was written is sent."""
+        """Record that all written octets were sent."""
         self.written = True
 
     def stopProducing(self) -> None:
@@ -90,7 +95,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Read the response."""
-        if self.exchange is None:  # behind a complete response, or out of nothing
+        if self.exchange is None:  # after a complete response, or unsolicited
             self.close()
             return
         if not self.written and self.uses > 1:
@@ -114,8 +119,8 @@
     def connectionLost(self, reason: Failure | None = None) -> None:
         """End the attempt.
 
-        A response without a length ends with its connection, but a reset is no end: it
-        may have lost octets on the way.
+        An orderly close completes a response without a length. A reset does not,
+        because octets may have been lost.
         """
         complete = None
         if reason is not None and isinstance(reason.value, ConnectionDone):
@@ -130,8 +135,8 @@
         elif self.written:
             exchange.end(AttemptOutcome.RESET)
         elif self.uses > 1:
-            # An idle connection that was closed before all of the attempt was written:
-            # it never ran, and the node may be fine.
+            # The node closed the reused connection before the whole attempt was
+            # written. The attempt never ran, and the node may be healthy.
             exchange.connection = None
             self.pool.resubmit(exchange)
         else:
@@ -146,29 +151,29 @@
         self.written = False
         self.uses += 1
         payload = exchange.payload
-        left_ms = max((exchange.deadline - self.pool.now()) // TICKS_PER_MS, 1)
+        remaining_ms = max((exchange.deadline - self.pool.now()) // TICKS_PER_MS, 1)
         request = encode_request(
             payload.method,
             payload.target,
             self.pool.host_field,
-            [*payload.fields, (b"X-Remaining-Ms", b"%d" % left_ms)],
+            [*payload.fields, (b"X-Remaining-Ms", b"%d" % remaining_ms)],
             payload.body,
         )
         self.transport.write(request)
 
     def close(self) -> None:
-        """Cut the connection; the caller ends the attempt on it."""
+        """Abort the connection; the caller ends the attempt on it."""
         self.exchange = None
         if not self.closed and self.transport is not None:
             self.transport.abortConnection()
         self._on_gone()
 
-    # What follows.
+    # Completion and release.
 
     def finish(
         self, outcome: AttemptOutcome, reply: HttpNodeReply | None, keep: bool
     ) -> None:
-        """End the present attempt; keep the connection for another or close it."""
+        """End the current attempt; keep the connection for another, or close it."""
         exchange = self.exchange
         self.exchange = None
         self._release()
@@ -180,17 +185,17 @@
             exchange.end(outcome, reply)
 
     def _resubmit_unwritten(self, exchange: HttpExchange) -> None:
-        """Send an attempt elsewhere: octets came before all of it was written.
+        """Resubmit an attempt if octets arrived before all of it was written.
 
-        They answer what this connection carried before. The node begins a request once
-        it has all of it, so this one never ran.
+        Those octets belong to an earlier attempt on this connection. A node starts a
+        request only once it has received all of it, so this attempt never ran.
         """
         exchange.connection = None
         self.close()
         self.pool.resubmit(exchange)
 
     def _reserve_long_response(self) -> None:
-        """Make sure that there is room for a long response that is on its way."""
+        """Reserve memory for a long response that is arriving, or fail the attempt."""
         length = self.reader.expected_body_size(SHORT_BODY)
         if length <= SHORT_BODY or self.reserved:
             return
--- a/milletsill/http_gateway/node_exchange.py
+++ b/milletsill/http_gateway/node_exchange.py
@@ -1,4 +1,4 @@
-"""One attempt on its way to a node over HTTP, and what the node answers."""
+"""One attempt at a node over HTTP, and the node's reply."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 from milletsill.interface import AttemptOutcome
 
 OK = 200
-# A node says with X-Turned-Away that it did not run the request.
+# Statuses with which a node may reject a request; the X-Turned-Away field then states
+# that the node did not run it.
 REJECTING_STATUSES = (503, 504)
 MAX_COUNT = 65_535
 
 
 class HttpNodeReply:
-    """What a node's response says beside its body."""
+    """The body of a node's response and the values of its header fields."""
 
     __slots__ = ("body", "elsewhere", "report", "used")
 
@@ -36,7 +37,7 @@
 
 
 def outcome_of(message: HttpMessage) -> AttemptOutcome:
-    """Return how an attempt ended whose response is complete."""
+    """Return the outcome of an attempt from its complete response."""
     if message.status == OK:
         return AttemptOutcome.SUCCEEDED
     rejected = message.fields.get(b"x-turned-away") == b"1"
@@ -46,24 +47,24 @@
 
 
 class ExchangePool(Protocol):
-    """The pool of an exchange."""
+    """The pool to which an exchange belongs."""
 
     def withdraw_waiting(self, exchange: HttpExchange, /) -> None:
-        """Forget an exchange that waits for a connection."""
+        """Remove an exchange that waits for a connection."""
 
-    def on_attempt_cut(self) -> None:
-        """A connection was cut under its attempt."""
+    def on_connection_aborted(self) -> None:
+        """Handle the abort of a connection that carried an attempt."""
 
 
 class ExchangeConnection(Protocol):
-    """The connection of an exchange."""
+    """The connection that carries an exchange."""
 
     def close(self) -> None:
-        """Cut it."""
+        """Abort the connection."""
 
 
 class HttpExchange:
-    """One attempt: where it is, and whom to tell of its end."""
+    """One attempt, with its connection and the callback for its end."""
 
     __slots__ = (
         "connection",
@@ -93,11 +94,11 @@
 
     @property
     def begun(self) -> bool:
-        """Whether an octet of it may be on its way."""
+        """Whether octets of the attempt may have been sent."""
         return self.connection is not None
 
     def end(self, outcome: AttemptOutcome, reply: HttpNodeReply | None = None) -> None:
-        """Tell how it ended, once; later calls are ignored."""
+        """Report the outcome once; later calls are ignored."""
         if self.over:
             return
         self.over = True
@@ -105,12 +106,12 @@
         self.ended(outcome, reply)
 
     def withdraw(self, outcome: AttemptOutcome) -> None:
-        """Stop waiting for it: its connection closes, which tells the node."""
+        """Withdraw the attempt; the close of its connection notifies the node."""
         connection = self.connection
         self.over = True
         self.connection = None
         if connection is not None:
             connection.close()
-            self.pool.on_attempt_cut()
+            self.pool.on_connection_aborted()
         else:
             self.pool.withdraw_waiting(self)
--- a/milletsill/http_gateway/node_pool.py
+++ b/milletsill/http_gateway/node_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one storage node; the one used last is used first."""
+"""The connections to one storage node; the most recently used one is reused first."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 
 
 def is_too_late(waited: int, connect_timeout: int, left: int) -> bool:
-    """Whether an attempt that waited for a connection does not begin any more.
+    """Whether an attempt has waited too long for a connection to begin.
 
-    Long after it was decided on, limits, slow-start windows and retry windows may be
-    others. One that the node would still have served is retried later.
+    Limits, slow-start windows and retry windows may have changed since the scheduler
+    started the attempt. An attempt that the node would still have served is retried
+    later.
     """
     return waited >= connect_timeout or left <= 0
 
 
 class PoolOwner(Protocol):
-    """All pools, with the descriptors and the memory that they share."""
+    """The owner of all pools, with the descriptors and memory that they share."""
 
     reactor: ReactorTimers
     buffers: BufferBudget
@@ -39,7 +40,7 @@
     now: Callable[[], int]
     connect_timeout: int
     open_connections: int
-    cutting: bool
+    abort_in_progress: bool
 
     def connect(
         self,
@@ -48,28 +49,28 @@
         failed: Callable[[], None],
         /,
     ) -> None:
-        """Connect; `failed` is called where that fails."""
+        """Open a connection; `failed` is called if that fails."""
 
     def make_room(self) -> bool:
         """Whether one more connection may be opened."""
 
     def on_descriptor_freed(self) -> None:
-        """A connection is gone."""
+        """Handle the release of a connection's descriptor."""
 
-    def on_attempt_cut(self) -> None:
-        """A connection was cut under its attempt."""
+    def on_connection_aborted(self) -> None:
+        """Handle the abort of a connection that carried an attempt."""
 
 
 class HttpNodePool:
     """Sends attempts to one node.
 
     Attributes:
-        number, name: of the node.
-        address: where the endpoint list has it now.
-        retired: whether it drains or is gone: nothing begins here any more.
-        idle: connections that are free.
+        number, name: the node's number and name.
+        address: the node's current address in the endpoint list.
+        retired: whether the node drains or is gone, so that no attempt begins.
+        idle: idle connections, the most recently used last.
         waiting: attempts that wait for a connection, in order.
-        dials: connections that are opening.
+        dials: number of connections that are being opened.
     """
 
     def __init__(self, owner: PoolOwner, number: int) -> None:
@@ -89,7 +90,7 @@
         self.dials = 0
 
     def update(self, node: NodeEndpoint) -> None:
-        """Follow the endpoint list."""
+        """Apply the node's entry in the endpoint list."""
         self.name = node.name
         address = (node.host, node.port)
         if node.host and address != self.address:
@@ -101,7 +102,7 @@
             self.retire()
 
     def retire(self) -> None:
-        """Begin nothing any more: the node drains or is gone (rule 3)."""
+        """Begin no more attempts: the node drains or is gone."""
         self.retired = True
         self.close_idle()
         waiting = self.waiting
@@ -110,21 +111,21 @@
             exchange.end(AttemptOutcome.WITHDRAWN)
 
     def close_idle(self) -> None:
-        """Close the connections that are free."""
+        """Close the idle connections."""
         for connection in list(self.idle):
             connection.close()
 
     def send_attempt(
         self, payload: ForwardedPayload, deadline: int, ended: AttemptEnded
     ) -> HttpExchange | None:
-        """Send an attempt on a free connection, or once there is one.
+        """Send an attempt on an idle connection, or queue it until there is one.
 
-        None where the node is retired or too many wait.
+        Returns None if the node is retired or too many attempts wait.
         """
         if self.retired or len(self.waiting) >= MAX_WAITING:
             return None
         exchange = HttpExchange(self, payload, deadline, ended, self.now())
-        if self.idle and not self.waiting and not self.owner.cutting:
+        if self.idle and not self.waiting and not self.owner.abort_in_progress:
             self.idle.pop().start(exchange)
             return exchange
         self.waiting.append(exchange)
@@ -136,27 +137,27 @@
     # Called by connections and exchanges.
 
     def resubmit(self, exchange: HttpExchange) -> None:
-        """Put an attempt that never ran first; it begins only if it still may."""
+        """Queue an attempt that never ran first; it begins unless it is too late."""
         self.waiting.appendleft(exchange)
         self.serve_soon()
 
     def withdraw_waiting(self, exchange: HttpExchange) -> None:
-        """Forget an exchange that waits for a connection."""
+        """Remove an exchange that waits for a connection."""
         if exchange in self.waiting:
             self.waiting.remove(exchange)
 
-    def on_attempt_cut(self) -> None:
-        """A connection was cut under its attempt."""
-        self.owner.on_attempt_cut()
+    def on_connection_aborted(self) -> None:
+        """Handle the abort of a connection that carried an attempt."""
+        self.owner.on_connection_aborted()
 
     def on_connected(self, connection: HttpNodeConnection) -> None:
-        """Take a connection that is up."""
+        """Add an established connection."""
         self.dials -= 1
         self.connections.add(connection)
         self.on_idle(connection)
 
     def on_idle(self, connection: HttpNodeConnection) -> None:
-        """Keep a free connection; one to where the node was is of no use."""
+        """Keep an idle connection, unless it leads to a previous address."""
         if self.retired or connection.address != self.address:
             connection.close()
         else:
@@ -165,7 +166,7 @@
         self.serve_soon()
 
     def on_lost(self, connection: HttpNodeConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
@@ -175,7 +176,7 @@
     # Dialling and waiting.
 
     def dial(self) -> None:
-        """Open connections for the attempts that wait, as descriptors allow."""
+        """Open connections for waiting attempts, as far as descriptors allow."""
         while (
             self.dials + len(self.idle) < len(self.waiting)
             and self.dials + len(self.connections) < MAX_CONNECTIONS
@@ -188,7 +189,7 @@
             self.owner.connect(self.address, HttpNodeConnection(self), failed)
 
     def _on_dial_failed(self, address: tuple[str, int]) -> None:
-        """End the attempt that waited longest, unless the node has moved since."""
+        """End the longest waiting attempt, unless the node's address has changed."""
         self.dials -= 1
         self.owner.open_connections -= 1
         self.count("dial failed", "")
@@ -198,16 +199,16 @@
         self.owner.on_descriptor_freed()
 
     def serve_soon(self) -> None:
-        """Serve the attempts that wait in the next turn, once all sockets were read.
+        """Serve waiting attempts in the next turn, after all sockets were read.
 
-        Otherwise an attempt could begin whose client's close, or whose node's end, came
-        in the same turn.
+        Otherwise an attempt could begin although its client or its node closed the
+        connection in the same turn.
         """
         if self.waiting:
             self.turn.schedule()
 
     def serve_waiting(self) -> None:
-        """Begin attempts that had to wait: the one place where that happens."""
+        """Begin waiting attempts; this is the only place that does so."""
         now = self.now()
         while self.waiting and (self.idle or self._too_late(self.waiting[0], now)):
             exchange = self.waiting.popleft()
@@ -224,7 +225,7 @@
         return is_too_late(waited, self.owner.connect_timeout, left)
 
     def check(self, now: int, idle_timeout: int) -> None:
-        """End attempts that waited too long and connections that were idle too long."""
+        """End attempts that waited too long, and close long-idle connections."""
         while self.waiting and self._too_late(self.waiting[0], now):
             self.waiting.popleft().end(AttemptOutcome.UNREACHABLE)
         while self.idle and now - self.idle[0].idle_since >= idle_timeout:
@@ -232,5 +233,5 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the node is gone and nothing of the pool is left."""
+        """Whether the node is retired and the pool is empty."""
         return self.retired and not (self.connections or self.waiting or self.dials)
--- a/milletsill/http_gateway/node_pools.py
+++ b/milletsill/http_gateway/node_pools.py
@@ -1,4 +1,4 @@
-"""All connections to storage nodes, within one bound on descriptors."""
+"""All connections to storage nodes, within one limit on descriptors."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from milletsill.http_gateway.resource_limits import BufferBudget
 from milletsill.interface import Readiness
 
-# An idle connection is closed after this part of the time after which the node may
+# An idle connection is closed after this fraction of the time after which the node may
 # close it.
-IDLE_PART = 0.7
-# Where the settings do not say how long a connect and an idle connection last.
+IDLE_TIMEOUT_FRACTION = 0.7
+# Used if the settings state no time-outs. Tenths of a millisecond.
 DEFAULT_CONNECT_TIMEOUT = 10_000
 DEFAULT_IDLE_TIMEOUT = 50_000
-SHORTEST_CONNECT_TIMEOUT = 100
+MIN_CONNECT_TIMEOUT = 100
 
 
 @dataclass(frozen=True, slots=True)
 class NodePoolsConfig:
-    """Bounds of all connections to nodes. Times are tenths of a millisecond.
+    """Limits of all connections to nodes. Times are tenths of a millisecond.
 
     Attributes:
-        max_connections: descriptors that they may hold.
-        connect_timeout: until a connection has to be up, and an attempt has begun.
-        idle_timeout: after which a node may close an idle connection.
+        max_connections: maximum number of connections, and so of descriptors.
+        connect_timeout: limit for opening a connection, and for an attempt to begin.
+        idle_timeout: time after which a node may close an idle connection.
     """
 
     max_connections: int
@@ -41,12 +41,13 @@
 
 
 class HttpNodePools:
-    """Finds the pool of each node, and shares descriptors between them.
+    """Maps nodes to their pools, and shares descriptors between the pools.
 
     Attributes:
-        open_connections: connections that are up or opening.
-        short: whether a pool waits for a descriptor.
-        cutting: whether a connection was cut under its attempt in this reactor turn.
+        open_connections: connections that are established or being opened.
+        waiting_for_descriptor: whether a pool waits for a descriptor.
+        abort_in_progress: whether a connection that carried an attempt was aborted in
+            this reactor turn.
     """
 
     def __init__(
@@ -61,16 +62,16 @@
         self.now = now
         self.max_connections = config.max_connections
         self.connect_timeout = config.connect_timeout
-        self.idle_timeout = int(config.idle_timeout * IDLE_PART)
+        self.idle_timeout = int(config.idle_timeout * IDLE_TIMEOUT_FRACTION)
         self.buffers = buffers
         self.count = count
         self.pools: dict[int, HttpNodePool] = {}
         self.open_connections = 0
-        self.short = False
-        self.cutting = False
+        self.waiting_for_descriptor = False
+        self.abort_in_progress = False
 
     def update(self, snapshot: bool, nodes: Sequence[NodeEndpoint]) -> None:
-        """Follow the endpoint list: a snapshot, or what has changed."""
+        """Apply an update of the endpoint list: a snapshot or changes."""
         for node in nodes:
             number = node.endpoint.node
             if node.endpoint.readiness is Readiness.GONE and number not in self.pools:
@@ -90,14 +91,14 @@
         deadline: int,
         ended: AttemptEnded,
     ) -> HttpExchange | None:
-        """Start one attempt; None where no connection leads to the node."""
+        """Start one attempt; None if the node is unknown or accepts no attempt."""
         pool = self.pools.get(node)
         if pool is None or not pool.address[1]:
             return None
         return pool.send_attempt(payload, deadline, ended)
 
     def check(self) -> None:
-        """Do what time brings; nodes that left go with their last connection."""
+        """Check time-outs, and remove retired pools that have no connections."""
         now = self.now()
         for pool in list(self.pools.values()):
             pool.check(now, self.idle_timeout)
@@ -118,28 +119,28 @@
         connection: HttpNodeConnection,
         failed: Callable[[], None],
     ) -> None:
-        """Connect; `failed` is called where that fails."""
+        """Open a connection; `failed` is called if that fails."""
         host, port = address
-        timeout = max(self.connect_timeout, SHORTEST_CONNECT_TIMEOUT) / 10_000
+        timeout = max(self.connect_timeout, MIN_CONNECT_TIMEOUT) / 10_000
         connector = SingleConnector(connection, failed)
         self.reactor.connectTCP(host, port, connector, timeout=timeout)
 
-    def on_attempt_cut(self) -> None:
-        """Let what begins now wait for a turn: an attempt was given up.
+    def on_connection_aborted(self) -> None:
+        """Delay new attempts by one turn, because an attempt was withdrawn.
 
-        Where settings allow no hedged request (rule 2): the system closes its
-        connection in the next turn, before any octet of that one goes; an attempt that
-        began in this turn would be in flight beside it.
+        The reactor closes the aborted connection in the next turn. An attempt that
+        began in this turn could be in flight at the same time as the withdrawn one,
+        which is not allowed where the settings permit no hedged request.
         """
-        if not self.cutting:
-            self.cutting = True
-            self.reactor.callLater(0, self._on_cut_done)
+        if not self.abort_in_progress:
+            self.abort_in_progress = True
+            self.reactor.callLater(0, self._on_abort_done)
 
-    def _on_cut_done(self) -> None:
-        self.cutting = False
+    def _on_abort_done(self) -> None:
+        self.abort_in_progress = False
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; the one idle longest makes way."""
+        """Whether another connection may be opened; may close the longest idle one."""
         if self.open_connections >= self.max_connections:
             oldest = min(
                 (pool.idle[0] for pool in self.pools.values() if pool.idle),
@@ -148,13 +149,13 @@
             )
             if oldest is not None:
                 oldest.close()
-        self.short = self.open_connections >= self.max_connections
-        return not self.short
+        self.waiting_for_descriptor = self.open_connections >= self.max_connections
+        return not self.waiting_for_descriptor
 
     def on_descriptor_freed(self) -> None:
-        """Dial for the pools that wait, but not from within."""
-        if self.short:
-            self.short = False
+        """Dial for the waiting pools in the next turn, to avoid reentrant calls."""
+        if self.waiting_for_descriptor:
+            self.waiting_for_descriptor = False
             self.reactor.callLater(0, self._dial_waiting)
 
     def _dial_waiting(self) -> None:
--- a/milletsill/http_gateway/process.py
+++ b/milletsill/http_gateway/process.py
@@ -1,9 +1,10 @@
-"""`milletsill serve` as a process.
+"""The process of `milletsill serve`.
 
-Signals, then configuration, then the gateway until SIGTERM.
+It installs signal handlers, reads the configuration and runs the gateway until SIGTERM.
 
-Exit status 0 after SIGTERM, 1 where the address cannot be had, 2 for a configuration
-that cannot be used. Modules that take long to load are imported once signals are heard.
+The exit status is 0 after SIGTERM, 1 if the listening address is not available and 2
+for an unusable configuration. Modules that take long to load are imported after the
+signal handlers are installed, so that no signal is lost.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 
 USAGE = """Usage: milletsill serve
 
-  Serve the platform's protocol until SIGTERM. Takes its configuration from the file that NODE_CONFIG names (JSON);
-  NODE_NAME, NODE_LISTEN and NODE_DISCOVERY stand in for what it leaves out. SIGHUP reads the file again.
+  Serve HTTP clients until SIGTERM. The configuration is read from the JSON file that NODE_CONFIG names;
+  NODE_NAME, NODE_LISTEN and NODE_DISCOVERY supply values that the file omits. SIGHUP reads the file again.
 """  # noqa: E501
-EXIT_CANNOT_LISTEN = 1
+EXIT_LISTEN_FAILED = 1
 EXIT_USAGE = 2
 
 
 class SignalQueue:
-    """Keeps the signals that came before there was a handler."""
+    """Queues signals that arrive before a handler is set."""
 
     def __init__(self) -> None:
         self.pending: list[int] = []
@@ -39,7 +40,7 @@
             signal.signal(number, self._on_signal)
 
     def set_handler(self, handler: Callable[[int], None]) -> None:
-        """Hand signals to a handler from now on, first those that came."""
+        """Pass signals to a handler from now on, the queued ones first."""
         self.handler = handler
         while self.pending:
             handler(self.pending.pop(0))
@@ -49,7 +50,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run until told to end, and return the exit status where it never began."""
+    """Run until SIGTERM; return the exit status only if the start fails."""
     if arguments:
         return _print_usage(arguments)
     signals = SignalQueue()
@@ -58,14 +59,14 @@
         read_configuration,
     )
 
-    clock = time.monotonic_ns() // 100_000 - time.time_ns() // 100_000
+    clock_offset = time.monotonic_ns() // 100_000 - time.time_ns() // 100_000
     warnings: list[str] = []
     try:
-        configuration = read_configuration(os.environ, clock, warnings.append)
+        configuration = read_configuration(os.environ, clock_offset, warnings.append)
     except GatewayConfigurationRejectedError as error:
         print(f"milletsill: {error.describe()}", file=sys.stderr)
         return EXIT_USAGE
-    return serve(configuration, clock, signals, warnings)
+    return serve(configuration, clock_offset, signals, warnings)
 
 
 def _print_usage(arguments: list[str]) -> int:
@@ -78,11 +79,11 @@
 
 def serve(
     configuration: GatewayConfiguration,
-    clock: int,
+    clock_offset: int,
     signals: SignalQueue,
     warnings: list[str],
 ) -> NoReturn:
-    """Run the gateway and its reactor, to the end of the process."""
+    """Run the gateway and its reactor until the process ends."""
     from twisted.internet import reactor as installed_reactor
     from twisted.internet.error import CannotListenError
 
@@ -94,20 +95,20 @@
     from milletsill.http_gateway.gateway import HttpGateway
     from milletsill.http_gateway.json_log import JsonLog
 
-    # Twisted's interfaces cannot be followed by a type checker.
+    # A type checker cannot follow Twisted's interfaces.
     reactor: Any = installed_reactor
-    # Twisted's timers follow the wall clock, which may be set while the process runs;
-    # every time, the end after SIGTERM first, is kept on the monotonic clock.
+    # Twisted's timers use the wall clock, which may be set while the process runs. The
+    # monotonic clock keeps all times correct, above all the end after SIGTERM.
     reactor.seconds = time.monotonic
     log = JsonLog(sys.stdout, gateway=configuration.name)
-    gateway = HttpGateway(configuration, reactor, monotonic_ticks, clock, log)
+    gateway = HttpGateway(configuration, reactor, monotonic_ticks, clock_offset, log)
 
     def warn(text: str) -> None:
         gateway.warn("configuration", reason=text)
 
     def reload() -> None:
         try:
-            gateway.reload(read_configuration(os.environ, clock, warn))
+            gateway.reload(read_configuration(os.environ, clock_offset, warn))
         except GatewayConfigurationRejectedError as error:
             log.warning("configuration", **error.log_fields())
 
@@ -117,31 +118,31 @@
 
     status: list[int] = []
 
-    def begin() -> None:
+    def start_gateway() -> None:
         try:
             gateway.start()
             signals.set_handler(on_signal)
         except CannotListenError as error:
             print(f"milletsill: {error}", file=sys.stderr)
-            status.append(EXIT_CANNOT_LISTEN)
+            status.append(EXIT_LISTEN_FAILED)
             reactor.stop()
 
     for text in warnings:
         warn(text)
-    # What was owed had its time before.
-    gateway.stopped = lambda: reactor.callLater(0, reactor.stop)
-    reactor.callWhenRunning(begin)
+    # All requests are answered before the gateway reports that it has stopped.
+    gateway.on_stopped = lambda: reactor.callLater(0, reactor.stop)
+    reactor.callWhenRunning(start_gateway)
     reactor.callLater(FREEZE_DELAY, freeze_long_lived_objects)
     reactor.run(installSignalHandlers=False)
     exit_process(status[0] if status else 0)
 
 
 def exit_process(status: int) -> NoReturn:
-    """End the process without the interpreter's own end.
+    """End the process without the interpreter's shutdown.
 
-    That frees a gateway's memory piece by piece, which takes time before the earliest
-    kill. What is registered for the interpreter's end is not called; `serve` registers
-    nothing.
+    The interpreter's shutdown would free the gateway's memory object by object, which
+    takes time that is short before the earliest kill. Handlers registered with `atexit`
+    are not called; `serve` registers none.
     """
     with suppress(OSError, ValueError):
         sys.stdout.flush()
@@ -150,5 +151,8 @@
 
 
 def monotonic_ticks() -> int:
-    """Return tenths of a millisecond, rounded up: what is over is over."""
+    """Return the time in tenths of a millisecond, rounded up.
+
+    Rounding up makes a deadline that has passed appear as passed.
+    """
     return -(-time.monotonic_ns() // 100_000)
--- a/milletsill/http_gateway/process_state.py
+++ b/milletsill/http_gateway/process_state.py
@@ -1,8 +1,9 @@
-"""The life of the gateway's process, from its start to the end after SIGTERM.
+"""State machine of the gateway's process, from its start to the end after SIGTERM.
 
-A table and pure functions: no I/O, no clock. Times are tenths of a millisecond.
+The module consists of a transition table and pure functions: it performs no I/O and
+reads no clock. Times are tenths of a millisecond.
 
-    STARTING -> SERVING -SIGTERM-> LEAVING -> SHUTTING -> DRAINING -> STOPPED
+    STARTING -> SERVING -SIGTERM-> LEAVING -> REJECTING -> DRAINING -> STOPPED
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 
     STARTING = auto()
     SERVING = auto()
-    LEAVING = auto()  # requests are taken and answered as before
-    SHUTTING = auto()  # what is read is rejected
-    DRAINING = auto()  # our side of every connection is closed; clients are heard out
+    LEAVING = auto()  # after SIGTERM; requests are still accepted and answered
+    REJECTING = auto()  # new requests are rejected
+    DRAINING = auto()  # the gateway's side of every connection is closed
     STOPPED = auto()
 
 
@@ -27,14 +28,14 @@
 
     LISTENING = auto()
     TERMINATE = auto()
-    SHUT = auto()
+    START_REJECTING = auto()
     DRAIN = auto()
     NO_CLIENTS = auto()
     OVERDUE = auto()
 
 
 class ProcessEffect(Enum):
-    """What is to be done after an event."""
+    """The action that follows an event."""
 
     NONE = auto()
     SCHEDULE_SHUTDOWN = auto()
@@ -57,11 +58,11 @@
         ProcessState.LEAVING,
         ProcessEffect.SCHEDULE_SHUTDOWN,
     ),
-    (ProcessState.LEAVING, ProcessEvent.SHUT): (
-        ProcessState.SHUTTING,
+    (ProcessState.LEAVING, ProcessEvent.START_REJECTING): (
+        ProcessState.REJECTING,
         ProcessEffect.CLOSE_AFTER_ANSWERS,
     ),
-    (ProcessState.SHUTTING, ProcessEvent.DRAIN): (
+    (ProcessState.REJECTING, ProcessEvent.DRAIN): (
         ProcessState.DRAINING,
         ProcessEffect.STOP_LISTENING,
     ),
@@ -73,49 +74,49 @@
         (state, ProcessEvent.OVERDUE): (ProcessState.STOPPED, ProcessEffect.STOP)
         for state in (
             ProcessState.LEAVING,
-            ProcessState.SHUTTING,
+            ProcessState.REJECTING,
             ProcessState.DRAINING,
         )
     },
 }
-# After SIGTERM the platform kills no sooner than the longest client time-out, counted
-# as LONGEST_COUNTED at most, and this much.
+# The deployment platform kills the process no sooner after SIGTERM than the longest
+# client time-out, of which at most MAX_COUNTED_TIMEOUT counts, plus this margin.
 KILL_MARGIN = 7_000
-LONGEST_COUNTED = 30_000
-# The process is away this long before that.
+MAX_COUNTED_TIMEOUT = 30_000
+# Part of that time that is reserved for the shutdown after the last accepted request.
 SHUTDOWN_TIME = 2_000
-# What came unread by the time of SHUT, or comes then, is read and rejected for so long:
-# some turns of a busy reactor.
+# Time in which requests that arrived unread, or that still arrive, are read and
+# rejected: some turns of a busy reactor.
 REJECT_TIME = 500
-# Clients are heard out for so long behind the end of our side: a close over unread
-# octets would reset the connection and tear an answer.
+# Time for which clients' octets are still read after the gateway's side is closed. A
+# close with unread octets would reset the connection, which can lose an answer.
 DRAIN_TIME = 600
 
 
 def serving_time_after_term(longest_timeout: int) -> int:
-    """Return how long after SIGTERM requests are taken and answered.
+    """Return how long after SIGTERM requests are accepted and answered.
 
-    Clients use the connections that they have for as long as these stand, and have no
-    others: closed early, they only fail. Where the platform restarts a gateway as soon
-    as it ends, it is back later than it could be.
+    Clients use their connections for as long as these are open and have no others, so
+    an early close would only make requests fail. The cost is that a gateway which the
+    platform restarts at its exit returns later than it could.
     """
-    counted = min(longest_timeout, LONGEST_COUNTED)
+    counted = min(longest_timeout, MAX_COUNTED_TIMEOUT)
     return max(counted + KILL_MARGIN - SHUTDOWN_TIME, 0)
 
 
 def shutdown_schedule(longest_timeout: int) -> tuple[tuple[int, ProcessEvent], ...]:
-    """Return every step after SIGTERM with its time from then; none comes later."""
+    """Return all shutdown steps, each with its time after SIGTERM, in order."""
     shut = serving_time_after_term(longest_timeout)
     return (
-        (shut, ProcessEvent.SHUT),
+        (shut, ProcessEvent.START_REJECTING),
         (shut + REJECT_TIME, ProcessEvent.DRAIN),
         (shut + REJECT_TIME + DRAIN_TIME, ProcessEvent.OVERDUE),
     )
 
 
 def next_process_state(state: ProcessState, event: ProcessEvent) -> Transition:
-    """Return the next state and what to do.
+    """Return the next state and the action to perform.
 
-    An event not in the table changes nothing.
+    An event without a table entry changes nothing.
     """
     return PROCESS_TABLE.get((state, event), (state, ProcessEffect.NONE))
--- a/milletsill/http_gateway/recent_request_ids.py
+++ b/milletsill/http_gateway/recent_request_ids.py
@@ -1,27 +1,27 @@
-"""Ids of requests whose clients may still wait for them."""
+"""Ids of requests whose clients may still wait for an answer."""
 
 from __future__ import annotations
 
 from itertools import islice
 
 MAX_IDS = 16_384
-EXPIRED_CHECKED = 8  # of the oldest, with each id that comes
+EXPIRED_CHECKED = 8  # oldest ids that are checked when an id is added
 
 
 class RecentRequestIds:
-    """Remembers ids until their clients' deadlines, also of requests that are over.
+    """Stores request ids until their clients' deadlines, also of finished requests.
 
-    Every request has a fresh id, a client's retry too. An id that comes once more would
-    be another's request run twice (rule 2): who uses one again within the time-out of
-    its first use is refused, and so is who comes behind a stranger that used its id.
-    Times are tenths of a millisecond.
+    Every request has a new id, and so has each retry by a client. To run a request with
+    a known id could run the request twice. An id that is used again within the time-out
+    of its first use is therefore refused, even if another client used it first. Times
+    are tenths of a millisecond.
     """
 
     def __init__(self) -> None:
-        self.until: dict[int, int] = {}  # in the order of their coming
+        self.until: dict[int, int] = {}  # in the order of addition
 
     def add(self, request_id: int, until: int, now: int) -> None:
-        """Remember an id; the oldest whose time is over, or that are too many, go."""
+        """Store an id; remove the oldest that have expired or exceed the limit."""
         for other in list(islice(self.until, EXPIRED_CHECKED)):
             if self.until[other] > now and len(self.until) < MAX_IDS:
                 break
@@ -29,5 +29,5 @@
         self.until[request_id] = until
 
     def contains(self, request_id: int, now: int) -> bool:
-        """Whether the id is remembered and its time is not over."""
+        """Whether the id is stored and has not expired."""
         return self.until.get(request_id, now) > now
--- a/milletsill/http_gateway/request_parser.py
+++ b/milletsill/http_gateway/request_parser.py
@@ -1,8 +1,7 @@
-"""Read a client's HTTP message as a request for the scheduler.
+"""Parse a client's HTTP message into a request for the scheduler.
 
-The header names are the platform's.
-
-What cannot be one is refused with a reason, and reaches no node.
+The deployment platform defines the header names. An invalid message is refused with a
+reason and reaches no node.
 """
 
 from __future__ import annotations
@@ -24,18 +23,21 @@
 WHOLE_NUMBER = re.compile(rb"[0-9]{1,9}\Z")
 IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,256}\Z")
 TICKS_PER_MS = 10
-MAX_CLIENT_TIMEOUT = 36_000_000  # tenths of a millisecond; nobody waits for an hour
+MAX_CLIENT_TIMEOUT = 36_000_000  # tenths of a millisecond: one hour
 MAX_GATEWAYS = 1 << 20
-UNBOUNDED = 1e9  # units and shards, where the settings set no bound
+UNBOUNDED = 1e9  # units and shards, if the settings state no limit
 MAX_NUMBER_LENGTH = 24  # characters of a number in a node's response
 MAX_REPORT_LENGTH = 512  # octets of a load report
 MAX_REPORTED = 1e9
 
 
 class InvalidRequestError(InvalidValueError):
-    """A client's request that is no transfer; `status` is its answer."""
+    """A client's request is invalid; `status` is the response status."""
 
-    remedy = "nothing: the client is told why, and counted under `refused` in the tally"
+    remedy = (
+        "no action is needed: the client receives the reason, and the tally counts it "
+        "under `refused`"
+    )
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -44,7 +46,7 @@
 
 @dataclass(slots=True, eq=False)
 class ForwardedPayload:
-    """What passes on unchanged to a node."""
+    """The parts of a request that are forwarded to a node unchanged."""
 
     method: bytes
     target: bytes
@@ -54,9 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSize:
-    """What the X-IO header tells.
+    """The values of the X-IO header.
 
-    Volume, units of work, shard, gateways of the volume.
+    Attributes:
+        volume: the volume's id.
+        units: the units of work of the request.
+        shard: the shard, None for a new object.
+        sharing_gateways: the number of gateways that serve the volume.
     """
 
     volume: int
@@ -66,7 +72,7 @@
 
 
 class RequestParser:
-    """Knows request classes and service plans by the names that clients use."""
+    """Parses requests; maps the names of request classes and plans to their indices."""
 
     def __init__(self, config: DeploymentConfig) -> None:
         self.config = config
@@ -78,10 +84,10 @@
             (each.name or "").encode(): index
             for index, each in enumerate(config.service_plans)
         }
-        # Where the settings name no plan, requests need not either.
-        self.planless = list(self.service_plans) == [b""]
-        # Classes that write; where the settings leave it out, a request's method says
-        # it.
+        # If the settings name no plan, requests need not name one.
+        self.plan_optional = list(self.service_plans) == [b""]
+        # Classes that write; None if the settings do not state them, so that the method
+        # of a request decides.
         self.writing_classes: set[int] | None = None
         if config.write_classes:
             writes = enumerate(config.write_classes)
@@ -94,23 +100,23 @@
         message: HttpMessage,
         received_at: int,
         margin: int,
-        latest: int | None = None,
+        latest_deadline: int | None = None,
     ) -> Request:
-        """Return the request that a message asks for.
+        """Return the request that a message describes.
 
         Args:
             message: the complete message.
             received_at: when its last octet was read, in tenths of a millisecond.
-            margin: the deadline is this long before the client's own.
-            latest: the latest deadline, None for none.
+            margin: the time from the request's deadline to the client's own deadline.
+            latest_deadline: the latest allowed deadline, None for no limit.
 
         Raises:
-            InvalidRequestError: the message asks for none.
+            InvalidRequestError: the message is not a valid request.
         """
         request_id = int(self._field(message, b"x-txn", HEX16), 16)
         request_class = self._index(self.request_classes, message, b"x-lane")
         service_plan = 0
-        if not self.planless:
+        if not self.plan_optional:
             service_plan = self._index(self.service_plans, message, b"x-plan")
         self._check_target(message)
         write = self._check_method(message, request_class)
@@ -119,8 +125,8 @@
             self._field(message, b"idempotency-key", IDEMPOTENCY_KEY)
         key = self._key(message)
         deadline = received_at + self._client_timeout(message) - margin
-        if latest is not None:
-            deadline = min(deadline, latest)
+        if latest_deadline is not None:
+            deadline = min(deadline, latest_deadline)
         size = self._size(message)
         return Request(
             request_id,
@@ -139,7 +145,7 @@
     def _field(
         self, message: HttpMessage, name: bytes, form: re.Pattern[bytes] | None = None
     ) -> bytes:
-        """Return a header field that must be there once, in its form."""
+        """Return a header field that must occur once and match the pattern."""
         value = message.fields.get(name)
         if (
             value is None
@@ -165,7 +171,7 @@
             raise InvalidRequestError(404, "the path is not the category's")
 
     def _check_method(self, message: HttpMessage, request_class: int) -> bool:
-        """Return whether the request writes."""
+        """Check the method; return whether the request writes."""
         if self.writing_classes is None:
             write = message.method == b"PUT"
         else:
@@ -182,8 +188,8 @@
         return int(block.group(1), 16)
 
     def _client_timeout(self, message: HttpMessage) -> int:
-        left_ms = int(self._field(message, b"x-remaining-ms", WHOLE_NUMBER))
-        left = left_ms * TICKS_PER_MS
+        remaining_ms = int(self._field(message, b"x-remaining-ms", WHOLE_NUMBER))
+        left = remaining_ms * TICKS_PER_MS
         if not 0 < left <= MAX_CLIENT_TIMEOUT:
             raise InvalidRequestError(400, "a time that nobody waits")
         return left
@@ -222,7 +228,7 @@
 
 
 def payload_of(message: HttpMessage) -> ForwardedPayload:
-    """Return what a node gets of a request."""
+    """Return the parts of a request that are forwarded to a node."""
     fields = [(b"X-Txn", message.fields[b"x-txn"])]
     if b"idempotency-key" in message.fields:
         fields.append((b"Idempotency-Key", message.fields[b"idempotency-key"]))
@@ -230,7 +236,7 @@
 
 
 def parse_number(value: bytes | None, limit: float) -> float | None:
-    """Return a number from 0 to a limit, None where there is none to be believed."""
+    """Return a number from 0 to a limit, or None if the value is not such a number."""
     if value is None or len(value) > MAX_NUMBER_LENGTH:
         return None
     try:
@@ -241,7 +247,7 @@
 
 
 def parse_load_report(value: bytes | None) -> dict[str, float]:
-    """Return a load report, field by field; what cannot be read is left out."""
+    """Return the fields of a load report; invalid and unknown fields are ignored."""
     report: dict[str, float] = {}
     for part in (value or b"")[:MAX_REPORT_LENGTH].split(b","):
         name, _, text = part.strip().partition(b"=")
--- a/milletsill/http_gateway/resource_limits.py
+++ b/milletsill/http_gateway/resource_limits.py
@@ -1,31 +1,31 @@
-"""How a gateway divides its descriptors, and how much memory long messages may hold."""
+"""Division of a gateway's descriptors, and the memory budget for long messages."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Standard streams, the reactor's own, discovery, a list being read, the listening
-# socket, and SPARE_CLIENTS.
+# Descriptors reserved for the standard streams, the reactor, discovery, the reading of
+# a list, the listening socket and SPARE_CLIENTS.
 SPARE_DESCRIPTORS = 48
-# Clients that are accepted in the turn in which their share is full: the reactor takes
-# 20 more a turn.
+# Clients that may be accepted beyond their share in the turn in which it becomes full:
+# the reactor accepts up to 20 more in a turn.
 SPARE_CLIENTS = 24
 CLIENT_SHARE = 0.6
-# Octets of one body. The platform's page says 64 KiB, its reads bring up to six times
-# that.
+# Octets of one body. The platform documents 64 KiB, but its reads return up to six
+# times as much.
 MAX_BODY = 1 << 20
-# Bodies up to this length are not counted against the memory.
+# Octets of a body up to which it does not count against the memory budget.
 SHORT_BODY = 1 << 16
-# The share of the memory for long requests, and for long answers that come in or wait
+# Share of the memory for long requests, and for long answers that are arriving or wait
 # for clients that read slowly.
 BUFFER_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorQuota:
-    """How many descriptors clients and connections to nodes may hold.
+    """Maximum descriptors of clients and of connections to nodes.
 
-    Neither can starve the other.
+    The separate limits prevent either side from starving the other.
     """
 
     clients: int
@@ -33,18 +33,18 @@
 
 
 def divide_descriptors(limit: int) -> DescriptorQuota:
-    """Divide the process's limit of descriptors."""
+    """Divide the process's descriptors between clients and connections to nodes."""
     free = max(limit - SPARE_DESCRIPTORS, 4)
     clients = max(int(free * CLIENT_SHARE), 2)
     return DescriptorQuota(clients, free - clients)
 
 
 class BufferBudget:
-    """Octets that long messages, and requests ahead of an open one, may hold in memory.
+    """Memory budget, in octets, for long messages and pipelined requests.
 
-    Keeps the process from being killed for memory by long bodies or clients that do not
-    read. Past the limit a good answer counts as malformed, and a long request is
-    rejected.
+    It prevents long bodies, or clients that do not read, from using so much memory that
+    the process is killed. When it is exhausted, a valid answer of a node counts as
+    malformed, and a long request is rejected.
     """
 
     def __init__(self, memory_mb: int) -> None:
@@ -52,16 +52,16 @@
         self.held = 0
 
     def reserve(self, octets: int) -> bool:
-        """Reserve room; False where there is none."""
+        """Reserve octets; False if the budget does not allow it."""
         if self.held + octets > self.limit:
             return False
         self.held += octets
         return True
 
     def hold(self, octets: int) -> None:
-        """Count octets that are held already, past the limit if need be."""
+        """Count octets that are already in memory, even beyond the limit."""
         self.held += octets
 
     def release(self, octets: int) -> None:
-        """Give room back."""
+        """Release reserved octets."""
         self.held -= octets
--- a/milletsill/http_gateway/watch_decoder.py
+++ b/milletsill/http_gateway/watch_decoder.py
@@ -1,6 +1,6 @@
 """Decode the lines of a watch into JSON values.
 
-A list may come indented, over several lines.
+A list may be indented and span several lines.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 from typing import Any, Final
 
 MAX_LIST = 4 << 20  # octets of one list
-# Up to here a list counts without its line's end: each piece that arrives is looked at,
-# and a long list may come in many.
+# Octets up to which a list is decoded before its line end arrives. Decoding is tried on
+# each piece that arrives, and a long list may arrive in many pieces.
 MAX_UNTERMINATED = 1 << 16
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class Heartbeat:
-    """An empty line of a watch: nothing has changed."""
+    """An empty line of a watch, which means that nothing has changed."""
 
 
 HEARTBEAT: Final = Heartbeat()
 
 
 def bracket_depth(line: bytes) -> int:
-    """Return the brackets that a line of JSON opens, less those that it closes."""
+    """Return the number of brackets that a JSON line opens minus those it closes."""
     bare = STRING.sub(b"", line)
     return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
 
 
 class WatchDecoder:
-    """Turns lines into values; a value is a JSON object or `HEARTBEAT`."""
+    """Turns lines into values; a value is a JSON value or `HEARTBEAT`."""
 
     def __init__(self) -> None:
         self.parts: list[bytes] = []
@@ -40,14 +40,14 @@
 
     @property
     def has_partial_value(self) -> bool:
-        """Whether lines of a value that is not complete are here."""
+        """Whether lines of an incomplete value have arrived."""
         return bool(self.parts)
 
     def feed_line(self, line: bytes) -> list[Any]:
-        """Return the value that is complete with this line, if one is.
+        """Return the value that this line completes, if any, as a list.
 
         Raises:
-            ValueError: the lines cannot become a value, or are over the bound.
+            ValueError: the lines are not valid JSON, or exceed the size limit.
         """
         if not self.parts:
             try:
@@ -55,14 +55,14 @@
             except json.JSONDecodeError as error:
                 if error.pos < len(error.doc):
                     raise
-            # It ends too early and is otherwise right: the first of several lines.
+            # The line is incomplete but otherwise valid: the first of several lines.
             self.depth = 0
             self.size = 0
         self.parts.append(line)
         self.depth += bracket_depth(line)
         self.size += len(line)
         if self.size > MAX_LIST:
-            raise ValueError("a list over the bound")
+            raise ValueError("endpoint list longer than 4 MiB")
         if self.depth > 0:
             return []
         text = b"".join(self.parts)
@@ -70,9 +70,9 @@
         return [json.loads(text)]
 
     def try_unterminated(self, line: bytes) -> list[Any]:
-        """Return the value that is complete with a line that has no end yet, if one is.
+        """Return the value that an unterminated line completes, if any, as a list.
 
-        A list's last line end may be left out, or come with the next heartbeat.
+        The line end after a list may be missing, or arrive with the next heartbeat.
         """
         depth = self.depth if self.parts else 0
         size = self.size if self.parts else 0
@@ -80,7 +80,7 @@
             return []
         if depth + bracket_depth(line):
             return []
-        with suppress(ValueError):  # only a part of a line
+        with suppress(ValueError):  # the line is incomplete
             value = json.loads(b"".join(self.parts) + line)
             self.parts = []
             return [value]
--- a/tests/http_gateway/test_graceful_shutdown.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -44,10 +44,10 @@
             False,
             [],
         )
-        self.gateway.stopped = lambda: ended.append(self.now())
+        self.gateway.on_stopped = lambda: ended.append(self.now())
         dialled = len(self.reactor.tcpClients)
         while at < kill - STEP / 2:
-            if at >= 0 and self.gateway.answers_by is None:
+            if at >= 0 and self.gateway.latest_deadline is None:
                 self.gateway.terminate()
             if at >= came and not sent and not (wire.disconnecting or wire.half_closed):
                 sent = True
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -176,7 +176,7 @@
         self.assertIn(b" 200 ", wire.value())
         (_, busy), (link, _) = self.served(answer=None)
         ended = []
-        self.gateway.stopped = lambda: ended.append(self.now())
+        self.gateway.on_stopped = lambda: ended.append(self.now())
         self.gateway.terminate()
         wire.clear()
         kept.dataReceived(ready)
--- a/tests/http_gateway/test_races_endpoint_lists.py
+++ b/tests/http_gateway/test_races_endpoint_lists.py
@@ -8,7 +8,7 @@
 import unittest
 
 from milletsill.http_gateway.discovery_timing import (
-    FIRST_WORD_TIMEOUT,
+    FIRST_VALUE_TIMEOUT,
     NOTIFIED_AFTER_MOVE,
     NOTIFIED_WITHIN,
     SILENCE_BEFORE_NEW_WATCH,
@@ -28,7 +28,7 @@
             self.until(
                 lambda: bool(self.follower.watch.response.status) == bool(answer)
             )
-            self.go(FIRST_WORD_TIMEOUT)
+            self.go(FIRST_VALUE_TIMEOUT)
             self.assertEqual(self.failed(), 0, answer)
             self.go(2 * LOOK)
             self.assertEqual(self.failed(), 1, answer)
@@ -42,7 +42,7 @@
         text = said(7, True)
         spent = 0
         while not self.failed():
-            self.assertLess(spent, FIRST_WORD_TIMEOUT + 3 * LOOK)
+            self.assertLess(spent, FIRST_VALUE_TIMEOUT + 3 * LOOK)
             end.sendall(text[spent // LOOK : spent // LOOK + 1])
             self.go(LOOK)
             spent += LOOK
@@ -67,7 +67,7 @@
             end.sendall(HEAD + b"%x\r\n%s\r\n" % (cut, text[:cut]))
             self.until(lambda: self.follower.watch.response.status)
             end.sendall(BEAT)  # between two parts it says nothing
-            self.go(FIRST_WORD_TIMEOUT - LOOK)
+            self.go(FIRST_VALUE_TIMEOUT - LOOK)
             self.assertEqual(self.told, [], cut)
             end.sendall(b"%x\r\n%s\r\n" % (len(text) - cut, text[cut:]))
             self.until(lambda: self.told)
@@ -125,7 +125,7 @@
             (asked, self.told[-1], self.failed()),
             (7, (EndpointUpdateKind.DELTA, "draining"), 0),
         )
-        self.assertLess(self.clock, NOTIFIED_WITHIN - FIRST_WORD_TIMEOUT)
+        self.assertLess(self.clock, NOTIFIED_WITHIN - FIRST_VALUE_TIMEOUT)
 
     def test_a_reset_in_mid_line_tells_nothing_of_it_and_asks_from_the_version_held(
         self,
@@ -170,7 +170,7 @@
             for name in (first, "old" if first == "new" else "new"):
                 end, text = lines[name]
                 end.sendall(text)
-            self.until(lambda: self.follower.old is None)
+            self.until(lambda: self.follower.previous is None)
             self.turn(5)
             self.assertEqual(
                 (asked, self.failed(), {each[1:] for each in self.told[1:]}),
@@ -185,7 +185,7 @@
         self.clock += SILENCE_BEFORE_NEW_WATCH[1] + LOOK
         self.reset(old)
         self.follower.check()  # asks; in the turn that opens, the reset is read first
-        self.until(lambda: self.follower.old is None)
+        self.until(lambda: self.follower.previous is None)
         end, asked = self.taken()
         end.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: len(self.told) == 2)
@@ -215,7 +215,7 @@
                 self.until(lambda: self.told)
             new.sendall(HEAD + said(8, True, state="leaving"))
             self.until(lambda: (EndpointUpdateKind.SNAPSHOT, "draining") in self.told)
-            self.until(lambda: self.follower.old is None)
+            self.until(lambda: self.follower.previous is None)
             self.assertEqual(
                 (self.failed(), len(self.told)), (0, 2 - (crosses == "never")), crosses
             )
@@ -228,7 +228,7 @@
         self.follower.move(there.address)
         moved = self.clock
         self.taken(there)
-        for _ in range(FIRST_WORD_TIMEOUT // LOOK // 10 + 1):  # the old one beats on
+        for _ in range(FIRST_VALUE_TIMEOUT // LOOK // 10 + 1):  # the old one beats on
             old.sendall(BEAT)
             self.turn(2)
             self.go(10 * LOOK)
--- a/tests/http_gateway/test_races_found_by_hunt.py
+++ b/tests/http_gateway/test_races_found_by_hunt.py
@@ -50,7 +50,7 @@
                 call.sendall(HEAD + (b"1\r\n\n\r\n" if silent > 3 else b""))
                 self.until(
                     lambda: (
-                        self.gateway.watcher.watch.last_word_at == self.now()
+                        self.gateway.watcher.watch.last_received_at == self.now()
                         and self.gateway.watcher.watch.response.status
                     )
                 )
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -9,11 +9,11 @@
 
 from milletsill.http_gateway.discovery_timing import (
     CONNECT_TIMEOUT,
-    FIRST_WORD_TIMEOUT,
+    FIRST_VALUE_TIMEOUT,
     NOTIFIED_AFTER_MOVE,
     PARALLEL_CALL_AFTER_MOVE,
-    PARALLEL_CALL_MUTE,
     PARALLEL_CALL_PUSHED,
+    PARALLEL_CALL_UNRESPONSIVE,
     RETRY_MARGIN,
     CallProgress,
 )
@@ -30,7 +30,7 @@
     ):
         for wins in ("second", "first"):
             self.again()
-            self.follower.config = replace(self.follower.config, grace=GRACE)
+            self.follower.config = replace(self.follower.config, drain_grace=GRACE)
             self.follower.request_watch()
             first, _ = self.taken()
             first.sendall(HEAD + said(8, True)[:40])
@@ -45,7 +45,7 @@
             end.sendall(rest)
             self.until(lambda: self.told)
             self.over(other)
-            self.go(FIRST_WORD_TIMEOUT)
+            self.go(FIRST_VALUE_TIMEOUT)
             self.assertEqual(
                 (self.told, self.follower.parallel),
                 ([(EndpointUpdateKind.SNAPSHOT, "ready")], None),
@@ -57,7 +57,7 @@
     def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(
         self,
     ):
-        self.follower.config = replace(self.follower.config, grace=GRACE)
+        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
         self.follower.request_watch()
         first, _ = self.taken()
         first.sendall(HEAD + said(8, True)[:40])
@@ -93,7 +93,7 @@
             )
 
         self.reactor.connectTCP = held_back
-        self.follower.config = replace(self.follower.config, grace=GRACE)
+        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
         self.follower.request_watch()
         self.turn(3)
         self.go(GRACE * PARALLEL_CALL_PUSHED[1])
@@ -118,16 +118,16 @@
     def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(
         self,
     ):
-        self.follower.config = replace(self.follower.config, grace=GRACE)
+        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
         self.follower.request_watch()
         self.taken()
-        self.go(FIRST_WORD_TIMEOUT)
+        self.go(FIRST_VALUE_TIMEOUT)
         self.assertFalse(self.called())
         self.go(2 * LOOK)
         self.assertEqual(self.failed(), 1)
         self.follower.request_watch()
         first, _ = self.taken()
-        self.go(PARALLEL_CALL_MUTE[1])
+        self.go(PARALLEL_CALL_UNRESPONSIVE[1])
         second = self.second()
         second.sendall(HEAD + said(8, True))
         self.until(lambda: len(self.told) == 2)
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -232,7 +232,7 @@
         """
         one = self.client()
         self.leave(0.1)
-        self.gateway._on_process_event(ProcessEvent.SHUT)
+        self.gateway._on_process_event(ProcessEvent.START_REJECTING)
         one.sendall(ask())
         data, how = self.all_of(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
@@ -244,7 +244,7 @@
         self.sockets.append(one)
         one.sendall(ask())
         one.setblocking(False)
-        self.gateway._on_process_event(ProcessEvent.SHUT)
+        self.gateway._on_process_event(ProcessEvent.START_REJECTING)
         data, how = self.all_of(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
 
--- a/tests/http_gateway/test_second_discovery_call.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -8,13 +8,13 @@
 from itertools import product
 
 from milletsill.http_gateway.discovery_timing import (
-    FIRST_WORD_TIMEOUT,
+    FIRST_VALUE_TIMEOUT,
     NOTIFIED_AFTER_MOVE,
     PARALLEL_CALL_AFTER_MOVE,
-    PARALLEL_CALL_MUTE,
     PARALLEL_CALL_SOON,
+    PARALLEL_CALL_UNRESPONSIVE,
     CallProgress,
-    is_mute,
+    is_unresponsive,
     parallel_call_delay,
 )
 from tests.support.discovery_rig import GRACE, MOVED, QUICK, Called, Fleet
@@ -155,7 +155,7 @@
             (CallProgress.CONNECTING, False, 8_000, None, (1_000, 2_000)),
             (CallProgress.RECEIVING, False, 8_000, None, (1_000, 2_000)),
             (CallProgress.CONNECTED, False, 8_000, None, None),
-            (CallProgress.CONNECTED, True, 8_000, None, PARALLEL_CALL_MUTE),
+            (CallProgress.CONNECTED, True, 8_000, None, PARALLEL_CALL_UNRESPONSIVE),
             (CallProgress.CONNECTING, True, 0, None, None),
             (CallProgress.CONNECTED, True, 0, None, None),
             (CallProgress.RECEIVING, False, 0, None, None),
@@ -175,17 +175,17 @@
 
     def test_a_service_that_may_only_be_busy_is_not_mute(self):
         """It takes a call and speaks within two seconds, be it a 503."""
-        self.assertGreater(FIRST_WORD_TIMEOUT, 20_000)
+        self.assertGreater(FIRST_VALUE_TIMEOUT, 20_000)
         for mute, quiet, status, wanted in (
             (False, 20_000, 503, False),
-            (False, FIRST_WORD_TIMEOUT + 1, 0, True),
-            (False, FIRST_WORD_TIMEOUT + 1, 200, True),
+            (False, FIRST_VALUE_TIMEOUT + 1, 0, True),
+            (False, FIRST_VALUE_TIMEOUT + 1, 200, True),
             (True, 0, 0, True),
             (True, 20_000, 503, False),
             (True, 3_000, 200, False),
         ):
             self.assertEqual(
-                is_mute(mute, quiet, status), wanted, (mute, quiet, status)
+                is_unresponsive(mute, quiet, status), wanted, (mute, quiet, status)
             )
 
 
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -315,7 +315,7 @@
             )
             self.assertEqual(made.config.rewatch_within, wanted, (mode, stated, grace))
             self.assertEqual(
-                made.grace,
+                made.drain_grace,
                 max(grace * 10_000 - 1, 0) if mode == "pushed" else 0,
                 (mode, stated, grace),
             )
--- a/tests/support/http_gateway_rig.py
+++ b/tests/support/http_gateway_rig.py
@@ -288,7 +288,7 @@
             0,
             said,
         )
-        self.gateway.stopped = lambda: self.ended.append(self.time)
+        self.gateway.on_stopped = lambda: self.ended.append(self.time)
         self.gateway.start()
         self.turn()
 
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -90,7 +90,7 @@
 def on_process_event(self, event):
     """As it is, but what is held ends with the step itself."""
     ON_PROCESS_EVENT(self, event)
-    if event is ProcessEvent.SHUT:
+    if event is ProcessEvent.START_REJECTING:
         self.host.fail_all()
 
 
@@ -112,7 +112,7 @@
         HttpNodePool, retire=retire, on_idle=on_idle_anywhere
     ),
     "a client's end is looked for behind its request": lambda: patch.object(
-        ClientConnection, "has_left", never
+        ClientConnection, "detect_client_close", never
     ),
     "a reset is no end": lambda: patch.object(
         HttpNodeConnection, "connectionLost", connection_lost
--- a/tests/support/race_scenarios.py
+++ b/tests/support/race_scenarios.py
@@ -138,7 +138,9 @@
             self.by_port[each.port] = each
         said = SimpleNamespace(info=lambda event, **values: None, warning=self.said)
         self.gateway = HttpGateway(deployment, self.world.reactor, self.now, 0, said)
-        self.gateway.stopped = lambda: self.world.reactor.callLater(0, self.world.exit)
+        self.gateway.on_stopped = lambda: self.world.reactor.callLater(
+            0, self.world.exit
+        )
 
     def now(self):
         return -(-self.world.time // 100)
