--- a/milletsill/http_gateway/client_connection.py
+++ b/milletsill/http_gateway/client_connection.py
@@ -73,16 +73,14 @@
 
     Attributes:
         state: the state of the connection.
-        since: the time from which time-outs count: when the state, or the reading of a
-            request, began.
+        since: the start of the state or of the next request, for time-outs.
         request_id: the id of the open request.
         keep_alive: whether the client allows another request on this connection.
         blocked: whether the write buffer is full because the client reads too slowly.
         discarded: octets that were read and discarded.
         client_closed: whether the client has closed its side.
         sent: whether the kernel has accepted everything that was written.
-        next_request: the next complete request, which waits while a request is open or
-            the client has not read an answer.
+        next_request: a complete request that waits until the last answer is read.
     """
 
     transport: StreamTransport  # type: ignore[assignment]
@@ -162,10 +160,9 @@
     # Requests.
 
     def _take_requests(self) -> None:
-        """Take the next request once the previous one is answered.
+        """Take requests, each once the previous one is answered.
 
-        The call is not reentrant: what `detect_client_close` reads waits for the next
-        iteration.
+        Not reentrant: what `detect_client_close` reads waits for the next iteration.
         """
         if self._taking_requests:
             return
@@ -201,11 +198,10 @@
     def _read_ahead(self) -> bool:
         """Read one request ahead, also while one is open; False after a refusal.
 
-        A malformed message is detected and answered as soon as it arrives. Otherwise a
-        node would receive the first part of a body that exceeds its stated length, and
-        the client's next requests would wait behind unreadable input. The error
-        replaces the answer to the open request, because a client that frames its
-        requests wrongly does not distinguish its own requests.
+        A malformed message is answered as soon as it arrives. Otherwise a node would
+        receive the first part of a body that exceeds its stated length, and the next
+        requests would wait behind unreadable input. The error replaces the answer to
+        the open request: such a client does not distinguish its own requests.
         """
         if self.state in ENDED_STATES:
             return False
@@ -342,11 +338,7 @@
             self._close_after_write()
 
     def _close_our_side(self) -> None:
-        """Close only the gateway's side.
-
-        A full close with unread octets resets the connection, which can lose the
-        answer.
-        """
+        """Close only the gateway's side: a reset on unread octets could lose output."""
         self.since = self.gateway.now()
         self._stop_reading()
         self.transport.unregisterProducer()
@@ -363,9 +355,9 @@
     def _end_lingering(self) -> None:
         """End a connection that the client keeps open after its last answer.
 
-        If the kernel has accepted all output, a normal close leaves unread output
-        available to the client, which a reset would discard. A client that keeps
-        sending, or that does not read, is reset.
+        If the kernel has accepted all output, a normal close keeps what the client has
+        not read; a reset would discard it. A client that sends on or reads nothing is
+        reset.
         """
         if self.sent and self.discarded <= MAX_DISCARDED:
             self.transport.loseConnection()
--- a/milletsill/http_gateway/process_state.py
+++ b/milletsill/http_gateway/process_state.py
@@ -31,7 +31,7 @@
     START_REJECTING = auto()
     DRAIN = auto()
     NO_CLIENTS = auto()
-    OVERDUE = auto()
+    OVERDUE = auto()  # the drain time has ended
 
 
 class ProcessEffect(Enum):
@@ -106,11 +106,11 @@
 
 def shutdown_schedule(longest_timeout: int) -> tuple[tuple[int, ProcessEvent], ...]:
     """Return all shutdown steps, each with its time after SIGTERM, in order."""
-    shut = serving_time_after_term(longest_timeout)
+    reject_at = serving_time_after_term(longest_timeout)
     return (
-        (shut, ProcessEvent.START_REJECTING),
-        (shut + REJECT_TIME, ProcessEvent.DRAIN),
-        (shut + REJECT_TIME + DRAIN_TIME, ProcessEvent.OVERDUE),
+        (reject_at, ProcessEvent.START_REJECTING),
+        (reject_at + REJECT_TIME, ProcessEvent.DRAIN),
+        (reject_at + REJECT_TIME + DRAIN_TIME, ProcessEvent.OVERDUE),
     )
 
 
--- a/milletsill/http_gateway/recent_request_ids.py
+++ b/milletsill/http_gateway/recent_request_ids.py
@@ -11,10 +11,10 @@
 class RecentRequestIds:
     """Stores request ids until their clients' deadlines, also of finished requests.
 
-    Every request has a new id, and so has each retry by a client. To run a request with
-    a known id could run the request twice. An id that is used again within the time-out
-    of its first use is therefore refused, even if another client used it first. Times
-    are tenths of a millisecond.
+    Every request has a new id, and so has each retry by a client. Accepting a stored id
+    could run a request twice. An id that is used again within the time-out of its first
+    use is therefore refused, even if another client used it first. Times are tenths of
+    a millisecond.
     """
 
     def __init__(self) -> None:
