--- a/milletsill/scheduler/__init__.py
+++ b/milletsill/scheduler/__init__.py
@@ -1,7 +1,7 @@
-"""Every decision of milletsill: what leaves when, for which node, and what is given up.
+"""The scheduler: decides when each request is sent, to which node, and what is shed.
 
-A host makes one `Scheduler` per gateway; `milletsill.interface` has what each side
-calls. docs/design.md has the reasons.
+A host creates one `Scheduler` per gateway. `milletsill.interface` defines the calls
+between the two, and docs/design.md gives the reasons for the design.
 """
 
 from milletsill.scheduler.scheduler import Scheduler
--- a/milletsill/scheduler/attempt_results.py
+++ b/milletsill/scheduler/attempt_results.py
@@ -1,9 +1,9 @@
-"""What comes of the end of each attempt, and what is learnt of its node."""
+"""Processing of attempt results: learning about the node and finishing the request."""
 
 from milletsill.interface import AttemptOutcome, AttemptResult
 from milletsill.scheduler.constants import (
     MAX_WINDOW,
-    WIDEN_BELOW_PACE,
+    WIDEN_BELOW_LATENCY_RATIO,
     WINDOW_DECREASE,
 )
 from milletsill.scheduler.key_ordering import KeyOrdering
@@ -13,11 +13,11 @@
 from milletsill.scheduler.service_estimator import ServiceEstimator
 from milletsill.scheduler.state import SchedulerState
 from milletsill.scheduler.surplus_window import SurplusWindow
-from milletsill.scheduler.transitions import INDETERMINATE, NodeEvent
+from milletsill.scheduler.transitions import INDETERMINATE_OUTCOMES, NodeEvent
 
 
 class AttemptResults:
-    """Hands the end of an attempt to all who learn from it, in their order."""
+    """Passes each attempt result, in a fixed order, to all that learn from it."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._lifecycle = lifecycle
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
-        """Take in one result; that of an attempt not in flight changes nothing."""
+        """Process one result; ignore it if the attempt is not in flight."""
         state = self._state
         attempt_id = (result.request_id, result.attempt_number)
         attempt = state.in_flight.pop(attempt_id, None)
@@ -50,23 +50,28 @@
         node.in_flight.remove(attempt)
         state.dirty_nodes[node.id] = node
         waited = result.latency - self._estimator.work_time(request, node)
-        is_crowded = not has_succeeded or self._surplus.is_crowded_wait(waited)
-        self._surplus.adjust_window(attempt, is_crowded, now)
+        is_congested = not has_succeeded or self._surplus.is_congested_wait(waited)
+        self._surplus.adjust_window(attempt, is_congested, now)
         self._outliers.on_attempt_result(attempt, result, now)
         if has_succeeded:
-            self.learn(attempt, result, now)
-        if outcome in INDETERMINATE:
+            self.learn_from_success(attempt, result, now)
+        if outcome in INDETERMINATE_OUTCOMES:
             self._ordering.quarantine(request.key, now)
         self._lifecycle.on_attempt_result(attempt, result, now)
 
-    def learn(self, attempt: Attempt, result: AttemptResult, now: int) -> None:
-        """Learn from an attempt that succeeded."""
+    def learn_from_success(
+        self, attempt: Attempt, result: AttemptResult, now: int
+    ) -> None:
+        """Update the node's estimates and its concurrency window after a success."""
         node = attempt.node
         node.failures = max(node.failures - 1, 0)
         self._estimator.observe(attempt, result, now)
-        if node.is_crowded():
+        if node.is_congested():
             narrowed = node.window * WINDOW_DECREASE
             node.window = max(narrowed, self._state.min_window)
-        elif attempt.filled_window and node.pace < WIDEN_BELOW_PACE * node.best_pace:
+        elif (
+            attempt.filled_window
+            and node.unit_latency < WIDEN_BELOW_LATENCY_RATIO * node.usual_unit_latency
+        ):
             node.window = min(node.window + 1 / node.window, MAX_WINDOW)
-            self._outliers.on_node_event(node, NodeEvent.PROVEN, now)
+            self._outliers.on_node_event(node, NodeEvent.RESPONDED_IN_TIME, now)
--- a/milletsill/scheduler/batch_delay_edf.py
+++ b/milletsill/scheduler/batch_delay_edf.py
@@ -1,11 +1,11 @@
-"""The ordinary path, batch-and-delay EDF: what leaves next, and what gives way.
+"""Batch-and-delay EDF: which queued request is sent next, and which are shed.
 
-docs/design.md has the paper, and where this departs from it.
+docs/design.md names the paper and lists where this implementation departs from it.
 """
 
 from milletsill.scheduler.constants import (
     FOLLOWER_COST,
-    HOPEFUL_SERVICE_SHARE,
+    IN_TIME_SERVICE_FRACTION,
     MAX_WINDOW,
     NEVER,
 )
@@ -20,7 +20,7 @@
 
 
 class BatchDelayEdf:
-    """Fills the windows of nodes out of their queues."""
+    """Fills the concurrency windows of nodes from their queues."""
 
     def __init__(
         self,
@@ -39,21 +39,26 @@
         self._lifecycle = lifecycle
 
     def fill_window(self, node: StorageNode, now: int) -> None:
-        """Send what may leave, until the window is full."""
+        """Send requests that may leave now until the node's window is full."""
         if now < node.backoff_until:
             self._state.set_node_timer(node, node.backoff_until, now)
             return
         while len(node.in_flight) < int(node.window):
-            chosen = self.choose(node, now)
+            chosen = self.choose_next(node, now)
             if chosen is None:
                 return
             self._gate.send(chosen, node, now)
             self.dispatch_batch(node, chosen, now)
 
-    def choose(self, node: StorageNode, now: int) -> QueuedRequest | None:
-        """A follower while the head is not due, then the head, then background."""
+    def choose_next(self, node: StorageNode, now: int) -> QueuedRequest | None:
+        """Return the request to send next, or None.
+
+        A follower (a request of the key or volume that was served last) goes first
+        while the head of the deadline queue is not due. Then comes the head, and then
+        the background queue.
+        """
         if node.health is not NodeHealth.HEALTHY:
-            return self._choose_worthiest(node, now)
+            return self._choose_most_valuable(node, now)
         head = self._first_sendable(node, node.deadline_queue, now)
         last = node.last_served
         if head is not None and head.tag > now and last is not None:
@@ -62,15 +67,16 @@
                 return follower
             if self._waits_for_follower(node, head, now):
                 return None
-        if head is not None or (node.in_flight and node.is_crowded()):
+        if head is not None or (node.in_flight and node.is_congested()):
             return head
         return self._first_sendable(node, node.background_queue, now)
 
     def dispatch_batch(self, node: StorageNode, first: QueuedRequest, now: int) -> None:
-        """Send the next few of a key behind its first, beyond the window.
+        """Send the next few requests of a key behind its first, beyond the window.
 
-        They go as far as the head's slack bears them: else others' sends come between
-        and the node forgets the key. Harm: short work behind them waits, within bounds.
+        Requests of other gateways in between would cost the node the locality of the
+        key. The batch ends where it would use up the slack of the deadline queue's
+        head. The cost is that short requests behind the batch wait for a bounded time.
         """
         queue = node.deadline_queue
         slack: float = queue[0][2].tag - now if queue else NEVER
@@ -84,37 +90,43 @@
                 return
             self._gate.send(request, node, now)
 
-    def shed_hopeless(self, node: StorageNode, now: int) -> None:
-        """Let give way what cannot leave in time, least useful first.
+    def shed_late_requests(self, node: StorageNode, now: int) -> None:
+        """Shed requests that cannot leave in time, those of the lowest weight first.
 
-        Reserved work goes to the background, to be late unless the node is crowded; the
-        rest is rejected. Guards against any backlog that would make EDF answer late
-        work only. Harm where the pace misleads: a quicker node would still have done
-        it.
+        Reserved requests move to the background queue, where they may finish late
+        unless the node is congested. All others are rejected. Without this, EDF under a
+        persistent backlog would serve only requests that are already late. The cost is
+        that a request is shed needlessly when the node is faster than its unit latency
+        suggests.
         """
-        clock = float(max(now, node.backoff_until))
-        time_per_unit = node.pace / node.window
+        start_time = float(max(now, node.backoff_until))
+        time_per_unit = node.unit_latency / node.window
         for queue in (node.deadline_queue, node.background_queue):
             while True:
-                found = self._least_useful(node, queue, clock, time_per_unit)
+                found = self._request_to_shed(node, queue, start_time, time_per_unit)
                 if found is None:
                     break
                 if queue is node.deadline_queue:
                     node.remove(found)
                     self._placement.insert(found, node, node.background_queue)
                 else:
-                    self._lifecycle.on_event(found, RequestEvent.HOPELESS)
-            clock += time_per_unit * sum(each[2].units for each in queue)
+                    self._lifecycle.on_event(found, RequestEvent.GIVEN_UP)
+            start_time += time_per_unit * sum(each[2].units for each in queue)
 
-    def _choose_worthiest(self, node: StorageNode, now: int) -> QueuedRequest | None:
-        """A recovering node gets a little of the work that is worth most."""
-        worthiest = sorted(node.deadline_queue, key=lambda each: -each[2].weight)
-        return self._first_sendable(node, worthiest or node.background_queue, now)
+    def _choose_most_valuable(
+        self, node: StorageNode, now: int
+    ) -> QueuedRequest | None:
+        """Return the request of the highest weight, for a node that is not healthy.
+
+        A recovering node gets only a few requests, so they are the most valuable ones.
+        """
+        by_weight = sorted(node.deadline_queue, key=lambda each: -each[2].weight)
+        return self._first_sendable(node, by_weight or node.background_queue, now)
 
     def _choose_follower(
         self, node: StorageNode, head: QueuedRequest, last: QueuedRequest, now: int
     ) -> QueuedRequest | None:
-        """The next of the same key or volume whose cost the head's slack bears."""
+        """Return the next request of the same key or volume that fits the slack."""
         followers = node.queued_with_key_of(last) + [
             each[2] for each in node.deadline_queue if each[2].volume is last.volume
         ]
@@ -129,9 +141,9 @@
     def _waits_for_follower(
         self, node: StorageNode, head: QueuedRequest, now: int
     ) -> bool:
-        """Whether the last free place of the window is kept for a follower."""
+        """Whether the last free slot of the window is held open for a follower."""
         service_time = int(self._estimator.service_time(head, node))
-        until = min(node.follow_until, head.tag - service_time)
+        until = min(node.follower_wait_until, head.tag - service_time)
         if (
             node.in_flight
             and now < until
@@ -144,7 +156,10 @@
     def _first_sendable(
         self, node: StorageNode, queue: Queue, now: int
     ) -> QueuedRequest | None:
-        """The first of a queue that may go now; else a timer is set for the soonest."""
+        """Return the first request that may go now, if any.
+
+        Otherwise set a timer for the soonest time at which one may go.
+        """
         soonest = NEVER
         for _, _, request in queue:
             wait = max(
@@ -158,23 +173,26 @@
             self._state.set_node_timer(node, now + soonest, now)
         return None
 
-    def _least_useful(
-        self, node: StorageNode, queue: Queue, clock: float, time_per_unit: float
+    def _request_to_shed(
+        self, node: StorageNode, queue: Queue, start_time: float, time_per_unit: float
     ) -> QueuedRequest | None:
-        """The least useful up to the first that cannot leave in time, if any."""
+        """Return the request to shed, or None if all of the queue can leave in time.
+
+        It is the one of the lowest weight up to and including the first late request.
+        """
         is_background = queue is node.background_queue
-        may_be_late = is_background and not node.is_crowded()
-        for place, (_, _, request) in enumerate(queue):
+        may_be_late = is_background and not node.is_congested()
+        for index, (_, _, request) in enumerate(queue):
             service_time = self._estimator.service_time(request, node)
-            is_late = may_be_late and self._is_useful_late(request)
+            is_late = may_be_late and self._has_late_value(request)
             until = request.deadline if is_late else request.target
-            if clock + HOPEFUL_SERVICE_SHARE * service_time > until:
-                entries = queue[: place + 1]
+            if start_time + IN_TIME_SERVICE_FRACTION * service_time > until:
+                entries = queue[: index + 1]
                 return min(entries, key=lambda each: (each[2].weight, each[0]))[2]
-            clock += time_per_unit * request.units
+            start_time += time_per_unit * request.units
         return None
 
-    def _is_useful_late(self, request: QueuedRequest) -> bool:
+    def _has_late_value(self, request: QueuedRequest) -> bool:
         return (
             request.is_reserved
             and self._state.has_reserves
--- a/milletsill/scheduler/endpoint_tracker.py
+++ b/milletsill/scheduler/endpoint_tracker.py
@@ -1,4 +1,4 @@
-"""The nodes as the endpoint list has them, and the watch on it (rule 3)."""
+"""The nodes of the endpoint list, and the watch on it (rule 3 in docs/design.md)."""
 
 from collections.abc import Sequence
 
@@ -11,16 +11,17 @@
 )
 from milletsill.scheduler.outlier_detection import OutlierDetection
 from milletsill.scheduler.records import StorageNode
-from milletsill.scheduler.slow_start import WINDOW_MARGIN, SlowStart
+from milletsill.scheduler.slow_start import WINDOW_MARGIN_TICKS, SlowStart
 from milletsill.scheduler.state import SchedulerState
 from milletsill.scheduler.transitions import NodeEvent, NodeHealth, TimerToken
 
 
 class EndpointTracker:
-    """Keeps the nodes that the list names, and for a while those that left.
+    """Tracks the nodes of the endpoint list, and for a while those that left it.
 
     Attributes:
-        failed_watches: how many watches were asked for since one brought an update.
+        failed_watches: the number of watches requested since one last brought an
+            update.
     """
 
     def __init__(
@@ -32,14 +33,14 @@
         self.failed_watches = 0
 
     def start(self) -> None:
-        """Ask for the list where it does not come by itself."""
+        """Request the list if the deployment does not push it."""
         if self._state.config.watches_endpoints:
             self._renew_watch()
 
     def on_endpoints(
         self, now: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        """Take in an update of the list."""
+        """Process an update of the list."""
         if kind is EndpointUpdateKind.FAILED:
             self._schedule_watch(now)
             return
@@ -49,10 +50,10 @@
         if kind is not EndpointUpdateKind.DELTA:
             self._remove_missing(endpoints, now)
         self._index_nodes()
-        self._forget_nodes(now)
+        self._evict_departed_nodes(now)
 
     def on_watch_timer(self) -> None:
-        """Ask for the list again."""
+        """Request the list again."""
         self._renew_watch()
 
     def _renew_watch(self) -> None:
@@ -60,10 +61,11 @@
         self._state.effects.watch_endpoints()
 
     def _schedule_watch(self, now: int) -> None:
-        """Renew a failed watch, first soon, then slower.
+        """Renew a failed watch, quickly at first and then more slowly.
 
-        Guards rule 3 against two failed watches in turn; could harm a slow list, so the
-        pause grows.
+        The pause starts short so that two consecutive failures still leave time to
+        renew the watch within `rewatch_within`. It grows so that a slow list server is
+        not overloaded.
         """
         state = self._state
         span = state.config.rewatch_within or state.longest_client_timeout
@@ -109,15 +111,15 @@
         for node in state.serving:
             state.shards.setdefault(node.shard, []).append(node)
 
-    def _forget_nodes(self, now: int) -> None:
-        """Forget nodes that left for good.
+    def _evict_departed_nodes(self, now: int) -> None:
+        """Evict nodes that left the list and did not come back.
 
-        Guards a gateway that runs for months. A node that comes back is new here: it
-        warms up if the list tells its start. Harm: none once what was sent has left the
-        window of rule 4.
+        This bounds the memory of a gateway that runs for months. A node that returns
+        counts as new: it warms up if the list gives its start time. Eviction is safe
+        once everything that was sent to the node has left the slow-start window.
         """
         state = self._state
-        window = state.config.slow_start_window + WINDOW_MARGIN
+        window = state.config.slow_start_window + WINDOW_MARGIN_TICKS
         kept_for = max(state.idle_timeout, window)
         for node in list(state.nodes.values()):
             is_gone = (
--- a/milletsill/scheduler/idempotency.py
+++ b/milletsill/scheduler/idempotency.py
@@ -1,4 +1,4 @@
-"""Rule 2: no request has its effect twice."""
+"""No request takes effect twice (rule 2 in docs/design.md)."""
 
 from milletsill.deployment_config import RetrySafety, RetryScope
 from milletsill.scheduler.records import Attempt, QueuedRequest, StorageNode
@@ -7,9 +7,9 @@
 def may_execute_at(
     request: QueuedRequest, node: StorageNode, dial_timeout: int, now: int
 ) -> bool:
-    """Whether a request may be executed at a node after what became of its attempts.
+    """Whether a request may be executed at a node, given its earlier attempts.
 
-    An attempt may wait `dial_timeout` for its connection before it begins.
+    The attempt may wait up to `dial_timeout` for its connection before it starts.
     """
     attempts = request.possibly_executed()
     if not attempts:
@@ -26,7 +26,7 @@
 
 
 def is_rejection_harmless(request: QueuedRequest) -> bool:
-    """Whether a client that is told to come again cannot cause the effect twice."""
+    """Whether a client that retries after a rejection cannot cause the effect twice."""
     request_class = request.request_class
     safety = request_class.retry_safety
     if safety is RetrySafety.IDEMPOTENT:
--- a/milletsill/scheduler/key_ordering.py
+++ b/milletsill/scheduler/key_ordering.py
@@ -1,4 +1,4 @@
-"""Rule 5: the requests of one key are executed in the order of their arrival."""
+"""Requests of one ordered key run in order of arrival (rule 5 in docs/design.md)."""
 
 from collections import deque
 
@@ -17,7 +17,7 @@
         self.quarantined_until = 0
 
     def drop_finished(self) -> None:
-        """Drop what is finished with nothing in flight, from the front."""
+        """Drop finished requests without attempts in flight from the queue's front."""
         requests = self.requests
         while requests:
             first = requests[0]
@@ -26,19 +26,19 @@
             requests.popleft()
 
     def is_needed(self, now: int) -> bool:
-        """Whether the rule still needs it."""
+        """Whether the key still has requests or is in quarantine."""
         self.drop_finished()
         return bool(self.requests) or now < self.quarantined_until
 
 
 class KeyOrdering:
-    """Lets only the first request of an ordered key go.
+    """Lets only the first request of each ordered key go.
 
-    A key rests after an attempt with an indeterminate outcome: the node may still be
-    executing it.
+    A key is quarantined after an attempt with an indeterminate outcome, because the
+    node may still be executing that attempt.
 
     Attributes:
-        queues: by key.
+        queues: the queues by key, least recently checked for eviction first.
     """
 
     def __init__(self, config: DeploymentConfig) -> None:
@@ -47,7 +47,7 @@
         self.queues: dict[int, KeyQueue] = {}
 
     def add(self, request: QueuedRequest) -> None:
-        """Put a request that has come behind the others of its key."""
+        """Append a request that has just arrived to the queue of its key."""
         if request.request_class.is_ordered and request.key:
             queue = self.queues.get(request.key)
             if queue is None:
@@ -55,7 +55,7 @@
             queue.requests.append(request)
 
     def wait_time(self, request: QueuedRequest, now: int) -> int:
-        """0 if the request is the next of its key, else how long to wait."""
+        """Return 0 if the request is the next of its key, else how long to wait."""
         if not request.request_class.is_ordered or not request.key:
             return 0
         queue = self.queues[request.key]
@@ -65,13 +65,13 @@
         return 0 if request.attempts else max(queue.quarantined_until - now, 0)
 
     def quarantine(self, key: int, now: int) -> None:
-        """Let a key rest after an indeterminate outcome."""
+        """Quarantine a key after an indeterminate outcome."""
         queue = self.queues.get(key)
         if queue is not None:
             queue.quarantined_until = now + self._quarantine
 
-    def forget_idle(self, now: int) -> None:
-        """Forget the key that was looked at longest ago, where it is not needed."""
+    def evict_idle(self, now: int) -> None:
+        """Evict the key that was checked longest ago, unless it is still needed."""
         key = next(iter(self.queues), None)
         if key is None:
             return
--- a/milletsill/scheduler/outlier_detection.py
+++ b/milletsill/scheduler/outlier_detection.py
@@ -1,31 +1,31 @@
-"""Which nodes are avoided: health, backoff after failures, and the fleet's advice."""
+"""Which nodes are avoided: node health, backoff after failures, and health advice."""
 
 from milletsill.interface import AttemptOutcome, AttemptResult
 from milletsill.scheduler.constants import (
     MAX_COUNTED_FAILURES,
     MAX_RETRY_CREDIT,
-    RECENTLY_HEARD,
+    RECENT_RESPONSE_SPANS,
 )
 from milletsill.scheduler.placement import Placement
 from milletsill.scheduler.records import Attempt, StorageNode
 from milletsill.scheduler.service_estimator import ServiceEstimator
 from milletsill.scheduler.state import SchedulerState
 from milletsill.scheduler.transitions import (
-    INDETERMINATE,
+    INDETERMINATE_OUTCOMES,
     NODE_TRANSITIONS,
-    SILENT,
+    UNANSWERED_OUTCOMES,
     NodeEffect,
     NodeEvent,
 )
 
 # Outcomes that lengthen a node's backoff.
-FAILURES = (*SILENT, AttemptOutcome.REJECTED)
-# Outcomes that say nothing of whether the node lives.
-NO_SIGN_OF_LIFE = (*INDETERMINATE, AttemptOutcome.WITHDRAWN)
+BACKOFF_OUTCOMES = (*UNANSWERED_OUTCOMES, AttemptOutcome.REJECTED)
+# Outcomes that do not show whether the node is alive.
+INCONCLUSIVE_OUTCOMES = (*INDETERMINATE_OUTCOMES, AttemptOutcome.WITHDRAWN)
 
 
 class OutlierDetection:
-    """Carries nodes through their states, and lets those back off that fail."""
+    """Moves nodes through their health states, and makes failing nodes back off."""
 
     def __init__(
         self, state: SchedulerState, estimator: ServiceEstimator, placement: Placement
@@ -35,7 +35,7 @@
         self._placement = placement
 
     def on_node_event(self, node: StorageNode, event: NodeEvent, now: int) -> None:
-        """Carry a node over to its next state."""
+        """Move a node to its next state and carry out the effect of the transition."""
         self._state.dirty_nodes[node.id] = node
         transition = NODE_TRANSITIONS.get((node.health, event))
         if transition is None:
@@ -54,44 +54,52 @@
     def on_attempt_result(
         self, attempt: Attempt, result: AttemptResult, now: int
     ) -> None:
-        """Learn from an outcome whether the node lives.
+        """Update a node's health, backoff and retry credit after an attempt.
 
-        A node does not back off for an attempt that was lost alone (a connection fell
-        silent): the first without a word while the node was heard of lately. Harm: a
-        node that hangs is known later.
+        An isolated loss does not make a node back off: it is the first attempt without
+        a response while the node has answered others recently, as when one connection
+        goes silent. The cost is that a hung node is detected later.
         """
         node = attempt.node
         outcome = result.outcome
-        is_silent = outcome in SILENT
-        is_lost_alone = is_silent and self._was_heard_lately(attempt, result)
-        if is_silent:
-            node.last_silent_at = now
+        is_unanswered = outcome in UNANSWERED_OUTCOMES
+        is_isolated_loss = is_unanswered and self._responded_recently(attempt, result)
+        if is_unanswered:
+            node.last_unanswered_at = now
         if (
-            outcome in FAILURES
+            outcome in BACKOFF_OUTCOMES
             and attempt.sent_at >= node.failed_at
-            and not is_lost_alone
+            and not is_isolated_loss
         ):
             self._back_off(node, result.latency, now)
-        if is_silent and node.last_heard_at <= attempt.sent_at and not is_lost_alone:
+        if (
+            is_unanswered
+            and node.last_response_at <= attempt.sent_at
+            and not is_isolated_loss
+        ):
             self.on_node_event(node, NodeEvent.ATTEMPT_FAILED, now)
-        elif outcome not in NO_SIGN_OF_LIFE:
-            node.last_heard_at = now
+        elif outcome not in INCONCLUSIVE_OUTCOMES:
+            node.last_response_at = now
             node.retry_credit = min(node.retry_credit + 1, MAX_RETRY_CREDIT)
 
     def on_health_advice(
         self, node: StorageNode, load_factor: float, avoid: bool, until: int, now: int
     ) -> None:
-        """Take in the fleet's view of a node.
+        """Apply the fleet's advice on a node.
 
-        What this gateway heard of the node just now goes before.
+        The advice does not override what this gateway itself has recently seen of the
+        node.
         """
         if now >= until:
             return
         node.fleet_load_factor = load_factor
         node.advice_expires_at = until
         self._state.dirty_nodes[node.id] = node
-        known_for = now - max(node.last_heard_at, node.failed_at)
-        if known_for <= RECENTLY_HEARD * self._estimator.shortest_objective:
+        since_last_result = now - max(node.last_response_at, node.failed_at)
+        if (
+            since_last_result
+            <= RECENT_RESPONSE_SPANS * self._estimator.shortest_objective
+        ):
             return
         if avoid:
             node.backoff_until = max(until, node.backoff_until)
@@ -101,18 +109,19 @@
             node.failures = 0
             self._placement.requeue_all(node)
 
-    def _was_heard_lately(self, attempt: Attempt, result: AttemptResult) -> bool:
+    def _responded_recently(self, attempt: Attempt, result: AttemptResult) -> bool:
         node = attempt.node
-        # A reset may come at once.
+        # A reset may arrive at once; its latency alone is then too short a span.
         span = max(result.latency, self._estimator.shortest_objective)
-        since = attempt.sent_at - RECENTLY_HEARD * span
-        return node.last_heard_at >= max(node.last_silent_at, since)
+        since = attempt.sent_at - RECENT_RESPONSE_SPANS * span
+        return node.last_response_at >= max(node.last_unanswered_at, since)
 
     def _back_off(self, node: StorageNode, latency: int, now: int) -> None:
         """Send a node nothing for a while, longer with each failure.
 
-        Guards against many gateways that keep trying a node which is crowded, slow,
-        hung or gone. Harm: after a short fault it is left idle for a while.
+        This keeps many gateways from retrying against a node that is congested, slow,
+        hung or gone. The cost is that the node stays idle for a while after a short
+        fault.
         """
         node.failures = min(node.failures + 1, MAX_COUNTED_FAILURES)
         node.failed_at = now
--- a/milletsill/scheduler/placement.py
+++ b/milletsill/scheduler/placement.py
@@ -2,7 +2,7 @@
 
 from milletsill.scheduler.constants import (
     FOLLOWER_COST,
-    HOPEFUL_SERVICE_SHARE,
+    IN_TIME_SERVICE_FRACTION,
     INITIAL_LATENCY_DIVISOR,
     MAX_CANDIDATES_DRAWN,
     NEVER,
@@ -14,12 +14,12 @@
 from milletsill.scheduler.state import SchedulerState
 from milletsill.scheduler.transitions import NodeHealth
 
-# What speaks against a node, weightiest first.
+# Reasons against a node, compared in this order; the smallest cost wins.
 PlacementCost = tuple[bool, bool, bool, float]
 
 
 class Placement:
-    """Puts requests into nodes' queues, and takes them back from nodes that leave."""
+    """Queues requests at nodes, and takes them back from nodes that leave."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._slow_start = slow_start
 
     def candidates(self, request: QueuedRequest) -> list[StorageNode]:
-        """The available nodes that hold what the request is about."""
+        """Return the available nodes that can serve the request."""
         state = self._state
         if request.fits_any_node():
             return state.serving
@@ -51,11 +51,11 @@
         )
 
     def place(self, request: QueuedRequest, now: int) -> bool:
-        """Queue a request at a node; False where none can take it now.
+        """Queue a request at a node; return False if none can take it now.
 
-        Where there is a choice it is the best of some drawn by chance: gateways that
-        see the same must not all choose the same. A new object waits until one node has
-        credit.
+        With several candidates, the node is the best of a random sample, so that
+        gateways with the same view do not all choose the same node. A new object waits
+        until the chosen node has credit.
         """
         is_new = request.fits_any_node()
         nodes = self._retry_candidates(request, now)
@@ -79,12 +79,14 @@
     def placement_cost(
         self, request: QueuedRequest, node: StorageNode, now: int
     ) -> PlacementCost:
-        """What speaks against a node.
+        """Return the cost of placing a request at a node.
 
-        No credit, a wait, that the request was there, then its load factor less what
-        the request, where it is no new object, saves behind others of its key.
+        Its parts are, in this order: the node has no credit; the request would have to
+        wait; the request was last queued there; and the node's load factor. The load
+        factor is reduced by what an existing object's request saves behind others of
+        its key.
         """
-        waits = (
+        must_wait = (
             now < node.backoff_until
             or self._slow_start.wait_time(request, node, now) > 0
         )
@@ -92,13 +94,13 @@
         advised = node.fleet_load_factor if now < node.advice_expires_at else 0.0
         return (
             node.available_credit(now) <= 0,
-            waits,
+            must_wait,
             node is request.node,
-            load_factor + advised - self._saving_behind_key(request, node),
+            load_factor + advised - self._batching_discount(request, node),
         )
 
     def enqueue(self, request: QueuedRequest, node: StorageNode, now: int) -> None:
-        """Queue a request at a node, by what can be expected of it there."""
+        """Queue a request at a node, in the queue that its expected service suits."""
         request.node = node
         self._state.dirty_nodes[node.id] = node
         latency = node.latency
@@ -107,7 +109,7 @@
             latency = objective / INITIAL_LATENCY_DIVISOR
         request.tag = request.target - int(latency)
         service_time = self._estimator.service_time(request, node)
-        is_late = now + HOPEFUL_SERVICE_SHARE * service_time > request.target
+        is_late = now + IN_TIME_SERVICE_FRACTION * service_time > request.target
         is_due = request.is_reserved and not is_late
         self.insert(
             request, node, node.deadline_queue if is_due else node.background_queue
@@ -116,20 +118,21 @@
     def insert(self, request: QueuedRequest, node: StorageNode, queue: Queue) -> None:
         """Put a request into one queue of a node.
 
-        In the background queue it is looked at again when it is about to miss its
-        target.
+        A timer makes the node check a request of the background queue again when it is
+        about to miss its target.
         """
         if queue is node.background_queue:
             service_time = self._estimator.service_time(request, node)
-            last_start = request.target - int(HOPEFUL_SERVICE_SHARE * service_time)
+            last_start = request.target - int(IN_TIME_SERVICE_FRACTION * service_time)
             self._state.effects.set_timer(last_start, node)
         node.insert(request, queue, self._state.next_sequence())
 
     def requeue_all(self, node: StorageNode) -> None:
-        """Have what is queued at a node that left or backs off placed again.
+        """Take back the requests queued at a node that left or backs off.
 
-        Guards against waiting for one node while others could. Harm: a batch is torn;
-        what credit was spent on stays.
+        They are placed again. Otherwise they would wait for one node while others could
+        serve them. The cost is that batches are split. At a node that backs off,
+        requests that have spent retry credit stay.
         """
         is_unavailable = node.health is NodeHealth.UNAVAILABLE
         for _, _, request in list(node.by_key):
@@ -140,7 +143,7 @@
                 self._state.unplaced.append(request)
 
     def _retry_candidates(self, request: QueuedRequest, now: int) -> list[StorageNode]:
-        """The candidates; only those that may get another attempt, if any may."""
+        """Return the candidates, or those that may get another attempt if any may."""
         nodes = self.candidates(request)
         if not request.attempts:
             return nodes
@@ -149,15 +152,15 @@
             each for each in nodes if wait_time(request, each, now) < NEVER
         ] or nodes
 
-    def _saving_behind_key(self, request: QueuedRequest, node: StorageNode) -> float:
-        is_behind_key = (
+    def _batching_discount(self, request: QueuedRequest, node: StorageNode) -> float:
+        can_batch = (
             request.shard is not None
             and request.key
             and (
                 node.has_just_served_key_of(request) or node.queued_with_key_of(request)
             )
         )
-        if not is_behind_key:
+        if not can_batch:
             return 0.0
         estimator = self._estimator
         work_time = estimator.work_time(request, node)
--- a/milletsill/scheduler/quota_shares.py
+++ b/milletsill/scheduler/quota_shares.py
@@ -1,15 +1,15 @@
-"""This gateway's parts of what all gateways share, where they are not even."""
+"""This gateway's shares of what all gateways share, where they are not even."""
 
 from typing import NamedTuple
 
 from milletsill.interface import GrantedShare, QuotaKind
 
-# No part is smaller, so that a whole is never divided by nothing.
+# Lower bound of a share, to avoid a division by zero.
 MIN_SHARE = 1e-9
 
 
 class ShareInForce(NamedTuple):
-    """A part that is not the even one; fields as in `GrantedShare`."""
+    """A granted share that differs from the even one; fields as in `GrantedShare`."""
 
     share: float
     expires_at: int
@@ -17,17 +17,17 @@
 
 
 class QuotaShares:
-    """The parts that were granted; rules 4 and 7 ask here at each send.
+    """The granted shares; the rate limiter, slow start and reserves consult them.
 
     Attributes:
-        granted: by kind of quota and the id of what it is for.
+        granted: the shares by kind of quota and id of the volume or node.
     """
 
     def __init__(self) -> None:
         self.granted: dict[tuple[QuotaKind, int], ShareInForce] = {}
 
     def grant(self, kind: QuotaKind, id: int, granted: GrantedShare) -> None:
-        """Set a part, or the even one again."""
+        """Set a granted share, or return to the even share."""
         self.granted.pop((kind, id), None)
         if granted.share is not None:
             self.granted[kind, id] = ShareInForce(
@@ -35,16 +35,16 @@
             )
 
     def is_granted(self, kind: QuotaKind, id: int) -> bool:
-        """Whether the part is another than the even one."""
+        """Whether the share differs from the even one."""
         return (kind, id) in self.granted
 
     def divisor(
         self, kind: QuotaKind, id: int, gateway_count: int, since: int, now: int
     ) -> float:
-        """Into how many parts like this gateway's a whole goes, over a span.
+        """Return the whole divided by this gateway's share, over a span of time.
 
-        A part whose time is over counts no longer, whatever kept the one who gave it
-        from saying so. Over a span in which it ended the smaller of both parts counts.
+        An expired share no longer counts, even if its grantor could not revoke it. For
+        a span in which the share expired, the smaller of both shares counts.
         """
         granted = self.granted.get((kind, id))
         if granted is None:
--- a/milletsill/scheduler/rate_limiter.py
+++ b/milletsill/scheduler/rate_limiter.py
@@ -1,4 +1,7 @@
-"""Rule 7: what is sent of a volume stays under this gateway's part of its limit."""
+"""Sends for a volume stay within this gateway's share of its rate limit.
+
+This is rule 7 in docs/design.md.
+"""
 
 from milletsill.interface import QuotaKind
 from milletsill.scheduler.constants import TICKS_PER_SECOND
@@ -13,7 +16,7 @@
         self._shares = shares
 
     def wait_time(self, request: QueuedRequest, now: int) -> int:
-        """0 if the limit lets the request go now, else how long to wait."""
+        """Return 0 if the limit admits the request now, else how long to wait."""
         volume = request.volume
         limit_rate = volume.plan.limit_rate
         if not limit_rate or request.attempts:
@@ -25,13 +28,13 @@
         return int(missing * TICKS_PER_SECOND / (limit_rate / divisor)) + 1
 
     def charge(self, request: QueuedRequest) -> None:
-        """Count a first attempt."""
+        """Charge a first attempt to its volume's limit."""
         volume = request.volume
         if volume.plan.limit_rate:
             volume.limit.level -= request.units
 
     def settle(self, volume: VolumeState, now: int) -> None:
-        """Fill a limit at the part that held until now, before another holds."""
+        """Refill a limit at the share in force until now, before the share changes."""
         if volume.plan.limit_rate:
             volume.fill_limit(self._divisor(volume, now), now)
 
--- a/milletsill/scheduler/records.py
+++ b/milletsill/scheduler/records.py
@@ -1,7 +1,7 @@
-"""What the scheduler remembers of each volume, request, attempt and node.
+"""The scheduler's records of volumes, requests, attempts and nodes.
 
-The records point to each other. A request and its attempts form a circle, which
-`lifecycle` cuts when nothing is in flight any more.
+The records refer to each other. A request and its attempts form a reference cycle,
+which `lifecycle` breaks once no attempt is in flight.
 """
 
 from __future__ import annotations
@@ -14,33 +14,40 @@
 from milletsill.scheduler.constants import (
     MAX_BATCH_FOLLOWERS,
     MAX_RETRY_CREDIT,
-    NARROW_ABOVE_PACE,
+    NARROW_ABOVE_LATENCY_RATIO,
     NEVER,
     RESERVE_EXPONENT,
 )
 from milletsill.scheduler.token_bucket import TokenBucket
-from milletsill.scheduler.transitions import NOT_EXECUTED, NodeHealth, RequestState
+from milletsill.scheduler.transitions import (
+    NOT_EXECUTED_OUTCOMES,
+    NodeHealth,
+    RequestState,
+)
 
 # Entries are (order, sequence number, request), sorted.
 Queue = list[tuple[int, int, "QueuedRequest"]]
 
 
 class VolumeState:
-    """One tenant's storage: its token buckets and the window of its surplus.
+    """One tenant's storage: its token buckets and its surplus window.
+
+    The surplus of a volume is its requests beyond its reserve.
 
     Attributes:
         id: the volume's number.
         plan: its service plan, with the reserved rate that is in force.
-        gateway_count: the most gateways that were said to share it.
-        reserve: what this gateway's part of the reserve still covers.
-        limit: what this gateway may still send under the limit (rule 7). Starts empty:
-            a former self of this gateway may have spent all of it.
-        surplus_window: how many requests beyond the reserve may be in flight; below 1
-            it is kept by pauses.
-        surplus_in_flight: how many are.
-        surplus_narrowed_at: when the window was last made smaller.
-        surplus_paused_until: until when no more of them leave.
-        used_at: when its last request came.
+        gateway_count: the largest number of gateways reported to share the volume.
+        reserve: the units that this gateway's share of the reserve still covers.
+        limit: the units that this gateway may still send under the rate limit. It
+            starts empty, since a previous process of this gateway may have spent all of
+            it.
+        surplus_window: how many surplus requests may be in flight; pauses enforce a
+            window below 1.
+        surplus_in_flight: the number of surplus requests in flight.
+        surplus_narrowed_at: when the surplus window was last narrowed.
+        surplus_paused_until: no surplus request leaves before this time.
+        used_at: when the volume's last request arrived.
     """
 
     __slots__ = (
@@ -71,22 +78,23 @@
         self.used_at = now
 
     def estimated_reserve_rate(self) -> float:
-        """This gateway's part of the reserve: an estimate, others' use is not known."""
-        part: float = self.gateway_count**-RESERVE_EXPONENT
-        return self.plan.reserved_rate * part
+        """Return an estimate of this gateway's share; others' use of it is unknown."""
+        share: float = self.gateway_count**-RESERVE_EXPONENT
+        return self.plan.reserved_rate * share
 
     def fill_limit(self, divisor: float, now: int) -> float:
-        """Fill the limit at one part in `divisor` of its rate and burst; its level."""
+        """Refill the limit at 1 / `divisor` of its rate and burst; return its level."""
         plan = self.plan
         return self.limit.fill(
             now, plan.limit_rate / divisor, plan.limit_burst / divisor
         )
 
-    def is_forgettable(self, now: int, largest_request: float) -> bool:
-        """Whether a new record would be no freer: none in flight, both buckets full.
+    def is_evictable(self, now: int, largest_request: float) -> bool:
+        """Whether a new record would allow no more than this one.
 
-        For rule 7: a new limit holds no more than one that has filled since this
-        gateway's start.
+        No surplus is in flight, and both buckets are full. The limit of a new record
+        starts empty and fills from this gateway's start, so it cannot exceed a full
+        one.
         """
         rate = self.estimated_reserve_rate()
         burst = self.plan.limit_burst / self.gateway_count
@@ -103,17 +111,17 @@
     """A client's request from its arrival to its final answer.
 
     Attributes:
-        target: until when an answer has its full worth.
-        tag: by when it should leave; the order of the deadline queue.
-        weight: the worth of one of its units.
+        target: until when an answer has its full value.
+        tag: when the request should leave; the sort key of the deadline queue.
+        weight: the value of each of its units.
         is_reserved: whether the volume's reserve covers it.
-        has_spent_credit: whether a node's credit has paid for its next attempt.
-        arrival_gap: the span since this gateway's last request for the same shard.
-        admission_draw: its number for slow-start draws; below 0 until it is drawn.
+        has_spent_credit: whether a node's retry credit has paid for its next attempt.
+        arrival_gap: the time since this gateway's previous request for the same shard.
+        admission_draw: its random number for slow-start draws; negative until drawn.
         node: the node that it was last queued at.
-        queue: the queue that it is in; None: in none.
-        queue_order: its place in that queue.
-        sequence: grows with each time a request is put into a queue.
+        queue: the queue that it is in, or None.
+        queue_order: its sort key in that queue.
+        sequence: a number that increases with each insertion of a request into a queue.
     """
 
     __slots__ = (
@@ -170,11 +178,13 @@
         self.sequence = 0
 
     def possibly_executed(self) -> list[Attempt]:
-        """The attempts that may have had an effect."""
-        return [each for each in self.attempts if each.outcome not in NOT_EXECUTED]
+        """Return the attempts that may have taken effect."""
+        return [
+            each for each in self.attempts if each.outcome not in NOT_EXECUTED_OUTCOMES
+        ]
 
     def fits_any_node(self) -> bool:
-        """Whether it is a new object that any node may take, since none may have it."""
+        """Whether any node may take it: a new object that no node may hold yet."""
         return self.shard is None and not self.possibly_executed()
 
     def is_in_flight(self) -> bool:
@@ -186,9 +196,9 @@
     """One sending of a request to a node.
 
     Attributes:
-        is_final: whether no other attempt follows its time-out.
-        filled_window: whether it took the last place of the node's window.
-        is_surplus: whether it counts in its volume's surplus window.
+        is_final: whether no other attempt follows if this one times out.
+        filled_window: whether it took the last slot of the node's window.
+        is_surplus: whether it counts towards its volume's surplus window.
         outcome: None while it is in flight.
     """
 
@@ -215,30 +225,32 @@
 
 
 class StorageNode:
-    """One node: its queues, its window and what is learnt of it.
+    """One node: its queues, its concurrency window and its measured performance.
 
     Attributes:
-        deadline_queue: what can meet its target, by tag.
-        background_queue: surplus and what will be late, first in, first out.
+        deadline_queue: requests that can meet their target, by tag.
+        background_queue: surplus and requests that will be late, first in, first out.
         by_key: the requests of both queues, by key.
         in_flight: its attempts without an outcome, oldest first.
-        window: how many of them there may be.
-        retry_credit: earned by answers, spent on retries and new objects.
-        size: the node's capacity, in usual nodes.
+        window: the maximum number of attempts in flight.
+        retry_credit: earned by responses, spent on retries and new objects.
+        size: the node's capacity, relative to a usual node.
         latency: the smoothed latency; None until one is known.
-        wait: the smoothed part of the latency that is no work.
-        pace: the smoothed latency of a unit.
-        best_pace: the usual one.
-        load_factor: smoothed waits and reported load, in shortest objectives.
-        fleet_load_factor: the same as other gateways see it.
-        last_served: the request that was answered last.
-        follow_until: until when a request behind that one is waited for.
-        backoff_until: until when nothing is sent.
-        failures: how many attempts failed in a row, up to a bound.
-        failed_at: when the last of them was counted.
-        last_silent_at: when an attempt last ended without a word.
+        wait: the smoothed part of the latency beyond the node's work on the request.
+        unit_latency: the smoothed latency of a unit.
+        usual_unit_latency: the usual time of a unit at a node of this size.
+        load_factor: smoothed waits and reported load, in shortest latency objectives.
+        fleet_load_factor: the load factor as other gateways see it.
+        last_served: the request that succeeded last.
+        follower_wait_until: how long the node's last free slot waits for a follower of
+            `last_served`.
+        backoff_until: nothing is sent to the node before this time.
+        failures: the number of consecutive failures, up to a bound.
+        failed_at: when the last failure was counted.
+        last_response_at: when the node last responded to this gateway.
+        last_unanswered_at: when an attempt last ended without a response.
         timer_at: when its next timer is due.
-        recent_sends: time and units of what was sent within the slow-start window.
+        recent_sends: time and units of each send within the slow-start window.
     """
 
     __slots__ = (
@@ -255,19 +267,19 @@
         "size",
         "latency",
         "wait",
-        "pace",
-        "best_pace",
+        "unit_latency",
+        "usual_unit_latency",
         "load_factor",
         "fleet_load_factor",
         "last_served",
-        "follow_until",
+        "follower_wait_until",
         "backoff_until",
         "failures",
         "failed_at",
         "advice_expires_at",
         "unavailable_since",
-        "last_heard_at",
-        "last_silent_at",
+        "last_response_at",
+        "last_unanswered_at",
         "health",
         "timer_at",
         "recent_sends",
@@ -287,32 +299,34 @@
         self.size = 1.0
         self.latency: float | None = None
         self.wait = 0.0
-        self.pace = 0.0
-        self.best_pace = 0.0
+        self.unit_latency = 0.0
+        self.usual_unit_latency = 0.0
         self.load_factor = 0.0
         self.fleet_load_factor = 0.0
         self.last_served: QueuedRequest | None = None
-        self.follow_until = 0
+        self.follower_wait_until = 0
         self.backoff_until = 0
         self.failures = 0
         self.failed_at = 0
         self.advice_expires_at = 0
         self.unavailable_since = 0
-        self.last_heard_at = -NEVER
-        self.last_silent_at = 0
+        self.last_response_at = -NEVER
+        self.last_unanswered_at = 0
         self.health = NodeHealth.HEALTHY
         self.timer_at = NEVER
         self.recent_sends: deque[tuple[int, float]] = deque()
 
-    def is_crowded(self) -> bool:
-        """Whether work of little use would delay what others have there."""
-        return self.failures > 0 or self.pace > NARROW_ABOVE_PACE * self.best_pace
+    def is_congested(self) -> bool:
+        """Whether low-value requests would delay other requests at the node."""
+        return (
+            self.failures > 0
+            or self.unit_latency > NARROW_ABOVE_LATENCY_RATIO * self.usual_unit_latency
+        )
 
     def available_credit(self, now: int) -> int:
-        """The credit for retries and new objects.
+        """Return the credit for retries and new objects.
 
-        A node without credit that has nothing to answer is tried with one, else it
-        could earn none.
+        An idle node without credit is given one, since it could not earn any otherwise.
         """
         if self.health is NodeHealth.UNAVAILABLE:
             return 0
@@ -320,12 +334,12 @@
         return max(self.retry_credit, int(is_idle))
 
     def has_just_served_key_of(self, request: QueuedRequest) -> bool:
-        """Whether the request's key is that of the one that was answered last."""
+        """Whether the request has the same key as the one that was served last."""
         last = self.last_served
         return last is not None and 0 < last.key == request.key
 
     def queued_with_key_of(self, request: QueuedRequest) -> list[QueuedRequest]:
-        """The first few that are queued here with the same key."""
+        """Return the first few requests queued at this node with the same key."""
         start = bisect_left(self.by_key, (request.key,))
         return [
             each[2]
@@ -334,7 +348,7 @@
         ]
 
     def insert(self, request: QueuedRequest, queue: Queue, sequence: int) -> None:
-        """Put a request into one of the two queues."""
+        """Insert a request into one of the two queues."""
         order = request.tag if queue is self.deadline_queue else sequence
         request.sequence = sequence
         request.queue = queue
@@ -343,12 +357,12 @@
         insort(self.by_key, (request.key, sequence, request))
 
     def remove(self, request: QueuedRequest) -> None:
-        """Take a request out of its queue, where it is in one."""
+        """Remove a request from its queue, if it is in one."""
         queue = request.queue
         if queue is None:
             return
-        place = (request.queue_order, request.sequence)
-        del queue[bisect_left(queue, place)]
-        place = (request.key, request.sequence)
-        del self.by_key[bisect_left(self.by_key, place)]
+        entry_key = (request.queue_order, request.sequence)
+        del queue[bisect_left(queue, entry_key)]
+        entry_key = (request.key, request.sequence)
+        del self.by_key[bisect_left(self.by_key, entry_key)]
         request.queue = None
--- a/milletsill/scheduler/retry_budget.py
+++ b/milletsill/scheduler/retry_budget.py
@@ -1,4 +1,4 @@
-"""Rule 6: the retries of a window stay under a share of its requests."""
+"""Retries per window stay within a share of its requests (rule 6 in docs/design.md)."""
 
 from collections import deque
 
@@ -6,11 +6,14 @@
 
 
 class RetryBudget:
-    """Counts requests and retries; the edges of the window count against the gateway.
+    """Counts requests and retries in a sliding window.
+
+    The edges of the window count against the gateway: a retry counts a little longer
+    than the window, a request a little shorter.
 
     Attributes:
-        request_times: when the requests of the window came.
-        retry_times: when its retries were sent.
+        request_times: when the requests of the window arrived.
+        retry_times: when the retries of the window were sent.
     """
 
     def __init__(self, config: DeploymentConfig) -> None:
@@ -21,7 +24,7 @@
         self.retry_times: deque[int] = deque()
 
     def record_request(self, now: int) -> None:
-        """Count a request that has come; nothing older than a window is kept."""
+        """Count a request that has arrived, and drop all older than the window."""
         if self._window is not None:
             self.request_times.append(now)
             self._has_room(self._window, now)
@@ -32,7 +35,7 @@
             self.retry_times.append(now)
 
     def wait_time(self, now: int) -> int:
-        """0 if a retry may go now, else how long to wait."""
+        """Return 0 if a retry may go now, else how long to wait."""
         window = self._window
         if window is None or self._has_room(window, now):
             return 0
--- a/milletsill/scheduler/retry_policy.py
+++ b/milletsill/scheduler/retry_policy.py
@@ -1,4 +1,8 @@
-"""Whether a request may be sent again: attempts, rule 2, retry credit and rule 6."""
+"""Whether a request may be sent again.
+
+This depends on its number of attempts, on idempotency, on the node's retry credit and
+on the retry budget.
+"""
 
 from milletsill.deployment_config import DeploymentConfig
 from milletsill.scheduler.constants import NEVER
@@ -8,7 +12,7 @@
 
 
 class RetryPolicy:
-    """The gate of all attempts but a request's first."""
+    """Admits all attempts of a request but the first."""
 
     def __init__(self, config: DeploymentConfig, budget: RetryBudget) -> None:
         self._max_attempts = config.max_attempts
@@ -17,7 +21,7 @@
         self._budget = budget
 
     def wait_time(self, request: QueuedRequest, node: StorageNode, now: int) -> int:
-        """0 if the request may go to the node now, else how long to wait, or NEVER."""
+        """Return 0 if the request may go now, how long to wait, or NEVER."""
         if not request.attempts:
             return 0
         if (
@@ -30,7 +34,7 @@
         return self._budget.wait_time(now)
 
     def charge(self, request: QueuedRequest, node: StorageNode, now: int) -> None:
-        """Count a retry that is sent."""
+        """Charge a retry to the node's credit and to the retry budget."""
         if not request.has_spent_credit:
             node.retry_credit -= 1
         self._budget.record_retry(now)
--- a/milletsill/scheduler/scheduler.py
+++ b/milletsill/scheduler/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler as a host sees it: the parts, and which of them hears what."""
+"""The scheduler as its host sees it: its components, and which events each gets."""
 
 from collections.abc import Sequence
 from weakref import ReferenceType, ref
@@ -16,8 +16,8 @@
 from milletsill.scheduler.attempt_results import AttemptResults
 from milletsill.scheduler.batch_delay_edf import BatchDelayEdf
 from milletsill.scheduler.constants import (
+    EVICTION_CHECKS_PER_REQUEST,
     NEVER,
-    RECORDS_SWEPT,
     UNSENT_TIME_SHARE,
 )
 from milletsill.scheduler.endpoint_tracker import EndpointTracker
@@ -40,16 +40,16 @@
 
 
 class Scheduler:
-    """Every decision of one gateway: what leaves when and for which node.
+    """All scheduling decisions of one gateway: what is sent, when and to which node.
 
-    A host makes one with the configuration, a seed, the time and its effects, tells it
-    what happens by the methods `on_...`, and calls `dispatch_pending` when nothing more
-    is known for now. It is deterministic: the same events at the same times have the
-    same effects.
+    A host creates it with the configuration, a random seed, the time and its effects,
+    reports events by the `on_...` methods, and calls `dispatch_pending` once it has
+    reported all events that are known so far. It is deterministic: the same events at
+    the same times have the same effects.
 
     Attributes:
-        config: the configuration that it was made with.
-        state: what its parts share; for reports and tests.
+        config: the configuration that the scheduler was created with.
+        state: the state that its components share; for reports and tests.
     """
 
     def __init__(
@@ -102,19 +102,19 @@
     def on_endpoints(
         self, now: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        """Take in an update of the endpoint list."""
+        """Process an update of the endpoint list."""
         self.endpoints.on_endpoints(now, kind, endpoints)
 
     def on_request(self, now: int, request: Request) -> None:
-        """Take a request; it waits for the next `dispatch_pending`."""
+        """Accept a request; it waits for the next `dispatch_pending`."""
         config = self.config
         if request.request_class >= len(
             config.request_classes
         ) or request.service_plan >= len(config.service_plans):
-            # No rule is known for it.
+            # The configuration has no such request class or service plan.
             self.state.effects.reject(request.id, 0)
             return
-        self.forget_idle(now)
+        self.evict_idle(now)
         queued = self._queued_request(request, now)
         self.state.requests[request.id] = queued
         self.slow_start.record_arrival(queued, now)
@@ -125,17 +125,17 @@
         self.state.unplaced.append(queued)
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
-        """Take in the end of an attempt."""
+        """Process the end of an attempt."""
         self.results.on_attempt_result(now, result)
 
     def on_client_cancelled(self, now: int, request_id: int) -> None:
-        """Forget a request whose client has left."""
+        """Remove a request whose client has left."""
         request = self.state.requests.get(request_id)
         if request is not None:
             self.lifecycle.on_event(request, RequestEvent.CLOSED)
 
     def on_timer(self, now: int, token: object) -> None:
-        """Look at what a timer was set for."""
+        """Handle a timer by the object that it was set with."""
         if isinstance(token, ReferenceType):
             token = token()
         if isinstance(token, QueuedRequest):
@@ -149,9 +149,9 @@
     def on_quota_share(
         self, now: int, kind: QuotaKind, id: int, granted: GrantedShare
     ) -> None:
-        """Take another part than the even one of what all gateways share.
+        """Apply a share, other than the even one, of what all gateways share.
 
-        What has filled until now fills at the part that held until now.
+        A limit is first refilled at the share that was in force until now.
         """
         if kind is QuotaKind.LIMIT and id in self.volumes.by_id:
             self.rate_limiter.settle(self.volumes.by_id[id], now)
@@ -160,13 +160,13 @@
     def on_health_advice(
         self, now: int, node_id: int, load_factor: float, avoid: bool, expires_at: int
     ) -> None:
-        """Take the fleet's advice on a node."""
+        """Apply the fleet's health advice on a node."""
         node = self.state.nodes.get(node_id)
         if node is not None:
             self.outliers.on_health_advice(node, load_factor, avoid, expires_at, now)
 
     def dispatch_pending(self, now: int) -> None:
-        """Place what has no node, then fill the windows of the nodes that changed."""
+        """Place requests without a node, then fill the windows of all changed nodes."""
         state = self.state
         place = self.placement.place
         state.unplaced = [
@@ -175,16 +175,16 @@
             if each.state is RequestState.QUEUED and not place(each, now)
         ]
         for node in list(state.dirty_nodes.values()):
-            self.edf.shed_hopeless(node, now)
+            self.edf.shed_late_requests(node, now)
             self.edf.fill_window(node, now)
         state.dirty_nodes.clear()
 
-    def forget_idle(self, now: int) -> None:
-        """Look at a few of the least lately used records, and forget what is idle."""
-        for _ in range(RECORDS_SWEPT):
-            self.volumes.forget_idle(now)
-            self.slow_start.forget_idle(now)
-            self.ordering.forget_idle(now)
+    def evict_idle(self, now: int) -> None:
+        """Check a few of the least recently used records, and evict the idle ones."""
+        for _ in range(EVICTION_CHECKS_PER_REQUEST):
+            self.volumes.evict_idle(now)
+            self.slow_start.evict_idle(now)
+            self.ordering.evict_idle(now)
 
     def _queued_request(self, request: Request, now: int) -> QueuedRequest:
         request_class = self.config.request_classes[request.request_class]
@@ -201,10 +201,11 @@
         units: float,
         now: int,
     ) -> int:
-        """Until when an answer has its full worth.
+        """Return until when an answer has its full value.
 
-        A client's retry counts from its first try; one with less time left than the
-        objective is one of many short tries and counts from now.
+        The objective of a client's retry counts from the client's first try. A retry
+        with less time left than the objective is one of many short tries and counts
+        from now.
         """
         stretch = request_class.objective_stretch * units * self.estimator.unit_time
         objective = request_class.latency_objective + int(stretch)
@@ -214,9 +215,10 @@
         return min(start + objective, request.deadline)
 
     def _set_request_timers(self, request: QueuedRequest, now: int) -> None:
-        """Set both timers, which hold the request by a weak reference.
+        """Set both timers of a request; they hold it by a weak reference.
 
-        A host keeps timers until they are due, and the request may be over long before.
+        A host keeps a timer until it is due, possibly long after the request has
+        finished.
         """
         set_timer = self.state.effects.set_timer
         set_timer(self.lifecycle.answer_time(request), ref(request))
@@ -224,10 +226,11 @@
         set_timer(now + unsent_for, ref(request))
 
     def _on_request_timer(self, request: QueuedRequest, now: int) -> None:
-        """Give up what was never sent while its client has time for another try.
+        """Give up a request that was never sent, or whose client is about to leave.
 
-        Guards against holding it to the end for nothing (a shard without a node, a long
-        surge). Harm: its late weight.
+        A request that was never sent is given up early, while its client has time for
+        another try. Otherwise a shard without a node or a long surge would hold it to
+        the end in vain. The cost is the late weight that it might still have earned.
         """
         if not request.attempts or now >= self.lifecycle.answer_time(request):
-            self.lifecycle.on_event(request, RequestEvent.HOPELESS)
+            self.lifecycle.on_event(request, RequestEvent.GIVEN_UP)
--- a/milletsill/scheduler/send_gate.py
+++ b/milletsill/scheduler/send_gate.py
@@ -1,4 +1,4 @@
-"""The gate: each attempt passes `wait_time` and then `send`; nothing else sends."""
+"""The only path by which attempts are sent: first `wait_time`, then `send`."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRules:
-    """The rules that every attempt is held against, in this order."""
+    """The rules that every attempt has to satisfy, in the order of their checks."""
 
     retry_policy: RetryPolicy
     slow_start: SlowStart
@@ -26,7 +26,7 @@
 
 
 class SendGate:
-    """Holds attempts against the rules, and sends them."""
+    """Checks attempts against the rules, and sends them."""
 
     def __init__(
         self,
@@ -44,9 +44,10 @@
         self._rate_limiter = rules.rate_limiter
 
     def wait_time(self, request: QueuedRequest, node: StorageNode, now: int) -> int:
-        """0 if the request may go to the node now, else after how long to ask again.
+        """Return 0 if the request may go to the node now, else how long to wait.
 
-        Rules 1 and 3 are kept first; a draining node's grace is not used.
+        A finished or expired request never goes, and neither does one to an unavailable
+        node. A draining node gets no new attempts, even during its grace period.
         """
         if (
             request.state is RequestState.FINISHED
@@ -62,7 +63,7 @@
         )
 
     def send(self, request: QueuedRequest, node: StorageNode, now: int) -> None:
-        """Send an attempt and charge it to all that bound it."""
+        """Send an attempt and charge it to all limits and budgets."""
         state = self._state
         number = len(request.attempts)
         if number:
@@ -84,24 +85,28 @@
         self._lifecycle.on_event(request, RequestEvent.ATTEMPT_SENT)
 
     def _decide_timeout(self, attempt: Attempt, number: int, now: int) -> int:
-        """The time-out of an attempt; also whether another may follow it.
+        """Return the timeout of an attempt, and decide whether another may follow it.
 
-        Guards against attempts that are lost without a word; not before the target (few
-        answers make a poor guess), but where as much time is left for another. Surplus,
-        and all at a node that failed, ends at the target: no late work. Harm: late
-        weight; a node that pauses is asked twice.
+        A timeout recovers the window slot of an attempt that was lost without a
+        response. It does not end before the target, because few answers make a poor
+        estimate of the latency, except for a first attempt with as much time left for a
+        second. Surplus, and every attempt at a node that has failed, ends at the
+        target, so that no late work is done. The cost is late weight, and a second
+        attempt at a node that only pauses.
         """
         request = attempt.request
         node = attempt.node
-        left = request.target - now
+        time_left = request.target - now
         service_time = self._estimator.service_time(request, node)
         lost_after = int(LOST_AFTER_LATENCIES * max(node.latency or 0, service_time))
         if (
             not number
             and node.latency is not None
             and node.retry_credit > 0
-            and 2 * lost_after <= left
+            and 2 * lost_after <= time_left
         ):
             return lost_after
-        attempt.is_final = left > 0 and (not request.is_reserved or node.failures > 0)
-        return left if attempt.is_final else max(left, lost_after)
+        attempt.is_final = time_left > 0 and (
+            not request.is_reserved or node.failures > 0
+        )
+        return time_left if attempt.is_final else max(time_left, lost_after)
--- a/milletsill/scheduler/service_estimator.py
+++ b/milletsill/scheduler/service_estimator.py
@@ -1,4 +1,4 @@
-"""What requests take: the usual time of a unit, nodes' latencies and load factors."""
+"""Estimates of unit times, node latencies and load factors."""
 
 from milletsill.interface import AttemptResult
 from milletsill.scheduler.constants import (
@@ -11,16 +11,17 @@
 from milletsill.scheduler.records import Attempt, QueuedRequest, StorageNode
 from milletsill.scheduler.state import SchedulerState
 
-# The name of a load report's value that tells how busy the node is.
+# Field of a node's load report that says how busy the node is.
 BUSY_FIELD = "busy"
 
 
 class ServiceEstimator:
-    """Learns from answers how long requests take, and what a node is loaded with.
+    """Learns from answers how long requests take and how loaded each node is.
 
     Attributes:
         unit_time: the usual time of a unit at a node of size 1, learnt over all nodes.
-        mean_load_factor: the mean of all nodes; stands in for a node that is not known.
+        mean_load_factor: the smoothed load factor over all nodes; used for a node
+            without answers so far.
         shortest_objective: the shortest latency objective; the unit of load factors.
     """
 
@@ -33,15 +34,15 @@
         self.shortest_objective = max(min(objectives, default=1), 1)
 
     def work_time(self, request: QueuedRequest, node: StorageNode) -> float:
-        """How long a node works at a request as a rule."""
+        """Return how long a node usually works on a request."""
         return request.units * self.unit_time / node.size
 
     def service_time(self, request: QueuedRequest, node: StorageNode) -> float:
-        """How long a request takes at a node, with its wait there."""
+        """Return how long a request takes at a node, including its wait there."""
         return node.wait + request.units * self.unit_time / node.size
 
     def load_factor(self, node: StorageNode) -> float:
-        """What a node has to do, in shortest objectives."""
+        """Return the load of a node, in shortest latency objectives."""
         in_flight = sum(each.request.units for each in node.in_flight)
         units = in_flight + sum(each[2].units for each in node.by_key)
         is_unknown = node.latency is None
@@ -55,21 +56,23 @@
         node = attempt.node
         request = attempt.request
         node.last_served = request
-        node.follow_until = now + int(FOLLOWER_WAIT * self.service_time(request, node))
-        pace = result.latency / request.units
-        self._observe_unit_time(pace * node.size)
+        node.follower_wait_until = now + int(
+            FOLLOWER_WAIT * self.service_time(request, node)
+        )
+        unit_latency = result.latency / request.units
+        self._observe_unit_time(unit_latency * node.size)
         waited = max(result.latency - self.work_time(request, node), 0)
         node.wait += LATENCY_SMOOTHING * (waited - node.wait)
         self._observe_load(node, waited, result.load_report.get(BUSY_FIELD, 0.0))
         smoothing = 1 if node.latency is None else LATENCY_SMOOTHING
         known = (node.latency or 0.0) * (1 - smoothing)
         node.latency = known + result.latency * smoothing
-        node.pace += smoothing * (pace - node.pace)
-        node.best_pace = self.unit_time / node.size
+        node.unit_latency += smoothing * (unit_latency - node.unit_latency)
+        node.usual_unit_latency = self.unit_time / node.size
 
     def _observe_unit_time(self, unit_time: float) -> None:
-        is_quicker = unit_time < self.unit_time
-        self.unit_time *= 1 + UNIT_TIME_STEP * (UNIT_TIME_QUANTILE - is_quicker)
+        is_faster = unit_time < self.unit_time
+        self.unit_time *= 1 + UNIT_TIME_STEP * (UNIT_TIME_QUANTILE - is_faster)
         self.unit_time = self.unit_time or unit_time
 
     def _observe_load(self, node: StorageNode, waited: float, busy: float) -> None:
--- a/milletsill/scheduler/state.py
+++ b/milletsill/scheduler/state.py
@@ -1,4 +1,4 @@
-"""What all parts of the scheduler share: nodes, requests and the source of chance."""
+"""State shared by all components of the scheduler: nodes, requests and randomness."""
 
 from dataclasses import replace
 from random import Random
@@ -6,7 +6,7 @@
 from milletsill.deployment_config import DeploymentConfig, ServicePlanConfig
 from milletsill.interface import SchedulerEffects
 from milletsill.scheduler.constants import (
-    IDLE_TIMEOUTS,
+    IDLE_CLIENT_TIMEOUTS,
     MIN_WINDOW,
     SHARED_MIN_WINDOW,
 )
@@ -14,21 +14,23 @@
 
 
 class SchedulerState:
-    """The state that is not one part's own.
+    """The state that belongs to no single component.
 
     Attributes:
-        random: every draw of the scheduler; a replay needs the same seed and order.
-        started_at: when this scheduler was made.
-        min_window: the least window of a node. Where few gateways share a node, one
-            attempt in flight from each would leave most of it idle.
-        idle_timeout: after which unused records are forgotten.
-        nodes: the nodes that are known, by id.
-        dirty_nodes: those whose window has to be looked at next.
-        serving: those that are available.
-        shards: the same, by shard.
+        random: the source of every random draw of the scheduler; a replay needs the
+            same seed and the same order of draws.
+        started_at: when this scheduler was created.
+        min_window: the smallest window of a node. It exceeds one where few gateways
+            share a node, since one attempt in flight from each would leave most of the
+            node idle.
+        idle_timeout: the time after which unused records are evicted.
+        nodes: the known nodes, by id.
+        dirty_nodes: the nodes that the next dispatch has to check, by id.
+        serving: the available nodes.
+        shards: the available nodes, by shard.
         requests: the requests without a final answer, by id.
         in_flight: the attempts without an outcome, by request id and attempt number.
-        unplaced: queued requests that stand in no node's queue.
+        unplaced: queued requests that are in no node's queue.
     """
 
     def __init__(
@@ -43,7 +45,7 @@
         self.longest_client_timeout = max(
             (each.client_timeout for each in config.request_classes), default=1
         )
-        self.idle_timeout = IDLE_TIMEOUTS * self.longest_client_timeout
+        self.idle_timeout = IDLE_CLIENT_TIMEOUTS * self.longest_client_timeout
         self.nodes: dict[int, StorageNode] = {}
         self.dirty_nodes: dict[int, StorageNode] = {}
         self.serving: list[StorageNode] = []
@@ -56,19 +58,19 @@
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """The next number in the order in which requests were put into queues."""
+        """Return the next number in the order in which requests enter queues."""
         self._sequence += 1
         return self._sequence
 
     def set_node_timer(self, node: StorageNode, at: int, now: int) -> None:
-        """Look at a node again at a time, unless it is looked at earlier anyway."""
+        """Check a node again at a time, unless an earlier check is already set."""
         if at < node.timer_at or node.timer_at <= now:
             node.timer_at = at
             self.effects.set_timer(at, node)
 
 
 def plans_in_force(config: DeploymentConfig) -> tuple[ServicePlanConfig, ...]:
-    """The plans, with the usual rate as the reserve where no plan has a reserve."""
+    """Return the plans, with the usual rate as the reserve if no plan has a reserve."""
     plans = config.service_plans
     if any(each.reserved_rate for each in plans):
         return plans
--- a/milletsill/scheduler/token_bucket.py
+++ b/milletsill/scheduler/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket whose rate and depth are given at each look."""
+"""A token bucket whose rate and depth are passed with each refill."""
 
 from milletsill.scheduler.constants import TICKS_PER_SECOND
 
 
 class TokenBucket:
-    """Units that fill up at a rate, as far as a depth."""
+    """A level of units that refills at a rate, up to a depth."""
 
     __slots__ = ("level", "filled_at")
 
@@ -13,7 +13,7 @@
         self.filled_at = now
 
     def fill(self, now: int, rate: float, depth: float) -> float:
-        """Add what has come since the last look, at units a second; the new level."""
+        """Refill at `rate` units per second since the last call; return the level."""
         filled = self.level + rate * (now - self.filled_at) / TICKS_PER_SECOND
         self.level = min(filled, depth)
         self.filled_at = now
--- a/milletsill/scheduler/transitions.py
+++ b/milletsill/scheduler/transitions.py
@@ -1,8 +1,7 @@
 """The two state machines of the scheduler, as tables: a request's and a node's.
 
-A table gives, for a state and an event, the next state and the effect. A pair that is
-not in a table changes nothing. The effects are carried out by `lifecycle` and
-`outlier_detection`.
+A table maps a state and an event to the next state and an effect. A pair that is not in
+the table changes nothing. `lifecycle` and `outlier_detection` carry out the effects.
 """
 
 from enum import Enum, auto
@@ -11,7 +10,7 @@
 
 
 class RequestState(Enum):
-    """Where a request is between its arrival and its final answer."""
+    """The state of a request between its arrival and its final answer."""
 
     QUEUED = auto()
     IN_FLIGHT = auto()
@@ -19,7 +18,7 @@
 
 
 class RequestEvent(Enum):
-    """What can happen to a request."""
+    """The events of a request."""
 
     ATTEMPT_SENT = auto()
     # The client has its answer or has left.
@@ -28,60 +27,60 @@
     RETRYABLE = auto()
     # No attempt is in flight, and no other is allowed.
     EXHAUSTED = auto()
-    # The client is about to leave, or nothing that this gateway can still do would be
-    # of use.
-    HOPELESS = auto()
+    # The client is about to leave, or this gateway can do nothing useful for it any
+    # more.
+    GIVEN_UP = auto()
 
 
 class RequestEffect(Enum):
-    """What a request's transition asks for."""
+    """What a transition of a request causes."""
 
     NONE = auto()
     REQUEUE = auto()
-    # Give the final answer.
-    GIVE_UP = auto()
-    # Forget the request without an answer.
-    FORGET = auto()
+    # Remove the request, and reject or fail it.
+    REJECT_OR_FAIL = auto()
+    # Remove the request without an answer.
+    REMOVE = auto()
 
 
 class NodeHealth(Enum):
-    """What the scheduler makes of a node."""
+    """The scheduler's view of a node."""
 
     HEALTHY = auto()
-    # Came back or did not answer; proves itself with the most useful work.
+    # Came back or did not answer; gets a few of the most valuable requests first.
     RECOVERING = auto()
     # Draining or gone.
     UNAVAILABLE = auto()
 
 
 class NodeEvent(Enum):
-    """What can happen to a node."""
+    """The events of a node."""
 
-    # An answer came in good time.
-    PROVEN = auto()
-    # An attempt came to nothing and nothing else was heard of the node.
+    # An attempt that filled the window succeeded at close to the usual latency.
+    RESPONDED_IN_TIME = auto()
+    # An attempt got no response, and the node has sent none since the attempt was sent.
     ATTEMPT_FAILED = auto()
-    # The endpoint list has it ready.
+    # The endpoint list reports the node as ready.
     READY = auto()
-    # The endpoint list has it ready, with a start that was not known.
+    # The endpoint list reports the node as ready, with a start time that was not known.
     RESTARTED = auto()
-    # It drains or is gone.
+    # The node is draining or gone.
     NOT_READY = auto()
 
 
 class NodeEffect(Enum):
-    """What a node's transition asks for."""
+    """What a transition of a node causes."""
 
     NONE = auto()
     NARROW_WINDOW = auto()
-    # Narrow the window and forget failures.
+    # Narrow the window and clear the failures.
     RESET = auto()
-    # Place what is queued there again.
+    # Place the requests that are queued at the node again.
     REQUEUE_REQUESTS = auto()
 
 
 class TimerToken(Enum):
-    """What a timer is for, where it belongs to no request or node."""
+    """The purpose of a timer that belongs to no request or node."""
 
     RENEW_WATCH = auto()
 
@@ -91,17 +90,17 @@
         RequestState.IN_FLIGHT,
         RequestEffect.NONE,
     ),
-    (RequestState.QUEUED, RequestEvent.HOPELESS): (
+    (RequestState.QUEUED, RequestEvent.GIVEN_UP): (
         RequestState.FINISHED,
-        RequestEffect.GIVE_UP,
+        RequestEffect.REJECT_OR_FAIL,
     ),
     (RequestState.QUEUED, RequestEvent.CLOSED): (
         RequestState.FINISHED,
-        RequestEffect.FORGET,
+        RequestEffect.REMOVE,
     ),
     (RequestState.IN_FLIGHT, RequestEvent.CLOSED): (
         RequestState.FINISHED,
-        RequestEffect.FORGET,
+        RequestEffect.REMOVE,
     ),
     (RequestState.IN_FLIGHT, RequestEvent.RETRYABLE): (
         RequestState.QUEUED,
@@ -109,7 +108,7 @@
     ),
     (RequestState.IN_FLIGHT, RequestEvent.EXHAUSTED): (
         RequestState.FINISHED,
-        RequestEffect.GIVE_UP,
+        RequestEffect.REJECT_OR_FAIL,
     ),
 }
 
@@ -130,7 +129,10 @@
         NodeHealth.RECOVERING,
         NodeEffect.NARROW_WINDOW,
     ),
-    (NodeHealth.RECOVERING, NodeEvent.PROVEN): (NodeHealth.HEALTHY, NodeEffect.NONE),
+    (NodeHealth.RECOVERING, NodeEvent.RESPONDED_IN_TIME): (
+        NodeHealth.HEALTHY,
+        NodeEffect.NONE,
+    ),
     (NodeHealth.RECOVERING, NodeEvent.RESTARTED): (
         NodeHealth.RECOVERING,
         NodeEffect.RESET,
@@ -149,20 +151,20 @@
     ),
 }
 
-# Outcomes of an attempt that certainly had no effect at the node.
-NOT_EXECUTED = (
+# Outcomes after which the node has certainly not executed the attempt.
+NOT_EXECUTED_OUTCOMES = (
     AttemptOutcome.REJECTED,
     AttemptOutcome.UNREACHABLE,
     AttemptOutcome.WITHDRAWN,
 )
-# Outcomes that came without a word from the node.
-SILENT = (
+# Outcomes without a response from the node.
+UNANSWERED_OUTCOMES = (
     AttemptOutcome.TIMED_OUT,
     AttemptOutcome.UNREACHABLE,
     AttemptOutcome.RESET,
 )
 # Outcomes after which the node may still be executing the attempt.
-INDETERMINATE = (
+INDETERMINATE_OUTCOMES = (
     AttemptOutcome.TIMED_OUT,
     AttemptOutcome.RESET,
     AttemptOutcome.CANCELLED,
--- a/milletsill/scheduler/volume_table.py
+++ b/milletsill/scheduler/volume_table.py
@@ -1,4 +1,4 @@
-"""The volumes that are in use, and what their reserves cover."""
+"""The volumes in use, and which requests their reserves cover."""
 
 from milletsill.interface import QuotaKind, Request
 from milletsill.scheduler.quota_shares import QuotaShares
@@ -7,10 +7,10 @@
 
 
 class VolumeTable:
-    """The volumes by id, the least lately used first.
+    """The volumes by id, the least recently used first.
 
-    Guards a gateway that runs for months against volumes that were seen once. Harm: a
-    surplus window that was learnt long ago starts again at one.
+    Idle volumes are evicted to bound the memory of a gateway that runs for months. The
+    cost is that the surplus window of an evicted volume starts again at one.
     """
 
     def __init__(self, state: SchedulerState, shares: QuotaShares) -> None:
@@ -25,10 +25,10 @@
         )
 
     def use(self, request: Request, now: int) -> VolumeState:
-        """The volume of a request that has just come.
+        """Return the volume of a request that has just arrived.
 
-        Where a request does not tell how many gateways share its volume, it may be all:
-        that guards rule 7.
+        If the request does not say how many gateways share its volume, all may share
+        it. This assumption keeps the sum of all shares within the volume's limit.
         """
         gateway_count = request.sharing_gateways or self._gateway_count
         volume = self.by_id.pop(request.volume, None)
@@ -42,7 +42,7 @@
         return volume
 
     def charge_reserve(self, request: QueuedRequest, now: int) -> None:
-        """Tell whether a request is within its volume's reserve, and count it there."""
+        """Decide whether a volume's reserve covers a request, and charge it if so."""
         volume = request.volume
         rate = self._reserve_rate(volume, now)
         level = volume.reserve.fill(now, rate, rate + self._largest_request)
@@ -52,17 +52,17 @@
         else:
             request.weight *= self._share_weight
 
-    def forget_idle(self, now: int) -> None:
-        """Forget the least lately used volume.
+    def evict_idle(self, now: int) -> None:
+        """Evict the least recently used volume.
 
-        Only where it is idle, and a new record of it would be no freer.
+        It is kept unless it is idle and a new record of it would allow no more.
         """
         volume = next(iter(self.by_id.values()), None)
         if volume is None or now - volume.used_at <= self._state.idle_timeout:
             return
         del self.by_id[volume.id]
         has_share = self._shares.is_granted(QuotaKind.LIMIT, volume.id)
-        if has_share or not volume.is_forgettable(now, self._largest_request):
+        if has_share or not volume.is_evictable(now, self._largest_request):
             self.by_id[volume.id] = volume
             volume.used_at = now
 
--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -97,7 +97,7 @@
         day.run(SECOND)
         module = day.gateways[0].scheduler
         node = module.state.nodes[1]
-        node.last_heard_at = node.failed_at = -9 * SECOND
+        node.last_response_at = node.failed_at = -9 * SECOND
         module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
         self.assertEqual(node.backoff_until, day.now + 3000)
         request = SimpleNamespace(shard=None, key=0, node=None, attempts=[], units=1)
@@ -107,10 +107,10 @@
             advised - placement_cost(request, node, day.now + 3000)[3], 4.0
         )
         node.backoff_until, node.failures = 0, 2
-        node.last_heard_at = day.now
+        node.last_response_at = day.now
         module.on_health_advice(day.now, 1, 4.0, True, day.now + 3000)
         self.assertEqual((node.backoff_until, node.failures), (0, 2))
-        node.last_heard_at, node.backoff_until = -9 * SECOND, day.now + SECOND
+        node.last_response_at, node.backoff_until = -9 * SECOND, day.now + SECOND
         module.on_health_advice(
             day.now, 1, 0.0, False, day.now + 3000
         )  # chosen to try it
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -143,7 +143,7 @@
     def test_the_fewer_gateways_the_wider_a_crowded_nodes_window_stays(self):
         for sharing_gateways, least in ((1, 4.5), (2, 3.0), (8, 1.0), (300, 1.0)):
             scheduler, _ = self.shard((7, {}), peers_total=sharing_gateways)
-            scheduler.state.nodes[7].window, scheduler.state.nodes[7].pace = (
+            scheduler.state.nodes[7].window, scheduler.state.nodes[7].unit_latency = (
                 5.0,
                 10_000.0,
             )
@@ -152,12 +152,12 @@
                 scheduler.gate.send(
                     scheduler.state.requests[number], scheduler.state.nodes[7], 0
                 )
-                scheduler.results.learn(
+                scheduler.results.learn_from_success(
                     scheduler.state.nodes[7].in_flight[-1],
                     attempt_result(number, AttemptOutcome.SUCCEEDED, latency=20_000),
                     0,
                 )
-                scheduler.state.nodes[7].best_pace = 1.0
+                scheduler.state.nodes[7].usual_unit_latency = 1.0
                 scheduler.estimator.unit_time = 1.0
             self.assertEqual(scheduler.state.nodes[7].window, least)
             scheduler.outliers.on_node_event(
--- a/tests/scheduler/test_rate_limiter.py
+++ b/tests/scheduler/test_rate_limiter.py
@@ -55,7 +55,7 @@
         scheduler.on_quota_share(0, QuotaKind.LIMIT, 1, GrantedShare(0.1, 1 << 50, 0.1))
         one.volume.used_at, one.volume.limit.level = 0, 99.0
         one.volume.reserve.level = 1e9
-        scheduler.forget_idle(1 << 40)
+        scheduler.evict_idle(1 << 40)
         self.assertIn(1, scheduler.volumes.by_id)
 
     def test_a_told_part_of_a_reserve_takes_the_place_of_the_estimate(self):
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -28,7 +28,7 @@
         soon.target -= 1000
         scheduler.placement.enqueue(late, at, 0)
         scheduler.placement.enqueue(soon, at, 0)
-        self.assertIs(scheduler.edf.choose(at, 0), soon)
+        self.assertIs(scheduler.edf.choose_next(at, 0), soon)
 
     def test_m_is_a_tenth_of_the_objective_until_latency_is_known(self):
         scheduler, _ = make_scheduler()
@@ -50,7 +50,7 @@
         )
         for each in (head, follower):
             scheduler.placement.enqueue(each, at, 0)
-        return scheduler.edf.choose(at, head.tag - slack), head, follower
+        return scheduler.edf.choose_next(at, head.tag - slack), head, follower
 
     def test_a_follower_of_key_or_volume_goes_before_a_head_that_is_not_due(self):
         for key, volume in ((5, 3), (6, 1)):
@@ -65,17 +65,17 @@
         scheduler, effects = make_scheduler()
         at = storage_node(scheduler)
         scheduler.gate.send(queued_request(scheduler, 8, volume=3), at, 0)
-        at.window, at.last_served, at.follow_until = (
+        at.window, at.last_served, at.follower_wait_until = (
             2.0,
             queued_request(scheduler, 9, key=5),
             200,
         )
         head = queued_request(scheduler, 1, volume=2)
         scheduler.placement.enqueue(head, at, 0)
-        self.assertIsNone(scheduler.edf.choose(at, 0))
+        self.assertIsNone(scheduler.edf.choose_next(at, 0))
         self.assertEqual(effects.calls_of("set_timer")[-1], (200, at))
         at.in_flight.clear()
-        self.assertIs(scheduler.edf.choose(at, 0), head)
+        self.assertIs(scheduler.edf.choose_next(at, 0), head)
 
     def test_background_leaves_while_the_deadline_queue_is_empty(self):
         scheduler, _ = make_scheduler()
@@ -86,9 +86,9 @@
         )
         extra.is_reserved = False
         scheduler.placement.enqueue(extra, at, 0)
-        self.assertIs(scheduler.edf.choose(at, 0), extra)
+        self.assertIs(scheduler.edf.choose_next(at, 0), extra)
         scheduler.placement.enqueue(due, at, 0)
-        self.assertIs(scheduler.edf.choose(at, 0), due)
+        self.assertIs(scheduler.edf.choose_next(at, 0), due)
 
     def surplus(self, scheduler, number):
         one = queued_request(scheduler, number)
@@ -139,7 +139,7 @@
         for each, utility in zip(held, (1.0, 0.5, 1.0)):
             each.is_reserved, each.weight = True, utility
             scheduler.placement.enqueue(each, at, 0)
-        scheduler.edf.shed_hopeless(at, 0)
+        scheduler.edf.shed_late_requests(at, 0)
         self.assertEqual(
             [held[0].queue, held[1].queue], [at.deadline_queue, at.background_queue]
         )
@@ -152,22 +152,26 @@
         ):  # a crowded node keeps nothing late
             scheduler, effects = make_scheduler()
             at = storage_node(scheduler)
-            at.pace, at.best_pace, scheduler.estimator.unit_time = 2000.0, best, 2000.0
+            at.unit_latency, at.usual_unit_latency, scheduler.estimator.unit_time = (
+                2000.0,
+                best,
+                2000.0,
+            )
             for number in range(3):
                 scheduler.placement.enqueue(
                     queued_request(scheduler, number, units=4.0), at, 0
                 )
-            scheduler.edf.shed_hopeless(at, 0)
+            scheduler.edf.shed_late_requests(at, 0)
             self.assertEqual(len(effects.calls_of("reject")), declined, best)
 
     def test_background_leaves_a_crowded_node_one_at_a_time(self):
         scheduler, _ = make_scheduler()
         at, extra = storage_node(scheduler), queued_request(scheduler, 1)
-        extra.is_reserved, at.window, at.best_pace = False, 3.0, 50.0
+        extra.is_reserved, at.window, at.usual_unit_latency = False, 3.0, 50.0
         scheduler.placement.enqueue(extra, at, 0)
-        self.assertIs(scheduler.edf.choose(at, 0), extra)
+        self.assertIs(scheduler.edf.choose_next(at, 0), extra)
         scheduler.gate.send(queued_request(scheduler, 2), at, 0)
-        self.assertIsNone(scheduler.edf.choose(at, 0))
+        self.assertIsNone(scheduler.edf.choose_next(at, 0))
 
     def test_a_clients_retry_counts_from_its_first_try(self):
         scheduler, _ = make_scheduler()
@@ -194,7 +198,7 @@
             at.window = 2.0
             scheduler.gate.send(one, at, 0)
             at.in_flight[0].filled_window = True
-            scheduler.results.learn(
+            scheduler.results.learn_from_success(
                 at.in_flight[0],
                 attempt_result(1, AttemptOutcome.SUCCEEDED, latency=latency),
                 400,
@@ -240,7 +244,7 @@
         self.assertEqual(
             (at.health, at.window, at.retry_credit), (NodeHealth.RECOVERING, 1.0, 1)
         )
-        scheduler.outliers.on_node_event(at, NodeEvent.PROVEN, 1000)
+        scheduler.outliers.on_node_event(at, NodeEvent.RESPONDED_IN_TIME, 1000)
         self.assertIs(at.health, NodeHealth.HEALTHY)
 
     def test_a_recovering_node_gets_the_worthiest_first(self):
@@ -254,7 +258,7 @@
         second.weight = 5.0
         for each in (first, second):
             scheduler.placement.enqueue(each, at, 0)
-        self.assertIs(scheduler.edf.choose(at, 0), second)
+        self.assertIs(scheduler.edf.choose_next(at, 0), second)
 
     def test_an_attempt_times_out_after_some_latencies_but_not_before_its_target(self):
         for repeats, reserved, failures, now, timeout in (
@@ -335,7 +339,7 @@
             scheduler, _ = make_scheduler()
             at, scheduler.estimator.shortest_objective = storage_node(scheduler), 100
             scheduler.gate.send(queued_request(scheduler, 1), at, 1500)
-            at.last_heard_at, at.last_silent_at = heard, silent
+            at.last_response_at, at.last_unanswered_at = heard, silent
             scheduler.on_attempt_result(1900, attempt_result(1, outcome, latency=400))
             self.assertEqual(
                 (at.failures, at.health), (failures, health), (heard, silent, outcome)
@@ -347,7 +351,7 @@
         scheduler, _ = make_scheduler()
         at, scheduler.estimator.shortest_objective = storage_node(scheduler), 1000
         scheduler.gate.send(queued_request(scheduler, 1), at, 2500)
-        at.last_heard_at = 1000
+        at.last_response_at = 1000
         scheduler.on_attempt_result(
             2501, attempt_result(1, AttemptOutcome.RESET, latency=1)
         )
--- a/tests/scheduler/test_settings_layouts.py
+++ b/tests/scheduler/test_settings_layouts.py
@@ -147,7 +147,7 @@
             scheduler.on_attempt_result(
                 100, attempt_result(1, AttemptOutcome.SUCCEEDED, finished=True)
             )
-            self.assertEqual(scheduler.state.nodes[7].pace, 200.0)
+            self.assertEqual(scheduler.state.nodes[7].unit_latency, 200.0)
 
     def test_one_time_of_a_request_class_stands_for_the_other(self):
         for given, both in (
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -151,7 +151,7 @@
             ),
             0,
         )
-        scheduler.results.learn(
+        scheduler.results.learn_from_success(
             at.in_flight[0], attempt_result(1, AttemptOutcome.SUCCEEDED), 600
         )
         self.assertGreater(
@@ -184,7 +184,7 @@
             if scheduler.slow_start.wait_time(one, at, 10 * number):
                 break
             scheduler.gate.send(one, at, 10 * number)
-            scheduler.results.learn(
+            scheduler.results.learn_from_success(
                 at.in_flight[-1],
                 attempt_result(number, AttemptOutcome.SUCCEEDED),
                 10 * number + 5,
@@ -199,7 +199,7 @@
                 scheduler.gate.send(
                     queued_request(scheduler, number, key=named), at, 10
                 )
-                scheduler.results.learn(
+                scheduler.results.learn_from_success(
                     at.in_flight[-1],
                     attempt_result(number, AttemptOutcome.SUCCEEDED),
                     20,
--- a/tests/support/scheduler_builders.py
+++ b/tests/support/scheduler_builders.py
@@ -133,8 +133,8 @@
     state.serving.append(made)
     scheduler.estimator.unit_time = 200.0
     made.latency = 400.0
-    made.pace = 200.0
-    made.best_pace = 200.0
+    made.unit_latency = 200.0
+    made.usual_unit_latency = 200.0
     made.window = 1.0
     return made
 
