--- a/tests/scheduler/test_deployment_config.py
+++ b/tests/scheduler/test_deployment_config.py
@@ -1,4 +1,4 @@
-"""Configurations and their stored form: the keys that trace files keep."""
+"""Configurations and their stored form, whose keys trace files keep."""
 
 import json
 import unittest
@@ -44,19 +44,19 @@
 
 
 class StoredForm(unittest.TestCase):
-    def test_its_keys_are_those_of_the_operators_pages(self):
+    def test_stored_keys_are_those_of_the_settings_reference(self):
         stored = to_stored(CONFIG)
         self.assertEqual(sorted(stored), sorted(KEYS.split()))
         self.assertEqual(sorted(stored["categories"][0]), CLASS_KEYS.split())
         self.assertEqual(sorted(stored["plans"][0]), PLAN_KEYS.split())
 
-    def test_what_only_the_platforms_settings_have_is_stored_where_they_have_it(self):
+    def test_optional_settings_are_stored_only_where_present(self):
         stored = to_stored(config_from_settings(SETTINGS))
         self.assertEqual(set(stored) - set(KEYS.split()), {"link_idle", "zones"})
         self.assertEqual(stored["zones"], ["a", "b"])
         self.assertEqual(stored["plans"][0]["name"], "gold")
 
-    def test_values_are_plain_and_words_are_those_of_the_pages(self):
+    def test_stored_values_are_json_and_enumerations_keep_their_outer_words(self):
         stored = to_stored(config_from_settings(SETTINGS))
         self.assertEqual(json.loads(json.dumps(stored)), stored)
         request_class = stored["categories"][0]
@@ -67,7 +67,7 @@
         self.assertEqual(stored["writes"], [True, False])
         self.assertEqual((stored["index"], stored["further_window"]), (None, None))
 
-    def test_what_was_stored_comes_back_equal(self):
+    def test_a_stored_configuration_is_restored_unchanged(self):
         every_word = [
             replace(REQUEST_CLASS, retry_safety=safety, retry_scope=scope)
             for safety in RetrySafety
@@ -81,7 +81,7 @@
             stored = json.loads(json.dumps(to_stored(config)))
             self.assertEqual(from_stored(stored), config)
 
-    def test_a_missing_value_and_an_unknown_word_are_errors(self):
+    def test_a_missing_key_or_an_unknown_enumeration_value_is_an_error(self):
         stored = to_stored(CONFIG)
         with self.assertRaises(KeyError):
             from_stored({key: stored[key] for key in stored if key != "tick"})
--- a/tests/scheduler/test_long_running.py
+++ b/tests/scheduler/test_long_running.py
@@ -1,4 +1,4 @@
-"""What a gateway that runs for months must not keep.
+"""Records that a gateway which runs for months has to evict.
 
 Each test builds its state and calls one function.
 """
@@ -19,39 +19,39 @@
 LONG = 10_000_000
 
 
-class Bounds(unittest.TestCase):
-    """Records that are no longer needed are given back, and no rule is weaker for it."""
+class Eviction(unittest.TestCase):
+    """Records that are no longer needed are evicted, and no rule is weakened by it."""
 
-    def test_no_count_is_kept_where_no_budget_is_stated(self):
+    def test_no_request_times_are_kept_without_a_retry_budget(self):
         scheduler, _ = make_scheduler()
         queued_request(scheduler, 1)
         self.assertEqual(len(scheduler.retry_budget.request_times), 0)
 
-    def test_counts_of_a_budget_end_with_its_window(self):
+    def test_request_times_older_than_the_budget_window_are_dropped(self):
         scheduler, _ = make_scheduler(retry_budget_window=1000, retry_budget_free=1)
         scheduler.on_request(0, request(1))
         scheduler.on_request(5000, request(2))
         self.assertEqual(list(scheduler.retry_budget.request_times), [5000])
 
-    def test_an_idle_volume_is_forgotten(self):
+    def test_an_idle_volume_is_evicted(self):
         scheduler, _ = make_scheduler()
         scheduler.on_client_cancelled(1, queued_request(scheduler, 1, volume=1).id)
         scheduler.on_request(LONG, request(2, volume=2, deadline=LONG + 15_000))
         self.assertEqual(list(scheduler.volumes.by_id), [2])
 
-    def test_a_volume_with_something_out_is_kept(self):
+    def test_a_volume_with_surplus_in_flight_is_kept(self):
         scheduler, _ = make_scheduler()
         queued_request(scheduler, 1, volume=1).volume.surplus_in_flight = 1
         scheduler.on_request(LONG, request(2, volume=2, deadline=LONG + 15_000))
         self.assertEqual(sorted(scheduler.volumes.by_id), [1, 2])
 
-    def test_a_limit_store_that_is_not_full_is_kept(self):
+    def test_a_volume_whose_limit_bucket_is_not_full_is_kept(self):
         scheduler, _ = make_scheduler(plan={"limit_rate": 0.001, "limit_burst": 100.0})
         queued_request(scheduler, 1, volume=1).volume.limit.level = 0.0
         scheduler.on_request(LONG, request(2, volume=2, deadline=LONG + 15_000))
         self.assertIn(1, scheduler.volumes.by_id)
 
-    def test_a_forgotten_limit_never_comes_back_fuller(self):
+    def test_an_evicted_volume_does_not_return_with_a_fuller_limit(self):
         scheduler, _ = make_scheduler(plan={"limit_rate": 10.0, "limit_burst": 100.0})
         old = queued_request(scheduler, 1, volume=1).volume
         scheduler.on_request(LONG, request(2, volume=2, deadline=LONG + 15_000))
@@ -62,7 +62,7 @@
             new.limit.fill(LONG, 10.0, 100.0), old.limit.fill(LONG, 10.0, 100.0)
         )
 
-    def test_a_node_gone_for_long_is_forgotten_and_new_when_it_returns(self):
+    def test_a_node_gone_for_long_is_evicted_and_new_when_it_returns(self):
         scheduler, _ = make_scheduler()
         scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
         scheduler.on_endpoints(1, EndpointUpdateKind.SNAPSHOT, [])
@@ -73,17 +73,17 @@
         )
         self.assertEqual(scheduler.state.nodes[7].health.name, "RECOVERING")
 
-    def test_a_gone_node_that_owes_an_answer_is_kept(self):
+    def test_a_gone_node_with_an_attempt_in_flight_is_kept(self):
         scheduler, _ = make_scheduler()
-        at, one = storage_node(scheduler), queued_request(scheduler, 1)
-        scheduler.gate.send(one, at, 0)
+        node, queued = storage_node(scheduler), queued_request(scheduler, 1)
+        scheduler.gate.send(queued, node, 0)
         scheduler.on_endpoints(
             1, EndpointUpdateKind.DELTA, [endpoint(7, readiness=Readiness.GONE)]
         )
         scheduler.on_endpoints(LONG, EndpointUpdateKind.DELTA, [])
         self.assertIn(7, scheduler.state.nodes)
 
-    def test_a_timer_does_not_hold_a_request_that_is_over(self):
+    def test_a_timer_does_not_keep_a_finished_request_alive(self):
         scheduler, effects = make_scheduler()
         scheduler.on_client_cancelled(1, queued_request(scheduler, 1).id)
         scheduler.dispatch_pending(2)
@@ -91,24 +91,24 @@
         gc.collect()
         self.assertIsNone(effects.calls_of("set_timer")[-1][1]())
 
-    def test_what_is_over_with_nothing_out_is_freed_without_a_collector(self):
+    def test_a_finished_request_is_freed_without_the_garbage_collector(self):
         scheduler, effects = make_scheduler()
-        at, one = storage_node(scheduler), queued_request(scheduler, 1)
-        scheduler.gate.send(one, at, 0)
-        watched = effects.calls_of("set_timer")[0][1]
+        node, queued = storage_node(scheduler), queued_request(scheduler, 1)
+        scheduler.gate.send(queued, node, 0)
+        request_reference = effects.calls_of("set_timer")[0][1]
         scheduler.on_attempt_result(
             10, attempt_result(1, AttemptOutcome.SUCCEEDED, finished=True)
         )
-        at.last_served = one = None
+        node.last_served = queued = None
         scheduler.state.unplaced.clear()
         gc.disable()
         self.addCleanup(gc.enable)
-        self.assertIsNone(watched())
+        self.assertIsNone(request_reference())
 
-    def test_a_key_whose_queue_is_empty_is_forgotten_after_its_quarantine(self):
+    def test_a_key_with_an_empty_queue_is_evicted_after_its_quarantine(self):
         scheduler, _ = make_scheduler({"is_ordered": True})
-        at, one = storage_node(scheduler), queued_request(scheduler, 1, key=9)
-        scheduler.gate.send(one, at, 0)
+        node, queued = storage_node(scheduler), queued_request(scheduler, 1, key=9)
+        scheduler.gate.send(queued, node, 0)
         scheduler.on_attempt_result(
             100, attempt_result(1, AttemptOutcome.RESET, finished=True)
         )
--- a/tests/scheduler/test_placement.py
+++ b/tests/scheduler/test_placement.py
@@ -1,4 +1,4 @@
-"""Several nodes in a shard: at which one a request is queued."""
+"""Shards with several nodes: at which node a request is queued."""
 
 import unittest
 
@@ -13,18 +13,15 @@
 )
 
 
-class Choice(unittest.TestCase):
-    """Several nodes in a shard.
+class NodeChoice(unittest.TestCase):
+    """The choice of a node, before the queues of that node decide when to send."""
 
-    Which one, before the queues of that one decide when.
-    """
-
-    def shard(self, *lines, now=0, **parts):
-        scheduler, effects = make_scheduler(**parts)
+    def shard(self, *entries, now=0, **settings):
+        scheduler, effects = make_scheduler(**settings)
         scheduler.on_endpoints(
             now,
             EndpointUpdateKind.SNAPSHOT,
-            [endpoint(number, **entry) for number, entry in lines],
+            [endpoint(number, **entry) for number, entry in entries],
         )
         return scheduler, effects
 
@@ -51,23 +48,22 @@
             {node for _, node, _ in effects.calls_of("send_attempt")}, {7, 8}
         )
 
-    def test_what_a_resting_node_holds_goes_to_another_of_its_shard(self):
+    def test_requests_at_a_node_that_backs_off_move_to_another_of_its_shard(self):
         scheduler, _ = self.shard((7, {}), (8, {}))
         for number in range(12):
             scheduler.on_request(0, request(number))
         scheduler.dispatch_pending(0)
-        gone = next(iter(scheduler.state.nodes[7].in_flight))
+        attempt = next(iter(scheduler.state.nodes[7].in_flight))
         scheduler.on_attempt_result(
-            100, attempt_result(gone.request.id, AttemptOutcome.REJECTED, latency=100)
+            100,
+            attempt_result(attempt.request.id, AttemptOutcome.REJECTED, latency=100),
         )
         self.assertFalse(scheduler.state.nodes[7].by_key)
         scheduler.dispatch_pending(100)
         self.assertFalse(scheduler.state.nodes[7].by_key)
 
-    def test_a_retry_prefers_another_node_of_the_shard_where_the_rules_let_it(
-        self,
-    ):
-        for repeats, group, zone, elsewhere in (
+    def test_a_retry_prefers_another_node_of_the_shard_if_it_is_allowed(self):
+        for safety, scope, zone, other_node_expected in (
             ("free", "all", 1, True),
             ("guarded", "zone", 0, True),
             ("guarded", "zone", 1, False),
@@ -77,26 +73,24 @@
                 (7, {}),
                 (8, {"zone": zone}),
                 classes=request_class(
-                    idempotency=repeats, group=group, window_ns=SECOND
+                    idempotency=safety, group=scope, window_ns=SECOND
                 ),
             )
             scheduler.on_request(0, request(1))
-            one = scheduler.state.requests[1]
-            scheduler.placement.enqueue(one, scheduler.state.nodes[7], 0)
-            scheduler.gate.send(one, scheduler.state.nodes[7], 0)
+            queued = scheduler.state.requests[1]
+            scheduler.placement.enqueue(queued, scheduler.state.nodes[7], 0)
+            scheduler.gate.send(queued, scheduler.state.nodes[7], 0)
             scheduler.on_attempt_result(
                 100, attempt_result(1, AttemptOutcome.ERROR, latency=100)
             )
-            self.assertTrue(scheduler.placement.place(one, 100))
+            self.assertTrue(scheduler.placement.place(queued, 100))
             self.assertIs(
-                one.node,
-                scheduler.state.nodes[8 if elsewhere else 7],
-                (repeats, group, zone),
+                queued.node,
+                scheduler.state.nodes[8 if other_node_expected else 7],
+                (safety, scope, zone),
             )
 
-    def test_what_finds_no_credit_any_more_stands_in_a_queue_and_is_given_up_in_time(
-        self,
-    ):
+    def test_a_retry_without_credit_is_queued_and_rejected_in_time(self):
         scheduler, effects = self.shard((7, {}), (8, {}))
         scheduler.on_request(0, request(1))
         scheduler.state.unplaced.clear()
@@ -105,20 +99,20 @@
             100, attempt_result(1, AttemptOutcome.ERROR, latency=100)
         )
         for each in scheduler.state.nodes.values():
-            each.retry_credit, each.backoff_until = 0, 19_000  # behind its target
+            each.retry_credit, each.backoff_until = 0, 19_000  # after the target
         scheduler.dispatch_pending(5_000)
         self.assertEqual(
             (len(effects.calls_of("reject")), scheduler.state.unplaced), (1, [])
         )
 
-    def test_a_cold_node_whose_part_is_spent_is_passed_over(self):
+    def test_a_warming_up_node_whose_budget_share_is_spent_is_not_chosen(self):
         scheduler, _ = self.shard((7, {}), (8, {"started_at": 20_000}), now=20_000)
         scheduler.state.nodes[8].recent_sends.append((20_000, 99.0))
         scheduler.on_request(20_000, request(1, deadline=40_000))
         scheduler.placement.place(scheduler.state.requests[1], 20_000)
         self.assertIs(scheduler.state.requests[1].node, scheduler.state.nodes[7])
 
-    def test_a_new_object_stays_in_the_shard_where_it_may_have_run(self):
+    def test_a_new_object_stays_in_the_shard_that_may_have_stored_it(self):
         scheduler, _ = self.shard((7, {}), (8, {"shard": 1}), (9, {}))
         scheduler.on_request(0, request(1, shard=None))
         scheduler.gate.send(scheduler.state.requests[1], scheduler.state.nodes[7], 0)
@@ -128,7 +122,7 @@
             [scheduler.state.nodes[7], scheduler.state.nodes[9]],
         )
 
-    def test_a_node_that_leaves_hands_over_to_those_that_stay(self):
+    def test_requests_at_a_node_that_drains_move_to_the_others(self):
         scheduler, _ = self.shard((7, {}), (8, {}))
         scheduler.on_request(0, request(1))
         scheduler.placement.enqueue(
@@ -140,9 +134,9 @@
         scheduler.placement.place(scheduler.state.requests[1], 5)
         self.assertIs(scheduler.state.requests[1].node, scheduler.state.nodes[8])
 
-    def test_the_fewer_gateways_the_wider_a_crowded_nodes_window_stays(self):
-        for sharing_gateways, least in ((1, 4.5), (2, 3.0), (8, 1.0), (300, 1.0)):
-            scheduler, _ = self.shard((7, {}), peers_total=sharing_gateways)
+    def test_fewer_gateways_keep_a_wider_window_at_a_congested_node(self):
+        for gateways, min_window in ((1, 4.5), (2, 3.0), (8, 1.0), (300, 1.0)):
+            scheduler, _ = self.shard((7, {}), peers_total=gateways)
             scheduler.state.nodes[7].window, scheduler.state.nodes[7].unit_latency = (
                 5.0,
                 10_000.0,
@@ -159,13 +153,13 @@
                 )
                 scheduler.state.nodes[7].usual_unit_latency = 1.0
                 scheduler.estimator.unit_time = 1.0
-            self.assertEqual(scheduler.state.nodes[7].window, least)
+            self.assertEqual(scheduler.state.nodes[7].window, min_window)
             scheduler.outliers.on_node_event(
                 scheduler.state.nodes[7], NodeEvent.ATTEMPT_FAILED, 0
             )
-            self.assertEqual(scheduler.state.nodes[7].window, least)
+            self.assertEqual(scheduler.state.nodes[7].window, min_window)
 
-    def test_behind_its_key_a_request_takes_less(self):
+    def test_a_request_behind_others_of_its_key_costs_less(self):
         scheduler, _ = self.shard((7, {}), (8, {}))
         scheduler.estimator.unit_time = 200.0
         scheduler.on_request(0, request(1, key=5))
@@ -177,14 +171,14 @@
             0.0
         )
         scheduler.state.nodes[7].latency = scheduler.state.nodes[8].latency = 1.0
-        grudge = [
+        discounts = [
             scheduler.placement.placement_cost(
                 scheduler.state.requests[2], scheduler.state.nodes[each], 0
             )[3]
             - scheduler.estimator.load_factor(scheduler.state.nodes[each])
             for each in (7, 8)
         ]
-        self.assertEqual(grudge, [-0.04, 0.0])
+        self.assertEqual(discounts, [-0.04, 0.0])
 
 
 if __name__ == "__main__":
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Each test builds the state that it needs and calls one function of the scheduler."""
+"""EDF dispatch, surplus windows, timeouts and node health, one function per test."""
 
 import unittest
 
@@ -15,42 +15,42 @@
 )
 
 
-class Path(unittest.TestCase):
-    """The design's ordinary path and where it is extended."""
+class Dispatch(unittest.TestCase):
+    """Batch-and-delay EDF and its extensions."""
 
     def test_queued_requests_leave_by_tag(self):
         scheduler, _ = make_scheduler()
-        at = storage_node(scheduler)
+        node = storage_node(scheduler)
         late, soon = (
             queued_request(scheduler, 1, volume=1),
             queued_request(scheduler, 2, volume=2),
         )
         soon.target -= 1000
-        scheduler.placement.enqueue(late, at, 0)
-        scheduler.placement.enqueue(soon, at, 0)
-        self.assertIs(scheduler.edf.choose_next(at, 0), soon)
+        scheduler.placement.enqueue(late, node, 0)
+        scheduler.placement.enqueue(soon, node, 0)
+        self.assertIs(scheduler.edf.choose_next(node, 0), soon)
 
-    def test_m_is_a_tenth_of_the_objective_until_latency_is_known(self):
+    def test_unknown_latency_is_taken_as_a_tenth_of_the_objective(self):
         scheduler, _ = make_scheduler()
-        at, one = storage_node(scheduler), queued_request(scheduler, 1)
-        at.latency = None
-        scheduler.placement.enqueue(one, at, 0)
-        self.assertEqual(one.tag, 3000 - 300)
+        node, queued = storage_node(scheduler), queued_request(scheduler, 1)
+        node.latency = None
+        scheduler.placement.enqueue(queued, node, 0)
+        self.assertEqual(queued.tag, 3000 - 300)
 
     def follower_of(self, slack, units=2.0, key=5, volume=1):
         scheduler, _ = make_scheduler()
-        at, last = (
+        node, last = (
             storage_node(scheduler),
             queued_request(scheduler, 9, key=5, volume=1),
         )
-        at.last_served = last
+        node.last_served = last
         head, follower = (
             queued_request(scheduler, 1, volume=2),
             queued_request(scheduler, 2, key=key, volume=volume, units=units),
         )
         for each in (head, follower):
-            scheduler.placement.enqueue(each, at, 0)
-        return scheduler.edf.choose_next(at, head.tag - slack), head, follower
+            scheduler.placement.enqueue(each, node, 0)
+        return scheduler.edf.choose_next(node, head.tag - slack), head, follower
 
     def test_a_follower_of_key_or_volume_goes_before_a_head_that_is_not_due(self):
         for key, volume in ((5, 3), (6, 1)):
@@ -61,55 +61,55 @@
         chosen, head, _ = self.follower_of(1000, units=8.0)
         self.assertIs(chosen, head)
 
-    def test_one_slot_waits_for_a_follower_only_with_others_out(self):
+    def test_the_last_slot_waits_for_a_follower_only_with_attempts_in_flight(self):
         scheduler, effects = make_scheduler()
-        at = storage_node(scheduler)
-        scheduler.gate.send(queued_request(scheduler, 8, volume=3), at, 0)
-        at.window, at.last_served, at.follower_wait_until = (
+        node = storage_node(scheduler)
+        scheduler.gate.send(queued_request(scheduler, 8, volume=3), node, 0)
+        node.window, node.last_served, node.follower_wait_until = (
             2.0,
             queued_request(scheduler, 9, key=5),
             200,
         )
         head = queued_request(scheduler, 1, volume=2)
-        scheduler.placement.enqueue(head, at, 0)
-        self.assertIsNone(scheduler.edf.choose_next(at, 0))
-        self.assertEqual(effects.calls_of("set_timer")[-1], (200, at))
-        at.in_flight.clear()
-        self.assertIs(scheduler.edf.choose_next(at, 0), head)
+        scheduler.placement.enqueue(head, node, 0)
+        self.assertIsNone(scheduler.edf.choose_next(node, 0))
+        self.assertEqual(effects.calls_of("set_timer")[-1], (200, node))
+        node.in_flight.clear()
+        self.assertIs(scheduler.edf.choose_next(node, 0), head)
 
-    def test_background_leaves_while_the_deadline_queue_is_empty(self):
+    def test_background_requests_go_while_the_deadline_queue_is_empty(self):
         scheduler, _ = make_scheduler()
-        at, extra, due = (
+        node, background, due = (
             storage_node(scheduler),
             queued_request(scheduler, 1, volume=1),
             queued_request(scheduler, 2, volume=2),
         )
-        extra.is_reserved = False
-        scheduler.placement.enqueue(extra, at, 0)
-        self.assertIs(scheduler.edf.choose_next(at, 0), extra)
-        scheduler.placement.enqueue(due, at, 0)
-        self.assertIs(scheduler.edf.choose_next(at, 0), due)
+        background.is_reserved = False
+        scheduler.placement.enqueue(background, node, 0)
+        self.assertIs(scheduler.edf.choose_next(node, 0), background)
+        scheduler.placement.enqueue(due, node, 0)
+        self.assertIs(scheduler.edf.choose_next(node, 0), due)
 
     def surplus(self, scheduler, number):
-        one = queued_request(scheduler, number)
-        one.is_reserved = False
-        scheduler.placement.enqueue(one, scheduler.state.nodes[7], 0)
-        return one
+        queued = queued_request(scheduler, number)
+        queued.is_reserved = False
+        scheduler.placement.enqueue(queued, scheduler.state.nodes[7], 0)
+        return queued
 
     def test_a_volumes_surplus_waits_for_its_window_over_all_nodes(self):
         scheduler, _ = make_scheduler()
-        at = storage_node(scheduler)
-        one, two = self.surplus(scheduler, 1), self.surplus(scheduler, 2)
-        scheduler.gate.send(one, at, 0)
-        self.assertGreater(scheduler.surplus.wait_time(two, 0), 0)
+        node = storage_node(scheduler)
+        first, second = self.surplus(scheduler, 1), self.surplus(scheduler, 2)
+        scheduler.gate.send(first, node, 0)
+        self.assertGreater(scheduler.surplus.wait_time(second, 0), 0)
 
-    def test_crowded_answers_narrow_a_volumes_surplus_window_below_one_by_pauses(self):
+    def test_congestion_narrows_the_surplus_window_below_one_by_pauses(self):
         scheduler, _ = make_scheduler()
         storage_node(scheduler)
-        one = self.surplus(scheduler, 1)
-        scheduler.gate.send(one, one.node, 0)
-        scheduler.surplus.adjust_window(one.attempts[0], True, 1000)
-        self.assertLess(one.volume.surplus_window, 1)
+        queued = self.surplus(scheduler, 1)
+        scheduler.gate.send(queued, queued.node, 0)
+        scheduler.surplus.adjust_window(queued.attempts[0], True, 1000)
+        self.assertLess(queued.volume.surplus_window, 1)
         self.assertGreater(
             scheduler.surplus.wait_time(self.surplus(scheduler, 2), 1000), 0
         )
@@ -122,58 +122,63 @@
             [True, False],
         )
 
-    def test_the_rest_of_a_run_leaves_at_once_within_the_heads_slack(self):
+    def test_the_rest_of_a_batch_is_sent_at_once_within_the_heads_slack(self):
         scheduler, effects = make_scheduler()
-        at = storage_node(scheduler)
-        run = [queued_request(scheduler, number, key=5) for number in range(4)]
+        node = storage_node(scheduler)
+        batch = [queued_request(scheduler, number, key=5) for number in range(4)]
         head = queued_request(scheduler, 9, volume=2)
-        for each in run[1:] + [head]:
-            scheduler.placement.enqueue(each, at, 0)
-        scheduler.edf.dispatch_batch(at, run[0], head.tag - 500)
+        for each in batch[1:] + [head]:
+            scheduler.placement.enqueue(each, node, 0)
+        scheduler.edf.dispatch_batch(node, batch[0], head.tag - 500)
         self.assertEqual([sent[0] for sent in effects.calls_of("send_attempt")], [1, 2])
 
-    def test_what_cannot_leave_in_time_goes_behind_least_worthy_first(self):
+    def test_late_requests_of_the_lowest_weight_move_to_the_background(self):
         scheduler, effects = make_scheduler()
-        at = storage_node(scheduler)
-        held = [queued_request(scheduler, number, units=8.0) for number in range(3)]
-        for each, utility in zip(held, (1.0, 0.5, 1.0)):
-            each.is_reserved, each.weight = True, utility
-            scheduler.placement.enqueue(each, at, 0)
-        scheduler.edf.shed_late_requests(at, 0)
+        node = storage_node(scheduler)
+        requests = [queued_request(scheduler, number, units=8.0) for number in range(3)]
+        for each, weight in zip(requests, (1.0, 0.5, 1.0)):
+            each.is_reserved, each.weight = True, weight
+            scheduler.placement.enqueue(each, node, 0)
+        scheduler.edf.shed_late_requests(node, 0)
         self.assertEqual(
-            [held[0].queue, held[1].queue], [at.deadline_queue, at.background_queue]
+            [requests[0].queue, requests[1].queue],
+            [node.deadline_queue, node.background_queue],
         )
         self.assertEqual(effects.calls_of("reject"), [])
 
-    def test_what_cannot_leave_within_the_client_timeout_is_rejected_at_once(self):
-        for best, declined in (
+    def test_requests_that_cannot_go_before_the_deadline_are_rejected(self):
+        for usual, rejected in (
             (2000.0, 1),
             (200.0, 3),
-        ):  # a crowded node keeps nothing late
+        ):  # a congested node keeps no late requests
             scheduler, effects = make_scheduler()
-            at = storage_node(scheduler)
-            at.unit_latency, at.usual_unit_latency, scheduler.estimator.unit_time = (
+            node = storage_node(scheduler)
+            (
+                node.unit_latency,
+                node.usual_unit_latency,
+                scheduler.estimator.unit_time,
+            ) = (
                 2000.0,
-                best,
+                usual,
                 2000.0,
             )
             for number in range(3):
                 scheduler.placement.enqueue(
-                    queued_request(scheduler, number, units=4.0), at, 0
+                    queued_request(scheduler, number, units=4.0), node, 0
                 )
-            scheduler.edf.shed_late_requests(at, 0)
-            self.assertEqual(len(effects.calls_of("reject")), declined, best)
+            scheduler.edf.shed_late_requests(node, 0)
+            self.assertEqual(len(effects.calls_of("reject")), rejected, usual)
 
-    def test_background_leaves_a_crowded_node_one_at_a_time(self):
+    def test_a_congested_node_gets_background_requests_one_at_a_time(self):
         scheduler, _ = make_scheduler()
-        at, extra = storage_node(scheduler), queued_request(scheduler, 1)
-        extra.is_reserved, at.window, at.usual_unit_latency = False, 3.0, 50.0
-        scheduler.placement.enqueue(extra, at, 0)
-        self.assertIs(scheduler.edf.choose_next(at, 0), extra)
-        scheduler.gate.send(queued_request(scheduler, 2), at, 0)
-        self.assertIsNone(scheduler.edf.choose_next(at, 0))
-
-    def test_a_clients_retry_counts_from_its_first_try(self):
+        node, background = storage_node(scheduler), queued_request(scheduler, 1)
+        background.is_reserved, node.window, node.usual_unit_latency = False, 3.0, 50.0
+        scheduler.placement.enqueue(background, node, 0)
+        self.assertIs(scheduler.edf.choose_next(node, 0), background)
+        scheduler.gate.send(queued_request(scheduler, 2), node, 0)
+        self.assertIsNone(scheduler.edf.choose_next(node, 0))
+
+    def test_the_target_of_a_clients_retry_counts_from_its_first_try(self):
         scheduler, _ = make_scheduler()
         self.assertEqual(
             queued_request(
@@ -182,7 +187,7 @@
             3000,
         )
 
-    def test_a_retry_with_less_than_its_objective_left_is_a_short_try(self):
+    def test_a_retry_with_less_than_its_objective_left_counts_from_now(self):
         scheduler, _ = make_scheduler()
         self.assertEqual(
             queued_request(
@@ -191,77 +196,78 @@
             21_000,
         )
 
-    def test_the_window_widens_near_the_best_pace_and_narrows_far_from_it(self):
-        for latency, wider in ((380, True), (4000, False)):
+    def test_the_window_widens_near_the_usual_latency_only(self):
+        for latency, widens in ((380, True), (4000, False)):
             scheduler, _ = make_scheduler(gateway_count=8)
-            at, one = storage_node(scheduler), queued_request(scheduler, 1)
-            at.window = 2.0
-            scheduler.gate.send(one, at, 0)
-            at.in_flight[0].filled_window = True
+            node, queued = storage_node(scheduler), queued_request(scheduler, 1)
+            node.window = 2.0
+            scheduler.gate.send(queued, node, 0)
+            node.in_flight[0].filled_window = True
             scheduler.results.learn_from_success(
-                at.in_flight[0],
+                node.in_flight[0],
                 attempt_result(1, AttemptOutcome.SUCCEEDED, latency=latency),
                 400,
             )
-            self.assertEqual(at.window > 2.0, wider)
+            self.assertEqual(node.window > 2.0, widens)
 
 
-class Nodes(unittest.TestCase):
-    """Health, credit and where a new object goes."""
+class NodeState(unittest.TestCase):
+    """Node health, retry credit, backoff and the placement of new objects."""
 
-    def test_a_new_object_goes_where_credit_is_left_and_the_load_is_least(self):
+    def test_a_new_object_goes_to_the_least_loaded_node_with_credit(self):
         scheduler, _ = make_scheduler()
-        slow, quick, spent = (
+        slow, fast, spent = (
             storage_node(scheduler, 1),
             storage_node(scheduler, 2),
             storage_node(scheduler, 3),
         )
-        slow.load_factor, quick.load_factor, spent.load_factor, spent.retry_credit = (
+        slow.load_factor, fast.load_factor, spent.load_factor, spent.retry_credit = (
             2.0,
             0.5,
             0.1,
             0,
         )
         scheduler.gate.send(queued_request(scheduler, 8, shard=0), spent, 0)
-        one = queued_request(scheduler, 1, shard=None)
-        self.assertTrue(scheduler.placement.place(one, 0))
-        self.assertEqual((one.node, quick.retry_credit), (quick, MAX_RETRY_CREDIT - 1))
+        queued = queued_request(scheduler, 1, shard=None)
+        self.assertTrue(scheduler.placement.place(queued, 0))
+        self.assertEqual((queued.node, fast.retry_credit), (fast, MAX_RETRY_CREDIT - 1))
 
-    def test_what_is_out_at_a_node_counts_as_load(self):
+    def test_attempts_in_flight_count_as_load(self):
         scheduler, _ = make_scheduler()
-        at = storage_node(scheduler)
-        scheduler.gate.send(queued_request(scheduler, 1), at, 0)
+        node = storage_node(scheduler)
+        scheduler.gate.send(queued_request(scheduler, 1), node, 0)
         self.assertGreater(
-            scheduler.estimator.load_factor(at),
+            scheduler.estimator.load_factor(node),
             scheduler.estimator.load_factor(storage_node(scheduler, 8)),
         )
 
-    def test_a_silent_node_proves_itself(self):
+    def test_an_unresponsive_node_recovers_by_responding_in_time(self):
         scheduler, _ = make_scheduler(gateway_count=8)
-        at = storage_node(scheduler)
-        at.window = 9.0
-        scheduler.outliers.on_node_event(at, NodeEvent.ATTEMPT_FAILED, 100)
+        node = storage_node(scheduler)
+        node.window = 9.0
+        scheduler.outliers.on_node_event(node, NodeEvent.ATTEMPT_FAILED, 100)
         self.assertEqual(
-            (at.health, at.window, at.retry_credit), (NodeHealth.RECOVERING, 1.0, 1)
+            (node.health, node.window, node.retry_credit),
+            (NodeHealth.RECOVERING, 1.0, 1),
         )
-        scheduler.outliers.on_node_event(at, NodeEvent.RESPONDED_IN_TIME, 1000)
-        self.assertIs(at.health, NodeHealth.HEALTHY)
+        scheduler.outliers.on_node_event(node, NodeEvent.RESPONDED_IN_TIME, 1000)
+        self.assertIs(node.health, NodeHealth.HEALTHY)
 
-    def test_a_recovering_node_gets_the_worthiest_first(self):
+    def test_a_recovering_node_gets_the_most_valuable_request_first(self):
         scheduler, _ = make_scheduler()
-        at = storage_node(scheduler)
-        at.health = NodeHealth.RECOVERING
+        node = storage_node(scheduler)
+        node.health = NodeHealth.RECOVERING
         first, second = (
             queued_request(scheduler, 1),
             queued_request(scheduler, 2, volume=2),
         )
         second.weight = 5.0
         for each in (first, second):
-            scheduler.placement.enqueue(each, at, 0)
-        self.assertIs(scheduler.edf.choose_next(at, 0), second)
+            scheduler.placement.enqueue(each, node, 0)
+        self.assertIs(scheduler.edf.choose_next(node, 0), second)
 
     def test_an_attempt_times_out_after_some_latencies_but_not_before_its_target(self):
-        for repeats, reserved, failures, now, timeout in (
+        for safety, reserved, failures, now, timeout in (
             (RetrySafety.IDEMPOTENT, True, 0, 0, 3000),
             (RetrySafety.IDEMPOTENT, True, 0, 1000, 2400),
             (RetrySafety.IDEMPOTENT, False, 0, 1000, 2000),
@@ -269,16 +275,14 @@
             (RetrySafety.IDEMPOTENT, True, 1, 4000, 2400),
             (RetrySafety.NON_IDEMPOTENT, True, 0, 0, 0),
         ):
-            scheduler, effects = make_scheduler({"retry_safety": repeats})
-            at, one = storage_node(scheduler), queued_request(scheduler, 1)
-            at.failures, one.is_reserved = failures, reserved
-            scheduler.gate.send(one, at, now)
+            scheduler, effects = make_scheduler({"retry_safety": safety})
+            node, queued = storage_node(scheduler), queued_request(scheduler, 1)
+            node.failures, queued.is_reserved = failures, reserved
+            scheduler.gate.send(queued, node, now)
             self.assertEqual(effects.calls_of("send_attempt"), [(1, 7, timeout)])
 
-    def test_a_first_attempt_is_lost_sooner_where_its_target_leaves_time_for_another(
-        self,
-    ):
-        for latency, number, credit, timeout, final in (
+    def test_a_first_attempt_times_out_early_if_there_is_time_for_another(self):
+        for latency, number, credit, timeout, is_final in (
             (400.0, 0, 2, 2400, False),
             (None, 0, 2, 6000, True),
             (600.0, 0, 2, 6000, True),
@@ -286,100 +290,106 @@
             (400.0, 0, 0, 6000, True),
         ):
             scheduler, effects = make_scheduler()
-            at, one = (
+            node, queued = (
                 storage_node(scheduler),
                 queued_request(scheduler, 1, deadline=50_000),
             )
-            one.target, one.is_reserved, at.latency, at.wait, at.retry_credit = (
+            (
+                queued.target,
+                queued.is_reserved,
+                node.latency,
+                node.wait,
+                node.retry_credit,
+            ) = (
                 6000,
                 False,
                 latency,
                 0.0,
                 credit,
             )
-            one.attempts = [None] * number
-            scheduler.gate.send(one, at, 0)
+            queued.attempts = [None] * number
+            scheduler.gate.send(queued, node, 0)
             self.assertEqual(
-                (effects.calls_of("send_attempt")[-1][2], at.in_flight[0].is_final),
-                (timeout, final),
+                (effects.calls_of("send_attempt")[-1][2], node.in_flight[0].is_final),
+                (timeout, is_final),
                 (latency, number, credit),
             )
 
     def test_surplus_that_timed_out_at_its_target_is_rejected_at_once(self):
         scheduler, effects = make_scheduler()
-        one = queued_request(scheduler, 1)
-        one.is_reserved = False
-        scheduler.gate.send(one, storage_node(scheduler), 0)
+        queued = queued_request(scheduler, 1)
+        queued.is_reserved = False
+        scheduler.gate.send(queued, storage_node(scheduler), 0)
         scheduler.on_attempt_result(
             3000, attempt_result(1, AttemptOutcome.TIMED_OUT, latency=3000)
         )
         self.assertEqual(effects.calls_of("reject"), [(1, 5000)])
 
-    def test_attempts_that_come_to_nothing_make_a_node_back_off_longer_each_time(self):
+    def test_each_failed_attempt_lengthens_the_backoff(self):
         for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.REJECTED):
             scheduler, _ = make_scheduler()
-            at, rests = storage_node(scheduler), []
+            node, backoffs = storage_node(scheduler), []
             scheduler.state.random.uniform = lambda low, high: 1.0
             for number in range(2):
                 scheduler.gate.send(
-                    queued_request(scheduler, number), at, at.backoff_until
+                    queued_request(scheduler, number), node, node.backoff_until
                 )
-                now = at.backoff_until + 400
+                now = node.backoff_until + 400
                 scheduler.on_attempt_result(now, attempt_result(number, outcome))
-                rests.append(at.backoff_until - now)
-            self.assertEqual(rests, [400, 1200])
+                backoffs.append(node.backoff_until - now)
+            self.assertEqual(backoffs, [400, 1200])
 
-    def test_an_attempt_lost_alone_at_a_node_heard_of_late_is_no_failure(self):
-        for heard, silent, outcome, failures, health in (
+    def test_an_isolated_loss_at_a_responsive_node_is_no_failure(self):
+        for responded_at, unanswered_at, outcome, failures, health in (
             (1000, 0, AttemptOutcome.TIMED_OUT, 0, NodeHealth.HEALTHY),
             (0, 0, AttemptOutcome.TIMED_OUT, 1, NodeHealth.RECOVERING),
             (1000, 1500, AttemptOutcome.RESET, 1, NodeHealth.RECOVERING),
             (1000, 0, AttemptOutcome.REJECTED, 1, NodeHealth.HEALTHY),
         ):
             scheduler, _ = make_scheduler()
-            at, scheduler.estimator.shortest_objective = storage_node(scheduler), 100
-            scheduler.gate.send(queued_request(scheduler, 1), at, 1500)
-            at.last_response_at, at.last_unanswered_at = heard, silent
+            node, scheduler.estimator.shortest_objective = storage_node(scheduler), 100
+            scheduler.gate.send(queued_request(scheduler, 1), node, 1500)
+            node.last_response_at, node.last_unanswered_at = responded_at, unanswered_at
             scheduler.on_attempt_result(1900, attempt_result(1, outcome, latency=400))
             self.assertEqual(
-                (at.failures, at.health), (failures, health), (heard, silent, outcome)
+                (node.failures, node.health),
+                (failures, health),
+                (responded_at, unanswered_at, outcome),
             )
 
-    def test_a_reset_that_comes_at_once_is_lost_alone_where_the_node_was_heard_within_objectives(
-        self,
-    ):
+    def test_an_immediate_reset_is_isolated_if_the_node_responded_recently(self):
         scheduler, _ = make_scheduler()
-        at, scheduler.estimator.shortest_objective = storage_node(scheduler), 1000
-        scheduler.gate.send(queued_request(scheduler, 1), at, 2500)
-        at.last_response_at = 1000
+        node, scheduler.estimator.shortest_objective = storage_node(scheduler), 1000
+        scheduler.gate.send(queued_request(scheduler, 1), node, 2500)
+        node.last_response_at = 1000
         scheduler.on_attempt_result(
             2501, attempt_result(1, AttemptOutcome.RESET, latency=1)
         )
-        self.assertEqual((at.failures, at.health), (0, NodeHealth.HEALTHY))
+        self.assertEqual((node.failures, node.health), (0, NodeHealth.HEALTHY))
 
-    def test_a_lost_attempt_frees_its_slot_and_may_go_again(self):
+    def test_a_timed_out_attempt_frees_its_slot_and_may_be_retried(self):
         scheduler, _ = make_scheduler()
-        at, one = storage_node(scheduler), queued_request(scheduler, 1)
-        scheduler.placement.enqueue(one, at, 0)
-        scheduler.gate.send(one, at, 0)
+        node, queued = storage_node(scheduler), queued_request(scheduler, 1)
+        scheduler.placement.enqueue(queued, node, 0)
+        scheduler.gate.send(queued, node, 0)
         scheduler.on_attempt_result(2400, attempt_result(1, AttemptOutcome.TIMED_OUT))
         self.assertEqual(
             (
-                at.in_flight,
+                node.in_flight,
                 scheduler.state.unplaced[-1],
-                scheduler.gate.wait_time(one, at, 2400),
+                scheduler.gate.wait_time(queued, node, 2400),
             ),
-            ([], one, 0),
+            ([], queued, 0),
         )
 
-    def test_a_shard_without_a_node_waits_for_the_one_that_replaces_it(self):
+    def test_requests_for_a_shard_without_nodes_wait_for_a_new_node(self):
         scheduler, _ = make_scheduler()
-        one = queued_request(scheduler, 1, shard=4)
-        self.assertFalse(scheduler.placement.place(one, 0))
+        queued = queued_request(scheduler, 1, shard=4)
+        self.assertFalse(scheduler.placement.place(queued, 0))
         storage_node(scheduler, 5, shard=4)
-        self.assertTrue(scheduler.placement.place(one, 10))
+        self.assertTrue(scheduler.placement.place(queued, 10))
 
-    def test_taking_a_request_sends_nothing_before_dispatching(self):
+    def test_a_request_is_not_sent_before_the_next_dispatch(self):
         scheduler, effects = make_scheduler()
         storage_node(scheduler)
         scheduler.on_request(0, request(1))
--- a/tests/scheduler/test_settings_layouts.py
+++ b/tests/scheduler/test_settings_layouts.py
@@ -1,4 +1,4 @@
-"""Settings of shapes that no deployment at hand has, from the first message to what the scheduler does with them."""
+"""Settings with unusual or missing parts, from parsing to the scheduler's behaviour."""
 
 import unittest
 
@@ -18,10 +18,10 @@
 )
 
 
-class Rules(unittest.TestCase):
-    """What the rules rest on where a setting is missing."""
+class MissingRuleSettings(unittest.TestCase):
+    """How the scheduler's rules hold where a setting is missing."""
 
-    def test_a_key_keeps_its_order_where_no_tick_is_told(self):
+    def test_a_key_keeps_its_order_without_a_timer_resolution(self):
         scheduler, _ = make_scheduler(
             resolution_ns=None, classes=request_class(sequential=True)
         )
@@ -32,18 +32,20 @@
             scheduler.ordering.wait_time(scheduler.state.requests[2], 0), 0
         )
 
-    def test_a_limit_is_parted_among_all_where_a_volumes_gateways_are_not_told(self):
-        for told, parts in ((0, 4), (1, 1), (3, 3)):
+    def test_a_limit_is_shared_by_all_gateways_if_a_volumes_are_unknown(self):
+        for sharing_gateways, divisor in ((0, 4), (1, 1), (3, 3)):
             scheduler, _ = make_scheduler(
                 plans=[{"name": "p", "ceiling_rate": 8.0, "most_at_once": 8.0}]
             )
             scheduler.on_request(
-                100_000, request(1, sharing_gateways=told, deadline=200_000)
+                100_000, request(1, sharing_gateways=sharing_gateways, deadline=200_000)
             )
             scheduler.rate_limiter.wait_time(scheduler.state.requests[1], 100_000)
-            self.assertAlmostEqual(scheduler.volumes.by_id[1].limit.level, 8.0 / parts)
+            self.assertAlmostEqual(
+                scheduler.volumes.by_id[1].limit.level, 8.0 / divisor
+            )
 
-    def test_a_budget_without_a_span_still_holds(self):
+    def test_a_retry_budget_without_a_window_still_holds(self):
         scheduler, _ = make_scheduler(rules={"resend_span_ns": 0, "further_ratio": 0.1})
         scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
         scheduler.on_request(0, request(1))
@@ -55,25 +57,30 @@
             0,
         )
 
-    def test_the_list_is_asked_for_unless_the_settings_say_that_it_is_pushed(self):
-        for mode, asked in (("pushed", 0), ("on_request", 1), ("polled", 1), (None, 1)):
+    def test_the_endpoint_list_is_watched_unless_it_is_pushed(self):
+        for mode, watches in (
+            ("pushed", 0),
+            ("on_request", 1),
+            ("polled", 1),
+            (None, 1),
+        ):
             _, effects = make_scheduler(membership_mode=mode)
-            self.assertEqual(len(effects.calls_of("watch_endpoints")), asked, mode)
+            self.assertEqual(len(effects.calls_of("watch_endpoints")), watches, mode)
 
-    def test_a_failed_watch_waits_between_calls_where_no_span_is_told(self):
+    def test_failed_watches_are_paced_without_a_configured_time(self):
         scheduler, effects = make_scheduler(rules={"ask_within_ns": None})
         for _ in range(3):
             scheduler.on_endpoints(0, EndpointUpdateKind.FAILED, [])
             scheduler.on_timer(0, TimerToken.RENEW_WATCH)
-        at = [
-            when
-            for when, what in effects.calls_of("set_timer")
-            if what == TimerToken.RENEW_WATCH
+        timer_times = [
+            timer_time
+            for timer_time, token in effects.calls_of("set_timer")
+            if token == TimerToken.RENEW_WATCH
         ]
-        self.assertGreater(at[1], 0)
-        self.assertLessEqual(max(at), 20_000)  # the longest patience
+        self.assertGreater(timer_times[1], 0)
+        self.assertLessEqual(max(timer_times), 20_000)  # the longest client timeout
 
-    def test_a_cold_node_without_a_stated_budget_gets_one_usual_request_a_turn(self):
+    def test_slow_start_without_a_budget_allows_one_mean_request(self):
         scheduler, _ = make_scheduler(extra={"cold_bears": None}, peers_total=1)
         scheduler.on_endpoints(
             20_000, EndpointUpdateKind.SNAPSHOT, [endpoint(7, started_at=20_000)]
@@ -96,7 +103,7 @@
             0,
         )
 
-    def test_without_a_rule_for_cold_nodes_none_is_held_back(self):
+    def test_without_slow_start_settings_no_request_is_held_back(self):
         for rules in ({"fall_multiple": None}, {"fall_ns": None}):
             scheduler, _ = make_scheduler(rules=rules)
             scheduler.on_endpoints(
@@ -112,10 +119,10 @@
             )
 
 
-class Absent(unittest.TestCase):
-    """What is not there, or is nothing: served with that feature off."""
+class MissingSettings(unittest.TestCase):
+    """Missing or empty settings turn off the feature that they configure."""
 
-    def test_without_plans_requests_are_taken_under_the_plainest(self):
+    def test_without_service_plans_requests_use_a_default_plan(self):
         for plans in ([], None):
             scheduler, effects = make_scheduler(plans=plans)
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
@@ -123,7 +130,7 @@
             scheduler.dispatch_pending(0)
             self.assertEqual(len(effects.calls_of("send_attempt")), 1)
 
-    def test_where_no_plan_has_a_reserve_all_go_by_their_objectives(self):
+    def test_usual_rates_stand_in_for_reserves_if_no_plan_has_one(self):
         for plans, reserved in (
             ([{}], True),
             ([{}, {"guaranteed": 1.0}], False),
@@ -136,7 +143,7 @@
                 scheduler.on_request(0, request(number, units=8.0))
             self.assertEqual(scheduler.state.requests[8].is_reserved, reserved)
 
-    def test_a_request_without_units_counts_as_a_usual_one(self):
+    def test_a_request_without_valid_units_counts_as_a_mean_one(self):
         for units in (0.0, -1.0, float("nan"), float("inf")):
             scheduler, _ = make_scheduler()
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
@@ -149,18 +156,21 @@
             )
             self.assertEqual(scheduler.state.nodes[7].unit_latency, 200.0)
 
-    def test_one_time_of_a_request_class_stands_for_the_other(self):
-        for given, both in (
+    def test_a_missing_objective_or_client_timeout_is_taken_from_the_other(self):
+        for overrides, expected in (
             ({"aim_ns": None}, 20_000),
             ({"hard_limit_ns": None}, 5_000),
             ({"aim_ns": 0}, 20_000),
         ):
-            one = config_from_settings(
-                settings(classes=request_class(**given))
+            first_class = config_from_settings(
+                settings(classes=request_class(**overrides))
             ).request_classes[0]
-            self.assertEqual((one.latency_objective, one.client_timeout), (both, both))
+            self.assertEqual(
+                (first_class.latency_objective, first_class.client_timeout),
+                (expected, expected),
+            )
 
-    def test_a_stretched_target_grows_with_the_work(self):
+    def test_objective_stretch_extends_the_target_by_the_work(self):
         scheduler, _ = make_scheduler(classes=request_class(aim_stretch=3.0))
         scheduler.estimator.unit_time = 100.0
         for number, units, target in (
@@ -171,7 +181,7 @@
             scheduler.on_request(0, request(number, units=units))
             self.assertEqual(scheduler.state.requests[number].target, target)
 
-    def test_sizes_that_follow_load_say_nothing_of_what_a_node_can_do(self):
+    def test_sizes_that_follow_load_are_not_taken_as_capacity(self):
         for weights, size in (("live", 1), ("nominal", 0.25)):
             scheduler, _ = make_scheduler(weights=weights)
             entry = endpoint(7)
@@ -179,7 +189,7 @@
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [entry])
             self.assertEqual(scheduler.state.nodes[7].size, size)
 
-    def test_an_absurd_size_counts_as_one(self):
+    def test_an_invalid_size_counts_as_one(self):
         for size in (0.0, -1.0, float("nan"), float("inf")):
             scheduler, _ = make_scheduler()
             entry = endpoint(7)
@@ -187,7 +197,7 @@
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [entry])
             self.assertEqual(scheduler.state.nodes[7].size, 1)
 
-    def test_a_node_at_home_is_preferred_where_crossing_costs(self):
+    def test_a_node_of_the_same_zone_is_preferred_if_crossing_zones_costs(self):
         scheduler, _ = make_scheduler(fees={"cross_zone": 0.02}, zone=1)
         scheduler.on_endpoints(
             0, EndpointUpdateKind.SNAPSHOT, [endpoint(7), endpoint(8, zone=1)]
@@ -199,11 +209,11 @@
                 scheduler.state.requests[number].node, scheduler.state.nodes[8]
             )
 
-    def test_what_no_setting_tells_of_costs_only_itself(self):
-        for strange in ({"request_class": 9}, {"service_plan": 9}):
+    def test_a_request_of_an_unknown_class_or_plan_is_rejected_alone(self):
+        for unknown in ({"request_class": 9}, {"service_plan": 9}):
             scheduler, effects = make_scheduler()
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
-            scheduler.on_request(0, request(1, **strange))
+            scheduler.on_request(0, request(1, **unknown))
             scheduler.on_request(0, request(2))
             scheduler.dispatch_pending(0)
             self.assertEqual(
@@ -214,7 +224,7 @@
                 ([(1, 0)], [2]),
             )
 
-    def test_news_of_what_was_never_heard_of_costs_nothing(self):
+    def test_events_about_unknown_nodes_and_requests_are_ignored(self):
         scheduler, effects = make_scheduler()
         scheduler.on_endpoints(
             0,
@@ -231,35 +241,35 @@
             [sent[:2] for sent in effects.calls_of("send_attempt")], [(1, 7)]
         )
 
-    def test_nothing_is_kept_to_be_late_where_late_answers_have_no_weight(self):
-        for late, service_plan, kept in (
+    def test_late_requests_are_kept_only_if_late_answers_have_weight(self):
+        for late_value, service_plan, queued in (
             (0.2, {"guaranteed": 90.0}, 1),
             (0.0, {"guaranteed": 90.0}, 0),
             (0.2, {}, 0),
         ):
             scheduler, effects = make_scheduler(
-                classes=request_class(late_value=late), plans=[service_plan]
+                classes=request_class(late_value=late_value), plans=[service_plan]
             )
             scheduler.on_endpoints(0, EndpointUpdateKind.SNAPSHOT, [endpoint(7)])
             scheduler.on_request(0, request(1))
             scheduler.state.nodes[
                 7
-            ].backoff_until = 6_000  # behind its target, before its client's time
+            ].backoff_until = 6_000  # after its target, before its client's deadline
             scheduler.dispatch_pending(0)
             self.assertEqual(
                 (
                     len(scheduler.state.nodes[7].background_queue),
                     len(effects.calls_of("reject")),
                 ),
-                (kept, 1 - kept),
+                (queued, 1 - queued),
             )
 
 
-class Words(unittest.TestCase):
-    """What cannot be meant is one line that names its field."""
+class InvalidSettings(unittest.TestCase):
+    """Each invalid setting is reported in one line that names its field."""
 
-    def test_each_names_its_field(self):
-        for field, parts in (
+    def test_each_invalid_setting_is_reported_by_its_field(self):
+        for field, overrides in (
             ("classes[0].aim_ns", {"classes": request_class(aim_ns="soon")}),
             (
                 "classes[0].aim_ns",
@@ -280,27 +290,27 @@
             ("resolution_ns", {"resolution_ns": True}),
             ("report.fields", {"report": {"fields": [None]}}),
         ):
-            whole = {**settings(), "report": {}}
-            for name, part in parts.items():
-                whole[name] = (
-                    {**whole[name], **part} if isinstance(part, dict) else part
+            document = {**settings(), "report": {}}
+            for name, value in overrides.items():
+                document[name] = (
+                    {**document[name], **value} if isinstance(value, dict) else value
                 )
             with self.assertRaises(ValueError, msg=field) as caught:
-                config_from_settings(whole)
+                config_from_settings(document)
             self.assertTrue(
                 str(caught.exception).startswith(field + ":"), str(caught.exception)
             )
             self.assertNotIn("\n", str(caught.exception))
 
-    def test_unknown_names_are_found_and_missing_ones(self):
-        given = settings(limits={"burst": 3}, rules={"fall_ns": None})
-        given["classes"][0]["colour"] = given["shape"] = 1
+    def test_unknown_and_missing_settings_are_found(self):
+        document = settings(limits={"burst": 3}, rules={"fall_ns": None})
+        document["classes"][0]["colour"] = document["shape"] = 1
         self.assertEqual(
-            unknown_settings(given), ["shape", "classes.colour", "limits.burst"]
+            unknown_settings(document), ["shape", "classes.colour", "limits.burst"]
         )
         self.assertEqual(
             missing_settings(
-                given, ("rules.fall_ns", "rules.fall_multiple", "fees.waste", "tier")
+                document, ("rules.fall_ns", "rules.fall_multiple", "fees.waste", "tier")
             ),
             ["rules.fall_ns", "fees.waste", "tier"],
         )
--- a/tests/scheduler/test_slow_start_across_fleet.py
+++ b/tests/scheduler/test_slow_start_across_fleet.py
@@ -1,41 +1,42 @@
-"""Many schedulers in front of one node that has just come up.
+"""Load that many schedulers together put on one node which has just started.
 
-What they send it together (rule 4). Simulated time, no bench.
+The simulation runs on simulated time.
 """
 
 import unittest
 
 from milletsill.interface import EndpointUpdateKind, Request
 from tests.support.scheduler_builders import endpoint
-from tests.support.slow_start_fleet import Fleet
+from tests.support.slow_start_fleet import SlowStartFleet
 
 
-class ColdNode(unittest.TestCase):
-    """No gateway knows of another, and all together stay within what the node bears."""
+class WarmingUpNode(unittest.TestCase):
+    """Independent gateways together stay within what a warming-up node can serve."""
 
     def check(
         self,
         gateways,
         rate,
-        uses=0.0,
-        kinds=((1, True), (2, False), (3, True)),
+        min_budget_use=0.0,
+        seeds_and_evenness=((1, True), (2, False), (3, True)),
         **overrides,
     ):
-        plays = [
-            Fleet(seed, gateways, rate, even, **overrides).play()
-            for seed, even in kinds
+        runs = [
+            SlowStartFleet(seed, gateways, rate, is_even, **overrides).run()
+            for seed, is_even in seeds_and_evenness
         ]
-        for play in plays:
-            self.assertLessEqual(play.most(), 1.0, (gateways, play.even))
+        for run in runs:
+            self.assertLessEqual(run.peak_load_ratio(), 1.0, (gateways, run.is_even))
         self.assertGreater(
-            sum(play.used() for play in plays) / len(plays),
-            uses,
-            f"a guard that sends nothing, {gateways}",
+            sum(run.budget_use() for run in runs) / len(runs),
+            min_budget_use,
+            f"too little of the budget is used by gateways: {gateways}",
         )
 
     def test_two_hundred_gateways_and_little_traffic(self):
-        # Less than the 0.15 that N + 3 root N + 3 left room for: at N from 1 to 5.5 a
-        # draw may have 0.17 to 0.25 N, not 0.4.
+        # With an overload threshold of N + 2 sqrt(N) + 2 and N from 1 to 5.5, the draws
+        # may use 0.17 to 0.25 N rather than 0.4 N. The minimum use is therefore below
+        # the 0.15 that a threshold of N + 3 sqrt(N) + 3 allowed.
         self.check(
             200,
             40.0,
@@ -46,7 +47,7 @@
             slow_start_duration=150_000,
         )
 
-    def test_two_hundred_gateways_that_all_have_much_to_send(self):
+    def test_two_hundred_gateways_and_heavy_traffic(self):
         self.check(
             200,
             300.0,
@@ -90,8 +91,8 @@
         for gateways, units in ((5, 27.0), (5, 3.0), (12, 9.0), (40, 12.0)):
             self.check(gateways, 60.0, 0.12, slow_start_units=units, **overrides)
 
-    def test_few_gateways_and_a_node_quicker_than_promised(self):
-        """What it answers is no leave to send it more than the settings let all together send."""
+    def test_few_gateways_and_a_node_faster_than_configured(self):
+        """Answers of a fast node do not raise the gateways' joint budget."""
         overrides = {
             "quick": 5.0,
             "slow_start_multiple": 3.0,
@@ -113,34 +114,39 @@
                 **overrides,
             )
 
-    def test_parts_that_pass_a_usual_request_while_the_node_warms(self):
-        """Draws at first, whole parts later.
+    def test_shares_that_exceed_a_mean_request_during_warm_up(self):
+        """Covers the switch from admission draws to whole shares.
 
-        Both sides of that switch and the windows over it.
+        The windows on both sides of the switch and across it are checked.
         """
         overrides = {
             "slow_start_multiple": 2.5,
             "slow_start_initial_fraction": 0.18,
             "slow_start_duration": 60_000,
         }
-        for gateways, units, quick, uses in (
+        for gateways, units, node_speed, min_budget_use in (
             (12, 9.0, 1.0, 0.3),
             (20, 20.0, 5.0, 0.35),
             (30, 20.0, 1.0, 0.3),
             (30, 12.0, 5.0, 0.15),
         ):
             self.check(
-                gateways, 100.0, uses, quick=quick, slow_start_units=units, **overrides
+                gateways,
+                100.0,
+                min_budget_use,
+                node_speed=node_speed,
+                slow_start_units=units,
+                **overrides,
             )
 
-    def test_small_requests_where_a_part_is_below_a_usual_one(self):
+    def test_small_requests_where_a_share_is_below_a_mean_request(self):
         for gateways, units in ((30, 52.0), (60, 104.0)):
             self.check(
                 gateways,
                 10.0 * gateways,
                 0.3,
                 ((1, True), (3, True)),
-                largest=1,
+                max_units=1,
                 mean_request_units=4.0,
                 slow_start_units=units,
                 slow_start_multiple=2.5,
@@ -148,17 +154,17 @@
                 slow_start_duration=60_000,
             )
 
-    def test_connections_to_a_quick_node_that_come_up_late(self):
-        for gateways, units, way in ((5, 120.0, 10), (20, 80.0, 300)):
+    def test_late_connections_to_a_fast_node(self):
+        for gateways, units, max_transit in ((5, 120.0, 10), (20, 80.0, 300)):
             self.check(
                 gateways,
                 300.0,
                 0.5,
                 ((1, True), (2, True)),
-                quick=5.0,
-                way=way,
-                late=0.33,
-                told=200,
+                node_speed=5.0,
+                max_transit=max_transit,
+                late_connection_share=0.33,
+                announcement_span=200,
                 slow_start_units=units,
                 slow_start_multiple=2.5,
                 slow_start_initial_fraction=0.18,
@@ -166,7 +172,7 @@
             )
 
     def test_all_gateways_restart_at_once(self):
-        for gateways, units, uses in (
+        for gateways, units, min_budget_use in (
             (5, 27.0, 0.25),
             (20, 20.0, 0.25),
             (200, 12.0, 0.05),
@@ -174,32 +180,32 @@
             self.check(
                 gateways,
                 100.0,
-                uses,
+                min_budget_use,
                 ((1, True), (2, False)),
-                at_once=True,
-                quick=5.0,
+                restart_together=True,
+                node_speed=5.0,
                 slow_start_units=units,
                 slow_start_multiple=2.5,
                 slow_start_initial_fraction=0.18,
                 slow_start_duration=60_000,
             )
 
-    def test_new_objects_that_may_go_to_other_nodes_as_well(self):
-        for gateways, others in ((30, 4), (100, 1)):
+    def test_new_objects_that_other_nodes_may_also_take(self):
+        for gateways, other_nodes in ((30, 4), (100, 1)):
             self.check(
                 gateways,
                 200.0,
                 0.1,
                 ((1, True), (2, False)),
-                others=others,
-                new=0.5,
+                other_nodes=other_nodes,
+                new_object_share=0.5,
                 slow_start_units=8.0,
                 slow_start_multiple=2.5,
                 slow_start_initial_fraction=0.18,
                 slow_start_duration=60_000,
             )
 
-    def test_a_surge_and_clients_that_come_again_elsewhere(self):
+    def test_a_surge_with_clients_that_retry_at_other_gateways(self):
         overrides = {
             "surge": 3.0,
             "retries": 2,
@@ -215,7 +221,7 @@
             slow_start_duration=150_000,
             **overrides,
         )
-        for gateways, units, uses in (
+        for gateways, units, min_budget_use in (
             (5, 10.0, 0.2),
             (12, 10.0, 0.2),
             (20, 10.0, 0.15),
@@ -226,15 +232,15 @@
             self.check(
                 gateways,
                 60.0,
-                uses,
+                min_budget_use,
                 ((1, True), (2, False)),
                 slow_start_units=units,
                 slow_start_duration=60_000,
                 **overrides,
             )
 
-    def test_what_was_queued_before_the_start_was_known_stays(self):
-        fleet = Fleet(
+    def test_requests_queued_before_the_start_was_known_are_not_sent(self):
+        fleet = SlowStartFleet(
             1,
             200,
             0.001,
@@ -247,7 +253,7 @@
         fleet.events.clear()
         for at in range(0, 4000, 1000):
             for gateway in fleet.gateways:
-                fleet.now, id = 50_000 + at, next(fleet.numbers)
+                fleet.now, id = 50_000 + at, next(fleet.sequence)
                 fleet.units[id] = 2
                 gateway.scheduler.on_request(
                     fleet.now,
@@ -261,4 +267,4 @@
                 fleet.now, EndpointUpdateKind.SNAPSHOT, [endpoint(7, started_at=54_000)]
             )
             gateway.scheduler.dispatch_pending(fleet.now)
-        self.assertEqual(fleet.sent, [])
+        self.assertEqual(fleet.arrivals, [])
--- a/tests/support/scheduler_builders.py
+++ b/tests/support/scheduler_builders.py
@@ -1,7 +1,4 @@
-"""What the tests share.
-
-Configurations, effects that are kept, and short ways to build state.
-"""
+"""Configurations, recorded effects and builders of scheduler state for tests."""
 
 from __future__ import annotations
 
@@ -86,7 +83,7 @@
 
 
 class RecordedEffects:
-    """Effects that are kept in their order, and do nothing."""
+    """Records the calls of all effects in order, and does nothing else."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -95,7 +92,7 @@
         return lambda *values: self.calls.append((name, *values))
 
     def calls_of(self, name: str) -> list[tuple[Any, ...]]:
-        """What one effect was called with."""
+        """Return the arguments of each call of one effect."""
         return [call[1:] for call in self.calls if call[0] == name]
 
 
@@ -104,7 +101,7 @@
     plan: Mapping[str, Any] | None = None,
     **overrides: Any,
 ) -> tuple[Scheduler, RecordedEffects]:
-    """A scheduler whose one class, one plan and configuration have some fields changed."""
+    """Create a scheduler with some fields of class, plan and configuration changed."""
     effects = RecordedEffects()
     config = replace(
         CONFIG,
@@ -126,7 +123,7 @@
 
 
 def storage_node(scheduler: Scheduler, number: int = 7, **entry: Any) -> StorageNode:
-    """A node that serves and has answered before."""
+    """Add a node that is available and has answered before."""
     state = scheduler.state
     made = state.nodes[number] = StorageNode(endpoint(number, **entry), 2.0)
     state.shards.setdefault(made.shard, []).append(made)
@@ -156,7 +153,7 @@
 def queued_request(
     scheduler: Scheduler, number: int, now: int = 0, **given: Any
 ) -> QueuedRequest:
-    """A request that was taken and has no node yet."""
+    """Add a request that has arrived and has no node yet."""
     scheduler.on_request(now, request(number, **given))
     return scheduler.state.requests[number]
 
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -1,4 +1,7 @@
-"""Many schedulers in front of one node that has just come up, on a clock of the test's own."""
+"""Simulation of many schedulers that send to one node which has just started.
+
+It runs on a simulated clock in ticks of a tenth of a millisecond.
+"""
 
 import heapq
 from collections import deque
@@ -15,46 +18,56 @@
 from milletsill.scheduler import Scheduler
 from tests.support.scheduler_builders import CONFIG, endpoint
 
-STARTS, SECOND = 5_000, 10_000  # the node's start
-LATE = 9_000  # a connection that comes up late
+NODE_START, SECOND = 5_000, 10_000  # when the node starts, and a second, in ticks
+LATE_CONNECTION_DELAY = 9_000  # delay of a late connection, in ticks
 
 
-class Gateway:
+class SlowStartGateway:
     """One scheduler and its effects."""
 
     def __init__(self, fleet, index):
         self.fleet, self.attempts = fleet, {}
         self.scheduler = Scheduler(
             replace(fleet.config, gateway_index=index),
-            fleet.chance.getrandbits(32),
+            fleet.random.getrandbits(32),
             fleet.now,
             self,
         )
 
     def send_attempt(self, request_id, node, timeout):
         number = self.attempts[request_id] = self.attempts.get(request_id, -1) + 1
-        self.fleet.leaves(self, request_id, number, node, timeout)
+        self.fleet.on_attempt_sent(self, request_id, number, node, timeout)
 
     def set_timer(self, at, token):
-        self.fleet.at(at, lambda: self.scheduler.on_timer(self.fleet.now, token), self)
+        self.fleet.schedule(
+            at, lambda: self.scheduler.on_timer(self.fleet.now, token), self
+        )
 
     def reject(self, request_id, pause):
-        self.fleet.declined(request_id)
+        self.fleet.on_rejected(request_id)
 
-    def __getattr__(self, name):  # what else the scheduler does is not looked at
+    def __getattr__(self, name):  # ignores all other effects
         return lambda *values: None
 
 
-class Fleet:
-    """`even`: one share of the traffic for each gateway.
+class SlowStartFleet:
+    """Gateways, their clients, the node that warms up and other nodes.
 
-    Else a tenth of them have nine tenths. `surge`: so many times the traffic in the
-    middle third; `retries`: how often a client comes again, at another gateway, when it
-    was declined. `quick`: so many times what is promised the node does; `way`: the
-    longest way of an attempt to it; `late`: the share of gateways whose connection to
-    it comes up late; `told`: the span in which all are told of its start; `largest`: of
-    the requests; `others`: warm nodes beside it, where new objects, the share `new`,
-    may go; `at_once`: all restart in one second.
+    Attributes:
+        is_even: whether all gateways get equal traffic; otherwise a tenth of the
+            gateways get nine tenths of it.
+        surge_factor: multiplies the traffic in the middle third of the warm-up.
+        client_retries: how often a client retries a rejected request, at any gateway.
+        node_speed: the node's capacity as a multiple of the configured one.
+        max_transit: the longest time that an attempt takes to reach the node.
+        late_connection_share: the fraction of gateways whose connection to the node
+            comes up late.
+        announcement_span: the time within which all gateways learn of the node's start.
+        max_units: the units of the largest request.
+        other_nodes: the number of warm nodes that also take new objects.
+        new_object_share: the fraction of requests that are for new objects.
+        restart_together: whether all gateways restart within one second; otherwise half
+            of them restart at random times of the warm-up.
     """
 
     def __init__(
@@ -62,97 +75,119 @@
         seed,
         gateways,
         rate,
-        even,
-        surge=1.0,
-        retries=0,
-        quick=1.0,
-        way=0,
-        late=0.0,
-        told=SECOND,
-        largest=8,
-        others=0,
-        new=0.0,
-        at_once=False,
+        is_even,
+        surge_factor=1.0,
+        client_retries=0,
+        node_speed=1.0,
+        max_transit=0,
+        late_connection_share=0.0,
+        announcement_span=SECOND,
+        max_units=8,
+        other_nodes=0,
+        new_object_share=0.0,
+        restart_together=False,
         **overrides,
     ):
-        self.chance, self.now, self.events, self.numbers = Random(seed), 0, [], count()
+        self.random, self.now, self.events, self.sequence = Random(seed), 0, [], count()
         self.config = replace(CONFIG, gateway_count=gateways, **overrides)
-        self.retries, self.again, self.quick, self.way, self.late, self.new = (
-            retries,
+        (
+            self.client_retries,
+            self.retry_counts,
+            self.node_speed,
+            self.max_transit,
+            self.late_connection_share,
+            self.new_object_share,
+        ) = (
+            client_retries,
             {},
-            quick,
-            way,
-            late,
-            new,
+            node_speed,
+            max_transit,
+            late_connection_share,
+            new_object_share,
         )
-        self.endpoints = [endpoint(7, started_at=STARTS)] + [
-            endpoint(8 + each, shard=1 + each) for each in range(others)
+        self.endpoints = [endpoint(7, started_at=NODE_START)] + [
+            endpoint(8 + each, shard=1 + each) for each in range(other_nodes)
         ]
-        self.units, self.sent, self.busy_until, self.even, self.largest, self.met = (
+        (
+            self.units,
+            self.arrivals,
+            self.busy_until,
+            self.is_even,
+            self.max_units,
+            self.connected_gateways,
+        ) = (
             {},
             [],
-            STARTS,
-            even,
-            largest,
+            NODE_START,
+            is_even,
+            max_units,
             set(),
         )
-        self.gateways = [Gateway(self, each) for each in range(gateways)]
+        self.gateways = [SlowStartGateway(self, each) for each in range(gateways)]
         for index in range(gateways):
-            self.at(
-                STARTS + int(self.chance.uniform(0, told)),
-                lambda index=index: self.told(index),
+            self.schedule(
+                NODE_START + int(self.random.uniform(0, announcement_span)),
+                lambda index=index: self.announce_start(index),
             )
         warm = self.config.slow_start_duration
-        first, last = (warm // 2, warm // 2 + SECOND) if at_once else (0, warm)
-        for index in self.chance.sample(
-            range(gateways), gateways if at_once else gateways // 2
-        ):  # restarts inside the warm-up
-            self.at(
-                STARTS + int(self.chance.uniform(first, last)),
-                lambda index=index: self.restart(index),
+        first, last = (warm // 2, warm // 2 + SECOND) if restart_together else (0, warm)
+        for index in self.random.sample(
+            range(gateways), gateways if restart_together else gateways // 2
+        ):  # restarts within the warm-up
+            self.schedule(
+                NODE_START + int(self.random.uniform(first, last)),
+                lambda index=index: self.restart_gateway(index),
             )
-        at = 0.0
-        while at < STARTS + warm:
-            self.at(int(at), self.arrival)
-            at += (
-                self.chance.expovariate(
-                    rate * (surge if 1 / 3 < (at - STARTS) / warm < 2 / 3 else 1.0)
+        arrival_time = 0.0
+        while arrival_time < NODE_START + warm:
+            self.schedule(int(arrival_time), self.on_client_request)
+            arrival_time += (
+                self.random.expovariate(
+                    rate
+                    * (
+                        surge_factor
+                        if 1 / 3 < (arrival_time - NODE_START) / warm < 2 / 3
+                        else 1.0
+                    )
                 )
                 * SECOND
             )
 
-    def at(self, at, call, gateway=None):
+    def schedule(self, at, call, gateway=None):
         heapq.heappush(
-            self.events, (max(at, self.now), next(self.numbers), call, gateway)
+            self.events, (max(at, self.now), next(self.sequence), call, gateway)
         )
 
-    def told(self, index):
+    def announce_start(self, index):
         self.gateways[index].scheduler.on_endpoints(
             self.now, EndpointUpdateKind.DELTA, self.endpoints
         )
 
-    def restart(self, index):
-        self.gateways[index] = Gateway(self, index)
-        self.told(index)
+    def restart_gateway(self, index):
+        self.gateways[index] = SlowStartGateway(self, index)
+        self.announce_start(index)
 
-    def declined(self, request_id):
-        again = self.again.pop(request_id, 0)
-        if again < self.retries:
-            self.at(
-                self.now + int(self.chance.uniform(0, SECOND)),
-                lambda: self.arrival(again + 1),
+    def on_rejected(self, request_id):
+        retry_count = self.retry_counts.pop(request_id, 0)
+        if retry_count < self.client_retries:
+            self.schedule(
+                self.now + int(self.random.uniform(0, SECOND)),
+                lambda: self.on_client_request(retry_count + 1),
             )
 
-    def arrival(self, again=0):
-        some = (
+    def on_client_request(self, retry_count=0):
+        sending_gateways = (
             len(self.gateways)
-            if self.even or self.chance.random() < 0.1
+            if self.is_even or self.random.random() < 0.1
             else len(self.gateways) // 10 + 1
         )
-        gateway, id = self.gateways[self.chance.randrange(some)], next(self.numbers)
-        self.again[id] = again
-        self.units[id] = min(1 + int(self.chance.expovariate(1.0)), self.largest)
-        shard = None if self.chance.random() < self.new else 0
+        gateway, id = (
+            self.gateways[self.random.randrange(sending_gateways)],
+            next(self.sequence),
+        )
+        self.retry_counts[id] = retry_count
+        self.units[id] = min(1 + int(self.random.expovariate(1.0)), self.max_units)
+        shard = None if self.random.random() < self.new_object_share else 0
         gateway.scheduler.on_request(
             self.now,
             Request(
@@ -169,63 +204,76 @@
                 self.now + 15_000,
             ),
         )
-        self.at(self.now, lambda: None, gateway)
+        self.schedule(self.now, lambda: None, gateway)
 
-    def leaves(self, gateway, request_id, number, node, timeout):
-        """To the cold node it takes its way; any other answers after a while."""
-        sent = self.now
+    def on_attempt_sent(self, gateway, request_id, number, node, timeout):
+        """Deliver an attempt to the warming-up node after its transit time.
+
+        Other nodes answer after 500 ticks.
+        """
+        sent_at = self.now
         if node != 7:
-            return self.ends(gateway, request_id, number, node, sent, sent + 500)
-        way = int(self.chance.uniform(0, self.way))
-        if gateway not in self.met and self.chance.random() < self.late:
-            way = LATE
-        self.met.add(gateway)
-        self.at(
-            sent + way, lambda: self.reached(gateway, request_id, number, sent, timeout)
+            return self.schedule_result(
+                gateway, request_id, number, node, sent_at, sent_at + 500
+            )
+        transit = int(self.random.uniform(0, self.max_transit))
+        if (
+            gateway not in self.connected_gateways
+            and self.random.random() < self.late_connection_share
+        ):
+            transit = LATE_CONNECTION_DELAY
+        self.connected_gateways.add(gateway)
+        self.schedule(
+            sent_at + transit,
+            lambda: self.on_node_arrival(gateway, request_id, number, sent_at, timeout),
         )
 
-    def reached(self, gateway, request_id, number, sent, timeout):
-        """The node works off what comes at what the settings promise of it.
+    def on_node_arrival(self, gateway, request_id, number, sent_at, timeout):
+        """Serve an attempt at the configured capacity times `node_speed`.
 
         One answer in ten is lost.
         """
-        age, config = self.now - STARTS, self.config
-        self.sent.append((self.now, self.units[request_id]))
+        age, config = self.now - NODE_START, self.config
+        self.arrivals.append((self.now, self.units[request_id]))
         rate = (
             config.slow_start_units
             / config.slow_start_multiple
             / config.slow_start_window
-            * self.grown(age)
-            * self.quick
+            * self.budget_growth(age)
+            * self.node_speed
         )
         self.busy_until = max(self.busy_until, self.now) + int(
             self.units[request_id] / rate
         )
-        if self.chance.random() < 0.9 and self.busy_until < sent + (timeout or 1 << 40):
-            self.ends(gateway, request_id, number, 7, sent, self.busy_until)
+        if self.random.random() < 0.9 and self.busy_until < sent_at + (
+            timeout or 1 << 40
+        ):
+            self.schedule_result(
+                gateway, request_id, number, 7, sent_at, self.busy_until
+            )
         elif timeout:
-            self.ends(
+            self.schedule_result(
                 gateway,
                 request_id,
                 number,
                 7,
-                sent,
-                sent + timeout,
+                sent_at,
+                sent_at + timeout,
                 AttemptOutcome.TIMED_OUT,
             )
 
-    def ends(
+    def schedule_result(
         self,
         gateway,
         request_id,
         number,
         node,
-        sent,
+        sent_at,
         at,
         outcome=AttemptOutcome.SUCCEEDED,
     ):
         finished = outcome is AttemptOutcome.SUCCEEDED
-        self.at(
+        self.schedule(
             at,
             lambda: gateway.scheduler.on_attempt_result(
                 self.now,
@@ -235,7 +283,7 @@
                     node,
                     outcome,
                     finished,
-                    self.now - sent,
+                    self.now - sent_at,
                     None,
                     0,
                     {},
@@ -244,7 +292,7 @@
             gateway,
         )
 
-    def grown(self, age):
+    def budget_growth(self, age):
         return (
             1
             + (1 / self.config.slow_start_initial_fraction - 1)
@@ -252,45 +300,56 @@
             / self.config.slow_start_duration
         )
 
-    def play(self):
-        ends = STARTS + self.config.slow_start_duration
-        while self.events and self.events[0][0] < ends:
+    def run(self):
+        end = NODE_START + self.config.slow_start_duration
+        while self.events and self.events[0][0] < end:
             self.now, _, call, gateway = heapq.heappop(self.events)
             call()
             if gateway is not None:
                 gateway.scheduler.dispatch_pending(self.now)
         return self
 
-    def most(self):
-        """The most that came in one window, in parts of what fells a node.
+    def peak_load_ratio(self):
+        """Return the peak load of one window, as a fraction of the overload threshold.
 
-        More than N + 2 root N + 2 requests of mean work, N being what the settings let
-        all together send at the window's start. A small one counts as a mean one.
+        The node is overloaded by more than N + 2 sqrt(N) + 2 requests of mean work,
+        where N is what the settings allow all gateways together at the window's start.
+        A small request counts as a mean one.
         """
-        window, sent, most, mean = deque(), 0.0, 0.0, self.config.mean_request_units
-        for at, units in self.sent:
+        window, window_requests, peak, mean = (
+            deque(),
+            0.0,
+            0.0,
+            self.config.mean_request_units,
+        )
+        for at, units in self.arrivals:
             window.append((at, max(units / mean, 1.0)))
-            sent += window[-1][1]
+            window_requests += window[-1][1]
             while window[0][0] <= at - self.config.slow_start_window:
-                sent -= window.popleft()[1]
-            n = (
+                window_requests -= window.popleft()[1]
+            budget = (
                 self.config.slow_start_units
                 / mean
-                * self.grown(at - self.config.slow_start_window - STARTS)
+                * self.budget_growth(at - self.config.slow_start_window - NODE_START)
             )
-            most = max(most, sent / (n + 2 * n**0.5 + 2))
-        return most
+            peak = max(peak, window_requests / (budget + 2 * budget**0.5 + 2))
+        return peak
 
-    def used(self):
-        """What was sent over the warm-up, in parts of N."""
+    def budget_use(self):
+        """Return the requests sent over the warm-up, as a fraction of the budget."""
         config = self.config
-        n = (
+        budget = (
             config.slow_start_units
             / config.mean_request_units
-            * (1 + self.grown(config.slow_start_duration))
+            * (1 + self.budget_growth(config.slow_start_duration))
             / 2
         )
-        sent = sum(
-            max(units / config.mean_request_units, 1.0) for _, units in self.sent
+        sent_requests = sum(
+            max(units / config.mean_request_units, 1.0) for _, units in self.arrivals
+        )
+        return (
+            sent_requests
+            / budget
+            * config.slow_start_window
+            / config.slow_start_duration
         )
-        return sent / n * config.slow_start_window / config.slow_start_duration
