--- a/milletsill/scheduler/constants.py
+++ b/milletsill/scheduler/constants.py
@@ -17,7 +17,8 @@
 # MIN_WINDOW.
 SHARED_MIN_WINDOW = 9.0
 # The window widens while the smoothed latency per unit is below the first multiple of
-# the usual one. It narrows, and the node counts as congested, above the second.
+# the usual one. Above the second multiple the node counts as congested, and each
+# success multiplies its window by WINDOW_DECREASE.
 WIDEN_BELOW_LATENCY_RATIO = 1.5
 NARROW_ABOVE_LATENCY_RATIO = 2.0
 WINDOW_DECREASE = 0.95
@@ -79,7 +80,8 @@
 
 # Surplus of a volume (its requests beyond the reserve). An answer counts as congested
 # if it waited longer than CONGESTED_WAIT shortest latency objectives. It then
-# multiplies the volume's surplus window by SURPLUS_DECREASE, down to the minimum.
+# multiplies the volume's surplus window by SURPLUS_DECREASE, down to
+# MIN_SURPLUS_WINDOW.
 CONGESTED_WAIT = 1 / 4
 SURPLUS_DECREASE = 0.7
 MIN_SURPLUS_WINDOW = 1 / 16
--- a/milletsill/scheduler/lifecycle.py
+++ b/milletsill/scheduler/lifecycle.py
@@ -1,6 +1,6 @@
 """Each request gets exactly one final answer, in time (rule 1 in docs/design.md).
 
-Only this module rejects or fails a request.
+Only this module rejects or fails a request that the scheduler has accepted.
 """
 
 from milletsill.interface import AttemptOutcome, AttemptResult
--- a/milletsill/scheduler/records.py
+++ b/milletsill/scheduler/records.py
@@ -247,7 +247,7 @@
         backoff_until: nothing is sent to the node before this time.
         failures: the number of consecutive failures, up to a bound.
         failed_at: when the last failure was counted.
-        last_response_at: when the node last responded to this gateway.
+        last_response_at: when a result last showed that the node is alive.
         last_unanswered_at: when an attempt last ended without a response.
         timer_at: when its next timer is due.
         recent_sends: time and units of each send within the slow-start window.
