--- a/tests/scheduler/test_slow_start_across_fleet.py
+++ b/tests/scheduler/test_slow_start_across_fleet.py
@@ -94,7 +94,7 @@
     def test_few_gateways_and_a_node_faster_than_configured(self):
         """Answers of a fast node do not raise the gateways' joint budget."""
         overrides = {
-            "quick": 5.0,
+            "node_speed": 5.0,
             "slow_start_multiple": 3.0,
             "slow_start_initial_fraction": 0.19,
             "slow_start_duration": 100_000,
@@ -207,8 +207,8 @@
 
     def test_a_surge_with_clients_that_retry_at_other_gateways(self):
         overrides = {
-            "surge": 3.0,
-            "retries": 2,
+            "surge_factor": 3.0,
+            "client_retries": 2,
             "slow_start_multiple": 2.5,
             "slow_start_initial_fraction": 0.18,
         }
