--- a/tests/trace/test_trace_writer.py
+++ b/tests/trace/test_trace_writer.py
@@ -133,6 +133,7 @@
     def test_files_turn_over_by_size_and_the_oldest_go(self):
         writer = self.writer(max_file_bytes=2000, max_total_bytes=6000)
         writer.on_event(WriterEvent.START)
+        self.addCleanup(writer.on_event, WriterEvent.STOP)
         for each in range(20):
             for number in range(200):
                 writer.put(
