--- a/milletsill/trace/__init__.py
+++ b/milletsill/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Traces: a scheduler's events and effects, in compact files."""
+"""Traces: the recorded events and effects of a scheduler, in compact binary files."""
--- a/milletsill/trace/anonymise.py
+++ b/milletsill/trace/anonymise.py
@@ -1,4 +1,4 @@
-"""Replaces the names in a trace."""
+"""Anonymises a trace: replaces names by keyed digests and drops free text."""
 
 from __future__ import annotations
 
@@ -11,56 +11,59 @@
 from milletsill.trace.records import TraceRecord
 from milletsill.trace.trace_file import TraceFile
 
-DIGEST_LETTERS = 12
+DIGEST_HEX_DIGITS = 12
 MAX_CACHED_NAMES = 100_000
 KEPT_HEADER_FIELDS = ("seed", "opened", "wall_ms", "made")
-# Free text, which may hold names.
+# These kinds hold free text, which may contain names.
 DROPPED_KINDS = ("remark", "plan")
-# Places of the fields that hold names.
-ARRIVAL_VOLUME = 3
-ARRIVAL_PATH = 12
-COMMAND_VOLUME = 2
-COMMAND_REASON = 10
+# Indexes of the fields that hold names or free text.
+ARRIVAL_VOLUME_INDEX = 3
+ARRIVAL_PATH_INDEX = 12
+COMMAND_VOLUME_INDEX = 2
+COMMAND_REASON_INDEX = 10
 
 
 class NameHasher:
-    """Replaces names by keyed digests: equal names stay equal under one key."""
+    """Replaces names by keyed digests; equal names get equal digests under one key."""
 
     def __init__(self, key: bytes) -> None:
         self.key = key
         self.cache: dict[str, str] = {}
 
     def hash(self, name: str) -> str:
-        """Return what stands for a name."""
-        found = self.cache.get(name)
-        if found is None:
+        """Return the digest that replaces a name."""
+        digest = self.cache.get(name)
+        if digest is None:
             data = name.encode("utf-8", "surrogateescape")
-            found = hmac.new(self.key, data, blake2b_256).hexdigest()[:DIGEST_LETTERS]
+            digest = hmac.new(self.key, data, blake2b_256).hexdigest()[
+                :DIGEST_HEX_DIGITS
+            ]
             if len(self.cache) < MAX_CACHED_NAMES:
-                self.cache[name] = found
-        return found
+                self.cache[name] = digest
+        return digest
 
     def hash_path(self, path: str) -> str:
-        """Return what stands for a path; its depth stays."""
+        """Return a path with each component replaced by its digest."""
         return "/".join(self.hash(part) if part else "" for part in path.split("/"))
 
 
 def blake2b_256(data: bytes = b"") -> Any:
-    """Return a BLAKE2b hash of 256 bits, as `hmac` asks for it."""
+    """Return a 256-bit BLAKE2b hash object; `hmac` takes this as its `digestmod`."""
     return blake2b(data, digest_size=32)
 
 
 def anonymise_trace(
     source: str, out: str, key: bytes, progress: ProgressCallback | None = None
 ) -> int:
-    """Write a trace to the new file `out` without its names; return the records.
+    """Write a trace without its names to the new file `out`.
 
-    Names of volumes and parts of paths are replaced by digests, which nobody can
-    trace back without the key; remarks, plans and reasons are left out.
+    Digests replace volume names and path components; they cannot be reversed without
+    the key. Remarks, plans and reasons are omitted. The result is the number of records
+    written.
 
     Raises:
-        OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTraceError: where the source is no trace.
+        OSError: if a file cannot be read or written, or `out` exists.
+        MalformedTraceError: if the source is not a trace.
     """
     hasher = NameHasher(key)
     with TraceReader(source, progress) as reader:
@@ -70,7 +73,7 @@
 
 
 def anonymise_header(header: dict[str, Any], hasher: NameHasher) -> dict[str, Any]:
-    """Return a header without names: figures of the configuration stay."""
+    """Return a header without names; numbers of the configuration are kept."""
     kept: dict[str, Any] = {
         name: header[name] for name in KEPT_HEADER_FIELDS if name in header
     }
@@ -86,22 +89,22 @@
 
 
 def anonymise_entry(entry: Any, hasher: NameHasher) -> Any:
-    """Return an entry of a list in the configuration without its name."""
+    """Return an entry of a configuration list with its name replaced by a digest."""
     if isinstance(entry, dict) and "name" in entry:
         return {**entry, "name": hasher.hash(str(entry["name"]))}
     return entry
 
 
 def anonymise_records(reader: TraceReader, hasher: NameHasher) -> Iterator[TraceRecord]:
-    """Yield the records of a trace without names."""
+    """Yield the records of a trace with names replaced and free text dropped."""
     for at, kind, values in reader.records():
         if kind.name in DROPPED_KINDS:
             continue
         replaced = list(values)
         if kind.name == "arrival":
-            replaced[ARRIVAL_PATH] = hasher.hash_path(values[ARRIVAL_PATH])
-            replaced[ARRIVAL_VOLUME] = hasher.hash(values[ARRIVAL_VOLUME])
+            replaced[ARRIVAL_PATH_INDEX] = hasher.hash_path(values[ARRIVAL_PATH_INDEX])
+            replaced[ARRIVAL_VOLUME_INDEX] = hasher.hash(values[ARRIVAL_VOLUME_INDEX])
         elif kind.name == "command":
-            replaced[COMMAND_VOLUME] = hasher.hash(values[COMMAND_VOLUME])
-            replaced[COMMAND_REASON] = ""
+            replaced[COMMAND_VOLUME_INDEX] = hasher.hash(values[COMMAND_VOLUME_INDEX])
+            replaced[COMMAND_REASON_INDEX] = ""
         yield at, kind, tuple(replaced)
--- a/milletsill/trace/block_body.py
+++ b/milletsill/trace/block_body.py
@@ -1,4 +1,4 @@
-"""The body of a block: its records as columns, one for each field of each kind."""
+"""Encodes and decodes the body of a block: one column for each field of each kind."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     TraceRecord,
 )
 
-# Number of the kind and of the field that the column after it belongs to.
+# Kind number and field number of the column that follows.
 FIELD_HEADER = Struct("<BB")
 
 FieldColumns = dict[int, dict[int, ColumnValues]]
 
 
 def encode_body(records: Sequence[TraceRecord]) -> bytes:
-    """Encode the records, in their order."""
+    """Encode the records of a block in the given order."""
     parts = [
         encode_column([kind.number for _, kind, _ in records], PLAIN),
         encode_column([at for at, _, _ in records], STEP),
@@ -39,10 +39,10 @@
     for number, rows in sorted(by_kind.items()):
         fields = BY_NUMBER[number].fields
         columns = zip(*rows, strict=False)
-        for place, ((_, coding), column) in enumerate(
+        for field_number, ((_, coding), column) in enumerate(
             zip(fields, columns, strict=False), 1
         ):
-            parts.append(FIELD_HEADER.pack(number, place))
+            parts.append(FIELD_HEADER.pack(number, field_number))
             parts.append(encode_column(column, coding))
     return b"".join(parts)
 
@@ -50,20 +50,23 @@
 def decode_body(
     raw: bytes, record_count: int, kinds: frozenset[int] | None = None
 ) -> Iterator[TraceRecord]:
-    """Yield the records of known kinds, in their order; only of `kinds` where given.
+    """Yield the records of known kinds in stored order.
+
+    `kinds` restricts the result to those kind numbers; None yields all known kinds.
 
     Raises:
-        MalformedColumnError: where the columns are not those of so many records.
+        MalformedColumnError: if the columns do not hold `record_count` records.
     """
-    number_column, at = decode_column(raw, 0)
-    time_column, at = decode_column(raw, at)
+    number_column, offset = decode_column(raw, 0)
+    time_column, offset = decode_column(raw, offset)
     numbers = cast(list[int], number_column)
     times = cast(list[int], time_column)
     if len(numbers) != record_count or len(times) != record_count:
         raise MalformedColumnError(
-            f"{len(numbers)} kinds and {len(times)} times of {record_count} records"
+            f"a block of {record_count} records has {len(numbers)} kinds "
+            f"and {len(times)} times"
         )
-    columns = decode_field_columns(raw, at, kinds)
+    columns = decode_field_columns(raw, offset, kinds)
     rows: dict[int, Iterator[tuple[Any, ...]]] = {}
     counts = {number: numbers.count(number) for number in set(numbers)}
     for number, count in counts.items():
@@ -76,33 +79,37 @@
 
 
 def decode_field_columns(
-    raw: bytes, at: int, kinds: frozenset[int] | None
+    raw: bytes, offset: int, kinds: frozenset[int] | None
 ) -> FieldColumns:
-    """Return the columns from an offset on, by kind and field."""
+    """Return the columns from an offset to the end, by kind and field number."""
     columns: FieldColumns = {}
-    while at < len(raw):
-        if len(raw) - at < FIELD_HEADER.size:
-            raise MalformedColumnError("bytes left over")
-        number, place = FIELD_HEADER.unpack_from(raw, at)
-        at += FIELD_HEADER.size
+    while offset < len(raw):
+        if len(raw) - offset < FIELD_HEADER.size:
+            raise MalformedColumnError(
+                f"{len(raw) - offset} bytes left over behind the last column"
+            )
+        number, field_number = FIELD_HEADER.unpack_from(raw, offset)
+        offset += FIELD_HEADER.size
         if kinds is not None and number not in kinds:
-            at = skip_column(raw, at)
+            offset = skip_column(raw, offset)
             continue
-        column, at = decode_column(raw, at)
-        columns.setdefault(number, {})[place] = column
+        column, offset = decode_column(raw, offset)
+        columns.setdefault(number, {})[field_number] = column
     return columns
 
 
 def rows_of_kind(
     kind: RecordKind, count: int, columns: dict[int, ColumnValues]
 ) -> Iterator[tuple[Any, ...]]:
-    """Return the fields' values of each record of a kind, in their order."""
+    """Return the field values of each record of a kind, in stored order."""
     if not kind.fields:
         return iter([()] * count)
-    fields = [columns.get(place) for place in range(1, len(kind.fields) + 1)]
-    found = [column for column in fields if column is not None]
-    if len(found) != len(fields) or any(len(column) != count for column in found):
+    fields = [
+        columns.get(field_number) for field_number in range(1, len(kind.fields) + 1)
+    ]
+    present = [column for column in fields if column is not None]
+    if len(present) != len(fields) or any(len(column) != count for column in present):
         raise MalformedColumnError(
-            f"fields of {kind.name} are missing or of another length"
+            f"a field of kind {kind.name} is missing or does not have {count} values"
         )
-    return zip(*found, strict=True)
+    return zip(*present, strict=True)
--- a/milletsill/trace/clock_alignment.py
+++ b/milletsill/trace/clock_alignment.py
@@ -1,4 +1,4 @@
-"""Sets the clocks of several gateways' traces by the events that they share."""
+"""Aligns the clocks of several gateways' traces by the node changes they share."""
 
 from __future__ import annotations
 
@@ -7,54 +7,58 @@
 
 from milletsill.trace.records import TICKS_PER_SECOND
 
-# Between two gateways that hear of the same change: the time that the endpoint list
-# takes to reach them, not a difference of their clocks.
+# Two gateways may receive the same change this far apart because the endpoint list
+# takes time to reach them; such a distance is not treated as a clock difference.
 TOLERATED_OFFSET = TICKS_PER_SECOND
 
-# A change of a node: its id, what it became, and the how many-eth time.
+# A change of a node: its id, its new readiness, and how often the node had changed to
+# that readiness, this change included.
 NodeChange = tuple[int, str, int]
-# How much to add to a file's wall time, and what that may be off by; None where the
-# file shares nothing with the others.
+# The ticks to add to a file's wall time, and the uncertainty of that correction; None
+# if the file shares no change with the others.
 ClockCorrection = tuple[int, int | None]
 
 
 def align_clocks(
     origins: Sequence[int], changes: Sequence[Mapping[NodeChange, int]]
 ) -> list[ClockCorrection]:
-    """Return for each file the correction of its clock.
-
-    `origins` are the wall times of the clocks' zeros, `changes` when each file's
-    gateway heard of what several may have heard of. The time of a change is the median
-    over those who heard it; a file is off by the median of its own distances. What is
-    within `TOLERATED_OFFSET` is left alone: news takes its time, and wall clocks are
-    mostly right. Guards a merge against a clock that is seconds off, whatever set it
-    so; harm: a gateway that was cut off for long hears all of it late and is taken for
-    one whose clock is off.
+    """Return the clock correction of each file.
+
+    `origins` are the wall times at which the files' clocks read zero. `changes` holds,
+    for each file, when its gateway received each node change. The reference time of a
+    change is the median over the gateways that received it; the offset of a file is the
+    median of its distances to the reference times. An offset within `TOLERATED_OFFSET`
+    is not corrected, because updates take time to arrive and wall clocks are mostly
+    right. The correction protects a merge from a clock that is seconds off, whatever
+    the cause. Its drawback: a gateway that was disconnected for long receives every
+    change late and is treated as if its clock were off.
     """
-    heard: dict[NodeChange, list[int]] = {}
+    times_by_change: dict[NodeChange, list[int]] = {}
     for origin, times in zip(origins, changes, strict=False):
         for change, at in times.items():
-            heard.setdefault(change, []).append(origin + at)
-    agreed = {
-        change: median(times) for change, times in heard.items() if len(times) > 1
+            times_by_change.setdefault(change, []).append(origin + at)
+    reference_times = {
+        change: median(times)
+        for change, times in times_by_change.items()
+        if len(times) > 1
     }
     corrections: list[ClockCorrection] = []
     for origin, times in zip(origins, changes, strict=False):
         offsets = sorted(
-            origin + at - agreed[change]
+            origin + at - reference_times[change]
             for change, at in times.items()
-            if change in agreed
+            if change in reference_times
         )
-        corrections.append(correction_of(offsets))
+        corrections.append(clock_correction(offsets))
     return corrections
 
 
-def correction_of(offsets: Sequence[float]) -> ClockCorrection:
-    """Return the correction of a clock from its offsets, in ascending order."""
+def clock_correction(offsets: Sequence[float]) -> ClockCorrection:
+    """Return the correction of a clock; `offsets` are in ascending order."""
     if not offsets:
         return 0, None
-    middle = median(offsets)
-    spread = max(offsets[-1] - middle, middle - offsets[0])
-    if abs(middle) > TOLERATED_OFFSET:
-        return -round(middle), round(spread)
-    return 0, round(max(abs(middle), spread))
+    median_offset = median(offsets)
+    spread = max(offsets[-1] - median_offset, median_offset - offsets[0])
+    if abs(median_offset) > TOLERATED_OFFSET:
+        return -round(median_offset), round(spread)
+    return 0, round(max(abs(median_offset), spread))
--- a/milletsill/trace/columns.py
+++ b/milletsill/trace/columns.py
@@ -1,11 +1,12 @@
-"""Columns of a block, to and from bytes.
-
-Integers take the narrowest width that holds them all, texts a dictionary. A column is
-u8 coding, u8 width, u32 count, u32 bytes, then the data, little-endian. A `STEP` column
-holds the first value and then differences; a column whose differences pass 64 bits is
-written plain. Texts are u32 how many, each u16 length and its bytes, then a plain
-column of places in that dictionary. Everything read is checked against the bytes at
-hand before memory is taken.
+"""Encodes and decodes the columns of a block.
+
+Integers are stored in the narrowest width that holds all values of the column, texts by
+a dictionary. A column is u8 coding, u8 width, u32 count, u32 data size in bytes, then
+the data, little-endian. A `STEP` column is delta-encoded: the first value, then the
+differences. A column whose differences overflow 64 bits is stored as `PLAIN`. A text
+column is a u32 entry count, then for each entry a u16 length and its bytes, then a
+plain column of indexes into that dictionary. The decoder checks every size against the
+available bytes before it allocates memory.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 }
 FLOAT_WIDTH = 8
 STEP_START_WIDTH = 8
-# The width that stands for unsigned 64-bit integers.
+# This width code marks unsigned 64-bit integers, which take 8 bytes each.
 UNSIGNED_WIDTH = 9
 MAX_VALUES = 1 << 20
 MAX_DICTIONARY = 1 << 20
@@ -42,19 +43,22 @@
 
 
 class MalformedColumnError(MalformedInputError):
-    """Octets of a block that are no column."""
+    """Bytes of a block that do not form a valid column."""
 
-    remedy = "the block is lost, the others stand: `milletsill trace repair` keeps them"
+    remedy = (
+        "the block is lost and the other blocks remain readable: "
+        "`milletsill trace repair` keeps them"
+    )
 
 
-def narrow(values: IntegerArray) -> tuple[int, bytes]:
-    """Return the narrowest width that holds the values, and their bytes."""
+def to_narrowest_type(values: IntegerArray) -> tuple[int, bytes]:
+    """Return the narrowest integer width that holds all values, and their bytes."""
     low = int(values.min()) if len(values) else 0
     high = int(values.max()) if len(values) else 0
     width = next(
         width
-        for width, kind in SIGNED_TYPES.items()
-        if np.iinfo(kind).min <= low and high <= np.iinfo(kind).max
+        for width, dtype in SIGNED_TYPES.items()
+        if np.iinfo(dtype).min <= low and high <= np.iinfo(dtype).max
     )
     return width, values.astype(SIGNED_TYPES[width]).tobytes()
 
@@ -67,22 +71,22 @@
         return encode_unsigned(values)
     if coding == STEP and len(array) > 1:
         steps = np.diff(array)
-        # Differences may pass 64 bits; then they do not add up to the values again.
+        # Differences may overflow 64 bits; their sums then differ from the values.
         if np.array_equal(add_steps(array[:1], steps), array):
-            width, data = narrow(steps)
+            width, data = to_narrowest_type(steps)
             data = array[:1].astype("<i8").tobytes() + data
             return COLUMN_HEADER.pack(STEP, width, len(array), len(data)) + data
-    width, data = narrow(array)
+    width, data = to_narrowest_type(array)
     return COLUMN_HEADER.pack(PLAIN, width, len(array), len(data)) + data
 
 
 def add_steps(first: IntegerArray, steps: IntegerArray) -> IntegerArray:
-    """Return the values from the first one and the differences that follow."""
+    """Return the values that a first value and the following differences encode."""
     return np.cumsum(np.concatenate((first, steps)))
 
 
 def encode_unsigned(values: Sequence[int]) -> bytes:
-    """Encode a column with integers past the signed range."""
+    """Encode a column with integers beyond the signed 64-bit range."""
     wrapped = [value % (1 << 64) for value in values]
     data = np.array(wrapped, dtype="<u8").tobytes()
     return COLUMN_HEADER.pack(PLAIN, UNSIGNED_WIDTH, len(values), len(data)) + data
@@ -95,21 +99,22 @@
 
 
 def encode_texts(values: Sequence[str]) -> bytes:
-    """Encode a column of texts; one past `MAX_TEXT_BYTES` is cut."""
-    places: dict[str, int] = {}
-    numbers = [places.setdefault(text, len(places)) for text in values]
+    """Encode a column of texts; each text is truncated to `MAX_TEXT_BYTES`."""
+    index_by_text: dict[str, int] = {}
+    indexes = [index_by_text.setdefault(text, len(index_by_text)) for text in values]
     entries = [
-        text.encode("utf-8", "surrogateescape")[:MAX_TEXT_BYTES] for text in places
+        text.encode("utf-8", "surrogateescape")[:MAX_TEXT_BYTES]
+        for text in index_by_text
     ]
     body = U32.pack(len(entries)) + b"".join(
         U16.pack(len(entry)) + entry for entry in entries
     )
-    body += encode_integers(numbers, PLAIN)
+    body += encode_integers(indexes, PLAIN)
     return COLUMN_HEADER.pack(TEXT, 0, len(values), len(body)) + body
 
 
 def encode_column(values: Sequence[Any], coding: int) -> bytes:
-    """Encode one column of the values that its coding takes."""
+    """Encode one column; the coding determines the type of its values."""
     if coding == FLOAT:
         return encode_floats(values)
     if coding == TEXT:
@@ -117,22 +122,22 @@
     return encode_integers(values, coding)
 
 
-def decode_column(data: bytes, at: int) -> tuple[ColumnValues, int]:
-    """Return the values of the column at an offset, and where it ends.
+def decode_column(data: bytes, offset: int) -> tuple[ColumnValues, int]:
+    """Return the values of the column at an offset, and the offset of its end.
 
     Raises:
-        MalformedColumnError: where there is no whole column.
+        MalformedColumnError: if there is no complete, valid column.
     """
     try:
-        coding, width, count, size = COLUMN_HEADER.unpack_from(data, at)
+        coding, width, count, size = COLUMN_HEADER.unpack_from(data, offset)
     except struct.error:
         raise MalformedColumnError("a column is cut short") from None
-    start = at + COLUMN_HEADER.size
+    start = offset + COLUMN_HEADER.size
     end = start + size
     if end > len(data) or count > MAX_VALUES:
         raise MalformedColumnError(
-            f"a column of {count} values in {size} bytes "
-            f"where {len(data) - start} are left"
+            f"a column claims {count} values in {size} bytes; "
+            f"{len(data) - start} bytes are left, {MAX_VALUES} values are allowed"
         )
     body = data[start:end]
     if coding == TEXT:
@@ -142,13 +147,13 @@
     return decode_integers(body, coding, width, count), end
 
 
-def skip_column(data: bytes, at: int) -> int:
-    """Return where a column ends, without decoding it."""
+def skip_column(data: bytes, offset: int) -> int:
+    """Return the offset of a column's end without decoding the column."""
     try:
-        size: int = COLUMN_HEADER.unpack_from(data, at)[3]
+        size: int = COLUMN_HEADER.unpack_from(data, offset)[3]
     except struct.error:
         raise MalformedColumnError("a column is cut short") from None
-    end = at + COLUMN_HEADER.size + size
+    end = offset + COLUMN_HEADER.size + size
     if end > len(data):
         raise MalformedColumnError("a column is cut short")
     return end
@@ -157,7 +162,10 @@
 def decode_floats(body: bytes, count: int) -> list[float]:
     """Decode the data of a column of floats."""
     if len(body) != FLOAT_WIDTH * count:
-        raise MalformedColumnError(f"{count} floats in {len(body)} bytes")
+        raise MalformedColumnError(
+            f"a column of {count} floats takes {FLOAT_WIDTH * count} bytes, "
+            f"not {len(body)}"
+        )
     return cast(list[float], np.frombuffer(body, dtype="<f8").tolist())
 
 
@@ -165,19 +173,20 @@
     """Decode the data of a column of integers."""
     if width == UNSIGNED_WIDTH and coding == PLAIN and len(body) == 8 * count:
         return cast(list[int], np.frombuffer(body, dtype="<u8").tolist())
-    kind = SIGNED_TYPES.get(width)
+    dtype = SIGNED_TYPES.get(width)
     start = STEP_START_WIDTH if coding == STEP else 0
-    rows = count - 1 if coding == STEP else count
+    stored_count = count - 1 if coding == STEP else count
     if (
-        kind is None
+        dtype is None
         or coding not in (STEP, PLAIN)
-        or rows < 0
-        or len(body) != start + rows * width
+        or stored_count < 0
+        or len(body) != start + stored_count * width
     ):
         raise MalformedColumnError(
-            f"{count} numbers of width {width} and coding {coding} in {len(body)} bytes"
+            f"{len(body)} bytes are no column of {count} integers of width {width} "
+            f"and coding {coding}"
         )
-    values = np.frombuffer(body, dtype=kind, offset=start).astype(np.int64)
+    values = np.frombuffer(body, dtype=dtype, offset=start).astype(np.int64)
     if coding == STEP:
         first = np.frombuffer(body, dtype="<i8", count=1)
         values = add_steps(first, values)
@@ -186,35 +195,40 @@
 
 def decode_texts(body: bytes, count: int) -> list[str]:
     """Decode the data of a column of texts."""
-    texts, at = decode_dictionary(body)
-    column, end = decode_column(body, at)
-    places = cast(list[int], column)
+    texts, offset = decode_dictionary(body)
+    column, end = decode_column(body, offset)
+    indexes = cast(list[int], column)
     if (
-        len(places) != count
+        len(indexes) != count
         or end != len(body)
-        or (places and not 0 <= min(places) <= max(places) < len(texts))
+        or (indexes and not 0 <= min(indexes) <= max(indexes) < len(texts))
     ):
-        raise MalformedColumnError("places that are not in the dictionary")
-    return [texts[place] for place in places]
+        raise MalformedColumnError(
+            f"{len(indexes)} indexes into a dictionary of {len(texts)} texts: "
+            f"{count} are expected, each in range, with no bytes behind them"
+        )
+    return [texts[index] for index in indexes]
 
 
 def decode_dictionary(body: bytes) -> tuple[list[str], int]:
-    """Return the texts of a dictionary, and where it ends."""
+    """Return the texts of a dictionary, and the offset of its end."""
     texts: list[str] = []
     try:
         entries: int = U32.unpack_from(body)[0]
-        at = U32.size
+        offset = U32.size
         if entries > MAX_DICTIONARY or U16.size * entries > len(body):
             raise MalformedColumnError(
-                f"a dictionary of {entries} texts in {len(body)} bytes"
+                f"a dictionary claims {entries} texts in {len(body)} bytes"
             )
         for _ in range(entries):
-            size: int = U16.unpack_from(body, at)[0]
-            at += U16.size
-            if at + size > len(body):
+            size: int = U16.unpack_from(body, offset)[0]
+            offset += U16.size
+            if offset + size > len(body):
                 raise MalformedColumnError("a dictionary is cut short")
-            texts.append(body[at : at + size].decode("utf-8", "surrogateescape"))
-            at += size
+            texts.append(
+                body[offset : offset + size].decode("utf-8", "surrogateescape")
+            )
+            offset += size
     except struct.error:
         raise MalformedColumnError("a dictionary is cut short") from None
-    return texts, at
+    return texts, offset
--- a/milletsill/trace/convert.py
+++ b/milletsill/trace/convert.py
@@ -1,4 +1,4 @@
-"""Converts a trace to the present version, or to tables for other tools."""
+"""Converts a trace to the current format version, or to tables for other tools."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 def convert_trace(
     source: str, out: str, target: str, progress: ProgressCallback | None = None
 ) -> int:
-    """Write a trace in another form and return the number of records.
+    """Write a trace in another format and return the number of records.
 
-    `target` is `mtrace`, a file of the present version in full blocks, or `parquet` or
-    `csv`, a folder with one table for each kind.
+    `target` is `mtrace` for a file of the current version in full blocks, or `parquet`
+    or `csv` for a folder with one table for each kind.
 
     Raises:
-        OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTraceError: where the source is no trace.
+        OSError: if a file cannot be read or written, or the file `out` exists.
+        MalformedTraceError: if the source is not a trace.
     """
     with TraceReader(source, progress) as reader:
         if target == "mtrace":
@@ -37,17 +37,17 @@
 
 
 class TableWriter(Protocol):
-    """Writes the table of one kind."""
+    """Writes the table of one record kind."""
 
     def write(self, rows: Sequence[Row]) -> None:
-        """Add rows: a record's time and the values of its fields."""
+        """Append rows; each holds a record's time and the values of its fields."""
 
     def close(self) -> None:
-        """End the table."""
+        """Finish the table and close its file."""
 
 
 class TableFolder:
-    """One table for each kind in a folder; rows are written in groups."""
+    """A folder with one table for each record kind; rows are written in groups."""
 
     def __init__(self, folder: str, target: str) -> None:
         self.folder = folder
@@ -56,7 +56,7 @@
         self.writers: dict[RecordKind, TableWriter] = {}
 
     def write_all(self, records: Iterable[TraceRecord]) -> int:
-        """Write all of the records, end the tables, and return how many they were."""
+        """Write all records, close the tables, and return the number of records."""
         count = 0
         for at, kind, values in records:
             rows = self.rows.setdefault(kind, [])
@@ -71,7 +71,7 @@
         return count
 
     def flush(self, kind: RecordKind) -> None:
-        """Write the rows at hand of one kind."""
+        """Write the buffered rows of one kind."""
         rows = self.rows[kind]
         self.rows[kind] = []
         if not rows:
@@ -94,7 +94,7 @@
 
 
 class CsvTable:
-    """A table as comma-separated values, with a line of names."""
+    """A table as comma-separated values; the first line holds the column names."""
 
     def __init__(self, path: str, kind: RecordKind) -> None:
         self.file: TextIO = open(  # noqa: SIM115 - closed by close()
@@ -104,7 +104,7 @@
         self.writer.writerow(column_names(kind))
 
     def write(self, rows: Sequence[Row]) -> None:
-        """Add rows."""
+        """Append rows."""
         self.writer.writerows(rows)
 
     def close(self) -> None:
@@ -113,7 +113,7 @@
 
 
 class ParquetTable:
-    """A table as Parquet; the library is loaded only where it is asked for."""
+    """A Parquet table; pyarrow is imported only when such a table is written."""
 
     def __init__(self, path: str, kind: RecordKind) -> None:
         import pyarrow
@@ -128,7 +128,7 @@
             else:
                 types.append(pyarrow.int64())
         if kind.name == "arrival":
-            # Keys take all 64 bits.
+            # Keys are unsigned 64-bit integers.
             types[2] = pyarrow.uint64()
         self.pyarrow = pyarrow
         self.schema = pyarrow.schema(list(zip(column_names(kind), types, strict=True)))
@@ -140,7 +140,7 @@
         )
 
     def write(self, rows: Sequence[Row]) -> None:
-        """Add rows as one group."""
+        """Append rows as one row group."""
         columns = [
             [to_utf8(value) if isinstance(value, str) else value for value in column]
             for column in zip(*rows, strict=False)
@@ -154,10 +154,10 @@
         )
 
     def close(self) -> None:
-        """End the file."""
+        """Write the Parquet footer and close the file."""
         self.writer.close()
 
 
 def to_utf8(text: str) -> str:
-    """Return text that is UTF-8; other bytes as escapes."""
+    """Return valid UTF-8 text; bytes that are not UTF-8 become escapes."""
     return text.encode("utf-8", "surrogateescape").decode("utf-8", "backslashreplace")
--- a/milletsill/trace/cut.py
+++ b/milletsill/trace/cut.py
@@ -1,4 +1,7 @@
-"""Cuts a part out of a trace. Memory is bounded by a block."""
+"""Extracts a part of a trace into a new file.
+
+It holds the records of one block at a time, and the ids of the selected requests.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,12 @@
 from milletsill.trace.records import BY_NAME
 from milletsill.trace.trace_file import TraceFile
 
-DISPATCHES = frozenset((BY_NAME["dispatch"].number,))
+DISPATCH_KINDS = frozenset((BY_NAME["dispatch"].number,))
 
 
 @dataclass(frozen=True, slots=True)
 class CutResult:
-    """What a cut did: records written, and bytes read of the source."""
+    """The result of a cut: records written, and bytes read from the source."""
 
     records: int
     bytes_read: int
@@ -24,41 +27,43 @@
 def cut_trace(
     source: str,
     out: str,
-    wanted: RecordFilter,
+    selection: RecordFilter,
     progress: ProgressCallback | None = None,
 ) -> CutResult:
     """Write the wanted part of a trace to the new file `out`.
 
-    Requests that arrived before `since` are left out of a cut by volume, class or node:
-    their arrivals are not read.
+    A cut by volume, class or node omits requests that arrived before `since`, because
+    it does not read their arrivals.
 
     Raises:
-        OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTraceError: where the source is no trace.
+        OSError: if a file cannot be read or written, or `out` exists.
+        MalformedTraceError: if the source is not a trace.
     """
     with TraceReader(source, progress) as reader:
-        header = {**reader.contents.header, "cut": wanted.to_stored()}
+        header = {**reader.contents.header, "cut": selection.to_stored()}
         target = TraceFile(out, header)
         sent_to_node = None
-        if wanted.node is not None:
-            sent_to_node = requests_sent_to_node(reader, wanted)
-        records = reader.records(wanted.since, wanted.until, wanted.volume)
-        if not wanted.keeps_all_requests:
-            records = select_requests(records, wanted, sent_to_node)
+        if selection.node is not None:
+            sent_to_node = requests_sent_to_node(reader, selection)
+        records = reader.records(selection.since, selection.until, selection.volume)
+        if not selection.keeps_all_requests:
+            records = select_requests(records, selection, sent_to_node)
         return CutResult(target.write_all(records), reader.contents.bytes_read)
 
 
-def requests_sent_to_node(reader: TraceReader, wanted: RecordFilter) -> set[int]:
-    """Return the ids of the requests sent to the wanted node in the wanted time."""
-    records = reader.records(wanted.since, wanted.until, wanted.volume, DISPATCHES)
-    return {values[0] for _, _, values in records if values[1] == wanted.node}
+def requests_sent_to_node(reader: TraceReader, selection: RecordFilter) -> set[int]:
+    """Return the ids of the requests sent to the wanted node in the time range."""
+    records = reader.records(
+        selection.since, selection.until, selection.volume, DISPATCH_KINDS
+    )
+    return {values[0] for _, _, values in records if values[1] == selection.node}
 
 
 def find_request_class(source: str, request_class: str) -> int:
-    """Return the place of a request class by its name in the header, or by number.
+    """Return the index of a request class, given by its name or as a decimal number.
 
     Raises:
-        MalformedTraceError: where there is no such class.
+        MalformedTraceError: if the header has no such class.
     """
     with TraceReader(source) as reader:
         config = reader.contents.header.get("facts")
@@ -69,5 +74,6 @@
     if request_class.isdecimal():
         return int(request_class)
     raise MalformedTraceError(
-        f"no category {request_class!r}; there are {', '.join(names) or 'none named'}"
+        f"the header has no category {request_class!r}; "
+        f"its named categories: {', '.join(names) or 'none'}"
     )
--- a/milletsill/trace/file_format.py
+++ b/milletsill/trace/file_format.py
@@ -1,8 +1,10 @@
-r"""The trace file, exact to the byte (docs/trace-format.md). No files are opened here.
+r"""Encodes and decodes trace files; docs/trace-format.md specifies every byte.
+
+This module performs no I/O. The parts of a file, in order:
 
     header   "MTRACE\r\n", u16 major, u16 minor, u32 size, u32 crc32, then JSON
     block    "MBLK", u32 size, u32 raw size, u32 records, i64 first time, i64 last time,
-             u32 crc32 of the body, 32 bytes filter of volumes, u32 crc32 of this block
+             u32 crc32 of the body, 32 bytes volume filter, u32 crc32 of this block
              header, then the body: zstandard
     footer   "MFTR", u32 size, u32 crc32, then zstandard: for each block u64 offset,
              u32 records, i64 first time, i64 last time, 32 bytes filter
@@ -10,9 +12,10 @@
              the numbers of its blocks (since 1.1)
     trailer  u64 offset of the footer, "MEND"
 
-All integers are little-endian. A body is columns: the records' kinds, their times, then
-for each kind and field u8 kind, u8 field and a column; what a reader does not know it
-skips. The footer only saves time: the blocks alone hold everything.
+All integers are little-endian. A body consists of columns: the records' kinds, their
+times, then for each kind and field u8 kind, u8 field and a column; a reader skips kinds
+and fields that it does not know. The footer only speeds up reading: the blocks alone
+hold all records.
 """
 
 from __future__ import annotations
@@ -68,17 +71,17 @@
 
 
 class MalformedTraceError(MalformedInputError):
-    """A file that is no trace, or no longer one."""
+    """A file that is not a trace, or a trace that is damaged."""
 
     remedy = (
-        "`milletsill trace verify` says what is broken, "
-        "`trace repair` keeps the blocks that are whole"
+        "`milletsill trace verify` shows which parts are damaged, "
+        "`trace repair` keeps the blocks that are undamaged"
     )
 
 
 @dataclass(frozen=True, slots=True)
 class FooterEntry:
-    """What the footer says of one block; the fields are those of `BlockHeader`."""
+    """The footer's entry of one block; the fields have the meaning of `BlockHeader`."""
 
     offset: int
     record_count: int
@@ -92,25 +95,27 @@
     return zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(data)
 
 
-def decompress(body: bytes, max_bytes: int, what: str) -> bytes:
-    """Return the data of a frame.
+def decompress(body: bytes, max_bytes: int, part: str) -> bytes:
+    """Return the decompressed data of a zstandard frame.
 
-    A frame that claims or yields more than `max_bytes` is refused before memory is
-    taken; `what` names it in the error.
+    A frame that claims more than `max_bytes` is rejected before memory is allocated;
+    the output of any frame is limited to `max_bytes`. `part` names it in the error.
 
     Raises:
-        MalformedTraceError: where it is too large or no frame.
+        MalformedTraceError: if it is too large or not a zstandard frame.
     """
     try:
         if zstandard.frame_content_size(body) > max_bytes:
-            raise MalformedTraceError(f"{what} unpacks to more than {max_bytes} bytes")
+            raise MalformedTraceError(
+                f"{part} decompresses to more than {max_bytes} bytes"
+            )
         return zstandard.ZstdDecompressor().decompress(body, max_output_size=max_bytes)
     except zstandard.ZstdError as error:
-        raise MalformedTraceError(f"{what} cannot be unpacked: {error}") from None
+        raise MalformedTraceError(f"{part} cannot be decompressed: {error}") from None
 
 
 def encode_header(header: dict[str, Any]) -> bytes:
-    """Encode the file's header from its fields."""
+    """Encode the header of a file from its JSON fields."""
     body = json.dumps(header, sort_keys=True).encode()
     fixed = FILE_HEADER.pack(
         FILE_MAGIC, MAJOR_VERSION, MINOR_VERSION, len(body), zlib.crc32(body)
@@ -119,23 +124,30 @@
 
 
 def decode_header(data: bytes) -> tuple[dict[str, Any], int]:
-    """Return the header's fields with the minor version, and where it ends.
+    """Return the header's fields with the minor version, and the offset of its end.
 
     `data` holds the beginning of the file.
 
     Raises:
-        MalformedTraceError: where it is no header, or one of another major version.
+        MalformedTraceError: if it is not a header or has another major version.
     """
     if len(data) < FILE_HEADER.size:
-        raise MalformedTraceError("too short for a trace")
+        raise MalformedTraceError(
+            f"too short for a trace: {len(data)} bytes "
+            f"of a {FILE_HEADER.size}-byte file header"
+        )
     magic, major, minor, size, crc = FILE_HEADER.unpack_from(data)
     if magic != FILE_MAGIC:
-        raise MalformedTraceError("not a trace")
+        raise MalformedTraceError(
+            f"not a trace: the file does not begin {FILE_MAGIC!r}"
+        )
     if major != MAJOR_VERSION:
-        raise MalformedTraceError(f"format {major}.{minor}, {MAJOR_VERSION}.x is read")
+        raise MalformedTraceError(
+            f"format {major}.{minor} is not supported, expected {MAJOR_VERSION}.x"
+        )
     body = data[FILE_HEADER.size : FILE_HEADER.size + size]
     if size > MAX_HEADER_BYTES or len(body) < size or zlib.crc32(body) != crc:
-        raise MalformedTraceError("the header is cut or damaged")
+        raise MalformedTraceError("the header is truncated, too large or damaged")
     try:
         header = json.loads(body)
     except (ValueError, RecursionError):
@@ -146,23 +158,28 @@
 
 
 def header_size(start: bytes) -> int:
-    """Return how many bytes the header takes, from its first `FILE_HEADER.size`."""
+    """Return the header's size in bytes; `start` is its first `FILE_HEADER.size`."""
     if len(start) < FILE_HEADER.size:
-        raise MalformedTraceError("too short for a trace")
+        raise MalformedTraceError(
+            f"too short for a trace: {len(start)} bytes "
+            f"of a {FILE_HEADER.size}-byte file header"
+        )
     size: int = FILE_HEADER.unpack_from(start)[3]
     if size > MAX_HEADER_BYTES:
-        raise MalformedTraceError(f"a header of {size} bytes")
+        raise MalformedTraceError(
+            f"a header claims {size} bytes, at most {MAX_HEADER_BYTES} are allowed"
+        )
     return FILE_HEADER.size + size
 
 
 def encode_section(magic: bytes, raw: bytes) -> bytes:
-    """Encode the footer or the index of volumes from its unpacked bytes."""
+    """Encode the footer or the volume index from its uncompressed bytes."""
     body = compress(raw)
     return SECTION_HEADER.pack(magic, len(body), zlib.crc32(body)) + body
 
 
 def encode_volume_index(blocks: dict[str, list[int]] | None) -> bytes:
-    """Encode the index of volumes; nothing where it was given up."""
+    """Encode the volume index; return no bytes if the file has none."""
     if blocks is None:
         return b""
     parts = []
@@ -178,46 +195,47 @@
 
 
 def decode_volume_index(data: bytes) -> dict[str, list[int]] | None:
-    """Return the index of volumes that stands between footer and trailer, if any.
+    """Return the volume index between footer and trailer; None if there is none.
 
     Raises:
-        MalformedTraceError: where it is cut, damaged or too large.
+        MalformedTraceError: if the volume index is truncated, damaged or too large.
     """
     if len(data) < SECTION_HEADER.size or not data.startswith(VOLUMES_MAGIC):
         return None
     _, size, crc = SECTION_HEADER.unpack_from(data)
     body = data[SECTION_HEADER.size : SECTION_HEADER.size + size]
     if len(body) != size or zlib.crc32(body) != crc:
-        raise MalformedTraceError("the index of stores is cut or damaged")
-    raw = decompress(body, MAX_FOOTER_BYTES, "the index of stores")
-    at = 0
+        raise MalformedTraceError("the volume index is truncated or damaged")
+    raw = decompress(body, MAX_FOOTER_BYTES, "the volume index")
+    position = 0
     found: dict[str, list[int]] = {}
     try:
-        while at < len(raw):
-            name_start = at + NAME_SIZE.size
-            name_end = name_start + NAME_SIZE.unpack_from(raw, at)[0]
+        while position < len(raw):
+            name_start = position + NAME_SIZE.size
+            name_end = name_start + NAME_SIZE.unpack_from(raw, position)[0]
             count = BLOCK_NUMBER.unpack_from(raw, name_end)[0]
             numbers_start = name_end + BLOCK_NUMBER.size
             end = numbers_start + BLOCK_NUMBER.size * count
             if end > len(raw) or len(found) >= MAX_INDEXED_VOLUMES:
                 raise MalformedTraceError(
-                    "the index of stores is cut short or too large"
+                    "the volume index is truncated or has more than "
+                    f"{MAX_INDEXED_VOLUMES} volumes"
                 )
             name = raw[name_start:name_end].decode("utf-8", "surrogateescape")
             found[name] = np.frombuffer(raw, "<u4", count, numbers_start).tolist()
-            at = end
+            position = end
     except struct.error:
-        raise MalformedTraceError("the index of stores is cut short") from None
+        raise MalformedTraceError("the volume index is truncated") from None
     return found
 
 
 def encode_block(
     records: Sequence[TraceRecord], volumes: Iterable[str] | None = None
 ) -> bytes:
-    """Encode a block of these records, in their order.
+    """Encode a block of records in the given order.
 
-    `volumes` are those that the block tells of, where a `VolumeIndexBuilder` has found
-    them already.
+    `volumes` are the volumes that the records concern, as a `VolumeIndexBuilder` of the
+    file found them; None finds them from these records alone.
     """
     if volumes is None:
         volumes = VolumeIndexBuilder().add_block(records)
@@ -240,21 +258,26 @@
 
 
 def decode_block_header(data: bytes, offset: int) -> BlockHeader:
-    """Return the header of the block whose bytes, at `offset` of the file, are `data`.
+    """Return the header of a block; `data` begins at `offset` of the file.
 
     Raises:
-        MalformedTraceError: no block header, or it claims more than a block holds.
+        MalformedTraceError: if it is not a block header or exceeds a block's limits.
     """
     if len(data) < BLOCK_HEADER.size:
-        raise MalformedTraceError("a block's head is cut short")
+        raise MalformedTraceError("a block header is cut short")
     magic, size, raw, records, first, last, crc, volumes, own_crc = (
         BLOCK_HEADER.unpack_from(data)
     )
     checked = data[: BLOCK_HEADER.size - CRC_BYTES]
     if magic != BLOCK_MAGIC or zlib.crc32(checked) != own_crc:
-        raise MalformedTraceError("no block here, or its head is damaged")
+        raise MalformedTraceError(
+            "expected a block header, found none or a damaged one"
+        )
     if size > MAX_BODY_BYTES or raw > MAX_RAW_BYTES or not 0 < records <= MAX_RECORDS:
-        raise MalformedTraceError(f"a block of {size} bytes and {records} records")
+        raise MalformedTraceError(
+            f"a block header claims {size} bytes, {raw} decompressed, "
+            f"and {records} records, beyond the limits of a block"
+        )
     return BlockHeader(offset, size, raw, records, first, last, crc, volumes)
 
 
@@ -263,20 +286,24 @@
 ) -> list[TraceRecord]:
     """Return the records of a block.
 
-    Those of unknown kinds are left out and, where `kinds` is given, all others too.
+    Records of unknown kinds are omitted; `kinds` restricts the result further to those
+    kind numbers.
 
     Raises:
-        MalformedTraceError: where the body is not what the header says.
+        MalformedTraceError: if the body does not match the header.
     """
     if len(body) != header.body_size or zlib.crc32(body) != header.body_crc:
-        raise MalformedTraceError("a block is cut or damaged")
+        raise MalformedTraceError("a block is truncated or damaged")
     raw = decompress(body, header.raw_size, "a block")
     if len(raw) != header.raw_size:
-        raise MalformedTraceError("a block unpacks to another size")
+        raise MalformedTraceError(
+            f"a block decompresses to {len(raw)} bytes, its header "
+            f"says {header.raw_size}"
+        )
     try:
         return list(decode_body(raw, header.record_count, kinds))
     except MalformedColumnError as error:
-        raise MalformedTraceError(f"in a block: {error}") from None
+        raise MalformedTraceError(f"a block has a malformed body: {error}") from None
 
 
 def encode_footer(
@@ -284,7 +311,10 @@
     offset: int,
     volume_blocks: dict[str, list[int]] | None = None,
 ) -> bytes:
-    """Encode the indexes by time and volume and the trailer, to stand at `offset`."""
+    """Encode the footer, the volume index and the trailer.
+
+    `offset` is the footer's position in the file.
+    """
     raw = b"".join(
         FOOTER_ENTRY.pack(
             block.offset,
@@ -305,27 +335,32 @@
 def decode_footer(
     data: bytes,
 ) -> tuple[list[FooterEntry], dict[str, list[int]] | None]:
-    """Return the index by time and the index of volumes, if any.
+    """Return the footer's entries, and the volume index or None.
 
-    `data` is the footer without the trailer.
+    `data` begins with the footer and ends before the trailer.
 
     Raises:
-        MalformedTraceError: where either is cut or damaged.
+        MalformedTraceError: if either section is truncated or damaged.
     """
     if len(data) < SECTION_HEADER.size:
         raise MalformedTraceError("the footer is cut short")
     magic, size, crc = SECTION_HEADER.unpack_from(data)
     body = data[SECTION_HEADER.size : SECTION_HEADER.size + size]
     if magic != FOOTER_MAGIC or len(body) != size or zlib.crc32(body) != crc:
-        raise MalformedTraceError("the footer is cut or damaged")
+        raise MalformedTraceError("the footer is truncated or damaged")
     raw = decompress(body, MAX_FOOTER_BYTES, "the footer")
     if len(raw) % FOOTER_ENTRY.size:
-        raise MalformedTraceError("the footer is no list of blocks")
+        raise MalformedTraceError(
+            f"the footer's {len(raw)} bytes are not a whole number of "
+            f"{FOOTER_ENTRY.size}-byte entries"
+        )
     entries = [FooterEntry(*fields) for fields in FOOTER_ENTRY.iter_unpack(raw)]
     volume_blocks = decode_volume_index(data[SECTION_HEADER.size + size :])
     if volume_blocks is not None and any(
         numbers and not 0 <= numbers[-1] < len(entries)
         for numbers in volume_blocks.values()
     ):
-        raise MalformedTraceError("the index of stores names blocks that are not there")
+        raise MalformedTraceError(
+            f"the volume index refers to blocks beyond the footer's {len(entries)}"
+        )
     return entries, volume_blocks
--- a/milletsill/trace/gateway_trace.py
+++ b/milletsill/trace/gateway_trace.py
@@ -1,4 +1,4 @@
-"""The trace of a running gateway: its writer, its recorder and its metrics."""
+"""Traces a running gateway: connects its recorder, trace writer and metrics."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from milletsill.trace.writer import TraceWriter, TraceWriterSettings
 
 STOP_TIMEOUT_SECONDS = 3.0
-# How long the writer's thread may keep the reactor from the interpreter.
+# How long the writer's thread may hold the interpreter lock while the reactor waits.
 SWITCH_INTERVAL_SECONDS = 0.0005
 
 
 class ReactorThreads(Protocol):
-    """The reactor, as a thread beside it uses it."""
+    """The part of the reactor that other threads use."""
 
     def callFromThread(  # noqa: N802 - Twisted's name
         self, call: Callable[..., object], *args: Any, **named: Any
     ) -> None:
-        """Have the reactor's thread make a call."""
+        """Run a call in the reactor's thread."""
 
 
 @dataclass(frozen=True, slots=True)
 class TracedRun:
-    """What a replay needs of the run that is traced.
+    """The data of the traced run that a replay needs.
 
     Attributes:
-        config: the configuration of the scheduler.
+        config: the scheduler's configuration.
         seed: the scheduler's random seed.
-        incarnation: number of this start of the gateway.
+        incarnation: the gateway's incarnation number.
     """
 
     config: DeploymentConfig
@@ -46,7 +46,7 @@
 
 
 def trace_header(deployment: Any, run: TracedRun) -> dict[str, Any]:
-    """Return the header's fields: who writes, what a replay needs, the volumes."""
+    """Return the header's fields: the gateway, the data for a replay, the volumes."""
     return {
         "name": deployment.name,
         "incarnation": run.incarnation,
@@ -58,7 +58,7 @@
 
 
 def writer_settings(deployment: Any) -> TraceWriterSettings:
-    """Return the settings of the writer from the deploy file's `trace`."""
+    """Return the writer's settings from the `trace` section of the deploy file."""
     trace = deployment.trace
     return TraceWriterSettings(
         folder=trace.folder,
@@ -73,10 +73,10 @@
 
 
 class GatewayTrace(TraceRecorder):
-    """One gateway's trace.
+    """Records one gateway's scheduler and writes the records to trace files.
 
-    `deployment` is the deploy file's message. `log` gets the event's name and its
-    fields, in the reactor's thread.
+    `deployment` is the deploy file's message. `log` receives an event's name and its
+    fields and is called in the reactor's thread.
     """
 
     def __init__(
@@ -96,41 +96,41 @@
         )
         names = [each.name for each in deployment.volume]
         super().__init__(self.trace_writer, names)
-        self.records = Counter(
+        self.records_counter = Counter(
             "milletsill_trace_records",
             "Records of the trace by what became of them",
             ("fate",),
             registry=registry,
         )
-        self.on = Gauge(
+        self.writing_gauge = Gauge(
             "milletsill_trace_on",
             "1 while the trace is written, 0 while the disk refuses",
             registry=registry,
         )
-        self.counted = {"written": 0, "shed": 0}
+        self.counted_totals = {"written": 0, "shed": 0}
 
     def start(self) -> None:
         """Start the writer's thread.
 
-        The shorter switch interval guards clients' latency against that thread, which
-        holds the interpreter for whole intervals while it forms a block. It costs more
-        thread switches; with one thread there are none.
+        The shorter switch interval protects the clients' latency from that thread,
+        which holds the interpreter lock for whole intervals while it encodes a block.
+        It costs more thread switches, and nothing in a process with a single thread.
         """
         sys.setswitchinterval(min(sys.getswitchinterval(), SWITCH_INTERVAL_SECONDS))
-        self.trace_writer.header["made"] = self.made_at
+        self.trace_writer.header["made"] = self.created_at
         self.trace_writer.start()
 
     def update_metrics(self) -> None:
-        """Bring the metrics up to date; called once a second."""
-        self.on.set(self.trace_writer.state is WriterState.WRITING)
-        self.count("written", self.trace_writer.records_written)
-        self.count("shed", self.trace_writer.records_shed)
+        """Update the metrics; called once a second."""
+        self.writing_gauge.set(self.trace_writer.state is WriterState.WRITING)
+        self.add_to_counter("written", self.trace_writer.records_written)
+        self.add_to_counter("shed", self.trace_writer.records_shed)
 
-    def count(self, fate: str, total: int) -> None:
-        """Add to a counter what has come since the last call."""
-        self.records.labels(fate).inc(total - self.counted[fate])
-        self.counted[fate] = total
+    def add_to_counter(self, fate: str, total: int) -> None:
+        """Add to the counter of a fate the records since the last call."""
+        self.records_counter.labels(fate).inc(total - self.counted_totals[fate])
+        self.counted_totals[fate] = total
 
     def stop(self) -> None:
-        """End the file; a disk that hangs is not waited for beyond the timeout."""
+        """Finish the file; wait for a disk that hangs no longer than the timeout."""
         self.trace_writer.stop(STOP_TIMEOUT_SECONDS)
--- a/milletsill/trace/merge.py
+++ b/milletsill/trace/merge.py
@@ -1,6 +1,7 @@
-"""Merges the traces of many gateways into one, by wall time.
+"""Merges the traces of many gateways into one, in order of wall time.
 
-Memory is bounded by a block of each file that is open.
+It holds one block of each open file in memory; at most `MAX_OPEN_FILES` of the
+gateways' files are open at once.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from milletsill.trace.time_argument import TICKS_PER_MILLISECOND
 from milletsill.trace.trace_file import TraceFile
 
-# Fields of headers that are mostly the same in all; they stand once in a merge.
+# Header fields that are usually equal in all files; a merged header holds them once.
 SHARED_HEADER_FIELDS = ("facts", "volumes", "plans", "terms")
 MAX_NODE_CHANGES = 10_000
 MAX_OPEN_FILES = 200
-LISTINGS = frozenset((BY_NAME["listing"].number,))
-# Fields that a merge makes anew, by kind: their places, and whether they hold the id of
-# a request; else they hold a time.
+LISTING_KINDS = frozenset((BY_NAME["listing"].number,))
+# The fields that a merge rewrites, by kind number: their indexes, and whether they hold
+# a request id. The others hold a time.
 REWRITTEN_FIELDS = {
     kind.number: [
-        (place, name == "transfer")
-        for place, (name, _) in enumerate(kind.fields)
+        (field_index, name == "transfer")
+        for field_index, (name, _) in enumerate(kind.fields)
         if name in ("transfer", "ends", "at", "since", "began")
     ]
     for kind in KINDS
@@ -40,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockShift:
-    """How the clock of one file was set, in tenths of a millisecond.
+    """The clock correction of one file, in tenths of a millisecond.
 
     Attributes:
-        name: who wrote the file.
-        correction: what was added to its wall time.
-        uncertainty: what that may be off by; None where the file shares no change with
-            the others and its wall clock alone counts.
+        name: the name of the gateway that wrote the file.
+        correction: the ticks added to its wall time.
+        uncertainty: the uncertainty of the correction; None if the file shares no
+            change with the others, so that only its wall clock is used.
     """
 
     name: str
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeResult:
-    """What a merge did: records written, and how each file's clock was set."""
+    """The result of a merge: records written, and each file's clock correction."""
 
     records: int
     clocks: list[ClockShift]
@@ -67,22 +68,22 @@
     """One file of a merge.
 
     Attributes:
-        path: the file.
-        place: its place among all files.
-        of: how many files there are.
-        shift: what is added to its times.
+        path: path of the file.
+        file_index: index of the file among all merged files.
+        file_count: number of merged files.
+        shift: ticks added to the file's times.
     """
 
     path: str
-    place: int
-    of: int
+    file_index: int
+    file_count: int
     shift: int
 
     def records(self, reader: TraceReader) -> Iterator[TraceRecord]:
-        """Yield the records on the common clock, request ids apart from other files'.
+        """Yield the records on the common clock, with ids unique across the files.
 
-        Records stand in the order in which they were made; a time that steps back
-        would undo the merge.
+        Records keep the order in which they were recorded. A time that steps back is
+        raised to the latest one, because the merge needs ascending times.
         """
         latest: int | None = None
         for at, kind, values in reader.records():
@@ -91,32 +92,34 @@
             yield latest, kind, self.rewrite(kind, values)
 
     def rewrite(self, kind: RecordKind, values: tuple[Any, ...]) -> tuple[Any, ...]:
-        """Return the values with ids and times of the merged trace."""
+        """Return the field values with the ids and times of the merged trace."""
         fields = REWRITTEN_FIELDS.get(kind.number)
         if fields is None:
             return values
         rewritten = list(values)
-        for place, is_request in fields:
+        for field_index, is_request in fields:
             if is_request:
-                rewritten[place] = values[place] * self.of + self.place
+                rewritten[field_index] = (
+                    values[field_index] * self.file_count + self.file_index
+                )
             else:
-                rewritten[place] = values[place] + self.shift
+                rewritten[field_index] = values[field_index] + self.shift
         return tuple(rewritten)
 
 
 def merge_traces(
     paths: list[str], out: str, progress: ProgressCallback | None = None
 ) -> MergeResult:
-    """Write traces of many gateways as one to the new file `out`.
+    """Merge the traces of many gateways into the new file `out`.
 
-    Each file's clock is set by its header's origin and corrected by the changes of
-    nodes that it shares with the others. Equal times stand in the order of the files,
-    so the result does not depend on chance. Requests are numbered anew; who wrote which
-    is in the header.
+    Each file's times are placed by the clock origin in its header and corrected by the
+    node changes that it shares with the others. Records of equal times follow the order
+    of the files, so the result is deterministic. Requests get new ids: an id modulo the
+    number of files is the index of the request's file in the header's `merged` list.
 
     Raises:
-        OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTraceError: where a file is no trace.
+        OSError: if a file cannot be read or written, or `out` exists.
+        MalformedTraceError: if a file is not a trace.
     """
     headers: list[dict[str, Any]] = []
     changes: list[dict[NodeChange, int]] = []
@@ -131,8 +134,8 @@
     ]
     base = min(origins)
     sources = [
-        MergeSource(path, place, len(paths), origin - base)
-        for place, (path, origin) in enumerate(zip(paths, origins, strict=True))
+        MergeSource(path, file_index, len(paths), origin - base)
+        for file_index, (path, origin) in enumerate(zip(paths, origins, strict=True))
     ]
     header = merged_header(headers, corrections, base)
     count = merge_in_groups(sources, out, header, progress)
@@ -142,7 +145,7 @@
 def clock_shifts(
     headers: list[dict[str, Any]], corrections: list[ClockCorrection]
 ) -> list[ClockShift]:
-    """Return how each file's clock was set."""
+    """Return the clock shift of each file."""
     return [
         ClockShift(str(header.get("name", "")), correction, uncertainty)
         for header, (correction, uncertainty) in zip(headers, corrections, strict=True)
@@ -152,7 +155,7 @@
 def merged_header(
     headers: list[dict[str, Any]], corrections: list[ClockCorrection], base: int
 ) -> dict[str, Any]:
-    """Return the header of a merge whose clock's zero is the wall time `base`."""
+    """Return the header of a merge; its clock reads zero at the wall time `base`."""
     first = headers[0]
     merged = []
     for header, (correction, uncertainty) in zip(headers, corrections, strict=True):
@@ -177,15 +180,15 @@
     header: dict[str, Any],
     progress: ProgressCallback | None,
 ) -> int:
-    """Merge the files, by way of files for groups where they are too many to open."""
+    """Merge the files; merge groups first if there are too many to open at once."""
     groups = [
         sources[at : at + MAX_OPEN_FILES]
         for at in range(0, len(sources), MAX_OPEN_FILES)
     ]
     if len(groups) == 1:
         return merge_sources(groups[0], out, header, progress)
-    beside_out = os.path.dirname(os.path.abspath(out))
-    with tempfile.TemporaryDirectory(dir=beside_out) as folder:
+    out_folder = os.path.dirname(os.path.abspath(out))
+    with tempfile.TemporaryDirectory(dir=out_folder) as folder:
         parts = [f"{folder}/{number}" for number in range(len(groups))]
         for part, group in zip(parts, groups, strict=True):
             merge_sources(group, part, {}, progress)
@@ -198,36 +201,36 @@
     header: dict[str, Any],
     progress: ProgressCallback | None,
 ) -> int:
-    """Merge files of gateways and return the number of records."""
+    """Merge gateways' files into `out` and return the number of records."""
     with ExitStack() as readers:
         streams = [
             source.records(readers.enter_context(TraceReader(source.path, progress)))
             for source in sources
         ]
-        return TraceFile(out, header).write_all(heapq.merge(*streams, key=time_of))
+        return TraceFile(out, header).write_all(heapq.merge(*streams, key=record_time))
 
 
 def merge_parts(paths: list[str], out: str, header: dict[str, Any]) -> int:
-    """Merge files that are on the common clock already."""
+    """Merge files whose times are on the common clock already."""
     with ExitStack() as readers:
         streams = [readers.enter_context(TraceReader(path)).records() for path in paths]
-        return TraceFile(out, header).write_all(heapq.merge(*streams, key=time_of))
+        return TraceFile(out, header).write_all(heapq.merge(*streams, key=record_time))
 
 
-def time_of(record: TraceRecord) -> int:
+def record_time(record: TraceRecord) -> int:
     """Return the time of a record."""
     return record[0]
 
 
 def node_changes(reader: TraceReader) -> dict[NodeChange, int]:
-    """Return when the file's gateway heard of each change of a node.
+    """Return the time at which the file's gateway received each change of a node.
 
-    What the first list says is no change.
+    The first listing of a node is not a change.
     """
     readiness: dict[int, str] = {}
     times: Counter[tuple[int, str]] = Counter()
     found: dict[NodeChange, int] = {}
-    for at, _, values in reader.records(kinds=LISTINGS):
+    for at, _, values in reader.records(kinds=LISTING_KINDS):
         node, ready = values[0], values[1]
         if readiness.get(node, ready) != ready and len(found) < MAX_NODE_CHANGES:
             times[node, ready] += 1
@@ -237,9 +240,11 @@
 
 
 def clock_origin(header: dict[str, Any]) -> int:
-    """Return the wall time of a file's clock zero, in tenths of a millisecond."""
+    """Return the wall time at which a file's clock reads zero, in ticks."""
     try:
         wall = int(header.get("wall_ms", 0)) * TICKS_PER_MILLISECOND
         return wall - int(header.get("opened", 0))
     except (TypeError, ValueError):
-        raise MalformedTraceError("a header whose clock origin is no number") from None
+        raise MalformedTraceError(
+            "the header's wall_ms or opened is not a number"
+        ) from None
--- a/milletsill/trace/reader.py
+++ b/milletsill/trace/reader.py
@@ -1,7 +1,7 @@
-"""Reads traces: by the footer's index where there is one, by the blocks where not.
+"""Reads traces, by the footer's index if the file has one, else block after block.
 
-A file is read up to where it breaks and, where a block is damaged in the middle, past
-it. Memory is bounded by the largest block.
+A truncated file is read up to its last whole block, and damaged blocks in the middle
+are skipped. The records of one block at a time are held in memory.
 """
 
 from __future__ import annotations
@@ -30,18 +30,19 @@
 from milletsill.trace.records import BLOCK_HEADER, BlockHeader, TraceRecord
 from milletsill.trace.volume_index import select_blocks
 
-# Called with how many bytes were read, for those who show progress.
+# Called with the number of bytes of each read, to show progress.
 ProgressCallback = Callable[[int], None]
 
-# Bytes looked through at a time for the next block after a damaged one.
+# Bytes that are searched at a time for the next block after a damaged one.
 SCAN_BYTES = 1 << 20
 
 
 class FileState(Enum):
-    """What a file is.
+    """The completeness of a trace file.
 
-    WHOLE: it has its footer. OPEN: its blocks reach its end without one, since it is
-    being written or was cut between blocks. BROKEN: something in it is no block.
+    WHOLE: the file has its footer. OPEN: its blocks reach the end of the file without a
+    footer, because it is being written or was truncated between blocks. BROKEN: a part
+    of the file is not a readable block.
     """
 
     WHOLE = 1
@@ -52,7 +53,7 @@
 def classify_file(
     blocks_end: int, size: int, has_footer: bool, is_damaged: bool
 ) -> FileState:
-    """Return what a file of this size is, whose last whole block ends there."""
+    """Return the state of a file; `blocks_end` is the end of its last whole block."""
     if has_footer:
         return FileState.WHOLE
     if blocks_end == size and not is_damaged:
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DamagedRange:
-    """A stretch of a file that holds no readable block."""
+    """A byte range of a file that holds no readable block."""
 
     offset: int
     size: int
@@ -71,16 +72,16 @@
 
 @dataclass
 class TraceContents:
-    """What a file holds.
+    """The contents of a trace file.
 
     Attributes:
-        path: the file.
+        path: path of the file.
         header: the fields of its header, with its `minor` version.
         blocks: the headers of its blocks.
-        damage: what of it cannot be read.
-        state: what the file is.
+        damage: the byte ranges that cannot be read.
+        state: the completeness of the file.
         bytes_read: bytes read so far.
-        volume_blocks: numbers of the blocks of each volume, where the file says so.
+        volume_blocks: block numbers by volume; None if the file has no volume index.
     """
 
     path: str
@@ -93,13 +94,13 @@
 
 
 class TraceReader:
-    """One file, open for reading.
+    """One trace file, open for reading.
 
     A file that is still being written is read up to its last whole block.
 
     Raises:
-        OSError: where the file cannot be read.
-        MalformedTraceError: where its beginning is that of no trace.
+        OSError: if the file cannot be read.
+        MalformedTraceError: if it does not begin with a trace's header.
     """
 
     def __init__(self, path: str, progress: ProgressCallback | None = None) -> None:
@@ -128,7 +129,7 @@
         self.file.close()
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Return so many bytes from an offset on; fewer at the end of the file."""
+        """Return up to `size` bytes at an offset; fewer at the end of the file."""
         self.file.seek(offset)
         data = self.file.read(size)
         self.contents.bytes_read += len(data)
@@ -137,31 +138,31 @@
         return data
 
     def find_blocks(self) -> None:
-        """Find the blocks by the index, else by themselves."""
+        """Find the blocks by the footer; without a readable footer, scan for them."""
         try:
             self.contents.blocks = self.read_index()
         except MalformedTraceError:
             self.scan_blocks()
 
     def read_index(self) -> list[BlockHeader]:
-        """Return the blocks as the footer has them.
+        """Return the blocks that the footer lists.
 
-        Their sizes follow from the offset of the next one.
+        A block's size follows from the offset of the next block.
 
         Raises:
-            MalformedTraceError: where there is no whole footer.
+            MalformedTraceError: if there is no complete, valid footer.
         """
         trailer_start = self.size - TRAILER.size
         trailer = self.read_at(max(trailer_start, 0), TRAILER.size)
         if len(trailer) < TRAILER.size:
-            raise MalformedTraceError("no trailer")
+            raise MalformedTraceError("the file is too short for a trailer")
         footer_start, magic = TRAILER.unpack(trailer)
         if (
             magic != END_MAGIC
             or not self.blocks_start <= footer_start <= trailer_start
             or trailer_start - footer_start > MAX_FOOTER_BYTES
         ):
-            raise MalformedTraceError("no trailer")
+            raise MalformedTraceError("the file does not end with a valid trailer")
         footer = self.read_at(footer_start, trailer_start - footer_start)
         entries, self.contents.volume_blocks = decode_footer(footer)
         bounds = [entry.offset for entry in entries]
@@ -169,7 +170,9 @@
         if any(start >= end for start, end in pairwise(bounds)) or (
             entries and entries[0].offset != self.blocks_start
         ):
-            raise MalformedTraceError("the footer's blocks do not follow each other")
+            raise MalformedTraceError(
+                "the footer's blocks are not in order from the header on"
+            )
         return [
             BlockHeader(
                 offset=entry.offset,
@@ -185,53 +188,53 @@
         ]
 
     def scan_blocks(self) -> None:
-        """Find block after block; past damage the next header that checks out."""
+        """Find the blocks in order; after damage, search for the next valid header."""
         contents = self.contents
-        at = self.blocks_start
-        while at < self.size:
-            block, reason = self.block_at(at)
+        offset = self.blocks_start
+        while offset < self.size:
+            block, reason = self.block_at(offset)
             if block is not None:
                 contents.blocks.append(block)
-                at = block.end
+                offset = block.end
                 continue
-            if self.read_at(at, len(FOOTER_MAGIC)) == FOOTER_MAGIC:
+            if self.read_at(offset, len(FOOTER_MAGIC)) == FOOTER_MAGIC:
                 footer = DamagedRange(
-                    at, self.size - at, "a footer that is cut or damaged"
+                    offset, self.size - offset, "the footer is truncated or damaged"
                 )
                 contents.damage.append(footer)
                 break
-            next_block = self.find_next_block(at + 1)
-            contents.damage.append(DamagedRange(at, next_block - at, reason))
-            at = next_block
+            next_block = self.find_next_block(offset + 1)
+            contents.damage.append(DamagedRange(offset, next_block - offset, reason))
+            offset = next_block
         end = contents.blocks[-1].end if contents.blocks else self.blocks_start
         contents.state = classify_file(
             end, self.size, has_footer=False, is_damaged=bool(contents.damage)
         )
 
-    def block_at(self, at: int) -> tuple[BlockHeader | None, str]:
-        """Return the header of the whole block at an offset, or why there is none."""
+    def block_at(self, offset: int) -> tuple[BlockHeader | None, str]:
+        """Return the header of the whole block at an offset, or None and the reason."""
         try:
-            block = decode_block_header(self.read_at(at, BLOCK_HEADER.size), at)
+            block = decode_block_header(self.read_at(offset, BLOCK_HEADER.size), offset)
         except MalformedTraceError as error:
             return None, str(error)
         if block.end > self.size:
             return None, "the last block is cut short"
         return block, ""
 
-    def find_next_block(self, at: int) -> int:
-        """Return where the next block begins that checks out, or the end."""
-        while at < self.size:
-            found = self.read_at(at, SCAN_BYTES).find(BLOCK_MAGIC)
+    def find_next_block(self, offset: int) -> int:
+        """Return the offset of the next valid block, or the file's size."""
+        while offset < self.size:
+            found = self.read_at(offset, SCAN_BYTES).find(BLOCK_MAGIC)
             if found < 0:
-                at += SCAN_BYTES - len(BLOCK_MAGIC) + 1
-            elif self.block_at(at + found)[0] is not None:
-                return at + found
+                offset += SCAN_BYTES - len(BLOCK_MAGIC) + 1
+            elif self.block_at(offset + found)[0] is not None:
+                return offset + found
             else:
-                at += found + 1
+                offset += found + 1
         return self.size
 
-    def blocks_of(self, volume: str | None) -> list[BlockHeader]:
-        """Return the blocks that may tell of a volume; all of them for None."""
+    def blocks_for_volume(self, volume: str | None) -> list[BlockHeader]:
+        """Return the blocks that may hold records of a volume; all blocks for None."""
         contents = self.contents
         if volume is None:
             return contents.blocks
@@ -249,12 +252,13 @@
         volume: str | None = None,
         kinds: frozenset[int] | None = None,
     ) -> Iterator[TraceRecord]:
-        """Yield the records from `since` on and before `until`, only of `kinds`.
+        """Yield the records from `since` to before `until`; None sets no bound.
 
-        With a volume only the blocks are read that may tell of it; their records of
-        other volumes are not left out. A damaged block is noted and passed over.
+        `kinds` restricts the result to those kind numbers. `volume` restricts reading
+        to blocks that may hold the volume's records; records of other volumes in these
+        blocks are included. A damaged block is added to the damage and skipped.
         """
-        for block in self.blocks_of(volume):
+        for block in self.blocks_for_volume(volume):
             if since is not None and block.last_time < since:
                 continue
             if until is not None and block.first_time >= until:
@@ -268,7 +272,7 @@
     def read_block(
         self, block: BlockHeader, kinds: frozenset[int] | None = None
     ) -> list[TraceRecord]:
-        """Return the records of one block; none where it is damaged, which is noted."""
+        """Return the records of a block; add a damaged block to the damage instead."""
         size = BLOCK_HEADER.size + block.body_size
         try:
             data = self.read_at(block.offset, size)
--- a/milletsill/trace/record_filter.py
+++ b/milletsill/trace/record_filter.py
@@ -1,4 +1,4 @@
-"""Which records a cut of a trace keeps."""
+"""Selects the records that a cut of a trace keeps."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from typing import Any
 
 from milletsill.trace.records import (
-    REQUEST_CLASS_PLACE,
+    REQUEST_CLASS_FIELD_INDEX,
     REQUEST_KINDS,
-    VOLUME_PLACE,
+    VOLUME_FIELD_INDEX,
     RecordKind,
     TraceRecord,
 )
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordFilter:
-    """What a cut keeps; None for all.
+    """The records that a cut keeps; a field that is None restricts nothing.
 
     Attributes:
         since: earliest time of a record.
-        until: time that all records are before.
-        volume: name of the volume of the requests.
-        request_class: place of the requests' class in the configuration.
+        until: time before which all records are.
+        volume: name of the requests' volume.
+        request_class: index of the requests' class in the configuration.
         node: id of a node that the requests were sent to.
     """
 
@@ -36,11 +36,11 @@
 
     @property
     def keeps_all_requests(self) -> bool:
-        """Whether only the times are bounded."""
+        """Whether the filter restricts times only."""
         return self.volume is None and self.request_class is None and self.node is None
 
     def to_stored(self) -> dict[str, int | str]:
-        """Return what is set, by the names in a trace's header."""
+        """Return the fields that are set, under their names in a trace's header."""
         fields = {
             "since": self.since,
             "until": self.until,
@@ -51,31 +51,34 @@
         return {name: value for name, value in fields.items() if value is not None}
 
     def matches(self, kind: RecordKind, values: tuple[Any, ...]) -> bool:
-        """Whether a record that names a volume and a class is kept."""
-        if self.volume is not None and values[VOLUME_PLACE[kind.number]] != self.volume:
+        """Whether the filter keeps a record that names a volume and a class."""
+        if (
+            self.volume is not None
+            and values[VOLUME_FIELD_INDEX[kind.number]] != self.volume
+        ):
             return False
         if self.request_class is None:
             return True
-        found: int = values[REQUEST_CLASS_PLACE[kind.number]]
+        found: int = values[REQUEST_CLASS_FIELD_INDEX[kind.number]]
         return found == self.request_class
 
 
 def select_requests(
     records: Iterable[TraceRecord],
-    wanted: RecordFilter,
+    selection: RecordFilter,
     sent_to_node: set[int] | None,
 ) -> Iterator[TraceRecord]:
-    """Yield the arrivals of the wanted requests, and all later records of them.
+    """Yield the arrivals of the wanted requests, and all later records of these.
 
     `sent_to_node` holds the ids of the requests that were sent to the wanted node; None
-    where no node is asked for.
+    selects requests of all nodes.
     """
     request_ids: dict[int, None] = {}
     for record in records:
         _, kind, values = record
-        if kind.number in REQUEST_CLASS_PLACE:
+        if kind.number in REQUEST_CLASS_FIELD_INDEX:
             is_arrival = kind.number in REQUEST_KINDS
-            if not wanted.matches(kind, values):
+            if not selection.matches(kind, values):
                 continue
             if sent_to_node is not None and not (
                 is_arrival and values[0] in sent_to_node
--- a/milletsill/trace/recorder.py
+++ b/milletsill/trace/recorder.py
@@ -1,7 +1,7 @@
-"""Records one scheduler: its events and effects, and the commands of clients.
+"""Records a scheduler's events and effects, and the commands of clients.
 
-Neither the scheduler nor its host knows of the recorder, and none of this is loaded
-where tracing is off.
+The scheduler and its host are unaware of the recorder. A gateway without tracing does
+not import this package.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 
 class RecordSink(Protocol):
-    """Takes records and never blocks; `trace.writer.TraceWriter` is one."""
+    """Takes records without blocking, for example a `trace.writer.TraceWriter`."""
 
     def put(self, name: str, at: int, *values: object) -> None:
-        """Take one record: the name of its kind, its time and its fields' values."""
+        """Take one record: its kind's name, its time and the values of its fields."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandRecord:
-    """What a client asked for and got. Times are tenths of a millisecond.
+    """A client's command and its answer. Times are tenths of a millisecond.
 
     Attributes:
-        began: when the command arrived.
+        began: time of the command's arrival.
         volume: the volume's name.
-        service_plan: place of the volume's plan in the configuration.
-        request_class: place of the command's class in the configuration.
-        operation: what was asked, by its name in the protocol.
-        units: its cost.
-        requests: requests to the scheduler that it took.
-        attempts: attempts of the requests.
+        service_plan: index of the volume's plan in the configuration.
+        request_class: index of the command's class in the configuration.
+        operation: the operation's name in the protocol.
+        units: cost of the command in units.
+        requests: number of scheduler requests that the command took.
+        attempts: number of attempts of these requests.
         answer: `satisfied`, `declined` or `aborted`.
-        reason: why it was not satisfied.
+        reason: the reason of an answer other than `satisfied`.
     """
 
     began: int
@@ -57,37 +57,37 @@
 class TraceRecorder:
     """Records one scheduler instance.
 
-    `volume_names` are the volumes' names by number, from 1.
+    `volume_names` holds the volumes' names in order of their numbers, which begin at 1.
     """
 
     def __init__(self, writer: RecordSink, volume_names: Sequence[str]) -> None:
         self.writer = writer
         self.volume_names = volume_names
         self.scheduler: TracedScheduler | None = None
-        # When the scheduler was made, which a replay needs.
-        self.made_at = 0
+        # Time of the scheduler's creation; a replay needs it.
+        self.created_at = 0
 
-    def wrap(self, make: SchedulerFactory) -> SchedulerFactory:
-        """Return a factory of the same scheduler, recorded."""
+    def wrap(self, create_scheduler: SchedulerFactory) -> SchedulerFactory:
+        """Return a factory that creates the same scheduler with recording."""
 
-        def make_traced(
+        def create_traced(
             config: DeploymentConfig, seed: int, now: int, effects: SchedulerEffects
         ) -> SchedulerEvents:
-            self.made_at = now
+            self.created_at = now
             traced = TracedEffects(effects, self.writer.put, now)
-            scheduler = make(config, seed, now, traced)
+            scheduler = create_scheduler(config, seed, now, traced)
             self.scheduler = TracedScheduler(scheduler, traced, self.volume_names)
             return self.scheduler
 
-        return make_traced
+        return create_traced
 
     def set_next_path(self, path: str) -> None:
-        """Name the path that the next request is about."""
+        """Set the path to record with the next request."""
         if self.scheduler is not None:
             self.scheduler.next_path = path
 
     def record_command(self, now: int, command: CommandRecord) -> None:
-        """Record a client's command with its answer."""
+        """Record a client's command and its answer."""
         self.writer.put(
             "command",
             now,
--- a/milletsill/trace/recording_policy.py
+++ b/milletsill/trace/recording_policy.py
@@ -1,7 +1,8 @@
-"""What the writer of traces decides, without I/O and without a clock.
+"""Decisions of the trace writer as pure functions, without I/O and without a clock.
 
-What is shed when the queue to the writer is full, when blocks and files end, what a
-failing disk means, and which files are deleted. Times are tenths of a millisecond.
+They determine which records are shed when the writer's queue is full, when blocks and
+files end, how the writer reacts to a failing disk, and which files are deleted. Times
+are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 from milletsill.trace.records import TICKS_PER_SECOND
 
-# --- What the writer does as the disk takes it or not.
+# --- States of the writer, and its reaction to disk errors.
 
 
 class WriterState(Enum):
-    """Whether records are written.
+    """The state of a trace writer.
 
-    SUSPENDED: the disk refused; it is tried again after a while.
+    SUSPENDED: a disk operation failed; the writer retries after a delay.
     """
 
     STOPPED = 1
@@ -27,7 +28,7 @@
 
 
 class WriterEvent(Enum):
-    """What changes the state of a writer."""
+    """An event that may change the state of a writer."""
 
     START = 1
     STOP = 2
@@ -36,7 +37,7 @@
 
 
 class WriterEffect(Enum):
-    """What a change of state asks of the writer."""
+    """The action that a state transition requires of the writer."""
 
     NONE = 0
     OPEN_FILE = 1
@@ -59,9 +60,10 @@
         WriterState.STOPPED,
         WriterEffect.NONE,
     ),
-    # Guards traffic and log against a full or failing disk, whatever fails: one log
-    # event, records shed and counted, a new file when it recovers. Never the same file
-    # again: what it holds cannot be vouched for. Harm: a gap in the trace.
+    # This transition protects traffic and the log from a full or failing disk: the
+    # writer logs one event, sheds and counts records, and opens a new file when the
+    # disk recovers. It never continues the old file, whose contents are uncertain after
+    # a failed write. Its drawback is a gap in the trace.
     (WriterState.WRITING, WriterEvent.WRITE_FAILED): (
         WriterState.SUSPENDED,
         WriterEffect.ABANDON_FILE,
@@ -79,21 +81,21 @@
 def next_state(
     state: WriterState, event: WriterEvent
 ) -> tuple[WriterState, WriterEffect]:
-    """Return the next state and what to do; what is not in the table does nothing."""
+    """Return the next state and the effect; other pairs than the table's do nothing."""
     return WRITER_TRANSITIONS.get((state, event), (state, WriterEffect.NONE))
 
 
 def retry_delay(failures: int) -> int:
-    """Return how long a failing disk is left alone after so many earlier failures."""
+    """Return the delay before the next try, doubled for each earlier failure."""
     doublings = min(failures, MAX_DOUBLINGS)
     return min(FIRST_RETRY_DELAY << doublings, MAX_RETRY_DELAY)
 
 
-# --- What a full queue sheds.
+# --- Shedding of records when the queue fills up.
 
-# The least needed first: what follows from the others, then what explains, then
-# what decides. A replay needs all but the first group; a summary needs arrivals,
-# outcomes and answers.
+# Kinds in the order in which they are shed, least needed first: kinds that follow from
+# the others, then kinds that explain decisions, then kinds that determine them. A
+# replay needs all groups but the first; a summary needs arrivals, outcomes and answers.
 SHEDDING_ORDER = (
     ("wake", "settled", "remark", "fetch", "probe"),
     ("woken", "listing", "listed", "watch", "cancelled"),
@@ -104,43 +106,43 @@
 SHEDDING_RANK = {
     name: rank for rank, names in enumerate(SHEDDING_ORDER) for name in names
 }
-# Of the queue's bound, past which the group of this rank is no longer taken.
+# Share of the queue's capacity at which each group, by rank, is no longer accepted.
 QUEUE_SHARES = (0.5, 0.7, 0.85, 0.95, 1.0)
 
 
 def queue_limit(kind: str, max_queued: int) -> float:
-    """Return the length of the queue below which a record of this kind is taken.
+    """Return the queue length below which a record of this kind is accepted.
 
-    Groups are shut out one after another as the queue fills, so that the last places of
-    its `max_queued` are left for answers.
+    The groups are rejected one after another as the queue fills, so that the last of
+    its `max_queued` entries remain for answers.
     """
     return max_queued * QUEUE_SHARES[SHEDDING_RANK.get(kind, 0)]
 
 
 @dataclass(slots=True)
 class ShedRecords:
-    """What was shed of one kind since a `gap` was last recorded.
+    """The records of one kind that were shed since its last `gap` record.
 
     Attributes:
-        count: how many records.
-        since: when the first of them was.
+        count: number of shed records.
+        since: time of the first of them.
     """
 
     count: int = 0
     since: int = 0
 
     def add(self, now: int) -> None:
-        """Count one more."""
+        """Count one more shed record."""
         if not self.count:
             self.since = now
         self.count += 1
 
 
-# --- When blocks and files end.
+# --- Ends of blocks and files.
 
 MAX_BLOCK_RECORDS = 16_384
 MAX_BLOCK_AGE = 5 * TICKS_PER_SECOND
-# A block with fewer records waits so many times as long.
+# A block with fewer records than this may grow older, by the factor below.
 SMALL_BLOCK_RECORDS = 1000
 SMALL_BLOCK_AGE_FACTOR = 6
 
@@ -148,12 +150,13 @@
 def block_is_due(
     records: int, first_time: int, now: int, max_age: int = MAX_BLOCK_AGE
 ) -> bool:
-    """Whether a block is to be written: it is full, or old.
+    """Whether a block is due to be written because it is full or old.
 
-    What a kill loses is bounded by the block's age, or by `SMALL_BLOCK_RECORDS`. Guards
-    quiet gateways against blocks of a hundred records, which cost three times the bytes
-    and ten times the processor for each. Harm: a kill of a quiet gateway loses more
-    time, of which there is less to tell.
+    A kill of the process loses at most `max_age` of records, or a longer time with
+    fewer than `SMALL_BLOCK_RECORDS`. The longer wait for small blocks keeps quiet
+    gateways from writing blocks of a hundred records, which cost three times the bytes
+    and ten times the CPU time per record. Its drawback: a kill of a quiet gateway loses
+    a longer time, though few records.
     """
     age = now - first_time
     if records >= MAX_BLOCK_RECORDS:
@@ -164,15 +167,15 @@
 
 
 def file_is_due(size: int, opened: int, now: int, max_bytes: int, max_age: int) -> bool:
-    """Whether a file is to be ended: it is large, or old."""
+    """Whether a file is due to be finished because it is large or old."""
     return size >= max_bytes or now - opened >= max_age
 
 
 def files_to_delete(files: Sequence[tuple[str, int]], max_total: int) -> list[str]:
-    """Return the names to delete, of (name, size) from oldest to newest.
+    """Return the names of the files to delete.
 
-    As many of the oldest as it takes to get to `max_total` bytes; the newest, which is
-    being written, stays.
+    `files` holds (name, size) from oldest to newest. The oldest files are deleted until
+    `max_total` bytes remain; the newest file, which is being written, is kept.
     """
     total = sum(size for _, size in files)
     names: list[str] = []
--- a/milletsill/trace/records.py
+++ b/milletsill/trace/records.py
@@ -1,9 +1,9 @@
-"""Kinds of trace records, their fields, and the header of a block.
+"""Defines the kinds of trace records, their fields, and the header of a block.
 
-The numbers of kinds and the places of fields are those of the file: they never change
-their meaning within a major version. A field is an integer, a float or a text; how it
-is coded stands beside it. Times are whole tenths of a millisecond of the writer's
-clock.
+The numbers of kinds and the positions of fields are part of the file format: their
+meaning never changes within a major version. A field is an integer, a float or a text
+with a column coding. Times are whole tenths of a millisecond of the writer's clock;
+one such unit is a tick.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 TICKS_PER_SECOND = 10_000
 
-# Codings of columns: differences between neighbours, plain integers, floats, and texts
-# by a dictionary of the block.
+# Column codings: delta-encoded integers, plain integers, floats, and texts as indexes
+# into a dictionary of the column.
 STEP = 1
 PLAIN = 2
 FLOAT = 3
@@ -31,8 +31,8 @@
 
     Attributes:
         number: the kind's number in the file.
-        name: its name.
-        fields: name and coding of each field; a field's number is its place from 1.
+        name: the kind's name.
+        fields: name and coding of each field; fields are numbered from 1 in this order.
     """
 
     number: int
@@ -40,23 +40,23 @@
     fields: tuple[tuple[str, int], ...]
 
 
-# A record: its time, its kind, and the values of its fields. A plain tuple, since the
-# gateway makes several for each request.
+# A record: its time, its kind, and the values of its fields. It is a plain tuple
+# because the gateway creates several for each request.
 TraceRecord = tuple[int, RecordKind, tuple[Any, ...]]
 
 
 @dataclass(frozen=True, slots=True)
 class BlockHeader:
-    """What stands before the body of a block.
+    """The header that precedes the body of a block.
 
     Attributes:
-        offset: where the header begins in the file.
-        body_size: bytes of the body, compressed.
-        raw_size: bytes of the body, unpacked; 0 where only the footer was read.
-        record_count: records in the block.
+        offset: position of the header in the file.
+        body_size: size of the compressed body in bytes.
+        raw_size: size of the decompressed body in bytes; 0 if it comes from a footer.
+        record_count: number of records in the block.
         first_time: the earliest time of a record.
         last_time: the latest time of a record.
-        body_crc: CRC-32 of the compressed body; 0 where only the footer was read.
+        body_crc: CRC-32 of the compressed body; 0 if it comes from a footer.
         volume_filter: a Bloom filter of the volumes in the block, 32 bytes.
     """
 
@@ -71,12 +71,12 @@
 
     @property
     def end(self) -> int:
-        """Where the block ends in the file."""
+        """The offset of the block's end in the file."""
         return self.offset + BLOCK_HEADER.size + self.body_size
 
 
-def _kind(number: int, name: str, fields: str) -> RecordKind:
-    """Make a kind from `name:coding` pairs, the coding by its first letter."""
+def _record_kind(number: int, name: str, fields: str) -> RecordKind:
+    """Return a kind; `fields` lists `name:coding`, a coding by its first letter."""
     codes = {"s": STEP, "p": PLAIN, "f": FLOAT, "t": TEXT}
     return RecordKind(
         number, name, tuple((each[:-2], codes[each[-1]]) for each in fields.split())
@@ -85,75 +85,76 @@
 
 KINDS = (
     # Events of the scheduler.
-    # A shard of -1 is that of a new object.
-    _kind(
+    # `cell` is the request's shard; -1 marks a new object.
+    _record_kind(
         1,
         "arrival",
         "transfer:s extent:p volume:p store:t gateways:p category:p plan:p repeat:p "
         "write:p cell:p units:f ends:s path:t",
     ),
-    # A usage of -1 was not reported.
-    _kind(
+    # `used` is the node's usage of the volume; -1 means that it was not reported.
+    _record_kind(
         2,
         "outcome",
         "transfer:s number:p node:p outcome:t over:p latency:p used:p elsewhere:p "
         "report:t",
     ),
-    _kind(3, "abandoned", "transfer:s"),
-    # The number of the timer that fired: the how many-eth `wake` set it.
-    _kind(4, "woken", "wake:s"),
-    _kind(5, "settled", ""),
-    # So many `listing` records follow, one for each endpoint.
-    _kind(6, "listed", "news:t count:p"),
-    _kind(
+    _record_kind(3, "abandoned", "transfer:s"),
+    # The timer that fired, by the ordinal number of the `wake` record that set it.
+    _record_kind(4, "woken", "wake:s"),
+    _record_kind(5, "settled", ""),
+    # `count` records of kind `listing` follow, one for each endpoint.
+    _record_kind(6, "listed", "news:t count:p"),
+    _record_kind(
         7,
         "listing",
         "node:p readiness:t size:f machine:p zone:p since:p known:p cell:p",
     ),
     # Effects of the scheduler.
-    _kind(16, "dispatch", "transfer:s node:p timeout:p"),
-    _kind(17, "declined", "transfer:s pause:p"),
-    _kind(18, "aborted", "transfer:s"),
-    _kind(19, "cancelled", "transfer:s number:p"),
-    _kind(20, "wake", "at:s"),
-    _kind(21, "watch", ""),
-    _kind(22, "remark", "text:t"),
-    # The writer's own records. A gap: records of a kind that were shed, and from when.
-    _kind(32, "gap", "kind:p lost:p since:s"),
-    _kind(33, "plan", "text:t"),
-    # Of 1.0; since 1.1 the field `over` of an outcome says it.
-    _kind(34, "satisfied", "transfer:s latency:p"),
-    # Since 1.1: what a client asked for and got, recorded at its answer.
-    _kind(
+    _record_kind(16, "dispatch", "transfer:s node:p timeout:p"),
+    _record_kind(17, "declined", "transfer:s pause:p"),
+    _record_kind(18, "aborted", "transfer:s"),
+    _record_kind(19, "cancelled", "transfer:s number:p"),
+    _record_kind(20, "wake", "at:s"),
+    _record_kind(21, "watch", ""),
+    _record_kind(22, "remark", "text:t"),
+    # Records of the writer itself. A gap holds the number of shed records of a kind and
+    # the time of the first of them.
+    _record_kind(32, "gap", "kind:p lost:p since:s"),
+    _record_kind(33, "plan", "text:t"),
+    # Only in version 1.0; since 1.1 the field `over` of an outcome replaces it.
+    _record_kind(34, "satisfied", "transfer:s latency:p"),
+    # Since 1.1: a client's command and its answer, recorded at the answer.
+    _record_kind(
         35,
         "command",
         "began:s span:p store:t plan:p category:p operation:t units:f legs:p tries:p "
         "final:t why:t",
     ),
-    _kind(36, "fetch", ""),
-    # An event; a share of -1 is the even share again.
-    _kind(38, "part", "what:t id:p share:f ends:s after:f"),
-    _kind(37, "probe", "node:p"),
-    # An event; since 1.2.
-    _kind(39, "advised", "node:p strain:f away:p until:s"),
+    _record_kind(36, "fetch", ""),
+    # An event of the scheduler; a share of -1 means a return to the even share.
+    _record_kind(38, "part", "what:t id:p share:f ends:s after:f"),
+    _record_kind(37, "probe", "node:p"),
+    # An event of the scheduler, since 1.2.
+    _record_kind(39, "advised", "node:p strain:f away:p until:s"),
 )
 BY_NUMBER = {each.number: each for each in KINDS}
 BY_NAME = {each.name: each for each in KINDS}
 
 
-def _field_places(field: str) -> dict[int, int]:
-    """Return the place of a field's value in each kind that has it, by kind number."""
+def _field_indexes(field: str) -> dict[int, int]:
+    """Return the index of a field in each kind that has it, by kind number."""
     return {
-        kind.number: place
+        kind.number: index
         for kind in KINDS
-        for place, (name, _) in enumerate(kind.fields)
+        for index, (name, _) in enumerate(kind.fields)
         if name == field
     }
 
 
-VOLUME_PLACE = _field_places("store")
-REQUEST_CLASS_PLACE = _field_places("category")
-# Kinds that name a request by their first field.
+VOLUME_FIELD_INDEX = _field_indexes("store")
+REQUEST_CLASS_FIELD_INDEX = _field_indexes("category")
+# Numbers of the kinds whose first field is a request id.
 REQUEST_KINDS = frozenset(
     kind.number for kind in KINDS if kind.fields and kind.fields[0][0] == "transfer"
 )
--- a/milletsill/trace/repair.py
+++ b/milletsill/trace/repair.py
@@ -1,4 +1,4 @@
-"""Verifies whole traces, and repairs those that are damaged."""
+"""Verifies traces in full, and repairs damaged ones."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def verify(path: str, progress: ProgressCallback | None = None) -> TraceContents:
-    """Read a file in full and return what of it is whole.
+    """Read a file in full and return the contents that are undamaged.
 
-    Every block is unpacked, and the index of volumes made anew from what they hold.
+    Every block is decoded, and the volume index is rebuilt from the records.
 
     Raises:
-        OSError: where the file cannot be read.
-        MalformedTraceError: where it is no trace.
+        OSError: if the file cannot be read.
+        MalformedTraceError: if it is not a trace.
     """
     with TraceReader(path, progress) as reader:
         contents = reader.contents
@@ -47,13 +47,13 @@
 def repair(
     path: str, out: str, progress: ProgressCallback | None = None
 ) -> TraceContents:
-    """Write the whole blocks of a file to the new file `out`, with a new index.
+    """Write the undamaged blocks of a file to the new file `out`, with a new footer.
 
-    The blocks stay as they are, byte for byte.
+    The blocks are copied byte for byte.
 
     Raises:
-        OSError: where a file cannot be read or written, or `out` is there already.
-        MalformedTraceError: where it is no trace.
+        OSError: if a file cannot be read or written, or `out` exists.
+        MalformedTraceError: if the source is not a trace.
     """
     contents = verify(path, progress)
     with open(path, "rb") as source, open(out, "xb") as target:
@@ -69,7 +69,7 @@
 
 
 def copy(source: BinaryIO, target: BinaryIO, offset: int, size: int) -> None:
-    """Copy so many bytes from an offset on."""
+    """Copy `size` bytes from an offset of the source; fewer at its end."""
     source.seek(offset)
     while size > 0 and (data := source.read(min(size, COPY_BYTES))):
         target.write(data)
--- a/milletsill/trace/service_accounting.py
+++ b/milletsill/trace/service_accounting.py
@@ -1,12 +1,14 @@
-"""Service as the users define it: utility in time over the utility that was due.
-
-Utility is counted by reserve, share by weight, and the rest. For each volume and second
-of arrival some units are due in full (inside a token bucket that fills at the reserve's
-rate and holds a second of it and one largest request); then, of what nine tenths of the
-nodes' capacity leave, a part by weight at `share`; then the rest at `spare`. A request
-in time takes the best that is still due, a late one the worst. The laboratory's
-benchmark computes the share node by node; here it is over all nodes together,
-since only the laboratory knows each node's capacity.
+"""Computes the service figure: the utility delivered over the utility that was due.
+
+The units that each volume asks for in a second of arrival fall into three tiers. The
+first tier, due in full, is inside a token bucket that fills at the reserve rate and
+holds one second of the reserve plus one largest request. The second tier, due at the
+utility `share`, is the volume's part by weight of the capacity that the reserves leave,
+where nine tenths of the nodes' capacity count. The third tier, due at the utility
+`spare`, is the rest. A request in time takes units of the best tier that is left, a
+late one of the worst. The laboratory's benchmark computes the second tier node by node;
+this module computes it over all nodes together, because only the laboratory knows the
+capacity of each node.
 """
 
 from __future__ import annotations
@@ -15,22 +17,22 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-USABLE_CAPACITY = 0.9
+USABLE_CAPACITY_SHARE = 0.9
 NEGLIGIBLE_UNITS = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class CompletedOperation:
-    """One operation that has its answer.
+    """One operation that was answered.
 
     Attributes:
         second: its second of arrival.
-        volume: place of its volume among the entitlements.
-        request_class: name of its class.
-        units: its cost.
-        utility: utility of a unit in time.
-        credit: what of the utility counts: 1 in time, the late weight for a late one, 0
-            for none.
+        volume: index of its volume among the entitlements.
+        request_class: name of its request class.
+        units: its cost in units.
+        utility: utility of a unit that is done in time.
+        credit: factor of the utility that counts: 1 if done in time, the late weight if
+            done late, 0 if not done.
         late: whether it was not done in time.
     """
 
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VolumeEntitlement:
-    """What a volume is entitled to: units a second reserved, and its weight."""
+    """A volume's entitlement: reserved units per second, and its weight."""
 
     reserve: float
     weight: float
@@ -53,7 +55,7 @@
 
 @dataclass(slots=True)
 class DueTier:
-    """Units that are due, and what part of their utility is."""
+    """Units that are due, and the part of their utility that is due."""
 
     units: float
     weight: float
@@ -64,31 +66,31 @@
     entitlements: Sequence[VolumeEntitlement],
     spare: float,
 ) -> dict[int, float]:
-    """Return what each volume gets of the spare units by weight.
+    """Return the spare units of each volume, divided by weight.
 
-    None gets more than it wants.
+    No volume gets more than it wants; the others divide what it leaves.
     """
     shares = dict.fromkeys(wanted, 0.0)
-    asking = {volume for volume, units in wanted.items() if units > 0}
-    while asking and spare > NEGLIGIBLE_UNITS:
-        total_weight = sum(entitlements[volume].weight for volume in asking)
+    unsatisfied = {volume for volume, units in wanted.items() if units > 0}
+    while unsatisfied and spare > NEGLIGIBLE_UNITS:
+        total_weight = sum(entitlements[volume].weight for volume in unsatisfied)
         parts = {
             volume: spare * entitlements[volume].weight / total_weight
-            for volume in asking
+            for volume in unsatisfied
         }
         filled = {
             volume
-            for volume in asking
+            for volume in unsatisfied
             if wanted[volume] - shares[volume] <= parts[volume]
         }
         if not filled:
-            for volume in asking:
+            for volume in unsatisfied:
                 shares[volume] += parts[volume]
             return shares
         for volume in filled:
             spare -= wanted[volume] - shares[volume]
             shares[volume] = wanted[volume]
-        asking -= filled
+        unsatisfied -= filled
     return shares
 
 
@@ -107,7 +109,7 @@
         self.updated: dict[int, int] = defaultdict(int)
 
     def take(self, volume: int, second: int, units: float) -> float:
-        """Take up to so many units and return how many the reserve had."""
+        """Take up to `units` tokens at a second and return how many were available."""
         elapsed = second - self.updated[volume]
         filled = self.levels[volume] + self.entitlements[volume].reserve * elapsed
         level = min(filled, self.limits[volume])
@@ -125,10 +127,11 @@
     share: float,
     spare: float,
 ) -> dict[str, tuple[float, float]]:
-    """Return (utility that counts, utility due) by request class and, under '', in all.
+    """Return (utility delivered, utility due) by request class, and in total under ''.
 
-    `capacity` is that of all nodes in units a second, `largest_units` the cost of the
-    largest request, `share` and `spare` the utility of units beyond the reserve.
+    `capacity` is the units per second of all nodes, `largest_units` the cost of the
+    largest request. `share` and `spare` are the utilities of a unit in the second and
+    third tier.
     """
     by_second: dict[int, dict[int, list[CompletedOperation]]] = defaultdict(
         lambda: defaultdict(list)
@@ -141,11 +144,13 @@
         reserved: dict[int, float] = {}
         extra: dict[int, float] = {}
         for volume, arrived in by_second[second].items():
-            asked = sum(each.units for each in arrived)
-            reserved[volume] = buckets.take(volume, second, asked)
-            extra[volume] = asked - reserved[volume]
-        left = max(USABLE_CAPACITY * capacity - sum(reserved.values()), 0.0)
-        shares = share_by_weight(extra, entitlements, left)
+            asked_units = sum(each.units for each in arrived)
+            reserved[volume] = buckets.take(volume, second, asked_units)
+            extra[volume] = asked_units - reserved[volume]
+        remaining_capacity = max(
+            USABLE_CAPACITY_SHARE * capacity - sum(reserved.values()), 0.0
+        )
+        shares = share_by_weight(extra, entitlements, remaining_capacity)
         for volume, arrived in by_second[second].items():
             tiers = [
                 DueTier(reserved[volume], 1.0),
@@ -161,7 +166,7 @@
     tiers: list[DueTier],
     totals: dict[str, list[float]],
 ) -> None:
-    """Add the utilities of one volume's operations of one second to the totals."""
+    """Add the utilities of one volume's operations in one second to the totals."""
     weighted = sum(tier.units * tier.weight for tier in tiers)
     units = sum(tier.units for tier in tiers)
     mean_weight = weighted / max(units, NEGLIGIBLE_UNITS)
@@ -173,7 +178,7 @@
 
 
 def take_from_tiers(tiers: list[DueTier], units: float, worst_first: bool) -> float:
-    """Return units times weight that one operation takes of what is still due."""
+    """Take an operation's units from the tiers and return units times weight."""
     weighted = 0.0
     for tier in reversed(tiers) if worst_first else tiers:
         part = min(tier.units, units)
--- a/milletsill/trace/service_display.py
+++ b/milletsill/trace/service_display.py
@@ -1,4 +1,4 @@
-"""Shows a service report to people, as text or as a picture."""
+"""Formats a service report as text or as a plot."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def format_report(report: dict[str, Any]) -> str:
-    """Return a report as lines of text."""
+    """Return a report as text with one line for each window and reason."""
     lines = [
         format_totals(report),
         f"{'from s':>10}{'service':>9}{'satisfied':>10}{'declined':>9}{'aborted':>8}"
@@ -47,13 +47,13 @@
 
 
 def plot_report(report: dict[str, Any], path: str) -> None:
-    """Draw service, answers and 99th percentiles over time.
+    """Plot service, answers and 99th percentiles over time into an image file.
 
-    The library is loaded only where it is asked for.
+    matplotlib is imported only when this function is called.
 
     Raises:
-        OSError: where the picture cannot be written.
-        ValueError: where the path's suffix names no format of pictures.
+        OSError: if the image cannot be written.
+        ValueError: if the path's suffix names no image format.
     """
     import matplotlib
 
--- a/milletsill/trace/service_report.py
+++ b/milletsill/trace/service_report.py
@@ -1,7 +1,7 @@
-"""What a trace says of the service: by time window, request class and reason.
+"""Reports the service of a trace, by time window, request class and reason.
 
-A command counts in the window of its arrival. The service figure is computed as in
-the laboratory.
+A command counts in the window of its arrival. The service figure comes from
+`service_accounting`.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 PERCENTILES = {"p50": 50, "p90": 90, "p99": 99}
 TICKS_PER_MILLISECOND = 10
 SMALLEST_UTILITY = 1e-9
-COMMANDS = frozenset((BY_NAME["command"].number,))
+COMMAND_KINDS = frozenset((BY_NAME["command"].number,))
 
 
 @dataclass(frozen=True, slots=True)
 class AnsweredCommand:
-    """A command of a trace.
+    """A command of a trace and its answer.
 
     Attributes:
-        operation: the command as the accounting takes it.
+        operation: the command as input of the service accounting.
         latency: tenths of a millisecond from arrival to answer.
         answer: `satisfied`, `declined` or `aborted`.
-        reason: why it was not satisfied.
+        reason: the reason of an answer other than `satisfied`.
     """
 
     operation: CompletedOperation
@@ -51,19 +51,23 @@
     since: int | None = None,
     until: int | None = None,
 ) -> Iterator[AnsweredCommand]:
-    """Yield the commands of a trace.
+    """Yield the commands of a trace that were answered from `since` to before `until`.
 
     Raises:
-        MalformedTraceError: where one has a class or plan that the terms do not have.
+        MalformedTraceError: if a command's class or plan is not in the terms.
     """
-    for _, _, values in reader.records(since, until, kinds=COMMANDS):
-        began, latency, volume, plan, place, _, units, _, _, answer, reason = values
-        if not (0 <= place < len(terms.classes) and 0 <= plan < len(terms.prices)):
+    for _, _, values in reader.records(since, until, kinds=COMMAND_KINDS):
+        began, latency, volume, plan, class_index, _, units, _, _, answer, reason = (
+            values
+        )
+        if not (
+            0 <= class_index < len(terms.classes) and 0 <= plan < len(terms.prices)
+        ):
             raise MalformedTraceError(
-                f"a command of category {place} and plan {plan}, "
-                "which the header does not have"
+                f"a command has category {class_index} and plan {plan}; the header has "
+                f"{len(terms.classes)} categories and {len(terms.prices)} plans"
             )
-        request_class = terms.classes[place]
+        request_class = terms.classes[class_index]
         done = answer == "satisfied"
         in_time = done and latency <= request_class.target
         late_credit = request_class.late_utility if done else 0.0
@@ -81,13 +85,13 @@
 
 @dataclass(slots=True)
 class ServiceWindow:
-    """One stretch of time; its utilities are without regard to reserves.
+    """The figures of one time window; its utilities disregard reserves.
 
     Attributes:
-        due: utility of what was asked.
-        in_time: utility of what was done in time.
-        answers: how many commands had which answer.
-        latencies: of the satisfied commands, by request class.
+        due: utility of all commands that arrived in the window.
+        in_time: utility of those that were done in time.
+        answers: number of commands by answer.
+        latencies: latencies of the satisfied commands, by request class.
     """
 
     due: float = 0.0
@@ -96,7 +100,7 @@
     latencies: dict[str, list[int]] = field(default_factory=dict)
 
     def summary(self) -> dict[str, Any]:
-        """Return the window's figures as the command line prints them."""
+        """Return the window's figures under the names that the command line prints."""
         return {
             "service": self.in_time / self.due if self.due else None,
             **self.answers,
@@ -108,7 +112,7 @@
 
 
 def latency_percentiles(latencies: list[int]) -> dict[str, float]:
-    """Return percentiles by name, in milliseconds."""
+    """Return the percentiles by name, in milliseconds."""
     ticks = np.percentile(np.array(latencies), tuple(PERCENTILES.values()))
     return {
         name: round(float(value), 1)
@@ -117,9 +121,9 @@
 
 
 class ServiceReport:
-    """Collects the commands of a trace.
+    """Accumulates the commands of a trace into the figures of a service report.
 
-    `window` is the length of the windows in tenths of a millisecond.
+    `window` is the length of a time window in tenths of a millisecond.
     """
 
     def __init__(self, window: int) -> None:
@@ -130,10 +134,10 @@
         self.latency_count = 0
 
     def add(self, command: AnsweredCommand) -> None:
-        """Count one command.
+        """Add one command.
 
         Raises:
-            MalformedTraceError: where there are too many windows.
+            MalformedTraceError: if there are more than `MAX_WINDOWS` windows.
         """
         operation = command.operation
         window = self.window_at(operation.second * TICKS_PER_SECOND // self.window)
@@ -149,22 +153,22 @@
             self.latency_count += 1
         self.operations.append(operation)
 
-    def window_at(self, place: int) -> ServiceWindow:
-        """Return the window of that place from the clock's zero on."""
-        if place not in self.windows and len(self.windows) >= MAX_WINDOWS:
+    def window_at(self, index: int) -> ServiceWindow:
+        """Return the window at an index, counted from the clock's zero."""
+        if index not in self.windows and len(self.windows) >= MAX_WINDOWS:
             raise MalformedTraceError(
-                f"more than {MAX_WINDOWS} windows: take longer ones"
+                f"more than {MAX_WINDOWS} time windows: choose longer windows"
             )
-        return self.windows.setdefault(place, ServiceWindow())
+        return self.windows.setdefault(index, ServiceWindow())
 
     def add_reason(self, command: AnsweredCommand) -> None:
-        """Count why a command was not satisfied, up to a number of reasons."""
+        """Count a command's reason; at most `MAX_REASONS` reasons are kept."""
         key = (command.operation.request_class, command.answer, command.reason)
         if len(self.reasons) < MAX_REASONS or key in self.reasons:
             self.reasons[key] += 1
 
     def summary(self, source: str, terms: ServiceTerms) -> dict[str, Any]:
-        """Return the figures as the command line prints them."""
+        """Return the report's figures under the names that the command line prints."""
         in_time = sum(each.in_time for each in self.windows.values())
         due = sum(each.due for each in self.windows.values())
         return {
@@ -193,13 +197,14 @@
     until: int | None = None,
     progress: ProgressCallback | None = None,
 ) -> dict[str, Any]:
-    """Return service, percentiles, who was declined and why, by time window.
+    """Return the service, latencies and answers by time window, and counts of reasons.
 
-    `window` is in tenths of a millisecond, `capacity` in units a second of all nodes.
+    `window` is in tenths of a millisecond; `capacity` is the units per second of all
+    nodes.
 
     Raises:
-        OSError: where the file cannot be read.
-        MalformedTraceError: where it is no trace, or has no terms of service.
+        OSError: if the file cannot be read.
+        MalformedTraceError: if it is not a trace or its header has no service terms.
     """
     report = ServiceReport(window)
     with TraceReader(source, progress) as reader:
@@ -212,7 +217,7 @@
 def service_ratios(
     operations: Sequence[CompletedOperation], terms: ServiceTerms
 ) -> dict[str, float]:
-    """Return service by reserve, share and the rest, in all ('') and by class."""
+    """Return the service figure by request class, and in total under ''."""
     totals = total_service(
         operations,
         terms.entitlements,
--- a/milletsill/trace/service_terms.py
+++ b/milletsill/trace/service_terms.py
@@ -1,4 +1,4 @@
-"""What the service figure needs to know, as it stands in a trace's header."""
+"""The terms of the service figure, to and from a trace's header."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassTerms:
-    """What a request class is worth; the target is in tenths of a millisecond."""
+    """Target and utilities of a request class.
+
+    The target is in tenths of a millisecond.
+    """
 
     name: str
     target: int
@@ -21,17 +24,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTerms:
-    """What the service figure needs.
+    """The inputs of the service figure besides the commands.
 
     Attributes:
-        classes: the request classes by place.
-        prices: prices of the service plans by place.
-        volumes: place of each volume's entitlement by the volume's name.
+        classes: the request classes by index.
+        prices: prices of the service plans by index.
+        volumes: index of each volume's entitlement by the volume's name.
         entitlements: reserves and weights of the volumes.
-        capacity: units a second of all nodes; 0 where it is not known.
+        capacity: units per second of all nodes; 0 if unknown.
         largest_units: cost of the largest request.
         share: utility of a unit beyond the reserve that is due by weight.
-        spare: utility of a unit beyond that.
+        spare: utility of a unit beyond reserve and share.
     """
 
     classes: list[ClassTerms]
@@ -45,7 +48,7 @@
 
 
 def encode_terms(terms: ServiceTerms) -> dict[str, Any]:
-    """Return the terms as they stand in a header."""
+    """Return the terms in the form of a header's `terms`."""
     return {
         "categories": [
             [each.name, each.target, each.utility, each.late_utility]
@@ -62,58 +65,62 @@
 
 
 def decode_terms(header: dict[str, Any], capacity: float | None) -> ServiceTerms:
-    """Return the terms of a header: its own, or those of a gateway's configuration.
+    """Return a header's `terms`, or the terms of the gateway configuration in it.
 
-    A gateway does not know the capacity of the nodes, which is then handed in.
+    `capacity` replaces the capacity of the header; a gateway's header has none, because
+    a gateway does not know the capacity of the nodes.
 
     Raises:
-        MalformedTraceError: where the header has neither.
+        MalformedTraceError: if the header has neither.
     """
     try:
-        own = header.get("terms")
-        if isinstance(own, dict):
-            return decode_own_terms(own, capacity)
-        return terms_of_gateway(header, capacity)
+        stored = header.get("terms")
+        if isinstance(stored, dict):
+            return decode_stored_terms(stored, capacity)
+        return gateway_terms(header, capacity)
     except (KeyError, IndexError, TypeError, ValueError) as error:
         raise MalformedTraceError(
-            f"a header without the terms of service: {type(error).__name__} {error}"
+            "the header has neither valid service terms nor a gateway configuration: "
+            f"{type(error).__name__} {error}"
         ) from None
 
 
-def decode_own_terms(own: dict[str, Any], capacity: float | None) -> ServiceTerms:
-    """Return the terms that a header spells out."""
+def decode_stored_terms(stored: dict[str, Any], capacity: float | None) -> ServiceTerms:
+    """Return the terms of a header's `terms`."""
     return ServiceTerms(
         classes=[
             ClassTerms(str(name), int(target), float(utility), float(late))
-            for name, target, utility, late in own["categories"]
+            for name, target, utility, late in stored["categories"]
         ],
-        prices=own["prices"],
-        volumes={name: place for place, name in enumerate(own["stores"])},
-        entitlements=[VolumeEntitlement(*each) for each in own["claims"]],
-        capacity=capacity or own["power"],
-        largest_units=own["largest"],
-        share=own["share"],
-        spare=own["spare"],
+        prices=stored["prices"],
+        volumes={name: index for index, name in enumerate(stored["stores"])},
+        entitlements=[VolumeEntitlement(*each) for each in stored["claims"]],
+        capacity=capacity or stored["power"],
+        largest_units=stored["largest"],
+        share=stored["share"],
+        spare=stored["spare"],
     )
 
 
-def terms_of_gateway(header: dict[str, Any], capacity: float | None) -> ServiceTerms:
-    """Return the terms of the configuration in a gateway's header."""
+def gateway_terms(header: dict[str, Any], capacity: float | None) -> ServiceTerms:
+    """Return the terms of the gateway configuration in a header."""
     config = header["facts"]
-    plan_places = {name: place for place, name in enumerate(header.get("plans", ()))}
-    plans = [config["plans"][plan_places.get(plan, 0)] for _, plan in header["volumes"]]
+    plan_indexes = {name: index for index, name in enumerate(header.get("plans", ()))}
+    plans = [
+        config["plans"][plan_indexes.get(plan, 0)] for _, plan in header["volumes"]
+    ]
     return ServiceTerms(
         classes=[
             ClassTerms(
-                str(each.get("name", place)),
+                str(each.get("name", index)),
                 each["target_time"],
                 each["utility"],
                 each["late_utility"],
             )
-            for place, each in enumerate(config["categories"])
+            for index, each in enumerate(config["categories"])
         ],
         prices=[each["price"] for each in config["plans"]],
-        volumes={name: place for place, (name, _) in enumerate(header["volumes"])},
+        volumes={name: index for index, (name, _) in enumerate(header["volumes"])},
         entitlements=[
             VolumeEntitlement(each["reserve_rate"], each["weight"]) for each in plans
         ],
--- a/milletsill/trace/summary.py
+++ b/milletsill/trace/summary.py
@@ -1,4 +1,4 @@
-"""What a trace holds: in figures, or record by record."""
+"""Summarises a trace as counts, or lists its records one by one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 from milletsill.trace.reader import ProgressCallback, TraceReader
-from milletsill.trace.records import VOLUME_PLACE, RecordKind
+from milletsill.trace.records import VOLUME_FIELD_INDEX, RecordKind
 
 MAX_COUNTED_VOLUMES = 100_000
 MAX_SHOWN_VOLUMES = 20
@@ -30,7 +30,7 @@
         name = kind.name
         self.kinds[name] += 1
         if name == "arrival":
-            self.count_volume(values[VOLUME_PLACE[kind.number]])
+            self.count_volume(values[VOLUME_FIELD_INDEX[kind.number]])
         elif name in FINAL_KINDS:
             self.finals[name] += 1
         elif name == "outcome":
@@ -40,7 +40,7 @@
             self.shed[str(values[0])] += values[1]
 
     def count_volume(self, volume: str) -> None:
-        """Count an arrival, of so many volumes at most."""
+        """Count an arrival by volume; at most `MAX_COUNTED_VOLUMES` are counted."""
         if len(self.volumes) < MAX_COUNTED_VOLUMES or volume in self.volumes:
             self.volumes[volume] += 1
 
@@ -48,11 +48,11 @@
 def summarise_trace(
     source: str, progress: ProgressCallback | None = None
 ) -> dict[str, Any]:
-    """Return what a trace holds, in figures, as the command line prints it.
+    """Return the counts of a trace under the names that the command line prints.
 
     Raises:
-        OSError: where the file cannot be read.
-        MalformedTraceError: where it is no trace.
+        OSError: if the file cannot be read.
+        MalformedTraceError: if it is not a trace.
     """
     counts = TraceRecordCounts()
     with TraceReader(source, progress) as reader:
@@ -86,7 +86,7 @@
     until: int | None,
     write: Callable[[dict[str, Any]], None],
 ) -> None:
-    """Hand each record to `write`, its time, kind and fields by name."""
+    """Pass each record to `write`, as its time, kind and fields by name."""
     with TraceReader(source) as reader:
         for at, kind, values in reader.records(since, until):
             names = (name for name, _ in kind.fields)
--- a/milletsill/trace/time_argument.py
+++ b/milletsill/trace/time_argument.py
@@ -1,4 +1,4 @@
-"""What a time on the command line means on a trace's clock."""
+"""Parses times on the command line into times of a trace's clock."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class InvalidTimeError(InvalidValueError):
-    """A text on the command line that is no time."""
+    """A command-line argument that is not a valid time."""
 
     remedy = (
-        "give tenths of a millisecond, +90s, +5m or +1h after the opening, or ISO 8601"
+        "give tenths of a millisecond, +90s, +5m or +1h after the file's opening, "
+        "or ISO 8601"
     )
 
 
@@ -27,32 +28,35 @@
     """Return a time on the writer's clock, in tenths of a millisecond.
 
     `text` is a time on that clock, `+90s` after the file's opening, or ISO 8601 wall
-    time (UTC where it names no zone). `opened` and `wall_ms` are those of the header.
+    time (UTC without a zone). `opened` and `wall_ms` come from the header.
 
     Raises:
-        InvalidTimeError: where it is none of these.
+        InvalidTimeError: if it is none of these.
     """
     if text.lstrip("-").isdecimal():
         return int(text)
     if text.startswith("+"):
         return opened + parse_span(text)
     try:
-        at = datetime.fromisoformat(text)
+        wall_time = datetime.fromisoformat(text)
     except ValueError:
         raise InvalidTimeError(
-            f"{text!r} is no time: tenths of a millisecond, +90s or ISO 8601"
+            f"{text!r} is not a time; expected tenths of a millisecond, "
+            "+90s or ISO 8601"
         ) from None
-    if at.tzinfo is None:
-        at = at.replace(tzinfo=UTC)
-    wall = round(at.timestamp() * TICKS_PER_SECOND)
+    if wall_time.tzinfo is None:
+        wall_time = wall_time.replace(tzinfo=UTC)
+    wall = round(wall_time.timestamp() * TICKS_PER_SECOND)
     return opened + wall - wall_ms * TICKS_PER_MILLISECOND
 
 
 def parse_span(text: str) -> int:
-    """Return the ticks of a span such as `+90s`; seconds where it names no unit."""
+    """Return the ticks of a time span such as `+90s`; without a unit, of seconds."""
     unit = TICKS_PER_UNIT.get(text[-1:])
     number = text[1:-1] if unit else text[1:]
     try:
         return int(float(number) * (unit or TICKS_PER_SECOND))
     except (ValueError, OverflowError):
-        raise InvalidTimeError(f"{text!r} is no span such as +90s, +5m, +1h") from None
+        raise InvalidTimeError(
+            f"{text!r} is not a time span: expected one such as +90s, +5m or +1h"
+        ) from None
--- a/milletsill/trace/trace_file.py
+++ b/milletsill/trace/trace_file.py
@@ -1,4 +1,4 @@
-"""Trace files written in the caller's thread, for tools and simulations."""
+"""Writes trace files in the caller's thread, for tools and simulations."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class TraceFile:
-    """A new file, written block by block and indexed at the end.
+    """A new trace file, written block by block, with its footer written at the end.
 
-    A file that is there already is never written over.
+    An existing file is never overwritten.
 
     Raises:
-        OSError: where the file is there or the disk refuses.
+        OSError: if the file exists or cannot be written.
     """
 
     def __init__(self, path: str, header: dict[str, Any]) -> None:
@@ -41,13 +41,13 @@
         self.volume_index = VolumeIndexBuilder()
 
     def append(self, record: TraceRecord) -> None:
-        """Add a record, and write the block that it fills."""
+        """Add a record; write the block once it is full."""
         self.records.append(record)
         if len(self.records) >= MAX_BLOCK_RECORDS:
             self.flush()
 
     def flush(self) -> None:
-        """Write the records at hand as a block."""
+        """Write the buffered records as a block."""
         if not self.records:
             return
         volumes = self.volume_index.add_block(self.records)
@@ -58,7 +58,7 @@
         self.records = []
 
     def write_all(self, records: Iterable[TraceRecord]) -> int:
-        """Add all of the records, end the file, and return how many they were."""
+        """Add all records, close the file, and return the number of records."""
         count = 0
         for record in records:
             self.append(record)
@@ -67,7 +67,7 @@
         return count
 
     def close(self) -> None:
-        """Write the last block and the footer, and sync the file."""
+        """Write the last block and the footer, sync the file and close it."""
         self.flush()
         footer = encode_footer(self.blocks, self.size, self.volume_index.blocks)
         self.file.write(footer)
@@ -77,9 +77,10 @@
 
 
 class SimulationTrace:
-    """Takes what a `TraceWriter` takes, on a clock that is not the machine's.
+    """A `RecordSink` for simulations: like a `TraceWriter`, but without a thread.
 
-    Blocks end by size and by age as in service; there is no thread.
+    Blocks end by size and by age as in a `TraceWriter`; the age follows the times of
+    the records, which are on the simulated clock.
     """
 
     def __init__(
@@ -99,9 +100,9 @@
         records.append((at, BY_NAME[name], values))
 
     def flush(self) -> None:
-        """Write the records at hand as a block."""
+        """Write the buffered records as a block."""
         self.trace_file.flush()
 
     def close(self) -> None:
-        """End the file."""
+        """Close the file."""
         self.trace_file.close()
--- a/milletsill/trace/traced_scheduler.py
+++ b/milletsill/trace/traced_scheduler.py
@@ -1,8 +1,8 @@
-"""A scheduler whose events and effects are recorded, in the order they happen.
+"""Wraps a scheduler to record its events and effects in the order they happen.
 
-`TracedScheduler` stands between the scheduler's host and the scheduler, and
-`TracedEffects` between the scheduler and its host. Neither side knows of them. All
-times are whole tenths of a millisecond of the gateway's clock.
+`TracedScheduler` passes events from the host to the scheduler, `TracedEffects` passes
+effects from the scheduler to the host; each records them first. Host and scheduler are
+unaware of both. All times are whole tenths of a millisecond of the gateway's clock.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     SchedulerEvents,
 )
 
-# What integer and float columns hold where there is no value.
+# Integer and float columns have no null; these values stand for an absent value.
 NEW_OBJECT_SHARD = -1
 UNKNOWN_USAGE = -1
 EVEN_SHARE = -1.0
@@ -36,7 +36,7 @@
 
 
 class TracedTimer:
-    """A timer's token with the number by which the trace knows the timer."""
+    """A timer's token together with the timer's number in the trace."""
 
     __slots__ = ("number", "token")
 
@@ -46,7 +46,7 @@
 
 
 class TracedEffects:
-    """The effects of a scheduler: each is recorded, then passed to the host."""
+    """Records each effect of a scheduler, then passes it to the host."""
 
     def __init__(self, effects: SchedulerEffects, put: PutRecord, now: int) -> None:
         self.effects = effects
@@ -75,12 +75,12 @@
         self.effects.cancel_attempt(request_id, attempt_number)
 
     def watch_endpoints(self) -> None:
-        """Record `watch` and ask for the endpoint list and its changes."""
+        """Record `watch` and request the endpoint list and its changes."""
         self.put("watch", self.now)
         self.effects.watch_endpoints()
 
     def fetch_endpoints(self) -> None:
-        """Record `fetch` and ask for the endpoint list once."""
+        """Record `fetch` and request the endpoint list once."""
         self.put("fetch", self.now)
         self.effects.fetch_endpoints()
 
@@ -102,11 +102,11 @@
 
 
 class TracedScheduler:
-    """A scheduler as its host sees it: each event is recorded, then passed on.
+    """Records each event of a scheduler, then passes it to the scheduler.
 
     Attributes:
         effects: the recorded effects of the scheduler.
-        next_path: the path that the next request is about, empty where unknown.
+        next_path: the path to record with the next request; empty if unknown.
     """
 
     def __init__(
@@ -166,7 +166,7 @@
         self.scheduler.on_request(now, request)
 
     def volume_name(self, number: int) -> str:
-        """Return a volume's name, or its number as text where it has no name."""
+        """Return a volume's name, or its number as text if it has no name."""
         if 0 < number <= len(self.volume_names):
             return self.volume_names[number - 1]
         return str(number)
@@ -198,7 +198,7 @@
         self.scheduler.on_client_cancelled(now, request_id)
 
     def on_timer(self, now: int, token: object) -> None:
-        """Record `woken` and hand the scheduler its own token."""
+        """Record `woken` and pass the scheduler its own token."""
         self.effects.now = now
         timer = cast(TracedTimer, token)
         self.put("woken", now, timer.number)
--- a/milletsill/trace/volume_index.py
+++ b/milletsill/trace/volume_index.py
@@ -1,4 +1,8 @@
-"""Which blocks tell of a volume: the index of a file, and the filters of blocks."""
+"""Finds the blocks that hold a volume's records.
+
+A file's volume index lists them exactly; the Bloom filters in the block headers may
+include blocks without such records.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 
 from milletsill.trace.records import (
     REQUEST_KINDS,
-    VOLUME_PLACE,
+    VOLUME_FIELD_INDEX,
     BlockHeader,
     TraceRecord,
 )
@@ -20,12 +24,12 @@
 FILTER_BITS = 256
 FILTER_BYTES = FILTER_BITS // 8
 FILTER_HASHES = 3
-# Before this minor version a filter tells of arrivals alone.
+# In files of an earlier minor version a filter holds the volumes of arrivals only.
 FIRST_MINOR_WITH_WHOLE_FILTERS = 1
 
 
 def filter_bits(volume: str) -> list[int]:
-    """Return the places of the bits that a volume sets in a filter."""
+    """Return the positions of the bits that a volume sets in a filter."""
     data = volume.encode("utf-8", "surrogateescape")
     return [
         xxhash.xxh32_intdigest(data, seed=seed) % FILTER_BITS
@@ -35,12 +39,12 @@
 
 @lru_cache(maxsize=4096)
 def filter_mask(volume: str) -> int:
-    """Return the bits that a volume sets in a filter, as a number."""
+    """Return the bits that a volume sets in a filter, as an integer."""
     return sum({1 << bit for bit in filter_bits(volume)})
 
 
 def build_filter(volumes: Iterable[str]) -> bytes:
-    """Return the Bloom filter of these volumes: 256 bits, three for each."""
+    """Return the Bloom filter of these volumes, `FILTER_HASHES` bits for each."""
     bits = 0
     for volume in set(volumes):
         bits |= filter_mask(volume)
@@ -54,16 +58,16 @@
 
 
 class VolumeIndexBuilder:
-    """Collects which volumes a file's blocks tell of, one block after another.
+    """Builds a file's volume index from its blocks, added one after another.
 
-    Later records of a request name no volume, so that of its arrival is remembered,
-    for the latest `MAX_TRACKED_REQUESTS` requests.
+    Only the arrival of a request names its volume; the builder therefore keeps the
+    volumes of the latest `MAX_TRACKED_REQUESTS` requests for their later records.
 
     Attributes:
-        request_volumes: the volume of each request that is remembered.
-        blocks: numbers of the blocks of each volume, the file's index; None once there
-            are more than `MAX_INDEXED_VOLUMES`.
-        block_count: blocks added so far.
+        request_volumes: the volumes of the tracked requests, by request id.
+        blocks: block numbers by volume, the file's index; None once there are more than
+            `MAX_INDEXED_VOLUMES` volumes.
+        block_count: number of blocks added so far.
     """
 
     def __init__(self) -> None:
@@ -72,13 +76,13 @@
         self.block_count = 0
 
     def add_block(self, records: Sequence[TraceRecord]) -> set[str]:
-        """Add the next block and return the volumes that it tells of."""
+        """Add the next block and return the volumes that its records concern."""
         found: set[str] = set()
         request_volumes = self.request_volumes
         for _, kind, values in records:
             number = kind.number
-            if number in VOLUME_PLACE:
-                volume = values[VOLUME_PLACE[number]]
+            if number in VOLUME_FIELD_INDEX:
+                volume = values[VOLUME_FIELD_INDEX[number]]
                 found.add(volume)
                 if number in REQUEST_KINDS:
                     request_volumes[values[0]] = volume
@@ -88,11 +92,11 @@
                     found.add(volume)
         while len(request_volumes) > MAX_TRACKED_REQUESTS:
             del request_volumes[next(iter(request_volumes))]
-        self.index(found)
+        self.add_to_index(found)
         return found
 
-    def index(self, volumes: set[str]) -> None:
-        """Note the volumes of the next block."""
+    def add_to_index(self, volumes: set[str]) -> None:
+        """Add the volumes of the next block to the index."""
         if self.blocks is not None:
             for volume in volumes:
                 self.blocks.setdefault(volume, []).append(self.block_count)
@@ -101,7 +105,7 @@
         self.block_count += 1
 
     def next_file(self) -> VolumeIndexBuilder:
-        """Return a builder for the file that follows, which knows the same requests."""
+        """Return a builder for the next file that shares the tracked requests."""
         builder = VolumeIndexBuilder()
         builder.request_volumes = self.request_volumes
         return builder
@@ -113,10 +117,11 @@
     index: Mapping[str, Sequence[int]] | None,
     minor_version: int,
 ) -> list[BlockHeader]:
-    """Return the blocks that may tell of a volume, by the index, else by the filters.
+    """Return the blocks that may hold a volume's records.
 
-    A filter of version 1.0 tells of arrivals alone, and later records of their requests
-    may stand in any block after the first.
+    They come from the index, or from the filters if the file has no index. A filter of
+    version 1.0 holds the volumes of arrivals only; later records of these requests may
+    be in any block after the first match.
     """
     if index is not None:
         return [blocks[number] for number in index.get(volume, ())]
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -1,8 +1,9 @@
-"""Writes traces from a thread of its own; who hands records over never waits.
+"""Writes traces in a separate thread, so that callers never wait for the disk.
 
-`TraceWriter.put` is called by the reactor's thread and only appends to a bounded queue.
-The writer's thread forms blocks, writes and syncs them, ends files by size and age, and
-deletes the oldest past the total. A disk that refuses ends the file at hand.
+The reactor's thread calls `TraceWriter.put`, which only appends to a bounded queue. The
+writer's thread encodes blocks, writes and syncs them, finishes files by size and age,
+and deletes the oldest files to respect the limit on total bytes. After a disk error the
+writer abandons the current file.
 """
 
 from __future__ import annotations
@@ -47,30 +48,32 @@
 
 POLL_SECONDS = 0.1
 FILE_SUFFIX = ".mtrace"
-DEFAULT_STOP_SECONDS = 5.0
+DEFAULT_STOP_TIMEOUT_SECONDS = 5.0
 
 
 class TraceNotStoredError(StateNotStoredError):
-    """A trace that the disk does not take."""
+    """A trace that cannot be written to disk."""
 
     remedy = (
-        "make room or mend the disk of trace.folder; traffic goes on, and tracing in a "
-        "new file once it is taken again"
+        "free space on or repair the disk of trace.folder; traffic continues, and "
+        "tracing resumes in a new file once the disk accepts writes"
     )
 
 
 @dataclass(frozen=True, slots=True)
 class TraceWriterSettings:
-    """Where a writer writes, and its bounds. Times are tenths of a millisecond.
+    """Folder and limits of a trace writer. Times are tenths of a millisecond.
 
     Attributes:
-        folder: where the files stand; made where it is missing.
-        name: the gateway's name, with which the files' names begin.
-        max_queued: records that may wait for the writer's thread.
-        max_file_bytes: size at which a file is ended.
-        max_file_age: age at which a file is ended.
-        max_total_bytes: bytes of all files of this gateway; the oldest are deleted.
-        sync: when files are synced: `blocks`, `files` or `never`.
+        folder: folder of the files; created if it is missing.
+        name: the gateway's name, the prefix of the file names.
+        max_queued: maximum number of records that wait for the writer's thread.
+        max_file_bytes: size at which a file is finished.
+        max_file_age: age at which a file is finished.
+        max_total_bytes: maximum size of all files of this gateway, beyond which the
+            oldest files are deleted.
+        sync: `blocks` syncs after each write, `files` at the end of a file, `never` not
+            at all.
         max_block_age: age at which a block is written.
     """
 
@@ -85,16 +88,17 @@
 
 
 class TraceWriter:
-    """Writes one gateway's traces in one folder.
+    """Writes one gateway's traces to files in one folder.
 
-    `header` goes into the header of each file, `now` is the gateway's clock, and `log`
-    gets one line for the log, from the writer's thread.
+    `header` holds fields for the header of each file, and `now` reads the gateway's
+    clock. `log` receives one line per message; the writer's thread may call it.
 
     Attributes:
-        path: the file that is being written, or was last.
-        state: whether records are written.
-        records_written: records in files.
-        records_shed: records that were not taken, or lost with a file.
+        path: path of the current file, or of the last one.
+        state: the state of the writer.
+        records_written: number of records written to files.
+        records_shed: number of records that were not accepted, or lost with the block
+            of a failed write.
     """
 
     def __init__(
@@ -109,7 +113,7 @@
         self.now = now
         self.log = log
         self.queue: deque[TraceRecord] = deque()
-        self.kinds = {
+        self.kind_limits = {
             name: (kind, queue_limit(name, settings.max_queued))
             for name, kind in BY_NAME.items()
         }
@@ -143,10 +147,10 @@
     def put(self, name: str, at: int, *values: Any) -> None:
         """Queue one record.
 
-        It is shed and counted where the queue is too full for its kind, the disk
-        refuses or the writer is stopping.
+        The record is shed and counted if the queue is too full for its kind, or if the
+        writer is suspended or stopping.
         """
-        kind, limit = self.kinds[name]
+        kind, limit = self.kind_limits[name]
         if (
             len(self.queue) >= limit
             or self.state is WriterState.SUSPENDED
@@ -155,15 +159,15 @@
             self.records_shed += 1
             self.shed.setdefault(name, ShedRecords()).add(at)
             return
-        # The writer's thread may take the entry at the same moment.
+        # The writer's thread may remove the entry concurrently, hence the default None.
         shed = self.shed.pop(name, None) if self.shed else None
         if shed is not None:
             gap = (kind.number, shed.count, shed.since)
             self.queue.append((at, BY_NAME["gap"], gap))
         self.queue.append((at, kind, values))
 
-    def stop(self, timeout: float = DEFAULT_STOP_SECONDS) -> None:
-        """Write what is queued and end the file; give up after so many seconds."""
+    def stop(self, timeout: float = DEFAULT_STOP_TIMEOUT_SECONDS) -> None:
+        """Write the queued records and finish the file within `timeout` seconds."""
         self.closed = True
         self.stopping.set()
         if self.thread.is_alive():
@@ -172,38 +176,38 @@
     # --- The writer's thread.
 
     def run(self) -> None:
-        """Write what is queued until the writer is stopped, then end the file."""
+        """Write queued records until the writer is stopped, then finish the file."""
         while not self.stopping.wait(POLL_SECONDS):
             self.poll()
         self.poll()
         if self.state is WriterState.WRITING:
             self.add_gaps()
-            self.try_to(self.write_block)
+            self.run_disk_operation(self.write_block)
         self.on_event(WriterEvent.STOP)
 
     def poll(self) -> None:
-        """Take what is queued, and write the blocks and end the file that are due."""
+        """Process the queue once: write the blocks and rotate the file that are due."""
         now = self.now()
         if self.state is WriterState.SUSPENDED and now >= self.retry_at:
             self.on_event(WriterEvent.RETRY_DUE)
         while self.queue and self.state is WriterState.WRITING:
             self.block.append(self.queue.popleft())
             if len(self.block) >= MAX_BLOCK_RECORDS:
-                self.try_to(self.write_block)
+                self.run_disk_operation(self.write_block)
         if self.state is WriterState.WRITING and self.block_is_due(now):
-            self.try_to(self.write_block)
+            self.run_disk_operation(self.write_block)
         if self.state is WriterState.WRITING and self.file_is_due(now):
-            self.try_to(self.rotate)
+            self.run_disk_operation(self.rotate)
 
     def block_is_due(self, now: int) -> bool:
-        """Whether the block at hand is to be written."""
+        """Whether the current block is due to be written."""
         first_time = self.block[0][0] if self.block else 0
         return block_is_due(
             len(self.block), first_time, now, self.settings.max_block_age
         )
 
     def file_is_due(self, now: int) -> bool:
-        """Whether the file at hand holds blocks and is to be ended."""
+        """Whether the current file holds blocks and is due to be finished."""
         return bool(self.blocks) and file_is_due(
             self.file_size,
             self.file_opened,
@@ -213,7 +217,7 @@
         )
 
     def add_gaps(self) -> None:
-        """Record what was shed and has no `gap` yet, at the end of a file."""
+        """Add a `gap` to the last block for shed records that have none yet."""
         now = self.now()
         for name in list(self.shed):
             shed = self.shed.pop(name, None)
@@ -222,17 +226,17 @@
                 self.block.append((now, BY_NAME["gap"], gap))
 
     def on_event(self, event: WriterEvent) -> None:
-        """Change the state by the table and do what it asks for."""
+        """Change the state by the transition table and perform the effect."""
         self.state, effect = next_state(self.state, event)
         if effect is WriterEffect.OPEN_FILE:
-            self.try_to(self.open)
+            self.run_disk_operation(self.open)
         elif effect is WriterEffect.FINISH_FILE:
-            self.try_to(self.finish)
+            self.run_disk_operation(self.finish)
         elif effect is WriterEffect.ABANDON_FILE:
             self.abandon()
 
     def abandon(self) -> None:
-        """Leave the file as it is and count the block at hand as shed."""
+        """Close the file as it is and count the current block's records as shed."""
         self.retry_at = self.now() + retry_delay(self.failures)
         self.failures += 1
         self.records_shed += len(self.block)
@@ -246,8 +250,11 @@
             with contextlib.suppress(OSError):
                 file.close()
 
-    def try_to(self, action: Callable[[], None]) -> None:
-        """Do something with the disk; what it refuses ends the file, no more."""
+    def run_disk_operation(self, action: Callable[[], None]) -> None:
+        """Perform a disk operation; an OSError suspends the writer.
+
+        Only the first error after a success is logged.
+        """
         try:
             action()
         except OSError as error:
@@ -258,10 +265,10 @@
             self.on_event(WriterEvent.WRITE_FAILED)
 
     def open(self) -> None:
-        """Open a new file, never one that is there, and delete what is past the total.
+        """Open a new file, never an existing one; delete files beyond the total size.
 
         Raises:
-            OSError: where the disk refuses.
+            OSError: if a disk operation fails.
         """
         os.makedirs(self.settings.folder, exist_ok=True)
         self.delete_oldest()
@@ -275,11 +282,11 @@
         self.blocks = []
         self.volume_index = self.volume_index.next_file()
         if self.failures:
-            self.log(f"tracing goes on: {self.path}")
+            self.log(f"tracing resumes in {self.path}")
         self.failures = 0
 
     def create_file(self) -> BinaryIO:
-        """Create the next file that is not there yet."""
+        """Create the next file, under a name that does not exist yet."""
         while True:
             self.files_opened += 1
             stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
@@ -289,7 +296,7 @@
                 return open(self.path, "xb", buffering=0)
 
     def write(self, data: bytes, is_last: bool = False) -> None:
-        """Write all of it, and sync it where set."""
+        """Write all of the data, and sync the file as the settings require."""
         assert self.file is not None
         view = memoryview(data)
         while view:
@@ -299,7 +306,7 @@
             os.fsync(self.file.fileno())
 
     def write_block(self) -> None:
-        """Write the block at hand, if it holds anything."""
+        """Write the current block if it holds records."""
         if not self.block:
             return
         records = self.block
@@ -311,7 +318,7 @@
         self.records_written += len(records)
 
     def rotate(self) -> None:
-        """End the file and open the next one."""
+        """Finish the file and open the next one."""
         self.write_block()
         self.finish()
         self.open()
@@ -326,7 +333,7 @@
         self.file = None
 
     def delete_oldest(self) -> None:
-        """Delete the oldest files of this gateway while they pass the total."""
+        """Delete the oldest files of this gateway while they exceed the total size."""
         folder = self.settings.folder
         names = sorted(
             name
@@ -334,7 +341,7 @@
             if name.startswith(f"{self.settings.name}-") and name.endswith(FILE_SUFFIX)
         )
         files = [(name, os.path.getsize(os.path.join(folder, name))) for name in names]
-        # The file that is about to be opened is the newest.
+        # This entry stands for the file that is about to be opened, the newest.
         files.append(("", 0))
         for name in files_to_delete(files, self.settings.max_total_bytes):
             os.unlink(os.path.join(folder, name))
--- a/tests/trace/test_volume_index.py
+++ b/tests/trace/test_volume_index.py
@@ -34,9 +34,9 @@
         with TraceReader(path) as trace:
             self.assertEqual(trace.contents.volume_blocks, {"a": [0, 1], "b": [0, 2]})
             self.assertEqual(
-                [each.record_count for each in trace.blocks_of("a")], [2, 1]
+                [each.record_count for each in trace.blocks_for_volume("a")], [2, 1]
             )
-            self.assertEqual(trace.blocks_of("nobody"), [])
+            self.assertEqual(trace.blocks_for_volume("nobody"), [])
 
     def test_without_the_index_the_filters_tell_the_same(self):
         path = self.trace(
@@ -50,7 +50,7 @@
         with TraceReader(path) as trace:
             self.assertIsNone(trace.contents.volume_blocks)
             self.assertEqual(
-                [each.record_count for each in trace.blocks_of("a")], [2, 1]
+                [each.record_count for each in trace.blocks_for_volume("a")], [2, 1]
             )
 
     def test_a_store_that_appears_once_is_found_by_reading_little(self):
