--- a/tests/trace/test_trace_merging.py
+++ b/tests/trace/test_trace_merging.py
@@ -1,4 +1,4 @@
-"""Merging traces of many gateways: clocks, times on the command line, many files."""
+"""Tests merging traces: clock alignment, times on the command line, many files."""
 
 import unittest
 
@@ -12,20 +12,24 @@
 
 
 class ClockAlignment(unittest.TestCase):
-    def test_a_clock_that_is_seconds_off_is_set_by_the_news_that_it_shares(self):
-        news = [{"a": 100, "b": 900}, {"a": 120, "b": 940}, {"a": 50_110, "b": 50_920}]
-        (first, _), (second, _), (third, off) = align_clocks([0, 0, 0], news)
+    def test_a_clock_that_is_seconds_off_is_corrected_by_shared_changes(self):
+        changes = [
+            {"a": 100, "b": 900},
+            {"a": 120, "b": 940},
+            {"a": 50_110, "b": 50_920},
+        ]
+        (first, _), (second, _), (third, uncertainty) = align_clocks([0, 0, 0], changes)
         self.assertEqual((first, second), (0, 0))
         self.assertAlmostEqual(third, -49_985, delta=30)
-        self.assertLessEqual(off, 30)
+        self.assertLessEqual(uncertainty, 30)
 
-    def test_what_the_news_own_way_explains_is_left_alone(self):
+    def test_an_offset_that_propagation_delay_explains_is_not_corrected(self):
         self.assertEqual(
             align_clocks([0, 0], [{"a": 0}, {"a": TOLERATED_OFFSET}]),
             [(0, TOLERATED_OFFSET // 2)] * 2,
         )
 
-    def test_a_file_that_shares_nothing_keeps_its_wall_clock_and_says_so(self):
+    def test_a_file_without_shared_changes_keeps_its_wall_clock(self):
         self.assertEqual(
             align_clocks([0, 5], [{"a": 0}, {"b": 7}]), [(0, None), (0, None)]
         )
@@ -48,8 +52,8 @@
 
 
 class Merging(TraceFiles):
-    def test_clocks_that_disagree_by_seconds_are_set_and_the_rest_is_told(self):
-        flips = [
+    def test_only_the_clock_that_is_seconds_off_is_corrected(self):
+        changes = [
             (at, node, state)
             for at, node, state in (
                 (10, 1, "ready"),
@@ -58,36 +62,46 @@
             )
         ]
         paths = [
-            self.trace(
+            self.write_trace(
                 name,
-                [listing(at + off, node, state) for at, node, state in flips]
-                + [arrival(70_000 + off, 1, name)],
+                [listing(at + offset, node, state) for at, node, state in changes]
+                + [arrival(70_000 + offset, 1, name)],
             )
-            for name, off in (("a", 0), ("b", 30), ("c", 90_000))
+            for name, offset in (("a", 0), ("b", 30), ("c", 90_000))
+        ]
+        result = merge_traces(paths, self.path())
+        self.assertEqual(
+            [each.name for each in result.clocks if each.correction], ["c"]
+        )
+        times = [
+            at
+            for at, kind, _ in self.read_records(self.path())
+            if kind.name == "arrival"
         ]
-        made = merge_traces(paths, self.out())
-        self.assertEqual([each.name for each in made.clocks if each.correction], ["c"])
-        times = [at for at, kind, _ in self.rows(self.out()) if kind.name == "arrival"]
         self.assertLess(max(times) - min(times), 100)
 
-    def test_more_files_than_may_be_open(self):
+    def test_more_files_than_may_be_open_are_merged_in_groups(self):
         paths = [
-            self.trace(f"g{each:03d}", [arrival(at, at, f"s{each}") for at in range(3)])
+            self.write_trace(
+                f"g{each:03d}", [arrival(at, at, f"s{each}") for at in range(3)]
+            )
             for each in range(MAX_OPEN_FILES + 5)
         ]
-        made = merge_traces(paths, self.out())
-        rows = self.rows(self.out())
-        self.assertEqual(made.records, 3 * len(paths))
-        self.assertEqual([row[0] for row in rows], sorted(row[0] for row in rows))
-        self.assertEqual(len({row[2][0] for row in rows}), len(rows))
+        result = merge_traces(paths, self.path())
+        records = self.read_records(self.path())
+        self.assertEqual(result.records, 3 * len(paths))
+        self.assertEqual(
+            [record[0] for record in records], sorted(record[0] for record in records)
+        )
+        self.assertEqual(len({record[2][0] for record in records}), len(records))
         self.assertEqual(
-            [row[2][3] for row in rows[: len(paths)]],
+            [record[2][3] for record in records[: len(paths)]],
             [f"s{each}" for each in range(len(paths))],
         )
 
-    def test_a_header_that_lies_about_its_clock_is_one_line(self):
-        path = self.trace("t", [arrival(1, 1, "a")], wall_ms="late")
-        run = CliRunner().invoke(main, ["trace", "merge", self.out(), path])
+    def test_an_invalid_clock_origin_is_an_error_of_one_line(self):
+        path = self.write_trace("t", [arrival(1, 1, "a")], wall_ms="late")
+        run = CliRunner().invoke(main, ["trace", "merge", self.path(), path])
         self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1))
 
 
--- a/tests/trace/test_trace_tools.py
+++ b/tests/trace/test_trace_tools.py
@@ -1,4 +1,4 @@
-"""Tools on traces: what is cut, converted, anonymised; old versions."""
+"""Tests the tools on traces: cutting, merging, converting, anonymising, old versions."""
 
 import csv
 import glob
@@ -29,25 +29,25 @@
     arrival,
     command,
     dispatch,
+    encode_file,
     outcome,
-    rows,
-    whole,
+    sample_records,
 )
 from tests.wirehost.test_wirehost import BORN, frame
 
 
 class Tools(TraceBytes):
-    def out(self, name):
+    def path(self, name):
         return os.path.join(self.folder, name)
 
-    def rows_of(self, path):
+    def read_records(self, path):
         with TraceReader(path) as trace:
             return list(trace.records())
 
-    def test_a_cut_by_store_keeps_all_of_its_transfers_and_nothing_else(self):
-        path = self.file(whole(rows(20), rows(20, 1000))[0])
-        cut_trace(path, self.out("c"), RecordFilter(volume="s1"))
-        found = self.rows_of(self.out("c"))
+    def test_a_cut_by_volume_keeps_all_of_its_requests_and_no_others(self):
+        path = self.file(encode_file(sample_records(20), sample_records(20, 1000))[0])
+        cut_trace(path, self.path("c"), RecordFilter(volume="s1"))
+        found = self.read_records(self.path("c"))
         self.assertEqual(
             {row[2][3] for row in found if row[1].name == "arrival"}, {"s1"}
         )
@@ -56,9 +56,9 @@
             {row[2][0] for row in found if row[1].name == "arrival"},
         )
         nobody = RecordFilter(volume="nobody")
-        self.assertEqual(cut_trace(path, self.out("none"), nobody).records, 0)
+        self.assertEqual(cut_trace(path, self.path("none"), nobody).records, 0)
 
-    def test_a_merge_sets_clocks_that_disagree_and_keeps_equal_times_in_order(self):
+    def test_a_merge_aligns_clock_origins_and_orders_equal_times_by_file(self):
         paths = []
         for name, opened, wall in (
             ("a", 0, 10_000),
@@ -83,8 +83,8 @@
                     ]
                 )
             paths.append(self.file(data + block, name))
-        merge_traces(paths, self.out("m"))
-        found = self.rows_of(self.out("m"))
+        merge_traces(paths, self.path("m"))
+        found = self.read_records(self.path("m"))
         self.assertEqual(
             [row[2][1] for row in found if row[1].name == "satisfied"],
             [97, 99, 97, 99, 97, 99, 98, 98, 98]
@@ -93,12 +93,12 @@
         )
         self.assertEqual(len({row[2][0] for row in found}), 9)
 
-    def test_anonymised_names_are_equal_under_one_key_and_differ_under_two(self):
-        path = self.file(whole(rows(6))[0])
+    def test_anonymised_names_are_equal_under_one_key_and_differ_under_another(self):
+        path = self.file(encode_file(sample_records(6))[0])
         for name, key in (("one", b"k" * 16), ("again", b"k" * 16), ("two", b"x" * 16)):
-            anonymise_trace(path, self.out(name), key)
+            anonymise_trace(path, self.path(name), key)
         one, again, two = (
-            self.rows_of(self.out(each)) for each in ("one", "again", "two")
+            self.read_records(self.path(each)) for each in ("one", "again", "two")
         )
         names = [
             {row[2][3] for row in each if row[1].name == "arrival"}
@@ -107,30 +107,30 @@
         self.assertEqual(
             (one == again, names[0] & names[1], len(names[0])), (True, set(), 3)
         )
-        with open(self.out("one"), "rb") as source:
+        with open(self.path("one"), "rb") as source:
             self.assertNotIn(b"s1", source.read())
 
-    def test_a_summary_counts_what_is_there_and_what_is_not(self):
-        data, ends = whole(rows(20), rows(20, 1000))
+    def test_a_summary_counts_records_and_damaged_ranges(self):
+        data, ends = encode_file(sample_records(20), sample_records(20, 1000))
         found = summarise_trace(self.file(data[: ends[0] + 40]))
         self.assertEqual(
             (found["records"], found["finals"], found["state"], len(found["breaks"])),
             (60, {"satisfied": 20}, "broken", 1),
         )
 
-    def test_the_command_line_gives_one_line_for_what_is_no_trace(self):
+    def test_files_that_are_no_traces_are_errors_of_one_line(self):
         path = self.file(b"nonsense")
         for words in (
             ("info", path),
             ("cat", path),
             ("verify", path),
-            ("cut", path, self.out("o")),
-            ("merge", self.out("o"), path),
-            ("info", self.out("missing")),
+            ("cut", path, self.path("o")),
+            ("merge", self.path("o"), path),
+            ("info", self.path("missing")),
         ):
-            made = CliRunner().invoke(main, ["trace", *words])
+            run = CliRunner().invoke(main, ["trace", *words])
             self.assertEqual(
-                (made.exit_code, made.output.count("\n"), "Traceback" in made.output),
+                (run.exit_code, run.output.count("\n"), "Traceback" in run.output),
                 (2, 1, False),
                 words,
             )
@@ -140,7 +140,7 @@
     def setUp(self):
         super().setUp()
         facts = {"categories": [{"name": "read"}, {"name": "write"}]}
-        self.path = self.trace(
+        self.source_path = self.write_trace(
             "t",
             [arrival(1, 1, "a", 0), arrival(2, 2, "a", 1), arrival(3, 3, "b", 1)],
             [
@@ -155,12 +155,12 @@
             facts=facts,
         )
 
-    def kept(self, **terms):
-        out = self.out(str(len(os.listdir(self.folder))))
-        cut_trace(self.path, out, RecordFilter(**terms))
-        return [(row[1].name, row[2][0]) for row in self.rows(out)]
+    def kept(self, **criteria):
+        path = self.path(str(len(os.listdir(self.folder))))
+        cut_trace(self.source_path, path, RecordFilter(**criteria))
+        return [(record[1].name, record[2][0]) for record in self.read_records(path)]
 
-    def test_by_category(self):
+    def test_by_request_class(self):
         self.assertEqual(
             self.kept(request_class=1),
             [
@@ -174,31 +174,31 @@
             ],
         )
 
-    def test_by_box_all_records_of_the_transfers_that_it_saw(self):
+    def test_by_node_keeps_all_records_of_the_requests_sent_to_it(self):
         self.assertEqual(
             self.kept(node=8), [("arrival", 2), ("dispatch", 2), ("outcome", 2)]
         )
 
-    def test_by_all_at_once(self):
+    def test_by_volume_class_and_node_together(self):
         self.assertEqual(
             self.kept(volume="b", request_class=1, node=7),
             [("arrival", 3), ("dispatch", 3), ("outcome", 3)],
         )
         self.assertEqual(self.kept(volume="b", request_class=0), [])
 
-    def test_a_range_between_blocks_holds_nothing(self):
-        path = self.trace("gap", [arrival(1, 1, "a")], [arrival(900, 2, "a")])
+    def test_a_time_range_between_blocks_is_empty(self):
+        path = self.write_trace("gap", [arrival(1, 1, "a")], [arrival(900, 2, "a")])
         between = RecordFilter(since=100, until=800)
-        self.assertEqual(cut_trace(path, self.out(), between).records, 0)
+        self.assertEqual(cut_trace(path, self.path(), between).records, 0)
 
-    def test_names_of_categories_on_the_command_line(self):
+    def test_request_class_names_and_times_on_the_command_line(self):
         run = CliRunner().invoke(
             main,
             [
                 "trace",
                 "cut",
-                self.path,
-                self.out("c"),
+                self.source_path,
+                self.path("c"),
                 "--category",
                 "write",
                 "--to",
@@ -207,14 +207,15 @@
         )
         self.assertEqual(
             (run.exit_code, run.output.split(",")[0]),
-            (0, f"{self.out('c')}: 7 records"),
+            (0, f"{self.path('c')}: 7 records"),
         )
         run = CliRunner().invoke(
-            main, ["trace", "cut", self.path, self.out("d"), "--category", "lend"]
+            main,
+            ["trace", "cut", self.source_path, self.path("d"), "--category", "lend"],
         )
         self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1))
         run = CliRunner().invoke(
-            main, ["trace", "cut", self.path, self.out("e"), "--from", "soon"]
+            main, ["trace", "cut", self.source_path, self.path("e"), "--from", "soon"]
         )
         self.assertEqual((run.exit_code, run.output.count("\n")), (2, 1))
 
@@ -231,16 +232,16 @@
 
         records = RecordList()
         put_all(records, [each for each in KINDS if each.number <= 34])
-        self.assertEqual(self.rows(self.OLD), records.rows)
+        self.assertEqual(self.read_records(self.OLD), records.rows)
 
-    def test_a_cut_of_1_0_by_store_finds_later_records_too(self):
-        cut_trace(self.OLD, self.out(), RecordFilter(volume="store-3"))
-        kinds = {row[1].name for row in self.rows(self.out())}
+    def test_a_cut_of_1_0_by_volume_keeps_later_records_of_its_requests(self):
+        cut_trace(self.OLD, self.path(), RecordFilter(volume="store-3"))
+        kinds = {row[1].name for row in self.read_records(self.path())}
         self.assertIn("outcome", kinds)
 
-    def test_convert_brings_it_to_the_present_version(self):
-        convert_trace(self.OLD, self.out(), "mtrace")
-        with TraceReader(self.out()) as trace, TraceReader(self.OLD) as old:
+    def test_convert_writes_the_current_version_with_a_volume_index(self):
+        convert_trace(self.OLD, self.path(), "mtrace")
+        with TraceReader(self.path()) as trace, TraceReader(self.OLD) as old:
             self.assertEqual(
                 (trace.contents.header["minor"], old.contents.header["minor"]),
                 (file_format.MINOR_VERSION, 0),
@@ -251,7 +252,7 @@
     def test_csv_and_parquet_hold_the_same(self):
         import pyarrow.parquet
 
-        path = self.trace(
+        path = self.write_trace(
             "t",
             [
                 arrival(1, 1, "a", path="/\udcff"),
@@ -259,38 +260,38 @@
                 (3, BY_NAME["settled"], ()),
             ],
         )
-        convert_trace(path, self.out("c"), "csv")
-        convert_trace(path, self.out("p"), "parquet")
-        with open(self.out("c/outcome.csv"), encoding="utf-8", newline="") as source:
+        convert_trace(path, self.path("c"), "csv")
+        convert_trace(path, self.path("p"), "parquet")
+        with open(self.path("c/outcome.csv"), encoding="utf-8", newline="") as source:
             rows = list(csv.DictReader(source))
         self.assertEqual(
             (rows[0]["at"], rows[0]["node"], rows[0]["outcome"]),
             ("2", "4", "satisfied"),
         )
-        table = pyarrow.parquet.read_table(self.out("p/outcome.parquet")).to_pylist()
+        table = pyarrow.parquet.read_table(self.path("p/outcome.parquet")).to_pylist()
         self.assertEqual(
             (table[0]["at"], table[0]["node"], table[0]["outcome"]), (2, 4, "satisfied")
         )
         self.assertEqual(
-            pyarrow.parquet.read_table(self.out("p/arrival.parquet")).to_pylist()[0][
+            pyarrow.parquet.read_table(self.path("p/arrival.parquet")).to_pylist()[0][
                 "path"
             ],
             "/\\xff",
         )
         self.assertEqual(
-            sorted(os.listdir(self.out("p"))),
+            sorted(os.listdir(self.path("p"))),
             ["arrival.parquet", "outcome.parquet", "settled.parquet"],
         )
 
 
 class Anonymising(TraceFiles):
-    def test_no_original_name_survives_in_any_byte(self):
+    def test_no_original_name_remains_in_the_file(self):
         facts = {
             "categories": [{"name": "night-export", "target_time": 5}],
             "plans": [{"usual_rate": 1.0}],
             "tick": 1,
         }
-        path = self.trace(
+        path = self.write_trace(
             "gate-way",
             [
                 arrival(1, 1, "fish-shop", path="/lagoon/log"),
@@ -300,11 +301,14 @@
             volumes=[["fish-shop", "premium-plan"]],
             plans=["premium-plan"],
         )
-        anonymise_trace(path, self.out(), b"k" * 16)
-        with open(self.out(), "rb") as source:
+        anonymise_trace(path, self.path(), b"k" * 16)
+        with open(self.path(), "rb") as source:
             data = source.read()
-        found = data + json.dumps([row[2] for row in self.rows(self.out())]).encode()
-        with TraceReader(self.out()) as trace:
+        found = (
+            data
+            + json.dumps([row[2] for row in self.read_records(self.path())]).encode()
+        )
+        with TraceReader(self.path()) as trace:
             found += json.dumps(
                 [trace.contents.header, trace.contents.volume_blocks]
             ).encode()
@@ -320,13 +324,17 @@
 
 
 class RecordedInstances(TraceFiles):
-    def test_a_recorded_instance_answers_as_a_bare_one_and_leaves_a_trace(self):
+    def test_a_traced_instance_answers_like_an_untraced_one_and_writes_a_trace(self):
         data = frame(1, 5, BORN, count=2)
-        bare, recorded, kept = io.BytesIO(), io.BytesIO(), InstanceTraces(self.folder)
-        serve(io.BytesIO(data), bare)
-        serve(io.BytesIO(data), recorded, lambda number: TracedInstance(number, kept))
-        kept.close()
-        self.assertEqual(bare.getvalue(), recorded.getvalue())
+        untraced, traced, traces = (
+            io.BytesIO(),
+            io.BytesIO(),
+            InstanceTraces(self.folder),
+        )
+        serve(io.BytesIO(data), untraced)
+        serve(io.BytesIO(data), traced, lambda number: TracedInstance(number, traces))
+        traces.close()
+        self.assertEqual(untraced.getvalue(), traced.getvalue())
         files = glob.glob(f"{self.folder}/*/*.mtrace")
         with TraceReader(files[0]) as trace:
             self.assertIn("settled", [kind.name for _, kind, _ in trace.records()])
--- a/tests/trace/test_trace_writer.py
+++ b/tests/trace/test_trace_writer.py
@@ -1,4 +1,4 @@
-"""The writer of traces: its policy, a failing disk, shedding, the files it leaves."""
+"""Tests the trace writer: its policy, disk errors, load shedding, and its files."""
 
 import os
 import unittest
@@ -27,7 +27,7 @@
 
 
 class RecordingPolicy(unittest.TestCase):
-    def test_a_disk_that_refuses_is_left_alone_and_tried_again(self):
+    def test_a_failed_write_suspends_the_writer_until_a_retry(self):
         self.assertEqual(
             [
                 next_state(*each)
@@ -47,7 +47,7 @@
             [retry_delay(each) for each in (0, 1, 99)], [10_000, 20_000, 3_000_000]
         )
 
-    def test_the_least_needed_is_shed_first_and_answers_last(self):
+    def test_the_least_needed_kinds_are_shed_first_and_answers_last(self):
         self.assertEqual(
             [
                 queue_limit(each, 100) > 60
@@ -85,12 +85,12 @@
             [True, True, False],
         )
 
-    def test_the_oldest_go_and_the_one_being_written_stays(self):
+    def test_the_oldest_files_are_deleted_and_the_current_one_is_kept(self):
         self.assertEqual(
             files_to_delete([("a", 5), ("b", 5), ("c", 50)], 50), ["a", "b"]
         )
 
-    def test_what_a_file_is(self):
+    def test_states_of_a_file(self):
         self.assertEqual(
             [
                 classify_file(*each)
@@ -117,7 +117,7 @@
             each for each in os.listdir(self.folder) if each.endswith(".mtrace")
         )
 
-    def test_what_is_put_is_read_and_a_stop_ends_the_file(self):
+    def test_queued_records_are_written_and_a_stop_finishes_the_file(self):
         writer = self.writer()
         writer.start()
         for each in range(100):
@@ -130,7 +130,7 @@
                 (100, FileState.WHOLE),
             )
 
-    def test_files_turn_over_by_size_and_the_oldest_go(self):
+    def test_files_rotate_by_size_and_the_oldest_are_deleted(self):
         writer = self.writer(max_file_bytes=2000, max_total_bytes=6000)
         writer.on_event(WriterEvent.START)
         self.addCleanup(writer.on_event, WriterEvent.STOP)
@@ -150,7 +150,7 @@
         )
         self.assertGreater(writer.files_opened, len(self.files()))
 
-    def test_a_full_disk_turns_tracing_off_with_one_line_and_on_again(self):
+    def test_a_failing_disk_suspends_tracing_with_one_log_line_until_it_recovers(self):
         writer = self.writer(folder="/dev/full/x")
         writer.on_event(WriterEvent.START)
         for _ in range(3):
@@ -171,7 +171,7 @@
             found = [(kind.name, values) for _, kind, values in trace.records()]
         self.assertEqual(found, [("gap", (34, 3, 5)), ("satisfied", (2, 2))])
 
-    def test_a_full_hand_over_sheds_by_kind_and_says_so(self):
+    def test_a_full_queue_sheds_by_kind_and_records_gaps(self):
         writer = self.writer(max_queued=100)
         writer.on_event(WriterEvent.START)
         for each in range(200):
@@ -185,7 +185,7 @@
             gaps = [values for _, kind, values in trace.records() if kind.name == "gap"]
         self.assertEqual(sorted(gaps), [(17, 10, 300), (20, 150, 50)])
 
-    def test_a_restart_never_appends_to_a_file_that_is_there(self):
+    def test_a_restart_never_appends_to_an_existing_file(self):
         for _ in range(2):
             writer = self.writer()
             writer.start()
--- a/tests/trace/test_trace_writing.py
+++ b/tests/trace/test_trace_writing.py
@@ -1,4 +1,8 @@
-"""Traces that bound what they write, and what they say of the service."""
+"""Tests the service report of traces, and trace writers under load.
+
+The report must agree with the accounting of the same operations. Writers must share a
+folder, prune it in bounded time, and leave readers of a growing file only whole blocks.
+"""
 
 import glob
 import json
@@ -43,58 +47,62 @@
         0.1,
     )
 
-    def test_the_figure_from_the_trace_is_that_of_what_was_done(self):
-        chance, done, rows = Random(9), [], []
-        for each in range(500):
-            began, span, category, plan = (
-                each * 300,
-                chance.randrange(1, 8000),
-                chance.randrange(2),
-                chance.randrange(2),
+    def test_the_reported_service_equals_that_of_the_recorded_operations(self):
+        random, operations, commands = Random(9), [], []
+        for number in range(500):
+            began, latency, category, plan = (
+                number * 300,
+                random.randrange(1, 8000),
+                random.randrange(2),
+                random.randrange(2),
             )
-            final, units, place = (
-                chance.choice(("satisfied", "satisfied", "declined")),
-                chance.choice((1.0, 2.5)),
-                each % 2,
+            answer, units, volume_index = (
+                random.choice(("satisfied", "satisfied", "declined")),
+                random.choice((1.0, 2.5)),
+                number % 2,
             )
             terms = self.TERMS.classes[category]
-            in_time = span <= terms.target
+            in_time = latency <= terms.target
             late = terms.late_utility
-            counts = 0.0 if final != "satisfied" else 1.0 if in_time else late
-            done.append(
+            credit = 0.0 if answer != "satisfied" else 1.0 if in_time else late
+            operations.append(
                 CompletedOperation(
                     began // SECOND,
-                    place,
+                    volume_index,
                     terms.name,
                     units,
                     terms.utility * self.TERMS.prices[plan],
-                    counts,
-                    counts != 1.0,
+                    credit,
+                    credit != 1.0,
+                )
+            )
+            commands.append(
+                command(
+                    began, latency, "ab"[volume_index], answer, category, plan, units
                 )
             )
-            rows.append(command(began, span, "ab"[place], final, category, plan, units))
         terms = self.TERMS
         expected = total_service(
-            done,
+            operations,
             terms.entitlements,
             terms.capacity,
             terms.largest_units,
             terms.share,
             terms.spare,
         )
-        path = self.trace("t", rows, terms=encode_terms(terms))
+        path = self.write_trace("t", commands, terms=encode_terms(terms))
         found = report_service(path, 10 * SECOND)
         self.assertEqual(
             found["service"],
             {name: counted / due for name, (counted, due) in expected.items()},
         )
         self.assertEqual(
-            sum(each.get("declined", 0) for each in found["windows"]),
-            sum(each["count"] for each in found["not satisfied"]),
+            sum(number.get("declined", 0) for number in found["windows"]),
+            sum(number["count"] for number in found["not satisfied"]),
         )
 
-    def test_text_picture_and_json_on_the_command_line(self):
-        path = self.trace(
+    def test_the_command_line_prints_text_and_json_and_writes_a_plot(self):
+        path = self.write_trace(
             "t",
             [command(each * SECOND, 40, "a") for each in range(50)]
             + [command(5, 9, "b", "declined", why="full")],
@@ -102,17 +110,25 @@
         )
         run = CliRunner().invoke(
             main,
-            ["trace", "summarise", path, "--window", "10", "--plot", self.out("p.png")],
+            [
+                "trace",
+                "summarise",
+                path,
+                "--window",
+                "10",
+                "--plot",
+                self.path("p.png"),
+            ],
         )
         self.assertEqual(run.exit_code, 0, run.output)
         self.assertIn("read declined: full", run.output)
-        self.assertGreater(os.path.getsize(self.out("p.png")), 1000)
+        self.assertGreater(os.path.getsize(self.path("p.png")), 1000)
         run = CliRunner().invoke(main, ["trace", "summarise", path, "--json"])
         self.assertEqual(json.loads(run.output)["commands"], 51)
 
-    def test_headers_without_terms_and_too_small_windows_are_one_line(self):
-        bare = self.trace("bare", [command(1, 2, "a")])
-        long = self.trace(
+    def test_missing_terms_and_too_short_windows_are_errors_of_one_line(self):
+        bare = self.write_trace("bare", [command(1, 2, "a")])
+        long = self.write_trace(
             "long",
             [command(each * SECOND, 2, "a") for each in range(20_000)],
             terms=encode_terms(self.TERMS),
@@ -125,17 +141,17 @@
 
 
 class Writing(TraceFiles):
-    def writer(self, name="g", **terms):
-        made = TraceWriter(
-            TraceWriterSettings(self.folder, name, **terms),
+    def writer(self, name="g", **settings):
+        writer = TraceWriter(
+            TraceWriterSettings(self.folder, name, **settings),
             {"name": name},
             lambda: time.monotonic_ns() // 100_000,
             lambda text: None,
         )
-        self.addCleanup(made.stop)
-        return made
+        self.addCleanup(writer.stop)
+        return writer
 
-    def test_two_writers_of_one_path_get_files_of_their_own(self):
+    def test_two_writers_with_one_name_write_separate_files(self):
         writers = [self.writer() for _ in range(2)]
         for each in writers:
             each.start()
@@ -152,38 +168,39 @@
         )
 
     def test_ten_thousand_files_in_the_folder_are_pruned_in_bounded_time(self):
-        for each in range(10_000):
+        for number in range(10_000):
             with open(
-                f"{self.folder}/g-20200101T000000-{each:06d}.mtrace", "wb"
-            ) as sink:
-                sink.write(b"x" * 100)
-        began = time.monotonic()
+                f"{self.folder}/g-20200101T000000-{number:06d}.mtrace", "wb"
+            ) as output:
+                output.write(b"x" * 100)
+        started = time.monotonic()
         writer = self.writer(max_total_bytes=200_000)
         writer.start()
         writer.stop()
-        left = sorted(os.listdir(self.folder))
-        self.assertLess(time.monotonic() - began, 10)
+        names = sorted(os.listdir(self.folder))
+        self.assertLess(time.monotonic() - started, 10)
         self.assertLessEqual(
-            sum(os.path.getsize(f"{self.folder}/{each}") for each in left[:-1]), 200_000
+            sum(os.path.getsize(f"{self.folder}/{number}") for number in names[:-1]),
+            200_000,
         )
-        self.assertEqual(left[-2], "g-20200101T000000-009999.mtrace")
+        self.assertEqual(names[-2], "g-20200101T000000-009999.mtrace")
 
-    def test_a_reader_beside_the_writer_sees_whole_blocks_alone(self):
+    def test_a_reader_of_a_growing_file_sees_only_whole_blocks(self):
         writer = self.writer(max_block_age=1, sync="never")
         writer.start()
-        seen, over = [], threading.Event()
+        observations, stop_reading = [], threading.Event()
 
         def read():
-            while not over.is_set():
+            while not stop_reading.is_set():
                 for each in glob.glob(f"{self.folder}/*.mtrace"):
                     with TraceReader(each) as trace:
-                        seen.append(len(list(trace.records())))
-                        seen.append(
+                        observations.append(len(list(trace.records())))
+                        observations.append(
                             -len(
                                 [
-                                    gap
-                                    for gap in trace.contents.damage
-                                    if "cut short" not in gap.reason
+                                    damage
+                                    for damage in trace.contents.damage
+                                    if "cut short" not in damage.reason
                                 ]
                             )
                         )
@@ -196,22 +213,24 @@
                 writer.put("arrival", each, *arrival(each, each, "a")[2])
             time.sleep(0.02)
         writer.stop()
-        over.set()
+        stop_reading.set()
         reader.join(5)
-        self.assertEqual(min(seen), 0)
-        self.assertEqual(len(self.rows(writer.path)), 3000)
+        self.assertEqual(min(observations), 0)
+        self.assertEqual(len(self.read_records(writer.path)), 3000)
 
-    def test_a_dictionary_with_more_texts_than_a_block_should_hold(self):
-        rows = [
+    def test_a_dictionary_of_more_than_65536_texts_is_decoded(self):
+        records = [
             arrival(each, each, f"store-{each}", path=f"/{each}")
             for each in range(70_000)
         ]
-        data = file_format.encode_block(rows)
-        head = file_format.decode_block_header(data, 0)
+        data = file_format.encode_block(records)
+        header = file_format.decode_block_header(data, 0)
         self.assertEqual(
             [
-                row[2][3]
-                for row in file_format.decode_block(head, data[BLOCK_HEADER.size :])
+                record[2][3]
+                for record in file_format.decode_block(
+                    header, data[BLOCK_HEADER.size :]
+                )
             ][-1],
             "store-69999",
         )
--- a/tests/trace/test_volume_index.py
+++ b/tests/trace/test_volume_index.py
@@ -1,4 +1,4 @@
-"""Which blocks tell of a volume: index and filters, and what hostile indexes do."""
+"""Tests the volume index and the block filters, also with malformed indexes."""
 
 import os
 import unittest
@@ -24,8 +24,8 @@
 
 
 class VolumeIndex(TraceFiles):
-    def test_later_records_of_a_transfer_count_for_its_store(self):
-        path = self.trace(
+    def test_later_records_of_a_request_count_for_its_volume(self):
+        path = self.write_trace(
             "t",
             [arrival(1, 1, "a"), arrival(2, 2, "b")],
             [outcome(9, 1, 4)],
@@ -38,8 +38,8 @@
             )
             self.assertEqual(trace.blocks_for_volume("nobody"), [])
 
-    def test_without_the_index_the_filters_tell_the_same(self):
-        path = self.trace(
+    def test_without_the_index_the_filters_select_the_same_blocks(self):
+        path = self.write_trace(
             "t",
             [arrival(1, 1, "a"), arrival(2, 2, "b")],
             [outcome(9, 1, 4)],
@@ -53,28 +53,28 @@
                 [each.record_count for each in trace.blocks_for_volume("a")], [2, 1]
             )
 
-    def test_a_store_that_appears_once_is_found_by_reading_little(self):
-        chance = Random(4)
+    def test_a_cut_by_a_rare_volume_reads_a_small_part_of_the_file(self):
+        random = Random(4)
         blocks = [
             [
                 arrival(
-                    block * SECOND + n,
-                    block * 100 + n,
-                    f"s{n % 9}",
-                    path=f"/{chance.random()}",
+                    block * SECOND + number,
+                    block * 100 + number,
+                    f"s{number % 9}",
+                    path=f"/{random.random()}",
                 )
-                for n in range(100)
+                for number in range(100)
             ]
             for block in range(200)
         ]
         blocks[77].append(arrival(77 * SECOND + 100, 999_999, "rare"))
-        path = self.trace("t", *blocks)
-        made = cut_trace(path, self.out(), RecordFilter(volume="rare"))
-        self.assertEqual(made.records, 1)
-        self.assertLess(made.bytes_read, os.path.getsize(path) / 20)
+        path = self.write_trace("t", *blocks)
+        result = cut_trace(path, self.path(), RecordFilter(volume="rare"))
+        self.assertEqual(result.records, 1)
+        self.assertLess(result.bytes_read, os.path.getsize(path) / 20)
 
-    def test_a_repaired_file_has_the_index_made_anew(self):
-        path = self.trace(
+    def test_repair_rebuilds_the_volume_index(self):
+        path = self.write_trace(
             "t", [arrival(1, 1, "a")], [arrival(2, 2, "b")], [outcome(9, 1, 4)]
         )
         with TraceReader(path) as trace:
@@ -82,33 +82,33 @@
         with open(path, "r+b") as sink:
             sink.seek(second.offset + BLOCK_HEADER.size + 3)
             sink.write(b"\xff\xff")
-        repair(path, self.out())
-        with TraceReader(self.out()) as trace:
+        repair(path, self.path())
+        with TraceReader(self.path()) as trace:
             self.assertEqual(
                 (trace.contents.volume_blocks, len(trace.contents.blocks)),
                 ({"a": [0, 1]}, 2),
             )
 
-    def test_too_many_stores_give_up_the_index_and_nothing_else(self):
-        stores = VolumeIndexBuilder()
-        stores.add_block(
+    def test_more_volumes_than_the_limit_omit_only_the_index(self):
+        builder = VolumeIndexBuilder()
+        builder.add_block(
             [arrival(1, each, f"s{each}") for each in range(MAX_INDEXED_VOLUMES + 1)]
         )
-        self.assertIsNone(stores.blocks)
-        self.assertEqual(file_format.encode_volume_index(stores.blocks), b"")
-        self.assertLessEqual(len(stores.request_volumes), MAX_TRACKED_REQUESTS)
+        self.assertIsNone(builder.blocks)
+        self.assertEqual(file_format.encode_volume_index(builder.blocks), b"")
+        self.assertLessEqual(len(builder.request_volumes), MAX_TRACKED_REQUESTS)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=200))
-    def test_a_hostile_index_is_one_line(self, body):
+    def test_a_malformed_index_is_decoded_or_an_error_of_one_line(self, body):
         import zlib
 
-        packed = zstandard.ZstdCompressor().compress(body)
+        compressed = zstandard.ZstdCompressor().compress(body)
         data = (
             file_format.SECTION_HEADER.pack(
-                file_format.VOLUMES_MAGIC, len(packed), zlib.crc32(packed)
+                file_format.VOLUMES_MAGIC, len(compressed), zlib.crc32(compressed)
             )
-            + packed
+            + compressed
         )
         try:
             file_format.decode_volume_index(data)
@@ -117,29 +117,31 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.data())
-    def test_any_byte_of_a_file_changed_reads_up_to_there_or_says_so(self, data):
-        self.made = getattr(self, "made", 0) + 1
-        if self.made == 1:
+    def test_a_changed_bit_is_detected_or_harmless(self, data):
+        self.example_count = getattr(self, "example_count", 0) + 1
+        if self.example_count == 1:
             with open(
-                self.trace("whole", [arrival(1, 1, "a")] * 20, [outcome(9, 1, 4)] * 20),
+                self.write_trace(
+                    "whole", [arrival(1, 1, "a")] * 20, [outcome(9, 1, 4)] * 20
+                ),
                 "rb",
             ) as source:
-                self.whole = source.read()
-        held, path = bytearray(self.whole), self.out(f"t{self.made}")
-        at = data.draw(st.integers(0, len(held) - 1))
-        held[at] ^= 1 << data.draw(st.integers(0, 7))
+                self.original = source.read()
+        content, path = bytearray(self.original), self.path(f"t{self.example_count}")
+        position = data.draw(st.integers(0, len(content) - 1))
+        content[position] ^= 1 << data.draw(st.integers(0, 7))
         with open(path, "wb") as sink:
-            sink.write(held)
+            sink.write(content)
         try:
-            found = verify(path)
+            contents = verify(path)
             cut_trace(path, path + ".cut", RecordFilter(volume="a"))
         except MalformedTraceError as error:
             self.assertNotIn("\n", str(error))
         else:
             self.assertTrue(
-                found.state is not FileState.WHOLE
-                or len(found.blocks) == 2
-                or found.damage
+                contents.state is not FileState.WHOLE
+                or len(contents.blocks) == 2
+                or contents.damage
             )
 
 
--- a/tests/trace/trace_builders.py
+++ b/tests/trace/trace_builders.py
@@ -1,4 +1,4 @@
-"""Makes records and files for the tests of traces."""
+"""Builds records, file contents and files for the tests of traces."""
 
 import os
 import tempfile
@@ -12,11 +12,11 @@
 SECOND = 10_000
 
 
-def rows(count=60, start=0, store="s"):
-    made = []
+def sample_records(count=60, start=0, volume="s"):
+    records = []
     for each in range(count):
         at = start + each * 7
-        made += [
+        records += [
             (
                 at,
                 BY_NAME["arrival"],
@@ -24,7 +24,7 @@
                     each,
                     (1 << 63) + each,
                     1,
-                    f"{store}{each % 3}",
+                    f"{volume}{each % 3}",
                     2,
                     0,
                     0,
@@ -39,48 +39,48 @@
             (at, BY_NAME["settled"], ()),
             (at + 3, BY_NAME["satisfied"], (each, 3)),
         ]
-    return made
+    return records
 
 
-def whole(*blocks):
-    """A file's bytes, and where its blocks end."""
-    data, heads, ends = file_format.encode_header({"name": "g", "seed": 5}), [], []
+def encode_file(*blocks):
+    """Return a file's bytes with one block for each argument, and the blocks' ends."""
+    data, headers, ends = file_format.encode_header({"name": "g", "seed": 5}), [], []
     for each in blocks:
         block = file_format.encode_block(each)
-        heads.append(file_format.decode_block_header(block, len(data)))
+        headers.append(file_format.decode_block_header(block, len(data)))
         data += block
         ends.append(len(data))
-    return data + file_format.encode_footer(heads, len(data)), ends
+    return data + file_format.encode_footer(headers, len(data)), ends
 
 
-def arrival(at, transfer, store, category=0, path="/p"):
+def arrival(at, request_id, volume, category=0, path="/p"):
     return (
         at,
         BY_NAME["arrival"],
-        (transfer, 1, 1, store, 2, category, 0, 0, 0, -1, 1.0, at + 9000, path),
+        (request_id, 1, 1, volume, 2, category, 0, 0, 0, -1, 1.0, at + 9000, path),
     )
 
 
-def dispatch(at, transfer, node):
-    return at, BY_NAME["dispatch"], (transfer, node, 500)
+def dispatch(at, request_id, node):
+    return at, BY_NAME["dispatch"], (request_id, node, 500)
 
 
-def outcome(at, transfer, node):
-    return at, BY_NAME["outcome"], (transfer, 0, node, "satisfied", 1, 30, -1, 0, "")
+def outcome(at, request_id, node):
+    return at, BY_NAME["outcome"], (request_id, 0, node, "satisfied", 1, 30, -1, 0, "")
 
 
 def command(
-    began, span, store, final="satisfied", category=0, plan=0, units=1.0, why=""
+    began, span, volume, final="satisfied", category=0, plan=0, units=1.0, why=""
 ):
     return (
         began + span,
         BY_NAME["command"],
-        (began, span, store, plan, category, "read", units, 1, 0, final, why),
+        (began, span, volume, plan, category, "read", units, 1, 0, final, why),
     )
 
 
-def listing(at, node, ready):
-    return at, BY_NAME["listing"], (node, ready, 1.0, 0, 0, 0, 0, node)
+def listing(at, node, readiness):
+    return at, BY_NAME["listing"], (node, readiness, 1.0, 0, 0, 0, 0, node)
 
 
 class TraceBytes(unittest.TestCase):
@@ -91,8 +91,8 @@
 
     def file(self, data, name="t.mtrace"):
         path = os.path.join(self.folder, name)
-        with open(path, "wb") as sink:
-            sink.write(data)
+        with open(path, "wb") as output:
+            output.write(data)
         return path
 
     def read(self, data, **given_range):
@@ -106,21 +106,21 @@
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
 
-    def out(self, name="out"):
+    def path(self, name="out"):
         return os.path.join(self.folder, name)
 
-    def trace(self, name, *blocks, **about):
-        sink = TraceFile(
-            self.out(name),
-            {"name": name, "seed": 1, "opened": 0, "wall_ms": 0, **about},
+    def write_trace(self, name, *blocks, **header):
+        trace_file = TraceFile(
+            self.path(name),
+            {"name": name, "seed": 1, "opened": 0, "wall_ms": 0, **header},
         )
         for block in blocks:
-            for row in block:
-                sink.append(row)
-            sink.flush()
-        sink.close()
-        return self.out(name)
+            for record in block:
+                trace_file.append(record)
+            trace_file.flush()
+        trace_file.close()
+        return self.path(name)
 
-    def rows(self, path):
+    def read_records(self, path):
         with TraceReader(path) as trace:
             return list(trace.records())
