--- a/milletsill/trace/gateway_trace.py
+++ b/milletsill/trace/gateway_trace.py
@@ -132,5 +132,5 @@
         self.counted_totals[fate] = total
 
     def stop(self) -> None:
-        """Finish the file; wait for a disk that hangs no longer than the timeout."""
+        """Finish the file; a disk that hangs delays this by at most the timeout."""
         self.trace_writer.stop(STOP_TIMEOUT_SECONDS)
--- a/milletsill/trace/record_filter.py
+++ b/milletsill/trace/record_filter.py
@@ -21,8 +21,8 @@
     """The records that a cut keeps; a field that is None restricts nothing.
 
     Attributes:
-        since: earliest time of a record.
-        until: time before which all records are.
+        since: inclusive lower bound of the records' times.
+        until: exclusive upper bound of the records' times.
         volume: name of the requests' volume.
         request_class: index of the requests' class in the configuration.
         node: id of a node that the requests were sent to.
--- a/milletsill/trace/recording_policy.py
+++ b/milletsill/trace/recording_policy.py
@@ -81,12 +81,15 @@
 def next_state(
     state: WriterState, event: WriterEvent
 ) -> tuple[WriterState, WriterEffect]:
-    """Return the next state and the effect; other pairs than the table's do nothing."""
+    """Return the next state and the effect; pairs not in the table change nothing."""
     return WRITER_TRANSITIONS.get((state, event), (state, WriterEffect.NONE))
 
 
 def retry_delay(failures: int) -> int:
-    """Return the delay before the next try, doubled for each earlier failure."""
+    """Return the delay before the next try.
+
+    It doubles with each earlier failure, up to `MAX_RETRY_DELAY`.
+    """
     doublings = min(failures, MAX_DOUBLINGS)
     return min(FIRST_RETRY_DELAY << doublings, MAX_RETRY_DELAY)
 
--- a/milletsill/trace/writer.py
+++ b/milletsill/trace/writer.py
@@ -128,7 +128,7 @@
         self.file: BinaryIO | None = None
         self.path = ""
         self.file_size = 0
-        self.file_opened = 0
+        self.file_opened_at = 0
         self.files_opened = 0
         self.blocks: list[BlockHeader] = []
         self.volume_index = VolumeIndexBuilder()
@@ -210,7 +210,7 @@
         """Whether the current file holds blocks and is due to be finished."""
         return bool(self.blocks) and file_is_due(
             self.file_size,
-            self.file_opened,
+            self.file_opened_at,
             now,
             self.settings.max_file_bytes,
             self.settings.max_file_age,
@@ -260,8 +260,8 @@
         except OSError as error:
             if not self.failures:
                 reason = error.strerror or str(error)
-                refusal = TraceNotStoredError(reason, self.settings.folder)
-                self.log(f"tracing stops: {refusal.describe()}")
+                not_stored = TraceNotStoredError(reason, self.settings.folder)
+                self.log(f"tracing stops: {not_stored.describe()}")
             self.on_event(WriterEvent.WRITE_FAILED)
 
     def open(self) -> None:
@@ -278,7 +278,7 @@
         )
         self.write(header)
         self.file_size = len(header)
-        self.file_opened = self.now()
+        self.file_opened_at = self.now()
         self.blocks = []
         self.volume_index = self.volume_index.next_file()
         if self.failures:
--- a/tests/trace/test_trace_writing.py
+++ b/tests/trace/test_trace_writing.py
@@ -97,8 +97,8 @@
             {name: counted / due for name, (counted, due) in expected.items()},
         )
         self.assertEqual(
-            sum(number.get("declined", 0) for number in found["windows"]),
-            sum(number["count"] for number in found["not satisfied"]),
+            sum(window.get("declined", 0) for window in found["windows"]),
+            sum(reason["count"] for reason in found["not satisfied"]),
         )
 
     def test_the_command_line_prints_text_and_json_and_writes_a_plot(self):
@@ -180,7 +180,7 @@
         names = sorted(os.listdir(self.folder))
         self.assertLess(time.monotonic() - started, 10)
         self.assertLessEqual(
-            sum(os.path.getsize(f"{self.folder}/{number}") for number in names[:-1]),
+            sum(os.path.getsize(f"{self.folder}/{name}") for name in names[:-1]),
             200_000,
         )
         self.assertEqual(names[-2], "g-20200101T000000-009999.mtrace")
