--- a/milletsill/fleet/channels/channel_sequencer.py
+++ b/milletsill/fleet/channels/channel_sequencer.py
@@ -1,9 +1,9 @@
-"""The sequencer of one channel: commands and the ends of attempts in, effects out.
+"""The sequencer of one channel: turns commands and ends of attempts into effects.
 
-No I/O and no clock: times are passed in. What must stand in the record before it is
-done is in `effects_after_write`: the owner writes the record and then does it. What
-needs no record is in `immediate_effects`. The owner empties both. Times are whole
-tenths of a millisecond on the owner's own clock.
+No I/O and no clock: times are passed in. `effects_after_write` has the effects that
+must be in the stored record first: the owner writes the record, then performs them.
+`immediate_effects` has those that do not depend on the record. The owner empties both.
+Times are whole tenths of a millisecond on the owner's own clock.
 """
 
 from __future__ import annotations
@@ -27,26 +27,27 @@
     NumberState,
     transition,
 )
-from milletsill.fleet.channels.sequences import (
-    CompletedSequence,
+from milletsill.fleet.channels.tracked_numbers import (
+    CompletedNumber,
     CompletionOutcome,
-    PendingNumber,
+    PendingRequest,
 )
 
 
 class ChannelSequencer(ChannelReleases):
-    """Takes in commands, and the ends of attempts, of one channel."""
+    """Handles the commands and the ends of attempts of one channel."""
 
     def recover(self, now: int) -> None:
-        """Take over what may be in flight: its outcome is indeterminate.
+        """Mark all numbers that may be in flight as indeterminate.
 
-        Its client has not heard so, and may come again for as long as a gap waits.
+        Their clients have not been told, so each number is reserved for at least the
+        gap timeout, in which its client can send the request again.
         """
-        for sequence in self.open_sequences.values():
-            sequence.state = NumberState.INDETERMINATE
-            sequence.quarantined_until = self.quarantine_end(now)
-            sequence.reserved_until = max(
-                sequence.quarantined_until, now + self.contract.gap_timeout
+        for open_number in self.open_numbers.values():
+            open_number.state = NumberState.INDETERMINATE
+            open_number.quarantined_until = self.quarantine_end(now)
+            open_number.reserved_until = max(
+                open_number.quarantined_until, now + self.contract.gap_timeout
             )
 
     def open(
@@ -56,7 +57,7 @@
         token: str,
         recipient: ChannelCommand,
     ) -> None:
-        """Make a later claim: what waits under the earlier one is answered.
+        """Make a new claim; requests that wait under the previous claim are answered.
 
         Raises:
             ContractConflictError: The declaration contradicts an earlier one.
@@ -75,19 +76,19 @@
                 declaration.contract,
                 declaration.chosen_by_client,
             )
-        if token != self.claim_token or not token:  # the same command may come twice
+        if token != self.claim_token or not token:  # the command may arrive twice
             self.claim += 1
             self.claim_token = token
-            for number in list(self.open_sequences):
-                if self.open_sequences[number].pending is not None:
+            for number in list(self.open_numbers):
+                if self.open_numbers[number].pending is not None:
                     waiting = self._apply(number, NumberEvent.WAIT_ENDED)
                     self._notify_now(waiting, ReplyKind.CLAIM_LOST)
         self.record_changed = True
         self.effects_after_write.append(AnswerChannelOpen(recipient))
         self.release_ready(now)
 
-    def submit(self, now: int, request: PendingNumber) -> None:
-        """Take in a numbered request."""
+    def submit(self, now: int, request: PendingRequest) -> None:
+        """Handle a numbered request."""
         number = request.number
         if not self.holds_claim(request.claim):
             self._notify_now(request.recipient, ReplyKind.CLAIM_LOST)
@@ -95,24 +96,24 @@
         if self.is_closed(number):
             self._repeat_outcome(request)
             return
-        sequence = self.open_sequences.get(number)
-        contradiction = find_contradiction(self, request, sequence)
+        open_number = self.open_numbers.get(number)
+        contradiction = find_contradiction(self, request, open_number)
         if contradiction:
             self._contradict(request.recipient, number, contradiction)
             return
-        if self._is_full_for(number) or self.is_too_far(number):
+        if self._exceeds_max_waiting(number) or self.is_too_far_ahead(number):
             self._reject(request.recipient)
             return
         if (
-            sequence is not None
-            and sequence.state is NumberState.INDETERMINATE
-            and now >= self.key_window_end(sequence, request)
+            open_number is not None
+            and open_number.state is NumberState.INDETERMINATE
+            and now >= self.key_window_end(open_number, request)
         ):
             stops = self.contract.indeterminate_policy is IndeterminatePolicy.STOP
             kind = ReplyKind.STOPPED if stops else ReplyKind.FAILED
             self._notify_now(request.recipient, kind, number)
             return
-        self._accept(request, sequence)
+        self._accept(request, open_number)
         self.release_ready(now)
 
     def resolve(
@@ -123,25 +124,26 @@
         claim: int,
         recipient: ChannelCommand,
     ) -> None:
-        """Apply what the client says became of a number.
+        """Apply a client's resolution of a number.
 
-        What stands behind it waits out the quarantine whatever the client says.
+        A resolution is rejected until the quarantine of the number ends, so later
+        numbers always wait until then.
         """
-        sequence = self.open_sequences.get(number)
+        open_number = self.open_numbers.get(number)
         state = self.state_of(number)
         if not self.holds_claim(claim):
             self._notify_now(recipient, ReplyKind.CLAIM_LOST)
             return
         if (
-            sequence is not None
+            open_number is not None
             and state is NumberState.INDETERMINATE
-            and now < sequence.quarantined_until
+            and now < open_number.quarantined_until
         ):
             self.immediate_effects.append(
                 Notify(
                     recipient,
                     ReplyKind.REJECTED,
-                    retry_delay=sequence.quarantined_until - now,
+                    retry_delay=open_number.quarantined_until - now,
                 )
             )
             return
@@ -154,11 +156,13 @@
             return
         if (
             self.is_closed(number)
-            or self.is_too_far(number)
+            or self.is_too_far_ahead(number)
             or transition(state, event) == (state, NumberEffect.NONE)
         ):
             self._contradict(
-                recipient, number, f"nothing can be said of number {number} now"
+                recipient,
+                number,
+                f"number {number} cannot be resolved this way now",
             )
             return
         self._apply(number, event)
@@ -176,52 +180,52 @@
         """Apply the end of a released attempt.
 
         Args:
-            now: The time.
-            number: The number that was released.
+            now: The current time.
+            number: The released number.
             event: SETTLED, NEVER_RAN or ANSWER_LOST.
-            status_code: Of the node's answer, where it is SETTLED.
-            retry_delay: When to come back, where it is NEVER_RAN.
+            status_code: Status code of the node's answer, if SETTLED.
+            retry_delay: When the client may retry, if NEVER_RAN.
         """
-        sequence = self.open_sequences[number]
-        recipients = sequence.recipients
-        sequence.recipients = []
-        if event is NumberEvent.NEVER_RAN and self.was_tried_before(sequence):
+        open_number = self.open_numbers[number]
+        recipients = open_number.recipients
+        open_number.recipients = []
+        if event is NumberEvent.NEVER_RAN and self.was_tried_before(open_number):
             event = NumberEvent.ANSWER_LOST
-        _, effect = transition(sequence.state, event)
+        _, effect = transition(open_number.state, event)
         if effect is NumberEffect.SETTLE:
             outcome = CompletionOutcome.SETTLED
             self._close(
-                number, CompletedSequence(outcome, status_code, sequence.digest)
+                number, CompletedNumber(outcome, status_code, open_number.digest)
             )
             self.effects_after_write.extend(
                 Notify(each, ReplyKind.OUTCOME, number, status_code=status_code)
                 for each in recipients
             )
         elif effect is NumberEffect.REJECT:
-            del self.open_sequences[number]
+            del self.open_numbers[number]
             self.record_changed = True
             self.immediate_effects.extend(
                 Notify(each, ReplyKind.REJECTED, self.lowest_open, retry_delay)
                 for each in recipients
             )
         elif effect is NumberEffect.FAIL:
-            sequence.state = NumberState.INDETERMINATE
-            sequence.quarantined_until = self.quarantine_end(now)
-            sequence.reserved_until = sequence.quarantined_until
+            open_number.state = NumberState.INDETERMINATE
+            open_number.quarantined_until = self.quarantine_end(now)
+            open_number.reserved_until = open_number.quarantined_until
             self.immediate_effects.extend(
                 Notify(each, ReplyKind.FAILED, number) for each in recipients
             )
         self.release_ready(now)
 
     def abandon_waiting(self, retry_delay: int) -> None:
-        """Answer all that waits: the lease is lost or given up.
+        """Answer all waiting requests, because the lease was lost or is released.
 
-        What is in flight goes on to its end.
+        Attempts in flight continue until they end.
         """
-        for number, sequence in list(self.open_sequences.items()):
-            if sequence.pending is None:
+        for number, open_number in list(self.open_numbers.items()):
+            if open_number.pending is None:
                 continue
-            reply = self._unreleased_reply(sequence, sequence.pending.recipient)
+            reply = self._unreleased_reply(open_number, open_number.pending.recipient)
             self.immediate_effects.append(
                 replace(
                     reply,
@@ -231,10 +235,10 @@
             )
             self._apply(number, NumberEvent.WAIT_ENDED)
 
-    def _is_full_for(self, number: int) -> bool:
-        """Whether too many wait for another number to come."""
+    def _exceeds_max_waiting(self, number: int) -> bool:
+        """Whether the channel tracks too many open numbers to accept another one."""
         return (
-            number not in self.open_sequences
+            number not in self.open_numbers
             and number != self.lowest_open
-            and len(self.open_sequences) >= self.contract.max_waiting
+            and len(self.open_numbers) >= self.contract.max_waiting
         )
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from milletsill.fleet.channels import codec
-from milletsill.fleet.channels.channel_surroundings import AttemptEnd
+from milletsill.fleet.channels.channel_services import AttemptEnd
 from milletsill.fleet.channels.commands import (
     ChannelCommand,
     NumberedRequest,
@@ -356,6 +356,6 @@
         channel.is_lost,
         tuple(
             (number, each.state.name, each.quarantined_until, each.gap_since)
-            for number, each in sequencer.open_sequences.items()
+            for number, each in sequencer.open_numbers.items()
         ),
     )
