--- a/milletsill/trace/file_format.py
+++ b/milletsill/trace/file_format.py
@@ -138,9 +138,7 @@
         )
     magic, major, minor, size, crc = FILE_HEADER.unpack_from(data)
     if magic != FILE_MAGIC:
-        raise MalformedTraceError(
-            f"not a trace: the file does not begin {FILE_MAGIC!r}"
-        )
+        raise MalformedTraceError(f"not a trace: it does not begin with {FILE_MAGIC!r}")
     if major != MAJOR_VERSION:
         raise MalformedTraceError(
             f"format {major}.{minor} is not supported, expected {MAJOR_VERSION}.x"
