--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -128,12 +128,13 @@
             )
             if isinstance(told, packets.ExtendedReply):
                 self.channel = wire.decode_open_reply(told)
-                self.number = self.channel.next
+                self.number = self.channel.lowest_open
                 break
             if time.monotonic() > ends:
                 raise TimeoutError(told)
             await asyncio.sleep(
-                (status_tags.parse_status_tag(told.language).pause or 100) / 1000
+                (status_tags.parse_status_tag(told.language).retry_delay_ms or 100)
+                / 1000
             )
         flags = packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
         self.handle = (
@@ -175,9 +176,9 @@
             if (
                 answer.code != packets.OK
                 and (found := status_tags.parse_status_tag(answer.language))
-                and found.pause
+                and found.retry_delay_ms
             ):
-                await asyncio.sleep(found.pause / 1000)
+                await asyncio.sleep(found.retry_delay_ms / 1000)
             await asyncio.sleep(
                 max(began + every * chance.uniform(0.5, 1.5) - time.monotonic(), 0)
             )
@@ -309,7 +310,9 @@
         if answer.code == packets.OK:
             load.done.append(time.monotonic())
             load.number += 1
-        await asyncio.sleep((found.pause or 20) / 1000 if found is not None else 0.02)
+        await asyncio.sleep(
+            (found.retry_delay_ms or 20) / 1000 if found is not None else 0.02
+        )
 
 
 def main() -> None:
--- a/milletsill/fleet/channels/commands.py
+++ b/milletsill/fleet/channels/commands.py
@@ -153,8 +153,8 @@
         ask.transfer.claim = body.claim
         ask.transfer.batch = body.batch
         ask.transfer.last = body.ends_batch
-        ask.transfer.tries = body.terms.tries
-        ask.transfer.mark = body.terms.mark
+        ask.transfer.tries = body.terms.retry_count
+        ask.transfer.mark = body.terms.idempotency_key
         ask.transfer.path = body.path
         ask.transfer.command = extensions.encode_embedded(body.command)
     return ask
--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -326,7 +326,7 @@
 
     def answer(packet: Answer | Redirect) -> None:
         sign = status_tags.parse_status_tag(getattr(packet, "language", ""))
-        if sign is not None and sign.word in PROMISES_NO_EFFECT:
+        if sign is not None and sign.kind in PROMISES_NO_EFFECT:
             text = "aborted: a keeper that fell silent may have done it"
             packet = status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
         on_answer(packet)
--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -83,7 +83,7 @@
         """
         return bool(self.leases.holds(self.lease)) and self.leases.now() < self.deadline
 
-    def count_dispatch(self, on_ended: OnAttemptEnded) -> OnAttemptEnded:
+    def count_attempt(self, on_ended: OnAttemptEnded) -> OnAttemptEnded:
         """Count a dispatch; what is returned is to be called with its end."""
         self.sent += 1
 
--- a/milletsill/flows/gateway_export.py
+++ b/milletsill/flows/gateway_export.py
@@ -126,7 +126,7 @@
                 node_port,
                 node_id,
                 "" if request is None else self._volume_names.get(request.volume, ""),
-                "" if request is None else request.category,
+                "" if request is None else request.request_class,
                 outcome,
             )
             exchange = Exchange(
@@ -136,7 +136,7 @@
                 int(octets_back > 0),
                 duration,
             )
-            is_retry = request is not None and request.number > 0
+            is_retry = request is not None and request.attempt_number > 0
             self._metering.on_dispatch(key, is_retry, exchange)
 
         return on_exchange
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -156,11 +156,11 @@
         told = wire.decode_open_reply(answer)
         self.handle, self.live = told.handle, True
         self.load.count("claims")
-        for number in told.unsure:
+        for number in told.indeterminate:
             self.settle_unsure(number)
         for item in self.items.values():
             item.out, item.due = False, self.load.now()
-        if told.next > self.made + 1:
+        if told.lowest_open > self.made + 1:
             self.load.count("next beyond what was made")
 
     def drop(self, link: ChannelLink, why: str) -> None:
@@ -262,11 +262,11 @@
             if isinstance(answer, packets.Status)
             else None
         )
-        word = sign.word if sign is not None else "lost" if answer is None else "status"
+        word = sign.kind if sign is not None else "lost" if answer is None else "status"
         self.load.count(f"heard {word}")
         if word in DONE_SIGNS:
             return self.end(item, DONE_SIGNS[word])
-        pause = (sign.pause or 0) / 1000 if sign is not None else LEAST_PAUSE
+        pause = (sign.retry_delay_ms or 0) / 1000 if sign is not None else LEAST_PAUSE
         item.out, item.due = (
             False,
             self.load.now() + min(max(pause, LEAST_PAUSE), MOST_PAUSE),
@@ -300,11 +300,15 @@
         if not isinstance(answer, packets.ExtendedReply) or link is not self.link:
             return None
         told, item = wire.decode_query_reply(answer), self.items.get(number)
-        unsure, says = told.state == wire.NumberStatus.INDETERMINATE, self.terms.says
-        over = STATES.get(told.state)
+        unsure, says = told.status == wire.NumberStatus.INDETERMINATE, self.terms.says
+        over = STATES.get(told.status)
         if item is not None:
             item.asked += 1
-            if unsure and not says and (told.next > number or item.asked > MOST_ASKED):
+            if (
+                unsure
+                and not says
+                and (told.lowest_open > number or item.asked > MOST_ASKED)
+            ):
                 over = "stays unsure"
             if over is not None:
                 return self.end(item, over)
@@ -337,8 +341,8 @@
             if isinstance(answer, packets.Status)
             else None
         )
-        if sign is not None and sign.pause:
-            self.asks_at[number] = self.load.now() + sign.pause / 1000
+        if sign is not None and sign.retry_delay_ms:
+            self.asks_at[number] = self.load.now() + sign.retry_delay_ms / 1000
 
     def end(self, item: Item, what: str) -> None:
         del self.items[item.number]
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -40,7 +40,7 @@
         self.door.load.recorder.note(
             what="connect", conn=self.number, edge=self.door.name
         )
-        self.send(packets.Init(packets.VERSION_SPOKEN))
+        self.send(packets.Init(packets.PROTOCOL_VERSION))
 
     def dataReceived(self, data: bytes) -> None:
         self.deframer.feed(data)
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -170,9 +170,9 @@
         if sign is None:
             self.checker.on_reported_settled(number)
             return
-        if sign.word == "declined" and number not in self.checker.ever_released:
+        if sign.kind == "declined" and number not in self.checker.ever_released:
             self.rejected.add(number)
-        if sign.word in ("aborted", "stopped"):
+        if sign.kind in ("aborted", "stopped"):
             self.reported_failed.add(sign.number or number)
 
     def resolve(self, gateway: SimulatedGateway, number: int, resolution: int) -> None:
--- a/milletsill/lab/node_listener.py
+++ b/milletsill/lab/node_listener.py
@@ -69,7 +69,7 @@
         if node.silent:
             return
         if isinstance(packet, packets.Init):
-            version = packets.Version(packets.VERSION_SPOKEN)
+            version = packets.Version(packets.PROTOCOL_VERSION)
             delay = node.kind.handshake_ms / 1000
             node.reactor.callLater(delay, self.send, version)
         elif packet.name == extensions.DISPATCH:
@@ -89,7 +89,7 @@
             return
         self.node.answer_count += 1
         told = NodeReply(
-            reply.verdict,
+            reply.status,
             reply.text,
             self.node.load_report(),
             reply.used,
--- a/milletsill/lab/node_stand_in.py
+++ b/milletsill/lab/node_stand_in.py
@@ -86,7 +86,12 @@
 
 def attempt_key(request: NodeRequest) -> AttemptKey:
     """Return what names an attempt over all gateways."""
-    return request.gateway, request.incarnation, request.transfer, request.number
+    return (
+        request.gateway,
+        request.incarnation,
+        request.request_id,
+        request.attempt_number,
+    )
 
 
 class NodeStandIn:
@@ -192,7 +197,7 @@
             return
         now = self.clock()
         self.finish(self.engine.advance(now))
-        known = self.known_reply(request.ticket)
+        known = self.known_reply(request.idempotency_key)
         if known is not None:
             source.answer(packet_id, known)
             return
@@ -204,9 +209,9 @@
             self.draw_work(request),
             request.units,
             request.extent,
-            request.number == 0,
+            request.attempt_number == 0,
             isinstance(request.command, packets.Write),
-            now + request.left / 1000,
+            now + request.time_left_ms / 1000,
             PendingAttempt(source, packet_id, request),
         )
         if self.engine.fallen:
@@ -220,7 +225,7 @@
     def draw_work(self, request: NodeRequest) -> float:
         """Draw the seconds of work that an attempt means."""
         estimate = self.settings.work.get(
-            request.category, WorkEstimate(METADATA_WORK, UNKNOWN_SPREAD)
+            request.request_class, WorkEstimate(METADATA_WORK, UNKNOWN_SPREAD)
         )
         per_unit = estimate.seconds_per_unit
         if not isinstance(request.command, (packets.Read, packets.Write)):
@@ -280,7 +285,7 @@
         Two attempts under one idempotency key may have been here at once: the second
         has the effect of the first.
         """
-        known = self.known_reply(request.ticket)
+        known = self.known_reply(request.idempotency_key)
         if known is not None:
             return known
         if self.random.random() < self.kind.error_rate:
@@ -294,7 +299,7 @@
             used=None,
             elsewhere=self.count_units(request),
         )
-        self.remember(request.ticket, reply)
+        self.remember(request.idempotency_key, reply)
         return reply
 
     def count_units(self, request: NodeRequest) -> int:
@@ -330,11 +335,11 @@
         self.recorder.note(
             what="effect",
             box=self.settings.node,
-            ticket=request.ticket,
+            ticket=request.idempotency_key,
             path=bytes_to_text(command.handle),
             offset=command.offset,
             gateway=request.gateway,
-            transfer=request.transfer,
+            transfer=request.request_id,
             code=getattr(reply.answer, "code", -1),
         )
 
--- a/milletsill/node_connections/__init__.py
+++ b/milletsill/node_connections/__init__.py
@@ -1,8 +1,8 @@
 """The SFTP gateway's connections to storage nodes.
 
-One pool a node, none waits for another.
+Each node has a pool of its own, so that no node delays attempts to another.
 
-`connection_state` decides (which connection an attempt takes, when to dial, ping, abort
-and close); `node_connection`, `attempt_exchange` and `connection_pool` do the I/O on
-Twisted.
+`connection_state` decides which connection an attempt uses, and when to dial, ping,
+abort and close. `node_connection`, `attempt_exchange` and `connection_pool` do the I/O
+on Twisted.
 """
--- a/milletsill/node_connections/attempt_exchange.py
+++ b/milletsill/node_connections/attempt_exchange.py
@@ -1,4 +1,4 @@
-"""One attempt on its way to a node and back."""
+"""An attempt that a connection pool sends to a node, until its end."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 from milletsill.interface import AttemptOutcome
 from milletsill.sftp.extensions import NodeReply, NodeRequest
 
-ExchangeEnded = Callable[[AttemptOutcome, NodeReply | None], None]
+OnExchangeEnded = Callable[[AttemptOutcome, NodeReply | None], None]
 
 
 class SendCheck(Protocol):
-    """Asked again right before an attempt that had to wait is sent."""
+    """Decides, right before a delayed attempt is sent, whether it may still be sent."""
 
     def may_send(self) -> bool:
-        """Whether the attempt may still be sent."""
+        """Return whether the attempt may still be sent."""
 
 
 class ExchangeCarrier(Protocol):
     """A connection that carries exchanges."""
 
     def withdraw(self, exchange: PooledExchange, /) -> None:
-        """Tell the node that nobody waits any more."""
+        """Cancel the attempt at the node; its reply is no longer awaited."""
 
 
 class ExchangeOwner(Protocol):
     """The pool of an exchange."""
 
     def withdraw(self, exchange: PooledExchange, outcome: AttemptOutcome, /) -> None:
-        """Stop waiting for it."""
+        """Stop waiting for the attempt."""
 
 
-def ignore_end(outcome: AttemptOutcome, verdict: NodeReply | None) -> None:
-    """Listen to no end: the attempt is over."""
+def ignore_end(outcome: AttemptOutcome, reply: NodeReply | None) -> None:
+    """Do nothing; replaces the callback of an attempt that has ended."""
 
 
 class PooledExchange:
-    """One attempt at a pool: where it is, and whom to tell of its end.
+    """One attempt in a pool: its connection, and the callback for its end.
 
-    `ended` is called exactly once, never from within `NodeConnectionPool.send_attempt`;
-    not at all after `withdraw`.
+    `on_ended` is called exactly once, never before `NodeConnectionPool.send_attempt`
+    returns. After `withdraw` it is not called at all.
     """
 
     __slots__ = (
         "connection",
-        "ended",
-        "gate",
+        "on_ended",
+        "send_check",
         "octets_sent",
-        "order",
-        "over",
+        "request",
+        "is_over",
         "packet_id",
         "pool",
         "started_at",
@@ -58,35 +58,35 @@
     def __init__(
         self,
         pool: ExchangeOwner,
-        order: NodeRequest,
-        ended: ExchangeEnded,
+        request: NodeRequest,
+        on_ended: OnExchangeEnded,
         started_at: int,
-        gate: SendCheck | None = None,
+        send_check: SendCheck | None = None,
     ) -> None:
         self.pool = pool
-        self.order = order
-        self.ended = ended
+        self.request = request
+        self.on_ended = on_ended
         self.started_at = started_at
-        self.gate = gate
+        self.send_check = send_check
         self.connection: ExchangeCarrier | None = None
         self.packet_id = 0
-        self.over = False
+        self.is_over = False
         self.octets_sent = 0
 
     @property
     def begun(self) -> bool:
-        """Whether an octet of it may be on its way."""
+        """Whether an octet of the attempt may have been sent."""
         return self.connection is not None
 
     def withdraw(self, outcome: AttemptOutcome) -> None:
-        """Stop waiting for it; `ended` is not called."""
+        """Stop waiting for the attempt; `on_ended` is not called."""
         self.pool.withdraw(self, outcome)
 
-    def end(self, outcome: AttemptOutcome, verdict: NodeReply | None = None) -> None:
-        """Tell how it ended, once; later calls are ignored."""
-        if self.over:
+    def end(self, outcome: AttemptOutcome, reply: NodeReply | None = None) -> None:
+        """Report how the attempt ended; calls after the first are ignored."""
+        if self.is_over:
             return
-        self.over = True
-        ended = self.ended
-        self.ended = ignore_end  # no reference cycle through the listener
-        ended(outcome, verdict)
+        self.is_over = True
+        on_ended = self.on_ended
+        self.on_ended = ignore_end  # breaks the reference cycle through the callback
+        on_ended(outcome, reply)
--- a/milletsill/node_connections/connection_pool.py
+++ b/milletsill/node_connections/connection_pool.py
@@ -1,6 +1,6 @@
-"""All connections to one storage node.
+"""The pool of all connections to one storage node.
 
-Every attempt that is handed to `NodeConnectionPool.send_attempt` has exactly one end.
+Every attempt that is passed to `NodeConnectionPool.send_attempt` ends exactly once.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from milletsill.gateway.stream_transport import StreamEndpoint
 from milletsill.interface import AttemptOutcome
 from milletsill.node_connections.attempt_exchange import (
-    ExchangeEnded,
+    OnExchangeEnded,
     PooledExchange,
     SendCheck,
     ignore_end,
@@ -24,22 +24,22 @@
     ConnectionState,
     Route,
     choose_route,
-    time_event,
+    timeout_event,
 )
 from milletsill.node_connections.node_connection import NodeConnection
 from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.sftp.extensions import NodeRequest
 
-# Told of each attempt that ended, and of other packets without an order: order,
-# outcome, octets to the node and back, time it took.
-Meter = Callable[[NodeRequest | None, str, int, int, int], None]
-# How often within the shortest limit the connections of a pool are checked.
-CHECKS_PER_LIMIT = 4
+# Called for each attempt that ended, and with None for packets of no attempt. The
+# arguments are the request, the outcome, the octets sent and received, the duration.
+FlowMeter = Callable[[NodeRequest | None, str, int, int, int], None]
+# How often a pool checks its connections within its shortest timeout.
+CHECKS_PER_TIMEOUT = 4
 MIN_CHECK_INTERVAL = 0.001  # seconds
 
 
 class NodeConnectionPool:
-    """Sends attempts to one node. `log` takes a line for the log."""
+    """Sends attempts to one node. `log` writes one line to the log."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         config: PoolConfig,
         log: Callable[[str], None],
         endpoint: StreamEndpoint | None = None,
-        metered: Meter | None = None,
+        flow_meter: FlowMeter | None = None,
     ) -> None:
         self.reactor = reactor
         self.now = now
@@ -56,10 +56,10 @@
         self.address = config.address
         self.limits = config.limits
         self.log = log
-        self.metered = metered
+        self.flow_meter = flow_meter
         host, _, port = config.address.rpartition(":")
         self.endpoint: StreamEndpoint = endpoint or TCP4ClientEndpoint(
-            reactor, host, int(port), timeout=self.limits.dial / 10_000
+            reactor, host, int(port), timeout=self.limits.dial_timeout / 10_000
         )
         self.connections: list[NodeConnection] = []
         self.waiting: list[PooledExchange] = []
@@ -68,10 +68,11 @@
         self.unavailable = False
 
     def set_unavailable(self, unavailable: bool) -> None:
-        """Say whether the node drains or is gone: nothing begins here then.
+        """Set whether the node drains or has left; no attempt begins at such a node.
 
-        What waits for a connection ends at once and is placed elsewhere. Otherwise a
-        handshake could end, and an attempt begin, long after the list said so (rule 3).
+        Attempts that wait for a connection end at once as withdrawn, so that the
+        scheduler sends them to another node. Otherwise an attempt could begin when a
+        handshake completes, long after the endpoint list ruled the node out (rule 3).
         """
         self.unavailable = unavailable
         if not unavailable:
@@ -83,13 +84,16 @@
             exchange.end(AttemptOutcome.WITHDRAWN)
 
     def send_attempt(
-        self, order: NodeRequest, ended: ExchangeEnded, gate: SendCheck | None = None
+        self,
+        request: NodeRequest,
+        on_ended: OnExchangeEnded,
+        send_check: SendCheck | None = None,
     ) -> PooledExchange:
-        """Send an attempt as the limits allow; `ended` hears of its end.
+        """Send an attempt within the limits; `on_ended` is called at its end.
 
-        A `gate` is asked again before the send where the attempt had to wait.
+        If the attempt had to wait, `send_check` decides again before it is sent.
         """
-        exchange = PooledExchange(self, order, ended, self.now(), gate)
+        exchange = PooledExchange(self, request, on_ended, self.now(), send_check)
         loads = [each.load for each in self.connections]
         route, index = choose_route(loads, len(self.waiting), self.limits)
         if self.closed or self.unavailable:
@@ -102,7 +106,7 @@
             self.waiting.append(exchange)
             if route is Route.DIAL:
                 self._dial()
-        self._check_later()
+        self._schedule_check()
         return exchange
 
     def withdraw(
@@ -110,10 +114,10 @@
         exchange: PooledExchange,
         outcome: AttemptOutcome = AttemptOutcome.CANCELLED,
     ) -> None:
-        """Stop waiting for an attempt; its end is told to nobody."""
+        """Stop waiting for an attempt; its end is not reported."""
         self.meter_end(exchange, outcome)
-        exchange.over = True
-        exchange.ended = ignore_end
+        exchange.is_over = True
+        exchange.on_ended = ignore_end
         if exchange.connection is not None:
             exchange.connection.withdraw(exchange)
         elif exchange in self.waiting:
@@ -122,7 +126,7 @@
     def close(self) -> None:
         """Close idle connections now and busy ones once they are idle.
 
-        The node left.
+        This is called when the node has left the endpoint list.
         """
         self.closed = True
         self.set_unavailable(True)
@@ -131,7 +135,7 @@
                 connection.on_event(ConnectionEvent.RETIRED)
 
     def abort(self) -> None:
-        """Abort all connections: the process ends."""
+        """Abort all connections, at the end of the process."""
         self.closed = True
         if self.check_call is not None:
             self.check_call.cancel()
@@ -143,17 +147,17 @@
 
     def meter(
         self,
-        order: NodeRequest | None,
+        request: NodeRequest | None,
         outcome: str,
         octets_sent: int,
         octets_received: int,
         duration: int,
     ) -> None:
-        """Tell flow export, where there is any."""
-        if self.metered is None:
+        """Report an exchange to flow export, if it is enabled."""
+        if self.flow_meter is None:
             return
-        if order is not None or octets_sent or octets_received:
-            self.metered(order, outcome, octets_sent, octets_received, duration)
+        if request is not None or octets_sent or octets_received:
+            self.flow_meter(request, outcome, octets_sent, octets_received, duration)
 
     def meter_end(
         self,
@@ -161,12 +165,12 @@
         outcome: AttemptOutcome,
         octets_received: int = 0,
     ) -> None:
-        """Tell flow export how an attempt ended, once."""
-        if exchange.over:
+        """Report the end of an attempt to flow export, once."""
+        if exchange.is_over:
             return
         duration = self.now() - exchange.started_at
         self.meter(
-            exchange.order,
+            exchange.request,
             outcome.value,
             exchange.octets_sent,
             octets_received,
@@ -174,24 +178,24 @@
         )
 
     def serve_waiting(self) -> None:
-        """Hand waiting attempts to connections that take more."""
+        """Send waiting attempts on connections that have free capacity."""
         while self.waiting:
             loads = [each.load for each in self.connections]
             route, index = choose_route(loads, 0, self.limits)
             if route is not Route.USE:
                 return
             exchange = self.waiting.pop(0)
-            if exchange.over:
+            if exchange.is_over:
                 continue
-            if exchange.gate is not None and not exchange.gate.may_send():
+            if exchange.send_check is not None and not exchange.send_check.may_send():
                 self._end_unreachable(exchange)
             else:
                 self.connections[index].send_attempt(exchange)
 
     def on_connection_ended(self, connection: NodeConnection) -> None:
-        """Forget a connection.
+        """Remove a connection that has ended.
 
-        With none left to wait for, what waits is unreachable.
+        If no other connection is open, all waiting attempts end as unreachable.
         """
         if connection in self.connections:
             self.connections.remove(connection)
@@ -204,10 +208,10 @@
         for exchange in waiting:
             self._end_unreachable(exchange)
 
-    # Dialling and checks.
+    # Dialling and timeouts.
 
     def _end_unreachable(self, exchange: PooledExchange) -> None:
-        """It was never sent; told later, never from within."""
+        """End an attempt that was never sent, in a later reactor turn."""
         self.meter_end(exchange, AttemptOutcome.UNREACHABLE)
         self.reactor.callLater(0, exchange.end, AttemptOutcome.UNREACHABLE)
 
@@ -216,43 +220,48 @@
         self.connections.append(connection)
         factory = Factory.forProtocol(lambda: connection)
         factory.noisy = False
-        dialled = self.endpoint.connect(factory)
-        dialled.addErrback(lambda failure: self._on_dial_failed(connection))
+        connecting = self.endpoint.connect(factory)
+        connecting.addErrback(lambda failure: self._on_dial_failed(connection))
 
     def _on_dial_failed(self, connection: NodeConnection) -> None:
         connection.load.state = ConnectionState.CLOSED
         self.on_connection_ended(connection)
 
-    def _check_later(self) -> None:
-        """Check all connections in a while, as long as there are any."""
+    def _schedule_check(self) -> None:
+        """Schedule the next check, unless no connection or attempt is left."""
         if self.check_call is not None or not (self.connections or self.waiting):
             return
         limits = self.limits
-        shortest = min(limits.silence, limits.dial, limits.idle) / 10_000
-        interval = max(shortest / CHECKS_PER_LIMIT, MIN_CHECK_INTERVAL)
+        shortest = (
+            min(limits.silence_timeout, limits.dial_timeout, limits.idle_timeout)
+            / 10_000
+        )
+        interval = max(shortest / CHECKS_PER_TIMEOUT, MIN_CHECK_INTERVAL)
         self.check_call = self.reactor.callLater(interval, self._check)
 
     def _check(self) -> None:
         self.check_call = None
         now = self.now()
         for connection in list(self.connections):
-            event = self._event_of(connection, now)
+            event = self._timeout_event(connection, now)
             if event is not None:
                 connection.on_event(event)
-        limit = self.limits.dial
-        late = [each for each in self.waiting if now - each.started_at >= limit]
+        dial_timeout = self.limits.dial_timeout
+        late = [each for each in self.waiting if now - each.started_at >= dial_timeout]
         for exchange in late:
             self.waiting.remove(exchange)
             self.meter_end(exchange, AttemptOutcome.UNREACHABLE)
             exchange.end(AttemptOutcome.UNREACHABLE)
-        self._check_later()
+        self._schedule_check()
 
-    def _event_of(self, connection: NodeConnection, now: int) -> ConnectionEvent | None:
+    def _timeout_event(
+        self, connection: NodeConnection, now: int
+    ) -> ConnectionEvent | None:
         if self.closed and not connection.in_flight:
             return ConnectionEvent.RETIRED
-        return time_event(
+        return timeout_event(
             connection.load.state,
-            len(connection.in_flight) + connection.owed_pings,
+            len(connection.in_flight) + connection.unanswered_pings,
             now - connection.last_received_at,
             now - connection.created_at,
             self.limits,
--- a/milletsill/node_connections/connection_state.py
+++ b/milletsill/node_connections/connection_state.py
@@ -1,8 +1,7 @@
-"""What the pool of one node does.
+"""The decisions of a connection pool: state machine and choice of a connection.
 
-Which connection an attempt takes, when connections end.
-
-A table and pure functions: no I/O, no clock. Times are tenths of a millisecond.
+The module is a table and pure functions without I/O or clock. Times are in tenths of a
+millisecond. The main transitions of a connection:
 
     DIALING --CONNECTED--> HANDSHAKING --VERSION--> READY <--RECEIVED-- SUSPECT
                                                       |---SILENT-----------^ |
@@ -20,37 +19,37 @@
 class ConnectionState(Enum):
     """The state of one connection."""
 
-    DIALING = auto()  # no connection yet
+    DIALING = auto()  # not connected yet
     HANDSHAKING = auto()  # waits for the node's VERSION packet
     READY = auto()  # takes attempts
-    SUSPECT = auto()  # owes the answer to a ping
+    SUSPECT = auto()  # waits for the answer to a ping
     CLOSED = auto()
 
 
 class ConnectionEvent(Enum):
-    """What happens to one connection."""
+    """An event of one connection."""
 
     CONNECTED = auto()
-    VERSION = auto()  # the node's VERSION packet came
-    RECEIVED = auto()  # octets came
-    SILENT = auto()  # nothing came for the silence limit although something is owed
-    HANDSHAKE_LATE = auto()
-    IDLE = auto()  # nothing was owed for the idle limit
-    MALFORMED = auto()  # octets that are no packet, or the process ends
+    VERSION = auto()  # the node's VERSION packet arrived
+    RECEIVED = auto()  # octets arrived
+    SILENT = auto()  # no octet within the silence timeout, with answers outstanding
+    HANDSHAKE_LATE = auto()  # not ready within the dial timeout
+    IDLE = auto()  # no answer was outstanding for the idle timeout
+    MALFORMED = auto()  # a malformed packet, or the end of the process
     LOST = auto()  # the transport ended
-    RETIRED = auto()  # the node is gone
+    RETIRED = auto()  # the node has left
 
 
 class ConnectionEffect(Enum):
-    """What is to be done after an event."""
+    """The action that follows an event."""
 
     NONE = auto()
     SEND_INIT = auto()
-    SERVE_WAITING = auto()  # hand waiting attempts to connections
+    SERVE_WAITING = auto()  # send waiting attempts
     SEND_PING = auto()
     CLOSE = auto()
     ABORT = auto()
-    FINISH = auto()  # the transport has ended by itself
+    FINISH = auto()  # nothing to close: the transport has ended
 
 
 OPEN_STATES = (
@@ -82,9 +81,9 @@
         ConnectionState.READY,
         ConnectionEffect.SERVE_WAITING,
     ),
-    # A half-open connection gives neither data nor an end. A node that only stands
-    # still for less than two silence limits is kept; one that is stopped for longer
-    # loses what it had in work.
+    # A half-open connection delivers neither data nor an end. A node that stalls for
+    # less than two silence timeouts keeps its connection; the attempts in flight at a
+    # node that stalls for longer are reset.
     (ConnectionState.SUSPECT, ConnectionEvent.SILENT): (
         ConnectionState.CLOSED,
         ConnectionEffect.ABORT,
@@ -122,41 +121,41 @@
 
 
 def next_state(state: ConnectionState, event: ConnectionEvent) -> Transition:
-    """Return the next state and what to do.
-
-    An event not in the table changes nothing.
-    """
+    """Return the next state and effect; an event not in the table changes nothing."""
     return CONNECTION_TABLE.get((state, event), (state, ConnectionEffect.NONE))
 
 
 @dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """Bounds of one pool.
+    """The limits of one pool.
 
     Attributes:
-        connections: connections to one node.
-        streams: attempts in flight on one connection.
-        handshakes: connections that may be opening at once.
-        dial: time until a connection has to be ready.
-        idle: time after which a connection that owes nothing is closed.
-        silence: time without an octet after which a node that owes something is pinged.
+        max_connections: maximum of connections to the node.
+        attempts_per_connection: maximum of attempts in flight on one connection.
+        max_handshakes: maximum of connections that are opening at once.
+        dial_timeout: time within which a connection must become ready.
+        idle_timeout: time after which a connection without outstanding answers is
+            closed.
+        silence_timeout: time without an octet after which a node with outstanding
+            answers is pinged.
     """
 
-    connections: int
-    streams: int
-    handshakes: int
-    dial: int
-    idle: int
-    silence: int
+    max_connections: int
+    attempts_per_connection: int
+    max_handshakes: int
+    dial_timeout: int
+    idle_timeout: int
+    silence_timeout: int
 
 
 @dataclass(slots=True)
 class ConnectionLoad:
-    """One connection as the pool sees it.
+    """The state and load of one connection, for the choice of a connection.
 
     Attributes:
-        in_flight: attempts without an end.
-        blocked: whether the node does not take octets at the moment.
+        state: the connection's state.
+        in_flight: count of attempts that have not ended.
+        blocked: whether the transport's send buffer is full.
     """
 
     state: ConnectionState
@@ -165,12 +164,12 @@
 
 
 class Route(Enum):
-    """Which way an attempt goes."""
+    """How the pool handles a new attempt."""
 
-    USE = auto()  # a connection that is ready
-    DIAL = auto()  # a new connection
-    WAIT = auto()  # a connection that is opening
-    REFUSE = auto()
+    USE = auto()  # use a connection that is ready
+    DIAL = auto()  # open a new connection and wait for it
+    WAIT = auto()  # wait for a connection that is opening
+    REFUSE = auto()  # end the attempt as unreachable
 
 
 def choose_route(
@@ -178,9 +177,11 @@
 ) -> tuple[Route, int]:
     """Return the route of an attempt, and the index of the connection it uses or -1.
 
-    The least loaded connection that takes more; else a new one, if the bounds let it;
-    else the attempt waits for one that is opening, but no more attempts than those can
-    carry; else it is refused, and the scheduler hears that the node is unreachable.
+    The attempt uses the least loaded connection with free capacity, unless that
+    connection is half full and the limits allow another one. Without such a connection,
+    a new one is opened if the limits allow it. Otherwise the attempt waits for an
+    opening connection, as long as the opening ones can carry all waiting attempts. If
+    they cannot, the attempt is refused and the scheduler gets "unreachable".
     """
     best = min(
         (
@@ -188,7 +189,7 @@
             for index, load in enumerate(loads)
             if load.state is ConnectionState.READY
             and not load.blocked
-            and load.in_flight < limits.streams
+            and load.in_flight < limits.attempts_per_connection
         ),
         key=lambda index: loads[index].in_flight,
         default=-1,
@@ -198,7 +199,7 @@
         if (
             in_flight == 0
             or not may_dial(loads, limits)
-            or in_flight < limits.streams // 2
+            or in_flight < limits.attempts_per_connection // 2
         ):
             return Route.USE, best
     if may_dial(loads, limits):
@@ -206,32 +207,37 @@
     if best >= 0:
         return Route.USE, best
     opening = sum(load.state in OPENING_STATES for load in loads)
-    return (Route.WAIT if waiting < opening * limits.streams else Route.REFUSE), -1
+    return (
+        Route.WAIT
+        if waiting < opening * limits.attempts_per_connection
+        else Route.REFUSE
+    ), -1
 
 
 def may_dial(loads: Sequence[ConnectionLoad], limits: PoolLimits) -> bool:
-    """Whether one more connection is within the bounds."""
+    """Return whether the limits allow one more connection."""
     open_loads = [load for load in loads if load.state in OPEN_STATES]
     opening = sum(load.state in OPENING_STATES for load in open_loads)
-    return len(open_loads) < limits.connections and opening < limits.handshakes
+    return len(open_loads) < limits.max_connections and opening < limits.max_handshakes
 
 
-def time_event(
-    state: ConnectionState, owed: int, quiet: int, age: int, limits: PoolLimits
+def timeout_event(
+    state: ConnectionState, outstanding: int, silence: int, age: int, limits: PoolLimits
 ) -> ConnectionEvent | None:
-    """Return what the passing of time means for one connection.
+    """Return the event of a timeout that has passed, None if none has.
 
     Args:
         state: the connection's state.
-        owed: answers that the node owes, to attempts or pings.
-        quiet: time since its last octet, or since it owes, whichever is later.
+        outstanding: count of attempts and pings that the node has not answered.
+        silence: time since the last octet from the node, or since an answer has been
+            outstanding, whichever is later.
         age: time since dialling.
-        limits: the pool's bounds.
+        limits: the pool's limits.
     """
     if state in OPENING_STATES:
-        return ConnectionEvent.HANDSHAKE_LATE if age >= limits.dial else None
-    if owed and quiet >= limits.silence:
+        return ConnectionEvent.HANDSHAKE_LATE if age >= limits.dial_timeout else None
+    if outstanding and silence >= limits.silence_timeout:
         return ConnectionEvent.SILENT
-    if not owed and quiet >= limits.idle:
+    if not outstanding and silence >= limits.idle_timeout:
         return ConnectionEvent.IDLE
     return None
--- a/milletsill/node_connections/node_connection.py
+++ b/milletsill/node_connections/node_connection.py
@@ -35,7 +35,7 @@
 
 
 class ConnectionOwner(TypingProtocol):
-    """The pool of a connection."""
+    """The pool of a connection, as the connection uses it."""
 
     config: PoolConfig
 
@@ -43,40 +43,41 @@
         """Return the time in tenths of a millisecond."""
 
     def log(self, text: str, /) -> None:
-        """Take a line for the log."""
+        """Write one line to the log."""
 
     def serve_waiting(self) -> None:
-        """Hand waiting attempts to connections that take more."""
+        """Send waiting attempts on connections that have free capacity."""
 
     def on_connection_ended(self, connection: NodeConnection, /) -> None:
-        """Forget a connection."""
+        """Remove a connection that has ended."""
 
     def meter(
         self,
-        order: NodeRequest | None,
+        request: NodeRequest | None,
         outcome: str,
         octets_sent: int,
         octets_received: int,
         duration: int,
         /,
     ) -> None:
-        """Tell flow export of packets."""
+        """Report an exchange to flow export."""
 
     def meter_end(
         self, exchange: PooledExchange, outcome: AttemptOutcome, octets: int = 0, /
     ) -> None:
-        """Tell flow export how an attempt ended, once."""
+        """Report the end of an attempt to flow export, once."""
 
 
 class NodeConnection(Protocol):
-    """Carries many attempts at once, each under the id of its packet.
+    """Carries many attempts at once, each under its own packet id.
 
     Attributes:
-        load: its state, and what is in flight, as the pool sees it.
-        in_flight: exchanges without an end, by packet id.
-        owed_pings: pings and greetings that the node has not answered.
-        created_at: when it was dialled.
-        last_received_at: when octets last came, or the node began to owe an answer.
+        load: the connection's state and load, which the pool reads.
+        in_flight: exchanges that have not ended, by packet id.
+        unanswered_pings: count of pings and hellos that the node has not answered.
+        created_at: time at which dialling began.
+        last_received_at: time at which octets last arrived or an answer became
+            outstanding, whichever is later.
     """
 
     transport: StreamTransport  # type: ignore[assignment]
@@ -84,10 +85,10 @@
     def __init__(self, pool: ConnectionOwner) -> None:
         self.pool = pool
         self.load = ConnectionLoad(ConnectionState.DIALING)
-        self.deframer = PacketSplitter(pool.config.max_packet)
+        self.splitter = PacketSplitter(pool.config.max_packet)
         self.in_flight: dict[int, PooledExchange] = {}
         self.last_packet_id = 0
-        self.owed_pings = 0
+        self.unanswered_pings = 0
         self.created_at = pool.now()
         self.last_received_at = self.created_at
 
@@ -95,7 +96,7 @@
 
     def connectionMade(self) -> None:
         """Begin the handshake."""
-        if self.load.state is ConnectionState.CLOSED:  # given up while it was dialled
+        if self.load.state is ConnectionState.CLOSED:  # closed while dialling
             self.transport.abortConnection()
             return
         self.transport.registerProducer(self, True)
@@ -104,25 +105,25 @@
         self.on_event(ConnectionEvent.CONNECTED)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read packets; malformed octets end the connection."""
+        """Read packets; a malformed packet ends the connection."""
         self.last_received_at = self.pool.now()
-        self.deframer.feed(data)
+        self.splitter.feed(data)
         try:
-            while (body := self.deframer.next()) is not None:
+            while (body := self.splitter.next()) is not None:
                 self._on_packet(packet_codec.decode(body), len(body) + 4)
         except MalformedInputError as error:
-            self.pool.log(f"broken bytes from the box: {error.describe()}")
+            self.pool.log(f"malformed packet from the node: {error.describe()}")
             self.on_event(ConnectionEvent.MALFORMED)
             return
         self.on_event(ConnectionEvent.RECEIVED)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """End what was in flight: it may have run."""
+        """End the attempts in flight as reset, since they may have run."""
         self.on_event(ConnectionEvent.LOST)
         self._reset_in_flight()
 
     def pauseProducing(self) -> None:
-        """Take no more attempts: the node does not take octets."""
+        """Take no more attempts, since the transport's send buffer is full."""
         self.load.blocked = True
 
     def resumeProducing(self) -> None:
@@ -137,10 +138,10 @@
     # Called by the pool.
 
     def on_event(self, event: ConnectionEvent) -> None:
-        """Read the table and act."""
+        """Apply the transition of an event and its effect."""
         self.load.state, effect = next_state(self.load.state, event)
         if effect is ConnectionEffect.SEND_INIT:
-            self._send_control(packets.Init(packets.VERSION_SPOKEN))
+            self._send_control(packets.Init(packets.PROTOCOL_VERSION))
         elif effect is ConnectionEffect.SERVE_WAITING:
             if event is ConnectionEvent.VERSION:
                 self._send_hello()
@@ -158,28 +159,33 @@
         """Send one attempt on this connection."""
         now = self.pool.now()
         packet_id = self._next_packet_id()
-        if not self.in_flight and not self.owed_pings:
+        if not self.in_flight and not self.unanswered_pings:
             self.last_received_at = now
         exchange.connection = self
         exchange.packet_id = packet_id
         self.in_flight[packet_id] = exchange
         self.load.in_flight = len(self.in_flight)
-        # The time left to the client was set when the attempt was decided on.
-        waited = (now - exchange.started_at) // 10
-        order = replace(exchange.order, left=max(exchange.order.left - waited, 1))
+        # The time left was computed before the attempt waited for this connection.
+        waited_ms = (now - exchange.started_at) // 10
+        request = replace(
+            exchange.request,
+            time_left_ms=max(exchange.request.time_left_ms - waited_ms, 1),
+        )
         exchange.octets_sent = self._send(
-            extensions.encode_node_request(packet_id, order)
+            extensions.encode_node_request(packet_id, request)
         )
 
     def withdraw(self, exchange: PooledExchange) -> None:
-        """Tell the node that nobody waits any more; a later answer is dropped."""
+        """Cancel an attempt at the node; a later reply is ignored."""
         if self.in_flight.pop(exchange.packet_id, None) is None:
             return
         self.load.in_flight = len(self.in_flight)
-        order = exchange.order
+        request = exchange.request
         packet_id = self._next_packet_id()
         self._send_control(
-            extensions.encode_cancel(packet_id, order.transfer, order.number)
+            extensions.encode_cancel(
+                packet_id, request.request_id, request.attempt_number
+            )
         )
 
     # Packets.
@@ -190,7 +196,7 @@
 
     def _send_hello(self) -> None:
         packet_id = self._next_packet_id()
-        self.owed_pings += 1
+        self.unanswered_pings += 1
         config = self.pool.config
         self._send_control(
             extensions.encode_hello(packet_id, config.gateway, config.incarnation)
@@ -198,7 +204,7 @@
 
     def _send_ping(self) -> None:
         packet_id = self._next_packet_id()
-        self.owed_pings += 1
+        self.unanswered_pings += 1
         self.last_received_at = self.pool.now()
         self._send_control(packets.Extended(packet_id, extensions.BEAT))
 
@@ -206,35 +212,35 @@
         exchange = None
         if isinstance(packet, packets.ExtendedReply):
             exchange = self.in_flight.get(packet.id)
-        if exchange is None:  # a greeting, a ping, or the answer to a withdrawn attempt
+        if exchange is None:  # answers a hello, a ping or a withdrawn attempt
             self.pool.meter(None, "", 0, octets, 0)
         if isinstance(packet, packets.Version):
             self.on_event(ConnectionEvent.VERSION)
             return
         if isinstance(packet, packets.Status):
-            self.owed_pings = max(self.owed_pings - 1, 0)
+            self.unanswered_pings = max(self.unanswered_pings - 1, 0)
             return
         if not isinstance(packet, packets.ExtendedReply):
             name = type(packet).__name__
-            raise MalformedPacketError(f"{name} where a verdict was due")
-        verdict = extensions.decode_node_reply(packet)
-        served = OUTCOMES[verdict.verdict] is AttemptOutcome.SUCCEEDED
-        if served and verdict.answer is None:
-            raise MalformedPacketError("a verdict without the answer it speaks of")
+            raise MalformedPacketError(f"expected a node reply, received {name}")
+        reply = extensions.decode_node_reply(packet)
+        succeeded = OUTCOMES[reply.status] is AttemptOutcome.SUCCEEDED
+        if succeeded and reply.answer is None:
+            raise MalformedPacketError("a node reply of success has no answer")
         if exchange is not None:
-            self._on_verdict(exchange, verdict, octets)
+            self._on_reply(exchange, reply, octets)
 
-    def _on_verdict(
-        self, exchange: PooledExchange, verdict: NodeReply, octets: int
+    def _on_reply(
+        self, exchange: PooledExchange, reply: NodeReply, octets: int
     ) -> None:
         del self.in_flight[exchange.packet_id]
         self.load.in_flight = len(self.in_flight)
-        outcome = OUTCOMES[verdict.verdict]
+        outcome = OUTCOMES[reply.status]
         self.pool.meter_end(exchange, outcome, octets)
-        exchange.end(outcome, verdict)
+        exchange.end(outcome, reply)
 
     def _reset_in_flight(self) -> None:
-        """What is in flight on a connection that ended may have run."""
+        """End all attempts in flight as reset, since they may have run."""
         exchanges = list(self.in_flight.values())
         self.in_flight = {}
         self.load.in_flight = 0
@@ -244,7 +250,7 @@
             exchange.end(AttemptOutcome.RESET)
 
     def _send(self, packet: packets.Packet) -> int:
-        """Send a packet and return its octets."""
+        """Send a packet and return its count of octets."""
         if self.transport is None:
             return 0
         data = packet_codec.encode(packet)
@@ -252,5 +258,5 @@
         return len(data)
 
     def _send_control(self, packet: packets.Packet) -> None:
-        """Send a packet that is no attempt."""
+        """Send a packet that does not belong to an attempt."""
         self.pool.meter(None, "", self._send(packet), 0, 0)
--- a/milletsill/node_connections/pool_config.py
+++ b/milletsill/node_connections/pool_config.py
@@ -1,4 +1,4 @@
-"""Settings of the connections to one node."""
+"""The settings of the connection pool of one node."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
     """Settings of one pool.
 
     Attributes:
-        address: host and port of the node.
-        limits: bounds on connections and times.
-        gateway, incarnation: what this gateway greets the node with.
-        max_packet: octets of a packet from the node.
+        address: the node's host and port.
+        limits: limits of connections and timeouts.
+        gateway: this gateway's name, which it sends in its hello.
+        incarnation: this gateway's incarnation, which it sends in its hello.
+        max_packet: maximum octets of a packet from the node.
     """
 
     address: str
--- a/milletsill/sftp/__init__.py
+++ b/milletsill/sftp/__init__.py
@@ -1,1 +1,1 @@
-"""The file-command protocol: SFTP version 3 packets, both ends, without a transport."""
+"""SFTP version 3 packets and their extensions: codecs for both ends, no transport."""
--- a/milletsill/sftp/channel_extensions.py
+++ b/milletsill/sftp/channel_extensions.py
@@ -1,58 +1,58 @@
-"""Extensions by which a client orders its commands on a channel.
+"""Extensions by which a client sends commands on a channel in a defined order.
 
-docs/channels.md says what a channel is. A gateway that has channels offers
-`channel@milletsill` in its VERSION packet; others answer OP_UNSUPPORTED.
+docs/channels.md describes channels. A gateway that offers channels lists
+`channel@milletsill` in its VERSION packet; other gateways answer OP_UNSUPPORTED.
 
-channel@milletsill, client to gateway: a uint32 verb, and then by verb
+channel@milletsill, client to gateway: a uint32 verb, then fields that depend on it.
 
-    1 OPEN  string path        any within the volume
+    1 OPEN  string path        any path within the volume
             string channel     1 to 128 octets, printable, no spaces
-            string contract    empty for the operator's
-            uint32 version     of the contract, 0 for the gateway's
-            uint64 first       number from which the contract holds, where it
-                               differs from before; 0 for the next free one
+            string contract    empty for the contract in the gateway's settings
+            uint32 version     of the contract, 0 for the gateway's version
+            uint64 first       the number from which the contract applies if it
+                               changes; 0 for the next free number
     2 ASK   string handle
             uint64 number
     3 SAY   string handle
-            uint64 number      of an indeterminate outcome, or that never came
-            uint32 word        1 done, 2 not done, 3 skipped; of a number that
-                               never came 3 alone
+            uint64 number      with an indeterminate outcome, or never received
+            uint32 resolution  1 done, 2 not done, 3 skipped; only 3 is allowed
+                               for a number that was never received
 
-OPEN claims the channel: the later claim holds. The earlier client is told at its
-next request (x-claim-lost), and its waiting commands at once. OPEN is answered by
-EXTENDED_REPLY:
+OPEN claims the channel, and the latest claim holds. The client with the earlier claim
+gets x-claim-lost at once for its waiting commands, and for its next request. The
+gateway answers OPEN with EXTENDED_REPLY:
 
-    string handle              for this connection, until CLOSE
+    string handle              valid on this connection until CLOSE
     uint64 claim
     string contract
     uint32 version
     uint32 order               0 each in order, 1 newest, 2 by extent, 3 batches
-    uint64 next                the lowest number that is open
-    uint64 batch               that of `next`
-    uint32 most waiting        how many numbers may wait
-    uint64 remembered          the lowest number whose answer is remembered
-    uint32 n                   and n times
+    uint64 lowest open         the lowest number that is open
+    uint64 batch               the batch of the lowest open number
+    uint32 max waiting         how many numbers may wait
+    uint64 first remembered    the lowest number whose answer is stored
+    uint32 n                   count of indeterminate numbers, each of them
     uint64 number              with an indeterminate outcome
 
-ASK is answered by EXTENDED_REPLY, SAY by STATUS:
+The gateway answers SAY with STATUS, and ASK with EXTENDED_REPLY:
 
     uint32 status              0 open, 1 in progress, 2 settled, 3 indeterminate,
                                4 skipped, 5 forgotten
-    uint64 next
-    the answer                 if settled: its kind and fields
+    uint64 lowest open
+    the answer                 of a settled number: its packet type and fields
 
-numbered@milletsill, client to gateway: one command of a channel. It writes, and
-becomes one request at a node.
+numbered@milletsill, client to gateway: one command of a channel. The command must be a
+write that takes a single request to a node.
 
     string handle
     uint64 number              from 1
-    uint64 batch               from 1, 0 where the contract has none
-    uint32 flags               1: the last of its batch
+    uint64 batch               from 1, 0 if the contract has no batches
+    uint32 flags               1: the last command of its batch
     the body of a command@milletsill
 
-It is answered as the command would be, under the id of the EXTENDED packet. A settled
-number gets its remembered answer, without a second effect; else the answer is STATUS
-FAILURE with a language tag (status_tags.py).
+The gateway answers as it answers the command itself, under the id of the EXTENDED
+packet. A settled number gets its stored answer and is not executed again. Any other
+number that is not executed gets STATUS FAILURE with a language tag (status_tags.py).
 """
 
 from __future__ import annotations
@@ -87,14 +87,14 @@
 
 CHANNEL = "channel@milletsill"
 NUMBERED = "numbered@milletsill"
-LAST_OF_BATCH = 1  # the one flag of a numbered command
-MAX_NAME_LENGTH = 128  # octets of a channel's name
-MAX_INDETERMINATE = 1024  # numbers that one reply may list
+LAST_OF_BATCH = 1  # the only flag of a numbered command
+MAX_NAME_LENGTH = 128  # octets in the name of a channel
+MAX_INDETERMINATE = 1024  # numbers in one reply
 MAX_NUMBER = (1 << 63) - 1
 
 
 class ChannelVerb(IntEnum):
-    """What a client asks of a channel."""
+    """The operation that a client requests on a channel."""
 
     OPEN = 1
     ASK = 2
@@ -102,7 +102,7 @@
 
 
 class Resolution(IntEnum):
-    """What a client says became of a number whose outcome is indeterminate (SAY)."""
+    """How a client resolves a number with an indeterminate outcome (SAY)."""
 
     DONE = 1
     NOT_DONE = 2
@@ -110,7 +110,7 @@
 
 
 class NumberStatus(IntEnum):
-    """What became of a number so far, as ASK is answered."""
+    """The current status of a number, as the reply to ASK states it."""
 
     OPEN = 0
     IN_PROGRESS = 1
@@ -127,9 +127,9 @@
     Attributes:
         path: Any path within the channel's volume.
         channel: The channel's name.
-        contract: The name of the contract, empty for the volume's own.
-        version: Its version, 0 for the gateway's.
-        first: The number from which the contract holds, 0 for the next free one.
+        contract: The name of the contract, empty for the volume's own contract.
+        version: The contract's version, 0 for the gateway's version.
+        first: The number from which the contract applies, 0 for the next free number.
     """
 
     path: str
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelQuery:
-    """ASK: what became of a number."""
+    """ASK: queries the status of a number."""
 
     handle: bytes
     number: int
@@ -149,11 +149,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelResolve:
-    """SAY: what became of a number; `word` is a `Resolution`."""
+    """SAY: resolves a number; `resolution` is a `Resolution`."""
 
     handle: bytes
     number: int
-    word: int
+    resolution: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,16 +161,16 @@
     """The answer to OPEN.
 
     Attributes:
-        handle: Names the channel on this connection.
-        claim: Grows with each OPEN; the latest claim holds.
+        handle: The handle of the channel on this connection.
+        claim: The claim's number; it grows with each OPEN. The latest claim holds.
         contract: The name of the contract in force.
-        version: Its version.
-        order: Its order, by number.
-        next: The lowest number that is open.
-        batch: The batch of `next`.
-        most_waiting: How many numbers ahead of `next` may wait.
-        remembered: The lowest number whose answer is remembered.
-        unsure: Numbers with an indeterminate outcome.
+        version: The contract's version.
+        order: The contract's order, as its number on the wire.
+        lowest_open: The lowest number that is open.
+        batch: The batch of `lowest_open`.
+        max_waiting: How many numbers above `lowest_open` may wait.
+        first_remembered: The lowest number whose answer is stored.
+        indeterminate: The numbers with an indeterminate outcome.
     """
 
     handle: bytes
@@ -178,22 +178,22 @@
     contract: str
     version: int
     order: int
-    next: int
+    lowest_open: int
     batch: int
-    most_waiting: int
-    remembered: int
-    unsure: tuple[int, ...] = ()
+    max_waiting: int
+    first_remembered: int
+    indeterminate: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelQueryReply:
     """The answer to ASK.
 
-    `state` is a `NumberStatus`, `answer` that of a settled number.
+    `status` is a `NumberStatus`; `answer` is None unless the number is settled.
     """
 
-    state: int
-    next: int
+    status: int
+    lowest_open: int
     answer: Answer | None = None
 
 
@@ -204,7 +204,7 @@
     handle: bytes
     number: int
     batch: int
-    last: bool
+    ends_batch: bool
     terms: CommandTerms
     command: Command
 
@@ -212,51 +212,48 @@
 ChannelRequest = ChannelOpen | ChannelQuery | ChannelResolve
 
 
-def channel_name(text: str) -> str:
-    """Return a channel's name once it is checked.
-
-    Raise `MalformedInputError` for a bad one.
-    """
+def checked_channel_name(text: str) -> str:
+    """Return a channel's name; raise `MalformedInputError` if it is invalid."""
     if (
         not 0 < len(text_to_bytes(text)) <= MAX_NAME_LENGTH
         or not text.isprintable()
         or " " in text
     ):
         raise MalformedInputError(
-            f"a channel's name is 1 to {MAX_NAME_LENGTH} octets of printable "
-            "characters without spaces"
+            f"channel name {text[:MAX_NAME_LENGTH]!r} is not 1 to {MAX_NAME_LENGTH} "
+            "octets of printable characters without spaces"
         )
     return text
 
 
-def number_of(reader: PacketReader) -> int:
-    """Read the number of a command; raise `MalformedInputError` past the bounds."""
+def read_number(reader: PacketReader) -> int:
+    """Read a command's number; raise `MalformedInputError` if it is out of range."""
     number = reader.u64("a number")
     if not 1 <= number <= MAX_NUMBER:
         raise MalformedInputError(f"number {number} is not from 1 to {MAX_NUMBER}")
     return number
 
 
-def encode_channel_request(id: int, said: ChannelRequest) -> Extended:
-    """Return a request on a channel as a packet."""
-    if isinstance(said, ChannelOpen):
+def encode_channel_request(id: int, request: ChannelRequest) -> Extended:
+    """Return a request on a channel as a channel@milletsill packet."""
+    if isinstance(request, ChannelOpen):
         body = (
             U32.pack(ChannelVerb.OPEN)
-            + encode_text(said.path)
-            + encode_text(said.channel)
-            + encode_text(said.contract)
-            + U32.pack(said.version)
-            + U64.pack(said.first)
+            + encode_text(request.path)
+            + encode_text(request.channel)
+            + encode_text(request.contract)
+            + U32.pack(request.version)
+            + U64.pack(request.first)
         )
-    elif isinstance(said, ChannelQuery):
-        body = U32.pack(ChannelVerb.ASK) + encode_bytes(said.handle)
-        body += U64.pack(said.number)
+    elif isinstance(request, ChannelQuery):
+        body = U32.pack(ChannelVerb.ASK) + encode_bytes(request.handle)
+        body += U64.pack(request.number)
     else:
         body = (
             U32.pack(ChannelVerb.SAY)
-            + encode_bytes(said.handle)
-            + U64.pack(said.number)
-            + U32.pack(said.word)
+            + encode_bytes(request.handle)
+            + U64.pack(request.number)
+            + U32.pack(request.resolution)
         )
     return Extended(id, CHANNEL, body)
 
@@ -264,7 +261,7 @@
 def _decode_open(reader: PacketReader) -> ChannelOpen:
     return ChannelOpen(
         path=reader.text("a path"),
-        channel=channel_name(reader.text("a channel")),
+        channel=checked_channel_name(reader.text("a channel")),
         contract=reader.text("a contract"),
         version=reader.u32("a version"),
         first=reader.u64("a first number"),
@@ -272,17 +269,17 @@
 
 
 def _decode_query(reader: PacketReader) -> ChannelQuery:
-    return ChannelQuery(handle=reader.raw("a handle"), number=number_of(reader))
+    return ChannelQuery(handle=reader.raw("a handle"), number=read_number(reader))
 
 
 def _decode_resolve(reader: PacketReader) -> ChannelResolve:
     request = ChannelResolve(
         handle=reader.raw("a handle"),
-        number=number_of(reader),
-        word=reader.u32("a word"),
+        number=read_number(reader),
+        resolution=reader.u32("a resolution"),
     )
-    if request.word not in tuple(Resolution):
-        raise MalformedInputError(f"word {request.word} on a number is not 1 to 3")
+    if request.resolution not in tuple(Resolution):
+        raise MalformedInputError(f"resolution {request.resolution} is not from 1 to 3")
     return request
 
 
@@ -294,41 +291,41 @@
 
 
 def decode_channel_request(packet: Extended) -> ChannelRequest:
-    """Return a request on a channel from its packet."""
+    """Return the request of a channel@milletsill packet."""
     reader = PacketReader(packet.body)
     verb = reader.u32("a verb")
     decode = REQUEST_DECODERS.get(verb)
     if decode is None:
-        raise MalformedInputError(f"verb {verb} on a channel is not 1 to 3")
+        raise MalformedInputError(f"channel verb {verb} is not from 1 to 3")
     request = decode(reader)
     reader.end()
     return request
 
 
-def encode_open_reply(id: int, told: ChannelOpenReply) -> ExtendedReply:
+def encode_open_reply(id: int, reply: ChannelOpenReply) -> ExtendedReply:
     """Return the answer to OPEN as a packet."""
     return ExtendedReply(
         id,
         b"".join(
             (
-                encode_bytes(told.handle),
-                U64.pack(told.claim),
-                encode_text(told.contract),
-                U32.pack(told.version),
-                U32.pack(told.order),
-                U64.pack(told.next),
-                U64.pack(told.batch),
-                U32.pack(told.most_waiting),
-                U64.pack(told.remembered),
-                U32.pack(len(told.unsure)),
-                *(U64.pack(each) for each in told.unsure),
+                encode_bytes(reply.handle),
+                U64.pack(reply.claim),
+                encode_text(reply.contract),
+                U32.pack(reply.version),
+                U32.pack(reply.order),
+                U64.pack(reply.lowest_open),
+                U64.pack(reply.batch),
+                U32.pack(reply.max_waiting),
+                U64.pack(reply.first_remembered),
+                U32.pack(len(reply.indeterminate)),
+                *(U64.pack(each) for each in reply.indeterminate),
             )
         ),
     )
 
 
 def decode_open_reply(packet: ExtendedReply) -> ChannelOpenReply:
-    """Return the answer to OPEN from its packet."""
+    """Return the answer to OPEN that a packet contains."""
     reader = PacketReader(packet.body)
     parts = (
         reader.raw("a handle"),
@@ -336,63 +333,65 @@
         reader.text("a contract"),
         reader.u32("a version"),
         reader.u32("an order"),
-        reader.u64("a next number"),
+        reader.u64("a lowest open number"),
         reader.u64("a batch"),
-        reader.u32("a bound"),
-        reader.u64("a remembered number"),
+        reader.u32("a maximum of waiting numbers"),
+        reader.u64("a first remembered number"),
     )
-    count = reader.u32("a count of numbers")
+    count = reader.u32("a count of indeterminate numbers")
     if count > MAX_INDETERMINATE:
         raise MalformedInputError(
-            f"{count} unsure numbers, {MAX_INDETERMINATE} at most"
+            f"{count} indeterminate numbers are more than {MAX_INDETERMINATE}"
         )
-    told = ChannelOpenReply(*parts, tuple(reader.u64() for _ in range(count)))
+    reply = ChannelOpenReply(*parts, tuple(reader.u64() for _ in range(count)))
     reader.end()
-    return told
+    return reply
 
 
-def encode_query_reply(id: int, told: ChannelQueryReply) -> ExtendedReply:
+def encode_query_reply(id: int, reply: ChannelQueryReply) -> ExtendedReply:
     """Return the answer to ASK as a packet."""
-    answer = encode_embedded(told.answer) if told.answer is not None else b""
-    return ExtendedReply(id, U32.pack(told.state) + U64.pack(told.next) + answer)
+    answer = encode_embedded(reply.answer) if reply.answer is not None else b""
+    return ExtendedReply(
+        id, U32.pack(reply.status) + U64.pack(reply.lowest_open) + answer
+    )
 
 
 def decode_query_reply(packet: ExtendedReply) -> ChannelQueryReply:
-    """Return the answer to ASK from its packet."""
+    """Return the answer to ASK that a packet contains."""
     reader = PacketReader(packet.body)
-    state = reader.u32("a state")
-    following = reader.u64("a next number")
+    status = reader.u32("a status")
+    lowest_open = reader.u64("a lowest open number")
     rest = reader.rest()
     answer = cast(Answer, decode_embedded(rest, packet.id)) if rest else None
-    return ChannelQueryReply(state, following, answer)
+    return ChannelQueryReply(status, lowest_open, answer)
 
 
-def encode_numbered(id: int, said: NumberedCommand) -> Extended:
-    """Return a numbered command as a packet."""
+def encode_numbered(id: int, numbered: NumberedCommand) -> Extended:
+    """Return a numbered command as a numbered@milletsill packet."""
     return Extended(
         id,
         NUMBERED,
         b"".join(
             (
-                encode_bytes(said.handle),
-                U64.pack(said.number),
-                U64.pack(said.batch),
-                U32.pack(LAST_OF_BATCH if said.last else 0),
-                encode_command(said.terms, said.command).body,
+                encode_bytes(numbered.handle),
+                U64.pack(numbered.number),
+                U64.pack(numbered.batch),
+                U32.pack(LAST_OF_BATCH if numbered.ends_batch else 0),
+                encode_command(numbered.terms, numbered.command).body,
             )
         ),
     )
 
 
 def decode_numbered(packet: Extended) -> NumberedCommand:
-    """Return a numbered command from its packet."""
+    """Return the numbered command of a numbered@milletsill packet."""
     reader = PacketReader(packet.body)
     handle = reader.raw("a handle")
-    number = number_of(reader)
+    number = read_number(reader)
     batch = reader.u64("a batch")
     flags = reader.u32("flags")
     if batch > MAX_NUMBER or flags & ~LAST_OF_BATCH:
-        raise MalformedInputError(f"batch {batch} or flags {flags} out of range")
+        raise MalformedInputError(f"batch {batch} or flags {flags} are out of range")
     terms, command = decode_command(Extended(packet.id, packet.name, reader.rest()))
     return NumberedCommand(
         handle, number, batch, bool(flags & LAST_OF_BATCH), terms, command
--- a/milletsill/sftp/framing.py
+++ b/milletsill/sftp/framing.py
@@ -1,7 +1,8 @@
-"""Cuts a stream of bytes into packets: bytes in, packet bodies out, bounded.
+"""Splits a stream of bytes into packets of bounded size.
 
-A packet is a uint32 length and that many bytes. A length of 0 or past the bound cannot
-be skipped, so it breaks the stream for good: `BrokenPacketStreamError`.
+A packet is a uint32 length and that many bytes. The reader cannot resynchronise after a
+length of 0 or above the limit, so such a length ends the stream with
+`BrokenPacketStreamError`.
 """
 
 from __future__ import annotations
@@ -12,51 +13,55 @@
 
 
 class BrokenPacketStreamError(MalformedPacketError):
-    """A stream whose next length is 0 or past its bound.
+    """The next packet length of a stream is 0 or above the limit.
 
-    It cannot be read any further.
+    The stream cannot be read any further.
     """
 
     remedy = (
-        "see whether the peer speaks this protocol at all, or whether `most_packet` "
-        "differs between the two sides"
+        "check that the peer speaks this protocol, and that `most_packet` is the same "
+        "on both sides"
     )
 
 
 class PacketSplitter:
-    """Holds one packet of `max_packet` bytes at most, and what one read has brought."""
+    """Buffers received bytes and returns the packets in them.
+
+    The buffer holds at most one incomplete packet of up to `max_packet` bytes and the
+    bytes of one read.
+    """
 
     def __init__(self, max_packet: int) -> None:
         self.max_packet = max_packet
-        self._held = bytearray()
-        self._at = 0
+        self._buffer = bytearray()
+        self._position = 0
 
     def feed(self, data: bytes) -> None:
         """Add bytes of the stream."""
-        if self._at:
-            del self._held[: self._at]
-            self._at = 0
-        self._held += data
+        if self._position:
+            del self._buffer[: self._position]
+            self._position = 0
+        self._buffer += data
 
     def next(self) -> bytes | None:
-        """Return the next packet's bytes behind its length, None until all have come.
+        """Return the next packet without its length field, None if it is incomplete.
 
-        Raise `BrokenPacketStreamError` for a length out of bounds.
+        Raise `BrokenPacketStreamError` for a length of 0 or above `max_packet`.
         """
-        left = len(self._held) - self._at
-        if left < LENGTH_SIZE:
+        buffered = len(self._buffer) - self._position
+        if buffered < LENGTH_SIZE:
             return None
-        size = U32.unpack_from(self._held, self._at)[0]
+        size = U32.unpack_from(self._buffer, self._position)[0]
         if not 1 <= size <= self.max_packet:
             raise BrokenPacketStreamError(
-                f"a packet of {size} bytes, 1 to {self.max_packet} are taken"
+                f"a packet length of {size} bytes is not from 1 to {self.max_packet}"
             )
-        if left < LENGTH_SIZE + size:
+        if buffered < LENGTH_SIZE + size:
             return None
-        start = self._at + LENGTH_SIZE
-        self._at = start + size
-        return bytes(self._held[start : self._at])
+        start = self._position + LENGTH_SIZE
+        self._position = start + size
+        return bytes(self._buffer[start : self._position])
 
-    def waiting(self) -> int:
-        """Return how many bytes are held that are not yet handed out."""
-        return len(self._held) - self._at
+    def buffered_bytes(self) -> int:
+        """Return how many received bytes have not been returned in a packet."""
+        return len(self._buffer) - self._position
--- a/milletsill/sftp/packet_codec.py
+++ b/milletsill/sftp/packet_codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the packets of `packets` by the layout that each class states."""
+"""Encodes and decodes packets according to the `layout` of each packet class."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     PacketReader,
 )
 
-HEADER_LENGTH = 5  # octets of a packet's kind and id
+HEADER_LENGTH = 5  # octets of a packet's type and id
 
 
 def _field_names(packet_type: type[Any]) -> tuple[str, ...]:
@@ -37,32 +37,32 @@
 Encoder = tuple[tuple[str, FieldWriter], ...]
 DECODERS = {each.kind: _decoder(each) for each in COMMANDS + ANSWERS}
 ENCODERS = {each.kind: _encoder(each) for each in COMMANDS + ANSWERS}
-FIELDS_BEHIND_ID = {each: _field_names(each)[1:] for each in COMMANDS + ANSWERS}
+FIELDS_AFTER_ID = {each: _field_names(each)[1:] for each in COMMANDS + ANSWERS}
 
 
 class UnknownPacketError(MalformedPacketError):
-    """A packet of a kind that version 3 does not have.
+    """A packet's type does not exist in SFTP version 3.
 
-    `id` is what stands where an id would.
+    `id` is the number in the place of the packet's id.
     """
 
     remedy = (
-        "nothing: the client is told that it is not offered; one that insists needs "
-        "another version"
+        "nothing: the client is told that the packet type is not supported; a client "
+        "that depends on it needs another version"
     )
 
     def __init__(self, kind: int, id: int) -> None:
-        super().__init__(f"unknown packet kind {kind}")
+        super().__init__(f"packet type {kind} does not exist in SFTP version 3")
         self.id = id
 
 
 def decode(data: bytes) -> Packet:
-    """Return a packet from its bytes behind the length.
+    """Return the packet that the bytes after the length field encode.
 
-    Raise `MalformedPacketError` where they are none.
+    Raise `MalformedPacketError` if they encode no valid packet.
     """
     if not data:
-        raise MalformedPacketError("an empty packet")
+        raise MalformedPacketError("the packet is empty")
     found = DECODERS.get(data[0])
     if found is None:
         id = U32.unpack_from(data, 1)[0] if len(data) >= HEADER_LENGTH else 0
@@ -76,7 +76,7 @@
 
 
 def encode(packet: Packet) -> bytes:
-    """Return the bytes of a packet with the length before them."""
+    """Return the bytes of a packet, including its length field."""
     body = b"".join(
         [write(getattr(packet, name)) for name, write in ENCODERS[packet.kind]]
     )
@@ -84,15 +84,15 @@
 
 
 def with_id(packet: Packet, id: int) -> Packet:
-    """Return the same packet under another id; INIT and VERSION have none."""
+    """Return the packet with another id; INIT and VERSION have no id."""
     if packet_id(packet) == id:
         return packet
-    values = [getattr(packet, name) for name in FIELDS_BEHIND_ID[type(packet)]]
+    values = [getattr(packet, name) for name in FIELDS_AFTER_ID[type(packet)]]
     changed: Packet = type(packet)(id, *values)
     return changed
 
 
 def packet_id(packet: Packet) -> int:
-    """Return the id of a request or response; INIT and VERSION have none."""
+    """Return the id of a request or response; INIT and VERSION have no id."""
     number: int = packet.id  # type: ignore[union-attr]
     return number
--- a/milletsill/sftp/packets.py
+++ b/milletsill/sftp/packets.py
@@ -1,8 +1,9 @@
 """The packets of SFTP version 3, each a frozen dataclass, and their encoding.
 
 Source: draft-ietf-secsh-filexfer-02; `fsync@openssh.com` and `limits@openssh.com`
-from OpenSSH's PROTOCOL file. A packet's bytes are here what follows its length: one
-byte of kind, then the fields, whose types `layout` lists.
+from OpenSSH's PROTOCOL file. After its length field, a packet is one byte of packet
+type (`kind`), then the fields in the order of the class, with the types that `layout`
+lists.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from milletsill.sftp.wire import DirectoryEntry, FileAttributes
 
-VERSION_SPOKEN = 3
+PROTOCOL_VERSION = 3
 # Open flags, section 6.3.
 READ_FLAG = 1
 WRITE_FLAG = 2
@@ -232,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Symlink:
-    """SSH_FXP_SYMLINK, its fields in the draft's order: the link's own path first."""
+    """SSH_FXP_SYMLINK, in the draft's order of fields: the link's own path first."""
 
     kind: ClassVar[int] = 20
     layout: ClassVar[str] = "u32 text text"
--- a/milletsill/sftp/status_tags.py
+++ b/milletsill/sftp/status_tags.py
@@ -1,18 +1,20 @@
-"""Language tags of STATUS packets, by which a client learns what became of a command.
-
-x-declined-MS         nothing was done; retry after MS milliseconds
-x-declined-MS-next-N  the same; number N is awaited next (a gap, too far ahead)
-x-aborted             it may have been done or not; OPEN and ASK tell more
-x-claim-lost          a later claim holds; nothing was done by this request
-x-superseded-N        (newest) N is settled or in progress: this one never
-                      takes effect
-x-over                finished long ago, the answer is no longer remembered
-x-left-out            skipped: the client said so, or the outcome stayed
-                      indeterminate; it is never released again
-x-stopped-N           behind N, whose outcome is indeterminate, until the
-                      client says (SAY) what became of it
-x-contract            contradicts the contract; the message says how, and what
-                      to do. Nothing was done
+"""Language tags of STATUS packets, which state the outcome of a command.
+
+x-declined-MS         the command was not executed; retry after MS milliseconds
+x-declined-MS-next-N  the same; the channel expects number N next, since numbers
+                      are missing or the command's number is too far ahead
+x-aborted             the command may have been executed or not; OPEN and ASK
+                      return its status
+x-claim-lost          a later claim holds the channel; this request had no effect
+x-superseded-N        (order "newest") N is settled or in progress, so this
+                      command never takes effect
+x-over                the command finished long ago, its answer is no longer stored
+x-left-out            the command was skipped, because the client said so (SAY) or
+                      its outcome stayed indeterminate; it is never released again
+x-stopped-N           the command waits behind N, whose outcome is indeterminate,
+                      until the client resolves N (SAY)
+x-contract            the command contradicts the contract and was not executed;
+                      the message states the contradiction and the remedy
 """
 
 from __future__ import annotations
@@ -22,18 +24,21 @@
 
 from milletsill.sftp.packets import FAILURE, Status
 
-WIRE_UNITS_PER_MS = 10  # pauses come in tenths of a millisecond
+TIME_UNITS_PER_MS = 10  # retry delays are given in tenths of a millisecond
 
 
 @dataclass(frozen=True, slots=True)
 class StatusTag:
-    """A status's language tag.
+    """The language tag of a STATUS packet, parsed.
 
-    Its word, and the pause in milliseconds and the number it may have.
+    Attributes:
+        kind: The tag's text between "x-" and its numbers, such as "declined".
+        retry_delay_ms: The delay of a "declined" tag, None for others.
+        number: The number of a command on the channel, None if the tag has none.
     """
 
-    word: str
-    pause: int | None = None
+    kind: str
+    retry_delay_ms: int | None = None
     number: int | None = None
 
 
@@ -43,28 +48,31 @@
 
 
 def parse_status_tag(language: str) -> StatusTag | None:
-    """Return what a status's language tag says, None for a tag that is not ours."""
+    """Return the parsed tag, None for a tag that this module does not define."""
     found = TAG.fullmatch(language)
     if found is None:
         return None
-    word, first, following = found[1], found[2], found[3]
-    if word == "declined":
+    kind, first, next_number = found[1], found[2], found[3]
+    if kind == "declined":
         return StatusTag(
-            word, int(first) if first else None, int(following) if following else None
+            kind,
+            int(first) if first else None,
+            int(next_number) if next_number else None,
         )
-    return StatusTag(word, None, int(first) if first else None)
+    return StatusTag(kind, None, int(first) if first else None)
 
 
 def tagged_status(
-    id: int, word: str, message: str, number: int | None = None, pause: int = 0
+    id: int, kind: str, message: str, number: int | None = None, retry_delay: int = 0
 ) -> Status:
-    """Return a STATUS with one of our tags.
+    """Return a FAILURE status with a tag of the given kind.
 
-    `pause`, in tenths of a millisecond, is for `declined` alone.
+    `retry_delay`, in tenths of a millisecond, applies to `declined` only and is rounded
+    up to milliseconds.
     """
-    tag = f"x-{word}"
-    if word == "declined":
-        tag += f"-{-(-pause // WIRE_UNITS_PER_MS)}" + (
+    tag = f"x-{kind}"
+    if kind == "declined":
+        tag += f"-{-(-retry_delay // TIME_UNITS_PER_MS)}" + (
             f"-next-{number}" if number is not None else ""
         )
     elif number is not None:
--- a/milletsill/sftp/wire.py
+++ b/milletsill/sftp/wire.py
@@ -1,7 +1,8 @@
 """Fields of SFTP version 3 packets: draft-ietf-secsh-filexfer-02, sections 3 to 5.
 
-Nothing here knows a transport. `PacketReader` never reads past its packet, and raises
-`MalformedPacketError` with one line that says what was short or wrong.
+The module does not depend on a transport. `PacketReader` never reads past the end of
+its packet; it raises `MalformedPacketError` with a message of one line that names the
+field that is too short or invalid.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 U32 = struct.Struct(">I")
 U64 = struct.Struct(">Q")
-U32_FROM = U32.unpack_from
+UNPACK_U32_FROM = U32.unpack_from
 # Flags of file attributes, section 5.
 ATTR_SIZE = 1
 ATTR_OWNER = 2
@@ -23,23 +24,23 @@
 ATTR_TIMES = 8
 ATTR_EXTENDED = 0x80000000
 MAX_EXTENDED_ATTRIBUTES = 16
-MAX_DIRECTORY_ENTRIES = 4096  # of one packet
+MAX_DIRECTORY_ENTRIES = 4096  # in one packet
 
 
 class MalformedPacketError(MalformedInputError):
-    """Octets that are no packet of SFTP version 3 or its extensions here."""
+    """Octets do not form a packet of SFTP version 3 or of the project's extensions."""
 
     remedy = (
-        "find the client or box that sends them and bring it to a version that goes "
-        "with this one; it alone is cut or told"
+        "find the client or node that sends them and bring it to a version that is "
+        "compatible with this one; only this peer is disconnected or gets an error"
     )
 
 
 @dataclass(frozen=True, slots=True)
 class FileAttributes:
-    """File attributes; None where a field is not given.
+    """File attributes; a field that is not given is None.
 
-    Times are whole seconds, as on the wire.
+    Times are in whole seconds, as on the wire.
     """
 
     size: int | None = None
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryEntry:
-    """One line of a directory."""
+    """One entry of a directory listing."""
 
     filename: str
     longname: str
@@ -60,7 +61,7 @@
 
 
 def bytes_to_text(data: bytes) -> str:
-    """Decode UTF-8; other bytes come back as they were from `text_to_bytes`."""
+    """Decode UTF-8; `text_to_bytes` restores bytes that are not valid UTF-8."""
     return data.decode("utf-8", "surrogateescape")
 
 
@@ -70,9 +71,10 @@
 
 
 class PacketReader:
-    """Reads the fields of one packet in order; `what` names a field in errors.
+    """Reads the fields of one packet in order.
 
-    Raises `MalformedPacketError` where a field is longer than what is left.
+    The `what` of each method names the field in error messages. The methods raise
+    `MalformedPacketError` for a field that is longer than the rest of the packet.
     """
 
     def __init__(self, data: bytes, at: int = 0) -> None:
@@ -84,7 +86,8 @@
         end = self.at + size
         if end > len(self.data):
             raise MalformedPacketError(
-                f"{what} needs {size} bytes, {len(self.data) - self.at} are left"
+                f"{what} needs {size} bytes, but {len(self.data) - self.at} are left "
+                "in the packet"
             )
         data, self.at = self.data[self.at : end], end
         return data
@@ -93,41 +96,43 @@
         """Read one byte."""
         return self.take(1, what)[0]
 
-    def u32(self, what: str = "a number") -> int:
+    def u32(self, what: str = "a uint32") -> int:
         """Read a uint32."""
         at = self.at
         self.at = at + 4
         try:
-            number: int = U32_FROM(self.data, at)[0]
+            number: int = UNPACK_U32_FROM(self.data, at)[0]
         except struct.error:
             self.at = at
             raise MalformedPacketError(
-                f"{what} needs 4 bytes, {len(self.data) - at} are left"
+                f"{what} needs 4 bytes, but {len(self.data) - at} are left "
+                "in the packet"
             ) from None
         return number
 
-    def u64(self, what: str = "a long number") -> int:
+    def u64(self, what: str = "a uint64") -> int:
         """Read a uint64."""
         number: int = U64.unpack(self.take(8, what))[0]
         return number
 
     def raw(self, what: str = "a string") -> bytes:
-        """Read a string of bytes."""
+        """Read a length-prefixed string of bytes."""
         size = self.u32(what)
         at, data = self.at, self.data
         if size > len(data) - at:
             raise MalformedPacketError(
-                f"{what} needs {size} bytes, {len(data) - at} are left"
+                f"{what} needs {size} bytes, but {len(data) - at} are left "
+                "in the packet"
             )
         self.at = at + size
         return data[at : at + size]
 
     def text(self, what: str = "a text") -> str:
-        """Read a string as text."""
+        """Read a length-prefixed string as text."""
         return bytes_to_text(self.raw(what))
 
     def attrs(self, what: str = "attributes") -> FileAttributes:
-        """Read file attributes; extended ones are passed over."""
+        """Read file attributes; extended attributes are skipped."""
         flags = self.u32(what)
         size = uid = gid = mode = atime = mtime = None
         if flags & ATTR_SIZE:
@@ -138,13 +143,14 @@
         if flags & ATTR_MODE:
             mode = self.u32("a mode")
         if flags & ATTR_TIMES:
-            atime = self.u32("a time")
-            mtime = self.u32("a time")
+            atime = self.u32("an access time")
+            mtime = self.u32("a modification time")
         if flags & ATTR_EXTENDED:
-            count = self.u32("a count of attributes")
+            count = self.u32("a count of extended attributes")
             if count > MAX_EXTENDED_ATTRIBUTES:
                 raise MalformedPacketError(
-                    f"{count} extended attributes, {MAX_EXTENDED_ATTRIBUTES} at most"
+                    f"{count} extended attributes are more than "
+                    f"{MAX_EXTENDED_ATTRIBUTES}"
                 )
             for _ in range(2 * count):
                 self.raw("an extended attribute")
@@ -155,38 +161,40 @@
         count = self.u32(what)
         if count > MAX_DIRECTORY_ENTRIES:
             raise MalformedPacketError(
-                f"{count} names, {MAX_DIRECTORY_ENTRIES} at most"
+                f"{count} directory entries are more than {MAX_DIRECTORY_ENTRIES}"
             )
         return tuple(
-            DirectoryEntry(self.text("a name"), self.text("a long name"), self.attrs())
+            DirectoryEntry(
+                self.text("a file name"), self.text("a long name"), self.attrs()
+            )
             for _ in range(count)
         )
 
     def rest(self, what: str = "") -> bytes:
-        """Read all that is left."""
+        """Read the rest of the packet."""
         data, self.at = self.data[self.at :], len(self.data)
         return data
 
     def end(self) -> None:
-        """Raise `MalformedPacketError` if anything is left."""
+        """Raise `MalformedPacketError` if the packet has unread bytes."""
         if self.at != len(self.data):
             raise MalformedPacketError(
-                f"{len(self.data) - self.at} bytes left over at the end of a packet"
+                f"{len(self.data) - self.at} bytes follow the last field of a packet"
             )
 
 
 def encode_bytes(data: bytes) -> bytes:
-    """Encode a string of bytes: its length and itself."""
+    """Encode a string of bytes with its length before it."""
     return U32.pack(len(data)) + data
 
 
 def encode_text(text: str) -> bytes:
-    """Encode a string of text."""
+    """Encode a text with the length of its bytes before it."""
     return encode_bytes(text_to_bytes(text))
 
 
 def encode_attributes(attrs: FileAttributes) -> bytes:
-    """Encode file attributes, those that are given."""
+    """Encode the file attributes that are not None."""
     flags = 0
     body = b""
     if attrs.size is not None:
--- a/milletsill/sftp_gateway/channel_attempts.py
+++ b/milletsill/sftp_gateway/channel_attempts.py
@@ -14,7 +14,7 @@
 from milletsill.fleet.channels.number_states import NumberEvent
 from milletsill.fleet.channels.released_attempts import LeaseChecker, ReleasedAttempt
 from milletsill.fleet.leases.lease_term import LeaseTerm
-from milletsill.sftp import packets, tickets
+from milletsill.sftp import channel_keys, packets
 from milletsill.sftp.extensions import CommandTerms
 from milletsill.sftp.wire import text_to_bytes
 from milletsill.sftp_gateway.command_classification import (
@@ -81,7 +81,7 @@
         command = release.request.recipient
         request = command.body
         assert isinstance(request, NumberedRequest)
-        key = tickets.format_ticket(
+        key = channel_keys.format_channel_key(
             command.volume.name,
             command.channel,
             release.number,
@@ -118,7 +118,9 @@
             handle = OpenHandle(volume, request.path, location)
         return ClientCommand(
             packet=request.command,
-            terms=CommandTerms(0, request.terms.tries, request.terms.mark),
+            terms=CommandTerms(
+                0, request.terms.retry_count, request.terms.idempotency_key
+            ),
             volume=volume,
             path=request.path,
             handle=handle,
--- a/milletsill/sftp_gateway/channel_clients.py
+++ b/milletsill/sftp_gateway/channel_clients.py
@@ -158,7 +158,7 @@
         if isinstance(given, wire.ChannelQuery):
             body = QueryNumber(given.number)
         else:
-            body = ResolveNumber(given.number, given.word, channel.claim)
+            body = ResolveNumber(given.number, given.resolution, channel.claim)
         return self._send(client, packet, channel.volume, channel.name, body)
 
     def _take_open(
@@ -239,7 +239,7 @@
         classes = self.gateway.host.config.request_classes
         client_timeout = 0
         if isinstance(body, NumberedRequest):
-            client_timeout = body.terms.patience * 10
+            client_timeout = body.terms.client_timeout_ms * 10
         return client_deadline(
             pending.began,
             classes[pending.request_class].client_timeout,
@@ -345,7 +345,7 @@
         sign = status_tags.parse_status_tag(answer.language)
     if sign is None:
         return "satisfied"
-    return "aborted" if sign.word == "aborted" else "declined"
+    return "aborted" if sign.kind == "aborted" else "declined"
 
 
 def _ignore_answer(answer: Any) -> None:
--- a/milletsill/sftp_gateway/command_execution.py
+++ b/milletsill/sftp_gateway/command_execution.py
@@ -129,7 +129,7 @@
         gateway, terms = self.gateway, self.terms
         timeout = gateway.host.config.request_classes[self.request_class].client_timeout
         self.deadline = client_deadline(
-            self.began, timeout, terms.patience * 10, gateway.answer_margin
+            self.began, timeout, terms.client_timeout_ms * 10, gateway.answer_margin
         )
         guard = self.attempt_guard
         if guard is not None:
@@ -139,9 +139,9 @@
             self.deadline = min(self.deadline, guard.deadline)
             self.is_retry = False
             return
-        self.is_retry = terms.tries > 0
-        if terms.mark:
-            self.idempotency_key = f"{self.volume.number}/{terms.mark}"
+        self.is_retry = terms.retry_count > 0
+        if terms.idempotency_key:
+            self.idempotency_key = f"{self.volume.number}/{terms.idempotency_key}"
         else:
             self.idempotency_key = gateway.new_idempotency_key()
 
@@ -259,7 +259,9 @@
         return CommandPayload(
             target.command,
             f"{self.idempotency_key}#{self.step.name}.{self.shard_index}",
-            f"{terms.mark}~{terms.tries}" if terms.mark else "",
+            f"{terms.idempotency_key}~{terms.retry_count}"
+            if terms.idempotency_key
+            else "",
             self.gateway.request_class_name(self.request_class),
             self.attempt_guard,
         )
@@ -271,7 +273,7 @@
         self.request_id = None
         answer = reply.answer
         status = answer.code if isinstance(answer, packets.Status) else None
-        result = step_result(reply.verdict == NodeReplyStatus.ELSEWHERE, status)
+        result = step_result(reply.status == NodeReplyStatus.ELSEWHERE, status)
         step = self.step
         if step is CommandStep.PLACING and self.location and reply.text.isdecimal():
             self.location = ObjectLocation(int(reply.text), self.location.name)
--- a/milletsill/sftp_gateway/command_payload.py
+++ b/milletsill/sftp_gateway/command_payload.py
@@ -19,7 +19,7 @@
     def may_send(self) -> bool:
         """Whether an attempt may leave now."""
 
-    def count_dispatch(self, ended: AttemptEnded) -> AttemptEnded:
+    def count_attempt(self, ended: AttemptEnded) -> AttemptEnded:
         """Count an attempt that leaves; return who is to hear of its end."""
 
 
--- a/milletsill/sftp_gateway/command_report.py
+++ b/milletsill/sftp_gateway/command_report.py
@@ -48,7 +48,7 @@
                 operation=execution.operation,
                 ms=latency / 10,
                 legs=execution.steps_done,
-                tries=execution.terms.tries,
+                tries=execution.terms.retry_count,
                 unsaid=suppressed,
             )
 
@@ -67,7 +67,7 @@
             operation=execution.operation,
             units=table.units(execution.operation, execution.size),
             requests=execution.steps_done,
-            attempts=execution.terms.tries,
+            attempts=execution.terms.retry_count,
             answer=final,
             reason=reason,
         )
--- a/milletsill/sftp_gateway/deployment.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -153,10 +153,10 @@
     """Return the limits of every pool of node connections."""
     links = file.links
     return PoolLimits(
-        connections=links.connections,
-        streams=links.streams,
-        handshakes=links.handshakes,
-        dial=at_least(links.dial_ms),
-        idle=at_least(links.idle_s * 1000),
-        silence=at_least(links.silent_ms),
+        max_connections=links.connections,
+        attempts_per_connection=links.streams,
+        max_handshakes=links.handshakes,
+        dial_timeout=at_least(links.dial_ms),
+        idle_timeout=at_least(links.idle_s * 1000),
+        silence_timeout=at_least(links.silent_ms),
     )
--- a/milletsill/sftp_gateway/node_pools.py
+++ b/milletsill/sftp_gateway/node_pools.py
@@ -84,7 +84,7 @@
                 config.max_packet,
             ),
             partial(self._warn, node.id),
-            metered=meter_node(node.id, node.address) if meter_node else None,
+            flow_meter=meter_node(node.id, node.address) if meter_node else None,
         )
 
     def _warn(self, node: int, reason: str) -> None:
@@ -110,7 +110,7 @@
         if guard is not None:
             if not guard.may_send():
                 return None
-            ended = guard.count_dispatch(ended)
+            ended = guard.count_attempt(ended)
         return pool.send_attempt(self._order(payload, request, number), ended, guard)
 
     def _order(
--- a/milletsill/sftp_gateway/numbered_commands.py
+++ b/milletsill/sftp_gateway/numbered_commands.py
@@ -69,7 +69,7 @@
             given.number,
             channel.claim,
             given.batch,
-            given.last,
+            given.ends_batch,
             given.terms,
             path,
             self._command_on_path(command, path),
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -172,7 +172,7 @@
         self.state, effect = next_client_state(self.state, event)
         if effect is SftpClientEffect.SEND_VERSION:
             offered = extensions.encode_offer(*self.gateway.extensions)
-            self._reply(packets.Version(packets.VERSION_SPOKEN, offered))
+            self._reply(packets.Version(packets.PROTOCOL_VERSION, offered))
         elif effect is SftpClientEffect.PAUSE_READING:
             self.full_since = self.gateway.now()
             self.transport.pauseProducing()
--- a/tests/fleet/channels/test_channels_end_to_end.py
+++ b/tests/fleet/channels/test_channels_end_to_end.py
@@ -23,7 +23,7 @@
         channel_client = await ChannelClient.open(rig, edges[0])
         self.assertEqual(
             (
-                channel_client.opened.next,
+                channel_client.opened.lowest_open,
                 channel_client.opened.contract,
                 channel_client.opened.order,
             ),
@@ -41,13 +41,13 @@
             self.assertEqual(
                 answer_kind(await channel_client.put(2, mark=77)), "contract"
             )
-            following = channel_client.opened.next
+            following = channel_client.opened.lowest_open
             self.assertEqual(
                 answer_kind(await channel_client.put(following)), packets.OK
             )
         self.assertEqual(rig.effects, [1, 2, 3, 4, 5])
         self.assertEqual(
-            (await channel_client.query(4)).state, wire.NumberStatus.SETTLED
+            (await channel_client.query(4)).status, wire.NumberStatus.SETTLED
         )
         late_answer = await channel_client.put(9)
         self.assertEqual(
@@ -219,7 +219,7 @@
         self.assertEqual(
             (
                 answer_kind(answer),
-                status_tags.parse_status_tag(answer.language).pause > 0,
+                status_tags.parse_status_tag(answer.language).retry_delay_ms > 0,
             ),
             ("declined", True),
         )
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -375,7 +375,7 @@
     def test_a_link_stands_once_and_goes_only_with_its_target(self):
         files = StoredFiles()
         codes = [
-            files.run(packets.Symlink(0, "/a", each)).verdict
+            files.run(packets.Symlink(0, "/a", each)).status
             for each in ("1:x", "1:x", "2:y")
         ]
         self.assertEqual((codes, files.links), ([0, 0, 3], {"/a": "1:x"}))
--- a/tests/node_connections/test_connection_pool.py
+++ b/tests/node_connections/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Links: the pool's table by itself, and the pool on a fake transport and clock."""
+"""Connection pool: its decisions alone, and the pool on a fake transport and clock."""
 
 import unittest
 
@@ -17,23 +17,28 @@
     Route,
     choose_route,
     next_state,
-    time_event,
+    timeout_event,
 )
 from milletsill.node_connections.pool_config import PoolConfig
 from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import NodeReply, NodeRequest
 
-BOUNDS = PoolLimits(
-    connections=2, streams=4, handshakes=1, dial=2500, idle=300_000, silence=10_000
+LIMITS = PoolLimits(
+    max_connections=2,
+    attempts_per_connection=4,
+    max_handshakes=1,
+    dial_timeout=2500,
+    idle_timeout=300_000,
+    silence_timeout=10_000,
 )
 
 
-def order(number=0):
+def node_request(attempt_number=0):
     return NodeRequest(
         "e",
         1,
         7,
-        number,
+        attempt_number,
         1.0,
         5,
         100,
@@ -46,14 +51,14 @@
     )
 
 
-class Table(unittest.TestCase):
-    def test_nothing_open_dials(self):
-        self.assertEqual(choose_route([], 0, BOUNDS), (Route.DIAL, -1))
+class PoolDecisions(unittest.TestCase):
+    def test_without_a_connection_the_pool_dials(self):
+        self.assertEqual(choose_route([], 0, LIMITS), (Route.DIAL, -1))
 
-    def test_a_handshake_that_runs_is_waited_for_within_bounds(self):
+    def test_attempts_wait_for_a_handshake_within_the_limits(self):
         dialling = [ConnectionLoad(ConnectionState.DIALING)]
         self.assertEqual(
-            [choose_route(dialling, each, BOUNDS)[0] for each in (0, 3, 4)],
+            [choose_route(dialling, each, LIMITS)[0] for each in (0, 3, 4)],
             [Route.WAIT, Route.WAIT, Route.REFUSE],
         )
 
@@ -62,27 +67,27 @@
             ConnectionLoad(ConnectionState.READY, 1),
             ConnectionLoad(ConnectionState.READY, 0),
         ]
-        self.assertEqual(choose_route(loads, 0, BOUNDS), (Route.USE, 1))
+        self.assertEqual(choose_route(loads, 0, LIMITS), (Route.USE, 1))
 
-    def test_a_half_full_connection_brings_a_second_one(self):
+    def test_a_half_full_connection_makes_the_pool_dial_a_second_one(self):
         self.assertEqual(
-            choose_route([ConnectionLoad(ConnectionState.READY, 2)], 0, BOUNDS)[0],
+            choose_route([ConnectionLoad(ConnectionState.READY, 2)], 0, LIMITS)[0],
             Route.DIAL,
         )
 
-    def test_a_stuck_or_doubted_connection_is_passed_over(self):
+    def test_a_blocked_or_suspect_connection_is_not_used(self):
         for load in (
             ConnectionLoad(ConnectionState.READY, 0, True),
             ConnectionLoad(ConnectionState.SUSPECT),
         ):
             self.assertEqual(
                 choose_route(
-                    [load, ConnectionLoad(ConnectionState.READY, 3)], 0, BOUNDS
+                    [load, ConnectionLoad(ConnectionState.READY, 3)], 0, LIMITS
                 ),
                 (Route.USE, 1),
             )
 
-    def test_full_everywhere_is_refused(self):
+    def test_an_attempt_is_refused_when_all_connections_are_full(self):
         self.assertEqual(
             choose_route(
                 [
@@ -90,14 +95,14 @@
                     ConnectionLoad(ConnectionState.READY, 4),
                 ],
                 0,
-                BOUNDS,
+                LIMITS,
             )[0],
             Route.REFUSE,
         )
 
-    def test_silence_that_owes_is_doubted_then_cut(self):
+    def test_a_silent_node_with_outstanding_answers_is_pinged_then_disconnected(self):
         self.assertEqual(
-            time_event(ConnectionState.READY, 1, 10_000, 99_999, BOUNDS),
+            timeout_event(ConnectionState.READY, 1, 10_000, 99_999, LIMITS),
             ConnectionEvent.SILENT,
         )
         self.assertEqual(
@@ -113,29 +118,31 @@
             (ConnectionState.READY, ConnectionEffect.SERVE_WAITING),
         )
 
-    def test_silence_that_owes_nothing_is_only_idle(self):
-        self.assertIsNone(time_event(ConnectionState.READY, 0, 10_000, 99_999, BOUNDS))
+    def test_a_silent_node_without_outstanding_answers_is_idle(self):
+        self.assertIsNone(
+            timeout_event(ConnectionState.READY, 0, 10_000, 99_999, LIMITS)
+        )
         self.assertEqual(
-            time_event(ConnectionState.READY, 0, 300_000, 999_999, BOUNDS),
+            timeout_event(ConnectionState.READY, 0, 300_000, 999_999, LIMITS),
             ConnectionEvent.IDLE,
         )
 
-    def test_a_closed_link_stays_closed(self):
-        for sign in ConnectionEvent:
+    def test_a_closed_connection_stays_closed(self):
+        for event in ConnectionEvent:
             self.assertEqual(
-                next_state(ConnectionState.CLOSED, sign),
+                next_state(ConnectionState.CLOSED, event),
                 (ConnectionState.CLOSED, ConnectionEffect.NONE),
             )
 
 
-class Transport(StringTransport):
+class FakeTransport(StringTransport):
     aborted = False
 
     def abortConnection(self):
         self.aborted = True
 
 
-class Endpoint:
+class FakeEndpoint:
     def __init__(self):
         self.dials = []
 
@@ -145,51 +152,54 @@
         return done
 
 
-class Pooled(unittest.TestCase):
+class ConnectionPool(unittest.TestCase):
     def setUp(self):
-        self.clock, self.endpoint, self.ended = Clock(), Endpoint(), []
+        self.clock, self.endpoint, self.ended = Clock(), FakeEndpoint(), []
         self.pool = NodeConnectionPool(
             self.clock,
             lambda: int(self.clock.seconds() * 10_000),
-            PoolConfig("h:1", BOUNDS, "e", 1, 1 << 20),
+            PoolConfig("h:1", LIMITS, "e", 1, 1 << 20),
             lambda text: None,
             self.endpoint,
         )
 
     def connect(self):
         factory, done = self.endpoint.dials[-1]
-        link, transport = factory.buildProtocol(None), Transport()
-        link.makeConnection(transport)
-        done.callback(link)
-        link.dataReceived(packet_codec.encode(packets.Version(3)))
-        link.dataReceived(packet_codec.encode(packets.Status(1, 0)))  # the hello
-        return link, transport
+        connection, transport = factory.buildProtocol(None), FakeTransport()
+        connection.makeConnection(transport)
+        done.callback(connection)
+        connection.dataReceived(packet_codec.encode(packets.Version(3)))
+        connection.dataReceived(packet_codec.encode(packets.Status(1, 0)))  # the hello
+        return connection, transport
 
     def send(self, number=0):
         return self.pool.send_attempt(
-            order(number), lambda outcome, verdict: self.ended.append((number, outcome))
+            node_request(number),
+            lambda outcome, reply: self.ended.append((number, outcome)),
         )
 
-    def test_a_dispatch_waits_for_the_handshake_and_gets_its_verdict(self):
+    def test_an_attempt_waits_for_the_handshake_and_gets_its_reply(self):
         self.send()
-        link, transport = self.connect()
+        connection, transport = self.connect()
         self.assertIn(b"dispatch@milletsill", transport.value())
-        verdict = NodeReply(
+        reply = NodeReply(
             extensions.NodeReplyStatus.DONE, "0", {}, None, 0, packets.Data(2, b"x")
         )
-        link.dataReceived(packet_codec.encode(extensions.encode_node_reply(2, verdict)))
+        connection.dataReceived(
+            packet_codec.encode(extensions.encode_node_reply(2, reply))
+        )
         self.assertEqual(self.ended, [(0, AttemptOutcome.SUCCEEDED)])
 
-    def test_a_dial_that_fails_tells_unreached_and_never_from_within(self):
+    def test_a_failed_dial_is_reported_as_unreachable_in_a_later_turn(self):
         self.send()
         self.endpoint.dials[0][1].errback(ConnectionRefusedError())
         self.assertEqual(self.ended, [])
         self.clock.advance(0)
         self.assertEqual(self.ended, [(0, AttemptOutcome.UNREACHABLE)])
 
-    def test_half_a_packet_and_a_break_is_a_reset_once(self):
+    def test_a_connection_lost_within_a_packet_resets_the_attempt_once(self):
         self.send()
-        link, _ = self.connect()
+        connection, _ = self.connect()
         data = packet_codec.encode(
             extensions.encode_node_reply(
                 2,
@@ -203,23 +213,23 @@
                 ),
             )
         )
-        link.dataReceived(data[:9])
-        link.connectionLost()
-        link.connectionLost()
+        connection.dataReceived(data[:9])
+        connection.connectionLost()
+        connection.connectionLost()
         self.assertEqual(self.ended, [(0, AttemptOutcome.RESET)])
 
-    def test_broken_bytes_cut_the_link_and_reset_what_is_out(self):
+    def test_a_malformed_packet_aborts_the_connection_and_resets_attempts(self):
         self.send()
-        link, transport = self.connect()
-        link.dataReceived(b"\xff\xff\xff\xff")
+        connection, transport = self.connect()
+        connection.dataReceived(b"\xff\xff\xff\xff")
         self.assertEqual(
             (self.ended, transport.aborted, self.pool.connections),
             ([(0, AttemptOutcome.RESET)], True, []),
         )
 
-    def test_a_half_open_link_is_beaten_then_cut(self):
+    def test_a_half_open_connection_is_pinged_then_aborted(self):
         self.send()
-        link, transport = self.connect()
+        connection, transport = self.connect()
         for _ in range(60):
             self.clock.advance(0.05)
         self.assertIn(b"beat@milletsill", transport.value())
@@ -227,11 +237,11 @@
             (self.ended, transport.aborted), ([(0, AttemptOutcome.RESET)], True)
         )
 
-    def test_what_is_withdrawn_is_cancelled_at_the_box_and_silent(self):
-        sending = self.send()
-        link, transport = self.connect()
-        self.pool.withdraw(sending)
-        link.dataReceived(
+    def test_a_withdrawn_attempt_is_cancelled_at_the_node_without_a_report(self):
+        exchange = self.send()
+        connection, transport = self.connect()
+        self.pool.withdraw(exchange)
+        connection.dataReceived(
             packet_codec.encode(
                 extensions.encode_node_reply(
                     2, NodeReply(extensions.NodeReplyStatus.FULL)
@@ -241,16 +251,19 @@
         self.assertIn(b"cancel@milletsill", transport.value())
         self.assertEqual(self.ended, [])
 
-    def test_a_late_dial_is_given_up_and_a_late_connection_closed(self):
+    def test_a_dial_times_out_and_its_late_connection_is_aborted(self):
         self.send()
         for _ in range(6):
             self.clock.advance(0.06)
         self.assertEqual(self.ended, [(0, AttemptOutcome.UNREACHABLE)])
-        link, transport = self.endpoint.dials[0][0].buildProtocol(None), Transport()
-        link.makeConnection(transport)
+        connection, transport = (
+            self.endpoint.dials[0][0].buildProtocol(None),
+            FakeTransport(),
+        )
+        connection.makeConnection(transport)
         self.assertTrue(transport.aborted)
 
-    def test_a_closed_pool_refuses_and_lets_go(self):
+    def test_a_closed_pool_refuses_new_attempts(self):
         self.send()
         self.connect()
         self.pool.close()
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -1,5 +1,7 @@
-"""Dispatches to disk boxes over loopback sockets, in the instants in which a box drains, goes or moves under a handshake that is held
-back: the box is a plain listening socket, and the test turns the reactor.
+"""Attempts to storage nodes over loopback sockets while a handshake is delayed.
+
+The node drains, leaves or moves to another address before it answers the handshake. The
+node is a plain listening socket, and the test runs the reactor turn by turn.
 """
 
 import unittest
@@ -18,17 +20,22 @@
 from milletsill.sftp_gateway.node_pools import SftpNodePools, SftpNodePoolsConfig
 from tests.support.loopback import Loop, listening, receive
 
-BOUNDS = PoolLimits(
-    connections=2, streams=4, handshakes=1, dial=50_000, idle=300_000, silence=100_000
+LIMITS = PoolLimits(
+    max_connections=2,
+    attempts_per_connection=4,
+    max_handshakes=1,
+    dial_timeout=50_000,
+    idle_timeout=300_000,
+    silence_timeout=100_000,
 )
 
 
-def order(number):
+def node_request(attempt_number):
     return NodeRequest(
         "e",
         1,
         7,
-        number,
+        attempt_number,
         1.0,
         5,
         1000,
@@ -41,172 +48,183 @@
     )
 
 
-class Door:
-    """The box's end of one connection, a packet at a time."""
+class NodeEnd:
+    """The node's end of one connection."""
 
     def __init__(self, loop, listener):
-        self.loop, self.sock, self.deframer = (
+        self.loop, self.sock, self.splitter = (
             loop,
             loop.accepted(listener),
             PacketSplitter(1 << 20),
         )
-        self.found = []
+        self.received = []
 
-    def come(self):
-        """All packets that have come."""
-        self.deframer.feed(receive(self.sock) or b"")
-        while (body := self.deframer.next()) is not None:
-            self.found.append(packet_codec.decode(body))
-        return self.found
+    def receive_packets(self):
+        """Return all packets that have arrived so far."""
+        self.splitter.feed(receive(self.sock) or b"")
+        while (body := self.splitter.next()) is not None:
+            self.received.append(packet_codec.decode(body))
+        return self.received
 
-    def greet(self):
-        """The handshake's other half, at last."""
+    def complete_handshake(self):
+        """Answer the handshake and wait for the gateway's hello."""
         self.loop.until(
-            lambda: any(isinstance(each, packets.Init) for each in self.come()),
-            "no greeting",
+            lambda: any(
+                isinstance(each, packets.Init) for each in self.receive_packets()
+            ),
+            "no INIT packet arrived",
         )
         self.sock.sendall(packet_codec.encode(packets.Version(3)))
         self.loop.until(
-            lambda: any(isinstance(each, packets.Extended) for each in self.come()),
-            "no hello",
+            lambda: any(
+                isinstance(each, packets.Extended) for each in self.receive_packets()
+            ),
+            "no hello arrived",
         )
 
-    def orders(self):
+    def attempts(self):
+        """Return the attempts that have arrived so far."""
         found = [
             each
-            for each in self.come()
+            for each in self.receive_packets()
             if isinstance(each, packets.Extended) and each.name == extensions.DISPATCH
         ]
         return [extensions.decode_node_request(each) for each in found]
 
 
-class Waiting(unittest.TestCase):
+class WaitingAttempts(unittest.TestCase):
     def setUp(self):
         self.loop = Loop()
         self.addCleanup(self.loop.close)
         self.listener = listening()
         self.addCleanup(self.listener.close)
-        self.ended, self.passed = [], 0
-        self.pool = self.made()
+        self.ended, self.elapsed = [], 0
+        self.pool = self.make_pool()
         self.addCleanup(lambda: self.pool.abort())
 
     def now(self):
-        return self.loop.now() + self.passed
+        return self.loop.now() + self.elapsed
 
-    def made(self):
+    def make_pool(self):
         return NodeConnectionPool(
             self.loop.reactor,
             self.now,
             PoolConfig(
-                "127.0.0.1:%d" % self.listener.getsockname()[1], BOUNDS, "e", 1, 1 << 20
+                "127.0.0.1:%d" % self.listener.getsockname()[1], LIMITS, "e", 1, 1 << 20
             ),
             lambda text: None,
         )
 
     def send(self, number=0):
         return self.pool.send_attempt(
-            order(number), lambda outcome, verdict: self.ended.append((number, outcome))
+            node_request(number),
+            lambda outcome, reply: self.ended.append((number, outcome)),
         )
 
-    def test_what_waits_for_a_box_that_drains_or_goes_never_begins(self):
-        for ends in (
+    def test_an_attempt_that_waits_for_a_node_that_drains_or_leaves_never_begins(self):
+        for make_unavailable in (
             lambda: self.pool.set_unavailable(True),
             lambda: self.pool.close(),
         ):
-            with self.subTest(ends=ends):
-                self.pool, self.ended = self.made(), []
+            with self.subTest(make_unavailable=make_unavailable):
+                self.pool, self.ended = self.make_pool(), []
                 self.send()
-                door = Door(self.loop, self.listener)
-                ends()
+                node_end = NodeEnd(self.loop, self.listener)
+                make_unavailable()
                 self.assertEqual(
                     self.ended,
                     [(0, AttemptOutcome.WITHDRAWN)],
-                    "told at once, to be placed elsewhere",
+                    "the attempt ends at once, to be sent to another node",
                 )
-                door.greet()
+                node_end.complete_handshake()
                 self.loop.turn(20)
                 self.assertEqual(
-                    (door.orders(), self.ended), ([], [(0, AttemptOutcome.WITHDRAWN)])
+                    (node_end.attempts(), self.ended),
+                    ([], [(0, AttemptOutcome.WITHDRAWN)]),
                 )
                 self.send(1)
                 self.loop.until(lambda: len(self.ended) == 2)
                 self.assertEqual(
-                    (self.ended[1:], door.orders()),
+                    (self.ended[1:], node_end.attempts()),
                     ([(1, AttemptOutcome.UNREACHABLE)], []),
                 )
                 self.pool.abort()
 
-    def test_a_box_that_comes_back_takes_what_is_sent_then(self):
+    def test_a_node_that_is_available_again_gets_later_attempts(self):
         self.send()
-        door = Door(self.loop, self.listener)
+        node_end = NodeEnd(self.loop, self.listener)
         self.pool.set_unavailable(True)
         self.pool.set_unavailable(False)
-        door.greet()
+        node_end.complete_handshake()
         self.send(1)
-        self.loop.until(lambda: door.orders(), "nothing came to the box")
-        self.assertEqual([each.number for each in door.orders()], [1])
+        self.loop.until(lambda: node_end.attempts(), "no attempt arrived at the node")
+        self.assertEqual([each.attempt_number for each in node_end.attempts()], [1])
 
-    def test_a_handshake_that_was_held_back_is_taken_off_what_is_left_to_the_client(
+    def test_a_delayed_handshake_reduces_the_time_left(
         self,
     ):
         for waited, left in ((0, 1000), (400, 600), (2000, 1)):
             with self.subTest(waited=waited):
-                self.pool = self.made()
+                self.pool = self.make_pool()
                 self.send()
-                door = Door(self.loop, self.listener)
-                self.passed += waited * 10
-                door.greet()
-                self.loop.until(lambda: door.orders(), "nothing came to the box")
-                told = door.orders()[0].left
-                self.assertLessEqual(told, left)
-                self.assertGreater(told, left - 900, "more was taken off than went by")
+                node_end = NodeEnd(self.loop, self.listener)
+                self.elapsed += waited * 10
+                node_end.complete_handshake()
+                self.loop.until(
+                    lambda: node_end.attempts(), "no attempt arrived at the node"
+                )
+                time_left_ms = node_end.attempts()[0].time_left_ms
+                self.assertLessEqual(time_left_ms, left)
+                self.assertGreater(
+                    time_left_ms, left - 900, "more was subtracted than elapsed"
+                )
                 self.pool.abort()
 
 
-class Told(unittest.TestCase):
-    def test_the_list_bars_and_closes(self):
-        """A box that drains, one that comes back, one that moves, one that is left out."""
-        said = []
+class EndpointUpdates(unittest.TestCase):
+    def test_an_endpoint_list_makes_pools_unavailable_or_closes_them(self):
+        """The node drains, is ready again, moves to another address, and leaves."""
+        calls = []
 
-        class Spy:
+        class PoolSpy:
             def __init__(self, *values, **named):
                 self.address = values[2].address
 
             def set_unavailable(self, unavailable):
-                said.append((self.address, unavailable))
+                calls.append((self.address, unavailable))
 
             def close(self):
-                said.append((self.address, "closed"))
+                calls.append((self.address, "closed"))
 
         pools = SftpNodePools(
             None,
             None,
             IdentifierSource("e", 1),
-            SftpNodePoolsConfig(BOUNDS, 1, lambda *values: None),
+            SftpNodePoolsConfig(LIMITS, 1, lambda *values: None),
         )
-        for boxes, expected in (
+        for nodes, expected in (
             ([("a:1", Readiness.READY)], [("a:1", False)]),
             ([("a:1", Readiness.DRAINING)], [("a:1", True)]),
             ([("a:1", Readiness.READY)], [("a:1", False)]),
             ([("b:1", Readiness.READY)], [("a:1", "closed"), ("b:1", False)]),
             ([], [("b:1", "closed")]),
         ):
-            said.clear()
-            follow(
+            calls.clear()
+            update_nodes(
                 pools,
-                Spy,
+                PoolSpy,
                 [
-                    RegisteredNode(1, address, state, 1.0, 0, 0, 0, 0)
-                    for address, state in boxes
+                    RegisteredNode(1, address, readiness, 1.0, 0, 0, 0, 0)
+                    for address, readiness in nodes
                 ],
             )
-            self.assertEqual(said, expected)
+            self.assertEqual(calls, expected)
 
 
-def follow(pools, pool, boxes):
-    """Take a list, with pools that only write down what they are told."""
-    with mock.patch.object(node_pools, "NodeConnectionPool", pool):
-        pools.update(boxes)
+def update_nodes(pools, pool_type, nodes):
+    """Apply an endpoint list with pools of a type that only records calls."""
+    with mock.patch.object(node_pools, "NodeConnectionPool", pool_type):
+        pools.update(nodes)
 
 
 if __name__ == "__main__":
--- a/tests/sftp/test_channel_extensions.py
+++ b/tests/sftp/test_channel_extensions.py
@@ -1,14 +1,14 @@
-"""Channels on the wire: bytes out and in again, what is malformed, tags and tickets."""
+"""The channel extensions: encoding, malformed packets, status tags and command keys."""
 
 import unittest
 
 from milletsill.sftp import (
     channel_extensions,
+    channel_keys,
     extensions,
     packet_codec,
     packets,
     status_tags,
-    tickets,
 )
 from milletsill.sftp.channel_extensions import (
     ChannelOpen,
@@ -28,27 +28,29 @@
 )
 
 
-class Wire(unittest.TestCase):
-    def test_out_and_in_again(self) -> None:
-        for said in (
+class ChannelExtensions(unittest.TestCase):
+    def test_decoding_reverses_encoding(self) -> None:
+        for request in (
             ChannelOpen("/suva/x", "boat-7", "landing", 3, 900),
             ChannelQuery(b"h", 7),
             ChannelResolve(b"h", 7, channel_extensions.Resolution.NOT_DONE),
         ):
             self.assertEqual(
                 channel_extensions.decode_channel_request(
-                    channel_extensions.encode_channel_request(4, said)
+                    channel_extensions.encode_channel_request(4, request)
                 ),
-                said,
+                request,
             )
-        opened = ChannelOpenReply(b"h", 5, "landing", 3, 2, 900, 4, 64, 640, (898, 899))
+        open_reply = ChannelOpenReply(
+            b"h", 5, "landing", 3, 2, 900, 4, 64, 640, (898, 899)
+        )
         self.assertEqual(
             channel_extensions.decode_open_reply(
-                channel_extensions.encode_open_reply(4, opened)
+                channel_extensions.encode_open_reply(4, open_reply)
             ),
-            opened,
+            open_reply,
         )
-        for asked in (
+        for query_reply in (
             ChannelQueryReply(channel_extensions.NumberStatus.OPEN, 9),
             ChannelQueryReply(
                 channel_extensions.NumberStatus.SETTLED,
@@ -58,9 +60,9 @@
         ):
             self.assertEqual(
                 channel_extensions.decode_query_reply(
-                    channel_extensions.encode_query_reply(4, asked)
+                    channel_extensions.encode_query_reply(4, query_reply)
                 ),
-                asked,
+                query_reply,
             )
         numbered = NumberedCommand(
             b"h",
@@ -89,7 +91,7 @@
             packets.Extended(9, "channel@milletsill", body),
         )
 
-    def test_malformed(self) -> None:
+    def test_malformed_packets_are_rejected(self) -> None:
         handle = encode_bytes(b"h")
         for body in (
             b"",
@@ -117,8 +119,8 @@
                 )
             )
 
-    def test_tags(self) -> None:
-        for status, sign in (
+    def test_status_tags(self) -> None:
+        for status, tag in (
             (
                 status_tags.tagged_status(1, "declined", "", 8, 125),
                 status_tags.StatusTag("declined", 13, 8),
@@ -136,19 +138,19 @@
                 status_tags.StatusTag("superseded", None, 9),
             ),
         ):
-            self.assertEqual(status_tags.parse_status_tag(status.language), sign)
+            self.assertEqual(status_tags.parse_status_tag(status.language), tag)
         self.assertIsNone(status_tags.parse_status_tag("en"))
 
-    def test_tickets(self) -> None:
-        ticket = tickets.format_ticket("suva", "boat@7", 41, 1) + "#HOME.0"
+    def test_channel_keys(self) -> None:
+        key = channel_keys.format_channel_key("suva", "boat@7", 41, 1) + "#HOME.0"
         self.assertEqual(
-            tickets.parse_ticket(ticket),
+            channel_keys.parse_channel_key(key),
             (0x8C5E85C2B9286DEE, "boat@7", 41, 1),
         )
         for other in ("3/mark#HOME.0", "gate.1.4#HOME.0", "", "3@boat#HOME.0"):
-            self.assertIsNone(tickets.parse_ticket(other))
+            self.assertIsNone(channel_keys.parse_channel_key(other))
 
-    def test_offered_only_where_kept(self) -> None:
+    def test_channels_are_offered_only_if_added(self) -> None:
         self.assertNotIn(
             channel_extensions.CHANNEL,
             extensions.decode_offer(extensions.encode_offer()),
--- a/tests/sftp/test_packets.py
+++ b/tests/sftp/test_packets.py
@@ -1,4 +1,4 @@
-"""The file codec: bytes to packets and back, and what is refused."""
+"""The SFTP packet codec: decoding reverses encoding, malformed packets are rejected."""
 
 import unittest
 
@@ -38,7 +38,7 @@
     packets.Extended(24, "x@y", b"\0\1"),
     packets.ExtendedReply(25, b"z"),
 ]
-ORDER = NodeRequest(
+NODE_REQUEST = NodeRequest(
     "edge",
     3,
     99,
@@ -55,14 +55,14 @@
 )
 
 
-class Codec(unittest.TestCase):
-    def test_every_packet_comes_back_as_it_was(self):
+class PacketCodec(unittest.TestCase):
+    def test_decoding_reverses_encoding_for_every_packet(self):
         for packet in SAMPLES:
             self.assertEqual(
                 packet_codec.decode(packet_codec.encode(packet)[4:]), packet
             )
 
-    def test_a_packet_cut_anywhere_is_malformed_or_another_whole_one(self):
+    def test_a_truncated_packet_is_malformed_or_another_valid_packet(self):
         for packet in SAMPLES:
             data = packet_codec.encode(packet)[4:]
             for end in range(len(data)):
@@ -71,34 +71,34 @@
                 except MalformedPacketError as error:
                     self.assertNotIn("\n", str(error))
 
-    def test_bytes_left_over_are_malformed(self):
+    def test_bytes_after_the_last_field_are_malformed(self):
         with self.assertRaises(MalformedPacketError):
             packet_codec.decode(packet_codec.encode(packets.Close(1, b"h"))[4:] + b"\0")
 
-    def test_a_count_of_names_past_the_bound_is_refused_before_memory_is_taken(self):
+    def test_too_many_directory_entries_are_rejected_before_allocation(self):
         with self.assertRaises(MalformedPacketError):
             packet_codec.decode(b"\x68" + b"\0\0\0\1" + b"\xff\xff\xff\xff")
 
-    def test_an_unknown_kind_tells_its_id(self):
+    def test_the_error_of_an_unknown_packet_type_has_the_packet_id(self):
         with self.assertRaises(packet_codec.UnknownPacketError) as caught:
             packet_codec.decode(b"\x63\0\0\0\7rest")
         self.assertEqual(caught.exception.id, 7)
 
-    def test_terms_and_orders_and_verdicts_come_back(self):
-        wrapped = extensions.encode_command(
+    def test_decoding_reverses_encoding_of_commands_attempts_and_replies(self):
+        encoded = extensions.encode_command(
             CommandTerms(1500, 2, "m"), packets.Stat(6, "/a")
         )
         self.assertEqual(
-            extensions.decode_command(wrapped),
+            extensions.decode_command(encoded),
             (CommandTerms(1500, 2, "m"), packets.Stat(6, "/a")),
         )
         self.assertEqual(
             extensions.decode_node_request(
-                extensions.encode_node_request(8, ORDER)
-            ).ticket,
+                extensions.encode_node_request(8, NODE_REQUEST)
+            ).idempotency_key,
             "t#1",
         )
-        verdict = NodeReply(
+        reply = NodeReply(
             extensions.NodeReplyStatus.DONE,
             "3",
             {"queue": 2.0, "busy": 0.5},
@@ -107,31 +107,33 @@
             packets.Data(9, b"x"),
         )
         self.assertEqual(
-            extensions.decode_node_reply(extensions.encode_node_reply(9, verdict)),
-            verdict,
+            extensions.decode_node_reply(extensions.encode_node_reply(9, reply)),
+            reply,
         )
 
-    def test_a_command_within_a_command_within_a_command_is_refused(self):
-        inner = extensions.encode_command(CommandTerms(), packets.Stat(1, "/a"))
+    def test_an_embedded_command_extension_is_rejected(self):
+        embedded = extensions.encode_command(CommandTerms(), packets.Stat(1, "/a"))
         with self.assertRaises(MalformedPacketError):
-            extensions.decode_command(extensions.encode_command(CommandTerms(), inner))
+            extensions.decode_command(
+                extensions.encode_command(CommandTerms(), embedded)
+            )
 
 
-class Framing(unittest.TestCase):
-    def test_one_byte_at_a_time_gives_the_same_packets(self):
-        deframer, found = PacketSplitter(10_000), []
+class PacketSplitting(unittest.TestCase):
+    def test_single_bytes_give_the_same_packets(self):
+        splitter, found = PacketSplitter(10_000), []
         for byte in b"".join(packet_codec.encode(each) for each in SAMPLES):
-            deframer.feed(bytes((byte,)))
-            while (body := deframer.next()) is not None:
+            splitter.feed(bytes((byte,)))
+            while (body := splitter.next()) is not None:
                 found.append(packet_codec.decode(body))
-        self.assertEqual((found, deframer.waiting()), (SAMPLES, 0))
+        self.assertEqual((found, splitter.buffered_bytes()), (SAMPLES, 0))
 
-    def test_four_gibibytes_and_nothing_are_broken_at_once(self):
+    def test_an_invalid_length_breaks_the_stream(self):
         for length in (0xFFFFFFFF, 10_001, 0):
-            deframer = PacketSplitter(10_000)
-            deframer.feed(length.to_bytes(4, "big"))
+            splitter = PacketSplitter(10_000)
+            splitter.feed(length.to_bytes(4, "big"))
             with self.assertRaises(BrokenPacketStreamError):
-                deframer.next()
+                splitter.next()
 
 
 if __name__ == "__main__":
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -137,7 +137,10 @@
             ):
                 break
             await later(
-                min(status_tags.parse_status_tag(answer.language).pause / 1000, 0.3)
+                min(
+                    status_tags.parse_status_tag(answer.language).retry_delay_ms / 1000,
+                    0.3,
+                )
             )
         if isinstance(answer, packets.Status):
             return answer
@@ -172,4 +175,4 @@
 def answer_kind(answer):
     """The word of an answer's sign, else its status code."""
     found = status_tags.parse_status_tag(answer.language)
-    return found.word if found else answer.code
+    return found.kind if found else answer.code
