--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -92,23 +92,23 @@
         calls = lease_codec.decode_frame(octets["registers calls"]).calls.call
         self.assertEqual(
             [lease_codec.decode_request("gateway-1", each) for each in calls],
-            fixtures.CALLS,
+            fixtures.ACCEPTOR_REQUESTS,
         )
         answers = lease_codec.decode_frame(octets["registers answers"]).answers
         self.assertEqual(
             [lease_codec.decode_reply("gateway-1", each) for each in answers.answer],
-            fixtures.ANSWERS,
+            fixtures.ACCEPTOR_REPLIES,
         )
         self.assertEqual(lease_codec.decode_identity(answers.own), fixtures.IDENTITY)
         self.assertEqual(
             lease_codec.decode_page(
                 lease_codec.decode_frame(octets["registers page"]).page
             ),
-            fixtures.PAGE,
+            fixtures.SNAPSHOT_PAGE,
         )
         frame = health_codec.decode_frame(octets["health"])
         self.assertEqual(
-            health_codec.decode_delta(frame.difference[0], 0), fixtures.NEWS
+            health_codec.decode_delta(frame.difference[0], 0), fixtures.REPORT_DELTA
         )
         self.assertEqual((frame.known[0].run, frame.known[0].sequence), (7, 5))
         found = channel_codec.decode_record(octets["record"], 100, 1000, 0)
@@ -140,7 +140,7 @@
     def test_recorded_files_are_read(self):
         self.assertEqual(
             endpoint_cache.read_cache(os.path.join(FIXTURES_PATH, "list-1")),
-            (fixtures.BOXES, 12),
+            (fixtures.REGISTERED_NODES, 12),
         )
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "register")
@@ -149,7 +149,7 @@
             self.addCleanup(store.close)
             self.assertEqual(
                 (store.read("v/c"), store.ballot_floor, store.identity),
-                (fixtures.RECORD, 11, StateIdentity(1, 77, 1)),
+                (fixtures.LEASE_RECORD, 11, StateIdentity(1, 77, 1)),
             )
             self.assertEqual(store.known, {"gateway-2": fixtures.IDENTITY})
 
@@ -164,9 +164,9 @@
         read = FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
         self.assertEqual(
             (read.type, read.kind, read.version, read.sender),
-            (None, None, 2, fixtures.ME),
+            (None, None, 2, fixtures.SENDER),
         )
-        self.assertEqual(read.updates, fixtures.ROWS[1:])
+        self.assertEqual(read.updates, fixtures.MEMBERS[1:])
         frame.least = 2
         with self.assertRaises(FrameVersionTooNewError):
             FrameCodec("fleet").decode(MAGIC + frame.SerializeToString())
@@ -233,11 +233,11 @@
                 + UNKNOWN_FIELDS
             ).WhichOneof("what")
         )
-        call = lease_codec.encode_request(fixtures.CALLS[0])
+        call = lease_codec.encode_request(fixtures.ACCEPTOR_REQUESTS[0])
         call.ask = 99
         self.assertIsNone(lease_codec.decode_request("gateway-1", call))
         for field in ("ask", "say"):
-            answer = lease_codec.encode_reply(fixtures.ANSWERS[0])
+            answer = lease_codec.encode_reply(fixtures.ACCEPTOR_REPLIES[0])
             setattr(answer, field, 99)
             self.assertIsNone(lease_codec.decode_reply("gateway-1", answer))
 
