--- a/milletsill/fleet/channels/released_attempts.py
+++ b/milletsill/fleet/channels/released_attempts.py
@@ -84,7 +84,7 @@
         """
         return bool(self.leases.holds(self.lease)) and self.leases.now() < self.deadline
 
-    def count_dispatch(self, on_ended: OnAttemptEnded) -> OnAttemptEnded:
+    def count_attempt(self, on_ended: OnAttemptEnded) -> OnAttemptEnded:
         """Count a dispatch; return the callback to call when it ends."""
         self.sent += 1
 
--- a/milletsill/sftp_gateway/deployment.py
+++ b/milletsill/sftp_gateway/deployment.py
@@ -151,10 +151,10 @@
     """Return the limits of each pool of node connections."""
     links = file.links
     return PoolLimits(
-        connections=links.connections,
-        streams=links.streams,
-        handshakes=links.handshakes,
-        dial=ticks_rounded_up(links.dial_ms),
-        idle=ticks_rounded_up(links.idle_s * 1000),
-        silence=ticks_rounded_up(links.silent_ms),
+        max_connections=links.connections,
+        attempts_per_connection=links.streams,
+        max_handshakes=links.handshakes,
+        dial_timeout=ticks_rounded_up(links.dial_ms),
+        idle_timeout=ticks_rounded_up(links.idle_s * 1000),
+        silence_timeout=ticks_rounded_up(links.silent_ms),
     )
--- a/tests/support/channel_rig.py
+++ b/tests/support/channel_rig.py
@@ -140,7 +140,10 @@
             ):
                 break
             await later(
-                min(status_tags.parse_status_tag(answer.language).pause / 1000, 0.3)
+                min(
+                    status_tags.parse_status_tag(answer.language).retry_delay_ms / 1000,
+                    0.3,
+                )
             )
         if isinstance(answer, packets.Status):
             return answer
@@ -173,6 +176,6 @@
 
 
 def answer_kind(answer):
-    """Return the word of an answer's status tag, or its status code without a tag."""
+    """Return the kind of an answer's status tag, or its status code without a tag."""
     tag = status_tags.parse_status_tag(answer.language)
-    return tag.word if tag else answer.code
+    return tag.kind if tag else answer.code
