--- a/milletsill/cli/__init__.py
+++ b/milletsill/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The command line, thin: it reads files, starts programs, prints.
+"""The command line: it reads files, starts programs and prints results.
 
-Each module has the commands of one group. What a command needs is imported when it
-runs, so that `milletsill --help` and `milletsill check` start quickly.
+Each module defines the commands of one group. Commands import their dependencies when
+they run, so that `milletsill --help` and `milletsill check` start quickly.
 """
--- a/milletsill/cli/exits.py
+++ b/milletsill/cli/exits.py
@@ -1,4 +1,4 @@
-"""How commands end: exit statuses, and one line on standard error."""
+"""Ends commands with an exit status and one line on standard error."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def exit_with(text: str, status: int) -> NoReturn:
-    """Write one line to standard error and end the process."""
+    """Write one line to standard error and exit."""
     click.echo(text, err=True)
     sys.exit(status)
 
 
 def exit_with_error(text: str, status: int) -> NoReturn:
-    """Do the same for a line that names no file: the program's name goes before it."""
+    """Write one line, prefixed with the program's name, to standard error and exit."""
     exit_with(f"milletsill: {text}", status)
--- a/milletsill/cli/files.py
+++ b/milletsill/cli/files.py
@@ -1,4 +1,4 @@
-"""Settings files that commands are given."""
+"""Loads the settings files that are arguments of commands."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     make_message: Callable[[], MessageT],
     check: MessageCheck[MessageT],
 ) -> MessageT:
-    """Return a checked file; a bad one ends the process with EXIT_BAD_INPUT.
+    """Return the checked message of a file, or exit with EXIT_BAD_INPUT.
 
-    Each flaw is one line on standard error.
+    Each flaw of an invalid file is one line on standard error.
     """
     try:
         return load(file, make_message, check)
--- a/milletsill/cli/flows.py
+++ b/milletsill/cli/flows.py
@@ -1,4 +1,4 @@
-"""`milletsill flows`: receives, decodes and explains flow export."""
+"""`milletsill flows`: receives and decodes flow export, and lists its elements."""
 
 from __future__ import annotations
 
@@ -27,38 +27,38 @@
 WITHIN = click.option(
     "--within",
     multiple=True,
-    help="Only flows with an end in this prefix; may be given again.",
+    help="Only flows with an endpoint in this IP prefix; may be repeated.",
 )
 
 
 @click.group()
 def flows() -> None:
-    """Flow export: hear, decode and explain it."""
+    """Flow export: receive it, decode it, list its elements."""
 
 
 @flows.command(
     "collect",
-    help="Hear IPFIX and NetFlow 9, decode strictly, print JSON lines; at the end what "
-    "it came to.",
+    help="Receive IPFIX and NetFlow 9, decode strictly, and print each record as a "
+    "line of JSON, then a summary.",
 )
 @click.option(
     "--listen",
     default="127.0.0.1:4739",
     show_default=True,
-    help="host:port for UDP and TCP alike.",
+    help="host:port to listen on, UDP and TCP.",
 )
 @click.option(
-    "--seconds", type=click.FloatRange(0.1, 86_400), help="End by itself after so long."
+    "--seconds",
+    type=click.FloatRange(0.1, 86_400),
+    help="Stop after this many seconds.",
 )
 @WITHIN
-@click.option(
-    "--quiet", is_flag=True, help="No line for each record, what it came to alone."
-)
+@click.option("--quiet", is_flag=True, help="Print only the summary, not each record.")
 @click.option(
     "--table",
     "as_table",
     is_flag=True,
-    help="A table at the end in place of a line for each record.",
+    help="Print only the summary, as tables.",
 )
 def flows_collect(
     listen: str,
@@ -71,8 +71,8 @@
     from milletsill.flows.collecting_process import CollectingProcess
     from milletsill.flows.summary_table import render_summary
 
-    show = _show_nothing if as_table or quiet else _show_as_json
-    collector = CollectingProcess(show, _complain, _address_set(within))
+    on_record = _discard_record if as_table or quiet else _print_as_json
+    collector = CollectingProcess(on_record, _print_error, _address_set(within))
     host, _, port = listen.rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
         exit_with_error(f"{listen!r} is not host:port", EXIT_BAD_INPUT)
@@ -84,7 +84,7 @@
 def _collect(
     collector: CollectingProcess, host: str, port: int, seconds: float | None
 ) -> None:
-    """Listen until SIGTERM or SIGINT, or for so many seconds."""
+    """Listen until SIGTERM or SIGINT, or for the given number of seconds."""
     import signal
 
     from twisted.internet import reactor as installed_reactor
@@ -113,24 +113,24 @@
     reactor.run(installSignalHandlers=False)
 
 
-def _show_nothing(record: dict[str, Any]) -> None:
-    """Leave a record out of the output."""
+def _discard_record(record: dict[str, Any]) -> None:
+    """Do not print a record."""
 
 
-def _show_as_json(record: dict[str, Any]) -> None:
+def _print_as_json(record: dict[str, Any]) -> None:
     """Print a record as one line of JSON."""
     click.echo(json.dumps(record))
 
 
-def _complain(text: str) -> None:
+def _print_error(text: str) -> None:
     """Write a line on a malformed message to standard error."""
     click.echo(text, err=True)
 
 
 def _address_set(prefixes: tuple[str, ...]) -> IPSet | None:
-    """Return the addresses within some prefixes, or None for all.
+    """Return the addresses in some prefixes, or None for all.
 
-    A bad prefix ends the process with EXIT_BAD_INPUT.
+    An invalid prefix ends the process with EXIT_BAD_INPUT.
     """
     from netaddr import AddrFormatError, IPSet
 
@@ -142,27 +142,30 @@
 
 @flows.command(
     "decode",
-    help="Decode FILE, IPFIX messages one behind the other (RFC 5655). Exit status 1 "
-    "where it ends in the middle of one.",
+    help="Decode FILE, a sequence of IPFIX messages (RFC 5655). Exit status 1 if a "
+    "message is malformed or truncated.",
 )
 @click.argument("file", type=click.Path())
 @WITHIN
 def flows_decode(file: str, within: tuple[str, ...]) -> None:
-    """Decode a file of IPFIX messages; a truncated one ends with EXIT_FAILED."""
+    """Decode a file of IPFIX messages; exit with EXIT_FAILED if it is malformed."""
     from milletsill.flows.collecting_process import CollectingProcess
 
-    collector = CollectingProcess(_show_as_json, _complain, _address_set(within))
+    collector = CollectingProcess(_print_as_json, _print_error, _address_set(within))
     unread, position = _decode_file(file, collector)
     if unread:
-        click.echo(f"{file}: cut {unread} bytes into a message at {position}", err=True)
+        click.echo(
+            f"{file}: truncated after {unread} bytes of the message at {position}",
+            err=True,
+        )
     sys.exit(EXIT_FAILED if unread or collector.malformed else 0)
 
 
 def _decode_file(file: str, collector: CollectingProcess) -> tuple[int, int]:
-    """Hand a collector each message of a file.
+    """Pass each message of a file to a collecting process.
 
     Returns:
-        How many bytes of an unfinished message are left, and where it begins.
+        The number of bytes of an incomplete last message, and its offset.
     """
     from milletsill.flows.collecting_process import TransportSession
     from milletsill.flows.errors import MalformedFlowMessageError
@@ -187,7 +190,7 @@
 
 @flows.command("elements")
 def flows_elements() -> None:
-    """Print our enterprise elements."""
+    """Print the enterprise information elements of milletsill."""
     from milletsill.flows.information_elements import ELEMENTS, ElementSpace
 
     for element in ELEMENTS.values():
--- a/milletsill/cli/lab.py
+++ b/milletsill/cli/lab.py
@@ -1,4 +1,4 @@
-"""`milletsill lab`: plays scenarios in the laboratory, and audits them."""
+"""`milletsill lab`: runs scenarios in the laboratory and audits the results."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 from milletsill.settings.milletsill_pb2 import Scenario
 from milletsill.settings.scenario import check_scenario
 
-OWN_MODULE = "bd-edf"  # the scheduler itself; all others are baselines
-MAX_BREACHES_SHOWN = 20  # of one rule
+OWN_MODULE = "bd-edf"  # milletsill's own scheduler; the others are baselines
+MAX_BREACHES_SHOWN = 20  # per rule
 
 
 @dataclass(frozen=True, slots=True)
 class LabRunOptions:
-    """What `lab run` is given beside the scenario.
+    """The options of `lab run`.
 
     Attributes:
         out: folder for records, logs and results.
-        modules: schedulers to play with; empty for OWN_MODULE alone.
-        per_process: gateways of one process.
-        seed: in place of the scenario's; None keeps that.
-        flows: what becomes of the flow export.
+        modules: schedulers to run; empty for OWN_MODULE only.
+        per_process: number of gateways in one process.
+        seed: replaces the seed of the scenario; None keeps it.
+        flows: condition of the flow export.
         traced: whether each gateway writes a trace.
         planned: whether there is a planner.
         plant: name of a fault planted in one ordering contract; empty for none.
@@ -55,13 +55,13 @@
 
 @click.group()
 def lab() -> None:
-    """The laboratory: play days against stand-ins on loopback."""
+    """The laboratory: run scenarios with stand-in nodes on loopback."""
 
 
 @lab.command(
     "run",
-    help="Play SCENARIO and audit what crossed the sockets. Exit status 1 where a rule "
-    "was broken by the module.",
+    help="Run SCENARIO and audit the recorded traffic. Exit status 1 if bd-edf broke a "
+    "rule.",
 )
 @click.argument("scenario", type=click.Path())
 @click.option(
@@ -75,32 +75,36 @@
     "modules",
     multiple=True,
     type=click.Choice(["bd-edf", "fifo", "flood"]),
-    help="What decides; several are played one after another. Baselines stand in only "
-    "here.",
+    help="Scheduler to run; may be repeated, for one run each. fifo and flood are "
+    "baselines that exist only in the laboratory.",
 )
 @click.option(
     "--per-process",
     default=1,
     show_default=True,
     type=click.IntRange(1, 400),
-    help="Edges of one process.",
+    help="Gateways (edges) per process.",
 )
-@click.option("--seed", type=int, help="In place of the scenario's.")
+@click.option("--seed", type=int, help="Replaces the seed of the scenario.")
 @click.option(
     "--flows",
     default="off",
     show_default=True,
     type=click.Choice(["off", "on", "away", "stuck"]),
-    help="Flow export: none, to a collector, to nobody, to one that never reads.",
+    help="Flow export: off, to a collector (on), to an address without a collector "
+    "(away), to a collector that never reads (stuck).",
 )
 @click.option(
-    "--trace", "traced", is_flag=True, help="Each edge writes a trace, into OUT/traces."
+    "--trace",
+    "traced",
+    is_flag=True,
+    help="Each gateway writes a trace into OUT/traces.",
 )
 @click.option(
     "--planner",
     "planned",
     is_flag=True,
-    help="With a planner; troubles of planners are played only then.",
+    help="Run with a planner; faults of planners occur only with it.",
 )
 @click.option(
     "--plant",
@@ -108,12 +112,12 @@
     type=click.Choice(
         ["", "each-in-order", "newest", "by-extent", "batches", "all", "linger"]
     ),
-    help="A fault planted in the gate of one contract: the audit has to find it. "
-    "`linger` is lawful by itself.",
+    help="Fault to plant in the implementation of one ordering contract, which the "
+    "audit must find. `linger` only delays requests, which breaks no rule.",
 )
 @group_options(LabRunOptions)
 def lab_run(scenario: str, options: LabRunOptions) -> None:
-    """Play a scenario with each module, and end with EXIT_FAILED if it broke a rule."""
+    """Run a scenario with each module; exit with EXIT_FAILED if OWN_MODULE failed."""
     file = load_or_exit(scenario, Scenario, check_scenario)
     if options.seed is not None:
         file.seed = options.seed
@@ -122,15 +126,17 @@
         out = options.out
         if len(options.modules) > 1:
             out = os.path.join(out, module)
-        failed |= _play(file, module, out, options)
+        failed |= _run_scenario(file, module, out, options)
     sys.exit(EXIT_FAILED if failed else 0)
 
 
-def _play(scenario: Scenario, module: str, out: str, options: LabRunOptions) -> bool:
-    """Play a scenario with one module, print the result, return whether that failed.
+def _run_scenario(
+    scenario: Scenario, module: str, out: str, options: LabRunOptions
+) -> bool:
+    """Run a scenario with one module, print the result, return whether it failed.
 
-    Only OWN_MODULE fails by breaking a rule: baselines are expected to. A play that
-    cannot start or end ends the process with EXIT_FAILED.
+    Only OWN_MODULE fails if it breaks a rule: baselines are expected to break rules. If
+    the run cannot start or finish, the process exits with EXIT_FAILED.
     """
     from milletsill.lab.run import Run, broken, report
 
@@ -154,15 +160,19 @@
 
 @lab.command("from-day")
 @click.argument("day", type=click.Path())
-@click.option("--edges", type=click.IntRange(1, 400), help="Cut down to so many edges.")
-@click.option("--boxes", type=click.IntRange(1, 400), help="Cut down to so many boxes.")
 @click.option(
-    "--seconds", type=click.FloatRange(1, 7200), help="Cut down to so many seconds."
+    "--edges", type=click.IntRange(1, 400), help="Reduce to this many gateways (edges)."
+)
+@click.option(
+    "--boxes", type=click.IntRange(1, 400), help="Reduce to this many nodes (boxes)."
+)
+@click.option(
+    "--seconds", type=click.FloatRange(1, 7200), help="Reduce to this many seconds."
 )
 def lab_from_day(
     day: str, edges: int | None, boxes: int | None, seconds: float | None
 ) -> None:
-    """Turn DAY, a day file that the bench drew, into a scenario on standard output."""
+    """Convert DAY, a day file of the benchmark, into a scenario on standard output."""
     from milletsill.lab.day import InvalidDayFileError, scenario_of
 
     try:
@@ -177,7 +187,7 @@
 @lab.command("audit")
 @click.argument("out", type=click.Path())
 def lab_audit(out: str) -> None:
-    """Audit the records of an earlier run in the folder OUT once more."""
+    """Audit again the records of an earlier run in the folder OUT."""
     import glob
 
     from milletsill.lab.audit import audit
--- a/milletsill/cli/main.py
+++ b/milletsill/cli/main.py
@@ -1,6 +1,6 @@
-"""`milletsill`: runs and checks a gateway; the other groups of commands.
+"""`milletsill`: runs and checks gateways, and adds the other groups of commands.
 
-Exit status 0: fine, 1: failed, 2: bad input.
+Exit status 0: success, 1: failure, 2: bad input.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A storage gateway: schedules a host's reads and writes over storage nodes."""
+    """A storage gateway: schedules reads and writes of clients over storage nodes."""
 
 
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def edge(files: tuple[str, ...]) -> None:
-    """Run the gateway of each FILE until SIGTERM; SIGHUP reads the files again."""
+    """Run the gateway of each FILE until SIGTERM; SIGHUP reloads the files."""
     loaded = [load_or_exit(file, GatewayFile, check_gateway) for file in files]
     from milletsill.sftp_gateway.process import run
 
@@ -36,7 +36,7 @@
 
 @main.command()
 def serve() -> None:
-    """Serve the platform's protocol until SIGTERM; NODE_CONFIG names the file."""
+    """Run the HTTP gateway until SIGTERM; NODE_CONFIG names its settings file."""
     from milletsill.http_gateway import process
 
     sys.exit(process.main([]))
@@ -44,7 +44,7 @@
 
 @main.command()
 @click.argument("file", type=click.Path())
-@click.option("--scenario", is_flag=True, help="FILE is a day of the laboratory.")
+@click.option("--scenario", is_flag=True, help="FILE is a scenario of the laboratory.")
 def check(file: str, scenario: bool) -> None:
     """Check FILE without starting anything."""
     if scenario:
--- a/milletsill/cli/options.py
+++ b/milletsill/cli/options.py
@@ -1,4 +1,4 @@
-"""Many options of one command, as one typed value."""
+"""Groups the options of a command into one typed value."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def group_options(options_type: type[OptionsT]) -> Callable[[Command], Command]:
-    """Return a decorator that hands a command its options in one dataclass.
+    """Return a decorator that passes a command its options in one dataclass.
 
-    Each field of `options_type` takes the click parameter of its name. The command has
-    a parameter `options`; click parameters that are no field reach it as they are. The
-    decorator stands below those of click.
+    Each field of `options_type` gets the click parameter of the same name. The command
+    has a parameter `options`; click parameters without a field are passed unchanged.
+    Apply the decorator below those of click.
     """
     names = [each.name for each in fields(options_type)]
 
--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -1,4 +1,4 @@
-"""`milletsill plan` runs the planner, `milletsill ctl` asks it and steers it."""
+"""`milletsill plan` runs the planner, `milletsill ctl` queries and controls it."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @click.command(
     "plan",
-    help="Run the planner of FILE until SIGTERM. Exit status 1 where another planner "
-    "took over or it could not start.",
+    help="Run the planner of FILE until SIGTERM. Exit status 1 if it could not start "
+    "or another planner superseded it.",
 )
 @click.argument("file", type=click.Path())
-@click.option("--check", is_flag=True, help="Check FILE and start nothing.")
+@click.option("--check", is_flag=True, help="Check FILE without starting anything.")
 def plan(file: str, check: bool) -> None:
     """Run the planner of a file, or only check the file."""
     from milletsill.settings.milletsill_pb2 import PlannerFile
@@ -39,19 +39,20 @@
 
 
 class PlannerCommandFailedError(MilletsillError):
-    """The planner said why it did not do what it was asked, or ended."""
+    """The planner rejected a command, or closed the connection without an answer."""
 
     remedy = (
-        "see what it says; `milletsill ctl --planner ADDRESS edges` tells whom it knows"
+        "see the reason given; `milletsill ctl --planner ADDRESS edges` lists the "
+        "gateways that it knows"
     )
 
 
 def ask(address: str, **question: Any) -> list[dict[str, Any]]:
-    """Return a planner's answer, one value of JSON for each of its lines.
+    """Send a command to a planner and return the JSON value of each answer line.
 
-    The keywords are the fields of the protobuf message `Question`. A refusal or no
-    answer ends the process with EXIT_FAILED; an address that is not host:port is an
-    error of usage, which click tells.
+    The keywords are the fields of the protobuf message `Question`. A rejection or a
+    missing answer ends the process with EXIT_FAILED; for an address that is not
+    host:port click reports a usage error.
     """
     try:
         return _ask(address, question)
@@ -60,12 +61,13 @@
 
 
 def _ask(address: str, question: dict[str, Any]) -> list[dict[str, Any]]:
-    """Call a planner and return its answer.
+    """Send a command to a planner and return its answer.
 
     Raises:
-        PlannerCommandFailedError: it refused, or ended the connection unanswered.
+        PlannerCommandFailedError: the planner rejected the command, or closed the
+            connection without an answer.
         click.BadParameter: the address is not host:port.
-        OSError: it cannot be reached, or did not answer in time.
+        OSError: the planner cannot be reached, or did not answer in time.
     """
     from milletsill.planner.codec import FrameParser, encode_frame
     from milletsill.planner.plan_pb2 import Question
@@ -82,17 +84,19 @@
                 if frame.told.fault:
                     raise PlannerCommandFailedError(frame.told.fault)
                 return [json.loads(line) for line in frame.told.line]
-    raise PlannerCommandFailedError("the planner ended without an answer")
+    raise PlannerCommandFailedError(
+        "the planner closed the connection without an answer"
+    )
 
 
 def _print_answer(address: str, **question: Any) -> None:
-    """Ask a planner and print its answer, one line of JSON for each value."""
+    """Send a command to a planner and print each value of the answer as JSON."""
     for value in ask(address, **question):
         click.echo(json.dumps(value))
 
 
 def _print_first_value(address: str, **question: Any) -> None:
-    """Ask a planner and print the first value of its answer."""
+    """Send a command to a planner and print the first value of the answer."""
     click.echo(json.dumps(ask(address, **question)[0]))
 
 
@@ -100,39 +104,42 @@
 @click.option("--planner", "address", required=True, help="host:port of the planner.")
 @click.pass_context
 def ctl(context: click.Context, address: str) -> None:
-    """Ask the planner and steer it."""
+    """Query and control the planner."""
     context.obj = address
 
 
 @ctl.command("shares")
-@click.option("--edge", default="", help="This edge's alone.")
+@click.option("--edge", default="", help="Only the quota shares of this gateway.")
 @click.option(
-    "--most", default=1000, show_default=True, type=click.IntRange(1, 100_000)
+    "--most",
+    default=1000,
+    show_default=True,
+    type=click.IntRange(1, 100_000),
 )
 @click.pass_obj
 def ctl_shares(address: str, edge: str, most: int) -> None:
-    """Who holds what, until when: a line of JSON for each edge and thing."""
+    """Print the quota share of each gateway in each quota, a line of JSON each."""
     _print_answer(address, what="shares", edge=edge, most=most)
 
 
 @ctl.command("edges")
 @click.pass_obj
 def ctl_edges(address: str) -> None:
-    """The edges that are connected, their runs and last words."""
+    """Print the connected gateways, with incarnation and time of the last message."""
     _print_answer(address, what="edges")
 
 
 @ctl.command("freeze")
 @click.pass_obj
 def ctl_freeze(address: str) -> None:
-    """Make no new plans; what stands goes on."""
+    """Stop planning: the planner renews the current plan and makes no new one."""
     _print_first_value(address, what="freeze")
 
 
 @ctl.command("thaw")
 @click.pass_obj
 def ctl_thaw(address: str) -> None:
-    """Plan again."""
+    """Resume planning after `freeze`."""
     _print_first_value(address, what="thaw")
 
 
@@ -140,7 +147,7 @@
 @click.argument("edge")
 @click.pass_obj
 def ctl_drain(address: str, edge: str) -> None:
-    """Plan as if EDGE wanted nothing: it keeps the floor, the rest is lent on."""
+    """Plan for gateway EDGE without demand: it keeps the floor, others get the rest."""
     _print_first_value(address, what="drain", edge=edge)
 
 
@@ -148,5 +155,5 @@
 @click.argument("edge")
 @click.pass_obj
 def ctl_undrain(address: str, edge: str) -> None:
-    """Plan for EDGE again."""
+    """Undo `drain`: plan for gateway EDGE by its demand."""
     _print_first_value(address, what="undrain", edge=edge)
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -1,6 +1,6 @@
-"""`milletsill trace`: looks into traces, cuts, merges, anonymises, converts them.
+"""`milletsill trace`: shows, cuts, merges, anonymises, repairs and converts traces.
 
-A bad or missing file is one line on standard error and exit status 2.
+An invalid or missing file gives one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from milletsill.cli.options import group_options
 from milletsill.errors import describe_error
 
-MIN_KEY = 16  # bytes of the secret for anonymous names
-MAX_KEY = 4096  # bytes; what a file has after these is not read as key
-TICKS_PER_S = 10_000  # a trace counts time in tenths of a millisecond
+MIN_KEY = 16  # bytes of the secret key for anonymised names
+MAX_KEY = 4096  # bytes; the rest of a longer key file is ignored
+TICKS_PER_S = 10_000  # a tick of a trace is 0.1 ms
 TICKS_PER_MS = 10
 MIN_WINDOW = 10  # ticks
 
@@ -37,25 +37,27 @@
 SINCE = click.option(
     "--from",
     "since",
-    help="Tenths of a millisecond on the writer's clock, +N[s|m|h] "
-    "after its opening, or ISO 8601 wall time.",
+    help="Start of the period: ticks of 0.1 ms on the writer's clock, +N[s|m|h] after "
+    "the start of the trace, or ISO 8601 wall time.",
+)
+UNTIL = click.option(
+    "--to", "until", help="End of the period (exclusive), in the forms of --from."
 )
-UNTIL = click.option("--to", "until", help="Up to, not with.")
 
 ResultT = TypeVar("ResultT")
-# Is called with the number of bytes that were read since the last call.
+# Called with the number of bytes read since the last call.
 OnBytesRead: TypeAlias = Callable[[int], None]
 
 
 @click.group()
 def trace() -> None:
-    """Traces: look into them, cut, merge, anonymise, mend, convert."""
+    """Traces: show, cut, merge, anonymise, repair and convert them."""
 
 
 def result_or_exit(call: Callable[[], ResultT]) -> ResultT:
-    """Return what a call on traces gives.
+    """Return the result of a call that reads traces.
 
-    A bad or missing file ends the process with EXIT_BAD_INPUT.
+    An invalid or missing file ends the process with EXIT_BAD_INPUT.
     """
     from milletsill.trace.file_format import MalformedTraceError
 
@@ -72,10 +74,10 @@
     read: Callable[[OnBytesRead | None], ResultT],
     passes: int = 1,
 ) -> ResultT:
-    """Return what a call that reads whole files gives.
+    """Return the result of a call that reads whole files.
 
-    Shows a progress bar where standard error is a terminal; `passes` is how often the
-    call reads the files. A bad or missing file ends the process with EXIT_BAD_INPUT.
+    Shows a progress bar if standard error is a terminal; `passes` is how often the call
+    reads the files. An invalid or missing file ends the process with EXIT_BAD_INPUT.
     """
     if not sys.stderr.isatty():
         return result_or_exit(lambda: read(None))
@@ -91,9 +93,9 @@
 def parse_period(
     file: str, since: str | None, until: str | None
 ) -> tuple[int | None, int | None]:
-    """Return begin and end of a period on the file's clock, None where not given.
+    """Return start and end of a period on the file's clock, None if not given.
 
-    A bad time or file ends the process with EXIT_BAD_INPUT.
+    An invalid time or file ends the process with EXIT_BAD_INPUT.
     """
     from milletsill.trace.time_argument import InvalidTimeError
 
@@ -106,7 +108,7 @@
 def _parse_period(
     file: str, since: str | None, until: str | None
 ) -> tuple[int | None, int | None]:
-    """Read the file's clock, and return begin and end of a period on it."""
+    """Read the file's clock, and return start and end of a period on it."""
     from milletsill.trace.reader import TraceReader
     from milletsill.trace.time_argument import parse_time
 
@@ -125,7 +127,7 @@
 @trace.command("info")
 @FILES
 def trace_info(files: tuple[str, ...]) -> None:
-    """What each of FILES holds, a line of JSON for each."""
+    """Print a summary of each of FILES as a line of JSON."""
     from milletsill.trace.summary import summarise_trace
 
     for file in files:
@@ -139,7 +141,7 @@
 @SINCE
 @UNTIL
 def trace_cat(file: str, since: str | None, until: str | None) -> None:
-    """Print FILE's records as JSON lines."""
+    """Print the records of FILE as lines of JSON."""
     from milletsill.trace.summary import dump_records
 
     begin, end = parse_period(file, since, until)
@@ -153,10 +155,10 @@
 @trace.command("verify")
 @FILES
 def trace_verify(files: tuple[str, ...]) -> None:
-    """Unpack every block of FILES. Exit status 1 where anything is broken."""
+    """Decompress and check all blocks of FILES. Exit status 1 if any is damaged."""
     from milletsill.trace.repair import verify
 
-    is_broken = False
+    is_damaged = False
     for file in files:
         found = read_with_progress([file], partial(verify, file))
         click.echo(
@@ -164,20 +166,20 @@
             f"{sum(block.record_count for block in found.blocks)} records"
         )
         for gap in found.damage:
-            is_broken = True
+            is_damaged = True
             click.echo(f"  at {gap.offset}, {gap.size} bytes: {gap.reason}")
-    sys.exit(EXIT_FAILED if is_broken else 0)
+    sys.exit(EXIT_FAILED if is_damaged else 0)
 
 
 @trace.command(
     "repair",
-    help="Write the whole blocks of FILE, as they stand, to the new file OUT, with an "
+    help="Copy the intact blocks of FILE unchanged to the new file OUT, with a new "
     "index.",
 )
 @FILE
 @OUT
 def trace_repair(file: str, out: str) -> None:
-    """Write the whole blocks of a file to a new file, with an index."""
+    """Copy the intact blocks of a file to a new file, with an index."""
     from milletsill.trace.repair import repair
 
     found = read_with_progress([file], partial(repair, file, out))
@@ -187,14 +189,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CutOptions:
-    """What part of a trace `trace cut` writes; None of a field leaves nothing out.
+    """The part of a trace that `trace cut` writes; a field of None filters nothing.
 
     Attributes:
-        since: begin of the period.
+        since: start of the period.
         until: end of the period.
-        store: name of the only volume.
-        category: the only request class, its name or position.
-        box: number of the only node.
+        store: name of the volume to keep.
+        category: name or position of the request class to keep.
+        box: number of the node to keep.
     """
 
     since: str | None
@@ -209,35 +211,39 @@
 @OUT
 @SINCE
 @UNTIL
-@click.option("--store", help="Transfers of this store alone.")
-@click.option("--category", help="Of this category alone: its name or place.")
-@click.option("--box", type=int, help="Transfers that were dispatched to this box.")
+@click.option("--store", help="Keep only requests to this volume.")
+@click.option(
+    "--category", help="Keep only requests of this request class: its name or position."
+)
+@click.option(
+    "--box", type=int, help="Keep only requests with an attempt on this node."
+)
 @group_options(CutOptions)
 def trace_cut(file: str, out: str, options: CutOptions) -> None:
-    """Write a part of FILE to the new file OUT."""
+    """Write part of FILE to the new file OUT."""
     from milletsill.trace.cut import cut_trace, find_request_class
     from milletsill.trace.record_filter import RecordFilter
 
     begin, end = parse_period(file, options.since, options.until)
     category = options.category
-    place = None
+    position = None
     if category is not None:
-        place = result_or_exit(partial(find_request_class, file, category))
-    wanted = RecordFilter(begin, end, options.store, place, options.box)
+        position = result_or_exit(partial(find_request_class, file, category))
+    wanted = RecordFilter(begin, end, options.store, position, options.box)
     result = read_with_progress([file], partial(cut_trace, file, out, wanted))
     click.echo(f"{out}: {result.records} records, {result.bytes_read} bytes read")
 
 
 @trace.command(
     "merge",
-    help="Write FILES of many gateways as one, by wall time, to the new file OUT. "
-    "Clocks that are seconds off are mended by the list news that the gateways share; "
-    "what each correction may be off by is told.",
+    help="Merge FILES of several gateways by wall time into the new file OUT. Clocks "
+    "that differ are corrected by the endpoint updates that all gateways received; the "
+    "uncertainty of each correction is printed.",
 )
 @OUT
 @FILES
 def trace_merge(out: str, files: tuple[str, ...]) -> None:
-    """Write traces of many gateways as one, and print how each clock was corrected."""
+    """Merge traces of several gateways and print the correction of each clock."""
     from milletsill.trace.merge import merge_traces
 
     result = read_with_progress(
@@ -249,17 +255,17 @@
         if not clock.correction and uncertainty is not None:
             continue
         if uncertainty is None:
-            source = "nothing shared: the wall clock alone"
+            source = "no common endpoint updates, by wall clock only"
         else:
-            source = f"give or take {uncertainty / TICKS_PER_MS:g} ms"
+            source = f"uncertainty {uncertainty / TICKS_PER_MS:g} ms"
         correction = clock.correction / TICKS_PER_MS
-        click.echo(f"  {clock.name}: clock set by {correction:g} ms, {source}")
+        click.echo(f"  {clock.name}: clock corrected by {correction:g} ms, {source}")
 
 
 @trace.command(
     "anonymise",
-    help="Write FILE to the new file OUT with stores, paths and categories' names "
-    "replaced.",
+    help="Write FILE to the new file OUT with the names of volumes and request classes "
+    "and all paths replaced.",
 )
 @FILE
 @OUT
@@ -267,7 +273,7 @@
     "--key-file",
     required=True,
     type=click.Path(),
-    help="A secret of 16 bytes or more; one key, equal names.",
+    help="File with a secret of at least 16 bytes; the same key gives the same names.",
 )
 def trace_anonymise(file: str, out: str, key_file: str) -> None:
     """Write a file to a new file with names and paths replaced."""
@@ -276,7 +282,7 @@
     key = result_or_exit(lambda: Path(key_file).read_bytes()[:MAX_KEY])
     if len(key) < MIN_KEY:
         exit_with(
-            f"{key_file}: a key of {len(key)} bytes, {MIN_KEY} at least",
+            f"{key_file}: a key of {len(key)} bytes, expected at least {MIN_KEY}",
             EXIT_BAD_INPUT,
         )
     records = read_with_progress([file], partial(anonymise_trace, file, out, key))
@@ -292,11 +298,11 @@
     type=click.Choice(["mtrace", "parquet", "csv"]),
     default="mtrace",
     show_default=True,
-    help="mtrace: the present version, in full blocks. Others: OUT is a folder, one "
-    "table for each kind.",
+    help="mtrace: the current version, in full blocks. parquet, csv: OUT is a folder "
+    "with one table for each kind of record.",
 )
 def trace_convert(file: str, out: str, to: str) -> None:
-    """Write FILE in another form."""
+    """Convert FILE to another format."""
     from milletsill.trace.convert import convert_trace
 
     records = read_with_progress(
@@ -307,15 +313,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SummaryOptions:
-    """What `trace summarise` is given beside the file.
+    """The options of `trace summarise`.
 
     Attributes:
-        since: begin of the period; None for that of the trace.
-        until: end of the period; None for that of the trace.
-        window: seconds of each row.
-        power: units a second of all nodes; None where not known.
-        as_json: whether to print JSON in place of a table.
-        plot: file for a picture; None for none.
+        since: start of the period; None for the start of the trace.
+        until: end of the period; None for the end of the trace.
+        window: seconds per row.
+        power: units per second of all nodes; None if not known.
+        as_json: whether to print JSON instead of a table.
+        plot: file for a plot; None for no plot.
     """
 
     since: str | None
@@ -340,16 +346,18 @@
 @click.option(
     "--power",
     type=click.FloatRange(0, min_open=True),
-    help="Units a second of all boxes, for the figure by reserve "
-    "and share of a gateway's own trace.",
+    help="Units per second of all nodes, for the service by reserve and share from the "
+    "trace of one gateway.",
 )
 @click.option("--json", "as_json", is_flag=True)
 @click.option(
-    "--plot", type=click.Path(), help="Also a picture, PNG or SVG by the name."
+    "--plot",
+    type=click.Path(),
+    help="Also write a plot; the file name ends in .png or .svg.",
 )
 @group_options(SummaryOptions)
 def trace_summarise(file: str, options: SummaryOptions) -> None:
-    """Service, quantiles, who was declined and why, by time window."""
+    """Print service, latency quantiles and rejections with causes, by time window."""
     from milletsill.trace.service_display import format_report, plot_report
     from milletsill.trace.service_report import report_service
 
--- a/milletsill/errors/__init__.py
+++ b/milletsill/errors/__init__.py
@@ -1,9 +1,10 @@
-"""One family of errors: what happened, where, and what an operator can do.
+"""Base classes of all errors: what happened, where, and what an operator can do.
 
-What comes from outside can be wrong in four ways: octets (`MalformedInputError`), an
-operator's file (`ConfigurationRejectedError`), state on disk (`StateNotStoredError`), a
-single value (`InvalidValueError`). Each package has its own types below these, beside
-the code that raises them; all of them stand in docs/operators.md.
+Four of them are for faults from outside: malformed bytes (`MalformedInputError`), an
+invalid settings file (`ConfigurationRejectedError`), state on disk that cannot be read
+or written (`StateNotStoredError`) and a single invalid value (`InvalidValueError`).
+Each package defines its own subclasses next to the code that raises them.
+docs/operators.md lists all of them.
 """
 
 from __future__ import annotations
@@ -11,17 +12,17 @@
 import traceback
 from typing import Self
 
-MAX_DESCRIPTION = 200  # characters of an error that is not of the family
-LOCATION_FRAMES = 3
+MAX_DESCRIPTION = 200  # characters of an error that is no MilletsillError
+LOCATION_FRAMES = 3  # innermost stack frames in an error location
 
 
 class MilletsillError(Exception):
-    """Something that went wrong and has a name.
+    """Base class of all errors that the program defines.
 
     Attributes:
         what: what happened.
-        where: the place: a file, an address, a name; empty where it is not known.
-        remedy: what an operator can do; each type has its own.
+        where: the file, address or name concerned; empty if it is not known.
+        remedy: what an operator can do; each subclass has its own.
     """
 
     remedy = ""
@@ -35,17 +36,17 @@
         return f"{self.where}: {self.what}" if self.where else self.what
 
     def with_location(self, where: str) -> Self:
-        """Set the place if none is set yet: only who catches an error may know it."""
+        """Set `where` if it is empty: often only the code that catches it knows."""
         self.where = self.where or where
         return self
 
     def describe(self) -> str:
-        """Return one line of text: where, what, and what to do."""
+        """Return `where`, `what` and `remedy` as one line of text."""
         line = " ".join(str(self).split())
         return f"{line} ({self.remedy})" if self.remedy else line
 
     def log_fields(self) -> dict[str, str]:
-        """Return the fields of its line in the log."""
+        """Return the fields of the log line for this error."""
         fields = {
             "error": type(self).__name__,
             "what": self.what,
@@ -56,47 +57,49 @@
 
 
 class MalformedInputError(MilletsillError):
-    """Octets that their protocol or format does not allow."""
+    """Bytes from outside violate their protocol or format."""
 
-    remedy = "see who sends them, and that both sides run versions that go together"
+    remedy = "check the sender, and that both sides run compatible versions"
 
 
 class ConfigurationRejectedError(MilletsillError):
-    """A file of the operator that is not taken."""
+    """A settings file is invalid."""
 
-    remedy = "mend the file where it says; a program that runs goes on with what it had"
+    remedy = (
+        "correct the file as reported; a running program keeps its previous settings"
+    )
 
 
 class StateNotStoredError(MilletsillError):
-    """State on disk that cannot be read or written."""
+    """State on disk cannot be read or written."""
 
-    remedy = "see that the folder exists, may be written and has room"
+    remedy = "check that the folder exists, is writable and has free space"
 
 
 class InvalidValueError(MilletsillError):
-    """A value that describes nothing here."""
+    """A single value from outside is invalid."""
 
-    remedy = "put the value right where it comes from; it alone was left out"
+    remedy = "correct the value at its source; only this value was ignored"
 
 
 class ListenFailedError(MilletsillError):
-    """An address that is not ours to listen on: it is taken, or not of this machine."""
+    """An address cannot be listened on: it is in use or belongs to another machine."""
 
     remedy = (
-        "free the address or change it in the file, then start again; the start ends "
+        "free the address or change it in the file, then restart; the program exits "
         "with status 1"
     )
 
 
 def describe_error(error: BaseException) -> str:
-    """Return one line on any error, cut to a bearable length."""
+    """Return one line on any error; foreign errors are cut to MAX_DESCRIPTION."""
     if isinstance(error, MilletsillError):
         return error.describe()
     return " ".join(str(error).split())[:MAX_DESCRIPTION]
 
 
 def error_location(error: BaseException) -> str:
-    """Return the error and the innermost places it came from, on one line."""
+    """Return the error and its innermost stack frames as one line."""
     frames = traceback.extract_tb(error.__traceback__)[-LOCATION_FRAMES:]
     places = " < ".join(f"{frame.name}:{frame.lineno}" for frame in reversed(frames))
     return f"{type(error).__name__}: {error} at {places}"
--- a/milletsill/errors/__main__.py
+++ b/milletsill/errors/__main__.py
@@ -1,7 +1,7 @@
-"""Print the table of errors, or put it into a page.
+"""Prints the table of errors, or writes it into a page.
 
-`python -m milletsill.errors` prints the table, `... NAME` one row of it, `... --into
-PAGE` replaces the rows in a page.
+`python -m milletsill.errors` prints the table, `... NAME` prints one row of it, and
+`... --into PAGE` replaces the rows in a page.
 """
 
 import re
@@ -27,12 +27,12 @@
 
 
 def replace_rows(page: Path, rows: str) -> int:
-    """Put the rows into the page's table and return an exit status."""
-    before, heading, behind = page.read_text("utf-8").partition(HEADING)
+    """Replace the rows of the table in a page and return an exit status."""
+    before, heading, after = page.read_text("utf-8").partition(HEADING)
     if not heading:
         print(f"milletsill: {page} has no line {HEADING.strip()!r}", file=sys.stderr)
         return 2
-    table = ROWS.sub(lambda _: rows, behind, count=1)
+    table = ROWS.sub(lambda _: rows, after, count=1)
     page.write_text(before + heading + table, "utf-8")
     return 0
 
--- a/milletsill/errors/catalog.py
+++ b/milletsill/errors/catalog.py
@@ -1,4 +1,4 @@
-"""Every error type of the program, for the table in docs/operators.md and its test."""
+"""Lists all error types, for the table in docs/operators.md and its test."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def module_names() -> list[str]:
-    """Return the names of all modules but those that run when they are loaded."""
+    """Return the names of all modules except `__main__`, which run on import."""
     return [
         each.name
         for each in pkgutil.walk_packages(milletsill.__path__, "milletsill.")
@@ -19,10 +19,10 @@
 
 
 def error_types() -> dict[str, list[type[MilletsillError]]]:
-    """Load the whole program and return its error types by name.
+    """Import all modules and return the error types of the program by name.
 
-    More than one type of a name is a fault of the program. A base without a remedy of
-    its own is never raised and does not count.
+    Two types of the same name are a bug, so each name maps to a list. A base class
+    without a remedy is never raised and is left out.
     """
     for name in module_names():
         importlib.import_module(name)
@@ -42,6 +42,6 @@
 
 
 def table_row(error_type: type[MilletsillError]) -> str:
-    """Return its row of the table: name, what happened, what to do."""
+    """Return the table row of an error type: name, what happened, what to do."""
     summary = " ".join((error_type.__doc__ or "").split("\n\n")[0].split())
     return f"| `{error_type.__name__}` | {summary} | {error_type.remedy} |"
--- a/milletsill/settings/__init__.py
+++ b/milletsill/settings/__init__.py
@@ -1,5 +1,5 @@
-"""The operator's files: protobuf text format, checked before anything starts.
+"""Settings files in protobuf text format, checked before anything starts.
 
-`load` reads a file, `flaws` says what is wrong with one, and each other module checks
-one part of a file. `milletsill.proto` has the fields.
+`load` reads a file, `flaws` reports what is wrong in it, and each other module checks
+one part of a file. `milletsill.proto` defines the fields.
 """
--- a/milletsill/settings/channels.py
+++ b/milletsill/settings/channels.py
@@ -1,4 +1,4 @@
-"""Checks what a gateway's file says of channels: leases and ordering contracts."""
+"""Checks the settings of channels in a gateway's file: leases, ordering contracts."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
     FieldRange("most_waiting", 1, 64),
     FieldRange("hole_ms", 10, 60_000),
 )
-NUMBERED_OPERATIONS = ("write", "change", "sync")  # one request each, which writes
-CALLS_PER_LEASE = 4  # calls to acceptors that have to fit into a lease
+# Operations whose commands are each a single request that writes.
+NUMBERED_OPERATIONS = ("write", "change", "sync")
+CALLS_PER_LEASE = 4  # calls to acceptors that must fit into one lease
 MAX_ACCEPTORS = 31
 MAX_CONTRACT_NAME = 64  # characters
 MAX_VOLUME_NAME = 120  # octets
-SHOWN_OF_LONG_NAME = 40  # characters
+MAX_SHOWN_NAME = 40  # characters of a long name in a message
 
 
 def check_channels(file: GatewayFile, report: MessageReport) -> None:
-    """Check `fleet { channels }`; nothing where it is absent."""
+    """Check `fleet { channels }`, if the file has it."""
     if not file.HasField("fleet") or not file.fleet.HasField("channels"):
         return
     channels = file.fleet.channels
@@ -41,9 +42,12 @@
     check_ranges(channels, CHANNEL_RANGES, channels_report)
     _check_acceptors(channels, channels_report)
     if not channels.contract:
-        channels_report.add("channels without a contract")
+        channels_report.add("fleet.channels needs at least one contract")
     if not file.rules.HasField("key_rest_ms"):
-        channels_report.add("an unsure end needs rules.key_rest_ms")
+        channels_report.add(
+            "fleet.channels needs rules.key_rest_ms, the quarantine of a key after "
+            "an indeterminate outcome"
+        )
     names: set[str] = set()
     for index, contract in enumerate(channels.contract):
         contract_report = channels_report.nested("contract", index)
@@ -54,20 +58,20 @@
 
 
 def _check_acceptors(channels: ChannelKeeping, report: MessageReport) -> None:
-    """Check the acceptors of the leases, in the file `register`, and calls to them."""
+    """Check the acceptors of the leases (setting `register`) and the call timeout."""
     names = list(channels.register)
     is_odd = len(names) % 2 == 1
     is_unique = len(set(names)) == len(names)
     if not is_odd or not is_unique or len(names) > MAX_ACCEPTORS:
         report.add(
-            f"{len(names)} registers: an odd number of different gateways, "
-            f"{MAX_ACCEPTORS} at most",
+            f"{len(names)} registers: expected an odd number of different gateway "
+            f"names, at most {MAX_ACCEPTORS} (the acceptors of leases)",
             "register",
         )
     if channels.call_ms * CALLS_PER_LEASE > channels.office_s * 1000:
         report.add(
-            f"calls of {channels.call_ms:g} ms: an office of {channels.office_s:g} s "
-            "must hold four",
+            f"call_ms {channels.call_ms:g}: {CALLS_PER_LEASE} calls to an acceptor "
+            f"must fit into a lease of office_s {channels.office_s:g}",
             "call_ms",
         )
 
@@ -75,11 +79,11 @@
 def _check_contract_name(
     name: str, earlier_names: set[str], report: MessageReport
 ) -> None:
-    """Check the name of one contract against those before it."""
+    """Check that a contract's name has a valid length and is not used before."""
     if name in earlier_names or not 0 < len(name) <= MAX_CONTRACT_NAME:
         report.add(
-            f"contract {name!r} stands twice, or its name is not 1 to "
-            f"{MAX_CONTRACT_NAME} characters",
+            f"contract name {name!r} is used twice or is not 1 to "
+            f"{MAX_CONTRACT_NAME} characters long",
             "name",
         )
 
@@ -87,12 +91,12 @@
 def _check_contract(
     file: GatewayFile, contract: Contract, report: MessageReport
 ) -> None:
-    """Check what a contract covers: operations, volumes and request classes."""
+    """Check the operations, volumes and request classes that a contract covers."""
     for index, operation in enumerate(contract.operation):
         if operation not in NUMBERED_OPERATIONS:
             report.add(
-                f"operation {operation!r} has no number: "
-                f"{', '.join(NUMBERED_OPERATIONS)} have",
+                f"operation {operation!r} has no channel number: expected one of "
+                f"{', '.join(NUMBERED_OPERATIONS)}",
                 "operation",
                 index,
             )
@@ -105,7 +109,7 @@
 def _covered_volumes(
     file: GatewayFile, contract: Contract, report: MessageReport
 ) -> list[Volume]:
-    """Return the volumes that a contract covers: those that it names, or all."""
+    """Return the volumes that a contract names, or all volumes if it names none."""
     if not contract.volume:
         return list(file.volume)
     volume_by_name = {volume.name: volume for volume in file.volume}
@@ -113,7 +117,7 @@
     for name in contract.volume:
         volume = volume_by_name.get(name)
         if volume is None:
-            report.add(f"volume {name!r} is missing", "volume")
+            report.add(f"volume {name!r} is not defined", "volume")
         else:
             volumes.append(volume)
     return volumes
@@ -122,12 +126,15 @@
 def _check_covered_volumes(
     contract: Contract, volumes: list[Volume], report: MessageReport
 ) -> None:
-    """Check that each volume can have channels; only the first flaw is told."""
+    """Check that each volume can have channels.
+
+    Only the first volume with too long a name and the first FREE one are reported.
+    """
     for volume in volumes:
         if len(volume.name.encode("utf-8", "surrogateescape")) > MAX_VOLUME_NAME:
             report.add(
-                f"a volume's name over {MAX_VOLUME_NAME} octets leaves no room for a "
-                f"channel's: {volume.name[:SHOWN_OF_LONG_NAME]!r}...",
+                f"a volume name over {MAX_VOLUME_NAME} octets leaves no room for the "
+                f"name of a channel: {volume.name[:MAX_SHOWN_NAME]!r}...",
                 "volume",
             )
             break
@@ -135,8 +142,8 @@
         if volume.placement == Volume.FREE:
             report.add(
                 f"contract {contract.name!r} covers volume {volume.name!r}, which is "
-                "FREE: a new object there is several transfers; name volumes that are "
-                "HASHED or BY_DIRECTORY",
+                "FREE: creating an object there takes several requests; list volumes "
+                "that are HASHED or BY_DIRECTORY",
                 "volume",
             )
             break
@@ -145,34 +152,36 @@
 def _check_covered_category(
     file: GatewayFile, contract: Contract, category: Category, report: MessageReport
 ) -> None:
-    """Check that requests of a class may be retried for as long as a contract needs."""
+    """Check that a class has the idempotency and retry window a contract needs."""
     window_ms = category.repeat_window_ms
     if category.repeats != "ticketed" or category.group not in ("all", "cell"):
         report.add(
             f"contract {contract.name!r} covers category {category.name!r}, which is "
-            f"{category.repeats} in group {category.group}: it must be ticketed, in "
-            "group cell or all"
+            f"{category.repeats} in group {category.group}: it must be ticketed "
+            "(idempotency-keyed) in group cell or all"
         )
     elif window_ms > contract.silent_s * 1000:
         report.add(
-            f"silent_s {contract.silent_s:g}: a channel may be forgotten within "
-            f"category {category.name!r}'s repeat window of {window_ms:g} ms",
+            f"silent_s {contract.silent_s:g}: the record of an idle channel may be "
+            f"deleted within the repeat_window_ms {window_ms:g} of category "
+            f"{category.name!r}",
             "silent_s",
         )
     elif window_ms <= file.rules.key_rest_ms:
         report.add(
-            f"category {category.name!r} repeats within {window_ms:g} ms, no longer "
-            "than key_rest_ms: an unsure end could never be tried again"
+            f"category {category.name!r} has repeat_window_ms {window_ms:g}, not "
+            f"over key_rest_ms {file.rules.key_rest_ms:g}: a request with an "
+            "indeterminate outcome could never be retried"
         )
 
 
 def _covered_categories(
     file: GatewayFile, contract: Contract, volumes: list[Volume]
 ) -> list[Category]:
-    """Return the request classes that a contract covers, each once."""
+    """Return the request classes that a contract covers, without duplicates."""
     category_by_name = {category.name: category for category in file.category}
     operations = list(contract.operation) or list(NUMBERED_OPERATIONS)
-    names: dict[str, None] = {}  # a set in the order of the routes
+    names: dict[str, None] = {}  # an ordered set, in the order of the routes
     for volume_name in _volume_names_to_route(file, volumes):
         for operation in operations:
             names.update(
@@ -182,9 +191,9 @@
 
 
 def _volume_names_to_route(file: GatewayFile, volumes: list[Volume]) -> list[str]:
-    """Return the names of those volumes that some route names.
+    """Return the names of those volumes that a route refers to.
 
-    To routes all other volumes are alike: one empty name stands for them.
+    Routes treat all other volumes alike, so one empty name represents them.
     """
     routed = {route.volume for route in file.route if route.volume}
     names = [volume.name for volume in volumes if volume.name in routed]
@@ -196,7 +205,7 @@
 def _routed_categories(
     file: GatewayFile, volume_name: str, operation: str
 ) -> list[str]:
-    """Return the classes that commands of one operation on a volume may fall into."""
+    """Return the classes that routes may give to one operation on a volume."""
     names = []
     for route in file.route:
         if route.operation and operation not in route.operation:
--- a/milletsill/settings/exports.py
+++ b/milletsill/settings/exports.py
@@ -1,4 +1,4 @@
-"""Checks what a gateway's file says of traces and of flow export."""
+"""Checks the settings of traces and of flow export in a gateway's file."""
 
 from __future__ import annotations
 
@@ -19,38 +19,39 @@
 
 
 def check_trace(file: GatewayFile, report: MessageReport) -> None:
-    """Check `trace`: its bounds have to fit each other."""
+    """Check `trace`, if the file has it, and that its limits are consistent."""
     if not file.HasField("trace"):
         return
     trace = file.trace
     trace_report = report.nested("trace")
     if not trace.folder:
-        trace_report.add("no folder for traces", "folder")
+        trace_report.add("trace.folder is empty", "folder")
     check_choice(trace, "sync", SYNC_POLICIES, trace_report)
     if trace.total_bytes < 2 * trace.file_bytes:
         trace_report.add(
-            f"{trace.total_bytes} bytes in all hold no two files of {trace.file_bytes}",
+            f"total_bytes {trace.total_bytes} is under two files of file_bytes "
+            f"{trace.file_bytes}",
             "total_bytes",
         )
     if trace.block_s > trace.file_s:
         trace_report.add(
-            f"blocks of {trace.block_s:g} s in files of {trace.file_s:g} s", "block_s"
+            f"block_s {trace.block_s:g} is over file_s {trace.file_s:g}", "block_s"
         )
 
 
 def check_flows(file: GatewayFile, report: MessageReport) -> None:
-    """Check `flows`: its collectors, and numbers that contradict each other."""
+    """Check `flows`, if the file has it: its collectors, level and timeouts."""
     if not file.HasField("flows"):
         return
     flows = file.flows
     flows_report = report.nested("flows")
     if not flows.collector:
-        flows_report.add("flow export without a collector")
+        flows_report.add("flows needs at least one collector")
     check_choice(flows, "closest", METERING_LEVELS, flows_report)
     if flows.idle_s > flows.active_s:
         flows_report.add(
-            f"an idle time-out of {flows.idle_s:g} s past the active one of "
-            f"{flows.active_s:g} s",
+            f"idle_s {flows.idle_s:g} (idle timeout) is over active_s "
+            f"{flows.active_s:g} (active timeout)",
             "idle_s",
         )
     for index, collector in enumerate(flows.collector):
@@ -63,7 +64,7 @@
     check_choice(collector, "transport", TRANSPORTS, report)
     check_choice(collector, "protocol", PROTOCOLS, report)
     if collector.protocol == "netflow9" and collector.transport != "udp":
-        report.add("netflow9 goes over udp alone", "transport")
+        report.add("netflow9 requires transport udp", "transport")
     host = collector.address.rpartition(":")[0]
     if collector.transport == "udp" and not is_ip_address(host):
         report.add(
--- a/milletsill/settings/field_checks.py
+++ b/milletsill/settings/field_checks.py
@@ -1,4 +1,4 @@
-"""Checks of single fields that several parts of a settings file have in common."""
+"""Checks of single fields that several checkers of settings files share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FieldRange(NamedTuple):
-    """The range of a number; both bounds are allowed."""
+    """The allowed range of a numeric field; both bounds are included."""
 
     field_name: str
     minimum: float
@@ -23,17 +23,17 @@
 
 
 class NamedMessage(Protocol):
-    """A message with a name, such as a plan or a volume."""
+    """A message with a name, such as a service plan or a volume."""
 
     @property
     def name(self) -> str:
-        """Return what other parts of the file call it."""
+        """Return the name by which other parts of the file refer to the message."""
 
 
 def check_ranges(
     message: Message, ranges: Iterable[FieldRange], report: MessageReport
 ) -> None:
-    """Check that each number is within its range; a field left out has its default."""
+    """Check that each number is within its range; an absent field has its default."""
     for field_range in ranges:
         check_range(message, field_range, report)
 
@@ -41,7 +41,7 @@
 def check_ranges_if_present(
     message: Message, ranges: Iterable[FieldRange], report: MessageReport
 ) -> None:
-    """Check that each number that is written in the file is within its range."""
+    """Check that each number that is present in the file is within its range."""
     for field_range in ranges:
         if message.HasField(field_range.field_name):
             check_range(message, field_range, report)
@@ -60,7 +60,7 @@
 def check_choice(
     message: Message, field_name: str, choices: Iterable[str], report: MessageReport
 ) -> None:
-    """Check that a text is one of those that are known."""
+    """Check that the value of a text field is one of `choices`."""
     value = getattr(message, field_name)
     if value not in choices:
         report.add(
@@ -71,24 +71,22 @@
 def check_unique_names(
     messages: Iterable[NamedMessage], field_name: str, report: MessageReport
 ) -> set[str]:
-    """Check that all values of a repeated field have names that differ; return them."""
+    """Check that the values of a repeated field have unique names; return the names."""
     names: set[str] = set()
     for index, message in enumerate(messages):
         name = message.name
         if not name:
-            report.nested(field_name, index).add(
-                f"a {field_name} without a name", "name"
-            )
+            report.nested(field_name, index).add(f"{field_name} has no name", "name")
         elif name in names:
             report.nested(field_name, index).add(
-                f"{field_name} {name!r} stands twice", "name"
+                f"{field_name} name {name!r} is used twice", "name"
             )
         names.add(name)
     return names
 
 
 def check_program_name(name: str, report: MessageReport) -> None:
-    """Check the field `name` by which a gateway or a planner is known."""
+    """Check the field `name` that identifies a gateway or a planner."""
     is_short = 0 < len(name) <= MAX_PROGRAM_NAME
     if not is_short or not name.isprintable() or " " in name:
         report.add(
@@ -101,7 +99,7 @@
 def check_present_addresses(
     message: Message, field_names: Iterable[str], report: MessageReport
 ) -> None:
-    """Check those of the addresses that are written in the file."""
+    """Check each of the address fields that is present in the file."""
     for field_name in field_names:
         if message.HasField(field_name):
             check_address(getattr(message, field_name), report, field_name)
@@ -119,13 +117,15 @@
 def check_reachable_address(
     address: str, report: MessageReport, field_name: str
 ) -> None:
-    """Check that an address is an IPv4 address and a port that others can call."""
+    """Check that an address is an IPv4 address and a port to which others connect."""
     check_address(address, report, field_name)
     host, _, port = address.rpartition(":")
     if not is_ip_address(host) or ":" in host:
         report.add(f"{host!r} is not an IPv4 address", field_name)
     elif port.isdecimal() and not int(port):
-        report.add("port 0 cannot be told to other gateways", field_name)
+        report.add(
+            "port 0 is not allowed: other gateways need a fixed port", field_name
+        )
 
 
 def is_ip_address(text: str) -> bool:
--- a/milletsill/settings/field_lines.py
+++ b/milletsill/settings/field_lines.py
@@ -1,4 +1,4 @@
-"""The line of each field of a file in protobuf text format."""
+"""Finds the line of each field of a file in protobuf text format."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from google.protobuf import text_format
 
-MAX_DEPTH = 16  # of messages within messages; fields further down have no line
+MAX_DEPTH = 16  # of nested messages; fields that are nested deeper have no line
 MESSAGE_STARTS = ("{", "<")
 MESSAGE_ENDS = ("}", ">")
 QUOTES = ('"', "'")
 
 
 class FieldStep(NamedTuple):
-    """One step on the way to a field.
+    """One step of the path to a field.
 
     Attributes:
-        name: of the field.
-        position: of the value within a repeated field; 0 in any other.
+        name: name of the field.
+        position: index of the value in a repeated field; 0 in any other.
     """
 
     name: str
@@ -28,19 +28,19 @@
 
 
 class _LineTokenizer(text_format.Tokenizer):
-    """A tokenizer that says in which line it is."""
+    """A tokenizer that exposes the line of the current token."""
 
     _line: int  # kept by the base class, counted from 0
 
     def line_number(self) -> int:
-        """Return the line of the present token, counted from 1."""
+        """Return the line of the current token, counted from 1."""
         return self._line + 1
 
 
 class FieldLines:
-    """Where each field of a file is written.
+    """The line of each field of a file.
 
-    The text has to be one that protobuf has parsed: it is not checked again.
+    Protobuf must have parsed the text before: its syntax is not checked again.
     """
 
     def __init__(self, text: str) -> None:
@@ -49,9 +49,9 @@
         self._read_message((), 0)
 
     def line_of(self, path: FieldPath) -> int:
-        """Return the line of a field, or of the nearest message around it.
+        """Return the line of a field, or of the innermost message around it.
 
-        Returns 0 where neither is written in the file.
+        Returns 0 if the file has neither.
         """
         for length in range(len(path), 0, -1):
             line = self._lines.get(path[:length])
@@ -60,7 +60,7 @@
         return 0
 
     def _read_message(self, path: FieldPath, depth: int) -> None:
-        """Read the fields up to the end of this message."""
+        """Read the fields up to the end of the current message."""
         tokens = self._tokens
         counts: dict[str, int] = {}
         while not tokens.AtEnd() and tokens.token not in MESSAGE_ENDS:
@@ -82,7 +82,7 @@
                 tokens.TryConsume(";")
 
     def _read_value(self, path: FieldPath, depth: int) -> None:
-        """Read one value, itself a message or a scalar."""
+        """Read one value, which is a message or a scalar."""
         tokens = self._tokens
         first = tokens.token
         tokens.NextToken()
@@ -91,5 +91,5 @@
                 self._read_message(path, depth + 1)
             tokens.NextToken()
         elif first.startswith(QUOTES):
-            while tokens.token.startswith(QUOTES):  # strings side by side are one
+            while tokens.token.startswith(QUOTES):  # adjacent strings are one value
                 tokens.NextToken()
--- a/milletsill/settings/flaws.py
+++ b/milletsill/settings/flaws.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file: flaws, each with its line, and their report."""
+"""Flaws of a settings file, each with its line, and the report that collects them."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from milletsill.errors import ConfigurationRejectedError
 from milletsill.settings.field_lines import FieldLines, FieldPath, FieldStep
 
-MAX_FLAWS = 20  # of one report; what is found after these is left out
+MAX_FLAWS = 20  # per report; further flaws are dropped
 
 
 @dataclass(frozen=True, slots=True)
 class Flaw:
-    """One thing wrong with a file; line 0 is the file as a whole."""
+    """One invalid setting of a file; line 0 stands for the file as a whole."""
 
     file: str
     line: int
@@ -27,11 +27,11 @@
 
 
 class SettingsFileRejectedError(ConfigurationRejectedError):
-    """A file in protobuf text form that is not taken, with each flaw and its line."""
+    """A settings file is invalid; the message lists each flaw with its line."""
 
     remedy = (
-        "mend the lines named; `milletsill check FILE` says whether it is fine. "
-        "A gateway that runs goes on with what it had"
+        "correct the lines named and run `milletsill check FILE`; a running gateway "
+        "keeps its previous settings"
     )
 
     def __init__(self, flaws: Iterable[Flaw]) -> None:
@@ -41,12 +41,12 @@
 
 @dataclass(slots=True)
 class FlawReport:
-    """The flaws of one file, in the order in which the checks found them.
+    """The flaws of one file, in the order in which the checks find them.
 
     Attributes:
         file: name of the file, as the operator gave it.
-        lines: where each field of the file is written.
-        flaws: MAX_FLAWS at most.
+        lines: line of each field of the file.
+        flaws: the first MAX_FLAWS flaws.
     """
 
     file: str
@@ -54,21 +54,21 @@
     flaws: list[Flaw] = field(default_factory=list)
 
     def add(self, path: FieldPath, reason: str) -> None:
-        """Add a flaw of the field at `path`; the empty path is the whole file."""
+        """Add a flaw of the field at `path`; an empty path is the whole file."""
         if len(self.flaws) < MAX_FLAWS:
             self.flaws.append(Flaw(self.file, self.lines.line_of(path), reason))
 
     def root(self) -> MessageReport:
-        """Return the report on the message that is the whole file."""
+        """Return the report on the top-level message of the file."""
         return MessageReport(self, ())
 
 
 class MessageReport(NamedTuple):
-    """The part of a report that is on one message within a file.
+    """The part of a file's report that covers one message in the file.
 
     Attributes:
-        file_report: what the flaws are added to.
-        path: of the message; empty for the whole file.
+        file_report: report that the flaws are added to.
+        path: path of the message; empty for the top-level message.
     """
 
     file_report: FlawReport
@@ -77,7 +77,7 @@
     def add(self, reason: str, field_name: str = "", index: int = 0) -> None:
         """Add a flaw of one field of the message, or of the message as a whole.
 
-        `index` is the place of a value within a repeated field.
+        `index` is the position of the value in a repeated field.
         """
         path = self.path
         if field_name:
@@ -85,6 +85,6 @@
         self.file_report.add(path, reason)
 
     def nested(self, field_name: str, index: int = 0) -> MessageReport:
-        """Return the report on a message within this one."""
+        """Return the report on a message nested in this one."""
         path = (*self.path, FieldStep(field_name, index))
         return MessageReport(self.file_report, path)
--- a/milletsill/settings/gateway_file.py
+++ b/milletsill/settings/gateway_file.py
@@ -1,7 +1,7 @@
 """Checks a gateway's file: each part by itself, and the parts against each other.
 
-No I/O. A check is handed the message and the report on it, and adds a flaw for each
-field that is not allowed. What is refused here is refused before any request is taken.
+The checks do no I/O. Each one gets a message and the report on it, and adds a flaw for
+each invalid field. A file is rejected here before the gateway accepts any request.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 def check_gateway(file: GatewayFile, report: MessageReport) -> None:
     """Check everything in a gateway's file.
 
-    The order of the checks is that of the flaws, of which only the first are told.
+    The flaws are in the order of the checks, and only the first MAX_FLAWS are kept.
     """
     check_gateway_ranges(file, report)
     _check_identity(file, report)
@@ -51,7 +51,7 @@
 
 
 def _check_identity(file: GatewayFile, report: MessageReport) -> None:
-    """Check who and where the gateway is."""
+    """Check the gateway's name, its addresses, its zone and the fleet size."""
     check_program_name(file.name, report)
     if not 1 <= file.gateways <= MAX_GATEWAYS:
         report.add(
@@ -60,17 +60,19 @@
     check_present_addresses(file, ("listen", "metrics"), report)
     check_address(file.registry.address, report.nested("registry"), "address")
     if file.zones and file.zone >= len(file.zones):
-        report.add(f"zone {file.zone} of {len(file.zones)} zones", "zone")
+        report.add(
+            f"zone {file.zone} is not an index of {len(file.zones)} zones", "zone"
+        )
 
 
 def _check_logging(file: GatewayFile, report: MessageReport) -> None:
-    """Check the level of the log, and the names of what nodes report."""
+    """Check the log level and the names of the fields in node load reports."""
     check_choice(file.logging, "level", LOG_LEVELS, report.nested("logging"))
     reports_report = report.nested("reports")
     for index, field_name in enumerate(file.reports.field):
         if field_name not in REPORT_FIELDS:
             reports_report.add(
-                f"report {field_name!r} is not one of {', '.join(REPORT_FIELDS)}",
+                f"report field {field_name!r} is not one of {', '.join(REPORT_FIELDS)}",
                 "field",
                 index,
             )
--- a/milletsill/settings/health.py
+++ b/milletsill/settings/health.py
@@ -1,4 +1,4 @@
-"""Checks what a gateway's file says of health that gateways share."""
+"""Checks the settings of node health sharing in a gateway's file."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
     FieldRange("lasts_s", 0.5, 600),
     FieldRange("most_part", 0.01, 0.5),
 )
-CALM_PERIODS = 4  # a gateway with nothing new reports once in so many periods
+UNCHANGED_PERIODS = 4  # publish periods between two reports without a change
 
 
 def check_health(file: GatewayFile, report: MessageReport) -> None:
-    """Check `fleet { health }`; nothing where it is absent."""
+    """Check `fleet { health }`, if the file has it."""
     if not file.HasField("fleet") or not file.fleet.HasField("health"):
         return
     health = file.fleet.health
     health_report = report.nested("fleet").nested("health")
     check_ranges(health, HEALTH_RANGES, health_report)
-    calm_period_ms = CALM_PERIODS * health.publish_ms
-    if health.lasts_s * 1000 < calm_period_ms:
+    unchanged_period_ms = UNCHANGED_PERIODS * health.publish_ms
+    if health.lasts_s * 1000 < unchanged_period_ms:
         health_report.add(
-            f"rows last {health.lasts_s:g} s and come every {calm_period_ms:g} ms "
-            "from a calm gateway: they would be gone before they are renewed",
+            f"lasts_s {health.lasts_s:g} is under {unchanged_period_ms:g} ms, the "
+            "report period of a gateway without changes: its reports would expire "
+            "before they are renewed",
             "lasts_s",
         )
--- a/milletsill/settings/load.py
+++ b/milletsill/settings/load.py
@@ -1,7 +1,7 @@
-"""Loads a settings file into its message and has it checked.
+"""Loads a settings file into its message and checks it.
 
-A file that is not taken raises `SettingsFileRejectedError`, with one `Flaw` for each
-thing wrong. A file is at most MAX_BYTES long.
+An invalid file raises `SettingsFileRejectedError`, with one `Flaw` for each problem. A
+file has at most MAX_BYTES bytes.
 """
 
 from __future__ import annotations
@@ -23,18 +23,22 @@
 )
 
 MAX_BYTES = 4_000_000  # of a file
-MAX_REASON = 200  # characters of a reason that protobuf gives
+MAX_REASON = 200  # characters of an error message of protobuf
 
 MessageT = TypeVar("MessageT", bound=Message)
 MessageCheck: TypeAlias = Callable[[MessageT, MessageReport], None]
 
 
 def read_text(file: str) -> str:
-    """Return the text of a file, or raise `SettingsFileRejectedError`."""
+    """Return the text of a file.
+
+    Raises:
+        SettingsFileRejectedError: the file cannot be read, is too long or not UTF-8.
+    """
     try:
         if os.path.getsize(file) > MAX_BYTES:
             raise SettingsFileRejectedError(
-                [Flaw(file, 0, f"longer than {MAX_BYTES} bytes")]
+                [Flaw(file, 0, f"the file is longer than {MAX_BYTES} bytes")]
             )
         with open(file, encoding="utf-8") as source:
             return source.read()
@@ -42,7 +46,7 @@
         reason = error.strerror or str(error)
         raise SettingsFileRejectedError([Flaw(file, 0, reason)]) from error
     except UnicodeDecodeError as error:
-        reason = f"not UTF-8 at byte {error.start}"
+        reason = f"the file is not valid UTF-8 at byte {error.start}"
         raise SettingsFileRejectedError([Flaw(file, 0, reason)]) from error
 
 
@@ -51,7 +55,7 @@
     make_message: Callable[[], MessageT],
     check: MessageCheck[MessageT],
 ) -> MessageT:
-    """Return the message of a file, parsed and checked."""
+    """Read, parse and check a file; return its message."""
     return parse(read_text(file), file, make_message, check)
 
 
@@ -61,7 +65,7 @@
     make_message: Callable[[], MessageT],
     check: MessageCheck[MessageT],
 ) -> MessageT:
-    """Return the message of a text, parsed and checked; `file` is what flaws name."""
+    """Parse and check a text; return its message. Flaws name `file` as their file."""
     message = make_message()
     _merge_text(text, file, message)
     report = FlawReport(file, FieldLines(text))
@@ -76,7 +80,11 @@
 
 
 def _merge_text(text: str, file: str, message: Message) -> None:
-    """Parse a text into a message, or raise `SettingsFileRejectedError`."""
+    """Parse a text into a message.
+
+    Raises:
+        SettingsFileRejectedError: protobuf cannot parse the text.
+    """
     try:
         text_format.Parse(text, message)
     except text_format.ParseError as error:
@@ -88,18 +96,18 @@
         raise SettingsFileRejectedError([flaw]) from error
     except (RecursionError, ValueError) as error:
         reason = " ".join(str(error).split())[:MAX_REASON]
-        flaw = Flaw(file, 0, f"cannot be read: {reason}")
+        flaw = Flaw(file, 0, f"the file cannot be parsed: {reason}")
         raise SettingsFileRejectedError([flaw]) from error
 
 
 def _missing_fields(message: Message) -> list[str]:
-    """Return the required fields that are absent, in protobuf's way of writing them."""
-    # The type stubs of protobuf leave this method out.
+    """Return the paths of the absent required fields, in protobuf's notation."""
+    # The type stubs of protobuf do not declare this method.
     return list(methodcaller("FindInitializationErrors")(message))
 
 
 def _field_path(dotted: str) -> FieldPath:
-    """Return a path from protobuf's way of writing one: `plan[0].name`."""
+    """Return the path for protobuf's notation of it, such as `plan[0].name`."""
     steps = []
     for part in dotted.split("."):
         name, _, index = part.rstrip("]").partition("[")
--- a/milletsill/settings/planner_file.py
+++ b/milletsill/settings/planner_file.py
@@ -1,4 +1,4 @@
-"""Checks a planner's file, and what a gateway's file says of its planner."""
+"""Checks a planner's file, and the settings of the planner in a gateway's file."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     FieldRange("silent_s", 1, 600),
 )
 QUOTAS_PER_VOLUME = 2
-OTHER_QUOTAS = 64  # of a gateway, beside those of its volumes
-REQUESTS_PER_LOAN = 3  # quota requests that have to fit into the longest loan
+OTHER_QUOTAS = 64  # quotas of a gateway besides those of its volumes
+REQUESTS_PER_LOAN = 3  # quota requests that must fit into the longest loan
 
 
 def check_planner(file: PlannerFile, report: MessageReport) -> None:
@@ -32,18 +32,18 @@
     check_program_name(file.name, report)
     check_present_addresses(file, ("listen", "metrics"), report)
     if not file.state_dir:
-        report.add("no folder for the state", "state_dir")
+        report.add("state_dir is empty", "state_dir")
     check_lending(file.lending, report.nested("lending"))
     check_ranges(file, PLANNER_RANGES, report)
 
 
 def check_lending(lending: Lending, report: MessageReport) -> None:
-    """Check that loans leave room for a request and its answer."""
+    """Check the settings of loans: a loan outlasts a quota request and its answer."""
     check_ranges(lending, LENDING_RANGES, report)
 
 
 def check_planner_link(file: GatewayFile, report: MessageReport) -> None:
-    """Check `planner` of a gateway's file; nothing where it is absent."""
+    """Check `planner` of a gateway's file, if the file has it."""
     if not file.HasField("planner"):
         return
     planner = file.planner
@@ -53,13 +53,13 @@
     quotas = QUOTAS_PER_VOLUME * len(file.volume) + OTHER_QUOTAS
     if planner.most_things < quotas:
         planner_report.add(
-            f"most_things {planner.most_things} for {len(file.volume)} volumes, "
-            f"{quotas} at least",
+            f"most_things {planner.most_things} is under {quotas}, the quotas of "
+            f"{len(file.volume)} volumes and {OTHER_QUOTAS} others",
             "most_things",
         )
     if planner.ask_s * REQUESTS_PER_LOAN > planner.lending.longest_s:
         planner_report.add(
-            f"asks every {planner.ask_s:g} s: three do not fit into a promise of "
-            f"{planner.lending.longest_s:g} s",
+            f"ask_s {planner.ask_s:g}: {REQUESTS_PER_LOAN} quota requests do not fit "
+            f"into a loan of longest_s {planner.lending.longest_s:g}",
             "ask_s",
         )
--- a/milletsill/settings/ranges.py
+++ b/milletsill/settings/ranges.py
@@ -1,4 +1,4 @@
-"""The range of each number of a gateway's file."""
+"""The allowed range of each numeric field of a gateway's file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from milletsill.settings.flaws import MessageReport
 from milletsill.settings.milletsill_pb2 import GatewayFile
 
-# By the field of the gateway's file that holds the message, or each of the messages.
+# Keyed by the field of the gateway's file that holds the message or the messages.
 RANGES: dict[str, tuple[FieldRange, ...]] = {
     "door": (
         FieldRange("most_connections", 1, 100_000),
@@ -111,7 +111,7 @@
 
 
 def check_gateway_ranges(file: GatewayFile, report: MessageReport) -> None:
-    """Check that each number that is written in the file is within its range."""
+    """Check that each number that is present in the file is within its range."""
     for field_name, ranges in RANGES.items():
         for message, message_report in _messages_of(file, field_name, report):
             check_ranges_if_present(message, ranges, message_report)
--- a/milletsill/settings/scenario.py
+++ b/milletsill/settings/scenario.py
@@ -1,4 +1,4 @@
-"""Checks a scenario: what the laboratory plays against gateways."""
+"""Checks a scenario: the traffic and faults that the laboratory runs on gateways."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     "slow_network",
     "reset_network",
 )
-FLEET_FAULTS = (
+NETWORK_FAULTS = (
     "split",
     "isolate",
     "cut_one_way",
@@ -59,7 +59,7 @@
 )
 TRAFFIC_OPERATIONS = ("read", "write", "list", "look", "new")
 MAX_GATEWAYS = 400
-MAX_FLEET_GATEWAYS = 250  # each has a loopback address of its own
+MAX_FLEET_GATEWAYS = 250  # each gateway of a fleet has its own loopback address
 MAX_NODES = 400
 MAX_SECONDS = 7200
 CHANNEL_TRAFFIC_RANGES = (
@@ -75,11 +75,11 @@
 
 
 class PlannedMessage(Protocol):
-    """A message that may be for the volumes of one service plan alone."""
+    """A message that may apply to the volumes of a single service plan."""
 
     @property
     def plan(self) -> str:
-        """Return the plan's name; empty for the volumes of all plans."""
+        """Return the name of the plan; empty for the volumes of all plans."""
 
 
 def check_scenario(file: Scenario, report: MessageReport) -> None:
@@ -111,21 +111,24 @@
             report.add(f"{field_name} {value:g} is not from 1 to {maximum}", field_name)
     if file.gateway.HasField("fleet") and file.edges > MAX_FLEET_GATEWAYS:
         report.add(
-            f"{file.edges} edges in a fleet of {MAX_FLEET_GATEWAYS} at most", "edges"
+            f"edges {file.edges} is over {MAX_FLEET_GATEWAYS}, the limit with a fleet",
+            "edges",
         )
 
 
 def _check_nodes(file: Scenario, node_count: int, report: MessageReport) -> None:
-    """Check that each node has a kind, and each shard of a volume a node."""
+    """Check that the kind of each node and the node of each shard are defined."""
     kinds = check_unique_names(file.kind, "kind", report)
     for index, box in enumerate(file.box):
         if box.kind not in kinds:
-            report.nested("box", index).add(f"kind {box.kind!r} is missing", "kind")
+            report.nested("box", index).add(f"kind {box.kind!r} is not defined", "kind")
     gateway_report = report.nested("gateway")
     for index, volume in enumerate(file.gateway.volume):
         if any(shard >= node_count for shard in volume.cell):
             gateway_report.nested("volume", index).add(
-                f"a cell of {volume.name!r} without a box", "cell"
+                f"volume {volume.name!r} has a cell (shard) without a box (node); the "
+                f"scenario has {node_count}",
+                "cell",
             )
 
 
@@ -135,17 +138,19 @@
     for index, traffic in enumerate(file.traffic):
         traffic_report = report.nested("traffic", index)
         if traffic.category not in categories:
-            traffic_report.add(f"category {traffic.category!r} is missing", "category")
+            traffic_report.add(
+                f"category {traffic.category!r} is not defined", "category"
+            )
         check_choice(traffic, "operation", TRAFFIC_OPERATIONS, traffic_report)
 
 
 def _check_surges(file: Scenario, report: MessageReport) -> None:
-    """Check that each surge is on volumes that are there."""
+    """Check that each surge refers to volumes that exist."""
     volume_count = len(file.gateway.volume)
     for index, surge in enumerate(file.surge):
         if any(number >= volume_count for number in surge.on):
             report.nested("surge", index).add(
-                f"a surge on one of {volume_count} volumes that is none", "on"
+                f"a number is not under {volume_count}, the count of volumes", "on"
             )
 
 
@@ -155,40 +160,41 @@
     plans: set[str],
     report: MessageReport,
 ) -> None:
-    """Check that the plans that messages of a repeated field name are there."""
+    """Check that the plans that the messages of a repeated field name exist."""
     for index, message in enumerate(messages):
         if message.plan and message.plan not in plans:
             report.nested(field_name, index).add(
-                f"plan {message.plan!r} is missing", "plan"
+                f"plan {message.plan!r} is not defined", "plan"
             )
 
 
 def _check_channel_traffic(file: Scenario, report: MessageReport) -> None:
-    """Check clients with channels: contract and volume are there, numbers in range."""
+    """Check the traffic on channels: its contracts, volumes and numbers."""
     contracts = {contract.name for contract in file.gateway.fleet.channels.contract}
     volumes = {volume.name for volume in file.gateway.volume}
     for index, traffic in enumerate(file.channels):
         traffic_report = report.nested("channels", index)
         if traffic.contract not in contracts:
             traffic_report.add(
-                f"contract {traffic.contract!r} is missing from gateway.fleet.channels",
+                f"contract {traffic.contract!r} is not in gateway.fleet.channels",
                 "contract",
             )
         if traffic.volume not in volumes:
-            traffic_report.add(f"volume {traffic.volume!r} is missing", "volume")
+            traffic_report.add(f"volume {traffic.volume!r} is not defined", "volume")
         check_ranges(traffic, CHANNEL_TRAFFIC_RANGES, traffic_report)
 
 
 def _check_fault(fault: Trouble, has_fleet: bool, report: MessageReport) -> None:
-    """Check one fault of the scenario, in the file `trouble`."""
+    """Check one fault of the scenario (setting `trouble`)."""
     if fault.what not in FAULTS:
         report.add(f"{fault.what!r} is not one of {', '.join(FAULTS)}", "what")
-    if fault.what in FLEET_FAULTS and not has_fleet:
-        report.add(f"{fault.what!r} is between gateways, and there is no fleet", "what")
+    if fault.what in NETWORK_FAULTS and not has_fleet:
+        report.add(f"network fault {fault.what!r} needs gateway.fleet", "what")
     is_valid_loss = 0 <= fault.size < 1 and 0 <= fault.extra <= 1
     if fault.what == "lossy" and not is_valid_loss:
         report.add(
-            "lossy: size is the share lost, under 1, extra the share that comes twice"
+            f"lossy: size {fault.size:g} (share lost) must be from 0 to under 1, "
+            f"extra {fault.extra:g} (share duplicated) from 0 to 1"
         )
     is_in_range = (
         0 <= fault.part <= 1
@@ -197,6 +203,6 @@
     )
     if not is_in_range:
         report.add(
-            f"part {fault.part:g}, at_s {fault.at_s:g} or for_s {fault.for_s:g} is "
-            "out of range"
+            f"part {fault.part:g} is not from 0 to 1, or at_s {fault.at_s:g} or for_s "
+            f"{fault.for_s:g} is not from 0 to {MAX_SECONDS}"
         )
--- a/milletsill/settings/volumes.py
+++ b/milletsill/settings/volumes.py
@@ -8,15 +8,15 @@
 
 OPERATIONS = ("read", "write", "open", "look", "list", "change", "sync")
 MAX_VOLUMES = 200_000
-MAX_SHARD = 100_000  # number of a shard, in the file a cell
+MAX_SHARD = 100_000  # highest number of a shard (setting `cell`)
 
 
 def check_volumes(file: GatewayFile, report: MessageReport) -> None:
-    """Check the volumes, each by itself and their roots against each other."""
+    """Check each volume by itself, and that no two roots overlap."""
     if not file.volume:
-        report.add("no volume")
+        report.add("the file needs at least one volume")
     if len(file.volume) > MAX_VOLUMES:
-        report.add(f"more than {MAX_VOLUMES} volumes", "volume", MAX_VOLUMES)
+        report.add(f"the file has over {MAX_VOLUMES} volumes", "volume", MAX_VOLUMES)
     check_unique_names(file.volume, "volume", report)
     plans = {plan.name for plan in file.plan}
     name_by_root: dict[str, str] = {}
@@ -24,8 +24,8 @@
         volume_report = report.nested("volume", index)
         if volume.plan not in plans:
             volume_report.add(
-                f"volume {volume.name!r} stands on plan {volume.plan!r}, "
-                "which is missing",
+                f"volume {volume.name!r} refers to plan {volume.plan!r}, which is not "
+                "defined",
                 "plan",
             )
         _check_root(volume, name_by_root, volume_report)
@@ -33,7 +33,8 @@
         _check_shards(volume, volume_report)
         if volume.gateways > file.gateways:
             volume_report.add(
-                f"{volume.gateways} gateways of {file.gateways}", "gateways"
+                f"gateways {volume.gateways} is over the {file.gateways} of the fleet",
+                "gateways",
             )
     _check_roots_are_apart(file, set(name_by_root), report)
 
@@ -41,7 +42,7 @@
 def _check_root(
     volume: Volume, name_by_root: dict[str, str], report: MessageReport
 ) -> None:
-    """Check one volume's root; `name_by_root` has the volumes before it."""
+    """Check the root of one volume; `name_by_root` has the roots of earlier volumes."""
     root = volume.root
     if not _is_plain_folder(root):
         report.add(
@@ -49,12 +50,12 @@
         )
     if root in name_by_root:
         report.add(
-            f"root {root!r} is that of volume {name_by_root[root]!r} too", "root"
+            f"root {root!r} is also the root of volume {name_by_root[root]!r}", "root"
         )
 
 
 def _is_plain_folder(path: str) -> bool:
-    """Return whether a path is absolute, below `/`, and in its shortest form."""
+    """Return whether a path is absolute, below `/`, and normalized."""
     if not path.startswith("/") or path.endswith("/") or "//" in path:
         return False
     return not any(part in (".", "..") for part in path.split("/"))
@@ -64,26 +65,30 @@
     """Check the shards of one volume."""
     shards = volume.cell
     if not shards:
-        report.add(f"volume {volume.name!r} has no cell")
+        report.add(f"volume {volume.name!r} has no cell (shard)")
     is_repeated = len(set(shards)) < len(shards)
     if is_repeated or any(shard > MAX_SHARD for shard in shards):
-        report.add(f"cells of {volume.name!r} stand twice or pass {MAX_SHARD}", "cell")
+        report.add(
+            f"a cell (shard) of volume {volume.name!r} is listed twice or over "
+            f"{MAX_SHARD}",
+            "cell",
+        )
 
 
 def _check_roots_are_apart(
     file: GatewayFile, roots: set[str], report: MessageReport
 ) -> None:
-    """Check that no volume's root lies within that of another."""
+    """Check that the root of no volume is inside the root of another."""
     for index, volume in enumerate(file.volume):
-        outer_root = _first_root_around(volume.root, roots)
+        outer_root = _outermost_enclosing_root(volume.root, roots)
         if outer_root is not None:
             report.nested("volume", index).add(
-                f"root {volume.root!r} lies within {outer_root!r}", "root"
+                f"root {volume.root!r} is within root {outer_root!r}", "root"
             )
 
 
-def _first_root_around(path: str, roots: set[str]) -> str | None:
-    """Return the outermost of the roots that `path` lies within, if there is one."""
+def _outermost_enclosing_root(path: str, roots: set[str]) -> str | None:
+    """Return the outermost of the roots that contain `path`, if there is one."""
     parts = path.split("/")
     for length in range(2, len(parts)):
         outer = "/".join(parts[:length])
@@ -93,28 +98,30 @@
 
 
 def check_routes(file: GatewayFile, report: MessageReport) -> None:
-    """Check the routes: what they name is there, and the last fits every command."""
+    """Check that routes refer to defined names and the last matches every command."""
     categories = {category.name for category in file.category}
     volumes = {volume.name for volume in file.volume}
     if not file.route:
-        report.add("no route")
+        report.add("the file needs at least one route")
         return
     for index, route in enumerate(file.route):
         route_report = report.nested("route", index)
         if route.category not in categories:
-            route_report.add(f"category {route.category!r} is missing", "category")
+            route_report.add(f"category {route.category!r} is not defined", "category")
         if route.volume and route.volume not in volumes:
-            route_report.add(f"volume {route.volume!r} is missing", "volume")
+            route_report.add(f"volume {route.volume!r} is not defined", "volume")
         _check_operations(route, route_report)
     last = file.route[-1]
     if last.operation or last.volume or last.least_bytes:
         report.add(
-            "the last route must fit every command", "route", len(file.route) - 1
+            "the last route must match every command: it allows only `category`",
+            "route",
+            len(file.route) - 1,
         )
 
 
 def _check_operations(route: Route, report: MessageReport) -> None:
-    """Check the operations that a route is for."""
+    """Check the operations that a route matches."""
     for index, operation in enumerate(route.operation):
         if operation not in OPERATIONS:
             report.add(
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -73,7 +73,7 @@
             (result.exit_code, result.output),
             (
                 2,
-                f"{bad}:3: no folder for the state\n"
+                f"{bad}:3: state_dir is empty\n"
                 f"{bad}:4: most_edges 0 is not from 1 to 100000\n",
             ),
         )
--- a/tests/fleet/channels/test_channel_settings.py
+++ b/tests/fleet/channels/test_channel_settings.py
@@ -39,26 +39,29 @@
             ),
             (
                 lambda keeping, made: setattr(keeping.contract[0], "silent_s", 4),
-                "may be forgotten within",
+                "may be deleted within",
             ),
             (
                 lambda keeping, made: keeping.contract[0].operation.append("read"),
-                "operation 'read' has no number",
+                "operation 'read' has no channel number",
             ),
             (
                 lambda keeping, made: setattr(keeping.contract[1], "name", "landing"),
-                "stands twice",
+                "is used twice",
+            ),
+            (
+                lambda keeping, made: setattr(keeping, "call_ms", 900),
+                "must fit into a lease",
             ),
-            (lambda keeping, made: setattr(keeping, "call_ms", 900), "must hold four"),
             (
                 lambda keeping, made: setattr(
                     made.category[2], "repeat_window_ms", 100
                 ),
-                "never be tried again",
+                "could never be retried",
             ),
             (
                 lambda keeping, made: made.rules.ClearField("key_rest_ms"),
-                "needs rules.key_rest_ms",
+                "fleet.channels needs rules.key_rest_ms",
             ),
         ):
             self.assertIn(expected_text, faults(change))
