--- a/milletsill/flows/__init__.py
+++ b/milletsill/flows/__init__.py
@@ -1,4 +1,4 @@
-"""Flow export: the gateway's traffic, metered into flows and sent to collectors.
+"""Flow export: meters the gateway's traffic into flows and sends them to collectors.
 
-The formats are IPFIX (RFC 7011) and NetFlow version 9 (RFC 3954).
+The export formats are IPFIX (RFC 7011) and NetFlow version 9 (RFC 3954).
 """
--- a/milletsill/flows/clocks.py
+++ b/milletsill/flows/clocks.py
@@ -14,19 +14,19 @@
 
 
 def seconds_to_ticks(seconds: float) -> int:
-    """Converts seconds to whole ticks."""
+    """Convert seconds to whole ticks."""
     return int(seconds * TICKS_PER_SECOND)
 
 
 @dataclass(frozen=True, slots=True)
 class ExportClocks:
-    """Clocks: ticks of the gateway, wall time in seconds, and a timer for cost."""
+    """The gateway's clock in ticks, and a wall clock and a cost timer in seconds."""
 
     now: Callable[[], int]
     wall: Callable[[], float] = time.time
     cost_timer: Callable[[], float] = time.perf_counter
 
     def wall_milliseconds(self, at: int) -> int:
-        """Converts ticks to milliseconds since 1970, by the wall clock as it is now."""
+        """Convert ticks to milliseconds since 1970, by the current wall clock."""
         elapsed = (self.now() - at) // TICKS_PER_MILLISECOND
         return int(self.wall() * 1000) - elapsed
--- a/milletsill/flows/codecs.py
+++ b/milletsill/flows/codecs.py
@@ -1,4 +1,4 @@
-"""The export formats that a collector can be given, by their names in the settings."""
+"""The export formats, by their names in the settings and by version number."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 class FlowCodec:
     """One export format.
 
-    `new_encoder` takes the enterprise number, `new_message` the octets of a message,
-    `new_decoder` the lifetime of templates in seconds or None.
+    `new_encoder` takes the enterprise number, `new_message` the maximum octets of a
+    message, `new_decoder` the lifetime of templates in seconds or None for unlimited.
     """
 
     version: int
@@ -28,7 +28,7 @@
     new_message: Callable[[int], MessageBuilder]
     new_decoder: Callable[[float | None], MessageDecoder]
     sequence_counts_records: bool
-    """Whether sequence numbers count data records; else they count messages."""
+    """Whether sequence numbers count data records; otherwise they count messages."""
 
     exports_options: bool
     """Whether options (reliability, sampling) are exported in this format."""
@@ -51,6 +51,6 @@
     exports_options=False,
 )
 CODECS_BY_NAME = {"ipfix": IPFIX, "netflow9": NETFLOW9}
-"""Codecs by the values of a collector's `protocol`."""
+"""Codecs by the value of the setting `protocol` of a collector."""
 
 CODECS_BY_VERSION = {codec.version: codec for codec in (IPFIX, NETFLOW9)}
--- a/milletsill/flows/collecting_process.py
+++ b/milletsill/flows/collecting_process.py
@@ -1,7 +1,7 @@
-"""A collecting process (RFC 7011) for operators: decodes strictly, counts, prints.
+"""A collecting process (RFC 7011): decodes messages strictly and counts their records.
 
-Everything is bounded: sessions, templates (in the decoders), top lists. What is
-malformed is reported in one line and loses only its message.
+The numbers of sessions, templates (in the decoders) and top list entries are limited. A
+malformed message is reported in one line and dropped; others are not affected.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 PRINTED_TOP_ENTRIES = 20
 VERSION_OCTETS = 2
 CollectionSummary: TypeAlias = dict[str, Any]
-"""What a collecting process counted, as it is printed in JSON."""
+"""The counts of a collecting process, as they are printed in JSON."""
 
 
 class TransportSession:
-    """One exporting process: its decoders by version, its streams by domain."""
+    """One exporting process: decoders by version, sequence trackers by domain."""
 
     def __init__(self, template_lifetime: float | None) -> None:
         self.decoders = {
@@ -45,10 +45,11 @@
 
 
 class CollectingProcess:
-    """Counts what exporting processes send.
+    """Decodes and counts the messages of exporting processes.
 
-    `on_record` takes each record with its template id and domain, `on_malformed` one
-    line. With `within` only flows count that have an end in these prefixes.
+    `on_record` gets each record with its template id and domain, `on_malformed` a line
+    for each malformed message. With `within`, only flows that have an endpoint in these
+    addresses are counted.
     """
 
     def __init__(
@@ -75,16 +76,16 @@
 
     @property
     def missing(self) -> int:
-        """Records that by the sequence numbers were sent and never came."""
+        """Number of records that are missing by the sequence numbers."""
         return sum(sequence.missing for sequence in self._sequences)
 
     @property
     def duplicated(self) -> int:
-        """Records that came late or twice."""
+        """Number of records that arrived out of order or twice."""
         return sum(sequence.duplicated for sequence in self._sequences)
 
     def on_datagram(self, octets: bytes, source: Hashable) -> None:
-        """Takes one datagram from an address."""
+        """Process one datagram from a source address."""
         session = self._udp_sessions.get(source)
         if session is None:
             session = TransportSession(UDP_TEMPLATE_LIFETIME_SECONDS)
@@ -97,12 +98,15 @@
     def on_message(
         self, session: TransportSession, octets: bytes, source: object
     ) -> None:
-        """Takes one message of a session; a malformed one is counted and reported."""
+        """Process one message of a session; count and report a malformed one."""
         version = int.from_bytes(octets[:VERSION_OCTETS], "big")
         decoder = session.decoders.get(version)
         try:
             if decoder is None:
-                raise MalformedFlowMessageError(f"version {version} is not read")
+                raise MalformedFlowMessageError(
+                    f"version {version} is not supported, expected "
+                    f"{' or '.join(map(str, sorted(CODECS_BY_VERSION)))}"
+                )
             message = decoder.decode(octets, self._clock())
         except MalformedFlowMessageError as error:
             self.report_malformed(error, str(source))
@@ -114,15 +118,15 @@
         if version == IPFIX.version:
             self._track_sequence(session, message)
         for record in message.records:
-            self._take_record(record, message.domain)
+            self._process_record(record, message.domain)
 
     def report_malformed(self, error: MalformedFlowMessageError, source: str) -> None:
-        """Counts and reports what was not taken."""
+        """Count and report a malformed message."""
         self.malformed += 1
         self._on_malformed(error.with_location(source).describe())
 
     def summary(self) -> CollectionSummary:
-        """Returns the counts by their printed names."""
+        """Return the counts by their JSON keys."""
         totals = self.totals
         return {
             "messages": self.messages,
@@ -134,9 +138,9 @@
             "missing": self.missing,
             "doubled": self.duplicated,
             "sums": dict(totals.sums),
-            "stores": dict(totals.octets_by_store.most_common(PRINTED_TOP_ENTRIES)),
+            "stores": dict(totals.octets_by_volume.most_common(PRINTED_TOP_ENTRIES)),
             "boxes": dict(totals.octets_by_node.most_common(PRINTED_TOP_ENTRIES)),
-            "outcomes": dict(totals.dispatches_by_outcome),
+            "outcomes": dict(totals.attempts_by_outcome),
             "options": [
                 {"template": template, "domain": domain, **values}
                 for (template, domain), values in self.options.items()
@@ -146,7 +150,11 @@
     def _track_sequence(
         self, session: TransportSession, message: DecodedMessage
     ) -> None:
-        """Follows the stream; a set of unknown template hides its number of records."""
+        """Track the sequence numbers.
+
+        A message with a set of an unknown template is left out, because its number of
+        records is unknown.
+        """
         sequence = session.sequences.get(message.domain)
         if sequence is None:
             sequence = SequenceTracker()
@@ -158,14 +166,14 @@
         if not message.unknown_sets:
             sequence.observe(message.sequence, len(message.records))
 
-    def _take_record(self, record: DecodedRecord, domain: int) -> None:
+    def _process_record(self, record: DecodedRecord, domain: int) -> None:
         if not record.scope_count and not self._is_within(record.values):
             return
         self.records += 1
         if record.scope_count:
             self._store_option(record, domain)
         elif "finalAnswer" not in record.values:
-            # A command's own record repeats what its flow sums up.
+            # The record of a command is left out: its flow includes the same counts.
             self.totals.add(record.values)
         self._on_record(
             {"template": record.template_id, "domain": domain, **record.values}
--- a/milletsill/flows/collecting_transport.py
+++ b/milletsill/flows/collecting_transport.py
@@ -1,4 +1,4 @@
-"""How messages reach a collecting process: over UDP and over TCP."""
+"""Receives messages for a collecting process over UDP and TCP."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class UdpCollectingProtocol(DatagramProtocol):
-    """Hands datagrams to a collecting process."""
+    """Passes datagrams to a collecting process."""
 
     noisy = False
 
@@ -21,14 +21,15 @@
         self._collector = collector
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Hands on one datagram."""
+        """Pass on one datagram."""
         self._collector.on_datagram(datagram, addr)
 
 
 class TcpCollectingProtocol(Protocol):
-    """One exporting process over TCP, a session of its own.
+    """A TCP connection from one exporting process, with its own transport session.
 
-    Malformed framing ends the connection: the stream cannot be read any further.
+    A malformed message header closes the connection, as the start of the next message
+    is then unknown.
     """
 
     def __init__(self, collector: CollectingProcess) -> None:
@@ -37,7 +38,7 @@
         self._splitter = IpfixMessageSplitter()
 
     def dataReceived(self, data: bytes) -> None:
-        """Hands on the messages that are complete."""
+        """Pass on the complete messages."""
         transport: Any = self.transport
         peer = transport.getPeer()
         try:
@@ -49,7 +50,7 @@
 
 
 class TcpCollectingFactory(Factory):
-    """Makes a protocol for each connection."""
+    """Creates a protocol for each connection."""
 
     noisy = False
 
@@ -57,5 +58,5 @@
         self._collector = collector
 
     def buildProtocol(self, addr: IAddress | None) -> TcpCollectingProtocol:
-        """Returns the protocol of a new connection."""
+        """Return the protocol of a new connection."""
         return TcpCollectingProtocol(self._collector)
--- a/milletsill/flows/collector_sender.py
+++ b/milletsill/flows/collector_sender.py
@@ -1,7 +1,4 @@
-"""Sends records to one collector.
-
-A bounded queue, a connection, a stream of messages.
-"""
+"""Sends records to one collector: a bounded queue, a connection and its messages."""
 
 from __future__ import annotations
 
@@ -33,15 +30,15 @@
 
 CONNECT_TIMEOUT_SECONDS = 3
 MAX_RECORDS_PER_STEP = 500
-"""Flows that expire, and records that are sent to a collector, in one step."""
+"""Maximum of flows that expire, and of records sent to a collector, in one step."""
 
 DROPPED_QUEUE_FULL = "queue full"
-"""Cause of a drop, as it is exported in dropCause."""
+"""Cause of a drop, exported in dropCause."""
 
 
 @dataclass(frozen=True, slots=True)
 class SenderContext:
-    """What all senders of an exporting process share."""
+    """The dependencies that all senders of an exporting process share."""
 
     reactor: ExportReactor
     clocks: ExportClocks
@@ -52,7 +49,7 @@
 
 
 class CollectorSender:
-    """Sends records to one collector; nothing waits for it."""
+    """Sends records to one collector, without blocking its caller."""
 
     def __init__(self, settings: CollectorSettings, context: SenderContext) -> None:
         self.settings = settings
@@ -69,44 +66,44 @@
         self._up_at = 0
 
     @property
-    def doubted(self) -> bool:
-        """Whether the collector has failed and was not up for long since."""
+    def is_on_probation(self) -> bool:
+        """Whether the collector has failed and has not been up for PROBATION since."""
         return self._failures > 0
 
     def enqueue(self, pending: PendingRecord) -> None:
-        """Queues a record; what a full queue drops is counted."""
+        """Queue a record; count the records that a full queue drops."""
         for dropped in self.queue.append(pending):
             self.stream.drop(dropped, DROPPED_QUEUE_FULL)
 
     def check_time(self, now: int) -> None:
-        """Acts on what time has brought."""
+        """Reconnect, end a probation or time out a blocked connection, if it is due."""
         if self.state is CollectorState.AWAY and now >= self.retry_at:
             self._handle(CollectorEvent.DUE)
-        elif self._has_proven_itself(now):
+        elif self._has_passed_probation(now):
             self._failures = 0
         elif self._is_overdue(now):
             self._handle(CollectorEvent.OVERDUE)
 
     def send(self, max_records: int = MAX_RECORDS_PER_STEP) -> None:
-        """Sends what is queued, while the collector takes it."""
+        """Send queued records while the collector accepts data."""
         left = max_records
         while self.state is CollectorState.UP and left > 0 and self.queue:
             left -= self.stream.send_from(self.queue)
 
     def drop_queued(self, cause: str) -> None:
-        """Drops and counts all that is queued."""
+        """Drop and count all queued records."""
         for pending in self.queue.drain():
             self.stream.drop(pending, cause)
 
     def close(self) -> None:
-        """Closes the connection; what its buffer holds still leaves."""
+        """Close the connection once its send buffer is empty."""
         connection = self.connection
         self.connection = None
         if connection is not None:
             connection.close()
 
     def on_connected(self, connection: CollectorConnection) -> None:
-        """A TCP connection stands."""
+        """Handle an established TCP connection."""
         if self.state is not CollectorState.CONNECTING or self.connection is not None:
             connection.abort()
             return
@@ -115,22 +112,22 @@
         self._handle(CollectorEvent.CONNECTED)
 
     def on_lost(self, connection: CollectorConnection) -> None:
-        """A TCP connection is gone."""
+        """Handle the loss of a TCP connection."""
         if self.connection is connection:
             self.connection = None
             self._handle(CollectorEvent.LOST)
 
     def on_full(self) -> None:
-        """The connection's buffer is full."""
+        """Handle a full send buffer of the connection."""
         self._handle(CollectorEvent.FULL)
 
     def on_drained(self) -> None:
-        """The connection's buffer takes octets again."""
+        """Handle a send buffer that has space again."""
         self._handle(CollectorEvent.DRAINED)
 
-    def _has_proven_itself(self, now: int) -> bool:
+    def _has_passed_probation(self, now: int) -> bool:
         is_up = self.state is CollectorState.UP
-        return is_up and self.doubted and now - self._up_at >= PROBATION
+        return is_up and self.is_on_probation and now - self._up_at >= PROBATION
 
     def _is_overdue(self, now: int) -> bool:
         is_blocked = self.state is CollectorState.BLOCKED
@@ -153,7 +150,7 @@
         if self.settings.over_udp:
             self._handle(CollectorEvent.CONNECTED)
             return
-        # A factory is an IProtocolFactory, which mypy cannot see.
+        # mypy does not see that a Factory provides IProtocolFactory.
         factory: Any = Factory.forProtocol(lambda: CollectorConnection(self))
         factory.noisy = False
         endpoint = TCP4ClientEndpoint(
@@ -172,7 +169,7 @@
         self.send()
 
     def _back_off(self, event: CollectorEvent) -> None:
-        """Waits before the next attempt, logged once until the collector is trusted."""
+        """Schedule the next connection attempt; log only the first failure in a row."""
         if not self._failures:
             self._context.log(
                 "collector_away",
--- a/milletsill/flows/collector_states.py
+++ b/milletsill/flows/collector_states.py
@@ -1,6 +1,6 @@
-"""The state of a collector, when it is tried again, and which collectors get a record.
+"""The states of a collector, its backoff, and the choice of collectors for a record.
 
-No I/O and no clock; times are ticks of 0.1 ms.
+This module does no I/O and reads no clock; times are ticks of 0.1 ms.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 
 class CollectorState(Enum):
-    """Whether a collector takes records."""
+    """The state of the connection to a collector."""
 
     AWAY = auto()
-    """Waits to be tried."""
+    """Not connected; the next attempt is scheduled."""
 
     CONNECTING = auto()
     UP = auto()
-    """Takes records."""
+    """Connected and accepting data."""
 
     BLOCKED = auto()
-    """Connected, and takes no octets."""
+    """Connected, but the send buffer is full."""
 
 
 class CollectorEvent(Enum):
-    """What happens to a collector; names are logged in lower case."""
+    """Events of the connection to a collector; names are logged in lower case."""
 
     DUE = auto()
     CONNECTED = auto()
@@ -82,8 +82,8 @@
         CollectorState.UP,
         CollectorEffect.SEND,
     ),
-    # Guards against a collector that accepts and never reads: it is left for another,
-    # and tried again later.
+    # Guards against a collector that accepts the connection and never reads: records go
+    # to another collector, and this one is tried again later.
     (CollectorState.BLOCKED, CollectorEvent.OVERDUE): (
         CollectorState.AWAY,
         CollectorEffect.BACK_OFF,
@@ -93,53 +93,54 @@
 MAX_BACKOFF = 60 * TICKS_PER_SECOND
 MAX_BACKOFF_DOUBLINGS = 20
 BLOCKED_TIMEOUT = 5 * TICKS_PER_SECOND
-"""For how long a collector may take nothing before its connection is cut."""
+"""Ticks that a send buffer may stay full before the connection is aborted."""
 
 PROBATION = 30 * TICKS_PER_SECOND
-"""For how long a collector is doubted after it came back."""
+"""Ticks for which a collector must be up after a failure to be preferred again."""
 
 
 def transition(
     state: CollectorState, event: CollectorEvent
 ) -> tuple[CollectorState, CollectorEffect]:
-    """Returns the next state and what to do.
+    """Return the next state and the effect.
 
-    An event that has no entry does nothing.
+    An event without an entry in COLLECTOR_TRANSITIONS changes nothing.
     """
     unchanged = state, CollectorEffect.NONE
     return COLLECTOR_TRANSITIONS.get((state, event), unchanged)
 
 
 def backoff(failures: int, uniform: Callable[[float, float], float]) -> int:
-    """Returns the ticks before the next attempt.
+    """Return the ticks before the next connection attempt.
 
-    They double with each failure, spread at random so that gateways do not come
-    together.
+    The time doubles with each failure, with random jitter so that gateways do not
+    reconnect at the same time.
     """
     doubled = MIN_BACKOFF * 2 ** min(failures, MAX_BACKOFF_DOUBLINGS)
     return int(min(doubled, MAX_BACKOFF) * uniform(0.5, 1.0))
 
 
 def select_all(states: Sequence[CollectorState]) -> list[int]:
-    """Returns the positions of all collectors, up or not: each gets a copy."""
+    """Return the positions of all collectors, up or not: each gets a copy."""
     return list(range(len(states)))
 
 
 def select_failover(
-    states: Sequence[CollectorState], doubted: Sequence[bool], current: int
+    states: Sequence[CollectorState], on_probation: Sequence[bool], current: int
 ) -> list[int]:
-    """Returns the position of the collector that gets the next record, if there is any.
-
-    It is the first in the operator's order that is up and not doubted, else the first
-    that is up. While none is, the current one goes on gathering, so that what is kept
-    lies in one queue and in order. Doubt guards against a collector that accepts and
-    never reads: it is up again after each cut, and would take what its socket holds
-    each time.
+    """Return the position of the collector that gets the next record, if there is one.
+
+    It is the first collector in the order of the settings that is up and not on
+    probation, or else the first that is up. If none is up, records go to the queue of
+    the current one, so that they stay in one queue and in order. Probation guards
+    against a collector that accepts connections and never reads: it is up again after
+    each aborted connection, and each time would swallow as many records as its socket
+    buffer holds.
     """
     if not states:
         return []
     up = [
         position for position, state in enumerate(states) if state is CollectorState.UP
     ]
-    trusted = [position for position in up if not doubted[position]]
-    return [(trusted or up or [current])[0]]
+    preferred = [position for position in up if not on_probation[position]]
+    return [(preferred or up or [current])[0]]
--- a/milletsill/flows/collector_transport.py
+++ b/milletsill/flows/collector_transport.py
@@ -1,4 +1,4 @@
-"""How messages leave: a UDP socket for all collectors, a TCP connection for each."""
+"""Sends messages: over one UDP socket, or a TCP connection to each collector."""
 
 from __future__ import annotations
 
@@ -12,74 +12,74 @@
 
 
 class ExportReactor(ReactorTimers, Protocol):
-    """What flow export asks of the reactor."""
+    """The methods of the reactor that flow export uses."""
 
     def listenUDP(  # noqa: N802
         self, port: int, protocol: DatagramProtocol, interface: str = ""
     ) -> Any:
-        """Binds a UDP socket."""
+        """Bind a UDP socket."""
 
 
 class ConnectionEvents(Protocol):
-    """What hears of a TCP connection to a collector."""
+    """Receives the events of a TCP connection to a collector."""
 
     def on_connected(self, connection: CollectorConnection) -> None:
-        """The connection stands; aborted here if nobody waits for it any more."""
+        """Handle an established connection; abort it if it is no longer wanted."""
 
     def on_lost(self, connection: CollectorConnection) -> None:
-        """The connection is gone."""
+        """Handle the loss of the connection."""
 
     def on_full(self) -> None:
-        """The connection's buffer is full."""
+        """Handle a full send buffer."""
 
     def on_drained(self) -> None:
-        """The connection's buffer takes octets again."""
+        """Handle a send buffer that has space again."""
 
 
 class CollectorConnection(StreamProtocol):
-    """A TCP connection to a collector; what the collector sends is ignored."""
+    """A TCP connection to a collector; data from the collector is ignored."""
 
     def __init__(self, events: ConnectionEvents) -> None:
         self._events = events
 
     def connectionMade(self) -> None:
-        """Reports the connection."""
+        """Report the established connection."""
         self._events.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Ignores what comes."""
+        """Ignore received data."""
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Reports the end."""
+        """Report the loss of the connection."""
         self._events.on_lost(self)
 
     def start_producing(self) -> None:
-        """Asks the transport to report when its buffer is full and drained."""
+        """Ask the transport for events when its send buffer fills and drains."""
         self._transport.registerProducer(self, True)
 
     def send(self, octets: bytes) -> None:
-        """Writes one message."""
+        """Write one message."""
         self._transport.write(octets)
 
     def abort(self) -> None:
-        """Cuts the connection; what its buffer holds is lost."""
+        """Abort the connection; unsent data is lost."""
         self._transport.abortConnection()
 
     def close(self) -> None:
-        """Closes the connection once its buffer has left."""
+        """Close the connection once its send buffer is empty."""
         self._transport.unregisterProducer()
         self._transport.loseConnection()
 
     def pauseProducing(self) -> None:
-        """Reports that the buffer is full."""
+        """Report that the send buffer is full."""
         self._events.on_full()
 
     def resumeProducing(self) -> None:
-        """Reports that the buffer takes octets again."""
+        """Report that the send buffer has space again."""
         self._events.on_drained()
 
     def stopProducing(self) -> None:
-        """Does nothing: the end is reported by connectionLost."""
+        """Do nothing: connectionLost reports the end."""
 
     @property
     def _transport(self) -> Any:
@@ -87,30 +87,30 @@
 
 
 class UdpSendingProtocol(DatagramProtocol):
-    """The socket's protocol; a sender of datagrams has no use for refusals."""
+    """The protocol of the UDP socket; it ignores received data and ICMP refusals."""
 
     noisy = False
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Ignores what comes."""
+        """Ignore received data."""
 
     def connectionRefused(self) -> None:
-        """Ignores refusals."""
+        """Ignore a refused datagram."""
 
 
 class ExportUdpSocket:
-    """The UDP socket that all datagrams leave by."""
+    """The UDP socket from which all datagrams are sent."""
 
     def __init__(self, reactor: ExportReactor) -> None:
         self._reactor = reactor
         self._port: Any = None
 
     def open(self) -> None:
-        """Binds the socket to any port."""
+        """Bind the socket to any free port."""
         self._port = self._reactor.listenUDP(0, UdpSendingProtocol(), interface="")
 
     def send(self, octets: bytes, address: tuple[str, int]) -> None:
-        """Sends one datagram; one that the socket refuses is lost like any other."""
+        """Send one datagram; drop it if the socket returns an error."""
         if self._port is None:
             return
         try:
@@ -119,6 +119,6 @@
             return
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Close the socket."""
         if self._port is not None:
             self._port.stopListening()
--- a/milletsill/flows/decoded_message.py
+++ b/milletsill/flows/decoded_message.py
@@ -1,4 +1,4 @@
-"""A message as a decoder returns it."""
+"""The result of decoding a message."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from milletsill.flows.templates import FieldValue
 
 DecodedValues: TypeAlias = dict[str, FieldValue]
-"""Values by the names of their elements."""
+"""Values by the names of their information elements."""
 
 
 @dataclass(frozen=True, slots=True)
 class DecodedRecord:
-    """One record; `scope_count` is 0 for a data record that is no option."""
+    """One record; `scope_count` is 0 for a record that is not an options record."""
 
     template_id: int
     scope_count: int
@@ -30,15 +30,15 @@
     records: list[DecodedRecord] = field(default_factory=list)
     template_count: int = 0
     unknown_sets: int = 0
-    """Data sets whose template is not known, not yet or no longer."""
+    """Number of data sets whose template is unknown: not received yet, or expired."""
 
 
 class MessageDecoder(Protocol):
     """Decodes the messages of one transport session."""
 
     def decode(self, octets: bytes, now: float) -> DecodedMessage:
-        """Decodes one whole message; `now` is a monotonic time in seconds.
+        """Decode one complete message; `now` is a monotonic time in seconds.
 
         Raises:
-            MalformedFlowMessageError: The message is not taken.
+            MalformedFlowMessageError: The message is malformed.
         """
--- a/milletsill/flows/delivery_account.py
+++ b/milletsill/flows/delivery_account.py
@@ -1,4 +1,4 @@
-"""What became of the records for one collector."""
+"""Counts of sent and dropped records of one collector."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 @dataclass(slots=True)
 class FlowRecordCounts:
-    """Counts that a record, or a sum of records, stands for."""
+    """Counts that a record, or a sum of records, represents."""
 
     records: int = 0
     commands: int = 0
-    dispatches: int = 0
+    attempts: int = 0
     packets: int = 0
     octets: int = 0
 
     def add(self, other: FlowRecordCounts) -> None:
-        """Adds the counts of another."""
+        """Add other counts to these."""
         self.records += other.records
         self.commands += other.commands
-        self.dispatches += other.dispatches
+        self.attempts += other.attempts
         self.packets += other.packets
         self.octets += other.octets
 
 
 @dataclass(slots=True)
 class DeliveryAccount:
-    """What was sent to one collector, and what was dropped for which cause."""
+    """Counts of what was sent to one collector, and of what was dropped, by cause."""
 
     sent: FlowRecordCounts = field(default_factory=FlowRecordCounts)
     dropped_by_cause: dict[str, FlowRecordCounts] = field(default_factory=dict)
@@ -34,11 +34,11 @@
     octets: int = 0
 
     def drop(self, cause: str, counts: FlowRecordCounts) -> None:
-        """Counts what was dropped."""
+        """Count a dropped record."""
         self.dropped_by_cause.setdefault(cause, FlowRecordCounts()).add(counts)
 
     def dropped(self) -> FlowRecordCounts:
-        """Returns all that was dropped."""
+        """Return the sum of the dropped counts over all causes."""
         total = FlowRecordCounts()
         for counts in self.dropped_by_cause.values():
             total.add(counts)
--- a/milletsill/flows/errors.py
+++ b/milletsill/flows/errors.py
@@ -6,9 +6,9 @@
 
 
 class MalformedFlowMessageError(MalformedInputError):
-    """Octets that RFC 7011 or NetFlow 9 does not allow, or that the decoder refuses."""
+    """A message violates RFC 7011 or NetFlow 9, or exceeds a limit of the decoder."""
 
     remedy = (
-        "see what exports to this collector; the message alone is passed over, "
-        "a broken stream is cut"
+        "check the exporters that send to this collector; only this message is "
+        "skipped, but a TCP connection with broken framing is closed"
     )
--- a/milletsill/flows/export_settings.py
+++ b/milletsill/flows/export_settings.py
@@ -1,4 +1,4 @@
-"""Typed settings of flow export, read from the gateway's file."""
+"""Typed settings of flow export, from the gateway's file."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from milletsill.settings.milletsill_pb2 import FlowExport
 
 TCP_MESSAGE_OCTETS = 8192
-"""Octets of a message over TCP."""
+"""Maximum octets of a message over TCP."""
 
 UDP_TRANSPORT = "udp"
-"""Value of a collector's `transport`."""
+"""Value of the setting `transport` of a collector."""
 
 
 @dataclass(frozen=True, slots=True)
 class TemplateSchedule:
-    """When templates are sent again over UDP: after so many ticks or messages."""
+    """When templates are resent over UDP: after a number of ticks or of messages."""
 
     over_udp: bool
     interval: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CollectorSettings:
-    """One collector."""
+    """Settings of one collector."""
 
     address: str
     host: str
@@ -44,21 +44,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ExportSettings:
-    """Flow export of one gateway."""
+    """Settings of flow export of one gateway."""
 
     collectors: tuple[CollectorSettings, ...]
     copies: bool
-    """Whether each collector gets every record; else one of them does."""
+    """Whether each collector gets every record; otherwise one of them does."""
 
     closest_level: MeteringLevel
     max_cost_share: float
-    """Bound of the share of time that export may take."""
+    """Maximum share of the gateway's time that export may take."""
 
     cache: FlowCacheSettings
 
 
 def read_export_settings(file: FlowExport) -> ExportSettings:
-    """Reads the settings from a checked file."""
+    """Convert the settings of a checked file."""
     return ExportSettings(
         collectors=tuple(_read_collector(file, each) for each in file.collector),
         copies=file.copies,
--- a/milletsill/flows/export_stream.py
+++ b/milletsill/flows/export_stream.py
@@ -1,4 +1,4 @@
-"""The stream of messages to one collector: templates, records, sequence numbers."""
+"""The message stream to one collector: templates, records, sequence numbers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from milletsill.flows.export_settings import CollectorSettings, TemplateSchedule
 from milletsill.flows.field_encoding import MessageBuilder
 from milletsill.flows.record_queue import (
-    MOST_NEEDED_FIRST,
+    KINDS_BY_PRIORITY,
     FlowRecordKind,
     PendingRecord,
     RecordQueue,
@@ -19,14 +19,14 @@
 
 FIRST_TEMPLATE_INTERVAL = TICKS_PER_SECOND
 TEMPLATE_INTERVAL_FACTOR = 4
-MAX_TEMPLATE_INTERVAL_STEPS = 20
+MAX_TEMPLATE_INTERVAL_STEPS = 20  # keeps the power small; the interval is capped
 DROPPED_TOO_LARGE = "too large"
-"""Cause of a drop, as it is exported in dropCause."""
+"""Cause of a drop, exported in dropCause."""
 
 
 @dataclass(slots=True)
 class TemplateProgress:
-    """How often templates were sent in a stream, when last, and messages since then."""
+    """How often and when templates were sent in a stream, and the messages since."""
 
     times_sent: int = 0
     sent_at: int = 0
@@ -36,26 +36,26 @@
 def templates_due(
     schedule: TemplateSchedule, progress: TemplateProgress, now: int
 ) -> bool:
-    """Returns whether templates go before the next record.
+    """Return whether templates must be sent before the next record.
 
-    Once on each connection; on UDP again by time and by count. There the first few come
-    soon again: a datagram lost at the start would leave the collector blind for a whole
-    interval.
+    They are sent once on each connection, and over UDP again after a time or a number
+    of messages. Over UDP the first intervals are short: if the first datagram is lost,
+    the collector cannot decode records until the templates are resent.
     """
     if not progress.times_sent:
         return True
     if not schedule.over_udp:
         return False
     steps = min(progress.times_sent - 1, MAX_TEMPLATE_INTERVAL_STEPS)
-    soon = FIRST_TEMPLATE_INTERVAL * TEMPLATE_INTERVAL_FACTOR**steps
-    interval = min(soon, schedule.interval)
+    early_interval = FIRST_TEMPLATE_INTERVAL * TEMPLATE_INTERVAL_FACTOR**steps
+    interval = min(early_interval, schedule.interval)
     if now - progress.sent_at >= interval:
         return True
     return progress.messages_since >= schedule.message_interval
 
 
 class ExportStream:
-    """Writes the messages of one collector; `transmit` takes them."""
+    """Builds the messages to one collector and passes them to `transmit`."""
 
     def __init__(
         self,
@@ -75,15 +75,15 @@
         self._templates = TemplateProgress()
 
     def restart(self) -> None:
-        """Starts over on a new connection, which is a stream of its own (RFC 7011)."""
+        """Start a new stream, as each connection is its own stream (RFC 7011)."""
         self._templates = TemplateProgress()
         if not self._settings.over_udp:
             self._sequence = 0
 
     def drop(self, pending: PendingRecord, cause: str) -> None:
-        """Counts a record that will not be sent.
+        """Count a record that will not be sent.
 
-        It leaves a gap in the sequence, so that the stream shows it too.
+        The sequence number skips it, so that the collector sees the loss.
         """
         self.account.drop(cause, pending.counts)
         is_option = pending.kind is FlowRecordKind.OPTION
@@ -91,9 +91,9 @@
             self._sequence += 1
 
     def send_from(self, queue: RecordQueue) -> int:
-        """Sends one message, after templates if they are due.
+        """Send one message, preceded by templates if they are due.
 
-        Returns the number of records that left the queue; it must not be empty.
+        Returns the number of records removed from the queue, which must not be empty.
         """
         now = self._clocks.now()
         if templates_due(self._settings.templates, self._templates, now):
@@ -101,7 +101,7 @@
         message = self._new_message()
         taken = self._fill(message, queue)
         if not taken:
-            self.drop(queue.pop_most_needed(), DROPPED_TOO_LARGE)
+            self.drop(queue.pop_highest_priority(), DROPPED_TOO_LARGE)
             return 1
         self._send(message, taken)
         return len(taken)
@@ -110,9 +110,9 @@
         return self._codec.new_message(self._settings.max_message_octets)
 
     def _fill(self, message: MessageBuilder, queue: RecordQueue) -> list[PendingRecord]:
-        """Moves records to a message, the most needed kind first, until it is full."""
+        """Move records to a message, in order of priority, until it is full."""
         taken: list[PendingRecord] = []
-        for kind in MOST_NEEDED_FIRST:
+        for kind in KINDS_BY_PRIORITY:
             waiting = queue.records(kind)
             while waiting:
                 record = waiting[0].record
@@ -123,7 +123,7 @@
         return taken
 
     def _send_templates(self, now: int) -> None:
-        """Sends all templates and element types, in messages of their own."""
+        """Send all templates and element types, in separate messages."""
         self._templates.times_sent += 1
         self._templates.sent_at = now
         self._templates.messages_since = 0
@@ -145,7 +145,7 @@
         self._send(message, [])
 
     def _send(self, message: MessageBuilder, taken: Sequence[PendingRecord]) -> None:
-        """Hands out one message and accounts for it."""
+        """Transmit one message and count it."""
         octets = message.finish(int(self._clocks.wall()), self._sequence, self._domain)
         if self._codec.sequence_counts_records:
             self._sequence += message.data_records
--- a/milletsill/flows/exporting_process.py
+++ b/milletsill/flows/exporting_process.py
@@ -1,6 +1,6 @@
 """The exporting process (RFC 7011) of one gateway: flow cache, metering, collectors.
 
-It acts in steps on the reactor's timer; client work never waits for any of it.
+It runs in short steps on a timer of the reactor, and requests never wait for it.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 STEP_SECONDS = 0.1
 STEPS_PER_COST_CHECK = 10
 STEPS_PER_REPORT = 100
-ALL_RECORDS = 1 << 30
+ALL_RECORDS = 1 << 30  # more than any queue holds
 MIN_LIFETIME_SECONDS = 0.001
 DROPPED_STOPPED = "stopped"
-"""Cause of a drop, as it is exported in dropCause."""
+"""Cause of a drop, exported in dropCause."""
 
 
 class ExportingProcess:
@@ -81,13 +81,13 @@
         self._export_cost_seconds = 0.0
 
     def start(self) -> None:
-        """Opens the UDP socket, if a collector wants one, and takes the first step."""
+        """Open the UDP socket, if a collector needs it, and run the first step."""
         if any(sender.settings.over_udp for sender in self.senders):
             self.datagrams.open()
         self.step()
 
     def step(self) -> None:
-        """Expires flows, looks after the collectors and checks the cost."""
+        """Expire flows, send records to the collectors and check the cost of export."""
         began = self._clocks.cost_timer()
         now = self._clocks.now()
         self._steps += 1
@@ -104,9 +104,9 @@
         self.next_step = self._reactor.callLater(STEP_SECONDS, self.step)
 
     def flush(self) -> None:
-        """Sends all flows, the last report, and what can be sent at once, at the end.
+        """Export all flows and a last report at shutdown, as far as possible at once.
 
-        The rest is dropped and counted.
+        Records that the collectors do not accept now are dropped and counted.
         """
         self.cache.flush()
         for sender in self.senders:
@@ -128,7 +128,7 @@
         )
 
     def stop(self) -> None:
-        """Closes the connections and the socket; what they hold still leaves."""
+        """Close the connections and the socket; buffered data is still sent."""
         for sender in self.senders:
             sender.close()
         self.datagrams.close()
@@ -137,20 +137,20 @@
         return self._export_cost_seconds + self.metering.cost_seconds
 
     def _export(self, pending: PendingRecord) -> None:
-        """Queues a record for the collectors that get it."""
+        """Queue a record for the selected collectors."""
         states = [sender.state for sender in self.senders]
         if self._settings.copies:
             positions = select_all(states)
         else:
-            doubted = [sender.doubted for sender in self.senders]
-            positions = select_failover(states, doubted, self._current)
+            on_probation = [sender.is_on_probation for sender in self.senders]
+            positions = select_failover(states, on_probation, self._current)
         for position in positions:
             self.senders[position].enqueue(pending)
         if positions and not self._settings.copies:
             self._fail_over(positions[0])
 
     def _fail_over(self, position: int) -> None:
-        """Makes a collector the current one; it gets what the old one still holds."""
+        """Make a collector the current one and move the queue of the old one to it."""
         if position == self._current:
             return
         old = self.senders[self._current]
@@ -158,7 +158,7 @@
         self.senders[position].queue.take_over(old.queue)
 
     def _check_cost(self, now: int) -> None:
-        """Measures what export costs, and meters more or less closely for it."""
+        """Measure the cost of export and adjust the metering level to it."""
         cost = self._cost_seconds()
         elapsed = (now - self._cost_checked_at) / TICKS_PER_SECOND
         share = (cost - self._cost_at_check) / elapsed if elapsed > 0 else 0.0
@@ -174,7 +174,7 @@
             self._report()
 
     def _report(self) -> None:
-        """Queues the options; the newest report replaces older ones."""
+        """Queue the options records; they replace those still queued."""
         sampling = sampling_record(self._identity, self.metering, self.control)
         for sender in self.senders:
             if not sender.settings.codec.exports_options:
--- a/milletsill/flows/field_encoding.py
+++ b/milletsill/flows/field_encoding.py
@@ -1,7 +1,4 @@
-"""What the codecs of IPFIX and NetFlow version 9 have in common.
-
-How values are packed.
-"""
+"""The parts that the codecs of IPFIX and NetFlow version 9 share: values and sets."""
 
 from __future__ import annotations
 
@@ -15,70 +12,70 @@
 from milletsill.flows.templates import DataRecord, Template
 
 FieldPacker: TypeAlias = Callable[[Any], bytes]
-"""Packs one value of one element."""
+"""Encodes a value of one information element."""
 
 SET_HEADER = Struct(">HH")
-"""Set id and length of a set with its header, in octets."""
+"""Set id, and octets of the set with this header."""
 
 UNSIGNED_STRUCTS = {1: Struct(">B"), 2: Struct(">H"), 4: Struct(">I"), 8: Struct(">Q")}
 """Unsigned integers by their width in octets."""
 
 FLOAT64 = Struct(">d")
 FIRST_DATA_SET_ID = 256
-"""Smallest id of a template, and of the sets of its records."""
+"""Smallest template id, which is also the set id of the template's records."""
 
 MAX_PADDING = 3
-"""Octets that align a set to four octets."""
+"""Maximum octets of padding that align a set to four octets."""
 
 COUNTER_MODULUS = 1 << 32
 """Sequence numbers and export times wrap around at this number."""
 
 MAX_TEMPLATES = 1024
-"""Templates that a decoder holds; the oldest goes."""
+"""Maximum of templates in a decoder; the oldest is dropped."""
 
 MAX_TEMPLATE_FIELDS = 256
-"""Fields that a template may have."""
+"""Maximum of fields in a template."""
 
 
 class RecordEncoder(Protocol):
-    """Writes the records and templates of one export format."""
+    """Encodes the records and templates of one export format."""
 
     def encode_record(self, record: DataRecord) -> bytes:
-        """Returns the octets of one data record, without a set header."""
+        """Return the octets of one data record, without a set header."""
 
     def encode_templates(
         self, templates: Sequence[Template]
     ) -> list[tuple[int, bytes]]:
-        """Returns the id of the set and the octets of each template."""
+        """Return the set id and the octets of each template."""
 
     def element_type_records(self) -> list[DataRecord]:
-        """Returns the records that describe our own elements, if the format has any."""
+        """Return the records that describe the enterprise elements, if supported."""
 
 
 class MessageBuilder(Protocol):
-    """Gathers records into sets until a message is full."""
+    """Collects records in sets until a message is full."""
 
     data_records: int
 
     def add(self, set_id: int, encoded: bytes) -> bool:
-        """Adds one record.
+        """Add one record.
 
-        Returns False, and adds nothing, when the message is full.
+        Returns False and adds nothing if the message is full.
         """
 
     def finish(self, export_time: int, sequence: int, domain: int) -> bytes:
-        """Returns the message. `export_time` is in seconds since 1970."""
+        """Return the message. `export_time` is in seconds since 1970."""
 
 
 def pack_unsigned(width: int, value: int) -> bytes:
-    """Packs an unsigned integer that is known to fit `width` octets."""
+    """Encode an unsigned integer that fits in `width` octets."""
     return UNSIGNED_STRUCTS[width].pack(value)
 
 
 def truncate_text(text: str, max_octets: int) -> bytes:
-    """Encodes text as UTF-8 of at most `max_octets`, cut between characters.
+    """Encode text as UTF-8 of at most `max_octets`, truncated between characters.
 
-    What UTF-8 cannot express (lone surrogates) becomes question marks.
+    Lone surrogates, which UTF-8 cannot encode, become question marks.
     """
     encoded = text.encode("utf-8", "replace")
     if len(encoded) <= max_octets:
@@ -87,14 +84,14 @@
 
 
 def decode_text(octets: bytes) -> str:
-    """Decodes UTF-8; what is none becomes the replacement character."""
+    """Decode UTF-8; invalid octets become the replacement character."""
     return octets.decode("utf-8", "replace")
 
 
 def fixed_width_packer(element: InformationElement) -> FieldPacker:
-    """Returns what packs a value of an element with a fixed width.
+    """Return the packer for an element of fixed width.
 
-    An integer out of the range becomes the largest one.
+    An integer out of range is replaced by the maximum.
     """
     if element.data_type is DataType.IPV4_ADDRESS:
         return lambda address: IPv4Address(address).packed
@@ -106,7 +103,7 @@
 
 
 class PackerCache:
-    """The packers of a template's elements, made once for each template."""
+    """Caches the packers for the elements of each template."""
 
     __slots__ = ("_by_template", "_packer_of")
 
@@ -115,7 +112,7 @@
         self._by_template: dict[int, tuple[FieldPacker, ...]] = {}
 
     def encode(self, record: DataRecord) -> bytes:
-        """Returns the octets of one record."""
+        """Return the octets of one record."""
         packers = self._by_template.get(record.template.id)
         if packers is None:
             packers = tuple(map(self._packer_of, record.template.elements))
@@ -127,10 +124,10 @@
 
 
 class SetBuilder:
-    """Gathers records into the sets of one message.
+    """Collects records in the sets of one message.
 
-    `max_octets` bounds a message, except that a first record is always taken as long as
-    `hard_limit` allows; None for no such limit.
+    A message has at most `max_octets`, but the first record is accepted up to
+    `hard_limit` octets; None is no limit.
     """
 
     def __init__(
@@ -144,9 +141,9 @@
         self._hard_limit = hard_limit
 
     def add(self, set_id: int, encoded: bytes) -> bool:
-        """Adds one record.
+        """Add one record.
 
-        Returns False, and adds nothing, when the message is full.
+        Returns False and adds nothing if the message is full.
         """
         same_set = bool(self.sets) and self.sets[-1][0] == set_id
         needed = len(encoded)
@@ -167,26 +164,32 @@
 
 
 def encode_set(set_id: int, body: bytes, padding: int) -> bytes:
-    """Returns a set with its header and `padding` octets of zero."""
+    """Return a set with its header and `padding` zero octets."""
     header = SET_HEADER.pack(set_id, SET_HEADER.size + len(body) + padding)
     return header + body + bytes(padding)
 
 
 def decode_set_header(octets: bytes, offset: int, set_name: str) -> tuple[int, int]:
-    """Returns a set's id and its length with the header.
+    """Return the id of a set and its length with the header.
+
+    Args:
+        octets: The message.
+        offset: Where the set begins.
+        set_name: The format's name for a set, for error messages.
 
     Raises:
-        MalformedFlowMessageError: The set ends outside the message; `set_name` is
-            how the format calls a set.
+        MalformedFlowMessageError: The set extends past the end of the message.
     """
     left = len(octets) - offset
     if left < SET_HEADER.size:
         raise MalformedFlowMessageError(
-            f"{left} bytes left over behind the last {set_name}"
+            f"{left} bytes after the last {set_name} at byte {offset}: expected "
+            f"{SET_HEADER.size} or more"
         )
     set_id, length = SET_HEADER.unpack_from(octets, offset)
     if length < SET_HEADER.size or length > left:
         raise MalformedFlowMessageError(
-            f"a {set_name} of {length} bytes where {left} are left"
+            f"a {set_name} of {length} bytes at byte {offset}, expected "
+            f"{SET_HEADER.size} to {left}"
         )
     return set_id, length
--- a/milletsill/flows/flow_cache.py
+++ b/milletsill/flows/flow_cache.py
@@ -1,4 +1,4 @@
-"""The flow cache: sums by flow, bounded; what leaves it becomes records."""
+"""The flow cache: a bounded table of flows, which are exported as they leave it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowCacheSettings:
-    """The bounds of a flow cache; timeouts are ticks."""
+    """The limits of a flow cache; timeouts are in ticks."""
 
     max_flows: int
     active_timeout: int
@@ -29,8 +29,8 @@
 class FlowCache:
     """Flows by key.
 
-    One order is by last event, for idle flows, the other by start, for active ones; so
-    only what leaves is looked at.
+    One dict is ordered by last event, for the idle timeout, the other by start, for the
+    active timeout, so that expiry visits only flows that leave.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         return len(self._by_last_seen)
 
     def touch(self, key: FlowKey, now: int) -> Flow:
-        """Returns the flow of a key, made where there is none.
+        """Return the flow of a key; create it if it does not exist.
 
         A full cache evicts a flow first.
         """
@@ -68,9 +68,9 @@
         return flow
 
     def expire(self, now: int, max_flows: int) -> int:
-        """Exports idle and active flows whose time is up; returns their number.
+        """Export flows that reached a timeout, and return their number.
 
-        At most `max_flows` of each order leave in one call.
+        One call exports at most `max_flows` for each of the two orders.
         """
         expired = 0
         for keys in (self._by_last_seen, self._by_start):
@@ -86,7 +86,7 @@
         return expired
 
     def flush(self) -> None:
-        """Exports all flows, at the end of the process."""
+        """Export all flows, at shutdown."""
         for key in list(self._by_last_seen):
             self._end(key, FlowEndReason.FORCED_END)
 
--- a/milletsill/flows/flow_expiry.py
+++ b/milletsill/flows/flow_expiry.py
@@ -1,4 +1,4 @@
-"""Which flows leave the cache, when and why. No I/O and no clock."""
+"""Decides which flows leave the cache. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 Value = TypeVar("Value")
 
 EVICTION_CANDIDATES = 8
-"""Flows, those idle for longest, of which the smallest is evicted."""
+"""Number of longest idle flows, of which the smallest is evicted."""
 
 
 def select_victim(
     oldest_first: Iterable[tuple[Key, Value]], size_of: Callable[[Value], int]
 ) -> Key:
-    """Returns the key of the flow to evict: of the few idle for longest the smallest.
+    """Return the key of the flow to evict: the smallest of the longest idle ones.
 
-    The oldest alone would send out a large flow that rests for a moment and comes back
-    at once. The smallest of all would need a look at all of them. A choice at random by
-    size (as elephant detection has it) needs no order but loses exactness. No count is
-    lost either way: an evicted flow is exported, with the reason lack of resources.
+    Evicting the longest idle flow would often evict a large flow that pauses briefly
+    and then returns. Finding the smallest of all flows would require a full scan. A
+    random choice by size, as in elephant flow detection, needs no order but is inexact.
+    No count is lost in any case: an evicted flow is exported with LACK_OF_RESOURCES.
     """
     candidates = islice(oldest_first, EVICTION_CANDIDATES)
     return min(candidates, key=lambda item: size_of(item[1]))[0]
@@ -32,7 +32,7 @@
 def expiry_reason(
     now: int, started: int, last_seen: int, active_timeout: int, idle_timeout: int
 ) -> FlowEndReason | None:
-    """Returns why a flow is to be exported now, or None if it stays."""
+    """Return the reason to export a flow now, or None if it stays."""
     if now - last_seen >= idle_timeout:
         return FlowEndReason.IDLE_TIMEOUT
     if now - started >= active_timeout:
--- a/milletsill/flows/flow_records.py
+++ b/milletsill/flows/flow_records.py
@@ -1,8 +1,9 @@
-"""Flows, their keys, and the records that they become.
+"""Flows, their keys, and the records that export them.
 
-Client flows: connection, store, plan, category; octets and packets to the gateway and,
-reversed, back to the client; commands by outcome. Node flows: node, store, category,
-outcome; octets and packets to the node and back; dispatches.
+A client flow is keyed by connection, volume, service plan and request class. It counts
+octets and packets to the gateway and, as reverse elements, back to the client, and
+commands by outcome. A node flow is keyed by node, volume, request class and outcome. It
+counts octets and packets to the node and back, and attempts.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 """protocolIdentifier of TCP (IANA)."""
 
 UNKNOWN_PORT = 0
-"""Port of the gateway towards nodes: it differs from connection to connection."""
+"""Port of the gateway in node flows: it is different for each connection."""
 
 WallMilliseconds: TypeAlias = Callable[[int], int]
 """Converts ticks to milliseconds since 1970."""
 
 
 class CommandOutcome(StrEnum):
-    """How a client's command ended; values are exported as finalAnswer."""
+    """How a client's command ended; the values are exported as finalAnswer."""
 
     SUCCEEDED = "satisfied"
     REJECTED = "declined"
@@ -44,19 +45,19 @@
 
 
 class ClientFlowKey(NamedTuple):
-    """The ends of a client's connection and what its commands concern."""
+    """The endpoints of a client connection, and the attributes of its commands."""
 
     client: str
     client_port: int
     gateway: str
     gateway_port: int
-    store: str
-    plan: str
-    category: str
+    volume: str
+    service_plan: str
+    request_class: str
 
 
 class NodeFlowKey(NamedTuple):
-    """A node and what dispatches to it concern.
+    """A node, and the attributes of attempts on it.
 
     `outcome` is empty for control packets.
     """
@@ -65,8 +66,8 @@
     node: str
     node_port: int
     node_id: int
-    store: str
-    category: str
+    volume: str
+    request_class: str
     outcome: str
 
 
@@ -75,9 +76,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """What one event adds to a flow; `duration` is in ticks.
+    """The traffic that one event adds to a flow; `duration` is in ticks.
 
-    Forward is from the client, or to the node.
+    The forward direction is from the client, or to the node.
     """
 
     forward_octets: int
@@ -88,18 +89,18 @@
 
     @property
     def packets(self) -> int:
-        """Packets both ways."""
+        """Packets in both directions."""
         return self.forward_packets + self.reverse_packets
 
     @property
     def octets(self) -> int:
-        """Octets both ways."""
+        """Octets in both directions."""
         return self.forward_octets + self.reverse_octets
 
 
 @dataclass(slots=True)
 class Flow:
-    """The sums of one flow; times are ticks."""
+    """The sums of one flow; times are in ticks."""
 
     started: int
     last_seen: int
@@ -108,7 +109,7 @@
     reverse_octets: int = 0
     reverse_packets: int = 0
     count: int = 0
-    """Commands of a client flow, dispatches of a node flow."""
+    """Commands of a client flow, or attempts of a node flow."""
 
     retries: int = 0
     duration_sum: int = 0
@@ -119,7 +120,7 @@
     abandoned: int = 0
 
     def add(self, now: int, exchange: Exchange) -> None:
-        """Adds one event."""
+        """Add one event."""
         self.last_seen = now
         self.forward_octets += exchange.forward_octets
         self.forward_packets += exchange.forward_packets
@@ -129,7 +130,7 @@
         self.duration_max = max(self.duration_max, exchange.duration)
 
     def count_outcome(self, outcome: CommandOutcome) -> None:
-        """Counts one command by its outcome."""
+        """Count one command by its outcome."""
         self.count += 1
         if outcome is CommandOutcome.SUCCEEDED:
             self.succeeded += 1
@@ -142,19 +143,19 @@
 
     @property
     def packets(self) -> int:
-        """Packets both ways."""
+        """Packets in both directions."""
         return self.forward_packets + self.reverse_packets
 
     @property
     def octets(self) -> int:
-        """Octets both ways."""
+        """Octets in both directions."""
         return self.forward_octets + self.reverse_octets
 
 
 def flow_record(
     key: FlowKey, flow: Flow, reason: FlowEndReason, to_wall: WallMilliseconds
 ) -> PendingRecord:
-    """Returns the record of a flow that leaves the cache."""
+    """Return the record of a flow that leaves the cache."""
     if isinstance(key, ClientFlowKey):
         return client_flow_record(key, flow, reason, to_wall)
     return node_flow_record(key, flow, reason, to_wall)
@@ -163,7 +164,7 @@
 def client_flow_record(
     key: ClientFlowKey, flow: Flow, reason: FlowEndReason, to_wall: WallMilliseconds
 ) -> PendingRecord:
-    """Returns the record of a client flow, in the order of CLIENT_FLOW."""
+    """Return the record of a client flow, with the fields of CLIENT_FLOW."""
     values: tuple[FieldValue, ...] = (
         key.client,
         key.gateway,
@@ -178,9 +179,9 @@
         flow.abandoned,
         flow.duration_sum * MICROSECONDS_PER_TICK,
         flow.duration_max * MICROSECONDS_PER_TICK,
-        key.store,
-        key.plan,
-        key.category,
+        key.volume,
+        key.service_plan,
+        key.request_class,
     )
     counts = FlowRecordCounts(
         records=1, commands=flow.count, packets=flow.packets, octets=flow.octets
@@ -191,7 +192,7 @@
 def node_flow_record(
     key: NodeFlowKey, flow: Flow, reason: FlowEndReason, to_wall: WallMilliseconds
 ) -> PendingRecord:
-    """Returns the record of a node flow, in the order of NODE_FLOW."""
+    """Return the record of a node flow, with the fields of NODE_FLOW."""
     values: tuple[FieldValue, ...] = (
         key.gateway,
         key.node,
@@ -204,12 +205,12 @@
         flow.duration_sum * MICROSECONDS_PER_TICK,
         flow.duration_max * MICROSECONDS_PER_TICK,
         key.node_id,
-        key.store,
-        key.category,
+        key.volume,
+        key.request_class,
         key.outcome,
     )
     counts = FlowRecordCounts(
-        records=1, dispatches=flow.count, packets=flow.packets, octets=flow.octets
+        records=1, attempts=flow.count, packets=flow.packets, octets=flow.octets
     )
     return PendingRecord(DataRecord(NODE_FLOW, values), FlowRecordKind.FLOW, counts)
 
@@ -217,7 +218,7 @@
 def _times_and_volume(
     flow: Flow, reason: FlowEndReason, to_wall: WallMilliseconds
 ) -> tuple[int, ...]:
-    """Returns the values that both kinds of flows have behind their endpoints."""
+    """Return the values that follow the endpoints in both kinds of flow record."""
     return (
         to_wall(flow.started),
         to_wall(flow.last_seen),
@@ -236,9 +237,10 @@
     now: int,
     to_wall: WallMilliseconds,
 ) -> PendingRecord:
-    """Returns the record of one command, in the order of COMMAND_RECORD.
+    """Return the record of one command, with the fields of COMMAND_RECORD.
 
-    Its flow holds its counts, so that the record counts itself alone.
+    The flow includes the counts of the command, so its own record counts only as a
+    record.
     """
     values: tuple[FieldValue, ...] = (
         key.client,
@@ -254,9 +256,9 @@
         exchange.reverse_octets,
         exchange.reverse_packets,
         exchange.duration * MICROSECONDS_PER_TICK,
-        key.store,
-        key.plan,
-        key.category,
+        key.volume,
+        key.service_plan,
+        key.request_class,
         outcome.value,
     )
     record = DataRecord(COMMAND_RECORD, values)
--- a/milletsill/flows/flow_totals.py
+++ b/milletsill/flows/flow_totals.py
@@ -1,4 +1,4 @@
-"""Sums over the flow records that a collecting process received."""
+"""Sums over the flow records that a collecting process receives."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from milletsill.flows.templates import FieldValue
 
 MAX_TOP_ENTRIES = 100_000
-"""Stores, or nodes, whose octets are held; past that the smaller half is forgotten."""
+"""Maximum of volumes or of nodes with a sum; above it the smaller half is dropped."""
 
 SUMMED_ELEMENTS = (
     "octetDeltaCount",
@@ -29,16 +29,16 @@
 
 
 class FlowTotals:
-    """Sums by side and element, octets by store and by node, dispatches by outcome."""
+    """Sums by flow kind and element, octets by volume and node, attempts by outcome."""
 
     def __init__(self) -> None:
         self.sums: Counter[str] = Counter()
-        self.octets_by_store: Counter[str] = Counter()
+        self.octets_by_volume: Counter[str] = Counter()
         self.octets_by_node: Counter[str] = Counter()
-        self.dispatches_by_outcome: Counter[str] = Counter()
+        self.attempts_by_outcome: Counter[str] = Counter()
 
     def add(self, values: DecodedValues) -> None:
-        """Adds one flow record."""
+        """Add one flow record."""
         is_node_flow = "boxId" in values
         prefix = NODE_PREFIX if is_node_flow else CLIENT_PREFIX
         for name in SUMMED_ELEMENTS:
@@ -49,21 +49,21 @@
         if is_node_flow:
             self.octets_by_node[str(values["boxId"])] += octets
             outcome = str(values.get("dispatchOutcome", ""))
-            dispatches = _integer(values.get("dispatchDeltaCount", 0))
-            self.dispatches_by_outcome[outcome] += dispatches
-            _forget_smallest(self.octets_by_node)
+            attempts = _integer(values.get("dispatchDeltaCount", 0))
+            self.attempts_by_outcome[outcome] += attempts
+            _drop_smaller_half(self.octets_by_node)
         else:
-            self.octets_by_store[str(values.get("storeName", ""))] += octets
-            _forget_smallest(self.octets_by_store)
+            self.octets_by_volume[str(values.get("storeName", ""))] += octets
+            _drop_smaller_half(self.octets_by_volume)
 
 
 def _integer(value: FieldValue) -> int:
     if not isinstance(value, int):
-        raise TypeError(f"a counter of {value!r}")
+        raise TypeError(f"expected an integer counter, found {value!r}")
     return value
 
 
-def _forget_smallest(top: Counter[str]) -> None:
+def _drop_smaller_half(top: Counter[str]) -> None:
     if len(top) > MAX_TOP_ENTRIES:
         for name, _ in top.most_common()[MAX_TOP_ENTRIES // 2 :]:
             del top[name]
--- a/milletsill/flows/gateway_export.py
+++ b/milletsill/flows/gateway_export.py
@@ -1,4 +1,4 @@
-"""Flow export as the SFTP gateway uses it: its events in its own terms."""
+"""The interface of flow export for the SFTP gateway."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 UNKNOWN_ADDRESS = "0.0.0.0"
 FALLBACK_DOMAIN = 1
 ExchangeMeter: TypeAlias = Callable[[NodeRequest | None, str, int, int, int], None]
-"""Takes an exchange: request, outcome, octets out and back, duration in ticks."""
+"""Called with request, outcome, octets sent and received, and duration in ticks."""
 
 
 def observation_domain(gateway_name: str) -> int:
-    """Returns the observation domain of a gateway whose file names none; never 0."""
+    """Return the default observation domain of a gateway, from its name; never 0."""
     encoded = gateway_name.encode("utf-8", "replace")
     return xxhash.xxh32_intdigest(encoded) or FALLBACK_DOMAIN
 
 
 def ipv4_address(host: str) -> str:
-    """Returns a host that is an IPv4 address, or 0.0.0.0 for what is none."""
+    """Return the host if it is an IPv4 address, and else 0.0.0.0."""
     parts = host.split(".")
     if len(parts) != 4:
         return UNKNOWN_ADDRESS
@@ -54,7 +54,7 @@
         seed: int,
         log: Callable[..., None],
     ) -> None:
-        """Takes the reactor, the clock in ticks, the file, a seed and the log."""
+        """Create the exporting process; `now` returns the gateway's clock in ticks."""
         domain = observation_domain(file.name)
         if file.flows.HasField("domain"):
             domain = file.flows.domain
@@ -74,21 +74,21 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Starts to export."""
+        """Start flow export."""
         self.exporting_process.start()
 
-    def client(  # noqa: PLR0913
+    def meter_client_exchange(  # noqa: PLR0913
         self,
         endpoints: tuple[str, int, str, int],
-        store: str,
-        plan: str,
-        category: str,
+        volume: str,
+        service_plan: str,
+        request_class: str,
         outcome: str,
         octets_in: int,
         octets_out: int,
         duration: int,
     ) -> None:
-        """Meters one command, or with an empty `outcome` a packet that is none's.
+        """Meter one command, or a packet outside commands if `outcome` is empty.
 
         `endpoints` are host and port of the client and of the gateway; `duration` is in
         ticks.
@@ -99,16 +99,16 @@
             client_port,
             ipv4_address(gateway),
             gateway_port,
-            store,
-            plan,
-            category,
+            volume,
+            service_plan,
+            request_class,
         )
         exchange = Exchange(octets_in, 1, octets_out, int(octets_out > 0), duration)
         command_outcome = CommandOutcome(outcome) if outcome else None
         self._metering.on_command(key, command_outcome, exchange)
 
-    def box(self, node_id: int, address: str) -> ExchangeMeter:
-        """Returns what meters the exchanges with a node."""
+    def node_exchange_meter(self, node_id: int, address: str) -> ExchangeMeter:
+        """Return the function that meters the exchanges with a node."""
         host, _, port = address.rpartition(":")
         node_host = ipv4_address(host)
         node_port = int(port)
@@ -137,12 +137,12 @@
                 duration,
             )
             is_retry = request is not None and request.number > 0
-            self._metering.on_dispatch(key, is_retry, exchange)
+            self._metering.on_attempt(key, is_retry, exchange)
 
         return on_exchange
 
     def stop(self) -> None:
-        """Sends what can be sent at once and closes; once."""
+        """Send what can be sent at once and close; further calls do nothing."""
         if self._stopped:
             return
         self._stopped = True
--- a/milletsill/flows/information_elements.py
+++ b/milletsill/flows/information_elements.py
@@ -1,9 +1,9 @@
-"""Information elements of the records: those of IANA that are used, and our own.
+"""The information elements of the records: elements of IANA and enterprise elements.
 
 Sources: IANA's registry of IPFIX information elements; RFC 7012 (data types), RFC 5103
 (reverse elements), RFC 5610 (types of enterprise elements, exported in the stream).
-Our own elements stand under the settings' `enterprise` number. Its default, 32473, is
-the number that RFC 5612 keeps for documentation.
+The enterprise elements of milletsill use the number in the setting `enterprise`. Its
+default, 32473, is reserved for documentation by RFC 5612.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 """Private enterprise number for documentation (RFC 5612)."""
 
 VARIABLE_LENGTH = 65535
-"""Field length in a template that stands for a variable length."""
+"""Field length in a template that denotes a variable length."""
 
 
 class DataType(StrEnum):
@@ -89,7 +89,7 @@
 
 
 class ElementSpace(Enum):
-    """Who has given an element its number."""
+    """The number space of an element."""
 
     IANA = "iana"
     ENTERPRISE = "enterprise"
--- a/milletsill/flows/ipfix_decoder.py
+++ b/milletsill/flows/ipfix_decoder.py
@@ -1,7 +1,7 @@
 """Decodes IPFIX messages (RFC 7011) strictly.
 
-A message is taken whole or refused. Templates are bounded in number and, where a
-lifetime is given, in time.
+A message is decoded completely or rejected. The number of templates is limited, and
+templates expire if a lifetime is given.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 from milletsill.flows.templates import FieldValue
 
 MAX_ELEMENT_NAMES = 8192
-"""Element names that a decoder holds, with those learned from the stream."""
+"""Maximum of element names in a decoder, including those from the stream."""
 
 MAX_ELEMENT_NAME_LENGTH = 200
 DATA_TYPES_BY_NUMBER: dict[FieldValue, DataType] = {
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IpfixTemplate:
-    """A received template, and when it came."""
+    """A received template and the time of its receipt."""
 
     fields: tuple[FieldSpecifier, ...]
     scope_count: int
     received_at: float
 
     def min_record_octets(self) -> int:
-        """Returns the length of the shortest record."""
+        """Return the minimum length of a record."""
         return sum(
             1 if field.length == VARIABLE_LENGTH else field.length
             for field in self.fields
@@ -81,9 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodingContext:
-    """What is known while one message is decoded.
+    """The state while one message is decoded.
 
-    `templates` are those of this message by domain and id; None withdraws one.
+    `templates` are the templates in this message by domain and id; None is a
+    withdrawal.
     """
 
     message: DecodedMessage
@@ -99,10 +100,12 @@
         enterprise: int = DOCUMENTATION_PEN,
         template_lifetime: float | None = None,
     ) -> None:
-        """Takes the number of our own elements and the lifetime of templates.
+        """Create a decoder without templates.
 
-        `template_lifetime` is in seconds, for UDP; None where templates last as long
-        as the session.
+        Args:
+            enterprise: Private enterprise number of milletsill's elements.
+            template_lifetime: In seconds, for UDP; None if templates are valid for the
+                whole session.
         """
         self.templates: dict[tuple[int, int], IpfixTemplate] = {}
         self._template_lifetime = template_lifetime
@@ -113,10 +116,10 @@
             self._elements[key] = (element.name, element.data_type)
 
     def decode(self, octets: bytes, now: float) -> DecodedMessage:
-        """Decodes one whole message; a refused one leaves the templates as they were.
+        """Decode one complete message; a malformed one does not change the templates.
 
         Raises:
-            MalformedFlowMessageError: The message is not taken.
+            MalformedFlowMessageError: The message is malformed.
         """
         message = _decode_header(octets)
         context = DecodingContext(message, now, {})
@@ -130,11 +133,13 @@
             elif set_id >= FIRST_DATA_SET_ID:
                 self._decode_data_set(body, set_id, context)
             else:
-                raise MalformedFlowMessageError(f"set id {set_id} is not allowed")
+                raise MalformedFlowMessageError(
+                    f"set id {set_id} at byte {offset} is reserved"
+                )
             offset += length
         self._store_templates(context.templates)
         for record in message.records:
-            self._learn_element(record.values)
+            self._store_element_type(record.values)
         return message
 
     def _store_templates(
@@ -164,7 +169,7 @@
     def _decode_data_set(
         self, body: bytes, set_id: int, context: DecodingContext
     ) -> None:
-        """Decodes the records of a set; padding is shorter than any record."""
+        """Decode the records of a set; a rest shorter than any record is padding."""
         template = self._find_template(set_id, context)
         if template is None:
             context.message.unknown_sets += 1
@@ -176,19 +181,23 @@
             for field in template.fields:
                 length, offset = _decode_length(field, body, offset)
                 if offset + length > len(body):
-                    raise MalformedFlowMessageError("a record is cut short")
+                    raise MalformedFlowMessageError(
+                        f"a record with field {field.number} is truncated"
+                    )
                 name, value = self._decode_value(field, body[offset : offset + length])
                 values[name] = value
                 offset += length
             record = DecodedRecord(set_id, template.scope_count, values)
             context.message.records.append(record)
         if any(body[offset:]):
-            raise MalformedFlowMessageError("padding that is not zero")
+            raise MalformedFlowMessageError(
+                f"padding of set {set_id} at byte {offset} of its body is not zero"
+            )
 
     def _decode_value(
         self, field: FieldSpecifier, octets: bytes
     ) -> tuple[str, FieldValue]:
-        """Returns name and value; of an unknown element its numbers and octets."""
+        """Return name and value; for an unknown element, its numbers and hex octets."""
         unknown = f"{field.enterprise or 0}/{field.number}", DataType.OCTET_ARRAY
         key = field.enterprise, field.number
         name, data_type = self._elements.get(key, unknown)
@@ -204,11 +213,11 @@
             DataType.FLOAT64,
         ):
             return name, octets.hex()
-        # Any width up to the type's own: reduced-size encoding.
+        # The field may be shorter than its type: reduced-size encoding (RFC 7011).
         return name, int.from_bytes(octets, "big")
 
-    def _learn_element(self, values: DecodedValues) -> None:
-        """Learns name and type of an enterprise element from its record (RFC 5610)."""
+    def _store_element_type(self, values: DecodedValues) -> None:
+        """Store the name and type of an element from its type record (RFC 5610)."""
         enterprise = values.get("privateEnterpriseNumber")
         number = values.get("informationElementId")
         name = values.get("informationElementName")
@@ -226,35 +235,40 @@
 def _decode_header(octets: bytes) -> DecodedMessage:
     if len(octets) < MESSAGE_HEADER.size:
         raise MalformedFlowMessageError(
-            f"a message of {len(octets)} bytes has no header"
+            f"a message of {len(octets)} bytes is shorter than its header of "
+            f"{MESSAGE_HEADER.size}"
         )
     version, length, export_time, sequence, domain = MESSAGE_HEADER.unpack_from(octets)
     if version != VERSION:
-        raise MalformedFlowMessageError(f"version {version}, {VERSION} is read")
+        raise MalformedFlowMessageError(f"version {version}, expected {VERSION}")
     if length != len(octets):
         raise MalformedFlowMessageError(
-            f"a length of {length} in a message of {len(octets)} bytes"
+            f"the header states {length} bytes in a message of {len(octets)}"
         )
     return DecodedMessage(export_time, sequence, domain)
 
 
 def _decode_length(field: FieldSpecifier, body: bytes, offset: int) -> tuple[int, int]:
-    """Returns the length of a value and the offset at which it starts."""
+    """Return the length of a value and the offset at which it starts."""
     if field.length != VARIABLE_LENGTH:
         return field.length, offset
     if offset >= len(body):
-        raise MalformedFlowMessageError("a record is cut short")
+        raise MalformedFlowMessageError(
+            f"a record with field {field.number} is truncated"
+        )
     length = body[offset]
     offset += 1
     if length != LONG_LENGTH_MARK:
         return length, offset
     if offset + 2 > len(body):
-        raise MalformedFlowMessageError("a record is cut short")
+        raise MalformedFlowMessageError(
+            f"a record with field {field.number} is truncated"
+        )
     return UNSIGNED_STRUCTS[2].unpack_from(body, offset)[0], offset + 2
 
 
 def _decode_templates(body: bytes, is_options: bool, context: DecodingContext) -> int:
-    """Decodes the templates of a set and returns their number."""
+    """Decode the templates of a set and return their number."""
     offset = 0
     count = 0
     try:
@@ -273,13 +287,15 @@
             fields, offset = _decode_specifiers(body, offset, field_count)
             if not any(field.length for field in fields):
                 raise MalformedFlowMessageError(
-                    f"template {template_id} describes no byte"
+                    f"template {template_id} has only fields of length 0"
                 )
             template = IpfixTemplate(fields, scope_count, context.now)
             context.templates[key] = template
             count += 1
     except StructError:
-        raise MalformedFlowMessageError("a template is cut short") from None
+        raise MalformedFlowMessageError(
+            f"a template in domain {context.message.domain} is truncated"
+        ) from None
     return count
 
 
@@ -291,14 +307,16 @@
         allowed = False
     if not allowed:
         raise MalformedFlowMessageError(
-            f"template {template_id} with {field_count} fields, {scope_count} of scope"
+            f"template {template_id} with {field_count} fields, {scope_count} of them "
+            f"scope: expected an id from {FIRST_DATA_SET_ID}, at most "
+            f"{MAX_TEMPLATE_FIELDS} fields, and a scope in options templates"
         )
 
 
 def _decode_specifiers(
     body: bytes, offset: int, field_count: int
 ) -> tuple[tuple[FieldSpecifier, ...], int]:
-    """Returns the field specifiers and the offset behind them."""
+    """Return the field specifiers and the offset after them."""
     fields = []
     for _ in range(field_count):
         number, length = SET_HEADER.unpack_from(body, offset)
--- a/milletsill/flows/ipfix_encoder.py
+++ b/milletsill/flows/ipfix_encoder.py
@@ -42,15 +42,15 @@
 OPTIONS_TEMPLATE_SET_ID = 3
 MAX_MESSAGE_OCTETS = 65535
 MAX_STRING_OCTETS = 1024
-"""Longer strings are cut between characters."""
+"""Longer strings are truncated between characters."""
 
 ENTERPRISE_BIT = 0x8000
 LONG_LENGTH_MARK = 255
-"""First octet of a variable length that is written in three octets."""
+"""First octet of a variable length that is encoded in three octets."""
 
 
 def pack_string(text: str) -> bytes:
-    """Packs a string of variable length, of at most MAX_STRING_OCTETS."""
+    """Encode a string of variable length, truncated to MAX_STRING_OCTETS."""
     encoded = truncate_text(text, MAX_STRING_OCTETS)
     if len(encoded) < LONG_LENGTH_MARK:
         return bytes((len(encoded),)) + encoded
@@ -58,14 +58,14 @@
 
 
 def packer_of(element: InformationElement) -> FieldPacker:
-    """Returns what packs a value of an element."""
+    """Return the packer for an element."""
     if element.data_type is DataType.STRING:
         return pack_string
     return fixed_width_packer(element)
 
 
 def enterprise_numbers(enterprise: int) -> dict[ElementSpace, int | None]:
-    """Returns the private enterprise number of each space; None for IANA's own."""
+    """Return the private enterprise number of each space; None for IANA."""
     return {
         ElementSpace.IANA: None,
         ElementSpace.ENTERPRISE: enterprise,
@@ -74,20 +74,23 @@
 
 
 class IpfixEncoder:
-    """Encodes templates and records; `enterprise` numbers our own elements."""
+    """Encodes templates and records.
+
+    `enterprise` is the private enterprise number of milletsill's elements.
+    """
 
     def __init__(self, enterprise: int = DOCUMENTATION_PEN) -> None:
         self._enterprise_numbers = enterprise_numbers(enterprise)
         self._packers = PackerCache(packer_of)
 
     def encode_record(self, record: DataRecord) -> bytes:
-        """Returns the octets of one data record, without a set header."""
+        """Return the octets of one data record, without a set header."""
         return self._packers.encode(record)
 
     def encode_templates(
         self, templates: Sequence[Template]
     ) -> list[tuple[int, bytes]]:
-        """Returns the id of the set and the octets of each template."""
+        """Return the set id and the octets of each template."""
         return [
             (
                 OPTIONS_TEMPLATE_SET_ID if template.scope_count else TEMPLATE_SET_ID,
@@ -97,7 +100,7 @@
         ]
 
     def element_type_records(self) -> list[DataRecord]:
-        """Returns the records that describe our own elements (RFC 5610)."""
+        """Return the records that describe the enterprise elements (RFC 5610)."""
         return [
             DataRecord(ELEMENT_TYPE, self._element_type_values(element))
             for element in ELEMENTS.values()
@@ -133,9 +136,9 @@
 
 
 class IpfixMessageBuilder(SetBuilder):
-    """Gathers records into the sets of one message of at most `max_octets`.
+    """Collects records in the sets of one message of at most `max_octets`.
 
-    The first record is taken even past `max_octets`, if any message can hold it.
+    The first record may exceed `max_octets`, up to MAX_MESSAGE_OCTETS.
     """
 
     def __init__(self, max_octets: int) -> None:
@@ -146,11 +149,11 @@
         )
 
     def finish(self, export_time: int, sequence: int, domain: int) -> bytes:
-        """Returns the message.
+        """Return the message.
 
         Args:
             export_time: Seconds since 1970.
-            sequence: Data records that were sent in the stream before this message.
+            sequence: Number of data records sent in the stream before this message.
             domain: Observation domain id.
         """
         body = b"".join(_encode_set(set_id, records) for set_id, records in self.sets)
@@ -165,7 +168,7 @@
 
 
 def _encode_set(set_id: int, records: Sequence[bytes]) -> bytes:
-    """Pads to four octets, except where padding could be read as another record."""
+    """Encode a set, padded to four octets unless a record is as short as padding."""
     body = b"".join(records)
     padding = -len(body) % 4 if min(map(len, records)) > MAX_PADDING else 0
     return encode_set(set_id, body, padding)
--- a/milletsill/flows/ipfix_stream.py
+++ b/milletsill/flows/ipfix_stream.py
@@ -1,4 +1,4 @@
-"""IPFIX messages one behind the other: in a TCP connection, or in a file (RFC 5655)."""
+"""Splits a sequence of IPFIX messages: a TCP connection, or a file (RFC 5655)."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
         self.buffer = bytearray()
 
     def feed(self, octets: bytes) -> Iterator[bytes]:
-        """Yields the messages that are complete.
+        """Yield the complete messages.
 
         Raises:
-            MalformedFlowMessageError: The octets begin no message; the stream cannot be
-                read any further.
+            MalformedFlowMessageError: A message header is malformed; the rest of the
+                stream cannot be decoded.
         """
         self.buffer += octets
         while len(self.buffer) >= SET_HEADER.size:
             version, length = SET_HEADER.unpack_from(self.buffer)
             if version != VERSION or length < MESSAGE_HEADER.size:
                 raise MalformedFlowMessageError(
-                    f"version {version} and a length of {length} begin no message"
+                    f"message header with version {version}, length {length}: expected "
+                    f"version {VERSION} and at least {MESSAGE_HEADER.size}"
                 )
             if len(self.buffer) < length:
                 return
--- a/milletsill/flows/metering_policy.py
+++ b/milletsill/flows/metering_policy.py
@@ -1,6 +1,6 @@
-"""How closely traffic is metered, decided by what export costs.
+"""Chooses the level of metering by the cost of export.
 
-No I/O and no clock.
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,28 +11,28 @@
 
 
 class MeteringLevel(IntEnum):
-    """How closely traffic is metered, from the closest on; values are exported."""
+    """The level of metering, from fine to coarse; the values are exported."""
 
     COMMANDS = 0
-    """A record for each command besides the flows."""
+    """A record for each command, in addition to flows."""
 
     FLOWS = 1
-    """Flows alone."""
+    """Only flows."""
 
     SAMPLED = 2
-    """Flows of one event in `MeteringControl.interval`."""
+    """Flows from one of every `MeteringControl.interval` events."""
 
 
 class CostLevel(Enum):
-    """The cost of export against its bound."""
+    """The cost of export in relation to its limit."""
 
     HIGH = auto()
-    FAIR = auto()
+    MODERATE = auto()
     LOW = auto()
 
 
 class MeteringEffect(Enum):
-    """What follows from an observed cost."""
+    """The effect of an observed cost."""
 
     NONE = auto()
     REPORT = auto()
@@ -65,57 +65,60 @@
     ),
 }
 LOW_COST_SHARE = 0.5
-"""Share of the bound under which cost is low; the gap keeps the level from flapping."""
+"""Share of the limit below which cost is low; the gap prevents flapping."""
 
 HIGH_COST_STREAK = 2
-"""Observations of high cost in a row before a step to coarser metering."""
+"""Consecutive observations of high cost before a step to coarser metering."""
 
-CALM_STREAK = 8
-"""Observations of fair or low cost in a row before a step to closer metering."""
+LOW_COST_STREAK = 8
+"""Consecutive observations of low cost before a step to finer metering.
+
+Moderate cost changes nothing.
+"""
 
 FIRST_SAMPLING_INTERVAL = 2
 MAX_SAMPLING_INTERVAL = 256
 
 
 def cost_level(share: float, bound: float) -> CostLevel:
-    """Compares the share of time that export took with its bound."""
+    """Compare the share of time that export takes with its limit."""
     if share > bound:
         return CostLevel.HIGH
     if share < bound * LOW_COST_SHARE:
         return CostLevel.LOW
-    return CostLevel.FAIR
+    return CostLevel.MODERATE
 
 
 @dataclass(slots=True)
 class MeteringControl:
-    """The metering level, the sampling interval, and for how long the cost is as it is.
+    """The metering level, the sampling interval, and the streak of equal cost levels.
 
-    Guards client work against a surge that makes export costly, from whatever cause:
-    many commands, many flows, slow encoding. A short burst may be metered less closely
-    than could have been borne; `HIGH_COST_STREAK` bounds that. `closest_level` is the
-    operator's setting.
+    It protects requests from expensive export, whatever the cause: many commands, many
+    flows, slow encoding. A short burst may be metered more coarsely than necessary;
+    `HIGH_COST_STREAK` limits that. `closest_level` is the finest level that the
+    settings allow.
     """
 
     closest_level: MeteringLevel = MeteringLevel.COMMANDS
     level: MeteringLevel = MeteringLevel.COMMANDS
     interval: int = 1
     _streak: int = 0
-    _last_cost: CostLevel = CostLevel.FAIR
+    _last_cost: CostLevel = CostLevel.MODERATE
     _position: int = 0
 
     def observe_cost(self, share: float, bound: float) -> bool:
-        """Takes one observation; returns whether the level is to be reported."""
+        """Process one observation; return whether the level must be reported."""
         cost = cost_level(share, bound)
         self._streak = self._streak + 1 if cost is self._last_cost else 1
         self._last_cost = cost
-        needed = HIGH_COST_STREAK if cost is CostLevel.HIGH else CALM_STREAK
+        needed = HIGH_COST_STREAK if cost is CostLevel.HIGH else LOW_COST_STREAK
         if self._streak < needed:
             return False
         self._streak = 0
         return self._step(cost)
 
     def selects(self) -> bool:
-        """Returns whether the next event is metered.
+        """Return whether the next event is metered.
 
         Systematic count-based sampling (RFC 5475): one in `interval`.
         """
--- a/milletsill/flows/metering_process.py
+++ b/milletsill/flows/metering_process.py
@@ -1,7 +1,7 @@
-"""The metering process: what the gateway reports, added to flows.
+"""The metering process: adds the events of the gateway to flows.
 
-Every packet of a command or dispatch is counted when that has ended, once; other
-packets stand under empty names.
+Each packet of a command or an attempt is counted once, when the command or attempt has
+ended. Other packets are counted in flows with empty names.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 class MeteringProcess:
     """Adds the gateway's events to the flow cache.
 
-    `cost_seconds` sums the time that this takes.
+    `cost_seconds` is the total time spent on it.
     """
 
     def __init__(
@@ -45,9 +45,9 @@
     def on_command(
         self, key: ClientFlowKey, outcome: CommandOutcome | None, exchange: Exchange
     ) -> None:
-        """A client's command has ended.
+        """Meter a command of a client that has ended.
 
-        No outcome for packets that are no command's.
+        `outcome` is None for packets that belong to no command.
         """
         began = self._cost_timer()
         now = self._now()
@@ -69,20 +69,20 @@
             )
         self.cost_seconds += self._cost_timer() - began
 
-    def on_dispatch(self, key: NodeFlowKey, is_retry: bool, exchange: Exchange) -> None:
-        """A dispatch has ended, or a control packet went or came."""
+    def on_attempt(self, key: NodeFlowKey, is_retry: bool, exchange: Exchange) -> None:
+        """Meter an attempt that has ended, or a control packet sent or received."""
         began = self._cost_timer()
         now = self._now()
-        dispatches = int(bool(key.outcome))
+        attempts = int(bool(key.outcome))
         if self._select():
             flow = self._cache.touch(key, now)
             flow.add(now, exchange)
-            flow.count += dispatches
+            flow.count += attempts
             flow.retries += int(is_retry)
         else:
             self.not_metered.add(
                 FlowRecordCounts(
-                    dispatches=dispatches,
+                    attempts=attempts,
                     packets=exchange.packets,
                     octets=exchange.octets,
                 )
@@ -90,7 +90,7 @@
         self.cost_seconds += self._cost_timer() - began
 
     def _select(self) -> bool:
-        """Counts one event and returns whether it is metered."""
+        """Count one event and return whether it is metered."""
         self.observed += 1
         if self._control.level is MeteringLevel.SAMPLED and not self._control.selects():
             return False
--- a/milletsill/flows/netflow9_decoder.py
+++ b/milletsill/flows/netflow9_decoder.py
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NetFlow9Template:
-    """A received template, and when it came; `fields` are types and lengths."""
+    """A template and the time of its receipt; `fields` are types and lengths."""
 
     fields: tuple[tuple[int, int], ...]
     scope_count: int
     received_at: float
 
     def record_octets(self) -> int:
-        """Returns the length of each record."""
+        """Return the length of a record."""
         return sum(length for _, length in self.fields)
 
 
@@ -51,7 +51,7 @@
     """Decodes the packets of one exporter."""
 
     def __init__(self, template_lifetime: float | None = None) -> None:
-        """Takes the lifetime of templates in seconds; None for no end."""
+        """Create a decoder; `template_lifetime` is in seconds, None for unlimited."""
         self._template_lifetime = template_lifetime
         self._elements = {
             field_type(element): (element.name, element.data_type)
@@ -60,10 +60,10 @@
         self._templates: dict[tuple[int, int], NetFlow9Template] = {}
 
     def decode(self, octets: bytes, now: float) -> DecodedMessage:
-        """Decodes one whole packet.
+        """Decode one complete packet.
 
         Raises:
-            MalformedFlowMessageError: The packet is not taken.
+            MalformedFlowMessageError: The packet is malformed.
         """
         message = _decode_header(octets)
         offset = PACKET_HEADER.size
@@ -78,14 +78,16 @@
             elif set_id >= FIRST_DATA_SET_ID:
                 self._decode_data_set(body, set_id, now, message)
             else:
-                raise MalformedFlowMessageError(f"flow set id {set_id} is not allowed")
+                raise MalformedFlowMessageError(
+                    f"flow set id {set_id} at byte {offset} is reserved"
+                )
             offset += length
         return message
 
     def _decode_templates(
         self, body: bytes, domain: int, is_options: bool, now: float
     ) -> int:
-        """Decodes the templates of a flow set and returns their number."""
+        """Decode the templates of a flow set and return their number."""
         header_octets = (
             OPTIONS_TEMPLATE_HEADER_OCTETS if is_options else TEMPLATE_HEADER_OCTETS
         )
@@ -149,12 +151,13 @@
 def _decode_header(octets: bytes) -> DecodedMessage:
     if len(octets) < PACKET_HEADER.size:
         raise MalformedFlowMessageError(
-            f"a packet of {len(octets)} bytes has no header"
+            f"a packet of {len(octets)} bytes is shorter than its header of "
+            f"{PACKET_HEADER.size}"
         )
     header = PACKET_HEADER.unpack_from(octets)
     version, _, _, export_time, sequence, domain = header
     if version != VERSION:
-        raise MalformedFlowMessageError(f"version {version}, {VERSION} is read")
+        raise MalformedFlowMessageError(f"version {version}, expected {VERSION}")
     return DecodedMessage(export_time, sequence, domain)
 
 
@@ -168,9 +171,12 @@
         or end > len(body)
     ):
         raise MalformedFlowMessageError(
-            f"template {template_id} with {field_count} fields"
+            f"template {template_id} with {field_count} fields: expected an id from "
+            f"{FIRST_DATA_SET_ID} and 1 to {MAX_TEMPLATE_FIELDS} complete fields"
         )
     fields = tuple(SET_HEADER.iter_unpack(body[offset:end]))
     if not sum(length for _, length in fields):
-        raise MalformedFlowMessageError(f"template {template_id} describes no byte")
+        raise MalformedFlowMessageError(
+            f"template {template_id} has only fields of length 0"
+        )
     return fields
--- a/milletsill/flows/netflow9_encoder.py
+++ b/milletsill/flows/netflow9_encoder.py
@@ -1,8 +1,8 @@
 """Encodes records and templates as NetFlow version 9 packets (RFC 3954).
 
-Version 9 has no enterprise numbers and no variable length. Our own elements stand at
-field types from 40000 on, reverse ones from 41000 on. Strings have STRING_OCTETS, cut
-between characters and filled with zeros. Sequence numbers count packets.
+Version 9 has no enterprise numbers and no variable length. Enterprise elements use
+field types from 40000, reverse elements from 41000. Strings have STRING_OCTETS: they
+are truncated between characters and padded with zeros. Sequence numbers count packets.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 OPTIONS_TEMPLATE_SET_ID = 1
 STRING_OCTETS = 48
 SCOPE_SYSTEM = 1
-"""Scope field type of the whole exporting system."""
+"""Scope field type for the whole exporting system."""
 
 FIELD_SPECIFIER_OCTETS = 4
 FIELD_TYPE_OFFSETS = {
@@ -46,17 +46,17 @@
 
 
 def field_type(element: InformationElement) -> int:
-    """Returns the field type under which an element is exported."""
+    """Return the field type under which an element is exported."""
     return element.number + FIELD_TYPE_OFFSETS[element.space]
 
 
 def field_length(element: InformationElement) -> int:
-    """Returns the octets of an element's values."""
+    """Return the number of octets of an element's values."""
     return element.width or STRING_OCTETS
 
 
 def packer_of(element: InformationElement) -> FieldPacker:
-    """Returns what packs a value of an element."""
+    """Return the packer for an element."""
     if element.data_type is DataType.STRING:
         return lambda text: truncate_text(text, STRING_OCTETS).ljust(
             STRING_OCTETS, b"\0"
@@ -71,13 +71,13 @@
         self._packers = PackerCache(packer_of)
 
     def encode_record(self, record: DataRecord) -> bytes:
-        """Returns the octets of one data record, without a flow set header."""
+        """Return the octets of one data record, without a flow set header."""
         return self._packers.encode(record)
 
     def encode_templates(
         self, templates: Sequence[Template]
     ) -> list[tuple[int, bytes]]:
-        """Returns the id of the flow set and the octets of each template."""
+        """Return the flow set id and the octets of each template."""
         return [
             (
                 OPTIONS_TEMPLATE_SET_ID if template.scope_count else TEMPLATE_SET_ID,
@@ -87,12 +87,12 @@
         ]
 
     def element_type_records(self) -> list[DataRecord]:
-        """Returns nothing: version 9 cannot describe elements."""
+        """Return no records: version 9 cannot describe elements."""
         return []
 
 
 def _encode_template(template: Template) -> bytes:
-    """Encodes a template; a scope is the system, with the element's own length."""
+    """Encode a template; scope fields have the type SCOPE_SYSTEM."""
     specifiers = b""
     for position, element in enumerate(template.elements):
         is_scope = position < template.scope_count
@@ -111,9 +111,9 @@
 
 
 class NetFlow9PacketBuilder(SetBuilder):
-    """Gathers records into the flow sets of one packet of at most `max_octets`.
+    """Collects records in the flow sets of one packet of at most `max_octets`.
 
-    The first record is always taken.
+    The first record is always accepted.
     """
 
     def __init__(self, max_octets: int) -> None:
@@ -122,7 +122,7 @@
     def finish(
         self, export_time: int, sequence: int, domain: int, uptime_ms: int = 0
     ) -> bytes:
-        """Returns the packet; `sequence` counts the packets sent before it."""
+        """Return the packet; `sequence` is the number of packets sent before it."""
         body = b"".join(_encode_set(set_id, records) for set_id, records in self.sets)
         header = PACKET_HEADER.pack(
             VERSION,
--- a/milletsill/flows/option_records.py
+++ b/milletsill/flows/option_records.py
@@ -1,4 +1,4 @@
-"""Records of options: what became of everything, and how closely it is metered."""
+"""Options records: delivery counts (reliability) and the metering level (sampling)."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from milletsill.flows.templates import RELIABILITY, SAMPLING, DataRecord
 
 SYSTEMATIC_COUNT_SAMPLING = 1
-"""selectorAlgorithm of RFC 5477."""
+"""Value of selectorAlgorithm (RFC 5477)."""
 
 SELECTOR_ID = 1
-SAMPLED_AT_ONCE = 1
-"""Events that are metered one behind the other."""
+CONSECUTIVE_SAMPLES = 1
+"""Consecutive events metered per interval, exported as samplingPacketInterval."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,13 +29,13 @@
 def sampling_record(
     identity: ExporterIdentity, metering: MeteringProcess, control: MeteringControl
 ) -> PendingRecord:
-    """Returns the selector's record (RFC 5476)."""
+    """Return the options record of the sampling selector (RFC 5476)."""
     values = (
         identity.domain,
         SELECTOR_ID,
         SYSTEMATIC_COUNT_SAMPLING,
-        SAMPLED_AT_ONCE,
-        control.interval - SAMPLED_AT_ONCE,
+        CONSECUTIVE_SAMPLES,
+        control.interval - CONSECUTIVE_SAMPLES,
         metering.observed,
         metering.selected,
         int(control.level),
@@ -49,7 +49,7 @@
     not_metered: FlowRecordCounts,
     evicted_flows: int,
 ) -> PendingRecord:
-    """Returns the record of what became of everything (RFC 7011, and our elements)."""
+    """Return the options record of delivery counts, with enterprise elements."""
     sent = account.sent
     dropped = account.dropped()
     causes = "; ".join(
@@ -69,9 +69,9 @@
         sent.commands,
         dropped.commands,
         not_metered.commands,
-        sent.dispatches,
-        dropped.dispatches,
-        not_metered.dispatches,
+        sent.attempts,
+        dropped.attempts,
+        not_metered.attempts,
         evicted_flows,
         causes,
     )
--- a/milletsill/flows/record_queue.py
+++ b/milletsill/flows/record_queue.py
@@ -1,4 +1,4 @@
-"""Records that wait to be sent to one collector."""
+"""The queue of records to be sent to one collector."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class FlowRecordKind(IntEnum):
-    """Kinds of records, the least needed first.
+    """Kinds of records, in ascending priority.
 
-    Commands repeat what flows sum up; flows hold sums that nothing else has; options
-    are few and report the drops themselves.
+    The counts of commands are also in flows, the counts of flows are in no other
+    record, and options are few and report the drops.
     """
 
     COMMAND = 0
@@ -23,12 +23,12 @@
     OPTION = 2
 
 
-MOST_NEEDED_FIRST = sorted(FlowRecordKind, reverse=True)
+KINDS_BY_PRIORITY = sorted(FlowRecordKind, reverse=True)
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRecord:
-    """A record to be sent, and what it counts."""
+    """A record to be sent, and the counts that it represents."""
 
     record: DataRecord
     kind: FlowRecordKind
@@ -36,12 +36,12 @@
 
 
 def kind_to_drop(queued: Mapping[FlowRecordKind, int]) -> FlowRecordKind:
-    """Returns the kind of which a full queue drops the oldest: the least needed."""
+    """Return the kind of which a full queue drops the oldest: the lowest priority."""
     return min(kind for kind, count in queued.items() if count)
 
 
 class RecordQueue:
-    """A queue of at most `max_records`, ordered by kind."""
+    """A queue of at most `max_records` records, ordered by kind."""
 
     def __init__(self, max_records: int) -> None:
         self.max_records = max_records
@@ -51,11 +51,11 @@
         return sum(map(len, self._by_kind.values()))
 
     def records(self, kind: FlowRecordKind) -> deque[PendingRecord]:
-        """Returns the queued records of a kind, the oldest first."""
+        """Return the queued records of a kind, the oldest first."""
         return self._by_kind[kind]
 
     def append(self, pending: PendingRecord) -> list[PendingRecord]:
-        """Queues a record and returns those that a full queue drops for it."""
+        """Queue a record and return the records that a full queue drops."""
         self._by_kind[pending.kind].append(pending)
         dropped = []
         while len(self) > self.max_records:
@@ -63,13 +63,13 @@
             dropped.append(self._by_kind[kind_to_drop(queued)].popleft())
         return dropped
 
-    def pop_most_needed(self) -> PendingRecord:
-        """Removes the oldest record of the most needed kind; there must be one."""
-        kind = next(kind for kind in MOST_NEEDED_FIRST if self._by_kind[kind])
+    def pop_highest_priority(self) -> PendingRecord:
+        """Remove the oldest record of the highest priority from a non-empty queue."""
+        kind = next(kind for kind in KINDS_BY_PRIORITY if self._by_kind[kind])
         return self._by_kind[kind].popleft()
 
     def drain(self) -> list[PendingRecord]:
-        """Removes all records."""
+        """Remove and return all records."""
         drained: list[PendingRecord] = []
         for records in self._by_kind.values():
             drained += records
@@ -77,7 +77,7 @@
         return drained
 
     def take_over(self, other: RecordQueue) -> None:
-        """Moves the records of another queue before those of this one."""
+        """Move the records of another queue to the front of this one."""
         for kind, records in other._by_kind.items():
             while records:
                 self._by_kind[kind].appendleft(records.pop())
--- a/milletsill/flows/sequence_tracker.py
+++ b/milletsill/flows/sequence_tracker.py
@@ -1,4 +1,4 @@
-"""Follows the sequence numbers of an IPFIX stream."""
+"""Tracks the sequence numbers of an IPFIX stream."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class SequenceTracker:
-    """Counts the records of one stream that are missing or came twice.
+    """Counts the missing and the duplicated records of one stream.
 
-    A record that comes late or twice is told from loss within half the number space.
+    A sequence number up to half the number space behind the expected one means late or
+    duplicated records; any other difference means loss.
     """
 
     def __init__(self) -> None:
@@ -17,7 +18,7 @@
         self._expected: int | None = None
 
     def observe(self, sequence: int, records: int) -> None:
-        """Takes one message: records sent before it, and records in it."""
+        """Process one message: its sequence number and its number of records."""
         if self._expected is not None:
             ahead = (sequence - self._expected) % COUNTER_MODULUS
             if ahead >= COUNTER_MODULUS // 2:
--- a/milletsill/flows/summary_table.py
+++ b/milletsill/flows/summary_table.py
@@ -1,4 +1,4 @@
-"""The summary of a collecting process as tables for a person."""
+"""Formats the summary of a collecting process as tables."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def render_summary(summary: CollectionSummary) -> str:
-    """Returns the tables, and behind them the counts in JSON."""
+    """Return the tables, followed by the counts in JSON."""
     console = Console(width=TABLE_WIDTH, record=True, file=io.StringIO())
     for title, name in TABLE_TITLES:
         table = Table(title=title, title_justify="left")
--- a/milletsill/flows/templates.py
+++ b/milletsill/flows/templates.py
@@ -1,4 +1,4 @@
-"""Templates of the exported records, and the reasons for which a flow ends."""
+"""Templates of the exported records, and the reasons for the end of a flow."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from milletsill.flows.information_elements import ELEMENTS, InformationElement
 
 FieldValue: TypeAlias = int | float | str
-"""A value as it is encoded: a number, a text or a dotted IPv4 address."""
+"""A value to encode: a number, a text or a dotted IPv4 address."""
 
 
 class FlowEndReason(IntEnum):
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Template:
-    """The fields of a kind of record, in order.
+    """The ordered fields of a kind of record.
 
-    The first `scope_count` fields are the scope of an options template; 0 says that it
-    is a template of data records.
+    In an options template, the first `scope_count` fields are the scope; 0 means that
+    it is a template of data records.
     """
 
     id: int
@@ -58,7 +58,7 @@
     "octetDeltaCount packetDeltaCount reverseOctetDeltaCount reversePacketDeltaCount"
 )
 _DURATIONS = "timeSumMicroseconds timeMaxMicroseconds"
-# Ids never change meaning within a major version; a new shape gets a new id.
+# A template id keeps its meaning within a major version; new fields need a new id.
 CLIENT_FLOW = _template(
     256,
     "client flow",
--- a/milletsill/sftp_gateway/assembly.py
+++ b/milletsill/sftp_gateway/assembly.py
@@ -97,7 +97,7 @@
         pool_limits_of(gateway.file),
         gateway.file.links.most_packet,
         gateway.warn,
-        gateway.flows.box if gateway.flows is not None else None,
+        gateway.flows.node_exchange_meter if gateway.flows is not None else None,
     )
     return SftpNodePools(gateway.reactor, gateway.now, gateway.identifiers, config)
 
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -314,7 +314,7 @@
         """Answer the packet at hand at once: no node had work with it."""
         octets = self._send(packet)
         if self.gateway.flows is not None:
-            self.gateway.flows.client(
+            self.gateway.flows.meter_client_exchange(
                 self.addresses, "", "", "", "", self.octets, octets, 0
             )
 
@@ -326,7 +326,7 @@
         gateway = self.gateway
         if gateway.flows is None:
             return
-        gateway.flows.client(
+        gateway.flows.meter_client_exchange(
             self.addresses,
             command.volume.name,
             gateway.plan_name(command.volume),
--- a/tests/flows/test_exporting_process.py
+++ b/tests/flows/test_exporting_process.py
@@ -67,7 +67,7 @@
                 CommandOutcome.SUCCEEDED,
                 Exchange(10, 1, 20, 1, 7),
             )
-            process.metering.on_dispatch(
+            process.metering.on_attempt(
                 NodeFlowKey("10.0.0.1", "10.0.0.9", 5, 3, "s", "c", "satisfied"),
                 number % 10 == 0,
                 Exchange(30, 1, 40, 1, 9),
