--- a/milletsill/cli/planner.py
+++ b/milletsill/cli/planner.py
@@ -132,7 +132,7 @@
 @ctl.command("freeze")
 @click.pass_obj
 def ctl_freeze(address: str) -> None:
-    """Stop planning: the planner renews the current plan and makes no new one."""
+    """Stop planning: the planner keeps the current plan and makes no new one."""
     _print_first_value(address, what="freeze")
 
 
--- a/milletsill/cli/traces.py
+++ b/milletsill/cli/traces.py
@@ -237,8 +237,8 @@
 @trace.command(
     "merge",
     help="Merge FILES of several gateways by wall time into the new file OUT. Clocks "
-    "that differ are corrected by the endpoint updates that all gateways received; the "
-    "uncertainty of each correction is printed.",
+    "that are seconds apart are corrected by the endpoint updates that the gateways "
+    "have in common; the uncertainty of each correction is printed.",
 )
 @OUT
 @FILES
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""How commands end: their exit statuses, and what they say of bad input."""
+"""Exit statuses of commands, and their messages for invalid input."""
 
 import tempfile
 import unittest
@@ -11,13 +11,13 @@
 from milletsill.cli.main import main
 from milletsill.cli.options import group_options
 
-PLANNER = 'name: "p"\nlisten: "127.0.0.1:0"\nstate_dir: "s"\n'
-CLOSED = "127.0.0.1:1"  # nobody listens there
+PLANNER_FILE = 'name: "p"\nlisten: "127.0.0.1:0"\nstate_dir: "s"\n'
+CLOSED = "127.0.0.1:1"  # no process listens there
 
 
 @dataclass(frozen=True, slots=True)
 class PrintOptions:
-    """Options of a command that only these tests have."""
+    """Options of a command that exists only in these tests."""
 
     times: int
     quiet: bool
@@ -51,9 +51,9 @@
         """Run one command of `milletsill`."""
         return CliRunner().invoke(main, arguments)
 
-    def test_a_good_file_is_fine(self) -> None:
-        """A checked file is one line and status 0."""
-        planner = self.write("p", PLANNER)
+    def test_a_valid_file_exits_with_status_0(self) -> None:
+        """A valid file gives one line and status 0."""
+        planner = self.write("p", PLANNER_FILE)
         for arguments, file in (
             (("check", "examples/gateway.textproto"), "examples/gateway.textproto"),
             (
@@ -65,9 +65,9 @@
             result = self.run_command(*arguments)
             self.assertEqual((result.exit_code, result.output), (0, f"{file}: fine\n"))
 
-    def test_a_bad_file_is_a_line_for_each_flaw_and_status_2(self) -> None:
-        """Every command that takes a settings file says the same of a bad one."""
-        bad = self.write("bad", PLANNER.replace('"s"', '""') + "most_edges: 0\n")
+    def test_an_invalid_file_gives_a_line_for_each_flaw_and_status_2(self) -> None:
+        """Every command that reads a settings file reports an invalid one alike."""
+        bad = self.write("bad", PLANNER_FILE.replace('"s"', '""') + "most_edges: 0\n")
         result = self.run_command("plan", "--check", bad)
         self.assertEqual(
             (result.exit_code, result.output),
@@ -88,8 +88,8 @@
             self.assertEqual(result.exit_code, 2, arguments)
             self.assertTrue(result.output.startswith(f"{empty}:1: "), result.output)
 
-    def test_bad_input_of_other_commands_is_one_line_and_status_2(self) -> None:
-        """A missing file, an address or a prefix that is none."""
+    def test_invalid_input_of_other_commands_gives_one_line_and_status_2(self) -> None:
+        """Cases: a missing file, a short key, an invalid address or prefix."""
         missing = str(self.folder / "missing")
         key = self.write("key", "short")
         for arguments, line in (
@@ -105,32 +105,32 @@
             self.assertTrue(result.output.startswith(line), result.output)
             self.assertEqual(result.output.count("\n"), 1, result.output)
 
-    def test_a_planner_that_is_not_there_is_one_line_and_status_1(self) -> None:
-        """The same for each question."""
-        for question in (("edges",), ("shares",), ("freeze",), ("drain", "a")):
-            result = self.run_command("ctl", "--planner", CLOSED, *question)
-            self.assertEqual(result.exit_code, 1, question)
+    def test_an_unreachable_planner_gives_one_line_and_status_1(self) -> None:
+        """All commands to a planner report it alike."""
+        for command in (("edges",), ("shares",), ("freeze",), ("drain", "a")):
+            result = self.run_command("ctl", "--planner", CLOSED, *command)
+            self.assertEqual(result.exit_code, 1, command)
             self.assertTrue(
                 result.output.startswith(f"milletsill: {CLOSED}: "), result.output
             )
             self.assertEqual(result.output.count("\n"), 1, result.output)
 
-    def test_an_address_that_is_none_is_a_usage_error(self) -> None:
-        """Click tells how the command is used, with status 2."""
+    def test_an_invalid_address_is_a_usage_error(self) -> None:
+        """Click prints the usage of the command and exits with status 2."""
         result = self.run_command("ctl", "--planner", "nowhere", "edges")
         self.assertEqual(result.exit_code, 2)
         self.assertIn("'nowhere' is not host:port", result.output)
 
 
 class GroupedOptions(unittest.TestCase):
-    """Options that a command takes as one value."""
+    """Options that a command gets as one value."""
 
-    def test_a_command_has_its_options_in_one_value(self) -> None:
-        """Arguments that are no field of the value reach the command as they are."""
+    def test_a_command_gets_its_options_in_one_value(self) -> None:
+        """Arguments without a field in the value are passed unchanged."""
         result = CliRunner().invoke(print_command, ["hello", "--quiet"])
         self.assertEqual(result.output, "hello PrintOptions(times=2, quiet=True)\n")
 
-    def test_the_help_is_that_of_the_command(self) -> None:
+    def test_the_help_text_is_kept(self) -> None:
         """The decorator keeps the doc comment and all parameters."""
         result = CliRunner().invoke(print_command, ["--help"])
         for text in ("Print TEXT and the options.", "--times", "--quiet"):
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -1,6 +1,7 @@
-"""The family of errors.
+"""The error types: each derives from MilletsillError, has a remedy, and is documented.
 
-None without a remedy, none missing in the operators' page, none outside of the family.
+They guard against an error type that docs/operators.md does not list or lists with an
+outdated text.
 """
 
 import ast
@@ -22,8 +23,8 @@
 from tests.support.paths import ROOT
 
 
-def told(page: str) -> dict[str, str]:
-    """The rows of the page's table by the name that stands first."""
+def documented_rows(page: str) -> dict[str, str]:
+    """Return the rows of the page's table by error name."""
     part = page.split("## Errors by name", 1)[1].split("\n## ", 1)[0]
     return {
         found[1]: line.strip()
@@ -32,13 +33,13 @@
     }
 
 
-class Family(unittest.TestCase):
+class ErrorTypes(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         cls.known = error_types()
-        cls.rows = told((ROOT / "docs/operators.md").read_text("utf-8"))
+        cls.rows = documented_rows((ROOT / "docs/operators.md").read_text("utf-8"))
 
-    def test_each_type_has_one_name_a_remedy_and_says_what_happened(self):
+    def test_each_type_has_a_unique_name_a_remedy_and_a_doc_comment(self):
         self.assertGreater(len(self.known), 25)
         for name, types in self.known.items():
             with self.subTest(name):
@@ -47,15 +48,13 @@
                 self.assertNotIn("\n", types[0].remedy)
                 self.assertTrue((types[0].__dict__.get("__doc__") or "").strip())
 
-    def test_each_type_stands_in_the_operators_page_with_its_remedy_and_no_other_does(
-        self,
-    ):
+    def test_the_operators_page_lists_exactly_the_error_types_with_their_rows(self):
         self.assertEqual(sorted(self.rows), sorted(self.known))
         for name, types in self.known.items():
             with self.subTest(name):
                 self.assertEqual(self.rows[name], table_row(types[0]))
 
-    def test_no_error_of_the_program_is_outside_of_the_family_and_none_raised_has_no_remedy(
+    def test_all_errors_derive_from_milletsill_error_and_no_base_class_is_raised(
         self,
     ):
         names = {
@@ -83,7 +82,7 @@
                     }
                     self.assertEqual(bases & names, set(), f"{path}: {node.name}")
 
-    def test_each_of_the_four_kinds_has_types_below_it(self):
+    def test_each_of_the_four_base_classes_has_subclasses(self):
         for kind in (
             MalformedInputError,
             ConfigurationRejectedError,
@@ -104,11 +103,11 @@
             )
 
 
-class Said(unittest.TestCase):
-    def test_a_line_carries_what_where_and_what_to_do(self):
-        one = StateNotStoredError("no space left", "/state/boxes.json")
+class ErrorMessages(unittest.TestCase):
+    def test_a_log_line_has_what_where_and_remedy(self):
+        error = StateNotStoredError("no space left", "/state/boxes.json")
         self.assertEqual(
-            one.log_fields(),
+            error.log_fields(),
             {
                 "error": "StateNotStoredError",
                 "what": "no space left",
@@ -117,7 +116,7 @@
             },
         )
         self.assertEqual(
-            one.describe(),
+            error.describe(),
             f"/state/boxes.json: no space left ({StateNotStoredError.remedy})",
         )
         self.assertEqual(
@@ -129,7 +128,7 @@
         )
         self.assertEqual(describe_error(ValueError("x " * 500)), ("x " * 500)[:200])
 
-    def test_a_place_is_said_once_by_who_knows_it_best(self):
+    def test_the_first_location_is_kept(self):
         self.assertEqual(
             str(MalformedInputError("short").with_location("10.0.0.7")),
             "10.0.0.7: short",
@@ -140,15 +139,15 @@
         )
         self.assertEqual(str(MilletsillError("alone")), "alone")
 
-    def test_a_run_that_cannot_be_kept_is_a_fault_with_its_path(self):
-        number, complaint = next_incarnation("/proc/none/incarnation")
+    def test_an_incarnation_that_cannot_be_stored_is_an_error_with_its_path(self):
+        number, error = next_incarnation("/proc/none/incarnation")
         self.assertGreater(number, 1_000_000)
         self.assertEqual(
-            (type(complaint), complaint.where),
+            (type(error), error.where),
             (IncarnationNotStoredError, "/proc/none/incarnation"),
         )
 
-    def test_a_refused_file_names_each_flaw(self):
+    def test_a_rejected_file_names_each_flaw(self):
         error = SettingsFileRejectedError(
             [Flaw("g.textproto", 3, "no such plan"), Flaw("g.textproto", 0, "too long")]
         )
--- a/tests/flows/test_exporting_process.py
+++ b/tests/flows/test_exporting_process.py
@@ -1,4 +1,4 @@
-"""The exporting process against collectors that fail, on a clock of the test's own."""
+"""The exporting process with failing collectors, on a simulated clock."""
 
 import unittest
 from itertools import count
@@ -19,7 +19,7 @@
 
 
 class ExportingProcessOverUdp(unittest.TestCase):
-    """The exporter on a clock of the test's own, over UDP to a list."""
+    """The exporting process on a simulated clock, with UDP datagrams passed directly."""
 
     def start_process(self, collectors=1, most_queued=100, cost_timer=None, **given):
         self.clock = Clock()
@@ -53,13 +53,13 @@
         )
         return process
 
-    def pass_time(self, process, seconds):
+    def advance(self, process, seconds):
         for _ in range(int(seconds * 10)):
             process.step()
             process.next_step.cancel()
             self.clock.advance(0.1)
 
-    def test_sums_arrive_exactly_with_templates_first(self):
+    def test_sums_are_exact_and_templates_come_first(self):
         process = self.start_process(idle_s=0.5)
         for number in range(250):
             process.metering.on_command(
@@ -72,7 +72,7 @@
                 number % 10 == 0,
                 Exchange(30, 1, 40, 1, 9),
             )
-        self.pass_time(process, 2)
+        self.advance(process, 2)
         sums = self.collector.totals.sums
         self.assertEqual(
             (
@@ -87,26 +87,26 @@
             (250, 2500, 5000, 250, 25, 0, 0),
         )
 
-    def test_a_lost_datagram_shows_in_the_sequence_and_the_reliability_record(self):
+    def test_a_lost_datagram_is_visible_in_sequence_and_reliability_record(self):
         process = self.start_process(idle_s=0.5)
         process.metering.on_command(
             client_flow_key(0), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(process, 1)
+        self.advance(process, 1)
         self.drop = True
         process.metering.on_command(
             client_flow_key(1), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(process, 2)
+        self.advance(process, 2)
         self.drop = False
         process.metering.on_command(
             client_flow_key(2), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(process, 12)
+        self.advance(process, 12)
         report = [row for row in self.rows if "exportedCommandTotalCount" in row][-1]
         self.assertGreaterEqual(
             self.collector.missing, 1
-        )  # and what reported the elements' types again meanwhile
+        )  # datagrams with element types may be lost too
         self.assertEqual(
             (
                 report["exportedCommandTotalCount"],
@@ -115,7 +115,7 @@
             (3, 2),
         )
 
-    def test_a_full_queue_drops_the_least_needed_and_counts_all(self):
+    def test_a_full_queue_drops_the_lowest_priority_and_counts_all(self):
         process = self.start_process(idle_s=0.5, closest="commands")
         process.control.level = MeteringLevel.COMMANDS
         process.senders[0].state = CollectorState.AWAY
@@ -126,7 +126,7 @@
                 CommandOutcome.SUCCEEDED,
                 Exchange(1, 1, 1, 1, 1),
             )
-        self.pass_time(process, 2)
+        self.advance(process, 2)
         sender = process.senders[0]
         lost = sender.stream.account.dropped()
         self.assertEqual(
@@ -142,14 +142,14 @@
             300,
         )
 
-    def test_exported_dropped_and_not_metered_are_all_there_is(self):
+    def test_exported_dropped_and_not_metered_commands_add_up(self):
         process = self.start_process(idle_s=0.5, closest="sampled", most_queued=20)
         process.control.interval = 3
         for number in range(900):
             process.metering.on_command(
                 client_flow_key(number), CommandOutcome.FAILED, Exchange(1, 1, 1, 1, 1)
             )
-        self.pass_time(process, 3)
+        self.advance(process, 3)
         account, skipped = (
             process.senders[0].stream.account,
             process.metering.not_metered,
@@ -161,31 +161,31 @@
             account.dropped().commands and skipped.commands and account.sent.commands
         )
 
-    def test_a_step_of_the_wall_clock_moves_export_times_and_nothing_else(self):
+    def test_a_step_of_the_wall_clock_changes_only_export_times(self):
         process = self.start_process(idle_s=0.5)
         self.clock.advance(100)
         process.metering.on_command(
             client_flow_key(1), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
         self.wall[0] -= 3600
-        self.pass_time(process, 1)
+        self.advance(process, 1)
         (row,) = [row for row in self.rows if "commandDeltaCount" in row]
         self.assertEqual(row["flowEndMilliseconds"] // 1000, 1_000_000 - 3600 - 1 + 0)
 
-    def test_failover_takes_along_what_the_old_one_held(self):
+    def test_failover_moves_the_queue_of_the_old_collector(self):
         process = self.start_process(collectors=2, idle_s=0.5)
         process.senders[0].retry_at = process.senders[1].retry_at = 10**12
         process.metering.on_command(
             client_flow_key(1), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(process, 1)
+        self.advance(process, 1)
         self.assertEqual(len(process.senders[0].queue), 1)
         process.senders[1].retry_at = 0
-        self.pass_time(process, 0.2)
+        self.advance(process, 0.2)
         process.metering.on_command(
             client_flow_key(2), CommandOutcome.SUCCEEDED, Exchange(1, 1, 1, 1, 1)
         )
-        self.pass_time(process, 1)
+        self.advance(process, 1)
         self.assertEqual(
             (
                 len(process.senders[0].queue),
@@ -194,11 +194,11 @@
             (0, 2),
         )
 
-    def test_cost_is_reported_in_the_stream(self):
+    def test_a_changed_sampling_interval_is_exported(self):
         process = self.start_process(
             closest="flows", cpu_share=0.01, cost_timer=count(0, 0.01).__next__
         )
-        self.pass_time(process, 5)
+        self.advance(process, 5)
         reported = [
             row["samplingPacketSpace"]
             for row in self.rows
--- a/tests/flows/test_flow_codecs.py
+++ b/tests/flows/test_flow_codecs.py
@@ -1,7 +1,4 @@
-"""IPFIX and NetFlow version 9.
-
-Round trips, strictness, and what independent decoders make of them.
-"""
+"""The IPFIX and NetFlow 9 codecs: round trips, malformed input, independent decoders."""
 
 import unittest
 import warnings
@@ -70,10 +67,10 @@
 
 
 def encoded_message(
-    codec, sent, most=60_000, templates=TEMPLATES, sequence=5, domain=3
+    codec, sent, max_octets=60_000, templates=TEMPLATES, sequence=5, domain=3
 ):
     encoder = codec.new_encoder(DOCUMENTATION_PEN)
-    message = codec.new_message(most)
+    message = codec.new_message(max_octets)
     for set_id, data in encoder.encode_templates(templates):
         assert message.add(set_id, data)
     for each in sent:
@@ -90,7 +87,7 @@
 class IpfixCodec(unittest.TestCase):
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(records(), max_size=12))
-    def test_records_come_back_as_they_were(self, sent):
+    def test_records_survive_a_round_trip(self, sent):
         decoded_message = IpfixDecoder().decode(encoded_message(IPFIX, sent), 0)
         expected = [
             {
@@ -106,7 +103,7 @@
             [record.values for record in decoded_message.records], expected
         )
 
-    def test_the_header_is_exact(self):
+    def test_the_header_has_the_expected_values(self):
         data = encoded_message(
             IPFIX, [record_with(COMMAND_RECORD)], sequence=(1 << 32) + 9
         )
@@ -115,7 +112,7 @@
             (10, len(data), 1_700_000_000, 9, 3),
         )
 
-    def test_a_name_of_300_bytes_and_strange_unicode(self):
+    def test_long_names_and_unusual_unicode_are_kept(self):
         for name in ("x" * 300, "\u202e🐟\u0301" * 30, "\udcff lone"):
             decoded_message = IpfixDecoder().decode(
                 encoded_message(IPFIX, [record_with(COMMAND_RECORD, storeName=name)]), 0
@@ -125,7 +122,7 @@
                 name.encode("utf-8", "replace").decode(),
             )
 
-    def test_a_message_stays_under_the_paths_size(self):
+    def test_a_message_stays_within_max_octets(self):
         encoder = IpfixEncoder()
         message = IpfixMessageBuilder(1400)
         count = 0
@@ -137,7 +134,7 @@
         self.assertLessEqual(len(data), 1400)
         self.assertEqual((message.data_records, len(data) % 4), (count, 0))
 
-    def test_data_before_its_template_is_counted_not_guessed(self):
+    def test_data_before_its_template_is_counted_and_not_decoded(self):
         decoder = IpfixDecoder()
         decoded_message = decoder.decode(
             encoded_message(IPFIX, [record_with(COMMAND_RECORD)], templates=()), 0
@@ -146,7 +143,7 @@
             (decoded_message.records, decoded_message.unknown_sets), ([], 1)
         )
 
-    def test_a_template_lapses_with_its_lifetime_and_goes_when_withdrawn(self):
+    def test_a_template_ends_with_its_lifetime_or_its_withdrawal(self):
         decoder = IpfixDecoder(template_lifetime=10)
         decoder.decode(encoded_message(IPFIX, []), 0)
         bare = encoded_message(IPFIX, [record_with(COMMAND_RECORD)], templates=())
@@ -175,7 +172,7 @@
             1,
         )
 
-    def test_types_exported_in_the_stream_name_elements_of_another_number(self):
+    def test_type_records_name_elements_of_another_enterprise_number(self):
         encoder = IpfixEncoder(enterprise=777)
         message = IpfixMessageBuilder(60_000)
         for set_id, data in encoder.encode_templates((ELEMENT_TYPE, COMMAND_RECORD)):
@@ -201,7 +198,7 @@
             "suva",
         )
 
-    def test_templates_are_bounded(self):
+    def test_the_number_of_templates_is_limited(self):
         decoder = IpfixDecoder()
         message = IpfixMessageBuilder(65_000)
         for number in range(3000):
@@ -214,16 +211,18 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=300), st.integers(0, 500), st.integers(0, 255))
-    def test_any_bytes_are_decoded_or_refused_with_one_line(self, noise, place, byte):
-        good = bytearray(
+    def test_any_bytes_are_decoded_or_rejected_with_a_message_of_one_line(
+        self, noise, position, byte
+    ):
+        valid = bytearray(
             encoded_message(IPFIX, [record_with(each) for each in TEMPLATES])
         )
-        good[place % len(good)] = byte
+        valid[position % len(valid)] = byte
         for data in (
             noise,
             ipfix_encoder.MESSAGE_HEADER.pack(10, 16 + len(noise), 0, 0, 0) + noise,
-            bytes(good),
-            bytes(good[:place]),
+            bytes(valid),
+            bytes(valid[:position]),
         ):
             for codec in (IPFIX, NETFLOW9):
                 try:
@@ -231,7 +230,7 @@
                 except MalformedFlowMessageError as error:
                     self.assertNotIn("\n", str(error))
 
-    def test_a_stream_is_cut_into_messages_at_any_byte(self):
+    def test_a_stream_is_split_into_messages_at_any_chunk_size(self):
         data = encoded_message(IPFIX, [record_with(COMMAND_RECORD)]) * 3
         splitter = IpfixMessageSplitter()
         found = [
@@ -247,7 +246,7 @@
 class NetFlow9Codec(unittest.TestCase):
     @settings(max_examples=40, deadline=None, derandomize=True)
     @given(st.lists(records(), max_size=8))
-    def test_records_come_back_within_their_fixed_widths(self, sent):
+    def test_records_survive_a_round_trip_within_fixed_widths(self, sent):
         decoded_message = NetFlow9Decoder().decode(encoded_message(NETFLOW9, sent), 0)
         for decoded, record in zip(decoded_message.records, sent, strict=True):
             for place, (name, value) in enumerate(values_by_name(record).items()):
@@ -263,7 +262,7 @@
 
 
 class IndependentDecoders(unittest.TestCase):
-    """Decoders that others wrote."""
+    """Decoders of other projects read the messages."""
 
     def test_scapy_reads_every_ipfix_template(self):
         warnings.simplefilter("ignore")
@@ -279,7 +278,7 @@
                     fields = list(each.scopes) + list(each.options)
                 found[each.templateID] = len(fields)
             layer = layer.payload
-        # It reads one options template of a set, the first.
+        # scapy reads only the first options template of a set.
         self.assertEqual(
             found,
             {
@@ -289,8 +288,8 @@
             },
         )
 
-    def test_scapy_decodes_records_whose_elements_are_ianas(self):
-        """It names a reverse element as the forward one, so a record with both is beyond it."""
+    def test_scapy_decodes_records_with_iana_elements_only(self):
+        """scapy names reverse and forward elements alike, so it cannot decode both."""
         warnings.simplefilter("ignore")
         from scapy.layers.netflow import (
             NetflowHeader,
@@ -324,7 +323,7 @@
             [10, 20],
         )
 
-    def test_the_netflow_library_decodes_version_9_and_its_sums(self):
+    def test_the_netflow_library_decodes_version_9(self):
         import netflow
 
         sent = [
--- a/tests/flows/test_flow_export_end_to_end.py
+++ b/tests/flows/test_flow_export_end_to_end.py
@@ -1,4 +1,4 @@
-"""Flow export from a gateway to a collector, through sockets."""
+"""Flow export from a gateway to a collector over sockets."""
 
 import socket
 import unittest
@@ -18,7 +18,7 @@
 
 
 class NeverReadingCollector(Protocol):
-    """Accepts and never reads."""
+    """Accepts connections and never reads from them."""
 
     def connectionMade(self):
         self.transport.pauseProducing()
@@ -26,7 +26,7 @@
 
 
 class GatewayToCollector(TestCase):
-    """A whole gateway with export on, against collectors on loopback."""
+    """A complete gateway with flow export to collectors on loopback."""
 
     timeout = 25
 
@@ -46,8 +46,8 @@
         self.addCleanup(port.stopListening)
         return f"127.0.0.1:{port.getHost().port}"
 
-    async def work(self, rig, client, reads=30):
-        """Commands of all sorts; bytes as the client counted them."""
+    async def send_commands(self, rig, client, reads=30):
+        """Open a file, write 4 times, then read or stat `reads` times."""
         handle = await client.open("/f/x")
         going = [
             client.command(packets.Write(0, handle, each, b"data")) for each in range(4)
@@ -81,7 +81,7 @@
 
         return Counted(), counted
 
-    async def test_sums_equal_what_client_and_boxes_counted(self):
+    async def test_sums_equal_the_counts_of_client_and_nodes(self):
         collector = CollectingProcess(lambda row: None, lambda text: self.fail(text))
         rig = await self.rig(self.listen(TcpCollectingFactory(collector)))
         client, counted = self.client_of(rig)
@@ -93,7 +93,7 @@
         ).connect(factory)
         rig.clients.append(client)
         await client.ready
-        await self.work(rig, client)
+        await self.send_commands(rig, client)
         ended = defer.Deferred()
         self.gateway.on_stopped.append(lambda: ended.callback(None))
         self.gateway.terminate()
@@ -127,14 +127,14 @@
             (report["exportedCommandTotalCount"], report["gatewayName"]), (35, "edge-t")
         )
 
-    async def test_a_collector_that_never_reads_slows_nobody_and_is_left(self):
-        deaf, collector = (
+    async def test_a_collector_that_never_reads_blocks_no_client_and_is_replaced(self):
+        never_reading, collector = (
             Factory.forProtocol(NeverReadingCollector),
             CollectingProcess(lambda row: None, lambda text: None),
         )
-        deaf.held = []
+        never_reading.held = []
         rig = await self.rig(
-            self.listen(deaf), self.listen(TcpCollectingFactory(collector))
+            self.listen(never_reading), self.listen(TcpCollectingFactory(collector))
         )
         sender = self.gateway.flows.exporting_process.senders[0]
         client = await rig.client(self.gateway)
@@ -150,16 +150,13 @@
         await client.command(packets.Read(0, handle, 0, 1))
         await later(1.2)
         self.assertGreater(collector.totals.sums["client commandDeltaCount"], 20)
-        for each in deaf.held:
+        for each in never_reading.held:
             each.transport.abortConnection()
 
-    async def test_a_collector_away_at_the_start_and_restarted_gets_templates_again(
-        self,
-    ):
+    async def test_a_collector_gets_templates_after_each_connect(self):
         collector = CollectingProcess(lambda row: None, lambda text: None)
-        held = (
-            socket.socket()
-        )  # keeps its number from everybody else's listeners, and refuses connections
+        # A bound socket that does not listen reserves its port and refuses connections.
+        held = socket.socket()
         self.addCleanup(held.close)
         held.bind(("127.0.0.1", 0))
         number = held.getsockname()[1]
@@ -188,7 +185,7 @@
             (2, 0),
         )
 
-    async def test_udp_and_netflow9(self):
+    async def test_export_over_udp(self):
         collector = CollectingProcess(lambda row: None, lambda text: self.fail(text))
         port = reactor.listenUDP(
             0, UdpCollectingProtocol(collector), interface="127.0.0.1"
@@ -197,17 +194,17 @@
         rig = await self.rig(
             f"127.0.0.1:{port.getHost().port}", transport="udp", copies=True
         )
-        other = rig.file.flows.collector[0]
-        self.assertEqual(other.protocol, "ipfix")
+        collector_file = rig.file.flows.collector[0]
+        self.assertEqual(collector_file.protocol, "ipfix")
         client = await rig.client(self.gateway)
-        await self.work(rig, client, 10)
+        await self.send_commands(rig, client, 10)
         await later(1.5)
         self.assertEqual(
             (collector.totals.sums["client commandDeltaCount"], collector.unknown_sets),
             (15, 0),
         )
 
-    async def test_export_switched_off_runs_none_of_it(self):
+    async def test_a_gateway_without_export_imports_no_flows_module(self):
         import subprocess
         import sys
 
--- a/tests/flows/test_flows.py
+++ b/tests/flows/test_flows.py
@@ -1,4 +1,4 @@
-"""Flow export: its decisions, its flow cache and the tracking of sequence numbers."""
+"""Flow export: its decision functions, flow cache and sequence number tracking."""
 
 import unittest
 from random import Random
@@ -33,7 +33,7 @@
     def observe_costs(self, metering, *shares):
         return [metering.observe_cost(each, 0.05) for each in shares]
 
-    def test_cost_steps_metering_down_and_only_long_calm_up_again(self):
+    def test_high_cost_coarsens_metering_and_only_long_low_cost_refines_it(self):
         metering = MeteringControl()
         self.assertEqual(self.observe_costs(metering, 0.06, 0.06), [False, True])
         self.assertEqual(metering.level, MeteringLevel.FLOWS)
@@ -47,26 +47,26 @@
         self.observe_costs(metering, *[0.01] * 9)
         self.assertEqual((metering.level, metering.interval), (MeteringLevel.FLOWS, 1))
 
-    def test_a_fair_cost_between_the_bounds_moves_nothing(self):
+    def test_a_moderate_cost_changes_nothing(self):
         metering = MeteringControl()
         self.assertEqual(set(self.observe_costs(metering, *[0.04] * 50)), {False})
 
-    def test_no_closer_than_the_operator_wants(self):
+    def test_metering_is_never_finer_than_the_setting(self):
         metering = MeteringControl(MeteringLevel.FLOWS, MeteringLevel.FLOWS)
         self.observe_costs(metering, *[0.0] * 40)
         self.assertEqual(metering.level, MeteringLevel.FLOWS)
 
-    def test_one_in_the_interval_is_selected(self):
+    def test_one_event_per_interval_is_selected(self):
         metering = MeteringControl(level=MeteringLevel.SAMPLED, interval=4)
         self.assertEqual(sum(metering.selects() for _ in range(100)), 25)
 
-    def test_the_smallest_of_the_oldest_leaves(self):
+    def test_the_smallest_of_the_longest_idle_flows_is_evicted(self):
         flows = [
             (str(each), size) for each, size in enumerate([9, 5, 7, 1, 8, 8, 8, 8, 0])
         ]
         self.assertEqual(select_victim(flows, lambda each: each), "3")
 
-    def test_when_flows_end(self):
+    def test_flows_expire_by_idle_or_active_timeout(self):
         self.assertEqual(
             [
                 expiry_reason(*each)
@@ -79,7 +79,7 @@
             [None, FlowEndReason.IDLE_TIMEOUT, FlowEndReason.ACTIVE_TIMEOUT],
         )
 
-    def test_the_least_needed_kind_goes_first(self):
+    def test_the_kind_of_lowest_priority_is_dropped_first(self):
         self.assertEqual(
             [
                 kind_to_drop(
@@ -94,7 +94,7 @@
             [FlowRecordKind.COMMAND, FlowRecordKind.FLOW],
         )
 
-    def test_templates_go_once_on_tcp_and_again_on_udp(self):
+    def test_templates_are_sent_once_over_tcp_and_repeated_over_udp(self):
         self.assertEqual(
             [
                 templates_due(
@@ -122,7 +122,7 @@
             [True, False, False, True, True, True, False],
         )
 
-    def test_a_stuck_collector_is_cut_and_tried_again(self):
+    def test_a_blocked_collector_is_disconnected_and_retried(self):
         state = CollectorState.AWAY
         effects = []
         for event in (
@@ -146,27 +146,27 @@
             ],
         )
 
-    def test_waits_double_up_to_a_cap_and_are_spread(self):
-        chance = Random(1).uniform
-        self.assertTrue(all(2500 <= backoff(0, chance) <= 5000 for _ in range(50)))
-        self.assertLessEqual(backoff(1000, chance), 600_000)
+    def test_backoff_doubles_up_to_a_limit_with_jitter(self):
+        uniform = Random(1).uniform
+        self.assertTrue(all(2500 <= backoff(0, uniform) <= 5000 for _ in range(50)))
+        self.assertLessEqual(backoff(1000, uniform), 600_000)
 
-    def test_who_gets_a_record(self):
+    def test_selection_of_collectors(self):
         away, up = CollectorState.AWAY, CollectorState.UP
-        sure, doubt = [False] * 3, [True, False, True]
+        reliable, on_probation = [False] * 3, [True, False, True]
         self.assertEqual(
             [
-                select_failover([away, up, up], sure, 0),
-                select_failover([away, away], sure, 1),
+                select_failover([away, up, up], reliable, 0),
+                select_failover([away, away], reliable, 1),
                 select_all([away, up]),
                 select_failover([], [], 0),
-                select_failover([up, up, up], doubt, 0),
-                select_failover([up, away], doubt, 0),
+                select_failover([up, up, up], on_probation, 0),
+                select_failover([up, away], on_probation, 0),
             ],
             [[1], [1], [0, 1], [], [1], [0]],
         )
 
-    def test_an_account_adds_up(self):
+    def test_dropped_counts_are_summed_over_causes(self):
         account = DeliveryAccount()
         account.drop("queue full", FlowRecordCounts(1, 2, 3, 4, 5))
         account.drop("stopped", FlowRecordCounts(1, 1, 1, 1, 1))
@@ -181,7 +181,7 @@
     def new_cache(self, settings):
         return FlowCache(settings, lambda at: at, self.exported.append)
 
-    def test_a_hundred_thousand_stores_stay_within_the_cache_and_nothing_is_lost(self):
+    def test_a_hundred_thousand_volumes_fit_the_cache_without_lost_counts(self):
         self.cache = self.new_cache(FlowCacheSettings(4096, 10**9, 10**9))
         meter = MeteringProcess(
             self.cache,
@@ -205,7 +205,7 @@
             (100_000, 3_000_000),
         )
 
-    def test_a_full_cache_says_why_a_flow_left(self):
+    def test_an_evicted_flow_has_the_reason_lack_of_resources(self):
         for number in range(17):
             self.cache.touch(client_flow_key(number), number)
         reason = CLIENT_FLOW.elements.index(
@@ -216,7 +216,7 @@
             [FlowEndReason.LACK_OF_RESOURCES],
         )
 
-    def test_idle_and_active_flows_leave_in_time_and_bounded(self):
+    def test_flows_expire_on_time_and_in_bounded_steps(self):
         for number in range(10):
             self.cache.touch(client_flow_key(number), 0)
         self.cache.touch(client_flow_key(99), 95)
@@ -225,7 +225,7 @@
             self.cache.touch(client_flow_key(99), at).last_seen = at
         self.assertEqual(self.cache.expire(1096, 10), 1)
 
-    def test_sampling_counts_what_it_passes_over(self):
+    def test_sampling_counts_skipped_commands(self):
         metering = MeteringControl(MeteringLevel.SAMPLED, MeteringLevel.SAMPLED, 4)
         meter = MeteringProcess(self.cache, metering, lambda: 5, lambda: 0.0)
         for _ in range(100):
@@ -249,13 +249,13 @@
             tracker.observe(sequence, records)
         return tracker.missing, tracker.duplicated
 
-    def test_lost_doubled_and_out_of_order(self):
+    def test_lost_duplicated_and_late_records(self):
         self.assertEqual(self.observe((0, 5), (5, 5), (10, 5)), (0, 0))
         self.assertEqual(self.observe((0, 5), (10, 5)), (5, 0))
         self.assertEqual(self.observe((0, 5), (10, 5), (5, 5)), (0, 5))
         self.assertEqual(self.observe((0, 5), (5, 5), (5, 5)), (0, 5))
 
-    def test_past_the_end_of_the_numbers(self):
+    def test_wraparound_of_sequence_numbers(self):
         top = 1 << 32
         self.assertEqual(self.observe((top - 3, 5), (2, 5), (10, 1)), (3, 0))
 
--- a/tests/support/flow_keys.py
+++ b/tests/support/flow_keys.py
@@ -1,7 +1,7 @@
-"""Keys of flows for tests."""
+"""Flow keys for tests."""
 
 from milletsill.flows.flow_records import ClientFlowKey
 
 
-def client_flow_key(number, store="s"):
-    return ClientFlowKey("10.0.0.1", number, "10.0.0.2", 1, store, "p", "c")
+def client_flow_key(client_port, volume="s"):
+    return ClientFlowKey("10.0.0.1", client_port, "10.0.0.2", 1, volume, "p", "c")
--- a/tests/support/settings_builders.py
+++ b/tests/support/settings_builders.py
@@ -1,4 +1,4 @@
-"""Settings of a small layout, and schedulers that are made with them."""
+"""Settings of a small deployment, and schedulers that are built from them."""
 
 from milletsill.deployment_settings import config_from_settings
 from milletsill.interface import Request
@@ -9,9 +9,9 @@
 
 
 def settings(**parts):
-    """The first message of a small layout.
+    """Return the settings of a small deployment.
 
-    Each part is laid over the base's, None takes it away.
+    Each keyword replaces a setting, or updates it if both are dicts; None removes it.
     """
     base = {
         "peers_total": 4,
@@ -55,11 +55,11 @@
         },
     }
     for name, part in parts.items():
-        laid = {**base.get(name, {}), **part} if isinstance(part, dict) else part
+        merged = {**base.get(name, {}), **part} if isinstance(part, dict) else part
         base[name] = (
-            {key: value for key, value in laid.items() if value is not None}
-            if isinstance(laid, dict)
-            else laid
+            {key: value for key, value in merged.items() if value is not None}
+            if isinstance(merged, dict)
+            else merged
         )
     return {name: part for name, part in base.items() if part is not None}
 
@@ -69,7 +69,7 @@
 
 
 def make_scheduler(**parts):
-    """A scheduler with such settings, and what it does."""
+    """Return a scheduler with these settings, and its recorded effects."""
     effects = RecordedEffects()
     return Scheduler(config_from_settings(settings(**parts)), 1, 0, effects), effects
 
