--- a/milletsill/settings/scheduler_rules.py
+++ b/milletsill/settings/scheduler_rules.py
@@ -23,13 +23,13 @@
     if packet > file.door.most_packet:
         door_report.add(
             f"most_packet {file.door.most_packet} is under {packet} bytes, the packet "
-            f"of a request of the maximum size, {largest}",
+            f"with a request of the maximum size ({largest} bytes)",
             "most_packet",
         )
     if packet > file.links.most_packet:
         report.nested("links").add(
             f"most_packet {file.links.most_packet} is under {packet} bytes, the "
-            f"packet of a request of the maximum size, {largest}",
+            f"packet with a request of the maximum size ({largest} bytes)",
             "most_packet",
         )
     # The gateway reads no more commands from a client that does not read its answers,
