--- a/milletsill/flows/collector_states.py
+++ b/milletsill/flows/collector_states.py
@@ -134,8 +134,8 @@
     probation, or else the first that is up. If none is up, records go to the queue of
     the current one, so that they stay in one queue and in order. Probation guards
     against a collector that accepts connections and never reads: it is up again after
-    each aborted connection, and each time would swallow as many records as its socket
-    buffer holds.
+    each aborted connection, and each time the records in its socket buffer would be
+    lost.
     """
     if not states:
         return []
--- a/milletsill/flows/export_stream.py
+++ b/milletsill/flows/export_stream.py
@@ -19,7 +19,7 @@
 
 FIRST_TEMPLATE_INTERVAL = TICKS_PER_SECOND
 TEMPLATE_INTERVAL_FACTOR = 4
-MAX_TEMPLATE_INTERVAL_STEPS = 20  # keeps the power small; the interval is capped
+MAX_TEMPLATE_INTERVAL_STEPS = 20  # bounds the exponent; the setting caps the interval
 DROPPED_TOO_LARGE = "too large"
 """Cause of a drop, exported in dropCause."""
 
