--- a/milletsill/lab/__init__.py
+++ b/milletsill/lab/__init__.py
@@ -1,4 +1,6 @@
-"""The laboratory: stand-ins, faults, load, audit and reports.
+"""The laboratory: scenario runs with real gateways, stand-ins, faults and audits.
 
-Nothing of the product imports it.
+A run starts gateway processes on loopback, with stand-ins for the nodes and the
+registry, and audits what crossed the sockets. No production module imports this
+package.
 """
--- a/milletsill/lab/audit.py
+++ b/milletsill/lab/audit.py
@@ -1,7 +1,9 @@
-"""Checks the seven rules from what crossed the sockets; gateways have no say in it.
+"""Audits a scenario run against the seven rules of `breaches.RULES`.
 
-`audit` gives one `Breach` for each thing found, with the packets that show it. Slacks
-are for the way through the sockets of a busy machine, and stated in the report.
+The audit relies only on packets that clients, stand-in nodes and the registry stand-in
+recorded, never on what a gateway reports about itself. `audit` returns one `Breach` for
+each violation, with the packets that show it. The checks tolerate the delay of a packet
+on the sockets of a busy machine (`SOCKET_SLACK`); the report states the tolerance.
 """
 
 from __future__ import annotations
@@ -10,7 +12,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from milletsill.lab.audit_answers import check_answers, check_repeats
+from milletsill.lab.audit_answers import check_answers, check_retries
 from milletsill.lab.audit_load import (
     check_cold_nodes,
     check_limits,
@@ -22,16 +24,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unlisting:
-    """A node is not listed as ready, and since when; its state as told last."""
+class NotReady:
+    """The last listed state of a node that is not ready, and since when it is not."""
 
     state: str
     since: float
 
 
-def unlisting(states: list[ListedState], at: float) -> Unlisting | None:
-    """Return whether and since when a node was told then to be other than ready."""
-    found: Unlisting | None = None
+def not_ready_at(states: list[ListedState], at: float) -> NotReady | None:
+    """Return since when a node is listed as not ready at a time; None if it is ready.
+
+    `states` are the states that the registry sent to one gateway, in time order.
+    """
+    found: NotReady | None = None
     for listed in states:
         if listed.at > at:
             break
@@ -39,14 +44,14 @@
             found = None
         else:
             since = listed.at if found is None else found.since
-            found = Unlisting(listed.state, since)
+            found = NotReady(listed.state, since)
     return found
 
 
 def check_drains(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
-    """Rule 3: nothing to a node that drains or is gone, later than the grace.
+    """Rule 3: no attempt is sent to a draining or removed node after the drain grace.
 
-    The grace counts from when the gateway was told so.
+    The grace starts when the registry sends the node's new state to the gateway.
     """
     grace = scenario.gateway.rules.drain_grace_ms / 1000 + SOCKET_SLACK
     by_pair: dict[tuple[str, int], list[ListedState]] = defaultdict(list)
@@ -55,18 +60,22 @@
             by_pair[gateway, listed.node].append(listed)
     for attempt in evidence.attempts:
         states = by_pair.get((attempt.gateway, attempt.node), [])
-        told = unlisting(states, attempt.at)
-        if told is not None and attempt.at > told.since + grace:
+        not_ready = not_ready_at(states, attempt.at)
+        if not_ready is not None and attempt.at > not_ready.since + grace:
             yield Breach(
                 3,
-                f"sent {attempt.at - told.since:.3f} s after the gateway was told that "
-                f"the box is {told.state}",
+                f"sent {attempt.at - not_ready.since:.3f} s after the registry told "
+                f"the gateway that the node is {not_ready.state}",
                 [attempt.describe()],
             )
 
 
 def check_key_order(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
-    """Rule 5: requests of one key run one at a time, in the order of their numbers."""
+    """Rule 5: requests of one key run one at a time, in the order of their ids.
+
+    The rule covers request classes with `in_order`. A node may still work on an attempt
+    that it never answered, so such an attempt counts as running for `key_rest_ms`.
+    """
     ordered = {each.name for each in scenario.gateway.category if each.in_order}
     rest = scenario.gateway.rules.key_rest_ms / 1000
     by_key: dict[tuple[str, int, int], list[RecordedAttempt]] = defaultdict(list)
@@ -82,14 +91,14 @@
                 ends = before.at + rest
             lines = [before.describe(), after.describe()]
             if before.request != after.request and after.at < ends - SOCKET_SLACK:
-                yield Breach(5, "two transfers of one key at once", lines)
+                yield Breach(5, "two requests of one key at once", lines)
             elif before.request > after.request:
-                yield Breach(5, "a key's transfers out of turn", lines)
+                yield Breach(5, "a key's requests out of order", lines)
 
 
 CHECKS: dict[int, Callable[[Evidence, Scenario], Iterator[Breach]]] = {
     1: check_answers,
-    2: check_repeats,
+    2: check_retries,
     3: check_drains,
     4: check_cold_nodes,
     5: check_key_order,
@@ -99,5 +108,5 @@
 
 
 def audit(evidence: Evidence, scenario: Scenario) -> dict[int, list[Breach]]:
-    """Return the breaches of every rule; a rule that was kept has none."""
+    """Return the breaches by rule number; the list of a rule that holds is empty."""
     return {rule: list(check(evidence, scenario)) for rule, check in CHECKS.items()}
--- a/milletsill/lab/audit_answers.py
+++ b/milletsill/lab/audit_answers.py
@@ -1,4 +1,8 @@
-"""Rules 1 and 2: one final answer in time, and no effect twice."""
+"""Checks rules 1 and 2.
+
+Rule 1: each command gets one final answer in time. Rule 2: no request takes effect
+twice.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +18,15 @@
 )
 from milletsill.settings.milletsill_pb2 import Scenario
 
-WITHOUT_EFFECT = (1, 2)
-"""Verdicts of a node after which an attempt had no effect."""
+VERDICTS_WITHOUT_EFFECT = (1, 2)
+"""A node's verdicts on attempts that had no effect."""
 
 
 def answer_due(command: RecordedCommand, evidence: Evidence) -> float:
-    """Return when a command has to be answered at the latest.
+    """Return the latest time at which a command's answer is in time.
 
-    A gateway that the laboratory stopped is not running: it owes its answer once it
-    runs again.
+    A gateway that the laboratory suspended cannot answer; an answer that falls due
+    during the stop is in time if it comes right after the gateway resumes.
     """
     due = command.at + command.client_timeout
     resumed = [
@@ -37,7 +41,10 @@
 def late_answers(
     command: RecordedCommand, due: float, slack: float
 ) -> Iterator[Breach]:
-    """Find a command's answers that are missing or came too late."""
+    """Find a missing answer to a command, and answers that came too late.
+
+    No answer is expected where the connection was lost before the answer was due.
+    """
     line = command.describe()
     if not command.answers and (
         command.lost_at is None or command.lost_at > due + slack
@@ -47,16 +54,16 @@
         if answer.at > due + slack:
             yield Breach(
                 1,
-                f"an answer {answer.at - due:.3f} s after patience",
+                f"an answer {answer.at - due:.3f} s after the client timeout",
                 [line, f"{answer.at:.4f} answer {answer.kind}"],
             )
 
 
 def final_answer_times(evidence: Evidence) -> dict[str, float]:
-    """Return by mark and retry from when on nothing of a command may be sent.
+    """Return, by mark and retry, the time after which no attempt may be sent.
 
-    A number that a gateway gave up with `aborted` may yet be done by its channel's
-    owner, as long as its client's timeout.
+    That time is a command's final answer. A channel number that a gateway answered with
+    `x-aborted` may still be executed by the channel's owner until the client timeout.
     """
     found: dict[str, float] = {}
     for command in evidence.commands:
@@ -72,20 +79,20 @@
 
 
 def check_answers(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
-    """Rule 1: each command has one answer in time, and nothing is sent after it.
+    """Rule 1: each command gets one answer in time, and no attempt is sent after it.
 
-    A command whose connection ended before is owed none.
+    A command whose connection ended before its answer was due needs no answer.
     """
     for stray in evidence.unowed_answers:
-        yield Breach(1, "an answer that is not owed", [stray])
+        yield Breach(1, "an answer that no command is waiting for", [stray])
     slack = SOCKET_SLACK + evidence.client_lateness
     for command in evidence.commands:
         yield from late_answers(command, answer_due(command, evidence), slack)
     answered_at = final_answer_times(evidence)
     for attempt in evidence.attempts:
         answered = answered_at.get(attempt.mark)
-        # Its time is that of the node's read: where the nodes' process stood, it may
-        # have been there since that began.
+        # An attempt's time is when the node read it. If the nodes' process had stopped
+        # reading, the attempt may have arrived as early as the start of that gap.
         if (
             attempt.mark
             and answered is not None
@@ -93,16 +100,17 @@
         ):
             yield Breach(
                 1,
-                "a dispatch after the final answer",
+                "an attempt after the final answer",
                 [f"{answered:.4f} final answer", attempt.describe()],
             )
 
 
-class RepeatCheck:
-    """Rule 2: nothing takes effect twice, and no rejection is untrue.
+class RetryCheck:
+    """Rule 2: no request takes effect twice, and each rejection is true.
 
-    A non-idempotent request is not sent again once it may have run; one with an
-    idempotency key only within its retry window and scope.
+    A non-idempotent request is not retried once it may have run; an idempotency-keyed
+    one is retried only within its retry window and scope. A request that was answered
+    as declined must not have run, unless it may be retried at any node.
     """
 
     def __init__(self, evidence: Evidence, scenario: Scenario) -> None:
@@ -122,7 +130,7 @@
         request_class = self.request_classes.get(attempts[0].request_class)
         if request_class is None or request_class.repeats == "rerunnable":
             return
-        ran = [each for each in attempts if each.verdict not in WITHOUT_EFFECT]
+        ran = [each for each in attempts if each.verdict not in VERDICTS_WITHOUT_EFFECT]
         lines = [each.describe() for each in attempts]
         for later in attempts:
             before = [
@@ -130,7 +138,7 @@
                 for each in ran
                 if each.at < later.at and each.number < later.number
             ]
-            text = self.fault_of_repeat(request_class, before, later)
+            text = self.retry_violation(request_class, before, later)
             if text:
                 yield Breach(2, text, lines)
         language = self.last_answers.get(attempts[0].mark, "")
@@ -141,31 +149,35 @@
         if ran and language.startswith("x-declined") and not retries_anywhere:
             yield Breach(2, "declined though it may have run", lines)
 
-    def fault_of_repeat(
+    def retry_violation(
         self,
         request_class: Any,
         before: list[RecordedAttempt],
         later: RecordedAttempt,
     ) -> str:
-        """Return what is wrong with an attempt after others that may have run."""
+        """Return which rule a retry violates, given the attempts that may have run.
+
+        The text is empty where the retry is allowed.
+        """
         if not before:
             return ""
         if request_class.repeats == "exclusive":
-            return "an exclusive transfer sent again after it may have run"
+            return "a non-idempotent request retried after it may have run"
         window = request_class.repeat_window_ms / 1000
         if later.at > before[0].at + window + SOCKET_SLACK:
-            return "a ticketed transfer sent again past its window"
+            return "an idempotency-keyed request retried past its retry window"
         scope = request_class.group
         if scope != "all" and any(
-            self.boots[each.node].place(scope) != self.boots[later.node].place(scope)
+            self.boots[each.node].scope_id(scope)
+            != self.boots[later.node].scope_id(scope)
             for each in before
         ):
-            return "a ticketed transfer sent again outside its group"
+            return "an idempotency-keyed request retried outside its retry scope"
         return ""
 
 
-def check_repeats(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
-    """Rule 2, over all requests: see `RepeatCheck`."""
-    check = RepeatCheck(evidence, scenario)
+def check_retries(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
+    """Rule 2, no request takes effect twice, over all requests: see `RetryCheck`."""
+    check = RetryCheck(evidence, scenario)
     for attempts in attempts_by_request(evidence).values():
         yield from check.check(attempts)
--- a/milletsill/lab/audit_contracts.py
+++ b/milletsill/lab/audit_contracts.py
@@ -1,9 +1,9 @@
-"""Checks the contracts of channels from clients' packets and nodes' writes.
+"""Audits the ordering contracts of channels from clients' packets and nodes' writes.
 
-Gateways have no say in it. Checked for every channel: no effect twice, none without
-having been asked for, none missing or forgotten once it was said to be settled, none
-after it was said to have none, claims that grow; then the order that its contract
-says.
+The audit does not rely on what gateways report. In every channel, a number takes effect
+at most once and only if a client sent it; a number that was answered as settled has
+taken effect and is never reported otherwise; a number that was reported as without
+effect takes none later; claims increase. In addition, each contract's order is checked.
 """
 
 from __future__ import annotations
@@ -35,15 +35,18 @@
     BATCHES: "batches",
 }
 RETRYABLE_TAGS = ("x-declined", "x-claim-lost", "x-over")
-"""Starts of language tags that say nothing of what became of a number."""
+"""Prefixes of language tags that leave open what happened to a number."""
 Check = Callable[[ChannelHistory], Iterator[Breach]]
 
 
-# Of every channel.
+# Checks of every channel.
 
 
 def check_single_effects(history: ChannelHistory) -> Iterator[Breach]:
-    """One effect for a number and a generation, and each was asked for."""
+    """Each generation of a number takes effect once at most, and was requested.
+
+    A generation above 0 needs as many resolutions "not done" by a client before it.
+    """
     seen: dict[tuple[int, int], NumberWrite] = {}
     for effect in history.effects:
         number = effect.number
@@ -59,7 +62,8 @@
         )
         if effect.generation > asked:
             yield history.breach(
-                f"number {number} let go again, and nobody said so", line
+                f"number {number} released again, no client resolved it as not done",
+                line,
             )
         if history.openings and number not in history.commands:
             yield history.breach(
@@ -68,12 +72,12 @@
 
 
 def contradicts_settled(answer: RecordedAnswer) -> bool:
-    """Return whether an answer says other than that a number is settled."""
+    """Return whether an answer denies that a number is settled."""
     return answer.code != OK and not answer.language.startswith(RETRYABLE_TAGS)
 
 
 def check_settled(history: ChannelHistory) -> Iterator[Breach]:
-    """What was said to be settled had its effect, and is never told otherwise."""
+    """A number answered as settled has taken effect and stays reported as settled."""
     written: dict[int, list[float]] = defaultdict(list)
     for effect in history.effects:
         written[effect.number].append(effect.at)
@@ -88,9 +92,9 @@
             if command.at <= settled_at:
                 continue
             for answer in filter(contradicts_settled, command.answers):
-                told = answer.language or answer.code
+                reported = answer.language or answer.code
                 yield history.breach(
-                    f"number {number} was settled, and later told as {told}",
+                    f"number {number} was settled, later reported as {reported}",
                     f"{settled_at:.4f} settled",
                     f"{answer.at:.4f} {command.describe()}",
                 )
@@ -99,7 +103,7 @@
 
 
 def check_next_numbers(history: ChannelHistory) -> Iterator[Breach]:
-    """The next number that an opening tells is above all that were settled."""
+    """The next number in an opening's answer is above all numbers settled before."""
     for message in history.openings:
         top = max(
             (number for number, at in history.settled.items() if at < message.at),
@@ -108,35 +112,35 @@
         opening = message.opening
         if opening is not None and opening.next_number <= top:
             yield history.breach(
-                f"next was told as {opening.next_number} after {top} was settled",
+                f"next number is {opening.next_number} after {top} was settled",
                 f"{message.at:.4f} opened at {message.gateway}",
             )
 
 
 def check_ended(history: ChannelHistory) -> Iterator[Breach]:
-    """No effect of a number after a client was told that it has none any more."""
+    """A number that was reported as without effect does not take effect later."""
     for effect in history.effects:
         end = history.ended.get(effect.number)
         if end is not None and effect.at > end.at + SOCKET_SLACK:
             yield history.breach(
-                f"number {effect.number} took effect after {end.sign}",
-                f"{end.at:.4f} {end.sign}",
+                f"number {effect.number} took effect after {end.reason}",
+                f"{end.at:.4f} {end.reason}",
                 effect.describe(),
             )
 
 
 @dataclass(frozen=True, slots=True)
 class AnsweredClaim:
-    """A claim, when a client asked for it and when it was told."""
+    """A claim that a gateway granted to a client, with both times."""
 
     claim: int
-    asked_at: float
-    told_at: float
+    requested_at: float
+    answered_at: float
     gateway: str
 
 
 def check_claims(history: ChannelHistory) -> Iterator[Breach]:
-    """A claim that was asked for after another was answered is larger."""
+    """A claim requested after another claim was answered is larger than it."""
     claims = sorted(
         (
             AnsweredClaim(
@@ -148,23 +152,23 @@
             for message in history.openings
             if message.opening is not None
         ),
-        key=lambda claim: claim.told_at,
+        key=lambda claim: claim.answered_at,
     )
     for place, claim in enumerate(claims):
         before = max(
-            (each for each in claims[:place] if each.told_at < claim.asked_at),
+            (each for each in claims[:place] if each.answered_at < claim.requested_at),
             key=lambda each: each.claim,
             default=None,
         )
         if before is not None and claim.claim <= before.claim:
             yield history.breach(
                 f"claim {claim.claim} after claim {before.claim}",
-                f"{before.told_at:.4f} told at {before.gateway}",
-                f"{claim.told_at:.4f} told at {claim.gateway}",
+                f"{before.answered_at:.4f} answered by {before.gateway}",
+                f"{claim.answered_at:.4f} answered by {claim.gateway}",
             )
 
 
-# By contract.
+# Checks of one contract each.
 
 
 def inversions(
@@ -184,7 +188,7 @@
 
 
 def gaps(history: ChannelHistory) -> Iterator[Breach]:
-    """Find numbers without effect or end below one that took effect."""
+    """Find gaps: numbers without effect or reported end below one with an effect."""
     seen: set[int] = set()
     top = 0
     for effect in history.effects:
@@ -211,7 +215,7 @@
 
 
 def check_key_ranges(history: ChannelHistory) -> Iterator[Breach]:
-    """No number takes effect after a higher one of the same part of a file."""
+    """No number takes effect after a higher one in the same part of a file."""
     by_range: dict[KeyRange, list[NumberWrite]] = defaultdict(list)
     for effect in history.effects:
         by_range[effect.range].append(effect)
@@ -220,7 +224,11 @@
 
 
 def check_batches(history: ChannelHistory) -> Iterator[Breach]:
-    """None of a batch is written before each of the one before is, or has an end."""
+    """No number of a batch is written before all numbers of earlier batches.
+
+    A number that was reported as without effect, or whose outcome is indeterminate,
+    need not be written.
+    """
     batches = {
         number: commands[0].batch for number, commands in history.commands.items()
     }
@@ -243,7 +251,7 @@
             elif written_at[before] > at and before not in history.ended:
                 yield history.breach(
                     f"{where} before number {before} of batch {batch}",
-                    f"{at:.4f} against {written_at[before]:.4f}",
+                    f"{at:.4f} before {written_at[before]:.4f}",
                 )
 
 
@@ -261,19 +269,21 @@
 }
 
 
-def misnamed_contracts(
+def mismatched_orders(
     history: ChannelHistory, declared: Mapping[str, int]
 ) -> Iterator[Breach]:
-    """Find openings whose order is not the one that the settings declare."""
+    """Find openings answered with another order than the settings declare."""
     for message in history.openings:
         opening = message.opening
         if opening is not None and declared.get(opening.contract) != opening.order:
             order = ORDER_TITLES.get(opening.order)
-            yield history.breach(f"contract {opening.contract} told as {order}")
+            yield history.breach(
+                f"contract {opening.contract} opened with order {order}"
+            )
 
 
 def audit_contracts(evidence: Evidence, scenario: Scenario) -> dict[str, list[Breach]]:
-    """Return the breaches by the title of the contract's order."""
+    """Return the breaches by the title of the contract's order; see `ORDER_TITLES`."""
     contracts = scenario.gateway.fleet.channels.contract
     declared = {contract.name: contract.order for contract in contracts}
     found: dict[str, list[Breach]] = {
@@ -285,5 +295,5 @@
         breaches = found.setdefault(ORDER_TITLES[history.order], [])
         for check in (*CHECKS_OF_ALL, CHECK_OF_ORDER[history.order]):
             breaches += check(history)
-        breaches += misnamed_contracts(history, declared)
+        breaches += mismatched_orders(history, declared)
     return found
--- a/milletsill/lab/audit_fleet.py
+++ b/milletsill/lab/audit_fleet.py
@@ -1,7 +1,9 @@
-"""How long views, and what gateways call a node, took to agree after each fault.
+"""Measures how long gateways took to agree after each fault.
 
-A moment agrees when all gateways that run and can speak say the same; over a split
-network each side by itself. Times are seconds.
+The module covers membership views and health states of nodes, both read from the
+gateways' logs. Views agree at a moment when all running gateways that can reach each
+other report the same view; on a partitioned network, each side is compared by itself.
+Times are seconds.
 """
 
 from __future__ import annotations
@@ -14,17 +16,20 @@
 from milletsill.lab.record_entries import read_entries
 from milletsill.settings.milletsill_pb2 import Scenario
 
-DEATH_MAY_FOLLOW = 12.0
-"""Seconds after a fault for which a member's being called gone may come of it."""
+MAX_DEATH_DELAY = 12.0
+"""Seconds after a fault's end for which the fault may explain a reported death."""
 NODE_FAULTS = ("slow", "pauses", "neighbour", "vanish")
-PARTING_FAULTS = (*PARTITIONS, "cut_one_way", "lossy")
+LINK_FAULTS = (*PARTITIONS, "cut_one_way", "lossy")
 HEALTHY = "steady"
 TRAFFIC_COUNTS = ("packets", "octets", "stream_octets")
 
 
 @dataclass(frozen=True, slots=True)
 class ViewAgreement:
-    """After how many seconds all views agreed, until the next mark at least."""
+    """After how many seconds all views agreed, and stayed so until the next mark.
+
+    `took` is None where they did not.
+    """
 
     name: str
     at: float
@@ -34,7 +39,7 @@
 def current_view(
     logs: GatewayLogs, timeline: FaultTimeline, gateway: str, at: float
 ) -> ReportedView | None:
-    """Return a gateway's view; None where it has had none since it was back."""
+    """Return a gateway's view; None where it reported none since its last restart."""
     view = logs.last_view(gateway, at)
     if view is None or view.at < timeline.restarted_at(gateway, at):
         return None
@@ -44,7 +49,7 @@
 def views_agree(
     logs: GatewayLogs, timeline: FaultTimeline, names: Sequence[str], at: float
 ) -> bool:
-    """Return whether all who can speak to each other have one view, of just these."""
+    """Return whether gateways that reach each other have one view, of just them."""
     for side in timeline.sides(names, at):
         views = [current_view(logs, timeline, name, at) for name in side]
         first = views[0]
@@ -61,9 +66,10 @@
 def view_agreements(
     logs: GatewayLogs, timeline: FaultTimeline, names: Sequence[str], end: float
 ) -> list[ViewAgreement]:
-    """Return for each mark when views agreed after it, and went on to.
+    """Return, for each mark of the timeline, how long the views took to agree.
 
-    Marks that lie in a cut one way are left out: nobody can say who is there.
+    The views have to agree until the next mark. Marks during a one-way cut are left
+    out, because the set of reachable members is undefined there.
     """
     changes = sorted(view.at for views in logs.views.values() for view in views)
     ends = [mark.at for mark in timeline.marks[1:]] + [end]
@@ -86,23 +92,23 @@
 
 
 def has_cause(death: ReportedDeath, timeline: FaultTimeline) -> bool:
-    """Return whether either gateway was down or something lay between of late."""
+    """Return whether a recent fault of either gateway or the network explains it."""
     was_down = any(
-        span.since <= death.at <= span.until + DEATH_MAY_FOLLOW
+        span.since <= death.at <= span.until + MAX_DEATH_DELAY
         for name in (death.member, death.gateway)
         for span in timeline.down.get(name, ())
     )
     return was_down or any(
-        span.since <= death.at <= span.until + DEATH_MAY_FOLLOW
+        span.since <= death.at <= span.until + MAX_DEATH_DELAY
         for span in timeline.network
-        if span.kind in PARTING_FAULTS
+        if span.kind in LINK_FAULTS
     )
 
 
 def false_deaths(logs: GatewayLogs, timeline: FaultTimeline) -> list[str]:
-    """Return members that were called gone without a cause, as lines of a report."""
+    """Return the reported deaths that no fault explains, as lines of a report."""
     return [
-        f"{death.at:.3f} {death.gateway} called {death.member} gone"
+        f"{death.at:.3f} {death.gateway} reported {death.member} dead"
         for death in logs.deaths
         if not has_cause(death, timeline)
     ]
@@ -110,9 +116,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictSpread:
-    """How many gateways saw a node's fault and its end, and after how many seconds.
+    """How many gateways detected a node's fault and its end, and how fast.
 
-    The seconds are those of nine in ten of all gateways; None where fewer did.
+    Each time is the number of seconds until nine in ten of all gateways had detected
+    it, or None where fewer did.
     """
 
     fault: str
@@ -123,7 +130,10 @@
 
 
 def nine_in_ten(seconds: Sequence[float], count: int) -> float | None:
-    """Return when nine in ten of `count` had done it; None where they had not."""
+    """Return the time by which nine in ten of `count` were done, None if fewer are.
+
+    `seconds` holds one time for each that is done.
+    """
     needed = -(-9 * count // 10)
     return sorted(seconds)[needed - 1] if len(seconds) >= needed else None
 
@@ -131,7 +141,7 @@
 def verdict_spread(
     logs: GatewayLogs, node: int, since: float, until: float
 ) -> tuple[dict[str, float], dict[str, float]]:
-    """Return by gateway after how many seconds it saw a fault, and its end."""
+    """Return, by gateway, the seconds until it detected a fault, and the end of it."""
     seen: dict[str, float] = {}
     end_seen: dict[str, float] = {}
     for verdict in logs.verdicts:
@@ -148,10 +158,10 @@
 def verdict_spreads(
     logs: GatewayLogs, scenario: Scenario, start: float, gateway_count: int
 ) -> list[VerdictSpread]:
-    """Return for each fault of a named node how gateways came to see it.
+    """Return, for each fault of a named node, how fast the gateways detected it.
 
-    A gateway saw it that called the node anything but steady while it lasted, and
-    its end where it called the node steady again.
+    A gateway detects a fault when it logs another state than healthy for the node while
+    the fault lasts, and detects the end when it logs the node as healthy again.
     """
     found = []
     for fault in scenario.trouble:
@@ -163,7 +173,7 @@
             seen, end_seen = verdict_spread(logs, node, since, until)
             found.append(
                 VerdictSpread(
-                    f"{fault.what} of box {node}",
+                    f"{fault.what} of node {node}",
                     len(seen),
                     nine_in_ten(list(seen.values()), gateway_count),
                     len(end_seen),
@@ -174,10 +184,10 @@
 
 
 def fleet_traffic(folder: str) -> dict[str, float]:
-    """Return what a gateway sent to others through the relay, a second.
+    """Return a gateway's mean rate of traffic through the relay, per second.
 
-    The mean of all gateways over the relay's life; empty where its record has too
-    little to tell.
+    The mean is over all gateways and the time between the relay's first and last
+    totals; the result is empty where its record has fewer than two of them.
     """
     totals = []
     for entry in read_entries(f"{folder}/relay.rec"):
--- a/milletsill/lab/audit_load.py
+++ b/milletsill/lab/audit_load.py
@@ -1,4 +1,8 @@
-"""Rules 4, 6 and 7: the load of cold nodes, the retry budget, the volumes' limits."""
+"""Checks rules 4, 6 and 7.
+
+Rule 4: no node that is warming up is overloaded. Rule 6: retries stay within the retry
+budget. Rule 7: volumes stay within the limits of their service plans.
+"""
 
 from __future__ import annotations
 
@@ -20,16 +24,23 @@
 )
 from milletsill.settings.milletsill_pb2 import Scenario
 
-WORK_SLACK = 1.0
-"""Seconds of work of a cold node, for chance in what a request costs."""
+WORK_SLACK_S = 1.0
+"""Tolerance on the work that a cold node gets, since a request's cost varies."""
 UNKNOWN_WORK = 0.001
-"""Seconds of work a unit of what is neither read nor written."""
+"""Seconds of work of a request that neither reads nor writes.
+
+Also the work per unit of a request class that the scenario's traffic lacks.
+"""
 READ_OR_WRITE = (5, 6)
-"""SFTP types of packets whose work grows with their size."""
+"""SFTP packet types whose work is proportional to the size of the data."""
 
 
 class ColdNodeCheck:
-    """Rule 4: a cold node gets no more than a multiple of what it can do."""
+    """Rule 4: a cold node gets at most a multiple of the work that it can do.
+
+    The limit applies to each window of `cold_window_ms` until the node is warm, and
+    only to windows with more than `cold_units` units.
+    """
 
     def __init__(self, evidence: Evidence, scenario: Scenario) -> None:
         self.rules = scenario.gateway.rules
@@ -41,7 +52,7 @@
         }
 
     def work(self, attempt: RecordedAttempt) -> float:
-        """Return the seconds of work that an attempt means."""
+        """Return the seconds of work that an attempt takes."""
         if attempt.kind not in READ_OR_WRITE:
             return UNKNOWN_WORK
         per_unit = self.work_per_unit.get(attempt.request_class, UNKNOWN_WORK)
@@ -52,10 +63,12 @@
         warmth = boot.cold_from + (1 - boot.cold_from) * min(
             (at - boot.at) / boot.cold_s, 1
         )
-        return self.rules.cold_multiple * boot.cores * warmth * self.window + WORK_SLACK
+        return (
+            self.rules.cold_multiple * boot.cores * warmth * self.window + WORK_SLACK_S
+        )
 
     def check(self, boot: NodeBoot) -> Breach | None:
-        """Return the first breach after a cold start, if there is one."""
+        """Return the first breach after a cold start; None if there is none."""
         warm_at = boot.at + boot.cold_s
         attempts = [
             each
@@ -72,21 +85,21 @@
             ) > self.capacity(boot, attempt.at):
                 return Breach(
                     4,
-                    f"more than a cold box bears within {self.window:g} s",
+                    f"more work than a cold node can take within {self.window:g} s",
                     describe_last(within),
                 )
         return None
 
 
 def check_cold_nodes(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
-    """Rule 4, over all cold starts; and no node fell."""
+    """Rule 4, over all cold starts: no cold node is overloaded, and none crashed."""
     check = ColdNodeCheck(evidence, scenario)
     for note in evidence.notes:
         if isinstance(note, NodeOverload):
             yield Breach(
                 4,
-                f"box {note.node} fell over",
-                [f"{note.at:.4f} box {note.node} fell"],
+                f"node {note.node} crashed of overload",
+                [f"{note.at:.4f} node {note.node} crashed"],
             )
         elif isinstance(note, NodeBoot) and note.cold:
             breach = check.check(note)
@@ -95,14 +108,18 @@
 
 
 def check_retry_budget(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
-    """Rule 6: retries in any window against the commands that came in it."""
+    """Rule 6: the retries in any window stay within the retry budget.
+
+    A gateway may send `further_free` retries per window, and `further_ratio` more for
+    each command that it received in the window.
+    """
     rules = scenario.gateway.rules
     if not rules.HasField("further_window_ms"):
         return
     window = rules.further_window_ms / 1000
-    taken: dict[str, list[float]] = defaultdict(list)
+    received: dict[str, list[float]] = defaultdict(list)
     for command in evidence.commands:
-        taken[command.gateway].append(command.at)
+        received[command.gateway].append(command.at)
     retries: dict[str, list[RecordedAttempt]] = defaultdict(list)
     for attempt in in_time_order(evidence.attempts):
         if attempt.number:
@@ -114,23 +131,23 @@
                 each for each in attempts[: place + 1] if each.at > since + SOCKET_SLACK
             ]
             commands = sum(
-                since - SOCKET_SLACK <= at <= attempt.at for at in taken[gateway]
+                since - SOCKET_SLACK <= at <= attempt.at for at in received[gateway]
             )
             if len(within) > rules.further_free + rules.further_ratio * commands:
                 yield Breach(
                     6,
-                    f"{len(within)} further dispatches within {window:g} s, "
-                    f"{commands} commands taken",
+                    f"{len(within)} retries within {window:g} s, "
+                    f"{commands} commands received",
                     describe_last(within),
                 )
                 break
 
 
 def check_limits(evidence: Evidence, scenario: Scenario) -> Iterator[Breach]:
-    """Rule 7: first attempts for a volume against its plan's limit.
+    """Rule 7: the first attempts for a volume stay within its service plan's limit.
 
-    The limit is a store of units that is full at the start and fills at a rate; all
-    gateways draw on it.
+    The limit is a token bucket of units that all gateways share. It is full at the
+    start, holds `limit_store` units and refills at `limit_rate` units per second.
     """
     plans = {each.name: each for each in scenario.gateway.plan}
     by_volume: dict[int, list[RecordedAttempt]] = defaultdict(list)
--- a/milletsill/lab/channel_history.py
+++ b/milletsill/lab/channel_history.py
@@ -1,9 +1,9 @@
-"""What became of the numbers of each channel, from clients' packets and nodes' writes.
+"""Reconstructs the history of each channel from clients' packets and nodes' writes.
 
-A node's idempotency key says which number a write was of:
-`VOLUME@CHANNEL@NUMBER.GENERATION#...`, VOLUME the xxh64 of its name, GENERATION
-growing each time that a client resolved the number as not done. A number is settled
-once a client was answered OK for it.
+The idempotency key of a write at a node names the channel's number that it executes:
+`VOLUME@CHANNEL@NUMBER.GENERATION#...`. VOLUME is the xxh64 hash of the volume's name.
+GENERATION increases each time that a client resolves the number as not done. A number
+is settled once a client got the answer OK for it.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 SKIPPED = 3
 UNKNOWN_ORDER = -1
 ENDED_TAGS = ("x-left-out", "x-superseded")
-"""Starts of language tags after which a number has no effect any more."""
+"""Prefixes of the language tags that report a number as without effect for good."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelKey:
-    """A channel of a volume; volumes are numbered from 1, 0 is none that is known."""
+    """A channel of a volume; volumes are numbered from 1, and 0 is an unknown one."""
 
     volume: int
     channel: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """The part of a file that a write lies in; parts are numbered from 0."""
+    """The part of a file that a write falls into; parts are numbered from 0."""
 
     path: str
     part: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberWrite:
-    """A write at a node that a channel's number stands behind."""
+    """A write at a node that executes a channel's number."""
 
     at: float
     node: int
@@ -65,24 +65,27 @@
     def describe(self) -> str:
         """Return the write as one line of a report."""
         return (
-            f"{self.at:.4f} box {self.node} wrote number "
-            f"{self.number}.{self.generation}, {self.gateway} transfer {self.request}"
+            f"{self.at:.4f} node {self.node} wrote number "
+            f"{self.number}.{self.generation}, {self.gateway} request {self.request}"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class NumberEnd:
-    """A client was told that a number has no effect; `sign` is what told it."""
+    """The report to a client that a number has no effect.
+
+    `reason` is the answer's language tag, or a text for a client's own resolution.
+    """
 
     at: float
-    sign: str
+    reason: str
 
 
 @dataclass(slots=True)
 class ChannelHistory:
-    """All that is known of one channel; lists are in the order of time.
+    """The records about one channel, each list in time order.
 
-    `settled` and `ended` hold when a client was first told so.
+    `settled` and `ended` hold, by number, when a client first got that answer.
     """
 
     key: ChannelKey
@@ -109,11 +112,11 @@
         return next((each for each in self.effects if each.number == number), None)
 
     def may_lack_effect(self, number: int) -> bool:
-        """Return whether a client knows that a number may have no effect."""
+        """Return whether a client was told that a number has or may have no effect."""
         return number in self.ended or number in self.indeterminate
 
     def derive_ends(self) -> None:
-        """Work out from the answers what clients were told of each number."""
+        """Derive from the answers which numbers are settled, ended or indeterminate."""
         for number, commands in self.commands.items():
             for answer in sorted(
                 answer for command in commands for answer in command.answers
@@ -130,7 +133,7 @@
                     answer.code == OK for answer in message.answers
                 ):
                     self.ended.setdefault(
-                        number, NumberEnd(message.answers[0].at, "said left out")
+                        number, NumberEnd(message.answers[0].at, "resolved as skipped")
                     )
 
 
@@ -155,11 +158,14 @@
         return 0
 
     def of_key(self, key: ChannelKey) -> ChannelHistory:
-        """Return a channel's history, a new one where it has none."""
+        """Return a channel's history; create it where there is none."""
         return self.found.setdefault(key, ChannelHistory(key))
 
     def add_messages(self, messages: Sequence[RecordedChannelMessage]) -> None:
-        """Add what clients said of channels; openings first, they give handles."""
+        """Add clients' channel messages.
+
+        Openings come first, because their answers give the handles of the others.
+        """
         for message in messages:
             if message.verb != OPEN:
                 continue
@@ -185,7 +191,7 @@
                 self.by_handle[place].commands[command.number].append(command)
 
     def add_effect(self, effect: NodeWrite) -> None:
-        """Add a write, where it succeeded and was of a channel's number."""
+        """Add a write if it succeeded and executes a channel's number."""
         found = IDEMPOTENCY_KEY.fullmatch(effect.idempotency_key)
         if found is None or effect.code != OK:
             return
@@ -205,7 +211,7 @@
 
 
 def channel_histories(evidence: Evidence, scenario: Scenario) -> list[ChannelHistory]:
-    """Return the history of every channel that a client opened or a node wrote for."""
+    """Return the history of every channel that a client opened or that has a write."""
     histories = ChannelHistories(scenario)
     histories.add_messages(evidence.channel_messages)
     histories.add_commands(evidence.commands)
--- a/milletsill/lab/client_records.py
+++ b/milletsill/lab/client_records.py
@@ -1,4 +1,4 @@
-"""Reads the records of clients: commands, messages about channels, and answers."""
+"""Reads the records of clients: commands, channel messages, and their answers."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class ClientRecordReader:
-    """Reads the record of one process of clients.
+    """Reads the records of the client processes, one process at a time.
 
-    Commands and messages about channels get their answers; an answer that nobody
-    waits for is kept as text.
+    Each answer is added to its command or channel message. An answer that matches none
+    is kept as a line of text in `unowed_answers`.
     """
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
                 self.on_answer(entry, packet_id, kind, cursor)
 
     def on_note(self, entry: RecordEntry) -> None:
-        """A connection began or was lost."""
+        """Read a note that a connection began or was lost."""
         note = entry.note()
         if note["what"] == "connect":
             self.gateways[note["conn"]] = note["edge"]
@@ -76,7 +76,10 @@
     def on_request(
         self, entry: RecordEntry, packet_id: int, cursor: FieldCursor
     ) -> None:
-        """A client sent an extended request; only ours are owed an answer here."""
+        """Read an extended request of a client.
+
+        Extensions other than the three of milletsill are not recorded.
+        """
         extension = cursor.text()
         gateway = self.gateways[entry.connection]
         if extension == CHANNEL_EXTENSION:
@@ -92,7 +95,7 @@
     def on_answer(
         self, entry: RecordEntry, packet_id: int, kind: int, cursor: FieldCursor
     ) -> None:
-        """A client was answered."""
+        """Read an answer to a client, and match it to its command or message."""
         language = ""
         code = NO_CODE
         if kind == STATUS:
@@ -103,7 +106,7 @@
         if found is None:
             self.unowed_answers.append(
                 f"{entry.at:.4f} connection {entry.connection} answer {kind} for "
-                f"command {packet_id}, which is not out"
+                f"command {packet_id}, which is not in flight"
             )
             return
         found.answers.append(RecordedAnswer(entry.at, kind, language, code))
@@ -118,7 +121,7 @@
 def read_channel_message(
     entry: RecordEntry, gateway: str, cursor: FieldCursor
 ) -> RecordedChannelMessage:
-    """Read a client's message about a channel after its extension's name."""
+    """Read a client's channel message; the cursor is after the extension's name."""
     message = RecordedChannelMessage(
         entry.at, entry.connection, gateway, cursor.number(4)
     )
@@ -140,7 +143,10 @@
     cursor: FieldCursor,
     numbered: bool,
 ) -> RecordedCommand:
-    """Read a command after its extension's name; `numbered`: it is of a channel."""
+    """Read a command; the cursor is after the extension's name.
+
+    `numbered` means that the command belongs to a channel.
+    """
     handle = b""
     number = 0
     batch = 0
@@ -173,8 +179,8 @@
     order = cursor.number(4)
     next_number = cursor.number(8)
     cursor.number(8)  # the batch
-    cursor.number(4)  # how many wait
-    cursor.number(8)  # how many are remembered
+    cursor.number(4)  # the count of waiting numbers
+    cursor.number(8)  # the count of remembered numbers
     count = min(cursor.number(4), MAX_INDETERMINATE)
     indeterminate = tuple(cursor.number(8) for _ in range(count))
     return RecordedChannelOpening(
--- a/milletsill/lab/contract_figures.py
+++ b/milletsill/lab/contract_figures.py
@@ -1,4 +1,4 @@
-"""How much an audit of contracts checked, and how long channels stood after kills."""
+"""Counts what the audit of contracts checked, and how long kills stopped channels."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True)
 class ContractFigures:
-    """Counts over the channels of one contract's order.
+    """Counts over all channels whose contracts have the same order.
 
-    `interruptions` are seconds from the kill of a channel's owner until the next
-    number was settled.
+    `interruptions` holds, for each kill of a channel's owner, the seconds until the
+    channel's next number was settled.
     """
 
     channels: int = 0
@@ -57,28 +57,29 @@
                 self.interruptions.append(seconds)
 
     def by_title(self) -> dict[str, float]:
-        """Return the figures as a report prints them, in its order."""
+        """Return the figures by the titles that a report prints, in its order."""
         figures: dict[str, float] = {
             "channels": self.channels,
             "claims": self.claims,
             "numbers": self.numbers,
             "settled": self.settled,
-            "ended otherwise": self.ended_otherwise,
+            "without effect": self.ended_otherwise,
             "written": self.written,
-            "answered from memory": self.answered_from_memory,
+            "repeated answers": self.answered_from_memory,
         }
         if self.interruptions:
             seconds = sorted(self.interruptions)
-            figures["keepers killed"] = len(seconds)
-            figures["went on after, median s"] = round(seconds[len(seconds) // 2], 2)
-            figures["longest s"] = round(seconds[-1], 2)
+            figures["owners killed"] = len(seconds)
+            figures["interruption, median s"] = round(seconds[len(seconds) // 2], 2)
+            figures["longest interruption, s"] = round(seconds[-1], 2)
         return figures
 
 
 def interruption(history: ChannelHistory, kill: GatewayKill) -> float | None:
-    """Return the seconds from a kill until the next number was settled.
+    """Return the seconds from a kill until the channel's next number was settled.
 
-    None where the killed gateway was not the last that released one.
+    The result is None where no killed gateway released the channel's last number before
+    the kill, and where none was settled after it.
     """
     before = [each.gateway for each in history.effects if each.at < kill.at]
     after = [at for at in history.settled.values() if at > kill.at]
--- a/milletsill/lab/evidence.py
+++ b/milletsill/lab/evidence.py
@@ -1,22 +1,22 @@
-"""What an audit works on: everything that crossed the sockets of one scenario run.
+"""Defines the evidence that an audit checks: the packets of one scenario run.
 
-Read back by `evidence_reader` from the records of clients, stand-in nodes and the
-registry stand-in; gateways have no say in it. Times are seconds of the machine's
-monotonic clock.
+`evidence_reader` reads it from the records of clients, stand-in nodes and the registry
+stand-in. What a gateway reports about itself is not evidence. Times are seconds of the
+machine's monotonic clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-NO_CODE = -1  # of an answer that is no SFTP status
+NO_CODE = -1  # the code of an answer that is not an SFTP status
 LATE_READ = 0.02
-"""Seconds after a gap without reads within which what came in the gap is read."""
+"""Seconds after a read gap within which packets that arrived in the gap are read."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class RecordedAnswer:
-    """A packet that answered a client: its SFTP type, language tag and status code."""
+    """A packet that answered a client; `kind` is its SFTP type, `code` its status."""
 
     at: float
     kind: int
@@ -26,10 +26,12 @@
 
 @dataclass(slots=True)
 class RecordedCommand:
-    """A command of a client with its answers; `client_timeout` in seconds.
+    """A command of a client with its answers; `client_timeout` is in seconds.
 
-    `retry` counts how often the client sent the command marked `mark` before. The
-    last three name its place in a channel; `handle` is empty where it has none.
+    `mark` identifies what the client wants; `retry` counts how often the client sent
+    the command of that mark before. `handle`, `number` and `batch` are the command's
+    place in a channel; `handle` is empty outside a channel. `lost_at` is when the
+    connection ended before an answer came.
     """
 
     at: float
@@ -50,13 +52,13 @@
         """Return the command as one line of a report."""
         return (
             f"{self.at:.4f} {self.gateway} connection {self.connection} command "
-            f"{self.packet_id} {self.mark} try {self.retry}"
+            f"{self.packet_id} {self.mark} retry {self.retry}"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedChannelOpening:
-    """What the answer to a client's opening of a channel said."""
+    """The contents of the answer to a client's opening of a channel."""
 
     handle: bytes
     claim: int
@@ -68,10 +70,11 @@
 
 @dataclass(slots=True)
 class RecordedChannelMessage:
-    """A client's message about a channel: an opening, a question or a resolution.
+    """A client's message about a channel: an opening, a query or a resolution.
 
-    `path` and `channel` are of an opening, `opening` what its answer said; `handle`
-    and `number` are of the other two, `resolution` of the last.
+    `verb` says which of the three it is. Only an opening has `path` and `channel`, and
+    `opening` once it is answered. Queries and resolutions have `handle` and `number`,
+    and only a resolution has `resolution`.
     """
 
     at: float
@@ -90,7 +93,11 @@
 
 @dataclass(slots=True)
 class RecordedAttempt:
-    """An attempt that reached a stand-in node; `verdict` is None where none left it."""
+    """An attempt that reached a stand-in node.
+
+    `number` counts the request's earlier attempts. `verdict` is the node's answer, or
+    None where the node sent none.
+    """
 
     at: float
     node: int
@@ -111,33 +118,37 @@
     def describe(self) -> str:
         """Return the attempt as one line of a report."""
         return (
-            f"{self.at:.4f} box {self.node} <- {self.gateway}.{self.incarnation} "
-            f"transfer {self.request} number {self.number} {self.units:g} units "
+            f"{self.at:.4f} node {self.node} <- {self.gateway}.{self.incarnation} "
+            f"request {self.request} attempt {self.number} {self.units:g} units "
             f"{self.request_class} verdict {self.verdict}"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class NodeBoot:
-    """A stand-in node started; `cores` in cores of usual speed, `cold_s` in seconds."""
+    """The start of a stand-in node.
+
+    `cores` counts cores of usual speed. After a cold start, the node's capacity rises
+    linearly from the share `cold_from` to its full value within `cold_s` seconds.
+    """
 
     at: float
     node: int
-    cell: int
+    shard: int
     zone: int
     cold: bool
     cores: float
     cold_from: float
     cold_s: float
 
-    def place(self, retry_scope: str) -> int:
-        """Return which group of nodes it belongs to: the node, its cell or its zone."""
-        return {"box": self.node, "cell": self.cell, "zone": self.zone}[retry_scope]
+    def scope_id(self, retry_scope: str) -> int:
+        """Return the id of the node, its shard or its zone, as the scope asks."""
+        return {"box": self.node, "cell": self.shard, "zone": self.zone}[retry_scope]
 
 
 @dataclass(frozen=True, slots=True)
 class NodeOverload:
-    """A stand-in node was pushed over while it was cold, and stays down."""
+    """The crash of a cold stand-in node from overload; the node stays down."""
 
     at: float
     node: int
@@ -145,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeWrite:
-    """A write took effect at a stand-in node; `code` is the SFTP status of it."""
+    """A write that a stand-in node executed; `code` is the write's SFTP status."""
 
     at: float
     node: int
@@ -162,7 +173,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedState:
-    """What the registry told a gateway of a node; `gone` where a list lacks it."""
+    """A node's state as the registry sent it to a gateway.
+
+    The state is "gone" where the node was deleted or a whole list lacks it.
+    """
 
     at: float
     node: int
@@ -180,11 +194,12 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """All records of one scenario run.
+    """The evidence of one scenario run.
 
-    `client_lateness` is by how many seconds the clients' own process was late at the
-    worst: their times are that unsure. In `node_read_gaps` the process of the
-    stand-in nodes read nothing.
+    `client_lateness` is the greatest delay, in seconds, of the client processes' own
+    timers; the times in the clients' records are uncertain by as much.
+    `node_read_gaps` are the spans in which the process of the stand-in nodes read
+    nothing. `unowed_answers` describes answers that match no command.
     """
 
     commands: list[RecordedCommand]
@@ -198,7 +213,10 @@
     node_read_gaps: list[tuple[float, float]] = field(default_factory=list)
 
     def earliest_arrival(self, read_at: float) -> float:
-        """Return from when on a packet that a node read then may have lain there."""
+        """Return the earliest time at which a packet read at `read_at` may have come.
+
+        A packet that is read right after a read gap may have come during the gap.
+        """
         return min(
             (
                 since
--- a/milletsill/lab/evidence_reader.py
+++ b/milletsill/lab/evidence_reader.py
@@ -31,19 +31,19 @@
 )
 
 DISPATCH_EXTENSION = "dispatch@milletsill"
-CATCH_UP = 0.1
-"""Seconds between two stops of a gateway within which it may not yet have caught up."""
+CATCH_UP_S = 0.1
+"""Seconds that a gateway may need after a stop to work off what waited in it."""
 
 
 def read_attempt(at: float, node: int, cursor: FieldCursor) -> RecordedAttempt:
-    """Read an attempt after its extension's name."""
+    """Read an attempt; the cursor is after the extension's name."""
     gateway = cursor.text()
     incarnation = cursor.number(4)
     request = cursor.number(8)
     number = cursor.number(4)
     units = cursor.number(4) / 1000
     key = cursor.number(8)
-    cursor.number(4)  # the time that is left
+    cursor.number(4)  # the milliseconds until the deadline
     idempotency_key = cursor.text()
     volume = cursor.number(4)
     cursor.number(4)
@@ -65,7 +65,7 @@
 
 
 def read_node_note(entry: RecordEntry) -> NodeNote:
-    """Read a stand-in node's note; here its stored words become ours."""
+    """Read a stand-in node's note, mapping its stored keys to the evidence's names."""
     note = entry.note()
     if note["what"] == "boot":
         return NodeBoot(
@@ -120,14 +120,14 @@
 
 
 class ListedStates:
-    """Reads what the registry told one gateway: whole lists, then changes."""
+    """Reads what the registry sent to one gateway: whole lists and single changes."""
 
     def __init__(self) -> None:
         self.states: list[ListedState] = []
         self.node_by_key: dict[str, int] = {}
 
     def on_list(self, at: float, pairs: Iterable[Any]) -> None:
-        """A whole list came; nodes that it lacks are gone."""
+        """Add a whole list; nodes that it lacks become "gone"."""
         listed: dict[str, int] = {}
         for pair in pairs:
             listed[pair["key"]] = self.put(at, pair)
@@ -139,7 +139,7 @@
         self.node_by_key = listed
 
     def on_event(self, at: float, event: Any) -> None:
-        """One node changed or was taken out."""
+        """Add the change or deletion of one node."""
         pair = event["kv"]
         key = pair["key"]
         if event["type"] != "DELETE":
@@ -148,7 +148,7 @@
             self.states.append(ListedState(at, self.node_by_key.pop(key), "gone"))
 
     def put(self, at: float, pair: Any) -> int:
-        """Note a node's state; return the node."""
+        """Add a node's state, and return the node's id."""
         value = json.loads(base64.b64decode(pair["value"]))
         node: int = value["id"]
         self.states.append(ListedState(at, node, value["state"]))
@@ -156,7 +156,7 @@
 
 
 def read_listed_states(path: str) -> dict[str, list[ListedState]]:
-    """Return what the registry told of nodes, by gateway, in the order of time."""
+    """Return the node states that the registry sent, by gateway, in time order."""
     readers: dict[str, ListedStates] = defaultdict(ListedStates)
     for entry in read_entries(path):
         if entry.direction != OUT:
@@ -173,9 +173,9 @@
 
 
 def merge_stops(stops: Iterable[GatewayStop]) -> list[GatewayStop]:
-    """Join stops of one gateway with next to nothing between them.
+    """Merge stops of one gateway that are at most `CATCH_UP_S` apart.
 
-    What waited in the first is done only after the second.
+    Work that waited during the first stop may be done only after the second.
     """
     merged: list[GatewayStop] = []
     for stop in sorted(stops):
@@ -183,7 +183,7 @@
         if (
             last is not None
             and last.gateway == stop.gateway
-            and stop.since <= last.until + CATCH_UP
+            and stop.since <= last.until + CATCH_UP_S
         ):
             until = max(stop.until, last.until)
             merged[-1] = GatewayStop(stop.gateway, last.since, until)
@@ -193,17 +193,17 @@
 
 
 def read_json(path: str) -> Any:
-    """Return what a JSON file holds."""
+    """Return the value of a JSON file."""
     with open(path, encoding="utf-8") as source:
         return json.load(source)
 
 
 def read_evidence(folder: str, node_count: int) -> Evidence:
-    """Return the evidence of the run that left its records in a folder.
+    """Return the evidence of the run whose records are in a folder.
 
     Raises:
         OSError: A record is missing or cannot be read.
-        ValueError: A file there is no record.
+        ValueError: A file in the folder is not a valid record.
     """
     clients = ClientRecordReader()
     client_lateness = 0.0
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -1,4 +1,8 @@
-"""The auditor is able to fail: each rule is broken on purpose in a scripted record, and caught; a lawful one is not."""
+"""The audit of the seven rules finds violations, and nothing in correct records.
+
+Each test writes the records of clients, nodes and registry for a short scripted run that
+violates one rule, and expects the breach of that rule alone.
+"""
 
 import base64
 import json
@@ -15,7 +19,7 @@
 from milletsill.sftp import extensions, packet_codec, packets
 from milletsill.sftp.extensions import CommandTerms, NodeReply, NodeRequest
 
-TERMS = """
+SCENARIO_TEXT = """
 name: "x" edges: 1
 gateway { name: "e" gateways: 1 registry { address: "a:1" }
   rules { drain_grace_ms: 250 cold_multiple: 2 cold_window_ms: 1000 cold_units: 5 further_free: 1 further_ratio: 0
@@ -30,22 +34,22 @@
 """
 
 
-class Script:
-    """Records written by the laboratory's own recorder, at times of the test's choosing."""
+class ScriptedRecords:
+    """Writes the records of a run with the laboratory's recorder, at times set by the test."""
 
     def __init__(self, folder):
-        self.folder, self.at, self.deaf = folder, 0.0, []
+        self.folder, self.at, self.node_read_gaps = folder, 0.0, []
         self.clients = record.PacketRecorder(f"{folder}/clients.rec", "clients", "c")
-        self.boxes = [
+        self.nodes = [
             record.PacketRecorder(f"{folder}/box-{each}.rec", "box", str(each))
             for each in (0, 1)
         ]
         self.registry = record.PacketRecorder(f"{folder}/registry.rec", "registry", "r")
         self.put(0, self.clients.note, what="connect", conn=1, edge="e")
-        for number, box in enumerate(self.boxes):
+        for number, node in enumerate(self.nodes):
             self.put(
                 0,
-                box.note,
+                node.note,
                 what="boot",
                 box=number,
                 cell=number,
@@ -62,9 +66,9 @@
         ):
             call(*values, **named)
 
-    def command(self, at, id=1, mark="m", tries=0, patience=1000):
+    def command(self, at, id=1, mark="m", retry=0, client_timeout_ms=1000):
         packet = extensions.encode_command(
-            CommandTerms(patience, tries, mark), packets.Read(id, b"h", 0, 1)
+            CommandTerms(client_timeout_ms, retry, mark), packets.Read(id, b"h", 0, 1)
         )
         self.put(at, self.clients.put, 1, record.OUT, packet_codec.encode(packet)[4:])
 
@@ -77,41 +81,41 @@
             packet_codec.encode(packets.Status(id, 0, "", language))[4:],
         )
 
-    def dispatch(
+    def attempt(
         self,
         at,
-        transfer=1,
+        request=1,
         number=0,
-        box=0,
-        category="free",
+        node=0,
+        request_class="free",
         units=1.0,
-        extent=5,
+        key=5,
         mark="m~0",
         id=1,
         verdict=None,
         ended=None,
     ):
-        order = NodeRequest(
+        node_request = NodeRequest(
             "e",
             1,
-            transfer,
+            request,
             number,
             units,
-            extent,
+            key,
             100,
             "t",
             1,
             1,
-            category,
+            request_class,
             mark,
             packets.Read(0, b"/v/a", 0, 1),
         )
         self.put(
             at,
-            self.boxes[box].put,
+            self.nodes[node].put,
             1,
             record.IN,
-            packet_codec.encode(extensions.encode_node_request(id, order))[4:],
+            packet_codec.encode(extensions.encode_node_request(id, node_request))[4:],
         )
         if ended is not None:
             reply = extensions.encode_node_reply(
@@ -119,13 +123,13 @@
             )
             self.put(
                 ended,
-                self.boxes[box].put,
+                self.nodes[node].put,
                 1,
                 record.OUT,
                 packet_codec.encode(reply)[4:],
             )
 
-    def told(self, at, state):
+    def list_state(self, at, state):
         value = json.dumps({"id": 0, "state": state}).encode()
         event = {
             "type": "PUT",
@@ -134,8 +138,8 @@
         body = json.dumps({"result": {"events": [event]}}).encode()
         self.put(at, self.registry.put, 0, record.OUT, b"e\n" + body, 1 << 20)
 
-    def breaches(self, lines=False):
-        for each in [self.clients, self.registry, *self.boxes]:
+    def breaches(self, with_packets=False):
+        for each in [self.clients, self.registry, *self.nodes]:
             each.close()
         with open(
             os.path.join(self.folder, "stops.json"), "w", encoding="utf-8"
@@ -148,13 +152,13 @@
         with open(
             os.path.join(self.folder, "stand.json"), "w", encoding="utf-8"
         ) as sink:
-            json.dump({"deaf": self.deaf}, sink)
+            json.dump({"deaf": self.node_read_gaps}, sink)
         from google.protobuf import text_format
 
         found = audit.audit(
-            read_evidence(self.folder, 2), text_format.Parse(TERMS, Scenario())
+            read_evidence(self.folder, 2), text_format.Parse(SCENARIO_TEXT, Scenario())
         )
-        if lines:
+        if with_packets:
             return {
                 rule: [each.packets for each in breaches]
                 for rule, breaches in found.items()
@@ -167,97 +171,100 @@
         }
 
 
-class Audited(unittest.TestCase):
+class AuditRulesTest(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.script = Script(folder.name)
+        self.records = ScriptedRecords(folder.name)
 
-    def only(self, rule, words):
-        found = self.script.breaches()
+    def assert_only_breach(self, rule, text):
+        found = self.records.breaches()
         self.assertEqual(list(found), [rule], found)
-        self.assertIn(words, found[rule][0])
+        self.assertIn(text, found[rule][0])
 
-    def test_a_lawful_day_has_no_breach(self):
-        self.script.command(1)
-        self.script.dispatch(1.01, ended=1.1)
-        self.script.answer(1.11)
-        self.assertEqual(self.script.breaches(), {})
+    def test_a_correct_run_has_no_breach(self):
+        self.records.command(1)
+        self.records.attempt(1.01, ended=1.1)
+        self.records.answer(1.11)
+        self.assertEqual(self.records.breaches(), {})
 
     def test_rule_1_no_answer(self):
-        self.script.command(1)
-        self.only(1, "no answer")
+        self.records.command(1)
+        self.assert_only_breach(1, "no answer")
 
     def test_rule_1_a_late_answer(self):
-        self.script.command(1)
-        self.script.answer(2.5)
-        self.only(1, "after patience")
+        self.records.command(1)
+        self.records.answer(2.5)
+        self.assert_only_breach(1, "after the client timeout")
 
     def test_rule_1_two_answers(self):
-        self.script.command(1)
-        self.script.answer(1.1)
-        self.script.answer(1.2)
-        self.only(1, "not owed")
-
-    def test_rule_1_sent_after_the_answer(self):
-        self.script.command(1)
-        self.script.answer(1.1)
-        self.script.dispatch(1.3, ended=1.4)
-        self.only(1, "after the final answer")
-
-    def test_rule_1_sent_after_the_answer_but_read_late_by_the_box(self):
-        """Only what the boxes' own standing still explains is left out, and only right after it."""
-        self.script.deaf = [(101.05, 101.3)]
+        self.records.command(1)
+        self.records.answer(1.1)
+        self.records.answer(1.2)
+        self.assert_only_breach(1, "an answer that no command is waiting for")
+
+    def test_rule_1_an_attempt_after_the_answer(self):
+        self.records.command(1)
+        self.records.answer(1.1)
+        self.records.attempt(1.3, ended=1.4)
+        self.assert_only_breach(1, "after the final answer")
+
+    def test_rule_1_an_attempt_after_the_answer_read_late_by_the_node(self):
+        """Only an attempt read right after a read gap that began before the answer is excused.
+
+        The second attempt's answer precedes the gap, the third attempt is read too late.
+        """
+        self.records.node_read_gaps = [(101.05, 101.3)]
         for number, (at, answered) in enumerate(
             ((1.3, 1.1), (1.3, 0.8), (1.35, 1.1)), 1
         ):
-            self.script.command(0.5 + number / 1000, number, f"m{number}")
-            self.script.answer(answered + number / 1000, number)
-            self.script.dispatch(
+            self.records.command(0.5 + number / 1000, number, f"m{number}")
+            self.records.answer(answered + number / 1000, number)
+            self.records.attempt(
                 at + number / 1000,
                 number,
                 mark=f"m{number}~0",
                 id=number,
                 ended=1.4 + number / 1000,
             )
-        found = self.script.breaches(lines=True)
+        found = self.records.breaches(with_packets=True)
         self.assertEqual(
             [text.split(" ")[6] for breach in found[1] for text in breach[1:]],
             ["2", "3"],
             found,
         )
 
-    def test_rule_2_an_exclusive_one_sent_twice(self):
-        self.script.dispatch(1, category="once", mark="")
-        self.script.dispatch(1.5, number=1, category="once", mark="", id=2)
-        self.only(2, "exclusive")
-
-    def test_rule_2_a_ticketed_one_outside_its_group_and_window(self):
-        self.script.dispatch(1, category="marked", mark="")
-        self.script.dispatch(1.5, number=1, box=1, category="marked", mark="")
-        self.only(2, "group")
-
-    def test_rule_2_a_ticketed_one_past_its_window(self):
-        self.script.dispatch(1, category="marked", mark="")
-        self.script.dispatch(3.5, number=1, category="marked", mark="", id=2)
-        self.only(2, "window")
-
-    def test_rule_2_a_decline_that_promises_too_much(self):
-        self.script.command(1)
-        self.script.dispatch(1.1, category="once")
-        self.script.answer(1.9, language="x-declined-100")
-        self.only(2, "declined though")
-
-    def test_rule_3_sent_to_a_draining_box(self):
-        self.script.told(1, "draining")
-        self.script.dispatch(1.2, mark="")
-        self.script.dispatch(1.5, transfer=2, mark="", id=2)
-        self.only(3, "draining")
-
-    def test_rule_4_a_cold_box_pushed(self):
-        self.script.put(
+    def test_rule_2_a_non_idempotent_request_sent_twice(self):
+        self.records.attempt(1, request_class="once", mark="")
+        self.records.attempt(1.5, number=1, request_class="once", mark="", id=2)
+        self.assert_only_breach(2, "non-idempotent request retried")
+
+    def test_rule_2_an_idempotency_keyed_request_outside_its_retry_scope(self):
+        self.records.attempt(1, request_class="marked", mark="")
+        self.records.attempt(1.5, number=1, node=1, request_class="marked", mark="")
+        self.assert_only_breach(2, "outside its retry scope")
+
+    def test_rule_2_an_idempotency_keyed_request_past_its_retry_window(self):
+        self.records.attempt(1, request_class="marked", mark="")
+        self.records.attempt(3.5, number=1, request_class="marked", mark="", id=2)
+        self.assert_only_breach(2, "past its retry window")
+
+    def test_rule_2_declined_though_it_may_have_run(self):
+        self.records.command(1)
+        self.records.attempt(1.1, request_class="once")
+        self.records.answer(1.9, language="x-declined-100")
+        self.assert_only_breach(2, "declined though")
+
+    def test_rule_3_an_attempt_to_a_draining_node(self):
+        self.records.list_state(1, "draining")
+        self.records.attempt(1.2, mark="")
+        self.records.attempt(1.5, request=2, mark="", id=2)
+        self.assert_only_breach(3, "draining")
+
+    def test_rule_4_a_cold_node_overloaded(self):
+        self.records.put(
             1,
-            self.script.boxes[0].note,
+            self.records.nodes[0].note,
             what="boot",
             box=0,
             cell=0,
@@ -268,34 +275,36 @@
             cold_s=10,
         )
         for each in range(8):
-            self.script.dispatch(
-                1.1 + each / 100, transfer=each, mark="", id=each, units=1.0
+            self.records.attempt(
+                1.1 + each / 100, request=each, mark="", id=each, units=1.0
             )
-        self.only(4, "cold box bears")
+        self.assert_only_breach(4, "cold node can take")
 
-    def test_rule_4_a_box_that_fell(self):
-        self.script.put(1, self.script.boxes[0].note, what="fell", box=0)
-        self.only(4, "fell over")
+    def test_rule_4_a_node_that_crashed(self):
+        self.records.put(1, self.records.nodes[0].note, what="fell", box=0)
+        self.assert_only_breach(4, "crashed of overload")
 
-    def test_rule_5_two_of_one_key_at_once(self):
-        self.script.dispatch(1, category="turn", mark="", ended=2)
-        self.script.dispatch(1.5, transfer=2, category="turn", mark="", id=2, ended=1.8)
-        self.only(5, "at once")
+    def test_rule_5_two_requests_of_one_key_at_once(self):
+        self.records.attempt(1, request_class="turn", mark="", ended=2)
+        self.records.attempt(
+            1.5, request=2, request_class="turn", mark="", id=2, ended=1.8
+        )
+        self.assert_only_breach(5, "at once")
 
-    def test_rule_6_more_further_dispatches_than_the_budget(self):
+    def test_rule_6_more_retries_than_the_budget(self):
         for number in range(3):
-            self.script.dispatch(1 + number / 10, number=number, mark="", id=number)
-        self.only(6, "further")
+            self.records.attempt(1 + number / 10, number=number, mark="", id=number)
+        self.assert_only_breach(6, "retries within")
 
     def test_rule_7_a_volume_past_its_limit(self):
         for each in range(14):
-            self.script.dispatch(1 + each / 100, transfer=each, mark="", id=each)
-        self.only(7, "past its limit")
+            self.records.attempt(1 + each / 100, request=each, mark="", id=each)
+        self.assert_only_breach(7, "past its limit")
 
-    def test_a_wait_for_a_core_lies_before_the_look_that_hears_of_it(self):
-        """The system adds it when it is over."""
+    def test_a_wait_for_a_core_precedes_the_check_that_finds_it(self):
+        """The kernel adds a wait to the total only once the wait is over."""
         waits = {0.0: 0.0, 0.06: 0.0, 0.8: 0.7, 0.9: 0.7}
-        edge, starved = (
+        gateway, monitor = (
             SimpleNamespace(process=SimpleNamespace(pid=7), names=["e"]),
             StarvationMonitor(),
         )
@@ -304,15 +313,15 @@
             with mock.patch.object(starvation, "read_total_wait", return_value=total):
                 found += [
                     (name, round(since, 2), to)
-                    for name, since, to in starved.find_spans(100 + at, [edge])
+                    for name, since, to in monitor.find_spans(100 + at, [gateway])
                 ]
         self.assertEqual(found, [("e", 99.36, 100.8)])
 
-    def test_a_record_torn_at_its_end_is_read_up_to_there(self):
-        self.script.command(1)
-        self.script.answer(1.1)
-        self.script.clients.sink.write(b"\0\0\0")
-        self.assertEqual(self.script.breaches(), {})
+    def test_a_truncated_record_is_read_up_to_its_last_whole_entry(self):
+        self.records.command(1)
+        self.records.answer(1.1)
+        self.records.clients.sink.write(b"\0\0\0")
+        self.assertEqual(self.records.breaches(), {})
 
 
 if __name__ == "__main__":
--- a/tests/lab/test_audit_contracts.py
+++ b/tests/lab/test_audit_contracts.py
@@ -1,4 +1,8 @@
-"""The audit of contracts is able to fail: each promise is broken on purpose in a scripted day, and caught; a lawful day is not."""
+"""The audit of ordering contracts finds violations, and nothing in correct evidence.
+
+Each case builds the evidence of a short run that violates one guarantee of a channel,
+and expects a breach under that channel's contract alone.
+"""
 
 import unittest
 
@@ -17,7 +21,7 @@
 )
 from milletsill.settings.milletsill_pb2 import Scenario
 
-TERMS = text_format.Parse(
+SCENARIO = text_format.Parse(
     """
 name: "x" edges: 1
 gateway { name: "e" gateways: 1 registry { address: "a:1" } rules { extent_bytes: 100 }
@@ -31,9 +35,9 @@
 HANDLE, OK, VOLUME = b"h", 0, xxhash.xxh64_intdigest(b"v")
 
 
-def claim(at, order=0, next=1, number=1, indeterminate=()):
+def opening_message(at, order=0, next=1, claim=1, indeterminate=()):
     opening = RecordedChannelOpening(
-        HANDLE, number, str(order), order, next, tuple(indeterminate)
+        HANDLE, claim, str(order), order, next, tuple(indeterminate)
     )
     return RecordedChannelMessage(
         at,
@@ -47,14 +51,14 @@
     )
 
 
-def wrote(at, number, generation=0, part=0):
+def write_effect(at, number, generation=0, part=0):
     key = f"{VOLUME}@c@{number}.{generation}#GO.0"
     return NodeWrite(at, 0, key, "/v/f", part * 100, "e", number, OK)
 
 
-def sent(at, number, answer="", ends=None, batch=0):
+def command(at, number, answer="", answered_at=None, batch=0):
     code = 4 if answer else OK
-    answers = [RecordedAnswer(ends or at + 1, 101, answer or "", code)]
+    answers = [RecordedAnswer(answered_at or at + 1, 101, answer or "", code)]
     return RecordedCommand(
         at,
         1,
@@ -71,42 +75,47 @@
     )
 
 
-def day(order=0, effects=((1.5, 1), (2.5, 2), (3.5, 3)), sends=None, words=(), batch=2):
-    """Numbers are sent at their own second and settled a second later."""
-    if sends is None:
-        sends = [
-            sent(number, number, batch=-(-number // batch)) for number in (1, 2, 3)
+def evidence_of(
+    order=0, effects=((1.5, 1), (2.5, 2), (3.5, 3)), commands=None, messages=(), batch=2
+):
+    """Return evidence; by default number N is sent at second N and settled a second later."""
+    if commands is None:
+        commands = [
+            command(number, number, batch=-(-number // batch)) for number in (1, 2, 3)
         ]
     return Evidence(
-        list(sends),
+        list(commands),
         [],
         [],
-        [wrote(*each) for each in effects],
+        [write_effect(*each) for each in effects],
         {},
-        channel_messages=[claim(0, order), *words],
+        channel_messages=[opening_message(0, order), *messages],
     )
 
 
-class Contracts(unittest.TestCase):
+class AuditContractsTest(unittest.TestCase):
     def found(self, evidence):
         return {
             name: [each.text for each in held]
-            for name, held in audit_contracts(evidence, TERMS).items()
+            for name, held in audit_contracts(evidence, SCENARIO).items()
             if held
         }
 
-    def test_a_lawful_day_has_no_breach_under_any_contract(self):
+    def test_a_correct_run_has_no_breach_under_any_contract(self):
         for order in ORDER_TITLES:
-            self.assertEqual(self.found(day(order)), {})
+            self.assertEqual(self.found(evidence_of(order)), {})
         kills = [GatewayKill(1.9, ["e"]), GatewayKill(3.2, ["f"])]
-        row = contract_figures(day(), TERMS, kills)["each in order"].by_title()
+        row = contract_figures(evidence_of(), SCENARIO, kills)[
+            "each in order"
+        ].by_title()
         self.assertEqual(
-            (row["settled"], row["keepers killed"], row["longest s"]), (3, 1, 0.1)
+            (row["settled"], row["owners killed"], row["longest interruption, s"]),
+            (3, 1, 0.1),
         )
 
-    def test_each_broken_promise_is_caught(self):
-        two = [sent(1, 1), sent(2, 2)]
-        again = RecordedChannelMessage(
+    def test_each_violation_is_found(self):
+        two = [command(1, 1), command(2, 2)]
+        not_done = RecordedChannelMessage(
             1.1,
             1,
             "e",
@@ -116,137 +125,168 @@
             resolution=2,
             answers=[RecordedAnswer(1.2, 101, "", OK)],
         )
-        for words, order, evidence in (
-            ("effect twice", 0, day(effects=((1.5, 1), (1.6, 1), (2.5, 2), (3.5, 3)))),
+        for text, order, evidence in (
+            (
+                "effect twice",
+                0,
+                evidence_of(effects=((1.5, 1), (1.6, 1), (2.5, 2), (3.5, 3))),
+            ),
             (
-                "nobody said so",
+                "no client resolved it as not done",
                 1,
-                day(1, effects=((1.5, 1), (1.6, 1, 1), (2.5, 2), (3.5, 3))),
+                evidence_of(1, effects=((1.5, 1), (1.6, 1, 1), (2.5, 2), (3.5, 3))),
             ),
             (
                 "no client sent it",
                 1,
-                day(1, effects=((1.5, 1), (2.5, 2), (3.5, 3), (4, 9))),
+                evidence_of(1, effects=((1.5, 1), (2.5, 2), (3.5, 3), (4, 9))),
             ),
-            ("settled without an effect", 2, day(2, effects=((1.5, 1), (2.5, 2)))),
             (
-                "and later told as x-left-out",
+                "settled without an effect",
+                2,
+                evidence_of(2, effects=((1.5, 1), (2.5, 2))),
+            ),
+            (
+                "later reported as x-left-out",
                 3,
-                day(3, sends=[*day(3).commands, sent(5, 1, "x-left-out", batch=1)]),
+                evidence_of(
+                    3,
+                    commands=[
+                        *evidence_of(3).commands,
+                        command(5, 1, "x-left-out", batch=1),
+                    ],
+                ),
+            ),
+            (
+                "next number is 2",
+                0,
+                evidence_of(messages=[opening_message(5, next=2, claim=2)]),
+            ),
+            (
+                "next number is 2",
+                1,
+                evidence_of(1, messages=[opening_message(5, 1, next=2, claim=2)]),
             ),
-            ("next was told as 2", 0, day(words=[claim(5, next=2, number=2)])),
-            ("next was told as 2", 1, day(1, words=[claim(5, 1, next=2, number=2)])),
             (
                 "effect after x-left-out",
                 2,
-                day(
+                evidence_of(
                     2,
                     effects=((3, 1), (2.5, 2)),
-                    sends=[sent(1, 1, "x-left-out"), sent(2, 2)],
+                    commands=[command(1, 1, "x-left-out"), command(2, 2)],
                 ),
             ),
             (
                 "effect after x-superseded-2",
                 1,
-                day(
+                evidence_of(
                     1,
                     effects=((2.5, 2), (5, 3)),
-                    sends=[sent(2, 2), sent(3, 3, "x-superseded-2")],
+                    commands=[command(2, 2), command(3, 3, "x-superseded-2")],
                 ),
             ),
-            ("claim 1 after claim 1", 0, day(words=[claim(5, next=4)])),
+            (
+                "claim 1 after claim 1",
+                0,
+                evidence_of(messages=[opening_message(5, next=4)]),
+            ),
             (
                 "number 1 took effect after number 2",
                 0,
-                day(
+                evidence_of(
                     effects=((2.1, 1), (1.9, 2), (3.5, 3)),
-                    sends=[sent(1, 1, None), sent(1, 2), sent(3, 3)],
+                    commands=[command(1, 1, None), command(1, 2), command(3, 3)],
                 ),
             ),
             (
                 "number 1 before it did not",
                 0,
-                day(
-                    effects=((2.5, 2),), sends=[sent(1, 1, "x-declined-9"), sent(2, 2)]
+                evidence_of(
+                    effects=((2.5, 2),),
+                    commands=[command(1, 1, "x-declined-9"), command(2, 2)],
                 ),
             ),
             (
                 "number 1 took effect after number 2",
                 1,
-                day(
+                evidence_of(
                     1,
                     effects=((2.1, 1), (1.9, 2)),
-                    sends=[sent(1, 1, None), sent(1, 2)],
+                    commands=[command(1, 1, None), command(1, 2)],
                 ),
             ),
             (
                 "number 1 took effect after number 2",
                 2,
-                day(
+                evidence_of(
                     2,
                     effects=((2.1, 1, 0, 7), (1.9, 2, 0, 7)),
-                    sends=[sent(1, 1, None), sent(1, 2)],
+                    commands=[command(1, 1, None), command(1, 2)],
                 ),
             ),
             (
                 "before number 2 of batch 1",
                 3,
-                day(
+                evidence_of(
                     3,
                     effects=((1.5, 1), (2.6, 2), (2.5, 3)),
-                    sends=[
-                        sent(1, 1, batch=1),
-                        sent(2, 2, None, batch=1),
-                        sent(2, 3, batch=2),
+                    commands=[
+                        command(1, 1, batch=1),
+                        command(2, 2, None, batch=1),
+                        command(2, 3, batch=2),
                     ],
                 ),
             ),
             (
                 "number 2 of batch 1 did not",
                 3,
-                day(
+                evidence_of(
                     3,
                     effects=((1.5, 1), (2.5, 3)),
-                    sends=[
-                        sent(1, 1, batch=1),
-                        sent(2, 2, None, batch=1),
-                        sent(2, 3, batch=2),
+                    commands=[
+                        command(1, 1, batch=1),
+                        command(2, 2, None, batch=1),
+                        command(2, 3, batch=2),
                     ],
                 ),
             ),
         ):
             found = self.found(evidence)
-            self.assertEqual(list(found), [ORDER_TITLES[order]], words)
+            self.assertEqual(list(found), [ORDER_TITLES[order]], text)
             self.assertTrue(
-                any(words in each for each in found[ORDER_TITLES[order]]),
-                (words, found),
+                any(text in each for each in found[ORDER_TITLES[order]]),
+                (text, found),
             )
         self.assertEqual(
             self.found(
-                day(
+                evidence_of(
                     1,
                     effects=((1.5, 1), (1.6, 1, 1), (2.5, 2)),
-                    sends=two,
-                    words=[again],
+                    commands=two,
+                    messages=[not_done],
                 )
             ),
             {},
         )
 
-    def test_what_is_unsure_or_of_another_extent_or_batch_is_no_breach(self):
-        unsure = day(effects=((2.5, 2),), sends=[sent(1, 1, "x-aborted"), sent(2, 2)])
-        self.assertEqual(self.found(unsure), {})
+    def test_indeterminate_numbers_and_other_key_ranges_or_batches_are_no_breach(self):
+        indeterminate = evidence_of(
+            effects=((2.5, 2),), commands=[command(1, 1, "x-aborted"), command(2, 2)]
+        )
+        self.assertEqual(self.found(indeterminate), {})
         self.assertEqual(
             self.found(
-                day(
+                evidence_of(
                     2,
                     effects=((2.1, 1, 0, 1), (1.9, 2, 0, 2)),
-                    sends=[sent(1, 1, None), sent(1, 2)],
+                    commands=[command(1, 1, None), command(1, 2)],
                 )
             ),
             {},
         )
-        self.assertEqual(self.found(day(3, effects=((1.9, 1), (1.5, 2), (3.5, 3)))), {})
+        self.assertEqual(
+            self.found(evidence_of(3, effects=((1.9, 1), (1.5, 2), (3.5, 3)))), {}
+        )
 
 
 if __name__ == "__main__":
--- a/tests/lab/test_audit_fleet.py
+++ b/tests/lab/test_audit_fleet.py
@@ -1,4 +1,7 @@
-"""When views agree, and who was called gone without a cause: from scripted logs and faults."""
+"""How long views and node states took to agree, from scripted gateway logs and faults.
+
+Also covered: which reported deaths no fault explains.
+"""
 
 import unittest
 
@@ -31,8 +34,8 @@
     return [TimelineMark(at, name) for at, name in rows]
 
 
-class Agreements(unittest.TestCase):
-    def found(self, views, timeline, end=20.0):
+class ViewAgreementTest(unittest.TestCase):
+    def agreement_times(self, views, timeline, end=20.0):
         logs = GatewayLogs()
         for name, rows in views.items():
             logs.views[name] = [
@@ -44,7 +47,7 @@
             for view in view_agreements(logs, timeline, NAMES, end)
         ]
 
-    def test_a_killed_one_and_its_return(self):
+    def test_a_killed_gateway_and_its_return(self):
         timeline = FaultTimeline(
             {"c": [DownSpan(5.0, 8.0)]},
             [],
@@ -55,12 +58,13 @@
             "b": [(1.5, "x"), (6.5, "y"), (9.5, "x")],
             "c": [(1.2, "x"), (9.2, "x")],
         }
-        self.assertEqual(self.found(views, timeline), [1.5, 2.0, 1.5])
+        self.assertEqual(self.agreement_times(views, timeline), [1.5, 2.0, 1.5])
         self.assertEqual(
-            self.found({**views, "c": [(1.2, "x")]}, timeline), [1.5, 2.0, None]
+            self.agreement_times({**views, "c": [(1.2, "x")]}, timeline),
+            [1.5, 2.0, None],
         )
 
-    def test_each_side_of_a_split_agrees_by_itself(self):
+    def test_each_side_of_a_partition_agrees_by_itself(self):
         timeline = FaultTimeline(
             {},
             [PartedSpan("split", frozenset("a"), 5.0, 9.0)],
@@ -71,11 +75,11 @@
             "b": [(1.0, "x"), (7.0, "bc"), (11.0, "x")],
             "c": [(1.0, "x"), (8.0, "bc"), (10.0, "x")],
         }
-        self.assertEqual(self.found(views, timeline), [1.0, 3.0, 2.0])
+        self.assertEqual(self.agreement_times(views, timeline), [1.0, 3.0, 2.0])
         timeline.network[0] = PartedSpan("isolate", frozenset("ab"), 5.0, 9.0)
-        self.assertEqual(self.found(views, timeline)[1], None)
+        self.assertEqual(self.agreement_times(views, timeline)[1], None)
 
-    def test_who_is_called_gone_without_a_cause(self):
+    def test_a_death_without_a_fault_is_false(self):
         logs = GatewayLogs(
             deaths=[
                 ReportedDeath(6.0, "a", "c"),
@@ -88,11 +92,11 @@
             [PartedSpan("split", frozenset("a"), 50.0, 55.0)],
             [],
         )
-        self.assertEqual(false_deaths(logs, timeline), ["40.000 a called b gone"])
+        self.assertEqual(false_deaths(logs, timeline), ["40.000 a reported b dead"])
 
 
-class Verdicts(unittest.TestCase):
-    def test_how_long_nine_in_ten_took_to_call_a_box_slow_and_steady_again(self):
+class VerdictSpreadTest(unittest.TestCase):
+    def test_time_until_nine_in_ten_detect_a_slow_node_and_its_recovery(self):
         scenario = text_format.Parse(
             'name: "x" edges: 1 gateway { name: "e" gateways: 1 registry { address: "a:1" } } '
             'trouble { what: "slow" at_s: 5 for_s: 5 on: 3 }',
@@ -110,11 +114,11 @@
         )
         self.assertEqual(
             verdict_spreads(logs, scenario, 0.0, 2),
-            [VerdictSpread("slow of box 3", 2, 1.0, 2, 3.0)],
+            [VerdictSpread("slow of node 3", 2, 1.0, 2, 3.0)],
         )
         self.assertEqual(
             verdict_spreads(logs, scenario, 0.0, 3),
-            [VerdictSpread("slow of box 3", 2, None, 2, None)],
+            [VerdictSpread("slow of node 3", 2, None, 2, None)],
         )
 
 
