--- a/milletsill/lab/audit_answers.py
+++ b/milletsill/lab/audit_answers.py
@@ -83,8 +83,8 @@
 
     A command whose connection ended before its answer was due needs no answer.
     """
-    for stray in evidence.unowed_answers:
-        yield Breach(1, "an answer that no command is waiting for", [stray])
+    for answer_line in evidence.unmatched_answers:
+        yield Breach(1, "an answer that no command is waiting for", [answer_line])
     slack = SOCKET_SLACK + evidence.client_lateness
     for command in evidence.commands:
         yield from late_answers(command, answer_due(command, evidence), slack)
--- a/milletsill/lab/channel_history.py
+++ b/milletsill/lab/channel_history.py
@@ -115,7 +115,7 @@
         """Return whether a client was told that a number has or may have no effect."""
         return number in self.ended or number in self.indeterminate
 
-    def derive_ends(self) -> None:
+    def derive_outcomes(self) -> None:
         """Derive from the answers which numbers are settled, ended or indeterminate."""
         for number, commands in self.commands.items():
             for answer in sorted(
@@ -157,7 +157,7 @@
                 return place + 1
         return 0
 
-    def of_key(self, key: ChannelKey) -> ChannelHistory:
+    def history_of(self, key: ChannelKey) -> ChannelHistory:
         """Return a channel's history; create it where there is none."""
         return self.found.setdefault(key, ChannelHistory(key))
 
@@ -170,7 +170,7 @@
             if message.verb != OPEN:
                 continue
             key = ChannelKey(self.volume_of(message.path), message.channel)
-            history = self.of_key(key)
+            history = self.history_of(key)
             history.openings.append(message)
             opening = message.opening
             if opening is not None:
@@ -196,7 +196,7 @@
         if found is None or effect.code != OK:
             return
         volume = self.volume_by_hash.get(int(found[1]), 0)
-        history = self.of_key(ChannelKey(volume, found[2]))
+        history = self.history_of(ChannelKey(volume, found[2]))
         history.effects.append(
             NumberWrite(
                 effect.at,
@@ -220,5 +220,5 @@
             histories.add_effect(note)
     for history in histories.found.values():
         history.effects.sort(key=lambda effect: effect.at)
-        history.derive_ends()
+        history.derive_outcomes()
     return list(histories.found.values())
--- a/milletsill/lab/channels.py
+++ b/milletsill/lab/channels.py
@@ -1,8 +1,9 @@
-"""Clients with channels: numbered transfers under every contract, over connections that break off all the time.
+"""Clients of channels: they send numbered commands under each ordering contract.
 
-A line is one channel of one client. It makes numbers at its rate, keeps some of them out at a time, now and then out of turn,
-and breaks its connection off in the middle to come back at the same or another gateway, or comes in by a second connection
-beside the first. What was not settled is said again until it has an end. Nothing here judges: lab/audit_contracts.py does.
+Each `ChannelClient` drives one channel. It creates numbers at its rate, keeps several
+in flight, some out of order, and often drops its connection to return at the same or
+another gateway, or opens a second connection beside the first. It resends every number
+until the number has an outcome. `lab/audit_contracts.py` checks the results.
 """
 
 from __future__ import annotations
@@ -30,30 +31,20 @@
 from milletsill.sftp.extensions import CommandTerms
 from milletsill.sftp.wire import FileAttributes
 
-TICK, DIAL, AGAIN, SETUP = (
-    0.01,
-    2.0,
-    0.2,
-    3.0,
-)  # seconds: between looks; a dial; until the next; until claimed
-LEAST_PAUSE, MOST_PAUSE = 0.05, 1.0  # seconds until a declined number is said again
-SWAPPED, RIVAL = (
-    0.3,
-    0.2,
-)  # parts of numbers that are held back, of reconnections beside the old connection
-HELD_BACK = 0.15  # seconds at most
-BYTES, MOST_ASKED, ASK_EVERY = (
-    512,
-    30,
-    0.2,
-)  # times that an unsure end is asked for, seconds between
-STATES = {
+# All times are in seconds.
+TICK, CONNECT_WAIT, RECONNECT_DELAY, CLAIM_WAIT = 0.01, 2.0, 0.2, 3.0
+MIN_RESEND_DELAY, MAX_RESEND_DELAY = 0.05, 1.0  # of a declined number
+# Parts of the numbers held back, and of reconnections beside the old connection.
+HELD_PART, SECOND_CONNECTION_PART = 0.3, 0.2
+MAX_HOLD = 0.15
+WRITE_BYTES, MAX_POLLS, POLL_INTERVAL = 512, 30, 0.2  # polls of an unknown outcome
+OUTCOME_OF_STATUS = {
     wire.NumberStatus.SETTLED: "done",
     wire.NumberStatus.SKIPPED: "left out",
     wire.NumberStatus.FORGOTTEN: "over before",
 }
-IS_BATCHES = 3
-DONE_SIGNS = {
+BATCHES = 3  # the contract order in which numbers form batches
+OUTCOME_OF_TAG = {
     "superseded": "superseded",
     "over": "over before",
     "left-out": "left out",
@@ -62,89 +53,89 @@
 
 
 class ChannelLink(ClientLink):
-    """A connection that carries one channel."""
+    """A connection that carries one channel; more of each packet is recorded."""
 
-    keeps = (256, 320)
+    recorded_bytes = (256, 320)
 
 
-class Item:
-    """One number until it has an end."""
+class Number:
+    """A number of a channel that has no outcome yet."""
 
-    def __init__(self, number: int, batch: int, last: bool, began: float) -> None:
-        self.number, self.batch, self.last, self.began = number, batch, last, began
-        self.tries, self.due, self.out = 0, began, False
-        self.asked = 0
+    def __init__(self, number: int, batch: int, last: bool, created: float) -> None:
+        self.number, self.batch, self.last, self.created = number, batch, last, created
+        self.sends, self.due_at, self.in_flight = 0, created, False
+        self.polls = 0
 
 
-class Line:
-    """One channel and its client."""
+class ChannelClient:
+    """The client of one channel."""
 
-    def __init__(self, load: Channels, place: int, terms: Any, volume: Any) -> None:
-        self.load, self.place, self.terms, self.volume = load, place, terms, volume
-        self.chance = Random(load.scenario.seed * 1000 + place)
-        self.channel, self.path = f"line-{place}", f"{volume.root}/line-{place}"
-        self.items: dict[int, Item] = {}
-        self.asks_at: dict[int, float] = {}  # an unsure number is not asked for before
-        self.made, self.order = 0, load.orders[terms.contract]
+    def __init__(self, load: Channels, index: int, terms: Any, volume: Any) -> None:
+        self.load, self.index, self.terms, self.volume = load, index, terms, volume
+        self.random = Random(load.scenario.seed * 1000 + index)
+        self.channel, self.path = f"line-{index}", f"{volume.root}/line-{index}"
+        self.items: dict[int, Number] = {}
+        self.next_poll: dict[int, float] = {}  # earliest next poll of a number
+        self.newest, self.order = 0, load.orders[terms.contract]
         self.link: ChannelLink | None = None
-        self.handle, self.file, self.live = b"", b"", False
-        self.dialling = False
-        self.name = ""  # of the gateway that is dialled or held
-        self.makes_at = self.since = self.breaks_at = 0.0
+        self.handle, self.file, self.open = b"", b"", False
+        self.connecting = False
+        self.gateway = ""  # name of the present gateway
+        self.creates_at = self.since = self.leaves_at = 0.0  # since: connected
 
     # Connections.
 
-    def dial(self) -> None:
-        """To the same gateway or another."""
+    def connect(self) -> None:
+        """Connect to the same gateway, or now and then to any."""
         load = self.load
-        if self.dialling or load.over:
+        if self.connecting or load.finished:
             return
-        if not self.name or self.chance.random() < self.terms.elsewhere:
-            self.name = self.chance.choice(sorted(load.doors))
-        self.dialling, self.live = True, False
-        host, _, port = load.doors[self.name].rpartition(":")
-        link = ChannelLink(Door(self, self.name), load.next_connection())
+        if not self.gateway or self.random.random() < self.terms.elsewhere:
+            self.gateway = self.random.choice(sorted(load.addresses))
+        self.connecting, self.open = True, False
+        host, _, port = load.addresses[self.gateway].rpartition(":")
+        link = ChannelLink(LinkOwner(self, self.gateway), load.next_connection())
         factory = Factory.forProtocol(lambda: link)
         factory.noisy = False
-        TCP4ClientEndpoint(load.reactor, host, int(port), timeout=DIAL).connect(
+        TCP4ClientEndpoint(load.reactor, host, int(port), timeout=CONNECT_WAIT).connect(
             factory
-        ).addCallbacks(lambda _: self.dialled(link), lambda _: self.missed())
+        ).addCallbacks(lambda _: self.connected(link), lambda _: self.connect_failed())
 
-    def missed(self) -> None:
-        self.dialling = False
+    def connect_failed(self) -> None:
+        self.connecting = False
         self.load.count("unreached")
-        self.load.reactor.callLater(AGAIN, self.dial)
+        self.load.reactor.callLater(RECONNECT_DELAY, self.connect)
 
-    def dialled(self, link: ChannelLink) -> None:
-        self.dialling, self.link, self.since = False, link, self.load.now()
-        self.breaks_at = self.since + self.chance.expovariate(
+    def connected(self, link: ChannelLink) -> None:
+        self.connecting, self.link, self.since = False, link, self.load.now()
+        self.leaves_at = self.since + self.random.expovariate(
             1 / self.terms.reconnect_s
         )
         if not link.transport.connected:
             self.lost(link)
 
     def ready(self, link: ChannelLink) -> None:
-        """The file first, then the claim."""
+        """Open the file; the claim of the channel follows."""
         flags = packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
         link.command(
             packets.Open(0, self.path, flags, FileAttributes()),
-            CommandTerms(int(SETUP * 1000), 0, self.mark("open")),
-            lambda answer: self.opened(link, answer),
+            CommandTerms(int(CLAIM_WAIT * 1000), 0, self.mark("open")),
+            lambda answer: self.file_opened(link, answer),
         )
 
     def mark(self, what: str) -> str:
-        """A mark of its own for each thing said."""
+        """Return a unique mark for a command."""
         return f"{self.channel}.{what}.{self.load.next_mark()}"
 
-    def opened(self, link: ChannelLink, answer: Any) -> None:
+    def file_opened(self, link: ChannelLink, answer: Any) -> None:
         if not isinstance(answer, packets.Handle):
             return self.drop(link, "file not opened")
         if link is not self.link:
             return None
         self.file = answer.handle
-        said = ChannelOpen(self.path, self.channel, self.terms.contract)
-        link.word(
-            lambda id: wire.encode_channel_request(id, said),
+        opening = ChannelOpen(self.path, self.channel, self.terms.contract)
+        link.send_request(
+            lambda id: wire.encode_channel_request(id, opening),
             lambda answer: self.claimed(link, answer),
         )
 
@@ -153,89 +144,97 @@
             return self.drop(link, f"not claimed {getattr(answer, 'language', '')}")
         if link is not self.link:
             return None
-        told = wire.decode_open_reply(answer)
-        self.handle, self.live = told.handle, True
+        reply = wire.decode_open_reply(answer)
+        self.handle, self.open = reply.handle, True
         self.load.count("claims")
-        for number in told.unsure:
-            self.settle_unsure(number)
+        for number in reply.unsure:
+            self.poll_number(number)
         for item in self.items.values():
-            item.out, item.due = False, self.load.now()
-        if told.next > self.made + 1:
+            item.in_flight, item.due_at = False, self.load.now()
+        if reply.next > self.newest + 1:
             self.load.count("next beyond what was made")
 
-    def drop(self, link: ChannelLink, why: str) -> None:
-        self.load.count(why)
+    def drop(self, link: ChannelLink, reason: str) -> None:
+        self.load.count(reason)
         if link.transport is not None:
             link.transport.abortConnection()
 
     def lost(self, link: ChannelLink) -> None:
         if link is self.link:
-            self.link, self.live = None, False
+            self.link, self.open = None, False
             for item in self.items.values():
-                item.out = False
+                item.in_flight = False
             self.load.reactor.callLater(
-                AGAIN * self.chance.uniform(0.2, 1.5), self.dial
+                RECONNECT_DELAY * self.random.uniform(0.2, 1.5), self.connect
             )
 
-    def break_off(self) -> None:
-        """In the middle of whatever is out: an end, or a second connection beside it."""
-        link, self.breaks_at = self.link, float("inf")
+    def leave_connection(self) -> None:
+        """Drop the connection, with numbers in flight, or open a second one too."""
+        link, self.leaves_at = self.link, float("inf")
         if link is None:
             return None
-        if self.chance.random() < RIVAL:
+        if self.random.random() < SECOND_CONNECTION_PART:
             self.load.count("second connections")
-            self.load.reactor.callLater(SETUP, self.drop, link, "old connections ended")
-            self.link, self.live = None, False
-            return self.dial()
+            self.load.reactor.callLater(
+                CLAIM_WAIT, self.drop, link, "old connections ended"
+            )
+            self.link, self.open = None, False
+            return self.connect()
         self.drop(link, "broken off")
 
     # Numbers.
 
     def tick(self, now: float) -> None:
-        if self.link is None and not self.dialling:
+        if self.link is None and not self.connecting:
             return None
-        if self.link is not None and not self.live and now - self.since > SETUP * 2:
+        if (
+            self.link is not None
+            and not self.open
+            and now - self.since > CLAIM_WAIT * 2
+        ):
             return self.drop(self.link, "no claim in time")
-        if not self.load.draining and now >= self.breaks_at:
-            return self.break_off()
+        if not self.load.draining and now >= self.leaves_at:
+            return self.leave_connection()
         if (
             not self.load.draining
             and len(self.items) < self.terms.window
-            and now >= self.makes_at
+            and now >= self.creates_at
         ):
-            self.make(now)
-        if self.live:
-            self.send(now)
-
-    def make(self, now: float) -> None:
-        """Some numbers at a time; now and then one is held back, so that a later one comes before it."""
-        size, whole, chance = self.terms.batch, self.order == IS_BATCHES, self.chance
-        count = chance.randint(1, max(self.terms.window - len(self.items), 1))
-        self.makes_at = now + count / self.terms.per_s * chance.uniform(0.5, 1.5)
+            self.create_numbers(now)
+        if self.open:
+            self.send_due(now)
+
+    def create_numbers(self, now: float) -> None:
+        """Create some numbers at once; hold some back so that later ones come first."""
+        size, batched, random = self.terms.batch, self.order == BATCHES, self.random
+        count = random.randint(1, max(self.terms.window - len(self.items), 1))
+        self.creates_at = now + count / self.terms.per_s * random.uniform(0.5, 1.5)
         for _ in range(count):
-            self.made += 1
-            batch = -(-self.made // size) if whole else 0
-            late = chance.uniform(0.0, HELD_BACK) if chance.random() < SWAPPED else 0.0
-            self.items[self.made] = Item(
-                self.made, batch, whole and not self.made % size, now + late
+            self.newest += 1
+            batch = -(-self.newest // size) if batched else 0
+            hold = random.uniform(0.0, MAX_HOLD) if random.random() < HELD_PART else 0.0
+            self.items[self.newest] = Number(
+                self.newest, batch, batched and not self.newest % size, now + hold
             )
 
-    def send(self, now: float) -> None:
-        """What is due."""
+    def send_due(self, now: float) -> None:
+        """Send all numbers that are due."""
         for item in [
-            each for each in self.items.values() if not each.out and each.due <= now
+            each
+            for each in self.items.values()
+            if not each.in_flight and each.due_at <= now
         ]:
-            self.say(item, now)
+            self.send_number(item, now)
 
-    def say(self, item: Item, now: float) -> None:
-        link, patience = self.link, self.terms.patience_ms
+    def send_number(self, item: Number, now: float) -> None:
+        link, timeout = self.link, self.terms.patience_ms
         assert link is not None
         offset = (item.number - 1) % self.terms.extents * self.load.extent_bytes
-        data = f"{self.channel}:{item.number}:".encode().ljust(BYTES, b".")
-        terms = CommandTerms(int(patience), item.tries, f"{self.channel}.{item.number}")
-        item.out, item.tries = True, item.tries + 1
-        turn = item.tries
-        link.word(
+        data = f"{self.channel}:{item.number}:".encode().ljust(WRITE_BYTES, b".")
+        terms = CommandTerms(int(timeout), item.sends, f"{self.channel}.{item.number}")
+        item.in_flight, item.sends = True, item.sends + 1
+        sent = item.sends
+        link.send_request(
             lambda id: wire.encode_numbered(
                 id,
                 NumberedCommand(
@@ -247,156 +246,156 @@
                     packets.Write(id, self.file, offset, data),
                 ),
             ),
-            lambda answer: self.answered(link, item, turn, answer),
+            lambda answer: self.answered(link, item, sent, answer),
         )
 
-    def answered(self, link: ChannelLink, item: Item, turn: int, answer: Any) -> None:
+    def answered(self, link: ChannelLink, item: Number, sent: int, answer: Any) -> None:
         if item.number not in self.items:
             return None
         if isinstance(answer, packets.Status) and answer.code == packets.OK:
-            return self.end(item, "done")
-        if link is not self.link or turn != item.tries:
+            return self.finish_number(item, "done")
+        if link is not self.link or sent != item.sends:
             return None
-        sign = (
+        tag = (
             status_tags.parse_status_tag(answer.language)
             if isinstance(answer, packets.Status)
             else None
         )
-        word = sign.word if sign is not None else "lost" if answer is None else "status"
+        word = tag.word if tag is not None else "lost" if answer is None else "status"
         self.load.count(f"heard {word}")
-        if word in DONE_SIGNS:
-            return self.end(item, DONE_SIGNS[word])
-        pause = (sign.pause or 0) / 1000 if sign is not None else LEAST_PAUSE
-        item.out, item.due = (
+        if word in OUTCOME_OF_TAG:
+            return self.finish_number(item, OUTCOME_OF_TAG[word])
+        pause = (tag.pause or 0) / 1000 if tag is not None else MIN_RESEND_DELAY
+        item.in_flight, item.due_at = (
             False,
-            self.load.now() + min(max(pause, LEAST_PAUSE), MOST_PAUSE),
+            self.load.now() + min(max(pause, MIN_RESEND_DELAY), MAX_RESEND_DELAY),
         )
         if word == "claim-lost":
             self.drop(link, "claims lost")
         elif word == "status":
             self.drop(link, f"status {answer.code}: {answer.message[:60]}")
         elif word in ("stopped", "aborted"):
-            item.due = max(item.due, self.load.now() + ASK_EVERY)
-            self.settle_unsure(
-                sign.number
-                if sign is not None and word == "stopped" and sign.number
+            item.due_at = max(item.due_at, self.load.now() + POLL_INTERVAL)
+            self.poll_number(
+                tag.number
+                if tag is not None and word == "stopped" and tag.number
                 else item.number
             )
 
-    def settle_unsure(self, number: int) -> None:
-        """Asks what became of it, now and then."""
+    def poll_number(self, number: int) -> None:
+        """Poll the status of a number, at most once per `POLL_INTERVAL`."""
         link, now = self.link, self.load.now()
-        if link is None or not self.live or now < self.asks_at.get(number, 0.0):
+        if link is None or not self.open or now < self.next_poll.get(number, 0.0):
             return
-        self.asks_at[number] = now + ASK_EVERY
+        self.next_poll[number] = now + POLL_INTERVAL
         handle = self.handle
-        link.word(
+        link.send_request(
             lambda id: wire.encode_channel_request(id, ChannelQuery(handle, number)),
-            lambda answer: self.asked(link, number, answer),
+            lambda answer: self.query_answered(link, number, answer),
         )
 
-    def asked(self, link: ChannelLink, number: int, answer: Any) -> None:
-        """Over, or for the client to say, or worth another try."""
+    def query_answered(self, link: ChannelLink, number: int, answer: Any) -> None:
+        """End the number, resolve it if indeterminate, or leave it for a resend."""
         if not isinstance(answer, packets.ExtendedReply) or link is not self.link:
             return None
-        told, item = wire.decode_query_reply(answer), self.items.get(number)
-        unsure, says = told.state == wire.NumberStatus.INDETERMINATE, self.terms.says
-        over = STATES.get(told.state)
+        reply, item = wire.decode_query_reply(answer), self.items.get(number)
+        unknown, says = reply.state == wire.NumberStatus.INDETERMINATE, self.terms.says
+        outcome = OUTCOME_OF_STATUS.get(reply.state)
         if item is not None:
-            item.asked += 1
-            if unsure and not says and (told.next > number or item.asked > MOST_ASKED):
-                over = "stays unsure"
-            if over is not None:
-                return self.end(item, over)
-        if unsure and says:
-            self.tell(
+            item.polls += 1
+            if unknown and not says and (reply.next > number or item.polls > MAX_POLLS):
+                outcome = "stays unsure"
+            if outcome is not None:
+                return self.finish_number(item, outcome)
+        if unknown and says:
+            self.resolve(
                 link,
                 number,
                 wire.Resolution.NOT_DONE
-                if item is not None and self.chance.random() < 0.5
+                if item is not None and self.random.random() < 0.5
                 else wire.Resolution.SKIPPED,
             )
 
-    def tell(self, link: ChannelLink, number: int, word: int) -> None:
-        """The client's word on an unsure number."""
+    def resolve(self, link: ChannelLink, number: int, resolution: int) -> None:
+        """Resolve an indeterminate number as not done or skipped."""
         self.load.count(
-            "said again" if word == wire.Resolution.NOT_DONE else "said left out"
+            "said again" if resolution == wire.Resolution.NOT_DONE else "said left out"
         )
         handle = self.handle
-        link.word(
+        link.send_request(
             lambda id: wire.encode_channel_request(
-                id, ChannelResolve(handle, number, word)
+                id, ChannelResolve(handle, number, resolution)
             ),
-            lambda answer: self.heard(number, answer),
+            lambda answer: self.resolution_answered(number, answer),
         )
 
-    def heard(self, number: int, answer: Any) -> None:
-        """A word that comes too early is told when it may come again."""
-        sign = (
+    def resolution_answered(self, number: int, answer: Any) -> None:
+        """Delay the next poll where the gateway asks for it."""
+        tag = (
             status_tags.parse_status_tag(answer.language)
             if isinstance(answer, packets.Status)
             else None
         )
-        if sign is not None and sign.pause:
-            self.asks_at[number] = self.load.now() + sign.pause / 1000
+        if tag is not None and tag.pause:
+            self.next_poll[number] = self.load.now() + tag.pause / 1000
 
-    def end(self, item: Item, what: str) -> None:
+    def finish_number(self, item: Number, outcome: str) -> None:
         del self.items[item.number]
-        self.asks_at.pop(item.number, None)
-        self.load.ended(self, item, what)
+        self.next_poll.pop(item.number, None)
+        self.load.ended(self, item, outcome)
 
 
-class Door:
-    """What a link asks its owner for; the gateway's name is that of the time of the dial."""
+class LinkOwner:
+    """The owner of a link; keeps the name of the gateway that the link connects to."""
 
-    def __init__(self, line: Line, name: str) -> None:
-        self.line, self.name, self.load = line, name, line.load
+    def __init__(self, client: ChannelClient, name: str) -> None:
+        self.client, self.name, self.load = client, name, client.load
 
     def ready(self, link: ChannelLink) -> None:
-        self.line.ready(link)
+        self.client.ready(link)
 
     def lost(self, link: ChannelLink) -> None:
-        self.line.lost(link)
+        self.client.lost(link)
 
 
 class Channels:
-    """All clients with channels of a scenario. `start` is on the monotonic clock, in seconds."""
+    """All channel clients of a scenario; `start` is a monotonic time in seconds."""
 
     def __init__(
         self,
         reactor: Any,
         scenario: Any,
-        edges: list[tuple[str, str]],
+        gateways: list[tuple[str, str]],
         start: float,
         out: str,
     ) -> None:
-        self.reactor, self.scenario, self.start_at, self.out = (
+        self.reactor, self.scenario, self.start_at, self.folder = (
             reactor,
             scenario,
             start,
             out,
         )
-        self.doors, self.now = dict(edges), time.monotonic
+        self.addresses, self.now = dict(gateways), time.monotonic
         self.recorder = PacketRecorder(f"{out}/channels.rec", "clients", "channels")
         self.lateness, self.due_at = LatenessMonitor(), start
         self.connections = self.marks = 0
         self.extent_bytes = scenario.gateway.rules.extent_bytes
         self.counts: dict[str, int] = {}
-        self.ends: dict[str, dict[str, int]] = {}
-        self.took: dict[str, HdrHistogram] = {}
-        self.draining = self.over = False
+        self.outcomes: dict[str, dict[str, int]] = {}
+        self.latencies: dict[str, HdrHistogram] = {}
+        self.draining = self.finished = False
         self.orders = {
             each.name: each.order for each in scenario.gateway.fleet.channels.contract
         }
         volumes = {each.name: each for each in scenario.gateway.volume}
-        self.lines = [
-            Line(self, place, terms, volumes[terms.volume])
-            for place, terms in enumerate(
+        self.clients = [
+            ChannelClient(self, index, terms, volumes[terms.volume])
+            for index, terms in enumerate(
                 terms for terms in scenario.channels for _ in range(terms.channels)
             )
         ]
-        for place, line in enumerate(self.lines):
-            reactor.callLater(max(start - self.now(), 0) + 0.02 * place, line.dial)
+        for index, client in enumerate(self.clients):
+            reactor.callLater(max(start - self.now(), 0) + 0.02 * index, client.connect)
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -409,55 +408,56 @@
         self.marks += 1
         return self.marks
 
-    def ended(self, line: Line, item: Item, what: str) -> None:
-        name = line.terms.contract
-        row = self.ends.setdefault(name, {})
-        row[what] = row.get(what, 0) + 1
-        if what == "done":
-            self.took.setdefault(name, HdrHistogram(1, 600_000_000, 3)).record_value(
-                max(int((self.now() - item.began) * 1e6), 1)
-            )
+    def ended(self, client: ChannelClient, item: Number, outcome: str) -> None:
+        name = client.terms.contract
+        row = self.outcomes.setdefault(name, {})
+        row[outcome] = row.get(outcome, 0) + 1
+        if outcome == "done":
+            self.latencies.setdefault(
+                name, HdrHistogram(1, 600_000_000, 3)
+            ).record_value(max(int((self.now() - item.created) * 1e6), 1))
 
     def run(self) -> None:
-        """Every few milliseconds: what is due on each line, until all have an end or time is up."""
+        """Run each client's tick, until all numbers have outcomes or the time is up."""
         now, scenario = self.lateness.check(self.start_at, self.due_at), self.scenario
         self.due_at = now + TICK
         ended = self.start_at + scenario.seconds
         self.draining = now >= ended
         if self.draining and (
-            now >= ended + scenario.tail_s or not any(line.items for line in self.lines)
+            now >= ended + scenario.tail_s
+            or not any(each.items for each in self.clients)
         ):
             return self.finish()
         if now >= self.start_at:
-            for line in self.lines:
-                line.tick(now)
+            for client in self.clients:
+                client.tick(now)
         self.reactor.callLater(TICK, self.run)
 
     def finish(self) -> None:
-        self.over = True
+        self.finished = True
         quantiles = {
             name: {str(q): each.get_value_at_percentile(q) / 1000 for q in (50, 90, 99)}
-            for name, each in self.took.items()
+            for name, each in self.latencies.items()
         }
         result = {
-            "ends": self.ends,
+            "ends": self.outcomes,
             "latency_ms": quantiles,
             "counts": self.counts,
             "late": self.lateness.to_stored(),
             "worst_lag_ms": self.lateness.worst * 1000,
             "connections": self.connections,
-            "unended": sum(len(line.items) for line in self.lines),
+            "unended": sum(len(client.items) for client in self.clients),
             "lines": {
-                line.channel: {
-                    "contract": line.terms.contract,
-                    "volume": line.volume.name,
-                    "made": line.made,
-                    "open": sorted(line.items),
+                client.channel: {
+                    "contract": client.terms.contract,
+                    "volume": client.volume.name,
+                    "made": client.newest,
+                    "open": sorted(client.items),
                 }
-                for line in self.lines
+                for client in self.clients
             },
         }
-        with open(f"{self.out}/channels.json", "w", encoding="utf-8") as sink:
+        with open(f"{self.folder}/channels.json", "w", encoding="utf-8") as sink:
             json.dump(result, sink, indent=1)
         self.reactor.addSystemEventTrigger("after", "shutdown", self.recorder.close)
         self.reactor.stop()
--- a/milletsill/lab/client_records.py
+++ b/milletsill/lab/client_records.py
@@ -27,7 +27,7 @@
 COMMAND_EXTENSION = "command@milletsill"
 NUMBERED_EXTENSION = "numbered@milletsill"
 OPEN = 1
-ASK = 2
+QUERY = 2
 RESOLVE = 3
 MAX_INDETERMINATE = 1024
 
@@ -36,12 +36,12 @@
     """Reads the records of the client processes, one process at a time.
 
     Each answer is added to its command or channel message. An answer that matches none
-    is kept as a line of text in `unowed_answers`.
+    is kept as a line of text in `unmatched_answers`.
     """
 
     def __init__(self) -> None:
         self.commands: list[RecordedCommand] = []
-        self.unowed_answers: list[str] = []
+        self.unmatched_answers: list[str] = []
         self.channel_messages: list[RecordedChannelMessage] = []
         self.gateways: dict[int, str] = {}
         self.unanswered: dict[
@@ -104,7 +104,7 @@
             language = cursor.text()
         found = self.unanswered.pop((entry.connection, packet_id), None)
         if found is None:
-            self.unowed_answers.append(
+            self.unmatched_answers.append(
                 f"{entry.at:.4f} connection {entry.connection} answer {kind} for "
                 f"command {packet_id}, which is not in flight"
             )
--- a/milletsill/lab/contract_figures.py
+++ b/milletsill/lab/contract_figures.py
@@ -31,9 +31,9 @@
     claims: int = 0
     numbers: int = 0
     settled: int = 0
-    ended_otherwise: int = 0
+    without_effect: int = 0
     written: int = 0
-    answered_from_memory: int = 0
+    repeated_answers: int = 0
     interruptions: list[float] = field(default_factory=list)
 
     def add(self, history: ChannelHistory, kills: Sequence[GatewayKill]) -> None:
@@ -42,7 +42,7 @@
         self.claims += sum(each.opening is not None for each in history.openings)
         self.numbers += len(history.commands)
         self.settled += len(history.settled)
-        self.ended_otherwise += len(history.ended)
+        self.without_effect += len(history.ended)
         self.written += len(history.effects)
         settled_answers = sum(
             answer.code == OK
@@ -50,7 +50,7 @@
             for command in commands
             for answer in command.answers
         )
-        self.answered_from_memory += settled_answers - len(history.settled)
+        self.repeated_answers += settled_answers - len(history.settled)
         for kill in kills:
             seconds = interruption(history, kill)
             if seconds is not None:
@@ -63,9 +63,9 @@
             "claims": self.claims,
             "numbers": self.numbers,
             "settled": self.settled,
-            "without effect": self.ended_otherwise,
+            "without effect": self.without_effect,
             "written": self.written,
-            "repeated answers": self.answered_from_memory,
+            "repeated answers": self.repeated_answers,
         }
         if self.interruptions:
             seconds = sorted(self.interruptions)
--- a/milletsill/lab/day.py
+++ b/milletsill/lab/day.py
@@ -1,12 +1,13 @@
-"""A day that the bench drew as a scenario.
+"""Converts a day file of the benchmark simulator to a scenario of the laboratory.
 
-Sizes kept, or cut down with the traffic in proportion.
+The scenario keeps the day's size, or has fewer gateways, nodes or seconds, with the
+traffic reduced in proportion to the nodes.
 
-Carried over: boxes with their speeds, queues, cold starts and pauses; categories,
-plans, volumes with their cells and gateways; the rates; clients' habits; the list's
-delays; troubles. A day file says which volumes surge, how far and for how long, not
-when: that is drawn here. Not carried over: noise of one attempt, correlated arrivals,
-pauses that grow.
+It takes over the nodes with their speeds, queues, cold starts and pauses; request
+classes, service plans, and volumes with their shards and gateways; the traffic rates;
+the clients' behaviour; the delays of the endpoint list; and the faults. A day file says
+which volumes surge, how far and for how long, but not when: the times are drawn here.
+The noise of single attempts, correlated arrivals and growing pauses are not taken over.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 from milletsill.settings.scenario import FAULTS
 
 MICRO = 1_000_000
-REPEATS = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
-REPORTS = {
+RETRY_SAFETY = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
+REPORT_FIELDS = {
     "inflight": "inflight",
     "queue": "queue",
     "util": "busy",
     "latency_ms": "service_ms",
 }
-SURGE_EVERY = 30.0  # seconds, as the bench's page has it
-OF_BOXES = ("vanish", "slow", "pauses", "neighbour")
+SURGE_INTERVAL_S = 30.0  # mean time between surges in the benchmark simulator
+NODE_FAULTS = ("vanish", "slow", "pauses", "neighbour")
 
 
 class InvalidDayFileError(InvalidValueError):
-    """A file that is no day of storage nodes."""
+    """A file is not a valid day file of the simulator's family `stores`."""
 
     remedy = "give a day file of the family `stores`"
 
@@ -42,26 +43,32 @@
     boxes: int | None = None,
     seconds: float | None = None,
 ) -> Scenario:
-    """The scenario of a day file's JSON value, cut down where asked."""
+    """Return the scenario of a day file's JSON value, reduced to the given sizes.
+
+    `edges` and `boxes` are the largest numbers of gateways and nodes.
+
+    Raises:
+        InvalidDayFileError: The value is not a day of the family `stores`.
+    """
     try:
         if day["family"] != "stores":
             raise InvalidDayFileError(
-                f"a day of {str(day['family'])[:40]!r}, only 'stores' are played"
+                f"day file of family {str(day['family'])[:40]!r}, expected 'stores'"
             )
-        made = Scenario(
+        scenario = Scenario(
             name=f"{day['site']}-{day['kind']}", seed=int(day["noise"]) % 1_000_000
         )
         servers, balancers = day["servers"], day["balancers"]
         count = min(boxes or len(servers), len(servers))
-        made.edges = min(edges or len(balancers), len(balancers))
-        made.seconds = min(seconds or 1e9, day["length"] / MICRO)
-        fill_rules(made.gateway, day)
-        fill_categories(made.gateway, day)
-        fill_volumes(made, day, count)
-        fill_boxes(made, day, count)
-        fill_traffic(made, day, count)
-        fill_clients(made, day)
-        fill_troubles(made, day, count)
+        scenario.edges = min(edges or len(balancers), len(balancers))
+        scenario.seconds = min(seconds or 1e9, day["length"] / MICRO)
+        fill_rules(scenario.gateway, day)
+        fill_request_classes(scenario.gateway, day)
+        fill_volumes(scenario, day, count)
+        fill_nodes(scenario, day, count)
+        fill_traffic(scenario, day, count)
+        fill_clients(scenario, day)
+        fill_faults(scenario, day, count)
     except InvalidDayFileError:
         raise
     except (
@@ -73,20 +80,20 @@
         OverflowError,
     ) as error:
         raise InvalidDayFileError(
-            f"not a day file: {type(error).__name__} {error}"
+            f"not a valid day file: {type(error).__name__} {error}"
         ) from None
-    return made
+    return scenario
 
 
-def fill_rules(file: Any, day: Any) -> None:
-    """Rules and what nodes allow."""
-    fam, tier, allow = day["fam"], day["tiers"][0], day["allow"]
-    file.name, file.gateways, file.registry.address = (
+def fill_rules(gateway_file: Any, day: Any) -> None:
+    """Fill in the scheduler's rules, including what the nodes allow."""
+    family, tier, allow = day["fam"], day["tiers"][0], day["allow"]
+    gateway_file.name, gateway_file.gateways, gateway_file.registry.address = (
         "edge",
         len(day["balancers"]),
         "127.0.0.1:1",
     )
-    rules = file.rules
+    rules = gateway_file.rules
     rules.drain_grace_ms, rules.cold_multiple = (
         day["drain_grace"] / 1000,
         day["fall_multiple"],
@@ -101,15 +108,18 @@
         allow["max_attempts"],
         day["clients"]["max_retry_after"] / 1000,
     )
-    rules.largest_units, rules.unit_mean = int(fam["most_units"]), fam["mean_units"]
-    rules.share_utility, rules.spare_utility = fam["worths"][1], fam["worths"][2]
-    rules.meter_ms, rules.tick_ms = fam["meter"] / 1000, day["tick"] / 1000
+    rules.largest_units, rules.unit_mean = (
+        int(family["most_units"]),
+        family["mean_units"],
+    )
+    rules.share_utility, rules.spare_utility = family["worths"][1], family["worths"][2]
+    rules.meter_ms, rules.tick_ms = family["meter"] / 1000, day["tick"] / 1000
     slowest = min(kind["cores"] for kind in tier["kinds"]) * rules.cold_from
     rules.cold_units = (
         slowest
         * rules.cold_multiple
         * rules.cold_window_ms
-        / (fam["unit_work"] / 1000)
+        / (family["unit_work"] / 1000)
         / 2
     )
     if day.get("budget_share"):
@@ -119,30 +129,35 @@
         )
         rules.further_window_ms = day.get("budget_ms", 5_000_000) / 1000
     if tier["report_how"] == "answers":
-        file.reports.field.extend(
-            REPORTS[each] for each in tier["report_fields"] if each in REPORTS
+        gateway_file.reports.field.extend(
+            REPORT_FIELDS[each]
+            for each in tier["report_fields"]
+            if each in REPORT_FIELDS
         )
-    file.links.streams, file.links.connections = int(tier["streams"]), 2
-    file.links.dial_ms = tier["connect_timeout"] / 1000
-    file.door.answer_margin_ms = 30
+    gateway_file.links.streams, gateway_file.links.connections = int(tier["streams"]), 2
+    gateway_file.links.dial_ms = tier["connect_timeout"] / 1000
+    gateway_file.door.answer_margin_ms = 30
 
 
-def fill_categories(file: Any, day: Any) -> None:
-    """Categories, plans and routes: a category is known by its operation and size."""
+def fill_request_classes(gateway_file: Any, day: Any) -> None:
+    """Fill in request classes, service plans and routes.
+
+    Routes tell the request classes apart by operation and size.
+    """
     for each in day["classes"]:
-        file.category.add(
+        gateway_file.category.add(
             name=each["name"],
             target_ms=each["aim"] / 1000,
             patience_ms=each["deadline"] / 1000,
             utility=each["worth"],
             late_utility=each["late_worth"],
-            repeats=REPEATS[each["effect"]],
+            repeats=RETRY_SAFETY[each["effect"]],
             group=each["group"],
             repeat_window_ms=each["window"] / 1000,
             write=each["write"],
         )
     for tenant, plan in zip(day["tenants"], day["fam"]["plans"]):
-        made = file.plan.add(
+        service_plan = gateway_file.plan.add(
             name=tenant["name"],
             usual_rate=plan["rate"],
             reserve_rate=plan["reserve"],
@@ -150,61 +165,68 @@
             price=plan["price"],
         )
         if plan["limit"]:
-            made.limit_rate, made.limit_store = plan["limit"], plan["limit_burst"]
-            made.limit_slack = plan["slack"]
+            service_plan.limit_rate, service_plan.limit_store = (
+                plan["limit"],
+                plan["limit_burst"],
+            )
+            service_plan.limit_slack = plan["slack"]
     for each in day["classes"]:
         if each["write"]:
-            file.route.add(operation=["write", "change", "sync"], category=each["name"])
+            gateway_file.route.add(
+                operation=["write", "change", "sync"], category=each["name"]
+            )
     reads = [each for each in day["classes"] if not each["write"]]
     for each in sorted(reads, key=lambda each: -each["work"])[:-1]:
-        file.route.add(
-            operation=["read"], least_bytes=export_bytes(file), category=each["name"]
+        gateway_file.route.add(
+            operation=["read"],
+            least_bytes=export_bytes(gateway_file),
+            category=each["name"],
         )
-    file.route.add(category=min(reads, key=lambda each: each["work"])["name"])
+    gateway_file.route.add(category=min(reads, key=lambda each: each["work"])["name"])
 
 
-def export_bytes(file: Any) -> int:
-    """Reads from this size on are of the costly category: over half of the largest."""
-    return (file.rules.largest_units // 2 + 1) * file.rules.unit_bytes
+def export_bytes(gateway_file: Any) -> int:
+    """Return the least size of a read of a costly class: over half of the largest."""
+    return (gateway_file.rules.largest_units // 2 + 1) * gateway_file.rules.unit_bytes
 
 
-def fill_volumes(made: Any, day: Any, count: int) -> None:
+def fill_volumes(scenario: Any, day: Any, count: int) -> None:
     names = [each["name"] for each in day["tenants"]]
     for number, each in enumerate(day["fam"]["volumes"]):
         cells = sorted({node % count for node in each["nodes"]})
-        made.gateway.volume.add(
+        scenario.gateway.volume.add(
             name=f"v{number}",
             root=f"/v{number}",
             plan=names[each["plan"]],
             cell=cells,
-            gateways=max(min(each["hosts"], made.edges), 1),
+            gateways=max(min(each["hosts"], scenario.edges), 1),
         )
-        made.volume_base.append(each["base"])
-        fill_surges(made, number, each)
-    made.files = 8
+        scenario.volume_base.append(each["base"])
+        fill_surges(scenario, number, each)
+    scenario.files = 8
 
 
-def fill_surges(made: Any, number: int, volume: Any) -> None:
-    """A volume's surges, about one in SURGE_EVERY seconds."""
+def fill_surges(scenario: Any, number: int, volume: Any) -> None:
+    """Draw a volume's surges, about one per `SURGE_INTERVAL_S`."""
     if volume["high"] <= 0:
         return
-    chance = Random(made.seed * 1000 + number)
-    at = chance.uniform(0, SURGE_EVERY) - volume["len"] / 2
-    while at < made.seconds:
-        made.surge.add(
+    random = Random(scenario.seed * 1000 + number)
+    at = random.uniform(0, SURGE_INTERVAL_S) - volume["len"] / 2
+    while at < scenario.seconds:
+        scenario.surge.add(
             on=[number],
             at_s=max(at, 0.0),
             for_s=volume["len"] + min(at, 0.0),
             times=volume["high"],
         )
-        at += SURGE_EVERY * chance.uniform(0.7, 1.3) + volume["len"] / 2
+        at += SURGE_INTERVAL_S * random.uniform(0.7, 1.3) + volume["len"] / 2
 
 
-def fill_boxes(made: Any, day: Any, count: int) -> None:
-    tier, fam = day["tiers"][0], day["fam"]
+def fill_nodes(scenario: Any, day: Any, count: int) -> None:
+    tier, family = day["tiers"][0], day["fam"]
     for number, server in enumerate(day["servers"][:count]):
         kind = tier["kinds"][server["kind"]]
-        made.kind.add(
+        scenario.kind.add(
             name=f"k{number}",
             cores=kind["cores"],
             slots=kind["slots"],
@@ -217,10 +239,10 @@
             handshake_ms=tier["handshake_work"] / 1000,
             report_every_ms=tier["report_period"] / 1000,
             report_late_ms=tier["report_delay"] / 1000,
-            remembers=int(fam["remembers"]),
-            seek=fam["seek"],
-            defer=fam["defer"],
-            flush_s=fam["flush"] / MICRO,
+            remembers=int(family["remembers"]),
+            seek=family["seek"],
+            defer=family["defer"],
+            flush_s=family["flush"] / MICRO,
             cancel=kind["cancel"],
             drops_expired=kind["drops_expired"],
             error_rate=kind["error_rate"],
@@ -229,11 +251,15 @@
             knee=kind["knee"],
             most_connections=int(tier["conn_cap_per_core"] * kind["cores"]),
         )
-        made.box.add(kind=f"k{number}", zone=server["zone"])
+        scenario.box.add(kind=f"k{number}", zone=server["zone"])
 
 
-def fill_traffic(made: Any, day: Any, count: int) -> None:
-    """Rates from the load, as a share of what the boxes can do, and the mean work of a transfer."""
+def fill_traffic(scenario: Any, day: Any, count: int) -> None:
+    """Fill in the traffic of each request class.
+
+    The day's load is a share of the nodes' capacity; the rates follow from it and the
+    mean work of a request.
+    """
     capacity = sum(
         day["tiers"][0]["kinds"][each["kind"]]["cores"] * each["speed"]
         for each in day["servers"][:count]
@@ -245,7 +271,7 @@
     light = min(reads, key=lambda each: each["work"])
     for each, run in zip(day["classes"], day["fam"]["run"]):
         heavy = not each["write"] and each is not light
-        made.traffic.add(
+        scenario.traffic.add(
             category=each["name"],
             operation="write" if each["write"] else "read",
             per_s=rate * each["share"],
@@ -256,31 +282,34 @@
             else each["work"] / 1000,
             units=mean,
         )
-    made.file_units = 2 * made.gateway.rules.largest_units
+    scenario.file_units = 2 * scenario.gateway.rules.largest_units
 
 
-def fill_clients(made: Any, day: Any) -> None:
-    habits, found = day["clients"], day["discovery"]
-    made.clients.retries, made.clients.pause_ms = (
+def fill_clients(scenario: Any, day: Any) -> None:
+    habits, discovery = day["clients"], day["discovery"]
+    scenario.clients.retries, scenario.clients.pause_ms = (
         int(habits["retries"]),
         habits["backoff_us"] / 1000,
     )
-    made.clients.honour, made.clients.try_share = habits["honour"], habits["try_share"]
-    made.clients.connections, made.clients.shift_s = 1, day["fam"]["shift_s"]
-    made.clients.skew = day["fam"]["skew"]
-    made.registry.notice_ms, made.registry.vanish_s = (
-        found["notice"] / 1000,
-        found["silent_notice"] / MICRO,
+    scenario.clients.honour, scenario.clients.try_share = (
+        habits["honour"],
+        habits["try_share"],
+    )
+    scenario.clients.connections, scenario.clients.shift_s = 1, day["fam"]["shift_s"]
+    scenario.clients.skew = day["fam"]["skew"]
+    scenario.registry.notice_ms, scenario.registry.vanish_s = (
+        discovery["notice"] / 1000,
+        discovery["silent_notice"] / MICRO,
     )
-    made.registry.at_once = max(made.edges // 4, 8)
+    scenario.registry.at_once = max(scenario.edges // 4, 8)
 
 
-def fill_troubles(made: Any, day: Any, count: int) -> None:
+def fill_faults(scenario: Any, day: Any, count: int) -> None:
     names = [each["name"] for each in day["tenants"]]
     for each in day["troubles"]:
-        if each["kind"] not in FAULTS or each["at"] / MICRO >= made.seconds:
+        if each["kind"] not in FAULTS or each["at"] / MICRO >= scenario.seconds:
             continue
-        trouble = made.trouble.add(
+        fault = scenario.trouble.add(
             what=each["kind"],
             at_s=each["at"] / MICRO,
             for_s=each["len"] / MICRO,
@@ -288,15 +317,15 @@
             extra=each["extra"],
         )
         if each["kind"] == "reconnect":
-            trouble.part = min(max(each["size"], 0.0), 1.0)
+            fault.part = min(max(each["size"], 0.0), 1.0)
         if each["kind"] in ("tenant_burst", "retry_abuse"):
-            trouble.plan = names[each["which"] % len(names)]
+            fault.plan = names[each["which"] % len(names)]
         if each["on"]:
-            most = count if each["kind"] in OF_BOXES else made.edges
-            whole = (
+            limit = count if each["kind"] in NODE_FAULTS else scenario.edges
+            total = (
                 len(day["servers"])
-                if each["kind"] in OF_BOXES
+                if each["kind"] in NODE_FAULTS
                 else len(day["balancers"])
             )
-            trouble.on.extend(sorted({on for on in each["on"] if on < most}) or [0])
-            trouble.part = min(len(each["on"]) / whole, 1.0)
+            fault.on.extend(sorted({on for on in each["on"] if on < limit}) or [0])
+            fault.part = min(len(each["on"]) / total, 1.0)
--- a/milletsill/lab/engine.py
+++ b/milletsill/lab/engine.py
@@ -1,7 +1,9 @@
-"""The time a stand-in disk box takes: cores, slots, a queue, cold starts, falling over, pauses, put-off writes.
+"""Models the processing time of a stand-in disk node.
 
-A model on any clock: `now` is handed in, in seconds. `Engine.take` puts a job in; `advance` works up to a time and
-gives the jobs that ended. Processor sharing among the slots in work, a queue in turn of arrival behind them.
+The model covers cores, slots, a queue, cold starts, crashes from overload, pauses and
+deferred writes. It runs on any clock: callers pass `now` in seconds. `Engine.take` adds
+a job; `Engine.advance` works up to a time and returns the jobs that ended. The jobs in
+slots share the processor; behind them, a first-in-first-out queue holds the others.
 """
 
 from __future__ import annotations
@@ -11,70 +13,85 @@
 from random import Random
 from typing import Any
 
-FALL_SLACK = 0.5  # of a second's whole capacity, for chance
+# Tolerance before a cold node crashes, in seconds of the work of all its cores, since
+# the cost of requests varies at random.
+CRASH_SLACK_S = 0.5
 
 
 @dataclass(eq=False)
 class Job:
-    """One dispatch in work; `left` in seconds of one core at speed 1."""
+    """An attempt that the node processes.
+
+    `left` is the remaining work in seconds of one core at speed 1. `what` is the
+    caller's value for the attempt, or None for the engine's own flush of deferred
+    writes. `expires` is when the attempt's deadline passes.
+    """
 
     left: float
     what: Any
     expires: float
-    gone: bool = False
+    cancelled: bool = False
 
 
 @dataclass
 class Speed:
-    """What troubles do to a box."""
+    """The current effect of injected faults on a node's speed."""
 
-    slow: float = 1.0  # divides
-    taken: float = 0.0  # share of the machine that another program takes
-    still_until: float = 0.0
+    slow: float = 1.0  # divides the speed
+    taken: float = 0.0  # share of the machine that other programs use
+    still_until: float = 0.0  # no work is done before
 
 
 class Engine:
-    """The work of one box since its last start."""
+    """The work of one node since its last start."""
 
     def __init__(
         self,
         kind: Any,
         rules: Any,
-        chance: Random,
+        random: Random,
         now: float,
         cold: bool,
         speed: Speed,
     ) -> None:
-        self.kind, self.chance, self.speed = kind, chance, speed
+        self.kind, self.random, self.speed = kind, random, speed
         self.started = now if cold else now - kind.cold_s
         self.at, self.next_pause, self.next_flush = (
             now,
-            now + self.drawn(kind.pause_every_s),
+            now + self.random_delay(kind.pause_every_s),
             now + kind.flush_s,
         )
         self.working: list[Job] = []
         self.queue: deque[Job] = deque()
-        self.put_off, self.done_work = 0.0, 0.0
+        self.deferred_work, self.done_work = 0.0, 0.0
         self.extents: OrderedDict[int, None] = OrderedDict()
-        self.multiple, self.window, self.borne = (
+        self.cold_multiple, self.window, self.cold_units = (
             rules.cold_multiple,
             rules.cold_window_ms / 1000,
             rules.cold_units,
         )
-        self.pushed: deque[tuple[float, float, float]] = deque()  # (time, work, units)
-        self.fallen = False
+        # Time, work and units of each attempt in the window while the node is cold.
+        self.recent_load: deque[tuple[float, float, float]] = deque()
+        self.crashed = False
 
-    def drawn(self, mean: float) -> float:
-        return self.chance.uniform(0.5, 1.5) * mean if mean else 1e18
+    def random_delay(self, mean: float) -> float:
+        return self.random.uniform(0.5, 1.5) * mean if mean else 1e18
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that a box can do, rising evenly after its start."""
+        """Return the share of its full capacity that the node has at a time.
+
+        The share rises linearly from `cold_from` to 1 during `cold_s` seconds after the
+        start.
+        """
         kind = self.kind
         age = (now - self.started) / kind.cold_s if kind.cold_s else 1.0
         return min(kind.cold_from + (1 - kind.cold_from) * age, 1.0)
 
     def capacity(self, now: float) -> float:
-        """Seconds of work a second."""
+        """Return the seconds of work that the node does per second.
+
+        The number of jobs above `knee` reduces it, by the share `thrash` at most.
+        """
         kind, held = self.kind, len(self.working) + len(self.queue)
         over = min(max(held / kind.knee - 1, 0.0), 1.0) if kind.knee else 0.0
         return (
@@ -97,8 +114,10 @@
         expires: float,
         what: Any,
     ) -> Job | None:
-        """A job, or None where the queue is full. The first dispatch on a remembered extent costs less; a part of a
-        write is put off.
+        """Add a job and return it; return None where the queue is full.
+
+        A first attempt on a remembered extent costs less by the share `seek`. The share
+        `defer` of a write's work is deferred until the next flush.
         """
         if first and extent in self.extents:
             work *= 1 - self.kind.seek
@@ -106,10 +125,10 @@
         self.extents.move_to_end(extent)
         while len(self.extents) > self.kind.remembers:
             self.extents.popitem(last=False)
-        self.weigh(now, work, units)
+        self.check_overload(now, work, units)
         if write:
-            self.put_off, work = (
-                self.put_off + work * self.kind.defer,
+            self.deferred_work, work = (
+                self.deferred_work + work * self.kind.defer,
                 work * (1 - self.kind.defer),
             )
         job = Job(work, what, expires)
@@ -121,33 +140,40 @@
             return None
         return job
 
-    def weigh(self, now: float, work: float, units: float) -> None:
-        """A cold box that is sent more than a multiple of what it can do, kept up for the window, falls over."""
+    def check_overload(self, now: float, work: float, units: float) -> None:
+        """Crash if the node is cold and has got too much work within the window.
+
+        The limit is a multiple of the work that the node can do within the window.
+        Windows of at most `cold_units` units never cause a crash.
+        """
         if self.warmth(now) >= 1 or not self.window:
             return
-        self.pushed.append((now, work, units))
-        while self.pushed[0][0] < now - self.window:
-            self.pushed.popleft()
-        bears = (
-            self.multiple * self.capacity(now) * self.window
-            + FALL_SLACK * self.kind.cores
+        self.recent_load.append((now, work, units))
+        while self.recent_load[0][0] < now - self.window:
+            self.recent_load.popleft()
+        limit = (
+            self.cold_multiple * self.capacity(now) * self.window
+            + CRASH_SLACK_S * self.kind.cores
         )
         if (
-            sum(each[2] for each in self.pushed) > self.borne
-            and sum(each[1] for each in self.pushed) > bears
+            sum(each[2] for each in self.recent_load) > self.cold_units
+            and sum(each[1] for each in self.recent_load) > limit
         ):
-            self.fallen = True
+            self.crashed = True
 
     def cancel(self, job: Job) -> None:
-        """Nobody waits: what that stops is the kind's."""
-        job.gone = True
+        """Cancel a job whose client no longer waits.
+
+        The node's kind decides whether that removes only queued jobs, all jobs or none.
+        """
+        job.cancelled = True
         if self.kind.cancel in ("queued", "all") and job in self.queue:
             self.queue.remove(job)
         elif self.kind.cancel == "all" and job in self.working:
             self.working.remove(job)
 
     def rate(self, now: float) -> float:
-        """Work a second for each job in a slot."""
+        """Return the work per second that each job in a slot gets."""
         if now < self.speed.still_until or not self.working:
             return 0.0
         return min(
@@ -155,7 +181,7 @@
         )
 
     def advance(self, now: float) -> list[Job]:
-        """Work until now; the jobs that ended, in order."""
+        """Work until `now`, and return the jobs that ended, in order."""
         ended: list[Job] = []
         while True:
             self.fill()
@@ -186,27 +212,36 @@
                 return ended
 
     def pause(self) -> None:
-        """The box's own pauses, and the work put off, done in one go."""
+        """Start a pause or a flush that is due.
+
+        A flush does all deferred work of writes as one job.
+        """
         if self.at >= self.next_pause:
-            self.next_pause = self.at + self.drawn(self.kind.pause_every_s)
+            self.next_pause = self.at + self.random_delay(self.kind.pause_every_s)
             self.speed.still_until = max(
                 self.speed.still_until, self.at + self.kind.pause_ms / 1000
             )
         if self.at >= self.next_flush:
             self.next_flush = self.at + self.kind.flush_s
-            if self.put_off:
-                self.working.append(Job(self.put_off, None, 1e18))
-                self.put_off = 0.0
+            if self.deferred_work:
+                self.working.append(Job(self.deferred_work, None, 1e18))
+                self.deferred_work = 0.0
 
     def fill(self) -> None:
-        """The head of the queue into free slots; what has expired is not begun where the kind says so."""
+        """Move jobs from the head of the queue into free slots.
+
+        Expired jobs are discarded if the node's kind has `drops_expired`.
+        """
         while self.queue and len(self.working) < self.kind.slots:
             job = self.queue.popleft()
             if not (self.kind.drops_expired and self.at >= job.expires):
                 self.working.append(job)
 
     def soonest(self, now: float) -> float:
-        """Seconds until something may end."""
+        """Return the seconds until a job may end or a pause ends.
+
+        The result is at most 0.25 s outside a pause, and 1 s where nothing runs.
+        """
         if now < self.speed.still_until:
             return self.speed.still_until - now
         rate = self.rate(now)
--- a/milletsill/lab/evidence.py
+++ b/milletsill/lab/evidence.py
@@ -199,11 +199,11 @@
     `client_lateness` is the greatest delay, in seconds, of the client processes' own
     timers; the times in the clients' records are uncertain by as much.
     `node_read_gaps` are the spans in which the process of the stand-in nodes read
-    nothing. `unowed_answers` describes answers that match no command.
+    nothing. `unmatched_answers` describes answers that match no command.
     """
 
     commands: list[RecordedCommand]
-    unowed_answers: list[str]
+    unmatched_answers: list[str]
     attempts: list[RecordedAttempt]
     notes: list[NodeNote]
     listed_states: dict[str, list[ListedState]]
--- a/milletsill/lab/evidence_reader.py
+++ b/milletsill/lab/evidence_reader.py
@@ -230,7 +230,7 @@
         read_gaps = [(since, until) for since, until in gaps]
     return Evidence(
         commands=clients.commands,
-        unowed_answers=clients.unowed_answers,
+        unmatched_answers=clients.unmatched_answers,
         attempts=attempts,
         notes=notes,
         listed_states=read_listed_states(f"{folder}/registry.rec"),
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -15,7 +15,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from milletsill.lab.clients import EdgeDoor, Operation
+from milletsill.lab.clients import GatewayConnections, Operation
 from milletsill.lab.lateness import LatenessMonitor
 from milletsill.lab.record import PacketRecorder
 from milletsill.sftp_gateway.deployment import routing_table_of
@@ -75,7 +75,7 @@
         self.lateness = LatenessMonitor()
         self.new_files: list[tuple[Any, str, int]] = []
         self.edges = [
-            EdgeDoor(self, name, address, scenario.clients.connections)
+            GatewayConnections(self, name, address, scenario.clients.connections)
             for name, address in edges
         ]
         self.number_of = {
@@ -86,7 +86,7 @@
             routing_table_of(scenario.gateway),
         )
         self.place()
-        self.runs: dict[int, tuple[int, str, int, Any, EdgeDoor]] = {}
+        self.runs: dict[int, tuple[int, str, int, Any, GatewayConnections]] = {}
         self.tick_at = self.due_at = start
 
     def place(self) -> None:
@@ -332,7 +332,7 @@
             range(len(self.volumes)), cum_weights=self.shares[row.plan][1]
         )[0]
 
-    def edge_of(self, volume: int) -> EdgeDoor:
+    def edge_of(self, volume: int) -> GatewayConnections:
         """One of its edges, its leading one more often."""
         way, lead = self.ways[volume], self.leads[volume]
         skew = self.scenario.clients.skew
--- a/milletsill/lab/node_stand_in.py
+++ b/milletsill/lab/node_stand_in.py
@@ -209,7 +209,7 @@
             now + request.left / 1000,
             PendingAttempt(source, packet_id, request),
         )
-        if self.engine.fallen:
+        if self.engine.crashed:
             self.fall()
         elif job is None:
             source.answer(packet_id, NodeReply(NodeReplyStatus.FULL))
@@ -268,7 +268,7 @@
             if self.silent:
                 continue
             reply = self.result_of(pending.request)
-            if reply is not None and not job.gone:
+            if reply is not None and not job.cancelled:
                 pending.source.answer(pending.packet_id, reply)
             elif reply is None:
                 error = NodeReply(NodeReplyStatus.ERROR, "a fault of the box")
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -320,10 +320,10 @@
     def test_a_cold_box_is_slow_and_falls_when_pushed(self):
         engine = self.engine(cold=True, cold_from=0.2)
         self.assertAlmostEqual(engine.warmth(5.0), 0.6)
-        engine.borne, engine.window = 1, 1.0
+        engine.cold_units, engine.window = 1, 1.0
         for each in range(3):
             self.take(engine, 0.1, extent=each)
-        self.assertTrue(engine.fallen)
+        self.assertTrue(engine.crashed)
 
     def test_put_off_work_is_done_in_one_go(self):
         engine = self.engine(defer=0.5, flush_s=1)
