--- a/tests/fleet/health/test_health.py
+++ b/tests/fleet/health/test_health.py
@@ -106,7 +106,7 @@
         simulation.run(SECOND)
         scheduler = simulation.gateways[0].scheduler
         node = scheduler.state.nodes[1]
-        node.last_heard_at = node.failed_at = -9 * SECOND
+        node.last_response_at = node.failed_at = -9 * SECOND
         scheduler.on_health_advice(simulation.now, 1, 4.0, True, simulation.now + 3000)
         self.assertEqual(node.backoff_until, simulation.now + 3000)
         request = SimpleNamespace(shard=None, key=0, node=None, attempts=[], units=1)
@@ -116,10 +116,10 @@
             advised - placement_cost(request, node, simulation.now + 3000)[3], 4.0
         )
         node.backoff_until, node.failures = 0, 2
-        node.last_heard_at = simulation.now
+        node.last_response_at = simulation.now
         scheduler.on_health_advice(simulation.now, 1, 4.0, True, simulation.now + 3000)
         self.assertEqual((node.backoff_until, node.failures), (0, 2))
-        node.last_heard_at, node.backoff_until = -9 * SECOND, simulation.now + SECOND
+        node.last_response_at, node.backoff_until = -9 * SECOND, simulation.now + SECOND
         scheduler.on_health_advice(
             simulation.now, 1, 0.0, False, simulation.now + 3000
         )  # this gateway is chosen to probe the node
