--- a/milletsill/lab/day.py
+++ b/milletsill/lab/day.py
@@ -39,13 +39,11 @@
 
 def scenario_of(
     day: Any,
-    edges: int | None = None,
-    boxes: int | None = None,
-    seconds: float | None = None,
+    max_gateways: int | None = None,
+    max_nodes: int | None = None,
+    max_seconds: float | None = None,
 ) -> Scenario:
-    """Return the scenario of a day file's JSON value, reduced to the given sizes.
-
-    `edges` and `boxes` are the largest numbers of gateways and nodes.
+    """Return the scenario of a day file's JSON value, reduced to the given limits.
 
     Raises:
         InvalidDayFileError: The value is not a day of the family `stores`.
@@ -59,9 +57,9 @@
             name=f"{day['site']}-{day['kind']}", seed=int(day["noise"]) % 1_000_000
         )
         servers, balancers = day["servers"], day["balancers"]
-        count = min(boxes or len(servers), len(servers))
-        scenario.edges = min(edges or len(balancers), len(balancers))
-        scenario.seconds = min(seconds or 1e9, day["length"] / MICRO)
+        count = min(max_nodes or len(servers), len(servers))
+        scenario.edges = min(max_gateways or len(balancers), len(balancers))
+        scenario.seconds = min(max_seconds or 1e9, day["length"] / MICRO)
         fill_rules(scenario.gateway, day)
         fill_request_classes(scenario.gateway, day)
         fill_volumes(scenario, day, count)
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -461,7 +461,7 @@
     def finish(self) -> None:
         """Write what came of it and end."""
         for edge in self.edges:
-            edge.over = True
+            edge.ended = True
         quantiles = {
             name: {
                 str(q): each.get_value_at_percentile(q) / 1000
