--- a/milletsill/lab/hunt/__init__.py
+++ b/milletsill/lab/hunt/__init__.py
@@ -1,5 +1,5 @@
-"""Search for faults on a simulated clock.
+"""Seeded fault searches on a simulated clock.
 
-Faults are drawn by a seed, checks are always on, and a run that fails is made small
-enough to read.
+Each seed determines the injected faults. Invariants are checked throughout a run, and
+the events of a failing run are shrunk to a small reproduction.
 """
--- a/milletsill/lab/hunt/command.py
+++ b/milletsill/lab/hunt/command.py
@@ -1,4 +1,4 @@
-"""The command line of searches: `python -m milletsill.lab hunt`."""
+"""Command line of the fault searches: `python -m milletsill.lab hunt`."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 SEEDS_PER_LINE = 50
 ALL_GUARDS = "all"
 DESCRIPTION = (
-    "`python -m milletsill.lab hunt list|fleet`: seeds are played, failures come out "
-    "small; exit status 1 where there was one.\n"
+    "`python -m milletsill.lab hunt list|fleet` runs seeds and shrinks each failing "
+    "run;\n"
+    "the exit status is 1 if a seed failed.\n"
     "\n"
-    "`again`: a whole fleet killed and started at once, with figures. `scale`: what a "
-    "gateway\n"
-    "of a large fleet costs. With `--without` one guard is out (`all`: each in turn),\n"
-    "and status 1 means that a guard's loss was not found.\n"
+    "`again` kills and restarts a whole fleet at once and measures its recovery. "
+    "`scale`\n"
+    "measures the cost per gateway of a large fleet. `--without` disables one guard\n"
+    "(`all`: each in turn); the exit status is then 1 if no seed failed without it.\n"
 )
 
 
 @dataclass(frozen=True, slots=True)
 class SearchSubject:
-    """What is searched, and the guards that can be taken out of it."""
+    """The simulation to search, and its guards that can be disabled."""
 
     simulation: FaultSimulation
     guard_removals: Mapping[str, GuardRemoval]
@@ -34,7 +35,7 @@
 def load_subject(
     what: str, sizes: Sequence[int], with_clock_jumps: bool
 ) -> SearchSubject:
-    """Load the code that is searched, and no other."""
+    """Import only the modules of the chosen simulation."""
     if what == "list":
         from milletsill.lab.hunt import endpoint_list_guards
         from milletsill.lab.hunt.endpoint_list_faults import EndpointListFaults
@@ -51,7 +52,7 @@
 def search_and_report(
     simulation: FaultSimulation, seeds: Sequence[int], max_failures: int
 ) -> int:
-    """Play seeds and print what fails; return 1 where something did, else 0."""
+    """Run seeds and print the failures; return 1 if a seed failed, else 0."""
     began = time.process_time()
     played_count = 0
     failure_count = 0
@@ -78,26 +79,26 @@
 def search_without_guards(
     subject: SearchSubject, seeds: Sequence[int], guard_name: str
 ) -> int:
-    """Search without each guard that is named; return 1 where one was not missed."""
-    missed_all = True
+    """Search with each named guard disabled; return 1 if a search found no failure."""
+    found_all = True
     for name, remove_guard in subject.guard_removals.items():
         if guard_name != ALL_GUARDS and guard_name not in name:
             continue
         with remove_guard():
             played, failing = search_seeds(subject.simulation, seeds, 1)
-        result = f"NOT FOUND within {played}"
+        result = f"NOT FOUND within {played} seeds"
         if failing:
-            result = f"found by seed {played} of them"
+            result = f"found after {played} of {len(seeds)} seeds"
         else:
-            missed_all = False
+            found_all = False
         print(f"without {name}: {result}", flush=True)
         for failure in failing:
             print(failure.describe(), flush=True)
-    return int(not missed_all)
+    return int(not found_all)
 
 
 def parse_arguments(arguments: Sequence[str]) -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m milletsill.lab hunt",
         description=DESCRIPTION,
@@ -106,15 +107,19 @@
     parser.add_argument("what", choices=("list", "fleet", "again", "scale"))
     parser.add_argument("--first", type=int, default=0, help="the first seed")
     parser.add_argument("--seeds", type=int, default=100)
-    parser.add_argument("--most", type=int, default=1, help="failures to look for")
     parser.add_argument(
-        "--gateways", default="5,6,7", help="sizes of the fleet, by seed in turn"
+        "--most", type=int, default=1, help="stop after this many failures"
     )
     parser.add_argument(
-        "--jumps", action="store_true", help="clocks also jump past what drift allows"
+        "--gateways", default="5,6,7", help="fleet sizes; seeds use them in turn"
     )
     parser.add_argument(
-        "--without", default="", help="a guard, by a part of its name, or `all`"
+        "--jumps", action="store_true", help="also jump clocks beyond the allowed drift"
+    )
+    parser.add_argument(
+        "--without",
+        default="",
+        help="part of the name of the guard to disable, or `all`",
     )
     return parser.parse_args(arguments)
 
--- a/milletsill/lab/hunt/endpoint_list_faults.py
+++ b/milletsill/lab/hunt/endpoint_list_faults.py
@@ -1,4 +1,4 @@
-"""Histories of the list of nodes: the faults that a seed draws, and their play."""
+"""Fault search for the endpoint list: draws the faults of a seed and runs them."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 from milletsill.registry.registered_node import RegisteredNode
 
 FAULTS_END = 45.0  # seconds
-CALM = 90.0  # seconds after the last fault until the list is looked at
-FOLLOW_CHANCE = 0.4  # of an event to come right after the one before
+FAULT_FREE_PERIOD = 90.0  # seconds from the last fault to the final check
+FOLLOW_CHANCE = 0.4  # probability that an event closely follows the one before
 FOLLOW_WITHIN = 400  # ticks of 0.1 ms
 
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
-    """How often an event is drawn, and its values."""
+    """The relative frequency of a kind of event, and how its values are drawn."""
 
     weight: int
     draw: Callable[[Random], tuple[Any, ...]] = lambda random: ()
 
 
 def _draw_put(random: Random) -> tuple[int, bool, int]:
-    place = random.randrange(KEY_COUNT)
+    key_index = random.randrange(KEY_COUNT)
     is_draining = random.random() < 0.3
-    return place, is_draining, place + KEY_COUNT * (random.random() < 0.1)
+    return key_index, is_draining, key_index + KEY_COUNT * (random.random() < 0.1)
 
 
 FAULT_KINDS = {
@@ -68,13 +68,13 @@
 
 
 class EndpointListFaults:
-    """Draws and plays histories of one gateway's list; a `FaultSimulation`."""
+    """Draws and runs faults of one gateway's endpoint list; a `FaultSimulation`."""
 
     def __init__(self) -> None:
         self.last: EndpointListSimulation | None = None
 
     def draw_events(self, seed: int) -> list[FaultEvent]:
-        """Return the events of a seed, in order of time."""
+        """Return the events of a seed, ordered by time."""
         random = Random(seed)
         kinds = list(FAULT_KINDS)
         weights = [kind.weight for kind in FAULT_KINDS.values()]
@@ -93,20 +93,20 @@
         return sorted(events, key=lambda event: event.at)
 
     def play(self, seed: int, events: Sequence[FaultEvent]) -> str | None:
-        """Return what broke first, or None where everything held."""
+        """Return the first failed check, or None if all checks passed."""
         with cache_in_memory():
             simulation = EndpointListSimulation(seed)
             self.last = simulation
             for event in events:
                 simulation.run_until(event.at / TICKS_PER_SECOND)
                 apply_fault(simulation, event.kind, event.values)
-            simulation.run_until(FAULTS_END + CALM)
+            simulation.run_until(FAULTS_END + FAULT_FREE_PERIOD)
             return simulation.find_failure()
 
 
 @contextmanager
 def cache_in_memory() -> Iterator[None]:
-    """Keep the cached list in memory, written at once and without a thread."""
+    """Store the cached list in memory, synchronously instead of in a thread."""
     cached: list[tuple[dict[str, RegisteredNode], int]] = [({}, 0)]
     module = SimpleNamespace(
         read_cache=lambda path: cached[-1],
--- a/milletsill/lab/hunt/endpoint_list_guards.py
+++ b/milletsill/lab/hunt/endpoint_list_guards.py
@@ -1,4 +1,4 @@
-"""Guards of the list of nodes, each of which a search must find missing."""
+"""Guards of the endpoint list; a search must fail when any one is disabled."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     WatcherState,
 )
 
-STAY = (WatcherState.WATCHING, WatcherEffect.NONE)
+KEEP_WATCHING = (WatcherState.WATCHING, WatcherEffect.NONE)
 
 
-class AnyNumber:
-    """Equal to any number."""
+class EqualToAnything:
+    """Compares equal to every value, so that a key count never differs."""
 
     def __eq__(self, other: object) -> bool:
         """Return True."""
@@ -31,7 +31,7 @@
 
 @contextmanager
 def without_restore_detection() -> Iterator[None]:
-    """Let a restored registry pass for the one that was."""
+    """Disable the detection of a registry that was restored from a backup."""
     with (
         mock.patch.object(registry_watcher, "was_restored", lambda *_: False),
         mock.patch.object(watch_state, "was_restored", lambda *_: False),
@@ -40,15 +40,15 @@
 
 
 GUARD_REMOVALS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
-    "what is compacted asks for the whole list": lambda: mock.patch.dict(
+    "a compacted revision requests the whole list": lambda: mock.patch.dict(
         WATCHER_TABLE,
         {
-            (WatcherState.WATCHING, WatcherEvent.COMPACTED): STAY,
-            (WatcherState.OPENING, WatcherEvent.COMPACTED): STAY,
+            (WatcherState.WATCHING, WatcherEvent.COMPACTED): KEEP_WATCHING,
+            (WatcherState.OPENING, WatcherEvent.COMPACTED): KEEP_WATCHING,
         },
     ),
     "a broken watch is told": lambda: mock.patch.dict(
-        WATCHER_TABLE, {(WatcherState.WATCHING, WatcherEvent.FAILED): STAY}
+        WATCHER_TABLE, {(WatcherState.WATCHING, WatcherEvent.FAILED): KEEP_WATCHING}
     ),
     "a silent watch is found": lambda: mock.patch.object(
         registry_watcher,
@@ -56,10 +56,10 @@
         lambda newest, cluster, seen, keys: False,
     ),
     "keys that went are counted": lambda: mock.patch.object(
-        EndpointView, "key_count", lambda self: AnyNumber()
+        EndpointView, "key_count", lambda self: EqualToAnything()
     ),
-    "a restored registry is found": without_restore_detection,
-    "a box whose key took another id goes": lambda: mock.patch.object(
+    "a restored registry is detected": without_restore_detection,
+    "a node whose key takes another id is removed": lambda: mock.patch.object(
         EndpointView, "_gone", lambda self, old: {}
     ),
 }
--- a/milletsill/lab/hunt/endpoint_list_simulation.py
+++ b/milletsill/lab/hunt/endpoint_list_simulation.py
@@ -1,8 +1,8 @@
-"""The list of nodes at one gateway, before a registry that misbehaves.
+"""The endpoint list of one gateway, fed by a faulty simulated registry.
 
-The watcher is the product's own (`milletsill.registry`), on a simulated clock. At the
-end its view, and what the scheduler was notified of, must be the registry's list, and
-no change may have been notified twice or out of order.
+It runs the real registry watcher (`milletsill.registry`) on a simulated clock. At the
+end, the watcher's view and the endpoints notified to the scheduler must equal the
+registry's list, and no change may have been notified twice or out of order.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
     warm_after=0,
     cache_path="list",
 )
-MIN_RETRY = 0.3  # seconds until the scheduler asks again after a failure
-MAX_RETRY = 2.0
+MIN_RETRY = 0.3  # seconds from a failure to the next watch request
+MAX_RETRY = 2.0  # seconds
 
 
 class NotifiedEndpoints:
-    """What the scheduler was notified of; a change must be one.
+    """The endpoints notified to the scheduler; checks that each change is new.
 
     Attributes:
-        endpoints: those that are there, by node.
-        removed: the write that removed a node, since the last whole list.
+        endpoints: the present endpoints, by node.
+        removed: the write that removed each node, since the last whole list.
         failure: the first change that was notified twice or out of order.
     """
 
@@ -52,17 +52,17 @@
         self.failure: str | None = None
 
     def clear(self) -> None:
-        """Start again with nothing; a failure stays."""
+        """Remove all endpoints, but keep the first failure."""
         self.endpoints = {}
         self.removed = {}
 
     def replace(self, endpoints: Sequence[Endpoint]) -> None:
-        """Take a whole list."""
+        """Replace all endpoints by a whole list."""
         self.endpoints = {endpoint.node: endpoint for endpoint in endpoints}
         self.removed = {}
 
     def change(self, endpoint: Endpoint) -> None:
-        """Take one change."""
+        """Apply one change and check that it is newer than what is known."""
         known = self.endpoints.get(endpoint.node)
         is_gone = endpoint.readiness is Readiness.GONE
         newest = max(
@@ -74,8 +74,8 @@
             order = "twice" if endpoint.size == newest else "out of order"
             self.failure = (
                 self.failure
-                or f"write {endpoint.size:.0f} of box {endpoint.node}"
-                f"{' that went' * is_gone} is told {order}"
+                or f"write {endpoint.size:.0f} of node {endpoint.node}"
+                f"{' (removed)' * is_gone} was notified {order}"
             )
         if is_gone:
             self.removed[endpoint.node] = endpoint.size
@@ -85,7 +85,7 @@
 
 
 class EndpointListSimulation:
-    """A registry, and one watcher at a time with what its scheduler knows."""
+    """A registry, the gateway's watcher, and the endpoints notified by it."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -96,7 +96,7 @@
         self.watcher = self._start_watcher()
 
     def restart_gateway(self) -> None:
-        """Start the gateway again with the list that it cached."""
+        """Restart the gateway with its cached list."""
         self.watcher.stop()
         self.watcher = self._start_watcher()
 
@@ -129,7 +129,7 @@
     def _on_endpoints(
         self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]
     ) -> None:
-        """Do what a scheduler does with an update."""
+        """Handle an update as the scheduler does."""
         if kind is EndpointUpdateKind.FAILED:
             delay = self._uniform(MIN_RETRY, MAX_RETRY)
             self.clock.callLater(delay, self._request_watch, self.incarnation)
@@ -147,7 +147,7 @@
             self.watcher.request_watch()
 
     def run_until(self, end: float) -> None:
-        """Advance the clock to a time in seconds, call by call, each at its own."""
+        """Advance the clock to `end` seconds, stopping at the time of each due call."""
         while calls := self.clock.calls:
             first = min(call.getTime() for call in calls)
             if first > end:
@@ -156,15 +156,15 @@
         self.clock.advance(max(end - self.clock.seconds(), 0))
 
     def find_failure(self) -> str | None:
-        """Return what broke, after all has been calm; None where everything held."""
+        """Return the failed check after the fault-free period, or None."""
         if self.notified.failure:
             return self.notified.failure
         registered = self.registry.nodes()
         seen = self.watcher.view.by_key
         if seen != registered:
             return (
-                f"the view has {sizes_by_key(seen)}, "
-                f"the registry {sizes_by_key(registered)}"
+                f"the watcher's view is {sizes_by_key(seen)}, "
+                f"the registry has {sizes_by_key(registered)}"
             )
         notified = {
             endpoint.node: endpoint.size
@@ -172,12 +172,12 @@
         }
         truth = {node.id: node.size for node in registered.values() if node}
         if notified != truth:
-            return f"the module was told {notified}, the registry has {truth}"
+            return f"the scheduler was notified of {notified}, the registry has {truth}"
         return None
 
 
 def sizes_by_key(nodes: Mapping[str, RegisteredNode | None]) -> dict[str, int]:
-    """Return the number of the last write of each key."""
+    """Return the number of the last write of each key, stored as the node's size."""
     return {key: int(node.size) for key, node in sorted(nodes.items()) if node}
 
 
@@ -200,7 +200,7 @@
 def apply_fault(
     simulation: EndpointListSimulation, kind: str, values: tuple[object, ...]
 ) -> None:
-    """Let one event happen now."""
+    """Apply one event now."""
     if kind == GATEWAY_RESTART:
         simulation.restart_gateway()
     else:
--- a/milletsill/lab/hunt/fault_search.py
+++ b/milletsill/lab/hunt/fault_search.py
@@ -1,9 +1,9 @@
-"""Searches seeds for a failing run and shrinks what it finds.
+"""Searches seeds for a failing run and shrinks its events.
 
-Nothing here knows what is simulated. Faults are drawn by a seed and played; an event
-holds everything that chance decided about it, so played without the events around it,
-it does the same. A run that fails is therefore shrunk by leaving events out (delta
-debugging), and what is left is the same run for everybody.
+This module is independent of what is simulated. A seed determines the fault events. An
+event contains all of its random values, so it acts the same when other events are
+left out. A failing run is therefore shrunk by removing events (delta debugging), and
+the remaining events reproduce the failure deterministically.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """One thing that happens to the simulated program.
+    """One event that is injected into the simulation.
 
     Attributes:
-        at: when, in ticks of a tenth of a millisecond since the start.
-        kind: what happens, as the simulation names it.
-        values: everything that chance decided about it.
+        at: time since the start, in ticks of 0.1 ms.
+        kind: the simulation's name for the event.
+        values: all randomly drawn values of the event.
     """
 
     at: int
@@ -31,30 +31,30 @@
     values: tuple[Any, ...] = ()
 
     def describe(self) -> str:
-        """Return the event as one line for a person."""
+        """Return the event as one line of text."""
         values = ", ".join(map(str, self.values))
         return f"{self.at / TICKS_PER_SECOND:8.3f} s  {self.kind}({values})"
 
 
 class FaultSimulation(Protocol):
-    """Something that is simulated under faults."""
+    """A simulation that can be run with injected faults."""
 
     def draw_events(self, seed: int) -> list[FaultEvent]:
-        """Return the events of a seed, in order of time; the same at each call."""
+        """Return the events of a seed, ordered by time; deterministic."""
 
     def play(self, seed: int, events: Sequence[FaultEvent]) -> str | None:
-        """Return what broke first, or None where everything held."""
+        """Return the first failed check, or None if all checks passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailingSeed:
-    """One failing run, made small.
+    """One failing run after shrinking.
 
     Attributes:
-        seed: of the simulation.
-        failure: what broke first in the small run.
-        drawn_count: how many events the seed drew.
-        events: those that are left.
+        seed: seed of the simulation.
+        failure: the first failed check of the shrunk run.
+        drawn_count: number of events drawn from the seed.
+        events: the events left after shrinking.
     """
 
     seed: int
@@ -63,7 +63,7 @@
     events: tuple[FaultEvent, ...]
 
     def describe(self) -> str:
-        """Return the failure and its events, one a line."""
+        """Return the failure and its events, one per line."""
         lines = [
             f"seed {self.seed}: {self.failure}",
             f"{len(self.events)} of the {self.drawn_count} events drawn:",
@@ -76,9 +76,9 @@
     still_fails: Callable[[Sequence[FaultEvent]], bool],
     max_plays: int = MAX_SHRINK_PLAYS,
 ) -> tuple[FaultEvent, ...]:
-    """Return the fewest events found that still fail, within so many plays.
+    """Return the smallest failing list of events found within `max_plays` runs.
 
-    Parts of the events are left out, ever smaller ones.
+    Removes chunks of the events, and makes the chunks smaller when none can be removed.
     """
     kept = list(events)
     part_count = 2
@@ -102,9 +102,9 @@
 
 
 def search_seed(simulation: FaultSimulation, seed: int) -> FailingSeed | None:
-    """Play one seed and shrink its failure; None where everything held.
+    """Run one seed and shrink its failure; return None if all checks passed.
 
-    Any failure counts while the events are shrunk: the last one is reported.
+    Shrinking accepts any failure, and reports that of the shrunk run.
     """
     events = simulation.draw_events(seed)
     failure = simulation.play(seed, events)
@@ -117,7 +117,7 @@
 def search_seeds(
     simulation: FaultSimulation, seeds: Sequence[int], max_failures: int = 1
 ) -> tuple[int, list[FailingSeed]]:
-    """Return how many seeds were played and which failed; ends at `max_failures`."""
+    """Run seeds up to `max_failures` failures; return the run count and failures."""
     failing: list[FailingSeed] = []
     for played, seed in enumerate(seeds, 1):
         found = search_seed(simulation, seed)
--- a/milletsill/lab/hunt/fleet_cost.py
+++ b/milletsill/lab/hunt/fleet_cost.py
@@ -1,11 +1,11 @@
-"""What a gateway of a large fleet costs, on the simulated clock.
+"""Measures the cost per gateway of a large fleet on the simulated clock.
 
     python -m milletsill.lab hunt scale --gateways 50,200,1000
 
-Processor time is of this process, for all gateways together, divided by them and by
-the seconds that passed on the clock: what it costs to simulate one, and about what its
-state machines cost a real one, without sockets. An evaluation of all reports is timed
-by itself.
+The CPU time is that of this process for all gateways, divided by the number of gateways
+and by the simulated seconds. It is the cost of simulating one gateway, and roughly the
+cost of the state machines in a real gateway, without sockets. The evaluation of all
+health reports is timed separately.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     ViewHandler,
 )
 from milletsill.lab.hunt.fleet_gateway import (
-    MAX_CALLED_SHARE,
+    MAX_FLAGGED_SHARE,
     MAX_GATEWAYS,
     PUBLISH_INTERVAL,
     REPORT_LIFETIME,
@@ -60,13 +60,13 @@
 
 
 def resident_mebibytes() -> float:
-    """Return the memory of this process now."""
+    """Return the resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as source:
         return int(source.read().split()[1]) * resource.getpagesize() / MEBIBYTE
 
 
 def measure_members(gateways: int, seed: int = 1) -> str:
-    """Return what membership costs a gateway, with leases at twenty of them."""
+    """Measure membership per gateway; `CHANNEL_USERS` gateways use leases."""
     gc.collect()
     memory_before = resident_mebibytes()
     shape = FleetShape(
@@ -88,16 +88,16 @@
         frames = (simulation.message_count - frames_before) / gateway_seconds
         right = simulation.share_of_true_views()
         memory = (resident_mebibytes() - memory_before) / gateways
-        broke = f"; BROKE: {simulation.failure}" if simulation.failure else ""
+        failed = f"; FAILED: {simulation.failure}" if simulation.failure else ""
         return (
-            f"{gateways} gateways: {cpu:.2f} ms of CPU a gateway and second, "
-            f"{frames:.1f} frames a second out of each, "
-            f"{memory:.2f} MiB a gateway, views right {right:.3f}{broke}"
+            f"{gateways} gateways: {cpu:.2f} ms of CPU per gateway and second, "
+            f"{frames:.1f} frames sent per gateway and second, "
+            f"{memory:.2f} MiB per gateway, share of correct views {right:.3f}{failed}"
         )
 
 
 class CountingTransport:
-    """In the place of the fleet's transport: it counts the octets that are sent."""
+    """A `FleetTransport` that only counts the octets sent."""
 
     def __init__(self, names: Sequence[str]) -> None:
         self.name = names[0]
@@ -108,26 +108,26 @@
         self.sent_octets = 0
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
-        """Count a message."""
+        """Count the octets of a message."""
         self.sent_octets += len(body)
         return True
 
     def subscribe(self, kind: MessageKind, handler: MessageHandler) -> None:
-        """Take a handler, which is not called."""
+        """Ignore the handler; it is never called."""
 
     def watch_view(self, handler: ViewHandler) -> None:
-        """Take a handler, which is not called."""
+        """Ignore the handler; it is never called."""
 
 
 class ManualClock:
-    """A time that is set by hand; nothing is called later."""
+    """A clock that is set explicitly and runs no timers."""
 
     def __init__(self, now: int) -> None:
         self.now = now
 
 
 def encode_report(name: str, random: Random, now: int) -> bytes:
-    """Return a gateway's report on all nodes, as one frame."""
+    """Return a gateway's report on all nodes, encoded as one frame."""
     store = ReportStore(origin_of(name), 1, 2, MAX_NODES)
     store.own.sequence = 1
     store.own.complete_up_to = 1
@@ -147,9 +147,9 @@
 
 
 def measure_health(gateways: int, seed: int = 1) -> str:
-    """Return what shared health costs one gateway.
+    """Measure shared health at one gateway.
 
-    It hears each report once, passes it on, and evaluates all of them.
+    The gateway receives each report once, forwards it, and evaluates all reports.
     """
     random = Random(seed)
     names = [f"gateway-{number}" for number in range(gateways)]
@@ -159,7 +159,7 @@
         HealthConfig(
             PUBLISH_INTERVAL,
             REPORT_LIFETIME,
-            MAX_CALLED_SHARE,
+            MAX_FLAGGED_SHARE,
             MAX_GATEWAYS,
             MAX_NODES,
             (),
@@ -191,14 +191,15 @@
         health.evaluate()
     evaluation_cpu = (time.process_time() - began) / EVALUATIONS * 1000
     return (
-        f"{gateways} gateways, rows of {NODE_COUNT} boxes: "
-        f"{exchange_cpu:.0f} ms of CPU to hear each row once and tell it on, "
-        f"{transport.sent_octets / 1024:.0f} KiB told, {evaluation_cpu:.1f} ms a look"
+        f"{gateways} gateways, reports on {NODE_COUNT} nodes: "
+        f"{exchange_cpu:.0f} ms of CPU to receive and forward each report once, "
+        f"{transport.sent_octets / 1024:.0f} KiB sent, "
+        f"{evaluation_cpu:.1f} ms per evaluation"
     )
 
 
 def report_costs(sizes: Sequence[int]) -> int:
-    """Print what a gateway costs in fleets of these sizes; return 0."""
+    """Print the cost per gateway for each fleet size; return 0."""
     for size in sizes:
         print(measure_members(size), flush=True)
         print(measure_health(size), flush=True)
--- a/milletsill/lab/hunt/fleet_fault_search.py
+++ b/milletsill/lab/hunt/fleet_fault_search.py
@@ -1,4 +1,4 @@
-"""Histories of a whole fleet: which faults a seed draws, and how they are played."""
+"""Fault search for a whole fleet: draws the faults of a seed and runs them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from milletsill.lab.hunt.fleet_faults import FleetFaults
 from milletsill.lab.hunt.fleet_gateway import FleetShape
 from milletsill.lab.hunt.fleet_simulation import (
-    CALM,
+    FAULT_FREE_PERIOD,
     FAULTS_END,
     FleetSimulation,
     run_until_failure,
@@ -29,20 +29,21 @@
 MIN_SPAN = SECOND // 2
 USUAL_SPAN = 12 * SECOND
 LONG_SPAN = 20 * SECOND
-MAX_SHORT_STALL = 12_000  # a shorter stall makes nobody gone
+MAX_SHORT_STALL = 12_000  # shorter stalls must not cause a GONE state
 MAX_STALL = 60_000
-GENTLE_CHANCE = 0.25  # of a history with mild faults alone
-FOLLOW_CHANCE = 0.4  # of an event to come right after the one before
+MILD_ONLY_CHANCE = 0.25  # probability that a run has mild faults only
+FOLLOW_CHANCE = 0.4  # probability that an event closely follows the one before
 FOLLOW_WITHIN = 5000
-MAX_LABELS = 16  # of a partition; they are given to the gateways in turn
+MAX_LABELS = 16  # labels of a partition, assigned to the gateways in turn
 HEALTH_FAULTS = ("make_ill", "lie", "trouble")
 CUT_PAIR_FAULTS = ["doubles", "slow", "full", "cut_off"]
-MAX_HARMLESS_CUTS = 2  # pairs that others can probe around
+MAX_HARMLESS_CUTS = 2  # cut pairs that indirect probes can bypass
 
-# Drawn, and kept in the order of draws, but never played.
+# These are drawn, so that the random draws of recorded seeds stay the same, but are
+# never run.
 UNPLAYED_FAULTS = frozenset(("all_down",))
 
-# Nobody may be called gone for these alone.
+# These faults alone must not cause any member to be declared gone.
 MILD_FAULTS = frozenset(
     (
         "stall_",
@@ -59,20 +60,20 @@
 
 
 class FaultDraw:
-    """Draws the values of events of one history."""
+    """Draws the values of the events of one run."""
 
     def __init__(self, random: Random, size: int) -> None:
         self.random = random
         self.size = size
-        self.is_gentle = random.random() < GENTLE_CHANCE
+        self.is_mild_only = random.random() < MILD_ONLY_CHANCE
 
     def kinds(self) -> dict[str, Callable[[], tuple[Any, ...]]]:
-        """Return what draws the values of each kind, in a fixed order."""
+        """Return the function that draws each kind's values, in a fixed order."""
         return {
             "down": self._kill,
-            "away": lambda: (self._place(), self._span()),
+            "away": lambda: (self._gateway_index(), self._span()),
             "stall_": self._stall,
-            "stutter": lambda: (self._place(), self._span(), self._seed()),
+            "stutter": lambda: (self._gateway_index(), self._span(), self._seed()),
             "stutter_most": lambda: (self._span(LONG_SPAN), self._seed()),
             "cut_off": self._cut_off,
             "split": lambda: (self._partition_labels(), self._span(LONG_SPAN)),
@@ -80,27 +81,27 @@
             "doubles": lambda: (self._share(0.05, 0.5), self._span()),
             "slow": self._slow_disk,
             "full": lambda: (self._acceptor(), self._span()),
-            "make_ill": self._node_illness,
-            "lie": lambda: (self._place(), self._seed(), self._span()),
-            "trouble": lambda: (self._place(), self._span()),
+            "make_ill": self._impairment,
+            "lie": lambda: (self._gateway_index(), self._seed(), self._span()),
+            "trouble": lambda: (self._gateway_index(), self._span()),
             "all_down": lambda: (self.random.randrange(2000, 5 * SECOND),),
         }
 
     def clock_jump(self) -> tuple[int, int]:
-        """Draw a gateway and by how much its clock jumps."""
-        place = self._place()
+        """Draw a gateway and the size of its clock jump in ticks."""
+        index = self._gateway_index()
         direction = self.random.choice((-1, 1))
-        return place, direction * self.random.randrange(SECOND, 10 * SECOND)
+        return index, direction * self.random.randrange(SECOND, 10 * SECOND)
 
     def long_partition(self) -> FaultEvent:
-        """Draw a partition into three that lasts as long as there are faults."""
+        """Draw a partition into three parts that lasts until the faults end."""
         at = self.random.randrange(SECOND, 5 * SECOND)
         labels = tuple(
             self.random.randrange(3) for _ in range(min(self.size, MAX_LABELS))
         )
         return FaultEvent(at, "split", (labels, LONG_SPAN))
 
-    def _place(self) -> int:
+    def _gateway_index(self) -> int:
         return self.random.randrange(self.size)
 
     def _acceptor(self) -> int:
@@ -117,16 +118,16 @@
 
     def _kill(self) -> tuple[int, int, str]:
         state = ("kept", "kept", "older", "lost")
-        return self._place(), self._span(), self.random.choice(state)
+        return self._gateway_index(), self._span(), self.random.choice(state)
 
     def _stall(self) -> tuple[int, int]:
-        longest = MAX_SHORT_STALL if self.is_gentle else MAX_STALL
-        return self._place(), self.random.randrange(5000, longest)
+        longest = MAX_SHORT_STALL if self.is_mild_only else MAX_STALL
+        return self._gateway_index(), self.random.randrange(5000, longest)
 
     def _cut_off(self) -> tuple[int, int, bool, int]:
         return (
-            self._place(),
-            self._place(),
+            self._gateway_index(),
+            self._gateway_index(),
             self.random.random() < 0.5,
             self._span(),
         )
@@ -140,7 +141,7 @@
     def _slow_disk(self) -> tuple[int, int, int]:
         return self._acceptor(), self.random.randrange(500, 20_000), self._span()
 
-    def _node_illness(self) -> tuple[int, float, float, int]:
+    def _impairment(self) -> tuple[int, float, float, int]:
         return (
             self.random.randrange(NODE_COUNT),
             self.random.choice((0.0, 0.33, 1.0)),
@@ -150,14 +151,14 @@
 
 
 class FleetFaultSearch:
-    """Draws and plays histories of a fleet; a `FaultSimulation`.
+    """Draws and runs faults of a fleet; a `FaultSimulation`.
 
     Args:
-        sizes: Of the fleet, by seed in turn.
-        with_clock_jumps: Clocks also jump by more than drift allows.
+        sizes: Fleet sizes, which the seeds use in turn.
+        with_clock_jumps: Whether clocks also jump by more than the allowed drift.
 
     Attributes:
-        last: The fleet that was played last.
+        last: The fleet of the last run.
     """
 
     def __init__(
@@ -168,11 +169,11 @@
         self.last: FleetSimulation | None = None
 
     def size_of(self, seed: int) -> int:
-        """Return how many gateways a seed's fleet has."""
+        """Return the number of gateways in a seed's fleet."""
         return self.sizes[seed % len(self.sizes)]
 
     def draw_events(self, seed: int) -> list[FaultEvent]:
-        """Return the events of a seed, in order of time."""
+        """Return the events of a seed, ordered by time."""
         random = Random(seed)
         draw = FaultDraw(random, self.size_of(seed))
         kinds = draw.kinds()
@@ -181,8 +182,8 @@
         if not has_health(seed):
             for kind in HEALTH_FAULTS:
                 del kinds[kind]
-        names = [kind for kind in kinds if not draw.is_gentle or kind in MILD_FAULTS]
-        # Few kinds at a time go deeper.
+        names = [kind for kind in kinds if not draw.is_mild_only or kind in MILD_FAULTS]
+        # Fewer kinds per run explore the interactions between them more deeply.
         fewest = min(2, len(names))
         names = random.sample(names, random.randrange(fewest, len(names) + 1))
         cuts_left = MAX_EVENTS
@@ -205,7 +206,7 @@
         return sorted(events, key=lambda event: event.at)
 
     def play(self, seed: int, events: Sequence[FaultEvent]) -> str | None:
-        """Return what broke first, or None where everything held."""
+        """Return the first failed check, or None if all checks passed."""
         shape = FleetShape(
             gateways=self.size_of(seed),
             acceptors=ACCEPTORS,
@@ -221,25 +222,25 @@
                 if event.kind in UNPLAYED_FAULTS:
                     continue
                 faults.schedule(event.at, event.kind, event.values)
-            if not run_until_failure(simulation, FAULTS_END + CALM):
-                simulation.check_calm()
+            if not run_until_failure(simulation, FAULTS_END + FAULT_FREE_PERIOD):
+                simulation.check_convergence()
                 simulation.is_quiet = True
-                end = FAULTS_END + CALM + REPORTS_SETTLE
+                end = FAULTS_END + FAULT_FREE_PERIOD + REPORTS_SETTLE
                 if not run_until_failure(simulation, end):
                     simulation.check_reports()
             return simulation.failure
 
 
 def has_health(seed: int) -> bool:
-    """Return whether a seed's fleet has shared health, which costs most of the time."""
+    """Return whether a seed's fleet has shared health, the slowest part to run."""
     return seed % 4 == 0
 
 
 def are_mild(events: Sequence[FaultEvent]) -> bool:
-    """Return whether nobody may be called gone for these events.
+    """Return whether these events must not cause any member to be declared gone.
 
-    They are short stalls and the like, or two cuts between pairs, which others probe
-    around.
+    This holds for short stalls and other mild faults, and for up to two cut pairs,
+    which indirect probes bypass.
     """
     cuts = sum(event.kind == "cut_off" for event in events)
     has_stalls = any(event.kind.startswith("st") for event in events)
--- a/milletsill/lab/hunt/fleet_faults.py
+++ b/milletsill/lab/hunt/fleet_faults.py
@@ -1,6 +1,6 @@
-"""Faults of a simulated fleet, each as a search draws it.
+"""The faults that a fault search injects into a simulated fleet.
 
-Spans are ticks of 0.1 ms; a `place` is a gateway's number in the fleet.
+Spans are in ticks of 0.1 ms; an `index` is a gateway's number in the fleet.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from milletsill.lab.hunt.fleet_simulation import (
     FAULTS_END,
     FleetSimulation,
-    NodeIllness,
+    NodeImpairment,
 )
 from milletsill.lab.hunt.simulated_disk import USUAL_LATENCY
 from milletsill.lab.simulated_clock import SECOND
@@ -22,19 +22,19 @@
 STATE_KEPT = "kept"
 STATE_OLDER = "older"
 STATE_LOST = "lost"
-STUTTERING_SHARE = 0.87  # of the fleet, where most of it stutters
-MIN_STUTTER = 6600
-MAX_STUTTER = 12_000
-MIN_STUTTER_INTERVAL = 2 * SECOND
-MAX_STUTTER_INTERVAL = 4 * SECOND
+STALLING_SHARE = 0.87  # share of the fleet that "stutter_most" stalls
+MIN_REPEATED_STALL = 6600
+MAX_REPEATED_STALL = 12_000
+MIN_STALL_INTERVAL = 2 * SECOND
+MAX_STALL_INTERVAL = 4 * SECOND
 
 
 class FleetFaults:
-    """Makes faults in a simulated fleet, and ends each when its span is over.
+    """Injects faults into a simulated fleet, and ends each after its span.
 
     Args:
         simulation: The fleet.
-        ends_at: When every fault is over at the latest; None for no such time.
+        ends_at: Latest time at which every fault ends; None for no limit.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.ends_at = ends_at
 
     def schedule(self, at: int, kind: str, values: tuple[Any, ...]) -> None:
-        """Let a fault of a named kind begin at a time."""
+        """Schedule the start of a fault of a named kind."""
         self.simulation.call_at(at, FAULTS[kind], self, *values)
 
     def _after(self, span: int, call: Callable[..., object], *values: Any) -> None:
@@ -53,33 +53,33 @@
             end = min(end, self.ends_at)
         self.simulation.call_at(end, call, *values)
 
-    def _name(self, place: int) -> str:
-        return self.simulation.names[place]
+    def _name(self, index: int) -> str:
+        return self.simulation.names[index]
 
     # Gateways.
 
-    def kill(self, place: int, back: int, state: str = STATE_KEPT) -> None:
-        """Kill a gateway (SIGKILL); it starts again with its state kept or not."""
-        gateway = self.simulation.gateways[self._name(place)]
+    def kill(self, index: int, down_for: int, state: str = STATE_KEPT) -> None:
+        """Kill a gateway (SIGKILL); it restarts with its state kept, older or lost."""
+        gateway = self.simulation.gateways[self._name(index)]
         if gateway.is_up:
             self.simulation.kill(gateway.name)
-            self._after(back, self._start_again, gateway, state)
+            self._after(down_for, self._restart, gateway, state)
 
-    def leave(self, place: int, back: int) -> None:
-        """Let a gateway leave (SIGTERM) and start again with its state."""
-        gateway = self.simulation.gateways[self._name(place)]
+    def leave(self, index: int, down_for: int) -> None:
+        """Let a gateway leave (SIGTERM) and restart with its state."""
+        gateway = self.simulation.gateways[self._name(index)]
         if gateway.is_up and self.simulation.now >= gateway.stalled_until:
             if self.simulation.shape.acceptors:
                 gateway.leases.stop()
             self.simulation.leave(gateway.name)
-            self._after(back, self._start_again, gateway, STATE_KEPT)
+            self._after(down_for, self._restart, gateway, STATE_KEPT)
 
-    def kill_all(self, back: int) -> None:
+    def kill_all(self, down_for: int) -> None:
         """Kill the whole fleet at once."""
-        for place in range(len(self.simulation.names)):
-            self.kill(place, back)
+        for index in range(len(self.simulation.names)):
+            self.kill(index, down_for)
 
-    def _start_again(self, former: FleetGateway, state: str) -> None:
+    def _restart(self, former: FleetGateway, state: str) -> None:
         incarnation = former.incarnation + 1
         if state != STATE_KEPT and self._lose_state(former, state):
             incarnation = 1
@@ -89,10 +89,11 @@
         self.simulation.start(former.name, incarnation, seeds)
 
     def _lose_state(self, former: FleetGateway, state: str) -> bool:
-        """Lose a gateway's state, if that is a fault that the fleet has to bear.
+        """Replace a gateway's state by an older or empty one, if that is tolerated.
 
-        An acceptor may lose its own only while all others serve, and only what they
-        have heard of.
+        Leases tolerate the loss of an acceptor's state only while all other acceptors
+        serve, and only of a state whose identity all of them know. Return whether the
+        state was replaced.
         """
         names = self.simulation.acceptor_names
         if former.name not in names:
@@ -121,34 +122,34 @@
         disk.backups.clear()
         return True
 
-    def stall(self, place: int, span: int) -> None:
-        """Let a gateway stand still."""
+    def stall(self, index: int, span: int) -> None:
+        """Stall a gateway, so that it runs no timers and handles no messages."""
         left = max(FAULTS_END - self.simulation.now, 0)
-        self.simulation.stall(self._name(place), min(span, left))
+        self.simulation.stall(self._name(index), min(span, left))
 
-    def stutter(self, place: int, span: int, seed: int) -> None:
-        """Let a gateway stand still for 660 to 1,200 ms every 2 to 4 s."""
+    def stall_repeatedly(self, index: int, span: int, seed: int) -> None:
+        """Stall a gateway for 660 to 1,200 ms every 2 to 4 s."""
         random = Random(seed)
         at = self.simulation.now
         while at < min(self.simulation.now + span, FAULTS_END):
-            stall = random.randrange(MIN_STUTTER, MAX_STUTTER)
-            self.simulation.call_at(at, self.simulation.stall, self._name(place), stall)
-            at += random.randrange(MIN_STUTTER_INTERVAL, MAX_STUTTER_INTERVAL)
+            stall = random.randrange(MIN_REPEATED_STALL, MAX_REPEATED_STALL)
+            self.simulation.call_at(at, self.simulation.stall, self._name(index), stall)
+            at += random.randrange(MIN_STALL_INTERVAL, MAX_STALL_INTERVAL)
 
-    def stutter_most(self, span: int, seed: int) -> None:
-        """Let most of the fleet stutter at once."""
+    def stall_most_repeatedly(self, span: int, seed: int) -> None:
+        """Stall most of the fleet repeatedly during the same span."""
         count = len(self.simulation.names)
-        stuttering = Random(seed).sample(range(count), round(STUTTERING_SHARE * count))
-        for place in stuttering:
-            self.stutter(place, span, seed + place)
+        stalling = Random(seed).sample(range(count), round(STALLING_SHARE * count))
+        for index in stalling:
+            self.stall_repeatedly(index, span, seed + index)
 
-    def jump_clock(self, place: int, span: int) -> None:
-        """Let a gateway's clock jump by more than drift allows.
+    def jump_clock(self, index: int, span: int) -> None:
+        """Make a gateway's clock jump by more than the allowed drift.
 
-        It goes on by so much at once; or, below 0, its host is suspended for so long
-        and the clock with it.
+        A positive span advances the clock at once. A negative span suspends the host
+        together with its clock for that long.
         """
-        name = self._name(place)
+        name = self._name(index)
         jumps = self.simulation.faults.clock_jumps
         jumps[name] = jumps.get(name, 0) + span
         if span < 0:
@@ -157,13 +158,13 @@
     # The network.
 
     def partition(self, parts: tuple[int, ...], span: int) -> None:
-        """Split the fleet by labels, given to the gateways in turn."""
+        """Partition the fleet by labels, assigned to the gateways in turn."""
         names = self.simulation.names
         groups = [
             [
                 name
-                for place, name in enumerate(names)
-                if parts[place % len(parts)] == label
+                for index, name in enumerate(names)
+                if parts[index % len(parts)] == label
             ]
             for label in set(parts)
         ]
@@ -171,7 +172,7 @@
             self._block(group, [name for name in names if name not in group], span)
 
     def cut_off(self, sender: int, receiver: int, both: bool, span: int) -> None:
-        """Cut what one gateway sends to another, and with `both` what returns."""
+        """Block one gateway's messages to another, and with `both` also the reverse."""
         self._block([self._name(sender)], [self._name(receiver)], span)
         if both:
             self._block([self._name(receiver)], [self._name(sender)], span)
@@ -184,7 +185,7 @@
         self._after(span, self.simulation.blocked.remove, path)
 
     def lose_packets(self, share: float, span: int) -> None:
-        """Lose a share of the packets."""
+        """Drop a share of the packets."""
         self.simulation.faults.losses.append(share)
         self._set_loss()
         self._after(span, self._stop_losing, share)
@@ -197,66 +198,64 @@
         self.simulation.loss = max(self.simulation.faults.losses, default=0.0)
 
     def duplicate_packets(self, share: float, span: int) -> None:
-        """Let a share of the datagrams come twice."""
+        """Duplicate a share of the datagrams."""
         duplications = self.simulation.faults.duplications
         duplications.append(share)
         self._after(span, duplications.remove, share)
 
     # Disks.
 
-    def slow_disk(self, place: int, latency: int, span: int) -> None:
-        """Let each job of a gateway's disk take so long."""
-        disk = self.simulation.disks[self._name(place)]
+    def slow_disk(self, index: int, latency: int, span: int) -> None:
+        """Set the latency of each job of a gateway's disk, in ticks."""
+        disk = self.simulation.disks[self._name(index)]
         disk.set_latency(latency)
         self._after(span, disk.set_latency, USUAL_LATENCY)
 
-    def fill_disk(self, place: int, span: int) -> None:
-        """Let a gateway's disk take no page more."""
-        disk = self.simulation.disks[self._name(place)]
+    def fill_disk(self, index: int, span: int) -> None:
+        """Make a gateway's disk full: its database gets no further page."""
+        disk = self.simulation.disks[self._name(index)]
         disk.set_full(True)
         self._after(span, disk.set_full, False)
 
-    # Storage nodes, and what gateways say of them.
+    # Storage nodes, and what gateways report about them.
 
-    def make_node_ill(
-        self, node: int, lost_share: float, pace: float, span: int
-    ) -> None:
-        """Let a node lose attempts, or be slow by `pace` (log2 of the usual)."""
-        ill_nodes = self.simulation.faults.ill_nodes
-        ill_nodes[node] = NodeIllness(lost_share, pace)
-        self._after(span, ill_nodes.pop, node, None)
+    def impair_node(self, node: int, lost_share: float, pace: float, span: int) -> None:
+        """Make a node fail a share of attempts, or slow by `pace` (a log2 ratio)."""
+        impaired_nodes = self.simulation.faults.impaired_nodes
+        impaired_nodes[node] = NodeImpairment(lost_share, pace)
+        self._after(span, impaired_nodes.pop, node, None)
 
-    def slander(self, place: int, seed: int, span: int) -> None:
-        """Let a gateway report a third of the nodes as failing."""
+    def report_falsely(self, index: int, seed: int, span: int) -> None:
+        """Make a gateway falsely report a third of the nodes as failing."""
         nodes = list(self.simulation.node_shards)
-        slandered = self.simulation.faults.slandered
-        lied_about = Random(seed).sample(nodes, max(len(nodes) // 3, 1))
-        slandered[self._name(place)] = lied_about
-        self._after(span, slandered.pop, self._name(place), None)
+        false_reports = self.simulation.faults.false_reports
+        reported_nodes = Random(seed).sample(nodes, max(len(nodes) // 3, 1))
+        false_reports[self._name(index)] = reported_nodes
+        self._after(span, false_reports.pop, self._name(index), None)
 
-    def trouble(self, place: int, span: int) -> None:
-        """Let a gateway see all nodes fail."""
-        troubled = self.simulation.faults.troubled
-        troubled.add(self._name(place))
-        self._after(span, troubled.discard, self._name(place))
+    def fail_all_attempts(self, index: int, span: int) -> None:
+        """Make one gateway see all nodes fail."""
+        isolated = self.simulation.faults.isolated_gateways
+        isolated.add(self._name(index))
+        self._after(span, isolated.discard, self._name(index))
 
 
-# By the kind of the event that a search draws, as failing seeds are recorded.
+# Keyed by event kind. Recorded failing seeds contain these names, so they stay.
 FAULTS: dict[str, Callable[..., None]] = {
     "down": FleetFaults.kill,
     "away": FleetFaults.leave,
     "all_down": FleetFaults.kill_all,
     "stall_": FleetFaults.stall,
-    "stutter": FleetFaults.stutter,
-    "stutter_most": FleetFaults.stutter_most,
+    "stutter": FleetFaults.stall_repeatedly,
+    "stutter_most": FleetFaults.stall_most_repeatedly,
     "cut_off": FleetFaults.cut_off,
     "split": FleetFaults.partition,
     "losing": FleetFaults.lose_packets,
     "doubles": FleetFaults.duplicate_packets,
     "slow": FleetFaults.slow_disk,
     "full": FleetFaults.fill_disk,
-    "make_ill": FleetFaults.make_node_ill,
-    "lie": FleetFaults.slander,
-    "trouble": FleetFaults.trouble,
+    "make_ill": FleetFaults.impair_node,
+    "lie": FleetFaults.report_falsely,
+    "trouble": FleetFaults.fail_all_attempts,
     "jump": FleetFaults.jump_clock,
 }
--- a/milletsill/lab/hunt/fleet_gateway.py
+++ b/milletsill/lab/hunt/fleet_gateway.py
@@ -1,7 +1,7 @@
 """One gateway of a simulated fleet.
 
-Membership, shared health and leases are the product's own, on a simulated clock. The
-sockets, the acceptor's thread and its file's folder are simulated.
+It runs the real membership, shared health and leases on a simulated clock. The sockets,
+the acceptor's worker thread and its store's directory are simulated.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 
 PUBLISH_INTERVAL = 5000  # ticks of 0.1 ms
 REPORT_LIFETIME = 60 * SECOND
-MAX_CALLED_SHARE = 0.34
+MAX_FLAGGED_SHARE = 0.34
 MAX_GATEWAYS = 4096
 MAX_NODES = 64
 LEASE_TIMINGS = LeaseTimings(2 * SECOND, 3000, 5)
 MAX_LEASES = 64
 NEVER_IDLE = 1 << 50
-RIVAL_COUNT = 9  # gateways that at times take a channel that another should hold
+RIVAL_COUNT = 9  # gateways that sometimes acquire a lease preferred for another
 RIVAL_CHANCE = 0.05
 RELEASE_CHANCE = 0.05
 CHANNEL_NAMES = tuple(f"channel-{number}" for number in range(4))
@@ -56,14 +56,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetShape:
-    """How many of what a simulated fleet has.
+    """The size of a simulated fleet and of each role in it.
 
     Attributes:
-        gateways: members; the first of them are acceptors, users and evaluators.
-        acceptors: of leases; 0 for a fleet without leases.
-        channel_users: gateways that write channels.
-        evaluators: gateways that judge nodes; 0 for a fleet without shared health.
-        nodes: storage nodes.
+        gateways: number of members; the lowest numbers take each of the roles below.
+        acceptors: number of lease acceptors; 0 for a fleet without leases.
+        channel_users: number of gateways that write channels.
+        evaluators: number of gateways that evaluate node health; 0 for a fleet without
+            shared health.
+        nodes: number of storage nodes.
     """
 
     gateways: int
@@ -73,21 +74,21 @@
     nodes: int = 10
 
 
-class GatewaySurroundings(Protocol):
-    """What a simulated gateway asks of the fleet around it, and tells it."""
+class FleetEnvironment(Protocol):
+    """What a simulated gateway needs from the fleet simulation."""
 
     shape: FleetShape
 
     @property
     def acceptor_names(self) -> Sequence[str]:
-        """Names of the gateways that are acceptors."""
+        """The names of the gateways that are acceptors."""
 
     @property
     def node_shards(self) -> Mapping[int, int]:
         """The shard of each storage node."""
 
-    def place_of(self, name: str) -> int:
-        """Return a gateway's number."""
+    def index_of(self, name: str) -> int:
+        """Return a gateway's number in the fleet."""
 
     def clock_offset(self, gateway: FleetGateway) -> int:
         """Return by how many ticks the gateway's clock is ahead of true time."""
@@ -98,31 +99,31 @@
     def nodes_in_use(self, gateway: FleetGateway) -> Collection[int]:
         """Return the nodes that the gateway sends to."""
 
-    def sees_trouble(self, gateway: FleetGateway) -> bool:
-        """Return whether the gateway sees a node fail or slow."""
+    def sees_failing_nodes(self, gateway: FleetGateway) -> bool:
+        """Return whether the gateway sees a failing or slow node."""
 
     def observe(self, gateway: FleetGateway) -> dict[int, NodeObservation]:
-        """Return what the gateway saw lately."""
+        """Return the gateway's recent observations, by node."""
 
-    def draw_write(self, base: int) -> int:
-        """Return the number of a new write that is made over another."""
+    def allocate_write(self, base: int) -> int:
+        """Return the number of a new write that replaces write `base`."""
 
     def on_lease_acquired(
         self, gateway: FleetGateway, channel: str, write: int
     ) -> None:
-        """Check a gateway that has a lease and read a write from it."""
+        """Check a gateway that acquired a lease and read `write` from its record."""
 
     def on_write_acknowledged(
         self, gateway: FleetGateway, channel: str, write: int
     ) -> None:
-        """Check a write that a majority holds."""
+        """Check a write that a majority of acceptors accepted."""
 
 
 class DelayedJobWorker:
-    """In the place of the acceptor's thread.
+    """Simulates the acceptor's worker thread.
 
-    A job is done on the disk at once, and its result is told when the disk is through
-    with it: a gateway killed in between has written and told nobody.
+    A job runs on the disk at once, and its result is delivered after the disk's
+    latency. A gateway killed in between has written without sending a reply.
     """
 
     def __init__(self, gateway: FleetGateway) -> None:
@@ -132,7 +133,7 @@
     def run(
         self, job: Callable[[], T], on_result: Callable[[T | MilletsillError], None]
     ) -> None:
-        """Run a job; `on_result` is called once, but not after `stop`."""
+        """Run a job; call `on_result` once, unless stopped before."""
         if self.is_stopped:
             return
         result = run_guarded(job)
@@ -149,52 +150,50 @@
 
 
 class GatewayTimer:
-    """A call that is due at a simulated gateway."""
+    """A scheduled call of a simulated gateway."""
 
     def __init__(self, action: Callable[[], None]) -> None:
         self.action: Callable[[], None] | None = action
 
     def active(self) -> bool:
-        """Return whether it has neither been made nor cancelled."""
+        """Return whether the call has neither run nor been cancelled."""
         return self.action is not None
 
     def cancel(self) -> None:
-        """Do not make it."""
+        """Cancel the call."""
         self.action = None
 
 
-class GatewayView:
-    """What one gateway sees of the nodes; an `ObservationSource`."""
+class GatewayObservations:
+    """One gateway's observations of the nodes; an `ObservationSource`."""
 
-    def __init__(
-        self, surroundings: GatewaySurroundings, gateway: FleetGateway
-    ) -> None:
-        self.surroundings = surroundings
+    def __init__(self, fleet: FleetEnvironment, gateway: FleetGateway) -> None:
+        self.fleet = fleet
         self.gateway = gateway
 
     def nodes_in_use(self) -> Collection[int]:
-        """Return the nodes that it sends to."""
-        return self.surroundings.nodes_in_use(self.gateway)
+        """Return the nodes that the gateway sends to."""
+        return self.fleet.nodes_in_use(self.gateway)
 
-    def sees_trouble(self) -> bool:
-        """Return whether it sees a node fail or slow."""
-        return self.surroundings.sees_trouble(self.gateway)
+    def sees_failing_nodes(self) -> bool:
+        """Return whether the gateway sees a failing or slow node."""
+        return self.fleet.sees_failing_nodes(self.gateway)
 
     def observe(self) -> dict[int, NodeObservation]:
-        """Return what it saw lately."""
-        return self.surroundings.observe(self.gateway)
+        """Return the gateway's recent observations, by node."""
+        return self.fleet.observe(self.gateway)
 
 
 class FleetGateway(SimulatedMember):
-    """A member with shared health, leases and a user of channels.
+    """A member with shared health and leases that writes to channels.
 
-    Its timers wait while it stands still, and end when it is killed.
+    Its timers are postponed while it is stalled, and never fire after it was killed.
 
     Attributes:
-        place: its number in the fleet.
-        own_random: what it draws by itself.
-        terms: the latest term of each channel.
-        pending_writes: the write under way, by channel.
+        index: its number in the fleet.
+        own_random: its own random number generator.
+        terms: the latest lease term of each channel.
+        pending_writes: the write in progress, by channel.
     """
 
     shared_health: SharedHealth
@@ -203,29 +202,29 @@
     def __init__(
         self,
         network: SimulatedNetwork,
-        surroundings: GatewaySurroundings,
+        fleet: FleetEnvironment,
         name: str,
         incarnation: int,
         seeds: Sequence[str],
     ) -> None:
         super().__init__(network, name, incarnation, seeds)
-        self.surroundings = surroundings
-        self.place = surroundings.place_of(name)
-        self.disk = surroundings.disk_of(self)
+        self.fleet = fleet
+        self.index = fleet.index_of(name)
+        self.disk = fleet.disk_of(self)
         self.own_random = Random(self.random.getrandbits(64))
         self.terms: dict[str, LeaseTerm] = {}
         self.pending_writes: dict[str, int] = {}
         self.advice = AdviceRecorder()
-        if surroundings.shape.evaluators:
+        if fleet.shape.evaluators:
             self._start_health()
-        if surroundings.shape.acceptors:
+        if fleet.shape.acceptors:
             self._start_leases()
 
     def _start_health(self) -> None:
         config = HealthConfig(
             PUBLISH_INTERVAL,
             REPORT_LIFETIME,
-            MAX_CALLED_SHARE,
+            MAX_FLAGGED_SHARE,
             MAX_GATEWAYS,
             MAX_NODES,
             (),
@@ -240,10 +239,10 @@
             CollectorRegistry(),
         )
         health = SharedHealth(config, environment, self.own_random.getrandbits(64))
-        view = GatewayView(self.surroundings, self)
-        health.observer = SimulatedObserver(view)  # type: ignore[assignment]
-        health.shards = dict(self.surroundings.node_shards)
-        if self.place >= self.surroundings.shape.evaluators:
+        observations = GatewayObservations(self.fleet, self)
+        health.observer = SimulatedObserver(observations)  # type: ignore[assignment]
+        health.shards = dict(self.fleet.node_shards)
+        if self.index >= self.fleet.shape.evaluators:
             health.evaluate = evaluate_nothing  # type: ignore[method-assign]
         self.shared_health = health
         delay = self.own_random.random() * PUBLISH_INTERVAL / SECOND
@@ -251,7 +250,7 @@
 
     def _start_leases(self) -> None:
         settings = LeaseSettings(
-            acceptors=tuple(self.surroundings.acceptor_names),
+            acceptors=tuple(self.fleet.acceptor_names),
             timings=LEASE_TIMINGS,
             max_leases=MAX_LEASES,
             idle_after=NEVER_IDLE,
@@ -262,19 +261,19 @@
             self, self.own_now, self, ignore_log, CollectorRegistry()
         )
         self.leases = LeaseManager(settings, environment, DelayedJobWorker(self))
-        if self.place < self.surroundings.shape.channel_users:
+        if self.index < self.fleet.shape.channel_users:
             self.callLater(self.own_random.random(), self._use_channels)
 
     # The reactor.
 
     def own_now(self) -> int:
-        """Return the time by this gateway's own clock, in ticks."""
-        return self.network.now + self.surroundings.clock_offset(self)
+        """Return the reading of this gateway's clock, in ticks."""
+        return self.network.now + self.fleet.clock_offset(self)
 
     def callLater(  # noqa: N802 - Twisted's name
         self, delay: float, call: Callable[..., object], /, *args: Any
     ) -> GatewayTimer:
-        """Call after `delay` seconds of true time."""
+        """Schedule a call after `delay` seconds of true time."""
         timer = GatewayTimer(lambda: _call(call, args))
         self.network.call_at(self.network.now + int(delay * SECOND), self._fire, timer)
         return timer
@@ -298,9 +297,9 @@
                 self._use_channel(channel)
 
     def _use_channel(self, channel: str) -> None:
-        """Write where this gateway holds the lease, else acquire it.
+        """Write if this gateway holds the lease, else acquire it in some cases.
 
-        It does so as the preferred holder or, at times, as a rival.
+        The preferred holder always acquires it, and rivals with `RIVAL_CHANCE`.
         """
         term = self.terms.get(channel)
         if term is not None and self.leases.holds(term):
@@ -309,14 +308,14 @@
             return
         is_preferred = self.leases.preferred_holder(channel) == self.name
         if is_preferred or (
-            self.place < RIVAL_COUNT and self.own_random.random() < RIVAL_CHANCE
+            self.index < RIVAL_COUNT and self.own_random.random() < RIVAL_CHANCE
         ):
             self.leases.acquire(
                 channel, lambda result: self._on_acquired(channel, result)
             )
 
     def _write(self, channel: str, term: LeaseTerm) -> None:
-        write = self.surroundings.draw_write(decode_write(term))
+        write = self.fleet.allocate_write(decode_write(term))
         self.pending_writes[channel] = write
         term.in_use = True
         self.leases.write(
@@ -332,7 +331,7 @@
             return
         self.terms[channel] = result
         if self.leases.holds(result):
-            self.surroundings.on_lease_acquired(self, channel, decode_write(result))
+            self.fleet.on_lease_acquired(self, channel, decode_write(result))
 
     def _on_written(
         self,
@@ -344,21 +343,21 @@
         self.pending_writes.pop(channel, None)
         term.in_use = False
         if error is None:
-            self.surroundings.on_write_acknowledged(self, channel, write)
+            self.fleet.on_write_acknowledged(self, channel, write)
 
     def holds(self, channel: str) -> bool:
-        """Return whether this gateway takes itself for the holder of a channel."""
+        """Return whether this gateway considers itself a channel's lease holder."""
         term = self.terms.get(channel)
         return term is not None and self.leases.holds(term)
 
     def acceptor(self) -> AcceptorService | None:
-        """Return its acceptor, if it is one."""
-        if self.name in self.surroundings.acceptor_names:
+        """Return the acceptor service, or None if this gateway is no acceptor."""
+        if self.name in self.fleet.acceptor_names:
             return self.leases.acceptor
         return None
 
     def avoids(self, node: int) -> bool:
-        """Return whether advice keeps it away from a node."""
+        """Return whether current health advice is to avoid a node."""
         return self.advice.avoids(node, self.network.now)
 
 
@@ -367,5 +366,5 @@
 
 
 def decode_write(term: LeaseTerm) -> int:
-    """Return the number of the write that a lease's record holds; 0 for none."""
+    """Return the number of the write in a lease's record; 0 if there is none."""
     return int.from_bytes(term.value or b"\0", "big")
--- a/milletsill/lab/hunt/fleet_guards.py
+++ b/milletsill/lab/hunt/fleet_guards.py
@@ -1,4 +1,4 @@
-"""Guards of the fleet, each of which a search must find missing."""
+"""Guards of the fleet; a search must fail when any one is disabled."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 def without_rows(table: Mapping[K, V], removed: Collection[K]) -> GuardRemoval:
-    """Return what takes some rows out of a table for a time."""
+    """Return a context manager factory that removes some rows from a table."""
     left = {key: value for key, value in table.items() if key not in removed}
     return lambda: mock.patch.dict(table, left, clear=True)
 
 
-# Who is said to be gone is believed to be, without being asked.
-BELIEVED_GONE = {
+# These rules accept a GONE update without suspecting and probing the member first.
+UNVERIFIED_GONE_RULES = {
     (MemberState.ALIVE, MemberState.GONE, order): UpdateRule(
         MemberState.GONE, UpdateAction.GONE
     )
@@ -46,16 +46,16 @@
     "members: a suspicion is refuted": without_rows(
         name_claims.NAME_CLAIM_RULES, [(LocalStatus.ACTIVE, NameClaim.NEEDS_REFUTATION)]
     ),
-    "members: one that stood still doubts itself": lambda: mock.patch.object(
-        Membership, "on_stall", lambda self, now, stalled_for: None
+    "members: a stalled member discounts acks that it missed": lambda: (
+        mock.patch.object(Membership, "on_stall", lambda self, now, stalled_for: None)
     ),
-    "members: who is said to be gone is asked": lambda: mock.patch.dict(
-        update_rules.UPDATE_RULES, BELIEVED_GONE
+    "members: a member reported as gone is probed": lambda: mock.patch.dict(
+        update_rules.UPDATE_RULES, UNVERIFIED_GONE_RULES
     ),
-    "members: those gone are asked now and then": lambda: mock.patch.object(
+    "members: gone members are contacted periodically": lambda: mock.patch.object(
         anti_entropy, "ABSENT_TARGET_ODDS", 1 << 60
     ),
-    "members: others probe for me": lambda: mock.patch.object(
+    "members: other members probe indirectly": lambda: mock.patch.object(
         FailureDetector, "probe_indirectly", lambda self, probe: None
     ),
     "health: a box that all may try is well again": without_rows(
@@ -65,7 +65,7 @@
             (HealthVerdict.FAILING, HealthFinding.RESTORED),
         ],
     ),
-    "health: what is missing is asked for": lambda: mock.patch.object(
+    "health: missing reports are requested": lambda: mock.patch.object(
         ReportStore, "delta_since", lambda self, origin, known: None
     ),
     **{
--- a/milletsill/lab/hunt/fleet_simulation.py
+++ b/milletsill/lab/hunt/fleet_simulation.py
@@ -1,10 +1,10 @@
-"""A fleet of gateways on one simulated clock and one seed, with checks always on.
+"""A fleet of gateways on one simulated clock with one seed, checked while it runs.
 
-No two gateways hold a channel's lease at one true moment, and whoever acquires it knows
-every write that was acknowledged; views with equal digests are equal; stalls, slow
-disks and lies alone make nobody gone. When all has been calm, views are the truth,
-health reports are equal, every node that is well is called so, and each channel goes
-on.
+Throughout a run, no two gateways hold a channel's lease at the same true time, and a
+new holder knows every acknowledged write. Stalls, slow disks and false health reports
+alone cause no member to be declared gone. After a period without faults, all views are
+correct, views with equal digests are equal, health reports are equal at all gateways,
+no healthy node is flagged, and each channel is written again.
 """
 
 from __future__ import annotations
@@ -23,66 +23,67 @@
 
 # Times are ticks of 0.1 ms.
 FAULTS_END = 20 * SECOND
-CALM = 35 * SECOND  # after the last fault, until all is looked at
+FAULT_FREE_PERIOD = 35 * SECOND  # from the last fault to the final checks
 CHECK_INTERVAL = 1000
 BACKUP_INTERVAL = 3 * SECOND
-HEALED_WITHIN = 5 * SECOND  # after the last fault, until nobody may be called gone
+MAX_HEALING = 5 * SECOND  # after the last fault, live members may be declared gone
 MAX_CHANNEL_SILENCE = 20 * SECOND
 NODES_PER_SHARD = 2
-CLOCK_DRIFTS = (-4000, 0, 4000)  # parts in a million
-QUIET_TRAFFIC = 0.25  # answers of a node, of the usual ones
+CLOCK_DRIFTS = (-4000, 0, 4000)  # parts per million
+LOW_TRAFFIC = 0.25  # factor on the usual number of answers per node
 
 
 @dataclass(frozen=True, slots=True)
-class NodeIllness:
-    """What gateways see of a node that is not well.
+class NodeImpairment:
+    """How gateways observe a failing or slow node.
 
     Attributes:
         lost_share: share of the attempts that fail.
-        relative_pace: log2 of the pace over the usual one.
+        relative_pace: log2 of the pace over the usual pace.
     """
 
     lost_share: float
     relative_pace: float
 
 
-WELL = NodeIllness(0.0, 0.0)
-ALL_FAIL = NodeIllness(0.8, 3.0)  # what a gateway in trouble sees
-SLANDER = NodeIllness(1.0, 4.0)
+UNIMPAIRED = NodeImpairment(0.0, 0.0)
+ALL_FAIL = NodeImpairment(0.8, 3.0)  # as seen by an isolated gateway
+FALSE_REPORT = NodeImpairment(1.0, 4.0)
 
 
 @dataclass(slots=True)
 class FaultState:
-    """The faults that are there now.
+    """The faults that are active now.
 
     Attributes:
-        ill_nodes: what is wrong with a node.
-        slandered: nodes that a gateway tells lies of.
-        troubled: gateways that see all nodes fail.
-        clock_jumps: by how much a gateway's clock has jumped.
-        losses: chances of a packet to be lost; the largest counts.
-        duplications: chances of a packet to come twice; the largest counts.
+        impaired_nodes: the impairment of each failing or slow node.
+        false_reports: nodes that a gateway falsely reports as failing, by gateway.
+        isolated_gateways: gateways that see all nodes fail.
+        clock_jumps: total jump of each gateway's clock, in ticks.
+        losses: probabilities that a packet is lost; the largest one applies.
+        duplications: probabilities that a datagram is duplicated; the largest one
+            applies.
     """
 
-    ill_nodes: dict[int, NodeIllness] = field(default_factory=dict)
-    slandered: dict[str, list[int]] = field(default_factory=dict)
-    troubled: set[str] = field(default_factory=set)
+    impaired_nodes: dict[int, NodeImpairment] = field(default_factory=dict)
+    false_reports: dict[str, list[int]] = field(default_factory=dict)
+    isolated_gateways: set[str] = field(default_factory=set)
     clock_jumps: dict[str, int] = field(default_factory=dict)
     losses: list[float] = field(default_factory=list)
     duplications: list[float] = field(default_factory=list)
 
 
 class FleetSimulation(SimulatedNetwork):
-    """The gateways, what they write and see, and the checks.
+    """The gateways, the channel writes and node observations, and the checks.
 
     Attributes:
-        gateways: the latest incarnation of each, by name.
-        faults: those that are there now.
+        gateways: the latest incarnation of each gateway, by name.
+        faults: the active faults.
         acknowledged: the latest acknowledged write of each channel.
-        acknowledged_at: when that was.
-        expects_no_deaths: the faults drawn may make nobody gone.
-        is_quiet: gateways see nothing of nodes any more.
-        failure: what broke first.
+        acknowledged_at: the time of that acknowledgement.
+        expects_no_deaths: whether a live member declared gone is a failure at any time.
+        is_quiet: whether gateways make no further observations of nodes.
+        failure: the first failed check.
     """
 
     def __init__(self, seed: int, shape: FleetShape) -> None:
@@ -105,7 +106,7 @@
         self.acknowledged_at = dict.fromkeys(CHANNEL_NAMES, 0)
         self.acknowledged_count = 0
         self.acquired_count = 0
-        self.traffic = QUIET_TRAFFIC if seed % 8 == 0 else 1.0
+        self.traffic = LOW_TRAFFIC if seed % 8 == 0 else 1.0
         self.expects_no_deaths = True
         self.is_quiet = False
         self.failure: str | None = None
@@ -117,13 +118,13 @@
     # Gateways.
 
     def seeds_of(self, name: str) -> list[str]:
-        """Return the gateways that one knows of at its start."""
+        """Return the names of the gateways that a starting gateway contacts first."""
         return [other for other in self.names[:SEED_COUNT] if other != name]
 
     def start(
         self, name: str, incarnation: int = 1, seeds: Sequence[str] = ()
     ) -> FleetGateway:
-        """Start a gateway, or start one that was killed again."""
+        """Start a gateway, or restart a killed one."""
         addresses = [f"{seed}:1" for seed in seeds]
         gateway = FleetGateway(self, self, name, incarnation, addresses)
         self.members[name] = gateway
@@ -135,7 +136,7 @@
         return [gateway for gateway in self.gateways.values() if gateway.is_up]
 
     def send(self, sender: SimulatedMember, sent: SendMessage) -> None:
-        """Send a message, at times twice."""
+        """Send a message, and duplicate it with the probability of the active fault."""
         super().send(sender, sent)
         duplications = self.faults.duplications
         if (
@@ -145,13 +146,13 @@
         ):
             super().send(sender, sent)
 
-    def place_of(self, name: str) -> int:
-        """Return a gateway's number."""
+    def index_of(self, name: str) -> int:
+        """Return a gateway's number in the fleet."""
         return self.names.index(name)
 
     def clock_offset(self, gateway: FleetGateway) -> int:
         """Return by how many ticks the gateway's clock is ahead of true time."""
-        drift = self.clock_drifts[gateway.place]
+        drift = self.clock_drifts[gateway.index]
         jump = self.faults.clock_jumps.get(gateway.name, 0)
         return self.now * drift // 1_000_000 + jump
 
@@ -160,14 +161,14 @@
         return self.disks[gateway.name]
 
     def record_failure(self, failure: str) -> None:
-        """Keep what broke first."""
+        """Record a failed check, if it is the first."""
         if not self.failure:
             self.failure = f"at {self.now / SECOND:.3f} s: {failure}"
 
     # Channels.
 
-    def draw_write(self, base: int) -> int:
-        """Return the number of a new write that is made over another."""
+    def allocate_write(self, base: int) -> int:
+        """Return the number of a new write that replaces write `base`."""
         write = len(self.base_writes)
         self.base_writes[write] = base
         return write
@@ -175,23 +176,23 @@
     def on_lease_acquired(
         self, gateway: FleetGateway, channel: str, write: int
     ) -> None:
-        """Check that whoever has the lease knows what was acknowledged."""
+        """Check that the new holder read all acknowledged writes."""
         self.acquired_count += 1
         self._check_single_holder(channel)
         latest = self.acknowledged[channel]
         if not self._includes(write, latest):
             self.record_failure(
-                f"{gateway.name} takes {channel} without write {latest}, which counted"
+                f"{gateway.name} acquires {channel} without acknowledged write {latest}"
             )
 
     def on_write_acknowledged(
         self, gateway: FleetGateway, channel: str, write: int
     ) -> None:
-        """Check that a write was made over what was acknowledged before."""
+        """Check that a write includes the write acknowledged before it."""
         latest = self.acknowledged[channel]
         if not self._includes(write, latest):
             self.record_failure(
-                f"{gateway.name} writes {channel} over write {latest}, which counted"
+                f"{gateway.name} writes {channel} without acknowledged write {latest}"
             )
         self.acknowledged[channel] = write
         self.acknowledged_at[channel] = self.now
@@ -206,10 +207,10 @@
         holders = [
             gateway.name
             for gateway in self.live_gateways()
-            if gateway.place < self.shape.channel_users and gateway.holds(channel)
+            if gateway.index < self.shape.channel_users and gateway.holds(channel)
         ]
         if len(holders) > 1:
-            self.record_failure(f"{' and '.join(holders)} hold the office of {channel}")
+            self.record_failure(f"{' and '.join(holders)} hold the lease of {channel}")
 
     # Storage nodes.
 
@@ -219,18 +220,18 @@
             return ()
         return [node for node in self.node_shards if not gateway.avoids(node)]
 
-    def sees_trouble(self, gateway: FleetGateway) -> bool:
-        """Return whether the gateway sees a node fail or slow."""
+    def sees_failing_nodes(self, gateway: FleetGateway) -> bool:
+        """Return whether the gateway sees a failing or slow node."""
         if self.is_quiet:
             return False
         return (
-            bool(self.faults.ill_nodes)
-            or gateway.name in self.faults.troubled
-            or gateway.name in self.faults.slandered
+            bool(self.faults.impaired_nodes)
+            or gateway.name in self.faults.isolated_gateways
+            or gateway.name in self.faults.false_reports
         )
 
     def observe(self, gateway: FleetGateway) -> dict[int, NodeObservation]:
-        """Return what the gateway saw lately."""
+        """Return the gateway's recent observations, by node."""
         if self.is_quiet:
             return {}
         return {
@@ -240,17 +241,17 @@
         }
 
     def _observe_node(self, gateway: FleetGateway, node: int) -> NodeObservation:
-        illness = self.faults.ill_nodes.get(node, WELL)
-        if gateway.name in self.faults.troubled:
-            illness = ALL_FAIL
+        impairment = self.faults.impaired_nodes.get(node, UNIMPAIRED)
+        if gateway.name in self.faults.isolated_gateways:
+            impairment = ALL_FAIL
         random = gateway.own_random
         attempts = 1 + random.randrange(4)
-        lost = sum(random.random() < illness.lost_share for _ in range(attempts))
+        lost = sum(random.random() < impairment.lost_share for _ in range(attempts))
         lost_share = lost / attempts
-        pace = illness.relative_pace
-        if node in self.faults.slandered.get(gateway.name, ()):
-            lost_share = SLANDER.lost_share
-            pace = SLANDER.relative_pace
+        pace = impairment.relative_pace
+        if node in self.faults.false_reports.get(gateway.name, ()):
+            lost_share = FALSE_REPORT.lost_share
+            pace = FALSE_REPORT.relative_pace
         answers = attempts * self.traffic
         return NodeObservation(
             sequence=0,
@@ -273,12 +274,12 @@
         if self.expects_no_deaths:
             death = self.false_deaths[0]
             self.record_failure(
-                f"{death.observer} calls {death.member} gone, which lives"
+                f"{death.observer} declares {death.member} gone while it is up"
             )
         death = self.false_deaths[-1]
-        if death.at > FAULTS_END + HEALED_WITHIN:
+        if death.at > FAULTS_END + MAX_HEALING:
             self.record_failure(
-                f"{death.observer} calls {death.member} gone, though all is calm"
+                f"{death.observer} declares {death.member} gone after the faults ended"
             )
 
     def _back_up_acceptors(self) -> None:
@@ -294,8 +295,8 @@
             ):
                 self.disks[name].back_up(acceptor.identity())
 
-    def check_calm(self) -> None:
-        """Check what must hold once all has been calm."""
+    def check_convergence(self) -> None:
+        """Check the state that must be reached after the fault-free period."""
         truth = self.true_digest()
         for gateway in self.live_gateways():
             self._check_view(gateway, truth)
@@ -304,24 +305,25 @@
         self._check_equal_digests()
         for channel in CHANNEL_NAMES if self.shape.acceptors else ():
             if self.now - self.acknowledged_at[channel] > MAX_CHANNEL_SILENCE:
-                self.record_failure(f"{channel} is still not written")
+                self.record_failure(
+                    f"no write to {channel} in {MAX_CHANNEL_SILENCE / SECOND:.0f} s"
+                )
 
     def _check_view(self, gateway: FleetGateway, truth: int) -> None:
         if gateway.digest != truth:
             live = sorted(other.name for other in self.live_gateways())
             seen = sorted(gateway.view.by_name)
-            self.record_failure(f"{gateway.name} sees {seen} of {live}")
+            self.record_failure(f"the view of {gateway.name} has {seen}, up are {live}")
 
     def _check_verdicts(self, gateway: FleetGateway) -> None:
-        called = [
+        flagged = [
             f"{node} {held.verdict.name}"
             for node, held in gateway.shared_health.evaluator.nodes.items()
             if held.is_flagged
         ]
-        if called:
+        if flagged:
             self.record_failure(
-                f"{gateway.name} has verdicts on boxes that are well: "
-                f"{', '.join(called)}"
+                f"{gateway.name} flags healthy nodes: {', '.join(flagged)}"
             )
 
     def _check_equal_digests(self) -> None:
@@ -331,7 +333,7 @@
             view = views.setdefault(digest, gateway.view)
             if view.digest != gateway.view.digest:
                 self.record_failure(
-                    f"{gateway.name} has an equal mark and another view"
+                    f"{gateway.name} has another view's digest for a different view"
                 )
 
     def check_reports(self) -> None:
@@ -345,10 +347,10 @@
         for gateway in live[1:]:
             if gateway.shared_health.store.replicated_state() != expected:
                 self.record_failure(
-                    f"{gateway.name} has other rows than {live[0].name}"
+                    f"{gateway.name} has other health reports than {live[0].name}"
                 )
 
 
 def run_until_failure(simulation: FleetSimulation, until: int) -> bool:
-    """Run up to a time; return whether something broke, which ends the run."""
+    """Run until a time or the first failed check; return whether one failed."""
     return simulation.run(until, lambda: simulation.failure is not None)
--- a/milletsill/lab/hunt/registry_call.py
+++ b/milletsill/lab/hunt/registry_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call to the simulated registry, as the client's agent sees it."""
+"""One HTTP call to the simulated registry, with the interface of Twisted's agent."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class CallNetwork(Protocol):
-    """What stands between the client and the registry."""
+    """The simulated network between the client and the registry."""
 
     clock: Clock
 
     def draw_delay(self) -> float:
-        """Return the delay of one piece of data, in seconds."""
+        """Return the delay of one chunk of data, in seconds."""
 
     def on_call_closed(self, call: RegistryCall) -> None:
-        """Forget a call that is over."""
+        """Remove a closed call."""
 
 
 class RegistryCall:
     """A call and its answer.
 
-    What is sent on it arrives in order, until the call is closed or falls silent. The
-    `answer` fires once: with a response, with `ConnectionError` where the call is cut
-    before its response, or, cancelled by the client, with Twisted's `CancelledError`.
+    Data sent on the call arrives in order until the call is closed or becomes silent.
+    The `answer` fires once: with a response, with `ConnectionError` if the call is cut
+    before its response, or with Twisted's `CancelledError` if the client cancels it.
 
     Attributes:
-        is_closed: the call is over.
-        is_silent: the call stays open, and nothing comes on it any more.
-        start_revision: the first revision that a watch asked for.
+        is_closed: whether the call is closed.
+        is_silent: whether the call stays open but delivers no further data.
+        start_revision: the first revision that a watch requested.
     """
 
     def __init__(self, network: CallNetwork, body: dict[str, Any]) -> None:
@@ -46,7 +46,7 @@
         self._last_arrival = 0.0
 
     def run_if_open(self, action: Callable[[], None]) -> None:
-        """Run an action unless the call is over or silent."""
+        """Run an action unless the call is closed or silent."""
         if not self.is_closed and not self.is_silent:
             action()
 
@@ -56,7 +56,7 @@
         self._run_on_arrival(lambda: self.answer.callback(response))
 
     def send_body(self, data: bytes) -> None:
-        """Send a piece of the response's body."""
+        """Send a chunk of the response's body."""
         self._run_on_arrival(lambda: self._protocol.dataReceived(data))
 
     def send_end(self) -> None:
@@ -76,7 +76,9 @@
         if self._protocol is not None:
             self._protocol.connectionLost(None)
         elif not self.answer.called:
-            self.answer.errback(ConnectionError("cut"))
+            self.answer.errback(
+                ConnectionError("registry call cut before its response")
+            )
 
     def _run_on_arrival(self, action: Callable[[], None]) -> None:
         clock = self.network.clock
--- a/milletsill/lab/hunt/simulated_disk.py
+++ b/milletsill/lab/hunt/simulated_disk.py
@@ -1,6 +1,6 @@
-"""A gateway's disk in a simulated fleet, and the acceptor's store on it.
+"""A simulated gateway's disk, and the acceptor's store on it.
 
-Sqlite itself is real, in memory, and outlives a gateway that is killed.
+The store is a real SQLite database in memory, which survives the kill of its gateway.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 from milletsill.fleet.leases.store_file import create_tables
 from milletsill.fleet.leases.store_rows import initial_state
 
-USUAL_LATENCY = 20  # ticks of 0.1 ms that a job takes
+USUAL_LATENCY = 20  # ticks of 0.1 ms per job
 MAX_BACKUPS = 9
 MAX_PAGES = 1 << 30
 
 
 @dataclass(frozen=True, slots=True)
 class DiskBackup:
-    """A copy of the store, and whose state it is."""
+    """A copy of the store, with the identity of its state."""
 
     identity: StateIdentity
     database: sqlite3.Connection
 
 
 class SimulatedDisk:
-    """One gateway's disk: it may be slow or full, and copies of it may come back.
+    """One gateway's disk, which may be slow, full, or restored from a backup.
 
     Attributes:
-        database: the acceptor's store; None where there is none.
-        latency: of one job, in ticks of 0.1 ms.
-        backups: the latest copies, oldest first.
+        database: the acceptor's store; None if the disk has none.
+        latency: latency of one job, in ticks of 0.1 ms.
+        backups: the latest copies of the store, oldest first.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self.backups: list[DiskBackup] = []
 
     def back_up(self, identity: StateIdentity) -> None:
-        """Keep a copy of the store."""
+        """Add a copy of the store to the backups."""
         if self.database is None:
             return
         copy = sqlite3.connect(":memory:", isolation_level=None)
@@ -58,11 +58,11 @@
         ]
 
     def set_latency(self, latency: int) -> None:
-        """Let each job take so many ticks."""
+        """Set the latency of each job, in ticks of 0.1 ms."""
         self.latency = latency
 
     def set_full(self, is_full: bool) -> None:
-        """Give out no more pages than there are, by sqlite's own bound, or many."""
+        """Set SQLite's page limit to the present page count, or lift it."""
         if self.database is None:
             return
         pages = self.database.execute("PRAGMA page_count").fetchone()[0]
@@ -74,7 +74,7 @@
     """The acceptor's store on a simulated disk.
 
     Attributes:
-        disks: of the simulated fleet, by the store's path.
+        disks: the disks of the simulated fleet, by store path.
     """
 
     disks: ClassVar[Mapping[str, SimulatedDisk]] = {}
@@ -88,7 +88,7 @@
         is_incomplete: bool = False,
         max_pages: int = 0,
     ) -> AcceptorStore:
-        """Open the store of a path, made anew where the disk has none."""
+        """Open the store at a path, and create it if the disk has none."""
         disk = cls.disks[path]
         if disk.database is None:
             disk.database = sqlite3.connect(":memory:", isolation_level=None)
@@ -99,12 +99,12 @@
         return store
 
     def close(self) -> None:
-        """Leave the database open, as a file stays."""
+        """Keep the database open, since it stands for a file that remains."""
 
 
 @contextmanager
 def simulated_leases(seed: int) -> Iterator[None]:
-    """Let leases draw by a seed, and keep acceptors' stores on simulated disks."""
+    """Seed the random draws of leases, and put acceptor stores on simulated disks."""
     random = Random(seed)
     with (
         mock.patch.object(lease_manager, "SystemRandom", lambda: random),
--- a/milletsill/lab/hunt/simulated_health.py
+++ b/milletsill/lab/hunt/simulated_health.py
@@ -1,4 +1,4 @@
-"""What stands around shared health at a gateway of a simulated fleet."""
+"""Test doubles around shared health at a gateway of a simulated fleet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def ignore_log(event: str, /, **fields: Any) -> None:
-    """Take a log event, which nobody reads here."""
+    """Discard a log event."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,68 +22,68 @@
 
 
 class AdviceRecorder:
-    """In the place of the scheduler: it keeps the advice that it is given."""
+    """Stands in for the scheduler and records the health advice it receives."""
 
     def __init__(self) -> None:
         self.on_attempt_ended: Any = None
         self.advice: dict[int, RecordedAdvice] = {}
 
     def on_health_advice(self, node: int, load: float, avoid: bool, until: int) -> None:
-        """Take advice on a node, until a time."""
+        """Record advice on a node that is valid until a time."""
         self.advice[node] = RecordedAdvice(until, avoid)
 
     def avoids(self, node: int, now: int) -> bool:
-        """Return whether a node is to be avoided now."""
+        """Return whether current advice is to avoid a node."""
         advice = self.advice.get(node)
         return advice is not None and advice.avoid and advice.until > now
 
 
 @dataclass(frozen=True, slots=True)
 class RecentStatistics:
-    """Statistics of a node of which there is news."""
+    """Statistics of a node with results that were not reported yet."""
 
     reported: bool = False
 
 
 class ObservationSource(Protocol):
-    """What a gateway would see of the nodes."""
+    """Supplies a gateway's simulated observations of the nodes."""
 
     def nodes_in_use(self) -> Collection[int]:
-        """Return the nodes that it sends to."""
+        """Return the nodes that the gateway sends to."""
 
-    def sees_trouble(self) -> bool:
-        """Return whether it sees a node fail or slow."""
+    def sees_failing_nodes(self) -> bool:
+        """Return whether the gateway sees a failing or slow node."""
 
     def observe(self) -> dict[int, NodeObservation]:
-        """Return what it saw lately."""
+        """Return the gateway's recent observations, by node."""
 
 
 class SimulatedObserver:
-    """In the place of `NodeObserver`: it reports what the simulation says."""
+    """Stands in for `NodeObserver` and returns simulated observations."""
 
     def __init__(self, source: ObservationSource) -> None:
         self.source = source
 
     @property
     def statistics(self) -> dict[int, RecentStatistics]:
-        """News of each node in use."""
+        """Unreported statistics of each node in use."""
         return {node: RecentStatistics() for node in self.source.nodes_in_use()}
 
     @property
     def has_urgent_results(self) -> bool:
-        """Whether an answer since the last report was lost or slow."""
-        return self.source.sees_trouble()
+        """Whether a result since the last report was lost or slow."""
+        return self.source.sees_failing_nodes()
 
     def take_observations(self, now: int) -> dict[int, NodeObservation]:
-        """Return what was seen since the last report."""
+        """Return the observations since the last report."""
         return self.source.observe()
 
     def on_attempt_result(self, *result: object) -> None:
-        """Take the end of an attempt, which has no part here."""
+        """Ignore the result of an attempt; observations are simulated."""
 
     def keep_only(self, nodes: Collection[int]) -> None:
-        """Forget nodes, of which nothing is kept here."""
+        """Do nothing, since no state is kept per node."""
 
 
 def evaluate_nothing() -> None:
-    """SimulatedMember in for the evaluation at a gateway that does not judge nodes."""
+    """Replaces the evaluation at a gateway that does not evaluate nodes."""
--- a/milletsill/lab/hunt/simulated_registry.py
+++ b/milletsill/lab/hunt/simulated_registry.py
@@ -1,7 +1,7 @@
-"""A registry of nodes, in memory, that misbehaves as it is told to.
+"""An in-memory node registry with injected faults.
 
-It has revisions, transactions, compaction, watches and backups. Its calls arrive late,
-fail, hang or fall silent. Each write has a number of its own, which it carries as the
+It supports revisions, transactions, compaction, watches and backups. Its calls may be
+delayed, fail, hang or become silent. Each write has a unique number, stored as the
 node's size.
 """
 
@@ -27,7 +27,7 @@
 
 
 def encode_base64(text: str) -> str:
-    """Return a text as the registry's JSON has it."""
+    """Encode a text as in the registry's JSON."""
     return base64.b64encode(text.encode()).decode()
 
 
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryBackup:
-    """What the registry held at a revision."""
+    """The registry's contents at a revision."""
 
     revision: int
     stored: dict[str, RegistryEntry]
 
 
 def key_value_message(key: str, stored: RegistryEntry) -> dict[str, str]:
-    """Return a key as the registry's answers have it."""
+    """Return a key-value message as in the registry's answers."""
     return {
         "key": encode_base64(key),
         "value": encode_base64(stored.value.decode()),
@@ -75,11 +75,11 @@
         self.hangs_until = 0.0
 
     def draw_delay(self) -> float:
-        """Return the delay of one piece of data, in seconds."""
+        """Return the delay of one chunk of data, in seconds."""
         return self.random.uniform(MIN_DELAY, MAX_DELAY)
 
     def nodes(self) -> dict[str, RegisteredNode | None]:
-        """Return the nodes that it holds, by key."""
+        """Return the registered nodes, by key."""
         return {
             key: parse_registered_node(json.loads(stored.value))
             for key, stored in self.stored.items()
@@ -90,7 +90,7 @@
     def request(
         self, method: bytes, url: bytes, headers: object, body: Any
     ) -> Deferred[Any]:
-        """Take a call as Twisted's agent does."""
+        """Start a call; the interface of Twisted's agent."""
         call = RegistryCall(self, json.loads(body.data))
         self.calls = [other for other in self.calls if not other.is_closed]
         self.calls.append(call)
@@ -103,7 +103,7 @@
         return call.answer
 
     def on_call_closed(self, call: RegistryCall) -> None:
-        """Forget a call that is over."""
+        """Remove the watch of a closed call."""
         self.watches.pop(call, None)
 
     def _on_arrived(self, call: RegistryCall, is_range: bool) -> None:
@@ -153,32 +153,32 @@
 
     # Writes.
 
-    def put(self, place: int, is_draining: bool, node: int) -> None:
-        """Write a node under the key of a place."""
-        self._commit([self._draw_value(place, is_draining, node)])
+    def put(self, key_index: int, is_draining: bool, node: int) -> None:
+        """Write a node under the key with a number."""
+        self._commit([self._draw_value(key_index, is_draining, node)])
 
-    def delete(self, place: int) -> None:
-        """Delete the key of a place, if it is there."""
-        if f"{KEY_PREFIX}{place}" in self.stored:
-            self._commit([(f"{KEY_PREFIX}{place}", None)])
+    def delete(self, key_index: int) -> None:
+        """Delete the key with a number, if it exists."""
+        if f"{KEY_PREFIX}{key_index}" in self.stored:
+            self._commit([(f"{KEY_PREFIX}{key_index}", None)])
 
-    def swap(self, place: int, other: int) -> None:
+    def swap(self, key_index: int, other: int) -> None:
         """Delete one key and write another in one transaction."""
-        if f"{KEY_PREFIX}{place}" in self.stored and place != other:
+        if f"{KEY_PREFIX}{key_index}" in self.stored and key_index != other:
             self._commit(
                 [
-                    (f"{KEY_PREFIX}{place}", None),
+                    (f"{KEY_PREFIX}{key_index}", None),
                     self._draw_value(other, False, other),
                 ]
             )
 
     def flood(self, count: int) -> None:
-        """Write many times at one moment."""
+        """Make `count` writes at the same time."""
         for number in range(count):
             self.put(number % KEY_COUNT, number % 3 == 0, number % KEY_COUNT)
 
     def _draw_value(
-        self, place: int, is_draining: bool, node: int
+        self, key_index: int, is_draining: bool, node: int
     ) -> tuple[str, bytes]:
         self.write_count += 1
         value = {
@@ -188,7 +188,7 @@
             "size": self.write_count,
             "cell": 0,
         }
-        return f"{KEY_PREFIX}{place}", json.dumps(value).encode()
+        return f"{KEY_PREFIX}{key_index}", json.dumps(value).encode()
 
     def _commit(self, changes: Sequence[tuple[str, bytes | None]]) -> None:
         """Make all changes at one revision; None deletes a key."""
@@ -214,19 +214,19 @@
     # Faults.
 
     def compact(self) -> None:
-        """Forget all changes up to now."""
+        """Compact the history up to the current revision."""
         self.compacted_revision = self.revision
         self.history = []
 
     def back_up(self) -> None:
-        """Keep a copy that may be restored."""
+        """Add a copy of the contents to the backups."""
         self.backups.append(RegistryBackup(self.revision, dict(self.stored)))
 
     def restore(self, back: int, silently: bool) -> None:
-        """Restore a backup under a new cluster's id, as the registry's tool does it.
+        """Restore a backup with a new cluster id, as the registry's restore tool does.
 
-        Its watches break, or, with `silently`, stay open at something between the
-        client and the registry that does not tell.
+        Its watches break. With `silently` they stay open without further events, as
+        behind a proxy that does not report the lost connection.
         """
         self.cluster_id += 1
         backup = self.backups[-1 - back % len(self.backups)]
@@ -241,23 +241,23 @@
                 watch.cut()
 
     def cut_calls(self) -> None:
-        """Break all open calls."""
+        """Cut all open calls."""
         for call in list(self.calls):
             call.cut()
 
     def silence_calls(self) -> None:
-        """Leave open what is open, and send nothing on it any more."""
+        """Keep all open calls open, but send nothing more on them."""
         for call in self.calls:
             call.is_silent = True
         self.watches = {}
 
     def send_progress(self) -> None:
-        """Tell all watches the revision."""
+        """Send the current revision to all watches."""
         for watch in self.watches:
             self._send_watch(watch)
 
     def become_unavailable(self, ticks: int, hangs: bool) -> None:
-        """Refuse calls, or leave them without an answer, for some ticks of 0.1 ms."""
+        """Refuse calls, or leave them unanswered, for some ticks of 0.1 ms."""
         until = self.clock.seconds() + ticks / 10_000
         if hangs:
             self.hangs_until = until
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -316,7 +316,7 @@
                     (6 + at + at // 2) * SECOND, simulation.restart, place, upgrade
                 )
             run_until_failure(simulation, 45 * SECOND)
-            simulation.check_calm()
+            simulation.check_convergence()
             self.assertIsNone(simulation.failure)
             self.assertEqual(simulation.false_deaths, [])
             self.assertGreater(min(simulation.acknowledged.values()), 10)
--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -1,4 +1,7 @@
-"""Hunts: seeds that once failed, a few that are drawn, and that a guard's loss is found and made small."""
+"""Fault searches: recorded failures, some drawn seeds, and searches without a guard.
+
+A search with a guard disabled must find a failure and shrink it to a few events.
+"""
 
 import unittest
 
@@ -7,7 +10,7 @@
 from milletsill.lab.hunt.fault_search import FaultEvent, search_seeds, shrink_events
 from milletsill.lab.hunt.fleet_fault_search import FleetFaultSearch
 
-# What was found, made small: each broke something once.
+# Shrunk event lists of past failures; each one must pass now.
 ENDPOINT_LIST_FAILURES = {
     "a key takes another id": (
         5,
@@ -23,7 +26,7 @@
             FaultEvent(138_120, "restore", (0, True)),
         ],
     ),
-    "a key goes after the watch's last word": (
+    "a key is deleted after the watch becomes silent": (
         76,
         [
             FaultEvent(186_030, "flood", (40,)),
@@ -32,7 +35,7 @@
             FaultEvent(379_480, "delete", (7,)),
         ],
     ),
-    "a restored registry comes to the same numbers": (
+    "a restored registry reaches the same revisions": (
         823,
         [
             FaultEvent(243_480, "put", (5, True, 5)),
@@ -43,11 +46,11 @@
     ),
 }
 FLEET_FAILURES = {
-    "a slow box of a small fleet is well again": (
+    "a slow node of a small fleet recovers": (
         0,
         [FaultEvent(148_730, "make_ill", (5, 0.33, 2.5, 31_398))],
     ),
-    "a box that failed and that few may try is well again": (
+    "a failing node that few gateways may try recovers": (
         396,
         [
             FaultEvent(91_330, "stutter_most", (103_506, 18_274)),
@@ -56,15 +59,15 @@
             FaultEvent(134_710, "make_ill", (0, 0.33, 1.0, 55_350)),
         ],
     ),
-    "a slow box that few speak of is well again": (
+    "a slow node that few gateways report on recovers": (
         56,
         [FaultEvent(191_780, "make_ill", (0, 1.0, 2.5, 9565))],
     ),
 }
 
 
-class Seeds(unittest.TestCase):
-    def test_what_was_found_once_is_kept_now(self):
+class SeedTests(unittest.TestCase):
+    def test_past_failures_pass(self):
         for simulation, seeds in (
             (EndpointListFaults(), ENDPOINT_LIST_FAILURES),
             (FleetFaultSearch(), FLEET_FAILURES),
@@ -73,17 +76,17 @@
                 with self.subTest(name):
                     self.assertIsNone(simulation.play(seed, events))
 
-    def test_drawn_seeds_are_kept(self):
+    def test_drawn_seeds_pass(self):
         self.assertEqual(search_seeds(EndpointListFaults(), range(40)), (40, []))
         self.assertEqual(search_seeds(FleetFaultSearch(), range(1, 2)), (1, []))
 
-    def test_the_same_seed_is_the_same_run(self):
+    def test_a_seed_always_draws_the_same_events(self):
         for simulation in (EndpointListFaults(), FleetFaultSearch()):
             self.assertEqual(simulation.draw_events(7), simulation.draw_events(7))
 
 
-class GuardsOut(unittest.TestCase):
-    def test_a_guard_out_is_found_and_made_small(self):
+class DisabledGuardTests(unittest.TestCase):
+    def test_a_search_without_a_guard_fails_and_shrinks_the_failure(self):
         for name, seed in (
             ("a broken watch is told", 1),
             ("a silent watch is found", 2),
@@ -98,13 +101,13 @@
         ]():
             self.assertIsNotNone(
                 FleetFaultSearch().play(
-                    *FLEET_FAILURES["a slow box of a small fleet is well again"]
+                    *FLEET_FAILURES["a slow node of a small fleet recovers"]
                 )
             )
 
 
-class Smaller(unittest.TestCase):
-    def test_only_what_it_takes_is_left(self):
+class ShrinkTests(unittest.TestCase):
+    def test_only_the_necessary_events_are_left(self):
         events = [FaultEvent(each, "x", (each,)) for each in range(40)]
         few = shrink_events(
             events, lambda some: {3, 17, 31} <= {each.at for each in some}
