--- a/milletsill/lab/model_checks/__init__.py
+++ b/milletsill/lab/model_checks/__init__.py
@@ -1,5 +1,4 @@
-"""Model checks.
+"""Model checks of the real state machines of leases, channels and quotas.
 
-The product's own state machines under every order of events up to a depth, and under
-chance.
+Each check explores every order of events up to a depth, and makes seeded random walks.
 """
--- a/milletsill/lab/model_checks/channel_acceptors.py
+++ b/milletsill/lab/model_checks/channel_acceptors.py
@@ -1,4 +1,4 @@
-"""The acceptors of a simulated channel, as the leases' own model shows them."""
+"""A model of the lease acceptors of a channel, with the guarantees of leases."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class SimulatedAcceptors:
-    """One holder at a time, whatever clocks do within their drift.
+    """Grants the lease to one holder at a time, for any clock drift within the limit.
 
-    Only the latest holder writes the record.
+    Only the latest holder can write the record.
 
     Attributes:
-        record: The record that a majority has.
-        written_at: When it was written, by true time.
+        record: The record that a majority of acceptors has.
+        written_at: True time at which the record was written.
         lease_index: Number of the latest lease.
-        holder: Name and incarnation of the gateway that has it.
-        held_until: Until when others are refused, by true time.
+        holder: Name and incarnation of the gateway that holds the latest lease.
+        held_until: True time until which other gateways are refused.
     """
 
     def __init__(self, checker: ContractChecker) -> None:
@@ -44,14 +44,18 @@
     def settle_acquire(
         self, now: int, candidate: tuple[str, int], pending: PendingAcquire, fate: str
     ) -> None:
-        """Grant or refuse a lease; `fate` is that of the candidate's messages."""
+        """Grant or refuse a lease; `fate` says what happens to the messages."""
         if fate != "done":
-            pending.then(QuorumNotReachedError("lost", CHANNEL_KEY, RETRY_DELAY))
+            pending.on_result(
+                QuorumNotReachedError("messages lost", CHANNEL_KEY, RETRY_DELAY)
+            )
             return
         is_held = self.holder[0] and now < self.held_until
         if is_held and self.holder != candidate:
-            pending.then(
-                NotLeaseHolderError("held", CHANNEL_KEY, RETRY_DELAY, self.holder[0])
+            pending.on_result(
+                NotLeaseHolderError(
+                    "lease held", CHANNEL_KEY, RETRY_DELAY, self.holder[0]
+                )
             )
             return
         self.holder = candidate
@@ -60,20 +64,24 @@
         self.checker.check_record(self.record, QUARANTINE)
         age = (now - self.written_at) * (1000 + 2 * DRIFT) // 1000 + 1
         expires_at = _expires_at(pending.sent_at)
-        pending.then(SimulatedLease(expires_at, self.record, age, self.lease_index))
+        pending.on_result(
+            SimulatedLease(expires_at, self.record, age, self.lease_index)
+        )
 
     def release(self, candidate: tuple[str, int]) -> None:
-        """A gateway gives up its lease, if it is the holder."""
+        """Release the lease if the candidate holds it."""
         if self.holder == candidate:
             self.holder = ("", 0)
 
     def settle_write(self, now: int, pending: PendingRecordWrite, fate: str) -> None:
-        """Accept or refuse a record; `fate` is that of the holder's messages."""
+        """Accept or refuse a record; `fate` says what happens to the messages."""
         lease = pending.lease
         if fate == "lost" or lease.is_ended or lease.index != self.lease_index:
             lease.is_ended = True
-            pending.then(
-                BallotSupersededError("lost or late", CHANNEL_KEY, RETRY_DELAY)
+            pending.on_result(
+                BallotSupersededError(
+                    "write lost or lease ended", CHANNEL_KEY, RETRY_DELAY
+                )
             )
             return
         if pending.value != self.record:
@@ -83,18 +91,20 @@
         self.held_until = max(self.held_until, _refused_until(now))
         if fate == "unheard":
             lease.is_ended = True
-            pending.then(BallotSupersededError("unheard", CHANNEL_KEY, RETRY_DELAY))
+            pending.on_result(
+                BallotSupersededError("unheard", CHANNEL_KEY, RETRY_DELAY)
+            )
             return
         lease.expires_at = max(lease.expires_at, _expires_at(pending.sent_at))
         lease.value = pending.value
-        pending.then(None)
+        pending.on_result(None)
 
 
 def _refused_until(granted_at: int) -> int:
-    """Until when others are refused a lease that was granted at `granted_at`."""
+    """Return until when acceptors refuse others a lease granted at `granted_at`."""
     return granted_at + LEASE_SPAN * (1000 + DRIFT) // 1000
 
 
 def _expires_at(sent_at: int) -> int:
-    """Until when a holder counts on a lease that it asked for at `sent_at`."""
+    """Return when the holder's lease ends that it requested at `sent_at`."""
     return sent_at + LEASE_SPAN * (1000 - DRIFT) // 1000
--- a/milletsill/lab/model_checks/channel_checker.py
+++ b/milletsill/lab/model_checks/channel_checker.py
@@ -1,4 +1,4 @@
-"""Checks the contracts of a simulated channel: each effect, answer and record."""
+"""Checks the effects, answers and records of a simulated channel."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 def batch_of(number: int) -> int:
-    """The batch of a number where the contract has batches: two numbers each."""
+    """Return the batch of a number in a contract with batches of two numbers."""
     return (number + 1) // 2
 
 
 class ContractChecker:
-    """What had an effect, what clients heard, and what contradicts the contract.
+    """Records effects and client answers, and checks them against the contract.
 
     Attributes:
-        effects: Number and extent of each effect, in the order in which they happened.
-        extents: The extent that each number touches now.
-        changed: Numbers that a client sent again with another content.
-        ever_released: Numbers that a record once had as released.
-        reported_settled: Numbers that a client heard to be settled.
-        resolved: Numbers of which a client said what became of them.
-        violation: What was broken first.
+        effects: Number and extent of each effect, in order of execution.
+        extents: The extent that each number accesses now.
+        changed: Numbers that a client sent again with other content.
+        ever_released: Numbers that were released in some written record.
+        reported_settled: Numbers that were reported to a client as settled.
+        resolved: Numbers whose outcome a client resolved.
+        violation: The first violation of the contract.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self.violation: str | None = None
 
     def fail(self, text: str) -> None:
-        """Note what is broken; the first counts."""
+        """Record a violation, if it is the first."""
         self.violation = self.violation or text
 
     def has_effect(self, number: int) -> bool:
@@ -47,18 +47,18 @@
         return any(each == number for each, _ in self.effects)
 
     def on_reported_settled(self, number: int) -> None:
-        """A client hears that a number is settled."""
+        """Check a number that is reported to a client as settled."""
         self.reported_settled.add(number)
         if number not in self.resolved and not self.has_effect(number):
-            self.fail(f"{number} was reported as settled and has no effect")
+            self.fail(f"{number} was reported as settled but has no effect")
 
     def on_record_written(self, record: bytes, quarantine: int) -> None:
-        """A record is at a majority."""
+        """Keep the released numbers of a record that a majority of acceptors has."""
         channel = codec.decode_record(record, quarantine, 0, 0)
         self.ever_released |= set(channel.open_numbers)
 
     def check_record(self, record: bytes, quarantine: int) -> None:
-        """A new owner must find settled what a client heard to be."""
+        """Check that a new owner's record has all numbers reported as settled."""
         if not record or not self.reported_settled:
             return
         channel = codec.decode_record(record, quarantine, 0, 0)
@@ -67,14 +67,13 @@
             if not channel.is_closed(number) or (
                 completed is not None and completed.outcome != CompletionOutcome.SETTLED
             ):
-                self.fail(
-                    f"{number} was reported as settled, and the record does not know it"
-                )
+                self.fail(f"{number} was reported as settled but not in the record")
 
     def on_effect(self, number: int, extent: int) -> None:
-        """A number has an effect: all contracts are checked here.
+        """Check the contract when a number takes effect.
 
-        A client may say of what was done that it was not: then the fault is its own.
+        Resolved numbers are exempt, since a client may resolve an executed number as
+        not done.
         """
         if self.has_effect(number) and number not in self.resolved:
             self.fail(f"{number} took effect twice")
@@ -86,10 +85,10 @@
             return
         missing = self._missing_before(number, extent)
         if missing:
-            self.fail(f"{number} took effect, {missing} left out")
+            self.fail(f"{number} took effect before {missing}")
 
     def _later_effects(self, number: int, extent: int) -> list[int]:
-        """Numbers that had an effect, and are ordered after this one."""
+        """Return executed numbers that the contract orders after this one."""
         in_batches = self.order is ChannelOrder.BATCHES
         return [
             each
@@ -100,7 +99,7 @@
         ]
 
     def _missing_before(self, number: int, extent: int) -> list[int]:
-        """Numbers that are ordered before this one, and were left out."""
+        """Return unexecuted numbers that the contract orders before this one."""
         in_batches = self.order is ChannelOrder.BATCHES
         first = batch_of(number) * 2 - 1 if in_batches else number
         return [
--- a/milletsill/lab/model_checks/channel_gateway.py
+++ b/milletsill/lab/model_checks/channel_gateway.py
@@ -1,7 +1,7 @@
-"""One simulated gateway with the program's own channel owner, and what is around it.
+"""A simulated gateway that runs the real channel owner.
 
-A gateway's clock may run at a wrong rate within the drift, its timers fire late, and
-what its owner released waits until the simulation lets it leave.
+The gateway's clock may have a rate error within the allowed drift. Its timers may fire
+late, and released requests wait until the simulation sends them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from milletsill.fleet.channels.timers import UNITS_PER_SECOND
 from milletsill.sftp import packets
 
-# Tenths of a millisecond, but for the drift: parts of a thousand.
+# In tenths of a millisecond, except the drift, which is in parts per thousand.
 LEASE_SPAN = 1000
 QUARANTINE = 100
 KEY_WINDOW = 2400
@@ -38,14 +38,14 @@
 
 
 def extent_of(request: NumberedRequest) -> int:
-    """The extent that a request touches: the first octet of its data."""
+    """Return the extent of a request, which is the first octet of its data."""
     command = request.command
     assert isinstance(command, packets.Write)
     return int(command.data[:1])
 
 
 class SimulatedTimer:
-    """A timer of a gateway: it is due by the gateway's clock, and fires when let."""
+    """A timer that is due by the gateway's clock; the simulation fires it later."""
 
     def __init__(self, at: int, call: Callable[[], object]) -> None:
         self.at = at
@@ -53,16 +53,16 @@
         self.is_active = True
 
     def active(self) -> bool:
-        """Whether it has neither fired nor been cancelled."""
+        """Return whether the timer has neither fired nor been cancelled."""
         return self.is_active
 
     def cancel(self) -> None:
-        """It does not fire."""
+        """Cancel the timer."""
         self.is_active = False
 
 
 class SimulatedLease:
-    """A lease as a channel owner sees it; `index` tells it from other grants."""
+    """A lease term as the channel owner uses it; `index` is its number."""
 
     def __init__(
         self, expires_at: int, value: bytes, value_age: int, index: int
@@ -78,25 +78,25 @@
 
 @dataclass(slots=True)
 class PendingAcquire:
-    """A lease that was asked for at `sent_at`, by the gateway's clock."""
+    """A lease request that was sent at `sent_at` by the gateway's clock."""
 
     sent_at: int
-    then: Callable[[Any], None]
+    on_result: Callable[[Any], None]
 
 
 @dataclass(slots=True)
 class PendingRecordWrite:
-    """A write of the record that was sent at `sent_at`, by the gateway's clock."""
+    """A record write that was sent at `sent_at` by the gateway's clock."""
 
     sent_at: int
     lease: SimulatedLease
     value: bytes
-    then: Callable[[Any], None]
+    on_result: Callable[[Any], None]
 
 
 @dataclass(slots=True)
 class QueuedAttempt:
-    """What was released and is not on its way yet."""
+    """A released attempt that was not sent yet."""
 
     request: NumberedRequest
     release: Release
@@ -105,22 +105,22 @@
 
 
 class GatewayEnvironment(Protocol):
-    """What a gateway needs of the simulated cluster."""
+    """What a gateway needs from the simulated cluster."""
 
     now: int
     catalog: ContractCatalog
 
     def on_released(self, request: NumberedRequest) -> None:
-        """A numbered request is released."""
+        """Check a numbered request that is released."""
 
     def on_lease_released(self, holder: tuple[str, int]) -> None:
-        """A gateway, by name and incarnation, gives up its lease."""
+        """Release the lease of a gateway, given by name and incarnation."""
 
 
 class SimulatedGateway:
-    """One gateway: its clock, its lease manager, its channel owner.
+    """One gateway with its clock, a simulated lease manager and its channel owner.
 
-    A gateway that is killed is replaced by another of the next incarnation.
+    A killed gateway is replaced by one of the next incarnation.
     """
 
     def __init__(
@@ -145,31 +145,31 @@
         )
 
     def now(self) -> int:
-        """What its clock reads."""
+        """Return the reading of the gateway's clock."""
         return self.cluster.now * (1000 + self.rate) // 1000
 
     def callLater(  # noqa: N802 - the reactor's name
         self, seconds: float, call: Callable[..., object], *values: Any
     ) -> SimulatedTimer:
-        """Set a timer, as a reactor does."""
+        """Schedule a call; the interface of a reactor."""
         due = self.now() + int(seconds * UNITS_PER_SECOND)
         timer = SimulatedTimer(due, lambda: call(*values))
         self.timers = [each for each in self.timers if each.is_active] + [timer]
         return timer
 
     def has_due_timer(self) -> bool:
-        """Whether any timer may fire."""
+        """Return whether any timer is due."""
         return any(each.is_active and each.at <= self.now() for each in self.timers)
 
     def fire_due_timers(self) -> None:
-        """All timers fire that are due."""
+        """Fire all due timers."""
         due = [each for each in self.timers if each.is_active and each.at <= self.now()]
         for timer in due:
             timer.is_active = False
             timer.call()
 
     def kill(self) -> None:
-        """Nothing happens here any more."""
+        """Drop all pending work, so that the gateway does nothing further."""
         self.is_dead = True
         self.pending = []
         self.queue = []
@@ -178,36 +178,36 @@
     # The lease manager.
 
     def preferred_holder(self, key: str) -> str:
-        """No gateway is preferred."""
+        """Return no name, since no gateway is preferred."""
         return ""
 
-    def acquire(self, key: str, then: Callable[[Any], None]) -> None:
-        """Ask for a lease."""
-        self.pending.append(PendingAcquire(self.now(), then))
+    def acquire(self, key: str, on_result: Callable[[Any], None]) -> None:
+        """Queue a lease request."""
+        self.pending.append(PendingAcquire(self.now(), on_result))
 
     def write(
-        self, lease: SimulatedLease, value: bytes, then: Callable[[Any], None]
+        self, lease: SimulatedLease, value: bytes, on_result: Callable[[Any], None]
     ) -> None:
-        """Write the record."""
-        self.pending.append(PendingRecordWrite(self.now(), lease, value, then))
+        """Queue a record write."""
+        self.pending.append(PendingRecordWrite(self.now(), lease, value, on_result))
 
     def holds(self, lease: SimulatedLease) -> bool:
-        """Whether a lease is held, by this gateway's clock."""
+        """Return whether a lease is held, by this gateway's clock."""
         return not lease.is_ended and self.now() < lease.expires_at
 
     def release(self, lease: SimulatedLease) -> None:
-        """Give a lease up."""
+        """Release a lease."""
         lease.is_ended = True
         self.cluster.on_lease_released((self.name, self.incarnation))
 
-    # The runner of attempts.
+    # The interface that runs attempts.
 
     def access_ranges(self, request: NumberedRequest) -> AccessRanges:
-        """One extent."""
+        """Return the single extent of a request."""
         return (AccessRange(extent_of(request)),)
 
     def key_window(self, command: ChannelCommand) -> int:
-        """For how long nodes remember an idempotency key."""
+        """Return how long nodes remember an idempotency key."""
         return KEY_WINDOW
 
     def run_attempt(
@@ -217,7 +217,7 @@
         deadline: int,
         on_ended: Callable[[AttemptEnd], None],
     ) -> None:
-        """Queue what was released."""
+        """Queue a released attempt."""
         request = release.request.recipient.body
         assert isinstance(request, NumberedRequest)
         key = f"{release.number}.{release.key_generation}"
--- a/milletsill/lab/model_checks/channel_model.py
+++ b/milletsill/lab/model_checks/channel_model.py
@@ -1,13 +1,14 @@
-"""A model check of ordered channels, over the program's own owner and sequencer.
+"""A model check of ordered channels, which runs the real owner and sequencer.
 
     python -m milletsill.lab.model_checks.channel_model
         [--walks N --steps N --worlds N]
 
-It plays every order of events up to a depth, scripts, and random walks through
-`SimulatedCluster`. After each effect at a node it checks the contract: the order, none
-twice, none left out that was never released; at each answer to a client and each lease
-whether what was reported as settled is. `channel_mutation_checks` takes out one guard
-at a time; the tests demand that each is found.
+It runs every order of events up to a depth, scripts, and random walks in a
+`SimulatedCluster`. After each effect at a node it checks the contract: effects are in
+order, no number takes effect twice, and no number that was never released is skipped.
+At each answer to a client and each new lease, it checks that the numbers reported as
+settled are settled. `channel_mutation_checks` disables one guard at a time; the tests
+require that the model detects each.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 EVENT_WEIGHTS = {
     "resolve ": 0.2,
     " opens": 0.2,
-    "claim before": 0.1,
+    "previous claim": 0.1,
     " to ": 1.5,
     "done": 14.0,
     "lost": 0.15,
@@ -38,17 +39,17 @@
     "node runs": 4.0,
     "answer": 7.0,
     "time-out": 3.0,
-    "another": 1.0,
+    "changes content": 1.0,
     "time 24": 0.8,
     "time 120": 0.5,
     "time 500": 0.15,
     "time 1060": 0.25,
 }
-"""How often an event is chosen, by the first of these parts in its name."""
+"""Relative frequency of events, by the first of these parts that is in their name."""
 
 EVENT_BUDGET = {
     "resolve ": 1,
-    "claim before": 0,
+    "previous claim": 0,
     "killed": 1,
     "lost": 1,
     "unheard": 1,
@@ -58,7 +59,7 @@
     "time 1060": 1,
     "time 120": 1,
 }
-"""How often an event may happen in an exploration, by a part of its name."""
+"""Largest number of events per exploration, by a part of their name."""
 
 EXPLORED_GATEWAYS = 2
 EXPLORED_NUMBERS = 2
@@ -76,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelExploration:
-    """What an exploration came to.
+    """The result of an exploration.
 
     Attributes:
-        states: Different states that were reached.
-        depth: The depth to which all orders of events were played.
-        violation: What went wrong, if anything.
+        states: Number of distinct states reached.
+        depth: Depth to which every order of events was run.
+        violation: The first violation, if any.
     """
 
     states: int
@@ -91,11 +92,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Walk:
-    """What a random walk came to.
+    """The result of a random walk.
 
     Attributes:
-        violation: What went wrong, if anything.
-        effects: Effects at nodes.
+        violation: The first violation, if any.
+        effects: Number of effects at nodes.
     """
 
     violation: str | None
@@ -103,12 +104,12 @@
 
 
 def weight_of(event: str) -> float:
-    """How often an event is chosen."""
+    """Return the relative frequency of an event."""
     return next(weight for part, weight in EVENT_WEIGHTS.items() if part in event)
 
 
 def play(case: Case, start: Sequence[str], events: Sequence[str]) -> EventPlayer:
-    """A cluster after a start, and then events that count for the budget."""
+    """Run start events, then events that count against the budget, in a new cluster."""
     order, policy = case
     cluster = SimulatedCluster(order, policy, EXPLORED_GATEWAYS, EXPLORED_NUMBERS)
     player = EventPlayer(cluster)
@@ -123,19 +124,19 @@
 def explore(
     case: Case, start: str, max_depth: int, max_states: int
 ) -> ChannelExploration:
-    """Play every order of events after a start; states that are alike once.
+    """Run every order of events after a start; visit equal states once.
 
     Args:
         case: The contract's order and policy.
         start: Name of one of `STARTS`.
-        max_depth: How many events are played at most.
-        max_states: How many states are reached at most.
+        max_depth: Largest number of events.
+        max_states: Number of states at which the exploration stops.
     """
     first = STARTS[start]
     seen = {play(case, first, []).fingerprint()}
     layer: list[list[str]] = [[]]
     for depth in range(max_depth):
-        following = []
+        next_layer = []
         for path in layer:
             for event in play(case, first, path).moves_within_budget():
                 longer = [*path, event]
@@ -150,13 +151,13 @@
                 seen.add(fingerprint)
                 if len(seen) >= max_states:
                     return ChannelExploration(len(seen), depth)
-                following.append(longer)
-        layer = following
+                next_layer.append(longer)
+        layer = next_layer
     return ChannelExploration(len(seen), max_depth)
 
 
 def walk(case: Case, steps: int, seed: int) -> Walk:
-    """A random walk through a larger cluster whose clocks drift."""
+    """Make a random walk in a larger cluster whose clocks drift."""
     random = Random(seed)
     order, policy = case
     cluster = SimulatedCluster(order, policy, WALK_GATEWAYS, WALK_NUMBERS, seed)
@@ -175,13 +176,13 @@
 
 
 def play_scripts() -> str | None:
-    """What goes wrong in the scripts, if anything."""
+    """Run the scripts and return the first violation, if any."""
     for name, script in SCRIPTS.items():
         cluster = SimulatedCluster(ChannelOrder.EACH_IN_ORDER, gateways=2, numbers=2)
         if found := _play_script(cluster, name, script):
             return found
     cluster = SimulatedCluster(ChannelOrder.BY_EXTENT, gateways=2, numbers=4)
-    return _play_script(cluster, "one that was overtaken", OVERTAKEN)
+    return _play_script(cluster, "an overtaken number", OVERTAKEN)
 
 
 def _play_script(
@@ -196,18 +197,18 @@
 def find_violation(
     walks: int, steps: int = 220, cases: Sequence[Case] = tuple(CASES)
 ) -> str | None:
-    """What goes wrong first, if anything: in the scripts, then in random walks."""
+    """Return the first violation in the scripts and then in random walks, if any."""
     if found := play_scripts():
         return found
     for seed in range(walks):
         for case in cases:
             violation = walk(case, steps, seed).violation
             if violation:
-                return f"{_named(case)} {violation}"
+                return f"{_case_name(case)} {violation}"
     return None
 
 
-def _named(case: Case) -> str:
+def _case_name(case: Case) -> str:
     order, policy = case
     return f"{order.name} {policy.name}"
 
@@ -218,8 +219,8 @@
             began = time.perf_counter()
             result = explore(case, start, EXPLORED_DEPTH, max_states)
             print(
-                f"{_named(case)} from {start}: every order of {result.depth} events, "
-                f"{result.states} states, {time.perf_counter() - began:.1f} s, "
+                f"{_case_name(case)} from {start}: every order of {result.depth} "
+                f"events, {result.states} states, {time.perf_counter() - began:.1f} s, "
                 f"{result.violation or 'kept'}"
             )
 
@@ -231,7 +232,7 @@
         effects = sum(each.effects for each in results)
         violation = next((each.violation for each in results if each.violation), None)
         print(
-            f"{_named(case)}: {walks} walks of {steps}, {effects} effects, "
+            f"{_case_name(case)}: {walks} walks of {steps}, {effects} effects, "
             f"{time.perf_counter() - began:.1f} s, {violation or 'kept'}"
         )
 
@@ -248,7 +249,7 @@
 
 
 def main() -> None:
-    """Run all checks and print what they come to."""
+    """Run all checks and print their results."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/milletsill/lab/model_checks/channel_moves.py
+++ b/milletsill/lab/model_checks/channel_moves.py
@@ -1,4 +1,4 @@
-"""The events of a simulated cluster, by name: which may happen next, one at a time."""
+"""The possible next events of a simulated cluster, by name."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from milletsill.sftp import channel_extensions as wire
 
 MAX_OUTSTANDING = 2
-"""Commands of one number that a client has out at once."""
+"""Largest number of unanswered commands with one number."""
 
 FATES = ("done", "lost", "unheard")
 TIME_STEPS = (24, QUARANTINE + 20, LEASE_SPAN // 2, LEASE_SPAN + 60)
 RESOLUTIONS = (
     ("done", wire.Resolution.DONE),
-    ("again", wire.Resolution.NOT_DONE),
-    ("left out", wire.Resolution.SKIPPED),
+    ("not done", wire.Resolution.NOT_DONE),
+    ("skipped", wire.Resolution.SKIPPED),
 )
 RESOLVING_GATEWAYS = 2
 
@@ -34,12 +34,12 @@
 
 
 class EventPlayer:
-    """Lets events happen in a cluster.
+    """Runs events by name in a cluster.
 
     Attributes:
         cluster: The cluster.
-        budget: How often events with such a word in their name may still happen, where
-            that is bounded.
+        budget: How many more events may be run whose name contains a key; events that
+            match no key are unlimited.
     """
 
     def __init__(self, cluster: SimulatedCluster) -> None:
@@ -47,7 +47,7 @@
         self.budget: dict[str, int] = {}
 
     def do(self, name: str) -> bool:
-        """Let one event happen, by name; False where it cannot."""
+        """Run one event by name; return False if it is not possible."""
         move = moves_of(self.cluster).get(name)
         if move is None:
             return False
@@ -58,7 +58,7 @@
         return True
 
     def moves_within_budget(self) -> list[str]:
-        """Names of the events that the budget still bears."""
+        """Return the names of the possible events that the budget allows."""
         spent = [word for word, left in self.budget.items() if left <= 0]
         return [
             name
@@ -67,19 +67,19 @@
         ]
 
     def fingerprint(self) -> Any:
-        """The same for clusters that go on alike within their budgets."""
+        """Return a key that is equal for clusters and budgets in equal states."""
         return self.cluster.fingerprint(), tuple(self.budget.values())
 
 
 def moves_of(cluster: SimulatedCluster) -> Moves:
-    """All events that may happen next; always in the same order."""
+    """Return all possible next events, in a fixed order."""
     moves: Moves = {}
-    for place, gateway in enumerate(cluster.gateways):
+    for index, gateway in enumerate(cluster.gateways):
         _add_client_moves(moves, cluster, gateway)
         _add_gateway_moves(moves, cluster, gateway)
-        moves[f"{gateway.name} killed"] = partial(cluster.kill, place)
-    for place, dispatch in enumerate(cluster.dispatches):
-        _add_dispatch_moves(moves, cluster, place, dispatch)
+        moves[f"{gateway.name} killed"] = partial(cluster.kill, index)
+    for index, dispatch in enumerate(cluster.dispatches):
+        _add_dispatch_moves(moves, cluster, index, dispatch)
     for number in sorted(cluster.reported_failed):
         for name, resolution in RESOLUTIONS:
             for gateway in cluster.gateways[:RESOLVING_GATEWAYS]:
@@ -87,7 +87,7 @@
                     cluster.resolve, gateway, number, resolution
                 )
     for number in sorted(cluster.rejected):
-        moves[f"{number} becomes another"] = partial(cluster.change_content, number)
+        moves[f"{number} changes content"] = partial(cluster.change_content, number)
     for span in TIME_STEPS:
         moves[f"time {span}"] = partial(cluster.pass_time, span)
     return moves
@@ -106,7 +106,7 @@
                 cluster.send, gateway, number, claim
             )
         if claim > 1:
-            moves[f"{number} to {gateway.name} under the claim before"] = partial(
+            moves[f"{number} to {gateway.name} under the previous claim"] = partial(
                 cluster.send, gateway, number, claim - 1
             )
 
@@ -126,13 +126,13 @@
 
 
 def _add_dispatch_moves(
-    moves: Moves, cluster: SimulatedCluster, place: int, dispatch: ModelledAttempt
+    moves: Moves, cluster: SimulatedCluster, index: int, dispatch: ModelledAttempt
 ) -> None:
     if cluster.now <= dispatch.runs_until:
-        moves[f"node runs {place}"] = partial(cluster.run, dispatch)
+        moves[f"node runs {index}"] = partial(cluster.run, dispatch)
     if dispatch.is_over:
         return
     if dispatch.is_answered:
-        moves[f"answer {place}"] = partial(cluster.end, dispatch, NumberEvent.SETTLED)
+        moves[f"answer {index}"] = partial(cluster.end, dispatch, NumberEvent.SETTLED)
     if dispatch.gateway.now() >= dispatch.attempt.deadline:
-        moves[f"time-out {place}"] = partial(cluster.time_out, dispatch)
+        moves[f"time-out {index}"] = partial(cluster.time_out, dispatch)
--- a/milletsill/lab/model_checks/channel_mutation_checks.py
+++ b/milletsill/lab/model_checks/channel_mutation_checks.py
@@ -1,4 +1,4 @@
-"""The guards of ordered channels, one out at a time: the model finds each missing."""
+"""Guards of ordered channels; the model check must fail without any one of them."""
 
 from __future__ import annotations
 
@@ -48,16 +48,16 @@
 
 
 def _known_predecessor_only(channel: ChannelState, number: int) -> int | None:
-    """A number that is absent is taken to be of another extent."""
+    """Treat an absent number as one of another extent."""
     ranges = channel.open_numbers[number].ranges
-    for lower, sequence in sorted(channel.open_numbers.items()):
-        if lower < number and ranges_overlap(sequence.ranges, ranges):
+    for lower, open_number in sorted(channel.open_numbers.items()):
+        if lower < number and ranges_overlap(open_number.ranges, ranges):
             return lower
     return None
 
 
 def _release_before_write(self: OwnedChannel) -> None:
-    """What is released leaves before the record is written."""
+    """Send released requests before the record is written."""
     if self.sequencer.record_changed and not self.is_writing and not self.is_lost:
         self.perform_after_write()
     _pump(self)
@@ -67,7 +67,7 @@
     return now
 
 
-def _endless_key_window(self: ChannelState, sequence: Any, request: Any) -> int:
+def _endless_key_window(self: ChannelState, open_number: Any, request: Any) -> int:
     return 1 << 60
 
 
@@ -91,7 +91,7 @@
 
 
 def _without_transition() -> AbstractContextManager[Any]:
-    """A number whose answer is lost is free again."""
+    """Reject a number whose answer is lost, so that it may be used again."""
     lost = (NumberState.RELEASED, NumberEvent.ANSWER_LOST)
     freed = (NumberState.ABSENT, NumberEffect.REJECT)
     return mock.patch.dict(number_states.NUMBER_TRANSITIONS, {lost: freed})
@@ -99,52 +99,52 @@
 
 MUTATIONS: dict[str, Mutation] = {
     "each in order": _without_rule(ChannelOrder.EACH_IN_ORDER),
-    "the newest first": _without_rule(ChannelOrder.NEWEST),
-    "order on one extent": _without_rule(ChannelOrder.BY_EXTENT),
+    "only newer numbers are released": _without_rule(ChannelOrder.NEWEST),
+    "order within one extent": _without_rule(ChannelOrder.BY_EXTENT),
     "an absent number may be of any extent": _without_rule(
         ChannelOrder.BY_EXTENT, _known_predecessor_only
     ),
-    "one that was overtaken is pinned": _without_method(
+    "an overtaken number is pinned to its extent": _without_method(
         ChannelSequencer, "pin_overtaken", _do_nothing
     ),
-    "a batch after the one before": _without_rule(ChannelOrder.BATCHES),
-    "the record before the send": _without_method(
+    "batches in order": _without_rule(ChannelOrder.BATCHES),
+    "the record is written before the send": _without_method(
         OwnedChannel, "pump", _release_before_write
     ),
     "the quarantine after an indeterminate outcome": _without_method(
         ChannelSequencer, "quarantine_end", _no_quarantine
     ),
-    "an idempotency key's window": _without_method(
+    "the window of an idempotency key": _without_method(
         ChannelSequencer, "key_window_end", _endless_key_window
     ),
-    "the lease at the last place": _without_method(
+    "the lease is checked right before the send": _without_method(
         ReleasedAttempt, "may_send", _always_true
     ),
-    "nothing outlives its lease": _without_method(
+    "no attempt outlives its lease": _without_method(
         OwnedChannel, "attempt_deadline", _own_deadline
     ),
-    "a lease that was lost runs on": _without_method(
+    "attempts under a lost lease may still run": _without_method(
         ChannelOwner, "lost_lease_end", _always_zero
     ),
-    "what another owned meanwhile": _without_method(
+    "state is outdated after another owner": _without_method(
         OwnedChannel, "is_current", _always_true
     ),
-    "a rejection only of what cannot have run": _without_method(
+    "an attempt that may have run is not rejected": _without_method(
         ReleasedAttempt, "event_without_answer", _never_ran
     ),
-    "nor of what was tried before": _without_method(
+    "nor is a number with an earlier such attempt": _without_method(
         ChannelSequencer, "was_tried_before", _always_false
     ),
     "an indeterminate number is not free": _without_transition,
-    "one holds the claim": _without_method(
+    "only the latest claim is valid": _without_method(
         ChannelSequencer, "holds_claim", _always_true
     ),
 }
-"""By guard: what takes it out."""
+"""The patch that disables each guard, by the guard's title."""
 
 
 @contextmanager
 def without(guard: str) -> Iterator[None]:
-    """The program with one guard out."""
+    """Run with one guard disabled."""
     with MUTATIONS[guard]():
         yield
--- a/milletsill/lab/model_checks/channel_scripts.py
+++ b/milletsill/lab/model_checks/channel_scripts.py
@@ -1,7 +1,7 @@
-"""Sequences of events that the model of channels plays: starts, and cases by name.
+"""Event sequences for the model check of channels: starting states and scripts.
 
-The names are those of `SimulatedCluster.moves`. Of a script, what cannot happen is left
-out: each is a case that chance finds late, for one guard.
+The event names are those of `channel_moves.moves_of`. Events of a script that are not
+possible are skipped. Each script detects a missing guard that random walks detect late.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 RELEASED = [*OPENED, "1 to g0", "g0 acceptors done", "g0 dispatches"]
 """Number 1 is at a node."""
 
-OWNER_GONE = [
+OWNER_REPLACED = [
     *RELEASED,
     "g0 killed",
     "time 500",
@@ -20,10 +20,10 @@
     "g1 acceptors done",
     "g1 acceptors done",
 ]
-"""The owner that released number 1 is gone, its lease is over, another has begun."""
+"""The owner that released number 1 was killed; after its lease, another took over."""
 
-STARTS = {"opened": OPENED, "released": RELEASED, "owner gone": OWNER_GONE}
-"""How a channel stands when an exploration begins."""
+STARTS = {"opened": OPENED, "released": RELEASED, "owner replaced": OWNER_REPLACED}
+"""Events that lead to the starting state of an exploration, by name."""
 
 _RETRY_LATE = [
     "time 1060",
@@ -34,7 +34,7 @@
     "node runs 0",
     "node runs 1",
 ]
-_BEHIND = [
+_SEND_SECOND = [
     "2 to g1",
     "g1 acceptors done",
     "g1 dispatches",
@@ -42,16 +42,16 @@
     "node runs 0",
 ]
 SCRIPTS: dict[str, list[str]] = {
-    "a late run behind a new owner": OWNER_GONE
-    + _BEHIND[:1]
+    "a late run under a new owner": OWNER_REPLACED
+    + _SEND_SECOND[:1]
     + ["time 24", "g1 timers fire"]
-    + _BEHIND[1:],
-    "a long deadline behind a new owner": OWNER_GONE
-    + _BEHIND[:1]
+    + _SEND_SECOND[1:],
+    "a long deadline under a new owner": OWNER_REPLACED
+    + _SEND_SECOND[:1]
     + ["time 120", "g1 timers fire"]
-    + _BEHIND[1:],
-    "an owner that stood still before the send": RELEASED[:-1]
-    + OWNER_GONE[len(RELEASED) + 1 :]
+    + _SEND_SECOND[1:],
+    "an owner that stalls before the send": RELEASED[:-1]
+    + OWNER_REPLACED[len(RELEASED) + 1 :]
     + [
         "2 to g1",
         "time 120",
@@ -62,13 +62,13 @@
         "g0 dispatches",
         "node runs 1",
     ],
-    "an idempotency key that is forgotten": RELEASED
+    "an idempotency key that nodes forgot": RELEASED
     + ["node runs 0", "time 500", "time 500", "time-out 0", "time 1060"]
     + _RETRY_LATE,
-    "a rejection that was none": RELEASED
+    "a rejected number that ran": RELEASED
     + ["time 500", "time 500", "time-out 0", "node runs 0", "time 1060"]
     + _RETRY_LATE,
-    "a retry that never left": RELEASED
+    "a retry that was never sent": RELEASED
     + [
         "node runs 0",
         "time 500",
@@ -83,7 +83,7 @@
         "g0 acceptors done",
     ]
     + _RETRY_LATE,
-    "an owner that comes back": RELEASED
+    "an owner that acquires the lease again": RELEASED
     + [
         "node runs 0",
         "answer 0",
@@ -128,7 +128,7 @@
     "time 1060",
     "time 1060",
     "time-out 0",
-    "3 becomes another",
+    "3 changes content",
     "time 120",
     "3 to g0",
     "g0 acceptors done",
@@ -140,8 +140,8 @@
 ]
 
 
-# A lease is lost by a write that came to nothing and acquired again at once: what was
-# released under it may still run.
+# A lost record write ends the lease, and the same gateway acquires it again at once. An
+# attempt released under the lost lease may still run.
 SCRIPTS["a lease lost and acquired again"] = RELEASED + [
     "g0 opens",
     "g0 acceptors lost",
--- a/milletsill/lab/model_checks/channel_simulation.py
+++ b/milletsill/lab/model_checks/channel_simulation.py
@@ -1,11 +1,11 @@
-"""The cluster that `channel_model` plays: gateways, clients, nodes, acceptors.
-
-Gateways run the program's own channel owner. Leases are taken for what the leases' own
-model shows of them: one holder at a time whatever clocks do within their drift, and a
-record that only the latest holder writes. Everything else misbehaves: commands are
-lost, doubled and reordered; a gateway stands still at any point (its timers fire late,
-what it decided leaves late) or is killed; a node runs an attempt late, or twice, within
-the quarantine.
+"""The simulated cluster of `channel_model`: gateways, clients, nodes and acceptors.
+
+Gateways run the real channel owner. Leases are simulated with the guarantees that the
+model check of leases establishes: one holder at a time for any clock drift within the
+limit, and a record that only the latest holder writes. Everything else is faulty:
+commands are lost, duplicated and reordered; a gateway stalls at any point (its timers
+fire late and its released attempts are sent late) or is killed; a node runs an attempt
+late, or twice, within the quarantine.
 """
 
 from __future__ import annotations
@@ -51,11 +51,11 @@
 from milletsill.sftp.extensions import CommandTerms
 
 CLAIM_GRACE_EVENTS = 40
-"""Events after which nothing is released under an earlier claim any more."""
+"""Number of events after a new claim during which older claims may release."""
 
 
 class SimulatedVolume:
-    """The channel's volume."""
+    """The volume of the channel."""
 
     name = "v"
     number = 1
@@ -63,9 +63,9 @@
 
 @dataclass(slots=True, eq=False)
 class ModelledAttempt:
-    """An attempt at a node, or on its way there or back.
+    """An attempt that was sent to a node.
 
-    `runs_until` is the true time after which a node does not run it any more.
+    `runs_until` is the true time after which a node no longer runs it.
     """
 
     request: NumberedRequest
@@ -78,15 +78,17 @@
 
 
 class SimulatedCluster:
-    """A channel's whole world. A request's data are its extent and its number.
+    """One channel with all gateways, clients, nodes and acceptors that use it.
+
+    A request's data consists of its extent and its number.
 
     Attributes:
-        checker: Checks the contract; its `violation` says what was broken first.
-        outstanding: Commands of each number on their way or waiting.
-        reported_failed: Numbers of which a client heard that they may have been done.
-        required_generation: By number, the first generation of its idempotency key that
-            may still run, once the client's word on it was taken.
-        rejected: Numbers that were rejected: a client may send another content.
+        checker: Checks the contract and keeps the first violation.
+        outstanding: Number of unanswered commands of each number.
+        reported_failed: Numbers that were reported to a client as possibly executed.
+        required_generation: By number, the first generation of its idempotency key
+            that may still run after the client resolved the number.
+        rejected: Rejected numbers, which a client may send with other content.
     """
 
     def __init__(
@@ -109,8 +111,8 @@
         self.acceptors = SimulatedAcceptors(self.checker)
         rates = [random.choice((-DRIFT, DRIFT)) for _ in range(gateways)]
         self.gateways = [
-            SimulatedGateway(self, f"g{place}", 1, rate)
-            for place, rate in enumerate(rates)
+            SimulatedGateway(self, f"g{index}", 1, rate)
+            for index, rate in enumerate(rates)
         ]
         self.dispatches: list[ModelledAttempt] = []
         self.first_runs: dict[str, int] = {}  # by idempotency key, true time
@@ -125,13 +127,13 @@
 
     @property
     def violation(self) -> str | None:
-        """What was broken first, if anything."""
+        """The first violation, if any."""
         return self.checker.violation
 
     # Clients.
 
     def open(self, gateway: SimulatedGateway) -> None:
-        """A client opens the channel."""
+        """Open the channel as a client."""
         self.open_commands += 1
         body = OpenChannel("", 0, 0)
         token = str(self.open_commands)
@@ -145,7 +147,7 @@
                 self.claimed_at_event = self.events
 
     def send(self, gateway: SimulatedGateway, number: int, claim: int) -> None:
-        """A client's request; one that was rejected may come with another content."""
+        """Send a client's request to a gateway."""
         in_batches = self.order is ChannelOrder.BATCHES
         extent = self.checker.extents[number]
         body = NumberedRequest(
@@ -166,17 +168,17 @@
         self.outstanding[number] = max(self.outstanding.get(number, 0) - 1, 0)
         if isinstance(packet, Redirect):
             return
-        sign = status_tags.parse_status_tag(packet.language)
-        if sign is None:
+        tag = status_tags.parse_status_tag(packet.language)
+        if tag is None:
             self.checker.on_reported_settled(number)
             return
-        if sign.word == "declined" and number not in self.checker.ever_released:
+        if tag.word == "declined" and number not in self.checker.ever_released:
             self.rejected.add(number)
-        if sign.word in ("aborted", "stopped"):
-            self.reported_failed.add(sign.number or number)
+        if tag.word in ("aborted", "stopped"):
+            self.reported_failed.add(tag.number or number)
 
     def resolve(self, gateway: SimulatedGateway, number: int, resolution: int) -> None:
-        """A client says what became of a number that is in doubt."""
+        """Resolve a number with an indeterminate outcome, as a client."""
         self.checker.resolved.add(number)
 
         def on_answer(packet: Any) -> None:
@@ -201,30 +203,30 @@
         )
 
     def change_content(self, number: int) -> None:
-        """The client sends a rejected number with another content from now on."""
+        """Change the content with which the client sends a rejected number."""
         self.rejected.discard(number)
         self.checker.extents[number] = 1 - self.checker.extents[number]
         self.checker.changed.add(number)
 
     def on_lease_released(self, holder: tuple[str, int]) -> None:
-        """A gateway, by name and incarnation, gives up its lease."""
+        """Release the lease of a gateway, given by name and incarnation."""
         self.acceptors.release(holder)
 
     def on_released(self, request: NumberedRequest) -> None:
-        """A request passes the gate."""
+        """Check that a released request has a recent claim."""
         if (
             self.claim > request.claim
             and self.events - self.claimed_at_event > CLAIM_GRACE_EVENTS
         ):
             self.checker.fail(
-                f"{request.number} passed under claim {request.claim} long after "
-                f"{self.claim}"
+                f"{request.number} was released under claim {request.claim} long "
+                f"after claim {self.claim}"
             )
 
     # Nodes.
 
     def dispatch(self, gateway: SimulatedGateway) -> None:
-        """What was released reaches the last place before the network."""
+        """Send a gateway's first queued attempt, if it may still be sent."""
         queued = gateway.queue.pop(0)
         attempt = queued.attempt
         if not attempt.may_send():
@@ -233,7 +235,7 @@
             return
         attempt.sent += 1
         remaining = max(attempt.deadline - gateway.now(), 0)
-        # Rule 5: it does not run after its end and the quarantine.
+        # A node does not run an attempt later than a quarantine after its deadline.
         runs_until = self.now + (remaining + QUARANTINE) * 1000 // (1000 + DRIFT)
         self.rejected.discard(queued.release.number)
         self.dispatches.append(
@@ -243,7 +245,7 @@
         )
 
     def run(self, dispatch: ModelledAttempt) -> None:
-        """A node does it, or answers from its memory of idempotency keys."""
+        """Run an attempt at a node, or answer it by its remembered idempotency key."""
         key = dispatch.attempt.idempotency_key
         first_run = self.first_runs.get(key)
         memory = KEY_WINDOW * (1000 + 2 * DRIFT) // 1000
@@ -252,14 +254,14 @@
             number, generation = (int(part) for part in key.split("."))
             if generation < self.required_generation.get(number, 0) and not generation:
                 self.checker.fail(
-                    f"{number} took effect after the client's word on it was taken"
+                    f"{number} took effect after the client had resolved it"
                 )
             request = dispatch.request
             self.checker.on_effect(request.number, extent_of(request))
         dispatch.is_answered = True
 
     def end(self, dispatch: ModelledAttempt, event: NumberEvent) -> None:
-        """The gateway hears how an attempt ended."""
+        """Deliver the end of an attempt to its gateway."""
         if dispatch.is_over or dispatch.gateway.is_dead:
             return
         dispatch.is_over = True
@@ -271,13 +273,14 @@
     # Acceptors, time and kills.
 
     def time_out(self, dispatch: ModelledAttempt) -> None:
-        """The gateway waits no longer for an attempt."""
+        """End an attempt without an answer at its deadline."""
         self.end(dispatch, dispatch.attempt.event_without_answer())
 
     def settle(self, gateway: SimulatedGateway, fate: str = "done") -> None:
-        """What a gateway asked of the acceptors comes to something.
+        """Complete a gateway's first pending request to the acceptors.
 
-        `fate` is `done`, `lost` (nothing came of it) or `unheard` (done, unheard).
+        `fate` is `done`, `lost` (the request was lost) or `unheard` (the request was
+        executed, and its reply was lost).
         """
         pending = gateway.pending.pop(0)
         if isinstance(pending, PendingAcquire):
@@ -287,7 +290,7 @@
             self.acceptors.settle_write(self.now, pending, fate)
 
     def pass_time(self, span: int) -> None:
-        """True time goes by."""
+        """Advance true time, and remove attempts that can no longer matter."""
         self.now += span
         self.dispatches = [
             each
@@ -296,17 +299,17 @@
             or (not each.is_over and not each.gateway.is_dead)
         ]
 
-    def kill(self, place: int) -> None:
-        """A gateway is killed, and another begins in its place."""
-        old = self.gateways[place]
+    def kill(self, index: int) -> None:
+        """Kill a gateway, and start its next incarnation."""
+        old = self.gateways[index]
         old.kill()
         self.outstanding = {}
-        self.gateways[place] = SimulatedGateway(
+        self.gateways[index] = SimulatedGateway(
             self, old.name, old.incarnation + 1, old.rate
         )
 
     def fingerprint(self) -> Any:
-        """The same for clusters that go on alike, as far as it is told apart here."""
+        """Return a key of the state; explorations visit equal keys once."""
         gateways = tuple(
             (
                 gateway.now(),
--- a/milletsill/lab/model_checks/lease_cases.py
+++ b/milletsill/lab/model_checks/lease_cases.py
@@ -1,6 +1,6 @@
-"""Cases of the lease model that chance meets seldom.
+"""Scripted cases of the lease model that random walks rarely reach.
 
-Each returns what went wrong, None for nothing.
+Each case returns the first violation, or None.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from milletsill.lab.model_checks.lease_cluster import TIMINGS, LeaseCluster
 from milletsill.lab.model_checks.lease_cluster_members import RestartKind
-from milletsill.lab.model_checks.lease_walk import copy_records
+from milletsill.lab.model_checks.lease_walk import continue_recovery
 
 _ALL = ("r0", "r1", "r2")
 
@@ -20,14 +20,14 @@
     reach: tuple[str, ...],
     event: Callable[[str], None],
 ) -> None:
-    """Have a holder do one thing with some acceptors and no others."""
+    """Run one event of a holder, with messages to and from some acceptors only."""
     event(holder)
     for _ in range(3):
         cluster.exchange(holder, reach)
     cluster.in_flight = []
 
 
-def _pass_lease(cluster: LeaseCluster) -> None:
+def _let_lease_expire(cluster: LeaseCluster) -> None:
     cluster.pass_time(TIMINGS.lease_duration * 12 // 10)
 
 
@@ -39,57 +39,59 @@
 
 def _lose_and_recover(cluster: LeaseCluster, acceptor: str) -> None:
     cluster.restart_acceptor(acceptor, RestartKind.LOST)
-    copy_records(cluster, acceptor)
+    continue_recovery(cluster, acceptor)
     cluster.pass_time(TIMINGS.recovery_wait() * 12 // 10)
-    copy_records(cluster, acceptor)
+    continue_recovery(cluster, acceptor)
 
 
-def copied() -> str | None:
-    """A write that only one acceptor took is copied by another that recovers.
+def copied_record_is_no_vote() -> str | None:
+    """A recovering acceptor copies a write that only one other acceptor accepted.
 
-    That one had let a later ballot in: it looks as if two had accepted the write.
+    The recovering acceptor had promised a higher ballot. If the copy counted as a vote,
+    two acceptors would seem to have accepted the write.
     """
     cluster = LeaseCluster(3, 3)
     _reach(cluster, "k0", _ALL, cluster.acquire)
     _reach(cluster, "k0", _ALL, cluster.write)
-    _pass_lease(cluster)
+    _let_lease_expire(cluster)
     _reach(cluster, "k1", ("r1", "r2"), cluster.acquire)
     _announce_all(cluster)
     _reach(cluster, "k0", ("r0",), cluster.write)
     _lose_and_recover(cluster, "r1")
-    _pass_lease(cluster)
+    _let_lease_expire(cluster)
     _reach(cluster, "k2", ("r0", "r1"), cluster.acquire)
     _reach(cluster, "k1", ("r2",), cluster.write)
-    _pass_lease(cluster)
+    _let_lease_expire(cluster)
     _reach(cluster, "k0", ("r0", "r2"), cluster.acquire)
     return cluster.history.violation
 
 
-def twice() -> str | None:
-    """A gateway drops a proposer whose write one acceptor took, and acquires anew."""
+def dropped_proposer_reuses_no_ballot() -> str | None:
+    """A gateway drops a proposer after a write at one acceptor, and acquires again."""
     cluster = LeaseCluster(3, 2)
     _reach(cluster, "k0", _ALL, cluster.acquire)
     _reach(cluster, "k0", ("r0",), cluster.write)
-    _pass_lease(cluster)
+    _let_lease_expire(cluster)
     cluster.drop_proposer("k0")
     _reach(cluster, "k0", ("r1", "r2"), cluster.acquire)
     _reach(cluster, "k0", ("r1", "r2"), cluster.write)
-    _pass_lease(cluster)
+    _let_lease_expire(cluster)
     _reach(cluster, "k1", ("r0", "r1"), cluster.acquire)
     return cluster.history.violation
 
 
-def fenced() -> str | None:
-    """One acceptor removes an idle record that another is about to copy.
+def removed_record_keeps_its_floor() -> str | None:
+    """One acceptor removes an idle record that another then copies in an old version.
 
-    The other knew what it knew and is lost; it copies from a third that lags.
+    The other acceptor had the same record, loses its state, and copies the records of a
+    third acceptor that lacks the last write.
     """
     cluster = LeaseCluster(3, 2)
     idle_after = 6 * TIMINGS.lease_duration
     cluster.history.idle_after = idle_after
     _reach(cluster, "k0", _ALL, cluster.acquire)
     _reach(cluster, "k0", _ALL, cluster.write)
-    _pass_lease(cluster)
+    _let_lease_expire(cluster)
     _reach(cluster, "k1", ("r1", "r2"), cluster.acquire)
     _reach(cluster, "k1", ("r1", "r2"), cluster.write)
     _announce_all(cluster)
@@ -100,4 +102,8 @@
     return cluster.history.violation
 
 
-CASES = (copied, twice, fenced)
+CASES = (
+    copied_record_is_no_vote,
+    dropped_proposer_reuses_no_ballot,
+    removed_record_keeps_its_floor,
+)
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -1,8 +1,8 @@
-"""A cluster of lease holders and acceptors for the model of leases.
+"""A simulated cluster of lease holders and acceptors for the model of leases.
 
-Its network loses, doubles, delays and reorders messages, its clocks drift, and its
-members start again. A value is the sequence of all writes that it was made from, so
-that a lost or a forked one shows.
+The network loses, duplicates, delays and reorders messages, the clocks drift, and
+members restart. A value is the sequence of all writes that it is based on, so that a
+lost or forked write is visible in it.
 """
 
 from __future__ import annotations
@@ -22,45 +22,42 @@
     AcceptorRequest,
     ReplyStatus,
 )
-from milletsill.fleet.leases.proposer_table import (
-    ROUND_EFFECTS,
-    ProposerEffect,
-)
+from milletsill.fleet.leases.proposer_table import ROUND_EFFECTS, ProposerEffect
 from milletsill.fleet.leases.timings import LeaseTimings
 from milletsill.lab.model_checks.lease_cluster_members import (
     KEY,
     Body,
     IdentifiedReply,
+    KnownIdentity,
+    KnownIdentityQuery,
     MemberFault,
     Message,
     PageQuery,
     RestartKind,
     SimulatedAcceptor,
     SimulatedHolder,
-    Witness,
-    WitnessQuery,
 )
 from milletsill.lab.model_checks.lease_history import LeaseHistory, ValueClaim
 
-MAX_IN_FLIGHT = 14  # messages, for each holder
+MAX_IN_FLIGHT = 14  # messages per holder
 MAX_EXCHANGE = 8  # messages of one exchange
-# Clocks that are wrong by 5%, so that it shows past the margin of a send.
+# The 5% drift exceeds the margin that counting a lease from its request's send gives.
 TIMINGS = LeaseTimings(10_000, 2_500, 50)
 
 
 class LeaseCluster:
-    """All members, the messages that may still arrive, and what counted so far.
+    """All members, the messages in flight, and the history of settled values.
 
     Args:
-        acceptors: How many.
-        holders: How many.
-        rates: How much each clock is wrong in parts of a thousand, acceptors first; the
-            worst that the drift allows by default: fast acceptors and slow holders.
+        acceptors: Number of acceptors.
+        holders: Number of holders.
+        rates: Rate error of each clock in parts per thousand, acceptors first. The
+            default is the worst case within the drift: fast acceptors, slow holders.
 
     Attributes:
         now: True time in ticks.
-        history: What counted so far, and what was broken.
-        undated_holders: Those of an earlier version, which do not send it.
+        history: The settled values so far, and the first violation.
+        undated_holders: Holders of an earlier version, which send no creation times.
     """
 
     def __init__(
@@ -87,7 +84,7 @@
         self.budget = dict.fromkeys(MemberFault, 1)
 
     def copy(self) -> LeaseCluster:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         made = copy.copy(self)
         made.acceptors = {name: each.copy() for name, each in self.acceptors.items()}
         made.holders = {name: each.copy() for name, each in self.holders.items()}
@@ -97,7 +94,7 @@
         return made
 
     def key(self) -> Hashable:
-        """Return what identifies a state."""
+        """Return a key that is equal for equal states."""
         return (
             self.now,
             self.history.settled_value,
@@ -108,23 +105,23 @@
         )
 
     def clock(self, name: str) -> int:
-        """Return what a member's clock reads."""
+        """Return the reading of a member's clock."""
         return self._on_clock(name, self.now)
 
     def _on_clock(self, name: str, at: int) -> int:
         return at * (1000 + self.rates[name]) // 1000
 
-    # What is looked for.
+    # Checks.
 
     def check_holders(self) -> None:
-        """See that at most one holds the lease."""
+        """Check that at most one holder holds the lease."""
         holding = [
             name
             for name, each in self.holders.items()
             if each.proposer.holds(self.clock(name))
         ]
         if len(holding) > 1:
-            self.history.report(f"two hold the lease: {holding}")
+            self.history.report(f"several holders hold the lease: {holding}")
 
     def _check_value(self, name: str, is_read: bool) -> None:
         proposer = self.holders[name].proposer
@@ -158,24 +155,24 @@
             self.send(each, name, request)
 
     def acquire(self, name: str) -> None:
-        """Have a holder acquire or renew the lease."""
+        """Acquire or renew the lease for a holder."""
         self._apply(name, self.holders[name].proposer.acquire(self.clock(name)))
 
     def write(self, name: str) -> None:
-        """Have a holder add a write to the value that it knows."""
+        """Append a write to the value that a holder knows."""
         holder = self.holders[name]
         self.written += 1
-        value = holder.value_under_way() + self.written.to_bytes(2, "big")
+        value = holder.value_in_progress() + self.written.to_bytes(2, "big")
         if name not in self.undated_holders:
             self.history.created_at[value] = self.now
         self._apply(name, holder.proposer.write(value, self.clock(name)))
 
     def release(self, name: str) -> None:
-        """Have a holder release the lease."""
+        """Release the lease of a holder."""
         self._apply(name, self.holders[name].proposer.release(self.clock(name)))
 
     def resend(self, name: str) -> None:
-        """Send a holder's request again, as `RequestSender` does in time."""
+        """Send a holder's request again, as `RequestSender` does periodically."""
         current = self.holders[name].proposer.current_round
         if current is None:
             return
@@ -183,7 +180,7 @@
             self.send(each, name, current.request)
 
     def drop_proposer(self, name: str) -> None:
-        """Have a holder drop a proposer that it does not use, for a new one."""
+        """Replace a holder's proposer, if it is unused, by a new one."""
         old = self.holders[name].proposer
         if old.current_round is None and not old.holds(self.clock(name)):
             self.holders[name].proposer = LeaseProposer(
@@ -196,7 +193,7 @@
             )
 
     def restart_holder(self, name: str) -> None:
-        """Start a holder's gateway again."""
+        """Restart a holder's gateway."""
         self.nonce += 1
         gateway = self.holders[name].proposer.gateway
         self.holders[name] = SimulatedHolder(
@@ -220,7 +217,7 @@
     def _dated(
         self, request: AcceptorRequest, sender: str, name: str
     ) -> AcceptorRequest:
-        """Put the creation time on the acceptor's clock, at the earliest."""
+        """Convert the creation time to the acceptor's clock, rounded down."""
         if sender in self.undated_holders:
             return request._replace(created_at=CREATED_ON_ARRIVAL)
         if request.created_at == CREATED_ON_ARRIVAL:
@@ -245,10 +242,10 @@
                 member.recovery = None
 
     def restart_acceptor(self, name: str, kind: RestartKind) -> None:
-        """Start an acceptor again.
+        """Restart an acceptor.
 
-        It is rolled back, or its state lost, only where each other acceptor knows
-        of something later.
+        Its state is rolled back or lost only if every other acceptor knows a later
+        identity of it, which recovery relies on.
         """
         member = self.acceptors[name]
         others = [each for each in self.acceptors if each != name]
@@ -263,22 +260,24 @@
             self.nonce += 1
             member.lose_state(self.nonce)
         member.restart(others, self.timings, self.clock(name))
-        self.query_witnesses(name)
+        self.query_known_identity(name)
 
-    def query_witnesses(self, name: str) -> None:
-        """Have an acceptor ask all others for its last identity."""
+    def query_known_identity(self, name: str) -> None:
+        """Query all other members for the identity that they know of an acceptor."""
         for each in [*self.acceptors, *self.holders]:
             if each != name:
-                self.send(each, name, WitnessQuery())
+                self.send(each, name, KnownIdentityQuery())
 
     def announce(self, name: str) -> None:
-        """Have an acceptor send the other acceptors its identity."""
+        """Send an acceptor's identity to the other acceptors."""
         for each in self.acceptors:
             if each != name:
-                self.send(each, name, Witness(name, self.acceptors[name].identity))
+                self.send(
+                    each, name, KnownIdentity(name, self.acceptors[name].identity)
+                )
 
     def remove_idle(self, name: str) -> None:
-        """Have an acceptor remove the record of a lease that was long unused."""
+        """Remove an acceptor's record if its lease is idle."""
         idle_after = self.history.idle_after
         if idle_after:
             self.acceptors[name].remove_idle(self.clock(name), idle_after)
@@ -286,17 +285,17 @@
     # The network.
 
     def send(self, to: str, sender: str, body: Body) -> None:
-        """Put a message on its way."""
+        """Add a message to those in flight."""
         message = Message(to, sender, body)
         if message not in self.in_flight:
             self.in_flight.append(message)
             del self.in_flight[: -MAX_IN_FLIGHT * len(self.holders)]
 
-    def deliver(self, place: int, stays: bool) -> None:
-        """Deliver a message; where it stays, it may arrive again."""
-        message = self.in_flight[place]
+    def deliver(self, index: int, stays: bool) -> None:
+        """Deliver a message; if it `stays` in flight, it may arrive again."""
+        message = self.in_flight[index]
         if not stays:
-            del self.in_flight[place]
+            del self.in_flight[index]
         if message.to in self.holders:
             self._deliver_to_holder(message)
         else:
@@ -308,8 +307,8 @@
         sender = message.sender
         holder = self.holders[name]
         body = message.body
-        if isinstance(body, WitnessQuery):
-            self.send(sender, name, Witness(sender, holder.known.get(sender)))
+        if isinstance(body, KnownIdentityQuery):
+            self.send(sender, name, KnownIdentity(sender, holder.known.get(sender)))
         elif isinstance(body, IdentifiedReply):
             known = holder.known.get(sender, body.identity)
             holder.known[sender] = max(known, body.identity)
@@ -322,12 +321,14 @@
         body = message.body
         if isinstance(body, AcceptorRequest):
             self._on_request(member, sender, body)
-        elif isinstance(body, WitnessQuery):
-            self.send(sender, member.name, Witness(sender, member.known.get(sender)))
+        elif isinstance(body, KnownIdentityQuery):
+            self.send(
+                sender, member.name, KnownIdentity(sender, member.known.get(sender))
+            )
         elif isinstance(body, PageQuery):
             self._on_page_query(member, sender)
-        elif isinstance(body, Witness):
-            self._on_witness(member, sender, body)
+        elif isinstance(body, KnownIdentity):
+            self._on_known_identity(member, sender, body)
         elif isinstance(body, SnapshotPage) and member.recovery is not None:
             self._act(member, member.recovery.on_page(sender, "", body, 0))
 
@@ -338,57 +339,57 @@
         page = SnapshotPage(records, member.ballot_floor, True)
         self.send(sender, member.name, page)
 
-    def _on_witness(
-        self, member: SimulatedAcceptor, sender: str, witness: Witness
+    def _on_known_identity(
+        self, member: SimulatedAcceptor, sender: str, message: KnownIdentity
     ) -> None:
-        if witness.of == sender and witness.known is not None:
-            known = member.known.get(sender, witness.known)
-            member.known[sender] = max(known, witness.known)
+        if message.acceptor == sender and message.identity is not None:
+            known = member.known.get(sender, message.identity)
+            member.known[sender] = max(known, message.identity)
         elif member.recovery is not None:
             now = self.clock(member.name)
-            action = member.recovery.on_known_identity(sender, witness.known, now)
+            action = member.recovery.on_known_identity(sender, message.identity, now)
             self._act(member, action)
 
     def exchange(
         self, name: str, reach: Iterable[str], with_replies: bool = True
     ) -> None:
-        """Deliver a holder's open requests to some acceptors until nothing moves."""
+        """Deliver a holder's messages to and from some acceptors until none is left."""
         reached = tuple(reach)
         for _ in range(MAX_EXCHANGE):
-            places = [
-                place
-                for place, each in enumerate(self.in_flight)
+            indices = [
+                index
+                for index, each in enumerate(self.in_flight)
                 if (each.sender == name and each.to in reached)
                 or (with_replies and each.to == name and each.sender in reached)
             ]
-            if not places:
+            if not indices:
                 break
-            self.deliver(places[0], False)
+            self.deliver(indices[0], False)
 
     def settle(self) -> None:
-        """Deliver all messages between acceptors."""
-        kinds = (WitnessQuery, Witness, PageQuery, SnapshotPage)
+        """Deliver all recovery messages of acceptors."""
+        kinds = (KnownIdentityQuery, KnownIdentity, PageQuery, SnapshotPage)
         for _ in range(40):
-            places = [
-                place
-                for place, message in enumerate(self.in_flight)
+            indices = [
+                index
+                for index, message in enumerate(self.in_flight)
                 if isinstance(message.body, kinds)
             ]
-            if not places:
+            if not indices:
                 return
-            self.deliver(places[0], False)
+            self.deliver(indices[0], False)
 
     # Time.
 
     def time_until_free(self, name: str) -> int:
-        """Return how long until an acceptor lets others acquire the lease."""
+        """Return the time until an acceptor grants the lease to other holders."""
         grant = self.acceptors[name].grant
         until = 0 if grant is None else grant.until
         true_time = -(-until * 1000 // (1000 + self.rates[name]))
         return max(true_time - self.now, 0)
 
     def pass_time(self, duration: int) -> None:
-        """Let time go by, and all that it brings happen."""
+        """Advance true time and run the timers of all members."""
         self.now += duration
         self.check_holders()
         for name, each in self.holders.items():
--- a/milletsill/lab/model_checks/lease_cluster_members.py
+++ b/milletsill/lab/model_checks/lease_cluster_members.py
@@ -1,7 +1,7 @@
 """Acceptors and lease holders of the model's cluster, and the messages between them.
 
-They are played with the very functions of `acceptor`, `acceptor_recovery` and
-`lease_proposer`, for one lease.
+They run the real functions of `acceptor`, `acceptor_recovery` and `lease_proposer` for
+one lease.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from milletsill.fleet.leases.timings import LeaseTimings
 
 KEY = "c"
-MAX_COPIES = 20  # of an acceptor's disk that may come back
+MAX_COPIES = 20  # copies of an acceptor's disk that it may be rolled back to
 
 
 class RestartKind(Enum):
-    """With what state an acceptor starts again."""
+    """The state with which an acceptor restarts."""
 
     KEPT = auto()
     ROLLED_BACK = auto()
@@ -38,7 +38,7 @@
 
 
 class MemberFault(Enum):
-    """What may happen a limited number of times in an exploration."""
+    """Faults that are limited in number per exploration."""
 
     DUPLICATE = auto()
     RESTART = auto()
@@ -47,19 +47,19 @@
     RESTART_HOLDER = auto()
 
 
-class WitnessQuery(NamedTuple):
-    """Of an acceptor that may not answer yet: which identity is known of it?"""
+class KnownIdentityQuery(NamedTuple):
+    """Queries the identity known of the sender, an acceptor that recovers."""
 
 
-class Witness(NamedTuple):
-    """The identity that is known of an acceptor; from the acceptor itself: its own."""
+class KnownIdentity(NamedTuple):
+    """The identity known of an acceptor; from the acceptor itself, its own."""
 
-    of: str
-    known: StateIdentity | None
+    acceptor: str
+    identity: StateIdentity | None
 
 
 class PageQuery(NamedTuple):
-    """Of an acceptor that recovers: all records."""
+    """Queries all records, for an acceptor that recovers."""
 
 
 class IdentifiedReply(NamedTuple):
@@ -72,15 +72,15 @@
 Body = (
     AcceptorRequest
     | IdentifiedReply
-    | WitnessQuery
-    | Witness
+    | KnownIdentityQuery
+    | KnownIdentity
     | PageQuery
     | SnapshotPage
 )
 
 
 class Message(NamedTuple):
-    """A message that may still arrive."""
+    """A message in flight."""
 
     to: str
     sender: str
@@ -88,7 +88,7 @@
 
 
 class DiskCopy(NamedTuple):
-    """What was on an acceptor's disk once."""
+    """A former state of an acceptor's disk."""
 
     record: LeaseRecord | None
     ballot_floor: int
@@ -96,11 +96,11 @@
 
 
 class SimulatedAcceptor:
-    """One acceptor: what is on its disk, and what is only in memory.
+    """One acceptor, with its state on disk and in memory.
 
     Attributes:
-        recovery: None while it serves.
-        is_incomplete: It is known to lack something, also after a restart.
+        recovery: None while the acceptor serves.
+        is_incomplete: Whether the state on disk is marked as incomplete.
     """
 
     def __init__(self, name: str, started_at: int) -> None:
@@ -117,7 +117,7 @@
         self.copies: list[DiskCopy] = []
 
     def copy(self) -> SimulatedAcceptor:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         made = copy.copy(self)
         made.known = dict(self.known)
         made.copies = list(self.copies)
@@ -126,7 +126,7 @@
         return made
 
     def key(self) -> Hashable:
-        """Return what identifies a state."""
+        """Return a key that is equal for equal states."""
         return (
             self.record,
             self.grant,
@@ -137,12 +137,12 @@
         )
 
     def is_serving(self) -> bool:
-        """Whether it may answer."""
+        """Return whether the acceptor may answer requests."""
         recovery = self.recovery
         return recovery is None or recovery.status is RecoveryStatus.SERVING
 
     def commit(self, record: LeaseRecord | None) -> None:
-        """Write a record where it is another."""
+        """Write a record to disk if it changed."""
         if record is self.record:
             return
         self.record = record
@@ -154,7 +154,7 @@
     def handle(
         self, request: AcceptorRequest, now: int, timings: LeaseTimings
     ) -> AcceptorReply | None:
-        """Handle a request, at a time on its own clock."""
+        """Handle a request at a time of the acceptor's clock."""
         grant = self.grant
         if self.record is None:
             grant = None
@@ -168,7 +168,7 @@
         return outcome.reply
 
     def remove_idle(self, now: int, idle_after: int) -> None:
-        """Remove the record of a lease that was long unused."""
+        """Remove the record if its lease is idle."""
         record = self.record
         uptime = now - self.started_at
         if record is None or not acceptor.is_removable(record, uptime, idle_after):
@@ -177,8 +177,8 @@
         self.grant = None
         self.commit(None)
 
-    def adopt(self, chance: int, now: int) -> None:
-        """Go on with what was copied from others."""
+    def adopt(self, nonce: int, now: int) -> None:
+        """Adopt the records copied from other acceptors."""
         recovery = self.recovery
         assert recovery is not None
         records: dict[str, LeaseRecord] = {}
@@ -187,7 +187,7 @@
         acceptor_recovery.merge_records(records, recovery.records.items(), 0)
         self.ballot_floor = max(self.ballot_floor, recovery.ballot_floor)
         acceptor_recovery.raise_to_floor(records, self.ballot_floor)
-        self.identity = recovery.renewed_identity(chance)
+        self.identity = recovery.renewed_identity(nonce)
         self.record = records.get(KEY)
         self.grant = None
         self.grants_from = now
@@ -195,7 +195,7 @@
         self.is_incomplete = False
 
     def roll_back(self, before: StateIdentity) -> bool:
-        """Go back to the last copy before an identity, if there is one."""
+        """Restore the last copy before an identity; return whether there was one."""
         copies = [each for each in self.copies if each.identity < before]
         if not copies:
             return False
@@ -205,18 +205,18 @@
         self.identity = disk.identity
         return True
 
-    def lose_state(self, chance: int) -> None:
-        """Go on with an empty disk."""
+    def lose_state(self, nonce: int) -> None:
+        """Replace the disk by an empty one."""
         self.record = None
         self.ballot_floor = 0
-        self.identity = StateIdentity(1, chance, 0)
+        self.identity = StateIdentity(1, nonce, 0)
         self.known = {}
         self.is_incomplete = False
 
     def restart(
         self, others: list[str], timings: LeaseTimings, now: int
     ) -> AcceptorRecovery:
-        """Begin a new incarnation with what is on the disk."""
+        """Restart with the state on disk."""
         self.grant = None
         self.started_at = now
         self.grants_from = now
@@ -235,7 +235,7 @@
 class SimulatedHolder:
     """One gateway's proposer, and the identities that it knows of acceptors.
 
-    `gateway` is the name that it has, which may be another's too.
+    `gateway` is the gateway's name; two holders may have the same name.
     """
 
     def __init__(
@@ -245,7 +245,7 @@
         self.known: dict[str, StateIdentity] = {}
 
     def copy(self) -> SimulatedHolder:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         made = copy.copy(self)
         made.known = dict(self.known)
         made.proposer = copy.copy(self.proposer)
@@ -257,8 +257,8 @@
             made.proposer.current_round = same
         return made
 
-    def value_under_way(self) -> bytes:
-        """Return the value that the proposer will have if all goes well."""
+    def value_in_progress(self) -> bytes:
+        """Return the value that the proposer has once its writes succeed."""
         proposer = self.proposer
         queued = proposer.queued_write
         if queued is not None and queued.value:
@@ -268,7 +268,7 @@
         return proposer.value
 
     def key(self) -> Hashable:
-        """Return what identifies a state."""
+        """Return a key that is equal for equal states."""
         proposer = self.proposer
         return (
             proposer.state,
--- a/milletsill/lab/model_checks/lease_exploration.py
+++ b/milletsill/lab/model_checks/lease_exploration.py
@@ -1,4 +1,4 @@
-"""Every order of events of a small lease cluster, up to a depth."""
+"""Explores every order of events of a small lease cluster up to a depth."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 }
 
 
-class Opening(Enum):
-    """Where an exploration begins.
+class StartingPoint(Enum):
+    """The state of the cluster at the start of an exploration.
 
-    NOTHING; a holder that WRITTEN at two of three acceptors; one whose write reached
-    only one of them and is INDETERMINATE.
+    NOTHING: no event has happened. WRITTEN: a holder has written at two of three
+    acceptors. INDETERMINATE: a holder's write reached only one acceptor.
     """
 
     NOTHING = auto()
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExploration:
-    """What an exploration came to.
+    """The result of an exploration.
 
     Attributes:
-        clusters: How many different clusters were looked at.
-        depth: The depth up to which every order was looked at.
-        violation: The events that led to something wrong, and what; None for nothing.
+        clusters: Number of distinct cluster states.
+        depth: Depth up to which every order of events was run.
+        violation: The first violation and the events that led to it, if any.
     """
 
     clusters: int
@@ -49,7 +49,7 @@
 
 
 def single_events(cluster: LeaseCluster) -> dict[str, Move]:
-    """Return what may happen next, message by message."""
+    """Return the possible next events, with single messages."""
     return {
         **_holder_events(cluster),
         **_deliveries(cluster),
@@ -68,17 +68,17 @@
             found[f"{name} writes"] = partial(_write, name=name)
             found[f"{name} releases"] = partial(_release, name=name)
         if cluster.budget[MemberFault.RESTART_HOLDER]:
-            found[f"{name} starts anew"] = partial(_restart_holder, name=name)
+            found[f"{name} restarts"] = partial(_restart_holder, name=name)
     return found
 
 
 def _deliveries(cluster: LeaseCluster) -> dict[str, Move]:
     found: dict[str, Move] = {}
-    for place, message in enumerate(cluster.in_flight):
-        what = f"{message.sender}>{message.to} {place}"
-        found[what] = partial(_deliver, place=place)
+    for index, message in enumerate(cluster.in_flight):
+        what = f"{message.sender}>{message.to} {index}"
+        found[what] = partial(_deliver, index=index)
         if cluster.budget[MemberFault.DUPLICATE]:
-            found[f"{what} twice"] = partial(_duplicate, place=place)
+            found[f"{what} twice"] = partial(_duplicate, index=index)
     return found
 
 
@@ -93,9 +93,10 @@
 
 
 def whole_exchanges(cluster: LeaseCluster) -> dict[str, Move]:
-    """Return what may happen next, a whole exchange with some acceptors at a time.
+    """Return the possible next events, each a whole exchange with some acceptors.
 
-    The rest of the messages is lost: that goes deeper, but is less fine.
+    All other messages are lost. This explores longer histories than single messages,
+    but fewer interleavings.
     """
     found: dict[str, Move] = {}
     names = tuple(cluster.acceptors)
@@ -135,13 +136,13 @@
     cluster.restart_holder(name)
 
 
-def _deliver(cluster: LeaseCluster, place: int) -> None:
-    cluster.deliver(place, False)
+def _deliver(cluster: LeaseCluster, index: int) -> None:
+    cluster.deliver(index, False)
 
 
-def _duplicate(cluster: LeaseCluster, place: int) -> None:
+def _duplicate(cluster: LeaseCluster, index: int) -> None:
     cluster.budget[MemberFault.DUPLICATE] -= 1
-    cluster.deliver(place, True)
+    cluster.deliver(index, True)
 
 
 def _restart(cluster: LeaseCluster, name: str, kind: RestartKind) -> None:
@@ -160,64 +161,64 @@
     event: Callable[[LeaseCluster, str], None],
     reach: tuple[str, ...],
 ) -> None:
-    """Have one exchange, and nothing of it later."""
+    """Run one exchange, and drop the messages that are left."""
     event(cluster, name)
     cluster.exchange(name, reach)
     cluster.in_flight = []
 
 
-def open_cluster(opening: Opening) -> LeaseCluster:
-    """Return the cluster with which an exploration begins."""
+def starting_cluster(start: StartingPoint) -> LeaseCluster:
+    """Return the cluster at the start of an exploration."""
     cluster = LeaseCluster(3, 2)
-    if opening is not Opening.NOTHING:
+    if start is not StartingPoint.NOTHING:
         cluster.acquire("k0")
         cluster.exchange("k0", ("r0", "r1"))
         cluster.write("k0")
-        is_written = opening is Opening.WRITTEN
+        is_written = start is StartingPoint.WRITTEN
         cluster.exchange("k0", ("r0", "r1") if is_written else ("r0",))
         for name in cluster.acceptors:
             cluster.announce(name)
         cluster.settle()
         cluster.in_flight = []
-    if opening is Opening.INDETERMINATE:
+    if start is StartingPoint.INDETERMINATE:
         cluster.pass_time(cluster.timings.call_timeout * 51 // 50)
         cluster.in_flight = []
     return cluster
 
 
 def explore(
-    opening: Opening, depth: int, limit: int, moves: Moves = single_events
+    start: StartingPoint, depth: int, limit: int, moves: Moves = single_events
 ) -> LeaseExploration:
-    """Go through every order of events, clusters that are alike once.
+    """Run every order of events; visit equal cluster states once.
 
     Args:
-        opening: Where to begin.
-        depth: How many events to go through at most.
-        limit: How many clusters to look at, at most.
-        moves: What may happen next.
+        start: The state at the start.
+        depth: Largest number of events.
+        limit: Number of cluster states at which the exploration stops.
+        moves: Returns the possible next events.
     """
-    first = open_cluster(opening)
+    first = starting_cluster(start)
     seen = {first.key()}
     path: tuple[str, ...] = ()
     layer = [(first, path)]
     count = 1
     for level in range(depth):
-        following: list[tuple[LeaseCluster, tuple[str, ...]]] = []
+        next_layer: list[tuple[LeaseCluster, tuple[str, ...]]] = []
         for cluster, path in layer:
             for name, move in moves(cluster).items():
-                made = cluster.copy()
-                move(made)
-                violation = made.history.violation
+                successor = cluster.copy()
+                move(successor)
+                violation = successor.history.violation
                 if violation:
                     events = ", ".join((*path, name))
                     return LeaseExploration(count, level, f"{events}: {violation}")
-                key = made.key()
+                key = successor.key()
                 if key in seen:
                     continue
                 seen.add(key)
                 count += 1
                 if count >= limit:
                     return LeaseExploration(count, level, None)
-                following.append((made, (*path, name)))
-        layer = following
+                next_layer.append((successor, (*path, name)))
+        layer = next_layer
     return LeaseExploration(count, depth, None)
--- a/milletsill/lab/model_checks/lease_history.py
+++ b/milletsill/lab/model_checks/lease_history.py
@@ -1,4 +1,4 @@
-"""What the model knows of a lease's values, and what must never be wrong of them."""
+"""The history of a lease's values in the model, and the checks of each value."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueClaim:
-    """What one holder takes for the lease's value.
+    """The value of the lease as one holder knows it.
 
     Attributes:
-        holder: Its name.
+        holder: The holder's name.
         value: The value.
-        value_since: When the value stood at the earliest, on its clock; None for
-            unknown.
-        rate: How much its clock is wrong, in parts of a thousand.
-        is_read: The lease was just acquired, and the value read.
-        is_held: It holds the lease.
+        value_since: Earliest time, on the holder's clock, at which the value was
+            current; None if unknown.
+        rate: Rate error of the holder's clock, in parts per thousand.
+        is_read: Whether the value was read by acquiring the lease, not written.
+        is_held: Whether the holder holds the lease.
     """
 
     holder: str
@@ -28,16 +28,16 @@
 
 
 class LeaseHistory:
-    """All values that counted so far, and the first thing that was broken.
+    """All values that holders acted on so far, and the first violation.
 
     Attributes:
-        violation: What was broken first, if anything.
-        idle_after: An acceptor may remove the record of a lease that was unused for so
-            long, in ticks of true time; 0 for never.
-        settled_value: The longest value that counted.
-        settled_at: True time of that.
-        first_counted_at: True time at which each value counted first.
-        created_at: True time at which each value was made, where its holder sends it.
+        violation: The first violation, if any.
+        idle_after: Time in ticks of true time after which an acceptor may remove the
+            record of an unused lease; 0 for never.
+        settled_value: The longest settled value.
+        settled_at: True time at which it was last settled.
+        first_settled_at: True time at which each value was first settled.
+        created_at: True time at which each value was created, for holders that send it.
     """
 
     def __init__(self) -> None:
@@ -45,26 +45,26 @@
         self.idle_after = 0
         self.settled_value = b""
         self.settled_at = 0
-        self.first_counted_at: dict[bytes, int] = {}
+        self.first_settled_at: dict[bytes, int] = {}
         self.created_at: dict[bytes, int] = {}
 
     def copy(self) -> LeaseHistory:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         made = LeaseHistory()
         made.violation = self.violation
         made.idle_after = self.idle_after
         made.settled_value = self.settled_value
         made.settled_at = self.settled_at
-        made.first_counted_at = dict(self.first_counted_at)
+        made.first_settled_at = dict(self.first_settled_at)
         made.created_at = dict(self.created_at)
         return made
 
     def report(self, violation: str) -> None:
-        """Keep what was broken, if it is the first."""
+        """Record a violation, if it is the first."""
         self.violation = self.violation or violation
 
     def check_value(self, claim: ValueClaim, now: int) -> None:
-        """See that a value which counts lacks nothing that counted before."""
+        """Check that a holder's value contains all settled writes."""
         value = claim.value
         settled = self.settled_value
         is_older = settled.startswith(value) and not (claim.is_read and claim.is_held)
@@ -72,7 +72,9 @@
             if claim.is_read and self._may_be_removed(now):
                 self._settle(value, now)
                 return
-            self.report(f"{claim.holder} has {value!r}, {settled!r} counted")
+            self.report(
+                f"{claim.holder} has value {value!r}, but {settled!r} is settled"
+            )
         self._check_age(claim, now)
         if len(value) >= len(self.settled_value):
             self._settle(value, now)
@@ -85,10 +87,10 @@
         return bool(self.idle_after) and now - self.settled_at >= self.idle_after
 
     def _check_age(self, claim: ValueClaim, now: int) -> None:
-        """See that a value which was read does not pass for younger than it is."""
+        """Check that a holder does not underestimate the age of a value it read."""
         value = claim.value
-        first_at = self.first_counted_at.setdefault(value, now)
-        # Acceptors that had it before anybody acted on it may have removed it.
+        first_at = self.first_settled_at.setdefault(value, now)
+        # Acceptors that accepted it before anyone acted on it may have removed it.
         nearly_idle = self.idle_after * 9 // 10
         if self.idle_after and now - first_at >= nearly_idle:
             return
@@ -96,4 +98,4 @@
             return
         true_time = self.created_at.get(value, first_at)
         if claim.value_since > true_time * (1000 + claim.rate) // 1000:
-            self.report(f"{claim.holder} takes {value!r} for younger than it is")
+            self.report(f"{claim.holder} underestimates the age of {value!r}")
--- a/milletsill/lab/model_checks/lease_model.py
+++ b/milletsill/lab/model_checks/lease_model.py
@@ -1,14 +1,14 @@
-"""A model of leases: holders, acceptors and a network that misbehaves.
+"""A model check of leases with holders, acceptors and a faulty network.
 
     python -m milletsill.lab.model_checks.lease_model [--walks N --steps N ...]
 
-It runs the very functions of `milletsill.fleet.leases`. `lease_exploration` goes
-through every order of events up to a depth, `lease_walk` by seeded chance through
-larger clusters, `lease_cases` through what chance meets seldom. After each event they
-look whether two gateways hold the lease at one true moment, and at each acquisition
-and each write that counts whether all that counted before is in it, and whether no
-value passes for younger than it is. With any one guard out (`lease_mutation_checks`)
-it must go wrong.
+It runs the real functions of `milletsill.fleet.leases`. `lease_exploration` runs every
+order of events up to a depth, `lease_walk` makes seeded random walks in larger
+clusters, and `lease_cases` runs scripted cases that random walks rarely reach. After
+each event they check that no two gateways hold the lease at the same true time. At each
+acquisition and each settled write they check that the value contains all settled
+writes, and that no holder underestimates the age of a value. Without any one of the
+guards in `lease_mutation_checks`, a check must fail.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from milletsill.lab.model_checks.lease_cases import CASES
 from milletsill.lab.model_checks.lease_exploration import (
-    Opening,
+    StartingPoint,
     explore,
     single_events,
     whole_exchanges,
@@ -37,9 +37,9 @@
 
 
 def find_violation(walks: int, steps: int = 600, first_seed: int = 0) -> str | None:
-    """Return what goes wrong first, if anything.
+    """Return the first violation, if any.
 
-    First the cases, then chance through small clusters from a seed on.
+    Runs the scripted cases, then random walks in small clusters.
     """
     violation = find_case_violation()
     if violation is not None:
@@ -52,7 +52,7 @@
 
 
 def find_case_violation() -> str | None:
-    """Return what goes wrong first in the cases, if anything."""
+    """Return the first violation in the scripted cases, if any."""
     for case in CASES:
         violation = case()
         if violation is not None:
@@ -62,13 +62,13 @@
 
 def _print_explorations(clusters: int) -> None:
     for moves in (single_events, whole_exchanges):
-        for opening in Opening:
+        for start in StartingPoint:
             began = time.perf_counter()
-            found = explore(opening, 12, clusters, moves)
+            found = explore(start, 12, clusters, moves)
             seconds = time.perf_counter() - began
             print(
-                f"{moves.__name__} from {opening.name.lower()}: every order of "
-                f"{found.depth}, {found.clusters} clusters, {seconds:.1f} s, "
+                f"{moves.__name__} from {start.name.lower()}: every order of "
+                f"{found.depth} events, {found.clusters} clusters, {seconds:.1f} s, "
                 f"{found.violation or 'kept'}"
             )
 
@@ -89,7 +89,7 @@
 
 
 def main() -> None:
-    """Run the model, and again with each guard out."""
+    """Run the model, and again with each guard disabled."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/milletsill/lab/model_checks/lease_mutation_checks.py
+++ b/milletsill/lab/model_checks/lease_mutation_checks.py
@@ -1,8 +1,8 @@
-"""The guards of leases, one out at a time: the model must find each of them missing.
+"""Guards of leases; the model check must fail without any one of them.
 
-Each has the seed of `lease_walk.walk`, with three acceptors, three holders and 600
-steps, at which it was found, so that a test is short. When the model has changed,
-`python -m milletsill.lab.model_checks.lease_model` prints the new ones.
+Each guard has the seed of a failing `lease_walk.walk` with three acceptors, three
+holders and 600 steps, so that the test is short. After a change of the model,
+`python -m milletsill.lab.model_checks.lease_model` prints the new seeds.
 """
 
 from __future__ import annotations
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A function that is replaced by one without its guard.
+    """A function and its replacement without the guard.
 
     Attributes:
-        owner: The module or class that has the function.
-        name: The function's name there.
-        replacement: What takes its place.
-        first_seed: The seed at which a walk finds it missing.
+        owner: The module or class that contains the function.
+        name: The function's name.
+        replacement: The function without the guard.
+        first_seed: Seed of a walk that fails without the guard.
     """
 
     owner: ModuleType | type
@@ -61,7 +61,7 @@
 def _any_ballot(
     record: LeaseRecord | None, ballot_floor: int, request: AcceptorRequest
 ) -> BallotRank:
-    """An acceptor takes each ballot as higher than what it promised."""
+    """Rank each new ballot as higher than the promised one."""
     if record is None or request.ballot != record.promised:
         return BallotRank.HIGHER
     return BallotRank.SAME
@@ -73,12 +73,12 @@
     request: AcceptorRequest,
     now: int,
 ) -> GrantState:
-    """An acceptor refuses nobody for another's lease."""
+    """Treat the lease as free although another gateway holds it."""
     return GrantState.FREE
 
 
 def _no_drift(timings: LeaseTimings) -> int:
-    """A plain lease: no drift allowed for."""
+    """Return the lease duration without a correction for drift."""
     return timings.lease_duration
 
 
@@ -88,7 +88,7 @@
 def _count_from_reply(
     proposer: LeaseProposer, name: str, reply: AcceptorReply, now: int
 ) -> list[ProposerEffect]:
-    """A lease counts from when the replies came."""
+    """Count a lease from the arrival of the replies."""
 
     def lease_end(quorum_round: QuorumRound, timings: LeaseTimings) -> int:
         return now + timings.holder_duration()
@@ -98,78 +98,78 @@
 
 
 def _half(acceptors: int) -> int:
-    """Half of the acceptors do."""
+    """Return half of the acceptors instead of a majority."""
     return max(acceptors // 2, 1)
 
 
 def _always_settled(
     replies: Sequence[AcceptorReply], latest: AcceptorReply, acceptors: int
 ) -> bool:
-    """What was read is acted on without being written again."""
+    """Act on a value that was read without writing it again."""
     return True
 
 
 def _copies_vote(
     replies: Sequence[AcceptorReply], latest: AcceptorReply, acceptors: int
 ) -> bool:
-    """A copy counts as a vote."""
+    """Count a copied record as a vote."""
     votes = sum(each.version == latest.version for each in replies)
     return latest.version == UNWRITTEN or votes >= majority(acceptors)
 
 
 def _first_reply(replies: Sequence[AcceptorReply]) -> AcceptorReply:
-    """The first reply's record is taken, not the latest."""
+    """Use the record of the first reply instead of the latest record."""
     return replies[0]
 
 
 def _no_former_grant(started_at: int, timings: LeaseTimings) -> LeaseGrant:
-    """An acceptor that has started again knows of no lease."""
+    """Treat the lease as free after a restart of the acceptor."""
     return LeaseGrant(started_at)
 
 
 def _always_open(current: QuorumRound, now: int, timings: LeaseTimings) -> bool:
-    """Replies count however late."""
+    """Count replies that arrive after the round's timeout."""
     return True
 
 
 def _any_renewal(current: QuorumRound, reply: AcceptorReply) -> bool:
-    """A reply to an older renewal counts for a newer one."""
+    """Count a reply to an older renewal for a newer one."""
     request = current.request
     return reply.kind is request.kind and reply.ballot == request.ballot
 
 
 def _rounds_from_one(used_rounds: int, proposer: LeaseProposer) -> int:
-    """A proposer that was dropped leaves its rounds to the next."""
+    """Let the next proposer reuse the rounds of a dropped one."""
     return 0
 
 
 def _same_gateway(ballot: Ballot, other: Ballot) -> bool:
-    """A gateway's new start passes for its old one."""
+    """Treat a restarted gateway as the same holder."""
     return ballot.gateway == other.gateway
 
 
 def _same_floor(ballot_floor: int, record: LeaseRecord) -> int:
-    """What was removed refuses nothing."""
+    """Leave the ballot floor unchanged when a record is removed."""
     return ballot_floor
 
 
 def _never_stale(known: StateIdentity | None, own: StateIdentity) -> bool:
-    """No witness of a later state is believed."""
+    """Ignore that another member knows a later state."""
     return False
 
 
 def _always_confirmed(recovery: AcceptorRecovery, now: int) -> bool:
-    """An acceptor answers from its start, without witnesses."""
+    """Answer requests from the start, without a confirmation by other members."""
     return True
 
 
 def _one_copy(acceptors: int) -> int:
-    """The records of one other acceptor are enough."""
+    """Require the records of only one other acceptor."""
     return 1
 
 
 def _no_wait(timings: LeaseTimings) -> int:
-    """An acceptor that lacks something copies at once."""
+    """Catch up at once, without the recovery wait."""
     return 0
 
 
@@ -178,11 +178,11 @@
     copied: Iterable[tuple[str, LeaseRecord]],
     uptime: int,
 ) -> None:
-    """An acceptor that lacks something goes on with what it has."""
+    """Serve without the copied records."""
 
 
 def _no_floor(records: dict[str, LeaseRecord], ballot_floor: int) -> None:
-    """A floor holds only for leases without a record."""
+    """Apply the ballot floor only to leases without a record."""
 
 
 def _promises_left(
@@ -190,7 +190,7 @@
     copied: Iterable[tuple[str, LeaseRecord]],
     uptime: int,
 ) -> None:
-    """What was written is copied, and not what was promised."""
+    """Copy the written values without the promised ballots."""
     for key, new in copied:
         old = records.get(key)
         if old is None or old.version < new.version:
@@ -208,7 +208,7 @@
     created_at: int,
     is_original: bool,
 ) -> None:
-    """What is written again is as young as if it were new."""
+    """Treat a value that is written again as new."""
     _start_accept(proposer, value, now, created_at, True)
 
 
@@ -219,12 +219,12 @@
     created_at: int,
     is_original: bool,
 ) -> None:
-    """Times within a value count from when it arrived."""
+    """Date a value from its arrival at the acceptor."""
     _start_accept(proposer, value, now, CREATED_ON_ARRIVAL, is_original)
 
 
 def _some_age(replies: Sequence[AcceptorReply], value: bytes) -> int | None:
-    """Those that have the value and know since when are enough."""
+    """Ignore replies that have another value or an unknown age."""
     ages = [
         each.value_age
         for each in replies
@@ -259,10 +259,10 @@
     "the floor of removed records": Mutation(
         acceptor, "raise_ballot_floor", _same_floor, 0
     ),
-    "witnesses of later states": Mutation(
+    "a later known identity is believed": Mutation(
         acceptor_recovery, "is_stale", _never_stale, 0
     ),
-    "witnesses are asked first": Mutation(
+    "known identities are queried first": Mutation(
         AcceptorRecovery, "is_confirmed", _always_confirmed, 63
     ),
     "enough acceptors are copied": Mutation(
@@ -292,7 +292,7 @@
 
 @contextmanager
 def without_guard(guard: str) -> Iterator[None]:
-    """The decisions with one guard out."""
+    """Run with one guard disabled."""
     mutation = MUTATIONS[guard]
     with mock.patch.object(mutation.owner, mutation.name, mutation.replacement):
         yield
--- a/milletsill/lab/model_checks/lease_walk.py
+++ b/milletsill/lab/model_checks/lease_walk.py
@@ -1,4 +1,4 @@
-"""Seeded chance through a lease cluster whose clocks drift."""
+"""Seeded random walks in a lease cluster whose clocks drift."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WalkResult:
-    """What a walk came to.
+    """The result of a walk.
 
     Attributes:
-        steps: How many steps were made.
-        violation: What went wrong, None for nothing.
-        writes: How many writes were begun.
+        steps: Number of steps made.
+        violation: The first violation, if any.
+        writes: Number of writes started.
     """
 
     steps: int
@@ -30,8 +30,8 @@
     writes: int
 
 
-def copy_records(cluster: LeaseCluster, name: str) -> None:
-    """Have an acceptor that may not answer ask on, as it does again and again."""
+def continue_recovery(cluster: LeaseCluster, name: str) -> None:
+    """Repeat the queries of a recovering acceptor, as it does periodically."""
     recovery = cluster.acceptors[name].recovery
     if recovery is None:
         return
@@ -39,12 +39,12 @@
         for other in recovery.others:
             cluster.send(other, name, PageQuery())
     else:
-        cluster.query_witnesses(name)
+        cluster.query_known_identity(name)
     cluster.settle()
 
 
 class LeaseWalk:
-    """One walk: a cluster and the chance that moves it."""
+    """One random walk in its own cluster."""
 
     def __init__(self, acceptors: int, holders: int, seed: int) -> None:
         self.seed = seed
@@ -59,15 +59,15 @@
         self.holders = tuple(self.cluster.holders)
         self.acceptors = tuple(self.cluster.acceptors)
         if self.random.random() < 0.3:
-            self._give_two_one_name()
+            self._give_two_holders_one_name()
 
-    def _give_two_one_name(self) -> None:
+    def _give_two_holders_one_name(self) -> None:
         holders = self.cluster.holders
         first = holders[self.holders[0]].proposer
         holders[self.holders[1]].proposer.gateway = first.gateway
 
     def run(self, steps: int) -> WalkResult:
-        """Make steps until something is wrong."""
+        """Make steps until a check fails."""
         cluster = self.cluster
         for step in range(steps):
             self._step()
@@ -88,12 +88,12 @@
         cluster = self.cluster
         return [
             (0.08, lambda: cluster.acquire(holder)),
-            (0.08, lambda: self._acquire_nearby(holder)),
+            (0.08, lambda: self._acquire_at_once(holder)),
             (0.06, lambda: self._write(holder)),
-            (0.14, lambda: self._write_nearby(holder)),
+            (0.14, lambda: self._write_at_once(holder)),
             (0.30, self._deliver),
             (0.03, lambda: cluster.resend(holder)),
-            (0.03, lambda: self._release_nearby(holder)),
+            (0.03, lambda: self._release_at_once(holder)),
             (0.12, lambda: cluster.pass_time(self.random.choice(_DURATIONS))),
         ]
 
@@ -107,8 +107,8 @@
             (0.02, lambda: cluster.restart_holder(holder)),
             (0.02, lambda: cluster.drop_proposer(holder)),
             (0.02, lambda: self._restart(acceptor)),
-            (0.02, lambda: self._lose(acceptor)),
-            (0.02, lambda: copy_records(cluster, acceptor)),
+            (0.02, lambda: self._lose_state(acceptor)),
+            (0.02, lambda: continue_recovery(cluster, acceptor)),
             (0.02, lambda: self._acquire_slowly(holder)),
             (0.015, lambda: self._restart_after_write(*self._two_holders())),
             (0.015, lambda: self._take_over(*self._two_holders())),
@@ -120,8 +120,8 @@
 
     # Moves of holders.
 
-    def _exchange_nearby(self, name: str) -> None:
-        """Have open requests reach some acceptors at once, and most replies return."""
+    def _exchange_at_once(self, name: str) -> None:
+        """Deliver a holder's requests to some acceptors, and usually their replies."""
         reach = self._some_acceptors()
         self.cluster.exchange(name, reach, self.random.random() < 0.85)
 
@@ -133,33 +133,33 @@
     def _some_majority(self) -> list[str]:
         return self.random.sample(self.acceptors, ballot.majority(len(self.acceptors)))
 
-    def _acquire_nearby(self, holder: str) -> None:
+    def _acquire_at_once(self, holder: str) -> None:
         self.cluster.acquire(holder)
-        self._exchange_nearby(holder)
+        self._exchange_at_once(holder)
 
-    def _release_nearby(self, holder: str) -> None:
+    def _release_at_once(self, holder: str) -> None:
         self.cluster.release(holder)
-        self._exchange_nearby(holder)
+        self._exchange_at_once(holder)
 
     def _write(self, holder: str) -> None:
         state = self.cluster.holders[holder].proposer.state
         if state is ProposerState.HOLDING:
             self.cluster.write(holder)
 
-    def _write_nearby(self, holder: str) -> None:
+    def _write_at_once(self, holder: str) -> None:
         state = self.cluster.holders[holder].proposer.state
         if state in (ProposerState.HOLDING, ProposerState.WRITING):
             self.cluster.write(holder)
-            self._exchange_nearby(holder)
+            self._exchange_at_once(holder)
 
     def _deliver(self) -> None:
         in_flight = self.cluster.in_flight
         if in_flight:
-            place = self.random.randrange(len(in_flight))
-            self.cluster.deliver(place, self.random.random() < 0.25)
+            index = self.random.randrange(len(in_flight))
+            self.cluster.deliver(index, self.random.random() < 0.25)
 
     def _acquire_slowly(self, holder: str) -> None:
-        """Have replies take nearly all of a request's time."""
+        """Acquire the lease with replies that arrive just before the call timeout."""
         reach = self._some_acceptors()
         self.cluster.acquire(holder)
         self.cluster.exchange(holder, reach, False)
@@ -167,11 +167,11 @@
         self.cluster.exchange(holder, reach)
 
     def _acquire_when_free(self, holder: str, acceptor: str) -> None:
-        """Acquire at the very moment at which an acceptor lets others in."""
+        """Acquire the lease when an acceptor grants it to others, or a tick later."""
         duration = self.cluster.time_until_free(acceptor)
         self.cluster.pass_time(duration + self.random.choice((0, 1)))
         self.cluster.acquire(holder)
-        self._exchange_nearby(holder)
+        self._exchange_at_once(holder)
 
     def _hold_and_write(self, holder: str, reach: tuple[str, ...]) -> None:
         for _ in range(2):
@@ -194,10 +194,11 @@
         self.cluster.restart_acceptor(acceptor, RestartKind.KEPT)
         self.cluster.settle()
 
-    def _lose(self, acceptor: str) -> None:
-        """Have an acceptor lose something, and with chance be back at once.
+    def _lose_state(self, acceptor: str) -> None:
+        """Make an acceptor lose state, and usually recover at once.
 
-        One at a time: that is what is promised of three.
+        Only one acceptor loses state at a time, since three acceptors tolerate the loss
+        of one.
         """
         if not self._all_serve():
             return
@@ -205,15 +206,15 @@
         cluster = self.cluster
         cluster.restart_acceptor(acceptor, self.random.choice(kinds))
         if self.random.random() < 0.7:
-            copy_records(cluster, acceptor)
+            continue_recovery(cluster, acceptor)
             wait = cluster.timings.recovery_wait() * 1000
             cluster.pass_time(wait // (1000 + cluster.rates[acceptor]) + 1)
-            copy_records(cluster, acceptor)
+            continue_recovery(cluster, acceptor)
 
     def _stay_idle(self) -> None:
-        """Have nothing happen for so long that acceptors remove records; some do.
+        """Let the lease become idle, and remove the record at some acceptors.
 
-        No message is on its way for that long.
+        All messages in flight are dropped, since none is delayed for so long.
         """
         idle_after = self.cluster.history.idle_after
         if not idle_after:
@@ -224,10 +225,10 @@
             if self.random.random() < 0.8:
                 self.cluster.remove_idle(name)
 
-    # Moves of several.
+    # Moves of holders and acceptors.
 
     def _restart_after_write(self, holder: str, other: str) -> None:
-        """Restart an acceptor right after it let a holder in; then another comes."""
+        """Restart an acceptor after a grant and a write; then acquire for another."""
         self._announce_all()
         reach = self._some_majority()
         self._hold_and_write(holder, tuple(reach))
@@ -236,12 +237,13 @@
             kind = self.random.choice((RestartKind.KEPT, RestartKind.ROLLED_BACK))
             self.cluster.restart_acceptor(reach[0], kind)
             self.cluster.settle()
-        self._acquire_nearby(other)
+        self._acquire_at_once(other)
 
     def _take_over(self, old: str, new: str) -> None:
-        """Have one holder follow another that goes on writing.
+        """Let one holder take over from another that continues to write.
 
-        Some of the acceptors that the new one reaches lose it or remove its record.
+        Some acceptors that the new holder reaches lose their state or remove the
+        record.
         """
         cluster = self.cluster
         self._hold_and_write(old, self.acceptors)
@@ -261,13 +263,13 @@
             )
         if self.random.random() < 0.6:
             self._announce_all()
-            self._lose(reach[0])
+            self._lose_state(reach[0])
         order = (old, new) if self.random.random() < 0.7 else (new, old)
         for each in order:
             cluster.write(each)
-            self._exchange_nearby(each)
+            self._exchange_at_once(each)
 
 
 def walk(acceptors: int, holders: int, steps: int, seed: int) -> WalkResult:
-    """Make a walk from a seed."""
+    """Make a random walk from a seed."""
     return LeaseWalk(acceptors, holders, seed).run(steps)
--- a/milletsill/lab/model_checks/quota_cluster.py
+++ b/milletsill/lab/model_checks/quota_cluster.py
@@ -1,6 +1,6 @@
-"""A simulated fleet that shares one quota: planner, gateways, and a bad network.
+"""A simulated fleet that shares one quota: planner, gateways and a faulty network.
 
-The decisions are the product's own; clocks, restarts and messages are simulated.
+It runs the real planner and ledgers; clocks, restarts and messages are simulated.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 
 KEY = QuotaKey(QuotaKind.LIMIT, 1)
 TIMINGS = QuotaTimings(4 * SECOND, 0, 0.2)
-MAX_IN_FLIGHT = 6  # messages for each gateway
-CLOCK_OFFSET = 7  # between the clocks of two gateways
+MAX_IN_FLIGHT = 6  # messages per gateway
+CLOCK_OFFSET = 7  # ticks between the clocks of successive gateways
 
 Message = QuotaRequest | QuotaGrant
 
 
 class InFlight(NamedTuple):
-    """A message that may still arrive, from or to a gateway."""
+    """A message in flight from or to a gateway."""
 
     gateway: int
     message: Message
 
 
 class SimulatedQuotaFleet:
-    """Planner, gateways, and the messages that may still arrive."""
+    """The planner, the gateways, and the messages in flight."""
 
     def __init__(self, gateways: int, timings: QuotaTimings = TIMINGS) -> None:
         self.timings = timings
@@ -50,7 +50,7 @@
             for number in range(gateways)
         ]
         self.clock_offsets = [number * CLOCK_OFFSET for number in range(gateways)]
-        self.clock_rates = [0] * gateways  # error, in parts of a thousand
+        self.clock_rates = [0] * gateways  # rate errors, in parts per thousand
         for ledger in self.ledgers:
             ledger.track(KEY, gateways)
             ledger.accept_epoch(1)
@@ -58,26 +58,26 @@
         self.in_flight: list[InFlight] = []
 
     def clock(self, gateway: int) -> int:
-        """Return a gateway's time."""
+        """Return the reading of a gateway's clock."""
         return self.now + self.clock_offsets[gateway]
 
     def share(self, gateway: int) -> int:
-        """Return what a gateway may use now."""
+        """Return the share that a gateway may use now, in millionths."""
         return self.ledgers[gateway].share(KEY, self.clock(gateway))
 
     def total_share(self) -> int:
-        """Return what all gateways may use now; it must not pass the whole."""
+        """Return the sum of all shares in use, which must not exceed `WHOLE`."""
         return sum(self.share(gateway) for gateway in range(len(self.ledgers)))
 
     # Events.
 
     def make_request(self, gateway: int, wanted: int | None = None) -> QuotaRequest:
-        """Return the request of a gateway, for what it wants now."""
+        """Return a gateway's request for the share that it wants now."""
         want = self.wants[gateway] if wanted is None else wanted
         return self.ledgers[gateway].make_request(KEY, want, self.clock(gateway))
 
     def send_request(self, gateway: int) -> None:
-        """Let a gateway ask."""
+        """Send a gateway's request."""
         self._send(gateway, self.make_request(gateway))
 
     def _send(self, gateway: int, message: Message | None) -> None:
@@ -86,12 +86,12 @@
         self.in_flight.append(InFlight(gateway, message))
         del self.in_flight[: -MAX_IN_FLIGHT * len(self.ledgers)]
 
-    def deliver(self, place: int, again: bool) -> None:
-        """Let a message arrive; it may arrive again if `again`."""
+    def deliver(self, index: int, again: bool) -> None:
+        """Deliver a message; with `again` it stays in flight."""
         if again:
-            gateway, message = self.in_flight[place]
+            gateway, message = self.in_flight[index]
         else:
-            gateway, message = self.in_flight.pop(place)
+            gateway, message = self.in_flight.pop(index)
         if isinstance(message, QuotaRequest):
             self._send(gateway, self.planner.on_request(message, self.now))
             self._send_unsolicited()
@@ -104,7 +104,7 @@
             ledger.on_grant(grant, self.clock(gateway))
 
     def exchange(self, gateway: int) -> None:
-        """Let a gateway ask and be answered without delay."""
+        """Deliver a gateway's request and the grant without delay."""
         grant = self.planner.on_request(self.make_request(gateway), self.now)
         if grant is not None:
             self._take_grant(gateway, grant)
@@ -115,13 +115,13 @@
             self._send(int(unsolicited.gateway[1:]), unsolicited.grant)
 
     def pass_time(self, duration: int) -> None:
-        """Let time pass, on each clock at its rate."""
+        """Advance true time, and each clock at its own rate."""
         self.now += duration
         for gateway, rate in enumerate(self.clock_rates):
             self.clock_offsets[gateway] += duration * rate // 1000
 
     def restart_gateway(self, gateway: int) -> None:
-        """Let a gateway start again and forget."""
+        """Restart a gateway without its former state."""
         former = self.ledgers[gateway]
         ledger = QuotaLedger(
             former.name, former.incarnation + 1, self.timings, self.clock(gateway)
@@ -130,36 +130,36 @@
         self.ledgers[gateway] = ledger
 
     def restart_planner(self) -> None:
-        """Let the planner start again and forget."""
+        """Restart the planner without its former state, in a new epoch."""
         connected = self.planner.connected
         self.epoch += 1
         self.planner = QuotaPlanner(self.epoch, self.timings)
         self.planner.connected = connected
 
     def change_demand(self, gateway: int) -> None:
-        """Let one gateway want everything, and the others nothing."""
+        """Make one gateway want the whole quota, and the others nothing."""
         self.wants = [
             WHOLE if number == gateway else 0 for number in range(len(self.ledgers))
         ]
 
     def events(self) -> list[tuple[str, Callable[[], None]]]:
-        """Return what may happen next, by name."""
+        """Return the possible next events, by name."""
         events: list[tuple[str, Callable[[], None]]] = []
         for gateway in range(len(self.ledgers)):
             events.append((f"ask {gateway}", partial(self.send_request, gateway)))
             events.append(
                 (f"restart {gateway}", partial(self.restart_gateway, gateway))
             )
-        for place in range(len(self.in_flight)):
-            events.append((f"arrive {place}", partial(self.deliver, place, False)))
-            events.append((f"double {place}", partial(self.deliver, place, True)))
+        for index in range(len(self.in_flight)):
+            events.append((f"arrive {index}", partial(self.deliver, index, False)))
+            events.append((f"double {index}", partial(self.deliver, index, True)))
         half = self.timings.max_duration // 2
         events.append(("time", partial(self.pass_time, half)))
         events.append(("planner", self.restart_planner))
         return events
 
     def key(self) -> Hashable:
-        """Return the same for fleets that go on alike."""
+        """Return a key that is equal for fleets in equal states."""
         return (
             self.now,
             self.epoch,
--- a/milletsill/lab/model_checks/quota_model.py
+++ b/milletsill/lab/model_checks/quota_model.py
@@ -1,12 +1,12 @@
-"""A model of planner, gateways and network, run on the very code that decides.
+"""A model check of shared quotas, which runs the real planner and ledgers.
 
     python -m milletsill.lab.model_checks.quota_model [--walks N --steps N --gateways N]
 
-The network loses, doubles, delays and reorders. `explore` goes through every order of
-events up to a depth for a small fleet; `random_walk` goes by seeded chance through a
-large one. Both check after each event whether the shares in use add up to more than the
-whole. `quota_mutation_checks` takes out one guard at a time; the tests demand that
-each is found missing.
+The network loses, duplicates, delays and reorders messages. `explore` runs every order
+of events up to a depth in a small fleet; `random_walk` makes seeded random walks in a
+large fleet. Both check after each event that the shares in use do not add up to more
+than the whole quota. `quota_mutation_checks` disables one guard at a time; the tests
+require that the model detects each.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from random import Random
 
 from milletsill.lab.model_checks.quota_cluster import SimulatedQuotaFleet
-from milletsill.lab.model_checks.quota_mutation_checks import MUTANTS, without
+from milletsill.lab.model_checks.quota_mutation_checks import MUTATIONS, without
 from milletsill.planner.quota_terms import SECOND, WHOLE, QuotaTimings
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaExploration:
-    """How many states were checked, and the events that led past the whole, if any."""
+    """Number of states checked, and the events that led to a violation, if any."""
 
     states: int
     violation: list[str] | None = None
@@ -32,13 +32,14 @@
 def explore(
     gateways: int, depth: int, max_states: int, first_exchanges: int = 0
 ) -> QuotaExploration:
-    """Check every order of events up to a depth, equal states once.
+    """Check every order of events up to a depth; visit equal states once.
 
     Args:
         gateways: Size of the fleet.
         depth: Number of events.
-        max_states: When to stop.
-        first_exchanges: Without loss, so that there is something to lose.
+        max_states: Number of states at which the exploration stops.
+        first_exchanges: Number of exchanges without loss before the exploration, so
+            that grants and loans exist.
     """
     first = SimulatedQuotaFleet(gateways)
     for step in range(first_exchanges):
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RandomWalk:
-    """The steps made, what went wrong, and the most that one gateway had."""
+    """Number of steps, the first violation, and the largest share of one gateway."""
 
     steps: int
     violation: str | None
@@ -82,7 +83,7 @@
 def random_walk(
     gateways: int, steps: int, seed: int, drift_permille: int = 5
 ) -> RandomWalk:
-    """Go by chance through a large fleet whose clocks drift."""
+    """Make a random walk in a large fleet whose clocks drift."""
     random = Random(seed)
     fleet = SimulatedQuotaFleet(gateways, QuotaTimings(4 * SECOND, drift_permille, 0.2))
     slowest, fastest = -drift_permille // 2, drift_permille // 2
@@ -106,8 +107,8 @@
     elif chance < 0.52:
         fleet.send_request(gateway)
     elif chance < 0.74 and fleet.in_flight:
-        place = random.randrange(len(fleet.in_flight))
-        fleet.deliver(place, random.random() < 0.2)
+        index = random.randrange(len(fleet.in_flight))
+        fleet.deliver(index, random.random() < 0.2)
     elif chance < 0.94:
         fleet.pass_time(random.choice(PAUSES))
     elif chance < 0.955:
@@ -119,10 +120,10 @@
 
 
 def overtaken_grant() -> int:
-    """Return the most in use at any moment that a delayed large grant may arrive.
+    """Return the largest sum in use after the arrival of a delayed large grant.
 
-    It is on its way for long, while newer and smaller ones are lost and another gateway
-    gets the rest.
+    Newer and smaller grants to the gateway are lost while it is in flight, and another
+    gateway is granted the rest.
     """
     fleet = SimulatedQuotaFleet(3)
     for step in range(90):
@@ -144,7 +145,7 @@
 
 
 def find_violation(walks: int, steps: int = 1500) -> str | None:
-    """Return what goes wrong first: an overtaken grant, else by chance; or None."""
+    """Return the first violation by an overtaken grant or in random walks, if any."""
     total = overtaken_grant()
     if total > WHOLE:
         return f"an overtaken grant: {total} of {WHOLE} in use"
@@ -156,7 +157,7 @@
 
 
 def main() -> None:
-    """Run the model as the command line says, and print what it finds."""
+    """Run the model with the command-line options, and print the results."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -174,10 +175,10 @@
         walk = random_walk(options.gateways, options.steps, seed)
         largest = walk.largest_share / WHOLE
         print(
-            f"seed {seed}: {walk.steps} steps, most for one {largest:.2f}, "
+            f"seed {seed}: {walk.steps} steps, largest share {largest:.2f}, "
             f"{walk.violation or 'kept'}"
         )
-    for guard in MUTANTS:
+    for guard in MUTATIONS:
         with without(guard):
             violation = find_violation(300)
         print(f"without {guard}: {violation or 'NOT FOUND'}")
--- a/milletsill/lab/model_checks/quota_mutation_checks.py
+++ b/milletsill/lab/model_checks/quota_mutation_checks.py
@@ -1,4 +1,4 @@
-"""The planner's guards, each of which can be taken out for a check of the model."""
+"""Guards of shared quotas; the model check must fail without any one of them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def _count_all_loans(
     self: QuotaPlanner, quota: SharedQuota, share: QuotaShare, now: int, lent: int
 ) -> int:
-    """Count on loans that end before the grant."""
+    """Count loans that end before the grant."""
     standing = sum(each.lent(now) for each in quota.shares.values())
     return standing - (quota.granted - share.granted(now))
 
@@ -29,7 +29,7 @@
 def _ignore_other_grants(
     self: QuotaPlanner, quota: SharedQuota, share: QuotaShare, now: int, lent: int
 ) -> int:
-    """Forget what others hold."""
+    """Ignore grants that other gateways hold."""
     return lent
 
 
@@ -39,7 +39,7 @@
 
 
 def _grant_from_receipt(self: QuotaLedger, grant: QuotaGrant, now: int) -> GrantOutcome:
-    """Let a grant last from when it arrives."""
+    """Count the duration of a grant from its receipt."""
     outcome = _on_grant(self, grant, now)
     if outcome is GrantOutcome.ACCEPTED:
         self.holdings[grant.key].granted_until = now + grant.duration
@@ -47,7 +47,7 @@
 
 
 def _accept_expired(self: QuotaLedger, grant: QuotaGrant, now: int) -> GrantOutcome:
-    """Take a grant that comes after its end, and let it last from then."""
+    """Accept an expired grant, and count its duration from its receipt."""
     holding = self.holdings[grant.key]
     outcome = _on_grant(self, grant, now)
     if outcome is GrantOutcome.EXPIRED:
@@ -59,20 +59,20 @@
 def _count_loans_from_now(
     self: QuotaPlanner, share: QuotaShare, request: QuotaRequest, now: int
 ) -> None:
-    """Count a loan from when the planner hears of it."""
+    """Count the duration of a loan from the planner's receipt of the request."""
     until = now + self.timings.max_duration
     share.loans = [TimedShare(loan.share, until) for loan in request.loans]
 
 
 def _replace_loans(self: QuotaHolding, loan: QuotaLoan, now: int) -> None:
-    """Make a loan smaller when the planner asks for less."""
+    """Reduce a standing loan when the planner asks for a smaller one."""
     self.loans = [loan]
 
 
 def _lend_twice(
     self: QuotaLedger, holding: QuotaHolding, grant: QuotaGrant, now: int
 ) -> None:
-    """Lend to one epoch what another has."""
+    """Lend to one epoch a share that is already lent to another."""
     holding.lent_epoch = self.epoch
     share = min(grant.to_lend, holding.even_share - holding.floor)
     ends_at = now + self.timings.max_duration
@@ -80,27 +80,43 @@
 
 
 def _use_all_after_restart(self: QuotaLedger, key: QuotaKey, now: int) -> int:
-    """Take the whole even share at once after a start."""
+    """Use the whole even share right after a restart."""
     return self.holdings[key].share(now)
 
 
 _on_grant = QuotaLedger.on_grant
-MUTANTS: dict[str, tuple[type, str, Callable[..., Any]]] = {
-    "loans that end too soon": (QuotaPlanner, "available", _count_all_loans),
-    "grants to others": (QuotaPlanner, "available", _ignore_other_grants),
-    "older grants": (QuotaShare, "granted", _count_newest_grant),
-    "grants from receipt": (QuotaLedger, "on_grant", _grant_from_receipt),
-    "grants past their end": (QuotaLedger, "on_grant", _accept_expired),
-    "loans counted from hearing": (QuotaPlanner, "count_loans", _count_loans_from_now),
-    "loans made smaller": (QuotaHolding, "add_loan", _replace_loans),
-    "loans to two epochs": (QuotaLedger, "lend", _lend_twice),
-    "floor after a start": (QuotaLedger, "share", _use_all_after_restart),
+MUTATIONS: dict[str, tuple[type, str, Callable[..., Any]]] = {
+    "loans outlast the grants that they back": (
+        QuotaPlanner,
+        "available",
+        _count_all_loans,
+    ),
+    "grants to other gateways are subtracted": (
+        QuotaPlanner,
+        "available",
+        _ignore_other_grants,
+    ),
+    "older unexpired grants are counted": (QuotaShare, "granted", _count_newest_grant),
+    "grants last from the request": (QuotaLedger, "on_grant", _grant_from_receipt),
+    "expired grants are rejected": (QuotaLedger, "on_grant", _accept_expired),
+    "loans are counted from the grant that asked for them": (
+        QuotaPlanner,
+        "count_loans",
+        _count_loans_from_now,
+    ),
+    "loans are not reduced": (QuotaHolding, "add_loan", _replace_loans),
+    "loans are to one epoch at a time": (QuotaLedger, "lend", _lend_twice),
+    "only the floor is used after a restart": (
+        QuotaLedger,
+        "share",
+        _use_all_after_restart,
+    ),
 }
 
 
 @contextmanager
 def without(guard: str) -> Iterator[None]:
-    """Run with one guard out."""
-    owner, name, mutant = MUTANTS[guard]
-    with mock.patch.object(owner, name, mutant):
+    """Run with one guard disabled."""
+    owner, name, replacement = MUTATIONS[guard]
+    with mock.patch.object(owner, name, replacement):
         yield
--- a/tests/fleet/leases/test_lease_model.py
+++ b/tests/fleet/leases/test_lease_model.py
@@ -4,7 +4,7 @@
 
 from milletsill.lab.model_checks import lease_mutation_checks
 from milletsill.lab.model_checks.lease_exploration import (
-    Opening,
+    StartingPoint,
     explore,
     single_events,
     whole_exchanges,
@@ -16,8 +16,8 @@
 class LeaseModelTests(unittest.TestCase):
     def test_exploration_of_event_orders_finds_no_violation(self):
         for moves in (single_events, whole_exchanges):
-            for opening in Opening:
-                result = explore(opening, 12, 3000, moves)
+            for start in StartingPoint:
+                result = explore(start, 12, 3000, moves)
                 self.assertIsNone(result.violation)
                 self.assertGreaterEqual(result.depth, 2)
                 self.assertEqual(result.clusters, 3000)
--- a/tests/planner/test_quota_decisions.py
+++ b/tests/planner/test_quota_decisions.py
@@ -376,7 +376,7 @@
             self.assertIsNone(quota_model.random_walk(20, 1500, seed).violation)
 
     def test_the_model_finds_each_removed_guard(self):
-        for guard in quota_mutation_checks.MUTANTS:
+        for guard in quota_mutation_checks.MUTATIONS:
             with self.subTest(guard), quota_mutation_checks.without(guard):
                 self.assertIsNotNone(quota_model.find_violation(300))
 
