--- a/milletsill/lab/hunt/fleet_gateway.py
+++ b/milletsill/lab/hunt/fleet_gateway.py
@@ -48,7 +48,9 @@
 LEASE_TIMINGS = LeaseTimings(2 * SECOND, 3000, 5)
 MAX_LEASES = 64
 NEVER_IDLE = 1 << 50
-RIVAL_COUNT = 9  # gateways that sometimes acquire a lease preferred for another
+RIVAL_COUNT = (
+    9  # gateways that at times acquire a lease whose preferred holder is another
+)
 RIVAL_CHANCE = 0.05
 RELEASE_CHANCE = 0.05
 CHANNEL_NAMES = tuple(f"channel-{number}" for number in range(4))
--- a/milletsill/lab/model_checks/lease_cluster.py
+++ b/milletsill/lab/model_checks/lease_cluster.py
@@ -41,7 +41,7 @@
 
 MAX_IN_FLIGHT = 14  # messages per holder
 MAX_EXCHANGE = 8  # messages of one exchange
-# The 5% drift exceeds the margin that counting a lease from its request's send gives.
+# 5% drift, so that a missing correction exceeds the margin of counting from the send.
 TIMINGS = LeaseTimings(10_000, 2_500, 50)
 
 
--- a/tests/http_gateway/test_race_hunt.py
+++ b/tests/http_gateway/test_race_hunt.py
@@ -1,7 +1,7 @@
-"""The hunt of crossings.
+"""Fault search for races in the HTTP gateway.
 
-A whole gateway on a simulated clock under moves that chance draws, and that a guard's
-loss is found.
+A whole gateway runs on a simulated clock with seeded random events. A run must fail
+when one of the gateway's guards is disabled.
 """
 
 import unittest
@@ -11,40 +11,46 @@
 from tests.support.race_scenarios import Crossings
 from tests.support.race_sites import site
 
-SEEDS, OF_SITES = range(100), range(10)
+SEEDS, SEEDS_PER_SITE = range(100), range(10)
 
 
-class Hunt(unittest.TestCase):
-    def kept(self, game, seeds):
+class RaceSearchTests(unittest.TestCase):
+    def assert_seeds_pass(self, simulation, seeds):
         for seed in seeds:
             with self.subTest(seed=seed):
-                self.assertIsNone(game.play(seed, game.drawn(seed)))
+                self.assertIsNone(simulation.play(seed, simulation.drawn(seed)))
 
-    def test_drawn_seeds_are_kept(self):
-        self.kept(Crossings(), SEEDS)
+    def test_drawn_seeds_pass(self):
+        self.assert_seeds_pass(Crossings(), SEEDS)
 
-    def test_settings_of_the_sites_are_kept(self):
+    def test_drawn_seeds_pass_with_the_settings_of_each_site(self):
         for name in VARIANTS:
             with self.subTest(name):
-                self.kept(Crossings(settings=site(name)), OF_SITES)
+                self.assert_seeds_pass(Crossings(settings=site(name)), SEEDS_PER_SITE)
 
-    def test_the_same_seed_is_the_same_run(self):
-        game = Crossings()
-        self.assertEqual(game.drawn(7), game.drawn(7))
+    def test_a_seed_always_gives_the_same_run(self):
+        simulation = Crossings()
+        self.assertEqual(simulation.drawn(7), simulation.drawn(7))
         with without("a reset is no end"):
             seed = FOUND_BY["a reset is no end"]
-            self.assertEqual(*(game.play(seed, game.drawn(seed)) for _ in range(2)))
+            self.assertEqual(
+                *(simulation.play(seed, simulation.drawn(seed)) for _ in range(2))
+            )
 
 
-class GuardsOut(unittest.TestCase):
-    def test_a_guard_out_is_found(self):
-        game = Crossings()
+class DisabledGuardTests(unittest.TestCase):
+    def test_a_run_fails_without_each_guard(self):
+        simulation = Crossings()
         for name, seed in FOUND_BY.items():
             with self.subTest(name):
-                self.assertIsNone(game.play(seed, game.drawn(seed)), "kept with it")
+                self.assertIsNone(
+                    simulation.play(seed, simulation.drawn(seed)),
+                    "fails with the guard",
+                )
                 with without(name):
                     self.assertIsNotNone(
-                        game.play(seed, game.drawn(seed)), "not found without it"
+                        simulation.play(seed, simulation.drawn(seed)),
+                        "passes without the guard",
                     )
 
 
