--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -29,7 +29,7 @@
     times = []
     for part in (0.9, 1.0):
         done = network.run(
-            began + MOST_WAIT * SECOND, lambda: network.share_of_true_views() >= part
+            began + MOST_WAIT * SECOND, lambda: network.share_of_correct_views() >= part
         )
         times.append(f"{(network.now - began) / SECOND:.1f}" if done else "never")
     print(
@@ -66,14 +66,14 @@
         network.cut(names[:1], names[1:2], both=False)
         network.run(network.now + 20 * SECOND)
         print(
-            f"20 s in which one does not hear one other: right views {network.share_of_true_views():.3f}",
+            f"20 s in which one does not hear one other: right views {network.share_of_correct_views():.3f}",
             flush=True,
         )
     elif what == "loss":
         network.loss, false = 0.1, len(network.false_deaths)
         network.run(network.now + 60 * SECOND)
         print(
-            f"a minute of 10% loss: live ones declared gone {len(network.false_deaths) - false}, right views {network.share_of_true_views():.3f}",
+            f"a minute of 10% loss: live ones declared gone {len(network.false_deaths) - false}, right views {network.share_of_correct_views():.3f}",
             flush=True,
         )
         network.kill("gateway-7")
--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -93,9 +93,9 @@
 
 
 def stand(scenario: Any, out: str, port: str) -> None:
-    from milletsill.lab.stand import Stand
+    from milletsill.lab.stand import StandIns
 
-    held = Stand(reactor, scenario, out, int(port))
+    held = StandIns(reactor, scenario, out, int(port))
     held.flush()
     when_told(out, held.begin)
     reactor.addSystemEventTrigger("before", "shutdown", held.close)
--- a/milletsill/lab/hunt/fleet_cost.py
+++ b/milletsill/lab/hunt/fleet_cost.py
@@ -86,7 +86,7 @@
         gateway_seconds = gateways * SPAN / SECOND
         cpu = (time.process_time() - began) / gateway_seconds * 1000
         frames = (simulation.message_count - frames_before) / gateway_seconds
-        right = simulation.share_of_true_views()
+        right = simulation.share_of_correct_views()
         memory = (resident_mebibytes() - memory_before) / gateways
         broke = f"; BROKE: {simulation.failure}" if simulation.failure else ""
         return (
--- a/milletsill/lab/hunt/fleet_restart.py
+++ b/milletsill/lab/hunt/fleet_restart.py
@@ -61,7 +61,7 @@
             AssertionError: a promise was broken, or the fleet did not recover.
         """
         self.run(KILLED_AT)
-        if self.share_of_true_views() != 1.0:
+        if self.share_of_correct_views() != 1.0:
             raise AssertionError("the fleet was not whole before")
         self._kill_all(loses_disks)
         self.started_at = self.now + SECOND
@@ -96,7 +96,7 @@
         assert self.started_at is not None
         are_all_up = len(self.live_members()) == len(self.names)
         if self.now > self.started_at + SECOND and are_all_up:
-            right = self.share_of_true_views()
+            right = self.share_of_correct_views()
             for name, share in VIEW_SHARES.items():
                 if right >= share:
                     self.found.setdefault(name, (self.now - self.started_at) / SECOND)
--- a/milletsill/lab/hunt/fleet_simulation.py
+++ b/milletsill/lab/hunt/fleet_simulation.py
@@ -296,7 +296,7 @@
 
     def check_calm(self) -> None:
         """Check what must hold once all has been calm."""
-        truth = self.true_digest()
+        truth = self.live_members_digest()
         for gateway in self.live_gateways():
             self._check_view(gateway, truth)
             if self.shape.evaluators:
--- a/milletsill/lab/network_relay.py
+++ b/milletsill/lab/network_relay.py
@@ -30,7 +30,11 @@
     network_faults,
 )
 from milletsill.lab.record import PacketRecorder
-from milletsill.lab.relay_addresses import inside, outside, speaker
+from milletsill.lab.relay_addresses import (
+    gateway_with_address,
+    own_address,
+    relay_address,
+)
 from milletsill.lab.relayed_stream import RelayedStream, StreamEnd, StreamFactory
 from milletsill.settings.milletsill_pb2 import Scenario
 
@@ -75,7 +79,7 @@
             RelayedAddress(self, number) for number in range(self.gateway_count)
         ]
         for number, address in enumerate(self.addresses):
-            host = outside(number)
+            host = relay_address(number)
             reactor.listenUDP(port, address, interface=host, maxPacketSize=MAX_DATAGRAM)
             factory = StreamFactory(partial(self.accept, receiver=number))
             reactor.listenTCP(port, factory, interface=host, backlog=STREAM_BACKLOG)
@@ -169,7 +173,7 @@
 
     def sender_of(self, host: str, receiver: int) -> int | None:
         """Return which gateway speaks to another; None for a stranger or itself."""
-        sender = speaker(host)
+        sender = gateway_with_address(host)
         if sender is None or sender >= self.gateway_count or sender == receiver:
             return None
         return sender
@@ -220,6 +224,6 @@
     def send(self, receiver: int, data: bytes) -> None:
         """Send a packet of this gateway to another."""
         try:
-            self.transport.write(data, (inside(receiver), self.relay.port))
+            self.transport.write(data, (own_address(receiver), self.relay.port))
         except OSError:
             self.relay.counts["lost"] += 1
--- a/milletsill/lab/processes.py
+++ b/milletsill/lab/processes.py
@@ -1,4 +1,7 @@
-"""The processes of a run: edges, planner, relay; started, hurt and ended by their ids, their logs poured into files."""
+"""The processes of a scenario run: gateways, planner, relay and others.
+
+Each process is started, stopped and killed by its own id; its output goes to a log file.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,19 @@
 from milletsill.planner.epoch_store import next_epoch
 from milletsill.settings.milletsill_pb2 import PlannerFile
 
-PORTS = (20_000, 32_000)
+PORT_RANGE = (20_000, 32_000)
 LAB = [sys.executable, "-m", "milletsill.lab"]
 
 
 def free_ports(count: int, hosts: tuple[str, ...] = ("127.0.0.1",)) -> list[int]:
-    """Ports that nothing listens on now, TCP or UDP, below those that the system gives to outgoing connections."""
+    """Return ports that are free on all hosts for TCP and UDP.
+
+    They lie below the range from which the system takes ports of outgoing connections.
+    """
     found: list[int] = []
-    for port in SystemRandom().sample(range(*PORTS), PORTS[1] - PORTS[0]):
+    for port in SystemRandom().sample(
+        range(*PORT_RANGE), PORT_RANGE[1] - PORT_RANGE[0]
+    ):
         if len(found) == count:
             break
         if all(
@@ -46,15 +54,15 @@
     return True
 
 
-def pour(source: BinaryIO, path: str) -> None:
-    """What a process says into its log, until it ends."""
+def copy_output(source: BinaryIO, path: str) -> None:
+    """Copy a process's output to its log file until the output ends."""
     with source, open(path, "ab", buffering=0) as sink:
         while data := source.read1(65_536):  # type: ignore[attr-defined]
             sink.write(data)
 
 
-class Part:
-    """One process of a run, which may be killed and started again."""
+class RunProcess:
+    """One process of a run, which can be killed and restarted."""
 
     def __init__(self, run: Any, name: str) -> None:
         self.run, self.name = run, name
@@ -76,8 +84,8 @@
             self.process.send_signal(number)
 
 
-class Group(Part):
-    """One process that carries some edges."""
+class GatewayGroupProcess(RunProcess):
+    """One process that runs one or more gateways."""
 
     def __init__(self, run: Any, names: list[str]) -> None:
         super().__init__(run, names[0])
@@ -90,34 +98,39 @@
         return [sys.executable, "-m", "milletsill", "edge", *files]
 
     def start(self) -> None:
-        """Its log goes through a pipe, so that one without a disk still says what befell it."""
+        """Start the process with its output in a pipe.
+
+        So the log is still written when `fill_disk` stops the process from writing files.
+        """
         self.process = self.run.processes.spawn(self.command(), self.name, piped=True)
 
-    def states(self) -> list[str]:
+    def state_folders(self) -> list[str]:
         return [f"{self.run.out}/{name}.state" for name in self.names]
 
-    def lose_state(self) -> None:
-        for each in self.states():
+    def delete_state(self) -> None:
+        for each in self.state_folders():
             shutil.rmtree(each, ignore_errors=True)
 
     def copy_state(self) -> None:
-        """As a snapshot of the machine would: the process stands while it is taken."""
+        """Copy the state folders as a snapshot would: the process is stopped meanwhile."""
         self.signal(signal.SIGSTOP)
-        for each in self.states():
+        for each in self.state_folders():
             shutil.rmtree(f"{each}.old", ignore_errors=True)
             shutil.copytree(each, f"{each}.old")
         self.signal(signal.SIGCONT)
 
-    def old_state(self) -> None:
-        """The copy in the place of what it has, while it is down."""
-        for each in self.states():
+    def restore_state_copy(self) -> None:
+        """Replace the state folders by their copies; the process is not running."""
+        for each in self.state_folders():
             if os.path.isdir(f"{each}.old"):
                 shutil.rmtree(each, ignore_errors=True)
                 os.rename(f"{each}.old", each)
 
     def fill_disk(self, full: bool) -> None:
-        """No write to a file goes through any more, or all do again: RLIMIT_FSIZE of the running process, at 0. A full disk
-        says ENOSPC where this says EFBIG, and lets old blocks be written over; this does not.
+        """Make all writes to files fail, or let them succeed again.
+
+        Sets RLIMIT_FSIZE of the running process to 0. Unlike a full disk, this gives
+        EFBIG instead of ENOSPC, and existing blocks cannot be overwritten either.
         """
         if self.process is not None and self.process.poll() is None:
             _, most = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
@@ -126,8 +139,12 @@
             )
 
 
-class PlannerPart(Part):
-    """The planner of a run. Its folder has seen some starts; an old copy of it has seen none."""
+class PlannerProcess(RunProcess):
+    """The planner of a run.
+
+    Its state folder has seen some starts (epochs), the old state that a fault
+    substitutes has seen none.
+    """
 
     def __init__(self, run: Any, port: int) -> None:
         super().__init__(run, "planner")
@@ -152,13 +169,17 @@
     def command(self) -> list[str]:
         return [sys.executable, "-m", "milletsill", "plan", self.path]
 
-    def start_old(self) -> None:
-        """As if an old snapshot of the machine had come back."""
+    def start_with_old_state(self) -> None:
+        """Start without the current state, as if an old snapshot were restored."""
         os.rename(self.state, f"{self.state}.kept")
         self.start()
 
-    def start_again(self) -> None:
-        """The true state again; the old run, which should have ended, is ended."""
+    def restart_with_current_state(self) -> None:
+        """Kill the process that runs on old state, and start one on the current state.
+
+        The process on old state should have ended by itself; `exits` gets its exit
+        code, or -1 if it still runs.
+        """
         if self.process is not None:
             self.exits.append(
                 self.process.poll() if self.process.poll() is not None else -1
@@ -169,42 +190,42 @@
         self.start()
 
 
-class Processes:
-    """All that a run started, so that all of it is ended."""
+class StartedProcesses:
+    """All processes that a run started, so that the run can end each of them."""
 
     def __init__(self, out: str) -> None:
         self.out = out
-        self.made: list[subprocess.Popen[bytes]] = []
-        self.pours: list[Thread] = []
+        self.started: list[subprocess.Popen[bytes]] = []
+        self.copy_threads: list[Thread] = []
 
     def spawn(
         self, command: list[str], name: str, piped: bool = False
     ) -> subprocess.Popen[bytes]:
         path = f"{self.out}/{name}.log"
         if piped:
-            made = subprocess.Popen(
+            process = subprocess.Popen(
                 command,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
             )
-            self.pours.append(
-                Thread(target=pour, args=(made.stdout, path), daemon=True)
+            self.copy_threads.append(
+                Thread(target=copy_output, args=(process.stdout, path), daemon=True)
             )
-            self.pours[-1].start()
+            self.copy_threads[-1].start()
         else:
             with open(path, "ab") as log:
-                made = subprocess.Popen(
+                process = subprocess.Popen(
                     command, stdin=subprocess.DEVNULL, stdout=log, stderr=log
                 )
-        self.made.append(made)
-        return made
+        self.started.append(process)
+        return process
 
-    def end(self) -> None:
-        """What still runs is killed; the logs are whole."""
-        for each in self.made:
+    def kill_all(self) -> None:
+        """Kill the processes that still run, and wait until their logs are complete."""
+        for each in self.started:
             if each.poll() is None:
                 each.kill()
                 each.wait()
-        for thread in self.pours:
+        for thread in self.copy_threads:
             thread.join(5)
--- a/milletsill/lab/record.py
+++ b/milletsill/lab/record.py
@@ -1,9 +1,10 @@
-"""Records what crossed a socket, with the machine's monotonic time.
+"""Records the packets that cross a socket, with the machine's monotonic time.
 
-Written by stand-in nodes, clients and the registry stand-in. A file is a line
-`milletsill record 1 ROLE NAME` and then entries: u64 nanoseconds, u32 connection, u8
-direction (0 came in, 1 went out, 2 a note in JSON), u32 whole length, u32 kept
-length, the kept bytes. Big-endian. Data past MAX_KEPT bytes of a packet is not kept.
+Stand-in nodes, clients and the registry stand-in write records. A file starts with the
+line `milletsill record 1 ROLE NAME`; entries follow, in big-endian order: u64
+nanoseconds, u32 connection, u8 direction (0 received, 1 sent, 2 a note in JSON), u32
+full length, u32 kept length, the kept bytes. By default at most MAX_KEPT bytes of a
+packet are kept.
 """
 
 from __future__ import annotations
@@ -18,12 +19,15 @@
 OUT = 1
 NOTE = 2
 MAX_KEPT = 640
-"""Bytes of a packet that are kept."""
+"""Bytes of a packet that are kept by default."""
 BUFFER_BYTES = 1 << 18
 
 
 class PacketRecorder:
-    """Appends entries to a record; buffered, flushed by `close` and by its owner."""
+    """Appends entries to a record through a buffer.
+
+    `close` flushes the buffer; before that, the owner calls `flush`.
+    """
 
     def __init__(self, path: str, role: str, name: str) -> None:
         self.sink = BufferedWriter(FileIO(path, "wb"), BUFFER_BYTES)
@@ -32,7 +36,7 @@
     def put(
         self, connection: int, direction: int, data: bytes, max_kept: int = MAX_KEPT
     ) -> None:
-        """Append a packet as it crosses a socket."""
+        """Append a packet that is crossing a socket now."""
         kept = data[:max_kept]
         head = ENTRY.pack(
             time.monotonic_ns(), connection, direction, len(data), len(kept)
@@ -40,14 +44,14 @@
         self.sink.write(head + kept)
 
     def note(self, **values: object) -> None:
-        """Append a note whose values JSON knows."""
+        """Append a note; its values must be serializable as JSON."""
         data = json.dumps(values).encode()
         self.put(0, NOTE, data, len(data))
 
     def flush(self) -> None:
-        """Write out what is buffered."""
+        """Write the buffered entries to the file."""
         self.sink.flush()
 
     def close(self) -> None:
-        """Write out what is buffered and end the record."""
+        """Write the buffered entries to the file and close it."""
         self.sink.close()
--- a/milletsill/lab/record_entries.py
+++ b/milletsill/lab/record_entries.py
@@ -1,7 +1,8 @@
 """Decodes records and the fields of the packets in them.
 
-`record` documents the format. Both it and the packets are decoded here once more, on
-purpose: an audit that used the gateway's codec would share its faults.
+`milletsill.lab.record` documents the format. This module decodes records and packets
+independently of the gateway's codec: an audit that used the codec would share its
+faults.
 """
 
 from __future__ import annotations
@@ -24,31 +25,36 @@
 
 
 class FieldCursor:
-    """Reads the fields of one packet from its start; past its end all are empty."""
+    """Reads the fields of one packet in order; fields past its end are 0 or empty."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.at = 0
 
     def number(self, size: int) -> int:
-        """Read a big-endian number of so many bytes."""
+        """Read a big-endian unsigned integer of `size` bytes."""
         self.at += size
         return int.from_bytes(self.data[self.at - size : self.at], "big")
 
     def raw(self) -> bytes:
-        """Read bytes after their length."""
+        """Read a byte string that follows its u32 length."""
         size = self.number(4)
         self.at += size
         return self.data[self.at - size : self.at]
 
     def text(self) -> str:
-        """Read text after its length."""
+        """Read UTF-8 text that follows its u32 length."""
         return self.raw().decode("utf-8", "replace")
 
 
 @dataclass(frozen=True, slots=True)
 class RecordEntry:
-    """One entry of a record; `data` may be shorter than what crossed the socket."""
+    """One entry of a record.
+
+    Attributes:
+        at: Monotonic time in seconds.
+        data: The kept bytes; may be shorter than the packet that crossed the socket.
+    """
 
     at: float
     connection: int
@@ -56,20 +62,20 @@
     data: bytes
 
     def note(self) -> dict[str, Any]:
-        """Return the values of a note; none where the entry is a packet."""
+        """Return the values of a note; an empty dict if the entry is a packet."""
         values: dict[str, Any] = json.loads(self.data) if self.direction == NOTE else {}
         return values
 
 
 def read_entries(path: str) -> Iterator[RecordEntry]:
-    """Yield the entries of a record up to where it is torn.
+    """Yield the complete entries of a record; a truncated last entry is skipped.
 
     Raises:
-        ValueError: The file is no record.
+        ValueError: The file does not start with the header line of a record.
     """
     with open(path, "rb") as source:
         if not source.readline().startswith(b"milletsill record 1 "):
-            raise ValueError(f"{path} is no record")
+            raise ValueError(f"{path}: no 'milletsill record 1' header line")
         while len(head := source.read(ENTRY_HEAD.size)) == ENTRY_HEAD.size:
             nanoseconds, connection, direction, _, kept = ENTRY_HEAD.unpack(head)
             data = source.read(kept)
--- a/milletsill/lab/registry_stand_in.py
+++ b/milletsill/lab/registry_stand_in.py
@@ -1,7 +1,7 @@
-"""The stand-in for the registry: enough of etcd v3's HTTP/JSON gateway for a list.
+"""Stand-in for the registry: the part of etcd v3's HTTP/JSON gateway that lists use.
 
-Slow, of fixed capacity, and failing as it is told. Written from etcd's published API:
-POST /v3/kv/range and /v3/watch, keys and values in base64, numbers as strings.
+Its call latency, capacity and failure rate are configured. It follows etcd's published
+API: POST /v3/kv/range and /v3/watch, keys and values in base64, numbers as strings.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from milletsill.lab.record import OUT, PacketRecorder
 from milletsill.settings.milletsill_pb2 import RegistryStand
 
-MAX_EVENTS = 100_000
+MAX_EVENTS = 100_000  # events kept for watches that start at an old revision
 MAX_BODY = 1 << 20
-"""Bytes of a call that are read."""
+"""Bytes of a call's body that are read."""
 MAX_RECORDED = 1 << 24
 """Bytes of an answer that are recorded."""
 MAX_CALLS_FACTOR = 8
-"""How many times the calls it serves at once may wait."""
+"""Open calls allowed, as a multiple of the calls that are served at once."""
 UNAVAILABLE = b'{"error":"unavailable","code":14}'
 
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A key's value, and the revision that it was put at."""
+    """A key's value and the revision at which it was put."""
 
     data: bytes
     revision: int
 
 
 def key_value(key: str, data: bytes, revision: int) -> dict[str, str]:
-    """Return a key with its value as etcd tells it."""
+    """Return a key and its value in etcd's JSON form."""
     return {
         "key": base64.b64encode(key.encode()).decode(),
         "value": base64.b64encode(data).decode(),
@@ -46,12 +46,12 @@
 
 
 class RegistryStandIn:
-    """Keys and values with revisions, and who watches them.
+    """Stores keys and values with revisions, and serves watches on them.
 
     Attributes:
-        away: It cannot be reached.
+        away: The registry is unavailable: calls fail and watches are broken.
         open_calls: Calls that wait for their answer.
-        notified_at: When watches hear of the last change, on the reactor's clock.
+        notified_at: When the last change is sent to watches, on the reactor's clock.
     """
 
     def __init__(
@@ -82,13 +82,13 @@
         self.on_change("PUT", key, data)
 
     def delete(self, key: str) -> None:
-        """Delete a key, where it is there."""
+        """Delete a key if it exists."""
         if self.values.pop(key, None) is not None:
             self.revision += 1
             self.on_change("DELETE", key, b"")
 
     def on_change(self, kind: str, key: str, data: bytes) -> None:
-        """Notify watches of a change; they hear changes in their order."""
+        """Notify watches of a change after a random delay; changes stay in order."""
         event = {"type": kind, "kv": key_value(key, data, self.revision)}
         self.events.append(event)
         del self.events[:-MAX_EVENTS]
@@ -100,22 +100,22 @@
         )
 
     def notify(self, event: dict[str, Any], revision: int) -> None:
-        """Tell an event to the watches that want it."""
+        """Send an event to the watches that started at or before its revision."""
         for request in list(self.watches):
             if request.since <= revision:
                 self.send(request, {"events": [event]})
 
     def header(self) -> dict[str, str]:
-        """Return the header that all answers have."""
+        """Return the header that every answer carries."""
         return {"cluster_id": "1", "revision": str(self.revision)}
 
     def compact(self) -> None:
-        """Forget the past: watches from before it are told so."""
+        """Drop all past events; a watch from an older revision is then cancelled."""
         self.compacted_revision = self.revision
         self.events.clear()
 
     def set_away(self, away: bool) -> None:
-        """Become unreachable, so that watches break and calls fail, or return."""
+        """Become unavailable, which aborts all watches and fails calls, or recover."""
         self.away = away
         if not away:
             return
@@ -133,14 +133,14 @@
         request.write(data)
 
     def record(self, request: Any, data: bytes) -> None:
-        """Record what a gateway is told; its name ends its user agent."""
+        """Record data sent to a gateway, whose name is the last part of User-Agent."""
         if self.recorder is not None:
             name = (request.getHeader("user-agent") or "?").rpartition("/")[2]
             entry = name.encode() + b"\n" + data
             self.recorder.put(0, OUT, entry, MAX_RECORDED)
 
     def is_overloaded(self) -> bool:
-        """Return whether a call fails now: by too many others, or by chance."""
+        """Return whether a call fails now: by too many open calls, or at random."""
         return (
             self.open_calls >= self.settings.at_once * MAX_CALLS_FACTOR
             or self.random.random() < self.settings.fail_rate
@@ -148,7 +148,7 @@
 
 
 class RegistryCalls(Resource):
-    """Both calls of etcd's gateway."""
+    """Serves the calls of etcd's gateway: range and watch."""
 
     def __init__(self, registry: RegistryStandIn) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
@@ -156,7 +156,7 @@
         self.registry = registry
 
     def render_POST(self, request: Any) -> Any:  # noqa: N802
-        """Take a call."""
+        """Handle a call."""
         registry = self.registry
         try:
             body = json.loads(request.content.read(MAX_BODY))
@@ -183,7 +183,7 @@
         return b'{"error":"no such call"}'
 
     def answer_range(self, request: Any, newest_only: bool) -> None:
-        """Answer with the whole list, or with the key that was changed last."""
+        """Answer with the whole list, or with the most recently changed key only."""
         registry = self.registry
         registry.open_calls -= 1
         if request._disconnected or registry.away:
@@ -192,18 +192,22 @@
             key_value(key, value.data, value.revision)
             for key, value in sorted(registry.values.items(), key=lambda item: item[0])
         ]
-        told = listed
+        returned = listed
         if newest_only:
-            told = sorted(listed, key=lambda kv: -int(kv["mod_revision"]))[:1]
-        answer = {"header": registry.header(), "kvs": told, "count": str(len(listed))}
+            returned = sorted(listed, key=lambda kv: -int(kv["mod_revision"]))[:1]
+        answer = {
+            "header": registry.header(),
+            "kvs": returned,
+            "count": str(len(listed)),
+        }
         data = json.dumps(answer).encode()
-        if not newest_only:  # that is no list
+        if not newest_only:  # only whole lists are audited
             registry.record(request, data)
         request.write(data)
         request.finish()
 
     def begin_watch(self, request: Any, since: int) -> None:
-        """Begin a watch; what it missed since a revision comes at once."""
+        """Begin a watch and send the events since a revision that are already known."""
         registry = self.registry
         request.since = since
         request.notifyFinish().addBoth(lambda _: self.end_watch(request))
@@ -222,13 +226,13 @@
         registry.watches.append(request)
 
     def end_watch(self, request: Any) -> None:
-        """Forget a watch whose connection ended."""
+        """Remove a watch whose connection ended."""
         if request in self.registry.watches:
             self.registry.watches.remove(request)
 
 
 def registry_site(registry: RegistryStandIn) -> Site:
     """Return the site that serves a registry."""
-    made = Site(RegistryCalls(registry))  # type: ignore[no-untyped-call]
-    made.noisy = False
-    return made
+    site = Site(RegistryCalls(registry))  # type: ignore[no-untyped-call]
+    site.noisy = False
+    return site
--- a/milletsill/lab/relay_addresses.py
+++ b/milletsill/lab/relay_addresses.py
@@ -1,22 +1,22 @@
-"""The addresses of gateways on loopback: their own, and the relay's for them."""
+"""Loopback addresses of gateways: their own, and the relay's for each of them."""
 
 from __future__ import annotations
 
-INSIDE = "127.0.1."
-OUTSIDE = "127.0.2."
+OWN_PREFIX = "127.0.1."
+RELAY_PREFIX = "127.0.2."
 
 
-def inside(number: int) -> str:
-    """Return the IP address of a gateway itself."""
-    return f"{INSIDE}{number + 1}"
+def own_address(number: int) -> str:
+    """Return the IP address that a gateway itself listens on."""
+    return f"{OWN_PREFIX}{number + 1}"
 
 
-def outside(number: int) -> str:
-    """Return the IP address at which others reach a gateway, the relay's."""
-    return f"{OUTSIDE}{number + 1}"
+def relay_address(number: int) -> str:
+    """Return the relay's IP address at which other gateways reach a gateway."""
+    return f"{RELAY_PREFIX}{number + 1}"
 
 
-def speaker(host: str) -> int | None:
-    """Return which gateway has this address; None for none."""
+def gateway_with_address(host: str) -> int | None:
+    """Return the number of the gateway with this own address; None if there is none."""
     prefix, _, last = host.rpartition(".")
-    return int(last) - 1 if prefix + "." == INSIDE else None
+    return int(last) - 1 if prefix + "." == OWN_PREFIX else None
--- a/milletsill/lab/relay_control.py
+++ b/milletsill/lab/relay_control.py
@@ -1,4 +1,4 @@
-"""The control line of the stand-in network, on loopback."""
+"""Control connection of the network relay: JSON lines over TCP on loopback."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from milletsill.lab.network_relay import NetworkRelay
 
 MAX_ERROR = 200
-"""Characters of an error that are told."""
+"""Characters of an error text that are returned."""
 
 
 @dataclass(frozen=True, slots=True)
 class ControlledFault:
-    """A fault as a control line states it; it begins at once."""
+    """A network fault given in a control line; it begins at once."""
 
     fields: dict[str, Any]
     what: str
@@ -31,15 +31,15 @@
     extra: float = 0.0
 
     def HasField(self, field: str) -> bool:  # noqa: N802
-        """Return whether the line gives a field."""
+        """Return whether the line contains a field."""
         return field in self.fields
 
 
 def controlled_fault(fields: dict[str, Any]) -> ControlledFault:
-    """Return the fault that a control line states.
+    """Return the fault that a control line describes.
 
     Raises:
-        TypeError: A field is of another type.
+        TypeError: A field has the wrong type.
     """
     names = ("what", "on", "part", "for_s", "size", "extra")
     return ControlledFault(
@@ -48,9 +48,10 @@
 
 
 class ControlConnection(LineOnlyReceiver):
-    """One order a line, answered by a line.
+    """Executes one command per line and answers each with a line.
 
-    JSON with a Trouble's fields, or `{"what": "heal"}`, `{"what": "counts"}`.
+    A command is JSON with the fields of a `Trouble`, `{"what": "heal"}` or
+    `{"what": "counts"}`.
     """
 
     delimiter = b"\n"
@@ -60,7 +61,7 @@
         self.relay = relay
 
     def lineReceived(self, line: bytes) -> None:
-        """Do an order and answer it; what is wrong with it is told."""
+        """Execute a command and answer it; an invalid one is answered by an error."""
         try:
             answer = self.do(json.loads(line))
         except (ValueError, TypeError, KeyError) as error:
@@ -68,7 +69,7 @@
         self.sendLine(json.dumps(answer).encode())  # type: ignore[no-untyped-call]
 
     def do(self, fields: dict[str, Any]) -> dict[str, Any]:
-        """Do an order; return the faults that hold, and the counts."""
+        """Execute a command; return the faults in effect and the counts."""
         what = fields["what"]
         relay = self.relay
         if what == "heal":
@@ -88,7 +89,7 @@
 
 
 class ControlListener(Factory):
-    """Takes control lines."""
+    """Accepts control connections."""
 
     noisy = False
 
@@ -96,5 +97,5 @@
         self.relay = relay
 
     def buildProtocol(self, addr: Any) -> ControlConnection:
-        """Make the protocol of a new line."""
+        """Return the protocol of a new control connection."""
         return ControlConnection(self.relay)
--- a/milletsill/lab/relayed_stream.py
+++ b/milletsill/lab/relayed_stream.py
@@ -1,4 +1,4 @@
-"""A connection between two gateways through the stand-in network."""
+"""A TCP connection between two gateways through the network relay."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from twisted.python.failure import Failure
 
 from milletsill.lab.network_faults import LinkCondition
-from milletsill.lab.relay_addresses import inside, outside
+from milletsill.lab.relay_addresses import own_address, relay_address
 
 MAX_HELD_BYTES = 1 << 20
-"""Bytes of one end that wait before it is read no more."""
+"""Bytes held of one end above which reading from it is paused."""
 DIAL_TIMEOUT = 3.0
 """Seconds."""
 
 
 class StreamRelay(Interface):
-    """What a stream needs of its relay."""
+    """The parts of the relay that a stream uses."""
 
     reactor: Any
     port: int
@@ -33,11 +33,11 @@
     counts: dict[str, int]
 
     def link(self, sender: int, receiver: int) -> LinkCondition:
-        """Return how a link fares now."""
+        """Return the current condition of a link."""
 
 
 class RelayedStream:
-    """One connection from gateway to gateway: two ends and what lies between them."""
+    """One connection between two gateways: two ends and the data held between them."""
 
     def __init__(
         self, relay: StreamRelay, sender: int, receiver: int, near: StreamEnd
@@ -52,15 +52,15 @@
         relay.counts["streams"] += 1
         self.far.attach(self, near, receiver, sender)
         self.connector = relay.reactor.connectTCP(
-            inside(receiver),
+            own_address(receiver),
             relay.port,
             StreamFactory(lambda peer: self.far, self.abort),
             timeout=DIAL_TIMEOUT,
-            bindAddress=(outside(sender), 0),
+            bindAddress=(relay_address(sender), 0),
         )
 
     def resume(self) -> None:
-        """Hand over at both ends what may go on."""
+        """Forward the data that is due in both directions."""
         self.near.resume()
         self.far.resume()
 
@@ -74,17 +74,19 @@
 
 
 class StreamEnd(Protocol):
-    """One end of a stream: what it said waits here until it may reach the other.
+    """One end of a stream; holds data received here until the other end may get it.
 
     Attributes:
-        is_open: Its connection stands.
-        is_over: Its connection ended.
+        is_open: The connection is established.
+        is_over: The connection has ended.
     """
 
     RESUME_INTERVAL = 0.02
-    """Seconds between two looks at what a cut holds."""
+    """Seconds between two checks for data that is due, for example after a cut."""
 
-    transport: Any = None  # set by Twisted; its type there lacks what TCP has
+    transport: Any = (
+        None  # set by Twisted, whose declared type lacks the methods of TCP
+    )
     stream: RelayedStream
 
     def __init__(self) -> None:
@@ -97,20 +99,20 @@
     def attach(
         self, stream: RelayedStream, other: StreamEnd, sender: int, receiver: int
     ) -> None:
-        """Make it an end of a stream; what it hears goes from sender to receiver."""
+        """Attach to a stream; data received here goes from sender to receiver."""
         self.stream = stream
         self.other = other
         self.sender = sender
         self.receiver = receiver
 
     def connectionMade(self) -> None:
-        """Hand over what waited for this end."""
+        """Forward the data that was held for this end."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.stream.resume()
 
     def dataReceived(self, data: bytes) -> None:
-        """Hold what this end said until it is due."""
+        """Hold the data received at this end until it is due."""
         relay = self.stream.relay
         relay.sent["stream_octets"][self.sender] += len(data)
         link = relay.link(self.sender, self.receiver)
@@ -123,7 +125,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Hand over what is due, where the link and the other end are open."""
+        """Forward the data that is due if the link and the other end are open."""
         now = time.monotonic()
         relay = self.stream.relay
         if not self.other.is_open or relay.link(self.sender, self.receiver).cut:
@@ -140,7 +142,7 @@
             relay.reactor.callLater(self.held[0][0] - now, self.resume)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """End what this side says; the other hears of it after all that was said."""
+        """End this side; the other end is closed after all held data is forwarded."""
         self.is_over = True
         if self.is_open:
             self.is_open = False
@@ -150,11 +152,11 @@
 
 
 class StreamFactory(Factory):
-    """Gives out the end of a stream for a connection that is taken or dialled.
+    """Supplies the stream end for an accepted or a dialled connection.
 
     Args:
         make: Returns the end for a peer's address; None refuses the connection.
-        on_failed: Called where a dial fails.
+        on_failed: Called if the connection attempt fails.
     """
 
     noisy = False
@@ -172,11 +174,11 @@
         return self.make(addr)
 
     def startedConnecting(self, connector: Any) -> None:  # noqa: N802
-        """Begin to dial."""
+        """Do nothing; Twisted requires this method."""
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Tell that the dial failed."""
+        """Report that the connection attempt failed."""
         self.on_failed()
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Leave it to the end itself."""
+        """Do nothing; the stream end handles the loss."""
--- a/milletsill/lab/report.py
+++ b/milletsill/lab/report.py
@@ -1,4 +1,4 @@
-"""What a run prints, and whether it was broken."""
+"""Formats the report of a scenario run, and decides whether the run failed."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 MAX_SHOWN = 3
 MAX_LATENESS = 60.0
-"""Milliseconds that the clients may be late for their latencies to count."""
+"""Milliseconds by which clients may run late; beyond it latencies are invalid."""
 TOO_LATE = ": ITS LATENCIES DO NOT COUNT"
 OTHER_ENDS = ("lost", "unreached", "given up", "status")
 
 
 def service(rows: Iterable[Mapping[str, Any]]) -> float:
-    """Return the worth of answers in time over the worth that was due."""
+    """Return the utility of answers in time divided by the utility that was due."""
     rows = list(rows)
     due: float = sum(row["due"] for row in rows)
     in_time: float = sum(row["in_time"] for row in rows)
@@ -30,27 +30,27 @@
 
 
 def listed(values: Mapping[str, object]) -> str:
-    """Return names with their values, with commas between."""
+    """Return names with their values, separated by commas."""
     return ", ".join(f"{name} {value}" for name, value in values.items())
 
 
 def sorted_counts(counts: Mapping[str, int]) -> str:
-    """Return counts by name, with commas between."""
+    """Return counts sorted by name, separated by commas."""
     return listed(dict(sorted(counts.items())))
 
 
 def quantiles(latencies: Mapping[str, float]) -> str:
-    """Return latencies in milliseconds by quantile, with commas between."""
+    """Return latencies in milliseconds by quantile, separated by commas."""
     return ", ".join(f"p{quantile} {ms:.0f}" for quantile, ms in latencies.items())
 
 
 def verdict(breaches: Sequence[Breach]) -> str:
-    """Return whether something was kept, or how often it was not."""
+    """Return "kept", or the number of breaches."""
     return f"{len(breaches)} BREACHES" if breaches else "kept"
 
 
-def shown(breaches: Sequence[Breach]) -> list[str]:
-    """Return the lines of the first few breaches."""
+def breach_lines(breaches: Sequence[Breach]) -> list[str]:
+    """Return the lines that describe the first `MAX_SHOWN` breaches."""
     lines = []
     for breach in breaches[:MAX_SHOWN]:
         lines.append(f"  {breach.text}")
@@ -59,7 +59,7 @@
 
 
 def service_lines(module: str, load: LoadSummary) -> list[str]:
-    """Return what service clients had, in all and by request class and plan."""
+    """Return the service that clients got, in total and by request class and plan."""
     by_class = ", ".join(
         f"{name} {value:.3f}" for name, value in load["counted"].items() if name
     )
@@ -86,12 +86,12 @@
 
 
 def laboratory_lines(result: RunResult) -> list[str]:
-    """Return what was done, and how late the laboratory was itself."""
+    """Return the work done, and how late the laboratory itself ran."""
     load = result.load
     too_late = TOO_LATE if load["worst_lag_ms"] > MAX_LATENESS else ""
     lines = [
         f"{load['operations']} operations, {result.command_count} commands, "
-        f"{result.attempt_count} dispatches, {load['unended']} without an end; the lab "
+        f"{result.attempt_count} attempts, {load['unended']} unfinished; the lab "
         f"itself was at most {load['worst_lag_ms']:.0f} ms late{too_late}"
     ]
     if load["late"]:
@@ -99,27 +99,27 @@
         lines.append(worst.describe(len(load["late"])))
     if result.starved:
         lines.append(
-            f"the machine gave edges no core for {result.starved:.1f} s in all, in "
-            "spans from 20 ms: there they are audited as if stopped"
+            f"gateways had no processor core for {result.starved:.1f} s in total, in "
+            "spans of 20 ms or more; the audit treats them as stopped there"
         )
     lines.append(f"counts: {sorted_counts(load['counts'])}")
     if result.planned:
-        lines.append("parts were planned")
+        lines.append("the planner was in use")
     if result.flows:
-        lines.append(f"flow export, counted against recorded: {listed(result.flows)}")
+        lines.append(f"flow export, counted and recorded: {listed(result.flows)}")
     lines.append(
-        f"edges ended with {result.exits}; faults in the logs of "
+        f"gateways' exit codes: {result.exits}; uncaught exceptions in the logs of: "
         f"{result.faults or 'none'}"
     )
     return lines
 
 
 def rule_lines(breaches_by_rule: Mapping[int, Sequence[Breach]]) -> list[str]:
-    """Return each rule's verdict."""
+    """Return each rule's verdict and its first breaches."""
     lines = []
     for rule, breaches in breaches_by_rule.items():
         lines.append(f"rule {rule}, {RULES[rule]}: {verdict(breaches)}")
-        lines += shown(breaches)
+        lines += breach_lines(breaches)
     return lines
 
 
@@ -130,11 +130,11 @@
         figures = result.figures.get(title)
         counts = listed(figures.by_title()) if figures is not None else ""
         lines.append(f"contract {title}: {verdict(breaches)}; {counts}")
-        lines += shown(breaches)
+        lines += breach_lines(breaches)
     summary = result.summary
     lines.append(
         f"channels: {summary['connections']} connections, {summary['unended']} numbers "
-        f"without an end; that process was at most {summary['worst_lag_ms']:.0f} ms "
+        f"unfinished; their process was at most {summary['worst_lag_ms']:.0f} ms "
         f"late; {sorted_counts(summary['counts'])}"
     )
     for name, latencies in summary["latency_ms"].items():
@@ -142,15 +142,15 @@
     return lines
 
 
-def after(seconds: float | None) -> str:
-    """Return after how many seconds nine in ten did something, where they did."""
+def ninth_decile_text(seconds: float | None) -> str:
+    """Return the seconds until nine in ten gateways had acted; empty for None."""
     return "" if seconds is None else f", nine in ten after {seconds:.2f} s"
 
 
 def view_lines(fleet: FleetResult) -> list[str]:
-    """Return how long views took to agree after each fault."""
+    """Return how long gateways' views took to agree after each fault."""
     lines = [
-        "seconds until all gateways that can speak to each other had the same view, "
+        "seconds until all gateways that can reach each other had the same view, "
         "and kept it:"
     ]
     for view in fleet.agreements:
@@ -158,23 +158,23 @@
         lines.append(f"  {view.at - fleet.start:7.1f} {view.name}: {took}")
     lines.append(
         f"views at the end: {'the same' if fleet.views_agree else 'NOT THE SAME'}; "
-        f"called gone without a cause: {len(fleet.false_deaths)}"
+        f"live gateways declared gone: {len(fleet.false_deaths)}"
     )
     lines += [f"  {death}" for death in fleet.false_deaths[:MAX_SHOWN]]
     lines += [
-        f"{spread.fault}: called so by {spread.seen_by} gateways"
-        f"{after(spread.seen_after)}; called steady again by {spread.end_seen_by}"
-        f"{after(spread.end_seen_after)}"
+        f"{spread.fault}: detected by {spread.seen_by} gateways"
+        f"{ninth_decile_text(spread.seen_after)}; its end by {spread.end_seen_by}"
+        f"{ninth_decile_text(spread.end_seen_after)}"
         for spread in fleet.spreads
     ]
     traffic = ", ".join(
         f"{name.replace('_', ' ')} {count:.0f}" for name, count in fleet.traffic.items()
     )
-    return [*lines, f"said by each gateway to others, a second: {traffic}"]
+    return [*lines, f"sent by each gateway to others, per second: {traffic}"]
 
 
 def report(result: RunResult) -> str:
-    """Return the text that a run prints."""
+    """Return the report of a run."""
     lines = service_lines(result.module, result.load)
     lines += laboratory_lines(result)
     lines += rule_lines(result.breaches)
@@ -186,10 +186,10 @@
 
 
 def broken(result: RunResult) -> bool:
-    """Return whether anything of a run was not as it has to be.
+    """Return whether a run failed.
 
-    A rule or contract was broken, wrong bytes were read, something was left without
-    an end, a process failed, or views differed at the end.
+    A run fails if a rule or contract was broken, wrong bytes were read, an operation or
+    a number on a channel never ended, a process failed, or views differed at the end.
     """
     breaches = list(result.breaches.values())
     unended = result.load["unended"]
--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -1,6 +1,8 @@
-"""Plays a scenario: starts stand-ins, edges and clients as processes on loopback, hurts them, audits, reports.
+"""Runs a scenario with real processes on loopback, injects its faults and audits it.
 
-Everything started here is ended here, by its process id, within a bound. The day begins when all are there.
+The processes are stand-ins, gateways and clients. Each process that is started here is
+ended here by its process id, within a time limit. The scenario's clock starts once all
+processes are ready.
 """
 
 from __future__ import annotations
@@ -34,18 +36,25 @@
 from milletsill.lab.evidence_reader import read_evidence, read_json
 from milletsill.lab.fault_timeline import FaultTimeline, read_fault_timeline
 from milletsill.lab.gateway_logs import GatewayLogs, read_gateway_logs
-from milletsill.lab.processes import LAB, Group, PlannerPart, Processes, free_ports
-from milletsill.lab.relay_addresses import inside, outside
+from milletsill.lab.processes import (
+    LAB,
+    GatewayGroupProcess,
+    PlannerProcess,
+    StartedProcesses,
+    free_ports,
+)
+from milletsill.lab.relay_addresses import own_address, relay_address
 from milletsill.lab.report import broken, report
 from milletsill.lab.run_result import ChannelsResult, FleetResult, RunResult
 from milletsill.lab.starvation import StarvationMonitor
-from milletsill.lab.troubles import OF_KILLS, Troubles
+from milletsill.lab.troubles import KILL_FAULTS, ProcessFaultInjector
 from milletsill.settings.milletsill_pb2 import GatewayFile, Scenario
 
 __all__ = ["Run", "broken", "report"]
-READY_WITHIN, LEAD, ENDS_WITHIN, SETTLES_WITHIN = 60.0, 1.0, 60.0, 20.0  # seconds
-JOINED_THROUGH = 3  # gateways whose addresses the others' files have
-STALE = (
+# Seconds.
+READY_TIMEOUT, START_DELAY, END_TIMEOUT, SETTLE_TIMEOUT = 60.0, 1.0, 60.0, 20.0
+JOIN_ADDRESS_COUNT = 3  # first gateways; the others' files list their addresses
+STALE_FILES = (
     "*.rec",
     "*.log",
     "load.json",
@@ -59,7 +68,11 @@
 
 
 class Run:
-    """One play of a scenario; `module` names a baseline, '' the module itself; `plant` a planted fault."""
+    """One run of a scenario.
+
+    `module` names a baseline scheduler, '' means milletsill's own; `plant` names a
+    planted fault.
+    """
 
     def __init__(
         self,
@@ -67,43 +80,44 @@
         out: str,
         module: str = "",
         per_process: int = 1,
-        say: Callable[[str], None] = lambda text: None,
+        print_status: Callable[[str], None] = lambda text: None,
         flows: str = "off",
         trace: bool = False,
         planner: bool = False,
         plant: str = "",
     ) -> None:
-        self.planner: PlannerPart | None = None
+        self.planner: PlannerProcess | None = None
         self.planned, self.plant = planner, plant
         self.flows, self.flow_port, self.trace = flows, 0, trace
-        self.scenario, self.out, self.module, self.say = (
+        self.scenario, self.out, self.module, self.print_status = (
             scenario,
             os.path.abspath(out),
             module,
-            say,
+            print_status,
         )
-        self.processes = Processes(self.out)
+        self.processes = StartedProcesses(self.out)
         self.names = [f"edge-{number}" for number in range(scenario.edges)]
         self.groups = [
-            Group(self, self.names[at : at + per_process])
+            GatewayGroupProcess(self, self.names[at : at + per_process])
             for at in range(0, len(self.names), per_process)
         ]
-        self.troubles = Troubles(self)
-        self.starved = StarvationMonitor()
+        self.fault_injector = ProcessFaultInjector(self)
+        self.starvation = StarvationMonitor()
         self.fleet_port = 0
         self.relay: subprocess.Popen[bytes] | None = None
-        self.start = self.ended = 0.0
+        self.start = self.ended_at = 0.0
         os.makedirs(self.out, exist_ok=True)
-        for old in [path for each in STALE for path in glob.glob(f"{self.out}/{each}")]:
+        for old in [
+            path for each in STALE_FILES for path in glob.glob(f"{self.out}/{each}")
+        ]:
             os.unlink(old)
-        if scenario.gateway.HasField(
-            "fleet"
-        ):  # what an earlier run promised is not promised now
+        # State of an earlier run, such as promised leases, must not affect this one.
+        if scenario.gateway.HasField("fleet"):
             for name in self.names:
                 shutil.rmtree(f"{self.out}/{name}.state", ignore_errors=True)
 
     def write_files(self, ports: list[int]) -> None:
-        """One operator's file for each edge, and the scenario itself."""
+        """Write each gateway's configuration file, and the scenario."""
         for number, name in enumerate(self.names):
             file = GatewayFile()
             file.CopyFrom(self.scenario.gateway)
@@ -133,51 +147,60 @@
             sink.write(text_format.MessageToString(self.scenario))
 
     def write_fleet(self, file: GatewayFile, number: int) -> None:
-        """Its own address is its own; where others reach it, the relay listens."""
-        file.fleet.address = f"{inside(number)}:{self.fleet_port}"
-        file.fleet.advertise = f"{outside(number)}:{self.fleet_port}"
+        """Set a gateway's fleet addresses.
+
+        It listens on its own address and advertises the relay's address for it.
+        """
+        file.fleet.address = f"{own_address(number)}:{self.fleet_port}"
+        file.fleet.advertise = f"{relay_address(number)}:{self.fleet_port}"
         del file.fleet.join[:]
         file.fleet.join.extend(
-            f"{outside(each)}:{self.fleet_port}"
-            for each in range(min(JOINED_THROUGH, len(self.names)))
+            f"{relay_address(each)}:{self.fleet_port}"
+            for each in range(min(JOIN_ADDRESS_COUNT, len(self.names)))
             if each != number
         )
 
     def wait_for(self, port: int, what: str) -> None:
-        """Until something listens."""
-        ends = time.monotonic() + READY_WITHIN
-        while time.monotonic() < ends:
+        """Wait until a process listens on a port.
+
+        Raises:
+            RuntimeError: It did not within READY_TIMEOUT.
+        """
+        deadline = time.monotonic() + READY_TIMEOUT
+        while time.monotonic() < deadline:
             with socket.socket() as probe:
                 probe.settimeout(1)
                 if probe.connect_ex(("127.0.0.1", port)) == 0:
                     return
             time.sleep(0.05)
-        raise RuntimeError(f"{what} did not start, see {self.out}")
+        raise RuntimeError(f"{what} did not start, see the logs in {self.out}")
 
     def wait_for_file(self, name: str, process: subprocess.Popen[bytes]) -> None:
-        ends = time.monotonic() + READY_WITHIN
+        deadline = time.monotonic() + READY_TIMEOUT
         while not os.path.exists(f"{self.out}/{name}"):
-            if time.monotonic() > ends or process.poll() is not None:
-                raise RuntimeError(f"no {name}, see {self.out}")
+            if time.monotonic() > deadline or process.poll() is not None:
+                raise RuntimeError(
+                    f"file {name} was not written, see the logs in {self.out}"
+                )
             time.sleep(0.02)
 
     def play(self) -> RunResult:
-        """The whole run."""
+        """Run the scenario and return its result; all processes are ended."""
         try:
-            return self.played()
+            return self.run_processes()
         finally:
-            self.processes.end()
+            self.processes.kill_all()
 
-    def played(self) -> RunResult:
+    def run_processes(self) -> RunResult:
         *ports, self.flow_port, self.planner_port, control = free_ports(
             4 + len(self.names)
         )
         if self.planned:
-            self.planner = PlannerPart(self, self.planner_port)
+            self.planner = PlannerProcess(self, self.planner_port)
         if self.scenario.gateway.HasField("fleet"):
             addresses = tuple(
                 address(number)
-                for address in (inside, outside)
+                for address in (own_address, relay_address)
                 for number in range(len(self.names))
             )
             self.fleet_port = free_ports(1, addresses)[0]
@@ -197,39 +220,40 @@
             each.start()
         for number, name in enumerate(self.names):
             self.wait_for(ports[1 + number], name)
-        doors = ",".join(
+        gateway_addresses = ",".join(
             f"{name}=127.0.0.1:{ports[1 + number]}"
             for number, name in enumerate(self.names)
         )
         clients = [
-            spawn(LAB + [name, self.out, doors], name)
+            spawn(LAB + [name, self.out, gateway_addresses], name)
             for name in (["load", "channels"] if self.scenario.channels else ["load"])
         ]
         for name, process in zip(("load", "channels"), clients):
             self.wait_for_file(f"{name}.ready", process)
         start = self.begin()
-        self.say(
-            f"{len(self.names)} edges in {len(self.groups)} processes, {sum(b.count for b in self.scenario.box)} "
-            f"boxes, {self.scenario.seconds:g} s"
+        self.print_status(
+            f"{len(self.names)} gateways in {len(self.groups)} processes, {sum(b.count for b in self.scenario.box)} "
+            f"nodes, {self.scenario.seconds:g} s"
         )
-        self.troubles.plan(start)
-        ends = start + self.scenario.seconds + self.scenario.tail_s + ENDS_WITHIN
-        while any(each.poll() is None for each in clients) and time.monotonic() < ends:
+        self.fault_injector.plan(start)
+        deadline = start + self.scenario.seconds + self.scenario.tail_s + END_TIMEOUT
+        while (
+            any(each.poll() is None for each in clients) and time.monotonic() < deadline
+        ):
             now = time.monotonic()
-            self.troubles.play(now)
-            self.troubles.stops += self.starved.find_spans(now, self.groups)
+            self.fault_injector.play(now)
+            self.fault_injector.stops += self.starvation.find_spans(now, self.groups)
             time.sleep(0.01)
-        for number, name in enumerate(
-            self.names
-        ):  # one that was killed late may still be starting
+        # A gateway that was killed late may still be starting.
+        for number, name in enumerate(self.names):
             self.wait_for(ports[1 + number], name)
-        self.ended = self.settled()
+        self.ended_at = self.wait_until_settled()
         return self.finish(clients, stand, collector)
 
-    def settled(self) -> float:
-        """When the day may end: the views agree, or there was time enough for it."""
-        ends = time.monotonic() + SETTLES_WITHIN
-        while self.fleet_port and time.monotonic() < ends:
+    def wait_until_settled(self) -> float:
+        """Wait until the views agree, at most SETTLE_TIMEOUT; return the time."""
+        deadline = time.monotonic() + SETTLE_TIMEOUT
+        while self.fleet_port and time.monotonic() < deadline:
             logs, timeline = self.read_logs()
             if views_agree(logs, timeline, self.names, time.monotonic()):
                 break
@@ -237,26 +261,29 @@
         return time.monotonic()
 
     def read_logs(self) -> tuple[GatewayLogs, FaultTimeline]:
-        """What the gateways' logs say by now, and what was done to them."""
+        """Return the contents of the gateways' logs so far, and the injected faults."""
         logs = read_gateway_logs(
             self.out,
             [each.name for each in self.groups],
             time.time() - time.monotonic(),
         )
         return logs, read_fault_timeline(
-            self.out, self.names, self.start, logs, self.troubles.process_faults
+            self.out, self.names, self.start, logs, self.fault_injector.process_faults
         )
 
     def begin(self) -> float:
-        """Tell all that wait for it when the day starts, on the monotonic clock."""
-        start = self.start = time.monotonic() + LEAD
+        """Publish the scenario's start on the monotonic clock in the file `start`.
+
+        The other processes wait for that file.
+        """
+        start = self.start = time.monotonic() + START_DELAY
         with open(f"{self.out}/start.new", "w", encoding="ascii") as sink:
             sink.write(repr(start))
         os.replace(f"{self.out}/start.new", f"{self.out}/start")
         return start
 
     def start_collector(self) -> Any:
-        """What flow export meets: a collector, one that never reads, or none."""
+        """Start the flow collector: a real one, one that never reads, or none."""
         address = f"127.0.0.1:{self.flow_port}"
         if self.flows == "on":
             return self.processes.spawn(
@@ -279,17 +306,17 @@
         return None
 
     def collected_flows(self, collector: Any, evidence: Evidence) -> dict[str, Any]:
-        """What the collector counted beside what boxes and clients recorded."""
+        """Return the collector's counts next to what nodes and clients recorded."""
         if self.flows != "on":
             return {}
         collector.send_signal(signal.SIGTERM)
         collector.wait(30)
-        told = json.loads(
+        summary = json.loads(
             Path(f"{self.out}/collector.log")
             .read_text(encoding="utf-8")
             .splitlines()[-1]
         )
-        sums = told["sums"]
+        sums = summary["sums"]
         return {
             "commands": (
                 sums.get("client commandDeltaCount", 0),
@@ -299,17 +326,17 @@
                 sums.get("box dispatchDeltaCount", 0),
                 len(evidence.attempts),
             ),
-            "missing": told["missing"],
-            "malformed": told["malformed"],
-            "unknown": told["unknown_sets"],
-            "bytes": told["bytes"],
+            "missing": summary["missing"],
+            "malformed": summary["malformed"],
+            "unknown": summary["unknown_sets"],
+            "bytes": summary["bytes"],
             "traffic": sum(count for name, count in sums.items() if "ctet" in name),
         }
 
     def finish(
         self, clients: list[Any], stand: Any, collector: Any = None
     ) -> RunResult:
-        """End the edges as an operator would, then the rest; audit."""
+        """End the gateways with SIGTERM, then the other processes; audit the records."""
         exits: list[int | str | None] = []
         for each in self.groups:
             each.signal(signal.SIGCONT)
@@ -332,7 +359,7 @@
                     f"the process `{name}` ended with {process.poll()}, see {self.out}/{name}.log"
                 )
         with open(f"{self.out}/stops.json", "w", encoding="utf-8") as sink:
-            json.dump(self.troubles.stops, sink)
+            json.dump(self.fault_injector.stops, sink)
         evidence = read_evidence(self.out, len(glob.glob(f"{self.out}/box-*.rec")))
         flows = self.collected_flows(collector, evidence)
         return RunResult(
@@ -343,7 +370,7 @@
             attempt_count=len(evidence.attempts),
             exits=exits,
             faults=self.tracebacks(),
-            starved=self.starved.total,
+            starved=self.starvation.total,
             planned=self.planned,
             flows=flows,
             fleet=self.fleet_result(),
@@ -351,7 +378,7 @@
         )
 
     def tracebacks(self) -> list[str]:
-        """Logs with a fault that nobody caught."""
+        """Return the names of the logs that contain an uncaught exception."""
         return [
             os.path.basename(each)
             for each in sorted(glob.glob(f"{self.out}/*.log"))
@@ -359,26 +386,26 @@
         ]
 
     def fleet_result(self) -> FleetResult | None:
-        """What the gateways' logs say of views; None where the run had no fleet."""
+        """Return what the gateways' logs say about views; None without a fleet."""
         if not self.fleet_port:
             return None
         logs, timeline = self.read_logs()
         return FleetResult(
             start=self.start,
-            agreements=view_agreements(logs, timeline, self.names, self.ended),
+            agreements=view_agreements(logs, timeline, self.names, self.ended_at),
             false_deaths=false_deaths(logs, timeline),
             spreads=verdict_spreads(logs, self.scenario, self.start, len(self.names)),
             traffic=fleet_traffic(self.out),
         )
 
     def channels_result(self, evidence: Evidence) -> ChannelsResult | None:
-        """The audit of contracts; None where no client had channels."""
+        """Return the audit of the ordering contracts; None without channels."""
         if not self.scenario.channels:
             return None
         kills = [
             GatewayKill(fault.at, fault.gateways)
-            for fault in self.troubles.process_faults
-            if fault.kind in OF_KILLS
+            for fault in self.fault_injector.process_faults
+            if fault.kind in KILL_FAULTS
         ]
         return ChannelsResult(
             summary=read_json(f"{self.out}/channels.json"),
--- a/milletsill/lab/run_result.py
+++ b/milletsill/lab/run_result.py
@@ -1,4 +1,4 @@
-"""What a scenario run came to: summaries of its processes, findings of the audit."""
+"""The result of a scenario run: summaries of its processes, findings of the audit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LoadSummary(TypedDict):
-    """What the process of clients stored: the keys of `load.json`."""
+    """The contents of `load.json`, which the process of clients writes."""
 
     rows: list[dict[str, Any]]
     latency_ms: dict[str, dict[str, float]]
@@ -24,7 +24,7 @@
 
 
 class ChannelsSummary(TypedDict):
-    """What the process of clients with channels stored: keys of `channels.json`."""
+    """The contents of `channels.json`, which the process of channel clients writes."""
 
     latency_ms: dict[str, dict[str, float]]
     counts: dict[str, int]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetResult:
-    """How views and verdicts came to agree; `start` on the monotonic clock."""
+    """How views and health verdicts converged; `start` is on the monotonic clock."""
 
     start: float
     agreements: list[ViewAgreement]
@@ -45,13 +45,13 @@
 
     @property
     def views_agree(self) -> bool:
-        """Whether views agreed after the last mark and to the end."""
+        """Whether views agreed after the last fault and until the end."""
         return self.agreements[-1].took is not None
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelsResult:
-    """What clients with channels counted, and the audit of the contracts."""
+    """The counts of clients with channels, and the audit of the ordering contracts."""
 
     summary: ChannelsSummary
     breaches: dict[str, list[Breach]]
@@ -60,10 +60,12 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """All that a run's report says.
+    """The data of a run's report.
 
-    `exits` are gateway processes' exit codes, `faults` logs with a fault that nobody
-    caught, `starved` seconds that the machine gave gateways no core.
+    Attributes:
+        exits: Exit codes of the gateway processes.
+        faults: Names of the logs that contain an uncaught exception.
+        starved: Seconds in which gateways were ready to run but had no core.
     """
 
     module: str
--- a/milletsill/lab/scheduler_gateway.py
+++ b/milletsill/lab/scheduler_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway of a simulation of traffic: a real scheduler and its effects.
+"""A gateway in a traffic simulation: the real scheduler and its effects.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -33,31 +33,31 @@
 
 
 def use_directly(make: SchedulerFactory) -> SchedulerFactory:
-    """Put nothing between a gateway and its scheduler."""
+    """Return the scheduler factory unchanged, so that nothing wraps the scheduler."""
     return make
 
 
 class TrafficSurroundings(Protocol):
-    """What a gateway sees of the simulation."""
+    """The parts of the simulation that a gateway uses."""
 
     now: int
 
     @property
     def nodes(self) -> Sequence[ModelledNode]:
-        """The nodes, by number."""
+        """The nodes, indexed by number."""
 
     def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
-        """Make a call at a time."""
+        """Schedule a call at a simulated time."""
 
 
 class SchedulerGateway:
-    """One gateway: its scheduler, and what the scheduler has done.
+    """One gateway: runs its scheduler and carries out the scheduler's effects.
 
     Attributes:
-        requests: Those that are not over, by id.
-        request_count: Requests until now.
-        on_path: Hears of each request's path before the scheduler has it.
-        on_final: Hears of each final answer.
+        requests: Requests without a final answer or with attempts in flight, by id.
+        request_count: Requests received so far.
+        on_path: Called with each request's path before the scheduler gets the request.
+        on_final: Called with each final answer.
     """
 
     def __init__(
@@ -79,14 +79,14 @@
         self._is_dispatch_due = False
 
     def start(self, wrap: SchedulerWrapper = use_directly) -> None:
-        """Make the scheduler; `wrap` may put something before it."""
+        """Create the scheduler through the factory that `wrap` returns."""
         make = wrap(Scheduler)
         self.scheduler = make(self.config, self.seed, self.simulation.now, self)
 
     def take_request(
         self, request: Request, work: float, path: str, operation: str
     ) -> None:
-        """Take a client's request."""
+        """Pass a client's request to the scheduler."""
         now = self.simulation.now
         self.requests[request.id] = SimulatedRequest(
             request, now, work, path, operation
@@ -96,7 +96,7 @@
         self.dispatch_soon()
 
     def dispatch_soon(self) -> None:
-        """Let the scheduler dispatch once all that happens now has happened."""
+        """Make the scheduler dispatch after all other events of the present time."""
         if not self._is_dispatch_due:
             self._is_dispatch_due = True
             self.simulation.call_at(self.simulation.now, self._dispatch)
@@ -114,7 +114,7 @@
     def attempt_result(
         self, attempt: SimulatedAttempt, outcome: AttemptOutcome, is_final: bool
     ) -> AttemptResult:
-        """Return what the scheduler hears of an attempt that ended."""
+        """Return the result that the scheduler gets for an attempt that ended."""
         report: dict[str, float] = {}
         if outcome is AttemptOutcome.SUCCEEDED:
             report = self.simulation.nodes[attempt.node].report()
@@ -133,7 +133,7 @@
     def on_attempt_ended(
         self, attempt: SimulatedAttempt, outcome: AttemptOutcome
     ) -> None:
-        """Take the end of an attempt; only the first one counts."""
+        """Handle the end of an attempt; only its first end counts."""
         if attempt.is_ended:
             return
         attempt.is_ended = True
@@ -170,11 +170,11 @@
         self.simulation.call_at(now + NETWORK_DELAY, node.take, attempt, on_ended)
 
     def reject(self, request_id: int, retry_after: int) -> None:
-        """Answer that nothing was done."""
+        """Answer that the request was rejected and had no effect."""
         self._answer_if_open(request_id, REJECTED)
 
     def fail(self, request_id: int) -> None:
-        """Answer that it may have been done."""
+        """Answer that the request failed but may have had an effect."""
         self._answer_if_open(request_id, FAILED)
 
     def _answer_if_open(self, request_id: int, final: str) -> None:
@@ -183,23 +183,23 @@
             self._answer(request, final)
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Do nothing: attempts run to their end here."""
+        """Do nothing: attempts run to their end in this simulation."""
 
     def watch_endpoints(self) -> None:
-        """Do nothing: the list does not change here."""
+        """Do nothing: the endpoint list does not change in this simulation."""
 
     def fetch_endpoints(self) -> None:
-        """Do nothing: the list does not change here."""
+        """Do nothing: the endpoint list does not change in this simulation."""
 
     def probe_node(self, node_id: int) -> None:
-        """Do nothing: no node is probed here."""
+        """Do nothing: no node is probed in this simulation."""
 
     def set_timer(self, at: int, token: object) -> None:
-        """Call the scheduler at a time."""
+        """Schedule a timer event for the scheduler."""
         self.simulation.call_at(at, self._on_timer, token)
 
     def _on_timer(self, token: object) -> None:
         self.scheduler.on_timer(self.simulation.now, token)
 
     def log(self, text: str) -> None:
-        """Drop a line of the log."""
+        """Discard a log line."""
--- a/milletsill/lab/simulated_clock.py
+++ b/milletsill/lab/simulated_clock.py
@@ -1,7 +1,7 @@
-"""A simulated clock: calls are made in the order of their times, as fast as they go.
+"""A simulated clock: runs scheduled calls in the order of their times, without waiting.
 
-Times are ticks of a tenth of a millisecond. Calls for one time are made in the order in
-which they were asked for.
+Times are ticks of a tenth of a millisecond. Calls for the same time run in the order in
+which they were scheduled.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 MILLISECOND = 10
 SECOND = 10_000
-CHECK_INTERVAL = 1000
+CHECK_INTERVAL = 1000  # ticks
 
 
 class SimulatedClock:
-    """Makes calls at their times.
+    """Runs scheduled calls in simulated time.
 
     Attributes:
         now: The present time, in ticks.
-        scheduled_count: How many calls were asked for until now.
+        scheduled_count: How many calls were scheduled so far.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._calls: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
 
     def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
-        """Make a call at a time."""
+        """Schedule a call at a simulated time."""
         self.scheduled_count += 1
         heapq.heappush(self._calls, (when, self.scheduled_count, call, values))
 
@@ -42,12 +42,12 @@
         """Run up to a time, or until `should_stop` returns True.
 
         Args:
-            until: The time.
-            should_stop: Asked every `check_interval`, and at the end.
-            check_interval: In ticks.
+            until: The time up to which calls are run, in ticks.
+            should_stop: Called every `check_interval`, and at the end.
+            check_interval: Ticks between two calls of `should_stop`.
 
         Returns:
-            What `should_stop` returned last; False without it.
+            The last result of `should_stop`; False if there is none.
         """
         next_check = self.now + check_interval
         while self._calls and self._calls[0][0] <= until:
--- a/milletsill/lab/simulated_member.py
+++ b/milletsill/lab/simulated_member.py
@@ -1,4 +1,4 @@
-"""One gateway's membership on a simulated network.
+"""The fleet membership of one gateway on a simulated network.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -29,35 +29,35 @@
     ViewHandler,
 )
 
-SOCKET_BUFFER = 400  # datagrams that a socket holds for a gateway that stands still
+SOCKET_BUFFER = 400  # datagrams that the socket of a stalled process holds
 
 
 class MemberNetwork(Protocol):
-    """The clock and the network that a simulated member lives on."""
+    """The clock and the network that a simulated member uses."""
 
     now: int
     random: Random
     config: MembershipConfig
 
     def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
-        """Make a call at a time."""
+        """Schedule a call at a simulated time."""
 
     def send(self, sender: SimulatedMember, sent: SendMessage) -> None:
-        """Carry a message, if it is not lost."""
+        """Carry a message unless it is lost."""
 
     def on_view_changed(self, observer: SimulatedMember, effect: ViewChanged) -> None:
-        """Note a change of a member's view."""
+        """Handle a change in a member's view."""
 
 
 class SimulatedMember:
-    """One simulated gateway; a `FleetTransport` for what is built on the fleet.
+    """One simulated gateway; a `FleetTransport` for the services above membership.
 
     Attributes:
-        membership: Its state machine.
-        is_up: Its process runs.
-        stalled_until: Its process stands still until then.
-        view_version: Grows with each change of its view.
-        event_counts: Events for the operator, by name.
+        membership: The membership state machine.
+        is_up: The process runs.
+        stalled_until: The process is stalled until this time.
+        view_version: Grows with each change of the view.
+        event_counts: Counts of events for the operator, by name.
     """
 
     def __init__(
@@ -94,17 +94,17 @@
 
     @property
     def incarnation(self) -> int:
-        """Its incarnation, as the others know it."""
+        """The incarnation that this member announces to others."""
         return self.membership.state.local.entry.incarnation
 
     @property
     def digest(self) -> int:
-        """The digest of its view."""
+        """The digest of this member's view."""
         return self.membership.state.table.digest
 
     @property
     def view(self) -> View:
-        """The members that it takes for present."""
+        """The members that this member considers present."""
         if self._view.version != self.view_version or not self.view_version:
             entries = self.membership.state.table.entries.values()
             self._view = View(
@@ -113,7 +113,7 @@
         return self._view
 
     def send(self, member: str, kind: MessageKind, body: bytes) -> bool:
-        """Send to one member; False where it cannot even be tried."""
+        """Send to one member; return False if the message cannot be sent at all."""
         known = self.membership.state.table.get(member)
         if known is None or not known.in_view:
             return False
@@ -129,11 +129,11 @@
         return True
 
     def subscribe(self, kind: MessageKind, handler: MessageHandler) -> None:
-        """Call `handler` with each message of that kind from a present member."""
+        """Call `handler` with each message of a kind from a member in the view."""
         self._handlers.setdefault(kind, []).append(handler)
 
     def watch_view(self, handler: ViewHandler) -> None:
-        """Call `handler` after each change of the view, never from within one."""
+        """Call `handler` after changes of the view, never during a change."""
         self._view_handlers.append(handler)
 
     # Time and messages.
@@ -154,8 +154,8 @@
     def on_arrival(self, message: FleetMessage, is_stream: bool) -> None:
         """Take a message from the network.
 
-        While the process stands still, its sockets hold what comes, up to a bound; it
-        wakes with its timers, and reads them then.
+        While the process is stalled, its sockets hold the messages: all of a stream, up
+        to SOCKET_BUFFER datagrams. After the stall the next tick reads them.
         """
         if not self.is_up:
             return
@@ -179,7 +179,7 @@
                 handler(sender.name, sender.incarnation, message.body)
 
     def apply(self, effects: Iterable[Effect]) -> None:
-        """Do what the state machine asks for."""
+        """Carry out the effects that the state machine returned."""
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self.network.send(self, effect)
--- a/milletsill/lab/simulated_network.py
+++ b/milletsill/lab/simulated_network.py
@@ -1,10 +1,10 @@
 """Members of a fleet and the network between them, on a simulated clock.
 
-Membership is the product's own (`milletsill.fleet.membership`). The network has
-latency, loses datagrams and is cut. Gateways stand still, are killed, leave and come
-back. What others send over the fleet's transport is played too.
+The members run the real membership code (`milletsill.fleet.membership`). The network
+has latency, loses datagrams and can be cut. Members can stall, be killed, leave and
+restart. Messages of services above the fleet transport are simulated too.
 
-Times are ticks of a tenth of a millisecond. The same seed plays the same run.
+Times are ticks of a tenth of a millisecond. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 from milletsill.lab.simulated_clock import SECOND, SimulatedClock
 from milletsill.lab.simulated_member import SimulatedMember
 
-RETRANSMIT_DELAY = 2000  # a lost piece of a stream comes that much later
-MIN_DELAY = 2  # of a datagram, one way
+RETRANSMIT_DELAY = 2000  # added to a stream message for each loss
+MIN_DELAY = 2  # one-way latency of a datagram
 MAX_DELAY = 20
-SEED_COUNT = 3  # members that one knows of at its start
+SEED_COUNT = 3  # members that a member knows at its start
 
 
 @dataclass(frozen=True, slots=True)
 class FalseDeath:
-    """A member that lives was declared gone.
+    """A live member was declared gone.
 
     Attributes:
-        at: When.
-        observer: Who declared it.
-        member: Who lives.
+        at: The time of the declaration.
+        observer: The member that declared it.
+        member: The live member.
     """
 
     at: int
@@ -48,34 +48,34 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockedPath:
-    """Nothing goes from these senders to these receivers."""
+    """A cut: no message goes from these senders to these receivers."""
 
     senders: frozenset[str]
     receivers: frozenset[str]
 
 
 class SentBy(NamedTuple):
-    """Who sent packets, and whether in a stream."""
+    """The sender of packets, and whether it sent them in a stream."""
 
     member: str
     is_stream: bool
 
 
 class SimulatedNetwork(SimulatedClock):
-    """The members and what is between them.
+    """The members and the network between them.
 
     Args:
-        seed: Of everything that chance decides.
-        with_codec: Each message goes through the codec, and its octets are counted.
+        seed: Seed of all random draws.
+        with_codec: Encode and decode each message, and count its octets.
 
     Attributes:
-        members: The latest incarnation of each, by name.
-        loss: The chance of a datagram, or a piece of a stream, to be lost.
+        members: The latest incarnation of each member, by name.
+        loss: The probability that a datagram or a stream message is lost.
         blocked: The paths that are cut.
-        false_deaths: Deaths of members that live.
+        false_deaths: Live members that were declared gone.
         message_count: Messages sent.
-        packet_counts: Packets sent, where there is a codec.
-        octet_counts: Their octets.
+        packet_counts: Packets sent; empty without a codec.
+        octet_counts: Octets of those packets.
     """
 
     def __init__(self, seed: int, with_codec: bool = False) -> None:
@@ -97,12 +97,12 @@
     def start(
         self, name: str, incarnation: int = 1, seeds: Sequence[str] = ()
     ) -> SimulatedMember:
-        """Start a member, or start one that was killed again.
+        """Start a member, or restart one that was killed.
 
         Args:
-            name: Of the member.
-            incarnation: Its number of starts, as it remembers it.
-            seeds: Names of members that it knows of.
+            name: The member's name.
+            incarnation: The count of its starts that it has stored.
+            seeds: Names of members that it knows at its start.
         """
         addresses = [f"{seed}:1" for seed in seeds]
         member = SimulatedMember(self, name, incarnation, addresses)
@@ -110,7 +110,7 @@
         return member
 
     def start_fleet(self, count: int, settle: int = 30 * SECOND) -> None:
-        """Start a fleet that knows itself, as after a long calm."""
+        """Start a fleet in which each member knows all others, and let it settle."""
         names = [f"gateway-{number}" for number in range(count)]
         for name in names:
             seeds = self.random.sample(names, min(SEED_COUNT, count))
@@ -119,7 +119,7 @@
         self.run(self.now + settle)
 
     def introduce_all(self) -> None:
-        """Let each member know all others."""
+        """Put all members into each member's table."""
         known = {
             name: member.membership.state.local.entry
             for name, member in self.members.items()
@@ -144,13 +144,13 @@
         self.members[name].is_up = False
 
     def leave(self, name: str) -> None:
-        """Let a member leave; its process ends with it (SIGTERM)."""
+        """Let a member leave and end its process (SIGTERM)."""
         member = self.members[name]
         member.apply(member.membership.leave(self.now))
         member.is_up = False
 
     def stall(self, name: str, span: int) -> None:
-        """Let a member's process stand still from now on."""
+        """Stall a member's process for `span` ticks from now."""
         member = self.members[name]
         member.stalled_until = max(member.stalled_until, self.now + span)
 
@@ -159,18 +159,18 @@
     def cut(
         self, senders: Iterable[str], receivers: Iterable[str], both: bool = True
     ) -> None:
-        """Let nothing go from some to others any more, nor back if `both`."""
+        """Block messages from senders to receivers, and the reverse if `both`."""
         path = BlockedPath(frozenset(senders), frozenset(receivers))
         self.blocked.append(path)
         if both:
             self.blocked.append(BlockedPath(path.receivers, path.senders))
 
     def heal(self) -> None:
-        """Open all paths."""
+        """Remove all cuts."""
         self.blocked.clear()
 
     def send(self, sender: SimulatedMember, sent: SendMessage) -> None:
-        """Carry a message, if it is not lost."""
+        """Carry a message unless its path is cut or it is lost."""
         message = sent.message
         receiver = sent.address.rpartition(":")[0]
         if self.codec is not None:
@@ -208,10 +208,10 @@
         if member is not None:
             member.on_arrival(message, is_stream)
 
-    # What is looked at.
+    # Observation.
 
     def on_view_changed(self, observer: SimulatedMember, effect: ViewChanged) -> None:
-        """Note a member that is declared gone and lives."""
+        """Record a false death if a live member was declared gone."""
         if effect.change is not ViewChange.GONE:
             return
         member = self.members.get(effect.member.name)
@@ -225,20 +225,24 @@
             )
 
     def live_members(self) -> list[SimulatedMember]:
-        """Return the members that are up."""
+        """Return the members whose process runs."""
         return [member for member in self.members.values() if member.is_up]
 
-    def true_digest(self) -> int:
-        """Return the digest of a view that holds all that live and nobody else."""
+    def live_members_digest(self) -> int:
+        """Return the digest of a view that contains exactly the live members."""
         digest = 0
         for member in self.live_members():
             digest ^= member.membership.state.local.entry.compute_digest()
         return digest
 
-    def share_of_true_views(
+    def share_of_correct_views(
         self, among: Sequence[SimulatedMember] | None = None
     ) -> float:
-        """Return the share of members that see the truth, of all or `among` some."""
+        """Return the share of members whose view contains exactly the live members.
+
+        Args:
+            among: The members to look at; all live members if None.
+        """
         members = self.live_members() if among is None else among
-        truth = self.true_digest()
-        return sum(member.digest == truth for member in members) / len(members)
+        expected = self.live_members_digest()
+        return sum(member.digest == expected for member in members) / len(members)
--- a/milletsill/lab/simulated_request.py
+++ b/milletsill/lab/simulated_request.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts in a simulation of traffic."""
+"""Requests and their attempts in a traffic simulation."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class SimulatedRequest:
-    """One request of a gateway, until its answer and the end of its attempts.
+    """One request at a gateway, kept until it is answered and its attempts have ended.
 
     Attributes:
-        request: As the scheduler sees it.
-        received_at: When it came.
-        work: Seconds of one core at a node.
-        path: Of the object.
-        operation: The client's.
-        attempt_count: Attempts until now.
+        request: The request as the scheduler gets it.
+        received_at: The time at which the request arrived.
+        work: Seconds that one core of a node needs for it.
+        path: The path of the object.
+        operation: The operation that the client requested.
+        attempt_count: Attempts sent so far.
         in_flight: Attempts that have not ended.
         is_answered: The final answer was given.
     """
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class SimulatedAttempt:
-    """One sending of a request to a node."""
+    """One attempt of a request at a node."""
 
     request: SimulatedRequest
     number: int
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -1,4 +1,7 @@
-"""The process that holds the stand-in boxes and the registry of a scenario, and does to them what it says."""
+"""The stand-in nodes and the stand-in registry of a scenario, in one process.
+
+It also injects the scenario's faults of nodes and of the registry.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 from milletsill.sftp_gateway.object_location import ObjectLocation, format_location
 from milletsill.sftp_gateway.routing_table import VolumePlacement
 
-OF_BOXES = (
+STAND_IN_FAULTS = (
     "vanish",
     "slow",
     "pauses",
@@ -34,14 +37,14 @@
 )
 
 
-class Stand:
-    """All boxes and the registry."""
+class StandIns:
+    """All stand-in nodes and the stand-in registry."""
 
     def __init__(
         self, reactor: Any, scenario: Any, out: str, registry_port: int
     ) -> None:
         self.reactor, self.scenario, self.out = reactor, scenario, out
-        self.chance, self.prefix = (
+        self.random, self.prefix = (
             Random(scenario.seed + 1),
             scenario.gateway.registry.prefix,
         )
@@ -55,42 +58,44 @@
             interface="127.0.0.1",
             backlog=512,
         )
-        self.boxes: list[NodeStandIn] = []
+        self.nodes: list[NodeStandIn] = []
         self.read_gaps = ReadGapMonitor(reactor)
         self.read_gaps.check()
-        self.work = self.works()
-        self.make_boxes()
-        self.fill()
-        for each in self.boxes:
-            self.list(each)
+        self.estimates = self.work_estimates()
+        self.make_nodes()
+        self.create_files()
+        for each in self.nodes:
+            self.publish(each)
 
     def begin(self, start: float) -> None:
-        """The day starts then, on the monotonic clock, in seconds."""
+        """Schedule the faults; `start` is the scenario's start in monotonic seconds."""
         for each in self.scenario.trouble:
-            self.later(start + each.at_s - time.monotonic(), self.trouble, each)
+            self.call_later(
+                start + each.at_s - time.monotonic(), self.begin_fault, each
+            )
 
-    def works(self) -> dict[str, WorkEstimate]:
-        """Seconds a unit and spread, by category."""
+    def work_estimates(self) -> dict[str, WorkEstimate]:
+        """Return seconds per unit and coefficient of variation, by request class."""
         mean = self.scenario.gateway.rules.unit_mean
         return {
             each.category: WorkEstimate(each.work_ms / 1000 / mean, each.cv)
             for each in self.scenario.traffic
         }
 
-    def make_boxes(self) -> None:
+    def make_nodes(self) -> None:
         kinds = {each.name: each for each in self.scenario.kind}
         for group in self.scenario.box:
             for _ in range(group.count):
-                self.add(
-                    len(self.boxes),
-                    len(self.boxes),
+                self.add_node(
+                    len(self.nodes),
+                    len(self.nodes),
                     group.zone,
                     kinds[group.kind],
                     StoredFiles(),
                     False,
                 )
 
-    def add(
+    def add_node(
         self,
         number: int,
         cell: int,
@@ -107,20 +112,20 @@
             zone,
             kind,
             self.scenario.gateway.rules,
-            self.work,
+            self.estimates,
             self.scenario.seed * 1000 + number,
         )
-        box = NodeStandIn(self.reactor, settings, files, recorder)
-        box.port = self.reactor.listenTCP(
-            0, NodeListener(box), interface="127.0.0.1", backlog=512
+        node = NodeStandIn(self.reactor, settings, files, recorder)
+        node.port = self.reactor.listenTCP(
+            0, NodeListener(node), interface="127.0.0.1", backlog=512
         )
         if cold:
-            box.boot(cold=True)
-        self.boxes.append(box)
-        return box
+            node.boot(cold=True)
+        self.nodes.append(node)
+        return node
 
-    def fill(self) -> None:
-        """The files that stand before the day."""
+    def create_files(self) -> None:
+        """Create the files that exist before the scenario starts."""
         routing_table, scenario = routing_table_of(self.scenario.gateway), self.scenario
         size = scenario.file_units * scenario.gateway.rules.unit_bytes
         for volume in routing_table.volumes_by_root.values():
@@ -130,108 +135,108 @@
                 cell = home
                 if volume.placement == VolumePlacement.FREE:
                     cell, name = (
-                        self.chance.choice(volume.shards),
+                        self.random.choice(volume.shards),
                         f"#pre.{volume.number}.{number}",
                     )
-                    self.boxes[home].files.links[path] = format_location(
+                    self.nodes[home].files.links[path] = format_location(
                         ObjectLocation(cell, name)
                     )
-                self.boxes[cell].files.data[name] = bytearray(pattern(path, 0, size))
+                self.nodes[cell].files.data[name] = bytearray(pattern(path, 0, size))
 
-    def key(self, box: NodeStandIn) -> str:
-        return f"{self.prefix}{box.settings.node}"
+    def registry_key(self, node: NodeStandIn) -> str:
+        return f"{self.prefix}{node.settings.node}"
 
-    def list(self, box: NodeStandIn, state: str = "ready") -> None:
-        self.registry.put(self.key(box), box.registry_entry(state))
+    def publish(self, node: NodeStandIn, state: str = "ready") -> None:
+        self.registry.put(self.registry_key(node), node.registry_entry(state))
 
-    def chosen(self, trouble: Any) -> list[NodeStandIn]:
-        """The boxes that a trouble is on."""
-        if trouble.on:
-            return [self.boxes[each] for each in trouble.on if each < len(self.boxes)]
-        count = max(round(trouble.part * len(self.boxes)), 1)
-        return self.chance.sample(self.boxes, min(count, len(self.boxes)))
+    def choose_nodes(self, fault: Any) -> list[NodeStandIn]:
+        """Return the nodes that a fault affects."""
+        if fault.on:
+            return [self.nodes[each] for each in fault.on if each < len(self.nodes)]
+        count = max(round(fault.part * len(self.nodes)), 1)
+        return self.random.sample(self.nodes, min(count, len(self.nodes)))
 
-    def trouble(self, trouble: Any) -> None:
-        """Do it now, and set its end."""
-        if trouble.what == "registry_away":
+    def begin_fault(self, fault: Any) -> None:
+        """Begin a fault now, and schedule its end."""
+        if fault.what == "registry_away":
             self.registry.set_away(True)
-            self.later(trouble.for_s, self.registry.set_away, False)
-        elif trouble.what in OF_BOXES:
-            until = time.monotonic() + trouble.for_s
-            for box in self.chosen(trouble):
-                getattr(self, f"do_{trouble.what}")(box, trouble, until)
+            self.call_later(fault.for_s, self.registry.set_away, False)
+        elif fault.what in STAND_IN_FAULTS:
+            until = time.monotonic() + fault.for_s
+            for node in self.choose_nodes(fault):
+                getattr(self, f"do_{fault.what}")(node, fault, until)
 
-    def later(self, seconds: float, call: Any, *values: Any) -> None:
+    def call_later(self, seconds: float, call: Any, *values: Any) -> None:
         at(self.reactor, time.monotonic() + max(seconds, 0), call, *values)
 
-    def do_vanish(self, box: NodeStandIn, trouble: Any, until: float) -> None:
-        box.vanish()
-        gone = self.scenario.registry.vanish_s
-        if gone < trouble.for_s:
-            self.later(gone, self.registry.delete, self.key(box))
-        self.later(trouble.for_s, self.back, box)
+    def do_vanish(self, node: NodeStandIn, fault: Any, until: float) -> None:
+        node.vanish()
+        delay = self.scenario.registry.vanish_s
+        if delay < fault.for_s:
+            self.call_later(delay, self.registry.delete, self.registry_key(node))
+        self.call_later(fault.for_s, self.restart, node)
 
-    def back(self, box: NodeStandIn) -> None:
-        box.restart()
-        self.list(box)
+    def restart(self, node: NodeStandIn) -> None:
+        node.restart()
+        self.publish(node)
 
-    def do_slow(self, box: NodeStandIn, trouble: Any, until: float) -> None:
-        box.speed.slow = trouble.size
-        self.later(trouble.for_s, setattr, box.speed, "slow", 1.0)
+    def do_slow(self, node: NodeStandIn, fault: Any, until: float) -> None:
+        node.speed.slow = fault.size
+        self.call_later(fault.for_s, setattr, node.speed, "slow", 1.0)
 
-    def do_pauses(self, box: NodeStandIn, trouble: Any, until: float) -> None:
-        """`size` milliseconds still, about every `extra` seconds."""
+    def do_pauses(self, node: NodeStandIn, fault: Any, until: float) -> None:
+        """Pause for `size` milliseconds, about every `extra` seconds."""
         now = time.monotonic()
         if now < until:
-            box.finish(box.engine.advance(now))
-            box.speed.still_until = now + trouble.size / 1000
-            box.schedule()
-            self.later(
-                trouble.extra * self.chance.uniform(0.5, 1.5),
+            node.finish(node.engine.advance(now))
+            node.speed.still_until = now + fault.size / 1000
+            node.schedule()
+            self.call_later(
+                fault.extra * self.random.uniform(0.5, 1.5),
                 self.do_pauses,
-                box,
-                trouble,
+                node,
+                fault,
                 until,
             )
 
     def do_neighbour(
-        self, box: NodeStandIn, trouble: Any, until: float, on: bool = True
+        self, node: NodeStandIn, fault: Any, until: float, on: bool = True
     ) -> None:
-        """`size` of the machine taken, on and off, about every `extra` seconds."""
+        """Take the share `size` of the machine, on and off about every `extra` seconds."""
         now = time.monotonic()
-        box.finish(box.engine.advance(now))
-        box.speed.taken = min(trouble.size, 0.95) if on and now < until else 0.0
+        node.finish(node.engine.advance(now))
+        node.speed.taken = min(fault.size, 0.95) if on and now < until else 0.0
         if now < until:
-            self.later(
-                trouble.extra * self.chance.uniform(0.5, 1.5),
+            self.call_later(
+                fault.extra * self.random.uniform(0.5, 1.5),
                 self.do_neighbour,
-                box,
-                trouble,
+                node,
+                fault,
                 until,
                 not on,
             )
 
-    def do_report_late(self, box: NodeStandIn, trouble: Any, until: float) -> None:
-        box.added_report_delay = trouble.size
-        self.later(trouble.for_s, setattr, box, "added_report_delay", 0.0)
+    def do_report_late(self, node: NodeStandIn, fault: Any, until: float) -> None:
+        node.added_report_delay = fault.size
+        self.call_later(fault.for_s, setattr, node, "added_report_delay", 0.0)
 
-    def do_drain(self, box: NodeStandIn, trouble: Any, until: float) -> None:
-        """Draining, then away, then back cold."""
-        self.list(box, "draining")
-        self.later(trouble.for_s, self.back, box)
+    def do_drain(self, node: NodeStandIn, fault: Any, until: float) -> None:
+        """Drain a node, then restart it cold after `for_s`."""
+        self.publish(node, "draining")
+        self.call_later(fault.for_s, self.restart, node)
 
-    def do_replace(self, box: NodeStandIn, trouble: Any, until: float) -> None:
-        """Draining, then another box with the same files in the same cell."""
-        self.list(box, "draining")
-        self.later(trouble.for_s, self.replaced, box)
+    def do_replace(self, node: NodeStandIn, fault: Any, until: float) -> None:
+        """Drain a node, then replace it by a new one with the same files and shard."""
+        self.publish(node, "draining")
+        self.call_later(fault.for_s, self.finish_replacement, node)
 
-    def replaced(self, old: NodeStandIn) -> None:
-        self.registry.delete(self.key(old))
+    def finish_replacement(self, old: NodeStandIn) -> None:
+        self.registry.delete(self.registry_key(old))
         old.vanish()
         old.drop()
-        self.list(
-            self.add(
-                len(self.boxes),
+        self.publish(
+            self.add_node(
+                len(self.nodes),
                 old.settings.cell,
                 old.settings.zone,
                 old.kind,
@@ -240,13 +245,13 @@
             )
         )
 
-    def do_cut(self, box: NodeStandIn, trouble: Any, until: float) -> None:
-        box.cut()
+    def do_cut(self, node: NodeStandIn, fault: Any, until: float) -> None:
+        node.cut()
 
     def flush(self) -> None:
         for each in self.recorders:
             each.flush()
-        self.later(0.5, self.flush)
+        self.call_later(0.5, self.flush)
 
     def close(self) -> None:
         for each in self.recorders:
--- a/milletsill/lab/starvation.py
+++ b/milletsill/lab/starvation.py
@@ -1,7 +1,8 @@
-"""When the machine gave a gateway no core: like a stop of its process, no fault of it.
+"""Finds the times in which a gateway was ready to run but had no processor core.
 
-Read from outside, from what the system says of each process's main thread. On a machine
-with enough cores nothing is found. Times are seconds.
+The audit treats these times like a stop of the process, not as a fault of the gateway.
+The data comes from Linux's scheduler statistics (/proc/PID/schedstat) of each process's
+main thread. On a machine with enough cores nothing is found. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -10,33 +11,33 @@
 from typing import Protocol
 
 CHECK_INTERVAL = 0.05
-MIN_WAIT = 0.02  # without a core between two looks, from which it counts
+MIN_WAIT = 0.02  # shortest time without a core between two checks that counts
 
 
 class ProcessHandle(Protocol):
-    """A process that was started."""
+    """A started process."""
 
     @property
     def pid(self) -> int:
-        """Its id."""
+        """The process id."""
 
 
 class MonitoredProcess(Protocol):
-    """One process, and the gateways in it."""
+    """One process and the gateways that it runs."""
 
     @property
     def process(self) -> ProcessHandle | None:
-        """The process; None while there is none."""
+        """The process; None if it was not started yet."""
 
     @property
     def names(self) -> Sequence[str]:
-        """Names of its gateways."""
+        """The names of the gateways in the process."""
 
 
 def read_total_wait(pid: int) -> float | None:
-    """Return for how long a process was ready to run and had no core, since its start.
+    """Return how long a process has waited for a core since its start, in seconds.
 
-    None where the system does not tell.
+    Returns None if the system does not provide the value.
     """
     try:
         with open(f"/proc/{pid}/schedstat", "rb", buffering=0) as source:
@@ -46,10 +47,10 @@
 
 
 class StarvationMonitor:
-    """Finds the spans in which gateways had no core.
+    """Finds the time spans in which gateways had no core.
 
     Attributes:
-        total: All spans together, in seconds.
+        total: The sum of all spans, in seconds.
     """
 
     def __init__(self) -> None:
@@ -60,10 +61,10 @@
     def find_spans(
         self, now: float, groups: Sequence[MonitoredProcess]
     ) -> list[tuple[str, float, float]]:
-        """Return (gateway, from, to) of those that had no core for long.
+        """Return (gateway, from, to) for waits of MIN_WAIT or longer.
 
-        The system adds a wait to its sum when it is over: one that ended since the last
-        look may have begun as long before that as it lasted.
+        The system adds a wait to its total when the wait ends. A wait that ended since
+        the last check may have begun before that check, by at most its own length.
         """
         if now - self._checked_at < CHECK_INTERVAL:
             return []
--- a/milletsill/lab/stored_files.py
+++ b/milletsill/lab/stored_files.py
@@ -1,6 +1,6 @@
-"""The bytes of a stand-in node, kept in memory: files, directories, links.
+"""The contents of a stand-in node, held in memory: files, directories and links.
 
-Commands name files by their handles, whose octets are the files' names.
+A file's handle is its name encoded as UTF-8, so commands identify files by name.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from milletsill.sftp.wire import DirectoryEntry, FileAttributes, bytes_to_text
 
 MAX_NAMES = 100
-"""Names on a page of a directory."""
+"""Names in one reply to a directory read."""
 MAX_FILE = 64_000_000
-"""Bytes of a file."""
+"""Largest size of a file in bytes."""
 FILE_MODE = 0o100644
 DIRECTORY_MODE = 0o040755
 PATTERN_BYTES = 1 << 17
@@ -26,22 +26,22 @@
 
 
 def pattern(path: str, offset: int, length: int) -> bytes:
-    """Return what every file of the laboratory holds at a place.
+    """Return the expected contents of a laboratory file at an offset.
 
-    Its path alone tells it, so that any read can be checked.
+    They depend on the path and the offset only, so that any read can be checked.
     """
-    place = xxhash.xxh32_intdigest(path.encode()) + offset
-    start = place & (PATTERN_BYTES - 1)
+    position = xxhash.xxh32_intdigest(path.encode()) + offset
+    start = position & (PATTERN_BYTES - 1)
     return PATTERN[start : start + length]
 
 
 def status_reply(code: int, text: str = "") -> NodeReply:
-    """Return the reply to a command that was run, with an SFTP status."""
+    """Return the reply to an executed command, with an SFTP status."""
     return NodeReply(NodeReplyStatus.DONE, answer=packets.Status(0, code, text))
 
 
 def redirect_reply(target: str) -> NodeReply:
-    """Return the reply that names the place of what was asked for."""
+    """Return the reply that redirects to the location of the requested object."""
     return NodeReply(
         NodeReplyStatus.ELSEWHERE, target, answer=packets.Status(0, packets.OK)
     )
@@ -51,7 +51,7 @@
 
 
 class StoredFiles:
-    """Objects by name. A name that links elsewhere answers with the link's target."""
+    """Objects by name; a command on a link is answered with the link's target."""
 
     def __init__(self) -> None:
         self.data: dict[str, bytearray] = {}
@@ -79,7 +79,7 @@
         }
 
     def run(self, command: packets.Command | packets.Extended) -> NodeReply:
-        """Do a command, its handles being names."""
+        """Execute a command; its handle, if any, is the name of a file."""
         on_command = self.by_command.get(type(command))
         if on_command is not None:
             return on_command(command)
@@ -93,17 +93,17 @@
         return on_name(command, name)
 
     def attributes(self, name: str) -> FileAttributes:
-        """Return the attributes of a file, or of a directory."""
+        """Return the attributes of a file; those of a directory for any other name."""
         if name in self.data:
             return FileAttributes(size=len(self.data[name]), mode=FILE_MODE)
         return FileAttributes(mode=DIRECTORY_MODE)
 
     def is_directory(self, name: str) -> bool:
-        """Return whether a directory was made or something lies below a name."""
+        """Return whether a name is a created directory or has entries below it."""
         return name in self.folders or self.has_entries(name)
 
     def has_entries(self, name: str) -> bool:
-        """Return whether something lies below a name."""
+        """Return whether entries exist below a name."""
         start = name.rstrip("/") + "/"
         return any(
             each.startswith(start)
@@ -111,16 +111,16 @@
             for each in held
         )
 
-    # Of a file.
+    # Commands on a file.
 
     def open(self, command: packets.Open, name: str) -> NodeReply:
-        """Open a file; its name is its handle."""
+        """Open a file; the handle is the file's name."""
         flags = command.flags
         creates = flags & packets.CREATE_FLAG
         if name in self.folders:
-            return status_reply(packets.FAILURE, "a directory")
+            return status_reply(packets.FAILURE, "is a directory")
         if name in self.data and creates and flags & packets.EXCLUSIVE_FLAG:
-            return status_reply(packets.FAILURE, "it stands already")
+            return status_reply(packets.FAILURE, "file already exists")
         if name not in self.data and not creates:
             return NO_SUCH_FILE
         if name not in self.data or flags & packets.TRUNCATE_FLAG:
@@ -129,35 +129,35 @@
         return NodeReply(NodeReplyStatus.DONE, answer=handle)
 
     def read(self, command: packets.Read, name: str) -> NodeReply:
-        """Read a part of a file."""
+        """Read a range of a file."""
         if name not in self.data:
             return NO_SUCH_FILE
         end = command.offset + command.length
         data = bytes(self.data[name][command.offset : end])
         if not data:
-            return status_reply(packets.EOF, "the end")
+            return status_reply(packets.EOF, "end of file")
         return NodeReply(NodeReplyStatus.DONE, answer=packets.Data(0, data))
 
     def write(self, command: packets.Write, name: str) -> NodeReply:
-        """Write a part of a file; what lies between its end and that is zero."""
+        """Write a range of a file; a gap after the old end is filled with zeros."""
         held = self.data.get(name)
         end = command.offset + len(command.data)
         if held is None:
-            return status_reply(packets.NO_SUCH_FILE, "cannot be written")
+            return status_reply(packets.NO_SUCH_FILE, "no such file")
         if end > MAX_FILE:
-            return status_reply(packets.FAILURE, "cannot be written")
+            return status_reply(packets.FAILURE, "file size limit exceeded")
         held.extend(bytes(max(command.offset - len(held), 0)))
         held[command.offset : end] = command.data
         return status_reply(packets.OK)
 
     def acknowledge(self, command: packets.Extended, name: str) -> NodeReply:
-        """Do nothing, and say that it is done."""
+        """Do nothing and report success."""
         return status_reply(packets.OK)
 
     def stat(
         self, command: packets.Stat | packets.Lstat | packets.Fstat, name: str
     ) -> NodeReply:
-        """Tell the attributes of a file or directory."""
+        """Return the attributes of a file or directory."""
         if name not in self.data and not self.is_directory(name):
             return NO_SUCH_FILE
         attributes = packets.AttributesReply(0, self.attributes(name))
@@ -166,7 +166,7 @@
     def set_size(
         self, command: packets.Setstat | packets.Fsetstat, name: str
     ) -> NodeReply:
-        """Cut or fill up a file to a size; other attributes are left out."""
+        """Truncate or extend a file to a size; other attributes are ignored."""
         held = self.data.get(name)
         if held is None:
             return NO_SUCH_FILE
@@ -183,18 +183,18 @@
         return status_reply(packets.OK)
 
     def rename(self, command: packets.Rename, name: str) -> NodeReply:
-        """Give a file a name that nothing has."""
+        """Rename a file to a name that is not in use."""
         if command.target in self.data or command.target in self.links:
-            return status_reply(packets.FAILURE, "the new name stands already")
+            return status_reply(packets.FAILURE, "new name already exists")
         if name not in self.data:
             return NO_SUCH_FILE
         self.data[command.target] = self.data.pop(name)
         return status_reply(packets.OK)
 
-    # Of links and directories.
+    # Commands on links and directories.
 
     def read_link(self, command: packets.Readlink) -> NodeReply:
-        """Tell where a link leads."""
+        """Return the target of a link."""
         if command.path in self.links:
             return redirect_reply(self.links[command.path])
         return status_reply(
@@ -202,7 +202,7 @@
         )
 
     def change_link(self, command: packets.Symlink) -> NodeReply:
-        """Make a link where none stands; `-TARGET` takes that very link away."""
+        """Create a link if none exists; target `-TARGET` removes the link to TARGET."""
         held = self.links.get(command.path)
         target = command.target
         if target.startswith("-"):
@@ -213,14 +213,14 @@
         if held is not None and held != target:
             return redirect_reply(held)
         if command.path in self.data:
-            return status_reply(packets.FAILURE, "a file stands there")
+            return status_reply(packets.FAILURE, "a file with this name exists")
         self.links[command.path] = target
         return status_reply(packets.OK)
 
     def make_directory(self, command: packets.Mkdir) -> NodeReply:
-        """Make a directory."""
+        """Create a directory."""
         if command.path in self.folders or command.path in self.data:
-            return status_reply(packets.FAILURE, "it stands already")
+            return status_reply(packets.FAILURE, "name already exists")
         self.folders.add(command.path)
         return status_reply(packets.OK)
 
@@ -234,16 +234,16 @@
         return status_reply(packets.OK)
 
     def read_directory(self, command: packets.Readdir) -> NodeReply:
-        """Tell a page of the names after one.
+        """Return up to MAX_NAMES names of a directory that follow a given name.
 
-        The handle is the directory, a zero byte and that name.
+        The handle consists of the directory's path, a zero byte and the given name.
         """
         path, _, after = bytes_to_text(command.handle).partition("\0")
         found = self.entries_after(path, after)
         if not found:
             known = self.is_directory(path)
             return status_reply(
-                packets.EOF if known else packets.NO_SUCH_FILE, "the end"
+                packets.EOF if known else packets.NO_SUCH_FILE, "no more names"
             )
         entries = tuple(
             directory_entry(name, found[name]) for name in sorted(found)[:MAX_NAMES]
@@ -253,7 +253,7 @@
         )
 
     def entries_after(self, path: str, after: str) -> dict[str, FileAttributes]:
-        """Return the names in a directory after one, with their attributes."""
+        """Return the names in a directory after a given name, with their attributes."""
         start = path.rstrip("/") + "/"
         found: dict[str, FileAttributes] = {}
         for held in (self.data, self.links, self.folders):
@@ -273,7 +273,7 @@
 
 
 def directory_entry(name: str, attributes: FileAttributes) -> DirectoryEntry:
-    """Return an entry of a directory with its line for people."""
+    """Return a directory entry with its human-readable line."""
     letter = "d" if attributes.mode == DIRECTORY_MODE else "-"
     line = f"{letter}rw-r--r-- 1 - - {attributes.size or 0} {name}"
     return DirectoryEntry(name, line, attributes)
--- a/milletsill/lab/traced_wire_host.py
+++ b/milletsill/lab/traced_wire_host.py
@@ -1,8 +1,9 @@
-"""Plays the scheduler on the bench's wire like `milletsill.wirehost`, and traces it.
+"""Runs the scheduler for the bench like `milletsill.wirehost`, and writes traces.
 
-A bad day of the bench can so be studied with the same tools. Given to the bench as its
-command: `python -m milletsill.lab wire FOLDER`. The wire names no volumes: they stand
-by number. An instance that is killed and made again gets a new file.
+The traces let the trace tools analyse a day of the bench that went badly. The bench is
+given the command `python -m milletsill.lab wire FOLDER`. The wire protocol carries no
+volume names, so traces identify volumes by number. An instance that is killed and
+created again gets a new trace file.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 
 class InstanceTraces:
-    """All the traces of one play.
+    """All traces that this process writes.
 
-    They have a folder of their own, since the bench runs several days.
+    Each process writes to its own folder, since the bench runs several days.
     """
 
     def __init__(self, folder: str) -> None:
@@ -36,7 +37,7 @@
     def open(
         self, number: int, config: DeploymentConfig, seed: int, now: int
     ) -> SimulationTrace:
-        """Begin the trace of an instance that is made now."""
+        """Create the trace file of a new scheduler instance."""
         about = {
             "name": f"instance-{number}",
             "seed": seed,
@@ -51,13 +52,13 @@
         return trace
 
     def close(self) -> None:
-        """End all traces."""
+        """Close all trace files."""
         for trace in self.traces:
             trace.close()
 
 
 class TracedInstance(Instance):
-    """An instance whose scheduler has a recorder around it."""
+    """A scheduler instance whose events and effects are recorded."""
 
     def __init__(self, number: int, traces: InstanceTraces) -> None:
         super().__init__(number)
@@ -66,7 +67,7 @@
     def make_scheduler(
         self, config: DeploymentConfig, seed: int, now: int
     ) -> SchedulerEvents:
-        """Return a scheduler whose events and effects are recorded."""
+        """Return a scheduler that is wrapped in a trace recorder."""
         trace = self.traces.open(self.number, config, seed, now)
         return TraceRecorder(trace, ()).wrap(Scheduler)(config, seed, now, self)
 
--- a/milletsill/lab/traffic_simulation.py
+++ b/milletsill/lab/traffic_simulation.py
@@ -1,9 +1,10 @@
-"""Gateways and nodes under drawn traffic, on a simulated clock.
+"""Gateways and nodes under randomly drawn traffic, on a simulated clock.
 
-The schedulers are the real ones. Traffic is drawn from a scenario's rows (rates, sizes,
-work, runs, weights of plans) and comes through a gateway by chance. What is left out
-beside the laboratory of processes: sockets, the gateways' own processor time, the steps
-of a command (each is one request), repeats by clients and the scenario's faults.
+The schedulers are the real ones. Traffic is drawn from a scenario's traffic rows
+(rates, sizes, work, lengths of sequential runs) and its plans' rates; each request goes
+to a random gateway. Unlike the laboratory with real processes, the simulation omits
+sockets, the gateways' own processor time, the steps of a command (each command is one
+request), retries by clients and the scenario's faults.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -30,20 +31,25 @@
 
 @dataclass(slots=True)
 class SequentialRun:
-    """Requests of one volume for one key that follow each other."""
+    """Consecutive requests of one volume for the same key.
+
+    Attributes:
+        key: The key.
+        left: Requests of the run that are still to come.
+    """
 
     key: int
     left: int
 
 
 class TrafficSimulation(SimulatedClock):
-    """Gateways before a scenario's nodes, and the scenario's traffic.
+    """Gateways in front of a scenario's nodes, and the scenario's traffic.
 
     Args:
-        scenario: Its gateway file, nodes and traffic.
-        gateways: How many.
-        rate: Requests a second in all.
-        seed: Of everything that chance decides.
+        scenario: The source of the gateway file, nodes and traffic.
+        gateways: The number of gateways.
+        rate: Requests per second over all gateways.
+        seed: Seed of all random draws.
     """
 
     def __init__(
@@ -99,7 +105,7 @@
         ]
 
     def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
-        """Make a call at a time, or now if that is past."""
+        """Schedule a call; a time in the past means now."""
         super().call_at(max(when, self.now), call, *values)
 
     def start(
@@ -108,7 +114,7 @@
             lambda gateway: use_directly
         ),
     ) -> None:
-        """Make the schedulers, give them the list, let the traffic begin."""
+        """Create the schedulers, give them the endpoint list and start the traffic."""
         for gateway in self.gateways:
             gateway.start(wrapper_for(gateway))
             gateway.scheduler.on_endpoints(
@@ -118,7 +124,7 @@
         self.call_at(self.now, self._draw_request)
 
     def _draw_request(self) -> None:
-        """Draw one request, and when the next comes."""
+        """Draw one request, and the time of the next one."""
         random = self.random
         rows = range(len(self._rows))
         row = self._rows[random.choices(rows, cum_weights=self._row_weights)[0]]
@@ -157,7 +163,7 @@
         self.call_at(self.now + pause, self._draw_request)
 
     def _draw_key(self, place: int, row: Traffic) -> int:
-        """Return the key of the volume's run, or of a new one."""
+        """Return the key of the volume's sequential run, or of a new run."""
         run = self._runs.get(place)
         if run is None or run.left <= 0:
             run = SequentialRun(
@@ -172,11 +178,11 @@
 def scenario_part(scenario: Scenario, part: int, part_count: int) -> Scenario:
     """Return the scenario for one of the processes that share a fleet's gateways.
 
-    Its nodes have that part of the power.
+    Its nodes have `1 / part_count` of their speed, and each part has its own seed.
     """
-    made = Scenario()
-    made.CopyFrom(scenario)
-    for kind in made.kind:
+    result = Scenario()
+    result.CopyFrom(scenario)
+    for kind in result.kind:
         kind.speed /= part_count
-    made.seed += part
-    return made
+    result.seed += part
+    return result
--- a/milletsill/lab/troubles.py
+++ b/milletsill/lab/troubles.py
@@ -1,4 +1,7 @@
-"""Troubles of edges and planner: when each is to be done, and the doing of it, noted for the audit."""
+"""Schedules and injects faults of gateway and planner processes.
+
+It records them for the audit.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 from typing import Any
 
 from milletsill.lab.fault_timeline import ProcessFault
-from milletsill.lab.processes import Group
+from milletsill.lab.processes import GatewayGroupProcess
 
-OF_EDGES = (
+GATEWAY_FAULTS = (
     "balancer_crash",
     "balancer_roll",
     "balancer_stall",
@@ -20,19 +23,18 @@
     "balancer_old",
     "balancer_full",
 )
-OF_KILLS = ("balancer_crash", "balancer_lost", "balancer_old")
-OF_PLANNER = ("planner_crash", "planner_stall", "planner_old")
+KILL_FAULTS = ("balancer_crash", "balancer_lost", "balancer_old")
+PLANNER_FAULTS = ("planner_crash", "planner_stall", "planner_old")
 
 
-class Troubles:
-    """What a scenario does to the processes of a run."""
+class ProcessFaultInjector:
+    """Injects a scenario's faults into the processes of a run, and records them."""
 
     def __init__(self, run: Any) -> None:
-        self.run, self.chance = run, Random(run.scenario.seed + 3)
+        self.run, self.random = run, Random(run.scenario.seed + 3)
         self.actions: list[tuple[float, Callable[[], None]]] = []
-        self.stops: list[
-            tuple[str, float, float]
-        ] = []  # (edge, from, to): stopped, so not running
+        # (gateway, from, to): its process was stopped, or had no processor core
+        self.stops: list[tuple[str, float, float]] = []
         self.stopped: dict[str, float] = {}
         self.process_faults: list[ProcessFault] = []
         self.start = 0.0
@@ -41,126 +43,129 @@
         self.start = start
         for each in self.run.scenario.trouble:
             if (
-                each.what in OF_EDGES
-                or each.what in OF_PLANNER
+                each.what in GATEWAY_FAULTS
+                or each.what in PLANNER_FAULTS
                 and self.run.planner is not None
             ):
                 getattr(self, f"plan_{each.what}")(start + each.at_s, each)
         self.actions.sort(key=lambda each: each[0])
 
     def play(self, now: float) -> None:
-        """All that is due."""
+        """Carry out all actions that are due."""
         while self.actions and self.actions[0][0] <= now:
             self.actions.pop(0)[1]()
 
-    def chosen(self, trouble: Any) -> list[Group]:
+    def choose_groups(self, fault: Any) -> list[GatewayGroupProcess]:
         groups = self.run.groups
-        found = [groups[each] for each in trouble.on if each < len(groups)]
-        if not trouble.on:
-            found = self.chance.sample(
-                groups, min(max(round(trouble.part * len(groups)), 1), len(groups))
+        found = [groups[each] for each in fault.on if each < len(groups)]
+        if not fault.on:
+            found = self.random.sample(
+                groups, min(max(round(fault.part * len(groups)), 1), len(groups))
             )
         self.process_faults.append(
             ProcessFault(
-                trouble.what,
-                self.start + trouble.at_s,
-                trouble.for_s,
-                trouble.extra,
+                fault.what,
+                self.start + fault.at_s,
+                fault.for_s,
+                fault.extra,
                 [name for each in found for name in each.names],
             )
         )
         return found
 
-    def plan_balancer_crash(self, at: float, trouble: Any) -> None:
-        """Killed outright, back after `for_s` with the state it had."""
-        for each in self.chosen(trouble):
-            self.actions += [(at, each.kill), (at + trouble.for_s, each.start)]
+    def plan_balancer_crash(self, at: float, fault: Any) -> None:
+        """Kill with SIGKILL, restart after `for_s` with the same state."""
+        for each in self.choose_groups(fault):
+            self.actions += [(at, each.kill), (at + fault.for_s, each.start)]
 
-    def plan_balancer_lost(self, at: float, trouble: Any) -> None:
-        """Killed outright, back after `for_s` without its state."""
-        for each in self.chosen(trouble):
+    def plan_balancer_lost(self, at: float, fault: Any) -> None:
+        """Kill with SIGKILL, restart after `for_s` without state."""
+        for each in self.choose_groups(fault):
             self.actions += [
                 (at, each.kill),
-                (at + 0.02, each.lose_state),
-                (at + trouble.for_s, each.start),
+                (at + 0.02, each.delete_state),
+                (at + fault.for_s, each.start),
             ]
 
-    def plan_balancer_old(self, at: float, trouble: Any) -> None:
-        """Killed outright, back after `for_s` with the state it had `extra` seconds before."""
-        for each in self.chosen(trouble):
+    def plan_balancer_old(self, at: float, fault: Any) -> None:
+        """Kill with SIGKILL, restart after `for_s` with state `extra` seconds older."""
+        for each in self.choose_groups(fault):
             self.actions += [
-                (at - trouble.extra, each.copy_state),
+                (at - fault.extra, each.copy_state),
                 (at, each.kill),
-                (at + 0.02, each.old_state),
-                (at + trouble.for_s, each.start),
+                (at + 0.02, each.restore_state_copy),
+                (at + fault.for_s, each.start),
             ]
 
-    def plan_balancer_leave(self, at: float, trouble: Any) -> None:
-        """SIGTERM, back after `for_s`, when it is killed if it still runs."""
-        for each in self.chosen(trouble):
+    def plan_balancer_leave(self, at: float, fault: Any) -> None:
+        """Send SIGTERM; after `for_s` kill the process if it still runs, and restart."""
+        for each in self.choose_groups(fault):
             self.actions += [
                 (at, lambda each=each: each.signal(signal.SIGTERM)),
-                (at + trouble.for_s, each.kill),
-                (at + trouble.for_s, each.start),
+                (at + fault.for_s, each.kill),
+                (at + fault.for_s, each.start),
             ]
 
-    def plan_balancer_full(self, at: float, trouble: Any) -> None:
-        """No file of it takes a write for `for_s`."""
-        for each in self.chosen(trouble):
+    def plan_balancer_full(self, at: float, fault: Any) -> None:
+        """Make all file writes of the process fail for `for_s`."""
+        for each in self.choose_groups(fault):
             self.actions += [
                 (at, lambda each=each: each.fill_disk(True)),
-                (at + trouble.for_s, lambda each=each: each.fill_disk(False)),
+                (at + fault.for_s, lambda each=each: each.fill_disk(False)),
             ]
 
-    def plan_balancer_roll(self, at: float, trouble: Any) -> None:
-        """One after another within `for_s`, each away for `extra` seconds."""
-        chosen = self.chosen(trouble)
+    def plan_balancer_roll(self, at: float, fault: Any) -> None:
+        """Kill one after another within `for_s`; restart each after `extra` seconds."""
+        chosen = self.choose_groups(fault)
         for place, each in enumerate(chosen):
-            when = at + trouble.for_s * place / len(chosen)
-            self.actions += [(when, each.kill), (when + trouble.extra, each.start)]
+            when = at + fault.for_s * place / len(chosen)
+            self.actions += [(when, each.kill), (when + fault.extra, each.start)]
 
-    def plan_balancer_stall(self, at: float, trouble: Any) -> None:
-        """Stopped for `size` milliseconds, every `extra` seconds."""
-        for each in self.chosen(trouble):
+    def plan_balancer_stall(self, at: float, fault: Any) -> None:
+        """Stop for `size` milliseconds, about every `extra` seconds."""
+        for each in self.choose_groups(fault):
             when = at
-            while when < at + trouble.for_s:
+            while when < at + fault.for_s:
                 self.actions += [
                     (when, lambda each=each: self.stop(each)),
-                    (when + trouble.size / 1000, lambda each=each: self.go_on(each)),
+                    (when + fault.size / 1000, lambda each=each: self.resume(each)),
                 ]
-                when += max(
-                    trouble.extra, trouble.size / 1000 + 0.1
-                ) * self.chance.uniform(0.7, 1.3)
+                when += max(fault.extra, fault.size / 1000 + 0.1) * self.random.uniform(
+                    0.7, 1.3
+                )
 
-    def stop(self, group: Group) -> None:
+    def stop(self, group: GatewayGroupProcess) -> None:
         group.signal(signal.SIGSTOP)
         self.stopped[group.name] = time.monotonic()
 
-    def go_on(self, group: Group) -> None:
-        """The span is what it was, not what was planned: this process may be late itself."""
+    def resume(self, group: GatewayGroupProcess) -> None:
+        """Resume a stopped process and record how long it was stopped.
+
+        The actual time counts, not the planned one: this process may run late itself.
+        """
         group.signal(signal.SIGCONT)
         since = self.stopped.pop(group.name, None)
         if since is not None:
             self.stops += [(name, since, time.monotonic()) for name in group.names]
 
-    def plan_planner_crash(self, at: float, trouble: Any) -> None:
-        """Killed, back after `for_s`."""
+    def plan_planner_crash(self, at: float, fault: Any) -> None:
+        """Kill the planner, restart it after `for_s`."""
         planner = self.run.planner
-        self.actions += [(at, planner.kill), (at + trouble.for_s, planner.start)]
+        self.actions += [(at, planner.kill), (at + fault.for_s, planner.start)]
 
-    def plan_planner_stall(self, at: float, trouble: Any) -> None:
-        """Stopped for `for_s`, then all at once."""
+    def plan_planner_stall(self, at: float, fault: Any) -> None:
+        """Stop the planner for `for_s`; afterwards it handles all pending input at once."""
         planner = self.run.planner
         self.actions += [
             (at, lambda: planner.signal(signal.SIGSTOP)),
-            (at + trouble.for_s, lambda: planner.signal(signal.SIGCONT)),
+            (at + fault.for_s, lambda: planner.signal(signal.SIGCONT)),
         ]
 
-    def plan_planner_old(self, at: float, trouble: Any) -> None:
-        """Killed, back with an old state, and after `for_s` with the true one."""
+    def plan_planner_old(self, at: float, fault: Any) -> None:
+        """Kill the planner, restart it with old state, after `for_s` with the current."""
         planner = self.run.planner
         self.actions += [
             (at, planner.kill),
-            (at + 0.01, planner.start_old),
-            (at + trouble.for_s, planner.start_again),
+            (at + 0.01, planner.start_with_old_state),
+            (at + fault.for_s, planner.restart_with_current_state),
         ]
--- a/tests/fleet/membership/test_membership.py
+++ b/tests/fleet/membership/test_membership.py
@@ -34,9 +34,9 @@
         self.assertTrue(
             network.run(
                 network.now + seconds * SECOND,
-                lambda: network.share_of_true_views() == 1,
+                lambda: network.share_of_correct_views() == 1,
             ),
-            network.share_of_true_views(),
+            network.share_of_correct_views(),
         )
         self.assertEqual(len({each.view.digest for each in network.live_members()}), 1)
 
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -20,7 +20,7 @@
     network_faults,
 )
 from milletsill.lab.processes import LAB, free_ports
-from milletsill.lab.relay_addresses import inside, outside
+from milletsill.lab.relay_addresses import own_address, relay_address
 from milletsill.settings.milletsill_pb2 import Scenario
 
 SCENARIO = """
@@ -125,7 +125,9 @@
         ) as sink:
             sink.write(SCENARIO)
         ends = tuple(
-            address(number) for address in (inside, outside) for number in range(3)
+            address(number)
+            for address in (own_address, relay_address)
+            for number in range(3)
         )
         cls.port, control = free_ports(1, ends)[0], free_ports(1)[0]
         cls.addClassCleanup(cls.folder.cleanup)
@@ -155,13 +157,13 @@
         self.sockets = []
         for number in (0, 1):
             made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            made.bind((inside(number), self.port))
+            made.bind((own_address(number), self.port))
             made.settimeout(0.3)
             self.addCleanup(made.close)
             self.sockets.append(made)
 
     def say(self, a, b, data=b"x"):
-        self.sockets[a].sendto(data, (outside(b), self.port))
+        self.sockets[a].sendto(data, (relay_address(b), self.port))
 
     def heard(self, b):
         try:
@@ -172,9 +174,9 @@
     def test_packets_pass_both_ways_under_the_speakers_outside_address(self):
         self.say(0, 1)
         data, address = self.heard(1)
-        self.assertEqual((data, address), (b"x", (outside(0), self.port)))
+        self.assertEqual((data, address), (b"x", (relay_address(0), self.port)))
         self.sockets[1].sendto(b"y", address)
-        self.assertEqual(self.heard(0), (b"y", (outside(1), self.port)))
+        self.assertEqual(self.heard(0), (b"y", (relay_address(1), self.port)))
 
     def test_one_way_is_cut_and_heals(self):
         self.assertEqual(
@@ -187,15 +189,17 @@
         self.assertEqual(self.heard(1)[0], b"z")
 
     def test_a_stream_waits_behind_a_cut_and_ends_with_a_reset(self):
-        with socket.create_server((inside(1), self.port)) as server:
+        with socket.create_server((own_address(1), self.port)) as server:
             server.settimeout(3)
             near = socket.create_connection(
-                (outside(1), self.port), timeout=3, source_address=(inside(0), 0)
+                (relay_address(1), self.port),
+                timeout=3,
+                source_address=(own_address(0), 0),
             )
             near.sendall(b"a")
             far, address = server.accept()
             far.settimeout(0.3)
-            self.assertEqual((far.recv(10), address[0]), (b"a", outside(0)))
+            self.assertEqual((far.recv(10), address[0]), (b"a", relay_address(0)))
             self.order(what="split", on=[0], for_s=60)
             near.sendall(b"b")
             self.assertRaises(TimeoutError, far.recv, 10)
