--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,8 @@
-"""The laboratory: its engine by itself, days turned into scenarios, and one short day played with faults and audited."""
+"""Tests of the laboratory and of service accounting.
+
+They cover the engine of a stand-in node, its stored files, the conversion of a day file
+into a scenario, the command line, and one short audited run with faults.
+"""
 
 import json
 import os
@@ -27,7 +31,7 @@
     total_service,
 )
 
-SHORT = """
+SHORT_SCENARIO = """
 name: "short" seed: 3 seconds: 5 tail_s: 3 edges: 2 files: 4 file_units: 8
 gateway { name: "edge" gateways: 2 registry { address: "127.0.0.1:1" call_ms: 500 }
   door { answer_margin_ms: 60 }
@@ -55,7 +59,7 @@
 trouble { what: "registry_away" at_s: 3 for_s: 1 }
 trouble { what: "balancer_stall" at_s: 3.2 for_s: 1 on: 1 size: 300 extra: 0.6 }
 """
-DAY = {
+DAY_FILE = {
     "family": "stores",
     "site": "s",
     "kind": "big",
@@ -197,24 +201,23 @@
 }
 
 
-class Played(unittest.TestCase):
-    def test_a_short_day_with_faults_breaks_no_rule_and_reads_what_was_written(self):
+class ScenarioRunTest(unittest.TestCase):
+    def test_short_run_with_faults_breaks_no_rule_and_reads_correct_bytes(self):
         with tempfile.TemporaryDirectory() as folder:
-            result = Run(text_format.Parse(SHORT, Scenario()), folder).play()
+            result = Run(text_format.Parse(SHORT_SCENARIO, Scenario()), folder).play()
         self.assertFalse(broken(result), report(result))
         self.assertGreater(result.load["counts"]["reads with right bytes"], 30)
         self.assertGreater(result.command_count, 150)
 
 
-class Boxes(unittest.TestCase):
-    def test_two_dispatches_under_one_ticket_at_once_have_one_effect_and_an_answer_each(
-        self,
-    ):
+class NodeStandInTest(unittest.TestCase):
+    def test_concurrent_attempts_with_one_idempotency_key_have_one_effect(self):
+        """Each attempt is answered; a later attempt with the key has no effect."""
         clock, answers, effects = Clock(), [], []
         kind = BoxKind(name="k", cores=2)
         settings = NodeStandInSettings(0, 0, 0, kind, NodeRules(), {}, 1)
-        box = NodeStandIn(clock, settings, StoredFiles(), clock=clock.seconds)
-        box.files.run = lambda command: (
+        node = NodeStandIn(clock, settings, StoredFiles(), clock=clock.seconds)
+        node.files.run = lambda command: (
             effects.append(command)
             or NodeReply(
                 extensions.NodeReplyStatus.DONE,
@@ -222,12 +225,12 @@
                 answer=packets.Status(0, packets.OK),
             )
         )
-        gate = SimpleNamespace(
+        listener = SimpleNamespace(
             answer=lambda id, reply: answers.append((id, reply.answer))
         )
-        for id, (ticket, number) in enumerate((("t", 0), ("t", 1), ("u", 0))):
-            box.on_attempt(
-                gate,
+        for id, (idempotency_key, number) in enumerate((("t", 0), ("t", 1), ("u", 0))):
+            node.on_attempt(
+                listener,
                 id,
                 NodeRequest(
                     "g",
@@ -237,7 +240,7 @@
                     1.0,
                     5,
                     100,
-                    ticket,
+                    idempotency_key,
                     1,
                     1,
                     "write",
@@ -250,8 +253,8 @@
             (sorted(answers), len(effects)),
             ([(id, packets.Status(0, packets.OK)) for id in range(3)], 2),
         )
-        box.on_attempt(
-            gate,
+        node.on_attempt(
+            listener,
             9,
             NodeRequest(
                 "g",
@@ -272,7 +275,7 @@
         self.assertEqual((answers[-1][0], len(effects)), (9, 2))
 
 
-class Engines(unittest.TestCase):
+class EngineTest(unittest.TestCase):
     def engine(self, cold=False, **figures):
         kind = BoxKind(
             name="k", **{"cores": 1, "slots": 2, "queue": 2, "cold_s": 10, **figures}
@@ -291,19 +294,19 @@
             extent,
         )
 
-    def test_two_share_one_core_and_end_together(self):
+    def test_two_jobs_share_one_core_and_end_together(self):
         engine = self.engine()
         self.take(engine, 0, extent=1), self.take(engine, 0, extent=2)
         self.assertEqual((engine.advance(1.9), len(engine.advance(2.1))), ([], 2))
 
-    def test_a_full_queue_turns_away(self):
+    def test_full_queue_rejects_jobs(self):
         engine = self.engine()
         self.assertEqual(
             [self.take(engine, 0, extent=each) is None for each in range(5)],
             [False] * 4 + [True],
         )
 
-    def test_a_remembered_extent_costs_less_at_the_first_dispatch_only(self):
+    def test_cached_extent_costs_less_at_first_attempt_only(self):
         engine = self.engine(seek=0.5)
         self.take(engine, 0)
         self.assertEqual(
@@ -311,13 +314,13 @@
             [0.5, 1.0],
         )
 
-    def test_standing_still_does_no_work(self):
+    def test_paused_engine_does_no_work(self):
         engine = self.engine()
         self.take(engine, 0)
         engine.speed.still_until = 5.0
         self.assertEqual((engine.advance(5.5), len(engine.advance(6.1))), ([], 1))
 
-    def test_a_cold_box_is_slow_and_falls_when_pushed(self):
+    def test_cold_engine_is_slow_and_fails_under_load(self):
         engine = self.engine(cold=True, cold_from=0.2)
         self.assertAlmostEqual(engine.warmth(5.0), 0.6)
         engine.borne, engine.window = 1, 1.0
@@ -325,13 +328,13 @@
             self.take(engine, 0.1, extent=each)
         self.assertTrue(engine.fallen)
 
-    def test_put_off_work_is_done_in_one_go(self):
+    def test_deferred_work_is_done_in_one_flush(self):
         engine = self.engine(defer=0.5, flush_s=1)
         self.assertEqual(self.take(engine, 0, write=True).left, 0.5)
         engine.advance(1.1)
         self.assertEqual([each.what for each in engine.working], [None])
 
-    def test_a_cancel_stops_what_the_kind_says(self):
+    def test_cancel_stops_the_jobs_that_the_kind_allows(self):
         for cancel, left in (("none", 3), ("queued", 2), ("all", 1)):
             engine = self.engine(cancel=cancel)
             jobs = [self.take(engine, 0, extent=each) for each in range(3)]
@@ -339,8 +342,8 @@
             self.assertEqual(len(engine.working) + len(engine.queue), left)
 
 
-class Services(unittest.TestCase):
-    def reckon(
+class TotalServiceTest(unittest.TestCase):
+    def total(
         self, *rows, claims=(VolumeEntitlement(2, 1), VolumeEntitlement(0, 1)), power=10
     ):
         done = [
@@ -349,30 +352,30 @@
         ]
         return total_service(done, claims, power, 1, 0.5, 0.1)[""]
 
-    def test_inside_the_reserve_counts_in_full(self):
-        self.assertEqual(self.reckon((0, 2, 1.0, False)), (2.0, 2.0))
+    def test_work_within_the_reserve_counts_in_full(self):
+        self.assertEqual(self.total((0, 2, 1.0, False)), (2.0, 2.0))
 
-    def test_past_it_a_part_by_weight_then_the_rest(self):
-        counted, due = self.reckon((1, 20, 1.0, False))
+    def test_work_past_the_reserve_counts_by_share_and_then_as_surplus(self):
+        counted, due = self.total((1, 20, 1.0, False))
         self.assertAlmostEqual(due, 9 * 0.5 + 11 * 0.1)
         self.assertAlmostEqual(counted, due)
 
-    def test_what_is_served_takes_the_best_and_what_is_late_the_worst(self):
-        self.assertEqual(self.reckon((0, 3, 1.0, False), (0, 3, 0.0, True))[0], 3.0)
-        counted, _ = self.reckon((0, 3, 0.0, True), (0, 3, 0.2, True))
+    def test_served_work_takes_the_best_levels_and_late_work_the_worst(self):
+        self.assertEqual(self.total((0, 3, 1.0, False), (0, 3, 0.0, True))[0], 3.0)
+        counted, _ = self.total((0, 3, 0.0, True), (0, 3, 0.2, True))
         self.assertAlmostEqual(counted, 0.2 * 3 * 0.5)
 
-    def test_spare_power_goes_by_weight_and_none_gets_more_than_it_asks(self):
-        got = share_by_weight(
+    def test_spare_capacity_is_shared_by_weight_up_to_the_demand(self):
+        shares = share_by_weight(
             {0: 1.0, 1: 100.0, 2: 100.0},
             [VolumeEntitlement(0, 1), VolumeEntitlement(0, 1), VolumeEntitlement(0, 3)],
             9.0,
         )
-        self.assertEqual([round(got[each], 6) for each in range(3)], [1.0, 2.0, 6.0])
+        self.assertEqual([round(shares[each], 6) for each in range(3)], [1.0, 2.0, 6.0])
 
 
-class Stored(unittest.TestCase):
-    def test_a_link_stands_once_and_goes_only_with_its_target(self):
+class StoredFilesTest(unittest.TestCase):
+    def test_link_is_created_once_and_removed_only_with_its_target(self):
         files = StoredFiles()
         codes = [
             files.run(packets.Symlink(0, "/a", each)).status
@@ -386,7 +389,7 @@
         files.run(packets.Symlink(0, "/a", "-1:x"))
         self.assertEqual(files.links, {})
 
-    def test_a_hole_reads_as_zeros(self):
+    def test_gap_in_a_file_reads_as_zeros(self):
         files = StoredFiles()
         files.run(packets.Open(0, "/a", packets.CREATE_FLAG, FileAttributes()))
         files.run(packets.Write(0, b"/a", 4, b"x"))
@@ -395,16 +398,16 @@
         )
 
 
-class CommandLine(unittest.TestCase):
-    def run_it(self, *words):
+class CommandLineTest(unittest.TestCase):
+    def run_command(self, *words):
         return CliRunner().invoke(main, list(words))
 
-    def test_a_day_of_the_bench_becomes_a_scenario_that_is_fine(self):
+    def test_day_file_of_the_bench_becomes_a_valid_scenario(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "day.json")
             with open(path, "w", encoding="utf-8") as sink:
-                json.dump(DAY, sink)
-            made = self.run_it(
+                json.dump(DAY_FILE, sink)
+            result = self.run_command(
                 "lab",
                 "from-day",
                 path,
@@ -415,10 +418,10 @@
                 "--seconds",
                 "4",
             )
-            scenario = text_format.Parse(made.output, Scenario())
+            scenario = text_format.Parse(result.output, Scenario())
             with open(path, "w", encoding="utf-8") as sink:
-                sink.write(made.output)
-            self.assertEqual(self.run_it("check", "--scenario", path).exit_code, 0)
+                sink.write(result.output)
+            self.assertEqual(self.run_command("check", "--scenario", path).exit_code, 0)
         self.assertLessEqual({tuple(each.on) for each in scenario.surge}, {(0,)})
         self.assertEqual(
             (
@@ -431,7 +434,7 @@
             (2, 3, 4.0, ["slow"], [0, 2]),
         )
 
-    def test_nonsense_is_one_line_and_status_2(self):
+    def test_invalid_input_gives_a_short_message_and_exit_code_2(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "x")
             for text, words in (
@@ -444,15 +447,15 @@
             ):
                 with open(path, "w", encoding="utf-8") as sink:
                     sink.write(text)
-                made = self.run_it(*words)
+                result = self.run_command(*words)
                 self.assertEqual(
                     (
-                        made.exit_code,
-                        made.output.count("\n") <= 3,
-                        "Traceback" in made.output,
+                        result.exit_code,
+                        result.output.count("\n") <= 3,
+                        "Traceback" in result.output,
                     ),
                     (2, True, False),
-                    (words, made.output),
+                    (words, result.output),
                 )
 
 
