--- a/milletsill/lab/report.py
+++ b/milletsill/lab/report.py
@@ -15,7 +15,7 @@
 )
 
 MAX_SHOWN = 3
-MAX_LATENESS = 60.0
+MAX_LATENESS_MS = 60.0
 """Milliseconds by which clients may run late; beyond it latencies are invalid."""
 TOO_LATE = ": ITS LATENCIES DO NOT COUNT"
 OTHER_ENDS = ("lost", "unreached", "given up", "status")
@@ -88,7 +88,7 @@
 def laboratory_lines(result: RunResult) -> list[str]:
     """Return the work done, and how late the laboratory itself ran."""
     load = result.load
-    too_late = TOO_LATE if load["worst_lag_ms"] > MAX_LATENESS else ""
+    too_late = TOO_LATE if load["worst_lag_ms"] > MAX_LATENESS_MS else ""
     lines = [
         f"{load['operations']} operations, {result.command_count} commands, "
         f"{result.attempt_count} attempts, {load['unended']} unfinished; the lab "
--- a/milletsill/lab/run.py
+++ b/milletsill/lab/run.py
@@ -1,8 +1,7 @@
 """Runs a scenario with real processes on loopback, injects its faults and audits it.
 
-The processes are stand-ins, gateways and clients. Each process that is started here is
-ended here by its process id, within a time limit. The scenario's clock starts once all
-processes are ready.
+A run starts stand-ins, gateways and clients, and ends each of them by its process id
+within a time limit. The scenario's clock starts once all processes are ready.
 """
 
 from __future__ import annotations
@@ -68,10 +67,9 @@
 
 
 class Run:
-    """One run of a scenario.
+    """One run of a scenario; `module` names a baseline scheduler ('': milletsill's own).
 
-    `module` names a baseline scheduler, '' means milletsill's own; `plant` names a
-    planted fault.
+    `plant` names a planted fault.
     """
 
     def __init__(
@@ -147,10 +145,7 @@
             sink.write(text_format.MessageToString(self.scenario))
 
     def write_fleet(self, file: GatewayFile, number: int) -> None:
-        """Set a gateway's fleet addresses.
-
-        It listens on its own address and advertises the relay's address for it.
-        """
+        """Let a gateway listen on its own address and advertise the relay's."""
         file.fleet.address = f"{own_address(number)}:{self.fleet_port}"
         file.fleet.advertise = f"{relay_address(number)}:{self.fleet_port}"
         del file.fleet.join[:]
@@ -161,11 +156,7 @@
         )
 
     def wait_for(self, port: int, what: str) -> None:
-        """Wait until a process listens on a port.
-
-        Raises:
-            RuntimeError: It did not within READY_TIMEOUT.
-        """
+        """Wait until a process listens on a port, at most READY_TIMEOUT."""
         deadline = time.monotonic() + READY_TIMEOUT
         while time.monotonic() < deadline:
             with socket.socket() as probe:
@@ -179,9 +170,7 @@
         deadline = time.monotonic() + READY_TIMEOUT
         while not os.path.exists(f"{self.out}/{name}"):
             if time.monotonic() > deadline or process.poll() is not None:
-                raise RuntimeError(
-                    f"file {name} was not written, see the logs in {self.out}"
-                )
+                raise RuntimeError(f"{name} not written, see the logs in {self.out}")
             time.sleep(0.02)
 
     def play(self) -> RunResult:
@@ -272,10 +261,7 @@
         )
 
     def begin(self) -> float:
-        """Publish the scenario's start on the monotonic clock in the file `start`.
-
-        The other processes wait for that file.
-        """
+        """Write the start time (monotonic) to the file that other processes wait for."""
         start = self.start = time.monotonic() + START_DELAY
         with open(f"{self.out}/start.new", "w", encoding="ascii") as sink:
             sink.write(repr(start))
