--- a/milletsill/lab/starvation.py
+++ b/milletsill/lab/starvation.py
@@ -59,7 +59,7 @@
         self._waits: dict[int, float] = {}
 
     def find_spans(
-        self, now: float, groups: Sequence[MonitoredProcess]
+        self, now: float, processes: Sequence[MonitoredProcess]
     ) -> list[tuple[str, float, float]]:
         """Return (gateway, from, to) for waits of MIN_WAIT or longer.
 
@@ -71,8 +71,8 @@
         since = self._checked_at
         self._checked_at = now
         found: list[tuple[str, float, float]] = []
-        for group in groups:
-            pid = group.process.pid if group.process is not None else 0
+        for monitored in processes:
+            pid = monitored.process.pid if monitored.process is not None else 0
             total = read_total_wait(pid)
             if total is None:
                 continue
@@ -80,5 +80,5 @@
             self._waits[pid] = total
             if span >= MIN_WAIT:
                 self.total += span
-                found += [(name, since - span, now) for name in group.names]
+                found += [(name, since - span, now) for name in monitored.names]
         return found
--- a/milletsill/lab/stored_files.py
+++ b/milletsill/lab/stored_files.py
@@ -57,7 +57,7 @@
         self.data: dict[str, bytearray] = {}
         self.links: dict[str, str] = {}
         self.folders: set[str] = set()
-        self.by_name: dict[type, Callable[[Any, str], NodeReply]] = {
+        self.name_handlers: dict[type, Callable[[Any, str], NodeReply]] = {
             packets.Open: self.open,
             packets.Read: self.read,
             packets.Write: self.write,
@@ -70,7 +70,7 @@
             packets.Remove: self.remove,
             packets.Rename: self.rename,
         }
-        self.by_command: dict[type, Callable[[Any], NodeReply]] = {
+        self.command_handlers: dict[type, Callable[[Any], NodeReply]] = {
             packets.Readlink: self.read_link,
             packets.Symlink: self.change_link,
             packets.Mkdir: self.make_directory,
@@ -80,17 +80,17 @@
 
     def run(self, command: packets.Command | packets.Extended) -> NodeReply:
         """Execute a command; its handle, if any, is the name of a file."""
-        on_command = self.by_command.get(type(command))
-        if on_command is not None:
-            return on_command(command)
-        on_name = self.by_name.get(type(command))
-        if on_name is None:
+        handle_command = self.command_handlers.get(type(command))
+        if handle_command is not None:
+            return handle_command(command)
+        handle_name = self.name_handlers.get(type(command))
+        if handle_name is None:
             return status_reply(packets.UNSUPPORTED)
         handle = getattr(command, "handle", None)
         name = getattr(command, "path", "") if handle is None else bytes_to_text(handle)
         if name in self.links:
             return redirect_reply(self.links[name])
-        return on_name(command, name)
+        return handle_name(command, name)
 
     def attributes(self, name: str) -> FileAttributes:
         """Return the attributes of a file; those of a directory for any other name."""
--- a/milletsill/lab/traffic_simulation.py
+++ b/milletsill/lab/traffic_simulation.py
@@ -76,8 +76,8 @@
         ]
         config = config_of(file)
         self.gateways = [
-            SchedulerGateway(self, place, config, seed * 100_000 + place)
-            for place in range(gateways)
+            SchedulerGateway(self, number, config, seed * 100_000 + number)
+            for number in range(gateways)
         ]
         self.routing_table = routing_table_of(file)
         self.volumes = list(file.volume)
@@ -92,7 +92,7 @@
             category.name: int(category.patience_ms * 10) for category in file.category
         }
         self._request_classes = {
-            category.name: place for place, category in enumerate(file.category)
+            category.name: number for number, category in enumerate(file.category)
         }
         assert self._row_weights[-1] > 0, "the scenario has no traffic"
 
@@ -129,11 +129,11 @@
         rows = range(len(self._rows))
         row = self._rows[random.choices(rows, cum_weights=self._row_weights)[0]]
         volumes = range(len(self.volumes))
-        place = random.choices(volumes, cum_weights=self._volume_weights)[0]
-        volume = self.routing_table.volumes_by_root[self.volumes[place].root]
+        volume_index = random.choices(volumes, cum_weights=self._volume_weights)[0]
+        volume = self.routing_table.volumes_by_root[self.volumes[volume_index].root]
         gateway = self.gateways[random.randrange(len(self.gateways))]
         gateway.request_count += 1
-        path = f"{volume.root}/f{self._draw_key(place, row) >> 6:08x}"
+        path = f"{volume.root}/f{self._draw_key(volume_index, row) >> 6:08x}"
         units = min(
             max(int(random.expovariate(1 / row.units)) + 1, 1),
             self.rules.largest_units,
@@ -162,15 +162,15 @@
         pause = max(round(random.expovariate(self.rate) * SECOND), 0)
         self.call_at(self.now + pause, self._draw_request)
 
-    def _draw_key(self, place: int, row: Traffic) -> int:
+    def _draw_key(self, volume_index: int, row: Traffic) -> int:
         """Return the key of the volume's sequential run, or of a new run."""
-        run = self._runs.get(place)
+        run = self._runs.get(volume_index)
         if run is None or run.left <= 0:
             run = SequentialRun(
-                self.random.getrandbits(32) * 64 + place,
+                self.random.getrandbits(32) * 64 + volume_index,
                 int(self.random.expovariate(1 / row.run)) + 1,
             )
-            self._runs[place] = run
+            self._runs[volume_index] = run
         run.left -= 1
         return run.key
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -202,6 +202,8 @@
 
 
 class ScenarioRunTest(unittest.TestCase):
+    """Guards the whole chain of gateways, stand-ins and audit on real processes."""
+
     def test_short_run_with_faults_breaks_no_rule_and_reads_correct_bytes(self):
         with tempfile.TemporaryDirectory() as folder:
             result = Run(text_format.Parse(SHORT_SCENARIO, Scenario()), folder).play()
