--- a/milletsill/lab/__main__.py
+++ b/milletsill/lab/__main__.py
@@ -107,9 +107,9 @@
 
 
 def stand(scenario: Any, out: str, port: str) -> None:
-    from milletsill.lab.stand import Stand
+    from milletsill.lab.stand import StandIns
 
-    stand_ins = Stand(reactor, scenario, out, int(port))
+    stand_ins = StandIns(reactor, scenario, out, int(port))
     stand_ins.flush()
     when_start_known(out, stand_ins.begin)
     reactor.addSystemEventTrigger("before", "shutdown", stand_ins.close)
--- a/milletsill/lab/hunt/fleet_restart.py
+++ b/milletsill/lab/hunt/fleet_restart.py
@@ -62,7 +62,7 @@
             AssertionError: a check failed, or the fleet did not recover.
         """
         self.run(KILLED_AT)
-        if self.share_of_true_views() != 1.0:
+        if self.share_of_correct_views() != 1.0:
             raise AssertionError("the views were not complete before the restart")
         self._kill_all(loses_disks)
         self.started_at = self.now + SECOND
@@ -97,7 +97,7 @@
         assert self.started_at is not None
         are_all_up = len(self.live_members()) == len(self.names)
         if self.now > self.started_at + SECOND and are_all_up:
-            true_share = self.share_of_true_views()
+            true_share = self.share_of_correct_views()
             for name, share in VIEW_SHARES.items():
                 if true_share >= share:
                     self.found.setdefault(name, (self.now - self.started_at) / SECOND)
--- a/milletsill/lab/hunt/fleet_simulation.py
+++ b/milletsill/lab/hunt/fleet_simulation.py
@@ -297,7 +297,7 @@
 
     def check_convergence(self) -> None:
         """Check the state that must be reached after the fault-free period."""
-        truth = self.true_digest()
+        truth = self.live_members_digest()
         for gateway in self.live_gateways():
             self._check_view(gateway, truth)
             if self.shape.evaluators:
