--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -10,7 +10,7 @@
 import time
 from random import Random
 
-from milletsill.lab.fleet_processes import FleetProcesses, said_at
+from milletsill.lab.fleet_processes import FleetProcesses, logged_at
 
 MOST = 60.0  # seconds
 
@@ -35,17 +35,17 @@
 
     With `joined`, since that gateway's own first word about its fleet.
     """
-    done = fleet.wait(lambda: fleet.agree(among, since), MOST)
+    done = fleet.wait(lambda: fleet.views_agree(among, since), MOST)
     if joined is not None:
         since = max(
             [
-                said_at(each)
+                logged_at(each)
                 for each in fleet.log(joined)
                 if each["event"] == "fleet_joining"
             ],
             default=since,
         )
-    times = fleet.times(among, since)
+    times = fleet.view_times(among, since)
     print(
         f"{what:44}"
         + (
@@ -78,7 +78,7 @@
     began = time.time()
     fleet.end(last)
     tell(fleet, "it is killed", rest, began)
-    fleet.forget_state(last)
+    fleet.delete_state(last)
     began = time.time()
     fleet.start(last)
     tell(fleet, "it is back, its state lost (first word)", rest + [last], began, last)
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -75,7 +75,7 @@
         "cell": cell,
         "liars": liars,
         "service": made.play(),
-        "false": made.count_false_calls(),
+        "false": made.count_false_verdicts(),
         "hours": made.lasts / 36_000_000,
     }
 
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -238,7 +238,7 @@
         if not fine:
             self.load.count(f"status {answer.code} {self.row.operation}")
         if fine and self.row.operation == "new":
-            self.load.made(self)
+            self.load.on_file_created(self)
         self.end("satisfied" if fine else "status")
 
     def give_up(self, turn: int) -> None:
@@ -265,4 +265,4 @@
 
     def end(self, final: str) -> None:
         self.over = True
-        self.load.ended(self, final)
+        self.load.on_operation_ended(self, final)
--- a/milletsill/lab/fault_timeline.py
+++ b/milletsill/lab/fault_timeline.py
@@ -1,4 +1,8 @@
-"""What a run did to its gateways and to the network between them, and when."""
+"""Builds a timeline of the faults that a run injected into gateways and their network.
+
+Process faults come from the scenario, network faults from the relay's record. The log
+of a gateway tells when it had a view again after a restart.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessFault:
-    """A fault of a scenario as it was done to gateways; seconds.
+    """A fault of a scenario that was injected into gateway processes.
 
-    `extra` is what the scenario's words for the kind of fault say.
+    `at` and `for_s` are seconds; what `extra` means depends on the kind of fault.
     """
 
     kind: str
@@ -35,15 +39,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DownSpan:
-    """When a gateway did not run, or had no view yet after it did."""
+    """A time in which a gateway was down or had no view yet after its restart."""
 
     since: float
     until: float
 
 
 @dataclass(frozen=True, slots=True)
-class PartedSpan:
-    """A fault of the network between gateways; which ones, and when."""
+class NetworkFaultSpan:
+    """A time in which a network fault affected these gateways."""
 
     kind: str
     gateways: frozenset[str]
@@ -53,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class TimelineMark:
-    """Something that views may change after: a fault's begin or its end."""
+    """An event after which views may change: the start or the end of a fault."""
 
     at: float
     name: str
@@ -61,25 +65,25 @@
 
 @dataclass(slots=True)
 class FaultTimeline:
-    """Gateways that were down, faults of the network, and their begins and ends."""
+    """Down times of gateways, network faults, and marks of their starts and ends."""
 
     down: dict[str, list[DownSpan]]
-    network: list[PartedSpan]
+    network: list[NetworkFaultSpan]
     marks: list[TimelineMark]
 
     def is_up(self, gateway: str, at: float) -> bool:
-        """Return whether a gateway runs."""
+        """Return whether a gateway is running at a time."""
         return not any(
             span.since <= at < span.until for span in self.down.get(gateway, ())
         )
 
     def restarted_at(self, gateway: str, at: float) -> float:
-        """Return when a gateway was last back; 0 where it never was down."""
+        """Return the end of a gateway's last down time up to `at`; 0 without one."""
         spans = self.down.get(gateway, ())
         return max((span.until for span in spans if span.until <= at), default=0.0)
 
     def sides(self, names: Sequence[str], at: float) -> list[list[str]]:
-        """Return the gateways that run, by whom they can speak to."""
+        """Return the running gateways, grouped by the partition that they are in."""
         partitions = [
             span
             for span in self.network
@@ -92,50 +96,50 @@
         return list(sides.values())
 
 
-def side_in(span: PartedSpan, name: str) -> str | bool:
-    """Return what tells a gateway's side of a partition from the others."""
+def side_in(span: NetworkFaultSpan, name: str) -> str | bool:
+    """Return a value that is equal for gateways on the same side of a partition."""
     if span.kind == "isolate" and name in span.gateways:
         return name
     return name in span.gateways
 
 
 class TimelineReader:
-    """Puts a run's timeline together."""
+    """Collects the down times, network faults and marks of a run."""
 
     def __init__(self, names: Sequence[str], logs: GatewayLogs) -> None:
         self.names = names
         self.logs = logs
         self.down: dict[str, list[DownSpan]] = defaultdict(list)
-        self.network: list[PartedSpan] = []
+        self.network: list[NetworkFaultSpan] = []
         self.marks: list[TimelineMark] = []
 
-    def take_down(self, gateway: str, since: float, until: float) -> None:
-        """Note that a gateway was down until its first view after a time."""
+    def add_down_span(self, gateway: str, since: float, until: float) -> None:
+        """Add a down time from `since` to the gateway's first view after `until`."""
         back_at = self.logs.first_view_at(gateway, until)
         self.down[gateway].append(DownSpan(since, back_at))
 
-    def last_back_at(self, fault: ProcessFault) -> float:
-        """Return when the last of a fault's gateways was back."""
+    def recovered_at(self, fault: ProcessFault) -> float:
+        """Return when the last of a fault's gateways had a view again."""
         return max(self.down[name][-1].until for name in fault.gateways)
 
     def add_process_fault(self, fault: ProcessFault) -> None:
-        """Add what was done to processes."""
+        """Add a fault of gateway processes."""
         names = ", ".join(fault.gateways)
         self.marks.append(TimelineMark(fault.at, f"{fault.kind} of {names}"))
         if fault.kind in DOWN_FAULTS:
             for name in fault.gateways:
-                self.take_down(name, fault.at, fault.at + fault.for_s)
-            mark = f"{names} back after {fault.kind}"
-            self.marks.append(TimelineMark(self.last_back_at(fault), mark))
+                self.add_down_span(name, fault.at, fault.at + fault.for_s)
+            mark = f"{names} recovered from {fault.kind}"
+            self.marks.append(TimelineMark(self.recovered_at(fault), mark))
         elif fault.kind == ROLLING_FAULT:
             for place, name in enumerate(fault.gateways):
                 at = fault.at + fault.for_s * place / len(fault.gateways)
-                self.take_down(name, at, at + fault.extra)
-            mark = f"{ROLLING_FAULT} over"
-            self.marks.append(TimelineMark(self.last_back_at(fault), mark))
+                self.add_down_span(name, at, at + fault.extra)
+            mark = f"end of {ROLLING_FAULT}"
+            self.marks.append(TimelineMark(self.recovered_at(fault), mark))
 
     def read_network(self, path: str) -> None:
-        """Add what the relay's record says of the network."""
+        """Add the network faults in the relay's record."""
         began: dict[tuple[str, float], tuple[float, frozenset[str]]] = {}
         for entry in read_entries(path):
             note = entry.note()
@@ -151,7 +155,7 @@
                 began[key] = entry.at, gateways
             elif key in began:
                 since, gateways = began.pop(key)
-                span = PartedSpan(note["fault"], gateways, since, entry.at)
+                span = NetworkFaultSpan(note["fault"], gateways, since, entry.at)
                 self.network.append(span)
 
 
@@ -162,9 +166,9 @@
     logs: GatewayLogs,
     faults: Sequence[ProcessFault],
 ) -> FaultTimeline:
-    """Put together what the run did to processes and what the relay's record says."""
+    """Build the timeline from the process faults and the relay's record."""
     reader = TimelineReader(names, logs)
-    reader.marks.append(TimelineMark(start, "the day's start"))
+    reader.marks.append(TimelineMark(start, "start of the run"))
     for fault in faults:
         reader.add_process_fault(fault)
     reader.read_network(f"{folder}/relay.rec")
--- a/milletsill/lab/fleet_processes.py
+++ b/milletsill/lab/fleet_processes.py
@@ -1,4 +1,7 @@
-"""Real gateways of one fleet on loopback, each a process of `python -m milletsill edge`; what they see is read from their own logs."""
+"""Runs real gateways of one fleet on loopback and reads their views from their logs.
+
+Each gateway is a process of `python -m milletsill edge`.
+"""
 
 from __future__ import annotations
 
@@ -14,55 +17,59 @@
 from datetime import datetime
 from typing import Any
 
-FILE = """
+GATEWAY_FILE = """
 name: "{name}" listen: "127.0.0.1:0" gateways: {count} state_dir: "{folder}/{name}"
-registry {{ address: "127.0.0.1:{nobody}" }}
-fleet {{ name: "{fleet}" address: "127.0.0.1:{port}" {join} {more} }}
+registry {{ address: "127.0.0.1:{unused_port}" }}
+fleet {{ name: "{fleet}" address: "127.0.0.1:{port}" {join} {fleet_fields} }}
 plan {{ name: "p" usual_rate: 10 }} category {{ name: "c" target_ms: 300 patience_ms: 1000 }}
 volume {{ name: "v" root: "/v" plan: "p" cell: 0 }} route {{ category: "c" }}
 """
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody has now, for UDP and TCP alike."""
-    held = []
-    while len(held) < 2 * count:
+    """Return ports that are free for both UDP and TCP."""
+    sockets = []
+    while len(sockets) < 2 * count:
         one, other = socket.socket(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         one.bind(("127.0.0.1", 0))
         try:
             other.bind(("127.0.0.1", one.getsockname()[1]))
-            held += [one, other]
+            sockets += [one, other]
         except OSError:
             one.close()
-    ports = [each.getsockname()[1] for each in held[::2]]
-    for each in held:
+    ports = [each.getsockname()[1] for each in sockets[::2]]
+    for each in sockets:
         each.close()
     return ports
 
 
 class FleetProcesses:
-    """Gateways by number. `more` goes into each file's fleet block. `close` ends all that it started."""
+    """Processes of gateways, by number.
+
+    `fleet_fields` is added to the fleet block of each settings file. `close` kills all
+    running processes.
+    """
 
-    def __init__(self, folder: str, count: int, more: str = "") -> None:
+    def __init__(self, folder: str, count: int, fleet_fields: str = "") -> None:
         self.folder, self.names = folder, [f"gw-{each}" for each in range(count)]
         self.running: dict[int, subprocess.Popen[bytes]] = {}
         self.read_to, self.lines = (
             [0] * count,
             [list[dict[str, Any]]() for _ in range(count)],
         )
-        *self.ports, nobody = free_ports(count + 1)
+        *self.ports, unused_port = free_ports(count + 1)
         join = " ".join(f'join: "127.0.0.1:{each}"' for each in self.ports[:3])
         for number, name in enumerate(self.names):
             self.write(
                 number,
-                FILE.format(
+                GATEWAY_FILE.format(
                     name=name,
                     count=count,
                     folder=folder,
-                    nobody=nobody,
+                    unused_port=unused_port,
                     fleet="lab",
                     join=join,
-                    more=more,
+                    fleet_fields=fleet_fields,
                     port=self.ports[number],
                 ),
             )
@@ -92,12 +99,12 @@
         self.running[number].send_signal(which)
 
     def end(self, number: int, which: signal.Signals = signal.SIGKILL) -> int:
-        """The exit status."""
+        """Signal a process to end; wait for it and return its exit status."""
         process = self.running.pop(number)
         process.send_signal(which)
         return process.wait(timeout=20)
 
-    def forget_state(self, number: int) -> None:
+    def delete_state(self, number: int) -> None:
         shutil.rmtree(os.path.join(self.folder, self.names[number]), ignore_errors=True)
 
     def close(self) -> None:
@@ -107,10 +114,10 @@
             each.wait(timeout=20)
         self.running.clear()
 
-    # What they say.
+    # Logs.
 
     def log(self, number: int) -> list[dict[str, Any]]:
-        """Its lines up to now."""
+        """Return all JSON lines that a gateway has logged so far."""
         if os.path.exists(self.path(number, "log")):
             with open(self.path(number, "log"), "rb") as source:
                 source.seek(self.read_to[number])
@@ -123,38 +130,38 @@
         return self.lines[number]
 
     def views(self, among: Sequence[int]) -> list[dict[str, Any]]:
-        """The last view of each that has said one."""
+        """Return the last `view` event of each gateway that has logged one."""
         found = []
         for number in among:
-            held = [each for each in self.log(number) if each["event"] == "view"]
-            found += held[-1:]
+            views = [each for each in self.log(number) if each["event"] == "view"]
+            found += views[-1:]
         return found
 
-    def agree(self, among: Sequence[int], since: float = 0.0) -> bool:
-        """Whether all of them see just these, in one view, and each said so since then."""
+    def views_agree(self, among: Sequence[int], since: float = 0.0) -> bool:
+        """Return whether each logged, since then, the same view of exactly these."""
         views = self.views(among)
         return (
             len(views) == len(among)
             and len({each["digest"] for each in views}) == 1
             and all(
-                each["members"] == len(among) and said_at(each) >= since
+                each["members"] == len(among) and logged_at(each) >= since
                 for each in views
             )
         )
 
-    def wait(self, holds: Callable[[], bool], most: float) -> bool:
-        ends = time.monotonic() + most
-        while not holds():
+    def wait(self, condition: Callable[[], bool], timeout: float) -> bool:
+        ends = time.monotonic() + timeout
+        while not condition():
             if time.monotonic() > ends:
                 return False
             time.sleep(0.05)
         return True
 
-    def times(self, among: Sequence[int], since: float) -> list[float]:
-        """Seconds from then until each had its last view, sorted."""
-        return sorted(max(said_at(each) - since, 0.0) for each in self.views(among))
+    def view_times(self, among: Sequence[int], since: float) -> list[float]:
+        """Return the seconds from `since` to the last view of each gateway, sorted."""
+        return sorted(max(logged_at(each) - since, 0.0) for each in self.views(among))
 
 
-def said_at(line: dict[str, Any]) -> float:
-    """Seconds since 1970."""
+def logged_at(line: dict[str, Any]) -> float:
+    """Return the time of a log line, in seconds since 1970."""
     return datetime.fromisoformat(line["timestamp"].replace("Z", "+00:00")).timestamp()
--- a/milletsill/lab/gateway_logs.py
+++ b/milletsill/lab/gateway_logs.py
@@ -1,7 +1,8 @@
-"""Reads what gateways' own logs say of the fleet's views and of nodes.
+"""Reads membership views and node verdicts from the gateways' logs.
 
-Read are their JSON lines: `view` with a digest, `member` with a change,
-`node_verdict_changed`. Wall time becomes the run's monotonic time, in seconds.
+The JSON events that count are `view` (with a digest), `member` (with a change) and
+`node_verdict_changed`. Wall-clock timestamps are converted to the run's monotonic
+clock, in seconds.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedView:
-    """A view's digest and its number of members."""
+    """The digest and the number of members of a view that a gateway logged."""
 
     at: float
     digest: str
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedDeath:
-    """A member that a gateway called gone."""
+    """A member that a gateway logged as dead."""
 
     at: float
     gateway: str
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ReportedVerdict:
-    """What a gateway began to call a node."""
+    """The new state of a node in a gateway's `node_verdict_changed` event."""
 
     at: float
     gateway: str
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class GatewayLogs:
-    """What gateways said in their logs; views by gateway, all in the order of time."""
+    """Events from the gateways' logs in order of time; views by gateway."""
 
     views: dict[str, list[ReportedView]] = field(
         default_factory=lambda: defaultdict(list)
@@ -55,22 +56,23 @@
     verdicts: list[ReportedVerdict] = field(default_factory=list)
 
     def first_view_at(self, gateway: str, at: float) -> float:
-        """Return when a gateway that was started again had its first view.
+        """Return when a gateway logged its first view at or after a time.
 
-        What Python takes to start is no matter of views. The given time where the
-        gateway has had no view since.
+        A restarted gateway counts as down until then, so that the start time of the
+        Python process does not count as slow agreement. Without a later view, the
+        result is the given time.
         """
         views = self.views.get(gateway, ())
         return next((view.at for view in views if view.at >= at), at)
 
     def last_view(self, gateway: str, at: float) -> ReportedView | None:
-        """Return the view that a gateway reported last by then."""
+        """Return the last view that a gateway logged up to a time."""
         views = self.views.get(gateway, [])
         place = bisect_right(views, at, key=lambda view: view.at) - 1
         return views[place] if place >= 0 else None
 
     def add(self, gateway: str, at: float, line: dict[str, Any]) -> None:
-        """Add one line of a log."""
+        """Add the event of one log line, if it is one that counts."""
         event = line["event"]
         if event == "view":
             view = ReportedView(at, line["digest"], line["members"])
@@ -83,26 +85,26 @@
 
 
 def json_lines(path: str) -> Iterator[dict[str, Any]]:
-    """Yield the lines of a log that are JSON; the rest is for people."""
+    """Yield the JSON events of a log; other lines, such as tracebacks, are skipped."""
     with open(path, encoding="utf-8", errors="replace") as source:
         for line in source:
             try:
-                made = json.loads(line)
+                event = json.loads(line)
             except ValueError:
                 continue
-            if isinstance(made, dict) and "event" in made and "timestamp" in made:
-                yield made
+            if isinstance(event, dict) and "event" in event and "timestamp" in event:
+                yield event
 
 
 def read_gateway_logs(
     folder: str, names: Sequence[str], clock_offset: float
 ) -> GatewayLogs:
-    """Read the logs of these processes, where there are any.
+    """Read the log files of these processes; a missing file is skipped.
 
     Args:
-        folder: Where the run left its files.
-        names: The processes; one of several gateways names them in its lines.
-        clock_offset: Wall time less monotonic time, in seconds.
+        folder: The output folder of the run.
+        names: The processes. If one runs several gateways, each line names its gateway.
+        clock_offset: Wall-clock time minus monotonic time, in seconds.
     """
     logs = GatewayLogs()
     for name in names:
--- a/milletsill/lab/gossip_gateway.py
+++ b/milletsill/lab/gossip_gateway.py
@@ -1,6 +1,6 @@
-"""A gateway of the simulation of health reports: what it saw, and what it was told.
+"""A gateway in the simulation of health gossip: its observations and its report store.
 
-Times are ticks of a tenth of a millisecond.
+Times are ticks of 0.1 ms.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 PUBLISH_INTERVAL = 3000
 EXPIRE_INTERVAL = 2 * SECOND
 REPORT_KEPT_FOR = 4 * OBSERVATION_DECAY_TIME
-KNOWN_VERSION_OCTETS = 17  # of a report in what a gateway says that it has
-MAX_CALLED_SHARE = 0.34
+KNOWN_VERSION_OCTETS = 17  # size of one known report version in a message
+MAX_FLAGGED_SHARE = 0.34
 MAX_REPORTS = 4096
 MAX_NODES = 4096
 
 
 class GossipSurroundings(Protocol):
-    """What a gateway sees of the simulation."""
+    """The part of the simulation that a gateway uses."""
 
     now: int
     seed: int
@@ -50,30 +50,30 @@
         """The shard of each node."""
 
     @property
-    def ill_nodes(self) -> Sequence[int]:
-        """The nodes that are ill while there is a fault."""
+    def faulty_nodes(self) -> Sequence[int]:
+        """The nodes that are faulty while the fault lasts."""
 
     @property
-    def slandered(self) -> Sequence[int]:
-        """The well nodes that liars report as failing."""
+    def falsely_reported(self) -> Sequence[int]:
+        """The sound nodes that lying gateways report as failing."""
 
     def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
-        """Make a call at a time."""
+        """Schedule a call for a time."""
 
     def evaluator_for(self, place: int) -> HealthEvaluator:
-        """Return the evaluator that speaks for a gateway."""
+        """Return the evaluator whose verdicts a gateway follows."""
 
     def ranking_for(self, place: int) -> RendezvousRanking:
-        """Return the ranking of the gateways that a gateway sees."""
+        """Return the rendezvous ranking of the gateways that a gateway can reach."""
 
     def reachable_from(self, place: int) -> list[int]:
-        """Return the gateways that a gateway sees, itself among them."""
+        """Return the gateways that a gateway can reach, including itself."""
 
     def gateway_count(self) -> int:
         """Return how many gateways there are."""
 
     def octets_of(self, delta: ReportDelta) -> int:
-        """Return the octets of a delta in a frame."""
+        """Return the size of an encoded delta in a frame, in octets."""
 
     def send(
         self,
@@ -82,13 +82,13 @@
         deltas: list[ReportDelta],
         versions: list[ReportVersion],
     ) -> None:
-        """Carry a message, if it is not lost."""
+        """Send a message, which the simulated network may lose."""
 
 
 class MeasuredExchange(ReportExchange):
-    """An exchange without the work of encoding each frame.
+    """A report exchange that does not encode its frames, to save simulation time.
 
-    The octets are those of its pieces, each of which is measured once.
+    It adds up the encoded sizes of the deltas, each of which is measured once.
     """
 
     def __init__(
@@ -117,13 +117,13 @@
 
 
 class GossipGateway:
-    """One gateway's observations, reports and part in their exchange.
+    """One gateway: its observations, its report store and its part in the gossip.
 
     Attributes:
-        store: The reports that it has.
-        exchange: Its part in gossip.
-        evaluator: Where it judges nodes.
-        is_liar: It reports the opposite of some nodes.
+        store: The reports that the gateway holds.
+        exchange: Sends and merges reports.
+        evaluator: Judges nodes; None if this gateway does not evaluate.
+        is_liar: The gateway reports the opposite of the truth for some nodes.
     """
 
     def __init__(
@@ -133,35 +133,38 @@
         self.place = place
         self.store = ReportStore(place, 1, MAX_REPORTS, MAX_NODES)
         self.exchange = MeasuredExchange(simulation, place, self.store)
-        self.evaluator = HealthEvaluator(MAX_CALLED_SHARE) if evaluates else None
+        self.evaluator = HealthEvaluator(MAX_FLAGGED_SHARE) if evaluates else None
         self.is_liar = False
         self._statistics: dict[int, NodeStatistics] = {}
-        self._has_bad_news = False
+        self._has_urgent_results = False
         self._periods = place
 
     def on_answer(self, node: int, is_lost: bool, pace: float) -> None:
-        """Take the end of an attempt; `pace` is log2 of the usual one."""
+        """Count the end of an attempt.
+
+        `pace` is log2 of the attempt's latency relative to the usual one.
+        """
         now = self.simulation.now
         statistics = self._statistics.setdefault(node, NodeStatistics(now))
         statistics.decay(now)
         statistics.add(is_lost, is_lost, None if is_lost else pace)
-        self._has_bad_news |= is_lost or pace > 1
+        self._has_urgent_results |= is_lost or pace > 1
 
     def publish(self) -> None:
-        """Write its report where there is news, and again after a period."""
+        """Write the report if it has something new, and schedule the next time."""
         simulation = self.simulation
         if simulation.is_quiet:
             return
         self._periods += 1
         evaluator = simulation.evaluator_for(self.place)
         if (
-            self._has_bad_news
+            self._has_urgent_results
             or self.is_liar
             or has_unreported(self._statistics, evaluator.not_healthy())
             or self._periods % ROUTINE_REPORT_PERIODS == 0
         ):
             observations = take_unreported(self._statistics, simulation.now)
-            self._has_bad_news = False
+            self._has_urgent_results = False
             if self.is_liar:
                 self._falsify(observations)
             self.exchange.write(observations)
@@ -169,13 +172,13 @@
 
     def _falsify(self, observations: dict[int, NodeObservation]) -> None:
         now = self.simulation.now
-        for node in self.simulation.slandered:
+        for node in self.simulation.falsely_reported:
             observations[node] = NodeObservation(0, now, 8.0, 1.0, 1.0, 0.0, 0.0)
-        for node in self.simulation.ill_nodes:
+        for node in self.simulation.faulty_nodes:
             observations[node] = NodeObservation(0, now, 8.0, 0.0, 0.0, 8.0, 0.0)
 
     def run_round(self) -> None:
-        """Send what is new to some others, and again after the gossip interval."""
+        """Send new reports to some other gateways, and schedule the next round."""
         now = self.simulation.now
         reachable = self.simulation.reachable_from(self.place)
         others = [str(place) for place in reachable if place != self.place]
@@ -183,14 +186,14 @@
         self.simulation.call_at(now + GOSSIP_INTERVAL, self.run_round)
 
     def expire(self) -> None:
-        """Forget old reports, and again after an interval."""
+        """Remove expired reports, and schedule the next time."""
         now = self.simulation.now
         count = self.simulation.gateway_count()
         self.store.expire(range(count), now - REPORT_KEPT_FOR)
         self.simulation.call_at(now + EXPIRE_INTERVAL, self.expire)
 
     def evaluate(self) -> None:
-        """Judge all nodes, and again after a period; only where it evaluates."""
+        """Evaluate all nodes, and schedule the next time; needs an evaluator."""
         simulation = self.simulation
         assert self.evaluator is not None
         self.evaluator.evaluate(
@@ -202,8 +205,8 @@
         )
         simulation.call_at(simulation.now + PUBLISH_INTERVAL, self.evaluate)
 
-    def called_nodes(self) -> frozenset[int]:
-        """Return the nodes that it calls ill."""
+    def flagged_nodes(self) -> frozenset[int]:
+        """Return the nodes that this gateway's evaluator flags."""
         assert self.evaluator is not None
         return frozenset(
             node for node, held in self.evaluator.nodes.items() if held.is_flagged
--- a/milletsill/lab/gossip_simulation.py
+++ b/milletsill/lab/gossip_simulation.py
@@ -1,12 +1,14 @@
-"""Health reports that travel between many gateways: who agrees when, and at what cost.
+"""Simulates the gossip of health reports among many gateways on a simulated clock.
 
-On a simulated clock. Every gateway has its reports and its part in their gossip
-(`milletsill.fleet.health.report_exchange`; octets are those of the encoded pieces);
-some evaluate them. What gateways see is drawn: each node answers at a rate, at some
-gateway by chance, and what is ill is lost or slow. Messages, delays and losses are as
-in service; queues at nodes and clients are left out (`health_simulation` has them).
+The simulation measures how soon the gateways' evaluators agree and how many octets the
+gossip takes. Every gateway has a report store and takes part in the gossip
+(`milletsill.fleet.health.report_exchange`); only some evaluate the reports. Attempts
+are drawn at random: they come at a fixed mean rate, each at a random gateway and node,
+and a faulty node loses attempts or answers slowly. Messages are delayed and lost as in
+production. Queues at nodes and clients are not simulated here (`health_simulation`
+simulates them).
 
-Times are ticks of a tenth of a millisecond where nothing else is said.
+Times are ticks of 0.1 ms unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -31,33 +33,33 @@
 
 NODE_COUNT = 44
 NODES_PER_SHARD = 2
-ILL_SHARE = 8  # one node in so many is ill
-SLANDERED_COUNT = 5
+NODES_PER_FAULTY_NODE = 8  # one node in 8 is faulty
+FALSELY_REPORTED_COUNT = 5
 RATE = 580.0  # requests a second
 EVALUATORS = 10
 PACE_DEVIATION = 1.0
-MIN_DELAY = 5  # of a frame
+MIN_DELAY = 5  # of a frame in the network
 MAX_DELAY = 60
-LOSS = 0.02  # share of the frames
-LOST_KNOWN_AFTER = 4000  # of an attempt that is not answered
+LOSS = 0.02  # share of frames that are lost
+LOST_KNOWN_AFTER = 4000  # time until an unanswered attempt counts as lost
 ANSWERED_AFTER = 800
 DELTA_FRAMING_OCTETS = 3
 BEGINS = 6 * SECOND
 ENDS = 16 * SECOND
 LASTS = 28 * SECOND
-QUIET = 4 * SECOND  # without new reports at the end, until all are compared
+QUIET = 4 * SECOND  # time without new reports at the end, before stores are compared
 AGREEING_SHARE = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class GossipCase:
-    """What is ill with one node in eight.
+    """The fault of one node in eight, and what else happens during it.
 
     Attributes:
-        lost_share: Share of its attempts that are lost.
-        pace: log2 of its pace over the usual one.
-        liar_share: Share of the gateways that lie.
-        is_split: The fleet is in halves meanwhile.
+        lost_share: Share of a faulty node's attempts that are lost.
+        pace: log2 of a faulty node's latency relative to the usual one.
+        liar_share: Share of the gateways that send false reports.
+        is_split: The fleet is partitioned into halves during the fault.
     """
 
     lost_share: float = 0.0
@@ -80,19 +82,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasuredDelta:
-    """A delta, kept so that its id stays its own, and its octets."""
+    """A delta with its encoded size.
+
+    The reference to the delta keeps its `id` from being reused.
+    """
 
     delta: ReportDelta
     octets: int
 
 
 class GossipSimulation(SimulatedClock):
-    """The gateways and what is between them.
+    """The simulated gateways and the network between them.
 
     Attributes:
-        ill_nodes: The nodes that are ill while there is a fault.
-        slandered: The well nodes that liars report as failing.
-        is_quiet: Nobody writes a report any more.
+        faulty_nodes: The nodes that are faulty while the fault lasts.
+        falsely_reported: The sound nodes that lying gateways report as failing.
+        is_quiet: Gateways write no more reports.
     """
 
     def __init__(self, case: GossipCase, seed: int, gateways: int) -> None:
@@ -104,11 +109,13 @@
         self.shards = {node: node // NODES_PER_SHARD for node in range(NODE_COUNT)}
         nodes = range(NODE_COUNT)
         draw = Random(seed + 7)
-        self.ill_nodes: list[int] = []
+        self.faulty_nodes: list[int] = []
         if case.lost_share or case.pace:
-            self.ill_nodes = sorted(draw.sample(nodes, NODE_COUNT // ILL_SHARE))
-        well = [node for node in nodes if node not in self.ill_nodes]
-        self.slandered = draw.sample(well, SLANDERED_COUNT)
+            self.faulty_nodes = sorted(
+                draw.sample(nodes, NODE_COUNT // NODES_PER_FAULTY_NODE)
+            )
+        well = [node for node in nodes if node not in self.faulty_nodes]
+        self.falsely_reported = draw.sample(well, FALSELY_REPORTED_COUNT)
         self.gateways = [
             GossipGateway(self, place, place < EVALUATORS) for place in range(gateways)
         ]
@@ -139,22 +146,22 @@
         ranking.update(lambda name: map(int, view.rendezvous(name, len(places))))
         return ranking
 
-    # What gateways see of each other.
+    # Which gateways reach each other.
 
     def gateway_count(self) -> int:
         """Return how many gateways there are."""
         return len(self.gateways)
 
     def has_fault(self) -> bool:
-        """Return whether nodes are ill, or the fleet is in halves, now."""
+        """Return whether the fault, or the partition, is active now."""
         return BEGINS <= self.now < ENDS
 
     def is_split_now(self) -> bool:
-        """Return whether the fleet is in halves now."""
+        """Return whether the fleet is partitioned into halves now."""
         return self.case.is_split and self.has_fault()
 
     def reachable_from(self, place: int) -> list[int]:
-        """Return the gateways that a gateway sees, itself among them."""
+        """Return the gateways that a gateway can reach, including itself."""
         is_split = self.is_split_now()
         return [
             other
@@ -163,13 +170,13 @@
         ]
 
     def ranking_for(self, place: int) -> RendezvousRanking:
-        """Return the ranking of the gateways that a gateway sees."""
+        """Return the rendezvous ranking of the gateways that a gateway can reach."""
         if self.is_split_now():
             return self._half_rankings[place % 2]
         return self._whole_ranking
 
     def evaluator_for(self, place: int) -> HealthEvaluator:
-        """Return the evaluator that speaks for a gateway."""
+        """Return the evaluator whose verdicts a gateway follows."""
         evaluator = self.gateways[place % 2 if self.case.is_split else 0].evaluator
         assert evaluator is not None
         return evaluator
@@ -177,7 +184,7 @@
     # The network.
 
     def octets_of(self, delta: ReportDelta) -> int:
-        """Return the octets of a delta in a frame."""
+        """Return the size of an encoded delta in a frame, in octets."""
         measured = self._measured.get(id(delta))
         if measured is None or measured.delta is not delta:
             size = codec.encode_delta(delta, self.now).ByteSize()
@@ -195,7 +202,7 @@
         deltas: list[ReportDelta],
         versions: list[ReportVersion],
     ) -> None:
-        """Carry a message, if it is not lost."""
+        """Send a message; it may be lost at random or by the partition."""
         if self.random.random() < LOSS or self._is_cut(sender, receiver):
             return
         when = self.now + self.random.randrange(MIN_DELAY, MAX_DELAY)
@@ -221,8 +228,11 @@
     # Requests.
 
     def _is_ill(self, node: int, place: int) -> bool:
-        """Return whether a node is ill for a gateway; in halves it is for one."""
-        if node not in self.ill_nodes or not self.has_fault():
+        """Return whether a node is faulty for a gateway.
+
+        While the fleet is partitioned, it is faulty only for the odd half.
+        """
+        if node not in self.faulty_nodes or not self.has_fault():
             return False
         return not self.case.is_split or place % 2 == 1
 
@@ -237,9 +247,10 @@
         )
 
     def _draw_request(self) -> None:
-        """Draw one request, and when the next comes.
+        """Simulate one request and schedule the next.
 
-        A gateway that avoids the node sends it to another, which is not played.
+        A gateway that avoids the node would send the request to another node; that
+        attempt is not simulated.
         """
         random = self.random
         gateway = random.choice(self.gateways)
@@ -253,7 +264,7 @@
         pause = max(round(random.expovariate(RATE) * SECOND), 1)
         self.call_at(self.now + pause, self._draw_request)
 
-    # What is looked at.
+    # Measurements.
 
     def sent_octets(self) -> int:
         """Return the octets that all gateways have sent."""
@@ -264,31 +275,34 @@
         return self.gateways[:EVALUATORS]
 
     def do_agree(self, truth: frozenset[int], half: int | None = None) -> bool:
-        """Return whether nine in ten, of all or a half, call just these nodes ill."""
+        """Return whether 90 % of the evaluators flag exactly these nodes.
+
+        The evaluators are all, or those of one half of the fleet.
+        """
         gateways = [
             gateway
             for gateway in self.evaluating()
             if half is None or gateway.place % 2 == half
         ]
-        agreeing = sum(gateway.called_nodes() == truth for gateway in gateways)
+        agreeing = sum(gateway.flagged_nodes() == truth for gateway in gateways)
         return agreeing / len(gateways) >= AGREEING_SHARE
 
     def do_see_fault(self) -> bool:
-        """Return whether nine in ten see the fault as it is for them."""
-        ill = frozenset(self.ill_nodes)
+        """Return whether 90 % of evaluators flag exactly the nodes faulty for them."""
+        faulty = frozenset(self.faulty_nodes)
         if self.case.is_split:
-            return self.do_agree(ill, 1) and self.do_agree(frozenset(), 0)
-        return self.do_agree(ill)
+            return self.do_agree(faulty, 1) and self.do_agree(frozenset(), 0)
+        return self.do_agree(faulty)
 
-    def count_false_calls(self) -> int:
-        """Return how many nodes are called ill by some evaluator and are well."""
-        called: set[int] = set()
+    def count_false_verdicts(self) -> int:
+        """Return how many sound nodes at least one evaluator flags."""
+        flagged: set[int] = set()
         for gateway in self.evaluating():
-            called |= gateway.called_nodes()
-        return len(called - set(self.ill_nodes))
+            flagged |= gateway.flagged_nodes()
+        return len(flagged - set(self.faulty_nodes))
 
     def share_behind(self) -> float:
-        """Return the share of gateways with other reports than the first."""
+        """Return the share of gateways whose reports differ from the first one's."""
         versions = [
             {
                 origin: (report.incarnation, report.complete_up_to)
@@ -303,7 +317,7 @@
 def seconds_until(
     simulation: GossipSimulation, condition: Callable[[], bool], since: int, ends: int
 ) -> float | None:
-    """Return after how long a condition holds, looked at each tenth of a second."""
+    """Return the seconds until a condition holds, None if never; checks each 0.1 s."""
     for now in range(since, ends, SECOND // 10):
         simulation.run(now)
         if condition():
@@ -312,32 +326,33 @@
 
 
 def play(job: tuple[str, int, int]) -> dict[str, Any]:
-    """Play a case, a seed and a number of gateways; return what is recorded of it.
+    """Simulate a case with a seed and a number of gateways; return the measurements.
 
-    `there` and `back` are the seconds until nine in ten evaluators call just the ill
-    nodes, and none again; `false_boxes` the nodes that some evaluator calls ill and
-    that are well, at the looks of half seconds.
+    `there` is the seconds until 90 % of the evaluators flag exactly the faulty nodes;
+    `back` is the seconds after the fault until 90 % flag none. `stays` is the share of
+    the checks, one each 0.5 s, at which they agree on the fault; `false_boxes` is the
+    mean number of sound nodes that some evaluator flags at these checks.
     """
     case, seed, gateways = job
     simulation = GossipSimulation(CASES[case], seed, gateways)
     simulation.run(BEGINS)
     octets_before = simulation.sent_octets()
     there = seconds_until(simulation, simulation.do_see_fault, BEGINS, ENDS)
-    false_calls = 0
-    looks = 0
+    false_verdicts = 0
+    checks = 0
     agreed = 0
     while simulation.now < ENDS:
         simulation.run(min(simulation.now + SECOND // 2, ENDS))
-        looks += 1
+        checks += 1
         agreed += simulation.do_see_fault()
-        false_calls += simulation.count_false_calls()
+        false_verdicts += simulation.count_false_verdicts()
     octets = simulation.sent_octets() - octets_before
     back = seconds_until(
         simulation, lambda: simulation.do_agree(frozenset()), ENDS, LASTS
     )
     simulation.run(LASTS)
-    still_calling = sum(
-        bool(gateway.called_nodes()) for gateway in simulation.evaluating()
+    still_flagging = sum(
+        bool(gateway.flagged_nodes()) for gateway in simulation.evaluating()
     )
     simulation.is_quiet = True
     simulation.run(LASTS + QUIET)
@@ -347,9 +362,9 @@
         "gateways": gateways,
         "there": there,
         "back": back,
-        "stays": agreed / max(looks, 1),
-        "false_boxes": false_calls / max(looks, 1),
+        "stays": agreed / max(checks, 1),
+        "false_boxes": false_verdicts / max(checks, 1),
         "octets_a_second": octets / gateways / ((ENDS - BEGINS) / SECOND),
-        "judges_with_calls_at_the_end": still_calling,
+        "judges_with_calls_at_the_end": still_flagging,
         "rows_behind": simulation.share_behind(),
     }
--- a/milletsill/lab/health_scenario.py
+++ b/milletsill/lab/health_scenario.py
@@ -1,4 +1,4 @@
-"""What a simulation of shared health plays: its traffic, and the faults of nodes."""
+"""Scenarios of the simulation of shared health: their traffic and node faults."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TrueAdvice:
-    """The best advice on a node.
+    """The best possible health advice on a faulty node.
 
     Attributes:
-        load_factor: As health advice has it.
-        admitted_share: Share of the gateways that had best send to it.
+        load_factor: The load factor as in health advice.
+        admitted_share: Share of the gateways that should send to the node.
     """
 
     load_factor: float
@@ -68,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeFault:
-    """What is wrong with a node.
+    """A fault of a node.
 
     Attributes:
-        slowdown: Divides its speed.
-        failing_share: Share of its work that comes to nothing.
-        is_stopped: It does nothing.
+        slowdown: Divides the node's speed.
+        failing_share: Share of its attempts that end in an error.
+        is_stopped: The node does no work.
     """
 
     slowdown: float = 1.0
@@ -81,7 +81,7 @@
     is_stopped: bool = False
 
     def true_advice(self, load: float) -> TrueAdvice:
-        """Return the best advice on a node that is loaded like that."""
+        """Return the best advice on a node with this fault at this usual load."""
         if self.is_stopped:
             return TrueAdvice(MAX_LOAD_FACTOR, 0.0)
         load_factor = self.slowdown - 1 + 3 * self.failing_share
@@ -103,21 +103,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HealthScenario:
-    """What is simulated.
+    """The parameters of one simulation.
 
     Attributes:
-        fault: Of one node in eight; a name in `NODE_FAULTS`.
-        knowledge: `alone`, `shared` or `truth`.
-        seed: Of everything that chance decides.
-        gateways: How many.
-        nodes: How many.
-        rate: Requests a second in all.
-        shard_size: Nodes in each shard.
+        fault: The fault of one node in eight; a name in `NODE_FAULTS`.
+        knowledge: How gateways learn of faulty nodes: `alone`, `shared` or `truth`.
+        seed: The seed of all random numbers.
+        gateways: Number of gateways.
+        nodes: Number of nodes.
+        rate: Requests per second over all gateways.
+        shard_size: Number of nodes in each shard.
         begins: When the fault begins, in seconds.
         ends: When it ends, in seconds.
         lasts: When the simulation ends, in seconds.
-        liar_share: Share of the gateways that report the opposite of some nodes.
-        max_called_share: Share of the nodes that may be called ill.
+        liar_share: Share of the gateways that report the opposite of the truth for some
+            nodes.
+        max_flagged_share: Greatest share of the nodes that the evaluator may flag.
     """
 
     fault: str
@@ -131,4 +132,4 @@
     ends: float = 20
     lasts: float = 25
     liar_share: float = 0.0
-    max_called_share: float = 0.34
+    max_flagged_share: float = 0.34
--- a/milletsill/lab/health_simulation.py
+++ b/milletsill/lab/health_simulation.py
@@ -1,13 +1,14 @@
-"""What shared health is worth: ill nodes under traffic, on a simulated clock.
+"""Simulates the benefit of shared health: faulty nodes under traffic.
 
-The schedulers, observers, reports and evaluators are the product's own, over modelled
-nodes. There are three ways to know of an ill node: `alone` (each gateway by itself),
-`shared` (`milletsill.fleet.health`) and `truth` (the true state, told at once: the best
-possible). All three draw their traffic from the same seeds. In `shared`, reports reach
-one evaluator, which speaks for all gateways (`milletsill.lab.gossip_simulation` shows
-how they agree), 0.1 to 0.6 s after they are written.
+The schedulers, observers, reports and evaluators are the product's own; the nodes and
+the clock are modelled. Gateways learn of faulty nodes in one of three ways: `alone`
+(each gateway by itself), `shared` (`milletsill.fleet.health`) or `truth` (the true
+state is given to all gateways at once, which is the best possible). All three draw
+their traffic from the same seeds. With `shared`, reports reach a single evaluator 0.1
+to 0.6 s after they are written, and all gateways follow its verdicts;
+`milletsill.lab.gossip_simulation` simulates how several evaluators come to agree.
 
-Times are ticks of a tenth of a millisecond where nothing else is said.
+Times are ticks of 0.1 ms unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -47,26 +48,26 @@
 
 PUBLISH_INTERVAL = 3000
 TRUTH_LIFETIME = 4000
-MIN_REPORT_DELAY = 1000  # of a report on its way to the evaluator
+MIN_REPORT_DELAY = 1000  # from the writing of a report to the evaluator
 MAX_REPORT_DELAY = 6000
-COUNTED_AFTER = 4 * SECOND  # requests count until so long after the fault
+COUNTED_AFTER = 4 * SECOND  # requests count until this long after the fault's end
 MAX_REPORTS = 4096
 MAX_NODES = 4096
 EVALUATOR_ORIGIN = -1
 REPORT_KEPT_FOR = 4 * OBSERVATION_DECAY_TIME
-ILL_SHARE = 8  # one node in so many is ill
-MIN_SLANDERED = 5
+NODES_PER_FAULTY_NODE = 8  # one node in 8 is faulty
+MIN_FALSELY_REPORTED = 5
 SURGE_FACTOR = 2.0
 USUAL_LOAD = 0.45
 
 
 class FailingNode(ModelledNode):
-    """A node that may fail a share of its work."""
+    """A node that may fail a share of its attempts."""
 
     failing_share = 0.0
 
     def finish(self, jobs: Sequence[Job]) -> None:
-        """Answer the attempts whose work is done, some of them with a failure."""
+        """Answer the attempts whose work is done; a share of them fails."""
         for job in jobs:
             if job.what is None:
                 continue
@@ -77,12 +78,13 @@
 
 
 class ObservingGateway(SchedulerGateway):
-    """A gateway whose observer hears of its attempts, where health is shared.
+    """A gateway that passes its attempts to a node observer if health is shared.
 
     Attributes:
-        observer: Of the nodes; None where nothing is shared.
-        report: Its own report.
-        periods: Publishing periods until now, which differ at the start.
+        observer: The node observer; None if health is not shared.
+        report: The gateway's own report.
+        periods: Number of publishing periods so far. It starts at a different value in
+            each gateway, so that their routine reports are spread over time.
     """
 
     observer: NodeObserver | None = None
@@ -90,7 +92,7 @@
     periods = 0
 
     def start_observing(self, origin: int) -> NodeObserver:
-        """Make the observer and the report."""
+        """Create the observer and the report."""
         classes = self.config.request_classes
         self.observer = NodeObserver([each.latency_objective for each in classes])
         self.report = ReportStore(origin, 1, 2, MAX_NODES)
@@ -100,7 +102,7 @@
     def on_attempt_ended(
         self, attempt: SimulatedAttempt, outcome: AttemptOutcome
     ) -> None:
-        """Take the end of an attempt; only the first one counts."""
+        """Handle the end of an attempt; only its first end is observed."""
         if self.observer is not None and not attempt.is_ended:
             self.observer.on_attempt_result(
                 self.simulation.now,
@@ -112,15 +114,15 @@
     def take_request(
         self, request: Request, work: float, path: str, operation: str
     ) -> None:
-        """Take a client's request; a new object may go to any shard."""
+        """Accept a client's request; a new object may go to any shard."""
         if operation == "new":
             request = replace(request, shard=None)
         super().take_request(request, work, path, operation)
 
 
 @dataclass(frozen=True, slots=True)
-class CalledNode:
-    """A verdict that the evaluator changed."""
+class TimedVerdict:
+    """A change of a verdict, and when the evaluator made it."""
 
     at: int
     node: int
@@ -128,13 +130,13 @@
 
 
 class HealthSimulation(TrafficSimulation):
-    """One run with a fault that begins and ends.
+    """One run, with a fault that begins and ends.
 
     Attributes:
-        ill_nodes: The nodes that have the fault.
-        called: Verdicts as they changed.
-        asked_utility: Of the requests that count.
-        served_utility: Of those that were answered.
+        faulty_nodes: The nodes that have the fault.
+        verdict_changes: All changes of verdicts.
+        asked_utility: Utility of the requests that count.
+        served_utility: Utility of those that were answered.
     """
 
     def __init__(self, scenario: HealthScenario) -> None:
@@ -166,8 +168,8 @@
             for gateway in self.gateways
         ]
         self.gateways = list(self.observing_gateways)
-        self.ill_nodes = self._draw_ill_nodes()
-        self.called: list[CalledNode] = []
+        self.faulty_nodes = self._draw_ill_nodes()
+        self.verdict_changes: list[TimedVerdict] = []
         self.asked_utility = 0.0
         self.served_utility = 0.0
         self.ranking = self._rank_gateways()
@@ -191,7 +193,7 @@
             return []
         nodes = self.scenario.nodes
         random = Random(self.scenario.seed + 7)
-        return sorted(random.sample(range(nodes), nodes // ILL_SHARE))
+        return sorted(random.sample(range(nodes), nodes // NODES_PER_FAULTY_NODE))
 
     def _rank_gateways(self) -> RendezvousRanking:
         count = len(self.gateways)
@@ -208,7 +210,7 @@
     def _begin_fault(self) -> None:
         if self.scenario.fault == SURGE:
             self.rate *= SURGE_FACTOR
-        for number in self.ill_nodes:
+        for number in self.faulty_nodes:
             node = self.failing_nodes[number]
             node.engine.speed.slow = self.fault.slowdown
             node.failing_share = self.fault.failing_share
@@ -218,13 +220,13 @@
     def _end_fault(self) -> None:
         if self.scenario.fault == SURGE:
             self.rate /= SURGE_FACTOR
-        for number in self.ill_nodes:
+        for number in self.faulty_nodes:
             node = self.failing_nodes[number]
             node.finish(node.engine.advance(self.now / SECOND))
             node.engine.speed.slow = 1.0
             node.failing_share = 0.0
 
-    # What the run is worth.
+    # Utility.
 
     def _on_final(self, now: int, request: SimulatedRequest, final: str) -> None:
         if not self.begins <= request.received_at < self.ends + COUNTED_AFTER:
@@ -239,14 +241,14 @@
                 request_class.late_weight if is_late else 1.0
             )
 
-    # Truth.
+    # The true state, given to all gateways.
 
     def _tell_truth(self) -> None:
         if self.now >= self.ends:
             return
         advice = self.fault.true_advice(USUAL_LOAD)
         until = min(self.now + TRUTH_LIFETIME, self.ends)
-        for node in self.ill_nodes:
+        for node in self.faulty_nodes:
             places = self.ranking.places(node)
             admitted = advice.admitted_share * len(places)
             for gateway in self.gateways:
@@ -260,18 +262,18 @@
                 gateway.dispatch_soon()
         self.call_at(self.now + PUBLISH_INTERVAL, self._tell_truth)
 
-    # Sharing.
+    # Shared health.
 
     def _start_sharing(self) -> None:
         scenario = self.scenario
         count = len(self.gateways)
         self.reports = ReportStore(EVALUATOR_ORIGIN, 1, MAX_REPORTS, MAX_NODES)
-        self.evaluator = HealthEvaluator(scenario.max_called_share)
+        self.evaluator = HealthEvaluator(scenario.max_flagged_share)
         liar_count = round(scenario.liar_share * count)
-        self.liars = Random(scenario.seed + 5).sample(range(count), liar_count)
-        well = [node for node in self.shards if node not in self.ill_nodes]
-        self.slandered = Random(scenario.seed + 13).sample(
-            well, max(len(self.ill_nodes), MIN_SLANDERED)
+        self.lying_gateways = Random(scenario.seed + 5).sample(range(count), liar_count)
+        sound = [node for node in self.shards if node not in self.faulty_nodes]
+        self.falsely_reported = Random(scenario.seed + 13).sample(
+            sound, max(len(self.faulty_nodes), MIN_FALSELY_REPORTED)
         )
         for gateway in self.observing_gateways:
             observer = gateway.start_observing(gateway.place)
@@ -282,7 +284,7 @@
 
     def _publish(self, gateway: ObservingGateway, observer: NodeObserver) -> None:
         gateway.periods += 1
-        is_liar = gateway.place in self.liars
+        is_liar = gateway.place in self.lying_gateways
         if (
             observer.has_urgent_results
             or has_unreported(observer.statistics, self.evaluator.not_healthy())
@@ -299,10 +301,13 @@
         self.call_at(self.now + PUBLISH_INTERVAL, self._publish, gateway, observer)
 
     def _falsify(self, observations: dict[int, NodeObservation]) -> None:
-        """Lie in concert: the same well nodes are ill, the ill ones are well."""
-        for node in self.slandered:
+        """Report some sound nodes as failing and the faulty ones as sound.
+
+        All lying gateways choose the same sound nodes.
+        """
+        for node in self.falsely_reported:
             observations[node] = NodeObservation(0, self.now, 8.0, 1.0, 1.0, 0.0, 0.0)
-        for node in self.ill_nodes:
+        for node in self.faulty_nodes:
             observations[node] = NodeObservation(0, self.now, 8.0, 0.0, 0.0, 8.0, 0.0)
 
     def _evaluate(self) -> None:
@@ -312,7 +317,9 @@
             self.reports, count, self.ranking, self.shards, self.now
         )
         for change in changes:
-            self.called.append(CalledNode(self.now, change.node, change.current))
+            self.verdict_changes.append(
+                TimedVerdict(self.now, change.node, change.current)
+            )
         for gateway in self.gateways:
             self._advise(gateway)
         self.call_at(self.now + PUBLISH_INTERVAL, self._evaluate)
@@ -330,15 +337,15 @@
             )
             gateway.dispatch_soon()
 
-    def count_false_calls(self) -> int:
-        """Return how often a node was called ill that was not."""
+    def count_false_verdicts(self) -> int:
+        """Return how often the evaluator flagged a sound node."""
         return sum(
-            call.node not in self.ill_nodes and call.verdict in FLAGGED_VERDICTS
-            for call in self.called
+            change.node not in self.faulty_nodes and change.verdict in FLAGGED_VERDICTS
+            for change in self.verdict_changes
         )
 
     def play(self) -> float:
-        """Return the share of the utility that was served.
+        """Run the simulation and return the share of the utility that was served.
 
         Requests count from the fault's start until 4 s after its end.
         """
--- a/milletsill/lab/lateness.py
+++ b/milletsill/lab/lateness.py
@@ -1,7 +1,7 @@
-"""When a process of the laboratory was late itself, and what that was made of.
+"""Measures how late a laboratory process itself runs its timers, and why.
 
-The collector, its own work, a wait for a core, or a sleep: in a call that blocked, or
-past its time.
+The time is split into garbage collection, own work, waiting for a CPU core, and sleep:
+in a blocking call, or beyond the time at which a timer was due.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from typing import Protocol
 
 LATE_FROM = 0.015
-"""Seconds of lateness from which a moment is kept."""
+"""Lateness in seconds from which a moment is recorded."""
 MAX_MOMENTS = 200
 GAP_CHECK_INTERVAL = 0.01
 """Seconds between two checks for a gap."""
 GAP_FROM = 0.03
-"""Seconds between two checks from which they are kept as a gap."""
+"""Time between two checks, in seconds, from which it is recorded as a gap."""
 MAX_GAPS = 10_000
 
 
 class MonitorTimer(Protocol):
-    """What calls later: a reactor."""
+    """The part of a reactor that schedules calls."""
 
     def callLater(self, delay: float, callable: Callable[[], None], /) -> object:
-        """Call after so many seconds."""
+        """Schedule a call after a delay in seconds."""
 
 
 def core_wait() -> float:
-    """Return for how many seconds this thread was ready to run and had no core.
+    """Return for how many seconds this thread has waited, runnable, for a CPU core.
 
-    Since its start; 0 where the system does not tell.
+    The time counts from the thread's start; 0 if the system does not provide it.
     """
     try:
         with open("/proc/thread-self/schedstat", "rb", buffering=0) as source:
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LateMoment:
-    """A check that was late, and what the time since the one before went into.
+    """A late check, and how the time since the previous check was spent.
 
-    The fields' names are those of the stored result.
+    The names of the fields are the keys of the stored result.
     """
 
     at_s: float
@@ -56,7 +56,7 @@
     asleep_ms: float
 
     def describe(self, count: int) -> str:
-        """Return the worst of `count` late moments as one line of a report."""
+        """Return this moment, the worst of `count`, as one line of a report."""
         return (
             f"late by over {LATE_FROM * 1000:.0f} ms {count} times; the worst at "
             f"{self.at_s:.1f} s: collector {self.collector_ms:.0f}, own work "
@@ -66,7 +66,7 @@
 
 
 class LatenessMonitor:
-    """Checked every few milliseconds; keeps the late moments, bounded.
+    """Records late moments, up to MAX_MOMENTS, of a process that checks every few ms.
 
     `worst` is the greatest lateness so far, in seconds.
     """
@@ -82,7 +82,7 @@
         gc.callbacks.append(self.on_collection)
 
     def on_collection(self, phase: str, info: dict[str, int]) -> None:
-        """A collection began or ended."""
+        """Add up the time of garbage collections; called at their start and end."""
         now = time.monotonic()
         if phase == "start":
             self.collection_began_at = now
@@ -90,7 +90,12 @@
             self.collection_time += now - self.collection_began_at
 
     def check(self, start: float, due: float) -> float:
-        """Check that was due then, in a run that started then; return the time."""
+        """Record how late this check is, and return the current time.
+
+        Args:
+            start: When the run started; earlier lateness does not count.
+            due: When this check was due.
+        """
         waited = core_wait()
         cpu_time = time.thread_time()
         now = time.monotonic()
@@ -119,15 +124,15 @@
         return now
 
     def to_stored(self) -> list[dict[str, float]]:
-        """Return the late moments as they are stored, the worst first."""
+        """Return the late moments in their stored form, the worst first."""
         moments = sorted(self.moments, key=lambda moment: -moment.late_ms)
         return [asdict(moment) for moment in moments]
 
 
 class ReadGapMonitor:
-    """Notes spans in which a process did not come round to its sockets.
+    """Records gaps in which a process did not read its sockets.
 
-    What it reads right after one may have come at any time of it.
+    Data that is read right after a gap may have arrived at any time during it.
     """
 
     def __init__(
@@ -139,7 +144,7 @@
         self.gaps: list[tuple[float, float]] = []
 
     def check(self) -> None:
-        """Check for a gap, now and from now on."""
+        """Record a gap if there was one, and schedule the next check."""
         since = self.checked_at
         self.checked_at = self.clock()
         if self.checked_at - since >= GAP_FROM and len(self.gaps) < MAX_GAPS:
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -1,6 +1,7 @@
-"""The load tool: scripted clients of a scenario, their surges, runs, retries and patience; checks every byte read.
+"""Generates a scenario's client load: surges, sequential runs, retries and timeouts.
 
-Arrivals are drawn ahead of what comes back (open loop) and belong to their first try. One process plays all clients.
+The load is open-loop: arrivals don't depend on answers, and an operation counts at the
+time of its first try. One process plays all clients and checks every byte they read.
 """
 
 from __future__ import annotations
@@ -25,15 +26,12 @@
 from milletsill.trace.service_terms import ClassTerms, ServiceTerms, encode_terms
 from milletsill.trace.trace_file import TraceFile
 
-WEIGHED_FOR = 0.1  # seconds
-TICK, TAIL_TICK = (
-    0.004,
-    0.05,
-)  # seconds between looks at what is due, and at what is left once the day is over
+DEMAND_UPDATE_INTERVAL = 0.1  # seconds
+TICK, TAIL_TICK = 0.004, 0.05  # seconds between checks: during the run, and after it
 
 
 class Load:
-    """All clients of a scenario. `start` is on the monotonic clock, in seconds."""
+    """All clients of a scenario; `start` is on the monotonic clock, in seconds."""
 
     def __init__(
         self,
@@ -60,10 +58,10 @@
             name: HdrHistogram(1, 60_000_000, 3) for name in self.categories
         }
         self.worst: dict[int, list[float]] = {}
-        self.done: list[CompletedOperation] = []
+        self.completed: list[CompletedOperation] = []
         self.trace: list[
             Any
-        ] = []  # one command a row, as many as the scenario's operations
+        ] = []  # one row per operation, so bounded by the scenario's operations
         self.category_places = {
             each.name: place for place, each in enumerate(scenario.gateway.category)
         }
@@ -71,7 +69,7 @@
             each.name: place for place, each in enumerate(scenario.gateway.plan)
         }
         self.shares: dict[str, tuple[float, list[float]]] = {}
-        self.weighed_until = 0.0
+        self.demand_valid_until = 0.0
         self.lateness = LatenessMonitor()
         self.new_files: list[tuple[Any, str, int]] = []
         self.edges = [
@@ -85,35 +83,35 @@
             list(scenario.gateway.volume),
             routing_table_of(scenario.gateway),
         )
-        self.place()
+        self.place_volumes()
         self.runs: dict[int, tuple[int, str, int, Any, EdgeDoor]] = {}
         self.tick_at = self.due_at = start
 
-    def place(self) -> None:
-        """Which edges each volume comes through, how unevenly, and how much it asks for."""
+    def place_volumes(self) -> None:
+        """Choose each volume's gateways, its leading gateway and its usual demand."""
         chance, count = self.chance, len(self.edges)
-        self.ways, self.weights = [], []
+        self.gateway_groups, self.weights = [], []
         for volume in self.volumes:
             hosts = min(volume.gateways or count, count)
-            self.ways.append(chance.sample(range(count), hosts))
+            self.gateway_groups.append(chance.sample(range(count), hosts))
             base = list(self.scenario.volume_base)[
                 len(self.weights) : len(self.weights) + 1
             ] or [1.0]
             self.weights.append(self.plans[volume.plan].usual_rate * base[0])
-        self.leads = [chance.randrange(len(way)) for way in self.ways]
-        self.shift_soon()
+        self.leaders = [chance.randrange(len(group)) for group in self.gateway_groups]
+        self.schedule_shifts()
 
     def shift(self, part: float) -> None:
-        """The leading edge of so large a part of the volumes changes."""
-        for place, way in enumerate(self.ways):
+        """Draw a new leading gateway for about this share of the volumes."""
+        for place, group in enumerate(self.gateway_groups):
             if self.chance.random() < part:
-                self.leads[place] = self.chance.randrange(len(way))
+                self.leaders[place] = self.chance.randrange(len(group))
 
-    def shift_soon(self) -> None:
-        """Leads change by themselves, and with each `reconnect` of the scenario."""
-        habit = self.scenario.clients.shift_s
-        if habit:
-            self.reactor.callLater(habit, self.shift_again, habit)
+    def schedule_shifts(self) -> None:
+        """Schedule shifts of leading gateways: periodic, and at `reconnect` faults."""
+        interval = self.scenario.clients.shift_s
+        if interval:
+            self.reactor.callLater(interval, self.shift_again, interval)
         for each in self.scenario.trouble:
             if each.what == "reconnect":
                 self.reactor.callLater(
@@ -122,11 +120,11 @@
                     each.part,
                 )
 
-    def shift_again(self, habit: float) -> None:
+    def shift_again(self, interval: float) -> None:
         if self.now() < self.start_at + self.scenario.seconds:
             self.shift(1.0)
             self.reactor.callLater(
-                habit * self.chance.uniform(0.5, 1.5), self.shift_again, habit
+                interval * self.chance.uniform(0.5, 1.5), self.shift_again, interval
             )
 
     def count(self, what: str, by: int = 1) -> None:
@@ -136,7 +134,7 @@
         self.operations += 1
         return self.operations
 
-    # Troubles of clients.
+    # Faults of clients.
 
     def troubles(self, *names: str) -> list[Any]:
         at = self.now() - self.start_at
@@ -155,24 +153,24 @@
         return max(abused + [self.scenario.clients.retries])
 
     def patience_of(self, category: Any, plan: str) -> float:
-        """Seconds that a try may take."""
-        hurried = [
+        """Return the time limit of one try, in seconds."""
+        shortened = [
             each.extra * category.target_ms
             for each in self.troubles("retry_abuse")
             if each.plan in ("", plan)
         ]
-        hurried += [
+        shortened += [
             each.size * category.target_ms
             for each in self.troubles("give_up")
             if each.plan in ("", plan)
         ]
         return (
-            min(hurried + [category.patience_ms * self.scenario.clients.try_share])
+            min(shortened + [category.patience_ms * self.scenario.clients.try_share])
             / 1000
         )
 
-    def times(self, number: int) -> float:
-        """What a volume asks for now, in multiples of its usual rate."""
+    def multiple(self, number: int) -> float:
+        """Return a volume's present demand as a multiple of its usual demand."""
         at, by, plan = self.now() - self.start_at, 1.0, self.volumes[number].plan
         for each in self.troubles("burst", "tenant_burst"):
             by *= each.size if each.what == "burst" or each.plan in ("", plan) else 1.0
@@ -186,30 +184,30 @@
                 by *= each.times
         return by
 
-    def weigh(self) -> None:
-        """What volumes ask for now, by the plan of a row; reckoned a few times a second."""
+    def update_demand(self) -> None:
+        """Update the volumes' demand by plan, once each DEMAND_UPDATE_INTERVAL."""
         now = self.now()
-        if now < self.weighed_until:
+        if now < self.demand_valid_until:
             return
-        self.weighed_until = now + WEIGHED_FOR
-        asked = [
-            weight * self.times(number) for number, weight in enumerate(self.weights)
+        self.demand_valid_until = now + DEMAND_UPDATE_INTERVAL
+        demand = [
+            weight * self.multiple(number) for number, weight in enumerate(self.weights)
         ]
         for plan in {row.plan for row in self.scenario.traffic}:
             usual = [
                 w if plan in ("", v.plan) else 0.0
                 for v, w in zip(self.volumes, self.weights)
             ]
-            there = [
-                w if plan in ("", v.plan) else 0.0 for v, w in zip(self.volumes, asked)
+            current = [
+                w if plan in ("", v.plan) else 0.0 for v, w in zip(self.volumes, demand)
             ]
             self.shares[plan] = (
-                sum(there) / (sum(usual) or 1.0),
-                list(accumulate(there)),
+                sum(current) / (sum(usual) or 1.0),
+                list(accumulate(current)),
             )
 
-    def hot(self) -> tuple[float, list[int]]:
-        """Extra traffic as a share of all, and the volumes that ask for it."""
+    def extra_traffic(self) -> tuple[float, list[int]]:
+        """Return the extra traffic as a share of the usual, and its volumes."""
         found = self.troubles("hot_key", "scan")
         at = self.now() - self.start_at
         surges = [
@@ -218,8 +216,8 @@
             if each.volumes and each.at_s <= at < each.at_s + each.for_s
         ]
         share = sum(each.size for each in found)
-        few = max([int(each.extra) for each in found] + [1])
-        volumes = list(range(min(few, len(self.volumes))))
+        count = max([int(each.extra) for each in found] + [1])
+        volumes = list(range(min(count, len(self.volumes))))
         for each in surges:
             share += (each.times - 1) * each.volumes / max(len(self.volumes), 1)
             volumes += list(range(each.volumes))
@@ -228,47 +226,47 @@
     # Arrivals.
 
     def run(self) -> None:
-        """Called every few milliseconds: arrivals that are due since the last call."""
+        """Start operations due since the last call; called every few milliseconds."""
         now = self.lateness.check(self.start_at, self.due_at)
         ended = self.start_at + self.scenario.seconds
         span = min(now, ended) - max(self.tick_at, self.start_at)
         self.tick_at = now
         if span > 0:
-            self.weigh()
-            share, few = self.hot()
+            self.update_demand()
+            share, hot = self.extra_traffic()
             for place, row in enumerate(self.scenario.traffic):
                 self.arrive(
                     place, row, row.per_s * self.shares[row.plan][0] * span, None
                 )
                 if share:
-                    self.arrive(place, row, row.per_s * span * share, few)
+                    self.arrive(place, row, row.per_s * span * share, hot)
         if now < ended:
-            self.again_in(now, TICK)
+            self.run_again_in(now, TICK)
         elif self.live and now < ended + self.scenario.tail_s:
-            self.again_in(now, TAIL_TICK)
+            self.run_again_in(now, TAIL_TICK)
         else:
             self.finish()
 
-    def again_in(self, now: float, seconds: float) -> None:
-        """The next look, and when it is due: a longer gap that was meant is no lateness, work of this look is."""
+    def run_again_in(self, now: float, seconds: float) -> None:
+        """Schedule `run`; the wait is no lateness, but time spent in this call is."""
         self.due_at = now + seconds
         self.reactor.callLater(seconds, self.run)
 
-    def arrive(self, place: int, row: Any, mean: float, few: list[int] | None) -> None:
+    def arrive(self, place: int, row: Any, mean: float, hot: list[int] | None) -> None:
         chance, gap = self.chance, 0.0
         while mean > 0 and (
             gap := gap + chance.expovariate(1 / max(row.run, 1))
         ) < mean * max(row.run, 1):
-            self.one(place, row, few)
+            self.start_operation(place, row, hot)
 
-    def one(self, place: int, row: Any, few: list[int] | None) -> None:
-        """One operation; a run goes on on the extent of the last."""
+    def start_operation(self, place: int, row: Any, hot: list[int] | None) -> None:
+        """Start one operation; a sequential run continues on the previous extent."""
         chance, held = self.chance, self.runs.get(place)
-        if held is not None and held[0] > 0 and few is None:
+        if held is not None and held[0] > 0 and hot is None:
             left, path, offset, volume, edge = held
             self.runs[place] = (left - 1, path, offset, volume, edge)
         else:
-            number = chance.choice(few) if few else self.draw(row)
+            number = chance.choice(hot) if hot else self.draw_volume(row)
             volume = self.volumes[number]
             edge = self.edge_of(number)
             path = f"{volume.root}/f{chance.randrange(self.scenario.files)}"
@@ -303,7 +301,7 @@
         Operation(self, row, volume, edge, path, offset, length)
 
     def units_of(self, row: Any, volume: Any) -> int:
-        """A size by chance that the operator's routes put into the row's category, if any does."""
+        """Draw a size that routes map to the row's category; stop after 30 draws."""
         rules, place = (
             self.scenario.gateway.rules,
             self.routing_table.volumes_by_root[volume.root],
@@ -321,29 +319,29 @@
                 return units
         return units
 
-    def made(self, operation: Operation) -> None:
-        """A new file that stands: later reads of it come through any edge of its volume."""
+    def on_file_created(self, operation: Operation) -> None:
+        """Keep a created file for later reads through any gateway of its volume."""
         if len(self.new_files) < 500:
             self.new_files.append((operation.volume, operation.path, operation.length))
 
-    def draw(self, row: Any) -> int:
-        """A volume by what it asks for now."""
+    def draw_volume(self, row: Any) -> int:
+        """Draw a volume, weighted by its present demand."""
         return self.chance.choices(
             range(len(self.volumes)), cum_weights=self.shares[row.plan][1]
         )[0]
 
     def edge_of(self, volume: int) -> EdgeDoor:
-        """One of its edges, its leading one more often."""
-        way, lead = self.ways[volume], self.leads[volume]
+        """Draw one of a volume's gateways, the leading one more often."""
+        group, lead = self.gateway_groups[volume], self.leaders[volume]
         skew = self.scenario.clients.skew
         weights = [
-            1 / (1 + (place - lead) % len(way)) ** skew for place in range(len(way))
+            1 / (1 + (place - lead) % len(group)) ** skew for place in range(len(group))
         ]
-        return self.edges[self.chance.choices(way, weights)[0]]
+        return self.edges[self.chance.choices(group, weights)[0]]
 
     # Results.
 
-    def ended(self, operation: Operation, final: str) -> None:
+    def on_operation_ended(self, operation: Operation, final: str) -> None:
         self.live -= 1
         took = self.now() - operation.began
         category, plan = operation.category, self.plans[operation.volume.plan]
@@ -385,7 +383,7 @@
                 ),
             )
         )
-        self.done.append(
+        self.completed.append(
             CompletedOperation(
                 second,
                 self.number_of[operation.volume.name],
@@ -402,7 +400,7 @@
             self.histograms[category.name].record_value(max(int(took * 1e6), 1))
 
     def terms(self) -> ServiceTerms:
-        """What the service figure needs."""
+        """Return the terms from which the service ratios are computed."""
         rules, scenario = self.scenario.gateway.rules, self.scenario
         kinds = {each.name: each for each in scenario.kind}
         cores = sum(
@@ -440,12 +438,12 @@
             rules.spare_utility,
         )
 
-    def counted(self) -> dict[str, float]:
-        """Service by reserve, share and the rest, in all ('') and by category."""
-        return service_ratios(self.done, self.terms())
+    def service(self) -> dict[str, float]:
+        """Return service ratios by reserve, share and the rest; '' stands for all."""
+        return service_ratios(self.completed, self.terms())
 
     def write_trace(self) -> None:
-        """What the clients asked for and got, as a trace; times count from the day's start."""
+        """Write the operations as a trace; its times count from the run's start."""
         about = {
             "name": "clients",
             "seed": self.scenario.seed,
@@ -459,7 +457,7 @@
         TraceFile(path, about).write_all(self.trace)
 
     def finish(self) -> None:
-        """Write what came of it and end."""
+        """Write the results and stop the process."""
         for edge in self.edges:
             edge.over = True
         quantiles = {
@@ -476,7 +474,7 @@
                 for (c, p), row in sorted(self.rows.items())
             ],
             "latency_ms": quantiles,
-            "counted": self.counted(),
+            "counted": self.service(),
             "counts": self.counts,
             "operations": self.operations,
             "unended": self.live,
--- a/milletsill/lab/modelled_node.py
+++ b/milletsill/lab/modelled_node.py
@@ -1,6 +1,6 @@
-"""A node of a simulation of traffic: a model of its work, on the simulated clock.
+"""A simulated storage node: a model of its work on the simulated clock.
 
-Times are ticks of a tenth of a millisecond.
+Times are ticks of 0.1 ms.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from milletsill.lab.simulated_request import SimulatedAttempt
 from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules
 
-NETWORK_DELAY = 5  # from a gateway to a node, and back
+NETWORK_DELAY = 5  # between a gateway and a node, each way
 
 OnAttemptEnded = Callable[[AttemptOutcome], None]
 
 
 class NodeSurroundings(Protocol):
-    """What a node sees of the simulation."""
+    """The part of the simulation that a node uses."""
 
     now: int
     report_fields: list[str]
 
     def call_at(self, when: int, call: Callable[..., object], *values: Any) -> None:
-        """Make a call at a time."""
+        """Schedule a call for a time."""
 
 
 class ModelledNode:
-    """One node: attempts are answered in the time that its engine takes."""
+    """A node that answers attempts in the time its engine model takes for them."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.engine = Engine(kind, rules, self.random, now, False, Speed())
 
     def take(self, attempt: SimulatedAttempt, on_ended: OnAttemptEnded) -> None:
-        """Take an attempt into work or the queue, or reject it."""
+        """Start an attempt, queue it, or reject it."""
         now = self.simulation.now / SECOND
         request = attempt.request.request
         self.finish(self.engine.advance(now))
@@ -65,10 +65,10 @@
         if job is None:
             arrives_at = self.simulation.now + NETWORK_DELAY
             self.simulation.call_at(arrives_at, on_ended, AttemptOutcome.REJECTED)
-        self._check_again()
+        self._schedule_check()
 
-    def _check_again(self) -> None:
-        """Look at the soonest end; older looks find nothing to do."""
+    def _schedule_check(self) -> None:
+        """Schedule a check at the next end of work; it replaces the previous one."""
         if not self.engine.working:
             return
         soonest = self.engine.soonest(self.simulation.now / SECOND)
@@ -78,7 +78,7 @@
     def _check(self, due: int) -> None:
         if due == self._next_check:
             self.finish(self.engine.advance(self.simulation.now / SECOND))
-            self._check_again()
+            self._schedule_check()
 
     def finish(self, jobs: Sequence[Job]) -> None:
         """Answer the attempts whose work is done."""
@@ -88,7 +88,7 @@
                 self.simulation.call_at(arrives_at, job.what, AttemptOutcome.SUCCEEDED)
 
     def report(self) -> dict[str, float]:
-        """Return what the node reports of its load, with an answer."""
+        """Return the load report that the node sends with an answer."""
         engine = self.engine
         load = {
             "queue": float(len(engine.queue)),
--- a/milletsill/lab/moment.py
+++ b/milletsill/lab/moment.py
@@ -1,4 +1,4 @@
-"""Calls at a moment of the run's own clock."""
+"""Calls at a given time of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-LOOK = 0.5  # seconds: a wall clock that is set back puts a call off by this at most
+CHECK_INTERVAL = 0.5  # seconds; the most by which a wall clock set back delays a call
 
 
 def at(
@@ -16,15 +16,15 @@
     *values: Any,
     now: Callable[[], float] = time.monotonic,
 ) -> None:
-    """Call once the monotonic clock has come to `when` (seconds).
+    """Make a call once the monotonic clock has reached `when` (seconds).
 
-    Guards a day's faults against a wall clock that is set on or back while it runs,
-    since the reactor's timers follow that one. Harm: none, it looks twice a second.
+    The reactor's timers follow the wall clock. Checking twice a second keeps the faults
+    of a run at their times when the wall clock is set forward or back meanwhile.
     """
     left = when - now()
     if left <= 0:
         call(*values)
     else:
         reactor.callLater(
-            min(left, LOOK), lambda: at(reactor, when, call, *values, now=now)
+            min(left, CHECK_INTERVAL), lambda: at(reactor, when, call, *values, now=now)
         )
--- a/milletsill/lab/network_faults.py
+++ b/milletsill/lab/network_faults.py
@@ -1,7 +1,7 @@
-"""What the stand-in network does to whom and when.
+"""Faults of the laboratory's network and their effect on links between gateways.
 
-Pure functions of faults, time and chance; no socket, no clock. A gateway is a number.
-Times are seconds, on whichever clock the caller keeps to.
+The functions depend only on faults, times and a random generator; they use no socket
+and no clock. Gateways are numbers. Times are seconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
     "isolate": lambda sender_in, receiver_in: sender_in or receiver_in,
     "cut_one_way": lambda sender_in, receiver_in: sender_in,
 }
-"""Whether a fault cuts a link, by whether its ends are of the fault's set.
+"""Whether a fault cuts a link, given whether its ends are in the fault's set.
 
-`split` has the set on one side and the rest on the other; `isolate` each of the set by
-itself; with `cut_one_way` none hears the set, and the set hears all.
+`split` separates the set from the rest; `isolate` separates each gateway of the set
+from all others; `cut_one_way` drops what the set sends, but not what it receives.
 """
 NETWORK_FAULTS = (*CUTS, "lossy", "slow_network", "reset_network")
 RESEND_DELAY = 0.2
-"""Seconds until a stream's lost piece is sent again."""
+"""Seconds until a lost piece of a stream is resent."""
 MAX_RESEND_LOSS = 0.9
 DUPLICATE_SPREAD = 0.02
-"""Seconds within which a packet's second copy comes."""
+"""Seconds after the first copy within which a duplicated packet arrives again."""
 
 
 class FaultSettings(Protocol):
-    """A fault as a scenario or a control line states it."""
+    """The settings of a fault in a scenario or a control command."""
 
     @property
     def what(self) -> str:
@@ -40,19 +40,19 @@
 
     @property
     def on(self) -> Iterable[int]:
-        """The gateways that are named."""
+        """The gateways that the settings name."""
 
     @property
     def part(self) -> float:
-        """Which share of all gateways is drawn where none is named."""
+        """The share of all gateways that is drawn at random if none is named."""
 
     @property
     def at_s(self) -> float:
-        """Seconds after the run's start."""
+        """The fault's start, in seconds after the run's start."""
 
     @property
     def for_s(self) -> float:
-        """Seconds that it lasts."""
+        """How many seconds the fault lasts."""
 
     @property
     def size(self) -> float:
@@ -63,16 +63,16 @@
         """See `NetworkFault`."""
 
     def HasField(self, field: str) -> bool:  # noqa: N802
-        """Return whether a field is given."""
+        """Return whether a field is set."""
 
 
 @dataclass(frozen=True, slots=True)
 class NetworkFault:
     """A fault of the network, from `since` until `until`.
 
-    Of a lossy network `size` is the share that is lost, `extra` the share that comes
-    twice; of a slow one `size` is milliseconds late, `extra` milliseconds more by
-    chance, which reorders.
+    For a lossy network, `size` is the share of packets that is lost and `extra` the
+    share that is duplicated. For a slow network, `size` is the delay and `extra` the
+    greatest random addition to it, both in milliseconds; the addition reorders packets.
     """
 
     kind: str
@@ -83,23 +83,23 @@
     extra: float = 0.0
 
     def cuts(self, sender: int, receiver: int) -> bool:
-        """Return whether nothing comes from one gateway to another."""
+        """Return whether the fault cuts the link from one gateway to another."""
         rule = CUTS.get(self.kind)
         if rule is None:
             return False
         return rule(sender in self.gateways, receiver in self.gateways)
 
     def touches(self, sender: int, receiver: int) -> bool:
-        """Return whether a lossy or slow network lies between two gateways.
+        """Return whether a lossy or slow network or a reset affects two gateways' link.
 
-        Between all where no set is named.
+        Without a set, the fault affects all links.
         """
         return not self.gateways or sender in self.gateways or receiver in self.gateways
 
 
 @dataclass(frozen=True, slots=True)
 class LinkCondition:
-    """How what goes from one gateway to another fares now.
+    """The present condition of the link from one gateway to another.
 
     `loss` and `duplication` are shares; `delay` and `jitter` are seconds.
     """
@@ -111,13 +111,13 @@
     jitter: float = 0.0
 
     def draw_delay(self, random: Random) -> float:
-        """Draw after how many seconds something comes."""
+        """Draw the delay of a packet or piece, in seconds."""
         if not self.jitter:
             return self.delay
         return self.delay + random.random() * self.jitter
 
     def draw_copies(self, random: Random) -> tuple[float, ...]:
-        """Draw after how many seconds each copy of a packet comes; none: it is lost."""
+        """Draw the delay of each copy of a packet, in seconds; empty if it is lost."""
         if self.cut or (self.loss and random.random() < self.loss):
             return ()
         first = self.draw_delay(random)
@@ -126,9 +126,9 @@
         return (first,)
 
     def draw_piece(self, random: Random) -> float:
-        """Draw after how many seconds a piece of a stream comes.
+        """Draw the delay of a piece of a stream, in seconds.
 
-        It is never lost and stays in order: it is sent again while it is lost.
+        Streams lose nothing: each loss adds the delay until the piece is resent.
         """
         after = self.draw_delay(random)
         while self.loss and random.random() < min(self.loss, MAX_RESEND_LOSS):
@@ -142,7 +142,7 @@
 def network_fault(
     settings: FaultSettings, start: float, gateway_count: int, random: Random
 ) -> NetworkFault:
-    """Return a stated fault among so many gateways; who is not named is drawn."""
+    """Make a fault from its settings; draw the gateways if the settings name none."""
     named = [number for number in settings.on if number < gateway_count]
     drawn: list[int] = []
     if settings.what in CUTS or settings.HasField("part"):
@@ -160,7 +160,7 @@
 
 
 def network_faults(scenario: Scenario, start: float) -> list[NetworkFault]:
-    """Return all that the network does in a scenario's run, drawn in order."""
+    """Return all network faults of a scenario; random sets are drawn in its order."""
     random = Random(scenario.seed + 5)
     return [
         network_fault(trouble, start, scenario.edges, random)
@@ -172,7 +172,7 @@
 def link_condition(
     faults: Iterable[NetworkFault], sender: int, receiver: int
 ) -> LinkCondition:
-    """Return how a link fares under these faults, all of which hold now."""
+    """Return the condition of a link under these faults, all of which are active."""
     cut = False
     kept = 1.0
     duplication = 0.0
--- a/milletsill/lab/network_relay.py
+++ b/milletsill/lab/network_relay.py
@@ -1,16 +1,16 @@
-"""The stand-in for the network between gateways, over UDP and TCP.
-
-One process through which all pairs speak. Gateway n has 127.0.1.(n+1):PORT as its own
-address and says that it is reached at 127.0.2.(n+1):PORT, where the relay listens. Who
-speaks is told by the source's IP address, whom to by the socket it came in on. What is
-passed on leaves from the speaker's own relay address, so that an answer to it comes
-back through here. What the network does and when is known at the start from the
-scenario; a control line on loopback takes more (tests). `network_faults` decides, this
-acts.
-
-A link that is cut holds streams as a real one does: nothing is reset, what was sent
-comes after the healing. A stream is reset by `reset_network`. Unlike on a real network
-a new connection is taken at once even when the link is cut.
+"""A relay process that stands in for the network between gateways, over UDP and TCP.
+
+All gateways communicate through this one process. Gateway n binds 127.0.1.(n+1):PORT
+and advertises 127.0.2.(n+1):PORT, where the relay listens. The source IP address of a
+packet or connection identifies the sender, and the receiving socket identifies the
+receiver. The relay forwards from the sender's advertised address, so that replies also
+pass through the relay. The scenario defines the faults and their times at the start;
+tests start more faults over a control connection on loopback. `network_faults`
+determines the effect of the faults, and this module applies it.
+
+Streams on a cut link are held as on a real network: nothing is reset, and sent data
+arrives after the cut ends. Only `reset_network` resets streams. Unlike on a real
+network, the relay accepts a new connection at once even if the link is cut.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from milletsill.settings.milletsill_pb2 import Scenario
 
 MAX_DELAYED_PACKETS = 50_000
-"""Packets of all links that are on their way."""
+"""Greatest number of delayed packets that are in transit, over all links."""
 MAX_STREAMS = 4096
 MAX_DATAGRAM = 65_535
 STREAM_BACKLOG = 256
 MAX_LIFETIME = 3600.0
-"""Seconds after which the relay ends by itself."""
+"""Seconds after which the relay process exits by itself."""
 REPORT_INTERVAL = 1.0
-"""Seconds between two notes of what passed."""
+"""Seconds between two records of the traffic counts."""
 
 
 class NetworkRelay:
-    """The network among a scenario's gateways, whose fleet addresses share a port.
+    """Relays between a scenario's gateways, whose fleet addresses share one port.
 
-    `sent` counts by the gateway that sent, `counts` over all.
+    `sent` counts traffic for each sending gateway, `counts` events over all gateways.
     """
 
     def __init__(
@@ -80,18 +80,18 @@
             factory = StreamFactory(partial(self.accept, receiver=number))
             reactor.listenTCP(port, factory, interface=host, backlog=STREAM_BACKLOG)
         self.resume_streams()
-        self.note_passed()
+        self.record_traffic()
 
     # Faults.
 
     def plan(self, start: float) -> None:
-        """Set the faults of a run that starts then, on the monotonic clock."""
+        """Schedule the faults of a run; `start` is on the monotonic clock."""
         for fault in network_faults(self.scenario, start):
             at(self.reactor, fault.since, self.begin, fault)
 
     def begin(self, fault: NetworkFault) -> None:
-        """Let a fault hold from now on until its end."""
-        self.note_fault(fault, "begin")
+        """Start a fault now and schedule its end; a reset has none."""
+        self.record_fault(fault, "begin")
         if fault.kind == "reset_network":
             self.reset(fault)
             return
@@ -100,11 +100,11 @@
         at(self.reactor, fault.until, self.end, fault)
 
     def end(self, fault: NetworkFault) -> None:
-        """Let a fault hold no more, where it still does."""
+        """End a fault if it is still active."""
         if fault in self.faults:
             self.faults.remove(fault)
             self.links.clear()
-            self.note_fault(fault, "end")
+            self.record_fault(fault, "end")
 
     def heal(self) -> None:
         """End all faults."""
@@ -112,14 +112,14 @@
             self.end(fault)
 
     def reset(self, fault: NetworkFault) -> None:
-        """Reset every stream that touches the fault's set."""
+        """Reset every stream from or to a gateway of the fault's set."""
         for stream in list(self.streams):
             if fault.touches(stream.sender, stream.receiver):
                 self.counts["reset"] += 1
                 stream.abort()
 
-    def note_fault(self, fault: NetworkFault, event: str) -> None:
-        """Record a fault's begin or end."""
+    def record_fault(self, fault: NetworkFault, event: str) -> None:
+        """Record the start or the end of a fault."""
         self.recorder.note(
             what=event,
             fault=fault.kind,
@@ -132,7 +132,7 @@
         self.recorder.flush()
 
     def link(self, sender: int, receiver: int) -> LinkCondition:
-        """Return how a link fares now."""
+        """Return the present condition of a link."""
         if not self.faults:
             return CLEAR
         found = self.links.get((sender, receiver))
@@ -141,22 +141,25 @@
             self.links[sender, receiver] = found
         return found
 
-    def note_passed(self) -> None:
-        """Record what passed, now and from now on."""
+    def record_traffic(self) -> None:
+        """Record the traffic counts now, and schedule the next time."""
         self.recorder.note(what="passed", **self.sent, **self.counts)
         self.recorder.flush()
-        self.reactor.callLater(REPORT_INTERVAL, self.note_passed)
+        self.reactor.callLater(REPORT_INTERVAL, self.record_traffic)
 
     # Streams.
 
     def resume_streams(self) -> None:
-        """Let streams that a cut held go on, now and from now on."""
+        """Resume streams held by a cut that has ended; repeat periodically."""
         for stream in list(self.streams):
             stream.resume()
         self.reactor.callLater(StreamEnd.RESUME_INTERVAL, self.resume_streams)
 
     def accept(self, peer: Any, receiver: int) -> StreamEnd | None:
-        """Take a connection to a gateway's address; None refuses a stranger's."""
+        """Accept a connection to a gateway's address.
+
+        None refuses it: it is from no gateway, or MAX_STREAMS is reached.
+        """
         sender = self.sender_of(peer.host, receiver)
         if sender is None or len(self.streams) >= MAX_STREAMS:
             self.counts["strangers"] += 1
@@ -168,14 +171,14 @@
     # Packets.
 
     def sender_of(self, host: str, receiver: int) -> int | None:
-        """Return which gateway speaks to another; None for a stranger or itself."""
+        """Return which gateway an address belongs to; None for none or the receiver."""
         sender = speaker(host)
         if sender is None or sender >= self.gateway_count or sender == receiver:
             return None
         return sender
 
     def on_packet(self, sender: int, receiver: int, data: bytes) -> None:
-        """Pass a packet on as the link has it."""
+        """Forward a packet, subject to the loss, duplication and delay of the link."""
         self.sent["packets"][sender] += 1
         self.sent["octets"][sender] += len(data)
         copies = self.link(sender, receiver).draw_copies(self.random)
@@ -192,25 +195,25 @@
                 self.reactor.callLater(delay, self.send_delayed, sender, receiver, data)
 
     def send_delayed(self, sender: int, receiver: int, data: bytes) -> None:
-        """Send a packet whose delay is over."""
+        """Forward a packet after its delay."""
         self.delayed_packets -= 1
         self.addresses[sender].send(receiver, data)
 
 
 class RelayedAddress(DatagramProtocol):
-    """A gateway's address outside.
+    """The UDP socket at the address that a gateway advertises.
 
-    It hears what others say to the gateway, and says what the gateway says to others.
+    It receives packets for the gateway and forwards packets that the gateway sends.
     """
 
-    transport: Any  # set by Twisted; its type there lacks what UDP has
+    transport: Any  # set by Twisted, whose declared type lacks UDP's methods
 
     def __init__(self, relay: NetworkRelay, number: int) -> None:
         self.relay = relay
         self.number = number
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a packet to this gateway."""
+        """Handle a packet for this gateway."""
         sender = self.relay.sender_of(addr[0], self.number)
         if sender is None:
             self.relay.counts["strangers"] += 1
@@ -218,7 +221,7 @@
         self.relay.on_packet(sender, self.number, data)
 
     def send(self, receiver: int, data: bytes) -> None:
-        """Send a packet of this gateway to another."""
+        """Forward a packet of this gateway to another."""
         try:
             self.transport.write(data, (inside(receiver), self.relay.port))
         except OSError:
--- a/milletsill/lab/node_listener.py
+++ b/milletsill/lab/node_listener.py
@@ -1,4 +1,4 @@
-"""The sockets of a stand-in node: connections of gateways and what they say."""
+"""The listener of a stand-in node: connections of gateways and their packets."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from milletsill.sftp.framing import PacketSplitter
 
 MAX_PACKET = 64_000_000
-"""Bytes of a packet."""
+"""Greatest length of a packet, in bytes."""
 
 
 class GatewayConnection(Protocol):
-    """One connection of a gateway to a stand-in node."""
+    """A connection of a gateway to a stand-in node."""
 
     transport: StreamTransport  # type: ignore[assignment]
 
@@ -35,7 +35,7 @@
         self.number = node.connection_count
 
     def connectionMade(self) -> None:
-        """Refuse a connection over the node's limit."""
+        """Accept the connection, or abort it if the node has too many."""
         self.is_open = True
         if len(self.node.connections) >= self.node.kind.most_connections:
             self.transport.abortConnection()
@@ -44,16 +44,16 @@
         self.node.connections.add(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Forget the connection."""
+        """Remove the connection from the node."""
         self.is_open = False
         self.node.connections.discard(self)
 
     def abort(self) -> None:
-        """End the connection now, wherever a packet stands."""
+        """Abort the connection now, even in the middle of a packet."""
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take the packets that are whole; what is malformed ends the connection."""
+        """Handle complete packets; a malformed one aborts the connection."""
         self.splitter.feed(data)
         try:
             while (body := self.splitter.next()) is not None:
@@ -64,7 +64,7 @@
             self.transport.abortConnection()
 
     def on_packet(self, packet: Any) -> None:
-        """Take one packet of a gateway."""
+        """Handle one packet from a gateway."""
         node = self.node
         if node.silent:
             return
@@ -84,11 +84,11 @@
             self.send(packets.Status(packet.id, packets.OK))
 
     def answer(self, packet_id: int, reply: NodeReply) -> None:
-        """Answer an attempt, with the node's load as it reports it now."""
+        """Answer an attempt and add the node's current load report."""
         if self.node.silent:
             return
         self.node.answer_count += 1
-        told = NodeReply(
+        reply_with_load = NodeReply(
             reply.verdict,
             reply.text,
             self.node.load_report(),
@@ -96,10 +96,10 @@
             reply.elsewhere,
             reply.answer,
         )
-        self.send(extensions.encode_node_reply(packet_id, told))
+        self.send(extensions.encode_node_reply(packet_id, reply_with_load))
 
     def send(self, packet: packets.Packet) -> None:
-        """Send a packet, where there is still somebody to send it to."""
+        """Send a packet, unless the connection is closed or the node is silent."""
         if not self.is_open or self.node.silent:
             return
         data = packet_codec.encode(packet)
@@ -109,7 +109,7 @@
 
 
 class NodeListener(Factory):
-    """Takes the connections of gateways to a stand-in node."""
+    """Accepts the connections of gateways to a stand-in node."""
 
     noisy = False
 
@@ -117,5 +117,5 @@
         self.node = node
 
     def buildProtocol(self, addr: IAddress | None) -> GatewayConnection:
-        """Make the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return GatewayConnection(self.node)
--- a/milletsill/lab/node_stand_in.py
+++ b/milletsill/lab/node_stand_in.py
@@ -1,6 +1,6 @@
-"""The stand-in for a storage node: answers attempts in the time its engine takes.
+"""A stand-in for a storage node, which answers attempts in the time its engine takes.
 
-Faults come on command. Times are seconds of a clock that is handed in.
+Its methods inject faults. Times are seconds of a clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 from milletsill.sftp.wire import bytes_to_text
 
 MAX_KEYS = 100_000
-"""Idempotency keys that a node remembers at the most."""
+"""Greatest number of idempotency keys that a node remembers."""
 MAX_REPORTS = 200
 METADATA_WORK = 0.001
-"""Seconds of work a unit of what is neither read nor written."""
-UNKNOWN_SPREAD = 0.2
+"""Seconds of work per unit of a command that is neither a read nor a write."""
+DEFAULT_SPREAD = 0.2
 MIN_WORK_FACTOR = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class WorkEstimate:
-    """Seconds of work a unit on the mean, and the spread as a share of that."""
+    """Mean work per unit in seconds, and its relative standard deviation."""
 
     seconds_per_unit: float
     spread: float
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStandInSettings:
-    """What a stand-in node is; `work` by the request class's name."""
+    """The settings of a stand-in node; `work` is by the request class's name."""
 
     node: int
     cell: int
@@ -51,22 +51,22 @@
 
 
 class AttemptSource(Protocol):
-    """The connection that an attempt came on."""
+    """The connection on which an attempt arrived."""
 
     def answer(self, packet_id: int, reply: NodeReply) -> None:
         """Answer an attempt."""
 
 
 class NodeTransport(Protocol):
-    """The connection of a gateway, as a fault sees it."""
+    """The part of a gateway's connection that fault injection uses."""
 
     def abort(self) -> None:
-        """End it now, wherever a packet stands."""
+        """Abort the connection now, even in the middle of a packet."""
 
 
 @dataclass(frozen=True, slots=True)
 class PendingAttempt:
-    """An attempt in work, and where its answer goes."""
+    """An attempt that is queued or in progress, and where its answer goes."""
 
     source: AttemptSource
     packet_id: int
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RememberedReply:
-    """What was done under an idempotency key, and when."""
+    """The reply to the request with an idempotency key, and when it was given."""
 
     at: float
     reply: NodeReply
@@ -85,19 +85,20 @@
 
 
 def attempt_key(request: NodeRequest) -> AttemptKey:
-    """Return what names an attempt over all gateways."""
+    """Return a key that identifies an attempt among all gateways."""
     return request.gateway, request.incarnation, request.transfer, request.number
 
 
 class NodeStandIn:
-    """One node: its files, its present engine, its connections.
+    """A stand-in node: its files, its engine since the last start, its connections.
 
     Attributes:
-        port: Where it listens; set by whoever makes it listen.
-        silent: It neither answers nor resets: what it was doing is lost.
-        draining: It rejects what is new.
-        down: It was pushed over while cold, for good.
-        added_report_delay: Seconds that its load reports are late beside the usual.
+        port: The listening port; set by the code that makes the node listen.
+        silent: The node neither answers nor resets connections; its work in progress
+            is lost.
+        draining: The node rejects new attempts.
+        down: The node has failed permanently, from overload while it was cold.
+        added_report_delay: Extra delay of its load reports, in seconds.
     """
 
     def __init__(
@@ -125,7 +126,7 @@
         self.boot(cold=False)
 
     def boot(self, cold: bool) -> None:
-        """Start: nothing of the last run is left but the files."""
+        """Start the node; of its state before, only the files remain."""
         now = self.clock()
         rules = self.settings.rules
         self.engine = Engine(self.kind, rules, self.random, now, cold, self.speed)
@@ -134,7 +135,7 @@
             (now, {"queue": 0.0, "inflight": 0.0, "busy": 0.0})
         ]
         self.units_served: dict[int, int] = {}
-        self.units_told: dict[tuple[str, int], int] = {}
+        self.units_reported: dict[tuple[str, int], int] = {}
         self.jobs: dict[AttemptKey, Job] = {}
         self.started_wall_ms = int(time.time() * 1000) if cold else 0
         self.silent = False
@@ -155,26 +156,26 @@
     # Faults.
 
     def vanish(self) -> None:
-        """Fall silent: no answer and no reset; what it was doing is lost."""
+        """Become silent: no answers and no resets; work in progress is lost."""
         self.silent = True
 
     def restart(self) -> None:
-        """Come back cold; old connections end now."""
+        """Restart cold and break all connections."""
         self.drop()
         self.boot(cold=True)
 
     def cut(self) -> None:
-        """Break every connection, wherever a packet stands."""
+        """Abort every connection, even in the middle of a packet."""
         for connection in list(self.connections):
             connection.abort()
 
     def drop(self) -> None:
-        """Break every connection and do nothing more."""
+        """Abort every connection and stop the work."""
         self.cut()
         self.cancel_timer()
 
-    def fall(self) -> None:
-        """Go down for good: it was pushed over while cold."""
+    def fail_permanently(self) -> None:
+        """Fail permanently, from overload while the node is cold."""
         self.down = True
         if self.recorder is not None:
             self.recorder.note(box=self.settings.node, what="fell")
@@ -187,12 +188,12 @@
     def on_attempt(
         self, source: AttemptSource, packet_id: int, request: NodeRequest
     ) -> None:
-        """Take an attempt, or answer it at once."""
+        """Start or queue an attempt, or answer it at once."""
         if self.down:
             return
         now = self.clock()
         self.finish(self.engine.advance(now))
-        known = self.known_reply(request.ticket)
+        known = self.remembered_reply(request.ticket)
         if known is not None:
             source.answer(packet_id, known)
             return
@@ -210,7 +211,7 @@
             PendingAttempt(source, packet_id, request),
         )
         if self.engine.fallen:
-            self.fall()
+            self.fail_permanently()
         elif job is None:
             source.answer(packet_id, NodeReply(NodeReplyStatus.FULL))
         else:
@@ -218,9 +219,9 @@
         self.schedule()
 
     def draw_work(self, request: NodeRequest) -> float:
-        """Draw the seconds of work that an attempt means."""
+        """Draw the work of an attempt, in seconds."""
         estimate = self.settings.work.get(
-            request.category, WorkEstimate(METADATA_WORK, UNKNOWN_SPREAD)
+            request.category, WorkEstimate(METADATA_WORK, DEFAULT_SPREAD)
         )
         per_unit = estimate.seconds_per_unit
         if not isinstance(request.command, (packets.Read, packets.Write)):
@@ -228,38 +229,38 @@
         factor = self.random.gauss(1.0, min(estimate.spread, 1.0))
         return per_unit * request.units * max(factor, MIN_WORK_FACTOR)
 
-    def known_reply(self, idempotency_key: str) -> NodeReply | None:
-        """Return what was done under a key, for as long as it is remembered."""
+    def remembered_reply(self, idempotency_key: str) -> NodeReply | None:
+        """Return the reply for an idempotency key; None if unknown or expired."""
         known = self.remembered.get(idempotency_key)
         if known is None or self.clock() - known.at > self.kind.ticket_s:
             return None
         return known.reply
 
     def cancel(self, gateway: str, incarnation: int, request: int, number: int) -> None:
-        """Nobody waits for an attempt any more."""
+        """Cancel an attempt, as its gateway no longer waits for it."""
         job = self.jobs.pop((gateway, incarnation, request, number), None)
         if job is not None and not self.silent:
             self.engine.cancel(job)
 
     def cancel_timer(self) -> None:
-        """Stop waiting for the soonest end."""
+        """Cancel the timer of the next end of work."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
     def schedule(self) -> None:
-        """Wait for the soonest end, by one timer."""
+        """Set the timer to the next end of work."""
         self.cancel_timer()
         if self.engine.working and not self.down:
             soonest = self.engine.soonest(self.clock())
             self.timer = self.reactor.callLater(soonest, self.on_timer)
 
     def on_timer(self) -> None:
-        """Something may have ended."""
+        """Finish the work that has ended and set the timer again."""
         self.finish(self.engine.advance(self.clock()))
         self.schedule()
 
     def finish(self, jobs: list[Job]) -> None:
-        """Do to the files what ended, remember it and answer."""
+        """Run the commands of finished jobs and answer their attempts."""
         for job in jobs:
             if job.what is None:
                 continue
@@ -275,18 +276,18 @@
                 pending.source.answer(pending.packet_id, error)
 
     def result_of(self, request: NodeRequest) -> NodeReply | None:
-        """Run an attempt's command; None where the node has an error instead.
+        """Run an attempt's command; None if the node fails it with an error.
 
-        Two attempts under one idempotency key may have been here at once: the second
-        has the effect of the first.
+        Two attempts with one idempotency key may be in progress at once. The second to
+        finish gets the first one's reply and has no effect of its own.
         """
-        known = self.known_reply(request.ticket)
+        known = self.remembered_reply(request.ticket)
         if known is not None:
             return known
         if self.random.random() < self.kind.error_rate:
             return None
         reply = self.files.run(request.command)
-        self.note_effect(request, reply)
+        self.record_effect(request, reply)
         reply = replace(
             reply,
             text=reply.text or str(self.settings.cell),
@@ -298,17 +299,21 @@
         return reply
 
     def count_units(self, request: NodeRequest) -> int:
-        """Count an attempt's units; return those of others since its gateway's last."""
+        """Count the units of an attempt and return those served to other gateways.
+
+        The result is the number of units of the volume that this node has served to
+        other gateways since this gateway's previous attempt.
+        """
         units = int(request.units)
         served = self.units_served.get(request.volume, 0) + units
         self.units_served[request.volume] = served
         gateway_volume = (request.gateway, request.volume)
-        told = self.units_told.get(gateway_volume, 0)
-        self.units_told[gateway_volume] = served
-        return max(served - told - units, 0)
+        reported = self.units_reported.get(gateway_volume, 0)
+        self.units_reported[gateway_volume] = served
+        return max(served - reported - units, 0)
 
     def remember(self, idempotency_key: str, reply: NodeReply) -> None:
-        """Remember what was done under a key; forget what is too old or too much."""
+        """Remember the reply for a key; drop replies expired or over the limit."""
         now = self.clock()
         self.remembered[idempotency_key] = RememberedReply(now, reply)
         while self.remembered:
@@ -318,8 +323,8 @@
                 return
             self.remembered.popitem(last=False)
 
-    def note_effect(self, request: NodeRequest, reply: NodeReply) -> None:
-        """Record a write when it takes effect, also where nobody waits for it."""
+    def record_effect(self, request: NodeRequest, reply: NodeReply) -> None:
+        """Record the effect of a write, also if its gateway no longer waits for it."""
         command = request.command
         if (
             self.recorder is None
@@ -339,7 +344,7 @@
         )
 
     def load_report(self) -> dict[str, float]:
-        """Return the newest load report that is not younger than its delay."""
+        """Return the newest load report that is at least as old as the report delay."""
         now = self.clock()
         if now - self.reports[-1][0] >= self.kind.report_every_ms / 1000:
             queued = len(self.engine.queue)
@@ -357,7 +362,7 @@
         return self.reports[0][1]
 
     def registry_entry(self, state: str = "ready") -> dict[str, Any]:
-        """Return its value in the registry; the keys are those of the registry."""
+        """Return the node's entry in the registry, with the registry's own keys."""
         host = self.port.getHost()
         return {
             "id": self.settings.node,
--- a/milletsill/lab/planted_faults.py
+++ b/milletsill/lab/planted_faults.py
@@ -1,10 +1,11 @@
-"""Faults that are planted in gateways on purpose, in the laboratory only.
-
-The audit has to find each of them. Each takes out what one contract's gate rests on;
-`lab run --plant NAME` starts the gateways with it. So that this meets a crossing for
-sure and not by chance, what was released then lingers on its way to the nodes until
-another that its contract orders after it has taken effect. Lingering alone, `linger`,
-is lawful: no gate releases that other before, and all contracts are kept.
+"""Faults that are planted in the gateways on purpose, to test the laboratory's audit.
+
+`lab run --plant NAME` starts the gateways with a planted fault, which the audit must
+find. Each fault disables the predecessor rule of one contract's order, so that the
+owner releases numbers too early. To produce an ordering violation every time and not by
+chance, a released number is also delayed on its way to the nodes until a number that
+the contract orders after it has taken effect. The delay alone (`linger`) violates no
+contract, since the predecessor rules do not release the later number before.
 """
 
 from __future__ import annotations
@@ -19,14 +20,15 @@
 from milletsill.fleet.channels.owned_channel import OwnedChannel
 
 MAX_LINGER = 1.0
-"""Seconds for which one number is kept back at the most."""
+"""Greatest delay of one number, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class LingerRule:
-    """Which numbers linger under an order, and which others end that.
+    """Which numbers are delayed under an order, and which others end the delay.
 
-    `lingers` is asked of a request, `follows` of it and a higher number.
+    `lingers` tells whether a request is delayed; `follows` tells whether the order
+    places a request with a higher number after it.
     """
 
     lingers: Callable[[Any], bool]
@@ -45,30 +47,30 @@
         lambda one, other: bool(other.batch > one.batch),
     ),
 }
-ChannelPlace = tuple[int, str]
+ChannelKey = tuple[int, str]
 
 
 @dataclass(frozen=True, slots=True)
-class LingeringRelease:
-    """A release that is kept back, and the timer that ends it."""
+class DelayedRelease:
+    """A delayed release, and the timer that ends its delay."""
 
     channel: Any
     release: Any
     timer: Any
 
 
-class LingeringReleases:
-    """One number of each channel of these orders at a time, kept back.
+class DelayedReleases:
+    """Delays one number at a time of each channel with one of these orders.
 
-    Between its owner and the scheduler; `owned_channel` is the class, whose methods
-    this takes the place of.
+    The delay lies between the channel owner and the scheduler. `owned_channel` is the
+    class whose methods `release` and `on_attempt_ended` are replaced.
     """
 
     def __init__(self, owned_channel: Any, orders: Iterable[str]) -> None:
         self.orders = set(orders)
         self.release = owned_channel.release
         self.on_attempt_ended = owned_channel.on_attempt_ended
-        self.kept_back: dict[ChannelPlace, LingeringRelease] = {}
+        self.delayed: dict[ChannelKey, DelayedRelease] = {}
         owned_channel.release = lambda channel, release: self.on_release(
             channel, release
         )
@@ -76,69 +78,73 @@
             channel, number, end
         )
 
-    def place(self, channel: Any) -> ChannelPlace:
-        """Return what names a channel at its owner."""
+    def channel_key(self, channel: Any) -> ChannelKey:
+        """Return a key that identifies a channel at its owner."""
         return id(channel.host), channel.key
 
     def on_release(self, channel: Any, release: Any) -> None:
-        """Keep a release back, or let it go on at once."""
+        """Delay a release, or pass it on at once."""
         order = channel.sequencer.contract.order.name
-        place = self.place(channel)
+        channel_key = self.channel_key(channel)
         if (
             order not in self.orders
-            or place in self.kept_back
+            or channel_key in self.delayed
             or not LINGER_RULES[order].lingers(release.request)
         ):
             self.release(channel, release)
             return
         reactor = channel.host.reactor
-        timer = reactor.callLater(MAX_LINGER, self.resume, place)
-        self.kept_back[place] = LingeringRelease(channel, release, timer)
+        timer = reactor.callLater(MAX_LINGER, self.resume, channel_key)
+        self.delayed[channel_key] = DelayedRelease(channel, release, timer)
 
     def on_ended(self, channel: Any, number: int, end: Any) -> None:
-        """Let go on what was kept back, where a later number took effect."""
-        sequence = channel.sequencer.open_numbers.get(number)
-        place = self.place(channel)
+        """Pass on the delayed release once a number that follows it took effect."""
+        open_number = channel.sequencer.open_numbers.get(number)
+        channel_key = self.channel_key(channel)
         self.on_attempt_ended(channel, number, end)
-        kept = self.kept_back.get(place)
-        if kept is None or kept.channel is not channel or sequence is None:
+        delayed_release = self.delayed.get(channel_key)
+        if (
+            delayed_release is None
+            or delayed_release.channel is not channel
+            or open_number is None
+        ):
             return
-        if end.event.name != "SETTLED" or number <= kept.release.number:
+        if end.event.name != "SETTLED" or number <= delayed_release.release.number:
             return
         rule = LINGER_RULES[channel.sequencer.contract.order.name]
-        if rule.follows(kept.release.request, sequence):
-            self.resume(place)
+        if rule.follows(delayed_release.release.request, open_number):
+            self.resume(channel_key)
 
-    def resume(self, place: ChannelPlace) -> None:
-        """Let a release go on."""
-        kept = self.kept_back.pop(place)
-        if kept.timer.active():
-            kept.timer.cancel()
-        self.release(kept.channel, kept.release)
+    def resume(self, channel_key: ChannelKey) -> None:
+        """Pass on a delayed release."""
+        delayed_release = self.delayed.pop(channel_key)
+        if delayed_release.timer.active():
+            delayed_release.timer.cancel()
+        self.release(delayed_release.channel, delayed_release.release)
 
 
-def plant_lingering(*orders: str) -> None:
-    """Let releases under these orders linger."""
-    LingeringReleases(OwnedChannel, orders)
+def plant_delay(*orders: str) -> None:
+    """Delay releases under these orders."""
+    DelayedReleases(OwnedChannel, orders)
 
 
-def open_gate(*orders: str) -> Callable[[], None]:
-    """Return what plants that nothing stands before a number under these orders."""
+def disable_predecessor_rules(*orders: str) -> Callable[[], None]:
+    """Return a function that disables the predecessor rules of these orders."""
 
     def plant() -> None:
         rules: Any = PREDECESSOR_RULES
         for order in orders:
             rules[ChannelOrder[order]] = lambda channel, number: None
-        plant_lingering(*orders)
+        plant_delay(*orders)
 
     return plant
 
 
 PLANTED_FAULTS: dict[str, Callable[[], None]] = {
-    "each-in-order": open_gate("EACH_IN_ORDER"),
-    "newest": open_gate("NEWEST"),
-    "by-extent": open_gate("BY_EXTENT"),
-    "batches": open_gate("BATCHES"),
-    "all": open_gate(*LINGER_RULES),
-    "linger": lambda: plant_lingering(*LINGER_RULES),
+    "each-in-order": disable_predecessor_rules("EACH_IN_ORDER"),
+    "newest": disable_predecessor_rules("NEWEST"),
+    "by-extent": disable_predecessor_rules("BY_EXTENT"),
+    "batches": disable_predecessor_rules("BATCHES"),
+    "all": disable_predecessor_rules(*LINGER_RULES),
+    "linger": lambda: plant_delay(*LINGER_RULES),
 }
--- a/tests/fleet/membership/test_view_end_to_end.py
+++ b/tests/fleet/membership/test_view_end_to_end.py
@@ -45,7 +45,7 @@
 
         def assert_views_agree(among, step, since=0.0):
             self.assertTrue(
-                fleet.wait(lambda: fleet.agree(among, since), MAX_WAIT),
+                fleet.wait(lambda: fleet.views_agree(among, since), MAX_WAIT),
                 (step, fleet.views(among)),
             )
 
@@ -61,7 +61,7 @@
             if line["event"] == "member" and line["member"] == "gw-3"
         ]
         self.assertIn("gone", {line["change"] for line in member_lines})
-        fleet.forget_state(3)
+        fleet.delete_state(3)
         since = time.time()
         fleet.start(3)
         assert_views_agree([0, 1, 2, 3], "restart with lost state", since)
--- a/tests/lab/test_audit_fleet.py
+++ b/tests/lab/test_audit_fleet.py
@@ -13,7 +13,7 @@
 from milletsill.lab.fault_timeline import (
     DownSpan,
     FaultTimeline,
-    PartedSpan,
+    NetworkFaultSpan,
     TimelineMark,
 )
 from milletsill.lab.gateway_logs import (
@@ -63,7 +63,7 @@
     def test_each_side_of_a_split_agrees_by_itself(self):
         timeline = FaultTimeline(
             {},
-            [PartedSpan("split", frozenset("a"), 5.0, 9.0)],
+            [NetworkFaultSpan("split", frozenset("a"), 5.0, 9.0)],
             marks((0.0, "start"), (5.0, "split"), (9.0, "healed")),
         )
         views = {
@@ -72,7 +72,7 @@
             "c": [(1.0, "x"), (8.0, "bc"), (10.0, "x")],
         }
         self.assertEqual(self.found(views, timeline), [1.0, 3.0, 2.0])
-        timeline.network[0] = PartedSpan("isolate", frozenset("ab"), 5.0, 9.0)
+        timeline.network[0] = NetworkFaultSpan("isolate", frozenset("ab"), 5.0, 9.0)
         self.assertEqual(self.found(views, timeline)[1], None)
 
     def test_who_is_called_gone_without_a_cause(self):
@@ -85,7 +85,7 @@
         )
         timeline = FaultTimeline(
             {"c": [DownSpan(5.0, 8.0)]},
-            [PartedSpan("split", frozenset("a"), 50.0, 55.0)],
+            [NetworkFaultSpan("split", frozenset("a"), 50.0, 55.0)],
             [],
         )
         self.assertEqual(false_deaths(logs, timeline), ["40.000 a called b gone"])
--- a/tests/lab/test_planted_faults.py
+++ b/tests/lab/test_planted_faults.py
@@ -1,4 +1,8 @@
-"""The laboratory's planted faults meet a crossing for sure: a higher number takes effect before a lower one. Lingering alone does not."""
+"""Guards against planted faults that the audit could miss by chance.
+
+Each planted fault must make a number take effect before a lower number that its order
+places first. The delay of releases alone (`linger`) must not.
+"""
 
 import unittest
 from types import SimpleNamespace
@@ -35,7 +39,10 @@
 
 
 class Surroundings:
-    """What a channel owner needs, each with its answer at once; transfers have an effect in the order in which they leave."""
+    """A channel owner with stand-ins that answer at once.
+
+    Requests take effect in the order in which the owner releases them.
+    """
 
     def __init__(self, order):
         self.clock, self.effects, self.answers = Clock(), [], []
@@ -90,7 +97,7 @@
         self.clock.callLater(0.001, on_ended, end)
 
 
-class Planted(unittest.TestCase):
+class PlantedFaults(unittest.TestCase):
     def effects(self, plant, order):
         with (
             mock.patch.dict(ordering.PREDECESSOR_RULES),
@@ -108,10 +115,10 @@
                 surroundings.clock.advance(MAX_LINGER / 10)
             return surroundings.effects
 
-    def crossed(self, effects, order):
-        """Pairs in which one took effect before another that its contract orders before it."""
+    def violations(self, effects, order):
+        """Return pairs that took effect in the reverse of the order's sequence."""
         follows = LINGER_RULES[order.name].follows
-        made = {
+        requests = {
             number: SimpleNamespace(
                 ranges=(AccessRange(1, number % 2, number % 2),),
                 batch=(number + 1) // 2,
@@ -122,11 +129,11 @@
             (one, two)
             for place, one in enumerate(effects)
             for two in effects[place + 1 :]
-            if one > two and follows(made[two], made[one])
+            if one > two and follows(requests[two], requests[one])
         ]
 
-    def test_each_plant_makes_a_crossing_and_only_under_its_own_order(self):
-        for name, of in (
+    def test_each_fault_violates_its_own_order_and_no_other(self):
+        for name, violated_order in (
             ("each-in-order", "EACH_IN_ORDER"),
             ("newest", "NEWEST"),
             ("by-extent", "BY_EXTENT"),
@@ -135,20 +142,20 @@
             for order in ChannelOrder:
                 effects = self.effects(name, order)
                 self.assertEqual(
-                    bool(self.crossed(effects, order)),
-                    order.name == of,
+                    bool(self.violations(effects, order)),
+                    order.name == violated_order,
                     (name, order, effects),
                 )
-                self.assertTrue(self.crossed(self.effects("all", order), order))
+                self.assertTrue(self.violations(self.effects("all", order), order))
 
-    def test_lingering_alone_is_lawful_and_ends(self):
+    def test_delay_alone_violates_no_order_and_ends(self):
         for order in ChannelOrder:
             effects = self.effects("linger", order)
-            self.assertEqual(self.crossed(effects, order), [])
+            self.assertEqual(self.violations(effects, order), [])
             self.assertEqual(
                 set(effects) - {1, 2, 3, 4, 5},
                 {6},
-                "the newest leaves whatever lingers",
+                "number 6 is released despite the delay",
             )
 
 
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -1,4 +1,4 @@
-"""The stand-in network: what it decides, and two gateways' addresses that speak through it over UDP and TCP."""
+"""Tests the network faults and the relay, which forwards UDP and TCP between gateways."""
 
 import json
 import socket
@@ -35,11 +35,11 @@
 """
 
 
-class Moments(unittest.TestCase):
-    def test_a_wall_clock_that_is_set_on_or_back_moves_no_fault(self):
+class CallsAtATime(unittest.TestCase):
+    def test_setting_the_wall_clock_does_not_move_a_fault(self):
         wall, monotonic, called = Clock(), [100.0], []
         at(wall, 110.0, called.append, "begin", now=lambda: monotonic[0])
-        for _ in range(80):  # set on by 40 s while half a second goes by
+        for _ in range(80):  # set forward by 40 s within half a second
             wall.advance(0.5)
         monotonic[0] = 109.9
         wall.advance(0.5)
@@ -50,7 +50,7 @@
 
 
 class NetworkFaults(unittest.TestCase):
-    def test_who_is_cut_from_whom(self):
+    def test_links_that_each_kind_of_fault_cuts(self):
         pairs = [(a, b) for a in range(3) for b in range(3) if a != b]
         for what, on, cut in (
             ("split", {0, 1}, {(0, 2), (1, 2), (2, 0), (2, 1)}),
@@ -65,7 +65,7 @@
                 what,
             )
 
-    def test_faults_add_up_and_no_fault_is_clear(self):
+    def test_faults_add_up_and_an_unaffected_link_is_clear(self):
         both = link_condition(
             [
                 NetworkFault("lossy", 0, 1, frozenset(), 0.5, 0.1),
@@ -82,14 +82,14 @@
             CLEAR,
         )
 
-    def test_packets_are_lost_doubled_and_late_by_chance_and_streams_lose_nothing(self):
-        chance, poor = Random(1), LinkCondition(False, 0.5, 0.5, 0.01, 0.02)
-        copies = [poor.draw_copies(chance) for _ in range(1000)]
+    def test_packets_are_lost_duplicated_and_delayed_and_streams_lose_nothing(self):
+        chance, lossy = Random(1), LinkCondition(False, 0.5, 0.5, 0.01, 0.02)
+        copies = [lossy.draw_copies(chance) for _ in range(1000)]
         self.assertTrue(
             all(
                 400 < sum(len(each) == count for each in copies) < 600 for count in (0,)
             ),
-            "half is lost",
+            "half of the packets are lost",
         )
         self.assertTrue(150 < sum(len(each) == 2 for each in copies) < 350)
         self.assertTrue(all(0.01 <= each < 0.06 for found in copies for each in found))
@@ -97,9 +97,9 @@
             (LinkCondition(True).draw_copies(chance), CLEAR.draw_copies(chance)),
             ((), (0.0,)),
         )
-        self.assertTrue(all(poor.draw_piece(chance) >= 0.01 for _ in range(100)))
+        self.assertTrue(all(lossy.draw_piece(chance) >= 0.01 for _ in range(100)))
 
-    def test_the_same_seed_draws_the_same_sets(self):
+    def test_the_same_seed_draws_the_same_gateways(self):
         first, again = (
             network_faults(text_format.Parse(SCENARIO, Scenario()), 100.0)
             for _ in range(2)
@@ -114,8 +114,8 @@
         self.assertEqual([len(each.gateways) for each in first], [2, 1, 0])
 
 
-class Relayed(unittest.TestCase):
-    """Gateways 0 and 1 are plain sockets here."""
+class Relay(unittest.TestCase):
+    """Tests the relay process; plain sockets stand in for gateways 0 and 1."""
 
     @classmethod
     def setUpClass(cls):
@@ -145,13 +145,13 @@
             except OSError:
                 time.sleep(0.05)
 
-    def order(self, **told):
-        self.line.write(json.dumps(told) + "\n")
+    def command(self, **fields):
+        self.line.write(json.dumps(fields) + "\n")
         self.line.flush()
         return json.loads(self.line.readline())
 
     def setUp(self):
-        self.order(what="heal")
+        self.command(what="heal")
         self.sockets = []
         for number in (0, 1):
             made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -160,33 +160,34 @@
             self.addCleanup(made.close)
             self.sockets.append(made)
 
-    def say(self, a, b, data=b"x"):
+    def send(self, a, b, data=b"x"):
         self.sockets[a].sendto(data, (outside(b), self.port))
 
-    def heard(self, b):
+    def receive(self, b):
         try:
             return self.sockets[b].recvfrom(100)
         except TimeoutError:
             return None
 
-    def test_packets_pass_both_ways_under_the_speakers_outside_address(self):
-        self.say(0, 1)
-        data, address = self.heard(1)
+    def test_packets_pass_both_ways_from_the_senders_relayed_address(self):
+        self.send(0, 1)
+        data, address = self.receive(1)
         self.assertEqual((data, address), (b"x", (outside(0), self.port)))
         self.sockets[1].sendto(b"y", address)
-        self.assertEqual(self.heard(0), (b"y", (outside(1), self.port)))
+        self.assertEqual(self.receive(0), (b"y", (outside(1), self.port)))
 
-    def test_one_way_is_cut_and_heals(self):
+    def test_a_one_way_cut_drops_packets_until_it_is_healed(self):
         self.assertEqual(
-            self.order(what="cut_one_way", on=[0], for_s=60)["faults"], ["cut_one_way"]
+            self.command(what="cut_one_way", on=[0], for_s=60)["faults"],
+            ["cut_one_way"],
         )
-        self.say(0, 1), self.say(1, 0)
-        self.assertEqual((self.heard(1), self.heard(0)[0]), (None, b"x"))
-        self.assertEqual(self.order(what="heal")["faults"], [])
-        self.say(0, 1, b"z")
-        self.assertEqual(self.heard(1)[0], b"z")
+        self.send(0, 1), self.send(1, 0)
+        self.assertEqual((self.receive(1), self.receive(0)[0]), (None, b"x"))
+        self.assertEqual(self.command(what="heal")["faults"], [])
+        self.send(0, 1, b"z")
+        self.assertEqual(self.receive(1)[0], b"z")
 
-    def test_a_stream_waits_behind_a_cut_and_ends_with_a_reset(self):
+    def test_a_cut_holds_a_stream_and_a_reset_ends_it(self):
         with socket.create_server((inside(1), self.port)) as server:
             server.settimeout(3)
             near = socket.create_connection(
@@ -196,19 +197,19 @@
             far, address = server.accept()
             far.settimeout(0.3)
             self.assertEqual((far.recv(10), address[0]), (b"a", outside(0)))
-            self.order(what="split", on=[0], for_s=60)
+            self.command(what="split", on=[0], for_s=60)
             near.sendall(b"b")
             self.assertRaises(TimeoutError, far.recv, 10)
-            self.order(what="heal")
+            self.command(what="heal")
             far.settimeout(3)
             self.assertEqual(far.recv(10), b"b")
-            self.order(what="reset_network")
+            self.command(what="reset_network")
             self.assertRaises(ConnectionResetError, near.recv, 10)
             near.close(), far.close()
 
-    def test_bad_orders_are_told_and_lose_nothing(self):
-        for told in ({"what": "rain"}, {}, {"what": "split", "on": "x"}):
-            self.assertIn("error", self.order(**told))
+    def test_invalid_commands_get_an_error_and_keep_the_connection(self):
+        for fields in ({"what": "rain"}, {}, {"what": "split", "on": "x"}):
+            self.assertIn("error", self.command(**fields))
 
 
 if __name__ == "__main__":
