--- a/milletsill/lab/audit_fleet.py
+++ b/milletsill/lab/audit_fleet.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from milletsill.lab.fault_timeline import PARTITIONS, FaultTimeline
+from milletsill.lab.fault_timeline import PARTITION_FAULTS, FaultTimeline
 from milletsill.lab.gateway_logs import GatewayLogs, ReportedDeath, ReportedView
 from milletsill.lab.record_entries import read_entries
 from milletsill.settings.milletsill_pb2 import Scenario
@@ -17,7 +17,7 @@
 DEATH_MAY_FOLLOW = 12.0
 """Seconds after a fault for which a member's being called gone may come of it."""
 NODE_FAULTS = ("slow", "pauses", "neighbour", "vanish")
-PARTING_FAULTS = (*PARTITIONS, "cut_one_way", "lossy")
+PARTING_FAULTS = (*PARTITION_FAULTS, "cut_one_way", "lossy")
 HEALTHY = "steady"
 TRAFFIC_COUNTS = ("packets", "octets", "stream_octets")
 
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -148,7 +148,7 @@
             load.next_operation(),
         )
         self.retries = load.retries_of(volume.plan)
-        self.patience = load.patience_of(self.category, volume.plan)
+        self.patience = load.try_timeout_of(self.category, volume.plan)
         self.turn = 0
         self.try_once()
 
@@ -164,7 +164,7 @@
     def try_once(self) -> None:
         self.turn += 1
         self.try_ends = self.load.now() + self.patience
-        link = self.edge.pick(self.load.chance)
+        link = self.edge.pick(self.load.random)
         if link is None:
             return self.again("unreached", 0.0)
         self.load.reactor.callLater(self.patience, self.give_up, self.turn)
@@ -259,7 +259,7 @@
             return self.end(why)
         self.tries += 1
         wait = 0.0 if abused else clients.pause_ms / 1000
-        if pause and not abused and self.load.chance.random() < clients.honour:
+        if pause and not abused and self.load.random.random() < clients.honour:
             wait = max(wait, pause)
         self.load.reactor.callLater(wait, self.try_once)
 
--- a/milletsill/lab/fault_timeline.py
+++ b/milletsill/lab/fault_timeline.py
@@ -20,7 +20,7 @@
     "balancer_leave",
 )
 ROLLING_FAULT = "balancer_roll"
-PARTITIONS = ("split", "isolate")
+PARTITION_FAULTS = ("split", "isolate")
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,16 +87,18 @@
         partitions = [
             span
             for span in self.network
-            if span.since <= at < span.until and span.kind in PARTITIONS
+            if span.since <= at < span.until and span.kind in PARTITION_FAULTS
         ]
         sides: dict[tuple[str | bool, ...], list[str]] = defaultdict(list)
         for name in names:
             if self.is_up(name, at):
-                sides[tuple(side_in(span, name) for span in partitions)].append(name)
+                sides[tuple(partition_side(span, name) for span in partitions)].append(
+                    name
+                )
         return list(sides.values())
 
 
-def side_in(span: NetworkFaultSpan, name: str) -> str | bool:
+def partition_side(span: NetworkFaultSpan, name: str) -> str | bool:
     """Return a value that is equal for gateways on the same side of a partition."""
     if span.kind == "isolate" and name in span.gateways:
         return name
@@ -115,8 +117,8 @@
 
     def add_down_span(self, gateway: str, since: float, until: float) -> None:
         """Add a down time from `since` to the gateway's first view after `until`."""
-        back_at = self.logs.first_view_at(gateway, until)
-        self.down[gateway].append(DownSpan(since, back_at))
+        view_at = self.logs.first_view_at(gateway, until)
+        self.down[gateway].append(DownSpan(since, view_at))
 
     def recovered_at(self, fault: ProcessFault) -> float:
         """Return when the last of a fault's gateways had a view again."""
--- a/milletsill/lab/fleet_processes.py
+++ b/milletsill/lab/fleet_processes.py
@@ -30,13 +30,13 @@
     """Return ports that are free for both UDP and TCP."""
     sockets = []
     while len(sockets) < 2 * count:
-        one, other = socket.socket(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        one.bind(("127.0.0.1", 0))
+        tcp, udp = socket.socket(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        tcp.bind(("127.0.0.1", 0))
         try:
-            other.bind(("127.0.0.1", one.getsockname()[1]))
-            sockets += [one, other]
+            udp.bind(("127.0.0.1", tcp.getsockname()[1]))
+            sockets += [tcp, udp]
         except OSError:
-            one.close()
+            tcp.close()
     ports = [each.getsockname()[1] for each in sockets[::2]]
     for each in sockets:
         each.close()
@@ -95,13 +95,13 @@
                 stdout=log,
             )
 
-    def send(self, number: int, which: signal.Signals) -> None:
-        self.running[number].send_signal(which)
+    def send(self, number: int, signal_number: signal.Signals) -> None:
+        self.running[number].send_signal(signal_number)
 
-    def end(self, number: int, which: signal.Signals = signal.SIGKILL) -> int:
+    def end(self, number: int, signal_number: signal.Signals = signal.SIGKILL) -> int:
         """Signal a process to end; wait for it and return its exit status."""
         process = self.running.pop(number)
-        process.send_signal(which)
+        process.send_signal(signal_number)
         return process.wait(timeout=20)
 
     def delete_state(self, number: int) -> None:
--- a/milletsill/lab/gossip_gateway.py
+++ b/milletsill/lab/gossip_gateway.py
@@ -120,6 +120,7 @@
     """One gateway: its observations, its report store and its part in the gossip.
 
     Attributes:
+        place: The gateway's index, which is also the origin of its reports.
         store: The reports that the gateway holds.
         exchange: Sends and merges reports.
         evaluator: Judges nodes; None if this gateway does not evaluate.
--- a/milletsill/lab/gossip_simulation.py
+++ b/milletsill/lab/gossip_simulation.py
@@ -35,18 +35,18 @@
 NODES_PER_SHARD = 2
 NODES_PER_FAULTY_NODE = 8  # one node in 8 is faulty
 FALSELY_REPORTED_COUNT = 5
-RATE = 580.0  # requests a second
+RATE = 580.0  # requests per second over all gateways
 EVALUATORS = 10
-PACE_DEVIATION = 1.0
+PACE_DEVIATION = 1.0  # standard deviation of an attempt's log2 pace
 MIN_DELAY = 5  # of a frame in the network
 MAX_DELAY = 60
 LOSS = 0.02  # share of frames that are lost
 LOST_KNOWN_AFTER = 4000  # time until an unanswered attempt counts as lost
 ANSWERED_AFTER = 800
 DELTA_FRAMING_OCTETS = 3
-BEGINS = 6 * SECOND
-ENDS = 16 * SECOND
-LASTS = 28 * SECOND
+FAULT_BEGINS = 6 * SECOND
+FAULT_ENDS = 16 * SECOND
+RUN_ENDS = 28 * SECOND
 QUIET = 4 * SECOND  # time without new reports at the end, before stores are compared
 AGREEING_SHARE = 0.9
 
@@ -114,8 +114,8 @@
             self.faulty_nodes = sorted(
                 draw.sample(nodes, NODE_COUNT // NODES_PER_FAULTY_NODE)
             )
-        well = [node for node in nodes if node not in self.faulty_nodes]
-        self.falsely_reported = draw.sample(well, FALSELY_REPORTED_COUNT)
+        sound = [node for node in nodes if node not in self.faulty_nodes]
+        self.falsely_reported = draw.sample(sound, FALSELY_REPORTED_COUNT)
         self.gateways = [
             GossipGateway(self, place, place < EVALUATORS) for place in range(gateways)
         ]
@@ -154,7 +154,7 @@
 
     def has_fault(self) -> bool:
         """Return whether the fault, or the partition, is active now."""
-        return BEGINS <= self.now < ENDS
+        return FAULT_BEGINS <= self.now < FAULT_ENDS
 
     def is_split_now(self) -> bool:
         """Return whether the fleet is partitioned into halves now."""
@@ -335,27 +335,27 @@
     """
     case, seed, gateways = job
     simulation = GossipSimulation(CASES[case], seed, gateways)
-    simulation.run(BEGINS)
+    simulation.run(FAULT_BEGINS)
     octets_before = simulation.sent_octets()
-    there = seconds_until(simulation, simulation.do_see_fault, BEGINS, ENDS)
+    there = seconds_until(simulation, simulation.do_see_fault, FAULT_BEGINS, FAULT_ENDS)
     false_verdicts = 0
     checks = 0
     agreed = 0
-    while simulation.now < ENDS:
-        simulation.run(min(simulation.now + SECOND // 2, ENDS))
+    while simulation.now < FAULT_ENDS:
+        simulation.run(min(simulation.now + SECOND // 2, FAULT_ENDS))
         checks += 1
         agreed += simulation.do_see_fault()
         false_verdicts += simulation.count_false_verdicts()
     octets = simulation.sent_octets() - octets_before
     back = seconds_until(
-        simulation, lambda: simulation.do_agree(frozenset()), ENDS, LASTS
+        simulation, lambda: simulation.do_agree(frozenset()), FAULT_ENDS, RUN_ENDS
     )
-    simulation.run(LASTS)
+    simulation.run(RUN_ENDS)
     still_flagging = sum(
         bool(gateway.flagged_nodes()) for gateway in simulation.evaluating()
     )
     simulation.is_quiet = True
-    simulation.run(LASTS + QUIET)
+    simulation.run(RUN_ENDS + QUIET)
     return {
         "case": case,
         "seed": seed,
@@ -364,7 +364,7 @@
         "back": back,
         "stays": agreed / max(checks, 1),
         "false_boxes": false_verdicts / max(checks, 1),
-        "octets_a_second": octets / gateways / ((ENDS - BEGINS) / SECOND),
+        "octets_a_second": octets / gateways / ((FAULT_ENDS - FAULT_BEGINS) / SECOND),
         "judges_with_calls_at_the_end": still_flagging,
         "rows_behind": simulation.share_behind(),
     }
--- a/milletsill/lab/load.py
+++ b/milletsill/lab/load.py
@@ -47,17 +47,17 @@
             start,
             out,
         )
-        self.chance, self.now = Random(scenario.seed), time.monotonic
+        self.random, self.now = Random(scenario.seed), time.monotonic
         self.recorder = PacketRecorder(f"{out}/clients.rec", "clients", "clients")
         self.categories = {each.name: each for each in scenario.gateway.category}
         self.plans = {each.name: each for each in scenario.gateway.plan}
-        self.connections = self.operations = self.live = 0
+        self.connections = self.operations = self.open_operations = 0
         self.counts: dict[str, int] = {}
         self.rows: dict[tuple[str, str], dict[str, float]] = {}
         self.histograms = {
             name: HdrHistogram(1, 60_000_000, 3) for name in self.categories
         }
-        self.worst: dict[int, list[float]] = {}
+        self.utility_by_second: dict[int, list[float]] = {}
         self.completed: list[CompletedOperation] = []
         self.trace: list[
             Any
@@ -76,7 +76,7 @@
             EdgeDoor(self, name, address, scenario.clients.connections)
             for name, address in edges
         ]
-        self.number_of = {
+        self.volume_numbers = {
             each.name: place for place, each in enumerate(scenario.gateway.volume)
         }
         self.volumes, self.routing_table = (
@@ -84,28 +84,28 @@
             routing_table_of(scenario.gateway),
         )
         self.place_volumes()
-        self.runs: dict[int, tuple[int, str, int, Any, EdgeDoor]] = {}
+        self.sequential_runs: dict[int, tuple[int, str, int, Any, EdgeDoor]] = {}
         self.tick_at = self.due_at = start
 
     def place_volumes(self) -> None:
         """Choose each volume's gateways, its leading gateway and its usual demand."""
-        chance, count = self.chance, len(self.edges)
+        random, count = self.random, len(self.edges)
         self.gateway_groups, self.weights = [], []
         for volume in self.volumes:
             hosts = min(volume.gateways or count, count)
-            self.gateway_groups.append(chance.sample(range(count), hosts))
+            self.gateway_groups.append(random.sample(range(count), hosts))
             base = list(self.scenario.volume_base)[
                 len(self.weights) : len(self.weights) + 1
             ] or [1.0]
             self.weights.append(self.plans[volume.plan].usual_rate * base[0])
-        self.leaders = [chance.randrange(len(group)) for group in self.gateway_groups]
+        self.leaders = [random.randrange(len(group)) for group in self.gateway_groups]
         self.schedule_shifts()
 
     def shift(self, part: float) -> None:
         """Draw a new leading gateway for about this share of the volumes."""
         for place, group in enumerate(self.gateway_groups):
-            if self.chance.random() < part:
-                self.leaders[place] = self.chance.randrange(len(group))
+            if self.random.random() < part:
+                self.leaders[place] = self.random.randrange(len(group))
 
     def schedule_shifts(self) -> None:
         """Schedule shifts of leading gateways: periodic, and at `reconnect` faults."""
@@ -124,7 +124,7 @@
         if self.now() < self.start_at + self.scenario.seconds:
             self.shift(1.0)
             self.reactor.callLater(
-                interval * self.chance.uniform(0.5, 1.5), self.shift_again, interval
+                interval * self.random.uniform(0.5, 1.5), self.shift_again, interval
             )
 
     def count(self, what: str, by: int = 1) -> None:
@@ -136,7 +136,7 @@
 
     # Faults of clients.
 
-    def troubles(self, *names: str) -> list[Any]:
+    def active_faults(self, *names: str) -> list[Any]:
         at = self.now() - self.start_at
         return [
             each
@@ -145,23 +145,23 @@
         ]
 
     def retries_of(self, plan: str) -> int:
-        abused = [
+        abusive = [
             int(each.size)
-            for each in self.troubles("retry_abuse")
+            for each in self.active_faults("retry_abuse")
             if each.plan in ("", plan)
         ]
-        return max(abused + [self.scenario.clients.retries])
+        return max(abusive + [self.scenario.clients.retries])
 
-    def patience_of(self, category: Any, plan: str) -> float:
+    def try_timeout_of(self, category: Any, plan: str) -> float:
         """Return the time limit of one try, in seconds."""
         shortened = [
             each.extra * category.target_ms
-            for each in self.troubles("retry_abuse")
+            for each in self.active_faults("retry_abuse")
             if each.plan in ("", plan)
         ]
         shortened += [
             each.size * category.target_ms
-            for each in self.troubles("give_up")
+            for each in self.active_faults("give_up")
             if each.plan in ("", plan)
         ]
         return (
@@ -172,7 +172,7 @@
     def multiple(self, number: int) -> float:
         """Return a volume's present demand as a multiple of its usual demand."""
         at, by, plan = self.now() - self.start_at, 1.0, self.volumes[number].plan
-        for each in self.troubles("burst", "tenant_burst"):
+        for each in self.active_faults("burst", "tenant_burst"):
             by *= each.size if each.what == "burst" or each.plan in ("", plan) else 1.0
         for each in self.scenario.surge:
             if (
@@ -208,7 +208,7 @@
 
     def extra_traffic(self) -> tuple[float, list[int]]:
         """Return the extra traffic as a share of the usual, and its volumes."""
-        found = self.troubles("hot_key", "scan")
+        found = self.active_faults("hot_key", "scan")
         at = self.now() - self.start_at
         surges = [
             each
@@ -242,7 +242,7 @@
                     self.arrive(place, row, row.per_s * span * share, hot)
         if now < ended:
             self.run_again_in(now, TICK)
-        elif self.live and now < ended + self.scenario.tail_s:
+        elif self.open_operations and now < ended + self.scenario.tail_s:
             self.run_again_in(now, TAIL_TICK)
         else:
             self.finish()
@@ -253,29 +253,29 @@
         self.reactor.callLater(seconds, self.run)
 
     def arrive(self, place: int, row: Any, mean: float, hot: list[int] | None) -> None:
-        chance, gap = self.chance, 0.0
+        random, gap = self.random, 0.0
         while mean > 0 and (
-            gap := gap + chance.expovariate(1 / max(row.run, 1))
+            gap := gap + random.expovariate(1 / max(row.run, 1))
         ) < mean * max(row.run, 1):
             self.start_operation(place, row, hot)
 
     def start_operation(self, place: int, row: Any, hot: list[int] | None) -> None:
         """Start one operation; a sequential run continues on the previous extent."""
-        chance, held = self.chance, self.runs.get(place)
+        random, held = self.random, self.sequential_runs.get(place)
         if held is not None and held[0] > 0 and hot is None:
             left, path, offset, volume, edge = held
-            self.runs[place] = (left - 1, path, offset, volume, edge)
+            self.sequential_runs[place] = (left - 1, path, offset, volume, edge)
         else:
-            number = chance.choice(hot) if hot else self.draw_volume(row)
+            number = random.choice(hot) if hot else self.draw_volume(row)
             volume = self.volumes[number]
-            edge = self.edge_of(number)
-            path = f"{volume.root}/f{chance.randrange(self.scenario.files)}"
+            edge = self.draw_edge(number)
+            path = f"{volume.root}/f{random.randrange(self.scenario.files)}"
             offset = (
-                chance.randrange(max(self.scenario.file_units // 2, 1))
+                random.randrange(max(self.scenario.file_units // 2, 1))
                 * self.scenario.gateway.rules.unit_bytes
             )
-            self.runs[place] = (
-                int(chance.expovariate(1 / row.run)) if row.run > 1 else 0,
+            self.sequential_runs[place] = (
+                int(random.expovariate(1 / row.run)) if row.run > 1 else 0,
                 path,
                 offset,
                 volume,
@@ -289,15 +289,15 @@
         )
         if row.operation == "new":
             path, offset = (
-                f"{volume.root}/new-{self.operations}-{chance.getrandbits(32):08x}",
+                f"{volume.root}/new-{self.operations}-{random.getrandbits(32):08x}",
                 0,
             )
-        elif row.operation == "read" and self.new_files and chance.random() < 0.2:
-            volume, path, length = self.new_files[chance.randrange(len(self.new_files))]
-            offset, edge = 0, self.edge_of(self.volumes.index(volume))
+        elif row.operation == "read" and self.new_files and random.random() < 0.2:
+            volume, path, length = self.new_files[random.randrange(len(self.new_files))]
+            offset, edge = 0, self.draw_edge(self.volumes.index(volume))
         if row.operation == "list":
             path = volume.root
-        self.live += 1
+        self.open_operations += 1
         Operation(self, row, volume, edge, path, offset, length)
 
     def units_of(self, row: Any, volume: Any) -> int:
@@ -309,7 +309,7 @@
         operation = "read" if row.operation == "read" else "write"
         for _ in range(30):
             units = min(
-                max(int(self.chance.expovariate(1 / row.units)) + 1, 1),
+                max(int(self.random.expovariate(1 / row.units)) + 1, 1),
                 rules.largest_units,
             )
             category = self.routing_table.request_class(
@@ -326,23 +326,23 @@
 
     def draw_volume(self, row: Any) -> int:
         """Draw a volume, weighted by its present demand."""
-        return self.chance.choices(
+        return self.random.choices(
             range(len(self.volumes)), cum_weights=self.shares[row.plan][1]
         )[0]
 
-    def edge_of(self, volume: int) -> EdgeDoor:
+    def draw_edge(self, volume: int) -> EdgeDoor:
         """Draw one of a volume's gateways, the leading one more often."""
         group, lead = self.gateway_groups[volume], self.leaders[volume]
         skew = self.scenario.clients.skew
         weights = [
             1 / (1 + (place - lead) % len(group)) ** skew for place in range(len(group))
         ]
-        return self.edges[self.chance.choices(group, weights)[0]]
+        return self.edges[self.random.choices(group, weights)[0]]
 
     # Results.
 
     def on_operation_ended(self, operation: Operation, final: str) -> None:
-        self.live -= 1
+        self.open_operations -= 1
         took = self.now() - operation.began
         category, plan = operation.category, self.plans[operation.volume.plan]
         utility = (
@@ -356,7 +356,7 @@
         row["due"] += utility
         row[final] = row.get(final, 0) + 1
         second = int(operation.began - self.start_at)
-        slot = self.worst.setdefault(second, [0.0, 0.0])
+        slot = self.utility_by_second.setdefault(second, [0.0, 0.0])
         slot[1] += utility
         in_time = final == "satisfied" and took * 1000 <= category.target_ms
         counts = (
@@ -386,7 +386,7 @@
         self.completed.append(
             CompletedOperation(
                 second,
-                self.number_of[operation.volume.name],
+                self.volume_numbers[operation.volume.name],
                 category.name,
                 units,
                 category.utility * plan.price,
@@ -430,7 +430,7 @@
         return ServiceTerms(
             categories,
             [each.price for each in scenario.gateway.plan],
-            dict(self.number_of),
+            dict(self.volume_numbers),
             claims,
             cores / max(work, 1e-9),
             rules.largest_units,
@@ -477,10 +477,10 @@
             "counted": self.service(),
             "counts": self.counts,
             "operations": self.operations,
-            "unended": self.live,
+            "unended": self.open_operations,
             "worst_lag_ms": self.lateness.worst * 1000,
             "late": self.lateness.to_stored(),
-            "seconds": self.worst,
+            "seconds": self.utility_by_second,
         }
         self.write_trace()
         with open(f"{self.out}/load.json", "w", encoding="utf-8") as sink:
--- a/milletsill/lab/node_stand_in.py
+++ b/milletsill/lab/node_stand_in.py
@@ -42,7 +42,7 @@
     """The settings of a stand-in node; `work` is by the request class's name."""
 
     node: int
-    cell: int
+    shard: int
     zone: int
     kind: BoxKind
     rules: NodeRules
@@ -144,7 +144,7 @@
         if self.recorder is not None:
             self.recorder.note(
                 box=self.settings.node,
-                cell=self.settings.cell,
+                cell=self.settings.shard,
                 zone=self.settings.zone,
                 cold=cold,
                 cores=self.kind.cores * self.kind.speed,
@@ -290,7 +290,7 @@
         self.record_effect(request, reply)
         reply = replace(
             reply,
-            text=reply.text or str(self.settings.cell),
+            text=reply.text or str(self.settings.shard),
             report={},
             used=None,
             elsewhere=self.count_units(request),
@@ -371,6 +371,6 @@
             "size": self.kind.cores,
             "kind": 0,
             "zone": self.settings.zone,
-            "cell": self.settings.cell,
+            "cell": self.settings.shard,
             "started": self.started_wall_ms,
         }
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -232,7 +232,7 @@
         self.list(
             self.add(
                 len(self.boxes),
-                old.settings.cell,
+                old.settings.shard,
                 old.settings.zone,
                 old.kind,
                 old.files,
