--- a/milletsill/fleet/channels/peer_forwarder.py
+++ b/milletsill/fleet/channels/peer_forwarder.py
@@ -336,7 +336,7 @@
 
     def answer(packet: Answer | Redirect) -> None:
         tag = status_tags.parse_status_tag(getattr(packet, "language", ""))
-        if tag is not None and tag.word in NO_EFFECT_TAGS:
+        if tag is not None and tag.kind in NO_EFFECT_TAGS:
             text = "aborted: an owner that stopped replying may have done it"
             packet = status_tags.tagged_status(0, ReplyKind.FAILED.value, text)
         on_answer(packet)
--- a/milletsill/lab/node_stand_in.py
+++ b/milletsill/lab/node_stand_in.py
@@ -86,7 +86,12 @@
 
 def attempt_key(request: NodeRequest) -> AttemptKey:
     """Return a key that identifies an attempt among all gateways."""
-    return request.gateway, request.incarnation, request.transfer, request.number
+    return (
+        request.gateway,
+        request.incarnation,
+        request.request_id,
+        request.attempt_number,
+    )
 
 
 class NodeStandIn:
@@ -193,7 +198,7 @@
             return
         now = self.clock()
         self.finish(self.engine.advance(now))
-        known = self.remembered_reply(request.ticket)
+        known = self.remembered_reply(request.idempotency_key)
         if known is not None:
             source.answer(packet_id, known)
             return
@@ -205,9 +210,9 @@
             self.draw_work(request),
             request.units,
             request.extent,
-            request.number == 0,
+            request.attempt_number == 0,
             isinstance(request.command, packets.Write),
-            now + request.left / 1000,
+            now + request.time_left_ms / 1000,
             PendingAttempt(source, packet_id, request),
         )
         if self.engine.fallen:
@@ -221,7 +226,7 @@
     def draw_work(self, request: NodeRequest) -> float:
         """Draw the work of an attempt, in seconds."""
         estimate = self.settings.work.get(
-            request.category, WorkEstimate(METADATA_WORK, DEFAULT_SPREAD)
+            request.request_class, WorkEstimate(METADATA_WORK, DEFAULT_SPREAD)
         )
         per_unit = estimate.seconds_per_unit
         if not isinstance(request.command, (packets.Read, packets.Write)):
@@ -281,7 +286,7 @@
         Two attempts with one idempotency key may be in progress at once. The second to
         finish gets the first one's reply and has no effect of its own.
         """
-        known = self.remembered_reply(request.ticket)
+        known = self.remembered_reply(request.idempotency_key)
         if known is not None:
             return known
         if self.random.random() < self.kind.error_rate:
@@ -295,7 +300,7 @@
             used=None,
             elsewhere=self.count_units(request),
         )
-        self.remember(request.ticket, reply)
+        self.remember(request.idempotency_key, reply)
         return reply
 
     def count_units(self, request: NodeRequest) -> int:
@@ -335,11 +340,11 @@
         self.recorder.note(
             what="effect",
             box=self.settings.node,
-            ticket=request.ticket,
+            ticket=request.idempotency_key,
             path=bytes_to_text(command.handle),
             offset=command.offset,
             gateway=request.gateway,
-            transfer=request.transfer,
+            transfer=request.request_id,
             code=getattr(reply.answer, "code", -1),
         )
 
--- a/milletsill/sftp_gateway/command_payload.py
+++ b/milletsill/sftp_gateway/command_payload.py
@@ -19,7 +19,7 @@
     def may_send(self) -> bool:
         """Return whether an attempt may be sent now."""
 
-    def count_dispatch(self, ended: AttemptEnded) -> AttemptEnded:
+    def count_attempt(self, ended: AttemptEnded) -> AttemptEnded:
         """Count an attempt that is sent; return the callback for its end."""
 
 
