--- a/milletsill/lab/audit_fleet.py
+++ b/milletsill/lab/audit_fleet.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from milletsill.lab.fault_timeline import PARTITIONS, FaultTimeline
+from milletsill.lab.fault_timeline import PARTITION_FAULTS, FaultTimeline
 from milletsill.lab.gateway_logs import GatewayLogs, ReportedDeath, ReportedView
 from milletsill.lab.record_entries import read_entries
 from milletsill.settings.milletsill_pb2 import Scenario
@@ -19,7 +19,7 @@
 MAX_DEATH_DELAY = 12.0
 """Seconds after a fault's end for which the fault may explain a reported death."""
 NODE_FAULTS = ("slow", "pauses", "neighbour", "vanish")
-LINK_FAULTS = (*PARTITIONS, "cut_one_way", "lossy")
+LINK_FAULTS = (*PARTITION_FAULTS, "cut_one_way", "lossy")
 HEALTHY = "steady"
 TRAFFIC_COUNTS = ("packets", "octets", "stream_octets")
 
--- a/milletsill/lab/clients.py
+++ b/milletsill/lab/clients.py
@@ -156,7 +156,7 @@
             load.next_operation(),
         )
         self.retries = load.retries_of(volume.plan)
-        self.client_timeout = load.patience_of(self.category, volume.plan)
+        self.client_timeout = load.try_timeout_of(self.category, volume.plan)
         self.attempt = 0
         self.start_attempt()
 
@@ -172,7 +172,7 @@
     def start_attempt(self) -> None:
         self.attempt += 1
         self.attempt_deadline = self.load.now() + self.client_timeout
-        link = self.gateway.pick(self.load.chance)
+        link = self.gateway.pick(self.load.random)
         if link is None:
             return self.retry("unreached", 0.0)
         self.load.reactor.callLater(self.client_timeout, self.give_up, self.attempt)
@@ -246,7 +246,7 @@
         if not succeeded:
             self.load.count(f"status {answer.code} {self.row.operation}")
         if succeeded and self.row.operation == "new":
-            self.load.made(self)
+            self.load.on_file_created(self)
         self.end("satisfied" if succeeded else "status")
 
     def give_up(self, attempt: int) -> None:
@@ -273,11 +273,11 @@
         if (
             retry_delay
             and not abuses_retries
-            and self.load.chance.random() < clients.honour
+            and self.load.random.random() < clients.honour
         ):
             wait = max(wait, retry_delay)
         self.load.reactor.callLater(wait, self.start_attempt)
 
     def end(self, outcome: str) -> None:
         self.ended = True
-        self.load.ended(self, outcome)
+        self.load.on_operation_ended(self, outcome)
--- a/milletsill/lab/stand.py
+++ b/milletsill/lab/stand.py
@@ -237,7 +237,7 @@
         self.publish(
             self.add_node(
                 len(self.nodes),
-                old.settings.cell,
+                old.settings.shard,
                 old.settings.zone,
                 old.kind,
                 old.files,
