--- a/Makefile
+++ b/Makefile
@@ -1,13 +1,14 @@
-# `make day` sets up and plays the scripted bad day; `make test` sets up and runs the tests;
-# `make lint` checks the form of the source; `make proto` generates the protobuf modules.
+# `make day` runs the scenario examples/bad-day.textproto; `make test` runs the tests;
+# `make lint` checks format, style and types; `make proto` generates the protobuf modules.
+# Each target first installs what it needs into .venv.
 PYTHON ?= python3
 VENV = .venv
 RUN = $(VENV)/bin/python
 PROTOS = $(shell find milletsill -name '*.proto')
-# Files of the laboratory that are not done yet.
+# Files of the laboratory that do not pass mypy --strict yet.
 LAB_LEFT = $(addprefix milletsill/lab/,__main__.py baselines.py channels.py clients.py day.py engine.py fleet_processes.py \
 	load.py processes.py run.py stand.py troubles.py)
-# Packages that are checked with all of mypy's rules: each package joins once it is done.
+# Files and packages that are checked with mypy --strict.
 TYPED = milletsill/interface.py milletsill/deployment_config.py milletsill/deployment_settings.py milletsill/named_timers.py \
 	milletsill/scheduler milletsill/wirehost milletsill/gateway milletsill/http1 milletsill/http_gateway milletsill/sftp_gateway milletsill/node_connections milletsill/sftp \
 	milletsill/registry milletsill/errors milletsill/fleet milletsill/planner milletsill/settings milletsill/flows milletsill/trace milletsill/cli milletsill/event_log.py milletsill/logs.py milletsill/__main__.py milletsill/lab/model_checks milletsill/lab/hunt \
--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are no part of the tests."""
+"""Benchmarks, which the test suite does not run."""
--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -1,10 +1,18 @@
-"""What a contract on order costs, beside the same writes without one in the same run, and how long a killed keeper's channels stand.
+"""Measure the cost of an ordering contract, and failover after a channel owner's death.
+
+Numbered writes are compared with the same writes without numbers in the same run. The
+failover time is how long the channels of a killed gateway accept no writes.
 
     python -m benchmarks.channels [--gateways 7 --registers 3 --boxes 8 --seconds 8 --folder /tmp/x]
 
-Gateways are processes `python -m milletsill edge`, boxes and registry the laboratory's stand-ins in one more process, clients in this
-one; all on loopback. `plain`: without numbers; `home`: numbered, the client is with the channel's keeper; `away`: with another;
-`four`: as home, four numbers told at a time.
+Each gateway is a process `python -m milletsill edge`. One more process runs the
+stand-ins of nodes and registry, and this process runs the clients. All connections are
+on loopback. The kinds of clients are:
+
+    plain  writes have no numbers
+    home   writes are numbered, the client is connected to the channel's owner
+    away   writes are numbered, the client is connected to another gateway
+    four   like home, with four writes in flight at a time
 """
 
 from __future__ import annotations
@@ -32,7 +40,7 @@
 from milletsill.sftp.framing import PacketSplitter
 from milletsill.sftp.wire import FileAttributes
 
-FILE = """
+GATEWAY_TEMPLATE = """
 registry {{ address: "127.0.0.1:{registry}" }}
 rules {{ ask_within_ms: 2000 cold_window_ms: 500 warm_after_s: 2 cold_units: 1000 key_rest_ms: 300 unit_bytes: 4096 }}
 logging {{ level: "warning" answers_per_s: 0 }}
@@ -46,8 +54,8 @@
 """
 
 
-def stand(given: argparse.Namespace) -> None:
-    """Boxes and registry, until killed."""
+def run_stand_ins(given: argparse.Namespace) -> None:
+    """Run the stand-ins of nodes and registry until the process is killed."""
     from twisted.internet import reactor
 
     from milletsill.lab.node_listener import NodeListener
@@ -68,110 +76,112 @@
         settings = NodeStandInSettings(
             number, number, 0, kind, NodeRules(), work, 5 + number
         )
-        box = NodeStandIn(reactor, settings, StoredFiles())
-        box.port = reactor.listenTCP(0, NodeListener(box), interface="127.0.0.1")
-        registry.put(f"/milletsill/boxes/{number}", box.registry_entry())
+        node = NodeStandIn(reactor, settings, StoredFiles())
+        node.port = reactor.listenTCP(0, NodeListener(node), interface="127.0.0.1")
+        registry.put(f"/milletsill/boxes/{number}", node.registry_entry())
     reactor.run()
 
 
 class Client:
-    """One connection; `ask` sends a packet and waits for its answer."""
+    """A client connection; `send_request` sends a packet and waits for its reply."""
 
     @classmethod
-    async def to(cls, port: int) -> Client:
-        made = cls()
-        made.reader, made.writer = await asyncio.open_connection("127.0.0.1", port)
-        made.waiting, made.ids, made.deframer = {}, 0, PacketSplitter(1 << 24)
-        made.writer.write(packet_codec.encode(packets.Init(3)))
-        made.task = asyncio.create_task(made.read())
-        return made
+    async def connect(cls, port: int) -> Client:
+        client = cls()
+        client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
+        client.pending, client.last_id, client.splitter = {}, 0, PacketSplitter(1 << 24)
+        client.writer.write(packet_codec.encode(packets.Init(3)))
+        client.task = asyncio.create_task(client.read())
+        return client
 
     async def read(self) -> None:
         while data := await self.reader.read(1 << 16):
-            self.deframer.feed(data)
-            while (body := self.deframer.next()) is not None:
+            self.splitter.feed(data)
+            while (body := self.splitter.next()) is not None:
                 packet = packet_codec.decode(body)
-                done = self.waiting.pop(getattr(packet, "id", None), None)
+                done = self.pending.pop(getattr(packet, "id", None), None)
                 if done is not None and not done.done():
                     done.set_result(packet)
-        for each in self.waiting.values():
+        for each in self.pending.values():
             if not each.done():
                 each.set_exception(ConnectionError())
 
-    async def ask(self, packet: Any, span: float = 6.0) -> Any:
-        self.ids += 1
-        self.waiting[self.ids] = asyncio.get_running_loop().create_future()
-        done = self.waiting[self.ids]
-        self.writer.write(packet_codec.encode(packet_codec.with_id(packet, self.ids)))
-        return await asyncio.wait_for(done, span)
+    async def send_request(self, packet: Any, timeout: float = 6.0) -> Any:
+        self.last_id += 1
+        self.pending[self.last_id] = asyncio.get_running_loop().create_future()
+        done = self.pending[self.last_id]
+        self.writer.write(
+            packet_codec.encode(packet_codec.with_id(packet, self.last_id))
+        )
+        return await asyncio.wait_for(done, timeout)
 
 
-class Load:
-    """One client that writes again and again, numbered or not."""
+class WritingClient:
+    """A client that writes repeatedly, with or without numbers."""
 
-    def __init__(self, port: int, name: str, numbered: bool) -> None:
-        self.port, self.name, self.numbered, self.number, self.at_once = (
+    def __init__(self, port: int, name: str, is_numbered: bool) -> None:
+        self.port, self.name, self.is_numbered, self.number, self.writes_at_once = (
             port,
             name,
-            numbered,
+            is_numbered,
             0,
             1,
         )
-        self.spans: list[float] = []
-        self.done: list[float] = []
+        self.latencies: list[float] = []
+        self.completed_at: list[float] = []
 
-    async def open(self, ends: float) -> None:
-        self.client = await Client.to(self.port)
-        while self.numbered:
-            told = await self.client.ask(
+    async def open(self, deadline: float) -> None:
+        self.client = await Client.connect(self.port)
+        while self.is_numbered:
+            reply = await self.client.send_request(
                 wire.encode_channel_request(0, wire.ChannelOpen("/v", self.name))
             )
-            if isinstance(told, packets.ExtendedReply):
-                self.channel = wire.decode_open_reply(told)
+            if isinstance(reply, packets.ExtendedReply):
+                self.channel = wire.decode_open_reply(reply)
                 self.number = self.channel.lowest_open
                 break
-            if time.monotonic() > ends:
-                raise TimeoutError(told)
+            if time.monotonic() > deadline:
+                raise TimeoutError(reply)
             await asyncio.sleep(
-                (status_tags.parse_status_tag(told.language).retry_delay_ms or 100)
+                (status_tags.parse_status_tag(reply.language).retry_delay_ms or 100)
                 / 1000
             )
         flags = packets.READ_FLAG | packets.WRITE_FLAG | packets.CREATE_FLAG
         self.handle = (
-            await self.client.ask(
+            await self.client.send_request(
                 packets.Open(0, f"/v/{self.name}", flags, FileAttributes())
             )
         ).handle
 
-    async def put(self, after: int = 0) -> Any:
-        """One write of 400 bytes, and its answer.
+    async def write(self, offset: int = 0) -> Any:
+        """Write 400 bytes and return the reply.
 
-        `after` so many others that are told at once.
+        `offset` is the index of this write among those that are sent at the same time.
         """
-        number = self.number + after
-        write = packets.Write(0, self.handle, number % 64 * 400, b"%-400d" % number)
-        if self.numbered:
-            said = wire.NumberedCommand(
-                self.channel.handle, number, 0, False, CommandTerms(3000), write
+        number = self.number + offset
+        packet = packets.Write(0, self.handle, number % 64 * 400, b"%-400d" % number)
+        if self.is_numbered:
+            command = wire.NumberedCommand(
+                self.channel.handle, number, 0, False, CommandTerms(3000), packet
             )
-            return await self.client.ask(wire.encode_numbered(0, said))
-        return await self.client.ask(
-            extensions.encode_command(CommandTerms(3000), write)
+            return await self.client.send_request(wire.encode_numbered(0, command))
+        return await self.client.send_request(
+            extensions.encode_command(CommandTerms(3000), packet)
         )
 
-    async def run(self, ends: float, every: float, chance: Random) -> None:
-        await asyncio.sleep(chance.uniform(0, every))
-        while time.monotonic() < ends:
+    async def run(self, deadline: float, interval: float, rng: Random) -> None:
+        await asyncio.sleep(rng.uniform(0, interval))
+        while time.monotonic() < deadline:
             began = time.monotonic()
             answers = await asyncio.gather(
-                *[self.put(each) for each in range(self.at_once)]
+                *[self.write(each) for each in range(self.writes_at_once)]
             )
             answer = next(
                 (each for each in answers if each.code != packets.OK), answers[0]
             )
             done = sum(each.code == packets.OK for each in answers)
-            self.spans += [time.monotonic() - began] * done
-            self.done += [time.monotonic()] * done
+            self.latencies += [time.monotonic() - began] * done
+            self.completed_at += [time.monotonic()] * done
             self.number += done
             if (
                 answer.code != packets.OK
@@ -180,136 +190,147 @@
             ):
                 await asyncio.sleep(found.retry_delay_ms / 1000)
             await asyncio.sleep(
-                max(began + every * chance.uniform(0.5, 1.5) - time.monotonic(), 0)
+                max(began + interval * rng.uniform(0.5, 1.5) - time.monotonic(), 0)
             )
 
 
-def figures(spans: list[float]) -> str:
-    spans = sorted(spans) or [0.0]
+def latency_summary(latencies: list[float]) -> str:
+    latencies = sorted(latencies) or [0.0]
     return (
-        f"{len(spans)} answered, median {spans[len(spans) // 2] * 1000:.1f} ms, "
-        f"p99 {spans[min(len(spans) * 99 // 100, len(spans) - 1)] * 1000:.1f} ms"
+        f"{len(latencies)} answered, median {latencies[len(latencies) // 2] * 1000:.1f} ms, "
+        f"p99 {latencies[min(len(latencies) * 99 // 100, len(latencies) - 1)] * 1000:.1f} ms"
     )
 
 
-def names_at(view: View, keeper: str, count: int, word: str) -> list[str]:
-    """Names of channels that a gateway keeps by the view."""
+def channel_names_of(view: View, owner: str, count: int, prefix: str) -> list[str]:
+    """Return names of channels that the view assigns to a gateway."""
     found, number = [], 0
     while len(found) < count:
         number += 1
-        if view.rendezvous(f"v/{word}{number}", 1)[0] == keeper:
-            found.append(f"{word}{number}")
+        if view.rendezvous(f"v/{prefix}{number}", 1)[0] == owner:
+            found.append(f"{prefix}{number}")
     return found
 
 
-def loads(kind: str, each: int, doors: list[int], view: View) -> list[Load]:
-    made: list[Load] = []
+def make_clients(
+    kind: str, each: int, gateway_ports: list[int], view: View
+) -> list[WritingClient]:
+    made: list[WritingClient] = []
     for place, member in enumerate(view.members):
-        door = doors[(place + (kind == "away")) % len(doors)]
+        port = gateway_ports[(place + (kind == "away")) % len(gateway_ports)]
         made += [
-            Load(door, name, kind != "plain")
-            for name in names_at(view, member.name, each, kind)
+            WritingClient(port, name, kind != "plain")
+            for name in channel_names_of(view, member.name, each, kind)
         ]
     return made
 
 
-def worked(edges: list[Any]) -> float:
-    """Seconds of processor that the gateways have used, which other work on the machine does not change."""
+def cpu_seconds(gateways: list[Any]) -> float:
+    """Return the CPU seconds of the gateways, without other load on the machine."""
     found = 0.0
-    for each in edges:
+    for each in gateways:
         with open(f"/proc/{each.pid}/stat", encoding="ascii") as source:
             parts = source.read().rpartition(")")[2].split()
         found += (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
     return found
 
 
-async def phase(
+async def run_phase(
     title: str,
-    held: list[tuple[str, list[Load]]],
+    groups: list[tuple[str, list[WritingClient]]],
     seconds: float,
-    every: float,
-    edges: list[Any],
+    interval: float,
+    gateways: list[Any],
 ) -> None:
-    chance, ends, before = Random(3), time.monotonic() + seconds, worked(edges)
-    for _, group in held:
+    rng, deadline, before = Random(3), time.monotonic() + seconds, cpu_seconds(gateways)
+    for _, group in groups:
         for each in group:
-            each.spans = []
+            each.latencies = []
     await asyncio.gather(
-        *[each.run(ends, every, chance) for _, group in held for each in group]
+        *[each.run(deadline, interval, rng) for _, group in groups for each in group]
     )
-    for kind, group in held:
-        spans = [span for each in group for span in each.spans]
+    for kind, group in groups:
+        latencies = [latency for each in group for latency in each.latencies]
         print(
-            f"{title}: {kind}, {len(group)} clients: {figures(spans)}, {len(spans) / seconds:.0f}/s",
+            f"{title}: {kind}, {len(group)} clients: {latency_summary(latencies)}, {len(latencies) / seconds:.0f}/s",
             flush=True,
         )
-    total = sum(len(each.spans) for _, group in held for each in group)
+    total = sum(len(each.latencies) for _, group in groups for each in group)
     print(
-        f"  {(worked(edges) - before) * 1000 / max(total, 1):.2f} ms of the gateways' processors for each",
+        f"  {(cpu_seconds(gateways) - before) * 1000 / max(total, 1):.2f} ms of the gateways' CPU time per write",
         flush=True,
     )
 
 
-async def measured(
-    given: argparse.Namespace, doors: list[int], edges: list[Any], view: View
+async def run_measurements(
+    given: argparse.Namespace, gateway_ports: list[int], gateways: list[Any], view: View
 ) -> None:
-    ends = time.monotonic() + 30
-    kinds = {kind: loads(kind, 2, doors, view) for kind in ("plain", "home", "away")}
+    deadline = time.monotonic() + 30
+    kinds = {
+        kind: make_clients(kind, 2, gateway_ports, view)
+        for kind in ("plain", "home", "away")
+    }
     for group in kinds.values():
-        await asyncio.gather(*[each.open(ends) for each in group])
-    await phase("light", list(kinds.items()), given.seconds, 0.25, edges)
+        await asyncio.gather(*[each.open(deadline) for each in group])
+    await run_phase("light", list(kinds.items()), given.seconds, 0.25, gateways)
     for kind in ("plain", "home", "away", "four"):
-        group = loads(kind, 12, doors, view)
-        await asyncio.gather(*[each.open(ends + 60) for each in group])
+        group = make_clients(kind, 12, gateway_ports, view)
+        await asyncio.gather(*[each.open(deadline + 60) for each in group])
         for each in group:
-            each.at_once = 4 if kind == "four" else 1
-        await phase("as fast as it goes", [(kind, group)], given.seconds, 0.0, edges)
+            each.writes_at_once = 4 if kind == "four" else 1
+        await run_phase(
+            "closed loop, without pauses", [(kind, group)], given.seconds, 0.0, gateways
+        )
         for each in group:
             each.client.writer.close()
-    await killed(given, doors, edges, view)
+    await measure_failover(given, gateway_ports, gateways, view)
 
 
-async def killed(
-    given: argparse.Namespace, doors: list[int], edges: list[Any], view: View
+async def measure_failover(
+    given: argparse.Namespace, gateway_ports: list[int], gateways: list[Any], view: View
 ) -> None:
-    """SIGKILL of one keeper while its channels' clients, at other gateways, write on."""
-    victim = len(doors) - 1
-    keeper = view.members[victim].name
+    """Kill a channel owner with SIGKILL while clients of its channels keep writing.
+
+    The clients are connected to other gateways.
+    """
+    victim = len(gateway_ports) - 1
+    owner = view.members[victim].name
     group = [
-        Load(doors[place % victim], name, True)
-        for place, name in enumerate(names_at(view, keeper, 14, "kill"))
+        WritingClient(gateway_ports[place % victim], name, True)
+        for place, name in enumerate(channel_names_of(view, owner, 14, "kill"))
     ]
     await asyncio.gather(*[each.open(time.monotonic() + 30) for each in group])
-    ends = time.monotonic() + 9
-    running = [asyncio.create_task(on_and_on(each, ends)) for each in group]
+    deadline = time.monotonic() + 9
+    running = [asyncio.create_task(write_until(each, deadline)) for each in group]
     await asyncio.sleep(2)
-    edges[victim].send_signal(signal.SIGKILL)
+    gateways[victim].send_signal(signal.SIGKILL)
     at = time.monotonic()
     await asyncio.gather(*running)
     gaps = [
-        min((done - at for done in each.done if done > at), default=99.0)
+        min((done - at for done in each.completed_at if done > at), default=99.0)
         for each in group
     ]
     print(
-        f"keeper {keeper} killed with {len(group)} channels: they go on after {figures(gaps)}, longest {max(gaps) * 1000:.0f} ms"
+        f"channel owner {owner} killed with {len(group)} channels: time until their next write {latency_summary(gaps)}, longest {max(gaps) * 1000:.0f} ms"
     )
 
 
-async def on_and_on(load: Load, ends: float) -> None:
-    """Writes on through declines and unsure ends.
+async def write_until(client: WritingClient, deadline: float) -> None:
+    """Write until the deadline, through rejections and indeterminate outcomes.
 
-    Opens again as a client would that wants to know what became of a number.
+    A write that did not succeed is sent again under the same number after the retry
+    delay of the reply. The channel is not opened again.
     """
-    while time.monotonic() < ends:
-        answer = await load.put()
+    while time.monotonic() < deadline:
+        answer = await client.write()
         found = (
             status_tags.parse_status_tag(answer.language)
             if answer.code == packets.FAILURE
             else None
         )
         if answer.code == packets.OK:
-            load.done.append(time.monotonic())
-            load.number += 1
+            client.completed_at.append(time.monotonic())
+            client.number += 1
         await asyncio.sleep(
             (found.retry_delay_ms or 20) / 1000 if found is not None else 0.02
         )
@@ -330,10 +351,10 @@
     parser.add_argument("--folder", default="")
     given = parser.parse_args()
     if given.stand:
-        return stand(given)
+        return run_stand_ins(given)
     with tempfile.TemporaryDirectory(dir=given.folder or None) as folder:
         ports = free_ports(2 * given.gateways + 1)
-        registry, doors, others = (
+        registry, gateway_ports, fleet_ports = (
             ports[0],
             ports[1 : given.gateways + 1],
             ports[given.gateways + 1 :],
@@ -352,15 +373,15 @@
             )
         ]
         try:
-            text = FILE.format(
+            text = GATEWAY_TEMPLATE.format(
                 registry=registry,
                 cells=" ".join(f"cell: {each}" for each in range(given.boxes)),
                 registers=" ".join(
                     f'register: "g{each}"' for each in range(given.registers)
                 ),
             )
-            for number, door in enumerate(doors):
-                file = gateway_file(text, number, door, others, given, folder)
+            for number, port in enumerate(gateway_ports):
+                file = make_gateway_file(text, number, port, fleet_ports, given, folder)
                 path = os.path.join(folder, f"g{number}.textproto")
                 with open(path, "w", encoding="utf-8") as sink:
                     sink.write(text_format.MessageToString(file))
@@ -370,8 +391,8 @@
                         stdout=open(f"{folder}/log", "a"),
                     )
                 )
-            await_doors(doors)
-            time.sleep(4)  # until all views have all of them
+            wait_until_listening(gateway_ports)
+            time.sleep(4)  # until every gateway has all members in its view
             view = View(
                 1,
                 [
@@ -379,7 +400,7 @@
                     for each in range(given.gateways)
                 ],
             )
-            asyncio.run(measured(given, doors, started[1:], view))
+            asyncio.run(run_measurements(given, gateway_ports, started[1:], view))
         finally:
             for each in started:
                 each.kill()
@@ -387,37 +408,37 @@
                 each.wait()
 
 
-def await_doors(doors: list[int], seconds: float = 40.0) -> None:
-    """Until all listen."""
-    ends = time.monotonic() + seconds
-    for each in doors:
+def wait_until_listening(gateway_ports: list[int], timeout: float = 40.0) -> None:
+    """Wait until all gateways accept connections."""
+    deadline = time.monotonic() + timeout
+    for each in gateway_ports:
         while True:
             try:
                 socket.create_connection(("127.0.0.1", each), 1).close()
                 break
             except OSError:
-                if time.monotonic() > ends:
+                if time.monotonic() > deadline:
                     raise
                 time.sleep(0.1)
 
 
-def gateway_file(
+def make_gateway_file(
     text: str,
     number: int,
-    door: int,
-    others: list[int],
+    port: int,
+    fleet_ports: list[int],
     given: argparse.Namespace,
     folder: str,
 ) -> GatewayFile:
-    """One gateway's file."""
+    """Return the settings file of one gateway."""
     file = GatewayFile(
         name=f"g{number}",
         gateways=given.gateways,
-        listen=f"127.0.0.1:{door}",
+        listen=f"127.0.0.1:{port}",
         state_dir=f"{folder}/g{number}",
     )
-    file.fleet.address = f"127.0.0.1:{others[number]}"
-    file.fleet.join.append(f"127.0.0.1:{others[0]}")
+    file.fleet.address = f"127.0.0.1:{fleet_ports[number]}"
+    file.fleet.join.append(f"127.0.0.1:{fleet_ports[0]}")
     text_format.Merge(text, file)
     return file
 
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -1,6 +1,6 @@
-"""Real gateways of one fleet under faults: `python -m benchmarks.fleet_view processes`.
+"""Measure membership changes in real gateways: `benchmarks.fleet_view processes`.
 
-Times are read from their own logs.
+Times are taken from the gateways' logs.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 from milletsill.lab.fleet_processes import FleetProcesses, said_at
 
-MOST = 60.0  # seconds
+MAX_WAIT_SECONDS = 60.0
 
 
-def play(count: int) -> None:
+def run(count: int) -> None:
     with tempfile.TemporaryDirectory() as folder:
         fleet = FleetProcesses(folder, count)
         try:
-            faults(fleet, count)
+            run_events(fleet, count)
         finally:
             fleet.close()
 
 
-def tell(
+def report_agreement(
     fleet: FleetProcesses,
-    what: str,
+    event: str,
     among: list[int],
     since: float,
     joined: int | None = None,
 ) -> None:
-    """Seconds since an order.
+    """Print how many seconds after `since` the gateways' views agree.
 
-    With `joined`, since that gateway's own first word about its fleet.
+    With `joined`, the time starts at that gateway's last `fleet_joining` log line.
     """
-    done = fleet.wait(lambda: fleet.agree(among, since), MOST)
+    done = fleet.wait(lambda: fleet.agree(among, since), MAX_WAIT_SECONDS)
     if joined is not None:
         since = max(
             [
@@ -47,17 +47,17 @@
         )
     times = fleet.times(among, since)
     print(
-        f"{what:44}"
+        f"{event:44}"
         + (
-            f"nine in ten {times[int(0.9 * (len(times) - 1))]:.2f} s, all {times[-1]:.2f} s"
+            f"90% {times[int(0.9 * (len(times) - 1))]:.2f} s, all {times[-1]:.2f} s"
             if done
-            else "never"
+            else f"not within {MAX_WAIT_SECONDS:.0f} s"
         ),
         flush=True,
     )
 
 
-def gone_said(fleet: FleetProcesses, among: list[int]) -> int:
+def logged_deaths(fleet: FleetProcesses, among: list[int]) -> int:
     return sum(
         each["event"] == "member" and each["change"] == "gone"
         for number in among
@@ -65,47 +65,53 @@
     )
 
 
-def faults(fleet: FleetProcesses, count: int) -> None:
+def run_events(fleet: FleetProcesses, count: int) -> None:
     rest, last = list(range(count - 1)), count - 1
     print(f"{count} processes on one machine")
     began = time.time()
     for each in rest:
         fleet.start(each)
-    tell(fleet, f"{count - 1} start together (from the orders)", rest, began)
+    report_agreement(
+        fleet, f"{count - 1} start together (from the start commands)", rest, began
+    )
     began = time.time()
     fleet.start(last)
-    tell(fleet, "one more joins (from its first word)", rest + [last], began, last)
+    report_agreement(
+        fleet, "one more joins (from its join)", rest + [last], began, last
+    )
     began = time.time()
     fleet.end(last)
-    tell(fleet, "it is killed", rest, began)
+    report_agreement(fleet, "it is killed", rest, began)
     fleet.forget_state(last)
     began = time.time()
     fleet.start(last)
-    tell(fleet, "it is back, its state lost (first word)", rest + [last], began, last)
+    report_agreement(
+        fleet, "it restarts without state (from its join)", rest + [last], began, last
+    )
     lost = sum(each.get("error") == "IncarnationLostError" for each in fleet.log(last))
-    print(f"  it said LostState {lost} times")
-    before, chance, stalls = gone_said(fleet, rest + [last]), Random(1), 0
-    ends = time.monotonic() + 60
-    due = {each: time.monotonic() + chance.uniform(0, 3) for each in rest}
-    standing: dict[int, float] = {}
-    while time.monotonic() < ends or standing:
+    print(f"  it logged IncarnationLostError {lost} times")
+    before, rng, stall_count = logged_deaths(fleet, rest + [last]), Random(1), 0
+    deadline = time.monotonic() + 60
+    due = {each: time.monotonic() + rng.uniform(0, 3) for each in rest}
+    stopped_until: dict[int, float] = {}
+    while time.monotonic() < deadline or stopped_until:
         now = time.monotonic()
-        for number in [each for each, until in standing.items() if until <= now]:
-            del standing[number]
+        for number in [each for each, until in stopped_until.items() if until <= now]:
+            del stopped_until[number]
             fleet.send(number, signal.SIGCONT)
-        for number in [each for each, at in due.items() if at <= now < ends]:
+        for number in [each for each, at in due.items() if at <= now < deadline]:
             fleet.send(number, signal.SIGSTOP)
-            span = chance.uniform(0.66, 1.2)
-            standing[number], due[number], stalls = (
+            span = rng.uniform(0.66, 1.2)
+            stopped_until[number], due[number], stall_count = (
                 now + span,
-                now + span + chance.uniform(0.8, 2.8),
-                stalls + 1,
+                now + span + rng.uniform(0.8, 2.8),
+                stall_count + 1,
             )
         time.sleep(0.01)
     print(
-        f"a minute of {stalls} stalls of 0.66 to 1.2 s: members declared gone {gone_said(fleet, rest + [last]) - before}",
+        f"a minute of {stall_count} stalls of 0.66 to 1.2 s: members declared dead {logged_deaths(fleet, rest + [last]) - before}",
         flush=True,
     )
     began = time.time()
     code = fleet.end(last, signal.SIGTERM)
-    tell(fleet, f"one leaves by SIGTERM (status {code})", rest, began)
+    report_agreement(fleet, f"one leaves by SIGTERM (status {code})", rest, began)
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,15 +1,18 @@
-"""How fast a fleet agrees on who is there, and what that costs.
-
-The machines of `fleet/membership` on a simulated clock.
-
-    python -m benchmarks.fleet_view events   [--gateways 200 --seed 1 --only kill]    joins, kills, cuts and their healing, loss
-    python -m benchmarks.fleet_view traffic  [--gateways 200 --seed 1]    packets and octets a second for each member, calm
-    python -m benchmarks.fleet_view stalls   [--gateways 200 --seconds 600 --kills 10 --together]    false deaths, real kills
-    python -m benchmarks.fleet_view processes [--gateways 12]             the same over real processes, see fleet_processes.py
-
-All but the last are simulated: datagrams take 0.2 to 2 ms, frames go through the codec
-where octets are counted. Each line says the seconds until nine in ten, and until all,
-of the live gateways hold the true view.
+"""Measure how fast a fleet agrees on its members, and the traffic that this takes.
+
+    python -m benchmarks.fleet_view events [--gateways 200 --seed 1 --only kill]
+        joins, kills, partitions and their end, packet loss
+    python -m benchmarks.fleet_view traffic [--gateways 200 --seed 1]
+        packets and octets per second of each member, without changes
+    python -m benchmarks.fleet_view stalls
+            [--gateways 200 --seconds 600 --kills 10 --together]
+        false deaths caused by stalls, and the detection time of real kills
+    python -m benchmarks.fleet_view processes [--gateways 12]
+        events and stalls in real processes, see fleet_processes.py
+
+All but the last run the code of `fleet/membership` on a simulated clock. Datagrams take
+0.2 to 2 ms; frames go through the codec where octets are counted. Each line has the
+seconds until 90%, and until all, of the live gateways have the true view.
 """
 
 from __future__ import annotations
@@ -20,79 +23,82 @@
 from milletsill.lab.simulated_clock import SECOND
 from milletsill.lab.simulated_network import SimulatedNetwork
 
-MOST_WAIT = 120  # seconds for a view to settle
+MAX_WAIT_SECONDS = 120  # for the views to agree
 
 
-def settled(network: SimulatedNetwork, what: str) -> None:
-    """Run until all agree; say when."""
+def wait_for_agreement(network: SimulatedNetwork, event: str) -> None:
+    """Run until all views agree, and print how long that takes."""
     began, false = network.now, len(network.false_deaths)
     times = []
     for part in (0.9, 1.0):
         done = network.run(
-            began + MOST_WAIT * SECOND, lambda: network.share_of_true_views() >= part
+            began + MAX_WAIT_SECONDS * SECOND,
+            lambda: network.share_of_true_views() >= part,
         )
         times.append(f"{(network.now - began) / SECOND:.1f}" if done else "never")
     print(
-        f"{what:36} nine in ten {times[0]:>5} s, all {times[1]:>5} s, live ones declared gone meanwhile {len(network.false_deaths) - false}",
+        f"{event:36} 90% {times[0]:>5} s, all {times[1]:>5} s, live members declared dead meanwhile {len(network.false_deaths) - false}",
         flush=True,
     )
     network.run(network.now + 10 * SECOND)
 
 
-def part_of(network: SimulatedNetwork, what: str, given: argparse.Namespace) -> None:
-    """One kind of event, on a fleet that is calm and whole."""
+def run_event(network: SimulatedNetwork, event: str, given: argparse.Namespace) -> None:
+    """Run one kind of event in a fleet without other changes."""
     names = [each.name for each in network.live_members()]
-    if what == "join":
+    if event == "join":
         network.start("new", seeds=["gateway-1", "gateway-2"])
-        settled(network, "one joins")
+        wait_for_agreement(network, "one joins")
         network.leave("gateway-3")
-        settled(network, "one leaves")
-    elif what == "kill":
+        wait_for_agreement(network, "one leaves")
+    elif event == "kill":
         network.kill("gateway-5")
-        settled(network, "one is killed")
+        wait_for_agreement(network, "one is killed")
         network.start("gateway-5", incarnation=1, seeds=["gateway-1"])
-        settled(network, "it is back with its state lost")
-    elif what == "halves":
-        for span in given.cuts:
+        wait_for_agreement(network, "it restarts without its state")
+    elif event == "halves":
+        for seconds in given.cuts:
             network.cut(names[::2], names[1::2])
-            network.run(network.now + span * SECOND)
+            network.run(network.now + seconds * SECOND)
             network.heal()
-            settled(network, f"healed after {span} s in halves")
-    elif what == "one-way":
+            wait_for_agreement(
+                network, f"a partition into halves ends after {seconds} s"
+            )
+    elif event == "one-way":
         network.cut(names[: len(names) // 10], names[len(names) // 10 :], both=False)
         network.run(network.now + 20 * SECOND)
         network.heal()
-        settled(network, "healed after 20 s, a tenth unheard")
+        wait_for_agreement(network, "a tenth was not heard for 20 s")
         network.cut(names[:1], names[1:2], both=False)
         network.run(network.now + 20 * SECOND)
         print(
-            f"20 s in which one does not hear one other: right views {network.share_of_true_views():.3f}",
+            f"20 s in which one member cannot hear another: correct views {network.share_of_true_views():.3f}",
             flush=True,
         )
-    elif what == "loss":
+    elif event == "loss":
         network.loss, false = 0.1, len(network.false_deaths)
         network.run(network.now + 60 * SECOND)
         print(
-            f"a minute of 10% loss: live ones declared gone {len(network.false_deaths) - false}, right views {network.share_of_true_views():.3f}",
+            f"a minute of 10% loss: live members declared dead {len(network.false_deaths) - false}, correct views {network.share_of_true_views():.3f}",
             flush=True,
         )
         network.kill("gateway-7")
-        settled(network, "one is killed, 10% loss")
-    elif what == "many":
+        wait_for_agreement(network, "one is killed, 10% loss")
+    elif event == "many":
         for name in network.random.sample(names, len(names) * 3 // 10):
             network.kill(name)
-        settled(network, "30% are killed at once")
+        wait_for_agreement(network, "30% are killed at once")
 
 
-PARTS = ("join", "kill", "many", "halves", "one-way", "loss")
+EVENTS = ("join", "kill", "many", "halves", "one-way", "loss")
 
 
 def events(given: argparse.Namespace) -> None:
     print(f"simulated, {given.gateways} gateways, seed {given.seed}")
-    for what in given.only or PARTS:
+    for event in given.only or EVENTS:
         network = SimulatedNetwork(given.seed)
         network.start_fleet(given.gateways, 10 * SECOND)
-        part_of(network, what, given)
+        run_event(network, event, given)
 
 
 def traffic(given: argparse.Namespace) -> None:
@@ -103,60 +109,60 @@
     began = network.now
     network.run(began + 20 * SECOND)
     seconds = (network.now - began) / SECOND * given.gateways
-    for stream in (False, True):
+    for over_streams in (False, True):
         packets = (
             sum(
                 count
-                for (_, over), count in network.packet_counts.items()
-                if over is stream
+                for (_, is_stream), count in network.packet_counts.items()
+                if is_stream is over_streams
             )
             / seconds
         )
         octets = (
             sum(
                 count
-                for (_, over), count in network.octet_counts.items()
-                if over is stream
+                for (_, is_stream), count in network.octet_counts.items()
+                if is_stream is over_streams
             )
             / seconds
         )
         print(
-            f"simulated, {given.gateways} gateways, calm: {'streams' if stream else 'datagrams'} out of each "
-            f"{packets:.1f} a second, {octets:.0f} octets a second",
+            f"simulated, {given.gateways} gateways, no changes: {'streams' if over_streams else 'datagrams'} sent by each member "
+            f"{packets:.1f} per second, {octets:.0f} octets per second",
             flush=True,
         )
 
 
 def stalls(given: argparse.Namespace) -> None:
-    network, chance = SimulatedNetwork(given.seed), Random(given.seed + 1)
+    network, rng = SimulatedNetwork(given.seed), Random(given.seed + 1)
     network.start_fleet(given.gateways, 10 * SECOND)
 
-    def each(name: str) -> None:
-        network.stall(name, chance.randrange(6600, 12001))
-        network.call_at(network.now + chance.randrange(20_000, 40_001), each, name)
+    def stall_alone(name: str) -> None:
+        network.stall(name, rng.randrange(6600, 12001))
+        network.call_at(network.now + rng.randrange(20_000, 40_001), stall_alone, name)
 
-    def together() -> None:
-        for name in chance.sample(
-            sorted(network.members), int(chance.uniform(0.3, 0.87) * given.gateways)
+    def stall_together() -> None:
+        for name in rng.sample(
+            sorted(network.members), int(rng.uniform(0.3, 0.87) * given.gateways)
         ):
             network.call_at(
-                network.now + chance.randrange(1000),
+                network.now + rng.randrange(1000),
                 network.stall,
                 name,
-                chance.randrange(6600, 12001),
+                rng.randrange(6600, 12001),
             )
-        network.call_at(network.now + chance.randrange(20_000, 40_001), together)
+        network.call_at(network.now + rng.randrange(20_000, 40_001), stall_together)
 
     if given.together:
-        together()
+        stall_together()
     else:
         for name in list(network.members):
-            network.call_at(network.now + chance.randrange(30_000), each, name)
+            network.call_at(network.now + rng.randrange(30_000), stall_alone, name)
     network.run(network.now + given.seconds * SECOND)
-    how = "up to 87% at a time" if given.together else "each by itself"
+    pattern = "up to 87% at a time" if given.together else "independent"
     print(
-        f"simulated, {given.gateways} gateways, {given.seconds} s of stalls of 660 to 1,200 ms every 2 to 4 s, {how}: "
-        f"live ones declared gone {len(network.false_deaths)}, suspicions refuted {sum(each.event_counts['REFUTED'] for each in network.members.values())}",
+        f"simulated, {given.gateways} gateways, {given.seconds} s of stalls of 660 to 1,200 ms every 2 to 4 s, {pattern}: "
+        f"live members declared dead {len(network.false_deaths)}, suspicions refuted {sum(each.event_counts['REFUTED'] for each in network.members.values())}",
         flush=True,
     )
     times: list[tuple[float, float, float]] = []
@@ -165,7 +171,7 @@
         began = network.now
         network.kill(victim)
 
-        def seen() -> float:
+        def detected_share() -> float:
             views = [
                 each.membership.state.table.entries.get(victim)
                 for each in network.live_members()
@@ -174,25 +180,27 @@
 
         found = []
         for part in (0.0001, 0.9, 1.0):
-            network.run(began + MOST_WAIT * SECOND, lambda: seen() >= part)
+            network.run(
+                began + MAX_WAIT_SECONDS * SECOND, lambda: detected_share() >= part
+            )
             found.append((network.now - began) / SECOND)
         times.append((found[0], found[1], found[2]))
         network.run(network.now + 5 * SECOND)
-    for place, word in enumerate(("first", "nine in ten", "all")):
+    for place, quorum in enumerate(("the first", "90%", "all")):
         held = sorted(each[place] for each in times)
         print(
-            f"  {len(held)} kills, seen by {word}: median {held[len(held) // 2]:.1f} s, longest {held[-1]:.1f} s"
+            f"  {len(held)} kills, detected by {quorum}: median {held[len(held) // 2]:.1f} s, longest {held[-1]:.1f} s"
         )
     print(
-        f"  live ones declared gone with the kills: {len(network.false_deaths)}",
+        f"  live members declared dead during the kills: {len(network.false_deaths)}",
         flush=True,
     )
 
 
 def processes(given: argparse.Namespace) -> None:
-    from benchmarks.fleet_processes import play
+    from benchmarks.fleet_processes import run
 
-    play(given.gateways)
+    run(given.gateways)
 
 
 def main() -> None:
@@ -205,7 +213,7 @@
     parser.add_argument("--seconds", type=int, default=600)
     parser.add_argument("--kills", type=int, default=10)
     parser.add_argument("--together", action="store_true")
-    parser.add_argument("--only", nargs="*", choices=PARTS)
+    parser.add_argument("--only", nargs="*", choices=EVENTS)
     parser.add_argument("--cuts", type=int, nargs="*", default=[1, 10, 300])
     given = parser.parse_args()
     given.gateways = given.gateways or (12 if given.what == "processes" else 200)
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -1,10 +1,10 @@
-"""What flow export costs by itself.
+"""Measure the CPU cost of flow export on one core.
 
-Cache updates, records encoded and decoded a second, on one core.
+Prints the cache updates, encoded records and decoded records per second.
 
     python -m benchmarks.flows [--runs N]
 
-What it costs client work: `milletsill lab run SCENARIO --out DIR --flows
+To measure the effect on clients, use `milletsill lab run SCENARIO --out DIR --flows
 off|on|away|stuck`.
 """
 
@@ -27,10 +27,10 @@
 from milletsill.flows.metering_process import MeteringProcess
 from milletsill.flows.templates import TEMPLATES, FlowEndReason
 
-COUNT = 100_000
+UPDATE_COUNT = 100_000
 
 
-def updates() -> float:
+def cache_updates_per_second() -> float:
     metering = MeteringProcess(
         FlowCache(
             FlowCacheSettings(4096, 600_000, 150_000),
@@ -46,15 +46,15 @@
         for each in range(1000)
     ]
     began = time.perf_counter()
-    for number in range(COUNT):
+    for number in range(UPDATE_COUNT):
         exchange = Exchange(90, 1, 8200, 1, 300)
         key = keys[number % 1000]
         metering.on_command(key, CommandOutcome.SUCCEEDED, exchange)
-    return COUNT / (time.perf_counter() - began)
+    return UPDATE_COUNT / (time.perf_counter() - began)
 
 
-def coding(codec: FlowCodec) -> tuple[float, float, float]:
-    """Records encoded and decoded a second, and bytes of one."""
+def measure_codec(codec: FlowCodec) -> tuple[float, float, float]:
+    """Return the records encoded and decoded per second, and the bytes per record."""
     cache = FlowCache(FlowCacheSettings(10, 1, 1), lambda at: at, lambda pending: None)
     key = ClientFlowKey("10.0.0.1", 5, "10.0.0.2", 1, "suva", "premium", "lot-read")
     flow = cache.touch(key, 0)
@@ -64,13 +64,13 @@
     messages = []
     began = time.perf_counter()
     message = codec.new_message(1400)
-    for _ in range(COUNT // 4):
+    for _ in range(UPDATE_COUNT // 4):
         data = encoder.encode_record(record)
         if not message.add(record.template.id, data):
             messages.append(message.finish(0, 0, 1))
             message = codec.new_message(1400)
             message.add(record.template.id, data)
-    encoded = COUNT / 4 / (time.perf_counter() - began)
+    encoded = UPDATE_COUNT / 4 / (time.perf_counter() - began)
     decoder = codec.new_decoder(None)
     first = codec.new_message(9000)
     for set_id, data in encoder.encode_templates(
@@ -90,14 +90,14 @@
     parser.add_argument("--runs", type=int, default=5)
     runs = parser.parse_args().runs
     print(
-        f"cache updates a second: median {statistics.median(updates() for _ in range(runs)):.0f} of {runs}"
+        f"cache updates per second: median {statistics.median(cache_updates_per_second() for _ in range(runs)):.0f} of {runs} runs"
     )
     for name, codec in CODECS_BY_NAME.items():
-        found = [coding(codec) for _ in range(runs)]
+        found = [measure_codec(codec) for _ in range(runs)]
         encoded, decoded, size = (statistics.median(each) for each in zip(*found))
         print(
-            f"{name}: {encoded:.0f} records a second encoded, {decoded:.0f} decoded, {size:.0f} bytes each, message "
-            f"headers included (medians of {runs})"
+            f"{name}: {encoded:.0f} records encoded per second, {decoded:.0f} decoded, {size:.0f} bytes per record, message "
+            f"headers included (medians of {runs} runs)"
         )
 
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -1,10 +1,11 @@
-"""The trace reader against files that were changed by chance, for as long as is said.
+"""Fuzz the trace reader with randomly damaged files, for a given time.
 
     python -m benchmarks.fuzz --seconds 120 [--seed N]
 
-Bytes are flipped, cut, doubled, zeroed in pages, lengths overwritten; compressed bodies
-are changed and given sound checksums, so that what lies behind the checksums is reached
-too. Anything but a reading or one line of `MalformedTraceError` is a finding and ends the run.
+Bits are flipped, bytes removed or duplicated, blocks of 512 bytes zeroed and lengths
+overwritten. Some files get a damaged block body with valid checksums, so that the code
+behind the checksum tests is reached too. Each read must succeed or raise
+`MalformedTraceError` with a message of one line; anything else ends the run.
 """
 
 from __future__ import annotations
@@ -30,89 +31,89 @@
 from milletsill.trace.volume_index import VolumeIndexBuilder
 
 
-def base(chance: Random) -> bytes:
-    """A file of all kinds in several blocks."""
+def make_trace(rng: Random) -> bytes:
+    """Return a trace with records of all kinds in several blocks."""
     rows = [
         (
             at * 3,
             kind,
             tuple(
-                f"{name}{chance.randrange(9)}"
+                f"{name}{rng.randrange(9)}"
                 if coding == TEXT
-                else chance.random()
+                else rng.random()
                 if coding == FLOAT
-                else chance.randrange(-5, 1 << chance.randrange(1, 40))
+                else rng.randrange(-5, 1 << rng.randrange(1, 40))
                 for name, coding in kind.fields
             ),
         )
         for at in range(30)
         for kind in KINDS
     ]
-    data, heads, stores = (
+    data, headers, volumes = (
         file_format.encode_header({"name": "f", "seed": 1}),
         [],
         VolumeIndexBuilder(),
     )
     for at in range(0, len(rows), 150):
         block = file_format.encode_block(
-            rows[at : at + 150], stores.add_block(rows[at : at + 150])
+            rows[at : at + 150], volumes.add_block(rows[at : at + 150])
         )
-        heads.append(file_format.decode_block_header(block, len(data)))
+        headers.append(file_format.decode_block_header(block, len(data)))
         data += block
-    return data + file_format.encode_footer(heads, len(data), stores.blocks)
+    return data + file_format.encode_footer(headers, len(data), volumes.blocks)
 
 
-def rough(data: bytes, chance: Random) -> bytes:
-    """Changed anywhere."""
-    held = bytearray(data)
-    for _ in range(chance.randrange(1, 6)):
-        at = chance.randrange(len(held))
-        what = chance.randrange(6)
+def damage(data: bytes, rng: Random) -> bytes:
+    """Return the bytes with one to five random changes at any position."""
+    damaged = bytearray(data)
+    for _ in range(rng.randrange(1, 6)):
+        at = rng.randrange(len(damaged))
+        what = rng.randrange(6)
         if what == 0:
-            held[at] ^= 1 << chance.randrange(8)
+            damaged[at] ^= 1 << rng.randrange(8)
         elif what == 1:
-            del held[at : at + chance.randrange(1, 400)]
+            del damaged[at : at + rng.randrange(1, 400)]
         elif what == 2:
-            held[at:at] = held[at : at + chance.randrange(1, 200)]
+            damaged[at:at] = damaged[at : at + rng.randrange(1, 200)]
         elif what == 3:
-            held[at : at + 512] = bytes(len(held[at : at + 512]))
+            damaged[at : at + 512] = bytes(len(damaged[at : at + 512]))
         elif what == 4:
-            held[at : at + 4] = chance.randrange(1 << 32).to_bytes(4, "little")
+            damaged[at : at + 4] = rng.randrange(1 << 32).to_bytes(4, "little")
         else:
-            del held[at:]
-        if not held:
+            del damaged[at:]
+        if not damaged:
             break
-    return bytes(held)
+    return bytes(damaged)
 
 
-def sealed(data: bytes, chance: Random) -> bytes:
-    """A block's unpacked body changed, packed again, checksums made right."""
-    header = file_format.header_size(data[: file_format.FILE_HEADER.size])
-    head = file_format.decode_block_header(data[header:], header)
-    raw = rough(
+def damage_block_body(data: bytes, rng: Random) -> bytes:
+    """Damage the first block's decompressed body, and recompute its checksums."""
+    header_size = file_format.header_size(data[: file_format.FILE_HEADER.size])
+    block = file_format.decode_block_header(data[header_size:], header_size)
+    raw = damage(
         zstandard.ZstdDecompressor().decompress(
-            data[header + BLOCK_HEADER.size : head.end]
+            data[header_size + BLOCK_HEADER.size : block.end]
         ),
-        chance,
+        rng,
     )
     body = zstandard.ZstdCompressor(level=1).compress(raw)
     fields = BLOCK_HEADER.pack(
         file_format.BLOCK_MAGIC,
         len(body),
         len(raw),
-        head.record_count,
-        head.first_time,
-        head.last_time,
+        block.record_count,
+        block.first_time,
+        block.last_time,
         zlib.crc32(body),
-        head.volume_filter,
+        block.volume_filter,
         0,
     )
     return (
-        data[:header]
+        data[:header_size]
         + fields[:-4]
         + zlib.crc32(fields[:-4]).to_bytes(4, "little")
         + body
-        + data[head.end :]
+        + data[block.end :]
     )
 
 
@@ -123,17 +124,17 @@
     parser.add_argument("--seconds", type=float, default=60)
     parser.add_argument("--seed", type=int, default=1)
     given = parser.parse_args()
-    chance, count, said, data = Random(given.seed), 0, Counter[str](), b""
-    ends = time.monotonic() + given.seconds
+    rng, count, outcomes, data = Random(given.seed), 0, Counter[str](), b""
+    deadline = time.monotonic() + given.seconds
     with tempfile.TemporaryDirectory() as folder:
         path, out = f"{folder}/t", f"{folder}/o"
-        while time.monotonic() < ends:
-            data = base(chance) if count % 200 == 0 else data
+        while time.monotonic() < deadline:
+            data = make_trace(rng) if count % 200 == 0 else data
             with open(path, "wb") as sink:
                 sink.write(
-                    rough(data, chance)
-                    if chance.random() < 0.5
-                    else sealed(data, chance)
+                    damage(data, rng)
+                    if rng.random() < 0.5
+                    else damage_block_body(data, rng)
                 )
             count += 1
             for name, call in (
@@ -143,14 +144,14 @@
             ):
                 try:
                     call()
-                    said[f"{name} read"] += 1
+                    outcomes[f"{name} read"] += 1
                 except MalformedTraceError as error:
                     assert "\n" not in str(error)
-                    said[f"{name} one line"] += 1
+                    outcomes[f"{name} one line"] += 1
                 if os.path.exists(out):
                     os.unlink(out)
     print(
-        f"{count} files, seed {given.seed}: {dict(said)}; peak memory "
+        f"{count} files, seed {given.seed}: {dict(outcomes)}; peak memory "
         f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB"
     )
 
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -1,14 +1,18 @@
-"""What one edge carries on one core, what it spends it on, and what latency it adds.
+"""Measure the throughput, CPU cost and added latency of one gateway process.
 
-Boxes answer at once.
+The stand-in nodes answer without delay.
 
-    python -m benchmarks.gateway load     commands a second, several runs, and the latency added at 200 a second
-    python -m benchmarks.gateway pairs    the same without and with --of flows or trace, in turns
-    python -m benchmarks.gateway profile  the share of the module, the codec, Twisted and the rest, by cProfile
-    python -m benchmarks.gateway soak     resident memory of an edge under load for --seconds, sampled; with --away its
-                                          flow export has a collector that is never there
+    python -m benchmarks.gateway load     commands per second over several runs, and the
+                                          latency added at 200 commands per second
+    python -m benchmarks.gateway pairs    the same, alternating between runs without and
+                                          with the feature of --of (flows or trace)
+    python -m benchmarks.gateway profile  CPU shares of the scheduler, the codec, Twisted
+                                          and the rest, by cProfile
+    python -m benchmarks.gateway soak     resident memory under load for --seconds,
+                                          sampled; with --away, the flow collector is
+                                          never reachable
 
-All processes run on this machine; figures are of stand-ins on loopback.
+All processes run on one machine. The results are for stand-ins on loopback.
 """
 
 from __future__ import annotations
@@ -29,7 +33,7 @@
 from milletsill.settings.milletsill_pb2 import GatewayFile
 from milletsill.sftp import packet_codec
 
-FILE = """
+GATEWAY_SETTINGS = """
 name: "bench" gateways: 1 seed: 1 registry { address: "127.0.0.1:1" }
 door { most_outstanding: 256 most_buffered: 16000000 } links { connections: 4 streams: 64 }
 logging { answers_per_s: 1 }
@@ -38,11 +42,11 @@
 volume { name: "v" root: "/v" plan: "p" cell: [0, 1, 2, 3] }
 route { category: "read" }
 """
-GROUPS = (
-    ("module", "milletsill/scheduler/"),
-    ("host", "milletsill/gateway/scheduler_host.py"),
-    ("door, courses, map", "milletsill/sftp_gateway/"),
-    ("links", "milletsill/node_connections/"),
+PROFILE_GROUPS = (
+    ("scheduler", "milletsill/scheduler/"),
+    ("scheduler host", "milletsill/gateway/scheduler_host.py"),
+    ("SFTP gateway", "milletsill/sftp_gateway/"),
+    ("node connections", "milletsill/node_connections/"),
     ("codec", "milletsill/sftp/"),
     ("Twisted", "/twisted/"),
     ("metrics", "/prometheus_client/"),
@@ -50,8 +54,8 @@
 )
 
 
-def boxes(port: str, count: str) -> None:
-    """Stand-in boxes that answer at once, and their registry."""
+def run_stand_ins(port: str, count: str) -> None:
+    """Run stand-in nodes that answer without delay, and their registry."""
     from twisted.internet import reactor
 
     from milletsill.lab.node_listener import NodeListener
@@ -66,18 +70,19 @@
         files = StoredFiles()
         kind = BoxKind(name="k", cores=64, slots=256, speed=1e6)
         settings = NodeStandInSettings(number, number, 0, kind, NodeRules(), {}, number)
-        box = NodeStandIn(reactor, settings, files)
+        node = NodeStandIn(reactor, settings, files)
         for each in range(64):
             files.data[f"/v/f{each}"] = bytearray(4096)
-        box.port = reactor.listenTCP(0, NodeListener(box), interface="127.0.0.1")
-        registry.put(f"/milletsill/boxes/{number}", box.registry_entry())
+        node.port = reactor.listenTCP(0, NodeListener(node), interface="127.0.0.1")
+        registry.put(f"/milletsill/boxes/{number}", node.registry_entry())
     reactor.run()
 
 
 def direct(registry: str, rate: str, seconds: str) -> None:
-    """The same reads as dispatches straight to the boxes.
+    """Send the same reads directly to the nodes, without a gateway.
 
-    Prints a second and latencies.
+    Prints the replies per second, and the median and 99th percentile of the latency in
+    milliseconds.
     """
     import base64
     import json
@@ -90,19 +95,19 @@
     from milletsill.node_connections.pool_config import PoolConfig
     from milletsill.sftp import extensions, packets
 
-    call = urllib.request.Request(
+    range_request = urllib.request.Request(
         f"http://127.0.0.1:{registry}/v3/kv/range", b"{}", method="POST"
     )
-    with urllib.request.urlopen(call, timeout=5) as answer:
+    with urllib.request.urlopen(range_request, timeout=5) as answer:
         kvs = json.load(answer)["kvs"]
-    bounds = PoolLimits(4, 64, 1, 2500, 300_000, 10_000)
+    limits = PoolLimits(4, 64, 1, 2500, 300_000, 10_000)
     pools = [
         NodeConnectionPool(
             reactor,
             lambda: time.monotonic_ns() // 100_000,
             PoolConfig(
                 json.loads(base64.b64decode(each["value"]))["address"],
-                bounds,
+                limits,
                 "direct",
                 1,
                 1 << 20,
@@ -111,11 +116,11 @@
         )
         for each in kvs
     ]
-    spans, perf = [], time.perf_counter
+    latencies, perf = [], time.perf_counter
 
-    def ask(number: int) -> None:
+    def send_read(number: int) -> None:
         began = perf()
-        order = extensions.NodeRequest(
+        request = extensions.NodeRequest(
             "direct",
             1,
             number,
@@ -131,33 +136,38 @@
             packets.Read(0, f"/v/f{number % 64}".encode(), 0, 4096),
         )
         pools[number % len(pools)].send_attempt(
-            order, lambda outcome, verdict: spans.append(perf() - began)
+            request, lambda outcome, verdict: latencies.append(perf() - began)
         )
 
-    def pace(number: int, begun: float) -> None:
-        while begun + number / float(rate) <= perf():
-            ask(number)
+    def send_due_reads(number: int, started_at: float) -> None:
+        while started_at + number / float(rate) <= perf():
+            send_read(number)
             number += 1
         if number < float(rate) * float(seconds):
             reactor.callLater(
-                max(begun + number / float(rate) - perf(), 0), pace, number, begun
+                max(started_at + number / float(rate) - perf(), 0),
+                send_due_reads,
+                number,
+                started_at,
             )
         else:
             reactor.callLater(1, reactor.stop)
 
-    reactor.callLater(0.1, pace, 0, perf() + 0.1)
+    reactor.callLater(0.1, send_due_reads, 0, perf() + 0.1)
     reactor.run()
-    spans.sort()
+    latencies.sort()
     print(
-        len(spans) / float(seconds),
-        *(spans[int(len(spans) * q)] * 1000 for q in (0.5, 0.99)),
+        len(latencies) / float(seconds),
+        *(latencies[int(len(latencies) * q)] * 1000 for q in (0.5, 0.99)),
     )
 
 
 def client(port: str, connections: str, depth: str, rate: str, seconds: str) -> None:
-    """A closed loop of `depth` reads a connection, or an open one at a rate.
+    """Generate load: a closed loop, or an open loop if `rate` is not 0.
 
-    Prints commands a second and latencies.
+    The closed loop keeps `depth` reads in flight on each connection; the open loop
+    sends `rate` reads per second over all connections. Prints the commands per second,
+    and the median and 99th percentile of the latency in milliseconds.
     """
     from twisted.internet import reactor
     from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -167,12 +177,18 @@
     from milletsill.sftp.framing import PacketSplitter
     from milletsill.sftp.wire import FileAttributes
 
-    spans, ends, perf = [], [0.0], time.perf_counter
+    latencies, load_end, perf = [], [0.0], time.perf_counter
 
     class Reader(Protocol):
         def connectionMade(self) -> None:
             self.transport.setTcpNoDelay(True)
-            self.deframer, self.ids, self.sent, self.handles, self.opened = (
+            (
+                self.splitter,
+                self.last_id,
+                self.sent_at,
+                self.handles,
+                self.open_replies,
+            ) = (
                 PacketSplitter(1 << 24),
                 0,
                 {},
@@ -181,53 +197,56 @@
             )
             self.transport.write(packet_codec.encode(packets.Init(3)))
             for number in range(64):
-                self.ids += 1
+                self.last_id += 1
                 self.transport.write(
                     packet_codec.encode(
-                        packets.Open(self.ids, f"/v/f{number}", 1, FileAttributes())
+                        packets.Open(self.last_id, f"/v/f{number}", 1, FileAttributes())
                     )
                 )
 
         def dataReceived(self, data: bytes) -> None:
-            self.deframer.feed(data)
-            while (body := self.deframer.next()) is not None:
+            self.splitter.feed(data)
+            while (body := self.splitter.next()) is not None:
                 packet = packet_codec.decode(body)
                 if (
                     getattr(packet, "id", 99) <= 64
-                ):  # the opens; one that was declined is done without
-                    self.opened += 1
+                ):  # replies to the opens; rejected opens leave fewer handles
+                    self.open_replies += 1
                     self.handles += (
                         [packet.handle] if isinstance(packet, packets.Handle) else []
                     )
-                    if self.opened == 64 and self.handles:
-                        self.begin()
+                    if self.open_replies == 64 and self.handles:
+                        self.start_load()
                 elif not isinstance(packet, packets.Version):
-                    spans.append(perf() - self.sent.pop(packet.id))
-                    if not float(rate) and perf() < ends[0]:
-                        self.ask()
+                    latencies.append(perf() - self.sent_at.pop(packet.id))
+                    if not float(rate) and perf() < load_end[0]:
+                        self.send_read()
 
-        def begin(self) -> None:
-            ends[0] = ends[0] or perf() + float(seconds)
+        def start_load(self) -> None:
+            load_end[0] = load_end[0] or perf() + float(seconds)
             if not float(rate):
                 for _ in range(int(depth)):
-                    self.ask()
+                    self.send_read()
             else:
-                self.pace(perf())
+                self.send_due_reads(perf())
 
-        def pace(self, due: float) -> None:
+        def send_due_reads(self, due: float) -> None:
             while due <= perf():
-                self.ask()
+                self.send_read()
                 due += int(connections) / float(rate)
-            if due < ends[0]:
-                reactor.callLater(max(due - perf(), 0), self.pace, due)
+            if due < load_end[0]:
+                reactor.callLater(max(due - perf(), 0), self.send_due_reads, due)
 
-        def ask(self) -> None:
-            self.ids += 1
-            self.sent[self.ids] = perf()
+        def send_read(self) -> None:
+            self.last_id += 1
+            self.sent_at[self.last_id] = perf()
             self.transport.write(
                 packet_codec.encode(
                     packets.Read(
-                        self.ids, self.handles[self.ids % len(self.handles)], 0, 4096
+                        self.last_id,
+                        self.handles[self.last_id % len(self.handles)],
+                        0,
+                        4096,
                     )
                 )
             )
@@ -238,15 +257,15 @@
         )
     reactor.callLater(float(seconds) + 2, reactor.stop)
     reactor.run()
-    spans.sort()
+    latencies.sort()
     print(
-        len(spans) / float(seconds),
-        *(spans[int(len(spans) * q)] * 1000 for q in (0.5, 0.99)),
+        len(latencies) / float(seconds),
+        *(latencies[int(len(latencies) * q)] * 1000 for q in (0.5, 0.99)),
     )
 
 
 class Bench:
-    """One edge before stand-in boxes; a context."""
+    """Context manager that runs one gateway with stand-in nodes and their registry."""
 
     def __init__(
         self,
@@ -261,9 +280,9 @@
 
     def __enter__(self) -> Bench:
         self.folder = tempfile.TemporaryDirectory()
-        self.registry, self.door = free_ports(2)
-        file = text_format.Parse(FILE, GatewayFile())
-        file.listen, file.state_dir = f"127.0.0.1:{self.door}", self.folder.name
+        self.registry, self.port = free_ports(2)
+        file = text_format.Parse(GATEWAY_SETTINGS, GatewayFile())
+        file.listen, file.state_dir = f"127.0.0.1:{self.port}", self.folder.name
         file.registry.address = f"127.0.0.1:{self.registry}"
         if self.away:
             file.flows.collector.add(address=f"127.0.0.1:{free_ports(1)[0]}")
@@ -282,56 +301,60 @@
         self.start("benchmarks.gateway", "boxes", str(self.registry), "4")
         time.sleep(1)
         profiled = ["-m", "cProfile", "-o", self.profile] if self.profile else []
-        self.words = ("milletsill", "edge", path)
-        self.edge = self.start(*self.words, before=profiled)
+        self.gateway_command = ("milletsill", "edge", path)
+        self.gateway = self.start(*self.gateway_command, python_options=profiled)
         time.sleep(2)
         return self
 
     def restart(self) -> None:
-        """The edge anew, after it was killed."""
-        self.processes.remove(self.edge)
-        self.edge = self.start(*self.words)
-
-    def await_door(self) -> None:
-        """Until the edge listens."""
-        ends = time.monotonic() + 20
-        while time.monotonic() < ends:
+        """Start the gateway again after it was killed."""
+        self.processes.remove(self.gateway)
+        self.gateway = self.start(*self.gateway_command)
+
+    def wait_until_listening(self) -> None:
+        """Wait up to 20 s until the gateway accepts connections."""
+        deadline = time.monotonic() + 20
+        while time.monotonic() < deadline:
             with socket.socket() as probe:
-                if probe.connect_ex(("127.0.0.1", self.door)) == 0:
+                if probe.connect_ex(("127.0.0.1", self.port)) == 0:
                     return
             time.sleep(0.02)
-        raise RuntimeError("the edge does not listen")
+        raise RuntimeError(
+            f"the gateway does not listen on port {self.port} after 20 s"
+        )
 
-    def start(self, *words: str, before: list[str] = []) -> subprocess.Popen[bytes]:
-        made = subprocess.Popen(
-            [sys.executable, *before, "-m", *words], stderr=subprocess.DEVNULL
+    def start(
+        self, *command: str, python_options: list[str] = []
+    ) -> subprocess.Popen[bytes]:
+        process = subprocess.Popen(
+            [sys.executable, *python_options, "-m", *command], stderr=subprocess.DEVNULL
         )
-        self.processes.append(made)
-        return made
+        self.processes.append(process)
+        return process
 
-    def play(
+    def generate_load(
         self, connections: int, depth: int, rate: float, seconds: float
     ) -> list[float]:
-        return self.tool("client", self.door, connections, depth, rate, seconds)
+        return self.run_tool("client", self.port, connections, depth, rate, seconds)
 
-    def tool(self, *words: object) -> list[float]:
+    def run_tool(self, *arguments: object) -> list[float]:
         done = subprocess.run(
-            [sys.executable, "-m", "benchmarks.gateway", *map(str, words)],
+            [sys.executable, "-m", "benchmarks.gateway", *map(str, arguments)],
             capture_output=True,
             check=True,
-            timeout=float(str(words[-1])) + 60,
+            timeout=float(str(arguments[-1])) + 60,
         )
         return [float(each) for each in done.stdout.split()]
 
-    def cpu(self) -> float:
-        """Processor seconds of the edge so far."""
-        with open(f"/proc/{self.edge.pid}/stat", encoding="ascii") as source:
+    def cpu_seconds(self) -> float:
+        """Return the CPU seconds that the gateway has used so far."""
+        with open(f"/proc/{self.gateway.pid}/stat", encoding="ascii") as source:
             fields = source.read().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def memory(self) -> float:
-        """Resident MiB of the edge."""
-        with open(f"/proc/{self.edge.pid}/statm", encoding="ascii") as source:
+    def resident_mib(self) -> float:
+        """Return the resident memory of the gateway in MiB."""
+        with open(f"/proc/{self.gateway.pid}/statm", encoding="ascii") as source:
             return int(source.read().split()[1]) * os.sysconf("SC_PAGESIZE") / (1 << 20)
 
     def __exit__(self, *_: object) -> None:
@@ -345,58 +368,58 @@
 
 
 def load(runs: int, seconds: float) -> None:
-    rates, costs, middle, tail, bare, bare_99 = [], [], [], [], [], []
+    rates, costs, medians, p99s, direct_medians, direct_p99s = [], [], [], [], [], []
     for _ in range(runs):
         with Bench() as bench:
-            before = bench.cpu()
-            rate, *_ = bench.play(4, 16, 0, seconds)
+            before = bench.cpu_seconds()
+            rate, *_ = bench.generate_load(4, 16, 0, seconds)
             rates.append(rate)
-            costs.append((bench.cpu() - before) / (rate * seconds) * 1e6)
-            _, at_half, at_99 = bench.play(4, 1, 200, seconds)
-            middle.append(at_half)
-            tail.append(at_99)
-            _, at_half, at_99 = bench.tool("direct", bench.registry, 200, seconds)
-            bare.append(at_half)
-            bare_99.append(at_99)
+            costs.append((bench.cpu_seconds() - before) / (rate * seconds) * 1e6)
+            _, median, p99 = bench.generate_load(4, 1, 200, seconds)
+            medians.append(median)
+            p99s.append(p99)
+            _, median, p99 = bench.run_tool("direct", bench.registry, 200, seconds)
+            direct_medians.append(median)
+            direct_p99s.append(p99)
     for name, held in (
-        ("commands a second, one edge", rates),
-        ("processor us a command", costs),
-        ("ms at 200 a second, median", middle),
-        ("ms at 200 a second, 99th", tail),
-        ("the same straight to the boxes, median", bare),
-        ("the same straight to the boxes, 99th", bare_99),
+        ("commands per second, one gateway", rates),
+        ("CPU us per command", costs),
+        ("latency in ms at 200 per second, median", medians),
+        ("latency in ms at 200 per second, 99th percentile", p99s),
+        ("the same directly to the nodes, median", direct_medians),
+        ("the same directly to the nodes, 99th percentile", direct_p99s),
     ):
         print(
             f"{name}: median {statistics.median(held):.2f} ({min(held):.2f} to {max(held):.2f}, {runs} runs)"
         )
 
 
-def pairs(of: str, runs: int, seconds: float) -> None:
-    """Without and with, in turns.
+def pairs(feature: str, runs: int, seconds: float) -> None:
+    """Alternate runs without and with a feature, and compare them in pairs.
 
-    Each pair's ratio, so that the machine's drift falls out.
+    The ratio of each pair cancels slow changes in the machine's speed.
     """
     held: dict[bool, list[tuple[float, ...]]] = {False: [], True: []}
     for number in range(runs):
-        for with_it in (False, True) if number % 2 else (True, False):
+        for is_enabled in (False, True) if number % 2 else (True, False):
             with (
                 tempfile.TemporaryDirectory() as folder,
                 Bench(
-                    trace=folder if with_it and of == "trace" else "",
-                    flows=with_it and of == "flows",
+                    trace=folder if is_enabled and feature == "trace" else "",
+                    flows=is_enabled and feature == "flows",
                 ) as bench,
             ):
-                before = bench.cpu()
-                top, *_ = bench.play(4, 16, 0, seconds)
-                cost = (bench.cpu() - before) / (top * seconds) * 1e6
-                _, at_half, at_99 = bench.play(4, 2, 500, seconds)
-                held[with_it].append((top, cost, at_half, at_99))
+                before = bench.cpu_seconds()
+                top, *_ = bench.generate_load(4, 16, 0, seconds)
+                cost = (bench.cpu_seconds() - before) / (top * seconds) * 1e6
+                _, median, p99 = bench.generate_load(4, 2, 500, seconds)
+                held[is_enabled].append((top, cost, median, p99))
     for place, what in enumerate(
         (
-            "commands a second",
-            "processor us a command",
-            "ms at 500 a second, median",
-            "ms at 500 a second, 99th",
+            "commands per second",
+            "CPU us per command",
+            "latency in ms at 500 per second, median",
+            "latency in ms at 500 per second, 99th percentile",
         )
     ):
         off, on = ([each[place] for each in held[which]] for which in (False, True))
@@ -412,7 +435,7 @@
         path = f"{folder}/edge.prof"
         with Bench(path) as bench:
             print(
-                f"{bench.play(4, 16, 0, seconds)[0]:.0f} commands a second under the profiler"
+                f"{bench.generate_load(4, 16, 0, seconds)[0]:.0f} commands per second under the profiler"
             )
         found = pstats.Stats(path)
         groups: dict[str, float] = {}
@@ -422,7 +445,7 @@
                 "idle"
                 if idle
                 else next(
-                    (each for each, part in GROUPS if part in file),
+                    (each for each, part in PROFILE_GROUPS if part in file),
                     "Python and the rest",
                 )
             )
@@ -436,20 +459,20 @@
 
 def soak(seconds: float, away: bool) -> None:
     with Bench(away=away) as bench:
-        ends, begun = time.monotonic() + seconds, time.monotonic()
-        while time.monotonic() < ends:
-            rate, *_ = bench.play(4, 4, 500, min(20, seconds))
+        deadline, started_at = time.monotonic() + seconds, time.monotonic()
+        while time.monotonic() < deadline:
+            rate, *_ = bench.generate_load(4, 4, 500, min(20, seconds))
             print(
-                f"{time.monotonic() - begun:.0f} s: {bench.memory():.1f} MiB at {rate:.0f} a second",
+                f"{time.monotonic() - started_at:.0f} s: {bench.resident_mib():.1f} MiB at {rate:.0f} commands per second",
                 flush=True,
             )
 
 
 def main() -> None:
     if len(sys.argv) > 1 and sys.argv[1] in ("boxes", "client", "direct"):
-        return {"boxes": boxes, "client": client, "direct": direct}[sys.argv[1]](
-            *sys.argv[2:]
-        )
+        return {"boxes": run_stand_ins, "client": client, "direct": direct}[
+            sys.argv[1]
+        ](*sys.argv[2:])
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -1,16 +1,19 @@
-"""What health that is shared is worth, simulated.
+"""Measure the benefit of shared health reports, in simulations.
 
-Paired days with the same seeds, alone, shared, and with a table of the truth.
+Simulations with the same seed are compared in pairs: with gateways that judge nodes
+alone, with gateways that share reports, and with gateways that know the truth.
 
     python -m benchmarks.health days [--seeds 10 --cell 2 --liars 0 --ills "slow 2,still" --ways alone,shared,truth]
     python -m benchmarks.health spread [--seeds 10 --gateways 150]
     python -m benchmarks.health cost [--gateways 150]
 
-`days` gives service (the share of the utility asked for from the fault until 4 s after
-its end) and the differences of pairs with 95% intervals (Student's t). `spread` has
-every gateway exchange rows for real and gives the time until nine in ten agree, octets
-a second, false verdicts, liars, partitions. Two processes at most; `--out FILE` keeps
-each run as a line of JSON.
+`days` prints the service (the share of the requested utility that is delivered, from
+the start of the fault until 4 s after its end) and the mean differences of the pairs
+with 95% confidence intervals (Student's t). `spread` runs the real exchange of reports
+between all gateways, also with lying gateways and partitions. It prints the time until
+nine in ten gateways agree, the octets per second and the false verdicts. `cost` prints
+the CPU time that one gateway spends on reports. Two processes run at a time by default;
+`--out FILE` stores each run as a line of JSON.
 """
 
 from __future__ import annotations
@@ -27,7 +30,7 @@
 
 from milletsill.lab import gossip_simulation, health_scenario, health_simulation
 
-T95 = {
+T95 = {  # two-sided 95% quantiles of Student's t, by number of pairs
     2: 12.706,
     3: 4.303,
     4: 3.182,
@@ -43,40 +46,40 @@
 }
 
 
-JOBS = {
+JOB_FIELDS = {
     "days": ("ill", "way", "seed", "cell", "liars"),
     "spread": ("case", "seed", "gateways"),
-}  # as their runs tell them
+}  # fields of a result that identify its run
 
 
-def key(made: dict[str, Any], given: Any) -> tuple[Any, ...]:
-    return tuple(made.get(name) for name in JOBS[given.what])
+def job_key(result: dict[str, Any], given: Any) -> tuple[Any, ...]:
+    return tuple(result.get(name) for name in JOB_FIELDS[given.what])
 
 
 def interval(values: list[float]) -> str:
-    """Mean and half the 95% interval; of one value the value alone."""
+    """Return the mean and half the 95% interval, or the value if there is only one."""
     if len(values) < 2:
         return f"{np.mean(values):+.4f}"
     t = T95.get(len(values), 2.3 if len(values) < 16 else 2.1)
     return f"{np.mean(values):+.4f} +- {t * np.std(values, ddof=1) / len(values) ** 0.5:.4f} ({len(values)} pairs)"
 
 
-def day(job: tuple[str, str, int, int, float]) -> dict[str, Any]:
+def run_day(job: tuple[str, str, int, int, float]) -> dict[str, Any]:
     os.nice(0)
     ill, way, seed, cell, liars = job
     scenario = health_scenario.HealthScenario(
         fault=ill, knowledge=way, seed=seed, shard_size=cell, liar_share=liars
     )
-    made = health_simulation.HealthSimulation(scenario)
+    simulation = health_simulation.HealthSimulation(scenario)
     return {
         "ill": ill,
         "way": way,
         "seed": seed,
         "cell": cell,
         "liars": liars,
-        "service": made.play(),
-        "false": made.count_false_calls(),
-        "hours": made.lasts / 36_000_000,
+        "service": simulation.play(),
+        "false": simulation.count_false_calls(),
+        "hours": simulation.lasts / 36_000_000,
     }
 
 
@@ -90,13 +93,17 @@
         for way in ways
     ]
     found: dict[tuple[str, str], dict[int, float]] = {}
-    false: dict[str, list[float]] = {}
-    for made in worked(day, jobs, given):
-        found.setdefault((made["ill"], made["way"]), {})[made["seed"]] = made["service"]
-        if made["way"] == "shared":
-            false.setdefault(made["ill"], []).append(made["false"] / made["hours"])
+    false_verdict_rates: dict[str, list[float]] = {}
+    for result in run_jobs(run_day, jobs, given):
+        found.setdefault((result["ill"], result["way"]), {})[result["seed"]] = result[
+            "service"
+        ]
+        if result["way"] == "shared":
+            false_verdict_rates.setdefault(result["ill"], []).append(
+                result["false"] / result["hours"]
+            )
     for ill in ills:
-        said = [f"{way} {np.mean(list(found[ill, way].values())):.4f}" for way in ways]
+        parts = [f"{way} {np.mean(list(found[ill, way].values())):.4f}" for way in ways]
         for one, two in (("shared", "alone"), ("truth", "alone")):
             if one in ways and two in ways:
                 pairs = [
@@ -104,10 +111,12 @@
                     for seed, value in found[ill, one].items()
                     if seed in found[ill, two]
                 ]
-                said.append(f"{one} - {two} {interval(pairs)}")
-        if ill in false:
-            said.append(f"well boxes called ill {np.mean(false[ill]):.1f} an hour")
-        print(f"{ill}: " + ", ".join(said), flush=True)
+                parts.append(f"{one} - {two} {interval(pairs)}")
+        if ill in false_verdict_rates:
+            parts.append(
+                f"healthy nodes judged faulty {np.mean(false_verdict_rates[ill]):.1f} per hour"
+            )
+        print(f"{ill}: " + ", ".join(parts), flush=True)
 
 
 def spread(given: Any) -> None:
@@ -117,14 +126,14 @@
         for case in gossip_simulation.CASES
     ]
     found: dict[str, list[dict[str, Any]]] = {}
-    for made in worked(gossip_simulation.play, jobs, given):
-        found.setdefault(made["case"], []).append(made)
+    for result in run_jobs(gossip_simulation.play, jobs, given):
+        found.setdefault(result["case"], []).append(result)
     for case, runs in found.items():
-        names = [each for each in runs[0] if each not in JOBS["spread"]]
+        names = [each for each in runs[0] if each not in JOB_FIELDS["spread"]]
         print(
             f"{case}: "
             + ", ".join(
-                f"{name} {np.median(values):.2f} (worst {max(values):.2f})"
+                f"{name} {np.median(values):.2f} (largest {max(values):.2f})"
                 if (values := [each[name] for each in runs if each[name] is not None])
                 else f"{name} never"
                 for name in names
@@ -134,9 +143,9 @@
 
 
 def cost(given: Any) -> None:
-    """One gateway's work.
+    """Measure the CPU time of one gateway for health reports.
 
-    A second's rows of all others, in and merged, and its looks.
+    It decodes and merges the reports of all other gateways, and evaluates the store.
     """
     from random import Random
 
@@ -145,14 +154,14 @@
     from milletsill.fleet.health.rendezvous_ranking import RendezvousRanking
     from milletsill.fleet.health.report_store import NodeObservation, ReportStore
 
-    chance, boxes, now = Random(1), 44, 100_000
+    rng, node_count, now = Random(1), 44, 100_000
     origins = [ReportStore(each, 1, 2, 4096) for each in range(given.gateways)]
     store, evaluator = ReportStore(-1, 1, 8192, 4096), HealthEvaluator(0.34)
 
     def observations(count: int) -> dict[int, NodeObservation]:
         return {
-            chance.randrange(boxes): NodeObservation(
-                0, now, 1.0, 0.0, 0.0, 1.0, chance.gauss(0, 1)
+            rng.randrange(node_count): NodeObservation(
+                0, now, 1.0, 0.0, 0.0, 1.0, rng.gauss(0, 1)
             )
             for _ in range(count)
         }
@@ -166,44 +175,46 @@
     for body in frames:
         for each in codec.decode_frame(body).difference:
             store.merge(codec.decode_delta(each, now))
-    heard = (time.process_time() - began) / len(frames)
+    merge_seconds = (time.process_time() - began) / len(frames)
     began = time.process_time()
     for step in range(20):
         evaluator.evaluate(
             store,
             given.gateways,
             RendezvousRanking(),
-            {box: box // 2 for box in range(boxes)},
+            {node: node // 2 for node in range(node_count)},
             now + step,
         )
-    look = (time.process_time() - began) / 20
+    evaluation_seconds = (time.process_time() - began) / 20
     size = sum(map(len, frames)) / len(frames)
-    share = heard * given.gateways / 1.2 + look / 0.3
+    share = merge_seconds * given.gateways / 1.2 + evaluation_seconds / 0.3
     print(
-        f"{given.gateways} gateways, {boxes} boxes: a row of 5 words is {size:.0f} octets and costs {heard * 1e6:.0f} us to read "
-        f"and merge, a look {look * 1e3:.1f} ms: {share:.3f} of a core on a calm day",
+        f"{given.gateways} gateways, {node_count} nodes: a report of 5 observations has {size:.0f} octets and takes {merge_seconds * 1e6:.0f} us to decode "
+        f"and merge, an evaluation takes {evaluation_seconds * 1e3:.1f} ms: {share:.3f} of a core without faults",
         flush=True,
     )
 
 
-def worked(call: Any, jobs: list[Any], given: Any) -> Any:
-    """Runs as they end; those that `--out` has are not made again."""
+def run_jobs(call: Any, jobs: list[Any], given: Any) -> Any:
+    """Yield results as runs end; runs whose results are in `--out` are not repeated."""
     began, done = time.monotonic(), []
     if given.out and Path(given.out).exists():
         done = [
             json.loads(line) for line in Path(given.out).read_text("utf-8").splitlines()
         ]
-        done = [made for made in done if key(made, given) in jobs]
+        done = [result for result in done if job_key(result, given) in jobs]
         jobs = [
-            each for each in jobs if each not in [key(made, given) for made in done]
+            each
+            for each in jobs
+            if each not in [job_key(result, given) for result in done]
         ]
     yield from done
     with multiprocessing.Pool(given.processes) as pool:
-        for made in pool.imap_unordered(call, jobs):
+        for result in pool.imap_unordered(call, jobs):
             if given.out:
                 with Path(given.out).open("a", encoding="utf-8") as out:
-                    out.write(json.dumps(made) + "\n")
-            yield made
+                    out.write(json.dumps(result) + "\n")
+            yield result
     print(
         f"simulated; {len(jobs)} runs in {time.monotonic() - began:.0f} s", flush=True
     )
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,11 +1,12 @@
-"""A soak of the decision module alone, on a clock of its own.
+"""Run the scheduler alone on a simulated clock for a long time.
 
-Transfers over ever new volumes, boxes that come and go.
+Requests address ever new volumes: half of them a volume drawn from 2**40, the others
+one that 25 requests share. Every 50,000 requests, a new node replaces an old one.
 
     python -m benchmarks.module --transfers 10000000
 
-Prints resident memory and the sizes of what the module holds as it goes. Simulated; one
-answer a dispatch, some lost.
+Prints the resident memory and the sizes of the scheduler's tables at intervals. Each
+attempt gets one answer; some attempts time out.
 """
 
 from __future__ import annotations
@@ -98,81 +99,85 @@
     key_quarantine=3000,
     dial_timeout=0,
 )
-NODES, STEP, LOST = 40, 4, 0.002  # a transfer every STEP tenths of a millisecond
+NODES, STEP, LOST = 40, 4, 0.002  # a request arrives every STEP ticks of 0.1 ms
 
 
-class World:
-    """The Port, and the nodes behind it."""
+class SimulatedNodes:
+    """The scheduler's effects, and a model of the nodes."""
 
     def __init__(self) -> None:
-        self.chance, self.now, self.count, self.answered = Random(1), 0, 0, 0
+        self.rng, self.now, self.count, self.answered = Random(1), 0, 0, 0
         self.events: list[tuple[int, int, str, Any]] = []
         self.numbers: dict[int, int] = {}
 
-    def push(self, at: int, what: str, value: Any) -> None:
+    def schedule(self, at: int, what: str, value: Any) -> None:
         self.count += 1
         heapq.heappush(self.events, (at, self.count, what, value))
 
-    def send_attempt(self, transfer: int, node: int, timeout: int) -> None:
-        number = self.numbers[transfer] = self.numbers.get(transfer, -1) + 1
-        lost = self.chance.random() < LOST
-        span = (
-            (timeout or 15_000) if lost else int(self.chance.expovariate(1 / 250)) + 50
+    def send_attempt(self, request: int, node: int, timeout: int) -> None:
+        number = self.numbers[request] = self.numbers.get(request, -1) + 1
+        lost = self.rng.random() < LOST
+        latency = (
+            (timeout or 15_000) if lost else int(self.rng.expovariate(1 / 250)) + 50
+        )
+        self.schedule(
+            self.now + latency, "answer", (request, number, node, latency, lost)
         )
-        self.push(self.now + span, "answer", (transfer, number, node, span, lost))
 
-    def end(self, transfer: int, pause: int = 0) -> None:
+    def end(self, request: int, pause: int = 0) -> None:
         self.answered += 1
-        self.numbers.pop(transfer, None)
+        self.numbers.pop(request, None)
 
     reject = fail = end
 
     def set_timer(self, at: int, what: object) -> None:
-        self.push(at, "wake", what)
+        self.schedule(at, "wake", what)
 
-    def cancel_attempt(self, transfer: int, number: int) -> None: ...
+    def cancel_attempt(self, request: int, number: int) -> None: ...
 
     def watch_endpoints(self) -> None: ...
 
     def log(self, text: str) -> None: ...
 
 
-def resident() -> float:
+def resident_mib() -> float:
     with open("/proc/self/statm", encoding="ascii") as source:
         return int(source.read().split()[1]) * os.sysconf("SC_PAGESIZE") / (1 << 20)
 
 
-def play(transfers: int, report: int) -> None:
-    world = World()
-    module = Scheduler(CONFIG, 1, 0, world)  # type: ignore[arg-type]
+def run(request_count: int, report_interval: int) -> None:
+    simulation = SimulatedNodes()
+    scheduler = Scheduler(CONFIG, 1, 0, simulation)  # type: ignore[arg-type]
     nodes = [
         Endpoint(each, Readiness.READY, 1.0, 0, 0, None, each) for each in range(NODES)
     ]
-    module.on_endpoints(0, EndpointUpdateKind.CACHED, nodes)
-    chance, began, next_node = Random(2), time.monotonic(), NODES
-    for number in range(1, transfers + 1):
-        world.now = number * STEP
-        while world.events and world.events[0][0] <= world.now:
-            _, _, what, value = heapq.heappop(world.events)
+    scheduler.on_endpoints(0, EndpointUpdateKind.CACHED, nodes)
+    rng, began, next_node = Random(2), time.monotonic(), NODES
+    for number in range(1, request_count + 1):
+        simulation.now = number * STEP
+        while simulation.events and simulation.events[0][0] <= simulation.now:
+            _, _, what, value = heapq.heappop(simulation.events)
             if what == "wake":
-                module.on_timer(world.now, value)
+                scheduler.on_timer(simulation.now, value)
                 continue
-            transfer, go, node, span, lost = value
+            request, attempt_number, node, latency, lost = value
             outcome = AttemptOutcome.TIMED_OUT if lost else AttemptOutcome.SUCCEEDED
-            over = not lost and transfer in module.state.requests
-            module.on_attempt_result(
-                world.now,
-                AttemptResult(transfer, go, node, outcome, over, span, None, 0, {}),
+            over = not lost and request in scheduler.state.requests
+            scheduler.on_attempt_result(
+                simulation.now,
+                AttemptResult(
+                    request, attempt_number, node, outcome, over, latency, None, 0, {}
+                ),
             )
             if over:
-                world.end(transfer)
-        in_order = chance.random() < 0.2
-        module.on_request(
-            world.now,
+                simulation.end(request)
+        in_order = rng.random() < 0.2
+        scheduler.on_request(
+            simulation.now,
             Request(
                 number,
                 number // 3,
-                chance.randrange(1 << 40) if number % 2 else number // 50,
+                rng.randrange(1 << 40) if number % 2 else number // 50,
                 2,
                 int(in_order),
                 number % 2,
@@ -180,23 +185,25 @@
                 False,
                 nodes[number % NODES].shard,
                 2.0,
-                world.now + 15_000,
+                simulation.now + 15_000,
             ),
         )
-        module.dispatch_pending(world.now)
-        if number % 50_000 == 0:  # one node leaves for good, another takes its cell
+        scheduler.dispatch_pending(simulation.now)
+        if number % 50_000 == 0:  # a new node replaces the oldest one in its shard
             old = nodes.pop(0)
             nodes.append(
-                Endpoint(next_node, Readiness.READY, 1.0, 0, 0, world.now, old.shard)
+                Endpoint(
+                    next_node, Readiness.READY, 1.0, 0, 0, simulation.now, old.shard
+                )
             )
             next_node += 1
-            module.on_endpoints(world.now, EndpointUpdateKind.SNAPSHOT, nodes)
-        if number % report == 0:
+            scheduler.on_endpoints(simulation.now, EndpointUpdateKind.SNAPSHOT, nodes)
+        if number % report_interval == 0:
             print(
-                f"{number} transfers, {time.monotonic() - began:.0f} s: {resident():.1f} MiB; held "
-                f"{len(module.state.requests)} transfers, {len(module.volumes.by_id)} volumes, {len(module.state.nodes)} nodes, "
-                f"{len(module.ordering.queues)} keys, {len(module.retry_budget.request_times)} counts, "
-                f"{len(module.state.in_flight)} out; {world.answered} answered",
+                f"{number} requests, {time.monotonic() - began:.0f} s: {resident_mib():.1f} MiB; tables hold "
+                f"{len(scheduler.state.requests)} requests, {len(scheduler.volumes.by_id)} volumes, {len(scheduler.state.nodes)} nodes, "
+                f"{len(scheduler.ordering.queues)} key queues, {len(scheduler.retry_budget.request_times)} retry budget entries, "
+                f"{len(scheduler.state.in_flight)} attempts in flight; {simulation.answered} requests answered",
                 flush=True,
             )
 
@@ -208,4 +215,4 @@
     parser.add_argument("--transfers", type=int, default=200_000)
     parser.add_argument("--report", type=int, default=0)
     given = parser.parse_args()
-    play(given.transfers, given.report or max(given.transfers // 20, 1))
+    run(given.transfers, given.report or max(given.transfers // 20, 1))
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -1,12 +1,12 @@
-"""What planning costs at full size.
+"""Measure the quota planner's CPU time and memory for a large fleet.
 
-A round of requests of all gateways, in and out of protobuf, on one core; memory;
-messages a second.
+In each round, the planner answers a quota request of every gateway for every quota, on
+one core. Encoding and decoding of the protobuf messages is measured separately.
 
     python -m benchmarks.planner [--edges 150 --volumes 400 --boxes 44 --rounds 10]
 
-No sockets; each gateway's requests go through its own ledger, so that loans and grants
-are true ones.
+There are no sockets. Each gateway has a real quota ledger, so that the loans and grants
+that requests report are real ones.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     ):
         parser.add_argument(f"--{name}", type=int, default=default)
     given = parser.parse_args()
-    chance, timings, now = Random(1), QuotaTimings(), 100 * SECOND
+    rng, timings, now = Random(1), QuotaTimings(), 100 * SECOND
     planner = QuotaPlanner(1, timings, given.edges, given.volumes + given.boxes)
     ledgers = [
         QuotaLedger(f"edge-{each}", 1, timings, now, True)
@@ -45,22 +45,22 @@
     keys = [QuotaKey(QuotaKind.LIMIT, each) for each in range(given.volumes)] + [
         QuotaKey(QuotaKind.SLOW_START, each) for each in range(given.boxes)
     ]
-    leads = {key: chance.randrange(given.edges) for key in keys}
-    costs, coding, asked = [], [], 0
+    lead_gateways = {key: rng.randrange(given.edges) for key in keys}
+    planner_seconds, codec_seconds, request_count = [], [], 0
     for _ in range(given.rounds):
-        cost = code = 0.0
+        round_planner_seconds = round_codec_seconds = 0.0
         for number, ledger in enumerate(ledgers):
             ledger.accept_epoch(1)
             requests = []
             for key in keys:
                 ledger.track(key, given.edges)
-                lead = leads[key] == number
+                is_lead = lead_gateways[key] == number
                 requests.append(
                     ledger.make_request(
                         key,
-                        chance.randrange(WHOLE // 2, WHOLE)
-                        if lead
-                        else chance.randrange(2000),
+                        rng.randrange(WHOLE // 2, WHOLE)
+                        if is_lead
+                        else rng.randrange(2000),
                         now,
                     )
                 )
@@ -68,36 +68,38 @@
             data = Frame(
                 asks=Asks(wish=[codec.encode_request(each) for each in requests])
             ).SerializeToString()
-            wishes = [
+            decoded = [
                 codec.decode_request(ledger.name, 1, each)
                 for each in Frame.FromString(data).asks.wish
             ]
             middle = time.process_time()
-            grants = [planner.on_request(each, now) for each in wishes]
+            grants = [planner.on_request(each, now) for each in decoded]
             end = time.process_time()
             data = Frame(
                 grants=Grants(
                     given=[codec.encode_grant(each) for each in grants if each]
                 )
             ).SerializeToString()
-            code += middle - began + time.process_time() - end
-            cost += end - middle
-            asked += len(requests)
+            round_codec_seconds += middle - began + time.process_time() - end
+            round_planner_seconds += end - middle
+            request_count += len(requests)
             for each in grants:
                 if each is not None:
                     ledger.on_grant(each, now)
             now += SECOND // 2 // given.edges
-        costs.append(cost)
-        coding.append(code)
+        planner_seconds.append(round_planner_seconds)
+        codec_seconds.append(round_codec_seconds)
     count = len(keys) * given.edges
-    worst = max(sum(ledger.share(key, now) for ledger in ledgers) for key in keys)
-    led = sorted(ledgers[lead].share(key, now) for key, lead in leads.items())
+    largest_sum = max(sum(ledger.share(key, now) for ledger in ledgers) for key in keys)
+    lead_shares = sorted(
+        ledgers[lead].share(key, now) for key, lead in lead_gateways.items()
+    )
     print(
-        f"{given.edges} gateways, {len(keys)} quotas: a round of {count} requests {costs[-1]:.2f} s of processor to decide "
-        f"({costs[-1] / count * 1e6:.1f} us a request), {coding[-1] / count * 1e6:.1f} us a request in and out of protobuf; "
-        f"peak memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB with the gateways in it; "
-        f"shares of one quota add up to at most {worst / WHOLE:.4f}; its leading gateway holds {led[len(led) // 2] / WHOLE:.2f} "
-        f"(even: {1 / given.edges:.3f})"
+        f"{given.edges} gateways, {len(keys)} quotas: a round of {count} requests {planner_seconds[-1]:.2f} s of CPU time to decide "
+        f"({planner_seconds[-1] / count * 1e6:.1f} us per request), {codec_seconds[-1] / count * 1e6:.1f} us per request to encode and decode protobuf; "
+        f"peak memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB including the gateways' ledgers; "
+        f"shares of one quota add up to at most {largest_sum / WHOLE:.4f}; the busiest gateway of a quota holds a median share of {lead_shares[len(lead_shares) // 2] / WHOLE:.2f} "
+        f"(equal shares: {1 / given.edges:.3f})"
     )
 
 
--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -1,14 +1,15 @@
-"""What registers and offices bear.
+"""Measure the write rate, latency and failover time of leases.
 
-Gateways in their own processes, with the fleet's plane between them and registers on
-disk.
+Each gateway is a process of its own. The gateways form a fleet, and the first of them
+are lease acceptors that store their state on disk.
 
     python -m benchmarks.registers [--gateways 7 --registers 3 --channels 20 --seconds 8 --value 200]
 
-Each gateway keeps so many channels and writes each one's record again as soon as the
-last write is at a majority. With --kill the last one gets SIGKILL half way, and the one
-before it asks for its channels all the time. Loopback; the registers' files are in a
-temporary folder, or in --folder, and each commit is synced there.
+Each gateway holds --channels leases, and writes the record of each lease again as soon
+as a majority has accepted the last write. With --kill, the last gateway gets SIGKILL
+half way through, and the one before it keeps trying to acquire the leases of the killed
+one. All connections are on loopback. The acceptors' files are in a temporary folder,
+which is created in --folder if that is given, and each commit is synced to disk.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-SECOND, SILENT = 10_000, 36_000_000
+SECOND, IDLE_AFTER = 10_000, 36_000_000  # ticks of 0.1 ms
 
 
 def now() -> int:
@@ -34,13 +35,13 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports at which nothing listens, TCP and UDP."""
+    """Return ports that are free for both TCP and UDP."""
     held: list[Any] = []
     found: list[int] = []
     while len(found) < count:
         tcp, udp = socket.socket(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         held += [tcp, udp]
-        port = random.randrange(20_000, 32_000)  # below what the kernel gives to calls
+        port = random.randrange(20_000, 32_000)  # below the kernel's ephemeral ports
         try:
             tcp.bind(("127.0.0.1", port))
             udp.bind(("127.0.0.1", port))
@@ -52,10 +53,11 @@
     return found
 
 
-def gateway(given: argparse.Namespace) -> None:
-    """One process.
+def run_gateway(given: argparse.Namespace) -> None:
+    """Run one gateway in this process.
 
-    Joins, takes its channels, writes for so long, and prints what it measured.
+    It joins the fleet, acquires its leases, writes records for --seconds, and prints
+    its measurements as JSON.
     """
     from prometheus_client import CollectorRegistry
     from twisted.internet import reactor
@@ -75,7 +77,7 @@
         address=f"127.0.0.1:{ports[number]}",
         join=[f"127.0.0.1:{ports[0]}"],
     )
-    quiet = lambda *words, **values: (
+    log = lambda *words, **values: (
         print(*words, values, file=sys.stderr) if given.loud else None
     )
     file = SimpleNamespace(name=f"g{number}", fleet=link)
@@ -83,37 +85,37 @@
         reactor,
         now,
         FleetServiceConfig.from_file(file, seed=number, incarnation=1),
-        FleetCallbacks(quiet, quiet, lambda incarnation: None),
+        FleetCallbacks(log, log, lambda incarnation: None),
         registry,
     )
     fleet.start()
-    offices = LeaseManager(
+    lease_manager = LeaseManager(
         LeaseSettings(
             acceptors=tuple(f"g{each}" for each in range(given.registers)),
             timings=LeaseTimings(2 * SECOND, 3000, 5),
             max_leases=100_000,
-            idle_after=SILENT,
+            idle_after=IDLE_AFTER,
             store_path=os.path.join(given.folder, f"g{number}.sqlite"),
             seed=number,
         ),
-        LeaseEnvironment(reactor, now, fleet, quiet, registry),
+        LeaseEnvironment(reactor, now, fleet, log, registry),
     )
-    took: list[float] = []
-    faults: dict[str, int] = {}
-    span = {"from": 0.0, "to": 0.0}
-    heirs: list[float] = []
+    write_seconds: list[float] = []
+    error_counts: dict[str, int] = {}
+    window = {"from": 0.0, "to": 0.0}
+    acquired_at: list[float] = []
 
     def begin() -> None:
         if len(fleet.view.members) < given.gateways:
             reactor.callLater(0.1, begin)
             return
-        span["from"] = time.monotonic() + 3.0  # all are there, offices are taken
-        span["to"] = span["from"] + given.seconds
+        window["from"] = time.monotonic() + 3.0  # by then all leases are acquired
+        window["to"] = window["from"] + given.seconds
         for each in range(given.channels):
-            reactor.callLater(1.0, take, f"{number}/{each}")
+            reactor.callLater(1.0, acquire, f"{number}/{each}")
         if given.kill and number == given.gateways - 2:
             for each in range(given.channels):
-                reactor.callLater(3.5, heir, f"{given.gateways - 1}/{each}")
+                reactor.callLater(3.5, take_over, f"{given.gateways - 1}/{each}")
         if given.kill and number == given.gateways - 1:
             reactor.callLater(
                 3.0 + given.seconds / 2,
@@ -124,53 +126,60 @@
             )
         reactor.callLater(3.5 + given.seconds, end)
 
-    def heir(channel: str) -> None:
-        """Asks for another's channel until it has it, as late as it is told to come back."""
+    def take_over(channel: str) -> None:
+        """Try to acquire a lease of the killed gateway, until that succeeds."""
 
-        def got(term: Any) -> None:
+        def on_acquired(term: Any) -> None:
             if not isinstance(term, MilletsillError):
-                return heirs.append(time.monotonic())
-            reactor.callLater(max(term.retry_delay, 100) / SECOND, heir, channel)
+                return acquired_at.append(time.monotonic())
+            reactor.callLater(max(term.retry_delay, 100) / SECOND, take_over, channel)
 
-        offices.acquire(channel, got)
+        lease_manager.acquire(channel, on_acquired)
 
-    def take(channel: str) -> None:
-        offices.acquire(
+    def acquire(channel: str) -> None:
+        lease_manager.acquire(
             channel,
             lambda term: (
-                again(channel, term)
+                retry(channel, term)
                 if isinstance(term, MilletsillError)
                 else write(term)
             ),
         )
 
-    def again(channel: str, fault: Any) -> None:
-        faults[type(fault).__name__] = faults.get(type(fault).__name__, 0) + 1
-        reactor.callLater(max(fault.retry_delay, 100) / SECOND, take, channel)
+    def retry(channel: str, error: Any) -> None:
+        error_counts[type(error).__name__] = (
+            error_counts.get(type(error).__name__, 0) + 1
+        )
+        reactor.callLater(max(error.retry_delay, 100) / SECOND, acquire, channel)
 
     def write(term: Any) -> None:
         began = time.monotonic()
-        if began >= span["to"]:
+        if began >= window["to"]:
             return
 
-        def wrote(fault: Any) -> None:
-            if fault is not None:
-                return again(term.key, fault)
-            if began >= span["from"]:
-                took.append(time.monotonic() - began)
+        def on_written(error: Any) -> None:
+            if error is not None:
+                return retry(term.key, error)
+            if began >= window["from"]:
+                write_seconds.append(time.monotonic() - began)
             write(term)
 
-        offices.write(term, os.urandom(given.value), wrote)
+        lease_manager.write(term, os.urandom(given.value), on_written)
 
     def end() -> None:
         commits = registry.get_sample_value("milletsill_register_commits_total")
         print(
             json.dumps(
-                {"took": took, "faults": faults, "commits": commits, "heirs": heirs}
+                {
+                    "took": write_seconds,
+                    "faults": error_counts,
+                    "commits": commits,
+                    "heirs": acquired_at,
+                }
             ),
             flush=True,
         )
-        offices.stop()
+        lease_manager.stop()
         fleet.stop()
         reactor.callLater(0.2, reactor.stop)
 
@@ -198,7 +207,7 @@
     parser.add_argument("--ports", help=argparse.SUPPRESS)
     given = parser.parse_args()
     if given.child is not None:
-        return gateway(given)
+        return run_gateway(given)
     with tempfile.TemporaryDirectory(dir=given.folder) as folder:
         ports = ",".join(map(str, free_ports(given.gateways)))
         command = [
@@ -220,29 +229,31 @@
             subprocess.Popen([*command, "--child", str(each)], stdout=subprocess.PIPE)
             for each in range(given.gateways)
         ]
-        told = [json.loads(each.communicate()[0] or b"{}") for each in running]
-    took = sorted(each for one in told for each in one.get("took", ()))
-    if not took:
-        sys.exit("nothing was written")
-    commits = [one["commits"] for one in told if one.get("commits")]
+        results = [json.loads(each.communicate()[0] or b"{}") for each in running]
+    write_seconds = sorted(each for one in results for each in one.get("took", ()))
+    if not write_seconds:
+        sys.exit("no gateway has completed a write")
+    commits = [one["commits"] for one in results if one.get("commits")]
     print(
-        f"{given.gateways} gateways, {given.registers} registers, {given.channels} channels each, records of {given.value} bytes, "
+        f"{given.gateways} gateways, {given.registers} acceptors, {given.channels} leases each, records of {given.value} bytes, "
         f"{given.seconds} s"
     )
     print(
-        f"writes a second {len(took) / given.seconds:.0f}; a write took {1000 * took[len(took) // 2]:.1f} ms at the median, "
-        f"{1000 * took[len(took) * 99 // 100]:.1f} at p99; commits at a register {sum(commits) / max(len(commits), 1):.0f}"
+        f"writes per second {len(write_seconds) / given.seconds:.0f}; latency of a write {1000 * write_seconds[len(write_seconds) // 2]:.1f} ms at the median, "
+        f"{1000 * write_seconds[len(write_seconds) * 99 // 100]:.1f} at p99; mean commits per acceptor {sum(commits) / max(len(commits), 1):.0f}"
     )
     if given.kill:
-        killed = next(one["killed"] for one in told if "killed" in one)
-        heirs = sorted(each - killed for one in told for each in one.get("heirs", ()))
+        killed = next(one["killed"] for one in results if "killed" in one)
+        failover_seconds = sorted(
+            each - killed for one in results for each in one.get("heirs", ())
+        )
         print(
-            f"{len(heirs)} channels of the killed one were kept again after {heirs[0]:.2f} to {heirs[-1]:.2f} s"
-            if heirs
-            else "the killed one's channels were not kept again"
+            f"{len(failover_seconds)} leases of the killed gateway were acquired again after {failover_seconds[0]:.2f} to {failover_seconds[-1]:.2f} s"
+            if failover_seconds
+            else "the killed gateway's leases were not acquired again"
         )
     print(
-        f"faults {[one.get('faults') for one in told if one.get('faults')] or 'none'}"
+        f"errors {[one.get('faults') for one in results if one.get('faults')] or 'none'}"
     )
 
 
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -1,14 +1,15 @@
-"""What traces cost.
+"""Measure the cost of traces, and test that killed gateways lose no complete blocks.
 
-An hour of a fleet on a simulated clock, and kills at chance moments. What they cost an
-edge: `python -m benchmarks.gateway pairs --of trace`.
+The cost of tracing in a real gateway: `python -m benchmarks.gateway pairs --of trace`.
 
     python -m benchmarks.trace hour SCENARIO --out DIR [--gateways 150 --rate 580 --seconds 3600 --parts 6]
     python -m benchmarks.trace kills [--count 200 --parts 5]
 
-`hour` plays the scenario's traffic through the real modules (lab/traffic_simulation.py),
-writes a trace for each gateway, then measures sizes against other formats, a cut of a minute
-and of a store, and the merge of all. Simulated: no sockets, no real time.
+`hour` runs the scenario's traffic through real schedulers on a simulated clock, without
+sockets (lab/traffic_simulation.py), and writes a trace for each gateway. It then
+compares the size with other formats, and measures cuts by time and volume and the merge
+of all traces. `kills` kills a real gateway at random times under load, and verifies the
+trace that it leaves.
 """
 
 from __future__ import annotations
@@ -42,69 +43,69 @@
 SECOND = 10_000
 
 
-# --- The hour.
+# --- The simulated hour.
 
 
 class TimedTrace(SimulationTrace):
-    """The time that writing takes is counted."""
+    """A trace that counts its records and the CPU time of writing blocks."""
 
-    def __init__(self, path: str, about: dict[str, Any], age: int) -> None:
-        super().__init__(path, about, age)
-        self.count, self.cpu = 0, 0.0
+    def __init__(self, path: str, header: dict[str, Any], max_block_age: int) -> None:
+        super().__init__(path, header, max_block_age)
+        self.record_count, self.write_seconds = 0, 0.0
 
     def put(self, name: str, at: int, *values: Any) -> None:
-        self.count += 1
+        self.record_count += 1
         super().put(name, at, *values)
 
     def flush(self) -> None:
         began = time.process_time()
         super().flush()
-        self.cpu += time.process_time() - began
+        self.write_seconds += time.process_time() - began
 
     def close(self) -> None:
         began = time.process_time()
         super().close()
-        self.cpu += time.process_time() - began
+        self.write_seconds += time.process_time() - began
 
 
-def part(
+def run_part(
     path: str,
     out: str,
     number: int,
-    of: int,
+    part_count: int,
     gateways: int,
     rate: float,
     seconds: float,
-    age: int,
-    traced: bool,
+    max_block_age: int,
+    is_traced: bool,
 ) -> None:
-    """One process's gateways; prints what it counted."""
+    """Simulate one process's part of the gateways, and print its counts as JSON."""
     from milletsill.lab.traffic_simulation import TrafficSimulation, scenario_part
     from milletsill.trace.recorder import CommandRecord, TraceRecorder
 
     with open(path, encoding="utf-8") as source:
         scenario = scenario_part(
-            text_format.Parse(source.read(), Scenario()), number, of
+            text_format.Parse(source.read(), Scenario()), number, part_count
         )
-    fleet = TrafficSimulation(scenario, gateways, rate, scenario.seed)
-    taps, names, finals = (
+    simulation = TrafficSimulation(scenario, gateways, rate, scenario.seed)
+    traces, names, finals = (
         [],
-        [each.name for each in fleet.volumes],
+        [each.name for each in simulation.volumes],
         {"satisfied": 0, "declined": 0, "aborted": 0},
     )
 
-    def around(gateway: Any) -> Callable[[Any], Any]:
-        def told(now: int, transfer: Any, final: str) -> None:
+    def wrapper_for(gateway: Any) -> Callable[[Any], Any]:
+        def on_final(now: int, request: Any, final: str) -> None:
             finals[final] += 1
-            if traced:
-                arrival = transfer.request
+            if is_traced:
+                scheduled = request.request
                 command = CommandRecord(
-                    began=transfer.received_at,
-                    volume=names[arrival.volume - 1],
-                    service_plan=arrival.service_plan,
-                    request_class=arrival.request_class,
-                    operation=transfer.operation,
-                    units=arrival.units,
+                    began=request.received_at,
+                    volume=names[scheduled.volume - 1],
+                    service_plan=scheduled.service_plan,
+                    request_class=scheduled.request_class,
+                    operation=request.operation,
+                    units=scheduled.units,
                     requests=1,
                     attempts=0,
                     answer=final,
@@ -112,11 +113,11 @@
                 )
                 recorder.record_command(now, command)
 
-        gateway.on_final = told
-        if not traced:
+        gateway.on_final = on_final
+        if not is_traced:
             return lambda make: make
         name = f"edge-{number * gateways + gateway.place:03d}"
-        tap = TimedTrace(
+        trace = TimedTrace(
             f"{out}/{name}.mtrace",
             {
                 "name": name,
@@ -125,49 +126,49 @@
                 "opened": 0,
                 "wall_ms": 1_700_000_000_000,
                 "made": 0,
-                "volumes": [[each.name, each.plan] for each in fleet.volumes],
+                "volumes": [[each.name, each.plan] for each in simulation.volumes],
             },
-            age,
+            max_block_age,
         )
-        taps.append(tap)
-        recorder = TraceRecorder(tap, names)
+        traces.append(trace)
+        recorder = TraceRecorder(trace, names)
         gateway.on_path = recorder.set_next_path
         return recorder.wrap
 
     began = time.process_time()
-    fleet.start(around)
-    fleet.run(int(seconds * SECOND))
-    for each in taps:
+    simulation.start(wrapper_for)
+    simulation.run(int(seconds * SECOND))
+    for each in traces:
         each.close()
     print(
         json.dumps(
             {
                 "cpu": time.process_time() - began,
-                "writing": sum(each.cpu for each in taps),
-                "records": sum(each.count for each in taps),
+                "writing": sum(each.write_seconds for each in traces),
+                "records": sum(each.record_count for each in traces),
                 "finals": finals,
             }
         )
     )
 
 
-def whole(
+def run_all_parts(
     given: argparse.Namespace,
-    traced: bool,
+    is_traced: bool,
     gateways: int,
     parts: int,
-    age: int,
+    max_block_age: int,
     out: str,
 ) -> dict[str, Any]:
-    """All parts at once; their sums."""
+    """Run all parts as parallel processes and return the sums of their counts."""
     os.makedirs(out, exist_ok=True)
     for old in glob.glob(f"{out}/*"):
         os.unlink(old)
-    words = [sys.executable, "-m", "benchmarks.trace", "part", given.scenario, out]
+    command = [sys.executable, "-m", "benchmarks.trace", "part", given.scenario, out]
     running = [
         subprocess.Popen(
             [
-                *words,
+                *command,
                 *map(
                     str,
                     (
@@ -176,8 +177,8 @@
                         gateways // parts,
                         given.rate / parts,
                         given.seconds,
-                        age,
-                        int(traced),
+                        max_block_age,
+                        int(is_traced),
                     ),
                 ),
             ],
@@ -185,21 +186,22 @@
         )
         for number in range(parts)
     ]
-    told = [json.loads(each.communicate()[0]) for each in running]
+    results = [json.loads(each.communicate()[0]) for each in running]
     finals = {
-        name: sum(each["finals"][name] for each in told) for name in told[0]["finals"]
+        name: sum(each["finals"][name] for each in results)
+        for name in results[0]["finals"]
     }
     return {
         "finals": finals,
         **{
-            name: sum(each[name] for each in told)
+            name: sum(each[name] for each in results)
             for name in ("cpu", "writing", "records")
         },
     }
 
 
 def sizes(path: str, out: str) -> dict[str, int]:
-    """The same records in other formats."""
+    """Return the sizes in bytes of the same records in several formats."""
     import zstandard
 
     plain, packed = 0, f"{out}/lines.zst"
@@ -241,16 +243,16 @@
 
 def hour(given: argparse.Namespace) -> None:
     os.makedirs(given.out, exist_ok=True)
-    bare = whole(
+    untraced = run_all_parts(
         given, False, given.gateways, given.parts, MAX_BLOCK_AGE, f"{given.out}/bare"
     )
-    count = sum(bare["finals"].values())
+    count = sum(untraced["finals"].values())
     print(
-        f"{given.gateways} gateways without a trace: {count} transfers, {bare['cpu'] / count * 1e6:.0f} us of processor each",
+        f"{given.gateways} gateways without traces: {count} requests, {untraced['cpu'] / count * 1e6:.0f} us of CPU time each",
         flush=True,
     )
     for seconds in (5, 60):
-        made = whole(
+        traced = run_all_parts(
             given,
             True,
             given.gateways,
@@ -260,12 +262,12 @@
         )
         files = sorted(glob.glob(f"{given.out}/edges-{seconds}/*.mtrace"))
         size = sum(map(os.path.getsize, files))
-        count = sum(made["finals"].values())
+        count = sum(traced["finals"].values())
         print(
-            f"blocks of {seconds} s: {made['finals']}, {made['records']} records, {size} bytes in {len(files)} files, "
-            f"{size / made['records']:.2f} bytes a record; {made['writing'] / count * 1e6:.1f} us of processor a transfer to "
-            f"write, {made['records'] / max(made['writing'], 1e-9):.0f} records a second; "
-            f"{made['cpu'] / count * 1e6:.0f} us a transfer in all",
+            f"blocks of {seconds} s: {traced['finals']}, {traced['records']} records, {size} bytes in {len(files)} files, "
+            f"{size / traced['records']:.2f} bytes per record; {traced['writing'] / count * 1e6:.1f} us of CPU time per request to "
+            f"write, {traced['records'] / max(traced['writing'], 1e-9):.0f} records per second; "
+            f"{traced['cpu'] / count * 1e6:.0f} us per request in total",
             flush=True,
         )
     files, merged = (
@@ -279,11 +281,11 @@
         stdout=subprocess.PIPE,
     )
     print(tool.communicate()[0].decode().strip(), flush=True)
-    print("sizes of the whole hour:", sizes(merged, given.out), flush=True)
+    print("sizes in bytes of the merged trace:", sizes(merged, given.out), flush=True)
     size = os.path.getsize(merged)
     with TraceReader(merged) as trace:
         last = max(each.last_time for each in trace.contents.blocks)
-        store = sorted(
+        volumes = sorted(
             trace.contents.volume_blocks or {},
             key=lambda each: len(trace.contents.volume_blocks[each]),
         )  # type: ignore[index]
@@ -291,10 +293,10 @@
     for what, terms in (
         ("a minute", RecordFilter(since=minute[0], until=minute[1])),
         (
-            "a store in a minute",
-            RecordFilter(since=minute[0], until=minute[1], volume=store[-1]),
+            "a volume in a minute",
+            RecordFilter(since=minute[0], until=minute[1], volume=volumes[-1]),
         ),
-        ("the rarest store", RecordFilter(volume=store[0])),
+        ("the volume in the fewest blocks", RecordFilter(volume=volumes[0])),
     ):
         out = f"{given.out}/cut.mtrace"
         if os.path.exists(out):
@@ -309,9 +311,9 @@
 
 def merge(out: str, *files: str) -> None:
     began = time.perf_counter()
-    told = merge_traces(list(files), out)
+    result = merge_traces(list(files), out)
     print(
-        f"merge of {len(files)} files: {told.records} records, {time.perf_counter() - began:.0f} s, peak memory "
+        f"merge of {len(files)} files: {result.records} records, {time.perf_counter() - began:.0f} s, peak memory "
         f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB, {os.path.getsize(out)} bytes"
     )
 
@@ -319,27 +321,28 @@
 # --- Kills.
 
 
-def killing(count: int, seed: int) -> None:
-    """One bench, its edge killed again and again at chance moments under load.
+def run_kills(count: int, seed: int) -> None:
+    """Kill one gateway repeatedly at random times under load.
 
-    Each file looked through after each kill.
+    After each kill, each trace file is verified: it must still have the records of all
+    blocks that were complete before the kill, and no damage except at its end.
     """
     from benchmarks.gateway import Bench
 
-    chance, lost, files, open_ends, records = Random(seed), 0, 0, 0, 0
+    rng, lost, files, files_without_end, records = Random(seed), 0, 0, 0, 0
     with (
         tempfile.TemporaryDirectory() as folder,
         Bench(trace=folder, block_s=0.2) as bench,
     ):
         for _ in range(count):
-            bench.await_door()
+            bench.wait_until_listening()
             client = subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
                     "benchmarks.gateway",
                     "client",
-                    str(bench.door),
+                    str(bench.port),
                     "4",
                     "4",
                     "500",
@@ -348,17 +351,19 @@
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
             )
-            time.sleep(chance.uniform(0.8, 2.5))
-            seen = {each: synced(each) for each in glob.glob(f"{folder}/*.mtrace")}
-            bench.edge.kill()
-            bench.edge.wait()
+            time.sleep(rng.uniform(0.8, 2.5))
+            seen = {
+                each: complete_records(each) for each in glob.glob(f"{folder}/*.mtrace")
+            }
+            bench.gateway.kill()
+            bench.gateway.wait()
             client.kill()
             client.wait()
             for each in glob.glob(f"{folder}/*.mtrace"):
                 found, files = verify(each), files + 1
                 held = sum(head.record_count for head in found.blocks)
                 records += held
-                open_ends += found.state is not FileState.WHOLE
+                files_without_end += found.state is not FileState.WHOLE
                 middle = [
                     gap
                     for gap in found.damage
@@ -372,7 +377,7 @@
             {
                 "kills": count,
                 "files": files,
-                "without an end": open_ends,
+                "without an end": files_without_end,
                 "records": records,
                 "lost": lost,
             }
@@ -380,12 +385,12 @@
     )
 
 
-def synced(path: str) -> int:
-    """Records of the whole blocks that the file has now."""
+def complete_records(path: str) -> int:
+    """Return the number of records in the complete blocks of a file."""
     try:
         with TraceReader(path) as trace:
             return sum(each.record_count for each in trace.contents.blocks)
-    except Exception:  # a header that is being written
+    except Exception:  # the header is not complete yet
         return 0
 
 
@@ -404,29 +409,31 @@
         )
         for seed in range(parts)
     ]
-    told = [json.loads(each.communicate()[0]) for each in running]
-    print({name: sum(each[name] for each in told) for name in told[0]})
+    results = [json.loads(each.communicate()[0]) for each in running]
+    print({name: sum(each[name] for each in results) for name in results[0]})
 
 
 def main() -> None:
-    words = sys.argv[1:]
-    if words[:1] == ["part"]:
-        path, out, number, of, gateways, a_second, seconds, age, traced = words[1:]
-        return part(
+    arguments = sys.argv[1:]
+    if arguments[:1] == ["part"]:
+        path, out, number, part_count, gateways, rate, seconds, age, is_traced = (
+            arguments[1:]
+        )
+        return run_part(
             path,
             out,
             int(number),
-            int(of),
+            int(part_count),
             int(gateways),
-            float(a_second),
+            float(rate),
             float(seconds),
             int(age),
-            bool(int(traced)),
+            bool(int(is_traced)),
         )
-    if words[:1] == ["merge"]:
-        return merge(*words[1:])
-    if words[:1] == ["killing"]:
-        return killing(int(words[1]), int(words[2]))
+    if arguments[:1] == ["merge"]:
+        return merge(*arguments[1:])
+    if arguments[:1] == ["killing"]:
+        return run_kills(int(arguments[1]), int(arguments[2]))
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
