--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -54,7 +54,7 @@
 """
 
 
-def run_stand_ins(given: argparse.Namespace) -> None:
+def run_stand_ins(options: argparse.Namespace) -> None:
     """Run the stand-ins of nodes and registry until the process is killed."""
     from twisted.internet import reactor
 
@@ -69,9 +69,9 @@
     from milletsill.settings.milletsill_pb2 import BoxKind, NodeRules, RegistryStand
 
     registry = RegistryStandIn(reactor, RegistryStand(call_ms=1, notice_ms=10), 1)
-    reactor.listenTCP(given.stand, registry_site(registry), interface="127.0.0.1")
+    reactor.listenTCP(options.stand, registry_site(registry), interface="127.0.0.1")
     kind = BoxKind(name="k", cores=8, slots=64, queue=2000, error_rate=0.0, cold_s=0.1)
-    for number in range(given.boxes):
+    for number in range(options.boxes):
         work = {"catch": WorkEstimate(0.001, 0.1)}
         settings = NodeStandInSettings(
             number, number, 0, kind, NodeRules(), work, 5 + number
@@ -213,16 +213,16 @@
 
 
 def make_clients(
-    kind: str, each: int, gateway_ports: list[int], view: View
+    kind: str, per_gateway: int, gateway_ports: list[int], view: View
 ) -> list[WritingClient]:
-    made: list[WritingClient] = []
+    clients: list[WritingClient] = []
     for place, member in enumerate(view.members):
         port = gateway_ports[(place + (kind == "away")) % len(gateway_ports)]
-        made += [
+        clients += [
             WritingClient(port, name, kind != "plain")
-            for name in channel_names_of(view, member.name, each, kind)
+            for name in channel_names_of(view, member.name, per_gateway, kind)
         ]
-    return made
+    return clients
 
 
 def cpu_seconds(gateways: list[Any]) -> float:
@@ -263,7 +263,10 @@
 
 
 async def run_measurements(
-    given: argparse.Namespace, gateway_ports: list[int], gateways: list[Any], view: View
+    options: argparse.Namespace,
+    gateway_ports: list[int],
+    gateways: list[Any],
+    view: View,
 ) -> None:
     deadline = time.monotonic() + 30
     kinds = {
@@ -272,22 +275,29 @@
     }
     for group in kinds.values():
         await asyncio.gather(*[each.open(deadline) for each in group])
-    await run_phase("light", list(kinds.items()), given.seconds, 0.25, gateways)
+    await run_phase("light", list(kinds.items()), options.seconds, 0.25, gateways)
     for kind in ("plain", "home", "away", "four"):
         group = make_clients(kind, 12, gateway_ports, view)
         await asyncio.gather(*[each.open(deadline + 60) for each in group])
         for each in group:
             each.writes_at_once = 4 if kind == "four" else 1
         await run_phase(
-            "closed loop, without pauses", [(kind, group)], given.seconds, 0.0, gateways
+            "closed loop, without pauses",
+            [(kind, group)],
+            options.seconds,
+            0.0,
+            gateways,
         )
         for each in group:
             each.client.writer.close()
-    await measure_failover(given, gateway_ports, gateways, view)
+    await measure_failover(options, gateway_ports, gateways, view)
 
 
 async def measure_failover(
-    given: argparse.Namespace, gateway_ports: list[int], gateways: list[Any], view: View
+    options: argparse.Namespace,
+    gateway_ports: list[int],
+    gateways: list[Any],
+    view: View,
 ) -> None:
     """Kill a channel owner with SIGKILL while clients of its channels keep writing.
 
@@ -349,15 +359,15 @@
         parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--folder", default="")
-    given = parser.parse_args()
-    if given.stand:
-        return run_stand_ins(given)
-    with tempfile.TemporaryDirectory(dir=given.folder or None) as folder:
-        ports = free_ports(2 * given.gateways + 1)
+    options = parser.parse_args()
+    if options.stand:
+        return run_stand_ins(options)
+    with tempfile.TemporaryDirectory(dir=options.folder or None) as folder:
+        ports = free_ports(2 * options.gateways + 1)
         registry, gateway_ports, fleet_ports = (
             ports[0],
-            ports[1 : given.gateways + 1],
-            ports[given.gateways + 1 :],
+            ports[1 : options.gateways + 1],
+            ports[options.gateways + 1 :],
         )
         started = [
             subprocess.Popen(
@@ -368,20 +378,22 @@
                     "--stand",
                     str(registry),
                     "--boxes",
-                    str(given.boxes),
+                    str(options.boxes),
                 ]
             )
         ]
         try:
             text = GATEWAY_TEMPLATE.format(
                 registry=registry,
-                cells=" ".join(f"cell: {each}" for each in range(given.boxes)),
+                cells=" ".join(f"cell: {each}" for each in range(options.boxes)),
                 registers=" ".join(
-                    f'register: "g{each}"' for each in range(given.registers)
+                    f'register: "g{each}"' for each in range(options.registers)
                 ),
             )
             for number, port in enumerate(gateway_ports):
-                file = make_gateway_file(text, number, port, fleet_ports, given, folder)
+                file = make_gateway_file(
+                    text, number, port, fleet_ports, options, folder
+                )
                 path = os.path.join(folder, f"g{number}.textproto")
                 with open(path, "w", encoding="utf-8") as sink:
                     sink.write(text_format.MessageToString(file))
@@ -397,10 +409,10 @@
                 1,
                 [
                     Member(f"g{each}", "", 1, MemberState.ALIVE)
-                    for each in range(given.gateways)
+                    for each in range(options.gateways)
                 ],
             )
-            asyncio.run(run_measurements(given, gateway_ports, started[1:], view))
+            asyncio.run(run_measurements(options, gateway_ports, started[1:], view))
         finally:
             for each in started:
                 each.kill()
@@ -427,13 +439,13 @@
     number: int,
     port: int,
     fleet_ports: list[int],
-    given: argparse.Namespace,
+    options: argparse.Namespace,
     folder: str,
 ) -> GatewayFile:
     """Return the settings file of one gateway."""
     file = GatewayFile(
         name=f"g{number}",
-        gateways=given.gateways,
+        gateways=options.gateways,
         listen=f"127.0.0.1:{port}",
         state_dir=f"{folder}/g{number}",
     )
--- a/benchmarks/cold_bound.py
+++ b/benchmarks/cold_bound.py
@@ -299,7 +299,7 @@
         (200, 8.0, 40.0),
         (1024, 4.0, 20.0),
     ):
-        for case, given in CASES.items():
+        for case, overrides in CASES.items():
             found = []
             for name, rule in RULES.items():
                 rng = Random(1)
@@ -309,7 +309,7 @@
                     "pause": 0.0,
                     "retries": 0,
                     "demand_factor": 1.0,
-                    **given,
+                    **overrides,
                 }
                 results = [
                     simulation.evaluate(rule(simulation, options.use))
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -43,7 +43,9 @@
     network.run(network.now + 10 * SECOND)
 
 
-def run_event(network: SimulatedNetwork, event: str, given: argparse.Namespace) -> None:
+def run_event(
+    network: SimulatedNetwork, event: str, options: argparse.Namespace
+) -> None:
     """Run one kind of event in a fleet without other changes."""
     names = [each.name for each in network.live_members()]
     if event == "join":
@@ -57,7 +59,7 @@
         network.start("gateway-5", incarnation=1, seeds=["gateway-1"])
         wait_for_agreement(network, "it restarts without its state")
     elif event == "halves":
-        for seconds in given.cuts:
+        for seconds in options.cuts:
             network.cut(names[::2], names[1::2])
             network.run(network.now + seconds * SECOND)
             network.heal()
@@ -93,22 +95,22 @@
 EVENTS = ("join", "kill", "many", "halves", "one-way", "loss")
 
 
-def events(given: argparse.Namespace) -> None:
-    print(f"simulated, {given.gateways} gateways, seed {given.seed}")
-    for event in given.only or EVENTS:
-        network = SimulatedNetwork(given.seed)
-        network.start_fleet(given.gateways, 10 * SECOND)
-        run_event(network, event, given)
+def events(options: argparse.Namespace) -> None:
+    print(f"simulated, {options.gateways} gateways, seed {options.seed}")
+    for event in options.only or EVENTS:
+        network = SimulatedNetwork(options.seed)
+        network.start_fleet(options.gateways, 10 * SECOND)
+        run_event(network, event, options)
 
 
-def traffic(given: argparse.Namespace) -> None:
-    network = SimulatedNetwork(given.seed, with_codec=True)
-    network.start_fleet(given.gateways, 15 * SECOND)
+def traffic(options: argparse.Namespace) -> None:
+    network = SimulatedNetwork(options.seed, with_codec=True)
+    network.start_fleet(options.gateways, 15 * SECOND)
     network.packet_counts.clear()
     network.octet_counts.clear()
     began = network.now
     network.run(began + 20 * SECOND)
-    seconds = (network.now - began) / SECOND * given.gateways
+    seconds = (network.now - began) / SECOND * options.gateways
     for over_streams in (False, True):
         packets = (
             sum(
@@ -127,15 +129,15 @@
             / seconds
         )
         print(
-            f"simulated, {given.gateways} gateways, no changes: {'streams' if over_streams else 'datagrams'} sent by each member "
+            f"simulated, {options.gateways} gateways, no changes: {'streams' if over_streams else 'datagrams'} sent by each member "
             f"{packets:.1f} per second, {octets:.0f} octets per second",
             flush=True,
         )
 
 
-def stalls(given: argparse.Namespace) -> None:
-    network, rng = SimulatedNetwork(given.seed), Random(given.seed + 1)
-    network.start_fleet(given.gateways, 10 * SECOND)
+def stalls(options: argparse.Namespace) -> None:
+    network, rng = SimulatedNetwork(options.seed), Random(options.seed + 1)
+    network.start_fleet(options.gateways, 10 * SECOND)
 
     def stall_alone(name: str) -> None:
         network.stall(name, rng.randrange(6600, 12001))
@@ -143,7 +145,7 @@
 
     def stall_together() -> None:
         for name in rng.sample(
-            sorted(network.members), int(rng.uniform(0.3, 0.87) * given.gateways)
+            sorted(network.members), int(rng.uniform(0.3, 0.87) * options.gateways)
         ):
             network.call_at(
                 network.now + rng.randrange(1000),
@@ -153,20 +155,20 @@
             )
         network.call_at(network.now + rng.randrange(20_000, 40_001), stall_together)
 
-    if given.together:
+    if options.together:
         stall_together()
     else:
         for name in list(network.members):
             network.call_at(network.now + rng.randrange(30_000), stall_alone, name)
-    network.run(network.now + given.seconds * SECOND)
-    pattern = "up to 87% at a time" if given.together else "independent"
+    network.run(network.now + options.seconds * SECOND)
+    pattern = "up to 87% at a time" if options.together else "independent"
     print(
-        f"simulated, {given.gateways} gateways, {given.seconds} s of stalls of 660 to 1,200 ms every 2 to 4 s, {pattern}: "
+        f"simulated, {options.gateways} gateways, {options.seconds} s of stalls of 660 to 1,200 ms every 2 to 4 s, {pattern}: "
         f"live members declared dead {len(network.false_deaths)}, suspicions refuted {sum(each.event_counts['REFUTED'] for each in network.members.values())}",
         flush=True,
     )
     times: list[tuple[float, float, float]] = []
-    for _ in range(given.kills):
+    for _ in range(options.kills):
         victim = network.live_members()[-2].name
         began = network.now
         network.kill(victim)
@@ -187,9 +189,9 @@
         times.append((found[0], found[1], found[2]))
         network.run(network.now + 5 * SECOND)
     for place, quorum in enumerate(("the first", "90%", "all")):
-        held = sorted(each[place] for each in times)
+        delays = sorted(each[place] for each in times)
         print(
-            f"  {len(held)} kills, detected by {quorum}: median {held[len(held) // 2]:.1f} s, longest {held[-1]:.1f} s"
+            f"  {len(delays)} kills, detected by {quorum}: median {delays[len(delays) // 2]:.1f} s, longest {delays[-1]:.1f} s"
         )
     print(
         f"  live members declared dead during the kills: {len(network.false_deaths)}",
@@ -197,10 +199,10 @@
     )
 
 
-def processes(given: argparse.Namespace) -> None:
+def processes(options: argparse.Namespace) -> None:
     from benchmarks.fleet_processes import run
 
-    run(given.gateways)
+    run(options.gateways)
 
 
 def main() -> None:
@@ -215,11 +217,11 @@
     parser.add_argument("--together", action="store_true")
     parser.add_argument("--only", nargs="*", choices=EVENTS)
     parser.add_argument("--cuts", type=int, nargs="*", default=[1, 10, 300])
-    given = parser.parse_args()
-    given.gateways = given.gateways or (12 if given.what == "processes" else 200)
+    options = parser.parse_args()
+    options.gateways = options.gateways or (12 if options.what == "processes" else 200)
     {"events": events, "traffic": traffic, "stalls": stalls, "processes": processes}[
-        given.what
-    ](given)
+        options.what
+    ](options)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -123,9 +123,9 @@
     )
     parser.add_argument("--seconds", type=float, default=60)
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
-    rng, count, outcomes, data = Random(given.seed), 0, Counter[str](), b""
-    deadline = time.monotonic() + given.seconds
+    options = parser.parse_args()
+    rng, count, outcomes, data = Random(options.seed), 0, Counter[str](), b""
+    deadline = time.monotonic() + options.seconds
     with tempfile.TemporaryDirectory() as folder:
         path, out = f"{folder}/t", f"{folder}/o"
         while time.monotonic() < deadline:
@@ -151,7 +151,7 @@
                 if os.path.exists(out):
                     os.unlink(out)
     print(
-        f"{count} files, seed {given.seed}: {dict(outcomes)}; peak memory "
+        f"{count} files, seed {options.seed}: {dict(outcomes)}; peak memory "
         f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB"
     )
 
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -381,7 +381,7 @@
             _, median, p99 = bench.run_tool("direct", bench.registry, 200, seconds)
             direct_medians.append(median)
             direct_p99s.append(p99)
-    for name, held in (
+    for name, values in (
         ("commands per second, one gateway", rates),
         ("CPU us per command", costs),
         ("latency in ms at 200 per second, median", medians),
@@ -390,7 +390,7 @@
         ("the same directly to the nodes, 99th percentile", direct_p99s),
     ):
         print(
-            f"{name}: median {statistics.median(held):.2f} ({min(held):.2f} to {max(held):.2f}, {runs} runs)"
+            f"{name}: median {statistics.median(values):.2f} ({min(values):.2f} to {max(values):.2f}, {runs} runs)"
         )
 
 
@@ -399,7 +399,7 @@
 
     The ratio of each pair cancels slow changes in the machine's speed.
     """
-    held: dict[bool, list[tuple[float, ...]]] = {False: [], True: []}
+    results: dict[bool, list[tuple[float, ...]]] = {False: [], True: []}
     for number in range(runs):
         for is_enabled in (False, True) if number % 2 else (True, False):
             with (
@@ -413,7 +413,7 @@
                 top, *_ = bench.generate_load(4, 16, 0, seconds)
                 cost = (bench.cpu_seconds() - before) / (top * seconds) * 1e6
                 _, median, p99 = bench.generate_load(4, 2, 500, seconds)
-                held[is_enabled].append((top, cost, median, p99))
+                results[is_enabled].append((top, cost, median, p99))
     for place, what in enumerate(
         (
             "commands per second",
@@ -422,7 +422,7 @@
             "latency in ms at 500 per second, 99th percentile",
         )
     ):
-        off, on = ([each[place] for each in held[which]] for which in (False, True))
+        off, on = ([each[place] for each in results[which]] for which in (False, True))
         ratios = sorted(b / a for a, b in zip(off, on))
         print(
             f"{what}: without {statistics.median(off):.2f}, with {statistics.median(on):.2f}; ratio in pairs: median "
@@ -450,10 +450,10 @@
                 )
             )
             groups[group] = groups.get(group, 0.0) + own
-        whole = sum(own for group, own in groups.items() if group != "idle")
+        total = sum(own for group, own in groups.items() if group != "idle")
         for group, own in sorted(groups.items(), key=lambda each: -each[1]):
             if group != "idle":
-                print(f"{group}: {own / whole:.1%}")
+                print(f"{group}: {own / total:.1%}")
         found.sort_stats("tottime").print_stats(22)
 
 
@@ -481,15 +481,15 @@
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--away", action="store_true")
-    given = parser.parse_args()
-    if given.what == "load":
-        load(given.runs, given.seconds)
-    elif given.what == "pairs":
-        pairs(given.of, given.runs, given.seconds)
-    elif given.what == "profile":
-        profile(given.seconds)
+    options = parser.parse_args()
+    if options.what == "load":
+        load(options.runs, options.seconds)
+    elif options.what == "pairs":
+        pairs(options.of, options.runs, options.seconds)
+    elif options.what == "profile":
+        profile(options.seconds)
     else:
-        soak(given.seconds, given.away)
+        soak(options.seconds, options.away)
 
 
 if __name__ == "__main__":
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -52,8 +52,8 @@
 }  # fields of a result that identify its run
 
 
-def job_key(result: dict[str, Any], given: Any) -> tuple[Any, ...]:
-    return tuple(result.get(name) for name in JOB_FIELDS[given.what])
+def job_key(result: dict[str, Any], options: Any) -> tuple[Any, ...]:
+    return tuple(result.get(name) for name in JOB_FIELDS[options.what])
 
 
 def interval(values: list[float]) -> str:
@@ -66,13 +66,13 @@
 
 def run_day(job: tuple[str, str, int, int, float]) -> dict[str, Any]:
     os.nice(0)
-    ill, way, seed, cell, liars = job
+    fault, way, seed, cell, liars = job
     scenario = health_scenario.HealthScenario(
-        fault=ill, knowledge=way, seed=seed, shard_size=cell, liar_share=liars
+        fault=fault, knowledge=way, seed=seed, shard_size=cell, liar_share=liars
     )
     simulation = health_simulation.HealthSimulation(scenario)
     return {
-        "ill": ill,
+        "ill": fault,
         "way": way,
         "seed": seed,
         "cell": cell,
@@ -83,18 +83,18 @@
     }
 
 
-def days(given: Any) -> None:
-    ways = given.ways.split(",")
-    ills = [each for each in given.ills.split(",")]
+def days(options: Any) -> None:
+    ways = options.ways.split(",")
+    faults = [each for each in options.ills.split(",")]
     jobs = [
-        (ill, way, seed, given.cell, given.liars if way == "shared" else 0.0)
-        for seed in range(1, given.seeds + 1)
-        for ill in ills
+        (fault, way, seed, options.cell, options.liars if way == "shared" else 0.0)
+        for seed in range(1, options.seeds + 1)
+        for fault in faults
         for way in ways
     ]
     found: dict[tuple[str, str], dict[int, float]] = {}
     false_verdict_rates: dict[str, list[float]] = {}
-    for result in run_jobs(run_day, jobs, given):
+    for result in run_jobs(run_day, jobs, options):
         found.setdefault((result["ill"], result["way"]), {})[result["seed"]] = result[
             "service"
         ]
@@ -102,31 +102,33 @@
             false_verdict_rates.setdefault(result["ill"], []).append(
                 result["false"] / result["hours"]
             )
-    for ill in ills:
-        parts = [f"{way} {np.mean(list(found[ill, way].values())):.4f}" for way in ways]
+    for fault in faults:
+        parts = [
+            f"{way} {np.mean(list(found[fault, way].values())):.4f}" for way in ways
+        ]
         for one, two in (("shared", "alone"), ("truth", "alone")):
             if one in ways and two in ways:
                 pairs = [
-                    value - found[ill, two][seed]
-                    for seed, value in found[ill, one].items()
-                    if seed in found[ill, two]
+                    value - found[fault, two][seed]
+                    for seed, value in found[fault, one].items()
+                    if seed in found[fault, two]
                 ]
                 parts.append(f"{one} - {two} {interval(pairs)}")
-        if ill in false_verdict_rates:
+        if fault in false_verdict_rates:
             parts.append(
-                f"healthy nodes judged faulty {np.mean(false_verdict_rates[ill]):.1f} per hour"
+                f"healthy nodes judged faulty {np.mean(false_verdict_rates[fault]):.1f} per hour"
             )
-        print(f"{ill}: " + ", ".join(parts), flush=True)
+        print(f"{fault}: " + ", ".join(parts), flush=True)
 
 
-def spread(given: Any) -> None:
+def spread(options: Any) -> None:
     jobs = [
-        (case, seed, given.gateways)
-        for seed in range(1, given.seeds + 1)
+        (case, seed, options.gateways)
+        for seed in range(1, options.seeds + 1)
         for case in gossip_simulation.CASES
     ]
     found: dict[str, list[dict[str, Any]]] = {}
-    for result in run_jobs(gossip_simulation.play, jobs, given):
+    for result in run_jobs(gossip_simulation.play, jobs, options):
         found.setdefault(result["case"], []).append(result)
     for case, runs in found.items():
         names = [each for each in runs[0] if each not in JOB_FIELDS["spread"]]
@@ -142,7 +144,7 @@
         )
 
 
-def cost(given: Any) -> None:
+def cost(options: Any) -> None:
     """Measure the CPU time of one gateway for health reports.
 
     It decodes and merges the reports of all other gateways, and evaluates the store.
@@ -155,7 +157,7 @@
     from milletsill.fleet.health.report_store import NodeObservation, ReportStore
 
     rng, node_count, now = Random(1), 44, 100_000
-    origins = [ReportStore(each, 1, 2, 4096) for each in range(given.gateways)]
+    origins = [ReportStore(each, 1, 2, 4096) for each in range(options.gateways)]
     store, evaluator = ReportStore(-1, 1, 8192, 4096), HealthEvaluator(0.34)
 
     def observations(count: int) -> dict[int, NodeObservation]:
@@ -180,39 +182,40 @@
     for step in range(20):
         evaluator.evaluate(
             store,
-            given.gateways,
+            options.gateways,
             RendezvousRanking(),
             {node: node // 2 for node in range(node_count)},
             now + step,
         )
     evaluation_seconds = (time.process_time() - began) / 20
     size = sum(map(len, frames)) / len(frames)
-    share = merge_seconds * given.gateways / 1.2 + evaluation_seconds / 0.3
+    share = merge_seconds * options.gateways / 1.2 + evaluation_seconds / 0.3
     print(
-        f"{given.gateways} gateways, {node_count} nodes: a report of 5 observations has {size:.0f} octets and takes {merge_seconds * 1e6:.0f} us to decode "
+        f"{options.gateways} gateways, {node_count} nodes: a report of 5 observations has {size:.0f} octets and takes {merge_seconds * 1e6:.0f} us to decode "
         f"and merge, an evaluation takes {evaluation_seconds * 1e3:.1f} ms: {share:.3f} of a core without faults",
         flush=True,
     )
 
 
-def run_jobs(call: Any, jobs: list[Any], given: Any) -> Any:
+def run_jobs(call: Any, jobs: list[Any], options: Any) -> Any:
     """Yield results as runs end; runs whose results are in `--out` are not repeated."""
     began, done = time.monotonic(), []
-    if given.out and Path(given.out).exists():
+    if options.out and Path(options.out).exists():
         done = [
-            json.loads(line) for line in Path(given.out).read_text("utf-8").splitlines()
+            json.loads(line)
+            for line in Path(options.out).read_text("utf-8").splitlines()
         ]
-        done = [result for result in done if job_key(result, given) in jobs]
+        done = [result for result in done if job_key(result, options) in jobs]
         jobs = [
             each
             for each in jobs
-            if each not in [job_key(result, given) for result in done]
+            if each not in [job_key(result, options) for result in done]
         ]
     yield from done
-    with multiprocessing.Pool(given.processes) as pool:
+    with multiprocessing.Pool(options.processes) as pool:
         for result in pool.imap_unordered(call, jobs):
-            if given.out:
-                with Path(given.out).open("a", encoding="utf-8") as out:
+            if options.out:
+                with Path(options.out).open("a", encoding="utf-8") as out:
                     out.write(json.dumps(result) + "\n")
             yield result
     print(
@@ -236,8 +239,8 @@
     parser.add_argument("--ills", default=",".join(health_scenario.NODE_FAULTS))
     parser.add_argument("--ways", default="alone,shared,truth")
     parser.add_argument("--out", default="")
-    given = parser.parse_args()
-    {"days": days, "spread": spread, "cost": cost}[given.what](given)
+    options = parser.parse_args()
+    {"days": days, "spread": spread, "cost": cost}[options.what](options)
 
 
 if __name__ == "__main__":
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -214,5 +214,5 @@
     )
     parser.add_argument("--transfers", type=int, default=200_000)
     parser.add_argument("--report", type=int, default=0)
-    given = parser.parse_args()
-    run(given.transfers, given.report or max(given.transfers // 20, 1))
+    options = parser.parse_args()
+    run(options.transfers, options.report or max(options.transfers // 20, 1))
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -35,25 +35,25 @@
         ("rounds", 10),
     ):
         parser.add_argument(f"--{name}", type=int, default=default)
-    given = parser.parse_args()
+    options = parser.parse_args()
     rng, timings, now = Random(1), QuotaTimings(), 100 * SECOND
-    planner = QuotaPlanner(1, timings, given.edges, given.volumes + given.boxes)
+    planner = QuotaPlanner(1, timings, options.edges, options.volumes + options.boxes)
     ledgers = [
         QuotaLedger(f"edge-{each}", 1, timings, now, True)
-        for each in range(given.edges)
+        for each in range(options.edges)
     ]
-    keys = [QuotaKey(QuotaKind.LIMIT, each) for each in range(given.volumes)] + [
-        QuotaKey(QuotaKind.SLOW_START, each) for each in range(given.boxes)
+    keys = [QuotaKey(QuotaKind.LIMIT, each) for each in range(options.volumes)] + [
+        QuotaKey(QuotaKind.SLOW_START, each) for each in range(options.boxes)
     ]
-    lead_gateways = {key: rng.randrange(given.edges) for key in keys}
+    lead_gateways = {key: rng.randrange(options.edges) for key in keys}
     planner_seconds, codec_seconds, request_count = [], [], 0
-    for _ in range(given.rounds):
+    for _ in range(options.rounds):
         round_planner_seconds = round_codec_seconds = 0.0
         for number, ledger in enumerate(ledgers):
             ledger.accept_epoch(1)
             requests = []
             for key in keys:
-                ledger.track(key, given.edges)
+                ledger.track(key, options.edges)
                 is_lead = lead_gateways[key] == number
                 requests.append(
                     ledger.make_request(
@@ -86,20 +86,20 @@
             for each in grants:
                 if each is not None:
                     ledger.on_grant(each, now)
-            now += SECOND // 2 // given.edges
+            now += SECOND // 2 // options.edges
         planner_seconds.append(round_planner_seconds)
         codec_seconds.append(round_codec_seconds)
-    count = len(keys) * given.edges
+    count = len(keys) * options.edges
     largest_sum = max(sum(ledger.share(key, now) for ledger in ledgers) for key in keys)
     lead_shares = sorted(
         ledgers[lead].share(key, now) for key, lead in lead_gateways.items()
     )
     print(
-        f"{given.edges} gateways, {len(keys)} quotas: a round of {count} requests {planner_seconds[-1]:.2f} s of CPU time to decide "
+        f"{options.edges} gateways, {len(keys)} quotas: a round of {count} requests {planner_seconds[-1]:.2f} s of CPU time to decide "
         f"({planner_seconds[-1] / count * 1e6:.1f} us per request), {codec_seconds[-1] / count * 1e6:.1f} us per request to encode and decode protobuf; "
         f"peak memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB including the gateways' ledgers; "
         f"shares of one quota add up to at most {largest_sum / WHOLE:.4f}; the busiest gateway of a quota holds a median share of {lead_shares[len(lead_shares) // 2] / WHOLE:.2f} "
-        f"(equal shares: {1 / given.edges:.3f})"
+        f"(equal shares: {1 / options.edges:.3f})"
     )
 
 
--- a/benchmarks/registers.py
+++ b/benchmarks/registers.py
@@ -36,11 +36,11 @@
 
 def free_ports(count: int) -> list[int]:
     """Return ports that are free for both TCP and UDP."""
-    held: list[Any] = []
+    sockets: list[Any] = []
     found: list[int] = []
     while len(found) < count:
         tcp, udp = socket.socket(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        held += [tcp, udp]
+        sockets += [tcp, udp]
         port = random.randrange(20_000, 32_000)  # below the kernel's ephemeral ports
         try:
             tcp.bind(("127.0.0.1", port))
@@ -48,12 +48,12 @@
         except OSError:
             continue
         found.append(port)
-    for each in held:
+    for each in sockets:
         each.close()
     return found
 
 
-def run_gateway(given: argparse.Namespace) -> None:
+def run_gateway(options: argparse.Namespace) -> None:
     """Run one gateway in this process.
 
     It joins the fleet, acquires its leases, writes records for --seconds, and prints
@@ -70,15 +70,15 @@
     from milletsill.fleet.service_config import FleetCallbacks, FleetServiceConfig
     from milletsill.settings.milletsill_pb2 import FleetLink
 
-    ports = [int(each) for each in given.ports.split(",")]
-    number, registry = given.child, CollectorRegistry()
+    ports = [int(each) for each in options.ports.split(",")]
+    number, registry = options.child, CollectorRegistry()
     link = FleetLink(
         name="bench",
         address=f"127.0.0.1:{ports[number]}",
         join=[f"127.0.0.1:{ports[0]}"],
     )
     log = lambda *words, **values: (
-        print(*words, values, file=sys.stderr) if given.loud else None
+        print(*words, values, file=sys.stderr) if options.loud else None
     )
     file = SimpleNamespace(name=f"g{number}", fleet=link)
     fleet = FleetService(
@@ -91,11 +91,11 @@
     fleet.start()
     lease_manager = LeaseManager(
         LeaseSettings(
-            acceptors=tuple(f"g{each}" for each in range(given.registers)),
+            acceptors=tuple(f"g{each}" for each in range(options.registers)),
             timings=LeaseTimings(2 * SECOND, 3000, 5),
             max_leases=100_000,
             idle_after=IDLE_AFTER,
-            store_path=os.path.join(given.folder, f"g{number}.sqlite"),
+            store_path=os.path.join(options.folder, f"g{number}.sqlite"),
             seed=number,
         ),
         LeaseEnvironment(reactor, now, fleet, log, registry),
@@ -106,25 +106,25 @@
     acquired_at: list[float] = []
 
     def begin() -> None:
-        if len(fleet.view.members) < given.gateways:
+        if len(fleet.view.members) < options.gateways:
             reactor.callLater(0.1, begin)
             return
         window["from"] = time.monotonic() + 3.0  # by then all leases are acquired
-        window["to"] = window["from"] + given.seconds
-        for each in range(given.channels):
+        window["to"] = window["from"] + options.seconds
+        for each in range(options.channels):
             reactor.callLater(1.0, acquire, f"{number}/{each}")
-        if given.kill and number == given.gateways - 2:
-            for each in range(given.channels):
-                reactor.callLater(3.5, take_over, f"{given.gateways - 1}/{each}")
-        if given.kill and number == given.gateways - 1:
+        if options.kill and number == options.gateways - 2:
+            for each in range(options.channels):
+                reactor.callLater(3.5, take_over, f"{options.gateways - 1}/{each}")
+        if options.kill and number == options.gateways - 1:
             reactor.callLater(
-                3.0 + given.seconds / 2,
+                3.0 + options.seconds / 2,
                 lambda: (
                     print(json.dumps({"killed": time.monotonic()}), flush=True),
                     os.kill(os.getpid(), signal.SIGKILL),
                 ),
             )
-        reactor.callLater(3.5 + given.seconds, end)
+        reactor.callLater(3.5 + options.seconds, end)
 
     def take_over(channel: str) -> None:
         """Try to acquire a lease of the killed gateway, until that succeeds."""
@@ -164,7 +164,7 @@
                 write_seconds.append(time.monotonic() - began)
             write(term)
 
-        lease_manager.write(term, os.urandom(given.value), on_written)
+        lease_manager.write(term, os.urandom(options.value), on_written)
 
     def end() -> None:
         commits = registry.get_sample_value("milletsill_register_commits_total")
@@ -184,7 +184,7 @@
         reactor.callLater(0.2, reactor.stop)
 
     reactor.callLater(0.1, begin)
-    reactor.callLater(given.seconds + 30, reactor.stop)
+    reactor.callLater(options.seconds + 30, reactor.stop)
     reactor.run()
 
 
@@ -205,11 +205,11 @@
     parser.add_argument("--kill", action="store_true")
     parser.add_argument("--child", type=int, help=argparse.SUPPRESS)
     parser.add_argument("--ports", help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.child is not None:
-        return run_gateway(given)
-    with tempfile.TemporaryDirectory(dir=given.folder) as folder:
-        ports = ",".join(map(str, free_ports(given.gateways)))
+    options = parser.parse_args()
+    if options.child is not None:
+        return run_gateway(options)
+    with tempfile.TemporaryDirectory(dir=options.folder) as folder:
+        ports = ",".join(map(str, free_ports(options.gateways)))
         command = [
             sys.executable,
             "-m",
@@ -217,17 +217,17 @@
             *(
                 word
                 for name in ("gateways", "registers", "channels", "seconds", "value")
-                for word in (f"--{name}", str(getattr(given, name)))
+                for word in (f"--{name}", str(getattr(options, name)))
             ),
         ]
         command += (
             ["--folder", folder, "--ports", ports]
-            + ["--loud"] * given.loud
-            + ["--kill"] * given.kill
+            + ["--loud"] * options.loud
+            + ["--kill"] * options.kill
         )
         running = [
             subprocess.Popen([*command, "--child", str(each)], stdout=subprocess.PIPE)
-            for each in range(given.gateways)
+            for each in range(options.gateways)
         ]
         results = [json.loads(each.communicate()[0] or b"{}") for each in running]
     write_seconds = sorted(each for one in results for each in one.get("took", ()))
@@ -235,14 +235,14 @@
         sys.exit("no gateway has completed a write")
     commits = [one["commits"] for one in results if one.get("commits")]
     print(
-        f"{given.gateways} gateways, {given.registers} acceptors, {given.channels} leases each, records of {given.value} bytes, "
-        f"{given.seconds} s"
+        f"{options.gateways} gateways, {options.registers} acceptors, {options.channels} leases each, records of {options.value} bytes, "
+        f"{options.seconds} s"
     )
     print(
-        f"writes per second {len(write_seconds) / given.seconds:.0f}; latency of a write {1000 * write_seconds[len(write_seconds) // 2]:.1f} ms at the median, "
+        f"writes per second {len(write_seconds) / options.seconds:.0f}; latency of a write {1000 * write_seconds[len(write_seconds) // 2]:.1f} ms at the median, "
         f"{1000 * write_seconds[len(write_seconds) * 99 // 100]:.1f} at p99; mean commits per acceptor {sum(commits) / max(len(commits), 1):.0f}"
     )
-    if given.kill:
+    if options.kill:
         killed = next(one["killed"] for one in results if "killed" in one)
         failover_seconds = sorted(
             each - killed for one in results for each in one.get("heirs", ())
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -153,7 +153,7 @@
 
 
 def run_all_parts(
-    given: argparse.Namespace,
+    options: argparse.Namespace,
     is_traced: bool,
     gateways: int,
     parts: int,
@@ -164,7 +164,7 @@
     os.makedirs(out, exist_ok=True)
     for old in glob.glob(f"{out}/*"):
         os.unlink(old)
-    command = [sys.executable, "-m", "benchmarks.trace", "part", given.scenario, out]
+    command = [sys.executable, "-m", "benchmarks.trace", "part", options.scenario, out]
     running = [
         subprocess.Popen(
             [
@@ -175,8 +175,8 @@
                         number,
                         parts,
                         gateways // parts,
-                        given.rate / parts,
-                        given.seconds,
+                        options.rate / parts,
+                        options.seconds,
                         max_block_age,
                         int(is_traced),
                     ),
@@ -241,26 +241,31 @@
     return found
 
 
-def hour(given: argparse.Namespace) -> None:
-    os.makedirs(given.out, exist_ok=True)
+def hour(options: argparse.Namespace) -> None:
+    os.makedirs(options.out, exist_ok=True)
     untraced = run_all_parts(
-        given, False, given.gateways, given.parts, MAX_BLOCK_AGE, f"{given.out}/bare"
+        options,
+        False,
+        options.gateways,
+        options.parts,
+        MAX_BLOCK_AGE,
+        f"{options.out}/bare",
     )
     count = sum(untraced["finals"].values())
     print(
-        f"{given.gateways} gateways without traces: {count} requests, {untraced['cpu'] / count * 1e6:.0f} us of CPU time each",
+        f"{options.gateways} gateways without traces: {count} requests, {untraced['cpu'] / count * 1e6:.0f} us of CPU time each",
         flush=True,
     )
     for seconds in (5, 60):
         traced = run_all_parts(
-            given,
+            options,
             True,
-            given.gateways,
-            given.parts,
+            options.gateways,
+            options.parts,
             seconds * SECOND,
-            f"{given.out}/edges-{seconds}",
+            f"{options.out}/edges-{seconds}",
         )
-        files = sorted(glob.glob(f"{given.out}/edges-{seconds}/*.mtrace"))
+        files = sorted(glob.glob(f"{options.out}/edges-{seconds}/*.mtrace"))
         size = sum(map(os.path.getsize, files))
         count = sum(traced["finals"].values())
         print(
@@ -271,8 +276,8 @@
             flush=True,
         )
     files, merged = (
-        sorted(glob.glob(f"{given.out}/edges-5/*.mtrace")),
-        f"{given.out}/merged.mtrace",
+        sorted(glob.glob(f"{options.out}/edges-5/*.mtrace")),
+        f"{options.out}/merged.mtrace",
     )
     if os.path.exists(merged):
         os.unlink(merged)
@@ -281,7 +286,7 @@
         stdout=subprocess.PIPE,
     )
     print(tool.communicate()[0].decode().strip(), flush=True)
-    print("sizes in bytes of the merged trace:", sizes(merged, given.out), flush=True)
+    print("sizes in bytes of the merged trace:", sizes(merged, options.out), flush=True)
     size = os.path.getsize(merged)
     with TraceReader(merged) as trace:
         last = max(each.last_time for each in trace.contents.blocks)
@@ -298,7 +303,7 @@
         ),
         ("the volume in the fewest blocks", RecordFilter(volume=volumes[0])),
     ):
-        out = f"{given.out}/cut.mtrace"
+        out = f"{options.out}/cut.mtrace"
         if os.path.exists(out):
             os.unlink(out)
         result: CutResult = timed(
@@ -361,15 +366,15 @@
             client.wait()
             for each in glob.glob(f"{folder}/*.mtrace"):
                 found, files = verify(each), files + 1
-                held = sum(head.record_count for head in found.blocks)
-                records += held
+                found_records = sum(head.record_count for head in found.blocks)
+                records += found_records
                 files_without_end += found.state is not FileState.WHOLE
-                middle = [
+                inner_damage = [
                     gap
                     for gap in found.damage
                     if gap.offset + gap.size < os.path.getsize(each)
                 ]
-                lost += held < seen.get(each, 0) or bool(middle)
+                lost += found_records < seen.get(each, 0) or bool(inner_damage)
                 os.unlink(each)
             bench.restart()
     print(
@@ -448,11 +453,11 @@
         ("count", int, 200),
     ):
         parser.add_argument(f"--{name}", type=kind, default=default)
-    given = parser.parse_args()
-    if given.what == "hour":
-        hour(given)
+    options = parser.parse_args()
+    if options.what == "hour":
+        hour(options)
     else:
-        kills(given.count, given.parts)
+        kills(options.count, options.parts)
 
 
 if __name__ == "__main__":
