--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 VENV = .venv
 RUN = $(VENV)/bin/python
 PROTOS = $(shell find milletsill -name '*.proto')
-# Files of the laboratory that do not pass mypy --strict yet.
+# Files of the laboratory that are not checked with mypy --strict yet.
 LAB_LEFT = $(addprefix milletsill/lab/,__main__.py baselines.py channels.py clients.py day.py engine.py fleet_processes.py \
 	load.py processes.py run.py stand.py troubles.py)
 # Files and packages that are checked with mypy --strict.
