--- a/tests/sftp_gateway/test_gateway_life_cycle.py
+++ b/tests/sftp_gateway/test_gateway_life_cycle.py
@@ -69,7 +69,7 @@
         rig.registry.delete(f"{rig.file.registry.prefix}{old.settings.node}")
         old.vanish()
         old.drop()
-        rig.add_node(9, old.settings.cell, old.files, cold=True)
+        rig.add_node(9, old.settings.shard, old.files, cold=True)
         await later(0.9)
         answer = await client.command(packets.Stat(0, "/d/x"))
         self.assertIsInstance(answer, packets.AttributesReply)
