--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -1,6 +1,6 @@
-"""The gateway on the platform.
+"""The HTTP gateway's endpoint watch, configuration file, JSON log and limits.
 
-Its list of nodes, its file, its lines, what it decides.
+The watch tests use an in-memory reactor with a clock that the tests advance.
 """
 
 import io
@@ -48,16 +48,16 @@
 from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
 
 
-class Said(unittest.TestCase):
-    """What the process writes of itself."""
+class JsonLogLines(unittest.TestCase):
+    """The JSON log writes one object per line."""
 
-    def test_one_object_a_line_and_a_stream_that_refuses_costs_nothing(self):
+    def test_each_event_is_one_line_and_a_closed_stream_is_ignored(self):
         stream = io.StringIO()
         JsonLog(stream, gateway="n1").warning("list", reason="gone\nby", at=1)
-        told = json.loads(stream.getvalue())
-        told.pop("timestamp")
+        record = json.loads(stream.getvalue())
+        record.pop("timestamp")
         self.assertEqual(
-            told,
+            record,
             {
                 "gateway": "n1",
                 "reason": "gone\nby",
@@ -71,27 +71,27 @@
         JsonLog(stream).info("list")
 
 
-class Lists(unittest.TestCase):
+class EndpointWatch(unittest.TestCase):
     def setUp(self):
-        self.reactor, self.told, self.log = Reactor(), [], []
-        self.follower = EndpointWatcher(
+        self.reactor, self.updates, self.log = Reactor(), [], []
+        self.watcher = EndpointWatcher(
             self.reactor,
             lambda: int(self.reactor.seconds() * 10_000),
             WatcherConfig(("127.0.0.1", 8500), ["z"], 0),
-            lambda kind, places: self.told.append((kind, len(places))),
+            lambda kind, nodes: self.updates.append((kind, len(nodes))),
             self.log.append,
             Random(1).uniform,
         )
 
     def watch(self):
-        self.follower.request_watch()
+        self.watcher.request_watch()
         self.reactor.advance(0)
         return self.reactor.up()
 
-    def line(self, version, whole=False, entries=(NODE,)):
+    def update_line(self, version, full=False, entries=(NODE,)):
         text = (
             json.dumps(
-                {"version": version, "full": whole, "servers": list(entries)}
+                {"version": version, "full": full, "servers": list(entries)}
             ).encode()
             + b"\n"
         )
@@ -99,18 +99,18 @@
 
     HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-    def test_a_watch_tells_each_change_and_its_break_and_goes_on_from_its_version(self):
+    def test_a_watch_reports_changes_and_its_end_and_resumes_from_its_version(self):
         watch, wire = self.watch()
         watch.dataReceived(
             self.HEAD
-            + self.line(7, True)
-            + self.line(8)
-            + self.line(6)
-            + self.line(9)[:20]
+            + self.update_line(7, True)
+            + self.update_line(8)
+            + self.update_line(6)
+            + self.update_line(9)[:20]
         )
         watch.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(
-            self.told,
+            self.updates,
             [
                 (EndpointUpdateKind.SNAPSHOT, 1),
                 (EndpointUpdateKind.DELTA, 1),
@@ -120,17 +120,17 @@
         _, wire = self.watch()
         self.assertIn(b"from=8 ", wire.value())
 
-    def test_an_empty_first_line_is_an_answer_too_and_silence_is_a_break(self):
+    def test_an_empty_first_line_is_an_answer_and_silence_ends_the_watch(self):
         watch, wire = self.watch()
         watch.dataReceived(self.HEAD + b"1\r\n\n\r\n")
         self.reactor.advance(6.1)
-        self.follower.check()
+        self.watcher.check()
         self.assertEqual(
-            (self.told, wire.aborted),
+            (self.updates, wire.aborted),
             ([(EndpointUpdateKind.DELTA, 0), (EndpointUpdateKind.FAILED, 0)], True),
         )
 
-    def test_what_cannot_be_read_ends_the_watch_with_one_line(self):
+    def test_an_unreadable_answer_ends_the_watch_with_one_log_line(self):
         for data in (
             b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
             b"noise\r\n",
@@ -140,21 +140,23 @@
             self.setUp()
             self.watch()[0].dataReceived(data)
             self.assertEqual(
-                (self.told, len(self.log)), ([(EndpointUpdateKind.FAILED, 0)], 1), data
+                (self.updates, len(self.log)),
+                ([(EndpointUpdateKind.FAILED, 0)], 1),
+                data,
             )
 
-    def test_at_a_new_address_the_old_watch_stands_until_the_new_one_speaks(self):
+    def test_after_an_address_change_the_old_watch_stays_until_the_new_answers(self):
         old, wire = self.watch()
-        old.dataReceived(self.HEAD + self.line(7, True))
-        self.follower.move(("127.0.0.1", 8501))
+        old.dataReceived(self.HEAD + self.update_line(7, True))
+        self.watcher.move(("127.0.0.1", 8501))
         self.reactor.advance(0)
-        old.dataReceived(self.line(8))
+        old.dataReceived(self.update_line(8))
         new, other = self.reactor.up()
         self.assertIn(b"from=7 ", other.value())
         self.assertFalse(wire.aborted)
-        new.dataReceived(self.HEAD + self.line(9))
+        new.dataReceived(self.HEAD + self.update_line(9))
         self.assertEqual(
-            (wire.aborted, [kind for kind, _ in self.told]),
+            (wire.aborted, [kind for kind, _ in self.updates]),
             (
                 True,
                 [
@@ -165,7 +167,7 @@
             ),
         )
 
-    def test_a_zone_that_the_settings_do_not_name_is_shared_only_with_its_like(self):
+    def test_equal_zone_names_unknown_to_the_settings_are_one_zone(self):
         zones = [
             parse_node(NODE | {"id": name, "zone": zone}, ["z"], 0).endpoint.zone
             for name, zone in (
@@ -181,7 +183,7 @@
         self.assertEqual([zones[0], zones[2]], [zones[1], zones[3]])
         self.assertEqual(len(set(zones)), 5)
 
-    def test_an_entry_that_does_not_parse_is_left_out_alone(self):
+    def test_only_malformed_entries_are_left_out(self):
         bad = [
             {},
             5,
@@ -190,23 +192,23 @@
             NODE | {"cell": -1},
             NODE | {"weight": float("nan")},
         ]
-        news = parse_update(
+        update = parse_update(
             {"version": 3, "servers": bad + [NODE | {"started_ms": 5}]},
             ["z"],
             7,
             self.log.append,
         )
         self.assertEqual(
-            (len(news.nodes), news.nodes[0].endpoint.started_at, len(self.log)),
+            (len(update.nodes), update.nodes[0].endpoint.started_at, len(self.log)),
             (1, 57, len(bad)),
         )
-        self.assertIs(news.nodes[0].endpoint.readiness, Readiness.READY)
+        self.assertIs(update.nodes[0].endpoint.readiness, Readiness.READY)
         with self.assertRaises(InvalidEndpointError):
             parse_update({"version": -1, "servers": []}, [], 0, self.log.append)
 
 
-class Decided(unittest.TestCase):
-    def test_descriptors_are_parted(self):
+class ConfigurationAndLimits(unittest.TestCase):
+    def test_descriptors_are_divided_within_the_limit(self):
         for sockets in (256, 384, 1024):
             shares = divide_descriptors(sockets)
             self.assertTrue(
@@ -215,11 +217,11 @@
                 <= sockets - 20
             )
 
-    def test_time_and_a_clients_connection(self):
+    def test_a_client_connection_times_out_by_its_state(self):
         self.assertEqual(
             [
-                time_event(stage, begun, quiet, short) is not None
-                for stage, begun, quiet, short in (
+                time_event(state, has_partial, silence, is_short) is not None
+                for state, has_partial, silence, is_short in (
                     (ClientState.NEW, False, NEW_TIMEOUT, False),
                     (ClientState.NEW, False, 600, False),
                     (ClientState.NEW, False, 600, True),
@@ -230,7 +232,7 @@
             [True, False, True, True, False],
         )
 
-    def test_the_leave_ends_before_the_platform_kills(self):
+    def test_the_shutdown_ends_before_the_platform_kills_the_process(self):
         self.assertEqual(
             [serving_time_after_term(10_000), serving_time_after_term(90_000)],
             [15_000, 35_000],
@@ -239,27 +241,27 @@
             steps = [within for within, _ in shutdown_schedule(longest)]
             self.assertEqual((steps, steps[-1] + 900 == kill), (sorted(steps), True))
 
-    def test_ids_are_spent_for_their_time_and_within_a_bound(self):
-        spent = RecentRequestIds()
+    def test_ids_are_remembered_until_their_deadline_and_within_a_limit(self):
+        recent = RecentRequestIds()
         for id in range(3 * MAX_IDS):
-            spent.add(id, id + 1000, id)
+            recent.add(id, id + 1000, id)
             self.assertEqual(
-                [spent.contains(each, id) for each in (id, id - 999, id - 1000)],
+                [recent.contains(each, id) for each in (id, id - 999, id - 1000)],
                 [True, id >= 999, False],
             )
-        self.assertLessEqual(len(spent.until), 1001)
+        self.assertLessEqual(len(recent.until), 1001)
         for id in range(3 * MAX_IDS):
-            spent.add(id, 1 << 40, 0)
-        self.assertEqual(len(spent.until), MAX_IDS)
+            recent.add(id, 1 << 40, 0)
+        self.assertEqual(len(recent.until), MAX_IDS)
         self.assertEqual(
             [
-                spent.contains(each, 0)
+                recent.contains(each, 0)
                 for each in (3 * MAX_IDS - 1, 2 * MAX_IDS, 2 * MAX_IDS - 1)
             ],
             [True, True, False],
         )
 
-    def test_a_report_is_read_field_by_field(self):
+    def test_a_load_report_is_read_field_by_field(self):
         self.assertEqual(
             parse_load_report(
                 b"inflight=7,queue=nan,util=-1,depth=x,concurrent=2.5,\xff=1,,="
@@ -268,22 +270,22 @@
         )
         self.assertEqual(parse_load_report(None), {})
 
-    def test_a_repeat_and_a_leave_are_told_to_the_module(self):
+    def test_a_retry_and_its_request_terms_are_parsed(self):
         deployment = parse_configuration(GIVEN, {}, 0, print)
         reader = RequestReader(MessageLimits())
         reader.feed(
             ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
         )
-        arrival = RequestParser(deployment.config).parse(
+        request = RequestParser(deployment.config).parse(
             reader.next_message(), 1000, 60, 5000
         )
         self.assertEqual(
             (
-                arrival.is_retry,
-                arrival.shard,
-                arrival.units,
-                arrival.sharing_gateways,
-                arrival.deadline,
+                request.is_retry,
+                request.shard,
+                request.units,
+                request.sharing_gateways,
+                request.deadline,
             ),
             (True, None, 2.5, 3, 5000),
         )
@@ -291,7 +293,7 @@
             reader.feed(ask(X_Lane="none"))
             RequestParser(deployment.config).parse(reader.next_message(), 1000, 60)
 
-    def test_a_configuration_that_cannot_be_used_is_one_line(self):
+    def test_an_unusable_configuration_is_a_one_line_error(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "c.json")
             for text in (
@@ -308,9 +310,9 @@
                     file.write(text)
                 with self.assertRaises(
                     GatewayConfigurationRejectedError, msg=text[:50]
-                ) as caught:
+                ) as raised:
                     read_configuration({"NODE_CONFIG": path}, 0, list[str]().append)
-                self.assertNotIn("\n", str(caught.exception))
+                self.assertNotIn("\n", str(raised.exception))
             with self.assertRaises(GatewayConfigurationRejectedError):
                 read_configuration({}, 0, print)
 
--- a/tests/http_gateway/test_gateway_process.py
+++ b/tests/http_gateway/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The gateway on the platform as a whole process, on loopback sockets."""
+"""The HTTP gateway as a process of its own, on loopback sockets."""
 
 import json
 import os
@@ -20,15 +20,15 @@
 )
 
 
-class Whole(unittest.TestCase):
-    """A real process."""
+class GatewayProcess(unittest.TestCase):
+    """The process that `python -m milletsill serve` starts."""
 
-    def test_start_readiness_a_transfer_sighup_and_sigterm(self):
+    def test_start_readiness_a_request_sighup_and_sigterm(self):
         listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
-        node, discovery, door = [each.getsockname()[1] for each in listeners]
+        node, discovery, gateway_port = [each.getsockname()[1] for each in listeners]
         listeners[2].close()
-        given = GIVEN | {
-            "listen": f"127.0.0.1:{door}",
+        configuration = GIVEN | {
+            "listen": f"127.0.0.1:{gateway_port}",
             "discovery": f"127.0.0.1:{discovery}",
             "known": {
                 "version": 1,
@@ -39,7 +39,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "c.json")
             with open(path, "w") as file:
-                json.dump(given, file)
+                json.dump(configuration, file)
             process = subprocess.Popen(
                 [sys.executable, "-m", "milletsill", "serve"],
                 stdout=subprocess.PIPE,
@@ -47,15 +47,15 @@
                 env=os.environ | {"NODE_CONFIG": path},
             )
             try:
-                client = self.reached(door)
+                client = self.connect(gateway_port)
                 client.sendall(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 self.assertIn(b" 200 ", client.recv(1000))
                 client.sendall(ask())
                 listeners[0].settimeout(5)
-                link = listeners[0].accept()[0]
-                self.assertIn(b"X-Txn", link.recv(4000))
+                node_socket = listeners[0].accept()[0]
+                self.assertIn(b"X-Txn", node_socket.recv(4000))
                 process.send_signal(signal.SIGHUP)
-                link.sendall(ANSWER)
+                node_socket.sendall(ANSWER)
                 self.assertIn(b" 200 ", client.recv(1000))
                 process.send_signal(signal.SIGTERM)
                 self.assertEqual(process.wait(8), 0)
@@ -66,7 +66,7 @@
                     and b"Traceback" not in log,
                     log[-2000:],
                 )
-                client.close(), link.close()
+                client.close(), node_socket.close()
             finally:
                 process.kill()
                 process.wait()
@@ -74,10 +74,10 @@
                 for each in listeners:
                     each.close()
 
-    def test_a_whole_process_under_settings_of_another_shape(self):
-        """Two nodes a cell, no plans, no zones, no bounds, lists pushed.
+    def test_a_process_with_minimal_settings(self):
+        """Two nodes on one shard; no plans, no zones, no limits; lists are pushed.
 
-        Calm transfers to answers, then SIGTERM.
+        All requests are answered, then SIGTERM ends the process.
         """
         classes = [{"name": "get", "aim_ns": 400_000_000, "idempotency": "free"}]
         settings = {
@@ -87,23 +87,23 @@
             "classes": classes,
         }
         with (
-            node_stand_in(b"1") as one,
-            node_stand_in(b"2") as other,
+            node_stand_in(b"1") as first_port,
+            node_stand_in(b"2") as second_port,
             tempfile.TemporaryDirectory() as folder,
         ):
             listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-            discovery, door = [each.getsockname()[1] for each in listeners]
+            discovery, gateway_port = [each.getsockname()[1] for each in listeners]
             listeners[1].close()
             servers = [
                 {"id": f"s-{port}", "addr": f"127.0.0.1:{port}", "state": "active"}
-                for port in (one, other)
+                for port in (first_port, second_port)
             ]
             path = os.path.join(folder, "c.json")
             with open(path, "w") as file:
                 json.dump(
                     {
                         "name": "n",
-                        "listen": f"127.0.0.1:{door}",
+                        "listen": f"127.0.0.1:{gateway_port}",
                         "discovery": f"127.0.0.1:{discovery}",
                         "settings": settings,
                         "known": {"version": 1, "full": True, "servers": servers},
@@ -117,7 +117,7 @@
                 env=os.environ | {"NODE_CONFIG": path},
             )
             try:
-                clients, bodies = [self.reached(door) for _ in range(4)], set()
+                clients, bodies = [self.connect(gateway_port) for _ in range(4)], set()
                 for number in range(24):
                     clients[number % 4].sendall(
                         ask(
@@ -145,25 +145,26 @@
                 process.stdout.close()
                 listeners[0].close()
 
-    def test_settings_that_cannot_be_used_end_it_with_one_line_and_status_2(self):
+    def test_unusable_settings_end_the_process_with_one_line_and_status_2(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "c.json")
             with open(path, "w") as file:
                 json.dump(
                     GIVEN | {"settings": SETTINGS | {"resolution_ns": "often"}}, file
                 )
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "milletsill", "serve"],
                 env=os.environ | {"NODE_CONFIG": path},
                 capture_output=True,
                 timeout=20,
             )
         self.assertEqual(
-            (done.returncode, done.stderr.count(b"\n"), done.stdout), (2, 1, b"")
+            (completed.returncode, completed.stderr.count(b"\n"), completed.stdout),
+            (2, 1, b""),
         )
-        self.assertIn(b"resolution_ns", done.stderr)
+        self.assertIn(b"resolution_ns", completed.stderr)
 
-    def reached(self, port):
+    def connect(self, port):
         for _ in range(100):
             try:
                 client = socket.create_connection(("127.0.0.1", port), 5)
@@ -173,30 +174,31 @@
                 time.sleep(0.1)
         self.fail("the gateway did not come up")
 
-    def test_without_its_variables_it_says_one_line_and_what_it_loads_is_little(self):
-        plain = {
+    def test_no_environment_is_a_one_line_error_and_imports_stay_few(self):
+        environment = {
             key: value
             for key, value in os.environ.items()
             if not key.startswith("NODE_")
         }
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "milletsill", "serve"],
-            env=plain,
+            env=environment,
             capture_output=True,
             timeout=20,
         )
         self.assertEqual(
-            (done.returncode, done.stderr.count(b"\n"), done.stdout), (2, 1, b"")
+            (completed.returncode, completed.stderr.count(b"\n"), completed.stdout),
+            (2, 1, b""),
         )
         probe = (
             "import milletsill.http_gateway.gateway, milletsill.http_gateway.process, milletsill.gateway.process_setup, milletsill.http_gateway.json_log, sys; "
             "print([each for each in ('numpy', 'pyarrow', 'matplotlib', 'scapy', 'google.protobuf', 'click', "
             "'milletsill.flows', 'milletsill.trace', 'milletsill.planner', 'milletsill.sftp', 'structlog', 'rich') if each in sys.modules])"
         )
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", probe], capture_output=True, timeout=20
         )
-        self.assertEqual(done.stdout.strip(), b"[]")
+        self.assertEqual(completed.stdout.strip(), b"[]")
 
 
 if __name__ == "__main__":
--- a/tests/http_gateway/test_graceful_shutdown.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -1,7 +1,8 @@
-"""After SIGTERM.
+"""Shutdown after SIGTERM.
 
-What comes on connections that stay open has one final answer before the earliest kill,
-whatever nodes do, and nothing is taken that would have none.
+A request on a connection that stays open gets exactly one final answer before the
+earliest time at which the platform kills the process, whatever the nodes do. The
+gateway accepts no request that it could not answer by then.
 """
 
 import copy
@@ -9,25 +10,28 @@
 from milletsill.http_gateway.gateway import HttpGateway
 from tests.support import http_gateway_rig as shared
 
-KILLED, COUNTED, STEP = (
-    0.7,
-    3.0,
-    0.05,
-)  # seconds after the longest patience, which counts as three at most
+# Seconds. The platform kills the process KILL_DELAY after the longest client timeout,
+# of which it counts MAX_COUNTED_TIMEOUT at most.
+KILL_DELAY, MAX_COUNTED_TIMEOUT, STEP = 0.7, 3.0, 0.05
 
 
-class Leaving(shared.Served):
-    def leave(self, patience, came, left):
-        """One client sends `came` seconds after SIGTERM (before it, below zero) and waits for `left`; no node answers. Another
-        has half a request out. What both had got by the earliest kill, and whether the process was away by then.
+class GracefulShutdown(shared.Served):
+    def shut_down(self, client_timeout, sent_at, remaining):
+        """Shut down with two clients and no node that answers, up to the earliest kill.
+
+        The first client sends its request `sent_at` seconds after SIGTERM (negative:
+        before it) with `remaining` seconds to its deadline. The second client sends
+        half a request along with it, and the rest 0.25 s before the kill. Return
+        whether the first request was sent, the wires of the first and the second
+        client, and the times at which the gateway stopped.
         """
         self.setUp()
         settings = copy.deepcopy(shared.SETTINGS)
         for each in settings["classes"]:
             each |= {
-                "hard_limit_ns": int(patience * 1e9),
+                "hard_limit_ns": int(client_timeout * 1e9),
                 "idempotency": "single_shot",
-            }  # awaited to the end
+            }  # not retried, so it stays open to its deadline
         self.gateway = HttpGateway(
             self.deployment(settings=settings),
             self.reactor,
@@ -37,41 +41,45 @@
         )
         self.gateway.start()
         protocol, wire = self.client()
-        half, other = self.client()
-        kill, at, sent, ended = (
-            min(patience, COUNTED) + KILLED,
-            min(came, 0.0),
+        second_client, second_wire = self.client()
+        kill_at, now, sent, stop_times = (
+            min(client_timeout, MAX_COUNTED_TIMEOUT) + KILL_DELAY,
+            min(sent_at, 0.0),
             False,
             [],
         )
-        self.gateway.on_stopped = lambda: ended.append(self.now())
+        self.gateway.on_stopped = lambda: stop_times.append(self.now())
         dialled = len(self.reactor.tcpClients)
-        while at < kill - STEP / 2:
-            if at >= 0 and self.gateway.latest_deadline is None:
+        while now < kill_at - STEP / 2:
+            if now >= 0 and self.gateway.latest_deadline is None:
                 self.gateway.terminate()
-            if at >= came and not sent and not (wire.disconnecting or wire.half_closed):
+            if (
+                now >= sent_at
+                and not sent
+                and not (wire.disconnecting or wire.half_closed)
+            ):
                 sent = True
-                protocol.dataReceived(shared.ask(X_Remaining_Ms=str(int(left * 1000))))
-                if half is not None:
-                    half.dataReceived(shared.ask(txn=5)[:40])
+                protocol.dataReceived(
+                    shared.ask(X_Remaining_Ms=str(int(remaining * 1000)))
+                )
+                if second_client is not None:
+                    second_client.dataReceived(shared.ask(txn=5)[:40])
             if (
-                at >= kill - 0.25
-                and half is not None
-                and not (other.disconnecting or other.half_closed)
+                now >= kill_at - 0.25
+                and second_client is not None
+                and not (second_wire.disconnecting or second_wire.half_closed)
             ):
-                half = half.dataReceived(shared.ask(txn=5)[40:])
+                second_client = second_client.dataReceived(shared.ask(txn=5)[40:])
             self.reactor.advance(STEP)
-            for place in self.dialled(7070):
-                if place >= dialled:
-                    self.reactor.up(place)
+            for index in self.dialled(7070):
+                if index >= dialled:
+                    self.reactor.up(index)
             dialled = len(self.reactor.tcpClients)
-            at += STEP
-        return sent, wire, other, ended
+            now += STEP
+        return sent, wire, second_wire, stop_times
 
-    def test_each_has_one_final_answer_before_the_earliest_kill_or_a_close_that_crosses_it(
-        self,
-    ):
-        for patience, left in (
+    def test_each_request_gets_one_answer_before_the_kill_or_crosses_a_close(self):
+        for client_timeout, remaining in (
             (1.0, 1.0),
             (1.0, 0.2),
             (3.0, 3.0),
@@ -79,20 +87,24 @@
             (8.0, 8.0),
             (8.0, 3.0),
         ):
-            last = min(patience, COUNTED) + KILLED
-            for came in [-0.5, -0.1, 0.0, 0.3] + [
-                last - 0.1 * back for back in range(8, 0, -1)
+            kill_at = min(client_timeout, MAX_COUNTED_TIMEOUT) + KILL_DELAY
+            for sent_at in [-0.5, -0.1, 0.0, 0.3] + [
+                kill_at - 0.1 * steps for steps in range(8, 0, -1)
             ]:
-                sent, wire, other, ended = self.leave(patience, came, left)
-                seen = wire.value().count(b"HTTP/1.1 ")
+                sent, wire, second_wire, stop_times = self.shut_down(
+                    client_timeout, sent_at, remaining
+                )
+                answers = wire.value().count(b"HTTP/1.1 ")
                 self.assertTrue(
-                    seen == 1 if sent else seen == 0 and wire.disconnecting,
-                    (patience, left, came, seen),
+                    answers == 1 if sent else answers == 0 and wire.disconnecting,
+                    (client_timeout, remaining, sent_at, answers),
+                )
+                self.assertEqual(
+                    len(stop_times), 1, (client_timeout, remaining, sent_at)
                 )
-                self.assertEqual(len(ended), 1, (patience, left, came))
                 self.assertTrue(
                     not sent
-                    or came > last - 0.3
-                    or other.value().count(b"HTTP/1.1 ") == 1,
-                    (patience, left, came),
+                    or sent_at > kill_at - 0.3
+                    or second_wire.value().count(b"HTTP/1.1 ") == 1,
+                    (client_timeout, remaining, sent_at),
                 )
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -1,6 +1,6 @@
-"""The gateway on the platform.
+"""Client requests, node connections and many nodes at one gateway.
 
-Door, links and many nodes, on memory transports and a clock of the test's own.
+The tests use in-memory transports and a clock that they advance themselves.
 """
 
 import gc
@@ -30,17 +30,17 @@
 )
 
 
-class Door(Served):
-    def test_a_transfer_passes_unchanged_and_its_answer_comes_back(self):
-        for txn, one in (
+class ClientRequests(Served):
+    def test_a_request_is_forwarded_unchanged_and_its_answer_returned(self):
+        for txn, request in (
             (TXN, ask(method="PUT", name="put", body=b"body", Idempotency_Key="k-1")),
             (TXN + 1, ask(TXN + 1)),
         ):
             client, wire = self.client(
-                *[one[place : place + 1] for place in range(len(one))]
+                *[request[index : index + 1] for index in range(len(request))]
             )
             if txn == TXN:
-                link, sent = self.reactor.up(self.dialled(7070)[-1])
+                connection, sent = self.reactor.up(self.dialled(7070)[-1])
             text = sent.value()
             self.assertIn(b"X-Txn: %016x\r\n" % txn, text)
             self.assertIn(b"X-Remaining-Ms: ", text)
@@ -49,16 +49,16 @@
                 (txn == TXN,) * 2,
             )
             sent.clear()
-            link.dataReceived(ANSWER)
+            connection.dataReceived(ANSWER)
             self.assertTrue(
                 wire.value().startswith(b"HTTP/1.1 200")
                 and wire.value().endswith(b"\r\n\r\nhi")
             )
         self.assertEqual(
             len(self.dialled(7070)), 1
-        )  # the second went over the same link
+        )  # the second request used the same node connection
 
-    def test_what_is_no_transfer_gets_an_error_and_reaches_nobody(self):
+    def test_an_invalid_request_gets_an_error_and_reaches_no_node(self):
         for bad in (
             ask(drop=["X-Txn"]),
             ask(drop=["X-IO"]),
@@ -86,13 +86,13 @@
             self.assertTrue(wire.half_closed)
         self.assertEqual((self.dialled(7070), self.gateway.host.unanswered), ([], 0))
 
-    def test_the_id_of_an_open_transfer_is_refused_and_the_open_one_goes_on(self):
-        (_, first), (link, _) = self.served(answer=None)
+    def test_the_id_of_an_open_request_is_refused_and_the_open_one_continues(self):
+        (_, first), (connection, _) = self.served(answer=None)
         self.assertIn(b" 409 ", self.client(ask())[1].value())
-        link.dataReceived(ANSWER)
+        connection.dataReceived(ANSWER)
         self.assertIn(b" 200 ", first.value())
 
-    def test_sixty_megabytes_are_refused_at_the_head_and_not_read(self):
+    def test_a_sixty_megabyte_body_is_refused_at_the_head_and_not_read(self):
         head = ask(
             method="PUT", name="put", Content_Length="62914560", Idempotency_Key="k"
         )
@@ -105,7 +105,7 @@
             self.reactor.advance(0.1)
         self.assertTrue(wire.aborted)
 
-    def test_a_client_that_leaves_has_its_dispatch_given_up(self):
+    def test_the_attempt_of_a_disconnected_client_is_aborted(self):
         (client, _), (_, sent) = self.served(answer=None)
         self.lost(client)
         self.reactor.advance(0.01)
@@ -114,12 +114,10 @@
             (0, True, {}),
         )
 
-    def test_two_requests_in_one_packet_are_answered_in_turn_and_hundreds_are_not_held(
-        self,
-    ):
+    def test_two_pipelined_requests_are_answered_in_order_and_hundreds_refused(self):
         client, wire = self.client(ask() + ask(TXN + 1))
-        link, sent = self.reactor.up(self.dialled(7070)[-1])
-        link.dataReceived(ANSWER)
+        connection, sent = self.reactor.up(self.dialled(7070)[-1])
+        connection.dataReceived(ANSWER)
         self.reactor.advance(0.01)
         self.assertEqual(
             (sent.value().count(b"X-Txn"), wire.value().count(b" 200 ")), (2, 1)
@@ -128,7 +126,7 @@
         client.dataReceived(b"x")
         self.assertIn(b" 400 ", wire.value())
 
-    def test_what_the_module_gives_up_is_declined_with_a_time_to_come_back(self):
+    def test_a_request_the_scheduler_gives_up_gets_503_with_retry_after(self):
         client, wire = self.client(
             ask(X_IO="volume=00000003b4d60021,units=2,shard=3,hosts=1")
         )
@@ -136,7 +134,7 @@
         self.assertIn(b" 503 ", wire.value())
         self.assertIn(b"Retry-After: 1.500\r\n", wire.value())
 
-    def test_silent_and_slow_connections_end_within_their_spans(self):
+    def test_silent_and_slow_connections_end_within_their_timeouts(self):
         _, silent = self.client()
         _, slow = self.client(ask()[:40])
         self.reactor.pump([0.1] * 24)
@@ -144,63 +142,63 @@
             (silent.disconnecting, slow.value()[:12]), (True, b"HTTP/1.1 408")
         )
 
-    def test_silent_connections_make_way_where_descriptors_are_short(self):
-        most = self.gateway.listener.max_connections + SPARE_CLIENTS
-        silent = [self.client() for _ in range(most)]
+    def test_silent_connections_are_closed_when_descriptors_are_short(self):
+        limit = self.gateway.listener.max_connections + SPARE_CLIENTS
+        silent = [self.client() for _ in range(limit)]
         self.assertIsNone(self.gateway.listener.buildProtocol(None))
         self.reactor.pump([0.1] * 4)
         self.assertTrue(all(wire.disconnecting for _, wire in silent))
         self.lost(silent[0][0])
-        self.assertTrue(self.gateway.listener.paused)  # still over its share
+        self.assertTrue(self.gateway.listener.paused)  # still over its descriptor share
         for protocol, _ in silent[1:]:
             self.lost(protocol)
         self.assertEqual(
             self.gateway.port.numberAccepts, 1
-        )  # as when the first was let in again
+        )  # the same value as after the first time that accepting resumed
         self.assertFalse(
             self.gateway.listener.paused or self.gateway.listener.connections
         )
 
-    def test_an_answer_that_is_not_taken_is_counted_until_it_is(self):
-        (client, wire), (link, _) = self.served(answer=None)
+    def test_an_answer_counts_as_buffered_until_the_client_reads_it(self):
+        (client, wire), (connection, _) = self.served(answer=None)
         write = wire.write
         wire.write = lambda data: (client.pauseProducing(), write(data))
-        link.dataReceived(ANSWER)
+        connection.dataReceived(ANSWER)
         self.assertEqual(self.gateway.buffers.held, 2)
         client.resumeProducing()
         self.assertEqual(self.gateway.buffers.held, 0)
 
-    def test_readiness_and_sigterm(self):
+    def test_sigterm_fails_readiness_and_finishes_open_requests(self):
         ready = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
-        kept, wire = self.client(ready)
+        idle, wire = self.client(ready)
         self.assertIn(b" 200 ", wire.value())
-        (_, busy), (link, _) = self.served(answer=None)
-        ended = []
-        self.gateway.on_stopped = lambda: ended.append(self.now())
+        (_, busy), (connection, _) = self.served(answer=None)
+        stop_times = []
+        self.gateway.on_stopped = lambda: stop_times.append(self.now())
         self.gateway.terminate()
         wire.clear()
-        kept.dataReceived(ready)
+        idle.dataReceived(ready)
         self.assertIn(b" 503 ", wire.value())
         self.assertFalse(wire.disconnecting)
-        link.dataReceived(ANSWER)
+        connection.dataReceived(ANSWER)
         self.assertIn(b" 200 ", busy.value())
         self.reactor.pump([0.05] * 40)
         self.assertEqual(
-            (wire.disconnecting, len(ended), self.gateway.state),
+            (wire.disconnecting, len(stop_times), self.gateway.state),
             (True, 1, ProcessState.STOPPED),
         )
 
 
-class Links(Served):
-    def ended(self):
-        """How the dispatches ended that were counted."""
+class NodeConnections(Served):
+    def outcomes(self):
+        """Return the counted attempts by outcome."""
         return {
             key[1]: count
             for key, count in self.gateway.report.counts.items()
             if key[0] == "ended"
         }
 
-    def test_each_way_to_end(self):
+    def test_each_node_answer_has_its_outcome(self):
         for answer, outcome in (
             (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.ERROR),
             (
@@ -216,37 +214,37 @@
             (b"HTTP/1.1 100 Go\r\n\r\n" + ANSWER, AttemptOutcome.SUCCEEDED),
         ):
             self.setUp()
-            (_, wire), (link, sent) = self.served(answer)
-            self.assertEqual(self.ended(), {outcome.value: 1}, answer)
+            (_, wire), (connection, sent) = self.served(answer)
+            self.assertEqual(self.outcomes(), {outcome.value: 1}, answer)
             self.assertEqual(
                 sent.aborted,
                 outcome is AttemptOutcome.ERROR and b"500" not in answer,
                 answer,
             )
 
-    def test_an_answer_without_a_length_is_whole_at_a_close_and_lost_at_a_reset(self):
-        for clean, outcome, said in (
+    def test_an_answer_without_length_is_whole_at_a_close_and_lost_at_a_reset(self):
+        for clean, outcome, expected_answer in (
             (True, AttemptOutcome.SUCCEEDED, b"200 OK\r\nContent-Length: 2\r\n\r\nab"),
             (False, AttemptOutcome.RESET, b""),
         ):
             self.setUp()
-            (_, wire), (link, _) = self.served(b"HTTP/1.1 200 OK\r\n\r\nab")
-            self.assertEqual((self.ended(), wire.value()), ({}, b""))
-            self.lost(link, clean)
-            self.assertEqual(self.ended(), {outcome.value: 1})
-            self.assertIn(said, wire.value())
+            (_, wire), (connection, _) = self.served(b"HTTP/1.1 200 OK\r\n\r\nab")
+            self.assertEqual((self.outcomes(), wire.value()), ({}, b""))
+            self.lost(connection, clean)
+            self.assertEqual(self.outcomes(), {outcome.value: 1})
+            self.assertIn(expected_answer, wire.value())
 
-    def test_octets_behind_a_good_answer_retire_its_link(self):
+    def test_extra_octets_after_an_answer_close_its_node_connection(self):
         (_, wire), (_, sent) = self.served(ANSWER + b"HTTP/1.1 200 OK\r\n")
         self.assertEqual(
             (wire.value()[-2:], sent.aborted, self.gateway.node_pools.open_connections),
             (b"hi", True, 0),
         )
-        (_, wire), (link, sent) = self.served(ANSWER, txn=TXN + 1)
-        link.dataReceived(b"noise")  # later, nothing waits
+        (_, wire), (connection, sent) = self.served(ANSWER, txn=TXN + 1)
+        connection.dataReceived(b"noise")  # arrives later, while no request is open
         self.assertTrue(sent.aborted)
 
-    def test_a_break_before_the_last_octet_was_handed_over_never_ran_after_it_may_have(
+    def test_a_lost_connection_is_unreachable_before_all_is_written_and_reset_after(
         self,
     ):
         for written, outcome in (
@@ -254,142 +252,144 @@
             (True, AttemptOutcome.RESET),
         ):
             self.setUp()
-            _, (link, _) = self.served(None)
-            link.written = written
-            self.lost(link, clean=False)
-            self.assertEqual(self.ended(), {outcome.value: 1})
+            _, (connection, _) = self.served(None)
+            connection.written = written
+            self.lost(connection, clean=False)
+            self.assertEqual(self.outcomes(), {outcome.value: 1})
 
-    def test_an_idle_link_that_closes_before_we_wrote_all_costs_nothing(self):
-        _, (link, _) = self.served()
+    def test_an_idle_connection_that_closes_before_the_write_costs_no_attempt(self):
+        _, (connection, _) = self.served()
         self.client(ask(TXN + 1))
-        self.assertIsNotNone(link.exchange)
-        link.written = False
-        self.lost(link)
+        self.assertIsNotNone(connection.exchange)
+        connection.written = False
+        self.lost(connection)
         self.reactor.advance(0)
-        self.assertEqual((self.ended(), len(self.dialled(7070))), ({"satisfied": 1}, 2))
+        self.assertEqual(
+            (self.outcomes(), len(self.dialled(7070))), ({"satisfied": 1}, 2)
+        )
         _, sent = self.reactor.up()
         self.assertIn(b"X-Txn: %016x" % (TXN + 1), sent.value())
 
-    def test_a_dial_that_fails_is_unreached(self):
+    def test_a_failed_connect_is_unreachable(self):
         self.client(ask())
         self.reactor.tcpClients[self.dialled(7070)[0]][2].clientConnectionFailed(
             SimpleNamespace(transport=None), None
         )
         self.assertEqual(
-            (self.ended()["unreached"], self.gateway.node_pools.open_connections),
+            (self.outcomes()["unreached"], self.gateway.node_pools.open_connections),
             (1, len(self.dialled(7070)) - 1),
         )
 
-    def fleet(self, most=4, octets=None):
-        fleet = HttpNodePools(
+    def node_pools(self, max_connections=4, budget=None):
+        pools = HttpNodePools(
             self.reactor,
             self.now,
-            NodePoolsConfig(most, 2500, 300_000),
-            octets or BufferBudget(64),
+            NodePoolsConfig(max_connections, 2500, 300_000),
+            budget or BufferBudget(64),
             lambda *values: None,
         )
-        fleet.update(True, [parse_node(NODE, ["z"], 0)])
-        return fleet, fleet.pools[node_number("s-1")]
+        pools.update(True, [parse_node(NODE, ["z"], 0)])
+        return pools, pools.pools[node_number("s-1")]
 
-    def test_links_stay_within_their_bound_and_who_waits_is_unreached_in_time(self):
-        fleet, node = self.fleet()
-        ended = []
+    def test_connections_stay_within_the_limit_and_waiting_attempts_time_out(self):
+        pools, node = self.node_pools()
+        outcomes = []
         for _ in range(6):
-            fleet.send_attempt(
+            pools.send_attempt(
                 ForwardedPayload(b"GET", b"/get", [], b""),
                 node.number,
                 self.now() + 9000,
-                lambda *values: ended.append(values),
+                lambda *values: outcomes.append(values),
             )
-        self.assertEqual((fleet.open_connections, len(node.waiting)), (4, 6))
+        self.assertEqual((pools.open_connections, len(node.waiting)), (4, 6))
         self.reactor.advance(0.26)
-        fleet.check()
-        self.assertEqual((len(ended), len(node.waiting)), (6, 0))
+        pools.check()
+        self.assertEqual((len(outcomes), len(node.waiting)), (6, 0))
 
-    def test_idle_links_close_before_the_node_does_and_the_longest_idle_makes_way(self):
-        fleet, node = self.fleet(most=1)
-        fleet.send_attempt(
+    def test_idle_connections_close_before_the_node_does_longest_idle_first(self):
+        pools, node = self.node_pools(max_connections=1)
+        pools.send_attempt(
             ForwardedPayload(b"GET", b"/get", [], b""),
             node.number,
             self.now() + 9000,
             lambda *values: None,
         )
-        link, wire = self.reactor.up()
-        link.dataReceived(ANSWER)
-        fleet.update(
+        connection, wire = self.reactor.up()
+        connection.dataReceived(ANSWER)
+        pools.update(
             False,
             [parse_node(NODE | {"id": "s-2", "addr": "127.0.0.1:7071"}, ["z"], 0)],
         )
-        fleet.send_attempt(
+        pools.send_attempt(
             ForwardedPayload(b"GET", b"/get", [], b""),
             node_number("s-2"),
             self.now() + 9000,
             lambda *values: None,
         )
-        self.assertEqual((wire.aborted, fleet.open_connections), (True, 1))
+        self.assertEqual((wire.aborted, pools.open_connections), (True, 1))
         other, wire = self.reactor.up()
         other.dataReceived(ANSWER)
         self.reactor.advance(22)
-        fleet.check()
-        self.assertEqual((wire.aborted, fleet.open_connections), (True, 0))
-
-    def test_long_answers_are_counted_against_the_memory(self):
-        octets = BufferBudget(64)
-        fleet, node = self.fleet(octets=octets)
-        octets.held = octets.limit - 500_000
-        ended = []
+        pools.check()
+        self.assertEqual((wire.aborted, pools.open_connections), (True, 0))
+
+    def test_long_answers_are_counted_against_the_buffer_budget(self):
+        budget = BufferBudget(64)
+        pools, node = self.node_pools(budget=budget)
+        budget.held = budget.limit - 500_000
+        outcomes = []
         for _ in range(2):
-            fleet.send_attempt(
+            pools.send_attempt(
                 ForwardedPayload(b"GET", b"/get", [], b""),
                 node.number,
                 self.now() + 9000,
-                lambda *values: ended.append(values[0]),
+                lambda *values: outcomes.append(values[0]),
             )
-        links = [self.reactor.up(place)[0] for place in self.dialled(7070)[-2:]]
-        for link in links:
-            link.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n")
-        links[0].dataReceived(b"x" * 400_000)
+        connections = [self.reactor.up(index)[0] for index in self.dialled(7070)[-2:]]
+        for each in connections:
+            each.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n")
+        connections[0].dataReceived(b"x" * 400_000)
         self.assertEqual(
-            (ended, octets.held),
-            ([AttemptOutcome.ERROR, AttemptOutcome.SUCCEEDED], octets.limit - 500_000),
+            (outcomes, budget.held),
+            ([AttemptOutcome.ERROR, AttemptOutcome.SUCCEEDED], budget.limit - 500_000),
         )
 
-    def test_a_thousand_nodes_come_and_go_and_leave_nothing(self):
-        fleet, _ = self.fleet()
-        for turn in range(1000):
-            fleet.update(
+    def test_a_thousand_added_and_removed_nodes_leave_no_pools(self):
+        pools, _ = self.node_pools()
+        for number in range(1000):
+            pools.update(
                 False,
                 [
-                    parse_node(NODE | {"id": f"t-{turn}"}, ["z"], 0),
-                    parse_node({"id": f"t-{turn - 1}", "state": "left"}, ["z"], 0),
+                    parse_node(NODE | {"id": f"t-{number}"}, ["z"], 0),
+                    parse_node({"id": f"t-{number - 1}", "state": "left"}, ["z"], 0),
                 ],
             )
-            fleet.check()
-        self.assertEqual(len(fleet.pools), 2)
+            pools.check()
+        self.assertEqual(len(pools.pools), 2)
 
-    def test_a_dial_that_ended_leaves_no_circle(self):
+    def test_an_ended_connection_leaves_no_reference_cycle(self):
         protocol, wire = Protocol(), Wire()
         connector = SimpleNamespace(
             transport=wire, factory=SingleConnector(protocol, lambda: None)
         )
         protocol.transport, wire.connector = wire, connector
         connector.factory.clientConnectionLost(connector, None)
-        there = weakref.ref(protocol)
+        reference = weakref.ref(protocol)
         gc.disable()
         self.addCleanup(gc.enable)
         del protocol, wire, connector
-        self.assertIsNone(there())
+        self.assertIsNone(reference())
 
-    def test_a_node_that_moved_is_reached_at_its_new_address(self):
-        fleet, node = self.fleet()
-        fleet.update(False, [parse_node(NODE | {"addr": "127.0.0.1:9"}, ["z"], 0)])
+    def test_a_node_with_a_changed_address_is_reached_there(self):
+        pools, node = self.node_pools()
+        pools.update(False, [parse_node(NODE | {"addr": "127.0.0.1:9"}, ["z"], 0)])
         self.assertEqual(
             (node.address, node.host_field), (("127.0.0.1", 9), b"127.0.0.1:9")
         )
 
 
-class AtSize(Served):
-    """A thousand nodes and gateways in the settings, within the descriptors that the configuration states."""
+class ThousandNodes(Served):
+    """1024 nodes and gateways, within the configured descriptor limit."""
 
     def deployment(self, **changed):
         servers = [
@@ -410,10 +410,10 @@
             self.log.append,
         )
 
-    def test_every_node_is_reached_and_links_stay_within_their_bound(self):
-        module, fleet = self.gateway.host.scheduler, self.gateway.node_pools
+    def test_every_node_is_reached_and_connections_stay_within_the_limit(self):
+        sched, pools = self.gateway.host.scheduler, self.gateway.node_pools
         self.assertEqual(
-            (len(module.state.nodes), len(fleet.pools), module.config.gateway_index),
+            (len(sched.state.nodes), len(pools.pools), sched.config.gateway_index),
             (1024, 1024, 1023),
         )
         for cell in range(1024):
@@ -428,9 +428,9 @@
             self.assertIn(b"200 OK", wire.value())
             self.lost(client)
             self.reactor.advance(0)
-            self.assertLessEqual(fleet.open_connections, fleet.max_connections)
+            self.assertLessEqual(pools.open_connections, pools.max_connections)
 
-    def test_its_tally_tells_of_the_nodes_in_use_alone(self):
+    def test_the_report_lists_only_nodes_in_use(self):
         self.client(ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"))
         self.reactor.up(self.dialled(10_009)[-1])
         self.log.clear()
--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -1,7 +1,7 @@
-"""Clients that send what cannot be read, never end, or flood.
+"""Clients that send malformed, unfinished or excessive requests.
 
-One error or a close in time, counted by cause, and a usual client served beside each,
-on loopback sockets.
+Each gets one error or a close in time and is counted by cause, while a normal client is
+served. The tests use loopback sockets.
 """
 
 import socket
@@ -15,11 +15,13 @@
 LIVE = b"GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 KEYED = {"method": "PUT", "name": "put", "Idempotency_Key": "k"}
-OWED = 3.0  # seconds within which a bad client has an error or a close
-BAD = {  # what is sent, and by what it is counted; nothing: by its close alone
+MAX_WAIT = 3.0  # seconds until a bad client has an error or a close
+# The data sent, and the cause under which it is counted; an empty cause stands for a
+# close without an error.
+BAD = {
     "noise": (b"\x00\xff\n\n", "a head that can be read in two ways"),
     "noise without a line": (b"\x16\x03\x01\x02", "what begins no message"),
-    "a request that is none": (b"EAT /me\r\n\r\n", "a head that cannot be read"),
+    "an unknown method": (b"EAT /me\r\n\r\n", "a head that cannot be read"),
     "an endless head": (
         b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 4000,
         "a head over the bound",
@@ -34,15 +36,15 @@
         "a request that does not end",
     ),
     "silence": (b"", ""),
-    "a length below zero": (
+    "a negative length": (
         ask(Content_Length="-5", **KEYED),
         "a head that cannot be read",
     ),
-    "a length that is huge": (
+    "a huge length": (
         ask(Content_Length="9" * 30, **KEYED),
         "a head that cannot be read",
     ),
-    "two ways to tell the length": (
+    "a length and chunks": (
         ask(Content_Length="4", Transfer_Encoding="chunked", **KEYED) + b"abcd",
         "a head that cannot be read",
     ),
@@ -50,11 +52,11 @@
         ask(Content_Length="62914560", **KEYED) + b"x" * 300_000,
         "a body over the bound",
     ),
-    "chunks that are none": (
+    "malformed chunks": (
         ask(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
         "chunks that cannot be read",
     ),
-    "chunks without number": (
+    "too many chunks": (
         ask(Transfer_Encoding="chunked", **KEYED) + b"1\r\nx\r\n" * 9000,
         "a body in too many chunks",
     ),
@@ -62,11 +64,14 @@
         ask(Transfer_Encoding="chunked", **KEYED) + b"1000\r\n" + b"x" * 4096 + b"\r\n",
         "a request that does not end",
     ),
-    "a class that does not exist": (ask(name="none"), "x-lane is not known"),
-    "a plan that does not exist": (ask(X_Plan="none"), "x-plan is not known"),
-    "a deadline that is no number": (ask(X_Remaining_Ms="NaN"), "x-remaining-ms"),
+    "an unknown class": (ask(name="none"), "x-lane is not known"),
+    "an unknown plan": (ask(X_Plan="none"), "x-plan is not known"),
+    "a non-numeric deadline": (ask(X_Remaining_Ms="NaN"), "x-remaining-ms"),
     "no id": (ask(drop=["X-Txn"]), "x-txn"),
-    "the id of another's open request": (ask(TXN + 7), "x-txn is another's open one"),
+    "the id of another client's open request": (
+        ask(TXN + 7),
+        "x-txn is another's open one",
+    ),
     "hundreds at once": (
         b"".join(ask(number) for number in range(100, 400)) + b"x",
         "too much ahead of an answer",
@@ -74,7 +79,7 @@
 }
 
 
-class Bad(Loopback):
+class BadClients(Loopback):
     def refused(self):
         return {
             value: count
@@ -82,45 +87,47 @@
             if what == "refused"
         }
 
-    def flood(self, one, data):
-        """As much as the system takes; the gateway's turns make room for more."""
+    def flood(self, bad_client, data):
+        """Send all data; the gateway's reactor runs whenever the buffers are full."""
         while data:
             with suppress(BlockingIOError):
-                data = data[one.send(data) :]
+                data = data[bad_client.send(data) :]
             self.turn(1)
 
-    def served(self, client, link, txn):
-        """A usual request from end to end, without the clock moving."""
+    def served(self, client, node_socket, txn):
+        """Serve a normal request from end to end, without advancing the clock."""
         client.sendall(ask(txn))
-        self.until(lambda: b"X-Txn" in self.got(link)[0], "it did not come to the node")
-        link.sendall(ANSWER)
         self.until(
-            lambda: b" 200 " in self.got(client)[0], "the usual client is not served"
+            lambda: b"X-Txn" in self.got(node_socket)[0],
+            "the request did not reach the node",
+        )
+        node_socket.sendall(ANSWER)
+        self.until(
+            lambda: b" 200 " in self.got(client)[0], "the normal client is not served"
         )
 
-    def test_each_bad_client_has_one_error_or_a_close_in_time_and_a_usual_one_is_served_beside_it(
-        self,
-    ):
+    def test_each_bad_client_has_one_error_or_a_close_in_time(self):
+        """A normal client is served before and after the error."""
         for name, (data, cause) in BAD.items():
             with self.subTest(name):
                 self.again()
-                other = self.client(ask(TXN + 7))
-                link = self.taken()
-                one = self.client()
+                normal_client = self.client(ask(TXN + 7))
+                node_socket = self.taken()
+                bad_client = self.client()
                 began = self.time
-                self.flood(one, data)
-                link.sendall(ANSWER)
+                self.flood(bad_client, data)
+                node_socket.sendall(ANSWER)
                 self.until(
-                    lambda: b" 200 " in self.got(other)[0],
-                    "the usual client is not served",
+                    lambda: b" 200 " in self.got(normal_client)[0],
+                    "the normal client is not served",
                 )
-                got, how = b"", "open"
-                while how == "open" and not got and self.time < began + 10:
+                got, ending = b"", "open"
+                while ending == "open" and not got and self.time < began + 10:
                     self.pass_time(0.05)
-                    piece, how = self.got(one)
+                    piece, ending = self.got(bad_client)
                     got += piece
-                self.assertTrue(got or how != "open", "neither an error nor a close")
-                self.assertLess(self.time - began, OWED)
+                self.assertTrue(got or ending != "open", "neither an error nor a close")
+                self.assertLess(self.time - began, MAX_WAIT)
                 self.assertRegex(got, rb"\AHTTP/1\.1 [45]\d\d " if cause else rb"\A\Z")
                 self.assertEqual(got.count(b"HTTP/1.1 "), 1 if cause else 0)
                 self.assertEqual(
@@ -128,123 +135,118 @@
                     [cause] if cause else [],
                 )
                 self.assertEqual(list(self.refused().values()), [1] if cause else [])
-                other.sendall(ask(TXN + 8))
-                self.until(lambda: b"X-Txn" in self.got(link)[0])
-                link.sendall(ANSWER)
+                normal_client.sendall(ask(TXN + 8))
+                self.until(lambda: b"X-Txn" in self.got(node_socket)[0])
+                node_socket.sendall(ANSWER)
                 self.until(
-                    lambda: b" 200 " in self.got(other)[0],
-                    "the usual client is not served",
+                    lambda: b" 200 " in self.got(normal_client)[0],
+                    "the normal client is not served",
                 )
                 self.pass_time(2.0)
                 self.assertEqual(
                     len(self.gateway.listener.connections),
                     1,
-                    "the bad client holds its descriptor",
+                    "the bad client's connection is still open",
                 )
-                one.close()
+                bad_client.close()
 
-    def test_the_id_of_anothers_request_is_refused_at_once_also_where_that_one_is_over(
-        self,
-    ):
-        """Answered, declined, or left by its client the moment before.
-
-        Until its client's time is over.
-        """
-        for over in ("open", "answered", "declined", "left"):
-            with self.subTest(over):
+    def test_the_id_of_another_clients_request_is_refused_until_its_deadline(self):
+        """The other request is open, or was just answered, declined or abandoned."""
+        for fate in ("open", "answered", "declined", "left"):
+            with self.subTest(fate):
                 self.again()
                 elsewhere = (
                     {"X_IO": "volume=00000003b4d60021,units=2,shard=3,hosts=1"}
-                    if over == "declined"
+                    if fate == "declined"
                     else {}
                 )
-                other = self.client(ask(**elsewhere))
-                if over == "declined":  # no node leads there
+                normal_client = self.client(ask(**elsewhere))
+                if fate == "declined":  # no node serves this shard
                     while (
                         not self.gateway.report.counts["answer", "declined"]
                         and self.time < 1001
                     ):
                         self.pass_time(0.02)
                 else:
-                    link = self.taken()
-                    if over == "answered":
-                        link.sendall(ANSWER)
-                        self.until(lambda: b" 200 " in self.got(other)[0])
-                    elif over == "left":
-                        other.close()
+                    node_socket = self.taken()
+                    if fate == "answered":
+                        node_socket.sendall(ANSWER)
+                        self.until(lambda: b" 200 " in self.got(normal_client)[0])
+                    elif fate == "left":
+                        normal_client.close()
                         self.until(
                             lambda: self.gateway.report.counts["answer", "abandoned"]
                         )
                 sent = self.gateway.report.counts["dispatch", "0"]
-                one = self.client(ask())
-                data, how = self.all_of(one)  # the clock stands
+                bad_client = self.client(ask())
+                data, ending = self.all_of(bad_client)  # the clock does not advance
                 self.assertEqual(
-                    (data[:12], how, self.gateway.report.counts["dispatch", "0"]),
+                    (data[:12], ending, self.gateway.report.counts["dispatch", "0"]),
                     (b"HTTP/1.1 409", "ended", sent),
                 )
                 self.assertEqual(self.refused(), {"x-txn is another's open one": 1})
-                if over != "open":
+                if fate != "open":
                     self.pass_time(1.0)
-                    late = self.client(ask(**elsewhere))
+                    late_client = self.client(ask(**elsewhere))
                     self.until(lambda: self.gateway.host.unanswered == 1, "not taken")
-                    late.close()
+                    late_client.close()
 
     def test_one_octet_at_a_time_without_an_end_is_refused_in_time(self):
-        """A head, a body told by its length, one in chunks.
+        """The head, a body with a length, and a chunked body are sent octet by octet.
 
-        At once and behind a request that was answered.
+        Each is sent on a fresh connection and after an answered request.
         """
-        for begins in (
+        for start in (
             b"GET / HTTP/1.1\r\nX: ",
             ask(Content_Length="900", **KEYED),
             ask(Transfer_Encoding="chunked", **KEYED) + b"200\r\n",
         ):
-            for behind in (False, True):
-                with self.subTest(begins[:9], behind=behind):
+            for after_request in (False, True):
+                with self.subTest(start[:9], after_request=after_request):
                     self.again()
-                    usual = self.client(ask(TXN + 7))
-                    link = self.taken()
-                    link.sendall(ANSWER)
-                    self.until(lambda: b" 200 " in self.got(usual)[0])
-                    one, sent = self.client(), 0
-                    if behind:
-                        self.served(one, link, TXN + 1)
-                    one.sendall(begins[:-1])
+                    normal_client = self.client(ask(TXN + 7))
+                    node_socket = self.taken()
+                    node_socket.sendall(ANSWER)
+                    self.until(lambda: b" 200 " in self.got(normal_client)[0])
+                    bad_client, sent = self.client(), 0
+                    if after_request:
+                        self.served(bad_client, node_socket, TXN + 1)
+                    bad_client.sendall(start[:-1])
                     data = b""
                     while not data and sent < 80:
-                        one.sendall(begins[-1:] if not sent else b"y")
+                        bad_client.sendall(start[-1:] if not sent else b"y")
                         sent += 1
                         if sent % 10 == 0:
-                            self.served(usual, link, TXN + 8 + sent)
+                            self.served(normal_client, node_socket, TXN + 8 + sent)
                         self.pass_time(0.05)
-                        data = self.got(one)[0]
+                        data = self.got(bad_client)[0]
                     self.assertEqual(
                         (data.count(b"HTTP/1.1 "), data[:12]), (1, b"HTTP/1.1 408")
                     )
-                    self.assertLess(sent * 0.05, OWED)
+                    self.assertLess(sent * 0.05, MAX_WAIT)
                     self.assertEqual(self.refused(), {"a request that does not end": 1})
 
-    def test_who_begins_late_has_its_word_in_time_too(self):
-        for waits in (0.5, 1.5, 2.1):
-            with self.subTest(waits=waits):
+    def test_a_client_that_begins_late_has_its_error_in_time(self):
+        for delay in (0.5, 1.5, 2.1):
+            with self.subTest(delay=delay):
                 self.again()
-                one = self.client()
-                self.pass_time(waits)
-                one.sendall(ask()[:60])
-                self.pass_time(OWED - 0.02 - waits)
-                self.assertEqual(self.got(one)[0][:12], b"HTTP/1.1 408")
+                bad_client = self.client()
+                self.pass_time(delay)
+                bad_client.sendall(ask()[:60])
+                self.pass_time(MAX_WAIT - 0.02 - delay)
+                self.assertEqual(self.got(bad_client)[0][:12], b"HTTP/1.1 408")
 
-    def test_who_asks_on_and_on_and_reads_nothing_is_refused_holds_little_and_costs_others_nothing(
+    def test_a_client_that_never_reads_its_answers_is_refused_and_uses_little_memory(
         self,
     ):
-        other = self.client(ask(TXN + 7))
-        link = self.taken()
-        one = self.client(window=4096)
+        normal_client = self.client(ask(TXN + 7))
+        node_socket = self.taken()
+        bad_client = self.client(window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         for _ in range(400):
             with suppress(OSError):
-                one.send(LIVE * 1500)
+                bad_client.send(LIVE * 1500)
             self.turn(1)
         self.assertEqual(self.refused(), {"too much ahead of an answer": 1})
         self.assertLess(
@@ -252,25 +254,26 @@
             + sum(map(len, protocol.transport._tempDataBuffer)),
             1 << 18,
         )
-        link.sendall(ANSWER)
+        node_socket.sendall(ANSWER)
         self.until(
-            lambda: b" 200 " in self.got(other)[0], "the usual client is not served"
+            lambda: b" 200 " in self.got(normal_client)[0],
+            "the normal client is not served",
         )
         self.pass_time(IDLE_TIMEOUT / 10_000 + 1.5)
         self.assertEqual(
             (len(self.gateway.listener.connections), self.gateway.buffers.held), (0, 0)
         )
 
-    def test_the_same_again_the_moment_it_is_turned_away_holds_nobody_up(self):
-        other = self.client(ask())
-        link = self.taken()
-        for turn in range(200):
-            one = self.client(ask(name="none"))
-            data, how = self.all_of(one)
-            self.assertEqual((data[:12], how), (b"HTTP/1.1 404", "ended"))
-            one.close()
-        link.sendall(ANSWER)
-        self.until(lambda: b" 200 " in self.got(other)[0])
+    def test_immediate_repeats_of_a_rejected_request_delay_no_other_client(self):
+        normal_client = self.client(ask())
+        node_socket = self.taken()
+        for attempt in range(200):
+            bad_client = self.client(ask(name="none"))
+            data, ending = self.all_of(bad_client)
+            self.assertEqual((data[:12], ending), (b"HTTP/1.1 404", "ended"))
+            bad_client.close()
+        node_socket.sendall(ANSWER)
+        self.until(lambda: b" 200 " in self.got(normal_client)[0])
         self.assertEqual(
             (len(self.gateway.listener.connections), self.refused()),
             (1, {"x-lane is not known": 200}),
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -1,6 +1,6 @@
-"""Descriptors at their edge.
+"""The gateway at its descriptor limit, on loopback sockets.
 
-What clients, discovery and links are owed there, on loopback sockets.
+Clients, discovery calls and node connections keep their shares there.
 """
 
 import json
@@ -35,20 +35,20 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
-class Share(Loopback):
+class DescriptorShare(Loopback):
     changed = {"limits": {"sockets": 64, "memory_mb": 64}}
 
     def burst(self, count, *data):
-        """So many at the door before the gateway has a turn."""
+        """Open `count` connections before the gateway's reactor runs."""
         for _ in range(count):
-            one = socket.socket()
-            one.setblocking(False)
-            one.connect_ex(("127.0.0.1", self.door))
-            self.sockets.append(one)
+            client = socket.socket()
+            client.setblocking(False)
+            client.connect_ex(("127.0.0.1", self.door))
+            self.sockets.append(client)
             for each in data:
-                one.sendall(each)
+                client.sendall(each)
 
-    def test_a_burst_in_the_first_round_stays_within_the_share_and_closes_nobody(self):
+    def test_a_burst_stays_within_the_share_and_no_client_is_closed(self):
         self.burst(150)
         self.reactor.iterate(0)
         self.assertLessEqual(
@@ -63,98 +63,94 @@
             self.gateway.report.counts["refused", "no descriptor for a client"], 0
         )
 
-    def test_hundreds_that_say_nothing_go_and_usual_clients_beside_them_are_served(
-        self,
-    ):
-        """One that stands, without the clock moving.
+    def test_hundreds_of_silent_clients_are_closed_and_normal_ones_served(self):
+        """A connected client is served without advancing the clock.
 
-        And one that waits before the door behind them all.
+        A client behind all of them in the accept queue is served in time.
         """
-        usual = self.client(ask())
-        link = self.taken()
+        normal = self.client(ask())
+        node_socket = self.taken()
         self.burst(300)
         self.turn(10)
         self.assertTrue(self.gateway.listener.paused)
-        late = socket.socket()
-        late.setblocking(False)
-        late.connect_ex(("127.0.0.1", self.door))
-        self.sockets.append(late)
-        late.sendall(READY)
+        queued = socket.socket()
+        queued.setblocking(False)
+        queued.connect_ex(("127.0.0.1", self.door))
+        self.sockets.append(queued)
+        queued.sendall(READY)
         for number in range(3):
-            link.sendall(ANSWER)
+            node_socket.sendall(ANSWER)
             self.until(
-                lambda: self.got(usual)[0].endswith(b"hi"),
-                "the usual client is not served",
+                lambda: self.got(normal)[0].endswith(b"hi"),
+                "the normal client is not served",
             )
-            usual.sendall(ask(TXN + 1 + number))
-            self.until(lambda: b"X-Txn" in self.got(link)[0])
+            normal.sendall(ask(TXN + 1 + number))
+            self.until(lambda: b"X-Txn" in self.got(node_socket)[0])
         began, data = self.time, b""
         while not data and self.time < began + 6:
             self.pass_time(0.05)
-            data = self.got(late)[0]
+            data = self.got(queued)[0]
         self.assertIn(b" 200 ", data)
         self.assertLess(self.time - began, 4.0)  # 301 before it, eight at a time
         self.assertEqual(
             self.gateway.report.counts["refused", "no descriptor for a client"], 0
         )
 
-    def test_who_makes_way_is_read_first(self):
-        """The share is full of clients whose requests are here.
+    def test_a_connection_is_read_before_it_is_closed_to_free_its_descriptor(self):
+        """The share is full of clients whose requests have arrived but are unread.
 
-        The process stood still for longer than a silent one may stay.
+        The process stalls for longer than a silent client may stay.
         """
-        most = self.gateway.listener.max_connections
-        self.burst(most, READY)
+        limit = self.gateway.listener.max_connections
+        self.burst(limit, READY)
         self.until(lambda: self.gateway.listener.paused)
-        young = [
+        new_clients = [
             each
             for each in self.gateway.listener.connections
             if not each.reader.has_partial_message and each.state.name == "NEW"
         ]
         self.time += 0.06
         self.turn()
-        self.assertEqual(len(young), most, "read before the process stood still")
+        self.assertEqual(len(new_clients), limit, "requests were read before the stall")
         answered = sum(b" 200 " in self.got(each)[0] for each in self.sockets[2:])
-        self.assertEqual(answered, most)
+        self.assertEqual(answered, limit)
 
-    def test_a_full_share_leaves_room_for_discovery_a_link_and_health(self):
+    def test_a_full_share_leaves_room_for_discovery_a_node_and_health(self):
         self.listener.close()  # discovery is down
         self.gateway.watcher.watch.end("down")
-        resting = [
-            self.client(LIVE) for _ in range(self.gateway.listener.max_connections)
-        ]
+        idle = [self.client(LIVE) for _ in range(self.gateway.listener.max_connections)]
         self.burst(100)
         self.turn(10)
         self.assertTrue(self.gateway.listener.paused)
-        moved = socket.create_server(("127.0.0.1", 0))
-        self.sockets.append(moved)
+        new = socket.create_server(("127.0.0.1", 0))
+        self.sockets.append(new)
         self.gateway.reload(
-            replace(self.gateway.configuration, discovery=moved.getsockname())
+            replace(self.gateway.configuration, discovery=new.getsockname())
         )
         self.turn(5)
-        moved.setblocking(False)
-        moved.accept()[0].close()  # the call is there, with nobody gone yet
-        resting[0].sendall(ask())
-        link = self.taken()
-        link.sendall(ANSWER)
-        self.until(lambda: b" 200 " in self.got(resting[0])[0])
-        for each in resting[1:]:
+        new.setblocking(False)
+        new.accept()[0].close()  # the call arrives before any client has left
+        idle[0].sendall(ask())
+        node_socket = self.taken()
+        node_socket.sendall(ANSWER)
+        self.until(lambda: b" 200 " in self.got(idle[0])[0])
+        for each in idle[1:]:
             self.got(each)
             each.sendall(READY)
         self.turn(5)
-        self.assertTrue(all(b" 200 " in self.got(each)[0] for each in resting[1:]))
-        late = socket.socket()
-        late.setblocking(False)
-        late.connect_ex(("127.0.0.1", self.door))
-        self.sockets.append(late)
-        late.sendall(READY)
+        self.assertTrue(all(b" 200 " in self.got(each)[0] for each in idle[1:]))
+        queued = socket.socket()
+        queued.setblocking(False)
+        queued.connect_ex(("127.0.0.1", self.door))
+        self.sockets.append(queued)
+        queued.sendall(READY)
         self.pass_time(4.0)
-        self.assertIn(b" 200 ", self.got(late)[0])
+        self.assertIn(b" 200 ", self.got(queued)[0])
 
-    def descriptors(self):
-        """Those of the gateway.
+    def open_descriptors(self):
+        """Count the gateway's descriptors.
 
-        The reactor's own, the door, clients, and whatever else is read or written.
+        They are the reactor's own, the listener's, the clients' and all others in use.
         """
         return 1 + len(
             {
@@ -165,224 +161,227 @@
             }
         )
 
-    def test_idle_clients_up_to_the_share_leave_a_descriptor_for_the_call_at_discoverys_return(
-        self,
-    ):
-        """They ask now and then, so none makes way.
+    def test_a_full_share_of_idle_clients_leaves_a_descriptor_for_discovery(self):
+        """The clients send requests now and then, so none is closed.
 
-        Each call that fails gives its descriptor back, and the next gets one.
+        Each failed call releases its descriptor for the next one.
         """
         for mode, within in (("on_request", 2.0), ("pushed", 0.6)):
-            self.changed = Share.changed | {
+            self.changed = DescriptorShare.changed | {
                 "settings": GIVEN["settings"] | {"membership_mode": mode}
             }
             self.again()
             address = self.listener.getsockname()
             self.listener.close()
             self.gateway.watcher.watch.end("down")
-            resting = [
+            idle = [
                 self.client(LIVE) for _ in range(self.gateway.listener.max_connections)
             ]
             self.turn(5)
             for each in self.gateway.listener.connections:
-                # as behind a transfer; one that only asked for health makes way as a
-                # silent one does
+                # The state after a request. A client that only asked for health would
+                # be closed like a silent one.
                 each.state = ClientState.IDLE
             self.burst(100)
-            held = []
+            counts = []
             for _ in range(6):
                 self.pass_time(1.0)
                 self.assertTrue(self.gateway.listener.paused, mode)
-                held.append(self.descriptors())
-                for each in resting:
+                counts.append(self.open_descriptors())
+                for each in idle:
                     self.assertIn(b" 200 ", self.got(each)[0], mode)
                     each.sendall(LIVE)
             self.assertGreaterEqual(
-                min(held), self.gateway.listener.max_connections, mode
+                min(counts), self.gateway.listener.max_connections, mode
             )
             self.assertLessEqual(
-                max(held), self.gateway.configuration.sockets - 4, mode
-            )  # two calls, the old watch, the file
-            back = socket.create_server(address)
-            self.sockets.append(back)
-            back.setblocking(False)
+                max(counts), self.gateway.configuration.sockets - 4, mode
+            )  # two discovery calls, the old watch, the endpoint cache file
+            returned = socket.create_server(address)
+            self.sockets.append(returned)
+            returned.setblocking(False)
             self.pass_time(within)
-            back.accept()[0].close()
+            returned.accept()[0].close()
 
-    def test_too_many_and_too_late_are_told_when_to_come_back(self):
-        one = self.client(ask(X_Remaining_Ms="3"))
+    def test_a_rejection_for_overload_or_lateness_names_a_retry_after(self):
+        client = self.client(ask(X_Remaining_Ms="3"))
         self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
-        data, how = self.got(one)
+        data, how = self.got(client)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "open"))
         self.assertIn(b"Retry-After: 1.500\r\n", data)
 
-    def test_where_the_settings_tell_no_time_none_is_named(self):
+    def test_retry_after_is_left_out_where_the_settings_say_so(self):
         settings = GIVEN["settings"] | {
             "limits": GIVEN["settings"]["limits"] | {"retry_after": False}
         }
         self.changed = {"settings": settings}
         self.again()
-        one = self.client(ask(X_Remaining_Ms="3"))
+        client = self.client(ask(X_Remaining_Ms="3"))
         self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
-        self.assertNotIn(b"Retry-After", self.got(one)[0])
+        self.assertNotIn(b"Retry-After", self.got(client)[0])
 
 
-class Spared(Loopback):
-    """The share is full; somebody waits before the door.
+class ClosedForDescriptors(Loopback):
+    """The share is full and another client waits in the accept queue.
 
-    Who rests between requests, or takes a last answer, makes way after `SPARED`, not
-    before, and has lost nothing.
+    A client that is idle between requests, or reads its last answer, is closed after
+    `IDLE_SECONDS` and not before, and loses nothing.
     """
 
     changed = {"limits": {"sockets": 64, "memory_mb": 64}}
-    SPAN = IDLE_TIMEOUT_WHEN_SHORT / 10_000
+    IDLE_SECONDS = IDLE_TIMEOUT_WHEN_SHORT / 10_000
 
-    def resting(self, count, link=None):
-        """Clients that had a transfer's answer and rest, and the one link that carried all."""
-        ones = []
+    def idle_clients(self, count, node_socket=None):
+        """Return idle clients with an answered request, and their node connection."""
+        clients = []
         for number in range(count):
-            ones.append(self.client(ask(TXN + 100 + number)))
-            if link is None:
-                link = self.taken()
+            clients.append(self.client(ask(TXN + 100 + number)))
+            if node_socket is None:
+                node_socket = self.taken()
             else:
-                self.carried(link)
-            link.sendall(ANSWER)
-            self.until(lambda: b" 200 " in self.got(ones[-1])[0], "not answered")
-        return ones, link
+                self.await_request(node_socket)
+            node_socket.sendall(ANSWER)
+            self.until(lambda: b" 200 " in self.got(clients[-1])[0], "not answered")
+        return clients, node_socket
 
-    def carried(self, link):
-        """A request has come on a link that stood idle."""
-        text = bytearray()
+    def await_request(self, node_socket):
+        """Wait until a request arrives on an idle node connection."""
+        data = bytearray()
 
-        def come():
+        def arrived():
             with suppress(BlockingIOError):
-                text.extend(link.recv(65_536))
-            return b"X-Txn" in text
+                data.extend(node_socket.recv(65_536))
+            return b"X-Txn" in data
 
-        self.until(come, "nothing came to the node")
+        self.until(arrived, "no request reached the node")
 
-    def before_the_door(self):
-        late = socket.socket()
-        late.setblocking(False)
-        late.connect_ex(("127.0.0.1", self.door))
-        self.sockets.append(late)
-        late.sendall(READY)
+    def queued_client(self):
+        queued = socket.socket()
+        queued.setblocking(False)
+        queued.connect_ex(("127.0.0.1", self.door))
+        self.sockets.append(queued)
+        queued.sendall(READY)
         self.turn(5)
         self.assertTrue(self.gateway.listener.paused)
-        return late
+        return queued
 
-    def test_who_rests_between_requests_makes_way_after_its_span_and_not_before(self):
-        resting, _ = self.resting(self.gateway.listener.max_connections)
-        late = self.before_the_door()
-        self.pass_time(self.SPAN - 0.1)
+    def test_an_idle_client_is_closed_after_its_timeout_and_not_before(self):
+        idle, _ = self.idle_clients(self.gateway.listener.max_connections)
+        queued = self.queued_client()
+        self.pass_time(self.IDLE_SECONDS - 0.1)
         self.assertEqual(
-            [self.got(each) for each in [*resting, late]],
-            [(b"", "open")] * (len(resting) + 1),
+            [self.got(each) for each in [*idle, queued]],
+            [(b"", "open")] * (len(idle) + 1),
         )
         self.pass_time(0.2)
         self.assertEqual(
-            [self.got(each) for each in resting],
-            [(b"", "ended")] * len(resting),
-            "no end in order",
+            [self.got(each) for each in idle],
+            [(b"", "ended")] * len(idle),
+            "the idle clients were not closed in order",
         )
-        for each in resting:
+        for each in idle:
             each.close()
-        self.until(lambda: b" 200 " in self.got(late)[0], "nobody made way")
+        self.until(lambda: b" 200 " in self.got(queued)[0], "no client was closed")
 
-    def test_who_asks_for_our_health_and_stays_makes_way_at_once(self):
-        """Three times as many as have room, and more behind them.
+    def test_a_client_that_stays_after_a_health_check_is_closed_at_once(self):
+        """Three times as many health checks as the share has room for stay connected.
 
-        A usual client is served all the same, in good time.
+        A normal client behind them is still served in time.
         """
-        for asks in (READY, LIVE):
+        for request in (READY, LIVE):
             self.again()
-            crowd = [
-                self.client(asks) for _ in range(self.gateway.listener.max_connections)
+            health_clients = [
+                self.client(request)
+                for _ in range(self.gateway.listener.max_connections)
             ]
             self.turn()
-            crowd += [
-                self.before_the_door()
+            health_clients += [
+                self.queued_client()
                 for _ in range(2 * self.gateway.listener.max_connections)
             ]
-            usual = socket.socket()
-            usual.setblocking(False)
-            usual.connect_ex(("127.0.0.1", self.door))
-            self.sockets.append(usual)
-            usual.sendall(ask())
+            normal = socket.socket()
+            normal.setblocking(False)
+            normal.connect_ex(("127.0.0.1", self.door))
+            self.sockets.append(normal)
+            normal.sendall(ask())
             self.pass_time(0.4)
             self.taken().sendall(ANSWER)
             self.until(
-                lambda: b" 200 " in self.got(usual)[0], "a usual client is not served"
+                lambda: b" 200 " in self.got(normal)[0], "a normal client is not served"
             )
 
-    def test_a_request_unread_on_what_makes_way_is_read_first(self):
-        """The process stood still for the whole span.
+    def test_an_unread_request_on_an_idle_connection_is_read_before_the_close(self):
+        """The process stalls for the whole idle timeout.
 
-        The request came just before it was over.
+        The request arrives just before the timeout expires.
         """
-        resting, link = self.resting(self.gateway.listener.max_connections)
-        self.before_the_door()
-        resting[0].sendall(ask())
+        idle, node_socket = self.idle_clients(self.gateway.listener.max_connections)
+        self.queued_client()
+        idle[0].sendall(ask())
         self.unread()
-        self.time += self.SPAN + 0.01
+        self.time += self.IDLE_SECONDS + 0.01
         self.turn()
-        self.carried(link)
-        link.sendall(ANSWER)
+        self.await_request(node_socket)
+        node_socket.sendall(ANSWER)
         data = bytearray()
         self.until(
-            lambda: data.extend(self.got(resting[0])[0]) or data.endswith(b"hi"),
+            lambda: data.extend(self.got(idle[0])[0]) or data.endswith(b"hi"),
             "not answered",
         )
         self.assertEqual(data.count(b"HTTP/1.1 "), 1)
         self.assertEqual(
-            [self.got(each)[1] for each in resting[1:]], ["ended"] * (len(resting) - 1)
+            [self.got(each)[1] for each in idle[1:]],
+            ["ended"] * (len(idle) - 1),
         )
 
-    def test_a_last_answer_that_is_being_taken_is_not_torn_before_it(self):
-        for takes in (True, False):
-            with self.subTest(takes=takes):
+    def test_a_last_answer_that_is_being_read_is_not_cut_before_the_timeout(self):
+        for reads in (True, False):
+            with self.subTest(reads=reads):
                 self.again()
-                one = self.client(ask(Connection="close"), window=4096)
+                client = self.client(ask(Connection="close"), window=4096)
                 protocol = self.server_side()
                 protocol.transport.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
-                link = self.taken()
-                link.sendall(
+                node_socket = self.taken()
+                node_socket.sendall(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
                     + b"x" * 400_000
                 )
                 self.until(lambda: protocol.state.name == "CLOSING", "not answered")
-                self.resting(self.gateway.listener.max_connections - 1, link)
-                self.before_the_door()
+                self.idle_clients(
+                    self.gateway.listener.max_connections - 1, node_socket
+                )
+                self.queued_client()
                 data = bytearray()
-                for _ in range(4 * takes):
-                    self.pass_time((self.SPAN - 0.1) / 4)
-                    data.extend(one.recv(4096))
-                if takes:
+                for _ in range(4 * reads):
+                    self.pass_time((self.IDLE_SECONDS - 0.1) / 4)
+                    data.extend(client.recv(4096))
+                if reads:
                     self.until(
                         lambda: (
-                            data.extend(self.got(one)[0]) or data.count(b"x") == 400_000
+                            data.extend(self.got(client)[0])
+                            or data.count(b"x") == 400_000
                         ),
-                        "the answer is torn",
+                        "the answer is cut",
                     )
                 else:
-                    self.pass_time(self.SPAN + 0.2)
+                    self.pass_time(self.IDLE_SECONDS + 0.2)
                     self.assertEqual(
-                        self.got(one)[1],
+                        self.got(client)[1],
                         "reset",
-                        "who takes nothing holds its descriptor",
+                        "a client that reads nothing is still connected",
                     )
 
 
-class Whole(unittest.TestCase):
-    def test_a_whole_process_at_its_limit_hears_sighup_finds_discovery_and_serves(self):
+class GatewayProcess(unittest.TestCase):
+    def test_a_process_at_its_limit_handles_sighup_calls_discovery_and_serves(self):
         limit = 64
-        down, moved, door = (socket.create_server(("127.0.0.1", 0)) for _ in range(3))
-        names = [each.getsockname()[1] for each in (down, moved, door)]
-        down.close(), door.close()
+        old, new, gateway = (socket.create_server(("127.0.0.1", 0)) for _ in range(3))
+        ports = [each.getsockname()[1] for each in (old, new, gateway)]
+        old.close(), gateway.close()
         with tempfile.TemporaryDirectory() as folder, node_stand_in(b"1") as node:
             path = os.path.join(folder, "c.json")
 
@@ -391,7 +390,7 @@
                     json.dump(
                         GIVEN
                         | {
-                            "listen": f"127.0.0.1:{names[2]}",
+                            "listen": f"127.0.0.1:{ports[2]}",
                             "discovery": f"127.0.0.1:{discovery}",
                             "limits": {"sockets": limit, "memory_mb": 64},
                             "known": {
@@ -403,7 +402,7 @@
                         file,
                     )
 
-            write(names[0])
+            write(ports[0])
             with (
                 open(os.path.join(folder, "log"), "w+b") as log,
                 subprocess.Popen(
@@ -418,46 +417,46 @@
             ):
                 silent = []
                 try:
-                    usual = self.reached(names[2])
-                    usual.sendall(LIVE)
-                    self.assertIn(b" 200 ", usual.recv(1000))
+                    normal = self.connect(ports[2])
+                    normal.sendall(LIVE)
+                    self.assertIn(b" 200 ", normal.recv(1000))
                     for _ in range(150):
                         silent.append(socket.socket())
                         silent[-1].setblocking(False)
-                        silent[-1].connect_ex(("127.0.0.1", names[2]))
-                    write(names[1])
+                        silent[-1].connect_ex(("127.0.0.1", ports[2]))
+                    write(ports[1])
                     process.send_signal(signal.SIGHUP)
-                    moved.settimeout(5)
-                    moved.accept()[0].close()
+                    new.settimeout(5)
+                    new.accept()[0].close()
                     for each in (
                         ask(X_Remaining_Ms="5000"),
                         READY,
-                    ):  # on new connections: they wait before the door
-                        other = self.reached(names[2])
-                        other.sendall(each)
-                        self.assertIn(b" 200 ", other.recv(1000))
-                        other.close()
-                    usual.close()
+                    ):  # on new connections, which wait in the accept queue
+                        client = self.connect(ports[2])
+                        client.sendall(each)
+                        self.assertIn(b" 200 ", client.recv(1000))
+                        client.close()
+                    normal.close()
                 finally:
                     for each in silent:
                         each.close()
                     process.kill()
                 log.seek(0)
-                text = log.read()
+                data = log.read()
                 self.assertTrue(
-                    b"reloaded" in text
-                    and b"Traceback" not in text
-                    and b"EMFILE" not in text,
-                    text[-2000:],
+                    b"reloaded" in data
+                    and b"Traceback" not in data
+                    and b"EMFILE" not in data,
+                    data[-2000:],
                 )
-        moved.close()
+        new.close()
 
-    def reached(self, port):
+    def connect(self, port):
         for _ in range(100):
             with suppress(OSError):
-                one = socket.create_connection(("127.0.0.1", port), 5)
-                one.settimeout(5)
-                return one
+                client = socket.create_connection(("127.0.0.1", port), 5)
+                client.settimeout(5)
+                return client
             time.sleep(0.1)
         self.fail("the gateway did not come up")
 
--- a/tests/http_gateway/test_second_discovery_call.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -1,7 +1,7 @@
-"""A second call to discovery beside one that is not answered.
+"""A second discovery call in parallel to one that is not answered.
 
-How soon the list is in, and what that costs a service with many callers. On the clock
-of the test's own.
+The tests check how soon the endpoint list arrives and how many calls that costs a
+service with many clients. They advance the clock themselves.
 """
 
 import unittest
@@ -19,16 +19,17 @@
 )
 from tests.support.discovery_rig import GRACE, MOVED, QUICK, Called, Fleet
 
-ANY = QUICK + ("late 503", "not up", "no word", "head", "drip")
-SILENT = ("no word", "head", "half", "drip")
+ALL_FAILURES = QUICK + ("late 503", "not up", "no word", "head", "drip")
+NO_ANSWER = ("no word", "head", "half", "drip")
 
 
-class Pushed(Called):
-    """What the agent has counts as told at once, and the grace to stop sending is all that there is."""
+class PushedLists(Called):
+    """Lists are pushed: a change counts as notified at once.
 
-    def test_a_dial_that_is_not_up_and_a_list_that_stops_on_its_way_leave_time_within_the_grace(
-        self,
-    ):
+    Only the drain grace is left to stop sending to a draining node.
+    """
+
+    def test_a_pending_connect_or_a_partial_list_leaves_time_within_the_grace(self):
         for play, way, draw, length in product(
             (self.started, self.outage), ("not up", "torn"), (0, 1), range(0, 130, 3)
         ):
@@ -37,21 +38,21 @@
                 GRACE / 2,
                 (play.__name__, way, draw, length),
             )
-        for play, way, last, draw, length in product(
+        for play, way, next_failure, draw, length in product(
             (self.started, self.outage),
             ("refused", "503", "not up"),
             ("half", "not up"),
             (0, 1),
             range(3, 130, 11),
         ):
-            waited, _ = play(way, draw, length / 10, "pushed", (last,))
-            self.assertLess(waited, GRACE, (play.__name__, way, last, draw, length))
+            waited, _ = play(way, draw, length / 10, "pushed", (next_failure,))
+            self.assertLess(
+                waited, GRACE, (play.__name__, way, next_failure, draw, length)
+            )
 
-    def test_a_discovery_that_takes_calls_and_says_nothing_is_called_twice_as_often_once_that_is_seen(
-        self,
-    ):
+    def test_a_discovery_known_to_accept_without_answering_gets_parallel_calls(self):
         for play, way, draw, length in product(
-            (self.started, self.outage), SILENT, (0, 1), range(30, 130, 3)
+            (self.started, self.outage), NO_ANSWER, (0, 1), range(30, 130, 3)
         ):
             waited, calls = play(way, draw, length / 10, "pushed")
             self.assertLess(waited, 2.2, (play.__name__, way, draw, length))
@@ -59,7 +60,7 @@
                 calls, 2 + length / 10, (play.__name__, way, draw, length)
             )
 
-    def test_a_call_whose_first_word_is_a_beat_stays_alone(self):
+    def test_a_call_answered_by_a_heartbeat_gets_no_parallel_call(self):
         for mode, draw in product(("pushed", "on_request"), (0, 1)):
             service = self.begin(draw, mode)
             self.gateway.start()
@@ -71,29 +72,31 @@
                 (len(service.calls), len(service.open())), (2, 1), (mode, draw)
             )
 
-    def test_never_more_than_two_calls_are_under_way_at_one_address(self):
-        for mode, way, draw in product(("pushed", "on_request"), ANY, (0, 1)):
+    def test_at_most_two_calls_are_open_at_one_address(self):
+        for mode, way, draw in product(("pushed", "on_request"), ALL_FAILURES, (0, 1)):
             service = self.begin(draw, mode)
             self.gateway.start()
             self.play(service, 6)
             for _, protocol, _ in self.spoil(service, way, 9):
                 protocol.connectionLost()
-            self.play(service, 6, lambda: self.most(service, 2))
+            self.play(service, 6, lambda: self.assert_open_calls(service, 2))
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.play(
-                service, 8, lambda: self.most(service, 3)
-            )  # one at the old address
+                service, 8, lambda: self.assert_open_calls(service, 3)
+            )  # the third call is at the old address
             self.assertTrue(self.drains(), (mode, way, draw))
             self.assertEqual(len(service.open()), 1, (mode, way, draw))
             self.gateway.stop()
 
-    def most(self, service, most):
-        self.assertLessEqual(len(service.open()), most)
+    def assert_open_calls(self, service, limit):
+        self.assertLessEqual(len(service.open()), limit)
 
 
-class Moved(Called):
-    def test_after_sighup_two_failures_in_turn_leave_time_within_the_four_seconds(self):
-        for first, second, draw, beats in product(ANY, ANY, (0, 1), (True, False)):
+class AddressChange(Called):
+    def test_after_sighup_two_failed_calls_leave_time_within_four_seconds(self):
+        for first, second, draw, beats in product(
+            ALL_FAILURES, ALL_FAILURES, (0, 1), (True, False)
+        ):
             service = self.begin(draw)
             self.gateway.start()
             self.play(service, 8)
@@ -109,11 +112,15 @@
             self.gateway.stop()
 
 
-class Busy(Fleet):
-    """What the second calls cost a service that is not down and has too many callers."""
+class OverloadedDiscovery(Fleet):
+    """The load of the parallel calls on a service that is up but has too many clients."""
 
-    def test_after_an_outage_in_which_calls_were_taken_and_never_answered(self):
-        for takes, within, most in ((0.01, 3.0, 1.5), (0.02, 5.0, 2), (0.04, 9.0, 5)):
+    def test_after_an_outage_with_accepted_but_unanswered_calls(self):
+        for service_time, time_limit, max_calls in (
+            (0.01, 3.0, 1.5),
+            (0.02, 5.0, 2),
+            (0.04, 9.0, 5),
+        ):
             service, members = self.fleet(True, patient=False)
             service.bad, service.back, service.calls = (
                 "no word",
@@ -123,13 +130,15 @@
             for _, protocol, _ in service.change():
                 protocol.connectionLost()
             self.looked(service, members, self.SPAN, lambda: False)
-            self.assertLess(len(service.calls) / self.FLEET / self.SPAN, 1, takes)
-            waited, calls = self.back(service, members, takes)
-            self.assertLess(waited, within, takes)
-            self.assertLess(calls, most, takes)
+            self.assertLess(
+                len(service.calls) / self.FLEET / self.SPAN, 1, service_time
+            )
+            waited, calls = self.back(service, members, service_time)
+            self.assertLess(waited, time_limit, service_time)
+            self.assertLess(calls, max_calls, service_time)
 
-    def test_after_sighup(self):
-        for pushed, takes, patient, within, most in (
+    def test_after_a_change_of_the_address(self):
+        for pushed, service_time, patient, time_limit, max_calls in (
             (False, 0.01, False, 2.2, 1.1),
             (False, 0.02, False, 4.3, 2.4),
             (True, 0.04, False, 9.5, 10),
@@ -140,18 +149,18 @@
             service.watches = service.change()
             for each in members:
                 each.follower.move(("127.0.0.1", 8501))
-            waited, calls = self.back(service, members, takes)
-            self.assertLess(waited, within, (pushed, takes, patient))
-            self.assertLess(calls, most, (pushed, takes, patient))
+            waited, calls = self.back(service, members, service_time)
+            self.assertLess(waited, time_limit, (pushed, service_time, patient))
+            self.assertLess(calls, max_calls, (pushed, service_time, patient))
 
 
-class Decided(unittest.TestCase):
-    def test_when_another_call_is_made_beside_one(self):
+class ParallelCallTiming(unittest.TestCase):
+    def test_the_delay_before_a_parallel_call(self):
         late = (
             PARALLEL_CALL_AFTER_MOVE[0] - 12_000,
             PARALLEL_CALL_AFTER_MOVE[1] - 12_000,
         )
-        for stage, mute, grace, moved, wanted in (
+        for progress, unresponsive, grace, since_move, expected in (
             (CallProgress.CONNECTING, False, 8_000, None, (1_000, 2_000)),
             (CallProgress.RECEIVING, False, 8_000, None, (1_000, 2_000)),
             (CallProgress.CONNECTED, False, 8_000, None, None),
@@ -168,15 +177,15 @@
             (CallProgress.CONNECTING, False, 0, NOTIFIED_AFTER_MOVE, None),
         ):
             self.assertEqual(
-                parallel_call_delay(stage, mute, grace, moved),
-                wanted,
-                (stage, mute, grace, moved),
+                parallel_call_delay(progress, unresponsive, grace, since_move),
+                expected,
+                (progress, unresponsive, grace, since_move),
             )
 
-    def test_a_service_that_may_only_be_busy_is_not_mute(self):
-        """It takes a call and speaks within two seconds, be it a 503."""
+    def test_a_service_that_may_only_be_busy_is_not_unresponsive(self):
+        """A busy service accepts a call and answers within two seconds, even with 503."""
         self.assertGreater(FIRST_VALUE_TIMEOUT, 20_000)
-        for mute, quiet, status, wanted in (
+        for unresponsive, silence, status, expected in (
             (False, 20_000, 503, False),
             (False, FIRST_VALUE_TIMEOUT + 1, 0, True),
             (False, FIRST_VALUE_TIMEOUT + 1, 200, True),
@@ -185,7 +194,9 @@
             (True, 3_000, 200, False),
         ):
             self.assertEqual(
-                is_unresponsive(mute, quiet, status), wanted, (mute, quiet, status)
+                is_unresponsive(unresponsive, silence, status),
+                expected,
+                (unresponsive, silence, status),
             )
 
 
--- a/tests/http_gateway/test_settings_shapes.py
+++ b/tests/http_gateway/test_settings_shapes.py
@@ -1,4 +1,4 @@
-"""Settings and requests of shapes that no deployment at hand has, at the HTTP gateway."""
+"""Settings and requests in forms that the example deployments do not use."""
 
 import unittest
 from types import SimpleNamespace
@@ -17,23 +17,23 @@
 from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
 
 
-class OtherShapes(unittest.TestCase):
-    """Settings that leave out what others state: served with that off, or one line."""
+class UncommonSettings(unittest.TestCase):
+    """A missing setting turns its feature off or is reported with one line."""
 
-    def deployment(self, said=None, drop=(), **changed):
-        parts = {
+    def deployment(self, messages=None, drop=(), **changed):
+        settings = {
             name: value
             for name, value in (SETTINGS | changed).items()
             if name not in drop
         }
         return parse_configuration(
-            GIVEN | {"settings": parts},
+            GIVEN | {"settings": settings},
             {},
             0,
-            (said if said is not None else []).append,
+            (messages if messages is not None else []).append,
         )
 
-    def arrival(self, deployment, data):
+    def parse_request(self, deployment, data):
         reader = RequestReader(MessageLimits())
         reader.feed(data)
         return RequestParser(deployment.config).parse(reader.next_message(), 1000, 60)
@@ -41,48 +41,51 @@
     def test_without_plans_a_request_needs_none(self):
         for changed in ({"plans": []}, {"drop": ("plans",)}):
             self.assertEqual(
-                self.arrival(
+                self.parse_request(
                     self.deployment(**changed), ask(drop=("X-Plan",))
                 ).service_plan,
                 0,
             )
         with self.assertRaises(InvalidRequestError):
-            self.arrival(self.deployment(), ask(drop=("X-Plan",)))
+            self.parse_request(self.deployment(), ask(drop=("X-Plan",)))
 
-    def test_bounds_that_are_not_told_bound_nothing(self):
-        big = ask(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
-        given = self.arrival(self.deployment(extra={"writes": [False, True]}), big)
-        self.assertEqual((given.units, given.shard), (900.0, 70))
+    def test_limits_that_are_not_stated_limit_nothing(self):
+        large_request = ask(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
+        request = self.parse_request(
+            self.deployment(extra={"writes": [False, True]}), large_request
+        )
+        self.assertEqual((request.units, request.shard), (900.0, 70))
         with self.assertRaises(InvalidRequestError):
-            self.arrival(self.deployment(), big)
+            self.parse_request(self.deployment(), large_request)
 
-    def test_the_method_says_what_writes_where_the_settings_do_not(self):
+    def test_without_settings_the_method_tells_whether_a_request_writes(self):
         deployment = self.deployment(extra={})
-        for method, write in (("GET", False), ("PUT", True)):
+        for method, is_write in (("GET", False), ("PUT", True)):
             self.assertEqual(
-                self.arrival(deployment, ask(method=method)).is_write, write
+                self.parse_request(deployment, ask(method=method)).is_write, is_write
             )
 
-    def test_dials_and_idle_links_last_a_while_where_the_settings_do_not_say(self):
+    def test_connect_and_idle_timeouts_have_defaults(self):
         reactor = Reactor()
-        said = SimpleNamespace(
-            info=lambda *given, **values: None, warning=lambda *given, **values: None
+        log = SimpleNamespace(
+            info=lambda *arguments, **values: None,
+            warning=lambda *arguments, **values: None,
         )
-        fleet = HttpGateway(
-            self.deployment(limits={}), reactor, lambda: 0, 0, said
+        pools = HttpGateway(
+            self.deployment(limits={}), reactor, lambda: 0, 0, log
         ).node_pools
-        self.assertEqual((fleet.connect_timeout, fleet.idle_timeout), (10_000, 35_000))
+        self.assertEqual((pools.connect_timeout, pools.idle_timeout), (10_000, 35_000))
 
-    def test_what_is_unknown_or_missing_is_one_line_each(self):
-        said = []
+    def test_each_unknown_or_missing_setting_is_one_line(self):
+        messages = []
         self.deployment(
-            said, extra=SETTINGS["extra"] | {"moons": 2}, shape="ring", plans=[]
+            messages, extra=SETTINGS["extra"] | {"moons": 2}, shape="ring", plans=[]
         )
-        self.assertEqual(len(said), 2)
-        self.assertIn("extra.moons", said[0])
-        self.assertIn("plans", said[1])
+        self.assertEqual(len(messages), 2)
+        self.assertIn("extra.moons", messages[0])
+        self.assertIn("plans", messages[1])
 
-    def test_what_cannot_be_used_names_its_field(self):
+    def test_the_error_for_an_unusable_setting_names_its_field(self):
         for field, changed in (
             ("classes", {"classes": []}),
             ("peers_total", {"peers_total": 0}),
@@ -93,14 +96,14 @@
             ),
             ("limits.most_held", {"limits": {"most_held": "many"}}),
         ):
-            with self.assertRaises(ValueError) as caught:
+            with self.assertRaises(ValueError) as raised:
                 self.deployment(**changed)
             self.assertTrue(
-                str(caught.exception).startswith(f"settings: {field}:"),
-                str(caught.exception),
+                str(raised.exception).startswith(f"settings: {field}:"),
+                str(raised.exception),
             )
 
-    def test_a_node_listed_with_a_weight_of_nothing_stays(self):
+    def test_a_node_with_weight_zero_stays_listed(self):
         self.assertEqual(parse_node(NODE | {"weight": 0}, ["z"], 0).endpoint.size, 0.0)
 
 
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -1,9 +1,9 @@
-"""The clock of discovery, played against a stand-in of it on a clock of the test's own.
+"""Timing of the endpoint watch against a discovery stand-in, on a simulated clock.
 
-A list that is missed is in the module within the platform's six seconds, counted from
-when a watch fell silent or from when discovery could be reached again, whatever became
-of the calls before that; after SIGHUP within four; where lists are pushed within the
-drain grace.
+A missed endpoint update reaches the scheduler within the platform's six seconds,
+counted from when the watch fell silent or from when discovery was reachable again,
+whatever happened to earlier calls. The limit is four seconds after SIGHUP, and the
+drain grace where lists are pushed.
 """
 
 import unittest
@@ -30,8 +30,8 @@
 from tests.support.scheduler_builders import endpoint, make_scheduler
 
 
-class Silence(Played):
-    def test_what_a_silent_watch_misses_is_in_before_it_counts_as_told(self):
+class SilentWatch(Played):
+    def test_an_update_that_a_silent_watch_misses_arrives_within_the_limit(self):
         for way, draw, phase in product(WAYS, (0, 1), range(0, 20, 3)):
             service = self.start(draw)
             self.play(service, 8 + phase * 0.1)
@@ -42,9 +42,7 @@
             )
             self.assertLessEqual(len(service.calls), 2, (way, draw, phase))
 
-    def test_a_beat_that_is_late_costs_a_call_and_not_the_list_and_a_pause_of_our_own_costs_nothing(
-        self,
-    ):
+    def test_a_late_heartbeat_costs_one_call_and_a_stalled_process_none(self):
         service = self.start(1)
         self.play(service, 6)
         ((beat, protocol, wire),) = service.watches
@@ -54,14 +52,14 @@
         self.assertEqual(
             (len(service.calls), wire.aborted, len(service.watches)), (1, False, 1)
         )
-        # the process stood still; what had come meanwhile is read after the timers
+        # The process stalls: what arrived meanwhile is read after the timers.
         self.reactor.rightNow += 4
         self.gateway.watcher.check()
         protocol.dataReceived(chunk(b"\n"))
         self.play(service, 1)
         self.assertEqual(len(service.calls), 1)
 
-    def test_after_sighup_the_list_is_in_before_it_counts_as_told(self):
+    def test_after_sighup_the_list_arrives_within_the_limit(self):
         for way, draw in product(WAYS, (0, 1)):
             service = self.start(draw)
             self.play(service, 8)
@@ -72,7 +70,7 @@
                 self.play(service, 20, self.drains), MOVED - 0.2, (way, draw)
             )
 
-    def test_a_new_process_asks_at_once_whether_lists_are_pushed_or_asked_for(self):
+    def test_a_new_process_calls_at_once_for_pushed_and_requested_lists(self):
         for mode, (way, within) in product(
             ("pushed", "on_request"),
             {"good": 0.2, "refused": 1.5, "503": 1.5, "not up": 2.5}.items(),
@@ -89,7 +87,7 @@
             self.gateway.start()
             self.assertLess(self.play(service, 20, self.drains), within, (mode, way))
 
-    def test_many_whose_watches_fall_silent_at_once(self):
+    def test_many_gateways_whose_watches_fall_silent_at_once(self):
         service = self.start(takes=0.008)
         fleet = [
             HttpGateway(
@@ -112,10 +110,8 @@
         self.assertLess(len(service.calls), 1.4 * MANY)
 
 
-class Outage(Called):
-    def test_whatever_failed_before_the_list_is_in_six_seconds_after_discovery_can_be_reached(
-        self,
-    ):
+class DiscoveryOutage(Called):
+    def test_after_any_failure_the_list_arrives_six_seconds_after_the_return(self):
         for play, way, draw, length in product(
             (self.started, self.outage), FAILING, (0, 1), range(0, 130, 7)
         ):
@@ -123,11 +119,9 @@
             self.assertLess(waited, TOLD - 0.2, (play.__name__, way, draw, length))
             self.assertLessEqual(
                 calls, 3 + length / 7.5, (play.__name__, way, draw, length)
-            )  # later ones 0.75 s apart at least
+            )  # later calls are at least 0.75 s apart
 
-    def test_a_call_that_is_taken_and_never_answered_right_after_the_outage_leaves_time_for_another(
-        self,
-    ):
+    def test_an_unanswered_call_right_after_an_outage_leaves_time_for_another(self):
         for play, way, ways, draw, length in product(
             (self.started, self.outage),
             QUICK,
@@ -141,7 +135,7 @@
                 (play.__name__, way, ways, draw, length),
             )
 
-    def test_a_new_address_that_fails_at_first_has_told_four_seconds_after_it_can_be_reached(
+    def test_a_new_address_that_fails_first_delivers_four_seconds_after_its_return(
         self,
     ):
         for way, draw, length, beats in product(
@@ -153,9 +147,7 @@
                 (way, draw, length, beats),
             )
 
-    def test_a_call_at_the_new_address_that_is_never_answered_leaves_time_for_another_within_the_four(
-        self,
-    ):
+    def test_an_unanswered_call_at_a_new_address_leaves_time_within_four_seconds(self):
         for way, draw, beats in product(WAYS, (0, 1), (True, False)):
             service = self.begin(draw)
             self.gateway.start()
@@ -167,9 +159,7 @@
                 self.play(service, 20, self.drains), MOVED - 0.2, (way, draw, beats)
             )
 
-    def test_where_lists_are_pushed_the_list_is_in_within_the_grace_after_the_return(
-        self,
-    ):
+    def test_a_pushed_list_arrives_within_the_grace_after_the_return(self):
         for play, way, draw, length in product(
             (self.started, self.outage), QUICK, (0, 1), range(3, 130, 7)
         ):
@@ -188,19 +178,17 @@
             self.assertLess(self.play(service, 20, self.drains), 0.3, (mode, indent))
             self.assertEqual((len(service.calls), len(service.watches)), (1, 1))
 
-    def test_a_list_without_a_line_end_does_not_wait_for_the_beat(self):
+    def test_a_list_without_a_line_end_does_not_wait_for_the_heartbeat(self):
         for mode, indent in product(("pushed", "on_request"), (None, 1)):
             service = self.begin(0, mode)
             service.change()
             service.indent, service.end = indent, b""
             self.gateway.start()
             self.assertLess(self.play(service, 20, self.drains), 0.3, (mode, indent))
-            self.play(service, 10)  # the beat ends its line
+            self.play(service, 10)  # the heartbeat's line end ends the list's line
             self.assertEqual((len(service.calls), len(service.open())), (1, 1))
 
-    def test_a_first_call_that_is_turned_away_is_followed_by_a_pause_drawn_by_chance(
-        self,
-    ):
+    def test_a_rejected_first_call_is_followed_by_a_random_pause(self):
         for mode in ("pushed", "on_request"):
             pauses = []
             for draw in (0, 1):
@@ -213,9 +201,9 @@
             self.assertGreater(pauses[1], 1.4 * pauses[0], (mode, pauses))
 
 
-class FullFleet(Fleet):
-    def test_after_an_outage_all_have_the_list_as_soon_as_the_service_can_give_it(self):
-        for pushed, each_second, most, takes, patient in (
+class OutageWithManyGateways(Fleet):
+    def test_after_an_outage_all_get_the_list_as_fast_as_the_service_can_serve_it(self):
+        for pushed, max_call_rate, most, takes, patient in (
             (False, 1.2, 3, 0.01, False),
             (False, 1.2, 3, 0.04, False),
             (True, 3.6, 8, 0.01, False),
@@ -234,7 +222,7 @@
             self.looked(service, members, self.SPAN, lambda: False)
             self.assertLess(
                 len(service.calls) / self.FLEET / self.SPAN,
-                each_second,
+                max_call_rate,
                 (pushed, takes),
             )
             waited, calls = self.back(service, members, takes)
@@ -245,9 +233,7 @@
             )
             self.assertLess(calls, most, (pushed, takes, patient))
 
-    def test_where_all_watches_fall_silent_at_once_all_have_the_list_as_soon_as_the_service_can_give_it(
-        self,
-    ):
+    def test_after_all_watches_fall_silent_all_get_the_list_at_the_services_rate(self):
         for takes, most in ((0.01, 1.1), (0.02, 2), (0.04, 4)):
             service, members = self.fleet()
             service.patient = False
@@ -257,16 +243,14 @@
             self.assertLess(calls, most, takes)
 
 
-class Pause(unittest.TestCase):
-    """The module's pause after a failed watch, and the time that it is a share of."""
+class RewatchPause(unittest.TestCase):
+    """The scheduler's pause after a failed watch, a share of the notification span."""
 
-    def test_a_share_of_the_time_in_which_a_change_counts_as_told_that_grows_to_a_quarter(
-        self,
-    ):
+    def test_the_pause_grows_to_a_quarter_of_the_notification_span(self):
         for draw, part in ((0, 0.5), (1, 1.0)):
             scheduler, effects = make_scheduler(rewatch_within=60_000)
             scheduler.state.random.uniform = lambda least, most: (least, most)[draw]
-            for asks, share in (
+            for failed_watches_before, share in (
                 (0, 0),
                 (1, 1 / 8),
                 (2, 1 / 4),
@@ -274,28 +258,28 @@
                 (9, 1 / 4),
                 (400, 1 / 4),
             ):
-                scheduler.endpoints.failed_watches = asks
+                scheduler.endpoints.failed_watches = failed_watches_before
                 scheduler.on_endpoints(1000, EndpointUpdateKind.FAILED, [])
                 self.assertEqual(
                     effects.calls_of("set_timer")[-1],
                     (1000 + int(60_000 * share * part), TimerToken.RENEW_WATCH),
                 )
 
-    def test_the_list_as_it_was_known_is_no_proof_that_discovery_can_be_reached(self):
-        for asked, news, left in (
+    def test_a_cached_list_does_not_reset_the_count_of_failed_watches(self):
+        for watches, kind, expected in (
             (False, EndpointUpdateKind.CACHED, 1),
             (True, EndpointUpdateKind.CACHED, 1),
             (True, EndpointUpdateKind.SNAPSHOT, 0),
             (True, EndpointUpdateKind.DELTA, 0),
         ):
-            scheduler, _ = make_scheduler(watches_endpoints=asked)
-            scheduler.on_endpoints(0, news, [endpoint(7)])
-            self.assertEqual(scheduler.endpoints.failed_watches, left, (asked, news))
+            scheduler, _ = make_scheduler(watches_endpoints=watches)
+            scheduler.on_endpoints(0, kind, [endpoint(7)])
+            self.assertEqual(
+                scheduler.endpoints.failed_watches, expected, (watches, kind)
+            )
 
-    def test_the_time_is_the_least_that_settings_and_page_say_and_the_grace_where_lists_are_pushed(
-        self,
-    ):
-        for mode, stated, grace, wanted in (
+    def test_the_span_is_the_least_of_settings_and_platform_or_the_drain_grace(self):
+        for mode, ask_within, grace, expected in (
             ("on_request", 10, 1, 60_000),
             ("on_request", 4, 1, 39_999),
             ("on_request", 0, 1, 60_000),
@@ -306,18 +290,20 @@
             (None, 0, 0, 60_000),
         ):
             rules = shared.SETTINGS["rules"] | {
-                "ask_within_ns": stated * 10**9,
+                "ask_within_ns": ask_within * 10**9,
                 "stop_sending_within_ns": grace * 10**9,
             }
             settings = shared.SETTINGS | {"membership_mode": mode, "rules": rules}
             made = shared.parse_configuration(
                 shared.GIVEN | {"settings": settings}, {}, 0, list[str]().append
             )
-            self.assertEqual(made.config.rewatch_within, wanted, (mode, stated, grace))
+            self.assertEqual(
+                made.config.rewatch_within, expected, (mode, ask_within, grace)
+            )
             self.assertEqual(
                 made.drain_grace,
                 max(grace * 10_000 - 1, 0) if mode == "pushed" else 0,
-                (mode, stated, grace),
+                (mode, ask_within, grace),
             )
 
 
--- a/tests/http_gateway/test_sites.py
+++ b/tests/http_gateway/test_sites.py
@@ -1,6 +1,7 @@
-"""Our own site variants for the bench.
+"""The site variants under deploy/sites that benchmarks use.
 
-Whole, apart from each other and from the examples, and unknown to the gateway.
+Each is complete and differs from the other and from the examples. The gateway's code
+contains none of their names.
 """
 
 import ast
@@ -27,12 +28,15 @@
 
 
 def names(name):
-    """Categories, tenants (each is a plan's name as well) and zones."""
-    told = site(name)
+    """Return the names of categories, tenants and zones.
+
+    Each tenant's name is also the name of a plan.
+    """
+    content = site(name)
     return (
         categories(name)
-        | {each["name"] for each in told["tenant"]}
-        | set(told["net"]["zones"])
+        | {each["name"] for each in content["tenant"]}
+        | set(content["net"]["zones"])
     )
 
 
@@ -41,19 +45,21 @@
 
 
 def literals(path):
-    """Every string in a Python file that is not a comment in string's form (a docstring)."""
+    """Yield every string literal in a Python file except docstrings."""
     tree = ast.parse(path.read_text())
-    prose = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
+    docstrings = {
+        id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)
+    }
     for node in ast.walk(tree):
-        if isinstance(node, ast.Constant) and id(node) not in prose:
+        if isinstance(node, ast.Constant) and id(node) not in docstrings:
             if isinstance(node.value, str):
                 yield node.value
             elif isinstance(node.value, bytes):
                 yield node.value.decode("latin-1")
 
 
-def held():
-    """Words that the gateway and its deploy file hold as literals, and where."""
+def literal_words():
+    """Return each word in a literal of the code or the deploy file, and its file."""
     found = {}
     texts = [
         (path, text)
@@ -74,20 +80,23 @@
 
 
 class Sites(unittest.TestCase):
-    def test_each_folder_holds_a_site_that_parses(self):
+    def test_each_folder_contains_a_valid_site(self):
         self.assertEqual(
             sorted(each.name for each in SITES.iterdir()), sorted(VARIANTS)
         )
         for name in VARIANTS:
             with self.subTest(name):
-                told = site(name)
+                content = site(name)
                 self.assertEqual(
-                    (told["name"], told["family"], told["wire"]),
+                    (content["name"], content["family"], content["wire"]),
                     (name, "stores", "wire.json"),
                 )
-                self.assertEqual(len(told["tenant"]), len(told["fam"]["plan"]))
+                self.assertEqual(len(content["tenant"]), len(content["fam"]["plan"]))
                 self.assertTrue(
-                    all(each["aim_ms"] < each["deadline_ms"] for each in told["class"])
+                    all(
+                        each["aim_ms"] < each["deadline_ms"]
+                        for each in content["class"]
+                    )
                 )
                 for file in ("real.json", "wire.json"):
                     self.assertEqual(
@@ -97,28 +106,29 @@
                 lines = (SITES / name / "unlock.txt").read_text().splitlines()
                 self.assertTrue(lines and all(UNLOCK.match(line) for line in lines))
 
-    def test_each_has_an_effect_and_a_window_that_put_repeats_to_the_test(self):
+    def test_each_site_has_all_effects_and_windows_shorter_than_deadlines(self):
+        """A retry window shorter than the client timeout makes it limit retries."""
         for name in VARIANTS:
             with self.subTest(name):
-                told = site(name)["class"]
+                content = site(name)["class"]
                 self.assertEqual(
-                    {each["effect"] for each in told}, {"safe", "keyed", "unsafe"}
+                    {each["effect"] for each in content}, {"safe", "keyed", "unsafe"}
                 )
-                for each in told:
+                for each in content:
                     if each["effect"] == "keyed":
                         self.assertLess(each["window_ms"], each["deadline_ms"])
 
-    def test_no_category_is_shared_with_the_other_or_with_an_example(self):
+    def test_no_category_is_shared_between_sites_or_with_an_example(self):
         first, second = map(categories, VARIANTS)
         self.assertEqual(first & second, set())
         files = sorted((ROOT / "examples").glob("*.textproto"))
-        told = {text for path in files for text in QUOTED.findall(path.read_text())}
-        self.assertIn("lot-read", told)  # the examples' own categories were read
-        self.assertEqual((first | second) & told, set())
+        quoted = {text for path in files for text in QUOTED.findall(path.read_text())}
+        self.assertIn("lot-read", quoted)  # proves that the examples were read
+        self.assertEqual((first | second) & quoted, set())
 
-    def test_the_gateway_holds_no_word_of_a_site_as_a_literal(self):
-        found = held()
-        self.assertIn("active", found)  # discovery's word is one: literals were read
+    def test_no_literal_of_the_gateway_contains_a_word_of_a_site(self):
+        found = literal_words()
+        self.assertIn("active", found)  # discovery's word: proves literals were read
         for name in VARIANTS:
             with self.subTest(name):
                 self.assertEqual(
