--- a/tests/http_gateway/test_races_found_by_hunt.py
+++ b/tests/http_gateway/test_races_found_by_hunt.py
@@ -1,4 +1,4 @@
-"""What the hunt of crossings found, each made small and forced over loopback sockets."""
+"""Races that the random race search found, each reproduced over loopback sockets."""
 
 import json
 import select
@@ -10,62 +10,65 @@
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
-def said(version, state):
-    text = (
+def update_line(version, state):
+    line = (
         json.dumps(
             {"version": version, "full": False, "servers": [NODE | {"state": state}]}
         ).encode()
         + b"\n"
     )
-    return b"%x\r\n%s\r\n" % (len(text), text)
+    return b"%x\r\n%s\r\n" % (len(line), line)
 
 
-class Watches(Loopback):
-    def called(self):
-        """Discovery's end of the gateway's call."""
+class EndpointWatch(Loopback):
+    def accept_call(self):
+        """Return discovery's socket of the gateway's call."""
         self.listener.setblocking(False)
-        found = []
+        accepted = []
 
-        def come():
+        def arrived():
             try:
-                found.append(self.listener.accept()[0])
+                accepted.append(self.listener.accept()[0])
             except BlockingIOError:
                 pass
-            return found
+            return accepted
 
-        self.until(come, "nobody called")
-        self.sockets.append(found[0])
-        self.until(lambda: select.select([found[0]], [], [], 0)[0], "nothing was asked")
-        return found[0]
+        self.until(arrived, "the gateway did not call discovery")
+        self.sockets.append(accepted[0])
+        self.until(
+            lambda: select.select([accepted[0]], [], [], 0)[0], "no call was received"
+        )
+        return accepted[0]
 
-    def test_a_list_that_came_while_the_process_stood_is_read_before_its_watch_is_over(
-        self,
-    ):
-        for silent in (
+    def test_a_list_that_arrived_during_a_stall_is_read_before_the_watch_ends(self):
+        """The process stalls beyond the watch's time-out, so its timers run first."""
+        for silence in (
             2.0,
             5.9,
-        ):  # before its first line, and behind one; both over once the process runs again
-            with self.subTest(silent):
-                call = self.called()
-                call.sendall(HEAD + (b"1\r\n\n\r\n" if silent > 3 else b""))
+        ):  # before the watch's first line, and after one; both time out in the stall
+            with self.subTest(silence):
+                call = self.accept_call()
+                call.sendall(HEAD + (b"1\r\n\n\r\n" if silence > 3 else b""))
                 self.until(
                     lambda: (
                         self.gateway.watcher.watch.last_received_at == self.now()
                         and self.gateway.watcher.watch.response.status
                     )
                 )
-                self.until(lambda: silent < 3 or self.gateway.watcher.watch.version < 0)
+                self.until(
+                    lambda: silence < 3 or self.gateway.watcher.watch.version < 0
+                )
                 self.gateway.watcher.watch.silence_limit = (
-                    70_000  # no other call beside it
+                    70_000  # prevents a parallel call
                 )
-                self.pass_time(silent)
-                call.sendall(said(5, "leaving"))
+                self.pass_time(silence)
+                call.sendall(update_line(5, "leaving"))
                 watch = self.gateway.watcher.watch
                 self.until(
                     lambda: select.select([watch.transport.socket], [], [], 0)[0],
-                    "not on its way",
+                    "the list was not received",
                 )
-                self.time += 0.5  # the process stood: timers go first
+                self.time += 0.5  # the process stalls: timers run first
                 self.turn()
                 self.assertEqual(
                     (
@@ -77,29 +80,30 @@
             self.again()
 
 
-class Leaving(Loopback):
-    def test_an_answer_that_came_while_the_process_stood_goes_before_the_end_after_sigterm(
-        self,
-    ):
-        for stands in (
+class Shutdown(Loopback):
+    def test_an_answer_that_arrived_during_a_stall_is_sent_before_the_shutdown(self):
+        for stall in (
             0.055,
             0.1,
             1.2,
-        ):  # to just behind the first of the steps, over two, over all
+        ):  # to just after the first shutdown step, over two steps, over all steps
             self.again()
-            with self.subTest(stands):
+            with self.subTest(stall):
                 self.terminate()
                 self.to(1.45)
                 client = self.client(ask())
-                link = self.taken()
-                link.sendall(WHOLE)
-                ours = [
+                node_socket = self.taken()
+                node_socket.sendall(WHOLE)
+                gateway_sockets = [
                     each.transport.socket
                     for node in self.gateway.node_pools.pools.values()
                     for each in node.connections
                 ]
-                self.until(lambda: select.select(ours, [], [], 0)[0], "not on its way")
-                self.time += stands
+                self.until(
+                    lambda: select.select(gateway_sockets, [], [], 0)[0],
+                    "the answer was not received",
+                )
+                self.time += stall
                 self.turn()
                 self.pass_time(0.2)
                 data, how = self.all_of(client)
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -1,5 +1,6 @@
-"""Clients that leave, take nothing or send what cannot be read, each at the instant in which something is still owed, on
-loopback sockets.
+"""Clients that leave, stop reading or send malformed data while a request is open.
+
+The tests use loopback sockets.
 """
 
 import socket
@@ -24,18 +25,18 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % octets + b"x" * octets
 
 
-def leaves(one, how):
-    """The ways to go."""
+def leave(client, how):
+    """Close the client's sending side, reset the connection or close it."""
     if how == "half":
-        one.shutdown(socket.SHUT_WR)
+        client.shutdown(socket.SHUT_WR)
     elif how == "reset":
-        reset(one)
+        reset(client)
     else:
-        one.close()
+        client.close()
 
 
-class Leavers(Loopback):
-    def sent_on(self):
+class LeavingClients(Loopback):
+    def forwarded_attempts(self):
         return sum(
             count
             for (what, _), count in self.gateway.report.counts.items()
@@ -49,147 +50,164 @@
             if what == "answer"
         }
 
-    def over(self, left=0):
-        """Nobody is left, nothing is held, and nothing more is sent on."""
+    def assert_all_ended(self, remaining=0):
+        """Assert that the connections end, no request is open and none is forwarded."""
         self.until(
-            lambda: len(self.gateway.listener.connections) == left,
-            "the connection stands",
+            lambda: len(self.gateway.listener.connections) == remaining,
+            "the connection is still open",
         )
-        sent = self.sent_on()
+        sent = self.forwarded_attempts()
         self.pass_time(1.2)
         self.assertEqual(
-            (self.gateway.host.active, self.gateway.host.unanswered, self.sent_on()),
+            (
+                self.gateway.host.active,
+                self.gateway.host.unanswered,
+                self.forwarded_attempts(),
+            ),
             ({}, 0, sent),
         )
 
-    def stuck(self):
-        """A client that takes nothing of its answer.
+    def blocked_client(self):
+        """Return a client that does not read its answer, and its protocol.
 
-        One that does not fit into the system's buffers.
+        The answer does not fit into the buffers of the sockets.
         """
-        one = self.client(ask(), window=4096)
+        client = self.client(ask(), window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.taken().sendall(answer(LONG))
-        self.until(lambda: protocol.blocked, "all was taken")
-        return one, protocol
+        self.until(lambda: protocol.blocked, "the whole answer was written")
+        return client, protocol
+
+    def test_requests_of_a_client_that_left_before_the_read_are_not_forwarded(self):
+        """The process stalls for half a second after the client's last octet and close.
 
-    def test_who_left_before_it_was_read_or_let_in_has_nothing_sent_on(self):
-        """The process stood still, or the door was shut, for half a second after the client's last octet and its end."""
+        The client has either been accepted before or still waits in the accept queue.
+        """
         for how in ("close", "half", "reset"):
-            for let_in in (True, False):
-                for times in (1, 3):
-                    with self.subTest(how=how, let_in=let_in, times=times):
+            for accepted in (True, False):
+                for requests in (1, 3):
+                    with self.subTest(how=how, accepted=accepted, requests=requests):
                         self.again()
-                        one = (
+                        client = (
                             self.client()
-                            if let_in
+                            if accepted
                             else socket.create_connection(("127.0.0.1", self.door))
                         )
-                        self.sockets.append(one)
-                        one.sendall(
-                            b"".join(ask(TXN + number) for number in range(times))
+                        self.sockets.append(client)
+                        client.sendall(
+                            b"".join(ask(TXN + number) for number in range(requests))
                         )
-                        leaves(one, how)
+                        leave(client, how)
                         self.time += 0.5
                         self.turn(10)
-                        self.assertEqual((self.sent_on(), self.answers()), (0, {}))
-                        self.over()
+                        self.assertEqual(
+                            (self.forwarded_attempts(), self.answers()), (0, {})
+                        )
+                        self.assert_all_ended()
 
-    def test_who_leaves_with_a_request_open_and_one_behind_it_has_both_given_up_at_once(
-        self,
-    ):
+    def test_a_leaving_client_ends_its_open_request_and_the_pipelined_one(self):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
                 self.again()
-                one = self.client(ask())
-                link = self.taken()
-                one.sendall(ask(TXN + 1))
+                client = self.client(ask())
+                node_socket = self.taken()
+                client.sendall(ask(TXN + 1))
                 self.turn()
-                leaves(one, how)
-                self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
-                self.over()
+                leave(client, how)
+                self.until(
+                    lambda: self.got(node_socket)[1] == "reset",
+                    "the node's connection was not reset",
+                )
+                self.assert_all_ended()
                 self.assertEqual(
-                    (self.sent_on(), self.answers()), (1, {"abandoned": 1})
+                    (self.forwarded_attempts(), self.answers()), (1, {"abandoned": 1})
                 )
 
-    def test_who_leaves_while_the_process_stands_still_has_no_further_dispatch(self):
-        """The node's failure and the client's end are both unread, half a second later."""
+    def test_a_client_that_leaves_during_a_stall_has_no_further_attempt(self):
+        """The process stalls for half a second.
+
+        Then it reads both the node's failure and the client's close.
+        """
         for how in ("close", "reset"):
-            for said in (
+            for node_answer in (
                 b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
                 b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
                 b"",
             ):
-                with self.subTest(how=how, said=said):
+                with self.subTest(how=how, node_answer=node_answer):
                     self.again()
-                    one = self.client(ask())
-                    link = self.taken()
-                    link.sendall(said)
-                    leaves(one, how)
+                    client = self.client(ask())
+                    node_socket = self.taken()
+                    node_socket.sendall(node_answer)
+                    leave(client, how)
                     self.time += 0.5
                     self.turn(10)
                     self.assertEqual(
-                        (self.sent_on(), self.answers()), (1, {"abandoned": 1})
+                        (self.forwarded_attempts(), self.answers()),
+                        (1, {"abandoned": 1}),
                     )
-                    self.over()
+                    self.assert_all_ended()
 
-    def test_what_waits_for_a_node_is_not_sent_on_once_its_client_has_left(self):
+    def test_a_request_that_waits_for_a_node_is_dropped_when_its_client_leaves(self):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
                 self.again()
-                one = self.client(
+                client = self.client(
                     ask(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
                 )
                 self.until(lambda: self.gateway.host.unanswered, "not taken")
-                leaves(one, how)
+                leave(client, how)
                 self.turn(5)
-                place = NODE | {
+                node = NODE | {
                     "id": "s-2",
                     "cell": 2,
                     "addr": "127.0.0.1:%d" % self.node.getsockname()[1],
                 }
                 self.gateway.on_endpoints(
-                    EndpointUpdateKind.DELTA, [parse_node(place, ["z"], 0)]
+                    EndpointUpdateKind.DELTA, [parse_node(node, ["z"], 0)]
                 )
-                self.over()
+                self.assert_all_ended()
                 self.assertEqual(
-                    (self.sent_on(), self.answers()), (0, {"abandoned": 1})
+                    (self.forwarded_attempts(), self.answers()), (0, {"abandoned": 1})
                 )
 
-    def test_who_takes_nothing_and_leaves_is_noticed_and_what_is_behind_is_not_sent_on(
-        self,
-    ):
+    def test_a_client_that_stops_reading_and_leaves_is_noticed(self):
+        """The gateway does not forward the client's pipelined request."""
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
                 self.again()
-                one, protocol = self.stuck()
-                one.sendall(ask(TXN + 1))
+                client, protocol = self.blocked_client()
+                client.sendall(ask(TXN + 1))
                 self.turn()
                 self.assertTrue(protocol.has_partial_request)
-                leaves(one, how)
+                leave(client, how)
                 self.turn(10)
                 self.assertIn(protocol.state.name, ("CLOSING", "CLOSED"))
                 self.pass_time(LINGER_TIMEOUT / 10_000 + 0.2)
-                self.over()
+                self.assert_all_ended()
                 self.assertEqual(
-                    (self.sent_on(), self.answers(), self.gateway.buffers.held),
+                    (
+                        self.forwarded_attempts(),
+                        self.answers(),
+                        self.gateway.buffers.held,
+                    ),
                     (1, {"satisfied": 1}, 0),
                 )
 
-    def test_who_takes_nothing_and_stays_does_not_stay_for_ever(self):
-        one, protocol = self.stuck()
+    def test_a_client_that_stops_reading_and_stays_is_disconnected(self):
+        client, protocol = self.blocked_client()
         self.pass_time(2 * IDLE_TIMEOUT / 10_000 + 0.5)
         self.assertEqual(
             (len(self.gateway.listener.connections), self.gateway.buffers.held), (0, 0)
         )
-        self.assertEqual(self.got(one)[1], "reset")
+        self.assertEqual(self.got(client)[1], "reset")
 
-    def test_a_last_answer_that_is_taken_slowly_comes_whole(self):
+    def test_a_last_answer_that_is_read_slowly_arrives_complete(self):
         for ends in ("asked", "half"):
             with self.subTest(ends=ends):
                 self.again()
-                one = self.client(ask(Connection="close"), window=4096)
+                client = self.client(ask(Connection="close"), window=4096)
                 protocol = self.server_side()
                 protocol.transport.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
@@ -198,122 +216,126 @@
                 self.until(lambda: protocol.state.name == "CLOSING", "not answered")
                 data = bytearray()
                 if ends == "half":
-                    one.shutdown(socket.SHUT_WR)
+                    client.shutdown(socket.SHUT_WR)
                     self.turn()
                 for _ in range(4):
                     self.pass_time(0.2 if ends == "half" else 0.5)
-                    data += one.recv(4096)
+                    data += client.recv(4096)
 
-                def whole():
-                    piece, how = self.got(one)
+                def ended():
+                    piece, how = self.got(client)
                     data.extend(piece)
                     return how != "open"
 
-                self.until(whole)
+                self.until(ended)
                 self.assertEqual(data.count(b"x"), LONG)
 
-    def test_what_the_system_holds_of_a_last_answer_outlives_the_connection_here(self):
-        one = self.client(ask(Connection="close"), window=4096)
+    def test_a_last_answer_in_the_sockets_buffer_outlives_the_client_connection(self):
+        client = self.client(ask(Connection="close"), window=4096)
         protocol = self.server_side()
         self.taken().sendall(answer(LONG))
-        self.until(lambda: protocol.sent, "not handed over")
+        self.until(lambda: protocol.sent, "the answer was not written")
         self.pass_time(LINGER_TIMEOUT / 10_000 + 0.2)
         self.assertFalse(self.gateway.listener.connections)
-        data, how = self.all_of(one)
+        data, how = self.all_of(client)
         self.assertEqual((data.count(b"x"), how), (LONG, "ended"))
 
-    def test_an_idle_close_over_a_request_tears_no_former_answer(self):
-        one = self.client(ask(), window=4096)
+    def test_an_idle_close_over_a_request_does_not_cut_the_previous_answer(self):
+        client = self.client(ask(), window=4096)
         self.taken().sendall(answer(LONG))
         self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
         self.turn(30)
         protocol = self.server_side()
-        self.assertFalse(protocol.blocked)  # all is the system's, little the client's
+        # The rest of the answer is in the socket's buffer.
+        self.assertFalse(protocol.blocked)
         self.time += IDLE_TIMEOUT_WHEN_SHORT / 10_000
         protocol.check(self.now(), True)
-        one.sendall(ask(TXN + 1))
+        client.sendall(ask(TXN + 1))
         self.unread()
         self.turn()
         data = bytearray()
 
-        def whole():
-            piece, how = self.got(one)
+        def ended():
+            piece, how = self.got(client)
             data.extend(piece)
             return how != "open"
 
-        self.until(whole)
-        self.assertEqual((data.count(b"x"), self.sent_on()), (LONG, 1))
+        self.until(ended)
+        self.assertEqual((data.count(b"x"), self.forwarded_attempts()), (LONG, 1))
 
-    def test_a_request_that_is_here_is_read_before_its_time_is_over(self):
-        """The process stood still.
+    def test_a_request_that_has_arrived_is_read_before_its_timeout_applies(self):
+        """The process stalls, so its timers run before it reads what has arrived.
 
-        Its timers come before what had come: an idle close, or the end of half a
-        request.
+        The timers are those of an idle close and of an incomplete request.
         """
-        for begins, rests in (
+        for first_data, timeout in (
             (READY, IDLE_TIMEOUT),
             (ask()[:60], REQUEST_TIMEOUT),
             (b"", NEW_TIMEOUT),
         ):
-            with self.subTest(begins=begins[:9], rests=rests):
+            with self.subTest(first_data=first_data[:9], timeout=timeout):
                 self.again()
-                one = self.client(begins)
+                client = self.client(first_data)
                 self.turn(5)
-                self.got(one)
-                one.sendall(ask()[60:] if rests == REQUEST_TIMEOUT else ask())
+                self.got(client)
+                client.sendall(ask()[60:] if timeout == REQUEST_TIMEOUT else ask())
                 self.unread()
-                self.time += rests / 10_000
+                self.time += timeout / 10_000
                 self.turn()
                 self.taken().sendall(answer(2))
-                self.until(lambda: b" 200 " in self.got(one)[0], "not answered")
+                self.until(lambda: b" 200 " in self.got(client)[0], "not answered")
 
-    def test_an_error_reaches_who_closes_its_side_behind_what_cannot_be_read(self):
-        one = self.client()
-        one.sendall(b"\x00\xff\n\n")
-        one.shutdown(socket.SHUT_WR)
-        data, how = self.all_of(one)
+    def test_an_error_reaches_a_client_that_closes_its_side_after_malformed_data(self):
+        client = self.client()
+        client.sendall(b"\x00\xff\n\n")
+        client.shutdown(socket.SHUT_WR)
+        data, how = self.all_of(client)
         self.assertEqual((data.count(b"HTTP/1.1 400"), how), (1, "ended"))
-        self.over()
+        self.assert_all_ended()
 
-    def test_what_is_read_beyond_a_request_as_it_is_taken_waits_for_its_answer(self):
-        """The first fills one read of the socket to its last octet.
+    def test_a_request_read_while_another_is_accepted_waits_for_its_answer(self):
+        """The first request fills one read of the socket exactly.
 
-        The second comes with the look for the client's end.
+        The second is read by the check for the client's close.
         """
-        rest = (
+        body_length = (
             65_536
             - len(
                 ask(method="PUT", name="put", body=b"y" * 60_000, Idempotency_Key="k")
             )
             + 60_000
         )
-        one = self.client()
-        one.sendall(
-            ask(method="PUT", name="put", body=b"y" * rest, Idempotency_Key="k")
+        client = self.client()
+        client.sendall(
+            ask(method="PUT", name="put", body=b"y" * body_length, Idempotency_Key="k")
             + ask(TXN + 1)
         )
-        link = self.taken()
+        node_socket = self.taken()
         self.turn(5)
-        self.assertEqual((self.sent_on(), self.gateway.host.unanswered), (1, 1))
-        link.sendall(answer(2))
-        text = b""
+        self.assertEqual(
+            (self.forwarded_attempts(), self.gateway.host.unanswered), (1, 1)
+        )
+        node_socket.sendall(answer(2))
+        received = b""
 
-        def second():
-            nonlocal text
-            text += self.got(link)[0]
-            return b"X-Txn: %016x" % (TXN + 1) in text
+        def second_arrived():
+            nonlocal received
+            received += self.got(node_socket)[0]
+            return b"X-Txn: %016x" % (TXN + 1) in received
 
-        self.until(second)
-        self.assertEqual(self.got(one)[0].count(b"HTTP/1.1 200"), 1)
+        self.until(second_arrived)
+        self.assertEqual(self.got(client)[0].count(b"HTTP/1.1 200"), 1)
 
     def test_hundreds_of_requests_answered_at_once_are_all_answered(self):
-        one = self.client(
+        client = self.client(
             READY * 700
-        )  # not one from within the other: deeper than Python bears
+        )  # answering them recursively would exceed Python's recursion limit
         data = bytearray()
         self.until(
-            lambda: data.extend(self.got(one)[0]) or data.count(b"HTTP/1.1 200") == 700,
-            "not all",
+            lambda: (
+                data.extend(self.got(client)[0]) or data.count(b"HTTP/1.1 200") == 700
+            ),
+            "not all requests were answered",
         )
 
 
--- a/tests/http_gateway/test_races_message_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -1,6 +1,6 @@
-"""The forms that HTTP/1.1 leaves open, over loopback sockets.
+"""The alternative forms of a message that HTTP/1.1 allows, over loopback sockets.
 
-Each message that is right is taken, in one piece and octet by octet.
+Each valid message is accepted, both in one piece and octet by octet.
 """
 
 import json
@@ -15,17 +15,17 @@
 
 OWS = (b" ", b"\t", b" \t  ")
 BODY = b"x" * 40
-BEHIND = b"the end of it"
+BODY_END = b"the end of it"
 
 
-def spaced(message, before, behind):
-    """The same message with other whitespace around each field's value."""
+def spaced(message, before, after):
+    """Return the message with other whitespace around each field's value."""
     head, body = message.split(b"\r\n\r\n", 1)
     first, *lines = head.split(b"\r\n")
     fields = [each.split(b": ", 1) for each in lines]
     return (
         b"\r\n".join(
-            [first, *(name + b":" + before + value + behind for name, value in fields)]
+            [first, *(name + b":" + before + value + after for name, value in fields)]
         )
         + b"\r\n\r\n"
         + body
@@ -33,7 +33,7 @@
 
 
 def chunked(message):
-    """A request's body in two chunks, one of them with an extension, and a trailer."""
+    """Return the request with its body in two chunks, an extension and a trailer."""
     head, body = message.split(b"\r\n\r\n", 1)
     lines = [
         each
@@ -64,7 +64,7 @@
 
 def requests():
     yield from (
-        spaced(put(TXN + number), b" ", behind) for number, behind in enumerate(OWS)
+        spaced(put(TXN + number), b" ", after) for number, after in enumerate(OWS)
     )
     yield from (
         spaced(put(TXN + 8 + number), before, b"")
@@ -85,9 +85,9 @@
         spaced(
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Turned-Away: 0\r\n\r\nhi",
             b"",
-            behind,
+            after,
         )
-        for behind in OWS
+        for after in OWS
     ),
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding:chunked \t\r\n\r\n1;a=b\r\nh\r\n1\r\ni\r\n0\r\nA: b\r\n\r\n",
     b"HTTP/1.1 200\r\ncontent-length:\t2\r\n\r\nhi",
@@ -95,60 +95,62 @@
 ]
 
 
-class Forms(Loopback):
-    """Door and links of a whole gateway."""
+class MessageForms(Loopback):
+    """Client requests, node answers and endpoint lists in every allowed form."""
 
-    def sent(self, one, data, step):
-        for at in range(0, len(data), step):
-            one.sendall(data[at : at + step])
+    def send_in_steps(self, client, data, step):
+        for start in range(0, len(data), step):
+            client.sendall(data[start : start + step])
             self.turn(2)
 
-    def answered(self, one, link, answer, step=1 << 20):
-        link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.sent(link, answer, step)
+    def assert_answered(self, client, node_socket, answer, step=1 << 20):
+        node_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.send_in_steps(node_socket, answer, step)
         got = b""
 
         def whole():
             nonlocal got
-            got += self.got(one)[0]
+            got += self.got(client)[0]
             return got.endswith(b"hi") or b" 200 " not in got and got
 
-        self.until(whole, "no answer")
+        self.until(whole, "the client has no answer")
         self.assertTrue(got.startswith(b"HTTP/1.1 200 "), got)
 
-    def test_a_request_in_every_form_is_taken_and_passed_on(self):
+    def test_a_request_in_every_form_is_forwarded(self):
         for step in (1 << 20, 1):
             for number, request in enumerate(requests()):
                 with self.subTest(step=step, form=number):
-                    one = self.client()
-                    self.sent(one, request, step)
-                    link = self.taken()
-                    self.answered(one, link, ANSWERS[0])
-                    link.close()
+                    client = self.client()
+                    self.send_in_steps(client, request, step)
+                    node_socket = self.taken()
+                    self.assert_answered(client, node_socket, ANSWERS[0])
+                    node_socket.close()
                     self.again()
 
-    def test_an_answer_in_every_form_is_passed_on(self):
+    def test_an_answer_in_every_form_is_forwarded(self):
         for step in (1 << 20, 1):
             for number, answer in enumerate(ANSWERS):
                 with self.subTest(step=step, form=number):
-                    one = self.client(ask())
-                    self.answered(one, self.taken(), answer, step)
+                    client = self.client(ask())
+                    self.assert_answered(client, self.taken(), answer, step)
                     self.again()
 
-    def test_a_turn_away_with_whitespace_behind_it_is_one(self):
-        """Else it counts as one that may have run, and as the node's error."""
+    def test_a_rejection_with_whitespace_after_the_field_value_is_recognized(self):
+        """Otherwise the attempt counts as one that may have run, and as an error."""
         self.client(ask())
-        link = self.taken()
-        link.sendall(
+        node_socket = self.taken()
+        node_socket.sendall(
             b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\t\r\n\r\n"
         )
-        ends = [each for each in self.gateway.report.counts if each[0] == "ended"]
+        ends_before = [
+            each for each in self.gateway.report.counts if each[0] == "ended"
+        ]
         self.until(
             lambda: (
                 [each for each in self.gateway.report.counts if each[0] == "ended"]
-                != ends
+                != ends_before
             ),
-            "no end",
+            "the attempt did not end",
         )
         self.assertEqual(
             self.gateway.report.counts["ended", "turned away"],
@@ -156,143 +158,153 @@
             self.gateway.report.counts,
         )
 
-    def test_a_list_in_every_form_is_taken(self):
+    def test_an_endpoint_list_in_every_form_is_accepted(self):
         line = (
             json.dumps(
                 {"version": 9, "full": True, "servers": [NODE | {"id": "s-9"}]}
             ).encode()
             + b"\n"
         )
-        for coding in (
+        for transfer_coding in (
             b"Transfer-Encoding: chunked \t",
             b"transfer-encoding:chunked",
             b"Transfer-Encoding:\tChunked ",
         ):
-            for ahead in (b"", b"\r\n", b"HTTP/1.1 103 Early \r\nA: b\r\n\r\n"):
+            for interim in (b"", b"\r\n", b"HTTP/1.1 103 Early \r\nA: b\r\n\r\n"):
                 for step in (1 << 20, 1):
-                    with self.subTest(coding=coding, ahead=ahead, step=step):
+                    with self.subTest(
+                        transfer_coding=transfer_coding, interim=interim, step=step
+                    ):
                         self.listener.setblocking(True)
                         call, _ = self.listener.accept()
                         self.sockets.append(call)
                         call.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                        self.sent(
+                        self.send_in_steps(
                             call,
-                            ahead
+                            interim
                             + b"HTTP/1.1 200 OK\r\n"
-                            + coding
+                            + transfer_coding
                             + b"\r\n\r\n%x;a=b\r\n%s\r\n" % (len(line), line),
                             step,
                         )
                         self.until(
                             lambda: self.gateway.watcher.version == 9,
-                            "the list was not taken",
+                            "the list was not accepted",
                         )
                         self.again()
 
 
-class Long(Loopback):
-    """Bodies over the page's 64 KiB, which its own days bring.
+class LongBodies(Loopback):
+    """Bodies over the platform's stated 64 KiB, which its own traffic contains.
 
-    Taken whole, within the memory that there is.
+    The gateway forwards them whole while they fit into the buffer budget.
     """
 
-    def served(self, one, request):
-        """Send it piece by piece, answer it at the node, and give what came there."""
-        came, at, link = b"", 0, None
+    def forward_in_pieces(self, client, request):
+        """Send a request in pieces; return what the node received, and its socket."""
+        node_received, sent_octets, node_socket = b"", 0, None
         self.node.setblocking(False)
 
         def step():
-            nonlocal came, at, link
+            nonlocal node_received, sent_octets, node_socket
             with suppress(BlockingIOError):
-                at += one.send(request[at : at + 30_000])
+                sent_octets += client.send(request[sent_octets : sent_octets + 30_000])
             with suppress(BlockingIOError):
-                if link is None:
-                    link = self.node.accept()[0]
-                    link.setblocking(False)
-                    self.sockets.append(link)
-                came += link.recv(1 << 20)
-            return came.endswith(BEHIND)
-
-        self.until(step, "not whole at the node")
-        return came, link
-
-    def test_a_long_request_is_passed_on_whole_by_length_and_in_chunks(self):
-        for octets in (65_537, 400_000, MAX_BODY):
+                if node_socket is None:
+                    node_socket = self.node.accept()[0]
+                    node_socket.setblocking(False)
+                    self.sockets.append(node_socket)
+                node_received += node_socket.recv(1 << 20)
+            return node_received.endswith(BODY_END)
+
+        self.until(step, "the request did not reach the node completely")
+        return node_received, node_socket
+
+    def test_a_long_request_is_forwarded_whole_by_length_and_in_chunks(self):
+        for body_size in (65_537, 400_000, MAX_BODY):
             for form in (lambda each: each, chunked):
-                with self.subTest(octets=octets, form=form):
+                with self.subTest(body_size=body_size, form=form):
                     self.again()
-                    body = bytes(range(256)) * (octets // 256 + 1)
-                    body = body[: octets - len(BEHIND)] + BEHIND
-                    one = self.client()
-                    came, link = self.served(
-                        one,
+                    body = bytes(range(256)) * (body_size // 256 + 1)
+                    body = body[: body_size - len(BODY_END)] + BODY_END
+                    client = self.client()
+                    node_received, node_socket = self.forward_in_pieces(
+                        client,
                         form(
                             ask(
                                 method="PUT", name="put", body=body, Idempotency_Key="k"
                             )
                         ),
                     )
-                    self.assertEqual(came.partition(b"\r\n\r\n")[2], body)
-                    self.assertEqual(self.gateway.buffers.held, 2 * octets)
-                    link.sendall(ANSWERS[0])
-                    self.until(lambda: b" 200 " in self.got(one)[0], "no answer")
+                    self.assertEqual(node_received.partition(b"\r\n\r\n")[2], body)
+                    self.assertEqual(self.gateway.buffers.held, 2 * body_size)
+                    node_socket.sendall(ANSWERS[0])
+                    self.until(
+                        lambda: b" 200 " in self.got(client)[0],
+                        "the client has no answer",
+                    )
                     self.assertEqual(self.gateway.buffers.held, 0)
 
-    def test_what_a_long_request_held_is_given_back_when_its_client_leaves(self):
+    def test_the_buffers_of_a_long_request_are_released_when_its_client_leaves(self):
         for whole in (True, False):
-            one = self.client()
-            body = b"x" * 300_000 + BEHIND
+            client = self.client()
+            body = b"x" * 300_000 + BODY_END
             request = ask(
                 TXN + whole, method="PUT", name="put", body=body, Idempotency_Key="k"
             )
             if whole:
-                self.served(one, request)
+                self.forward_in_pieces(client, request)
             else:
-                one.sendall(request[:150_000])
-                self.until(lambda: self.gateway.buffers.held > 65_536, "not counted")
-            one.close()
+                client.sendall(request[:150_000])
+                self.until(
+                    lambda: self.gateway.buffers.held > 65_536,
+                    "the request's octets were not counted as buffered",
+                )
+            client.close()
             self.until(
                 lambda: (
                     not self.gateway.listener.connections
                     and not self.gateway.host.active
                 ),
-                "not left",
+                "the client's connection and request did not end",
             )
             self.assertEqual(self.gateway.buffers.held, 0)
 
-    def test_past_the_memory_a_long_request_is_turned_away_and_a_usual_one_served(self):
+    def test_over_the_buffer_budget_a_long_request_is_refused_and_a_short_served(self):
         self.gateway.buffers.limit = 700_000
-        ones = [self.client() for _ in range(2)]
+        clients = [self.client() for _ in range(2)]
         request = [
             ask(
                 TXN + number,
                 method="PUT",
                 name="put",
-                body=b"x" * 300_000 + BEHIND,
+                body=b"x" * 300_000 + BODY_END,
                 Idempotency_Key="k",
             )
             for number in range(2)
         ]
-        self.served(ones[0], request[0])
-        said, at = b"", 0
+        self.forward_in_pieces(clients[0], request[0])
+        received, sent_octets = b"", 0
 
         def refused():
-            nonlocal said, at
+            nonlocal received, sent_octets
             with suppress(OSError):
-                at += ones[1].send(request[1][at : at + 30_000])
-            said += self.got(ones[1])[0]
-            return b"\r\n\r\n" in said
-
-        self.until(refused, "no word")
-        self.assertTrue(said.startswith(b"HTTP/1.1 503 "), said)
-        usual = self.client(ask(TXN + 9))
+                sent_octets += clients[1].send(
+                    request[1][sent_octets : sent_octets + 30_000]
+                )
+            received += self.got(clients[1])[0]
+            return b"\r\n\r\n" in received
+
+        self.until(refused, "the client has no answer")
+        self.assertTrue(received.startswith(b"HTTP/1.1 503 "), received)
+        short_client = self.client(ask(TXN + 9))
         self.until(
-            lambda: self.gateway.host.unanswered == 2, "a usual one is not taken"
+            lambda: self.gateway.host.unanswered == 2, "a short one is not accepted"
         )
-        usual.close()
+        short_client.close()
 
-    def test_one_over_the_bound_is_refused(self):
-        one = self.client(
+    def test_a_body_over_the_limit_is_refused(self):
+        client = self.client(
             ask(
                 method="PUT",
                 name="put",
@@ -300,22 +312,22 @@
                 Idempotency_Key="k",
             )
         )
-        self.assertEqual(self.all_of(one)[0][:12], b"HTTP/1.1 413")
+        self.assertEqual(self.all_of(client)[0][:12], b"HTTP/1.1 413")
 
 
-class Bounded(unittest.TestCase):
+class AmbiguousHeadSearch(unittest.TestCase):
     def test_a_head_of_spaces_costs_as_little_as_any_other(self):
-        """One octet at a time each look would go over all of it.
+        """A head that arrives octet by octet is searched whole after each octet.
 
-        One look must not cost the square of the head's length.
+        One search must not take time quadratic in the head's length.
         """
-        steps = []
+        times = []
         for head in (
             b"GET / HTTP/1.1\r\nA" + b" " * 8000 + b"x",
             b"GET / HTTP/1.1\r\nA" + b"y" * 8000 + b"x",
         ):
-            steps.append(min(self.seconds(head) for _ in range(5)))
-        self.assertLess(steps[0], 20 * steps[1] + 0.01, steps)
+            times.append(min(self.seconds(head) for _ in range(5)))
+        self.assertLess(times[0], 20 * times[1] + 0.01, times)
 
     def seconds(self, head):
         began = thread_time()
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -1,7 +1,7 @@
-"""Answers of nodes that cannot be believed, on loopback sockets.
+"""Malformed, endless and truncated answers of nodes, on loopback sockets.
 
-Each ends its own dispatch by one cause, its client has one answer in time, and
-neighbours at the same gateway, at the same node too, are served as ever.
+Each ends its own attempt with one cause, and its client has one answer in time. Other
+clients of the gateway, even at the same node, are served as before.
 """
 
 import socket
@@ -16,23 +16,23 @@
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
 LATE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-PATIENCE = 0.9  # of the rig's requests
-# What a node says to each request, and what it does then; how each dispatch ends, and
-# the cause by which it is counted as spoilt.
+CLIENT_TIMEOUT = 0.9  # seconds, of the rig's requests
+# The node's answer to each request, and its next action; the outcome of each attempt,
+# and the cause under which the answer is counted as malformed.
 BAD = {
-    "never ending, without a length": (
+    "endless, without a length": (
         HEAD + b"\r\n",
         "pour",
         "error",
         "a body over the bound",
     ),
-    "never ending, in chunks": (
+    "endless, in chunks": (
         CHUNKED,
         "pour chunks",
         "error",
         "a body over the bound",
     ),
-    "a drip without an end": (
+    "single octets without an end": (
         HEAD + b"Content-Length: 900\r\n\r\n",
         "drip",
         "timed out",
@@ -44,31 +44,31 @@
         "error",
         "a head over the bound",
     ),
-    "too many lines": (
+    "too many header fields": (
         HEAD + b"X: y\r\n" * 70 + b"\r\n",
         "stay",
         "error",
         "too many lines in a head",
     ),
-    "too long by its length": (
+    "a length over the limit": (
         HEAD + b"Content-Length: 3221225472\r\n\r\nab",
         "stay",
         "error",
         "a body over the bound",
     ),
-    "too long by far": (
+    "a length far over the limit": (
         HEAD + b"Content-Length: " + b"9" * 30 + b"\r\n\r\nab",
         "stay",
         "error",
         "a head that cannot be read",
     ),
-    "a length below zero": (
+    "a negative length": (
         HEAD + b"Content-Length: -5\r\n\r\nab",
         "stay",
         "error",
         "a head that cannot be read",
     ),
-    "a length that is none": (
+    "a non-numeric length": (
         HEAD + b"Content-Length: two\r\n\r\nab",
         "stay",
         "error",
@@ -80,25 +80,25 @@
         "error",
         "a head that cannot be read",
     ),
-    "two ways to tell the length": (
+    "a length and chunks": (
         CHUNKED[:-2] + b"Content-Length: 2\r\n\r\nab",
         "stay",
         "error",
         "a head that cannot be read",
     ),
-    "chunks that are none": (
+    "malformed chunks": (
         CHUNKED + b"zz\r\n",
         "stay",
         "error",
         "chunks that cannot be read",
     ),
-    "chunks without number": (
+    "too many chunks": (
         CHUNKED + b"1\r\nx\r\n" * 9000,
         "stay",
         "error",
         "a body in too many chunks",
     ),
-    "lines that end otherwise": (
+    "bare line feeds": (
         HEAD + b"A: b\nContent-Length: 2\r\n\r\nab",
         "stay",
         "error",
@@ -112,7 +112,7 @@
         "what begins no message",
     ),
     "a request": (ask(), "stay", "error", "a head that cannot be read"),
-    "interim ones without end": (
+    "endless interim answers": (
         b"HTTP/1.1 103 Hint\r\n\r\n" * 50,
         "stay",
         "error",
@@ -124,17 +124,17 @@
         "error",
         "",
     ),
-    "torn in its head": (HEAD + b"Content-Le", "close", "reset", ""),
-    "torn by a close": (HEAD + b"Content-Length: 5\r\n\r\nab", "close", "reset", ""),
-    "torn by a reset": (HEAD + b"Content-Length: 5\r\n\r\nab", "reset", "reset", ""),
-    "torn in chunks": (CHUNKED + b"2\r\nab\r\n", "close", "reset", ""),
-    "none at all": (b"", "close", "reset", ""),
+    "closed in the head": (HEAD + b"Content-Le", "close", "reset", ""),
+    "closed in the body": (HEAD + b"Content-Length: 5\r\n\r\nab", "close", "reset", ""),
+    "reset in the body": (HEAD + b"Content-Length: 5\r\n\r\nab", "reset", "reset", ""),
+    "closed in the chunks": (CHUNKED + b"2\r\nab\r\n", "close", "reset", ""),
+    "closed without an answer": (b"", "close", "reset", ""),
     "silence": (b"", "stay", "timed out", ""),
-    "octets behind": (WHOLE + b"noise", "stay", "satisfied", ""),
+    "extra octets": (WHOLE + b"noise", "stay", "satisfied", ""),
     "a second answer": (WHOLE + LATE, "stay", "satisfied", ""),
     "a second answer that comes late": (WHOLE, "late", "satisfied", ""),
 }
-GOES_ON = {
+REPEATED_DATA = {
     "pour": b"x" * 65_536,
     "pour chunks": (b"400\r\n" + b"x" * 1024 + b"\r\n") * 60,
     "drip": b"x",
@@ -143,45 +143,46 @@
 
 
 class BadNode:
-    """Takes every connection but those that it is told to spare, and answers each request on them in its one way."""
+    """A node that gives every request on its new connections the same bad answer."""
 
-    def __init__(self, case, data, then):
-        self.case, self.data, self.then = case, data, then
-        self.links, self.asked = {}, 0  # requests that came on each; on all
+    def __init__(self, case, data, next_action):
+        self.case, self.data, self.next_action = case, data, next_action
+        # Requests by connection; requests on all connections.
+        self.requests, self.request_count = {}, 0
         case.node.setblocking(False)
         case.addCleanup(self.stop)
 
-    def act(self):
+    def step(self):
         with suppress(BlockingIOError):
-            one = self.case.node.accept()[0]
-            one.setblocking(False)
-            self.links[one] = 0
-        for one in list(self.links):
+            sock = self.case.node.accept()[0]
+            sock.setblocking(False)
+            self.requests[sock] = 0
+        for sock in list(self.requests):
             with suppress(OSError):
-                came = one.recv(65_536).count(b"X-Txn")
-                self.links[one] += came
-                self.asked += came
-                if came:
-                    self.answer(one)
+                count = sock.recv(65_536).count(b"X-Txn")
+                self.requests[sock] += count
+                self.request_count += count
+                if count:
+                    self.answer(sock)
             with suppress(OSError):
-                while self.links.get(one) and self.then in GOES_ON:
-                    one.send(GOES_ON[self.then])
-                    if self.then in ("drip", "late"):
+                while self.requests.get(sock) and self.next_action in REPEATED_DATA:
+                    sock.send(REPEATED_DATA[self.next_action])
+                    if self.next_action in ("drip", "late"):
                         break
 
-    def answer(self, one):
-        one.sendall(self.data)
-        if self.then in ("close", "reset"):
-            del self.links[one]
-            one.close() if self.then == "close" else reset(one)
+    def answer(self, sock):
+        sock.sendall(self.data)
+        if self.next_action in ("close", "reset"):
+            del self.requests[sock]
+            sock.close() if self.next_action == "close" else reset(sock)
 
     def stop(self):
-        for one in self.links:
-            one.close()
+        for sock in self.requests:
+            sock.close()
 
 
-class Answers(Loopback):
-    def counted(self, what):
+class NodeAnswers(Loopback):
+    def counts(self, what):
         return {
             value: count
             for (each, value), count in self.gateway.report.counts.items()
@@ -189,126 +190,127 @@
         }
 
     def another_node(self):
-        """A second node, of another cell."""
-        other = socket.create_server(("127.0.0.1", 0))
-        self.sockets.append(other)
-        place = NODE | {
+        """Return the listener of a second node, which serves another shard."""
+        listener = socket.create_server(("127.0.0.1", 0))
+        self.sockets.append(listener)
+        node = NODE | {
             "id": "s-2",
             "cell": 1,
-            "addr": "127.0.0.1:%d" % other.getsockname()[1],
+            "addr": "127.0.0.1:%d" % listener.getsockname()[1],
         }
         self.gateway.on_endpoints(
-            EndpointUpdateKind.DELTA, [parse_node(place, ["z"], 0)]
+            EndpointUpdateKind.DELTA, [parse_node(node, ["z"], 0)]
         )
-        return other
+        return listener
 
     def taken_at(self, listener):
-        mine, self.node = self.node, listener
-        link = self.taken()
-        self.node = mine
-        return link
+        bad_node, self.node = self.node, listener
+        node_socket = self.taken()
+        self.node = bad_node
+        return node_socket
 
-    def served(self, client, link, txn):
-        """A usual client's request, from end to end, without a moment's wait."""
+    def served(self, client, node_socket, txn):
+        """Serve a normal client's request without advancing the clock."""
         client.sendall(ask(txn, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1"))
         data = bytearray()
         self.until(
-            lambda: data.extend(self.got(link)[0]) or b"\r\n\r\n" in data,
-            "it did not come to the good node",
+            lambda: data.extend(self.got(node_socket)[0]) or b"\r\n\r\n" in data,
+            "the request did not reach the good node",
         )
-        link.sendall(WHOLE)
+        node_socket.sendall(WHOLE)
         data.clear()
         self.until(
             lambda: data.extend(self.got(client)[0]) or data.endswith(b"hi"),
-            "the usual client is not served",
+            "the normal client is not served",
         )
 
-    def test_each_bad_answer_ends_its_own_dispatch_and_costs_neighbours_nothing(self):
-        for name, (data, then, outcome, cause) in BAD.items():
+    def test_each_bad_answer_ends_its_own_attempt_and_affects_no_other_client(self):
+        for name, (data, next_action, outcome, cause) in BAD.items():
             with self.subTest(name):
                 self.again()
                 good = self.another_node()
-                usual = self.client(
+                normal_client = self.client(
                     ask(TXN + 8, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1")
                 )
-                link = self.taken_at(good)
-                link.sendall(WHOLE)
-                self.until(lambda: self.got(usual)[0].endswith(b"hi"))
-                near = self.client(
+                node_socket = self.taken_at(good)
+                node_socket.sendall(WHOLE)
+                self.until(lambda: self.got(normal_client)[0].endswith(b"hi"))
+                same_node_client = self.client(
                     ask(TXN + 7)
-                )  # at the bad node, on a connection of its own
-                its = self.taken()
+                )  # a normal client of the bad node, on a connection of its own
+                same_node_socket = self.taken()
                 before, bad, began = (
-                    self.counted("ended"),
-                    BadNode(self, data, then),
+                    self.counts("ended"),
+                    BadNode(self, data, next_action),
                     self.time,
                 )
-                one = self.client(ask())
-                got = bytearray()
+                client = self.client(ask())
+                received = bytearray()
 
                 def answered():
                     for _ in range(
-                        30 if then.startswith("pour") else 4
-                    ):  # a mebibyte of it takes some rounds of the sockets
-                        bad.act()
+                        30 if next_action.startswith("pour") else 4
+                    ):  # a mebibyte takes several reads and writes of the sockets
+                        bad.step()
                         self.turn(1)
-                    got.extend(self.got(one)[0])
-                    return b"HTTP/1.1 " in got
+                    received.extend(self.got(client)[0])
+                    return b"HTTP/1.1 " in received
 
                 self.until(
-                    lambda: bad.act() or bad.asked, "nothing came to the bad node"
+                    lambda: bad.step() or bad.request_count,
+                    "no request reached the bad node",
                 )
                 for number in range(3):
-                    self.served(usual, link, TXN + 100 + number)
-                    bad.act()
+                    self.served(normal_client, node_socket, TXN + 100 + number)
+                    bad.step()
                     self.turn(3)
-                self.assertEqual(self.got(near), (b"", "open"))
-                its.sendall(WHOLE)
+                self.assertEqual(self.got(same_node_client), (b"", "open"))
+                same_node_socket.sendall(WHOLE)
                 self.until(
-                    lambda: self.got(near)[0].endswith(b"hi"),
-                    "the neighbour at the same node is not served",
+                    lambda: self.got(same_node_client)[0].endswith(b"hi"),
+                    "the other client of the same node is not served",
                 )
-                bad.links[its] = 0  # idle now: a repeat may come on it
-                while not answered() and self.time < began + PATIENCE + 0.2:
+                bad.requests[same_node_socket] = 0  # idle now: a retry may arrive on it
+                while not answered() and self.time < began + CLIENT_TIMEOUT + 0.2:
                     self.pass_time(0.04)
-                self.assertLess(self.time, began + PATIENCE + 0.05)
+                self.assertLess(self.time, began + CLIENT_TIMEOUT + 0.05)
                 for _ in range(5):
                     answered()
                     self.turn(5)
-                self.assertEqual(got.count(b"HTTP/1.1 "), 1)
+                self.assertEqual(received.count(b"HTTP/1.1 "), 1)
                 self.assertRegex(
-                    bytes(got),
+                    bytes(received),
                     rb"\AHTTP/1\.1 "
                     + (rb"200 " if outcome == "satisfied" else rb"50[23] "),
                 )
-                ended = self.counted("ended")
-                ended["satisfied"] -= before["satisfied"] + 4
+                outcomes = self.counts("ended")
+                outcomes["satisfied"] -= before["satisfied"] + 4
                 self.assertEqual(
-                    {key: count > 0 for key, count in ended.items() if count},
+                    {key: count > 0 for key, count in outcomes.items() if count},
                     {outcome: True},
-                    "ended otherwise",
+                    "the attempts have another outcome",
                 )
-                spoilt = self.counted("spoilt")
+                malformed = self.counts("spoilt")
                 self.assertTrue(
-                    all(key.startswith(cause) for key in spoilt)
-                    and bool(spoilt) == (outcome == "error"),
-                    spoilt,
+                    all(key.startswith(cause) for key in malformed)
+                    and bool(malformed) == (outcome == "error"),
+                    malformed,
                 )
-                self.assertEqual(sum(spoilt.values()), ended.get("error", 0))
-                self.served(usual, link, TXN + 200)
-                if outcome == "satisfied":  # what lay behind is nobody's answer
-                    near.sendall(ask(TXN + 9))
-                    got.clear()
+                self.assertEqual(sum(malformed.values()), outcomes.get("error", 0))
+                self.served(normal_client, node_socket, TXN + 200)
+                if outcome == "satisfied":  # the extra octets answer no request
+                    same_node_client.sendall(ask(TXN + 9))
+                    received.clear()
                     self.until(
                         lambda: (
-                            bad.act()
-                            or got.extend(self.got(near)[0])
-                            or got.endswith(b"hi")
+                            bad.step()
+                            or received.extend(self.got(same_node_client)[0])
+                            or received.endswith(b"hi")
                         ),
-                        "another's answer",
+                        "the client got an answer to another request",
                     )
                     self.assertEqual(
-                        (got.count(b"HTTP/1.1 "), got.count(b"wrong")), (1, 0)
+                        (received.count(b"HTTP/1.1 "), received.count(b"wrong")), (1, 0)
                     )
                 bad.stop()
                 self.pass_time(1.0)
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -1,5 +1,7 @@
-"""Dispatches and their links on real sockets, in the instants in which something else ends: no wait decides, the test turns the
-reactor. Each node is a plain listening socket.
+"""Attempts and node connections in races with events that end them.
+
+Each node is a plain listening socket on loopback. The tests run the reactor turn by
+turn, so no result depends on a wait.
 """
 
 import socket
@@ -17,221 +19,219 @@
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
 
 
-class Links(unittest.TestCase):
-    """The links alone."""
+class NodeConnectionRaces(unittest.TestCase):
+    """The node connections without the rest of the gateway."""
 
     def setUp(self):
         self.loop = Loop()
         self.addCleanup(self.loop.close)
-        self.ended, self.notes = [], []
-        self.fleet = HttpNodePools(
+        self.outcomes, self.notes = [], []
+        self.pools = HttpNodePools(
             self.loop.reactor,
             self.loop.now,
             NodePoolsConfig(16, 100_000, 300_000),
             BufferBudget(64),
             lambda *values: self.notes.append(values),
         )
-        self.addCleanup(self.fleet.stop)
+        self.addCleanup(self.pools.stop)
 
     def node(self):
         sock = listening()
         self.addCleanup(sock.close)
         return sock, sock.getsockname()[1]
 
-    def silent(self, listener):
-        """Nothing was ever sent to a node.
-
-        Every connection that came ends without an octet.
-        """
+    def assert_no_request(self, listener):
+        """Assert that every connection to the node ends without an octet sent."""
         self.loop.turn(20)
         while (sock := accept(listener)) is not None:
             sock.setblocking(False)
-            self.assertIn(receive(sock), (None, b""), "a request went to it")
+            self.assertIn(receive(sock), (None, b""), "a request was sent to the node")
             sock.close()
 
-    def listed(self, port, **entry):
-        self.fleet.update(
+    def list_node(self, port, **entry):
+        self.pools.update(
             False, [parse_node(NODE | {"addr": f"127.0.0.1:{port}"} | entry, ["z"], 0)]
         )
 
-    def carry(self, body=b"", left=50_000):
-        number = len(self.ended)
-        self.ended.append(None)
+    def start_attempt(self, body=b"", remaining=50_000):
+        number = len(self.outcomes)
+        self.outcomes.append(None)
 
-        def ended(outcome, verdict):
-            self.assertIsNone(self.ended[number], "ended twice")
-            self.ended[number] = outcome if verdict is None else (outcome, verdict.body)
+        def on_end(outcome, verdict):
+            self.assertIsNone(self.outcomes[number], "the attempt ended twice")
+            self.outcomes[number] = (
+                outcome if verdict is None else (outcome, verdict.body)
+            )
 
-        return self.fleet.send_attempt(
+        return self.pools.send_attempt(
             ForwardedPayload(b"PUT", b"/put", [(b"X-Txn", b"%d" % number)], body),
             node_number("s-1"),
-            self.loop.now() + left,
-            ended,
+            self.loop.now() + remaining,
+            on_end,
         )
 
     def outcome(self, number=0):
-        return self.loop.until(lambda: self.ended[number], "no end")
+        return self.loop.until(lambda: self.outcomes[number], "the attempt did not end")
 
-    def served(self, listener, answer=WHOLE):
-        """A first dispatch that was answered; its connection stands idle."""
-        self.carry()
+    def serve(self, listener, answer=WHOLE):
+        """Run an attempt to its answer; return the node's socket, which is then idle."""
+        self.start_attempt()
         sock = self.loop.accepted(listener)
         self.addCleanup(sock.close)
         self.loop.read(sock)
         sock.sendall(answer)
         self.assertEqual(
-            self.outcome(len(self.ended) - 1), (AttemptOutcome.SUCCEEDED, b"hi")
+            self.outcome(len(self.outcomes) - 1), (AttemptOutcome.SUCCEEDED, b"hi")
         )
         return sock
 
-    def test_what_is_given_up_is_over_at_its_node_before_another_begins(self):
-        """In one turn a dispatch is given up and a further one is there, with a link that is free; also
-        where the look at those that wait was due before.
+    def test_a_withdrawn_attempt_ends_at_its_node_before_another_begins(self):
+        """One turn withdraws an attempt and starts another while a connection is idle.
+
+        In the second case the check of the waiting attempts is already scheduled.
         """
         for due in (False, True):
             with self.subTest(due=due):
                 listener, port = self.node()
-                self.listed(port)
-                idle = self.served(listener)
-                first = self.carry()
+                self.list_node(port)
+                idle = self.serve(listener)
+                first = self.start_attempt()
                 self.loop.read(idle)
-                second = self.carry()
-                out = self.loop.accepted(listener)
-                self.loop.read(out)  # two links, both busy; then the one is free
+                second = self.start_attempt()
+                second_socket = self.loop.accepted(listener)
+                # Both connections are busy; then one becomes idle.
+                self.loop.read(second_socket)
                 idle.sendall(WHOLE)
-                self.loop.until(lambda: self.fleet.pools[node_number("s-1")].idle)
+                self.loop.until(lambda: self.pools.pools[node_number("s-1")].idle)
                 if due:
-                    self.fleet.pools[node_number("s-1")].turn.schedule()
+                    self.pools.pools[node_number("s-1")].turn.schedule()
                 second.withdraw(AttemptOutcome.TIMED_OUT)
-                further = self.carry()
-                self.assertFalse(further.begun, "beside one that is out")
-                while not further.begun:
+                third = self.start_attempt()
+                self.assertFalse(third.begun, "begun before the reset was sent")
+                while not third.begun:
                     self.loop.turn()
                 with self.assertRaises(ConnectionResetError):
-                    out.recv(1)
+                    second_socket.recv(1)
                 self.assertTrue(first.over)
                 self.assertIn(b"X-Txn", self.loop.read(idle))
-                self.fleet.stop()
+                self.pools.stop()
                 idle.close()
 
-    def test_a_node_that_drains_before_its_link_is_up_gets_nothing(self):
+    def test_a_node_that_drains_before_its_connection_is_up_gets_no_request(self):
         for state in ("leaving", "left"):
             listener, port = self.node()
-            self.listed(port)
-            self.carry()  # the kernel has it up at once; the gateway has not looked yet
-            self.listed(port, state=state)
+            self.list_node(port)
+            # The kernel connects at once, but the reactor does not run until the update.
+            self.start_attempt()
+            self.list_node(port, state=state)
             self.assertIs(
-                self.ended[-1],
+                self.outcomes[-1],
                 AttemptOutcome.WITHDRAWN,
-                "told at once, to be placed elsewhere",
+                "the attempt did not end at once, to be placed elsewhere",
             )
-            self.silent(listener)
+            self.assert_no_request(listener)
 
-    def test_a_node_that_a_whole_list_leaves_out_gets_nothing(self):
+    def test_a_node_missing_from_a_full_list_gets_no_request(self):
         listener, port = self.node()
-        self.listed(port)
-        self.carry()
-        self.fleet.update(True, [])
-        self.assertIs(self.ended[0], AttemptOutcome.WITHDRAWN)
-        self.silent(listener)
-        self.assertIsNone(self.carry())
-
-    def test_a_node_that_moves_before_its_link_is_up_is_reached_where_it_is(self):
-        (old, before), (new, after) = self.node(), self.node()
-        self.listed(before)
-        self.carry()
-        self.listed(after)
+        self.list_node(port)
+        self.start_attempt()
+        self.pools.update(True, [])
+        self.assertIs(self.outcomes[0], AttemptOutcome.WITHDRAWN)
+        self.assert_no_request(listener)
+        self.assertIsNone(self.start_attempt())
+
+    def test_a_node_that_moves_before_its_connection_is_up_is_reached_there(self):
+        (old, old_port), (new, new_port) = self.node(), self.node()
+        self.list_node(old_port)
+        self.start_attempt()
+        self.list_node(new_port)
         sock = self.loop.accepted(new)
         self.assertIn(b"X-Txn: 0", self.loop.read(sock))
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
-        self.silent(old)
-
-    def test_a_dial_that_fails_where_the_node_was_ends_nothing(self):
-        gone, before = self.node()
-        gone.close()  # refused
-        listener, after = self.node()
-        self.listed(before)
-        self.carry()
-        self.listed(after)
+        self.assert_no_request(old)
+
+    def test_a_failed_connect_to_a_nodes_old_address_ends_no_attempt(self):
+        closed, old_port = self.node()
+        closed.close()  # connections are refused
+        listener, new_port = self.node()
+        self.list_node(old_port)
+        self.start_attempt()
+        self.list_node(new_port)
         self.assertIn(b"X-Txn: 0", self.loop.read(self.loop.accepted(listener)))
 
-    def test_a_link_that_was_busy_while_its_node_moved_is_not_used_again(self):
-        (old, before), (new, after) = self.node(), self.node()
-        self.listed(before)
-        self.carry()
+    def test_a_connection_to_a_nodes_old_address_is_not_used_again(self):
+        (old, old_port), (new, new_port) = self.node(), self.node()
+        self.list_node(old_port)
+        self.start_attempt()
         sock = self.loop.accepted(old)
         self.loop.read(sock)
-        self.listed(after)
+        self.list_node(new_port)
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
-        self.carry()
+        self.start_attempt()
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(new)))
         self.assertIn(receive(sock), (None, b""))
 
-    def test_an_idle_link_that_the_node_closes_under_a_dispatch_does_not_bring_it_to_a_node_that_drains(
+    def test_an_attempt_on_a_closed_idle_connection_does_not_retry_a_draining_node(
         self,
     ):
         listener, port = self.node()
-        self.listed(port)
-        sock = self.served(listener)
-        sock.close()  # the FIN lies in our socket, unread
-        self.carry()
-        self.loop.turn()  # read and write come in one round: the close is read first
-        self.listed(port, state="leaving")
+        self.list_node(port)
+        sock = self.serve(listener)
+        sock.close()  # the FIN is in the gateway's socket, unread
+        self.start_attempt()
+        self.loop.turn()  # one turn reads and writes: the close is read first
+        self.list_node(port, state="leaving")
         self.loop.turn(5)
-        self.assertIsNotNone(self.ended[1])
-        self.silent(listener)
+        self.assertIsNotNone(self.outcomes[1])
+        self.assert_no_request(listener)
 
-    def test_an_idle_link_that_the_node_closes_costs_another_link_and_nothing_else(
-        self,
-    ):
+    def test_an_attempt_on_a_closed_idle_connection_uses_a_new_connection(self):
         listener, port = self.node()
-        self.listed(port)
-        self.served(listener).close()
-        self.carry()
+        self.list_node(port)
+        self.serve(listener).close()
+        self.start_attempt()
         sock = self.loop.accepted(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(sock))
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(1), (AttemptOutcome.SUCCEEDED, b"hi"))
 
-    def test_one_whose_time_is_over_before_its_link_is_up_does_not_begin(self):
+    def test_an_attempt_past_its_deadline_does_not_begin_when_connected(self):
         listener, port = self.node()
-        self.listed(port)
-        self.carry(left=0)
+        self.list_node(port)
+        self.start_attempt(remaining=0)
         self.assertIs(self.outcome(), AttemptOutcome.UNREACHABLE)
-        self.silent(listener)
+        self.assert_no_request(listener)
 
-    def test_one_that_was_withdrawn_before_its_link_is_up_does_not_begin_and_the_next_takes_the_link(
-        self,
-    ):
+    def test_the_next_attempt_takes_the_connection_of_a_withdrawn_one(self):
         listener, port = self.node()
-        self.listed(port)
-        first = self.carry()
+        self.list_node(port)
+        first = self.start_attempt()
         self.assertFalse(first.begun)
         first.withdraw(AttemptOutcome.WITHDRAWN)
-        self.carry()
+        self.start_attempt()
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
 
     def test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset(self):
-        for end, wanted in (
+        for end, expected in (
             (socket.socket.close, (AttemptOutcome.SUCCEEDED, b"all of it")),
             (reset, AttemptOutcome.RESET),
         ):
             listener, port = self.node()
-            self.listed(port)
-            self.carry()
+            self.list_node(port)
+            self.start_attempt()
             sock = self.loop.accepted(listener)
             self.loop.read(sock)
             for octet in HEAD + b"Connection: close\r\n\r\nall of it":
                 sock.sendall(bytes([octet]))
                 self.loop.turn()
-            self.assertIsNone(self.ended[-1], "no end was told yet")
+            self.assertIsNone(self.outcomes[-1], "the attempt ended before the close")
             end(sock)
-            self.assertEqual(self.outcome(len(self.ended) - 1), wanted)
+            self.assertEqual(self.outcome(len(self.outcomes) - 1), expected)
 
-    def test_half_an_answer_is_none_whichever_way_it_ends(self):
-        for half in (
+    def test_a_truncated_answer_is_a_reset_after_a_close_and_a_reset(self):
+        for part in (
             b"HTT",
             HEAD,
             HEAD + b"Content-Length: 5\r\n\r\nab",
@@ -239,19 +239,21 @@
         ):
             for end in (socket.socket.close, reset):
                 listener, port = self.node()
-                self.listed(port)
-                self.carry()
+                self.list_node(port)
+                self.start_attempt()
                 sock = self.loop.accepted(listener)
                 self.loop.read(sock)
-                sock.sendall(half)
+                sock.sendall(part)
                 self.loop.turn(3)
                 end(sock)
-                self.assertIs(self.outcome(len(self.ended) - 1), AttemptOutcome.RESET)
+                self.assertIs(
+                    self.outcome(len(self.outcomes) - 1), AttemptOutcome.RESET
+                )
 
-    def test_an_answer_that_never_ends_is_cut_at_the_bound(self):
+    def test_an_endless_answer_is_cut_at_the_limit(self):
         listener, port = self.node()
-        self.listed(port)
-        self.carry()
+        self.list_node(port)
+        self.start_attempt()
         sock = self.loop.accepted(listener)
         self.loop.read(sock)
         sock.sendall(HEAD + b"\r\n")
@@ -261,15 +263,15 @@
                 sock.send(b"x" * 65_536)
             except (BlockingIOError, ConnectionError):
                 pass
-            return self.ended[0]
+            return self.outcomes[0]
 
         self.assertIs(self.loop.until(pour), AttemptOutcome.ERROR)
-        self.assertEqual((self.fleet.buffers.held, self.fleet.open_connections), (0, 0))
+        self.assertEqual((self.pools.buffers.held, self.pools.open_connections), (0, 0))
 
-    def test_interim_answers_octet_by_octet_and_octets_right_behind(self):
+    def test_interim_answers_octet_by_octet_and_extra_octets(self):
         listener, port = self.node()
-        self.listed(port)
-        self.carry()
+        self.list_node(port)
+        self.start_attempt()
         sock = self.loop.accepted(listener)
         self.loop.read(sock)
         for octet in b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE[:-1]:
@@ -277,28 +279,28 @@
             self.loop.turn()
         sock.sendall(WHOLE[-1:] + b"HTTP/1.1 500 No\r\n")
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
-        self.carry()  # never on the link that brought more
+        self.start_attempt()  # not on the connection with the extra octets
         self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
 
-    def test_a_second_answer_that_lies_in_an_idle_link_is_not_the_next_ones(self):
+    def test_a_second_answer_on_an_idle_connection_answers_no_later_request(self):
         listener, port = self.node()
-        self.listed(port)
-        sock = self.served(listener)
+        self.list_node(port)
+        sock = self.serve(listener)
         sock.sendall(
             HEAD + b"Content-Length: 5\r\n\r\nwrong"
-        )  # unread when the next dispatch takes the link
-        self.carry()
+        )  # unread when the next attempt takes the connection
+        self.start_attempt()
         other = self.loop.accepted(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(other))
-        self.assertIn(receive(sock), (None, b""), "nothing went out on the first")
+        self.assertIn(receive(sock), (None, b""), "a request used the first connection")
         other.sendall(WHOLE)
         self.assertEqual(self.outcome(1), (AttemptOutcome.SUCCEEDED, b"hi"))
 
-    def test_an_answer_before_our_last_octet_is_written_retires_the_link(self):
+    def test_an_answer_before_the_request_is_written_closes_the_connection(self):
         listener, port = self.node()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        self.listed(port)
-        self.carry(body=b"x" * (8 << 20))  # more than both kernels hold
+        self.list_node(port)
+        self.start_attempt(body=b"x" * (8 << 20))  # more than both sockets buffer
         sock = self.loop.accepted(listener)
         self.loop.read(sock)
         sock.sendall(
@@ -306,46 +308,44 @@
             + b"X-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
         )
         self.assertEqual(self.outcome(), (AttemptOutcome.REJECTED, b""))
-        self.loop.until(lambda: self.fleet.open_connections == 0)
+        self.loop.until(lambda: self.pools.open_connections == 0)
 
 
-class Replaced(Loopback):
-    """A whole gateway whose node goes while something is owed there."""
+class ReplacedNode(Loopback):
+    """A gateway whose node is removed while an attempt to it is open."""
 
-    def goes(self, *others):
-        here = [NODE | {"state": "left"}, *others]
+    def remove_node(self, *others):
+        nodes = [NODE | {"state": "left"}, *others]
         self.gateway.on_endpoints(
-            EndpointUpdateKind.DELTA, [parse_node(each, ["z"], 0) for each in here]
+            EndpointUpdateKind.DELTA, [parse_node(each, ["z"], 0) for each in nodes]
         )
 
-    def test_a_dispatch_that_waits_at_a_node_that_is_replaced_goes_to_its_successor(
-        self,
-    ):
+    def test_an_attempt_that_waits_for_a_replaced_node_goes_to_its_successor(self):
         successor = socket.create_server(("127.0.0.1", 0))
         self.sockets.append(successor)
         client = self.client(ask())
         self.until(lambda: self.gateway.report.counts["dial", ""])
-        self.goes(
+        self.remove_node(
             NODE | {"id": "s-2", "addr": "127.0.0.1:%d" % successor.getsockname()[1]}
         )
         first, self.node = self.node, successor
-        link = self.taken()
+        node_socket = self.taken()
         first.setblocking(False)
         if (sock := accept(first)) is not None:
             sock.setblocking(False)
-            self.assertIn(receive(sock), (None, b""), "a request went to what is gone")
+            self.assertIn(receive(sock), (None, b""), "the old node got a request")
             sock.close()
-        link.sendall(WHOLE)
+        node_socket.sendall(WHOLE)
         self.until(
             lambda: self.unread_by(client).endswith(b"hi"), "the client has no answer"
         )
 
-    def test_a_node_that_goes_while_it_works_is_heard_out(self):
+    def test_the_answer_of_a_removed_node_is_still_awaited(self):
         client = self.client(ask())
-        link = self.taken()
-        self.goes()
-        self.pass_time(0.3)  # looks at what is over and forgets it
-        link.sendall(WHOLE)
+        node_socket = self.taken()
+        self.remove_node()
+        self.pass_time(0.3)  # the periodic check removes ended nodes
+        node_socket.sendall(WHOLE)
         self.until(
             lambda: self.unread_by(client).endswith(b"hi"), "the client has no answer"
         )
@@ -360,10 +360,10 @@
             return b""
 
 
-class Leaving(Loopback):
-    """A whole gateway whose client leaves while its dispatch waits for a link.
+class LeavingClient(Loopback):
+    """A gateway whose client leaves while its attempt waits for a connection.
 
-    Settings allow no cancel.
+    The settings do not allow attempts to be cancelled.
     """
 
     changed = {
@@ -374,36 +374,34 @@
         }
     }
 
-    def dialled(self):
+    def connect_count(self):
         return self.gateway.report.counts["dial", ""]
 
-    def untouched(self):
-        """No octet of a request came to the node, on whatever connection."""
+    def assert_no_request(self):
+        """Assert that no connection brought the node an octet of a request."""
         self.turn(20)
         self.node.setblocking(False)
         while (sock := accept(self.node)) is not None:
             sock.setblocking(False)
-            self.assertIn(receive(sock), (None, b""), "a request went to it")
+            self.assertIn(receive(sock), (None, b""), "a request was sent to the node")
             sock.close()
 
-    def test_a_client_that_leaves_in_the_round_in_which_the_link_comes_up_is_not_served(
-        self,
-    ):
+    def test_a_client_that_leaves_in_the_turn_that_connects_is_not_served(self):
         for number, leave in enumerate((socket.socket.close, reset)):
             client = self.client(ask(TXN + number))
-            before = self.dialled()
+            before = self.connect_count()
             self.until(
-                lambda: self.dialled() > before
-            )  # the next turn finds the link up and the client gone
+                lambda: self.connect_count() > before
+            )  # the next turn reads both the connection and the client's close
             leave(client)
-            self.untouched()
+            self.assert_no_request()
             self.assertEqual(self.gateway.host.unanswered, 0)
 
-    def test_what_has_not_begun_when_its_client_leaves_does_not_begin(self):
+    def test_an_attempt_that_waits_when_its_client_leaves_does_not_begin(self):
         self.client(ask())
-        self.until(self.dialled)
+        self.until(self.connect_count)
         self.gateway.host.cancel_request(next(iter(self.gateway.host.active)))
-        self.untouched()
+        self.assert_no_request()
         self.assertEqual(
             (self.gateway.report.counts["ended", "moot"], self.gateway.host.active),
             (1, {}),
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -1,7 +1,6 @@
-"""Requests that lie behind an open one on their connection.
+"""Pipelined requests: requests that arrive while one is open on their connection.
 
-Long ones, many, some that cannot be read, and clients that go while they lie there; on
-loopback sockets.
+Some are long, many or malformed, and some clients leave meanwhile; on loopback sockets.
 """
 
 import socket
@@ -10,11 +9,11 @@
 
 from milletsill.http_gateway.client_connection_state import MAX_PIPELINED
 from milletsill.http_gateway.process_state import shutdown_schedule
-from tests.http_gateway.test_races_leaving_clients import leaves
-from tests.http_gateway.test_races_shutdown import patient
+from tests.http_gateway.test_races_leaving_clients import leave
+from tests.http_gateway.test_races_shutdown import settings_with_client_timeout
 from tests.support.http_gateway_rig import TXN, Loopback, ask
 
-BODY = bytes(range(256)) * 256  # the longest that the page allows: 64 KiB
+BODY = bytes(range(256)) * 256  # the platform's stated limit: 64 KiB
 KEYED = {"method": "PUT", "name": "put", "Idempotency_Key": "k"}
 
 
@@ -23,7 +22,7 @@
 
 
 def chunked(txn, body, size):
-    """A PUT whose body comes in chunks."""
+    """Return a PUT request with a chunked body."""
     pieces = [body[at : at + size] for at in range(0, len(body), size)]
     return (
         ask(txn, Transfer_Encoding="chunked", **KEYED)
@@ -32,52 +31,52 @@
     )
 
 
-class Ahead(Loopback):
-    def sent_on(self):
+class PipelinedRequests(Loopback):
+    def forwarded(self):
         return sum(
             count
             for (what, _), count in self.gateway.report.counts.items()
             if what == "dispatch"
         )
 
-    def counted(self, what):
+    def counts(self, what):
         return {
             value: count
             for (each, value), count in self.gateway.report.counts.items()
             if each == what
         }
 
-    def pour(self, one, data, size=65_536):
-        """All of it, in pieces; the gateway reads what the system takes."""
+    def send_all(self, client, data, size=65_536):
+        """Send all data in pieces; the gateway reads between them."""
         while data:
             try:
-                data = data[one.send(data[:size]) :]
+                data = data[client.send(data[:size]) :]
             except BlockingIOError:
                 pass
             self.turn(1)
         self.turn(5)
 
-    def reads(self, link, enough):
-        """What has come to the node, once it is enough."""
+    def node_received(self, node_socket, enough):
+        """Return what the node has received, once `enough` accepts it."""
         data = bytearray()
         self.until(
-            lambda: data.extend(self.got(link)[0]) or enough(data),
-            "it did not come to the node",
+            lambda: data.extend(self.got(node_socket)[0]) or enough(data),
+            "the request did not reach the node",
         )
         return bytes(data)
 
-    def whole(self, one, count):
-        """What has come to the client, once it has so many answers."""
+    def received(self, client, count):
+        """Return what the client has received, once it has `count` answers."""
         data = bytearray()
         self.until(
-            lambda: data.extend(self.got(one)[0]) or data.count(b"HTTP/1.1 ") >= count,
-            "not answered",
+            lambda: (
+                data.extend(self.got(client)[0]) or data.count(b"HTTP/1.1 ") >= count
+            ),
+            "the client lacks answers",
         )
         return bytes(data)
 
-    def test_the_longest_request_right_behind_an_open_one_costs_neither_its_answer(
-        self,
-    ):
+    def test_the_longest_request_pipelined_after_an_open_one_is_answered(self):
         for name, second, size in (
             ("at once", ask(TXN + 1, body=BODY, **KEYED), 1 << 20),
             ("in pieces", ask(TXN + 1, body=BODY, **KEYED), 3001),
@@ -87,86 +86,88 @@
             for together in (True, False):
                 with self.subTest(name, together=together):
                     self.again()
-                    one = self.client(*([] if together else [ask()]))
-                    link = None if together else self.taken()
-                    self.pour(one, (ask() if together else b"") + second, size)
-                    link = link or self.taken()
+                    client = self.client(*([] if together else [ask()]))
+                    node_socket = None if together else self.taken()
+                    self.send_all(client, (ask() if together else b"") + second, size)
+                    node_socket = node_socket or self.taken()
                     self.assertEqual(
-                        (self.gateway.host.unanswered, self.sent_on(), self.got(one)),
+                        (
+                            self.gateway.host.unanswered,
+                            self.forwarded(),
+                            self.got(client),
+                        ),
                         (1, 1, (b"", "open")),
                     )
                     self.assertLessEqual(self.gateway.buffers.held, 1 << 17)
-                    link.sendall(answer(1))
-                    text = self.reads(link, lambda data: data.endswith(BODY))
+                    node_socket.sendall(answer(1))
+                    text = self.node_received(
+                        node_socket, lambda data: data.endswith(BODY)
+                    )
                     self.assertEqual(
                         (text.count(b"X-Txn"), b"X-Txn: %016x" % (TXN + 1) in text),
                         (1, True),
                     )
-                    link.sendall(answer(2))
-                    data = self.whole(one, 2)
+                    node_socket.sendall(answer(2))
+                    data = self.received(client, 2)
                     self.assertEqual(
                         (data.count(b" 200 "), data.index(b"001") < data.index(b"002")),
                         (2, True),
                     )
                     self.assertEqual(
-                        (self.gateway.buffers.held, self.counted("refused")), (0, {})
+                        (self.gateway.buffers.held, self.counts("refused")), (0, {})
                     )
 
-    def test_more_than_one_request_and_a_little_behind_an_open_one_is_one_error(self):
-        one = self.client(ask())
-        link = self.taken()
-        self.pour(
-            one,
+    def test_more_than_one_long_pipelined_request_is_one_error(self):
+        client = self.client(ask())
+        node_socket = self.taken()
+        self.send_all(
+            client,
             ask(TXN + 1, body=BODY, **KEYED)
             + ask(TXN + 2, body=BODY[:MAX_PIPELINED], **KEYED),
         )
-        data, how = self.all_of(one)
+        data, how = self.all_of(client)
         self.assertEqual(
             (data.count(b"HTTP/1.1 "), data[:12], how), (1, b"HTTP/1.1 400", "ended")
         )
-        self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
+        self.until(lambda: self.got(node_socket)[1] == "reset", "no reset at the node")
         self.assertEqual(
-            (self.counted("refused"), self.sent_on()),
+            (self.counts("refused"), self.forwarded()),
             ({"too much ahead of an answer": 1}, 1),
         )
         self.assertEqual((self.gateway.buffers.held, self.gateway.host.active), (0, {}))
 
-    def test_where_the_memory_is_full_a_long_one_behind_an_open_one_is_refused_and_short_ones_are_not(
-        self,
-    ):
+    def test_with_full_buffers_only_a_long_pipelined_request_is_refused(self):
         self.gateway.buffers.held = self.gateway.buffers.limit
-        one, other = self.client(ask()), self.client(ask(TXN + 1))
+        client, other_client = self.client(ask()), self.client(ask(TXN + 1))
         self.turn(10)
-        self.pour(one, ask(TXN + 2, body=BODY, **KEYED))
-        self.pour(other, ask(TXN + 3))
-        self.assertEqual(self.all_of(one)[0][:12], b"HTTP/1.1 503")
+        self.send_all(client, ask(TXN + 2, body=BODY, **KEYED))
+        self.send_all(other_client, ask(TXN + 3))
+        self.assertEqual(self.all_of(client)[0][:12], b"HTTP/1.1 503")
         self.assertEqual(
-            (self.got(other), self.gateway.host.unanswered), ((b"", "open"), 1)
+            (self.got(other_client), self.gateway.host.unanswered), ((b"", "open"), 1)
         )
         self.assertEqual(self.gateway.buffers.held, self.gateway.buffers.limit)
 
-    def test_what_cannot_be_read_behind_a_request_is_refused_at_once_and_reaches_nobody(
-        self,
-    ):
-        """The clock stands: nobody waits for the open one's end.
+    def test_malformed_data_right_after_a_request_is_refused_at_once(self):
+        """The clock does not advance, so the error does not wait for the open request.
 
-        Here in time, the first is not sent on either: what lies behind it may be the
-        rest of a body that was told too short.
+        The first request is not forwarded either, since the data that follows may be
+        the rest of a body with too small a length.
         """
-        short = (
+        short_length = (
             ask(Content_Length="4", **KEYED)
             + b"body and\r\nmuch more than that\r\n\r\n"
         )
         for name, data, status in (
             ("noise", ask() + b"\x00\xff\n\n", b"400"),
-            ("a body told too short", short, b"400"),
+            ("too small a length", short_length, b"400"),
             (
-                "one told too short without a line",
+                "too small a length without a line",
                 ask(Content_Length="4", **KEYED) + BODY[128:200],
                 b"400",
             ),
             (
-                "a length told twice",
+                "a length and chunks",
                 ask() + ask(Content_Length="4", Transfer_Encoding="chunked", **KEYED),
                 b"400",
             ),
@@ -181,95 +182,99 @@
                 b"431",
             ),
             (
-                "chunks that are none",
+                "malformed chunks",
                 ask() + ask(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
                 b"400",
             ),
         ):
             with self.subTest(name):
                 self.again()
-                other = self.client(ask(TXN + 7))
-                near = self.taken()
-                one = self.client(data)
-                got, how = self.all_of(one)
+                other_client = self.client(ask(TXN + 7))
+                other_node_socket = self.taken()
+                client = self.client(data)
+                received, how = self.all_of(client)
                 self.assertEqual(
-                    (got.count(b"HTTP/1.1 "), got[9:12], how), (1, status, "ended")
+                    (received.count(b"HTTP/1.1 "), received[9:12], how),
+                    (1, status, "ended"),
                 )
                 self.assertEqual(
-                    (self.sent_on(), sum(self.counted("refused").values())), (1, 1)
+                    (self.forwarded(), sum(self.counts("refused").values())),
+                    (1, 1),
                 )
-                near.sendall(answer(7))
-                self.assertIn(b" 200 ", self.whole(other, 1))
+                other_node_socket.sendall(answer(7))
+                self.assertIn(b" 200 ", self.received(other_client, 1))
 
-    def test_what_cannot_be_read_and_comes_while_one_is_open_ends_both_at_once(self):
-        for bad in (
+    def test_malformed_data_during_an_open_request_ends_it_at_once(self):
+        for malformed in (
             b"\x00\xff\n\n",
             b"more than was told\n",
             ask(TXN + 1, Content_Length="62914560", **KEYED),
         ):
-            with self.subTest(bad[:20]):
+            with self.subTest(malformed[:20]):
                 self.again()
-                one = self.client(ask())
-                link = self.taken()
-                for at in range(len(bad)):
-                    one.send(bad[at : at + 1])
+                client = self.client(ask())
+                node_socket = self.taken()
+                for at in range(len(malformed)):
+                    client.send(malformed[at : at + 1])
                     self.turn(1)
-                got, how = self.all_of(one)
-                self.assertEqual((got.count(b"HTTP/1.1 4"), how), (1, "ended"))
-                self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
+                received, how = self.all_of(client)
+                self.assertEqual((received.count(b"HTTP/1.1 4"), how), (1, "ended"))
+                self.until(
+                    lambda: self.got(node_socket)[1] == "reset", "no reset at the node"
+                )
                 self.assertEqual(
-                    (self.counted("answer"), self.gateway.host.active),
+                    (self.counts("answer"), self.gateway.host.active),
                     ({"abandoned": 1}, {}),
                 )
 
-    def test_what_lies_behind_an_open_one_at_the_shut_is_refused_in_its_turn(self):
-        """The open one waits beyond the earliest kill.
+    def test_pipelined_requests_are_refused_in_order_at_the_shutdown(self):
+        """The open request's deadline is after the earliest kill.
 
-        Whole ones behind it; half a one was never taken.
+        Complete pipelined requests get an answer; half a request gets none.
         """
-        for behind, answers in (
-            (self.many(0), 1),
+        for pipelined_data, answers in (
+            (self.pipelined(0), 1),
             (ask(TXN + 1), 2),
             (ask(TXN + 1) + ask(TXN + 2), 3),
             (ask(TXN + 1)[:60], 1),
         ):
-            with self.subTest(behind[:60], answers=answers):
-                self.changed = {"settings": patient(8.0)}
+            with self.subTest(pipelined_data[:60], answers=answers):
+                self.changed = {"settings": settings_with_client_timeout(8.0)}
                 self.again()
-                one = self.client(ask(X_Remaining_Ms="8000"))
-                link = self.taken()
-                one.sendall(behind)
+                client = self.client(ask(X_Remaining_Ms="8000"))
+                node_socket = self.taken()
+                client.sendall(pipelined_data)
                 self.turn(5)
                 self.terminate()
                 self.to(shutdown_schedule(80_000)[1][0] / 10_000 + 0.01)
                 self.assertEqual(self.gateway.state.name, "DRAINING")
-                data, how = self.all_of(one)
+                data, how = self.all_of(client)
                 self.assertEqual(
                     [each[:3] for each in data.split(b"HTTP/1.1 ")[1:]],
                     [b"502"] + [b"503"] * (answers - 1),
                 )
                 self.assertEqual(
-                    (how, data.count(b"Connection: close"), self.sent_on()),
+                    (how, data.count(b"Connection: close"), self.forwarded()),
                     ("ended", 1, 1),
                 )
-                self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
+                self.until(
+                    lambda: self.got(node_socket)[1] == "reset", "no reset at the node"
+                )
 
-    def test_what_lies_behind_an_answer_that_is_being_taken_at_the_end_is_refused_behind_it(
-        self,
-    ):
-        one = self.client(ask(), window=4096)
+    def test_a_request_pipelined_after_a_blocked_answer_is_refused_at_the_end(self):
+        client = self.client(ask(), window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.taken().sendall(
             b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"x" * 400_000
         )
-        self.until(lambda: protocol.blocked, "all was taken")
-        one.sendall(ask(TXN + 1))
+        self.until(lambda: protocol.blocked, "the whole answer was written")
+        client.sendall(ask(TXN + 1))
         self.turn(5)
         self.assertTrue(protocol.next_request)
         self.terminate()
         self.to(shutdown_schedule(10_000)[1][0] / 10_000 + 0.01)
-        data, how = self.all_of(one)  # the clock stands
+        data, how = self.all_of(client)  # the clock does not advance
         self.assertEqual(
             (
                 data.count(b"x"),
@@ -279,9 +284,9 @@
             ),
             (400_000, 1, 1, "ended"),
         )
-        self.assertEqual(self.sent_on(), 1)
+        self.assertEqual(self.forwarded(), 1)
 
-    def many(self, count):
+    def pipelined(self, count):
         return b"".join(
             ask(TXN + number, body=BODY[: 700 * (number % 3)], **KEYED)
             if number % 2
@@ -289,135 +294,128 @@
             for number in range(count)
         )
 
-    def served(self, link, number):
-        """The one request that is at the node now is answered.
-
-        The next one comes behind it alone.
-        """
-        link.sendall(answer(number))
+    def answer_at_node(self, node_socket, number):
+        """Answer the only request at the node; the next one follows it alone."""
+        node_socket.sendall(answer(number))
         self.turn(10)
 
-    def test_many_at_once_are_answered_in_order_one_at_a_time(self):
-        one = self.client(self.many(20))
-        link, data = self.taken(), bytearray()
+    def test_many_pipelined_requests_are_answered_in_order_one_at_a_time(self):
+        client = self.client(self.pipelined(20))
+        node_socket, data = self.taken(), bytearray()
         for number in range(20):
             self.assertEqual(self.gateway.host.unanswered, 1)
-            self.served(link, number)
+            self.answer_at_node(node_socket, number)
             if number < 19:
                 self.assertIn(
                     b"X-Txn: %016x" % (TXN + number + 1),
-                    self.reads(link, lambda data: b"\r\n\r\n" in data),
+                    self.node_received(node_socket, lambda data: b"\r\n\r\n" in data),
                 )
-            data += self.whole(one, 1)
+            data += self.received(client, 1)
         self.assertEqual(
             [data.count(b"\r\n\r\n%03d" % number) for number in range(20)], [1] * 20
         )
         self.assertEqual(data.count(b"HTTP/1.1 200"), 20)
 
-    def test_who_sends_many_at_once_and_goes_at_any_step_has_nothing_more_begun(self):
-        """After each number of answers, with the next one at its node.
+    def test_a_client_that_leaves_with_many_requests_has_no_further_one_begun(self):
+        """The client leaves after some answers, while the next request is at its node.
 
-        And before anything was read.
+        In the first case it leaves before anything is read.
         """
         for how in ("close", "half", "reset"):
             for step in (None, 0, 1, 3, 5):
                 with self.subTest(how=how, step=step):
                     self.again()
-                    one = self.client()
-                    one.sendall(self.many(6))
+                    client = self.client()
+                    client.sendall(self.pipelined(6))
                     if step is not None:
-                        link = self.taken()
+                        node_socket = self.taken()
                         for number in range(step):
-                            self.served(link, number)
-                            self.reads(link, lambda data: b"X-Txn" in data)
-                        got = self.whole(one, step) if step else b""
+                            self.answer_at_node(node_socket, number)
+                            self.node_received(
+                                node_socket, lambda data: b"X-Txn" in data
+                            )
+                        answers = self.received(client, step) if step else b""
                         self.assertEqual(
                             [
-                                got.count(b"\r\n\r\n%03d" % number)
+                                answers.count(b"\r\n\r\n%03d" % number)
                                 for number in range(6)
                             ],
                             [1] * step + [0] * (6 - step),
                         )
-                    leaves(one, how)
+                    leave(client, how)
                     self.turn(10)
-                    begun = 0 if step is None else step + 1
+                    expected = 0 if step is None else step + 1
                     self.assertEqual(
                         (
-                            self.sent_on(),
+                            self.forwarded(),
                             self.gateway.host.active,
                             self.gateway.host.unanswered,
                         ),
-                        (begun, {}, 0),
+                        (expected, {}, 0),
                     )
                     self.pass_time(0.3)
                     self.assertEqual(
                         (
-                            self.sent_on(),
+                            self.forwarded(),
                             len(self.gateway.listener.connections),
                             self.gateway.buffers.held,
                         ),
-                        (begun, 0, 0),
+                        (expected, 0, 0),
                     )
 
-    def test_who_left_before_it_was_read_has_nothing_begun_however_much_lies_before_its_end(
-        self,
-    ):
-        """The process stood still for half a second.
+    def test_a_client_that_left_before_the_read_has_no_request_begun(self):
+        """The process stalls for half a second.
 
-        The end is some reads of the socket further on.
+        The client's close follows some further reads of the socket.
         """
         for how in ("close", "half", "reset"):
             for count in (1, 2, 4):
                 with self.subTest(how=how, count=count):
                     self.again()
-                    one = self.client()
-                    one.sendall(
+                    client = self.client()
+                    client.sendall(
                         ask()
                         + b"".join(
                             ask(TXN + 1 + number, body=BODY, **KEYED)
                             for number in range(count)
                         )
                     )
-                    leaves(one, how)
+                    leave(client, how)
                     self.time += 0.5
                     self.turn(20)
                     self.pass_time(0.3)
                     self.assertEqual(
                         (
-                            self.sent_on(),
+                            self.forwarded(),
                             self.gateway.host.active,
                             self.gateway.buffers.held,
                         ),
                         (0, {}, 0),
                     )
 
-    def test_who_left_before_it_was_read_behind_much_of_a_very_long_one_has_nothing_begun(
-        self,
-    ):
+    def test_a_client_that_left_after_part_of_a_long_body_has_no_request_begun(self):
         self.gateway.port.socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20
-        )  # all of it is here, its end too
-        one = self.client()
-        one.sendall(
+        )  # it fits all data, so the close has arrived too
+        sock = self.client()
+        sock.sendall(
             ask() + ask(TXN + 1, Content_Length=str(1 << 20), **KEYED) + b"x" * 150_000
         )
-        one.shutdown(socket.SHUT_WR)
-        fin_wait_2 = 5
+        sock.shutdown(socket.SHUT_WR)
+        fin_wait2 = 5
         for _ in range(2000):
-            if one.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == fin_wait_2:
+            if sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == fin_wait2:
                 break
             time.sleep(0.001)
         self.time += 0.5
         self.turn(20)
         self.pass_time(0.3)
         self.assertEqual(
-            (self.sent_on(), self.gateway.host.active, self.gateway.buffers.held),
+            (self.forwarded(), self.gateway.host.active, self.gateway.buffers.held),
             (0, {}, 0),
         )
 
-    def test_who_goes_with_a_long_one_half_sent_behind_an_open_one_has_nothing_more_begun(
-        self,
-    ):
+    def test_a_client_that_leaves_within_a_pipelined_request_has_no_further_begun(self):
         for how in ("close", "half", "reset"):
             for octets in (
                 1,
@@ -428,17 +426,18 @@
             ):
                 with self.subTest(how=how, octets=octets):
                     self.again()
-                    one = self.client(ask())
-                    link = self.taken()
-                    self.pour(one, ask(TXN + 1, body=BODY, **KEYED)[:octets])
-                    leaves(one, how)
+                    client = self.client(ask())
+                    node_socket = self.taken()
+                    self.send_all(client, ask(TXN + 1, body=BODY, **KEYED)[:octets])
+                    leave(client, how)
                     self.until(
-                        lambda: self.got(link)[1] == "reset", "the node is not told"
+                        lambda: self.got(node_socket)[1] == "reset",
+                        "no reset at the node",
                     )
                     self.pass_time(0.3)
                     self.assertEqual(
                         (
-                            self.sent_on(),
+                            self.forwarded(),
                             self.gateway.host.active,
                             self.gateway.buffers.held,
                         ),
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -1,7 +1,4 @@
-"""A second call beside one that discovery does not answer, over real sockets.
-
-What crosses between the two.
-"""
+"""Races between a discovery call and a parallel call, over loopback sockets."""
 
 import socket
 import unittest
@@ -21,92 +18,88 @@
 from tests.support.discovery_connections import HEAD, LOOK, Held, said
 from tests.support.http_gateway_rig import SETTINGS, Loopback, reset
 
-GRACE = 8_000  # to stop sending, where lists are pushed
+DRAIN_GRACE = 8_000  # tenths of a millisecond, where lists are pushed
 
 
-class Beside(Held):
-    def test_where_lists_are_pushed_a_list_that_stops_in_mid_line_has_another_call_beside_it_in_time(
-        self,
-    ):
-        for wins in ("second", "first"):
+class ParallelCall(Held):
+    def test_pushed_lists_a_list_that_stops_in_mid_line_gets_a_parallel_call(self):
+        for answered in ("second", "first"):
             self.again()
-            self.follower.config = replace(self.follower.config, drain_grace=GRACE)
+            self.follower.config = replace(
+                self.follower.config, drain_grace=DRAIN_GRACE
+            )
             self.follower.request_watch()
             first, _ = self.taken()
             first.sendall(HEAD + said(8, True)[:40])
             self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
-            self.go(GRACE * PARALLEL_CALL_PUSHED[1])
+            self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
             second = self.second()
-            end, other, rest = (
+            answered_socket, other_socket, data = (
                 (second, first, HEAD + said(8, True))
-                if wins == "second"
+                if answered == "second"
                 else (first, second, said(8, True)[40:])
             )
-            end.sendall(rest)
+            answered_socket.sendall(data)
             self.until(lambda: self.told)
-            self.over(other)
+            self.over(other_socket)
             self.go(FIRST_VALUE_TIMEOUT)
             self.assertEqual(
                 (self.told, self.follower.parallel),
                 ([(EndpointUpdateKind.SNAPSHOT, "ready")], None),
-                wins,
+                answered,
             )
-            end.sendall(said(9, state="leaving"))
+            answered_socket.sendall(said(9, state="leaving"))
             self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
 
-    def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(
-        self,
-    ):
-        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
+    def test_a_parallel_call_that_is_reset_is_repeated_and_the_first_call_stays(self):
+        self.follower.config = replace(self.follower.config, drain_grace=DRAIN_GRACE)
         self.follower.request_watch()
         first, _ = self.taken()
         first.sendall(HEAD + said(8, True)[:40])
         self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
+        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
         self.reset(self.second())
         self.until(lambda: self.follower.parallel is None)
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
+        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
         self.second()
         first.sendall(said(8, True)[40:])
         self.until(lambda: self.told)
         self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, "ready")])
 
-    def test_where_lists_are_pushed_a_dial_that_is_not_up_has_another_beside_it_and_two_at_most(
-        self,
-    ):
-        hole = socket.create_server(("127.0.0.1", 0), backlog=0)
-        self.addCleanup(hole.close)
-        for _ in range(3):  # its queue is full: what comes now is never up
-            one = socket.socket()
-            self.addCleanup(one.close)
-            one.setblocking(False)
-            one.connect_ex(hole.getsockname())
-        dial, dials = self.reactor.connectTCP, []
+    def test_pushed_lists_a_pending_connect_gets_at_most_one_parallel_call(self):
+        full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+        self.addCleanup(full_listener.close)
+        for _ in range(3):  # its queue is full: no later connect completes
+            sock = socket.socket()
+            self.addCleanup(sock.close)
+            sock.setblocking(False)
+            sock.connect_ex(full_listener.getsockname())
+        connect_tcp, ports = self.reactor.connectTCP, []
 
-        def held_back(host, port, factory, timeout):
-            dials.append(port)
-            return dial(
+        def connect(host, port, factory, timeout):
+            ports.append(port)
+            return connect_tcp(
                 host,
-                hole.getsockname()[1] if len(dials) <= 2 else port,
+                full_listener.getsockname()[1] if len(ports) <= 2 else port,
                 factory,
                 timeout=timeout,
             )
 
-        self.reactor.connectTCP = held_back
-        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
+        self.reactor.connectTCP = connect
+        self.follower.config = replace(self.follower.config, drain_grace=DRAIN_GRACE)
         self.follower.request_watch()
         self.turn(3)
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
+        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
         self.turn(3)
-        self.assertEqual((len(dials), len(self.reactor.getWriters())), (2, 2))
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
-        self.assertEqual((len(dials), self.failed()), (3, 0))
+        self.assertEqual((len(ports), len(self.reactor.getWriters())), (2, 2))
+        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
+        self.assertEqual((len(ports), self.failed()), (3, 0))
         self.assertLess(self.clock, CONNECT_TIMEOUT)
         second = self.second()
         self.turn(3)
         self.assertEqual(
             len(self.reactor.getWriters()), 1
-        )  # the first, which may still come up
+        )  # the first connect, which may still complete
         second.sendall(HEAD + said(8, True))
         self.until(lambda: self.told)
         self.turn(3)
@@ -115,10 +108,10 @@
             ([(EndpointUpdateKind.SNAPSHOT, "ready")], [], None),
         )
 
-    def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(
+    def test_pushed_lists_an_accepted_call_gets_a_parallel_one_only_after_a_timeout(
         self,
     ):
-        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
+        self.follower.config = replace(self.follower.config, drain_grace=DRAIN_GRACE)
         self.follower.request_watch()
         self.taken()
         self.go(FIRST_VALUE_TIMEOUT)
@@ -137,80 +130,75 @@
             [(EndpointUpdateKind.FAILED,), (EndpointUpdateKind.SNAPSHOT, "ready")],
         )
 
-    def test_after_sighup_a_call_that_is_reset_and_one_that_is_never_answered_leave_time_for_a_third(
-        self,
-    ):
+    def test_after_sighup_a_reset_and_an_unanswered_call_leave_time_for_a_third(self):
         self.standing()
-        there = self.discovery()
-        self.follower.move(there.address)
-        moved = self.clock
-        self.reset(self.taken(there)[0])
+        new_discovery = self.discovery()
+        self.follower.move(new_discovery.address)
+        moved_at = self.clock
+        self.reset(self.taken(new_discovery)[0])
         self.until(lambda: self.follower.watch is None)
         while not self.failed():
             self.go(LOOK)
         self.follower.request_watch()
-        first, _ = self.taken(there)
-        self.go(PARALLEL_CALL_AFTER_MOVE[1] - (self.clock - moved))
-        second = self.second(there)
+        first, _ = self.taken(new_discovery)
+        self.go(PARALLEL_CALL_AFTER_MOVE[1] - (self.clock - moved_at))
+        second = self.second(new_discovery)
         second.sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
         self.over(first)
-        self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
+        self.assertLess(self.clock - moved_at, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
         self.assertEqual(self.failed(), 1)
 
-    def test_after_sighup_the_call_behind_two_that_are_reset_waits_for_no_pause_of_the_modules(
-        self,
-    ):
+    def test_after_sighup_the_call_after_two_resets_bypasses_the_schedulers_pause(self):
         self.standing()
-        there = self.discovery()
-        self.follower.move(there.address)
-        moved = self.clock
-        self.reset(self.taken(there)[0])
+        new_discovery = self.discovery()
+        self.follower.move(new_discovery.address)
+        moved_at = self.clock
+        self.reset(self.taken(new_discovery)[0])
         self.until(lambda: self.follower.watch is None)
         while not self.failed():
             self.go(LOOK)
-        # as the module does: the first time at once, the second time after a pause
+        # The scheduler retries the first time at once, the second time after a pause.
         self.follower.request_watch()
-        self.reset(self.taken(there)[0])
+        self.reset(self.taken(new_discovery)[0])
         self.until(lambda: self.follower.watch is None)
         while self.follower.watch is None:
-            self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
+            self.assertLess(self.clock - moved_at, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
             self.go(LOOK)
-        self.taken(there)[0].sendall(HEAD + said(8, state="leaving"))
+        self.taken(new_discovery)[0].sendall(HEAD + said(8, state="leaving"))
         self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
         self.assertEqual(self.failed(), 1)
 
 
-class Down(Loopback):
-    """A whole gateway, lists pushed, grace 1 s, on a clock of the test's own."""
+class DiscoveryOutage(Loopback):
+    """A gateway with pushed lists and a drain grace of 1 s, on a simulated clock."""
 
     changed = {"settings": SETTINGS | {"membership_mode": "pushed"}}
 
-    def test_an_outage_costs_at_most_four_calls_a_second_and_its_end_is_seen_within_half_the_grace(
-        self,
-    ):
+    def test_an_outage_costs_four_calls_a_second_and_its_end_is_seen_in_time(self):
+        """The limits are four calls a second and half the drain grace."""
         address = self.listener.getsockname()
         self.listener.close()
         self.gateway.watcher.watch.end("down")
-        told, failed = self.gateway.watcher.listener, []
-        self.gateway.watcher.listener = lambda kind, places: (
+        notify, failed = self.gateway.watcher.listener, []
+        self.gateway.watcher.listener = lambda kind, nodes: (
             failed.append(kind),
-            told(kind, places),
+            notify(kind, nodes),
         )
         self.pass_time(20.0)
         self.assertEqual({EndpointUpdateKind.FAILED}, set(failed))
         self.assertLess(len(failed) / 20, 4)
-        back = socket.create_server(address)
-        self.sockets.append(back)
-        back.setblocking(False)
+        discovery = socket.create_server(address)
+        self.sockets.append(discovery)
+        discovery.setblocking(False)
         self.pass_time(0.5)
-        back.accept()[0].close()
+        discovery.accept()[0].close()
 
 
-class Started(Loopback):
-    """A whole gateway whose list, as it was known at the start, is out of date.
+class OutdatedCache(Loopback):
+    """A gateway whose cached endpoint list is outdated at the start.
 
-    Its node drains by now.
+    Its node is draining meanwhile.
     """
 
     BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
@@ -224,31 +212,33 @@
     def calls(self):
         while True:
             try:
-                one = self.listener.accept()[0]
+                sock = self.listener.accept()[0]
             except BlockingIOError:
                 return
-            self.sockets.append(one)
-            yield one
+            self.sockets.append(sock)
+            yield sock
 
-    def waited(self, first):
-        """Seconds from when discovery could be reached to the module's knowing.
+    def time_to_update(self, first):
+        """Return the seconds from discovery being reachable to the scheduler's update.
 
-        The first call is met as told.
+        The first call gets `first`, the others the current list.
         """
         self.listener.setblocking(False)
-        began, ways = self.time, [first]
+        began, answers = self.time, [first]
         while not self.drains() and self.time < began + 10:
             self.pass_time(0.04)
-            for one in self.calls():
-                way = ways.pop(0) if ways else HEAD + said(5, True, state="leaving")
-                if way == "reset":
-                    reset(one)
+            for sock in self.calls():
+                answer = (
+                    answers.pop(0) if answers else HEAD + said(5, True, state="leaving")
+                )
+                if answer == "reset":
+                    reset(sock)
                 else:
-                    one.sendall(way)
+                    sock.sendall(answer)
         return self.time - began
 
-    def test_what_the_known_list_lacks_is_in_whatever_becomes_of_the_first_call(self):
-        for mode, first, most in (
+    def test_an_update_after_the_cached_list_arrives_whatever_the_first_call_gets(self):
+        for mode, first, time_limit in (
             ("on_request", self.BUSY, 2.0),
             ("on_request", "reset", 2.0),
             ("on_request", b"", 4.5),
@@ -271,7 +261,7 @@
                 self.listener = socket.create_server(address)
                 self.sockets.append(self.listener)
                 first = HEAD + said(5, True, state="leaving")
-            self.assertLess(self.waited(first), most, (mode, first))
+            self.assertLess(self.time_to_update(first), time_limit, (mode, first))
 
 
 if __name__ == "__main__":
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -1,7 +1,4 @@
-"""The instants in which the platform gateway ends something that is still owed.
-
-Each crossing forced on loopback sockets.
-"""
+"""Races between the gateway's shutdown and open requests, on loopback sockets."""
 
 import copy
 import json
@@ -18,11 +15,13 @@
 from tests.support.http_gateway_rig import GIVEN, SETTINGS, TXN, Loopback, ask
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
-PATIENCE = 1.0  # of the rig's settings
-SHUT, DRAIN, OVER = (
-    within / 10_000 for within, _ in shutdown_schedule(int(PATIENCE * 10_000))
+CLIENT_TIMEOUT = 1.0  # seconds, of the rig's settings
+# Seconds after SIGTERM at which the gateway begins to reject requests, begins to drain
+# its connections, and stops at the latest.
+REJECTING_AT, DRAINING_AT, STOPPED_AT = (
+    within / 10_000 for within, _ in shutdown_schedule(int(CLIENT_TIMEOUT * 10_000))
 )
-KILL = PATIENCE + 0.7
+KILLED_AT = CLIENT_TIMEOUT + 0.7
 LONG = 400_000
 
 
@@ -30,30 +29,28 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % octets + b"x" * octets
 
 
-class Going(Loopback):
-    def served(self, one, octets=2):
-        """A client's request, answered by the node."""
-        one.sendall(ask())
+class ShutdownRaces(Loopback):
+    def serve(self, client, octets=2):
+        """Send a client's request and have the node answer it."""
+        client.sendall(ask())
         self.taken().sendall(answer(octets))
 
-    def leave(self, at):
+    def shut_down(self, at):
         self.terminate()
         self.to(at)
 
-    def test_what_a_resting_connection_holds_unread_at_the_shut_is_read_and_refused(
-        self,
-    ):
-        one, other = self.client(), self.client()
-        self.served(one)
-        self.until(lambda: b"xx" in self.got(one)[0])
-        self.leave(SHUT - 0.01)
-        one.sendall(ask(TXN + 1))
+    def test_an_unread_request_on_an_idle_connection_is_rejected_at_the_shutdown(self):
+        client, other = self.client(), self.client()
+        self.serve(client)
+        self.until(lambda: b"xx" in self.got(client)[0])
+        self.shut_down(REJECTING_AT - 0.01)
+        client.sendall(ask(TXN + 1))
         other.sendall(ask(TXN + 2)[:40])  # half a request
         self.unread()
-        self.time += 0.02  # the shut comes before the octets are read
+        self.time += 0.02  # the shutdown step runs before the octets are read
         self.turn()
         other.sendall(ask(TXN + 2)[40:])
-        for each in (one, other):
+        for each in (client, other):
             data, how = self.all_of(each)
             self.assertEqual(
                 (data.count(b"HTTP/1.1 "), data[:12], how),
@@ -67,95 +64,90 @@
             1,
         )
 
-    def test_half_a_request_at_the_end_is_refused_and_a_resting_client_sees_an_end(
-        self,
-    ):
-        half, resting, fresh = (
+    def test_half_a_request_at_the_end_is_rejected_and_an_idle_client_is_closed(self):
+        partial, idle, new = (
             self.client(ask()[:60]),
             self.client(READY),
             self.client(),
         )
-        self.until(lambda: b" 200 " in self.got(resting)[0])
-        self.leave(SHUT + 0.01)
-        half_at = self.got(half)
-        self.to(DRAIN)
-        self.assertEqual(half_at, (b"", "open"))
-        data, how = self.all_of(half)
+        self.until(lambda: b" 200 " in self.got(idle)[0])
+        self.shut_down(REJECTING_AT + 0.01)
+        partial_state = self.got(partial)
+        self.to(DRAINING_AT)
+        self.assertEqual(partial_state, (b"", "open"))
+        data, how = self.all_of(partial)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
-        self.assertEqual(
-            (self.all_of(resting), self.all_of(fresh)), ((b"", "ended"),) * 2
-        )
-        self.assertEqual(self.ended, [])  # they rest, and are heard out
-        self.to(OVER)
+        self.assertEqual((self.all_of(idle), self.all_of(new)), ((b"", "ended"),) * 2)
+        self.assertEqual(self.ended, [])  # the clients' sides are still open
+        self.to(STOPPED_AT)
         self.assertEqual(len(self.ended), 1)
 
-    def test_a_request_that_crosses_the_end_tears_no_former_answer_and_is_not_sent_on(
-        self,
-    ):
-        """Unread at the end of our side it is refused.
+    def test_a_request_that_crosses_the_end_does_not_cut_the_previous_answer(self):
+        """It is not forwarded, but rejected if unread when the gateway closes its side.
 
-        Behind it, it is thrown away, and its client sees an end.
+        A request after that is discarded, and its client sees a close.
         """
-        for behind in (False, True):
-            with self.subTest(behind=behind):
+        for after_close in (False, True):
+            with self.subTest(after_close=after_close):
                 self.again()
-                one = self.client(window=4096)
-                self.served(one, LONG)
+                client = self.client(window=4096)
+                self.serve(client, LONG)
                 self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
                 self.turn(20)
-                self.leave(DRAIN - 0.005)
-                for step in (0.01, one) if behind else (one, 0.01):
-                    if step is one:
-                        one.sendall(ask(TXN + 1))
+                self.shut_down(DRAINING_AT - 0.005)
+                for step in (0.01, client) if after_close else (client, 0.01):
+                    if step is client:
+                        client.sendall(ask(TXN + 1))
                         self.unread()
                     else:
                         self.time += step
-                    self.turn(2 if behind else 0)
+                    self.turn(2 if after_close else 0)
                 self.turn()
-                data, how = self.all_of(one)
+                data, how = self.all_of(client)
                 self.assertEqual(
                     (data.count(b"x"), data.count(b"HTTP/1.1 503"), how),
-                    (LONG, 0 if behind else 1, "ended"),
+                    (LONG, 0 if after_close else 1, "ended"),
                 )
                 self.assertEqual(self.gateway.report.counts["dispatch", "0"], 1)
 
-    def test_what_a_slow_client_has_not_taken_keeps_the_process_until_its_bound(self):
-        for takes in (True, False):
-            with self.subTest(takes=takes):
+    def test_an_unread_answer_keeps_the_process_running_until_its_limit(self):
+        for reads in (True, False):
+            with self.subTest(reads=reads):
                 self.again()
-                one = self.client(window=4096)
-                self.leave(PATIENCE / 2)
-                self.served(one, LONG)
+                client = self.client(window=4096)
+                self.shut_down(CLIENT_TIMEOUT / 2)
+                self.serve(client, LONG)
                 self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
                 self.turn(20)
-                self.to(SHUT + 0.05)
+                self.to(REJECTING_AT + 0.05)
                 self.assertEqual(self.ended, [])
-                taken = bytearray()
-                if takes:
+                received = bytearray()
+                if reads:
                     self.until(
                         lambda: (
-                            taken.extend(self.got(one)[0]) or taken.count(b"x") >= LONG
+                            received.extend(self.got(client)[0])
+                            or received.count(b"x") >= LONG
                         ),
-                        "the answer is torn",
+                        "the answer is cut",
                     )
-                    one.close()
+                    client.close()
                     self.until(
-                        lambda: self.ended, "the process stays though nobody is left"
+                        lambda: self.ended, "the process stays without any client"
                     )
                 else:
-                    self.to(OVER + 0.01)
+                    self.to(STOPPED_AT + 0.01)
                     self.assertEqual(len(self.ended), 1)
-                self.assertLess(self.time - 1000, KILL - 0.05)
+                self.assertLess(self.time - 1000, KILLED_AT - 0.05)
 
-    def test_who_waits_beyond_the_end_is_answered_at_the_shut(self):
-        self.changed = {"settings": patient(8.0)}
+    def test_a_request_with_a_deadline_after_the_end_is_answered_at_the_shutdown(self):
+        self.changed = {"settings": settings_with_client_timeout(8.0)}
         self.again()
-        one = self.client(ask(X_Remaining_Ms="8000"))
-        link = self.taken()
-        self.leave(shutdown_schedule(80_000)[0][0] / 10_000 + 0.01)
-        data, how = self.all_of(one)
+        client = self.client(ask(X_Remaining_Ms="8000"))
+        node_socket = self.taken()
+        self.shut_down(shutdown_schedule(80_000)[0][0] / 10_000 + 0.01)
+        data, how = self.all_of(client)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 502", "ended"))
-        self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
+        self.until(lambda: self.got(node_socket)[1] == "reset", "no reset at the node")
         self.assertEqual(self.gateway.host.active, {})
         self.assertEqual(
             sum(
@@ -166,48 +158,47 @@
             1,
         )
 
-    def test_requests_at_every_step_up_to_the_end_have_one_answer_or_were_never_read(
-        self,
-    ):
-        for back in range(30, -1, -1):
-            came = DRAIN + 0.01 - back * 0.005
+    def test_requests_at_each_step_up_to_the_end_have_one_answer_or_are_unread(self):
+        for steps in range(30, -1, -1):
+            sent_at = DRAINING_AT + 0.01 - steps * 0.005
             self.again()
-            one = self.client(READY)
-            self.until(lambda: b" 200 " in self.got(one)[0])
-            self.leave(PATIENCE / 2)
-            self.to(came)
-            data, how = self.got(one)
+            client = self.client(READY)
+            self.until(lambda: b" 200 " in self.got(client)[0])
+            self.shut_down(CLIENT_TIMEOUT / 2)
+            self.to(sent_at)
+            data, how = self.got(client)
             sent = how == "open"
             if sent:
-                one.sendall(ask())
+                client.sendall(ask())
                 self.unread()
-                self.to(OVER + 0.01)
-                data, how = self.all_of(one)
-            crossed = came >= DRAIN - 0.0075
+                self.to(STOPPED_AT + 0.01)
+                data, how = self.all_of(client)
+            crossed = sent_at >= DRAINING_AT - 0.0075
             self.assertTrue(
                 data.count(b"HTTP/1.1 ") == 1
                 or crossed
                 and not data
                 and how == "ended",
-                (back, sent, data, how),
+                (steps, sent, data, how),
             )
             self.assertTrue(
-                came < SHUT - 0.0075 or not self.gateway.report.counts["dispatch", "0"],
-                back,
+                sent_at < REJECTING_AT - 0.0075
+                or not self.gateway.report.counts["dispatch", "0"],
+                steps,
             )
-            self.assertEqual(len(self.ended), 0 if not sent else 1, back)
+            self.assertEqual(len(self.ended), 0 if not sent else 1, steps)
 
-    def test_a_second_sigterm_and_a_sighup_move_nothing(self):
-        resting = self.client(READY)
-        self.until(lambda: b" 200 " in self.got(resting)[0])
-        self.leave(0.3)
+    def test_a_second_sigterm_and_a_sighup_do_not_change_the_schedule(self):
+        idle = self.client(READY)
+        self.until(lambda: b" 200 " in self.got(idle)[0])
+        self.shut_down(0.3)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
-        self.to(SHUT + 0.01)
+        self.to(REJECTING_AT + 0.01)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
         self.assertEqual(self.ended, [])
-        self.to(OVER + 0.01)
+        self.to(STOPPED_AT + 0.01)
         self.assertEqual(len(self.ended), 1)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
@@ -220,48 +211,48 @@
             (1, True),
         )
 
-    def test_sigterm_at_once_ends_with_nobody_left_in_time(self):
-        self.leave(OVER + 0.01)
+    def test_sigterm_without_clients_ends_the_process_in_time(self):
+        self.shut_down(STOPPED_AT + 0.01)
         self.assertEqual(len(self.ended), 1)
-        self.assertLess(self.ended[0] - 1000, DRAIN + 0.02)
+        self.assertLess(self.ended[0] - 1000, DRAINING_AT + 0.02)
 
-    def test_once_shut_nothing_is_sent_on_whatever_the_clocks_say(self):
-        """As where the reactor's clock goes ahead of ours.
+    def test_once_requests_are_rejected_none_is_forwarded_whatever_the_clock(self):
+        """The reactor's clock may be ahead of the gateway's.
 
-        The time to answer is not over yet.
+        Then the time to answer is not over yet when the step runs.
         """
-        one = self.client()
-        self.leave(0.1)
+        client = self.client()
+        self.shut_down(0.1)
         self.gateway._on_process_event(ProcessEvent.START_REJECTING)
-        one.sendall(ask())
-        data, how = self.all_of(one)
+        client.sendall(ask())
+        data, how = self.all_of(client)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
         self.assertFalse(self.gateway.report.counts["dispatch", "0"])
 
-    def test_a_request_before_the_door_at_the_shut_is_let_in_and_refused(self):
-        self.leave(SHUT - 0.01)
-        one = socket.create_connection(("127.0.0.1", self.door))
-        self.sockets.append(one)
-        one.sendall(ask())
-        one.setblocking(False)
+    def test_a_request_in_the_accept_queue_at_the_shutdown_is_rejected(self):
+        self.shut_down(REJECTING_AT - 0.01)
+        client = socket.create_connection(("127.0.0.1", self.door))
+        self.sockets.append(client)
+        client.sendall(ask())
+        client.setblocking(False)
         self.gateway._on_process_event(ProcessEvent.START_REJECTING)
-        data, how = self.all_of(one)
+        data, how = self.all_of(client)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
 
 
-class Whole(unittest.TestCase):
-    """`milletsill serve` as a process, begun by a few lines of the test's own."""
+class GatewayProcess(unittest.TestCase):
+    """`milletsill serve` as a process that first runs some code of the test."""
 
-    def run_with(self, lines, told=lambda process, folder: None, within=15):
-        """Its status and log, once it has ended by itself.
+    def run_with(self, lines, on_listening=lambda process, folder: None, within=15):
+        """Return the status and the log of the process after it ended by itself.
 
-        `told` is called once it listens.
+        `on_listening` is called once it listens.
         """
         with (
-            socket.create_server(("127.0.0.1", 0)) as one,
-            socket.create_server(("127.0.0.1", 0)) as other,
+            socket.create_server(("127.0.0.1", 0)) as first,
+            socket.create_server(("127.0.0.1", 0)) as second,
         ):
-            door, discovery = one.getsockname()[1], other.getsockname()[1]
+            gateway_port, discovery = first.getsockname()[1], second.getsockname()[1]
         with (
             tempfile.TemporaryDirectory() as folder,
             open(os.path.join(folder, "log"), "w+") as log,
@@ -271,7 +262,7 @@
                 json.dump(
                     GIVEN
                     | {
-                        "listen": f"127.0.0.1:{door}",
+                        "listen": f"127.0.0.1:{gateway_port}",
                         "discovery": f"127.0.0.1:{discovery}",
                     },
                     file,
@@ -284,24 +275,24 @@
                 env=os.environ | {"NODE_CONFIG": path, "FOLDER": folder},
             ) as process:
                 try:
-                    self.listening(process, log)
-                    told(process, folder)
+                    self.await_listening(process, log)
+                    on_listening(process, folder)
                     status = process.wait(within)
                 finally:
                     process.kill()
             log.seek(0)
             return status, log.read()
 
-    def listening(self, process, log):
-        """Waits as long as a busy machine takes to start it."""
+    def await_listening(self, process, log):
+        """Wait until the process listens or ends: up to 30 s on a busy machine."""
         for _ in range(600):
             log.seek(0)
             if '"listening"' in log.read() or process.poll() is not None:
                 return
             time.sleep(0.05)
-        self.fail("it does not listen")
+        self.fail("the process does not listen within 30 s")
 
-    def test_signals_that_came_before_the_reactor_ran_are_heard_once_each(self):
+    def test_signals_before_the_start_of_the_reactor_are_handled_once_each(self):
         status, log = self.run_with(
             "from milletsill.http_gateway.process import SignalQueue\n"
             "first = SignalQueue.__init__\n"
@@ -311,16 +302,16 @@
             "        os.kill(os.getpid(), each)\n"
             "SignalQueue.__init__ = begin\n"
         )
-        heard = [
+        counts = [
             log.count(f'"event": "{each}"')
             for each in ("leaving", "reloaded", "stopped")
         ]
         self.assertEqual(
-            (status, heard, "Traceback" in log), (0, [1, 1, 1], False), log
+            (status, counts, "Traceback" in log), (0, [1, 1, 1], False), log
         )
 
-    def test_the_interpreters_own_end_is_not_waited_for(self):
-        """It takes a tenth of a second of a core, and is counted on the span before the earliest kill."""
+    def test_the_process_does_not_wait_for_the_interpreters_shutdown(self):
+        """It takes 0.1 s of a core, which the time before the earliest kill includes."""
         status, log = self.run_with(
             "import atexit\natexit.register(time.sleep, 60)\n",
             lambda process, folder: process.terminate(),
@@ -329,10 +320,10 @@
             (status, log.count('"event": "stopped"'), log[-2:]), (0, 1, "}\n"), log
         )
 
-    def test_a_wall_clock_that_is_set_back_puts_no_end_off(self):
-        """By a minute, right after SIGTERM."""
+    def test_a_wall_clock_that_is_set_back_does_not_delay_the_end(self):
+        """The clock is set back by a minute right after SIGTERM."""
 
-        def told(process, folder):
+        def on_listening(process, folder):
             process.send_signal(signal.SIGTERM)
             time.sleep(0.3)
             open(os.path.join(folder, "back"), "w").close()
@@ -340,12 +331,12 @@
         status, log = self.run_with(
             "wall, back = time.time, os.path.join(os.environ['FOLDER'], 'back')\n"
             "time.time = lambda: wall() - 60 * os.path.exists(back)\n",
-            told,
+            on_listening,
         )
         self.assertEqual((status, "Traceback" in log), (0, False), log)
 
 
-def patient(seconds):
+def settings_with_client_timeout(seconds):
     settings = copy.deepcopy(SETTINGS)
     for each in settings["classes"]:
         each |= {"hard_limit_ns": int(seconds * 1e9), "idempotency": "single_shot"}
