--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -94,7 +94,7 @@
                 data = data[bad_client.send(data) :]
             self.turn(1)
 
-    def served(self, client, node_socket, txn):
+    def serve(self, client, node_socket, txn):
         """Serve a normal request from end to end, without advancing the clock."""
         client.sendall(ask(txn))
         self.until(
@@ -188,7 +188,10 @@
                 if fate != "open":
                     self.pass_time(1.0)
                     late_client = self.client(ask(**elsewhere))
-                    self.until(lambda: self.gateway.host.unanswered == 1, "not taken")
+                    self.until(
+                        lambda: self.gateway.host.unanswered == 1,
+                        "the request was not accepted",
+                    )
                     late_client.close()
 
     def test_one_octet_at_a_time_without_an_end_is_refused_in_time(self):
@@ -210,14 +213,14 @@
                     self.until(lambda: b" 200 " in self.got(normal_client)[0])
                     bad_client, sent = self.client(), 0
                     if after_request:
-                        self.served(bad_client, node_socket, TXN + 1)
+                        self.serve(bad_client, node_socket, TXN + 1)
                     bad_client.sendall(start[:-1])
                     data = b""
                     while not data and sent < 80:
                         bad_client.sendall(start[-1:] if not sent else b"y")
                         sent += 1
                         if sent % 10 == 0:
-                            self.served(normal_client, node_socket, TXN + 8 + sent)
+                            self.serve(normal_client, node_socket, TXN + 8 + sent)
                         self.pass_time(0.05)
                         data = self.got(bad_client)[0]
                     self.assertEqual(
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -243,7 +243,7 @@
             else:
                 self.await_request(node_socket)
             node_socket.sendall(ANSWER)
-            self.until(lambda: b" 200 " in self.got(clients[-1])[0], "not answered")
+            self.until(lambda: b" 200 " in self.got(clients[-1])[0], "no answer")
         return clients, node_socket
 
     def await_request(self, node_socket):
@@ -328,7 +328,7 @@
         data = bytearray()
         self.until(
             lambda: data.extend(self.got(idle[0])[0]) or data.endswith(b"hi"),
-            "not answered",
+            "no answer",
         )
         self.assertEqual(data.count(b"HTTP/1.1 "), 1)
         self.assertEqual(
@@ -350,7 +350,7 @@
                     b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
                     + b"x" * 400_000
                 )
-                self.until(lambda: protocol.state.name == "CLOSING", "not answered")
+                self.until(lambda: protocol.state.name == "CLOSING", "no answer")
                 self.idle_clients(
                     self.gateway.listener.max_connections - 1, node_socket
                 )
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -156,7 +156,9 @@
                 client = self.client(
                     ask(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
                 )
-                self.until(lambda: self.gateway.host.unanswered, "not taken")
+                self.until(
+                    lambda: self.gateway.host.unanswered, "the request was not accepted"
+                )
                 leave(client, how)
                 self.turn(5)
                 node = NODE | {
@@ -213,7 +215,7 @@
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
                 self.taken().sendall(answer(LONG))
-                self.until(lambda: protocol.state.name == "CLOSING", "not answered")
+                self.until(lambda: protocol.state.name == "CLOSING", "no answer")
                 data = bytearray()
                 if ends == "half":
                     client.shutdown(socket.SHUT_WR)
@@ -283,7 +285,7 @@
                 self.time += timeout / 10_000
                 self.turn()
                 self.taken().sendall(answer(2))
-                self.until(lambda: b" 200 " in self.got(client)[0], "not answered")
+                self.until(lambda: b" 200 " in self.got(client)[0], "no answer")
 
     def test_an_error_reaches_a_client_that_closes_its_side_after_malformed_data(self):
         client = self.client()
--- a/tests/http_gateway/test_races_message_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -108,12 +108,12 @@
         self.send_in_steps(node_socket, answer, step)
         got = b""
 
-        def whole():
+        def is_complete():
             nonlocal got
             got += self.got(client)[0]
             return got.endswith(b"hi") or b" 200 " not in got and got
 
-        self.until(whole, "the client has no answer")
+        self.until(is_complete, "the client has no answer")
         self.assertTrue(got.startswith(b"HTTP/1.1 200 "), got)
 
     def test_a_request_in_every_form_is_forwarded(self):
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -203,13 +203,13 @@
         )
         return listener
 
-    def taken_at(self, listener):
+    def accept_request(self, listener):
         bad_node, self.node = self.node, listener
         node_socket = self.taken()
         self.node = bad_node
         return node_socket
 
-    def served(self, client, node_socket, txn):
+    def serve(self, client, node_socket, txn):
         """Serve a normal client's request without advancing the clock."""
         client.sendall(ask(txn, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1"))
         data = bytearray()
@@ -232,7 +232,7 @@
                 normal_client = self.client(
                     ask(TXN + 8, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1")
                 )
-                node_socket = self.taken_at(good)
+                node_socket = self.accept_request(good)
                 node_socket.sendall(WHOLE)
                 self.until(lambda: self.got(normal_client)[0].endswith(b"hi"))
                 same_node_client = self.client(
@@ -261,7 +261,7 @@
                     "no request reached the bad node",
                 )
                 for number in range(3):
-                    self.served(normal_client, node_socket, TXN + 100 + number)
+                    self.serve(normal_client, node_socket, TXN + 100 + number)
                     bad.step()
                     self.turn(3)
                 self.assertEqual(self.got(same_node_client), (b"", "open"))
@@ -297,7 +297,7 @@
                     malformed,
                 )
                 self.assertEqual(sum(malformed.values()), outcomes.get("error", 0))
-                self.served(normal_client, node_socket, TXN + 200)
+                self.serve(normal_client, node_socket, TXN + 200)
                 if outcome == "satisfied":  # the extra octets answer no request
                     same_node_client.sendall(ask(TXN + 9))
                     received.clear()
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -230,7 +230,7 @@
             end(sock)
             self.assertEqual(self.outcome(len(self.outcomes) - 1), expected)
 
-    def test_a_truncated_answer_is_a_reset_after_a_close_and_a_reset(self):
+    def test_a_truncated_answer_counts_as_a_reset_however_it_ends(self):
         for part in (
             b"HTT",
             HEAD,
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -316,7 +316,7 @@
         )
         self.assertEqual(data.count(b"HTTP/1.1 200"), 20)
 
-    def test_a_client_that_leaves_with_many_requests_has_no_further_one_begun(self):
+    def test_pipelined_requests_of_a_client_that_has_left_are_not_forwarded(self):
         """The client leaves after some answers, while the next request is at its node.
 
         In the first case it leaves before anything is read.
@@ -363,7 +363,7 @@
                         (expected, 0, 0),
                     )
 
-    def test_a_client_that_left_before_the_read_has_no_request_begun(self):
+    def test_no_request_is_forwarded_for_a_client_that_left_before_the_read(self):
         """The process stalls for half a second.
 
         The client's close follows some further reads of the socket.
@@ -393,7 +393,7 @@
                         (0, {}, 0),
                     )
 
-    def test_a_client_that_left_after_part_of_a_long_body_has_no_request_begun(self):
+    def test_no_request_is_forwarded_before_an_unfinished_body_and_a_close(self):
         self.gateway.port.socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20
         )  # it fits all data, so the close has arrived too
@@ -415,7 +415,7 @@
             (0, {}, 0),
         )
 
-    def test_a_client_that_leaves_within_a_pipelined_request_has_no_further_begun(self):
+    def test_a_pipelined_request_cut_by_a_leaving_client_is_not_forwarded(self):
         for how in ("close", "half", "reset"):
             for octets in (
                 1,
--- a/tests/http_gateway/test_second_discovery_call.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -30,34 +30,34 @@
     """
 
     def test_a_pending_connect_or_a_partial_list_leaves_time_within_the_grace(self):
-        for play, way, draw, length in product(
+        for play, failure, draw, length in product(
             (self.started, self.outage), ("not up", "torn"), (0, 1), range(0, 130, 3)
         ):
             self.assertLess(
-                play(way, draw, length / 10, "pushed")[0],
+                play(failure, draw, length / 10, "pushed")[0],
                 GRACE / 2,
-                (play.__name__, way, draw, length),
+                (play.__name__, failure, draw, length),
             )
-        for play, way, next_failure, draw, length in product(
+        for play, failure, next_failure, draw, length in product(
             (self.started, self.outage),
             ("refused", "503", "not up"),
             ("half", "not up"),
             (0, 1),
             range(3, 130, 11),
         ):
-            waited, _ = play(way, draw, length / 10, "pushed", (next_failure,))
+            waited, _ = play(failure, draw, length / 10, "pushed", (next_failure,))
             self.assertLess(
-                waited, GRACE, (play.__name__, way, next_failure, draw, length)
+                waited, GRACE, (play.__name__, failure, next_failure, draw, length)
             )
 
     def test_a_discovery_known_to_accept_without_answering_gets_parallel_calls(self):
-        for play, way, draw, length in product(
+        for play, failure, draw, length in product(
             (self.started, self.outage), NO_ANSWER, (0, 1), range(30, 130, 3)
         ):
-            waited, calls = play(way, draw, length / 10, "pushed")
-            self.assertLess(waited, 2.2, (play.__name__, way, draw, length))
+            waited, calls = play(failure, draw, length / 10, "pushed")
+            self.assertLess(waited, 2.2, (play.__name__, failure, draw, length))
             self.assertLessEqual(
-                calls, 2 + length / 10, (play.__name__, way, draw, length)
+                calls, 2 + length / 10, (play.__name__, failure, draw, length)
             )
 
     def test_a_call_answered_by_a_heartbeat_gets_no_parallel_call(self):
@@ -73,19 +73,21 @@
             )
 
     def test_at_most_two_calls_are_open_at_one_address(self):
-        for mode, way, draw in product(("pushed", "on_request"), ALL_FAILURES, (0, 1)):
+        for mode, failure, draw in product(
+            ("pushed", "on_request"), ALL_FAILURES, (0, 1)
+        ):
             service = self.begin(draw, mode)
             self.gateway.start()
             self.play(service, 6)
-            for _, protocol, _ in self.spoil(service, way, 9):
+            for _, protocol, _ in self.spoil(service, failure, 9):
                 protocol.connectionLost()
             self.play(service, 6, lambda: self.assert_open_calls(service, 2))
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.play(
                 service, 8, lambda: self.assert_open_calls(service, 3)
             )  # the third call is at the old address
-            self.assertTrue(self.drains(), (mode, way, draw))
-            self.assertEqual(len(service.open()), 1, (mode, way, draw))
+            self.assertTrue(self.drains(), (mode, failure, draw))
+            self.assertEqual(len(service.open()), 1, (mode, failure, draw))
             self.gateway.stop()
 
     def assert_open_calls(self, service, limit):
@@ -94,21 +96,26 @@
 
 class AddressChange(Called):
     def test_after_sighup_two_failed_calls_leave_time_within_four_seconds(self):
-        for first, second, draw, beats in product(
+        for first, second, draw, old_watch_lives in product(
             ALL_FAILURES, ALL_FAILURES, (0, 1), (True, False)
         ):
             service = self.begin(draw)
             self.gateway.start()
             self.play(service, 8)
-            gone, service.calls = service.change(), []
-            service.ways, service.watches = [first, second], gone if beats else []
+            watches, service.calls = service.change(), []
+            service.ways, service.watches = (
+                [first, second],
+                watches if old_watch_lives else [],
+            )
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
                 self.play(service, 20, self.drains),
                 MOVED - 0.1,
-                (first, second, draw, beats),
+                (first, second, draw, old_watch_lives),
+            )
+            self.assertLessEqual(
+                len(service.calls), 4, (first, second, draw, old_watch_lives)
             )
-            self.assertLessEqual(len(service.calls), 4, (first, second, draw, beats))
             self.gateway.stop()
 
 
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -32,15 +32,17 @@
 
 class SilentWatch(Played):
     def test_an_update_that_a_silent_watch_misses_arrives_within_the_limit(self):
-        for way, draw, phase in product(WAYS, (0, 1), range(0, 20, 3)):
+        for first_call, draw, phase in product(WAYS, (0, 1), range(0, 20, 3)):
             service = self.start(draw)
             self.play(service, 8 + phase * 0.1)
-            service.ways, service.calls = [way], []
+            service.ways, service.calls = [first_call], []
             service.change()
             self.assertLess(
-                self.play(service, 20, self.drains), TOLD - 0.2, (way, draw, phase)
+                self.play(service, 20, self.drains),
+                TOLD - 0.2,
+                (first_call, draw, phase),
             )
-            self.assertLessEqual(len(service.calls), 2, (way, draw, phase))
+            self.assertLessEqual(len(service.calls), 2, (first_call, draw, phase))
 
     def test_a_late_heartbeat_costs_one_call_and_a_stalled_process_none(self):
         service = self.start(1)
@@ -60,22 +62,22 @@
         self.assertEqual(len(service.calls), 1)
 
     def test_after_sighup_the_list_arrives_within_the_limit(self):
-        for way, draw in product(WAYS, (0, 1)):
+        for first_call, draw in product(WAYS, (0, 1)):
             service = self.start(draw)
             self.play(service, 8)
-            service.ways = [way]
+            service.ways = [first_call]
             service.change()
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
-                self.play(service, 20, self.drains), MOVED - 0.2, (way, draw)
+                self.play(service, 20, self.drains), MOVED - 0.2, (first_call, draw)
             )
 
     def test_a_new_process_calls_at_once_for_pushed_and_requested_lists(self):
-        for mode, (way, within) in product(
+        for mode, (first_call, time_limit) in product(
             ("pushed", "on_request"),
             {"good": 0.2, "refused": 1.5, "503": 1.5, "not up": 2.5}.items(),
         ):
-            service = Service(self.reactor, [way])
+            service = Service(self.reactor, [first_call])
             service.change()
             self.gateway = HttpGateway(
                 self.deployment(settings=shared.SETTINGS | {"membership_mode": mode}),
@@ -85,11 +87,13 @@
                 self.gateway.log,
             )
             self.gateway.start()
-            self.assertLess(self.play(service, 20, self.drains), within, (mode, way))
+            self.assertLess(
+                self.play(service, 20, self.drains), time_limit, (mode, first_call)
+            )
 
     def test_many_gateways_whose_watches_fall_silent_at_once(self):
         service = self.start(takes=0.008)
-        fleet = [
+        gateways = [
             HttpGateway(
                 self.deployment(seed=f"{seed:016x}"),
                 self.reactor,
@@ -99,30 +103,30 @@
             )
             for seed in range(MANY)
         ]
-        for gateway in fleet:
+        for gateway in gateways:
             gateway.start()
         self.play(service, 8)
         service.ways, service.calls = ["503", "good"] * (MANY // 4), []
         service.change()
         self.assertLess(
-            self.play(service, 20, lambda: all(map(self.drains, fleet))), TOLD
+            self.play(service, 20, lambda: all(map(self.drains, gateways))), TOLD
         )
         self.assertLess(len(service.calls), 1.4 * MANY)
 
 
 class DiscoveryOutage(Called):
     def test_after_any_failure_the_list_arrives_six_seconds_after_the_return(self):
-        for play, way, draw, length in product(
+        for play, failure, draw, length in product(
             (self.started, self.outage), FAILING, (0, 1), range(0, 130, 7)
         ):
-            waited, calls = play(way, draw, length / 10)
-            self.assertLess(waited, TOLD - 0.2, (play.__name__, way, draw, length))
+            waited, calls = play(failure, draw, length / 10)
+            self.assertLess(waited, TOLD - 0.2, (play.__name__, failure, draw, length))
             self.assertLessEqual(
-                calls, 3 + length / 7.5, (play.__name__, way, draw, length)
+                calls, 3 + length / 7.5, (play.__name__, failure, draw, length)
             )  # later calls are at least 0.75 s apart
 
     def test_an_unanswered_call_right_after_an_outage_leaves_time_for_another(self):
-        for play, way, ways, draw, length in product(
+        for play, failure, ways, draw, length in product(
             (self.started, self.outage),
             QUICK,
             (("no word",), ("head",), ("drip",)),
@@ -130,43 +134,48 @@
             range(0, 130, 11),
         ):
             self.assertLess(
-                play(way, draw, length / 10, ways=ways)[0],
+                play(failure, draw, length / 10, ways=ways)[0],
                 TOLD - 0.1,
-                (play.__name__, way, ways, draw, length),
+                (play.__name__, failure, ways, draw, length),
             )
 
     def test_a_new_address_that_fails_first_delivers_four_seconds_after_its_return(
         self,
     ):
-        for way, draw, length, beats in product(
+        for failure, draw, length, old_watch_lives in product(
             FAILING, (0, 1), range(0, 130, 7), (True, False)
         ):
             self.assertLess(
-                self.sighup(way, draw, length / 10, beats)[0],
+                self.sighup(failure, draw, length / 10, old_watch_lives)[0],
                 MOVED - 0.15,
-                (way, draw, length, beats),
+                (failure, draw, length, old_watch_lives),
             )
 
     def test_an_unanswered_call_at_a_new_address_leaves_time_within_four_seconds(self):
-        for way, draw, beats in product(WAYS, (0, 1), (True, False)):
+        for first_call, draw, old_watch_lives in product(WAYS, (0, 1), (True, False)):
             service = self.begin(draw)
             self.gateway.start()
             self.play(service, 8)
-            gone = service.change()
-            service.ways, service.watches = [way], gone if beats else []
+            watches = service.change()
+            service.ways, service.watches = (
+                [first_call],
+                watches if old_watch_lives else [],
+            )
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
-                self.play(service, 20, self.drains), MOVED - 0.2, (way, draw, beats)
+                self.play(service, 20, self.drains),
+                MOVED - 0.2,
+                (first_call, draw, old_watch_lives),
             )
 
     def test_a_pushed_list_arrives_within_the_grace_after_the_return(self):
-        for play, way, draw, length in product(
+        for play, failure, draw, length in product(
             (self.started, self.outage), QUICK, (0, 1), range(3, 130, 7)
         ):
-            waited, calls = play(way, draw, length / 10, "pushed")
-            self.assertLess(waited, GRACE - 0.2, (play.__name__, way, draw, length))
+            waited, calls = play(failure, draw, length / 10, "pushed")
+            self.assertLess(waited, GRACE - 0.2, (play.__name__, failure, draw, length))
             self.assertLessEqual(
-                calls, 3 + length / 1.25, (play.__name__, way, draw, length)
+                calls, 3 + length / 1.25, (play.__name__, failure, draw, length)
             )
 
     def test_a_list_may_come_indented(self):
@@ -203,7 +212,7 @@
 
 class OutageWithManyGateways(Fleet):
     def test_after_an_outage_all_get_the_list_as_fast_as_the_service_can_serve_it(self):
-        for pushed, max_call_rate, most, takes, patient in (
+        for pushed, max_call_rate, max_calls, service_time, patient in (
             (False, 1.2, 3, 0.01, False),
             (False, 1.2, 3, 0.04, False),
             (True, 3.6, 8, 0.01, False),
@@ -223,24 +232,26 @@
             self.assertLess(
                 len(service.calls) / self.FLEET / self.SPAN,
                 max_call_rate,
-                (pushed, takes),
+                (pushed, service_time),
             )
-            waited, calls = self.back(service, members, takes)
+            waited, calls = self.back(service, members, service_time)
             self.assertLess(
                 waited,
-                takes * self.FLEET + (2.0 if patient else 1.0),
-                (pushed, takes, patient),
+                service_time * self.FLEET + (2.0 if patient else 1.0),
+                (pushed, service_time, patient),
             )
-            self.assertLess(calls, most, (pushed, takes, patient))
+            self.assertLess(calls, max_calls, (pushed, service_time, patient))
 
     def test_after_all_watches_fall_silent_all_get_the_list_at_the_services_rate(self):
-        for takes, most in ((0.01, 1.1), (0.02, 2), (0.04, 4)):
+        for service_time, max_calls in ((0.01, 1.1), (0.02, 2), (0.04, 4)):
             service, members = self.fleet()
             service.patient = False
             service.change()
-            waited, calls = self.back(service, members, takes)
-            self.assertLess(waited, max(takes * self.FLEET + 1.5, 3.5), takes)
-            self.assertLess(calls, most, takes)
+            waited, calls = self.back(service, members, service_time)
+            self.assertLess(
+                waited, max(service_time * self.FLEET + 1.5, 3.5), service_time
+            )
+            self.assertLess(calls, max_calls, service_time)
 
 
 class RewatchPause(unittest.TestCase):
@@ -294,14 +305,14 @@
                 "stop_sending_within_ns": grace * 10**9,
             }
             settings = shared.SETTINGS | {"membership_mode": mode, "rules": rules}
-            made = shared.parse_configuration(
+            deployment = shared.parse_configuration(
                 shared.GIVEN | {"settings": settings}, {}, 0, list[str]().append
             )
             self.assertEqual(
-                made.config.rewatch_within, expected, (mode, ask_within, grace)
+                deployment.config.rewatch_within, expected, (mode, ask_within, grace)
             )
             self.assertEqual(
-                made.drain_grace,
+                deployment.drain_grace,
                 max(grace * 10_000 - 1, 0) if mode == "pushed" else 0,
                 (mode, ask_within, grace),
             )
