--- a/milletsill/lab/contract_figures.py
+++ b/milletsill/lab/contract_figures.py
@@ -1,4 +1,4 @@
-"""How much an audit of contracts checked, and how long channels stood after kills."""
+"""Counts what the audit of contracts checked, and how long kills stopped channels."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 @dataclass(slots=True)
 class ContractFigures:
-    """Counts over the channels of one contract's order.
+    """Counts over all channels whose contracts have the same order.
 
-    `interruptions` are seconds from the kill of a channel's owner until the next
-    number was settled.
+    `interruptions` holds, for each kill of a channel's owner, the seconds until the
+    channel's next number was settled.
     """
 
     channels: int = 0
     claims: int = 0
     numbers: int = 0
     settled: int = 0
-    ended_otherwise: int = 0
+    without_effect: int = 0
     written: int = 0
-    answered_from_memory: int = 0
+    repeated_answers: int = 0
     interruptions: list[float] = field(default_factory=list)
 
     def add(self, history: ChannelHistory, kills: Sequence[GatewayKill]) -> None:
@@ -42,7 +42,7 @@
         self.claims += sum(each.opening is not None for each in history.openings)
         self.numbers += len(history.commands)
         self.settled += len(history.settled)
-        self.ended_otherwise += len(history.ended)
+        self.without_effect += len(history.ended)
         self.written += len(history.effects)
         settled_answers = sum(
             answer.code == OK
@@ -50,35 +50,36 @@
             for command in commands
             for answer in command.answers
         )
-        self.answered_from_memory += settled_answers - len(history.settled)
+        self.repeated_answers += settled_answers - len(history.settled)
         for kill in kills:
             seconds = interruption(history, kill)
             if seconds is not None:
                 self.interruptions.append(seconds)
 
     def by_title(self) -> dict[str, float]:
-        """Return the figures as a report prints them, in its order."""
+        """Return the figures by the titles that a report prints, in its order."""
         figures: dict[str, float] = {
             "channels": self.channels,
             "claims": self.claims,
             "numbers": self.numbers,
             "settled": self.settled,
-            "ended otherwise": self.ended_otherwise,
+            "without effect": self.without_effect,
             "written": self.written,
-            "answered from memory": self.answered_from_memory,
+            "repeated answers": self.repeated_answers,
         }
         if self.interruptions:
             seconds = sorted(self.interruptions)
-            figures["keepers killed"] = len(seconds)
-            figures["went on after, median s"] = round(seconds[len(seconds) // 2], 2)
-            figures["longest s"] = round(seconds[-1], 2)
+            figures["owners killed"] = len(seconds)
+            figures["interruption, median s"] = round(seconds[len(seconds) // 2], 2)
+            figures["longest interruption, s"] = round(seconds[-1], 2)
         return figures
 
 
 def interruption(history: ChannelHistory, kill: GatewayKill) -> float | None:
-    """Return the seconds from a kill until the next number was settled.
+    """Return the seconds from a kill until the channel's next number was settled.
 
-    None where the killed gateway was not the last that released one.
+    The result is None where no killed gateway released the channel's last number before
+    the kill, and where none was settled after it.
     """
     before = [each.gateway for each in history.effects if each.at < kill.at]
     after = [at for at in history.settled.values() if at > kill.at]
--- a/milletsill/sftp_gateway/sftp_server.py
+++ b/milletsill/sftp_gateway/sftp_server.py
@@ -324,7 +324,7 @@
         """Answer the current packet directly, without a request to a node."""
         octets = self._send(packet)
         if self.gateway.flows is not None:
-            self.gateway.flows.client(
+            self.gateway.flows.meter_client_exchange(
                 self.addresses, "", "", "", "", self.octets, octets, 0
             )
 
@@ -336,7 +336,7 @@
         gateway = self.gateway
         if gateway.flows is None:
             return
-        gateway.flows.client(
+        gateway.flows.meter_client_exchange(
             self.addresses,
             command.volume.name,
             gateway.plan_name(command.volume),
--- a/tests/fleet/channels/test_channel_settings.py
+++ b/tests/fleet/channels/test_channel_settings.py
@@ -39,33 +39,33 @@
             ),
             (
                 lambda channels, settings: setattr(channels.contract[0], "silent_s", 4),
-                "may be forgotten within",
+                "may be deleted within",
             ),
             (
                 lambda channels, settings: channels.contract[0].operation.append(
                     "read"
                 ),
-                "operation 'read' has no number",
+                "operation 'read' has no channel number",
             ),
             (
                 lambda channels, settings: setattr(
                     channels.contract[1], "name", "landing"
                 ),
-                "stands twice",
+                "is used twice",
             ),
             (
                 lambda channels, settings: setattr(channels, "call_ms", 900),
-                "must hold four",
+                "must fit into a lease",
             ),
             (
                 lambda channels, settings: setattr(
                     settings.category[2], "repeat_window_ms", 100
                 ),
-                "never be tried again",
+                "could never be retried",
             ),
             (
                 lambda channels, settings: settings.rules.ClearField("key_rest_ms"),
-                "needs rules.key_rest_ms",
+                "fleet.channels needs rules.key_rest_ms",
             ),
         ):
             self.assertIn(expected_text, flaw_text(change))
