--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -74,7 +74,7 @@
         return self.loop.until(lambda: self.outcomes[number], "the attempt did not end")
 
     def serve(self, listener, answer=WHOLE):
-        """Run an attempt to its answer; return the node's socket, which is then idle."""
+        """Run an attempt to its answer; return the node's socket, now idle."""
         self.start_attempt()
         sock = self.loop.accepted(listener)
         self.addCleanup(sock.close)
@@ -121,7 +121,7 @@
         for state in ("leaving", "left"):
             listener, port = self.node()
             self.list_node(port)
-            # The kernel connects at once, but the reactor does not run until the update.
+            # The kernel connects at once; the reactor does not run until the update.
             self.start_attempt()
             self.list_node(port, state=state)
             self.assertIs(
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -311,7 +311,7 @@
         )
 
     def test_the_process_does_not_wait_for_the_interpreters_shutdown(self):
-        """It takes 0.1 s of a core, which the time before the earliest kill includes."""
+        """It takes 0.1 s of a core, within the time before the earliest kill."""
         status, log = self.run_with(
             "import atexit\natexit.register(time.sleep, 60)\n",
             lambda process, folder: process.terminate(),
--- a/tests/http_gateway/test_second_discovery_call.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -120,7 +120,7 @@
 
 
 class OverloadedDiscovery(Fleet):
-    """The load of the parallel calls on a service that is up but has too many clients."""
+    """The load of parallel calls on a service that is up but has too many clients."""
 
     def test_after_an_outage_with_accepted_but_unanswered_calls(self):
         for service_time, time_limit, max_calls in (
@@ -190,7 +190,7 @@
             )
 
     def test_a_service_that_may_only_be_busy_is_not_unresponsive(self):
-        """A busy service accepts a call and answers within two seconds, even with 503."""
+        """A busy service accepts a call and answers within two seconds, even by 503."""
         self.assertGreater(FIRST_VALUE_TIMEOUT, 20_000)
         for unresponsive, silence, status, expected in (
             (False, 20_000, 503, False),
