--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -45,7 +45,7 @@
 )
 from milletsill.http_gateway.resource_limits import SPARE_CLIENTS, divide_descriptors
 from milletsill.interface import EndpointUpdateKind, Readiness
-from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
+from tests.support.http_gateway_rig import CONFIG, NODE, SETTINGS, Reactor, req
 
 
 class Said(unittest.TestCase):
@@ -86,7 +86,7 @@
     def watch(self):
         self.follower.request_watch()
         self.reactor.advance(0)
-        return self.reactor.up()
+        return self.reactor.connect()
 
     def line(self, version, whole=False, entries=(NODE,)):
         text = (
@@ -149,7 +149,7 @@
         self.follower.move(("127.0.0.1", 8501))
         self.reactor.advance(0)
         old.dataReceived(self.line(8))
-        new, other = self.reactor.up()
+        new, other = self.reactor.connect()
         self.assertIn(b"from=7 ", other.value())
         self.assertFalse(wire.aborted)
         new.dataReceived(self.HEAD + self.line(9))
@@ -269,10 +269,10 @@
         self.assertEqual(parse_load_report(None), {})
 
     def test_a_repeat_and_a_leave_are_told_to_the_module(self):
-        deployment = parse_configuration(GIVEN, {}, 0, print)
+        deployment = parse_configuration(CONFIG, {}, 0, print)
         reader = RequestReader(MessageLimits())
         reader.feed(
-            ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
+            req(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
         )
         arrival = RequestParser(deployment.config).parse(
             reader.next_message(), 1000, 60, 5000
@@ -288,7 +288,7 @@
             (True, None, 2.5, 3, 5000),
         )
         with self.assertRaises(InvalidRequestError):
-            reader.feed(ask(X_Lane="none"))
+            reader.feed(req(X_Lane="none"))
             RequestParser(deployment.config).parse(reader.next_message(), 1000, 60)
 
     def test_a_configuration_that_cannot_be_used_is_one_line(self):
@@ -298,11 +298,11 @@
                 "",
                 "[]",
                 "{",
-                json.dumps(GIVEN | {"listen": "x"}),
-                json.dumps(GIVEN | {"settings": None}),
-                json.dumps(GIVEN | {"seed": "x"}),
-                json.dumps(GIVEN | {"limits": {"sockets": "many"}}),
-                json.dumps(GIVEN | {"settings": SETTINGS | {"classes": 5}}),
+                json.dumps(CONFIG | {"listen": "x"}),
+                json.dumps(CONFIG | {"settings": None}),
+                json.dumps(CONFIG | {"seed": "x"}),
+                json.dumps(CONFIG | {"limits": {"sockets": "many"}}),
+                json.dumps(CONFIG | {"settings": SETTINGS | {"classes": 5}}),
             ):
                 with open(path, "w") as file:
                     file.write(text)
--- a/tests/http_gateway/test_gateway_process.py
+++ b/tests/http_gateway/test_gateway_process.py
@@ -11,12 +11,12 @@
 import unittest
 
 from tests.support.http_gateway_rig import (
-    ANSWER,
-    GIVEN,
+    CONFIG,
     NODE,
+    RESPONSE,
     SETTINGS,
-    ask,
     node_stand_in,
+    req,
 )
 
 
@@ -27,7 +27,7 @@
         listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
         node, discovery, door = [each.getsockname()[1] for each in listeners]
         listeners[2].close()
-        given = GIVEN | {
+        given = CONFIG | {
             "listen": f"127.0.0.1:{door}",
             "discovery": f"127.0.0.1:{discovery}",
             "known": {
@@ -50,12 +50,12 @@
                 client = self.reached(door)
                 client.sendall(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 self.assertIn(b" 200 ", client.recv(1000))
-                client.sendall(ask())
+                client.sendall(req())
                 listeners[0].settimeout(5)
                 link = listeners[0].accept()[0]
                 self.assertIn(b"X-Txn", link.recv(4000))
                 process.send_signal(signal.SIGHUP)
-                link.sendall(ANSWER)
+                link.sendall(RESPONSE)
                 self.assertIn(b" 200 ", client.recv(1000))
                 process.send_signal(signal.SIGTERM)
                 self.assertEqual(process.wait(8), 0)
@@ -120,7 +120,7 @@
                 clients, bodies = [self.reached(door) for _ in range(4)], set()
                 for number in range(24):
                     clients[number % 4].sendall(
-                        ask(
+                        req(
                             txn=number + 1,
                             drop=("X-Plan",),
                             Cookie=f"block={number + 1:016x}",
@@ -150,7 +150,7 @@
             path = os.path.join(folder, "c.json")
             with open(path, "w") as file:
                 json.dump(
-                    GIVEN | {"settings": SETTINGS | {"resolution_ns": "often"}}, file
+                    CONFIG | {"settings": SETTINGS | {"resolution_ns": "often"}}, file
                 )
             done = subprocess.run(
                 [sys.executable, "-m", "milletsill", "serve"],
--- a/tests/http_gateway/test_graceful_shutdown.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -16,7 +16,7 @@
 )  # seconds after the longest patience, which counts as three at most
 
 
-class Leaving(shared.Served):
+class Leaving(shared.MemoryTest):
     def leave(self, patience, came, left):
         """One client sends `came` seconds after SIGTERM (before it, below zero) and waits for `left`; no node answers. Another
         has half a request out. What both had got by the earliest kill, and whether the process was away by then.
@@ -51,19 +51,19 @@
                 self.gateway.terminate()
             if at >= came and not sent and not (wire.disconnecting or wire.half_closed):
                 sent = True
-                protocol.dataReceived(shared.ask(X_Remaining_Ms=str(int(left * 1000))))
+                protocol.dataReceived(shared.req(X_Remaining_Ms=str(int(left * 1000))))
                 if half is not None:
-                    half.dataReceived(shared.ask(txn=5)[:40])
+                    half.dataReceived(shared.req(txn=5)[:40])
             if (
                 at >= kill - 0.25
                 and half is not None
                 and not (other.disconnecting or other.half_closed)
             ):
-                half = half.dataReceived(shared.ask(txn=5)[40:])
+                half = half.dataReceived(shared.req(txn=5)[40:])
             self.reactor.advance(STEP)
-            for place in self.dialled(7070):
+            for place in self.dials(7070):
                 if place >= dialled:
-                    self.reactor.up(place)
+                    self.reactor.connect(place)
             dialled = len(self.reactor.tcpClients)
             at += STEP
         return sent, wire, other, ended
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -19,28 +19,28 @@
 from milletsill.http_gateway.resource_limits import SPARE_CLIENTS, BufferBudget
 from milletsill.interface import AttemptOutcome
 from tests.support.http_gateway_rig import (
-    ANSWER,
-    GIVEN,
+    CONFIG,
     NODE,
+    RESPONSE,
     SETTINGS,
     TXN,
-    Served,
-    Wire,
-    ask,
+    MemoryTest,
+    MemoryTransport,
+    req,
 )
 
 
-class Door(Served):
+class Door(MemoryTest):
     def test_a_transfer_passes_unchanged_and_its_answer_comes_back(self):
         for txn, one in (
-            (TXN, ask(method="PUT", name="put", body=b"body", Idempotency_Key="k-1")),
-            (TXN + 1, ask(TXN + 1)),
+            (TXN, req(method="PUT", name="put", body=b"body", Idempotency_Key="k-1")),
+            (TXN + 1, req(TXN + 1)),
         ):
             client, wire = self.client(
                 *[one[place : place + 1] for place in range(len(one))]
             )
             if txn == TXN:
-                link, sent = self.reactor.up(self.dialled(7070)[-1])
+                link, sent = self.reactor.connect(self.dials(7070)[-1])
             text = sent.value()
             self.assertIn(b"X-Txn: %016x\r\n" % txn, text)
             self.assertIn(b"X-Remaining-Ms: ", text)
@@ -49,51 +49,49 @@
                 (txn == TXN,) * 2,
             )
             sent.clear()
-            link.dataReceived(ANSWER)
+            link.dataReceived(RESPONSE)
             self.assertTrue(
                 wire.value().startswith(b"HTTP/1.1 200")
                 and wire.value().endswith(b"\r\n\r\nhi")
             )
-        self.assertEqual(
-            len(self.dialled(7070)), 1
-        )  # the second went over the same link
+        self.assertEqual(len(self.dials(7070)), 1)  # the second went over the same link
 
     def test_what_is_no_transfer_gets_an_error_and_reaches_nobody(self):
         for bad in (
-            ask(drop=["X-Txn"]),
-            ask(drop=["X-IO"]),
-            ask(X_Txn="xyz"),
-            ask(X_Remaining_Ms="NaN"),
-            ask(X_Remaining_Ms="-5"),
-            ask(X_Remaining_Ms="0"),
-            ask(X_Remaining_Ms="9" * 9),
-            ask(X_Lane="put"),
-            ask(name="none"),
-            ask(X_Plan="none"),
-            ask(method="PUT"),
-            ask(body=b"x"),
-            ask(Cookie="block=1"),
-            ask(method="PUT", name="put"),
-            ask(X_IO="volume=00000003b4d60021,units=1e9,shard=0,hosts=1"),
-            ask(X_IO="volume=00000003b4d60021,units=99,shard=0,hosts=1"),
-            ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"),
+            req(drop=["X-Txn"]),
+            req(drop=["X-IO"]),
+            req(X_Txn="xyz"),
+            req(X_Remaining_Ms="NaN"),
+            req(X_Remaining_Ms="-5"),
+            req(X_Remaining_Ms="0"),
+            req(X_Remaining_Ms="9" * 9),
+            req(X_Lane="put"),
+            req(name="none"),
+            req(X_Plan="none"),
+            req(method="PUT"),
+            req(body=b"x"),
+            req(Cookie="block=1"),
+            req(method="PUT", name="put"),
+            req(X_IO="volume=00000003b4d60021,units=1e9,shard=0,hosts=1"),
+            req(X_IO="volume=00000003b4d60021,units=99,shard=0,hosts=1"),
+            req(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"),
             b"\x00\xff\n\n",
             b"x" * 9000,
-            ask(Transfer_Encoding="chunked", Content_Length="4") + b"abcd",
+            req(Transfer_Encoding="chunked", Content_Length="4") + b"abcd",
         ):
             client, wire = self.client(bad)
             self.assertRegex(wire.value(), rb"HTTP/1\.1 (4|5)\d\d ", bad[:200])
             self.assertTrue(wire.half_closed)
-        self.assertEqual((self.dialled(7070), self.gateway.host.unanswered), ([], 0))
+        self.assertEqual((self.dials(7070), self.gateway.host.unanswered), ([], 0))
 
     def test_the_id_of_an_open_transfer_is_refused_and_the_open_one_goes_on(self):
-        (_, first), (link, _) = self.served(answer=None)
-        self.assertIn(b" 409 ", self.client(ask())[1].value())
-        link.dataReceived(ANSWER)
+        (_, first), (link, _) = self.exchange(answer=None)
+        self.assertIn(b" 409 ", self.client(req())[1].value())
+        link.dataReceived(RESPONSE)
         self.assertIn(b" 200 ", first.value())
 
     def test_sixty_megabytes_are_refused_at_the_head_and_not_read(self):
-        head = ask(
+        head = req(
             method="PUT", name="put", Content_Length="62914560", Idempotency_Key="k"
         )
         client, wire = self.client(head)
@@ -106,8 +104,8 @@
         self.assertTrue(wire.aborted)
 
     def test_a_client_that_leaves_has_its_dispatch_given_up(self):
-        (client, _), (_, sent) = self.served(answer=None)
-        self.lost(client)
+        (client, _), (_, sent) = self.exchange(answer=None)
+        self.disconnect(client)
         self.reactor.advance(0.01)
         self.assertEqual(
             (self.gateway.host.unanswered, sent.aborted, self.gateway.host.active),
@@ -117,20 +115,20 @@
     def test_two_requests_in_one_packet_are_answered_in_turn_and_hundreds_are_not_held(
         self,
     ):
-        client, wire = self.client(ask() + ask(TXN + 1))
-        link, sent = self.reactor.up(self.dialled(7070)[-1])
-        link.dataReceived(ANSWER)
+        client, wire = self.client(req() + req(TXN + 1))
+        link, sent = self.reactor.connect(self.dials(7070)[-1])
+        link.dataReceived(RESPONSE)
         self.reactor.advance(0.01)
         self.assertEqual(
             (sent.value().count(b"X-Txn"), wire.value().count(b" 200 ")), (2, 1)
         )
-        client, wire = self.client(b"".join(ask(number) for number in range(100, 400)))
+        client, wire = self.client(b"".join(req(number) for number in range(100, 400)))
         client.dataReceived(b"x")
         self.assertIn(b" 400 ", wire.value())
 
     def test_what_the_module_gives_up_is_declined_with_a_time_to_come_back(self):
         client, wire = self.client(
-            ask(X_IO="volume=00000003b4d60021,units=2,shard=3,hosts=1")
+            req(X_IO="volume=00000003b4d60021,units=2,shard=3,hosts=1")
         )
         self.reactor.pump([0.05] * 20)
         self.assertIn(b" 503 ", wire.value())
@@ -138,7 +136,7 @@
 
     def test_silent_and_slow_connections_end_within_their_spans(self):
         _, silent = self.client()
-        _, slow = self.client(ask()[:40])
+        _, slow = self.client(req()[:40])
         self.reactor.pump([0.1] * 24)
         self.assertEqual(
             (silent.disconnecting, slow.value()[:12]), (True, b"HTTP/1.1 408")
@@ -150,10 +148,10 @@
         self.assertIsNone(self.gateway.listener.buildProtocol(None))
         self.reactor.pump([0.1] * 4)
         self.assertTrue(all(wire.disconnecting for _, wire in silent))
-        self.lost(silent[0][0])
+        self.disconnect(silent[0][0])
         self.assertTrue(self.gateway.listener.paused)  # still over its share
         for protocol, _ in silent[1:]:
-            self.lost(protocol)
+            self.disconnect(protocol)
         self.assertEqual(
             self.gateway.port.numberAccepts, 1
         )  # as when the first was let in again
@@ -162,10 +160,10 @@
         )
 
     def test_an_answer_that_is_not_taken_is_counted_until_it_is(self):
-        (client, wire), (link, _) = self.served(answer=None)
+        (client, wire), (link, _) = self.exchange(answer=None)
         write = wire.write
         wire.write = lambda data: (client.pauseProducing(), write(data))
-        link.dataReceived(ANSWER)
+        link.dataReceived(RESPONSE)
         self.assertEqual(self.gateway.buffers.held, 2)
         client.resumeProducing()
         self.assertEqual(self.gateway.buffers.held, 0)
@@ -174,7 +172,7 @@
         ready = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
         kept, wire = self.client(ready)
         self.assertIn(b" 200 ", wire.value())
-        (_, busy), (link, _) = self.served(answer=None)
+        (_, busy), (link, _) = self.exchange(answer=None)
         ended = []
         self.gateway.on_stopped = lambda: ended.append(self.now())
         self.gateway.terminate()
@@ -182,7 +180,7 @@
         kept.dataReceived(ready)
         self.assertIn(b" 503 ", wire.value())
         self.assertFalse(wire.disconnecting)
-        link.dataReceived(ANSWER)
+        link.dataReceived(RESPONSE)
         self.assertIn(b" 200 ", busy.value())
         self.reactor.pump([0.05] * 40)
         self.assertEqual(
@@ -191,7 +189,7 @@
         )
 
 
-class Links(Served):
+class Links(MemoryTest):
     def ended(self):
         """How the dispatches ended that were counted."""
         return {
@@ -213,10 +211,10 @@
                 b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab",
                 AttemptOutcome.ERROR,
             ),
-            (b"HTTP/1.1 100 Go\r\n\r\n" + ANSWER, AttemptOutcome.SUCCEEDED),
+            (b"HTTP/1.1 100 Go\r\n\r\n" + RESPONSE, AttemptOutcome.SUCCEEDED),
         ):
             self.setUp()
-            (_, wire), (link, sent) = self.served(answer)
+            (_, wire), (link, sent) = self.exchange(answer)
             self.assertEqual(self.ended(), {outcome.value: 1}, answer)
             self.assertEqual(
                 sent.aborted,
@@ -230,19 +228,19 @@
             (False, AttemptOutcome.RESET, b""),
         ):
             self.setUp()
-            (_, wire), (link, _) = self.served(b"HTTP/1.1 200 OK\r\n\r\nab")
+            (_, wire), (link, _) = self.exchange(b"HTTP/1.1 200 OK\r\n\r\nab")
             self.assertEqual((self.ended(), wire.value()), ({}, b""))
-            self.lost(link, clean)
+            self.disconnect(link, clean)
             self.assertEqual(self.ended(), {outcome.value: 1})
             self.assertIn(said, wire.value())
 
     def test_octets_behind_a_good_answer_retire_its_link(self):
-        (_, wire), (_, sent) = self.served(ANSWER + b"HTTP/1.1 200 OK\r\n")
+        (_, wire), (_, sent) = self.exchange(RESPONSE + b"HTTP/1.1 200 OK\r\n")
         self.assertEqual(
             (wire.value()[-2:], sent.aborted, self.gateway.node_pools.open_connections),
             (b"hi", True, 0),
         )
-        (_, wire), (link, sent) = self.served(ANSWER, txn=TXN + 1)
+        (_, wire), (link, sent) = self.exchange(RESPONSE, txn=TXN + 1)
         link.dataReceived(b"noise")  # later, nothing waits
         self.assertTrue(sent.aborted)
 
@@ -254,30 +252,30 @@
             (True, AttemptOutcome.RESET),
         ):
             self.setUp()
-            _, (link, _) = self.served(None)
+            _, (link, _) = self.exchange(None)
             link.written = written
-            self.lost(link, clean=False)
+            self.disconnect(link, clean=False)
             self.assertEqual(self.ended(), {outcome.value: 1})
 
     def test_an_idle_link_that_closes_before_we_wrote_all_costs_nothing(self):
-        _, (link, _) = self.served()
-        self.client(ask(TXN + 1))
+        _, (link, _) = self.exchange()
+        self.client(req(TXN + 1))
         self.assertIsNotNone(link.exchange)
         link.written = False
-        self.lost(link)
+        self.disconnect(link)
         self.reactor.advance(0)
-        self.assertEqual((self.ended(), len(self.dialled(7070))), ({"satisfied": 1}, 2))
-        _, sent = self.reactor.up()
+        self.assertEqual((self.ended(), len(self.dials(7070))), ({"satisfied": 1}, 2))
+        _, sent = self.reactor.connect()
         self.assertIn(b"X-Txn: %016x" % (TXN + 1), sent.value())
 
     def test_a_dial_that_fails_is_unreached(self):
-        self.client(ask())
-        self.reactor.tcpClients[self.dialled(7070)[0]][2].clientConnectionFailed(
+        self.client(req())
+        self.reactor.tcpClients[self.dials(7070)[0]][2].clientConnectionFailed(
             SimpleNamespace(transport=None), None
         )
         self.assertEqual(
             (self.ended()["unreached"], self.gateway.node_pools.open_connections),
-            (1, len(self.dialled(7070)) - 1),
+            (1, len(self.dials(7070)) - 1),
         )
 
     def fleet(self, most=4, octets=None):
@@ -314,8 +312,8 @@
             self.now() + 9000,
             lambda *values: None,
         )
-        link, wire = self.reactor.up()
-        link.dataReceived(ANSWER)
+        link, wire = self.reactor.connect()
+        link.dataReceived(RESPONSE)
         fleet.update(
             False,
             [parse_node(NODE | {"id": "s-2", "addr": "127.0.0.1:7071"}, ["z"], 0)],
@@ -327,8 +325,8 @@
             lambda *values: None,
         )
         self.assertEqual((wire.aborted, fleet.open_connections), (True, 1))
-        other, wire = self.reactor.up()
-        other.dataReceived(ANSWER)
+        other, wire = self.reactor.connect()
+        other.dataReceived(RESPONSE)
         self.reactor.advance(22)
         fleet.check()
         self.assertEqual((wire.aborted, fleet.open_connections), (True, 0))
@@ -345,7 +343,7 @@
                 self.now() + 9000,
                 lambda *values: ended.append(values[0]),
             )
-        links = [self.reactor.up(place)[0] for place in self.dialled(7070)[-2:]]
+        links = [self.reactor.connect(place)[0] for place in self.dials(7070)[-2:]]
         for link in links:
             link.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n")
         links[0].dataReceived(b"x" * 400_000)
@@ -368,7 +366,7 @@
         self.assertEqual(len(fleet.pools), 2)
 
     def test_a_dial_that_ended_leaves_no_circle(self):
-        protocol, wire = Protocol(), Wire()
+        protocol, wire = Protocol(), MemoryTransport()
         connector = SimpleNamespace(
             transport=wire, factory=SingleConnector(protocol, lambda: None)
         )
@@ -388,7 +386,7 @@
         )
 
 
-class AtSize(Served):
+class AtSize(MemoryTest):
     """A thousand nodes and gateways in the settings, within the descriptors that the configuration states."""
 
     def deployment(self, **changed):
@@ -400,7 +398,7 @@
         extra = SETTINGS["extra"] | {"slots_total": 1024}
         settings = SETTINGS | {"peers_total": 1024, "self_index": 1023, "extra": extra}
         return parse_configuration(
-            GIVEN
+            CONFIG
             | {
                 "settings": settings,
                 "known": {"version": 4, "full": True, "servers": servers},
@@ -418,21 +416,21 @@
         )
         for cell in range(1024):
             client, wire = self.client(
-                ask(
+                req(
                     txn=cell + 1,
                     X_IO=f"volume=00000003b4d60021,units=2,shard={cell},hosts=1",
                 )
             )
-            node, _ = self.reactor.up(self.dialled(10_000 + cell)[-1])
-            node.dataReceived(ANSWER)
+            node, _ = self.reactor.connect(self.dials(10_000 + cell)[-1])
+            node.dataReceived(RESPONSE)
             self.assertIn(b"200 OK", wire.value())
-            self.lost(client)
+            self.disconnect(client)
             self.reactor.advance(0)
             self.assertLessEqual(fleet.open_connections, fleet.max_connections)
 
     def test_its_tally_tells_of_the_nodes_in_use_alone(self):
-        self.client(ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"))
-        self.reactor.up(self.dialled(10_009)[-1])
+        self.client(req(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"))
+        self.reactor.connect(self.dials(10_009)[-1])
         self.log.clear()
         self.gateway.log_report()
         self.assertEqual(
--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from milletsill.http_gateway.client_connection_state import IDLE_TIMEOUT
-from tests.support.http_gateway_rig import TXN, Loopback, ask
+from tests.support.http_gateway_rig import TXN, Loopback, req
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 LIVE = b"GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -24,51 +24,51 @@
         b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 4000,
         "a head over the bound",
     ),
-    "half a request": (ask()[:60], "a request that does not end"),
+    "half a request": (req()[:60], "a request that does not end"),
     "a body that never comes": (
-        ask(Content_Length="100", **KEYED),
+        req(Content_Length="100", **KEYED),
         "a request that does not end",
     ),
     "half a body": (
-        ask(Content_Length="65536", **KEYED) + b"x" * 30_000,
+        req(Content_Length="65536", **KEYED) + b"x" * 30_000,
         "a request that does not end",
     ),
     "silence": (b"", ""),
     "a length below zero": (
-        ask(Content_Length="-5", **KEYED),
+        req(Content_Length="-5", **KEYED),
         "a head that cannot be read",
     ),
     "a length that is huge": (
-        ask(Content_Length="9" * 30, **KEYED),
+        req(Content_Length="9" * 30, **KEYED),
         "a head that cannot be read",
     ),
     "two ways to tell the length": (
-        ask(Content_Length="4", Transfer_Encoding="chunked", **KEYED) + b"abcd",
+        req(Content_Length="4", Transfer_Encoding="chunked", **KEYED) + b"abcd",
         "a head that cannot be read",
     ),
     "sixty megabytes": (
-        ask(Content_Length="62914560", **KEYED) + b"x" * 300_000,
+        req(Content_Length="62914560", **KEYED) + b"x" * 300_000,
         "a body over the bound",
     ),
     "chunks that are none": (
-        ask(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
+        req(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
         "chunks that cannot be read",
     ),
     "chunks without number": (
-        ask(Transfer_Encoding="chunked", **KEYED) + b"1\r\nx\r\n" * 9000,
+        req(Transfer_Encoding="chunked", **KEYED) + b"1\r\nx\r\n" * 9000,
         "a body in too many chunks",
     ),
     "chunks without an end": (
-        ask(Transfer_Encoding="chunked", **KEYED) + b"1000\r\n" + b"x" * 4096 + b"\r\n",
+        req(Transfer_Encoding="chunked", **KEYED) + b"1000\r\n" + b"x" * 4096 + b"\r\n",
         "a request that does not end",
     ),
-    "a class that does not exist": (ask(name="none"), "x-lane is not known"),
-    "a plan that does not exist": (ask(X_Plan="none"), "x-plan is not known"),
-    "a deadline that is no number": (ask(X_Remaining_Ms="NaN"), "x-remaining-ms"),
-    "no id": (ask(drop=["X-Txn"]), "x-txn"),
-    "the id of another's open request": (ask(TXN + 7), "x-txn is another's open one"),
+    "a class that does not exist": (req(name="none"), "x-lane is not known"),
+    "a plan that does not exist": (req(X_Plan="none"), "x-plan is not known"),
+    "a deadline that is no number": (req(X_Remaining_Ms="NaN"), "x-remaining-ms"),
+    "no id": (req(drop=["X-Txn"]), "x-txn"),
+    "the id of another's open request": (req(TXN + 7), "x-txn is another's open one"),
     "hundreds at once": (
-        b"".join(ask(number) for number in range(100, 400)) + b"x",
+        b"".join(req(number) for number in range(100, 400)) + b"x",
         "too much ahead of an answer",
     ),
 }
@@ -91,7 +91,7 @@
 
     def served(self, client, link, txn):
         """A usual request from end to end, without the clock moving."""
-        client.sendall(ask(txn))
+        client.sendall(req(txn))
         self.until(lambda: b"X-Txn" in self.got(link)[0], "it did not come to the node")
         link.sendall(ANSWER)
         self.until(
@@ -103,9 +103,9 @@
     ):
         for name, (data, cause) in BAD.items():
             with self.subTest(name):
-                self.again()
-                other = self.client(ask(TXN + 7))
-                link = self.taken()
+                self.restart()
+                other = self.client(req(TXN + 7))
+                link = self.accept()
                 one = self.client()
                 began = self.time
                 self.flood(one, data)
@@ -128,7 +128,7 @@
                     [cause] if cause else [],
                 )
                 self.assertEqual(list(self.refused().values()), [1] if cause else [])
-                other.sendall(ask(TXN + 8))
+                other.sendall(req(TXN + 8))
                 self.until(lambda: b"X-Txn" in self.got(link)[0])
                 link.sendall(ANSWER)
                 self.until(
@@ -152,13 +152,13 @@
         """
         for over in ("open", "answered", "declined", "left"):
             with self.subTest(over):
-                self.again()
+                self.restart()
                 elsewhere = (
                     {"X_IO": "volume=00000003b4d60021,units=2,shard=3,hosts=1"}
                     if over == "declined"
                     else {}
                 )
-                other = self.client(ask(**elsewhere))
+                other = self.client(req(**elsewhere))
                 if over == "declined":  # no node leads there
                     while (
                         not self.gateway.report.counts["answer", "declined"]
@@ -166,7 +166,7 @@
                     ):
                         self.pass_time(0.02)
                 else:
-                    link = self.taken()
+                    link = self.accept()
                     if over == "answered":
                         link.sendall(ANSWER)
                         self.until(lambda: b" 200 " in self.got(other)[0])
@@ -176,8 +176,8 @@
                             lambda: self.gateway.report.counts["answer", "abandoned"]
                         )
                 sent = self.gateway.report.counts["dispatch", "0"]
-                one = self.client(ask())
-                data, how = self.all_of(one)  # the clock stands
+                one = self.client(req())
+                data, how = self.read_all(one)  # the clock stands
                 self.assertEqual(
                     (data[:12], how, self.gateway.report.counts["dispatch", "0"]),
                     (b"HTTP/1.1 409", "ended", sent),
@@ -185,7 +185,7 @@
                 self.assertEqual(self.refused(), {"x-txn is another's open one": 1})
                 if over != "open":
                     self.pass_time(1.0)
-                    late = self.client(ask(**elsewhere))
+                    late = self.client(req(**elsewhere))
                     self.until(lambda: self.gateway.host.unanswered == 1, "not taken")
                     late.close()
 
@@ -196,14 +196,14 @@
         """
         for begins in (
             b"GET / HTTP/1.1\r\nX: ",
-            ask(Content_Length="900", **KEYED),
-            ask(Transfer_Encoding="chunked", **KEYED) + b"200\r\n",
+            req(Content_Length="900", **KEYED),
+            req(Transfer_Encoding="chunked", **KEYED) + b"200\r\n",
         ):
             for behind in (False, True):
                 with self.subTest(begins[:9], behind=behind):
-                    self.again()
-                    usual = self.client(ask(TXN + 7))
-                    link = self.taken()
+                    self.restart()
+                    usual = self.client(req(TXN + 7))
+                    link = self.accept()
                     link.sendall(ANSWER)
                     self.until(lambda: b" 200 " in self.got(usual)[0])
                     one, sent = self.client(), 0
@@ -227,18 +227,18 @@
     def test_who_begins_late_has_its_word_in_time_too(self):
         for waits in (0.5, 1.5, 2.1):
             with self.subTest(waits=waits):
-                self.again()
+                self.restart()
                 one = self.client()
                 self.pass_time(waits)
-                one.sendall(ask()[:60])
+                one.sendall(req()[:60])
                 self.pass_time(OWED - 0.02 - waits)
                 self.assertEqual(self.got(one)[0][:12], b"HTTP/1.1 408")
 
     def test_who_asks_on_and_on_and_reads_nothing_is_refused_holds_little_and_costs_others_nothing(
         self,
     ):
-        other = self.client(ask(TXN + 7))
-        link = self.taken()
+        other = self.client(req(TXN + 7))
+        link = self.accept()
         one = self.client(window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -262,11 +262,11 @@
         )
 
     def test_the_same_again_the_moment_it_is_turned_away_holds_nobody_up(self):
-        other = self.client(ask())
-        link = self.taken()
+        other = self.client(req())
+        link = self.accept()
         for turn in range(200):
-            one = self.client(ask(name="none"))
-            data, how = self.all_of(one)
+            one = self.client(req(name="none"))
+            data, how = self.read_all(one)
             self.assertEqual((data[:12], how), (b"HTTP/1.1 404", "ended"))
             one.close()
         link.sendall(ANSWER)
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -22,12 +22,12 @@
 )
 from milletsill.http_gateway.resource_limits import SPARE_CLIENTS
 from tests.support.http_gateway_rig import (
-    GIVEN,
+    CONFIG,
     NODE,
     TXN,
     Loopback,
-    ask,
     node_stand_in,
+    req,
 )
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -43,7 +43,7 @@
         for _ in range(count):
             one = socket.socket()
             one.setblocking(False)
-            one.connect_ex(("127.0.0.1", self.door))
+            one.connect_ex(("127.0.0.1", self.port))
             self.sockets.append(one)
             for each in data:
                 one.sendall(each)
@@ -70,14 +70,14 @@
 
         And one that waits before the door behind them all.
         """
-        usual = self.client(ask())
-        link = self.taken()
+        usual = self.client(req())
+        link = self.accept()
         self.burst(300)
         self.turn(10)
         self.assertTrue(self.gateway.listener.paused)
         late = socket.socket()
         late.setblocking(False)
-        late.connect_ex(("127.0.0.1", self.door))
+        late.connect_ex(("127.0.0.1", self.port))
         self.sockets.append(late)
         late.sendall(READY)
         for number in range(3):
@@ -86,7 +86,7 @@
                 lambda: self.got(usual)[0].endswith(b"hi"),
                 "the usual client is not served",
             )
-            usual.sendall(ask(TXN + 1 + number))
+            usual.sendall(req(TXN + 1 + number))
             self.until(lambda: b"X-Txn" in self.got(link)[0])
         began, data = self.time, b""
         while not data and self.time < began + 6:
@@ -134,8 +134,8 @@
         self.turn(5)
         moved.setblocking(False)
         moved.accept()[0].close()  # the call is there, with nobody gone yet
-        resting[0].sendall(ask())
-        link = self.taken()
+        resting[0].sendall(req())
+        link = self.accept()
         link.sendall(ANSWER)
         self.until(lambda: b" 200 " in self.got(resting[0])[0])
         for each in resting[1:]:
@@ -145,7 +145,7 @@
         self.assertTrue(all(b" 200 " in self.got(each)[0] for each in resting[1:]))
         late = socket.socket()
         late.setblocking(False)
-        late.connect_ex(("127.0.0.1", self.door))
+        late.connect_ex(("127.0.0.1", self.port))
         self.sockets.append(late)
         late.sendall(READY)
         self.pass_time(4.0)
@@ -174,9 +174,9 @@
         """
         for mode, within in (("on_request", 2.0), ("pushed", 0.6)):
             self.changed = Share.changed | {
-                "settings": GIVEN["settings"] | {"membership_mode": mode}
+                "settings": CONFIG["settings"] | {"membership_mode": mode}
             }
-            self.again()
+            self.restart()
             address = self.listener.getsockname()
             self.listener.close()
             self.gateway.watcher.watch.end("down")
@@ -210,7 +210,7 @@
             back.accept()[0].close()
 
     def test_too_many_and_too_late_are_told_when_to_come_back(self):
-        one = self.client(ask(X_Remaining_Ms="3"))
+        one = self.client(req(X_Remaining_Ms="3"))
         self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
         data, how = self.got(one)
@@ -218,12 +218,12 @@
         self.assertIn(b"Retry-After: 1.500\r\n", data)
 
     def test_where_the_settings_tell_no_time_none_is_named(self):
-        settings = GIVEN["settings"] | {
-            "limits": GIVEN["settings"]["limits"] | {"retry_after": False}
+        settings = CONFIG["settings"] | {
+            "limits": CONFIG["settings"]["limits"] | {"retry_after": False}
         }
         self.changed = {"settings": settings}
-        self.again()
-        one = self.client(ask(X_Remaining_Ms="3"))
+        self.restart()
+        one = self.client(req(X_Remaining_Ms="3"))
         self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
         self.assertNotIn(b"Retry-After", self.got(one)[0])
@@ -243,9 +243,9 @@
         """Clients that had a transfer's answer and rest, and the one link that carried all."""
         ones = []
         for number in range(count):
-            ones.append(self.client(ask(TXN + 100 + number)))
+            ones.append(self.client(req(TXN + 100 + number)))
             if link is None:
-                link = self.taken()
+                link = self.accept()
             else:
                 self.carried(link)
             link.sendall(ANSWER)
@@ -266,7 +266,7 @@
     def before_the_door(self):
         late = socket.socket()
         late.setblocking(False)
-        late.connect_ex(("127.0.0.1", self.door))
+        late.connect_ex(("127.0.0.1", self.port))
         self.sockets.append(late)
         late.sendall(READY)
         self.turn(5)
@@ -297,7 +297,7 @@
         A usual client is served all the same, in good time.
         """
         for asks in (READY, LIVE):
-            self.again()
+            self.restart()
             crowd = [
                 self.client(asks) for _ in range(self.gateway.listener.max_connections)
             ]
@@ -308,11 +308,11 @@
             ]
             usual = socket.socket()
             usual.setblocking(False)
-            usual.connect_ex(("127.0.0.1", self.door))
+            usual.connect_ex(("127.0.0.1", self.port))
             self.sockets.append(usual)
-            usual.sendall(ask())
+            usual.sendall(req())
             self.pass_time(0.4)
-            self.taken().sendall(ANSWER)
+            self.accept().sendall(ANSWER)
             self.until(
                 lambda: b" 200 " in self.got(usual)[0], "a usual client is not served"
             )
@@ -324,8 +324,8 @@
         """
         resting, link = self.resting(self.gateway.listener.max_connections)
         self.before_the_door()
-        resting[0].sendall(ask())
-        self.unread()
+        resting[0].sendall(req())
+        self.wait_for_input()
         self.time += self.SPAN + 0.01
         self.turn()
         self.carried(link)
@@ -343,13 +343,13 @@
     def test_a_last_answer_that_is_being_taken_is_not_torn_before_it(self):
         for takes in (True, False):
             with self.subTest(takes=takes):
-                self.again()
-                one = self.client(ask(Connection="close"), window=4096)
+                self.restart()
+                one = self.client(req(Connection="close"), window=4096)
                 protocol = self.server_side()
                 protocol.transport.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
-                link = self.taken()
+                link = self.accept()
                 link.sendall(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
                     + b"x" * 400_000
@@ -389,7 +389,7 @@
             def write(discovery):
                 with open(path, "w") as file:
                     json.dump(
-                        GIVEN
+                        CONFIG
                         | {
                             "listen": f"127.0.0.1:{names[2]}",
                             "discovery": f"127.0.0.1:{discovery}",
@@ -430,7 +430,7 @@
                     moved.settimeout(5)
                     moved.accept()[0].close()
                     for each in (
-                        ask(X_Remaining_Ms="5000"),
+                        req(X_Remaining_Ms="5000"),
                         READY,
                     ):  # on new connections: they wait before the door
                         other = self.reached(names[2])
--- a/tests/http_gateway/test_races_endpoint_lists.py
+++ b/tests/http_gateway/test_races_endpoint_lists.py
@@ -14,44 +14,48 @@
     SILENCE_BEFORE_NEW_WATCH,
 )
 from milletsill.interface import EndpointUpdateKind
-from tests.support.discovery_connections import BEAT, HEAD, LOOK, Held, said
+from tests.support.discovery_connections import (
+    CHECK_INTERVAL,
+    HEAD,
+    HEARTBEAT,
+    WatcherTest,
+    list_line,
+)
 from tests.support.http_gateway_rig import NODE
 
 
-class Crossing(Held):
+class Crossing(WatcherTest):
     def test_a_call_that_is_taken_and_never_answered_is_over_after_its_time(self):
-        for answer in (b"", HEAD, HEAD + said(9)[:40]):
-            self.told.clear()
-            self.follower.request_watch()
-            end, _ = self.taken()
+        for answer in (b"", HEAD, HEAD + list_line(9)[:40]):
+            self.updates.clear()
+            self.watcher.request_watch()
+            end, _ = self.accept_watch()
             end.sendall(answer)
-            self.until(
-                lambda: bool(self.follower.watch.response.status) == bool(answer)
-            )
-            self.go(FIRST_VALUE_TIMEOUT)
-            self.assertEqual(self.failed(), 0, answer)
-            self.go(2 * LOOK)
-            self.assertEqual(self.failed(), 1, answer)
+            self.until(lambda: bool(self.watcher.watch.response.status) == bool(answer))
+            self.advance(FIRST_VALUE_TIMEOUT)
+            self.assertEqual(self.failure_count(), 0, answer)
+            self.advance(2 * CHECK_INTERVAL)
+            self.assertEqual(self.failure_count(), 1, answer)
 
     def test_an_answer_octet_by_octet_is_read_whole_or_over_in_the_same_time(self):
-        self.follower.request_watch()
-        end, _ = self.taken()
+        self.watcher.request_watch()
+        end, _ = self.accept_watch()
         for place in range(len(HEAD)):
             end.sendall(HEAD[place : place + 1])
-        self.until(lambda: self.follower.watch.response.status)
-        text = said(7, True)
+        self.until(lambda: self.watcher.watch.response.status)
+        text = list_line(7, True)
         spent = 0
-        while not self.failed():
-            self.assertLess(spent, FIRST_VALUE_TIMEOUT + 3 * LOOK)
-            end.sendall(text[spent // LOOK : spent // LOOK + 1])
-            self.go(LOOK)
-            spent += LOOK
-        self.follower.request_watch()
-        end, _ = self.taken()
+        while not self.failure_count():
+            self.assertLess(spent, FIRST_VALUE_TIMEOUT + 3 * CHECK_INTERVAL)
+            end.sendall(text[spent // CHECK_INTERVAL : spent // CHECK_INTERVAL + 1])
+            self.advance(CHECK_INTERVAL)
+            spent += CHECK_INTERVAL
+        self.watcher.request_watch()
+        end, _ = self.accept_watch()
         for place in range(len(HEAD + text)):
             end.sendall((HEAD + text)[place : place + 1])
             self.turn()
-        self.until(lambda: self.told[-1] == (EndpointUpdateKind.SNAPSHOT, "ready"))
+        self.until(lambda: self.updates[-1] == (EndpointUpdateKind.SNAPSHOT, "ready"))
 
     def test_an_indented_list_that_comes_in_pieces_and_one_that_stops_half_way(self):
         text = (
@@ -61,19 +65,21 @@
             + b"\n"
         )
         for cut in range(1, len(text), 17):
-            self.told.clear()
-            self.follower.request_watch()
-            end, _ = self.taken()
+            self.updates.clear()
+            self.watcher.request_watch()
+            end, _ = self.accept_watch()
             end.sendall(HEAD + b"%x\r\n%s\r\n" % (cut, text[:cut]))
-            self.until(lambda: self.follower.watch.response.status)
-            end.sendall(BEAT)  # between two parts it says nothing
-            self.go(FIRST_VALUE_TIMEOUT - LOOK)
-            self.assertEqual(self.told, [], cut)
+            self.until(lambda: self.watcher.watch.response.status)
+            end.sendall(HEARTBEAT)  # between two parts it says nothing
+            self.advance(FIRST_VALUE_TIMEOUT - CHECK_INTERVAL)
+            self.assertEqual(self.updates, [], cut)
             end.sendall(b"%x\r\n%s\r\n" % (len(text) - cut, text[cut:]))
-            self.until(lambda: self.told)
-            self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, "ready")], cut)
+            self.until(lambda: self.updates)
+            self.assertEqual(
+                self.updates, [(EndpointUpdateKind.SNAPSHOT, "ready")], cut
+            )
             self.reset(end)
-            self.until(self.failed)
+            self.until(self.failure_count)
 
     def test_a_list_without_a_line_end_is_told_at_once_and_what_is_no_whole_one_is_not(
         self,
@@ -85,21 +91,21 @@
                 "servers": [NODE, NODE | {"id": "} ] }", "zone": "{"}],
             }
             text = json.dumps(whole, indent=indent).encode()
-            self.told.clear()
-            self.follower.request_watch()
-            end, _ = self.taken()
+            self.updates.clear()
+            self.watcher.request_watch()
+            end, _ = self.accept_watch()
             end.sendall(HEAD)
             for place in range(len(text)):
-                self.assertEqual(self.told, [], text[:place])
+                self.assertEqual(self.updates, [], text[:place])
                 end.sendall(b"1\r\n%s\r\n" % text[place : place + 1])
                 self.turn()
-            self.until(lambda: self.told)
-            self.go(2 * LOOK)
-            end.sendall(BEAT)  # its line end
-            end.sendall(said(version + 1, state="leaving"))
-            self.until(lambda: len(self.told) > 1)
+            self.until(lambda: self.updates)
+            self.advance(2 * CHECK_INTERVAL)
+            end.sendall(HEARTBEAT)  # its line end
+            end.sendall(list_line(version + 1, state="leaving"))
+            self.until(lambda: len(self.updates) > 1)
             self.assertEqual(
-                self.told,
+                self.updates,
                 [
                     (EndpointUpdateKind.SNAPSHOT, "ready", "ready"),
                     (EndpointUpdateKind.DELTA, "draining"),
@@ -107,22 +113,24 @@
                 indent,
             )
             self.reset(end)
-            self.until(self.failed)
+            self.until(self.failure_count)
 
     def test_half_a_line_then_silence_on_a_watch_that_stands_opens_another_in_time(
         self,
     ):
-        old = self.standing()
-        old.sendall(said(8)[:40])
-        self.until(lambda: self.follower.watch.response.line)
-        for place in range(SILENCE_BEFORE_NEW_WATCH[1] // LOOK + 2):  # and it drips
-            old.sendall(said(8)[40 + place : 41 + place])
-            self.go(LOOK)
-        end, asked = self.taken()
-        end.sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: len(self.told) == 2)
+        old = self.open_watch()
+        old.sendall(list_line(8)[:40])
+        self.until(lambda: self.watcher.watch.response.line)
+        for place in range(
+            SILENCE_BEFORE_NEW_WATCH[1] // CHECK_INTERVAL + 2
+        ):  # and it drips
+            old.sendall(list_line(8)[40 + place : 41 + place])
+            self.advance(CHECK_INTERVAL)
+        end, asked = self.accept_watch()
+        end.sendall(HEAD + list_line(8, state="leaving"))
+        self.until(lambda: len(self.updates) == 2)
         self.assertEqual(
-            (asked, self.told[-1], self.failed()),
+            (asked, self.updates[-1], self.failure_count()),
             (7, (EndpointUpdateKind.DELTA, "draining"), 0),
         )
         self.assertLess(self.clock, NOTIFIED_WITHIN - FIRST_VALUE_TIMEOUT)
@@ -130,26 +138,28 @@
     def test_a_reset_in_mid_line_tells_nothing_of_it_and_asks_from_the_version_held(
         self,
     ):
-        end = self.standing()
-        end.sendall(said(8)[:40])
-        self.until(lambda: self.follower.watch.response.line)
+        end = self.open_watch()
+        end.sendall(list_line(8)[:40])
+        self.until(lambda: self.watcher.watch.response.line)
         self.reset(end)
-        self.until(self.failed)
-        self.follower.request_watch()
-        self.assertEqual((self.taken()[1], len(self.told)), (7, 2))
+        self.until(self.failure_count)
+        self.watcher.request_watch()
+        self.assertEqual((self.accept_watch()[1], len(self.updates)), (7, 2))
 
     def test_a_list_with_the_end_right_behind_it_counts_and_the_end_too(self):
         for end_of_it in (b"0\r\n\r\n", b""):
-            self.told.clear()
-            self.follower.version = 0
-            self.follower.request_watch()
-            end, _ = self.taken()
+            self.updates.clear()
+            self.watcher.version = 0
+            self.watcher.request_watch()
+            end, _ = self.accept_watch()
             end.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
-            end.sendall(HEAD + said(7, True) + said(8, state="leaving") + end_of_it)
+            end.sendall(
+                HEAD + list_line(7, True) + list_line(8, state="leaving") + end_of_it
+            )
             end.shutdown(socket.SHUT_WR)
-            self.until(self.failed)
+            self.until(self.failure_count)
             self.assertEqual(
-                self.told,
+                self.updates,
                 [
                     (EndpointUpdateKind.SNAPSHOT, "ready"),
                     (EndpointUpdateKind.DELTA, "draining"),
@@ -159,38 +169,38 @@
 
     def test_the_old_watch_speaks_in_the_moment_of_the_new_ones_first_line(self):
         for first in ("old", "new"):
-            self.again()
-            old = self.standing()
-            self.go(SILENCE_BEFORE_NEW_WATCH[1] + 2 * LOOK)
-            new, asked = self.taken()
+            self.restart()
+            old = self.open_watch()
+            self.advance(SILENCE_BEFORE_NEW_WATCH[1] + 2 * CHECK_INTERVAL)
+            new, asked = self.accept_watch()
             lines = {
-                "old": (old, said(8, state="leaving")),
-                "new": (new, HEAD + said(8, state="leaving")),
+                "old": (old, list_line(8, state="leaving")),
+                "new": (new, HEAD + list_line(8, state="leaving")),
             }
             for name in (first, "old" if first == "new" else "new"):
                 end, text = lines[name]
                 end.sendall(text)
-            self.until(lambda: self.follower.previous is None)
+            self.until(lambda: self.watcher.previous is None)
             self.turn(5)
             self.assertEqual(
-                (asked, self.failed(), {each[1:] for each in self.told[1:]}),
+                (asked, self.failure_count(), {each[1:] for each in self.updates[1:]}),
                 (7, 0, {("draining",)}),
                 first,
             )
-            new.sendall(said(9))
-            self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "ready"))
+            new.sendall(list_line(9))
+            self.until(lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "ready"))
 
     def test_a_watch_that_is_reset_between_the_ask_and_the_open_leaves_one_call(self):
-        old = self.standing()
-        self.clock += SILENCE_BEFORE_NEW_WATCH[1] + LOOK
+        old = self.open_watch()
+        self.clock += SILENCE_BEFORE_NEW_WATCH[1] + CHECK_INTERVAL
         self.reset(old)
-        self.follower.check()  # asks; in the turn that opens, the reset is read first
-        self.until(lambda: self.follower.previous is None)
-        end, asked = self.taken()
-        end.sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: len(self.told) == 2)
+        self.watcher.check()  # asks; in the turn that opens, the reset is read first
+        self.until(lambda: self.watcher.previous is None)
+        end, asked = self.accept_watch()
+        end.sendall(HEAD + list_line(8, state="leaving"))
+        self.until(lambda: len(self.updates) == 2)
         self.assertEqual(
-            (asked, self.told[-1], self.failed()),
+            (asked, self.updates[-1], self.failure_count()),
             (7, (EndpointUpdateKind.DELTA, "draining"), 0),
         )
 
@@ -200,47 +210,55 @@
             ("after it", 0),
             ("never", 0),
         ):
-            self.again()
-            self.follower.request_watch()
-            first, _ = self.taken()
+            self.restart()
+            self.watcher.request_watch()
+            first, _ = self.accept_watch()
             there = self.discovery()
-            self.follower.move(there.address)
+            self.watcher.move(there.address)
             if crosses == "before the new call":
-                first.sendall(HEAD + said(7, True))
-                self.until(lambda: self.told)
-            new, asked = self.taken(there)
+                first.sendall(HEAD + list_line(7, True))
+                self.until(lambda: self.updates)
+            new, asked = self.accept_watch(there)
             self.assertEqual(asked, wanted, crosses)
             if crosses == "after it":
-                first.sendall(HEAD + said(7, True))
-                self.until(lambda: self.told)
-            new.sendall(HEAD + said(8, True, state="leaving"))
-            self.until(lambda: (EndpointUpdateKind.SNAPSHOT, "draining") in self.told)
-            self.until(lambda: self.follower.previous is None)
+                first.sendall(HEAD + list_line(7, True))
+                self.until(lambda: self.updates)
+            new.sendall(HEAD + list_line(8, True, state="leaving"))
+            self.until(
+                lambda: (EndpointUpdateKind.SNAPSHOT, "draining") in self.updates
+            )
+            self.until(lambda: self.watcher.previous is None)
             self.assertEqual(
-                (self.failed(), len(self.told)), (0, 2 - (crosses == "never")), crosses
+                (self.failure_count(), len(self.updates)),
+                (0, 2 - (crosses == "never")),
+                crosses,
             )
 
     def test_sighup_to_an_address_that_takes_the_call_and_never_answers_while_the_old_watch_beats_on(
         self,
     ):
-        old = self.standing()
+        old = self.open_watch()
         there = self.discovery()
-        self.follower.move(there.address)
+        self.watcher.move(there.address)
         moved = self.clock
-        self.taken(there)
-        for _ in range(FIRST_VALUE_TIMEOUT // LOOK // 10 + 1):  # the old one beats on
-            old.sendall(BEAT)
+        self.accept_watch(there)
+        for _ in range(
+            FIRST_VALUE_TIMEOUT // CHECK_INTERVAL // 10 + 1
+        ):  # the old one beats on
+            old.sendall(HEARTBEAT)
             self.turn(2)
-            self.go(10 * LOOK)
-        self.assertIsNone(self.follower.watch)
-        while not self.failed():
-            self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - 3 * LOOK)
-            old.sendall(BEAT)
-            self.go(LOOK)
-        self.follower.request_watch()
-        end, asked = self.taken(there)
-        end.sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
+            self.advance(10 * CHECK_INTERVAL)
+        self.assertIsNone(self.watcher.watch)
+        while not self.failure_count():
+            self.assertLess(
+                self.clock - moved, NOTIFIED_AFTER_MOVE - 3 * CHECK_INTERVAL
+            )
+            old.sendall(HEARTBEAT)
+            self.advance(CHECK_INTERVAL)
+        self.watcher.request_watch()
+        end, asked = self.accept_watch(there)
+        end.sendall(HEAD + list_line(8, state="leaving"))
+        self.until(lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "draining"))
         self.assertEqual(asked, 7)
 
 
--- a/tests/http_gateway/test_races_found_by_hunt.py
+++ b/tests/http_gateway/test_races_found_by_hunt.py
@@ -4,7 +4,7 @@
 import select
 import unittest
 
-from tests.support.http_gateway_rig import NODE, Loopback, ask
+from tests.support.http_gateway_rig import NODE, Loopback, req
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -74,7 +74,7 @@
                     ),
                     (5, True),
                 )
-            self.again()
+            self.restart()
 
 
 class Leaving(Loopback):
@@ -86,12 +86,12 @@
             0.1,
             1.2,
         ):  # to just behind the first of the steps, over two, over all
-            self.again()
+            self.restart()
             with self.subTest(stands):
                 self.terminate()
-                self.to(1.45)
-                client = self.client(ask())
-                link = self.taken()
+                self.advance_to(1.45)
+                client = self.client(req())
+                link = self.accept()
                 link.sendall(WHOLE)
                 ours = [
                     each.transport.socket
@@ -102,7 +102,7 @@
                 self.time += stands
                 self.turn()
                 self.pass_time(0.2)
-                data, how = self.all_of(client)
+                data, how = self.read_all(client)
                 self.assertEqual(
                     (data[:15], data[-2:], how), (b"HTTP/1.1 200 OK", b"hi", "ended")
                 )
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -14,7 +14,7 @@
 )
 from milletsill.http_gateway.endpoints import parse_node
 from milletsill.interface import EndpointUpdateKind
-from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, req, reset
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 LONG = 400_000
@@ -67,10 +67,10 @@
 
         One that does not fit into the system's buffers.
         """
-        one = self.client(ask(), window=4096)
+        one = self.client(req(), window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        self.taken().sendall(answer(LONG))
+        self.accept().sendall(answer(LONG))
         self.until(lambda: protocol.blocked, "all was taken")
         return one, protocol
 
@@ -80,15 +80,15 @@
             for let_in in (True, False):
                 for times in (1, 3):
                     with self.subTest(how=how, let_in=let_in, times=times):
-                        self.again()
+                        self.restart()
                         one = (
                             self.client()
                             if let_in
-                            else socket.create_connection(("127.0.0.1", self.door))
+                            else socket.create_connection(("127.0.0.1", self.port))
                         )
                         self.sockets.append(one)
                         one.sendall(
-                            b"".join(ask(TXN + number) for number in range(times))
+                            b"".join(req(TXN + number) for number in range(times))
                         )
                         leaves(one, how)
                         self.time += 0.5
@@ -101,10 +101,10 @@
     ):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
-                self.again()
-                one = self.client(ask())
-                link = self.taken()
-                one.sendall(ask(TXN + 1))
+                self.restart()
+                one = self.client(req())
+                link = self.accept()
+                one.sendall(req(TXN + 1))
                 self.turn()
                 leaves(one, how)
                 self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
@@ -122,9 +122,9 @@
                 b"",
             ):
                 with self.subTest(how=how, said=said):
-                    self.again()
-                    one = self.client(ask())
-                    link = self.taken()
+                    self.restart()
+                    one = self.client(req())
+                    link = self.accept()
                     link.sendall(said)
                     leaves(one, how)
                     self.time += 0.5
@@ -137,9 +137,9 @@
     def test_what_waits_for_a_node_is_not_sent_on_once_its_client_has_left(self):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
-                self.again()
+                self.restart()
                 one = self.client(
-                    ask(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
+                    req(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
                 )
                 self.until(lambda: self.gateway.host.unanswered, "not taken")
                 leaves(one, how)
@@ -162,9 +162,9 @@
     ):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
-                self.again()
+                self.restart()
                 one, protocol = self.stuck()
-                one.sendall(ask(TXN + 1))
+                one.sendall(req(TXN + 1))
                 self.turn()
                 self.assertTrue(protocol.has_partial_request)
                 leaves(one, how)
@@ -188,13 +188,13 @@
     def test_a_last_answer_that_is_taken_slowly_comes_whole(self):
         for ends in ("asked", "half"):
             with self.subTest(ends=ends):
-                self.again()
-                one = self.client(ask(Connection="close"), window=4096)
+                self.restart()
+                one = self.client(req(Connection="close"), window=4096)
                 protocol = self.server_side()
                 protocol.transport.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
-                self.taken().sendall(answer(LONG))
+                self.accept().sendall(answer(LONG))
                 self.until(lambda: protocol.state.name == "CLOSING", "not answered")
                 data = bytearray()
                 if ends == "half":
@@ -213,26 +213,26 @@
                 self.assertEqual(data.count(b"x"), LONG)
 
     def test_what_the_system_holds_of_a_last_answer_outlives_the_connection_here(self):
-        one = self.client(ask(Connection="close"), window=4096)
+        one = self.client(req(Connection="close"), window=4096)
         protocol = self.server_side()
-        self.taken().sendall(answer(LONG))
+        self.accept().sendall(answer(LONG))
         self.until(lambda: protocol.sent, "not handed over")
         self.pass_time(LINGER_TIMEOUT / 10_000 + 0.2)
         self.assertFalse(self.gateway.listener.connections)
-        data, how = self.all_of(one)
+        data, how = self.read_all(one)
         self.assertEqual((data.count(b"x"), how), (LONG, "ended"))
 
     def test_an_idle_close_over_a_request_tears_no_former_answer(self):
-        one = self.client(ask(), window=4096)
-        self.taken().sendall(answer(LONG))
+        one = self.client(req(), window=4096)
+        self.accept().sendall(answer(LONG))
         self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
         self.turn(30)
         protocol = self.server_side()
         self.assertFalse(protocol.blocked)  # all is the system's, little the client's
         self.time += IDLE_TIMEOUT_WHEN_SHORT / 10_000
         protocol.check(self.now(), True)
-        one.sendall(ask(TXN + 1))
-        self.unread()
+        one.sendall(req(TXN + 1))
+        self.wait_for_input()
         self.turn()
         data = bytearray()
 
@@ -252,26 +252,26 @@
         """
         for begins, rests in (
             (READY, IDLE_TIMEOUT),
-            (ask()[:60], REQUEST_TIMEOUT),
+            (req()[:60], REQUEST_TIMEOUT),
             (b"", NEW_TIMEOUT),
         ):
             with self.subTest(begins=begins[:9], rests=rests):
-                self.again()
+                self.restart()
                 one = self.client(begins)
                 self.turn(5)
                 self.got(one)
-                one.sendall(ask()[60:] if rests == REQUEST_TIMEOUT else ask())
-                self.unread()
+                one.sendall(req()[60:] if rests == REQUEST_TIMEOUT else req())
+                self.wait_for_input()
                 self.time += rests / 10_000
                 self.turn()
-                self.taken().sendall(answer(2))
+                self.accept().sendall(answer(2))
                 self.until(lambda: b" 200 " in self.got(one)[0], "not answered")
 
     def test_an_error_reaches_who_closes_its_side_behind_what_cannot_be_read(self):
         one = self.client()
         one.sendall(b"\x00\xff\n\n")
         one.shutdown(socket.SHUT_WR)
-        data, how = self.all_of(one)
+        data, how = self.read_all(one)
         self.assertEqual((data.count(b"HTTP/1.1 400"), how), (1, "ended"))
         self.over()
 
@@ -283,16 +283,16 @@
         rest = (
             65_536
             - len(
-                ask(method="PUT", name="put", body=b"y" * 60_000, Idempotency_Key="k")
+                req(method="PUT", name="put", body=b"y" * 60_000, Idempotency_Key="k")
             )
             + 60_000
         )
         one = self.client()
         one.sendall(
-            ask(method="PUT", name="put", body=b"y" * rest, Idempotency_Key="k")
-            + ask(TXN + 1)
+            req(method="PUT", name="put", body=b"y" * rest, Idempotency_Key="k")
+            + req(TXN + 1)
         )
-        link = self.taken()
+        link = self.accept()
         self.turn(5)
         self.assertEqual((self.sent_on(), self.gateway.host.unanswered), (1, 1))
         link.sendall(answer(2))
--- a/tests/http_gateway/test_races_message_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -11,7 +11,7 @@
 
 from milletsill.http1.message_limits import AMBIGUOUS
 from milletsill.http_gateway.resource_limits import MAX_BODY
-from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, req
 
 OWS = (b" ", b"\t", b" \t  ")
 BODY = b"x" * 40
@@ -59,7 +59,7 @@
 
 
 def put(txn):
-    return ask(txn=txn, method="PUT", name="put", body=BODY, Idempotency_Key="k1")
+    return req(txn=txn, method="PUT", name="put", body=BODY, Idempotency_Key="k1")
 
 
 def requests():
@@ -122,23 +122,23 @@
                 with self.subTest(step=step, form=number):
                     one = self.client()
                     self.sent(one, request, step)
-                    link = self.taken()
+                    link = self.accept()
                     self.answered(one, link, ANSWERS[0])
                     link.close()
-                    self.again()
+                    self.restart()
 
     def test_an_answer_in_every_form_is_passed_on(self):
         for step in (1 << 20, 1):
             for number, answer in enumerate(ANSWERS):
                 with self.subTest(step=step, form=number):
-                    one = self.client(ask())
-                    self.answered(one, self.taken(), answer, step)
-                    self.again()
+                    one = self.client(req())
+                    self.answered(one, self.accept(), answer, step)
+                    self.restart()
 
     def test_a_turn_away_with_whitespace_behind_it_is_one(self):
         """Else it counts as one that may have run, and as the node's error."""
-        self.client(ask())
-        link = self.taken()
+        self.client(req())
+        link = self.accept()
         link.sendall(
             b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\t\r\n\r\n"
         )
@@ -187,7 +187,7 @@
                             lambda: self.gateway.watcher.version == 9,
                             "the list was not taken",
                         )
-                        self.again()
+                        self.restart()
 
 
 class Long(Loopback):
@@ -220,14 +220,14 @@
         for octets in (65_537, 400_000, MAX_BODY):
             for form in (lambda each: each, chunked):
                 with self.subTest(octets=octets, form=form):
-                    self.again()
+                    self.restart()
                     body = bytes(range(256)) * (octets // 256 + 1)
                     body = body[: octets - len(BEHIND)] + BEHIND
                     one = self.client()
                     came, link = self.served(
                         one,
                         form(
-                            ask(
+                            req(
                                 method="PUT", name="put", body=body, Idempotency_Key="k"
                             )
                         ),
@@ -242,7 +242,7 @@
         for whole in (True, False):
             one = self.client()
             body = b"x" * 300_000 + BEHIND
-            request = ask(
+            request = req(
                 TXN + whole, method="PUT", name="put", body=body, Idempotency_Key="k"
             )
             if whole:
@@ -264,7 +264,7 @@
         self.gateway.buffers.limit = 700_000
         ones = [self.client() for _ in range(2)]
         request = [
-            ask(
+            req(
                 TXN + number,
                 method="PUT",
                 name="put",
@@ -285,7 +285,7 @@
 
         self.until(refused, "no word")
         self.assertTrue(said.startswith(b"HTTP/1.1 503 "), said)
-        usual = self.client(ask(TXN + 9))
+        usual = self.client(req(TXN + 9))
         self.until(
             lambda: self.gateway.host.unanswered == 2, "a usual one is not taken"
         )
@@ -293,14 +293,14 @@
 
     def test_one_over_the_bound_is_refused(self):
         one = self.client(
-            ask(
+            req(
                 method="PUT",
                 name="put",
                 Content_Length=str(MAX_BODY + 1),
                 Idempotency_Key="k",
             )
         )
-        self.assertEqual(self.all_of(one)[0][:12], b"HTTP/1.1 413")
+        self.assertEqual(self.read_all(one)[0][:12], b"HTTP/1.1 413")
 
 
 class Bounded(unittest.TestCase):
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -10,7 +10,7 @@
 
 from milletsill.http_gateway.endpoints import parse_node
 from milletsill.interface import EndpointUpdateKind
-from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, req, reset
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
@@ -111,7 +111,7 @@
         "error",
         "what begins no message",
     ),
-    "a request": (ask(), "stay", "error", "a head that cannot be read"),
+    "a request": (req(), "stay", "error", "a head that cannot be read"),
     "interim ones without end": (
         b"HTTP/1.1 103 Hint\r\n\r\n" * 50,
         "stay",
@@ -204,13 +204,13 @@
 
     def taken_at(self, listener):
         mine, self.node = self.node, listener
-        link = self.taken()
+        link = self.accept()
         self.node = mine
         return link
 
     def served(self, client, link, txn):
         """A usual client's request, from end to end, without a moment's wait."""
-        client.sendall(ask(txn, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1"))
+        client.sendall(req(txn, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1"))
         data = bytearray()
         self.until(
             lambda: data.extend(self.got(link)[0]) or b"\r\n\r\n" in data,
@@ -226,24 +226,24 @@
     def test_each_bad_answer_ends_its_own_dispatch_and_costs_neighbours_nothing(self):
         for name, (data, then, outcome, cause) in BAD.items():
             with self.subTest(name):
-                self.again()
+                self.restart()
                 good = self.another_node()
                 usual = self.client(
-                    ask(TXN + 8, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1")
+                    req(TXN + 8, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1")
                 )
                 link = self.taken_at(good)
                 link.sendall(WHOLE)
                 self.until(lambda: self.got(usual)[0].endswith(b"hi"))
                 near = self.client(
-                    ask(TXN + 7)
+                    req(TXN + 7)
                 )  # at the bad node, on a connection of its own
-                its = self.taken()
+                its = self.accept()
                 before, bad, began = (
                     self.counted("ended"),
                     BadNode(self, data, then),
                     self.time,
                 )
-                one = self.client(ask())
+                one = self.client(req())
                 got = bytearray()
 
                 def answered():
@@ -297,7 +297,7 @@
                 self.assertEqual(sum(spoilt.values()), ended.get("error", 0))
                 self.served(usual, link, TXN + 200)
                 if outcome == "satisfied":  # what lay behind is nobody's answer
-                    near.sendall(ask(TXN + 9))
+                    near.sendall(req(TXN + 9))
                     got.clear()
                     self.until(
                         lambda: (
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -1,5 +1,5 @@
 """Dispatches and their links on real sockets, in the instants in which something else ends: no wait decides, the test turns the
-reactor. Each node is a plain listening socket.
+reactor. Each node is a plain create_listener socket.
 """
 
 import socket
@@ -10,8 +10,8 @@
 from milletsill.http_gateway.request_parser import ForwardedPayload
 from milletsill.http_gateway.resource_limits import BufferBudget
 from milletsill.interface import AttemptOutcome, EndpointUpdateKind
-from tests.support.http_gateway_rig import NODE, SETTINGS, TXN, Loopback, ask, reset
-from tests.support.loopback import Loop, accept, listening, receive
+from tests.support.http_gateway_rig import NODE, SETTINGS, TXN, Loopback, req, reset
+from tests.support.loopback import LoopbackReactor, accept, create_listener, receive
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
@@ -21,7 +21,7 @@
     """The links alone."""
 
     def setUp(self):
-        self.loop = Loop()
+        self.loop = LoopbackReactor()
         self.addCleanup(self.loop.close)
         self.ended, self.notes = [], []
         self.fleet = HttpNodePools(
@@ -34,7 +34,7 @@
         self.addCleanup(self.fleet.stop)
 
     def node(self):
-        sock = listening()
+        sock = create_listener()
         self.addCleanup(sock.close)
         return sock, sock.getsockname()[1]
 
@@ -75,7 +75,7 @@
     def served(self, listener, answer=WHOLE):
         """A first dispatch that was answered; its connection stands idle."""
         self.carry()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.addCleanup(sock.close)
         self.loop.read(sock)
         sock.sendall(answer)
@@ -96,7 +96,7 @@
                 first = self.carry()
                 self.loop.read(idle)
                 second = self.carry()
-                out = self.loop.accepted(listener)
+                out = self.loop.accept(listener)
                 self.loop.read(out)  # two links, both busy; then the one is free
                 idle.sendall(WHOLE)
                 self.loop.until(lambda: self.fleet.pools[node_number("s-1")].idle)
@@ -141,7 +141,7 @@
         self.listed(before)
         self.carry()
         self.listed(after)
-        sock = self.loop.accepted(new)
+        sock = self.loop.accept(new)
         self.assertIn(b"X-Txn: 0", self.loop.read(sock))
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
@@ -154,19 +154,19 @@
         self.listed(before)
         self.carry()
         self.listed(after)
-        self.assertIn(b"X-Txn: 0", self.loop.read(self.loop.accepted(listener)))
+        self.assertIn(b"X-Txn: 0", self.loop.read(self.loop.accept(listener)))
 
     def test_a_link_that_was_busy_while_its_node_moved_is_not_used_again(self):
         (old, before), (new, after) = self.node(), self.node()
         self.listed(before)
         self.carry()
-        sock = self.loop.accepted(old)
+        sock = self.loop.accept(old)
         self.loop.read(sock)
         self.listed(after)
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
         self.carry()
-        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(new)))
+        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accept(new)))
         self.assertIn(receive(sock), (None, b""))
 
     def test_an_idle_link_that_the_node_closes_under_a_dispatch_does_not_bring_it_to_a_node_that_drains(
@@ -190,7 +190,7 @@
         self.listed(port)
         self.served(listener).close()
         self.carry()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(sock))
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(1), (AttemptOutcome.SUCCEEDED, b"hi"))
@@ -211,7 +211,7 @@
         self.assertFalse(first.begun)
         first.withdraw(AttemptOutcome.WITHDRAWN)
         self.carry()
-        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
+        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accept(listener)))
 
     def test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset(self):
         for end, wanted in (
@@ -221,7 +221,7 @@
             listener, port = self.node()
             self.listed(port)
             self.carry()
-            sock = self.loop.accepted(listener)
+            sock = self.loop.accept(listener)
             self.loop.read(sock)
             for octet in HEAD + b"Connection: close\r\n\r\nall of it":
                 sock.sendall(bytes([octet]))
@@ -241,7 +241,7 @@
                 listener, port = self.node()
                 self.listed(port)
                 self.carry()
-                sock = self.loop.accepted(listener)
+                sock = self.loop.accept(listener)
                 self.loop.read(sock)
                 sock.sendall(half)
                 self.loop.turn(3)
@@ -252,7 +252,7 @@
         listener, port = self.node()
         self.listed(port)
         self.carry()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.loop.read(sock)
         sock.sendall(HEAD + b"\r\n")
 
@@ -270,7 +270,7 @@
         listener, port = self.node()
         self.listed(port)
         self.carry()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.loop.read(sock)
         for octet in b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE[:-1]:
             sock.sendall(bytes([octet]))
@@ -278,7 +278,7 @@
         sock.sendall(WHOLE[-1:] + b"HTTP/1.1 500 No\r\n")
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
         self.carry()  # never on the link that brought more
-        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
+        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accept(listener)))
 
     def test_a_second_answer_that_lies_in_an_idle_link_is_not_the_next_ones(self):
         listener, port = self.node()
@@ -288,7 +288,7 @@
             HEAD + b"Content-Length: 5\r\n\r\nwrong"
         )  # unread when the next dispatch takes the link
         self.carry()
-        other = self.loop.accepted(listener)
+        other = self.loop.accept(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(other))
         self.assertIn(receive(sock), (None, b""), "nothing went out on the first")
         other.sendall(WHOLE)
@@ -299,7 +299,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         self.listed(port)
         self.carry(body=b"x" * (8 << 20))  # more than both kernels hold
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.loop.read(sock)
         sock.sendall(
             HEAD.replace(b"200 OK", b"503 Full")
@@ -323,13 +323,13 @@
     ):
         successor = socket.create_server(("127.0.0.1", 0))
         self.sockets.append(successor)
-        client = self.client(ask())
+        client = self.client(req())
         self.until(lambda: self.gateway.report.counts["dial", ""])
         self.goes(
             NODE | {"id": "s-2", "addr": "127.0.0.1:%d" % successor.getsockname()[1]}
         )
         first, self.node = self.node, successor
-        link = self.taken()
+        link = self.accept()
         first.setblocking(False)
         if (sock := accept(first)) is not None:
             sock.setblocking(False)
@@ -341,8 +341,8 @@
         )
 
     def test_a_node_that_goes_while_it_works_is_heard_out(self):
-        client = self.client(ask())
-        link = self.taken()
+        client = self.client(req())
+        link = self.accept()
         self.goes()
         self.pass_time(0.3)  # looks at what is over and forgets it
         link.sendall(WHOLE)
@@ -390,7 +390,7 @@
         self,
     ):
         for number, leave in enumerate((socket.socket.close, reset)):
-            client = self.client(ask(TXN + number))
+            client = self.client(req(TXN + number))
             before = self.dialled()
             self.until(
                 lambda: self.dialled() > before
@@ -400,7 +400,7 @@
             self.assertEqual(self.gateway.host.unanswered, 0)
 
     def test_what_has_not_begun_when_its_client_leaves_does_not_begin(self):
-        self.client(ask())
+        self.client(req())
         self.until(self.dialled)
         self.gateway.host.cancel_request(next(iter(self.gateway.host.active)))
         self.untouched()
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -12,7 +12,7 @@
 from milletsill.http_gateway.process_state import shutdown_schedule
 from tests.http_gateway.test_races_leaving_clients import leaves
 from tests.http_gateway.test_races_shutdown import patient
-from tests.support.http_gateway_rig import TXN, Loopback, ask
+from tests.support.http_gateway_rig import TXN, Loopback, req
 
 BODY = bytes(range(256)) * 256  # the longest that the page allows: 64 KiB
 KEYED = {"method": "PUT", "name": "put", "Idempotency_Key": "k"}
@@ -26,7 +26,7 @@
     """A PUT whose body comes in chunks."""
     pieces = [body[at : at + size] for at in range(0, len(body), size)]
     return (
-        ask(txn, Transfer_Encoding="chunked", **KEYED)
+        req(txn, Transfer_Encoding="chunked", **KEYED)
         + b"".join(b"%x\r\n%s\r\n" % (len(each), each) for each in pieces)
         + b"0\r\n\r\n"
     )
@@ -79,18 +79,18 @@
         self,
     ):
         for name, second, size in (
-            ("at once", ask(TXN + 1, body=BODY, **KEYED), 1 << 20),
-            ("in pieces", ask(TXN + 1, body=BODY, **KEYED), 3001),
+            ("at once", req(TXN + 1, body=BODY, **KEYED), 1 << 20),
+            ("in pieces", req(TXN + 1, body=BODY, **KEYED), 3001),
             ("in chunks", chunked(TXN + 1, BODY, 1000), 1 << 20),
             ("in pieces of chunks", chunked(TXN + 1, BODY, 20_000), 777),
         ):
             for together in (True, False):
                 with self.subTest(name, together=together):
-                    self.again()
-                    one = self.client(*([] if together else [ask()]))
-                    link = None if together else self.taken()
-                    self.pour(one, (ask() if together else b"") + second, size)
-                    link = link or self.taken()
+                    self.restart()
+                    one = self.client(*([] if together else [req()]))
+                    link = None if together else self.accept()
+                    self.pour(one, (req() if together else b"") + second, size)
+                    link = link or self.accept()
                     self.assertEqual(
                         (self.gateway.host.unanswered, self.sent_on(), self.got(one)),
                         (1, 1, (b"", "open")),
@@ -113,14 +113,14 @@
                     )
 
     def test_more_than_one_request_and_a_little_behind_an_open_one_is_one_error(self):
-        one = self.client(ask())
-        link = self.taken()
+        one = self.client(req())
+        link = self.accept()
         self.pour(
             one,
-            ask(TXN + 1, body=BODY, **KEYED)
-            + ask(TXN + 2, body=BODY[:MAX_PIPELINED], **KEYED),
+            req(TXN + 1, body=BODY, **KEYED)
+            + req(TXN + 2, body=BODY[:MAX_PIPELINED], **KEYED),
         )
-        data, how = self.all_of(one)
+        data, how = self.read_all(one)
         self.assertEqual(
             (data.count(b"HTTP/1.1 "), data[:12], how), (1, b"HTTP/1.1 400", "ended")
         )
@@ -135,11 +135,11 @@
         self,
     ):
         self.gateway.buffers.held = self.gateway.buffers.limit
-        one, other = self.client(ask()), self.client(ask(TXN + 1))
+        one, other = self.client(req()), self.client(req(TXN + 1))
         self.turn(10)
-        self.pour(one, ask(TXN + 2, body=BODY, **KEYED))
-        self.pour(other, ask(TXN + 3))
-        self.assertEqual(self.all_of(one)[0][:12], b"HTTP/1.1 503")
+        self.pour(one, req(TXN + 2, body=BODY, **KEYED))
+        self.pour(other, req(TXN + 3))
+        self.assertEqual(self.read_all(one)[0][:12], b"HTTP/1.1 503")
         self.assertEqual(
             (self.got(other), self.gateway.host.unanswered), ((b"", "open"), 1)
         )
@@ -154,44 +154,44 @@
         rest of a body that was told too short.
         """
         short = (
-            ask(Content_Length="4", **KEYED)
+            req(Content_Length="4", **KEYED)
             + b"body and\r\nmuch more than that\r\n\r\n"
         )
         for name, data, status in (
-            ("noise", ask() + b"\x00\xff\n\n", b"400"),
+            ("noise", req() + b"\x00\xff\n\n", b"400"),
             ("a body told too short", short, b"400"),
             (
                 "one told too short without a line",
-                ask(Content_Length="4", **KEYED) + BODY[128:200],
+                req(Content_Length="4", **KEYED) + BODY[128:200],
                 b"400",
             ),
             (
                 "a length told twice",
-                ask() + ask(Content_Length="4", Transfer_Encoding="chunked", **KEYED),
+                req() + req(Content_Length="4", Transfer_Encoding="chunked", **KEYED),
                 b"400",
             ),
             (
                 "sixty megabytes",
-                ask() + ask(TXN + 1, Content_Length="62914560", **KEYED),
+                req() + req(TXN + 1, Content_Length="62914560", **KEYED),
                 b"413",
             ),
             (
                 "an endless head",
-                ask() + b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 2000,
+                req() + b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 2000,
                 b"431",
             ),
             (
                 "chunks that are none",
-                ask() + ask(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
+                req() + req(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
                 b"400",
             ),
         ):
             with self.subTest(name):
-                self.again()
-                other = self.client(ask(TXN + 7))
-                near = self.taken()
+                self.restart()
+                other = self.client(req(TXN + 7))
+                near = self.accept()
                 one = self.client(data)
-                got, how = self.all_of(one)
+                got, how = self.read_all(one)
                 self.assertEqual(
                     (got.count(b"HTTP/1.1 "), got[9:12], how), (1, status, "ended")
                 )
@@ -205,16 +205,16 @@
         for bad in (
             b"\x00\xff\n\n",
             b"more than was told\n",
-            ask(TXN + 1, Content_Length="62914560", **KEYED),
+            req(TXN + 1, Content_Length="62914560", **KEYED),
         ):
             with self.subTest(bad[:20]):
-                self.again()
-                one = self.client(ask())
-                link = self.taken()
+                self.restart()
+                one = self.client(req())
+                link = self.accept()
                 for at in range(len(bad)):
                     one.send(bad[at : at + 1])
                     self.turn(1)
-                got, how = self.all_of(one)
+                got, how = self.read_all(one)
                 self.assertEqual((got.count(b"HTTP/1.1 4"), how), (1, "ended"))
                 self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
                 self.assertEqual(
@@ -229,21 +229,21 @@
         """
         for behind, answers in (
             (self.many(0), 1),
-            (ask(TXN + 1), 2),
-            (ask(TXN + 1) + ask(TXN + 2), 3),
-            (ask(TXN + 1)[:60], 1),
+            (req(TXN + 1), 2),
+            (req(TXN + 1) + req(TXN + 2), 3),
+            (req(TXN + 1)[:60], 1),
         ):
             with self.subTest(behind[:60], answers=answers):
                 self.changed = {"settings": patient(8.0)}
-                self.again()
-                one = self.client(ask(X_Remaining_Ms="8000"))
-                link = self.taken()
+                self.restart()
+                one = self.client(req(X_Remaining_Ms="8000"))
+                link = self.accept()
                 one.sendall(behind)
                 self.turn(5)
                 self.terminate()
-                self.to(shutdown_schedule(80_000)[1][0] / 10_000 + 0.01)
+                self.advance_to(shutdown_schedule(80_000)[1][0] / 10_000 + 0.01)
                 self.assertEqual(self.gateway.state.name, "DRAINING")
-                data, how = self.all_of(one)
+                data, how = self.read_all(one)
                 self.assertEqual(
                     [each[:3] for each in data.split(b"HTTP/1.1 ")[1:]],
                     [b"502"] + [b"503"] * (answers - 1),
@@ -257,19 +257,19 @@
     def test_what_lies_behind_an_answer_that_is_being_taken_at_the_end_is_refused_behind_it(
         self,
     ):
-        one = self.client(ask(), window=4096)
+        one = self.client(req(), window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        self.taken().sendall(
+        self.accept().sendall(
             b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"x" * 400_000
         )
         self.until(lambda: protocol.blocked, "all was taken")
-        one.sendall(ask(TXN + 1))
+        one.sendall(req(TXN + 1))
         self.turn(5)
         self.assertTrue(protocol.next_request)
         self.terminate()
-        self.to(shutdown_schedule(10_000)[1][0] / 10_000 + 0.01)
-        data, how = self.all_of(one)  # the clock stands
+        self.advance_to(shutdown_schedule(10_000)[1][0] / 10_000 + 0.01)
+        data, how = self.read_all(one)  # the clock stands
         self.assertEqual(
             (
                 data.count(b"x"),
@@ -283,9 +283,9 @@
 
     def many(self, count):
         return b"".join(
-            ask(TXN + number, body=BODY[: 700 * (number % 3)], **KEYED)
+            req(TXN + number, body=BODY[: 700 * (number % 3)], **KEYED)
             if number % 2
-            else ask(TXN + number)
+            else req(TXN + number)
             for number in range(count)
         )
 
@@ -299,7 +299,7 @@
 
     def test_many_at_once_are_answered_in_order_one_at_a_time(self):
         one = self.client(self.many(20))
-        link, data = self.taken(), bytearray()
+        link, data = self.accept(), bytearray()
         for number in range(20):
             self.assertEqual(self.gateway.host.unanswered, 1)
             self.served(link, number)
@@ -322,11 +322,11 @@
         for how in ("close", "half", "reset"):
             for step in (None, 0, 1, 3, 5):
                 with self.subTest(how=how, step=step):
-                    self.again()
+                    self.restart()
                     one = self.client()
                     one.sendall(self.many(6))
                     if step is not None:
-                        link = self.taken()
+                        link = self.accept()
                         for number in range(step):
                             self.served(link, number)
                             self.reads(link, lambda data: b"X-Txn" in data)
@@ -369,12 +369,12 @@
         for how in ("close", "half", "reset"):
             for count in (1, 2, 4):
                 with self.subTest(how=how, count=count):
-                    self.again()
+                    self.restart()
                     one = self.client()
                     one.sendall(
-                        ask()
+                        req()
                         + b"".join(
-                            ask(TXN + 1 + number, body=BODY, **KEYED)
+                            req(TXN + 1 + number, body=BODY, **KEYED)
                             for number in range(count)
                         )
                     )
@@ -399,7 +399,7 @@
         )  # all of it is here, its end too
         one = self.client()
         one.sendall(
-            ask() + ask(TXN + 1, Content_Length=str(1 << 20), **KEYED) + b"x" * 150_000
+            req() + req(TXN + 1, Content_Length=str(1 << 20), **KEYED) + b"x" * 150_000
         )
         one.shutdown(socket.SHUT_WR)
         fin_wait_2 = 5
@@ -424,13 +424,13 @@
                 60,
                 5000,
                 60_000,
-                65_536 + len(ask(TXN + 1, body=BODY, **KEYED)) - len(BODY),
+                65_536 + len(req(TXN + 1, body=BODY, **KEYED)) - len(BODY),
             ):
                 with self.subTest(how=how, octets=octets):
-                    self.again()
-                    one = self.client(ask())
-                    link = self.taken()
-                    self.pour(one, ask(TXN + 1, body=BODY, **KEYED)[:octets])
+                    self.restart()
+                    one = self.client(req())
+                    link = self.accept()
+                    self.pour(one, req(TXN + 1, body=BODY, **KEYED)[:octets])
                     leaves(one, how)
                     self.until(
                         lambda: self.got(link)[1] == "reset", "the node is not told"
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -18,58 +18,65 @@
     CallProgress,
 )
 from milletsill.interface import EndpointUpdateKind
-from tests.support.discovery_connections import HEAD, LOOK, Held, said
+from tests.support.discovery_connections import (
+    CHECK_INTERVAL,
+    HEAD,
+    WatcherTest,
+    list_line,
+)
 from tests.support.http_gateway_rig import SETTINGS, Loopback, reset
 
 GRACE = 8_000  # to stop sending, where lists are pushed
 
 
-class Beside(Held):
+class Beside(WatcherTest):
     def test_where_lists_are_pushed_a_list_that_stops_in_mid_line_has_another_call_beside_it_in_time(
         self,
     ):
         for wins in ("second", "first"):
-            self.again()
-            self.follower.config = replace(self.follower.config, drain_grace=GRACE)
-            self.follower.request_watch()
-            first, _ = self.taken()
-            first.sendall(HEAD + said(8, True)[:40])
-            self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
-            self.go(GRACE * PARALLEL_CALL_PUSHED[1])
-            second = self.second()
+            self.restart()
+            self.watcher.config = replace(self.watcher.config, drain_grace=GRACE)
+            self.watcher.request_watch()
+            first, _ = self.accept_watch()
+            first.sendall(HEAD + list_line(8, True)[:40])
+            self.until(lambda: self.watcher.watch.progress is CallProgress.RECEIVING)
+            self.advance(GRACE * PARALLEL_CALL_PUSHED[1])
+            second = self.accept_parallel()
             end, other, rest = (
-                (second, first, HEAD + said(8, True))
+                (second, first, HEAD + list_line(8, True))
                 if wins == "second"
-                else (first, second, said(8, True)[40:])
+                else (first, second, list_line(8, True)[40:])
             )
             end.sendall(rest)
-            self.until(lambda: self.told)
-            self.over(other)
-            self.go(FIRST_VALUE_TIMEOUT)
+            self.until(lambda: self.updates)
+            self.wait_until_closed(other)
+            self.advance(FIRST_VALUE_TIMEOUT)
             self.assertEqual(
-                (self.told, self.follower.parallel),
+                (self.updates, self.watcher.parallel),
                 ([(EndpointUpdateKind.SNAPSHOT, "ready")], None),
                 wins,
             )
-            end.sendall(said(9, state="leaving"))
-            self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
+            end.sendall(list_line(9, state="leaving"))
+            self.until(
+                lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "draining")
+            )
 
     def test_a_second_call_that_is_reset_is_followed_by_another_and_costs_the_first_nothing(
         self,
     ):
-        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
-        self.follower.request_watch()
-        first, _ = self.taken()
-        first.sendall(HEAD + said(8, True)[:40])
-        self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
-        self.reset(self.second())
-        self.until(lambda: self.follower.parallel is None)
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
-        self.second()
-        first.sendall(said(8, True)[40:])
-        self.until(lambda: self.told)
-        self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, "ready")])
+        self.watcher.config = replace(self.watcher.config, drain_grace=GRACE)
+        self.watcher.request_watch()
+        first, _ = self.accept_watch()
+        first.sendall(HEAD + list_line(8, True)[:40])
+        self.until(lambda: self.watcher.watch.progress is CallProgress.RECEIVING)
+        self.advance(GRACE * PARALLEL_CALL_PUSHED[1])
+        self.reset(self.accept_parallel())
+        self.until(lambda: self.watcher.parallel is None)
+        self.advance(GRACE * PARALLEL_CALL_PUSHED[1])
+        self.accept_parallel()
+        first.sendall(list_line(8, True)[40:])
+        self.until(lambda: self.updates)
+        self.assertEqual(self.updates, [(EndpointUpdateKind.SNAPSHOT, "ready")])
 
     def test_where_lists_are_pushed_a_dial_that_is_not_up_has_another_beside_it_and_two_at_most(
         self,
@@ -93,92 +100,92 @@
             )
 
         self.reactor.connectTCP = held_back
-        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
-        self.follower.request_watch()
+        self.watcher.config = replace(self.watcher.config, drain_grace=GRACE)
+        self.watcher.request_watch()
         self.turn(3)
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
+        self.advance(GRACE * PARALLEL_CALL_PUSHED[1])
         self.turn(3)
         self.assertEqual((len(dials), len(self.reactor.getWriters())), (2, 2))
-        self.go(GRACE * PARALLEL_CALL_PUSHED[1])
-        self.assertEqual((len(dials), self.failed()), (3, 0))
+        self.advance(GRACE * PARALLEL_CALL_PUSHED[1])
+        self.assertEqual((len(dials), self.failure_count()), (3, 0))
         self.assertLess(self.clock, CONNECT_TIMEOUT)
-        second = self.second()
+        second = self.accept_parallel()
         self.turn(3)
         self.assertEqual(
             len(self.reactor.getWriters()), 1
         )  # the first, which may still come up
-        second.sendall(HEAD + said(8, True))
-        self.until(lambda: self.told)
+        second.sendall(HEAD + list_line(8, True))
+        self.until(lambda: self.updates)
         self.turn(3)
         self.assertEqual(
-            (self.told, self.reactor.getWriters(), self.follower.parallel),
+            (self.updates, self.reactor.getWriters(), self.watcher.parallel),
             ([(EndpointUpdateKind.SNAPSHOT, "ready")], [], None),
         )
 
     def test_where_lists_are_pushed_a_call_that_is_taken_has_another_beside_it_only_behind_one_that_never_was_answered(
         self,
     ):
-        self.follower.config = replace(self.follower.config, drain_grace=GRACE)
-        self.follower.request_watch()
-        self.taken()
-        self.go(FIRST_VALUE_TIMEOUT)
-        self.assertFalse(self.called())
-        self.go(2 * LOOK)
-        self.assertEqual(self.failed(), 1)
-        self.follower.request_watch()
-        first, _ = self.taken()
-        self.go(PARALLEL_CALL_UNRESPONSIVE[1])
-        second = self.second()
-        second.sendall(HEAD + said(8, True))
-        self.until(lambda: len(self.told) == 2)
-        self.over(first)
+        self.watcher.config = replace(self.watcher.config, drain_grace=GRACE)
+        self.watcher.request_watch()
+        self.accept_watch()
+        self.advance(FIRST_VALUE_TIMEOUT)
+        self.assertFalse(self.has_pending_call())
+        self.advance(2 * CHECK_INTERVAL)
+        self.assertEqual(self.failure_count(), 1)
+        self.watcher.request_watch()
+        first, _ = self.accept_watch()
+        self.advance(PARALLEL_CALL_UNRESPONSIVE[1])
+        second = self.accept_parallel()
+        second.sendall(HEAD + list_line(8, True))
+        self.until(lambda: len(self.updates) == 2)
+        self.wait_until_closed(first)
         self.assertEqual(
-            self.told,
+            self.updates,
             [(EndpointUpdateKind.FAILED,), (EndpointUpdateKind.SNAPSHOT, "ready")],
         )
 
     def test_after_sighup_a_call_that_is_reset_and_one_that_is_never_answered_leave_time_for_a_third(
         self,
     ):
-        self.standing()
+        self.open_watch()
         there = self.discovery()
-        self.follower.move(there.address)
+        self.watcher.move(there.address)
         moved = self.clock
-        self.reset(self.taken(there)[0])
-        self.until(lambda: self.follower.watch is None)
-        while not self.failed():
-            self.go(LOOK)
-        self.follower.request_watch()
-        first, _ = self.taken(there)
-        self.go(PARALLEL_CALL_AFTER_MOVE[1] - (self.clock - moved))
-        second = self.second(there)
-        second.sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
-        self.over(first)
+        self.reset(self.accept_watch(there)[0])
+        self.until(lambda: self.watcher.watch is None)
+        while not self.failure_count():
+            self.advance(CHECK_INTERVAL)
+        self.watcher.request_watch()
+        first, _ = self.accept_watch(there)
+        self.advance(PARALLEL_CALL_AFTER_MOVE[1] - (self.clock - moved))
+        second = self.accept_parallel(there)
+        second.sendall(HEAD + list_line(8, state="leaving"))
+        self.until(lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "draining"))
+        self.wait_until_closed(first)
         self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
-        self.assertEqual(self.failed(), 1)
+        self.assertEqual(self.failure_count(), 1)
 
     def test_after_sighup_the_call_behind_two_that_are_reset_waits_for_no_pause_of_the_modules(
         self,
     ):
-        self.standing()
+        self.open_watch()
         there = self.discovery()
-        self.follower.move(there.address)
+        self.watcher.move(there.address)
         moved = self.clock
-        self.reset(self.taken(there)[0])
-        self.until(lambda: self.follower.watch is None)
-        while not self.failed():
-            self.go(LOOK)
+        self.reset(self.accept_watch(there)[0])
+        self.until(lambda: self.watcher.watch is None)
+        while not self.failure_count():
+            self.advance(CHECK_INTERVAL)
         # as the module does: the first time at once, the second time after a pause
-        self.follower.request_watch()
-        self.reset(self.taken(there)[0])
-        self.until(lambda: self.follower.watch is None)
-        while self.follower.watch is None:
+        self.watcher.request_watch()
+        self.reset(self.accept_watch(there)[0])
+        self.until(lambda: self.watcher.watch is None)
+        while self.watcher.watch is None:
             self.assertLess(self.clock - moved, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
-            self.go(LOOK)
-        self.taken(there)[0].sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
-        self.assertEqual(self.failed(), 1)
+            self.advance(CHECK_INTERVAL)
+        self.accept_watch(there)[0].sendall(HEAD + list_line(8, state="leaving"))
+        self.until(lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "draining"))
+        self.assertEqual(self.failure_count(), 1)
 
 
 class Down(Loopback):
@@ -240,7 +247,9 @@
         while not self.drains() and self.time < began + 10:
             self.pass_time(0.04)
             for one in self.calls():
-                way = ways.pop(0) if ways else HEAD + said(5, True, state="leaving")
+                way = (
+                    ways.pop(0) if ways else HEAD + list_line(5, True, state="leaving")
+                )
                 if way == "reset":
                     reset(one)
                 else:
@@ -252,16 +261,16 @@
             ("on_request", self.BUSY, 2.0),
             ("on_request", "reset", 2.0),
             ("on_request", b"", 4.5),
-            ("on_request", HEAD + said(5)[:30], 4.5),
+            ("on_request", HEAD + list_line(5)[:30], 4.5),
             ("on_request", "refused", 2.0),
             ("pushed", self.BUSY, 0.8),
             ("pushed", "reset", 0.8),
             ("pushed", b"", 3.0),
-            ("pushed", HEAD + said(5)[:30], 0.8),
+            ("pushed", HEAD + list_line(5)[:30], 0.8),
             ("pushed", "refused", 0.8),
         ):
             self.changed = {"settings": SETTINGS | {"membership_mode": mode}}
-            self.again()
+            self.restart()
             self.assertFalse(self.drains())
             if first == "refused":
                 address = self.listener.getsockname()
@@ -270,7 +279,7 @@
                 self.pass_time(3.0)
                 self.listener = socket.create_server(address)
                 self.sockets.append(self.listener)
-                first = HEAD + said(5, True, state="leaving")
+                first = HEAD + list_line(5, True, state="leaving")
             self.assertLess(self.waited(first), most, (mode, first))
 
 
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -15,7 +15,7 @@
 import unittest
 
 from milletsill.http_gateway.process_state import ProcessEvent, shutdown_schedule
-from tests.support.http_gateway_rig import GIVEN, SETTINGS, TXN, Loopback, ask
+from tests.support.http_gateway_rig import CONFIG, SETTINGS, TXN, Loopback, req
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 PATIENCE = 1.0  # of the rig's settings
@@ -33,12 +33,12 @@
 class Going(Loopback):
     def served(self, one, octets=2):
         """A client's request, answered by the node."""
-        one.sendall(ask())
-        self.taken().sendall(answer(octets))
+        one.sendall(req())
+        self.accept().sendall(answer(octets))
 
     def leave(self, at):
         self.terminate()
-        self.to(at)
+        self.advance_to(at)
 
     def test_what_a_resting_connection_holds_unread_at_the_shut_is_read_and_refused(
         self,
@@ -47,14 +47,14 @@
         self.served(one)
         self.until(lambda: b"xx" in self.got(one)[0])
         self.leave(SHUT - 0.01)
-        one.sendall(ask(TXN + 1))
-        other.sendall(ask(TXN + 2)[:40])  # half a request
-        self.unread()
+        one.sendall(req(TXN + 1))
+        other.sendall(req(TXN + 2)[:40])  # half a request
+        self.wait_for_input()
         self.time += 0.02  # the shut comes before the octets are read
         self.turn()
-        other.sendall(ask(TXN + 2)[40:])
+        other.sendall(req(TXN + 2)[40:])
         for each in (one, other):
-            data, how = self.all_of(each)
+            data, how = self.read_all(each)
             self.assertEqual(
                 (data.count(b"HTTP/1.1 "), data[:12], how),
                 (1, b"HTTP/1.1 503", "ended"),
@@ -71,23 +71,23 @@
         self,
     ):
         half, resting, fresh = (
-            self.client(ask()[:60]),
+            self.client(req()[:60]),
             self.client(READY),
             self.client(),
         )
         self.until(lambda: b" 200 " in self.got(resting)[0])
         self.leave(SHUT + 0.01)
         half_at = self.got(half)
-        self.to(DRAIN)
+        self.advance_to(DRAIN)
         self.assertEqual(half_at, (b"", "open"))
-        data, how = self.all_of(half)
+        data, how = self.read_all(half)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
         self.assertEqual(
-            (self.all_of(resting), self.all_of(fresh)), ((b"", "ended"),) * 2
+            (self.read_all(resting), self.read_all(fresh)), ((b"", "ended"),) * 2
         )
-        self.assertEqual(self.ended, [])  # they rest, and are heard out
-        self.to(OVER)
-        self.assertEqual(len(self.ended), 1)
+        self.assertEqual(self.stop_times, [])  # they rest, and are heard out
+        self.advance_to(OVER)
+        self.assertEqual(len(self.stop_times), 1)
 
     def test_a_request_that_crosses_the_end_tears_no_former_answer_and_is_not_sent_on(
         self,
@@ -98,7 +98,7 @@
         """
         for behind in (False, True):
             with self.subTest(behind=behind):
-                self.again()
+                self.restart()
                 one = self.client(window=4096)
                 self.served(one, LONG)
                 self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
@@ -106,13 +106,13 @@
                 self.leave(DRAIN - 0.005)
                 for step in (0.01, one) if behind else (one, 0.01):
                     if step is one:
-                        one.sendall(ask(TXN + 1))
-                        self.unread()
+                        one.sendall(req(TXN + 1))
+                        self.wait_for_input()
                     else:
                         self.time += step
                     self.turn(2 if behind else 0)
                 self.turn()
-                data, how = self.all_of(one)
+                data, how = self.read_all(one)
                 self.assertEqual(
                     (data.count(b"x"), data.count(b"HTTP/1.1 503"), how),
                     (LONG, 0 if behind else 1, "ended"),
@@ -122,14 +122,14 @@
     def test_what_a_slow_client_has_not_taken_keeps_the_process_until_its_bound(self):
         for takes in (True, False):
             with self.subTest(takes=takes):
-                self.again()
+                self.restart()
                 one = self.client(window=4096)
                 self.leave(PATIENCE / 2)
                 self.served(one, LONG)
                 self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
                 self.turn(20)
-                self.to(SHUT + 0.05)
-                self.assertEqual(self.ended, [])
+                self.advance_to(SHUT + 0.05)
+                self.assertEqual(self.stop_times, [])
                 taken = bytearray()
                 if takes:
                     self.until(
@@ -140,20 +140,21 @@
                     )
                     one.close()
                     self.until(
-                        lambda: self.ended, "the process stays though nobody is left"
+                        lambda: self.stop_times,
+                        "the process stays though nobody is left",
                     )
                 else:
-                    self.to(OVER + 0.01)
-                    self.assertEqual(len(self.ended), 1)
+                    self.advance_to(OVER + 0.01)
+                    self.assertEqual(len(self.stop_times), 1)
                 self.assertLess(self.time - 1000, KILL - 0.05)
 
     def test_who_waits_beyond_the_end_is_answered_at_the_shut(self):
         self.changed = {"settings": patient(8.0)}
-        self.again()
-        one = self.client(ask(X_Remaining_Ms="8000"))
-        link = self.taken()
+        self.restart()
+        one = self.client(req(X_Remaining_Ms="8000"))
+        link = self.accept()
         self.leave(shutdown_schedule(80_000)[0][0] / 10_000 + 0.01)
-        data, how = self.all_of(one)
+        data, how = self.read_all(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 502", "ended"))
         self.until(lambda: self.got(link)[1] == "reset", "the node is not told")
         self.assertEqual(self.gateway.host.active, {})
@@ -171,18 +172,18 @@
     ):
         for back in range(30, -1, -1):
             came = DRAIN + 0.01 - back * 0.005
-            self.again()
+            self.restart()
             one = self.client(READY)
             self.until(lambda: b" 200 " in self.got(one)[0])
             self.leave(PATIENCE / 2)
-            self.to(came)
+            self.advance_to(came)
             data, how = self.got(one)
             sent = how == "open"
             if sent:
-                one.sendall(ask())
-                self.unread()
-                self.to(OVER + 0.01)
-                data, how = self.all_of(one)
+                one.sendall(req())
+                self.wait_for_input()
+                self.advance_to(OVER + 0.01)
+                data, how = self.read_all(one)
             crossed = came >= DRAIN - 0.0075
             self.assertTrue(
                 data.count(b"HTTP/1.1 ") == 1
@@ -195,7 +196,7 @@
                 came < SHUT - 0.0075 or not self.gateway.report.counts["dispatch", "0"],
                 back,
             )
-            self.assertEqual(len(self.ended), 0 if not sent else 1, back)
+            self.assertEqual(len(self.stop_times), 0 if not sent else 1, back)
 
     def test_a_second_sigterm_and_a_sighup_move_nothing(self):
         resting = self.client(READY)
@@ -203,18 +204,18 @@
         self.leave(0.3)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
-        self.to(SHUT + 0.01)
+        self.advance_to(SHUT + 0.01)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
-        self.assertEqual(self.ended, [])
-        self.to(OVER + 0.01)
-        self.assertEqual(len(self.ended), 1)
+        self.assertEqual(self.stop_times, [])
+        self.advance_to(OVER + 0.01)
+        self.assertEqual(len(self.stop_times), 1)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
         self.turn()
         self.assertEqual(
             (
-                len(self.ended),
+                len(self.stop_times),
                 self.gateway.watcher.watch and self.gateway.watcher.watch.over,
             ),
             (1, True),
@@ -222,8 +223,8 @@
 
     def test_sigterm_at_once_ends_with_nobody_left_in_time(self):
         self.leave(OVER + 0.01)
-        self.assertEqual(len(self.ended), 1)
-        self.assertLess(self.ended[0] - 1000, DRAIN + 0.02)
+        self.assertEqual(len(self.stop_times), 1)
+        self.assertLess(self.stop_times[0] - 1000, DRAIN + 0.02)
 
     def test_once_shut_nothing_is_sent_on_whatever_the_clocks_say(self):
         """As where the reactor's clock goes ahead of ours.
@@ -233,19 +234,19 @@
         one = self.client()
         self.leave(0.1)
         self.gateway._on_process_event(ProcessEvent.START_REJECTING)
-        one.sendall(ask())
-        data, how = self.all_of(one)
+        one.sendall(req())
+        data, how = self.read_all(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
         self.assertFalse(self.gateway.report.counts["dispatch", "0"])
 
     def test_a_request_before_the_door_at_the_shut_is_let_in_and_refused(self):
         self.leave(SHUT - 0.01)
-        one = socket.create_connection(("127.0.0.1", self.door))
+        one = socket.create_connection(("127.0.0.1", self.port))
         self.sockets.append(one)
-        one.sendall(ask())
+        one.sendall(req())
         one.setblocking(False)
         self.gateway._on_process_event(ProcessEvent.START_REJECTING)
-        data, how = self.all_of(one)
+        data, how = self.read_all(one)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
 
 
@@ -269,7 +270,7 @@
             path = os.path.join(folder, "c.json")
             with open(path, "w") as file:
                 json.dump(
-                    GIVEN
+                    CONFIG
                     | {
                         "listen": f"127.0.0.1:{door}",
                         "discovery": f"127.0.0.1:{discovery}",
--- a/tests/http_gateway/test_settings_shapes.py
+++ b/tests/http_gateway/test_settings_shapes.py
@@ -14,7 +14,7 @@
     InvalidRequestError,
     RequestParser,
 )
-from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
+from tests.support.http_gateway_rig import CONFIG, NODE, SETTINGS, Reactor, req
 
 
 class OtherShapes(unittest.TestCase):
@@ -27,7 +27,7 @@
             if name not in drop
         }
         return parse_configuration(
-            GIVEN | {"settings": parts},
+            CONFIG | {"settings": parts},
             {},
             0,
             (said if said is not None else []).append,
@@ -42,15 +42,15 @@
         for changed in ({"plans": []}, {"drop": ("plans",)}):
             self.assertEqual(
                 self.arrival(
-                    self.deployment(**changed), ask(drop=("X-Plan",))
+                    self.deployment(**changed), req(drop=("X-Plan",))
                 ).service_plan,
                 0,
             )
         with self.assertRaises(InvalidRequestError):
-            self.arrival(self.deployment(), ask(drop=("X-Plan",)))
+            self.arrival(self.deployment(), req(drop=("X-Plan",)))
 
     def test_bounds_that_are_not_told_bound_nothing(self):
-        big = ask(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
+        big = req(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
         given = self.arrival(self.deployment(extra={"writes": [False, True]}), big)
         self.assertEqual((given.units, given.shard), (900.0, 70))
         with self.assertRaises(InvalidRequestError):
@@ -60,7 +60,7 @@
         deployment = self.deployment(extra={})
         for method, write in (("GET", False), ("PUT", True)):
             self.assertEqual(
-                self.arrival(deployment, ask(method=method)).is_write, write
+                self.arrival(deployment, req(method=method)).is_write, write
             )
 
     def test_dials_and_idle_links_last_a_while_where_the_settings_do_not_say(self):
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -14,62 +14,66 @@
 from milletsill.scheduler.transitions import TimerToken
 from tests.support import http_gateway_rig as shared
 from tests.support.discovery_rig import (
-    FAILING,
-    GRACE,
-    MANY,
-    MOVED,
-    QUICK,
-    TOLD,
-    WAYS,
-    Called,
-    Fleet,
-    Played,
-    Service,
-    chunk,
+    DRAIN_GRACE_S,
+    ENDING_FAILURES,
+    FAILURES,
+    GATEWAY_COUNT,
+    MOVE_NOTIFIED_S,
+    NOTIFIED_S,
+    OUTCOMES,
+    DiscoveryServer,
+    DiscoveryTest,
+    FleetTest,
+    OutageTest,
+    encode_chunk,
 )
 from tests.support.scheduler_builders import endpoint, make_scheduler
 
 
-class Silence(Played):
+class Silence(DiscoveryTest):
     def test_what_a_silent_watch_misses_is_in_before_it_counts_as_told(self):
-        for way, draw, phase in product(WAYS, (0, 1), range(0, 20, 3)):
-            service = self.start(draw)
-            self.play(service, 8 + phase * 0.1)
-            service.ways, service.calls = [way], []
-            service.change()
+        for way, draw, phase in product(OUTCOMES, (0, 1), range(0, 20, 3)):
+            service = self.start_gateway(draw)
+            self.run_until(service, 8 + phase * 0.1)
+            service.outcomes, service.calls = [way], []
+            service.drain_node()
             self.assertLess(
-                self.play(service, 20, self.drains), TOLD - 0.2, (way, draw, phase)
+                self.run_until(service, 20, self.knows_draining),
+                NOTIFIED_S - 0.2,
+                (way, draw, phase),
             )
             self.assertLessEqual(len(service.calls), 2, (way, draw, phase))
 
     def test_a_beat_that_is_late_costs_a_call_and_not_the_list_and_a_pause_of_our_own_costs_nothing(
         self,
     ):
-        service = self.start(1)
-        self.play(service, 6)
+        service = self.start_gateway(1)
+        self.run_until(service, 6)
         ((beat, protocol, wire),) = service.watches
         beat[0] += 1.5
-        service.ways, service.calls = ["503"], []
-        self.play(service, 8)
+        service.outcomes, service.calls = ["503"], []
+        self.run_until(service, 8)
         self.assertEqual(
             (len(service.calls), wire.aborted, len(service.watches)), (1, False, 1)
         )
         # the process stood still; what had come meanwhile is read after the timers
         self.reactor.rightNow += 4
         self.gateway.watcher.check()
-        protocol.dataReceived(chunk(b"\n"))
-        self.play(service, 1)
+        protocol.dataReceived(encode_chunk(b"\n"))
+        self.run_until(service, 1)
         self.assertEqual(len(service.calls), 1)
 
     def test_after_sighup_the_list_is_in_before_it_counts_as_told(self):
-        for way, draw in product(WAYS, (0, 1)):
-            service = self.start(draw)
-            self.play(service, 8)
-            service.ways = [way]
-            service.change()
+        for way, draw in product(OUTCOMES, (0, 1)):
+            service = self.start_gateway(draw)
+            self.run_until(service, 8)
+            service.outcomes = [way]
+            service.drain_node()
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
-                self.play(service, 20, self.drains), MOVED - 0.2, (way, draw)
+                self.run_until(service, 20, self.knows_draining),
+                MOVE_NOTIFIED_S - 0.2,
+                (way, draw),
             )
 
     def test_a_new_process_asks_at_once_whether_lists_are_pushed_or_asked_for(self):
@@ -77,8 +81,8 @@
             ("pushed", "on_request"),
             {"good": 0.2, "refused": 1.5, "503": 1.5, "not up": 2.5}.items(),
         ):
-            service = Service(self.reactor, [way])
-            service.change()
+            service = DiscoveryServer(self.reactor, [way])
+            service.drain_node()
             self.gateway = HttpGateway(
                 self.deployment(settings=shared.SETTINGS | {"membership_mode": mode}),
                 self.reactor,
@@ -87,10 +91,12 @@
                 self.gateway.log,
             )
             self.gateway.start()
-            self.assertLess(self.play(service, 20, self.drains), within, (mode, way))
+            self.assertLess(
+                self.run_until(service, 20, self.knows_draining), within, (mode, way)
+            )
 
     def test_many_whose_watches_fall_silent_at_once(self):
-        service = self.start(takes=0.008)
+        service = self.start_gateway(call_duration=0.008)
         fleet = [
             HttpGateway(
                 self.deployment(seed=f"{seed:016x}"),
@@ -99,28 +105,31 @@
                 0,
                 self.gateway.log,
             )
-            for seed in range(MANY)
+            for seed in range(GATEWAY_COUNT)
         ]
         for gateway in fleet:
             gateway.start()
-        self.play(service, 8)
-        service.ways, service.calls = ["503", "good"] * (MANY // 4), []
-        service.change()
+        self.run_until(service, 8)
+        service.outcomes, service.calls = ["503", "good"] * (GATEWAY_COUNT // 4), []
+        service.drain_node()
         self.assertLess(
-            self.play(service, 20, lambda: all(map(self.drains, fleet))), TOLD
+            self.run_until(service, 20, lambda: all(map(self.knows_draining, fleet))),
+            NOTIFIED_S,
         )
-        self.assertLess(len(service.calls), 1.4 * MANY)
+        self.assertLess(len(service.calls), 1.4 * GATEWAY_COUNT)
 
 
-class Outage(Called):
+class Outage(OutageTest):
     def test_whatever_failed_before_the_list_is_in_six_seconds_after_discovery_can_be_reached(
         self,
     ):
         for play, way, draw, length in product(
-            (self.started, self.outage), FAILING, (0, 1), range(0, 130, 7)
+            (self.start_in_outage, self.lose_watch), FAILURES, (0, 1), range(0, 130, 7)
         ):
             waited, calls = play(way, draw, length / 10)
-            self.assertLess(waited, TOLD - 0.2, (play.__name__, way, draw, length))
+            self.assertLess(
+                waited, NOTIFIED_S - 0.2, (play.__name__, way, draw, length)
+            )
             self.assertLessEqual(
                 calls, 3 + length / 7.5, (play.__name__, way, draw, length)
             )  # later ones 0.75 s apart at least
@@ -129,15 +138,15 @@
         self,
     ):
         for play, way, ways, draw, length in product(
-            (self.started, self.outage),
-            QUICK,
+            (self.start_in_outage, self.lose_watch),
+            ENDING_FAILURES,
             (("no word",), ("head",), ("drip",)),
             (0, 1),
             range(0, 130, 11),
         ):
             self.assertLess(
-                play(way, draw, length / 10, ways=ways)[0],
-                TOLD - 0.1,
+                play(way, draw, length / 10, outcomes=ways)[0],
+                NOTIFIED_S - 0.1,
                 (play.__name__, way, ways, draw, length),
             )
 
@@ -145,58 +154,71 @@
         self,
     ):
         for way, draw, length, beats in product(
-            FAILING, (0, 1), range(0, 130, 7), (True, False)
+            FAILURES, (0, 1), range(0, 130, 7), (True, False)
         ):
             self.assertLess(
-                self.sighup(way, draw, length / 10, beats)[0],
-                MOVED - 0.15,
+                self.reload_in_outage(way, draw, length / 10, beats)[0],
+                MOVE_NOTIFIED_S - 0.15,
                 (way, draw, length, beats),
             )
 
     def test_a_call_at_the_new_address_that_is_never_answered_leaves_time_for_another_within_the_four(
         self,
     ):
-        for way, draw, beats in product(WAYS, (0, 1), (True, False)):
-            service = self.begin(draw)
+        for way, draw, beats in product(OUTCOMES, (0, 1), (True, False)):
+            service = self.create_gateway(draw)
             self.gateway.start()
-            self.play(service, 8)
-            gone = service.change()
-            service.ways, service.watches = [way], gone if beats else []
+            self.run_until(service, 8)
+            gone = service.drain_node()
+            service.outcomes, service.watches = [way], gone if beats else []
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
-                self.play(service, 20, self.drains), MOVED - 0.2, (way, draw, beats)
+                self.run_until(service, 20, self.knows_draining),
+                MOVE_NOTIFIED_S - 0.2,
+                (way, draw, beats),
             )
 
     def test_where_lists_are_pushed_the_list_is_in_within_the_grace_after_the_return(
         self,
     ):
         for play, way, draw, length in product(
-            (self.started, self.outage), QUICK, (0, 1), range(3, 130, 7)
+            (self.start_in_outage, self.lose_watch),
+            ENDING_FAILURES,
+            (0, 1),
+            range(3, 130, 7),
         ):
             waited, calls = play(way, draw, length / 10, "pushed")
-            self.assertLess(waited, GRACE - 0.2, (play.__name__, way, draw, length))
+            self.assertLess(
+                waited, DRAIN_GRACE_S - 0.2, (play.__name__, way, draw, length)
+            )
             self.assertLessEqual(
                 calls, 3 + length / 1.25, (play.__name__, way, draw, length)
             )
 
     def test_a_list_may_come_indented(self):
         for mode, indent in product(("pushed", "on_request"), (0, 1, 2, "\t")):
-            service = self.begin(0, mode)
-            service.change()
+            service = self.create_gateway(0, mode)
+            service.drain_node()
             service.indent = indent
             self.gateway.start()
-            self.assertLess(self.play(service, 20, self.drains), 0.3, (mode, indent))
+            self.assertLess(
+                self.run_until(service, 20, self.knows_draining), 0.3, (mode, indent)
+            )
             self.assertEqual((len(service.calls), len(service.watches)), (1, 1))
 
     def test_a_list_without_a_line_end_does_not_wait_for_the_beat(self):
         for mode, indent in product(("pushed", "on_request"), (None, 1)):
-            service = self.begin(0, mode)
-            service.change()
-            service.indent, service.end = indent, b""
+            service = self.create_gateway(0, mode)
+            service.drain_node()
+            service.indent, service.line_end = indent, b""
             self.gateway.start()
-            self.assertLess(self.play(service, 20, self.drains), 0.3, (mode, indent))
-            self.play(service, 10)  # the beat ends its line
-            self.assertEqual((len(service.calls), len(service.open())), (1, 1))
+            self.assertLess(
+                self.run_until(service, 20, self.knows_draining), 0.3, (mode, indent)
+            )
+            self.run_until(service, 10)  # the beat ends its line
+            self.assertEqual(
+                (len(service.calls), len(service.open_connections())), (1, 1)
+            )
 
     def test_a_first_call_that_is_turned_away_is_followed_by_a_pause_drawn_by_chance(
         self,
@@ -204,16 +226,16 @@
         for mode in ("pushed", "on_request"):
             pauses = []
             for draw in (0, 1):
-                service = self.begin(draw, mode)
-                service.ways = ["503"]
+                service = self.create_gateway(draw, mode)
+                service.outcomes = ["503"]
                 self.gateway.start()
-                self.play(service, 3, lambda: len(service.calls) > 1, 0.002)
+                self.run_until(service, 3, lambda: len(service.calls) > 1, 0.002)
                 pauses.append(service.calls[1] - service.calls[0])
             self.assertGreater(pauses[0], 0.06, (mode, pauses))
             self.assertGreater(pauses[1], 1.4 * pauses[0], (mode, pauses))
 
 
-class FullFleet(Fleet):
+class FullFleet(FleetTest):
     def test_after_an_outage_all_have_the_list_as_soon_as_the_service_can_give_it(self):
         for pushed, each_second, most, takes, patient in (
             (False, 1.2, 3, 0.01, False),
@@ -223,21 +245,21 @@
             (False, 1.2, 3, 0.02, True),
             (True, 3.6, 8, 0.02, True),
         ):
-            service, members = self.fleet(pushed, patient=patient)
-            service.bad, service.back, service.calls = (
+            service, members = self.start_fleet(pushed, rejects_late=patient)
+            service.outage_outcome, service.outage_end, service.calls = (
                 "refused",
                 self.reactor.seconds() + self.SPAN,
                 [],
             )
-            for _, protocol, _ in service.change():
+            for _, protocol, _ in service.drain_node():
                 protocol.connectionLost()
-            self.looked(service, members, self.SPAN, lambda: False)
+            self.run_fleet(service, members, self.SPAN, lambda: False)
             self.assertLess(
                 len(service.calls) / self.FLEET / self.SPAN,
                 each_second,
                 (pushed, takes),
             )
-            waited, calls = self.back(service, members, takes)
+            waited, calls = self.measure_recovery(service, members, takes)
             self.assertLess(
                 waited,
                 takes * self.FLEET + (2.0 if patient else 1.0),
@@ -249,10 +271,10 @@
         self,
     ):
         for takes, most in ((0.01, 1.1), (0.02, 2), (0.04, 4)):
-            service, members = self.fleet()
-            service.patient = False
-            service.change()
-            waited, calls = self.back(service, members, takes)
+            service, members = self.start_fleet()
+            service.rejects_late = False
+            service.drain_node()
+            waited, calls = self.measure_recovery(service, members, takes)
             self.assertLess(waited, max(takes * self.FLEET + 1.5, 3.5), takes)
             self.assertLess(calls, most, takes)
 
@@ -311,7 +333,7 @@
             }
             settings = shared.SETTINGS | {"membership_mode": mode, "rules": rules}
             made = shared.parse_configuration(
-                shared.GIVEN | {"settings": settings}, {}, 0, list[str]().append
+                shared.CONFIG | {"settings": settings}, {}, 0, list[str]().append
             )
             self.assertEqual(made.config.rewatch_within, wanted, (mode, stated, grace))
             self.assertEqual(
--- a/tests/node_connections/test_races_with_nodes.py
+++ b/tests/node_connections/test_races_with_nodes.py
@@ -1,7 +1,7 @@
 """Attempts to storage nodes over loopback sockets while a handshake is delayed.
 
 The node drains, leaves or moves to another address before it answers the handshake. The
-node is a plain listening socket, and the test runs the reactor turn by turn.
+node is a plain create_listener socket, and the test runs the reactor turn by turn.
 """
 
 import unittest
@@ -18,7 +18,7 @@
 from milletsill.sftp_gateway import node_pools
 from milletsill.sftp_gateway.identifiers import IdentifierSource
 from milletsill.sftp_gateway.node_pools import SftpNodePools, SftpNodePoolsConfig
-from tests.support.loopback import Loop, listening, receive
+from tests.support.loopback import LoopbackReactor, create_listener, receive
 
 LIMITS = PoolLimits(
     max_connections=2,
@@ -54,7 +54,7 @@
     def __init__(self, loop, listener):
         self.loop, self.sock, self.splitter = (
             loop,
-            loop.accepted(listener),
+            loop.accept(listener),
             PacketSplitter(1 << 20),
         )
         self.received = []
@@ -94,9 +94,9 @@
 
 class WaitingAttempts(unittest.TestCase):
     def setUp(self):
-        self.loop = Loop()
+        self.loop = LoopbackReactor()
         self.addCleanup(self.loop.close)
-        self.listener = listening()
+        self.listener = create_listener()
         self.addCleanup(self.listener.close)
         self.ended, self.elapsed = [], 0
         self.pool = self.make_pool()
--- a/tests/support/discovery_connections.py
+++ b/tests/support/discovery_connections.py
@@ -1,7 +1,7 @@
-"""Discovery's end of each connection in the test's hand, over loopback sockets.
+"""Shared fixtures of the tests of races between discovery and the gateway.
 
-What the tests of crossings there share. The test runs the reactor by hand and sets the
-clock on itself, so a busy machine changes nothing.
+The test controls discovery's end of each loopback connection. It turns the reactor and
+advances the clock itself, so a busy machine does not change the result.
 """
 
 import json
@@ -17,14 +17,14 @@
 from tests.support.http_gateway_rig import NODE
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-BEAT = b"1\r\n\n\r\n"
-LOOK = 1_000  # tenths of a millisecond between looks
-# seconds of real time in which a step that the sockets owe has to come; none is waited
-# for beyond its coming
-PATIENT = 30.0
+HEARTBEAT = b"1\r\n\n\r\n"
+CHECK_INTERVAL = 1_000  # ticks of 0.1 ms between two calls of EndpointWatcher.check
+# Real time in which a step of the sockets must happen. A wait ends as soon as the step
+# has happened.
+WAIT_TIMEOUT_S = 30.0
 
 
-def said(version, whole=False, **changed):
+def list_line(version, whole=False, **changed):
     text = (
         json.dumps(
             {"version": version, "full": whole, "servers": [NODE | changed]}
@@ -35,44 +35,44 @@
 
 
 class Discovery:
-    """One address of discovery; calls are taken when the test says so."""
+    """One address of discovery; the test decides when a call is accepted."""
 
     def __init__(self):
-        self.door = socket.create_server(("127.0.0.1", 0))
-        self.address = self.door.getsockname()
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.address = self.listener.getsockname()
         self.ends = []
 
     def close(self):
-        for each in (self.door, *self.ends):
+        for each in (self.listener, *self.ends):
             each.close()
 
 
-class Held(unittest.TestCase):
-    """A follower whose reactor turns when the test says so, on the clock that the test sets on."""
+class WatcherTest(unittest.TestCase):
+    """Base of tests with an EndpointWatcher on a reactor and clock that they control."""
 
     def setUp(self):
         self.reactor = SelectReactor()
         self.reactor.startRunning(installSignalHandlers=False)
-        self.clock, self.told, self.log, self.due = 0, [], [], []
+        self.clock, self.updates, self.log, self.due = 0, [], [], []
         self.reactor.callLater = self.later
-        self.there = self.discovery()
-        self.follower = EndpointWatcher(
+        self.server = self.discovery()
+        self.watcher = EndpointWatcher(
             self.reactor,
             lambda: self.clock,
-            WatcherConfig(self.there.address, ["z"], 0),
-            self.hear,
+            WatcherConfig(self.server.address, ["z"], 0),
+            self.on_endpoints,
             self.log.append,
             lambda least, most: most,
         )
 
     def tearDown(self):
-        self.follower.stop()
+        self.watcher.stop()
         self.turn(3)
         for each in self.reactor.removeAll():
             each.connectionLost(None)
 
-    def again(self):
-        """The same from the start."""
+    def restart(self):
+        """Replace the watcher and discovery within one test."""
         self.tearDown()
         self.setUp()
 
@@ -81,17 +81,19 @@
         self.addCleanup(made.close)
         return made
 
-    def hear(self, kind, places):
-        self.told.append((kind, *(each.endpoint.readiness.value for each in places)))
+    def on_endpoints(self, kind, entries):
+        self.updates.append(
+            (kind, *(each.endpoint.readiness.value for each in entries))
+        )
 
     def later(self, span, call, *values, **named):
-        """The test's own timers: they come when the clock is set on."""
+        """Replace callLater: timers fire when the test advances the clock."""
         timer = Timer(self.clock + span * 10_000, lambda: call(*values, **named))
         self.due.append(timer)
         return timer
 
     def turn(self, times=1):
-        """What the sockets hold, and what is due."""
+        """Process socket events, then timers that are due."""
         for _ in range(times):
             self.reactor.doIteration(0.01)
             for each in [one for one in self.due if one.at <= self.clock]:
@@ -99,34 +101,34 @@
                 each.run()
 
     def until(self, holds):
-        """The sockets' next step; the clock stands."""
-        for _ in range(int(PATIENT / 0.01)):
+        """Turn the reactor until `holds()` is true; the clock stands still."""
+        for _ in range(int(WAIT_TIMEOUT_S / 0.01)):
             if holds():
                 return
             self.turn()
-        self.fail(f"it never came: told {self.told}, said {self.log}")
+        self.fail(f"condition not met: updates {self.updates}, log {self.log}")
 
-    def go(self, span):
-        """The clock goes on by looks."""
-        for _ in range(int(span) // LOOK):
-            self.clock += LOOK
-            self.follower.check()
+    def advance(self, span):
+        """Advance the clock in steps of CHECK_INTERVAL, with a check after each."""
+        for _ in range(int(span) // CHECK_INTERVAL):
+            self.clock += CHECK_INTERVAL
+            self.watcher.check()
             self.turn()
 
-    def taken(self, there=None):
-        """Discovery takes the next call and has read it whole."""
-        there = there or self.there
-        there.door.settimeout(PATIENT)
+    def accept_watch(self, server=None):
+        """Accept the next call and read it whole; return its socket and version."""
+        server = server or self.server
+        server.listener.settimeout(WAIT_TIMEOUT_S)
         self.until(
             lambda: (
-                (watch := self.follower.watch) is not None
+                (watch := self.watcher.watch) is not None
                 and watch.version >= 0
                 and watch.transport is not None
             )
         )
-        end, _ = there.door.accept()
-        there.ends.append(end)
-        end.settimeout(PATIENT)
+        end, _ = server.listener.accept()
+        server.ends.append(end)
+        end.settimeout(WAIT_TIMEOUT_S)
         got = b""
         while not got.endswith(b"\r\n\r\n"):
             self.turn()
@@ -142,54 +144,54 @@
         finally:
             end.setblocking(True)
 
-    def second(self, there=None):
-        """Discovery takes the call that is made beside one."""
-        there = there or self.there
-        there.door.settimeout(PATIENT)
+    def accept_parallel(self, server=None):
+        """Accept the parallel call that the watcher makes beside its current call."""
+        server = server or self.server
+        server.listener.settimeout(WAIT_TIMEOUT_S)
         self.until(
             lambda: (
-                self.follower.parallel is not None
-                and self.follower.parallel.transport is not None
+                self.watcher.parallel is not None
+                and self.watcher.parallel.transport is not None
             )
         )
-        end, _ = there.door.accept()
-        there.ends.append(end)
+        end, _ = server.listener.accept()
+        server.ends.append(end)
         return end
 
-    def called(self, there=None):
-        """Whether a call waits at discovery's door."""
+    def has_pending_call(self, server=None):
+        """Accept a pending call, if any; return whether there was one."""
         self.turn(3)
-        (there or self.there).door.settimeout(0)
+        (server or self.server).listener.settimeout(0)
         with suppress(BlockingIOError):
-            self.there.ends.append((there or self.there).door.accept()[0])
+            self.server.ends.append((server or self.server).listener.accept()[0])
             return True
         return False
 
-    def over(self, end):
-        """Our end of it is closed."""
+    def wait_until_closed(self, end):
+        """Wait until the gateway closes its end of a connection."""
         end.setblocking(False)
-        gone = []
+        closed = []
 
-        def looked():
+        def is_closed():
             with suppress(BlockingIOError):
                 try:
-                    gone.append(not end.recv(4096))
+                    closed.append(not end.recv(4096))
                 except ConnectionError:
-                    gone.append(True)
-            return gone and gone[-1]
+                    closed.append(True)
+            return closed and closed[-1]
 
-        self.until(looked)
+        self.until(is_closed)
 
-    def standing(self):
-        """A watch that has spoken."""
-        self.follower.request_watch()
-        end, _ = self.taken()
-        end.sendall(HEAD + said(7, True))
-        self.until(lambda: self.told)
+    def open_watch(self):
+        """Open a watch and deliver its first list; return discovery's socket."""
+        self.watcher.request_watch()
+        end, _ = self.accept_watch()
+        end.sendall(HEAD + list_line(7, True))
+        self.until(lambda: self.updates)
         return end
 
-    def failed(self):
-        return [each[0] for each in self.told].count(EndpointUpdateKind.FAILED)
+    def failure_count(self):
+        return [each[0] for each in self.updates].count(EndpointUpdateKind.FAILED)
 
     def reset(self, end):
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -197,7 +199,7 @@
 
 
 class Timer:
-    """One call that is due."""
+    """One delayed call."""
 
     def __init__(self, at, run):
         self.at, self.run, self.live = at, run, True
--- a/tests/support/http_gateway_rig.py
+++ b/tests/support/http_gateway_rig.py
@@ -1,6 +1,6 @@
-"""What the platform gateway's tests share.
+"""Shared fixtures of the HTTP gateway's tests.
 
-Its file, requests, connections in memory, a stand-in node.
+A configuration, encoded requests, in-memory and loopback connections, a stand-in node.
 """
 
 import select
@@ -89,7 +89,7 @@
     "weight": 1.0,
     "started_ms": 0,
 }
-GIVEN = {
+CONFIG = {
     "name": "n",
     "listen": "127.0.0.1:7000",
     "discovery": "127.0.0.1:8500",
@@ -101,8 +101,8 @@
 TXN = 0x9B1F03AA5C7E2D41
 
 
-def ask(txn=TXN, method="GET", name="get", body=b"", drop=(), **fields):
-    """A client's request as bytes."""
+def req(txn=TXN, method="GET", name="get", body=b"", drop=(), **fields):
+    """Return a client's request as bytes; `drop` names header fields to omit."""
     lines = {
         "Host": "api",
         "X-Txn": f"{txn:016x}",
@@ -121,12 +121,12 @@
     return f"{method} /{name} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Pressure: inflight=7,queue=nan,util=0.5\r\n\r\nhi"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Pressure: inflight=7,queue=nan,util=0.5\r\n\r\nhi"
 
 
 @contextmanager
 def node_stand_in(body):
-    """A node that answers each request with one octet after 30 ms; gives its port."""
+    """Run a node that answers each request with one octet after 30 ms; yield its port."""
 
     class Answer(socketserver.StreamRequestHandler):
         def handle(self):
@@ -150,8 +150,8 @@
             server.shutdown()
 
 
-class Wire(StringTransport):
-    """A connection of a client or to a node."""
+class MemoryTransport(StringTransport):
+    """An in-memory connection from a client or to a node."""
 
     def __init__(self):
         super().__init__()
@@ -159,7 +159,7 @@
 
     def write(self, data):
         super().write(data)
-        if self.producer is not None and not self.streaming:  # all was handed over
+        if self.producer is not None and not self.streaming:  # all data is written
             self.producer.resumeProducing()
 
     def setTcpNoDelay(self, enabled):
@@ -169,7 +169,7 @@
         return SimpleNamespace(shutdown=lambda how: None)
 
     def doRead(self):
-        """Nothing more has come."""
+        """Read nothing: there is no unread data."""
 
     def registerProducer(self, producer, streaming):
         super().registerProducer(producer, streaming)
@@ -177,34 +177,34 @@
 
     def loseWriteConnection(self):
         self.half_closed = True
-        self.protocol.writeConnectionLost()  # as Twisted does once all is handed over
+        self.protocol.writeConnectionLost()  # as Twisted does once all data is written
 
     def abortConnection(self):
         self.aborted = self.disconnecting = True
 
 
 class Reactor(MemoryReactorClock):
-    """Dials are kept in `tcpClients` until a test brings them up."""
+    """Keeps outbound connects pending in `tcpClients` until a test completes them."""
 
-    def up(self, at=-1):
+    def connect(self, at=-1):
         host, port, factory = self.tcpClients[at][:3]
-        protocol, wire = factory.buildProtocol(None), Wire()
+        protocol, wire = factory.buildProtocol(None), MemoryTransport()
         protocol.makeConnection(wire)
-        self.advance(0)  # a dispatch that waited begins in the next turn
+        self.advance(0)  # a waiting attempt begins in the next reactor turn
         return protocol, wire
 
 
-class Served(unittest.TestCase):
-    """A gateway whose door and dials are in memory."""
+class MemoryTest(unittest.TestCase):
+    """Base of tests whose gateway has an in-memory listener and node connections."""
 
     def setUp(self):
         self.reactor, self.log = Reactor(), []
         self.reactor.advance(100)
-        said = SimpleNamespace(
+        logger = SimpleNamespace(
             info=lambda event, **values: self.log.append((event, values)),
             warning=lambda event, **values: self.log.append((event, values)),
         )
-        self.gateway = HttpGateway(self.deployment(), self.reactor, self.now, 0, said)
+        self.gateway = HttpGateway(self.deployment(), self.reactor, self.now, 0, logger)
         self.gateway.start()
         self.gateway.port.pauseProducing = self.gateway.port.resumeProducing = lambda: (
             None
@@ -214,62 +214,62 @@
         return int(self.reactor.seconds() * 10_000 + 0.5)
 
     def deployment(self, **changed):
-        return parse_configuration(GIVEN | changed, {}, 0, self.log.append)
+        return parse_configuration(CONFIG | changed, {}, 0, self.log.append)
 
     def client(self, *data):
-        protocol, wire = self.gateway.listener.buildProtocol(None), Wire()
+        protocol, wire = self.gateway.listener.buildProtocol(None), MemoryTransport()
         protocol.makeConnection(wire)
         for each in data:
             protocol.dataReceived(each)
         self.reactor.advance(0)
         return protocol, wire
 
-    def lost(self, protocol, clean=True):
+    def disconnect(self, protocol, clean=True):
         protocol.connectionLost(
             Failure(ConnectionDone() if clean else ConnectionLost())
         )
 
-    def dialled(self, port):
+    def dials(self, port):
+        """Return the indexes of the connects to a port."""
         return [
-            place
-            for place, each in enumerate(self.reactor.tcpClients)
+            index
+            for index, each in enumerate(self.reactor.tcpClients)
             if each[1] == port
         ]
 
-    def served(self, answer=ANSWER, **kwargs):
-        """A client's request on its way: both connections."""
-        client = self.client(ask(**kwargs))
-        node = self.reactor.up(self.dialled(7070)[-1])
+    def exchange(self, answer=RESPONSE, **kwargs):
+        """Play a request and its answer; return both (protocol, transport) pairs."""
+        client = self.client(req(**kwargs))
+        node = self.reactor.connect(self.dials(7070)[-1])
         if answer:
             node[0].dataReceived(answer)
         return client, node
 
 
 class Loopback(unittest.TestCase):
-    """A gateway on real loopback sockets, in the test's own hand.
+    """Base of tests whose gateway uses real loopback sockets.
 
-    Its reactor turns only when the test says so, and its clock moves only by `to` and
-    `pass_time`. So what is unread in the system at a certain step is the test's choice,
-    however busy the machine.
+    The reactor and clock move only when the test moves them. The test thus decides which
+    data is unread in the kernel at each step, however busy the machine is.
     """
 
     changed = {}
 
     def setUp(self):
-        self.time, self.log, self.ended, self.left_at = 1000.0, [], [], 0.0
+        self.time, self.log, self.stop_times, self.reference_time = 1000.0, [], [], 0.0
         self.sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
         self.node, self.listener = self.sockets
         self.reactor = EPollReactor()
         self.reactor.seconds = lambda: self.time
-        said = SimpleNamespace(
+        logger = SimpleNamespace(
             info=lambda event, **values: self.log.append((event, values)),
             warning=lambda event, **values: self.log.append((event, values)),
         )
-        self.door = self.free_port()
+        self.port = self.free_port()
         given = (
-            GIVEN
+            CONFIG
             | {
-                "listen": f"127.0.0.1:{self.door}",
+                "listen": f"127.0.0.1:{self.port}",
                 "discovery": "127.0.0.1:%d" % self.listener.getsockname()[1],
                 "known": {
                     "version": 4,
@@ -286,26 +286,26 @@
             self.reactor,
             self.now,
             0,
-            said,
+            logger,
         )
-        self.gateway.on_stopped = lambda: self.ended.append(self.time)
+        self.gateway.on_stopped = lambda: self.stop_times.append(self.time)
         self.gateway.start()
         self.turn()
 
     def tearDown(self):
-        self.shut()
+        self.shut_down()
 
-    def again(self):
-        """All anew, within one test."""
-        self.shut()
+    def restart(self):
+        """Replace the gateway and all sockets within one test."""
+        self.shut_down()
         self.setUp()
 
     def free_port(self):
         with socket.create_server(("127.0.0.1", 0)) as one:
             return one.getsockname()[1]
 
-    def shut(self):
-        if not self.ended:
+    def shut_down(self):
+        if not self.stop_times:
             self.gateway.stop()
         self.reactor.disconnectAll()
         self.turn()
@@ -319,8 +319,8 @@
         for _ in range(times):
             self.reactor.iterate(0)
 
-    def until(self, true, what="not in time"):
-        """Turn the reactor until it is so; the clock stands."""
+    def until(self, true, what="condition not met within 2000 reactor turns"):
+        """Turn the reactor until `true()` holds; the gateway's clock stands still."""
         for _ in range(2000):
             if true():
                 return
@@ -329,26 +329,26 @@
         self.fail(what)
 
     def terminate(self):
-        """SIGTERM; `to` counts from it."""
-        self.left_at = self.time
+        """Shut down as on SIGTERM; `advance_to` counts from here."""
+        self.reference_time = self.time
         self.gateway.terminate()
 
-    def to(self, at, step=0.005):
-        """Let time pass, in small steps, to just after `at` seconds since SIGTERM."""
-        while self.time < self.left_at + at:
-            self.time = min(self.time + step, self.left_at + at + 1e-6)
+    def advance_to(self, at, step=0.005):
+        """Advance the clock in small steps to just after `at` s since `reference_time`."""
+        while self.time < self.reference_time + at:
+            self.time = min(self.time + step, self.reference_time + at + 1e-6)
             self.turn(2)
 
     def pass_time(self, seconds):
-        self.left_at = self.time
-        self.to(seconds, 0.02)
+        self.reference_time = self.time
+        self.advance_to(seconds, 0.02)
 
     def client(self, *data, window=None):
-        """A client's socket, accepted; `window` keeps its receive buffer small."""
+        """Return an accepted client socket; `window` limits its receive buffer."""
         one = socket.socket()
         if window:
             one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window)
-        one.connect(("127.0.0.1", self.door))
+        one.connect(("127.0.0.1", self.port))
         one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         one.setblocking(False)
         self.sockets.append(one)
@@ -358,22 +358,22 @@
                 each.transport.getPeer().port == port
                 for each in self.gateway.listener.connections
             ),
-            "not accepted",
+            "the gateway does not accept the client",
         )
         for each in data:
             one.sendall(each)
         return one
 
     def server_side(self):
-        """The gateway's end of the newest connection."""
+        """Return the gateway's end of the newest client connection."""
         return list(self.gateway.listener.connections)[-1]
 
-    def taken(self, count=1):
-        """The node's end of a new link, once `count` requests have come on it."""
+    def accept(self, count=1):
+        """Return the node's end of a new connection once `count` requests arrived."""
         self.node.setblocking(False)
         link, text = [], b""
 
-        def come():
+        def requests_arrived():
             nonlocal text
             if not link:
                 with suppress(BlockingIOError):
@@ -385,13 +385,13 @@
                     text += link[0].recv(65_536)
             return text.count(b"X-Txn") >= count
 
-        self.until(come, "nothing came to the node")
+        self.until(requests_arrived, "the node receives too few requests")
         return link[0]
 
     def got(self, one, octets=1 << 20):
-        """What has come to a client.
+        """Return the bytes that have arrived at a socket and its state.
 
-        Its octets, and how its connection stands: open, ended or reset.
+        The state is "open", "ended" or "reset".
         """
         data = b""
         while True:
@@ -405,26 +405,26 @@
                 return data, "ended"
             data += piece
 
-    def all_of(self, one):
-        """All that comes to a client until its connection is over."""
+    def read_all(self, one):
+        """Return all bytes until a connection closes, and whether it ended or reset."""
         data, how = b"", "open"
 
-        def over():
+        def closed():
             nonlocal data, how
             piece, how = self.got(one)
             data += piece
             return how != "open"
 
-        self.until(over, "the connection is not over")
+        self.until(closed, "the connection stays open")
         return data, how
 
-    def unread(self):
-        """Wait until what clients have sent is in the gateway's system, without a turn of its reactor."""
+    def wait_for_input(self):
+        """Wait until client data is in the kernel, without turning the reactor."""
         sockets = [each.transport.socket for each in self.gateway.listener.connections]
         return select.select(sockets, [], [], 2)[0]
 
 
 def reset(one):
-    """Close with a reset."""
+    """Close a socket with a TCP reset."""
     one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     one.close()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,6 +1,6 @@
-"""Real sockets on the loopback, turned by hand.
+"""Real loopback sockets under a reactor that the test turns.
 
-The test says when the reactor looks, so that what is to cross does cross.
+The test decides when the reactor polls, so that it can provoke a given race.
 """
 
 import socket
@@ -8,11 +8,11 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-LONGEST = 10.0  # seconds until a wait has failed, however busy the machine is
+WAIT_TIMEOUT_S = 10.0  # generous, so that a busy machine does not fail a test
 
 
-def listening(backlog=16):
-    """A listening socket that never blocks."""
+def create_listener(backlog=16):
+    """Return a non-blocking listening socket on a free loopback port."""
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     sock.listen(backlog)
@@ -20,15 +20,15 @@
     return sock
 
 
-class Loop:
-    """A reactor of the test's own.
+class LoopbackReactor:
+    """A Twisted reactor that runs only when the test turns it.
 
-    `until` turns it until something holds; `turn` once.
+    `turn` runs a number of turns, `until` runs turns until a condition holds.
     """
 
     def __init__(self):
         self.reactor = EPollReactor()
-        self.taken: list[socket.socket] = []
+        self.accepted: list[socket.socket] = []
 
     def now(self):
         return int(time.monotonic() * 10_000)
@@ -37,49 +37,51 @@
         for _ in range(times):
             self.reactor.iterate(0)
 
-    def until(self, holds, what="nothing came"):
-        """The first true value of `holds`."""
-        ends = time.monotonic() + LONGEST
+    def until(self, holds, what="condition not met in time"):
+        """Turn the reactor until `holds()` is true; return its value."""
+        ends = time.monotonic() + WAIT_TIMEOUT_S
         while not (found := holds()):
             if time.monotonic() > ends:
                 raise AssertionError(what)
             self.reactor.iterate(0.005)
         return found
 
-    def accepted(self, listener):
-        """The next connection that comes to a listener."""
-        found = self.until(lambda: accept(listener), "nobody dialled")
+    def accept(self, listener):
+        """Return the next connection that arrives at a listener."""
+        found = self.until(
+            lambda: accept(listener), "no connection arrives at the listener"
+        )
         found.setblocking(False)
-        self.taken.append(found)
+        self.accepted.append(found)
         return found
 
     def read(self, sock, enough=lambda data: True):
-        """What comes until it is enough."""
+        """Return the received bytes once there are some and `enough` accepts them."""
         data = bytearray()
 
         def more():
             data.extend(receive(sock) or b"")
             return data and enough(bytes(data))
 
-        self.until(more, "nothing to read")
+        self.until(more, "too few bytes arrive")
         return bytes(data)
 
     def close(self):
-        """Leave nothing open."""
+        """Close all sockets and cancel all delayed calls."""
         self.turn(3)
         for each in self.reactor.getDelayedCalls():
             each.cancel()
         for each in self.reactor.removeAll():
             if getattr(each, "socket", None) is not None:
                 each.socket.close()
-        for each in self.taken:
+        for each in self.accepted:
             each.close()
         self.reactor.waker.connectionLost(None)
-        self.reactor._poller.close()  # it has no public end
+        self.reactor._poller.close()  # there is no public way to close it
 
 
 def accept(listener):
-    """A connection, or None."""
+    """Return the next pending connection of a listener, or None."""
     try:
         return listener.accept()[0]
     except BlockingIOError:
@@ -87,7 +89,7 @@
 
 
 def receive(sock):
-    """What lies in a socket: None for nothing yet, b"" for the end or a reset."""
+    """Return a socket's unread bytes: None if there are none, b"" at end or reset."""
     try:
         return sock.recv(1 << 20)
     except BlockingIOError:
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the tests find the project's own files."""
+"""Paths of the project's own files that tests read."""
 
 from pathlib import Path
 
--- a/tests/support/race_scenarios.py
+++ b/tests/support/race_scenarios.py
@@ -17,7 +17,7 @@
 from milletsill.http_gateway.configuration import parse_configuration
 from milletsill.http_gateway.gateway import HttpGateway
 from milletsill.lab.hunt.fault_search import FaultEvent
-from tests.support.http_gateway_rig import GIVEN, SETTINGS, ask
+from tests.support.http_gateway_rig import CONFIG, SETTINGS, req
 from tests.support.race_actors import Client, Discovery, Node
 from tests.support.race_observer import MS, SECOND, Request, Watch
 from tests.support.race_transports import World
@@ -93,7 +93,7 @@
             Node(None, f"s-{number}", 7100 + number, number % 2)
             for number in range(chance.choice((2, 3, 4)))
         ]
-        given = GIVEN | {
+        given = CONFIG | {
             "settings": self.settings,
             "discovery": f"127.0.0.1:{ADDRESSES[0]}",
             "seed": f"{seed:x}",
@@ -256,7 +256,7 @@
             told["hard_limit_ns"] // 1_000_000 * chance.choice((1, 1, 1, 0.4))
         )
         key = b"k%x" % txn
-        text = ask(
+        text = req(
             txn,
             "PUT" if write else "GET",
             told["name"],
