--- a/tests/http_gateway/test_race_hunt.py
+++ b/tests/http_gateway/test_race_hunt.py
@@ -7,9 +7,9 @@
 import unittest
 
 from tests.http_gateway.test_sites import VARIANTS
-from tests.support.race_guards import FOUND_BY, without
-from tests.support.race_scenarios import Crossings
-from tests.support.race_sites import site
+from tests.support.race_guards import SEED_BY_GUARD, without_guard
+from tests.support.race_scenarios import RaceSimulation
+from tests.support.race_sites import site_settings
 
 SEEDS, OF_SITES = range(100), range(10)
 
@@ -18,33 +18,37 @@
     def kept(self, game, seeds):
         for seed in seeds:
             with self.subTest(seed=seed):
-                self.assertIsNone(game.play(seed, game.drawn(seed)))
+                self.assertIsNone(game.play(seed, game.draw_events(seed)))
 
     def test_drawn_seeds_are_kept(self):
-        self.kept(Crossings(), SEEDS)
+        self.kept(RaceSimulation(), SEEDS)
 
     def test_settings_of_the_sites_are_kept(self):
         for name in VARIANTS:
             with self.subTest(name):
-                self.kept(Crossings(settings=site(name)), OF_SITES)
+                self.kept(RaceSimulation(settings=site_settings(name)), OF_SITES)
 
     def test_the_same_seed_is_the_same_run(self):
-        game = Crossings()
-        self.assertEqual(game.drawn(7), game.drawn(7))
-        with without("a reset is no end"):
-            seed = FOUND_BY["a reset is no end"]
-            self.assertEqual(*(game.play(seed, game.drawn(seed)) for _ in range(2)))
+        game = RaceSimulation()
+        self.assertEqual(game.draw_events(7), game.draw_events(7))
+        with without_guard("a reset does not complete a response"):
+            seed = SEED_BY_GUARD["a reset does not complete a response"]
+            self.assertEqual(
+                *(game.play(seed, game.draw_events(seed)) for _ in range(2))
+            )
 
 
 class GuardsOut(unittest.TestCase):
     def test_a_guard_out_is_found(self):
-        game = Crossings()
-        for name, seed in FOUND_BY.items():
+        game = RaceSimulation()
+        for name, seed in SEED_BY_GUARD.items():
             with self.subTest(name):
-                self.assertIsNone(game.play(seed, game.drawn(seed)), "kept with it")
-                with without(name):
+                self.assertIsNone(
+                    game.play(seed, game.draw_events(seed)), "kept with it"
+                )
+                with without_guard(name):
                     self.assertIsNotNone(
-                        game.play(seed, game.drawn(seed)), "not found without it"
+                        game.play(seed, game.draw_events(seed)), "not found without it"
                     )
 
 
--- a/tests/support/race_actors.py
+++ b/tests/support/race_actors.py
@@ -1,296 +1,299 @@
-"""Who a gateway meets in a hunt of crossings.
+"""Simulated peers of a gateway in the search for races.
 
-Clients, storage nodes and discovery, each doing what a move of the hunt says.
+Clients, storage nodes and discovery, which follow the moves of a run.
 """
 
 import json
 from functools import partial
 
-from tests.support.race_observer import MS, SECOND, Line, parts_of
-from tests.support.race_transports import Sock
+from tests.support.race_observer import MS, SECOND, ClientRecord, parse_message
+from tests.support.race_transports import SimulatedSocket
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
-FORMS = {  # answers whole, by how their body ends
+REPLY = {  # complete answers, by framing
     "whole": lambda body: HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body,
     "chunked": lambda body: (
         HEAD
         + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
     ),
-    "interim": lambda body: b"HTTP/1.1 100 Continue\r\n\r\n" * 3 + FORMS["whole"](body),
+    "interim": lambda body: b"HTTP/1.1 100 Continue\r\n\r\n" * 3 + REPLY["whole"](body),
     "last": lambda body: (
         HEAD + b"Connection: close\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     ),
     "behind": lambda body: (
-        FORMS["whole"](body) + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
+        REPLY["whole"](body) + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
     ),
     "bare": lambda body: HEAD + b"\r\n" + body,
 }
 ERROR = b"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"
-FULL = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
-ONE_READ = 65_536  # octets that Twisted reads in a turn
+BUSY = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
+READ_SIZE = 65_536  # bytes that Twisted reads from a socket in a turn
 AWAY = b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Agent:
-    away = takes_nothing = False
+class Peer:
+    gone = stopped_reading = False
 
-    def heard(self, data):
+    def on_data(self, data):
         pass
 
-    def ended(self, reset):
-        self.away = True
+    def on_end(self, reset):
+        self.gone = True
 
 
-class Client(Agent):
-    """One connection of a client's.
+class Client(Peer):
+    """One client connection.
 
-    `plan`: requests as (request, octets, pieces, pause before), whether they go at
-    once, how and when it leaves, and what it takes.
+    `plan` holds the requests as (request, bytes, pieces, pause before each piece),
+    whether they are sent at once, how and when the client leaves, and what it reads.
     """
 
-    def __init__(self, world, watch, plan):
-        self.world, self.watch, self.plan = world, watch, plan
-        self.sock = Sock(world, self, plan["window"])
-        self.takes_nothing = not plan["takes"]
-        self.line = Line(self.sock)
-        self.line.takes, self.line.got = plan["takes"], self.got
-        self.next, self.text, self.answers, self.left = 0, b"", 0, False
-        watch.lines[self.sock] = self.line
-
-    def come(self):
-        if self.world.door is None or self.world.door.closed:
+    def __init__(self, sim, observer, plan):
+        self.sim, self.observer, self.plan = sim, observer, plan
+        self.sock = SimulatedSocket(sim, self, plan["window"])
+        self.stopped_reading = not plan["reads"]
+        self.record = ClientRecord(self.sock)
+        self.record.takes, self.record.answer_count = plan["reads"], self.answer_count
+        self.next, self.text, self.answers, self.has_left = 0, b"", 0, False
+        observer.records[self.sock] = self.record
+
+    def connect(self):
+        if self.sim.listener is None or self.sim.listener.closed:
             return
-        self.world.door.backlog.append(self.sock)
-        for span, call in self.plan["crossing"] + [
+        self.sim.listener.backlog.append(self.sock)
+        for span, call in self.plan["events"] + [
             (span, partial(self.leave, how)) for how, span in self.plan["leave"]
         ]:
-            self.around(span, call)
-        if self.takes_nothing and self.plan["resumes"]:
-            self.world.later(self.plan["resumes"], self.resume)
-        if self.plan["bad"]:
-            self.line.extra = 1
-            self.sock.put(self.plan["bad"])
+            self.schedule_near(span, call)
+        if self.stopped_reading and self.plan["resume_delay"]:
+            self.sim.later(self.plan["resume_delay"], self.resume)
+        if self.plan["malformed"]:
+            self.record.extra = 1
+            self.sock.feed(self.plan["malformed"])
         self.send_next()
-        while self.plan["at once"] and self.next < len(self.plan["asks"]):
+        while self.plan["at once"] and self.next < len(self.plan["requests"]):
             self.send_next()
 
-    def around(self, span, call):
-        """Something happens so long after the moment of this client's that the plan names."""
-        cue, txn = self.plan["cue"], self.plan["pick"]
-        if cue is None:
-            self.world.later(span, call)
-        elif cue in ("dial", "up"):  # the next for anybody, once its request is sent
-            self.world.when(("sent", txn), 0, partial(self.world.when, cue, span, call))
+    def schedule_near(self, span, call):
+        """Schedule a call `span` after the signal that the plan names."""
+        signal, txn = self.plan["signal"], self.plan["signal_txn"]
+        if signal is None:
+            self.sim.later(span, call)
+        elif signal in ("dial", "up"):  # next one of any client after its request
+            self.sim.when(("sent", txn), 0, partial(self.sim.when, signal, span, call))
         else:
-            self.world.when((cue, txn), span, call)
+            self.sim.when((signal, txn), span, call)
 
     def resume(self):
-        self.takes_nothing = False
+        self.stopped_reading = False
         self.sock.deliver()
 
     def send_next(self):
-        if self.next < len(self.plan["asks"]) and not self.left:
-            request, octets, pieces, pause = self.plan["asks"][self.next]
+        if self.next < len(self.plan["requests"]) and not self.has_left:
+            request, octets, pieces, pause = self.plan["requests"][self.next]
             self.next += 1
             if self.plan["at once"]:
                 pieces, pause = 1, 0
             size = -(-len(octets) // pieces)
-            self.line.extra += 1  # it may be refused half sent
+            self.record.extra += 1  # it may be rejected half sent
             for number in range(pieces):
-                self.world.later(
+                self.sim.later(
                     pause * (number + 1),
                     partial(
-                        self.piece, request, octets, size, number, number + 1 == pieces
+                        self.send, request, octets, size, number, number + 1 == pieces
                     ),
                 )
 
-    def piece(self, request, octets, size, number, last):
-        if not self.left and not self.sock.closed and not self.away:
-            self.sock.put(octets[number * size : (number + 1) * size])
+    def send(self, request, octets, size, number, last):
+        if not self.has_left and not self.sock.closed and not self.gone:
+            self.sock.feed(octets[number * size : (number + 1) * size])
             if last:
-                self.line.extra -= 1
-                self.watch.sent(self.line, request)
-                self.world.cue(("sent", request.txn))
-                self.world.cue("sent")
+                self.record.extra -= 1
+                self.observer.on_request_sent(self.record, request)
+                self.sim.signal(("sent", request.txn))
+                self.sim.signal("sent")
 
-    def heard(self, data):
+    def on_data(self, data):
         self.text += data
-        self.line.heard += data
-        while (parts := parts_of(self.text)) is not None:
+        self.record.received += data
+        while (parts := parse_message(self.text)) is not None:
             self.text = parts[3]
             self.answers += 1
             if not self.plan["at once"]:
                 self.send_next()
 
-    def got(self):
+    def answer_count(self):
         return self.answers
 
-    def ended(self, reset):
-        """Our side of it was closed: it closes its own, now or later."""
+    def on_end(self, reset):
+        """Close the client's side after the gateway has closed its own."""
         if reset:
-            self.away = True
+            self.gone = True
         else:
-            self.world.later(self.plan["lingers"], partial(self.leave, "close"))
+            self.sim.later(self.plan["close_delay"], partial(self.leave, "close"))
 
     def leave(self, how):
-        if self.left or self.away:
+        if self.has_left or self.gone:
             return
-        self.left = True
-        self.watch.gone(self.line)
-        if how == "reset" or how == "close" and self.sock.queue:
-            self.away = True
-            self.sock.reset()
+        self.has_left = True
+        self.observer.on_client_left(self.record)
+        if how == "reset" or how == "close" and self.sock.outbox:
+            self.gone = True
+            self.sock.peer_reset()
         else:
-            self.away = how == "close"
-            self.sock.finish()
+            self.gone = how == "close"
+            self.sock.peer_close()
 
 
-class Link(Agent):
-    """A node's end of one connection."""
+class NodeSide(Peer):
+    """The node's end of one connection."""
 
     def __init__(self, node, sock):
-        self.node, self.world, self.sock = node, node.world, sock
-        self.text, self.open, self.tried, self.early = b"", 0, None, None
+        self.node, self.sim, self.sock = node, node.sim, sock
+        self.text, self.open_count, self.attempt, self.early = (b"", 0, None, None)
 
-    def heard(self, data):
+    def on_data(self, data):
         self.text += data
-        if (parts := parts_of(self.text)) is None:
-            return self.half()
+        if (parts := parse_message(self.text)) is None:
+            return self.on_partial_request()
         _, fields, _, self.text = parts
-        request = self.world.watch.requests[int(fields[b"x-txn"], 16)]
-        self.tried = next(
+        request = self.sim.observer.requests[int(fields[b"x-txn"], 16)]
+        self.attempt = next(
             (
                 each
-                for each in request.tries
-                if each.sock is self.sock and not each.whole
+                for each in request.attempts
+                if each.sock is self.sock and not each.complete
             ),
             None,
         )
-        if self.tried is None:
-            return self.world.watch.breach(
+        if self.attempt is None:
+            return self.sim.observer.breach(
                 "a request twice on one connection:", f"{request.txn:x}"
             )
-        self.tried.whole, self.open = True, self.open + 1
-        number = sum(each.whole for each in request.tries) - 1
-        fates = self.world.fates.get(request.txn, ())
+        self.attempt.complete, self.open_count = True, self.open_count + 1
+        number = sum(each.complete for each in request.attempts) - 1
+        actions = self.sim.node_actions.get(request.txn, ())
         kind, span, size = (
-            fates[number] if number < len(fates) else ("whole", 2 * MS, 10)
+            actions[number] if number < len(actions) else ("whole", 2 * MS, 10)
         )
         body = (
             b"%x.%d.%s." % (request.txn, number, self.node.name.encode()) + b"x" * size
         )
-        self.tried.ran = kind != "away"
-        self.world.cue(("came", request.txn))
-        self.world.cue("came")
-        self.world.later(span, partial(self.act, self.tried, kind, body, size))
+        self.attempt.may_have_run = kind != "away"
+        self.sim.signal(("came", request.txn))
+        self.sim.signal("came")
+        self.sim.later(span, partial(self.perform, self.attempt, kind, body, size))
 
-    def half(self):
-        """A part of a request; some answer before they have it all."""
+    def on_partial_request(self):
+        """Answer an incomplete request if the simulation has early answers."""
         head, mark, _ = self.text.partition(b"\r\n\r\n")
-        if mark and self.early is None and self.world.early:
+        if mark and self.early is None and self.sim.early:
             self.early = True
             self.write(AWAY)
 
     def write(self, data):
-        if not self.away and not self.sock.fin:
-            self.sock.put(data)
+        if not self.gone and not self.sock.fin:
+            self.sock.feed(data)
 
     def close(self, reset):
-        if not self.away:
-            self.away = True
-            self.sock.reset() if reset else self.sock.finish()
-            if self.tried is not None:
-                self.tried.over = True
-
-    def act(self, tried, kind, body, size):
-        """What becomes of one request."""
-        if self.away or self.sock.rst:
+        if not self.gone:
+            self.gone = True
+            self.sock.peer_reset() if reset else self.sock.peer_close()
+            if self.attempt is not None:
+                self.attempt.finished = True
+
+    def perform(self, attempt, kind, body, size):
+        """Perform the node's action for one attempt."""
+        if self.gone or self.sock.rst:
             return
-        request, world = tried.request, self.world
+        request, sim = attempt.request, self.sim
         if kind in ("reset", "close"):
             self.close(kind == "reset")
         elif kind in ("500", "503", "away"):
-            self.done(tried, {"500": ERROR, "503": FULL, "away": AWAY}[kind])
+            self.answer(attempt, {"500": ERROR, "503": BUSY, "away": AWAY}[kind])
         elif kind in ("half reset", "half close"):
-            self.write(FORMS["whole"](body)[:-4])
-            world.later(len(body) * 10, partial(self.close, kind == "half reset"))
+            self.write(REPLY["whole"](body)[:-4])
+            sim.later(len(body) * 10, partial(self.close, kind == "half reset"))
         elif kind in ("bare close", "bare reset"):
             if kind == "bare close":
-                request.made.append(body)
-            self.write(FORMS["bare"](body))
-            world.later(len(body) * 10, partial(self.close, kind == "bare reset"))
+                request.good_bodies.append(body)
+            self.write(REPLY["bare"](body))
+            sim.later(len(body) * 10, partial(self.close, kind == "bare reset"))
         elif kind == "endless":
             self.write(HEAD + b"\r\n")
-            self.pour(40)
+            self.send_endlessly(40)
         elif kind == "pieces":
-            request.made.append(body)
-            text = FORMS["whole"](body)
+            request.good_bodies.append(body)
+            text = REPLY["whole"](body)
             cut = max(len(text) // 5, 1)
             for number, at in enumerate(range(0, len(text), cut)):
                 last = at + cut >= len(text)
-                world.later(
+                sim.later(
                     number * 3 * MS,
                     partial(
-                        self.done if last else self.more, tried, text[at : at + cut]
+                        self.answer if last else self.add_part,
+                        attempt,
+                        text[at : at + cut],
                     ),
                 )
         elif kind == "twice":
-            request.made.append(body)
-            self.done(tried, FORMS["whole"](body))
-            world.later(
-                size * 20, partial(self.second, self.sock.sent, FORMS["whole"](body))
+            request.good_bodies.append(body)
+            self.answer(attempt, REPLY["whole"](body))
+            sim.later(
+                size * 20, partial(self.repeat, self.sock.written, REPLY["whole"](body))
             )
-        elif kind in FORMS:
-            request.made.append(body)
-            self.done(tried, FORMS[kind](body))
+        elif kind in REPLY:
+            request.good_bodies.append(body)
+            self.answer(attempt, REPLY[kind](body))
             if kind == "last":
-                world.later(MS, partial(self.close, False))
-        # else it never answers
+                sim.later(MS, partial(self.close, False))
+        # any other kind: the node never answers
 
-    def more(self, tried, data):
+    def add_part(self, attempt, data):
         self.write(data)
 
-    def done(self, tried, data):
+    def answer(self, attempt, data):
         self.write(data)
         if (
-            tried.request.made and len(tried.request.made[-1]) < ONE_READ
-        ):  # a longer one takes several turns
-            tried.good = self.world.time, self.sock.came
-        tried.over, self.open = True, self.open - 1
-        self.world.cue(("answered", tried.request.txn))
-        self.world.cue("answered")
-
-    def second(self, sent, data):
-        """Late, but before anything of another request has come.
-
-        What crosses within a round trip cannot be told apart.
+            attempt.request.good_bodies
+            and len(attempt.request.good_bodies[-1]) < READ_SIZE
+        ):  # a longer body takes several turns to read
+            attempt.good_response = self.sim.time, self.sock.received
+        attempt.finished, self.open_count = True, self.open_count - 1
+        self.sim.signal(("answered", attempt.request.txn))
+        self.sim.signal("answered")
+
+    def repeat(self, sent, data):
+        """Repeat an answer if the gateway has not begun to write another request.
+
+        Within a round trip it could not tell the repetition from that one's answer.
         """
-        if self.sock.sent == sent and not self.world.looked:
+        if self.sock.written == sent and not self.sim.poll_in_progress:
             self.write(data)
 
-    def pour(self, times):
-        if times and not self.away and not self.sock.rst:
+    def send_endlessly(self, times):
+        if times and not self.gone and not self.sock.rst:
             self.write(b"x" * 60_000)
-            self.world.later(2 * MS, partial(self.pour, times - 1))
+            self.sim.later(2 * MS, partial(self.send_endlessly, times - 1))
 
-    def ended(self, reset):
-        if self.tried is not None:
-            self.tried.over = True
-        self.away = True
+    def on_end(self, reset):
+        if self.attempt is not None:
+            self.attempt.finished = True
+        self.gone = True
 
-    def rest(self, reset):
-        """Closed early, if nothing is open."""
-        if self.open <= 0 and not self.text:
+    def close_idle(self, reset):
+        """Close the connection if no request is open."""
+        if self.open_count <= 0 and not self.text:
             self.close(reset)
 
 
 class Node:
-    """One storage node, at one address or, once it has moved, at two."""
+    """One storage node, at one address or, after a move, at two."""
 
-    def __init__(self, world, name, port, cell):
-        self.world, self.name, self.port, self.cell = world, name, port, cell
+    def __init__(self, sim, name, port, cell):
+        self.sim, self.name, self.port, self.cell = sim, name, port, cell
         self.state, self.started, self.links = "active", 0, []
-        self.dials = []  # (from, to, how, span): what becomes of a dial
+        self.dials = []  # (from, to, how, span): outcome of connects in a period
 
     def entry(self):
         return {
@@ -304,15 +307,15 @@
             "started_ms": self.started,
         }
 
-    def dialled(self, sock):
-        now, how, span = self.world.time, "up", self.world.chance.randrange(50, 1000)
+    def on_connect(self, sock):
+        now, how, span = self.sim.time, "up", self.sim.rng.randrange(50, 1000)
         for since, to, *what in self.dials:
             if since <= now < to:
                 how, span = what
         if how == "refused":
-            self.world.later(span, partial(self.refuse, sock))
+            self.sim.later(span, partial(self.refuse, sock))
         elif how == "up":
-            self.world.later(span, partial(self.up, sock))
+            self.sim.later(span, partial(self.up, sock))
 
     def refuse(self, sock):
         if not sock.closed:
@@ -320,27 +323,27 @@
 
     def up(self, sock):
         if not sock.closed:
-            sock.up, sock.agent = True, Link(self, sock)
-            sock.window = self.world.node_window
-            self.links.append(sock.agent)
-            self.world.cue("up")
+            sock.up, sock.peer = True, NodeSide(self, sock)
+            sock.window = self.sim.node_window
+            self.links.append(sock.peer)
+            self.sim.signal("up")
 
-    def rest(self, reset):
+    def close_idle(self, reset):
         for link in self.links:
-            link.rest(reset)
+            link.close_idle(reset)
 
     def crash(self, span):
-        """The process dies and is back later."""
+        """Kill the node's process; it is back after `span`."""
         for link in self.links:
             link.close(True)
-        self.dials.append((self.world.time, self.world.time + span, "refused", 100))
+        self.dials.append((self.sim.time, self.sim.time + span, "refused", 100))
 
 
-class Call(Agent):
+class DiscoveryCall(Peer):
     """Discovery's end of one call."""
 
     def __init__(self, discovery, sock):
-        self.discovery, self.sock, self.text, self.watch, self.mute = (
+        self.discovery, self.sock, self.text, self.watching, self.mute = (
             discovery,
             sock,
             b"",
@@ -348,77 +351,74 @@
             False,
         )
 
-    def heard(self, data):
+    def on_data(self, data):
         self.text += data
-        if (parts := parts_of(self.text)) is not None and not self.watch:
-            self.discovery.asked(self, int(parts[0].split(b"from=")[1].split()[0]))
+        if (parts := parse_message(self.text)) is not None and not self.watching:
+            self.discovery.on_request(self, int(parts[0].split(b"from=")[1].split()[0]))
 
-    def line(self, data):
-        """One line of the watch, written whole; whether it was."""
-        if self.away or self.mute or self.sock.closed or self.sock.fin or self.sock.rst:
+    def send_line(self, data):
+        """Write one line of the watch; return whether it was written."""
+        if self.gone or self.mute or self.sock.closed or self.sock.fin or self.sock.rst:
             return False
-        self.sock.put(b"%x\r\n%s\r\n" % (len(data), data))
+        self.sock.feed(b"%x\r\n%s\r\n" % (len(data), data))
         return True
 
 
 class Discovery:
-    """The one service, at all its addresses."""
+    """The discovery service, at all its addresses."""
 
-    def __init__(self, world, nodes):
-        self.world, self.nodes, self.version, self.calls = (
-            world,
+    def __init__(self, sim, nodes):
+        self.sim, self.nodes, self.version, self.calls = (
+            sim,
             {each.name: each for each in nodes},
             4,
             [],
         )
         self.log = []  # (version, entry)
         self.troubles = []  # (from, to, how)
-        self.whole, self.forgot = (
-            False,
-            0,
-        )  # answers with whole lists; the version that left one out without a word
-        world.later(2 * SECOND, self.beat)
+        self.whole_lists, self.omitted_at = False, 0  # version of a silent omission
+        sim.later(2 * SECOND, self.send_heartbeats)
 
-    def trouble(self):
+    def current_trouble(self):
         return next(
-            (how for since, to, how in self.troubles if since <= self.world.time < to),
+            (how for since, to, how in self.troubles if since <= self.sim.time < to),
             "",
         )
 
-    def dialled(self, sock):
-        how = self.trouble()
+    def on_connect(self, sock):
+        how = self.current_trouble()
         if how == "refused":
-            self.world.later(100, lambda: setattr(sock, "error", 111))
+            self.sim.later(100, lambda: setattr(sock, "error", 111))
         elif how != "not up":
-            self.world.later(200, partial(self.up, sock))
+            self.sim.later(200, partial(self.up, sock))
 
     def up(self, sock):
         if not sock.closed:
-            sock.up, sock.agent = True, Call(self, sock)
-            self.calls.append(sock.agent)
+            sock.up, sock.peer = True, DiscoveryCall(self, sock)
+            self.calls.append(sock.peer)
 
-    def asked(self, call, version):
-        how = self.trouble()
+    def on_request(self, call, version):
+        how = self.current_trouble()
         if how == "503":
-            return call.sock.put(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+            return call.sock.feed(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         if how == "mute":
             return None
-        call.watch = True
-        call.sock.put(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
+        call.watching = True
+        call.sock.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
         if version != self.version:
-            self.tell(
+            self.send_list(
                 call,
-                self.whole or version > self.version or version < self.forgot,
+                self.whole_lists or version > self.version or version < self.omitted_at,
                 version,
             )
 
-    def beat(self):
+    def send_heartbeats(self):
         for call in self.calls:
-            if call.watch:
-                call.line(b"\n")
-        self.world.later(2 * SECOND, self.beat)
+            if call.watching:
+                call.send_line(b"\n")
+        self.sim.later(2 * SECOND, self.send_heartbeats)
 
-    def tell(self, call, whole, since):
+    def send_list(self, call, whole, since):
         entries = (
             [each.entry() for each in self.nodes.values() if each.state != "left"]
             if whole
@@ -434,51 +434,51 @@
             ).encode()
             + b"\n"
         )
-        if call.line(text):
-            self.told(entries, whole)
+        if call.send_line(text):
+            self.record_told(entries, whole)
 
-    def told(self, entries, whole):
-        watch, now = self.world.watch, self.world.time
+    def record_told(self, entries, whole):
+        observer, now = self.sim.observer, self.sim.time
         for entry in entries:
             name, port = entry["id"], int(entry["addr"].rpartition(":")[2])
-            if watch.told.get(name, (0, "active"))[1] != entry["state"]:
-                watch.told[name] = now, entry["state"]
+            if observer.told.get(name, (0, "active"))[1] != entry["state"]:
+                observer.told[name] = now, entry["state"]
             if (
-                watch.addresses.get(name, (0, port))[1] != port
-                or name not in watch.addresses
+                observer.addresses.get(name, (0, port))[1] != port
+                or name not in observer.addresses
             ):
-                watch.addresses[name] = now, port
+                observer.addresses[name] = now, port
         for name in (
-            set(watch.addresses) - {each["id"] for each in entries} if whole else ()
+            set(observer.addresses) - {each["id"] for each in entries} if whole else ()
         ):
-            if watch.told.get(name, (0, "active"))[1] != "left":
-                watch.told[name] = now, "left"
+            if observer.told.get(name, (0, "active"))[1] != "left":
+                observer.told[name] = now, "left"
 
     def change(self, node):
-        """A node's entry is another: every watch that stands hears of it."""
+        """Change a node's entry and send it to every open watch."""
         self.version += 1
         self.nodes[node.name] = node
         self.log.append((self.version, node.entry()))
         for call in self.calls:
-            if call.watch:
-                self.tell(call, False, self.version - 1)
+            if call.watching:
+                self.send_list(call, False, self.version - 1)
 
     def forget(self, node):
-        """Left out of whole lists from now on, without a word of its own."""
+        """Omit a node from complete lists, without an entry that says it left."""
         self.version += 1
-        node.state, self.forgot = "left", self.version
+        node.state, self.omitted_at = "left", self.version
         for call in self.calls:
-            if call.watch:
-                self.tell(call, True, 0)
+            if call.watching:
+                self.send_list(call, True, 0)
 
-    def hush(self):
+    def mute_watches(self):
         for call in self.calls:
-            call.mute = call.mute or call.watch
+            call.mute = call.mute or call.watching
 
-    def cut(self, reset, half):
+    def cut_watches(self, reset, half):
         for call in self.calls:
-            if call.watch and not call.away:
+            if call.watching and not call.gone:
                 if half and not call.mute and not call.sock.closed:
-                    call.sock.put(b'40\r\n{"version": 9')
-                call.away = True
-                call.sock.reset(True) if reset else call.sock.finish()
+                    call.sock.feed(b'40\r\n{"version": 9')
+                call.gone = True
+                call.sock.peer_reset(True) if reset else call.sock.peer_close()
--- a/tests/support/race_guards.py
+++ b/tests/support/race_guards.py
@@ -1,6 +1,6 @@
-"""Guards of the gateway taken out one at a time.
+"""Guards of the gateway against races, each of which a test can remove.
 
-What the hunt of crossings has to find.
+The search for races must find a breach when any one of them is missing.
 """
 
 from contextlib import contextmanager
@@ -25,7 +25,7 @@
 
 
 def connection_lost(self, reason=None):
-    """As it is, but for the look at how the connection ended."""
+    """Like the original, but a reset counts as the end of a response."""
     complete = self.reader.on_close()
     exchange, self.exchange = self.exchange, None
     self._on_gone()
@@ -41,8 +41,8 @@
     self.serve_soon()
 
 
-def on_idle_anywhere(self, connection):
-    """As it is, but for the look whether the node has retired."""
+def on_idle_retired(self, connection):
+    """Like the original, but ignoring that the node has retired."""
     self.retired, retired = False, self.retired
     ON_IDLE(self, connection)
     self.retired = retired
@@ -58,7 +58,7 @@
 
 
 def data_received(self, data):
-    """As it is, but octets before all of ours is written are taken for the answer."""
+    """Like the original, but bytes that precede the request count as its response."""
     self.uses, uses = 1, self.uses
     try:
         DATA_RECEIVED(self, data)
@@ -88,7 +88,7 @@
 
 
 def on_process_event(self, event):
-    """As it is, but what is held ends with the step itself."""
+    """Like the original, but held requests fail within the step itself."""
     ON_PROCESS_EVENT(self, event)
     if event is ProcessEvent.START_REJECTING:
         self.host.fail_all()
@@ -102,72 +102,72 @@
 
 
 GUARDS = {
-    "what came is read before anything is begun": lambda: patch.object(
+    "sockets are read before an attempt begins": lambda: patch.object(
         reactor_turn, "must_read_sockets_first", never
     ),
-    "what came is read before a time-out": lambda: patch.object(
+    "sockets are read before a timeout fires": lambda: patch.object(
         timer_queue, "must_read_sockets_first", never
     ),
-    "what waits at a node that retires is moot": lambda: patch.multiple(
-        HttpNodePool, retire=retire, on_idle=on_idle_anywhere
+    "requests waiting for a retired node are dropped": lambda: patch.multiple(
+        HttpNodePool, retire=retire, on_idle=on_idle_retired
     ),
-    "a client's end is looked for behind its request": lambda: patch.object(
+    "a client's close is detected behind its request": lambda: patch.object(
         ClientConnection, "detect_client_close", never
     ),
-    "a reset is no end": lambda: patch.object(
+    "a reset does not complete a response": lambda: patch.object(
         HttpNodeConnection, "connectionLost", connection_lost
     ),
-    "a dispatch begins within a dial of its decision": lambda: patch.object(
+    "an attempt begins within a connect timeout of its decision": lambda: patch.object(
         node_pool, "is_too_late", never
     ),
-    "a link to where the node was is of no use": lambda: patch.object(
+    "a connection to a node's former address is not reused": lambda: patch.object(
         HttpNodePool, "on_idle", on_idle
     ),
-    "what waits for a link goes with its transfer": lambda: patch.object(
+    "a request waiting for a connection ends with its transfer": lambda: patch.object(
         SchedulerHost, "_mark_answered", close
     ),
-    "octets before ours are written are no answer": lambda: patch.object(
-        HttpNodeConnection, "dataReceived", data_received
+    "bytes received before the request is written are no response": lambda: (
+        patch.object(HttpNodeConnection, "dataReceived", data_received)
     ),
-    "a link that brought more is not used again": lambda: patch.object(
+    "a connection with surplus bytes is not reused": lambda: patch.object(
         HttpNodeConnection, "finish", finish
     ),
-    "our side alone is closed": lambda: patch.object(
+    "only the gateway's side is closed": lambda: patch.object(
         ClientConnection, "_close_our_side", close_both_sides
     ),
-    "what lies unread is read before an end": lambda: patch.object(
+    "unread client data is read before a close": lambda: patch.object(
         ClientConnection, "read_pending", never
     ),
-    "what lies unread is read before what is held ends": lambda: patch.multiple(
+    "unread data is read before held requests fail": lambda: patch.multiple(
         HttpGateway,
         _on_process_event=on_process_event,
         _fail_unanswered=fail_nothing,
     ),
-    "what lies unread is read before a watch is over": lambda: patch.object(
+    "unread data is read before a watch ends": lambda: patch.object(
         EndpointWatch, "read_pending", never
     ),
 }
 
-# The first seed of the game as it is that finds the loss of each.
-FOUND_BY = {
-    "what came is read before anything is begun": 136,
-    "what came is read before a time-out": 2,
-    "what waits at a node that retires is moot": 4,
-    "a client's end is looked for behind its request": 37,
-    "a reset is no end": 6,
-    "a dispatch begins within a dial of its decision": 365,
-    "a link to where the node was is of no use": 23,
-    "what waits for a link goes with its transfer": 28,
-    "octets before ours are written are no answer": 343,
-    "a link that brought more is not used again": 30,
-    "our side alone is closed": 163,
-    "what lies unread is read before an end": 12,
-    "what lies unread is read before what is held ends": 21,
-    "what lies unread is read before a watch is over": 42,
+# The first seed of RaceSimulation that finds a breach without the guard.
+SEED_BY_GUARD = {
+    "sockets are read before an attempt begins": 136,
+    "sockets are read before a timeout fires": 2,
+    "requests waiting for a retired node are dropped": 4,
+    "a client's close is detected behind its request": 37,
+    "a reset does not complete a response": 6,
+    "an attempt begins within a connect timeout of its decision": 365,
+    "a connection to a node's former address is not reused": 23,
+    "a request waiting for a connection ends with its transfer": 28,
+    "bytes received before the request is written are no response": 343,
+    "a connection with surplus bytes is not reused": 30,
+    "only the gateway's side is closed": 163,
+    "unread client data is read before a close": 12,
+    "unread data is read before held requests fail": 21,
+    "unread data is read before a watch ends": 42,
 }
 
 
 @contextmanager
-def without(name):
+def without_guard(name):
     with GUARDS[name]():
         yield
--- a/tests/support/race_observer.py
+++ b/tests/support/race_observer.py
@@ -1,24 +1,20 @@
-"""What a hunt of crossings sees.
+"""Observes a gateway in the search for races and records breaches of its rules.
 
-Only what crosses the transports, read by a small parser of its own.
-
-Times are the world's microseconds. Every breach is one line, by the name of what was to
-hold.
+The observer sees only the data on the transports, which it reads with a small parser of
+its own. Times are simulated microseconds. Each breach is one line that names the rule.
 """
 
 SECOND, MS = 1_000_000, 1_000
-LATE, GONE_LATE, TOLD_LATE = (
-    50 * MS,
-    100 * MS,
-    150 * MS,
-)  # the page's slack of each span, of a leaver's, of a told time
-ROUNDS = 20 * MS  # a few rounds, once the process runs again
+# The specified slack of time spans; of stopping attempts for a client that has left or
+# at an old address; of the remaining time that a node is told.
+ANSWER_SLACK, STOP_SLACK, REMAINING_SLACK = 50 * MS, 100 * MS, 150 * MS
+TURNS_SLACK = 20 * MS  # a few reactor turns once the process runs again
 
 
-def parts_of(data):
-    """One message off the front.
+def parse_message(data):
+    """Parse the first message: its start line, fields, body, and the remaining bytes.
 
-    Its first line, fields, body, and the rest; None where it is not whole.
+    Return None if it is incomplete.
     """
     head, mark, rest = data.partition(b"\r\n\r\n")
     if not mark:
@@ -33,7 +29,7 @@
 
 
 class Request:
-    """One request that a client sends whole."""
+    """One request that a client sends completely."""
 
     def __init__(self, txn, category, method, target, body, key, patience):
         self.txn, self.category, self.method, self.target, self.body, self.key = (
@@ -45,335 +41,358 @@
             key,
         )
         self.patience = patience  # microseconds
-        self.line = None  # the client's connection, as the watch has it
-        self.sent_at = self.read_at = self.gone_at = self.answered_at = None
-        self.after = 0  # octets on its connection up to its end
-        self.tries, self.made = (
-            [],
-            [],
-        )  # dispatches begun; bodies that a node made for it and sent with 200
-        self.behind = None  # the request before it on the connection
+        self.record = None  # the ClientRecord of its connection
+        self.sent_at = self.read_at = self.left_at = self.answered_at = None
+        self.end_offset = 0  # bytes on its connection up to its end
+        # attempts begun; bodies that a node sent for it with status 200
+        self.attempts, self.good_bodies = [], []
+        self.prior = None  # the previous request on the connection
 
 
-class Try:
-    """One dispatch."""
+class Attempt:
+    """One attempt."""
 
     def __init__(self, request, node, at):
-        self.request, self.node, self.at = request, node, at
-        self.first = None  # when its first octet was the system's
-        self.ran = self.whole = (
-            False  # whether it may have run, whether the node has all of it
-        )
-        self.sock = self.good = (
-            None  # good: when the whole of a good answer came, and up to which octet
-        )
-        self.over = False  # its answer is written whole, or its connection has ended
+        self.request, self.node, self.begun_at = request, node, at
+        self.first_at = None  # when its first byte was written to the kernel
+        # whether the node may have run it, and has received all of it
+        self.may_have_run = self.complete = False
+        # good_response: when a complete one arrived, and its end offset in bytes
+        self.sock = self.good_response = None
+        self.finished = False  # answered completely, or its connection has ended
 
 
-class Line:
-    """One client's connection."""
+class ClientRecord:
+    """The observations of one client connection."""
 
     def __init__(self, sock):
         self.sock, self.requests, self.text, self.answers = sock, [], b"", []
-        self.written = self.written_at = 0  # answers; the last one's time
-        self.extra = 0  # messages that are no whole request and may have one answer
-        self.gone_at = self.ended_at = self.reset_at = None
-        self.heard = b""  # what has come to the client
-        self.last = False  # an answer said that it is the last
+        self.written = self.written_at = 0  # number of answers; time of the last one
+        self.extra = 0  # incomplete or malformed messages, which may be answered
+        self.left_at = self.ended_at = self.reset_at = None
+        self.received = b""  # bytes that reached the client
+        self.last = False  # an answer had "Connection: close"
 
 
-class Watch:
+class RaceObserver:
     def __init__(self, terms):
         self.terms, self.breaches = terms, []
-        self.world = None
-        self.requests, self.lines = {}, {}
-        self.told = {}  # node: (at, what) as discovery last wrote it to us
+        self.sim = None
+        self.requests, self.records = {}, {}
+        self.told = {}  # node: (at, state) as discovery last wrote to the gateway
         self.addresses = {}  # node: (told at, port)
 
     def breach(self, what, *values):
         text = " ".join(map(str, (what, *values)))
-        self.breaches.append(f"{(self.world.time - 100 * SECOND) / SECOND:.4f} {text}")
+        self.breaches.append(f"{(self.sim.time - 100 * SECOND) / SECOND:.4f} {text}")
 
-    # Spans.
+    # Time spans.
 
     def unseen(self, at, looks=1):
-        """Whether the gateway could not know by now what happened then.
+        """Return whether the gateway cannot know yet what happened at a time.
 
-        So many looks at its sockets ago. A process that stood between two turns is to
-        look before it begins anything; one that stood behind a look goes on with what
-        it was doing.
+        It knows after `looks` polls of its sockets. A process that stalled between two
+        turns must poll before it begins anything; one that stalled after a poll first
+        completes what it was doing.
         """
-        polls = self.world.polls
-        where = self.world.stalls[-1] if self.world.stalls else (0, 0, "")
+        polls = self.sim.polls
+        where = self.sim.stalls[-1] if self.sim.stalls else (0, 0, "")
         seen = len(polls) >= looks and polls[-looks] > at
         return not seen and not (looks == 1 and where[2] == "timers" and where[1] > at)
 
-    def standing(self, since, to):
-        """How long the process stood between two moments."""
+    def stalled_time(self, since, to):
+        """Return how long the process was stalled between two times."""
         return sum(
             max(min(end, to) - max(begin, since), 0)
-            for begin, end, _ in self.world.stalls
+            for begin, end, _ in self.sim.stalls
         )
 
     # The clients' side.
 
-    def was_read(self, sock):
-        line = self.lines.get(sock)
-        for request in line.requests if line else ():
-            if request.read_at is None and sock.read >= request.after:
-                request.read_at = self.world.time
-
-    def our_end(self, sock):
-        line = self.lines.get(sock)
-        if line is not None and line.ended_at is None:
-            line.ended_at = self.world.time
-
-    def sent(self, line, request):
-        """A request's last octet is on its connection."""
-        request.line, request.sent_at, request.after = (
-            line,
-            self.world.time,
-            line.sock.came,
+    def on_read(self, sock):
+        record = self.records.get(sock)
+        for request in record.requests if record else ():
+            if request.read_at is None and sock.bytes_read >= request.end_offset:
+                request.read_at = self.sim.time
+
+    def on_gateway_end(self, sock):
+        record = self.records.get(sock)
+        if record is not None and record.ended_at is None:
+            record.ended_at = self.sim.time
+
+    def on_request_sent(self, record, request):
+        """Record that a request's last byte is on its connection."""
+        request.record, request.sent_at, request.end_offset = (
+            record,
+            self.sim.time,
+            record.sock.received,
         )
-        request.behind = line.requests[-1] if line.requests else None
-        line.requests.append(request)
+        request.prior = record.requests[-1] if record.requests else None
+        record.requests.append(request)
         self.requests[request.txn] = request
 
-    def gone(self, line):
-        """The client has closed its side, or all, or reset."""
-        line.gone_at = self.world.time if line.gone_at is None else line.gone_at
-
-    def answered(self, sock, data):
-        """The gateway writes to a client."""
-        line = self.lines[sock]
-        line.text += data
-        while (parts := parts_of(line.text)) is not None:
-            first, fields, body, line.text = parts
-            self.answer(line, int(first.split()[1]), fields, body)
-
-    def answer(self, line, status, fields, body):
-        now = self.world.time
-        line.written, line.written_at = line.written + 1, now
-        line.last = line.last or fields.get(b"connection") == b"close"
-        open_ones = [each for each in line.requests if each.answered_at is None]
-        if not open_ones:
-            line.extra -= 1
-            if line.extra < 0 or status < 400:
-                self.breach("an answer to nothing:", status)
+    def on_client_left(self, record):
+        """Record that the client has closed its side or reset the connection."""
+        record.left_at = self.sim.time if record.left_at is None else record.left_at
+
+    def on_client_write(self, sock, data):
+        """Check what the gateway writes to a client."""
+        record = self.records[sock]
+        record.text += data
+        while (parts := parse_message(record.text)) is not None:
+            first, fields, body, record.text = parts
+            self.check_answer(record, int(first.split()[1]), fields, body)
+
+    def check_answer(self, record, status, fields, body):
+        now = self.sim.time
+        record.written, record.written_at = record.written + 1, now
+        record.last = record.last or fields.get(b"connection") == b"close"
+        unanswered = [each for each in record.requests if each.answered_at is None]
+        if not unanswered:
+            record.extra -= 1
+            if record.extra < 0 or status < 400:
+                self.breach("an answer without a request:", status)
             return
-        request = open_ones[0]
+        request = unanswered[0]
         request.answered_at, request.status = now, status
-        line.answers.append((now, status))
-        if status == 200 and body not in request.made:
+        record.answers.append((now, status))
+        if status == 200 and body not in request.good_bodies:
             self.breach(
-                "a 200 that no node made for it:", f"{request.txn:x}", body[:40]
+                "status 200 with a body that no node sent for the request:",
+                f"{request.txn:x}",
+                body[:40],
             )
-        lying = [
+        unread_good = [
             each
-            for each in request.tries
-            if each.good
-            and each.sock.read < each.good[1]
+            for each in request.attempts
+            if each.good_response
+            and each.sock.bytes_read < each.good_response[1]
             and not each.sock.closed
-            and each.good[0] < request.sent_at + request.patience
+            and each.good_response[0] < request.sent_at + request.patience
         ]
         if status != 200 and any(
-            now - each.good[0] > ROUNDS and not self.unseen(each.good[0])
-            for each in lying
+            now - each.good_response[0] > TURNS_SLACK
+            and not self.unseen(each.good_response[0])
+            for each in unread_good
         ):
             self.breach(
-                "failed over a good answer that lay there:", f"{request.txn:x}", status
+                "failed despite an unread good response:", f"{request.txn:x}", status
             )
-        if status not in (200, 502, 503) and not line.extra and line.takes:
-            self.breach("a good request is called bad:", status, body[:60])
-        by = self.limit(request)
-        if now > by and line.gone_at is None and (line.takes or request.behind is None):
+        if status not in (200, 502, 503) and not record.extra and record.takes:
+            self.breach("a valid request is rejected as malformed:", status, body[:60])
+        by = self.answer_deadline(request)
+        if (
+            now > by
+            and record.left_at is None
+            and (record.takes or request.prior is None)
+        ):
             self.breach(
-                "an answer after its time:",
+                "an answer after its deadline:",
                 f"{request.txn:x}",
                 status,
                 f"{(now - by) / MS:.1f} ms",
             )
         if status == 503 and b"retry-after" not in fields and self.terms["pause"]:
-            self.breach("a refusal without a time to come back")
-
-    def begins(self, request):
-        """From when its time counts; short of descriptors, it waits before the door."""
-        return max(request.sent_at, request.line.sock.accepted_at * self.terms["short"])
-
-    def limit(self, request):
-        """By when it has to have its answer."""
-        begins = self.begins(request)
-        if request.behind is not None:
-            begins = max(begins, request.behind.answered_at or begins)
-        return self.stretched(begins, begins + request.patience + LATE)
-
-    def stretched(self, begins, by):
-        """A time that is not before the process could run that long."""
-        for begin, end, _ in self.world.stalls:
+            self.breach("a 503 without Retry-After")
+
+    def begins_at(self, request):
+        """Return when the request's time starts.
+
+        With few descriptors it starts no earlier than the accept.
+        """
+        return max(
+            request.sent_at, request.record.sock.accepted_at * self.terms["short"]
+        )
+
+    def answer_deadline(self, request):
+        """Return the time by which the request must be answered."""
+        begins = self.begins_at(request)
+        if request.prior is not None:
+            begins = max(begins, request.prior.answered_at or begins)
+        return self.extend_by_stalls(begins, begins + request.patience + ANSWER_SLACK)
+
+    def extend_by_stalls(self, begins, by):
+        """Return a deadline extended by the stalls of the process before it."""
+        for begin, end, _ in self.sim.stalls:
             if end > begins and begin <= by:
                 by += end - max(begin, begins)
-        return by + ROUNDS
+        return by + TURNS_SLACK
 
     # The nodes' side.
 
-    def began(self, sock, data):
-        """The gateway writes to a node, or to discovery."""
-        parts = parts_of(data)
-        node = self.world.node_at(sock)
+    def on_node_write(self, sock, data):
+        """Check what the gateway writes to a node; ignore writes to discovery."""
+        parts = parse_message(data)
+        node = self.sim.node_at(sock)
         if node is None:
             return None
         if parts is None or parts[3]:
-            return self.breach("octets to a node that are no request:", data[:60])
+            return self.breach("bytes to a node that are not one request:", data[:60])
         first, fields, body, _ = parts
         request = self.requests.get(int(fields.get(b"x-txn", b"0"), 16))
         if request is None:
-            return self.breach("a dispatch that nobody asked for:", fields)
+            return self.breach("an attempt without a request:", fields)
         if (
             first != b"%s %s HTTP/1.1" % (request.method, request.target)
             or body != request.body
             or fields.get(b"idempotency-key") != request.key
         ):
             self.breach(
-                "a dispatch that is not what was asked:", first, f"{request.txn:x}"
+                "an attempt that differs from its request:", first, f"{request.txn:x}"
             )
-        tried = Try(request, node, self.world.time)
-        tried.sock = sock
-        self.check_begin(request, tried, fields)
-        request.tries.append(tried)
-        sock.begun.append((sock.sent, lambda: self.first_octet(tried)))
-        self.world.cue(("begin", request.txn))
-        self.world.cue("begin")
-
-    def first_octet(self, tried):
-        """It is the system's: from here the page counts."""
-        tried.first = self.world.time
-        for at, slack, what in self.reasons(tried):
-            if tried.first - at > slack and not self.unseen(at, 2):
+        attempt = Attempt(request, node, self.sim.time)
+        attempt.sock = sock
+        self.check_begin(request, attempt, fields)
+        request.attempts.append(attempt)
+        sock.write_marks.append((sock.written, lambda: self.on_first_byte(attempt)))
+        self.sim.signal(("begin", request.txn))
+        self.sim.signal("begin")
+
+    def on_first_byte(self, attempt):
+        """Check the time limits, which are specified for an attempt's first byte."""
+        attempt.first_at = self.sim.time
+        for at, slack, what in self.begin_limits(attempt):
+            if attempt.first_at - at > slack and not self.unseen(at, 2):
                 self.breach(
-                    "first octet",
+                    "first byte",
                     what,
-                    f"{tried.request.txn:x}",
-                    f"{(tried.first - at) / MS:.1f} ms after",
+                    f"{attempt.request.txn:x}",
+                    f"{(attempt.first_at - at) / MS:.1f} ms after",
                 )
         before = [
             each
-            for each in tried.request.tries
-            if each is not tried and each.first is not None and each.ran
+            for each in attempt.request.attempts
+            if each is not attempt and each.first_at is not None and each.may_have_run
         ]
-        category = self.terms["categories"][tried.request.category]
+        category = self.terms["categories"][attempt.request.category]
         if before and category["repeats"] == "ticketed":
             span = category["repeat_window"] * 100
-            if tried.first - before[0].first > span + LATE + self.standing(
-                tried.at, tried.first
+            if attempt.first_at - before[
+                0
+            ].first_at > span + ANSWER_SLACK + self.stalled_time(
+                attempt.begun_at, attempt.first_at
             ):
                 self.breach(
-                    "a ticketed repeat outside its window:", f"{tried.request.txn:x}"
+                    "a ticketed retry after its window:", f"{attempt.request.txn:x}"
                 )
 
-    def reasons(self, tried):
-        """Since when, and with what slack, it should not have begun."""
-        request, node = tried.request, tried.node
-        if request.line.gone_at is not None:
-            yield request.line.gone_at, GONE_LATE, "of one whose client had gone:"
+    def begin_limits(self, attempt):
+        """Yield (time, slack, reason) from when on the attempt must not begin."""
+        request, node = attempt.request, attempt.node
+        if request.record.left_at is not None:
+            yield (
+                request.record.left_at,
+                STOP_SLACK,
+                "for a client that had left:",
+            )
         at, state = self.told.get(node.name, (0, "active"))
         if state != "active":
-            yield at, self.terms["grace"] + LATE, f"at a node told {state}:"
+            yield (
+                at,
+                self.terms["grace"] + ANSWER_SLACK,
+                f"at a node listed as {state}:",
+            )
         at, port = self.addresses.get(node.name, (0, node.port))
-        if port != tried.sock.where[1]:
-            yield at, GONE_LATE, "where its node was:"
+        if port != attempt.sock.address[1]:
+            yield at, STOP_SLACK, "at the former address of its node:"
 
-    def check_begin(self, request, tried, fields):
-        now, txn = self.world.time, f"{request.txn:x}"
+    def check_begin(self, request, attempt, fields):
+        now, txn = self.sim.time, f"{request.txn:x}"
         if request.answered_at is not None:
-            self.breach("begun after its answer:", txn)
-        for at, slack, what in self.reasons(tried):
+            self.breach("begun after the answer:", txn)
+        for at, slack, what in self.begin_limits(attempt):
             if now - at > slack and not self.unseen(at):
                 self.breach("begun", what, txn, f"{(now - at) / MS:.1f} ms after")
-        late = now - self.limit(request)
+        late = now - self.answer_deadline(request)
         if (
             late > 0
-            and request.line.takes
-            and not self.unseen(self.limit(request) - ROUNDS)
+            and request.record.takes
+            and not self.unseen(self.answer_deadline(request) - TURNS_SLACK)
         ):
-            self.breach("begun after its client's time:", txn, f"{late / MS:.1f} ms")
+            self.breach("begun after the client timeout:", txn, f"{late / MS:.1f} ms")
         if (
-            request.line.gone_at is None and request.line.takes
-        ):  # else what waits behind an answer is read when that is taken
-            left = self.begins(request) + request.patience - now
-            if request.behind is not None and request.behind.answered_at is not None:
-                left = max(left, request.behind.answered_at + request.patience - now)
-            if int(fields[b"x-remaining-ms"]) * MS > left + TOLD_LATE + self.standing(
-                request.sent_at, now
-            ):
-                self.breach("a node is told more time than is left:", txn)
+            request.record.left_at is None and request.record.takes
+        ):  # else the request is read only when the prior answer has been taken
+            left = self.begins_at(request) + request.patience - now
+            if request.prior is not None and request.prior.answered_at is not None:
+                left = max(left, request.prior.answered_at + request.patience - now)
+            if int(
+                fields[b"x-remaining-ms"]
+            ) * MS > left + REMAINING_SLACK + self.stalled_time(request.sent_at, now):
+                self.breach("a node is told more than the remaining time:", txn)
         category = self.terms["categories"][request.category]
-        ran = [each for each in request.tries if each.ran]
-        if len([each for each in request.tries if each.whole]) >= self.terms["tries"]:
-            self.breach("a try too many:", txn)
+        ran = [each for each in request.attempts if each.may_have_run]
+        if (
+            len([each for each in request.attempts if each.complete])
+            >= self.terms["tries"]
+        ):
+            self.breach("more attempts than allowed:", txn)
         if ran and category["repeats"] == "exclusive":
-            self.breach("a second of an exclusive one:", txn)
+            self.breach("a retry of an exclusive request:", txn)
         if ran and category["repeats"] == "ticketed":
             span = category["repeat_window"] * 100
-            if now > ran[0].first + span and not self.unseen(ran[0].first + span):
+            if now > ran[0].first_at + span and not self.unseen(ran[0].first_at + span):
                 self.breach(
-                    "a ticketed repeat begun outside its window:",
+                    "a ticketed retry begun after its window:",
                     txn,
-                    f"{(now - ran[0].first) / MS:.1f} ms",
+                    f"{(now - ran[0].first_at) / MS:.1f} ms",
                 )
-            if category["group"] == "cell" and tried.node.cell != ran[0].node.cell:
-                self.breach("a ticketed repeat in another cell:", txn)
+            if category["group"] == "cell" and attempt.node.cell != ran[0].node.cell:
+                self.breach("a ticketed retry in another shard:", txn)
         out = [
             each
-            for each in request.tries
-            if each.whole
-            and not each.over
+            for each in request.attempts
+            if each.complete
+            and not each.finished
             and not each.sock.closed
             and not each.sock.rst
             and not each.sock.fin
-            and not each.sock.shut
+            and not each.sock.write_closed
         ]
         if out and not self.terms["copies"]:
-            self.breach("a second copy:", txn)
+            self.breach("a hedged request that is not allowed:", txn)
 
-    # The end.
+    # The end of the run.
 
-    def settle(self):
-        """After all is quiet: what is still owed."""
+    def check_unanswered(self):
+        """Check after the run that every request has been answered."""
         for request in self.requests.values():
-            line = request.line
+            record = request.record
             waits = (
-                request.behind is not None and request.behind.answered_at is None
-            )  # that one is looked at
-            waits = waits or self.limit(request) > self.world.time
+                request.prior is not None and request.prior.answered_at is None
+            )  # the prior request is checked
+            waits = waits or self.answer_deadline(request) > self.sim.time
             if (
                 request.answered_at is not None
                 or waits
-                or line.gone_at is not None
-                and line.gone_at <= self.limit(request)
+                or record.left_at is not None
+                and record.left_at <= self.answer_deadline(request)
             ):
                 continue
             if (
                 request.read_at is None
-                or line.ended_at is not None
-                and request.read_at >= line.ended_at
+                or record.ended_at is not None
+                and request.read_at >= record.ended_at
             ):
                 waits = (
-                    self.terms["short"] and not line.sock.accepted_at
-                )  # before the door, for a descriptor
-                if line.ended_at is None and line.takes and not waits:
-                    self.breach("a request that was never read:", f"{request.txn:x}")
-                continue  # the close crossed it
-            if not line.takes or line.last and request.behind is not None:
+                    self.terms["short"] and not record.sock.accepted_at
+                )  # for a descriptor, before its accept
+                if record.ended_at is None and record.takes and not waits:
+                    self.breach("a request is never read:", f"{request.txn:x}")
+                continue  # the gateway closed before it read the request
+            if not record.takes or record.last and request.prior is not None:
                 continue
-            self.breach("a request without an answer:", f"{request.txn:x}")
-        for line in self.lines.values():
+            self.breach("a request is never answered:", f"{request.txn:x}")
+        for record in self.records.values():
             taking = (
-                not line.sock.closed and self.world.time - line.written_at < 300 * MS
+                not record.sock.closed and self.sim.time - record.written_at < 300 * MS
             )
             if (
-                line.gone_at is None
-                and line.takes
-                and line.got() < line.written
+                record.left_at is None
+                and record.takes
+                and record.answer_count() < record.written
                 and not taking
             ):
-                self.breach("an answer is torn:", line.got(), "of", line.written)
+                self.breach(
+                    "incomplete answers:", record.answer_count(), "of", record.written
+                )
--- a/tests/support/race_transports.py
+++ b/tests/support/race_transports.py
@@ -1,10 +1,9 @@
-"""Twisted's own transports on sockets and a clock of the test's own.
+"""Twisted's transports on simulated sockets and a simulated clock.
 
-What a hunt of crossings plays on.
-
-`Reactor` is Twisted's epoll reactor, its poller, sockets and clock put into `World`. So
-the order of timers, reads and writes within a turn, half-closes, aborts and producers
-are Twisted's. All that chance decides is drawn from the world's one stream.
+The search for races runs the gateway on them. `Reactor` is Twisted's epoll reactor with
+the poller, sockets and clock of `Simulation`. The order of timers, reads and writes
+within a turn, half-closes, aborts and producers are therefore Twisted's. All random
+decisions come from the simulation's one random generator.
 """
 
 import errno
@@ -15,38 +14,35 @@
 from twisted.internet import tcp
 from twisted.internet.epollreactor import EPollReactor
 
-SECOND = 1_000_000  # the world's time is in microseconds
+SECOND = 1_000_000  # simulated time is in microseconds
 GATEWAY = ("127.0.0.1", 7000)
-RUNS = 20_000  # at least between two stalls
+MIN_RUN_US = 20_000  # minimum time between two stalls
 
 
-class Sock:
-    """The gateway's end of one connection, and the system's part of it.
+class SimulatedSocket:
+    """The gateway's end of one connection, with the kernel's buffers.
 
-    `agent` is the other end: `heard(data)` and `ended(reset)` reach it a little later,
-    unless it takes nothing.
+    `peer` is the other end: its `on_data(data)` and `on_end(reset)` are called a little
+    later, unless it has stopped reading.
     """
 
-    def __init__(self, world, agent=None, window=1 << 20):
-        self.world, self.agent, self.window = world, agent, window
-        self.fd = world.next_fd = world.next_fd + 1
-        world.socks[self.fd] = self
-        self.inbox, self.queue = (
-            bytearray(),
-            bytearray(),
-        )  # unread by the gateway; unread by the agent
-        self.fin = self.rst = self.shut = self.closed = self.lingers = False
-        self.error, self.up = 0, agent is not None  # of a dial
-        self.where = None
-        self.came = self.read = self.sent = (
-            0  # octets from the agent, read by the gateway, written by it
-        )
-        self.told_end = self.taking = False
+    def __init__(self, sim, peer=None, window=1 << 20):
+        self.sim, self.peer, self.window = sim, peer, window
+        self.fd = sim.next_fd = sim.next_fd + 1
+        sim.sockets[self.fd] = self
+        # unread by the gateway; unread by the peer
+        self.inbox, self.outbox = bytearray(), bytearray()
+        self.fin = self.rst = self.write_closed = self.closed = self.lingers = False
+        self.error, self.up = 0, peer is not None  # of the connect
+        self.address = None
+        # from the peer; of these, read by the gateway; written by the gateway
+        self.received = self.bytes_read = self.written = 0
+        self.end_signalled = self.delivery_pending = False
         self.accepted_at = 0
-        # what the watch hears with the first octet that is written next: (offset, call)
-        self.begun = []
+        # (offset, call): the call runs once the byte at the offset is written
+        self.write_marks = []
 
-    # The gateway's side, as a socket has it.
+    # The gateway's side: the methods of a socket.
 
     def fileno(self):
         return -1 if self.closed else self.fd
@@ -67,17 +63,17 @@
         return ("127.0.0.1", 50_000 + self.fd)
 
     def connect_ex(self, address):
-        if self.where is None:
-            self.where = address
-            return self.world.dialled(self) or errno.EINPROGRESS
+        if self.address is None:
+            self.address = address
+            return self.sim.on_connect(self) or errno.EINPROGRESS
         return errno.EISCONN if self.up else errno.EALREADY
 
     def recv(self, most):
         if self.inbox:
             data = bytes(self.inbox[:most])
             del self.inbox[:most]
-            self.read += len(data)
-            self.world.watch.was_read(self)
+            self.bytes_read += len(data)
+            self.sim.observer.on_read(self)
             return data
         if self.rst:
             raise ConnectionResetError(errno.ECONNRESET, "reset")
@@ -86,120 +82,120 @@
         raise BlockingIOError(errno.EWOULDBLOCK, "nothing")
 
     def send(self, data):
-        if self.rst or self.shut:
+        if self.rst or self.write_closed:
             raise BrokenPipeError(errno.EPIPE, "pipe")
-        data = bytes(data[: self.window - len(self.queue)])
+        data = bytes(data[: self.window - len(self.outbox)])
         if not data:
             raise BlockingIOError(errno.EWOULDBLOCK, "full")
-        self.sent += len(data)
-        while self.begun and self.begun[0][0] < self.sent:
-            self.begun.pop(0)[1]()
-        if self.agent is None or self.agent.away:
-            self.reset()  # nobody is there any more
+        self.written += len(data)
+        while self.write_marks and self.write_marks[0][0] < self.written:
+            self.write_marks.pop(0)[1]()
+        if self.peer is None or self.peer.gone:
+            self.peer_reset()  # the peer is gone
             return len(data)
-        self.queue += data
+        self.outbox += data
         self.deliver()
         return len(data)
 
     def shutdown(self, how):
         if self.rst:
             raise OSError(errno.ENOTCONN, "not connected")
-        if not self.shut:
-            self.shut = True
-            self.world.watch.our_end(self)
+        if not self.write_closed:
+            self.write_closed = True
+            self.sim.observer.on_gateway_end(self)
             self.deliver()
 
     def close(self):
         if self.closed:
             return
         self.closed = True
-        del self.world.socks[self.fd]
-        if self.agent is None:
+        del self.sim.sockets[self.fd]
+        if self.peer is None:
             return
-        self.world.watch.our_end(self)
+        self.sim.observer.on_gateway_end(self)
         if self.lingers or self.inbox:
-            self.queue.clear()
-            self.end(True)
+            self.outbox.clear()
+            self.signal_end(True)
         else:
-            self.shut = True
+            self.write_closed = True
             self.deliver()
 
     def mask(self):
-        """What a poll would say."""
+        """Return the event mask that epoll would report."""
         if not self.up:
             return EPOLLERR | EPOLLHUP | EPOLLIN | EPOLLOUT if self.error else 0
         mask = EPOLLIN * bool(self.inbox or self.fin or self.rst)
         if self.rst:
             return mask | EPOLLERR | EPOLLHUP | EPOLLOUT
-        mask |= EPOLLOUT * (len(self.queue) < self.window and not self.shut)
-        return mask | EPOLLHUP * (self.fin and self.shut)
+        mask |= EPOLLOUT * (len(self.outbox) < self.window and not self.write_closed)
+        return mask | EPOLLHUP * (self.fin and self.write_closed)
 
-    # The other side.
+    # The peer's side.
 
     def deliver(self):
-        """The agent takes what is here, in a moment."""
-        if not self.taking:
-            self.taking = True
-            self.world.later(self.world.chance.randrange(20, 400), self.taken)
-
-    def taken(self, most=1 << 30):
-        self.taking = False
-        if self.agent is None or self.agent.away or self.agent.takes_nothing:
+        """Schedule the delivery of written data to the peer."""
+        if not self.delivery_pending:
+            self.delivery_pending = True
+            self.sim.later(self.sim.rng.randrange(20, 400), self.deliver_now)
+
+    def deliver_now(self, most=1 << 30):
+        self.delivery_pending = False
+        if self.peer is None or self.peer.gone or self.peer.stopped_reading:
             return
-        data = bytes(self.queue[:most])
-        del self.queue[:most]
+        data = bytes(self.outbox[:most])
+        del self.outbox[:most]
         if data:
-            self.agent.heard(data)
-        if self.shut and not self.queue:
-            self.end(False)
-
-    def end(self, reset):
-        if not self.told_end and self.agent is not None:
-            self.told_end = True
-            self.world.later(
-                self.world.chance.randrange(20, 400),
-                lambda: self.agent.away or self.agent.ended(reset),
+            self.peer.on_data(data)
+        if self.write_closed and not self.outbox:
+            self.signal_end(False)
+
+    def signal_end(self, reset):
+        if not self.end_signalled and self.peer is not None:
+            self.end_signalled = True
+            self.sim.later(
+                self.sim.rng.randrange(20, 400),
+                lambda: self.peer.gone or self.peer.on_end(reset),
             )
 
-    def put(self, data):
-        """The agent sends: the gateway can read it at once."""
+    def feed(self, data):
+        """Send data from the peer; the gateway can read it at once."""
         if self.closed or self.rst:
-            self.end(True)
+            self.signal_end(True)
         elif not self.fin:
             self.inbox += data
-            self.came += len(data)
+            self.received += len(data)
 
-    def finish(self):
-        """The agent closes its side."""
+    def peer_close(self):
+        """Close the peer's side."""
         self.fin = True
 
-    def reset(self, keeps=False):
-        """The agent's reset, with or without what had come before."""
+    def peer_reset(self, keeps=False):
+        """Reset from the peer; unread data survives if `keeps`, else at random."""
         if not self.rst:
             self.rst = True
-            self.queue.clear()
-            if not keeps and self.world.chance.random() < 0.5:
+            self.outbox.clear()
+            if not keeps and self.sim.rng.random() < 0.5:
                 self.inbox.clear()
 
 
-class Listener(Sock):
-    """The door's socket; `backlog` are connections that nobody has accepted."""
+class Listener(SimulatedSocket):
+    """The listening socket; `backlog` holds connections that are not accepted yet."""
 
-    def __init__(self, world):
-        super().__init__(world)
+    def __init__(self, sim):
+        super().__init__(sim)
         self.backlog = []
 
     def bind(self, address):
         pass
 
     def listen(self, backlog):
-        self.world.door = self
+        self.sim.listener = self
 
     def accept(self):
         if not self.backlog:
             raise BlockingIOError(errno.EWOULDBLOCK, "nobody")
         sock = self.backlog.pop(0)
-        sock.accepted_at = self.world.time
+        sock.accepted_at = self.sim.time
         return sock, sock.getpeername()
 
     def mask(self):
@@ -213,44 +209,46 @@
             each.close()
 
 
-class Server(tcp.Server):
-    """A client's connection."""
+class ClientConnection(tcp.Server):
+    """A client's connection; reports what the gateway writes to the observer."""
 
     def write(self, data):
         if self.connected and not self.disconnecting:
-            self.reactor.world.watch.answered(self.socket, bytes(data))
+            self.reactor.sim.observer.on_client_write(self.socket, bytes(data))
         super().write(data)
 
 
 class Port(tcp.Port):
-    transport = Server
+    transport = ClientConnection
 
     def createInternetSocket(self):
-        return Listener(self.reactor.world)
+        return Listener(self.reactor.sim)
 
 
-class Dialled(tcp.Client):
-    """A link to a node, or a call to discovery."""
+class OutboundConnection(tcp.Client):
+    """A connection to a node or discovery; reports writes to the observer."""
 
     def createInternetSocket(self):
-        return Sock(self.connector.reactor.world)
+        return SimulatedSocket(self.connector.reactor.sim)
 
     def write(self, data):
         if self.connected and not self.disconnecting and not self._aborting:
-            self.reactor.world.watch.began(self.socket, bytes(data))
+            self.reactor.sim.observer.on_node_write(self.socket, bytes(data))
         super().write(data)
 
 
 class Connector(tcp.Connector):
     def _makeTransport(self):
-        return Dialled(self.host, self.port, self.bindAddress, self, self.reactor)
+        return OutboundConnection(
+            self.host, self.port, self.bindAddress, self, self.reactor
+        )
 
 
 class Poller:
-    """Stands in for epoll: what lies in the sockets, in an order that chance gives."""
+    """Replaces epoll: reports the ready sockets in random order."""
 
-    def __init__(self, world):
-        self.world, self.wanted = world, {}
+    def __init__(self, sim):
+        self.sim, self.wanted = sim, {}
 
     def register(self, fd, flags):
         self.wanted[fd] = flags
@@ -263,7 +261,7 @@
     def ready(self):
         found = []
         for fd, flags in self.wanted.items():
-            sock = self.world.socks.get(fd)
+            sock = self.sim.sockets.get(fd)
             mask = (
                 sock.mask() & (flags | EPOLLERR | EPOLLHUP) if sock is not None else 0
             )
@@ -273,25 +271,25 @@
 
     def poll(self, timeout, most):
         found = self.ready()
-        self.world.chance.shuffle(found)
-        self.world.polled()
+        self.sim.rng.shuffle(found)
+        self.sim.on_poll()
         return found
 
 
 class Reactor(EPollReactor):
-    def __init__(self, world):
-        self.world, self.asked = world, 0
+    def __init__(self, sim):
+        self.sim, self.clock_reads = sim, 0
         super().__init__()
         self._poller.close()
-        self._poller = Poller(world)
+        self._poller = Poller(sim)
 
     def seconds(self):
-        """Never the same twice, as of a real clock.
+        """Return the time, never the same twice, like a real clock.
 
-        Calls for the next turn keep their order.
+        Calls for the next turn thus keep their order.
         """
-        self.asked += 1
-        return self.world.time / SECOND + self.asked * 1e-10
+        self.clock_reads += 1
+        return self.sim.time / SECOND + self.clock_reads * 1e-10
 
     def wakeUp(self):
         pass
@@ -306,44 +304,40 @@
         made.connect()
         return made
 
-    def shut(self):
-        """Leave nothing of the real system's open."""
+    def close_all(self):
+        """Close the real file descriptors of the reactor."""
         self.waker.connectionLost(None)
 
 
-class World:
-    """Time, what happens in it, and the turns of the gateway's reactor."""
+class Simulation:
+    """Simulated time, its events, and the turns of the gateway's reactor."""
 
-    def __init__(self, seed, watch):
-        self.time, self.chance, self.watch = (
+    def __init__(self, seed, observer):
+        self.time, self.rng, self.observer = (
             100 * SECOND,
             Random(f"{seed} world"),
-            watch,
+            observer,
         )
-        self.socks, self.events, self.count, self.door, self.next_fd = (
+        self.sockets, self.events, self.count, self.listener, self.next_fd = (
             {},
             [],
             0,
             None,
             1000,
         )
-        self.fates, self.early, self.node_window = (
-            {},
-            False,
-            1 << 20,
-        )  # what nodes do, by request
-        self.looked = False  # whether it has looked and not acted yet
-        self.polls = []  # when the gateway looked at its sockets
-        self.cues = {}  # what waits for something to happen: name -> calls
+        # by request: the node's action for each attempt
+        self.node_actions, self.early, self.node_window = {}, False, 1 << 20
+        self.poll_in_progress = False  # polled sockets, events not yet processed
+        self.polls = []  # times at which the gateway polled its sockets
+        self.signals = {}  # calls that wait for a signal, by its name
         self.stalls = []  # (from, to, where)
-        self.stalling = []  # (where, span), to come
+        self.pending_stalls = []  # (where, span)
         self.exited = False
-        self.dialled = lambda sock: (
-            errno.ECONNREFUSED
-        )  # who lives at an address: the site says
+        # replaced by the run, which knows the addresses
+        self.on_connect = lambda sock: errno.ECONNREFUSED
         self.reactor = Reactor(self)
 
-    # What happens in the world.
+    # Simulated events.
 
     def at(self, time, call):
         self.count += 1
@@ -352,16 +346,16 @@
     def later(self, span, call):
         self.at(self.time + span, call)
 
-    def when(self, cue, span, call):
-        """So long after something happens for the first time."""
-        self.cues.setdefault(cue, []).append((span, call))
+    def when(self, signal, span, call):
+        """Schedule a call for `span` after the next occurrence of a signal."""
+        self.signals.setdefault(signal, []).append((span, call))
 
-    def cue(self, name):
-        for span, call in self.cues.pop(name, ()):
+    def signal(self, name):
+        for span, call in self.signals.pop(name, ()):
             self.later(span, call)
 
     def pass_time(self, to):
-        """The world goes on without the gateway."""
+        """Advance time and run events without turning the gateway's reactor."""
         while self.events and self.events[0][0] <= to:
             at, _, call = heapq.heappop(self.events)
             self.time = max(self.time, at)
@@ -371,41 +365,41 @@
     # The gateway's turns.
 
     def stall(self, where, span):
-        """The next time the process is there.
+        """Stall the process the next time it is at `where`.
 
-        Not right behind another, which would be one long one in two places.
+        A stall right after another is omitted: both would be one long stall.
         """
-        if not self.stalling and (
-            not self.stalls or self.time - self.stalls[-1][1] > RUNS
+        if not self.pending_stalls and (
+            not self.stalls or self.time - self.stalls[-1][1] > MIN_RUN_US
         ):
-            self.stalling.append((where, span))
+            self.pending_stalls.append((where, span))
 
-    def stand(self, where):
-        """The process stands still here, if it is to."""
-        for each in [one for one in self.stalling if one[0] == where]:
+    def apply_stall(self, where):
+        """Stall the process if a stall is pending at `where`."""
+        for each in [one for one in self.pending_stalls if one[0] == where]:
             began = self.time
             self.pass_time(began + each[1])
-            self.stalling.remove(each)
+            self.pending_stalls.remove(each)
             self.stalls.append((began, self.time, where))
 
-    def polled(self):
+    def on_poll(self):
         self.polls.append(self.time)
-        self.looked = True
-        self.stand("collected")
-        self.looked = False
+        self.poll_in_progress = True
+        self.apply_stall("collected")
+        self.poll_in_progress = False
 
-    def turn(self, until):
-        """One turn of the reactor, after a sleep if nothing is to be done."""
+    def run_turn(self, until):
+        """Run one turn of the reactor, after a sleep if nothing is ready."""
         reactor, poller = self.reactor, self.reactor._poller
-        self.stand("timers")
+        self.apply_stall("timers")
         reactor.runUntilCurrent()
-        self.pass_time(self.time + self.chance.choice((0, 0, 20, 60, 300)))
-        self.stand("poll")
+        self.pass_time(self.time + self.rng.choice((0, 0, 20, 60, 300)))
+        self.apply_stall("poll")
         while not (
             poller.ready()
             or reactor.threadCallQueue
             or self.time >= until
-            or self.stalling
+            or self.pending_stalls
             or self.exited
         ):
             timeout = reactor.timeout()
@@ -421,16 +415,16 @@
 
     def run(self, until, done=lambda: False):
         while self.time < until and not self.exited and not done():
-            self.turn(until)
+            self.run_turn(until)
 
     def exit(self):
-        """The process ends: the system closes what it leaves."""
+        """End the process: the kernel closes its sockets."""
         self.exited = True
-        for sock in list(self.socks.values()):
+        for sock in list(self.sockets.values()):
             sock.close()
 
-    def shut(self):
-        for sock in list(self.socks.values()):
-            sock.agent = None
+    def close_all(self):
+        for sock in list(self.sockets.values()):
+            sock.peer = None
             sock.close()
-        self.reactor.shut()
+        self.reactor.close_all()
