--- a/tests/http_gateway/test_endpoint_lists.py
+++ b/tests/http_gateway/test_endpoint_lists.py
@@ -45,7 +45,7 @@
 )
 from milletsill.http_gateway.resource_limits import SPARE_CLIENTS, divide_descriptors
 from milletsill.interface import EndpointUpdateKind, Readiness
-from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
+from tests.support.http_gateway_rig import CONFIG, NODE, SETTINGS, Reactor, req
 
 
 class JsonLogLines(unittest.TestCase):
@@ -86,7 +86,7 @@
     def watch(self):
         self.watcher.request_watch()
         self.reactor.advance(0)
-        return self.reactor.up()
+        return self.reactor.connect()
 
     def update_line(self, version, full=False, entries=(NODE,)):
         text = (
@@ -151,7 +151,7 @@
         self.watcher.move(("127.0.0.1", 8501))
         self.reactor.advance(0)
         old.dataReceived(self.update_line(8))
-        new, other = self.reactor.up()
+        new, other = self.reactor.connect()
         self.assertIn(b"from=7 ", other.value())
         self.assertFalse(wire.aborted)
         new.dataReceived(self.HEAD + self.update_line(9))
@@ -271,10 +271,10 @@
         self.assertEqual(parse_load_report(None), {})
 
     def test_a_retry_and_its_request_terms_are_parsed(self):
-        deployment = parse_configuration(GIVEN, {}, 0, print)
+        deployment = parse_configuration(CONFIG, {}, 0, print)
         reader = RequestReader(MessageLimits())
         reader.feed(
-            ask(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
+            req(X_Resent="1", X_IO="volume=00000003b4d60021,units=2.5,shard=-1,hosts=3")
         )
         request = RequestParser(deployment.config).parse(
             reader.next_message(), 1000, 60, 5000
@@ -290,7 +290,7 @@
             (True, None, 2.5, 3, 5000),
         )
         with self.assertRaises(InvalidRequestError):
-            reader.feed(ask(X_Lane="none"))
+            reader.feed(req(X_Lane="none"))
             RequestParser(deployment.config).parse(reader.next_message(), 1000, 60)
 
     def test_an_unusable_configuration_is_a_one_line_error(self):
@@ -300,11 +300,11 @@
                 "",
                 "[]",
                 "{",
-                json.dumps(GIVEN | {"listen": "x"}),
-                json.dumps(GIVEN | {"settings": None}),
-                json.dumps(GIVEN | {"seed": "x"}),
-                json.dumps(GIVEN | {"limits": {"sockets": "many"}}),
-                json.dumps(GIVEN | {"settings": SETTINGS | {"classes": 5}}),
+                json.dumps(CONFIG | {"listen": "x"}),
+                json.dumps(CONFIG | {"settings": None}),
+                json.dumps(CONFIG | {"seed": "x"}),
+                json.dumps(CONFIG | {"limits": {"sockets": "many"}}),
+                json.dumps(CONFIG | {"settings": SETTINGS | {"classes": 5}}),
             ):
                 with open(path, "w") as file:
                     file.write(text)
--- a/tests/http_gateway/test_graceful_shutdown.py
+++ b/tests/http_gateway/test_graceful_shutdown.py
@@ -15,7 +15,7 @@
 KILL_DELAY, MAX_COUNTED_TIMEOUT, STEP = 0.7, 3.0, 0.05
 
 
-class GracefulShutdown(shared.Served):
+class GracefulShutdown(shared.MemoryTest):
     def shut_down(self, client_timeout, sent_at, remaining):
         """Shut down with two clients and no node that answers, up to the earliest kill.
 
@@ -60,20 +60,20 @@
             ):
                 sent = True
                 protocol.dataReceived(
-                    shared.ask(X_Remaining_Ms=str(int(remaining * 1000)))
+                    shared.req(X_Remaining_Ms=str(int(remaining * 1000)))
                 )
                 if second_client is not None:
-                    second_client.dataReceived(shared.ask(txn=5)[:40])
+                    second_client.dataReceived(shared.req(txn=5)[:40])
             if (
                 now >= kill_at - 0.25
                 and second_client is not None
                 and not (second_wire.disconnecting or second_wire.half_closed)
             ):
-                second_client = second_client.dataReceived(shared.ask(txn=5)[40:])
+                second_client = second_client.dataReceived(shared.req(txn=5)[40:])
             self.reactor.advance(STEP)
-            for index in self.dialled(7070):
+            for index in self.dials(7070):
                 if index >= dialled:
-                    self.reactor.up(index)
+                    self.reactor.connect(index)
             dialled = len(self.reactor.tcpClients)
             now += STEP
         return sent, wire, second_wire, stop_times
--- a/tests/http_gateway/test_http_gateway.py
+++ b/tests/http_gateway/test_http_gateway.py
@@ -19,28 +19,28 @@
 from milletsill.http_gateway.resource_limits import SPARE_CLIENTS, BufferBudget
 from milletsill.interface import AttemptOutcome
 from tests.support.http_gateway_rig import (
-    ANSWER,
-    GIVEN,
+    CONFIG,
     NODE,
+    RESPONSE,
     SETTINGS,
     TXN,
-    Served,
-    Wire,
-    ask,
+    MemoryTest,
+    MemoryTransport,
+    req,
 )
 
 
-class ClientRequests(Served):
+class ClientRequests(MemoryTest):
     def test_a_request_is_forwarded_unchanged_and_its_answer_returned(self):
         for txn, request in (
-            (TXN, ask(method="PUT", name="put", body=b"body", Idempotency_Key="k-1")),
-            (TXN + 1, ask(TXN + 1)),
+            (TXN, req(method="PUT", name="put", body=b"body", Idempotency_Key="k-1")),
+            (TXN + 1, req(TXN + 1)),
         ):
             client, wire = self.client(
                 *[request[index : index + 1] for index in range(len(request))]
             )
             if txn == TXN:
-                connection, sent = self.reactor.up(self.dialled(7070)[-1])
+                connection, sent = self.reactor.connect(self.dials(7070)[-1])
             text = sent.value()
             self.assertIn(b"X-Txn: %016x\r\n" % txn, text)
             self.assertIn(b"X-Remaining-Ms: ", text)
@@ -49,51 +49,51 @@
                 (txn == TXN,) * 2,
             )
             sent.clear()
-            connection.dataReceived(ANSWER)
+            connection.dataReceived(RESPONSE)
             self.assertTrue(
                 wire.value().startswith(b"HTTP/1.1 200")
                 and wire.value().endswith(b"\r\n\r\nhi")
             )
         self.assertEqual(
-            len(self.dialled(7070)), 1
+            len(self.dials(7070)), 1
         )  # the second request used the same node connection
 
     def test_an_invalid_request_gets_an_error_and_reaches_no_node(self):
         for bad in (
-            ask(drop=["X-Txn"]),
-            ask(drop=["X-IO"]),
-            ask(X_Txn="xyz"),
-            ask(X_Remaining_Ms="NaN"),
-            ask(X_Remaining_Ms="-5"),
-            ask(X_Remaining_Ms="0"),
-            ask(X_Remaining_Ms="9" * 9),
-            ask(X_Lane="put"),
-            ask(name="none"),
-            ask(X_Plan="none"),
-            ask(method="PUT"),
-            ask(body=b"x"),
-            ask(Cookie="block=1"),
-            ask(method="PUT", name="put"),
-            ask(X_IO="volume=00000003b4d60021,units=1e9,shard=0,hosts=1"),
-            ask(X_IO="volume=00000003b4d60021,units=99,shard=0,hosts=1"),
-            ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"),
+            req(drop=["X-Txn"]),
+            req(drop=["X-IO"]),
+            req(X_Txn="xyz"),
+            req(X_Remaining_Ms="NaN"),
+            req(X_Remaining_Ms="-5"),
+            req(X_Remaining_Ms="0"),
+            req(X_Remaining_Ms="9" * 9),
+            req(X_Lane="put"),
+            req(name="none"),
+            req(X_Plan="none"),
+            req(method="PUT"),
+            req(body=b"x"),
+            req(Cookie="block=1"),
+            req(method="PUT", name="put"),
+            req(X_IO="volume=00000003b4d60021,units=1e9,shard=0,hosts=1"),
+            req(X_IO="volume=00000003b4d60021,units=99,shard=0,hosts=1"),
+            req(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"),
             b"\x00\xff\n\n",
             b"x" * 9000,
-            ask(Transfer_Encoding="chunked", Content_Length="4") + b"abcd",
+            req(Transfer_Encoding="chunked", Content_Length="4") + b"abcd",
         ):
             client, wire = self.client(bad)
             self.assertRegex(wire.value(), rb"HTTP/1\.1 (4|5)\d\d ", bad[:200])
             self.assertTrue(wire.half_closed)
-        self.assertEqual((self.dialled(7070), self.gateway.host.unanswered), ([], 0))
+        self.assertEqual((self.dials(7070), self.gateway.host.unanswered), ([], 0))
 
     def test_the_id_of_an_open_request_is_refused_and_the_open_one_continues(self):
-        (_, first), (connection, _) = self.served(answer=None)
-        self.assertIn(b" 409 ", self.client(ask())[1].value())
-        connection.dataReceived(ANSWER)
+        (_, first), (connection, _) = self.exchange(answer=None)
+        self.assertIn(b" 409 ", self.client(req())[1].value())
+        connection.dataReceived(RESPONSE)
         self.assertIn(b" 200 ", first.value())
 
     def test_a_sixty_megabyte_body_is_refused_at_the_head_and_not_read(self):
-        head = ask(
+        head = req(
             method="PUT", name="put", Content_Length="62914560", Idempotency_Key="k"
         )
         client, wire = self.client(head)
@@ -106,8 +106,8 @@
         self.assertTrue(wire.aborted)
 
     def test_the_attempt_of_a_disconnected_client_is_aborted(self):
-        (client, _), (_, sent) = self.served(answer=None)
-        self.lost(client)
+        (client, _), (_, sent) = self.exchange(answer=None)
+        self.disconnect(client)
         self.reactor.advance(0.01)
         self.assertEqual(
             (self.gateway.host.unanswered, sent.aborted, self.gateway.host.active),
@@ -115,20 +115,20 @@
         )
 
     def test_two_pipelined_requests_are_answered_in_order_and_hundreds_refused(self):
-        client, wire = self.client(ask() + ask(TXN + 1))
-        connection, sent = self.reactor.up(self.dialled(7070)[-1])
-        connection.dataReceived(ANSWER)
+        client, wire = self.client(req() + req(TXN + 1))
+        connection, sent = self.reactor.connect(self.dials(7070)[-1])
+        connection.dataReceived(RESPONSE)
         self.reactor.advance(0.01)
         self.assertEqual(
             (sent.value().count(b"X-Txn"), wire.value().count(b" 200 ")), (2, 1)
         )
-        client, wire = self.client(b"".join(ask(number) for number in range(100, 400)))
+        client, wire = self.client(b"".join(req(number) for number in range(100, 400)))
         client.dataReceived(b"x")
         self.assertIn(b" 400 ", wire.value())
 
     def test_a_request_the_scheduler_gives_up_gets_503_with_retry_after(self):
         client, wire = self.client(
-            ask(X_IO="volume=00000003b4d60021,units=2,shard=3,hosts=1")
+            req(X_IO="volume=00000003b4d60021,units=2,shard=3,hosts=1")
         )
         self.reactor.pump([0.05] * 20)
         self.assertIn(b" 503 ", wire.value())
@@ -136,7 +136,7 @@
 
     def test_silent_and_slow_connections_end_within_their_timeouts(self):
         _, silent = self.client()
-        _, slow = self.client(ask()[:40])
+        _, slow = self.client(req()[:40])
         self.reactor.pump([0.1] * 24)
         self.assertEqual(
             (silent.disconnecting, slow.value()[:12]), (True, b"HTTP/1.1 408")
@@ -148,10 +148,10 @@
         self.assertIsNone(self.gateway.listener.buildProtocol(None))
         self.reactor.pump([0.1] * 4)
         self.assertTrue(all(wire.disconnecting for _, wire in silent))
-        self.lost(silent[0][0])
+        self.disconnect(silent[0][0])
         self.assertTrue(self.gateway.listener.paused)  # still over its descriptor share
         for protocol, _ in silent[1:]:
-            self.lost(protocol)
+            self.disconnect(protocol)
         self.assertEqual(
             self.gateway.port.numberAccepts, 1
         )  # the same value as after the first time that accepting resumed
@@ -160,10 +160,10 @@
         )
 
     def test_an_answer_counts_as_buffered_until_the_client_reads_it(self):
-        (client, wire), (connection, _) = self.served(answer=None)
+        (client, wire), (connection, _) = self.exchange(answer=None)
         write = wire.write
         wire.write = lambda data: (client.pauseProducing(), write(data))
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(RESPONSE)
         self.assertEqual(self.gateway.buffers.held, 2)
         client.resumeProducing()
         self.assertEqual(self.gateway.buffers.held, 0)
@@ -172,7 +172,7 @@
         ready = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
         idle, wire = self.client(ready)
         self.assertIn(b" 200 ", wire.value())
-        (_, busy), (connection, _) = self.served(answer=None)
+        (_, busy), (connection, _) = self.exchange(answer=None)
         stop_times = []
         self.gateway.on_stopped = lambda: stop_times.append(self.now())
         self.gateway.terminate()
@@ -180,7 +180,7 @@
         idle.dataReceived(ready)
         self.assertIn(b" 503 ", wire.value())
         self.assertFalse(wire.disconnecting)
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(RESPONSE)
         self.assertIn(b" 200 ", busy.value())
         self.reactor.pump([0.05] * 40)
         self.assertEqual(
@@ -189,7 +189,7 @@
         )
 
 
-class NodeConnections(Served):
+class NodeConnections(MemoryTest):
     def outcomes(self):
         """Return the counted attempts by outcome."""
         return {
@@ -211,10 +211,10 @@
                 b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab",
                 AttemptOutcome.ERROR,
             ),
-            (b"HTTP/1.1 100 Go\r\n\r\n" + ANSWER, AttemptOutcome.SUCCEEDED),
+            (b"HTTP/1.1 100 Go\r\n\r\n" + RESPONSE, AttemptOutcome.SUCCEEDED),
         ):
             self.setUp()
-            (_, wire), (connection, sent) = self.served(answer)
+            (_, wire), (connection, sent) = self.exchange(answer)
             self.assertEqual(self.outcomes(), {outcome.value: 1}, answer)
             self.assertEqual(
                 sent.aborted,
@@ -228,19 +228,19 @@
             (False, AttemptOutcome.RESET, b""),
         ):
             self.setUp()
-            (_, wire), (connection, _) = self.served(b"HTTP/1.1 200 OK\r\n\r\nab")
+            (_, wire), (connection, _) = self.exchange(b"HTTP/1.1 200 OK\r\n\r\nab")
             self.assertEqual((self.outcomes(), wire.value()), ({}, b""))
-            self.lost(connection, clean)
+            self.disconnect(connection, clean)
             self.assertEqual(self.outcomes(), {outcome.value: 1})
             self.assertIn(expected_answer, wire.value())
 
     def test_extra_octets_after_an_answer_close_its_node_connection(self):
-        (_, wire), (_, sent) = self.served(ANSWER + b"HTTP/1.1 200 OK\r\n")
+        (_, wire), (_, sent) = self.exchange(RESPONSE + b"HTTP/1.1 200 OK\r\n")
         self.assertEqual(
             (wire.value()[-2:], sent.aborted, self.gateway.node_pools.open_connections),
             (b"hi", True, 0),
         )
-        (_, wire), (connection, sent) = self.served(ANSWER, txn=TXN + 1)
+        (_, wire), (connection, sent) = self.exchange(RESPONSE, txn=TXN + 1)
         connection.dataReceived(b"noise")  # arrives later, while no request is open
         self.assertTrue(sent.aborted)
 
@@ -252,32 +252,32 @@
             (True, AttemptOutcome.RESET),
         ):
             self.setUp()
-            _, (connection, _) = self.served(None)
+            _, (connection, _) = self.exchange(None)
             connection.written = written
-            self.lost(connection, clean=False)
+            self.disconnect(connection, clean=False)
             self.assertEqual(self.outcomes(), {outcome.value: 1})
 
     def test_an_idle_connection_that_closes_before_the_write_costs_no_attempt(self):
-        _, (connection, _) = self.served()
-        self.client(ask(TXN + 1))
+        _, (connection, _) = self.exchange()
+        self.client(req(TXN + 1))
         self.assertIsNotNone(connection.exchange)
         connection.written = False
-        self.lost(connection)
+        self.disconnect(connection)
         self.reactor.advance(0)
         self.assertEqual(
-            (self.outcomes(), len(self.dialled(7070))), ({"satisfied": 1}, 2)
+            (self.outcomes(), len(self.dials(7070))), ({"satisfied": 1}, 2)
         )
-        _, sent = self.reactor.up()
+        _, sent = self.reactor.connect()
         self.assertIn(b"X-Txn: %016x" % (TXN + 1), sent.value())
 
     def test_a_failed_connect_is_unreachable(self):
-        self.client(ask())
-        self.reactor.tcpClients[self.dialled(7070)[0]][2].clientConnectionFailed(
+        self.client(req())
+        self.reactor.tcpClients[self.dials(7070)[0]][2].clientConnectionFailed(
             SimpleNamespace(transport=None), None
         )
         self.assertEqual(
             (self.outcomes()["unreached"], self.gateway.node_pools.open_connections),
-            (1, len(self.dialled(7070)) - 1),
+            (1, len(self.dials(7070)) - 1),
         )
 
     def node_pools(self, max_connections=4, budget=None):
@@ -314,8 +314,8 @@
             self.now() + 9000,
             lambda *values: None,
         )
-        connection, wire = self.reactor.up()
-        connection.dataReceived(ANSWER)
+        connection, wire = self.reactor.connect()
+        connection.dataReceived(RESPONSE)
         pools.update(
             False,
             [parse_node(NODE | {"id": "s-2", "addr": "127.0.0.1:7071"}, ["z"], 0)],
@@ -327,8 +327,8 @@
             lambda *values: None,
         )
         self.assertEqual((wire.aborted, pools.open_connections), (True, 1))
-        other, wire = self.reactor.up()
-        other.dataReceived(ANSWER)
+        other, wire = self.reactor.connect()
+        other.dataReceived(RESPONSE)
         self.reactor.advance(22)
         pools.check()
         self.assertEqual((wire.aborted, pools.open_connections), (True, 0))
@@ -345,7 +345,9 @@
                 self.now() + 9000,
                 lambda *values: outcomes.append(values[0]),
             )
-        connections = [self.reactor.up(index)[0] for index in self.dialled(7070)[-2:]]
+        connections = [
+            self.reactor.connect(index)[0] for index in self.dials(7070)[-2:]
+        ]
         for each in connections:
             each.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n")
         connections[0].dataReceived(b"x" * 400_000)
@@ -368,7 +370,7 @@
         self.assertEqual(len(pools.pools), 2)
 
     def test_an_ended_connection_leaves_no_reference_cycle(self):
-        protocol, wire = Protocol(), Wire()
+        protocol, wire = Protocol(), MemoryTransport()
         connector = SimpleNamespace(
             transport=wire, factory=SingleConnector(protocol, lambda: None)
         )
@@ -388,7 +390,7 @@
         )
 
 
-class ThousandNodes(Served):
+class ThousandNodes(MemoryTest):
     """1024 nodes and gateways, within the configured descriptor limit."""
 
     def deployment(self, **changed):
@@ -400,7 +402,7 @@
         extra = SETTINGS["extra"] | {"slots_total": 1024}
         settings = SETTINGS | {"peers_total": 1024, "self_index": 1023, "extra": extra}
         return parse_configuration(
-            GIVEN
+            CONFIG
             | {
                 "settings": settings,
                 "known": {"version": 4, "full": True, "servers": servers},
@@ -418,21 +420,21 @@
         )
         for cell in range(1024):
             client, wire = self.client(
-                ask(
+                req(
                     txn=cell + 1,
                     X_IO=f"volume=00000003b4d60021,units=2,shard={cell},hosts=1",
                 )
             )
-            node, _ = self.reactor.up(self.dialled(10_000 + cell)[-1])
-            node.dataReceived(ANSWER)
+            node, _ = self.reactor.connect(self.dials(10_000 + cell)[-1])
+            node.dataReceived(RESPONSE)
             self.assertIn(b"200 OK", wire.value())
-            self.lost(client)
+            self.disconnect(client)
             self.reactor.advance(0)
             self.assertLessEqual(pools.open_connections, pools.max_connections)
 
     def test_the_report_lists_only_nodes_in_use(self):
-        self.client(ask(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"))
-        self.reactor.up(self.dialled(10_009)[-1])
+        self.client(req(X_IO="volume=00000003b4d60021,units=2,shard=9,hosts=1"))
+        self.reactor.connect(self.dials(10_009)[-1])
         self.log.clear()
         self.gateway.log_report()
         self.assertEqual(
--- a/tests/http_gateway/test_races_bad_clients.py
+++ b/tests/http_gateway/test_races_bad_clients.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from milletsill.http_gateway.client_connection_state import IDLE_TIMEOUT
-from tests.support.http_gateway_rig import TXN, Loopback, ask
+from tests.support.http_gateway_rig import TXN, Loopback, req
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 LIVE = b"GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -26,54 +26,54 @@
         b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 4000,
         "a head over the bound",
     ),
-    "half a request": (ask()[:60], "a request that does not end"),
+    "half a request": (req()[:60], "a request that does not end"),
     "a body that never comes": (
-        ask(Content_Length="100", **KEYED),
+        req(Content_Length="100", **KEYED),
         "a request that does not end",
     ),
     "half a body": (
-        ask(Content_Length="65536", **KEYED) + b"x" * 30_000,
+        req(Content_Length="65536", **KEYED) + b"x" * 30_000,
         "a request that does not end",
     ),
     "silence": (b"", ""),
     "a negative length": (
-        ask(Content_Length="-5", **KEYED),
+        req(Content_Length="-5", **KEYED),
         "a head that cannot be read",
     ),
     "a huge length": (
-        ask(Content_Length="9" * 30, **KEYED),
+        req(Content_Length="9" * 30, **KEYED),
         "a head that cannot be read",
     ),
     "a length and chunks": (
-        ask(Content_Length="4", Transfer_Encoding="chunked", **KEYED) + b"abcd",
+        req(Content_Length="4", Transfer_Encoding="chunked", **KEYED) + b"abcd",
         "a head that cannot be read",
     ),
     "sixty megabytes": (
-        ask(Content_Length="62914560", **KEYED) + b"x" * 300_000,
+        req(Content_Length="62914560", **KEYED) + b"x" * 300_000,
         "a body over the bound",
     ),
     "malformed chunks": (
-        ask(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
+        req(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
         "chunks that cannot be read",
     ),
     "too many chunks": (
-        ask(Transfer_Encoding="chunked", **KEYED) + b"1\r\nx\r\n" * 9000,
+        req(Transfer_Encoding="chunked", **KEYED) + b"1\r\nx\r\n" * 9000,
         "a body in too many chunks",
     ),
     "chunks without an end": (
-        ask(Transfer_Encoding="chunked", **KEYED) + b"1000\r\n" + b"x" * 4096 + b"\r\n",
+        req(Transfer_Encoding="chunked", **KEYED) + b"1000\r\n" + b"x" * 4096 + b"\r\n",
         "a request that does not end",
     ),
-    "an unknown class": (ask(name="none"), "x-lane is not known"),
-    "an unknown plan": (ask(X_Plan="none"), "x-plan is not known"),
-    "a non-numeric deadline": (ask(X_Remaining_Ms="NaN"), "x-remaining-ms"),
-    "no id": (ask(drop=["X-Txn"]), "x-txn"),
+    "an unknown class": (req(name="none"), "x-lane is not known"),
+    "an unknown plan": (req(X_Plan="none"), "x-plan is not known"),
+    "a non-numeric deadline": (req(X_Remaining_Ms="NaN"), "x-remaining-ms"),
+    "no id": (req(drop=["X-Txn"]), "x-txn"),
     "the id of another client's open request": (
-        ask(TXN + 7),
+        req(TXN + 7),
         "x-txn is another's open one",
     ),
     "hundreds at once": (
-        b"".join(ask(number) for number in range(100, 400)) + b"x",
+        b"".join(req(number) for number in range(100, 400)) + b"x",
         "too much ahead of an answer",
     ),
 }
@@ -96,7 +96,7 @@
 
     def serve(self, client, node_socket, txn):
         """Serve a normal request from end to end, without advancing the clock."""
-        client.sendall(ask(txn))
+        client.sendall(req(txn))
         self.until(
             lambda: b"X-Txn" in self.got(node_socket)[0],
             "the request did not reach the node",
@@ -110,9 +110,9 @@
         """A normal client is served before and after the error."""
         for name, (data, cause) in BAD.items():
             with self.subTest(name):
-                self.again()
-                normal_client = self.client(ask(TXN + 7))
-                node_socket = self.taken()
+                self.restart()
+                normal_client = self.client(req(TXN + 7))
+                node_socket = self.accept()
                 bad_client = self.client()
                 began = self.time
                 self.flood(bad_client, data)
@@ -135,7 +135,7 @@
                     [cause] if cause else [],
                 )
                 self.assertEqual(list(self.refused().values()), [1] if cause else [])
-                normal_client.sendall(ask(TXN + 8))
+                normal_client.sendall(req(TXN + 8))
                 self.until(lambda: b"X-Txn" in self.got(node_socket)[0])
                 node_socket.sendall(ANSWER)
                 self.until(
@@ -154,13 +154,13 @@
         """The other request is open, or was just answered, declined or abandoned."""
         for fate in ("open", "answered", "declined", "left"):
             with self.subTest(fate):
-                self.again()
+                self.restart()
                 elsewhere = (
                     {"X_IO": "volume=00000003b4d60021,units=2,shard=3,hosts=1"}
                     if fate == "declined"
                     else {}
                 )
-                normal_client = self.client(ask(**elsewhere))
+                normal_client = self.client(req(**elsewhere))
                 if fate == "declined":  # no node serves this shard
                     while (
                         not self.gateway.report.counts["answer", "declined"]
@@ -168,7 +168,7 @@
                     ):
                         self.pass_time(0.02)
                 else:
-                    node_socket = self.taken()
+                    node_socket = self.accept()
                     if fate == "answered":
                         node_socket.sendall(ANSWER)
                         self.until(lambda: b" 200 " in self.got(normal_client)[0])
@@ -178,8 +178,8 @@
                             lambda: self.gateway.report.counts["answer", "abandoned"]
                         )
                 sent = self.gateway.report.counts["dispatch", "0"]
-                bad_client = self.client(ask())
-                data, ending = self.all_of(bad_client)  # the clock does not advance
+                bad_client = self.client(req())
+                data, ending = self.read_all(bad_client)  # the clock does not advance
                 self.assertEqual(
                     (data[:12], ending, self.gateway.report.counts["dispatch", "0"]),
                     (b"HTTP/1.1 409", "ended", sent),
@@ -187,7 +187,7 @@
                 self.assertEqual(self.refused(), {"x-txn is another's open one": 1})
                 if fate != "open":
                     self.pass_time(1.0)
-                    late_client = self.client(ask(**elsewhere))
+                    late_client = self.client(req(**elsewhere))
                     self.until(
                         lambda: self.gateway.host.unanswered == 1,
                         "the request was not accepted",
@@ -201,14 +201,14 @@
         """
         for start in (
             b"GET / HTTP/1.1\r\nX: ",
-            ask(Content_Length="900", **KEYED),
-            ask(Transfer_Encoding="chunked", **KEYED) + b"200\r\n",
+            req(Content_Length="900", **KEYED),
+            req(Transfer_Encoding="chunked", **KEYED) + b"200\r\n",
         ):
             for after_request in (False, True):
                 with self.subTest(start[:9], after_request=after_request):
-                    self.again()
-                    normal_client = self.client(ask(TXN + 7))
-                    node_socket = self.taken()
+                    self.restart()
+                    normal_client = self.client(req(TXN + 7))
+                    node_socket = self.accept()
                     node_socket.sendall(ANSWER)
                     self.until(lambda: b" 200 " in self.got(normal_client)[0])
                     bad_client, sent = self.client(), 0
@@ -232,18 +232,18 @@
     def test_a_client_that_begins_late_has_its_error_in_time(self):
         for delay in (0.5, 1.5, 2.1):
             with self.subTest(delay=delay):
-                self.again()
+                self.restart()
                 bad_client = self.client()
                 self.pass_time(delay)
-                bad_client.sendall(ask()[:60])
+                bad_client.sendall(req()[:60])
                 self.pass_time(MAX_WAIT - 0.02 - delay)
                 self.assertEqual(self.got(bad_client)[0][:12], b"HTTP/1.1 408")
 
     def test_a_client_that_never_reads_its_answers_is_refused_and_uses_little_memory(
         self,
     ):
-        normal_client = self.client(ask(TXN + 7))
-        node_socket = self.taken()
+        normal_client = self.client(req(TXN + 7))
+        node_socket = self.accept()
         bad_client = self.client(window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -268,11 +268,11 @@
         )
 
     def test_immediate_repeats_of_a_rejected_request_delay_no_other_client(self):
-        normal_client = self.client(ask())
-        node_socket = self.taken()
+        normal_client = self.client(req())
+        node_socket = self.accept()
         for attempt in range(200):
-            bad_client = self.client(ask(name="none"))
-            data, ending = self.all_of(bad_client)
+            bad_client = self.client(req(name="none"))
+            data, ending = self.read_all(bad_client)
             self.assertEqual((data[:12], ending), (b"HTTP/1.1 404", "ended"))
             bad_client.close()
         node_socket.sendall(ANSWER)
--- a/tests/http_gateway/test_races_descriptors.py
+++ b/tests/http_gateway/test_races_descriptors.py
@@ -22,12 +22,12 @@
 )
 from milletsill.http_gateway.resource_limits import SPARE_CLIENTS
 from tests.support.http_gateway_rig import (
-    GIVEN,
+    CONFIG,
     NODE,
     TXN,
     Loopback,
-    ask,
     node_stand_in,
+    req,
 )
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -43,7 +43,7 @@
         for _ in range(count):
             client = socket.socket()
             client.setblocking(False)
-            client.connect_ex(("127.0.0.1", self.door))
+            client.connect_ex(("127.0.0.1", self.port))
             self.sockets.append(client)
             for each in data:
                 client.sendall(each)
@@ -68,14 +68,14 @@
 
         A client behind all of them in the accept queue is served in time.
         """
-        normal = self.client(ask())
-        node_socket = self.taken()
+        normal = self.client(req())
+        node_socket = self.accept()
         self.burst(300)
         self.turn(10)
         self.assertTrue(self.gateway.listener.paused)
         queued = socket.socket()
         queued.setblocking(False)
-        queued.connect_ex(("127.0.0.1", self.door))
+        queued.connect_ex(("127.0.0.1", self.port))
         self.sockets.append(queued)
         queued.sendall(READY)
         for number in range(3):
@@ -84,7 +84,7 @@
                 lambda: self.got(normal)[0].endswith(b"hi"),
                 "the normal client is not served",
             )
-            normal.sendall(ask(TXN + 1 + number))
+            normal.sendall(req(TXN + 1 + number))
             self.until(lambda: b"X-Txn" in self.got(node_socket)[0])
         began, data = self.time, b""
         while not data and self.time < began + 6:
@@ -130,8 +130,8 @@
         self.turn(5)
         new.setblocking(False)
         new.accept()[0].close()  # the call arrives before any client has left
-        idle[0].sendall(ask())
-        node_socket = self.taken()
+        idle[0].sendall(req())
+        node_socket = self.accept()
         node_socket.sendall(ANSWER)
         self.until(lambda: b" 200 " in self.got(idle[0])[0])
         for each in idle[1:]:
@@ -141,7 +141,7 @@
         self.assertTrue(all(b" 200 " in self.got(each)[0] for each in idle[1:]))
         queued = socket.socket()
         queued.setblocking(False)
-        queued.connect_ex(("127.0.0.1", self.door))
+        queued.connect_ex(("127.0.0.1", self.port))
         self.sockets.append(queued)
         queued.sendall(READY)
         self.pass_time(4.0)
@@ -168,9 +168,9 @@
         """
         for mode, within in (("on_request", 2.0), ("pushed", 0.6)):
             self.changed = DescriptorShare.changed | {
-                "settings": GIVEN["settings"] | {"membership_mode": mode}
+                "settings": CONFIG["settings"] | {"membership_mode": mode}
             }
-            self.again()
+            self.restart()
             address = self.listener.getsockname()
             self.listener.close()
             self.gateway.watcher.watch.end("down")
@@ -204,7 +204,7 @@
             returned.accept()[0].close()
 
     def test_a_rejection_for_overload_or_lateness_names_a_retry_after(self):
-        client = self.client(ask(X_Remaining_Ms="3"))
+        client = self.client(req(X_Remaining_Ms="3"))
         self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
         data, how = self.got(client)
@@ -212,12 +212,12 @@
         self.assertIn(b"Retry-After: 1.500\r\n", data)
 
     def test_retry_after_is_left_out_where_the_settings_say_so(self):
-        settings = GIVEN["settings"] | {
-            "limits": GIVEN["settings"]["limits"] | {"retry_after": False}
+        settings = CONFIG["settings"] | {
+            "limits": CONFIG["settings"]["limits"] | {"retry_after": False}
         }
         self.changed = {"settings": settings}
-        self.again()
-        client = self.client(ask(X_Remaining_Ms="3"))
+        self.restart()
+        client = self.client(req(X_Remaining_Ms="3"))
         self.until(lambda: self.gateway.report.counts["answer", "too late or too many"])
         self.turn()
         self.assertNotIn(b"Retry-After", self.got(client)[0])
@@ -237,9 +237,9 @@
         """Return idle clients with an answered request, and their node connection."""
         clients = []
         for number in range(count):
-            clients.append(self.client(ask(TXN + 100 + number)))
+            clients.append(self.client(req(TXN + 100 + number)))
             if node_socket is None:
-                node_socket = self.taken()
+                node_socket = self.accept()
             else:
                 self.await_request(node_socket)
             node_socket.sendall(ANSWER)
@@ -260,7 +260,7 @@
     def queued_client(self):
         queued = socket.socket()
         queued.setblocking(False)
-        queued.connect_ex(("127.0.0.1", self.door))
+        queued.connect_ex(("127.0.0.1", self.port))
         self.sockets.append(queued)
         queued.sendall(READY)
         self.turn(5)
@@ -291,7 +291,7 @@
         A normal client behind them is still served in time.
         """
         for request in (READY, LIVE):
-            self.again()
+            self.restart()
             health_clients = [
                 self.client(request)
                 for _ in range(self.gateway.listener.max_connections)
@@ -303,11 +303,11 @@
             ]
             normal = socket.socket()
             normal.setblocking(False)
-            normal.connect_ex(("127.0.0.1", self.door))
+            normal.connect_ex(("127.0.0.1", self.port))
             self.sockets.append(normal)
-            normal.sendall(ask())
+            normal.sendall(req())
             self.pass_time(0.4)
-            self.taken().sendall(ANSWER)
+            self.accept().sendall(ANSWER)
             self.until(
                 lambda: b" 200 " in self.got(normal)[0], "a normal client is not served"
             )
@@ -319,8 +319,8 @@
         """
         idle, node_socket = self.idle_clients(self.gateway.listener.max_connections)
         self.queued_client()
-        idle[0].sendall(ask())
-        self.unread()
+        idle[0].sendall(req())
+        self.wait_for_input()
         self.time += self.IDLE_SECONDS + 0.01
         self.turn()
         self.await_request(node_socket)
@@ -339,13 +339,13 @@
     def test_a_last_answer_that_is_being_read_is_not_cut_before_the_timeout(self):
         for reads in (True, False):
             with self.subTest(reads=reads):
-                self.again()
-                client = self.client(ask(Connection="close"), window=4096)
+                self.restart()
+                client = self.client(req(Connection="close"), window=4096)
                 protocol = self.server_side()
                 protocol.transport.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
-                node_socket = self.taken()
+                node_socket = self.accept()
                 node_socket.sendall(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
                     + b"x" * 400_000
@@ -388,7 +388,7 @@
             def write(discovery):
                 with open(path, "w") as file:
                     json.dump(
-                        GIVEN
+                        CONFIG
                         | {
                             "listen": f"127.0.0.1:{ports[2]}",
                             "discovery": f"127.0.0.1:{discovery}",
@@ -429,7 +429,7 @@
                     new.settimeout(5)
                     new.accept()[0].close()
                     for each in (
-                        ask(X_Remaining_Ms="5000"),
+                        req(X_Remaining_Ms="5000"),
                         READY,
                     ):  # on new connections, which wait in the accept queue
                         client = self.connect(ports[2])
--- a/tests/http_gateway/test_races_found_by_hunt.py
+++ b/tests/http_gateway/test_races_found_by_hunt.py
@@ -4,7 +4,7 @@
 import select
 import unittest
 
-from tests.support.http_gateway_rig import NODE, Loopback, ask
+from tests.support.http_gateway_rig import NODE, Loopback, req
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -77,7 +77,7 @@
                     ),
                     (5, True),
                 )
-            self.again()
+            self.restart()
 
 
 class Shutdown(Loopback):
@@ -87,12 +87,12 @@
             0.1,
             1.2,
         ):  # to just after the first shutdown step, over two steps, over all steps
-            self.again()
+            self.restart()
             with self.subTest(stall):
                 self.terminate()
-                self.to(1.45)
-                client = self.client(ask())
-                node_socket = self.taken()
+                self.advance_to(1.45)
+                client = self.client(req())
+                node_socket = self.accept()
                 node_socket.sendall(WHOLE)
                 gateway_sockets = [
                     each.transport.socket
@@ -106,7 +106,7 @@
                 self.time += stall
                 self.turn()
                 self.pass_time(0.2)
-                data, how = self.all_of(client)
+                data, how = self.read_all(client)
                 self.assertEqual(
                     (data[:15], data[-2:], how), (b"HTTP/1.1 200 OK", b"hi", "ended")
                 )
--- a/tests/http_gateway/test_races_leaving_clients.py
+++ b/tests/http_gateway/test_races_leaving_clients.py
@@ -15,7 +15,7 @@
 )
 from milletsill.http_gateway.endpoints import parse_node
 from milletsill.interface import EndpointUpdateKind
-from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, req, reset
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 LONG = 400_000
@@ -72,10 +72,10 @@
 
         The answer does not fit into the buffers of the sockets.
         """
-        client = self.client(ask(), window=4096)
+        client = self.client(req(), window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        self.taken().sendall(answer(LONG))
+        self.accept().sendall(answer(LONG))
         self.until(lambda: protocol.blocked, "the whole answer was written")
         return client, protocol
 
@@ -88,15 +88,15 @@
             for accepted in (True, False):
                 for requests in (1, 3):
                     with self.subTest(how=how, accepted=accepted, requests=requests):
-                        self.again()
+                        self.restart()
                         client = (
                             self.client()
                             if accepted
-                            else socket.create_connection(("127.0.0.1", self.door))
+                            else socket.create_connection(("127.0.0.1", self.port))
                         )
                         self.sockets.append(client)
                         client.sendall(
-                            b"".join(ask(TXN + number) for number in range(requests))
+                            b"".join(req(TXN + number) for number in range(requests))
                         )
                         leave(client, how)
                         self.time += 0.5
@@ -109,10 +109,10 @@
     def test_a_leaving_client_ends_its_open_request_and_the_pipelined_one(self):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
-                self.again()
-                client = self.client(ask())
-                node_socket = self.taken()
-                client.sendall(ask(TXN + 1))
+                self.restart()
+                client = self.client(req())
+                node_socket = self.accept()
+                client.sendall(req(TXN + 1))
                 self.turn()
                 leave(client, how)
                 self.until(
@@ -136,9 +136,9 @@
                 b"",
             ):
                 with self.subTest(how=how, node_answer=node_answer):
-                    self.again()
-                    client = self.client(ask())
-                    node_socket = self.taken()
+                    self.restart()
+                    client = self.client(req())
+                    node_socket = self.accept()
                     node_socket.sendall(node_answer)
                     leave(client, how)
                     self.time += 0.5
@@ -152,9 +152,9 @@
     def test_a_request_that_waits_for_a_node_is_dropped_when_its_client_leaves(self):
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
-                self.again()
+                self.restart()
                 client = self.client(
-                    ask(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
+                    req(X_IO="volume=00000003b4d60021,units=2,shard=2,hosts=1")
                 )
                 self.until(
                     lambda: self.gateway.host.unanswered, "the request was not accepted"
@@ -178,9 +178,9 @@
         """The gateway does not forward the client's pipelined request."""
         for how in ("close", "half", "reset"):
             with self.subTest(how=how):
-                self.again()
+                self.restart()
                 client, protocol = self.blocked_client()
-                client.sendall(ask(TXN + 1))
+                client.sendall(req(TXN + 1))
                 self.turn()
                 self.assertTrue(protocol.has_partial_request)
                 leave(client, how)
@@ -208,13 +208,13 @@
     def test_a_last_answer_that_is_read_slowly_arrives_complete(self):
         for ends in ("asked", "half"):
             with self.subTest(ends=ends):
-                self.again()
-                client = self.client(ask(Connection="close"), window=4096)
+                self.restart()
+                client = self.client(req(Connection="close"), window=4096)
                 protocol = self.server_side()
                 protocol.transport.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
-                self.taken().sendall(answer(LONG))
+                self.accept().sendall(answer(LONG))
                 self.until(lambda: protocol.state.name == "CLOSING", "no answer")
                 data = bytearray()
                 if ends == "half":
@@ -233,18 +233,18 @@
                 self.assertEqual(data.count(b"x"), LONG)
 
     def test_a_last_answer_in_the_sockets_buffer_outlives_the_client_connection(self):
-        client = self.client(ask(Connection="close"), window=4096)
+        client = self.client(req(Connection="close"), window=4096)
         protocol = self.server_side()
-        self.taken().sendall(answer(LONG))
+        self.accept().sendall(answer(LONG))
         self.until(lambda: protocol.sent, "the answer was not written")
         self.pass_time(LINGER_TIMEOUT / 10_000 + 0.2)
         self.assertFalse(self.gateway.listener.connections)
-        data, how = self.all_of(client)
+        data, how = self.read_all(client)
         self.assertEqual((data.count(b"x"), how), (LONG, "ended"))
 
     def test_an_idle_close_over_a_request_does_not_cut_the_previous_answer(self):
-        client = self.client(ask(), window=4096)
-        self.taken().sendall(answer(LONG))
+        client = self.client(req(), window=4096)
+        self.accept().sendall(answer(LONG))
         self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
         self.turn(30)
         protocol = self.server_side()
@@ -252,8 +252,8 @@
         self.assertFalse(protocol.blocked)
         self.time += IDLE_TIMEOUT_WHEN_SHORT / 10_000
         protocol.check(self.now(), True)
-        client.sendall(ask(TXN + 1))
-        self.unread()
+        client.sendall(req(TXN + 1))
+        self.wait_for_input()
         self.turn()
         data = bytearray()
 
@@ -272,26 +272,26 @@
         """
         for first_data, timeout in (
             (READY, IDLE_TIMEOUT),
-            (ask()[:60], REQUEST_TIMEOUT),
+            (req()[:60], REQUEST_TIMEOUT),
             (b"", NEW_TIMEOUT),
         ):
             with self.subTest(first_data=first_data[:9], timeout=timeout):
-                self.again()
+                self.restart()
                 client = self.client(first_data)
                 self.turn(5)
                 self.got(client)
-                client.sendall(ask()[60:] if timeout == REQUEST_TIMEOUT else ask())
-                self.unread()
+                client.sendall(req()[60:] if timeout == REQUEST_TIMEOUT else req())
+                self.wait_for_input()
                 self.time += timeout / 10_000
                 self.turn()
-                self.taken().sendall(answer(2))
+                self.accept().sendall(answer(2))
                 self.until(lambda: b" 200 " in self.got(client)[0], "no answer")
 
     def test_an_error_reaches_a_client_that_closes_its_side_after_malformed_data(self):
         client = self.client()
         client.sendall(b"\x00\xff\n\n")
         client.shutdown(socket.SHUT_WR)
-        data, how = self.all_of(client)
+        data, how = self.read_all(client)
         self.assertEqual((data.count(b"HTTP/1.1 400"), how), (1, "ended"))
         self.assert_all_ended()
 
@@ -303,16 +303,16 @@
         body_length = (
             65_536
             - len(
-                ask(method="PUT", name="put", body=b"y" * 60_000, Idempotency_Key="k")
+                req(method="PUT", name="put", body=b"y" * 60_000, Idempotency_Key="k")
             )
             + 60_000
         )
         client = self.client()
         client.sendall(
-            ask(method="PUT", name="put", body=b"y" * body_length, Idempotency_Key="k")
-            + ask(TXN + 1)
+            req(method="PUT", name="put", body=b"y" * body_length, Idempotency_Key="k")
+            + req(TXN + 1)
         )
-        node_socket = self.taken()
+        node_socket = self.accept()
         self.turn(5)
         self.assertEqual(
             (self.forwarded_attempts(), self.gateway.host.unanswered), (1, 1)
--- a/tests/http_gateway/test_races_message_forms.py
+++ b/tests/http_gateway/test_races_message_forms.py
@@ -11,7 +11,7 @@
 
 from milletsill.http1.message_limits import AMBIGUOUS
 from milletsill.http_gateway.resource_limits import MAX_BODY
-from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, req
 
 OWS = (b" ", b"\t", b" \t  ")
 BODY = b"x" * 40
@@ -59,7 +59,7 @@
 
 
 def put(txn):
-    return ask(txn=txn, method="PUT", name="put", body=BODY, Idempotency_Key="k1")
+    return req(txn=txn, method="PUT", name="put", body=BODY, Idempotency_Key="k1")
 
 
 def requests():
@@ -122,23 +122,23 @@
                 with self.subTest(step=step, form=number):
                     client = self.client()
                     self.send_in_steps(client, request, step)
-                    node_socket = self.taken()
+                    node_socket = self.accept()
                     self.assert_answered(client, node_socket, ANSWERS[0])
                     node_socket.close()
-                    self.again()
+                    self.restart()
 
     def test_an_answer_in_every_form_is_forwarded(self):
         for step in (1 << 20, 1):
             for number, answer in enumerate(ANSWERS):
                 with self.subTest(step=step, form=number):
-                    client = self.client(ask())
-                    self.assert_answered(client, self.taken(), answer, step)
-                    self.again()
+                    client = self.client(req())
+                    self.assert_answered(client, self.accept(), answer, step)
+                    self.restart()
 
     def test_a_rejection_with_whitespace_after_the_field_value_is_recognized(self):
         """Otherwise the attempt counts as one that may have run, and as an error."""
-        self.client(ask())
-        node_socket = self.taken()
+        self.client(req())
+        node_socket = self.accept()
         node_socket.sendall(
             b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1 \r\nContent-Length: 0\t\r\n\r\n"
         )
@@ -191,7 +191,7 @@
                             lambda: self.gateway.watcher.version == 9,
                             "the list was not accepted",
                         )
-                        self.again()
+                        self.restart()
 
 
 class LongBodies(Loopback):
@@ -224,14 +224,14 @@
         for body_size in (65_537, 400_000, MAX_BODY):
             for form in (lambda each: each, chunked):
                 with self.subTest(body_size=body_size, form=form):
-                    self.again()
+                    self.restart()
                     body = bytes(range(256)) * (body_size // 256 + 1)
                     body = body[: body_size - len(BODY_END)] + BODY_END
                     client = self.client()
                     node_received, node_socket = self.forward_in_pieces(
                         client,
                         form(
-                            ask(
+                            req(
                                 method="PUT", name="put", body=body, Idempotency_Key="k"
                             )
                         ),
@@ -249,7 +249,7 @@
         for whole in (True, False):
             client = self.client()
             body = b"x" * 300_000 + BODY_END
-            request = ask(
+            request = req(
                 TXN + whole, method="PUT", name="put", body=body, Idempotency_Key="k"
             )
             if whole:
@@ -274,7 +274,7 @@
         self.gateway.buffers.limit = 700_000
         clients = [self.client() for _ in range(2)]
         request = [
-            ask(
+            req(
                 TXN + number,
                 method="PUT",
                 name="put",
@@ -297,7 +297,7 @@
 
         self.until(refused, "the client has no answer")
         self.assertTrue(received.startswith(b"HTTP/1.1 503 "), received)
-        short_client = self.client(ask(TXN + 9))
+        short_client = self.client(req(TXN + 9))
         self.until(
             lambda: self.gateway.host.unanswered == 2, "a short one is not accepted"
         )
@@ -305,14 +305,14 @@
 
     def test_a_body_over_the_limit_is_refused(self):
         client = self.client(
-            ask(
+            req(
                 method="PUT",
                 name="put",
                 Content_Length=str(MAX_BODY + 1),
                 Idempotency_Key="k",
             )
         )
-        self.assertEqual(self.all_of(client)[0][:12], b"HTTP/1.1 413")
+        self.assertEqual(self.read_all(client)[0][:12], b"HTTP/1.1 413")
 
 
 class AmbiguousHeadSearch(unittest.TestCase):
--- a/tests/http_gateway/test_races_node_answers.py
+++ b/tests/http_gateway/test_races_node_answers.py
@@ -10,7 +10,7 @@
 
 from milletsill.http_gateway.endpoints import parse_node
 from milletsill.interface import EndpointUpdateKind
-from tests.support.http_gateway_rig import NODE, TXN, Loopback, ask, reset
+from tests.support.http_gateway_rig import NODE, TXN, Loopback, req, reset
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
@@ -111,7 +111,7 @@
         "error",
         "what begins no message",
     ),
-    "a request": (ask(), "stay", "error", "a head that cannot be read"),
+    "a request": (req(), "stay", "error", "a head that cannot be read"),
     "endless interim answers": (
         b"HTTP/1.1 103 Hint\r\n\r\n" * 50,
         "stay",
@@ -205,13 +205,13 @@
 
     def accept_request(self, listener):
         bad_node, self.node = self.node, listener
-        node_socket = self.taken()
+        node_socket = self.accept()
         self.node = bad_node
         return node_socket
 
     def serve(self, client, node_socket, txn):
         """Serve a normal client's request without advancing the clock."""
-        client.sendall(ask(txn, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1"))
+        client.sendall(req(txn, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1"))
         data = bytearray()
         self.until(
             lambda: data.extend(self.got(node_socket)[0]) or b"\r\n\r\n" in data,
@@ -227,24 +227,24 @@
     def test_each_bad_answer_ends_its_own_attempt_and_affects_no_other_client(self):
         for name, (data, next_action, outcome, cause) in BAD.items():
             with self.subTest(name):
-                self.again()
+                self.restart()
                 good = self.another_node()
                 normal_client = self.client(
-                    ask(TXN + 8, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1")
+                    req(TXN + 8, X_IO="volume=00000003b4d60021,units=2,shard=1,hosts=1")
                 )
                 node_socket = self.accept_request(good)
                 node_socket.sendall(WHOLE)
                 self.until(lambda: self.got(normal_client)[0].endswith(b"hi"))
                 same_node_client = self.client(
-                    ask(TXN + 7)
+                    req(TXN + 7)
                 )  # a normal client of the bad node, on a connection of its own
-                same_node_socket = self.taken()
+                same_node_socket = self.accept()
                 before, bad, began = (
                     self.counts("ended"),
                     BadNode(self, data, next_action),
                     self.time,
                 )
-                client = self.client(ask())
+                client = self.client(req())
                 received = bytearray()
 
                 def answered():
@@ -299,7 +299,7 @@
                 self.assertEqual(sum(malformed.values()), outcomes.get("error", 0))
                 self.serve(normal_client, node_socket, TXN + 200)
                 if outcome == "satisfied":  # the extra octets answer no request
-                    same_node_client.sendall(ask(TXN + 9))
+                    same_node_client.sendall(req(TXN + 9))
                     received.clear()
                     self.until(
                         lambda: (
--- a/tests/http_gateway/test_races_node_connections.py
+++ b/tests/http_gateway/test_races_node_connections.py
@@ -12,8 +12,8 @@
 from milletsill.http_gateway.request_parser import ForwardedPayload
 from milletsill.http_gateway.resource_limits import BufferBudget
 from milletsill.interface import AttemptOutcome, EndpointUpdateKind
-from tests.support.http_gateway_rig import NODE, SETTINGS, TXN, Loopback, ask, reset
-from tests.support.loopback import Loop, accept, listening, receive
+from tests.support.http_gateway_rig import NODE, SETTINGS, TXN, Loopback, req, reset
+from tests.support.loopback import LoopbackReactor, accept, create_listener, receive
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nhi"
@@ -23,7 +23,7 @@
     """The node connections without the rest of the gateway."""
 
     def setUp(self):
-        self.loop = Loop()
+        self.loop = LoopbackReactor()
         self.addCleanup(self.loop.close)
         self.outcomes, self.notes = [], []
         self.pools = HttpNodePools(
@@ -36,7 +36,7 @@
         self.addCleanup(self.pools.stop)
 
     def node(self):
-        sock = listening()
+        sock = create_listener()
         self.addCleanup(sock.close)
         return sock, sock.getsockname()[1]
 
@@ -76,7 +76,7 @@
     def serve(self, listener, answer=WHOLE):
         """Run an attempt to its answer; return the node's socket, now idle."""
         self.start_attempt()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.addCleanup(sock.close)
         self.loop.read(sock)
         sock.sendall(answer)
@@ -98,7 +98,7 @@
                 first = self.start_attempt()
                 self.loop.read(idle)
                 second = self.start_attempt()
-                second_socket = self.loop.accepted(listener)
+                second_socket = self.loop.accept(listener)
                 # Both connections are busy; then one becomes idle.
                 self.loop.read(second_socket)
                 idle.sendall(WHOLE)
@@ -145,7 +145,7 @@
         self.list_node(old_port)
         self.start_attempt()
         self.list_node(new_port)
-        sock = self.loop.accepted(new)
+        sock = self.loop.accept(new)
         self.assertIn(b"X-Txn: 0", self.loop.read(sock))
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
@@ -158,19 +158,19 @@
         self.list_node(old_port)
         self.start_attempt()
         self.list_node(new_port)
-        self.assertIn(b"X-Txn: 0", self.loop.read(self.loop.accepted(listener)))
+        self.assertIn(b"X-Txn: 0", self.loop.read(self.loop.accept(listener)))
 
     def test_a_connection_to_a_nodes_old_address_is_not_used_again(self):
         (old, old_port), (new, new_port) = self.node(), self.node()
         self.list_node(old_port)
         self.start_attempt()
-        sock = self.loop.accepted(old)
+        sock = self.loop.accept(old)
         self.loop.read(sock)
         self.list_node(new_port)
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
         self.start_attempt()
-        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(new)))
+        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accept(new)))
         self.assertIn(receive(sock), (None, b""))
 
     def test_an_attempt_on_a_closed_idle_connection_does_not_retry_a_draining_node(
@@ -192,7 +192,7 @@
         self.list_node(port)
         self.serve(listener).close()
         self.start_attempt()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(sock))
         sock.sendall(WHOLE)
         self.assertEqual(self.outcome(1), (AttemptOutcome.SUCCEEDED, b"hi"))
@@ -211,7 +211,7 @@
         self.assertFalse(first.begun)
         first.withdraw(AttemptOutcome.WITHDRAWN)
         self.start_attempt()
-        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
+        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accept(listener)))
 
     def test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset(self):
         for end, expected in (
@@ -221,7 +221,7 @@
             listener, port = self.node()
             self.list_node(port)
             self.start_attempt()
-            sock = self.loop.accepted(listener)
+            sock = self.loop.accept(listener)
             self.loop.read(sock)
             for octet in HEAD + b"Connection: close\r\n\r\nall of it":
                 sock.sendall(bytes([octet]))
@@ -241,7 +241,7 @@
                 listener, port = self.node()
                 self.list_node(port)
                 self.start_attempt()
-                sock = self.loop.accepted(listener)
+                sock = self.loop.accept(listener)
                 self.loop.read(sock)
                 sock.sendall(part)
                 self.loop.turn(3)
@@ -254,7 +254,7 @@
         listener, port = self.node()
         self.list_node(port)
         self.start_attempt()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.loop.read(sock)
         sock.sendall(HEAD + b"\r\n")
 
@@ -272,7 +272,7 @@
         listener, port = self.node()
         self.list_node(port)
         self.start_attempt()
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.loop.read(sock)
         for octet in b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE[:-1]:
             sock.sendall(bytes([octet]))
@@ -280,7 +280,7 @@
         sock.sendall(WHOLE[-1:] + b"HTTP/1.1 500 No\r\n")
         self.assertEqual(self.outcome(), (AttemptOutcome.SUCCEEDED, b"hi"))
         self.start_attempt()  # not on the connection with the extra octets
-        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accepted(listener)))
+        self.assertIn(b"X-Txn: 1", self.loop.read(self.loop.accept(listener)))
 
     def test_a_second_answer_on_an_idle_connection_answers_no_later_request(self):
         listener, port = self.node()
@@ -290,7 +290,7 @@
             HEAD + b"Content-Length: 5\r\n\r\nwrong"
         )  # unread when the next attempt takes the connection
         self.start_attempt()
-        other = self.loop.accepted(listener)
+        other = self.loop.accept(listener)
         self.assertIn(b"X-Txn: 1", self.loop.read(other))
         self.assertIn(receive(sock), (None, b""), "a request used the first connection")
         other.sendall(WHOLE)
@@ -301,7 +301,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         self.list_node(port)
         self.start_attempt(body=b"x" * (8 << 20))  # more than both sockets buffer
-        sock = self.loop.accepted(listener)
+        sock = self.loop.accept(listener)
         self.loop.read(sock)
         sock.sendall(
             HEAD.replace(b"200 OK", b"503 Full")
@@ -323,13 +323,13 @@
     def test_an_attempt_that_waits_for_a_replaced_node_goes_to_its_successor(self):
         successor = socket.create_server(("127.0.0.1", 0))
         self.sockets.append(successor)
-        client = self.client(ask())
+        client = self.client(req())
         self.until(lambda: self.gateway.report.counts["dial", ""])
         self.remove_node(
             NODE | {"id": "s-2", "addr": "127.0.0.1:%d" % successor.getsockname()[1]}
         )
         first, self.node = self.node, successor
-        node_socket = self.taken()
+        node_socket = self.accept()
         first.setblocking(False)
         if (sock := accept(first)) is not None:
             sock.setblocking(False)
@@ -341,8 +341,8 @@
         )
 
     def test_the_answer_of_a_removed_node_is_still_awaited(self):
-        client = self.client(ask())
-        node_socket = self.taken()
+        client = self.client(req())
+        node_socket = self.accept()
         self.remove_node()
         self.pass_time(0.3)  # the periodic check removes ended nodes
         node_socket.sendall(WHOLE)
@@ -388,7 +388,7 @@
 
     def test_a_client_that_leaves_in_the_turn_that_connects_is_not_served(self):
         for number, leave in enumerate((socket.socket.close, reset)):
-            client = self.client(ask(TXN + number))
+            client = self.client(req(TXN + number))
             before = self.connect_count()
             self.until(
                 lambda: self.connect_count() > before
@@ -398,7 +398,7 @@
             self.assertEqual(self.gateway.host.unanswered, 0)
 
     def test_an_attempt_that_waits_when_its_client_leaves_does_not_begin(self):
-        self.client(ask())
+        self.client(req())
         self.until(self.connect_count)
         self.gateway.host.cancel_request(next(iter(self.gateway.host.active)))
         self.assert_no_request()
--- a/tests/http_gateway/test_races_pipelined_requests.py
+++ b/tests/http_gateway/test_races_pipelined_requests.py
@@ -11,7 +11,7 @@
 from milletsill.http_gateway.process_state import shutdown_schedule
 from tests.http_gateway.test_races_leaving_clients import leave
 from tests.http_gateway.test_races_shutdown import settings_with_client_timeout
-from tests.support.http_gateway_rig import TXN, Loopback, ask
+from tests.support.http_gateway_rig import TXN, Loopback, req
 
 BODY = bytes(range(256)) * 256  # the platform's stated limit: 64 KiB
 KEYED = {"method": "PUT", "name": "put", "Idempotency_Key": "k"}
@@ -25,7 +25,7 @@
     """Return a PUT request with a chunked body."""
     pieces = [body[at : at + size] for at in range(0, len(body), size)]
     return (
-        ask(txn, Transfer_Encoding="chunked", **KEYED)
+        req(txn, Transfer_Encoding="chunked", **KEYED)
         + b"".join(b"%x\r\n%s\r\n" % (len(each), each) for each in pieces)
         + b"0\r\n\r\n"
     )
@@ -78,18 +78,18 @@
 
     def test_the_longest_request_pipelined_after_an_open_one_is_answered(self):
         for name, second, size in (
-            ("at once", ask(TXN + 1, body=BODY, **KEYED), 1 << 20),
-            ("in pieces", ask(TXN + 1, body=BODY, **KEYED), 3001),
+            ("at once", req(TXN + 1, body=BODY, **KEYED), 1 << 20),
+            ("in pieces", req(TXN + 1, body=BODY, **KEYED), 3001),
             ("in chunks", chunked(TXN + 1, BODY, 1000), 1 << 20),
             ("in pieces of chunks", chunked(TXN + 1, BODY, 20_000), 777),
         ):
             for together in (True, False):
                 with self.subTest(name, together=together):
-                    self.again()
-                    client = self.client(*([] if together else [ask()]))
-                    node_socket = None if together else self.taken()
-                    self.send_all(client, (ask() if together else b"") + second, size)
-                    node_socket = node_socket or self.taken()
+                    self.restart()
+                    client = self.client(*([] if together else [req()]))
+                    node_socket = None if together else self.accept()
+                    self.send_all(client, (req() if together else b"") + second, size)
+                    node_socket = node_socket or self.accept()
                     self.assertEqual(
                         (
                             self.gateway.host.unanswered,
@@ -118,14 +118,14 @@
                     )
 
     def test_more_than_one_long_pipelined_request_is_one_error(self):
-        client = self.client(ask())
-        node_socket = self.taken()
+        client = self.client(req())
+        node_socket = self.accept()
         self.send_all(
             client,
-            ask(TXN + 1, body=BODY, **KEYED)
-            + ask(TXN + 2, body=BODY[:MAX_PIPELINED], **KEYED),
+            req(TXN + 1, body=BODY, **KEYED)
+            + req(TXN + 2, body=BODY[:MAX_PIPELINED], **KEYED),
         )
-        data, how = self.all_of(client)
+        data, how = self.read_all(client)
         self.assertEqual(
             (data.count(b"HTTP/1.1 "), data[:12], how), (1, b"HTTP/1.1 400", "ended")
         )
@@ -138,11 +138,11 @@
 
     def test_with_full_buffers_only_a_long_pipelined_request_is_refused(self):
         self.gateway.buffers.held = self.gateway.buffers.limit
-        client, other_client = self.client(ask()), self.client(ask(TXN + 1))
+        client, other_client = self.client(req()), self.client(req(TXN + 1))
         self.turn(10)
-        self.send_all(client, ask(TXN + 2, body=BODY, **KEYED))
-        self.send_all(other_client, ask(TXN + 3))
-        self.assertEqual(self.all_of(client)[0][:12], b"HTTP/1.1 503")
+        self.send_all(client, req(TXN + 2, body=BODY, **KEYED))
+        self.send_all(other_client, req(TXN + 3))
+        self.assertEqual(self.read_all(client)[0][:12], b"HTTP/1.1 503")
         self.assertEqual(
             (self.got(other_client), self.gateway.host.unanswered), ((b"", "open"), 1)
         )
@@ -155,44 +155,44 @@
         the rest of a body with too small a length.
         """
         short_length = (
-            ask(Content_Length="4", **KEYED)
+            req(Content_Length="4", **KEYED)
             + b"body and\r\nmuch more than that\r\n\r\n"
         )
         for name, data, status in (
-            ("noise", ask() + b"\x00\xff\n\n", b"400"),
+            ("noise", req() + b"\x00\xff\n\n", b"400"),
             ("too small a length", short_length, b"400"),
             (
                 "too small a length without a line",
-                ask(Content_Length="4", **KEYED) + BODY[128:200],
+                req(Content_Length="4", **KEYED) + BODY[128:200],
                 b"400",
             ),
             (
                 "a length and chunks",
-                ask() + ask(Content_Length="4", Transfer_Encoding="chunked", **KEYED),
+                req() + req(Content_Length="4", Transfer_Encoding="chunked", **KEYED),
                 b"400",
             ),
             (
                 "sixty megabytes",
-                ask() + ask(TXN + 1, Content_Length="62914560", **KEYED),
+                req() + req(TXN + 1, Content_Length="62914560", **KEYED),
                 b"413",
             ),
             (
                 "an endless head",
-                ask() + b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 2000,
+                req() + b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 2000,
                 b"431",
             ),
             (
                 "malformed chunks",
-                ask() + ask(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
+                req() + req(Transfer_Encoding="chunked", **KEYED) + b"zz\r\n",
                 b"400",
             ),
         ):
             with self.subTest(name):
-                self.again()
-                other_client = self.client(ask(TXN + 7))
-                other_node_socket = self.taken()
+                self.restart()
+                other_client = self.client(req(TXN + 7))
+                other_node_socket = self.accept()
                 client = self.client(data)
-                received, how = self.all_of(client)
+                received, how = self.read_all(client)
                 self.assertEqual(
                     (received.count(b"HTTP/1.1 "), received[9:12], how),
                     (1, status, "ended"),
@@ -208,16 +208,16 @@
         for malformed in (
             b"\x00\xff\n\n",
             b"more than was told\n",
-            ask(TXN + 1, Content_Length="62914560", **KEYED),
+            req(TXN + 1, Content_Length="62914560", **KEYED),
         ):
             with self.subTest(malformed[:20]):
-                self.again()
-                client = self.client(ask())
-                node_socket = self.taken()
+                self.restart()
+                client = self.client(req())
+                node_socket = self.accept()
                 for at in range(len(malformed)):
                     client.send(malformed[at : at + 1])
                     self.turn(1)
-                received, how = self.all_of(client)
+                received, how = self.read_all(client)
                 self.assertEqual((received.count(b"HTTP/1.1 4"), how), (1, "ended"))
                 self.until(
                     lambda: self.got(node_socket)[1] == "reset", "no reset at the node"
@@ -234,21 +234,21 @@
         """
         for pipelined_data, answers in (
             (self.pipelined(0), 1),
-            (ask(TXN + 1), 2),
-            (ask(TXN + 1) + ask(TXN + 2), 3),
-            (ask(TXN + 1)[:60], 1),
+            (req(TXN + 1), 2),
+            (req(TXN + 1) + req(TXN + 2), 3),
+            (req(TXN + 1)[:60], 1),
         ):
             with self.subTest(pipelined_data[:60], answers=answers):
                 self.changed = {"settings": settings_with_client_timeout(8.0)}
-                self.again()
-                client = self.client(ask(X_Remaining_Ms="8000"))
-                node_socket = self.taken()
+                self.restart()
+                client = self.client(req(X_Remaining_Ms="8000"))
+                node_socket = self.accept()
                 client.sendall(pipelined_data)
                 self.turn(5)
                 self.terminate()
-                self.to(shutdown_schedule(80_000)[1][0] / 10_000 + 0.01)
+                self.advance_to(shutdown_schedule(80_000)[1][0] / 10_000 + 0.01)
                 self.assertEqual(self.gateway.state.name, "DRAINING")
-                data, how = self.all_of(client)
+                data, how = self.read_all(client)
                 self.assertEqual(
                     [each[:3] for each in data.split(b"HTTP/1.1 ")[1:]],
                     [b"502"] + [b"503"] * (answers - 1),
@@ -262,19 +262,19 @@
                 )
 
     def test_a_request_pipelined_after_a_blocked_answer_is_refused_at_the_end(self):
-        client = self.client(ask(), window=4096)
+        client = self.client(req(), window=4096)
         protocol = self.server_side()
         protocol.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        self.taken().sendall(
+        self.accept().sendall(
             b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"x" * 400_000
         )
         self.until(lambda: protocol.blocked, "the whole answer was written")
-        client.sendall(ask(TXN + 1))
+        client.sendall(req(TXN + 1))
         self.turn(5)
         self.assertTrue(protocol.next_request)
         self.terminate()
-        self.to(shutdown_schedule(10_000)[1][0] / 10_000 + 0.01)
-        data, how = self.all_of(client)  # the clock does not advance
+        self.advance_to(shutdown_schedule(10_000)[1][0] / 10_000 + 0.01)
+        data, how = self.read_all(client)  # the clock does not advance
         self.assertEqual(
             (
                 data.count(b"x"),
@@ -288,9 +288,9 @@
 
     def pipelined(self, count):
         return b"".join(
-            ask(TXN + number, body=BODY[: 700 * (number % 3)], **KEYED)
+            req(TXN + number, body=BODY[: 700 * (number % 3)], **KEYED)
             if number % 2
-            else ask(TXN + number)
+            else req(TXN + number)
             for number in range(count)
         )
 
@@ -301,7 +301,7 @@
 
     def test_many_pipelined_requests_are_answered_in_order_one_at_a_time(self):
         client = self.client(self.pipelined(20))
-        node_socket, data = self.taken(), bytearray()
+        node_socket, data = self.accept(), bytearray()
         for number in range(20):
             self.assertEqual(self.gateway.host.unanswered, 1)
             self.answer_at_node(node_socket, number)
@@ -324,11 +324,11 @@
         for how in ("close", "half", "reset"):
             for step in (None, 0, 1, 3, 5):
                 with self.subTest(how=how, step=step):
-                    self.again()
+                    self.restart()
                     client = self.client()
                     client.sendall(self.pipelined(6))
                     if step is not None:
-                        node_socket = self.taken()
+                        node_socket = self.accept()
                         for number in range(step):
                             self.answer_at_node(node_socket, number)
                             self.node_received(
@@ -371,12 +371,12 @@
         for how in ("close", "half", "reset"):
             for count in (1, 2, 4):
                 with self.subTest(how=how, count=count):
-                    self.again()
+                    self.restart()
                     client = self.client()
                     client.sendall(
-                        ask()
+                        req()
                         + b"".join(
-                            ask(TXN + 1 + number, body=BODY, **KEYED)
+                            req(TXN + 1 + number, body=BODY, **KEYED)
                             for number in range(count)
                         )
                     )
@@ -399,7 +399,7 @@
         )  # it fits all data, so the close has arrived too
         sock = self.client()
         sock.sendall(
-            ask() + ask(TXN + 1, Content_Length=str(1 << 20), **KEYED) + b"x" * 150_000
+            req() + req(TXN + 1, Content_Length=str(1 << 20), **KEYED) + b"x" * 150_000
         )
         sock.shutdown(socket.SHUT_WR)
         fin_wait2 = 5
@@ -422,13 +422,13 @@
                 60,
                 5000,
                 60_000,
-                65_536 + len(ask(TXN + 1, body=BODY, **KEYED)) - len(BODY),
+                65_536 + len(req(TXN + 1, body=BODY, **KEYED)) - len(BODY),
             ):
                 with self.subTest(how=how, octets=octets):
-                    self.again()
-                    client = self.client(ask())
-                    node_socket = self.taken()
-                    self.send_all(client, ask(TXN + 1, body=BODY, **KEYED)[:octets])
+                    self.restart()
+                    client = self.client(req())
+                    node_socket = self.accept()
+                    self.send_all(client, req(TXN + 1, body=BODY, **KEYED)[:octets])
                     leave(client, how)
                     self.until(
                         lambda: self.got(node_socket)[1] == "reset",
--- a/tests/http_gateway/test_races_second_discovery_call.py
+++ b/tests/http_gateway/test_races_second_discovery_call.py
@@ -15,56 +15,61 @@
     CallProgress,
 )
 from milletsill.interface import EndpointUpdateKind
-from tests.support.discovery_connections import HEAD, LOOK, Held, said
+from tests.support.discovery_connections import (
+    CHECK_INTERVAL,
+    HEAD,
+    WatcherTest,
+    list_line,
+)
 from tests.support.http_gateway_rig import SETTINGS, Loopback, reset
 
 DRAIN_GRACE = 8_000  # tenths of a millisecond, where lists are pushed
 
 
-class ParallelCall(Held):
+class ParallelCall(WatcherTest):
     def test_pushed_lists_a_list_that_stops_in_mid_line_gets_a_parallel_call(self):
         for answered in ("second", "first"):
-            self.again()
-            self.follower.config = replace(
-                self.follower.config, drain_grace=DRAIN_GRACE
-            )
-            self.follower.request_watch()
-            first, _ = self.taken()
-            first.sendall(HEAD + said(8, True)[:40])
-            self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
-            self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
-            second = self.second()
+            self.restart()
+            self.watcher.config = replace(self.watcher.config, drain_grace=DRAIN_GRACE)
+            self.watcher.request_watch()
+            first, _ = self.accept_watch()
+            first.sendall(HEAD + list_line(8, True)[:40])
+            self.until(lambda: self.watcher.watch.progress is CallProgress.RECEIVING)
+            self.advance(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
+            second = self.accept_parallel()
             answered_socket, other_socket, data = (
-                (second, first, HEAD + said(8, True))
+                (second, first, HEAD + list_line(8, True))
                 if answered == "second"
-                else (first, second, said(8, True)[40:])
+                else (first, second, list_line(8, True)[40:])
             )
             answered_socket.sendall(data)
-            self.until(lambda: self.told)
-            self.over(other_socket)
-            self.go(FIRST_VALUE_TIMEOUT)
+            self.until(lambda: self.updates)
+            self.wait_until_closed(other_socket)
+            self.advance(FIRST_VALUE_TIMEOUT)
             self.assertEqual(
-                (self.told, self.follower.parallel),
+                (self.updates, self.watcher.parallel),
                 ([(EndpointUpdateKind.SNAPSHOT, "ready")], None),
                 answered,
             )
-            answered_socket.sendall(said(9, state="leaving"))
-            self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
+            answered_socket.sendall(list_line(9, state="leaving"))
+            self.until(
+                lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "draining")
+            )
 
     def test_a_parallel_call_that_is_reset_is_repeated_and_the_first_call_stays(self):
-        self.follower.config = replace(self.follower.config, drain_grace=DRAIN_GRACE)
-        self.follower.request_watch()
-        first, _ = self.taken()
-        first.sendall(HEAD + said(8, True)[:40])
-        self.until(lambda: self.follower.watch.progress is CallProgress.RECEIVING)
-        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
-        self.reset(self.second())
-        self.until(lambda: self.follower.parallel is None)
-        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
-        self.second()
-        first.sendall(said(8, True)[40:])
-        self.until(lambda: self.told)
-        self.assertEqual(self.told, [(EndpointUpdateKind.SNAPSHOT, "ready")])
+        self.watcher.config = replace(self.watcher.config, drain_grace=DRAIN_GRACE)
+        self.watcher.request_watch()
+        first, _ = self.accept_watch()
+        first.sendall(HEAD + list_line(8, True)[:40])
+        self.until(lambda: self.watcher.watch.progress is CallProgress.RECEIVING)
+        self.advance(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
+        self.reset(self.accept_parallel())
+        self.until(lambda: self.watcher.parallel is None)
+        self.advance(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
+        self.accept_parallel()
+        first.sendall(list_line(8, True)[40:])
+        self.until(lambda: self.updates)
+        self.assertEqual(self.updates, [(EndpointUpdateKind.SNAPSHOT, "ready")])
 
     def test_pushed_lists_a_pending_connect_gets_at_most_one_parallel_call(self):
         full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -86,88 +91,90 @@
             )
 
         self.reactor.connectTCP = connect
-        self.follower.config = replace(self.follower.config, drain_grace=DRAIN_GRACE)
-        self.follower.request_watch()
+        self.watcher.config = replace(self.watcher.config, drain_grace=DRAIN_GRACE)
+        self.watcher.request_watch()
         self.turn(3)
-        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
+        self.advance(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
         self.turn(3)
         self.assertEqual((len(ports), len(self.reactor.getWriters())), (2, 2))
-        self.go(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
-        self.assertEqual((len(ports), self.failed()), (3, 0))
+        self.advance(DRAIN_GRACE * PARALLEL_CALL_PUSHED[1])
+        self.assertEqual((len(ports), self.failure_count()), (3, 0))
         self.assertLess(self.clock, CONNECT_TIMEOUT)
-        second = self.second()
+        second = self.accept_parallel()
         self.turn(3)
         self.assertEqual(
             len(self.reactor.getWriters()), 1
         )  # the first connect, which may still complete
-        second.sendall(HEAD + said(8, True))
-        self.until(lambda: self.told)
+        second.sendall(HEAD + list_line(8, True))
+        self.until(lambda: self.updates)
         self.turn(3)
         self.assertEqual(
-            (self.told, self.reactor.getWriters(), self.follower.parallel),
+            (self.updates, self.reactor.getWriters(), self.watcher.parallel),
             ([(EndpointUpdateKind.SNAPSHOT, "ready")], [], None),
         )
 
     def test_pushed_lists_an_accepted_call_gets_a_parallel_one_only_after_a_timeout(
         self,
     ):
-        self.follower.config = replace(self.follower.config, drain_grace=DRAIN_GRACE)
-        self.follower.request_watch()
-        self.taken()
-        self.go(FIRST_VALUE_TIMEOUT)
-        self.assertFalse(self.called())
-        self.go(2 * LOOK)
-        self.assertEqual(self.failed(), 1)
-        self.follower.request_watch()
-        first, _ = self.taken()
-        self.go(PARALLEL_CALL_UNRESPONSIVE[1])
-        second = self.second()
-        second.sendall(HEAD + said(8, True))
-        self.until(lambda: len(self.told) == 2)
-        self.over(first)
+        self.watcher.config = replace(self.watcher.config, drain_grace=DRAIN_GRACE)
+        self.watcher.request_watch()
+        self.accept_watch()
+        self.advance(FIRST_VALUE_TIMEOUT)
+        self.assertFalse(self.has_pending_call())
+        self.advance(2 * CHECK_INTERVAL)
+        self.assertEqual(self.failure_count(), 1)
+        self.watcher.request_watch()
+        first, _ = self.accept_watch()
+        self.advance(PARALLEL_CALL_UNRESPONSIVE[1])
+        second = self.accept_parallel()
+        second.sendall(HEAD + list_line(8, True))
+        self.until(lambda: len(self.updates) == 2)
+        self.wait_until_closed(first)
         self.assertEqual(
-            self.told,
+            self.updates,
             [(EndpointUpdateKind.FAILED,), (EndpointUpdateKind.SNAPSHOT, "ready")],
         )
 
     def test_after_sighup_a_reset_and_an_unanswered_call_leave_time_for_a_third(self):
-        self.standing()
+        self.open_watch()
         new_discovery = self.discovery()
-        self.follower.move(new_discovery.address)
+        self.watcher.move(new_discovery.address)
         moved_at = self.clock
-        self.reset(self.taken(new_discovery)[0])
-        self.until(lambda: self.follower.watch is None)
-        while not self.failed():
-            self.go(LOOK)
-        self.follower.request_watch()
-        first, _ = self.taken(new_discovery)
-        self.go(PARALLEL_CALL_AFTER_MOVE[1] - (self.clock - moved_at))
-        second = self.second(new_discovery)
-        second.sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
-        self.over(first)
+        self.reset(self.accept_watch(new_discovery)[0])
+        self.until(lambda: self.watcher.watch is None)
+        while not self.failure_count():
+            self.advance(CHECK_INTERVAL)
+        self.watcher.request_watch()
+        first, _ = self.accept_watch(new_discovery)
+        self.advance(PARALLEL_CALL_AFTER_MOVE[1] - (self.clock - moved_at))
+        second = self.accept_parallel(new_discovery)
+        second.sendall(HEAD + list_line(8, state="leaving"))
+        self.until(lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "draining"))
+        self.wait_until_closed(first)
         self.assertLess(self.clock - moved_at, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
-        self.assertEqual(self.failed(), 1)
+        self.assertEqual(self.failure_count(), 1)
 
     def test_after_sighup_the_call_after_two_resets_bypasses_the_schedulers_pause(self):
-        self.standing()
+        self.open_watch()
         new_discovery = self.discovery()
-        self.follower.move(new_discovery.address)
+        self.watcher.move(new_discovery.address)
         moved_at = self.clock
-        self.reset(self.taken(new_discovery)[0])
-        self.until(lambda: self.follower.watch is None)
-        while not self.failed():
-            self.go(LOOK)
+        self.reset(self.accept_watch(new_discovery)[0])
+        self.until(lambda: self.watcher.watch is None)
+        while not self.failure_count():
+            self.advance(CHECK_INTERVAL)
         # The scheduler retries the first time at once, the second time after a pause.
-        self.follower.request_watch()
-        self.reset(self.taken(new_discovery)[0])
-        self.until(lambda: self.follower.watch is None)
-        while self.follower.watch is None:
+        self.watcher.request_watch()
+        self.reset(self.accept_watch(new_discovery)[0])
+        self.until(lambda: self.watcher.watch is None)
+        while self.watcher.watch is None:
             self.assertLess(self.clock - moved_at, NOTIFIED_AFTER_MOVE - RETRY_MARGIN)
-            self.go(LOOK)
-        self.taken(new_discovery)[0].sendall(HEAD + said(8, state="leaving"))
-        self.until(lambda: self.told[-1] == (EndpointUpdateKind.DELTA, "draining"))
-        self.assertEqual(self.failed(), 1)
+            self.advance(CHECK_INTERVAL)
+        self.accept_watch(new_discovery)[0].sendall(
+            HEAD + list_line(8, state="leaving")
+        )
+        self.until(lambda: self.updates[-1] == (EndpointUpdateKind.DELTA, "draining"))
+        self.assertEqual(self.failure_count(), 1)
 
 
 class DiscoveryOutage(Loopback):
@@ -229,7 +236,9 @@
             self.pass_time(0.04)
             for sock in self.calls():
                 answer = (
-                    answers.pop(0) if answers else HEAD + said(5, True, state="leaving")
+                    answers.pop(0)
+                    if answers
+                    else HEAD + list_line(5, True, state="leaving")
                 )
                 if answer == "reset":
                     reset(sock)
@@ -242,16 +251,16 @@
             ("on_request", self.BUSY, 2.0),
             ("on_request", "reset", 2.0),
             ("on_request", b"", 4.5),
-            ("on_request", HEAD + said(5)[:30], 4.5),
+            ("on_request", HEAD + list_line(5)[:30], 4.5),
             ("on_request", "refused", 2.0),
             ("pushed", self.BUSY, 0.8),
             ("pushed", "reset", 0.8),
             ("pushed", b"", 3.0),
-            ("pushed", HEAD + said(5)[:30], 0.8),
+            ("pushed", HEAD + list_line(5)[:30], 0.8),
             ("pushed", "refused", 0.8),
         ):
             self.changed = {"settings": SETTINGS | {"membership_mode": mode}}
-            self.again()
+            self.restart()
             self.assertFalse(self.drains())
             if first == "refused":
                 address = self.listener.getsockname()
@@ -260,7 +269,7 @@
                 self.pass_time(3.0)
                 self.listener = socket.create_server(address)
                 self.sockets.append(self.listener)
-                first = HEAD + said(5, True, state="leaving")
+                first = HEAD + list_line(5, True, state="leaving")
             self.assertLess(self.time_to_update(first), time_limit, (mode, first))
 
 
--- a/tests/http_gateway/test_races_shutdown.py
+++ b/tests/http_gateway/test_races_shutdown.py
@@ -12,7 +12,7 @@
 import unittest
 
 from milletsill.http_gateway.process_state import ProcessEvent, shutdown_schedule
-from tests.support.http_gateway_rig import GIVEN, SETTINGS, TXN, Loopback, ask
+from tests.support.http_gateway_rig import CONFIG, SETTINGS, TXN, Loopback, req
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 CLIENT_TIMEOUT = 1.0  # seconds, of the rig's settings
@@ -32,26 +32,26 @@
 class ShutdownRaces(Loopback):
     def serve(self, client, octets=2):
         """Send a client's request and have the node answer it."""
-        client.sendall(ask())
-        self.taken().sendall(answer(octets))
+        client.sendall(req())
+        self.accept().sendall(answer(octets))
 
-    def shut_down(self, at):
+    def begin_shutdown(self, at):
         self.terminate()
-        self.to(at)
+        self.advance_to(at)
 
     def test_an_unread_request_on_an_idle_connection_is_rejected_at_the_shutdown(self):
         client, other = self.client(), self.client()
         self.serve(client)
         self.until(lambda: b"xx" in self.got(client)[0])
-        self.shut_down(REJECTING_AT - 0.01)
-        client.sendall(ask(TXN + 1))
-        other.sendall(ask(TXN + 2)[:40])  # half a request
-        self.unread()
+        self.begin_shutdown(REJECTING_AT - 0.01)
+        client.sendall(req(TXN + 1))
+        other.sendall(req(TXN + 2)[:40])  # half a request
+        self.wait_for_input()
         self.time += 0.02  # the shutdown step runs before the octets are read
         self.turn()
-        other.sendall(ask(TXN + 2)[40:])
+        other.sendall(req(TXN + 2)[40:])
         for each in (client, other):
-            data, how = self.all_of(each)
+            data, how = self.read_all(each)
             self.assertEqual(
                 (data.count(b"HTTP/1.1 "), data[:12], how),
                 (1, b"HTTP/1.1 503", "ended"),
@@ -66,21 +66,23 @@
 
     def test_half_a_request_at_the_end_is_rejected_and_an_idle_client_is_closed(self):
         partial, idle, new = (
-            self.client(ask()[:60]),
+            self.client(req()[:60]),
             self.client(READY),
             self.client(),
         )
         self.until(lambda: b" 200 " in self.got(idle)[0])
-        self.shut_down(REJECTING_AT + 0.01)
+        self.begin_shutdown(REJECTING_AT + 0.01)
         partial_state = self.got(partial)
-        self.to(DRAINING_AT)
+        self.advance_to(DRAINING_AT)
         self.assertEqual(partial_state, (b"", "open"))
-        data, how = self.all_of(partial)
+        data, how = self.read_all(partial)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
-        self.assertEqual((self.all_of(idle), self.all_of(new)), ((b"", "ended"),) * 2)
-        self.assertEqual(self.ended, [])  # the clients' sides are still open
-        self.to(STOPPED_AT)
-        self.assertEqual(len(self.ended), 1)
+        self.assertEqual(
+            (self.read_all(idle), self.read_all(new)), ((b"", "ended"),) * 2
+        )
+        self.assertEqual(self.stop_times, [])  # the clients' sides are still open
+        self.advance_to(STOPPED_AT)
+        self.assertEqual(len(self.stop_times), 1)
 
     def test_a_request_that_crosses_the_end_does_not_cut_the_previous_answer(self):
         """It is not forwarded, but rejected if unread when the gateway closes its side.
@@ -89,21 +91,21 @@
         """
         for after_close in (False, True):
             with self.subTest(after_close=after_close):
-                self.again()
+                self.restart()
                 client = self.client(window=4096)
                 self.serve(client, LONG)
                 self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
                 self.turn(20)
-                self.shut_down(DRAINING_AT - 0.005)
+                self.begin_shutdown(DRAINING_AT - 0.005)
                 for step in (0.01, client) if after_close else (client, 0.01):
                     if step is client:
-                        client.sendall(ask(TXN + 1))
-                        self.unread()
+                        client.sendall(req(TXN + 1))
+                        self.wait_for_input()
                     else:
                         self.time += step
                     self.turn(2 if after_close else 0)
                 self.turn()
-                data, how = self.all_of(client)
+                data, how = self.read_all(client)
                 self.assertEqual(
                     (data.count(b"x"), data.count(b"HTTP/1.1 503"), how),
                     (LONG, 0 if after_close else 1, "ended"),
@@ -113,14 +115,14 @@
     def test_an_unread_answer_keeps_the_process_running_until_its_limit(self):
         for reads in (True, False):
             with self.subTest(reads=reads):
-                self.again()
+                self.restart()
                 client = self.client(window=4096)
-                self.shut_down(CLIENT_TIMEOUT / 2)
+                self.begin_shutdown(CLIENT_TIMEOUT / 2)
                 self.serve(client, LONG)
                 self.until(lambda: self.gateway.report.counts["answer", "satisfied"])
                 self.turn(20)
-                self.to(REJECTING_AT + 0.05)
-                self.assertEqual(self.ended, [])
+                self.advance_to(REJECTING_AT + 0.05)
+                self.assertEqual(self.stop_times, [])
                 received = bytearray()
                 if reads:
                     self.until(
@@ -132,20 +134,20 @@
                     )
                     client.close()
                     self.until(
-                        lambda: self.ended, "the process stays without any client"
+                        lambda: self.stop_times, "the process stays without any client"
                     )
                 else:
-                    self.to(STOPPED_AT + 0.01)
-                    self.assertEqual(len(self.ended), 1)
+                    self.advance_to(STOPPED_AT + 0.01)
+                    self.assertEqual(len(self.stop_times), 1)
                 self.assertLess(self.time - 1000, KILLED_AT - 0.05)
 
     def test_a_request_with_a_deadline_after_the_end_is_answered_at_the_shutdown(self):
         self.changed = {"settings": settings_with_client_timeout(8.0)}
-        self.again()
-        client = self.client(ask(X_Remaining_Ms="8000"))
-        node_socket = self.taken()
-        self.shut_down(shutdown_schedule(80_000)[0][0] / 10_000 + 0.01)
-        data, how = self.all_of(client)
+        self.restart()
+        client = self.client(req(X_Remaining_Ms="8000"))
+        node_socket = self.accept()
+        self.begin_shutdown(shutdown_schedule(80_000)[0][0] / 10_000 + 0.01)
+        data, how = self.read_all(client)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 502", "ended"))
         self.until(lambda: self.got(node_socket)[1] == "reset", "no reset at the node")
         self.assertEqual(self.gateway.host.active, {})
@@ -161,18 +163,18 @@
     def test_requests_at_each_step_up_to_the_end_have_one_answer_or_are_unread(self):
         for steps in range(30, -1, -1):
             sent_at = DRAINING_AT + 0.01 - steps * 0.005
-            self.again()
+            self.restart()
             client = self.client(READY)
             self.until(lambda: b" 200 " in self.got(client)[0])
-            self.shut_down(CLIENT_TIMEOUT / 2)
-            self.to(sent_at)
+            self.begin_shutdown(CLIENT_TIMEOUT / 2)
+            self.advance_to(sent_at)
             data, how = self.got(client)
             sent = how == "open"
             if sent:
-                client.sendall(ask())
-                self.unread()
-                self.to(STOPPED_AT + 0.01)
-                data, how = self.all_of(client)
+                client.sendall(req())
+                self.wait_for_input()
+                self.advance_to(STOPPED_AT + 0.01)
+                data, how = self.read_all(client)
             crossed = sent_at >= DRAINING_AT - 0.0075
             self.assertTrue(
                 data.count(b"HTTP/1.1 ") == 1
@@ -186,35 +188,35 @@
                 or not self.gateway.report.counts["dispatch", "0"],
                 steps,
             )
-            self.assertEqual(len(self.ended), 0 if not sent else 1, steps)
+            self.assertEqual(len(self.stop_times), 0 if not sent else 1, steps)
 
     def test_a_second_sigterm_and_a_sighup_do_not_change_the_schedule(self):
         idle = self.client(READY)
         self.until(lambda: b" 200 " in self.got(idle)[0])
-        self.shut_down(0.3)
+        self.begin_shutdown(0.3)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
-        self.to(REJECTING_AT + 0.01)
+        self.advance_to(REJECTING_AT + 0.01)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
-        self.assertEqual(self.ended, [])
-        self.to(STOPPED_AT + 0.01)
-        self.assertEqual(len(self.ended), 1)
+        self.assertEqual(self.stop_times, [])
+        self.advance_to(STOPPED_AT + 0.01)
+        self.assertEqual(len(self.stop_times), 1)
         self.gateway.terminate()
         self.gateway.reload(self.gateway.configuration)
         self.turn()
         self.assertEqual(
             (
-                len(self.ended),
+                len(self.stop_times),
                 self.gateway.watcher.watch and self.gateway.watcher.watch.over,
             ),
             (1, True),
         )
 
     def test_sigterm_without_clients_ends_the_process_in_time(self):
-        self.shut_down(STOPPED_AT + 0.01)
-        self.assertEqual(len(self.ended), 1)
-        self.assertLess(self.ended[0] - 1000, DRAINING_AT + 0.02)
+        self.begin_shutdown(STOPPED_AT + 0.01)
+        self.assertEqual(len(self.stop_times), 1)
+        self.assertLess(self.stop_times[0] - 1000, DRAINING_AT + 0.02)
 
     def test_once_requests_are_rejected_none_is_forwarded_whatever_the_clock(self):
         """The reactor's clock may be ahead of the gateway's.
@@ -222,21 +224,21 @@
         Then the time to answer is not over yet when the step runs.
         """
         client = self.client()
-        self.shut_down(0.1)
+        self.begin_shutdown(0.1)
         self.gateway._on_process_event(ProcessEvent.START_REJECTING)
-        client.sendall(ask())
-        data, how = self.all_of(client)
+        client.sendall(req())
+        data, how = self.read_all(client)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
         self.assertFalse(self.gateway.report.counts["dispatch", "0"])
 
     def test_a_request_in_the_accept_queue_at_the_shutdown_is_rejected(self):
-        self.shut_down(REJECTING_AT - 0.01)
-        client = socket.create_connection(("127.0.0.1", self.door))
+        self.begin_shutdown(REJECTING_AT - 0.01)
+        client = socket.create_connection(("127.0.0.1", self.port))
         self.sockets.append(client)
-        client.sendall(ask())
+        client.sendall(req())
         client.setblocking(False)
         self.gateway._on_process_event(ProcessEvent.START_REJECTING)
-        data, how = self.all_of(client)
+        data, how = self.read_all(client)
         self.assertEqual((data[:12], how), (b"HTTP/1.1 503", "ended"))
 
 
@@ -260,7 +262,7 @@
             path = os.path.join(folder, "c.json")
             with open(path, "w") as file:
                 json.dump(
-                    GIVEN
+                    CONFIG
                     | {
                         "listen": f"127.0.0.1:{gateway_port}",
                         "discovery": f"127.0.0.1:{discovery}",
--- a/tests/http_gateway/test_second_discovery_call.py
+++ b/tests/http_gateway/test_second_discovery_call.py
@@ -17,13 +17,19 @@
     is_unresponsive,
     parallel_call_delay,
 )
-from tests.support.discovery_rig import GRACE, MOVED, QUICK, Called, Fleet
+from tests.support.discovery_rig import (
+    DRAIN_GRACE_S,
+    ENDING_FAILURES,
+    MOVE_NOTIFIED_S,
+    FleetTest,
+    OutageTest,
+)
 
-ALL_FAILURES = QUICK + ("late 503", "not up", "no word", "head", "drip")
+ALL_FAILURES = ENDING_FAILURES + ("late 503", "not up", "no word", "head", "drip")
 NO_ANSWER = ("no word", "head", "half", "drip")
 
 
-class PushedLists(Called):
+class PushedLists(OutageTest):
     """Lists are pushed: a change counts as notified at once.
 
     Only the drain grace is left to stop sending to a draining node.
@@ -31,15 +37,18 @@
 
     def test_a_pending_connect_or_a_partial_list_leaves_time_within_the_grace(self):
         for play, failure, draw, length in product(
-            (self.started, self.outage), ("not up", "torn"), (0, 1), range(0, 130, 3)
+            (self.start_in_outage, self.lose_watch),
+            ("not up", "torn"),
+            (0, 1),
+            range(0, 130, 3),
         ):
             self.assertLess(
                 play(failure, draw, length / 10, "pushed")[0],
-                GRACE / 2,
+                DRAIN_GRACE_S / 2,
                 (play.__name__, failure, draw, length),
             )
         for play, failure, next_failure, draw, length in product(
-            (self.started, self.outage),
+            (self.start_in_outage, self.lose_watch),
             ("refused", "503", "not up"),
             ("half", "not up"),
             (0, 1),
@@ -47,12 +56,17 @@
         ):
             waited, _ = play(failure, draw, length / 10, "pushed", (next_failure,))
             self.assertLess(
-                waited, GRACE, (play.__name__, failure, next_failure, draw, length)
+                waited,
+                DRAIN_GRACE_S,
+                (play.__name__, failure, next_failure, draw, length),
             )
 
     def test_a_discovery_known_to_accept_without_answering_gets_parallel_calls(self):
         for play, failure, draw, length in product(
-            (self.started, self.outage), NO_ANSWER, (0, 1), range(30, 130, 3)
+            (self.start_in_outage, self.lose_watch),
+            NO_ANSWER,
+            (0, 1),
+            range(30, 130, 3),
         ):
             waited, calls = play(failure, draw, length / 10, "pushed")
             self.assertLess(waited, 2.2, (play.__name__, failure, draw, length))
@@ -62,55 +76,57 @@
 
     def test_a_call_answered_by_a_heartbeat_gets_no_parallel_call(self):
         for mode, draw in product(("pushed", "on_request"), (0, 1)):
-            service = self.begin(draw, mode)
+            service = self.create_gateway(draw, mode)
             self.gateway.start()
-            self.play(service, 10)
+            self.run_until(service, 10)
             self.assertEqual(len(service.calls), 1, (mode, draw))
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
-            self.play(service, 10)
+            self.run_until(service, 10)
             self.assertEqual(
-                (len(service.calls), len(service.open())), (2, 1), (mode, draw)
+                (len(service.calls), len(service.open_connections())),
+                (2, 1),
+                (mode, draw),
             )
 
     def test_at_most_two_calls_are_open_at_one_address(self):
         for mode, failure, draw in product(
             ("pushed", "on_request"), ALL_FAILURES, (0, 1)
         ):
-            service = self.begin(draw, mode)
+            service = self.create_gateway(draw, mode)
             self.gateway.start()
-            self.play(service, 6)
-            for _, protocol, _ in self.spoil(service, failure, 9):
+            self.run_until(service, 6)
+            for _, protocol, _ in self.begin_outage(service, failure, 9):
                 protocol.connectionLost()
-            self.play(service, 6, lambda: self.assert_open_calls(service, 2))
+            self.run_until(service, 6, lambda: self.assert_open_calls(service, 2))
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
-            self.play(
+            self.run_until(
                 service, 8, lambda: self.assert_open_calls(service, 3)
             )  # the third call is at the old address
-            self.assertTrue(self.drains(), (mode, failure, draw))
-            self.assertEqual(len(service.open()), 1, (mode, failure, draw))
+            self.assertTrue(self.knows_draining(), (mode, failure, draw))
+            self.assertEqual(len(service.open_connections()), 1, (mode, failure, draw))
             self.gateway.stop()
 
     def assert_open_calls(self, service, limit):
-        self.assertLessEqual(len(service.open()), limit)
+        self.assertLessEqual(len(service.open_connections()), limit)
 
 
-class AddressChange(Called):
+class AddressChange(OutageTest):
     def test_after_sighup_two_failed_calls_leave_time_within_four_seconds(self):
         for first, second, draw, old_watch_lives in product(
             ALL_FAILURES, ALL_FAILURES, (0, 1), (True, False)
         ):
-            service = self.begin(draw)
+            service = self.create_gateway(draw)
             self.gateway.start()
-            self.play(service, 8)
-            watches, service.calls = service.change(), []
-            service.ways, service.watches = (
+            self.run_until(service, 8)
+            watches, service.calls = service.drain_node(), []
+            service.outcomes, service.watches = (
                 [first, second],
                 watches if old_watch_lives else [],
             )
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
-                self.play(service, 20, self.drains),
-                MOVED - 0.1,
+                self.run_until(service, 20, self.knows_draining),
+                MOVE_NOTIFIED_S - 0.1,
                 (first, second, draw, old_watch_lives),
             )
             self.assertLessEqual(
@@ -119,7 +135,7 @@
             self.gateway.stop()
 
 
-class OverloadedDiscovery(Fleet):
+class OverloadedDiscovery(FleetTest):
     """The load of parallel calls on a service that is up but has too many clients."""
 
     def test_after_an_outage_with_accepted_but_unanswered_calls(self):
@@ -128,19 +144,19 @@
             (0.02, 5.0, 2),
             (0.04, 9.0, 5),
         ):
-            service, members = self.fleet(True, patient=False)
-            service.bad, service.back, service.calls = (
+            service, members = self.start_fleet(True, rejects_late=False)
+            service.outage_outcome, service.outage_end, service.calls = (
                 "no word",
                 self.reactor.seconds() + self.SPAN,
                 [],
             )
-            for _, protocol, _ in service.change():
+            for _, protocol, _ in service.drain_node():
                 protocol.connectionLost()
-            self.looked(service, members, self.SPAN, lambda: False)
+            self.run_fleet(service, members, self.SPAN, lambda: False)
             self.assertLess(
                 len(service.calls) / self.FLEET / self.SPAN, 1, service_time
             )
-            waited, calls = self.back(service, members, service_time)
+            waited, calls = self.measure_recovery(service, members, service_time)
             self.assertLess(waited, time_limit, service_time)
             self.assertLess(calls, max_calls, service_time)
 
@@ -152,11 +168,11 @@
             (True, 0.01, True, 2.2, 1.1),
             (False, 0.02, True, 4.3, 2.2),
         ):
-            service, members = self.fleet(pushed, patient=patient)
-            service.watches = service.change()
+            service, members = self.start_fleet(pushed, rejects_late=patient)
+            service.watches = service.drain_node()
             for each in members:
-                each.follower.move(("127.0.0.1", 8501))
-            waited, calls = self.back(service, members, service_time)
+                each.watcher.move(("127.0.0.1", 8501))
+            waited, calls = self.measure_recovery(service, members, service_time)
             self.assertLess(waited, time_limit, (pushed, service_time, patient))
             self.assertLess(calls, max_calls, (pushed, service_time, patient))
 
--- a/tests/http_gateway/test_settings_shapes.py
+++ b/tests/http_gateway/test_settings_shapes.py
@@ -14,7 +14,7 @@
     InvalidRequestError,
     RequestParser,
 )
-from tests.support.http_gateway_rig import GIVEN, NODE, SETTINGS, Reactor, ask
+from tests.support.http_gateway_rig import CONFIG, NODE, SETTINGS, Reactor, req
 
 
 class UncommonSettings(unittest.TestCase):
@@ -27,7 +27,7 @@
             if name not in drop
         }
         return parse_configuration(
-            GIVEN | {"settings": settings},
+            CONFIG | {"settings": settings},
             {},
             0,
             (messages if messages is not None else []).append,
@@ -42,15 +42,15 @@
         for changed in ({"plans": []}, {"drop": ("plans",)}):
             self.assertEqual(
                 self.parse_request(
-                    self.deployment(**changed), ask(drop=("X-Plan",))
+                    self.deployment(**changed), req(drop=("X-Plan",))
                 ).service_plan,
                 0,
             )
         with self.assertRaises(InvalidRequestError):
-            self.parse_request(self.deployment(), ask(drop=("X-Plan",)))
+            self.parse_request(self.deployment(), req(drop=("X-Plan",)))
 
     def test_limits_that_are_not_stated_limit_nothing(self):
-        large_request = ask(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
+        large_request = req(X_IO="volume=00000003b4d60021,units=900,shard=70,hosts=1")
         request = self.parse_request(
             self.deployment(extra={"writes": [False, True]}), large_request
         )
@@ -62,7 +62,7 @@
         deployment = self.deployment(extra={})
         for method, is_write in (("GET", False), ("PUT", True)):
             self.assertEqual(
-                self.parse_request(deployment, ask(method=method)).is_write, is_write
+                self.parse_request(deployment, req(method=method)).is_write, is_write
             )
 
     def test_connect_and_idle_timeouts_have_defaults(self):
--- a/tests/http_gateway/test_silent_discovery.py
+++ b/tests/http_gateway/test_silent_discovery.py
@@ -14,62 +14,64 @@
 from milletsill.scheduler.transitions import TimerToken
 from tests.support import http_gateway_rig as shared
 from tests.support.discovery_rig import (
-    FAILING,
-    GRACE,
-    MANY,
-    MOVED,
-    QUICK,
-    TOLD,
-    WAYS,
-    Called,
-    Fleet,
-    Played,
-    Service,
-    chunk,
+    DRAIN_GRACE_S,
+    ENDING_FAILURES,
+    FAILURES,
+    GATEWAY_COUNT,
+    MOVE_NOTIFIED_S,
+    NOTIFIED_S,
+    OUTCOMES,
+    DiscoveryServer,
+    DiscoveryTest,
+    FleetTest,
+    OutageTest,
+    encode_chunk,
 )
 from tests.support.scheduler_builders import endpoint, make_scheduler
 
 
-class SilentWatch(Played):
+class SilentWatch(DiscoveryTest):
     def test_an_update_that_a_silent_watch_misses_arrives_within_the_limit(self):
-        for first_call, draw, phase in product(WAYS, (0, 1), range(0, 20, 3)):
-            service = self.start(draw)
-            self.play(service, 8 + phase * 0.1)
-            service.ways, service.calls = [first_call], []
-            service.change()
+        for first_call, draw, phase in product(OUTCOMES, (0, 1), range(0, 20, 3)):
+            service = self.start_gateway(draw)
+            self.run_until(service, 8 + phase * 0.1)
+            service.outcomes, service.calls = [first_call], []
+            service.drain_node()
             self.assertLess(
-                self.play(service, 20, self.drains),
-                TOLD - 0.2,
+                self.run_until(service, 20, self.knows_draining),
+                NOTIFIED_S - 0.2,
                 (first_call, draw, phase),
             )
             self.assertLessEqual(len(service.calls), 2, (first_call, draw, phase))
 
     def test_a_late_heartbeat_costs_one_call_and_a_stalled_process_none(self):
-        service = self.start(1)
-        self.play(service, 6)
+        service = self.start_gateway(1)
+        self.run_until(service, 6)
         ((beat, protocol, wire),) = service.watches
         beat[0] += 1.5
-        service.ways, service.calls = ["503"], []
-        self.play(service, 8)
+        service.outcomes, service.calls = ["503"], []
+        self.run_until(service, 8)
         self.assertEqual(
             (len(service.calls), wire.aborted, len(service.watches)), (1, False, 1)
         )
         # The process stalls: what arrived meanwhile is read after the timers.
         self.reactor.rightNow += 4
         self.gateway.watcher.check()
-        protocol.dataReceived(chunk(b"\n"))
-        self.play(service, 1)
+        protocol.dataReceived(encode_chunk(b"\n"))
+        self.run_until(service, 1)
         self.assertEqual(len(service.calls), 1)
 
     def test_after_sighup_the_list_arrives_within_the_limit(self):
-        for first_call, draw in product(WAYS, (0, 1)):
-            service = self.start(draw)
-            self.play(service, 8)
-            service.ways = [first_call]
-            service.change()
+        for first_call, draw in product(OUTCOMES, (0, 1)):
+            service = self.start_gateway(draw)
+            self.run_until(service, 8)
+            service.outcomes = [first_call]
+            service.drain_node()
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
-                self.play(service, 20, self.drains), MOVED - 0.2, (first_call, draw)
+                self.run_until(service, 20, self.knows_draining),
+                MOVE_NOTIFIED_S - 0.2,
+                (first_call, draw),
             )
 
     def test_a_new_process_calls_at_once_for_pushed_and_requested_lists(self):
@@ -77,8 +79,8 @@
             ("pushed", "on_request"),
             {"good": 0.2, "refused": 1.5, "503": 1.5, "not up": 2.5}.items(),
         ):
-            service = Service(self.reactor, [first_call])
-            service.change()
+            service = DiscoveryServer(self.reactor, [first_call])
+            service.drain_node()
             self.gateway = HttpGateway(
                 self.deployment(settings=shared.SETTINGS | {"membership_mode": mode}),
                 self.reactor,
@@ -88,11 +90,13 @@
             )
             self.gateway.start()
             self.assertLess(
-                self.play(service, 20, self.drains), time_limit, (mode, first_call)
+                self.run_until(service, 20, self.knows_draining),
+                time_limit,
+                (mode, first_call),
             )
 
     def test_many_gateways_whose_watches_fall_silent_at_once(self):
-        service = self.start(takes=0.008)
+        service = self.start_gateway(call_duration=0.008)
         gateways = [
             HttpGateway(
                 self.deployment(seed=f"{seed:016x}"),
@@ -101,41 +105,46 @@
                 0,
                 self.gateway.log,
             )
-            for seed in range(MANY)
+            for seed in range(GATEWAY_COUNT)
         ]
         for gateway in gateways:
             gateway.start()
-        self.play(service, 8)
-        service.ways, service.calls = ["503", "good"] * (MANY // 4), []
-        service.change()
+        self.run_until(service, 8)
+        service.outcomes, service.calls = ["503", "good"] * (GATEWAY_COUNT // 4), []
+        service.drain_node()
         self.assertLess(
-            self.play(service, 20, lambda: all(map(self.drains, gateways))), TOLD
+            self.run_until(
+                service, 20, lambda: all(map(self.knows_draining, gateways))
+            ),
+            NOTIFIED_S,
         )
-        self.assertLess(len(service.calls), 1.4 * MANY)
+        self.assertLess(len(service.calls), 1.4 * GATEWAY_COUNT)
 
 
-class DiscoveryOutage(Called):
+class DiscoveryOutage(OutageTest):
     def test_after_any_failure_the_list_arrives_six_seconds_after_the_return(self):
         for play, failure, draw, length in product(
-            (self.started, self.outage), FAILING, (0, 1), range(0, 130, 7)
+            (self.start_in_outage, self.lose_watch), FAILURES, (0, 1), range(0, 130, 7)
         ):
             waited, calls = play(failure, draw, length / 10)
-            self.assertLess(waited, TOLD - 0.2, (play.__name__, failure, draw, length))
+            self.assertLess(
+                waited, NOTIFIED_S - 0.2, (play.__name__, failure, draw, length)
+            )
             self.assertLessEqual(
                 calls, 3 + length / 7.5, (play.__name__, failure, draw, length)
             )  # later calls are at least 0.75 s apart
 
     def test_an_unanswered_call_right_after_an_outage_leaves_time_for_another(self):
         for play, failure, ways, draw, length in product(
-            (self.started, self.outage),
-            QUICK,
+            (self.start_in_outage, self.lose_watch),
+            ENDING_FAILURES,
             (("no word",), ("head",), ("drip",)),
             (0, 1),
             range(0, 130, 11),
         ):
             self.assertLess(
-                play(failure, draw, length / 10, ways=ways)[0],
-                TOLD - 0.1,
+                play(failure, draw, length / 10, outcomes=ways)[0],
+                NOTIFIED_S - 0.1,
                 (play.__name__, failure, ways, draw, length),
             )
 
@@ -143,74 +152,87 @@
         self,
     ):
         for failure, draw, length, old_watch_lives in product(
-            FAILING, (0, 1), range(0, 130, 7), (True, False)
+            FAILURES, (0, 1), range(0, 130, 7), (True, False)
         ):
             self.assertLess(
-                self.sighup(failure, draw, length / 10, old_watch_lives)[0],
-                MOVED - 0.15,
+                self.reload_in_outage(failure, draw, length / 10, old_watch_lives)[0],
+                MOVE_NOTIFIED_S - 0.15,
                 (failure, draw, length, old_watch_lives),
             )
 
     def test_an_unanswered_call_at_a_new_address_leaves_time_within_four_seconds(self):
-        for first_call, draw, old_watch_lives in product(WAYS, (0, 1), (True, False)):
-            service = self.begin(draw)
+        for first_call, draw, old_watch_lives in product(
+            OUTCOMES, (0, 1), (True, False)
+        ):
+            service = self.create_gateway(draw)
             self.gateway.start()
-            self.play(service, 8)
-            watches = service.change()
-            service.ways, service.watches = (
+            self.run_until(service, 8)
+            watches = service.drain_node()
+            service.outcomes, service.watches = (
                 [first_call],
                 watches if old_watch_lives else [],
             )
             self.gateway.reload(self.deployment(discovery="127.0.0.1:8501"))
             self.assertLess(
-                self.play(service, 20, self.drains),
-                MOVED - 0.2,
+                self.run_until(service, 20, self.knows_draining),
+                MOVE_NOTIFIED_S - 0.2,
                 (first_call, draw, old_watch_lives),
             )
 
     def test_a_pushed_list_arrives_within_the_grace_after_the_return(self):
         for play, failure, draw, length in product(
-            (self.started, self.outage), QUICK, (0, 1), range(3, 130, 7)
+            (self.start_in_outage, self.lose_watch),
+            ENDING_FAILURES,
+            (0, 1),
+            range(3, 130, 7),
         ):
             waited, calls = play(failure, draw, length / 10, "pushed")
-            self.assertLess(waited, GRACE - 0.2, (play.__name__, failure, draw, length))
+            self.assertLess(
+                waited, DRAIN_GRACE_S - 0.2, (play.__name__, failure, draw, length)
+            )
             self.assertLessEqual(
                 calls, 3 + length / 1.25, (play.__name__, failure, draw, length)
             )
 
     def test_a_list_may_come_indented(self):
         for mode, indent in product(("pushed", "on_request"), (0, 1, 2, "\t")):
-            service = self.begin(0, mode)
-            service.change()
+            service = self.create_gateway(0, mode)
+            service.drain_node()
             service.indent = indent
             self.gateway.start()
-            self.assertLess(self.play(service, 20, self.drains), 0.3, (mode, indent))
+            self.assertLess(
+                self.run_until(service, 20, self.knows_draining), 0.3, (mode, indent)
+            )
             self.assertEqual((len(service.calls), len(service.watches)), (1, 1))
 
     def test_a_list_without_a_line_end_does_not_wait_for_the_heartbeat(self):
         for mode, indent in product(("pushed", "on_request"), (None, 1)):
-            service = self.begin(0, mode)
-            service.change()
-            service.indent, service.end = indent, b""
+            service = self.create_gateway(0, mode)
+            service.drain_node()
+            service.indent, service.line_end = indent, b""
             self.gateway.start()
-            self.assertLess(self.play(service, 20, self.drains), 0.3, (mode, indent))
-            self.play(service, 10)  # the heartbeat's line end ends the list's line
-            self.assertEqual((len(service.calls), len(service.open())), (1, 1))
+            self.assertLess(
+                self.run_until(service, 20, self.knows_draining), 0.3, (mode, indent)
+            )
+            self.run_until(service, 10)  # the heartbeat's line end ends the list's line
+            self.assertEqual(
+                (len(service.calls), len(service.open_connections())), (1, 1)
+            )
 
     def test_a_rejected_first_call_is_followed_by_a_random_pause(self):
         for mode in ("pushed", "on_request"):
             pauses = []
             for draw in (0, 1):
-                service = self.begin(draw, mode)
-                service.ways = ["503"]
+                service = self.create_gateway(draw, mode)
+                service.outcomes = ["503"]
                 self.gateway.start()
-                self.play(service, 3, lambda: len(service.calls) > 1, 0.002)
+                self.run_until(service, 3, lambda: len(service.calls) > 1, 0.002)
                 pauses.append(service.calls[1] - service.calls[0])
             self.assertGreater(pauses[0], 0.06, (mode, pauses))
             self.assertGreater(pauses[1], 1.4 * pauses[0], (mode, pauses))
 
 
-class OutageWithManyGateways(Fleet):
+class OutageWithManyGateways(FleetTest):
     def test_after_an_outage_all_get_the_list_as_fast_as_the_service_can_serve_it(self):
         for pushed, max_call_rate, max_calls, service_time, patient in (
             (False, 1.2, 3, 0.01, False),
@@ -220,21 +242,21 @@
             (False, 1.2, 3, 0.02, True),
             (True, 3.6, 8, 0.02, True),
         ):
-            service, members = self.fleet(pushed, patient=patient)
-            service.bad, service.back, service.calls = (
+            service, members = self.start_fleet(pushed, rejects_late=patient)
+            service.outage_outcome, service.outage_end, service.calls = (
                 "refused",
                 self.reactor.seconds() + self.SPAN,
                 [],
             )
-            for _, protocol, _ in service.change():
+            for _, protocol, _ in service.drain_node():
                 protocol.connectionLost()
-            self.looked(service, members, self.SPAN, lambda: False)
+            self.run_fleet(service, members, self.SPAN, lambda: False)
             self.assertLess(
                 len(service.calls) / self.FLEET / self.SPAN,
                 max_call_rate,
                 (pushed, service_time),
             )
-            waited, calls = self.back(service, members, service_time)
+            waited, calls = self.measure_recovery(service, members, service_time)
             self.assertLess(
                 waited,
                 service_time * self.FLEET + (2.0 if patient else 1.0),
@@ -244,10 +266,10 @@
 
     def test_after_all_watches_fall_silent_all_get_the_list_at_the_services_rate(self):
         for service_time, max_calls in ((0.01, 1.1), (0.02, 2), (0.04, 4)):
-            service, members = self.fleet()
-            service.patient = False
-            service.change()
-            waited, calls = self.back(service, members, service_time)
+            service, members = self.start_fleet()
+            service.rejects_late = False
+            service.drain_node()
+            waited, calls = self.measure_recovery(service, members, service_time)
             self.assertLess(
                 waited, max(service_time * self.FLEET + 1.5, 3.5), service_time
             )
@@ -306,7 +328,7 @@
             }
             settings = shared.SETTINGS | {"membership_mode": mode, "rules": rules}
             deployment = shared.parse_configuration(
-                shared.GIVEN | {"settings": settings}, {}, 0, list[str]().append
+                shared.CONFIG | {"settings": settings}, {}, 0, list[str]().append
             )
             self.assertEqual(
                 deployment.config.rewatch_within, expected, (mode, ask_within, grace)
